--- a/crates/capacity/benches/slopes/axes.rs
+++ b/crates/capacity-model/benches/slopes/axes.rs
@@ -3,7 +3,7 @@
 
 use crate::desk::{BYTES, CALL, Play, USUAL, at, of, play, sizes};
 use crate::measure::{Asked, Slope, size};
-use milletpath_capacity::run::Size;
+use milletpath_capacity_model::run::Size;
 
 /// As one of 1,100 gateways, among fewer workers.
 const FEWER: Play = Play { workers: 1_000, ..USUAL };
--- a/crates/capacity/benches/slopes/list.rs
+++ b/crates/capacity-model/benches/slopes/list.rs
@@ -32,7 +32,7 @@
     let functions = "functions {\n  lanes = 2\n  load = 0.4\n}\n";
     let workers = format!("workers {{\n  registry = \"127.0.0.1:1\"\n  keep = {keep}\n}}\n");
     let text = format!("seed = 7\ngateways = {gateways}\n{profile}{functions}{workers}{more}");
-    Desk::new(&milletpath_charter::read(&text).unwrap_or_else(|m| panic!("a charter: {m:?}")), 0.0)
+    Desk::new(&milletpath_config::read(&text).unwrap_or_else(|m| panic!("a charter: {m:?}")), 0.0)
 }
 
 pub fn measure(asked: &Asked) {
--- a/crates/capacity/benches/slopes/main.rs
+++ b/crates/capacity-model/benches/slopes/main.rs
@@ -1,5 +1,5 @@
 //! Measures the slopes of docs/CAPACITY.md, by the thread's own clock and on one thread: the cores as they
-//! are, in simulated time. `cargo bench -p milletpath-capacity --bench slopes -- GROUP... [--seed N] [--out
+//! are, in simulated time. `cargo bench -p milletpath-capacity-model --bench slopes -- GROUP... [--seed N] [--out
 //! FOLDER]` writes a JSON file for each slope, to docs/capacity where nothing is said; without a group it
 //! names them.
 
--- a/crates/capacity/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -2,7 +2,7 @@
 //! that a slope is written to.
 
 use cap::Cap;
-use milletpath_capacity::run::{Run, Size};
+use milletpath_capacity_model::run::{Run, Size};
 use nix::time::{ClockId, clock_gettime};
 use std::alloc::System;
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
             );
         }
         let command = format!(
-            "cargo bench -p milletpath-capacity --bench slopes -- {} --seed {}",
+            "cargo bench -p milletpath-capacity-model --bench slopes -- {} --seed {}",
             self.group, asked.seed
         );
         let fixed: BTreeMap<String, f64> =
--- a/crates/capacity/benches/slopes/peers.rs
+++ b/crates/capacity-model/benches/slopes/peers.rs
@@ -1,13 +1,13 @@
 //! What knowing each other costs: the cores of a whole fleet in simulated time, settled and in the first
 //! seconds after all began; and the proof behind the count by itself, against members.
 
-#[path = "../../../peers/tests/net/mod.rs"]
+#[path = "../../../membership/tests/net/mod.rs"]
 mod net;
 
 use crate::measure::{Asked, Slope, allocated, size, spent};
-use milletpath_capacity::run::Size;
-use milletpath_peers::letter::{self, Key, Letter, Saying, Who, matter};
-use milletpath_peers::{Peers, Terms};
+use milletpath_capacity_model::run::Size;
+use milletpath_membership::letter::{self, Key, Letter, Saying, Who, matter};
+use milletpath_membership::{Peers, Terms};
 use net::Net;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/capacity/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -3,16 +3,16 @@
 
 use crate::list::{WORKERS, desk, entries, entry};
 use crate::measure::{Asked, Slope, size, spent};
-use milletpath_capacity::run::Size;
+use milletpath_capacity_model::run::Size;
 use milletpath_gateway::desk::Desk;
 use milletpath_gateway::sharing::Sharing;
-use milletpath_peers::Parts;
-use milletpath_shares::{Right, Shares};
+use milletpath_membership::Parts;
+use milletpath_shared_budgets::{Right, Shares};
 
 /// Seconds for which words count as proof in a large fleet.
 const LEASE: f64 = 12.0;
 
-/// Bytes of a letter around its note, as `milletpath-shares` counts them.
+/// Bytes of a letter around its note, as `milletpath-shared-budgets` counts them.
 const AROUND: f64 = 150.0;
 
 /// Seconds between two looks of the link at what is shared.
@@ -215,7 +215,7 @@
         "seed = 7\ngateways = 1100\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nworkers {{ \
          registry = \"127.0.0.1:1\" }}\n{limits}"
     );
-    let house = milletpath_charter::read(&text).unwrap_or_else(|m| panic!("a charter: {m:?}"));
+    let house = milletpath_config::read(&text).unwrap_or_else(|m| panic!("a charter: {m:?}"));
     let others: Vec<u64> = (2..=1_100).collect();
     for workers in WORKERS {
         let mut desk: Desk<()> = desk(1_100, 60.0, limits);
--- a/crates/capacity/benches/slopes/town.rs
+++ b/crates/capacity-model/benches/slopes/town.rs
@@ -2,9 +2,9 @@
 //! gateway has as many calls and as many workers to choose among as at the full size in proportion to it.
 
 use crate::measure::{Asked, Slope, size};
-use milletpath_lab::{Came, play};
-use milletpath_standin::script::{self, Day};
-use milletpath_witness::Saw;
+use milletpath_emulator::script::{self, Day};
+use milletpath_history_checker::Saw;
+use milletpath_simulator::{Came, play};
 use std::collections::BTreeSet;
 use std::path::Path;
 
--- a/crates/capacity/src/derived.rs
+++ b/crates/capacity-model/src/derived.rs
@@ -17,8 +17,8 @@
     taken: usize,
 }
 
-const FOLLOWED: &str = "a log of changes that each gateway follows (`crates/changes`)";
-const MACHINE: &str = "a replica of the log and its followers (`crates/changes`)";
+const FOLLOWED: &str = "a log of changes that each gateway follows (`crates/config-log`)";
+const MACHINE: &str = "a replica of the log and its followers (`crates/config-log`)";
 
 fn times(spread: Option<&Spread>, by: f64) -> Option<[f64; 3]> {
     let spread = spread?;
--- a/crates/capacity/src/roles.rs
+++ b/crates/capacity-model/src/roles.rs
@@ -56,7 +56,7 @@
 }
 
 /// The log that control machines hold.
-const MACHINE: &str = "a replica of the log and its followers (`crates/changes`)";
+const MACHINE: &str = "a replica of the log and its followers (`crates/config-log`)";
 
 fn control(a: &Assumed) -> Vec<Ask> {
     const ROLE: Role = Role::Control;
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity-model/tests/fit.rs
@@ -1,8 +1,8 @@
 //! Forms are found again in figures that were made by them, with noise; and lines are never drawn through
 //! too few.
 
-use milletpath_capacity::fit::{Form, fit};
-use milletpath_capacity::run::{self, Run, Size};
+use milletpath_capacity_model::fit::{Form, fit};
+use milletpath_capacity_model::run::{self, Run, Size};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use test_case::test_case;
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity-model/tests/page.rs
@@ -1,14 +1,14 @@
 //! The page is what the command makes of the committed runs; a wrong figure moves it; scale runs find their
 //! place in it.
 
-use milletpath_capacity::assumed::Assumed;
-use milletpath_capacity::derived::derived;
-use milletpath_capacity::lacks::lacks;
-use milletpath_capacity::model::{Ask, Kind, Lack, Role, Slopes, work_out};
-use milletpath_capacity::page::{ASSUMPTIONS, failing, number, rewrite, tables};
-use milletpath_capacity::roles::rows;
-use milletpath_capacity::run::{self, Run};
-use milletpath_capacity::scale;
+use milletpath_capacity_model::assumed::Assumed;
+use milletpath_capacity_model::derived::derived;
+use milletpath_capacity_model::lacks::lacks;
+use milletpath_capacity_model::model::{Ask, Kind, Lack, Role, Slopes, work_out};
+use milletpath_capacity_model::page::{ASSUMPTIONS, failing, number, rewrite, tables};
+use milletpath_capacity_model::roles::rows;
+use milletpath_capacity_model::run::{self, Run};
+use milletpath_capacity_model::scale;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use test_case::test_case;
--- a/crates/capacity/tests/popularity.rs
+++ b/crates/capacity-model/tests/popularity.rs
@@ -1,7 +1,7 @@
 //! Zipf's law over many functions: blocks come to the same as one by one, and what the page says of it holds.
 
-use milletpath_capacity::gateway::functions_known;
-use milletpath_capacity::popularity::{Popularity, least_exponent};
+use milletpath_capacity_model::gateway::functions_known;
+use milletpath_capacity_model::popularity::{Popularity, least_exponent};
 use test_case::test_case;
 
 #[test_case(33_000, 1.6)]
--- a/crates/changes/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -1,7 +1,7 @@
 //! What following costs and how soon a change is in force, by size of the fleet: simulated time, the cores as they are,
 //! datagrams sealed as in service, seven control machines, 1% of the messages lost; in a burst one of ten zones is
 //! gone, once one without a control machine and once that of the machine which leads.
-//! `cargo bench -p milletpath-changes --bench fleet`; `-- quick` for the small sizes alone, `-- --json` for one line of
+//! `cargo bench -p milletpath-config-log --bench fleet`; `-- quick` for the small sizes alone, `-- --json` for one line of
 //! JSON a size.
 
 #[path = "../tests/burst/mod.rs"]
@@ -10,7 +10,7 @@
 mod net;
 
 use burst::{Burst, Cost, between, spent};
-use milletpath_changes::{Entry, State};
+use milletpath_config_log::{Entry, State};
 use net::place::regions;
 use net::{Net, Place};
 
--- a/crates/changes/src/message.rs
+++ b/crates/config-log/src/message.rs
@@ -12,7 +12,7 @@
 /// The version that is written. All from 1 on are read.
 pub const VERSION: u8 = 1;
 
-pub use milletpath_seal::LARGEST;
+pub use milletpath_sealed_datagram::LARGEST;
 
 /// Bytes of a follower's name.
 pub const LONGEST_NAME: usize = 64;
@@ -361,24 +361,24 @@
     }
 }
 
-impl From<milletpath_seal::Refused> for Refused {
-    fn from(why: milletpath_seal::Refused) -> Self {
+impl From<milletpath_sealed_datagram::Refused> for Refused {
+    fn from(why: milletpath_sealed_datagram::Refused) -> Self {
         match why {
-            milletpath_seal::Refused::Size => Self::Size,
-            milletpath_seal::Refused::Version(version) => Self::Version(version),
-            milletpath_seal::Refused::Seal => Self::Seal,
+            milletpath_sealed_datagram::Refused::Size => Self::Size,
+            milletpath_sealed_datagram::Refused::Version(version) => Self::Version(version),
+            milletpath_sealed_datagram::Refused::Seal => Self::Seal,
         }
     }
 }
 
 /// The key of a fleet's control, from the secret that control machines, gateways and authors share.
 #[derive(Clone, Debug)]
-pub struct Key(milletpath_seal::Key);
+pub struct Key(milletpath_sealed_datagram::Key);
 
 impl Key {
     /// `secret` should have 32 bytes of chance or more.
     pub fn new(secret: &[u8]) -> Self {
-        Self(milletpath_seal::Key::new("milletpath 2026-12 changes of configuration", secret))
+        Self(milletpath_sealed_datagram::Key::new("milletpath 2026-12 changes of configuration", secret))
     }
 }
 
--- a/crates/changes/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use crate::net::{Net, Node, Place, change};
-use milletpath_changes::Outcome;
+use milletpath_config_log::Outcome;
 use rand::Rng;
 
 /// How long it is played on after the last change.
@@ -103,7 +103,7 @@
 }
 
 /// A statement of the usual length.
-pub fn stated(id: u64) -> milletpath_changes::Change {
+pub fn stated(id: u64) -> milletpath_config_log::Change {
     let text =
         "function \"resize-thumbnails\" {\n  lanes = 2\n  memory = 400\n  profile = \"interactive\"\n}\n";
     change(id, &format!("function resize-thumbnails-{id}"), text, 0)
--- a/crates/changes/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -3,7 +3,7 @@
 
 mod net;
 
-use milletpath_changes::{Message, Outcome, Record};
+use milletpath_config_log::{Message, Outcome, Record};
 use net::place::{apart, calm};
 use net::{Dies, Net, Place, change};
 use rand::Rng;
--- a/crates/changes/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -4,7 +4,7 @@
 
 mod net;
 
-use milletpath_changes::{Follower, FollowerView, Message, Terms};
+use milletpath_config_log::{Follower, FollowerView, Message, Terms};
 use net::place::{apart, calm, lossy};
 use net::{Net, Place, change};
 use rand::Rng;
@@ -66,7 +66,8 @@
 }
 
 fn other_text(message: &mut Message) {
-    let lie = |logged: &mut milletpath_changes::Logged| logged.entry.change.text = Some("lanes = 99".into());
+    let lie =
+        |logged: &mut milletpath_config_log::Logged| logged.entry.change.text = Some("lanes = 99".into());
     match message {
         Message::Push { logged } => lie(logged),
         Message::Reply { entries, .. } => entries.iter_mut().for_each(lie),
--- a/crates/changes/tests/message.rs
+++ b/crates/config-log/tests/message.rs
@@ -1,7 +1,7 @@
 //! Messages: what is sealed is read as it was, and nothing else is read.
 
-use milletpath_changes::message::{Key, LARGEST, ROOM, Refused, VERSION, Vote, open, seal};
-use milletpath_changes::{Ballot, Change, Entry, KEY, Logged, Message, TEXT};
+use milletpath_config_log::message::{Key, LARGEST, ROOM, Refused, VERSION, Vote, open, seal};
+use milletpath_config_log::{Ballot, Change, Entry, KEY, Logged, Message, TEXT};
 use proptest::prelude::*;
 
 fn key() -> Key {
--- a/crates/changes/tests/net/looks.rs
+++ b/crates/config-log/tests/net/looks.rs
@@ -1,7 +1,7 @@
 //! What stories share: changes, and looks at control machines.
 
 use super::Net;
-use milletpath_changes::{Change, ReplicaView};
+use milletpath_config_log::{Change, ReplicaView};
 
 pub fn change(id: u64, key: &str, text: &str, replaces: u64) -> Change {
     Change { id, key: key.into(), text: Some(text.into()), replaces }
--- a/crates/changes/tests/net/mod.rs
+++ b/crates/config-log/tests/net/mod.rs
@@ -11,8 +11,8 @@
 pub use looks::change;
 pub use place::Place;
 
-use milletpath_changes::message::{self, Key};
-use milletpath_changes::{Act, Change, Follower, Message, Outcome, Record, Replica, Terms};
+use milletpath_config_log::message::{self, Key};
+use milletpath_config_log::{Act, Change, Follower, Message, Outcome, Record, Replica, Terms};
 use place::Place::{Author, Follower as Gateway, Replica as Machine};
 use place::{Lies, Rule, calm};
 use rand::{Rng, SeedableRng};
--- a/crates/changes/tests/net/place.rs
+++ b/crates/config-log/tests/net/place.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use milletpath_changes::Message;
+use milletpath_config_log::Message;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
--- a/crates/changes/tests/net/reference.rs
+++ b/crates/config-log/tests/net/reference.rs
@@ -1,6 +1,6 @@
 //! The one log that all that is committed or in force anywhere is compared with.
 
-use milletpath_changes::{Entry, State};
+use milletpath_config_log::{Entry, State};
 use std::collections::BTreeMap;
 
 /// The one log, as it is first seen committed anywhere.
--- a/crates/changes/tests/replicas.rs
+++ b/crates/config-log/tests/replicas.rs
@@ -3,7 +3,7 @@
 
 mod net;
 
-use milletpath_changes::{Change, KEY, Message, Outcome, Record, TEXT};
+use milletpath_config_log::{Change, KEY, Message, Outcome, Record, TEXT};
 use net::place::{apart, calm};
 use net::{Dies, Net, Place, change};
 use rand::Rng;
@@ -261,9 +261,9 @@
     net.play(1.0);
     net.commit(0, change(1, "a", "lanes = 1", 0));
     let before = net.replica(1).compact();
-    let ballot = milletpath_changes::Ballot(1 << 20).above(0);
+    let ballot = milletpath_config_log::Ballot(1 << 20).above(0);
     let vote =
-        milletpath_changes::message::Vote { number: 2, ballot, change: change(9, "a", "lanes = 9", 1) };
+        milletpath_config_log::message::Vote { number: 2, ballot, change: change(9, "a", "lanes = 9", 1) };
     for (from, message) in [
         (Place::Author(0), Message::Prepare { ballot, attempt: 1 }),
         (Place::Author(0), Message::Accept { vote: vote.clone() }),
@@ -317,7 +317,7 @@
         }
     }
     let text: Vec<u8> = pages.into_values().flatten().collect();
-    let view: milletpath_changes::ReplicaView = serde_json::from_slice(&text).expect("it is whole");
+    let view: milletpath_config_log::ReplicaView = serde_json::from_slice(&text).expect("it is whole");
     assert_eq!((view.number, view.followers.len(), view.majority), (2, 40, true));
     assert!(view.followers.iter().all(|f| f.number == 2), "{:?}", view.followers);
 }
--- a/crates/changes/tests/search.rs
+++ b/crates/config-log/tests/search.rs
@@ -2,7 +2,7 @@
 //! changes are proposed, processes die (also between storing and sending) and begin anew, a disk is lost, and time runs out
 //! for one or the other: to a stated depth, from many places along ways of chance.
 
-use milletpath_changes::{Act, Change, Entry, Follower, Message, Outcome, Record, Replica, State, Terms};
+use milletpath_config_log::{Act, Change, Entry, Follower, Message, Outcome, Record, Replica, State, Terms};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashSet};
@@ -460,7 +460,7 @@
 }
 
 /// Every order of events to depth two from 15 places, and 120 more ways of chance; deeper by hand:
-/// `DEPTH=4 cargo test --release -p milletpath-changes --test search -- --ignored`.
+/// `DEPTH=4 cargo test --release -p milletpath-config-log --test search -- --ignored`.
 #[test]
 fn no_order_of_events_breaks_the_log() {
     let (states, commits) = hunt(0..5, 2, Broken::Nothing).unwrap_or_else(|told| panic!("{told}"));
--- a/crates/changes/tests/state.rs
+++ b/crates/config-log/tests/state.rs
@@ -1,7 +1,7 @@
 //! What is in force: one by one or compacted it comes to the same, a change holds only over what its author saw, and the
 //! bounds hold.
 
-use milletpath_changes::{Change, Entry, KEYS, State, TEXT, TEXTS};
+use milletpath_config_log::{Change, Entry, KEYS, State, TEXT, TEXTS};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/charter/src/change.rs
+++ b/crates/config/src/change.rs
@@ -104,14 +104,14 @@
         let named = named.map(|s| (Subject::Function(s.label.clone()), s));
         for (subject, section) in usual.chain(named) {
             let (key, text) = (subject.to_string(), section.source());
-            if key.len() > milletpath_changes::KEY {
-                let most = milletpath_changes::KEY - "function ".len();
+            if key.len() > milletpath_config_log::KEY {
+                let most = milletpath_config_log::KEY - "function ".len();
                 let wrong = format!("the name of {} is too long for a change", section.title);
                 section.mistake(section.at, wrong, format!("changes carry names of up to {most} bytes"));
             }
-            if text.len() > milletpath_changes::TEXT {
+            if text.len() > milletpath_config_log::TEXT {
                 let wrong = format!("{} has {} bytes of text", section.title, text.len());
-                let remedy = format!("keep it within {}; leave comments out", milletpath_changes::TEXT);
+                let remedy = format!("keep it within {}; leave comments out", milletpath_config_log::TEXT);
                 section.mistake(section.at, wrong, remedy);
             }
             let (line, column) = page.place(section.at);
--- a/crates/charter/src/read.rs
+++ b/crates/config/src/read.rs
@@ -162,7 +162,7 @@
     }
     let state = section.text("state").map_or_else(|| PathBuf::from("changes.state"), PathBuf::from);
     let known = |text: &str| {
-        let fits = is_name(text) && text.len() <= milletpath_changes::message::LONGEST_NAME;
+        let fits = is_name(text) && text.len() <= milletpath_config_log::message::LONGEST_NAME;
         fits.then(|| text.to_owned())
     };
     let name = section.parsed("name", "a name of up to 64 letters, digits and -._~:", known);
@@ -187,7 +187,7 @@
         section.missing("advertise", "\"10.0.0.3:7400\" (where others reach it)");
     }
     let known = |text: &str| {
-        let fits = is_name(text) && text.len() <= milletpath_peers::letter::LONGEST_NAME;
+        let fits = is_name(text) && text.len() <= milletpath_membership::letter::LONGEST_NAME;
         fits.then(|| text.to_owned())
     };
     let name = section.parsed("name", "a name of up to 64 letters, digits and -._~:", known);
@@ -195,7 +195,7 @@
     if key.is_none() && !section.has("key") {
         section.missing("key", "\"peers.key\" (a file with 32 bytes of chance or more)");
     }
-    let usual = milletpath_peers::Terms::default();
+    let usual = milletpath_membership::Terms::default();
     let period = section.figure("period", "seconds", 0.05..=60.0).unwrap_or(usual.period);
     let lease = section.figure("lease", "seconds", 0.1..=600.0).unwrap_or(usual.lease);
     if lease < 4.0 * period {
--- a/crates/charter/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,6 +1,6 @@
 //! What a charter says of changes, and what a change may state: read, refused with its place, taken back.
 
-use milletpath_charter::{Amendment, Functions, House, Instance, Statement, Subject, read};
+use milletpath_config::{Amendment, Functions, House, Instance, Statement, Subject, read};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -72,7 +72,7 @@
 fn a_mistake_of_changes_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
     assert!(SOUND.contains(from));
     let mistakes = read(&SOUND.replacen(from, to, 1)).unwrap_err();
-    let here = |m: &&milletpath_charter::Mistake| (m.line, m.column) == (line, column);
+    let here = |m: &&milletpath_config::Mistake| (m.line, m.column) == (line, column);
     assert!(mistakes.iter().filter(here).any(|m| m.to_string().contains(words)), "{mistakes:#?}");
 }
 
@@ -123,7 +123,7 @@
 fn a_mistake_of_a_change_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
     assert!(FILE.contains(from));
     let mistakes = house().statements(&FILE.replacen(from, to, 1)).unwrap_err();
-    let here = |m: &&milletpath_charter::Mistake| (m.line, m.column) == (line, column);
+    let here = |m: &&milletpath_config::Mistake| (m.line, m.column) == (line, column);
     assert!(mistakes.iter().filter(here).any(|m| m.to_string().contains(words)), "{mistakes:#?}");
 }
 
--- a/crates/charter/tests/mistakes.rs
+++ b/crates/config/tests/mistakes.rs
@@ -1,6 +1,6 @@
 //! Charters as operators get them wrong: each mistake is told with its place, all at once.
 
-use milletpath_charter::{Source, read};
+use milletpath_config::{Source, read};
 use milletpath_policy::host::{Effect, Group};
 use proptest::prelude::*;
 use test_case::test_case;
--- a/crates/standin/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -10,8 +10,10 @@
 use crate::spoilt::Spoil;
 use crate::traffic;
 use crate::worker::{Mood, Worker};
+use milletpath_history_checker::{
+    self as witness, Account, Bound, Broken, Counts, Known, Record, Saw, Shared,
+};
 use milletpath_protocol::registry::{Entry, Standing};
-use milletpath_witness::{self as witness, Account, Bound, Broken, Counts, Known, Record, Saw, Shared};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rand::seq::SliceRandom;
--- a/crates/standin/src/hall.rs
+++ b/crates/emulator/src/hall.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::Pack;
 use crate::store::{Shelf, Store};
-use milletpath_witness::{Record, Saw};
+use milletpath_history_checker::{Record, Saw};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
--- a/crates/standin/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -2,8 +2,8 @@
 //! gateways, and is lost, held up, doubled or spoilt as the script says. A thread of its own: what it adds to a letter's
 //! way does not depend on how busy the town is.
 
-use milletpath_peers::letter::{self, Key, LARGEST, Letter};
-use milletpath_witness::{Record, Saw};
+use milletpath_history_checker::{Record, Saw};
+use milletpath_membership::letter::{self, Key, LARGEST, Letter};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/standin/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -5,8 +5,8 @@
 use crate::store::Shelf;
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
-use milletpath_charter::page::{Mistake, Page, Section};
-use milletpath_witness::Effect;
+use milletpath_config::page::{Mistake, Page, Section};
+use milletpath_history_checker::Effect;
 use std::path::Path;
 
 #[derive(Clone, Debug)]
--- a/crates/standin/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,6 +1,6 @@
 //! Stories of days' files: one may build on another.
 
-use milletpath_standin::script::{Day, open};
+use milletpath_emulator::script::{Day, open};
 use std::path::PathBuf;
 
 const GROUND: &str = r#"
--- a/crates/standin/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -1,8 +1,8 @@
 //! The models of worker and store: what a gateway's troubles are made of must itself be right.
 
+use milletpath_emulator::engine::{Engine, Job, Make, Pack, Say};
+use milletpath_emulator::store::{Shelf, Store};
 use milletpath_protocol::worker::{Found, Refused};
-use milletpath_standin::engine::{Engine, Job, Make, Pack, Say};
-use milletpath_standin::store::{Shelf, Store};
 use proptest::prelude::*;
 
 const MAKE: Make = Make {
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -27,7 +27,7 @@
         "seed = 7\ngateways = {gateways}\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nworkers {{\n  registry = \
          \"127.0.0.1:1\"\n  orders = false\n  probes = false\n}}\n"
     );
-    let house = milletpath_charter::read(&text).expect("a sound charter");
+    let house = milletpath_config::read(&text).expect("a sound charter");
     let mut desk = Desk::new(&house, 0.0);
     let entry = |n: usize| Entry {
         name: format!("w{n}"),
--- a/crates/gateway/benches/desk.rs
+++ b/crates/gateway/benches/desk.rs
@@ -30,7 +30,7 @@
         "seed = 7\ngateways = {gateways}\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{\n  lanes = 2\n  \
          load = 0.4\n}}\nworkers {{ registry = \"127.0.0.1:1\" }}\n"
     );
-    let house = milletpath_charter::read(&text).expect("a sound charter");
+    let house = milletpath_config::read(&text).expect("a sound charter");
     let mut desk: Desk<()> = Desk::new(&house, 0.0);
     let entry = |n: usize| Entry {
         name: format!("w{n}"),
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -4,7 +4,7 @@
 use http::header::{self, HeaderValue};
 use http::{Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
-use milletpath_cores::budget::Budget;
+use milletpath_multicore::budget::Budget;
 use milletpath_protocol::{Fault, invoke, problem};
 use std::convert::Infallible;
 use std::pin::Pin;
--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -1,14 +1,14 @@
 //! Changes of configuration, as they come: a thread with one UDP socket around the follower of
-//! `milletpath-changes`. What is in force reaches the desk through the office, a batch at once, and no call
+//! `milletpath-config-log`. What is in force reaches the desk through the office, a batch at once, and no call
 //! ever waits for the network. The last known state is kept in a file, and is in force from the first call on
 //! after a restart, whoever is silent.
 
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
 use crate::telling::{Telling, cpu};
-use milletpath_changes::message::{self, Key, LARGEST, LONGEST_WHY, Message};
-use milletpath_changes::{Entry, Follower, FollowerView, Terms};
-use milletpath_charter::{Amendment, Changes as Stated, Subject};
+use milletpath_config::{Amendment, Changes as Stated, Subject};
+use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
+use milletpath_config_log::{Entry, Follower, FollowerView, Terms};
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::hash::{BuildHasher, RandomState};
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -2,9 +2,9 @@
 //! each sent again until it is answered or its time is over. Nobody is believed for being quick: of several
 //! answers the one counts that knows of the latest entry.
 
-use milletpath_changes::message::{self, Key, LARGEST, Message};
-use milletpath_changes::{Change, Outcome};
-use milletpath_charter::Changes;
+use milletpath_config::Changes;
+use milletpath_config_log::message::{self, Key, LARGEST, Message};
+use milletpath_config_log::{Change, Outcome};
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
--- a/crates/gateway/src/errands.rs
+++ b/crates/gateway/src/errands.rs
@@ -4,7 +4,7 @@
 use crate::office::{Errand, Stir};
 use crate::shell::Gateway;
 use crate::{follow, serve, shot};
-use milletpath_charter::Source;
+use milletpath_config::Source;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{AbortHandle, spawn_local};
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::Response;
 use hyper::rt::{Read, ReadBufCursor, Write};
-use milletpath_cores::claim::Claim;
+use milletpath_multicore::claim::Claim;
 use socket2::SockRef;
 use std::io::{self, Read as _};
 use std::net::Shutdown;
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -1,4 +1,4 @@
-//! The link to the other gateways: a thread with one UDP socket around the core of `milletpath-peers`. It reaches the
+//! The link to the other gateways: a thread with one UDP socket around the core of `milletpath-membership`. It reaches the
 //! desk through the office alone, and no call ever waits for it. What is told to the desk ends by itself: whoever acts
 //! looks at the time at that moment.
 
@@ -6,10 +6,10 @@
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
 use crate::sharing::Sharing;
-use milletpath_charter::{House, Peers as Stated};
-use milletpath_peers::letter::{self, Key, LARGEST, Letter, Page, Who, matter};
-use milletpath_peers::{Event, Parts, Peers, Terms, View};
-use milletpath_shares::{Seen, Tally};
+use milletpath_config::{House, Peers as Stated};
+use milletpath_membership::letter::{self, Key, LARGEST, Letter, Page, Who, matter};
+use milletpath_membership::{Event, Parts, Peers, Terms, View};
+use milletpath_shared_budgets::{Seen, Tally};
 use serde::{Deserialize, Serialize};
 use std::hash::{BuildHasher, RandomState};
 use std::io::{self, ErrorKind};
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -1,12 +1,12 @@
-//! Budgets that the gateways share, between the core of `milletpath-shares` and the desk: which there are, what of them is
+//! Budgets that the gateways share, between the core of `milletpath-shared-budgets` and the desk: which there are, what of them is
 //! wanted and in use, what the decisions are allotted. Each method is called inside the desk: what is lent is subtracted
 //! there before anything else is decided, and before any note of it goes out.
 
 use crate::desk::Desk;
-use milletpath_charter::House;
-use milletpath_peers::Parts;
+use milletpath_config::House;
+use milletpath_membership::Parts;
 use milletpath_policy::host::Budget;
-use milletpath_shares::{Form, Right, Seen, Shares, Tally};
+use milletpath_shared_budgets::{Form, Right, Seen, Shares, Tally};
 use std::collections::BTreeMap;
 
 /// One budget that is open.
--- a/crates/gateway/src/telling.rs
+++ b/crates/gateway/src/telling.rs
@@ -1,7 +1,7 @@
 //! What a process tells operators of itself, in pages that fit into one message each: all pages of one
 //! question are of one moment, and the next question is of another.
 
-use milletpath_changes::message::Message;
+use milletpath_config_log::message::Message;
 use nix::time::{ClockId, clock_gettime};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -46,12 +46,12 @@
     format!("{{\"edition\": {number}, \"whole\": true, \"workers\": [{}]}}\n", lines.join(", "))
 }
 
-fn followed(cores: usize, registry: SocketAddr) -> milletpath_charter::House {
+fn followed(cores: usize, registry: SocketAddr) -> milletpath_config::House {
     let text = format!(
         "cores = {cores}\nseed = 3\nlisten = \"127.0.0.1:0\"\n{PURE}workers {{\norders = false\nregistry = \
          \"{registry}\"\ndrain_grace = 0.5\n}}\n"
     );
-    milletpath_charter::read(&text).unwrap()
+    milletpath_config::read(&text).unwrap()
 }
 
 /// Calls on a kept connection as fast as they are answered, until the gateway closes it or they are enough; the
--- a/crates/gateway/tests/desk.rs
+++ b/crates/gateway/tests/desk.rs
@@ -5,7 +5,7 @@
 #[path = "desk/orders.rs"]
 mod orders;
 
-use milletpath_charter::House;
+use milletpath_config::House;
 use milletpath_gateway::desk::{Act, Come, Desk, End, Tag};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
@@ -22,7 +22,7 @@
         "seed = 5\nprofile \"p\" {{\ndue = 1\ncut_off = 3\n{effect}\n}}\nfunctions {{ lanes = 2 }}\nlimits {{ shots = 3 }}\n\
          workers {{\nregistry = \"127.0.0.1:1\"\nconnect = 0.25\norder_wait = 2\n{more}\n}}\n"
     );
-    milletpath_charter::read(&text).unwrap_or_else(|m| panic!("{m:#?}"))
+    milletpath_config::read(&text).unwrap_or_else(|m| panic!("{m:#?}"))
 }
 
 fn entry(number: u16, state: Standing, started: Option<f64>) -> Entry {
--- a/crates/gateway/tests/desk/figures.rs
+++ b/crates/gateway/tests/desk/figures.rs
@@ -1,7 +1,7 @@
 //! Figures of functions that change while the desk runs, and what it does by them.
 
 use super::{EFFECTS, PROBELESS, acts, arrive, desk, entry, house, shots};
-use milletpath_charter::{Amendment, House, Instance};
+use milletpath_config::{Amendment, House, Instance};
 use milletpath_gateway::desk::Desk;
 use milletpath_protocol::registry::Standing;
 use test_case::test_case;
--- a/crates/gateway/tests/town/mod.rs
+++ b/crates/gateway/tests/town/mod.rs
@@ -2,7 +2,7 @@
 //! bytes.
 #![allow(dead_code, reason = "each file of stories uses a part of it")]
 
-use milletpath_charter::House;
+use milletpath_config::House;
 use milletpath_gateway::{Links, serve};
 use std::cell::Cell;
 use std::future::Future;
@@ -33,7 +33,7 @@
         "seed = 3\nlisten = \"127.0.0.1:0\"\n{more}\nworkers {{\norders = false\nprobes = false\n{lines}}}\n"
     );
     let text = if more.contains("profile") { text } else { format!("{PURE}{text}") };
-    milletpath_charter::read(&text).unwrap_or_else(|m| panic!("{m:#?}"))
+    milletpath_config::read(&text).unwrap_or_else(|m| panic!("{m:#?}"))
 }
 
 pub const PURE: &str = "profile \"pure\" {\ndue = 1\ncut_off = 3\neffect = \"pure\"\n}\n";
--- a/crates/witness/tests/rejects.rs
+++ b/crates/history-checker/tests/rejects.rs
@@ -1,6 +1,6 @@
 //! A correct record, and for each rule records that must be rejected: the correct one, broken in one place.
 
-use milletpath_witness::{Account, Effect, Ended, Record, Saw, Terms, check, count, latencies};
+use milletpath_history_checker::{Account, Effect, Ended, Record, Saw, Terms, check, count, latencies};
 use test_case::test_case;
 
 const TERMS: Terms = Terms {
--- a/crates/peers/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -1,11 +1,11 @@
 //! What knowing each other costs and how soon it is known, by size of the fleet and by letters lost: simulated time, the
-//! cores as they are, datagrams sealed as in service. `cargo bench -p milletpath-peers --bench fleet`; `-- quick` for
+//! cores as they are, datagrams sealed as in service. `cargo bench -p milletpath-membership --bench fleet`; `-- quick` for
 //! the small sizes alone.
 
 #[path = "../tests/net/mod.rs"]
 mod net;
 
-use milletpath_peers::{Event, Terms};
+use milletpath_membership::{Event, Terms};
 use net::{Net, calm, lossy};
 use rand::Rng;
 
--- a/crates/peers/src/letter.rs
+++ b/crates/membership/src/letter.rs
@@ -10,7 +10,7 @@
 /// The version that is written. All from 1 on are read.
 pub const VERSION: u8 = 1;
 
-pub use milletpath_seal::LARGEST;
+pub use milletpath_sealed_datagram::LARGEST;
 
 /// Letters of a gateway's name.
 pub const LONGEST_NAME: usize = 64;
@@ -35,7 +35,7 @@
     pub const TELL: u8 = 8;
     /// The answer to an answer.
     pub const THANKS: u8 = 11;
-    /// A note of what gateways share: `milletpath-shares` reads it.
+    /// A note of what gateways share: `milletpath-shared-budgets` reads it.
     pub const NOTE: u8 = 12;
     /// An operator asks what is known here; answered by pages of text.
     pub const ASK: u8 = 9;
@@ -176,24 +176,24 @@
     }
 }
 
-impl From<milletpath_seal::Refused> for Refused {
-    fn from(why: milletpath_seal::Refused) -> Self {
+impl From<milletpath_sealed_datagram::Refused> for Refused {
+    fn from(why: milletpath_sealed_datagram::Refused) -> Self {
         match why {
-            milletpath_seal::Refused::Size => Self::Size,
-            milletpath_seal::Refused::Version(version) => Self::Version(version),
-            milletpath_seal::Refused::Seal => Self::Seal,
+            milletpath_sealed_datagram::Refused::Size => Self::Size,
+            milletpath_sealed_datagram::Refused::Version(version) => Self::Version(version),
+            milletpath_sealed_datagram::Refused::Seal => Self::Seal,
         }
     }
 }
 
 /// The key of a fleet, from the secret that its gateways share.
 #[derive(Clone, Debug)]
-pub struct Key(milletpath_seal::Key);
+pub struct Key(milletpath_sealed_datagram::Key);
 
 impl Key {
     /// `secret` should have 32 bytes of chance or more.
     pub fn new(secret: &[u8]) -> Self {
-        Self(milletpath_seal::Key::new("milletpath 2026-12 letters between gateways", secret))
+        Self(milletpath_sealed_datagram::Key::new("milletpath 2026-12 letters between gateways", secret))
     }
 }
 
@@ -209,7 +209,7 @@
 
 /// What stands in a datagram, whoever sealed it: for a relay or a witness that has no key.
 pub fn glance(datagram: &[u8]) -> Option<Letter> {
-    read(milletpath_seal::glance(datagram)?).ok()
+    read(milletpath_sealed_datagram::glance(datagram)?).ok()
 }
 
 fn read(body: &[u8]) -> Result<Letter, Refused> {
--- a/crates/peers/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use milletpath_peers::{Event, Hears, State, Terms};
+use milletpath_membership::{Event, Hears, State, Terms};
 use net::{Net, calm, lossy};
 use rand::Rng;
 use test_case::test_case;
@@ -220,8 +220,8 @@
 /// A clock that is set back by an hour, and one that is set ahead: time goes on as it would have.
 #[test]
 fn a_clock_set_back_stops_nothing() {
-    use milletpath_peers::Peers;
-    use milletpath_peers::letter::Who;
+    use milletpath_membership::Peers;
+    use milletpath_membership::letter::Who;
     let who =
         Who { life: 1, name: "a".into(), at: "10.0.0.1:7000".parse().unwrap(), incarnation: 0, most: 3 };
     let mut peers = Peers::new(who, Terms::default(), vec!["10.0.0.2:7000".parse().unwrap()], 1, 10_000.0);
--- a/crates/peers/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -3,8 +3,8 @@
 
 #![allow(dead_code)]
 
-use milletpath_peers::letter::{self, Key, Letter, Who};
-use milletpath_peers::{Event, Parts, Peers, State, Terms};
+use milletpath_membership::letter::{self, Key, Letter, Who};
+use milletpath_membership::{Event, Parts, Peers, State, Terms};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Ordering;
--- a/crates/peers/tests/three.rs
+++ b/crates/membership/tests/three.rs
@@ -1,8 +1,8 @@
 //! Three gateways, and every order in which letters come, come twice or never, processes are killed and begin anew, and
 //! time runs out for one or the other, to a stated depth, from many places along ways of chance.
 
-use milletpath_peers::letter::{Letter, Who};
-use milletpath_peers::{Peers, State, Terms};
+use milletpath_membership::letter::{Letter, Who};
+use milletpath_membership::{Peers, State, Terms};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
--- a/crates/milletpath/benches/cores.rs
+++ b/crates/milletpath/benches/cores.rs
@@ -8,7 +8,7 @@
 mod load;
 
 use load::{closed, cpu, gateway, open_loop, workers};
-use milletpath_standin::running::Running;
+use milletpath_emulator::running::Running;
 use nix::sched::{CpuSet, sched_setaffinity};
 use nix::unistd::Pid;
 use std::net::SocketAddr;
--- a/crates/milletpath/benches/load/mod.rs
+++ b/crates/milletpath/benches/load/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each bench uses a part of it")]
 
 use hdrhistogram::Histogram;
-use milletpath_standin::running::Running;
+use milletpath_emulator::running::Running;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
--- a/crates/milletpath/benches/memory.rs
+++ b/crates/milletpath/benches/memory.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p milletpath --bench memory`; the limit of open files is raised where that is allowed, and the count
 //! of connections follows it.
 
-use milletpath_standin::running::Running;
+use milletpath_emulator::running::Running;
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
--- a/crates/milletpath/benches/peers.rs
+++ b/crates/milletpath/benches/peers.rs
@@ -5,7 +5,7 @@
 mod load;
 
 use load::{open_loop, workers};
-use milletpath_standin::running::Running;
+use milletpath_emulator::running::Running;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/milletpath/src/capacity.rs
+++ b/crates/milletpath/src/capacity.rs
@@ -1,6 +1,6 @@
 //! `milletpath capacity`: the tables of docs/CAPACITY.md, printed or written into the page.
 
-use milletpath_capacity::{derived, page, scale};
+use milletpath_capacity_model::{derived, page, scale};
 use std::path::Path;
 use std::process::ExitCode;
 
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -2,8 +2,8 @@
 //! force.
 
 use crate::changes::{Known, State};
-use milletpath_changes::{Change, Outcome};
-use milletpath_charter::{House, Subject};
+use milletpath_config::{House, Subject};
+use milletpath_config_log::{Change, Outcome};
 use milletpath_gateway::control_client::{Client, Told, chance};
 use std::path::Path;
 use std::process::ExitCode;
@@ -105,7 +105,7 @@
     for name in asked.remove {
         // A name alone is a function's.
         let subject = Subject::of(name).or_else(|| Subject::of(&format!("function {name}")));
-        let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_changes::KEY) else {
+        let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_config_log::KEY) else {
             let remedy = "write the function's name, or functions for what is stated of all";
             return Err(vec![format!("--remove {name}: no statement goes by that; {remedy}")]);
         };
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -1,7 +1,7 @@
 //! `milletpath changes`: what the control machines know of what is in force, and where it is not.
 
 use crate::control::Told;
-use milletpath_charter::Changes;
+use milletpath_config::Changes;
 use milletpath_gateway::Followed;
 use milletpath_gateway::control_client::Client;
 use serde::Serialize;
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -1,12 +1,12 @@
 //! `milletpath control`: a control machine. One thread with a UDP socket and a log file around the replica of
-//! `milletpath-changes`: what it is to store is on the disk before anything goes out that builds on it. A
+//! `milletpath-config-log`: what it is to store is on the disk before anything goes out that builds on it. A
 //! change that its charter can't take is refused here, before anybody decides on it.
 
 mod records;
 
-use milletpath_changes::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
-use milletpath_changes::{Act, Record, Replica, ReplicaView, Terms};
-use milletpath_charter::{Changes, House};
+use milletpath_config::{Changes, House};
+use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
+use milletpath_config_log::{Act, Record, Replica, ReplicaView, Terms};
 use milletpath_gateway::{Telling, cpu, tenfold};
 use records::RecordFile;
 use serde::{Deserialize, Serialize};
--- a/crates/milletpath/src/day.rs
+++ b/crates/milletpath/src/day.rs
@@ -1,8 +1,8 @@
 //! `milletpath day`: plays a scripted day through real sockets and prints rules and service.
 
-use milletpath_standin::day::{Played, Stage, play};
-use milletpath_standin::script::{self, Day};
-use milletpath_witness::{Bound, Counts, Times};
+use milletpath_emulator::day::{Played, Stage, play};
+use milletpath_emulator::script::{self, Day};
+use milletpath_history_checker::{Bound, Counts, Times};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -76,7 +76,7 @@
 fn print(day: &Day, played: &Played, json: bool) {
     /// Broken places that are told in full.
     const MOST: usize = 20;
-    let latencies = milletpath_witness::latencies(&played.records, [0.5, 0.99, 0.999]);
+    let latencies = milletpath_history_checker::latencies(&played.records, [0.5, 0.99, 0.999]);
     if json {
         let counts = |c: &Counts| {
             serde_json::json!({
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -189,12 +189,12 @@
 }
 
 /// Reads a charter; what is wrong with it goes to standard error, a line for each mistake.
-fn read(path: &Path) -> Result<milletpath_charter::House, ExitCode> {
+fn read(path: &Path) -> Result<milletpath_config::House, ExitCode> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         eprintln!("{}: can't be read: {e}; name a charter file", path.display());
         ExitCode::from(2)
     })?;
-    let mut house = milletpath_charter::read(&text).map_err(|mistakes| {
+    let mut house = milletpath_config::read(&text).map_err(|mistakes| {
         mistakes.iter().for_each(|mistake| eprintln!("{}:{mistake}", path.display()));
         ExitCode::from(2)
     })?;
--- a/crates/milletpath/src/peers.rs
+++ b/crates/milletpath/src/peers.rs
@@ -1,7 +1,7 @@
 //! `milletpath peers`: what a gateway knows of the others, for operators in trouble.
 
 use milletpath_gateway::Told;
-use milletpath_peers::Hears;
+use milletpath_membership::Hears;
 use std::path::Path;
 use std::process::ExitCode;
 
--- a/crates/milletpath/src/platform.rs
+++ b/crates/milletpath/src/platform.rs
@@ -18,5 +18,5 @@
     };
     let name = std::env::var("LB_NAME").unwrap_or_default();
     tracing::info!(name, file = %file.display(), "a router starts");
-    crate::local(milletpath_station::run(&file, address))
+    crate::local(milletpath_platform_router::run(&file, address))
 }
--- a/crates/milletpath/src/scale.rs
+++ b/crates/milletpath/src/scale.rs
@@ -2,8 +2,8 @@
 //! them.
 
 use milletpath_gateway::signals::{Heard, SIGINT, SIGTERM};
-use milletpath_scale::run::Asked;
-use milletpath_scale::{host, plan, run};
+use milletpath_scale_test::run::Asked;
+use milletpath_scale_test::{host, plan, run};
 use std::io;
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -1,6 +1,6 @@
 //! `milletpath serve`.
 
-use milletpath_charter::House;
+use milletpath_config::House;
 use milletpath_gateway::signals::{Heard, SIGINT, SIGTERM};
 use milletpath_gateway::{Feed, Link, Links, Plant, Stir};
 use std::io::Write;
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -1,8 +1,8 @@
 //! Stand-in workers: alone by a charter's list, or inside a gateway that was given no charter.
 
-use milletpath_charter::{House, Source};
-use milletpath_standin::small::{MAKE, hall};
-use milletpath_standin::worker::Worker;
+use milletpath_config::{House, Source};
+use milletpath_emulator::small::{MAKE, hall};
+use milletpath_emulator::worker::Worker;
 use std::path::Path;
 use std::process::ExitCode;
 use tokio::net::TcpListener;
@@ -48,7 +48,7 @@
         text.push_str(&format!("  worker \"inside-{number}\" {{ address = \"{}\" }}\n", worker.addresses[0]));
     }
     text.push_str("}\n");
-    milletpath_charter::read(&text).map_err(|mistakes| {
+    milletpath_config::read(&text).map_err(|mistakes| {
         mistakes.iter().for_each(|mistake| eprintln!("the built-in charter:{mistake}"));
         ExitCode::FAILURE
     })
--- a/crates/milletpath/tests/control/authors.rs
+++ b/crates/milletpath/tests/control/authors.rs
@@ -2,8 +2,8 @@
 //! changes are committed.
 
 use super::{Site, key};
-use milletpath_changes::message::{self, LARGEST, Message};
-use milletpath_changes::{Change, Outcome};
+use milletpath_config_log::message::{self, LARGEST, Message};
+use milletpath_config_log::{Change, Outcome};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::mpsc;
 use std::time::Duration;
--- a/crates/milletpath/tests/control/mod.rs
+++ b/crates/milletpath/tests/control/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod authors;
 
-use milletpath_changes::message::Key;
+use milletpath_config_log::message::Key;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::Value;
--- a/crates/milletpath/tests/fleet/mod.rs
+++ b/crates/milletpath/tests/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! Gateways as processes that know each other over links which a test can break. No calls: what they know is asked for
 //! as an operator would.
 
-use milletpath_peers::View;
-use milletpath_standin::relay::Relay;
+use milletpath_emulator::relay::Relay;
+use milletpath_membership::View;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader};
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -3,8 +3,8 @@
 mod fleet;
 
 use fleet::Fleet;
-use milletpath_peers::Hears;
-use milletpath_standin::relay::Fault;
+use milletpath_emulator::relay::Fault;
+use milletpath_membership::Hears;
 use nix::sys::signal::Signal;
 use std::net::UdpSocket;
 use std::time::Duration;
--- a/crates/cores/benches/deal.rs
+++ b/crates/multicore/benches/deal.rs
@@ -2,9 +2,9 @@
 //! the kernel's hash does; in turn; by the calls to expect, with some sent away from a crowded core. Simulated: no
 //! sockets, so the figures are of the dealing alone.
 //!
-//! `cargo bench -p milletpath-cores --bench deal` prints the busiest core's calls over the mean.
+//! `cargo bench -p milletpath-multicore --bench deal` prints the busiest core's calls over the mean.
 
-use milletpath_cores::deal::{Deal, LOOK, Seen};
+use milletpath_multicore::deal::{Deal, LOOK, Seen};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/cores/tests/interleavings.rs
+++ b/crates/multicore/tests/interleavings.rs
@@ -1,13 +1,13 @@
-//! The hand-over structures in all interleavings of two threads, the mailbox of three: `cargo test -p milletpath-cores
+//! The hand-over structures in all interleavings of two threads, the mailbox of three: `cargo test -p milletpath-multicore
 //! --features loom --test interleavings`.
 
 use loom::sync::atomic::{AtomicUsize, Ordering};
 use loom::sync::{Arc, Mutex};
 use loom::thread;
-use milletpath_cores::budget::Budget;
-use milletpath_cores::claim::Claim;
-use milletpath_cores::mail::Mailbox;
-use milletpath_cores::pulse::Pulse;
+use milletpath_multicore::budget::Budget;
+use milletpath_multicore::claim::Claim;
+use milletpath_multicore::mail::Mailbox;
+use milletpath_multicore::pulse::Pulse;
 
 /// Two senders and an owner that sleeps unless woken: every letter is taken, each sender's in order, and none lies
 /// in the box of an owner whom nobody woke.
--- a/crates/cores/tests/models.rs
+++ b/crates/multicore/tests/models.rs
@@ -1,10 +1,10 @@
 //! The hand-over structures against plain sequential models, and stories of the decisions about cores.
 
-use milletpath_cores::budget::Budget;
-use milletpath_cores::claim::Claim;
-use milletpath_cores::deal::{Deal, LOOK, Seen};
-use milletpath_cores::mail::Mailbox;
-use milletpath_cores::watch::{Do, GIVEN_UP, STILL, Watch};
+use milletpath_multicore::budget::Budget;
+use milletpath_multicore::claim::Claim;
+use milletpath_multicore::deal::{Deal, LOOK, Seen};
+use milletpath_multicore::mail::Mailbox;
+use milletpath_multicore::watch::{Do, GIVEN_UP, STILL, Watch};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/platform/src/frames.rs
+++ b/crates/platform-protocol/src/frames.rs
@@ -122,7 +122,7 @@
                 let mut report = Report::default();
                 for (name, value) in value.split(';').filter_map(|part| part.split_once(':')) {
                     if let Some(value) = figure(value) {
-                        milletpath_terms::note(&mut report, name, value);
+                        milletpath_platform_settings::note(&mut report, name, value);
                     }
                 }
                 answer.report = Some(report);
--- a/crates/platform/src/told.rs
+++ b/crates/platform-protocol/src/told.rs
@@ -2,7 +2,7 @@
 //! far, and the settings. What is read becomes a [`House`] and the few figures beside it.
 
 use crate::events::{self, Line};
-use milletpath_charter::{Bounds, Functions, House, Kind, Source};
+use milletpath_config::{Bounds, Functions, House, Kind, Source};
 use milletpath_protocol::Fault;
 use milletpath_protocol::registry::Entry;
 use serde_json::Value;
@@ -76,7 +76,7 @@
     let seed = value["seed"].as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     let seed = seed.ok_or_else(|| Fault::new("seed", "is missing or no hex digits"))?;
     let wrong = |e: String| Fault::new("settings", e);
-    let policy = milletpath_terms::charter(settings, seed).map_err(wrong)?;
+    let policy = milletpath_platform_settings::charter(settings, seed).map_err(wrong)?;
     let known = &value["known"];
     let last = known["no"].as_u64().ok_or_else(|| Fault::new("known.no", "is no whole number"))?;
     let mut lists = Vec::new();
@@ -85,13 +85,13 @@
             lists.push((whole, entries));
         }
     }
-    let profiles = milletpath_terms::profiles(settings).map_err(wrong)?;
+    let profiles = milletpath_platform_settings::profiles(settings).map_err(wrong)?;
     let profiles = profiles.into_iter().map(|(name, cut_off, importance)| Kind { name, cut_off, importance });
-    let limit = |name| milletpath_terms::limit(settings, name).map_err(wrong);
+    let limit = |name| milletpath_platform_settings::limit(settings, name).map_err(wrong);
     let bounds = Bounds {
         cores: 1,
         pin: false,
-        open: milletpath_terms::count(settings, "OpenCap", OPEN).min(OPEN),
+        open: milletpath_platform_settings::count(settings, "OpenCap", OPEN).min(OPEN),
         held: usize::MAX,
         body: crate::lines::BODY,
         answer: crate::frames::ANSWER,
@@ -103,7 +103,7 @@
         idle: limit("Keepalive")?,
         // A probe that takes longer than a connection may is as good as lost.
         probe: limit("ConnectTimeout")?,
-        grace: milletpath_terms::grace(settings).map_err(wrong)?,
+        grace: milletpath_platform_settings::grace(settings).map_err(wrong)?,
     };
     Ok(Told {
         bulletin: address(&value, "bulletin")?,
@@ -112,15 +112,15 @@
         memory: (value["limits"]["memory_mb"].as_f64().filter(|mb| *mb > 0.0).unwrap_or(MEMORY) * 1e6)
             as usize,
         descriptors: value["limits"]["sockets"].as_u64().unwrap_or(DESCRIPTORS) as usize,
-        lanes: milletpath_terms::count(settings, "StreamsPerConn", 1),
-        reports: !milletpath_terms::report_names(settings).is_empty(),
+        lanes: milletpath_platform_settings::count(settings, "StreamsPerConn", 1),
+        reports: !milletpath_platform_settings::report_names(settings).is_empty(),
         house: House {
             listen: address(&value, "listen")?,
             policy,
             profiles: profiles.collect(),
-            clients: milletpath_terms::clients(settings),
+            clients: milletpath_platform_settings::clients(settings),
             functions: Functions::default(),
-            kinds: milletpath_terms::kinds(settings),
+            kinds: milletpath_platform_settings::kinds(settings),
             source: Source::List(Vec::new()),
             bounds,
             // Routers of the platform share nothing, and go by what they are told.
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -3,10 +3,10 @@
 
 mod pen;
 
-use milletpath_platform::events::{self, Line};
-use milletpath_platform::frames;
-use milletpath_platform::lines::{self, Said};
-use milletpath_platform::told;
+use milletpath_platform_protocol::events::{self, Line};
+use milletpath_platform_protocol::frames;
+use milletpath_platform_protocol::lines::{self, Said};
+use milletpath_platform_protocol::told;
 use milletpath_policy::host::Outcome;
 use pen::frame;
 use proptest::prelude::*;
@@ -128,7 +128,7 @@
         }
         let _ = frames::read(&bytes);
         let _ = events::read(&bytes);
-        let _ = milletpath_platform::told::read(&bytes);
+        let _ = milletpath_platform_protocol::told::read(&bytes);
         prop_assert!(lines::read(&bytes).is_err());
     }
 }
--- a/crates/station/src/bulletin.rs
+++ b/crates/platform-router/src/bulletin.rs
@@ -2,7 +2,7 @@
 //! a silence longer than its heartbeat explains leads to asking again for all after the last event.
 
 use crate::station::Shared;
-use milletpath_platform::events::{self, Line};
+use milletpath_platform_protocol::events::{self, Line};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
--- a/crates/station/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -6,7 +6,7 @@
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
 use milletpath_gateway::desk::{Come, Tag};
-use milletpath_platform::lines::{self, Ask, Said};
+use milletpath_platform_protocol::lines::{self, Ask, Said};
 use milletpath_protocol::Fault;
 use socket2::SockRef;
 use std::rc::Rc;
--- a/crates/station/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -6,7 +6,7 @@
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
 use milletpath_gateway::desk::{End, Tag};
-use milletpath_platform::{frames, lines};
+use milletpath_platform_protocol::{frames, lines};
 use milletpath_policy::host::Outcome;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -354,7 +354,7 @@
                 (id, Sent::Order(*order))
             }),
             Load::Unload(function) => {
-                if let Some(id) = milletpath_platform::hex(function) {
+                if let Some(id) = milletpath_platform_protocol::hex(function) {
                     frames::unload(&mut out, id);
                 }
                 None
--- a/crates/station/tests/cold.rs
+++ b/crates/platform-router/tests/cold.rs
@@ -2,8 +2,8 @@
 //! together send a cold worker has to stay under what that can take, however thin the traffic of each is.
 //! Played with the desk that the station runs, in simulated time.
 
-use milletpath_lab::{Cold, cold, play};
-use milletpath_standin::script;
+use milletpath_emulator::script;
+use milletpath_simulator::{Cold, cold, play};
 use std::path::Path;
 use test_case::test_case;
 
--- a/crates/scale/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -5,7 +5,7 @@
 use crate::charter;
 use crate::children::Heard;
 use crate::wire::Places;
-use milletpath_changes::{Change, Outcome, ReplicaView};
+use milletpath_config_log::{Change, Outcome, ReplicaView};
 use milletpath_gateway::Followed;
 use milletpath_gateway::control_client::{Client, Told, chance};
 use milletpath_gateway::hollow::clock;
@@ -100,7 +100,7 @@
 /// A client of the control machines at those addresses.
 fn client(places: &Places, control: &[SocketAddr]) -> io::Result<Client> {
     let mistakes = |m: Vec<_>| io::Error::other(format!("a charter can't be read: {m:?}"));
-    let house = milletpath_charter::read(&charter::control_text(control, places)).map_err(mistakes)?;
+    let house = milletpath_config::read(&charter::control_text(control, places)).map_err(mistakes)?;
     Client::new(&house.changes.ok_or_else(|| io::Error::other("a charter without changes"))?)
 }
 
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -233,7 +233,7 @@
     /// Asks a real gateway for its budgets as an operator would, for as long as it is there.
     fn ask(&self, gateway: usize, text: &str, link: SocketAddr) -> io::Result<()> {
         let mistakes = |m: Vec<_>| io::Error::other(format!("its charter can't be read: {m:?}"));
-        let mut house = milletpath_charter::read(text).map_err(mistakes)?;
+        let mut house = milletpath_config::read(text).map_err(mistakes)?;
         house.peers.iter_mut().for_each(|p| p.listen = link);
         let (asking, tell, places) = (self.asking.clone(), self.tell.clone(), self.reached.clone());
         let there = move || {
--- a/crates/scale/src/fleet/changes.rs
+++ b/crates/scale-test/src/fleet/changes.rs
@@ -4,7 +4,7 @@
 use crate::charter;
 use crate::control::{self, AUTHORS, Author, Machine};
 use crate::machine;
-use milletpath_changes::ReplicaView;
+use milletpath_config_log::ReplicaView;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/scale/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -5,9 +5,9 @@
 use crate::charter;
 use crate::plan::{self, Core, Plan};
 use crate::wire::{Change, Event, Following, Low, Order, Places, Reading, Told};
-use milletpath_charter::{House, Source};
+use milletpath_config::{House, Source};
 use milletpath_gateway::hollow::{Hear, Heed, Hollow, clock};
-use milletpath_peers::Event as Seen;
+use milletpath_membership::Event as Seen;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -220,7 +220,7 @@
     let none = SocketAddr::from(([127, 0, 0, 1], 9));
     let text = charter::text(plan, gateway, places, &[none]);
     let mistakes = |m: Vec<_>| io::Error::other(format!("a charter can't be read: {m:?}"));
-    let mut house = milletpath_charter::read(&text).map_err(mistakes)?;
+    let mut house = milletpath_config::read(&text).map_err(mistakes)?;
     house.source = Source::List(Vec::new());
     Ok(house)
 }
--- a/crates/scale/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -3,7 +3,7 @@
 //! `docs/operators/scale.md`.
 
 use hcl_edit::parser::parse_body;
-use milletpath_charter::page::{Mistake, Page, Section};
+use milletpath_config::page::{Mistake, Page, Section};
 use milletpath_protocol::is_name;
 
 /// A whole plan. Times in seconds.
--- a/crates/scale/src/standins.rs
+++ b/crates/scale-test/src/standins.rs
@@ -2,8 +2,8 @@
 //! budgets which all gateways share are wanted where some are real.
 
 use crate::plan::Plan;
-use milletpath_standin::small::{MAKE, hall};
-use milletpath_standin::worker::Worker;
+use milletpath_emulator::small::{MAKE, hall};
+use milletpath_emulator::worker::Worker;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/scale/tests/book.rs
+++ b/crates/scale-test/tests/book.rs
@@ -1,6 +1,6 @@
 //! Who believes what of whom, and how long it took: stories told to the book by hand.
 
-use milletpath_scale::book::{Book, Says};
+use milletpath_scale_test::book::{Book, Says};
 
 const HERE: Says = Says::Here;
 const GONE: Says = Says::Gone;
--- a/crates/scale/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -1,8 +1,8 @@
 //! Sums of budgets over gateways: what counts as used together, and when that is more than there is.
 
 use milletpath_gateway::hollow::Lows;
-use milletpath_scale::budgets::Sums;
-use milletpath_scale::wire::Low;
+use milletpath_scale_test::budgets::Sums;
+use milletpath_scale_test::wire::Low;
 use std::collections::BTreeMap;
 
 fn low(second: u64, part: f64, allowed: f64) -> Low {
--- a/crates/scale/tests/changed.rs
+++ b/crates/scale-test/tests/changed.rs
@@ -1,8 +1,8 @@
 //! The book of changes: how long each took to be in force where, and who never had it.
 
-use milletpath_scale::changed::Changed;
-use milletpath_scale::report::State;
-use milletpath_scale::spread::Times;
+use milletpath_scale_test::changed::Changed;
+use milletpath_scale_test::report::State;
+use milletpath_scale_test::spread::Times;
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/scale/tests/machine.rs
+++ b/crates/scale-test/tests/machine.rs
@@ -1,9 +1,9 @@
 //! What the system tells of cores, and how figures of many spread.
 
-use milletpath_scale::book::Says;
-use milletpath_scale::children::{believes, holds};
-use milletpath_scale::machine::{Cores, memory, used};
-use milletpath_scale::spread::{Spread, Times};
+use milletpath_scale_test::book::Says;
+use milletpath_scale_test::children::{believes, holds};
+use milletpath_scale_test::machine::{Cores, memory, used};
+use milletpath_scale_test::spread::{Spread, Times};
 use test_case::test_case;
 
 #[test]
--- a/crates/scale/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans as people write them: what a sound one says, and what is told of one that is not.
 
-use milletpath_scale::plan::{Core, Plan, What, read};
+use milletpath_scale_test::plan::{Core, Plan, What, read};
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/scale/tests/relay.rs
+++ b/crates/scale-test/tests/relay.rs
@@ -1,6 +1,6 @@
 //! The links of a run, on real sockets: who gets what, what is counted, what a cut keeps back.
 
-use milletpath_scale::relay::{Passed, Relay, Ways};
+use milletpath_scale_test::relay::{Passed, Relay, Ways};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
--- a/crates/shares/src/account.rs
+++ b/crates/shared-budgets/src/account.rs
@@ -8,11 +8,11 @@
 //!   once all that was used of it has ended, or when the borrower says that what it uses is within what it holds.
 //!
 //! So at every moment what all gateways may use is at most the sum of what they own, whatever is lost, late or repeated,
-//! and whoever stands still or is killed. That sum is proven elsewhere (`Parts` of `milletpath-peers`).
+//! and whoever stands still or is killed. That sum is proven elsewhere (`Parts` of `milletpath-membership`).
 
 use crate::shares::Faults;
 use crate::stairs::Stairs;
-use milletpath_peers::DRIFT;
+use milletpath_membership::DRIFT;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a wait of one's own is longer by, so that it outlasts the same wait on a slower clock.
--- a/crates/shares/tests/stories.rs
+++ b/crates/shared-budgets/tests/stories.rs
@@ -2,7 +2,7 @@
 
 mod town;
 
-use milletpath_shares::{Faults, Form};
+use milletpath_shared_budgets::{Faults, Form};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/shares/tests/three.rs
+++ b/crates/shared-budgets/tests/three.rs
@@ -3,7 +3,7 @@
 
 mod town;
 
-use milletpath_shares::{Faults, Form};
+use milletpath_shared_budgets::{Faults, Form};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
--- a/crates/shares/tests/town/mod.rs
+++ b/crates/shared-budgets/tests/town/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use milletpath_shares::{Faults, Form, Meter, More, Right, Shares};
+use milletpath_shared_budgets::{Faults, Form, Meter, More, Right, Shares};
 
 /// The lease that loans are derived from.
 pub const LEASE: f64 = 3.0;
--- a/crates/drill/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,9 +1,9 @@
 //! One router with the ids it goes by on the wire. Nothing here is shared between instances.
 
 use crate::frame::{Batch, Cells, Malformed, Reply};
+use milletpath_platform_settings as terms;
 use milletpath_policy::host::{Answer, Arrival, Found, Host, Listing, Outcome, Report, State};
 use milletpath_policy::policy::Router;
-use milletpath_terms as terms;
 use std::collections::HashMap;
 use std::hash::Hash;
 
--- a/crates/lab/examples/asked/mod.rs
+++ b/crates/simulator/examples/asked/mod.rs
@@ -1,6 +1,6 @@
 //! What the examples are asked for: a day's file, a number of seeds, and numbers of gateways.
 
-use milletpath_standin::script::{self, Day};
+use milletpath_emulator::script::{self, Day};
 use std::path::Path;
 
 pub struct Asked {
--- a/crates/lab/examples/cold.rs
+++ b/crates/simulator/examples/cold.rs
@@ -1,11 +1,11 @@
 //! What all gateways together send cold workers, against what those can take: the largest sum of any window in each day,
-//! beyond the budget, in parts of what is put down to chance. `cargo run --release -p milletpath-lab --example cold --
+//! beyond the budget, in parts of what is put down to chance. `cargo run --release -p milletpath-simulator --example cold --
 //! days/cold-fleet.hcl 200 20 30`: a day, seeds, numbers of gateways.
 
 mod asked;
 
 use asked::Asked;
-use milletpath_lab::{Cold, cold, play};
+use milletpath_simulator::{Cold, cold, play};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/lab/examples/fleet.rs
+++ b/crates/simulator/examples/fleet.rs
@@ -1,11 +1,11 @@
 //! Plays a day in simulated time with other numbers of gateways: service, fetches, refusals of the store, over seeds from 1.
-//! `cargo run --release -p milletpath-lab --example fleet -- days/town.hcl 10 1 24`: a day, seeds, numbers of gateways. Each
+//! `cargo run --release -p milletpath-simulator --example fleet -- days/town.hcl 10 1 24`: a day, seeds, numbers of gateways. Each
 //! is played sharing nothing and, where there are several, sharing.
 
 mod asked;
 
 use asked::Asked;
-use milletpath_lab::play;
+use milletpath_simulator::play;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -23,7 +23,7 @@
             })
             .collect();
         let mean =
-            |of: &dyn Fn(&milletpath_lab::Came) -> f64| came.iter().map(of).sum::<f64>() / seeds as f64;
+            |of: &dyn Fn(&milletpath_simulator::Came) -> f64| came.iter().map(of).sum::<f64>() / seeds as f64;
         println!(
             "{gateways:>8} {sharing:>8} {:>8.4} {:>8.0} {:>9.0} {:>7.4} {:>8.0} {:>8}",
             mean(&|c| c.whole.service()),
--- a/crates/lab/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -2,8 +2,8 @@
 //! their own where that does no harm.
 
 use crate::town::{Next, Town, WAY};
-use milletpath_standin::traffic::Planned;
-use milletpath_witness::{Effect, Ended, Saw};
+use milletpath_emulator::traffic::Planned;
+use milletpath_history_checker::{Effect, Ended, Saw};
 use rand::Rng;
 
 /// One call, and the try that is under way.
--- a/crates/lab/src/cold.rs
+++ b/crates/simulator/src/cold.rs
@@ -2,9 +2,9 @@
 //! the calls of mean work that the worker may be sent in it, and what is put down to chance beyond them.
 
 use crate::town::LAG;
-use milletpath_standin::day;
-use milletpath_standin::script::Day;
-use milletpath_witness::{self as witness, Record, Window};
+use milletpath_emulator::day;
+use milletpath_emulator::script::Day;
+use milletpath_history_checker::{self as witness, Record, Window};
 
 /// The fullest windows of a day.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/lab/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -1,10 +1,10 @@
 //! What gateways share in simulated time: the cores as they are around the desks, and notes that take their way or are lost.
-//! Who is there is known to all; that a part of them may not be known is played by `milletpath-peers` and in processes.
+//! Who is there is known to all; that a part of them may not be known is played by `milletpath-membership` and in processes.
 
 use crate::town::{Next, Town, WAY};
-use milletpath_charter::House;
+use milletpath_config::House;
 use milletpath_gateway::sharing::Sharing;
-use milletpath_peers::Parts;
+use milletpath_membership::Parts;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lab/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -4,17 +4,17 @@
 use crate::clients::Call;
 use crate::links::Links;
 use crate::workers::Worker;
-use milletpath_charter::House;
+use milletpath_config::House;
+use milletpath_emulator::clients::weights;
+use milletpath_emulator::day;
+use milletpath_emulator::engine::{Engine, Figures};
+use milletpath_emulator::script::Day;
+use milletpath_emulator::store::Store;
+use milletpath_emulator::traffic;
 use milletpath_gateway::desk::{Act, Come, Desk, End, Tag, Tally};
+use milletpath_history_checker::{self as witness, Broken, Counts, Effect, Ended, Record, Saw};
 use milletpath_policy::host::{Outcome, Report};
 use milletpath_protocol::registry::Entry;
-use milletpath_standin::clients::weights;
-use milletpath_standin::day;
-use milletpath_standin::engine::{Engine, Figures};
-use milletpath_standin::script::Day;
-use milletpath_standin::store::Store;
-use milletpath_standin::traffic;
-use milletpath_witness::{self as witness, Broken, Counts, Effect, Ended, Record, Saw};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Ordering;
@@ -171,7 +171,7 @@
         let house = |gateway: usize| -> House {
             let text =
                 day::charter(day, gateway, any, SocketAddr::from((Ipv4Addr::LOCALHOST, 1)), None, seed);
-            milletpath_charter::read(&text).unwrap_or_else(|m| panic!("a day's charter: {m:?}"))
+            milletpath_config::read(&text).unwrap_or_else(|m| panic!("a day's charter: {m:?}"))
         };
         let houses: Vec<House> = (0..day.gateways).map(house).collect();
         let desks: Vec<Desk<Kept>> = houses.iter().map(|house| Desk::new(house, 0.0)).collect();
--- a/crates/lab/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -1,14 +1,14 @@
 //! Workers in simulated time: the stand-ins' engines, and the troubles that befall them.
 
 use crate::town::{Next, Town, WAY, place};
+use milletpath_emulator::day;
+use milletpath_emulator::engine::{Engine, Figures, Job, Make, Say};
+use milletpath_emulator::script::What;
 use milletpath_gateway::desk::{End, Tag};
+use milletpath_history_checker::Saw;
 use milletpath_policy::host::{Found, Outcome, Report};
 use milletpath_protocol::registry::{Entry, Standing};
 use milletpath_protocol::worker as wire;
-use milletpath_standin::day;
-use milletpath_standin::engine::{Engine, Figures, Job, Make, Say};
-use milletpath_standin::script::What;
-use milletpath_witness::Saw;
 use rand::Rng;
 use rand::seq::SliceRandom;
 use std::collections::BTreeMap;
--- a/crates/lab/tests/cold.rs
+++ b/crates/simulator/tests/cold.rs
@@ -1,8 +1,8 @@
 //! Cold workers under many gateways: what all of them send together stays under what a cold worker can take, and what is put
 //! down to chance, however few warm ones are left. The distribution over 200 seeds: `docs/design.md`, example `cold`.
 
-use milletpath_lab::{Cold, cold, play};
-use milletpath_standin::script;
+use milletpath_emulator::script;
+use milletpath_simulator::{Cold, cold, play};
 use std::path::Path;
 use test_case::test_case;
 
--- a/crates/lab/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days in simulated time: the same seed is the same history, and the rules hold in it as they do on sockets.
 
-use milletpath_lab::play;
-use milletpath_standin::script::{self, Day, Trouble, What};
+use milletpath_emulator::script::{self, Day, Trouble, What};
+use milletpath_simulator::play;
 use std::path::Path;
 use test_case::test_case;
 
