--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -6,7 +6,7 @@
 use crate::list::{desk, entries};
 use crate::measure::{Asked, Slope, allocated, look, size, spent};
 use milletpath_capacity_model::run::Size;
-use milletpath_gateway::desk::{Act, Come, Desk, End, Tag};
+use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
 use milletpath_policy::host::{Found, Outcome, Report};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/capacity-model/benches/slopes/list.rs
+++ b/crates/capacity-model/benches/slopes/list.rs
@@ -2,7 +2,7 @@
 //! figures of the fleet hold.
 
 use crate::measure::{Asked, Slope, allocated, size, spent};
-use milletpath_gateway::desk::Desk;
+use milletpath_dispatcher::desk::Desk;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -4,7 +4,7 @@
 use crate::list::{WORKERS, desk, entries, entry};
 use crate::measure::{Asked, Slope, size, spent};
 use milletpath_capacity_model::run::Size;
-use milletpath_gateway::desk::Desk;
+use milletpath_dispatcher::desk::Desk;
 use milletpath_gateway::sharing::Sharing;
 use milletpath_membership::Parts;
 use milletpath_shared_budgets::{Right, Shares};
--- a/crates/gateway/benches/desk.rs
+++ b/crates/dispatcher/benches/desk.rs
@@ -2,9 +2,9 @@
 //! functions, then 300 workers and 10,000 functions by Zipf; 760 and 7,600 calls a second; one gateway of one, or of
 //! 60 that share the workers.
 //!
-//! `cargo bench -p milletpath-gateway --bench desk` prints microseconds an activation, all its events together.
+//! `cargo bench -p milletpath-dispatcher --bench desk` prints microseconds an activation, all its events together.
 
-use milletpath_gateway::desk::{Act, Come, Desk, End, Tag};
+use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
 use milletpath_policy::host::{Outcome, Report};
 use milletpath_protocol::registry::{Entry, Standing};
 use rand::{Rng, SeedableRng};
--- a/crates/gateway/benches/timers.rs
+++ b/crates/dispatcher/benches/timers.rs
@@ -1,7 +1,7 @@
 //! Timers as the gateway uses them, 100,000 set at a time: each turn sets some, calls most off, lets some fire.
 //! The wheel against a binary heap that skips what was called off, interleaved in one run.
 
-use milletpath_gateway::wheel::Wheel;
+use milletpath_dispatcher::wheel::Wheel;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 use std::hint::black_box;
--- /dev/null
+++ b/crates/dispatcher/src/lib.rs
@@ -0,0 +1,11 @@
+//! The dispatcher: all that a router knows of requests, attempts, workers and timers around the routing decisions of
+//! `milletpath-policy`. It is a state machine without sockets and without a clock: events and the time come in as
+//! method calls, actions go out as values. The HTTP gateway, the platform router and the simulator each put their own
+//! I/O around it.
+
+pub mod desk;
+pub mod indices;
+pub mod roll;
+pub mod wheel;
+
+mod ration;
--- a/crates/gateway/tests/desk.rs
+++ b/crates/dispatcher/tests/desk.rs
@@ -6,7 +6,7 @@
 mod orders;
 
 use milletpath_config::House;
-use milletpath_gateway::desk::{Act, Come, Desk, End, Tag};
+use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use proptest::prelude::*;
--- a/crates/gateway/tests/desk/figures.rs
+++ b/crates/dispatcher/tests/desk/figures.rs
@@ -2,7 +2,7 @@
 
 use super::{EFFECTS, PROBELESS, acts, arrive, desk, entry, house, shots};
 use milletpath_config::{Amendment, House, Instance};
-use milletpath_gateway::desk::Desk;
+use milletpath_dispatcher::desk::Desk;
 use milletpath_protocol::registry::Standing;
 use test_case::test_case;
 
--- a/crates/gateway/tests/desk/orders.rs
+++ b/crates/dispatcher/tests/desk/orders.rs
@@ -1,7 +1,7 @@
 //! Every order in which what can cross around one call may come, played out whole.
 
 use super::{EFFECTS, PROBELESS, desk, entry, shots};
-use milletpath_gateway::desk::{Act, Come, Desk, End, Tag};
+use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::Standing;
 use std::collections::BTreeMap;
--- a/crates/gateway/tests/wheel.rs
+++ b/crates/dispatcher/tests/wheel.rs
@@ -1,6 +1,6 @@
 //! The wheel of timers against a plain sorted list.
 
-use milletpath_gateway::wheel::{Ticket, Wheel};
+use milletpath_dispatcher::wheel::{Ticket, Wheel};
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -7,7 +7,7 @@
 //!
 //! `cargo bench -p milletpath-gateway --bench cores` prints calls a second, and for (b) the wait of a lone hand-over.
 
-use milletpath_gateway::desk::{Act, Come, Desk, End};
+use milletpath_dispatcher::desk::{Act, Come, Desk, End};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::hint::{black_box, spin_loop};
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -4,13 +4,13 @@
 use crate::answer::{Own, answer_of};
 use crate::changing::{self, Feed};
 use crate::core;
-use crate::desk::{End, Tally};
 use crate::errands;
 use crate::line::Line;
 use crate::office::{Errand, Office, Stir, Ticket};
 use crate::peering::{self, Link};
 use crate::shell::{Gateway, PULSE};
 use milletpath_config::{House, Source};
+use milletpath_dispatcher::desk::{End, Tally};
 use milletpath_multicore::deal::{self, Deal, Seen};
 use milletpath_multicore::watch::{Do, Watch};
 use milletpath_policy::host::Outcome;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,17 +1,12 @@
 //! The running router: it tells the decisions what happens and carries out what they decide.
 //!
-//! Two rooms. The [`desk`] knows of calls, shots, orders and workers, free of sockets and clocks; the shells around
-//! it, one on each core, have connections. The cores enter the desk in turn (`office.rs`); the keeper deals out
-//! connections, keeps time and watches the cores (`keeper.rs`). Reading down `serve.rs` shows the whole way of a
-//! call on its core: door, desk, shot, answer.
+//! The dispatcher (`milletpath-dispatcher`) knows of requests, attempts, load requests and workers, free of sockets and
+//! clocks; this package puts the HTTP connections around it, on each core. The cores share one dispatcher behind a lock
+//! (`office.rs`); the supervisor hands out client connections, keeps time and watches the cores (`keeper.rs`). Reading
+//! down `serve.rs` shows the whole way of a request on its core: accept, decode, dispatch, attempt, answer.
 
 pub mod control_client;
-pub mod desk;
 pub mod hollow;
-pub mod indices;
-pub mod roll;
-pub mod signals;
-pub mod wheel;
 
 mod answer;
 mod changing;
@@ -26,7 +21,6 @@
 mod paced;
 mod peering;
 mod pool;
-mod ration;
 mod serve;
 pub mod sharing;
 mod shell;
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -2,10 +2,10 @@
 //! ends, another says the last word on it.
 
 use crate::answer::Written;
-use crate::desk::Tag;
 use bytes::Bytes;
 use http::Response;
 use hyper::rt::{Read, ReadBufCursor, Write};
+use milletpath_dispatcher::desk::Tag;
 use milletpath_multicore::claim::Claim;
 use socket2::SockRef;
 use std::io::{self, Read as _};
--- a/crates/gateway/src/office.rs
+++ b/crates/gateway/src/office.rs
@@ -3,10 +3,10 @@
 //! posts what follows to the cores whose calls it is about, in the order in which the desk said it.
 
 use crate::answer::Own;
-use crate::desk::{Act, Desk, Tag, Tally};
 use crate::line::Line;
 use crate::pool::{Room, Way};
 use milletpath_config::{House, Instance};
+use milletpath_dispatcher::desk::{Act, Desk, Tag, Tally};
 use milletpath_multicore::budget::Budget;
 use milletpath_multicore::mail::Mailbox;
 use milletpath_multicore::pulse::Pulse;
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -2,11 +2,11 @@
 //! desk through the office alone, and no call ever waits for it. What is told to the desk ends by itself: whoever acts
 //! looks at the time at that moment.
 
-use crate::desk::Share;
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
 use crate::sharing::Sharing;
 use milletpath_config::{House, Peers as Stated};
+use milletpath_dispatcher::desk::Share;
 use milletpath_membership::letter::{self, Key, LARGEST, Letter, Page, Who, matter};
 use milletpath_membership::{Event, Parts, Peers, Terms, View};
 use milletpath_shared_budgets::{Seen, Tally};
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,7 +1,6 @@
 //! The way of a call on its core: door (decode, bounds, indices), desk, shot, answer.
 
 use crate::answer::{Held, Own, Reply, Written, answer_of, bounced, faulty, healthy, refused, terminated};
-use crate::desk::{Come, Tag};
 use crate::gather::Gathered;
 use crate::line::{Line, Own as OwnEnd};
 use crate::office::{Place, Ticket};
@@ -17,6 +16,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioTimer;
+use milletpath_dispatcher::desk::{Come, Tag};
 use milletpath_policy::host::Effect;
 use milletpath_protocol::{Fault, invoke};
 use std::cell::Cell;
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -2,8 +2,8 @@
 //! wanted and in use, what the decisions are allotted. Each method is called inside the desk: what is lent is subtracted
 //! there before anything else is decided, and before any note of it goes out.
 
-use crate::desk::Desk;
 use milletpath_config::House;
+use milletpath_dispatcher::desk::Desk;
 use milletpath_membership::Parts;
 use milletpath_policy::host::Budget;
 use milletpath_shared_budgets::{Form, Right, Seen, Shares, Tally};
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -1,13 +1,13 @@
 //! The shell of one core: its calls, its connections to workers, and the errands that the desk has for it.
 
 use crate::answer::{Held, Reply};
-use crate::desk::{Desk, Tag};
 use crate::line::Line;
 use crate::office::{Errand, Office, Place};
 use crate::pool::{self, Connection, Pool, Way};
 use bytes::Bytes;
 use http::HeaderMap;
 use milletpath_config::{Bounds, House};
+use milletpath_dispatcher::desk::{Desk, Tag};
 use milletpath_multicore::watch::STILL;
 use slab::Slab;
 use std::cell::{Cell, RefCell};
--- a/crates/gateway/src/shot.rs
+++ b/crates/gateway/src/shot.rs
@@ -3,7 +3,6 @@
 //! have run.
 
 use crate::answer::{Held, Reply};
-use crate::desk::{End, Tag};
 use crate::gather::Gathered;
 use crate::pool::{Body, Connection, Way};
 use crate::shell::Gateway;
@@ -13,6 +12,7 @@
 use http_body::Body as _;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
+use milletpath_dispatcher::desk::{End, Tag};
 use milletpath_policy::host::{Found, Outcome, Report};
 use milletpath_protocol::{orca, worker as wire};
 use std::rc::Rc;
--- a/crates/gateway/tests/town/mod.rs
+++ b/crates/gateway/tests/town/mod.rs
@@ -47,7 +47,7 @@
 /// Starts a gateway; it stops when the sender is used.
 pub async fn gateway(
     house: House,
-) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_gateway::desk::Tally>) {
+) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_dispatcher::desk::Tally>) {
     let listener = TcpListener::bind(house.listen).await.unwrap();
     let address = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel::<()>();
@@ -59,7 +59,7 @@
     (address, stop, served)
 }
 
-pub type Served = tokio::task::JoinHandle<milletpath_gateway::desk::Tally>;
+pub type Served = tokio::task::JoinHandle<milletpath_dispatcher::desk::Tally>;
 
 /// The same, with mischief for its cores.
 pub async fn stirred(
--- a/crates/milletpath/src/scale.rs
+++ b/crates/milletpath/src/scale.rs
@@ -1,7 +1,7 @@
 //! `milletpath scale`: hollow gateways beside real ones, at full size; and the processes that it starts for
 //! them.
 
-use milletpath_gateway::signals::{Heard, SIGINT, SIGTERM};
+use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
 use milletpath_scale_test::run::Asked;
 use milletpath_scale_test::{host, plan, run};
 use std::io;
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -5,7 +5,7 @@
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
-use milletpath_gateway::desk::{Come, Tag};
+use milletpath_dispatcher::desk::{Come, Tag};
 use milletpath_platform_protocol::lines::{self, Ask, Said};
 use milletpath_protocol::Fault;
 use socket2::SockRef;
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -5,7 +5,7 @@
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
-use milletpath_gateway::desk::{End, Tag};
+use milletpath_dispatcher::desk::{End, Tag};
 use milletpath_platform_protocol::{frames, lines};
 use milletpath_policy::host::Outcome;
 use std::collections::VecDeque;
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/station/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use milletpath_gateway::desk::{Come, End};
+use milletpath_dispatcher::desk::{Come, End};
 use milletpath_policy::host::Outcome;
 use test_case::test_case;
 
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -1,10 +1,10 @@
 //! Workers in simulated time: the stand-ins' engines, and the troubles that befall them.
 
 use crate::town::{Next, Town, WAY, place};
+use milletpath_dispatcher::desk::{End, Tag};
 use milletpath_emulator::day;
 use milletpath_emulator::engine::{Engine, Figures, Job, Make, Say};
 use milletpath_emulator::script::What;
-use milletpath_gateway::desk::{End, Tag};
 use milletpath_history_checker::Saw;
 use milletpath_policy::host::{Found, Outcome, Report};
 use milletpath_protocol::registry::{Entry, Standing};
