--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -6,7 +6,7 @@
 use crate::list::{desk, entries};
 use crate::measure::{Asked, Slope, allocated, look, size, spent};
 use milletpath_capacity_model::run::Size;
-use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
+use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::host::{Found, Outcome, Report};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -71,8 +71,8 @@
 
 enum Next {
     Arrive,
-    Ended(Tag, usize, usize, usize),
-    Ordered(Tag, u8),
+    Ended(RequestId, usize, usize, usize),
+    Ordered(RequestId, u8),
     Probed(usize, u64),
     Change,
 }
@@ -138,7 +138,7 @@
     let (look, steady) = (look(), play.keep + STEADY);
     // Of the bench's own tables nothing counts: what they grow by is measured around each call of the desk.
     let mut bytes = -allocated();
-    let mut desk: Desk<usize> = desk(play.gateways, play.keep, "");
+    let mut desk: Dispatcher<usize> = desk(play.gateways, play.keep, "");
     desk.list(0.0, true, &list);
     bytes += allocated();
     bench.put(0.0, Next::Arrive);
@@ -192,7 +192,7 @@
         let mut arrived = None;
         match &next {
             Next::Arrive => {
-                let come = Come {
+                let come = IncomingRequest {
                     function: &names[function],
                     profile: 0,
                     client: 9,
@@ -204,7 +204,12 @@
             }
             Next::Ended(tag, shot, _, found) => {
                 let found = Some(if *found == 1 { Found::Loaded } else { Found::BeganLoad });
-                desk.end(now, *tag, *shot, End { report, found, ..End::plain(Outcome::Handled) });
+                desk.end(
+                    now,
+                    *tag,
+                    *shot,
+                    AttemptResult { report, found, ..AttemptResult::plain(Outcome::Handled) },
+                );
             }
             Next::Ordered(order, copies) => desk.order_ended(now, *order, Outcome::Handled, *copies),
             Next::Probed(worker, serial) => desk.probed(now, *worker, *serial, Outcome::Handled, report),
@@ -212,13 +217,13 @@
         }
         let mut acts = Vec::new();
         while let Some(act) = desk.act() {
-            if let Act::Shoot { tag, shot, .. } = act {
+            if let Action::Shoot { tag, shot, .. } = act {
                 desk.begin(now, tag, shot);
             }
             acts.push(act);
         }
         time += spent() - began - look;
-        bytes += allocated() - before - (acts.capacity() * size_of::<Act>()) as f64;
+        bytes += allocated() - before - (acts.capacity() * size_of::<Action>()) as f64;
         if matches!(next, Next::Arrive) {
             calls += 1;
             let gap = gap.sample(&mut bench.chance);
@@ -233,7 +238,7 @@
         }
         for act in acts {
             match act {
-                Act::Shoot { tag, shot, worker } => {
+                Action::Shoot { tag, shot, worker } => {
                     cold.extend(waits.remove(&tag.serial).map(|since| (now - since) * 1e3));
                     bench.held[worker] += 1.0;
                     let function = desk.what(tag).copied().unwrap_or(0);
@@ -242,13 +247,15 @@
                     let takes = away(worker) + load + work.sample(&mut bench.chance);
                     bench.put(now + takes, Next::Ended(tag, shot, worker, usize::from(stood)));
                 }
-                Act::Hold { order, worker, function, copies } => {
+                Action::Hold { order, worker, function, copies } => {
                     let number = function.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
                     let stood = bench.stood(now, number, worker);
                     let load = if stood { 0.0 } else { bench.chance.random_range(0.2..0.6) };
                     bench.put(now + away(worker) + load, Next::Ordered(order, copies));
                 }
-                Act::Probe { worker, serial } => bench.put(now + away(worker), Next::Probed(worker, serial)),
+                Action::Probe { worker, serial } => {
+                    bench.put(now + away(worker), Next::Probed(worker, serial))
+                }
                 _ => {}
             }
         }
--- a/crates/capacity-model/benches/slopes/list.rs
+++ b/crates/capacity-model/benches/slopes/list.rs
@@ -2,7 +2,7 @@
 //! figures of the fleet hold.
 
 use crate::measure::{Asked, Slope, allocated, size, spent};
-use milletpath_dispatcher::desk::Desk;
+use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -27,12 +27,12 @@
 }
 
 /// A desk as one of so many gateways; an idle instance is kept for so many seconds.
-pub fn desk<T>(gateways: usize, keep: f64, more: &str) -> Desk<T> {
+pub fn desk<T>(gateways: usize, keep: f64, more: &str) -> Dispatcher<T> {
     let profile = "profile \"p\" {\n  due = 1.1\n  cut_off = 3.3\n  effect = \"pure\"\n}\n";
     let functions = "functions {\n  lanes = 2\n  load = 0.4\n}\n";
     let workers = format!("workers {{\n  registry = \"127.0.0.1:1\"\n  keep = {keep}\n}}\n");
     let text = format!("seed = 7\ngateways = {gateways}\n{profile}{functions}{workers}{more}");
-    Desk::new(&milletpath_config::read(&text).unwrap_or_else(|m| panic!("a charter: {m:?}")), 0.0)
+    Dispatcher::new(&milletpath_config::read(&text).unwrap_or_else(|m| panic!("a charter: {m:?}")), 0.0)
 }
 
 pub fn measure(asked: &Asked) {
@@ -41,7 +41,7 @@
     for workers in WORKERS {
         let list = entries(workers);
         let before = allocated();
-        let mut desk: Desk<()> = desk(1_100, 60.0, "");
+        let mut desk: Dispatcher<()> = desk(1_100, 60.0, "");
         desk.list(0.0, true, &list);
         while desk.act().is_some() {}
         bytes.push(size(workers as f64, vec![(allocated() - before) / 1e6]));
--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -4,7 +4,7 @@
 use crate::list::{WORKERS, desk, entries, entry};
 use crate::measure::{Asked, Slope, size, spent};
 use milletpath_capacity_model::run::Size;
-use milletpath_dispatcher::desk::Desk;
+use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_gateway::sharing::Sharing;
 use milletpath_membership::Parts;
 use milletpath_shared_budgets::{Right, Shares};
@@ -218,13 +218,13 @@
     let house = milletpath_config::read(&text).unwrap_or_else(|m| panic!("a charter: {m:?}"));
     let others: Vec<u64> = (2..=1_100).collect();
     for workers in WORKERS {
-        let mut desk: Desk<()> = desk(1_100, 60.0, limits);
+        let mut desk: Dispatcher<()> = desk(1_100, 60.0, limits);
         desk.list(0.0, true, &entries(workers));
         let mut sharing = Sharing::new(&house, 1, LEASE, 0.0);
         sharing.turn(&mut desk, 0.0, &parts, others.clone());
         let mut now = 1.0;
         // Looks at which nothing was changed, 25 a second.
-        let mut second = |desk: &mut Desk<()>, sharing: &mut Sharing| {
+        let mut second = |desk: &mut Dispatcher<()>, sharing: &mut Sharing| {
             let began = spent();
             for _ in 0..25 {
                 now += METERS;
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -3,16 +3,16 @@
 //! about. A statement takes the place of the charter's statement of the same key as a whole; taken back, the
 //! charter's own holds again.
 
-use crate::page::{Mistake, Page, Section};
+use crate::page::{ConfigError, Page, Section};
 use crate::read::{body, statement};
-use crate::{Functions, House, Statement};
+use crate::{FunctionConfigs, FunctionOverrides, GatewayConfig};
 use std::fmt;
 
 /// What a statement is about, and so the key of its change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// All functions, where they state nothing of their own.
-    Functions,
+    AllFunctions,
     Function(String),
 }
 
@@ -20,7 +20,7 @@
     /// None where no change goes by that key.
     pub fn of(key: &str) -> Option<Self> {
         match key.split_once(' ') {
-            None if key == "functions" => Some(Self::Functions),
+            None if key == "functions" => Some(Self::AllFunctions),
             Some(("function", name)) if milletpath_protocol::is_name(name) => {
                 Some(Self::Function(name.into()))
             }
@@ -32,7 +32,7 @@
 impl fmt::Display for Subject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Functions => f.write_str("functions"),
+            Self::AllFunctions => f.write_str("functions"),
             Self::Function(name) => write!(f, "function {name}"),
         }
     }
@@ -40,16 +40,16 @@
 
 /// What a change does to the figures of functions; without a statement the charter's own holds again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Amendment {
+pub struct ConfigChange {
     pub subject: Subject,
-    pub statement: Option<Statement>,
+    pub statement: Option<FunctionOverrides>,
 }
 
 /// One statement of a file of changes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stated {
+pub struct ParsedStatement {
     pub subject: Subject,
-    pub statement: Statement,
+    pub statement: FunctionOverrides,
     /// As it is written.
     pub text: String,
     /// Where it begins, from 1.
@@ -57,11 +57,11 @@
     pub column: usize,
 }
 
-impl Functions {
+impl FunctionConfigs {
     /// Goes by an amendment from here on; `charter` has what holds where none does.
-    pub fn amend(&mut self, amendment: &Amendment, charter: &Functions) {
+    pub fn amend(&mut self, amendment: &ConfigChange, charter: &FunctionConfigs) {
         match (&amendment.subject, amendment.statement) {
-            (Subject::Functions, statement) => self.usual = statement.unwrap_or(charter.usual),
+            (Subject::AllFunctions, statement) => self.usual = statement.unwrap_or(charter.usual),
             (Subject::Function(name), statement) => {
                 match statement.or_else(|| charter.named.get(name).copied()) {
                     Some(statement) => self.named.insert(name.clone(), statement),
@@ -79,9 +79,9 @@
 /// What belongs to one gateway.
 const OWN: [&str; 4] = ["changes", "cores", "listen", "pin"];
 
-impl House {
+impl GatewayConfig {
     /// The statements of a file of changes, in its order; the error holds every mistake of the text.
-    pub fn statements(&self, text: &str) -> Result<Vec<Stated>, Vec<Mistake>> {
+    pub fn statements(&self, text: &str) -> Result<Vec<ParsedStatement>, Vec<ConfigError>> {
         let page = Page::new(text);
         let body = body(text)?;
         let all = self.section(&page, &Section::titled(&page, "a change", &body));
@@ -89,7 +89,7 @@
         if mistakes.is_empty() { Ok(all) } else { Err(mistakes) }
     }
 
-    fn section(&self, page: &Page<'_>, top: &Section<'_>) -> Vec<Stated> {
+    fn section(&self, page: &Page<'_>, top: &Section<'_>) -> Vec<ParsedStatement> {
         for key in SHARED {
             let wrong = format!("a change can't carry {key}, by which all gateways must go at once");
             top.refuse(key, &wrong, "state it in the charter files and begin the gateways anew");
@@ -99,7 +99,7 @@
             top.refuse(key, &wrong, "state it in that gateway's charter file");
         }
         let mut all = Vec::new();
-        let usual = top.blocks("functions", false).into_iter().map(|s| (Subject::Functions, s));
+        let usual = top.blocks("functions", false).into_iter().map(|s| (Subject::AllFunctions, s));
         let named = top.blocks("function", true).into_iter();
         let named = named.map(|s| (Subject::Function(s.label.clone()), s));
         for (subject, section) in usual.chain(named) {
@@ -116,7 +116,7 @@
             }
             let (line, column) = page.place(section.at);
             let statement = statement(&section, &self.profiles);
-            all.push((section.at, Stated { subject, statement, text: text.into(), line, column }));
+            all.push((section.at, ParsedStatement { subject, statement, text: text.into(), line, column }));
         }
         if all.is_empty() {
             top.mistake(
@@ -130,9 +130,9 @@
     }
 
     /// What one change does here; the error says why this charter can't take it.
-    pub fn amendment(&self, key: &str, text: Option<&str>) -> Result<Amendment, Vec<Mistake>> {
+    pub fn amendment(&self, key: &str, text: Option<&str>) -> Result<ConfigChange, Vec<ConfigError>> {
         let mistake = |wrong: String, remedy: &str| {
-            Err(vec![Mistake { line: 1, column: 1, wrong, remedy: remedy.into() }])
+            Err(vec![ConfigError { line: 1, column: 1, wrong, remedy: remedy.into() }])
         };
         let Some(subject) = Subject::of(key) else {
             return mistake(
@@ -140,11 +140,11 @@
                 "write functions or function NAME, or run a program that knows it",
             );
         };
-        let Some(text) = text else { return Ok(Amendment { subject, statement: None }) };
+        let Some(text) = text else { return Ok(ConfigChange { subject, statement: None }) };
         let mut stated = self.statements(text)?;
         match stated.pop() {
             Some(one) if stated.is_empty() && one.subject == subject => {
-                Ok(Amendment { subject, statement: Some(one.statement) })
+                Ok(ConfigChange { subject, statement: Some(one.statement) })
             }
             _ => mistake(format!("this states something else than {key}"), "one statement, that of its key"),
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,14 +1,14 @@
 //! What an installation states, in HCL, and the figures that the gateway derives from it at start.
 //!
-//! [`read`] gives a [`House`], or every [`Mistake`] of the text with line, column and remedy. What a figure means,
+//! [`read`] gives a [`GatewayConfig`], or every [`ConfigError`] of the text with line, column and remedy. What a figure means,
 //! its unit and bounds stand in `docs/operators/charter.md`.
 
 pub mod change;
 pub mod page;
 mod read;
 
-pub use change::{Amendment, Subject};
-pub use page::Mistake;
+pub use change::{ConfigChange, Subject};
+pub use page::ConfigError;
 pub use read::read;
 
 use milletpath_policy::host::Charter;
@@ -19,28 +19,28 @@
 
 /// All that a gateway goes by.
 #[derive(Clone, Debug)]
-pub struct House {
+pub struct GatewayConfig {
     /// Where clients come in.
     pub listen: SocketAddr,
     /// What the decisions go by.
     pub policy: Charter,
-    pub profiles: Vec<Kind>,
+    pub profiles: Vec<ProfileConfig>,
     /// Client groups, in the order of the policy's quotas.
     pub clients: Vec<String>,
-    pub functions: Functions,
+    pub functions: FunctionConfigs,
     /// Kinds of workers, in the order of the policy's memory.
     pub kinds: Vec<String>,
-    pub source: Source,
-    pub bounds: Bounds,
+    pub source: WorkerSource,
+    pub bounds: Limits,
     /// What gateways tell each other; none where they share nothing.
-    pub peers: Option<Peers>,
+    pub peers: Option<MembershipConfig>,
     /// Where changes of configuration come from; none where only the charter's file holds.
-    pub changes: Option<Changes>,
+    pub changes: Option<ConfigLogConfig>,
 }
 
 /// The control machines, and how this gateway hears them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Changes {
+pub struct ConfigLogConfig {
     /// In the order of their numbers.
     pub control: Vec<SocketAddr>,
     /// The file with the secret that control machines, gateways and authors share.
@@ -54,7 +54,7 @@
 
 /// How a gateway is known to the others, and how it knows them. Times in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Peers {
+pub struct MembershipConfig {
     /// Where it hears letters, and where others are told that it does.
     pub listen: SocketAddr,
     pub advertise: SocketAddr,
@@ -73,7 +73,7 @@
 
 /// A profile as clients name it; its due time and effect are the policy's.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
+pub struct ProfileConfig {
     pub name: String,
     /// Seconds that a client waits at most.
     pub cut_off: f64,
@@ -82,17 +82,17 @@
 
 /// What is stated of functions: of those named, and of all others.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Functions {
-    pub usual: Statement,
-    pub named: BTreeMap<String, Statement>,
+pub struct FunctionConfigs {
+    pub usual: FunctionOverrides,
+    pub named: BTreeMap<String, FunctionOverrides>,
 }
 
-impl Functions {
+impl FunctionConfigs {
     /// The figures of a function: its own where they are stated, else those of all.
-    pub fn of(&self, name: &str) -> Instance {
-        let (own, usual, least) = (self.named.get(name), self.usual, Instance::default());
+    pub fn of(&self, name: &str) -> FunctionConfig {
+        let (own, usual, least) = (self.named.get(name), self.usual, FunctionConfig::default());
         let own = own.copied().unwrap_or_default();
-        Instance {
+        FunctionConfig {
             lanes: own.lanes.or(usual.lanes).unwrap_or(least.lanes),
             memory: own.memory.or(usual.memory).unwrap_or(least.memory),
             load: own.load.or(usual.load),
@@ -103,7 +103,7 @@
 
 /// The figures that a statement of functions gives; the others are the usual ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Statement {
+pub struct FunctionOverrides {
     pub lanes: Option<f64>,
     pub memory: Option<f64>,
     pub load: Option<f64>,
@@ -112,7 +112,7 @@
 
 /// One instance of a function.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Instance {
+pub struct FunctionConfig {
     /// Activations that it runs at a time.
     pub lanes: f64,
     /// In MB.
@@ -123,7 +123,7 @@
     pub profile: Option<usize>,
 }
 
-impl Default for Instance {
+impl Default for FunctionConfig {
     fn default() -> Self {
         // A small function, one call at a time: the least that a worker can be expected to do.
         Self { lanes: 1.0, memory: 128.0, load: None, profile: None }
@@ -132,14 +132,14 @@
 
 /// Where the worker list comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Source {
+pub enum WorkerSource {
     List(Vec<Entry>),
     Registry(SocketAddr),
 }
 
 /// Bounds of the gateway's own queues, tables and waits. Times in seconds, sizes in bytes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
+pub struct Limits {
     /// Threads that carry calls.
     pub cores: usize,
     /// Whether each is kept on a processor of its own.
--- a/crates/config/src/page.rs
+++ b/crates/config/src/page.rs
@@ -12,7 +12,7 @@
 
 /// One thing that is wrong with a text, where, and what to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct ConfigError {
     /// From 1.
     pub line: usize,
     /// From 1, in characters.
@@ -21,7 +21,7 @@
     pub remedy: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: {}; {}", self.line, self.column, self.wrong, self.remedy)
     }
@@ -30,7 +30,7 @@
 /// A text and what is wrong with it so far.
 pub struct Page<'t> {
     text: &'t str,
-    mistakes: RefCell<Vec<Mistake>>,
+    mistakes: RefCell<Vec<ConfigError>>,
 }
 
 impl<'t> Page<'t> {
@@ -40,7 +40,7 @@
 
     pub fn mistake(&self, at: usize, wrong: impl Into<String>, remedy: impl Into<String>) {
         let (line, column) = self.place(at);
-        let mistake = Mistake { line, column, wrong: wrong.into(), remedy: remedy.into() };
+        let mistake = ConfigError { line, column, wrong: wrong.into(), remedy: remedy.into() };
         self.mistakes.borrow_mut().push(mistake);
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// All mistakes, in the order of the text.
-    pub fn mistakes(self) -> Vec<Mistake> {
+    pub fn mistakes(self) -> Vec<ConfigError> {
         let mut mistakes = self.mistakes.into_inner();
         mistakes.sort_by_key(|m| (m.line, m.column));
         mistakes
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -1,8 +1,11 @@
 //! Reads a charter section by section. Each figure has its bounds and its usual value here, beside where it is
 //! read; the usual ones are chosen for one gateway beside a handful of workers.
 
-use crate::page::{Mistake, Page, Section};
-use crate::{Bounds, Changes, Functions, House, Kind, Peers, Source, Statement};
+use crate::page::{ConfigError, Page, Section};
+use crate::{
+    ConfigLogConfig, FunctionConfigs, FunctionOverrides, GatewayConfig, Limits, MembershipConfig,
+    ProfileConfig, WorkerSource,
+};
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
 use milletpath_policy::host::{Charter, Effect, Group, Profile};
@@ -16,7 +19,7 @@
 const LONG: f64 = 86_400.0;
 
 /// Reads a charter; the error holds every mistake of the text, in its order.
-pub fn read(text: &str) -> Result<House, Vec<Mistake>> {
+pub fn read(text: &str) -> Result<GatewayConfig, Vec<ConfigError>> {
     let page = Page::new(text);
     let body = body(text)?;
     let house = whole(&Section::whole(&page, &body));
@@ -24,16 +27,16 @@
     if mistakes.is_empty() { Ok(house) } else { Err(mistakes) }
 }
 
-pub(crate) fn body(text: &str) -> Result<Body, Vec<Mistake>> {
+pub(crate) fn body(text: &str) -> Result<Body, Vec<ConfigError>> {
     parse_body(text).map_err(|e| {
         // The parser stops at the first slip of the grammar.
         let (line, column) = (e.location().line(), e.location().column());
         let (wrong, remedy) = (format!("no HCL here: {}", e.message()), "mend the line and check again");
-        vec![Mistake { line, column, wrong, remedy: remedy.into() }]
+        vec![ConfigError { line, column, wrong, remedy: remedy.into() }]
     })
 }
 
-fn whole(top: &Section<'_>) -> House {
+fn whole(top: &Section<'_>) -> GatewayConfig {
     let listen = top.parsed("listen", "\"127.0.0.1:8080\"", address);
     let (profiles, kinds_of_call) = profiles(top);
     let Groups { names: clients, quotas, ceilings } = clients(top);
@@ -44,7 +47,7 @@
     let workers = workers.as_ref();
     let (kinds, memory) = workers.map(kinds).unwrap_or_default();
     let functions = functions(top, &kinds_of_call);
-    let source = workers.map(|w| source(w, &kinds)).unwrap_or(Source::List(Vec::new()));
+    let source = workers.map(|w| source(w, &kinds)).unwrap_or(WorkerSource::List(Vec::new()));
     let limits = top.block("limits");
     let limits = limits.as_ref();
     let limit = |key, unit, within, usual| limits.and_then(|l| l.figure(key, unit, within)).unwrap_or(usual);
@@ -67,7 +70,7 @@
         orders: may("orders", true),
         misses: may("misses", false),
         // The registry streams to whoever asks, and is asked again when the stream breaks.
-        asks: matches!(source, Source::Registry(_)),
+        asks: matches!(source, WorkerSource::Registry(_)),
         probes: may("probes", true),
         come_back: Some(limit("come_back", "seconds", 0.0..=LONG, 1.0)).filter(|x| *x > 0.0),
         keep: of("keep", "seconds", 0.0..=LONG, 10.0),
@@ -83,7 +86,7 @@
     };
     const GIB: u32 = 1 << 30;
     let count = |key, unit, within, usual| limits.and_then(|l| l.count(key, unit, within)).unwrap_or(usual);
-    let bounds = Bounds {
+    let bounds = Limits {
         cores: top.count("cores", "cores", 1..=63).unwrap_or_else(processors),
         pin: top.flag("pin").unwrap_or(false),
         open: count("open", "activations", 1..=10_000_000, 20_000),
@@ -112,11 +115,15 @@
     let peers = top.block("peers").and_then(|p| peers(top, &p, policy.routers));
     let changes = top.block("changes").and_then(|c| changes(&c, listen, peers.as_ref()));
     let profiles = kinds_of_call;
-    House { listen, policy, profiles, clients, functions, kinds, source, bounds, peers, changes }
+    GatewayConfig { listen, policy, profiles, clients, functions, kinds, source, bounds, peers, changes }
 }
 
 /// Where changes of configuration come from.
-fn changes(section: &Section<'_>, listen: SocketAddr, peers: Option<&Peers>) -> Option<Changes> {
+fn changes(
+    section: &Section<'_>,
+    listen: SocketAddr,
+    peers: Option<&MembershipConfig>,
+) -> Option<ConfigLogConfig> {
     const EXAMPLE: &str = "[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]";
     /// Control machines: with seven, three may fail; more are more letters and no more safety against a zone.
     const MOST: usize = 7;
@@ -172,12 +179,12 @@
     if name.is_none() && !section.has("name") {
         section.missing("name", "\"gateway-1\" (its own among the gateways, as listen is no address of one)");
     }
-    Some(Changes { control, key: key?, listen: hears, state, name: name? })
+    Some(ConfigLogConfig { control, key: key?, listen: hears, state, name: name? })
 }
 
 /// How gateways know each other. The figures should be the same in all charters of a fleet: the usual ones find a death
 /// within some seconds at some 2 kB a second, and serve dozens of gateways (`docs/design/peers.md`).
-fn peers(top: &Section<'_>, section: &Section<'_>, most: usize) -> Option<Peers> {
+fn peers(top: &Section<'_>, section: &Section<'_>, most: usize) -> Option<MembershipConfig> {
     let listen = section.parsed("listen", "\"10.0.0.3:7400\"", address);
     if !section.has("listen") {
         section.missing("listen", "\"10.0.0.3:7400\"");
@@ -211,7 +218,7 @@
     let (listen, key) = (listen?, key?);
     let advertise = advertise.unwrap_or(listen);
     let name = name.unwrap_or_else(|| advertise.to_string().replace(['[', ']'], ""));
-    Some(Peers { listen, advertise, name, seeds, key, period, lease, floor })
+    Some(MembershipConfig { listen, advertise, name, seeds, key, period, lease, floor })
 }
 
 fn address(text: &str) -> Option<SocketAddr> {
@@ -230,7 +237,7 @@
 }
 
 /// The profiles; one that says nothing of effects is taken for the wariest kind.
-fn profiles(top: &Section<'_>) -> (Vec<Profile>, Vec<Kind>) {
+fn profiles(top: &Section<'_>) -> (Vec<Profile>, Vec<ProfileConfig>) {
     #[derive(Clone, Copy)]
     enum Word {
         Pure,
@@ -279,7 +286,7 @@
         }
         let importance = section.figure("importance", "importance", 0.0..=1e9).unwrap_or(1.0);
         profiles.push(Profile { due, effect });
-        kinds.push(Kind { name: section.label.clone(), cut_off, importance });
+        kinds.push(ProfileConfig { name: section.label.clone(), cut_off, importance });
     }
     if profiles.is_empty() {
         top.mistake(
@@ -321,16 +328,16 @@
     workers.blocks("kind", true).into_iter().map(read).unzip()
 }
 
-fn functions(top: &Section<'_>, profiles: &[Kind]) -> Functions {
+fn functions(top: &Section<'_>, profiles: &[ProfileConfig]) -> FunctionConfigs {
     let usual = top.block("functions").map(|s| statement(&s, profiles)).unwrap_or_default();
     let named = top.blocks("function", true).into_iter().map(|s| (s.label.clone(), statement(&s, profiles)));
-    Functions { named: named.collect::<BTreeMap<_, _>>(), usual }
+    FunctionConfigs { named: named.collect::<BTreeMap<_, _>>(), usual }
 }
 
 /// The figures of one statement, in a charter or in a change.
-pub(crate) fn statement(s: &Section<'_>, profiles: &[Kind]) -> Statement {
+pub(crate) fn statement(s: &Section<'_>, profiles: &[ProfileConfig]) -> FunctionOverrides {
     let words: Vec<_> = profiles.iter().enumerate().map(|(n, p)| (p.name.as_str(), n)).collect();
-    Statement {
+    FunctionOverrides {
         lanes: s.figure("lanes", "activations", 1.0..=10_000.0),
         memory: s.figure("memory", "MB", 0.0..=1e9),
         load: s.figure("load", "seconds", 0.0..=LONG),
@@ -338,7 +345,7 @@
     }
 }
 
-fn source(workers: &Section<'_>, kinds: &[String]) -> Source {
+fn source(workers: &Section<'_>, kinds: &[String]) -> WorkerSource {
     let mut list: Vec<Entry> = Vec::new();
     for section in workers.blocks("worker", true) {
         let address = section.parsed("address", "\"127.0.0.1:9001\"", address);
@@ -369,9 +376,9 @@
         Some(_) if !list.is_empty() => {
             let remedy = "keep either the list or the registry";
             workers.mistake(workers.place("registry"), "workers has both a list and a registry", remedy);
-            Source::List(list)
+            WorkerSource::List(list)
         }
-        Some(address) => Source::Registry(address),
+        Some(address) => WorkerSource::Registry(address),
         None => {
             if list.is_empty() && !workers.has("registry") {
                 workers.mistake(
@@ -380,7 +387,7 @@
                     "add worker \"w1\" { ... } or registry = \"...\"",
                 );
             }
-            Source::List(list)
+            WorkerSource::List(list)
         }
     }
 }
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,6 +1,8 @@
 //! What a charter says of changes, and what a change may state: read, refused with its place, taken back.
 
-use milletpath_config::{Amendment, Functions, House, Instance, Statement, Subject, read};
+use milletpath_config::{
+    ConfigChange, FunctionConfig, FunctionConfigs, FunctionOverrides, GatewayConfig, Subject, read,
+};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -31,7 +33,7 @@
 }
 "#;
 
-fn house() -> House {
+fn house() -> GatewayConfig {
     read(SOUND).unwrap_or_else(|m| panic!("{m:#?}"))
 }
 
@@ -72,7 +74,7 @@
 fn a_mistake_of_changes_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
     assert!(SOUND.contains(from));
     let mistakes = read(&SOUND.replacen(from, to, 1)).unwrap_err();
-    let here = |m: &&milletpath_config::Mistake| (m.line, m.column) == (line, column);
+    let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
     assert!(mistakes.iter().filter(here).any(|m| m.to_string().contains(words)), "{mistakes:#?}");
 }
 
@@ -104,7 +106,7 @@
     // Each text says by itself what it said in the file.
     for one in &stated {
         let amendment = house().amendment(&one.subject.to_string(), Some(&one.text)).unwrap();
-        let wanted = Amendment { subject: one.subject.clone(), statement: Some(one.statement) };
+        let wanted = ConfigChange { subject: one.subject.clone(), statement: Some(one.statement) };
         assert_eq!(amendment, wanted);
     }
 }
@@ -123,7 +125,7 @@
 fn a_mistake_of_a_change_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
     assert!(FILE.contains(from));
     let mistakes = house().statements(&FILE.replacen(from, to, 1)).unwrap_err();
-    let here = |m: &&milletpath_config::Mistake| (m.line, m.column) == (line, column);
+    let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
     assert!(mistakes.iter().filter(here).any(|m| m.to_string().contains(words)), "{mistakes:#?}");
 }
 
@@ -148,7 +150,7 @@
     assert!(house().amendment(key, Some(text)).is_err());
 }
 
-fn figures(functions: &Functions, name: &str) -> Instance {
+fn figures(functions: &FunctionConfigs, name: &str) -> FunctionConfig {
     functions.of(name)
 }
 
@@ -157,16 +159,16 @@
 fn an_amendment_holds_until_it_is_taken_back() {
     let house = house();
     let mut functions = house.functions.clone();
-    let amend = |functions: &mut Functions, key: &str, text: Option<&str>| {
+    let amend = |functions: &mut FunctionConfigs, key: &str, text: Option<&str>| {
         functions.amend(&house.amendment(key, text).unwrap(), &house.functions);
     };
     amend(&mut functions, "function packs-a", Some("function \"packs-a\" { lanes = 4 }"));
-    let is = Instance { lanes: 4.0, memory: 400.0, load: None, profile: None };
+    let is = FunctionConfig { lanes: 4.0, memory: 400.0, load: None, profile: None };
     assert_eq!(figures(&functions, "packs-a"), is);
     // What it leaves out is what holds for all, also when that changes.
     amend(&mut functions, "functions", Some("functions { memory = 300 }"));
-    assert_eq!(figures(&functions, "packs-a"), Instance { memory: 300.0, ..is });
-    assert_eq!(figures(&functions, "b"), Instance { lanes: 1.0, memory: 300.0, ..is });
+    assert_eq!(figures(&functions, "packs-a"), FunctionConfig { memory: 300.0, ..is });
+    assert_eq!(figures(&functions, "b"), FunctionConfig { lanes: 1.0, memory: 300.0, ..is });
     amend(&mut functions, "function b", Some("function \"b\" { load = 2 }"));
     for key in ["function packs-a", "function b", "functions", "function never-stated"] {
         amend(&mut functions, key, None);
@@ -193,8 +195,8 @@
         let mut last = [None; 4];
         for (key, lanes) in words {
             let subject = Subject::of(keys[key]).unwrap();
-            let statement = lanes.map(|n| Statement { lanes: Some(f64::from(n)), ..Statement::default() });
-            functions.amend(&Amendment { subject, statement }, &house.functions);
+            let statement = lanes.map(|n| FunctionOverrides { lanes: Some(f64::from(n)), ..FunctionOverrides::default() });
+            functions.amend(&ConfigChange { subject, statement }, &house.functions);
             last[key] = statement;
         }
         prop_assert_eq!(functions.usual, last[0].unwrap_or(house.functions.usual));
--- a/crates/config/tests/mistakes.rs
+++ b/crates/config/tests/mistakes.rs
@@ -1,6 +1,6 @@
 //! Charters as operators get them wrong: each mistake is told with its place, all at once.
 
-use milletpath_config::{Source, read};
+use milletpath_config::{WorkerSource, read};
 use milletpath_policy::host::{Effect, Group};
 use proptest::prelude::*;
 use test_case::test_case;
@@ -69,7 +69,7 @@
     assert_eq!((house.functions.of("packs-a").lanes, house.functions.of("packs-a").load), (2.0, Some(0.7)));
     assert_eq!(house.functions.of("another").memory, 400.0);
     assert_eq!((house.bounds.grace, house.profiles[1].cut_off), (0.5, 1.5));
-    let Source::List(list) = house.source else { panic!("a list") };
+    let WorkerSource::List(list) = house.source else { panic!("a list") };
     assert_eq!((list[0].kind.as_str(), list[1].kind.as_str()), ("std", ""));
 }
 
--- a/crates/dispatcher/benches/desk.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -2,9 +2,9 @@
 //! functions, then 300 workers and 10,000 functions by Zipf; 760 and 7,600 calls a second; one gateway of one, or of
 //! 60 that share the workers.
 //!
-//! `cargo bench -p milletpath-dispatcher --bench desk` prints microseconds an activation, all its events together.
+//! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds an activation, all its events together.
 
-use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
+use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::host::{Outcome, Report};
 use milletpath_protocol::registry::{Entry, Standing};
 use rand::{Rng, SeedableRng};
@@ -20,8 +20,8 @@
 
 enum Next {
     Arrive,
-    Ended(Tag, usize, usize),
-    Ordered(Tag, u8),
+    Ended(RequestId, usize, usize),
+    Ordered(RequestId, u8),
     Probed(usize, u64),
 }
 
@@ -31,7 +31,7 @@
          load = 0.4\n}}\nworkers {{ registry = \"127.0.0.1:1\" }}\n"
     );
     let house = milletpath_config::read(&text).expect("a sound charter");
-    let mut desk: Desk<()> = Desk::new(&house, 0.0);
+    let mut desk: Dispatcher<()> = Dispatcher::new(&house, 0.0);
     let entry = |n: usize| Entry {
         name: format!("w{n}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + n as u16)),
@@ -71,13 +71,23 @@
                 let function = &names[zipf.sample(&mut chance) as usize];
                 desk.arrive(
                     now,
-                    Come { function, profile: 0, client: 9, patience: 3.0, repeat: false, instance: None },
+                    IncomingRequest {
+                        function,
+                        profile: 0,
+                        client: 9,
+                        patience: 3.0,
+                        repeat: false,
+                        instance: None,
+                    },
                     (),
                 );
             }
             Next::Ended(tag, shot, worker) => {
                 held[worker] -= 1;
-                let end = End { report: Some(report(held[worker])), ..End::plain(Outcome::Handled) };
+                let end = AttemptResult {
+                    report: Some(report(held[worker])),
+                    ..AttemptResult::plain(Outcome::Handled)
+                };
                 desk.end(now, tag, shot, end);
             }
             Next::Ordered(order, copies) => desk.order_ended(now, order, Outcome::Handled, copies),
@@ -87,7 +97,7 @@
         }
         let mut acts = Vec::new();
         while let Some(act) = desk.act() {
-            if let Act::Shoot { tag, shot, .. } = act {
+            if let Action::Shoot { tag, shot, .. } = act {
                 desk.begin(now, tag, shot);
             }
             acts.push(act);
@@ -101,15 +111,17 @@
         }
         for act in acts {
             match act {
-                Act::Shoot { tag, shot, worker } => {
+                Action::Shoot { tag, shot, worker } => {
                     held[worker] += 1;
                     put(&mut queue, now + 0.01 + work.sample(&mut chance), Next::Ended(tag, shot, worker));
                 }
-                Act::Hold { order, copies, .. } => {
+                Action::Hold { order, copies, .. } => {
                     let takes = chance.random_range(0.2..0.6);
                     put(&mut queue, now + takes, Next::Ordered(order, copies));
                 }
-                Act::Probe { worker, serial } => put(&mut queue, now + 0.001, Next::Probed(worker, serial)),
+                Action::Probe { worker, serial } => {
+                    put(&mut queue, now + 0.001, Next::Probed(worker, serial))
+                }
                 _ => {}
             }
         }
--- a/crates/dispatcher/benches/timers.rs
+++ b/crates/dispatcher/benches/timers.rs
@@ -1,7 +1,7 @@
 //! Timers as the gateway uses them, 100,000 set at a time: each turn sets some, calls most off, lets some fire.
 //! The wheel against a binary heap that skips what was called off, interleaved in one run.
 
-use milletpath_dispatcher::wheel::Wheel;
+use milletpath_dispatcher::timer_wheel::TimerWheel;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 use std::hint::black_box;
@@ -22,7 +22,7 @@
 
 fn wheel() -> f64 {
     let (mut seed, mut now) = (7, 0.0);
-    let mut wheel = Wheel::default();
+    let mut wheel = TimerWheel::default();
     let mut tickets: Vec<_> =
         (0..SET).map(|n| wheel.set((chance(&mut seed) % 3000) as f64 / 1e3, n)).collect();
     let began = Instant::now();
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,13 +1,15 @@
 //! The desk: all that the gateway knows of calls, shots, orders, probes and workers, around the decisions and free
-//! of sockets and clocks. It is told what happened, at which time, and says what to do next as [`Act`]s; a shell
+//! of sockets and clocks. It is told what happened, at which time, and says what to do next as [`Action`]s; a shell
 //! with connections carries them out, in service on sockets, in the laboratory in simulated time. Each method may
-//! leave acts behind: take them with [`Desk::act`] until there are none.
-
-use crate::indices::Indices;
-use crate::ration::Ration;
-use crate::roll::Roll;
-use crate::wheel::{Ticket, Wheel};
-use milletpath_config::{Amendment, Bounds, Functions, House, Instance, Kind};
+//! leave acts behind: take them with [`Dispatcher::act`] until there are none.
+
+use crate::interner::Interner;
+use crate::load_rate_limit::LoadRateLimit;
+use crate::timer_wheel::{TimerKey, TimerWheel};
+use crate::worker_table::WorkerTable;
+use milletpath_config::{
+    ConfigChange, FunctionConfig, FunctionConfigs, GatewayConfig, Limits, ProfileConfig,
+};
 use milletpath_policy::host::{Answer, Arrival, Budget, Found, Host, Outcome, Report};
 use milletpath_policy::policy::Router;
 use milletpath_protocol::registry::Entry;
@@ -19,38 +21,38 @@
 
 /// Names an activation: its index is used again, its serial number never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tag {
+pub struct RequestId {
     pub index: usize,
     pub serial: u64,
 }
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// Get a connection to the worker, ask [`Desk::begin`] whether it still goes, and send.
+pub enum Action {
+    /// Get a connection to the worker, ask [`Dispatcher::begin`] whether it still goes, and send.
     Shoot {
-        tag: Tag,
+        tag: RequestId,
         shot: usize,
         worker: usize,
     },
     /// The shot's end is booked: close its connection, nobody waits for it.
     Drop {
-        tag: Tag,
+        tag: RequestId,
         shot: usize,
     },
     /// Final answer: not taken, trying again does no harm.
     Bounce {
-        tag: Tag,
+        tag: RequestId,
         come_back: Option<f64>,
     },
     /// Final answer: failed, no promise. `late` where time ran out rather than a worker failed.
     Terminate {
-        tag: Tag,
+        tag: RequestId,
         late: bool,
     },
     /// Order instances; 0 only asks.
     Hold {
-        order: Tag,
+        order: RequestId,
         worker: usize,
         function: Arc<str>,
         copies: u8,
@@ -69,7 +71,7 @@
 
 /// How a shot ended, as the shell saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct End {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub found: Option<Found>,
     pub company: f64,
@@ -78,7 +80,7 @@
     pub settles: bool,
 }
 
-impl End {
+impl AttemptResult {
     pub fn plain(outcome: Outcome) -> Self {
         Self { outcome, found: None, company: 0.0, report: None, settles: false }
     }
@@ -97,8 +99,8 @@
     until: f64,
     stage: Stage,
     /// The timer of its end, and that of its connection.
-    ends: Ticket,
-    connects: Ticket,
+    ends: TimerKey,
+    connects: TimerKey,
 }
 
 struct Call<T> {
@@ -120,14 +122,14 @@
     serial: u64,
     worker: usize,
     function: usize,
-    ends: Ticket,
+    ends: TimerKey,
 }
 
 enum Due {
     Wake,
-    Shot(Tag, usize),
-    Connect(Tag, usize),
-    Order(Tag),
+    Shot(RequestId, usize),
+    Connect(RequestId, usize),
+    Order(RequestId),
     Probe(usize, u64),
 }
 
@@ -150,28 +152,28 @@
 /// What gateways that know of each other say: how many there likely are, and this one's part of what all share, as a
 /// multiple of what it has by its charter, until then on the desk's clock, and from then on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct QuotaFraction {
     pub likely: f64,
     pub part: [f64; 2],
     pub until: f64,
 }
 
-pub struct Desk<T> {
+pub struct Dispatcher<T> {
     router: Router,
-    share: Option<Share>,
+    share: Option<QuotaFraction>,
     /// What it was allotted beside that, of each budget; of a worker's by the worker's name.
     allotted: BTreeMap<Budget, More>,
     hands: BTreeMap<Arc<str>, More>,
-    books: Books<T>,
-    functions: Functions,
-    profiles: Vec<Kind>,
+    books: DispatcherState<T>,
+    functions: FunctionConfigs,
+    profiles: Vec<ProfileConfig>,
 }
 
-struct Books<T> {
+struct DispatcherState<T> {
     now: f64,
-    acts: VecDeque<Act>,
+    acts: VecDeque<Action>,
     /// Shots that the router called off; it hears of their ends once it is done with what it does.
-    called_off: VecDeque<(Tag, usize, Outcome)>,
+    called_off: VecDeque<(RequestId, usize, Outcome)>,
     calls: Vec<Option<Call<T>>>,
     free_calls: Vec<usize>,
     /// Calls that the router let go of, until no act can name them any more.
@@ -180,20 +182,20 @@
     orders: Vec<Option<Order>>,
     free_orders: Vec<usize>,
     /// The probe that is out to each worker, by serial number; 0 for none.
-    probes: Vec<(u64, Option<Ticket>)>,
-    functions: Indices,
-    roll: Roll,
-    wheel: Wheel<Due>,
+    probes: Vec<(u64, Option<TimerKey>)>,
+    functions: Interner,
+    roll: WorkerTable,
+    wheel: TimerWheel<Due>,
     serial: u64,
-    bounds: Bounds,
+    bounds: Limits,
     order_wait: f64,
-    ration: Option<Ration>,
+    ration: Option<LoadRateLimit>,
     /// What was wanted and lacked of each budget that gateways share, where they do.
     meters: Option<BTreeMap<Budget, Meter>>,
     tally: Tally,
 }
 
-impl<T> Books<T> {
+impl<T> DispatcherState<T> {
     /// A budget was wanted, so often.
     fn want(&mut self, what: Budget, wanted: u64, lacked: u64) {
         if let Some(meters) = &mut self.meters {
@@ -203,8 +205,8 @@
         }
     }
 
-    fn tag(&self, index: usize) -> Tag {
-        Tag { index, serial: self.calls[index].as_ref().map_or(0, |c| c.serial) }
+    fn tag(&self, index: usize) -> RequestId {
+        RequestId { index, serial: self.calls[index].as_ref().map_or(0, |c| c.serial) }
     }
 
     /// Puts a call at a free index.
@@ -217,16 +219,16 @@
         index
     }
 
-    fn call(&mut self, tag: Tag) -> Option<&mut Call<T>> {
+    fn call(&mut self, tag: RequestId) -> Option<&mut Call<T>> {
         self.calls.get_mut(tag.index)?.as_mut().filter(|c| c.serial == tag.serial)
     }
 
-    fn shot(&mut self, tag: Tag, shot: usize) -> Option<&mut Shot> {
+    fn shot(&mut self, tag: RequestId, shot: usize) -> Option<&mut Shot> {
         self.call(tag)?.shots.get_mut(shot).filter(|s| s.stage != Stage::Over)
     }
 
     /// Books a shot's end; gives its worker and latency, unless it had ended before.
-    fn end_shot(&mut self, tag: Tag, shot: usize, outcome: Outcome) -> Option<f64> {
+    fn end_shot(&mut self, tag: RequestId, shot: usize, outcome: Outcome) -> Option<f64> {
         let now = self.now;
         let s = self.shot(tag, shot)?;
         s.stage = Stage::Over;
@@ -240,7 +242,7 @@
     }
 }
 
-impl<T> Host for Books<T> {
+impl<T> Host for DispatcherState<T> {
     fn send(&mut self, activation: usize, worker: usize, until: f64) {
         let (tag, now) = (self.tag(activation), self.now);
         self.tally.shots += 1;
@@ -250,7 +252,7 @@
         let ends = self.wheel.set(until, Due::Shot(tag, shot));
         let connects = self.wheel.set(connect, Due::Connect(tag, shot));
         call.shots.push(Shot { worker, sent: now, until, stage: Stage::Connecting, ends, connects });
-        self.acts.push_back(Act::Shoot { tag, shot, worker });
+        self.acts.push_back(Action::Shoot { tag, shot, worker });
     }
 
     fn cancel(&mut self, activation: usize, shot: usize) {
@@ -258,7 +260,7 @@
         let Some(s) = self.shot(tag, shot) else { return };
         // What has no connection yet never ran.
         let outcome = if s.stage == Stage::Begun { Outcome::Withdrawn } else { Outcome::Unsent };
-        self.acts.push_back(Act::Drop { tag, shot });
+        self.acts.push_back(Action::Drop { tag, shot });
         self.called_off.push_back((tag, shot, outcome));
     }
 
@@ -268,7 +270,7 @@
             call.open = false;
             self.open -= 1;
             self.tally.bounced += 1;
-            self.acts.push_back(Act::Bounce { tag, come_back });
+            self.acts.push_back(Action::Bounce { tag, come_back });
         }
     }
 
@@ -279,7 +281,7 @@
             let late = call.late || call.shots.iter().any(|s| s.stage != Stage::Over);
             self.open -= 1;
             self.tally.terminated += 1;
-            self.acts.push_back(Act::Terminate { tag, late });
+            self.acts.push_back(Action::Terminate { tag, late });
         }
     }
 
@@ -288,18 +290,18 @@
         self.tally.orders += 1;
         self.want(Budget::Orders, 1, 0);
         let index = self.free_orders.pop().unwrap_or(self.orders.len());
-        let order = Tag { index, serial: self.serial };
+        let order = RequestId { index, serial: self.serial };
         let ends = self.wheel.set(self.now + self.order_wait, Due::Order(order));
         let entry = Some(Order { serial: self.serial, worker, function, ends });
         match self.orders.get_mut(index) {
             Some(slot) => *slot = entry,
             None => self.orders.push(entry),
         }
-        self.acts.push_back(Act::Hold { order, worker, function: self.functions.name(function), copies });
+        self.acts.push_back(Action::Hold { order, worker, function: self.functions.name(function), copies });
     }
 
     fn unload(&mut self, worker: usize, function: usize) {
-        self.acts.push_back(Act::Unload { worker, function: self.functions.name(function) });
+        self.acts.push_back(Action::Unload { worker, function: self.functions.name(function) });
     }
 
     fn probe(&mut self, worker: usize) {
@@ -310,7 +312,7 @@
             self.probes.resize(worker + 1, (0, None));
         }
         self.probes[worker] = (self.serial, Some(ticket));
-        self.acts.push_back(Act::Probe { worker, serial: self.serial });
+        self.acts.push_back(Action::Probe { worker, serial: self.serial });
     }
 
     fn wake(&mut self, after: f64) {
@@ -318,7 +320,7 @@
     }
 
     fn follow(&mut self) {
-        self.acts.push_back(Act::Follow);
+        self.acts.push_back(Action::Follow);
     }
 
     fn forget(&mut self, activation: usize) {
@@ -338,7 +340,7 @@
 
 /// One call as it came through the door.
 #[derive(Clone, Copy, Debug)]
-pub struct Come<'c> {
+pub struct IncomingRequest<'c> {
     pub function: &'c str,
     pub profile: usize,
     pub client: usize,
@@ -349,9 +351,9 @@
     pub instance: Option<(f64, f64, Option<f64>)>,
 }
 
-impl<T> Desk<T> {
+impl<T> Dispatcher<T> {
     /// A desk whose clock begins at 0 and stands for `epoch` seconds of the Unix clock.
-    pub fn new(house: &House, epoch: f64) -> Self {
+    pub fn new(house: &GatewayConfig, epoch: f64) -> Self {
         Self::from(house, epoch, 0.0, 0, 0)
     }
 
@@ -359,13 +361,13 @@
     /// other still had open is given out, and whether something of it may have run: it is owed an answer.
     ///
     /// The account of the ration goes on as well: orders that were sent still count.
-    pub fn begin_anew(&mut self, house: &House, epoch: f64, now: f64) -> Vec<(T, bool)> {
+    pub fn begin_anew(&mut self, house: &GatewayConfig, epoch: f64, now: f64) -> Vec<(T, bool)> {
         let (serial, life) = (self.books.serial, self.books.roll.life());
         // Past any number that was given out amid what broke.
         let desk = Self::from(house, epoch, now, serial + 1, life + 1);
         let former = std::mem::replace(self, desk);
         let Self { books, share, allotted, hands, functions, .. } = former;
-        let Books { calls, mut tally, ration, meters, .. } = books;
+        let DispatcherState { calls, mut tally, ration, meters, .. } = books;
         // With the changes that are in force.
         self.functions = functions;
         (self.books.ration, self.books.meters, self.hands) = (ration, meters, hands);
@@ -382,12 +384,12 @@
         open
     }
 
-    fn from(house: &House, epoch: f64, now: f64, serial: u64, life: u64) -> Self {
+    fn from(house: &GatewayConfig, epoch: f64, now: f64, serial: u64, life: u64) -> Self {
         let seed = house.policy.seed;
         // By then every shot, order and probe for one that is gone has ended, and is booked.
         let longest = house.profiles.iter().map(|p| p.cut_off).fold(house.policy.order_wait, f64::max);
         let forget = 2.0 * (longest + house.bounds.probe);
-        let mut books = Books {
+        let mut books = DispatcherState {
             now,
             acts: VecDeque::new(),
             called_off: VecDeque::new(),
@@ -398,13 +400,13 @@
             orders: Vec::new(),
             free_orders: Vec::new(),
             probes: Vec::new(),
-            functions: Indices::new(seed),
-            roll: Roll::new(&house.kinds, seed, epoch, life, forget),
-            wheel: Wheel::default(),
+            functions: Interner::new(seed),
+            roll: WorkerTable::new(&house.kinds, seed, epoch, life, forget),
+            wheel: TimerWheel::default(),
             serial,
             bounds: house.bounds.clone(),
             order_wait: house.policy.order_wait,
-            ration: house.policy.ration.map(Ration::new),
+            ration: house.policy.ration.map(LoadRateLimit::new),
             meters: None,
             tally: Tally::default(),
         };
@@ -416,18 +418,18 @@
 
     /// Goes by other figures of functions from here on: what is in hand keeps those that it came with. `charter`
     /// has what holds where no change does.
-    pub fn amend(&mut self, amendment: &Amendment, charter: &Functions) {
+    pub fn amend(&mut self, amendment: &ConfigChange, charter: &FunctionConfigs) {
         self.functions.amend(amendment, charter);
     }
 
     /// The figures of a function, as they are in force.
-    pub fn figures(&self, function: &str) -> Instance {
+    pub fn figures(&self, function: &str) -> FunctionConfig {
         self.functions.of(function)
     }
 
     /// Goes by what gateways that know of each other say, until they say otherwise.
-    pub fn share(&mut self, share: Share) {
-        let Share { likely, part, until } = share;
+    pub fn share(&mut self, share: QuotaFraction) {
+        let QuotaFraction { likely, part, until } = share;
         self.share = Some(share);
         self.router.share(likely, part, until);
         self.books.ration.iter_mut().for_each(|r| r.share(part, until));
@@ -477,7 +479,7 @@
     }
 
     /// The next thing to do.
-    pub fn act(&mut self) -> Option<Act> {
+    pub fn act(&mut self) -> Option<Action> {
         let act = self.books.acts.pop_front();
         if act.is_none() {
             // No act names them any more.
@@ -547,7 +549,7 @@
     }
 
     /// An activation arrives. None where the table is full: it is not taken and must be bounced at the door.
-    pub fn arrive(&mut self, now: f64, come: Come<'_>, what: T) -> Option<Tag> {
+    pub fn arrive(&mut self, now: f64, come: IncomingRequest<'_>, what: T) -> Option<RequestId> {
         let books = &mut self.books;
         if books.open >= books.bounds.open {
             return None;
@@ -589,38 +591,38 @@
             memory,
             load,
         };
-        let tag = Tag { index, serial: books.serial };
+        let tag = RequestId { index, serial: books.serial };
         self.router.arrived(now, index, arrival, &mut self.books);
         self.settle();
         Some(tag)
     }
 
     /// The open calls of which the shell keeps such things.
-    pub fn tags(&self, such: impl Fn(&T) -> bool) -> Vec<Tag> {
+    pub fn tags(&self, such: impl Fn(&T) -> bool) -> Vec<RequestId> {
         let open = self.books.calls.iter().enumerate();
         let open = open.filter_map(|(index, c)| c.as_ref().map(|c| (index, c)));
         open.filter(|(_, c)| c.open && such(&c.what))
-            .map(|(index, c)| Tag { index, serial: c.serial })
+            .map(|(index, c)| RequestId { index, serial: c.serial })
             .collect()
     }
 
     /// What the shell keeps of a call.
-    pub fn what(&mut self, tag: Tag) -> Option<&mut T> {
+    pub fn what(&mut self, tag: RequestId) -> Option<&mut T> {
         self.books.call(tag).map(|c| &mut c.what)
     }
 
-    pub fn function(&mut self, tag: Tag) -> Option<Arc<str>> {
+    pub fn function(&mut self, tag: RequestId) -> Option<Arc<str>> {
         let function = self.books.call(tag)?.function;
         Some(self.books.functions.name(function))
     }
 
     /// Seconds until a shot is given up.
-    pub fn left_for(&mut self, now: f64, tag: Tag, shot: usize) -> Option<f64> {
+    pub fn left_for(&mut self, now: f64, tag: RequestId, shot: usize) -> Option<f64> {
         self.books.shot(tag, shot).map(|s| s.until - now)
     }
 
     /// The client has left; whatever is out is called off. Tells whether something of the call may have run.
-    pub fn left(&mut self, now: f64, tag: Tag) -> bool {
+    pub fn left(&mut self, now: f64, tag: RequestId) -> bool {
         self.books.now = now;
         let Some(call) = self.books.call(tag) else { return false };
         let begun = call.begun;
@@ -635,7 +637,7 @@
 
     /// Whether a shot that has its connection may be sent now: its answer is still owed, there is time, and the
     /// worker takes work as far as the list says at this moment. If not, it ends here as never sent.
-    pub fn begin(&mut self, now: f64, tag: Tag, shot: usize) -> bool {
+    pub fn begin(&mut self, now: f64, tag: RequestId, shot: usize) -> bool {
         self.books.now = now;
         let open = self.books.call(tag).is_some_and(|c| c.open && now < c.until);
         let Some(s) = self.books.shot(tag, shot) else { return false };
@@ -651,13 +653,13 @@
             return true;
         }
         self.books.tally.kept_back += u64::from(!ready);
-        self.end(now, tag, shot, End::plain(Outcome::Unsent));
+        self.end(now, tag, shot, AttemptResult::plain(Outcome::Unsent));
         false
     }
 
     /// A shot that [`begin`](Self::begin) let go was not begun after all: no byte of it was taken. It waits as for its
     /// connection, and is asked about anew.
-    pub fn put_back(&mut self, now: f64, tag: Tag, shot: usize) {
+    pub fn put_back(&mut self, now: f64, tag: RequestId, shot: usize) {
         self.books.now = now;
         let connect = now + self.books.bounds.connect;
         if self.books.shot(tag, shot).is_none_or(|s| s.stage != Stage::Begun) {
@@ -670,7 +672,7 @@
     }
 
     /// A shot ended. Tells whether what it brought is the client's final answer, which the shell then gives.
-    pub fn end(&mut self, now: f64, tag: Tag, shot: usize, end: End) -> bool {
+    pub fn end(&mut self, now: f64, tag: RequestId, shot: usize, end: AttemptResult) -> bool {
         self.books.now = now;
         let Some(call) = self.books.call(tag) else { return false };
         let in_time = call.open && now < call.until;
@@ -696,7 +698,7 @@
     }
 
     /// Whether an order may be sent now, by what the list and the ration say at this moment. If not, it ends here.
-    pub fn begin_order(&mut self, now: f64, order: Tag) -> bool {
+    pub fn begin_order(&mut self, now: f64, order: RequestId) -> bool {
         self.books.now = now;
         let known = self.books.orders.get(order.index).and_then(Option::as_ref);
         let Some(worker) = known.filter(|o| o.serial == order.serial).map(|o| o.worker) else { return false };
@@ -710,7 +712,7 @@
     }
 
     /// An order to hold was answered, with the instances that stand.
-    pub fn order_ended(&mut self, now: f64, order: Tag, outcome: Outcome, copies: u8) {
+    pub fn order_ended(&mut self, now: f64, order: RequestId, outcome: Outcome, copies: u8) {
         self.books.now = now;
         let Some(slot) = self.books.orders.get_mut(order.index) else { return };
         if slot.as_ref().is_none_or(|o| o.serial != order.serial) {
@@ -760,18 +762,26 @@
     }
 
     /// Ends a shot that took too long, for the module and for the shell.
-    fn give_up_on(&mut self, tag: Tag, shot: usize, outcome: Outcome) {
+    fn give_up_on(&mut self, tag: RequestId, shot: usize, outcome: Outcome) {
         let Some(stage) = self.books.shot(tag, shot).map(|s| s.stage) else { return };
         // Without a connection nothing can have run, whatever ended it.
         let outcome = if stage == Stage::Connecting { Outcome::Unreached } else { outcome };
         let Some(latency) = self.books.end_shot(tag, shot, outcome) else { return };
-        self.books.acts.push_back(Act::Drop { tag, shot });
-        self.tell(tag, shot, outcome, latency, false, End::plain(outcome));
+        self.books.acts.push_back(Action::Drop { tag, shot });
+        self.tell(tag, shot, outcome, latency, false, AttemptResult::plain(outcome));
         self.settle();
     }
 
-    fn tell(&mut self, tag: Tag, shot: usize, outcome: Outcome, latency: f64, settled: bool, end: End) {
-        let End { found, company, report, .. } = end;
+    fn tell(
+        &mut self,
+        tag: RequestId,
+        shot: usize,
+        outcome: Outcome,
+        latency: f64,
+        settled: bool,
+        end: AttemptResult,
+    ) {
+        let AttemptResult { found, company, report, .. } = end;
         let settled = settled || self.books.call(tag).is_some_and(|c| !c.open);
         let answer = Answer { shot, outcome, settled, latency, found, company, report };
         let now = self.books.now;
@@ -782,7 +792,7 @@
     fn settle(&mut self) {
         while let Some((tag, shot, outcome)) = self.books.called_off.pop_front() {
             if let Some(latency) = self.books.end_shot(tag, shot, outcome) {
-                self.tell(tag, shot, outcome, latency, true, End::plain(outcome));
+                self.tell(tag, shot, outcome, latency, true, AttemptResult::plain(outcome));
             }
         }
     }
--- a/crates/dispatcher/src/indices.rs
+++ b/crates/dispatcher/src/interner.rs
@@ -6,13 +6,13 @@
 
 /// The map's hash is seeded by the gateway's own seed: the same events give the same indices, and who sends names
 /// can't choose ones that collide.
-pub struct Indices {
+pub struct Interner {
     index: HashMap<Arc<str>, usize, Xxh3Builder>,
     names: Vec<Arc<str>>,
     free: Vec<usize>,
 }
 
-impl Indices {
+impl Interner {
     pub fn new(seed: u64) -> Self {
         let hash = Xxh3Builder::new().with_seed(seed);
         Self { index: HashMap::with_hasher(hash), names: Vec::new(), free: Vec::new() }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -3,9 +3,9 @@
 //! method calls, actions go out as values. The HTTP gateway, the platform router and the simulator each put their own
 //! I/O around it.
 
-pub mod desk;
-pub mod indices;
-pub mod roll;
-pub mod wheel;
+pub mod dispatcher;
+pub mod interner;
+pub mod timer_wheel;
+pub mod worker_table;
 
-mod ration;
+mod load_rate_limit;
--- a/crates/dispatcher/src/ration.rs
+++ b/crates/dispatcher/src/load_rate_limit.rs
@@ -7,7 +7,7 @@
 /// crowded machine adds between a write and its reading.
 const EDGE: f64 = 0.05;
 
-pub struct Ration {
+pub struct LoadRateLimit {
     account: Account,
     /// Of the free ones so many times as much until then, and so many times from then on.
     part: ([f64; 2], f64),
@@ -15,7 +15,7 @@
     more: ([f64; 2], f64),
 }
 
-impl Ration {
+impl LoadRateLimit {
     /// So many free orders in any window of seconds, and a share of one for each call taken in it.
     pub fn new(stated: (f64, f64, f64)) -> Self {
         let (part, more) = (([1.0; 2], f64::INFINITY), ([0.0; 2], f64::INFINITY));
--- a/crates/dispatcher/src/wheel.rs
+++ b/crates/dispatcher/src/timer_wheel.rs
@@ -19,7 +19,7 @@
 
 /// Names a timer that was set. Of no use once it fired or was called off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct TimerKey {
     node: u32,
     turn: u32,
 }
@@ -34,7 +34,7 @@
     turn: u32,
 }
 
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     nodes: Vec<Node<T>>,
     free: u32,
     /// First and last node of each list.
@@ -45,14 +45,14 @@
     len: usize,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
         let lists = vec![(NONE, NONE); DUE + 1];
         Self { nodes: Vec::new(), free: NONE, lists, occupied: [0; LEVELS], passed: 0, len: 0 }
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// Timers set and neither fired nor called off.
     pub fn len(&self) -> usize {
         self.len
@@ -63,7 +63,7 @@
     }
 
     /// Sets a timer for a time in seconds; one in the past is due at once.
-    pub fn set(&mut self, at: f64, what: T) -> Ticket {
+    pub fn set(&mut self, at: f64, what: T) -> TimerKey {
         let at = (at.max(0.0) * 1e3 - HAIR).ceil().min(LAST as f64) as u64;
         let node = if self.free == NONE {
             let fresh = Node { at, what: Some(what), list: DUE, before: NONE, after: NONE, turn: 0 };
@@ -78,11 +78,11 @@
         };
         self.len += 1;
         self.link(node);
-        Ticket { node, turn: self.nodes[node as usize].turn }
+        TimerKey { node, turn: self.nodes[node as usize].turn }
     }
 
     /// Calls a timer off and gives back what it was set for, unless it fired or was called off before.
-    pub fn call_off(&mut self, ticket: Ticket) -> Option<T> {
+    pub fn call_off(&mut self, ticket: TimerKey) -> Option<T> {
         let n = self.nodes.get(ticket.node as usize)?;
         if n.turn != ticket.turn || n.what.is_none() {
             return None;
--- a/crates/dispatcher/src/roll.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -1,7 +1,7 @@
 //! The workers as the list names them: addresses, processes and states under the desk's indices. What the list
 //! says is passed on to the decisions; what must be known at the moment of sending is kept here.
 
-use crate::indices::Indices;
+use crate::interner::Interner;
 use milletpath_policy::host::{Listing, State};
 use milletpath_protocol::registry::{Entry, Standing};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,10 +11,10 @@
 /// Workers that may be known at a time; a list that goes on inventing names is not followed further.
 const MOST: usize = 65_536;
 
-pub struct Roll {
-    names: Indices,
-    zones: Indices,
-    cells: Indices,
+pub struct WorkerTable {
+    names: Interner,
+    zones: Interner,
+    cells: Interner,
     kinds: Vec<String>,
     address: Vec<SocketAddr>,
     /// Counts the processes that were seen under the name.
@@ -33,12 +33,12 @@
     life: u64,
 }
 
-impl Roll {
+impl WorkerTable {
     pub fn new(kinds: &[String], seed: u64, epoch: f64, life: u64, forget: f64) -> Self {
         Self {
-            names: Indices::new(seed),
-            zones: Indices::new(seed),
-            cells: Indices::new(seed),
+            names: Interner::new(seed),
+            zones: Interner::new(seed),
+            cells: Interner::new(seed),
             kinds: kinds.to_vec(),
             address: Vec::new(),
             process: Vec::new(),
@@ -122,7 +122,7 @@
             // Workers of no stated zone or cell share none: their receipts are known to nobody else.
             let alone = usize::MAX - worker;
             let part =
-                |parts: &mut Indices, name: &str| if name.is_empty() { alone } else { parts.take(name) };
+                |parts: &mut Interner, name: &str| if name.is_empty() { alone } else { parts.take(name) };
             tell(Listing {
                 worker,
                 name: xxh3_64(entry.name.as_bytes()),
--- a/crates/dispatcher/tests/desk.rs
+++ b/crates/dispatcher/tests/dispatcher.rs
@@ -1,12 +1,12 @@
 //! Stories at the desk, in simulated time: no sockets, no clocks. The last one plays thousands of random histories.
 
-#[path = "desk/figures.rs"]
+#[path = "dispatcher/figures.rs"]
 mod figures;
-#[path = "desk/orders.rs"]
+#[path = "dispatcher/orders.rs"]
 mod orders;
 
-use milletpath_config::House;
-use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
+use milletpath_config::GatewayConfig;
+use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
 const EFFECTS: [&str; 3] =
     ["effect = \"pure\"", "effect = \"receipted\"\nmemory = 1", "effect = \"effectful\""];
 
-fn house(effect: &str, more: &str) -> House {
+fn house(effect: &str, more: &str) -> GatewayConfig {
     let text = format!(
         "seed = 5\nprofile \"p\" {{\ndue = 1\ncut_off = 3\n{effect}\n}}\nfunctions {{ lanes = 2 }}\nlimits {{ shots = 3 }}\n\
          workers {{\nregistry = \"127.0.0.1:1\"\nconnect = 0.25\norder_wait = 2\n{more}\n}}\n"
@@ -35,32 +35,33 @@
     (0..workers).map(|n| entry(n, Standing::Ready, None)).collect()
 }
 
-fn desk(effect: &str, more: &str, workers: u16) -> Desk<u32> {
-    let mut desk = Desk::new(&house(effect, more), 1000.0);
+fn desk(effect: &str, more: &str, workers: u16) -> Dispatcher<u32> {
+    let mut desk = Dispatcher::new(&house(effect, more), 1000.0);
     desk.list(0.0, true, &ready(workers));
     acts(&mut desk);
     desk
 }
 
-fn acts(desk: &mut Desk<u32>) -> Vec<Act> {
+fn acts(desk: &mut Dispatcher<u32>) -> Vec<Action> {
     std::iter::from_fn(|| desk.act()).collect()
 }
 
-fn arrive(desk: &mut Desk<u32>, now: f64, patience: f64) -> Tag {
-    let come = Come { function: "f", profile: 0, client: 9, patience, repeat: false, instance: None };
+fn arrive(desk: &mut Dispatcher<u32>, now: f64, patience: f64) -> RequestId {
+    let come =
+        IncomingRequest { function: "f", profile: 0, client: 9, patience, repeat: false, instance: None };
     desk.arrive(now, come, 0).expect("there is room")
 }
 
-fn shots(acts: &[Act]) -> Vec<(Tag, usize, usize)> {
-    let shot = |act: &Act| match act {
-        Act::Shoot { tag, shot, worker } => Some((*tag, *shot, *worker)),
+fn shots(acts: &[Action]) -> Vec<(RequestId, usize, usize)> {
+    let shot = |act: &Action| match act {
+        Action::Shoot { tag, shot, worker } => Some((*tag, *shot, *worker)),
         _ => None,
     };
     acts.iter().filter_map(shot).collect()
 }
 
 /// Lets the desk's timers fire up to a time; what it did, and when.
-fn pass(desk: &mut Desk<u32>, until: f64) -> Vec<(f64, Act)> {
+fn pass(desk: &mut Dispatcher<u32>, until: f64) -> Vec<(f64, Action)> {
     let mut did = Vec::new();
     while let Some(at) = desk.next().filter(|at| *at <= until) {
         desk.turn(at + 0.0005);
@@ -101,7 +102,7 @@
     if goes {
         desk.put_back(1.05, tag, shot);
         let did: Vec<_> = pass(&mut desk, 1.31).into_iter().map(|(_, act)| act).collect();
-        assert!(did.contains(&Act::Drop { tag, shot }));
+        assert!(did.contains(&Action::Drop { tag, shot }));
         assert_eq!(shots(&did)[0].2, 1 - worker);
     } else {
         assert_eq!(shots(&acts(&mut desk))[0].2, 1 - worker);
@@ -117,12 +118,12 @@
     let tag = arrive(&mut desk, 1.0, 2.9);
     let (_, shot, _) = shots(&acts(&mut desk))[0];
     assert!(desk.begin(1.0, tag, shot));
-    desk.end(1.5, tag, shot, End::plain(Outcome::Cut));
+    desk.end(1.5, tag, shot, AttemptResult::plain(Outcome::Cut));
     let (_, repeat, _) = shots(&acts(&mut desk))[0];
     assert_eq!(desk.begin(made, tag, repeat), begun);
     // What may have run in a group that is not all is not bounced.
     assert_eq!(
-        acts(&mut desk).iter().any(|act| matches!(act, Act::Terminate { .. } | Act::Bounce { .. })),
+        acts(&mut desk).iter().any(|act| matches!(act, Action::Terminate { .. } | Action::Bounce { .. })),
         !begun
     );
 }
@@ -132,7 +133,7 @@
 #[test]
 fn a_receipt_stays_with_the_zone_of_its_shot() {
     let zoned = EFFECTS[1].replace("memory = 1", "memory = 2\ngroup = \"zone\"");
-    let mut desk = Desk::new(&house(&zoned, PROBELESS), 1000.0);
+    let mut desk = Dispatcher::new(&house(&zoned, PROBELESS), 1000.0);
     let at = |number: u16, zone: &str, started| Entry {
         zone: zone.into(),
         ..entry(number, Standing::Ready, started)
@@ -144,7 +145,7 @@
     let other = ["b", "a"][worker];
     assert!(desk.begin(10.0, tag, shot));
     desk.list(10.1, false, &[at(worker as u16, other, None)]);
-    desk.end(10.2, tag, shot, End::plain(Outcome::Cut));
+    desk.end(10.2, tag, shot, AttemptResult::plain(Outcome::Cut));
     assert_eq!(shots(&acts(&mut desk)), []);
 }
 
@@ -161,7 +162,10 @@
         let &[(_, shot, worker)] = &sent[..] else { panic!("one shot at {now}: {sent:?}") };
         assert!(worker < 8, "index {worker} at {now}");
         assert_eq!(desk.address(worker).0, entry(n, Standing::Ready, None).address);
-        assert!(desk.begin(now, tag, shot) && desk.end(now + 0.1, tag, shot, End::plain(Outcome::Handled)));
+        assert!(
+            desk.begin(now, tag, shot)
+                && desk.end(now + 0.1, tag, shot, AttemptResult::plain(Outcome::Handled))
+        );
         acts(&mut desk);
     }
 }
@@ -173,7 +177,7 @@
     let tag = arrive(&mut desk, 1.0, 2.0);
     let (_, shot, worker) = shots(&acts(&mut desk))[0];
     let did: Vec<_> = pass(&mut desk, 1.3).into_iter().map(|(_, act)| act).collect();
-    assert!(did.contains(&Act::Drop { tag, shot }));
+    assert!(did.contains(&Action::Drop { tag, shot }));
     assert_eq!(shots(&did)[0].2, 1 - worker);
     // What the first connection brings after all is nobody's.
     assert!(!desk.begin(1.4, tag, shot));
@@ -187,8 +191,8 @@
     let tag = arrive(&mut desk, 1.0, 1.0);
     acts(&mut desk);
     assert!(desk.begin(1.0, tag, 0));
-    assert!(!desk.end(5.0, tag, 0, End::plain(Outcome::Handled)));
-    let bounced = acts(&mut desk).iter().any(|a| matches!(a, Act::Bounce { .. }));
+    assert!(!desk.end(5.0, tag, 0, AttemptResult::plain(Outcome::Handled)));
+    let bounced = acts(&mut desk).iter().any(|a| matches!(a, Action::Bounce { .. }));
     assert!(bounced && desk.open() == 0);
 }
 
@@ -217,8 +221,8 @@
     let tag = arrive(&mut desk, 1.5, 3.0);
     let did = pass(&mut desk, 4.6);
     let ended =
-        did.iter().find(|(_, a)| matches!(a, Act::Bounce { tag: t, .. } if *t == tag)).expect("an answer");
-    assert!(ended.0 < 1.5 + 1.0 && did.iter().all(|(_, a)| !matches!(a, Act::Shoot { .. })));
+        did.iter().find(|(_, a)| matches!(a, Action::Bounce { tag: t, .. } if *t == tag)).expect("an answer");
+    assert!(ended.0 < 1.5 + 1.0 && did.iter().all(|(_, a)| !matches!(a, Action::Shoot { .. })));
     desk.list(5.0, true, &ready(3));
     arrive(&mut desk, 5.0, 3.0);
     assert_eq!(shots(&acts(&mut desk)).len(), 1);
@@ -231,9 +235,9 @@
     let tag = arrive(&mut desk, 1.0, 1.0);
     acts(&mut desk);
     desk.begin(1.0, tag, 0);
-    desk.end(1.01, tag, 0, End::plain(Outcome::Missed));
+    desk.end(1.01, tag, 0, AttemptResult::plain(Outcome::Missed));
     let order = acts(&mut desk).into_iter().find_map(|a| match a {
-        Act::Hold { order, .. } => Some(order),
+        Action::Hold { order, .. } => Some(order),
         _ => None,
     });
     let order = order.expect("an order");
@@ -252,12 +256,18 @@
         desk.turn(now);
         acts(&mut desk);
         let function = format!("once-{n}");
-        let come =
-            Come { function: &function, profile: 0, client: 9, patience: 1.0, repeat: false, instance: None };
+        let come = IncomingRequest {
+            function: &function,
+            profile: 0,
+            client: 9,
+            patience: 1.0,
+            repeat: false,
+            instance: None,
+        };
         let tag = desk.arrive(now, come, 0).unwrap();
         for (tag, shot, _) in shots(&acts(&mut desk)) {
             desk.begin(now, tag, shot);
-            desk.end(now + 0.001, tag, shot, End::plain(Outcome::Handled));
+            desk.end(now + 0.001, tag, shot, AttemptResult::plain(Outcome::Handled));
         }
         acts(&mut desk);
         assert!(desk.what(tag).is_none());
@@ -272,7 +282,7 @@
     Arrive(f64),
     Begin(usize),
     PutBack(usize),
-    End(usize, Outcome),
+    AttemptResult(usize, Outcome),
     Leave(usize),
     List(u16, Standing),
     Pass(f64),
@@ -288,7 +298,7 @@
     let step = prop_oneof![
         4 => (0.0..3.5f64).prop_map(Step::Arrive),
         4 => (0..64usize).prop_map(Step::Begin),
-        4 => (0..64usize, outcome).prop_map(|(n, o)| Step::End(n, o)),
+        4 => (0..64usize, outcome).prop_map(|(n, o)| Step::AttemptResult(n, o)),
         1 => (0..64usize).prop_map(Step::Leave),
         1 => (0..9usize).prop_map(Step::PutBack),
         1 => (0..4u16, state).prop_map(|(w, s)| Step::List(w, s)),
@@ -300,17 +310,17 @@
 
 /// What a shell would know, and the rules checked on it.
 #[derive(Default)]
-struct Books {
-    open: BTreeMap<u64, (Tag, f64)>,
+struct DispatcherState {
+    open: BTreeMap<u64, (RequestId, f64)>,
     ended: BTreeSet<u64>,
     /// Shots out: whether begun.
-    out: BTreeMap<(u64, usize), (Tag, usize, bool)>,
+    out: BTreeMap<(u64, usize), (RequestId, usize, bool)>,
     may_have_run: BTreeSet<u64>,
     state: BTreeMap<usize, Standing>,
 }
 
-impl Books {
-    fn end(&mut self, tag: Tag, bounced: bool, effectful: bool) {
+impl DispatcherState {
+    fn end(&mut self, tag: RequestId, bounced: bool, effectful: bool) {
         assert!(self.open.remove(&tag.serial).is_some(), "a second answer for {tag:?}");
         self.ended.insert(tag.serial);
         assert!(
@@ -319,10 +329,10 @@
         );
     }
 
-    fn take(&mut self, desk: &mut Desk<u32>, effectful: bool) {
+    fn take(&mut self, desk: &mut Dispatcher<u32>, effectful: bool) {
         while let Some(act) = desk.act() {
             match act {
-                Act::Shoot { tag, shot, worker } => {
+                Action::Shoot { tag, shot, worker } => {
                     assert!(self.open.contains_key(&tag.serial), "a shot for what is over");
                     // An index may have passed to another worker; its address tells which.
                     let number = usize::from(desk.address(worker).0.port() - 9000);
@@ -330,11 +340,11 @@
                     assert!(!(effectful && self.may_have_run.contains(&tag.serial)), "a second shot");
                     self.out.insert((tag.serial, shot), (tag, shot, false));
                 }
-                Act::Drop { tag, shot } => {
+                Action::Drop { tag, shot } => {
                     self.out.remove(&(tag.serial, shot));
                 }
-                Act::Bounce { tag, .. } => self.end(tag, true, effectful),
-                Act::Terminate { tag, .. } => self.end(tag, false, effectful),
+                Action::Bounce { tag, .. } => self.end(tag, true, effectful),
+                Action::Terminate { tag, .. } => self.end(tag, false, effectful),
                 _ => {}
             }
         }
@@ -350,8 +360,8 @@
     fn whatever_happens_the_rules_hold(steps in steps(), effect in 0..3usize) {
         let effectful = effect == 2;
         let mut desk = desk(EFFECTS[effect], PROBELESS, 4);
-        let (mut books, mut now) = (Books::default(), 1.0);
-        let nth = |books: &Books, n: usize| books.out.values().nth(n % books.out.len().max(1)).copied();
+        let (mut books, mut now) = (DispatcherState::default(), 1.0);
+        let nth = |books: &DispatcherState, n: usize| books.out.values().nth(n % books.out.len().max(1)).copied();
         for step in steps {
             match step {
                 Step::Arrive(patience) => {
@@ -371,14 +381,14 @@
                     books.may_have_run.remove(&tag.serial);
                     books.out.insert((tag.serial, shot), (tag, shot, false));
                 }
-                Step::End(n, outcome) => if let Some((tag, shot, begun)) = nth(&books, n) {
+                Step::AttemptResult(n, outcome) => if let Some((tag, shot, begun)) = nth(&books, n) {
                     // Before it was written only one end is possible.
                     let outcome = if begun { outcome } else { Outcome::Unreached };
                     if outcome.never_ran() {
                         books.may_have_run.remove(&tag.serial);
                     }
                     books.out.remove(&(tag.serial, shot));
-                    if desk.end(now, tag, shot, End::plain(outcome)) {
+                    if desk.end(now, tag, shot, AttemptResult::plain(outcome)) {
                         prop_assert!(now < books.open[&tag.serial].1);
                         books.end(tag, false, effectful);
                     }
--- a/crates/dispatcher/tests/desk/figures.rs
+++ b/crates/dispatcher/tests/dispatcher/figures.rs
@@ -1,16 +1,16 @@
 //! Figures of functions that change while the desk runs, and what it does by them.
 
 use super::{EFFECTS, PROBELESS, acts, arrive, desk, entry, house, shots};
-use milletpath_config::{Amendment, House, Instance};
-use milletpath_dispatcher::desk::Desk;
+use milletpath_config::{ConfigChange, FunctionConfig, GatewayConfig};
+use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_protocol::registry::Standing;
 use test_case::test_case;
 
-fn amendment(house: &House, key: &str, text: Option<&str>) -> Amendment {
+fn amendment(house: &GatewayConfig, key: &str, text: Option<&str>) -> ConfigChange {
     house.amendment(key, text).unwrap_or_else(|m| panic!("{m:#?}"))
 }
 
-fn amend(desk: &mut Desk<u32>, house: &House, key: &str, text: Option<&str>) {
+fn amend(desk: &mut Dispatcher<u32>, house: &GatewayConfig, key: &str, text: Option<&str>) {
     desk.amend(&amendment(house, key, text), &house.functions);
 }
 
@@ -55,8 +55,8 @@
     amend(&mut desk, &house, "function f", Some("function \"f\" { lanes = 3 }"));
     amend(&mut desk, &house, "functions", Some("functions { memory = 77 }"));
     desk.begin_anew(&house, 1000.0, 5.0);
-    let of = Instance { lanes: 3.0, memory: 77.0, load: None, profile: None };
-    assert_eq!((desk.figures("f"), desk.figures("g")), (of, Instance { lanes: 1.0, ..of }));
+    let of = FunctionConfig { lanes: 3.0, memory: 77.0, load: None, profile: None };
+    assert_eq!((desk.figures("f"), desk.figures("g")), (of, FunctionConfig { lanes: 1.0, ..of }));
     desk.list(5.0, true, &[entry(0, Standing::Ready, None)]);
     acts(&mut desk);
     for _ in 0..6 {
--- a/crates/dispatcher/tests/desk/orders.rs
+++ b/crates/dispatcher/tests/dispatcher/orders.rs
@@ -1,7 +1,7 @@
 //! Every order in which what can cross around one call may come, played out whole.
 
 use super::{EFFECTS, PROBELESS, desk, entry, shots};
-use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag};
+use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::Standing;
 use std::collections::BTreeMap;
@@ -35,9 +35,9 @@
 
 /// What a shell knows of one call, and what must hold of it.
 struct Story {
-    desk: Desk<u32>,
+    desk: Dispatcher<u32>,
     effect: usize,
-    tag: Tag,
+    tag: RequestId,
     now: f64,
     /// Its shots: the worker, and whether it was begun, out or over.
     shots: BTreeMap<usize, (usize, bool)>,
@@ -51,8 +51,14 @@
 impl Story {
     fn new(effect: usize) -> Self {
         let mut desk = desk(EFFECTS[effect], PROBELESS, 2);
-        let come =
-            Come { function: "f", profile: 0, client: 9, patience: 2.0, repeat: false, instance: None };
+        let come = IncomingRequest {
+            function: "f",
+            profile: 0,
+            client: 9,
+            patience: 2.0,
+            repeat: false,
+            instance: None,
+        };
         let tag = desk.arrive(1.0, come, 0).expect("there is room");
         let (shots, now) = (BTreeMap::new(), 1.0);
         let mut story =
@@ -75,14 +81,14 @@
         }
         for act in acts {
             match act {
-                Act::Drop { shot, .. } => {
+                Action::Drop { shot, .. } => {
                     self.shots.remove(&shot);
                 }
-                Act::Bounce { .. } => {
+                Action::Bounce { .. } => {
                     assert!(self.effect != 2 || self.ran == 0, "a bounce of what may have run, at {event:?}");
                     self.answers += 1;
                 }
-                Act::Terminate { .. } => self.answers += 1,
+                Action::Terminate { .. } => self.answers += 1,
                 _ => {}
             }
         }
@@ -94,7 +100,7 @@
         let Some((&shot, &(_, begun))) = self.shots.iter().next() else { return };
         self.shots.remove(&shot);
         let outcome = if begun { outcome } else { Outcome::Unreached };
-        if self.desk.end(self.now, self.tag, shot, End::plain(outcome)) {
+        if self.desk.end(self.now, self.tag, shot, AttemptResult::plain(outcome)) {
             assert!(!self.over(), "an answer after the end");
             self.answers += 1;
         }
--- a/crates/dispatcher/tests/wheel.rs
+++ b/crates/dispatcher/tests/timer_wheel.rs
@@ -1,6 +1,6 @@
 //! The wheel of timers against a plain sorted list.
 
-use milletpath_dispatcher::wheel::{Ticket, Wheel};
+use milletpath_dispatcher::timer_wheel::{TimerKey, TimerWheel};
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
@@ -24,9 +24,9 @@
     /// Every timer fires once, never early, in order, within a millisecond of its time, unless called off.
     #[test]
     fn timers_fire_as_in_a_sorted_list(steps in steps()) {
-        let mut wheel = Wheel::default();
+        let mut wheel = TimerWheel::default();
         let mut plain: Vec<(u64, usize)> = Vec::new();
-        let mut tickets: Vec<Ticket> = Vec::new();
+        let mut tickets: Vec<TimerKey> = Vec::new();
         let mut now = 0.0f64;
         for step in steps {
             match step {
@@ -69,7 +69,7 @@
 /// A ticket kept too long would call off another's timer.
 #[test]
 fn an_old_ticket_calls_nothing_off() {
-    let mut wheel = Wheel::default();
+    let mut wheel = TimerWheel::default();
     let old = wheel.set(1.0, 'a');
     assert_eq!(wheel.fire(2.0), Some('a'));
     wheel.set(3.0, 'b');
@@ -80,7 +80,7 @@
 /// A turn taken at the very time that `next` tells always gets further, however that time is rounded.
 #[test]
 fn the_time_that_is_told_is_late_enough() {
-    let mut wheel = Wheel::default();
+    let mut wheel = TimerWheel::default();
     (0..200_000u32).for_each(|ms| {
         wheel.set(f64::from(ms) / 1e3, ms);
     });
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -5,7 +5,7 @@
 use crate::store::Shelf;
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
-use milletpath_config::page::{Mistake, Page, Section};
+use milletpath_config::page::{ConfigError, Page, Section};
 use milletpath_history_checker::Effect;
 use std::path::Path;
 
@@ -253,14 +253,14 @@
     if mistakes.is_empty() { Ok(day) } else { Err(lines(path, &mistakes)) }
 }
 
-fn lines(path: &Path, mistakes: &[Mistake]) -> Vec<String> {
+fn lines(path: &Path, mistakes: &[ConfigError]) -> Vec<String> {
     mistakes.iter().map(|mistake| format!("{}:{mistake}", path.display())).collect()
 }
 
-fn parse(text: &str) -> Result<Body, Vec<Mistake>> {
+fn parse(text: &str) -> Result<Body, Vec<ConfigError>> {
     parse_body(text).map_err(|e| {
         let (line, column) = (e.location().line(), e.location().column());
-        vec![Mistake { line, column, wrong: e.message().to_owned(), remedy: "mend the line".into() }]
+        vec![ConfigError { line, column, wrong: e.message().to_owned(), remedy: "mend the line".into() }]
     })
 }
 
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -7,7 +7,7 @@
 //!
 //! `cargo bench -p milletpath-gateway --bench cores` prints calls a second, and for (b) the wait of a lone hand-over.
 
-use milletpath_dispatcher::desk::{Act, Come, Desk, End};
+use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::hint::{black_box, spin_loop};
@@ -22,13 +22,13 @@
 const SECONDS: f64 = 0.7;
 const ROUNDS: usize = 2;
 
-fn desk(gateways: usize) -> Desk<()> {
+fn desk(gateways: usize) -> Dispatcher<()> {
     let text = format!(
         "seed = 7\ngateways = {gateways}\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nworkers {{\n  registry = \
          \"127.0.0.1:1\"\n  orders = false\n  probes = false\n}}\n"
     );
     let house = milletpath_config::read(&text).expect("a sound charter");
-    let mut desk = Desk::new(&house, 0.0);
+    let mut desk = Dispatcher::new(&house, 0.0);
     let entry = |n: usize| Entry {
         name: format!("w{n}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + n as u16)),
@@ -44,7 +44,7 @@
 }
 
 /// Enters the desk; waits awake for about as long as several events take.
-fn awake(desk: &Mutex<Desk<()>>) -> MutexGuard<'_, Desk<()>> {
+fn awake(desk: &Mutex<Dispatcher<()>>) -> MutexGuard<'_, Dispatcher<()>> {
     for _ in 0..2000 {
         if let Ok(free) = desk.try_lock() {
             return free;
@@ -62,18 +62,18 @@
     }
 }
 
-fn come(function: &str) -> Come<'_> {
-    Come { function, profile: 0, client: 9, patience: 3.0, repeat: false, instance: None }
+fn come(function: &str) -> IncomingRequest<'_> {
+    IncomingRequest { function, profile: 0, client: 9, patience: 3.0, repeat: false, instance: None }
 }
 
 /// One event of a call, told to a desk; what it gives to do next.
 enum Step {
     Arrive(usize),
-    Begin(Act),
-    End(Act),
+    Begin(Action),
+    AttemptResult(Action),
 }
 
-fn step(desk: &mut Desk<()>, names: &[String], now: f64, step: Step) -> Vec<Act> {
+fn step(desk: &mut Dispatcher<()>, names: &[String], now: f64, step: Step) -> Vec<Action> {
     while desk.next().is_some_and(|due| due <= now) {
         desk.turn(now);
     }
@@ -81,25 +81,25 @@
         Step::Arrive(n) => {
             desk.arrive(now, come(&names[n % names.len()]), ());
         }
-        Step::Begin(Act::Shoot { tag, shot, .. }) => {
+        Step::Begin(Action::Shoot { tag, shot, .. }) => {
             desk.begin(now, tag, shot);
         }
-        Step::End(Act::Shoot { tag, shot, .. }) => {
-            desk.end(now, tag, shot, End::plain(Outcome::Handled));
+        Step::AttemptResult(Action::Shoot { tag, shot, .. }) => {
+            desk.end(now, tag, shot, AttemptResult::plain(Outcome::Handled));
         }
-        Step::Begin(_) | Step::End(_) => {}
+        Step::Begin(_) | Step::AttemptResult(_) => {}
     }
-    std::iter::from_fn(|| desk.act()).filter(|a| matches!(a, Act::Shoot { .. })).collect()
+    std::iter::from_fn(|| desk.act()).filter(|a| matches!(a, Action::Shoot { .. })).collect()
 }
 
 /// A call on one thread, and what else its events set free, each told by `tell`; how many shots were ended.
-fn call(n: usize, micros: f64, mut tell: impl FnMut(Step) -> Vec<Act>) -> u64 {
+fn call(n: usize, micros: f64, mut tell: impl FnMut(Step) -> Vec<Action>) -> u64 {
     work(micros / 3.0);
     let (mut acts, mut ended) = (tell(Step::Arrive(n)), 0);
     while let Some(act) = acts.pop() {
         acts.extend(tell(Step::Begin(act.clone())));
         work(micros / 3.0);
-        acts.extend(tell(Step::End(act)));
+        acts.extend(tell(Step::AttemptResult(act)));
         work(micros / 3.0);
         ended += 1;
     }
@@ -136,10 +136,10 @@
     told: AtomicU64,
 }
 
-type Asked = (Step, SyncSender<Vec<Act>>);
+type Asked = (Step, SyncSender<Vec<Action>>);
 
 /// The deciding core of (b).
-fn decider(desk: Desk<()>, names: Arc<Vec<String>>, began: Instant) -> SyncSender<Asked> {
+fn decider(desk: Dispatcher<()>, names: Arc<Vec<String>>, began: Instant) -> SyncSender<Asked> {
     let (ask, asked): (SyncSender<Asked>, Receiver<Asked>) = sync_channel(1024);
     std::thread::spawn(move || {
         let mut desk = desk;
@@ -185,12 +185,15 @@
                     if matches!(s, Step::Arrive(_)) {
                         black_box(facts.iter().map(|f| f.out.load(Ordering::Relaxed)).sum::<i64>());
                     }
-                    let sign = if matches!(s, Step::End(_)) { -1 } else { 1 };
-                    let ended =
-                        if let Step::End(Act::Shoot { worker, .. }) = s { Some(worker) } else { None };
+                    let sign = if matches!(s, Step::AttemptResult(_)) { -1 } else { 1 };
+                    let ended = if let Step::AttemptResult(Action::Shoot { worker, .. }) = s {
+                        Some(worker)
+                    } else {
+                        None
+                    };
                     let act = step(&mut desk, &names, now(), s);
                     let begun =
-                        act.iter().map(|a| if let Act::Shoot { worker, .. } = a { *worker } else { 0 });
+                        act.iter().map(|a| if let Action::Shoot { worker, .. } = a { *worker } else { 0 });
                     for w in ended.into_iter().chain(begun) {
                         facts[w].out.fetch_add(sign, Ordering::AcqRel);
                         facts[w].told.fetch_add(1, Ordering::AcqRel);
--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -6,7 +6,7 @@
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
 use crate::telling::{Telling, cpu};
-use milletpath_config::{Amendment, Changes as Stated, Subject};
+use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
 use milletpath_config_log::{Entry, Follower, FollowerView, Terms};
 use serde::{Deserialize, Serialize};
@@ -32,7 +32,7 @@
 
 impl Feed {
     /// Opens the socket that the charter states, and reads the key.
-    pub fn open(stated: &Stated) -> io::Result<Self> {
+    pub fn open(stated: &ConfigLogConfig) -> io::Result<Self> {
         let key = control_key(&stated.key)?;
         let socket = UdpSocket::bind(stated.listen)
             .map_err(|e| io::Error::new(e.kind(), format!("{} can't be listened on: {e}", stated.listen)))?;
@@ -198,7 +198,7 @@
     fn apply(&mut self) {
         while let Some(batch) = self.follower.news() {
             let house = &self.office.house;
-            let mut amendments: Vec<Amendment> = Vec::with_capacity(batch.len());
+            let mut amendments: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
                 if change.text.is_none() && Subject::of(&change.key).is_none() {
                     // What was never in force here is easily taken back.
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -2,7 +2,7 @@
 //! each sent again until it is answered or its time is over. Nobody is believed for being quick: of several
 //! answers the one counts that knows of the latest entry.
 
-use milletpath_config::Changes;
+use milletpath_config::ConfigLogConfig;
 use milletpath_config_log::message::{self, Key, LARGEST, Message};
 use milletpath_config_log::{Change, Outcome};
 use serde::de::DeserializeOwned;
@@ -55,7 +55,7 @@
 }
 
 impl Client {
-    pub fn new(stated: &Changes) -> io::Result<Self> {
+    pub fn new(stated: &ConfigLogConfig) -> io::Result<Self> {
         let key = crate::control_key(&stated.key)?;
         let any: IpAddr = match stated.control.first() {
             Some(SocketAddr::V6(_)) => Ipv6Addr::UNSPECIFIED.into(),
--- a/crates/gateway/src/errands.rs
+++ b/crates/gateway/src/errands.rs
@@ -4,7 +4,7 @@
 use crate::office::{Errand, Stir};
 use crate::shell::Gateway;
 use crate::{follow, serve, shot};
-use milletpath_config::Source;
+use milletpath_config::WorkerSource;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{AbortHandle, spawn_local};
@@ -34,7 +34,7 @@
             spawn_local(shot::probe(gateway.clone(), worker, way, serial));
         }
         Errand::Follow => {
-            if let Source::Registry(address) = gateway.house().source {
+            if let WorkerSource::Registry(address) = gateway.house().source {
                 gateway.follows(spawn_local(follow::follow(gateway.clone(), address)).abort_handle());
             }
         }
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -7,7 +7,7 @@
 use crate::peering::{self, Link, Onlooker};
 use crate::sharing::Sharing;
 use crate::telling::cpu;
-use milletpath_config::House;
+use milletpath_config::GatewayConfig;
 use milletpath_config_log::Follower;
 use milletpath_membership::{Event, Parts, Peers, Tally};
 use milletpath_protocol::registry::Entry;
@@ -234,7 +234,7 @@
 impl Hollow {
     /// Begins with a worker list, as `serve` does before its first call: with a link where the charter has
     /// peers, and a follower where it has changes.
-    pub fn begin(house: House, list: &[Entry], heed: Heed, hear: Hear) -> io::Result<Self> {
+    pub fn begin(house: GatewayConfig, list: &[Entry], heed: Heed, hear: Hear) -> io::Result<Self> {
         let link = house.peers.as_ref().map(|stated| Link::open(stated, None)).transpose()?;
         let feed = house.changes.as_ref().map(Feed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -9,8 +9,8 @@
 use crate::office::{Errand, Office, Stir, Ticket};
 use crate::peering::{self, Link};
 use crate::shell::{Gateway, PULSE};
-use milletpath_config::{House, Source};
-use milletpath_dispatcher::desk::{End, Tally};
+use milletpath_config::{GatewayConfig, WorkerSource};
+use milletpath_dispatcher::dispatcher::{AttemptResult, Tally};
 use milletpath_multicore::deal::{self, Deal, Seen};
 use milletpath_multicore::watch::{Do, Watch};
 use milletpath_policy::host::Outcome;
@@ -41,7 +41,7 @@
 
 /// Runs a gateway on a listener until `stop` comes, and finishes what it took. Must run within a `LocalSet`; the
 /// calling thread is the keeper, and the cores are threads beside it.
-pub async fn serve(house: House, listener: TcpListener, stop: impl Future<Output = ()>) -> Tally {
+pub async fn serve(house: GatewayConfig, listener: TcpListener, stop: impl Future<Output = ()>) -> Tally {
     let (_, quiet) = tokio::sync::mpsc::unbounded_channel();
     serve_stirred(house, listener, Links::default(), stop, quiet).await
 }
@@ -56,7 +56,7 @@
 /// As [`serve`], with links to others, and with mischief for tests and days: what comes on the channel
 /// befalls the core of that number; the one behind the last is the keeper.
 pub async fn serve_stirred(
-    house: House,
+    house: GatewayConfig,
     listener: TcpListener,
     links: Links,
     stop: impl Future<Output = ()>,
@@ -151,13 +151,13 @@
 }
 
 impl Keeper {
-    fn new(house: House) -> Self {
+    fn new(house: GatewayConfig) -> Self {
         let office = Office::new(house);
         let gateway = Gateway::new(office.clone(), office.cores(), 0, errands::carry_out);
         match &office.house.source {
-            Source::List(entries) => office.list(Some(gateway.seat), true, entries),
+            WorkerSource::List(entries) => office.list(Some(gateway.seat), true, entries),
             // Says what the desk had to say at its start: that the list is to be followed.
-            Source::Registry(_) => office.tell(Some(gateway.seat), |_, _| ()),
+            WorkerSource::Registry(_) => office.tell(Some(gateway.seat), |_, _| ()),
         }
         gateway.collect();
         let now = office.now();
@@ -324,7 +324,9 @@
                 match errand {
                     Errand::Answer { own, line, .. } => self.last_word(&line, own),
                     Errand::Shoot { tag, shot, .. } => {
-                        self.gateway.tell(|desk, now| desk.end(now, tag, shot, End::plain(Outcome::Unsent)));
+                        self.gateway.tell(|desk, now| {
+                            desk.end(now, tag, shot, AttemptResult::plain(Outcome::Unsent))
+                        });
                     }
                     Errand::Guest(stream, ticket) => {
                         let other = self.deal.borrow_mut().pick();
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::Response;
 use hyper::rt::{Read, ReadBufCursor, Write};
-use milletpath_dispatcher::desk::Tag;
+use milletpath_dispatcher::dispatcher::RequestId;
 use milletpath_multicore::claim::Claim;
 use socket2::SockRef;
 use std::io::{self, Read as _};
@@ -49,12 +49,12 @@
     }
 
     /// Tells which call is in hand on this connection.
-    pub fn take_up(&self, tag: Tag) {
+    pub fn take_up(&self, tag: RequestId) {
         self.serial.store(tag.serial, Ordering::Relaxed);
     }
 
     /// Whether that call is the one in hand. Only its own core asks.
-    pub fn owes(&self, tag: Tag) -> bool {
+    pub fn owes(&self, tag: RequestId) -> bool {
         self.serial.load(Ordering::Relaxed) == tag.serial
     }
 
--- a/crates/gateway/src/office.rs
+++ b/crates/gateway/src/office.rs
@@ -5,8 +5,8 @@
 use crate::answer::Own;
 use crate::line::Line;
 use crate::pool::{Room, Way};
-use milletpath_config::{House, Instance};
-use milletpath_dispatcher::desk::{Act, Desk, Tag, Tally};
+use milletpath_config::{FunctionConfig, GatewayConfig};
+use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId, Tally};
 use milletpath_multicore::budget::Budget;
 use milletpath_multicore::mail::Mailbox;
 use milletpath_multicore::pulse::Pulse;
@@ -40,7 +40,7 @@
     /// A client's connection.
     Guest(std::net::TcpStream, Ticket),
     Shoot {
-        tag: Tag,
+        tag: RequestId,
         slot: usize,
         shot: usize,
         worker: usize,
@@ -50,7 +50,7 @@
         left: f64,
     },
     Drop {
-        tag: Tag,
+        tag: RequestId,
         slot: usize,
         shot: usize,
     },
@@ -60,7 +60,7 @@
         line: Arc<Line>,
     },
     Hold {
-        order: Tag,
+        order: RequestId,
         worker: usize,
         way: Way,
         function: Arc<str>,
@@ -138,7 +138,7 @@
 }
 
 struct Inside {
-    desk: Desk<Place>,
+    desk: Dispatcher<Place>,
     /// The list as it stands, for a desk that must begin anew.
     list: BTreeMap<String, Entry>,
     /// The time for which the keeper's clock is set.
@@ -149,7 +149,7 @@
     began: Instant,
     /// The Unix time at which that was.
     epoch: f64,
-    pub house: House,
+    pub house: GatewayConfig,
     inside: Mutex<Inside>,
     /// One for each core, and the last for the keeper.
     pub seats: Vec<Seat>,
@@ -173,7 +173,7 @@
 pub const MOST_CORES: usize = 63;
 
 impl Office {
-    pub fn new(house: House) -> Arc<Self> {
+    pub fn new(house: GatewayConfig) -> Arc<Self> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let cores = house.bounds.cores.clamp(1, MOST_CORES);
         // A call has few letters at a time: its shots, their ends and its answer; the rest is for orders and probes.
@@ -182,7 +182,7 @@
             began: Instant::now(),
             epoch: unix.as_secs_f64(),
             inside: Mutex::new(Inside {
-                desk: Desk::new(&house, unix.as_secs_f64()),
+                desk: Dispatcher::new(&house, unix.as_secs_f64()),
                 list: BTreeMap::new(),
                 armed: f64::INFINITY,
             }),
@@ -253,7 +253,7 @@
 
     /// Tells the desk something at the present time; `seat` is the core that does. What follows is posted, and the
     /// other cores are woken for theirs.
-    pub fn tell<R>(&self, seat: Option<usize>, what: impl FnOnce(&mut Desk<Place>, f64) -> R) -> R {
+    pub fn tell<R>(&self, seat: Option<usize>, what: impl FnOnce(&mut Dispatcher<Place>, f64) -> R) -> R {
         /// Seconds past which one event's decisions are worth a line in the log.
         const SLOW: f64 = 0.02;
         let mut inside = self.enter();
@@ -305,22 +305,22 @@
     /// which the worker falls where the keeper is.
     fn errand(
         &self,
-        desk: &mut Desk<Place>,
+        desk: &mut Dispatcher<Place>,
         seat: Option<usize>,
         now: f64,
-        act: Act,
+        act: Action,
     ) -> Option<(usize, Errand)> {
         let here = |worker: usize| seat.filter(|s| *s < self.cores()).unwrap_or(worker % self.cores());
-        let way = |desk: &Desk<Place>, worker| {
+        let way = |desk: &Dispatcher<Place>, worker| {
             let (address, process) = desk.address(worker);
             Way { address, process }
         };
-        let answer = |desk: &mut Desk<Place>, tag, own| {
+        let answer = |desk: &mut Dispatcher<Place>, tag, own| {
             let place = desk.what(tag)?;
             Some((place.seat, Errand::Answer { slot: place.slot, own, line: place.line.clone() }))
         };
         match act {
-            Act::Shoot { tag, shot, worker } => {
+            Action::Shoot { tag, shot, worker } => {
                 let way = way(desk, worker);
                 // None where it was called off in the same breath.
                 let left = desk.left_for(now, tag, shot)?;
@@ -329,32 +329,32 @@
                 let (seat, slot) = (place.seat, place.slot);
                 Some((seat, Errand::Shoot { tag, slot, shot, worker, way, function, left }))
             }
-            Act::Drop { tag, shot } => {
+            Action::Drop { tag, shot } => {
                 let place = desk.what(tag)?;
                 Some((place.seat, Errand::Drop { tag, slot: place.slot, shot }))
             }
-            Act::Bounce { tag, come_back } => answer(desk, tag, Own::Bounced(come_back)),
-            Act::Terminate { tag, late } => answer(desk, tag, Own::Terminated { late }),
-            Act::Hold { order, worker, function, copies } => {
+            Action::Bounce { tag, come_back } => answer(desk, tag, Own::Bounced(come_back)),
+            Action::Terminate { tag, late } => answer(desk, tag, Own::Terminated { late }),
+            Action::Hold { order, worker, function, copies } => {
                 Some((here(worker), Errand::Hold { order, worker, way: way(desk, worker), function, copies }))
             }
-            Act::Unload { worker, function } => {
+            Action::Unload { worker, function } => {
                 Some((here(worker), Errand::Unload { worker, way: way(desk, worker), function }))
             }
-            Act::Probe { worker, serial } => {
+            Action::Probe { worker, serial } => {
                 Some((here(worker), Errand::Probe { worker, way: way(desk, worker), serial }))
             }
-            Act::Follow => Some((self.cores(), Errand::Follow)),
+            Action::Follow => Some((self.cores(), Errand::Follow)),
         }
     }
 
     /// Looks something up at the desk.
-    pub fn ask<R>(&self, what: impl FnOnce(&mut Desk<Place>) -> R) -> R {
+    pub fn ask<R>(&self, what: impl FnOnce(&mut Dispatcher<Place>) -> R) -> R {
         what(&mut self.enter().desk)
     }
 
     /// The figures of a function, as they are in force. Where no change can come the desk is not entered.
-    pub fn figures(&self, function: &str) -> Instance {
+    pub fn figures(&self, function: &str) -> FunctionConfig {
         match &self.house.changes {
             None => self.house.functions.of(function),
             Some(_) => self.ask(|desk| desk.figures(function)),
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -5,8 +5,8 @@
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
 use crate::sharing::Sharing;
-use milletpath_config::{House, Peers as Stated};
-use milletpath_dispatcher::desk::Share;
+use milletpath_config::{GatewayConfig, MembershipConfig};
+use milletpath_dispatcher::dispatcher::QuotaFraction;
 use milletpath_membership::letter::{self, Key, LARGEST, Letter, Page, Who, matter};
 use milletpath_membership::{Event, Parts, Peers, Terms, View};
 use milletpath_shared_budgets::{Seen, Tally};
@@ -55,7 +55,7 @@
 
 impl Link {
     /// Opens the socket that the charter states, and reads the key.
-    pub fn open(stated: &Stated, plant: Option<Plant>) -> io::Result<Self> {
+    pub fn open(stated: &MembershipConfig, plant: Option<Plant>) -> io::Result<Self> {
         let key = key_of(&stated.key)?;
         let socket = UdpSocket::bind(stated.listen)
             .map_err(|e| io::Error::new(e.kind(), format!("{} can't be listened on: {e}", stated.listen)))?;
@@ -113,13 +113,13 @@
     pub sharing: Tally,
 }
 
-fn who(house: &House, stated: &Stated, at: SocketAddr) -> Who {
+fn who(house: &GatewayConfig, stated: &MembershipConfig, at: SocketAddr) -> Who {
     // Drawn anew by each process from the system's chance, also where the charter fixes the seed of its decisions.
     let life = RandomState::new().hash_one(std::process::id()).max(1);
     Who { life, name: stated.name.clone(), at, incarnation: 0, most: house.policy.routers as u32 }
 }
 
-fn terms(house: &House, stated: &Stated) -> Terms {
+fn terms(house: &GatewayConfig, stated: &MembershipConfig) -> Terms {
     // Quotas are counted by the second, orders within their window.
     let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
     Terms { period: stated.period, lease: stated.lease, floor: stated.floor, window }
@@ -131,7 +131,7 @@
     office: Arc<Office>,
     link: Link,
     /// What the desk was told last, and when.
-    told: Option<(f64, Share)>,
+    told: Option<(f64, QuotaFraction)>,
     /// When what is shared was last looked after.
     shared: f64,
     /// Questions of operators answered in this second.
@@ -234,12 +234,13 @@
         const AGAIN: f64 = 0.2;
         let now = self.office.now();
         let parts = self.peers.parts(now);
-        let mut share = Share { likely: parts.likely, part: [parts.part, parts.floor], until: parts.until };
+        let mut share =
+            QuotaFraction { likely: parts.likely, part: [parts.part, parts.floor], until: parts.until };
         if self.link.plant == Some(Plant::LikelyCount) {
             let part = self.office.house.policy.routers as f64 / parts.likely;
-            share = Share { likely: parts.likely, part: [part; 2], until: f64::INFINITY };
+            share = QuotaFraction { likely: parts.likely, part: [part; 2], until: f64::INFINITY };
         }
-        let same = |(at, told): (f64, Share)| {
+        let same = |(at, told): (f64, QuotaFraction)| {
             (told.likely, told.part) == (share.likely, share.part)
                 && (told.until == share.until || now - at < AGAIN && told.until <= share.until)
         };
@@ -303,7 +304,7 @@
 const PAGE: usize = 1100;
 
 /// Asks the gateway of a charter what it knows of the others. Waits for some seconds at most.
-pub fn ask(house: &House) -> io::Result<Told> {
+pub fn ask(house: &GatewayConfig) -> io::Result<Told> {
     /// Times that it is asked, and seconds for each.
     const TRIES: u64 = 4;
     const WAIT: Duration = Duration::from_secs(1);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -16,7 +16,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioTimer;
-use milletpath_dispatcher::desk::{Come, Tag};
+use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
 use milletpath_policy::host::Effect;
 use milletpath_protocol::{Fault, invoke};
 use std::cell::Cell;
@@ -110,7 +110,7 @@
 struct Owed {
     gateway: Rc<Gateway>,
     line: Arc<Line>,
-    tag: Option<Tag>,
+    tag: Option<RequestId>,
     slot: Option<usize>,
     answered: bool,
 }
@@ -209,8 +209,11 @@
         let patience = door.patience - (now - came);
         let Door { profile, client, repeat, .. } = door;
         let place = Place { seat: gateway.seat, slot, line: line.clone() };
-        let tag =
-            desk.arrive(now, Come { function, profile, client, patience, repeat, instance: None }, place);
+        let tag = desk.arrive(
+            now,
+            IncomingRequest { function, profile, client, patience, repeat, instance: None },
+            place,
+        );
         tag.inspect(|tag| line.take_up(*tag))
     });
     let Some(tag) = owed.tag else {
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -2,8 +2,8 @@
 //! wanted and in use, what the decisions are allotted. Each method is called inside the desk: what is lent is subtracted
 //! there before anything else is decided, and before any note of it goes out.
 
-use milletpath_config::House;
-use milletpath_dispatcher::desk::Desk;
+use milletpath_config::GatewayConfig;
+use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_membership::Parts;
 use milletpath_policy::host::Budget;
 use milletpath_shared_budgets::{Form, Right, Seen, Shares, Tally};
@@ -30,7 +30,7 @@
 
 impl Sharing {
     /// All budgets that the charter bounds, but those of workers, which come with the list.
-    pub fn new(house: &House, life: u64, lease: f64, now: f64) -> Self {
+    pub fn new(house: &GatewayConfig, life: u64, lease: f64, now: f64) -> Self {
         /// Seconds past its cut-off after which a shot has ended for certain.
         const LATE: f64 = 0.5;
         let mut shares = Shares::new(life, lease, life, now);
@@ -67,7 +67,7 @@
     }
 
     /// Opens budgets of workers that came, closes those of workers that are gone.
-    fn follow<T>(&mut self, desk: &mut Desk<T>, now: f64) {
+    fn follow<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         let edition = desk.list_edition();
         if edition == self.edition {
             return;
@@ -91,14 +91,14 @@
         }
     }
 
-    fn meter<T>(&mut self, desk: &mut Desk<T>, now: f64) {
+    fn meter<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for open in self.open.iter().filter(|o| o.here) {
             self.shares.meter(now, open.slot, desk.meter(now, open.what));
         }
     }
 
     /// Does what is due, with what is one's own by the count and those who can be asked.
-    pub fn turn<T>(&mut self, desk: &mut Desk<T>, now: f64, parts: &Parts, others: Vec<u64>) {
+    pub fn turn<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, parts: &Parts, others: Vec<u64>) {
         self.follow(desk, now);
         let Parts { part, floor, until, .. } = *parts;
         self.shares.right(now, Right { part, floor, until }, others);
@@ -111,7 +111,7 @@
     }
 
     /// Tells others what functions keep busy here, and the decisions what they do elsewhere.
-    fn count<T>(&mut self, desk: &mut Desk<T>, now: f64) {
+    fn count<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         /// Seconds between two words to the decisions.
         const AGAIN: f64 = 0.5;
         self.shares.report(now, || desk.busy(now));
@@ -131,7 +131,7 @@
     }
 
     /// A note came of another process.
-    pub fn heard<T>(&mut self, desk: &mut Desk<T>, now: f64, life: u64, note: &[u8]) {
+    pub fn heard<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, life: u64, note: &[u8]) {
         let open = &self.open;
         self.shares.heard(now, life, note, &mut |slot| {
             let open = open.iter().find(|o| o.slot == slot && o.here)?;
@@ -140,7 +140,7 @@
         self.tell(desk, now);
     }
 
-    fn tell<T>(&mut self, desk: &mut Desk<T>, now: f64) {
+    fn tell<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for (slot, more) in self.shares.changes(now) {
             if let Some(open) = self.open.iter().find(|o| o.slot == slot && o.here) {
                 desk.allot(open.what, more);
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -6,8 +6,8 @@
 use crate::pool::{self, Connection, Pool, Way};
 use bytes::Bytes;
 use http::HeaderMap;
-use milletpath_config::{Bounds, House};
-use milletpath_dispatcher::desk::{Desk, Tag};
+use milletpath_config::{GatewayConfig, Limits};
+use milletpath_dispatcher::dispatcher::{Dispatcher, RequestId};
 use milletpath_multicore::watch::STILL;
 use slab::Slab;
 use std::cell::{Cell, RefCell};
@@ -78,11 +78,11 @@
         })
     }
 
-    pub fn house(&self) -> &House {
+    pub fn house(&self) -> &GatewayConfig {
         &self.office.house
     }
 
-    pub fn bounds(&self) -> &Bounds {
+    pub fn bounds(&self) -> &Limits {
         &self.office.house.bounds
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Tells the desk something and carries out what follows.
-    pub fn tell<R>(self: &Rc<Self>, what: impl FnOnce(&mut Desk<Place>, f64) -> R) -> R {
+    pub fn tell<R>(self: &Rc<Self>, what: impl FnOnce(&mut Dispatcher<Place>, f64) -> R) -> R {
         let result = self.office.tell(Some(self.seat), what);
         self.collect();
         result
@@ -135,7 +135,7 @@
 
     /// What is kept of the call in a slot, unless it was let go of meanwhile: the desk has booked the ends of its shots
     /// with its own then.
-    pub fn waiting<R>(&self, tag: Tag, slot: usize, what: impl FnOnce(&mut Waiting) -> R) -> Option<R> {
+    pub fn waiting<R>(&self, tag: RequestId, slot: usize, what: impl FnOnce(&mut Waiting) -> R) -> Option<R> {
         self.slots.borrow_mut().get_mut(slot).filter(|w| w.line.owes(tag)).map(what)
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// The same by the number of the call.
-    pub fn reply_to(&self, tag: Tag, slot: usize, reply: Reply) {
+    pub fn reply_to(&self, tag: RequestId, slot: usize, reply: Reply) {
         let line = self.slots.borrow().get(slot).filter(|w| w.line.owes(tag)).map(|w| w.line.clone());
         if let Some(line) = line {
             self.reply(slot, &line, reply);
--- a/crates/gateway/src/shot.rs
+++ b/crates/gateway/src/shot.rs
@@ -12,7 +12,7 @@
 use http_body::Body as _;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use milletpath_dispatcher::desk::{End, Tag};
+use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
 use milletpath_policy::host::{Found, Outcome, Report};
 use milletpath_protocol::{orca, worker as wire};
 use std::rc::Rc;
@@ -135,7 +135,7 @@
 }
 
 /// What a response's head says of the shot.
-fn judge(response: &Response<Incoming>) -> End {
+fn judge(response: &Response<Incoming>) -> AttemptResult {
     let headers = response.headers();
     let status = response.status();
     let refused = wire::refused(headers).filter(|_| status.is_client_error() || status.is_server_error());
@@ -154,7 +154,7 @@
         wire::Found::Failed => Found::LoadFailed,
     });
     let company = wire::count(headers, &wire::COMPANY).ok().flatten().unwrap_or(0);
-    End { outcome, found, company: company.into(), report: report(headers), settles: false }
+    AttemptResult { outcome, found, company: company.into(), report: report(headers), settles: false }
 }
 
 /// Why an answer's body is not there in full.
@@ -194,7 +194,7 @@
 /// One shot of an activation: the call, the slot in which the shell keeps it, and the shot's number.
 pub async fn activation(
     gateway: Rc<Gateway>,
-    (tag, slot, shot): (Tag, usize, usize),
+    (tag, slot, shot): (RequestId, usize, usize),
     worker: usize,
     way: Way,
     parts: Request,
@@ -216,7 +216,7 @@
                 Broken::Unsent => Outcome::Unsent,
                 Broken::Cut => Outcome::Cut,
             };
-            gateway.tell(|desk, now| desk.end(now, tag, shot, End::plain(outcome)));
+            gateway.tell(|desk, now| desk.end(now, tag, shot, AttemptResult::plain(outcome)));
             return;
         }
     };
@@ -230,19 +230,24 @@
             settle(&gateway, (tag, slot, shot), end, reply);
         }
         Err(Short::Cut) => {
-            let end = End { outcome: Outcome::Cut, ..end };
+            let end = AttemptResult { outcome: Outcome::Cut, ..end };
             gateway.tell(|desk, now| desk.end(now, tag, shot, end));
         }
         // It would be too large from any other worker as well.
         Err(Short::TooLarge) => {
-            let end = End { outcome: Outcome::Failed, settles: true, ..end };
+            let end = AttemptResult { outcome: Outcome::Failed, settles: true, ..end };
             settle(&gateway, (tag, slot, shot), end, Reply::TooLarge);
         }
     }
 }
 
 /// Ends a shot; what it brought goes to the client if the desk says that it is the answer.
-fn settle(gateway: &Rc<Gateway>, (tag, slot, shot): (Tag, usize, usize), end: End, reply: Reply) {
+fn settle(
+    gateway: &Rc<Gateway>,
+    (tag, slot, shot): (RequestId, usize, usize),
+    end: AttemptResult,
+    reply: Reply,
+) {
     if gateway.tell(|desk, now| desk.end(now, tag, shot, end)) {
         gateway.reply_to(tag, slot, reply);
     }
@@ -272,7 +277,14 @@
 }
 
 /// An order to hold instances.
-pub async fn hold(gateway: Rc<Gateway>, order: Tag, worker: usize, way: Way, function: Arc<str>, copies: u8) {
+pub async fn hold(
+    gateway: Rc<Gateway>,
+    order: RequestId,
+    worker: usize,
+    way: Way,
+    function: Arc<str>,
+    copies: u8,
+) {
     let may = || gateway.tell(|desk, now| desk.begin_order(now, order));
     let wait = Duration::from_secs_f64(gateway.house().policy.order_wait);
     let asked = ask(&gateway, worker, way, Method::POST, wire::load(&function), Some(copies), may);
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -46,7 +46,7 @@
     format!("{{\"edition\": {number}, \"whole\": true, \"workers\": [{}]}}\n", lines.join(", "))
 }
 
-fn followed(cores: usize, registry: SocketAddr) -> milletpath_config::House {
+fn followed(cores: usize, registry: SocketAddr) -> milletpath_config::GatewayConfig {
     let text = format!(
         "cores = {cores}\nseed = 3\nlisten = \"127.0.0.1:0\"\n{PURE}workers {{\norders = false\nregistry = \
          \"{registry}\"\ndrain_grace = 0.5\n}}\n"
--- a/crates/gateway/tests/town/mod.rs
+++ b/crates/gateway/tests/town/mod.rs
@@ -2,7 +2,7 @@
 //! bytes.
 #![allow(dead_code, reason = "each file of stories uses a part of it")]
 
-use milletpath_config::House;
+use milletpath_config::GatewayConfig;
 use milletpath_gateway::{Links, serve};
 use std::cell::Cell;
 use std::future::Future;
@@ -23,7 +23,7 @@
 }
 
 /// A charter for workers at these addresses; `more` goes in as it is.
-pub fn charter(workers: &[SocketAddr], more: &str) -> House {
+pub fn charter(workers: &[SocketAddr], more: &str) -> GatewayConfig {
     let lines: String = workers
         .iter()
         .enumerate()
@@ -46,8 +46,8 @@
 
 /// Starts a gateway; it stops when the sender is used.
 pub async fn gateway(
-    house: House,
-) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_dispatcher::desk::Tally>) {
+    house: GatewayConfig,
+) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Tally>) {
     let listener = TcpListener::bind(house.listen).await.unwrap();
     let address = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel::<()>();
@@ -59,11 +59,11 @@
     (address, stop, served)
 }
 
-pub type Served = tokio::task::JoinHandle<milletpath_dispatcher::desk::Tally>;
+pub type Served = tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Tally>;
 
 /// The same, with mischief for its cores.
 pub async fn stirred(
-    house: House,
+    house: GatewayConfig,
 ) -> (SocketAddr, oneshot::Sender<()>, Served, UnboundedSender<(usize, milletpath_gateway::Stir)>) {
     let listener = TcpListener::bind(house.listen).await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -2,7 +2,7 @@
 //! force.
 
 use crate::changes::{Known, State};
-use milletpath_config::{House, Subject};
+use milletpath_config::{GatewayConfig, Subject};
 use milletpath_config_log::{Change, Outcome};
 use milletpath_gateway::control_client::{Client, Told, chance};
 use std::path::Path;
@@ -88,7 +88,7 @@
 }
 
 /// All changes that are asked for, or what is wrong with them.
-fn wanted(house: &House, asked: &Asked<'_>) -> Result<Vec<Wanted>, Vec<String>> {
+fn wanted(house: &GatewayConfig, asked: &Asked<'_>) -> Result<Vec<Wanted>, Vec<String>> {
     let mut wanted = Vec::new();
     if let Some(file) = asked.file {
         let name = file.display();
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -1,7 +1,7 @@
 //! `milletpath changes`: what the control machines know of what is in force, and where it is not.
 
 use crate::control::Told;
-use milletpath_config::Changes;
+use milletpath_config::ConfigLogConfig;
 use milletpath_gateway::Followed;
 use milletpath_gateway::control_client::Client;
 use serde::Serialize;
@@ -195,7 +195,7 @@
 }
 
 /// What the gateway of a charter knows itself.
-fn gateway(charter: &Path, stated: &Changes, client: &Client, json: bool) -> ExitCode {
+fn gateway(charter: &Path, stated: &ConfigLogConfig, client: &Client, json: bool) -> ExitCode {
     let mut at = stated.listen;
     if at.port() == 0 {
         let name = charter.display();
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -4,7 +4,7 @@
 
 mod records;
 
-use milletpath_config::{Changes, House};
+use milletpath_config::{ConfigLogConfig, GatewayConfig};
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
 use milletpath_config_log::{Act, Record, Replica, ReplicaView, Terms};
 use milletpath_gateway::{Telling, cpu, tenfold};
@@ -131,7 +131,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// A charter, with what it states of changes.
-pub fn stated(charter: &Path) -> Result<(House, Changes), ExitCode> {
+pub fn stated(charter: &Path) -> Result<(GatewayConfig, ConfigLogConfig), ExitCode> {
     let house = crate::read(charter)?;
     match house.changes.clone() {
         Some(changes) => Ok((house, changes)),
@@ -153,7 +153,7 @@
 
 struct Running {
     replica: Replica,
-    house: House,
+    house: GatewayConfig,
     control: Vec<SocketAddr>,
     socket: UdpSocket,
     key: Key,
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -189,7 +189,7 @@
 }
 
 /// Reads a charter; what is wrong with it goes to standard error, a line for each mistake.
-fn read(path: &Path) -> Result<milletpath_config::House, ExitCode> {
+fn read(path: &Path) -> Result<milletpath_config::GatewayConfig, ExitCode> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         eprintln!("{}: can't be read: {e}; name a charter file", path.display());
         ExitCode::from(2)
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -1,6 +1,6 @@
 //! `milletpath serve`.
 
-use milletpath_config::House;
+use milletpath_config::GatewayConfig;
 use milletpath_gateway::{Feed, Link, Links, Plant, Stir};
 use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
 use std::io::Write;
@@ -28,7 +28,7 @@
         Ok(house) => house,
         Err(code) => return code,
     };
-    let run = async |mut house: House, inside| {
+    let run = async |mut house: GatewayConfig, inside| {
         house.bounds.cores = how.cores.map_or(house.bounds.cores, usize::from);
         run(house, inside, how.stir, plant).await
     };
@@ -43,7 +43,7 @@
     })
 }
 
-async fn run(house: House, inside: bool, stir: bool, plant: Option<Plant>) -> ExitCode {
+async fn run(house: GatewayConfig, inside: bool, stir: bool, plant: Option<Plant>) -> ExitCode {
     let mut bound = milletpath_gateway::listen(house.listen);
     if bound.is_err() && inside {
         // The built-in charter's port is taken: any other will do.
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers: alone by a charter's list, or inside a gateway that was given no charter.
 
-use milletpath_config::{House, Source};
+use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_emulator::small::{MAKE, hall};
 use milletpath_emulator::worker::Worker;
 use std::path::Path;
@@ -13,7 +13,7 @@
         Ok(house) => house,
         Err(code) => return code,
     };
-    let Source::List(list) = house.source else {
+    let WorkerSource::List(list) = house.source else {
         eprintln!("{}: names a registry; stand-in workers need a list of workers", charter.display());
         return ExitCode::from(2);
     };
@@ -35,7 +35,7 @@
 }
 
 /// The built-in charter, with stand-in workers that run in this process.
-pub async fn inside() -> Result<House, ExitCode> {
+pub async fn inside() -> Result<GatewayConfig, ExitCode> {
     const WORKERS: usize = 3;
     let hall = hall(1);
     let mut text = include_str!("inside.hcl").to_owned();
--- a/crates/platform-protocol/src/told.rs
+++ b/crates/platform-protocol/src/told.rs
@@ -1,8 +1,8 @@
 //! The file that a router starts from, and reads again when told to: who it is, its limits, the bulletin, the list so
-//! far, and the settings. What is read becomes a [`House`] and the few figures beside it.
+//! far, and the settings. What is read becomes a [`GatewayConfig`] and the few figures beside it.
 
 use crate::events::{self, Line};
-use milletpath_config::{Bounds, Functions, House, Kind, Source};
+use milletpath_config::{FunctionConfigs, GatewayConfig, Limits, ProfileConfig, WorkerSource};
 use milletpath_protocol::Fault;
 use milletpath_protocol::registry::Entry;
 use serde_json::Value;
@@ -12,7 +12,7 @@
 /// What a router starts from.
 #[derive(Debug)]
 pub struct Told {
-    pub house: House,
+    pub house: GatewayConfig,
     pub bulletin: SocketAddr,
     /// The number of the last event told, and the lists so far: whether each is whole, and its entries.
     pub last: u64,
@@ -86,9 +86,10 @@
         }
     }
     let profiles = milletpath_platform_settings::profiles(settings).map_err(wrong)?;
-    let profiles = profiles.into_iter().map(|(name, cut_off, importance)| Kind { name, cut_off, importance });
+    let profiles =
+        profiles.into_iter().map(|(name, cut_off, importance)| ProfileConfig { name, cut_off, importance });
     let limit = |name| milletpath_platform_settings::limit(settings, name).map_err(wrong);
-    let bounds = Bounds {
+    let bounds = Limits {
         cores: 1,
         pin: false,
         open: milletpath_platform_settings::count(settings, "OpenCap", OPEN).min(OPEN),
@@ -114,14 +115,14 @@
         descriptors: value["limits"]["sockets"].as_u64().unwrap_or(DESCRIPTORS) as usize,
         lanes: milletpath_platform_settings::count(settings, "StreamsPerConn", 1),
         reports: !milletpath_platform_settings::report_names(settings).is_empty(),
-        house: House {
+        house: GatewayConfig {
             listen: address(&value, "listen")?,
             policy,
             profiles: profiles.collect(),
             clients: milletpath_platform_settings::clients(settings),
-            functions: Functions::default(),
+            functions: FunctionConfigs::default(),
             kinds: milletpath_platform_settings::kinds(settings),
-            source: Source::List(Vec::new()),
+            source: WorkerSource::List(Vec::new()),
             bounds,
             // Routers of the platform share nothing, and go by what they are told.
             peers: None,
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -5,7 +5,7 @@
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
-use milletpath_dispatcher::desk::{Come, Tag};
+use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
 use milletpath_platform_protocol::lines::{self, Ask, Said};
 use milletpath_protocol::Fault;
 use socket2::SockRef;
@@ -36,7 +36,7 @@
     rest: Vec<u8>,
     pub out: Outbox,
     holds: Holds,
-    pub open: Vec<(u64, Tag)>,
+    pub open: Vec<(u64, RequestId)>,
     numbers: Numbers,
     /// Whether it ever sent a whole line that could be used; when something passed last or a line began; and
     /// when bytes came last.
@@ -149,7 +149,7 @@
         self.withdraw(client.open);
     }
 
-    fn withdraw(&mut self, open: Vec<(u64, Tag)>) {
+    fn withdraw(&mut self, open: Vec<(u64, RequestId)>) {
         let now = self.now();
         for (_, tag) in open {
             if let Some(asker) = self.desk.what(tag) {
@@ -183,7 +183,7 @@
     /// Whether a shot of a call may begin as far as its client goes: what that one says is read in its turn, and after
     /// a standstill that can come after the turn in which the shot's connection is ready. False where something of
     /// it lies unread: it is read first, and the link written then.
-    pub fn looked_at(&mut self, tag: Tag, link: usize, now: f64) -> bool {
+    pub fn looked_at(&mut self, tag: RequestId, link: usize, now: f64) -> bool {
         let Some((key, serial)) = self.desk.what(tag).map(|a| a.client) else { return true };
         let Some(client) = self.clients.get_mut(key).filter(|c| c.serial == serial) else { return true };
         if now - client.looked < LOOKED {
@@ -320,7 +320,7 @@
             ask;
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
         let profile = place(&self.profiles, &profile);
-        let come = Come {
+        let come = IncomingRequest {
             function: &function,
             profile,
             client: place(&self.groups, &client),
@@ -367,7 +367,7 @@
     fn give_up(&mut self, key: usize, id: Option<u64>, number: Option<u64>) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let desk = &mut self.desk;
-        let mut named = |n: u64, tag: Tag| match id {
+        let mut named = |n: u64, tag: RequestId| match id {
             Some(id) => desk.what(tag).is_some_and(|a| a.id == id),
             None => Some(n) == number,
         };
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -5,7 +5,7 @@
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
-use milletpath_dispatcher::desk::{End, Tag};
+use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
 use milletpath_platform_protocol::{frames, lines};
 use milletpath_policy::host::Outcome;
 use std::collections::VecDeque;
@@ -22,8 +22,8 @@
 
 /// What waits for its first byte to go.
 enum Load {
-    Shot(Tag, usize),
-    Hold(Tag, Arc<str>, u8),
+    Shot(RequestId, usize),
+    Hold(RequestId, Arc<str>, u8),
     Unload(Arc<str>),
     Probe(u64),
     GiveUp(u64),
@@ -32,8 +32,8 @@
 /// What was sent and is not answered yet.
 #[derive(Clone, Copy)]
 enum Sent {
-    Shot(Tag, usize),
-    Order(Tag),
+    Shot(RequestId, usize),
+    Order(RequestId),
     Probe(u64),
 }
 
@@ -232,7 +232,7 @@
         self.link_writes(key);
     }
 
-    pub fn shoot(&mut self, tag: Tag, shot: usize, worker: usize) {
+    pub fn shoot(&mut self, tag: RequestId, shot: usize, worker: usize) {
         let Some(id) = self.desk.what(tag).map(|a| a.id) else { return };
         let key = self.link(worker, Some(id));
         if let Some(asker) = self.desk.what(tag) {
@@ -242,7 +242,7 @@
         self.load(key, Load::Shot(tag, shot));
     }
 
-    pub fn hold(&mut self, order: Tag, worker: usize, function: Arc<str>, copies: u8) {
+    pub fn hold(&mut self, order: RequestId, worker: usize, function: Arc<str>, copies: u8) {
         let key = self.link(worker, None);
         self.load(key, Load::Hold(order, function, copies));
     }
@@ -258,7 +258,7 @@
     }
 
     /// A shot's end is booked: it is withdrawn if nothing of it has gone, and given up at the worker otherwise.
-    pub fn drop_shot(&mut self, tag: Tag, shot: usize) {
+    pub fn drop_shot(&mut self, tag: RequestId, shot: usize) {
         let Some(key) = self.desk.what(tag).and_then(|a| a.at.get(shot).copied()) else { return };
         let Some(link) = self.links.get_mut(key) else { return };
         let waited = link.waiting.len();
@@ -392,7 +392,7 @@
         }
     }
 
-    fn make_shot(&mut self, out: &mut Vec<u8>, tag: Tag, shot: usize, now: f64) -> Option<(u64, Sent)> {
+    fn make_shot(&mut self, out: &mut Vec<u8>, tag: RequestId, shot: usize, now: f64) -> Option<(u64, Sent)> {
         let left = self.desk.left_for(now, tag, shot)?;
         if !self.desk.begin(now, tag, shot) {
             return None;
@@ -464,7 +464,7 @@
                 if tracing::enabled!(tracing::Level::DEBUG) {
                     self.log_answer(worker, tag, &answer, now);
                 }
-                let end = End {
+                let end = AttemptResult {
                     outcome: answer.outcome,
                     found: None,
                     company: answer.company,
@@ -482,7 +482,7 @@
     }
 
     /// Where the time of an answer went.
-    fn log_answer(&mut self, worker: usize, tag: Tag, answer: &frames::Answer<'_>, now: f64) {
+    fn log_answer(&mut self, worker: usize, tag: RequestId, answer: &frames::Answer<'_>, now: f64) {
         let function = self.desk.function(tag);
         let Some(asker) = self.desk.what(tag) else { return };
         let (function, shots) = (function.as_deref().unwrap_or_default(), asker.at.len());
@@ -518,7 +518,7 @@
         let now = self.now();
         match what {
             Sent::Shot(tag, shot) => {
-                self.desk.end(now, tag, shot, End::plain(outcome));
+                self.desk.end(now, tag, shot, AttemptResult::plain(outcome));
             }
             Sent::Order(order) => self.desk.order_ended(now, order, outcome, 0),
             Sent::Probe(serial) => self.desk.probed(now, worker, serial, outcome, None),
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -6,7 +6,7 @@
 use crate::leave::Leave;
 use crate::link::Link;
 use crate::room::{Holds, Room};
-use milletpath_dispatcher::desk::{Act, Desk, Tag};
+use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
 use milletpath_platform_protocol::lines;
 use milletpath_platform_protocol::told::{self, Told};
 use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
@@ -50,7 +50,7 @@
 
 pub struct Station {
     pub me: Weak<RefCell<Station>>,
-    pub desk: Desk<Asker>,
+    pub desk: Dispatcher<Asker>,
     pub profiles: Vec<String>,
     pub groups: Vec<String>,
     pub clients: Slab<Client>,
@@ -83,7 +83,7 @@
         let begun = Instant::now();
         let house = &told.house;
         let patience = house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max);
-        let mut desk = Desk::new(house, epoch);
+        let mut desk = Dispatcher::new(house, epoch);
         for (whole, entries) in &told.lists {
             desk.list(0.0, *whole, entries);
         }
@@ -141,23 +141,25 @@
     fn carry_out_acts(&mut self) {
         while let Some(act) = self.desk.act() {
             match act {
-                Act::Shoot { tag, shot, worker } => self.shoot(tag, shot, worker),
-                Act::Drop { tag, shot } => self.drop_shot(tag, shot),
-                Act::Bounce { tag, come_back } => {
+                Action::Shoot { tag, shot, worker } => self.shoot(tag, shot, worker),
+                Action::Drop { tag, shot } => self.drop_shot(tag, shot),
+                Action::Bounce { tag, come_back } => {
                     self.answer(tag, |out, number| lines::bounced(out, number, come_back));
                 }
-                Act::Terminate { tag, .. } => self.answer(tag, lines::terminated),
-                Act::Hold { order, worker, function, copies } => self.hold(order, worker, function, copies),
-                Act::Unload { worker, function } => self.unload(worker, &function),
-                Act::Probe { worker, serial } => self.probe(worker, serial),
+                Action::Terminate { tag, .. } => self.answer(tag, lines::terminated),
+                Action::Hold { order, worker, function, copies } => {
+                    self.hold(order, worker, function, copies)
+                }
+                Action::Unload { worker, function } => self.unload(worker, &function),
+                Action::Probe { worker, serial } => self.probe(worker, serial),
                 // The bulletin is followed in any case.
-                Act::Follow => {}
+                Action::Follow => {}
             }
         }
     }
 
     /// Gives the client its final answer.
-    pub fn answer(&mut self, tag: Tag, write: impl FnOnce(&mut Vec<u8>, u64)) {
+    pub fn answer(&mut self, tag: RequestId, write: impl FnOnce(&mut Vec<u8>, u64)) {
         let Some(asker) = self.desk.what(tag) else { return };
         let ((key, serial), number) = (asker.client, asker.number);
         self.ids.remove(&asker.id);
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/station/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use milletpath_dispatcher::desk::{Come, End};
+use milletpath_dispatcher::dispatcher::{AttemptResult, IncomingRequest};
 use milletpath_policy::host::Outcome;
 use test_case::test_case;
 
@@ -39,8 +39,8 @@
 }
 
 /// A call of a client who waits for two seconds and of whom nothing more is known.
-pub fn arrive(s: &mut Station, id: u64) -> Tag {
-    let come = Come {
+pub fn arrive(s: &mut Station, id: u64) -> RequestId {
+    let come = IncomingRequest {
         function: "00000000000000ff",
         profile: 0,
         client: 0,
@@ -76,7 +76,7 @@
     let tag = arrive(&mut s, 7);
     assert!(s.desk.begin(begun, tag, 0));
     if answered {
-        assert!(s.desk.end(begun + 0.1, tag, 0, End::plain(Outcome::Handled)));
+        assert!(s.desk.end(begun + 0.1, tag, 0, AttemptResult::plain(Outcome::Handled)));
     }
     let (mut turns, mut ended) = (0, begun);
     while let Some(next) = s.desk.next() {
@@ -88,7 +88,7 @@
         }
         s.desk.turn(next);
         while let Some(act) = s.desk.act() {
-            assert!(!matches!(act, Act::Probe { .. } | Act::Hold { .. }));
+            assert!(!matches!(act, Action::Probe { .. } | Action::Hold { .. }));
         }
     }
     assert_eq!(s.desk.open(), 0);
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -5,7 +5,7 @@
 use crate::charter;
 use crate::plan::{self, Core, Plan};
 use crate::wire::{Change, Event, Following, Low, Order, Places, Reading, Told};
-use milletpath_config::{House, Source};
+use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_gateway::hollow::{Hear, Heed, Hollow, clock};
 use milletpath_membership::Event as Seen;
 use milletpath_protocol::registry::{Entry, Standing};
@@ -138,7 +138,7 @@
             drop(out);
             said
         }
-        Order::End { gateways, killed } => {
+        Order::AttemptResult { gateways, killed } => {
             let mut ended: Vec<(usize, Hollow)> = Vec::new();
             {
                 let mut there = lock(&place.gateways);
@@ -216,12 +216,12 @@
 
 /// What a hollow gateway goes by: the charter of a real one, read by the same reader, with its workers handed
 /// in.
-fn house(plan: &Plan, gateway: usize, places: &Places) -> io::Result<House> {
+fn house(plan: &Plan, gateway: usize, places: &Places) -> io::Result<GatewayConfig> {
     let none = SocketAddr::from(([127, 0, 0, 1], 9));
     let text = charter::text(plan, gateway, places, &[none]);
     let mistakes = |m: Vec<_>| io::Error::other(format!("a charter can't be read: {m:?}"));
     let mut house = milletpath_config::read(&text).map_err(mistakes)?;
-    house.source = Source::List(Vec::new());
+    house.source = WorkerSource::List(Vec::new());
     Ok(house)
 }
 
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -3,7 +3,7 @@
 //! `docs/operators/scale.md`.
 
 use hcl_edit::parser::parse_body;
-use milletpath_config::page::{Mistake, Page, Section};
+use milletpath_config::page::{ConfigError, Page, Section};
 use milletpath_protocol::is_name;
 
 /// A whole plan. Times in seconds.
@@ -213,7 +213,7 @@
 
 /// Reads a plan, for another number of gateways where one is given; the error holds every mistake, in its
 /// order.
-pub fn read(text: &str, gateways: Option<usize>) -> Result<Plan, Vec<Mistake>> {
+pub fn read(text: &str, gateways: Option<usize>) -> Result<Plan, Vec<ConfigError>> {
     let page = Page::new(text);
     let body = match parse_body(text) {
         Ok(body) => body,
@@ -221,7 +221,7 @@
             let (line, column) = (e.location().line(), e.location().column());
             let wrong = format!("no HCL here: {}", e.message());
             let remedy = "mend the line and start again".to_owned();
-            return Err(vec![Mistake { line, column, wrong, remedy }]);
+            return Err(vec![ConfigError { line, column, wrong, remedy }]);
         }
     };
     let mut top = Section::whole(&page, &body);
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -2,7 +2,7 @@
 //! Who is there is known to all; that a part of them may not be known is played by `milletpath-membership` and in processes.
 
 use crate::town::{Next, Town, WAY};
-use milletpath_config::House;
+use milletpath_config::GatewayConfig;
 use milletpath_gateway::sharing::Sharing;
 use milletpath_membership::Parts;
 use rand::{Rng, SeedableRng};
@@ -24,7 +24,7 @@
 }
 
 impl Links {
-    pub fn new(houses: &[House], seed: u64) -> Self {
+    pub fn new(houses: &[GatewayConfig], seed: u64) -> Self {
         /// Seconds for which words count as proof: the usual.
         const LEASE: f64 = 3.0;
         let sharing = houses.iter().enumerate().map(|(n, house)| Sharing::new(house, life(n), LEASE, 0.0));
@@ -71,7 +71,7 @@
         let next = links.sharing[gateway].next().clamp(self.now + 0.001, self.now + LOOK);
         if next < links.armed[gateway] {
             links.armed[gateway] = next;
-            self.put(next, Next::Share(gateway));
+            self.put(next, Next::QuotaFraction(gateway));
         }
     }
 }
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -4,8 +4,10 @@
 use crate::clients::Call;
 use crate::links::Links;
 use crate::workers::Worker;
-use milletpath_config::House;
-use milletpath_dispatcher::desk::{Act, Come, Desk, End, Tag, Tally};
+use milletpath_config::GatewayConfig;
+use milletpath_dispatcher::dispatcher::{
+    Action, AttemptResult, Dispatcher, IncomingRequest, RequestId, Tally,
+};
 use milletpath_emulator::clients::weights;
 use milletpath_emulator::day;
 use milletpath_emulator::engine::{Engine, Figures};
@@ -50,20 +52,20 @@
     Answered(usize, u32, usize, Ended),
     Leaves(usize, u32, usize),
     /// Something is due at a desk; at an engine, of that process.
-    Desk(usize),
+    Dispatcher(usize),
     Engine(usize, u64),
     Fetched(usize, u64, u64, bool),
     /// A shot, an order, a probe comes in at a worker's process.
     Shot {
         gateway: usize,
-        tag: Tag,
+        tag: RequestId,
         shot: usize,
         worker: usize,
         process: u64,
     },
     Order {
         gateway: usize,
-        order: Tag,
+        order: RequestId,
         worker: usize,
         process: u64,
         function: u32,
@@ -78,13 +80,13 @@
     /// What comes back of them.
     Ended {
         gateway: usize,
-        tag: Tag,
+        tag: RequestId,
         shot: usize,
-        end: End,
+        end: AttemptResult,
     },
     Ordered {
         gateway: usize,
-        order: Tag,
+        order: RequestId,
         outcome: Outcome,
         copies: u8,
     },
@@ -96,7 +98,7 @@
         report: Option<Report>,
     },
     /// Something is due of what a gateway shares; a note of another comes.
-    Share(usize),
+    QuotaFraction(usize),
     Note(usize, u64, Vec<u8>),
     List(Vec<Entry>),
     /// A trouble begins, goes on to its next step, ends.
@@ -129,14 +131,14 @@
 pub(crate) type Kept = (usize, u32);
 
 /// Called ten times a second with all desks and what the workers hold, by whoever plays: to tell the desks things.
-pub type Look<'l> = Box<dyn FnMut(f64, &mut [Desk<(usize, u32)>], &[Figures]) + 'l>;
+pub type Look<'l> = Box<dyn FnMut(f64, &mut [Dispatcher<(usize, u32)>], &[Figures]) + 'l>;
 
 pub struct Town<'l> {
     pub(crate) day: Day,
     pub(crate) now: f64,
     queue: BinaryHeap<Due>,
     count: u64,
-    pub(crate) desks: Vec<Desk<Kept>>,
+    pub(crate) desks: Vec<Dispatcher<Kept>>,
     armed: Vec<f64>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) entries: Vec<Entry>,
@@ -168,13 +170,13 @@
 impl Town<'_> {
     fn new(day: &Day, seed: u64) -> Self {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let house = |gateway: usize| -> House {
+        let house = |gateway: usize| -> GatewayConfig {
             let text =
                 day::charter(day, gateway, any, SocketAddr::from((Ipv4Addr::LOCALHOST, 1)), None, seed);
             milletpath_config::read(&text).unwrap_or_else(|m| panic!("a day's charter: {m:?}"))
         };
-        let houses: Vec<House> = (0..day.gateways).map(house).collect();
-        let desks: Vec<Desk<Kept>> = houses.iter().map(|house| Desk::new(house, 0.0)).collect();
+        let houses: Vec<GatewayConfig> = (0..day.gateways).map(house).collect();
+        let desks: Vec<Dispatcher<Kept>> = houses.iter().map(|house| Dispatcher::new(house, 0.0)).collect();
         let links = day.sharing.then(|| Links::new(&houses, seed));
         let entries: Vec<Entry> =
             (0..day.workers).map(|w| Entry { address: place(w, 0), ..day::entry(w, None) }).collect();
@@ -215,7 +217,7 @@
             town.put(trouble.at, Next::Begins(number));
         }
         for gateway in (0..day.gateways).filter(|_| day.sharing) {
-            town.put(0.0, Next::Share(gateway));
+            town.put(0.0, Next::QuotaFraction(gateway));
         }
         town.put(0.0, Next::Look);
         town
@@ -245,7 +247,7 @@
         }
         let day = &self.day;
         let mut tally = Tally::default();
-        for t in self.desks.iter().map(Desk::tally) {
+        for t in self.desks.iter().map(Dispatcher::tally) {
             tally.shots += t.shots;
             tally.orders += t.orders;
             tally.probes += t.probes;
@@ -269,11 +271,11 @@
             Next::Arrive(call, attempt, gateway) => self.arrive(call, attempt, gateway),
             Next::Answered(call, attempt, gateway, how) => self.answered(call, attempt, gateway, how),
             Next::Leaves(call, attempt, gateway) => self.leaves(call, attempt, gateway),
-            Next::Desk(gateway) if self.armed[gateway] <= now => {
+            Next::Dispatcher(gateway) if self.armed[gateway] <= now => {
                 self.armed[gateway] = f64::INFINITY;
                 self.at_desk(gateway, |_, _| ());
             }
-            Next::Desk(_) => {}
+            Next::Dispatcher(_) => {}
             Next::Engine(worker, process) if self.workers[worker].armed <= now => {
                 self.at_engine(worker, process, Engine::turn);
             }
@@ -304,7 +306,7 @@
             Next::Probed { gateway, worker, serial, outcome, report } => {
                 self.at_desk(gateway, |desk, now| desk.probed(now, worker, serial, outcome, report));
             }
-            Next::Share(gateway) => self.share(gateway),
+            Next::QuotaFraction(gateway) => self.share(gateway),
             Next::Note(gateway, life, note) => self.noted(gateway, life, &note),
             Next::List(entries) => {
                 for gateway in 0..self.desks.len() {
@@ -329,7 +331,11 @@
     }
 
     /// Tells a desk something, after all that is due there, and does what follows.
-    pub(crate) fn at_desk<R>(&mut self, gateway: usize, what: impl FnOnce(&mut Desk<Kept>, f64) -> R) -> R {
+    pub(crate) fn at_desk<R>(
+        &mut self,
+        gateway: usize,
+        what: impl FnOnce(&mut Dispatcher<Kept>, f64) -> R,
+    ) -> R {
         let now = self.now;
         if self.desks[gateway].next().is_some_and(|due| due <= now) {
             self.desks[gateway].turn(now);
@@ -344,15 +350,15 @@
         let now = self.now;
         while let Some(act) = self.desks[gateway].act() {
             match act {
-                Act::Shoot { tag, shot, worker } => {
+                Action::Shoot { tag, shot, worker } => {
                     let process = self.workers[worker].process;
                     if self.desks[gateway].begin(now, tag, shot) {
                         self.put(now + WAY, Next::Shot { gateway, tag, shot, worker, process });
                     }
                 }
-                Act::Bounce { tag, .. } => self.own_answer(gateway, tag, Ended::Bounced),
-                Act::Terminate { tag, .. } => self.own_answer(gateway, tag, Ended::Terminated),
-                Act::Hold { order, worker, function, copies } => {
+                Action::Bounce { tag, .. } => self.own_answer(gateway, tag, Ended::Bounced),
+                Action::Terminate { tag, .. } => self.own_answer(gateway, tag, Ended::Terminated),
+                Action::Hold { order, worker, function, copies } => {
                     let process = self.workers[worker].process;
                     let function = self.function(&function);
                     if self.desks[gateway].begin_order(now, order) {
@@ -360,20 +366,20 @@
                         self.put(now + WAY, next);
                     }
                 }
-                Act::Probe { worker, serial } => {
+                Action::Probe { worker, serial } => {
                     let process = self.workers[worker].process;
                     self.put(now + WAY, Next::Probe { gateway, worker, process, serial });
                 }
-                Act::Unload { .. } | Act::Drop { .. } | Act::Follow => {}
+                Action::Unload { .. } | Action::Drop { .. } | Action::Follow => {}
             }
         }
         if let Some(next) = self.desks[gateway].next().filter(|next| *next < self.armed[gateway]) {
             self.armed[gateway] = next;
-            self.put(next.max(now), Next::Desk(gateway));
+            self.put(next.max(now), Next::Dispatcher(gateway));
         }
     }
 
-    fn own_answer(&mut self, gateway: usize, tag: Tag, how: Ended) {
+    fn own_answer(&mut self, gateway: usize, tag: RequestId, how: Ended) {
         if let Some((call, attempt)) = self.desks[gateway].what(tag).copied() {
             self.put(self.now + WAY, Next::Answered(call, attempt, gateway, how));
         }
@@ -382,7 +388,7 @@
     fn arrive(&mut self, call: usize, attempt: u32, gateway: usize) {
         let patience = self.patience(call, attempt);
         let planned = self.calls[call].planned.clone();
-        let come = Come {
+        let come = IncomingRequest {
             function: &planned.function,
             profile: planned.profile,
             client: planned.group,
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -1,7 +1,7 @@
 //! Workers in simulated time: the stand-ins' engines, and the troubles that befall them.
 
 use crate::town::{Next, Town, WAY, place};
-use milletpath_dispatcher::desk::{End, Tag};
+use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
 use milletpath_emulator::day;
 use milletpath_emulator::engine::{Engine, Figures, Job, Make, Say};
 use milletpath_emulator::script::What;
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy)]
 struct Held {
     gateway: usize,
-    tag: Tag,
+    tag: RequestId,
     shot: usize,
     call: usize,
 }
@@ -28,7 +28,7 @@
     pub process: u64,
     alive: bool,
     jobs: BTreeMap<u64, Held>,
-    orders: BTreeMap<u64, (usize, Tag)>,
+    orders: BTreeMap<u64, (usize, RequestId)>,
     /// Part of its shots that it fails at once.
     fails: f64,
     pub armed: f64,
@@ -72,20 +72,20 @@
         self.workers[worker].alive && self.workers[worker].process == process
     }
 
-    fn back(&mut self, gateway: usize, tag: Tag, shot: usize, end: End) {
+    fn back(&mut self, gateway: usize, tag: RequestId, shot: usize, end: AttemptResult) {
         self.put(self.now + WAY, Next::Ended { gateway, tag, shot, end });
     }
 
-    pub(crate) fn shot(&mut self, gateway: usize, tag: Tag, shot: usize, worker: usize, process: u64) {
+    pub(crate) fn shot(&mut self, gateway: usize, tag: RequestId, shot: usize, worker: usize, process: u64) {
         let Some((call, attempt)) = self.desks[gateway].what(tag).copied() else { return };
         if !self.reached(worker, process) {
-            return self.back(gateway, tag, shot, End::plain(Outcome::Unreached));
+            return self.back(gateway, tag, shot, AttemptResult::plain(Outcome::Unreached));
         }
         let planned = self.calls[call].planned.clone();
         self.note(Saw::Came { call: call as u64, attempt, gateway, worker, work: planned.work });
         let fails = self.workers[worker].fails;
         if fails > 0.0 && self.chance.random_bool(fails) {
-            return self.back(gateway, tag, shot, End::plain(Outcome::Failed));
+            return self.back(gateway, tag, shot, AttemptResult::plain(Outcome::Failed));
         }
         let function = self.function(&planned.function);
         let job = Job { function, pack: self.day.pack, work: planned.work, io: planned.io };
@@ -97,7 +97,7 @@
     pub(crate) fn order(
         &mut self,
         gateway: usize,
-        order: Tag,
+        order: RequestId,
         worker: usize,
         process: u64,
         function: u32,
@@ -151,16 +151,19 @@
                 Say::Done { job, found: word, company } => {
                     self.warm.0 += u64::from(word == wire::Found::Loaded);
                     self.warm.1 += 1;
-                    let end = End {
+                    let end = AttemptResult {
                         found: Some(found(word)),
                         company: company.into(),
-                        ..End::plain(Outcome::Handled)
+                        ..AttemptResult::plain(Outcome::Handled)
                     };
                     self.says(worker, job, end);
                 }
                 Say::Refused { job, why, failed_load } => {
                     let outcome = if why == wire::Refused::Missing { Outcome::Missed } else { Outcome::Full };
-                    let end = End { found: failed_load.then_some(Found::LoadFailed), ..End::plain(outcome) };
+                    let end = AttemptResult {
+                        found: failed_load.then_some(Found::LoadFailed),
+                        ..AttemptResult::plain(outcome)
+                    };
                     self.says(worker, job, end);
                 }
                 Say::Fetch { load, seconds, .. } => {
@@ -190,9 +193,9 @@
     }
 
     /// A shot's answer goes out, with the worker's report.
-    fn says(&mut self, worker: usize, job: u64, end: End) {
+    fn says(&mut self, worker: usize, job: u64, end: AttemptResult) {
         let Some(Held { gateway, tag, shot, .. }) = self.workers[worker].jobs.remove(&job) else { return };
-        let end = End { report: Some(report(self.workers[worker].engine.figures())), ..end };
+        let end = AttemptResult { report: Some(report(self.workers[worker].engine.figures())), ..end };
         self.back(gateway, tag, shot, end);
     }
 
@@ -201,7 +204,7 @@
         self.workers[worker].alive = false;
         let jobs = std::mem::take(&mut self.workers[worker].jobs);
         for Held { gateway, tag, shot, .. } in jobs.into_values() {
-            self.back(gateway, tag, shot, End::plain(Outcome::Cut));
+            self.back(gateway, tag, shot, AttemptResult::plain(Outcome::Cut));
         }
         let orders = std::mem::take(&mut self.workers[worker].orders);
         for (gateway, order) in orders.into_values() {
