--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -5,6 +5,7 @@
 
 use crate::interner::Interner;
 use crate::load_rate_limit::LoadRateLimit;
+use crate::start_times::StartTimes;
 use crate::timer_wheel::{TimerKey, TimerWheel};
 use crate::worker_table::WorkerTable;
 use milletpath_config::{
@@ -352,19 +353,23 @@
 }
 
 impl<T> Dispatcher<T> {
-    /// A desk whose clock begins at 0 and stands for `epoch` seconds of the Unix clock.
+    /// A desk whose clock begins at 0, when the Unix time is `epoch`; see [`Self::wall_clock_read`] for later readings.
     pub fn new(house: &GatewayConfig, epoch: f64) -> Self {
-        Self::from(house, epoch, 0.0, 0, 0)
+        // By then every shot, order and probe for one that is gone has ended, and is booked.
+        let longest = house.profiles.iter().map(|p| p.cut_off).fold(house.policy.order_wait, f64::max);
+        let forget = 2.0 * (longest + house.bounds.probe);
+        let roll = WorkerTable::new(&house.kinds, house.policy.seed, StartTimes::new(epoch), 0, forget);
+        Self::from(house, roll, 0.0, 0)
     }
 
-    /// Takes the place of itself after it broke, empty of all but its counts; `epoch` and the clock go on. What the
+    /// Takes the place of itself after it broke, empty of all but its counts; the clock goes on. What the
     /// other still had open is given out, and whether something of it may have run: it is owed an answer.
     ///
     /// The account of the ration goes on as well: orders that were sent still count.
-    pub fn begin_anew(&mut self, house: &GatewayConfig, epoch: f64, now: f64) -> Vec<(T, bool)> {
-        let (serial, life) = (self.books.serial, self.books.roll.life());
+    pub fn begin_anew(&mut self, house: &GatewayConfig, now: f64) -> Vec<(T, bool)> {
+        let roll = self.books.roll.successor(house.policy.seed);
         // Past any number that was given out amid what broke.
-        let desk = Self::from(house, epoch, now, serial + 1, life + 1);
+        let desk = Self::from(house, roll, now, self.books.serial + 1);
         let former = std::mem::replace(self, desk);
         let Self { books, share, allotted, hands, functions, .. } = former;
         let DispatcherState { calls, mut tally, ration, meters, .. } = books;
@@ -384,11 +389,7 @@
         open
     }
 
-    fn from(house: &GatewayConfig, epoch: f64, now: f64, serial: u64, life: u64) -> Self {
-        let seed = house.policy.seed;
-        // By then every shot, order and probe for one that is gone has ended, and is booked.
-        let longest = house.profiles.iter().map(|p| p.cut_off).fold(house.policy.order_wait, f64::max);
-        let forget = 2.0 * (longest + house.bounds.probe);
+    fn from(house: &GatewayConfig, roll: WorkerTable, now: f64, serial: u64) -> Self {
         let mut books = DispatcherState {
             now,
             acts: VecDeque::new(),
@@ -400,8 +401,8 @@
             orders: Vec::new(),
             free_orders: Vec::new(),
             probes: Vec::new(),
-            functions: Interner::new(seed),
-            roll: WorkerTable::new(&house.kinds, seed, epoch, life, forget),
+            functions: Interner::new(house.policy.seed),
+            roll,
             wheel: TimerWheel::default(),
             serial,
             bounds: house.bounds.clone(),
@@ -520,6 +521,17 @@
         self.books.roll.address(worker)
     }
 
+    /// The wall clock was read. It may have been stepped since the last time; it counts for nothing but stamps of
+    /// processes that are first reported from here on.
+    pub fn wall_clock_read(&mut self, now: f64, unix_time: f64) {
+        self.books.roll.start_times.wall_clock_read(now, unix_time);
+    }
+
+    /// Every change of the worker list until now has been passed on: what is reported later was not listed before.
+    pub fn list_confirmed(&mut self, now: f64) {
+        self.books.roll.start_times.list_confirmed(now);
+    }
+
     /// Passes on one edition of the worker list.
     pub fn list(&mut self, now: f64, whole: bool, entries: &[Entry]) {
         self.books.now = now;
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -2,8 +2,10 @@
 //! says is passed on to the decisions; what must be known at the moment of sending is kept here.
 
 use crate::interner::Interner;
+use crate::start_times::{StartTimes, is_another_process};
 use milletpath_policy::host::{Listing, State};
 use milletpath_protocol::registry::{Entry, Standing};
+use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,6 +13,13 @@
 /// Workers that may be known at a time; a list that goes on inventing names is not followed further.
 const MOST: usize = 65_536;
 
+/// When a process started: the stamp of the list, and what it makes on the monotonic clock.
+#[derive(Clone, Copy, Default)]
+struct Start {
+    stamp: Option<f64>,
+    at: Option<f64>,
+}
+
 pub struct WorkerTable {
     names: Interner,
     zones: Interner,
@@ -19,14 +28,15 @@
     address: Vec<SocketAddr>,
     /// Counts the processes that were seen under the name.
     process: Vec<u64>,
-    started: Vec<Option<f64>>,
+    start: Vec<Start>,
     state: Vec<State>,
     /// Since when each is gone.
     gone: Vec<f64>,
     /// Seconds after which nothing of one that is gone can be out any more: its index is given to another.
     forget: f64,
-    /// The Unix time at which the desk's clock began.
-    epoch: f64,
+    pub start_times: StartTimes,
+    /// The starts that the roll before this one knew, by name, until the list has been taken once.
+    inherited: BTreeMap<Arc<str>, Start>,
     edition: u64,
     /// Counts the desks before this one; part of each process's number, so that no connection made for a worker of
     /// one desk is taken for another's.
@@ -34,7 +44,7 @@
 }
 
 impl WorkerTable {
-    pub fn new(kinds: &[String], seed: u64, epoch: f64, life: u64, forget: f64) -> Self {
+    pub fn new(kinds: &[String], seed: u64, start_times: StartTimes, life: u64, forget: f64) -> Self {
         Self {
             names: Interner::new(seed),
             zones: Interner::new(seed),
@@ -42,16 +52,26 @@
             kinds: kinds.to_vec(),
             address: Vec::new(),
             process: Vec::new(),
-            started: Vec::new(),
+            start: Vec::new(),
             state: Vec::new(),
             gone: Vec::new(),
             forget,
-            epoch,
+            start_times,
+            inherited: BTreeMap::new(),
             edition: 0,
             life,
         }
     }
 
+    /// An empty one that takes this one's place. It keeps what is known of when processes started: their stamps would
+    /// be judged anew by a clock that may have been stepped since.
+    pub fn successor(&self, seed: u64) -> Self {
+        let listed = self.listed().into_iter();
+        let inherited = listed.map(|(worker, name)| (name, self.start[worker])).collect();
+        let life = self.life + 1;
+        Self { inherited, ..Self::new(&self.kinds, seed, self.start_times.clone(), life, self.forget) }
+    }
+
     /// Lists taken so far.
     pub fn edition(&self) -> u64 {
         self.edition
@@ -96,23 +116,21 @@
                 continue;
             }
             let worker = self.names.take(&entry.name);
-            let started = entry.started.map(|at| at - self.epoch);
-            let started = if new && worker < self.state.len() {
+            if new && worker < self.state.len() {
                 // An index used again: another process, that shares nothing with the one before.
                 self.process[worker] += 1;
                 self.gone[worker] = f64::INFINITY;
-                (self.address[worker], self.started[worker]) = (entry.address, started);
-                started
+                self.address[worker] = entry.address;
+                self.start[worker] = self.first_start(now, entry);
             } else if new {
                 self.gone.push(f64::INFINITY);
                 self.address.push(entry.address);
                 self.process.push(self.life << 32 | 1);
-                self.started.push(started);
+                self.start.push(self.first_start(now, entry));
                 self.state.push(State::Gone);
-                started
             } else {
-                self.change(now, worker, entry.address, started)
-            };
+                self.change(now, worker, entry);
+            }
             let state = match entry.state {
                 Standing::Ready => State::Ready,
                 Standing::Draining => State::Draining,
@@ -126,7 +144,7 @@
             tell(Listing {
                 worker,
                 name: xxh3_64(entry.name.as_bytes()),
-                started,
+                started: self.start[worker].at,
                 size: entry.size,
                 kind: self.kinds.iter().position(|k| *k == entry.kind).unwrap_or(usize::MAX),
                 zone: part(&mut self.zones, &entry.zone),
@@ -134,6 +152,7 @@
                 state: self.state[worker],
             });
         }
+        self.inherited.clear();
     }
 
     fn enter(&mut self, now: f64, worker: usize, state: State) {
@@ -156,16 +175,34 @@
         }
     }
 
-    /// A line for a worker that is known. Another address or a later start is another process, cold and empty;
-    /// one whose start nobody tells started now at the latest.
-    fn change(&mut self, now: f64, worker: usize, address: SocketAddr, started: Option<f64>) -> Option<f64> {
-        let moved = self.address[worker] != address;
-        let later = started.is_some_and(|at| self.started[worker].is_none_or(|before| at > before));
-        if moved || later {
-            self.process[worker] += 1;
-            self.address[worker] = address;
-            self.started[worker] = if later { started } else { Some(now) };
+    /// The start of a worker whose name is new here.
+    fn first_start(&self, now: f64, entry: &Entry) -> Start {
+        let inherited = self.inherited.get(entry.name.as_str());
+        inherited.filter(|start| !is_another_process(entry.started, start.stamp)).copied().unwrap_or_else(
+            || {
+                let at = entry.started.map(|stamp| self.start_times.started(now, stamp, None));
+                Start { stamp: entry.started, at }
+            },
+        )
+    }
+
+    /// A line for a worker that is known. Another address or another stamp is another process, cold and empty; one
+    /// whose start nobody tells started now at the latest.
+    fn change(&mut self, now: f64, worker: usize, entry: &Entry) {
+        let before = self.start[worker];
+        let another = is_another_process(entry.started, before.stamp);
+        if !another && self.address[worker] == entry.address {
+            return;
         }
-        self.started[worker]
+        self.process[worker] += 1;
+        self.address[worker] = entry.address;
+        let stamp = entry.started.filter(|_| another);
+        let at = stamp.map_or(now, |stamp| self.start_times.started(now, stamp, before.at));
+        // The decisions tell processes apart by their starts.
+        let at = before.at.map_or(at, |before| at.max(before.next_up()));
+        self.start[worker] = Start { stamp: entry.started, at: Some(at) };
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/tests/dispatcher/figures.rs
+++ b/crates/dispatcher/tests/dispatcher/figures.rs
@@ -54,7 +54,7 @@
     let mut desk = desk(EFFECTS[0], PROBELESS, 1);
     amend(&mut desk, &house, "function f", Some("function \"f\" { lanes = 3 }"));
     amend(&mut desk, &house, "functions", Some("functions { memory = 77 }"));
-    desk.begin_anew(&house, 1000.0, 5.0);
+    desk.begin_anew(&house, 5.0);
     let of = FunctionConfig { lanes: 3.0, memory: 77.0, load: None, profile: None };
     assert_eq!((desk.figures("f"), desk.figures("g")), (of, FunctionConfig { lanes: 1.0, ..of }));
     desk.list(5.0, true, &[entry(0, Standing::Ready, None)]);
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -54,6 +54,10 @@
             };
             tracing::info!(edition, whole, lines = entries.len(), "worker list");
             // Also past a gap: what is said of these workers is true, and may be that one drains.
+            if last.is_some() && !gap {
+                // The stream stood since the edition before, and would have told of anybody who was listed earlier.
+                gateway.tell(|desk, now| desk.list_confirmed(now));
+            }
             gateway.office.list(Some(gateway.seat), whole, &entries);
             gateway.collect();
             if gap && !asked_anew {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod control_client;
 pub mod hollow;
+pub mod wall_clock;
 
 mod answer;
 mod changing;
--- a/crates/gateway/src/office.rs
+++ b/crates/gateway/src/office.rs
@@ -5,6 +5,7 @@
 use crate::answer::Own;
 use crate::line::Line;
 use crate::pool::{Room, Way};
+use crate::wall_clock::unix_time;
 use milletpath_config::{FunctionConfig, GatewayConfig};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId, Tally};
 use milletpath_multicore::budget::Budget;
@@ -12,10 +13,11 @@
 use milletpath_multicore::pulse::Pulse;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
+use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::Instant;
 use tokio::sync::Notify;
 
 /// Where the shell keeps the rest of a call.
@@ -147,8 +149,6 @@
 
 pub struct Office {
     began: Instant,
-    /// The Unix time at which that was.
-    epoch: f64,
     pub house: GatewayConfig,
     inside: Mutex<Inside>,
     /// One for each core, and the last for the keeper.
@@ -174,15 +174,13 @@
 
 impl Office {
     pub fn new(house: GatewayConfig) -> Arc<Self> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let cores = house.bounds.cores.clamp(1, MOST_CORES);
         // A call has few letters at a time: its shots, their ends and its answer; the rest is for orders and probes.
         let letters = house.bounds.open.saturating_mul(8).saturating_add(1 << 16);
         Arc::new(Self {
             began: Instant::now(),
-            epoch: unix.as_secs_f64(),
             inside: Mutex::new(Inside {
-                desk: Dispatcher::new(&house, unix.as_secs_f64()),
+                desk: Dispatcher::new(&house, unix_time()),
                 list: BTreeMap::new(),
                 armed: f64::INFINITY,
             }),
@@ -197,7 +195,7 @@
             fewer: Notify::new(),
             numbers: AtomicU64::new(0),
             rooms: Mutex::default(),
-            life: unix.subsec_nanos() ^ std::process::id().rotate_left(16) ^ unix.as_secs() as u32,
+            life: RandomState::new().hash_one(std::process::id()) as u32,
             house,
         })
     }
@@ -232,7 +230,7 @@
 
     fn begin_anew(&self, inside: &mut Inside) {
         let now = self.now();
-        let open = inside.desk.begin_anew(&self.house, self.epoch, now);
+        let open = inside.desk.begin_anew(&self.house, now);
         self.broken.fetch_add(1, Ordering::Relaxed);
         tracing::error!(
             calls = open.len(),
@@ -376,7 +374,10 @@
                 }
             }
         }
-        self.tell(seat, |desk, now| desk.list(now, whole, entries));
+        self.tell(seat, |desk, now| {
+            desk.wall_clock_read(now, unix_time());
+            desk.list(now, whole, entries);
+        });
     }
 
     /// Ends the calls of a core that is lost; gives their lines, and whether something of them may have run.
--- /dev/null
+++ b/crates/gateway/src/wall_clock.rs
@@ -0,0 +1,13 @@
+//! The one place where the wall clock is read.
+//!
+//! It may be stepped at any time, by seconds or by an hour, so it measures nothing here: every deadline, window, wait
+//! and grace is a span of the monotonic clock. It serves only to place stamps that the clocks of others made, and
+//! [`crate::start_times`] bounds what such a stamp may claim.
+
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Seconds since the Unix epoch by the wall clock; 0 where it is set to before that.
+#[expect(clippy::disallowed_methods, reason = "the one place where the wall clock is read")]
+pub fn unix_time() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+}
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -4,6 +4,7 @@
 mod town;
 
 use milletpath_gateway::Stir;
+use milletpath_gateway::wall_clock::unix_time;
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
@@ -177,7 +178,7 @@
         pause(0.2).await;
         let clients: Vec<_> = (0..16).map(|_| spawn_local(calls(at, 20_000))).collect();
         pause(2.0).await;
-        let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs_f64();
+        let now = unix_time();
         let list = edition(2, &[(warm, "ready"), (cold, "ready")]);
         // It started this moment.
         let started = format!("{{\"name\": \"w1\", \"started\": {now:.3},");
--- a/crates/platform-router/src/bulletin.rs
+++ b/crates/platform-router/src/bulletin.rs
@@ -2,6 +2,7 @@
 //! a silence longer than its heartbeat explains leads to asking again for all after the last event.
 
 use crate::station::Shared;
+use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::events::{self, Line};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -81,10 +82,17 @@
                     *last = number;
                     let mut s = station.borrow_mut();
                     let now = s.now();
+                    s.desk.wall_clock_read(now, unix_time());
                     s.desk.list(now, whole, &entries);
                     s.carry_out();
                 }
-                Ok(Line::Last(number)) if number <= *last => {}
+                Ok(Line::Last(number)) if number == *last => {
+                    let mut s = station.borrow_mut();
+                    let now = s.now();
+                    s.desk.list_confirmed(now);
+                }
+                // Of a bulletin behind the one that was followed before.
+                Ok(Line::Last(number)) if number < *last => {}
                 Ok(_) => return format!("events after {last} are missing"),
                 Err(fault) => return format!("a line that can't be read, {fault}"),
             }
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -7,6 +7,7 @@
 use crate::link::Link;
 use crate::room::{Holds, Room};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
+use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::lines;
 use milletpath_platform_protocol::told::{self, Told};
 use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
@@ -19,7 +20,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 use std::rc::{Rc, Weak};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
@@ -79,11 +80,10 @@
 
 impl Station {
     fn new(told: &Told) -> Shared {
-        let epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
         let begun = Instant::now();
         let house = &told.house;
         let patience = house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max);
-        let mut desk = Dispatcher::new(house, epoch);
+        let mut desk = Dispatcher::new(house, unix_time());
         for (whole, entries) in &told.lists {
             desk.list(0.0, *whole, entries);
         }
