--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -3,11 +3,11 @@
 
 use cap::Cap;
 use milletpath_capacity_model::run::{Run, Size};
+use milletpath_gateway::wall_clock::unix_time;
 use nix::time::{ClockId, clock_gettime};
 use std::alloc::System;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
-use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Counts all that the bench allocates.
 #[global_allocator]
@@ -100,9 +100,8 @@
 
 /// The day in UTC, as 2026-12-02.
 fn today() -> String {
-    let seconds = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs());
     // Days of the civil calendar, counted in years that begin in March.
-    let days = seconds as i64 / 86_400 + 719_468;
+    let days = unix_time() as i64 / 86_400 + 719_468;
     let era = days.div_euclid(146_097);
     let of_era = days.rem_euclid(146_097);
     let year = (of_era - of_era / 1_460 + of_era / 36_524 - of_era / 146_096) / 365;
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -12,9 +12,9 @@
 use milletpath_protocol::is_name;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
+use std::hash::{BuildHasher, RandomState};
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::path::PathBuf;
-use xxhash_rust::xxh3::xxh3_64;
 
 const LONG: f64 = 86_400.0;
 
@@ -232,8 +232,7 @@
 
 /// A seed for an instance that is given none: alike gateways must not act in step.
 fn chance() -> u64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    xxh3_64(format!("{}-{}", now.as_nanos(), std::process::id()).as_bytes())
+    RandomState::new().hash_one(std::process::id())
 }
 
 /// The profiles; one that says nothing of effects is taken for the wariest kind.
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -243,6 +243,12 @@
     late
 }
 
+/// What a process that starts now states as its start: Unix seconds by the wall clock of its machine.
+#[expect(clippy::disallowed_methods, reason = "plays a worker, whose stamp is made by a wall clock")]
+fn start_stamp() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+}
+
 pub fn entry(number: usize, started: Option<f64>) -> Entry {
     Entry {
         name: format!("worker-{number}"),
@@ -461,8 +467,7 @@
         let (make, gateways) = (self.day.make, self.day.gateways);
         match Worker::start(self.hall.clone(), number, 0, make, self.hall.now(), gateways).await {
             Ok(worker) => {
-                let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-                self.registry.put(number, entry(number, Some(unix)), worker.addresses.clone());
+                self.registry.put(number, entry(number, Some(start_stamp())), worker.addresses.clone());
                 self.workers.borrow_mut()[number] = worker;
             }
             Err(e) => tracing::error!(number, "a worker can't come back: {e}"),
