--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -521,6 +521,11 @@
         self.books.roll.address(worker)
     }
 
+    /// When the process of a worker started, on the desk's clock; none means long ago.
+    pub fn started(&self, worker: usize) -> Option<f64> {
+        self.books.roll.started(worker)
+    }
+
     /// The wall clock was read. It may have been stepped since the last time; it counts for nothing but stamps of
     /// processes that are first reported from here on.
     pub fn wall_clock_read(&mut self, now: f64, unix_time: f64) {
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -100,6 +100,10 @@
         (self.address.get(worker).copied().unwrap_or(none), self.process.get(worker).copied().unwrap_or(0))
     }
 
+    pub fn started(&self, worker: usize) -> Option<f64> {
+        self.start.get(worker).and_then(|start| start.at)
+    }
+
     /// Takes one edition, whole or changes only, and tells each line of it.
     pub fn take(&mut self, now: f64, whole: bool, entries: &[Entry], mut tell: impl FnMut(Listing)) {
         self.edition += 1;
--- a/crates/platform-router/src/bulletin/tests.rs
+++ b/crates/platform-router/src/bulletin/tests.rs
@@ -66,3 +66,34 @@
         assert_eq!(&asked, b"after 2\n");
     });
 }
+
+/// A worker joins after ten heartbeats without it, by a clock that was stepped: it is as old as its news at most. An hour
+/// behind it counted as warm, an hour ahead as cold for an hour.
+#[test_case(-3600.0; "an hour behind")]
+#[test_case(-3.0; "three seconds behind")]
+#[test_case(3.0; "three seconds ahead")]
+#[test_case(3600.0; "an hour ahead")]
+fn a_worker_joins_by_a_clock_that_was_stepped(step: f64) {
+    with(async move {
+        tokio::time::pause();
+        let station = listed(&[]);
+        let (ours, mut theirs) = tokio::io::duplex(4 << 10);
+        let theirs_heeded = station.clone();
+        spawn_local(async move { heed(&theirs_heeded, ours, &mut 1).await });
+        for _ in 0..10 {
+            theirs.write_all(b"1\n").await.unwrap();
+            tokio::time::sleep(Duration::from_secs(1)).await;
+        }
+        let stamp = format!(r#""phase":"active","up_since_ms":{:.0}"#, (unix_time() + step) * 1e3);
+        let event = event(2, "active").replace(r#""phase":"active""#, &stamp);
+        theirs.write_all(event.as_bytes()).await.unwrap();
+        tokio::time::sleep(Duration::from_millis(1)).await;
+        let s = station.borrow();
+        let started = s.desk.started(0).expect("a start");
+        assert!(
+            (s.now() - 1.1..=s.now()).contains(&started),
+            "started at {started:.1}, now it is {:.1}",
+            s.now()
+        );
+    });
+}
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -2,6 +2,7 @@
 //! seed gives the same history.
 
 use crate::clients::Call;
+use crate::clocks::Variation;
 use crate::links::Links;
 use crate::workers::Worker;
 use milletpath_config::GatewayConfig;
@@ -101,6 +102,8 @@
     QuotaFraction(usize),
     Note(usize, u64, Vec<u8>),
     List(Vec<Entry>),
+    /// The list says that it is as it was.
+    Heartbeat,
     /// A trouble begins, goes on to its next step, ends.
     Begins(usize),
     Step(usize, usize),
@@ -153,6 +156,7 @@
     pub(crate) warm: (u64, u64),
     look: Option<Look<'l>>,
     pub(crate) links: Option<Links>,
+    pub(crate) variation: Variation,
 }
 
 /// Plays a day.
@@ -162,6 +166,13 @@
     town.run()
 }
 
+/// Plays a day with something beside its script.
+pub fn play_varied(day: &Day, seed: u64, variation: Variation) -> Came {
+    let mut town = Town::new(day, seed);
+    town.variation = variation;
+    town.run()
+}
+
 /// Where a worker's process is: another one is elsewhere.
 pub(crate) fn place(worker: usize, process: u64) -> SocketAddr {
     SocketAddr::from(([10, (process % 250) as u8, (worker / 250) as u8, (worker % 250) as u8], 80))
@@ -199,6 +210,7 @@
             warm: (0, 0),
             look: None,
             links,
+            variation: Variation::default(),
         };
         for worker in 0..day.workers {
             town.note(Saw::Started { worker, capacity: Engine::capacity(&day.make), warm: true });
@@ -220,6 +232,7 @@
             town.put(0.0, Next::QuotaFraction(gateway));
         }
         town.put(0.0, Next::Look);
+        town.put(0.0, Next::Heartbeat);
         town
     }
 
@@ -309,10 +322,20 @@
             Next::QuotaFraction(gateway) => self.share(gateway),
             Next::Note(gateway, life, note) => self.noted(gateway, life, &note),
             Next::List(entries) => {
+                let unix_time = self.variation.gateway_time(now);
                 for gateway in 0..self.desks.len() {
-                    self.at_desk(gateway, |desk, now| desk.list(now, false, &entries));
+                    self.at_desk(gateway, |desk, now| {
+                        desk.wall_clock_read(now, unix_time);
+                        desk.list(now, false, &entries);
+                    });
                 }
             }
+            Next::Heartbeat => {
+                /// Seconds between two heartbeats of the list.
+                const HEARTBEAT: f64 = 1.0;
+                self.desks.iter_mut().for_each(|desk| desk.list_confirmed(now));
+                self.put(now + HEARTBEAT, Next::Heartbeat);
+            }
             Next::Begins(trouble) => self.begins(trouble),
             Next::Step(trouble, step) => self.step(trouble, step),
             Next::Ends(trouble) => self.ends(trouble),
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -219,7 +219,9 @@
         self.workers[worker] = Worker::new(self.day.make, self.now, process);
         let capacity = Engine::capacity(&self.day.make);
         self.note(Saw::Started { worker, capacity, warm: false });
-        let entry = Entry { address: place(worker, process), ..day::entry(worker, Some(self.now)) };
+        let stamp = self.variation.worker_time(self.now);
+        let address = place(worker, if self.variation.same_address { 0 } else { process });
+        let entry = Entry { address, ..day::entry(worker, Some(stamp)) };
         self.entries[worker] = entry.clone();
         self.told(vec![entry]);
     }
--- /dev/null
+++ b/crates/simulator/tests/clocks.rs
@@ -0,0 +1,60 @@
+//! Wall clocks are stepped while calls, retries, drains and slow starts are under way, and while gateways hold leases on
+//! each other's parts: what comes of the day is what comes of it without the step.
+
+use milletpath_emulator::script::{self, Day, Trouble, What};
+use milletpath_simulator::{Came, ClockStep, Cold, Machines, Variation, cold, play_varied};
+use std::path::Path;
+use test_case::test_case;
+
+/// Amid the replacing of workers, which begins at 10 s and lasts for 7 s.
+const STEP_AT: f64 = 13.0;
+
+/// Workers are drained and replaced one by one under a full load, while some fail calls, which are retried.
+fn rolling_day() -> Day {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
+    let mut day = script::open(&file).expect("a sound day");
+    (day.gateways, day.seconds, day.sharing) = (6, 20.0, true);
+    let (name, what) = ("failures".into(), What::Failures);
+    day.troubles.push(Trouble { name, what, at: 11.0, lasts: 5.0, part: 0.2, size: 0.3 });
+    day
+}
+
+fn play(seed: u64, clock_step: Option<ClockStep>, same_address: bool) -> (Came, Cold) {
+    let day = rolling_day();
+    let came = play_varied(&day, seed, Variation { clock_step, same_address });
+    let cold = cold(&day, &came.records);
+    (came, cold)
+}
+
+#[test_case(3.0; "three seconds forward")]
+#[test_case(-3.0; "three seconds back")]
+#[test_case(3600.0; "an hour forward")]
+#[test_case(-3600.0; "an hour back")]
+fn a_step_of_wall_clocks_changes_nothing(by: f64) {
+    /// Parts of all calls by which days of other chance differ.
+    const CHANCE: f64 = 0.02;
+    for seed in 1..=2 {
+        let (without, cold) = play(seed, None, true);
+        assert_eq!(without.broken, vec![], "seed {seed}, without a step");
+        assert!(cold.of_bound <= 1.0 && cold.calls > 100, "seed {seed}, without a step: {cold:?}");
+        let expected = without.whole.service();
+        for machines in [Machines::Gateways, Machines::Workers, Machines::All] {
+            let (stepped, cold) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
+            assert_eq!(stepped.broken, vec![], "seed {seed}, {machines:?}");
+            assert!(cold.of_bound <= 1.0 && cold.calls > 100, "seed {seed}, {machines:?}: {cold:?}");
+            let service = stepped.whole.service();
+            assert!(
+                (service - expected).abs() <= CHANCE,
+                "seed {seed}, {machines:?}: {service:.3}, {expected:.3}"
+            );
+        }
+    }
+}
+
+/// A step forward of the gateways' own clocks leaves no trace at all.
+#[test_case(3.0; "three seconds")]
+#[test_case(3600.0; "an hour")]
+fn a_step_forward_of_gateways_leaves_no_trace(by: f64) {
+    let step = ClockStep { at: STEP_AT, by, machines: Machines::Gateways };
+    assert_eq!(play(1, None, false).0.records, play(1, Some(step), false).0.records);
+}
