--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -19,6 +19,7 @@
 }
 
 /// Seconds that this thread has spent on a processor.
+#[expect(clippy::disallowed_methods, reason = "the thread's own clock, which no step moves")]
 pub fn spent() -> f64 {
     let at = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect(
         "the system has a clock for each \
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -27,7 +27,11 @@
 /// Seconds whose lowest figures are kept until somebody takes them.
 const KEPT: usize = 16;
 
-/// Seconds on a clock that all processes of the machine share.
+/// Seconds on the monotonic clock, which all processes of the machine share.
+#[expect(
+    clippy::disallowed_methods,
+    reason = "the monotonic clock; an Instant can't be passed to another process"
+)]
 pub fn clock() -> f64 {
     // It is there on every Linux; one that is not reads as 0 throughout, which shows.
     clock_gettime(ClockId::CLOCK_MONOTONIC).map_or(0.0, |t| t.tv_sec() as f64 + t.tv_nsec() as f64 / 1e9)
--- a/crates/gateway/src/telling.rs
+++ b/crates/gateway/src/telling.rs
@@ -45,6 +45,7 @@
 }
 
 /// Seconds of a processor that the calling thread took.
+#[expect(clippy::disallowed_methods, reason = "the thread's own clock, which no step moves")]
 pub fn cpu() -> f64 {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
         .map_or(0.0, |t| t.tv_sec() as f64 + t.tv_nsec() as f64 * 1e-9)
