--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -13,6 +13,10 @@
 /// Workers that may be known at a time; a list that goes on inventing names is not followed further.
 const MOST: usize = 65_536;
 
+/// Starts that are kept of workers whose names were forgotten; past so many all are dropped, at the price of a slow
+/// start for those that come back.
+const MOST_FORMER: usize = 16_384;
+
 /// When a process started: the stamp of the list, and what it makes on the monotonic clock.
 #[derive(Clone, Copy, Default)]
 struct Start {
@@ -35,8 +39,9 @@
     /// Seconds after which nothing of one that is gone can be out any more: its index is given to another.
     forget: f64,
     pub start_times: StartTimes,
-    /// The starts that the roll before this one knew, by name, until the list has been taken once.
-    inherited: BTreeMap<Arc<str>, Start>,
+    /// Starts by the names that were forgotten, or that the roll before this one knew: a process that is listed again
+    /// was known before its news.
+    former: BTreeMap<Arc<str>, Start>,
     edition: u64,
     /// Counts the desks before this one; part of each process's number, so that no connection made for a worker of
     /// one desk is taken for another's.
@@ -57,7 +62,7 @@
             gone: Vec::new(),
             forget,
             start_times,
-            inherited: BTreeMap::new(),
+            former: BTreeMap::new(),
             edition: 0,
             life,
         }
@@ -67,9 +72,10 @@
     /// be judged anew by a clock that may have been stepped since.
     pub fn successor(&self, seed: u64) -> Self {
         let listed = self.listed().into_iter();
-        let inherited = listed.map(|(worker, name)| (name, self.start[worker])).collect();
+        let mut former = self.former.clone();
+        former.extend(listed.map(|(worker, name)| (name, self.start[worker])));
         let life = self.life + 1;
-        Self { inherited, ..Self::new(&self.kinds, seed, self.start_times.clone(), life, self.forget) }
+        Self { former, ..Self::new(&self.kinds, seed, self.start_times.clone(), life, self.forget) }
     }
 
     /// Lists taken so far.
@@ -130,7 +136,8 @@
                 self.gone.push(f64::INFINITY);
                 self.address.push(entry.address);
                 self.process.push(self.life << 32 | 1);
-                self.start.push(self.first_start(now, entry));
+                let start = self.first_start(now, entry);
+                self.start.push(start);
                 self.state.push(State::Gone);
             } else {
                 self.change(now, worker, entry);
@@ -156,7 +163,6 @@
                 state: self.state[worker],
             });
         }
-        self.inherited.clear();
     }
 
     fn enter(&mut self, now: f64, worker: usize, state: State) {
@@ -173,21 +179,35 @@
         for worker in 0..self.gone.len() {
             // Given back twice an index would go to two.
             if self.gone[worker] > f64::NEG_INFINITY && now - self.gone[worker] >= self.forget {
+                self.keep_start(worker);
                 self.names.give_back(worker);
                 self.gone[worker] = f64::NEG_INFINITY;
             }
         }
     }
 
+    /// Keeps the start of a worker whose name is forgotten; one that started early needs none.
+    fn keep_start(&mut self, worker: usize) {
+        if self.start[worker].at.is_none() {
+            return;
+        }
+        if self.former.len() >= MOST_FORMER {
+            self.former.clear();
+        }
+        self.former.insert(self.names.name(worker), self.start[worker]);
+    }
+
     /// The start of a worker whose name is new here.
-    fn first_start(&self, now: f64, entry: &Entry) -> Start {
-        let inherited = self.inherited.get(entry.name.as_str());
-        inherited.filter(|start| !is_another_process(entry.started, start.stamp)).copied().unwrap_or_else(
-            || {
-                let at = entry.started.map(|stamp| self.start_times.started(now, stamp, None));
+    fn first_start(&mut self, now: f64, entry: &Entry) -> Start {
+        let former = self.former.remove(entry.name.as_str());
+        match former {
+            Some(start) if !is_another_process(entry.started, start.stamp) => start,
+            _ => {
+                let predecessor = former.and_then(|start| start.at);
+                let at = entry.started.map(|stamp| self.start_times.started(now, stamp, predecessor));
                 Start { stamp: entry.started, at }
-            },
-        )
+            }
+        }
     }
 
     /// A line for a worker that is known. Another address or another stamp is another process, cold and empty; one
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -154,3 +154,19 @@
     assert_eq!(take(&mut successor, 25.0, true, entry("joins", stamp)), started);
     assert!(successor.address(0).1 > roll.address(0).1);
 }
+
+/// A worker is off the list for so long that its name is forgotten, as when discovery lost sight of it: the same stamp is
+/// the same process, another stamp is another. Taken for new, a fleet that came back would be cold as a whole.
+#[test]
+fn a_worker_that_was_forgotten_keeps_its_start() {
+    for (stamp, same) in [(UNIX + 9.9, true), (UNIX + 9.9 - 3600.0, false)] {
+        let mut roll = roll();
+        let started = take(&mut roll, 10.0, true, entry("w", Some(UNIX + 9.9)));
+        take(&mut roll, 20.0, true, entry("other", None));
+        take(&mut roll, 40.0, true, entry("other", None));
+        assert!(roll.names.get("w").is_none());
+        roll.start_times.list_confirmed(59.5);
+        let again = take(&mut roll, 60.0, false, entry("w", Some(stamp)));
+        assert_eq!(again, if same { started } else { Some(60.0) });
+    }
+}
