--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -5,6 +5,7 @@
 
 pub mod dispatcher;
 pub mod interner;
+pub mod start_times;
 pub mod timer_wheel;
 pub mod worker_table;
 
--- a/crates/gateway/src/wall_clock.rs
+++ b/crates/gateway/src/wall_clock.rs
@@ -2,7 +2,7 @@
 //!
 //! It may be stepped at any time, by seconds or by an hour, so it measures nothing here: every deadline, window, wait
 //! and grace is a span of the monotonic clock. It serves only to place stamps that the clocks of others made, and
-//! [`crate::start_times`] bounds what such a stamp may claim.
+//! `milletpath_dispatcher::start_times` bounds what such a stamp may claim.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
