--- /dev/null
+++ b/crates/sealed-datagram/tests/wire_format.rs
@@ -0,0 +1,57 @@
+//! Datagrams byte for byte, and what is not taken.
+
+use milletpath_sealed_datagram::{Key, LARGEST, Refused, glance};
+
+const SECRET: &[u8] = b"an example secret of 32 bytes...";
+const CONTEXT: &str = "milletpath 2026-12 letters between gateways";
+const BODY: &[u8] = b"a body";
+
+fn datagram() -> Vec<u8> {
+    Key::new(CONTEXT, SECRET).seal(1, BODY).expect("it is small enough")
+}
+
+#[test]
+fn a_datagram_keeps_its_bytes() {
+    let hex: String = datagram().iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, "017a8deb06b118a925bd5d1553066e17236120626f6479");
+}
+
+#[test]
+fn the_body_is_read_with_the_key_and_seen_without_it() {
+    assert_eq!(Key::new(CONTEXT, SECRET).open(&datagram()), Ok(BODY));
+    assert_eq!(glance(&datagram()), Some(BODY));
+    assert_eq!(glance(&datagram()[..16]), None);
+}
+
+#[test]
+fn another_secret_or_context_is_refused() {
+    for key in [Key::new(CONTEXT, b"another"), Key::new("another", SECRET)] {
+        assert_eq!(key.open(&datagram()), Err(Refused::Seal));
+    }
+}
+
+#[test]
+fn a_change_of_any_byte_is_refused() {
+    let key = Key::new(CONTEXT, SECRET);
+    for at in 0..datagram().len() {
+        let mut changed = datagram();
+        changed[at] ^= 1;
+        let why = if at == 0 { Refused::Version(0) } else { Refused::Seal };
+        assert_eq!(key.open(&changed), Err(why), "byte {at}");
+    }
+}
+
+#[test]
+fn sizes_out_of_bounds_are_refused() {
+    let key = Key::new(CONTEXT, SECRET);
+    let largest_body = LARGEST - (datagram().len() - BODY.len());
+    assert_eq!(key.seal(1, &vec![0; largest_body]).map(|d| d.len()), Some(LARGEST));
+    assert_eq!(key.seal(1, &vec![0; largest_body + 1]), None);
+    assert_eq!(key.open(&vec![1; LARGEST + 1]), Err(Refused::Size));
+    assert_eq!(key.open(&datagram()[..datagram().len() - BODY.len()]), Err(Refused::Size));
+}
+
+#[test]
+fn a_key_is_not_printed() {
+    assert_eq!(format!("{:?}", Key::new(CONTEXT, SECRET)), "Key(..)");
+}
--- /dev/null
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -0,0 +1,134 @@
+//! Messages and operator views byte for byte, as the text of 2026-12-02 wrote them: gateways of two versions run side by
+//! side during an upgrade, and operators' scripts read the JSON.
+
+use milletpath_shared_budgets::{Form, Meter, Right, Shares};
+
+const REQUESTER: u64 = 1;
+const LENDER: u64 = 2;
+const ALL_OF_IT: Right = Right { part: 1.0, floor: 1.0, until: f64::INFINITY };
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn gateway(me: u64, other: u64) -> (Shares, [usize; 3]) {
+    let mut shares = Shares::new(me, 3.0, me, 0.0);
+    shares.right(0.0, ALL_OF_IT, vec![other]);
+    let slots = [
+        ("quota a", Form::Rate, 10.0),
+        ("orders", Form::Window(10.0), 4.0),
+        ("in flight w", Form::Hand(2.5), 3.0),
+    ]
+    .map(|(name, form, part)| shares.open(0.0, name, form, part));
+    (shares, slots)
+}
+
+/// A gateway that needs more than it has of three budgets, ten seconds after its start.
+fn requester() -> Shares {
+    let (mut shares, [rate, window, hand]) = gateway(REQUESTER, LENDER);
+    shares.meter(10.0, rate, Meter { wanted: 500, lacked: 100, used: 0.0 });
+    shares.meter(10.0, window, Meter { wanted: 6, lacked: 2, used: 4.0 });
+    shares.meter(10.0, hand, Meter { wanted: 5, lacked: 2, used: 3.0 });
+    shares.turn(10.0);
+    shares
+}
+
+fn sent(shares: &mut Shares) -> Vec<String> {
+    std::iter::from_fn(|| shares.out()).map(|(to, bytes)| format!("{to} {}", hex(&bytes))).collect()
+}
+
+#[test]
+fn requests_for_leases_keep_their_bytes() {
+    let request = "2 a700010183831b1c06a437d18487ed1a03211620f5831b641411ff0eb7c2e71a00487ab0f5831b8b3a2c79f9adc1\
+                   651a0044aa20f502800300058006800700";
+    assert_eq!(sent(&mut requester()), [request]);
+}
+
+#[test]
+fn granted_leases_keep_their_bytes() {
+    let (mut lender, _) = gateway(LENDER, REQUESTER);
+    let (_, request) = requester().out().expect("it lacks something");
+    lender.heard(10.0, REQUESTER, &request, &mut |_| None);
+    let grant = "1 a7000101800283831b1c06a437d18487ed1a0090f56000831b641411ff0eb7c2e71a001cfde01a001cfde0831b8b3a2c\
+                 79f9adc1651a000f42401a000f4240031907d0058006800700";
+    assert_eq!(sent(&mut lender), [grant]);
+}
+
+/// Names of functions, and how many invocations of each run.
+fn busy() -> Vec<(u64, f64)> {
+    vec![(7, 1.5), (8, 0.25), (1 << 40, 12.0)]
+}
+
+#[test]
+fn usage_reports_keep_their_bytes() {
+    let (mut shares, _) = gateway(REQUESTER, LENDER);
+    shares.report(10.0, busy);
+    let reports = [
+        "2 a800000180028003000402058006800700",
+        "2 a800000180028003000403058006800700",
+        "2 a800000180028003000405058006800700",
+        "2 a8000001800280030004060581821b0000010000000000192ee006800700",
+        "2 a800000180028003000409058006800700",
+        "2 a80000018002800300040a058006800700",
+        "2 a80000018002800300040b058006800700",
+        "2 a80000018002800300040c058006800700",
+        "2 a80000018002800300040e0581820818fa06800700",
+        "2 a80000018002800300040f058182071905dc06800700",
+    ];
+    assert_eq!(sent(&mut shares), reports);
+}
+
+#[test]
+fn usage_sums_keep_their_bytes() {
+    let (mut reporter, _) = gateway(REQUESTER, LENDER);
+    let (mut adder, _) = gateway(LENDER, REQUESTER);
+    adder.report(10.0, busy);
+    reporter.report(10.0, busy);
+    // The adder's own reports go out first; what follows are its answers.
+    while adder.out().is_some() {}
+    while let Some((_, report)) = reporter.out() {
+        adder.heard(10.0, REQUESTER, &report, &mut |_| None);
+    }
+    let sums = [
+        "1 a800000180028003000402058006800701",
+        "1 a800000180028003000403058006800701",
+        "1 a800000180028003000405058006800701",
+        "1 a80000018002800300040605800681821b0000010000000000192ee00701",
+        "1 a800000180028003000409058006800701",
+        "1 a80000018002800300040a058006800701",
+        "1 a80000018002800300040b058006800701",
+        "1 a80000018002800300040c058006800701",
+        "1 a80000018002800300040e05800681820818fa0701",
+        "1 a80000018002800300040f0580068182071905dc0701",
+    ];
+    assert_eq!(sent(&mut adder), sums);
+}
+
+#[test]
+fn the_view_for_operators_keeps_its_json() {
+    let mut requester = requester();
+    let (_, request) = requester.out().expect("it lacks something");
+    let (mut lender, _) = gateway(LENDER, REQUESTER);
+    lender.heard(10.0, REQUESTER, &request, &mut |_| None);
+    let (_, grant) = lender.out().expect("it has something to lend");
+    requester.heard(10.0, LENDER, &grant, &mut |_| None);
+    requester.heard(10.0, LENDER, b"not a message", &mut |_| None);
+    let json = |shares: &mut Shares| {
+        let (view, tally) = (shares.view(10.0), shares.tally());
+        serde_json::to_string(&(view, tally)).expect("plain data")
+    };
+    let of_requester = concat!(
+        r#"[[{"name":"quota a","part":10.0,"allowed":19.5,"need":49.999999999954525,"lent":0.0,"borrowed":9.5},"#,
+        r#"{"name":"orders","part":4.0,"allowed":5.9,"need":7.0,"lent":-0.0,"borrowed":1.9},"#,
+        r#"{"name":"in flight w","part":3.0,"allowed":4.0,"need":6.0,"lent":0.0,"borrowed":1.0}],"#,
+        r#"{"asks":3,"grants":3,"notes":1,"held_back":0,"unread":1}]"#,
+    );
+    assert_eq!(json(&mut requester), of_requester);
+    let of_lender = concat!(
+        r#"[[{"name":"quota a","part":10.0,"allowed":0.5,"need":0.0,"lent":9.5,"borrowed":-0.0},"#,
+        r#"{"name":"orders","part":4.0,"allowed":2.1,"need":0.0,"lent":1.9,"borrowed":-0.0},"#,
+        r#"{"name":"in flight w","part":3.0,"allowed":2.0,"need":0.0,"lent":1.0,"borrowed":-0.0}],"#,
+        r#"{"asks":0,"grants":0,"notes":1,"held_back":0,"unread":0}]"#,
+    );
+    assert_eq!(json(&mut lender), of_lender);
+}
