--- a/crates/config-log/src/message.rs
+++ b/crates/config-log/src/message.rs
@@ -12,7 +12,7 @@
 /// The version that is written. All from 1 on are read.
 pub const VERSION: u8 = 1;
 
-pub use milletpath_sealed_datagram::LARGEST;
+pub use milletpath_sealed_datagram::MAX_DATAGRAM_LEN as LARGEST;
 
 /// Bytes of a follower's name.
 pub const LONGEST_NAME: usize = 64;
@@ -361,12 +361,12 @@
     }
 }
 
-impl From<milletpath_sealed_datagram::Refused> for Refused {
-    fn from(why: milletpath_sealed_datagram::Refused) -> Self {
+impl From<milletpath_sealed_datagram::OpenError> for Refused {
+    fn from(why: milletpath_sealed_datagram::OpenError) -> Self {
         match why {
-            milletpath_sealed_datagram::Refused::Size => Self::Size,
-            milletpath_sealed_datagram::Refused::Version(version) => Self::Version(version),
-            milletpath_sealed_datagram::Refused::Seal => Self::Seal,
+            milletpath_sealed_datagram::OpenError::InvalidSize => Self::Size,
+            milletpath_sealed_datagram::OpenError::UnsupportedVersion(version) => Self::Version(version),
+            milletpath_sealed_datagram::OpenError::InvalidTag => Self::Seal,
         }
     }
 }
--- a/crates/membership/src/letter.rs
+++ b/crates/membership/src/letter.rs
@@ -10,7 +10,7 @@
 /// The version that is written. All from 1 on are read.
 pub const VERSION: u8 = 1;
 
-pub use milletpath_sealed_datagram::LARGEST;
+pub use milletpath_sealed_datagram::MAX_DATAGRAM_LEN as LARGEST;
 
 /// Letters of a gateway's name.
 pub const LONGEST_NAME: usize = 64;
@@ -176,12 +176,12 @@
     }
 }
 
-impl From<milletpath_sealed_datagram::Refused> for Refused {
-    fn from(why: milletpath_sealed_datagram::Refused) -> Self {
+impl From<milletpath_sealed_datagram::OpenError> for Refused {
+    fn from(why: milletpath_sealed_datagram::OpenError) -> Self {
         match why {
-            milletpath_sealed_datagram::Refused::Size => Self::Size,
-            milletpath_sealed_datagram::Refused::Version(version) => Self::Version(version),
-            milletpath_sealed_datagram::Refused::Seal => Self::Seal,
+            milletpath_sealed_datagram::OpenError::InvalidSize => Self::Size,
+            milletpath_sealed_datagram::OpenError::UnsupportedVersion(version) => Self::Version(version),
+            milletpath_sealed_datagram::OpenError::InvalidTag => Self::Seal,
         }
     }
 }
@@ -209,7 +209,7 @@
 
 /// What stands in a datagram, whoever sealed it: for a relay or a witness that has no key.
 pub fn glance(datagram: &[u8]) -> Option<Letter> {
-    read(milletpath_sealed_datagram::glance(datagram)?).ok()
+    read(milletpath_sealed_datagram::body_unverified(datagram)?).ok()
 }
 
 fn read(body: &[u8]) -> Result<Letter, Refused> {
--- a/crates/sealed-datagram/src/lib.rs
+++ b/crates/sealed-datagram/src/lib.rs
@@ -5,22 +5,22 @@
 use std::fmt;
 
 /// Bytes of a datagram at most: what passes any link whole.
-pub const LARGEST: usize = 1400;
+pub const MAX_DATAGRAM_LEN: usize = 1400;
 
-const SEAL: usize = 16;
+const TAG_LEN: usize = 16;
 
 /// Bytes before the body.
-const HEAD: usize = 1 + SEAL;
+const HEADER_LEN: usize = 1 + TAG_LEN;
 
 /// Why a datagram is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OpenError {
     /// Larger than [`LARGEST`], or too small for a seal.
-    Size,
+    InvalidSize,
     /// Of a version that no program writes.
-    Version(u8),
+    UnsupportedVersion(u8),
     /// Sealed with another key, or changed on its way.
-    Seal,
+    InvalidTag,
 }
 
 /// A key, from a secret and from what it is for.
@@ -39,30 +39,30 @@
 
     /// Makes a datagram; none where it would be too large.
     pub fn seal(&self, version: u8, body: &[u8]) -> Option<Vec<u8>> {
-        if HEAD + body.len() > LARGEST {
+        if HEADER_LEN + body.len() > MAX_DATAGRAM_LEN {
             return None;
         }
-        let mut datagram = Vec::with_capacity(HEAD + body.len());
+        let mut datagram = Vec::with_capacity(HEADER_LEN + body.len());
         datagram.push(version);
-        datagram.extend_from_slice(&self.hash(version, body).as_bytes()[..SEAL]);
+        datagram.extend_from_slice(&self.hash(version, body).as_bytes()[..TAG_LEN]);
         datagram.extend_from_slice(body);
         Some(datagram)
     }
 
     /// The body of a datagram; all versions from 1 on are read.
-    pub fn open<'d>(&self, datagram: &'d [u8]) -> Result<&'d [u8], Refused> {
-        if datagram.len() <= HEAD || datagram.len() > LARGEST {
-            return Err(Refused::Size);
+    pub fn open<'d>(&self, datagram: &'d [u8]) -> Result<&'d [u8], OpenError> {
+        if datagram.len() <= HEADER_LEN || datagram.len() > MAX_DATAGRAM_LEN {
+            return Err(OpenError::InvalidSize);
         }
-        let (version, (said, body)) = (datagram[0], datagram[1..].split_at(SEAL));
+        let (version, (tag, body)) = (datagram[0], datagram[1..].split_at(TAG_LEN));
         if version == 0 {
-            return Err(Refused::Version(version));
+            return Err(OpenError::UnsupportedVersion(version));
         }
         // Compared in constant time: nobody learns a seal byte by byte.
-        let mut whole = *self.hash(version, body).as_bytes();
-        whole[..SEAL].iter_mut().zip(said).for_each(|(a, b)| *a ^= b);
-        if whole[..SEAL].iter().fold(0, |all, byte| all | byte) != 0 {
-            return Err(Refused::Seal);
+        let mut expected = *self.hash(version, body).as_bytes();
+        expected[..TAG_LEN].iter_mut().zip(tag).for_each(|(a, b)| *a ^= b);
+        if expected[..TAG_LEN].iter().fold(0, |all, byte| all | byte) != 0 {
+            return Err(OpenError::InvalidTag);
         }
         Ok(body)
     }
@@ -75,6 +75,6 @@
 }
 
 /// The body of a datagram, whoever sealed it: for a relay or a witness that has no key.
-pub fn glance(datagram: &[u8]) -> Option<&[u8]> {
-    datagram.get(HEAD..)
+pub fn body_unverified(datagram: &[u8]) -> Option<&[u8]> {
+    datagram.get(HEADER_LEN..)
 }
--- a/crates/sealed-datagram/tests/wire_format.rs
+++ b/crates/sealed-datagram/tests/wire_format.rs
@@ -1,6 +1,6 @@
 //! Datagrams byte for byte, and what is not taken.
 
-use milletpath_sealed_datagram::{Key, LARGEST, Refused, glance};
+use milletpath_sealed_datagram::{Key, MAX_DATAGRAM_LEN, OpenError, body_unverified};
 
 const SECRET: &[u8] = b"an example secret of 32 bytes...";
 const CONTEXT: &str = "milletpath 2026-12 letters between gateways";
@@ -19,14 +19,14 @@
 #[test]
 fn the_body_is_read_with_the_key_and_seen_without_it() {
     assert_eq!(Key::new(CONTEXT, SECRET).open(&datagram()), Ok(BODY));
-    assert_eq!(glance(&datagram()), Some(BODY));
-    assert_eq!(glance(&datagram()[..16]), None);
+    assert_eq!(body_unverified(&datagram()), Some(BODY));
+    assert_eq!(body_unverified(&datagram()[..16]), None);
 }
 
 #[test]
 fn another_secret_or_context_is_refused() {
     for key in [Key::new(CONTEXT, b"another"), Key::new("another", SECRET)] {
-        assert_eq!(key.open(&datagram()), Err(Refused::Seal));
+        assert_eq!(key.open(&datagram()), Err(OpenError::InvalidTag));
     }
 }
 
@@ -36,7 +36,7 @@
     for at in 0..datagram().len() {
         let mut changed = datagram();
         changed[at] ^= 1;
-        let why = if at == 0 { Refused::Version(0) } else { Refused::Seal };
+        let why = if at == 0 { OpenError::UnsupportedVersion(0) } else { OpenError::InvalidTag };
         assert_eq!(key.open(&changed), Err(why), "byte {at}");
     }
 }
@@ -44,11 +44,11 @@
 #[test]
 fn sizes_out_of_bounds_are_refused() {
     let key = Key::new(CONTEXT, SECRET);
-    let largest_body = LARGEST - (datagram().len() - BODY.len());
-    assert_eq!(key.seal(1, &vec![0; largest_body]).map(|d| d.len()), Some(LARGEST));
+    let largest_body = MAX_DATAGRAM_LEN - (datagram().len() - BODY.len());
+    assert_eq!(key.seal(1, &vec![0; largest_body]).map(|d| d.len()), Some(MAX_DATAGRAM_LEN));
     assert_eq!(key.seal(1, &vec![0; largest_body + 1]), None);
-    assert_eq!(key.open(&vec![1; LARGEST + 1]), Err(Refused::Size));
-    assert_eq!(key.open(&datagram()[..datagram().len() - BODY.len()]), Err(Refused::Size));
+    assert_eq!(key.open(&vec![1; MAX_DATAGRAM_LEN + 1]), Err(OpenError::InvalidSize));
+    assert_eq!(key.open(&datagram()[..datagram().len() - BODY.len()]), Err(OpenError::InvalidSize));
 }
 
 #[test]
