--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -7,7 +7,7 @@
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_gateway::sharing::Sharing;
 use milletpath_membership::Parts;
-use milletpath_shared_budgets::{Right, Shares};
+use milletpath_shared_budgets::{Entitlement, SharedBudgets};
 
 /// Seconds for which words count as proof in a large fleet.
 const LEASE: f64 = 12.0;
@@ -40,26 +40,26 @@
     let guess = 0.8 * (gateways as f64 / 48.0).max(1.0);
     let (from, until) = (BEGINNING * guess, (BEGINNING + COUNTED) * guess);
     let begins = |n: usize| guess * n as f64 / gateways as f64;
-    let right = Right { part: 1.0, floor: 0.5, until: f64::INFINITY };
+    let right = Entitlement { fraction: 1.0, floor_fraction: 0.5, valid_until: f64::INFINITY };
     let others = |n: usize| (1..=gateways as u64).filter(|life| *life != n as u64 + 1).collect::<Vec<u64>>();
     let busy =
         || (1..=functions as u64).map(|n| (n.wrapping_mul(0x9e37_79b9_7f4a_7c15), 0.05)).collect::<Vec<_>>();
-    let mut all: Vec<Shares> = Vec::new();
+    let mut all: Vec<SharedBudgets> = Vec::new();
     let (mut now, mut looked) = (0.0, 0.0);
     let (mut bytes, mut notes, mut turns, mut cpu) = (0.0, 0u64, 0u64, 0.0);
     let mut uncounted = None;
-    let tally = |all: &[Shares]| {
-        let sums = all.iter().map(Shares::tally);
-        sums.fold((0, 0), |(sent, back), t| (sent + t.notes, back + t.held_back))
+    let tally = |all: &[SharedBudgets]| {
+        let sums = all.iter().map(SharedBudgets::counters);
+        sums.fold((0, 0), |(sent, back), t| (sent + t.messages, back + t.suppressed))
     };
     while now < until {
-        let next = all.iter().map(Shares::next_report).fold(f64::INFINITY, f64::min);
+        let next = all.iter().map(SharedBudgets::next_usage_report).fold(f64::INFINITY, f64::min);
         let begin = if all.len() < gateways { begins(all.len()) } else { f64::INFINITY };
         now = next.min(begin).max(now).min(until);
         if begin <= now {
             let n = all.len();
-            let mut shares = Shares::new(n as u64 + 1, LEASE, seed + n as u64, now);
-            shares.right(now, right, others(n));
+            let mut shares = SharedBudgets::new(n as u64 + 1, LEASE, seed + n as u64, now);
+            shares.set_entitlement(now, right, others(n));
             all.push(shares);
         }
         let counts = now >= from;
@@ -67,12 +67,12 @@
             uncounted = Some(tally(&all));
         }
         for n in 0..all.len() {
-            if all[n].next_report() > now {
+            if all[n].next_usage_report() > now {
                 continue;
             }
             let began = spent();
-            all[n].report(now, busy);
-            let out: Vec<_> = std::iter::from_fn(|| all[n].out()).collect();
+            all[n].report_usage(now, busy);
+            let out: Vec<_> = std::iter::from_fn(|| all[n].next_message()).collect();
             if n == 0 && counts {
                 cpu += spent() - began;
             }
@@ -88,8 +88,8 @@
                 let began = spent();
                 // Lost where nobody is there yet.
                 let Some(receiver) = all.get_mut(to) else { continue };
-                receiver.heard(now, sender as u64 + 1, &note, &mut |_| None);
-                let answers: Vec<_> = std::iter::from_fn(|| receiver.out()).collect();
+                receiver.receive(now, sender as u64 + 1, &note, &mut |_| None);
+                let answers: Vec<_> = std::iter::from_fn(|| receiver.next_message()).collect();
                 if to == 0 && counts {
                     cpu += spent() - began;
                 }
@@ -100,7 +100,7 @@
         while looked < now && now < until {
             let lives = others(0);
             let began = spent();
-            all[0].right(now, right, lives);
+            all[0].set_entitlement(now, right, lives);
             if counts {
                 cpu += spent() - began;
             }
@@ -112,7 +112,7 @@
     let ((sent, back), (sent_before, back_before)) = (tally(&all), uncounted.unwrap_or_default());
     let (sent, back) = ((sent - sent_before) as f64, (back - back_before) as f64);
     // Who lacks the sum of one bucket goes by none of them.
-    let heard = all.iter_mut().map(|shares| shares.elsewhere(now).map_or(0, |known| known.len()));
+    let heard = all.iter_mut().map(|shares| shares.usage_elsewhere(now).map_or(0, |known| known.len()));
     let carried = heard.sum::<usize>() as f64 / gateways as f64;
     Came {
         period: span * gateways as f64 / turns.max(1) as f64,
--- a/crates/capacity-model/src/gateway.rs
+++ b/crates/capacity-model/src/gateway.rs
@@ -40,14 +40,14 @@
 /// Round trip to the farthest region in which workers stand, in milliseconds.
 const FARTHEST_MS: f64 = 150.0;
 
-/// As in `shares::counts`: buckets of functions, gateways up to which reports go out each so many seconds; and lanes
+/// As in `shared_budgets::usage_counts`: buckets of functions, gateways up to which reports go out each so many seconds; and lanes
 /// below which a function is not reported.
 const COUNTS_BUCKETS: f64 = 16.0;
 const COUNTS_MANY: f64 = 48.0;
 const COUNTS_PERIOD: f64 = 0.8;
 const REPORTED: f64 = 0.02;
 
-/// As in `shares::note` and `shares::shares`: bytes around a note and of one entry, entries at most, and kilobytes a
+/// As in `shared_budgets::message` and `shared_budgets::outbox`: bytes around a note and of one entry, entries at most, and kilobytes a
 /// second of all notes of a gateway.
 const NOTE_AROUND: f64 = 150.0;
 const NOTE_ENTRY: f64 = 20.0;
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -14,7 +14,7 @@
 use milletpath_policy::host::{Answer, Arrival, Budget, Found, Host, Outcome, Report};
 use milletpath_policy::policy::Router;
 use milletpath_protocol::registry::Entry;
-use milletpath_shared_budgets::{Meter, More};
+use milletpath_shared_budgets::{QuotaAdjustment, UsageMeter};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -163,8 +163,8 @@
     router: Router,
     share: Option<QuotaFraction>,
     /// What it was allotted beside that, of each budget; of a worker's by the worker's name.
-    allotted: BTreeMap<Budget, More>,
-    hands: BTreeMap<Arc<str>, More>,
+    allotted: BTreeMap<Budget, QuotaAdjustment>,
+    hands: BTreeMap<Arc<str>, QuotaAdjustment>,
     books: DispatcherState<T>,
     functions: FunctionConfigs,
     profiles: Vec<ProfileConfig>,
@@ -192,7 +192,7 @@
     order_wait: f64,
     ration: Option<LoadRateLimit>,
     /// What was wanted and lacked of each budget that gateways share, where they do.
-    meters: Option<BTreeMap<Budget, Meter>>,
+    meters: Option<BTreeMap<Budget, UsageMeter>>,
     tally: Tally,
 }
 
@@ -201,8 +201,8 @@
     fn want(&mut self, what: Budget, wanted: u64, lacked: u64) {
         if let Some(meters) = &mut self.meters {
             let meter = meters.entry(what).or_default();
-            meter.wanted += wanted;
-            meter.lacked += lacked;
+            meter.requested += wanted;
+            meter.denied += lacked;
         }
     }
 
@@ -437,8 +437,8 @@
     }
 
     /// What there is of a budget beside the part by the count, as gateways that share it say.
-    pub fn allot(&mut self, what: Budget, more: More) {
-        let (figures, until) = ([more.more, more.after], more.until);
+    pub fn allot(&mut self, what: Budget, more: QuotaAdjustment) {
+        let (figures, until) = ([more.amount, more.amount_after_expiry], more.valid_until);
         self.allotted.insert(what, more);
         if let Budget::Hand(worker) = what {
             self.hands.insert(self.books.roll.name(worker), more);
@@ -450,14 +450,14 @@
     }
 
     /// What a budget was wanted for so far, and what is in use of it. Counted from the first time on that this is asked.
-    pub fn meter(&mut self, now: f64, what: Budget) -> Meter {
+    pub fn meter(&mut self, now: f64, what: Budget) -> UsageMeter {
         let meters = self.books.meters.get_or_insert_default();
         let meter = meters.get(&what).copied().unwrap_or_default();
         let used = match what {
             Budget::Orders => self.books.ration.as_mut().map_or(0.0, |r| r.used(now)),
             other => self.router.in_use(now, other),
         };
-        Meter { used, ..meter }
+        UsageMeter { in_use: used, ..meter }
     }
 
     /// Changes with the worker list, and with each desk that takes the place of another.
@@ -551,7 +551,11 @@
         for (worker, name) in listed {
             // What it was before this desk, or before another index was its own.
             if let Some(more) = self.hands.get(&name).copied() {
-                self.router.allot(Budget::Hand(worker), [more.more, more.after], more.until);
+                self.router.allot(
+                    Budget::Hand(worker),
+                    [more.amount, more.amount_after_expiry],
+                    more.valid_until,
+                );
             }
         }
         self.router.list_complete(now, &mut self.books);
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -160,7 +160,7 @@
         if reading.thread.is_none() {
             reading.thread = std::fs::read_link("/proc/thread-self").ok();
         }
-        let budgets = sharing.view(now).0.into_iter().map(|b| (b.name, (b.part, b.allowed)));
+        let budgets = sharing.view(now).0.into_iter().map(|b| (b.name, (b.quota, b.allowed)));
         if let Some(low) = self.lows.see(at, parts.part, budgets.collect()) {
             if reading.lows.len() == KEPT {
                 reading.lows.pop_front();
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -9,7 +9,7 @@
 use milletpath_dispatcher::dispatcher::QuotaFraction;
 use milletpath_membership::letter::{self, Key, LARGEST, Letter, Page, Who, matter};
 use milletpath_membership::{Event, Parts, Peers, Terms, View};
-use milletpath_shared_budgets::{Seen, Tally};
+use milletpath_shared_budgets::{BudgetView, Counters};
 use serde::{Deserialize, Serialize};
 use std::hash::{BuildHasher, RandomState};
 use std::io::{self, ErrorKind};
@@ -109,8 +109,8 @@
     #[serde(flatten)]
     pub view: View,
     /// Budgets that it shares with the others, the most moved first.
-    pub budgets: Vec<Seen>,
-    pub sharing: Tally,
+    pub budgets: Vec<BudgetView>,
+    pub sharing: Counters,
 }
 
 fn who(house: &GatewayConfig, stated: &MembershipConfig, at: SocketAddr) -> Who {
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -6,7 +6,7 @@
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_membership::Parts;
 use milletpath_policy::host::Budget;
-use milletpath_shared_budgets::{Form, Right, Seen, Shares, Tally};
+use milletpath_shared_budgets::{BudgetKind, BudgetView, Counters, Entitlement, SharedBudgets};
 use std::collections::BTreeMap;
 
 /// One budget that is open.
@@ -18,7 +18,7 @@
 }
 
 pub struct Sharing {
-    shares: Shares,
+    shares: SharedBudgets,
     open: Vec<Open>,
     /// The list by which workers' budgets were last opened.
     edition: (u64, u64),
@@ -33,7 +33,7 @@
     pub fn new(house: &GatewayConfig, life: u64, lease: f64, now: f64) -> Self {
         /// Seconds past its cut-off after which a shot has ended for certain.
         const LATE: f64 = 0.5;
-        let mut shares = Shares::new(life, lease, life, now);
+        let mut shares = SharedBudgets::new(life, lease, life, now);
         let (policy, gateways) = (&house.policy, house.policy.routers.max(1) as f64);
         let mut open = Vec::new();
         let mut add = |what, name: String, form, part: f64| {
@@ -42,14 +42,19 @@
             }
         };
         for (n, name) in house.clients.iter().enumerate() {
-            add(Budget::Quota(n), format!("quota {name}"), Form::Rate, policy.quotas[n] / gateways);
-            add(Budget::Ceiling(n), format!("ceiling {name}"), Form::Rate, policy.ceilings[n] / gateways);
+            add(Budget::Quota(n), format!("quota {name}"), BudgetKind::Rate, policy.quotas[n] / gateways);
+            add(
+                Budget::Ceiling(n),
+                format!("ceiling {name}"),
+                BudgetKind::Rate,
+                policy.ceilings[n] / gateways,
+            );
         }
         if let Some((window, free, _)) = policy.ration {
-            add(Budget::Orders, "orders".into(), Form::Window(window), free);
+            add(Budget::Orders, "orders".into(), BudgetKind::Window(window), free);
         }
         if let Some((window, free, _)) = policy.retries {
-            add(Budget::Retries, "retries".into(), Form::Window(window), free);
+            add(Budget::Retries, "retries".into(), BudgetKind::Window(window), free);
         }
         let longest = house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max);
         Self {
@@ -63,7 +68,7 @@
 
     /// When [`turn`](Self::turn) is wanted next.
     pub fn next(&self) -> f64 {
-        self.shares.next().min(self.shares.next_report())
+        self.shares.next_tick().min(self.shares.next_usage_report())
     }
 
     /// Opens budgets of workers that came, closes those of workers that are gone.
@@ -73,7 +78,7 @@
             return;
         }
         if edition.0 != self.edition.0 {
-            self.shares.tell_anew();
+            self.shares.resend_adjustments();
         }
         self.edition = edition;
         let (part, longest) = self.hand;
@@ -82,7 +87,8 @@
         }
         self.open.iter_mut().for_each(|o| o.here = !matches!(o.what, Budget::Hand(_)));
         for (worker, name) in desk.workers() {
-            let slot = self.shares.open(now, &format!("in flight {name}"), Form::Hand(longest), part);
+            let slot =
+                self.shares.open(now, &format!("in flight {name}"), BudgetKind::InFlight(longest), part);
             let what = Budget::Hand(worker);
             match self.open.iter_mut().find(|o| o.slot == slot) {
                 Some(known) => (known.what, known.here) = (what, true),
@@ -93,7 +99,7 @@
 
     fn meter<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for open in self.open.iter().filter(|o| o.here) {
-            self.shares.meter(now, open.slot, desk.meter(now, open.what));
+            self.shares.record_usage(now, open.slot, desk.meter(now, open.what));
         }
     }
 
@@ -101,9 +107,13 @@
     pub fn turn<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, parts: &Parts, others: Vec<u64>) {
         self.follow(desk, now);
         let Parts { part, floor, until, .. } = *parts;
-        self.shares.right(now, Right { part, floor, until }, others);
+        self.shares.set_entitlement(
+            now,
+            Entitlement { fraction: part, floor_fraction: floor, valid_until: until },
+            others,
+        );
         self.meter(desk, now);
-        self.shares.turn(now);
+        self.shares.tick(now);
         self.count(desk, now);
         let shares = &mut self.shares;
         self.open.retain(|o| o.here || !shares.close(now, o.slot));
@@ -114,7 +124,7 @@
     fn count<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         /// Seconds between two words to the decisions.
         const AGAIN: f64 = 0.5;
-        self.shares.report(now, || desk.busy(now));
+        self.shares.report_usage(now, || desk.busy(now));
         if self.counted == f64::NEG_INFINITY {
             // Whoever has just begun sees little and knows nothing of how long things take: times the count that would stretch
             // sets over all workers. Until the first word comes, or time has passed without one, others have what they need.
@@ -124,7 +134,7 @@
         if now < self.counted + AGAIN {
             return;
         }
-        if let Some(busy) = self.shares.elsewhere(now) {
+        if let Some(busy) = self.shares.usage_elsewhere(now) {
             self.counted = now;
             desk.elsewhere(now, &busy);
         }
@@ -133,7 +143,7 @@
     /// A note came of another process.
     pub fn heard<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, life: u64, note: &[u8]) {
         let open = &self.open;
-        self.shares.heard(now, life, note, &mut |slot| {
+        self.shares.receive(now, life, note, &mut |slot| {
             let open = open.iter().find(|o| o.slot == slot && o.here)?;
             Some(desk.meter(now, open.what))
         });
@@ -141,7 +151,7 @@
     }
 
     fn tell<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
-        for (slot, more) in self.shares.changes(now) {
+        for (slot, more) in self.shares.take_adjustments(now) {
             if let Some(open) = self.open.iter().find(|o| o.slot == slot && o.here) {
                 desk.allot(open.what, more);
             }
@@ -150,19 +160,19 @@
 
     /// What to send next, and to which process.
     pub fn out(&mut self) -> Option<(u64, Vec<u8>)> {
-        self.shares.out()
+        self.shares.next_message()
     }
 
     /// Budgets as an operator sees them: those of which something is wanted, lent or borrowed come first.
-    pub fn view(&mut self, now: f64) -> (Vec<Seen>, Tally) {
+    pub fn view(&mut self, now: f64) -> (Vec<BudgetView>, Counters) {
         /// Budgets that are told.
         const TOLD: usize = 48;
         let mut seen = self.shares.view(now);
         seen.sort_by(|a, b| {
-            let moved = |s: &Seen| s.need / s.part.max(1e-9) + s.lent + s.borrowed;
+            let moved = |s: &BudgetView| s.demand / s.quota.max(1e-9) + s.granted + s.held;
             moved(b).total_cmp(&moved(a)).then(a.name.cmp(&b.name))
         });
         seen.truncate(TOLD);
-        (seen, self.shares.tally())
+        (seen, self.shares.counters())
     }
 }
--- a/crates/milletpath/src/peers.rs
+++ b/crates/milletpath/src/peers.rs
@@ -66,13 +66,13 @@
     for b in &told.budgets {
         println!(
             "{:<32} {:>10.3} {:>10.3} {:>10.3} {:>10.3} {:>10.3}",
-            b.name, b.part, b.allowed, b.need, b.lent, b.borrowed
+            b.name, b.quota, b.allowed, b.demand, b.granted, b.held
         );
     }
     let s = &told.sharing;
     println!(
         "notes on budgets: {} sent, {} held back for want of bytes, {} unreadable; asks {}, grants {}",
-        s.notes, s.held_back, s.unread, s.asks, s.grants
+        s.messages, s.suppressed, s.unreadable, s.requests, s.grants
     );
     let t = &view.tally;
     println!("letters: {} sent ({} bytes), {} taken, {} repeated", t.sent, t.bytes, t.taken, t.repeated);
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -250,7 +250,7 @@
                     return;
                 }
                 let Ok(told) = milletpath_gateway::ask(&house) else { continue };
-                let budgets = told.budgets.into_iter().map(|b| (b.name, (b.part, b.allowed))).collect();
+                let budgets = told.budgets.into_iter().map(|b| (b.name, (b.quota, b.allowed))).collect();
                 if let Some(low) = lows.see(clock(), told.view.part, budgets) {
                     let low = Low { second: low.second, part: low.part, budgets: low.budgets };
                     let _ = tell.send(Heard::RealLow { gateway, low });
--- a/crates/shared-budgets/src/lib.rs
+++ b/crates/shared-budgets/src/lib.rs
@@ -5,13 +5,13 @@
 //! ([`account`]), and asks where it lacks something ([`Shares`]). Nothing that is lost, late, repeated or silent lets all
 //! together use more than there is.
 
-pub mod account;
+pub mod ledger;
 
-mod counts;
-mod need;
-mod note;
-mod shares;
-mod stairs;
+mod demand;
+mod message;
+mod shared_budgets;
+mod step_function;
+mod usage_counts;
 
-pub use account::{Form, Right};
-pub use shares::{Faults, Meter, More, Seen, Shares, Tally};
+pub use ledger::{BudgetKind, Entitlement};
+pub use shared_budgets::{BudgetView, Counters, InjectedFaults, QuotaAdjustment, SharedBudgets, UsageMeter};
--- a/crates/shared-budgets/tests/wire_format.rs
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -1,40 +1,43 @@
 //! Messages and operator views byte for byte, as the text of 2026-12-02 wrote them: gateways of two versions run side by
 //! side during an upgrade, and operators' scripts read the JSON.
 
-use milletpath_shared_budgets::{Form, Meter, Right, Shares};
+use milletpath_shared_budgets::{BudgetKind, Entitlement, SharedBudgets, UsageMeter};
 
 const REQUESTER: u64 = 1;
 const LENDER: u64 = 2;
-const ALL_OF_IT: Right = Right { part: 1.0, floor: 1.0, until: f64::INFINITY };
+const FULL_ENTITLEMENT: Entitlement =
+    Entitlement { fraction: 1.0, floor_fraction: 1.0, valid_until: f64::INFINITY };
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn gateway(me: u64, other: u64) -> (Shares, [usize; 3]) {
-    let mut shares = Shares::new(me, 3.0, me, 0.0);
-    shares.right(0.0, ALL_OF_IT, vec![other]);
+fn gateway(own_id: u64, peer: u64) -> (SharedBudgets, [usize; 3]) {
+    let mut shared_budgets = SharedBudgets::new(own_id, 3.0, own_id, 0.0);
+    shared_budgets.set_entitlement(0.0, FULL_ENTITLEMENT, vec![peer]);
     let slots = [
-        ("quota a", Form::Rate, 10.0),
-        ("orders", Form::Window(10.0), 4.0),
-        ("in flight w", Form::Hand(2.5), 3.0),
+        ("quota a", BudgetKind::Rate, 10.0),
+        ("orders", BudgetKind::Window(10.0), 4.0),
+        ("in flight w", BudgetKind::InFlight(2.5), 3.0),
     ]
-    .map(|(name, form, part)| shares.open(0.0, name, form, part));
-    (shares, slots)
+    .map(|(name, kind, quota)| shared_budgets.open(0.0, name, kind, quota));
+    (shared_budgets, slots)
 }
 
 /// A gateway that needs more than it has of three budgets, ten seconds after its start.
-fn requester() -> Shares {
-    let (mut shares, [rate, window, hand]) = gateway(REQUESTER, LENDER);
-    shares.meter(10.0, rate, Meter { wanted: 500, lacked: 100, used: 0.0 });
-    shares.meter(10.0, window, Meter { wanted: 6, lacked: 2, used: 4.0 });
-    shares.meter(10.0, hand, Meter { wanted: 5, lacked: 2, used: 3.0 });
-    shares.turn(10.0);
-    shares
+fn requester() -> SharedBudgets {
+    let (mut shared_budgets, [rate, window, in_flight]) = gateway(REQUESTER, LENDER);
+    shared_budgets.record_usage(10.0, rate, UsageMeter { requested: 500, denied: 100, in_use: 0.0 });
+    shared_budgets.record_usage(10.0, window, UsageMeter { requested: 6, denied: 2, in_use: 4.0 });
+    shared_budgets.record_usage(10.0, in_flight, UsageMeter { requested: 5, denied: 2, in_use: 3.0 });
+    shared_budgets.tick(10.0);
+    shared_budgets
 }
 
-fn sent(shares: &mut Shares) -> Vec<String> {
-    std::iter::from_fn(|| shares.out()).map(|(to, bytes)| format!("{to} {}", hex(&bytes))).collect()
+fn sent(shared_budgets: &mut SharedBudgets) -> Vec<String> {
+    std::iter::from_fn(|| shared_budgets.next_message())
+        .map(|(to, bytes)| format!("{to} {}", hex(&bytes)))
+        .collect()
 }
 
 #[test]
@@ -47,8 +50,8 @@
 #[test]
 fn granted_leases_keep_their_bytes() {
     let (mut lender, _) = gateway(LENDER, REQUESTER);
-    let (_, request) = requester().out().expect("it lacks something");
-    lender.heard(10.0, REQUESTER, &request, &mut |_| None);
+    let (_, request) = requester().next_message().expect("it lacks something");
+    lender.receive(10.0, REQUESTER, &request, &mut |_| None);
     let grant = "1 a7000101800283831b1c06a437d18487ed1a0090f56000831b641411ff0eb7c2e71a001cfde01a001cfde0831b8b3a2c\
                  79f9adc1651a000f42401a000f4240031907d0058006800700";
     assert_eq!(sent(&mut lender), [grant]);
@@ -61,8 +64,8 @@
 
 #[test]
 fn usage_reports_keep_their_bytes() {
-    let (mut shares, _) = gateway(REQUESTER, LENDER);
-    shares.report(10.0, busy);
+    let (mut shared_budgets, _) = gateway(REQUESTER, LENDER);
+    shared_budgets.report_usage(10.0, busy);
     let reports = [
         "2 a800000180028003000402058006800700",
         "2 a800000180028003000403058006800700",
@@ -75,19 +78,19 @@
         "2 a80000018002800300040e0581820818fa06800700",
         "2 a80000018002800300040f058182071905dc06800700",
     ];
-    assert_eq!(sent(&mut shares), reports);
+    assert_eq!(sent(&mut shared_budgets), reports);
 }
 
 #[test]
 fn usage_sums_keep_their_bytes() {
     let (mut reporter, _) = gateway(REQUESTER, LENDER);
-    let (mut adder, _) = gateway(LENDER, REQUESTER);
-    adder.report(10.0, busy);
-    reporter.report(10.0, busy);
-    // The adder's own reports go out first; what follows are its answers.
-    while adder.out().is_some() {}
-    while let Some((_, report)) = reporter.out() {
-        adder.heard(10.0, REQUESTER, &report, &mut |_| None);
+    let (mut aggregator, _) = gateway(LENDER, REQUESTER);
+    aggregator.report_usage(10.0, busy);
+    reporter.report_usage(10.0, busy);
+    // The aggregator's own reports go out first; what follows are its answers.
+    while aggregator.next_message().is_some() {}
+    while let Some((_, report)) = reporter.next_message() {
+        aggregator.receive(10.0, REQUESTER, &report, &mut |_| None);
     }
     let sums = [
         "1 a800000180028003000402058006800701",
@@ -101,21 +104,21 @@
         "1 a80000018002800300040e05800681820818fa0701",
         "1 a80000018002800300040f0580068182071905dc0701",
     ];
-    assert_eq!(sent(&mut adder), sums);
+    assert_eq!(sent(&mut aggregator), sums);
 }
 
 #[test]
 fn the_view_for_operators_keeps_its_json() {
     let mut requester = requester();
-    let (_, request) = requester.out().expect("it lacks something");
+    let (_, request) = requester.next_message().expect("it lacks something");
     let (mut lender, _) = gateway(LENDER, REQUESTER);
-    lender.heard(10.0, REQUESTER, &request, &mut |_| None);
-    let (_, grant) = lender.out().expect("it has something to lend");
-    requester.heard(10.0, LENDER, &grant, &mut |_| None);
-    requester.heard(10.0, LENDER, b"not a message", &mut |_| None);
-    let json = |shares: &mut Shares| {
-        let (view, tally) = (shares.view(10.0), shares.tally());
-        serde_json::to_string(&(view, tally)).expect("plain data")
+    lender.receive(10.0, REQUESTER, &request, &mut |_| None);
+    let (_, grant) = lender.next_message().expect("it has something to lend");
+    requester.receive(10.0, LENDER, &grant, &mut |_| None);
+    requester.receive(10.0, LENDER, b"not a message", &mut |_| None);
+    let json = |shared_budgets: &mut SharedBudgets| {
+        let (view, counters) = (shared_budgets.view(10.0), shared_budgets.counters());
+        serde_json::to_string(&(view, counters)).expect("plain data")
     };
     let of_requester = concat!(
         r#"[[{"name":"quota a","part":10.0,"allowed":19.5,"need":49.999999999954525,"lent":0.0,"borrowed":9.5},"#,
