--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -148,13 +148,13 @@
     }
 
     /// What is borrowed until then at least.
-    pub fn borrowed(&self, until: f64) -> f64 {
+    pub fn held(&self, until: f64) -> f64 {
         self.held.values().map(|leases| leases.levels.level_at(until)).sum()
     }
 
     /// What this gateway may use now.
     pub fn allowed(&self, entitlement: &Entitlement, now: f64) -> f64 {
-        (self.entitled(entitlement, now) - self.granted(now) + self.borrowed(now)).max(0.0)
+        (self.entitled(entitlement, now) - self.granted(now) + self.held(now)).max(0.0)
     }
 
     /// What it needs for itself, with something to grow by.
--- a/crates/shared-budgets/src/message.rs
+++ b/crates/shared-budgets/src/message.rs
@@ -42,7 +42,7 @@
     #[n(0)]
     pub function: u64,
     #[n(1)]
-    pub busy: u32,
+    pub concurrency: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
@@ -72,12 +72,12 @@
 
 impl Message {
     /// None where it can't be written, which does not happen.
-    pub fn write(&self) -> Option<Vec<u8>> {
+    pub fn to_bytes(&self) -> Option<Vec<u8>> {
         minicbor::to_vec(self).ok()
     }
 
     /// None for what is no note.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let message: Self = minicbor::decode(bytes).ok()?;
         let lengths =
             [message.requests.len(), message.grants.len(), message.usage.len(), message.totals.len()];
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -66,7 +66,7 @@
     name: String,
     ledger: Ledger,
     demand: DemandEstimate,
-    last_adjustment: Option<QuotaAdjustment>,
+    published: Option<QuotaAdjustment>,
     /// Rounds in which units were asked for in vain, and until when that rests.
     unsuccessful_rounds: u32,
     paused_until: f64,
@@ -109,8 +109,8 @@
     outbox: VecDeque<(u64, Message)>,
     next_round_at: f64,
     /// When something that the decisions were told must be told anew.
-    next_adjustment_at: f64,
-    denied: bool,
+    next_renewal_at: f64,
+    was_denied: bool,
     byte_allowance: (f64, f64),
     rng: Rand64,
     usage: UsageCounts,
@@ -147,8 +147,8 @@
             last_request_number: 0,
             outbox: VecDeque::new(),
             next_round_at: now,
-            next_adjustment_at: f64::INFINITY,
-            denied: false,
+            next_renewal_at: f64::INFINITY,
+            was_denied: false,
             byte_allowance: (MAX_BYTES_PER_SECOND, now),
             rng: Rand64::new(u128::from(seed)),
             usage: UsageCounts::new(own_id, now),
@@ -205,7 +205,7 @@
             name: name.to_owned(),
             ledger: Ledger::new(self.own_id, kind, quota, self.lease_duration, started_at),
             demand: DemandEstimate::new(kind, now),
-            last_adjustment: None,
+            published: None,
             unsuccessful_rounds: 0,
             paused_until: now,
             previous_use: 0.0,
@@ -238,7 +238,7 @@
         // Not the same as anything.
         let unknown =
             QuotaAdjustment { amount: f64::NAN, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
-        self.budgets.iter_mut().flatten().for_each(|budget| budget.last_adjustment = Some(unknown));
+        self.budgets.iter_mut().flatten().for_each(|budget| budget.published = Some(unknown));
     }
 
     fn budget(&mut self, slot: usize) -> Option<&mut Budget> {
@@ -251,17 +251,17 @@
         let Some(budget) = self.budget(slot) else { return };
         let was_denied = budget.demand.observe(now, meter);
         budget.ledger.set_demand(budget.demand.estimate(), meter.in_use);
-        self.denied |= was_denied;
+        self.was_denied |= was_denied;
     }
 
     /// When [`turn`](Self::turn) and then [`changes`](Self::changes) are wanted next, on the caller's clock.
     pub fn next_tick(&self) -> f64 {
-        let next = if self.denied {
+        let next = if self.was_denied {
             self.next_round_at.min(self.last_round_at() + MIN_REQUEST_INTERVAL)
         } else {
             self.next_round_at
         };
-        next.min(self.next_adjustment_at) - self.clock_offset
+        next.min(self.next_renewal_at) - self.clock_offset
     }
 
     fn last_round_at(&self) -> f64 {
@@ -274,10 +274,10 @@
         now: f64,
         peer: u64,
         bytes: &[u8],
-        meters: &mut dyn FnMut(usize) -> Option<UsageMeter>,
+        read_meter: &mut dyn FnMut(usize) -> Option<UsageMeter>,
     ) {
         let now = self.advance_clock(now);
-        let Some(message) = Message::read(bytes) else {
+        let Some(message) = Message::from_bytes(bytes) else {
             self.counters.unreadable += 1;
             return;
         };
@@ -300,7 +300,7 @@
         let mut grants = Vec::new();
         for request in &message.requests {
             let Some(&slot) = self.slots.get(&request.budget_key) else { continue };
-            if let Some(meter) = meters(slot) {
+            if let Some(meter) = read_meter(slot) {
                 self.record_usage(now - self.clock_offset, slot, meter);
             }
             let (entitlement, lease_duration, faults) = (self.entitlement, self.lease_duration, self.faults);
@@ -329,7 +329,7 @@
     pub fn next_message(&mut self) -> Option<(u64, Vec<u8>)> {
         let (peer, message) = self.outbox.pop_front()?;
         self.counters.messages += 1;
-        message.write().map(|bytes| (peer, bytes))
+        message.to_bytes().map(|bytes| (peer, bytes))
     }
 
     /// Puts a note into the post, within the bytes that may be sent.
@@ -361,7 +361,7 @@
 
     /// When [`report`](Self::report) is wanted next.
     pub fn next_usage_report(&self) -> f64 {
-        self.usage.next_report() - self.clock_offset
+        self.usage.next_report_at() - self.clock_offset
     }
 
     /// What functions keep busy at all other gateways; none while that is not known.
@@ -373,11 +373,11 @@
     /// Does what is due: a round of asks, and forgetting what has ended.
     pub fn tick(&mut self, now: f64) {
         let now = self.advance_clock(now);
-        let is_early = self.denied && now >= self.last_round_at() + MIN_REQUEST_INTERVAL;
+        let is_early = self.was_denied && now >= self.last_round_at() + MIN_REQUEST_INTERVAL;
         if now < self.next_round_at && !is_early {
             return;
         }
-        self.denied = false;
+        self.was_denied = false;
         self.next_round_at = now + REQUEST_INTERVAL * (0.9 + 0.2 * self.rng.rand_float());
         let mut requests: BTreeMap<u64, Vec<LeaseRequest>> = BTreeMap::new();
         for slot in 0..self.budgets.len() {
@@ -442,11 +442,11 @@
         let (until, clock_offset) = (now + ADJUSTMENT_VALIDITY, self.clock_offset);
         let grants_not_subtracted = self.faults.grants_not_subtracted;
         let mut adjustments = Vec::new();
-        self.next_adjustment_at = f64::INFINITY;
+        self.next_renewal_at = f64::INFINITY;
         for (slot, budget) in self.budgets.iter_mut().enumerate() {
             let Some(budget) = budget else { continue };
             let granted = if grants_not_subtracted { 0.0 } else { budget.ledger.granted(now) };
-            let borrowed = match budget.ledger.borrowed(until) {
+            let borrowed = match budget.ledger.held(until) {
                 // What rounding takes away must not keep whole units from being whole.
                 level if level > 0.0 && budget.ledger.is_units() => level + UNIT_EPSILON,
                 level => level,
@@ -464,15 +464,15 @@
             };
             let no_adjustment =
                 QuotaAdjustment { amount: 0.0, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
-            if !is_current(budget.last_adjustment.unwrap_or(no_adjustment)) {
-                budget.last_adjustment = Some(adjustment);
+            if !is_current(budget.published.unwrap_or(no_adjustment)) {
+                budget.published = Some(adjustment);
                 adjustments.push((
                     slot,
                     QuotaAdjustment { valid_until: adjustment.valid_until - clock_offset, ..adjustment },
                 ));
             }
-            self.next_adjustment_at = budget.last_adjustment.map_or(self.next_adjustment_at, |last| {
-                self.next_adjustment_at.min(last.valid_until - ADJUSTMENT_VALIDITY / 2.0)
+            self.next_renewal_at = budget.published.map_or(self.next_renewal_at, |last| {
+                self.next_renewal_at.min(last.valid_until - ADJUSTMENT_VALIDITY / 2.0)
             });
         }
         adjustments
@@ -502,7 +502,7 @@
             allowed: budget.ledger.allowed(&entitlement, now),
             demand: budget.demand.estimate(),
             granted: budget.ledger.granted(now),
-            held: budget.ledger.borrowed(now),
+            held: budget.ledger.held(now),
         };
         self.budgets.iter().flatten().map(view_of).collect()
     }
@@ -515,7 +515,7 @@
         /// Rounds, and seconds of rest on average.
         const MAX_UNSUCCESSFUL_ROUNDS: u32 = 3;
         const MEAN_PAUSE: f64 = 1.0;
-        let has_borrowed = self.ledger.borrowed(now) > 0.0;
+        let has_borrowed = self.ledger.held(now) > 0.0;
         let is_useless = self.ledger.is_units()
             && has_borrowed
             && self.ledger.allowed(entitlement, now) + UNIT_EPSILON < 1.0;
--- a/crates/shared-budgets/src/usage_counts.rs
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -19,7 +19,7 @@
 const MIN_CONCURRENCY: f64 = 0.02;
 
 /// Lanes are told in thousandths.
-const USAGE_RESOLUTION: f64 = 1e-3;
+const CONCURRENCY_RESOLUTION: f64 = 1e-3;
 
 /// Periods for which a report counts, and for which a sum does.
 const REPORT_LIFETIME: f64 = 3.5;
@@ -49,7 +49,7 @@
     avoided: BTreeMap<u64, f64>,
 }
 
-fn bucket(function: u64) -> u8 {
+fn bucket_of(function: u64) -> u8 {
     (xxh3_64(&function.to_le_bytes()) % u64::from(BUCKETS)) as u8
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// When a report is wanted next.
-    pub fn next_report(&self) -> f64 {
+    pub fn next_report_at(&self) -> f64 {
         self.next_report_at
     }
 
@@ -134,43 +134,43 @@
     }
 
     /// The busiest functions of a bucket here.
-    fn own_usage_of(&self, bucket_index: u8) -> Vec<FunctionUsage> {
+    fn own_usage_of(&self, bucket: u8) -> Vec<FunctionUsage> {
         let mut own_usage: Vec<_> =
-            self.own_usage.iter().filter(|(name, _)| bucket(*name) == bucket_index).collect();
+            self.own_usage.iter().filter(|(name, _)| bucket_of(*name) == bucket).collect();
         own_usage.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         own_usage.truncate(MAX_ENTRIES);
         let count = |(function, concurrency): &(u64, f64)| FunctionUsage {
             function: *function,
-            busy: (concurrency / USAGE_RESOLUTION) as u32,
+            concurrency: (concurrency / CONCURRENCY_RESOLUTION) as u32,
         };
         own_usage.into_iter().map(count).collect()
     }
 
     /// What functions of a bucket keep busy at all but one gateway, and how many of these reported.
-    fn total(&self, bucket_index: u8, excluded: u64) -> (u16, Vec<FunctionUsage>) {
+    fn total(&self, bucket: u8, excluded: u64) -> (u16, Vec<FunctionUsage>) {
         let mut totals: BTreeMap<u64, u32> = BTreeMap::new();
         let mut add = |usage: &[FunctionUsage]| {
             for count in usage {
                 let total = totals.entry(count.function).or_default();
-                *total = total.saturating_add(count.busy);
+                *total = total.saturating_add(count.concurrency);
             }
         };
         let mut reporter_count = 0;
-        for (_, (_, usage)) in self
-            .reports
-            .range((bucket_index, 0)..=(bucket_index, u64::MAX))
-            .filter(|((_, l), _)| *l != excluded)
+        for (_, (_, usage)) in
+            self.reports.range((bucket, 0)..=(bucket, u64::MAX)).filter(|((_, l), _)| *l != excluded)
         {
             add(usage);
             reporter_count += 1;
         }
         if excluded != self.own_id {
-            add(&self.own_usage_of(bucket_index));
+            add(&self.own_usage_of(bucket));
             reporter_count += 1;
         }
-        let mut totals: Vec<_> =
-            totals.into_iter().map(|(function, busy)| FunctionUsage { function, busy }).collect();
-        totals.sort_by(|a, b| b.busy.cmp(&a.busy).then(a.function.cmp(&b.function)));
+        let mut totals: Vec<_> = totals
+            .into_iter()
+            .map(|(function, concurrency)| FunctionUsage { function, concurrency })
+            .collect();
+        totals.sort_by(|a, b| b.concurrency.cmp(&a.concurrency).then(a.function.cmp(&b.function)));
         totals.truncate(MAX_ENTRIES);
         (reporter_count, totals)
     }
@@ -218,7 +218,8 @@
         };
         let known = (0..BUCKETS).all(|b| self.totals.get(&b).is_some_and(fresh));
         let usage = self.totals.values().flat_map(|(_, _, usage)| usage);
-        known.then(|| usage.map(|c| (c.function, f64::from(c.busy) * USAGE_RESOLUTION)).collect())
+        known
+            .then(|| usage.map(|c| (c.function, f64::from(c.concurrency) * CONCURRENCY_RESOLUTION)).collect())
     }
 }
 
--- a/crates/shared-budgets/src/usage_counts/tests.rs
+++ b/crates/shared-budgets/src/usage_counts/tests.rs
@@ -79,13 +79,8 @@
 #[test]
 fn large_fleets_report_less_often() {
     let mut few = UsageCounts::new(1, 0.0);
-    let mut reporter_count = few.clone();
+    let mut many = few.clone();
     few.set_peers(&(2..=40).collect::<Vec<_>>());
-    reporter_count.set_peers(&(2..=480).collect::<Vec<_>>());
-    assert!(
-        (reporter_count.interval / few.interval - 10.0).abs() < 0.1,
-        "{} {}",
-        few.interval,
-        reporter_count.interval
-    );
+    many.set_peers(&(2..=480).collect::<Vec<_>>());
+    assert!((many.interval / few.interval - 10.0).abs() < 0.1, "{} {}", few.interval, many.interval);
 }
