--- a/crates/sealed-datagram/src/lib.rs
+++ b/crates/sealed-datagram/src/lib.rs
@@ -2,6 +2,8 @@
 //! body. What stands in the body is its owner's; letters between gateways and messages of control machines are made
 //! and opened here, each with a key of its own.
 
+#![warn(missing_docs, clippy::too_many_lines)]
+
 use std::fmt;
 
 /// Bytes of a datagram at most: what passes any link whole.
--- /dev/null
+++ b/crates/shared-budgets/src/adjustment.rs
@@ -0,0 +1,56 @@
+//! What whoever spends a budget is told of it: by how much the quota is raised or lowered, and until when.
+
+/// By how much what a gateway may use of a budget differs from its quota.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct QuotaAdjustment {
+    /// Units, or units a second, that are added to the quota until `valid_until`; negative where more is leased to others
+    /// than is held.
+    pub amount: f64,
+    /// The same from `valid_until` on, when nothing that is held now counts any more; never positive.
+    pub amount_after_expiry: f64,
+    /// In seconds on the caller's clock; infinite where nothing is held.
+    pub valid_until: f64,
+}
+
+/// Seconds for which an adjustment that counts on held leases is valid at most; it is renewed after half of them.
+const VALIDITY: f64 = 0.3;
+
+/// What is added to held units, as levels in messages are rounded down: whole units must stay whole. Units, and so the
+/// budget, are whole numbers: fewer than a thousand gateways together gain no unit by it.
+pub(crate) const UNIT_EPSILON: f64 = 1e-3;
+
+impl QuotaAdjustment {
+    /// What holds before any lease.
+    pub(crate) const NONE: Self = Self { amount: 0.0, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
+
+    /// Differs from every adjustment, also from itself.
+    pub(crate) const UNKNOWN: Self =
+        Self { amount: f64::NAN, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
+
+    /// Until when the next adjustment would be valid.
+    pub(crate) fn validity_from(now: f64) -> f64 {
+        now + VALIDITY
+    }
+
+    /// An adjustment by what is granted, and by what is held until `until` at least.
+    pub(crate) fn from_leases(granted: f64, held: f64, is_units: bool, until: f64) -> Self {
+        let held = if held > 0.0 && is_units { held + UNIT_EPSILON } else { held };
+        Self {
+            amount: held - granted,
+            amount_after_expiry: -granted,
+            valid_until: if held > 0.0 { until } else { f64::INFINITY },
+        }
+    }
+
+    /// When an adjustment is to be renewed.
+    pub(crate) fn renew_at(&self) -> f64 {
+        self.valid_until - VALIDITY / 2.0
+    }
+
+    /// Whether this one, which was published before, says the same as a new one for long enough.
+    pub(crate) fn is_as_good_as(&self, new: &Self, now: f64) -> bool {
+        let has_same_amounts =
+            self.amount == new.amount && self.amount_after_expiry == new.amount_after_expiry;
+        has_same_amounts && (self.valid_until == new.valid_until || self.renew_at() > now)
+    }
+}
--- /dev/null
+++ b/crates/shared-budgets/src/budget.rs
@@ -0,0 +1,126 @@
+//! One budget of a gateway: its ledger and demand, what was published of it, and pauses between fruitless requests.
+
+use crate::adjustment::{QuotaAdjustment, UNIT_EPSILON};
+use crate::demand::{DemandEstimate, UsageMeter};
+use crate::entitlement::Entitlement;
+use crate::lease::LevelAt;
+use crate::ledger::{Ledger, LedgerConfig};
+use crate::process_id::ProcessId;
+use crate::request_plan::plan_requests;
+use crate::view::BudgetView;
+use oorandom::Rand64;
+
+/// Rounds after which requests for units that could not be completed are paused.
+const MAX_UNSUCCESSFUL_ROUNDS: u32 = 3;
+
+/// Mean length of such a pause, in seconds.
+const MEAN_PAUSE: f64 = 1.0;
+
+/// One budget of a gateway.
+#[derive(Clone, Debug)]
+pub(crate) struct Budget {
+    /// Names the budget in messages.
+    pub key: u64,
+    pub ledger: Ledger,
+    name: String,
+    demand: DemandEstimate,
+    /// What was published last; none before the first.
+    published: Option<QuotaAdjustment>,
+    /// Rounds in a row in which units were requested and no whole one was had.
+    unsuccessful_rounds: u32,
+    paused_until: f64,
+    /// [`Ledger::fractional_use`] in the round before.
+    previous_use: f64,
+}
+
+impl Budget {
+    pub(crate) fn new(key: u64, name: &str, config: LedgerConfig, now: f64) -> Self {
+        Self {
+            key,
+            name: name.to_owned(),
+            demand: DemandEstimate::new(config.kind, now),
+            ledger: Ledger::new(config, now),
+            published: None,
+            unsuccessful_rounds: 0,
+            paused_until: now,
+            previous_use: 0.0,
+        }
+    }
+
+    /// Takes a reading of the meter; returns whether units were denied since the last sample.
+    pub(crate) fn record_usage(&mut self, now: f64, meter: UsageMeter) -> bool {
+        let was_denied = self.demand.observe(now, meter);
+        self.ledger.set_demand(self.demand.estimate(), meter.in_use);
+        was_denied
+    }
+
+    /// Begins a round of requests; returns what to request from whom.
+    pub(crate) fn next_requests(
+        &mut self,
+        entitlement: &Entitlement,
+        peers: &[ProcessId],
+        now: f64,
+        rng: &mut Rand64,
+    ) -> Vec<LevelAt> {
+        self.ledger.forget_expired(now);
+        self.update_pause(entitlement, now, rng);
+        let is_paused = now < self.paused_until;
+        let desired = if is_paused { 0.0 } else { self.ledger.desired_borrowing(entitlement, now) };
+        let required = self.ledger.required_borrowing(entitlement, now);
+        plan_requests(&self.ledger, peers, now, desired.max(required))
+    }
+
+    /// Pauses requests for a random time where they can't succeed. Units are of use only when whole; where several
+    /// gateways request them at once, fractions could lie at each of them for ever. So a gateway that could not complete a
+    /// unit returns what it holds and pauses. One that has used the only unit pauses too, in favour of the others.
+    fn update_pause(&mut self, entitlement: &Entitlement, now: f64, rng: &mut Rand64) {
+        let holds_something = self.ledger.held(now) > 0.0;
+        let holds_fraction = self.ledger.kind().is_units()
+            && holds_something
+            && self.ledger.allowed(entitlement, now) + UNIT_EPSILON < 1.0;
+        self.unsuccessful_rounds = if holds_fraction { self.unsuccessful_rounds + 1 } else { 0 };
+        let use_now = self.ledger.fractional_use();
+        let has_used_unit = self.previous_use < use_now;
+        self.previous_use = use_now;
+        if self.unsuccessful_rounds >= MAX_UNSUCCESSFUL_ROUNDS || has_used_unit {
+            self.unsuccessful_rounds = 0;
+            let hold = if has_used_unit { self.ledger.kind().hold() } else { 0.0 };
+            self.paused_until = now + (hold + MEAN_PAUSE * 2.0 * rng.rand_float());
+        }
+    }
+
+    /// Publishes by how much the quota is adjusted now; none where what was published last is as good.
+    pub(crate) fn publish_adjustment(&mut self, granted: f64, now: f64) -> Option<QuotaAdjustment> {
+        let until = QuotaAdjustment::validity_from(now);
+        let held = self.ledger.held(until);
+        let new = QuotaAdjustment::from_leases(granted, held, self.ledger.kind().is_units(), until);
+        let last = self.published.unwrap_or(QuotaAdjustment::NONE);
+        if last.is_as_good_as(&new, now) {
+            return None;
+        }
+        self.published = Some(new);
+        Some(new)
+    }
+
+    /// Forgets what was published: the next adjustment is published whatever it is.
+    pub(crate) fn forget_published(&mut self) {
+        self.published = Some(QuotaAdjustment::UNKNOWN);
+    }
+
+    /// When what was published is to be renewed; infinite where nothing was.
+    pub(crate) fn renew_at(&self) -> f64 {
+        self.published.map_or(f64::INFINITY, |published| published.renew_at())
+    }
+
+    /// The budget as an operator sees it.
+    pub(crate) fn view(&self, entitlement: &Entitlement, now: f64) -> BudgetView {
+        BudgetView {
+            name: self.name.clone(),
+            quota: self.ledger.quota(),
+            allowed: self.ledger.allowed(entitlement, now),
+            demand: self.demand.estimate(),
+            granted: self.ledger.granted(now),
+            held: self.ledger.held(now),
+        }
+    }
+}
--- a/crates/shared-budgets/src/demand.rs
+++ b/crates/shared-budgets/src/demand.rs
@@ -1,59 +1,73 @@
-//! What a gateway needs of a budget, from what was wanted of it lately: quick to rise, slower to fall.
+//! How much of a budget a gateway needs, estimated from its use of late: quick to rise, slower to fall.
 
-use crate::ledger::BudgetKind;
-use crate::shared_budgets::UsageMeter;
+use crate::budget_kind::BudgetKind;
 
+/// Use of a budget, as metered by whoever spends it.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct UsageMeter {
+    /// Units that were requested since the start; only grows.
+    pub requested: u64,
+    /// Of the requested units, those that were denied because the budget was spent; only grows.
+    pub denied: u64,
+    /// Units in use now; 0 for a rate.
+    pub in_use: f64,
+}
+
+/// An estimate of how much a gateway needs of one budget.
 #[derive(Clone, Debug)]
-pub struct DemandEstimate {
+pub(crate) struct DemandEstimate {
     kind: BudgetKind,
     sampled_at: f64,
     last_meter: UsageMeter,
-    /// Wanted a second, smoothed; and what was lacked of late, fading.
+    /// Units requested a second: an exponentially weighted moving average.
     rate: f64,
+    /// Units denied, fading by [`DENIAL_HALF_LIFE`].
     denied: f64,
 }
 
-/// Half lives of a rate that rises and of one that falls: a jump is known within half a second; and one that fell to a
-/// tenth is known within two, which leaves a loan's time for all to follow within five.
+/// Half-life of the average while the rate rises, in seconds: a jump is known within half a second.
 const RISE_HALF_LIFE: f64 = 0.25;
+
+/// Half-life of the average while the rate falls, in seconds. A fall to a tenth is known within two seconds, which leaves
+/// the duration of a lease for the whole fleet to follow within five.
 const FALL_HALF_LIFE: f64 = 0.5;
 
-/// Units lacked count for so long.
+/// Seconds in which denied units come to count half.
 const DENIAL_HALF_LIFE: f64 = 1.0;
 
 impl DemandEstimate {
-    pub fn new(kind: BudgetKind, now: f64) -> Self {
+    pub(crate) fn new(kind: BudgetKind, now: f64) -> Self {
         Self { kind, sampled_at: now, last_meter: UsageMeter::default(), rate: 0.0, denied: 0.0 }
     }
 
-    /// The meters now; tells whether something was lacked since the last look.
-    pub fn observe(&mut self, now: f64, meter: UsageMeter) -> bool {
-        /// Seconds between two looks at least, so that a rate is one.
+    /// Takes a reading of the meter; returns whether units were denied since the last sample.
+    pub(crate) fn observe(&mut self, now: f64, meter: UsageMeter) -> bool {
+        /// Seconds between two samples at least: over less than that a rate is mostly noise.
         const MIN_SAMPLE_INTERVAL: f64 = 0.05;
-        let (requested, denied) = (
-            meter.requested.saturating_sub(self.last_meter.requested) as f64,
-            meter.denied.saturating_sub(self.last_meter.denied) as f64,
-        );
         let elapsed = now - self.sampled_at;
         if elapsed < MIN_SAMPLE_INTERVAL {
             self.last_meter.in_use = meter.in_use;
             return false;
         }
+        let requested = meter.requested.saturating_sub(self.last_meter.requested) as f64;
+        let denied = meter.denied.saturating_sub(self.last_meter.denied) as f64;
         let rate = requested / elapsed;
         let half_life = if rate > self.rate { RISE_HALF_LIFE } else { FALL_HALF_LIFE };
         self.rate += (rate - self.rate) * (1.0 - (-elapsed / half_life).exp2());
         self.denied = self.denied * (-elapsed / DENIAL_HALF_LIFE).exp2() + denied;
-        (self.sampled_at, self.last_meter) = (now, meter);
+        self.sampled_at = now;
+        self.last_meter = meter;
         denied > 0.0
     }
 
-    /// So much a second; or so many units at a time.
-    pub fn estimate(&self) -> f64 {
+    /// Units a second for a rate; units at the same time otherwise.
+    pub(crate) fn estimate(&self) -> f64 {
         match self.kind {
             BudgetKind::Rate => self.rate,
-            // What is in use, what was lacked, and what may be wanted before an answer comes.
             BudgetKind::Window(_) | BudgetKind::InFlight(_) => {
-                self.last_meter.in_use + self.denied + if self.denied > 0.5 { 1.0 } else { 0.0 }
+                // Where units were denied, one more is likely to be requested before a grant arrives.
+                let growth = if self.denied > 0.5 { 1.0 } else { 0.0 };
+                self.last_meter.in_use + self.denied + growth
             }
         }
     }
--- a/crates/shared-budgets/src/lib.rs
+++ b/crates/shared-budgets/src/lib.rs
@@ -1,17 +1,35 @@
-//! What a whole fleet of gateways shares: budgets, in allotments whose sum never exceeds them. A core without sockets and
-//! clocks.
+//! Budgets that a whole fleet of gateways shares, in leases whose sum never exceeds them, and the concurrency of functions
+//! over all gateways. A core without sockets and clocks.
 //!
-//! Each gateway owns a part, by the count that `milletpath-membership` proves. It lends what it does not need to who asks
-//! ([`account`]), and asks where it lacks something ([`Shares`]). Nothing that is lost, late, repeated or silent lets all
-//! together use more than there is.
+//! Each gateway has a quota of every budget, and is entitled to the fraction of it that `milletpath-membership` proves. It
+//! leases what it does not need to those that request it, and requests what it lacks ([`SharedBudgets`]). Whatever is
+//! lost, late, repeated or silent, all gateways together never use more than there is.
 
-pub mod ledger;
+#![warn(missing_docs, clippy::too_many_lines)]
 
+mod adjustment;
+mod budget;
+mod budget_kind;
+mod clock;
 mod demand;
+mod entitlement;
+mod fault_injection;
+mod lease;
+mod ledger;
 mod message;
+mod outbox;
+mod process_id;
+mod request_plan;
 mod shared_budgets;
 mod step_function;
 mod usage_counts;
+mod view;
 
-pub use ledger::{BudgetKind, Entitlement};
-pub use shared_budgets::{BudgetView, Counters, InjectedFaults, QuotaAdjustment, SharedBudgets, UsageMeter};
+pub use adjustment::QuotaAdjustment;
+pub use budget_kind::BudgetKind;
+pub use demand::UsageMeter;
+pub use entitlement::Entitlement;
+pub use fault_injection::InjectedFaults;
+pub use process_id::ProcessId;
+pub use shared_budgets::SharedBudgets;
+pub use view::{BudgetView, Counters};
--- /dev/null
+++ b/crates/shared-budgets/src/request_plan.rs
@@ -0,0 +1,83 @@
+//! Which gateways are asked for how much of a budget.
+
+use crate::lease::{LevelAt, sort_by_level};
+use crate::ledger::Ledger;
+use crate::process_id::ProcessId;
+
+/// How many times what is desired may be held before some of it is returned.
+const RELEASE_FACTOR: f64 = 1.2;
+
+/// How many times what is missing is requested from the gateways of which it is not known what they could grant, all
+/// together.
+const PROBE_FACTOR: f64 = 2.0;
+
+/// The levels to request, so that `desired` is held in all: from lenders what is held already, the rest from gateways that
+/// may have something to spare.
+pub(crate) fn plan_requests(ledger: &Ledger, peers: &[ProcessId], now: f64, desired: f64) -> Vec<LevelAt> {
+    let mut plan = ledger.lenders(now);
+    let total_held: f64 = plan.iter().map(|request| request.level).sum();
+    if total_held > RELEASE_FACTOR * desired {
+        return_surplus(&mut plan, total_held - desired);
+    }
+    let mut missing = desired - total_held;
+    if missing > 0.0 {
+        missing = request_known_spare(&mut plan, ledger, peers, now, missing);
+    }
+    if missing > 0.0 {
+        probe_peers(&mut plan, ledger, peers, now, missing);
+    }
+    plan
+}
+
+/// Lowers the levels by a surplus. The smallest go first: fewer lenders to ask next time.
+fn return_surplus(plan: &mut [LevelAt], mut surplus: f64) {
+    for request in plan.iter_mut().rev() {
+        let returned = request.level.min(surplus);
+        request.level -= returned;
+        surplus -= returned;
+    }
+}
+
+/// Requests what is missing from those that stated what they could grant, most first; returns what is still missing.
+fn request_known_spare(
+    plan: &mut Vec<LevelAt>,
+    ledger: &Ledger,
+    peers: &[ProcessId],
+    now: f64,
+    mut missing: f64,
+) -> f64 {
+    let spare_of = |peer: &ProcessId| {
+        let level = ledger.reported_spare(now, *peer)?;
+        Some(LevelAt { gateway: *peer, level })
+    };
+    let mut spare: Vec<LevelAt> = peers.iter().filter_map(spare_of).collect();
+    spare.retain(|peer| peer.level > 0.0);
+    sort_by_level(&mut spare);
+    for peer in spare {
+        let level = peer.level.min(missing);
+        raise(plan, peer.gateway, level);
+        missing -= level;
+        if missing <= 0.0 {
+            break;
+        }
+    }
+    missing
+}
+
+/// Requests a part of what is missing from each of those of which it is not known what they could grant.
+fn probe_peers(plan: &mut Vec<LevelAt>, ledger: &Ledger, peers: &[ProcessId], now: f64, missing: f64) {
+    let unknown: Vec<ProcessId> =
+        peers.iter().copied().filter(|peer| ledger.reported_spare(now, *peer).is_none()).collect();
+    let per_peer = (PROBE_FACTOR * missing / unknown.len().max(1) as f64).min(missing);
+    for peer in unknown {
+        raise(plan, peer, per_peer);
+    }
+}
+
+/// Raises the level that is requested from a gateway.
+fn raise(plan: &mut Vec<LevelAt>, gateway: ProcessId, by: f64) {
+    match plan.iter_mut().find(|request| request.gateway == gateway) {
+        Some(request) => request.level += by,
+        None => plan.push(LevelAt { gateway, level: by }),
+    }
+}
--- a/crates/shared-budgets/src/usage_counts.rs
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -1,225 +1,233 @@
-//! What functions keep busy over all gateways: each tells what they do there, in lanes, and hears what they do elsewhere.
+//! The concurrency of functions over all gateways: each gateway reports its own and learns that of all others.
 //!
-//! Functions fall into [`BUCKETS`] by their names. Of each bucket one gateway adds up what all report, the first by a hash
-//! over those who are there; so nobody hears all from all, and what a gateway sends does not grow with their number. One
-//! that does not answer is passed over for a while. A report counts until the next of its sender, or for a few periods.
+//! Functions fall into [`BUCKETS`] by a hash of their names. For each bucket one gateway adds up what all report, chosen
+//! by rendezvous hashing; so no gateway receives everything from everybody, and what one sends does not grow with the size
+//! of the fleet. An aggregator that does not answer is avoided for a while. A report counts until the next of its sender,
+//! or for a few intervals.
+
+mod aggregators;
 
 use crate::message::{FunctionUsage, MAX_ENTRIES, Message};
+use crate::process_id::ProcessId;
+use aggregators::Aggregators;
 use std::collections::BTreeMap;
-use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+use xxhash_rust::xxh3::xxh3_64;
 
-/// Few enough that a letter carries several functions, enough that the work is spread.
-pub const BUCKETS: u8 = 16;
+/// Few enough that a message carries several functions, enough that the work is spread.
+const BUCKETS: u8 = 16;
 
-/// Seconds between two reports of up to so many gateways; more report less often, so that who adds up hears no more.
+/// Seconds between two reports of a gateway in a fleet of up to [`GATEWAYS_AT_FULL_RATE`].
 const REPORT_INTERVAL: f64 = 0.8;
+
+/// Larger fleets report less often, so that an aggregator receives no more messages a second.
 const GATEWAYS_AT_FULL_RATE: f64 = 48.0;
 
-/// Lanes below which a function is not worth a word.
+/// Concurrency below which a function is not reported.
 const MIN_CONCURRENCY: f64 = 0.02;
 
-/// Lanes are told in thousandths.
+/// Concurrency is sent in thousandths.
 const CONCURRENCY_RESOLUTION: f64 = 1e-3;
 
-/// Periods for which a report counts, and for which a sum does.
+/// Intervals for which a report counts.
 const REPORT_LIFETIME: f64 = 3.5;
+
+/// Intervals for which a total counts.
 const TOTAL_LIFETIME: f64 = 2.5;
 
-/// Periods without an answer after which another is asked, and seconds for which it then is.
+/// Intervals without an answer after which another aggregator is chosen.
 const ANSWER_TIMEOUT: f64 = 1.8;
-const AVOIDANCE_SECONDS: f64 = 10.0;
 
-/// What one gateway reported of a bucket, and when.
-type Report = (f64, Vec<FunctionUsage>);
+/// What one gateway reported of a bucket.
+#[derive(Clone, Debug)]
+struct Report {
+    received_at: f64,
+    usage: Vec<FunctionUsage>,
+}
+
+/// What functions of a bucket use at all gateways but one.
+#[derive(Clone, Debug)]
+struct BucketTotal {
+    received_at: f64,
+    /// How many gateways' reports it adds up.
+    reporters: u16,
+    usage: Vec<FunctionUsage>,
+}
 
+/// The concurrency of functions here and at all other gateways.
 #[derive(Clone, Debug)]
-pub struct UsageCounts {
-    own_id: u64,
-    /// What functions keep busy here.
+pub(crate) struct UsageCounts {
+    own_id: ProcessId,
+    /// Functions by the hash of their names, and their concurrency here.
     own_usage: Vec<(u64, f64)>,
-    peers: Vec<u64>,
     next_report_at: f64,
+    /// Seconds between two reports.
     interval: f64,
-    /// Reports by bucket and sender, where this one adds up.
-    reports: BTreeMap<(u8, u64), Report>,
-    /// What functions of a bucket keep busy elsewhere, how many reported that, and when.
-    totals: BTreeMap<u8, (f64, u16, Vec<FunctionUsage>)>,
-    /// Who was asked for a bucket, since when it has not answered; and who is passed over until when.
-    awaiting: BTreeMap<u8, (u64, f64)>,
-    avoided: BTreeMap<u64, f64>,
+    /// Reports by bucket and sender, for buckets that are added up here; see [`Self::record_report`] for their number.
+    reports: BTreeMap<(u8, ProcessId), Report>,
+    /// By bucket, of all other gateways.
+    totals: BTreeMap<u8, BucketTotal>,
+    aggregators: Aggregators,
 }
 
+/// The bucket of a function.
 fn bucket_of(function: u64) -> u8 {
     (xxh3_64(&function.to_le_bytes()) % u64::from(BUCKETS)) as u8
 }
 
 impl UsageCounts {
-    pub fn new(own_id: u64, now: f64) -> Self {
+    pub(crate) fn new(own_id: ProcessId, now: f64) -> Self {
         Self {
             own_id,
             own_usage: Vec::new(),
-            peers: Vec::new(),
             next_report_at: now,
             interval: REPORT_INTERVAL,
             reports: BTreeMap::new(),
             totals: BTreeMap::new(),
-            awaiting: BTreeMap::new(),
-            avoided: BTreeMap::new(),
+            aggregators: Aggregators::new(own_id),
         }
     }
 
-    /// Those who are there beside this one.
-    pub fn set_peers(&mut self, peers: &[u64]) {
-        self.peers = peers.to_vec();
+    /// Sets which other gateways there are.
+    pub(crate) fn set_peers(&mut self, peers: &[ProcessId]) {
+        self.aggregators.set_peers(peers);
         self.interval = REPORT_INTERVAL * ((peers.len() + 1) as f64 / GATEWAYS_AT_FULL_RATE).max(1.0);
     }
 
-    /// When a report is wanted next.
-    pub fn next_report_at(&self) -> f64 {
+    /// When [`tick`](Self::tick) is due next.
+    pub(crate) fn next_report_at(&self) -> f64 {
         self.next_report_at
     }
 
-    /// Who adds up a bucket.
-    fn aggregator(&self, now: f64, bucket: u8) -> u64 {
-        let avoided = |peer: &u64| self.avoided.get(peer).is_some_and(|until| now < *until);
-        let candidates = self.peers.iter().copied().filter(|peer| !avoided(peer)).chain([self.own_id]);
-        candidates
-            .max_by_key(|peer| xxh3_64_with_seed(&peer.to_le_bytes(), bucket.into()))
-            .unwrap_or(self.own_id)
-    }
-
-    /// Reports, where that is due: to whom, and what. `busy` is what functions keep busy here, in lanes by name.
-    pub fn tick(
+    /// The reports to send now, with their recipients; none before they are due. `jitter` is a random number from 0 to 1;
+    /// `busy` gives functions by the hash of their names, and their concurrency here.
+    pub(crate) fn tick(
         &mut self,
         now: f64,
         jitter: f64,
         busy: impl FnOnce() -> Vec<(u64, f64)>,
-    ) -> Vec<(u64, Message)> {
+    ) -> Vec<(ProcessId, Message)> {
         if now < self.next_report_at {
             return Vec::new();
         }
         self.next_report_at = now + self.interval * (0.9 + 0.2 * jitter);
-        let (reports, totals) = (REPORT_LIFETIME * self.interval, TOTAL_LIFETIME * self.interval);
-        self.reports.retain(|_, (at, _)| now - *at < reports);
-        self.totals.retain(|_, (at, ..)| now - *at < totals);
-        self.avoided.retain(|_, until| now < *until);
-        if self.peers.is_empty() {
+        self.forget_expired(now);
+        if self.aggregators.peer_count() == 0 {
             self.totals.clear();
             return Vec::new();
         }
         self.own_usage = busy();
         self.own_usage.retain(|(_, concurrency)| *concurrency >= MIN_CONCURRENCY);
-        let mut messages = Vec::new();
-        for bucket in 0..BUCKETS {
-            if let Some((unresponsive, since)) = self.awaiting.get(&bucket).copied()
-                && now - since > ANSWER_TIMEOUT * self.interval
-            {
-                self.awaiting.remove(&bucket);
-                self.avoided.insert(unresponsive, now + AVOIDANCE_SECONDS);
-            }
-            let aggregator = self.aggregator(now, bucket);
-            let usage = self.own_usage_of(bucket);
-            if aggregator == self.own_id {
-                let (reporters, totals) = self.total(bucket, self.own_id);
-                self.totals.insert(bucket, (now, reporters, totals));
-                self.awaiting.remove(&bucket);
-                continue;
-            }
-            let pending = self.awaiting.get(&bucket).filter(|(peer, _)| *peer == aggregator);
-            let since = pending.map_or(now, |(_, since)| *since);
-            self.awaiting.insert(bucket, (aggregator, since));
-            messages.push((aggregator, Message { bucket: Some(bucket), usage, ..Message::default() }));
+        (0..BUCKETS).filter_map(|bucket| self.report(now, bucket)).collect()
+    }
+
+    fn forget_expired(&mut self, now: f64) {
+        let (report_lifetime, total_lifetime) =
+            (REPORT_LIFETIME * self.interval, TOTAL_LIFETIME * self.interval);
+        self.reports.retain(|_, report| now - report.received_at < report_lifetime);
+        self.totals.retain(|_, total| now - total.received_at < total_lifetime);
+        self.aggregators.forget_expired(now);
+    }
+
+    /// The report on a bucket, and its aggregator; none where this gateway is the aggregator.
+    fn report(&mut self, now: f64, bucket: u8) -> Option<(ProcessId, Message)> {
+        let aggregator = self.aggregators.choose(now, bucket, ANSWER_TIMEOUT * self.interval);
+        if aggregator == self.own_id {
+            let total = self.total_without(now, bucket, self.own_id);
+            self.totals.insert(bucket, total);
+            self.aggregators.stop_awaiting(bucket);
+            return None;
         }
-        messages
+        self.aggregators.await_answer(now, bucket, aggregator);
+        let usage = self.own_usage_of(bucket);
+        Some((aggregator, Message { bucket: Some(bucket), usage, ..Message::default() }))
     }
 
     /// The busiest functions of a bucket here.
     fn own_usage_of(&self, bucket: u8) -> Vec<FunctionUsage> {
-        let mut own_usage: Vec<_> =
-            self.own_usage.iter().filter(|(name, _)| bucket_of(*name) == bucket).collect();
-        own_usage.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        own_usage.truncate(MAX_ENTRIES);
-        let count = |(function, concurrency): &(u64, f64)| FunctionUsage {
+        let mut busiest: Vec<_> =
+            self.own_usage.iter().filter(|(function, _)| bucket_of(*function) == bucket).collect();
+        busiest.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+        busiest.truncate(MAX_ENTRIES);
+        let to_wire = |(function, concurrency): &(u64, f64)| FunctionUsage {
             function: *function,
             concurrency: (concurrency / CONCURRENCY_RESOLUTION) as u32,
         };
-        own_usage.into_iter().map(count).collect()
+        busiest.into_iter().map(to_wire).collect()
     }
 
-    /// What functions of a bucket keep busy at all but one gateway, and how many of these reported.
-    fn total(&self, bucket: u8, excluded: u64) -> (u16, Vec<FunctionUsage>) {
-        let mut totals: BTreeMap<u64, u32> = BTreeMap::new();
+    /// The busiest functions of a bucket at all gateways that reported but one.
+    fn total_without(&self, now: f64, bucket: u8, excluded: ProcessId) -> BucketTotal {
+        let mut sums: BTreeMap<u64, u32> = BTreeMap::new();
+        let mut reporters = 0;
         let mut add = |usage: &[FunctionUsage]| {
-            for count in usage {
-                let total = totals.entry(count.function).or_default();
-                *total = total.saturating_add(count.concurrency);
+            reporters += 1;
+            for entry in usage {
+                let sum = sums.entry(entry.function).or_default();
+                *sum = sum.saturating_add(entry.concurrency);
             }
         };
-        let mut reporter_count = 0;
-        for (_, (_, usage)) in
-            self.reports.range((bucket, 0)..=(bucket, u64::MAX)).filter(|((_, l), _)| *l != excluded)
-        {
-            add(usage);
-            reporter_count += 1;
+        let of_bucket = self.reports.range((bucket, 0)..=(bucket, ProcessId::MAX));
+        for (_, report) in of_bucket.filter(|((_, reporter), _)| *reporter != excluded) {
+            add(&report.usage);
         }
         if excluded != self.own_id {
             add(&self.own_usage_of(bucket));
-            reporter_count += 1;
         }
-        let mut totals: Vec<_> = totals
-            .into_iter()
-            .map(|(function, concurrency)| FunctionUsage { function, concurrency })
-            .collect();
-        totals.sort_by(|a, b| b.concurrency.cmp(&a.concurrency).then(a.function.cmp(&b.function)));
-        totals.truncate(MAX_ENTRIES);
-        (reporter_count, totals)
+        let mut usage: Vec<_> =
+            sums.into_iter().map(|(function, concurrency)| FunctionUsage { function, concurrency }).collect();
+        usage.sort_by(|a, b| b.concurrency.cmp(&a.concurrency).then(a.function.cmp(&b.function)));
+        usage.truncate(MAX_ENTRIES);
+        BucketTotal { received_at: now, reporters, usage }
     }
 
-    /// A report came of another gateway; gives what it is to be told, if it is one that can be there.
-    pub fn record_report(
+    /// Records another gateway's report; returns the answer to it, which is the total of all gateways but that one. None
+    /// for a bucket that there is not, or where there are reports of more gateways than the fleet can have.
+    pub(crate) fn record_report(
         &mut self,
         now: f64,
-        peer: u64,
+        reporter: ProcessId,
         bucket: u8,
         usage: Vec<FunctionUsage>,
     ) -> Option<Message> {
-        /// Gateways of which reports are kept at most, times those that are there, and some.
+        /// Reports are kept of this many times the gateways that are there ...
         const REPORTERS_PER_PEER: usize = 2;
-        let capacity = (REPORTERS_PER_PEER * self.peers.len() + 16) * usize::from(BUCKETS);
-        if bucket >= BUCKETS || self.reports.len() >= capacity && !self.reports.contains_key(&(bucket, peer))
-        {
+        /// ... and some more, for the time before they are known.
+        const MORE_REPORTERS: usize = 16;
+        let capacity =
+            (REPORTERS_PER_PEER * self.aggregators.peer_count() + MORE_REPORTERS) * usize::from(BUCKETS);
+        let is_known = self.reports.contains_key(&(bucket, reporter));
+        if bucket >= BUCKETS || self.reports.len() >= capacity && !is_known {
             return None;
         }
-        self.reports.insert((bucket, peer), (now, usage));
-        let (reporters, totals) = self.total(bucket, peer);
+        self.reports.insert((bucket, reporter), Report { received_at: now, usage });
+        let BucketTotal { reporters, usage: totals, .. } = self.total_without(now, bucket, reporter);
         Some(Message { bucket: Some(bucket), totals, reporters, ..Message::default() })
     }
 
-    /// A sum came, which this gateway asked for.
-    pub fn record_total(
+    /// Records a total, if it answers a report of this gateway.
+    pub(crate) fn record_total(
         &mut self,
         now: f64,
-        peer: u64,
+        aggregator: ProcessId,
         bucket: u8,
         reporters: u16,
-        totals: Vec<FunctionUsage>,
+        usage: Vec<FunctionUsage>,
     ) {
-        if self.awaiting.get(&bucket).is_some_and(|(aggregator, _)| *aggregator == peer) {
-            self.awaiting.remove(&bucket);
-            self.totals.insert(bucket, (now, reporters, totals));
+        if self.aggregators.accept_answer(bucket, aggregator) {
+            self.totals.insert(bucket, BucketTotal { received_at: now, reporters, usage });
         }
     }
 
-    /// What functions keep busy elsewhere, in lanes by name; none while that is not known of all of them, or nobody else
-    /// is there.
-    pub fn elsewhere(&self, now: f64) -> Option<BTreeMap<u64, f64>> {
-        let fresh = |(at, reporters, _): &(f64, u16, Vec<FunctionUsage>)| {
-            now - at < TOTAL_LIFETIME * self.interval && *reporters > 0
-        };
-        let known = (0..BUCKETS).all(|b| self.totals.get(&b).is_some_and(fresh));
-        let usage = self.totals.values().flat_map(|(_, _, usage)| usage);
-        known
-            .then(|| usage.map(|c| (c.function, f64::from(c.concurrency) * CONCURRENCY_RESOLUTION)).collect())
+    /// The concurrency of functions at all other gateways, by the hash of their names; none while that is not known of
+    /// each bucket, or where there is no other gateway.
+    pub(crate) fn elsewhere(&self, now: f64) -> Option<BTreeMap<u64, f64>> {
+        let lifetime = TOTAL_LIFETIME * self.interval;
+        let is_fresh = |total: &BucketTotal| now - total.received_at < lifetime && total.reporters > 0;
+        let is_known = (0..BUCKETS).all(|bucket| self.totals.get(&bucket).is_some_and(is_fresh));
+        let usage = self.totals.values().flat_map(|total| &total.usage);
+        let concurrency =
+            usage.map(|entry| (entry.function, f64::from(entry.concurrency) * CONCURRENCY_RESOLUTION));
+        is_known.then(|| concurrency.collect())
     }
 }
 
--- /dev/null
+++ b/crates/shared-budgets/src/usage_counts/aggregators.rs
@@ -0,0 +1,81 @@
+//! Which gateway adds up the reports on a bucket of functions, and what happens when it does not answer.
+
+use crate::process_id::ProcessId;
+use std::collections::BTreeMap;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+/// Seconds for which an aggregator that did not answer is avoided.
+const AVOIDANCE_SECONDS: f64 = 10.0;
+
+/// A report that was sent and not answered yet.
+#[derive(Clone, Copy, Debug)]
+struct AwaitedAnswer {
+    aggregator: ProcessId,
+    /// When the first report went to this aggregator that it has not answered.
+    since: f64,
+}
+
+/// The aggregator of each bucket, by rendezvous hashing over the gateways that answer.
+#[derive(Clone, Debug)]
+pub(super) struct Aggregators {
+    own_id: ProcessId,
+    peers: Vec<ProcessId>,
+    /// By bucket.
+    awaited: BTreeMap<u8, AwaitedAnswer>,
+    /// Gateways that did not answer, and until when they are avoided.
+    avoided: BTreeMap<ProcessId, f64>,
+}
+
+impl Aggregators {
+    pub(super) fn new(own_id: ProcessId) -> Self {
+        Self { own_id, peers: Vec::new(), awaited: BTreeMap::new(), avoided: BTreeMap::new() }
+    }
+
+    /// Sets which other gateways there are.
+    pub(super) fn set_peers(&mut self, peers: &[ProcessId]) {
+        self.peers = peers.to_vec();
+    }
+
+    pub(super) fn peer_count(&self) -> usize {
+        self.peers.len()
+    }
+
+    /// Forgets gateways that need not be avoided any more.
+    pub(super) fn forget_expired(&mut self, now: f64) {
+        self.avoided.retain(|_, until| now < *until);
+    }
+
+    /// The aggregator of a bucket now. One that has not answered for `timeout` seconds is avoided for a while.
+    pub(super) fn choose(&mut self, now: f64, bucket: u8, timeout: f64) -> ProcessId {
+        let overdue = self.awaited.get(&bucket).filter(|awaited| now - awaited.since > timeout).copied();
+        if let Some(overdue) = overdue {
+            self.awaited.remove(&bucket);
+            self.avoided.insert(overdue.aggregator, now + AVOIDANCE_SECONDS);
+        }
+        let is_avoided = |peer: &ProcessId| self.avoided.get(peer).is_some_and(|until| now < *until);
+        let candidates = self.peers.iter().copied().filter(|peer| !is_avoided(peer)).chain([self.own_id]);
+        let rank = |id: &ProcessId| xxh3_64_with_seed(&id.to_le_bytes(), bucket.into());
+        candidates.max_by_key(rank).unwrap_or(self.own_id)
+    }
+
+    /// Records that a report on a bucket is sent.
+    pub(super) fn await_answer(&mut self, now: f64, bucket: u8, aggregator: ProcessId) {
+        let awaited = self.awaited.get(&bucket).filter(|awaited| awaited.aggregator == aggregator);
+        let since = awaited.map_or(now, |awaited| awaited.since);
+        self.awaited.insert(bucket, AwaitedAnswer { aggregator, since });
+    }
+
+    /// Records that no answer on a bucket is awaited any more.
+    pub(super) fn stop_awaiting(&mut self, bucket: u8) {
+        self.awaited.remove(&bucket);
+    }
+
+    /// Records an answer; returns whether it was awaited from that gateway.
+    pub(super) fn accept_answer(&mut self, bucket: u8, from: ProcessId) -> bool {
+        let is_awaited = self.awaited.get(&bucket).is_some_and(|awaited| awaited.aggregator == from);
+        if is_awaited {
+            self.awaited.remove(&bucket);
+        }
+        is_awaited
+    }
+}
