--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -7,7 +7,7 @@
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_gateway::sharing::Sharing;
 use milletpath_membership::Parts;
-use milletpath_shared_budgets::{Entitlement, SharedBudgets};
+use milletpath_shared_budgets::{Entitlement, FunctionConcurrency, SharedBudgets};
 
 /// Seconds for which words count as proof in a large fleet.
 const LEASE: f64 = 12.0;
@@ -42,8 +42,9 @@
     let begins = |n: usize| guess * n as f64 / gateways as f64;
     let right = Entitlement { fraction: 1.0, floor_fraction: 0.5, valid_until: f64::INFINITY };
     let others = |n: usize| (1..=gateways as u64).filter(|life| *life != n as u64 + 1).collect::<Vec<u64>>();
-    let busy =
-        || (1..=functions as u64).map(|n| (n.wrapping_mul(0x9e37_79b9_7f4a_7c15), 0.05)).collect::<Vec<_>>();
+    let concurrency_of =
+        |n: u64| FunctionConcurrency { function: n.wrapping_mul(0x9e37_79b9_7f4a_7c15), concurrency: 0.05 };
+    let busy = || (1..=functions as u64).map(concurrency_of).collect::<Vec<_>>();
     let mut all: Vec<SharedBudgets> = Vec::new();
     let (mut now, mut looked) = (0.0, 0.0);
     let (mut bytes, mut notes, mut turns, mut cpu) = (0.0, 0u64, 0u64, 0.0);
@@ -78,7 +79,7 @@
             }
             turns += u64::from(counts);
             let mut post: Vec<(usize, u64, Vec<u8>)> =
-                out.into_iter().map(|(to, note)| (n, to, note)).collect();
+                out.into_iter().map(|sent| (n, sent.recipient, sent.bytes)).collect();
             while let Some((sender, to, note)) = post.pop() {
                 if counts {
                     bytes += AROUND + note.len() as f64;
@@ -93,7 +94,7 @@
                 if to == 0 && counts {
                     cpu += spent() - began;
                 }
-                post.extend(answers.into_iter().map(|(back, note)| (to, back, note)));
+                post.extend(answers.into_iter().map(|sent| (to, sent.recipient, sent.bytes)));
             }
         }
         // The link tells who is there at each of its looks.
--- a/crates/config-log/src/message.rs
+++ b/crates/config-log/src/message.rs
@@ -384,7 +384,7 @@
 
 /// Makes a datagram; none where it would be too large.
 pub fn seal(key: &Key, message: &Message) -> Option<Vec<u8>> {
-    key.0.seal(VERSION, &minicbor::to_vec(message).ok()?)
+    key.0.seal(VERSION, &minicbor::to_vec(message).ok()?).ok()
 }
 
 /// Reads a datagram.
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -6,7 +6,9 @@
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_membership::Parts;
 use milletpath_policy::host::Budget;
-use milletpath_shared_budgets::{BudgetKind, BudgetView, Counters, Entitlement, SharedBudgets};
+use milletpath_shared_budgets::{
+    BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, SharedBudgets, SlotAdjustment,
+};
 use std::collections::BTreeMap;
 
 /// One budget that is open.
@@ -116,7 +118,7 @@
         self.shares.tick(now);
         self.count(desk, now);
         let shares = &mut self.shares;
-        self.open.retain(|o| o.here || !shares.close(now, o.slot));
+        self.open.retain(|o| o.here || shares.close(now, o.slot).is_err());
         self.tell(desk, now);
     }
 
@@ -124,7 +126,8 @@
     fn count<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         /// Seconds between two words to the decisions.
         const AGAIN: f64 = 0.5;
-        self.shares.report_usage(now, || desk.busy(now));
+        let concurrency_of = |(function, concurrency)| FunctionConcurrency { function, concurrency };
+        self.shares.report_usage(now, || desk.busy(now).into_iter().map(concurrency_of).collect());
         if self.counted == f64::NEG_INFINITY {
             // Whoever has just begun sees little and knows nothing of how long things take: times the count that would stretch
             // sets over all workers. Until the first word comes, or time has passed without one, others have what they need.
@@ -151,16 +154,16 @@
     }
 
     fn tell<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
-        for (slot, more) in self.shares.take_adjustments(now) {
+        for SlotAdjustment { slot, adjustment } in self.shares.take_adjustments(now) {
             if let Some(open) = self.open.iter().find(|o| o.slot == slot && o.here) {
-                desk.allot(open.what, more);
+                desk.allot(open.what, adjustment);
             }
         }
     }
 
     /// What to send next, and to which process.
     pub fn out(&mut self) -> Option<(u64, Vec<u8>)> {
-        self.shares.next_message()
+        self.shares.next_message().map(|message| (message.recipient, message.bytes))
     }
 
     /// Budgets as an operator sees them: those of which something is wanted, lent or borrowed come first.
--- a/crates/membership/src/letter.rs
+++ b/crates/membership/src/letter.rs
@@ -199,7 +199,7 @@
 
 /// Makes a datagram; none where it would be too large.
 pub fn seal(key: &Key, letter: &Letter) -> Option<Vec<u8>> {
-    key.0.seal(VERSION, &minicbor::to_vec(letter).ok()?)
+    key.0.seal(VERSION, &minicbor::to_vec(letter).ok()?).ok()
 }
 
 /// Reads a datagram.
--- a/crates/sealed-datagram/tests/wire_format.rs
+++ b/crates/sealed-datagram/tests/wire_format.rs
@@ -1,6 +1,6 @@
 //! Datagrams byte for byte, and what is not taken.
 
-use milletpath_sealed_datagram::{Key, MAX_DATAGRAM_LEN, OpenError, body_unverified};
+use milletpath_sealed_datagram::{Key, MAX_DATAGRAM_LEN, OpenError, SealError, body_unverified};
 
 const SECRET: &[u8] = b"an example secret of 32 bytes...";
 const CONTEXT: &str = "milletpath 2026-12 letters between gateways";
@@ -45,8 +45,11 @@
 fn sizes_out_of_bounds_are_refused() {
     let key = Key::new(CONTEXT, SECRET);
     let largest_body = MAX_DATAGRAM_LEN - (datagram().len() - BODY.len());
-    assert_eq!(key.seal(1, &vec![0; largest_body]).map(|d| d.len()), Some(MAX_DATAGRAM_LEN));
-    assert_eq!(key.seal(1, &vec![0; largest_body + 1]), None);
+    assert_eq!(key.seal(1, &vec![0; largest_body]).map(|d| d.len()), Ok(MAX_DATAGRAM_LEN));
+    assert_eq!(
+        key.seal(1, &vec![0; largest_body + 1]),
+        Err(SealError::BodyTooLarge { len: largest_body + 1 })
+    );
     assert_eq!(key.open(&vec![1; MAX_DATAGRAM_LEN + 1]), Err(OpenError::InvalidSize));
     assert_eq!(key.open(&datagram()[..datagram().len() - BODY.len()]), Err(OpenError::InvalidSize));
 }
--- a/crates/shared-budgets/src/message.rs
+++ b/crates/shared-budgets/src/message.rs
@@ -1,6 +1,7 @@
 //! The messages that gateways exchange about shared budgets, in CBOR. Fields are numbered: one that is not known is
 //! skipped, and a number never changes its meaning.
 
+use crate::error::DecodeError;
 use minicbor::{Decode, Encode};
 
 /// Entries of each list in one message at most: what fits into one datagram.
@@ -110,12 +111,15 @@
         minicbor::to_vec(self).ok()
     }
 
-    /// Reads a message; none where the bytes are no message or a list is too long.
-    pub(crate) fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        let message: Self = minicbor::decode(bytes).ok()?;
+    /// Reads a message.
+    pub(crate) fn from_bytes(bytes: &[u8]) -> Result<Self, DecodeError> {
+        let message: Self = minicbor::decode(bytes)?;
         let lengths =
             [message.requests.len(), message.grants.len(), message.usage.len(), message.totals.len()];
-        lengths.iter().all(|length| *length <= MAX_ENTRIES).then_some(message)
+        match lengths.into_iter().find(|length| *length > MAX_ENTRIES) {
+            Some(length) => Err(DecodeError::TooManyEntries { length }),
+            None => Ok(message),
+        }
     }
 
     /// Entries of all lists.
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -11,6 +11,7 @@
 use crate::clock::MonotonicClock;
 use crate::demand::UsageMeter;
 use crate::entitlement::Entitlement;
+use crate::error::CloseError;
 use crate::fault_injection::InjectedFaults;
 use crate::lease::{GrantTerms, IncomingRequest};
 use crate::ledger::LedgerConfig;
@@ -19,7 +20,7 @@
 };
 use crate::outbox::Outbox;
 use crate::process_id::ProcessId;
-use crate::usage_counts::UsageCounts;
+use crate::usage_counts::{FunctionConcurrency, UsageCounts};
 use crate::view::{BudgetView, Counters};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -41,6 +42,24 @@
 /// Seconds for which a lease holds at least.
 const MIN_LEASE_DURATION: f64 = 0.2;
 
+/// A message to another gateway.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingMessage {
+    /// The process that it is for; a restarted one of the same gateway must not get it.
+    pub recipient: ProcessId,
+    /// What [`SharedBudgets::receive`] takes there.
+    pub bytes: Vec<u8>,
+}
+
+/// The adjustment of the quota of one budget.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SlotAdjustment {
+    /// The slot that [`SharedBudgets::open`] returned.
+    pub slot: usize,
+    /// What applies from now on.
+    pub adjustment: QuotaAdjustment,
+}
+
 /// All shared budgets of one gateway. Times are in seconds on the caller's clock, which need not start at any point but
 /// should not go back.
 #[derive(Clone, Debug)]
@@ -143,18 +162,20 @@
         slot
     }
 
-    /// Closes a budget that is not used here any more. Not while something of it is leased to others: that must stay
-    /// subtracted until it has ended, whoever opens the budget again. Returns whether it is closed.
-    #[must_use]
-    pub fn close(&mut self, now: f64, slot: usize) -> bool {
+    /// Closes a budget that is not used here any more; an empty slot stays empty.
+    ///
+    /// # Errors
+    /// [`CloseError::Leased`] while something of it is leased to others: the budget stays open.
+    pub fn close(&mut self, now: f64, slot: usize) -> Result<(), CloseError> {
         let now = self.clock.advance(now);
-        if self.budget_mut(slot).is_some_and(|budget| budget.ledger.granted(now) > 0.0) {
-            return false;
+        let granted = self.budget_mut(slot).map_or(0.0, |budget| budget.ledger.granted(now));
+        if granted > 0.0 {
+            return Err(CloseError::Leased { granted });
         }
         if let Some(budget) = self.budgets.get_mut(slot).and_then(Option::take) {
             self.slots.remove(&budget.key);
         }
-        true
+        Ok(())
     }
 
     /// Whoever spends the budgets has forgotten their adjustments: [`take_adjustments`](Self::take_adjustments) returns
@@ -186,7 +207,7 @@
         read_meter: &mut dyn FnMut(usize) -> Option<UsageMeter>,
     ) {
         let now = self.clock.advance(now);
-        let Some(mut message) = Message::from_bytes(bytes) else {
+        let Ok(mut message) = Message::from_bytes(bytes) else {
             self.counters.unreadable += 1;
             return;
         };
@@ -195,16 +216,17 @@
         self.answer_requests(now, sender, &message, read_meter);
     }
 
-    /// The next message to send: its recipient and its bytes.
-    pub fn next_message(&mut self) -> Option<(ProcessId, Vec<u8>)> {
+    /// The next message to send; none where nothing waits.
+    #[must_use]
+    pub fn next_message(&mut self) -> Option<OutgoingMessage> {
         let (recipient, message) = self.outbox.pop()?;
         self.counters.messages += 1;
-        message.to_bytes().map(|bytes| (recipient, bytes))
+        message.to_bytes().map(|bytes| OutgoingMessage { recipient, bytes })
     }
 
-    /// Reports the concurrency of functions to the other gateways, where that is due. `busy` gives functions by the hash
-    /// of their names, and the mean number of their invocations that run here at the same time.
-    pub fn report_usage(&mut self, now: f64, busy: impl FnOnce() -> Vec<(u64, f64)>) {
+    /// Reports the concurrency of functions to the other gateways, where that is due. `busy` gives that of the functions
+    /// that are in use here.
+    pub fn report_usage(&mut self, now: f64, busy: impl FnOnce() -> Vec<FunctionConcurrency>) {
         let now = self.clock.advance(now);
         let jitter = self.rng.rand_float();
         for (recipient, message) in self.usage.tick(now, jitter, busy) {
@@ -239,7 +261,7 @@
 
     /// Adjustments of quotas that differ from what was returned before, or renew what ends soon, by slot.
     #[must_use]
-    pub fn take_adjustments(&mut self, now: f64) -> Vec<(usize, QuotaAdjustment)> {
+    pub fn take_adjustments(&mut self, now: f64) -> Vec<SlotAdjustment> {
         let now = self.clock.advance(now);
         let mut adjustments = Vec::new();
         self.next_renewal_at = f64::INFINITY;
@@ -248,7 +270,8 @@
             let granted = if self.faults.grants_not_subtracted { 0.0 } else { budget.ledger.granted(now) };
             if let Some(adjustment) = budget.publish_adjustment(granted, now) {
                 let valid_until = self.clock.callers_time(adjustment.valid_until);
-                adjustments.push((slot, QuotaAdjustment { valid_until, ..adjustment }));
+                let adjustment = QuotaAdjustment { valid_until, ..adjustment };
+                adjustments.push(SlotAdjustment { slot, adjustment });
             }
             self.next_renewal_at = self.next_renewal_at.min(budget.renew_at());
         }
--- a/crates/shared-budgets/src/usage_counts.rs
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -37,6 +37,15 @@
 /// Intervals without an answer after which another aggregator is chosen.
 const ANSWER_TIMEOUT: f64 = 1.8;
 
+/// The concurrency of one function at one gateway.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FunctionConcurrency {
+    /// A hash of the function's name, the same at all gateways.
+    pub function: u64,
+    /// Mean number of its invocations that run at the same time.
+    pub concurrency: f64,
+}
+
 /// What one gateway reported of a bucket.
 #[derive(Clone, Debug)]
 struct Report {
@@ -57,8 +66,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct UsageCounts {
     own_id: ProcessId,
-    /// Functions by the hash of their names, and their concurrency here.
-    own_usage: Vec<(u64, f64)>,
+    /// What runs here.
+    own_usage: Vec<FunctionConcurrency>,
     next_report_at: f64,
     /// Seconds between two reports.
     interval: f64,
@@ -99,12 +108,12 @@
     }
 
     /// The reports to send now, with their recipients; none before they are due. `jitter` is a random number from 0 to 1;
-    /// `busy` gives functions by the hash of their names, and their concurrency here.
+    /// `busy` gives what runs here.
     pub(crate) fn tick(
         &mut self,
         now: f64,
         jitter: f64,
-        busy: impl FnOnce() -> Vec<(u64, f64)>,
+        busy: impl FnOnce() -> Vec<FunctionConcurrency>,
     ) -> Vec<(ProcessId, Message)> {
         if now < self.next_report_at {
             return Vec::new();
@@ -116,7 +125,7 @@
             return Vec::new();
         }
         self.own_usage = busy();
-        self.own_usage.retain(|(_, concurrency)| *concurrency >= MIN_CONCURRENCY);
+        self.own_usage.retain(|own| own.concurrency >= MIN_CONCURRENCY);
         (0..BUCKETS).filter_map(|bucket| self.report(now, bucket)).collect()
     }
 
@@ -145,12 +154,12 @@
     /// The busiest functions of a bucket here.
     fn own_usage_of(&self, bucket: u8) -> Vec<FunctionUsage> {
         let mut busiest: Vec<_> =
-            self.own_usage.iter().filter(|(function, _)| bucket_of(*function) == bucket).collect();
-        busiest.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+            self.own_usage.iter().filter(|own| bucket_of(own.function) == bucket).collect();
+        busiest.sort_by(|a, b| b.concurrency.total_cmp(&a.concurrency).then(a.function.cmp(&b.function)));
         busiest.truncate(MAX_ENTRIES);
-        let to_wire = |(function, concurrency): &(u64, f64)| FunctionUsage {
-            function: *function,
-            concurrency: (concurrency / CONCURRENCY_RESOLUTION) as u32,
+        let to_wire = |own: &FunctionConcurrency| FunctionUsage {
+            function: own.function,
+            concurrency: (own.concurrency / CONCURRENCY_RESOLUTION) as u32,
         };
         busiest.into_iter().map(to_wire).collect()
     }
--- a/crates/shared-budgets/src/usage_counts/tests.rs
+++ b/crates/shared-budgets/src/usage_counts/tests.rs
@@ -20,7 +20,11 @@
             self.1 += 0.1;
             for n in 0..self.0.len() {
                 let own_id = n as u64 + 1;
-                let busy = || (0..10).map(|f| (f, own_id as f64)).collect();
+                let busy = || {
+                    (0..10)
+                        .map(|function| FunctionConcurrency { function, concurrency: own_id as f64 })
+                        .collect()
+                };
                 for (to, message) in self.0[n].tick(self.1, 0.5, busy) {
                     sent_count += 1;
                     let bucket = message.bucket.unwrap();
--- a/crates/shared-budgets/tests/fleet/mod.rs
+++ b/crates/shared-budgets/tests/fleet/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use milletpath_shared_budgets::{
-    BudgetKind, Entitlement, InjectedFaults, QuotaAdjustment, SharedBudgets, UsageMeter,
+    BudgetKind, Entitlement, InjectedFaults, OutgoingMessage, QuotaAdjustment, SharedBudgets, UsageMeter,
 };
 
 /// The lease that loans are derived from.
@@ -173,14 +173,14 @@
     fn deliver_adjustments(&mut self, n: usize) {
         let clock = self.clock(n);
         let Some(gateway) = self.gateways[n].as_mut() else { return };
-        for (_, adjustment) in gateway.shared_budgets.take_adjustments(clock) {
-            gateway.adjustment = adjustment;
+        for published in gateway.shared_budgets.take_adjustments(clock) {
+            gateway.adjustment = published.adjustment;
         }
         let id = gateway.id;
         let out: Vec<_> = std::iter::from_fn(|| gateway.shared_budgets.next_message()).collect();
-        for (to, bytes) in out {
+        for OutgoingMessage { recipient, bytes } in out {
             self.bytes += bytes.len() as u64 + 120;
-            if let Some(to) = self.gateway_of(to) {
+            if let Some(to) = self.gateway_of(recipient) {
                 self.messages.push((id, to, bytes));
             }
         }
--- a/crates/shared-budgets/tests/wire_format.rs
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! Messages and operator views byte for byte, as the text of 2026-12-02 wrote them: gateways of two versions run side by
 //! side during an upgrade, and operators' scripts read the JSON.
 
-use milletpath_shared_budgets::{BudgetKind, Entitlement, SharedBudgets, UsageMeter};
+use milletpath_shared_budgets::{BudgetKind, Entitlement, FunctionConcurrency, SharedBudgets, UsageMeter};
 
 const REQUESTER: u64 = 1;
 const LENDER: u64 = 2;
@@ -36,7 +36,7 @@
 
 fn sent(shared_budgets: &mut SharedBudgets) -> Vec<String> {
     std::iter::from_fn(|| shared_budgets.next_message())
-        .map(|(to, bytes)| format!("{to} {}", hex(&bytes)))
+        .map(|message| format!("{} {}", message.recipient, hex(&message.bytes)))
         .collect()
 }
 
@@ -50,16 +50,16 @@
 #[test]
 fn granted_leases_keep_their_bytes() {
     let (mut lender, _) = gateway(LENDER, REQUESTER);
-    let (_, request) = requester().next_message().expect("it lacks something");
+    let request = requester().next_message().expect("it lacks something").bytes;
     lender.receive(10.0, REQUESTER, &request, &mut |_| None);
     let grant = "1 a7000101800283831b1c06a437d18487ed1a0090f56000831b641411ff0eb7c2e71a001cfde01a001cfde0831b8b3a2c\
                  79f9adc1651a000f42401a000f4240031907d0058006800700";
     assert_eq!(sent(&mut lender), [grant]);
 }
 
-/// Names of functions, and how many invocations of each run.
-fn busy() -> Vec<(u64, f64)> {
-    vec![(7, 1.5), (8, 0.25), (1 << 40, 12.0)]
+fn busy() -> Vec<FunctionConcurrency> {
+    let functions = [(7, 1.5), (8, 0.25), (1 << 40, 12.0)];
+    functions.map(|(function, concurrency)| FunctionConcurrency { function, concurrency }).to_vec()
 }
 
 #[test]
@@ -89,8 +89,8 @@
     reporter.report_usage(10.0, busy);
     // The aggregator's own reports go out first; what follows are its answers.
     while aggregator.next_message().is_some() {}
-    while let Some((_, report)) = reporter.next_message() {
-        aggregator.receive(10.0, REQUESTER, &report, &mut |_| None);
+    while let Some(report) = reporter.next_message() {
+        aggregator.receive(10.0, REQUESTER, &report.bytes, &mut |_| None);
     }
     let sums = [
         "1 a800000180028003000402058006800701",
@@ -110,10 +110,10 @@
 #[test]
 fn the_view_for_operators_keeps_its_json() {
     let mut requester = requester();
-    let (_, request) = requester.next_message().expect("it lacks something");
+    let request = requester.next_message().expect("it lacks something").bytes;
     let (mut lender, _) = gateway(LENDER, REQUESTER);
     lender.receive(10.0, REQUESTER, &request, &mut |_| None);
-    let (_, grant) = lender.next_message().expect("it has something to lend");
+    let grant = lender.next_message().expect("it has something to lend").bytes;
     requester.receive(10.0, LENDER, &grant, &mut |_| None);
     requester.receive(10.0, LENDER, b"not a message", &mut |_| None);
     let json = |shared_budgets: &mut SharedBudgets| {
