--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -54,7 +54,7 @@
     quota: f64,
     lease_duration: f64,
     faults: InjectedFaults,
-    /// Estimated need of this gateway itself.
+    /// What this gateway needs itself, as estimated.
     demand: f64,
     /// Units in use at this gateway.
     in_use: f64,
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -69,7 +69,7 @@
     lease_duration: f64,
     clock: MonotonicClock,
     entitlement: Entitlement,
-    /// By slot; those of closed budgets are empty until they are used again.
+    /// By slot; those of closed budgets are empty until they are used again. As many as the caller has open at once.
     budgets: Vec<Option<Budget>>,
     /// Slots by budget key.
     slots: BTreeMap<u64, usize>,
--- a/crates/shared-budgets/src/usage_counts/aggregators.rs
+++ b/crates/shared-budgets/src/usage_counts/aggregators.rs
@@ -22,7 +22,7 @@
     peers: Vec<ProcessId>,
     /// By bucket.
     awaited: BTreeMap<u8, AwaitedAnswer>,
-    /// Gateways that did not answer, and until when they are avoided.
+    /// Gateways that did not answer, and until when they are avoided. At most one more for each bucket and report.
     avoided: BTreeMap<ProcessId, f64>,
 }
 
