--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -79,6 +79,8 @@
     seeds: usize,
     /// Bytes by what letters were about.
     pub matters: BTreeMap<u8, u64>,
+    /// A hash over all datagrams that were sent, in their order.
+    pub transcript: u64,
 }
 
 /// Letters take half a millisecond to two, and are never lost.
@@ -95,6 +97,11 @@
     )
 }
 
+/// One step of the 64-bit FNV-1a hash.
+fn fnv1a(hash: u64, byte: &u8) -> u64 {
+    (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+}
+
 impl Net {
     /// A fleet that has not begun; `seeds` gateways are named as places where others may be found.
     pub fn new(size: usize, seeds: usize, terms: Terms, seed: u64) -> Self {
@@ -128,6 +135,7 @@
             watch: false,
             seeds,
             matters: BTreeMap::new(),
+            transcript: 0xcbf2_9ce4_8422_2325,
         }
     }
 
@@ -214,6 +222,7 @@
         let life = node.life;
         for sent in out {
             let datagram = letter::seal(&self.key, &sent.letter).expect("no letter is too large");
+            self.transcript = datagram.iter().fold(self.transcript, fnv1a);
             self.nodes[n].bytes += datagram.len() as u64;
             self.nodes[n].letters += 1;
             *self.matters.entry(sent.letter.matter).or_default() += datagram.len() as u64;
