--- a/crates/capacity-model/benches/slopes/peers.rs
+++ b/crates/capacity-model/benches/slopes/peers.rs
@@ -1,79 +1,93 @@
 //! What knowing each other costs: the cores of a whole fleet in simulated time, settled and in the first
 //! seconds after all began; and the proof behind the count by itself, against members.
 
-#[path = "../../../membership/tests/net/mod.rs"]
-mod net;
+#[path = "../../../membership/tests/simulated_network/mod.rs"]
+mod simulated_network;
 
 use crate::measure::{Asked, Slope, allocated, size, spent};
 use milletpath_capacity_model::run::Size;
-use milletpath_membership::letter::{self, Key, Letter, Saying, Who, matter};
-use milletpath_membership::{Peers, Terms};
-use net::Net;
+use milletpath_membership::datagram::{self, Assertion, Datagram, Identity, Key, kind};
+use milletpath_membership::{Membership, MembershipConfig};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use simulated_network::SimulatedNetwork;
 use std::hint::black_box;
 use std::net::SocketAddr;
 
 /// The lease that suits a large fleet, and the part that a gateway keeps by itself.
-const TERMS: Terms = Terms { period: 0.4, lease: 12.0, floor: 0.5, window: 10.0 };
+const CONFIG: MembershipConfig =
+    MembershipConfig { period: 0.4, lease: 12.0, floor: 0.5, budget_window: 10.0 };
 
 /// Where others think that a gateway is.
-fn place(n: usize) -> SocketAddr {
+fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8 + 1], 7_400))
 }
 
-fn who(n: usize, most: usize) -> Who {
-    Who { life: n as u64 + 1, name: format!("gateway-{n}"), at: place(n), incarnation: 0, most: most as u32 }
+fn identity(n: usize, max_gateways: usize) -> Identity {
+    Identity {
+        instance_id: n as u64 + 1,
+        name: format!("gateway-{n}"),
+        address: address(n),
+        incarnation: 0,
+        max_gateways: max_gateways as u32,
+    }
 }
 
 /// A gateway that knows so many members and has a fresh word of each; those words tell one of so many sums,
 /// or its own.
-fn knowing(members: usize, sums: usize, seed: u64) -> Peers {
+fn knowing(members: usize, sums: usize, seed: u64) -> Membership {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    let mut peers = Peers::new(who(0, members), TERMS, Vec::new(), seed, 0.0);
+    let mut membership = Membership::new(identity(0, members), CONFIG, Vec::new(), seed, 0.0);
     for n in 1..members {
-        let mut hello = Letter::new(who(n, members), 1, matter::TELL, 0);
-        hello.serial = 1;
-        peers.heard(0.001, hello);
+        let mut hello = Datagram::new(identity(n, members), 1, kind::ANNOUNCE, 0);
+        hello.sequence = 1;
+        membership.receive(0.001, hello);
     }
     // Its own sums, as it tells them in an answer.
-    let mut ping = Letter::new(who(1, members), 1, matter::PING, 1);
-    ping.serial = 2;
-    peers.heard(0.002, ping);
-    let own = std::iter::from_fn(|| peers.out()).find_map(|sent| sent.letter.sayings.first().cloned());
+    let mut ping = Datagram::new(identity(1, members), 1, kind::PING, 1);
+    ping.sequence = 2;
+    membership.receive(0.002, ping);
+    let own = std::iter::from_fn(|| membership.next_outgoing())
+        .find_map(|sent| sent.datagram.assertions.first().cloned());
     let own = own.expect("an answer with its own saying");
     // A probe's answer brings the words of all.
     let mut now = 0.002;
     let (asked, number) = loop {
         now += 0.05;
-        peers.turn(now);
-        let ping = std::iter::from_fn(|| peers.out()).find(|sent| sent.letter.matter == matter::PING);
+        membership.tick(now);
+        let ping =
+            std::iter::from_fn(|| membership.next_outgoing()).find(|sent| sent.datagram.kind == kind::PING);
         if let Some(sent) = ping {
-            break (sent.letter.to as usize - 1, sent.letter.number);
+            break (sent.datagram.recipient as usize - 1, sent.datagram.request_id);
         }
     };
     let others: Vec<(u64, u64)> = (0..sums).map(|_| (chance.random(), chance.random())).collect();
-    let mut answer = Letter::new(who(asked, members), 1, matter::ACK, number);
-    answer.serial = 3;
-    answer.sayings.push(Saying { life: asked as u64 + 1, age: 0, backed: own.backed, listed: own.listed });
+    let mut answer = Datagram::new(identity(asked, members), 1, kind::ACK, number);
+    answer.sequence = 3;
+    answer.assertions.push(Assertion {
+        instance_id: asked as u64 + 1,
+        age: 0,
+        endorsed: own.endorsed,
+        listed: own.listed,
+    });
     for n in (1..members).filter(|n| *n != asked) {
         let sum = others.get(n % sums.max(1));
-        let (backed, listed) = sum.map_or((own.backed, own.listed), |(b, l)| (Some(*b), Some(*l)));
-        answer.sayings.push(Saying { life: n as u64 + 1, age: 1, backed, listed });
+        let (endorsed, listed) = sum.map_or((own.endorsed, own.listed), |(b, l)| (Some(*b), Some(*l)));
+        answer.assertions.push(Assertion { instance_id: n as u64 + 1, age: 1, endorsed, listed });
     }
-    peers.heard(now + 0.001, answer);
-    while peers.out().is_some() {}
-    peers
+    membership.receive(now + 0.001, answer);
+    while membership.next_outgoing().is_some() {}
+    membership
 }
 
 /// Milliseconds of one look at what is proven, as the link asks for it after each letter.
-fn parts(peers: &Peers, repeats: usize) -> Vec<f64> {
-    let mut peers = peers.clone();
+fn parts(membership: &Membership, repeats: usize) -> Vec<f64> {
+    let mut membership = membership.clone();
     // A clock that does not move: what was heard stays as fresh as it is.
-    peers.parts(0.0);
+    membership.quota_fraction(0.0);
     let once = |_| {
         let began = spent();
-        black_box(peers.parts(0.0));
+        black_box(membership.quota_fraction(0.0));
         (spent() - began) * 1e3
     };
     (0..repeats).map(once).collect()
@@ -85,11 +99,11 @@
     for members in MEMBERS {
         let at = members as f64;
         let before = allocated();
-        let peers = knowing(members, 0, asked.seed);
+        let membership = knowing(members, 0, asked.seed);
         bytes.push(size(at, vec![(allocated() - before) / 1e6]));
-        assert_eq!(peers.others().len(), members - 1, "a fresh word of each");
-        settled.push(size(at, parts(&peers, 15)));
-        drop(peers);
+        assert_eq!(membership.fresh_instances().len(), members - 1, "a fresh word of each");
+        settled.push(size(at, parts(&membership, 15)));
+        drop(membership);
         starting.push(size(at, parts(&knowing(members, members, asked.seed), 3)));
     }
     let slope = Slope {
@@ -127,18 +141,18 @@
     const LETTERS: usize = 2_000;
     let key = Key::new(b"a key of chance for all gateways");
     let mut sizes = Vec::new();
-    for sayings in [1usize, 10, 20, 40, 70] {
-        let mut letter = Letter::new(who(1, 1_100), 1, matter::ACK, 7);
-        let life = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let saying = |n| Saying { life: life(n), age: 900, backed: None, listed: None };
-        letter.sayings = (1..=sayings as u64).map(saying).collect();
-        let datagram = letter::seal(&key, &letter).expect("it fits");
+    for assertions in [1usize, 10, 20, 40, 70] {
+        let mut datagram = Datagram::new(identity(1, 1_100), 1, kind::ACK, 7);
+        let instance_id = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let assertion = |n| Assertion { instance_id: instance_id(n), age: 900, endorsed: None, listed: None };
+        datagram.assertions = (1..=assertions as u64).map(assertion).collect();
+        let sealed = datagram::seal(&key, &datagram).expect("it fits");
         let once = |_| {
             let began = spent();
-            (0..LETTERS).for_each(|_| _ = black_box(letter::open(&key, black_box(&datagram))));
+            (0..LETTERS).for_each(|_| _ = black_box(datagram::open(&key, black_box(&sealed))));
             (spent() - began) * 1e6 / LETTERS as f64
         };
-        sizes.push(size(datagram.len() as f64, (0..5).map(once).collect()));
+        sizes.push(size(sealed.len() as f64, (0..5).map(once).collect()));
     }
     let slope = Slope {
         name: "letter-open",
@@ -160,8 +174,9 @@
     letters: f64,
 }
 
-fn passes(net: &mut Net, seconds: f64) -> While {
-    let sum = |net: &Net| net.nodes.iter().fold((0, 0), |(b, l), n| (b + n.bytes, l + n.letters));
+fn passes(net: &mut SimulatedNetwork, seconds: f64) -> While {
+    let sum =
+        |net: &SimulatedNetwork| net.nodes.iter().fold((0, 0), |(b, l), n| (b + n.bytes, l + n.datagrams));
     let (before, began) = (sum(net), spent());
     net.play(net.now + seconds);
     let (cpu, after) = (spent() - began, sum(net));
@@ -174,19 +189,23 @@
 }
 
 /// The age of a word, in seconds, that 99 in 100 stay under.
-fn age(net: &Net) -> f64 {
+fn age(net: &SimulatedNetwork) -> f64 {
     let mut ages = Vec::new();
     for (n, node) in net.nodes.iter().enumerate() {
-        let Some(peers) = &node.peers else { continue };
-        ages.extend((0..net.nodes.len()).filter(|o| *o != n).filter_map(|o| peers.age(net.life(o))));
+        let Some(membership) = &node.membership else { continue };
+        ages.extend(
+            (0..net.nodes.len())
+                .filter(|o| *o != n)
+                .filter_map(|o| membership.assertion_age(net.instance_id(o))),
+        );
     }
     ages.sort_by(f64::total_cmp);
     ages.get(ages.len() * 99 / 100).copied().unwrap_or(0.0)
 }
 
 /// Part of the gateways that a majority backs.
-fn standing(net: &Net) -> f64 {
-    let with = net.nodes.iter().filter(|n| n.parts.is_some_and(|p| p.part > p.floor)).count();
+fn standing(net: &SimulatedNetwork) -> f64 {
+    let with = net.nodes.iter().filter(|n| n.quota.is_some_and(|q| q.fraction > q.floor)).count();
     with as f64 / net.nodes.len() as f64
 }
 
@@ -211,7 +230,7 @@
             );
             break;
         }
-        let mut net = Net::new(gateways, 1.max(gateways / 8), TERMS, asked.seed);
+        let mut net = SimulatedNetwork::new(gateways, 1.max(gateways / 8), CONFIG, asked.seed);
         net.begin_all();
         let at = gateways as f64;
         let first: Vec<While> = (0..2).map(|_| passes(&mut net, LOOK)).collect();
@@ -235,7 +254,7 @@
                 net.now
             );
             let proofs: Vec<f64> =
-                (0..5).flat_map(|n| parts(net.nodes[n].peers.as_ref().expect("it is up"), 1)).collect();
+                (0..5).flat_map(|n| parts(net.nodes[n].membership.as_ref().expect("it is up"), 1)).collect();
             figures[6].push(size(at, proofs));
         } else {
             println!("{gateways} gateways: with standing {starting:.3} after 10 s; settled not played");
--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -6,7 +6,7 @@
 use milletpath_capacity_model::run::Size;
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_gateway::sharing::Sharing;
-use milletpath_membership::Parts;
+use milletpath_membership::QuotaFraction;
 use milletpath_shared_budgets::{Right, Shares};
 
 /// Seconds for which words count as proof in a large fleet.
@@ -209,7 +209,8 @@
 pub fn budgets(asked: &Asked) {
     const REPEATS: usize = 5;
     let (mut changed, mut steady) = (Vec::new(), Vec::new());
-    let parts = Parts { likely: 1_100.0, part: 1.0, floor: 0.5, until: f64::INFINITY };
+    let parts =
+        QuotaFraction { likely_gateways: 1_100.0, fraction: 1.0, floor: 0.5, valid_until: f64::INFINITY };
     let limits = "limits {\n  in_flight = 2200\n}\n";
     let text = format!(
         "seed = 7\ngateways = 1100\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nworkers {{ \
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -194,7 +194,7 @@
         section.missing("advertise", "\"10.0.0.3:7400\" (where others reach it)");
     }
     let known = |text: &str| {
-        let fits = is_name(text) && text.len() <= milletpath_membership::letter::LONGEST_NAME;
+        let fits = is_name(text) && text.len() <= milletpath_membership::datagram::MAX_NAME_BYTES;
         fits.then(|| text.to_owned())
     };
     let name = section.parsed("name", "a name of up to 64 letters, digits and -._~:", known);
@@ -202,7 +202,7 @@
     if key.is_none() && !section.has("key") {
         section.missing("key", "\"peers.key\" (a file with 32 bytes of chance or more)");
     }
-    let usual = milletpath_membership::Terms::default();
+    let usual = milletpath_membership::MembershipConfig::default();
     let period = section.figure("period", "seconds", 0.05..=60.0).unwrap_or(usual.period);
     let lease = section.figure("lease", "seconds", 0.1..=600.0).unwrap_or(usual.lease);
     if lease < 4.0 * period {
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -3,7 +3,7 @@
 //! way does not depend on how busy the town is.
 
 use milletpath_history_checker::{Record, Saw};
-use milletpath_membership::letter::{self, Key, LARGEST, Letter};
+use milletpath_membership::datagram::{self, Datagram, Key, MAX_DATAGRAM_BYTES};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -167,7 +167,7 @@
 ) {
     /// Letters of long ago, to be played again by anybody.
     const OLD: usize = 64;
-    let mut buffer = [0; 4 * LARGEST];
+    let mut buffer = [0; 4 * MAX_DATAGRAM_BYTES];
     let mut old: VecDeque<Vec<u8>> = VecDeque::new();
     loop {
         let Ok((size, source)) = sockets[to].recv_from(&mut buffer).await else { continue };
@@ -209,14 +209,15 @@
 impl State {
     /// Notes what a letter says of processes, where that is something new.
     fn read(&mut self, at: f64, from: usize, datagram: &[u8]) {
-        let Some(letter) = letter::glance(datagram) else { return };
-        if self.lives.insert(letter.from.life, from).is_none() {
-            self.notes.push(Record { at, saw: Saw::Lives { gateway: from, life: letter.from.life } });
+        let Some(decoded) = datagram::decode_unverified(datagram) else { return };
+        if self.lives.insert(decoded.sender.instance_id, from).is_none() {
+            self.notes
+                .push(Record { at, saw: Saw::Lives { gateway: from, life: decoded.sender.instance_id } });
         }
-        for rumour in letter.rumours {
-            let Some(about) = self.lives.get(&rumour.life).copied() else { continue };
-            if self.said.insert((from, rumour.life), rumour.state) != Some(rumour.state) {
-                let saw = Saw::Says { gateway: from, about, life: rumour.life, state: rumour.state };
+        for update in decoded.updates {
+            let Some(about) = self.lives.get(&update.instance_id).copied() else { continue };
+            if self.said.insert((from, update.instance_id), update.state) != Some(update.state) {
+                let saw = Saw::Says { gateway: from, about, life: update.instance_id, state: update.state };
                 self.notes.push(Record { at, saw });
             }
         }
@@ -267,15 +268,15 @@
             bytes[at] ^= 1 << chance.random_range(0..8);
         }
         2 => {
-            bytes = vec![0; chance.random_range(0..LARGEST)];
+            bytes = vec![0; chance.random_range(0..MAX_DATAGRAM_BYTES)];
             chance.fill(&mut bytes[..]);
         }
-        3 => bytes.resize(chance.random_range(LARGEST + 1..3 * LARGEST), 0),
+        3 => bytes.resize(chance.random_range(MAX_DATAGRAM_BYTES + 1..3 * MAX_DATAGRAM_BYTES), 0),
         // Forged: what it says in the words of one that has no key.
         4 => {
-            let forged: Option<Letter> = letter::glance(datagram);
+            let forged: Option<Datagram> = datagram::decode_unverified(datagram);
             let key = Key::new(b"another secret, of thirty-two bytes");
-            bytes = forged.and_then(|l| letter::seal(&key, &l)).unwrap_or(bytes);
+            bytes = forged.and_then(|l| datagram::seal(&key, &l)).unwrap_or(bytes);
         }
         // Of long ago, and perhaps another's.
         _ => {
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -9,7 +9,7 @@
 use crate::telling::cpu;
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::Follower;
-use milletpath_membership::{Event, Parts, Peers, Tally};
+use milletpath_membership::{Counters, Membership, MembershipEvent, QuotaFraction};
 use milletpath_protocol::registry::Entry;
 use nix::time::{ClockId, clock_gettime};
 use std::collections::{BTreeMap, VecDeque};
@@ -106,7 +106,7 @@
     /// Seconds of processor time that others spent inside its desk: the worker list and the desk's own
     /// timers.
     pub desk: f64,
-    pub tally: Tally,
+    pub tally: Counters,
     /// The control thread, as the system names it: `PROCESS/task/THREAD`.
     thread: Option<PathBuf>,
     /// Gateways likely to be there, by its own word.
@@ -130,7 +130,7 @@
 }
 
 /// What is done with events of the membership.
-pub type Heed = Box<dyn FnMut(Event) + Send>;
+pub type Heed = Box<dyn FnMut(MembershipEvent) + Send>;
 
 struct Look {
     heed: Heed,
@@ -144,24 +144,24 @@
 }
 
 impl Onlooker for Look {
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: MembershipEvent) {
         (self.heed)(event);
     }
 
-    fn turn(&mut self, now: f64, peers: &mut Peers, sharing: &mut Sharing, parts: &Parts) {
+    fn turn(&mut self, now: f64, membership: &mut Membership, sharing: &mut Sharing, quota: &QuotaFraction) {
         if now < self.due {
             return;
         }
         self.due = now + READ;
         let (before, at) = (cpu(), clock());
         let mut reading = lock(&self.reading);
-        (reading.at, reading.control, reading.likely) = (at, before - self.own, parts.likely);
-        reading.tally = *peers.tally();
+        (reading.at, reading.control, reading.likely) = (at, before - self.own, quota.likely_gateways);
+        reading.tally = *membership.counters_mut();
         if reading.thread.is_none() {
             reading.thread = std::fs::read_link("/proc/thread-self").ok();
         }
         let budgets = sharing.view(now).0.into_iter().map(|b| (b.name, (b.part, b.allowed)));
-        if let Some(low) = self.lows.see(at, parts.part, budgets.collect()) {
+        if let Some(low) = self.lows.see(at, quota.fraction, budgets.collect()) {
             if reading.lows.len() == KEPT {
                 reading.lows.pop_front();
             }
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -7,8 +7,8 @@
 use crate::sharing::Sharing;
 use milletpath_config::{GatewayConfig, MembershipConfig};
 use milletpath_dispatcher::dispatcher::QuotaFraction;
-use milletpath_membership::letter::{self, Key, LARGEST, Letter, Page, Who, matter};
-use milletpath_membership::{Event, Parts, Peers, Terms, View};
+use milletpath_membership::datagram::{self, Datagram, Identity, Key, MAX_DATAGRAM_BYTES, Page, kind};
+use milletpath_membership::{Membership, MembershipConfig, MembershipEvent, MembershipView, QuotaFraction};
 use milletpath_shared_budgets::{Seen, Tally};
 use serde::{Deserialize, Serialize};
 use std::hash::{BuildHasher, RandomState};
@@ -70,9 +70,9 @@
 /// Looks on while a link runs, in its own thread.
 pub(crate) trait Onlooker: Send {
     /// Takes an event in place of the log.
-    fn event(&mut self, event: Event);
+    fn event(&mut self, event: MembershipEvent);
     /// Once in each turn of the thread, after all that was due.
-    fn turn(&mut self, now: f64, peers: &mut Peers, sharing: &mut Sharing, parts: &Parts);
+    fn turn(&mut self, now: f64, membership: &mut Membership, sharing: &mut Sharing, quota: &QuotaFraction);
     /// Whether the link is to end as if its process had been killed, without a word to the others.
     fn killed(&self) -> bool;
 }
@@ -92,12 +92,21 @@
         return Err(io::Error::other("the charter has no peers"));
     };
     let at = if stated.advertise.port() == 0 { link.address()? } else { stated.advertise };
-    let who = who(&office.house, &stated, at);
-    let (life, now) = (who.life, office.now());
-    let sharing = Sharing::new(&office.house, life, stated.lease, now);
-    let peers = Peers::new(who, terms(&office.house, &stated), stated.seeds, life, now);
-    let mut running =
-        Running { peers, sharing, office, link, told: None, shared: f64::NEG_INFINITY, asks: 0, onlooker };
+    let identity = identity(&office.house, &stated, at);
+    let (instance_id, now) = (identity.instance_id, office.now());
+    let sharing = Sharing::new(&office.house, instance_id, stated.lease, now);
+    let membership =
+        Membership::new(identity, config(&office.house, &stated), stated.seeds, instance_id, now);
+    let mut running = Running {
+        membership,
+        sharing,
+        office,
+        link,
+        told: None,
+        shared: f64::NEG_INFINITY,
+        asks: 0,
+        onlooker,
+    };
     // Before the first call is taken: what a former process of this name may have lent is not used.
     running.tell();
     std::thread::Builder::new().name("peers".into()).spawn(move || running.run())
@@ -107,26 +116,37 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Told {
     #[serde(flatten)]
-    pub view: View,
+    pub view: MembershipView,
     /// Budgets that it shares with the others, the most moved first.
     pub budgets: Vec<Seen>,
     pub sharing: Tally,
 }
 
-fn who(house: &GatewayConfig, stated: &MembershipConfig, at: SocketAddr) -> Who {
+fn identity(house: &GatewayConfig, stated: &MembershipConfig, at: SocketAddr) -> Identity {
     // Drawn anew by each process from the system's chance, also where the charter fixes the seed of its decisions.
-    let life = RandomState::new().hash_one(std::process::id()).max(1);
-    Who { life, name: stated.name.clone(), at, incarnation: 0, most: house.policy.routers as u32 }
+    let instance_id = RandomState::new().hash_one(std::process::id()).max(1);
+    Identity {
+        instance_id,
+        name: stated.name.clone(),
+        address: at,
+        incarnation: 0,
+        max_gateways: house.policy.routers as u32,
+    }
 }
 
-fn terms(house: &GatewayConfig, stated: &MembershipConfig) -> Terms {
+fn config(house: &GatewayConfig, stated: &MembershipConfig) -> MembershipConfig {
     // Quotas are counted by the second, orders within their window.
     let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
-    Terms { period: stated.period, lease: stated.lease, floor: stated.floor, window }
+    MembershipConfig {
+        period: stated.period,
+        lease: stated.lease,
+        floor: stated.floor,
+        budget_window: window,
+    }
 }
 
 struct Running {
-    peers: Peers,
+    membership: Membership,
     sharing: Sharing,
     office: Arc<Office>,
     link: Link,
@@ -141,46 +161,49 @@
 
 impl Running {
     fn run(mut self) {
-        let mut inbox = Inbox::new(LARGEST);
+        let mut inbox = Inbox::new(MAX_DATAGRAM_BYTES);
         let mut second = 0.0;
         while !self.office.stopping.load(Ordering::Acquire) {
             let now = self.office.now();
             if now >= second + 1.0 {
                 (second, self.asks) = (now, 0);
             }
-            let due_in = self.peers.next().min(self.sharing.next()) - now;
-            if let Some((datagram, from)) =
+            let due_in = self.membership.next_deadline().min(self.sharing.next()) - now;
+            if let Some((sealed, from)) =
                 inbox.next(&self.link.socket, due_in, "letters of other gateways can't be read")
             {
-                self.take(datagram, from);
+                self.take(sealed, from);
             }
             let now = self.office.now();
-            if inbox.turns(now, self.peers.next()) {
-                self.peers.turn(now);
+            if inbox.turns(now, self.membership.next_deadline()) {
+                self.membership.tick(now);
             }
-            let parts = self.tell();
+            let quota = self.tell();
             self.post();
             self.log();
             if let Some(onlooker) = &mut self.onlooker {
-                onlooker.turn(self.office.now(), &mut self.peers, &mut self.sharing, &parts);
+                onlooker.turn(self.office.now(), &mut self.membership, &mut self.sharing, &quota);
             }
         }
         if self.onlooker.as_ref().is_some_and(|o| o.killed()) {
             return;
         }
-        self.peers.leave(self.office.now());
+        self.membership.announce_departure(self.office.now());
         self.tell();
         self.post();
     }
 
-    fn take(&mut self, datagram: &[u8], from: SocketAddr) {
-        match letter::open(&self.link.key, datagram) {
-            Ok(letter) if letter.matter == matter::ASK => self.answer(&letter, from),
-            Ok(letter) => self.peers.heard(self.office.now(), letter),
+    fn take(&mut self, sealed: &[u8], from: SocketAddr) {
+        match datagram::open(&self.link.key, sealed) {
+            Ok(datagram) if datagram.kind == kind::STATUS_QUERY => self.answer(&datagram, from),
+            Ok(datagram) => self.membership.receive(self.office.now(), datagram),
             Err(why) => {
-                let tally = self.peers.tally();
-                tally.refused(why);
-                let all = tally.sizes + tally.versions + tally.seals + tally.bodies;
+                let counters = self.membership.counters_mut();
+                counters.record_rejected(why);
+                let all = counters.rejected_size
+                    + counters.rejected_version
+                    + counters.rejected_seal
+                    + counters.rejected_body;
                 if tenfold(all) {
                     tracing::warn!(%from, all, "a letter of another gateway is not taken: {why}");
                 }
@@ -189,7 +212,7 @@
     }
 
     /// Tells an operator what is known here.
-    fn answer(&mut self, ask: &Letter, from: SocketAddr) {
+    fn answer(&mut self, ask: &Datagram, from: SocketAddr) {
         /// Questions answered a second: an old one played again is no lever.
         const ASKS: u32 = 10;
         self.asks += 1;
@@ -198,47 +221,51 @@
         }
         let now = self.office.now();
         let (budgets, sharing) = self.sharing.view(now);
-        let told = Told { view: self.peers.view(now), budgets, sharing };
+        let told = Told { view: self.membership.view(now), budgets, sharing };
         let Ok(text) = serde_json::to_vec(&told) else { return };
         let chunks: Vec<_> = text.chunks(PAGE).collect();
         for (number, chunk) in chunks.iter().enumerate() {
-            let mut told = Letter::new(ask.from.clone(), 0, matter::TOLD, ask.number);
-            told.page = Some(Page { number: number as u16, of: chunks.len() as u16, bytes: chunk.to_vec() });
-            if let Some(datagram) = letter::seal(&self.link.key, &told) {
-                let _ = self.link.socket.send_to(&datagram, from);
+            let mut told = Datagram::new(ask.sender.clone(), 0, kind::STATUS_REPLY, ask.request_id);
+            told.page =
+                Some(Page { index: number as u16, total: chunks.len() as u16, bytes: chunk.to_vec() });
+            if let Some(sealed) = datagram::seal(&self.link.key, &told) {
+                let _ = self.link.socket.send_to(&sealed, from);
             }
         }
     }
 
     fn post(&mut self) {
-        while let Some((life, note)) = self.sharing.out() {
-            self.peers.post(life, note);
+        while let Some((instance_id, payload)) = self.sharing.out() {
+            self.membership.send_payload(instance_id, payload);
         }
-        while let Some(sent) = self.peers.out() {
-            let datagram = letter::seal(&self.link.key, &sent.letter);
-            let tally = self.peers.tally();
-            match datagram.map(|d| self.link.socket.send_to(&d, sent.to)) {
+        while let Some(sent) = self.membership.next_outgoing() {
+            let sealed = datagram::seal(&self.link.key, &sent.datagram);
+            let counters = self.membership.counters_mut();
+            match sealed.map(|d| self.link.socket.send_to(&d, sent.to)) {
                 Some(Ok(bytes)) => {
-                    tally.sent += 1;
-                    tally.bytes += bytes as u64;
+                    counters.sent += 1;
+                    counters.bytes += bytes as u64;
                 }
                 // As if lost on its way: that is what the core is built for.
-                Some(Err(_)) | None => tally.unsent += 1,
+                Some(Err(_)) | None => counters.unsent += 1,
             }
         }
     }
 
     /// Tells the desk where it changes something, or before what it was told ends; gives what is one's own.
-    fn tell(&mut self) -> Parts {
+    fn tell(&mut self) -> QuotaFraction {
         /// Seconds after which it is told anew that all is as it was.
         const AGAIN: f64 = 0.2;
         let now = self.office.now();
-        let parts = self.peers.parts(now);
-        let mut share =
-            QuotaFraction { likely: parts.likely, part: [parts.part, parts.floor], until: parts.until };
+        let quota = self.membership.quota_fraction(now);
+        let mut share = QuotaFraction {
+            likely: quota.likely_gateways,
+            part: [quota.fraction, quota.floor],
+            until: quota.valid_until,
+        };
         if self.link.plant == Some(Plant::LikelyCount) {
-            let part = self.office.house.policy.routers as f64 / parts.likely;
-            share = QuotaFraction { likely: parts.likely, part: [part; 2], until: f64::INFINITY };
+            let part = self.office.house.policy.routers as f64 / quota.likely_gateways;
+            share = QuotaFraction { likely: quota.likely_gateways, part: [part; 2], until: f64::INFINITY };
         }
         let same = |(at, told): (f64, QuotaFraction)| {
             (told.likely, told.part) == (share.likely, share.part)
@@ -248,51 +275,55 @@
             self.told = Some((now, share));
             self.office.tell(None, |desk, _| desk.share(share));
         }
-        self.share(parts);
-        parts
+        self.share(quota);
+        quota
     }
 
     /// Takes what others say of budgets, and does what is due there; all of it inside the desk.
-    fn share(&mut self, parts: Parts) {
+    fn share(&mut self, quota: QuotaFraction) {
         /// Seconds between two looks at what is wanted and lacked: asked for as soon as it is seen.
         const METERS: f64 = 0.04;
-        let others = self.peers.others();
-        let notes: Vec<_> = std::iter::from_fn(|| self.peers.posted()).collect();
+        let others = self.membership.fresh_instances();
+        let payloads: Vec<_> = std::iter::from_fn(|| self.membership.next_payload()).collect();
         let now = self.office.now();
-        if notes.is_empty() && now < self.sharing.next().min(self.shared + METERS) {
+        if payloads.is_empty() && now < self.sharing.next().min(self.shared + METERS) {
             return;
         }
         self.shared = now;
         let sharing = &mut self.sharing;
         self.office.tell(None, |desk, now| {
-            notes.iter().for_each(|(life, note)| sharing.heard(desk, now, *life, note));
-            sharing.turn(desk, now, &parts, others);
+            payloads.iter().for_each(|(sender, payload)| sharing.heard(desk, now, *sender, payload));
+            sharing.turn(desk, now, &quota, others);
         });
     }
 
     fn log(&mut self) {
-        for event in self.peers.events() {
+        for event in self.membership.take_events() {
             if let Some(onlooker) = &mut self.onlooker {
                 onlooker.event(event);
                 continue;
             }
             match event {
-                Event::Joined { name, at } => tracing::info!(name, %at, "a gateway is there"),
-                Event::Suspected { name } => tracing::info!(name, "a gateway does not answer"),
-                Event::Died { name } => tracing::warn!(name, "a gateway counts as gone"),
-                Event::Left { name } => tracing::info!(name, "a gateway has left"),
-                Event::Returned { name } => tracing::info!(name, "a gateway that counted as gone is there"),
-                Event::Twice { name } => tracing::error!(
+                MembershipEvent::Joined { name, address } => {
+                    tracing::info!(name, at = %address, "a gateway is there")
+                }
+                MembershipEvent::Suspected { name } => tracing::info!(name, "a gateway does not answer"),
+                MembershipEvent::Died { name } => tracing::warn!(name, "a gateway counts as gone"),
+                MembershipEvent::Left { name } => tracing::info!(name, "a gateway has left"),
+                MembershipEvent::Returned { name } => {
+                    tracing::info!(name, "a gateway that counted as gone is there")
+                }
+                MembershipEvent::DuplicateName { name } => tracing::error!(
                     name,
                     "two gateways go by one name: give each its own; until then neither has a say in shared budgets"
                 ),
-                Event::OtherMost { name, most } => tracing::error!(
+                MembershipEvent::MaxGatewaysMismatch { name, max_gateways } => tracing::error!(
                     name,
-                    most,
+                    most = max_gateways,
                     own = self.office.house.policy.routers,
                     "another gateway's charter states another number of gateways: make them alike; the larger one holds"
                 ),
-                Event::Stood { seconds } => {
+                MembershipEvent::ProcessPaused { seconds } => {
                     tracing::warn!(seconds, "the link to the other gateways stood still")
                 }
             }
@@ -319,25 +350,27 @@
     }
     let any: SocketAddr = if to.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" }.parse().expect("an address");
     let socket = UdpSocket::bind(any)?;
-    let who = Who { life: 0, name: "operator".into(), at: any, incarnation: 0, most: 0 };
-    let mut buffer = [0; LARGEST + 1];
+    let identity =
+        Identity { instance_id: 0, name: "operator".into(), address: any, incarnation: 0, max_gateways: 0 };
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     for number in 1..=TRIES {
-        let ask = Letter::new(who.clone(), 0, matter::ASK, number);
-        let datagram =
-            letter::seal(&key, &ask).ok_or_else(|| io::Error::other("the question is too large"))?;
-        socket.send_to(&datagram, to)?;
+        let ask = Datagram::new(identity.clone(), 0, kind::STATUS_QUERY, number);
+        let sealed =
+            datagram::seal(&key, &ask).ok_or_else(|| io::Error::other("the question is too large"))?;
+        socket.send_to(&sealed, to)?;
         let end = Instant::now() + WAIT;
         let mut pages: Vec<Option<Vec<u8>>> = Vec::new();
         while let Some(left) = end.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) {
             socket.set_read_timeout(Some(left))?;
             let Ok((size, _)) = socket.recv_from(&mut buffer) else { break };
-            let Ok(told) = letter::open(&key, &buffer[..size]) else { continue };
-            let Some(page) = told.page.filter(|_| told.matter == matter::TOLD && told.number == number)
+            let Ok(reply) = datagram::open(&key, &buffer[..size]) else { continue };
+            let Some(page) =
+                reply.page.filter(|_| reply.kind == kind::STATUS_REPLY && reply.request_id == number)
             else {
                 continue;
             };
-            pages.resize(usize::from(page.of), None);
-            if let Some(slot) = pages.get_mut(usize::from(page.number)) {
+            pages.resize(usize::from(page.total), None);
+            if let Some(slot) = pages.get_mut(usize::from(page.index)) {
                 *slot = Some(page.bytes);
             }
             if pages.iter().all(Option::is_some) {
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -4,7 +4,7 @@
 
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::Dispatcher;
-use milletpath_membership::Parts;
+use milletpath_membership::QuotaFraction;
 use milletpath_policy::host::Budget;
 use milletpath_shared_budgets::{Form, Right, Seen, Shares, Tally};
 use std::collections::BTreeMap;
@@ -98,9 +98,9 @@
     }
 
     /// Does what is due, with what is one's own by the count and those who can be asked.
-    pub fn turn<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, parts: &Parts, others: Vec<u64>) {
+    pub fn turn<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, quota: &QuotaFraction, others: Vec<u64>) {
         self.follow(desk, now);
-        let Parts { part, floor, until, .. } = *parts;
+        let QuotaFraction { fraction: part, floor, valid_until: until, .. } = *quota;
         self.shares.right(now, Right { part, floor, until }, others);
         self.meter(desk, now);
         self.shares.turn(now);
--- a/crates/membership/src/letter.rs
+++ b/crates/membership/src/datagram.rs
@@ -3,6 +3,7 @@
 //! A datagram is a version, a seal of 16 bytes (a keyed hash over the rest) and a body with numbered fields. A field that
 //! is not known is skipped, a number never changes its meaning: old and new gateways stand side by side.
 
+use milletpath_sealed_datagram::Refused as SealRefused;
 use minicbor::{Decode, Encode};
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,63 +11,63 @@
 /// The version that is written. All from 1 on are read.
 pub const VERSION: u8 = 1;
 
-pub use milletpath_sealed_datagram::LARGEST;
+pub use milletpath_sealed_datagram::LARGEST as MAX_DATAGRAM_BYTES;
 
 /// Letters of a gateway's name.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// What a letter is about. Numbers, so that one of a later version is passed over and not taken for garbage.
-pub mod matter {
+pub mod kind {
     /// Are you there? `number` comes back in the answer.
     pub const PING: u8 = 1;
     /// The answer to that, and a question in its turn: `about` comes back in the thanks.
     pub const ACK: u8 = 2;
     /// Ask the member `about` for me, as I don't hear it.
-    pub const SEEK: u8 = 3;
+    pub const PING_REQUEST: u8 = 3;
     /// I asked, and it answered.
-    pub const FOUND: u8 = 4;
+    pub const INDIRECT_ACK: u8 = 4;
     /// `digest` is over all that I take for alive. `number` 0 asks for the same in return where it differs.
-    pub const EXCHANGE: u8 = 5;
+    pub const DIGEST: u8 = 5;
     /// What I know, in rumours.
-    pub const TABLE: u8 = 6;
+    pub const MEMBER_TABLE: u8 = 6;
     /// I go, and use no more of what is shared.
-    pub const LEAVE: u8 = 7;
+    pub const DEPARTURE: u8 = 7;
     /// Nothing but who I am, and rumours.
-    pub const TELL: u8 = 8;
+    pub const ANNOUNCE: u8 = 8;
     /// The answer to an answer.
-    pub const THANKS: u8 = 11;
+    pub const FINAL_ACK: u8 = 11;
     /// A note of what gateways share: `milletpath-shared-budgets` reads it.
-    pub const NOTE: u8 = 12;
+    pub const PAYLOAD: u8 = 12;
     /// An operator asks what is known here; answered by pages of text.
-    pub const ASK: u8 = 9;
-    pub const TOLD: u8 = 10;
+    pub const STATUS_QUERY: u8 = 9;
+    pub const STATUS_REPLY: u8 = 10;
 }
 
 /// A gateway process, as it tells of itself.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
-pub struct Who {
+pub struct Identity {
     /// Drawn by chance when the process began: another process under the same name has another.
     #[n(0)]
-    pub life: u64,
+    pub instance_id: u64,
     #[n(1)]
     pub name: String,
     /// Where it hears letters.
-    #[cbor(n(2), with = "place")]
-    pub at: SocketAddr,
+    #[cbor(n(2), with = "address_codec")]
+    pub address: SocketAddr,
     /// Grows with each word against what is wrongly said of it.
     #[n(3)]
     pub incarnation: u32,
     /// The most gateways that its charter allows for.
     #[n(4)]
-    pub most: u32,
+    pub max_gateways: u32,
 }
 
 /// What is said of a member. Of two the one of the higher incarnation holds, then the one of the higher state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Rumour {
+pub struct GossipUpdate {
     #[n(0)]
-    pub life: u64,
+    pub instance_id: u64,
     /// 0 alive, 1 suspect, 2 dead, 3 left; others are of a later version.
     #[n(1)]
     pub state: u8,
@@ -74,21 +75,21 @@
     pub incarnation: u32,
     #[n(3)]
     pub name: Option<String>,
-    #[cbor(n(4), with = "some_place")]
-    pub at: Option<SocketAddr>,
+    #[cbor(n(4), with = "optional_address_codec")]
+    pub address: Option<SocketAddr>,
 }
 
 /// What a member said of whom it backs and whom it lists (see `backing.rs`), as sums; none is the same as the first
 /// of the letter, which is the sender's own.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Saying {
+pub struct Assertion {
     #[n(0)]
-    pub life: u64,
+    pub instance_id: u64,
     /// Milliseconds since it was said, at most.
     #[n(1)]
     pub age: u32,
     #[n(2)]
-    pub backed: Option<u64>,
+    pub endorsed: Option<u64>,
     #[n(3)]
     pub listed: Option<u64>,
 }
@@ -97,64 +98,64 @@
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Page {
     #[n(0)]
-    pub number: u16,
+    pub index: u16,
     #[n(1)]
-    pub of: u16,
+    pub total: u16,
     #[cbor(n(2), with = "minicbor::bytes")]
     pub bytes: Vec<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
-pub struct Letter {
+pub struct Datagram {
     #[n(0)]
-    pub from: Who,
+    pub sender: Identity,
     /// Grows from letter to letter of one life: none is taken twice.
     #[n(1)]
-    pub serial: u64,
+    pub sequence: u64,
     /// The life that is meant; 0 where it is not known.
     #[n(2)]
-    pub to: u64,
+    pub recipient: u64,
     #[n(3)]
-    pub matter: u8,
+    pub kind: u8,
     #[n(4)]
-    pub number: u64,
+    pub request_id: u64,
     #[n(5)]
-    pub about: u64,
+    pub subject: u64,
     #[n(6)]
     pub digest: u64,
     #[n(7)]
-    pub rumours: Vec<Rumour>,
+    pub updates: Vec<GossipUpdate>,
     #[n(8)]
-    pub sayings: Vec<Saying>,
+    pub assertions: Vec<Assertion>,
     #[n(9)]
     pub page: Option<Page>,
     #[cbor(n(10), with = "minicbor::bytes")]
-    pub note: Option<Vec<u8>>,
+    pub payload: Option<Vec<u8>>,
 }
 
-impl Letter {
-    pub fn new(from: Who, to: u64, matter: u8, number: u64) -> Self {
-        let (rumours, sayings) = (Vec::new(), Vec::new());
+impl Datagram {
+    pub fn new(sender: Identity, recipient: u64, kind: u8, request_id: u64) -> Self {
+        let (updates, assertions) = (Vec::new(), Vec::new());
         Self {
-            from,
-            serial: 0,
-            to,
-            matter,
-            number,
-            about: 0,
+            sender,
+            sequence: 0,
+            recipient,
+            kind,
+            request_id,
+            subject: 0,
             digest: 0,
-            rumours,
-            sayings,
+            updates,
+            assertions,
             page: None,
-            note: None,
+            payload: None,
         }
     }
 }
 
 /// Why a datagram is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OpenError {
     /// Larger than [`LARGEST`], or too small for a seal.
     Size,
     /// Of a version that this program does not read.
@@ -165,7 +166,7 @@
     Body,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Size => write!(f, "no letter has this size"),
@@ -176,12 +177,12 @@
     }
 }
 
-impl From<milletpath_sealed_datagram::Refused> for Refused {
-    fn from(why: milletpath_sealed_datagram::Refused) -> Self {
+impl From<SealRefused> for OpenError {
+    fn from(why: SealRefused) -> Self {
         match why {
-            milletpath_sealed_datagram::Refused::Size => Self::Size,
-            milletpath_sealed_datagram::Refused::Version(version) => Self::Version(version),
-            milletpath_sealed_datagram::Refused::Seal => Self::Seal,
+            SealRefused::Size => Self::Size,
+            SealRefused::Version(version) => Self::Version(version),
+            SealRefused::Seal => Self::Seal,
         }
     }
 }
@@ -198,43 +199,43 @@
 }
 
 /// Makes a datagram; none where it would be too large.
-pub fn seal(key: &Key, letter: &Letter) -> Option<Vec<u8>> {
-    key.0.seal(VERSION, &minicbor::to_vec(letter).ok()?)
+pub fn seal(key: &Key, datagram: &Datagram) -> Option<Vec<u8>> {
+    key.0.seal(VERSION, &minicbor::to_vec(datagram).ok()?)
 }
 
 /// Reads a datagram.
-pub fn open(key: &Key, datagram: &[u8]) -> Result<Letter, Refused> {
-    read(key.0.open(datagram)?)
+pub fn open(key: &Key, sealed: &[u8]) -> Result<Datagram, OpenError> {
+    read(key.0.open(sealed)?)
 }
 
 /// What stands in a datagram, whoever sealed it: for a relay or a witness that has no key.
-pub fn glance(datagram: &[u8]) -> Option<Letter> {
-    read(milletpath_sealed_datagram::glance(datagram)?).ok()
+pub fn decode_unverified(sealed: &[u8]) -> Option<Datagram> {
+    read(milletpath_sealed_datagram::glance(sealed)?).ok()
 }
 
-fn read(body: &[u8]) -> Result<Letter, Refused> {
-    let letter: Letter = minicbor::decode(body).map_err(|_| Refused::Body)?;
-    let named = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
-    let fits = letter.rumours.iter().all(|r| r.name.as_deref().is_none_or(named));
-    if named(&letter.from.name) && fits { Ok(letter) } else { Err(Refused::Body) }
+fn read(body: &[u8]) -> Result<Datagram, OpenError> {
+    let datagram: Datagram = minicbor::decode(body).map_err(|_| OpenError::Body)?;
+    let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+    let fits = datagram.updates.iter().all(|r| r.name.as_deref().is_none_or(named));
+    if named(&datagram.sender.name) && fits { Ok(datagram) } else { Err(OpenError::Body) }
 }
 
 /// A socket's address as 6 or 18 bytes.
-mod place {
+mod address_codec {
     use minicbor::decode::{Decoder, Error as Unread};
     use minicbor::encode::{Encoder, Error as Unwritten, Write};
     use std::net::{IpAddr, SocketAddr};
 
     pub fn encode<C, W: Write>(
-        at: &SocketAddr,
+        address: &SocketAddr,
         e: &mut Encoder<W>,
         _: &mut C,
     ) -> Result<(), Unwritten<W::Error>> {
-        let mut bytes = match at.ip() {
+        let mut bytes = match address.ip() {
             IpAddr::V4(ip) => ip.octets().to_vec(),
             IpAddr::V6(ip) => ip.octets().to_vec(),
         };
-        bytes.extend_from_slice(&at.port().to_be_bytes());
+        bytes.extend_from_slice(&address.port().to_be_bytes());
         e.bytes(&bytes)?.ok()
     }
 
@@ -254,20 +255,20 @@
     }
 }
 
-mod some_place {
-    use super::place;
+mod optional_address_codec {
+    use super::address_codec;
     use minicbor::data::Type;
     use minicbor::decode::{Decoder, Error as Unread};
     use minicbor::encode::{Encoder, Error as Unwritten, Write};
     use std::net::SocketAddr;
 
     pub fn encode<C, W: Write>(
-        at: &Option<SocketAddr>,
+        address: &Option<SocketAddr>,
         e: &mut Encoder<W>,
         context: &mut C,
     ) -> Result<(), Unwritten<W::Error>> {
-        match at {
-            Some(at) => place::encode(at, e, context),
+        match address {
+            Some(address) => address_codec::encode(address, e, context),
             None => e.null()?.ok(),
         }
     }
@@ -277,6 +278,6 @@
             d.null()?;
             return Ok(None);
         }
-        place::decode(d, context).map(Some)
+        address_codec::decode(d, context).map(Some)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,16 +7,16 @@
 //! Beside who is there it gives two counts. The likeliest is who is believed to be there. The highest that may be true
 //! comes down only by proof (`backing.rs`): what bounds harm goes by that one.
 
-pub mod letter;
+pub mod datagram;
 
-mod backing;
 mod gossip;
 mod member;
-mod peers;
+mod membership;
 mod probing;
+mod quorum_proof;
 mod view;
 
-pub use backing::DRIFT;
-pub use member::State;
-pub use peers::{Peers, Terms};
-pub use view::{Event, Hears, Parts, Seen, Tally, View};
+pub use member::MemberState;
+pub use membership::{Membership, MembershipConfig};
+pub use quorum_proof::MAX_CLOCK_DRIFT;
+pub use view::{Counters, MemberView, MembershipEvent, MembershipView, QuotaFraction, Reachability};
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,9 +1,9 @@
 //! What a gateway knows of the others, in plain figures: for its own decisions, for the cores that share things with
 //! others, and for operators.
 
-use crate::letter::Refused;
-use crate::member::State;
-use crate::peers::Peers;
+use crate::datagram::OpenError;
+use crate::member::MemberState;
+use crate::membership::Membership;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -11,109 +11,136 @@
 /// Of how many gateways there are words that are fresh by proof, one's own among them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Hears {
+pub enum Reachability {
     /// More than half of the most that there may be.
     Majority,
-    Some,
-    Nothing,
+    #[serde(rename = "some")]
+    Minority,
+    #[serde(rename = "nothing")]
+    Nobody,
 }
 
 /// What the decisions go by. Parts are multiples of what a gateway has that shares nothing: one in the most that there
 /// may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Parts {
+pub struct QuotaFraction {
     /// Gateways that are likely to be there.
-    pub likely: f64,
+    pub likely_gateways: f64,
     /// One's part of what is shared, until that time; and from then on, unless told anew.
-    pub part: f64,
+    pub fraction: f64,
     pub floor: f64,
     /// Seconds on the caller's clock.
-    pub until: f64,
+    pub valid_until: f64,
 }
 
 /// One other gateway as it is seen from here.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct MemberView {
     pub name: String,
-    pub at: SocketAddr,
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
     /// Tells a process from its former self.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub instance_id: String,
     pub state: String,
     /// Seconds that it is in that state.
-    pub since: f64,
+    #[serde(rename = "since")]
+    pub seconds_in_state: f64,
     pub incarnation: u32,
     /// Seconds since its last word was said, at most; none where there is none.
-    pub age: Option<f64>,
+    #[serde(rename = "age")]
+    pub assertion_age: Option<f64>,
     /// Two processes go by this name.
-    pub twice: bool,
+    #[serde(rename = "twice")]
+    pub duplicate_name: bool,
     /// The most gateways that its charter allows for; 0 where that is not known.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_gateways: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct MembershipView {
     pub name: String,
-    pub life: String,
+    #[serde(rename = "life")]
+    pub instance_id: String,
     pub incarnation: u32,
-    pub hears: Hears,
+    #[serde(rename = "hears")]
+    pub reachability: Reachability,
     /// The most gateways that there may be, those likely to be there, and the most that may have standing.
-    pub most: usize,
-    pub likely: f64,
-    pub highest: usize,
+    #[serde(rename = "most")]
+    pub max_gateways: usize,
+    #[serde(rename = "likely")]
+    pub likely_gateways: f64,
+    #[serde(rename = "highest")]
+    pub max_with_quorum: usize,
     /// Seconds for which a majority backs this gateway; 0 for none.
-    pub stands: f64,
+    #[serde(rename = "stands")]
+    pub quorum_seconds: f64,
     /// Its part of what is shared, as a multiple of one in the most.
-    pub part: f64,
-    pub members: Vec<Seen>,
-    pub tally: Tally,
+    #[serde(rename = "part")]
+    pub fraction: f64,
+    pub members: Vec<MemberView>,
+    #[serde(rename = "tally")]
+    pub counters: Counters,
 }
 
 /// Counts since the start; they only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct Counters {
     pub sent: u64,
     pub bytes: u64,
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     /// Not taken, by reason.
-    pub sizes: u64,
-    pub versions: u64,
-    pub seals: u64,
-    pub bodies: u64,
-    pub repeated: u64,
+    #[serde(rename = "sizes")]
+    pub rejected_size: u64,
+    #[serde(rename = "versions")]
+    pub rejected_version: u64,
+    #[serde(rename = "seals")]
+    pub rejected_seal: u64,
+    #[serde(rename = "bodies")]
+    pub rejected_body: u64,
+    #[serde(rename = "repeated")]
+    pub replayed: u64,
     /// Meant for another life.
-    pub misled: u64,
+    #[serde(rename = "misled")]
+    pub misaddressed: u64,
     /// One's own, come back.
     pub echoes: u64,
     /// Members that there was no room for.
-    pub crowded: u64,
+    #[serde(rename = "crowded")]
+    pub no_capacity: u64,
     /// Letters that would have been too large.
     pub unsent: u64,
     /// Probes, and those that nobody answered in time.
     pub probes: u64,
-    pub missed: u64,
+    #[serde(rename = "missed")]
+    pub probes_unanswered: u64,
     /// Words against what was wrongly said of this gateway.
-    pub objections: u64,
+    #[serde(rename = "objections")]
+    pub refutations: u64,
     /// Times at which this process found that it had stood still.
-    pub stood: u64,
+    #[serde(rename = "stood")]
+    pub pauses: u64,
 }
 
-impl Tally {
-    pub fn refused(&mut self, why: Refused) {
+impl Counters {
+    pub fn record_rejected(&mut self, why: OpenError) {
         *match why {
-            Refused::Size => &mut self.sizes,
-            Refused::Version(_) => &mut self.versions,
-            Refused::Seal => &mut self.seals,
-            Refused::Body => &mut self.bodies,
+            OpenError::Size => &mut self.rejected_size,
+            OpenError::Version(_) => &mut self.rejected_version,
+            OpenError::Seal => &mut self.rejected_seal,
+            OpenError::Body => &mut self.rejected_body,
         } += 1;
     }
 }
 
 /// What is worth a line in the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub enum MembershipEvent {
     Joined {
         name: String,
-        at: SocketAddr,
+        address: SocketAddr,
     },
     Suspected {
         name: String,
@@ -129,167 +156,174 @@
         name: String,
     },
     /// Two processes go by one name.
-    Twice {
+    DuplicateName {
         name: String,
     },
     /// Another's charter allows for another number of gateways.
-    OtherMost {
+    MaxGatewaysMismatch {
         name: String,
-        most: u32,
+        max_gateways: u32,
     },
-    Stood {
+    ProcessPaused {
         seconds: f64,
     },
 }
 
 /// Lines kept for whoever writes the log; older ones go.
-const EVENTS: usize = 256;
+const MAX_PENDING_EVENTS: usize = 256;
 
-impl Peers {
-    pub(crate) fn note(&mut self, event: Event) {
-        if self.events.len() == EVENTS {
+impl Membership {
+    pub(crate) fn record_event(&mut self, event: MembershipEvent) {
+        if self.events.len() == MAX_PENDING_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(event);
     }
 
     /// What happened that is worth a line in the log.
-    pub fn events(&mut self) -> VecDeque<Event> {
+    pub fn take_events(&mut self) -> VecDeque<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Names of which a word is fresh by proof; one's own among them.
-    fn fresh(&self) -> usize {
-        let fresh = self.members.values().filter(|m| self.now - m.last_word() < self.terms.lease);
-        let mut names: BTreeSet<&str> = fresh.map(|m| m.name.as_str()).collect();
-        names.insert(&self.me.name);
+    fn reachable_names(&self) -> usize {
+        let reachable =
+            self.members.values().filter(|m| self.now - m.last_assertion_at() < self.config.lease);
+        let mut names: BTreeSet<&str> = reachable.map(|m| m.name.as_str()).collect();
+        names.insert(&self.identity.name);
         names.len()
     }
 
-    pub fn hears(&self) -> Hears {
-        match self.fresh() {
-            n if n > self.most() / 2 => Hears::Majority,
-            1 => Hears::Nothing,
-            _ => Hears::Some,
+    pub fn reachability(&self) -> Reachability {
+        match self.reachable_names() {
+            n if n > self.max_gateways() / 2 => Reachability::Majority,
+            1 => Reachability::Nobody,
+            _ => Reachability::Minority,
         }
     }
 
     /// Gateways likely to be there. Who hears nothing knows nothing: it goes by the most, as one that shares nothing.
-    pub fn likely(&self) -> f64 {
-        match self.hears() {
-            Hears::Nothing => self.most() as f64,
-            _ => self.names_there() as f64,
+    pub fn likely_gateways(&self) -> f64 {
+        match self.reachability() {
+            Reachability::Nobody => self.max_gateways() as f64,
+            _ => self.present_names() as f64,
         }
     }
 
     /// What the decisions go by now. To be asked whenever time passed: a part rises only once it was that high for
     /// the length of the longest window that budgets are counted in.
-    pub fn parts(&mut self, now: f64) -> Parts {
-        self.pass(now);
-        let (now, proof) = (self.now, self.proof());
-        let (most, own) = (self.most() as f64, f64::from(self.me.most.max(1)));
-        let floor = self.terms.floor / most;
-        let stands = now < proof.stands && !self.leaving;
-        let until = match stands {
-            true if now < proof.until => proof.stands.min(proof.until),
-            true => proof.stands,
+    pub fn quota_fraction(&mut self, now: f64) -> QuotaFraction {
+        self.advance_clock(now);
+        let (now, proof) = (self.now, self.quorum_proof());
+        let (max_gateways, own) = (self.max_gateways() as f64, f64::from(self.identity.max_gateways.max(1)));
+        let floor = self.config.floor / max_gateways;
+        let has_quorum = now < proof.quorum_until && !self.departing;
+        let until = match has_quorum {
+            true if now < proof.bound_until => proof.quorum_until.min(proof.bound_until),
+            true => proof.quorum_until,
             false => f64::INFINITY,
         };
-        let part = if stands { floor + (1.0 - self.terms.floor) / proof.highest as f64 } else { floor };
-        let part = self.lowest.pass(now, part, floor, until);
-        Parts { likely: self.likely(), part: part * own, floor: floor * own, until: until - self.shift }
+        let fraction =
+            if has_quorum { floor + (1.0 - self.config.floor) / proof.max_with_quorum as f64 } else { floor };
+        let fraction = self.trailing_minimum.update(now, fraction, floor, until);
+        QuotaFraction {
+            likely_gateways: self.likely_gateways(),
+            fraction: fraction * own,
+            floor: floor * own,
+            valid_until: until - self.clock_offset,
+        }
     }
 
-    pub fn view(&mut self, now: f64) -> View {
-        let parts = self.parts(now);
-        let (proof, twice) = (self.proof(), self.twice());
+    pub fn view(&mut self, now: f64) -> MembershipView {
+        let quota = self.quota_fraction(now);
+        let (proof, duplicates) = (self.quorum_proof(), self.duplicate_names());
         let now = self.now;
-        let seen = |(life, m): (&u64, &crate::member::Member)| Seen {
+        let member_view = |(instance_id, m): (&u64, &crate::member::Member)| MemberView {
             name: m.name.clone(),
-            at: m.at,
-            life: format!("{life:016x}"),
-            state: m.state.word().into(),
-            since: now - m.since,
+            address: m.address,
+            instance_id: format!("{instance_id:016x}"),
+            state: m.state.as_str().into(),
+            seconds_in_state: now - m.state_since,
             incarnation: m.incarnation,
-            age: m.said.map(|s| now - s.issued),
-            twice: m.state.there() && twice.contains(&m.name),
-            most: m.most,
+            assertion_age: m.assertion.map(|s| now - s.issued_at),
+            duplicate_name: m.state.is_present() && duplicates.contains(&m.name),
+            max_gateways: m.max_gateways,
         };
-        let mut members: Vec<_> = self.members.iter().map(seen).collect();
-        members.sort_by(|a, b| (&a.name, &a.life).cmp(&(&b.name, &b.life)));
-        View {
-            name: self.me.name.clone(),
-            life: format!("{:016x}", self.me.life),
-            incarnation: self.me.incarnation,
-            hears: self.hears(),
-            most: self.most(),
-            likely: parts.likely,
-            highest: proof.highest,
-            stands: (proof.stands - now).clamp(0.0, self.terms.lease),
-            part: parts.part,
+        let mut members: Vec<_> = self.members.iter().map(member_view).collect();
+        members.sort_by(|a, b| (&a.name, &a.instance_id).cmp(&(&b.name, &b.instance_id)));
+        MembershipView {
+            name: self.identity.name.clone(),
+            instance_id: format!("{:016x}", self.identity.instance_id),
+            incarnation: self.identity.incarnation,
+            reachability: self.reachability(),
+            max_gateways: self.max_gateways(),
+            likely_gateways: quota.likely_gateways,
+            max_with_quorum: proof.max_with_quorum,
+            quorum_seconds: (proof.quorum_until - now).clamp(0.0, self.config.lease),
+            fraction: quota.fraction,
             members,
-            tally: self.tally,
+            counters: self.counters,
         }
     }
 
     /// This process's own number of chance.
-    pub fn life(&self) -> u64 {
-        self.me.life
+    pub fn instance_id(&self) -> u64 {
+        self.identity.instance_id
     }
 
     /// How a member of that life stands, for tests and for cores that build on this.
-    pub fn state(&self, life: u64) -> Option<State> {
-        self.members.get(&life).map(|m| m.state)
+    pub fn state(&self, instance_id: u64) -> Option<MemberState> {
+        self.members.get(&instance_id).map(|m| m.state)
     }
 
     /// Seconds since a member's last word was said, at most.
-    pub fn age(&self, life: u64) -> Option<f64> {
-        self.members.get(&life)?.said.map(|s| self.now - s.issued)
+    pub fn assertion_age(&self, instance_id: u64) -> Option<f64> {
+        self.members.get(&instance_id)?.assertion.map(|s| self.now - s.issued_at)
     }
 }
 
-/// The lowest that a figure was within a window. Before the first it was at its floor.
+/// The lowest that a value was within a window. Before the first it was at its floor.
 #[derive(Clone, Debug)]
-pub(crate) struct Lowest {
+pub(crate) struct TrailingMinimum {
     window: f64,
     /// Figures from when on they held, growing from one to the next.
-    held: VecDeque<(f64, f64)>,
+    minima: VecDeque<(f64, f64)>,
     /// Until when the last that came holds.
     until: f64,
 }
 
-impl Lowest {
+impl TrailingMinimum {
     pub fn new(window: f64, began: f64) -> Self {
         // The floor stands at the beginning until the window has passed it.
-        Self { window, held: VecDeque::from([(began, 0.0)]), until: f64::INFINITY }
+        Self { window, minima: VecDeque::from([(began, 0.0)]), until: f64::INFINITY }
     }
 
-    /// A figure holds from now on until then; gives the lowest within the window. Whatever held before ran out when
+    /// A value holds from now on until then; gives the lowest within the window. Whatever held before ran out when
     /// its time was over, whether anybody looked or not.
-    pub fn pass(&mut self, now: f64, figure: f64, floor: f64, until: f64) -> f64 {
+    pub fn update(&mut self, now: f64, value: f64, floor: f64, until: f64) -> f64 {
         if self.until < now {
-            self.put(self.until, floor);
+            self.push(self.until, floor);
         }
         self.until = until;
-        self.put(now, figure);
+        self.push(now, value);
         // The one before the window still held at its beginning.
-        while self.held.get(1).is_some_and(|(from, _)| *from <= now - self.window) {
-            self.held.pop_front();
+        while self.minima.get(1).is_some_and(|(from, _)| *from <= now - self.window) {
+            self.minima.pop_front();
         }
-        self.held.front().map_or(floor, |(_, lowest)| lowest.max(floor))
+        self.minima.front().map_or(floor, |(_, lowest)| lowest.max(floor))
     }
 
-    fn put(&mut self, from: f64, figure: f64) {
+    fn push(&mut self, from: f64, value: f64) {
         let mut from = from;
-        // Those that are higher than what comes after them never count again: it may stand in their place.
-        while let Some(&(since, before)) = self.held.back()
-            && before > figure
+        // Those that are higher than what comes after them never count retry_at: it may stand in their place.
+        while let Some(&(since, before)) = self.minima.back()
+            && before > value
         {
             from = since;
-            self.held.pop_back();
+            self.minima.pop_back();
         }
-        if self.held.back().is_none_or(|(_, before)| *before < figure) {
-            self.held.push_back((from, figure));
+        if self.minima.back().is_none_or(|(_, before)| *before < value) {
+            self.minima.push_back((from, value));
         }
     }
 }
--- a/crates/membership/tests/three.rs
+++ b/crates/membership/tests/three.rs
@@ -1,8 +1,8 @@
 //! Three gateways, and every order in which letters come, come twice or never, processes are killed and begin anew, and
 //! time runs out for one or the other, to a stated depth, from many places along ways of chance.
 
-use milletpath_membership::letter::{Letter, Who};
-use milletpath_membership::{Peers, State, Terms};
+use milletpath_membership::datagram::{Datagram, Identity};
+use milletpath_membership::{MemberState, Membership, MembershipConfig};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
@@ -12,97 +12,104 @@
 const SIZE: usize = 3;
 
 /// A long lease for the period: a gateway can count as dead while words that back it still hold.
-const TERMS: Terms = Terms { period: 1.0, lease: 8.0, floor: 0.5, window: 0.0 };
+const TERMS: MembershipConfig = MembershipConfig { period: 1.0, lease: 8.0, floor: 0.5, budget_window: 0.0 };
 
 /// Letters under way; those that would be more are lost.
-const UNDER_WAY: usize = 6;
+const MAX_IN_FLIGHT: usize = 6;
 
 #[derive(Clone, Copy, Debug)]
-enum Event {
+enum Step {
     /// A letter under way comes, and may come again.
-    Come(usize, bool),
+    Deliver(usize, bool),
     Lose(usize),
     Kill(usize),
     Begin(usize),
     /// Time goes on until something is due at this one; the others may be late for theirs.
-    Due(usize),
+    TurnDue(usize),
 }
 
 #[derive(Clone)]
-struct World {
+struct Cluster {
     now: f64,
-    nodes: [Option<Peers>; SIZE],
+    nodes: [Option<Membership>; SIZE],
     lives: u64,
-    letters: Vec<(usize, Letter)>,
-    faithless: bool,
+    datagrams: Vec<(usize, Datagram)>,
+    breaks_promises: bool,
 }
 
 fn at(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n as u8 + 1], 7000))
 }
 
-impl World {
-    fn new(faithless: bool) -> Self {
-        let mut world =
-            Self { now: 0.0, nodes: [None, None, None], lives: 0, letters: Vec::new(), faithless };
-        (0..SIZE).for_each(|n| world.begin(n));
-        world
+impl Cluster {
+    fn new(breaks_promises: bool) -> Self {
+        let mut cluster =
+            Self { now: 0.0, nodes: [None, None, None], lives: 0, datagrams: Vec::new(), breaks_promises };
+        (0..SIZE).for_each(|n| cluster.begin(n));
+        cluster
     }
 
     fn begin(&mut self, n: usize) {
         self.lives += 1;
-        let life = self.lives * 1_000 + n as u64;
-        let who = Who { life, name: format!("g{n}"), at: at(n), incarnation: 0, most: SIZE as u32 };
-        let mut peers = Peers::new(who, TERMS, vec![at(0), at(1)], life, self.now);
-        if self.faithless {
-            peers.break_promises();
+        let instance_id = self.lives * 1_000 + n as u64;
+        let identity = Identity {
+            instance_id,
+            name: format!("g{n}"),
+            address: at(n),
+            incarnation: 0,
+            max_gateways: SIZE as u32,
+        };
+        let mut membership = Membership::new(identity, TERMS, vec![at(0), at(1)], instance_id, self.now);
+        if self.breaks_promises {
+            membership.break_promises();
         }
-        self.nodes[n] = Some(peers);
+        self.nodes[n] = Some(membership);
         self.post(n);
     }
 
     fn post(&mut self, n: usize) {
-        let Some(peers) = self.nodes[n].as_mut() else { return };
-        let out: Vec<_> = std::iter::from_fn(|| peers.out()).collect();
+        let Some(membership) = self.nodes[n].as_mut() else { return };
+        let out: Vec<_> = std::iter::from_fn(|| membership.next_outgoing()).collect();
         for sent in out {
             let to = (0..SIZE).find(|n| at(*n) == sent.to).expect("an address of the three");
-            if self.letters.len() < UNDER_WAY {
-                self.letters.push((to, sent.letter));
+            if self.datagrams.len() < MAX_IN_FLIGHT {
+                self.datagrams.push((to, sent.datagram));
             }
         }
     }
 
-    fn events(&self) -> Vec<Event> {
-        let letters = (0..self.letters.len()).flat_map(|l| [Event::Come(l, false), Event::Come(l, true)]);
-        let lost = (0..self.letters.len()).map(Event::Lose);
+    fn events(&self) -> Vec<Step> {
+        let datagrams =
+            (0..self.datagrams.len()).flat_map(|l| [Step::Deliver(l, false), Step::Deliver(l, true)]);
+        let lost = (0..self.datagrams.len()).map(Step::Lose);
         let processes = (0..SIZE).flat_map(|n| match self.nodes[n] {
-            Some(_) => vec![Event::Kill(n), Event::Due(n)],
-            None => vec![Event::Begin(n)],
+            Some(_) => vec![Step::Kill(n), Step::TurnDue(n)],
+            None => vec![Step::Begin(n)],
         });
-        letters.chain(lost).chain(processes).collect()
+        datagrams.chain(lost).chain(processes).collect()
     }
 
-    fn befall(&mut self, event: Event) {
+    fn apply(&mut self, event: Step) {
         match event {
-            Event::Come(letter, again) => {
-                let (to, what) = self.letters[letter].clone();
+            Step::Deliver(datagram, again) => {
+                let (to, what) = self.datagrams[datagram].clone();
                 if !again {
-                    self.letters.remove(letter);
+                    self.datagrams.remove(datagram);
                 }
-                if let Some(peers) = self.nodes[to].as_mut() {
-                    peers.heard(self.now, what);
+                if let Some(membership) = self.nodes[to].as_mut() {
+                    membership.receive(self.now, what);
                 }
                 self.post(to);
             }
-            Event::Lose(letter) => {
-                self.letters.remove(letter);
+            Step::Lose(datagram) => {
+                self.datagrams.remove(datagram);
             }
-            Event::Kill(n) => self.nodes[n] = None,
-            Event::Begin(n) => self.begin(n),
-            Event::Due(n) => {
-                if let Some(peers) = self.nodes[n].as_mut() {
-                    self.now = self.now.max(peers.next());
-                    peers.turn(self.now);
+            Step::Kill(n) => self.nodes[n] = None,
+            Step::Begin(n) => self.begin(n),
+            Step::TurnDue(n) => {
+                if let Some(membership) = self.nodes[n].as_mut() {
+                    self.now = self.now.max(membership.next_deadline());
+                    membership.tick(self.now);
                 }
                 self.post(n);
             }
@@ -112,7 +119,7 @@
     /// What all use together of what there is.
     fn used(&mut self) -> f64 {
         let now = self.now;
-        self.nodes.iter_mut().flatten().map(|p| p.parts(now).part / SIZE as f64).sum()
+        self.nodes.iter_mut().flatten().map(|p| p.quota_fraction(now).fraction / SIZE as f64).sum()
     }
 
     /// All goes well from here on: letters come at once, nobody is killed, whoever is not there begins.
@@ -124,43 +131,45 @@
             .for_each(|n| self.begin(n));
         let until = self.now + seconds;
         loop {
-            while !self.letters.is_empty() {
-                self.befall(Event::Come(0, false));
+            while !self.datagrams.is_empty() {
+                self.apply(Step::Deliver(0, false));
             }
-            let next = |n: &usize| self.nodes[*n].as_ref().map_or(f64::INFINITY, Peers::next);
+            let next = |n: &usize| self.nodes[*n].as_ref().map_or(f64::INFINITY, Membership::next_deadline);
             let first = (0..SIZE).min_by(|a, b| next(a).total_cmp(&next(b))).expect("three");
             if next(&first) > until {
                 return;
             }
-            self.befall(Event::Due(first));
+            self.apply(Step::TurnDue(first));
         }
     }
 
     /// Whether each takes the other two for alive.
     fn agree(&self) -> bool {
-        let life = |n: usize| self.nodes[n].as_ref().map(|p| p.life());
+        let instance_id = |n: usize| self.nodes[n].as_ref().map(|p| p.instance_id());
         (0..SIZE).all(|n| {
             let others = (0..SIZE).filter(|o| *o != n);
-            let sees = |o: usize| self.nodes[n].as_ref().zip(life(o)).and_then(|(p, life)| p.state(life));
-            others.into_iter().all(|o| sees(o) == Some(State::Alive))
+            let sees = |o: usize| {
+                self.nodes[n].as_ref().zip(instance_id(o)).and_then(|(p, instance_id)| p.state(instance_id))
+            };
+            others.into_iter().all(|o| sees(o) == Some(MemberState::Alive))
         })
     }
 
     fn print(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         // What a gateway is, is all that it tells of itself.
-        format!("{:?}{:?}", self.nodes, self.letters).hash(&mut hasher);
+        format!("{:?}{:?}", self.nodes, self.datagrams).hash(&mut hasher);
         self.now.to_bits().hash(&mut hasher);
         hasher.finish()
     }
 }
 
 /// Looks at all that can happen within so many events; gives the states seen, and the first that is over.
-fn search(world: &World, depth: usize, seen: &mut HashSet<u64>) -> Result<usize, String> {
+fn search(cluster: &Cluster, depth: usize, seen: &mut HashSet<u64>) -> Result<usize, String> {
     let mut states = 0;
-    for event in world.events() {
-        let mut next = world.clone();
-        next.befall(event);
+    for event in cluster.events() {
+        let mut next = cluster.clone();
+        next.apply(event);
         if !seen.insert(next.print()) {
             continue;
         }
@@ -178,68 +187,68 @@
 
 /// A while in which letters come at once on the links that are up, and each does in time what is due; at every event
 /// what all use is looked at.
-fn pass(world: &mut World, up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), String> {
-    let until = world.now + seconds;
+fn pass(cluster: &mut Cluster, up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), String> {
+    let until = cluster.now + seconds;
     loop {
-        let used = world.used();
+        let used = cluster.used();
         if used > 1.0 + 1e-9 {
-            return Err(format!("at {:.3} s {used} is used", world.now));
+            return Err(format!("at {:.3} s {used} is used", cluster.now));
         }
-        if let Some((to, letter)) = world.letters.first() {
-            let from = (0..SIZE).find(|n| letter.from.name == format!("g{n}")).expect("one of the three");
-            let event = if up[from][*to] { Event::Come(0, false) } else { Event::Lose(0) };
-            world.befall(event);
+        if let Some((to, datagram)) = cluster.datagrams.first() {
+            let from = (0..SIZE).find(|n| datagram.sender.name == format!("g{n}")).expect("one of the three");
+            let event = if up[from][*to] { Step::Deliver(0, false) } else { Step::Lose(0) };
+            cluster.apply(event);
             continue;
         }
-        let next = |n: &usize| world.nodes[*n].as_ref().map_or(f64::INFINITY, Peers::next);
+        let next = |n: &usize| cluster.nodes[*n].as_ref().map_or(f64::INFINITY, Membership::next_deadline);
         let first = (0..SIZE).min_by(|a, b| next(a).total_cmp(&next(b))).expect("three");
         if next(&first) > until {
-            world.now = until;
+            cluster.now = until;
             return Ok(());
         }
-        world.befall(Event::Due(first));
+        cluster.apply(Step::TurnDue(first));
     }
 }
 
 /// Some whiles, each with links that are down and processes that are not there.
-fn wander(world: &mut World, whiles: usize, chance: &mut ChaCha8Rng) -> Result<(), String> {
+fn random_walk(cluster: &mut Cluster, whiles: usize, rng: &mut ChaCha8Rng) -> Result<(), String> {
     for _ in 0..whiles {
-        let n = chance.random_range(0..SIZE);
-        match world.nodes[n] {
-            Some(_) if chance.random_bool(0.3) => world.befall(Event::Kill(n)),
-            None if chance.random_bool(0.6) => world.befall(Event::Begin(n)),
+        let n = rng.random_range(0..SIZE);
+        match cluster.nodes[n] {
+            Some(_) if rng.random_bool(0.3) => cluster.apply(Step::Kill(n)),
+            None if rng.random_bool(0.6) => cluster.apply(Step::Begin(n)),
             _ => {}
         }
         let mut up = [[true; SIZE]; SIZE];
-        if chance.random_bool(0.6) {
-            up.iter_mut().flatten().for_each(|up| *up = chance.random_bool(0.6));
+        if rng.random_bool(0.6) {
+            up.iter_mut().flatten().for_each(|up| *up = rng.random_bool(0.6));
         }
-        pass(world, &up, chance.random_range(0.2..12.0))?;
+        pass(cluster, &up, rng.random_range(0.2..12.0))?;
     }
     Ok(())
 }
 
 /// States and ways over all seeds; the first fault that is met.
-fn hunt(seeds: std::ops::Range<u64>, depth: usize, faithless: bool) -> Result<usize, String> {
+fn explore(seeds: std::ops::Range<u64>, depth: usize, breaks_promises: bool) -> Result<usize, String> {
     let mut states = 0;
     for seed in seeds {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::new(faithless);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut cluster = Cluster::new(breaks_promises);
         for _ in 0..4 {
-            wander(&mut world, 5, &mut chance).map_err(|told| format!("seed {seed}: {told}"))?;
+            random_walk(&mut cluster, 5, &mut rng).map_err(|told| format!("seed {seed}: {told}"))?;
             // Into the midst of things, with letters under way.
             for _ in 0..12 {
-                let events = world.events();
-                world.befall(events[chance.random_range(0..events.len())]);
+                let events = cluster.events();
+                cluster.apply(events[rng.random_range(0..events.len())]);
             }
-            let told = |told| format!("seed {seed} at {:.3} s: {told}", world.now);
-            states += search(&world, depth, &mut HashSet::new()).map_err(told)?;
-            let mut healed = world.clone();
+            let told = |told| format!("seed {seed} at {:.3} s: {told}", cluster.now);
+            states += search(&cluster, depth, &mut HashSet::new()).map_err(told)?;
+            let mut healed = cluster.clone();
             healed.heal(60.0);
             if !healed.agree() {
                 return Err(format!(
                     "seed {seed} at {:.3} s: somebody is heard and dead for ever",
-                    world.now
+                    cluster.now
                 ));
             }
         }
@@ -249,21 +258,21 @@
 
 /// Every order of events to depth two from 320 places; deeper by hand: `DEPTH=4 cargo test --release -- --ignored`.
 #[test]
-fn no_order_of_events_gives_more_than_the_whole() {
-    let states = hunt(0..80, 2, false).unwrap_or_else(|told| panic!("{told}"));
+fn no_interleaving_exceeds_the_quota() {
+    let states = explore(0..80, 2, false).unwrap_or_else(|told| panic!("{told}"));
     assert!(states > 20_000, "{states}");
 }
 
 #[test]
 #[ignore = "takes minutes; the depth is asked for by hand"]
-fn no_order_of_events_gives_more_than_the_whole_in_depth() {
+fn no_interleaving_exceeds_the_quota_at_greater_depth() {
     let depth = std::env::var("DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
-    println!("{} states", hunt(0..40, depth, false).unwrap_or_else(|told| panic!("{told}")));
+    println!("{} states", explore(0..40, depth, false).unwrap_or_else(|told| panic!("{told}")));
 }
 
 /// The same search finds gateways that keep no promise.
 #[test]
-fn broken_promises_are_found() {
-    let found = hunt(0..40, 2, true);
+fn the_search_finds_gateways_that_break_their_endorsement_promises() {
+    let found = explore(0..40, 2, true);
     assert!(found.as_ref().is_err_and(|told| told.contains("is used")), "{found:?}");
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,10 +1,10 @@
 //! Datagrams and the operators' view, byte for byte as gateways of earlier versions write and read them.
 
-mod net;
+mod simulated_network;
 
-use milletpath_membership::letter::{self, Key, Letter, Page, Rumour, Saying, Who, matter};
-use milletpath_membership::{Peers, Terms};
-use net::{Net, lossy};
+use milletpath_membership::datagram::{self, Assertion, Datagram, GossipUpdate, Identity, Key, Page, kind};
+use milletpath_membership::{Membership, MembershipConfig};
+use simulated_network::{SimulatedNetwork, lossy};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
@@ -15,8 +15,14 @@
     SocketAddr::from(([10, 0, 0, last], 7400))
 }
 
-fn who(life: u64) -> Who {
-    Who { life, name: format!("gateway-{life}"), at: address(life as u8), incarnation: 3, most: 12 }
+fn identity(instance_id: u64) -> Identity {
+    Identity {
+        instance_id,
+        name: format!("gateway-{instance_id}"),
+        address: address(instance_id as u8),
+        incarnation: 3,
+        max_gateways: 12,
+    }
 }
 
 fn key() -> Key {
@@ -24,57 +30,62 @@
 }
 
 /// One datagram of each kind, with the fields that the kind uses, and one with every field.
-fn examples() -> Vec<(&'static str, Letter)> {
-    let rumours = || {
+fn examples() -> Vec<(&'static str, Datagram)> {
+    let updates = || {
         vec![
-            Rumour {
-                life: 7,
+            GossipUpdate {
+                instance_id: 7,
                 state: 1,
                 incarnation: 2,
                 name: Some("gateway-7".into()),
-                at: Some(address(7)),
+                address: Some(address(7)),
             },
-            Rumour {
-                life: 8,
+            GossipUpdate {
+                instance_id: 8,
                 state: 0,
                 incarnation: 0,
                 name: Some("gateway-8".into()),
-                at: "[2001:db8::8]:7400".parse().ok(),
+                address: "[2001:db8::8]:7400".parse().ok(),
             },
-            Rumour { life: u64::MAX, state: 2, incarnation: 5, name: None, at: None },
+            GossipUpdate { instance_id: u64::MAX, state: 2, incarnation: 5, name: None, address: None },
         ]
     };
-    let sayings = || {
+    let assertions = || {
         vec![
-            Saying { life: 1, age: 0, backed: Some(11), listed: Some(22) },
-            Saying { life: 7, age: 1234, backed: None, listed: Some(33) },
+            Assertion { instance_id: 1, age: 0, endorsed: Some(11), listed: Some(22) },
+            Assertion { instance_id: 7, age: 1234, endorsed: None, listed: Some(33) },
         ]
     };
-    let of = |matter: u8, number: u64, fill: &dyn Fn(&mut Letter)| {
-        let mut letter = Letter::new(who(1), 2, matter, number);
-        letter.serial = 40 + u64::from(matter);
-        fill(&mut letter);
-        letter
+    let of = |kind: u8, number: u64, fill: &dyn Fn(&mut Datagram)| {
+        let mut datagram = Datagram::new(identity(1), 2, kind, number);
+        datagram.sequence = 40 + u64::from(kind);
+        fill(&mut datagram);
+        datagram
     };
     vec![
-        ("ping", of(matter::PING, 9, &|l| l.rumours = rumours())),
-        ("ack", of(matter::ACK, 9, &|l| (l.about, l.rumours, l.sayings) = (10, rumours(), sayings()))),
-        ("seek", of(matter::SEEK, 11, &|l| l.about = 7)),
-        ("found", of(matter::FOUND, 11, &|l| (l.about, l.sayings) = (7, sayings()))),
-        ("exchange", of(matter::EXCHANGE, 1, &|l| l.digest = u64::MAX - 1)),
-        ("table", of(matter::TABLE, 0, &|l| l.rumours = rumours())),
-        ("leave", of(matter::LEAVE, 0, &|_| {})),
-        ("tell", of(matter::TELL, 0, &|l| l.rumours = rumours())),
-        ("ask", of(matter::ASK, 2, &|_| {})),
-        ("told", of(matter::TOLD, 2, &|l| l.page = Some(Page { number: 1, of: 3, bytes: vec![0, 1, 255] }))),
-        ("thanks", of(matter::THANKS, 10, &|l| l.sayings = sayings())),
-        ("note", of(matter::NOTE, 0, &|l| l.note = Some(vec![1, 2, 3]))),
+        ("ping", of(kind::PING, 9, &|l| l.updates = updates())),
+        ("ack", of(kind::ACK, 9, &|l| (l.subject, l.updates, l.assertions) = (10, updates(), assertions()))),
+        ("seek", of(kind::PING_REQUEST, 11, &|l| l.subject = 7)),
+        ("found", of(kind::INDIRECT_ACK, 11, &|l| (l.subject, l.assertions) = (7, assertions()))),
+        ("exchange", of(kind::DIGEST, 1, &|l| l.digest = u64::MAX - 1)),
+        ("table", of(kind::MEMBER_TABLE, 0, &|l| l.updates = updates())),
+        ("leave", of(kind::DEPARTURE, 0, &|_| {})),
+        ("tell", of(kind::ANNOUNCE, 0, &|l| l.updates = updates())),
+        ("ask", of(kind::STATUS_QUERY, 2, &|_| {})),
+        (
+            "told",
+            of(kind::STATUS_REPLY, 2, &|l| {
+                l.page = Some(Page { index: 1, total: 3, bytes: vec![0, 1, 255] })
+            }),
+        ),
+        ("thanks", of(kind::FINAL_ACK, 10, &|l| l.assertions = assertions())),
+        ("note", of(kind::PAYLOAD, 0, &|l| l.payload = Some(vec![1, 2, 3]))),
         (
             "every field",
             of(200, 5, &|l| {
-                (l.about, l.digest, l.rumours, l.sayings) = (6, 7, rumours(), sayings());
-                l.page = Some(Page { number: 0, of: 1, bytes: vec![9] });
-                l.note = Some(vec![]);
+                (l.subject, l.digest, l.updates, l.assertions) = (6, 7, updates(), assertions());
+                l.page = Some(Page { index: 0, total: 1, bytes: vec![9] });
+                l.payload = Some(vec![]);
             }),
         ),
     ]
@@ -97,50 +108,53 @@
 }
 
 #[test]
-fn a_datagram_of_each_kind_is_written_byte_for_byte_as_before() {
-    for (name, letter) in examples() {
-        let sealed = letter::seal(&key(), &letter).expect("it fits");
+fn each_kind_of_datagram_is_encoded_byte_for_byte_as_before() {
+    for (name, datagram) in examples() {
+        let sealed = datagram::seal(&key(), &datagram).expect("it fits");
         assert_eq!(hex(&sealed), fixture(name), "{name}: {}", hex(&sealed));
     }
 }
 
 #[test]
-fn a_datagram_of_each_kind_written_before_is_read() {
-    for (name, letter) in examples() {
-        assert_eq!(letter::open(&key(), &unhex(fixture(name))), Ok(letter), "{name}");
+fn each_kind_of_datagram_encoded_before_is_decoded() {
+    for (name, datagram) in examples() {
+        assert_eq!(datagram::open(&key(), &unhex(fixture(name))), Ok(datagram), "{name}");
     }
 }
 
 /// A fleet with lost datagrams, killed and restarted processes: every datagram that any of them sends.
 #[test]
-fn a_simulated_fleet_sends_the_same_datagrams_as_before() {
-    let mut net = Net::new(5, 1, Terms { floor: 0.5, ..Terms::default() }, 42);
-    net.begin_all();
-    net.play(6.0);
-    net.rule = lossy(0.2);
-    net.play(12.0);
-    net.kill(1);
-    net.play(18.0);
-    net.begin(1);
-    net.leave(2);
-    net.play(24.0);
-    assert_eq!(format!("{:016x}", net.transcript), fixture("transcript"));
+fn a_simulated_cluster_sends_the_same_datagrams_as_before() {
+    let mut network =
+        SimulatedNetwork::new(5, 1, MembershipConfig { floor: 0.5, ..MembershipConfig::default() }, 42);
+    network.begin_all();
+    network.play(6.0);
+    network.delivery_rule = lossy(0.2);
+    network.play(12.0);
+    network.kill(1);
+    network.play(18.0);
+    network.begin(1);
+    network.leave(2);
+    network.play(24.0);
+    assert_eq!(format!("{:016x}", network.transcript), fixture("transcript"));
 }
 
 #[test]
-fn the_view_of_operators_keeps_its_json() {
-    let mut peers = Peers::new(who(1), Terms::default(), vec![address(2)], 5, 100.0);
-    let mut hello = Letter::new(who(2), 1, matter::PING, 4);
-    hello.serial = 1;
-    peers.heard(100.5, hello);
-    while let Some(sent) = peers.out() {
-        if sent.letter.matter == matter::ACK {
-            let mut thanks = Letter::new(who(2), 1, matter::THANKS, sent.letter.about);
-            thanks.serial = 2;
-            thanks.sayings = vec![Saying { life: 2, age: 0, backed: Some(1), listed: Some(2) }];
-            peers.heard(100.75, thanks);
+fn the_operator_view_keeps_its_json() {
+    let mut membership =
+        Membership::new(identity(1), MembershipConfig::default(), vec![address(2)], 5, 100.0);
+    let mut hello = Datagram::new(identity(2), 1, kind::PING, 4);
+    hello.sequence = 1;
+    membership.receive(100.5, hello);
+    while let Some(sent) = membership.next_outgoing() {
+        if sent.datagram.kind == kind::ACK {
+            let mut thanks = Datagram::new(identity(2), 1, kind::FINAL_ACK, sent.datagram.subject);
+            thanks.sequence = 2;
+            thanks.assertions =
+                vec![Assertion { instance_id: 2, age: 0, endorsed: Some(1), listed: Some(2) }];
+            membership.receive(100.75, thanks);
         }
     }
-    let view = serde_json::to_string(&peers.view(101.0)).expect("a view is JSON");
+    let view = serde_json::to_string(&membership.view(101.0)).expect("a view is JSON");
     assert_eq!(view, VIEW.trim_end());
 }
--- a/crates/milletpath/src/peers.rs
+++ b/crates/milletpath/src/peers.rs
@@ -1,7 +1,7 @@
 //! `milletpath peers`: what a gateway knows of the others, for operators in trouble.
 
 use milletpath_gateway::Told;
-use milletpath_membership::Hears;
+use milletpath_membership::Reachability;
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -35,27 +35,30 @@
 
 fn print(told: &Told) {
     let view = &told.view;
-    let hears = match view.hears {
-        Hears::Majority => "hears a majority",
-        Hears::Some => "hears some, no majority",
-        Hears::Nothing => "hears nobody",
+    let reachability = match view.reachability {
+        Reachability::Majority => "hears a majority",
+        Reachability::Minority => "hears some, no majority",
+        Reachability::Nobody => "hears nobody",
     };
-    println!("{} ({}), incarnation {}: {hears}", view.name, view.life, view.incarnation);
+    println!("{} ({}), incarnation {}: {reachability}", view.name, view.instance_id, view.incarnation);
     println!(
         "gateways: {} at most, {} likely, {} that may use more than their floor",
-        view.most, view.likely, view.highest
+        view.max_gateways, view.likely_gateways, view.max_with_quorum
     );
-    let backed = match view.stands {
+    let quorum = match view.quorum_seconds {
         0.0 => "no majority backs it: it has its floor".to_owned(),
         left => format!("a majority backs it for {left:.1} s"),
     };
-    println!("its part: {:.3} of one in the most; {backed}", view.part);
+    println!("its part: {:.3} of one in the most; {quorum}", view.fraction);
     println!("{:<24} {:<8} {:>9} {:>9} {:>11}  at", "gateway", "state", "for, s", "heard, s", "incarnation");
     for m in &view.members {
-        let age = m.age.map_or("never".into(), |age| format!("{age:.1}"));
-        let twice = if m.twice { "  TWO UNDER ONE NAME" } else { "" };
-        let (state, since) = (&m.state, m.since);
-        println!("{:<24} {state:<8} {since:>9.1} {age:>9} {:>11}  {}{twice}", m.name, m.incarnation, m.at);
+        let age = m.assertion_age.map_or("never".into(), |age| format!("{age:.1}"));
+        let twice = if m.duplicate_name { "  TWO UNDER ONE NAME" } else { "" };
+        let (state, since) = (&m.state, m.seconds_in_state);
+        println!(
+            "{:<24} {state:<8} {since:>9.1} {age:>9} {:>11}  {}{twice}",
+            m.name, m.incarnation, m.address
+        );
     }
     if !told.budgets.is_empty() {
         println!(
@@ -74,15 +77,15 @@
         "notes on budgets: {} sent, {} held back for want of bytes, {} unreadable; asks {}, grants {}",
         s.notes, s.held_back, s.unread, s.asks, s.grants
     );
-    let t = &view.tally;
-    println!("letters: {} sent ({} bytes), {} taken, {} repeated", t.sent, t.bytes, t.taken, t.repeated);
+    let c = &view.counters;
+    println!("letters: {} sent ({} bytes), {} taken, {} repeated", c.sent, c.bytes, c.accepted, c.replayed);
     println!(
         "not taken: {} of another key or changed, {} of a wrong size, {} of a version not read, {} unreadable, \
          {} for a former process",
-        t.seals, t.sizes, t.versions, t.bodies, t.misled
+        c.rejected_seal, c.rejected_size, c.rejected_version, c.rejected_body, c.misaddressed
     );
     println!(
         "probes: {}, unanswered {}; objections {}; stood still {}",
-        t.probes, t.missed, t.objections, t.stood
+        c.probes, c.probes_unanswered, c.refutations, c.pauses
     );
 }
--- a/crates/milletpath/tests/fleet/mod.rs
+++ b/crates/milletpath/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 //! as an operator would.
 
 use milletpath_emulator::relay::Relay;
-use milletpath_membership::View;
+use milletpath_membership::MembershipView;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader};
@@ -58,7 +58,7 @@
         (0..size).for_each(|n| fleet.begin(n));
         let all: Vec<_> = (0..size).collect();
         fleet.wait("all know each other and have standing", |f| {
-            all.iter().all(|n| f.knows(*n, &all) && f.view(*n).is_some_and(|v| v.stands > 0.0))
+            all.iter().all(|n| f.knows(*n, &all) && f.view(*n).is_some_and(|v| v.quorum_seconds > 0.0))
         });
         fleet
     }
@@ -142,7 +142,7 @@
     }
 
     /// What a gateway knows, as `milletpath peers` tells it.
-    pub fn view(&self, n: usize) -> Option<View> {
+    pub fn view(&self, n: usize) -> Option<MembershipView> {
         let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
         let output =
             command.arg("peers").arg("--charter").arg(self.charter(n)).arg("--json").output().ok()?;
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -4,7 +4,7 @@
 
 use fleet::Fleet;
 use milletpath_emulator::relay::Fault;
-use milletpath_membership::Hears;
+use milletpath_membership::Reachability;
 use nix::sys::signal::Signal;
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -13,8 +13,8 @@
     (0..size).collect()
 }
 
-fn hears(fleet: &Fleet, n: usize) -> Option<Hears> {
-    fleet.view(n).map(|v| v.hears)
+fn hears(fleet: &Fleet, n: usize) -> Option<Reachability> {
+    fleet.view(n).map(|v| v.reachability)
 }
 
 /// Twenty-four begin at once and know one seed.
@@ -49,13 +49,15 @@
         (0..2).all(|n| f.knows(n, &[0, 1])) && (2..5).all(|n| f.knows(n, &[2, 3, 4]))
     });
     fleet.wait("the small side has its floor", |f| {
-        f.view(0).is_some_and(|v| (v.hears, v.stands, v.part) == (Hears::Some, 0.0, 0.5))
+        f.view(0).is_some_and(|v| {
+            (v.reachability, v.quorum_seconds, v.fraction) == (Reachability::Minority, 0.0, 0.5)
+        })
     });
     let large = fleet.view(4).unwrap();
-    assert!(large.hears == Hears::Majority && large.stands > 0.0, "{large:?}");
+    assert!(large.reachability == Reachability::Majority && large.quorum_seconds > 0.0, "{large:?}");
     fleet.relay.lift(cut);
     fleet.wait("all are together again", |f| (0..5).all(|n| f.knows(n, &all(5))));
-    fleet.wait("all have standing", |f| (0..5).all(|n| f.view(n).is_some_and(|v| v.stands > 0.0)));
+    fleet.wait("all have standing", |f| (0..5).all(|n| f.view(n).is_some_and(|v| v.quorum_seconds > 0.0)));
 }
 
 /// One hears nothing while all hear it: it shares nothing any more, and drags nobody down.
@@ -63,9 +65,9 @@
 fn one_that_is_deaf_falls_to_its_floor() {
     let fleet = Fleet::together(5);
     let deaf = fleet.relay.put(Fault::Deaf(vec![2]));
-    fleet.wait("it knows that it hears nothing", |f| hears(f, 2) == Some(Hears::Nothing));
+    fleet.wait("it knows that it hears nothing", |f| hears(f, 2) == Some(Reachability::Nobody));
     let view = fleet.view(2).unwrap();
-    assert_eq!((view.stands, view.likely), (0.0, 5.0));
+    assert_eq!((view.quorum_seconds, view.likely_gateways), (0.0, 5.0));
     fleet.relay.lift(deaf);
     fleet.wait("it hears them again", |f| (0..5).all(|n| f.knows(n, &all(5))));
     // The others never took one another for gone.
@@ -82,7 +84,9 @@
     (1..5).for_each(|n| fleet.kill(n));
     fleet.wait("the last one is alone", |f| f.knows(0, &[0]));
     fleet.wait("and knows that it is", |f| {
-        f.view(0).is_some_and(|v| (v.hears, v.likely, v.stands) == (Hears::Nothing, 5.0, 0.0))
+        f.view(0).is_some_and(|v| {
+            (v.reachability, v.likely_gateways, v.quorum_seconds) == (Reachability::Nobody, 5.0, 0.0)
+        })
     });
     (1..5).for_each(|n| fleet.begin(n));
     fleet.wait("all are there again", |f| (0..5).all(|n| f.knows(n, &all(5))));
@@ -92,14 +96,14 @@
 #[test]
 fn a_process_is_told_apart_from_its_former_self() {
     let mut fleet = Fleet::together(3);
-    let former = fleet.view(1).unwrap().life;
+    let former = fleet.view(1).unwrap().instance_id;
     fleet.kill(1);
     fleet.begin(1);
-    let life = fleet.view(1).unwrap().life;
+    let life = fleet.view(1).unwrap().instance_id;
     assert_ne!(life, former);
     fleet.wait("the new one is known and the former gone", |f| {
         let members = f.view(0).map(|v| v.members).unwrap_or_default();
-        let state = |life: &str| members.iter().find(|m| m.life == life).map(|m| m.state.clone());
+        let state = |life: &str| members.iter().find(|m| m.instance_id == life).map(|m| m.state.clone());
         state(&life).as_deref() == Some("alive") && state(&former).is_none_or(|s| s == "dead")
     });
     fleet.wait("and stays", |f| (0..3).all(|n| f.knows(n, &all(3))));
@@ -130,7 +134,7 @@
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
         assert_eq!(fleet.said(n, "counts as gone"), 0, "{n}");
-        assert_eq!(hears(&fleet, n), Some(Hears::Majority));
+        assert_eq!(hears(&fleet, n), Some(Reachability::Majority));
     }
     fleet.relay.lift(lost);
 }
@@ -144,7 +148,7 @@
     fleet.wait("all say so", |f| (0..4).all(|n| f.said(n, "two gateways go by one name") > 0));
     let twice = |n: usize| {
         let members = fleet.view(n).map(|v| v.members).unwrap_or_default();
-        members.iter().filter(|m| m.twice && m.state == "alive").count()
+        members.iter().filter(|m| m.duplicate_name && m.state == "alive").count()
     };
     fleet.wait("and that both are there", |_| twice(0) == 2 && twice(1) == 2 && twice(2) == 1);
 }
@@ -156,12 +160,14 @@
     (0..3).for_each(|n| fleet.stated[n].gateways = 3);
     (0..6).for_each(|n| fleet.begin(n));
     fleet.wait("all go by six", |f| {
-        (0..6).all(|n| f.view(n).is_some_and(|v| v.most == 6 && v.stands > 0.0 && v.members.len() == 5))
+        (0..6).all(|n| {
+            f.view(n).is_some_and(|v| v.max_gateways == 6 && v.quorum_seconds > 0.0 && v.members.len() == 5)
+        })
     });
     for n in 0..6 {
         assert!(fleet.said(n, "states another number of gateways") > 0, "{n}");
         // Of three, one has what is a sixth of all.
-        let part = fleet.view(n).unwrap().part;
+        let part = fleet.view(n).unwrap().fraction;
         assert!(part <= if n < 3 { 0.5 } else { 1.0 } + 1e-9, "{n}: {part}");
     }
 }
@@ -173,10 +179,10 @@
     fleet.stated[3].key = "another secret of more than thirty-two bytes".into();
     (0..4).for_each(|n| fleet.begin(n));
     fleet.wait("the three know each other", |f| (0..3).all(|n| f.knows(n, &[0, 1, 2])));
-    fleet.wait("its letters are refused", |f| f.view(0).is_some_and(|v| v.tally.seals > 3));
+    fleet.wait("its letters are refused", |f| f.view(0).is_some_and(|v| v.counters.rejected_seal > 3));
     assert!(fleet.said(0, "its seal is of another key") > 0);
     let alone = fleet.view(3).unwrap();
-    assert!(alone.hears == Hears::Nothing && alone.members.is_empty());
+    assert!(alone.reachability == Reachability::Nobody && alone.members.is_empty());
 }
 
 /// A flood of what is no letter: random bytes, letters cut off, changed, too large, and true ones played again.
@@ -198,10 +204,11 @@
         }
     }
     let view = fleet.view(0).expect("it still answers");
-    let t = view.tally;
-    assert!(t.sizes > 100 && t.seals + t.versions > 100, "{t:?}");
-    fleet
-        .wait("what is played again is not taken twice", |f| f.view(0).is_some_and(|v| v.tally.repeated > 0));
+    let t = view.counters;
+    assert!(t.rejected_size > 100 && t.rejected_seal + t.rejected_version > 100, "{t:?}");
+    fleet.wait("what is played again is not taken twice", |f| {
+        f.view(0).is_some_and(|v| v.counters.replayed > 0)
+    });
     fleet.relay.lift(garbage);
     fleet.relay.lift(repeat);
     fleet.wait("all is as before", |f| (0..3).all(|n| f.knows(n, &all(3))));
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -251,7 +251,7 @@
                 }
                 let Ok(told) = milletpath_gateway::ask(&house) else { continue };
                 let budgets = told.budgets.into_iter().map(|b| (b.name, (b.part, b.allowed))).collect();
-                if let Some(low) = lows.see(clock(), told.view.part, budgets) {
+                if let Some(low) = lows.see(clock(), told.view.fraction, budgets) {
                     let low = Low { second: low.second, part: low.part, budgets: low.budgets };
                     let _ = tell.send(Heard::RealLow { gateway, low });
                 }
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -7,7 +7,7 @@
 use crate::wire::{Change, Event, Following, Low, Order, Places, Reading, Told};
 use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_gateway::hollow::{Hear, Heed, Hollow, clock};
-use milletpath_membership::Event as Seen;
+use milletpath_membership::MembershipEvent;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -194,9 +194,9 @@
     let (events, me) = (place.events.clone(), gateway as u32);
     let heed: Heed = Box::new(move |event| {
         let (name, says) = match &event {
-            Seen::Joined { name, .. } | Seen::Returned { name } => (name, Says::Here),
-            Seen::Suspected { name } => (name, Says::Doubted),
-            Seen::Died { name } | Seen::Left { name } => (name, Says::Gone),
+            MembershipEvent::Joined { name, .. } | MembershipEvent::Returned { name } => (name, Says::Here),
+            MembershipEvent::Suspected { name } => (name, Says::Doubted),
+            MembershipEvent::Died { name } | MembershipEvent::Left { name } => (name, Says::Gone),
             _ => return,
         };
         let mut events = lock(&events);
--- a/crates/shared-budgets/src/account.rs
+++ b/crates/shared-budgets/src/account.rs
@@ -8,15 +8,15 @@
 //!   once all that was used of it has ended, or when the borrower says that what it uses is within what it holds.
 //!
 //! So at every moment what all gateways may use is at most the sum of what they own, whatever is lost, late or repeated,
-//! and whoever stands still or is killed. That sum is proven elsewhere (`Parts` of `milletpath-membership`).
+//! and whoever stands still or is killed. That sum is proven elsewhere (`QuotaFraction` of `milletpath-membership`).
 
 use crate::shares::Faults;
 use crate::stairs::Stairs;
-use milletpath_membership::DRIFT;
+use milletpath_membership::MAX_CLOCK_DRIFT;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a wait of one's own is longer by, so that it outlasts the same wait on a slower clock.
-const SURE: f64 = 1.0 + 3.0 * DRIFT;
+const SURE: f64 = 1.0 + 3.0 * MAX_CLOCK_DRIFT;
 
 /// Part of its own that is never lent: what a process has that begins while loans of its former self still run, and what
 /// one always has. Small, as what nobody needs there is lost to the others.
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -4,7 +4,7 @@
 use crate::town::{Next, Town, WAY};
 use milletpath_config::GatewayConfig;
 use milletpath_gateway::sharing::Sharing;
-use milletpath_membership::Parts;
+use milletpath_membership::QuotaFraction;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -40,7 +40,12 @@
 impl Town<'_> {
     pub(crate) fn share(&mut self, gateway: usize) {
         let others = (0..self.desks.len()).filter(|other| *other != gateway).map(life).collect();
-        let parts = Parts { likely: self.desks.len() as f64, part: 1.0, floor: 1.0, until: f64::INFINITY };
+        let parts = QuotaFraction {
+            likely_gateways: self.desks.len() as f64,
+            fraction: 1.0,
+            floor: 1.0,
+            valid_until: f64::INFINITY,
+        };
         let Some(mut links) = self.links.take() else { return };
         if links.armed[gateway] <= self.now {
             links.armed[gateway] = f64::INFINITY;
