--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -1,142 +1,170 @@
-//! Letters between gateways: what stands in one datagram, how it is sealed and how it is opened.
+//! Datagrams between gateways: their kinds, their fields, and how they are sealed and opened.
 //!
-//! A datagram is a version, a seal of 16 bytes (a keyed hash over the rest) and a body with numbered fields. A field that
-//! is not known is skipped, a number never changes its meaning: old and new gateways stand side by side.
+//! On the wire a datagram is a version byte, a 16-byte seal (a keyed hash over the rest) and a CBOR body with numbered
+//! fields. Unknown fields are skipped and a field number never changes its meaning, so that gateways of different
+//! versions run side by side.
+
+mod address_codec;
+mod optional_address_codec;
+mod sealing;
 
-use milletpath_sealed_datagram::Refused as SealRefused;
 use minicbor::{Decode, Encode};
-use std::fmt;
 use std::net::SocketAddr;
 
-/// The version that is written. All from 1 on are read.
-pub const VERSION: u8 = 1;
-
 pub use milletpath_sealed_datagram::LARGEST as MAX_DATAGRAM_BYTES;
+pub use sealing::{Key, OpenError, decode_unverified, open, seal};
 
-/// Letters of a gateway's name.
+/// The version that is written. All versions from 1 on are read.
+pub const VERSION: u8 = 1;
+
+/// Longest name of a gateway, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// What a letter is about. Numbers, so that one of a later version is passed over and not taken for garbage.
+/// Kinds of datagrams, as numbers: a kind of a later version is ignored instead of being rejected as unreadable.
 pub mod kind {
-    /// Are you there? `number` comes back in the answer.
+    /// Direct probe. The answer repeats its `request_id`.
     pub const PING: u8 = 1;
-    /// The answer to that, and a question in its turn: `about` comes back in the thanks.
+    /// Answer to a ping, and a request in its turn: the final ack repeats its `subject` as `request_id`.
     pub const ACK: u8 = 2;
-    /// Ask the member `about` for me, as I don't hear it.
+    /// Asks the receiver to probe the member `subject` on behalf of the sender (SWIM's ping-req).
     pub const PING_REQUEST: u8 = 3;
-    /// I asked, and it answered.
+    /// Reports to the sender of a ping request that `subject` answered.
     pub const INDIRECT_ACK: u8 = 4;
-    /// `digest` is over all that I take for alive. `number` 0 asks for the same in return where it differs.
+    /// Carries the `digest` of all members believed present. A receiver with another digest sends its member table, and
+    /// its own digest in return where `request_id` is 0.
     pub const DIGEST: u8 = 5;
-    /// What I know, in rumours.
+    /// A page of the sender's member table, as gossip updates.
     pub const MEMBER_TABLE: u8 = 6;
-    /// I go, and use no more of what is shared.
+    /// The sender shuts down and uses no more of the shared budgets.
     pub const DEPARTURE: u8 = 7;
-    /// Nothing but who I am, and rumours.
+    /// The sender's identity and gossip updates alone.
     pub const ANNOUNCE: u8 = 8;
-    /// The answer to an answer.
+    /// Answer to the request that an ack carries.
     pub const FINAL_ACK: u8 = 11;
-    /// A note of what gateways share: `milletpath-shared-budgets` reads it.
+    /// Bytes for the application; `milletpath-shared-budgets` reads them.
     pub const PAYLOAD: u8 = 12;
-    /// An operator asks what is known here; answered by pages of text.
+    /// An operator asks for the gateway's view.
     pub const STATUS_QUERY: u8 = 9;
+    /// One page of the answer to a status query.
     pub const STATUS_REPLY: u8 = 10;
 }
 
-/// A gateway process, as it tells of itself.
+/// What a gateway process states about itself.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct Identity {
-    /// Drawn by chance when the process began: another process under the same name has another.
+    /// Random id that the process drew at its start; its successor under the same name has another.
     #[n(0)]
     pub instance_id: u64,
+    /// Name of the gateway, at most [`MAX_NAME_BYTES`] long.
     #[n(1)]
     pub name: String,
-    /// Where it hears letters.
+    /// Address at which it receives datagrams.
     #[cbor(n(2), with = "address_codec")]
     pub address: SocketAddr,
-    /// Grows with each word against what is wrongly said of it.
+    /// SWIM incarnation number: it grows whenever the process refutes a false update about itself.
     #[n(3)]
     pub incarnation: u32,
-    /// The most gateways that its charter allows for.
+    /// Largest number of gateways that its configuration allows for.
     #[n(4)]
     pub max_gateways: u32,
 }
 
-/// What is said of a member. Of two the one of the higher incarnation holds, then the one of the higher state.
+/// Gossip about a member. The update of the higher incarnation prevails, then that of the higher state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct GossipUpdate {
+    /// The member's instance id.
     #[n(0)]
     pub instance_id: u64,
-    /// 0 alive, 1 suspect, 2 dead, 3 left; others are of a later version.
+    /// 0 alive, 1 suspect, 2 dead, 3 left; other values belong to a later version.
     #[n(1)]
     pub state: u8,
+    /// Incarnation that the update is about.
     #[n(2)]
     pub incarnation: u32,
+    /// The member's name; absent for a member that is gone.
     #[n(3)]
     pub name: Option<String>,
+    /// The member's address; absent for a member that is gone.
     #[cbor(n(4), with = "optional_address_codec")]
     pub address: Option<SocketAddr>,
 }
 
-/// What a member said of whom it backs and whom it lists (see `backing.rs`), as sums; none is the same as the first
-/// of the letter, which is the sender's own.
+/// Which processes a member endorses and lists (see `quorum/endorsement.rs`), as sums of hashes. An absent sum equals
+/// that of the first assertion in the datagram, which is the sender's own.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Assertion {
+    /// Instance id of the member that made the assertion.
     #[n(0)]
     pub instance_id: u64,
-    /// Milliseconds since it was said, at most.
+    /// Upper bound on the assertion's age, in milliseconds.
     #[n(1)]
     pub age: u32,
+    /// Sum of the hashes of the endorsed processes.
     #[n(2)]
     pub endorsed: Option<u64>,
+    /// Sum of the hashes of the listed processes.
     #[n(3)]
     pub listed: Option<u64>,
 }
 
-/// A piece of a longer text.
+/// One page of a text that is longer than a datagram.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Page {
+    /// Position of the page, from 0.
     #[n(0)]
     pub index: u16,
+    /// Number of pages of the text.
     #[n(1)]
     pub total: u16,
+    /// The page's part of the text.
     #[cbor(n(2), with = "minicbor::bytes")]
     pub bytes: Vec<u8>,
 }
 
+/// The body of a datagram. Which of the later fields are used depends on its kind.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct Datagram {
+    /// The sending process.
     #[n(0)]
     pub sender: Identity,
-    /// Grows from letter to letter of one life: none is taken twice.
+    /// Grows from datagram to datagram of one process; the receiver accepts each number once.
     #[n(1)]
     pub sequence: u64,
-    /// The life that is meant; 0 where it is not known.
+    /// Instance id of the intended receiver; 0 where it is unknown.
     #[n(2)]
     pub recipient: u64,
+    /// One of [`kind`].
     #[n(3)]
     pub kind: u8,
+    /// Matches an answer to its request.
     #[n(4)]
     pub request_id: u64,
+    /// The member that the datagram is about, or the request id that the final ack is to repeat.
     #[n(5)]
     pub subject: u64,
+    /// Sum of hashes over all members that the sender believes present.
     #[n(6)]
     pub digest: u64,
+    /// Gossip about other members.
     #[n(7)]
     pub updates: Vec<GossipUpdate>,
+    /// Assertions of members; the sender's own comes first.
     #[n(8)]
     pub assertions: Vec<Assertion>,
+    /// A page of a status reply.
     #[n(9)]
     pub page: Option<Page>,
+    /// Bytes of the application.
     #[cbor(n(10), with = "minicbor::bytes")]
     pub payload: Option<Vec<u8>>,
 }
 
 impl Datagram {
+    /// A datagram with empty optional fields and sequence number 0; [`Membership`](crate::Membership) numbers its own.
+    #[must_use]
     pub fn new(sender: Identity, recipient: u64, kind: u8, request_id: u64) -> Self {
-        let (updates, assertions) = (Vec::new(), Vec::new());
         Self {
             sender,
             sequence: 0,
@@ -145,139 +173,10 @@
             request_id,
             subject: 0,
             digest: 0,
-            updates,
-            assertions,
+            updates: Vec::new(),
+            assertions: Vec::new(),
             page: None,
             payload: None,
         }
     }
 }
-
-/// Why a datagram is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OpenError {
-    /// Larger than [`LARGEST`], or too small for a seal.
-    Size,
-    /// Of a version that this program does not read.
-    Version(u8),
-    /// Sealed with another key, or changed on its way.
-    Seal,
-    /// Sealed rightly, but it can't be read.
-    Body,
-}
-
-impl fmt::Display for OpenError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Size => write!(f, "no letter has this size"),
-            Self::Version(v) => write!(f, "its version {v} is not read here"),
-            Self::Seal => write!(f, "its seal is of another key"),
-            Self::Body => write!(f, "it can't be read"),
-        }
-    }
-}
-
-impl From<SealRefused> for OpenError {
-    fn from(why: SealRefused) -> Self {
-        match why {
-            SealRefused::Size => Self::Size,
-            SealRefused::Version(version) => Self::Version(version),
-            SealRefused::Seal => Self::Seal,
-        }
-    }
-}
-
-/// The key of a fleet, from the secret that its gateways share.
-#[derive(Clone, Debug)]
-pub struct Key(milletpath_sealed_datagram::Key);
-
-impl Key {
-    /// `secret` should have 32 bytes of chance or more.
-    pub fn new(secret: &[u8]) -> Self {
-        Self(milletpath_sealed_datagram::Key::new("milletpath 2026-12 letters between gateways", secret))
-    }
-}
-
-/// Makes a datagram; none where it would be too large.
-pub fn seal(key: &Key, datagram: &Datagram) -> Option<Vec<u8>> {
-    key.0.seal(VERSION, &minicbor::to_vec(datagram).ok()?)
-}
-
-/// Reads a datagram.
-pub fn open(key: &Key, sealed: &[u8]) -> Result<Datagram, OpenError> {
-    read(key.0.open(sealed)?)
-}
-
-/// What stands in a datagram, whoever sealed it: for a relay or a witness that has no key.
-pub fn decode_unverified(sealed: &[u8]) -> Option<Datagram> {
-    read(milletpath_sealed_datagram::glance(sealed)?).ok()
-}
-
-fn read(body: &[u8]) -> Result<Datagram, OpenError> {
-    let datagram: Datagram = minicbor::decode(body).map_err(|_| OpenError::Body)?;
-    let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    let fits = datagram.updates.iter().all(|r| r.name.as_deref().is_none_or(named));
-    if named(&datagram.sender.name) && fits { Ok(datagram) } else { Err(OpenError::Body) }
-}
-
-/// A socket's address as 6 or 18 bytes.
-mod address_codec {
-    use minicbor::decode::{Decoder, Error as Unread};
-    use minicbor::encode::{Encoder, Error as Unwritten, Write};
-    use std::net::{IpAddr, SocketAddr};
-
-    pub fn encode<C, W: Write>(
-        address: &SocketAddr,
-        e: &mut Encoder<W>,
-        _: &mut C,
-    ) -> Result<(), Unwritten<W::Error>> {
-        let mut bytes = match address.ip() {
-            IpAddr::V4(ip) => ip.octets().to_vec(),
-            IpAddr::V6(ip) => ip.octets().to_vec(),
-        };
-        bytes.extend_from_slice(&address.port().to_be_bytes());
-        e.bytes(&bytes)?.ok()
-    }
-
-    pub fn decode<C>(d: &mut Decoder<'_>, _: &mut C) -> Result<SocketAddr, Unread> {
-        let bytes = d.bytes()?;
-        let (ip, port) = bytes.split_at(bytes.len().saturating_sub(2));
-        let port = <[u8; 2]>::try_from(port).map(u16::from_be_bytes);
-        let ip = match ip.len() {
-            4 => <[u8; 4]>::try_from(ip).ok().map(IpAddr::from),
-            16 => <[u8; 16]>::try_from(ip).ok().map(IpAddr::from),
-            _ => None,
-        };
-        match (ip, port) {
-            (Some(ip), Ok(port)) => Ok(SocketAddr::new(ip, port)),
-            _ => Err(Unread::message("no address")),
-        }
-    }
-}
-
-mod optional_address_codec {
-    use super::address_codec;
-    use minicbor::data::Type;
-    use minicbor::decode::{Decoder, Error as Unread};
-    use minicbor::encode::{Encoder, Error as Unwritten, Write};
-    use std::net::SocketAddr;
-
-    pub fn encode<C, W: Write>(
-        address: &Option<SocketAddr>,
-        e: &mut Encoder<W>,
-        context: &mut C,
-    ) -> Result<(), Unwritten<W::Error>> {
-        match address {
-            Some(address) => address_codec::encode(address, e, context),
-            None => e.null()?.ok(),
-        }
-    }
-
-    pub fn decode<C>(d: &mut Decoder<'_>, context: &mut C) -> Result<Option<SocketAddr>, Unread> {
-        if d.datatype()? == Type::Null {
-            d.null()?;
-            return Ok(None);
-        }
-        address_codec::decode(d, context).map(Some)
-    }
-}
--- /dev/null
+++ b/crates/membership/src/failure_detection/probing.rs
@@ -0,0 +1,150 @@
+//! Probes: in each period one member is pinged, in rounds of a random order (SWIM, section 4.3). Unanswered pings are
+//! repeated within the period, and helpers are asked to ping the member too.
+
+use crate::datagram::{Datagram, kind};
+use crate::state::Membership;
+use crate::state::member::{Member, MemberState, TimedAssertion};
+use crate::state::probe::{MAX_PROBE_TASKS, Probe, ProbeTask, SlowestAnswer};
+
+/// Fraction of the period after which a ping is repeated.
+const RETRY_AFTER: f64 = 0.22;
+
+/// Pings in one probe. With 30 % of all datagrams lost, four tries and six helpers leave one probe in a hundred
+/// unanswered.
+const MAX_TRIES: u32 = 4;
+
+/// Helpers asked at each try but the first and the last.
+const HELPERS: usize = 3;
+
+impl Membership {
+    /// Continues the probe of this period, and starts the next where the period is over.
+    pub(crate) fn run_probe(&mut self) {
+        self.retry_probe();
+        if self.now < self.period_ends_at {
+            return;
+        }
+        // After a late call the next period still has its whole length.
+        self.period_ends_at = self.now + self.config.period;
+        self.conclude_probe();
+        if let Some(target) = self.next_probe_target() {
+            self.start_probe(target);
+        }
+    }
+
+    fn retry_probe(&mut self) {
+        let (now, retry_after) = (self.now, RETRY_AFTER * self.config.period);
+        let Some(probe) = self.probe.as_mut().filter(|p| !p.answered && now >= p.retry_at) else { return };
+        probe.tries += 1;
+        probe.retry_at = if probe.tries < MAX_TRIES { now + retry_after } else { f64::INFINITY };
+        let (target, tries) = (probe.instance_id, probe.tries);
+        let Some(address) = self.address_of(target) else { return };
+        self.send_request(target, address, kind::PING, 0);
+        if !(2..MAX_TRIES).contains(&tries) {
+            return;
+        }
+        let can_help = |id: u64, member: &Member| id != target && member.state == MemberState::Alive;
+        for helper in self.sample_members(HELPERS, can_help) {
+            self.send_request(helper.instance_id, helper.address, kind::PING_REQUEST, target);
+        }
+    }
+
+    /// Suspects the member that did not answer the last probe.
+    fn conclude_probe(&mut self) {
+        let Some(probe) = self.probe.take() else { return };
+        if !probe.answered {
+            self.counters.probes_unanswered += 1;
+            self.suspect(probe.instance_id, probe.started_at);
+        }
+    }
+
+    /// The next present member of the round; a new round begins where this one is over.
+    fn next_probe_target(&mut self) -> Option<u64> {
+        while let Some(candidate) = self.probe_round.pop() {
+            if self.members.get(&candidate).is_some_and(|member| member.state.is_present()) {
+                return Some(candidate);
+            }
+        }
+        let round = self.sample_members(usize::MAX, |_, member| member.state.is_present());
+        self.probe_round = round.into_iter().map(|contact| contact.instance_id).collect();
+        self.probe_round.pop()
+    }
+
+    fn start_probe(&mut self, target: u64) {
+        let Some(address) = self.address_of(target) else { return };
+        self.counters.probes += 1;
+        self.send_request(target, address, kind::PING, 0);
+        let retry_at = self.now + RETRY_AFTER * self.config.period;
+        self.probe =
+            Some(Probe { instance_id: target, started_at: self.now, tries: 1, retry_at, answered: false });
+    }
+
+    /// Pings a member on behalf of another that does not hear it.
+    pub(crate) fn probe_on_behalf(&mut self, requester: u64, request_id: u64, subject: u64) {
+        let Some(address) = self.address_of(subject) else { return };
+        let own_request_id = self.send_request(subject, address, kind::PING, 0);
+        if self.probe_tasks.len() == MAX_PROBE_TASKS {
+            self.probe_tasks.pop_front();
+        }
+        self.probe_tasks.push_back(ProbeTask { request_id, own_request_id, requester });
+    }
+
+    /// Handles an answer from `sender`, which shows that the member `subject` is present.
+    pub(crate) fn handle_answer(&mut self, sender: u64, subject: u64, answer: &Datagram) {
+        let Some(sent_at) = self.request_sent_at(sender, answer.request_id) else { return };
+        let round_trip = self.now - sent_at;
+        if round_trip >= self.slowest_recent_answer() {
+            self.slowest_answer = SlowestAnswer { round_trip, received_at: self.now };
+        }
+        self.record_assertions(answer, sent_at);
+        self.confirm_presence(subject, sent_at);
+        self.report_to_requesters(subject, answer.request_id);
+    }
+
+    /// Takes the assertions of an answer whose request was sent at `sent_at`: none was made later than that minus its
+    /// stated age.
+    fn record_assertions(&mut self, answer: &Datagram, sent_at: f64) {
+        let Some(senders_own) = answer.assertions.first() else { return };
+        let default_endorsed = senders_own.endorsed.unwrap_or(0);
+        let default_listed = senders_own.listed.unwrap_or(0);
+        for received in &answer.assertions {
+            let assertion = TimedAssertion {
+                issued_at: sent_at - f64::from(received.age) / 1e3,
+                endorsed: received.endorsed.unwrap_or(default_endorsed),
+                listed: received.listed.unwrap_or(default_listed),
+            };
+            if let Some(member) = self.members.get_mut(&received.instance_id)
+                && member.assertion.is_none_or(|known| known.issued_at < assertion.issued_at)
+            {
+                member.assertion = Some(assertion);
+            }
+        }
+    }
+
+    fn confirm_presence(&mut self, subject: u64, sent_at: f64) {
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.instance_id == subject) {
+            probe.answered = true;
+            probe.retry_at = f64::INFINITY;
+        }
+        // A suspect that answers a request sent after the suspicion began gets the whole time to refute once more.
+        let extended = self.now + self.suspicion_timeout();
+        if let Some(member) = self.members.get_mut(&subject)
+            && member.state == MemberState::Suspect
+            && sent_at > member.state_since
+        {
+            member.suspicion_ends_at = member.suspicion_ends_at.max(extended);
+        }
+    }
+
+    /// Reports an answer to the members that this gateway probes for.
+    fn report_to_requesters(&mut self, subject: u64, own_request_id: u64) {
+        while let Some(n) = self.probe_tasks.iter().position(|task| task.own_request_id == own_request_id) {
+            let Some(task) = self.probe_tasks.remove(n) else { break };
+            let Some(address) = self.address_of(task.requester) else { continue };
+            let mut indirect_ack = self.new_datagram(task.requester, kind::INDIRECT_ACK, task.request_id);
+            indirect_ack.subject = subject;
+            indirect_ack.updates = self.updates_for(task.requester);
+            indirect_ack.assertions = self.assertions_for(task.requester);
+            self.enqueue(address, indirect_ack);
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/failure_detection/requests.rs
@@ -0,0 +1,68 @@
+//! Requests that expect an answer. An answer bounds the age of what it asserts: it was made after the request was sent.
+
+use crate::datagram::kind;
+use crate::state::Membership;
+use crate::state::probe::{MAX_PENDING_REQUESTS, PendingRequest};
+use std::net::SocketAddr;
+
+/// Seconds after which the slowest answer counts half.
+const SLOWEST_ANSWER_HALF_LIFE: f64 = 10.0;
+
+impl Membership {
+    /// Sends a request with gossip updates, and returns its id.
+    pub(crate) fn send_request(&mut self, receiver: u64, address: SocketAddr, kind: u8, subject: u64) -> u64 {
+        let request_id = self.remember_request(receiver);
+        let mut datagram = self.new_datagram(receiver, kind, request_id);
+        datagram.subject = subject;
+        datagram.updates = self.updates_for(receiver);
+        self.enqueue(address, datagram);
+        request_id
+    }
+
+    /// Remembers that a request is sent to a member now, and returns its id.
+    fn remember_request(&mut self, receiver: u64) -> u64 {
+        self.last_request_id += 1;
+        if self.pending_requests.len() == MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_front();
+        }
+        let request_id = self.last_request_id;
+        self.pending_requests.push_back(PendingRequest {
+            request_id,
+            instance_id: receiver,
+            sent_at: self.now,
+        });
+        request_id
+    }
+
+    /// Answers a ping. The ack is a request in its turn, so that both sides learn the age of the other's assertions.
+    pub(crate) fn acknowledge(&mut self, receiver: u64, request_id: u64) {
+        let Some(address) = self.address_of(receiver) else { return };
+        let own_request_id = self.remember_request(receiver);
+        let mut ack = self.new_datagram(receiver, kind::ACK, request_id);
+        ack.subject = own_request_id;
+        ack.updates = self.updates_for(receiver);
+        ack.assertions = self.assertions_for(receiver);
+        self.enqueue(address, ack);
+    }
+
+    /// Answers the request that an ack carries.
+    pub(crate) fn acknowledge_ack(&mut self, receiver: u64, request_id: u64) {
+        let Some(address) = self.address_of(receiver) else { return };
+        let mut ack = self.new_datagram(receiver, kind::FINAL_ACK, request_id);
+        ack.assertions = self.assertions_for(receiver);
+        self.enqueue(address, ack);
+    }
+
+    /// When the request was sent that this member answers; `None` where no such request is remembered.
+    pub(crate) fn request_sent_at(&self, sender: u64, request_id: u64) -> Option<f64> {
+        let matches =
+            |request: &&PendingRequest| request.request_id == request_id && request.instance_id == sender;
+        self.pending_requests.iter().find(matches).map(|request| request.sent_at)
+    }
+
+    /// Seconds that the slowest answer of late took, decaying with its age.
+    pub(crate) fn slowest_recent_answer(&self) -> f64 {
+        let age = self.now - self.slowest_answer.received_at;
+        self.slowest_answer.round_trip * (-age / SLOWEST_ANSWER_HALF_LIFE).exp2()
+    }
+}
--- /dev/null
+++ b/crates/membership/src/gossip/dissemination.rs
@@ -0,0 +1,42 @@
+//! Choice of the gossip updates that travel with a datagram.
+
+use crate::datagram::GossipUpdate;
+use crate::state::Membership;
+use crate::state::member::MemberState;
+
+/// Bytes of updates in one datagram, which leave room for assertions.
+const MAX_UPDATE_BYTES: usize = 500;
+
+/// Bytes of an encoded update beside the name.
+pub(super) const UPDATE_OVERHEAD_BYTES: usize = 40;
+
+impl Membership {
+    /// How often an update is passed on: `4 log10(n)`, enough to reach nearly all of n gateways (SWIM, section 4.1). The
+    /// synchronization of tables reaches the others.
+    pub(crate) fn retransmit_limit(&self) -> u32 {
+        (4.0 * (self.members.len() as f64 + 2.0).log10()).ceil() as u32
+    }
+
+    /// Updates for one receiver: first a false one about itself, so that it can refute it, then those passed on least.
+    pub(crate) fn updates_for(&mut self, receiver: u64) -> Vec<GossipUpdate> {
+        let own_state = self.members.get(&receiver).filter(|member| member.state != MemberState::Alive);
+        let mut updates: Vec<_> =
+            own_state.map(|member| member.gossip_update(receiver)).into_iter().collect();
+        let mut candidates: Vec<_> = self
+            .members
+            .iter()
+            .filter(|(id, member)| member.transmissions_left > 0 && **id != receiver)
+            .map(|(id, member)| (member.transmissions_left, *id))
+            .collect();
+        candidates.sort_by(|a, b| b.cmp(a));
+        let mut bytes_left = MAX_UPDATE_BYTES;
+        for (_, subject) in candidates {
+            let Some(member) = self.members.get_mut(&subject) else { continue };
+            let Some(rest) = bytes_left.checked_sub(UPDATE_OVERHEAD_BYTES + member.name.len()) else { break };
+            bytes_left = rest;
+            member.transmissions_left -= 1;
+            updates.push(member.gossip_update(subject));
+        }
+        updates
+    }
+}
--- /dev/null
+++ b/crates/membership/src/gossip/member_table.rs
@@ -0,0 +1,197 @@
+//! The table of members: who enters it, who is evicted, and what datagrams and gossip updates change in it.
+
+use crate::datagram::{GossipUpdate, Identity, kind};
+use crate::state::Membership;
+use crate::state::event::MembershipEvent;
+use crate::state::member::{Member, MemberState};
+
+/// Table capacity beyond twice the possible gateways.
+const SPARE_CAPACITY: usize = 16;
+
+/// Largest `max_gateways` that is accepted from another gateway.
+const MAX_BELIEVED_GATEWAYS: u32 = 100_000;
+
+/// Expected number of gateways, of however many, that probe a suspect as soon as they learn of the suspicion.
+const EXPECTED_DIRECT_PROBES: f64 = 4.0;
+
+/// Where a gossip update came from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum UpdateSource {
+    /// It travelled with another datagram.
+    Gossip,
+    /// It is part of another gateway's whole table.
+    MemberTable,
+}
+
+impl Membership {
+    /// Records a datagram's sender, and returns whether it is in the table: a full table has no place for a new one.
+    #[must_use]
+    pub(crate) fn record_sender(&mut self, sender: &Identity, sequence: u64) -> bool {
+        let (now, transmissions) = (self.now, self.retransmit_limit());
+        if !self.members.contains_key(&sender.instance_id) {
+            if !self.ensure_capacity() {
+                return false;
+            }
+            let new = Member::new(sender.name.clone(), sender.address, sender.incarnation, now);
+            self.add_member(sender.instance_id, new);
+        }
+        let Some(member) = self.members.get_mut(&sender.instance_id) else { return false };
+        member.replay_window.accept(sequence);
+        member.last_received_at = now;
+        if member.is_superseded_by(sender.incarnation, MemberState::Alive) {
+            let returned = !member.state.is_present();
+            member.enter(MemberState::Alive, now, transmissions);
+            (member.incarnation, member.address) = (sender.incarnation, sender.address);
+            self.needs_review = true;
+            if returned {
+                self.record_event(MembershipEvent::Returned { name: sender.name.clone() });
+            }
+        }
+        self.record_max_gateways(sender);
+        true
+    }
+
+    fn record_max_gateways(&mut self, sender: &Identity) {
+        let Some(member) = self.members.get_mut(&sender.instance_id) else { return };
+        let stated = sender.max_gateways.min(MAX_BELIEVED_GATEWAYS);
+        if std::mem::replace(&mut member.max_gateways, stated) == stated {
+            return;
+        }
+        self.needs_review = true;
+        if stated != self.identity.max_gateways {
+            let name = sender.name.clone();
+            self.record_event(MembershipEvent::MaxGatewaysMismatch { name, max_gateways: stated });
+        }
+    }
+
+    /// Largest number of members in the table.
+    fn member_capacity(&self) -> usize {
+        2 * self.max_gateways() + SPARE_CAPACITY
+    }
+
+    /// Makes room for one more member, if need be by evicting the longest dead that is not listed. Returns whether
+    /// there is room.
+    fn ensure_capacity(&mut self) -> bool {
+        if self.members.len() < self.member_capacity() {
+            return true;
+        }
+        let evictable = self
+            .members
+            .iter()
+            .filter(|(_, member)| !member.state.is_present() && member.listed_since.is_infinite());
+        let oldest = evictable.min_by(|(_, a), (_, b)| a.state_since.total_cmp(&b.state_since));
+        let Some(oldest) = oldest.map(|(id, _)| *id) else {
+            self.counters.no_capacity += 1;
+            return false;
+        };
+        self.members.remove(&oldest).is_some()
+    }
+
+    /// Adds a process that was not known before.
+    fn add_member(&mut self, instance_id: u64, mut new: Member) {
+        new.transmissions_left = self.retransmit_limit();
+        let (name, address) = (new.name.clone(), new.address);
+        // It has most often replaced a process of the same name, which is therefore suspected and probed at once.
+        let predecessors: Vec<u64> = (self.members.iter())
+            .filter(|(_, member)| member.name == name && member.state == MemberState::Alive)
+            .map(|(id, _)| *id)
+            .collect();
+        for predecessor in predecessors {
+            self.suspect(predecessor, f64::NEG_INFINITY);
+            self.probe_round.push(predecessor);
+        }
+        self.members.insert(instance_id, new);
+        self.needs_review = true;
+        // At a random position of the round under way, so that gateways do not all probe it at the same time.
+        let position = self.rng.rand_range(0..self.probe_round.len() as u64 + 1) as usize;
+        self.probe_round.insert(position, instance_id);
+        self.record_event(MembershipEvent::Joined { name, address });
+    }
+
+    /// Applies a gossip update about this process or another.
+    pub(crate) fn apply_update(&mut self, update: &GossipUpdate, source: UpdateSource) {
+        let Some(state) = MemberState::from_wire(update.state) else { return };
+        if update.instance_id == self.identity.instance_id {
+            self.refute(state, update.incarnation);
+            return;
+        }
+        let transmissions = self.retransmit_limit();
+        if !self.members.contains_key(&update.instance_id) && !self.add_reported_member(update, state) {
+            return;
+        }
+        let suspicion_ends_at = self.now + self.suspicion_timeout();
+        let (now, lease) = (self.now, self.config.lease);
+        let Some(member) = self.members.get_mut(&update.instance_id) else { return };
+        // A member that was heard lately gets time to refute its death: two sides of a partition that heals each take
+        // the other for dead.
+        let last_heard_at = member.last_assertion_at().max(member.last_received_at);
+        let heard_lately = member.state == MemberState::Alive && now - last_heard_at < lease;
+        let refutable = source == UpdateSource::MemberTable || heard_lately;
+        let state = match state {
+            MemberState::Dead if refutable && member.state.is_present() => MemberState::Suspect,
+            state => state,
+        };
+        if !member.is_superseded_by(update.incarnation, state) {
+            return;
+        }
+        let former = member.state;
+        member.incarnation = update.incarnation;
+        match state {
+            MemberState::Suspect => member.enter_suspicion(now, suspicion_ends_at, transmissions),
+            state => member.enter(state, now, transmissions),
+        }
+        if let Some(address) = update.address.filter(|_| state == MemberState::Alive) {
+            member.address = address;
+        }
+        self.needs_review = true;
+        self.follow_up_state_change(update.instance_id, former, state);
+    }
+
+    /// Adds a member that a gossip update reports, and returns whether it did: nothing is kept of an unknown process
+    /// that is gone.
+    fn add_reported_member(&mut self, update: &GossipUpdate, state: MemberState) -> bool {
+        let (Some(name), Some(address)) = (&update.name, update.address) else { return false };
+        if !state.is_present() || !self.ensure_capacity() {
+            return false;
+        }
+        let new = Member::new(name.clone(), address, update.incarnation, self.now);
+        self.add_member(update.instance_id, new);
+        true
+    }
+
+    fn follow_up_state_change(&mut self, instance_id: u64, former: MemberState, state: MemberState) {
+        let Some(member) = self.members.get(&instance_id) else { return };
+        let (name, address) = (member.name.clone(), member.address);
+        // Some of the gateways that learn of a suspicion probe the suspect themselves, and the ping tells it: without
+        // them a suspect that nobody contacts would die for lack of a chance to refute.
+        if state == MemberState::Suspect
+            && self.rng.rand_float() * (self.members.len() as f64) < EXPECTED_DIRECT_PROBES
+        {
+            self.send_request(instance_id, address, kind::PING, 0);
+        }
+        match state {
+            MemberState::Suspect if former != MemberState::Suspect => {
+                self.record_event(MembershipEvent::Suspected { name });
+            }
+            MemberState::Dead => self.record_event(MembershipEvent::Died { name }),
+            MemberState::Left => self.record_event(MembershipEvent::Left { name }),
+            MemberState::Alive if !former.is_present() => {
+                self.record_event(MembershipEvent::Returned { name });
+            }
+            _ => {}
+        }
+    }
+
+    /// Records that a member announced its departure.
+    pub(crate) fn record_departure(&mut self, instance_id: u64) {
+        let (now, transmissions) = (self.now, self.retransmit_limit());
+        let Some(member) = self.members.get_mut(&instance_id) else { return };
+        if member.state == MemberState::Left {
+            return;
+        }
+        member.enter(MemberState::Left, now, transmissions);
+        let name = member.name.clone();
+        self.needs_review = true;
+        self.record_event(MembershipEvent::Left { name });
+    }
+}
--- /dev/null
+++ b/crates/membership/src/gossip/synchronization.rs
@@ -0,0 +1,107 @@
+//! Anti-entropy: now and then a gateway compares its whole member table with that of a random member, and with a dead
+//! member or a seed so that a healed partition closes.
+
+use crate::datagram::{GossipUpdate, kind};
+use crate::gossip::dissemination::UPDATE_OVERHEAD_BYTES;
+use crate::state::member::MemberState;
+use crate::state::{Contact, Membership};
+use std::net::SocketAddr;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// Bytes of updates in one page of a member table.
+const MAX_PAGE_BYTES: usize = 1100;
+
+/// Pages of a member table that are sent at a time.
+const MAX_PAGES: usize = 5;
+
+/// Periods between two synchronizations.
+const SYNC_PERIODS: f64 = 2.5;
+
+/// Synchronizations in a period while no other gateway is known.
+const SYNCS_PER_PERIOD_ALONE: f64 = 4.0;
+
+impl Membership {
+    /// Sum of hashes over all processes that are believed present; independent of their order.
+    fn presence_digest(&self) -> u64 {
+        let present = self.members.iter().filter(|(_, member)| member.state.is_present());
+        std::iter::once(self.identity.instance_id)
+            .chain(present.map(|(id, _)| *id))
+            .fold(0, |sum: u64, id| sum.wrapping_add(xxh3_64(&id.to_le_bytes())))
+    }
+
+    /// Starts a synchronization where one is due.
+    pub(crate) fn synchronize(&mut self) {
+        if self.now < self.next_sync_at {
+            return;
+        }
+        let alone = !self.members.values().any(|member| member.state.is_present());
+        let wait = self.config.period * if alone { 1.0 / SYNCS_PER_PERIOD_ALONE } else { SYNC_PERIODS };
+        // Jitter keeps gateways from synchronizing in step.
+        self.next_sync_at = self.now + wait * (0.75 + 0.5 * self.rng.rand_float());
+        let lost = self.lost_contacts();
+        let mut receivers = self.sample_members(1, |_, member| member.state.is_present());
+        if !lost.is_empty() {
+            receivers.push(lost[self.rng.rand_range(0..lost.len() as u64) as usize]);
+        }
+        for receiver in receivers {
+            let mut datagram = self.new_datagram(receiver.instance_id, kind::DIGEST, 0);
+            datagram.digest = self.presence_digest();
+            datagram.updates = self.updates_for(receiver.instance_id);
+            self.enqueue(receiver.address, datagram);
+        }
+    }
+
+    /// Dead members whose name no present member has, and seeds at whose address no member is known.
+    fn lost_contacts(&self) -> Vec<Contact> {
+        let replaced =
+            |name: &str| self.members.values().any(|member| member.state.is_present() && member.name == name);
+        let dead = (self.members.iter())
+            .filter(|(_, member)| member.state == MemberState::Dead && !replaced(&member.name))
+            .map(|(id, member)| Contact { instance_id: *id, address: member.address });
+        let unknown = |address: &&SocketAddr| !self.members.values().any(|m| m.address == **address);
+        let seeds = self.seeds.iter().filter(unknown);
+        dead.chain(seeds.map(|address| Contact { instance_id: 0, address: *address })).collect()
+    }
+
+    /// Answers the digest of another gateway: where it differs, with the own table and, once, with the own digest.
+    pub(crate) fn handle_digest(&mut self, sender: u64, request_id: u64, digest: u64) {
+        let Some(address) = self.address_of(sender) else { return };
+        if digest == self.presence_digest() {
+            return;
+        }
+        if request_id == 0 {
+            let mut datagram = self.new_datagram(sender, kind::DIGEST, 1);
+            datagram.digest = self.presence_digest();
+            self.enqueue(address, datagram);
+        }
+        for page in self.table_pages(sender) {
+            let mut datagram = self.new_datagram(sender, kind::MEMBER_TABLE, 0);
+            datagram.updates = page;
+            self.enqueue(address, datagram);
+        }
+    }
+
+    /// The member table in pages, without the receiver itself. It begins at a random member, so that a table that is
+    /// too long for one time arrives in several.
+    fn table_pages(&mut self, receiver: u64) -> Vec<Vec<GossipUpdate>> {
+        let ids: Vec<u64> = self.members.keys().copied().filter(|id| *id != receiver).collect();
+        let start = self.rng.rand_range(0..ids.len() as u64 + 1) as usize;
+        let rotated = ids[start..].iter().chain(&ids[..start]);
+        let mut pages = vec![Vec::new()];
+        let mut bytes_left = MAX_PAGE_BYTES;
+        for id in rotated {
+            let update = self.members[id].gossip_update(*id);
+            let bytes = UPDATE_OVERHEAD_BYTES + update.name.as_ref().map_or(0, String::len);
+            if bytes > bytes_left {
+                if pages.len() == MAX_PAGES {
+                    break;
+                }
+                pages.push(Vec::new());
+                bytes_left = MAX_PAGE_BYTES;
+            }
+            bytes_left -= bytes;
+            pages.last_mut().into_iter().for_each(|page| page.push(update.clone()));
+        }
+        pages
+    }
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,22 +1,37 @@
-//! Which gateways there are, what was heard of each, and how old that is: a core without sockets and clocks.
+//! Membership of the gateways of one cluster: which processes there are, the state of each, and how old that knowledge
+//! is. The package is a state machine without sockets, threads or clocks; it follows SWIM (Das, Gupta and Motivala,
+//! "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002) with the suspicion
+//! extension.
 //!
-//! [`Peers`] is told what came and at which time, and says what to send. Members are found by seeds, watched by probes
-//! straight and through others, suspected before they count as dead, and told apart from their former selves by a
-//! number of chance. What passes is a [`letter::Letter`], sealed with the fleet's key.
+//! [`Membership`] is given each received datagram and the current time, and yields the datagrams to send. Gateways find
+//! each other through seeds, probe each other directly and through helpers, and suspect a silent gateway before they
+//! declare it dead. A random instance id tells a process from its predecessor under the same name.
 //!
-//! Beside who is there it gives two counts. The likeliest is who is believed to be there. The highest that may be true
-//! comes down only by proof (`backing.rs`): what bounds harm goes by that one.
+//! Two counts follow from this. [`Membership::likely_gateways`] is the number that is believed to be present. The upper
+//! bound on the gateways that may use more than the floor of the shared budgets falls only by proof (`quorum/proof.rs`);
+//! [`Membership::quota_fraction`] follows that bound.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod datagram;
 
+mod clock;
+mod config;
+mod failure_detection;
 mod gossip;
-mod member;
-mod membership;
-mod probing;
-mod quorum_proof;
+mod protocol;
+mod quorum;
+mod quota;
+mod reachability;
+mod state;
 mod view;
 
-pub use member::MemberState;
-pub use membership::{Membership, MembershipConfig};
-pub use quorum_proof::MAX_CLOCK_DRIFT;
-pub use view::{Counters, MemberView, MembershipEvent, MembershipView, QuotaFraction, Reachability};
+pub use config::{MAX_CLOCK_DRIFT, MembershipConfig};
+pub use quota::QuotaFraction;
+pub use reachability::Reachability;
+pub use state::counters::Counters;
+pub use state::event::MembershipEvent;
+pub use state::member::MemberState;
+pub use state::{Membership, OutgoingDatagram};
+pub use view::{MemberView, MembershipView};
--- a/crates/membership/src/quorum_proof/tests.rs
+++ b/crates/membership/src/quorum/set_difference/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
+use std::collections::BTreeSet;
 use test_case::test_case;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Marks of ids 1 to 6, and the sum of some.
 fn sum(instance_ids: &[u64]) -> (BTreeMap<u64, u64>, u64) {
--- /dev/null
+++ b/crates/membership/src/state/own_sets.rs
@@ -0,0 +1,18 @@
+//! The sets of processes that this gateway endorses and lists, as they stand.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Sets of processes. On the wire a set is the wrapping sum of its members' hashes.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct OwnSets {
+    /// Instance ids of all known processes, by hash.
+    pub members_by_hash: BTreeMap<u64, u64>,
+    /// Sum of the hashes of the endorsed processes.
+    pub endorsed: u64,
+    /// Sum of the hashes of the listed processes.
+    pub listed: u64,
+    /// Instance ids of the listed processes.
+    pub listed_ids: BTreeSet<u64>,
+    /// Whether this gateway endorses itself.
+    pub endorses_self: bool,
+}
