--- a/crates/capacity-model/benches/slopes/peers.rs
+++ b/crates/capacity-model/benches/slopes/peers.rs
@@ -84,7 +84,7 @@
 fn parts(membership: &Membership, repeats: usize) -> Vec<f64> {
     let mut membership = membership.clone();
     // A clock that does not move: what was heard stays as fresh as it is.
-    membership.quota_fraction(0.0);
+    let _ = membership.quota_fraction(0.0);
     let once = |_| {
         let began = spent();
         black_box(membership.quota_fraction(0.0));
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -276,7 +276,7 @@
         4 => {
             let forged: Option<Datagram> = datagram::decode_unverified(datagram);
             let key = Key::new(b"another secret, of thirty-two bytes");
-            bytes = forged.and_then(|l| datagram::seal(&key, &l)).unwrap_or(bytes);
+            bytes = forged.and_then(|l| datagram::seal(&key, &l).ok()).unwrap_or(bytes);
         }
         // Of long ago, and perhaps another's.
         _ => {
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -200,10 +200,7 @@
             Err(why) => {
                 let counters = self.membership.counters_mut();
                 counters.record_rejected(why);
-                let all = counters.rejected_size
-                    + counters.rejected_version
-                    + counters.rejected_seal
-                    + counters.rejected_body;
+                let all = counters.rejected();
                 if tenfold(all) {
                     tracing::warn!(%from, all, "a letter of another gateway is not taken: {why}");
                 }
@@ -228,7 +225,7 @@
             let mut told = Datagram::new(ask.sender.clone(), 0, kind::STATUS_REPLY, ask.request_id);
             told.page =
                 Some(Page { index: number as u16, total: chunks.len() as u16, bytes: chunk.to_vec() });
-            if let Some(sealed) = datagram::seal(&self.link.key, &told) {
+            if let Ok(sealed) = datagram::seal(&self.link.key, &told) {
                 let _ = self.link.socket.send_to(&sealed, from);
             }
         }
@@ -242,12 +239,12 @@
             let sealed = datagram::seal(&self.link.key, &sent.datagram);
             let counters = self.membership.counters_mut();
             match sealed.map(|d| self.link.socket.send_to(&d, sent.to)) {
-                Some(Ok(bytes)) => {
+                Ok(Ok(bytes)) => {
                     counters.sent += 1;
                     counters.bytes += bytes as u64;
                 }
                 // As if lost on its way: that is what the core is built for.
-                Some(Err(_)) | None => counters.unsent += 1,
+                Ok(Err(_)) | Err(_) => counters.unsent += 1,
             }
         }
     }
@@ -292,7 +289,7 @@
         self.shared = now;
         let sharing = &mut self.sharing;
         self.office.tell(None, |desk, now| {
-            payloads.iter().for_each(|(sender, payload)| sharing.heard(desk, now, *sender, payload));
+            payloads.iter().for_each(|received| sharing.heard(desk, now, received.sender, &received.payload));
             sharing.turn(desk, now, &quota, others);
         });
     }
@@ -355,8 +352,7 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     for number in 1..=TRIES {
         let ask = Datagram::new(identity.clone(), 0, kind::STATUS_QUERY, number);
-        let sealed =
-            datagram::seal(&key, &ask).ok_or_else(|| io::Error::other("the question is too large"))?;
+        let sealed = datagram::seal(&key, &ask).map_err(io::Error::other)?;
         socket.send_to(&sealed, to)?;
         let end = Instant::now() + WAIT;
         let mut pages: Vec<Option<Vec<u8>>> = Vec::new();
--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 pub use milletpath_sealed_datagram::LARGEST as MAX_DATAGRAM_BYTES;
-pub use sealing::{Key, OpenError, decode_unverified, open, seal};
+pub use sealing::{Key, OpenError, SealError, decode_unverified, open, seal};
 
 /// The version that is written. All versions from 1 on are read.
 pub const VERSION: u8 = 1;
--- a/crates/membership/src/datagram/sealing.rs
+++ b/crates/membership/src/datagram/sealing.rs
@@ -1,34 +1,41 @@
 //! Sealing and opening of datagrams with the secret that the gateways of a cluster share.
 
-use super::{Datagram, MAX_NAME_BYTES, VERSION};
+use super::{Datagram, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, VERSION};
 use milletpath_sealed_datagram as sealed_datagram;
-use std::fmt;
+use std::convert::Infallible;
+use thiserror::Error;
 
 /// Separates this key from others that are derived from the same secret. Part of the wire form.
 const KEY_CONTEXT: &str = "milletpath 2026-12 letters between gateways";
 
 /// Why a received datagram is rejected.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OpenError {
-    /// Larger than [`MAX_DATAGRAM_BYTES`](super::MAX_DATAGRAM_BYTES), or too small for a seal.
+    /// Larger than [`MAX_DATAGRAM_BYTES`], or too small for a seal.
+    #[error(
+        "its size is not that of a datagram between gateways, which has at most {MAX_DATAGRAM_BYTES} bytes"
+    )]
     Size,
     /// A version that this program does not read.
+    #[error("version {0} is not supported: run gateways of compatible releases")]
     Version(u8),
     /// Sealed with another key, or changed in transit.
+    #[error("the seal does not match: give all gateways of the cluster the same key")]
     Seal,
     /// Authentic, but the body is malformed.
+    #[error("the body is malformed")]
     Body,
 }
 
-impl fmt::Display for OpenError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Size => write!(f, "no letter has this size"),
-            Self::Version(v) => write!(f, "its version {v} is not read here"),
-            Self::Seal => write!(f, "its seal is of another key"),
-            Self::Body => write!(f, "it can't be read"),
-        }
-    }
+/// Why a datagram cannot be sealed.
+#[derive(Debug, Error)]
+pub enum SealError {
+    /// The sealed datagram would exceed [`MAX_DATAGRAM_BYTES`].
+    #[error("the datagram would exceed {MAX_DATAGRAM_BYTES} bytes")]
+    TooLarge,
+    /// The body cannot be encoded.
+    #[error("the datagram cannot be encoded")]
+    Encode(#[from] minicbor::encode::Error<Infallible>),
 }
 
 impl From<sealed_datagram::Refused> for OpenError {
@@ -53,10 +60,14 @@
     }
 }
 
-/// Encodes and seals a datagram; `None` where it would exceed [`MAX_DATAGRAM_BYTES`](super::MAX_DATAGRAM_BYTES).
-#[must_use]
-pub fn seal(key: &Key, datagram: &Datagram) -> Option<Vec<u8>> {
-    key.0.seal(VERSION, &minicbor::to_vec(datagram).ok()?)
+/// Encodes and seals a datagram.
+///
+/// # Errors
+///
+/// [`SealError::TooLarge`] where it would exceed [`MAX_DATAGRAM_BYTES`].
+pub fn seal(key: &Key, datagram: &Datagram) -> Result<Vec<u8>, SealError> {
+    let body = minicbor::to_vec(datagram)?;
+    key.0.seal(VERSION, &body).ok_or(SealError::TooLarge)
 }
 
 /// Checks the seal of a received datagram and decodes its body.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -33,5 +33,5 @@
 pub use state::counters::Counters;
 pub use state::event::MembershipEvent;
 pub use state::member::MemberState;
-pub use state::{Membership, OutgoingDatagram};
+pub use state::{Membership, OutgoingDatagram, ReceivedPayload};
 pub use view::{MemberView, MembershipView};
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -6,7 +6,7 @@
 use crate::state::counters::Counters;
 use crate::state::event::MembershipEvent;
 use crate::state::member::MemberState;
-use crate::state::{Membership, OutgoingDatagram};
+use crate::state::{Membership, OutgoingDatagram, ReceivedPayload};
 use std::collections::VecDeque;
 
 /// Received payloads waiting for the application; those beyond are dropped.
@@ -27,9 +27,9 @@
         self.outgoing.pop_front()
     }
 
-    /// Takes the next received payload, with the instance id of its sender.
+    /// Takes the next received payload.
     #[must_use]
-    pub fn next_payload(&mut self) -> Option<(u64, Vec<u8>)> {
+    pub fn next_payload(&mut self) -> Option<ReceivedPayload> {
         self.payloads.pop_front()
     }
 
@@ -130,7 +130,8 @@
             kind::DIGEST => self.handle_digest(sender, request_id, datagram.digest),
             kind::DEPARTURE => self.record_departure(sender),
             kind::PAYLOAD if self.payloads.len() < MAX_PENDING_PAYLOADS => {
-                self.payloads.extend(datagram.payload.map(|payload| (sender, payload)));
+                let received = datagram.payload.map(|payload| ReceivedPayload { sender, payload });
+                self.payloads.extend(received);
             }
             // Either of a later version, or its identity and updates were all.
             _ => {}
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -34,6 +34,15 @@
     pub datagram: Datagram,
 }
 
+/// A payload for the application.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedPayload {
+    /// Instance id of the process that sent it.
+    pub sender: u64,
+    /// Its bytes.
+    pub payload: Vec<u8>,
+}
+
 /// A member to send to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Contact {
@@ -62,8 +71,8 @@
     pub(crate) last_request_id: u64,
     /// Bounded by [`MAX_OUTGOING`].
     pub(crate) outgoing: VecDeque<OutgoingDatagram>,
-    /// Received payloads and their senders, bounded by `MAX_PENDING_PAYLOADS`.
-    pub(crate) payloads: VecDeque<(u64, Vec<u8>)>,
+    /// Bounded by `MAX_PENDING_PAYLOADS`.
+    pub(crate) payloads: VecDeque<ReceivedPayload>,
     /// Bounded by `MAX_PENDING_REQUESTS`.
     pub(crate) pending_requests: VecDeque<PendingRequest>,
     pub(crate) probe: Option<Probe>,
--- a/crates/membership/src/state/counters.rs
+++ b/crates/membership/src/state/counters.rs
@@ -52,6 +52,12 @@
 }
 
 impl Counters {
+    /// Number of datagrams that could not be opened, for whatever reason.
+    #[must_use]
+    pub fn rejected(&self) -> u64 {
+        self.rejected_size + self.rejected_version + self.rejected_seal + self.rejected_body
+    }
+
     /// Counts a received datagram that could not be opened.
     pub fn record_rejected(&mut self, error: OpenError) {
         *match error {
