--- a/crates/capacity-model/benches/slopes/peers.rs
+++ b/crates/capacity-model/benches/slopes/peers.rs
@@ -178,7 +178,7 @@
     let sum =
         |net: &SimulatedNetwork| net.nodes.iter().fold((0, 0), |(b, l), n| (b + n.bytes, l + n.datagrams));
     let (before, began) = (sum(net), spent());
-    net.play(net.now + seconds);
+    net.run_until(net.now + seconds);
     let (cpu, after) = (spent() - began, sum(net));
     let of = seconds * net.nodes.len() as f64;
     While {
@@ -231,7 +231,7 @@
             break;
         }
         let mut net = SimulatedNetwork::new(gateways, 1.max(gateways / 8), CONFIG, asked.seed);
-        net.begin_all();
+        net.start_all();
         let at = gateways as f64;
         let first: Vec<While> = (0..2).map(|_| passes(&mut net, LOOK)).collect();
         let put = |to: &mut Vec<Size>, from: &[While], what: &dyn Fn(&While) -> f64| {
@@ -242,7 +242,7 @@
         let starting = standing(&net);
         // The first seconds cost most; where they took too long the rest is not played.
         if spent() - all < BOUND * 0.8 {
-            net.play(SETTLED);
+            net.run_until(SETTLED);
             let later: Vec<While> = (0..3).map(|_| passes(&mut net, LOOK)).collect();
             put(&mut figures[2], &later, &|w| w.cpu);
             put(&mut figures[3], &later, &|w| w.bytes);
--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -23,16 +23,16 @@
         MembershipConfig { lease, floor: 0.5, ..MembershipConfig::default() },
         seed,
     );
-    network.begin_all();
-    network.play(if size > 50 { 100.0 } else { 20.0 });
+    network.start_all();
+    network.run_until(if size > 50 { 100.0 } else { 20.0 });
     network
 }
 
 /// Seconds until all agree, looked at ten times a second.
 fn agrees(network: &mut SimulatedNetwork, most: f64) -> f64 {
     let from = network.now;
-    while !network.agree() && network.now < from + most {
-        network.play(network.now + 0.1);
+    while !network.all_agree() && network.now < from + most {
+        network.run_until(network.now + 0.1);
     }
     network.now - from
 }
@@ -49,7 +49,7 @@
             let mut network = converged_network(size, seed);
             let before: (u64, u64) =
                 network.nodes.iter().fold((0, 0), |(b, l), n| (b + n.bytes, l + n.datagrams));
-            network.play(network.now + 20.0);
+            network.run_until(network.now + 20.0);
             let after: (u64, u64) =
                 network.nodes.iter().fold((0, 0), |(b, l), n| (b + n.bytes, l + n.datagrams));
             let spent = 20.0 * size as f64 * seeds as f64;
@@ -63,20 +63,20 @@
             for n in 0..5.min(size - 1) {
                 network.kill(n);
                 let from = network.now;
-                network.play(from + 20.0);
+                network.run_until(from + 20.0);
                 let name = format!("gateway-{n}");
                 let died =
                     |e: &MembershipEvent| matches!(e, MembershipEvent::Died { name: dead } if *dead == name);
-                learnt.extend(network.times(from, died).into_values());
-                network.begin(n);
+                learnt.extend(network.first_event_times(from, died).into_values());
+                network.start(n);
                 joined.push(agrees(&mut network, 30.0));
-                network.play(network.now + 5.0);
+                network.run_until(network.now + 5.0);
             }
             let (from, apart) = (network.now, size * 2 / 5);
             network.delivery_rule = Box::new(move |_, a, b, rng| {
                 if (a < apart) != (b < apart) { vec![] } else { vec![rng.random_range(0.0005..0.002)] }
             });
-            network.play(from + 15.0);
+            network.run_until(from + 15.0);
             network.delivery_rule = reliable();
             healed.push(agrees(&mut network, 60.0));
         }
@@ -101,7 +101,7 @@
             let span = if size > 50 { 60.0 } else { 600.0 };
             let (mut without, mut looks) = (0, 0);
             while network.now < from + span {
-                network.play(network.now + 0.5);
+                network.run_until(network.now + 0.5);
                 looks += size;
                 without +=
                     network.nodes.iter().filter(|n| n.quota.is_some_and(|p| p.fraction <= p.floor)).count();
--- a/crates/membership/tests/three.rs
+++ b/crates/membership/tests/interleavings.rs
@@ -12,7 +12,7 @@
 const SIZE: usize = 3;
 
 /// A long lease for the period: a gateway can count as dead while words that back it still hold.
-const TERMS: MembershipConfig = MembershipConfig { period: 1.0, lease: 8.0, floor: 0.5, budget_window: 0.0 };
+const CONFIG: MembershipConfig = MembershipConfig { period: 1.0, lease: 8.0, floor: 0.5, budget_window: 0.0 };
 
 /// Letters under way; those that would be more are lost.
 const MAX_IN_FLIGHT: usize = 6;
@@ -23,7 +23,7 @@
     Deliver(usize, bool),
     Lose(usize),
     Kill(usize),
-    Begin(usize),
+    Start(usize),
     /// Time goes on until something is due at this one; the others may be late for theirs.
     TurnDue(usize),
 }
@@ -32,7 +32,7 @@
 struct Cluster {
     now: f64,
     nodes: [Option<Membership>; SIZE],
-    lives: u64,
+    started_processes: u64,
     datagrams: Vec<(usize, Datagram)>,
     breaks_promises: bool,
 }
@@ -43,15 +43,20 @@
 
 impl Cluster {
     fn new(breaks_promises: bool) -> Self {
-        let mut cluster =
-            Self { now: 0.0, nodes: [None, None, None], lives: 0, datagrams: Vec::new(), breaks_promises };
-        (0..SIZE).for_each(|n| cluster.begin(n));
+        let mut cluster = Self {
+            now: 0.0,
+            nodes: [None, None, None],
+            started_processes: 0,
+            datagrams: Vec::new(),
+            breaks_promises,
+        };
+        (0..SIZE).for_each(|n| cluster.start(n));
         cluster
     }
 
-    fn begin(&mut self, n: usize) {
-        self.lives += 1;
-        let instance_id = self.lives * 1_000 + n as u64;
+    fn start(&mut self, n: usize) {
+        self.started_processes += 1;
+        let instance_id = self.started_processes * 1_000 + n as u64;
         let identity = Identity {
             instance_id,
             name: format!("g{n}"),
@@ -59,18 +64,18 @@
             incarnation: 0,
             max_gateways: SIZE as u32,
         };
-        let mut membership = Membership::new(identity, TERMS, vec![at(0), at(1)], instance_id, self.now);
+        let mut membership = Membership::new(identity, CONFIG, vec![at(0), at(1)], instance_id, self.now);
         if self.breaks_promises {
             membership.break_promises();
         }
         self.nodes[n] = Some(membership);
-        self.post(n);
+        self.collect_outgoing(n);
     }
 
-    fn post(&mut self, n: usize) {
+    fn collect_outgoing(&mut self, n: usize) {
         let Some(membership) = self.nodes[n].as_mut() else { return };
-        let out: Vec<_> = std::iter::from_fn(|| membership.next_outgoing()).collect();
-        for sent in out {
+        let outgoing: Vec<_> = std::iter::from_fn(|| membership.next_outgoing()).collect();
+        for sent in outgoing {
             let to = (0..SIZE).find(|n| at(*n) == sent.to).expect("an address of the three");
             if self.datagrams.len() < MAX_IN_FLIGHT {
                 self.datagrams.push((to, sent.datagram));
@@ -78,13 +83,13 @@
         }
     }
 
-    fn events(&self) -> Vec<Step> {
+    fn possible_steps(&self) -> Vec<Step> {
         let datagrams =
             (0..self.datagrams.len()).flat_map(|l| [Step::Deliver(l, false), Step::Deliver(l, true)]);
         let lost = (0..self.datagrams.len()).map(Step::Lose);
         let processes = (0..SIZE).flat_map(|n| match self.nodes[n] {
             Some(_) => vec![Step::Kill(n), Step::TurnDue(n)],
-            None => vec![Step::Begin(n)],
+            None => vec![Step::Start(n)],
         });
         datagrams.chain(lost).chain(processes).collect()
     }
@@ -99,36 +104,36 @@
                 if let Some(membership) = self.nodes[to].as_mut() {
                     membership.receive(self.now, what);
                 }
-                self.post(to);
+                self.collect_outgoing(to);
             }
             Step::Lose(datagram) => {
                 self.datagrams.remove(datagram);
             }
             Step::Kill(n) => self.nodes[n] = None,
-            Step::Begin(n) => self.begin(n),
+            Step::Start(n) => self.start(n),
             Step::TurnDue(n) => {
                 if let Some(membership) = self.nodes[n].as_mut() {
                     self.now = self.now.max(membership.next_deadline());
                     membership.tick(self.now);
                 }
-                self.post(n);
+                self.collect_outgoing(n);
             }
         }
     }
 
     /// What all use together of what there is.
-    fn used(&mut self) -> f64 {
+    fn used_fraction(&mut self) -> f64 {
         let now = self.now;
         self.nodes.iter_mut().flatten().map(|p| p.quota_fraction(now).fraction / SIZE as f64).sum()
     }
 
     /// All goes well from here on: letters come at once, nobody is killed, whoever is not there begins.
-    fn heal(&mut self, seconds: f64) {
+    fn run_without_faults(&mut self, seconds: f64) {
         (0..SIZE)
             .filter(|n| self.nodes[*n].is_none())
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|n| self.begin(n));
+            .for_each(|n| self.start(n));
         let until = self.now + seconds;
         loop {
             while !self.datagrams.is_empty() {
@@ -144,7 +149,7 @@
     }
 
     /// Whether each takes the other two for alive.
-    fn agree(&self) -> bool {
+    fn all_agree(&self) -> bool {
         let instance_id = |n: usize| self.nodes[n].as_ref().map(|p| p.instance_id());
         (0..SIZE).all(|n| {
             let others = (0..SIZE).filter(|o| *o != n);
@@ -155,7 +160,7 @@
         })
     }
 
-    fn print(&self) -> u64 {
+    fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         // What a gateway is, is all that it tells of itself.
         format!("{:?}{:?}", self.nodes, self.datagrams).hash(&mut hasher);
@@ -167,19 +172,20 @@
 /// Looks at all that can happen within so many events; gives the states seen, and the first that is over.
 fn search(cluster: &Cluster, depth: usize, seen: &mut HashSet<u64>) -> Result<usize, String> {
     let mut states = 0;
-    for event in cluster.events() {
+    for event in cluster.possible_steps() {
         let mut next = cluster.clone();
         next.apply(event);
-        if !seen.insert(next.print()) {
+        if !seen.insert(next.fingerprint()) {
             continue;
         }
         states += 1;
-        let used = next.used();
+        let used = next.used_fraction();
         if used > 1.0 + 1e-9 {
             return Err(format!("after {event:?}: {used} is used"));
         }
         if depth > 1 {
-            states += search(&next, depth - 1, seen).map_err(|told| format!("{event:?}, {told}"))?;
+            states +=
+                search(&next, depth - 1, seen).map_err(|violation| format!("{event:?}, {violation}"))?;
         }
     }
     Ok(states)
@@ -187,10 +193,10 @@
 
 /// A while in which letters come at once on the links that are up, and each does in time what is due; at every event
 /// what all use is looked at.
-fn pass(cluster: &mut Cluster, up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), String> {
+fn run_on_links(cluster: &mut Cluster, up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), String> {
     let until = cluster.now + seconds;
     loop {
-        let used = cluster.used();
+        let used = cluster.used_fraction();
         if used > 1.0 + 1e-9 {
             return Err(format!("at {:.3} s {used} is used", cluster.now));
         }
@@ -216,14 +222,14 @@
         let n = rng.random_range(0..SIZE);
         match cluster.nodes[n] {
             Some(_) if rng.random_bool(0.3) => cluster.apply(Step::Kill(n)),
-            None if rng.random_bool(0.6) => cluster.apply(Step::Begin(n)),
+            None if rng.random_bool(0.6) => cluster.apply(Step::Start(n)),
             _ => {}
         }
         let mut up = [[true; SIZE]; SIZE];
         if rng.random_bool(0.6) {
             up.iter_mut().flatten().for_each(|up| *up = rng.random_bool(0.6));
         }
-        pass(cluster, &up, rng.random_range(0.2..12.0))?;
+        run_on_links(cluster, &up, rng.random_range(0.2..12.0))?;
     }
     Ok(())
 }
@@ -235,17 +241,18 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut cluster = Cluster::new(breaks_promises);
         for _ in 0..4 {
-            random_walk(&mut cluster, 5, &mut rng).map_err(|told| format!("seed {seed}: {told}"))?;
+            random_walk(&mut cluster, 5, &mut rng)
+                .map_err(|violation| format!("seed {seed}: {violation}"))?;
             // Into the midst of things, with letters under way.
             for _ in 0..12 {
-                let events = cluster.events();
+                let events = cluster.possible_steps();
                 cluster.apply(events[rng.random_range(0..events.len())]);
             }
-            let told = |told| format!("seed {seed} at {:.3} s: {told}", cluster.now);
-            states += search(&cluster, depth, &mut HashSet::new()).map_err(told)?;
+            let describe = |violation| format!("seed {seed} at {:.3} s: {violation}", cluster.now);
+            states += search(&cluster, depth, &mut HashSet::new()).map_err(describe)?;
             let mut healed = cluster.clone();
-            healed.heal(60.0);
-            if !healed.agree() {
+            healed.run_without_faults(60.0);
+            if !healed.all_agree() {
                 return Err(format!(
                     "seed {seed} at {:.3} s: somebody is heard and dead for ever",
                     cluster.now
@@ -259,7 +266,7 @@
 /// Every order of events to depth two from 320 places; deeper by hand: `DEPTH=4 cargo test --release -- --ignored`.
 #[test]
 fn no_interleaving_exceeds_the_quota() {
-    let states = explore(0..80, 2, false).unwrap_or_else(|told| panic!("{told}"));
+    let states = explore(0..80, 2, false).unwrap_or_else(|violation| panic!("{violation}"));
     assert!(states > 20_000, "{states}");
 }
 
@@ -267,12 +274,12 @@
 #[ignore = "takes minutes; the depth is asked for by hand"]
 fn no_interleaving_exceeds_the_quota_at_greater_depth() {
     let depth = std::env::var("DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
-    println!("{} states", explore(0..40, depth, false).unwrap_or_else(|told| panic!("{told}")));
+    println!("{} states", explore(0..40, depth, false).unwrap_or_else(|violation| panic!("{violation}")));
 }
 
 /// The same search finds gateways that keep no promise.
 #[test]
 fn the_search_finds_gateways_that_break_their_endorsement_promises() {
     let found = explore(0..40, 2, true);
-    assert!(found.as_ref().is_err_and(|told| told.contains("is used")), "{found:?}");
+    assert!(found.as_ref().is_err_and(|violation| violation.contains("is used")), "{found:?}");
 }
--- a/crates/membership/tests/simulated_network/mod.rs
+++ b/crates/membership/tests/simulated_network/mod.rs
@@ -140,33 +140,28 @@
     }
 
     /// Begins a gateway, or begins it anew from nothing.
-    pub fn begin(&mut self, n: usize) {
-        let most = self.nodes.len() as u32;
-        self.begin_as(n, &format!("gateway-{n}"), most);
+    pub fn start(&mut self, n: usize) {
+        let max_gateways = self.nodes.len() as u32;
+        self.start_as(n, &format!("gateway-{n}"), max_gateways);
     }
 
-    pub fn begin_as(&mut self, n: usize, name: &str, most: u32) {
+    pub fn start_as(&mut self, n: usize, name: &str, max_gateways: u32) {
         let instance_id = self.rng.random();
         let seeds = self.nodes[..self.seeds].iter().map(|node| node.address).collect();
         let node = &mut self.nodes[n];
-        let identity = Identity {
-            instance_id,
-            name: name.into(),
-            address: node.address,
-            incarnation: 0,
-            max_gateways: most,
-        };
+        let identity =
+            Identity { instance_id, name: name.into(), address: node.address, incarnation: 0, max_gateways };
         node.membership =
             Some(Membership::new(identity, self.config, seeds, instance_id, node.clock(self.now)));
         (node.instance_id, node.quota, node.paused_until, node.next_turn_at) =
             (instance_id, None, 0.0, f64::INFINITY);
         node.quota_read_at = -1.0;
         node.delayed_inbox.clear();
-        self.after(n);
+        self.flush(n);
     }
 
-    pub fn begin_all(&mut self) {
-        (0..self.nodes.len()).for_each(|n| self.begin(n));
+    pub fn start_all(&mut self) {
+        (0..self.nodes.len()).for_each(|n| self.start(n));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -174,17 +169,17 @@
         self.nodes[n].quota = None;
     }
 
-    pub fn leave(&mut self, n: usize) {
+    pub fn depart(&mut self, n: usize) {
         let now = self.nodes[n].clock(self.now);
         if let Some(membership) = self.nodes[n].membership.as_mut() {
             membership.announce_departure(now);
         }
-        self.after(n);
+        self.flush(n);
         self.kill(n);
     }
 
     /// A process stands still for so many seconds.
-    pub fn stall(&mut self, n: usize, seconds: f64) {
+    pub fn pause(&mut self, n: usize, seconds: f64) {
         self.nodes[n].paused_until = self.now + seconds;
     }
 
@@ -193,31 +188,31 @@
     }
 
     /// How `n` sees `other`'s present process.
-    pub fn sees(&self, n: usize, other: usize) -> Option<MemberState> {
+    pub fn state_of(&self, n: usize, other: usize) -> Option<MemberState> {
         self.nodes[n].membership.as_ref()?.state(self.nodes[other].instance_id)
     }
 
-    pub fn up(&self) -> Vec<usize> {
+    pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.nodes[*n].membership.is_some()).collect()
     }
 
     /// Whether all that are up see each other alive, and nobody else there.
-    pub fn agree(&self) -> bool {
-        let up = self.up();
-        let all = |n: &usize| up.iter().all(|o| o == n || self.sees(*n, *o) == Some(MemberState::Alive));
+    pub fn all_agree(&self) -> bool {
+        let up = self.running();
+        let all = |n: &usize| up.iter().all(|o| o == n || self.state_of(*n, *o) == Some(MemberState::Alive));
         let few = |n: &usize| {
             self.nodes[*n].membership.as_ref().is_some_and(|p| p.likely_gateways() == up.len() as f64)
         };
         up.iter().all(|n| all(n) && few(n))
     }
 
-    fn put(&mut self, at: f64, what: Work) {
+    fn schedule(&mut self, at: f64, what: Work) {
         self.count += 1;
         self.queue.push(Scheduled(at, self.count, what));
     }
 
     /// Sends what a gateway has to send, and sets its clock.
-    fn after(&mut self, n: usize) {
+    fn flush(&mut self, n: usize) {
         let now = self.now;
         let node = &mut self.nodes[n];
         let clock = node.clock(now);
@@ -227,10 +222,10 @@
             node.quota = Some(membership.quota_fraction(clock));
         }
         node.events.extend(membership.take_events().into_iter().map(|e| (now, e)));
-        let out: Vec<_> = std::iter::from_fn(|| membership.next_outgoing()).collect();
+        let outgoing: Vec<_> = std::iter::from_fn(|| membership.next_outgoing()).collect();
         let next = (membership.next_deadline() - node.skew) / node.rate;
         let instance_id = node.instance_id;
-        for sent in out {
+        for sent in outgoing {
             let sealed = datagram::seal(&self.key, &sent.datagram).expect("no letter is too large");
             self.transcript = sealed.iter().fold(self.transcript, fnv1a);
             self.nodes[n].bytes += sealed.len() as u64;
@@ -238,18 +233,18 @@
             *self.bytes_by_kind.entry(sent.datagram.kind).or_default() += sealed.len() as u64;
             let Some(to) = self.nodes.iter().position(|node| node.address == sent.to) else { continue };
             for delay in (self.delivery_rule)(now, n, to, &mut self.rng) {
-                self.put(now + delay, Work::Deliver(to, Box::new(sent.datagram.clone())));
+                self.schedule(now + delay, Work::Deliver(to, Box::new(sent.datagram.clone())));
             }
         }
         let next = next.max(now + 1e-6);
         if next < self.nodes[n].next_turn_at {
             self.nodes[n].next_turn_at = next;
-            self.put(next, Work::Turn(n, instance_id));
+            self.schedule(next, Work::Turn(n, instance_id));
         }
     }
 
     /// Plays on until then.
-    pub fn play(&mut self, until: f64) {
+    pub fn run_until(&mut self, until: f64) {
         while self.queue.peek().is_some_and(|due| due.0 <= until) {
             let Some(Scheduled(at, _, what)) = self.queue.pop() else { break };
             self.now = at;
@@ -262,7 +257,7 @@
                     Work::Deliver(_, datagram) => self.nodes[n].delayed_inbox.push(*datagram),
                     Work::Turn(..) => {
                         self.nodes[n].next_turn_at = paused_until;
-                        self.put(paused_until, what);
+                        self.schedule(paused_until, what);
                     }
                 }
                 continue;
@@ -283,16 +278,16 @@
                 }
                 Work::Deliver(_, datagram) => membership.receive(clock, *datagram),
             }
-            self.after(n);
+            self.flush(n);
             if self.check_quota_sum {
-                self.look();
+                self.check_used_fraction();
             }
         }
         self.now = until;
     }
 
     /// What all use together of what there is, by their own clocks.
-    pub fn used(&self) -> f64 {
+    pub fn used_fraction(&self) -> f64 {
         let using = |node: &Node| {
             let quota = node.quota?;
             let part = if node.clock(self.now) < quota.valid_until { quota.fraction } else { quota.floor };
@@ -301,19 +296,23 @@
         self.nodes.iter().filter_map(using).sum()
     }
 
-    fn look(&mut self) {
-        let over = self.used() - 1.0;
+    fn check_used_fraction(&mut self) {
+        let over = self.used_fraction() - 1.0;
         if over > self.over.0 {
             self.over = (over, self.now);
         }
     }
 
     /// Seconds after `since` at which each gateway that is up first told of such an event.
-    pub fn times(&self, since: f64, such: impl Fn(&MembershipEvent) -> bool) -> BTreeMap<usize, f64> {
+    pub fn first_event_times(
+        &self,
+        since: f64,
+        such: impl Fn(&MembershipEvent) -> bool,
+    ) -> BTreeMap<usize, f64> {
         let first = |n: usize| {
             let found = self.nodes[n].events.iter().find(|(at, e)| *at >= since && such(e));
             found.map(|(at, _)| (n, at - since))
         };
-        self.up().into_iter().filter_map(first).collect()
+        self.running().into_iter().filter_map(first).collect()
     }
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -127,15 +127,15 @@
 fn a_simulated_cluster_sends_the_same_datagrams_as_before() {
     let mut network =
         SimulatedNetwork::new(5, 1, MembershipConfig { floor: 0.5, ..MembershipConfig::default() }, 42);
-    network.begin_all();
-    network.play(6.0);
+    network.start_all();
+    network.run_until(6.0);
     network.delivery_rule = lossy(0.2);
-    network.play(12.0);
+    network.run_until(12.0);
     network.kill(1);
-    network.play(18.0);
-    network.begin(1);
-    network.leave(2);
-    network.play(24.0);
+    network.run_until(18.0);
+    network.start(1);
+    network.depart(2);
+    network.run_until(24.0);
     assert_eq!(format!("{:016x}", network.transcript), fixture("transcript"));
 }
 
