--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -3,7 +3,8 @@
 
 mod dissemination;
 mod member_table;
+mod received_updates;
 mod refutation;
 mod synchronization;
 
-pub(crate) use member_table::UpdateSource;
+pub(crate) use received_updates::UpdateSource;
--- a/crates/membership/src/gossip/member_table.rs
+++ b/crates/membership/src/gossip/member_table.rs
@@ -1,6 +1,6 @@
-//! The table of members: who enters it, who is evicted, and what datagrams and gossip updates change in it.
+//! The table of members: who enters it, who is evicted, and what a datagram's sender states about itself.
 
-use crate::datagram::{GossipUpdate, Identity, kind};
+use crate::datagram::Identity;
 use crate::state::Membership;
 use crate::state::event::MembershipEvent;
 use crate::state::member::{Member, MemberState};
@@ -11,18 +11,6 @@
 /// Largest `max_gateways` that is accepted from another gateway.
 const MAX_BELIEVED_GATEWAYS: u32 = 100_000;
 
-/// Expected number of gateways, of however many, that probe a suspect as soon as they learn of the suspicion.
-const EXPECTED_DIRECT_PROBES: f64 = 4.0;
-
-/// Where a gossip update came from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum UpdateSource {
-    /// It travelled with another datagram.
-    Gossip,
-    /// It is part of another gateway's whole table.
-    MemberTable,
-}
-
 impl Membership {
     /// Records a datagram's sender, and returns whether it is in the table: a full table has no place for a new one.
     #[must_use]
@@ -71,7 +59,7 @@
 
     /// Makes room for one more member, if need be by evicting the longest dead that is not listed. Returns whether
     /// there is room.
-    fn ensure_capacity(&mut self) -> bool {
+    pub(super) fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.member_capacity() {
             return true;
         }
@@ -88,7 +76,7 @@
     }
 
     /// Adds a process that was not known before.
-    fn add_member(&mut self, instance_id: u64, mut new: Member) {
+    pub(super) fn add_member(&mut self, instance_id: u64, mut new: Member) {
         new.transmissions_left = self.retransmit_limit();
         let (name, address) = (new.name.clone(), new.address);
         // It has most often replaced a process of the same name, which is therefore suspected and probed at once.
@@ -108,80 +96,6 @@
         self.record_event(MembershipEvent::Joined { name, address });
     }
 
-    /// Applies a gossip update about this process or another.
-    pub(crate) fn apply_update(&mut self, update: &GossipUpdate, source: UpdateSource) {
-        let Some(state) = MemberState::from_wire(update.state) else { return };
-        if update.instance_id == self.identity.instance_id {
-            self.refute(state, update.incarnation);
-            return;
-        }
-        let transmissions = self.retransmit_limit();
-        if !self.members.contains_key(&update.instance_id) && !self.add_reported_member(update, state) {
-            return;
-        }
-        let suspicion_ends_at = self.now + self.suspicion_timeout();
-        let (now, lease) = (self.now, self.config.lease);
-        let Some(member) = self.members.get_mut(&update.instance_id) else { return };
-        // A member that was heard lately gets time to refute its death: two sides of a partition that heals each take
-        // the other for dead.
-        let last_heard_at = member.last_assertion_at().max(member.last_received_at);
-        let heard_lately = member.state == MemberState::Alive && now - last_heard_at < lease;
-        let refutable = source == UpdateSource::MemberTable || heard_lately;
-        let state = match state {
-            MemberState::Dead if refutable && member.state.is_present() => MemberState::Suspect,
-            state => state,
-        };
-        if !member.is_superseded_by(update.incarnation, state) {
-            return;
-        }
-        let former = member.state;
-        member.incarnation = update.incarnation;
-        match state {
-            MemberState::Suspect => member.enter_suspicion(now, suspicion_ends_at, transmissions),
-            state => member.enter(state, now, transmissions),
-        }
-        if let Some(address) = update.address.filter(|_| state == MemberState::Alive) {
-            member.address = address;
-        }
-        self.needs_review = true;
-        self.follow_up_state_change(update.instance_id, former, state);
-    }
-
-    /// Adds a member that a gossip update reports, and returns whether it did: nothing is kept of an unknown process
-    /// that is gone.
-    fn add_reported_member(&mut self, update: &GossipUpdate, state: MemberState) -> bool {
-        let (Some(name), Some(address)) = (&update.name, update.address) else { return false };
-        if !state.is_present() || !self.ensure_capacity() {
-            return false;
-        }
-        let new = Member::new(name.clone(), address, update.incarnation, self.now);
-        self.add_member(update.instance_id, new);
-        true
-    }
-
-    fn follow_up_state_change(&mut self, instance_id: u64, former: MemberState, state: MemberState) {
-        let Some(member) = self.members.get(&instance_id) else { return };
-        let (name, address) = (member.name.clone(), member.address);
-        // Some of the gateways that learn of a suspicion probe the suspect themselves, and the ping tells it: without
-        // them a suspect that nobody contacts would die for lack of a chance to refute.
-        if state == MemberState::Suspect
-            && self.rng.rand_float() * (self.members.len() as f64) < EXPECTED_DIRECT_PROBES
-        {
-            self.send_request(instance_id, address, kind::PING, 0);
-        }
-        match state {
-            MemberState::Suspect if former != MemberState::Suspect => {
-                self.record_event(MembershipEvent::Suspected { name });
-            }
-            MemberState::Dead => self.record_event(MembershipEvent::Died { name }),
-            MemberState::Left => self.record_event(MembershipEvent::Left { name }),
-            MemberState::Alive if !former.is_present() => {
-                self.record_event(MembershipEvent::Returned { name });
-            }
-            _ => {}
-        }
-    }
-
     /// Records that a member announced its departure.
     pub(crate) fn record_departure(&mut self, instance_id: u64) {
         let (now, transmissions) = (self.now, self.retransmit_limit());
