--- a/crates/membership/src/state/replay_window/tests.rs
+++ b/crates/membership/src/state/replay_window/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Overtaken letters are taken once each; what is older than the window can tell is not.
+/// Numbers that arrive out of order are accepted once each; those older than the window are not.
 #[test]
 fn a_sequence_number_is_accepted_once() {
     let mut window = ReplayWindow::default();
--- a/crates/membership/src/state/trailing_minimum.rs
+++ b/crates/membership/src/state/trailing_minimum.rs
@@ -55,3 +55,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -64,29 +64,29 @@
         datagram
     };
     vec![
-        ("ping", of(kind::PING, 9, &|l| l.updates = updates())),
-        ("ack", of(kind::ACK, 9, &|l| (l.subject, l.updates, l.assertions) = (10, updates(), assertions()))),
-        ("seek", of(kind::PING_REQUEST, 11, &|l| l.subject = 7)),
-        ("found", of(kind::INDIRECT_ACK, 11, &|l| (l.subject, l.assertions) = (7, assertions()))),
-        ("exchange", of(kind::DIGEST, 1, &|l| l.digest = u64::MAX - 1)),
-        ("table", of(kind::MEMBER_TABLE, 0, &|l| l.updates = updates())),
-        ("leave", of(kind::DEPARTURE, 0, &|_| {})),
-        ("tell", of(kind::ANNOUNCE, 0, &|l| l.updates = updates())),
-        ("ask", of(kind::STATUS_QUERY, 2, &|_| {})),
+        ("ping", of(kind::PING, 9, &|d| d.updates = updates())),
+        ("ack", of(kind::ACK, 9, &|d| (d.subject, d.updates, d.assertions) = (10, updates(), assertions()))),
+        ("ping request", of(kind::PING_REQUEST, 11, &|d| d.subject = 7)),
+        ("indirect ack", of(kind::INDIRECT_ACK, 11, &|d| (d.subject, d.assertions) = (7, assertions()))),
+        ("digest", of(kind::DIGEST, 1, &|d| d.digest = u64::MAX - 1)),
+        ("member table", of(kind::MEMBER_TABLE, 0, &|d| d.updates = updates())),
+        ("departure", of(kind::DEPARTURE, 0, &|_| {})),
+        ("announce", of(kind::ANNOUNCE, 0, &|d| d.updates = updates())),
+        ("status query", of(kind::STATUS_QUERY, 2, &|_| {})),
         (
-            "told",
-            of(kind::STATUS_REPLY, 2, &|l| {
-                l.page = Some(Page { index: 1, total: 3, bytes: vec![0, 1, 255] })
+            "status reply",
+            of(kind::STATUS_REPLY, 2, &|d| {
+                d.page = Some(Page { index: 1, total: 3, bytes: vec![0, 1, 255] })
             }),
         ),
-        ("thanks", of(kind::FINAL_ACK, 10, &|l| l.assertions = assertions())),
-        ("note", of(kind::PAYLOAD, 0, &|l| l.payload = Some(vec![1, 2, 3]))),
+        ("final ack", of(kind::FINAL_ACK, 10, &|d| d.assertions = assertions())),
+        ("payload", of(kind::PAYLOAD, 0, &|d| d.payload = Some(vec![1, 2, 3]))),
         (
             "every field",
-            of(200, 5, &|l| {
-                (l.subject, l.digest, l.updates, l.assertions) = (6, 7, updates(), assertions());
-                l.page = Some(Page { index: 0, total: 1, bytes: vec![9] });
-                l.payload = Some(vec![]);
+            of(200, 5, &|d| {
+                (d.subject, d.digest, d.updates, d.assertions) = (6, 7, updates(), assertions());
+                d.page = Some(Page { index: 0, total: 1, bytes: vec![9] });
+                d.payload = Some(vec![]);
             }),
         ),
     ]
@@ -123,7 +123,7 @@
     }
 }
 
-/// A fleet with lost datagrams, killed and restarted processes: every datagram that any of them sends.
+/// A cluster with lost datagrams, killed and restarted processes: every datagram that any of them sends.
 #[test]
 fn a_simulated_cluster_sends_the_same_datagrams_as_before() {
     let mut network =
@@ -144,16 +144,16 @@
 fn the_operator_view_keeps_its_json() {
     let mut membership =
         Membership::new(identity(1), MembershipConfig::default(), vec![address(2)], 5, 100.0);
-    let mut hello = Datagram::new(identity(2), 1, kind::PING, 4);
-    hello.sequence = 1;
-    membership.receive(100.5, hello);
+    let mut ping = Datagram::new(identity(2), 1, kind::PING, 4);
+    ping.sequence = 1;
+    membership.receive(100.5, ping);
     while let Some(sent) = membership.next_outgoing() {
         if sent.datagram.kind == kind::ACK {
-            let mut thanks = Datagram::new(identity(2), 1, kind::FINAL_ACK, sent.datagram.subject);
-            thanks.sequence = 2;
-            thanks.assertions =
+            let mut final_ack = Datagram::new(identity(2), 1, kind::FINAL_ACK, sent.datagram.subject);
+            final_ack.sequence = 2;
+            final_ack.assertions =
                 vec![Assertion { instance_id: 2, age: 0, endorsed: Some(1), listed: Some(2) }];
-            membership.receive(100.75, thanks);
+            membership.receive(100.75, final_ack);
         }
     }
     let view = serde_json::to_string(&membership.view(101.0)).expect("a view is JSON");
