--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -5,8 +5,8 @@
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
 use crate::sharing::Sharing;
-use milletpath_config::{GatewayConfig, MembershipConfig};
-use milletpath_dispatcher::dispatcher::QuotaFraction;
+use milletpath_config::{GatewayConfig, MembershipConfig as MembershipSettings};
+use milletpath_dispatcher::dispatcher::QuotaFraction as DispatcherQuota;
 use milletpath_membership::datagram::{self, Datagram, Identity, Key, MAX_DATAGRAM_BYTES, Page, kind};
 use milletpath_membership::{Membership, MembershipConfig, MembershipEvent, MembershipView, QuotaFraction};
 use milletpath_shared_budgets::{Seen, Tally};
@@ -55,7 +55,7 @@
 
 impl Link {
     /// Opens the socket that the charter states, and reads the key.
-    pub fn open(stated: &MembershipConfig, plant: Option<Plant>) -> io::Result<Self> {
+    pub fn open(stated: &MembershipSettings, plant: Option<Plant>) -> io::Result<Self> {
         let key = key_of(&stated.key)?;
         let socket = UdpSocket::bind(stated.listen)
             .map_err(|e| io::Error::new(e.kind(), format!("{} can't be listened on: {e}", stated.listen)))?;
@@ -122,7 +122,7 @@
     pub sharing: Tally,
 }
 
-fn identity(house: &GatewayConfig, stated: &MembershipConfig, at: SocketAddr) -> Identity {
+fn identity(house: &GatewayConfig, stated: &MembershipSettings, at: SocketAddr) -> Identity {
     // Drawn anew by each process from the system's chance, also where the charter fixes the seed of its decisions.
     let instance_id = RandomState::new().hash_one(std::process::id()).max(1);
     Identity {
@@ -134,7 +134,7 @@
     }
 }
 
-fn config(house: &GatewayConfig, stated: &MembershipConfig) -> MembershipConfig {
+fn config(house: &GatewayConfig, stated: &MembershipSettings) -> MembershipConfig {
     // Quotas are counted by the second, orders within their window.
     let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
     MembershipConfig {
@@ -151,7 +151,7 @@
     office: Arc<Office>,
     link: Link,
     /// What the desk was told last, and when.
-    told: Option<(f64, QuotaFraction)>,
+    told: Option<(f64, DispatcherQuota)>,
     /// When what is shared was last looked after.
     shared: f64,
     /// Questions of operators answered in this second.
@@ -255,16 +255,16 @@
         const AGAIN: f64 = 0.2;
         let now = self.office.now();
         let quota = self.membership.quota_fraction(now);
-        let mut share = QuotaFraction {
+        let mut share = DispatcherQuota {
             likely: quota.likely_gateways,
             part: [quota.fraction, quota.floor],
             until: quota.valid_until,
         };
         if self.link.plant == Some(Plant::LikelyCount) {
             let part = self.office.house.policy.routers as f64 / quota.likely_gateways;
-            share = QuotaFraction { likely: quota.likely_gateways, part: [part; 2], until: f64::INFINITY };
+            share = DispatcherQuota { likely: quota.likely_gateways, part: [part; 2], until: f64::INFINITY };
         }
-        let same = |(at, told): (f64, QuotaFraction)| {
+        let same = |(at, told): (f64, DispatcherQuota)| {
             (told.likely, told.part) == (share.likely, share.part)
                 && (told.until == share.until || now - at < AGAIN && told.until <= share.until)
         };
