--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -4,7 +4,7 @@
 
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::Dispatcher;
-use milletpath_membership::Parts;
+use milletpath_membership::QuotaFraction;
 use milletpath_policy::host::Budget;
 use milletpath_shared_budgets::{
     BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, SharedBudgets, SlotAdjustment,
@@ -106,9 +106,9 @@
     }
 
     /// Does what is due, with what is one's own by the count and those who can be asked.
-    pub fn turn<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, parts: &Parts, others: Vec<u64>) {
+    pub fn turn<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, quota: &QuotaFraction, others: Vec<u64>) {
         self.follow(desk, now);
-        let Parts { part, floor, until, .. } = *parts;
+        let QuotaFraction { fraction: part, floor, valid_until: until, .. } = *quota;
         self.shares.set_entitlement(
             now,
             Entitlement { fraction: part, floor_fraction: floor, valid_until: until },
--- /dev/null
+++ b/crates/membership/src/state/replay_window/tests.rs
@@ -0,0 +1,11 @@
+use super::*;
+
+/// Numbers that arrive out of order are accepted once each; those older than the window are not.
+#[test]
+fn a_sequence_number_is_accepted_once() {
+    let mut window = ReplayWindow::default();
+    assert!(window.accept(5) && window.accept(3) && window.accept(4));
+    assert!(!window.accept(5) && !window.accept(3));
+    assert!(window.accept(300) && !window.accept(300) && !window.accept(4) && !window.accept(100));
+    assert!(window.accept(173) && !window.accept(173) && !window.accept(172));
+}
--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -9,7 +9,7 @@
 //!   return only once all that was used of them has ended, or when the borrower states that it uses no more than it holds.
 //!
 //! So at every moment what all gateways may use is at most the sum of what they are entitled to, whatever is lost, late or
-//! repeated, and whoever is paused or killed. That sum is proven elsewhere (`Parts` of `milletpath-membership`).
+//! repeated, and whoever is paused or killed. That sum is proven elsewhere (`QuotaFraction` of `milletpath-membership`).
 
 mod granted;
 mod held;
@@ -22,10 +22,10 @@
 use crate::process_id::ProcessId;
 use granted::GrantedLeases;
 use held::HeldLeases;
-use milletpath_membership::DRIFT;
+use milletpath_membership::MAX_CLOCK_DRIFT;
 
 /// The factor by which the lender's wait is longer, so that it outlasts the borrower's on a clock that runs slower.
-const CLOCK_MARGIN: f64 = 1.0 + 3.0 * DRIFT;
+const CLOCK_MARGIN: f64 = 1.0 + 3.0 * MAX_CLOCK_DRIFT;
 
 /// The fraction of its quota that a gateway never leases: what a process has that starts while leases of its predecessor
 /// still run, and what it always has at once. Small, as what nobody needs of it is lost to the others.
