--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -17,8 +17,6 @@
 
 /// Calls that may be open on one connection.
 const OPEN: usize = 32;
-/// Connections that may queue at the listener, as the gateway listens.
-const QUEUE: usize = 1024;
 /// Bytes of answers that wait for a slow reader: some of the usual size, and small against the least memory granted.
 const WAITING: usize = 128 << 10;
 /// Seconds for which a look at what a client has said or whether it has closed holds, before a shot of its begins: a
@@ -65,28 +63,6 @@
     }
 }
 
-pub async fn accept(station: Shared, listener: Rc<TcpListener>) {
-    /// Pause after a failure to accept: for want of descriptors it would fail again at once.
-    const PAUSE: Duration = Duration::from_millis(20);
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                {
-                    let mut s = station.borrow_mut();
-                    s.welcome(stream);
-                    s.carry_out();
-                }
-                // Who made room for it lets go of its descriptor first, before another is taken.
-                tokio::task::yield_now().await;
-            }
-            Err(e) => {
-                tracing::warn!("a connection could not be taken in: {e}");
-                tokio::time::sleep(PAUSE).await;
-            }
-        }
-    }
-}
-
 async fn attend(station: Shared, key: usize, stream: Rc<TcpStream>, wake: Rc<Notify>) {
     loop {
         let (reads, writes) = {
@@ -105,42 +81,6 @@
 }
 
 impl Station {
-    fn welcome(&mut self, stream: TcpStream) {
-        if self.clients.len() >= self.keeping.clients {
-            let now = self.now();
-            let all = self.clients.iter().filter(|(_, c)| c.open.is_empty());
-            let all = all.map(|(k, c)| (k, c.said, now - c.used()));
-            let leaves = self.keeping.evict(all).find(|key| self.clients[*key].quiet());
-            match leaves {
-                Some(key) => self.part(key, "room for another"),
-                // All are owed answers: this one is closed, which promises nothing and owes nothing.
-                None => return,
-            }
-        }
-        let _ = stream.set_nodelay(true);
-        self.serial += 1;
-        let (stream, wake) = (Rc::new(stream), Rc::new(Notify::new()));
-        let client = Client {
-            serial: self.serial,
-            stream: stream.clone(),
-            wake: wake.clone(),
-            rest: Vec::new(),
-            out: Outbox::default(),
-            holds: self.room.holds(0),
-            open: Vec::new(),
-            numbers: Numbers::default(),
-            said: false,
-            since: self.now(),
-            heard: f64::NEG_INFINITY,
-            looked: f64::NEG_INFINITY,
-            condemned: false,
-        };
-        let key = self.clients.insert(client);
-        if let Some(station) = self.me.upgrade() {
-            spawn_local(attend(station, key, stream, wake));
-        }
-    }
-
     /// Ends a connection; what its client still waited for is called off.
     fn part(&mut self, key: usize, why: &str) {
         let Some(client) = self.clients.try_remove(key) else { return };
@@ -431,33 +371,14 @@
         over.into_iter().for_each(|key| self.part(key, "silent for too long"));
     }
 
-    /// Takes in all that has come and is not read yet, and tells whether there was nothing of the kind: no connection,
-    /// no bytes, and no line that has begun.
-    pub fn nobody_waits(&mut self, listener: &TcpListener) -> bool {
-        let mut waits = false;
-        // One that fails is nobody's. No more than may queue at the listener: a flood comes to its end elsewhere.
-        for (socket, _) in (0..QUEUE).map_while(|_| SockRef::from(listener).accept().ok()) {
-            let stream = socket.set_nonblocking(true).and_then(|()| TcpStream::from_std(socket.into()));
-            if let Ok(stream) = stream {
-                waits = true;
-                self.welcome(stream);
-            }
-        }
-        let unread: Vec<_> =
-            self.clients.iter().filter(|(_, c)| !c.condemned && !c.quiet()).map(|(k, _)| k).collect();
-        for key in unread {
-            waits = true;
-            self.client_reads(key);
-        }
-        self.carry_out();
-        !waits && self.owed() == 0 && self.clients.iter().all(|(_, c)| c.condemned || c.rest.is_empty())
-    }
-
     /// Answers that are owed or not written yet.
     pub fn owed(&self) -> usize {
         self.desk.open() + self.clients.iter().filter(|(_, c)| c.out.left() > 0).count()
     }
 }
 
+mod accept;
+pub use accept::accept;
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/platform-router/src/door/accept.rs
@@ -0,0 +1,173 @@
+//! Connections of clients are accepted: within the bound on them, past failures of `accept` that pass.
+
+use super::{Client, attend};
+use crate::numbers::Numbers;
+use crate::outbox::Outbox;
+use crate::station::{Shared, Station};
+use nix::errno::Errno;
+use socket2::{SockRef, Socket};
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+use tokio::task::spawn_local;
+
+/// Connections that may queue at the listener, as the gateway listens.
+const QUEUE: usize = 1024;
+/// Pause before the next attempt where a connection can't be accepted yet: for want of descriptors it would fail again
+/// at once.
+const PAUSE: Duration = Duration::from_millis(20);
+/// Transient failures in a row after which there is a pause as well: an error that stays must not spin.
+const TRANSIENT: u32 = 16;
+
+/// Why a connection was not accepted.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum AcceptFailure {
+    /// No connection waits.
+    QueueEmpty,
+    /// The connection ended before it was accepted, or the call was interrupted: others may wait behind it.
+    Transient,
+    /// The system has no room for it, and it still waits.
+    NoResources,
+}
+
+impl AcceptFailure {
+    fn of(error: &io::Error) -> Self {
+        match error.raw_os_error().map(Errno::from_raw) {
+            Some(Errno::EAGAIN) => Self::QueueEmpty,
+            // Linux passes errors that are pending on the new connection on as those of `accept`.
+            Some(
+                Errno::EINTR
+                | Errno::ECONNABORTED
+                | Errno::ECONNRESET
+                | Errno::EPERM
+                | Errno::EPROTO
+                | Errno::ENOPROTOOPT
+                | Errno::EOPNOTSUPP
+                | Errno::ENETDOWN
+                | Errno::ENETUNREACH
+                | Errno::EHOSTDOWN
+                | Errno::EHOSTUNREACH
+                | Errno::ENONET
+                | Errno::ETIMEDOUT,
+            ) => Self::Transient,
+            _ => Self::NoResources,
+        }
+    }
+}
+
+/// What was found in the queue of the listener.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Drained {
+    /// Connections that were taken in.
+    pub accepted: usize,
+    /// Whether nothing is left there.
+    pub empty: bool,
+}
+
+/// Accepts connections for as long as the router runs.
+pub async fn accept(station: Shared, listener: Rc<TcpListener>) {
+    let mut failures = 0;
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                failures = 0;
+                {
+                    let mut s = station.borrow_mut();
+                    s.welcome(stream);
+                    s.carry_out();
+                }
+                // Who made room for it lets go of its descriptor first, before another is taken.
+                tokio::task::yield_now().await;
+            }
+            Err(e) => {
+                tracing::warn!("a connection could not be accepted: {e}");
+                failures += 1;
+                if AcceptFailure::of(&e) == AcceptFailure::Transient && failures < TRANSIENT {
+                    tokio::task::yield_now().await;
+                } else {
+                    tokio::time::sleep(PAUSE).await;
+                }
+            }
+        }
+    }
+}
+
+impl Station {
+    pub(super) fn welcome(&mut self, stream: TcpStream) {
+        if self.clients.len() >= self.keeping.clients {
+            let now = self.now();
+            let all = self.clients.iter().filter(|(_, c)| c.open.is_empty());
+            let all = all.map(|(k, c)| (k, c.said, now - c.used()));
+            let leaves = self.keeping.evict(all).find(|key| self.clients[*key].quiet());
+            match leaves {
+                Some(key) => self.part(key, "room for another"),
+                // All are owed answers: this one is closed, which promises nothing and owes nothing.
+                None => return,
+            }
+        }
+        let _ = stream.set_nodelay(true);
+        self.serial += 1;
+        let (stream, wake) = (Rc::new(stream), Rc::new(Notify::new()));
+        let client = Client {
+            serial: self.serial,
+            stream: stream.clone(),
+            wake: wake.clone(),
+            rest: Vec::new(),
+            out: Outbox::default(),
+            holds: self.room.holds(0),
+            open: Vec::new(),
+            numbers: Numbers::default(),
+            said: false,
+            since: self.now(),
+            heard: f64::NEG_INFINITY,
+            looked: f64::NEG_INFINITY,
+            condemned: false,
+        };
+        let key = self.clients.insert(client);
+        if let Some(station) = self.me.upgrade() {
+            spawn_local(attend(station, key, stream, wake));
+        }
+    }
+
+    /// Takes in what queues at the listener, without waiting: no more than may queue there at once.
+    fn drain_queue(&mut self, mut next: impl FnMut() -> io::Result<Socket>) -> Drained {
+        let mut accepted = 0;
+        for _ in 0..QUEUE {
+            let stream = next().and_then(|socket| {
+                socket.set_nonblocking(true)?;
+                TcpStream::from_std(socket.into())
+            });
+            match stream.map_err(|e| AcceptFailure::of(&e)) {
+                Ok(stream) => {
+                    accepted += 1;
+                    self.welcome(stream);
+                }
+                Err(AcceptFailure::Transient) => {}
+                Err(failure) => {
+                    return Drained { accepted, empty: failure == AcceptFailure::QueueEmpty };
+                }
+            }
+        }
+        Drained { accepted, empty: false }
+    }
+
+    /// Takes in all that has come and is not read yet, and tells whether there was nothing of the kind: no connection,
+    /// no bytes, and no line that has begun.
+    pub fn nobody_waits(&mut self, listener: &TcpListener) -> bool {
+        let drained = self.drain_queue(|| SockRef::from(listener).accept().map(|(socket, _)| socket));
+        let mut waits = drained.accepted > 0 || !drained.empty;
+        let unread: Vec<_> =
+            self.clients.iter().filter(|(_, c)| !c.condemned && !c.quiet()).map(|(k, _)| k).collect();
+        for key in unread {
+            waits = true;
+            self.client_reads(key);
+        }
+        self.carry_out();
+        !waits && self.owed() == 0 && self.clients.iter().all(|(_, c)| c.condemned || c.rest.is_empty())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform-router/src/door/accept/tests.rs
@@ -0,0 +1,60 @@
+use super::*;
+use crate::station::tests::{listed, with};
+use std::collections::VecDeque;
+use test_case::test_case;
+
+/// A connection of a client, as `accept` gives it.
+fn connection() -> (std::net::TcpStream, Socket) {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (client, listener.accept().unwrap().0.into())
+}
+
+fn error(errno: Errno) -> io::Result<Socket> {
+    Err(io::Error::from_raw_os_error(errno as i32))
+}
+
+/// A connection was aborted in the queue, and the one behind it was left unread at the exit.
+#[test_case(Errno::ECONNABORTED)]
+#[test_case(Errno::EINTR)]
+#[test_case(Errno::EPROTO)]
+#[test_case(Errno::ENETUNREACH)]
+#[test_case(Errno::EHOSTUNREACH)]
+#[test_case(Errno::ETIMEDOUT)]
+fn what_queues_behind_a_failed_accept_is_taken_in(errno: Errno) {
+    with(async move {
+        let station = listed(&[]);
+        let (_client, socket) = connection();
+        let mut results = VecDeque::from([error(errno), Ok(socket), error(errno)]);
+        let next = || results.pop_front().unwrap_or_else(|| error(Errno::EAGAIN));
+        let drained = station.borrow_mut().drain_queue(next);
+        assert_eq!((drained, results.len()), (Drained { accepted: 1, empty: true }, 0));
+    });
+}
+
+/// Where the system has no room for a connection it still queues: the queue does not count as empty.
+#[test_case(Errno::EMFILE)]
+#[test_case(Errno::ENFILE)]
+#[test_case(Errno::ENOBUFS)]
+#[test_case(Errno::ENOMEM)]
+fn a_queue_that_can_not_be_accepted_is_not_empty(errno: Errno) {
+    with(async move {
+        let station = listed(&[]);
+        let drained = station.borrow_mut().drain_queue(|| error(errno));
+        assert_eq!(drained, Drained { accepted: 0, empty: false });
+    });
+}
+
+/// An error that never passes ends the attempt within a bound.
+#[test]
+fn a_queue_that_fails_for_ever_is_given_up_for_the_moment() {
+    with(async {
+        let station = listed(&[]);
+        let mut attempts = 0;
+        let drained = station.borrow_mut().drain_queue(|| {
+            attempts += 1;
+            error(Errno::ECONNABORTED)
+        });
+        assert_eq!((drained, attempts), (Drained { accepted: 0, empty: false }, QUEUE));
+    });
+}
