--- a/crates/milletpath/tests/platform.rs
+++ b/crates/milletpath/tests/platform.rs
@@ -2,6 +2,8 @@
 
 #[path = "platform/crossings.rs"]
 mod crossings;
+#[path = "platform/crowded.rs"]
+mod crowded;
 #[path = "platform/held.rs"]
 mod held;
 #[path = "platform/standing.rs"]
@@ -13,7 +15,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 use test_case::test_case;
-use town::{Client, DONE, Router, bulletin, call, event, frame, probe, wait, well, worker};
+use town::{Client, DONE, Router, bulletin, call, event, frame, hangs, probe, wait, well, worker};
 
 #[test]
 fn a_calm_run_is_handled_and_bears_the_calls_own_ids() {
@@ -171,8 +173,6 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains(why));
 }
 
-fn hangs(_: usize, _: u64, _: &mut TcpStream) {}
-
 /// Workers take calls and answer none: each call gets its one answer all the same, and no promise but to try again.
 #[test]
 fn workers_that_hang() {
--- a/crates/milletpath/tests/platform/crossings.rs
+++ b/crates/milletpath/tests/platform/crossings.rs
@@ -2,9 +2,8 @@
 //! is to cross lies there. Those that held before are marked in the table of `docs/design/platform.md`; the others were seen
 //! to fail without what they tell of.
 
-use crate::hangs;
 use crate::held::Held;
-use crate::town::{Client, DONE, Router, bulletin, call, event, file, probe, wait, well, worker};
+use crate::town::{Client, DONE, Router, bulletin, call, event, file, hangs, probe, wait, well, worker};
 use nix::sys::signal::Signal;
 use std::io::{Read, Write};
 use std::net::TcpListener;
--- a/crates/milletpath/tests/platform/standing.rs
+++ b/crates/milletpath/tests/platform/standing.rs
@@ -3,9 +3,8 @@
 //! that sit idle.
 
 use crate::crossings::{effectful, told_later};
-use crate::hangs;
 use crate::held::{Held, Wire};
-use crate::town::{Client, DONE, Router, bulletin, call, event, file, probe, wait, well, worker};
+use crate::town::{Client, DONE, Router, bulletin, call, event, file, hangs, probe, wait, well, worker};
 use nix::sys::signal::Signal;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/milletpath/tests/town/mod.rs
+++ b/crates/milletpath/tests/town/mod.rs
@@ -19,6 +19,9 @@
     let _ = to.write_all(&frame(200, id, "use=q:0;x1:0;x0:0.1", b"done"));
 }
 
+/// Takes requests and answers none.
+pub fn hangs(_: usize, _: u64, _: &mut TcpStream) {}
+
 /// Codes and ids of the frames that a worker got.
 pub type Seen = Arc<Mutex<Vec<(u8, u64)>>>;
 
@@ -237,6 +240,11 @@
         line
     }
 
+    /// Whether the connection ends with nothing more, by a close and not by a reset.
+    pub fn ended_well(&mut self) -> bool {
+        matches!(self.stream.read(&mut [0]), Ok(0))
+    }
+
     pub fn ask(&mut self, number: u64, id: u64) -> String {
         self.say(&call(number, id));
         self.hear()
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -8,12 +8,9 @@
 use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
 use milletpath_platform_protocol::lines::{self, Ask, Said};
 use milletpath_protocol::Fault;
-use socket2::SockRef;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::task::spawn_local;
 
 /// Calls that may be open on one connection.
 const OPEN: usize = 32;
@@ -45,6 +42,10 @@
     looked: f64,
     /// It said what can't be used: it gets what is written and is closed.
     condemned: bool,
+    /// It was accepted where all others were owed answers: its calls are rejected for as long as that holds.
+    overflow: bool,
+    /// When its sending direction was shut down: nothing more is answered, what still comes is read and dropped.
+    finished: Option<f64>,
 }
 
 impl Client {
@@ -114,10 +115,15 @@
         if client.condemned {
             return;
         }
+        let (finished, overflow) = (client.finished.is_some(), client.overflow);
         self.read(&stream, |station, read| match read {
+            Ok(_) if finished => {}
             Ok(bytes) => station.hear(key, bytes),
             Err(why) => station.part(key, &why),
         });
+        if overflow {
+            self.finish_if_idle(key, now);
+        }
     }
 
     /// Whether a shot of a call may begin as far as its client goes: what that one says is read in its turn, and after
@@ -256,6 +262,13 @@
 
     fn ask(&mut self, key: usize, ask: Ask) {
         let now = self.now();
+        let crowded = self.clients.len() > self.keeping.clients;
+        if let Some(client) = self.clients.get_mut(key).filter(|c| c.overflow) {
+            if crowded {
+                return self.turn_away(key, ask.number);
+            }
+            client.overflow = false;
+        }
         let Ask { number, id, profile, client, function, patience, repeat, mark, memory, lanes, load, body } =
             ask;
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
@@ -369,6 +382,7 @@
         };
         let over: Vec<_> = self.clients.iter().filter(|(_, c)| over(c)).map(|(key, _)| key).collect();
         over.into_iter().for_each(|key| self.part(key, "silent for too long"));
+        self.close_finished(now);
     }
 
     /// Answers that are owed or not written yet.
@@ -378,6 +392,7 @@
 }
 
 mod accept;
+mod finish;
 pub use accept::accept;
 
 #[cfg(test)]
--- a/crates/platform-router/src/door/accept.rs
+++ b/crates/platform-router/src/door/accept.rs
@@ -18,6 +18,11 @@
 /// Pause before the next attempt where a connection can't be accepted yet: for want of descriptors it would fail again
 /// at once.
 const PAUSE: Duration = Duration::from_millis(20);
+/// Connections beside the bound, where all others are owed answers: they take their descriptors from the reserve.
+const OVERFLOW: usize = 8;
+/// Seconds for which one of these that says nothing is kept where another waits: its client sends a call that crosses
+/// the close within this time once more.
+const CROSSING: f64 = 0.05;
 /// Transient failures in a row after which there is a pause as well: an error that stays must not spin.
 const TRANSIENT: u32 = 16;
 
@@ -73,11 +78,11 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 failures = 0;
-                {
-                    let mut s = station.borrow_mut();
-                    s.welcome(stream);
-                    s.carry_out();
+                station.borrow_mut().parked = Some(stream);
+                while !station.borrow_mut().admit_parked() {
+                    tokio::time::sleep(PAUSE).await;
                 }
+                station.borrow_mut().carry_out();
                 // Who made room for it lets go of its descriptor first, before another is taken.
                 tokio::task::yield_now().await;
             }
@@ -94,19 +99,59 @@
     }
 }
 
+/// The place of a new connection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Place {
+    Regular,
+    /// Beside those that are all owed answers: its calls are rejected until there is room.
+    Overflow,
+}
+
 impl Station {
-    pub(super) fn welcome(&mut self, stream: TcpStream) {
-        if self.clients.len() >= self.keeping.clients {
-            let now = self.now();
-            let all = self.clients.iter().filter(|(_, c)| c.open.is_empty());
-            let all = all.map(|(k, c)| (k, c.said, now - c.used()));
-            let leaves = self.keeping.evict(all).find(|key| self.clients[*key].quiet());
-            match leaves {
-                Some(key) => self.part(key, "room for another"),
-                // All are owed answers: this one is closed, which promises nothing and owes nothing.
-                None => return,
-            }
+    /// Finds a place for one more connection, where need be by closing another that is owed nothing and has nothing
+    /// unread. None where there is none: the connection waits, and what is written on it.
+    fn make_room(&mut self) -> Option<Place> {
+        if self.clients.len() < self.keeping.clients {
+            return Some(Place::Regular);
+        }
+        let now = self.now();
+        let regular = self.clients.iter().filter(|(_, c)| c.open.is_empty() && !c.overflow);
+        let regular = regular.map(|(key, c)| (key, c.said, now - c.used()));
+        let idle = self.keeping.evict(regular).find(|key| self.clients[*key].quiet());
+        if let Some(key) = idle {
+            self.part(key, "room for another");
+            return Some(Place::Regular);
+        }
+        if self.clients.len() < self.keeping.clients + OVERFLOW {
+            return Some(Place::Overflow);
+        }
+        let spent = |c: &Client| {
+            let silent = c.open.is_empty() && c.rest.is_empty() && now - c.used() >= CROSSING && c.quiet();
+            c.overflow && (c.finished.is_some() || silent)
+        };
+        let (key, _) = self.clients.iter().find(|(_, c)| spent(c))?;
+        self.part(key, "room for another beside the bound");
+        Some(Place::Overflow)
+    }
+
+    /// Takes in the connection that waits for a place; false where it goes on waiting.
+    fn admit_parked(&mut self) -> bool {
+        let Some(stream) = self.parked.take() else { return true };
+        let place = self.make_room();
+        match place {
+            Some(place) => self.welcome(stream, place),
+            None => self.parked = Some(stream),
         }
+        place.is_some()
+    }
+
+    /// Takes in a connection that was accepted; false where it waits for a place.
+    pub(super) fn admit(&mut self, stream: TcpStream) -> bool {
+        self.parked = Some(stream);
+        self.admit_parked()
+    }
+
+    fn welcome(&mut self, stream: TcpStream, place: Place) {
         let _ = stream.set_nodelay(true);
         self.serial += 1;
         let (stream, wake) = (Rc::new(stream), Rc::new(Notify::new()));
@@ -124,6 +169,8 @@
             heard: f64::NEG_INFINITY,
             looked: f64::NEG_INFINITY,
             condemned: false,
+            overflow: place == Place::Overflow,
+            finished: None,
         };
         let key = self.clients.insert(client);
         if let Some(station) = self.me.upgrade() {
@@ -134,6 +181,9 @@
     /// Takes in what queues at the listener, without waiting: no more than may queue there at once.
     fn drain_queue(&mut self, mut next: impl FnMut() -> io::Result<Socket>) -> Drained {
         let mut accepted = 0;
+        if !self.admit_parked() {
+            return Drained { accepted, empty: false };
+        }
         for _ in 0..QUEUE {
             let stream = next().and_then(|socket| {
                 socket.set_nonblocking(true)?;
@@ -142,7 +192,9 @@
             match stream.map_err(|e| AcceptFailure::of(&e)) {
                 Ok(stream) => {
                     accepted += 1;
-                    self.welcome(stream);
+                    if !self.admit(stream) {
+                        return Drained { accepted, empty: false };
+                    }
                 }
                 Err(AcceptFailure::Transient) => {}
                 Err(failure) => {
--- a/crates/platform-router/src/door/tests.rs
+++ b/crates/platform-router/src/door/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
 use crate::station::tests::{listed, with};
+use socket2::SockRef;
 use std::io::Write;
+use std::time::Duration;
 use test_case::test_case;
+use tokio::net::TcpListener;
 
 /// A client that has come in, and its place.
 async fn comes_in(station: &Shared) -> (std::net::TcpStream, usize) {
@@ -10,7 +13,7 @@
     client.set_nodelay(true).unwrap();
     let (stream, _) = listener.accept().await.unwrap();
     let mut s = station.borrow_mut();
-    s.welcome(stream);
+    assert!(s.admit(stream));
     let serial = s.serial;
     let key = s.clients.iter().find(|(_, c)| c.serial == serial).unwrap().0;
     (client, key)
@@ -129,7 +132,7 @@
         SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
         while stream.try_write(&[b' '; 1 << 10]).is_ok() {}
         let station = listed(&[]);
-        station.borrow_mut().welcome(stream);
+        assert!(station.borrow_mut().admit(stream));
         bad.write_all(b"{\n").unwrap();
         let first = |s: &Station| s.clients.iter().map(|(key, c)| (key, c.stream.clone())).next();
         let (key, stream) = first(&station.borrow()).unwrap();
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -55,6 +55,8 @@
     pub profiles: Vec<String>,
     pub groups: Vec<String>,
     pub clients: Slab<Client>,
+    /// A connection that was accepted and waits for a place among them.
+    pub parked: Option<TcpStream>,
     pub links: Slab<Link>,
     /// The links to each worker.
     pub reach: BTreeMap<usize, Vec<usize>>,
@@ -94,6 +96,7 @@
                 profiles: house.profiles.iter().map(|p| p.name.clone()).collect(),
                 groups: house.clients.clone(),
                 clients: Slab::new(),
+                parked: None,
                 links: Slab::new(),
                 reach: BTreeMap::new(),
                 ids: BTreeSet::new(),
