--- a/crates/milletpath/tests/platform.rs
+++ b/crates/milletpath/tests/platform.rs
@@ -6,6 +6,8 @@
 mod crowded;
 #[path = "platform/held.rs"]
 mod held;
+#[path = "platform/shutdown.rs"]
+mod shutdown;
 #[path = "platform/standing.rs"]
 mod standing;
 mod town;
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -206,7 +206,7 @@
                 Said::Call(ask) => self.ask(key, *ask),
                 Said::GiveUp { id, number } => self.give_up(key, id, number),
                 Said::Probe { number } => {
-                    let fit = self.desk.listed() && !self.leave.begun();
+                    let fit = self.desk.listed() && !self.shutdown.begun();
                     if let Some(client) = self.clients.get_mut(key) {
                         lines::fit(&mut client.out.bytes, number, fit);
                         self.client_writes(key);
@@ -262,6 +262,9 @@
 
     fn ask(&mut self, key: usize, ask: Ask) {
         let now = self.now();
+        if self.shutdown.rejects(now) {
+            return self.turn_away(key, ask.number);
+        }
         let crowded = self.clients.len() > self.keeping.clients;
         if let Some(client) = self.clients.get_mut(key).filter(|c| c.overflow) {
             if crowded {
@@ -277,7 +280,7 @@
             function: &function,
             profile,
             client: place(&self.groups, &client),
-            patience: (patience - MARGIN).max(0.0),
+            patience: (patience - MARGIN).max(0.0).min(self.shutdown.time_to_answer(now)),
             repeat,
             instance: Some((lanes, memory, load)),
         };
@@ -384,16 +387,13 @@
         over.into_iter().for_each(|key| self.part(key, "silent for too long"));
         self.close_finished(now);
     }
-
-    /// Answers that are owed or not written yet.
-    pub fn owed(&self) -> usize {
-        self.desk.open() + self.clients.iter().filter(|(_, c)| c.out.left() > 0).count()
-    }
 }
 
 mod accept;
+mod drain;
 mod finish;
-pub use accept::accept;
+use accept::accept;
+pub use drain::Entrance;
 
 #[cfg(test)]
 mod tests;
--- a/crates/platform-router/src/door/accept.rs
+++ b/crates/platform-router/src/door/accept.rs
@@ -5,7 +5,7 @@
 use crate::outbox::Outbox;
 use crate::station::{Shared, Station};
 use nix::errno::Errno;
-use socket2::{SockRef, Socket};
+use socket2::Socket;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -179,7 +179,7 @@
     }
 
     /// Takes in what queues at the listener, without waiting: no more than may queue there at once.
-    fn drain_queue(&mut self, mut next: impl FnMut() -> io::Result<Socket>) -> Drained {
+    pub(super) fn drain_queue(&mut self, mut next: impl FnMut() -> io::Result<Socket>) -> Drained {
         let mut accepted = 0;
         if !self.admit_parked() {
             return Drained { accepted, empty: false };
@@ -204,21 +204,6 @@
         }
         Drained { accepted, empty: false }
     }
-
-    /// Takes in all that has come and is not read yet, and tells whether there was nothing of the kind: no connection,
-    /// no bytes, and no line that has begun.
-    pub fn nobody_waits(&mut self, listener: &TcpListener) -> bool {
-        let drained = self.drain_queue(|| SockRef::from(listener).accept().map(|(socket, _)| socket));
-        let mut waits = drained.accepted > 0 || !drained.empty;
-        let unread: Vec<_> =
-            self.clients.iter().filter(|(_, c)| !c.condemned && !c.quiet()).map(|(k, _)| k).collect();
-        for key in unread {
-            waits = true;
-            self.client_reads(key);
-        }
-        self.carry_out();
-        !waits && self.owed() == 0 && self.clients.iter().all(|(_, c)| c.condemned || c.rest.is_empty())
-    }
 }
 
 #[cfg(test)]
--- a/crates/platform-router/src/door/finish.rs
+++ b/crates/platform-router/src/door/finish.rs
@@ -9,6 +9,8 @@
 
 /// Seconds for which a connection that was shut down is read on, for a client that does not close it.
 const LINGER: f64 = 0.1;
+/// Seconds that a connection has for its first call when a router that shuts down closes it.
+const FIRST_CALL: f64 = 0.1;
 
 impl Client {
     /// Whether nothing is owed on this connection: no call is open, no line has begun, no answer waits to be written.
@@ -18,11 +20,11 @@
 }
 
 impl Station {
-    /// Shuts the sending direction of a connection down if it is idle and was of use.
+    /// Shuts the sending direction of a connection down if it is idle and its first call has come, or had the time to.
     pub(super) fn finish_if_idle(&mut self, key: usize, now: f64) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        if client.finished.is_some() || client.condemned || !client.said || !client.idle() || !client.quiet()
-        {
+        let called = client.said || self.shutdown.admission_closed() && now - client.since >= FIRST_CALL;
+        if client.finished.is_some() || client.condemned || !called || !client.idle() || !client.quiet() {
             return;
         }
         client.finished = Some(now);
--- /dev/null
+++ b/crates/platform-router/src/shutdown.rs
@@ -0,0 +1,125 @@
+//! The times of a graceful shutdown, by the earliest SIGKILL. Free of I/O.
+//!
+//! After SIGTERM the platform still opens connections and sends calls: they are admitted. Past that each call is
+//! rejected at once, each connection is closed when nothing is open on it, and what is still in flight shortly before
+//! the earliest SIGKILL is answered by what is known of it then.
+
+use std::cell::Cell;
+
+/// Seconds for which clients may still come after SIGTERM: the platform sends no more after 0.6 s, and a busy machine
+/// delivers and reads them a little late.
+const ADMISSION: f64 = 0.75;
+/// SIGKILL comes no sooner than this many seconds past the longest deadline after SIGTERM.
+const KILL_DELAY: f64 = 0.7;
+/// The most seconds that a deadline counts for there.
+const LONGEST_COUNTED: f64 = 3.0;
+/// Seconds before the earliest SIGKILL at which every call has its final answer: what a busy machine takes to write
+/// them and to close the connections of all clients.
+const ANSWER_MARGIN: f64 = 0.15;
+/// Seconds before the earliest SIGKILL at which the process exits whatever its clients do.
+const EXIT_MARGIN: f64 = 0.03;
+
+/// Seconds without a sign of life that tell a standstill: an idle process looks after its connections five times a
+/// second.
+const STANDSTILL: f64 = 0.25;
+/// Seconds after a standstill in which a signal may be one that came amid it.
+const RECENT: f64 = 0.1;
+
+#[derive(Clone, Copy, Debug)]
+struct Schedule {
+    admit_until: f64,
+    answer_by: f64,
+    exit_by: f64,
+}
+
+/// Where a process stands between SIGTERM and its exit.
+#[derive(Debug)]
+pub struct Shutdown {
+    longest_deadline: f64,
+    schedule: Option<Schedule>,
+    admission_closed: bool,
+}
+
+impl Shutdown {
+    /// Of a process whose calls have at most this many seconds.
+    pub fn new(longest_deadline: f64) -> Self {
+        Self { longest_deadline, schedule: None, admission_closed: false }
+    }
+
+    /// SIGTERM was read at `now` and may have come as early as `earliest`. Another one changes nothing.
+    pub fn begin(&mut self, now: f64, earliest: f64) {
+        let kill = earliest + self.longest_deadline.min(LONGEST_COUNTED) + KILL_DELAY;
+        let answer_by = kill - ANSWER_MARGIN;
+        self.schedule.get_or_insert(Schedule {
+            admit_until: (now + ADMISSION).min(answer_by),
+            answer_by,
+            exit_by: kill - EXIT_MARGIN,
+        });
+    }
+
+    pub fn begun(&self) -> bool {
+        self.schedule.is_some()
+    }
+
+    /// Whether the time is over in which clients may still come. What came in it and is not read yet is read and
+    /// admitted before the admission is closed.
+    pub fn admission_over(&self, now: f64) -> bool {
+        self.schedule.is_some_and(|s| now >= s.admit_until)
+    }
+
+    pub fn close_admission(&mut self) {
+        self.admission_closed = true;
+    }
+
+    pub fn admission_closed(&self) -> bool {
+        self.admission_closed
+    }
+
+    /// Whether a call that is read now is rejected.
+    pub fn rejects(&self, now: f64) -> bool {
+        self.admission_closed || self.answers_due(now)
+    }
+
+    /// Whether everything in flight has to be answered now.
+    pub fn answers_due(&self, now: f64) -> bool {
+        self.schedule.is_some_and(|s| now >= s.answer_by)
+    }
+
+    /// Whether the process has to exit now.
+    pub fn exit_due(&self, now: f64) -> bool {
+        self.schedule.is_some_and(|s| now >= s.exit_by)
+    }
+
+    /// Seconds that a call may take which is admitted now.
+    pub fn time_to_answer(&self, now: f64) -> f64 {
+        self.schedule.map_or(f64::INFINITY, |s| (s.answer_by - now).max(0.0))
+    }
+}
+
+/// Signs of life of the process, and the last time at which there were none for long: it stood still.
+#[derive(Debug, Default)]
+pub struct Liveness {
+    last: Cell<f64>,
+    standstill: Cell<Option<(f64, f64)>>,
+}
+
+impl Liveness {
+    /// The process runs at this time.
+    pub fn note(&self, now: f64) {
+        let last = self.last.replace(now);
+        if now - last > STANDSTILL {
+            self.standstill.set(Some((last, now)));
+        }
+    }
+
+    /// The earliest time at which a signal may have come that is read at `now`.
+    pub fn earliest(&self, now: f64) -> f64 {
+        match self.standstill.get() {
+            Some((from, until)) if now - until <= RECENT => from,
+            _ => now,
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -0,0 +1,46 @@
+use super::*;
+use test_case::test_case;
+
+/// The admission ends 0.75 s after SIGTERM, or where the kill comes soon with the time for answers.
+#[test_case(0.05, 0.60, 0.60; "50 ms")]
+#[test_case(0.3, 0.75, 0.85; "300 ms")]
+#[test_case(0.5, 0.75, 1.05; "500 ms")]
+#[test_case(1.0, 0.75, 1.55; "1 s")]
+#[test_case(3.0, 0.75, 3.55; "3 s")]
+#[test_case(10.0, 0.75, 3.55; "10 s, which count for 3")]
+fn the_times_of_a_shutdown(deadline: f64, admits: f64, answers: f64) {
+    let mut shutdown = Shutdown::new(deadline);
+    assert!(!shutdown.begun() && !shutdown.admission_over(99.0) && !shutdown.exit_due(99.0));
+    assert!(shutdown.time_to_answer(5.0).is_infinite());
+    shutdown.begin(10.0, 10.0);
+    shutdown.begin(10.5, 10.5);
+    let just = 0.001;
+    let at = |seconds: f64| 10.0 + seconds;
+    assert!(!shutdown.admission_over(at(admits - just)) && shutdown.admission_over(at(admits + just)));
+    assert!(!shutdown.rejects(at(answers - just)) && shutdown.rejects(at(answers + just)));
+    assert!(!shutdown.exit_due(at(answers + 0.11)) && shutdown.exit_due(at(answers + 0.13)));
+    assert!((shutdown.time_to_answer(at(answers - 0.2)) - 0.2).abs() < 1e-9);
+    assert_eq!(shutdown.time_to_answer(at(answers + 1.0)), 0.0);
+}
+
+#[test]
+fn no_call_is_admitted_once_the_admission_is_closed() {
+    let mut shutdown = Shutdown::new(3.0);
+    shutdown.begin(10.0, 10.0);
+    assert!(!shutdown.rejects(10.8) && !shutdown.admission_closed());
+    shutdown.close_admission();
+    assert!(shutdown.rejects(10.8) && shutdown.admission_closed());
+}
+
+/// SIGTERM came amid a standstill: the kill may come by its beginning, and clients by its end.
+#[test]
+fn a_signal_that_is_read_after_a_standstill() {
+    let liveness = Liveness::default();
+    for now in [0.2, 0.4, 1.0] {
+        liveness.note(now);
+    }
+    assert_eq!((liveness.earliest(1.05), liveness.earliest(1.2)), (0.4, 1.2));
+    let mut shutdown = Shutdown::new(0.5);
+    shutdown.begin(1.05, liveness.earliest(1.05));
+    assert!(!shutdown.answers_due(1.44) && shutdown.admission_over(1.46) && shutdown.exit_due(1.58));
+}
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -1,11 +1,11 @@
 //! All that the router on the platform has: the desk, the clients, the links to workers. Sockets are read and
 //! written here without waiting; the tasks around it only wait until a socket or a time is ready.
 
-use crate::door::Client;
+use crate::door::{Client, Entrance};
 use crate::keeping::Keeping;
-use crate::leave::Leave;
 use crate::link::Link;
 use crate::room::{Holds, Room};
+use crate::shutdown::{Liveness, Shutdown};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
 use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::lines;
@@ -64,7 +64,8 @@
     pub ids: BTreeSet<u64>,
     pub keeping: Keeping,
     pub room: Rc<Room>,
-    pub leave: Leave,
+    pub shutdown: Shutdown,
+    liveness: Liveness,
     pub connect: f64,
     pub reports: bool,
     pub cancels: bool,
@@ -108,7 +109,8 @@
                     patience,
                 ),
                 room: Room::new(told.memory),
-                leave: Leave::default(),
+                shutdown: Shutdown::new(patience),
+                liveness: Liveness::default(),
                 connect: house.bounds.connect,
                 reports: told.reports,
                 cancels: house.policy.cancels,
@@ -124,7 +126,9 @@
     }
 
     pub fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64()
+        let now = self.begun.elapsed().as_secs_f64();
+        self.liveness.note(now);
+        now
     }
 
     /// Does what the desk wants done, until it wants no more.
@@ -278,12 +282,11 @@
     spawn_local(crate::bulletin::follow(station.clone(), bulletin, told.last));
     spawn_local(keep_time(station.clone()));
     spawn_local(keep_tidy(station.clone()));
-    let listener = Rc::new(listener);
-    spawn_local(crate::door::accept(station.clone(), listener.clone()));
+    let mut entrance = Some(Entrance::open(station.clone(), listener));
     loop {
-        /// Seconds between two looks whether a leaving router may end.
-        const LOOK: Duration = Duration::from_millis(20);
-        let leaving = station.borrow().leave.begun();
+        /// Seconds between two steps of a shutdown.
+        const STEP: Duration = Duration::from_millis(20);
+        let begun = station.borrow().shutdown.begun();
         tokio::select! {
             () = hangup.next() => {
                 spawn_local(read_again(file.to_owned(), first.clone(), moved.clone()));
@@ -292,14 +295,12 @@
                 tracing::info!("asked to end: what still comes is taken, what was taken is answered");
                 let mut s = station.borrow_mut();
                 let now = s.now();
-                s.leave.begin(now);
+                let earliest = s.liveness.earliest(now);
+                s.shutdown.begin(now, earliest);
             }
-            () = tokio::time::sleep(LOOK), if leaving => {
-                let mut s = station.borrow_mut();
-                // What lies unread when it ends is lost: a busy machine may not have come to it yet.
-                let (now, owed) = (s.now(), s.owed());
-                if s.leave.over(now, owed) && (s.leave.past(now) || s.nobody_waits(&listener)) {
-                    tracing::info!("nothing is owed any more; the router ends");
+            () = tokio::time::sleep(STEP), if begun => {
+                if station.borrow_mut().step_shutdown(&mut entrance) {
+                    tracing::info!("the router exits");
                     return ExitCode::SUCCESS;
                 }
             }
