--- a/crates/milletpath/tests/platform/shutdown.rs
+++ b/crates/milletpath/tests/platform/shutdown.rs
@@ -1,7 +1,9 @@
 //! Graceful shutdown under clients that never stop sending: every call that was written more than 50 ms before the end
 //! of its connection is answered, and the process exits by itself before the earliest SIGKILL.
 
-use crate::town::{Manner, Router, bulletin, call, file, frame, hangs, worker};
+use crate::crossings::effectful;
+use crate::held::Held;
+use crate::town::{Client, Manner, Router, bulletin, call, file, frame, hangs, worker};
 use nix::sys::signal::Signal;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -263,6 +265,32 @@
     holds(deadline_ms, clients, manner, stop_after);
 }
 
+/// Calls with time left past the earliest SIGKILL have their answer before it: one that its worker got whole has failed,
+/// as it may have run, and one that waits for a connection is rejected.
+#[test]
+fn what_is_in_flight_is_answered_by_what_is_known_of_it() {
+    const DEADLINE_MS: u64 = 10_000;
+    let long = |line: String| line.replace("\"d\":2500", &format!("\"d\":{DEADLINE_MS}"));
+    let long_limit = |text: String| text.replace("\"HardLimit\":3000000", "\"HardLimit\":10000000");
+    let held = Held::new();
+    let (unreached, _filler) = Held::crowded();
+    let routers = [held.address, unreached.address]
+        .map(|at| Router::by(&long_limit(effectful(&[at], bulletin(vec![]).0, 9_000_000))));
+    let mut clients = routers.each_ref().map(Client::new);
+    clients.iter_mut().for_each(|client| client.say(&long(call(1, 1))));
+    let mut wire = held.connection();
+    assert_eq!(wire.next(2).expect("its request").id, 1);
+    let asked = Instant::now();
+    routers.iter().for_each(|router| router.signal(Signal::SIGTERM));
+    let [may_have_run, not_sent] = clients.each_mut().map(|client| client.hear());
+    assert!(may_have_run.contains("\"error\"") && !may_have_run.contains("-32066"), "{may_have_run}");
+    assert!(not_sent.contains("-32066") && not_sent.contains("\"w\":1000"), "{not_sent}");
+    assert!(clients.iter_mut().all(Client::ended_well));
+    let [mut one, mut other] = routers;
+    assert!([one.ended(), other.ended()].iter().flatten().filter(|status| status.success()).count() == 2);
+    assert!(asked.elapsed() < earliest_kill(DEADLINE_MS), "{:?}", asked.elapsed());
+}
+
 /// The whole matrix, some minutes long: by hand, with `--ignored`.
 #[test]
 #[ignore = "takes minutes; the cases above cover each value once"]
