--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -1,10 +1,18 @@
-//! Clients: connections are taken in, lines read within their bound and checked before the desk hears of them,
-//! answers written whole. Who says what can't be used gets an error and is closed, and nothing of his goes on.
+//! Clients: lines are read within their bound and checked before the desk hears of them, answers written whole. Who says
+//! what can't be used gets an error and is closed, and nothing of his goes on. Connections are accepted in
+//! `door/accept.rs` and closed gracefully in `door/finish.rs`, all of them at a shutdown in `door/drain.rs`.
+
+mod accept;
+mod drain;
+mod finish;
+
+pub use drain::Entrance;
 
 use crate::numbers::Numbers;
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
+use accept::accept;
 use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
 use milletpath_platform_protocol::lines::{self, Ask, Said};
 use milletpath_protocol::Fault;
@@ -115,13 +123,13 @@
         if client.condemned {
             return;
         }
-        let (finished, overflow) = (client.finished.is_some(), client.overflow);
+        let finished = client.finished.is_some();
         self.read(&stream, |station, read| match read {
             Ok(_) if finished => {}
             Ok(bytes) => station.hear(key, bytes),
             Err(why) => station.part(key, &why),
         });
-        if overflow {
+        if self.clients.get(key).is_some_and(|c| c.overflow) {
             self.finish_if_idle(key, now);
         }
     }
@@ -385,15 +393,10 @@
         };
         let over: Vec<_> = self.clients.iter().filter(|(_, c)| over(c)).map(|(key, _)| key).collect();
         over.into_iter().for_each(|key| self.part(key, "silent for too long"));
+        self.finish_idle(now, |client| client.overflow);
         self.close_finished(now);
     }
 }
 
-mod accept;
-mod drain;
-mod finish;
-use accept::accept;
-pub use drain::Entrance;
-
 #[cfg(test)]
 mod tests;
--- a/crates/platform-router/src/door/accept/tests.rs
+++ b/crates/platform-router/src/door/accept/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::outbox::{Look, look};
 use crate::station::tests::{listed, with};
 use std::collections::VecDeque;
 use test_case::test_case;
@@ -82,3 +83,28 @@
         assert_eq!([stays(1), stays(2)], stay);
     });
 }
+
+/// A client beside the bound whose rejection could not be written at once is closed once it was: it kept its place.
+#[test]
+fn a_place_beside_the_bound_is_given_back() {
+    with(async {
+        let station = listed(&[]);
+        station.borrow_mut().keeping.clients = 0;
+        let (client, socket) = connection();
+        socket.set_nonblocking(true).unwrap();
+        assert!(station.borrow_mut().admit(TcpStream::from_std(socket.into()).unwrap()));
+        {
+            let mut s = station.borrow_mut();
+            let key = s.clients.iter().next().unwrap().0;
+            // As after a call that was rejected while the socket took nothing.
+            s.clients[key].said = true;
+            let now = s.now();
+            s.tidy_clients(now);
+            assert!(s.clients[key].finished.is_some());
+        }
+        client.set_nonblocking(true).unwrap();
+        let client = TcpStream::from_std(client).unwrap();
+        client.readable().await.unwrap();
+        assert_eq!(look(&client), Look::Closed);
+    });
+}
--- a/crates/platform-router/src/door/drain.rs
+++ b/crates/platform-router/src/door/drain.rs
@@ -52,7 +52,7 @@
             self.answer_all_open(now);
         }
         self.carry_out();
-        self.finish_all_idle(now);
+        self.finish_idle(now, |_| true);
         self.close_finished(now);
         if self.shutdown.exit_due(now) {
             let (open, connections) = (self.desk.open(), self.clients.len());
@@ -92,11 +92,4 @@
             self.client_writes(key);
         }
     }
-
-    fn finish_all_idle(&mut self, now: f64) {
-        let all: Vec<_> = self.clients.iter().map(|(key, _)| key).collect();
-        for key in all {
-            self.finish_if_idle(key, now);
-        }
-    }
 }
--- a/crates/platform-router/src/door/finish.rs
+++ b/crates/platform-router/src/door/finish.rs
@@ -33,6 +33,14 @@
         }
     }
 
+    /// The same for all connections of this kind.
+    pub(super) fn finish_idle(&mut self, now: f64, kind: impl Fn(&Client) -> bool) {
+        let all: Vec<_> = self.clients.iter().filter(|(_, c)| kind(c)).map(|(key, _)| key).collect();
+        for key in all {
+            self.finish_if_idle(key, now);
+        }
+    }
+
     /// Closes the connections whose clients had long enough to close them.
     pub(super) fn close_finished(&mut self, now: f64) {
         let over = |c: &Client| c.finished.is_some_and(|since| now - since >= LINGER);
