--- /dev/null
+++ b/crates/gateway/src/header_timer.rs
@@ -0,0 +1,56 @@
+//! The time limit on a client's header fields. It asks the socket itself before it expires: after a standstill of the
+//! process (SIGSTOP) `epoll_wait` returns EINTR without events, and the runtime fires the timers that fell due before
+//! it has heard which sockets are readable. A connection closed then would take the request on it along.
+
+use crate::line::Line;
+use hyper::rt::{Sleep, Timer};
+use std::future::Future;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::{Context, Poll};
+use std::time::{Duration, Instant};
+
+/// Until the runtime has heard of what lies unread.
+const RECHECK: Duration = Duration::from_millis(20);
+
+/// Rechecks after which the time limit holds whatever comes: a client that sends its fields bit by bit must not keep
+/// the connection for ever.
+const MOST_RECHECKS: u32 = 10;
+
+/// Timer of one client connection.
+pub struct HeaderTimer(pub Arc<Line>);
+
+impl Timer for HeaderTimer {
+    fn sleep(&self, duration: Duration) -> Pin<Box<dyn Sleep>> {
+        self.sleep_until(Instant::now() + duration)
+    }
+
+    fn sleep_until(&self, deadline: Instant) -> Pin<Box<dyn Sleep>> {
+        let sleep = Box::pin(tokio::time::sleep_until(deadline.into()));
+        Box::pin(HeaderDeadline { line: self.0.clone(), sleep, rechecks: 0 })
+    }
+}
+
+struct HeaderDeadline {
+    line: Arc<Line>,
+    sleep: Pin<Box<tokio::time::Sleep>>,
+    rechecks: u32,
+}
+
+impl Sleep for HeaderDeadline {}
+
+impl Future for HeaderDeadline {
+    type Output = ();
+
+    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
+        while self.sleep.as_mut().poll(context).is_ready() {
+            if self.rechecks >= MOST_RECHECKS || !self.line.has_unread() {
+                return Poll::Ready(());
+            }
+            self.rechecks += 1;
+            let again = tokio::time::Instant::now() + RECHECK;
+            self.sleep.as_mut().reset(again);
+        }
+        Poll::Pending
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -15,6 +15,7 @@
 mod errands;
 mod follow;
 mod gather;
+mod header_timer;
 mod inbox;
 mod keeper;
 mod line;
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -7,9 +7,11 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use milletpath_dispatcher::dispatcher::RequestId;
 use milletpath_multicore::claim::Claim;
+use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use socket2::SockRef;
 use std::io::{self, Read as _};
 use std::net::Shutdown;
+use std::os::fd::AsFd;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -63,6 +65,12 @@
         self.ready.store(true, Ordering::Relaxed);
     }
 
+    /// Whether bytes or the end of the stream lie unread, by the socket's own word: the runtime's may be older.
+    pub fn has_unread(&self) -> bool {
+        let mut asked = [PollFd::new(self.stream.as_fd(), PollFlags::POLLIN)];
+        poll(&mut asked, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
+    }
+
     /// Its core is lost with nothing in hand here. A call that lies unread is answered, as nobody will read it; it
     /// would else be lost without a word when the connection is closed.
     pub fn farewell(&self, answer: Response<Written>) {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -2,6 +2,7 @@
 
 use crate::answer::{Held, Own, Reply, Written, answer_of, bounced, faulty, healthy, refused, terminated};
 use crate::gather::Gathered;
+use crate::header_timer::HeaderTimer;
 use crate::line::{Line, Own as OwnEnd};
 use crate::office::{Place, Ticket};
 use crate::paced::Paced;
@@ -15,7 +16,6 @@
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper_util::rt::TokioTimer;
 use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
 use milletpath_policy::host::Effect;
 use milletpath_protocol::{Fault, invoke};
@@ -82,10 +82,10 @@
         let (gateway, line, stopping) = (gateway.clone(), owner.clone(), *stopping.borrow());
         async move { Ok::<_, Infallible>(answer(gateway, line, request, stopping).await) }
     });
-    let io = Paced::new(OwnEnd(line), Duration::from_secs_f64(bounds.stall));
+    let io = Paced::new(OwnEnd(line.clone()), Duration::from_secs_f64(bounds.stall));
     let mut connection = pin!(
         http1::Builder::new()
-            .timer(TokioTimer::new())
+            .timer(HeaderTimer(line.clone()))
             .header_read_timeout(Duration::from_secs_f64(bounds.head))
             .max_buf_size(HEAD)
             .max_headers(FIELDS)
