--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -192,7 +192,8 @@
             }
             let stood = self.gateway.stood();
             self.gateway.beat().await;
-            let now = office.now();
+            // A standstill from here on is one that the next beat sees: nobody is judged by a time behind it.
+            let now = self.gateway.seen();
             if self.gateway.stood() != stood {
                 self.filled.borrow_mut().iter_mut().for_each(|f| f.watch.moved(now));
             }
--- a/crates/gateway/src/paced.rs
+++ b/crates/gateway/src/paced.rs
@@ -9,11 +9,37 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
+/// Past the time limit: a limit that passed while the process stood still fires before the runtime has heard that the
+/// peer has taken something meanwhile.
+const RECHECK: Duration = Duration::from_millis(20);
+
 pub struct Paced<S> {
     stream: S,
     stall: Duration,
     /// Set while a write waits.
-    waits: Option<Pin<Box<Sleep>>>,
+    waits: Option<WriteLimit>,
+}
+
+struct WriteLimit {
+    sleep: Pin<Box<Sleep>>,
+    rechecks: bool,
+}
+
+impl WriteLimit {
+    fn new(stall: Duration) -> Self {
+        Self { sleep: Box::pin(sleep_until(Instant::now() + stall)), rechecks: true }
+    }
+
+    /// Ready once the limit has passed, and the runtime has had the time to hear of the socket since.
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        while self.sleep.as_mut().poll(cx).is_ready() {
+            if !std::mem::take(&mut self.rechecks) {
+                return Poll::Ready(());
+            }
+            self.sleep.as_mut().reset(Instant::now() + RECHECK);
+        }
+        Poll::Pending
+    }
 }
 
 impl<S> Paced<S> {
@@ -28,8 +54,7 @@
             return done;
         }
         let stall = self.stall;
-        let waits = self.waits.get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + stall)));
-        match waits.as_mut().poll(cx) {
+        match self.waits.get_or_insert_with(|| WriteLimit::new(stall)).poll(cx) {
             Poll::Ready(()) => {
                 Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "the client reads nothing")))
             }
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -224,6 +224,11 @@
         lives
     }
 
+    /// When this thread was last seen to run.
+    pub fn seen(&self) -> f64 {
+        self.seen.get()
+    }
+
     /// How long this thread stood still when it last did, and until when.
     pub fn stood(&self) -> (f64, f64) {
         self.stood.get()
--- a/crates/milletpath/tests/standstill.rs
+++ b/crates/milletpath/tests/standstill.rs
@@ -4,6 +4,7 @@
 
 use nix::sys::signal::Signal;
 use served::{Client, OK, Served, request};
+use std::sync::LazyLock;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -46,3 +47,26 @@
     let lost = clients.iter_mut().filter_map(|client| client.answer().is_none().then_some(())).count();
     assert_eq!(lost, 0, "of {calls} calls without an answer");
 }
+
+/// The process stands still amid a large answer, for longer than a client may take nothing; the client takes all that
+/// there is meanwhile, and gets the rest afterwards.
+#[test]
+fn an_answer_is_written_to_its_end_after_a_standstill() {
+    const BYTES: usize = 24 << 20;
+    static LARGE: LazyLock<String> =
+        LazyLock::new(|| format!("HTTP/1.1 200 OK\r\ncontent-length: {BYTES}\r\n\r\n{}", "x".repeat(BYTES)));
+    let (worker, _) = served::worker(LARGE.as_str(), Duration::ZERO);
+    let limits = format!("limits {{\nstall = 0.5\nanswer = {BYTES}\n}}\n");
+    let served = Served::start(worker, &limits);
+    let mut client = Client::connect(served.address).expect("it listens");
+    client.write(&request("", "")).expect("it reads");
+    // From here on the gateway waits for room in the buffers between the two.
+    client.await_answer();
+    std::thread::sleep(Duration::from_millis(100));
+    served.halt();
+    let begun = client.take(2 << 20);
+    std::thread::sleep(Duration::from_secs(1));
+    served.signal(Signal::SIGCONT);
+    let answer = client.answer_begun(begun).expect("all of the answer");
+    assert_eq!((answer.status(), answer.body.len()), (200, BYTES));
+}
