--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -6,20 +6,25 @@
 use crate::shell::{Gateway, PULSE};
 use std::io;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Starts the thread of a seat, in that one of its lives.
-pub fn start(office: &Arc<Office>, seat: usize, life: u32) -> io::Result<JoinHandle<()>> {
-    let office = office.clone();
+/// Starts the thread of a seat, in that one of its lives. It lasts for as long as connections may be dealt to it.
+pub fn start(
+    office: &Arc<Office>,
+    seat: usize,
+    life: u32,
+    accepting: &Arc<AtomicBool>,
+) -> io::Result<JoinHandle<()>> {
+    let (office, accepting) = (office.clone(), accepting.clone());
     std::thread::Builder::new().name(format!("core-{seat}")).spawn(move || {
         if office.house.bounds.pin {
             pin(seat);
         }
         match tokio::runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => {
-                runtime.block_on(tokio::task::LocalSet::new().run_until(run(office, seat, life)));
+                runtime.block_on(tokio::task::LocalSet::new().run_until(run(office, seat, life, accepting)));
             }
             // The keeper sees that the thread has ended, and tries again.
             Err(e) => tracing::error!(seat, "a core's runtime can't start: {e}"),
@@ -43,7 +48,7 @@
     }
 }
 
-async fn run(office: Arc<Office>, number: usize, life: u32) {
+async fn run(office: Arc<Office>, number: usize, life: u32, accepting: Arc<AtomicBool>) {
     /// Seconds between two looks for idle connections: short against the time they may be idle.
     const LOOK: f64 = 1.0;
     let seat = &office.seats[number];
@@ -69,7 +74,8 @@
         gateway.collect();
         if office.stopping.load(Ordering::Acquire) {
             gateway.stop();
-            if seat.open.load(Ordering::Acquire) == 0 && seat.mail.is_empty() {
+            let more = accepting.load(Ordering::Acquire);
+            if !more && seat.open.load(Ordering::Acquire) == 0 && seat.mail.is_empty() {
                 return;
             }
         }
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -14,6 +14,7 @@
 use milletpath_multicore::deal::{self, Deal, Seen};
 use milletpath_multicore::watch::{Do, Watch};
 use milletpath_policy::host::Outcome;
+use socket2::SockRef;
 use std::cell::RefCell;
 use std::future::Future;
 use std::io;
@@ -21,18 +22,23 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::spawn_local;
 
+/// Places for connections not yet accepted; the kernel takes its own bound where that is less.
+const WAITING: u32 = 16_384;
+
+/// Seconds past the longest time that a client may wait, in which the last answers are written. Together with what the
+/// cores take to end it is less than the 0.7 s after which the process may be killed.
+const LAST_ANSWERS: f64 = 0.3;
+
 /// Opens the listener of a gateway. Connections that come while the process stands still wait in the kernel: with
 /// the usual 128 places for them the rest would be dropped, and each dropped client tries again a second later only.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    /// Places for connections not yet accepted; the kernel takes its own bound where that is less.
-    const WAITING: u32 = 16_384;
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
@@ -108,18 +114,14 @@
             () = office.fewer.notified(), if !room => {}
         }
     }
-    drop(listener);
     office.stopping.store(true, Ordering::Release);
     office.seats.iter().for_each(|seat| seat.bell.notify_one());
     tracing::info!(open = office.ask(|d| d.open()), connections = office.guests.used(), "stopping");
-    // A client's patience is within its profile's cut-off; a little more lets the last answers be written.
-    let longest = office.house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max) + 1.0;
+    let longest = office.house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max) + LAST_ANSWERS;
     let _ = tokio::time::timeout(Duration::from_secs_f64(longest), async {
-        while office.guests.used() > 0 {
-            tokio::select! {
-                () = office.fewer.notified() => {}
-                _ = &mut time => time = spawn_local(keeper.clone().keep_time()),
-            }
+        tokio::select! {
+            () = keeper.clone().wind_up(listener) => {}
+            () = async { loop { let _ = (&mut time).await; time = spawn_local(keeper.clone().keep_time()); } } => {}
         }
     })
     .await;
@@ -148,6 +150,8 @@
     gateway: Rc<Gateway>,
     filled: RefCell<Vec<Filled>>,
     deal: RefCell<Deal>,
+    /// Whether connections may still be dealt to cores, which last until then.
+    accepting: Arc<AtomicBool>,
 }
 
 impl Keeper {
@@ -161,14 +165,15 @@
         }
         gateway.collect();
         let now = office.now();
+        let accepting = Arc::new(AtomicBool::new(true));
         let filled = (0..office.cores()).map(|seat| {
             let mut filled = Filled { thread: None, life: 0, watch: Watch::new(now) };
-            filled.fill(&office, seat);
+            filled.fill(&office, seat, &accepting);
             filled
         });
         let filled = RefCell::new(filled.collect());
         let deal = RefCell::new(Deal::new(office.cores(), now));
-        Self { office, gateway, filled, deal }
+        Self { office, gateway, filled, deal, accepting }
     }
 
     /// Gives a connection to a core.
@@ -179,6 +184,35 @@
         }
     }
 
+    /// Waits until the last connection has ended.
+    async fn wind_up(self: Rc<Self>, listener: TcpListener) {
+        self.deal_waiting(&listener).await;
+        drop(listener);
+        self.accepting.store(false, Ordering::Release);
+        self.office.seats.iter().for_each(|seat| seat.bell.notify_one());
+        while self.office.guests.used() > 0 {
+            self.office.fewer.notified().await;
+        }
+    }
+
+    /// Deals the connections that wait to be accepted: the kernel would reset them with the listener, and the calls
+    /// that lie on them unread. Asks the socket itself, as the runtime may not have heard of them.
+    async fn deal_waiting(&self, listener: &TcpListener) {
+        /// Between two attempts where one fails.
+        const PAUSE: Duration = Duration::from_millis(5);
+        for _ in 0..WAITING {
+            while self.office.guests.used() >= self.office.guests.most() {
+                self.office.fewer.notified().await;
+            }
+            let accepted = SockRef::from(listener).accept();
+            match accepted.and_then(|(socket, _)| socket.set_nonblocking(true).map(|()| socket)) {
+                Ok(socket) => self.deal(socket.into()),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
+                Err(_) => tokio::time::sleep(PAUSE).await,
+            }
+        }
+    }
+
     /// Lets the desk's timers fire and looks after the cores. Runs for as long as the gateway.
     async fn keep_time(self: Rc<Self>) {
         let office = &self.office;
@@ -255,7 +289,7 @@
             if core.thread.is_none() {
                 self.stand_in(seat);
                 if core.watch.due(now) {
-                    core.fill(&self.office, seat);
+                    core.fill(&self.office, seat, &self.accepting);
                 }
             }
         }
@@ -371,11 +405,11 @@
 }
 
 impl Filled {
-    fn fill(&mut self, office: &Arc<Office>, seat: usize) {
+    fn fill(&mut self, office: &Arc<Office>, seat: usize, accepting: &Arc<AtomicBool>) {
         let now = office.now();
         // Given time to be seen for the first time.
         office.seats[seat].pulse.beat(self.life, now);
-        match core::start(office, seat, self.life) {
+        match core::start(office, seat, self.life, accepting) {
             Ok(thread) => {
                 self.thread = Some(thread);
                 self.watch.filled(now);
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -16,6 +16,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::task::{Context, Poll, ready};
+use std::time::Duration;
 use tokio::net::TcpStream;
 
 pub struct Line {
@@ -28,6 +29,8 @@
     serial: AtomicU64,
     /// The core has an answer that it writes or is about to.
     ready: AtomicBool,
+    /// Bytes were read since the last answer was written.
+    begun: AtomicBool,
 }
 
 impl Line {
@@ -39,6 +42,7 @@
             calls: AtomicU64::new(0),
             serial: AtomicU64::new(0),
             ready: AtomicBool::new(false),
+            begun: AtomicBool::new(false),
         }
     }
 
@@ -71,6 +75,31 @@
         poll(&mut asked, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
     }
 
+    /// Whether nothing is open, begun or unread here: closed now, the connection takes no call along.
+    pub fn is_quiet(&self) -> bool {
+        !self.begun.load(Ordering::Relaxed) && self.claim.is_idle() && !self.has_unread()
+    }
+
+    /// Ends this side of the connection, and takes off what the client still sends until it ends its own or sends
+    /// nothing for a moment: with bytes unread the kernel would reset the connection over an answer not yet read.
+    pub async fn linger(&self) {
+        /// Between two pieces, and in all.
+        const PAUSE: Duration = Duration::from_millis(200);
+        const LONGEST: Duration = Duration::from_secs(1);
+        let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
+        let mut piece = [0; 8192];
+        let drained = async {
+            while let Ok(Ok(())) = tokio::time::timeout(PAUSE, self.stream.readable()).await {
+                match self.stream.try_read(&mut piece) {
+                    Ok(1..) => {}
+                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                    Ok(0) | Err(_) => return,
+                }
+            }
+        };
+        let _ = tokio::time::timeout(LONGEST, drained).await;
+    }
+
     /// Its core is lost with nothing in hand here. A call that lies unread is answered, as nobody will read it; it
     /// would else be lost without a word when the connection is closed.
     pub fn farewell(&self, answer: Response<Written>) {
@@ -147,6 +176,7 @@
             }
             match self.0.stream.try_read(&mut piece[..most]) {
                 Ok(read) => {
+                    self.0.begun.store(true, Ordering::Relaxed);
                     buf.put_slice(&piece[..read]);
                     return Poll::Ready(Ok(()));
                 }
@@ -187,6 +217,7 @@
     /// Asked when all that was there to write is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.0.ready.swap(false, Ordering::Relaxed) {
+            self.0.begun.store(false, Ordering::Relaxed);
             self.0.claim.rest();
         }
         Poll::Ready(Ok(()))
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -15,13 +15,13 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
-use hyper::service::service_fn;
+use hyper::service::{HttpService, service_fn};
 use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
 use milletpath_policy::host::Effect;
 use milletpath_protocol::{Fault, invoke};
 use std::cell::Cell;
 use std::convert::Infallible;
-use std::pin::pin;
+use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -76,11 +76,10 @@
     const FIELDS: usize = 128;
     let mut stop = gateway.stopping();
     let bounds = gateway.bounds().clone();
-    let stopping = stop.clone();
     let owner = line.clone();
     let service = service_fn(move |request| {
-        let (gateway, line, stopping) = (gateway.clone(), owner.clone(), *stopping.borrow());
-        async move { Ok::<_, Infallible>(answer(gateway, line, request, stopping).await) }
+        let (gateway, line) = (gateway.clone(), owner.clone());
+        async move { Ok::<_, Infallible>(answer(gateway, line, request).await) }
     });
     let io = Paced::new(OwnEnd(line.clone()), Duration::from_secs_f64(bounds.stall));
     let mut connection = pin!(
@@ -94,17 +93,37 @@
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
         // What it gives holds a lock, on which this thread would wait when it is told again: let go of at once.
-        () = async { drop(stop.wait_for(|stop| *stop).await) } => {
-            connection.as_mut().graceful_shutdown();
-            connection.await
-        }
+        () = async { drop(stop.wait_for(|stop| *stop).await) } => wind_up(connection.as_mut(), &line).await,
     };
     guest.ended.set(true);
+    line.linger().await;
     if let Err(e) = ended {
         tracing::debug!("a client's connection ended: {e}");
     }
 }
 
+/// The gateway ends: so does a connection, once nothing is open, begun or unread on it, or behind its next answer.
+async fn wind_up(
+    mut connection: Pin<
+        &mut http1::Connection<
+            Paced<OwnEnd>,
+            impl HttpService<Incoming, ResBody = Written, Error = Infallible>,
+        >,
+    >,
+    line: &Line,
+) -> hyper::Result<()> {
+    /// Between two looks whether it is quiet: short against what a client notices, long against a look.
+    const LOOK: Duration = Duration::from_millis(20);
+    while !line.is_quiet() {
+        tokio::select! {
+            ended = connection.as_mut() => return ended,
+            () = tokio::time::sleep(LOOK) => {}
+        }
+    }
+    connection.as_mut().graceful_shutdown();
+    connection.await
+}
+
 /// A call until its answer goes to the client. Dropped before, its client has left, or its core ends: it is called
 /// off, and the last word said, in case somebody is there to hear it.
 struct Owed {
@@ -129,13 +148,9 @@
     }
 }
 
-/// One request, from its head to its answer; a crowded core closes the connection behind some.
-async fn answer(
-    gateway: Rc<Gateway>,
-    line: Arc<Line>,
-    request: Request<Incoming>,
-    stopping: bool,
-) -> Response<Written> {
+/// One request, from its head to its answer; a crowded core closes the connection behind some, a gateway that ends
+/// behind each.
+async fn answer(gateway: Rc<Gateway>, line: Arc<Line>, request: Request<Incoming>) -> Response<Written> {
     let seat = &gateway.office.seats[gateway.seat];
     seat.calls.fetch_add(1, Ordering::Relaxed);
     let rate = line.count(gateway.now());
@@ -144,22 +159,17 @@
         return bounced("bounced", "This connection is closed", None);
     }
     let mut owed = Owed { gateway: gateway.clone(), line, tag: None, slot: None, answered: false };
-    let mut response = take(&gateway, &mut owed, request, stopping).await;
+    let mut response = take(&gateway, &mut owed, request).await;
     owed.answered = true;
     owed.line.ready();
-    if seat.sends_away(rate) {
+    if gateway.is_stopping() || seat.sends_away(rate) {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-async fn take(
-    gateway: &Rc<Gateway>,
-    owed: &mut Owed,
-    request: Request<Incoming>,
-    stopping: bool,
-) -> Response<Written> {
-    let came = gateway.since();
+async fn take(gateway: &Rc<Gateway>, owed: &mut Owed, request: Request<Incoming>) -> Response<Written> {
+    let (came, stopping) = (gateway.since(), gateway.is_stopping());
     let (mut parts, body) = request.into_parts();
     let function = match invoke::wanted(&parts.method, parts.uri.path()) {
         Ok(invoke::Wanted::Activation(function)) => function,
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -175,6 +175,10 @@
         self.stopping.send_if_modified(|stopping| !std::mem::replace(stopping, true));
     }
 
+    pub fn is_stopping(&self) -> bool {
+        *self.stopping.borrow()
+    }
+
     pub fn stopping(&self) -> watch::Receiver<bool> {
         self.stopping.subscribe()
     }
--- a/crates/multicore/src/claim.rs
+++ b/crates/multicore/src/claim.rs
@@ -48,6 +48,11 @@
         self.0.compare_exchange(IDLE, SPOKEN, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
+    /// Whether nothing is owed.
+    pub fn is_idle(&self) -> bool {
+        self.0.load(Ordering::Acquire) == IDLE
+    }
+
     /// Whether the last word has been said.
     pub fn spoken(&self) -> bool {
         self.0.load(Ordering::Acquire) == SPOKEN
