--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -17,8 +17,12 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
+use tokio::io::Interest;
 use tokio::net::TcpStream;
 
+/// Readiness that comes with the end of the stream, and not with bytes: nobody sends urgent ones here.
+const LEFT: Interest = Interest::PRIORITY;
+
 pub struct Line {
     stream: TcpStream,
     pub claim: Claim,
@@ -75,6 +79,21 @@
         poll(&mut asked, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
     }
 
+    /// Whether the client has closed its side or reset the connection, as far as the runtime has heard; also where
+    /// bytes lie unread before that.
+    pub fn has_left(&self) -> bool {
+        self.stream.try_io(LEFT, || Ok(())).is_ok()
+    }
+
+    /// Waits until the client has left.
+    pub async fn left(&self) {
+        while !self.has_left() {
+            if self.stream.ready(LEFT).await.is_err() {
+                return;
+            }
+        }
+    }
+
     /// Whether nothing is open, begun or unread here: closed now, the connection takes no call along.
     pub fn is_quiet(&self) -> bool {
         !self.begun.load(Ordering::Relaxed) && self.claim.is_idle() && !self.has_unread()
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -134,13 +134,25 @@
     answered: bool,
 }
 
+impl Owed {
+    /// The client has left: the call is called off. What may still be heard of it, and the connection's end: calls
+    /// behind it are nobody's either.
+    fn call_off(&self) -> Response<Written> {
+        let mut response = answer_of(self.lost());
+        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        response
+    }
+
+    fn lost(&self) -> Own {
+        let left = |tag| self.gateway.office.tell(None, |desk, now| desk.left(now, tag));
+        Own::lost(self.tag.is_some_and(left))
+    }
+}
+
 impl Drop for Owed {
     fn drop(&mut self) {
-        let office = &self.gateway.office;
         if !self.answered {
-            let left = |tag| office.tell(None, |desk, now| desk.left(now, tag));
-            let begun = self.tag.is_some_and(left);
-            self.line.last_word(answer_of(Own::lost(begun)));
+            self.line.last_word(answer_of(self.lost()));
         }
         if let Some(slot) = self.slot {
             self.gateway.let_go(slot);
@@ -206,6 +218,9 @@
         Ok(read) => read,
         Err(response) => return *response,
     };
+    if owed.line.has_left() {
+        return owed.call_off();
+    }
     // Taken out before, so that no `Connection: idempotency-key` strips a receipt of its mark.
     let key = parts.headers.remove(&invoke::IDEMPOTENCY_KEY);
     pass_on(&mut parts.headers);
@@ -229,7 +244,12 @@
     let Some(tag) = owed.tag else {
         return bounced("full", "Too many calls are in hand", gateway.house().policy.come_back);
     };
-    let reply = receiver.await;
+    // hyper looks for the client's end only where it has no bytes of a further call.
+    let reply = tokio::select! {
+        biased;
+        reply = receiver => reply,
+        () = owed.line.left() => return owed.call_off(),
+    };
     drop(held);
     let mut response = match reply {
         Ok(Reply::Handled(parts, bytes, held)) => {
--- a/crates/milletpath/tests/served/mod.rs
+++ b/crates/milletpath/tests/served/mod.rs
@@ -14,8 +14,8 @@
 /// Whatever should have happened is given up on after so long.
 pub const LONGEST: Duration = Duration::from_secs(10);
 
-/// When each request reached the workers.
-pub type Arrivals = Arc<Mutex<Vec<Instant>>>;
+/// When each call reached the workers, and its body.
+pub type Arrivals = Arc<Mutex<Vec<(Instant, String)>>>;
 
 pub const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
 pub const FULL: &str = "HTTP/1.1 503 Full\r\nmilletpath-refused: full\r\ncontent-length: 0\r\n\r\n";
@@ -28,21 +28,23 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let arrivals = all.clone();
-            std::thread::spawn(move || {
-                let mut stream = BufReader::new(stream);
-                while let Some(message) = Message::read(&mut stream) {
-                    if message.start.starts_with("POST") {
-                        arrivals.lock().expect("unbroken").push(Instant::now());
-                    }
-                    std::thread::sleep(after);
-                    let _ = stream.get_mut().write_all(answer.as_bytes());
-                }
-            });
+            std::thread::spawn(move || work(stream, answer, after, &arrivals));
         }
     });
     (address, arrivals)
 }
 
+/// Answers the requests of one connection as a worker does.
+pub fn work(stream: TcpStream, answer: &str, after: Duration, arrivals: &Arrivals) {
+    let mut stream = BufReader::new(stream);
+    while let Some(message) = Message::read(&mut stream) {
+        let body = String::from_utf8_lossy(&message.body).into_owned();
+        arrivals.lock().expect("unbroken").push((Instant::now(), body));
+        std::thread::sleep(after);
+        let _ = stream.get_mut().write_all(answer.as_bytes());
+    }
+}
+
 /// An HTTP/1.1 message with a stated length.
 #[derive(Debug)]
 pub struct Message {
@@ -163,13 +165,19 @@
 impl Served {
     /// Starts one on a port of its own; `more` goes into the charter as it is.
     pub fn start(worker: SocketAddr, more: &str) -> Self {
+        Self::start_with(worker, more, "")
+    }
+
+    /// The same, with `of_workers` in the charter's section on workers.
+    pub fn start_with(worker: SocketAddr, more: &str, of_workers: &str) -> Self {
         static STARTED: AtomicUsize = AtomicUsize::new(0);
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let name = format!("served-{}-{number}.hcl", std::process::id());
         let charter = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         let text = format!(
             "seed = 3\nlisten = \"127.0.0.1:0\"\nprofile \"pure\" {{\ndue = 1\ncut_off = 3\neffect = \"pure\"\n}}\n\
-             {more}\nworkers {{\norders = false\nprobes = false\nworker \"w\" {{ address = \"{worker}\" }}\n}}\n"
+             {more}\nworkers {{\norders = false\nprobes = false\n{of_workers}\n\
+             worker \"w\" {{ address = \"{worker}\" }}\n}}\n"
         );
         std::fs::write(&charter, text).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
