--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -6,7 +6,7 @@
 use crate::core;
 use crate::errands;
 use crate::io_fault::{AcceptFault, Backoff};
-use crate::line::Line;
+use crate::line::{Line, has_unread};
 use crate::office::{Errand, Office, Stir, Ticket};
 use crate::peering::{self, Link};
 use crate::shell::{Gateway, PULSE};
@@ -26,7 +26,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::spawn_local;
 
@@ -369,9 +369,12 @@
     /// Does a still core's errands where they can be done by another: final answers are given on its clients'
     /// connections, its shots count as never sent, its orders and probes are sent from here.
     fn stand_in(&self, seat: usize) {
+        // No more of them than connections may be open.
+        let mut waiting = Vec::new();
         loop {
             let errands = self.office.seats[seat].mail.take();
             if errands.is_empty() {
+                waiting.into_iter().for_each(|guest| self.office.send(seat, guest));
                 return;
             }
             for errand in errands {
@@ -384,11 +387,13 @@
                     }
                     Errand::Guest(stream, ticket) => {
                         let other = self.deal.borrow_mut().pick();
-                        if other == seat {
-                            // Nobody else runs: closed, it comes back or goes to another gateway.
-                            continue;
+                        if other != seat {
+                            self.office.send(other, Errand::Guest(stream, ticket));
+                        } else if has_unread(&stream) {
+                            self.reject(stream, ticket);
+                        } else {
+                            waiting.push(Errand::Guest(stream, ticket));
                         }
-                        self.office.send(other, Errand::Guest(stream, ticket));
                     }
                     errand @ (Errand::Hold { .. } | Errand::Unload { .. } | Errand::Probe { .. }) => {
                         self.gateway.carry_out(errand);
@@ -400,6 +405,21 @@
         }
     }
 
+    /// Answers the call on a new connection that no core takes up.
+    fn reject(&self, stream: std::net::TcpStream, ticket: Ticket) {
+        match TcpStream::from_std(stream) {
+            Ok(stream) => {
+                let line = Line::new(stream, self.office.now());
+                line.farewell(answer_of(Own::lost(false)));
+                spawn_local(async move {
+                    line.linger().await;
+                    drop(ticket);
+                });
+            }
+            Err(e) => tracing::warn!("a client's connection can't be taken up: {e}"),
+        }
+    }
+
     /// Ends the cores: those that have nothing left end by themselves, the others let go of what they have.
     async fn end(&self) {
         /// Pulses within which a thread that runs has ended.
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -23,6 +23,12 @@
 /// Readiness that comes with the end of the stream, and not with bytes: nobody sends urgent ones here.
 const LEFT: Interest = Interest::PRIORITY;
 
+/// Whether bytes or the end of the stream lie unread, by the socket's own word: the runtime's may be older.
+pub fn has_unread(stream: &impl AsFd) -> bool {
+    let mut asked = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
+    poll(&mut asked, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
+}
+
 pub struct Line {
     stream: TcpStream,
     pub claim: Claim,
@@ -73,10 +79,9 @@
         self.ready.store(true, Ordering::Relaxed);
     }
 
-    /// Whether bytes or the end of the stream lie unread, by the socket's own word: the runtime's may be older.
+    /// Whether bytes or the end of the stream lie unread, by the socket's own word.
     pub fn has_unread(&self) -> bool {
-        let mut asked = [PollFd::new(self.stream.as_fd(), PollFlags::POLLIN)];
-        poll(&mut asked, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
+        has_unread(&self.stream)
     }
 
     /// Whether the client has closed its side or reset the connection, as far as the runtime has heard; also where
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -424,3 +424,22 @@
         }
     });
 }
+
+/// The only core stands still: a call on a connection that it has not taken up yet is answered by the keeper, and a
+/// connection without one waits for the core.
+#[test]
+fn new_connections_of_a_core_that_stands_still() {
+    story(async {
+        let (worker, _heads) = town::worker(OK).await;
+        let (at, _stop, _served, stir) = stirred(charter(&[worker], "cores = 1\n")).await;
+        assert_eq!(outcome(&call(at, "", "").await), "handled");
+        stir.send((0, Stir::Stall(2.0))).unwrap();
+        pause(0.1).await;
+        let silent = TcpStream::connect(at).await.unwrap();
+        let answer = call(at, "", "").await;
+        assert_eq!((town::status(&answer), outcome(&answer)), (503, "bounced"));
+        pause(1.5).await;
+        let answer = town::say_on(silent, &town::bytes_of_call("", "")).await;
+        assert_eq!(outcome(&answer), "handled");
+    });
+}
--- a/crates/gateway/tests/town/mod.rs
+++ b/crates/gateway/tests/town/mod.rs
@@ -174,17 +174,26 @@
 
 /// One call on a connection of its own; the whole answer as text.
 pub async fn call(gateway: SocketAddr, fields: &str, body: &str) -> String {
+    say(gateway, &bytes_of_call(fields, body)).await
+}
+
+/// A call behind which the connection is closed.
+pub fn bytes_of_call(fields: &str, body: &str) -> Vec<u8> {
     let length = body.len();
-    let text = format!(
+    format!(
         "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: gateway\r\nconnection: close\r\n{fields}content-length: \
          {length}\r\n\r\n{body}"
-    );
-    say(gateway, text.as_bytes()).await
+    )
+    .into_bytes()
 }
 
 /// Sends bytes and reads until the other side closes.
 pub async fn say(gateway: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(gateway).await.unwrap();
+    say_on(TcpStream::connect(gateway).await.unwrap(), bytes).await
+}
+
+/// The same on a connection that stands.
+pub async fn say_on(mut stream: TcpStream, bytes: &[u8]) -> String {
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer).await;
