--- a/crates/milletpath/tests/gone_clients.rs
+++ b/crates/milletpath/tests/gone_clients.rs
@@ -120,9 +120,9 @@
     assert_eq!(late(&arrivals, left), Vec::<String>::new());
 }
 
-/// Behind a queue: the only lane is taken when they come, and free after they have left.
+/// The only connection that the worker may have is taken when they come, and free after they have left.
 #[test]
-fn clients_that_leave_while_they_wait_for_a_lane() {
+fn clients_that_leave_while_the_worker_is_taken() {
     let (worker, arrivals) = served::worker(OK, Duration::from_millis(600));
     let served = Served::start(worker, "limits { per_worker = 1 }\n");
     let mut first = Client::connect(served.address).expect("it listens");
