--- /dev/null
+++ b/crates/storage/src/folder.rs
@@ -0,0 +1,92 @@
+//! The operations on files that durable state needs, and what is built on them alone.
+
+use nix::errno::Errno;
+use std::io::{self, Write};
+
+/// A folder whose files outlive the process. File names are plain names within it.
+pub trait Folder {
+    type File: FolderFile;
+
+    /// All bytes of a file.
+    fn read(&self, name: &str) -> io::Result<Vec<u8>>;
+
+    /// A new, empty file; an error where the name is taken.
+    fn create(&self, name: &str) -> io::Result<Self::File>;
+
+    /// Gives a file another name, in place of the file that had it.
+    fn rename(&self, from: &str, to: &str) -> io::Result<()>;
+
+    fn remove(&self, name: &str) -> io::Result<()>;
+
+    /// Makes durable which names there are, and which file each stands for.
+    fn sync(&self) -> io::Result<()>;
+}
+
+/// A file that is written from its first byte to its last.
+pub trait FolderFile: Write {
+    /// Makes durable what was written.
+    fn sync(&mut self) -> io::Result<()>;
+}
+
+/// Whether an error may pass by itself: the disk is full or fails, or the system is short of something.
+pub fn is_transient(error: &io::Error) -> bool {
+    let transient = [
+        Errno::EIO,
+        Errno::ENOSPC,
+        Errno::EDQUOT,
+        Errno::EFBIG,
+        Errno::EINTR,
+        Errno::EAGAIN,
+        Errno::ENOMEM,
+        Errno::EMFILE,
+        Errno::ENFILE,
+    ];
+    error.raw_os_error().is_some_and(|code| transient.contains(&Errno::from_raw(code)))
+        || error.kind() == io::ErrorKind::WriteZero
+}
+
+/// Why a file could not be replaced.
+#[derive(Debug)]
+pub(crate) enum ReplaceError {
+    /// The old file stands as it was.
+    Before(io::Error),
+    /// After a crash it may be the old file or the new one.
+    Uncertain(io::Error),
+}
+
+/// Replaces a file as a whole: at every moment of a crash it is the old or the new one, and the new one once this comes
+/// back. `beside` is the name that the new file has until it is complete. After an error the file may be either.
+pub fn replace_file<F: Folder>(folder: &F, name: &str, beside: &str, bytes: &[u8]) -> io::Result<()> {
+    match replace(folder, name, beside, bytes) {
+        Ok(_) => Ok(()),
+        Err(ReplaceError::Before(e) | ReplaceError::Uncertain(e)) => Err(e),
+    }
+}
+
+/// As [`replace_file`]; gives the new file, to be appended to.
+pub(crate) fn replace<F: Folder>(
+    folder: &F,
+    name: &str,
+    beside: &str,
+    bytes: &[u8],
+) -> Result<F::File, ReplaceError> {
+    let file = write_fresh(folder, beside, bytes).map_err(|e| {
+        // What was written takes room that the next attempt needs.
+        let _ = folder.remove(beside);
+        ReplaceError::Before(e)
+    })?;
+    folder.rename(beside, name).and_then(|()| folder.sync()).map_err(ReplaceError::Uncertain)?;
+    Ok(file)
+}
+
+fn write_fresh<F: Folder>(folder: &F, name: &str, bytes: &[u8]) -> io::Result<F::File> {
+    // One that a crash or a failed attempt left behind is not written on.
+    match folder.remove(name) {
+        Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
+        _ => {}
+    }
+    let mut file = folder.create(name)?;
+    file.write_all(bytes)?;
+    file.sync()?;
+    Ok(file)
+}
--- /dev/null
+++ b/crates/storage/src/testing.rs
@@ -0,0 +1,280 @@
+//! A folder in memory that fails where a test says, and that forgets at a loss of power what was never made durable.
+
+use crate::folder::{Folder, FolderFile};
+use nix::errno::Errno;
+use std::cell::{RefCell, RefMut};
+use std::collections::BTreeMap;
+use std::io::{self, Write};
+use std::ops::Range;
+use std::rc::Rc;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Operation {
+    Read,
+    Create,
+    Write,
+    SyncFile,
+    Rename,
+    Remove,
+    SyncFolder,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Fault {
+    /// The operation fails and changes nothing, but that what a failed sync was to store is never stored.
+    Fails(Errno),
+    /// The operation fails after it took effect; a write after half of its bytes.
+    FailsAfter(Errno),
+    /// A write takes half of its bytes, and says so.
+    ShortWrite,
+    /// The process is killed: before the operation, or after so many bytes of a write.
+    Killed { after: usize },
+}
+
+/// What a loss of power leaves of what was not made durable.
+#[derive(Clone, Copy, Debug)]
+pub struct PowerLoss {
+    /// Whether new names are there though the folder was not synced.
+    pub keeps_names: bool,
+    /// Bytes of each file that are there though it was not synced.
+    pub keeps_bytes: usize,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Byte {
+    Written,
+    Durable,
+    /// A sync of it failed: the system takes it for stored, and no later sync stores it.
+    Lost,
+}
+
+#[derive(Clone, Debug, Default)]
+struct Inode {
+    bytes: Vec<u8>,
+    status: Vec<Byte>,
+}
+
+impl Inode {
+    fn write(&mut self, bytes: &[u8]) {
+        self.bytes.extend(bytes);
+        self.status.resize(self.bytes.len(), Byte::Written);
+    }
+
+    fn synced(&mut self, to: Byte) {
+        self.status.iter_mut().filter(|s| **s == Byte::Written).for_each(|s| *s = to);
+    }
+
+    /// What is left after a loss of power.
+    fn cut(&mut self, mut keeps: usize) {
+        let mut left = Vec::new();
+        for (byte, status) in self.bytes.iter().zip(&self.status) {
+            match status {
+                Byte::Durable => left.push(*byte),
+                Byte::Lost => left.push(0),
+                Byte::Written if keeps > 0 => {
+                    keeps -= 1;
+                    left.push(*byte);
+                }
+                Byte::Written => break,
+            }
+        }
+        self.status = vec![Byte::Durable; left.len()];
+        self.bytes = left;
+    }
+}
+
+#[derive(Clone, Debug, Default)]
+struct Disk {
+    inodes: Vec<Inode>,
+    names: BTreeMap<String, usize>,
+    durable_names: BTreeMap<String, usize>,
+    operations: Vec<Operation>,
+    faults: Vec<(Range<usize>, Fault)>,
+    killed: bool,
+}
+
+/// A folder in memory; clones share it.
+#[derive(Clone, Debug, Default)]
+pub struct FaultyFolder {
+    disk: Rc<RefCell<Disk>>,
+}
+
+#[derive(Debug)]
+pub struct FaultyFile {
+    disk: Rc<RefCell<Disk>>,
+    inode: usize,
+}
+
+impl FaultyFolder {
+    /// That befalls the operations of these numbers, counted from 0.
+    pub fn fails(&self, operations: Range<usize>, fault: Fault) {
+        self.disk.borrow_mut().faults.push((operations, fault));
+    }
+
+    /// All goes well from now on, and a process that was killed begins again.
+    pub fn recovers(&self) {
+        let mut disk = self.disk.borrow_mut();
+        disk.faults.clear();
+        disk.killed = false;
+    }
+
+    /// Whether the process that uses it was killed by a fault.
+    pub fn is_killed(&self) -> bool {
+        self.disk.borrow().killed
+    }
+
+    /// All operations so far.
+    pub fn operations(&self) -> Vec<Operation> {
+        self.disk.borrow().operations.clone()
+    }
+
+    /// A folder as it would be after a loss of power now, apart from this one.
+    pub fn after(&self, loss: PowerLoss) -> Self {
+        let mut disk = self.disk.borrow().clone();
+        let names = if loss.keeps_names { &disk.names } else { &disk.durable_names };
+        disk.names = names.clone();
+        disk.durable_names = disk.names.clone();
+        disk.inodes.iter_mut().for_each(|inode| inode.cut(loss.keeps_bytes));
+        disk.faults.clear();
+        disk.killed = false;
+        Self { disk: Rc::new(RefCell::new(disk)) }
+    }
+
+    /// The names there are.
+    pub fn names(&self) -> Vec<String> {
+        self.disk.borrow().names.keys().cloned().collect()
+    }
+
+    /// Puts a durable file there.
+    pub fn put(&self, name: &str, bytes: &[u8]) {
+        let mut disk = self.disk.borrow_mut();
+        disk.inodes.push(Inode { bytes: bytes.to_vec(), status: vec![Byte::Durable; bytes.len()] });
+        let inode = disk.inodes.len() - 1;
+        disk.names.insert(name.to_owned(), inode);
+        disk.durable_names.insert(name.to_owned(), inode);
+    }
+}
+
+fn killed() -> io::Error {
+    io::Error::other("the process was killed")
+}
+
+impl Disk {
+    /// Counts an operation; gives what befalls it.
+    fn begin(&mut self, operation: Operation) -> io::Result<Option<Fault>> {
+        if self.killed {
+            return Err(killed());
+        }
+        let number = self.operations.len();
+        self.operations.push(operation);
+        let fault = self.faults.iter().find(|(range, _)| range.contains(&number)).map(|(_, fault)| *fault);
+        if let Some(Fault::Killed { .. }) = fault {
+            self.killed = true;
+        }
+        Ok(fault)
+    }
+
+    /// An operation other than a write.
+    fn operate<T>(
+        &mut self,
+        operation: Operation,
+        act: impl FnOnce(&mut Self) -> io::Result<T>,
+    ) -> io::Result<T> {
+        match self.begin(operation)? {
+            Some(Fault::Fails(errno)) => Err(errno.into()),
+            Some(Fault::FailsAfter(errno)) => act(self).and_then(|_| Err(errno.into())),
+            Some(Fault::Killed { .. }) => Err(killed()),
+            Some(Fault::ShortWrite) | None => act(self),
+        }
+    }
+
+    fn inode(&self, name: &str) -> io::Result<usize> {
+        self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
+    }
+}
+
+impl Folder for FaultyFolder {
+    type File = FaultyFile;
+
+    fn read(&self, name: &str) -> io::Result<Vec<u8>> {
+        let read = |disk: &mut Disk| disk.inode(name).map(|inode| disk.inodes[inode].bytes.clone());
+        self.disk.borrow_mut().operate(Operation::Read, read)
+    }
+
+    fn create(&self, name: &str) -> io::Result<FaultyFile> {
+        let inode = self.disk.borrow_mut().operate(Operation::Create, |disk| {
+            if disk.names.contains_key(name) {
+                return Err(io::ErrorKind::AlreadyExists.into());
+            }
+            disk.inodes.push(Inode::default());
+            disk.names.insert(name.to_owned(), disk.inodes.len() - 1);
+            Ok(disk.inodes.len() - 1)
+        })?;
+        Ok(FaultyFile { disk: self.disk.clone(), inode })
+    }
+
+    fn rename(&self, from: &str, to: &str) -> io::Result<()> {
+        self.disk.borrow_mut().operate(Operation::Rename, |disk| {
+            let inode = disk.inode(from)?;
+            disk.names.remove(from);
+            disk.names.insert(to.to_owned(), inode);
+            Ok(())
+        })
+    }
+
+    fn remove(&self, name: &str) -> io::Result<()> {
+        self.disk.borrow_mut().operate(Operation::Remove, |disk| {
+            disk.inode(name)?;
+            disk.names.remove(name);
+            Ok(())
+        })
+    }
+
+    fn sync(&self) -> io::Result<()> {
+        self.disk.borrow_mut().operate(Operation::SyncFolder, |disk| {
+            disk.durable_names = disk.names.clone();
+            Ok(())
+        })
+    }
+}
+
+impl FaultyFile {
+    fn disk(&self) -> RefMut<'_, Disk> {
+        self.disk.borrow_mut()
+    }
+}
+
+impl Write for FaultyFile {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        let mut disk = self.disk();
+        let half = bytes.len().div_ceil(2);
+        let (takes, result) = match disk.begin(Operation::Write)? {
+            None => (bytes.len(), Ok(bytes.len())),
+            Some(Fault::Fails(errno)) => (0, Err(errno.into())),
+            Some(Fault::FailsAfter(errno)) => (half, Err(errno.into())),
+            Some(Fault::ShortWrite) => (half, Ok(half)),
+            Some(Fault::Killed { after }) => (after.min(bytes.len()), Err(killed())),
+        };
+        disk.inodes[self.inode].write(&bytes[..takes]);
+        result
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+impl FolderFile for FaultyFile {
+    fn sync(&mut self) -> io::Result<()> {
+        let inode = self.inode;
+        let mut disk = self.disk();
+        let synced = disk.operate(Operation::SyncFile, |disk| {
+            disk.inodes[inode].synced(Byte::Durable);
+            Ok(())
+        });
+        if synced.is_err() && !disk.killed {
+            disk.inodes[inode].synced(Byte::Lost);
+        }
+        synced
+    }
+}
