--- a/crates/config-log/src/proposer.rs
+++ b/crates/config-log/src/proposer.rs
@@ -159,18 +159,28 @@
             return;
         }
         self.tally.outvoted += 1;
+        self.stand_down();
         let proposer = &mut self.proposer;
-        proposer.role = Role::Idle;
-        proposer.open.clear();
-        proposer.waiting.iter_mut().for_each(|w| (w.number, w.sent) = (None, None));
         proposer.losses = (proposer.losses + 1).min(4);
         let rest = self.terms.again * (0.5 + self.chance.rand_float()) * 2f64.powi(proposer.losses - 1);
         proposer.rest = self.clock.now + rest;
     }
 
+    /// Leads no more, and attempts nothing; what authors want waits.
+    pub(crate) fn stand_down(&mut self) {
+        let proposer = &mut self.proposer;
+        proposer.role = Role::Idle;
+        proposer.open.clear();
+        proposer.waiting.iter_mut().for_each(|w| (w.number, w.sent) = (None, None));
+    }
+
     pub(crate) fn prepare_heard(&mut self, n: usize, ballot: Ballot, attempt: u64) {
         let head = self.log.state.head();
         self.observed = self.observed.max(ballot);
+        if self.suspended {
+            // It neither promises nor forgot what it promised: it has nothing to say.
+            return;
+        }
         let promise = |slots: &[u64], vote| Message::Promise {
             ballot,
             attempt,
@@ -238,7 +248,7 @@
             }
             return;
         }
-        if !self.votes || number > head + SLOTS {
+        if !self.may_vote() || number > head + SLOTS {
             return;
         }
         match self.acceptor.accept(&vote) {
@@ -250,8 +260,7 @@
                 if self.proposer.role.ballot().is_some_and(|own| own < ballot) {
                     self.outvoted(ballot);
                 }
-                self.store(Record::Accepted(vote));
-                self.accepted(self.me, ballot, number);
+                self.store_vote(vote);
                 self.send_all(Message::Accepted { ballot, number });
             }
             Said::Again => self.send_to(n, Message::Accepted { ballot, number }),
@@ -336,8 +345,7 @@
     fn propose_at(&mut self, number: u64, ballot: Ballot, change: Change) {
         let vote = Vote { number, ballot, change };
         self.acceptor.accept(&vote);
-        self.store(Record::Accepted(vote.clone()));
-        self.accepted(self.me, ballot, number);
+        self.store_vote(vote.clone());
         self.proposer.open.insert(number, self.clock.now + self.terms.again);
         self.send_all(Message::Accept { vote });
     }
@@ -354,6 +362,7 @@
         };
         self.establish();
         match self.proposer.role {
+            _ if self.suspended => {}
             Role::Leading { .. } => self.lead(),
             Role::Preparing { .. } if self.votes && self.work_since().is_none() => {
                 self.proposer.role = Role::Idle;
@@ -405,13 +414,15 @@
         let since = self.work_since()?;
         let heard = |n: usize| self.others[n].heard.is_some_and(|at| self.clock.now < at + HEARD);
         let there = |n: &usize| match *n == self.me {
-            true => self.votes,
+            true => self.may_vote(),
             false => heard(*n) && self.others[*n].standing.votes,
         };
         let owner = Some(self.observed.owner()).filter(|n| *n < self.others.len() && there(n));
         let owner = owner.filter(|_| self.observed != Ballot::default());
         let leader = owner.or_else(|| (0..self.others.len()).find(there))?;
-        (leader != self.me && self.clock.now < since + GIVEN_UP).then_some(leader)
+        // One whose storage failed can't take it into its own hands.
+        let waits = self.suspended || self.clock.now < since + GIVEN_UP;
+        (leader != self.me && waits).then_some(leader)
     }
 
     fn pass_on(&mut self, leader: usize) {
@@ -459,6 +470,13 @@
         }
     }
 
+    /// When something is to be passed on again, or that leader counts as silent.
+    fn pass_on_due(&self, leader: usize) -> f64 {
+        let again = self.proposer.waiting.iter().filter_map(|w| w.sent).map(|at| at + self.terms.again);
+        let silent = self.others[leader].heard.map_or(self.clock.now, |at| at + HEARD);
+        again.fold(silent, f64::min)
+    }
+
     /// When something is due here.
     pub(crate) fn lead_due(&self) -> f64 {
         let (proposer, now) = (&self.proposer, self.clock.now);
@@ -468,13 +486,11 @@
         let role = match &proposer.role {
             Role::Leading { .. } => first(&mut proposer.open.values().copied()),
             Role::Preparing { again, .. } => *again,
+            Role::Idle if self.suspended => {
+                self.leader().map_or(f64::INFINITY, |leader| self.pass_on_due(leader))
+            }
             Role::Idle => match (self.leader(), self.work_since()) {
-                (Some(leader), Some(since)) => {
-                    let again =
-                        proposer.waiting.iter().filter_map(|w| w.sent).map(|at| at + self.terms.again);
-                    let silent = self.others[leader].heard.map_or(now, |at| at + HEARD);
-                    first(&mut again.chain([silent, since + GIVEN_UP]))
-                }
+                (Some(leader), Some(since)) => self.pass_on_due(leader).min(since + GIVEN_UP),
                 (None, None) if self.votes => f64::INFINITY,
                 (_, Some(since)) if proposer.rest <= now => since + GIVEN_UP,
                 _ => proposer.rest,
--- a/crates/config-log/src/replica.rs
+++ b/crates/config-log/src/replica.rs
@@ -100,6 +100,11 @@
     pub(crate) chance: Rand64,
     /// Whether it votes: not before it was taken in where it began without a disk.
     pub(crate) votes: bool,
+    /// Whether its storage failed: until a fresh file holds all it knows, it neither promises nor votes nor proposes.
+    pub(crate) suspended: bool,
+    /// Own votes that are not known to be durable yet: they count towards no quorum. As many as the events between two
+    /// calls of [`stored`](Self::stored) add.
+    unstored_votes: Vec<(Ballot, u64)>,
     pub(crate) acceptor: Acceptor,
     pub(crate) learner: Learner,
     pub(crate) log: Log,
@@ -142,6 +147,8 @@
             clock: Clock::new(now),
             chance,
             votes: false,
+            suspended: false,
+            unstored_votes: Vec::new(),
             acceptor: Acceptor::default(),
             learner: Learner::default(),
             log: Log::default(),
@@ -293,10 +300,15 @@
             digest: self.log.state.digest(),
             top: self.top(),
             ballot: self.observed.max(self.acceptor.promised),
-            votes: self.votes,
+            votes: self.may_vote(),
         }
     }
 
+    /// Whether it may promise, vote and propose now.
+    pub(crate) fn may_vote(&self) -> bool {
+        self.votes && !self.suspended
+    }
+
     /// The highest number at which it accepted anything, or its head.
     pub(crate) fn top(&self) -> u64 {
         let accepted = self.acceptor.votes.last_key_value().map_or(0, |(number, _)| *number);
@@ -320,6 +332,46 @@
         self.acts.push_back(Act::Store(record));
     }
 
+    /// Stores an own vote, which counts once it is durable.
+    pub(crate) fn store_vote(&mut self, vote: Vote) {
+        self.unstored_votes.push((vote.ballot, vote.number));
+        self.store(Record::Accepted(vote));
+    }
+
+    /// All records that [`act`](Self::act) gave out are durable: own votes among them count from now on. May leave more
+    /// to do.
+    pub fn stored(&mut self) {
+        if self.suspended || self.unstored_votes.is_empty() {
+            return;
+        }
+        for (ballot, number) in std::mem::take(&mut self.unstored_votes) {
+            self.accepted(self.me, ballot, number);
+        }
+        self.go_on();
+    }
+
+    /// A record that [`act`](Self::act) gave out could not be made durable. What else it gave out since then must not
+    /// be carried out, and what still waits here is dropped. From now on this replica learns, relays and serves, but
+    /// neither promises nor votes nor proposes, until [`storage_recovered`](Self::storage_recovered); records that it
+    /// gives out until then need not be stored, as a fresh file will hold all.
+    pub fn storage_failed(&mut self) {
+        self.suspended = true;
+        self.acts.clear();
+        self.sends = 0;
+        self.stand_down();
+    }
+
+    /// Whether its storage failed and has not recovered.
+    pub fn is_suspended(&self) -> bool {
+        self.suspended
+    }
+
+    /// What [`compact`](Self::compact) gave since the last event is durable in a fresh file.
+    pub fn storage_recovered(&mut self) {
+        self.suspended = false;
+        self.stored();
+    }
+
     pub(crate) fn send(&mut self, to: SocketAddr, message: Message) {
         if self.sends == SENDS {
             self.tally.unsent += 1;
--- a/crates/config-log/src/serving.rs
+++ b/crates/config-log/src/serving.rs
@@ -156,7 +156,7 @@
             replicas: self.replicas.len(),
             number: self.log.state.head(),
             digest: self.log.state.digest(),
-            votes: self.votes,
+            votes: self.may_vote(),
             leads: self.leads(),
             ballot: self.observed.max(self.acceptor.promised).0,
             committed: self.log.recent.iter().rev().take_while(|k| now - k.at < 60.0).count(),
--- a/crates/config-log/src/view.rs
+++ b/crates/config-log/src/view.rs
@@ -22,7 +22,7 @@
     /// Up to which number all is committed, and the digest of what is in force there.
     pub number: u64,
     pub digest: u64,
-    /// Whether it votes: one that lost its disk does not until it was taken in again.
+    /// Whether it votes: one that lost its disk does not until it was taken in again, nor one whose storage fails.
     pub votes: bool,
     /// Whether it proposes: its ballot is established.
     pub leads: bool,
--- a/crates/config-log/tests/net/looks.rs
+++ b/crates/config-log/tests/net/looks.rs
@@ -1,13 +1,22 @@
 //! What stories share: changes, and looks at control machines.
 
 use super::Net;
-use milletpath_config_log::{Change, ReplicaView};
+use milletpath_config_log::{Act, Change, ReplicaView};
 
 pub fn change(id: u64, key: &str, text: &str, replaces: u64) -> Change {
     Change { id, key: key.into(), text: Some(text.into()), replaces }
 }
 
 impl Net {
+    /// What a machine does next; where nothing is left, all before it is durable.
+    pub fn next_act(&mut self, n: usize) -> Option<Act> {
+        let core = self.machines[n].core.as_mut()?;
+        core.act().or_else(|| {
+            core.stored();
+            core.act()
+        })
+    }
+
     /// All machines that are up have the same in force.
     pub fn agree(&self) {
         let up: Vec<_> = self.machines.iter().filter_map(|node| node.core.as_ref()).collect();
--- a/crates/config-log/tests/net/mod.rs
+++ b/crates/config-log/tests/net/mod.rs
@@ -326,7 +326,7 @@
     }
 
     fn after_machine(&mut self, n: usize) {
-        while let Some(act) = self.machines[n].core.as_mut().and_then(Replica::act) {
+        while let Some(act) = self.next_act(n) {
             match act {
                 Act::Store(record) => {
                     if let Record::Chosen(entry) = &record {
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -263,17 +263,23 @@
         /// this: some thousand changes.
         const MULTIPLE: u64 = 4;
         const SMALL: u64 = 1 << 20;
-        let (mut records, mut sends) = (Vec::new(), Vec::new());
-        while let Some(act) = self.replica.act() {
-            match act {
-                Act::Store(record) => records.push(coded(&record)),
-                Act::Send { to, message } => sends.push((to, message)),
+        loop {
+            let (mut records, mut sends) = (Vec::new(), Vec::new());
+            while let Some(act) = self.replica.act() {
+                match act {
+                    Act::Store(record) => records.push(coded(&record)),
+                    Act::Send { to, message } => sends.push((to, message)),
+                }
             }
+            if records.is_empty() && sends.is_empty() {
+                break;
+            }
+            if !records.is_empty() {
+                self.log.append(&records)?;
+                self.replica.stored();
+            }
+            sends.iter().for_each(|(to, message)| self.send(*to, message));
         }
-        if !records.is_empty() {
-            self.log.append(&records)?;
-        }
-        sends.iter().for_each(|(to, message)| self.send(*to, message));
         if self.log.has_grown(MULTIPLE, SMALL) {
             let records: Vec<_> = self.replica.compact().iter().map(coded).collect();
             self.log.rewrite(&records)?;
