--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -4,7 +4,7 @@
 //! A [`Replica`] is a control machine: Multi-Paxos among one to seven, told what came and when, it says what to store
 //! and what to send. A [`Follower`] is a gateway's side: it takes what enough replicas tell alike, in order, and knows
 //! how old its knowledge is. What passes is a [`message::Message`], sealed with the fleet's key; what is in force is a
-//! [`State`].
+//! [`State`]. [`DurableReplica`] puts a replica on a storage that may fail.
 
 pub mod entry;
 pub mod message;
@@ -12,6 +12,7 @@
 mod acceptor;
 mod clock;
 mod collect;
+mod durable;
 mod follower;
 mod learner;
 mod log;
@@ -22,6 +23,7 @@
 mod state;
 mod view;
 
+pub use durable::{DurableReplica, LoadError, RewritePolicy, StorageEvent, StoredLog};
 pub use entry::{Change, Entry, KEY, KEYS, Logged, TEXT, TEXTS};
 pub use follower::Follower;
 pub use message::{Ballot, Message, Outcome};
--- /dev/null
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -0,0 +1,311 @@
+//! Three control machines on disks in memory with messages that come at once, an author, and a look at each message of
+//! the machine whose disk fails.
+
+use milletpath_config_log::{
+    Ballot, Change, DurableReplica, Message, Outcome, Record, Replica, RewritePolicy, StoredLog, Terms,
+};
+use milletpath_storage::RecordLog;
+use milletpath_storage::testing::{FaultyFolder, Operation, PowerLoss};
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+
+const SIZE: usize = 3;
+
+/// The machine whose disk fails.
+pub const FAULTY: usize = 1;
+
+/// Seconds that the scripted history takes.
+pub const HISTORY_ENDS: f64 = 9.0;
+
+const LOG: &str = "control.log";
+
+/// Small, so that the scripted history rewrites its logs.
+const POLICY: RewritePolicy = RewritePolicy { multiple: 2, above: 900 };
+
+/// Seconds until a process that was killed, or can't read its log, begins again.
+const RESTART: f64 = 0.3;
+
+type Machine = DurableReplica<FaultyFolder>;
+
+pub struct Cluster {
+    now: f64,
+    machines: [Option<Machine>; SIZE],
+    disks: [FaultyFolder; SIZE],
+    /// The disk that fails.
+    pub disk: FaultyFolder,
+    /// What a kill leaves of the disk.
+    pub loss: PowerLoss,
+    restart_at: [f64; SIZE],
+    stopped: [bool; SIZE],
+    messages: VecDeque<(SocketAddr, SocketAddr, Message)>,
+    /// Numbers that the author was told, by change.
+    committed: BTreeMap<u64, u64>,
+    ids: u64,
+    seeds: u64,
+}
+
+fn at(n: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, n as u8 + 1], 7500))
+}
+
+fn author() -> SocketAddr {
+    SocketAddr::from(([10, 2, 0, 1], 9000))
+}
+
+/// Under which key the author proposes a change.
+fn key(id: u64) -> &'static str {
+    ["a", "b", "c"][id as usize % 3]
+}
+
+/// What is on a disk after a loss of power now.
+fn durable_records(disk: &FaultyFolder) -> Vec<Record> {
+    let left = disk.after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
+    let (_, recovered) = RecordLog::open(left, LOG).unwrap_or_else(|e| panic!("{e}"));
+    recovered.records.iter().map(|bytes| minicbor::decode(bytes).expect("a record")).collect()
+}
+
+fn has_promised(records: &[Record], ballot: Ballot) -> bool {
+    records.iter().any(|record| match record {
+        Record::Promised(promised) => *promised >= ballot,
+        Record::Accepted(vote) => vote.ballot >= ballot,
+        _ => false,
+    })
+}
+
+fn has_accepted(records: &[Record], ballot: Ballot, number: u64) -> bool {
+    records.iter().any(|record| match record {
+        Record::Accepted(vote) => vote.number == number && vote.ballot >= ballot,
+        Record::Chosen(entry) => entry.number >= number,
+        Record::Head(head, _) => *head >= number,
+        _ => false,
+    })
+}
+
+impl Cluster {
+    pub fn new() -> Self {
+        let disks: [FaultyFolder; SIZE] = Default::default();
+        Self {
+            now: 0.0,
+            machines: Default::default(),
+            disk: disks[FAULTY].clone(),
+            disks,
+            loss: PowerLoss { keeps_names: true, keeps_bytes: usize::MAX },
+            restart_at: [0.0; SIZE],
+            stopped: [false; SIZE],
+            messages: VecDeque::new(),
+            committed: BTreeMap::new(),
+            ids: 0,
+            seeds: 0,
+        }
+    }
+
+    pub fn operations(&self) -> Vec<Operation> {
+        self.disk.operations()
+    }
+
+    pub fn head(&self, n: usize) -> u64 {
+        self.machines[n].as_ref().expect("it runs").replica().state().head()
+    }
+
+    pub fn votes(&mut self, n: usize) -> bool {
+        let now = self.now;
+        self.machines[n].as_mut().is_some_and(|m| m.replica_mut().view(now).votes)
+    }
+
+    /// A machine ends, and does not begin again.
+    pub fn stop(&mut self, n: usize) {
+        self.machines[n] = None;
+        self.stopped[n] = true;
+    }
+
+    /// The process of a machine begins from its disk: for the first time with a new log.
+    fn start(&mut self, n: usize) {
+        let disk = self.disks[n].clone();
+        self.restart_at[n] = self.now + RESTART;
+        let Ok(mut stored) = StoredLog::load(disk.clone(), LOG) else { return };
+        let new = stored.is_empty() && self.committed.is_empty();
+        let _ = stored.renew(new);
+        if disk.is_killed() {
+            return;
+        }
+        self.seeds += 1;
+        let (seed, now) = (self.seeds, self.now);
+        self.machines[n] = Some(DurableReplica::new(stored, POLICY, now, |records| {
+            Replica::new(n, (0..SIZE).map(at).collect(), Terms::default(), seed, now, records)
+        }));
+    }
+
+    fn restart_where_due(&mut self) {
+        for n in 0..SIZE {
+            if self.machines[n].is_some() || self.stopped[n] || self.now < self.restart_at[n] {
+                continue;
+            }
+            if self.disks[n].is_killed() {
+                self.disks[n] = self.disks[n].after(self.loss);
+            }
+            self.start(n);
+        }
+    }
+
+    /// Stores and sends what a machine has.
+    fn flush(&mut self, n: usize) {
+        let now = self.now;
+        let Some(machine) = self.machines[n].as_mut() else { return };
+        let (out, _) = machine.flush(now);
+        if self.disks[n].is_killed() {
+            self.machines[n] = None;
+            self.restart_at[n] = now + RESTART;
+            return;
+        }
+        if n == FAULTY {
+            self.binds(&out);
+        }
+        self.messages.extend(out.into_iter().map(|(to, message)| (at(n), to, message)));
+    }
+
+    /// What a machine says must hold after a loss of power at this moment.
+    fn binds(&self, out: &[(SocketAddr, Message)]) {
+        let binding = |message: &Message| {
+            matches!(
+                message,
+                Message::Promise { .. }
+                    | Message::Prepare { .. }
+                    | Message::Accepted { .. }
+                    | Message::Accept { .. }
+            )
+        };
+        if !out.iter().any(|(_, message)| binding(message)) {
+            return;
+        }
+        let records = durable_records(&self.disks[FAULTY]);
+        let votes = records.iter().any(|r| matches!(r, Record::Founded | Record::Joined));
+        for (_, message) in out {
+            let holds = match message {
+                Message::Promise { votes: false, .. } => true,
+                Message::Promise { ballot, .. } => votes && has_promised(&records, *ballot),
+                Message::Prepare { ballot, .. } => !votes || has_promised(&records, *ballot),
+                Message::Accepted { ballot, number } => votes && has_accepted(&records, *ballot, *number),
+                Message::Accept { vote } => votes && has_accepted(&records, vote.ballot, vote.number),
+                _ => true,
+            };
+            assert!(holds, "{message:?} goes out, and after a loss of power there is {records:?}");
+        }
+    }
+
+    fn deliver(&mut self) {
+        while let Some((from, to, message)) = self.messages.pop_front() {
+            if let (Message::Proposed { id, outcome: Outcome::Committed(number) }, true) =
+                (&message, to == author())
+            {
+                let before = self.committed.insert(*id, *number);
+                assert!(before.is_none_or(|before| before == *number), "{id} at {number} and at {before:?}");
+            }
+            let Some(n) = (0..SIZE).find(|n| at(*n) == to) else { continue };
+            if let Some(machine) = self.machines[n].as_mut() {
+                machine.replica_mut().heard(self.now, from, message);
+                self.flush(n);
+            }
+        }
+    }
+
+    /// Time goes on for so many seconds.
+    pub fn play(&mut self, seconds: f64) {
+        /// Seconds of the simulation's clock at a time.
+        const STEP: f64 = 0.02;
+        let until = self.now + seconds;
+        while self.now < until {
+            self.now += STEP;
+            self.restart_where_due();
+            for n in 0..SIZE {
+                let now = self.now;
+                if let Some(machine) = self.machines[n].as_mut().filter(|m| m.next() <= now) {
+                    machine.replica_mut().turn(now);
+                    self.flush(n);
+                }
+            }
+            self.deliver();
+        }
+    }
+
+    fn next_change(&mut self) -> Change {
+        self.ids += 1;
+        let key = key(self.ids);
+        let newest = self.machines.iter().flatten().map(|m| m.replica().state()).max_by_key(|s| s.head());
+        let replaces = newest.and_then(|state| state.get(key)).map_or(0, |(number, _)| number);
+        Change { id: self.ids, key: key.into(), text: Some("x".repeat(60)), replaces }
+    }
+
+    /// An author proposes a change there, once.
+    pub fn propose(&mut self, n: usize) {
+        let change = self.next_change();
+        self.messages.push_back((author(), at(n), Message::Propose { change }));
+        self.deliver();
+    }
+
+    /// An author proposes a change there until he is told that it is committed.
+    pub fn commit(&mut self, n: usize) -> u64 {
+        let change = self.next_change();
+        for _ in 0..40 {
+            self.messages.push_back((author(), at(n), Message::Propose { change: change.clone() }));
+            self.deliver();
+            self.play(0.2);
+            if let Some(number) = self.committed.get(&change.id) {
+                return *number;
+            }
+        }
+        panic!("{change:?} at {n} is not committed by {:.2} s", self.now);
+    }
+
+    /// The scripted history: changes at each machine, logs that are rewritten, a loss of power where the disk fails.
+    pub fn history(&mut self) {
+        self.play(1.0);
+        for n in [0, FAULTY, 2, 0, FAULTY, 2] {
+            self.propose(n);
+            self.play(0.3);
+        }
+        self.machines[FAULTY] = None;
+        self.restart_at[FAULTY] = self.now + RESTART;
+        self.play(0.5);
+        for n in [FAULTY, 0] {
+            self.propose(n);
+            self.play(0.3);
+        }
+    }
+
+    /// All goes well from here on. Then all machines vote, a change at each is committed, all agree, and all that authors
+    /// were told of is there, also after a loss of power at all machines at once.
+    pub fn check(&mut self, what: &str) {
+        for n in 0..SIZE {
+            self.disks[n].recovers();
+            self.stopped[n] = false;
+        }
+        self.play(7.0);
+        (0..SIZE).for_each(|n| assert!(self.votes(n), "{what}: {n} does not vote"));
+        self.agree(what);
+        for n in 0..SIZE {
+            self.machines[n] = None;
+            self.disks[n] = self.disks[n].after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
+        }
+        self.messages.clear();
+        self.play(1.0);
+        self.agree(what);
+    }
+
+    fn agree(&mut self, what: &str) {
+        let last = self.commit(0);
+        self.play(1.0);
+        let states: Vec<_> = self.machines.iter().flatten().map(|m| m.replica().state()).collect();
+        assert_eq!(states.len(), SIZE, "{what}: all run");
+        assert!(states.iter().all(|state| *state == states[0]), "{what}: they do not agree");
+        let highest = self.committed.values().copied().max().unwrap_or(0);
+        assert_eq!(states[0].head(), highest.max(last), "{what}");
+        for (id, number) in &self.committed {
+            // It stands under its key, or what does came after it there: each entry replaces the one before.
+            let key = key(*id);
+            let (at, change) = states[0].get(key).unwrap_or_else(|| panic!("{what}: nothing is at {key}"));
+            let stands = (at, change.id) == (*number, *id);
+            let replaced = change.replaces >= *number;
+            assert!(stands || replaced, "{what}: {id} at {number} is lost");
+        }
+    }
+}
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -90,6 +90,7 @@
     durable_names: BTreeMap<String, usize>,
     operations: Vec<Operation>,
     faults: Vec<(Range<usize>, Fault)>,
+    failing_kinds: Vec<(Operation, Fault)>,
     killed: bool,
 }
 
@@ -111,11 +112,15 @@
         self.disk.borrow_mut().faults.push((operations, fault));
     }
 
+    /// That befalls all operations of this kind from now on.
+    pub fn fails_at(&self, operation: Operation, fault: Fault) {
+        self.disk.borrow_mut().failing_kinds.push((operation, fault));
+    }
+
     /// All goes well from now on, and a process that was killed begins again.
     pub fn recovers(&self) {
         let mut disk = self.disk.borrow_mut();
-        disk.faults.clear();
-        disk.killed = false;
+        disk.clear_faults();
     }
 
     /// Whether the process that uses it was killed by a fault.
@@ -135,8 +140,7 @@
         disk.names = names.clone();
         disk.durable_names = disk.names.clone();
         disk.inodes.iter_mut().for_each(|inode| inode.cut(loss.keeps_bytes));
-        disk.faults.clear();
-        disk.killed = false;
+        disk.clear_faults();
         Self { disk: Rc::new(RefCell::new(disk)) }
     }
 
@@ -160,6 +164,12 @@
 }
 
 impl Disk {
+    fn clear_faults(&mut self) {
+        self.faults.clear();
+        self.failing_kinds.clear();
+        self.killed = false;
+    }
+
     /// Counts an operation; gives what befalls it.
     fn begin(&mut self, operation: Operation) -> io::Result<Option<Fault>> {
         if self.killed {
@@ -167,7 +177,11 @@
         }
         let number = self.operations.len();
         self.operations.push(operation);
-        let fault = self.faults.iter().find(|(range, _)| range.contains(&number)).map(|(_, fault)| *fault);
+        let numbered =
+            self.faults.iter().filter(|(range, _)| range.contains(&number)).map(|(_, fault)| *fault);
+        let of_kind =
+            self.failing_kinds.iter().filter(|(kind, _)| *kind == operation).map(|(_, fault)| *fault);
+        let fault = numbered.chain(of_kind).next();
         if let Some(Fault::Killed { .. }) = fault {
             self.killed = true;
         }
