--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -4,9 +4,9 @@
 
 mod records;
 
-use milletpath_config::{ConfigLogConfig, GatewayConfig};
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
 use milletpath_config_log::{Act, Record, Replica, ReplicaView, Terms};
+use milletpath_config::{ConfigLogConfig, GatewayConfig};
 use milletpath_gateway::{Telling, cpu, tenfold};
 use records::RecordFile;
 use serde::{Deserialize, Serialize};
--- a/crates/milletpath/src/log.rs
+++ b/crates/milletpath/src/log.rs
@@ -18,7 +18,12 @@
         tracing::error!(thread, "{panic}");
     }));
     let filter = EnvFilter::try_from_env("MILLETPATH_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    // A line that can't be written, as the disk behind standard error is full, is lost. To tell of that on standard
+    // error would panic, and end the thread that has something to tell.
+    let log = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .log_internal_errors(false);
     match form {
         Form::Text => log.with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr())).init(),
         Form::Json => log.json().init(),
