--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -3,18 +3,21 @@
 //! ever waits for the network. The last known state is kept in a file, and is in force from the first call on
 //! after a restart, whoever is silent.
 
+mod state_file;
+
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
 use crate::telling::{Telling, cpu};
 use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
 use milletpath_config_log::{Entry, Follower, FollowerView, Terms};
+use milletpath_storage::{DiskFolder, survive_file_size_limit};
 use serde::{Deserialize, Serialize};
-use std::fs::File;
+use state_file::{StateFile, StateId};
 use std::hash::{BuildHasher, RandomState};
-use std::io::{self, ErrorKind, Write};
+use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
@@ -84,6 +87,12 @@
     let Some(stated) = office.house.changes.clone() else {
         return Err(io::Error::other("the charter has no changes"));
     };
+    let Some((folder, name)) = DiskFolder::of_file(&stated.state) else {
+        return Err(io::Error::other("the state of changes is no file name"));
+    };
+    if let Err(e) = survive_file_size_limit() {
+        tracing::warn!("a limit on the size of files will end this process: {e}");
+    }
     let file = stated.state.display();
     let saved = match std::fs::read(&stated.state) {
         Ok(saved) => Some(saved),
@@ -106,12 +115,12 @@
         (true, _) => tracing::info!(number = head, "the last known state is in force"),
         (false, _) => tracing::info!("no state is known yet: the charter's figures hold"),
     }
-    let keeping = Keeping::new(stated.state, (head, follower.state().digest()), now);
+    let state_file = StateFile::new(folder, name, state_id(&follower), now);
     let mut running = Running {
         follower,
         office,
         feed,
-        keeping,
+        state_file,
         telling: Telling::default(),
         seals: 0,
         unread: 0,
@@ -136,7 +145,7 @@
     follower: Follower,
     office: Arc<Office>,
     feed: Feed,
-    keeping: Keeping,
+    state_file: StateFile<DiskFolder>,
     telling: Telling,
     seals: u64,
     unread: u64,
@@ -162,7 +171,7 @@
             }
             self.apply();
             self.post();
-            self.keeping.keep(&self.follower, now);
+            self.state_file.keep(state_id(&self.follower), now, || self.follower.save());
             self.log(now);
             if let Some(onlooker) = &mut self.onlooker {
                 onlooker.turn(&self.follower);
@@ -171,8 +180,7 @@
         if self.onlooker.as_ref().is_some_and(|o| o.killed()) {
             return;
         }
-        self.keeping.next = f64::NEG_INFINITY;
-        self.keeping.keep(&self.follower, self.office.now());
+        self.state_file.keep_last(state_id(&self.follower), self.office.now(), || self.follower.save());
         let Followed { cpu, kept, not_kept, view, .. } = self.view();
         tracing::info!(number = view.number, cpu, kept, not_kept, "changes are followed no more");
     }
@@ -233,7 +241,7 @@
 
     fn view(&self) -> Followed {
         let (seals, unread) = (self.seals, self.unread);
-        let Keeping { done: kept, failed: not_kept, .. } = self.keeping;
+        let (kept, not_kept) = (self.state_file.written, self.state_file.failed);
         let view = self.follower.view(self.office.now());
         Followed { view, cpu: cpu(), seals, unread, kept, not_kept }
     }
@@ -288,72 +296,14 @@
     }
 }
 
+/// Which state is in force.
+fn state_id(follower: &Follower) -> StateId {
+    StateId { number: follower.state().head(), digest: follower.state().digest() }
+}
+
 /// A reason that fits into a message.
 fn shortened(mut why: String) -> String {
     let end = (0..=LONGEST_WHY.min(why.len())).rev().find(|n| why.is_char_boundary(*n)).unwrap_or(0);
     why.truncate(end);
     why
 }
-
-/// The file of the last known state.
-struct Keeping {
-    path: PathBuf,
-    /// Number and digest of what it holds.
-    kept: (u64, u64),
-    /// When it may be written next.
-    next: f64,
-    done: u64,
-    failed: u64,
-}
-
-impl Keeping {
-    fn new(path: PathBuf, kept: (u64, u64), now: f64) -> Self {
-        Self { path, kept, next: now, done: 0, failed: 0 }
-    }
-
-    /// Writes what is in force, where it is something new and the last time is long enough ago.
-    fn keep(&mut self, follower: &Follower, now: f64) {
-        /// Seconds between two times: what a crash can cost is a second of changes, which the control
-        /// machines still have.
-        const AGAIN: f64 = 1.0;
-        /// A large state takes its time: of that, so many times as much lies between.
-        const REST: f64 = 20.0;
-        let state = (follower.state().head(), follower.state().digest());
-        if state == self.kept || now < self.next {
-            return;
-        }
-        let began = std::time::Instant::now();
-        match replace(&self.path, &follower.save()) {
-            Ok(()) => {
-                self.kept = state;
-                self.done += 1;
-            }
-            Err(e) => {
-                if self.failed == 0 {
-                    let file = self.path.display();
-                    tracing::error!(%file, "the last known state can't be kept, it would not outlive a restart: {e}");
-                }
-                self.failed += 1;
-            }
-        }
-        self.next = now + AGAIN.max(REST * began.elapsed().as_secs_f64());
-    }
-}
-
-/// Writes a file anew: at every moment of a crash it is the old or the new one.
-fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let mut name = path.to_owned().into_os_string();
-    name.push(format!(".{}.new", std::process::id()));
-    let beside = PathBuf::from(name);
-    let written = File::create(&beside).and_then(|mut file| {
-        file.write_all(bytes)?;
-        file.sync_all()
-    });
-    let done = written.and_then(|()| std::fs::rename(&beside, path));
-    if done.is_err() {
-        let _ = std::fs::remove_file(&beside);
-        return done;
-    }
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
-}
--- /dev/null
+++ b/crates/gateway/src/changing/state_file/tests.rs
@@ -0,0 +1,107 @@
+//! Each error and each kill at each operation on the file of the last known state: what is read after it is a whole
+//! state, no older than the last that was kept.
+
+use super::*;
+use milletpath_storage::testing::{Fault, FaultyFolder, Operation, PowerLoss};
+use nix::errno::Errno;
+
+const NAME: &str = "gateway.state";
+
+/// A state of some bytes, none like another.
+fn state(number: u64) -> (StateId, Vec<u8>) {
+    (StateId { number, digest: number * 7 }, vec![number as u8; 20 + number as usize])
+}
+
+fn file(folder: &FaultyFolder) -> StateFile<FaultyFolder> {
+    StateFile::new(folder.clone(), NAME.into(), StateId { number: 0, digest: 0 }, 0.0)
+}
+
+/// Six states, each tried for ten seconds; gives the number that was kept last.
+fn play(folder: &FaultyFolder) -> u64 {
+    let mut file = file(folder);
+    let mut kept = 0;
+    for number in 1..=6 {
+        for second in 0..10 {
+            let (id, bytes) = state(number);
+            file.keep(id, (number * 10 + second) as f64, || bytes);
+            if folder.is_killed() {
+                return kept;
+            }
+            kept = if file.kept == id { number } else { kept };
+        }
+    }
+    kept
+}
+
+/// What is read after a loss of power, whatever of it was not synced.
+fn holds(folder: &FaultyFolder, kept: u64, what: &str) {
+    for (keeps_names, keeps_bytes) in [(false, 0), (true, 0), (false, 9), (true, 9), (true, usize::MAX)] {
+        let left = folder.after(PowerLoss { keeps_names, keeps_bytes });
+        let number = match left.read(NAME) {
+            Ok(bytes) => {
+                let number = u64::from(*bytes.first().unwrap_or_else(|| panic!("{what}: it is empty")));
+                assert_eq!(bytes, state(number).1, "{what}: a state that never was");
+                number
+            }
+            Err(_) => 0,
+        };
+        assert!((kept..=kept + 1).contains(&number), "{what}: {number} after {kept} was kept");
+    }
+}
+
+#[test]
+fn each_fault_at_each_operation() {
+    let whole = FaultyFolder::default();
+    assert_eq!(play(&whole), 6);
+    let operations = whole.operations();
+    for (at, operation) in operations.iter().enumerate() {
+        let errors = [Errno::ENOSPC, Errno::EIO].into_iter();
+        let faults = errors.flat_map(|e| [Fault::Fails(e), Fault::FailsAfter(e)]).chain([Fault::ShortWrite]);
+        for (fault, length) in faults.flat_map(|fault| [1, 3].map(|length| (fault, length))) {
+            let folder = FaultyFolder::default();
+            folder.fails(at..at + length, fault);
+            let what = format!("{fault:?} at {at} ({operation:?}) for {length}");
+            assert_eq!(play(&folder), 6, "{what}: it does not recover");
+            holds(&folder, 6, &what);
+            assert_eq!(folder.names(), [NAME], "{what}");
+        }
+        let prefixes = if *operation == Operation::Write { 30 } else { 0 };
+        for after in 0..=prefixes {
+            let folder = FaultyFolder::default();
+            folder.fails(at..at + 1, Fault::Killed { after });
+            let kept = play(&folder);
+            holds(&folder, kept, &format!("killed at {at} ({operation:?}) after {after} bytes"));
+            folder.recovers();
+            assert_eq!(play(&folder), 6);
+            assert_eq!(folder.names(), [NAME], "what a kill left beside it goes");
+        }
+    }
+}
+
+/// A disk that fails for good is tried ever more rarely, and costs the file nothing.
+#[test]
+fn a_disk_that_fails_for_good_is_tried_ever_more_rarely() {
+    let folder = FaultyFolder::default();
+    let mut file = file(&folder);
+    let (id, bytes) = state(1);
+    file.keep(id, 0.0, || bytes);
+    folder.fails_at(Operation::SyncFile, Fault::Fails(Errno::EIO));
+    let (id, bytes) = state(2);
+    (0..1000).for_each(|tenth| file.keep(id, 2.0 + f64::from(tenth) / 10.0, || bytes.clone()));
+    assert!((10..30).contains(&file.failed), "{} attempts in 100 s", file.failed);
+    assert_eq!(folder.read(NAME).unwrap(), state(1).1);
+    folder.recovers();
+    file.keep_last(id, 103.0, || bytes.clone());
+    assert_eq!(folder.read(NAME).unwrap(), bytes);
+}
+
+/// What other processes left half written goes at the start; all else stays.
+#[test]
+fn leftovers_of_earlier_processes_go() {
+    let folder = FaultyFolder::default();
+    for name in ["gateway.state", "gateway.state.17.new", "gateway.state.x.new", "other.state.17.new"] {
+        folder.put(name, b"half");
+    }
+    file(&folder);
+    assert_eq!(folder.names(), ["gateway.state", "gateway.state.x.new", "other.state.17.new"]);
+}
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -45,6 +45,11 @@
         std::fs::remove_file(self.path.join(name))
     }
 
+    fn names(&self) -> io::Result<Vec<String>> {
+        let entries = std::fs::read_dir(&self.path)?;
+        Ok(entries.filter_map(|entry| entry.ok()?.file_name().into_string().ok()).collect())
+    }
+
     fn sync(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -18,6 +18,9 @@
 
     fn remove(&self, name: &str) -> io::Result<()>;
 
+    /// The names of the files in it.
+    fn names(&self) -> io::Result<Vec<String>>;
+
     /// Makes durable which names there are, and which file each stands for.
     fn sync(&self) -> io::Result<()>;
 }
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -16,6 +16,7 @@
     SyncFile,
     Rename,
     Remove,
+    List,
     SyncFolder,
 }
 
@@ -244,6 +245,11 @@
         })
     }
 
+    fn names(&self) -> io::Result<Vec<String>> {
+        let list = |disk: &mut Disk| Ok(disk.names.keys().cloned().collect());
+        self.disk.borrow_mut().operate(Operation::List, list)
+    }
+
     fn sync(&self) -> io::Result<()> {
         self.disk.borrow_mut().operate(Operation::SyncFolder, |disk| {
             disk.durable_names = disk.names.clone();
