--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -2,8 +2,8 @@
 //! force.
 
 use crate::changes::{Known, State};
-use milletpath_config_log::{Change, Outcome};
 use milletpath_config::{GatewayConfig, Subject};
+use milletpath_config_log::{Change, Outcome};
 use milletpath_gateway::control_client::{Client, Told, chance};
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -1,8 +1,8 @@
 //! `milletpath serve`.
 
 use milletpath_config::GatewayConfig;
-use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
 use milletpath_gateway::{Feed, Link, Links, Plant, Stir};
+use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
 use std::io::Write;
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/milletpath/tests/changes.rs
+++ b/crates/milletpath/tests/changes.rs
@@ -5,6 +5,8 @@
 mod control;
 #[path = "changes/stored_files.rs"]
 mod stored_files;
+#[path = "changes/storage.rs"]
+mod storage;
 
 use control::authors::{between, proposed};
 use control::{Differs, Site};
--- a/crates/milletpath/tests/control/authors.rs
+++ b/crates/milletpath/tests/control/authors.rs
@@ -5,6 +5,7 @@
 use milletpath_config_log::message::{self, LARGEST, Message};
 use milletpath_config_log::{Change, Outcome};
 use std::net::{SocketAddr, UdpSocket};
+use std::ops::RangeInclusive;
 use std::sync::mpsc;
 use std::time::Duration;
 
@@ -43,11 +44,16 @@
 
 /// Proposes one change after the other under one key, as fast as they are committed; gives the last number.
 pub fn proposed(site: &Site, changes: usize) -> u64 {
+    proposed_at(site, 0, 1..=changes, 0)
+}
+
+/// As [`proposed`], at that control machine, where that number stands under the key.
+pub fn proposed_at(site: &Site, machine: usize, changes: RangeInclusive<usize>, replaces: u64) -> u64 {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.connect(site.at(0)).unwrap();
+    socket.connect(site.at(machine)).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-    let (mut number, mut buffer) = (0, [0; LARGEST + 1]);
-    for n in 1..=changes {
+    let (mut number, mut buffer) = (replaces, [0; LARGEST + 1]);
+    for n in changes {
         let text = format!("functions {{\n  lanes = {n}\n#{}\n}}", "x".repeat(700));
         let change = Change { id: n as u64, key: "functions".into(), text: Some(text), replaces: number };
         let datagram = message::seal(&key(), &Message::Propose { change }).unwrap();
--- a/crates/milletpath/tests/control/mod.rs
+++ b/crates/milletpath/tests/control/mod.rs
@@ -35,6 +35,18 @@
     worker: Option<Child>,
 }
 
+/// Bytes that a file may have, in blocks of 512: what `ulimit` counts in.
+#[derive(Clone, Copy, Debug)]
+pub struct FileLimit(pub u32);
+
+/// The same program, begun by a shell that sets the limit first.
+fn limited(command: &Command, limit: FileLimit) -> Command {
+    let mut shell = Command::new("sh");
+    shell.arg("-c").arg(format!("ulimit -S -f {} && exec \"$@\"", limit.0)).arg("sh");
+    shell.arg(command.get_program()).args(command.get_args());
+    shell
+}
+
 fn program() -> Command {
     Command::new(env!("CARGO_BIN_EXE_milletpath"))
 }
@@ -154,9 +166,39 @@
         command
     }
 
+    /// As [`begin_control`](Self::begin_control), with a limit on the size of each file that it writes: a disk that is
+    /// full.
+    pub fn begin_limited_control(&mut self, n: usize, limit: FileLimit, how: &[&str]) {
+        let command = limited(&self.control_command(n, how), limit);
+        self.machines[n] =
+            Some(begun(command, &format!("control-{n}.err"), &self.folder, &format!("control {n} on")).0);
+    }
+
+    /// The disk of a control machine takes all again.
+    pub fn lift_limit(&self, n: usize) {
+        let pid = self.machines[n].as_ref().expect("it runs").id().to_string();
+        let lifted = Command::new("prlimit").args(["--pid", &pid, "--fsize=unlimited:unlimited"]).status();
+        assert!(lifted.expect("prlimit runs").success());
+    }
+
+    /// Whether a control machine's process runs.
+    pub fn runs(&mut self, n: usize) -> bool {
+        self.machines[n].as_mut().is_some_and(|child| child.try_wait().is_ok_and(|ended| ended.is_none()))
+    }
+
     pub fn begin_gateway(&mut self, n: usize) {
+        self.start_gateway(n, |command| command);
+    }
+
+    /// As [`begin_gateway`](Self::begin_gateway), with a limit on the size of each file that it writes.
+    pub fn begin_limited_gateway(&mut self, n: usize, limit: FileLimit) {
+        self.start_gateway(n, |command| limited(&command, limit));
+    }
+
+    fn start_gateway(&mut self, n: usize, wrap: impl FnOnce(Command) -> Command) {
         let mut command = program();
         command.arg("serve").arg("--charter").arg(self.file(&format!("gateway-{n}.hcl")));
+        let command = wrap(command);
         let (child, line) = begun(command, &format!("gateway-{n}.err"), &self.folder, "listening on http://");
         self.gateways[n] = Some((child, line.trim_start_matches("listening on http://").to_owned()));
     }
