--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -170,10 +170,14 @@
             println!("{number:<8} {at:<22} does not answer");
             continue;
         };
+        let log_error = v.log_error.as_ref();
         let v = &v.view;
         let votes = if v.votes { "yes" } else { "no" };
         let (sure, gateways) = (age(v.sure_as_of), v.followers.len());
         println!("{number:<8} {at:<22} {:>9} {sure:>8} {votes:>8} {gateways:>9}  {:?}", v.number, v.heard);
+        if let Some(error) = log_error {
+            println!("{:<8} its log can't be written: {error}; make room on its disk", "");
+        }
     }
     /// Gateways in trouble that are named.
     const NAMED: usize = 100;
