--- a/crates/config-log/src/durable.rs
+++ b/crates/config-log/src/durable.rs
@@ -4,10 +4,9 @@
 
 use crate::message::Message;
 use crate::replica::{Act, Record, Replica};
-use milletpath_storage::{Backoff, Folder, OpenError, RecordLog};
-use std::fmt;
-use std::io;
+use milletpath_storage::{AppendError, Backoff, Folder, OpenError, RecordLog, ReplaceError};
 use std::net::SocketAddr;
+use thiserror::Error;
 
 /// The log is rewritten when it has grown to so many times what it was then, and is larger than that many bytes: some
 /// thousand changes.
@@ -38,38 +37,27 @@
 }
 
 /// Why the log of a control machine can't be gone by.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum LoadError {
-    Open(OpenError),
-    /// A record, counted from 0, is of a kind that this program does not know.
+    #[error(transparent)]
+    Open(#[from] OpenError),
+    #[error("record {0} is of a kind that this program does not know; run the program that wrote it")]
     UnknownRecord(usize),
 }
 
-impl fmt::Display for LoadError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Open(error) => error.fmt(f),
-            Self::UnknownRecord(n) => write!(
-                f,
-                "record {n} is of a kind that this program does not know; run the program that wrote it"
-            ),
-        }
-    }
-}
-
-impl std::error::Error for LoadError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            Self::Open(error) => Some(error),
-            Self::UnknownRecord(_) => None,
-        }
-    }
+/// Why a record is not on the disk.
+#[derive(Debug, Error)]
+pub enum StorageError {
+    #[error("a record can't be appended: {0}")]
+    Append(#[from] AppendError),
+    #[error(transparent)]
+    Replace(#[from] ReplaceError),
 }
 
 impl<F: Folder> StoredLog<F> {
     /// Reads the log of that name; one that is not there is empty.
     pub fn load(folder: F, name: &str) -> Result<Self, LoadError> {
-        let (log, recovered) = RecordLog::open(folder, name).map_err(LoadError::Open)?;
+        let (log, recovered) = RecordLog::open(folder, name)?;
         let decoded = |(n, bytes): (usize, &Vec<u8>)| {
             minicbor::decode::<Record>(bytes).map_err(|_| LoadError::UnknownRecord(n))
         };
@@ -83,7 +71,7 @@
 
     /// What was read, or for a new log its first record, goes into a fresh file. Whether what was read ever reached the
     /// disk can't be known, so it binds nobody before that.
-    pub fn renew(&mut self, initialize: bool) -> io::Result<()> {
+    pub fn renew(&mut self, initialize: bool) -> Result<(), ReplaceError> {
         if initialize {
             self.records.push(Record::Founded);
         }
@@ -96,7 +84,7 @@
 pub enum StorageEvent {
     /// The first failure in a row, or a further one.
     Failed {
-        error: io::Error,
+        error: StorageError,
         in_a_row: u32,
         retry_in: f64,
     },
@@ -200,7 +188,7 @@
             // While it is suspended nothing that goes out builds on what it would store.
             if !records.is_empty() && !self.replica.is_suspended() {
                 if let Err(error) = self.log.append(&encoded(&records)) {
-                    self.suspend(now, error);
+                    self.suspend(now, error.into());
                     continue;
                 }
                 self.backoff.succeeded();
@@ -217,7 +205,7 @@
                 self.events.push(StorageEvent::Recovered);
                 self.replica.storage_recovered();
             }
-            Err(error) => self.suspend(now, error),
+            Err(error) => self.suspend(now, error.into()),
         }
     }
 
@@ -233,13 +221,13 @@
                 let retry_in = self.grown_backoff.failed();
                 self.grown_retry_at = now + retry_in;
                 let in_a_row = self.grown_backoff.failures();
-                self.events.push(StorageEvent::Failed { error, in_a_row, retry_in });
+                self.events.push(StorageEvent::Failed { error: error.into(), in_a_row, retry_in });
             }
-            Err(error) => self.suspend(now, error),
+            Err(error) => self.suspend(now, error.into()),
         }
     }
 
-    fn suspend(&mut self, now: f64, error: io::Error) {
+    fn suspend(&mut self, now: f64, error: StorageError) {
         self.replica.storage_failed();
         let retry_in = self.backoff.failed();
         self.retry_at = now + retry_in;
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -23,7 +23,7 @@
 mod state;
 mod view;
 
-pub use durable::{DurableReplica, LoadError, RewritePolicy, StorageEvent, StoredLog};
+pub use durable::{DurableReplica, LoadError, RewritePolicy, StorageError, StorageEvent, StoredLog};
 pub use entry::{Change, Entry, KEY, KEYS, Logged, TEXT, TEXTS};
 pub use follower::Follower;
 pub use message::{Ballot, Message, Outcome};
--- a/crates/gateway/src/changing/state_file.rs
+++ b/crates/gateway/src/changing/state_file.rs
@@ -1,7 +1,6 @@
 //! The file of a gateway's last known state: replaced as a whole, at most once in a while, and again after a failure.
 
-use milletpath_storage::{Backoff, Folder, replace_file};
-use std::io;
+use milletpath_storage::{Backoff, Folder, ReplaceError, replace_file};
 
 /// Seconds between two times: what a crash can cost is a second of changes, which the control machines still have.
 const AGAIN: f64 = 1.0;
@@ -81,9 +80,9 @@
     }
 
     /// The name beside it is this process's own: another process of the same gateway may still write.
-    fn replace(&self, bytes: &[u8]) -> io::Result<()> {
+    fn replace(&self, bytes: &[u8]) -> Result<(), ReplaceError> {
         let beside = format!("{}.{}.new", self.name, std::process::id());
-        replace_file(&self.folder, &self.name, &beside, bytes)
+        replace_file(&self.folder, &self.name, &beside, bytes).map(drop)
     }
 }
 
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -100,11 +100,11 @@
     }
     match stored.renew(found) {
         Ok(()) => Ok(stored),
-        Err(e) if !found && is_transient(&e) => {
-            tracing::error!(file = %shown, "the log can't be written: {e}; it does not vote until it can");
+        Err(e) if !found && is_transient(e.io()) => {
+            tracing::error!(file = %shown, "{e}; it does not vote until its log is written");
             Ok(stored)
         }
-        Err(e) => Err(failed(&format!("{shown}: can't be written: {e}; mend the disk or its permissions"))),
+        Err(e) => Err(failed(&format!("{shown}: {e}; mend the disk or its permissions"))),
     }
 }
 
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -2,6 +2,7 @@
 
 use nix::errno::Errno;
 use std::io::{self, Write};
+use thiserror::Error;
 
 /// A folder whose files outlive the process. File names are plain names within it.
 pub trait Folder {
@@ -49,25 +50,27 @@
 }
 
 /// Why a file could not be replaced.
-#[derive(Debug)]
-pub(crate) enum ReplaceError {
+#[derive(Debug, Error)]
+pub enum ReplaceError {
     /// The old file stands as it was.
-    Before(io::Error),
+    #[error("a fresh file can't be written: {0}")]
+    Before(#[source] io::Error),
     /// After a crash it may be the old file or the new one.
-    Uncertain(io::Error),
+    #[error("a fresh file can't be put in the place of the old: {0}")]
+    Uncertain(#[source] io::Error),
 }
 
-/// Replaces a file as a whole: at every moment of a crash it is the old or the new one, and the new one once this comes
-/// back. `beside` is the name that the new file has until it is complete. After an error the file may be either.
-pub fn replace_file<F: Folder>(folder: &F, name: &str, beside: &str, bytes: &[u8]) -> io::Result<()> {
-    match replace(folder, name, beside, bytes) {
-        Ok(_) => Ok(()),
-        Err(ReplaceError::Before(e) | ReplaceError::Uncertain(e)) => Err(e),
+impl ReplaceError {
+    pub fn io(&self) -> &io::Error {
+        match self {
+            Self::Before(e) | Self::Uncertain(e) => e,
+        }
     }
 }
 
-/// As [`replace_file`]; gives the new file, to be appended to.
-pub(crate) fn replace<F: Folder>(
+/// Replaces a file as a whole: at every moment of a crash it is the old or the new one, and the new one once this comes
+/// back. `beside` is the name that the new file has until it is complete. Gives the new file, to be appended to.
+pub fn replace_file<F: Folder>(
     folder: &F,
     name: &str,
     beside: &str,
--- a/crates/storage/src/framing.rs
+++ b/crates/storage/src/framing.rs
@@ -1,6 +1,5 @@
 //! The form of a record log: a header, then records one behind the other, each with its length and checksums.
 
-use std::io;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// What such a file begins with.
@@ -29,16 +28,19 @@
 }
 
 /// Adds records to `bytes`, each in its frame.
-pub fn frame(records: &[Vec<u8>], bytes: &mut Vec<u8>) -> io::Result<()> {
+///
+/// # Panics
+///
+/// Where a record is larger than [`LARGEST_RECORD`]: its author bounds it far below.
+pub fn frame(records: &[Vec<u8>], bytes: &mut Vec<u8>) {
     for record in records {
         let length = u32::try_from(record.len()).ok().filter(|n| *n <= LARGEST_RECORD);
-        let length = length.ok_or_else(|| io::Error::other("a record is too large"))?.to_le_bytes();
+        let length = length.expect("a record within its bound").to_le_bytes();
         bytes.extend(length);
         bytes.extend((xxh3_64(&length) as u32).to_le_bytes());
         bytes.extend(xxh3_64(record).to_le_bytes());
         bytes.extend(record);
     }
-    Ok(())
 }
 
 /// The records of a whole file.
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -15,5 +15,5 @@
 
 pub use backoff::Backoff;
 pub use disk::{DiskFolder, survive_file_size_limit};
-pub use folder::{Folder, FolderFile, is_transient, replace_file};
-pub use record_log::{OpenError, RecordLog, Recovered};
+pub use folder::{Folder, FolderFile, ReplaceError, is_transient, replace_file};
+pub use record_log::{AppendError, OpenError, RecordLog, Recovered};
--- a/crates/storage/src/record_log.rs
+++ b/crates/storage/src/record_log.rs
@@ -2,10 +2,10 @@
 //! file is not touched again: all that the log must hold goes into a fresh file by [`RecordLog::rewrite`], at a start
 //! as well, as it can't be known whether what is read there ever reached the disk.
 
-use crate::folder::{Folder, FolderFile, ReplaceError, replace};
+use crate::folder::{Folder, FolderFile, ReplaceError, replace_file};
 use crate::framing::{self, FormatError, HEADER};
-use std::fmt;
 use std::io::{self, Write};
+use thiserror::Error;
 
 /// What a log held when it was opened.
 #[derive(Debug, Default, PartialEq)]
@@ -16,36 +16,30 @@
 }
 
 /// Why a log can't be opened.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum OpenError {
-    Io(io::Error),
+    #[error("it can't be read: {0}; mend the disk or its permissions")]
+    Io(#[source] io::Error),
     /// The file is something else from its first byte on.
+    #[error("it is no log of a control machine; move it away")]
     NoLog,
     /// The record at this byte is not what was written.
+    #[error(
+        "the record at byte {0} is rotten; while more than half of the control machines run, move the file away and \
+         begin this one again: it learns all from the others"
+    )]
     CorruptAt(u64),
 }
 
-impl fmt::Display for OpenError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Io(e) => write!(f, "it can't be read: {e}; mend the disk or its permissions"),
-            Self::NoLog => write!(f, "it is no log of a control machine; move it away"),
-            Self::CorruptAt(at) => write!(
-                f,
-                "the record at byte {at} is rotten; while more than half of the control machines run, move the file \
-                 away and begin this one again: it learns all from the others"
-            ),
-        }
-    }
-}
-
-impl std::error::Error for OpenError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            Self::Io(e) => Some(e),
-            _ => None,
-        }
-    }
+/// Why records could not be appended. After either nothing may be acknowledged that builds on them.
+#[derive(Debug, Error)]
+pub enum AppendError {
+    /// The disk failed, now: a part may be there after a crash. All that the log must hold is to be rewritten.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The disk failed before, and the log has not been rewritten since.
+    #[error("the log must be rewritten first")]
+    NeedsRewrite,
 }
 
 impl From<FormatError> for OpenError {
@@ -94,38 +88,38 @@
         matches!(self.state, State::Appendable(_))
     }
 
-    /// Appends records; they are durable when this comes back. After an error nothing may be acknowledged that builds
-    /// on them, though after a crash some may be there.
-    pub fn append(&mut self, records: &[Vec<u8>]) -> io::Result<()> {
+    /// Appends records; they are durable when this comes back.
+    pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), AppendError> {
         let mut bytes = Vec::new();
-        framing::frame(records, &mut bytes)?;
+        framing::frame(records, &mut bytes);
         let State::Appendable(file) = &mut self.state else {
-            return Err(io::Error::other("the log must be rewritten first"));
+            return Err(AppendError::NeedsRewrite);
         };
         let written = file.write_all(&bytes).and_then(|()| file.sync());
         match written {
             Ok(()) => self.size += bytes.len() as u64,
             Err(_) => self.state = State::NeedsRewrite,
         }
-        written
+        Ok(written?)
     }
 
     /// Holds these records instead of all others, in a fresh file. At every moment of a crash the log is the old or the
     /// new one. An error before the new file takes the old one's name leaves an appendable log appendable.
-    pub fn rewrite(&mut self, records: &[Vec<u8>]) -> io::Result<()> {
+    pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), ReplaceError> {
         let mut bytes = HEADER.to_vec();
-        framing::frame(records, &mut bytes)?;
+        framing::frame(records, &mut bytes);
         let beside = format!("{}.new", self.name);
-        match replace(&self.folder, &self.name, &beside, &bytes) {
+        match replace_file(&self.folder, &self.name, &beside, &bytes) {
             Ok(file) => {
                 self.state = State::Appendable(file);
                 (self.size, self.rewritten_size) = (bytes.len() as u64, bytes.len() as u64);
                 Ok(())
             }
-            Err(ReplaceError::Before(e)) => Err(e),
-            Err(ReplaceError::Uncertain(e)) => {
-                self.state = State::NeedsRewrite;
-                Err(e)
+            Err(error) => {
+                if matches!(error, ReplaceError::Uncertain(_)) {
+                    self.state = State::NeedsRewrite;
+                }
+                Err(error)
             }
         }
     }
--- a/crates/storage/tests/record_log.rs
+++ b/crates/storage/tests/record_log.rs
@@ -154,8 +154,8 @@
         let record = vec![step; 3 + usize::from(step)];
         history.attempted.push(record.clone());
         stored = match log.is_appendable() && stored.is_ok() && step != 6 {
-            true => log.append(&[record]),
-            false => log.rewrite(&history.attempted),
+            true => log.append(&[record]).map_err(drop),
+            false => log.rewrite(&history.attempted).map_err(drop),
         };
         if folder.is_killed() {
             break;
