--- a/crates/config-log/src/acceptor.rs
+++ b/crates/config-log/src/acceptor.rs
@@ -18,39 +18,43 @@
     pub votes: BTreeMap<u64, Vote>,
 }
 
-/// What an acceptor says to a proposer.
+/// An acceptor's answer to a proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Said {
+pub(crate) enum AcceptorResponse {
     /// Yes, and that is to be stored.
-    Anew,
+    New,
     /// Yes, as it said before.
-    Again,
+    Repeated,
     /// No: it promised more.
-    No,
+    Rejected,
 }
 
 impl Acceptor {
     /// Of two attempts under one ballot only the first is followed: the second is of a process that forgot the first.
-    pub fn prepare(&mut self, ballot: Ballot, attempt: u64) -> Said {
+    pub fn prepare(&mut self, ballot: Ballot, attempt: u64) -> AcceptorResponse {
         if ballot > self.promised {
             (self.promised, self.attempt) = (ballot, Some(attempt));
-            return Said::Anew;
+            return AcceptorResponse::New;
+        }
+        if ballot == self.promised && self.attempt == Some(attempt) {
+            AcceptorResponse::Repeated
+        } else {
+            AcceptorResponse::Rejected
         }
-        if ballot == self.promised && self.attempt == Some(attempt) { Said::Again } else { Said::No }
     }
 
-    pub fn accept(&mut self, vote: &Vote) -> Said {
+    pub fn accept(&mut self, vote: &Vote) -> AcceptorResponse {
         if vote.ballot < self.promised {
-            return Said::No;
+            return AcceptorResponse::Rejected;
         }
         if self.votes.get(&vote.number).is_some_and(|v| v.ballot == vote.ballot) {
-            return Said::Again;
+            return AcceptorResponse::Repeated;
         }
         if vote.ballot > self.promised {
             (self.promised, self.attempt) = (vote.ballot, None);
         }
         self.votes.insert(vote.number, vote.clone());
-        Said::Anew
+        AcceptorResponse::New
     }
 
     /// What it accepted at that number under that ballot or a later one. Where that ballot was chosen, both are the same.
--- a/crates/config-log/src/durable.rs
+++ b/crates/config-log/src/durable.rs
@@ -3,7 +3,7 @@
 //! tried again and again, ever more rarely, and once it holds all that is known the replica votes again.
 
 use crate::message::Message;
-use crate::replica::{Act, Record, Replica};
+use crate::replica::{Action, Record, Replica};
 use milletpath_storage::{AppendError, Backoff, Folder, OpenError, RecordLog, ReplaceError};
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -73,7 +73,7 @@
     /// disk can't be known, so it binds nobody before that.
     pub fn renew(&mut self, initialize: bool) -> Result<(), ReplaceError> {
         if initialize {
-            self.records.push(Record::Founded);
+            self.records.push(Record::Initialized);
         }
         self.log.rewrite(&encoded(&self.records))
     }
@@ -172,14 +172,14 @@
         (std::mem::take(&mut self.out), std::mem::take(&mut self.events))
     }
 
-    /// Carries out the replica's acts until it has none left.
+    /// Carries out the replica's actions until it has none left.
     fn carry_out(&mut self, now: f64) {
         loop {
             let (mut records, mut sends) = (Vec::new(), Vec::new());
-            while let Some(act) = self.replica.act() {
-                match act {
-                    Act::Store(record) => records.push(record),
-                    Act::Send { to, message } => sends.push((to, message)),
+            while let Some(action) = self.replica.next_action() {
+                match action {
+                    Action::Store(record) => records.push(record),
+                    Action::Send { to, message } => sends.push((to, message)),
                 }
             }
             if records.is_empty() && sends.is_empty() {
--- a/crates/config-log/src/learner.rs
+++ b/crates/config-log/src/learner.rs
@@ -173,8 +173,8 @@
             return;
         }
         let entries: Vec<_> = entries.into_iter().map(|(number, change)| Entry { number, change }).collect();
-        entries.iter().for_each(|entry| self.store(Record::Held(entry.clone())));
-        self.store(Record::Head(head, digest));
+        entries.iter().for_each(|entry| self.store(Record::SnapshotEntry(entry.clone())));
+        self.store(Record::SnapshotHead(head, digest));
         self.log.install(entries, head);
         self.passed(head);
         self.settle_all();
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -27,6 +27,6 @@
 pub use entry::{Change, Entry, KEY, KEYS, Logged, TEXT, TEXTS};
 pub use follower::Follower;
 pub use message::{Ballot, Message, Outcome};
-pub use replica::{Act, REPLICAS, Record, Replica, Terms};
+pub use replica::{Action, REPLICAS, Record, Replica, Terms};
 pub use state::State;
 pub use view::{Followed, FollowerView, ReplicaView, Seen, Tally};
--- a/crates/config-log/src/proposer.rs
+++ b/crates/config-log/src/proposer.rs
@@ -1,7 +1,7 @@
 //! How a replica comes to lead, and what authors want: whoever leads proposes; the others pass on what authors sent them.
 //! A replica without a disk comes to vote by the same way, as a ballot that all others answered.
 
-use crate::acceptor::{SLOTS, Said};
+use crate::acceptor::{AcceptorResponse, SLOTS};
 use crate::entry::Change;
 use crate::message::{Ballot, Message, Outcome, ROOM, Vote};
 use crate::replica::{Record, Replica};
@@ -195,15 +195,15 @@
             return;
         }
         match self.acceptor.prepare(ballot, attempt) {
-            Said::No => {
+            AcceptorResponse::Rejected => {
                 self.send_to(n, Message::Outvoted { ballot: self.acceptor.promised });
                 return;
             }
-            Said::Anew => {
+            AcceptorResponse::New => {
                 self.outvoted(ballot);
                 self.store(Record::Promised(ballot));
             }
-            Said::Again => {}
+            AcceptorResponse::Repeated => {}
         }
         let slots: Vec<u64> = self.acceptor.votes.keys().copied().collect();
         if slots.is_empty() {
@@ -252,18 +252,18 @@
             return;
         }
         match self.acceptor.accept(&vote) {
-            Said::No => {
+            AcceptorResponse::Rejected => {
                 self.send_to(n, Message::Outvoted { ballot: self.acceptor.promised });
                 return;
             }
-            Said::Anew => {
+            AcceptorResponse::New => {
                 if self.proposer.role.ballot().is_some_and(|own| own < ballot) {
                     self.outvoted(ballot);
                 }
                 self.store_vote(vote);
                 self.send_all(Message::Accepted { ballot, number });
             }
-            Said::Again => self.send_to(n, Message::Accepted { ballot, number }),
+            AcceptorResponse::Repeated => self.send_to(n, Message::Accepted { ballot, number }),
         }
         // Who proposes accepted it first.
         self.accepted(n, ballot, number);
@@ -338,7 +338,7 @@
         self.store(Record::Promised(ballot));
         let votes: Vec<_> = self.acceptor.votes.values().cloned().collect();
         votes.into_iter().for_each(|vote| self.store(Record::Accepted(vote)));
-        self.store(Record::Joined);
+        self.store(Record::Readmitted);
         self.votes = true;
     }
 
--- a/crates/config-log/src/replica.rs
+++ b/crates/config-log/src/replica.rs
@@ -45,10 +45,10 @@
     /// First record of a new log's first start, written by the shell for `--found` alone: this replica votes from the
     /// start, as there is nothing that it could have forgotten.
     #[n(0)]
-    Founded,
+    Initialized,
     /// It was taken in again after it began without a disk; written by the core.
     #[n(1)]
-    Joined,
+    Readmitted,
     #[n(2)]
     Promised(#[n(0)] Ballot),
     #[n(3)]
@@ -56,17 +56,17 @@
     /// Chosen, and applied in order.
     #[n(4)]
     Chosen(#[n(0)] Entry),
-    /// Part of what is in force at the next `Head`; holds only with that one.
+    /// Part of what is in force at the next `SnapshotHead`; holds only with that one.
     #[n(5)]
-    Held(#[n(0)] Entry),
-    /// All `Held` since the last one are in force together at this number, with that digest.
+    SnapshotEntry(#[n(0)] Entry),
+    /// All `SnapshotEntry` since the last one are in force together at this number, with that digest.
     #[n(6)]
-    Head(#[n(0)] u64, #[n(1)] u64),
+    SnapshotHead(#[n(0)] u64, #[n(1)] u64),
 }
 
 /// What to do, in order. Whatever is stored before a send must be durable before that send goes out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Store(Record),
     Send { to: SocketAddr, message: Message },
 }
@@ -117,7 +117,7 @@
     asked: VecDeque<(u64, f64)>,
     stamp: u64,
     ask_at: f64,
-    acts: VecDeque<Act>,
+    actions: VecDeque<Action>,
     sends: usize,
     pub(crate) tally: Tally,
 }
@@ -160,7 +160,7 @@
             asked: VecDeque::new(),
             stamp,
             ask_at: now,
-            acts: VecDeque::new(),
+            actions: VecDeque::new(),
             sends: 0,
             tally: Tally::default(),
             replicas,
@@ -173,7 +173,7 @@
         let mut held = Vec::new();
         for record in stored {
             match record {
-                Record::Founded | Record::Joined => self.votes = true,
+                Record::Initialized | Record::Readmitted => self.votes = true,
                 Record::Promised(ballot) => self.acceptor.promised = self.acceptor.promised.max(ballot),
                 Record::Accepted(vote) => {
                     self.acceptor.promised = self.acceptor.promised.max(vote.ballot);
@@ -182,11 +182,11 @@
                 Record::Chosen(entry) => {
                     self.log.append(entry, self.clock.now);
                 }
-                Record::Held(entry) => held.push(entry),
-                Record::Head(head, _) if head >= self.log.state.head() => {
+                Record::SnapshotEntry(entry) => held.push(entry),
+                Record::SnapshotHead(head, _) if head >= self.log.state.head() => {
                     self.log.install(held.drain(..), head);
                 }
-                Record::Head(..) => held.clear(),
+                Record::SnapshotHead(..) => held.clear(),
             }
         }
         self.acceptor.forget(self.log.state.head());
@@ -329,7 +329,7 @@
     }
 
     pub(crate) fn store(&mut self, record: Record) {
-        self.acts.push_back(Act::Store(record));
+        self.actions.push_back(Action::Store(record));
     }
 
     /// Stores an own vote, which counts once it is durable.
@@ -338,7 +338,7 @@
         self.store(Record::Accepted(vote));
     }
 
-    /// All records that [`act`](Self::act) gave out are durable: own votes among them count from now on. May leave more
+    /// All records that [`next_action`](Self::next_action) gave out are durable: own votes among them count from now on. May leave more
     /// to do.
     pub fn stored(&mut self) {
         if self.suspended || self.unstored_votes.is_empty() {
@@ -350,13 +350,13 @@
         self.go_on();
     }
 
-    /// A record that [`act`](Self::act) gave out could not be made durable. What else it gave out since then must not
+    /// A record that [`next_action`](Self::next_action) gave out could not be made durable. What else it gave out since then must not
     /// be carried out, and what still waits here is dropped. From now on this replica learns, relays and serves, but
     /// neither promises nor votes nor proposes, until [`storage_recovered`](Self::storage_recovered); records that it
     /// gives out until then need not be stored, as a fresh file will hold all.
     pub fn storage_failed(&mut self) {
         self.suspended = true;
-        self.acts.clear();
+        self.actions.clear();
         self.sends = 0;
         self.stand_down();
     }
@@ -379,7 +379,7 @@
         }
         self.sends += 1;
         self.tally.sent += 1;
-        self.acts.push_back(Act::Send { to, message });
+        self.actions.push_back(Action::Send { to, message });
     }
 
     pub(crate) fn send_to(&mut self, n: usize, message: Message) {
@@ -393,23 +393,23 @@
     }
 
     /// What to do next.
-    pub fn act(&mut self) -> Option<Act> {
-        let act = self.acts.pop_front()?;
-        self.sends -= usize::from(matches!(act, Act::Send { .. }));
-        Some(act)
+    pub fn next_action(&mut self) -> Option<Action> {
+        let action = self.actions.pop_front()?;
+        self.sends -= usize::from(matches!(action, Action::Send { .. }));
+        Some(action)
     }
 
     /// Records that say all that `stored` must: for rewriting a file that has grown. Right only while
-    /// [`act`](Self::act) has nothing left.
+    /// [`next_action`](Self::next_action) has nothing left.
     pub fn compact(&self) -> Vec<Record> {
         let state = &self.log.state;
-        let joined = self.votes.then_some(Record::Joined);
-        let held = state.iter().map(|(number, c)| Record::Held(Entry { number, change: c.clone() }));
+        let joined = self.votes.then_some(Record::Readmitted);
+        let held = state.iter().map(|(number, c)| Record::SnapshotEntry(Entry { number, change: c.clone() }));
         joined
             .into_iter()
             .chain([Record::Promised(self.acceptor.promised)])
             .chain(held)
-            .chain([Record::Head(state.head(), state.digest())])
+            .chain([Record::SnapshotHead(state.head(), state.digest())])
             .chain(self.acceptor.votes.values().cloned().map(Record::Accepted))
             .collect()
     }
--- a/crates/config-log/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -104,7 +104,7 @@
         (Place::Replica(0), Place::Replica(2)) => vec![],
         _ => vec![0.001],
     });
-    net.dies = Some((1, Dies::Stored(|record| *record == Record::Joined)));
+    net.dies = Some((1, Dies::Stored(|record| *record == Record::Readmitted)));
     net.begin(2);
     net.begin(1);
     net.play(net.now + 3.0);
@@ -129,8 +129,9 @@
         net.play(1.0);
         for step in 1..40 {
             let n = net.chance.random_range(0..5);
-            let bare =
-                |disk: &Vec<Record>| !disk.iter().any(|r| matches!(r, Record::Founded | Record::Joined));
+            let bare = |disk: &Vec<Record>| {
+                !disk.iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted))
+            };
             let without = (0..5).filter(|o| *o == n || bare(&net.disks[*o])).count();
             if net.chance.random_bool(0.6) {
                 net.kill(n);
@@ -197,7 +198,7 @@
         net.begin(n);
         assert_eq!(*net.replica(n).state(), before);
     }
-    net.dies = Some((2, Dies::Stored(|record| matches!(record, Record::Held(_)))));
+    net.dies = Some((2, Dies::Stored(|record| matches!(record, Record::SnapshotEntry(_)))));
     net.begin(2);
     net.play(net.now + 3.0);
     assert!(net.machines[2].core.is_none(), "it died");
--- a/crates/config-log/tests/net/looks.rs
+++ b/crates/config-log/tests/net/looks.rs
@@ -1,7 +1,7 @@
 //! What stories share: changes, and looks at control machines.
 
 use super::Net;
-use milletpath_config_log::{Act, Change, ReplicaView};
+use milletpath_config_log::{Action, Change, ReplicaView};
 
 pub fn change(id: u64, key: &str, text: &str, replaces: u64) -> Change {
     Change { id, key: key.into(), text: Some(text.into()), replaces }
@@ -9,11 +9,11 @@
 
 impl Net {
     /// What a machine does next; where nothing is left, all before it is durable.
-    pub fn next_act(&mut self, n: usize) -> Option<Act> {
+    pub fn next_action(&mut self, n: usize) -> Option<Action> {
         let core = self.machines[n].core.as_mut()?;
-        core.act().or_else(|| {
+        core.next_action().or_else(|| {
             core.stored();
-            core.act()
+            core.next_action()
         })
     }
 
--- a/crates/config-log/tests/net/mod.rs
+++ b/crates/config-log/tests/net/mod.rs
@@ -12,7 +12,7 @@
 pub use place::Place;
 
 use milletpath_config_log::message::{self, Key};
-use milletpath_config_log::{Act, Change, Follower, Message, Outcome, Record, Replica, Terms};
+use milletpath_config_log::{Action, Change, Follower, Message, Outcome, Record, Replica, Terms};
 use place::Place::{Author, Follower as Gateway, Replica as Machine};
 use place::{Lies, Rule, calm};
 use rand::{Rng, SeedableRng};
@@ -134,7 +134,7 @@
             now: 0.0,
             terms: Terms::default(),
             machines: (0..machines).map(|_| Node::new(&mut chance)).collect(),
-            disks: vec![vec![Record::Founded]; machines],
+            disks: vec![vec![Record::Initialized]; machines],
             gateways: (0..followers).map(|_| Node::new(&mut chance)).collect(),
             shown: vec![BTreeMap::new(); followers],
             in_force: vec![Vec::new(); followers],
@@ -326,13 +326,13 @@
     }
 
     fn after_machine(&mut self, n: usize) {
-        while let Some(act) = self.next_act(n) {
-            match act {
-                Act::Store(record) => {
+        while let Some(action) = self.next_action(n) {
+            match action {
+                Action::Store(record) => {
                     if let Record::Chosen(entry) = &record {
                         self.log.committed(self.now, entry);
                     }
-                    if let Record::Head(head, digest) = &record {
+                    if let Record::SnapshotHead(head, digest) = &record {
                         assert_eq!(self.log.digest(*head), Some(*digest), "a state that never was at {head}");
                     }
                     let dies =
@@ -343,7 +343,7 @@
                         self.kill(n);
                     }
                 }
-                Act::Send { to, message } => {
+                Action::Send { to, message } => {
                     let last =
                         matches!(self.dies, Some((who, Dies::Sent(such))) if who == n && such(&message));
                     self.post(Machine(n), to, message);
--- a/crates/config-log/tests/search/world.rs
+++ b/crates/config-log/tests/search/world.rs
@@ -1,6 +1,8 @@
 //! What the search looks at: three control machines with their disks, a gateway, and the messages between them.
 
-use milletpath_config_log::{Act, Change, Entry, Follower, Message, Outcome, Record, Replica, State, Terms};
+use milletpath_config_log::{
+    Action, Change, Entry, Follower, Message, Outcome, Record, Replica, State, Terms,
+};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -91,7 +93,7 @@
             now: 0.0,
             broken,
             nodes: [None, None, None],
-            disks: std::array::from_fn(|_| vec![Record::Founded]),
+            disks: std::array::from_fn(|_| vec![Record::Initialized]),
             failing: [None; SIZE],
             volatile: Default::default(),
             follower: follower(0, 0.0, None),
@@ -110,7 +112,7 @@
     fn begin(&mut self, n: usize) {
         self.seeds += 1;
         if self.disks[n].is_empty() && self.broken == Broken::Forgetful {
-            self.disks[n].push(Record::Founded);
+            self.disks[n].push(Record::Initialized);
         }
         self.failing[n] = None;
         let stored = self.disks[n].clone();
@@ -136,11 +138,11 @@
     }
 
     /// What a machine does next; where nothing is left, all before it is stored.
-    fn next_act(&mut self, n: usize) -> Option<Act> {
+    fn next_action(&mut self, n: usize) -> Option<Action> {
         let replica = self.nodes[n].as_mut()?;
-        replica.act().or_else(|| {
+        replica.next_action().or_else(|| {
             replica.stored();
-            replica.act()
+            replica.next_action()
         })
     }
 
@@ -172,20 +174,20 @@
     /// Carries out so many acts, and dies where more are left.
     fn act(&mut self, n: usize, most: usize) {
         let mut left = most;
-        while let Some(act) = self.next_act(n) {
+        while let Some(action) = self.next_action(n) {
             if left == 0 {
                 self.kill(n);
                 return;
             }
             left -= 1;
-            match act {
-                Act::Store(record) => {
+            match action {
+                Action::Store(record) => {
                     if let Record::Chosen(entry) = &record {
                         self.says(n, entry);
                     }
                     self.store(n, record);
                 }
-                Act::Send { to, message } => self.send(n, to, message),
+                Action::Send { to, message } => self.send(n, to, message),
             }
         }
     }
@@ -228,7 +230,8 @@
 
     /// Fewer than a quorum may have forgotten at a time.
     pub fn may_wipe(&self, n: usize) -> bool {
-        let votes = |o: usize| self.disks[o].iter().any(|r| matches!(r, Record::Founded | Record::Joined));
+        let votes =
+            |o: usize| self.disks[o].iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted));
         (0..SIZE).filter(|o| *o != n).all(votes)
     }
 
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -76,7 +76,7 @@
     records.iter().any(|record| match record {
         Record::Accepted(vote) => vote.number == number && vote.ballot >= ballot,
         Record::Chosen(entry) => entry.number >= number,
-        Record::Head(head, _) => *head >= number,
+        Record::SnapshotHead(head, _) => *head >= number,
         _ => false,
     })
 }
@@ -178,7 +178,7 @@
             return;
         }
         let records = durable_records(&self.disks[FAULTY]);
-        let votes = records.iter().any(|r| matches!(r, Record::Founded | Record::Joined));
+        let votes = records.iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted));
         for (_, message) in out {
             let holds = match message {
                 Message::Promise { votes: false, .. } => true,
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -1,6 +1,6 @@
 //! `milletpath changes`: what the control machines know of what is in force, and where it is not.
 
-use crate::control::Told;
+use crate::control::ControlStatus;
 use milletpath_config::ConfigLogConfig;
 use milletpath_gateway::Followed;
 use milletpath_gateway::control_client::Client;
@@ -30,7 +30,7 @@
     pub number: usize,
     pub at: SocketAddr,
     /// None where it does not answer.
-    pub view: Option<Told>,
+    pub view: Option<ControlStatus>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -57,7 +57,7 @@
 
 impl Known {
     pub fn ask(client: &Client) -> Self {
-        let told: Vec<Option<Told>> = client.machines();
+        let told: Vec<Option<ControlStatus>> = client.machines();
         let views = || told.iter().flatten().map(|told| &told.view);
         let latest = views().max_by_key(|view| view.number);
         let (head, digest) = latest.map_or((0, 0), |view| (view.number, view.digest));
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -23,7 +23,7 @@
 /// Between two looks whether it is to stop.
 const LOOK: Duration = Duration::from_millis(50);
 
-pub fn control(charter: &Path, number: usize, found: bool) -> ExitCode {
+pub fn control(charter: &Path, number: usize, initialize: bool) -> ExitCode {
     let (house, stated) = match stated(charter) {
         Ok(stated) => stated,
         Err(code) => return code,
@@ -46,7 +46,7 @@
     if let Err(e) = survive_file_size_limit() {
         tracing::warn!("a limit on the size of files will end this process: {e}");
     }
-    let stored = match open_log(&file, found) {
+    let stored = match open_log(&file, initialize) {
         Ok(stored) => stored,
         Err(code) => return code,
     };
@@ -81,7 +81,7 @@
 
 /// Reads the log, and writes what it held into a fresh file. Where the disk fails for a while, reading waits, and the
 /// fresh file is left to the machine.
-fn open_log(file: &Path, found: bool) -> Result<StoredLog<DiskFolder>, ExitCode> {
+fn open_log(file: &Path, initialize: bool) -> Result<StoredLog<DiskFolder>, ExitCode> {
     let shown = file.display();
     let Some((folder, name)) = DiskFolder::of_file(file) else {
         return Err(failed(&format!("{shown}: is no file name")));
@@ -91,16 +91,16 @@
         let bytes = stored.torn_bytes;
         tracing::warn!(file = %shown, bytes, "a record that a crash cut short is taken off the log");
     }
-    if found && !stored.is_empty() {
+    if initialize && !stored.is_empty() {
         eprintln!("{shown}: holds a log already; begin without --found");
         return Err(ExitCode::from(2));
     }
-    if !found && stored.is_empty() {
+    if !initialize && stored.is_empty() {
         tracing::warn!("begins without a log: learns from the others, and votes once all of them answered");
     }
-    match stored.renew(found) {
+    match stored.renew(initialize) {
         Ok(()) => Ok(stored),
-        Err(e) if !found && is_transient(e.io()) => {
+        Err(e) if !initialize && is_transient(e.io()) => {
             tracing::error!(file = %shown, "{e}; it does not vote until its log is written");
             Ok(stored)
         }
@@ -125,9 +125,9 @@
     }
 }
 
-/// What a control machine tells operators.
+/// A control machine's status report for operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
+pub struct ControlStatus {
     #[serde(flatten)]
     pub view: ReplicaView,
     /// Seconds since its process began, and seconds of a processor that it took.
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -1,7 +1,7 @@
 //! The thread of a control machine: datagrams in, what is to be stored into the log, datagrams out.
 
 use super::receiver::{self, Receiver, Turn};
-use super::{LOOK, Told};
+use super::{ControlStatus, LOOK};
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
 use milletpath_config_log::{DurableReplica, StorageEvent};
@@ -70,7 +70,7 @@
                 self.replica.replica_mut().turn(now);
             }
             self.flush();
-            self.tell_log();
+            self.log_role_change();
         }
     }
 
@@ -108,7 +108,7 @@
         let (up, log, log_error) = (self.now(), self.replica.log_size(), self.log_error.clone());
         let replica = self.replica.replica_mut();
         let told = self.telling.page(from, ask, page, || {
-            serde_json::to_vec(&Told { view: replica.view(up), up, cpu: cpu(), log, log_error }).ok()
+            serde_json::to_vec(&ControlStatus { view: replica.view(up), up, cpu: cpu(), log, log_error }).ok()
         });
         if let Some(told) = told {
             self.send(from, &told);
@@ -125,10 +125,10 @@
     fn flush(&mut self) {
         let (out, events) = self.replica.flush(self.now());
         out.iter().for_each(|(to, message)| self.send(*to, message));
-        events.into_iter().for_each(|event| self.tell_of_storage(event));
+        events.into_iter().for_each(|event| self.log_storage_event(event));
     }
 
-    fn tell_of_storage(&mut self, event: StorageEvent) {
+    fn log_storage_event(&mut self, event: StorageEvent) {
         match event {
             StorageEvent::Failed { error, in_a_row, retry_in } => {
                 let votes = !self.replica.replica().is_suspended();
@@ -149,7 +149,7 @@
     }
 
     /// Tells the log when its part among the others changes.
-    fn tell_log(&mut self) {
+    fn log_role_change(&mut self) {
         /// Seconds between two looks.
         const AGAIN: f64 = 1.0;
         let now = self.now();
