--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -10,7 +10,7 @@
 use milletpath_config_log::{
     DurableReplica, LoadError, Replica, ReplicaView, RewritePolicy, StoredLog, Terms,
 };
-use milletpath_storage::{Backoff, DiskFolder, OpenError, is_transient, survive_file_size_limit};
+use milletpath_storage::{Backoff, DiskFolder, Folder, OpenError, is_transient, survive_file_size_limit};
 use serde::{Deserialize, Serialize};
 use std::io::{self, Write};
 use std::net::UdpSocket;
@@ -18,7 +18,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// Between two looks whether it is to stop.
 const LOOK: Duration = Duration::from_millis(50);
@@ -50,7 +50,7 @@
         Ok(stored) => stored,
         Err(code) => return code,
     };
-    let (began, seed) = (std::time::Instant::now(), milletpath_gateway::control_client::chance());
+    let (began, seed) = (Instant::now(), milletpath_gateway::control_client::chance());
     let control = stated.control.clone();
     let replica = DurableReplica::new(stored, RewritePolicy::default(), 0.0, |records| {
         Replica::new(number, control, Terms::default(), seed, 0.0, records)
@@ -59,8 +59,12 @@
     tracing::info!(number, %at, head, "a control machine");
     // For whoever started it.
     let _ = writeln!(io::stdout(), "control {number} on udp://{at}");
+    run_until_stopped(Machine::new(replica, house, stated.control, socket.into(), key, began))
+}
+
+/// Runs a control machine in a thread of its own until the process is asked to end.
+fn run_until_stopped(machine: Machine) -> ExitCode {
     let stop = Arc::new(AtomicBool::new(false));
-    let machine = Machine::new(replica, house, stated.control, socket.into(), key, began);
     let stopped = stop.clone();
     let thread = std::thread::Builder::new().name("control".into()).spawn(move || machine.run(&stopped));
     let Ok(thread) = thread else { return failed("its thread can't start") };
@@ -86,7 +90,8 @@
     let Some((folder, name)) = DiskFolder::of_file(file) else {
         return Err(failed(&format!("{shown}: is no file name")));
     };
-    let mut stored = load(&folder, &name).map_err(|unfit| failed(&format!("{shown}: {unfit}")))?;
+    let mut stored =
+        load(&folder, &name, std::thread::sleep).map_err(|unfit| failed(&format!("{shown}: {unfit}")))?;
     if stored.torn_bytes > 0 {
         let bytes = stored.torn_bytes;
         tracing::warn!(file = %shown, bytes, "a record that a crash cut short is taken off the log");
@@ -108,8 +113,12 @@
     }
 }
 
-/// Reads the log, again and again while the disk fails.
-fn load(folder: &DiskFolder, name: &str) -> Result<StoredLog<DiskFolder>, LoadError> {
+/// Reads the log, again and again while the disk fails; `sleep` waits between two times.
+fn load<F: Folder + Clone>(
+    folder: &F,
+    name: &str,
+    mut sleep: impl FnMut(Duration),
+) -> Result<StoredLog<F>, LoadError> {
     let mut backoff = Backoff::default();
     loop {
         match StoredLog::load(folder.clone(), name) {
@@ -118,7 +127,7 @@
                 if backoff.failures() == 1 {
                     tracing::error!(file = name, "the log can't be read: {e}; it is tried again");
                 }
-                std::thread::sleep(Duration::from_secs_f64(wait));
+                sleep(Duration::from_secs_f64(wait));
             }
             loaded => return loaded,
         }
@@ -156,3 +165,6 @@
     eprintln!("{why}");
     ExitCode::FAILURE
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/milletpath/tests/changes/storage.rs
+++ b/crates/milletpath/tests/changes/storage.rs
@@ -49,6 +49,12 @@
     site.kill_control(1);
     site.begin_control(1, &[]);
     site.wait("it has all again", |s| s.view(1)["number"] == number + 1 && s.view(1)["votes"] == true);
+    // Begun on a full disk it knows what it had, and binds nobody by it before it is in a fresh file.
+    site.kill_control(1);
+    site.begin_limited_control(1, FileLimit(1), &[]);
+    assert_eq!((&site.view(1)["number"], &site.view(1)["votes"]), (&(number + 1).into(), &false.into()));
+    site.lift_limit(1);
+    site.wait("it votes once more", |s| s.view(1)["votes"] == true);
 }
 
 /// A gateway that can't keep its last known state serves on, with what is in force.
