--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -16,6 +16,7 @@
 mod follower;
 mod learner;
 mod log;
+mod pending;
 mod proposer;
 mod replica;
 mod serving;
--- /dev/null
+++ b/crates/config-log/src/pending.rs
@@ -0,0 +1,112 @@
+//! Changes that authors proposed and of which nothing became yet: whoever leads proposes them, the others pass them on, and
+//! each author is told what became of his.
+
+use crate::entry::Change;
+use crate::message::{Message, Outcome};
+use crate::replica::Replica;
+use std::net::SocketAddr;
+
+/// Changes of authors that wait at a replica.
+const WAITING: usize = 256;
+
+#[derive(Clone, Debug)]
+pub(crate) struct PendingChange {
+    pub change: Change,
+    /// Who is told the outcome; none where a replica passed it on.
+    pub author: Option<SocketAddr>,
+    pub since: f64,
+    /// When it was last passed on.
+    pub sent: Option<f64>,
+    /// At which number it is proposed here.
+    pub number: Option<u64>,
+}
+
+impl Replica {
+    /// An author, or a replica for one, proposes a change.
+    pub(crate) fn propose(&mut self, from: SocketAddr, passed_on: bool, change: Change) {
+        let id = change.id;
+        let room = self.proposer.waiting.len() < WAITING;
+        let known = self.proposer.waiting.iter_mut().find(|w| w.change.id == id);
+        let outcome = if change.is_nothing() || id == 0 {
+            Outcome::NoKey
+        } else if !change.fits() {
+            Outcome::TooLarge
+        } else if let Some(waiting) = known {
+            waiting.author = if passed_on { waiting.author } else { Some(from) };
+            return;
+        } else if let Some(outcome) = self.log.outcome(&change) {
+            outcome
+        } else if self.log.state.verdict(&change) == crate::state::Verdict::Full {
+            Outcome::Full
+        } else if !room {
+            Outcome::Busy
+        } else {
+            self.tally.proposals += 1;
+            let author = (!passed_on).then_some(from);
+            let since = self.clock.now;
+            self.proposer.waiting.push(PendingChange { change, author, since, sent: None, number: None });
+            return;
+        };
+        self.send(from, Message::Proposed { id, outcome });
+    }
+
+    /// Where it was passed on to, its outcome is known already.
+    pub(crate) fn proposed_elsewhere(&mut self, id: u64, outcome: Outcome) {
+        if !matches!(outcome, Outcome::Unknown | Outcome::Busy) {
+            self.answer(|w| w.change.id == id, outcome);
+        }
+    }
+
+    fn answer(&mut self, which: impl Fn(&PendingChange) -> bool, outcome: Outcome) {
+        while let Some(n) = self.proposer.waiting.iter().position(&which) {
+            let waiting = self.proposer.waiting.remove(n);
+            if let Some(author) = waiting.author {
+                self.send(author, Message::Proposed { id: waiting.change.id, outcome });
+            }
+        }
+    }
+
+    /// An entry was applied.
+    pub(crate) fn settle(&mut self, number: u64, id: u64) {
+        self.proposer.open.remove(&number);
+        self.proposer.losses = 0;
+        let own = self.proposer.waiting.iter().find(|w| w.change.id == id);
+        if let Some(outcome) = own.map(|w| self.log.outcome_in_turn(&w.change)) {
+            self.answer(|w| w.change.id == id, outcome);
+        }
+        // Another's came there: this one is still to be proposed.
+        let beaten = self.proposer.waiting.iter_mut().filter(|w| w.number == Some(number));
+        beaten.for_each(|w| w.number = None);
+    }
+
+    /// Many entries were applied at once.
+    pub(crate) fn settle_all(&mut self) {
+        let head = self.log.state.head();
+        self.proposer.open = self.proposer.open.split_off(&(head + 1));
+        let decided = |w: &PendingChange| self.log.outcome(&w.change).map(|outcome| (w.change.id, outcome));
+        let decided: Vec<_> = self.proposer.waiting.iter().filter_map(decided).collect();
+        decided.into_iter().for_each(|(id, outcome)| self.answer(|w| w.change.id == id, outcome));
+        let beaten = self.proposer.waiting.iter_mut().filter(|w| w.number.is_some_and(|n| n <= head));
+        beaten.for_each(|w| w.number = None);
+    }
+
+    /// Passes what waits on to the one that leads.
+    pub(crate) fn pass_on(&mut self, leader: usize) {
+        let (now, again) = (self.clock.now, self.terms.again);
+        let due = |w: &&mut PendingChange| w.sent.is_none_or(|at| now >= at + again);
+        let mut changes = Vec::new();
+        for waiting in self.proposer.waiting.iter_mut().filter(due) {
+            waiting.sent = Some(now);
+            changes.push(waiting.change.clone());
+        }
+        changes.into_iter().for_each(|change| self.send_to(leader, Message::Propose { change }));
+    }
+
+    /// Tells authors whose changes waited too long that the outcome is not known.
+    pub(crate) fn expire(&mut self) {
+        let (now, patience) = (self.clock.now, self.terms.patience);
+        let before = self.proposer.waiting.len();
+        self.answer(|w| w.since + patience <= now, Outcome::Unknown);
+        self.tally.unknown += (before - self.proposer.waiting.len()) as u64;
+    }
+}
--- a/crates/config-log/src/proposer.rs
+++ b/crates/config-log/src/proposer.rs
@@ -1,19 +1,15 @@
-//! How a replica comes to lead, and what authors want: whoever leads proposes; the others pass on what authors sent them.
-//! A replica without a disk comes to vote by the same way, as a ballot that all others answered.
+//! How a replica comes to lead: whoever leads proposes what waits in `pending.rs`. A replica without a disk comes to vote by the same way, as a ballot that all others answered.
 
 use crate::acceptor::{AcceptorResponse, SLOTS};
 use crate::entry::Change;
-use crate::message::{Ballot, Message, Outcome, ROOM, Vote};
+use crate::message::{Ballot, Message, ROOM, Vote};
+use crate::pending::PendingChange;
 use crate::replica::{Record, Replica};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 
 /// Numbers that are open at a time: 20 changes a second take some 6 at 0.3 s there and back, 14 where one is lost.
 const OPEN: u64 = SLOTS / 2;
 
-/// Changes of authors that wait at a replica.
-const WAITING: usize = 256;
-
 /// Seconds without a word after which a replica doesn't count as leading: each asks and answers all others every 0.3 s.
 const HEARD: f64 = 0.7;
 
@@ -21,18 +17,6 @@
 /// takes the next in turn to notice a silence, to prepare and to propose.
 const GIVEN_UP: f64 = 2.0;
 
-#[derive(Clone, Debug)]
-struct Waiting {
-    change: Change,
-    /// Who is told the outcome; none where a replica passed it on.
-    author: Option<SocketAddr>,
-    since: f64,
-    /// When it was last passed on.
-    sent: Option<f64>,
-    /// At which number it is proposed here.
-    number: Option<u64>,
-}
-
 /// What a replica said to an attempt.
 #[derive(Clone, Debug, Default)]
 struct Promised {
@@ -62,12 +46,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
     role: Role,
-    waiting: Vec<Waiting>,
+    pub waiting: Vec<PendingChange>,
     /// When what is open at a number is sent again.
-    open: BTreeMap<u64, f64>,
+    pub open: BTreeMap<u64, f64>,
     /// Not before then another attempt, and how often it was outvoted in a row.
     rest: f64,
-    losses: i32,
+    pub losses: i32,
     /// The head at which something beyond it was accepted, and since when nothing became of it.
     stalled: Option<(u64, f64)>,
 }
@@ -84,74 +68,6 @@
         matches!(self.proposer.role, Role::Leading { .. })
     }
 
-    /// An author, or a replica for one, proposes a change.
-    pub(crate) fn propose(&mut self, from: SocketAddr, passed_on: bool, change: Change) {
-        let id = change.id;
-        let room = self.proposer.waiting.len() < WAITING;
-        let known = self.proposer.waiting.iter_mut().find(|w| w.change.id == id);
-        let outcome = if change.is_nothing() || id == 0 {
-            Outcome::NoKey
-        } else if !change.fits() {
-            Outcome::TooLarge
-        } else if let Some(waiting) = known {
-            waiting.author = if passed_on { waiting.author } else { Some(from) };
-            return;
-        } else if let Some(outcome) = self.log.outcome(&change) {
-            outcome
-        } else if self.log.state.verdict(&change) == crate::state::Verdict::Full {
-            Outcome::Full
-        } else if !room {
-            Outcome::Busy
-        } else {
-            self.tally.proposals += 1;
-            let author = (!passed_on).then_some(from);
-            let since = self.clock.now;
-            self.proposer.waiting.push(Waiting { change, author, since, sent: None, number: None });
-            return;
-        };
-        self.send(from, Message::Proposed { id, outcome });
-    }
-
-    /// Where it was passed on to, its outcome is known already.
-    pub(crate) fn proposed_elsewhere(&mut self, id: u64, outcome: Outcome) {
-        if !matches!(outcome, Outcome::Unknown | Outcome::Busy) {
-            self.answer(|w| w.change.id == id, outcome);
-        }
-    }
-
-    fn answer(&mut self, which: impl Fn(&Waiting) -> bool, outcome: Outcome) {
-        while let Some(n) = self.proposer.waiting.iter().position(&which) {
-            let waiting = self.proposer.waiting.remove(n);
-            if let Some(author) = waiting.author {
-                self.send(author, Message::Proposed { id: waiting.change.id, outcome });
-            }
-        }
-    }
-
-    /// An entry was applied.
-    pub(crate) fn settle(&mut self, number: u64, id: u64) {
-        self.proposer.open.remove(&number);
-        self.proposer.losses = 0;
-        let own = self.proposer.waiting.iter().find(|w| w.change.id == id);
-        if let Some(outcome) = own.map(|w| self.log.outcome_in_turn(&w.change)) {
-            self.answer(|w| w.change.id == id, outcome);
-        }
-        // Another's came there: this one is still to be proposed.
-        let beaten = self.proposer.waiting.iter_mut().filter(|w| w.number == Some(number));
-        beaten.for_each(|w| w.number = None);
-    }
-
-    /// Many entries were applied at once.
-    pub(crate) fn settle_all(&mut self) {
-        let head = self.log.state.head();
-        self.proposer.open = self.proposer.open.split_off(&(head + 1));
-        let decided = |w: &Waiting| self.log.outcome(&w.change).map(|outcome| (w.change.id, outcome));
-        let decided: Vec<_> = self.proposer.waiting.iter().filter_map(decided).collect();
-        decided.into_iter().for_each(|(id, outcome)| self.answer(|w| w.change.id == id, outcome));
-        let beaten = self.proposer.waiting.iter_mut().filter(|w| w.number.is_some_and(|n| n <= head));
-        beaten.for_each(|w| w.number = None);
-    }
-
     /// Another attempt is above the one here.
     pub(crate) fn outvoted(&mut self, ballot: Ballot) {
         self.observed = self.observed.max(ballot);
@@ -425,24 +341,6 @@
         (leader != self.me && waits).then_some(leader)
     }
 
-    fn pass_on(&mut self, leader: usize) {
-        let (now, again) = (self.clock.now, self.terms.again);
-        let due = |w: &&mut Waiting| w.sent.is_none_or(|at| now >= at + again);
-        let mut changes = Vec::new();
-        for waiting in self.proposer.waiting.iter_mut().filter(due) {
-            waiting.sent = Some(now);
-            changes.push(waiting.change.clone());
-        }
-        changes.into_iter().for_each(|change| self.send_to(leader, Message::Propose { change }));
-    }
-
-    fn expire(&mut self) {
-        let (now, patience) = (self.clock.now, self.terms.patience);
-        let before = self.proposer.waiting.len();
-        self.answer(|w| w.since + patience <= now, Outcome::Unknown);
-        self.tally.unknown += (before - self.proposer.waiting.len()) as u64;
-    }
-
     /// Proposes what waits, and sends again what was not answered.
     fn lead(&mut self) {
         let now = self.clock.now;
--- a/crates/config-log/src/replica.rs
+++ b/crates/config-log/src/replica.rs
@@ -1,6 +1,6 @@
 //! A control machine: told what came and when, it says what to store and what to send. What binds it is in
-//! `acceptor.rs`, how it leads and what authors want in `proposer.rs`, what is chosen in `learner.rs`, those who ask and
-//! follow in `serving.rs`.
+//! `acceptor.rs`, how it leads in `proposer.rs`, what authors want in `pending.rs`, what is chosen in `learner.rs`, those
+//! who ask and follow in `serving.rs`.
 
 use crate::acceptor::Acceptor;
 use crate::clock::Clock;
