--- /dev/null
+++ b/crates/platform-router/src/faults.rs
@@ -0,0 +1,106 @@
+//! Classifies errors of system calls on connections to workers. Free of I/O. The table of
+//! `docs/design/system-calls.md` states the same, and is tested against this line by line.
+
+use milletpath_policy::host::Outcome;
+use nix::errno::Errno;
+use std::io::{self, ErrorKind};
+
+/// The system call that failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Operation {
+    /// `socket` and `connect`, up to the moment at which the connection stands.
+    Connect,
+    Read,
+    Write,
+}
+
+/// Whose fault an error is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FaultOrigin {
+    /// This process or its host lacks something: it says nothing about the worker.
+    Local,
+    /// The worker or the way to it.
+    Remote,
+}
+
+/// What to do after an error.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Recovery {
+    /// The socket is not ready: wait until it is.
+    AwaitReadiness,
+    /// Nothing was lost: repeat the call after a pause.
+    Retry,
+    /// The connection is over.
+    Close,
+}
+
+/// A classified error.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Fault {
+    pub origin: FaultOrigin,
+    pub recovery: Recovery,
+}
+
+/// Classifies the error of a system call.
+pub fn classify(operation: Operation, error: &io::Error) -> Fault {
+    let errno = errno(error);
+    match operation {
+        Operation::Connect => classify_connect(errno),
+        Operation::Read | Operation::Write => classify_transfer(errno),
+    }
+}
+
+/// The number of an error; what the runtime made itself has none, only a kind.
+fn errno(error: &io::Error) -> Errno {
+    match (error.raw_os_error(), error.kind()) {
+        (Some(raw), _) => Errno::from_raw(raw),
+        (None, ErrorKind::WouldBlock) => Errno::EAGAIN,
+        (None, ErrorKind::Interrupted) => Errno::EINTR,
+        (None, ErrorKind::TimedOut) => Errno::ETIMEDOUT,
+        (None, _) => Errno::EIO,
+    }
+}
+
+fn classify_connect(errno: Errno) -> Fault {
+    use Errno::{
+        EADDRINUSE, EADDRNOTAVAIL, EAGAIN, ECONNABORTED, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE,
+        ENOBUFS, ENOMEM,
+    };
+    match errno {
+        EADDRINUSE | EADDRNOTAVAIL | EAGAIN | ECONNABORTED | EINTR | EMFILE | ENETDOWN | ENETUNREACH
+        | ENFILE | ENOBUFS | ENOMEM => Fault { origin: FaultOrigin::Local, recovery: Recovery::Retry },
+        _ => Fault { origin: FaultOrigin::Remote, recovery: Recovery::Close },
+    }
+}
+
+fn classify_transfer(errno: Errno) -> Fault {
+    use Errno::{
+        EADDRNOTAVAIL, EAGAIN, ECONNABORTED, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM,
+    };
+    match errno {
+        EAGAIN => Fault { origin: FaultOrigin::Local, recovery: Recovery::AwaitReadiness },
+        EINTR | EMFILE | ENFILE | ENOBUFS | ENOMEM => {
+            Fault { origin: FaultOrigin::Local, recovery: Recovery::Retry }
+        }
+        // The connection itself is over, by a decision of this host.
+        EADDRNOTAVAIL | ECONNABORTED | ENETDOWN | ENETUNREACH => {
+            Fault { origin: FaultOrigin::Local, recovery: Recovery::Close }
+        }
+        _ => Fault { origin: FaultOrigin::Remote, recovery: Recovery::Close },
+    }
+}
+
+/// How a request ends whose connection is over: one of which the socket did not take every byte never ran, any other
+/// may have.
+pub fn outcome(origin: FaultOrigin, written_whole: bool) -> Outcome {
+    match (origin, written_whole) {
+        (FaultOrigin::Local, false) => Outcome::Unsent,
+        (FaultOrigin::Remote, false) => Outcome::Unreached,
+        // The one end that may have run and is not counted as a fault of the worker.
+        (FaultOrigin::Local, true) => Outcome::Withdrawn,
+        (FaultOrigin::Remote, true) => Outcome::Cut,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform-router/src/faults/tests.rs
@@ -0,0 +1,107 @@
+use super::*;
+
+/// The page that states what every error proves.
+const PAGE: &str = include_str!("../../../../docs/design/system-calls.md");
+
+/// The errors that the users' letter names, and those that `read`, `write`, `socket` and `connect` add to them.
+const NAMED: [Errno; 15] = [
+    Errno::ECONNABORTED,
+    Errno::ENFILE,
+    Errno::EMFILE,
+    Errno::ENOBUFS,
+    Errno::ENOMEM,
+    Errno::EADDRNOTAVAIL,
+    Errno::ENETUNREACH,
+    Errno::EAGAIN,
+    Errno::EINTR,
+    Errno::ETIMEDOUT,
+    Errno::EHOSTUNREACH,
+    Errno::ECONNREFUSED,
+    Errno::ECONNRESET,
+    Errno::EPIPE,
+    Errno::EIO,
+];
+
+struct Row {
+    operation: Operation,
+    errno: String,
+    origin: FaultOrigin,
+    recovery: Recovery,
+    never_ran: String,
+}
+
+/// The rows of the page's table of connections to workers.
+fn rows() -> Vec<Row> {
+    let lines = PAGE.lines().filter(|line| line.starts_with("| `"));
+    lines.map(|line| row(line).unwrap_or_else(|| panic!("not understood: {line}"))).collect()
+}
+
+fn row(line: &str) -> Option<Row> {
+    let cells: Vec<_> = line.trim_matches('|').split('|').map(str::trim).collect();
+    let [operation, errno, origin, recovery, never_ran] = cells[..] else { return None };
+    Some(Row {
+        operation: match operation {
+            "`connect`" => Operation::Connect,
+            "`read`" => Operation::Read,
+            "`write`" => Operation::Write,
+            _ => return None,
+        },
+        errno: errno.trim_matches('`').to_owned(),
+        origin: match origin {
+            "local" => FaultOrigin::Local,
+            "remote" => FaultOrigin::Remote,
+            _ => return None,
+        },
+        recovery: match recovery {
+            "await readiness" => Recovery::AwaitReadiness,
+            "retry" => Recovery::Retry,
+            "close" => Recovery::Close,
+            _ => return None,
+        },
+        never_ran: never_ran.to_owned(),
+    })
+}
+
+/// Every line of the page holds, and there is one for each system call with each error.
+#[test]
+fn the_page_states_every_error_as_it_is_classified() {
+    let rows = rows();
+    for operation in [Operation::Connect, Operation::Read, Operation::Write] {
+        for errno in NAMED {
+            let name = format!("{errno:?}");
+            let row = rows.iter().find(|row| row.operation == operation && row.errno == name);
+            let row = row.unwrap_or_else(|| panic!("no line for {operation:?} {name}"));
+            let fault = classify(operation, &io::Error::from_raw_os_error(errno as i32));
+            assert_eq!((fault.origin, fault.recovery), (row.origin, row.recovery), "{operation:?} {name}");
+            let partial = outcome(fault.origin, false);
+            let whole = outcome(fault.origin, true);
+            let never_ran = match (operation, fault.recovery) {
+                (Operation::Connect, _) if partial.never_ran() => "all of it",
+                (_, Recovery::Close) if partial.never_ran() && !whole.never_ran() => "unless written whole",
+                (_, Recovery::AwaitReadiness | Recovery::Retry) => "not decided",
+                other => panic!("{other:?}"),
+            };
+            assert_eq!(never_ran, row.never_ran, "{operation:?} {name}");
+        }
+    }
+    assert_eq!(rows.len(), 3 * NAMED.len(), "a line that no error stands for");
+}
+
+/// What failed for a reason of our own ends as something that the policy holds against no worker.
+#[test]
+fn a_local_fault_ends_as_nothing_that_counts_against_a_worker() {
+    assert_eq!(outcome(FaultOrigin::Local, false), Outcome::Unsent);
+    assert_eq!(outcome(FaultOrigin::Local, true), Outcome::Withdrawn);
+    assert_eq!(outcome(FaultOrigin::Remote, false), Outcome::Unreached);
+    assert_eq!(outcome(FaultOrigin::Remote, true), Outcome::Cut);
+}
+
+/// Errors of the runtime's own have a kind and no number.
+#[test]
+fn errors_without_a_number_go_by_their_kind() {
+    let of = |operation, kind: ErrorKind| classify(operation, &io::Error::from(kind));
+    assert_eq!(of(Operation::Connect, ErrorKind::TimedOut).origin, FaultOrigin::Remote);
+    assert_eq!(of(Operation::Read, ErrorKind::WouldBlock).recovery, Recovery::AwaitReadiness);
+    assert_eq!(of(Operation::Write, ErrorKind::Interrupted).recovery, Recovery::Retry);
+    assert_eq!(of(Operation::Read, ErrorKind::UnexpectedEof).recovery, Recovery::Close);
+}
--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -2,16 +2,20 @@
 //! and carries out its acts; every routing decision is the desk's. Clients come in at `door.rs`, workers are reached
 //! through `link.rs`, the list is followed in `bulletin.rs`. What else must be decided is free of I/O: `numbers.rs`,
 //! `room.rs` (bytes in all buffers), `keeping.rs` (which connections to open and close), `shutdown.rs` (the times of
-//! a graceful shutdown).
+//! a graceful shutdown), `faults.rs` (what the error of a system call means), `backoff.rs` (pauses after it).
+//! `sockets.rs` holds the system calls on connections to workers.
 
+mod backoff;
 mod bulletin;
 mod door;
+mod faults;
 mod keeping;
 mod link;
 mod numbers;
 mod outbox;
 mod room;
 mod shutdown;
+mod sockets;
 mod station;
 
 pub use station::run;
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -1,19 +1,25 @@
 //! Links to workers: connections that carry many shots, orders and probes at a time. A frame waits here until its
 //! first byte can go; only then the desk is asked whether it still may, so that what is withdrawn before was never
 //! sent. What can't be read ends its connection and all that was open on it.
+//!
+//! Here stand the links themselves and what is read from them; `link/writing.rs` makes and writes frames, `link/task.rs`
+//! waits for the sockets.
 
+mod task;
+mod writing;
+
+use crate::backoff::Backoff;
+use crate::faults::{self, FaultOrigin, Operation, Recovery};
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
-use crate::station::{Asker, Shared, Station};
+use crate::station::Station;
 use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
 use milletpath_platform_protocol::{frames, lines};
 use milletpath_policy::host::Outcome;
 use std::collections::VecDeque;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
-use tokio::net::{TcpSocket, TcpStream};
+use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
@@ -79,10 +85,13 @@
     used: f64,
     /// When its worker was heard last.
     heard: f64,
+    /// Pauses after reads and writes that failed for a local reason.
+    reads: Backoff,
+    writes: Backoff,
 }
 
 impl Link {
-    fn new(worker: usize, process: u64, holds: Holds, now: f64) -> Self {
+    fn new(worker: usize, process: u64, holds: Holds, now: f64, connect: f64) -> Self {
         Self {
             worker,
             process,
@@ -99,6 +108,8 @@
             past: VecDeque::new(),
             used: now,
             heard: now,
+            reads: Backoff::new(connect),
+            writes: Backoff::new(connect),
         }
     }
 
@@ -134,63 +145,6 @@
     }
 }
 
-/// Whether a connection could not be made for want of something of our own: it says nothing about the worker.
-fn own_fault(error: &std::io::Error) -> bool {
-    use nix::errno::Errno::{EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM};
-    let own = [EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL];
-    error.raw_os_error().is_some_and(|raw| own.iter().any(|errno| *errno as i32 == raw))
-}
-
-async fn hold_link(station: Shared, key: usize, address: SocketAddr, wake: Rc<Notify>, connect: f64) {
-    let connecting = async {
-        let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        socket.set_nodelay(true)?;
-        socket.connect(address).await
-    };
-    let connected = tokio::select! {
-        connected = tokio::time::timeout(Duration::from_secs_f64(connect), connecting) => connected,
-        // Before it stands it is woken only where it was removed: its descriptor is wanted for another.
-        () = wake.notified() => return,
-    };
-    let connected = connected.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()));
-    let stream = match connected {
-        Ok(stream) => Rc::new(stream),
-        Err(e) => {
-            let outcome = if own_fault(&e) { Outcome::Unsent } else { Outcome::Unreached };
-            let mut s = station.borrow_mut();
-            if s.links.get(key).is_some_and(|l| Rc::ptr_eq(&l.wake, &wake)) {
-                s.unreached(key, &e.to_string(), outcome);
-                s.carry_out();
-            }
-            return;
-        }
-    };
-    {
-        let mut s = station.borrow_mut();
-        match s.links.get_mut(key).filter(|l| Rc::ptr_eq(&l.wake, &wake)) {
-            Some(link) => link.stream = Some(stream.clone()),
-            None => return,
-        }
-        s.link_writes(key);
-        s.carry_out();
-    }
-    loop {
-        let writes = match station.borrow().links.get(key).filter(|l| Rc::ptr_eq(&l.wake, &wake)) {
-            Some(link) => link.out.left() > 0 || !link.waiting.is_empty(),
-            None => return,
-        };
-        tokio::select! {
-            _ = stream.readable() => station.borrow_mut().link_reads(key),
-            _ = stream.writable(), if writes => {
-                let mut s = station.borrow_mut();
-                s.link_writes(key);
-                s.carry_out();
-            }
-            () = wake.notified() => {}
-        }
-    }
-}
-
 impl Station {
     /// The link on which one more frame for a worker goes; a new one where that is wanted.
     fn link(&mut self, worker: usize, id: Option<u64>) -> usize {
@@ -214,12 +168,12 @@
             let longest = idle.min_by(|a, b| a.1.used.total_cmp(&b.1.used)).map(|(key, _)| key);
             longest.map(|key| self.remove(key));
         }
-        let link = Link::new(worker, process, self.room.holds(0), now);
+        let link = Link::new(worker, process, self.room.holds(0), now, self.connect);
         let wake = link.wake.clone();
         let key = self.links.insert(link);
         self.reach.entry(worker).or_default().push(key);
         if let Some(station) = self.me.upgrade() {
-            spawn_local(hold_link(station, key, address, wake, self.connect));
+            spawn_local(task::drive(station, key, address, wake));
         }
         key
     }
@@ -274,147 +228,32 @@
         }
     }
 
-    /// Writes what waits for a worker, as far as the socket takes it: frame by frame, so that what is withdrawn before
-    /// its first byte has gone is not sent, however long the worker takes nothing.
-    pub fn link_writes(&mut self, key: usize) {
-        loop {
-            let now = self.now();
-            let Some(link) = self.links.get_mut(key) else { return };
-            let Some(stream) = link.stream.clone() else { return };
-            match link.out.write(&stream) {
-                Ok(0) => {}
-                Ok(n) => {
-                    link.written += n as u64;
-                    link.used = now;
-                }
-                Err(e) => return self.broken(key, &e.to_string()),
-            }
-            if link.out.left() > 0 {
-                link.wake.notify_one();
-                return self.take_back(key, now);
-            }
-            link.made_of = None;
-            if link.waiting.is_empty() {
-                return;
-            }
-            // Written into a connection that its worker has closed, a shot would count as one that may have run.
-            if link.closed() {
-                return self.broken(key, "it was closed");
-            }
-            if let Some(load) = link.waiting.pop_front()
-                && !self.make(key, load, now)
-            {
-                return;
-            }
-        }
-    }
-
-    /// A frame of which no byte has gone was never begun: it waits again, to be asked about anew.
-    fn take_back(&mut self, key: usize, now: f64) {
-        let Some(link) = self.links.get_mut(key).filter(|l| !l.out.begun()) else { return };
-        let Some(load) = link.made_of.take() else { return };
-        let made = link.out.left() as u64;
-        link.out.bytes.clear();
-        link.made -= made;
-        if load.awaits().is_some() {
-            link.open.pop();
-        }
-        match load {
-            Load::Shot(tag, shot) => {
-                link.waiting.push_front(load);
-                self.desk.put_back(now, tag, shot);
-            }
-            // It has its place in the ration: given again it would have two.
-            Load::Hold(order, ..) => self.desk.order_ended(now, order, Outcome::Unsent, 0),
-            Load::Unload(_) | Load::Probe(_) | Load::GiveUp(_) => link.waiting.push_front(load),
+    pub fn link_reads(&mut self, key: usize) {
+        let Some(stream) = self.links.get(key).and_then(|l| l.stream.clone()) else { return };
+        let mut scratch = std::mem::take(&mut self.scratch);
+        match self.sockets.read(&stream, &mut scratch) {
+            Ok(0) => self.broken(key, "it was closed", FaultOrigin::Remote),
+            Ok(n) => self.heard(key, &scratch[..n]),
+            Err(error) => self.read_failed(key, &error),
         }
+        self.scratch = scratch;
+        self.carry_out();
     }
 
-    /// Makes the frame of something whose turn has come, if it still may go. False where it waits for a look at what
-    /// its client has said meanwhile.
-    fn make(&mut self, key: usize, load: Load, now: f64) -> bool {
-        let (worker, process) = (self.links[key].worker, self.links[key].process);
-        if let Some(what) = load.awaits().filter(|_| self.desk.address(worker).1 != process) {
-            // Another process has the worker's name by now; what was meant for that one was not meant for this.
-            self.unanswered(worker, what, Outcome::Unsent);
-            return true;
-        }
-        if let Load::Shot(tag, _) = load
-            && !self.looked_at(tag, key, now)
-        {
-            self.links[key].waiting.push_front(load);
-            return false;
-        }
-        let mut out = std::mem::take(&mut self.links[key].out.bytes);
-        let open = match &load {
-            Load::Shot(tag, shot) => self.make_shot(&mut out, *tag, *shot, now),
-            Load::Hold(order, function, copies) => self.desk.begin_order(now, *order).then(|| {
-                let id = self.own_id(key);
-                frames::hold(&mut out, id, function, *copies);
-                (id, Sent::Order(*order))
-            }),
-            Load::Unload(function) => {
-                if let Some(id) = milletpath_platform_protocol::hex(function) {
-                    frames::unload(&mut out, id);
+    fn read_failed(&mut self, key: usize, error: &std::io::Error) {
+        let fault = faults::classify(Operation::Read, error);
+        let now = self.now();
+        match fault.recovery {
+            Recovery::AwaitReadiness => {}
+            Recovery::Retry => {
+                if let Some(link) = self.links.get_mut(key) {
+                    link.reads.failed(now);
                 }
-                None
-            }
-            Load::Probe(serial) => {
-                let id = self.own_id(key);
-                frames::probe(&mut out, id, self.reports);
-                Some((id, Sent::Probe(*serial)))
-            }
-            Load::GiveUp(id) => {
-                frames::give_up(&mut out, *id);
-                None
-            }
-        };
-        let Some(link) = self.links.get_mut(key) else { return false };
-        link.made += out.len() as u64;
-        link.made_of = (!out.is_empty()).then_some(load);
-        link.out.bytes = out;
-        if let Some((id, what)) = open {
-            let whole = link.made;
-            link.open.push(Open { id, what, whole, at: now });
-        }
-        true
-    }
-
-    /// The id of a frame of our own, which no client is likely to have chosen, and none has open here.
-    fn own_id(&mut self, key: usize) -> u64 {
-        loop {
-            self.serial += 1;
-            // An odd multiplier spreads them over all numbers, so that none follows from another by chance.
-            let id = self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            if !self.links[key].bears(id) {
-                return id;
             }
+            Recovery::Close => self.broken(key, &error.to_string(), fault.origin),
         }
     }
 
-    fn make_shot(&mut self, out: &mut Vec<u8>, tag: RequestId, shot: usize, now: f64) -> Option<(u64, Sent)> {
-        let left = self.desk.left_for(now, tag, shot)?;
-        if !self.desk.begin(now, tag, shot) {
-            return None;
-        }
-        let function = self.desk.function(tag)?;
-        let asker = self.desk.what(tag)?;
-        asker.begun = now;
-        let Asker { id, mark, body, .. } = &*asker;
-        let profile = &self.profiles[asker.profile];
-        frames::shot(out, &frames::Shot { id: *id, profile, function: &function, mark, body }, left);
-        Some((asker.id, Sent::Shot(tag, shot)))
-    }
-
-    pub fn link_reads(&mut self, key: usize) {
-        let Some(stream) = self.links.get(key).and_then(|l| l.stream.clone()) else { return };
-        self.read(&stream, |station, read| match read {
-            Ok(bytes) => station.heard(key, bytes),
-            Err(why) => station.broken(key, &why),
-        });
-        self.carry_out();
-    }
-
     fn heard(&mut self, key: usize, bytes: &[u8]) {
         let now = self.now();
         let Some(link) = self.links.get_mut(key) else { return };
@@ -438,15 +277,16 @@
             }
         };
         if let Some(wrong) = fault {
-            return self.broken(key, &wrong);
+            return self.broken(key, &wrong, FaultOrigin::Remote);
         }
         let rest = rest.to_vec();
         if let Some(link) = self.links.get_mut(key) {
             (link.used, link.heard) = (now, now);
+            link.reads.succeeded();
             link.buf = rest;
             link.holds.now(link.buf.capacity());
             if link.buf.len() > KEPT && self.room.full() {
-                self.broken(key, "its answer finds no memory");
+                self.broken(key, "its answer finds no memory", FaultOrigin::Local);
             }
         }
     }
@@ -527,14 +367,14 @@
 
     /// A connection broke or is of no more use: what was written whole may have run; the rest did not, and what
     /// waited goes on another, unless this one broke before it took anything: the next would as well.
-    fn broken(&mut self, key: usize, why: &str) {
+    fn broken(&mut self, key: usize, why: &str, origin: FaultOrigin) {
         if self.links.get(key).is_some_and(|l| l.written == 0) {
-            return self.unreached(key, why, Outcome::Unreached);
+            return self.unreached(key, why, faults::outcome(origin, false));
         }
         let Some(link) = self.remove(key) else { return };
         tracing::debug!(worker = link.worker, why, open = link.open.len(), "a connection to a worker ended");
         for open in link.open {
-            let outcome = if link.written >= open.whole { Outcome::Cut } else { Outcome::Unreached };
+            let outcome = faults::outcome(origin, link.written >= open.whole);
             self.unanswered(link.worker, open.what, outcome);
         }
         for load in link.waiting {
--- a/crates/platform-router/src/link/tests.rs
+++ b/crates/platform-router/src/link/tests.rs
@@ -6,7 +6,7 @@
 /// A worker that turned a shot away said so twice; the second copy would have ended the next shot of the same id.
 #[test]
 fn an_id_is_not_used_again_where_a_second_copy_may_come() {
-    let mut link = Link::new(0, 1, Room::new(1).holds(0), 0.0);
+    let mut link = Link::new(0, 1, Room::new(1).holds(0), 0.0, 0.25);
     for id in 0..=PAST as u64 {
         link.open.push(Open { id, what: Sent::Probe(id), whole: 0, at: 0.0 });
         assert!(link.bears(id));
@@ -36,7 +36,7 @@
         let key = {
             let mut s = station.borrow_mut();
             let (_, process) = s.desk.address(0);
-            let mut link = Link::new(0, process, s.room.holds(0), 0.0);
+            let mut link = Link::new(0, process, s.room.holds(0), 0.0, 0.25);
             link.stream = Some(stream.clone());
             let key = s.links.insert(link);
             s.reach.entry(0).or_default().push(key);
@@ -67,8 +67,12 @@
 #[test_case::test_case(nix::errno::Errno::EMFILE, true; "no descriptor")]
 #[test_case::test_case(nix::errno::Errno::ENFILE, true; "none on the whole system")]
 #[test_case::test_case(nix::errno::Errno::EADDRNOTAVAIL, true; "no port")]
+#[test_case::test_case(nix::errno::Errno::ENETUNREACH, true; "no route")]
+#[test_case::test_case(nix::errno::Errno::ECONNABORTED, true; "aborted here")]
+#[test_case::test_case(nix::errno::Errno::EAGAIN, true; "no entry free")]
 #[test_case::test_case(nix::errno::Errno::ECONNREFUSED, false; "refused")]
 #[test_case::test_case(nix::errno::Errno::EHOSTUNREACH, false; "no way there")]
 fn want_of_our_own_says_nothing_of_a_worker(errno: nix::errno::Errno, own: bool) {
-    assert_eq!(own_fault(&std::io::Error::from_raw_os_error(errno as i32)), own);
+    let fault = faults::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
+    assert_eq!(fault.origin == FaultOrigin::Local, own);
 }
--- a/crates/platform-router/src/outbox.rs
+++ b/crates/platform-router/src/outbox.rs
@@ -1,5 +1,7 @@
 //! Bytes on their way to a socket that takes them when it can, for clients and workers alike.
 
+use crate::faults::{self, Operation, Recovery};
+use crate::sockets::{Sockets, SystemSockets};
 use socket2::SockRef;
 use std::io::{self, ErrorKind};
 use std::mem::MaybeUninit;
@@ -23,7 +25,8 @@
     match SockRef::from(stream).peek(&mut one) {
         Ok(0) => Look::Closed,
         Ok(_) => Look::Bytes,
-        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Look::Nothing,
+        // What fails for a reason of our own says nothing about the other end.
+        Err(e) if faults::classify(Operation::Read, &e).recovery != Recovery::Close => Look::Nothing,
         Err(_) => Look::Closed,
     }
 }
@@ -47,9 +50,14 @@
 
     /// Writes as far as the socket takes it; how many bytes that were.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<usize> {
+        self.write_by(&SystemSockets, stream)
+    }
+
+    /// The same by other system calls. What went before an error counts as gone.
+    pub fn write_by(&mut self, sockets: &dyn Sockets, stream: &TcpStream) -> io::Result<usize> {
         let before = self.sent;
         while self.left() > 0 {
-            match stream.try_write(&self.bytes[self.sent..]) {
+            match sockets.write(stream, &self.bytes[self.sent..]) {
                 Ok(n) => self.sent += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(self.sent - before),
                 Err(e) => return Err(e),
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -6,6 +6,7 @@
 use crate::link::Link;
 use crate::room::{Holds, Room};
 use crate::shutdown::{Liveness, Shutdown};
+use crate::sockets::{Sockets, SystemSockets};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
 use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::lines;
@@ -75,6 +76,8 @@
     /// Clients whose sockets are read before the link beside them is written on.
     pub unread: Vec<(usize, usize)>,
     pub serial: u64,
+    /// The system calls on connections to workers.
+    pub sockets: Rc<dyn Sockets>,
     begun: Instant,
     /// The time for which the time keeper is set, and how it hears of an earlier one.
     armed: f64,
@@ -118,6 +121,7 @@
                 scratch: vec![0; TURN],
                 unread: Vec::new(),
                 serial: 0,
+                sockets: Rc::new(SystemSockets),
                 begun,
                 armed: f64::INFINITY,
                 alarm: Rc::new(Notify::new()),
