--- a/crates/platform-router/src/bulletin.rs
+++ b/crates/platform-router/src/bulletin.rs
@@ -7,7 +7,6 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -50,7 +49,8 @@
 }
 
 async fn stream(station: &Shared, address: SocketAddr, last: &mut u64) -> String {
-    match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
+    let sockets = station.borrow().sockets.clone();
+    match tokio::time::timeout(CONNECT, sockets.connect(address)).await {
         Ok(Ok(stream)) => heed(station, stream, last).await,
         Ok(Err(e)) => format!("no connection: {e}"),
         Err(_) => "no connection in time".into(),
--- a/crates/platform-router/src/bulletin/tests.rs
+++ b/crates/platform-router/src/bulletin/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
+use crate::faults::Operation;
+use crate::sockets::tests::{BRIEF, CONNECT as CONNECT_ERRORS, Injected, LONG, Span};
 use crate::station::tests::{listed, with};
+use nix::errno::Errno;
 use test_case::test_case;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -97,3 +100,34 @@
         );
     });
 }
+/// No connection to the bulletin can be made, for a reason of our own or another: it is asked again, with pauses, and
+/// what it tells is heard once it can. Held before.
+#[test_case(Span::Once; "once")]
+#[test_case(BRIEF; "for 100 ms")]
+#[test_case(LONG; "for 2 s")]
+fn no_connection_to_the_bulletin_can_be_made(span: Span) {
+    with(async move {
+        let stories = CONNECT_ERRORS.iter().map(|&errno| spawn_local(asked_until_it_answers(errno, span)));
+        for story in stories.collect::<Vec<_>>() {
+            story.await.unwrap();
+        }
+    });
+}
+
+async fn asked_until_it_answers(errno: Errno, span: Span) {
+    let sockets = Injected::new(Operation::Connect, errno, span, usize::MAX);
+    sockets.armed.set(true);
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let station = listed(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
+    station.borrow_mut().sockets = sockets.clone();
+    let (_moved, address) = watch::channel(listener.local_addr().unwrap());
+    spawn_local(follow(station.clone(), address, 1));
+    let (mut stream, _) = listener.accept().await.unwrap();
+    stream.write_all(event(2, "left").as_bytes()).await.unwrap();
+    while station.borrow().desk.workers() != [] {
+        tokio::time::sleep(Duration::from_millis(1)).await;
+    }
+    // Pauses of 50, 100, 200 and then 400 ms.
+    let failures = sockets.failures.get();
+    assert!((1..=8).contains(&failures), "{errno:?}: {failures}");
+}
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -88,6 +88,8 @@
     /// Pauses after reads and writes that failed for a local reason.
     reads: Backoff,
     writes: Backoff,
+    /// Its connection could not be made so far for a local reason.
+    connect_fails: bool,
 }
 
 impl Link {
@@ -110,6 +112,7 @@
             heard: now,
             reads: Backoff::new(connect),
             writes: Backoff::new(connect),
+            connect_fails: false,
         }
     }
 
@@ -156,6 +159,9 @@
             self.links[**key].process == process && id.is_none_or(|id| !self.links[**key].bears(id))
         };
         let fit: Vec<usize> = known.filter(fits).copied().collect();
+        if let Some(key) = self.instead_of_connecting(&fit) {
+            return key;
+        }
         let now = self.now();
         let each = fit.iter().map(|&k| (self.links[k].shots(), self.links[k].unheard()));
         let picked = self.keeping.pick(now, each, self.links.len());
@@ -178,6 +184,14 @@
         key
     }
 
+    /// While no connection to a worker can be made for a local reason, the least loaded one that stands, or else the
+    /// one that is still tried: another would fail alike.
+    fn instead_of_connecting(&self, fit: &[usize]) -> Option<usize> {
+        let failing = fit.iter().copied().find(|&key| self.links[key].connect_fails)?;
+        let standing = fit.iter().copied().filter(|&key| self.links[key].stream.is_some());
+        Some(standing.min_by_key(|&key| self.links[key].shots()).unwrap_or(failing))
+    }
+
     fn load(&mut self, key: usize, load: Load) {
         let now = self.now();
         let link = &mut self.links[key];
--- a/crates/platform-router/src/link/task.rs
+++ b/crates/platform-router/src/link/task.rs
@@ -2,7 +2,6 @@
 
 use crate::backoff::Backoff;
 use crate::faults::{self, Operation, Recovery};
-use crate::sockets::Sockets;
 use crate::station::Shared;
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +9,6 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::time::Instant;
 
 /// What a link waits for.
 struct Wanted {
@@ -22,12 +20,8 @@
 
 /// Makes the connection of a link and serves it until the link is removed, which `wake` tells.
 pub async fn drive(station: Shared, key: usize, address: SocketAddr, wake: Rc<Notify>) {
-    let (sockets, limit) = {
-        let s = station.borrow();
-        (s.sockets.clone(), s.connect)
-    };
     let connected = tokio::select! {
-        connected = connect(&*sockets, address, limit) => connected,
+        connected = connect(&station, key, address, &wake) => connected,
         // Before it stands it is woken only where it was removed: its descriptor is wanted for another.
         () = wake.notified() => return,
     };
@@ -38,7 +32,7 @@
     {
         let mut s = station.borrow_mut();
         match s.links.get_mut(key).filter(|l| Rc::ptr_eq(&l.wake, &wake)) {
-            Some(link) => link.stream = Some(stream.clone()),
+            Some(link) => (link.stream, link.connect_fails) = (Some(stream.clone()), false),
             None => return,
         }
         s.link_writes(key);
@@ -73,22 +67,29 @@
     })
 }
 
-/// Makes a connection within so many seconds. A local fault is waited out for a part of them.
-async fn connect(sockets: &dyn Sockets, address: SocketAddr, limit: f64) -> io::Result<TcpStream> {
-    let started = Instant::now();
-    let deadline = started + Duration::from_secs_f64(limit);
+/// Makes the connection of a link. A local fault is waited out for as long as something waits for the connection.
+async fn connect(
+    station: &Shared,
+    key: usize,
+    address: SocketAddr,
+    wake: &Rc<Notify>,
+) -> io::Result<TcpStream> {
+    let (sockets, limit) = {
+        let s = station.borrow();
+        (s.sockets.clone(), s.connect)
+    };
     let mut backoff = Backoff::new(limit);
     loop {
-        let attempt = tokio::time::timeout_at(deadline, sockets.connect(address)).await;
+        let attempt = tokio::time::timeout(Duration::from_secs_f64(limit), sockets.connect(address)).await;
         let error = match attempt {
             Ok(Ok(stream)) => return Ok(stream),
             Ok(Err(error)) => error,
             Err(_) => return Err(io::ErrorKind::TimedOut.into()),
         };
-        let now = started.elapsed().as_secs_f64();
+        let now = station.borrow().now();
         let resume = backoff.failed(now);
         let retries = faults::classify(Operation::Connect, &error).recovery == Recovery::Retry;
-        if !retries || backoff.exhausted(now) {
+        if !retries || !still_wanted(station, key, wake, backoff.exhausted(now)) {
             return Err(error);
         }
         tracing::debug!(%address, %error, "a connection is tried again");
@@ -96,6 +97,20 @@
     }
 }
 
+/// Notes that a connection can't be made for a local reason; where that has lasted too long, what waits for it is
+/// given back. Tells whether something still, or again, waits for it.
+fn still_wanted(station: &Shared, key: usize, wake: &Rc<Notify>, exhausted: bool) -> bool {
+    let mut s = station.borrow_mut();
+    let Some(link) = s.links.get_mut(key).filter(|l| Rc::ptr_eq(&l.wake, wake)) else { return false };
+    link.connect_fails = true;
+    if exhausted {
+        s.give_back_waiting(key);
+        s.carry_out();
+    }
+    let link = s.links.get(key).filter(|l| Rc::ptr_eq(&l.wake, wake));
+    link.is_some_and(|l| l.waiting.iter().any(|load| load.awaits().is_some()))
+}
+
 fn connect_failed(station: &Shared, key: usize, wake: &Rc<Notify>, error: &io::Error) {
     let origin = faults::classify(Operation::Connect, error).origin;
     let mut s = station.borrow_mut();
--- a/crates/platform-router/src/link/writing.rs
+++ b/crates/platform-router/src/link/writing.rs
@@ -68,7 +68,7 @@
 
     /// Ends what waits on a link as never sent: its turn does not come soon, for a local reason. What nobody awaits
     /// an answer for goes on waiting.
-    fn give_back_waiting(&mut self, key: usize) {
+    pub fn give_back_waiting(&mut self, key: usize) {
         let Some(link) = self.links.get_mut(key) else { return };
         let (worker, waiting) = (link.worker, std::mem::take(&mut link.waiting));
         let (awaited, rest) = waiting.into_iter().partition(|load| load.awaits().is_some());
--- a/crates/platform-router/src/sockets.rs
+++ b/crates/platform-router/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The system calls on connections to workers, behind a trait: tests put errors, short reads and short writes in place
+//! The system calls on connections to workers, and `connect` to the bulletin, behind a trait: tests put errors, short reads and short writes in place
 //! of the system's answers.
 
 use std::io;
@@ -37,3 +37,6 @@
         stream.try_write(bytes)
     }
 }
+
+#[cfg(test)]
+pub mod tests;
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/station/tests.rs
@@ -11,6 +11,11 @@
 
 /// A router alone that knows such workers, all warm.
 pub fn listed(workers: &[SocketAddr]) -> Shared {
+    listed_for("free", 250_000, workers)
+}
+
+/// The same, for calls of such an effect, and with so many microseconds for a connection to be made.
+pub fn listed_for(effect: &str, connect: u64, workers: &[SocketAddr]) -> Shared {
     let member = |(n, at): (usize, &SocketAddr)| {
         format!(r#"{{"id":"w{n}","host_port":"{at}","locality":"z","flavor":"k","phase":"active","size":1}}"#)
     };
@@ -18,8 +23,8 @@
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","seed":"05","bulletin":"127.0.0.1:1",
         "known":{{"no":1,"items":[{{"no":1,"roster":{{"complete":true,"members":[{}]}}}}]}},
-        "settings":{{"Balancers":1,"Classes":[{{"Name":"p","Effect":"free","Objective":400000,"HardLimit":3000000}}],
-        "Limits":{{"MaxAttempts":4,"Cancelling":true,"ConnectTimeout":250000,"Keepalive":30000000,"StreamsPerConn":32}},
+        "settings":{{"Balancers":1,"Classes":[{{"Name":"p","Effect":"{effect}","Objective":400000,"HardLimit":3000000}}],
+        "Limits":{{"MaxAttempts":4,"Cancelling":true,"ConnectTimeout":{connect},"Keepalive":30000000,"StreamsPerConn":32}},
         "FamilyInfo":{{"MissMode":"load","KeepAlive":5000000}},"Tick":1000,
         "Rules":{{"DrainGrace":1,"StartCapacity":0.2,"WarmUp":1,"TipMultiple":2.5,"OverloadFor":1}}}}}}"#,
         members.join(",")
