--- a/crates/milletpath/tests/platform.rs
+++ b/crates/milletpath/tests/platform.rs
@@ -1,5 +1,7 @@
 //! Stories of the router on the platform, played on loopback against workers, a bulletin and clients of our own.
 
+#[path = "platform/connections.rs"]
+mod connections;
 #[path = "platform/crossings.rs"]
 mod crossings;
 #[path = "platform/crowded.rs"]
--- a/crates/milletpath/tests/town/mod.rs
+++ b/crates/milletpath/tests/town/mod.rs
@@ -224,6 +224,16 @@
         self.stream.get_ref().shutdown(how).expect("it is open");
     }
 
+    /// Ends the connection with a reset.
+    pub fn reset(&mut self) {
+        let stream = self.stream.get_ref();
+        let socket = socket2::SockRef::from(stream);
+        socket.set_linger(Some(Duration::ZERO)).expect("it is open");
+        // Dropped, it is reset; another takes its place here.
+        let address = stream.peer_addr().expect("it is open");
+        self.stream = BufReader::new(TcpStream::connect(address).expect("it listens"));
+    }
+
     /// Whether something lies there to be heard.
     pub fn has_heard(&self) -> bool {
         let stream = self.stream.get_ref();
--- a/crates/platform-router/src/bulletin/tests.rs
+++ b/crates/platform-router/src/bulletin/tests.rs
@@ -124,7 +124,7 @@
     spawn_local(follow(station.clone(), address, 1));
     let (mut stream, _) = listener.accept().await.unwrap();
     stream.write_all(event(2, "left").as_bytes()).await.unwrap();
-    while station.borrow().desk.workers() != [] {
+    while !station.borrow().desk.workers().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     // Pauses of 50, 100, 200 and then 400 ms.
