--- a/crates/platform-router/src/link/tests.rs
+++ b/crates/platform-router/src/link/tests.rs
@@ -76,3 +76,57 @@
     let fault = faults::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
     assert_eq!(fault.origin == FaultOrigin::Local, own);
 }
+
+/// A socket takes nothing for a second with calls queued for it: each frame says what its client has left as its first
+/// byte goes, and not what was left when it was queued. Held before.
+#[test]
+fn a_frame_that_waited_says_what_is_left_as_it_goes() {
+    with(async {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let station = crate::station::tests::listed_for("free", 3_000_000, &[address]);
+        let stream = TcpStream::connect(address).await.unwrap();
+        socket2::SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
+        let (mut worker, _) = listener.accept().unwrap();
+        worker.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
+        let mut junk = 0;
+        stream.writable().await.unwrap();
+        while let Ok(n) = stream.try_write(&[0; 1 << 10]) {
+            junk += n;
+        }
+        let stream = Rc::new(stream);
+        let (key, arrived) = {
+            let mut s = station.borrow_mut();
+            let (_, process) = s.desk.address(0);
+            let mut link = Link::new(0, process, s.room.holds(0), 0.0, 3.0);
+            link.stream = Some(stream.clone());
+            let key = s.links.insert(link);
+            s.reach.entry(0).or_default().push(key);
+            let arrived = s.now();
+            for id in 1..=10 {
+                arrive(&mut s, id);
+            }
+            s.carry_out();
+            (key, arrived)
+        };
+        let queued = station.borrow().links[key].waiting.len();
+        assert!(queued > 1, "{queued}");
+        tokio::time::sleep(std::time::Duration::from_secs(1)).await;
+        let mut read = vec![0; junk];
+        worker.read_exact(&mut read).unwrap();
+        stream.writable().await.unwrap();
+        let left = arrived + 2.0 - station.borrow().now();
+        station.borrow_mut().link_writes(key);
+        for _ in 0..queued {
+            let mut head = [0; 16];
+            worker.read_exact(&mut head).unwrap();
+            let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
+            let mut rest = vec![0; fields + head[7] as usize + 4];
+            worker.read_exact(&mut rest).unwrap();
+            let text = String::from_utf8_lossy(&rest[..fields]).into_owned();
+            let budget = text.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
+            let budget: f64 = budget.parse().unwrap();
+            assert!(budget <= left * 1e3 + 5.0, "{budget} with {left} s left");
+        }
+    });
+}
