--- a/crates/milletpath/tests/changes.rs
+++ b/crates/milletpath/tests/changes.rs
@@ -3,10 +3,10 @@
 //! profile that its function is not called under is refused.
 
 mod control;
-#[path = "changes/stored_files.rs"]
-mod stored_files;
 #[path = "changes/storage.rs"]
 mod storage;
+#[path = "changes/stored_files.rs"]
+mod stored_files;
 
 use control::authors::{between, proposed};
 use control::{Differs, Site};
