--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -265,12 +265,12 @@
             share = DispatcherQuota { likely: quota.likely_gateways, part: [part; 2], until: f64::INFINITY };
         }
         let same = |(at, told): (f64, DispatcherQuota)| {
-            (told.likely, told.part) == (share.likely, share.part)
+            (told.likely_gateways, told.fractions) == (share.likely_gateways, share.fractions)
                 && (told.until == share.until || now - at < AGAIN && told.until <= share.until)
         };
         if !self.told.is_some_and(same) {
             self.told = Some((now, share));
-            self.office.tell(None, |desk, _| desk.share(share));
+            self.office.tell(None, |desk, _| desk.set_quota_fraction(share));
         }
         self.share(quota);
         quota
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -144,7 +144,7 @@
     }
 
     fn lost(&self) -> Own {
-        let left = |tag| self.gateway.office.tell(None, |desk, now| desk.left(now, tag));
+        let left = |tag| self.gateway.office.tell(None, |desk, now| desk.client_gone(now, tag));
         Own::lost(self.tag.is_some_and(left))
     }
 }
@@ -187,7 +187,7 @@
         Ok(invoke::Wanted::Activation(function)) => function,
         Ok(invoke::Wanted::Live) => return healthy(true, "live\n"),
         Ok(invoke::Wanted::Ready) if stopping => return healthy(false, "stopping\n"),
-        Ok(invoke::Wanted::Ready) if !gateway.office.ask(|d| d.listed()) => {
+        Ok(invoke::Wanted::Ready) if !gateway.office.ask(|d| d.has_endpoints()) => {
             return healthy(false, "no worker list yet\n");
         }
         Ok(invoke::Wanted::Ready) => return healthy(true, "ready\n"),
@@ -234,9 +234,16 @@
         let patience = door.patience - (now - came);
         let Door { profile, client, repeat, .. } = door;
         let place = Place { seat: gateway.seat, slot, line: line.clone() };
-        let tag = desk.arrive(
+        let tag = desk.submit(
             now,
-            IncomingRequest { function, profile, client, patience, repeat, instance: None },
+            IncomingRequest {
+                function,
+                profile,
+                client,
+                timeout: patience,
+                is_retry: repeat,
+                function_config: None,
+            },
             place,
         );
         tag.inspect(|tag| line.take_up(*tag))
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -75,7 +75,7 @@
 
     /// Opens budgets of workers that came, closes those of workers that are gone.
     fn follow<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
-        let edition = desk.list_edition();
+        let edition = desk.endpoint_revision();
         if edition == self.edition {
             return;
         }
@@ -101,7 +101,7 @@
 
     fn meter<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for open in self.open.iter().filter(|o| o.here) {
-            self.shares.record_usage(now, open.slot, desk.meter(now, open.what));
+            self.shares.record_usage(now, open.slot, desk.usage(now, open.what));
         }
     }
 
@@ -127,11 +127,12 @@
         /// Seconds between two words to the decisions.
         const AGAIN: f64 = 0.5;
         let concurrency_of = |(function, concurrency)| FunctionConcurrency { function, concurrency };
-        self.shares.report_usage(now, || desk.busy(now).into_iter().map(concurrency_of).collect());
+        self.shares
+            .report_usage(now, || desk.local_concurrency(now).into_iter().map(concurrency_of).collect());
         if self.counted == f64::NEG_INFINITY {
             // Whoever has just begun sees little and knows nothing of how long things take: times the count that would stretch
             // sets over all workers. Until the first word comes, or time has passed without one, others have what they need.
-            desk.elsewhere(now, &BTreeMap::new());
+            desk.set_remote_concurrency(now, &BTreeMap::new());
             self.counted = now;
         }
         if now < self.counted + AGAIN {
@@ -139,7 +140,7 @@
         }
         if let Some(busy) = self.shares.usage_elsewhere(now) {
             self.counted = now;
-            desk.elsewhere(now, &busy);
+            desk.set_remote_concurrency(now, &busy);
         }
     }
 
@@ -148,7 +149,7 @@
         let open = &self.open;
         self.shares.receive(now, life, note, &mut |slot| {
             let open = open.iter().find(|o| o.slot == slot && o.here)?;
-            Some(desk.meter(now, open.what))
+            Some(desk.usage(now, open.what))
         });
         self.tell(desk, now);
     }
@@ -156,7 +157,7 @@
     fn tell<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for SlotAdjustment { slot, adjustment } in self.shares.take_adjustments(now) {
             if let Some(open) = self.open.iter().find(|o| o.slot == slot && o.here) {
-                desk.allot(open.what, adjustment);
+                desk.grant_quota(open.what, adjustment);
             }
         }
     }
--- a/crates/platform-router/src/door/drain.rs
+++ b/crates/platform-router/src/door/drain.rs
@@ -55,11 +55,11 @@
         self.finish_idle(now, |_| true);
         self.close_finished(now);
         if self.shutdown.exit_due(now) {
-            let (open, connections) = (self.desk.open(), self.clients.len());
+            let (open, connections) = (self.desk.open_requests(), self.clients.len());
             tracing::info!(open, connections, "SIGKILL may come soon; the router exits");
             return true;
         }
-        entrance.is_none() && self.desk.open() == 0 && self.clients.is_empty()
+        entrance.is_none() && self.desk.open_requests() == 0 && self.clients.is_empty()
     }
 
     /// Reads what lies unread in the sockets of clients.
@@ -77,11 +77,11 @@
         let open = |(key, c): (usize, &Client)| c.open.iter().map(move |(n, tag)| (key, *n, *tag)).collect();
         let open: Vec<Vec<(usize, u64, RequestId)>> = self.clients.iter().map(open).collect();
         for (key, number, tag) in open.into_iter().flatten() {
-            if let Some(asker) = self.desk.what(tag) {
+            if let Some(asker) = self.desk.context(tag) {
                 let id = asker.id;
                 self.ids.remove(&id);
             }
-            let may_have_run = self.desk.left(now, tag);
+            let may_have_run = self.desk.client_gone(now, tag);
             let Some(client) = self.clients.get_mut(key) else { continue };
             client.open.retain(|(open, _)| *open != number);
             if may_have_run {
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -201,9 +201,9 @@
     }
 
     pub fn shoot(&mut self, tag: RequestId, shot: usize, worker: usize) {
-        let Some(id) = self.desk.what(tag).map(|a| a.id) else { return };
+        let Some(id) = self.desk.context(tag).map(|a| a.id) else { return };
         let key = self.link(worker, Some(id));
-        if let Some(asker) = self.desk.what(tag) {
+        if let Some(asker) = self.desk.context(tag) {
             asker.at.resize(asker.at.len().max(shot + 1), usize::MAX);
             asker.at[shot] = key;
         }
@@ -227,7 +227,7 @@
 
     /// A shot's end is booked: it is withdrawn if nothing of it has gone, and given up at the worker otherwise.
     pub fn drop_shot(&mut self, tag: RequestId, shot: usize) {
-        let Some(key) = self.desk.what(tag).and_then(|a| a.at.get(shot).copied()) else { return };
+        let Some(key) = self.desk.context(tag).and_then(|a| a.at.get(shot).copied()) else { return };
         let Some(link) = self.links.get_mut(key) else { return };
         let waited = link.waiting.len();
         link.waiting.retain(|l| !matches!(l, Load::Shot(t, s) if *t == tag && *s == shot));
@@ -323,14 +323,16 @@
                     found: None,
                     company: answer.company,
                     report: answer.report,
-                    settles: false,
+                    answers_client: false,
                 };
-                if self.desk.end(now, tag, shot, end) {
+                if self.desk.attempt_ended(now, tag, shot, end) {
                     self.answer(tag, |out, number| lines::handled(out, number, answer.body));
                 }
             }
-            Sent::Order(order) => self.desk.order_ended(now, order, answer.outcome, answer.copies),
-            Sent::Probe(serial) => self.desk.probed(now, worker, serial, answer.outcome, answer.report),
+            Sent::Order(order) => self.desk.load_request_ended(now, order, answer.outcome, answer.copies),
+            Sent::Probe(serial) => {
+                self.desk.health_check_ended(now, worker, serial, answer.outcome, answer.report)
+            }
         }
         Ok(())
     }
@@ -338,7 +340,7 @@
     /// Where the time of an answer went.
     fn log_answer(&mut self, worker: usize, tag: RequestId, answer: &frames::Answer<'_>, now: f64) {
         let function = self.desk.function(tag);
-        let Some(asker) = self.desk.what(tag) else { return };
+        let Some(asker) = self.desk.context(tag) else { return };
         let (function, shots) = (function.as_deref().unwrap_or_default(), asker.at.len());
         let (waited, there) = (asker.begun - asker.came, now - asker.begun);
         let (company, outcome) = (answer.company, answer.outcome);
@@ -372,10 +374,10 @@
         let now = self.now();
         match what {
             Sent::Shot(tag, shot) => {
-                self.desk.end(now, tag, shot, AttemptResult::plain(outcome));
+                self.desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(outcome));
             }
-            Sent::Order(order) => self.desk.order_ended(now, order, outcome, 0),
-            Sent::Probe(serial) => self.desk.probed(now, worker, serial, outcome, None),
+            Sent::Order(order) => self.desk.load_request_ended(now, order, outcome, 0),
+            Sent::Probe(serial) => self.desk.health_check_ended(now, worker, serial, outcome, None),
         }
     }
 
--- a/crates/platform-router/src/link/writing.rs
+++ b/crates/platform-router/src/link/writing.rs
@@ -92,10 +92,10 @@
         match load {
             Load::Shot(tag, shot) => {
                 link.waiting.push_front(load);
-                self.desk.put_back(now, tag, shot);
+                self.desk.attempt_not_written(now, tag, shot);
             }
             // It has its place in the ration: given again it would have two.
-            Load::Hold(order, ..) => self.desk.order_ended(now, order, Outcome::Unsent, 0),
+            Load::Hold(order, ..) => self.desk.load_request_ended(now, order, Outcome::Unsent, 0),
             Load::Unload(_) | Load::Probe(_) | Load::GiveUp(_) => link.waiting.push_front(load),
         }
     }
@@ -118,7 +118,7 @@
         let mut out = std::mem::take(&mut self.links[key].out.bytes);
         let open = match &load {
             Load::Shot(tag, shot) => self.make_shot(&mut out, *tag, *shot, now),
-            Load::Hold(order, function, copies) => self.desk.begin_order(now, *order).then(|| {
+            Load::Hold(order, function, copies) => self.desk.begin_load_request(now, *order).then(|| {
                 let id = self.own_id(key);
                 frames::hold(&mut out, id, function, *copies);
                 (id, Sent::Order(*order))
@@ -163,12 +163,12 @@
     }
 
     fn make_shot(&mut self, out: &mut Vec<u8>, tag: RequestId, shot: usize, now: f64) -> Option<(u64, Sent)> {
-        let left = self.desk.left_for(now, tag, shot)?;
-        if !self.desk.begin(now, tag, shot) {
+        let left = self.desk.time_left(now, tag, shot)?;
+        if !self.desk.begin_attempt(now, tag, shot) {
             return None;
         }
         let function = self.desk.function(tag)?;
-        let asker = self.desk.what(tag)?;
+        let asker = self.desk.context(tag)?;
         asker.begun = now;
         let Asker { id, mark, body, .. } = &*asker;
         let profile = &self.profiles[asker.profile];
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -152,34 +152,37 @@
         tokio::time::sleep(PACE).await;
     }
     answered(&station).await;
-    let during = station.borrow().desk.tally();
+    let during = station.borrow().desk.counters();
     // What failed is over: calls are handled again, at once where it counted against no worker.
     let most = if LOCAL.contains(&errno) { 1 } else { 500 };
     for _ in 0..most {
         call();
         answered(&station).await;
-        if station.borrow().desk.tally().handled > during.handled {
+        if station.borrow().desk.counters().succeeded > during.handled {
             break;
         }
         tokio::time::sleep(PACE).await;
     }
-    let tally = station.borrow().desk.tally();
-    assert_eq!(tally.handled, during.handled + 1, "{told}: {tally:?}");
+    let tally = station.borrow().desk.counters();
+    assert_eq!(tally.succeeded, during.handled + 1, "{told}: {tally:?}");
 
-    assert_eq!(tally.taken, tally.handled + tally.bounced + tally.terminated, "{told}: {tally:?}");
+    assert_eq!(tally.accepted, tally.succeeded + tally.rejected + tally.failed, "{told}: {tally:?}");
     let seen = seen.borrow();
     let mut once = seen.clone();
     once.sort_unstable();
     once.dedup();
     assert_eq!(once.len(), seen.len(), "{told}: a call that may run once was sent twice");
     // A call that was rejected never ran; one that reached the worker was handled or failed.
-    assert!(seen.len() as u64 <= tally.handled + tally.terminated, "{told}: {tally:?}, {}", seen.len());
+    assert!(seen.len() as u64 <= tally.succeeded + tally.failed, "{told}: {tally:?}, {}", seen.len());
     let waited_out = operation == Operation::Connect && LOCAL.contains(&errno) || PASSING.contains(&errno);
     if waited_out && span < Duration::from_millis(500) {
-        assert_eq!(tally.handled, tally.shots, "{told}: a brief fault of our own cost an attempt: {tally:?}");
+        assert_eq!(
+            tally.succeeded, tally.attempts,
+            "{told}: a brief fault of our own cost an attempt: {tally:?}"
+        );
     }
     // Pauses grow to 32 ms; what ends a connection costs each call four attempts at the most.
-    let attempts = if waited_out { 0 } else { 4 * tally.taken as usize };
+    let attempts = if waited_out { 0 } else { 4 * tally.accepted as usize };
     let most = 32 + span.as_millis() as usize / 32 + attempts;
     assert!(sockets.failures.get() <= most, "{told}: failed {} times", sockets.failures.get());
     assert!(sockets.failures.get() > 0, "{told}");
@@ -190,13 +193,13 @@
     /// What a client waits, and some time of a busy machine.
     const LONGEST: Duration = Duration::from_millis(4000);
     let begun = Instant::now();
-    while station.borrow().desk.open() > 0 {
-        assert!(begun.elapsed() < LONGEST, "{:?}", station.borrow().desk.tally());
+    while station.borrow().desk.open_requests() > 0 {
+        assert!(begun.elapsed() < LONGEST, "{:?}", station.borrow().desk.counters());
         tokio::time::sleep(Duration::from_millis(1)).await;
         // The timer that the router runs beside its sockets.
         let mut s = station.borrow_mut();
         let now = s.now();
-        s.desk.turn(now);
+        s.desk.advance(now);
         s.carry_out();
     }
 }
