--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -139,30 +139,30 @@
     // Of the bench's own tables nothing counts: what they grow by is measured around each call of the desk.
     let mut bytes = -allocated();
     let mut desk: Dispatcher<usize> = desk(play.gateways, play.keep, "");
-    desk.list(0.0, true, &list);
+    desk.update_endpoints(0.0, true, &list);
     bytes += allocated();
     bench.put(0.0, Next::Arrive);
     if play.changes > 0.0 {
         bench.put(1.0 / play.changes, Next::Change);
     }
     let mut came = Came::default();
-    let (mut time, mut calls, mut tally, mut window) = (0.0, 0u32, desk.tally(), 0);
+    let (mut time, mut calls, mut tally, mut window) = (0.0, 0u32, desk.counters(), 0);
     let mut waits: HashMap<u64, f64> = HashMap::new();
     let (mut cold, mut changed) = (Vec::new(), 0);
     while let Some(((at, _), next)) = bench.queue.pop_first() {
         let now = at as f64 / 1e6;
         if window == 0 && now >= steady {
-            (time, calls, tally, window) = (0.0, 0, desk.tally(), 1);
+            (time, calls, tally, window) = (0.0, 0, desk.counters(), 1);
             cold.clear();
         }
         if window > 0 && now >= steady + WINDOW * window as f64 {
             let of = f64::from(calls.max(1));
             came.micros.push(time * 1e6 / of);
             came.megabytes.push(bytes / 1e6);
-            came.functions.push(desk.functions() as f64);
-            came.probes.push((desk.tally().probes - tally.probes) as f64 / of);
-            came.orders.push((desk.tally().orders - tally.orders) as f64 / of);
-            (time, calls, tally, window) = (0.0, 0, desk.tally(), window + 1);
+            came.functions.push(desk.function_count() as f64);
+            came.probes.push((desk.counters().health_checks - tally.health_checks) as f64 / of);
+            came.orders.push((desk.counters().load_requests - tally.load_requests) as f64 / of);
+            (time, calls, tally, window) = (0.0, 0, desk.counters(), window + 1);
             if window > WINDOWS {
                 came.instances = bench.stands.values().filter(|until| now < **until).count() as f64;
                 break;
@@ -186,8 +186,8 @@
             [entry]
         });
         let (before, began) = (allocated(), spent());
-        while desk.next().is_some_and(|due| due <= now) {
-            desk.turn(now);
+        while desk.next_deadline().is_some_and(|due| due <= now) {
+            desk.advance(now);
         }
         let mut arrived = None;
         match &next {
@@ -196,29 +196,31 @@
                     function: &names[function],
                     profile: 0,
                     client: 9,
-                    patience: 3.3,
-                    repeat: false,
-                    instance: None,
+                    timeout: 3.3,
+                    is_retry: false,
+                    function_config: None,
                 };
-                arrived = desk.arrive(now, come, function);
+                arrived = desk.submit(now, come, function);
             }
             Next::Ended(tag, shot, _, found) => {
                 let found = Some(if *found == 1 { Found::Loaded } else { Found::BeganLoad });
-                desk.end(
+                desk.attempt_ended(
                     now,
                     *tag,
                     *shot,
-                    AttemptResult { report, found, ..AttemptResult::plain(Outcome::Handled) },
+                    AttemptResult { report, found, ..AttemptResult::from_outcome(Outcome::Handled) },
                 );
             }
-            Next::Ordered(order, copies) => desk.order_ended(now, *order, Outcome::Handled, *copies),
-            Next::Probed(worker, serial) => desk.probed(now, *worker, *serial, Outcome::Handled, report),
-            Next::Change => desk.list(now, false, change.as_ref().expect("a change")),
+            Next::Ordered(order, copies) => desk.load_request_ended(now, *order, Outcome::Handled, *copies),
+            Next::Probed(worker, serial) => {
+                desk.health_check_ended(now, *worker, *serial, Outcome::Handled, report)
+            }
+            Next::Change => desk.update_endpoints(now, false, change.as_ref().expect("a change")),
         }
         let mut acts = Vec::new();
-        while let Some(act) = desk.act() {
-            if let Action::Shoot { tag, shot, .. } = act {
-                desk.begin(now, tag, shot);
+        while let Some(act) = desk.next_action() {
+            if let Action::SendAttempt { request: tag, attempt: shot, .. } = act {
+                desk.begin_attempt(now, tag, shot);
             }
             acts.push(act);
         }
@@ -238,22 +240,22 @@
         }
         for act in acts {
             match act {
-                Action::Shoot { tag, shot, worker } => {
+                Action::SendAttempt { request: tag, attempt: shot, worker } => {
                     cold.extend(waits.remove(&tag.serial).map(|since| (now - since) * 1e3));
                     bench.held[worker] += 1.0;
-                    let function = desk.what(tag).copied().unwrap_or(0);
+                    let function = desk.context(tag).copied().unwrap_or(0);
                     let stood = bench.stood(now, function, worker);
                     let load = if stood { 0.0 } else { bench.chance.random_range(0.2..0.6) };
                     let takes = away(worker) + load + work.sample(&mut bench.chance);
                     bench.put(now + takes, Next::Ended(tag, shot, worker, usize::from(stood)));
                 }
-                Action::Hold { order, worker, function, copies } => {
+                Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
                     let number = function.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
                     let stood = bench.stood(now, number, worker);
                     let load = if stood { 0.0 } else { bench.chance.random_range(0.2..0.6) };
                     bench.put(now + away(worker) + load, Next::Ordered(order, copies));
                 }
-                Action::Probe { worker, serial } => {
+                Action::HealthCheck { worker, serial } => {
                     bench.put(now + away(worker), Next::Probed(worker, serial))
                 }
                 _ => {}
@@ -261,8 +263,8 @@
         }
     }
     came.cold = cold;
-    let tally = desk.tally();
-    came.handled = tally.handled as f64 / tally.taken.max(1) as f64;
+    let tally = desk.counters();
+    came.handled = tally.succeeded as f64 / tally.accepted.max(1) as f64;
     came
 }
 
--- a/crates/capacity-model/benches/slopes/list.rs
+++ b/crates/capacity-model/benches/slopes/list.rs
@@ -42,13 +42,13 @@
         let list = entries(workers);
         let before = allocated();
         let mut desk: Dispatcher<()> = desk(1_100, 60.0, "");
-        desk.list(0.0, true, &list);
-        while desk.act().is_some() {}
+        desk.update_endpoints(0.0, true, &list);
+        while desk.next_action().is_some() {}
         bytes.push(size(workers as f64, vec![(allocated() - before) / 1e6]));
         let times = (0..REPEATS).map(|n| {
             let one = [entry(workers + n)];
             let began = spent();
-            desk.list(1.0 + n as f64, false, &one);
+            desk.update_endpoints(1.0 + n as f64, false, &one);
             (spent() - began) * 1e3
         });
         joins.push(size(workers as f64, times.collect()));
--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -219,7 +219,7 @@
     let others: Vec<u64> = (2..=1_100).collect();
     for workers in WORKERS {
         let mut desk: Dispatcher<()> = desk(1_100, 60.0, limits);
-        desk.list(0.0, true, &entries(workers));
+        desk.update_endpoints(0.0, true, &entries(workers));
         let mut sharing = Sharing::new(&house, 1, LEASE, 0.0);
         sharing.turn(&mut desk, 0.0, &parts, others.clone());
         let mut now = 1.0;
@@ -237,7 +237,7 @@
         steady.push(size(workers as f64, looks));
         let joins = (0..REPEATS).map(|n| {
             let at = 100.0 + n as f64;
-            desk.list(at, false, &[entry(workers + n)]);
+            desk.update_endpoints(at, false, &[entry(workers + n)]);
             let began = spent();
             sharing.turn(&mut desk, at, &parts, others.clone());
             (spent() - began) * 1e3
--- a/crates/capacity-model/benches/slopes/town.rs
+++ b/crates/capacity-model/benches/slopes/town.rs
@@ -52,7 +52,8 @@
                 let came = play(&day, asked.seed + n, None);
                 let all = came.whole.calls.max(1) as f64;
                 eprintln!("{gateways} gateways, {calls} calls/s: service {:.3}", came.whole.service());
-                let (probes, orders) = (came.tally.probes as f64 / all, came.tally.orders as f64 / all);
+                let (probes, orders) =
+                    (came.tally.health_checks as f64 / all, came.tally.load_requests as f64 / all);
                 (probes, orders, connections(&came, day.workers), came.fetches as f64 / day.seconds)
             })
             .collect()
--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -19,10 +19,10 @@
 const UNCOUNTED: f64 = 5.0;
 
 enum Next {
-    Arrive,
+    Submit,
     Ended(RequestId, usize, usize),
-    Ordered(RequestId, u8),
-    Probed(usize, u64),
+    LoadRequestEnded(RequestId, u8),
+    HealthCheckEnded(usize, u64),
 }
 
 fn run(workers: usize, functions: usize, rate: f64, gateways: usize) -> (f64, f64) {
@@ -30,8 +30,8 @@
         "seed = 7\ngateways = {gateways}\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{\n  lanes = 2\n  \
          load = 0.4\n}}\nworkers {{ registry = \"127.0.0.1:1\" }}\n"
     );
-    let house = milletpath_config::read(&text).expect("a sound charter");
-    let mut desk: Dispatcher<()> = Dispatcher::new(&house, 0.0);
+    let config = milletpath_config::read(&text).expect("a sound charter");
+    let mut dispatcher: Dispatcher<()> = Dispatcher::new(&config, 0.0);
     let entry = |n: usize| Entry {
         name: format!("w{n}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + n as u16)),
@@ -42,7 +42,7 @@
         cell: String::new(),
         state: Standing::Ready,
     };
-    desk.list(0.0, true, &(0..workers).map(entry).collect::<Vec<_>>());
+    dispatcher.update_endpoints(0.0, true, &(0..workers).map(entry).collect::<Vec<_>>());
     let mut chance = ChaCha8Rng::seed_from_u64(1);
     let zipf = Zipf::new(functions as f64, 1.1).expect("a popularity");
     let (gap, work) = (Exp::new(rate).expect("a rate"), Exp::new(20.0).expect("a time"));
@@ -53,7 +53,7 @@
         number += 1;
         queue.insert(((at * 1e6) as u64, number), next);
     };
-    put(&mut queue, 0.0, Next::Arrive);
+    put(&mut queue, 0.0, Next::Submit);
     let (mut spent, mut calls, mut held) = (0.0, 0u64, vec![0i64; workers]);
     let report =
         |held: i64| Report { held: Some(held as f64), busy: Some(held as f64 / 8.0), ..Report::default() };
@@ -63,70 +63,85 @@
             break;
         }
         let began = Instant::now();
-        while desk.next().is_some_and(|due| due <= now) {
-            desk.turn(now);
+        while dispatcher.next_deadline().is_some_and(|due| due <= now) {
+            dispatcher.advance(now);
         }
         match next {
-            Next::Arrive => {
+            Next::Submit => {
                 let function = &names[zipf.sample(&mut chance) as usize];
-                desk.arrive(
+                dispatcher.submit(
                     now,
                     IncomingRequest {
                         function,
                         profile: 0,
                         client: 9,
-                        patience: 3.0,
-                        repeat: false,
-                        instance: None,
+                        timeout: 3.0,
+                        is_retry: false,
+                        function_config: None,
                     },
                     (),
                 );
             }
-            Next::Ended(tag, shot, worker) => {
+            Next::Ended(request, attempt, worker) => {
                 held[worker] -= 1;
                 let end = AttemptResult {
                     report: Some(report(held[worker])),
-                    ..AttemptResult::plain(Outcome::Handled)
+                    ..AttemptResult::from_outcome(Outcome::Handled)
                 };
-                desk.end(now, tag, shot, end);
+                dispatcher.attempt_ended(now, request, attempt, end);
             }
-            Next::Ordered(order, copies) => desk.order_ended(now, order, Outcome::Handled, copies),
-            Next::Probed(worker, serial) => {
-                desk.probed(now, worker, serial, Outcome::Handled, Some(report(held[worker])));
+            Next::LoadRequestEnded(load_request, instances) => {
+                dispatcher.load_request_ended(now, load_request, Outcome::Handled, instances)
+            }
+            Next::HealthCheckEnded(worker, serial) => {
+                dispatcher.health_check_ended(
+                    now,
+                    worker,
+                    serial,
+                    Outcome::Handled,
+                    Some(report(held[worker])),
+                );
             }
         }
-        let mut acts = Vec::new();
-        while let Some(act) = desk.act() {
-            if let Action::Shoot { tag, shot, .. } = act {
-                desk.begin(now, tag, shot);
+        let mut actions = Vec::new();
+        while let Some(action) = dispatcher.next_action() {
+            if let Action::SendAttempt { request, attempt, .. } = action {
+                dispatcher.begin_attempt(now, request, attempt);
             }
-            acts.push(act);
+            actions.push(action);
         }
         if now > UNCOUNTED {
             spent += began.elapsed().as_secs_f64();
-            calls += u64::from(matches!(next, Next::Arrive));
+            calls += u64::from(matches!(next, Next::Submit));
         }
-        if matches!(next, Next::Arrive) {
-            put(&mut queue, now + gap.sample(&mut chance), Next::Arrive);
+        if matches!(next, Next::Submit) {
+            put(&mut queue, now + gap.sample(&mut chance), Next::Submit);
         }
-        for act in acts {
-            match act {
-                Action::Shoot { tag, shot, worker } => {
+        for action in actions {
+            match action {
+                Action::SendAttempt { request, attempt, worker } => {
                     held[worker] += 1;
-                    put(&mut queue, now + 0.01 + work.sample(&mut chance), Next::Ended(tag, shot, worker));
+                    put(
+                        &mut queue,
+                        now + 0.01 + work.sample(&mut chance),
+                        Next::Ended(request, attempt, worker),
+                    );
                 }
-                Action::Hold { order, copies, .. } => {
+                Action::LoadFunction { load_request, instances, .. } => {
                     let takes = chance.random_range(0.2..0.6);
-                    put(&mut queue, now + takes, Next::Ordered(order, copies));
+                    put(&mut queue, now + takes, Next::LoadRequestEnded(load_request, instances));
                 }
-                Action::Probe { worker, serial } => {
-                    put(&mut queue, now + 0.001, Next::Probed(worker, serial))
+                Action::HealthCheck { worker, serial } => {
+                    put(&mut queue, now + 0.001, Next::HealthCheckEnded(worker, serial))
                 }
                 _ => {}
             }
         }
     }
-    (spent * 1e6 / calls.max(1) as f64, desk.tally().handled as f64 / desk.tally().taken.max(1) as f64)
+    (
+        spent * 1e6 / calls.max(1) as f64,
+        dispatcher.counters().succeeded as f64 / dispatcher.counters().accepted.max(1) as f64,
+    )
 }
 
 fn main() {
--- a/crates/dispatcher/src/interner.rs
+++ b/crates/dispatcher/src/interner.rs
@@ -23,7 +23,7 @@
     }
 
     /// The index of a name, a new one where it has none yet.
-    pub fn take(&mut self, name: &str) -> usize {
+    pub fn intern(&mut self, name: &str) -> usize {
         if let Some(index) = self.get(name) {
             return index;
         }
@@ -38,7 +38,7 @@
         index
     }
 
-    pub fn give_back(&mut self, index: usize) {
+    pub fn release(&mut self, index: usize) {
         let known = self.names.get(index).filter(|name| self.index.get(&***name) == Some(&index));
         if let Some(name) = known.cloned() {
             self.index.remove(&name);
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -11,11 +11,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Workers that may be known at a time; a list that goes on inventing names is not followed further.
-const MOST: usize = 65_536;
+const MAX_WORKERS: usize = 65_536;
 
 /// Starts that are kept of workers whose names were forgotten; past so many all are dropped, at the price of a slow
 /// start for those that come back.
-const MOST_FORMER: usize = 16_384;
+const MAX_FORMER_STARTS: usize = 16_384;
 
 /// When a process started: the stamp of the list, and what it makes on the monotonic clock.
 #[derive(Clone, Copy, Default)]
@@ -35,21 +35,27 @@
     start: Vec<Start>,
     state: Vec<State>,
     /// Since when each is gone.
-    gone: Vec<f64>,
+    gone_since: Vec<f64>,
     /// Seconds after which nothing of one that is gone can be out any more: its index is given to another.
-    forget: f64,
+    forget_after: f64,
     pub start_times: StartTimes,
     /// Starts by the names that were forgotten, or that the roll before this one knew: a process that is listed again
     /// was known before its news.
-    former: BTreeMap<Arc<str>, Start>,
-    edition: u64,
+    former_starts: BTreeMap<Arc<str>, Start>,
+    revision: u64,
     /// Counts the desks before this one; part of each process's number, so that no connection made for a worker of
     /// one desk is taken for another's.
-    life: u64,
+    generation: u64,
 }
 
 impl WorkerTable {
-    pub fn new(kinds: &[String], seed: u64, start_times: StartTimes, life: u64, forget: f64) -> Self {
+    pub fn new(
+        kinds: &[String],
+        seed: u64,
+        start_times: StartTimes,
+        generation: u64,
+        forget_after: f64,
+    ) -> Self {
         Self {
             names: Interner::new(seed),
             zones: Interner::new(seed),
@@ -59,38 +65,41 @@
             process: Vec::new(),
             start: Vec::new(),
             state: Vec::new(),
-            gone: Vec::new(),
-            forget,
+            gone_since: Vec::new(),
+            forget_after,
             start_times,
-            former: BTreeMap::new(),
-            edition: 0,
-            life,
+            former_starts: BTreeMap::new(),
+            revision: 0,
+            generation,
         }
     }
 
     /// An empty one that takes this one's place. It keeps what is known of when processes started: their stamps would
     /// be judged anew by a clock that may have been stepped since.
     pub fn successor(&self, seed: u64) -> Self {
-        let listed = self.listed().into_iter();
-        let mut former = self.former.clone();
-        former.extend(listed.map(|(worker, name)| (name, self.start[worker])));
-        let life = self.life + 1;
-        Self { former, ..Self::new(&self.kinds, seed, self.start_times.clone(), life, self.forget) }
+        let listed = self.workers().into_iter();
+        let mut former_starts = self.former_starts.clone();
+        former_starts.extend(listed.map(|(worker, name)| (name, self.start[worker])));
+        let generation = self.generation + 1;
+        Self {
+            former_starts,
+            ..Self::new(&self.kinds, seed, self.start_times.clone(), generation, self.forget_after)
+        }
     }
 
     /// Lists taken so far.
-    pub fn edition(&self) -> u64 {
-        self.edition
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
-    pub fn life(&self) -> u64 {
-        self.life
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
     /// Workers that are not gone, and their names.
-    pub fn listed(&self) -> Vec<(usize, Arc<str>)> {
-        let there = (0..self.state.len()).filter(|&w| self.state[w] != State::Gone);
-        there.map(|w| (w, self.names.name(w))).collect()
+    pub fn workers(&self) -> Vec<(usize, Arc<str>)> {
+        let listed = (0..self.state.len()).filter(|&w| self.state[w] != State::Gone);
+        listed.map(|w| (w, self.names.name(w))).collect()
     }
 
     pub fn name(&self, worker: usize) -> Arc<str> {
@@ -111,99 +120,104 @@
     }
 
     /// Takes one edition, whole or changes only, and tells each line of it.
-    pub fn take(&mut self, now: f64, whole: bool, entries: &[Entry], mut tell: impl FnMut(Listing)) {
-        self.edition += 1;
+    pub fn update(&mut self, now: f64, whole: bool, entries: &[Entry], mut notify: impl FnMut(Listing)) {
+        self.revision += 1;
         if whole {
             for worker in 0..self.state.len() {
-                self.enter(now, worker, State::Gone);
+                self.set_state(now, worker, State::Gone);
             }
         }
-        self.forget(now);
+        self.forget_gone(now);
         for entry in entries {
             let new = self.names.get(&entry.name).is_none();
-            if new && self.names.len() >= MOST {
-                tracing::error!(worker = entry.name, "over {MOST} workers named; restart to forget old ones");
+            if new && self.names.len() >= MAX_WORKERS {
+                tracing::error!(
+                    worker = entry.name,
+                    "over {MAX_WORKERS} workers named; restart to forget old ones"
+                );
                 continue;
             }
-            let worker = self.names.take(&entry.name);
+            let worker = self.names.intern(&entry.name);
             if new && worker < self.state.len() {
                 // An index used again: another process, that shares nothing with the one before.
                 self.process[worker] += 1;
-                self.gone[worker] = f64::INFINITY;
+                self.gone_since[worker] = f64::INFINITY;
                 self.address[worker] = entry.address;
                 self.start[worker] = self.first_start(now, entry);
             } else if new {
-                self.gone.push(f64::INFINITY);
+                self.gone_since.push(f64::INFINITY);
                 self.address.push(entry.address);
-                self.process.push(self.life << 32 | 1);
+                self.process.push(self.generation << 32 | 1);
                 let start = self.first_start(now, entry);
                 self.start.push(start);
                 self.state.push(State::Gone);
             } else {
-                self.change(now, worker, entry);
+                self.update_known_worker(now, worker, entry);
             }
             let state = match entry.state {
                 Standing::Ready => State::Ready,
                 Standing::Draining => State::Draining,
                 Standing::Gone => State::Gone,
             };
-            self.enter(now, worker, state);
+            self.set_state(now, worker, state);
             // Workers of no stated zone or cell share none: their receipts are known to nobody else.
             let alone = usize::MAX - worker;
-            let part =
-                |parts: &mut Interner, name: &str| if name.is_empty() { alone } else { parts.take(name) };
-            tell(Listing {
+            let group_index =
+                |groups: &mut Interner, name: &str| if name.is_empty() { alone } else { groups.intern(name) };
+            notify(Listing {
                 worker,
                 name: xxh3_64(entry.name.as_bytes()),
                 started: self.start[worker].at,
                 size: entry.size,
                 kind: self.kinds.iter().position(|k| *k == entry.kind).unwrap_or(usize::MAX),
-                zone: part(&mut self.zones, &entry.zone),
-                cell: part(&mut self.cells, &entry.cell),
+                zone: group_index(&mut self.zones, &entry.zone),
+                cell: group_index(&mut self.cells, &entry.cell),
                 state: self.state[worker],
             });
         }
     }
 
-    fn enter(&mut self, now: f64, worker: usize, state: State) {
+    fn set_state(&mut self, now: f64, worker: usize, state: State) {
         if state != State::Gone {
-            self.gone[worker] = f64::INFINITY;
-        } else if self.gone[worker] == f64::INFINITY {
-            self.gone[worker] = now;
+            self.gone_since[worker] = f64::INFINITY;
+        } else if self.gone_since[worker] == f64::INFINITY {
+            self.gone_since[worker] = now;
         }
         self.state[worker] = state;
     }
 
     /// Forgets the names of those long gone: where workers are replaced by others all day, they would pile up.
-    fn forget(&mut self, now: f64) {
-        for worker in 0..self.gone.len() {
+    fn forget_gone(&mut self, now: f64) {
+        for worker in 0..self.gone_since.len() {
             // Given back twice an index would go to two.
-            if self.gone[worker] > f64::NEG_INFINITY && now - self.gone[worker] >= self.forget {
-                self.keep_start(worker);
-                self.names.give_back(worker);
-                self.gone[worker] = f64::NEG_INFINITY;
+            if self.gone_since[worker] > f64::NEG_INFINITY
+                && now - self.gone_since[worker] >= self.forget_after
+            {
+                self.remember_start(worker);
+                self.names.release(worker);
+                self.gone_since[worker] = f64::NEG_INFINITY;
             }
         }
     }
 
     /// Keeps the start of a worker whose name is forgotten; one that started early needs none.
-    fn keep_start(&mut self, worker: usize) {
+    fn remember_start(&mut self, worker: usize) {
         if self.start[worker].at.is_none() {
             return;
         }
-        if self.former.len() >= MOST_FORMER {
-            self.former.clear();
+        if self.former_starts.len() >= MAX_FORMER_STARTS {
+            self.former_starts.clear();
         }
-        self.former.insert(self.names.name(worker), self.start[worker]);
+        self.former_starts.insert(self.names.name(worker), self.start[worker]);
     }
 
     /// The start of a worker whose name is new here.
     fn first_start(&mut self, now: f64, entry: &Entry) -> Start {
-        let former = self.former.remove(entry.name.as_str());
-        match former {
+        let former_starts = self.former_starts.remove(entry.name.as_str());
+        match former_starts {
             Some(start) if !is_another_process(entry.started, start.stamp) => start,
             _ => {
-                let predecessor = former.and_then(|start| start.at);
+                let predecessor = former_starts.and_then(|start| start.at);
                 let at = entry.started.map(|stamp| self.start_times.started(now, stamp, predecessor));
                 Start { stamp: entry.started, at }
             }
@@ -212,7 +226,7 @@
 
     /// A line for a worker that is known. Another address or another stamp is another process, cold and empty; one
     /// whose start nobody tells started now at the latest.
-    fn change(&mut self, now: f64, worker: usize, entry: &Entry) {
+    fn update_known_worker(&mut self, now: f64, worker: usize, entry: &Entry) {
         let before = self.start[worker];
         let another = is_another_process(entry.started, before.stamp);
         if !another && self.address[worker] == entry.address {
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -4,9 +4,9 @@
 use test_case::test_case;
 
 /// The Unix time at which the monotonic clock of these tests begins.
-const UNIX: f64 = 1.7e9;
+const UNIX_EPOCH_OFFSET: f64 = 1.7e9;
 /// Seconds that pass between a start and its news.
-const ON_ITS_WAY: f64 = 0.1;
+const REPORT_DELAY: f64 = 0.1;
 const STEPS: [f64; 4] = [3.0, -3.0, 3600.0, -3600.0];
 
 /// Which clocks a step moves.
@@ -17,8 +17,8 @@
     Both,
 }
 
-fn roll() -> WorkerTable {
-    WorkerTable::new(&[], 5, StartTimes::new(UNIX), 0, 10.0)
+fn table() -> WorkerTable {
+    WorkerTable::new(&[], 5, StartTimes::new(UNIX_EPOCH_OFFSET), 0, 10.0)
 }
 
 fn entry(name: &str, started: Option<f64>) -> Entry {
@@ -35,9 +35,9 @@
 }
 
 /// Takes one line of news, as the decisions hear it: when that worker started.
-fn take(roll: &mut WorkerTable, now: f64, whole: bool, entry: Entry) -> Option<f64> {
+fn update(table: &mut WorkerTable, now: f64, whole: bool, entry: Entry) -> Option<f64> {
     let mut listings = Vec::new();
-    roll.take(now, whole, &[entry], |listing| listings.push(listing));
+    table.update(now, whole, &[entry], |listing| listings.push(listing));
     listings[0].started
 }
 
@@ -46,18 +46,18 @@
 #[test_case(Stepped::Ours; "our clock")]
 #[test_case(Stepped::Theirs; "its clock")]
 #[test_case(Stepped::Both; "one clock of both")]
-fn a_worker_that_joins_is_as_old_as_its_news_at_most(stepped: Stepped) {
+fn joining_worker_is_no_older_than_the_last_confirmed_list(stepped: Stepped) {
     for step in STEPS {
-        let mut roll = roll();
-        take(&mut roll, 0.0, true, entry("early", None));
-        roll.start_times.wall_clock_read(20.0, UNIX + 20.0);
-        roll.start_times.list_confirmed(20.0);
+        let mut table = table();
+        update(&mut table, 0.0, true, entry("early", None));
+        table.start_times.wall_clock_read(20.0, UNIX_EPOCH_OFFSET + 20.0);
+        table.start_times.list_confirmed(20.0);
         let now = 20.5;
         let ours = if stepped == Stepped::Theirs { 0.0 } else { step };
         let theirs = if stepped == Stepped::Ours { 0.0 } else { step };
-        roll.start_times.wall_clock_read(now, UNIX + now + ours);
-        let stamp = UNIX + now - ON_ITS_WAY + theirs;
-        let started = take(&mut roll, now, false, entry("joins", Some(stamp))).expect("a start");
+        table.start_times.wall_clock_read(now, UNIX_EPOCH_OFFSET + now + ours);
+        let stamp = UNIX_EPOCH_OFFSET + now - REPORT_DELAY + theirs;
+        let started = update(&mut table, now, false, entry("joins", Some(stamp))).expect("a start");
         assert!((now - 0.6..=now).contains(&started), "step {step}: started at {started:.1}, news at {now}");
     }
 }
@@ -67,20 +67,21 @@
 #[test_case(Stepped::Ours; "our clock")]
 #[test_case(Stepped::Theirs; "its clock")]
 #[test_case(Stepped::Both; "one clock of both")]
-fn a_worker_that_begins_anew_is_another_process(stepped: Stepped) {
+fn restarted_worker_is_a_new_process(stepped: Stepped) {
     for step in STEPS {
-        let mut roll = roll();
+        let mut table = table();
         let before =
-            take(&mut roll, 20.0, true, entry("w", Some(UNIX + 20.0 - ON_ITS_WAY))).expect("a start");
-        let process = roll.address(0).1;
-        roll.start_times.list_confirmed(22.0);
+            update(&mut table, 20.0, true, entry("w", Some(UNIX_EPOCH_OFFSET + 20.0 - REPORT_DELAY)))
+                .expect("a start");
+        let process = table.address(0).1;
+        table.start_times.list_confirmed(22.0);
         let now = 22.5;
         let ours = if stepped == Stepped::Theirs { 0.0 } else { step };
         let theirs = if stepped == Stepped::Ours { 0.0 } else { step };
-        roll.start_times.wall_clock_read(now, UNIX + now + ours);
-        let stamp = UNIX + now - ON_ITS_WAY + theirs;
-        let started = take(&mut roll, now, false, entry("w", Some(stamp))).expect("a start");
-        assert!(roll.address(0).1 > process, "step {step}: taken for the process before it");
+        table.start_times.wall_clock_read(now, UNIX_EPOCH_OFFSET + now + ours);
+        let stamp = UNIX_EPOCH_OFFSET + now - REPORT_DELAY + theirs;
+        let started = update(&mut table, now, false, entry("w", Some(stamp))).expect("a start");
+        assert!(table.address(0).1 > process, "step {step}: taken for the process before it");
         assert!(
             started > before && (now - 0.6..=now).contains(&started),
             "step {step}: started at {started:.1}"
@@ -90,83 +91,86 @@
 
 /// A whole list that repeats a stamp tells of the same process, though the clock was stepped since.
 #[test]
-fn a_stamp_that_is_repeated_is_the_same_process() {
+fn repeated_start_stamp_is_the_same_process() {
     for step in STEPS {
-        let mut roll = roll();
-        let stamp = Some(UNIX + 9.9);
-        let started = take(&mut roll, 10.0, true, entry("w", stamp));
-        let process = roll.address(0).1;
-        roll.start_times.wall_clock_read(30.0, UNIX + 30.0 + step);
+        let mut table = table();
+        let stamp = Some(UNIX_EPOCH_OFFSET + 9.9);
+        let started = update(&mut table, 10.0, true, entry("w", stamp));
+        let process = table.address(0).1;
+        table.start_times.wall_clock_read(30.0, UNIX_EPOCH_OFFSET + 30.0 + step);
         for whole in [true, false] {
-            assert_eq!(take(&mut roll, 30.0, whole, entry("w", stamp)), started);
-            assert_eq!(take(&mut roll, 31.0, whole, entry("w", stamp.map(|at| at + 0.0005))), started);
+            assert_eq!(update(&mut table, 30.0, whole, entry("w", stamp)), started);
+            assert_eq!(update(&mut table, 31.0, whole, entry("w", stamp.map(|at| at + 0.0005))), started);
             // A line without a stamp says nothing of the process.
-            assert_eq!(take(&mut roll, 32.0, whole, entry("w", None)), started);
+            assert_eq!(update(&mut table, 32.0, whole, entry("w", None)), started);
         }
-        assert_eq!(roll.address(0).1, process);
+        assert_eq!(table.address(0).1, process);
     }
 }
 
 /// Without a stamp a worker started early, also where it is first reported by news.
 #[test]
-fn a_worker_without_a_stamp_started_early() {
-    let mut roll = roll();
-    take(&mut roll, 0.0, true, entry("early", None));
-    roll.start_times.list_confirmed(20.0);
-    assert_eq!(take(&mut roll, 20.5, false, entry("joins", None)), None);
+fn worker_without_a_stamp_has_no_start_time() {
+    let mut table = table();
+    update(&mut table, 0.0, true, entry("early", None));
+    table.start_times.list_confirmed(20.0);
+    assert_eq!(update(&mut table, 20.5, false, entry("joins", None)), None);
 }
 
 /// What nothing contradicts is believed: a list that was known before the start, and news of an outage.
 #[test]
-fn a_stamp_that_nothing_contradicts_is_believed() {
-    let mut roll = roll();
-    let started = take(&mut roll, 0.0, true, entry("known", Some(UNIX - 60.0))).expect("a start");
+fn uncontradicted_stamp_is_taken_as_start_time() {
+    let mut table = table();
+    let started =
+        update(&mut table, 0.0, true, entry("known", Some(UNIX_EPOCH_OFFSET - 60.0))).expect("a start");
     assert!((started + 60.0).abs() < 1e-3, "{started}");
-    roll.start_times.list_confirmed(20.0);
+    table.start_times.list_confirmed(20.0);
     // The list was not heard for ten seconds; eight seconds ago a worker joined.
-    let started = take(&mut roll, 30.0, true, entry("joined", Some(UNIX + 22.0))).expect("a start");
+    let started =
+        update(&mut table, 30.0, true, entry("joined", Some(UNIX_EPOCH_OFFSET + 22.0))).expect("a start");
     assert!((started - 22.0).abs() < 1e-3, "{started}");
 }
 
 /// The same outage with a step forward amid it: the reading before the step places the stamp as if there were none.
 #[test_case(3.0)]
 #[test_case(3600.0)]
-fn a_step_forward_amid_an_outage_ages_nobody(step: f64) {
-    let mut roll = roll();
-    take(&mut roll, 0.0, true, entry("early", None));
-    roll.start_times.list_confirmed(20.0);
-    roll.start_times.wall_clock_read(30.0, UNIX + 30.0 + step);
-    let started = take(&mut roll, 30.0, false, entry("joined", Some(UNIX + 29.0))).expect("a start");
+fn forward_clock_step_during_an_outage_ages_no_worker(step: f64) {
+    let mut table = table();
+    update(&mut table, 0.0, true, entry("early", None));
+    table.start_times.list_confirmed(20.0);
+    table.start_times.wall_clock_read(30.0, UNIX_EPOCH_OFFSET + 30.0 + step);
+    let started =
+        update(&mut table, 30.0, false, entry("joined", Some(UNIX_EPOCH_OFFSET + 29.0))).expect("a start");
     assert!((started - 29.0).abs() < 1e-3, "{started}");
 }
 
 /// Where the decisions broke, their successor knows the processes that were listed, and believes no step since.
 #[test_case(3600.0)]
 #[test_case(-3600.0)]
-fn a_successor_knows_when_workers_started(step: f64) {
-    let mut roll = roll();
-    take(&mut roll, 0.0, true, entry("early", None));
-    roll.start_times.list_confirmed(20.0);
-    let stamp = Some(UNIX + 20.4 + step);
-    let started = take(&mut roll, 20.5, false, entry("joins", stamp));
-    roll.start_times.wall_clock_read(25.0, UNIX + 25.0 + step);
-    let mut successor = roll.successor(5);
-    assert_eq!(take(&mut successor, 25.0, true, entry("joins", stamp)), started);
-    assert!(successor.address(0).1 > roll.address(0).1);
+fn successor_table_keeps_start_times(step: f64) {
+    let mut table = table();
+    update(&mut table, 0.0, true, entry("early", None));
+    table.start_times.list_confirmed(20.0);
+    let stamp = Some(UNIX_EPOCH_OFFSET + 20.4 + step);
+    let started = update(&mut table, 20.5, false, entry("joins", stamp));
+    table.start_times.wall_clock_read(25.0, UNIX_EPOCH_OFFSET + 25.0 + step);
+    let mut successor = table.successor(5);
+    assert_eq!(update(&mut successor, 25.0, true, entry("joins", stamp)), started);
+    assert!(successor.address(0).1 > table.address(0).1);
 }
 
 /// A worker is off the list for so long that its name is forgotten, as when discovery lost sight of it: the same stamp is
 /// the same process, another stamp is another. Taken for new, a fleet that came back would be cold as a whole.
 #[test]
-fn a_worker_that_was_forgotten_keeps_its_start() {
-    for (stamp, same) in [(UNIX + 9.9, true), (UNIX + 9.9 - 3600.0, false)] {
-        let mut roll = roll();
-        let started = take(&mut roll, 10.0, true, entry("w", Some(UNIX + 9.9)));
-        take(&mut roll, 20.0, true, entry("other", None));
-        take(&mut roll, 40.0, true, entry("other", None));
-        assert!(roll.names.get("w").is_none());
-        roll.start_times.list_confirmed(59.5);
-        let again = take(&mut roll, 60.0, false, entry("w", Some(stamp)));
+fn forgotten_worker_keeps_its_start_time() {
+    for (stamp, same) in [(UNIX_EPOCH_OFFSET + 9.9, true), (UNIX_EPOCH_OFFSET + 9.9 - 3600.0, false)] {
+        let mut table = table();
+        let started = update(&mut table, 10.0, true, entry("w", Some(UNIX_EPOCH_OFFSET + 9.9)));
+        update(&mut table, 20.0, true, entry("other", None));
+        update(&mut table, 40.0, true, entry("other", None));
+        assert!(table.names.get("w").is_none());
+        table.start_times.list_confirmed(59.5);
+        let again = update(&mut table, 60.0, false, entry("w", Some(stamp)));
         assert_eq!(again, if same { started } else { Some(60.0) });
     }
 }
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -39,7 +39,7 @@
         cell: String::new(),
         state: Standing::Ready,
     };
-    desk.list(0.0, true, &(0..WORKERS).map(entry).collect::<Vec<_>>());
+    desk.update_endpoints(0.0, true, &(0..WORKERS).map(entry).collect::<Vec<_>>());
     desk
 }
 
@@ -63,7 +63,7 @@
 }
 
 fn come(function: &str) -> IncomingRequest<'_> {
-    IncomingRequest { function, profile: 0, client: 9, patience: 3.0, repeat: false, instance: None }
+    IncomingRequest { function, profile: 0, client: 9, timeout: 3.0, is_retry: false, function_config: None }
 }
 
 /// One event of a call, told to a desk; what it gives to do next.
@@ -74,22 +74,22 @@
 }
 
 fn step(desk: &mut Dispatcher<()>, names: &[String], now: f64, step: Step) -> Vec<Action> {
-    while desk.next().is_some_and(|due| due <= now) {
-        desk.turn(now);
+    while desk.next_deadline().is_some_and(|due| due <= now) {
+        desk.advance(now);
     }
     match step {
         Step::Arrive(n) => {
-            desk.arrive(now, come(&names[n % names.len()]), ());
+            desk.submit(now, come(&names[n % names.len()]), ());
         }
-        Step::Begin(Action::Shoot { tag, shot, .. }) => {
-            desk.begin(now, tag, shot);
+        Step::Begin(Action::SendAttempt { request: tag, attempt: shot, .. }) => {
+            desk.begin_attempt(now, tag, shot);
         }
-        Step::AttemptResult(Action::Shoot { tag, shot, .. }) => {
-            desk.end(now, tag, shot, AttemptResult::plain(Outcome::Handled));
+        Step::AttemptResult(Action::SendAttempt { request: tag, attempt: shot, .. }) => {
+            desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::Handled));
         }
         Step::Begin(_) | Step::AttemptResult(_) => {}
     }
-    std::iter::from_fn(|| desk.act()).filter(|a| matches!(a, Action::Shoot { .. })).collect()
+    std::iter::from_fn(|| desk.next_action()).filter(|a| matches!(a, Action::SendAttempt { .. })).collect()
 }
 
 /// A call on one thread, and what else its events set free, each told by `tell`; how many shots were ended.
@@ -186,14 +186,15 @@
                         black_box(facts.iter().map(|f| f.out.load(Ordering::Relaxed)).sum::<i64>());
                     }
                     let sign = if matches!(s, Step::AttemptResult(_)) { -1 } else { 1 };
-                    let ended = if let Step::AttemptResult(Action::Shoot { worker, .. }) = s {
+                    let ended = if let Step::AttemptResult(Action::SendAttempt { worker, .. }) = s {
                         Some(worker)
                     } else {
                         None
                     };
                     let act = step(&mut desk, &names, now(), s);
-                    let begun =
-                        act.iter().map(|a| if let Action::Shoot { worker, .. } = a { *worker } else { 0 });
+                    let begun = act
+                        .iter()
+                        .map(|a| if let Action::SendAttempt { worker, .. } = a { *worker } else { 0 });
                     for w in ended.into_iter().chain(begun) {
                         facts[w].out.fetch_add(sign, Ordering::AcqRel);
                         facts[w].told.fetch_add(1, Ordering::AcqRel);
--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -215,7 +215,7 @@
             }
             let (number, entries) = (self.follower.state().head(), amendments.len());
             self.office.tell(None, |desk, _| {
-                amendments.iter().for_each(|amendment| desk.amend(amendment, &house.functions));
+                amendments.iter().for_each(|amendment| desk.apply_config_change(amendment, &house.functions));
             });
             tracing::info!(number, entries, "changes are in force");
             self.onlooker.iter_mut().for_each(|onlooker| onlooker.applied(number));
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -59,7 +59,7 @@
             }
             // The keeper itself may stand still; then whoever notices does what is due.
             if office.overdue(2.0 * PULSE) {
-                gateway.tell(|desk, now| desk.turn(now));
+                gateway.tell(|desk, now| desk.advance(now));
             }
             if now >= look {
                 look = now + LOOK;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -15,7 +15,7 @@
 pub async fn follow(gateway: Rc<Gateway>, address: SocketAddr) {
     let why = stream(&gateway, address).await;
     tracing::warn!(%address, "the registry's list is not followed any more: {why}");
-    gateway.tell(|desk, now| desk.list_failed(now));
+    gateway.tell(|desk, now| desk.endpoint_list_failed(now));
 }
 
 async fn stream(gateway: &Rc<Gateway>, address: SocketAddr) -> String {
@@ -56,7 +56,7 @@
             // Also past a gap: what is said of these workers is true, and may be that one drains.
             if last.is_some() && !gap {
                 // The stream stood since the edition before, and would have told of anybody who was listed earlier.
-                gateway.tell(|desk, now| desk.list_confirmed(now));
+                gateway.tell(|desk, now| desk.endpoint_list_confirmed(now));
             }
             gateway.office.list(Some(gateway.seat), whole, &entries);
             gateway.collect();
@@ -64,7 +64,7 @@
                 tracing::warn!(edition, "changes before it are missing; the list is asked for anew");
                 // This stream is read on until the next takes its place: it may say more that must be known.
                 asked_anew = true;
-                gateway.tell(|desk, now| desk.list_failed(now));
+                gateway.tell(|desk, now| desk.endpoint_list_failed(now));
             }
             last = Some(edition);
         }
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -277,7 +277,7 @@
     pub fn turn(&self) {
         self.within(|office| {
             if office.overdue(0.0) {
-                office.tell(None, |desk, now| desk.turn(now));
+                office.tell(None, |desk, now| desk.advance(now));
             }
         });
     }
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -10,7 +10,7 @@
 use crate::peering::{self, Link};
 use crate::shell::{Gateway, PULSE};
 use milletpath_config::{GatewayConfig, WorkerSource};
-use milletpath_dispatcher::dispatcher::{AttemptResult, Tally};
+use milletpath_dispatcher::dispatcher::{AttemptResult, Counters};
 use milletpath_multicore::deal::{self, Deal, Seen};
 use milletpath_multicore::watch::{Do, Watch};
 use milletpath_policy::host::Outcome;
@@ -41,7 +41,7 @@
 
 /// Runs a gateway on a listener until `stop` comes, and finishes what it took. Must run within a `LocalSet`; the
 /// calling thread is the keeper, and the cores are threads beside it.
-pub async fn serve(house: GatewayConfig, listener: TcpListener, stop: impl Future<Output = ()>) -> Tally {
+pub async fn serve(house: GatewayConfig, listener: TcpListener, stop: impl Future<Output = ()>) -> Counters {
     let (_, quiet) = tokio::sync::mpsc::unbounded_channel();
     serve_stirred(house, listener, Links::default(), stop, quiet).await
 }
@@ -61,7 +61,7 @@
     links: Links,
     stop: impl Future<Output = ()>,
     mut stirs: UnboundedReceiver<(usize, Stir)>,
-) -> Tally {
+) -> Counters {
     let keeper = Rc::new(Keeper::new(house));
     let office = keeper.office.clone();
     tracing::info!(cores = office.cores(), "serving");
@@ -111,7 +111,7 @@
     drop(listener);
     office.stopping.store(true, Ordering::Release);
     office.seats.iter().for_each(|seat| seat.bell.notify_one());
-    tracing::info!(open = office.ask(|d| d.open()), connections = office.guests.used(), "stopping");
+    tracing::info!(open = office.ask(|d| d.open_requests()), connections = office.guests.used(), "stopping");
     // A client's patience is within its profile's cut-off; a little more lets the last answers be written.
     let longest = office.house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max) + 1.0;
     let _ = tokio::time::timeout(Duration::from_secs_f64(longest), async {
@@ -196,7 +196,7 @@
             if self.gateway.stood() != stood {
                 self.filled.borrow_mut().iter_mut().for_each(|f| f.watch.moved(now));
             }
-            self.gateway.tell(|desk, now| desk.turn(now));
+            self.gateway.tell(|desk, now| desk.advance(now));
             self.watch(now);
             if now >= look {
                 look = now + deal::LOOK;
@@ -325,7 +325,7 @@
                     Errand::Answer { own, line, .. } => self.last_word(&line, own),
                     Errand::Shoot { tag, shot, .. } => {
                         self.gateway.tell(|desk, now| {
-                            desk.end(now, tag, shot, AttemptResult::plain(Outcome::Unsent))
+                            desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::Unsent))
                         });
                     }
                     Errand::Guest(stream, ticket) => {
--- a/crates/gateway/src/office.rs
+++ b/crates/gateway/src/office.rs
@@ -7,7 +7,7 @@
 use crate::pool::{Room, Way};
 use crate::wall_clock::unix_time;
 use milletpath_config::{FunctionConfig, GatewayConfig};
-use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId, Tally};
+use milletpath_dispatcher::dispatcher::{Action, Counters, Dispatcher, RequestId};
 use milletpath_multicore::budget::Budget;
 use milletpath_multicore::mail::Mailbox;
 use milletpath_multicore::pulse::Pulse;
@@ -230,7 +230,7 @@
 
     fn begin_anew(&self, inside: &mut Inside) {
         let now = self.now();
-        let open = inside.desk.begin_anew(&self.house, now);
+        let open = inside.desk.restart(&self.house, now);
         self.broken.fetch_add(1, Ordering::Relaxed);
         tracing::error!(
             calls = open.len(),
@@ -238,7 +238,7 @@
         );
         let list: Vec<_> = inside.list.values().cloned().collect();
         if !list.is_empty() {
-            inside.desk.list(now, true, &list);
+            inside.desk.update_endpoints(now, true, &list);
         }
         for (place, begun) in open {
             let own = Own::lost(begun);
@@ -259,19 +259,19 @@
         let now = self.now();
         let result = what(&mut inside.desk, now);
         let mut wake = 0u64;
-        while let Some(act) = inside.desk.act() {
+        while let Some(act) = inside.desk.next_action() {
             if let Some((to, errand)) = self.errand(&mut inside.desk, seat, now, act) {
                 wake |= u64::from(self.post(to, errand)) << to;
             }
         }
-        let next = inside.desk.next().unwrap_or(f64::INFINITY);
+        let next = inside.desk.next_deadline().unwrap_or(f64::INFINITY);
         if next < inside.armed {
             inside.armed = next;
             self.earlier.notify_one();
         }
         let took = self.now() - now;
         if took > SLOW {
-            let (open, functions) = (inside.desk.open(), inside.desk.functions());
+            let (open, functions) = (inside.desk.open_requests(), inside.desk.function_count());
             tracing::warn!(seconds = took, open, functions, "one event took long to decide");
         }
         drop(inside);
@@ -314,35 +314,37 @@
             Way { address, process }
         };
         let answer = |desk: &mut Dispatcher<Place>, tag, own| {
-            let place = desk.what(tag)?;
+            let place = desk.context(tag)?;
             Some((place.seat, Errand::Answer { slot: place.slot, own, line: place.line.clone() }))
         };
         match act {
-            Action::Shoot { tag, shot, worker } => {
+            Action::SendAttempt { request: tag, attempt: shot, worker } => {
                 let way = way(desk, worker);
                 // None where it was called off in the same breath.
-                let left = desk.left_for(now, tag, shot)?;
+                let left = desk.time_left(now, tag, shot)?;
                 let function = desk.function(tag)?;
-                let place = desk.what(tag)?;
+                let place = desk.context(tag)?;
                 let (seat, slot) = (place.seat, place.slot);
                 Some((seat, Errand::Shoot { tag, slot, shot, worker, way, function, left }))
             }
-            Action::Drop { tag, shot } => {
-                let place = desk.what(tag)?;
+            Action::CancelAttempt { request: tag, attempt: shot } => {
+                let place = desk.context(tag)?;
                 Some((place.seat, Errand::Drop { tag, slot: place.slot, shot }))
             }
-            Action::Bounce { tag, come_back } => answer(desk, tag, Own::Bounced(come_back)),
-            Action::Terminate { tag, late } => answer(desk, tag, Own::Terminated { late }),
-            Action::Hold { order, worker, function, copies } => {
+            Action::Reject { request: tag, retry_after: come_back } => {
+                answer(desk, tag, Own::Bounced(come_back))
+            }
+            Action::Fail { request: tag, timed_out: late } => answer(desk, tag, Own::Terminated { late }),
+            Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
                 Some((here(worker), Errand::Hold { order, worker, way: way(desk, worker), function, copies }))
             }
-            Action::Unload { worker, function } => {
+            Action::UnloadFunction { worker, function } => {
                 Some((here(worker), Errand::Unload { worker, way: way(desk, worker), function }))
             }
-            Action::Probe { worker, serial } => {
+            Action::HealthCheck { worker, serial } => {
                 Some((here(worker), Errand::Probe { worker, way: way(desk, worker), serial }))
             }
-            Action::Follow => Some((self.cores(), Errand::Follow)),
+            Action::WatchEndpoints => Some((self.cores(), Errand::Follow)),
         }
     }
 
@@ -355,7 +357,7 @@
     pub fn figures(&self, function: &str) -> FunctionConfig {
         match &self.house.changes {
             None => self.house.functions.of(function),
-            Some(_) => self.ask(|desk| desk.figures(function)),
+            Some(_) => self.ask(|desk| desk.function_config(function)),
         }
     }
 
@@ -376,17 +378,17 @@
         }
         self.tell(seat, |desk, now| {
             desk.wall_clock_read(now, unix_time());
-            desk.list(now, whole, entries);
+            desk.update_endpoints(now, whole, entries);
         });
     }
 
     /// Ends the calls of a core that is lost; gives their lines, and whether something of them may have run.
     pub fn abandon(&self, seat: usize) -> Vec<(Arc<Line>, bool)> {
         self.tell(None, |desk, now| {
-            let tags = desk.tags(|place| place.seat == seat);
+            let tags = desk.requests(|place| place.seat == seat);
             let end = |tag| {
-                let line = desk.what(tag)?.line.clone();
-                Some((line, desk.left(now, tag)))
+                let line = desk.context(tag)?.line.clone();
+                Some((line, desk.client_gone(now, tag)))
             };
             tags.into_iter().filter_map(end).collect()
         })
@@ -395,18 +397,18 @@
     /// Sets the keeper's clock for what is due next, at most `most`.
     pub fn arm(&self, most: f64) -> f64 {
         let mut inside = self.enter();
-        inside.armed = inside.desk.next().unwrap_or(f64::INFINITY).min(most);
+        inside.armed = inside.desk.next_deadline().unwrap_or(f64::INFINITY).min(most);
         inside.armed
     }
 
     /// Whether something is due for so long that the keeper must be standing still.
     pub fn overdue(&self, by: f64) -> bool {
         let now = self.now();
-        self.ask(|desk| desk.next()).is_some_and(|next| next < now - by)
+        self.ask(|desk| desk.next_deadline()).is_some_and(|next| next < now - by)
     }
 
-    pub fn tally(&self) -> Tally {
-        self.ask(|desk| desk.tally())
+    pub fn tally(&self) -> Counters {
+        self.ask(|desk| desk.counters())
     }
 
     /// The connections of a worker, over all cores.
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -234,19 +234,23 @@
         const AGAIN: f64 = 0.2;
         let now = self.office.now();
         let parts = self.peers.parts(now);
-        let mut share =
-            QuotaFraction { likely: parts.likely, part: [parts.part, parts.floor], until: parts.until };
+        let mut share = QuotaFraction {
+            likely_gateways: parts.likely,
+            fractions: [parts.part, parts.floor],
+            until: parts.until,
+        };
         if self.link.plant == Some(Plant::LikelyCount) {
             let part = self.office.house.policy.routers as f64 / parts.likely;
-            share = QuotaFraction { likely: parts.likely, part: [part; 2], until: f64::INFINITY };
+            share =
+                QuotaFraction { likely_gateways: parts.likely, fractions: [part; 2], until: f64::INFINITY };
         }
         let same = |(at, told): (f64, QuotaFraction)| {
-            (told.likely, told.part) == (share.likely, share.part)
+            (told.likely_gateways, told.fractions) == (share.likely_gateways, share.fractions)
                 && (told.until == share.until || now - at < AGAIN && told.until <= share.until)
         };
         if !self.told.is_some_and(same) {
             self.told = Some((now, share));
-            self.office.tell(None, |desk, _| desk.share(share));
+            self.office.tell(None, |desk, _| desk.set_quota_fraction(share));
         }
         self.share(parts);
         parts
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -119,7 +119,7 @@
     fn drop(&mut self) {
         let office = &self.gateway.office;
         if !self.answered {
-            let left = |tag| office.tell(None, |desk, now| desk.left(now, tag));
+            let left = |tag| office.tell(None, |desk, now| desk.client_gone(now, tag));
             let begun = self.tag.is_some_and(left);
             self.line.last_word(answer_of(Own::lost(begun)));
         }
@@ -165,7 +165,7 @@
         Ok(invoke::Wanted::Activation(function)) => function,
         Ok(invoke::Wanted::Live) => return healthy(true, "live\n"),
         Ok(invoke::Wanted::Ready) if stopping => return healthy(false, "stopping\n"),
-        Ok(invoke::Wanted::Ready) if !gateway.office.ask(|d| d.listed()) => {
+        Ok(invoke::Wanted::Ready) if !gateway.office.ask(|d| d.has_endpoints()) => {
             return healthy(false, "no worker list yet\n");
         }
         Ok(invoke::Wanted::Ready) => return healthy(true, "ready\n"),
@@ -209,9 +209,16 @@
         let patience = door.patience - (now - came);
         let Door { profile, client, repeat, .. } = door;
         let place = Place { seat: gateway.seat, slot, line: line.clone() };
-        let tag = desk.arrive(
+        let tag = desk.submit(
             now,
-            IncomingRequest { function, profile, client, patience, repeat, instance: None },
+            IncomingRequest {
+                function,
+                profile,
+                client,
+                timeout: patience,
+                is_retry: repeat,
+                function_config: None,
+            },
             place,
         );
         tag.inspect(|tag| line.take_up(*tag))
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -68,7 +68,7 @@
 
     /// Opens budgets of workers that came, closes those of workers that are gone.
     fn follow<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
-        let edition = desk.list_edition();
+        let edition = desk.endpoint_revision();
         if edition == self.edition {
             return;
         }
@@ -93,7 +93,7 @@
 
     fn meter<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for open in self.open.iter().filter(|o| o.here) {
-            self.shares.meter(now, open.slot, desk.meter(now, open.what));
+            self.shares.meter(now, open.slot, desk.usage(now, open.what));
         }
     }
 
@@ -114,11 +114,11 @@
     fn count<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         /// Seconds between two words to the decisions.
         const AGAIN: f64 = 0.5;
-        self.shares.report(now, || desk.busy(now));
+        self.shares.report(now, || desk.local_concurrency(now));
         if self.counted == f64::NEG_INFINITY {
             // Whoever has just begun sees little and knows nothing of how long things take: times the count that would stretch
             // sets over all workers. Until the first word comes, or time has passed without one, others have what they need.
-            desk.elsewhere(now, &BTreeMap::new());
+            desk.set_remote_concurrency(now, &BTreeMap::new());
             self.counted = now;
         }
         if now < self.counted + AGAIN {
@@ -126,7 +126,7 @@
         }
         if let Some(busy) = self.shares.elsewhere(now) {
             self.counted = now;
-            desk.elsewhere(now, &busy);
+            desk.set_remote_concurrency(now, &busy);
         }
     }
 
@@ -135,7 +135,7 @@
         let open = &self.open;
         self.shares.heard(now, life, note, &mut |slot| {
             let open = open.iter().find(|o| o.slot == slot && o.here)?;
-            Some(desk.meter(now, open.what))
+            Some(desk.usage(now, open.what))
         });
         self.tell(desk, now);
     }
@@ -143,7 +143,7 @@
     fn tell<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for (slot, more) in self.shares.changes(now) {
             if let Some(open) = self.open.iter().find(|o| o.slot == slot && o.here) {
-                desk.allot(open.what, more);
+                desk.grant_quota(open.what, more);
             }
         }
     }
--- a/crates/gateway/src/shot.rs
+++ b/crates/gateway/src/shot.rs
@@ -154,7 +154,7 @@
         wire::Found::Failed => Found::LoadFailed,
     });
     let company = wire::count(headers, &wire::COMPANY).ok().flatten().unwrap_or(0);
-    AttemptResult { outcome, found, company: company.into(), report: report(headers), settles: false }
+    AttemptResult { outcome, found, company: company.into(), report: report(headers), answers_client: false }
 }
 
 /// Why an answer's body is not there in full.
@@ -206,7 +206,7 @@
         headers.insert(&wire::LEFT, left);
     }
     let Some(request) = request(Method::POST, wire::infer(&function), headers, body) else { return };
-    let may = || gateway.tell(|desk, now| desk.begin(now, tag, shot));
+    let may = || gateway.tell(|desk, now| desk.begin_attempt(now, tag, shot));
     let (response, connection) = match exchange(&gateway, worker, way, request, may).await {
         Ok(answer) => answer,
         Err(broken) => {
@@ -216,7 +216,8 @@
                 Broken::Unsent => Outcome::Unsent,
                 Broken::Cut => Outcome::Cut,
             };
-            gateway.tell(|desk, now| desk.end(now, tag, shot, AttemptResult::plain(outcome)));
+            gateway
+                .tell(|desk, now| desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(outcome)));
             return;
         }
     };
@@ -231,11 +232,11 @@
         }
         Err(Short::Cut) => {
             let end = AttemptResult { outcome: Outcome::Cut, ..end };
-            gateway.tell(|desk, now| desk.end(now, tag, shot, end));
+            gateway.tell(|desk, now| desk.attempt_ended(now, tag, shot, end));
         }
         // It would be too large from any other worker as well.
         Err(Short::TooLarge) => {
-            let end = AttemptResult { outcome: Outcome::Failed, settles: true, ..end };
+            let end = AttemptResult { outcome: Outcome::Failed, answers_client: true, ..end };
             settle(&gateway, (tag, slot, shot), end, Reply::TooLarge);
         }
     }
@@ -248,7 +249,7 @@
     end: AttemptResult,
     reply: Reply,
 ) {
-    if gateway.tell(|desk, now| desk.end(now, tag, shot, end)) {
+    if gateway.tell(|desk, now| desk.attempt_ended(now, tag, shot, end)) {
         gateway.reply_to(tag, slot, reply);
     }
 }
@@ -285,7 +286,7 @@
     function: Arc<str>,
     copies: u8,
 ) {
-    let may = || gateway.tell(|desk, now| desk.begin_order(now, order));
+    let may = || gateway.tell(|desk, now| desk.begin_load_request(now, order));
     let wait = Duration::from_secs_f64(gateway.house().policy.order_wait);
     let asked = ask(&gateway, worker, way, Method::POST, wire::load(&function), Some(copies), may);
     // The desk ends the order at the same time; here only the connection is let go of.
@@ -304,7 +305,7 @@
         Err(Broken::Unsent) => (Outcome::Unsent, 0),
         Err(Broken::Cut) => (Outcome::Cut, 0),
     };
-    gateway.tell(|desk, now| desk.order_ended(now, order, outcome, stand));
+    gateway.tell(|desk, now| desk.load_request_ended(now, order, outcome, stand));
 }
 
 /// Has a worker unload idle instances. Nobody waits for the answer.
@@ -326,5 +327,5 @@
         Err(Broken::Unsent | Broken::KeptBack) => (Outcome::Unsent, None),
         Err(Broken::Cut) => (Outcome::Cut, None),
     };
-    gateway.tell(|desk, now| desk.probed(now, worker, serial, outcome, report));
+    gateway.tell(|desk, now| desk.health_check_ended(now, worker, serial, outcome, report));
 }
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -150,7 +150,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         stop.send(()).unwrap();
         let tally = served.await.unwrap();
-        assert_eq!((tally.taken, tally.left, tally.shots, tally.handled), (1, 1, 1, 0));
+        assert_eq!((tally.accepted, tally.client_gone, tally.attempts, tally.succeeded), (1, 1, 1, 0));
         assert!(seen(&mut heads).is_empty());
     });
 }
@@ -169,7 +169,7 @@
         assert!(TcpStream::connect(at).await.is_err());
         let answer = taken.await.unwrap();
         assert_eq!(outcome(&answer), "handled", "{answer}");
-        assert_eq!(served.await.unwrap().handled, 1);
+        assert_eq!(served.await.unwrap().succeeded, 1);
     });
 }
 
@@ -239,7 +239,7 @@
         // The gateway has closed: stopping waits for no connection, else it would for the cut-off and a second more.
         stop.send(()).unwrap();
         let stopped = tokio::time::timeout(Duration::from_millis(2500), served).await;
-        assert_eq!(stopped.unwrap().unwrap().handled, 1);
+        assert_eq!(stopped.unwrap().unwrap().succeeded, 1);
         let mut rest = Vec::new();
         let _ = client.read_to_end(&mut rest).await;
         assert!(rest.len() < LARGE.len());
@@ -302,7 +302,7 @@
         assert_eq!(answers, 10_000);
         stop.send(()).unwrap();
         let tally = served.await.unwrap();
-        assert_eq!((tally.taken, tally.handled + tally.bounced + tally.terminated), (10_000, 10_000));
+        assert_eq!((tally.accepted, tally.succeeded + tally.rejected + tally.failed), (10_000, 10_000));
     });
 }
 
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -242,7 +242,7 @@
             assert_eq!(client.await.unwrap().0, ["handled", "handled"]);
         }
         stop.send(()).unwrap();
-        assert_eq!(served.await.unwrap().handled, 140);
+        assert_eq!(served.await.unwrap().succeeded, 140);
     });
 }
 
@@ -396,8 +396,8 @@
             closed += usize::from(was);
             assert!(outcomes.iter().all(|o| o != "none"));
         }
-        assert_eq!((closed, handled), (32, tally.handled));
-        assert_eq!(tally.taken, tally.handled + tally.bounced + tally.terminated + tally.left);
+        assert_eq!((closed, handled), (32, tally.succeeded));
+        assert_eq!(tally.accepted, tally.succeeded + tally.rejected + tally.failed + tally.client_gone);
     });
 }
 
--- a/crates/gateway/tests/town/mod.rs
+++ b/crates/gateway/tests/town/mod.rs
@@ -47,7 +47,7 @@
 /// Starts a gateway; it stops when the sender is used.
 pub async fn gateway(
     house: GatewayConfig,
-) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Tally>) {
+) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Counters>) {
     let listener = TcpListener::bind(house.listen).await.unwrap();
     let address = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel::<()>();
@@ -59,7 +59,7 @@
     (address, stop, served)
 }
 
-pub type Served = tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Tally>;
+pub type Served = tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Counters>;
 
 /// The same, with mischief for its cores.
 pub async fn stirred(
--- a/crates/platform-router/src/bulletin.rs
+++ b/crates/platform-router/src/bulletin.rs
@@ -83,13 +83,13 @@
                     let mut s = station.borrow_mut();
                     let now = s.now();
                     s.desk.wall_clock_read(now, unix_time());
-                    s.desk.list(now, whole, &entries);
+                    s.desk.update_endpoints(now, whole, &entries);
                     s.carry_out();
                 }
                 Ok(Line::Last(number)) if number == *last => {
                     let mut s = station.borrow_mut();
                     let now = s.now();
-                    s.desk.list_confirmed(now);
+                    s.desk.endpoint_list_confirmed(now);
                 }
                 // Of a bulletin behind the one that was followed before.
                 Ok(Line::Last(number)) if number < *last => {}
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -152,10 +152,10 @@
     fn withdraw(&mut self, open: Vec<(u64, RequestId)>) {
         let now = self.now();
         for (_, tag) in open {
-            if let Some(asker) = self.desk.what(tag) {
+            if let Some(asker) = self.desk.context(tag) {
                 let id = asker.id;
                 self.ids.remove(&id);
-                self.desk.left(now, tag);
+                self.desk.client_gone(now, tag);
             }
         }
     }
@@ -184,7 +184,7 @@
     /// a standstill that can come after the turn in which the shot's connection is ready. False where something of
     /// it lies unread: it is read first, and the link written then.
     pub fn looked_at(&mut self, tag: RequestId, link: usize, now: f64) -> bool {
-        let Some((key, serial)) = self.desk.what(tag).map(|a| a.client) else { return true };
+        let Some((key, serial)) = self.desk.context(tag).map(|a| a.client) else { return true };
         let Some(client) = self.clients.get_mut(key).filter(|c| c.serial == serial) else { return true };
         if now - client.looked < LOOKED {
             return true;
@@ -260,7 +260,7 @@
                 Said::Call(ask) => self.ask(key, *ask),
                 Said::GiveUp { id, number } => self.give_up(key, id, number),
                 Said::Probe { number } => {
-                    let fit = self.desk.listed() && !self.leave.begun();
+                    let fit = self.desk.has_endpoints() && !self.leave.begun();
                     if let Some(client) = self.clients.get_mut(key) {
                         lines::fit(&mut client.out.bytes, number, fit);
                         self.client_writes(key);
@@ -324,9 +324,9 @@
             function: &function,
             profile,
             client: place(&self.groups, &client),
-            patience: (patience - MARGIN).max(0.0),
-            repeat,
-            instance: Some((lanes, memory, load)),
+            timeout: (patience - MARGIN).max(0.0),
+            is_retry: repeat,
+            function_config: Some((lanes, memory, load)),
         };
         let Some(serial) = self.clients.get(key).map(|c| c.serial) else { return };
         let holds = self.room.holds(body.capacity() + mark.capacity());
@@ -345,7 +345,7 @@
             begun: now,
             at: Vec::new(),
         };
-        let tag = self.desk.arrive(now, come, asker);
+        let tag = self.desk.submit(now, come, asker);
         let Some(client) = self.clients.get_mut(key) else { return };
         match tag {
             Some(tag) => {
@@ -368,7 +368,7 @@
         let Some(client) = self.clients.get_mut(key) else { return };
         let desk = &mut self.desk;
         let mut named = |n: u64, tag: RequestId| match id {
-            Some(id) => desk.what(tag).is_some_and(|a| a.id == id),
+            Some(id) => desk.context(tag).is_some_and(|a| a.id == id),
             None => Some(n) == number,
         };
         let (gone, open) = std::mem::take(&mut client.open).into_iter().partition(|&(n, tag)| named(n, tag));
@@ -455,7 +455,7 @@
 
     /// Answers that are owed or not written yet.
     pub fn owed(&self) -> usize {
-        self.desk.open() + self.clients.iter().filter(|(_, c)| c.out.left() > 0).count()
+        self.desk.open_requests() + self.clients.iter().filter(|(_, c)| c.out.left() > 0).count()
     }
 }
 
--- a/crates/platform-router/src/door/tests.rs
+++ b/crates/platform-router/src/door/tests.rs
@@ -73,7 +73,7 @@
         let mut s = station.borrow_mut();
         let [(2, tag)] = s.clients[client.1].open[..] else { panic!("one open call") };
         let now = s.now();
-        assert_eq!(s.desk.what(tag).unwrap().came, now);
+        assert_eq!(s.desk.context(tag).unwrap().came, now);
     });
 }
 
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -233,9 +233,9 @@
     }
 
     pub fn shoot(&mut self, tag: RequestId, shot: usize, worker: usize) {
-        let Some(id) = self.desk.what(tag).map(|a| a.id) else { return };
+        let Some(id) = self.desk.context(tag).map(|a| a.id) else { return };
         let key = self.link(worker, Some(id));
-        if let Some(asker) = self.desk.what(tag) {
+        if let Some(asker) = self.desk.context(tag) {
             asker.at.resize(asker.at.len().max(shot + 1), usize::MAX);
             asker.at[shot] = key;
         }
@@ -259,7 +259,7 @@
 
     /// A shot's end is booked: it is withdrawn if nothing of it has gone, and given up at the worker otherwise.
     pub fn drop_shot(&mut self, tag: RequestId, shot: usize) {
-        let Some(key) = self.desk.what(tag).and_then(|a| a.at.get(shot).copied()) else { return };
+        let Some(key) = self.desk.context(tag).and_then(|a| a.at.get(shot).copied()) else { return };
         let Some(link) = self.links.get_mut(key) else { return };
         let waited = link.waiting.len();
         link.waiting.retain(|l| !matches!(l, Load::Shot(t, s) if *t == tag && *s == shot));
@@ -322,10 +322,10 @@
         match load {
             Load::Shot(tag, shot) => {
                 link.waiting.push_front(load);
-                self.desk.put_back(now, tag, shot);
+                self.desk.attempt_not_written(now, tag, shot);
             }
             // It has its place in the ration: given again it would have two.
-            Load::Hold(order, ..) => self.desk.order_ended(now, order, Outcome::Unsent, 0),
+            Load::Hold(order, ..) => self.desk.load_request_ended(now, order, Outcome::Unsent, 0),
             Load::Unload(_) | Load::Probe(_) | Load::GiveUp(_) => link.waiting.push_front(load),
         }
     }
@@ -348,7 +348,7 @@
         let mut out = std::mem::take(&mut self.links[key].out.bytes);
         let open = match &load {
             Load::Shot(tag, shot) => self.make_shot(&mut out, *tag, *shot, now),
-            Load::Hold(order, function, copies) => self.desk.begin_order(now, *order).then(|| {
+            Load::Hold(order, function, copies) => self.desk.begin_load_request(now, *order).then(|| {
                 let id = self.own_id(key);
                 frames::hold(&mut out, id, function, *copies);
                 (id, Sent::Order(*order))
@@ -393,12 +393,12 @@
     }
 
     fn make_shot(&mut self, out: &mut Vec<u8>, tag: RequestId, shot: usize, now: f64) -> Option<(u64, Sent)> {
-        let left = self.desk.left_for(now, tag, shot)?;
-        if !self.desk.begin(now, tag, shot) {
+        let left = self.desk.time_left(now, tag, shot)?;
+        if !self.desk.begin_attempt(now, tag, shot) {
             return None;
         }
         let function = self.desk.function(tag)?;
-        let asker = self.desk.what(tag)?;
+        let asker = self.desk.context(tag)?;
         asker.begun = now;
         let Asker { id, mark, body, .. } = &*asker;
         let profile = &self.profiles[asker.profile];
@@ -469,14 +469,16 @@
                     found: None,
                     company: answer.company,
                     report: answer.report,
-                    settles: false,
+                    answers_client: false,
                 };
-                if self.desk.end(now, tag, shot, end) {
+                if self.desk.attempt_ended(now, tag, shot, end) {
                     self.answer(tag, |out, number| lines::handled(out, number, answer.body));
                 }
             }
-            Sent::Order(order) => self.desk.order_ended(now, order, answer.outcome, answer.copies),
-            Sent::Probe(serial) => self.desk.probed(now, worker, serial, answer.outcome, answer.report),
+            Sent::Order(order) => self.desk.load_request_ended(now, order, answer.outcome, answer.copies),
+            Sent::Probe(serial) => {
+                self.desk.health_check_ended(now, worker, serial, answer.outcome, answer.report)
+            }
         }
         Ok(())
     }
@@ -484,7 +486,7 @@
     /// Where the time of an answer went.
     fn log_answer(&mut self, worker: usize, tag: RequestId, answer: &frames::Answer<'_>, now: f64) {
         let function = self.desk.function(tag);
-        let Some(asker) = self.desk.what(tag) else { return };
+        let Some(asker) = self.desk.context(tag) else { return };
         let (function, shots) = (function.as_deref().unwrap_or_default(), asker.at.len());
         let (waited, there) = (asker.begun - asker.came, now - asker.begun);
         let (company, outcome) = (answer.company, answer.outcome);
@@ -518,10 +520,10 @@
         let now = self.now();
         match what {
             Sent::Shot(tag, shot) => {
-                self.desk.end(now, tag, shot, AttemptResult::plain(outcome));
+                self.desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(outcome));
             }
-            Sent::Order(order) => self.desk.order_ended(now, order, outcome, 0),
-            Sent::Probe(serial) => self.desk.probed(now, worker, serial, outcome, None),
+            Sent::Order(order) => self.desk.load_request_ended(now, order, outcome, 0),
+            Sent::Probe(serial) => self.desk.health_check_ended(now, worker, serial, outcome, None),
         }
     }
 
--- a/crates/platform-router/src/link/tests.rs
+++ b/crates/platform-router/src/link/tests.rs
@@ -45,7 +45,7 @@
             let link = &s.links[key];
             assert_eq!((link.waiting.len(), link.open.len(), link.out.left(), link.made), (2, 0, 0, 0));
             let now = s.now();
-            s.desk.left(now, tags[0]);
+            s.desk.client_gone(now, tags[0]);
             s.carry_out();
             key
         };
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -85,7 +85,7 @@
         let patience = house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max);
         let mut desk = Dispatcher::new(house, unix_time());
         for (whole, entries) in &told.lists {
-            desk.list(0.0, *whole, entries);
+            desk.update_endpoints(0.0, *whole, entries);
         }
         Rc::new_cyclic(|me| {
             RefCell::new(Self {
@@ -133,34 +133,34 @@
             self.carry_out_acts();
             self.link_writes(link);
         }
-        if self.desk.next().is_some_and(|at| at < self.armed) {
+        if self.desk.next_deadline().is_some_and(|at| at < self.armed) {
             self.alarm.notify_one();
         }
     }
 
     fn carry_out_acts(&mut self) {
-        while let Some(act) = self.desk.act() {
+        while let Some(act) = self.desk.next_action() {
             match act {
-                Action::Shoot { tag, shot, worker } => self.shoot(tag, shot, worker),
-                Action::Drop { tag, shot } => self.drop_shot(tag, shot),
-                Action::Bounce { tag, come_back } => {
+                Action::SendAttempt { request: tag, attempt: shot, worker } => self.shoot(tag, shot, worker),
+                Action::CancelAttempt { request: tag, attempt: shot } => self.drop_shot(tag, shot),
+                Action::Reject { request: tag, retry_after: come_back } => {
                     self.answer(tag, |out, number| lines::bounced(out, number, come_back));
                 }
-                Action::Terminate { tag, .. } => self.answer(tag, lines::terminated),
-                Action::Hold { order, worker, function, copies } => {
+                Action::Fail { request: tag, .. } => self.answer(tag, lines::terminated),
+                Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
                     self.hold(order, worker, function, copies)
                 }
-                Action::Unload { worker, function } => self.unload(worker, &function),
-                Action::Probe { worker, serial } => self.probe(worker, serial),
+                Action::UnloadFunction { worker, function } => self.unload(worker, &function),
+                Action::HealthCheck { worker, serial } => self.probe(worker, serial),
                 // The bulletin is followed in any case.
-                Action::Follow => {}
+                Action::WatchEndpoints => {}
             }
         }
     }
 
     /// Gives the client its final answer.
     pub fn answer(&mut self, tag: RequestId, write: impl FnOnce(&mut Vec<u8>, u64)) {
-        let Some(asker) = self.desk.what(tag) else { return };
+        let Some(asker) = self.desk.context(tag) else { return };
         let ((key, serial), number) = (asker.client, asker.number);
         self.ids.remove(&asker.id);
         let Some(client) = self.clients.get_mut(key).filter(|c| c.serial == serial) else { return };
@@ -186,7 +186,7 @@
     /// Time has passed.
     fn turn(&mut self) {
         let now = self.now();
-        self.desk.turn(now);
+        self.desk.advance(now);
         self.carry_out();
     }
 
@@ -204,7 +204,7 @@
         let (next, alarm) = {
             let mut s = station.borrow_mut();
             s.turn();
-            let next = s.desk.next();
+            let next = s.desk.next_deadline();
             s.armed = next.unwrap_or(f64::INFINITY);
             (next.map(|at| s.begun + Duration::from_secs_f64(at.max(0.0))), s.alarm.clone())
         };
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/station/tests.rs
@@ -44,9 +44,9 @@
         function: "00000000000000ff",
         profile: 0,
         client: 0,
-        patience: 2.0,
-        repeat: false,
-        instance: Some((64.0, 1.0, None)),
+        timeout: 2.0,
+        is_retry: false,
+        function_config: Some((64.0, 1.0, None)),
     };
     let (now, body, mark, holds) = (s.now(), vec![1; 64], String::new(), s.room.holds(64));
     let asker = Asker {
@@ -61,7 +61,7 @@
         begun: now,
         at: Vec::new(),
     };
-    s.desk.arrive(now, come, asker).expect("there is room")
+    s.desk.submit(now, come, asker).expect("there is room")
 }
 
 /// A call is answered, or nobody ever does: its client has the final answer in its own time, and once nothing
@@ -74,24 +74,24 @@
     let mut s = station.borrow_mut();
     let begun = s.now();
     let tag = arrive(&mut s, 7);
-    assert!(s.desk.begin(begun, tag, 0));
+    assert!(s.desk.begin_attempt(begun, tag, 0));
     if answered {
-        assert!(s.desk.end(begun + 0.1, tag, 0, AttemptResult::plain(Outcome::Handled)));
+        assert!(s.desk.attempt_ended(begun + 0.1, tag, 0, AttemptResult::from_outcome(Outcome::Handled)));
     }
     let (mut turns, mut ended) = (0, begun);
-    while let Some(next) = s.desk.next() {
+    while let Some(next) = s.desk.next_deadline() {
         turns += 1;
         // Twice as often as it looks at what is open.
         assert!(turns < 1000, "still woken at {next}");
-        if s.desk.open() > 0 {
+        if s.desk.open_requests() > 0 {
             ended = next;
         }
-        s.desk.turn(next);
-        while let Some(act) = s.desk.act() {
-            assert!(!matches!(act, Action::Probe { .. } | Action::Hold { .. }));
+        s.desk.advance(next);
+        while let Some(act) = s.desk.next_action() {
+            assert!(!matches!(act, Action::HealthCheck { .. } | Action::LoadFunction { .. }));
         }
     }
-    assert_eq!(s.desk.open(), 0);
+    assert_eq!(s.desk.open_requests(), 0);
     // The door takes this off what a client says that it waits, for the module's look at what is open and the way back.
     assert!(ended - begun < 2.0 + crate::door::MARGIN, "{ended}");
 }
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -95,9 +95,9 @@
         if self.calls[call].ended {
             return;
         }
-        let tags = self.desks[gateway].tags(|kept| *kept == (call, attempt));
+        let tags = self.desks[gateway].requests(|kept| *kept == (call, attempt));
         for tag in tags {
-            self.at_desk(gateway, |desk, now| desk.left(now, tag));
+            self.at_desk(gateway, |desk, now| desk.client_gone(now, tag));
         }
         self.answered(call, attempt, gateway, Ended::Left);
     }
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -7,7 +7,7 @@
 use crate::workers::Worker;
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{
-    Action, AttemptResult, Dispatcher, IncomingRequest, RequestId, Tally,
+    Action, AttemptResult, Counters, Dispatcher, IncomingRequest, RequestId,
 };
 use milletpath_emulator::clients::weights;
 use milletpath_emulator::day;
@@ -40,7 +40,7 @@
     /// Part of the calls done that found an instance standing.
     pub warm: f64,
     /// What the gateways did, all together.
-    pub tally: Tally,
+    pub tally: Counters,
     /// Bytes of notes that a gateway sent to others, a second.
     pub bytes: f64,
 }
@@ -217,7 +217,7 @@
         }
         let list = town.entries.clone();
         for gateway in 0..town.desks.len() {
-            town.desks[gateway].list(0.0, true, &list);
+            town.desks[gateway].update_endpoints(0.0, true, &list);
             town.after(gateway);
         }
         for (number, planned) in traffic::plan(day, seed).into_iter().enumerate() {
@@ -259,11 +259,11 @@
             self.befall(next);
         }
         let day = &self.day;
-        let mut tally = Tally::default();
-        for t in self.desks.iter().map(Dispatcher::tally) {
-            tally.shots += t.shots;
-            tally.orders += t.orders;
-            tally.probes += t.probes;
+        let mut tally = Counters::default();
+        for t in self.desks.iter().map(Dispatcher::counters) {
+            tally.attempts += t.attempts;
+            tally.load_requests += t.load_requests;
+            tally.health_checks += t.health_checks;
         }
         Came {
             broken: witness::check(&self.records, &day::terms(day, LAG)),
@@ -307,17 +307,19 @@
             }
             Next::Probe { gateway, worker, process, serial } => self.probe(gateway, worker, process, serial),
             Next::Ended { gateway, tag, shot, end } => {
-                let kept = self.desks[gateway].what(tag).copied();
-                let settles = self.at_desk(gateway, |desk, now| desk.end(now, tag, shot, end));
+                let kept = self.desks[gateway].context(tag).copied();
+                let settles = self.at_desk(gateway, |desk, now| desk.attempt_ended(now, tag, shot, end));
                 if let Some((call, attempt)) = kept.filter(|_| settles) {
                     self.put(now + WAY, Next::Answered(call, attempt, gateway, Ended::Handled));
                 }
             }
             Next::Ordered { gateway, order, outcome, copies } => {
-                self.at_desk(gateway, |desk, now| desk.order_ended(now, order, outcome, copies));
+                self.at_desk(gateway, |desk, now| desk.load_request_ended(now, order, outcome, copies));
             }
             Next::Probed { gateway, worker, serial, outcome, report } => {
-                self.at_desk(gateway, |desk, now| desk.probed(now, worker, serial, outcome, report));
+                self.at_desk(gateway, |desk, now| {
+                    desk.health_check_ended(now, worker, serial, outcome, report)
+                });
             }
             Next::QuotaFraction(gateway) => self.share(gateway),
             Next::Note(gateway, life, note) => self.noted(gateway, life, &note),
@@ -326,14 +328,14 @@
                 for gateway in 0..self.desks.len() {
                     self.at_desk(gateway, |desk, now| {
                         desk.wall_clock_read(now, unix_time);
-                        desk.list(now, false, &entries);
+                        desk.update_endpoints(now, false, &entries);
                     });
                 }
             }
             Next::Heartbeat => {
                 /// Seconds between two heartbeats of the list.
                 const HEARTBEAT: f64 = 1.0;
-                self.desks.iter_mut().for_each(|desk| desk.list_confirmed(now));
+                self.desks.iter_mut().for_each(|desk| desk.endpoint_list_confirmed(now));
                 self.put(now + HEARTBEAT, Next::Heartbeat);
             }
             Next::Begins(trouble) => self.begins(trouble),
@@ -360,8 +362,8 @@
         what: impl FnOnce(&mut Dispatcher<Kept>, f64) -> R,
     ) -> R {
         let now = self.now;
-        if self.desks[gateway].next().is_some_and(|due| due <= now) {
-            self.desks[gateway].turn(now);
+        if self.desks[gateway].next_deadline().is_some_and(|due| due <= now) {
+            self.desks[gateway].advance(now);
         }
         let result = what(&mut self.desks[gateway], now);
         self.after(gateway);
@@ -371,39 +373,39 @@
     /// Does what a desk says, and sets its clock.
     pub(crate) fn after(&mut self, gateway: usize) {
         let now = self.now;
-        while let Some(act) = self.desks[gateway].act() {
+        while let Some(act) = self.desks[gateway].next_action() {
             match act {
-                Action::Shoot { tag, shot, worker } => {
+                Action::SendAttempt { request: tag, attempt: shot, worker } => {
                     let process = self.workers[worker].process;
-                    if self.desks[gateway].begin(now, tag, shot) {
+                    if self.desks[gateway].begin_attempt(now, tag, shot) {
                         self.put(now + WAY, Next::Shot { gateway, tag, shot, worker, process });
                     }
                 }
-                Action::Bounce { tag, .. } => self.own_answer(gateway, tag, Ended::Bounced),
-                Action::Terminate { tag, .. } => self.own_answer(gateway, tag, Ended::Terminated),
-                Action::Hold { order, worker, function, copies } => {
+                Action::Reject { request: tag, .. } => self.own_answer(gateway, tag, Ended::Bounced),
+                Action::Fail { request: tag, .. } => self.own_answer(gateway, tag, Ended::Terminated),
+                Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
                     let process = self.workers[worker].process;
                     let function = self.function(&function);
-                    if self.desks[gateway].begin_order(now, order) {
+                    if self.desks[gateway].begin_load_request(now, order) {
                         let next = Next::Order { gateway, order, worker, process, function, copies };
                         self.put(now + WAY, next);
                     }
                 }
-                Action::Probe { worker, serial } => {
+                Action::HealthCheck { worker, serial } => {
                     let process = self.workers[worker].process;
                     self.put(now + WAY, Next::Probe { gateway, worker, process, serial });
                 }
-                Action::Unload { .. } | Action::Drop { .. } | Action::Follow => {}
+                Action::UnloadFunction { .. } | Action::CancelAttempt { .. } | Action::WatchEndpoints => {}
             }
         }
-        if let Some(next) = self.desks[gateway].next().filter(|next| *next < self.armed[gateway]) {
+        if let Some(next) = self.desks[gateway].next_deadline().filter(|next| *next < self.armed[gateway]) {
             self.armed[gateway] = next;
             self.put(next.max(now), Next::Dispatcher(gateway));
         }
     }
 
     fn own_answer(&mut self, gateway: usize, tag: RequestId, how: Ended) {
-        if let Some((call, attempt)) = self.desks[gateway].what(tag).copied() {
+        if let Some((call, attempt)) = self.desks[gateway].context(tag).copied() {
             self.put(self.now + WAY, Next::Answered(call, attempt, gateway, how));
         }
     }
@@ -415,11 +417,11 @@
             function: &planned.function,
             profile: planned.profile,
             client: planned.group,
-            patience,
-            repeat: attempt > 0,
-            instance: None,
+            timeout: patience,
+            is_retry: attempt > 0,
+            function_config: None,
         };
-        let taken = self.at_desk(gateway, |desk, now| desk.arrive(now, come, (call, attempt)));
+        let taken = self.at_desk(gateway, |desk, now| desk.submit(now, come, (call, attempt)));
         if taken.is_none() {
             self.put(self.now + WAY, Next::Answered(call, attempt, gateway, Ended::Bounced));
         }
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -77,15 +77,15 @@
     }
 
     pub(crate) fn shot(&mut self, gateway: usize, tag: RequestId, shot: usize, worker: usize, process: u64) {
-        let Some((call, attempt)) = self.desks[gateway].what(tag).copied() else { return };
+        let Some((call, attempt)) = self.desks[gateway].context(tag).copied() else { return };
         if !self.reached(worker, process) {
-            return self.back(gateway, tag, shot, AttemptResult::plain(Outcome::Unreached));
+            return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Unreached));
         }
         let planned = self.calls[call].planned.clone();
         self.note(Saw::Came { call: call as u64, attempt, gateway, worker, work: planned.work });
         let fails = self.workers[worker].fails;
         if fails > 0.0 && self.chance.random_bool(fails) {
-            return self.back(gateway, tag, shot, AttemptResult::plain(Outcome::Failed));
+            return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Failed));
         }
         let function = self.function(&planned.function);
         let job = Job { function, pack: self.day.pack, work: planned.work, io: planned.io };
@@ -154,7 +154,7 @@
                     let end = AttemptResult {
                         found: Some(found(word)),
                         company: company.into(),
-                        ..AttemptResult::plain(Outcome::Handled)
+                        ..AttemptResult::from_outcome(Outcome::Handled)
                     };
                     self.says(worker, job, end);
                 }
@@ -162,7 +162,7 @@
                     let outcome = if why == wire::Refused::Missing { Outcome::Missed } else { Outcome::Full };
                     let end = AttemptResult {
                         found: failed_load.then_some(Found::LoadFailed),
-                        ..AttemptResult::plain(outcome)
+                        ..AttemptResult::from_outcome(outcome)
                     };
                     self.says(worker, job, end);
                 }
@@ -204,7 +204,7 @@
         self.workers[worker].alive = false;
         let jobs = std::mem::take(&mut self.workers[worker].jobs);
         for Held { gateway, tag, shot, .. } in jobs.into_values() {
-            self.back(gateway, tag, shot, AttemptResult::plain(Outcome::Cut));
+            self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Cut));
         }
         let orders = std::mem::take(&mut self.workers[worker].orders);
         for (gateway, order) in orders.into_values() {
