--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -14,7 +14,7 @@
 use milletpath_policy::host::{Answer, Arrival, Budget, Found, Host, Outcome, Report};
 use milletpath_policy::policy::Router;
 use milletpath_protocol::registry::Entry;
-use milletpath_shared_budgets::{Meter, More};
+use milletpath_shared_budgets::{QuotaAdjustment, UsageMeter};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -163,8 +163,8 @@
     router: Router,
     quota_fraction: Option<QuotaFraction>,
     /// What it was allotted beside that, of each budget; of a worker's by the worker's name.
-    grants: BTreeMap<Budget, More>,
-    worker_grants: BTreeMap<Arc<str>, More>,
+    grants: BTreeMap<Budget, QuotaAdjustment>,
+    worker_grants: BTreeMap<Arc<str>, QuotaAdjustment>,
     state: DispatcherState<T>,
     functions: FunctionConfigs,
     profiles: Vec<ProfileConfig>,
@@ -192,7 +192,7 @@
     load_timeout: f64,
     load_rate_limit: Option<LoadRateLimit>,
     /// What was wanted and lacked of each budget that gateways share, where they do.
-    usage_meters: Option<BTreeMap<Budget, Meter>>,
+    usage_meters: Option<BTreeMap<Budget, UsageMeter>>,
     counters: Counters,
 }
 
@@ -201,8 +201,8 @@
     fn count_demand(&mut self, budget: Budget, wanted: u64, lacked: u64) {
         if let Some(usage_meters) = &mut self.usage_meters {
             let meter = usage_meters.entry(budget).or_default();
-            meter.wanted += wanted;
-            meter.lacked += lacked;
+            meter.requested += wanted;
+            meter.denied += lacked;
         }
     }
 
@@ -461,8 +461,8 @@
     }
 
     /// What there is of a budget beside the part by the count, as gateways that share it say.
-    pub fn grant_quota(&mut self, budget: Budget, more: More) {
-        let (figures, until) = ([more.more, more.after], more.until);
+    pub fn grant_quota(&mut self, budget: Budget, more: QuotaAdjustment) {
+        let (figures, until) = ([more.amount, more.amount_after_expiry], more.valid_until);
         self.grants.insert(budget, more);
         if let Budget::Hand(worker) = budget {
             self.worker_grants.insert(self.state.worker_table.name(worker), more);
@@ -474,14 +474,14 @@
     }
 
     /// What a budget was wanted for so far, and what is in use of it. Counted from the first time on that this is asked.
-    pub fn usage(&mut self, now: f64, budget: Budget) -> Meter {
+    pub fn usage(&mut self, now: f64, budget: Budget) -> UsageMeter {
         let usage_meters = self.state.usage_meters.get_or_insert_default();
         let meter = usage_meters.get(&budget).copied().unwrap_or_default();
         let used = match budget {
             Budget::Orders => self.state.load_rate_limit.as_mut().map_or(0.0, |r| r.in_use(now)),
             other => self.router.in_use(now, other),
         };
-        Meter { used, ..meter }
+        UsageMeter { in_use: used, ..meter }
     }
 
     /// Changes with the worker list, and with each desk that takes the place of another.
@@ -575,7 +575,11 @@
         for (worker, name) in listed {
             // What it was before this desk, or before another index was its own.
             if let Some(more) = self.worker_grants.get(&name).copied() {
-                self.router.allot(Budget::Hand(worker), [more.more, more.after], more.until);
+                self.router.allot(
+                    Budget::Hand(worker),
+                    [more.amount, more.amount_after_expiry],
+                    more.valid_until,
+                );
             }
         }
         self.router.list_complete(now, &mut self.state);
--- /dev/null
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -0,0 +1,244 @@
+//! The concurrency of functions over all gateways: each gateway reports its own and learns that of all others.
+//!
+//! Functions fall into [`BUCKETS`] by a hash of their names. For each bucket one gateway adds up what all report, chosen
+//! by rendezvous hashing; so no gateway receives everything from everybody, and what one sends does not grow with the size
+//! of the fleet. An aggregator that does not answer is avoided for a while. A report counts until the next of its sender,
+//! or for a few intervals.
+
+mod aggregators;
+
+use crate::message::{FunctionUsage, MAX_ENTRIES, Message};
+use crate::process_id::ProcessId;
+use aggregators::Aggregators;
+use std::collections::BTreeMap;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// Few enough that a message carries several functions, enough that the work is spread.
+const BUCKETS: u8 = 16;
+
+/// Seconds between two reports of a gateway in a fleet of up to [`GATEWAYS_AT_FULL_RATE`].
+const REPORT_INTERVAL: f64 = 0.8;
+
+/// Larger fleets report less often, so that an aggregator receives no more messages a second.
+const GATEWAYS_AT_FULL_RATE: f64 = 48.0;
+
+/// Concurrency below which a function is not reported.
+const MIN_CONCURRENCY: f64 = 0.02;
+
+/// Concurrency is sent in thousandths.
+const CONCURRENCY_RESOLUTION: f64 = 1e-3;
+
+/// Intervals for which a report counts.
+const REPORT_LIFETIME: f64 = 3.5;
+
+/// Intervals for which a total counts.
+const TOTAL_LIFETIME: f64 = 2.5;
+
+/// Intervals without an answer after which another aggregator is chosen.
+const ANSWER_TIMEOUT: f64 = 1.8;
+
+/// The concurrency of one function at one gateway.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FunctionConcurrency {
+    /// A hash of the function's name, the same at all gateways.
+    pub function: u64,
+    /// Mean number of its invocations that run at the same time.
+    pub concurrency: f64,
+}
+
+/// What one gateway reported of a bucket.
+#[derive(Clone, Debug)]
+struct Report {
+    received_at: f64,
+    usage: Vec<FunctionUsage>,
+}
+
+/// What functions of a bucket use at all gateways but one.
+#[derive(Clone, Debug)]
+struct BucketTotal {
+    received_at: f64,
+    /// How many gateways' reports it adds up.
+    reporters: u16,
+    usage: Vec<FunctionUsage>,
+}
+
+/// The concurrency of functions here and at all other gateways.
+#[derive(Clone, Debug)]
+pub(crate) struct UsageCounts {
+    own_id: ProcessId,
+    /// What runs here.
+    own_usage: Vec<FunctionConcurrency>,
+    next_report_at: f64,
+    /// Seconds between two reports.
+    interval: f64,
+    /// Reports by bucket and sender, for buckets that are added up here; see [`Self::record_report`] for their number.
+    reports: BTreeMap<(u8, ProcessId), Report>,
+    /// By bucket, of all other gateways.
+    totals: BTreeMap<u8, BucketTotal>,
+    aggregators: Aggregators,
+}
+
+/// The bucket of a function.
+fn bucket_of(function: u64) -> u8 {
+    (xxh3_64(&function.to_le_bytes()) % u64::from(BUCKETS)) as u8
+}
+
+impl UsageCounts {
+    pub(crate) fn new(own_id: ProcessId, now: f64) -> Self {
+        Self {
+            own_id,
+            own_usage: Vec::new(),
+            next_report_at: now,
+            interval: REPORT_INTERVAL,
+            reports: BTreeMap::new(),
+            totals: BTreeMap::new(),
+            aggregators: Aggregators::new(own_id),
+        }
+    }
+
+    /// Sets which other gateways there are.
+    pub(crate) fn set_peers(&mut self, peers: &[ProcessId]) {
+        self.aggregators.set_peers(peers);
+        self.interval = REPORT_INTERVAL * ((peers.len() + 1) as f64 / GATEWAYS_AT_FULL_RATE).max(1.0);
+    }
+
+    /// When [`tick`](Self::tick) is due next.
+    pub(crate) fn next_report_at(&self) -> f64 {
+        self.next_report_at
+    }
+
+    /// The reports to send now, with their recipients; none before they are due. `jitter` is a random number from 0 to 1;
+    /// `busy` gives what runs here.
+    pub(crate) fn tick(
+        &mut self,
+        now: f64,
+        jitter: f64,
+        busy: impl FnOnce() -> Vec<FunctionConcurrency>,
+    ) -> Vec<(ProcessId, Message)> {
+        if now < self.next_report_at {
+            return Vec::new();
+        }
+        self.next_report_at = now + self.interval * (0.9 + 0.2 * jitter);
+        self.forget_expired(now);
+        if self.aggregators.peer_count() == 0 {
+            self.totals.clear();
+            return Vec::new();
+        }
+        self.own_usage = busy();
+        self.own_usage.retain(|own| own.concurrency >= MIN_CONCURRENCY);
+        (0..BUCKETS).filter_map(|bucket| self.report(now, bucket)).collect()
+    }
+
+    fn forget_expired(&mut self, now: f64) {
+        let (report_lifetime, total_lifetime) =
+            (REPORT_LIFETIME * self.interval, TOTAL_LIFETIME * self.interval);
+        self.reports.retain(|_, report| now - report.received_at < report_lifetime);
+        self.totals.retain(|_, total| now - total.received_at < total_lifetime);
+        self.aggregators.forget_expired(now);
+    }
+
+    /// The report on a bucket, and its aggregator; none where this gateway is the aggregator.
+    fn report(&mut self, now: f64, bucket: u8) -> Option<(ProcessId, Message)> {
+        let aggregator = self.aggregators.choose(now, bucket, ANSWER_TIMEOUT * self.interval);
+        if aggregator == self.own_id {
+            let total = self.total_without(now, bucket, self.own_id);
+            self.totals.insert(bucket, total);
+            self.aggregators.stop_awaiting(bucket);
+            return None;
+        }
+        self.aggregators.await_answer(now, bucket, aggregator);
+        let usage = self.own_usage_of(bucket);
+        Some((aggregator, Message { bucket: Some(bucket), usage, ..Message::default() }))
+    }
+
+    /// The busiest functions of a bucket here.
+    fn own_usage_of(&self, bucket: u8) -> Vec<FunctionUsage> {
+        let mut busiest: Vec<_> =
+            self.own_usage.iter().filter(|own| bucket_of(own.function) == bucket).collect();
+        busiest.sort_by(|a, b| b.concurrency.total_cmp(&a.concurrency).then(a.function.cmp(&b.function)));
+        busiest.truncate(MAX_ENTRIES);
+        let to_wire = |own: &FunctionConcurrency| FunctionUsage {
+            function: own.function,
+            concurrency: (own.concurrency / CONCURRENCY_RESOLUTION) as u32,
+        };
+        busiest.into_iter().map(to_wire).collect()
+    }
+
+    /// The busiest functions of a bucket at all gateways that reported but one.
+    fn total_without(&self, now: f64, bucket: u8, excluded: ProcessId) -> BucketTotal {
+        let mut sums: BTreeMap<u64, u32> = BTreeMap::new();
+        let mut reporters = 0;
+        let mut add = |usage: &[FunctionUsage]| {
+            reporters += 1;
+            for entry in usage {
+                let sum = sums.entry(entry.function).or_default();
+                *sum = sum.saturating_add(entry.concurrency);
+            }
+        };
+        let of_bucket = self.reports.range((bucket, 0)..=(bucket, ProcessId::MAX));
+        for (_, report) in of_bucket.filter(|((_, reporter), _)| *reporter != excluded) {
+            add(&report.usage);
+        }
+        if excluded != self.own_id {
+            add(&self.own_usage_of(bucket));
+        }
+        let mut usage: Vec<_> =
+            sums.into_iter().map(|(function, concurrency)| FunctionUsage { function, concurrency }).collect();
+        usage.sort_by(|a, b| b.concurrency.cmp(&a.concurrency).then(a.function.cmp(&b.function)));
+        usage.truncate(MAX_ENTRIES);
+        BucketTotal { received_at: now, reporters, usage }
+    }
+
+    /// Records another gateway's report; returns the answer to it, which is the total of all gateways but that one. None
+    /// for a bucket that there is not, or where there are reports of more gateways than the fleet can have.
+    pub(crate) fn record_report(
+        &mut self,
+        now: f64,
+        reporter: ProcessId,
+        bucket: u8,
+        usage: Vec<FunctionUsage>,
+    ) -> Option<Message> {
+        /// Reports are kept of this many times the gateways that are there ...
+        const REPORTERS_PER_PEER: usize = 2;
+        /// ... and some more, for the time before they are known.
+        const MORE_REPORTERS: usize = 16;
+        let capacity =
+            (REPORTERS_PER_PEER * self.aggregators.peer_count() + MORE_REPORTERS) * usize::from(BUCKETS);
+        let is_known = self.reports.contains_key(&(bucket, reporter));
+        if bucket >= BUCKETS || self.reports.len() >= capacity && !is_known {
+            return None;
+        }
+        self.reports.insert((bucket, reporter), Report { received_at: now, usage });
+        let BucketTotal { reporters, usage: totals, .. } = self.total_without(now, bucket, reporter);
+        Some(Message { bucket: Some(bucket), totals, reporters, ..Message::default() })
+    }
+
+    /// Records a total, if it answers a report of this gateway.
+    pub(crate) fn record_total(
+        &mut self,
+        now: f64,
+        aggregator: ProcessId,
+        bucket: u8,
+        reporters: u16,
+        usage: Vec<FunctionUsage>,
+    ) {
+        if self.aggregators.accept_answer(bucket, aggregator) {
+            self.totals.insert(bucket, BucketTotal { received_at: now, reporters, usage });
+        }
+    }
+
+    /// The concurrency of functions at all other gateways, by the hash of their names; none while that is not known of
+    /// each bucket, or where there is no other gateway.
+    pub(crate) fn elsewhere(&self, now: f64) -> Option<BTreeMap<u64, f64>> {
+        let lifetime = TOTAL_LIFETIME * self.interval;
+        let is_fresh = |total: &BucketTotal| now - total.received_at < lifetime && total.reporters > 0;
+        let is_known = (0..BUCKETS).all(|bucket| self.totals.get(&bucket).is_some_and(is_fresh));
+        let usage = self.totals.values().flat_map(|total| &total.usage);
+        let concurrency =
+            usage.map(|entry| (entry.function, f64::from(entry.concurrency) * CONCURRENCY_RESOLUTION));
+        is_known.then(|| concurrency.collect())
+    }
+}
+
+#[cfg(test)]
+mod tests;
