--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/effects.rs
@@ -0,0 +1,107 @@
+//! The router's output: what its decisions ask for becomes records, timers and actions. The router calls these methods
+//! during an event; none of them calls the router back.
+
+use super::action::Action;
+use super::request_table::{Attempt, AttemptStage};
+use super::state::{CancelledAttempt, DispatcherState, HealthCheck, LoadRequest, Timer};
+use milletpath_policy::host::{Budget, Host, Outcome};
+
+impl<T> Host for DispatcherState<T> {
+    fn send(&mut self, request: usize, worker: usize, deadline: f64) {
+        let request = self.requests.id_at(request);
+        self.counters.attempts += 1;
+        let Some(record) = self.requests.get_mut(request) else { return };
+        let attempt = record.attempts.len();
+        let deadline_timer = self.timers.set(deadline, Timer::AttemptDeadline { request, attempt });
+        let connect_deadline = self.now + self.limits.connect;
+        let connect_timer = self.timers.set(connect_deadline, Timer::ConnectDeadline { request, attempt });
+        record.attempts.push(Attempt {
+            worker,
+            dispatched_at: self.now,
+            deadline,
+            stage: AttemptStage::Connecting,
+            deadline_timer,
+            connect_timer,
+        });
+        self.actions.push_back(Action::SendAttempt { request, attempt, worker });
+    }
+
+    fn cancel(&mut self, request: usize, attempt: usize) {
+        let request = self.requests.id_at(request);
+        let Some(record) = self.requests.attempt_mut(request, attempt) else { return };
+        // What has no connection yet never ran.
+        let sent = record.stage == AttemptStage::Sent;
+        let outcome = if sent { Outcome::Withdrawn } else { Outcome::Unsent };
+        self.actions.push_back(Action::CancelAttempt { request, attempt });
+        self.cancelled_attempts.push_back(CancelledAttempt { request, attempt, outcome });
+    }
+
+    fn bounce(&mut self, request: usize, retry_after: Option<f64>) {
+        let request = self.requests.id_at(request);
+        if self.requests.close(request).is_some() {
+            self.counters.rejected += 1;
+            self.actions.push_back(Action::Reject { request, retry_after });
+        }
+    }
+
+    fn terminate(&mut self, request: usize) {
+        let request = self.requests.id_at(request);
+        if let Some(record) = self.requests.close(request) {
+            let timed_out = record.timed_out || record.has_attempt_in_flight();
+            self.counters.failed += 1;
+            self.actions.push_back(Action::Fail { request, timed_out });
+        }
+    }
+
+    fn hold(&mut self, worker: usize, function: usize, instances: u8) {
+        let serial = self.next_serial();
+        self.counters.load_requests += 1;
+        self.count_demand(Budget::Orders, 1, 0);
+        let load_request = self.load_requests.next_id(serial);
+        let deadline = self.now + self.load_timeout;
+        let deadline_timer = self.timers.set(deadline, Timer::LoadRequestDeadline(load_request));
+        self.load_requests.insert(serial, LoadRequest { worker, function, deadline_timer });
+        let function = self.functions.name(function);
+        self.actions.push_back(Action::LoadFunction { load_request, worker, function, instances });
+    }
+
+    fn unload(&mut self, worker: usize, function: usize) {
+        let function = self.functions.name(function);
+        self.actions.push_back(Action::UnloadFunction { worker, function });
+    }
+
+    fn probe(&mut self, worker: usize) {
+        let serial = self.next_serial();
+        self.counters.health_checks += 1;
+        let deadline = self.now + self.limits.probe;
+        let deadline_timer = self.timers.set(deadline, Timer::HealthCheckDeadline { worker, serial });
+        if self.health_checks.len() <= worker {
+            self.health_checks.resize_with(worker + 1, || None);
+        }
+        self.health_checks[worker] = Some(HealthCheck { serial, deadline_timer });
+        self.actions.push_back(Action::HealthCheck { worker, serial });
+    }
+
+    fn wake(&mut self, after: f64) {
+        self.timers.set(self.now + after, Timer::Wake);
+    }
+
+    fn follow(&mut self) {
+        self.actions.push_back(Action::WatchEndpoints);
+    }
+
+    fn forget(&mut self, request: usize) {
+        // An action that was not taken yet may still name it.
+        self.requests.release(request);
+    }
+
+    fn forget_function(&mut self, function: usize) {
+        self.functions.release(function);
+    }
+
+    fn lacks(&mut self, budget: Budget) {
+        // Demand for quotas and concurrency limits is counted where requests come in.
+        let counted_before = matches!(budget, Budget::Quota(_) | Budget::Ceiling(_));
+        self.count_demand(budget, u64::from(!counted_before), 1);
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -0,0 +1,82 @@
+//! The endpoint list: which workers there are, by the registry. The caller follows the registry and passes on what it
+//! says; the worker table keeps it, and the router hears of each endpoint.
+
+use super::Dispatcher;
+use milletpath_policy::host::Budget;
+use milletpath_protocol::registry::Entry;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Adjustments of workers' budgets that are kept at least, before those of workers that are not listed are dropped.
+const MIN_WORKER_ADJUSTMENTS: usize = 64;
+
+impl<T> Dispatcher<T> {
+    /// Takes one revision of the endpoint list, `whole` or only the entries that changed.
+    pub fn update_endpoints(&mut self, now: f64, whole: bool, entries: &[Entry]) {
+        self.state.now = now;
+        if whole {
+            self.router.list_renewed();
+        }
+        self.state.worker_table.update(now, whole, entries, |listing| self.router.listed(listing));
+        self.apply_worker_adjustments();
+        self.router.list_complete(now, &mut self.state);
+        self.report_cancelled_attempts();
+    }
+
+    /// Applies to each listed worker's index what was adjusted for its name, before a restart or at another index.
+    fn apply_worker_adjustments(&mut self) {
+        let listed = self.state.worker_table.workers();
+        if self.worker_adjustments.len() > 2 * listed.len() + MIN_WORKER_ADJUSTMENTS {
+            self.worker_adjustments.retain(|name, _| listed.iter().any(|(_, known)| known == name));
+        }
+        for (worker, name) in listed {
+            if let Some(adjustment) = self.worker_adjustments.get(&name).copied() {
+                self.adjust_router_budget(Budget::Hand(worker), adjustment);
+            }
+        }
+    }
+
+    /// The registry did not answer, or closed the stream of changes.
+    pub fn endpoint_list_failed(&mut self, now: f64) {
+        self.state.now = now;
+        self.router.list_failed(now, &mut self.state);
+        self.report_cancelled_attempts();
+    }
+
+    /// Every change of the endpoint list until now has been passed on: a worker that is reported later was not listed
+    /// before.
+    pub fn endpoint_list_confirmed(&mut self, now: f64) {
+        self.state.worker_table.start_times.list_confirmed(now);
+    }
+
+    /// The wall clock was read, in seconds since the Unix epoch. It may have been stepped since the last reading; it
+    /// counts only for the start times of processes that are first reported from here on.
+    pub fn wall_clock_read(&mut self, now: f64, unix_time: f64) {
+        self.state.worker_table.start_times.wall_clock_read(now, unix_time);
+    }
+
+    /// Changes with every update of the endpoint list and every restart of the dispatcher.
+    pub fn endpoint_revision(&self) -> (u64, u64) {
+        (self.state.worker_table.generation(), self.state.worker_table.revision())
+    }
+
+    /// Whether an endpoint list is known.
+    pub fn has_endpoints(&self) -> bool {
+        self.state.worker_table.revision() > 0
+    }
+
+    /// Index and name of each listed worker.
+    pub fn workers(&self) -> Vec<(usize, Arc<str>)> {
+        self.state.worker_table.workers()
+    }
+
+    /// The address of a worker, and a number that changes when another process takes its name.
+    pub fn address(&self, worker: usize) -> (SocketAddr, u64) {
+        self.state.worker_table.address(worker)
+    }
+
+    /// When the process of a worker started, in seconds on the dispatcher's clock; none means long ago.
+    pub fn started(&self, worker: usize) -> Option<f64> {
+        self.state.worker_table.started(worker)
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/health_checks.rs
@@ -0,0 +1,25 @@
+//! Health checks of workers. The router decides when a worker is checked and what the result means; here each result is
+//! matched to the check that is out.
+
+use super::Dispatcher;
+use milletpath_policy::host::{Outcome, Report};
+
+impl<T> Dispatcher<T> {
+    /// A health check was answered or failed. `serial` is the number that came with its action, and `report` the load
+    /// that the worker stated.
+    pub fn health_check_ended(
+        &mut self,
+        now: f64,
+        worker: usize,
+        serial: u64,
+        outcome: Outcome,
+        report: Option<Report>,
+    ) {
+        self.state.now = now;
+        let Some(slot) = self.state.health_checks.get_mut(worker) else { return };
+        let Some(health_check) = slot.take_if(|health_check| health_check.serial == serial) else { return };
+        self.state.timers.cancel(health_check.deadline_timer);
+        self.router.probed(now, worker, outcome, report, &mut self.state);
+        self.report_cancelled_attempts();
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/load_requests.rs
@@ -0,0 +1,35 @@
+//! Load requests: orders to a worker to load instances of a function before requests for it arrive. The router decides
+//! on them; here they are held to the rate limit at the moment of sending, and their results passed on.
+
+use super::Dispatcher;
+use super::action::RequestId;
+use super::state::LoadRequest;
+use milletpath_policy::host::Outcome;
+
+impl<T> Dispatcher<T> {
+    /// Whether a load request may be sent now, by what the endpoint list and the rate limit say at this moment. If not,
+    /// it ends here as unsent.
+    pub fn begin_load_request(&mut self, now: f64, load_request: RequestId) -> bool {
+        self.state.now = now;
+        let Some(worker) = self.state.load_requests.get(load_request).map(|record| record.worker) else {
+            return false;
+        };
+        let limit = self.state.load_rate_limit.as_mut();
+        let allowed = self.state.worker_table.ready(worker) && limit.is_none_or(|limit| limit.try_send(now));
+        if !allowed {
+            self.state.counters.suppressed += 1;
+            self.load_request_ended(now, load_request, Outcome::Unsent, 0);
+        }
+        allowed
+    }
+
+    /// A load request was answered or failed; `instances` are those that the worker has loaded.
+    pub fn load_request_ended(&mut self, now: f64, load_request: RequestId, outcome: Outcome, instances: u8) {
+        self.state.now = now;
+        let Some(record) = self.state.load_requests.remove(load_request) else { return };
+        let LoadRequest { worker, function, deadline_timer } = record;
+        self.state.timers.cancel(deadline_timer);
+        self.router.held(now, worker, function, outcome, instances, &mut self.state);
+        self.report_cancelled_attempts();
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/quota.rs
@@ -0,0 +1,65 @@
+//! Quotas that gateways share: this gateway's fraction of them, leased adjustments, and the demand that is reported to
+//! whoever leases. How quotas are divided among gateways, `milletpath-shared-budgets` decides.
+
+use super::Dispatcher;
+use super::messages::QuotaFraction;
+use milletpath_policy::host::Budget;
+use milletpath_shared_budgets::{QuotaAdjustment, UsageMeter};
+use std::collections::BTreeMap;
+
+impl<T> Dispatcher<T> {
+    /// Sets this gateway's fraction of shared quotas, until it is set again.
+    pub fn set_quota_fraction(&mut self, fraction: QuotaFraction) {
+        let QuotaFraction { likely_gateways, fractions, until } = fraction;
+        self.quota_fraction = Some(fraction);
+        self.router.share(likely_gateways, fractions, until);
+        if let Some(limit) = &mut self.state.load_rate_limit {
+            limit.set_quota_fraction(fractions, until);
+        }
+    }
+
+    /// Sets what is added to this gateway's fraction of a budget, or taken from it, until it is set again.
+    pub fn grant_quota(&mut self, budget: Budget, adjustment: QuotaAdjustment) {
+        self.adjustments.insert(budget, adjustment);
+        if let Budget::Hand(worker) = budget {
+            self.worker_adjustments.insert(self.state.worker_table.name(worker), adjustment);
+        }
+        self.adjust_router_budget(budget, adjustment);
+        if let Some(limit) = self.state.load_rate_limit.as_mut().filter(|_| budget == Budget::Orders) {
+            limit.set_adjustment([adjustment.amount, adjustment.amount_after_expiry], adjustment.valid_until);
+        }
+    }
+
+    pub(super) fn adjust_router_budget(&mut self, budget: Budget, adjustment: QuotaAdjustment) {
+        let QuotaAdjustment { amount, amount_after_expiry, valid_until } = adjustment;
+        self.router.allot(budget, [amount, amount_after_expiry], valid_until);
+    }
+
+    /// Applies what held before a restart. Adjustments of workers' budgets follow by name, once a list is known again.
+    pub(super) fn apply_former_quotas(
+        &mut self,
+        fraction: Option<QuotaFraction>,
+        adjustments: BTreeMap<Budget, QuotaAdjustment>,
+    ) {
+        if let Some(fraction) = fraction {
+            self.set_quota_fraction(fraction);
+        }
+        for (budget, adjustment) in adjustments {
+            if !matches!(budget, Budget::Hand(_)) {
+                self.grant_quota(budget, adjustment);
+            }
+        }
+    }
+
+    /// Units of a budget that were requested, denied and are in use. Demand is counted from the first call on, as only
+    /// gateways that share budgets need it.
+    pub fn usage(&mut self, now: f64, budget: Budget) -> UsageMeter {
+        let usage_meters = self.state.usage_meters.get_or_insert_default();
+        let meter = usage_meters.get(&budget).copied().unwrap_or_default();
+        let in_use = match budget {
+            Budget::Orders => self.state.load_rate_limit.as_mut().map_or(0.0, |limit| limit.in_use(now)),
+            other => self.router.in_use(now, other),
+        };
+        UsageMeter { in_use, ..meter }
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -0,0 +1,91 @@
+//! Requests of clients: they are submitted, looked up by whoever carries them, and end early where the client goes
+//! away.
+
+use super::Dispatcher;
+use super::action::RequestId;
+use super::messages::IncomingRequest;
+use super::request_table::Request;
+use milletpath_policy::host::{Arrival, Budget};
+use std::sync::Arc;
+use xxhash_rust::xxh3::xxh3_64;
+
+impl<T> Dispatcher<T> {
+    /// Accepts a request. `context` is what the caller stores with it; none where as many requests are open as the
+    /// configuration allows, and the caller has to reject the request itself.
+    pub fn submit(&mut self, now: f64, incoming: IncomingRequest<'_>, context: T) -> Option<RequestId> {
+        let state = &mut self.state;
+        if state.requests.open() >= state.limits.open {
+            return None;
+        }
+        state.now = now;
+        state.counters.accepted += 1;
+        if let Some(load_rate_limit) = &mut state.load_rate_limit {
+            load_rate_limit.request_arrived(now);
+        }
+        state.count_demand(Budget::Ceiling(incoming.client), 1, 0);
+        state.count_demand(Budget::Quota(incoming.client), u64::from(!incoming.is_retry), 0);
+        let timeout = incoming.timeout.min(self.profiles[incoming.profile].cut_off);
+        let function = state.functions.intern(incoming.function);
+        let serial = state.next_serial();
+        let request = state.requests.insert(serial, Request::new(function, now + timeout, context));
+        let arrival = self.arrival(incoming, function, timeout);
+        self.router.arrived(now, request.index, arrival, &mut self.state);
+        self.report_cancelled_attempts();
+        Some(request)
+    }
+
+    /// The request as the router sees it.
+    fn arrival(&self, incoming: IncomingRequest<'_>, function: usize, timeout: f64) -> Arrival {
+        let (lanes, memory, load) = incoming.function_config.unwrap_or_else(|| {
+            let config = self.functions.of(incoming.function);
+            (config.lanes, config.memory, config.load)
+        });
+        Arrival {
+            function,
+            name: xxh3_64(incoming.function.as_bytes()),
+            profile: incoming.profile,
+            client: incoming.client,
+            patience: timeout,
+            repeat: incoming.is_retry,
+            lanes,
+            memory,
+            load,
+        }
+    }
+
+    /// Number of requests that are owed an answer.
+    pub fn open_requests(&self) -> usize {
+        self.state.requests.open()
+    }
+
+    /// The open requests whose context fulfils a condition.
+    pub fn requests(&self, condition: impl Fn(&T) -> bool) -> Vec<RequestId> {
+        let open = self.state.requests.iter_open();
+        open.filter(|(_, request)| condition(&request.context)).map(|(id, _)| id).collect()
+    }
+
+    /// What the caller stored with a request, until the request is over and all actions are taken.
+    pub fn context(&mut self, request: RequestId) -> Option<&mut T> {
+        self.state.requests.get_mut(request).map(|record| &mut record.context)
+    }
+
+    /// The name of a request's function.
+    pub fn function(&mut self, request: RequestId) -> Option<Arc<str>> {
+        let function = self.state.requests.get_mut(request)?.function;
+        Some(self.state.functions.name(function))
+    }
+
+    /// The client is gone: the request's attempts are cancelled, and no answer is owed any more. Gives whether parts of
+    /// the request may have been executed.
+    pub fn client_gone(&mut self, now: f64, request: RequestId) -> bool {
+        self.state.now = now;
+        let Some(record) = self.state.requests.get_mut(request) else { return false };
+        let may_have_run = record.may_have_run;
+        if self.state.requests.close(request).is_some() {
+            self.state.counters.client_gone += 1;
+            self.router.close(request.index, None, &mut self.state);
+            self.report_cancelled_attempts();
+        }
+        may_have_run
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -0,0 +1,144 @@
+//! What the dispatcher knows beside the router's decisions: tables of requests, load requests, health checks and
+//! workers, timers, limits and counters. The router's output goes into it by `effects.rs`; the dispatcher's methods
+//! read it and record in it what the caller reports.
+
+use super::action::{Action, RequestId};
+use super::counters::Counters;
+use super::request_table::{AttemptStage, RequestTable};
+use super::slot_table::SlotTable;
+use crate::interner::Interner;
+use crate::load_rate_limit::LoadRateLimit;
+use crate::timer_wheel::{TimerKey, TimerWheel};
+use crate::worker_table::WorkerTable;
+use milletpath_config::{GatewayConfig, Limits};
+use milletpath_policy::host::{Budget, Outcome};
+use milletpath_shared_budgets::UsageMeter;
+use std::collections::{BTreeMap, VecDeque};
+
+/// A load request that was not answered yet.
+pub(super) struct LoadRequest {
+    pub(super) worker: usize,
+    pub(super) function: usize,
+    pub(super) deadline_timer: TimerKey,
+}
+
+/// A health check that was not answered yet.
+pub(super) struct HealthCheck {
+    pub(super) serial: u64,
+    pub(super) deadline_timer: TimerKey,
+}
+
+/// An attempt that the router cancelled, and how it ended by that.
+pub(super) struct CancelledAttempt {
+    pub(super) request: RequestId,
+    pub(super) attempt: usize,
+    pub(super) outcome: Outcome,
+}
+
+/// What is due when a timer fires.
+pub(super) enum Timer {
+    /// The router asked to be woken.
+    Wake,
+    AttemptDeadline {
+        request: RequestId,
+        attempt: usize,
+    },
+    ConnectDeadline {
+        request: RequestId,
+        attempt: usize,
+    },
+    LoadRequestDeadline(RequestId),
+    HealthCheckDeadline {
+        worker: usize,
+        serial: u64,
+    },
+}
+
+pub(super) struct DispatcherState<T> {
+    /// Seconds on the dispatcher's clock at the last event.
+    pub(super) now: f64,
+    /// What the caller is to do. Bounded by the requests and workers, as the caller takes all after each event.
+    pub(super) actions: VecDeque<Action>,
+    /// Attempts that the router cancelled during the current event. It is told of their ends after its own decision;
+    /// empty between events.
+    pub(super) cancelled_attempts: VecDeque<CancelledAttempt>,
+    pub(super) requests: RequestTable<T>,
+    /// Bounded by the rate at which the router decides on them and the timeout of each.
+    pub(super) load_requests: SlotTable<LoadRequest>,
+    /// The health check that is out to each worker, by the worker's index.
+    pub(super) health_checks: Vec<Option<HealthCheck>>,
+    /// Bounded by the router, which forgets functions that nobody calls any more.
+    pub(super) functions: Interner,
+    pub(super) worker_table: WorkerTable,
+    /// Bounded by attempts, load requests and health checks, and one for each time that the router asked to be woken.
+    pub(super) timers: TimerWheel<Timer>,
+    /// The last serial number that was given out.
+    serial: u64,
+    pub(super) limits: Limits,
+    /// Seconds that a load request may take.
+    pub(super) load_timeout: f64,
+    pub(super) load_rate_limit: Option<LoadRateLimit>,
+    /// Demand for each budget, counted only once gateways share budgets. Bounded by the budgets of the configuration
+    /// and the worker indices.
+    pub(super) usage_meters: Option<BTreeMap<Budget, UsageMeter>>,
+    pub(super) counters: Counters,
+}
+
+impl<T> DispatcherState<T> {
+    /// An empty state whose serial numbers begin after `serial`.
+    pub(super) fn new(config: &GatewayConfig, worker_table: WorkerTable, now: f64, serial: u64) -> Self {
+        Self {
+            now,
+            actions: VecDeque::new(),
+            cancelled_attempts: VecDeque::new(),
+            requests: RequestTable::new(),
+            load_requests: SlotTable::new(),
+            health_checks: Vec::new(),
+            functions: Interner::new(config.policy.seed),
+            worker_table,
+            timers: TimerWheel::default(),
+            serial,
+            limits: config.bounds.clone(),
+            load_timeout: config.policy.order_wait,
+            load_rate_limit: config.policy.ration.map(LoadRateLimit::new),
+            usage_meters: None,
+            counters: Counters::default(),
+        }
+    }
+
+    pub(super) fn last_serial(&self) -> u64 {
+        self.serial
+    }
+
+    pub(super) fn next_serial(&mut self) -> u64 {
+        self.serial += 1;
+        self.serial
+    }
+
+    /// Counts units of a budget that were requested, and those that were denied.
+    pub(super) fn count_demand(&mut self, budget: Budget, requested: u64, denied: u64) {
+        if let Some(usage_meters) = &mut self.usage_meters {
+            let meter = usage_meters.entry(budget).or_default();
+            meter.requested += requested;
+            meter.denied += denied;
+        }
+    }
+
+    /// Records the end of an attempt. Gives the seconds since it was dispatched, or none if it had ended before.
+    pub(super) fn end_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+    ) -> Option<f64> {
+        let record = self.requests.attempt_mut(request, attempt)?;
+        record.stage = AttemptStage::Ended;
+        let latency = self.now - record.dispatched_at;
+        self.timers.cancel(record.deadline_timer);
+        self.timers.cancel(record.connect_timer);
+        if let Some(record) = self.requests.get_mut(request) {
+            record.timed_out |= outcome == Outcome::Overdue;
+        }
+        Some(latency)
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/timers.rs
@@ -0,0 +1,37 @@
+//! Time: when the caller has to call next, and what is due by then.
+
+use super::Dispatcher;
+use super::state::Timer;
+use milletpath_policy::host::Outcome;
+
+impl<T> Dispatcher<T> {
+    /// When [`advance`](Self::advance) has to be called next, in seconds on the dispatcher's clock.
+    pub fn next_deadline(&self) -> Option<f64> {
+        self.state.timers.next_due()
+    }
+
+    /// Does what is due by now.
+    pub fn advance(&mut self, now: f64) {
+        self.state.now = now;
+        while let Some(timer) = self.state.timers.fire(now) {
+            self.timer_fired(now, timer);
+        }
+    }
+
+    fn timer_fired(&mut self, now: f64, timer: Timer) {
+        match timer {
+            Timer::Wake => {
+                self.router.woken(now, &mut self.state);
+                self.report_cancelled_attempts();
+            }
+            Timer::AttemptDeadline { request, attempt } => self.attempt_timed_out(request, attempt),
+            Timer::ConnectDeadline { request, attempt } => self.connect_timed_out(request, attempt),
+            Timer::LoadRequestDeadline(load_request) => {
+                self.load_request_ended(now, load_request, Outcome::Overdue, 0);
+            }
+            Timer::HealthCheckDeadline { worker, serial } => {
+                self.health_check_ended(now, worker, serial, Outcome::Overdue, None);
+            }
+        }
+    }
+}
--- a/crates/dispatcher/tests/dispatcher/config_changes.rs
+++ b/crates/dispatcher/tests/dispatcher/config_changes.rs
@@ -54,7 +54,7 @@
     let mut dispatcher = dispatcher(EFFECTS[0], NO_HEALTH_CHECKS, 1);
     apply_change(&mut dispatcher, &config, "function f", Some("function \"f\" { lanes = 3 }"));
     apply_change(&mut dispatcher, &config, "functions", Some("functions { memory = 77 }"));
-    dispatcher.restart(&config, 5.0);
+    assert_eq!(dispatcher.restart(&config, 5.0), []);
     let of = FunctionConfig { lanes: 3.0, memory: 77.0, load: None, profile: None };
     assert_eq!(
         (dispatcher.function_config("f"), dispatcher.function_config("g")),
