--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -198,7 +198,7 @@
                     client: 9,
                     timeout: 3.3,
                     is_retry: false,
-                    function_config: None,
+                    resources: None,
                 };
                 arrived = desk.submit(now, come, function);
             }
--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -77,7 +77,7 @@
                         client: 9,
                         timeout: 3.0,
                         is_retry: false,
-                        function_config: None,
+                        resources: None,
                     },
                     (),
                 );
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -18,9 +18,10 @@
 mod state;
 mod timers;
 
+pub use crate::worker_table::{EndpointRevision, WorkerProcess};
 pub use action::{Action, RequestId};
 pub use counters::Counters;
-pub use messages::{AttemptResult, IncomingRequest, QuotaFraction};
+pub use messages::{AttemptResult, FunctionResources, IncomingRequest, InterruptedRequest, QuotaFraction};
 
 use crate::start_times::StartTimes;
 use crate::worker_table::WorkerTable;
@@ -28,6 +29,7 @@
 use milletpath_policy::host::Budget;
 use milletpath_policy::policy::Router;
 use milletpath_shared_budgets::QuotaAdjustment;
+use request_table::Request;
 use state::DispatcherState;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -66,10 +68,9 @@
     /// record of load requests that count against their rate limit are kept, and the clock goes on; the endpoint list
     /// must be passed to it again.
     ///
-    /// Gives what the caller stored with each open request, and whether parts of the request may have been executed:
-    /// the caller owes its client an answer.
+    /// Gives the requests that were open.
     #[must_use = "the client of each open request is owed an answer"]
-    pub fn restart(&mut self, config: &GatewayConfig, now: f64) -> Vec<(T, bool)> {
+    pub fn restart(&mut self, config: &GatewayConfig, now: f64) -> Vec<InterruptedRequest<T>> {
         let worker_table = self.state.worker_table.successor(config.policy.seed);
         // Past any number that was given out in the event that broke off.
         let serial = self.state.last_serial() + 1;
@@ -84,9 +85,8 @@
         self.state.usage_meters = usage_meters;
         self.state.counters = counters;
         self.apply_former_quotas(quota_fraction, adjustments);
-        let interrupted: Vec<_> =
-            requests.into_open().map(|request| (request.context, request.may_have_run)).collect();
-        let failed = interrupted.iter().filter(|(_, may_have_run)| *may_have_run).count() as u64;
+        let interrupted: Vec<_> = requests.into_open().map(Request::into_interrupted).collect();
+        let failed = interrupted.iter().filter(|request| request.may_have_run).count() as u64;
         self.state.counters.failed += failed;
         self.state.counters.rejected += interrupted.len() as u64 - failed;
         interrupted
--- a/crates/dispatcher/src/dispatcher/endpoints.rs
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -2,9 +2,9 @@
 //! says; the worker table keeps it, and the router hears of each endpoint.
 
 use super::Dispatcher;
+use crate::worker_table::{EndpointRevision, WorkerProcess};
 use milletpath_policy::host::Budget;
 use milletpath_protocol::registry::Entry;
-use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// Adjustments of workers' budgets that are kept at least, before those of workers that are not listed are dropped.
@@ -56,13 +56,13 @@
     }
 
     /// Changes with every update of the endpoint list and every restart of the dispatcher.
-    pub fn endpoint_revision(&self) -> (u64, u64) {
-        (self.state.worker_table.generation(), self.state.worker_table.revision())
+    pub fn endpoint_revision(&self) -> EndpointRevision {
+        self.state.worker_table.revision()
     }
 
     /// Whether an endpoint list is known.
     pub fn has_endpoints(&self) -> bool {
-        self.state.worker_table.revision() > 0
+        self.state.worker_table.revision().revision > 0
     }
 
     /// Index and name of each listed worker.
@@ -70,9 +70,9 @@
         self.state.worker_table.workers()
     }
 
-    /// The address of a worker, and a number that changes when another process takes its name.
-    pub fn address(&self, worker: usize) -> (SocketAddr, u64) {
-        self.state.worker_table.address(worker)
+    /// The address of a worker, and which process has its name; an address that can't be reached for an unknown index.
+    pub fn worker_process(&self, worker: usize) -> WorkerProcess {
+        self.state.worker_table.process(worker)
     }
 
     /// When the process of a worker started, in seconds on the dispatcher's clock; none means long ago.
--- a/crates/dispatcher/src/dispatcher/messages.rs
+++ b/crates/dispatcher/src/dispatcher/messages.rs
@@ -17,7 +17,18 @@
     /// Whether the client sent the request before.
     pub is_retry: bool,
     /// What an instance of the function needs, where the request states it; otherwise the configuration holds.
-    pub function_config: Option<(f64, f64, Option<f64>)>,
+    pub resources: Option<FunctionResources>,
+}
+
+/// What an instance of a function needs and offers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FunctionResources {
+    /// Requests that an instance executes at a time.
+    pub lanes: f64,
+    /// Memory of an instance, in MB.
+    pub memory: f64,
+    /// Seconds that loading an instance usually takes, where known.
+    pub load_time: Option<f64>,
 }
 
 /// How an attempt ended, as the caller observed it.
@@ -47,8 +58,19 @@
 pub struct QuotaFraction {
     /// Number of gateways that likely run.
     pub likely_gateways: f64,
-    /// Multiples of the gateway's configured quotas: before `until`, and from then on.
-    pub fractions: [f64; 2],
+    /// Multiple of the gateway's configured quotas that holds before `valid_until`.
+    pub fraction: f64,
+    /// Multiple that holds from `valid_until` on.
+    pub fraction_after_expiry: f64,
     /// In seconds on the dispatcher's clock.
-    pub until: f64,
+    pub valid_until: f64,
+}
+
+/// A request that was open when the dispatcher was restarted. Its client is owed an answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InterruptedRequest<T> {
+    /// What the caller stored with the request.
+    pub context: T,
+    /// Whether parts of it may have been executed, so that the client can't be told to retry safely.
+    pub may_have_run: bool,
 }
--- a/crates/dispatcher/src/dispatcher/quota.rs
+++ b/crates/dispatcher/src/dispatcher/quota.rs
@@ -9,12 +9,12 @@
 
 impl<T> Dispatcher<T> {
     /// Sets this gateway's fraction of shared quotas, until it is set again.
-    pub fn set_quota_fraction(&mut self, fraction: QuotaFraction) {
-        let QuotaFraction { likely_gateways, fractions, until } = fraction;
-        self.quota_fraction = Some(fraction);
-        self.router.share(likely_gateways, fractions, until);
+    pub fn set_quota_fraction(&mut self, quota_fraction: QuotaFraction) {
+        let QuotaFraction { likely_gateways, fraction, fraction_after_expiry, valid_until } = quota_fraction;
+        self.quota_fraction = Some(quota_fraction);
+        self.router.share(likely_gateways, [fraction, fraction_after_expiry], valid_until);
         if let Some(limit) = &mut self.state.load_rate_limit {
-            limit.set_quota_fraction(fractions, until);
+            limit.set_quota_fraction(fraction, fraction_after_expiry, valid_until);
         }
     }
 
@@ -26,7 +26,8 @@
         }
         self.adjust_router_budget(budget, adjustment);
         if let Some(limit) = self.state.load_rate_limit.as_mut().filter(|_| budget == Budget::Orders) {
-            limit.set_adjustment([adjustment.amount, adjustment.amount_after_expiry], adjustment.valid_until);
+            let QuotaAdjustment { amount, amount_after_expiry, valid_until } = adjustment;
+            limit.set_adjustment(amount, amount_after_expiry, valid_until);
         }
     }
 
--- a/crates/dispatcher/src/dispatcher/request_table.rs
+++ b/crates/dispatcher/src/dispatcher/request_table.rs
@@ -2,6 +2,7 @@
 //! answer; what the answer is, the rest of the dispatcher decides.
 
 use super::action::RequestId;
+use super::messages::InterruptedRequest;
 use super::slot_table::SlotTable;
 use crate::timer_wheel::TimerKey;
 
@@ -51,6 +52,10 @@
         }
     }
 
+    pub(super) fn into_interrupted(self) -> InterruptedRequest<T> {
+        InterruptedRequest { context: self.context, may_have_run: self.may_have_run }
+    }
+
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.stage != AttemptStage::Ended)
     }
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -3,7 +3,7 @@
 
 use super::Dispatcher;
 use super::action::RequestId;
-use super::messages::IncomingRequest;
+use super::messages::{FunctionResources, IncomingRequest};
 use super::request_table::Request;
 use milletpath_policy::host::{Arrival, Budget};
 use std::sync::Arc;
@@ -36,9 +36,9 @@
 
     /// The request as the router sees it.
     fn arrival(&self, incoming: IncomingRequest<'_>, function: usize, timeout: f64) -> Arrival {
-        let (lanes, memory, load) = incoming.function_config.unwrap_or_else(|| {
+        let resources = incoming.resources.unwrap_or_else(|| {
             let config = self.functions.of(incoming.function);
-            (config.lanes, config.memory, config.load)
+            FunctionResources { lanes: config.lanes, memory: config.memory, load_time: config.load }
         });
         Arrival {
             function,
@@ -47,9 +47,9 @@
             client: incoming.client,
             patience: timeout,
             repeat: incoming.is_retry,
-            lanes,
-            memory,
-            load,
+            lanes: resources.lanes,
+            memory: resources.memory,
+            load: resources.load_time,
         }
     }
 
--- a/crates/dispatcher/src/interner.rs
+++ b/crates/dispatcher/src/interner.rs
@@ -1,4 +1,5 @@
-//! Names from outside under small dense indices, which are used again once given back.
+//! Names from outside under small dense indices, which are used again once released. The dispatcher keeps its functions
+//! in one and the worker table its workers, zones and cells; whoever interns names has to bound them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,24 +7,24 @@
 
 /// The map's hash is seeded by the gateway's own seed: the same events give the same indices, and who sends names
 /// can't choose ones that collide.
-pub struct Interner {
+pub(crate) struct Interner {
     index: HashMap<Arc<str>, usize, Xxh3Builder>,
     names: Vec<Arc<str>>,
     free: Vec<usize>,
 }
 
 impl Interner {
-    pub fn new(seed: u64) -> Self {
+    pub(crate) fn new(seed: u64) -> Self {
         let hash = Xxh3Builder::new().with_seed(seed);
         Self { index: HashMap::with_hasher(hash), names: Vec::new(), free: Vec::new() }
     }
 
-    pub fn get(&self, name: &str) -> Option<usize> {
+    pub(crate) fn get(&self, name: &str) -> Option<usize> {
         self.index.get(name).copied()
     }
 
     /// The index of a name, a new one where it has none yet.
-    pub fn intern(&mut self, name: &str) -> usize {
+    pub(crate) fn intern(&mut self, name: &str) -> usize {
         if let Some(index) = self.get(name) {
             return index;
         }
@@ -38,7 +39,8 @@
         index
     }
 
-    pub fn release(&mut self, index: usize) {
+    /// Forgets the name at an index, which is free again; nothing where it has none.
+    pub(crate) fn release(&mut self, index: usize) {
         let known = self.names.get(index).filter(|name| self.index.get(&***name) == Some(&index));
         if let Some(name) = known.cloned() {
             self.index.remove(&name);
@@ -47,16 +49,13 @@
         }
     }
 
-    pub fn name(&self, index: usize) -> Arc<str> {
+    /// The name at an index that was given out; empty where it was released.
+    pub(crate) fn name(&self, index: usize) -> Arc<str> {
         self.names[index].clone()
     }
 
-    /// Names known now.
-    pub fn len(&self) -> usize {
+    /// Number of names that have an index now.
+    pub(crate) fn len(&self) -> usize {
         self.index.len()
     }
-
-    pub fn is_empty(&self) -> bool {
-        self.index.is_empty()
-    }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -4,9 +4,9 @@
 //! I/O around it.
 
 pub mod dispatcher;
-pub mod interner;
-pub mod start_times;
 pub mod timer_wheel;
-pub mod worker_table;
 
+mod interner;
 mod load_rate_limit;
+mod start_times;
+mod worker_table;
--- a/crates/dispatcher/src/load_rate_limit.rs
+++ b/crates/dispatcher/src/load_rate_limit.rs
@@ -1,43 +1,70 @@
-//! The ration of orders to load, kept at the moment of sending. The decisions keep it when they give an order; until
-//! that is sent a connection may have to be made, and what was ten seconds apart is less by then.
+//! The rate limit of load requests, applied at the moment of sending. The router applies the same limit when it decides
+//! on a load request; until that is sent, a connection may have to be made, and load requests that were decided on ten
+//! seconds apart may be sent closer together.
 
 use milletpath_policy::ration::Ration as PolicyRateLimit;
 
-/// Seconds by which orders may come closer together, or further from the calls they count on, on their way: what a
-/// crowded machine adds between a write and its reading.
+/// Seconds by which load requests may come closer together, or further from the requests they count on, between a
+/// write here and its reading on a busy machine.
 const TRANSIT_SECONDS: f64 = 0.05;
 
-pub struct LoadRateLimit {
+/// A value that changes once, at a known time.
+#[derive(Clone, Copy)]
+struct ExpiringValue {
+    value: f64,
+    value_after_expiry: f64,
+    valid_until: f64,
+}
+
+impl ExpiringValue {
+    fn constant(value: f64) -> Self {
+        Self { value, value_after_expiry: value, valid_until: f64::INFINITY }
+    }
+
+    fn at(self, now: f64) -> f64 {
+        if now >= self.valid_until { self.value_after_expiry } else { self.value }
+    }
+}
+
+pub(crate) struct LoadRateLimit {
     limit: PolicyRateLimit,
-    /// Of the free ones so many times as much until then, and so many times from then on.
-    fraction: ([f64; 2], f64),
-    /// And so many more, or fewer.
-    adjustment: ([f64; 2], f64),
+    /// This gateway's multiple of the load requests that are free in a window.
+    fraction: ExpiringValue,
+    /// Load requests that are added to them, or taken from them.
+    adjustment: ExpiringValue,
 }
 
 impl LoadRateLimit {
-    /// So many free orders in any window of seconds, and a share of one for each call taken in it.
-    pub fn new(config: (f64, f64, f64)) -> Self {
-        let (fraction, adjustment) = (([1.0; 2], f64::INFINITY), ([0.0; 2], f64::INFINITY));
-        Self { limit: PolicyRateLimit::new(config, TRANSIT_SECONDS), fraction, adjustment }
+    /// `config` is the policy's setting: seconds of the window, load requests that are free in any window, and the part
+    /// of a load request that each client request within it adds.
+    pub(crate) fn new(config: (f64, f64, f64)) -> Self {
+        Self {
+            limit: PolicyRateLimit::new(config, TRANSIT_SECONDS),
+            fraction: ExpiringValue::constant(1.0),
+            adjustment: ExpiringValue::constant(0.0),
+        }
     }
 
-    pub fn set_quota_fraction(&mut self, fraction: [f64; 2], until: f64) {
-        self.fraction = (fraction, until);
+    /// Sets the multiple that holds before `valid_until`, and the one that holds from then on.
+    pub(crate) fn set_quota_fraction(&mut self, fraction: f64, fraction_after_expiry: f64, valid_until: f64) {
+        self.fraction =
+            ExpiringValue { value: fraction, value_after_expiry: fraction_after_expiry, valid_until };
     }
 
-    pub fn set_adjustment(&mut self, adjustment: [f64; 2], until: f64) {
-        self.adjustment = (adjustment, until);
+    /// Sets the adjustment that holds before `valid_until`, and the one that holds from then on.
+    pub(crate) fn set_adjustment(&mut self, amount: f64, amount_after_expiry: f64, valid_until: f64) {
+        self.adjustment =
+            ExpiringValue { value: amount, value_after_expiry: amount_after_expiry, valid_until };
     }
 
-    pub fn request_arrived(&mut self, now: f64) {
+    /// Counts a request of a client.
+    pub(crate) fn request_arrived(&mut self, now: f64) {
         self.limit.take(now);
     }
 
-    /// Whether an order may be sent now; counts it if so.
-    pub fn try_send(&mut self, now: f64) -> bool {
-        let at = |(figures, until): ([f64; 2], f64)| figures[usize::from(now >= until)];
-        let free = (self.limit.free * at(self.fraction) + at(self.adjustment)).max(0.0);
+    /// Whether a load request may be sent now; counts it if so.
+    pub(crate) fn try_send(&mut self, now: f64) -> bool {
+        let free = (self.limit.free * self.fraction.at(now) + self.adjustment.at(now)).max(0.0);
         let allowed = self.limit.may(now, free);
         if allowed {
             self.limit.done(now);
@@ -45,8 +72,8 @@
         allowed
     }
 
-    /// Free orders in use.
-    pub fn in_use(&mut self, now: f64) -> f64 {
+    /// Free load requests in use.
+    pub(crate) fn in_use(&mut self, now: f64) -> f64 {
         self.limit.used(now)
     }
 }
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -1,5 +1,6 @@
-//! The workers as the list names them: addresses, processes and states under the desk's indices. What the list
-//! says is passed on to the decisions; what must be known at the moment of sending is kept here.
+//! The workers of the endpoint list, under the dispatcher's dense indices: addresses, processes, states and start times.
+//! The dispatcher passes each revision of the list to it, and asks it what must be known at the moment of sending; what
+//! a worker's state means for placement, the router decides.
 
 use crate::interner::Interner;
 use crate::start_times::{StartTimes, is_another_process};
@@ -10,46 +11,83 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Workers that may be known at a time; a list that goes on inventing names is not followed further.
+/// Workers that may be known at a time; of a list that names more, the rest is ignored.
 const MAX_WORKERS: usize = 65_536;
 
-/// Starts that are kept of workers whose names were forgotten; past so many all are dropped, at the price of a slow
-/// start for those that come back.
+/// Start times that are kept of workers whose names were forgotten. Past so many all are dropped, at the price of a
+/// slow start for those that come back.
 const MAX_FORMER_STARTS: usize = 16_384;
 
-/// When a process started: the stamp of the list, and what it makes on the monotonic clock.
+/// When a process started.
 #[derive(Clone, Copy, Default)]
 struct Start {
+    /// Unix time as the endpoint list states it.
     stamp: Option<f64>,
+    /// Seconds on the monotonic clock; none means long ago.
     at: Option<f64>,
 }
 
-pub struct WorkerTable {
+/// Whether a worker is listed.
+#[derive(Clone, Copy)]
+enum Presence {
+    Listed,
+    GoneSince(f64),
+    /// Its name is forgotten, and its index may be given to another worker.
+    Forgotten,
+}
+
+struct Worker {
+    address: SocketAddr,
+    /// Changes with every process that has the index.
+    process: u64,
+    start: Start,
+    state: State,
+    presence: Presence,
+}
+
+/// Where a worker is reached, and which process that is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WorkerProcess {
+    /// The address that the endpoint list states.
+    pub address: SocketAddr,
+    /// A number that changes when another process takes the worker's name or index.
+    pub process: u64,
+}
+
+/// Identifies a state of the endpoint list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct EndpointRevision {
+    /// Number of restarts of the dispatcher: after one, indices of workers are given out anew.
+    pub generation: u64,
+    /// Number of updates since the restart.
+    pub revision: u64,
+}
+
+pub(crate) struct WorkerTable {
+    /// Bounded by [`MAX_WORKERS`].
     names: Interner,
+    /// Zones and cells that were ever listed; these names are not forgotten.
     zones: Interner,
     cells: Interner,
     kinds: Vec<String>,
-    address: Vec<SocketAddr>,
-    /// Counts the processes that were seen under the name.
-    process: Vec<u64>,
-    start: Vec<Start>,
-    state: Vec<State>,
-    /// Since when each is gone.
-    gone_since: Vec<f64>,
-    /// Seconds after which nothing of one that is gone can be out any more: its index is given to another.
+    /// By index; as long as the largest number of names that were known at a time.
+    workers: Vec<Worker>,
+    /// Seconds after which nothing that was sent to a worker that is gone can be in flight any more: its index may be
+    /// given to another.
     forget_after: f64,
-    pub start_times: StartTimes,
-    /// Starts by the names that were forgotten, or that the roll before this one knew: a process that is listed again
-    /// was known before its news.
+    pub(crate) start_times: StartTimes,
+    /// Start times by name, of workers that were forgotten or that the table before this one knew: a process that is
+    /// listed again is not a new one. Bounded by [`MAX_FORMER_STARTS`] and the workers of one table.
     former_starts: BTreeMap<Arc<str>, Start>,
     revision: u64,
-    /// Counts the desks before this one; part of each process's number, so that no connection made for a worker of
-    /// one desk is taken for another's.
+    /// Number of tables before this one. It is part of each process's number, so that no connection made for a worker
+    /// of one table is taken for that of another.
     generation: u64,
 }
 
 impl WorkerTable {
-    pub fn new(
+    /// An empty table; `kinds` are the configured kinds of workers, in the order of the router's configuration.
+    pub(crate) fn new(
         kinds: &[String],
         seed: u64,
         start_times: StartTimes,
@@ -61,11 +99,7 @@
             zones: Interner::new(seed),
             cells: Interner::new(seed),
             kinds: kinds.to_vec(),
-            address: Vec::new(),
-            process: Vec::new(),
-            start: Vec::new(),
-            state: Vec::new(),
-            gone_since: Vec::new(),
+            workers: Vec::new(),
             forget_after,
             start_times,
             former_starts: BTreeMap::new(),
@@ -74,171 +108,201 @@
         }
     }
 
-    /// An empty one that takes this one's place. It keeps what is known of when processes started: their stamps would
-    /// be judged anew by a clock that may have been stepped since.
-    pub fn successor(&self, seed: u64) -> Self {
-        let listed = self.workers().into_iter();
+    /// An empty table that takes this one's place. It keeps when processes started, because their stamps would be
+    /// judged anew by a clock that may have been stepped since.
+    pub(crate) fn successor(&self, seed: u64) -> Self {
         let mut former_starts = self.former_starts.clone();
-        former_starts.extend(listed.map(|(worker, name)| (name, self.start[worker])));
+        former_starts
+            .extend(self.workers().into_iter().map(|(worker, name)| (name, self.workers[worker].start)));
+        let start_times = self.start_times.clone();
         let generation = self.generation + 1;
-        Self {
-            former_starts,
-            ..Self::new(&self.kinds, seed, self.start_times.clone(), generation, self.forget_after)
-        }
+        Self { former_starts, ..Self::new(&self.kinds, seed, start_times, generation, self.forget_after) }
     }
 
-    /// Lists taken so far.
-    pub fn revision(&self) -> u64 {
-        self.revision
+    /// The state of the list that is known; its revision is 0 where none is.
+    pub(crate) fn revision(&self) -> EndpointRevision {
+        EndpointRevision { generation: self.generation, revision: self.revision }
     }
 
-    pub fn generation(&self) -> u64 {
-        self.generation
+    /// Index and name of each worker that is not gone.
+    pub(crate) fn workers(&self) -> Vec<(usize, Arc<str>)> {
+        let workers = self.workers.iter().enumerate();
+        let listed = workers.filter(|(_, worker)| worker.state != State::Gone);
+        listed.map(|(index, _)| (index, self.names.name(index))).collect()
     }
 
-    /// Workers that are not gone, and their names.
-    pub fn workers(&self) -> Vec<(usize, Arc<str>)> {
-        let listed = (0..self.state.len()).filter(|&w| self.state[w] != State::Gone);
-        listed.map(|w| (w, self.names.name(w))).collect()
-    }
-
-    pub fn name(&self, worker: usize) -> Arc<str> {
+    pub(crate) fn name(&self, worker: usize) -> Arc<str> {
         self.names.name(worker)
     }
 
-    pub fn ready(&self, worker: usize) -> bool {
-        self.state.get(worker) == Some(&State::Ready)
+    /// Whether a worker takes requests.
+    pub(crate) fn ready(&self, worker: usize) -> bool {
+        self.workers.get(worker).is_some_and(|worker| worker.state == State::Ready)
     }
 
-    pub fn address(&self, worker: usize) -> (SocketAddr, u64) {
-        let none = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-        (self.address.get(worker).copied().unwrap_or(none), self.process.get(worker).copied().unwrap_or(0))
+    /// The process of a worker; an address that can't be reached for an index that was never given out.
+    pub(crate) fn process(&self, worker: usize) -> WorkerProcess {
+        let unknown = WorkerProcess { address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)), process: 0 };
+        self.workers.get(worker).map_or(unknown, |worker| {
+            let Worker { address, process, .. } = *worker;
+            WorkerProcess { address, process }
+        })
     }
 
-    pub fn started(&self, worker: usize) -> Option<f64> {
-        self.start.get(worker).and_then(|start| start.at)
+    /// When a worker's process started, in seconds on the monotonic clock; none means long ago.
+    pub(crate) fn started(&self, worker: usize) -> Option<f64> {
+        self.workers.get(worker).and_then(|worker| worker.start.at)
     }
 
-    /// Takes one edition, whole or changes only, and tells each line of it.
-    pub fn update(&mut self, now: f64, whole: bool, entries: &[Entry], mut notify: impl FnMut(Listing)) {
+    /// Takes one revision of the list, `whole` or only the entries that changed, and passes on what each entry says.
+    pub(crate) fn update(
+        &mut self,
+        now: f64,
+        whole: bool,
+        entries: &[Entry],
+        mut notify: impl FnMut(Listing),
+    ) {
         self.revision += 1;
         if whole {
-            for worker in 0..self.state.len() {
-                self.set_state(now, worker, State::Gone);
+            for worker in &mut self.workers {
+                worker.set_state(now, State::Gone);
             }
         }
         self.forget_gone(now);
         for entry in entries {
-            let new = self.names.get(&entry.name).is_none();
-            if new && self.names.len() >= MAX_WORKERS {
-                tracing::error!(
-                    worker = entry.name,
-                    "over {MAX_WORKERS} workers named; restart to forget old ones"
-                );
-                continue;
-            }
-            let worker = self.names.intern(&entry.name);
-            if new && worker < self.state.len() {
-                // An index used again: another process, that shares nothing with the one before.
-                self.process[worker] += 1;
-                self.gone_since[worker] = f64::INFINITY;
-                self.address[worker] = entry.address;
-                self.start[worker] = self.first_start(now, entry);
-            } else if new {
-                self.gone_since.push(f64::INFINITY);
-                self.address.push(entry.address);
-                self.process.push(self.generation << 32 | 1);
-                let start = self.first_start(now, entry);
-                self.start.push(start);
-                self.state.push(State::Gone);
-            } else {
-                self.update_known_worker(now, worker, entry);
+            if let Some(worker) = self.update_worker(now, entry) {
+                notify(self.listing(worker, entry));
             }
-            let state = match entry.state {
-                Standing::Ready => State::Ready,
-                Standing::Draining => State::Draining,
-                Standing::Gone => State::Gone,
-            };
-            self.set_state(now, worker, state);
-            // Workers of no stated zone or cell share none: their receipts are known to nobody else.
-            let alone = usize::MAX - worker;
-            let group_index =
-                |groups: &mut Interner, name: &str| if name.is_empty() { alone } else { groups.intern(name) };
-            notify(Listing {
-                worker,
-                name: xxh3_64(entry.name.as_bytes()),
-                started: self.start[worker].at,
-                size: entry.size,
-                kind: self.kinds.iter().position(|k| *k == entry.kind).unwrap_or(usize::MAX),
-                zone: group_index(&mut self.zones, &entry.zone),
-                cell: group_index(&mut self.cells, &entry.cell),
-                state: self.state[worker],
-            });
         }
     }
 
-    fn set_state(&mut self, now: f64, worker: usize, state: State) {
-        if state != State::Gone {
-            self.gone_since[worker] = f64::INFINITY;
-        } else if self.gone_since[worker] == f64::INFINITY {
-            self.gone_since[worker] = now;
+    /// Takes one entry. Gives the worker's index, or none where too many workers are named.
+    fn update_worker(&mut self, now: f64, entry: &Entry) -> Option<usize> {
+        let is_new = self.names.get(&entry.name).is_none();
+        if is_new && self.names.len() >= MAX_WORKERS {
+            tracing::error!(
+                worker = entry.name,
+                "the endpoint list names over {MAX_WORKERS} workers: this one is ignored; check what registers there"
+            );
+            return None;
         }
-        self.state[worker] = state;
+        let worker = self.names.intern(&entry.name);
+        if is_new {
+            self.add_worker(now, worker, entry);
+        } else {
+            self.update_known_worker(now, worker, entry);
+        }
+        let state = match entry.state {
+            Standing::Ready => State::Ready,
+            Standing::Draining => State::Draining,
+            Standing::Gone => State::Gone,
+        };
+        self.workers[worker].set_state(now, state);
+        Some(worker)
     }
 
-    /// Forgets the names of those long gone: where workers are replaced by others all day, they would pile up.
-    fn forget_gone(&mut self, now: f64) {
-        for worker in 0..self.gone_since.len() {
-            // Given back twice an index would go to two.
-            if self.gone_since[worker] > f64::NEG_INFINITY
-                && now - self.gone_since[worker] >= self.forget_after
-            {
-                self.remember_start(worker);
-                self.names.release(worker);
-                self.gone_since[worker] = f64::NEG_INFINITY;
-            }
+    /// Adds a worker whose name was not known, at an index that is new or was forgotten.
+    fn add_worker(&mut self, now: f64, worker: usize, entry: &Entry) {
+        // What had the index before is another process, with which this one shares nothing.
+        let former = self.workers.get(worker);
+        let process = former.map_or(self.generation << 32 | 1, |former| former.process + 1);
+        let added = Worker {
+            address: entry.address,
+            process,
+            start: self.first_start(now, entry),
+            state: State::Gone,
+            presence: Presence::Listed,
+        };
+        match self.workers.get_mut(worker) {
+            Some(former) => *former = added,
+            None => self.workers.push(added),
         }
     }
 
-    /// Keeps the start of a worker whose name is forgotten; one that started early needs none.
-    fn remember_start(&mut self, worker: usize) {
-        if self.start[worker].at.is_none() {
+    /// Updates a worker whose name is known. Another address or another stamp is another process, in which nothing is
+    /// loaded; one whose start time nobody states started now at the latest.
+    fn update_known_worker(&mut self, now: f64, worker: usize, entry: &Entry) {
+        let worker = &mut self.workers[worker];
+        let before = worker.start;
+        let another = is_another_process(entry.started, before.stamp);
+        if !another && worker.address == entry.address {
             return;
         }
-        if self.former_starts.len() >= MAX_FORMER_STARTS {
-            self.former_starts.clear();
-        }
-        self.former_starts.insert(self.names.name(worker), self.start[worker]);
+        worker.process += 1;
+        worker.address = entry.address;
+        let stamp = entry.started.filter(|_| another);
+        let at = stamp.map_or(now, |stamp| self.start_times.started(now, stamp, before.at));
+        // The router tells processes apart by their start times.
+        let at = before.at.map_or(at, |before| at.max(before.next_up()));
+        worker.start = Start { stamp: entry.started, at: Some(at) };
     }
 
-    /// The start of a worker whose name is new here.
+    /// The start of a worker whose name was not known.
     fn first_start(&mut self, now: f64, entry: &Entry) -> Start {
-        let former_starts = self.former_starts.remove(entry.name.as_str());
-        match former_starts {
+        let former = self.former_starts.remove(entry.name.as_str());
+        match former {
             Some(start) if !is_another_process(entry.started, start.stamp) => start,
             _ => {
-                let predecessor = former_starts.and_then(|start| start.at);
+                let predecessor = former.and_then(|start| start.at);
                 let at = entry.started.map(|stamp| self.start_times.started(now, stamp, predecessor));
                 Start { stamp: entry.started, at }
             }
         }
     }
 
-    /// A line for a worker that is known. Another address or another stamp is another process, cold and empty; one
-    /// whose start nobody tells started now at the latest.
-    fn update_known_worker(&mut self, now: f64, worker: usize, entry: &Entry) {
-        let before = self.start[worker];
-        let another = is_another_process(entry.started, before.stamp);
-        if !another && self.address[worker] == entry.address {
+    /// What the router is told of a worker.
+    fn listing(&mut self, worker: usize, entry: &Entry) -> Listing {
+        // Workers without a zone or cell share none: nobody else knows the idempotency keys that they remember.
+        let alone = usize::MAX - worker;
+        let group = |groups: &mut Interner, name: &str| {
+            if name.is_empty() { alone } else { groups.intern(name) }
+        };
+        Listing {
+            worker,
+            name: xxh3_64(entry.name.as_bytes()),
+            started: self.workers[worker].start.at,
+            size: entry.size,
+            kind: self.kinds.iter().position(|kind| *kind == entry.kind).unwrap_or(usize::MAX),
+            zone: group(&mut self.zones, &entry.zone),
+            cell: group(&mut self.cells, &entry.cell),
+            state: self.workers[worker].state,
+        }
+    }
+
+    /// Forgets the names of workers that are long gone: where workers are replaced by others all day, they would pile
+    /// up.
+    fn forget_gone(&mut self, now: f64) {
+        for worker in 0..self.workers.len() {
+            let Presence::GoneSince(since) = self.workers[worker].presence else { continue };
+            if now - since >= self.forget_after {
+                self.remember_start(worker);
+                self.names.release(worker);
+                self.workers[worker].presence = Presence::Forgotten;
+            }
+        }
+    }
+
+    /// Keeps the start of a worker whose name is forgotten; one that started long ago needs none.
+    fn remember_start(&mut self, worker: usize) {
+        let start = self.workers[worker].start;
+        if start.at.is_none() {
             return;
         }
-        self.process[worker] += 1;
-        self.address[worker] = entry.address;
-        let stamp = entry.started.filter(|_| another);
-        let at = stamp.map_or(now, |stamp| self.start_times.started(now, stamp, before.at));
-        // The decisions tell processes apart by their starts.
-        let at = before.at.map_or(at, |before| at.max(before.next_up()));
-        self.start[worker] = Start { stamp: entry.started, at: Some(at) };
+        if self.former_starts.len() >= MAX_FORMER_STARTS {
+            self.former_starts.clear();
+        }
+        self.former_starts.insert(self.names.name(worker), start);
+    }
+}
+
+impl Worker {
+    fn set_state(&mut self, now: f64, state: State) {
+        self.state = state;
+        self.presence = match self.presence {
+            _ if state != State::Gone => Presence::Listed,
+            Presence::Listed => Presence::GoneSince(now),
+            gone => gone,
+        };
     }
 }
 
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -73,7 +73,7 @@
         let before =
             update(&mut table, 20.0, true, entry("w", Some(UNIX_EPOCH_OFFSET + 20.0 - REPORT_DELAY)))
                 .expect("a start");
-        let process = table.address(0).1;
+        let process = table.process(0).process;
         table.start_times.list_confirmed(22.0);
         let now = 22.5;
         let ours = if stepped == Stepped::Theirs { 0.0 } else { step };
@@ -81,7 +81,7 @@
         table.start_times.wall_clock_read(now, UNIX_EPOCH_OFFSET + now + ours);
         let stamp = UNIX_EPOCH_OFFSET + now - REPORT_DELAY + theirs;
         let started = update(&mut table, now, false, entry("w", Some(stamp))).expect("a start");
-        assert!(table.address(0).1 > process, "step {step}: taken for the process before it");
+        assert!(table.process(0).process > process, "step {step}: taken for the process before it");
         assert!(
             started > before && (now - 0.6..=now).contains(&started),
             "step {step}: started at {started:.1}"
@@ -96,7 +96,7 @@
         let mut table = table();
         let stamp = Some(UNIX_EPOCH_OFFSET + 9.9);
         let started = update(&mut table, 10.0, true, entry("w", stamp));
-        let process = table.address(0).1;
+        let process = table.process(0).process;
         table.start_times.wall_clock_read(30.0, UNIX_EPOCH_OFFSET + 30.0 + step);
         for whole in [true, false] {
             assert_eq!(update(&mut table, 30.0, whole, entry("w", stamp)), started);
@@ -104,7 +104,7 @@
             // A line without a stamp says nothing of the process.
             assert_eq!(update(&mut table, 32.0, whole, entry("w", None)), started);
         }
-        assert_eq!(table.address(0).1, process);
+        assert_eq!(table.process(0).process, process);
     }
 }
 
@@ -156,7 +156,7 @@
     table.start_times.wall_clock_read(25.0, UNIX_EPOCH_OFFSET + 25.0 + step);
     let mut successor = table.successor(5);
     assert_eq!(update(&mut successor, 25.0, true, entry("joins", stamp)), started);
-    assert!(successor.address(0).1 > table.address(0).1);
+    assert!(successor.process(0).process > table.process(0).process);
 }
 
 /// A worker is off the list for so long that its name is forgotten, as when discovery lost sight of it: the same stamp is
--- a/crates/dispatcher/tests/dispatcher.rs
+++ b/crates/dispatcher/tests/dispatcher.rs
@@ -53,7 +53,7 @@
         client: 9,
         timeout: patience,
         is_retry: false,
-        function_config: None,
+        resources: None,
     };
     dispatcher.submit(now, incoming, 0).expect("there is room")
 }
@@ -174,7 +174,7 @@
         let sent = attempts(&actions(&mut dispatcher));
         let &[(_, attempt, worker)] = &sent[..] else { panic!("one shot at {now}: {sent:?}") };
         assert!(worker < 8, "index {worker} at {now}");
-        assert_eq!(dispatcher.address(worker).0, entry(n, Standing::Ready, None).address);
+        assert_eq!(dispatcher.worker_process(worker).address, entry(n, Standing::Ready, None).address);
         assert!(
             dispatcher.begin_attempt(now, request, attempt)
                 && dispatcher.attempt_ended(
@@ -218,17 +218,17 @@
 #[test]
 fn worker_at_a_new_address_is_a_new_process() {
     let mut dispatcher = dispatcher(EFFECTS[0], NO_HEALTH_CHECKS, 1);
-    let before = dispatcher.address(0);
+    let before = dispatcher.worker_process(0);
     let moved =
         Entry { address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9999)), ..entry(0, Standing::Ready, None) };
     dispatcher.update_endpoints(2.0, false, &[moved]);
-    let after = dispatcher.address(0);
-    assert!(after.0.port() == 9999 && after.1 > before.1);
+    let after = dispatcher.worker_process(0);
+    assert!(after.address.port() == 9999 && after.process > before.process);
     // The same line again changes nothing.
     let same =
         Entry { address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9999)), ..entry(0, Standing::Ready, None) };
     dispatcher.update_endpoints(3.0, false, &[same]);
-    assert_eq!(dispatcher.address(0), after);
+    assert_eq!(dispatcher.worker_process(0), after);
 }
 
 /// A list that shows nobody: no shot goes out, and what comes is bounced while a retry can still be in time.
@@ -282,7 +282,7 @@
             client: 9,
             timeout: 1.0,
             is_retry: false,
-            function_config: None,
+            resources: None,
         };
         let request = dispatcher.submit(now, incoming, 0).unwrap();
         for (request, attempt, _) in attempts(&actions(&mut dispatcher)) {
@@ -360,7 +360,7 @@
                 Action::SendAttempt { request, attempt, worker } => {
                     assert!(self.open.contains_key(&request.serial), "a shot for what is over");
                     // An index may have passed to another worker; its address tells which.
-                    let number = usize::from(dispatcher.address(worker).0.port() - 9000);
+                    let number = usize::from(dispatcher.worker_process(worker).address.port() - 9000);
                     assert_ne!(self.state.get(&number), Some(&Standing::Gone));
                     assert!(!(effectful && self.may_have_run.contains(&request.serial)), "a second shot");
                     self.in_flight.insert((request.serial, attempt), (request, attempt, false));
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -57,7 +57,7 @@
             client: 9,
             timeout: 2.0,
             is_retry: false,
-            function_config: None,
+            resources: None,
         };
         let request = dispatcher.submit(1.0, incoming, 0).expect("there is room");
         let (attempts, now) = (BTreeMap::new(), 1.0);
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -63,7 +63,7 @@
 }
 
 fn come(function: &str) -> IncomingRequest<'_> {
-    IncomingRequest { function, profile: 0, client: 9, timeout: 3.0, is_retry: false, function_config: None }
+    IncomingRequest { function, profile: 0, client: 9, timeout: 3.0, is_retry: false, resources: None }
 }
 
 /// One event of a call, told to a desk; what it gives to do next.
--- a/crates/gateway/src/office.rs
+++ b/crates/gateway/src/office.rs
@@ -7,7 +7,9 @@
 use crate::pool::{Room, Way};
 use crate::wall_clock::unix_time;
 use milletpath_config::{FunctionConfig, GatewayConfig};
-use milletpath_dispatcher::dispatcher::{Action, Counters, Dispatcher, RequestId};
+use milletpath_dispatcher::dispatcher::{
+    Action, Counters, Dispatcher, InterruptedRequest, RequestId, WorkerProcess,
+};
 use milletpath_multicore::budget::Budget;
 use milletpath_multicore::mail::Mailbox;
 use milletpath_multicore::pulse::Pulse;
@@ -240,7 +242,7 @@
         if !list.is_empty() {
             inside.desk.update_endpoints(now, true, &list);
         }
-        for (place, begun) in open {
+        for InterruptedRequest { context: place, may_have_run: begun } in open {
             let own = Own::lost(begun);
             self.post(place.seat, Errand::Answer { slot: place.slot, own, line: place.line });
             self.seats[place.seat].bell.notify_one();
@@ -310,7 +312,7 @@
     ) -> Option<(usize, Errand)> {
         let here = |worker: usize| seat.filter(|s| *s < self.cores()).unwrap_or(worker % self.cores());
         let way = |desk: &Dispatcher<Place>, worker| {
-            let (address, process) = desk.address(worker);
+            let WorkerProcess { address, process } = desk.worker_process(worker);
             Way { address, process }
         };
         let answer = |desk: &mut Dispatcher<Place>, tag, own| {
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -236,17 +236,24 @@
         let parts = self.peers.parts(now);
         let mut share = QuotaFraction {
             likely_gateways: parts.likely,
-            fractions: [parts.part, parts.floor],
-            until: parts.until,
+            fraction: parts.part,
+            fraction_after_expiry: parts.floor,
+            valid_until: parts.until,
         };
         if self.link.plant == Some(Plant::LikelyCount) {
             let part = self.office.house.policy.routers as f64 / parts.likely;
-            share =
-                QuotaFraction { likely_gateways: parts.likely, fractions: [part; 2], until: f64::INFINITY };
+            share = QuotaFraction {
+                likely_gateways: parts.likely,
+                fraction: part,
+                fraction_after_expiry: part,
+                valid_until: f64::INFINITY,
+            };
         }
         let same = |(at, told): (f64, QuotaFraction)| {
-            (told.likely_gateways, told.fractions) == (share.likely_gateways, share.fractions)
-                && (told.until == share.until || now - at < AGAIN && told.until <= share.until)
+            (told.likely_gateways, told.fraction, told.fraction_after_expiry)
+                == (share.likely_gateways, share.fraction, share.fraction_after_expiry)
+                && (told.valid_until == share.valid_until
+                    || now - at < AGAIN && told.valid_until <= share.valid_until)
         };
         if !self.told.is_some_and(same) {
             self.told = Some((now, share));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -217,7 +217,7 @@
                 client,
                 timeout: patience,
                 is_retry: repeat,
-                function_config: None,
+                resources: None,
             },
             place,
         );
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -3,7 +3,7 @@
 //! there before anything else is decided, and before any note of it goes out.
 
 use milletpath_config::GatewayConfig;
-use milletpath_dispatcher::dispatcher::Dispatcher;
+use milletpath_dispatcher::dispatcher::{Dispatcher, EndpointRevision};
 use milletpath_membership::Parts;
 use milletpath_policy::host::Budget;
 use milletpath_shared_budgets::{
@@ -23,7 +23,7 @@
     shares: SharedBudgets,
     open: Vec<Open>,
     /// The list by which workers' budgets were last opened.
-    edition: (u64, u64),
+    edition: EndpointRevision,
     /// When the decisions were last told what functions keep busy elsewhere.
     counted: f64,
     /// Of a worker's: this gateway's part of the shots that may be out there, and seconds that one may be out.
@@ -62,7 +62,7 @@
         Self {
             shares,
             open,
-            edition: (0, 0),
+            edition: EndpointRevision::default(),
             counted: f64::NEG_INFINITY,
             hand: (policy.hand / gateways, longest + LATE),
         }
@@ -79,7 +79,7 @@
         if edition == self.edition {
             return;
         }
-        if edition.0 != self.edition.0 {
+        if edition.generation != self.edition.generation {
             self.shares.resend_adjustments();
         }
         self.edition = edition;
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -5,7 +5,7 @@
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
-use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
+use milletpath_dispatcher::dispatcher::{FunctionResources, IncomingRequest, RequestId};
 use milletpath_platform_protocol::lines::{self, Ask, Said};
 use milletpath_protocol::Fault;
 use socket2::SockRef;
@@ -326,7 +326,7 @@
             client: place(&self.groups, &client),
             timeout: (patience - MARGIN).max(0.0),
             is_retry: repeat,
-            function_config: Some((lanes, memory, load)),
+            resources: Some(FunctionResources { lanes, memory, load_time: load }),
         };
         let Some(serial) = self.clients.get(key).map(|c| c.serial) else { return };
         let holds = self.room.holds(body.capacity() + mark.capacity());
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -5,7 +5,7 @@
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
-use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
+use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId, WorkerProcess};
 use milletpath_platform_protocol::{frames, lines};
 use milletpath_policy::host::Outcome;
 use std::collections::VecDeque;
@@ -194,7 +194,7 @@
 impl Station {
     /// The link on which one more frame for a worker goes; a new one where that is wanted.
     fn link(&mut self, worker: usize, id: Option<u64>) -> usize {
-        let (address, process) = self.desk.address(worker);
+        let WorkerProcess { address, process } = self.desk.worker_process(worker);
         let known = self.reach.get(&worker).into_iter().flatten();
         // What went to an earlier process of the name is not for this one; and two shots of an activation bear the
         // same id, by which their answers could not be told apart.
@@ -334,7 +334,7 @@
     /// its client has said meanwhile.
     fn make(&mut self, key: usize, load: Load, now: f64) -> bool {
         let (worker, process) = (self.links[key].worker, self.links[key].process);
-        if let Some(what) = load.awaits().filter(|_| self.desk.address(worker).1 != process) {
+        if let Some(what) = load.awaits().filter(|_| self.desk.worker_process(worker).process != process) {
             // Another process has the worker's name by now; what was meant for that one was not meant for this.
             self.unanswered(worker, what, Outcome::Unsent);
             return true;
--- a/crates/platform-router/src/link/tests.rs
+++ b/crates/platform-router/src/link/tests.rs
@@ -35,7 +35,7 @@
         let stream = Rc::new(stream);
         let key = {
             let mut s = station.borrow_mut();
-            let (_, process) = s.desk.address(0);
+            let process = s.desk.worker_process(0).process;
             let mut link = Link::new(0, process, s.room.holds(0), 0.0);
             link.stream = Some(stream.clone());
             let key = s.links.insert(link);
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/station/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use milletpath_dispatcher::dispatcher::{AttemptResult, IncomingRequest};
+use milletpath_dispatcher::dispatcher::{AttemptResult, FunctionResources, IncomingRequest};
 use milletpath_policy::host::Outcome;
 use test_case::test_case;
 
@@ -46,7 +46,7 @@
         client: 0,
         timeout: 2.0,
         is_retry: false,
-        function_config: Some((64.0, 1.0, None)),
+        resources: Some(FunctionResources { lanes: 64.0, memory: 1.0, load_time: None }),
     };
     let (now, body, mark, holds) = (s.now(), vec![1; 64], String::new(), s.room.holds(64));
     let asker = Asker {
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -419,7 +419,7 @@
             client: planned.group,
             timeout: patience,
             is_retry: attempt > 0,
-            function_config: None,
+            resources: None,
         };
         let taken = self.at_desk(gateway, |desk, now| desk.submit(now, come, (call, attempt)));
         if taken.is_none() {
