--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -2,6 +2,11 @@
 //! `milletpath-policy`. It is a state machine without sockets and without a clock: events and the time come in as
 //! method calls, actions go out as values. The HTTP gateway, the platform router and the simulator each put their own
 //! I/O around it.
+//!
+//! [`dispatcher::Dispatcher`] is the whole interface; [`timer_wheel::TimerWheel`] is public for its benchmark.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod dispatcher;
 pub mod timer_wheel;
--- a/crates/dispatcher/src/start_times.rs
+++ b/crates/dispatcher/src/start_times.rs
@@ -1,12 +1,13 @@
 //! When the processes of workers started, on the monotonic clock.
 //!
-//! The worker list states it as Unix time, by the wall clock of another machine. That clock and our own may be stepped
-//! at any moment, so a stamp counts only as far as the monotonic clock bears it out: a process that was first reported
-//! while the list was followed can't be older than the last confirmation of the list without it, and none started in
-//! the future. A stamp that claims otherwise tells nothing; its process counts as started when it was first reported.
+//! The endpoint list states it as Unix time, by the wall clock of another machine. That clock and this machine's own may
+//! be stepped at any moment, so a stamp counts only as far as the monotonic clock bears it out: a process that was first
+//! reported while the list was followed can't be older than the last confirmation of the list without it, and none
+//! started in the future. A stamp that claims otherwise is ignored; its process counts as started when it was first
+//! reported.
 
 /// Seconds that may pass between a change of the list and its reading here on a busy machine.
-const NEWS_DELAY: f64 = 0.05;
+const REPORT_DELAY: f64 = 0.05;
 
 /// Seconds by which two renderings of one stamp may differ.
 const STAMP_ROUNDING: f64 = 0.002;
@@ -32,7 +33,8 @@
         self.offset = self.offset.min(unix_time - now);
     }
 
-    /// All changes of the list until now have been taken: a process reported from here on was not listed before.
+    /// All changes of the list until now have been taken: a process that is reported from here on was not listed
+    /// before.
     pub(crate) fn list_confirmed(&mut self, now: f64) {
         self.confirmed = Some(now);
     }
@@ -41,14 +43,15 @@
     /// under the same name did.
     pub(crate) fn started(&self, now: f64, stamp: f64, predecessor: Option<f64>) -> f64 {
         let claimed = stamp - self.offset;
-        let listed_since = self.confirmed.map_or(f64::NEG_INFINITY, |at| at - NEWS_DELAY);
+        let unlisted_until = self.confirmed.map_or(f64::NEG_INFINITY, |at| at - REPORT_DELAY);
         let after_predecessor = predecessor.is_none_or(|before| claimed > before);
-        if claimed <= now && claimed >= listed_since && after_predecessor { claimed } else { now }
+        let plausible = claimed <= now && claimed >= unlisted_until && after_predecessor;
+        if plausible { claimed } else { now }
     }
 }
 
-/// Whether a stamp tells of another process than the one before it; an earlier one as well as a later, as the clock
-/// that made it may have been stepped back. One that is missing tells of none.
+/// Whether a stamp is that of another process than the one before it. An earlier stamp is as well as a later one, as the
+/// clock that made it may have been stepped back; a missing stamp is not.
 pub(crate) fn is_another_process(stamp: Option<f64>, before: Option<f64>) -> bool {
     match (stamp, before) {
         (Some(stamp), Some(before)) => (stamp - before).abs() > STAMP_ROUNDING,
--- a/crates/dispatcher/src/timer_wheel.rs
+++ b/crates/dispatcher/src/timer_wheel.rs
@@ -1,198 +1,226 @@
-//! Timers in a hierarchical wheel (Varghese and Lauck, SOSP 87): seven levels of 64 slots, the lowest of a
-//! millisecond each. Setting and calling off cost the same however many there are; `benches/timers.rs` holds it
-//! against a binary heap. A timer never fires early and at most a millisecond late; those of one millisecond fire
-//! in the order in which they were set, but for those that come down from a higher level.
+//! Timers in a hierarchical timing wheel (Varghese and Lauck, SOSP 1987): seven levels of 64 slots, the lowest of a
+//! millisecond each. Setting and cancelling cost the same however many timers there are; `benches/timers.rs` compares
+//! it with a binary heap. A timer never fires early and at most a millisecond late; those of one millisecond fire in
+//! the order in which they were set, but for those that come down from a higher level.
 
-/// Slots a level, as a power of two: the occupied ones of a level fit one word.
+/// Slots of a level, as a power of two: the occupied ones of a level fit one word.
 const SLOT_BITS: u32 = 6;
 const SLOTS_PER_LEVEL: u64 = 1 << SLOT_BITS;
-/// 2^42 ms: over a hundred years.
+/// All levels together reach 2^42 ms, over a hundred years.
 const LEVELS: usize = 7;
 const LATEST_TICK: u64 = (1 << (SLOT_BITS * LEVELS as u32)) - 1;
+const MS_PER_SECOND: f64 = 1e3;
 /// Part of a millisecond that rounding may take off a time in seconds: 1.001 s is 1000.9999999999999 ms. Without it
 /// a timer would be due at a time at which it does not fire, and whoever waits for that time would wait for ever.
 const ROUNDING_MS: f64 = 1e-6;
-/// No node.
+/// Stands for no node in a link.
 const NO_NODE: u32 = u32::MAX;
-/// The list of those that are due.
+/// The list of timers that are due, after those of the slots.
 const DUE_LIST: usize = LEVELS * SLOTS_PER_LEVEL as usize;
 
-/// Names a timer that was set. Of no use once it fired or was called off.
+/// Identifies a timer that was set, until it fires or is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerKey {
     node: u32,
     generation: u32,
 }
 
+/// A timer, linked into the list of its slot; or a free node, linked by `next` alone.
 struct Node<T> {
-    at: u64,
+    at_ms: u64,
     payload: Option<T>,
     list: usize,
-    previous_node: u32,
-    next_node: u32,
-    /// How often the node was used; tells an old ticket from a new one.
+    previous: u32,
+    next: u32,
+    /// How often the node was used; tells a key of an earlier use from that of the current one.
     generation: u32,
 }
 
+/// First and last node of a linked list.
+#[derive(Clone, Copy)]
+struct List {
+    first: u32,
+    last: u32,
+}
+
+impl List {
+    const EMPTY: Self = Self { first: NO_NODE, last: NO_NODE };
+}
+
+/// The slot whose timers come next.
+struct NextSlot {
+    level: usize,
+    slot: usize,
+    begins_at_ms: u64,
+}
+
+/// Timers that each carry a payload. As many nodes are kept as there were timers at a time; whoever sets timers has to
+/// bound them.
 pub struct TimerWheel<T> {
     nodes: Vec<Node<T>>,
+    /// The first free node.
     free: u32,
-    /// First and last node of each list.
-    lists: Vec<(u32, u32)>,
+    lists: Vec<List>,
+    /// A bit for each slot of a level that has timers.
     occupied: [u64; LEVELS],
-    /// Milliseconds up to which all has fired.
+    /// Milliseconds up to which all timers have fired.
     elapsed_ms: u64,
     len: usize,
 }
 
 impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
-        let lists = vec![(NO_NODE, NO_NODE); DUE_LIST + 1];
+        let lists = vec![List::EMPTY; DUE_LIST + 1];
         Self { nodes: Vec::new(), free: NO_NODE, lists, occupied: [0; LEVELS], elapsed_ms: 0, len: 0 }
     }
 }
 
 impl<T> TimerWheel<T> {
-    /// Timers set and neither fired nor called off.
+    /// Number of timers that were set and neither fired nor were cancelled.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether there are no timers.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
     /// Sets a timer for a time in seconds; one in the past is due at once.
     pub fn set(&mut self, at: f64, payload: T) -> TimerKey {
-        let at = (at.max(0.0) * 1e3 - ROUNDING_MS).ceil().min(LATEST_TICK as f64) as u64;
-        let node = if self.free == NO_NODE {
-            let fresh = Node {
-                at,
-                payload: Some(payload),
-                list: DUE_LIST,
-                previous_node: NO_NODE,
-                next_node: NO_NODE,
-                generation: 0,
-            };
-            self.nodes.push(fresh);
-            (self.nodes.len() - 1) as u32
-        } else {
-            let node = self.free;
-            let n = &mut self.nodes[node as usize];
-            self.free = n.next_node;
-            (n.at, n.payload) = (at, Some(payload));
-            node
-        };
+        let at_ms = (at.max(0.0) * MS_PER_SECOND - ROUNDING_MS).ceil().min(LATEST_TICK as f64) as u64;
+        let node = self.allocate_node(at_ms, payload);
         self.len += 1;
         self.link(node);
         TimerKey { node, generation: self.nodes[node as usize].generation }
     }
 
-    /// Calls a timer off and gives back what it was set for, unless it fired or was called off before.
+    /// Cancels a timer and gives back its payload; none if it fired or was cancelled before.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
-        let n = self.nodes.get(key.node as usize)?;
-        if n.generation != key.generation || n.payload.is_none() {
+        let node = self.nodes.get(key.node as usize)?;
+        if node.generation != key.generation || node.payload.is_none() {
             return None;
         }
         self.unlink(key.node);
         self.free_node(key.node)
     }
 
-    /// The earliest time at which [`fire`](Self::fire) may have something to do, in seconds.
+    /// The earliest time at which [`fire`](Self::fire) may give a timer, in seconds.
     pub fn next_due(&self) -> Option<f64> {
-        if self.lists[DUE_LIST].0 != NO_NODE {
-            return Some(self.elapsed_ms as f64 / 1e3);
+        if self.lists[DUE_LIST].first != NO_NODE {
+            return Some(self.elapsed_ms as f64 / MS_PER_SECOND);
         }
-        self.next_slot().map(|(_, _, at)| at as f64 / 1e3)
+        self.next_slot().map(|next| next.begins_at_ms as f64 / MS_PER_SECOND)
     }
 
-    /// One timer that is due by `now`, the earliest first.
+    /// The payload of one timer that is due by `now`, in seconds; the earliest first.
     pub fn fire(&mut self, now: f64) -> Option<T> {
-        let now = (now.max(0.0) * 1e3 + ROUNDING_MS).floor().min(LATEST_TICK as f64) as u64;
+        let now_ms = (now.max(0.0) * MS_PER_SECOND + ROUNDING_MS).floor().min(LATEST_TICK as f64) as u64;
         loop {
-            let first = self.lists[DUE_LIST].0;
+            let first = self.lists[DUE_LIST].first;
             if first != NO_NODE {
                 self.unlink(first);
                 return self.free_node(first);
             }
-            let Some((level, slot, at)) = self.next_slot().filter(|&(.., at)| at <= now) else {
-                self.elapsed_ms = self.elapsed_ms.max(now);
+            let Some(next) = self.next_slot().filter(|next| next.begins_at_ms <= now_ms) else {
+                self.elapsed_ms = self.elapsed_ms.max(now_ms);
                 return None;
             };
-            self.elapsed_ms = self.elapsed_ms.max(at);
-            let list = level * SLOTS_PER_LEVEL as usize + slot;
-            let (mut node, _) = std::mem::replace(&mut self.lists[list], (NO_NODE, NO_NODE));
-            self.occupied[level] &= !(1 << slot);
-            while node != NO_NODE {
-                let next_node = self.nodes[node as usize].next_node;
-                self.link(node);
-                node = next_node;
-            }
+            self.elapsed_ms = self.elapsed_ms.max(next.begins_at_ms);
+            self.empty_slot(next.level, next.slot);
         }
     }
 
-    /// The slot that comes next, its level, and when it begins.
-    fn next_slot(&self) -> Option<(usize, usize, u64)> {
+    /// Moves the timers of a slot whose time has come to lower levels, or to the list of those that are due.
+    fn empty_slot(&mut self, level: usize, slot: usize) {
+        let list = level * SLOTS_PER_LEVEL as usize + slot;
+        let mut node = std::mem::replace(&mut self.lists[list], List::EMPTY).first;
+        self.occupied[level] &= !(1 << slot);
+        while node != NO_NODE {
+            let next = self.nodes[node as usize].next;
+            self.link(node);
+            node = next;
+        }
+    }
+
+    fn next_slot(&self) -> Option<NextSlot> {
         (0..LEVELS).find_map(|level| {
             let occupied = self.occupied[level];
             if occupied == 0 {
                 return None;
             }
             let shift = SLOT_BITS * level as u32;
-            let here = (self.elapsed_ms >> shift) & (SLOTS_PER_LEVEL - 1);
-            let ahead = u64::from(occupied.rotate_right(here as u32).trailing_zeros());
-            let slot = (here + ahead) % SLOTS_PER_LEVEL;
-            let begin = ((self.elapsed_ms >> shift) - here + slot) << shift;
-            // A slot behind us belongs to the next round of its level.
-            let round = if slot < here { SLOTS_PER_LEVEL << shift } else { 0 };
-            Some((level, slot as usize, begin + round))
+            let current = (self.elapsed_ms >> shift) & (SLOTS_PER_LEVEL - 1);
+            let ahead = u64::from(occupied.rotate_right(current as u32).trailing_zeros());
+            let slot = (current + ahead) % SLOTS_PER_LEVEL;
+            let begin = ((self.elapsed_ms >> shift) - current + slot) << shift;
+            // A slot behind the current one belongs to the next round of its level.
+            let round = if slot < current { SLOTS_PER_LEVEL << shift } else { 0 };
+            Some(NextSlot { level, slot: slot as usize, begins_at_ms: begin + round })
         })
     }
 
-    /// Puts a node on the list for its time.
+    /// Puts a node at the end of the list for its time.
     fn link(&mut self, node: u32) {
-        let at = self.nodes[node as usize].at;
-        let list = if at <= self.elapsed_ms {
-            DUE_LIST
-        } else {
-            let differing = (self.elapsed_ms ^ at) | (SLOTS_PER_LEVEL - 1);
-            let level = ((63 - differing.leading_zeros()) / SLOT_BITS) as usize;
-            let slot = ((at >> (SLOT_BITS * level as u32)) & (SLOTS_PER_LEVEL - 1)) as usize;
-            self.occupied[level] |= 1 << slot;
-            level * SLOTS_PER_LEVEL as usize + slot
-        };
-        let (first, last) = self.lists[list];
-        let n = &mut self.nodes[node as usize];
-        (n.list, n.previous_node, n.next_node) = (list, last, NO_NODE);
-        if last == NO_NODE {
-            self.lists[list] = (node, node);
-        } else {
-            self.nodes[last as usize].next_node = node;
-            self.lists[list] = (first, node);
+        let list = self.list_for(self.nodes[node as usize].at_ms);
+        let last = self.lists[list].last;
+        let linked = &mut self.nodes[node as usize];
+        (linked.list, linked.previous, linked.next) = (list, last, NO_NODE);
+        self.lists[list].last = node;
+        match last {
+            NO_NODE => self.lists[list].first = node,
+            last => self.nodes[last as usize].next = node,
+        }
+    }
+
+    /// The list for a time; its slot counts as occupied from here on. The level is that of the highest bits in which
+    /// the time differs from now.
+    fn list_for(&mut self, at_ms: u64) -> usize {
+        if at_ms <= self.elapsed_ms {
+            return DUE_LIST;
         }
+        let differing = (self.elapsed_ms ^ at_ms) | (SLOTS_PER_LEVEL - 1);
+        let level = ((63 - differing.leading_zeros()) / SLOT_BITS) as usize;
+        let slot = ((at_ms >> (SLOT_BITS * level as u32)) & (SLOTS_PER_LEVEL - 1)) as usize;
+        self.occupied[level] |= 1 << slot;
+        level * SLOTS_PER_LEVEL as usize + slot
     }
 
     fn unlink(&mut self, node: u32) {
-        let Node { list, previous_node, next_node, .. } = self.nodes[node as usize];
-        match previous_node {
-            NO_NODE => self.lists[list].0 = next_node,
-            other => self.nodes[other as usize].next_node = next_node,
+        let Node { list, previous, next, .. } = self.nodes[node as usize];
+        match previous {
+            NO_NODE => self.lists[list].first = next,
+            previous => self.nodes[previous as usize].next = next,
         }
-        match next_node {
-            NO_NODE => self.lists[list].1 = previous_node,
-            other => self.nodes[other as usize].previous_node = previous_node,
+        match next {
+            NO_NODE => self.lists[list].last = previous,
+            next => self.nodes[next as usize].previous = previous,
         }
-        if self.lists[list].0 == NO_NODE && list != DUE_LIST {
+        if self.lists[list].first == NO_NODE && list != DUE_LIST {
             self.occupied[list / SLOTS_PER_LEVEL as usize] &= !(1 << (list % SLOTS_PER_LEVEL as usize));
         }
     }
 
+    fn allocate_node(&mut self, at_ms: u64, payload: T) -> u32 {
+        if self.free == NO_NODE {
+            let (previous, next) = (NO_NODE, NO_NODE);
+            let payload = Some(payload);
+            self.nodes.push(Node { at_ms, payload, list: DUE_LIST, previous, next, generation: 0 });
+            return (self.nodes.len() - 1) as u32;
+        }
+        let node = self.free;
+        let reused = &mut self.nodes[node as usize];
+        self.free = reused.next;
+        (reused.at_ms, reused.payload) = (at_ms, Some(payload));
+        node
+    }
+
     fn free_node(&mut self, node: u32) -> Option<T> {
-        let n = &mut self.nodes[node as usize];
-        n.generation = n.generation.wrapping_add(1);
-        n.next_node = self.free;
+        let freed = &mut self.nodes[node as usize];
+        freed.generation = freed.generation.wrapping_add(1);
+        freed.next = self.free;
         self.free = node;
         self.len -= 1;
-        n.payload.take()
+        freed.payload.take()
     }
 }
