--- /dev/null
+++ b/crates/dispatcher/tests/dispatcher/endpoints.rs
@@ -0,0 +1,61 @@
+//! The endpoint list: workers are replaced, move to other addresses, or vanish all at once.
+
+use super::support::*;
+use milletpath_dispatcher::dispatcher::Action;
+use milletpath_policy::host::Outcome;
+use milletpath_protocol::registry::{Entry, Standing};
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// A worker is replaced by another, with a name never seen, all day long: the tables stay as small as the fleet, and
+/// nothing that was known of the one before holds for the one that has its index.
+#[test]
+fn worker_indices_are_reused_when_the_fleet_is_replaced() {
+    let mut dispatcher = dispatcher(Effect::Idempotent, 1);
+    for number in 1..300_u16 {
+        let now = f64::from(number) * 5.0;
+        let added = entry(number, Standing::Ready);
+        dispatcher.update_endpoints(now, false, &[entry(number - 1, Standing::Gone), added.clone()]);
+        let request = submit(&mut dispatcher, now, 2.0);
+        let attempts = take_attempts(&mut dispatcher);
+        let &[sent] = &attempts[..] else { panic!("one attempt at {now}: {attempts:?}") };
+        assert!(sent.worker < 8, "index {} at {now}", sent.worker);
+        assert_eq!(dispatcher.worker_process(sent.worker).address, added.address);
+        assert!(dispatcher.begin_attempt(now, request, sent.attempt));
+        assert!(end(&mut dispatcher, now + 0.1, sent, Outcome::Handled));
+        take_actions(&mut dispatcher);
+    }
+}
+
+/// The same name at another address is another process, which connections to the old address do not reach.
+#[test]
+fn worker_at_a_new_address_is_a_new_process() {
+    let mut dispatcher = dispatcher(Effect::Idempotent, 1);
+    let before = dispatcher.worker_process(0);
+    let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9999));
+    let moved = Entry { address, ..entry(0, Standing::Ready) };
+    dispatcher.update_endpoints(2.0, false, std::slice::from_ref(&moved));
+    let after = dispatcher.worker_process(0);
+    assert_eq!(after.address, address);
+    assert!(after.process > before.process);
+    // The same entry again changes nothing.
+    dispatcher.update_endpoints(3.0, false, &[moved]);
+    assert_eq!(dispatcher.worker_process(0), after);
+}
+
+/// A list without workers: nothing is sent, and requests are rejected while a retry can still be in time.
+#[test]
+fn empty_endpoint_list_rejects_requests() {
+    let mut dispatcher = dispatcher(Effect::Idempotent, 3);
+    dispatcher.update_endpoints(1.0, true, &[]);
+    let submitted_at = 1.5;
+    let request = submit(&mut dispatcher, submitted_at, 3.0);
+    let actions = advance_to(&mut dispatcher, 4.6);
+    let is_answer =
+        |action: &Action| matches!(action, Action::Reject { request: rejected, .. } if *rejected == request);
+    let (answered_at, _) = actions.iter().find(|(_, action)| is_answer(action)).expect("an answer");
+    assert!(*answered_at < submitted_at + 1.0);
+    assert!(actions.iter().all(|(_, action)| !matches!(action, Action::SendAttempt { .. })));
+    dispatcher.update_endpoints(5.0, true, &ready_entries(3));
+    submit(&mut dispatcher, 5.0, 3.0);
+    assert_eq!(take_attempts(&mut dispatcher).len(), 1);
+}
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -1,7 +1,7 @@
-//! Every order in which what can cross around one call may come, played out whole.
+//! Every order of the events that can cross around one request, each played to its end.
 
-use super::{EFFECTS, NO_HEALTH_CHECKS, attempts, dispatcher, entry};
-use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
+use super::support::*;
+use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
 use milletpath_policy::host::Outcome;
 use milletpath_protocol::registry::Standing;
 use std::collections::BTreeMap;
@@ -9,12 +9,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    /// The connection of a shot is made, and its first byte goes.
+    /// The connection of an attempt is made, and its first byte is sent.
     Connected,
     /// The socket took no byte of it after all.
     NotWritten,
     Answer,
-    /// A second copy of that, or what another shot brings.
+    /// A second copy of the answer, or that of another attempt.
     SecondAnswer,
     ConnectionLost,
     ClientGone,
@@ -22,7 +22,7 @@
     Timer,
 }
 
-const ALL: [Event; 8] = [
+const ALL_EVENTS: [Event; 8] = [
     Event::Connected,
     Event::NotWritten,
     Event::Answer,
@@ -33,46 +33,44 @@
     Event::Timer,
 ];
 
-/// What a shell knows of one call, and what must hold of it.
-struct CrossingRun {
+/// An attempt that has not ended.
+#[derive(Clone, Copy)]
+struct InFlight {
+    worker: usize,
+    begun: bool,
+}
+
+/// A dispatcher with one request, what its caller knows of it, and what must hold of it.
+struct Run {
     dispatcher: Dispatcher<u32>,
-    effect: usize,
+    effect: Effect,
     request: RequestId,
     now: f64,
-    /// Its shots: the worker, and whether it was begun, out or over.
-    attempts: BTreeMap<usize, (usize, bool)>,
+    in_flight: BTreeMap<usize, InFlight>,
     answers: usize,
     client_gone: bool,
-    /// Shots that may have run.
+    /// Number of attempts that may have run.
     may_have_run: usize,
     draining_worker: Option<usize>,
 }
 
-impl CrossingRun {
-    fn new(effect: usize) -> Self {
-        let mut dispatcher = dispatcher(EFFECTS[effect], NO_HEALTH_CHECKS, 2);
-        let incoming = IncomingRequest {
-            function: "f",
-            profile: 0,
-            client: 9,
-            timeout: 2.0,
-            is_retry: false,
-            resources: None,
-        };
-        let request = dispatcher.submit(1.0, incoming, 0).expect("there is room");
-        let (attempts, now) = (BTreeMap::new(), 1.0);
+impl Run {
+    fn new(effect: Effect) -> Self {
+        let mut dispatcher = dispatcher(effect, 2);
+        let now = 1.0;
+        let request = submit(&mut dispatcher, now, 2.0);
         let mut run = Self {
             dispatcher,
             effect,
             request,
             now,
-            attempts,
+            in_flight: BTreeMap::new(),
             answers: 0,
             client_gone: false,
             may_have_run: 0,
             draining_worker: None,
         };
-        run.drain_actions(Event::Connected);
+        run.carry_out_actions(Event::Connected);
         run
     }
 
@@ -80,27 +78,30 @@
         self.answers > 0 || self.client_gone
     }
 
-    fn drain_actions(&mut self, event: Event) {
-        let actions: Vec<_> = std::iter::from_fn(|| self.dispatcher.next_action()).collect();
-        for (_, attempt, worker) in attempts(&actions) {
-            assert!(!self.is_over(), "a shot after the end, at {event:?}");
-            assert_ne!(self.draining_worker, Some(worker), "a shot to a worker that drains, at {event:?}");
-            assert!(
-                self.effect != 2 || self.may_have_run == 0,
-                "an effect that may happen twice, at {event:?}"
-            );
-            self.attempts.insert(attempt, (worker, false));
+    /// Whether another execution of the request would be a second effect.
+    fn must_not_run_again(&self) -> bool {
+        self.effect == Effect::NonIdempotent && self.may_have_run > 0
+    }
+
+    fn first_in_flight(&self) -> Option<(usize, InFlight)> {
+        self.in_flight.first_key_value().map(|(attempt, in_flight)| (*attempt, *in_flight))
+    }
+
+    fn carry_out_actions(&mut self, event: Event) {
+        let actions = take_actions(&mut self.dispatcher);
+        for SentAttempt { attempt, worker, .. } in sent_attempts(&actions) {
+            assert!(!self.is_over(), "an attempt after the end, at {event:?}");
+            assert_ne!(self.draining_worker, Some(worker), "an attempt at a draining worker, at {event:?}");
+            assert!(!self.must_not_run_again(), "an effect that may happen twice, at {event:?}");
+            self.in_flight.insert(attempt, InFlight { worker, begun: false });
         }
         for action in actions {
             match action {
                 Action::CancelAttempt { attempt, .. } => {
-                    self.attempts.remove(&attempt);
+                    self.in_flight.remove(&attempt);
                 }
                 Action::Reject { .. } => {
-                    assert!(
-                        self.effect != 2 || self.may_have_run == 0,
-                        "a bounce of what may have run, at {event:?}"
-                    );
+                    assert!(!self.must_not_run_again(), "a rejection of what may have run, at {event:?}");
                     self.answers += 1;
                 }
                 Action::Fail { .. } => self.answers += 1,
@@ -111,81 +112,77 @@
         assert!(!self.client_gone || self.answers == 0, "an answer to nobody, at {event:?}");
     }
 
-    fn end(&mut self, outcome: Outcome) {
-        let Some((&attempt, &(_, sent))) = self.attempts.iter().next() else { return };
-        self.attempts.remove(&attempt);
-        let outcome = if sent { outcome } else { Outcome::Unreached };
-        if self.dispatcher.attempt_ended(
-            self.now,
-            self.request,
-            attempt,
-            AttemptResult::from_outcome(outcome),
-        ) {
+    fn apply(&mut self, event: Event) {
+        self.now += 0.01;
+        match event {
+            Event::Connected => self.connect(),
+            Event::NotWritten => self.fail_to_write(),
+            Event::Answer | Event::SecondAnswer => self.end_first(Outcome::Handled),
+            Event::ConnectionLost => self.end_first(Outcome::Cut),
+            Event::ClientGone => self.leave(),
+            Event::WorkerDrained => self.drain_worker(),
+            Event::Timer => self.advance_to(self.now + 0.3),
+        }
+        self.carry_out_actions(event);
+    }
+
+    fn connect(&mut self) {
+        let Some((attempt, InFlight { worker, begun: false })) = self.first_in_flight() else { return };
+        let begun = self.dispatcher.begin_attempt(self.now, self.request, attempt);
+        if !begun {
+            self.in_flight.remove(&attempt);
+            return;
+        }
+        assert!(!self.is_over(), "an attempt begun after the end");
+        assert_ne!(self.draining_worker, Some(worker), "an attempt begun at a draining worker");
+        self.may_have_run += 1;
+        self.in_flight.insert(attempt, InFlight { worker, begun });
+    }
+
+    fn fail_to_write(&mut self) {
+        let Some((attempt, InFlight { worker, begun: true })) = self.first_in_flight() else { return };
+        self.dispatcher.attempt_not_written(self.now, self.request, attempt);
+        self.in_flight.insert(attempt, InFlight { worker, begun: false });
+        self.may_have_run -= 1;
+    }
+
+    fn end_first(&mut self, outcome: Outcome) {
+        let Some((attempt, InFlight { worker, begun })) = self.first_in_flight() else { return };
+        self.in_flight.remove(&attempt);
+        let outcome = if begun { outcome } else { Outcome::Unreached };
+        let sent = SentAttempt { request: self.request, attempt, worker };
+        if end(&mut self.dispatcher, self.now, sent, outcome) {
             assert!(!self.is_over(), "an answer after the end");
             self.answers += 1;
         }
     }
 
-    fn apply(&mut self, event: Event) {
-        self.now += 0.01;
-        match event {
-            Event::Connected => {
-                if let Some((&attempt, &(worker, false))) = self.attempts.iter().next() {
-                    let sent = self.dispatcher.begin_attempt(self.now, self.request, attempt);
-                    assert!(!(sent && self.is_over()), "a shot begun after the end");
-                    assert!(
-                        !(sent && self.draining_worker == Some(worker)),
-                        "a shot begun to a worker that drains"
-                    );
-                    self.may_have_run += usize::from(sent);
-                    if sent {
-                        self.attempts.insert(attempt, (worker, true));
-                    } else {
-                        self.attempts.remove(&attempt);
-                    }
-                }
-            }
-            Event::NotWritten => {
-                if let Some((&attempt, &(worker, true))) = self.attempts.iter().next() {
-                    self.dispatcher.attempt_not_written(self.now, self.request, attempt);
-                    self.attempts.insert(attempt, (worker, false));
-                    self.may_have_run -= 1;
-                }
-            }
-            Event::Answer | Event::SecondAnswer => self.end(Outcome::Handled),
-            Event::ConnectionLost => self.end(Outcome::Cut),
-            Event::ClientGone => {
-                if !self.is_over() {
-                    self.dispatcher.client_gone(self.now, self.request);
-                    self.client_gone = true;
-                }
-            }
-            Event::WorkerDrained => {
-                self.draining_worker = self.attempts.values().next().map(|&(worker, _)| worker);
-                if let Some(worker) = self.draining_worker {
-                    self.dispatcher.update_endpoints(
-                        self.now,
-                        false,
-                        &[entry(worker as u16, Standing::Draining, None)],
-                    );
-                }
-            }
-            Event::Timer => self.advance_to(self.now + 0.3),
+    fn leave(&mut self) {
+        if !self.is_over() {
+            self.dispatcher.client_gone(self.now, self.request);
+            self.client_gone = true;
+        }
+    }
+
+    fn drain_worker(&mut self) {
+        self.draining_worker = self.first_in_flight().map(|(_, in_flight)| in_flight.worker);
+        if let Some(worker) = self.draining_worker {
+            let draining = entry(worker as u16, Standing::Draining);
+            self.dispatcher.update_endpoints(self.now, false, &[draining]);
         }
-        self.drain_actions(event);
     }
 
     fn advance_to(&mut self, until: f64) {
         while let Some(at) = self.dispatcher.next_deadline().filter(|at| *at <= until) {
             self.now = self.now.max(at) + 0.0001;
             self.dispatcher.advance(self.now);
-            self.drain_actions(Event::Timer);
+            self.carry_out_actions(Event::Timer);
         }
         self.now = self.now.max(until);
     }
 }
 
-/// Calls `visit` with every order of the events.
+/// Calls `visit` with every order of the events from a position on.
 fn for_each_permutation(events: &mut [Event], from: usize, visit: &mut impl FnMut(&[Event])) {
     if from == events.len() {
         return visit(events);
@@ -197,19 +194,19 @@
     }
 }
 
-#[test_case(0; "pure")]
-#[test_case(1; "receipted")]
-#[test_case(2; "effectful")]
-fn every_event_order_ends_in_exactly_one_answer(effect: usize) {
+#[test_case(Effect::Idempotent; "idempotent")]
+#[test_case(Effect::IdempotentWithKey; "idempotent with key")]
+#[test_case(Effect::NonIdempotent; "non idempotent")]
+fn every_event_order_ends_in_exactly_one_answer(effect: Effect) {
     let mut count = 0;
-    for_each_permutation(&mut ALL.to_owned(), 0, &mut |events| {
-        let mut run = CrossingRun::new(effect);
+    for_each_permutation(&mut ALL_EVENTS.to_owned(), 0, &mut |events| {
+        let mut run = Run::new(effect);
         events.iter().for_each(|event| run.apply(*event));
         run.advance_to(8.0);
         assert!(run.is_over(), "no end in {events:?}");
-        assert_eq!(run.dispatcher.open_requests(), 0, "something is left in {events:?}");
-        assert!(run.dispatcher.context(run.request).is_none(), "its place is not free again in {events:?}");
+        assert_eq!(run.dispatcher.open_requests(), 0, "a request is left in {events:?}");
+        assert!(run.dispatcher.context(run.request).is_none(), "its record is not freed in {events:?}");
         count += 1;
     });
-    assert_eq!(count, (1..=ALL.len()).product::<usize>());
+    assert_eq!(count, (1..=ALL_EVENTS.len()).product::<usize>());
 }
--- /dev/null
+++ b/crates/dispatcher/tests/dispatcher/random_histories.rs
@@ -0,0 +1,241 @@
+//! Random histories of many requests, checked against a model of what the caller knows.
+
+use super::support::*;
+use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
+use milletpath_policy::host::Outcome;
+use milletpath_protocol::registry::Standing;
+use proptest::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Seconds by which an answer may be late, as timers fire a millisecond late.
+const TOLERANCE: f64 = 0.002;
+
+/// Seconds after which the longest history has ended.
+const END_OF_HISTORY: f64 = 40.0;
+
+#[derive(Clone, Debug)]
+enum Step {
+    Submit(f64),
+    BeginAttempt(usize),
+    NotWritten(usize),
+    EndAttempt(usize, Outcome),
+    ClientGone(usize),
+    UpdateEndpoints(u16, Standing),
+    Advance(f64),
+    JumpClock(f64),
+}
+
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    use Outcome::*;
+    let outcome =
+        proptest::sample::select(vec![Handled, Handled, Handled, Failed, Full, Unreached, Cut, Missed]);
+    let state =
+        proptest::sample::select(vec![Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]);
+    let step = prop_oneof![
+        4 => (0.0..3.5f64).prop_map(Step::Submit),
+        4 => (0..64usize).prop_map(Step::BeginAttempt),
+        4 => (0..64usize, outcome).prop_map(|(n, o)| Step::EndAttempt(n, o)),
+        1 => (0..64usize).prop_map(Step::ClientGone),
+        1 => (0..9usize).prop_map(Step::NotWritten),
+        1 => (0..4u16, state).prop_map(|(w, s)| Step::UpdateEndpoints(w, s)),
+        4 => (0.0..0.2f64).prop_map(Step::Advance),
+        1 => (0.0..4.0f64).prop_map(Step::JumpClock),
+    ];
+    proptest::collection::vec(step, 1..150)
+}
+
+#[derive(Clone, Copy)]
+struct InFlight {
+    sent: SentAttempt,
+    begun: bool,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Open {
+    request: RequestId,
+    deadline: f64,
+}
+
+/// A dispatcher, and what its caller knows: the invariants are checked on it.
+struct Model {
+    dispatcher: Dispatcher<u32>,
+    effect: Effect,
+    now: f64,
+    /// Requests that are owed an answer, by serial number.
+    open: BTreeMap<u64, Open>,
+    /// Attempts by the request's serial number and their own.
+    in_flight: BTreeMap<(u64, usize), InFlight>,
+    may_have_run: BTreeSet<u64>,
+    worker_states: BTreeMap<u16, Standing>,
+}
+
+impl Model {
+    fn new(effect: Effect) -> Self {
+        Self {
+            dispatcher: dispatcher(effect, 4),
+            effect,
+            now: 1.0,
+            open: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            may_have_run: BTreeSet::new(),
+            worker_states: BTreeMap::new(),
+        }
+    }
+
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::Submit(timeout) => self.submit(timeout),
+            Step::BeginAttempt(n) => self.begin_attempt(n),
+            Step::NotWritten(n) => self.fail_to_write(n),
+            Step::EndAttempt(n, outcome) => self.end_attempt(n, outcome),
+            Step::ClientGone(n) => self.leave(n),
+            Step::UpdateEndpoints(worker, state) => {
+                self.worker_states.insert(worker, state);
+                self.dispatcher.update_endpoints(self.now, false, &[entry(worker, state)]);
+            }
+            Step::Advance(seconds) => self.advance(seconds),
+            Step::JumpClock(seconds) => {
+                self.now += seconds;
+                self.dispatcher.advance(self.now);
+            }
+        }
+        self.carry_out_actions();
+    }
+
+    fn nth_in_flight(&self, n: usize) -> Option<InFlight> {
+        self.in_flight.values().nth(n % self.in_flight.len().max(1)).copied()
+    }
+
+    fn set_in_flight(&mut self, in_flight: InFlight) {
+        let SentAttempt { request, attempt, .. } = in_flight.sent;
+        self.in_flight.insert((request.serial, attempt), in_flight);
+    }
+
+    fn submit(&mut self, timeout: f64) {
+        let request = submit(&mut self.dispatcher, self.now, timeout);
+        self.open.insert(request.serial, Open { request, deadline: self.now + timeout });
+    }
+
+    fn begin_attempt(&mut self, n: usize) {
+        let Some(InFlight { sent, begun: false }) = self.nth_in_flight(n) else { return };
+        if self.dispatcher.begin_attempt(self.now, sent.request, sent.attempt) {
+            self.may_have_run.insert(sent.request.serial);
+            self.set_in_flight(InFlight { sent, begun: true });
+        } else {
+            self.in_flight.remove(&(sent.request.serial, sent.attempt));
+        }
+    }
+
+    fn fail_to_write(&mut self, n: usize) {
+        let Some(InFlight { sent, begun: true }) = self.nth_in_flight(n) else { return };
+        self.dispatcher.attempt_not_written(self.now, sent.request, sent.attempt);
+        self.may_have_run.remove(&sent.request.serial);
+        self.set_in_flight(InFlight { sent, begun: false });
+    }
+
+    fn end_attempt(&mut self, n: usize, outcome: Outcome) {
+        let Some(InFlight { sent, begun }) = self.nth_in_flight(n) else { return };
+        // Before it was written only one end is possible.
+        let outcome = if begun { outcome } else { Outcome::Unreached };
+        let serial = sent.request.serial;
+        if outcome.never_ran() {
+            self.may_have_run.remove(&serial);
+        }
+        self.in_flight.remove(&(serial, sent.attempt));
+        if end(&mut self.dispatcher, self.now, sent, outcome) {
+            assert!(self.now < self.open[&serial].deadline, "an answer after the client gave up");
+            self.answer(sent.request);
+        }
+    }
+
+    fn leave(&mut self, n: usize) {
+        let Some(Open { request, .. }) = self.open.values().nth(n).copied() else { return };
+        self.dispatcher.client_gone(self.now, request);
+        self.open.remove(&request.serial);
+    }
+
+    fn advance(&mut self, seconds: f64) {
+        let end = self.now + seconds;
+        while let Some(at) = self.dispatcher.next_deadline().filter(|at| *at <= end) {
+            self.advance_to(at);
+            for Open { request, deadline } in self.open.values() {
+                assert!(self.now <= deadline + TOLERANCE, "{request:?} is overdue at {}", self.now);
+            }
+        }
+        self.now = self.now.max(end);
+    }
+
+    fn advance_to(&mut self, at: f64) {
+        self.now = at.max(self.now) + 0.0001;
+        self.dispatcher.advance(self.now);
+        self.carry_out_actions();
+    }
+
+    /// Lets what is still in flight end or time out.
+    fn finish(&mut self) {
+        for _ in 0..2000 {
+            let Some(at) = self.dispatcher.next_deadline() else { break };
+            self.advance_to(at);
+            if self.now > END_OF_HISTORY && self.dispatcher.open_requests() == 0 {
+                break;
+            }
+        }
+    }
+
+    /// Whether another execution of the request would be a second effect.
+    fn must_not_run_again(&self, request: RequestId) -> bool {
+        self.effect == Effect::NonIdempotent && self.may_have_run.contains(&request.serial)
+    }
+
+    fn carry_out_actions(&mut self) {
+        while let Some(action) = self.dispatcher.next_action() {
+            match action {
+                Action::SendAttempt { request, attempt, worker } => {
+                    self.check_attempt(request, worker);
+                    self.set_in_flight(InFlight {
+                        sent: SentAttempt { request, attempt, worker },
+                        begun: false,
+                    });
+                }
+                Action::CancelAttempt { request, attempt } => {
+                    self.in_flight.remove(&(request.serial, attempt));
+                }
+                Action::Reject { request, .. } => {
+                    assert!(!self.must_not_run_again(request), "a rejection of what may have run");
+                    self.answer(request);
+                }
+                Action::Fail { request, .. } => self.answer(request),
+                _ => {}
+            }
+        }
+    }
+
+    fn check_attempt(&self, request: RequestId, worker: usize) {
+        assert!(self.open.contains_key(&request.serial), "an attempt for what is over");
+        assert!(!self.must_not_run_again(request), "a second effect");
+        // An index may have passed to another worker; its address tells which.
+        let number = self.dispatcher.worker_process(worker).address.port() - FIRST_PORT;
+        assert_ne!(self.worker_states.get(&number), Some(&Standing::Gone));
+    }
+
+    fn answer(&mut self, request: RequestId) {
+        assert!(self.open.remove(&request.serial).is_some(), "a second answer for {request:?}");
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
+
+    /// Whatever happens, in whatever order: one final answer for each request in the client's time, nothing after it,
+    /// no effect twice, nothing to a worker that is gone; and at the end the dispatcher is empty.
+    #[test]
+    fn random_histories_keep_the_invariants(steps in steps(), effect in 0..3usize) {
+        let mut model = Model::new(Effect::ALL[effect]);
+        for step in steps {
+            model.apply(step);
+        }
+        model.finish();
+        prop_assert!(model.open.is_empty(), "{:?} never ended", model.open);
+        prop_assert_eq!(model.dispatcher.open_requests(), 0);
+    }
+}
