--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -1,8 +1,8 @@
-//! What the decisions cost in the gateway: the desk alone, without sockets, in simulated time. 30 workers and 60
-//! functions, then 300 workers and 10,000 functions by Zipf; 760 and 7,600 calls a second; one gateway of one, or of
-//! 60 that share the workers.
+//! What the dispatcher costs in the gateway, alone, without sockets, in simulated time. 30 workers and 60 functions, then
+//! 300 workers and 10,000 functions whose popularity is by Zipf; 760 and 7,600 requests a second; one gateway alone, or
+//! one of 60 that share the workers.
 //!
-//! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds an activation, all its events together.
+//! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds a request, all its events together.
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::host::{Outcome, Report};
@@ -14,148 +14,205 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-/// Seconds of a simulated run; the first part, in which instances get known, is not counted.
+/// Seconds of a simulated run; the first part, in which instances get known, is not measured.
 const SECONDS: f64 = 20.0;
-const UNCOUNTED: f64 = 5.0;
+const WARM_UP_SECONDS: f64 = 5.0;
 
-enum Next {
+/// Seconds that a worker takes at least, and what is added to them on average.
+const MIN_WORK: f64 = 0.01;
+const MEAN_WORK: f64 = 0.05;
+
+#[derive(Clone, Copy)]
+struct Workload {
+    workers: usize,
+    functions: usize,
+    requests_per_second: f64,
+    gateways: usize,
+}
+
+#[derive(Clone, Copy)]
+enum Event {
     Submit,
-    Ended(RequestId, usize, usize),
-    LoadRequestEnded(RequestId, u8),
-    HealthCheckEnded(usize, u64),
+    AttemptEnded { request: RequestId, attempt: usize, worker: usize },
+    LoadRequestEnded { load_request: RequestId, instances: u8 },
+    HealthCheckEnded { worker: usize, serial: u64 },
 }
 
-fn run(workers: usize, functions: usize, rate: f64, gateways: usize) -> (f64, f64) {
-    let text = format!(
-        "seed = 7\ngateways = {gateways}\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{\n  lanes = 2\n  \
-         load = 0.4\n}}\nworkers {{ registry = \"127.0.0.1:1\" }}\n"
-    );
-    let config = milletpath_config::read(&text).expect("a sound charter");
-    let mut dispatcher: Dispatcher<()> = Dispatcher::new(&config, 0.0);
-    let entry = |n: usize| Entry {
-        name: format!("w{n}"),
-        address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + n as u16)),
-        started: None,
-        size: 1.0,
-        kind: String::new(),
-        zone: "z".into(),
-        cell: String::new(),
-        state: Standing::Ready,
-    };
-    dispatcher.update_endpoints(0.0, true, &(0..workers).map(entry).collect::<Vec<_>>());
-    let mut chance = ChaCha8Rng::seed_from_u64(1);
-    let zipf = Zipf::new(functions as f64, 1.1).expect("a popularity");
-    let (gap, work) = (Exp::new(rate).expect("a rate"), Exp::new(20.0).expect("a time"));
-    let names: Vec<String> = (0..=functions).map(|n| format!("pack-{n}")).collect();
-    let mut queue: BTreeMap<(u64, u64), Next> = BTreeMap::new();
-    let mut number = 0;
-    let mut put = |queue: &mut BTreeMap<(u64, u64), Next>, at: f64, next: Next| {
-        number += 1;
-        queue.insert(((at * 1e6) as u64, number), next);
-    };
-    put(&mut queue, 0.0, Next::Submit);
-    let (mut spent, mut calls, mut held) = (0.0, 0u64, vec![0i64; workers]);
-    let report =
-        |held: i64| Report { held: Some(held as f64), busy: Some(held as f64 / 8.0), ..Report::default() };
-    while let Some(((at, _), next)) = queue.pop_first() {
-        let now = at as f64 / 1e6;
-        if now > SECONDS {
-            break;
-        }
-        let began = Instant::now();
-        while dispatcher.next_deadline().is_some_and(|due| due <= now) {
-            dispatcher.advance(now);
-        }
-        match next {
-            Next::Submit => {
-                let function = &names[zipf.sample(&mut chance) as usize];
-                dispatcher.submit(
-                    now,
-                    IncomingRequest {
-                        function,
-                        profile: 0,
-                        client: 9,
-                        timeout: 3.0,
-                        is_retry: false,
-                        resources: None,
-                    },
-                    (),
-                );
+struct Measurement {
+    micros_per_request: f64,
+    succeeded: f64,
+}
+
+struct Simulation {
+    dispatcher: Dispatcher<()>,
+    random: ChaCha8Rng,
+    popularity: Zipf<f64>,
+    interval: Exp<f64>,
+    work: Exp<f64>,
+    functions: Vec<String>,
+    /// Events by microsecond and serial number.
+    queue: BTreeMap<(u64, u64), Event>,
+    next_serial: u64,
+    /// Attempts in flight at each worker.
+    in_flight: Vec<i64>,
+}
+
+impl Simulation {
+    fn new(workload: Workload) -> Self {
+        let Workload { workers, functions, requests_per_second, gateways } = workload;
+        let text = format!(
+            "seed = 7\ngateways = {gateways}\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{\n  lanes = 2\n  \
+             load = 0.4\n}}\nworkers {{ registry = \"127.0.0.1:1\" }}\n"
+        );
+        let config = milletpath_config::read(&text).expect("a valid configuration");
+        let mut dispatcher = Dispatcher::new(&config, 0.0);
+        dispatcher.update_endpoints(0.0, true, &(0..workers).map(entry).collect::<Vec<_>>());
+        let mut simulation = Self {
+            dispatcher,
+            random: ChaCha8Rng::seed_from_u64(1),
+            popularity: Zipf::new(functions as f64, 1.1).expect("a valid distribution"),
+            interval: Exp::new(requests_per_second).expect("a valid distribution"),
+            work: Exp::new(1.0 / MEAN_WORK).expect("a valid distribution"),
+            functions: (0..=functions).map(|n| format!("pack-{n}")).collect(),
+            queue: BTreeMap::new(),
+            next_serial: 0,
+            in_flight: vec![0; workers],
+        };
+        simulation.schedule(0.0, Event::Submit);
+        simulation
+    }
+
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.next_serial += 1;
+        self.queue.insert(((at * 1e6) as u64, self.next_serial), event);
+    }
+
+    fn run(mut self) -> Measurement {
+        let (mut spent, mut requests) = (0.0, 0u64);
+        while let Some(((at, _), event)) = self.queue.pop_first() {
+            let now = at as f64 / 1e6;
+            if now > SECONDS {
+                break;
             }
-            Next::Ended(request, attempt, worker) => {
-                held[worker] -= 1;
-                let end = AttemptResult {
-                    report: Some(report(held[worker])),
-                    ..AttemptResult::from_outcome(Outcome::Handled)
-                };
-                dispatcher.attempt_ended(now, request, attempt, end);
+            let is_request = matches!(event, Event::Submit);
+            let started = Instant::now();
+            let actions = self.dispatch(now, event);
+            if now > WARM_UP_SECONDS {
+                spent += started.elapsed().as_secs_f64();
+                requests += u64::from(is_request);
             }
-            Next::LoadRequestEnded(load_request, instances) => {
-                dispatcher.load_request_ended(now, load_request, Outcome::Handled, instances)
+            if is_request {
+                let interval = self.interval.sample(&mut self.random);
+                self.schedule(now + interval, Event::Submit);
             }
-            Next::HealthCheckEnded(worker, serial) => {
-                dispatcher.health_check_ended(
-                    now,
-                    worker,
-                    serial,
-                    Outcome::Handled,
-                    Some(report(held[worker])),
-                );
+            for action in actions {
+                self.carry_out(now, action);
             }
         }
+        let counters = self.dispatcher.counters();
+        Measurement {
+            micros_per_request: spent * 1e6 / requests.max(1) as f64,
+            succeeded: counters.succeeded as f64 / counters.accepted.max(1) as f64,
+        }
+    }
+
+    /// What is measured: all calls of the dispatcher for one event.
+    fn dispatch(&mut self, now: f64, event: Event) -> Vec<Action> {
+        while self.dispatcher.next_deadline().is_some_and(|at| at <= now) {
+            self.dispatcher.advance(now);
+        }
+        self.report(now, event);
         let mut actions = Vec::new();
-        while let Some(action) = dispatcher.next_action() {
+        while let Some(action) = self.dispatcher.next_action() {
             if let Action::SendAttempt { request, attempt, .. } = action {
-                dispatcher.begin_attempt(now, request, attempt);
+                self.dispatcher.begin_attempt(now, request, attempt);
             }
             actions.push(action);
         }
-        if now > UNCOUNTED {
-            spent += began.elapsed().as_secs_f64();
-            calls += u64::from(matches!(next, Next::Submit));
-        }
-        if matches!(next, Next::Submit) {
-            put(&mut queue, now + gap.sample(&mut chance), Next::Submit);
+        actions
+    }
+
+    fn report(&mut self, now: f64, event: Event) {
+        match event {
+            Event::Submit => {
+                let function = &self.functions[self.popularity.sample(&mut self.random) as usize];
+                let incoming = IncomingRequest {
+                    function,
+                    profile: 0,
+                    client: 9,
+                    timeout: 3.0,
+                    is_retry: false,
+                    resources: None,
+                };
+                self.dispatcher.submit(now, incoming, ());
+            }
+            Event::AttemptEnded { request, attempt, worker } => {
+                self.in_flight[worker] -= 1;
+                let report = Some(self.load(worker));
+                let result = AttemptResult { report, ..AttemptResult::from_outcome(Outcome::Handled) };
+                self.dispatcher.attempt_ended(now, request, attempt, result);
+            }
+            Event::LoadRequestEnded { load_request, instances } => {
+                self.dispatcher.load_request_ended(now, load_request, Outcome::Handled, instances);
+            }
+            Event::HealthCheckEnded { worker, serial } => {
+                let report = Some(self.load(worker));
+                self.dispatcher.health_check_ended(now, worker, serial, Outcome::Handled, report);
+            }
         }
-        for action in actions {
-            match action {
-                Action::SendAttempt { request, attempt, worker } => {
-                    held[worker] += 1;
-                    put(
-                        &mut queue,
-                        now + 0.01 + work.sample(&mut chance),
-                        Next::Ended(request, attempt, worker),
-                    );
-                }
-                Action::LoadFunction { load_request, instances, .. } => {
-                    let takes = chance.random_range(0.2..0.6);
-                    put(&mut queue, now + takes, Next::LoadRequestEnded(load_request, instances));
-                }
-                Action::HealthCheck { worker, serial } => {
-                    put(&mut queue, now + 0.001, Next::HealthCheckEnded(worker, serial))
-                }
-                _ => {}
+    }
+
+    /// The load that a worker reports.
+    fn load(&self, worker: usize) -> Report {
+        let in_flight = self.in_flight[worker] as f64;
+        Report { held: Some(in_flight), busy: Some(in_flight / 8.0), ..Report::default() }
+    }
+
+    fn carry_out(&mut self, now: f64, action: Action) {
+        match action {
+            Action::SendAttempt { request, attempt, worker } => {
+                self.in_flight[worker] += 1;
+                let work = MIN_WORK + self.work.sample(&mut self.random);
+                self.schedule(now + work, Event::AttemptEnded { request, attempt, worker });
+            }
+            Action::LoadFunction { load_request, instances, .. } => {
+                let load_time = self.random.random_range(0.2..0.6);
+                self.schedule(now + load_time, Event::LoadRequestEnded { load_request, instances });
+            }
+            Action::HealthCheck { worker, serial } => {
+                self.schedule(now + 0.001, Event::HealthCheckEnded { worker, serial });
             }
+            _ => {}
         }
     }
-    (
-        spent * 1e6 / calls.max(1) as f64,
-        dispatcher.counters().succeeded as f64 / dispatcher.counters().accepted.max(1) as f64,
-    )
+}
+
+fn entry(number: usize) -> Entry {
+    Entry {
+        name: format!("w{number}"),
+        address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + number as u16)),
+        started: None,
+        size: 1.0,
+        kind: String::new(),
+        zone: "z".into(),
+        cell: String::new(),
+        state: Standing::Ready,
+    }
 }
 
 fn main() {
-    for (workers, functions, rate, gateways) in [
+    for (workers, functions, requests_per_second, gateways) in [
         (30, 60, 760.0, 1),
         (30, 60, 760.0, 60),
         (300, 10_000, 760.0, 1),
         (300, 10_000, 760.0, 60),
         (300, 10_000, 7600.0, 1),
     ] {
-        let (micros, handled) = run(workers, functions, rate, gateways);
+        let workload = Workload { workers, functions, requests_per_second, gateways };
+        let Measurement { micros_per_request, succeeded } = Simulation::new(workload).run();
         println!(
-            "{workers} workers, {functions} functions, {rate} calls/s, one of {gateways}: {micros:.1} us an activation \
-             ({handled:.3} handled)"
+            "{workers} workers, {functions} functions, {requests_per_second} requests/s, one of {gateways}: \
+             {micros_per_request:.1} us a request ({succeeded:.3} succeeded)"
         );
     }
 }
--- a/crates/dispatcher/benches/timers.rs
+++ b/crates/dispatcher/benches/timers.rs
@@ -1,5 +1,7 @@
-//! Timers as the gateway uses them, 100,000 set at a time: each turn sets some, calls most off, lets some fire.
-//! The wheel against a binary heap that skips what was called off, interleaved in one run.
+//! Timers as the gateway uses them, 100,000 set at a time: each round sets some, cancels most, lets some fire. The wheel
+//! against a binary heap that skips what was cancelled, interleaved in one run.
+//!
+//! `cargo bench -p milletpath-dispatcher --bench timers` prints nanoseconds a round.
 
 use milletpath_dispatcher::timer_wheel::TimerWheel;
 use std::cmp::Reverse;
@@ -9,31 +11,36 @@
 
 const SET: usize = 100_000;
 const ROUNDS: usize = 2_000_000;
-/// Of a hundred timers, those called off: nearly all calls end before their cut-off.
+/// Timers that are cancelled: nearly all requests end before their deadline.
 const CANCELLED_PERCENT: u64 = 95;
 
-/// A plain sequence of chance, the same for both.
-fn chance(state: &mut u64) -> u64 {
+/// A pseudo-random sequence (xorshift), the same for both.
+fn random(state: &mut u64) -> u64 {
     *state ^= *state << 13;
     *state ^= *state >> 7;
     *state ^= *state << 17;
     *state
 }
 
+/// A timeout of up to three seconds.
+fn timeout(seed: &mut u64) -> f64 {
+    (random(seed) % 3000) as f64 / 1e3
+}
+
 fn wheel() -> f64 {
     let (mut seed, mut now) = (7, 0.0);
     let mut wheel = TimerWheel::default();
-    let mut keys: Vec<_> = (0..SET).map(|n| wheel.set((chance(&mut seed) % 3000) as f64 / 1e3, n)).collect();
+    let mut keys: Vec<_> = (0..SET).map(|n| wheel.set(timeout(&mut seed), n)).collect();
     let began = Instant::now();
     for round in 0..ROUNDS {
         now += 3.0 / SET as f64;
         while let Some(n) = wheel.fire(now) {
-            keys[n] = wheel.set(now + (chance(&mut seed) % 3000) as f64 / 1e3, n);
+            keys[n] = wheel.set(now + timeout(&mut seed), n);
         }
-        if chance(&mut seed) % 100 < CANCELLED_PERCENT {
+        if random(&mut seed) % 100 < CANCELLED_PERCENT {
             let n = round % SET;
             if wheel.cancel(keys[n]).is_some() {
-                keys[n] = wheel.set(now + (chance(&mut seed) % 3000) as f64 / 1e3, n);
+                keys[n] = wheel.set(now + timeout(&mut seed), n);
             }
         }
     }
@@ -44,28 +51,27 @@
 fn heap() -> f64 {
     let (mut seed, mut now) = (7, 0.0f64);
     let mut heap = BinaryHeap::new();
-    let mut off: HashSet<u64> = HashSet::new();
-    let mut next_due = 0u64;
+    let mut cancelled: HashSet<u64> = HashSet::new();
+    let mut next_serial = 0u64;
     let mut set = |heap: &mut BinaryHeap<_>, at: f64, n: usize| {
-        next_due += 1;
-        heap.push(Reverse(((at * 1e6) as u64, next_due, n)));
-        next_due
+        next_serial += 1;
+        heap.push(Reverse(((at * 1e6) as u64, next_serial, n)));
+        next_serial
     };
-    let mut keys: Vec<_> =
-        (0..SET).map(|n| set(&mut heap, (chance(&mut seed) % 3000) as f64 / 1e3, n)).collect();
+    let mut keys: Vec<_> = (0..SET).map(|n| set(&mut heap, timeout(&mut seed), n)).collect();
     let began = Instant::now();
     for round in 0..ROUNDS {
         now += 3.0 / SET as f64;
         while heap.peek().is_some_and(|Reverse((at, ..))| *at <= (now * 1e6) as u64) {
             let Some(Reverse((_, key, n))) = heap.pop() else { break };
-            if !off.remove(&key) {
-                keys[n] = set(&mut heap, now + (chance(&mut seed) % 3000) as f64 / 1e3, n);
+            if !cancelled.remove(&key) {
+                keys[n] = set(&mut heap, now + timeout(&mut seed), n);
             }
         }
-        if chance(&mut seed) % 100 < CANCELLED_PERCENT {
+        if random(&mut seed) % 100 < CANCELLED_PERCENT {
             let n = round % SET;
-            off.insert(keys[n]);
-            keys[n] = set(&mut heap, now + (chance(&mut seed) % 3000) as f64 / 1e3, n);
+            cancelled.insert(keys[n]);
+            keys[n] = set(&mut heap, now + timeout(&mut seed), n);
         }
     }
     black_box(heap.len());
@@ -73,14 +79,14 @@
 }
 
 fn main() {
-    // Cargo runs benches as tests too: one short look is enough there.
+    // Cargo runs benches as tests too: nothing is measured there.
     let rounds = if std::env::args().any(|a| a == "--bench") { 5 } else { 0 };
     let mut ratios = Vec::new();
     for _ in 0..rounds {
         let (wheel, heap) = (wheel(), heap());
         let ns = |seconds: f64| seconds * 1e9 / ROUNDS as f64;
         println!(
-            "wheel {:.0} ns a turn, heap {:.0} ns, heap / wheel {:.2}",
+            "wheel {:.0} ns a round, heap {:.0} ns, heap / wheel {:.2}",
             ns(wheel),
             ns(heap),
             heap / wheel
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -1,24 +1,26 @@
-//! Start times of workers while wall clocks are stepped: ours, those of the workers, or both as on one machine.
+//! Start times of workers while wall clocks are stepped: the gateway's, those of the workers, or both where they share a
+//! machine.
 
 use super::*;
 use test_case::test_case;
 
 /// The Unix time at which the monotonic clock of these tests begins.
-const UNIX_EPOCH_OFFSET: f64 = 1.7e9;
-/// Seconds that pass between a start and its news.
+const UNIX_TIME: f64 = 1.7e9;
+/// Seconds between the start of a process and its report.
 const REPORT_DELAY: f64 = 0.1;
+/// Seconds by which a clock is stepped.
 const STEPS: [f64; 4] = [3.0, -3.0, 3600.0, -3600.0];
 
 /// Which clocks a step moves.
 #[derive(Clone, Copy, PartialEq)]
 enum Stepped {
-    Ours,
-    Theirs,
+    Gateway,
+    Worker,
     Both,
 }
 
 fn table() -> WorkerTable {
-    WorkerTable::new(&[], 5, StartTimes::new(UNIX_EPOCH_OFFSET), 0, 10.0)
+    WorkerTable::new(&[], 5, StartTimes::new(UNIX_TIME), 0, 10.0)
 }
 
 fn entry(name: &str, started: Option<f64>) -> Entry {
@@ -34,54 +36,56 @@
     }
 }
 
-/// Takes one line of news, as the decisions hear it: when that worker started.
+/// Takes a list of one entry; gives the start time that the router is told.
 fn update(table: &mut WorkerTable, now: f64, whole: bool, entry: Entry) -> Option<f64> {
     let mut listings = Vec::new();
     table.update(now, whole, &[entry], |listing| listings.push(listing));
     listings[0].started
 }
 
-/// A worker joins right after a step: the news can't be older than the last confirmation of the list, whatever the
-/// clocks say. It counted as an hour old, or as one of the future that stays cold for an hour.
-#[test_case(Stepped::Ours; "our clock")]
-#[test_case(Stepped::Theirs; "its clock")]
+/// A worker joins right after a step: its report can't be older than the last confirmation of the list, whatever the
+/// clocks say. By its stamp it would be an hour old, or start an hour from now.
+#[test_case(Stepped::Gateway; "the gateway's clock")]
+#[test_case(Stepped::Worker; "the worker's clock")]
 #[test_case(Stepped::Both; "one clock of both")]
 fn joining_worker_is_no_older_than_the_last_confirmed_list(stepped: Stepped) {
     for step in STEPS {
         let mut table = table();
         update(&mut table, 0.0, true, entry("early", None));
-        table.start_times.wall_clock_read(20.0, UNIX_EPOCH_OFFSET + 20.0);
+        table.start_times.wall_clock_read(20.0, UNIX_TIME + 20.0);
         table.start_times.list_confirmed(20.0);
         let now = 20.5;
-        let ours = if stepped == Stepped::Theirs { 0.0 } else { step };
-        let theirs = if stepped == Stepped::Ours { 0.0 } else { step };
-        table.start_times.wall_clock_read(now, UNIX_EPOCH_OFFSET + now + ours);
-        let stamp = UNIX_EPOCH_OFFSET + now - REPORT_DELAY + theirs;
+        let gateway_step = if stepped == Stepped::Worker { 0.0 } else { step };
+        let worker_step = if stepped == Stepped::Gateway { 0.0 } else { step };
+        table.start_times.wall_clock_read(now, UNIX_TIME + now + gateway_step);
+        let stamp = UNIX_TIME + now - REPORT_DELAY + worker_step;
         let started = update(&mut table, now, false, entry("joins", Some(stamp))).expect("a start");
-        assert!((now - 0.6..=now).contains(&started), "step {step}: started at {started:.1}, news at {now}");
+        assert!(
+            (now - 0.6..=now).contains(&started),
+            "step {step}: started at {started:.1}, reported at {now}"
+        );
     }
 }
 
-/// A process begins anew under its name while a clock is stepped: another one, started after its predecessor. One whose
-/// stamp was earlier than its predecessor's was taken for the old, warm one.
-#[test_case(Stepped::Ours; "our clock")]
-#[test_case(Stepped::Theirs; "its clock")]
+/// A process is restarted under its name while a clock is stepped: it is another one that started after its predecessor,
+/// also where its stamp is earlier than the predecessor's.
+#[test_case(Stepped::Gateway; "the gateway's clock")]
+#[test_case(Stepped::Worker; "the worker's clock")]
 #[test_case(Stepped::Both; "one clock of both")]
 fn restarted_worker_is_a_new_process(stepped: Stepped) {
     for step in STEPS {
         let mut table = table();
-        let before =
-            update(&mut table, 20.0, true, entry("w", Some(UNIX_EPOCH_OFFSET + 20.0 - REPORT_DELAY)))
-                .expect("a start");
+        let before = update(&mut table, 20.0, true, entry("w", Some(UNIX_TIME + 20.0 - REPORT_DELAY)))
+            .expect("a start");
         let process = table.process(0).process;
         table.start_times.list_confirmed(22.0);
         let now = 22.5;
-        let ours = if stepped == Stepped::Theirs { 0.0 } else { step };
-        let theirs = if stepped == Stepped::Ours { 0.0 } else { step };
-        table.start_times.wall_clock_read(now, UNIX_EPOCH_OFFSET + now + ours);
-        let stamp = UNIX_EPOCH_OFFSET + now - REPORT_DELAY + theirs;
+        let gateway_step = if stepped == Stepped::Worker { 0.0 } else { step };
+        let worker_step = if stepped == Stepped::Gateway { 0.0 } else { step };
+        table.start_times.wall_clock_read(now, UNIX_TIME + now + gateway_step);
+        let stamp = UNIX_TIME + now - REPORT_DELAY + worker_step;
         let started = update(&mut table, now, false, entry("w", Some(stamp))).expect("a start");
-        assert!(table.process(0).process > process, "step {step}: taken for the process before it");
+        assert!(table.process(0).process > process, "step {step}: taken for its predecessor");
         assert!(
             started > before && (now - 0.6..=now).contains(&started),
             "step {step}: started at {started:.1}"
@@ -89,26 +93,26 @@
     }
 }
 
-/// A whole list that repeats a stamp tells of the same process, though the clock was stepped since.
+/// A whole list that repeats a stamp names the same process, though the clock was stepped since.
 #[test]
 fn repeated_start_stamp_is_the_same_process() {
     for step in STEPS {
         let mut table = table();
-        let stamp = Some(UNIX_EPOCH_OFFSET + 9.9);
+        let stamp = Some(UNIX_TIME + 9.9);
         let started = update(&mut table, 10.0, true, entry("w", stamp));
         let process = table.process(0).process;
-        table.start_times.wall_clock_read(30.0, UNIX_EPOCH_OFFSET + 30.0 + step);
+        table.start_times.wall_clock_read(30.0, UNIX_TIME + 30.0 + step);
         for whole in [true, false] {
             assert_eq!(update(&mut table, 30.0, whole, entry("w", stamp)), started);
             assert_eq!(update(&mut table, 31.0, whole, entry("w", stamp.map(|at| at + 0.0005))), started);
-            // A line without a stamp says nothing of the process.
+            // An entry without a stamp says nothing of the process.
             assert_eq!(update(&mut table, 32.0, whole, entry("w", None)), started);
         }
         assert_eq!(table.process(0).process, process);
     }
 }
 
-/// Without a stamp a worker started early, also where it is first reported by news.
+/// A worker without a stamp counts as started long ago, also where it joins while the list is followed.
 #[test]
 fn worker_without_a_stamp_has_no_start_time() {
     let mut table = table();
@@ -117,55 +121,52 @@
     assert_eq!(update(&mut table, 20.5, false, entry("joins", None)), None);
 }
 
-/// What nothing contradicts is believed: a list that was known before the start, and news of an outage.
+/// A stamp counts where nothing contradicts it: in the first list, and for what joined during an outage.
 #[test]
 fn uncontradicted_stamp_is_taken_as_start_time() {
     let mut table = table();
-    let started =
-        update(&mut table, 0.0, true, entry("known", Some(UNIX_EPOCH_OFFSET - 60.0))).expect("a start");
+    let started = update(&mut table, 0.0, true, entry("known", Some(UNIX_TIME - 60.0))).expect("a start");
     assert!((started + 60.0).abs() < 1e-3, "{started}");
     table.start_times.list_confirmed(20.0);
-    // The list was not heard for ten seconds; eight seconds ago a worker joined.
-    let started =
-        update(&mut table, 30.0, true, entry("joined", Some(UNIX_EPOCH_OFFSET + 22.0))).expect("a start");
+    // The list was not followed for ten seconds; eight seconds ago a worker joined.
+    let started = update(&mut table, 30.0, true, entry("joined", Some(UNIX_TIME + 22.0))).expect("a start");
     assert!((started - 22.0).abs() < 1e-3, "{started}");
 }
 
-/// The same outage with a step forward amid it: the reading before the step places the stamp as if there were none.
+/// The same outage with a step forward during it: the reading before the step places the stamp as if there were none.
 #[test_case(3.0)]
 #[test_case(3600.0)]
 fn forward_clock_step_during_an_outage_ages_no_worker(step: f64) {
     let mut table = table();
     update(&mut table, 0.0, true, entry("early", None));
     table.start_times.list_confirmed(20.0);
-    table.start_times.wall_clock_read(30.0, UNIX_EPOCH_OFFSET + 30.0 + step);
-    let started =
-        update(&mut table, 30.0, false, entry("joined", Some(UNIX_EPOCH_OFFSET + 29.0))).expect("a start");
+    table.start_times.wall_clock_read(30.0, UNIX_TIME + 30.0 + step);
+    let started = update(&mut table, 30.0, false, entry("joined", Some(UNIX_TIME + 29.0))).expect("a start");
     assert!((started - 29.0).abs() < 1e-3, "{started}");
 }
 
-/// Where the decisions broke, their successor knows the processes that were listed, and believes no step since.
+/// The table after a restart knows the processes that were listed, and no step since then moves their start times.
 #[test_case(3600.0)]
 #[test_case(-3600.0)]
 fn successor_table_keeps_start_times(step: f64) {
     let mut table = table();
     update(&mut table, 0.0, true, entry("early", None));
     table.start_times.list_confirmed(20.0);
-    let stamp = Some(UNIX_EPOCH_OFFSET + 20.4 + step);
+    let stamp = Some(UNIX_TIME + 20.4 + step);
     let started = update(&mut table, 20.5, false, entry("joins", stamp));
-    table.start_times.wall_clock_read(25.0, UNIX_EPOCH_OFFSET + 25.0 + step);
+    table.start_times.wall_clock_read(25.0, UNIX_TIME + 25.0 + step);
     let mut successor = table.successor(5);
     assert_eq!(update(&mut successor, 25.0, true, entry("joins", stamp)), started);
     assert!(successor.process(0).process > table.process(0).process);
 }
 
-/// A worker is off the list for so long that its name is forgotten, as when discovery lost sight of it: the same stamp is
-/// the same process, another stamp is another. Taken for new, a fleet that came back would be cold as a whole.
+/// A worker is off the list for so long that its name is forgotten, as in a long outage of discovery: the same stamp is the
+/// same process, another stamp is another. Otherwise a whole fleet that came back would be in slow start.
 #[test]
 fn forgotten_worker_keeps_its_start_time() {
-    for (stamp, same) in [(UNIX_EPOCH_OFFSET + 9.9, true), (UNIX_EPOCH_OFFSET + 9.9 - 3600.0, false)] {
+    for (stamp, same) in [(UNIX_TIME + 9.9, true), (UNIX_TIME + 9.9 - 3600.0, false)] {
         let mut table = table();
-        let started = update(&mut table, 10.0, true, entry("w", Some(UNIX_EPOCH_OFFSET + 9.9)));
+        let started = update(&mut table, 10.0, true, entry("w", Some(UNIX_TIME + 9.9)));
         update(&mut table, 20.0, true, entry("other", None));
         update(&mut table, 40.0, true, entry("other", None));
         assert!(table.names.get("w").is_none());
--- a/crates/dispatcher/tests/timer_wheel.rs
+++ b/crates/dispatcher/tests/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! The wheel of timers against a plain sorted list.
+//! The timer wheel against a plain sorted list.
 
 use milletpath_dispatcher::timer_wheel::{TimerKey, TimerWheel};
 use proptest::prelude::*;
@@ -21,33 +21,34 @@
 }
 
 proptest! {
-    /// Every timer fires once, never early, in order, within a millisecond of its time, unless called off.
+    /// Every timer fires once, never early, in order, within a millisecond of its time, unless cancelled.
     #[test]
     fn timers_fire_as_in_a_sorted_list(steps in steps()) {
         let mut wheel = TimerWheel::default();
-        let mut plain: Vec<(u64, usize)> = Vec::new();
+        // Tick and number of each timer that is set.
+        let mut sorted: Vec<(u64, usize)> = Vec::new();
         let mut keys: Vec<TimerKey> = Vec::new();
         let mut now = 0.0f64;
         for step in steps {
             match step {
                 Step::Set(after) => {
                     let at = now + after;
-                    plain.push(((at * 1e3).ceil() as u64, keys.len()));
+                    sorted.push(((at * 1e3).ceil() as u64, keys.len()));
                     keys.push(wheel.set(at, keys.len()));
                 }
                 Step::Cancel(n) if !keys.is_empty() => {
                     let n = n % keys.len();
-                    let known = plain.iter().position(|&(_, id)| id == n);
+                    let known = sorted.iter().position(|&(_, id)| id == n);
                     prop_assert_eq!(wheel.cancel(keys[n]), known.map(|_| n));
-                    known.map(|at| plain.remove(at));
+                    known.map(|at| sorted.remove(at));
                 }
                 Step::Cancel(_) => {}
                 Step::Advance(seconds) => {
                     now += seconds;
                     let tick = (now * 1e3).floor() as u64;
-                    let mut due: Vec<_> = plain.iter().copied().filter(|&(at, _)| at <= tick).collect();
+                    let mut due: Vec<_> = sorted.iter().copied().filter(|&(at, _)| at <= tick).collect();
                     due.sort_unstable();
-                    plain.retain(|&(at, _)| at > tick);
+                    sorted.retain(|&(at, _)| at > tick);
                     if let (Some(next_due), Some(&(at, _))) = (wheel.next_due(), due.first()) {
                         prop_assert!(next_due <= at as f64 / 1e3);
                     }
@@ -61,12 +62,12 @@
                     prop_assert_eq!(fired, ids);
                 }
             }
-            prop_assert_eq!(wheel.len(), plain.len());
+            prop_assert_eq!(wheel.len(), sorted.len());
         }
     }
 }
 
-/// A ticket kept too long would call off another's timer.
+/// A key that is kept after its timer fired does not cancel the timer that uses its node next.
 #[test]
 fn stale_key_cancels_nothing() {
     let mut wheel = TimerWheel::default();
@@ -77,7 +78,7 @@
     assert_eq!(wheel.fire(4.0), Some('b'));
 }
 
-/// A turn taken at the very time that `next_due` tells always gets further, however that time is rounded.
+/// Firing at the very time that `next_due` gives makes progress, however that time is rounded.
 #[test]
 fn advancing_to_the_next_due_time_makes_progress() {
     let mut wheel = TimerWheel::default();
@@ -86,11 +87,11 @@
     });
     let mut fired = 0;
     while let Some(at) = wheel.next_due() {
-        let previous = fired;
+        let fired_before = fired;
         while wheel.fire(at).is_some() {
             fired += 1;
         }
-        assert!(fired > previous || wheel.next_due().is_none_or(|next_due| next_due > at), "stuck at {at}");
+        assert!(fired > fired_before || wheel.next_due().is_none_or(|next| next > at), "stuck at {at}");
     }
     assert_eq!(fired, 200_000);
 }
