--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -19,7 +19,7 @@
     pub fn begin_attempt(&mut self, now: f64, request: RequestId, attempt: usize) -> bool {
         self.state.now = now;
         let record = self.state.requests.get_mut(request);
-        let open = record.is_some_and(|record| record.answer_owed && now < record.deadline);
+        let open = record.is_some_and(|record| record.awaiting_answer && now < record.deadline);
         let Some(record) = self.state.requests.attempt_mut(request, attempt) else { return false };
         let in_time = now < record.deadline;
         let (worker, connect_timer) = (record.worker, record.connect_timer);
@@ -62,10 +62,10 @@
     ) -> bool {
         self.state.now = now;
         let Some(record) = self.state.requests.get_mut(request) else { return false };
-        let in_time = record.answer_owed && now < record.deadline;
+        let in_time = record.awaiting_answer && now < record.deadline;
         // A client that gave up gets no answer, even where its own end was not noticed yet.
         let outcome = match result.outcome {
-            Outcome::Handled if record.answer_owed && !in_time => Outcome::Overdue,
+            Outcome::Handled if record.awaiting_answer && !in_time => Outcome::Overdue,
             other => other,
         };
         let Some(latency) = self.state.end_attempt(request, attempt, outcome) else { return false };
@@ -122,7 +122,7 @@
         result: AttemptResult,
     ) {
         let record = self.state.requests.get_mut(request);
-        let settled = settled || record.is_some_and(|record| !record.answer_owed);
+        let settled = settled || record.is_some_and(|record| !record.awaiting_answer);
         let AttemptResult { outcome, found, company, report, .. } = result;
         let answer = Answer { shot: attempt, outcome, settled, latency, found, company, report };
         let now = self.state.now;
--- a/crates/dispatcher/src/dispatcher/endpoints.rs
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -11,13 +11,13 @@
 const MIN_WORKER_ADJUSTMENTS: usize = 64;
 
 impl<T> Dispatcher<T> {
-    /// Takes one revision of the endpoint list, `whole` or only the entries that changed.
-    pub fn update_endpoints(&mut self, now: f64, whole: bool, entries: &[Entry]) {
+    /// Takes one revision of the endpoint list, `complete` or only the entries that changed.
+    pub fn update_endpoints(&mut self, now: f64, complete: bool, entries: &[Entry]) {
         self.state.now = now;
-        if whole {
+        if complete {
             self.router.list_renewed();
         }
-        self.state.worker_table.update(now, whole, entries, |listing| self.router.listed(listing));
+        self.state.worker_table.update(now, complete, entries, |listing| self.router.listed(listing));
         self.apply_worker_adjustments();
         self.router.list_complete(now, &mut self.state);
         self.report_cancelled_attempts();
--- a/crates/dispatcher/src/dispatcher/request_table.rs
+++ b/crates/dispatcher/src/dispatcher/request_table.rs
@@ -28,7 +28,7 @@
     pub(super) function: usize,
     /// When the client gives up.
     pub(super) deadline: f64,
-    pub(super) answer_owed: bool,
+    pub(super) awaiting_answer: bool,
     /// Bounded by the attempts a request that the configuration allows.
     pub(super) attempts: Vec<Attempt>,
     /// An attempt ended because time ran out.
@@ -44,7 +44,7 @@
         Self {
             function,
             deadline,
-            answer_owed: true,
+            awaiting_answer: true,
             attempts: Vec::new(),
             timed_out: false,
             may_have_run: false,
@@ -102,8 +102,8 @@
 
     /// Closes a request that is owed an answer, for whoever gives that answer; none if it was closed before.
     pub(super) fn close(&mut self, id: RequestId) -> Option<&Request<T>> {
-        let request = self.requests.get_mut(id).filter(|request| request.answer_owed)?;
-        request.answer_owed = false;
+        let request = self.requests.get_mut(id).filter(|request| request.awaiting_answer)?;
+        request.awaiting_answer = false;
         self.open -= 1;
         Some(request)
     }
@@ -121,10 +121,10 @@
     }
 
     pub(super) fn iter_open(&self) -> impl Iterator<Item = (RequestId, &Request<T>)> {
-        self.requests.iter().filter(|(_, request)| request.answer_owed)
+        self.requests.iter().filter(|(_, request)| request.awaiting_answer)
     }
 
     pub(super) fn into_open(self) -> impl Iterator<Item = Request<T>> {
-        self.requests.into_records().filter(|request| request.answer_owed)
+        self.requests.into_records().filter(|request| request.awaiting_answer)
     }
 }
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -154,16 +154,16 @@
         self.workers.get(worker).and_then(|worker| worker.start.at)
     }
 
-    /// Takes one revision of the list, `whole` or only the entries that changed, and passes on what each entry says.
+    /// Takes one revision of the list, `complete` or only the entries that changed, and passes on what each entry says.
     pub(crate) fn update(
         &mut self,
         now: f64,
-        whole: bool,
+        complete: bool,
         entries: &[Entry],
         mut notify: impl FnMut(Listing),
     ) {
         self.revision += 1;
-        if whole {
+        if complete {
             for worker in &mut self.workers {
                 worker.set_state(now, State::Gone);
             }
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -37,9 +37,9 @@
 }
 
 /// Takes a list of one entry; gives the start time that the router is told.
-fn update(table: &mut WorkerTable, now: f64, whole: bool, entry: Entry) -> Option<f64> {
+fn update(table: &mut WorkerTable, now: f64, complete: bool, entry: Entry) -> Option<f64> {
     let mut listings = Vec::new();
-    table.update(now, whole, &[entry], |listing| listings.push(listing));
+    table.update(now, complete, &[entry], |listing| listings.push(listing));
     listings[0].started
 }
 
@@ -102,11 +102,11 @@
         let started = update(&mut table, 10.0, true, entry("w", stamp));
         let process = table.process(0).process;
         table.start_times.wall_clock_read(30.0, UNIX_TIME + 30.0 + step);
-        for whole in [true, false] {
-            assert_eq!(update(&mut table, 30.0, whole, entry("w", stamp)), started);
-            assert_eq!(update(&mut table, 31.0, whole, entry("w", stamp.map(|at| at + 0.0005))), started);
+        for complete in [true, false] {
+            assert_eq!(update(&mut table, 30.0, complete, entry("w", stamp)), started);
+            assert_eq!(update(&mut table, 31.0, complete, entry("w", stamp.map(|at| at + 0.0005))), started);
             // An entry without a stamp says nothing of the process.
-            assert_eq!(update(&mut table, 32.0, whole, entry("w", None)), started);
+            assert_eq!(update(&mut table, 32.0, complete, entry("w", None)), started);
         }
         assert_eq!(table.process(0).process, process);
     }
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -119,7 +119,7 @@
             Event::NotWritten => self.fail_to_write(),
             Event::Answer | Event::SecondAnswer => self.end_first(Outcome::Handled),
             Event::ConnectionLost => self.end_first(Outcome::Cut),
-            Event::ClientGone => self.leave(),
+            Event::ClientGone => self.disconnect_client(),
             Event::WorkerDrained => self.drain_worker(),
             Event::Timer => self.advance_to(self.now + 0.3),
         }
@@ -157,7 +157,7 @@
         }
     }
 
-    fn leave(&mut self) {
+    fn disconnect_client(&mut self) {
         if !self.is_over() {
             self.dispatcher.client_gone(self.now, self.request);
             self.client_gone = true;
--- a/crates/dispatcher/tests/dispatcher/random_histories.rs
+++ b/crates/dispatcher/tests/dispatcher/random_histories.rs
@@ -88,7 +88,7 @@
             Step::BeginAttempt(n) => self.begin_attempt(n),
             Step::NotWritten(n) => self.fail_to_write(n),
             Step::EndAttempt(n, outcome) => self.end_attempt(n, outcome),
-            Step::ClientGone(n) => self.leave(n),
+            Step::ClientGone(n) => self.disconnect_client(n),
             Step::UpdateEndpoints(worker, state) => {
                 self.worker_states.insert(worker, state);
                 self.dispatcher.update_endpoints(self.now, false, &[entry(worker, state)]);
@@ -148,7 +148,7 @@
         }
     }
 
-    fn leave(&mut self, n: usize) {
+    fn disconnect_client(&mut self, n: usize) {
         let Some(Open { request, .. }) = self.open.values().nth(n).copied() else { return };
         self.dispatcher.client_gone(self.now, request);
         self.open.remove(&request.serial);
--- a/crates/dispatcher/tests/dispatcher/support.rs
+++ b/crates/dispatcher/tests/dispatcher/support.rs
@@ -123,12 +123,12 @@
 
 /// Lets the dispatcher's timers fire up to a time; gives what it wanted done, and when.
 pub fn advance_to(dispatcher: &mut Dispatcher<u32>, until: f64) -> Vec<(f64, Action)> {
-    let mut wanted = Vec::new();
+    let mut timed_actions = Vec::new();
     while let Some(at) = dispatcher.next_deadline().filter(|at| *at <= until) {
         dispatcher.advance(at + WAKE_DELAY);
-        wanted.extend(take_actions(dispatcher).into_iter().map(|action| (at, action)));
+        timed_actions.extend(take_actions(dispatcher).into_iter().map(|action| (at, action)));
     }
-    wanted
+    timed_actions
 }
 
 /// The same without the times.
