--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -256,17 +256,25 @@
         let now = self.office.now();
         let quota = self.membership.quota_fraction(now);
         let mut share = DispatcherQuota {
-            likely: quota.likely_gateways,
-            part: [quota.fraction, quota.floor],
-            until: quota.valid_until,
+            likely_gateways: quota.likely_gateways,
+            fraction: quota.fraction,
+            fraction_after_expiry: quota.floor,
+            valid_until: quota.valid_until,
         };
         if self.link.plant == Some(Plant::LikelyCount) {
             let part = self.office.house.policy.routers as f64 / quota.likely_gateways;
-            share = DispatcherQuota { likely: quota.likely_gateways, part: [part; 2], until: f64::INFINITY };
+            share = DispatcherQuota {
+                likely_gateways: quota.likely_gateways,
+                fraction: part,
+                fraction_after_expiry: part,
+                valid_until: f64::INFINITY,
+            };
         }
         let same = |(at, told): (f64, DispatcherQuota)| {
-            (told.likely_gateways, told.fractions) == (share.likely_gateways, share.fractions)
-                && (told.until == share.until || now - at < AGAIN && told.until <= share.until)
+            (told.likely_gateways, told.fraction, told.fraction_after_expiry)
+                == (share.likely_gateways, share.fraction, share.fraction_after_expiry)
+                && (told.valid_until == share.valid_until
+                    || now - at < AGAIN && told.valid_until <= share.valid_until)
         };
         if !self.told.is_some_and(same) {
             self.told = Some((now, share));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -242,7 +242,7 @@
                 client,
                 timeout: patience,
                 is_retry: repeat,
-                function_config: None,
+                resources: None,
             },
             place,
         );
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -13,7 +13,7 @@
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
 use accept::accept;
-use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
+use milletpath_dispatcher::dispatcher::{FunctionResources, IncomingRequest, RequestId};
 use milletpath_platform_protocol::lines::{self, Ask, Said};
 use milletpath_protocol::Fault;
 use std::rc::Rc;
@@ -290,7 +290,7 @@
             client: place(&self.groups, &client),
             timeout: (patience - MARGIN).max(0.0).min(self.shutdown.time_to_answer(now)),
             is_retry: repeat,
-            function_config: Some((lanes, memory, load)),
+            resources: Some(FunctionResources { lanes, memory, load_time: load }),
         };
         let Some(serial) = self.clients.get(key).map(|c| c.serial) else { return };
         let holds = self.room.holds(body.capacity() + mark.capacity());
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -13,7 +13,7 @@
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
 use crate::station::Station;
-use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
+use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId, WorkerProcess};
 use milletpath_platform_protocol::{frames, lines};
 use milletpath_policy::host::Outcome;
 use std::collections::VecDeque;
@@ -151,7 +151,7 @@
 impl Station {
     /// The link on which one more frame for a worker goes; a new one where that is wanted.
     fn link(&mut self, worker: usize, id: Option<u64>) -> usize {
-        let (address, process) = self.desk.address(worker);
+        let WorkerProcess { address, process } = self.desk.worker_process(worker);
         let known = self.reach.get(&worker).into_iter().flatten();
         // What went to an earlier process of the name is not for this one; and two shots of an activation bear the
         // same id, by which their answers could not be told apart.
--- a/crates/platform-router/src/link/writing.rs
+++ b/crates/platform-router/src/link/writing.rs
@@ -104,7 +104,7 @@
     /// its client has said meanwhile.
     fn make(&mut self, key: usize, load: Load, now: f64) -> bool {
         let (worker, process) = (self.links[key].worker, self.links[key].process);
-        if let Some(what) = load.awaits().filter(|_| self.desk.address(worker).1 != process) {
+        if let Some(what) = load.awaits().filter(|_| self.desk.worker_process(worker).process != process) {
             // Another process has the worker's name by now; what was meant for that one was not meant for this.
             self.unanswered(worker, what, Outcome::Unsent);
             return true;
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -158,13 +158,13 @@
     for _ in 0..most {
         call();
         answered(&station).await;
-        if station.borrow().desk.counters().succeeded > during.handled {
+        if station.borrow().desk.counters().succeeded > during.succeeded {
             break;
         }
         tokio::time::sleep(PACE).await;
     }
     let tally = station.borrow().desk.counters();
-    assert_eq!(tally.succeeded, during.handled + 1, "{told}: {tally:?}");
+    assert_eq!(tally.succeeded, during.succeeded + 1, "{told}: {tally:?}");
 
     assert_eq!(tally.accepted, tally.succeeded + tally.rejected + tally.failed, "{told}: {tally:?}");
     let seen = seen.borrow();
