--- a/crates/config/src/page.rs
+++ b/crates/config/src/document.rs
@@ -17,130 +17,131 @@
     pub line: usize,
     /// From 1, in characters.
     pub column: usize,
-    pub wrong: String,
+    pub problem: String,
     pub remedy: String,
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}; {}", self.line, self.column, self.wrong, self.remedy)
+        write!(f, "{}:{}: {}; {}", self.line, self.column, self.problem, self.remedy)
     }
 }
 
 /// A text and what is wrong with it so far.
-pub struct Page<'t> {
+pub struct Document<'t> {
     text: &'t str,
-    mistakes: RefCell<Vec<ConfigError>>,
+    errors: RefCell<Vec<ConfigError>>,
 }
 
-impl<'t> Page<'t> {
+impl<'t> Document<'t> {
     pub fn new(text: &'t str) -> Self {
-        Self { text, mistakes: RefCell::default() }
+        Self { text, errors: RefCell::default() }
     }
 
-    pub fn mistake(&self, at: usize, wrong: impl Into<String>, remedy: impl Into<String>) {
-        let (line, column) = self.place(at);
-        let mistake = ConfigError { line, column, wrong: wrong.into(), remedy: remedy.into() };
-        self.mistakes.borrow_mut().push(mistake);
+    pub fn report(&self, offset: usize, problem: impl Into<String>, remedy: impl Into<String>) {
+        let (line, column) = self.position(offset);
+        let report = ConfigError { line, column, problem: problem.into(), remedy: remedy.into() };
+        self.errors.borrow_mut().push(report);
     }
 
     /// Line and column of a byte, from 1.
-    pub fn place(&self, at: usize) -> (usize, usize) {
-        let at = (0..=at.min(self.text.len())).rev().find(|&n| self.text.is_char_boundary(n)).unwrap_or(0);
-        let before = &self.text[..at];
+    pub fn position(&self, offset: usize) -> (usize, usize) {
+        let offset =
+            (0..=offset.min(self.text.len())).rev().find(|&n| self.text.is_char_boundary(n)).unwrap_or(0);
+        let before = &self.text[..offset];
         let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
         (before.matches('\n').count() + 1, column)
     }
 
     /// All mistakes, in the order of the text.
-    pub fn mistakes(self) -> Vec<ConfigError> {
-        let mut mistakes = self.mistakes.into_inner();
-        mistakes.sort_by_key(|m| (m.line, m.column));
-        mistakes
+    pub fn into_errors(self) -> Vec<ConfigError> {
+        let mut errors = self.errors.into_inner();
+        errors.sort_by_key(|m| (m.line, m.column));
+        errors
     }
 }
 
 /// One block of a page: its name, its label and what stands in it.
 pub struct Section<'p> {
-    page: &'p Page<'p>,
+    document: &'p Document<'p>,
     /// `workers` or `profile "refill-check"`, as messages name it.
     pub title: String,
     /// The label, empty where there is none.
     pub label: String,
-    pub at: usize,
+    pub offset: usize,
     /// Where it ends.
     end: usize,
     /// Its body, and below it those of the texts that this one builds on, whose figures hold where it gives none.
     bodies: Vec<&'p Body>,
     /// Whether the first of them stands on this page.
-    own: bool,
-    asked: RefCell<Vec<&'static str>>,
+    in_document: bool,
+    known_keys: RefCell<Vec<&'static str>>,
     /// Keys that were told of as not belonging here.
-    refused: RefCell<Vec<&'static str>>,
+    refused_keys: RefCell<Vec<&'static str>>,
     sealed: Cell<bool>,
 }
 
-fn at(span: Option<Range<usize>>) -> usize {
+fn offset(span: Option<Range<usize>>) -> usize {
     span.map_or(0, |s| s.start)
 }
 
 /// The name of an attribute or block, and where it stands.
-fn named(structure: &Structure) -> (&str, usize) {
+fn name_and_offset(structure: &Structure) -> (&str, usize) {
     match structure {
-        Structure::Attribute(a) => (a.key.as_str(), at(a.span())),
-        Structure::Block(b) => (b.ident.as_str(), at(b.span())),
+        Structure::Attribute(a) => (a.key.as_str(), offset(a.span())),
+        Structure::Block(b) => (b.ident.as_str(), offset(b.span())),
     }
 }
 
 impl<'p> Section<'p> {
-    pub fn whole(page: &'p Page<'p>, body: &'p Body) -> Self {
-        Self::layered(page, vec![body])
+    pub fn root(document: &'p Document<'p>, body: &'p Body) -> Self {
+        Self::layered(document, vec![body])
     }
 
     /// A text that builds on others: first its own body, then those of the others, which must be sound by themselves.
-    pub fn layered(page: &'p Page<'p>, bodies: Vec<&'p Body>) -> Self {
-        Self::new(page, "the charter".into(), String::new(), 0..page.text.len(), bodies, true)
+    pub fn layered(document: &'p Document<'p>, bodies: Vec<&'p Body>) -> Self {
+        Self::new(document, "the charter".into(), String::new(), 0..document.text.len(), bodies, true)
     }
 
     /// A text that is no charter, by the title that messages give it.
-    pub fn titled(page: &'p Page<'p>, title: &str, body: &'p Body) -> Self {
-        Self::new(page, title.into(), String::new(), 0..page.text.len(), vec![body], true)
+    pub fn titled(document: &'p Document<'p>, title: &str, body: &'p Body) -> Self {
+        Self::new(document, title.into(), String::new(), 0..document.text.len(), vec![body], true)
     }
 
     fn new(
-        page: &'p Page<'p>,
+        document: &'p Document<'p>,
         title: String,
         label: String,
         span: Range<usize>,
         bodies: Vec<&'p Body>,
-        own: bool,
+        in_document: bool,
     ) -> Self {
         Self {
-            page,
+            document,
             title,
             label,
-            at: span.start,
+            offset: span.start,
             end: span.end,
             bodies,
-            own,
-            asked: RefCell::default(),
-            refused: RefCell::default(),
+            in_document,
+            known_keys: RefCell::default(),
+            refused_keys: RefCell::default(),
             sealed: Cell::new(false),
         }
     }
 
     /// The section as it is written.
     pub fn source(&self) -> &'p str {
-        self.page.text.get(self.at..self.end).unwrap_or_default()
+        self.document.text.get(self.offset..self.end).unwrap_or_default()
     }
 
     /// Tells of each attribute and block of that name that it does not belong here.
-    pub fn refuse(&self, key: &'static str, wrong: &str, remedy: &str) {
-        self.refused.borrow_mut().push(key);
+    pub fn refuse(&self, key: &'static str, problem: &str, remedy: &str) {
+        self.refused_keys.borrow_mut().push(key);
         for structure in self.bodies[0] {
-            let (name, at) = named(structure);
+            let (name, offset) = name_and_offset(structure);
             if name == key {
-                self.mistake(at, wrong, remedy);
+                self.report(offset, problem, remedy);
             }
         }
     }
@@ -149,22 +150,25 @@
     fn attribute(&self, key: &str) -> Option<(usize, &'p Attribute)> {
         self.bodies.iter().enumerate().find_map(|(layer, body)| {
             let attribute = body.get_attribute(key)?;
-            Some((if layer == 0 && self.own { at(attribute.span()) } else { self.at }, attribute))
+            Some((
+                if layer == 0 && self.in_document { offset(attribute.span()) } else { self.offset },
+                attribute,
+            ))
         })
     }
 
-    pub fn mistake(&self, at: usize, wrong: impl Into<String>, remedy: impl Into<String>) {
-        self.page.mistake(at, wrong, remedy);
+    pub fn report(&self, offset: usize, problem: impl Into<String>, remedy: impl Into<String>) {
+        self.document.report(offset, problem, remedy);
     }
 
     fn value(&self, key: &'static str) -> Option<(usize, &'p Expression)> {
-        self.asked.borrow_mut().push(key);
-        self.attribute(key).map(|(at, attribute)| (at, &attribute.value))
+        self.known_keys.borrow_mut().push(key);
+        self.attribute(key).map(|(offset, attribute)| (offset, &attribute.value))
     }
 
     /// Where an attribute stands, or the section itself.
-    pub fn place(&self, key: &str) -> usize {
-        self.attribute(key).map_or(self.at, |(at, _)| at)
+    pub fn offset_of(&self, key: &str) -> usize {
+        self.attribute(key).map_or(self.offset, |(offset, _)| offset)
     }
 
     pub fn has(&self, key: &str) -> bool {
@@ -172,9 +176,9 @@
     }
 
     /// A figure within bounds; `unit` says what it counts.
-    pub fn figure(&self, key: &'static str, unit: &str, within: RangeInclusive<f64>) -> Option<f64> {
-        let (at, value) = self.value(key)?;
-        let figure = match value {
+    pub fn number(&self, key: &'static str, unit: &str, within: RangeInclusive<f64>) -> Option<f64> {
+        let (offset, value) = self.value(key)?;
+        let number = match value {
             Expression::Number(n) => n.value().as_f64(),
             Expression::UnaryOp(op) => match &op.expr {
                 Expression::Number(n) => n.value().as_f64().map(|x| -x),
@@ -186,39 +190,39 @@
             (low, high) if high.is_infinite() => format!("{low} or more"),
             (low, high) => format!("{low} to {high}"),
         };
-        if figure.is_none_or(|x| !within.contains(&x)) {
-            let wrong = format!("{key} of {} is no number of {unit} from {bounds}", self.title);
-            self.mistake(at, wrong, format!("write {key} = NUMBER, {bounds}"));
+        if number.is_none_or(|x| !within.contains(&x)) {
+            let problem = format!("{key} of {} is no number of {unit} from {bounds}", self.title);
+            self.report(offset, problem, format!("write {key} = NUMBER, {bounds}"));
         }
-        figure.filter(|x| within.contains(x))
+        number.filter(|x| within.contains(x))
     }
 
     /// A whole figure within bounds.
     pub fn count(&self, key: &'static str, unit: &str, within: RangeInclusive<u32>) -> Option<usize> {
-        let figure = self.figure(key, unit, f64::from(*within.start())..=f64::from(*within.end()))?;
-        if figure.fract() != 0.0 {
-            let wrong = format!("{key} of {} is no whole number", self.title);
-            self.mistake(self.place(key), wrong, format!("write {key} = {}", figure.round()));
+        let number = self.number(key, unit, f64::from(*within.start())..=f64::from(*within.end()))?;
+        if number.fract() != 0.0 {
+            let problem = format!("{key} of {} is no whole number", self.title);
+            self.report(self.offset_of(key), problem, format!("write {key} = {}", number.round()));
         }
-        Some(figure as usize)
+        Some(number as usize)
     }
 
     pub fn flag(&self, key: &'static str) -> Option<bool> {
-        let (at, value) = self.value(key)?;
+        let (offset, value) = self.value(key)?;
         if let Expression::Bool(flag) = value {
             return Some(*flag.value());
         }
-        let wrong = format!("{key} of {} is neither true nor false", self.title);
-        self.mistake(at, wrong, format!("write {key} = true or {key} = false"));
+        let problem = format!("{key} of {} is neither true nor false", self.title);
+        self.report(offset, problem, format!("write {key} = true or {key} = false"));
         None
     }
 
     pub fn text(&self, key: &'static str) -> Option<&'p str> {
-        let (at, value) = self.value(key)?;
+        let (offset, value) = self.value(key)?;
         if let Expression::String(text) = value {
             return Some(text.value());
         }
-        self.mistake(at, format!("{key} of {} is no text", self.title), format!("write {key} = \"...\""));
+        self.report(offset, format!("{key} of {} is no text", self.title), format!("write {key} = \"...\""));
         None
     }
 
@@ -227,8 +231,8 @@
         let text = self.text(key)?;
         let value = read(text);
         if value.is_none() {
-            let wrong = format!("{key} of {} can't be \"{text}\"", self.title);
-            self.mistake(self.place(key), wrong, format!("write {key} = {shape}"));
+            let problem = format!("{key} of {} can't be \"{text}\"", self.title);
+            self.report(self.offset_of(key), problem, format!("write {key} = {shape}"));
         }
         value
     }
@@ -240,15 +244,15 @@
         shape: &str,
         read: impl Fn(&str) -> Option<T>,
     ) -> Option<Vec<T>> {
-        let (at, value) = self.value(key)?;
+        let (offset, value) = self.value(key)?;
         let texts = match value {
             Expression::Array(items) => items.iter().map(|item| match item {
                 Expression::String(text) => read(text.value()),
                 _ => None,
             }),
             _ => {
-                self.mistake(
-                    at,
+                self.report(
+                    offset,
                     format!("{key} of {} is no list", self.title),
                     format!("write {key} = {shape}"),
                 );
@@ -257,57 +261,66 @@
         };
         let read: Option<Vec<T>> = texts.collect();
         if read.is_none() {
-            let wrong = format!("{key} of {} holds what it can't", self.title);
-            self.mistake(at, wrong, format!("write {key} = {shape}"));
+            let problem = format!("{key} of {} holds what it can't", self.title);
+            self.report(offset, problem, format!("write {key} = {shape}"));
         }
         read
     }
 
     /// One of a few words.
-    pub fn word<T: Copy>(&self, key: &'static str, words: &[(&str, T)]) -> Option<T> {
-        let shape: Vec<_> = words.iter().map(|(w, _)| format!("\"{w}\"")).collect();
-        self.parsed(key, &shape.join(" or "), |text| words.iter().find(|(w, _)| *w == text).map(|(_, v)| *v))
+    pub fn one_of<T: Copy>(&self, key: &'static str, choices: &[(&str, T)]) -> Option<T> {
+        let shape: Vec<_> = choices.iter().map(|(w, _)| format!("\"{w}\"")).collect();
+        self.parsed(key, &shape.join(" or "), |text| {
+            choices.iter().find(|(w, _)| *w == text).map(|(_, v)| *v)
+        })
     }
 
     /// A required attribute that is not there.
-    pub fn missing(&self, key: &str, example: &str) {
-        let wrong = format!("{} has no {key}", self.title);
-        self.mistake(self.at, wrong, format!("add {key} = {example}"));
+    pub fn report_missing(&self, key: &str, example: &str) {
+        let problem = format!("{} has no {key}", self.title);
+        self.report(self.offset, problem, format!("add {key} = {example}"));
     }
 
     /// The blocks of that name; each with a label of its own where `labelled`, which must be a name.
     pub fn blocks(&self, key: &'static str, labelled: bool) -> Vec<Section<'p>> {
-        self.asked.borrow_mut().push(key);
+        self.known_keys.borrow_mut().push(key);
         let mut sections: Vec<Section<'p>> = Vec::new();
         // From the ground up: what stands below comes first, and gets its figures from above.
         for (layer, body) in self.bodies.iter().enumerate().rev() {
-            let own = layer == 0 && self.own;
+            let in_document = layer == 0 && self.in_document;
             for block in body.get_blocks(key) {
-                let span = block.span().filter(|_| own).unwrap_or(self.at..self.at);
+                let span = block.span().filter(|_| in_document).unwrap_or(self.offset..self.offset);
                 let start = span.start;
                 let label = block.labels.first().map(|l| l.as_str().to_owned()).unwrap_or_default();
                 let title = if labelled { format!("{key} \"{label}\"") } else { key.to_owned() };
                 if block.labels.len() != usize::from(labelled) || labelled && !is_name(&label) {
-                    let wrong = format!("{title} has no proper label");
+                    let problem = format!("{title} has no proper label");
                     let shape = if labelled {
                         format!("{key} \"name\" {{ ... }}")
                     } else {
                         format!("{key} {{ ... }}")
                     };
-                    self.mistake(start, wrong, format!("write {shape}"));
+                    self.report(start, problem, format!("write {shape}"));
                 }
                 match sections.iter_mut().find(|s| s.label == label) {
-                    Some(below) if own && !below.own => {
+                    Some(below) if in_document && !below.in_document => {
                         below.bodies.insert(0, &block.body);
-                        (below.at, below.end, below.own) = (start, span.end, true);
+                        (below.offset, below.end, below.in_document) = (start, span.end, true);
                     }
-                    Some(below) if !own => below.bodies.insert(0, &block.body),
-                    twice => {
-                        if twice.is_some() {
+                    Some(below) if !in_document => below.bodies.insert(0, &block.body),
+                    duplicate => {
+                        if duplicate.is_some() {
                             let remedy = if labelled { "give each its own name" } else { "keep one" };
-                            self.mistake(start, format!("{title} stands here for the second time"), remedy);
+                            self.report(start, format!("{title} stands here for the second time"), remedy);
                         }
-                        sections.push(Section::new(self.page, title, label, span, vec![&block.body], own));
+                        sections.push(Section::new(
+                            self.document,
+                            title,
+                            label,
+                            span,
+                            vec![&block.body],
+                            in_document,
+                        ));
                     }
                 }
             }
@@ -325,25 +338,27 @@
 impl Drop for Section<'_> {
     fn drop(&mut self) {
         /// Words at least so alike are taken for a slip.
-        const ALIKE: f64 = 0.75;
+        const MIN_SIMILARITY: f64 = 0.75;
         // What another text holds was looked at with that one.
-        if self.sealed.replace(true) || !self.own {
+        if self.sealed.replace(true) || !self.in_document {
             return;
         }
-        let asked = self.asked.borrow();
+        let known_keys = self.known_keys.borrow();
         for structure in self.bodies[0] {
-            let (name, at) = named(structure);
-            if asked.contains(&name) || self.refused.borrow().contains(&name) {
+            let (name, offset) = name_and_offset(structure);
+            if known_keys.contains(&name) || self.refused_keys.borrow().contains(&name) {
                 continue;
             }
-            let alike = |known: &&&str| strsim::jaro_winkler(known, name);
-            let near =
-                asked.iter().max_by(|a, b| alike(a).total_cmp(&alike(b))).filter(|k| alike(k) >= ALIKE);
-            let remedy = near.map_or_else(
-                || format!("remove it; known here: {}", asked.join(", ")),
-                |near| format!("did you mean {near}?"),
+            let similarity = |known: &&&str| strsim::jaro_winkler(known, name);
+            let closest = known_keys
+                .iter()
+                .max_by(|a, b| similarity(a).total_cmp(&similarity(b)))
+                .filter(|k| similarity(k) >= MIN_SIMILARITY);
+            let remedy = closest.map_or_else(
+                || format!("remove it; known here: {}", known_keys.join(", ")),
+                |closest| format!("did you mean {closest}?"),
             );
-            self.page.mistake(at, format!("{} knows no {name}", self.title), remedy);
+            self.document.report(offset, format!("{} knows no {name}", self.title), remedy);
         }
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,11 +4,11 @@
 //! its unit and bounds stand in `docs/operators/charter.md`.
 
 pub mod change;
-pub mod page;
+pub mod document;
 mod read;
 
 pub use change::{ConfigChange, Subject};
-pub use page::ConfigError;
+pub use document::ConfigError;
 pub use read::read;
 
 use milletpath_policy::host::Charter;
@@ -29,13 +29,13 @@
     pub clients: Vec<String>,
     pub functions: FunctionConfigs,
     /// Kinds of workers, in the order of the policy's memory.
-    pub kinds: Vec<String>,
+    pub worker_kinds: Vec<String>,
     pub source: WorkerSource,
-    pub bounds: Limits,
+    pub limits: Limits,
     /// What gateways tell each other; none where they share nothing.
-    pub peers: Option<MembershipConfig>,
+    pub membership: Option<MembershipConfig>,
     /// Where changes of configuration come from; none where only the charter's file holds.
-    pub changes: Option<ConfigLogConfig>,
+    pub config_log: Option<ConfigLogConfig>,
 }
 
 /// The control machines, and how this gateway hears them.
@@ -44,10 +44,10 @@
     /// In the order of their numbers.
     pub control: Vec<SocketAddr>,
     /// The file with the secret that control machines, gateways and authors share.
-    pub key: PathBuf,
+    pub key_file: PathBuf,
     pub listen: SocketAddr,
     /// Where the last known state outlives a restart.
-    pub state: PathBuf,
+    pub state_file: PathBuf,
     /// As control machines and operators know this gateway.
     pub name: String,
 }
@@ -62,7 +62,7 @@
     /// Where others may be found.
     pub seeds: Vec<SocketAddr>,
     /// The file with the secret that the gateways share.
-    pub key: PathBuf,
+    pub key_file: PathBuf,
     /// Between two probes.
     pub period: f64,
     /// For which a word counts as proof.
@@ -76,27 +76,28 @@
 pub struct ProfileConfig {
     pub name: String,
     /// Seconds that a client waits at most.
-    pub cut_off: f64,
+    pub deadline: f64,
     pub importance: f64,
 }
 
 /// What is stated of functions: of those named, and of all others.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FunctionConfigs {
-    pub usual: FunctionOverrides,
-    pub named: BTreeMap<String, FunctionOverrides>,
+    pub defaults: FunctionOverrides,
+    pub by_name: BTreeMap<String, FunctionOverrides>,
 }
 
 impl FunctionConfigs {
-    /// The figures of a function: its own where they are stated, else those of all.
-    pub fn of(&self, name: &str) -> FunctionConfig {
-        let (own, usual, least) = (self.named.get(name), self.usual, FunctionConfig::default());
-        let own = own.copied().unwrap_or_default();
+    /// The figures of a function: its specific where they are stated, else those of all.
+    pub fn resolve(&self, name: &str) -> FunctionConfig {
+        let (specific, defaults, minimum) =
+            (self.by_name.get(name), self.defaults, FunctionConfig::default());
+        let specific = specific.copied().unwrap_or_default();
         FunctionConfig {
-            lanes: own.lanes.or(usual.lanes).unwrap_or(least.lanes),
-            memory: own.memory.or(usual.memory).unwrap_or(least.memory),
-            load: own.load.or(usual.load),
-            profile: own.profile.or(usual.profile),
+            lanes: specific.lanes.or(defaults.lanes).unwrap_or(minimum.lanes),
+            memory: specific.memory.or(defaults.memory).unwrap_or(minimum.memory),
+            load: specific.load.or(defaults.load),
+            profile: specific.profile.or(defaults.profile),
         }
     }
 }
@@ -125,7 +126,7 @@
 
 impl Default for FunctionConfig {
     fn default() -> Self {
-        // A small function, one call at a time: the least that a worker can be expected to do.
+        // A small function, one call at a time: the minimum that a worker can be expected to do.
         Self { lanes: 1.0, memory: 128.0, load: None, profile: None }
     }
 }
@@ -137,35 +138,35 @@
     Registry(SocketAddr),
 }
 
-/// Bounds of the gateway's own queues, tables and waits. Times in seconds, sizes in bytes.
+/// Bounds of the gateway's specific queues, tables and waits. Times in seconds, sizes in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Threads that carry calls.
     pub cores: usize,
-    /// Whether each is kept on a processor of its own.
+    /// Whether each is kept on a processor of its specific.
     pub pin: bool,
     /// Activations in hand at once; what comes beyond is bounced at the door.
-    pub open: usize,
+    pub max_open_requests: usize,
     /// Bytes of all bodies and answers in hand together.
-    pub held: usize,
+    pub max_buffered_bytes: usize,
     /// Bytes of one call's body.
-    pub body: usize,
+    pub max_request_body: usize,
     /// Bytes of one answer.
-    pub answer: usize,
+    pub max_response_body: usize,
     /// Client connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Connections to one worker.
-    pub per_worker: usize,
+    pub max_connections_per_worker: usize,
     /// For a client to send its header fields.
-    pub head: f64,
+    pub header_timeout: f64,
     /// For a client that takes or sends nothing in the midst of a message.
-    pub stall: f64,
+    pub stall_timeout: f64,
     /// For a connection to be made.
-    pub connect: f64,
+    pub connect_timeout: f64,
     /// After which a connection to a worker that nobody used is closed.
-    pub idle: f64,
+    pub idle_timeout: f64,
     /// For a probe to be answered.
-    pub probe: f64,
+    pub probe_timeout: f64,
     /// After word that a worker drains, past which nothing is sent to it.
-    pub grace: f64,
+    pub drain_grace: f64,
 }
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-const SOUND: &str = r#"
+const VALID: &str = r#"
 listen   = "10.1.0.3:8080"
 profile "check" {
   due    = 1.0
@@ -33,20 +33,23 @@
 }
 "#;
 
-fn house() -> GatewayConfig {
-    read(SOUND).unwrap_or_else(|m| panic!("{m:#?}"))
+fn config() -> GatewayConfig {
+    read(VALID).unwrap_or_else(|m| panic!("{m:#?}"))
 }
 
 #[test]
 fn the_usual_figures_of_changes() {
-    let changes = house().changes.expect("stated");
+    let changes = config().config_log.expect("stated");
     assert_eq!(changes.control.len(), 3);
-    assert_eq!((changes.key.to_str(), changes.state.to_str()), (Some("changes.key"), Some("changes.state")));
+    assert_eq!(
+        (changes.key_file.to_str(), changes.state_file.to_str()),
+        (Some("changes.key"), Some("changes.state"))
+    );
     assert_eq!((changes.listen.to_string(), changes.name), ("0.0.0.0:0".into(), "10.1.0.3:8080".into()));
-    let six = SOUND.replace("10.0.0.1", "[::1]").replace("10.0.1.1", "[::2]").replace("10.0.2.1", "[::3]");
-    assert_eq!(read(&six).unwrap().changes.unwrap().listen.to_string(), "[::]:0");
-    let without = SOUND.split("changes {").next().unwrap();
-    assert_eq!(read(without).unwrap().changes, None);
+    let six = VALID.replace("10.0.0.1", "[::1]").replace("10.0.1.1", "[::2]").replace("10.0.2.1", "[::3]");
+    assert_eq!(read(&six).unwrap().config_log.unwrap().listen.to_string(), "[::]:0");
+    let without = VALID.split("changes {").next().unwrap();
+    assert_eq!(read(without).unwrap().config_log, None);
 }
 
 /// The name of peers is that of changes, where these give none.
@@ -54,10 +57,10 @@
 fn a_gateway_has_one_name() {
     let peers =
         "gateways = 2\npeers {\n  listen = \"10.1.0.3:7400\"\n  name = \"g-3\"\n  key = \"peers.key\"\n}\n";
-    let text = format!("{peers}{SOUND}");
-    assert_eq!(read(&text).unwrap().changes.unwrap().name, "g-3");
+    let text = format!("{peers}{VALID}");
+    assert_eq!(read(&text).unwrap().config_log.unwrap().name, "g-3");
     let own = text.replace("changes {", "changes {\n  name = \"other\"");
-    assert_eq!(read(&own).unwrap().changes.unwrap().name, "other");
+    assert_eq!(read(&own).unwrap().config_log.unwrap().name, "other");
 }
 
 #[test_case("\"10.0.1.1:7500\"", "\"10.0.0.1:7500\"", 23, 3, "named as two"; "one twice")]
@@ -72,22 +75,22 @@
 #[test_case("  key ", "  name = \"a b\"\n  key ", 24, 3, "up to 64 letters"; "no name")]
 #[test_case("  key ", "  kay = 1\n  key ", 24, 3, "did you mean key?"; "a slip")]
 fn a_mistake_of_changes_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
-    assert!(SOUND.contains(from));
-    let mistakes = read(&SOUND.replacen(from, to, 1)).unwrap_err();
+    assert!(VALID.contains(from));
+    let errors = read(&VALID.replacen(from, to, 1)).unwrap_err();
     let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
-    assert!(mistakes.iter().filter(here).any(|m| m.to_string().contains(words)), "{mistakes:#?}");
+    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(words)), "{errors:#?}");
 }
 
 #[test]
 fn eight_control_machines_are_one_too_many() {
     let all: Vec<_> = (1..=8).map(|n| format!("\"10.0.0.{n}:7500\"")).collect();
     let old = "[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]";
-    let of = |n: usize| read(&SOUND.replace(old, &format!("[{}]", all[..n].join(", "))));
-    assert_eq!(of(7).unwrap().changes.unwrap().control.len(), 7);
+    let of = |n: usize| read(&VALID.replace(old, &format!("[{}]", all[..n].join(", "))));
+    assert_eq!(of(7).unwrap().config_log.unwrap().control.len(), 7);
     assert!(of(8).unwrap_err()[0].to_string().contains("names 8 control machines"));
 }
 
-const FILE: &str = r#"# Why: more calls than one lane bears.
+const CHANGES: &str = r#"# Why: more calls than one lane bears.
 function "packs-a" {
   lanes   = 4
   profile = "order"
@@ -98,16 +101,16 @@
 
 #[test]
 fn a_file_of_changes_is_cut_into_its_statements() {
-    let stated = house().statements(FILE).unwrap();
-    let seen: Vec<_> = stated.iter().map(|s| (s.subject.to_string(), s.line, s.column)).collect();
-    let wanted = [("function packs-a", 2, 1), ("functions", 6, 3), ("function b", 7, 1)];
-    assert_eq!(seen, wanted.map(|(key, line, column)| (key.to_owned(), line, column)));
-    assert_eq!(stated[1].text, "functions { memory = 200 }");
+    let changes = config().parse_changes(CHANGES).unwrap();
+    let parsed: Vec<_> = changes.iter().map(|s| (s.subject.to_string(), s.line, s.column)).collect();
+    let expected = [("function packs-a", 2, 1), ("functions", 6, 3), ("function b", 7, 1)];
+    assert_eq!(parsed, expected.map(|(key, line, column)| (key.to_owned(), line, column)));
+    assert_eq!(changes[1].text, "functions { memory = 200 }");
     // Each text says by itself what it said in the file.
-    for one in &stated {
-        let amendment = house().amendment(&one.subject.to_string(), Some(&one.text)).unwrap();
-        let wanted = ConfigChange { subject: one.subject.clone(), statement: Some(one.statement) };
-        assert_eq!(amendment, wanted);
+    for one in &changes {
+        let parse_change = config().parse_change(&one.subject.to_string(), Some(&one.text)).unwrap();
+        let expected = ConfigChange { subject: one.subject.clone(), overrides: Some(one.overrides) };
+        assert_eq!(parse_change, expected);
     }
 }
 
@@ -123,22 +126,22 @@
 #[test_case("\"b\"", "\"b b\"", 7, 1, "no proper label"; "no name")]
 #[test_case("\"b\" {}", "\"b\" {", 7, 16, "no HCL here"; "broken grammar")]
 fn a_mistake_of_a_change_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
-    assert!(FILE.contains(from));
-    let mistakes = house().statements(&FILE.replacen(from, to, 1)).unwrap_err();
+    assert!(CHANGES.contains(from));
+    let errors = config().parse_changes(&CHANGES.replacen(from, to, 1)).unwrap_err();
     let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
-    assert!(mistakes.iter().filter(here).any(|m| m.to_string().contains(words)), "{mistakes:#?}");
+    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(words)), "{errors:#?}");
 }
 
 #[test]
 fn what_is_too_long_or_empty_is_no_change() {
-    let house = house();
+    let config = config();
     let name = |n: usize| format!("function \"{}\" {{}}\n", "n".repeat(n));
-    assert_eq!(house.statements(&name(87)).unwrap().len(), 1);
-    assert!(house.statements(&name(88)).unwrap_err()[0].to_string().contains("up to 87 bytes"));
+    assert_eq!(config.parse_changes(&name(87)).unwrap().len(), 1);
+    assert!(config.parse_changes(&name(88)).unwrap_err()[0].to_string().contains("up to 87 bytes"));
     let padded = |n: usize| format!("functions {{\n#{}\n}}", "x".repeat(n - 15));
-    assert_eq!(house.statements(&padded(800)).unwrap()[0].text.len(), 800);
-    assert!(house.statements(&padded(801)).unwrap_err()[0].to_string().contains("801 bytes"));
-    assert!(house.statements("# nothing\n").unwrap_err()[0].to_string().contains("nothing is stated"));
+    assert_eq!(config.parse_changes(&padded(800)).unwrap()[0].text.len(), 800);
+    assert!(config.parse_changes(&padded(801)).unwrap_err()[0].to_string().contains("801 bytes"));
+    assert!(config.parse_changes("# nothing\n").unwrap_err()[0].to_string().contains("nothing is stated"));
 }
 
 #[test_case("function a", "function \"b\" {}"; "another function")]
@@ -147,62 +150,62 @@
 #[test_case("quota a", "function \"a\" {}"; "a key of a later version")]
 #[test_case("function a b", "function \"a\" {}"; "a key that is none")]
 fn a_text_must_say_what_its_key_says(key: &str, text: &str) {
-    assert!(house().amendment(key, Some(text)).is_err());
+    assert!(config().parse_change(key, Some(text)).is_err());
 }
 
-fn figures(functions: &FunctionConfigs, name: &str) -> FunctionConfig {
-    functions.of(name)
+fn resolved(functions: &FunctionConfigs, name: &str) -> FunctionConfig {
+    functions.resolve(name)
 }
 
 /// A statement takes the place of the charter's as a whole; taken back, the charter's own holds again.
 #[test]
 fn an_amendment_holds_until_it_is_taken_back() {
-    let house = house();
-    let mut functions = house.functions.clone();
-    let amend = |functions: &mut FunctionConfigs, key: &str, text: Option<&str>| {
-        functions.amend(&house.amendment(key, text).unwrap(), &house.functions);
+    let config = config();
+    let mut functions = config.functions.clone();
+    let apply = |functions: &mut FunctionConfigs, key: &str, text: Option<&str>| {
+        functions.apply(&config.parse_change(key, text).unwrap(), &config.functions);
     };
-    amend(&mut functions, "function packs-a", Some("function \"packs-a\" { lanes = 4 }"));
+    apply(&mut functions, "function packs-a", Some("function \"packs-a\" { lanes = 4 }"));
     let is = FunctionConfig { lanes: 4.0, memory: 400.0, load: None, profile: None };
-    assert_eq!(figures(&functions, "packs-a"), is);
+    assert_eq!(resolved(&functions, "packs-a"), is);
     // What it leaves out is what holds for all, also when that changes.
-    amend(&mut functions, "functions", Some("functions { memory = 300 }"));
-    assert_eq!(figures(&functions, "packs-a"), FunctionConfig { memory: 300.0, ..is });
-    assert_eq!(figures(&functions, "b"), FunctionConfig { lanes: 1.0, memory: 300.0, ..is });
-    amend(&mut functions, "function b", Some("function \"b\" { load = 2 }"));
+    apply(&mut functions, "functions", Some("functions { memory = 300 }"));
+    assert_eq!(resolved(&functions, "packs-a"), FunctionConfig { memory: 300.0, ..is });
+    assert_eq!(resolved(&functions, "b"), FunctionConfig { lanes: 1.0, memory: 300.0, ..is });
+    apply(&mut functions, "function b", Some("function \"b\" { load = 2 }"));
     for key in ["function packs-a", "function b", "functions", "function never-stated"] {
-        amend(&mut functions, key, None);
+        apply(&mut functions, key, None);
     }
-    assert_eq!(functions, house.functions);
+    assert_eq!(functions, config.functions);
 }
 
 proptest! {
     #[test]
-    fn a_mangled_change_is_no_panic(at in 0..FILE.len(), with in ".{0,8}", cut in 0..40usize) {
-        let end = (at + cut).min(FILE.len());
-        let text = format!("{}{with}{}", &FILE[..at], &FILE[end..]);
-        let house = house();
-        let _ = house.statements(&text);
-        let _ = house.amendment("functions", Some(&text));
+    fn a_mangled_change_is_no_panic(at in 0..CHANGES.len(), with in ".{0,8}", cut in 0..40usize) {
+        let end = (at + cut).min(CHANGES.len());
+        let text = format!("{}{with}{}", &CHANGES[..at], &CHANGES[end..]);
+        let config = config();
+        let _ = config.parse_changes(&text);
+        let _ = config.parse_change("functions", Some(&text));
     }
 
     /// Whatever is stated and taken back in whatever order, what holds is the last word for each key.
     #[test]
     fn the_last_word_holds(words in proptest::collection::vec((0..4usize, proptest::option::of(1..9u8)), 0..30)) {
-        let house = house();
+        let config = config();
         let keys = ["functions", "function packs-a", "function b", "function c"];
-        let mut functions = house.functions.clone();
+        let mut functions = config.functions.clone();
         let mut last = [None; 4];
         for (key, lanes) in words {
-            let subject = Subject::of(keys[key]).unwrap();
-            let statement = lanes.map(|n| FunctionOverrides { lanes: Some(f64::from(n)), ..FunctionOverrides::default() });
-            functions.amend(&ConfigChange { subject, statement }, &house.functions);
-            last[key] = statement;
+            let subject = Subject::from_key(keys[key]).unwrap();
+            let overrides = lanes.map(|n| FunctionOverrides { lanes: Some(f64::from(n)), ..FunctionOverrides::default() });
+            functions.apply(&ConfigChange { subject, overrides }, &config.functions);
+            last[key] = overrides;
         }
-        prop_assert_eq!(functions.usual, last[0].unwrap_or(house.functions.usual));
+        prop_assert_eq!(functions.defaults, last[0].unwrap_or(config.functions.defaults));
         for (key, name) in [(1, "packs-a"), (2, "b"), (3, "c")] {
-            let own = last[key].or(house.functions.named.get(name).copied());
-            prop_assert_eq!(functions.named.get(name).copied(), own);
+            let own = last[key].or(config.functions.by_name.get(name).copied());
+            prop_assert_eq!(functions.by_name.get(name).copied(), own);
         }
     }
 }
--- a/crates/config/tests/mistakes.rs
+++ b/crates/config/tests/errors.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-const SOUND: &str = r#"
+const VALID: &str = r#"
 listen   = "127.0.0.1:0"
 gateways = 2
 seed     = 5
@@ -58,18 +58,21 @@
 
 #[test]
 fn a_sound_charter_gives_its_figures() {
-    let house = read(SOUND).unwrap();
-    assert_eq!((house.policy.routers, house.policy.shots, house.policy.seed), (2, 3, 5));
-    assert_eq!(house.policy.profiles[1].effect, Effect::Receipted { group: Group::Zone, memory: 60.0 });
-    assert_eq!(house.policy.ration, Some((10.0, 2.0, 0.1)));
-    assert_eq!((house.policy.quotas[0], house.clients[0].as_str()), (44.0, "clinic"));
-    assert_eq!((house.policy.ceilings[0], house.policy.hand), (60.0, 40.0));
+    let config = read(VALID).unwrap();
+    assert_eq!((config.policy.routers, config.policy.shots, config.policy.seed), (2, 3, 5));
+    assert_eq!(config.policy.profiles[1].effect, Effect::Receipted { group: Group::Zone, memory: 60.0 });
+    assert_eq!(config.policy.ration, Some((10.0, 2.0, 0.1)));
+    assert_eq!((config.policy.quotas[0], config.clients[0].as_str()), (44.0, "clinic"));
+    assert_eq!((config.policy.ceilings[0], config.policy.hand), (60.0, 40.0));
     // Free ones are the fleet's: each gateway has its part.
-    assert_eq!(house.policy.retries, Some((5.0, 4.0, 0.2)));
-    assert_eq!((house.functions.of("packs-a").lanes, house.functions.of("packs-a").load), (2.0, Some(0.7)));
-    assert_eq!(house.functions.of("another").memory, 400.0);
-    assert_eq!((house.bounds.grace, house.profiles[1].cut_off), (0.5, 1.5));
-    let WorkerSource::List(list) = house.source else { panic!("a list") };
+    assert_eq!(config.policy.retries, Some((5.0, 4.0, 0.2)));
+    assert_eq!(
+        (config.functions.resolve("packs-a").lanes, config.functions.resolve("packs-a").load),
+        (2.0, Some(0.7))
+    );
+    assert_eq!(config.functions.resolve("another").memory, 400.0);
+    assert_eq!((config.limits.drain_grace, config.profiles[1].deadline), (0.5, 1.5));
+    let WorkerSource::List(list) = config.source else { panic!("a list") };
     assert_eq!((list[0].kind.as_str(), list[1].kind.as_str()), ("std", ""));
 }
 
@@ -92,30 +95,29 @@
 #[test_case("free   = 2", "free   = [2]", 46, 5, "no number"; "a list for a figure")]
 #[test_case("gateways = 2", "gateways = ", 3, 12, "no HCL"; "broken grammar")]
 fn a_mistake_is_told_with_its_place(from: &str, to: &str, line: usize, column: usize, words: &str) {
-    assert!(SOUND.contains(from));
-    let mistakes = read(&SOUND.replacen(from, to, 1)).unwrap_err();
-    let told: Vec<_> = mistakes.iter().map(ToString::to_string).collect();
-    let found =
-        mistakes.iter().any(|m| (m.line, m.column) == (line, column) && m.to_string().contains(words));
-    assert!(found, "{told:#?}");
+    assert!(VALID.contains(from));
+    let errors = read(&VALID.replacen(from, to, 1)).unwrap_err();
+    let messages: Vec<_> = errors.iter().map(ToString::to_string).collect();
+    let found = errors.iter().any(|m| (m.line, m.column) == (line, column) && m.to_string().contains(words));
+    assert!(found, "{messages:#?}");
 }
 
 #[test]
 fn all_mistakes_are_told_at_once_in_order() {
-    let text = SOUND
+    let text = VALID
         .replace("seed ", "sead ")
         .replace("due     = 1.0", "due = \"soon\"")
         .replace("lanes ", "lines ");
-    let mistakes = read(&text).unwrap_err();
-    assert_eq!(mistakes.iter().map(|m| m.line).collect::<Vec<_>>(), [4, 7, 22], "{mistakes:#?}");
+    let errors = read(&text).unwrap_err();
+    assert_eq!(errors.iter().map(|m| m.line).collect::<Vec<_>>(), [4, 7, 22], "{errors:#?}");
 }
 
 proptest! {
     /// A charter cut off or mangled anywhere is refused or read, never a panic.
     #[test]
-    fn mangled_text_is_no_panic(at in 0..SOUND.len(), with in ".{0,8}", cut in 0..40usize) {
-        let end = (at + cut).min(SOUND.len());
-        let _ = read(&format!("{}{with}{}", &SOUND[..at], &SOUND[end..]));
+    fn mangled_text_is_no_panic(at in 0..VALID.len(), with in ".{0,8}", cut in 0..40usize) {
+        let end = (at + cut).min(VALID.len());
+        let _ = read(&format!("{}{with}{}", &VALID[..at], &VALID[end..]));
     }
 
     #[test]
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -246,7 +246,7 @@
     fn send(&mut self, activation: usize, worker: usize, until: f64) {
         let (tag, now) = (self.tag(activation), self.now);
         self.tally.shots += 1;
-        let connect = now + self.bounds.connect;
+        let connect = now + self.bounds.connect_timeout;
         let Some(call) = self.calls[activation].as_mut() else { return };
         let shot = call.shots.len();
         let ends = self.wheel.set(until, Due::Shot(tag, shot));
@@ -307,7 +307,7 @@
     fn probe(&mut self, worker: usize) {
         self.serial += 1;
         self.tally.probes += 1;
-        let ticket = self.wheel.set(self.now + self.bounds.probe, Due::Probe(worker, self.serial));
+        let ticket = self.wheel.set(self.now + self.bounds.probe_timeout, Due::Probe(worker, self.serial));
         if self.probes.len() <= worker {
             self.probes.resize(worker + 1, (0, None));
         }
@@ -387,8 +387,8 @@
     fn from(house: &GatewayConfig, epoch: f64, now: f64, serial: u64, life: u64) -> Self {
         let seed = house.policy.seed;
         // By then every shot, order and probe for one that is gone has ended, and is booked.
-        let longest = house.profiles.iter().map(|p| p.cut_off).fold(house.policy.order_wait, f64::max);
-        let forget = 2.0 * (longest + house.bounds.probe);
+        let longest = house.profiles.iter().map(|p| p.deadline).fold(house.policy.order_wait, f64::max);
+        let forget = 2.0 * (longest + house.limits.probe_timeout);
         let mut books = DispatcherState {
             now,
             acts: VecDeque::new(),
@@ -401,10 +401,10 @@
             free_orders: Vec::new(),
             probes: Vec::new(),
             functions: Interner::new(seed),
-            roll: WorkerTable::new(&house.kinds, seed, epoch, life, forget),
+            roll: WorkerTable::new(&house.worker_kinds, seed, epoch, life, forget),
             wheel: TimerWheel::default(),
             serial,
-            bounds: house.bounds.clone(),
+            bounds: house.limits.clone(),
             order_wait: house.policy.order_wait,
             ration: house.policy.ration.map(LoadRateLimit::new),
             meters: None,
@@ -419,12 +419,12 @@
     /// Goes by other figures of functions from here on: what is in hand keeps those that it came with. `charter`
     /// has what holds where no change does.
     pub fn amend(&mut self, amendment: &ConfigChange, charter: &FunctionConfigs) {
-        self.functions.amend(amendment, charter);
+        self.functions.apply(amendment, charter);
     }
 
     /// The figures of a function, as they are in force.
     pub fn figures(&self, function: &str) -> FunctionConfig {
-        self.functions.of(function)
+        self.functions.resolve(function)
     }
 
     /// Goes by what gateways that know of each other say, until they say otherwise.
@@ -551,7 +551,7 @@
     /// An activation arrives. None where the table is full: it is not taken and must be bounced at the door.
     pub fn arrive(&mut self, now: f64, come: IncomingRequest<'_>, what: T) -> Option<RequestId> {
         let books = &mut self.books;
-        if books.open >= books.bounds.open {
+        if books.open >= books.bounds.max_open_requests {
             return None;
         }
         books.now = now;
@@ -563,7 +563,7 @@
         }
         books.want(Budget::Ceiling(come.client), 1, 0);
         books.want(Budget::Quota(come.client), u64::from(!come.repeat), 0);
-        let patience = come.patience.min(self.profiles[come.profile].cut_off);
+        let patience = come.patience.min(self.profiles[come.profile].deadline);
         let function = books.functions.take(come.function);
         let call = Call {
             serial: books.serial,
@@ -577,7 +577,7 @@
         };
         let index = books.place(call);
         let (lanes, memory, load) = come.instance.unwrap_or_else(|| {
-            let of = self.functions.of(come.function);
+            let of = self.functions.resolve(come.function);
             (of.lanes, of.memory, of.load)
         });
         let arrival = Arrival {
@@ -661,7 +661,7 @@
     /// connection, and is asked about anew.
     pub fn put_back(&mut self, now: f64, tag: RequestId, shot: usize) {
         self.books.now = now;
-        let connect = now + self.books.bounds.connect;
+        let connect = now + self.books.bounds.connect_timeout;
         if self.books.shot(tag, shot).is_none_or(|s| s.stage != Stage::Begun) {
             return;
         }
--- a/crates/dispatcher/tests/dispatcher/figures.rs
+++ b/crates/dispatcher/tests/dispatcher/figures.rs
@@ -7,7 +7,7 @@
 use test_case::test_case;
 
 fn amendment(house: &GatewayConfig, key: &str, text: Option<&str>) -> ConfigChange {
-    house.amendment(key, text).unwrap_or_else(|m| panic!("{m:#?}"))
+    house.parse_change(key, text).unwrap_or_else(|m| panic!("{m:#?}"))
 }
 
 fn amend(desk: &mut Dispatcher<u32>, house: &GatewayConfig, key: &str, text: Option<&str>) {
@@ -65,5 +65,5 @@
     assert_eq!(shots(&acts(&mut desk)).len(), 3);
     amend(&mut desk, &house, "functions", None);
     amend(&mut desk, &house, "function f", None);
-    assert_eq!(desk.figures("f"), house.functions.of("f"));
+    assert_eq!(desk.figures("f"), house.functions.resolve("f"));
 }
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -5,7 +5,7 @@
 use crate::store::Shelf;
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
-use milletpath_config::page::{ConfigError, Page, Section};
+use milletpath_config::document::{ConfigError, Document, Section};
 use milletpath_history_checker::Effect;
 use std::path::Path;
 
@@ -247,9 +247,9 @@
         }
     }
     let name = path.file_stem().map_or("day".into(), |n| n.to_string_lossy().into_owned());
-    let page = Page::new(&texts[0].0);
-    let day = whole(&name, &Section::layered(&page, texts.iter().map(|(_, body)| body).collect()));
-    let mistakes = page.mistakes();
+    let document = Document::new(&texts[0].0);
+    let day = whole(&name, &Section::layered(&document, texts.iter().map(|(_, body)| body).collect()));
+    let mistakes = document.into_errors();
     if mistakes.is_empty() { Ok(day) } else { Err(lines(path, &mistakes)) }
 }
 
@@ -260,7 +260,7 @@
 fn parse(text: &str) -> Result<Body, Vec<ConfigError>> {
     parse_body(text).map_err(|e| {
         let (line, column) = (e.location().line(), e.location().column());
-        vec![ConfigError { line, column, wrong: e.message().to_owned(), remedy: "mend the line".into() }]
+        vec![ConfigError { line, column, problem: e.message().to_owned(), remedy: "mend the line".into() }]
     })
 }
 
@@ -270,7 +270,7 @@
     let fleet = top.block("fleet");
     let fleet = fleet.as_ref();
     let of = |s: Option<&Section<'_>>, key, unit, high, usual| {
-        s.and_then(|s| s.figure(key, unit, 0.0..=high)).unwrap_or(usual)
+        s.and_then(|s| s.number(key, unit, 0.0..=high)).unwrap_or(usual)
     };
     let may = |key, usual| fleet.and_then(|s| s.flag(key)).unwrap_or(usual);
     let count = |s: Option<&Section<'_>>, key, usual| {
@@ -294,7 +294,7 @@
     let shelf = Shelf {
         at_once: of(store.as_ref(), "at_once", "fetches", 1e9, 12.0),
         takes: count(store.as_ref(), "takes", 48),
-        tips: store.as_ref().and_then(|s| s.figure("tips", "fetches a second", 0.0..=1e9)),
+        tips: store.as_ref().and_then(|s| s.number("tips", "fetches a second", 0.0..=1e9)),
         stops: of(store.as_ref(), "stops", "seconds", LONG, 3.0),
     };
     let functions = top.block("functions");
@@ -335,7 +335,7 @@
         grace: of(rules, "drain_grace", "seconds", LONG, 1.0),
         ration: rationed("ration"),
         retries: rationed("retries"),
-        in_flight: rules.and_then(|r| r.figure("in_flight", "shots at one worker", 1.0..=1e9)),
+        in_flight: rules.and_then(|r| r.number("in_flight", "shots at one worker", 1.0..=1e9)),
         receipts: of(rules, "receipts", "seconds", LONG, 30.0),
         late: of(rules, "late", "importance", 1.0, 0.1),
         over_share: of(rules, "over_share", "importance", 1.0, 0.05),
@@ -343,7 +343,7 @@
     };
     Day {
         name: name.to_owned(),
-        seed: top.figure("seed", "chance", 0.0..=9e15).unwrap_or(1.0) as u64,
+        seed: top.number("seed", "chance", 0.0..=9e15).unwrap_or(1.0) as u64,
         seconds: of(Some(top), "seconds", "seconds", LONG, 30.0),
         gateways: count(Some(top), "gateways", 2),
         cores: top.count("cores", "cores", 1..=63),
@@ -367,19 +367,19 @@
     let effects =
         [("pure", Effect::Pure), ("receipted", Effect::Receipted), ("effectful", Effect::Effectful)];
     let read = |s: Section<'_>| {
-        let due = s.figure("due", "seconds", 0.001..=86_400.0).unwrap_or(1.0);
+        let due = s.number("due", "seconds", 0.001..=86_400.0).unwrap_or(1.0);
         Profile {
             name: s.label.clone(),
-            share: s.figure("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
+            share: s.number("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
             due,
-            cut_off: s.figure("cut_off", "seconds", 0.001..=86_400.0).unwrap_or(3.0 * due),
-            effect: s.word("effect", &effects).unwrap_or(Effect::Pure),
-            importance: s.figure("importance", "importance", 0.0..=1e9).unwrap_or(1.0),
+            cut_off: s.number("cut_off", "seconds", 0.001..=86_400.0).unwrap_or(3.0 * due),
+            effect: s.one_of("effect", &effects).unwrap_or(Effect::Pure),
+            importance: s.number("importance", "importance", 0.0..=1e9).unwrap_or(1.0),
         }
     };
     let profiles: Vec<_> = top.blocks("profile", true).into_iter().map(read).collect();
     if profiles.is_empty() {
-        top.mistake(0, "the day has no profile", "add profile \"usual\" { due = 1.0 }");
+        top.report(0, "the day has no profile", "add profile \"usual\" { due = 1.0 }");
     }
     profiles
 }
@@ -387,9 +387,9 @@
 fn groups(top: &Section<'_>) -> Vec<Group> {
     let read = |s: Section<'_>| Group {
         name: s.label.clone(),
-        share: s.figure("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
-        quota: s.figure("quota", "calls a second", 0.0..=1e9),
-        ceiling: s.figure("ceiling", "calls a second", 0.0..=1e9),
+        share: s.number("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
+        quota: s.number("quota", "calls a second", 0.0..=1e9),
+        ceiling: s.number("ceiling", "calls a second", 0.0..=1e9),
     };
     let mut groups: Vec<_> = top.blocks("client", true).into_iter().map(read).collect();
     if groups.is_empty() {
@@ -406,16 +406,16 @@
         let Some(&(_, what, part, size)) = WORDS.iter().find(|(w, ..)| word(w)) else {
             let known: Vec<_> = WORDS.iter().map(|(w, ..)| *w).collect();
             let remedy = format!("one of {}; `death-at-night` names a second death", known.join(", "));
-            s.mistake(s.at, format!("there is no trouble called {}", s.label), remedy);
+            s.report(s.offset, format!("there is no trouble called {}", s.label), remedy);
             return None;
         };
         Some(Trouble {
             name: s.label.clone(),
             what,
-            at: s.figure("at", "seconds", 0.0..=86_400.0).unwrap_or(0.0),
-            lasts: s.figure("lasts", "seconds", 0.0..=86_400.0).unwrap_or(5.0),
-            part: s.figure("part", "of what it strikes", 0.0..=1.0).unwrap_or(part),
-            size: s.figure("size", "", 0.0..=1e6).unwrap_or(size),
+            at: s.number("at", "seconds", 0.0..=86_400.0).unwrap_or(0.0),
+            lasts: s.number("lasts", "seconds", 0.0..=86_400.0).unwrap_or(5.0),
+            part: s.number("part", "of what it strikes", 0.0..=1.0).unwrap_or(part),
+            size: s.number("size", "", 0.0..=1e6).unwrap_or(size),
         })
     };
     top.blocks("trouble", true).into_iter().filter_map(read).collect()
--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -33,7 +33,7 @@
 impl Feed {
     /// Opens the socket that the charter states, and reads the key.
     pub fn open(stated: &ConfigLogConfig) -> io::Result<Self> {
-        let key = control_key(&stated.key)?;
+        let key = control_key(&stated.key_file)?;
         let socket = UdpSocket::bind(stated.listen)
             .map_err(|e| io::Error::new(e.kind(), format!("{} can't be listened on: {e}", stated.listen)))?;
         Ok(Self { socket, key })
@@ -81,11 +81,11 @@
     feed: Feed,
     onlooker: Option<Box<dyn Onlooker>>,
 ) -> io::Result<JoinHandle<()>> {
-    let Some(stated) = office.house.changes.clone() else {
+    let Some(stated) = office.house.config_log.clone() else {
         return Err(io::Error::other("the charter has no changes"));
     };
-    let file = stated.state.display();
-    let saved = match std::fs::read(&stated.state) {
+    let file = stated.state_file.display();
+    let saved = match std::fs::read(&stated.state_file) {
         Ok(saved) => Some(saved),
         Err(e) if e.kind() == ErrorKind::NotFound => None,
         Err(e) => {
@@ -106,7 +106,7 @@
         (true, _) => tracing::info!(number = head, "the last known state is in force"),
         (false, _) => tracing::info!("no state is known yet: the charter's figures hold"),
     }
-    let keeping = Keeping::new(stated.state, (head, follower.state().digest()), now);
+    let keeping = Keeping::new(stated.state_file, (head, follower.state().digest()), now);
     let mut running = Running {
         follower,
         office,
@@ -200,11 +200,11 @@
             let house = &self.office.house;
             let mut amendments: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
-                if change.text.is_none() && Subject::of(&change.key).is_none() {
+                if change.text.is_none() && Subject::from_key(&change.key).is_none() {
                     // What was never in force here is easily taken back.
                     continue;
                 }
-                match house.amendment(&change.key, change.text.as_deref()) {
+                match house.parse_change(&change.key, change.text.as_deref()) {
                     Ok(amendment) => amendments.push(amendment),
                     Err(mistakes) => {
                         let why = mistakes.first().map(ToString::to_string).unwrap_or_default();
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -56,7 +56,7 @@
 
 impl Client {
     pub fn new(stated: &ConfigLogConfig) -> io::Result<Self> {
-        let key = crate::control_key(&stated.key)?;
+        let key = crate::control_key(&stated.key_file)?;
         let any: IpAddr = match stated.control.first() {
             Some(SocketAddr::V6(_)) => Ipv6Addr::UNSPECIFIED.into(),
             _ => Ipv4Addr::UNSPECIFIED.into(),
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -14,7 +14,7 @@
 pub fn start(office: &Arc<Office>, seat: usize, life: u32) -> io::Result<JoinHandle<()>> {
     let office = office.clone();
     std::thread::Builder::new().name(format!("core-{seat}")).spawn(move || {
-        if office.house.bounds.pin {
+        if office.house.limits.pin {
             pin(seat);
         }
         match tokio::runtime::Builder::new_current_thread().enable_all().build() {
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -235,8 +235,8 @@
     /// Begins with a worker list, as `serve` does before its first call: with a link where the charter has
     /// peers, and a follower where it has changes.
     pub fn begin(house: GatewayConfig, list: &[Entry], heed: Heed, hear: Hear) -> io::Result<Self> {
-        let link = house.peers.as_ref().map(|stated| Link::open(stated, None)).transpose()?;
-        let feed = house.changes.as_ref().map(Feed::open).transpose()?;
+        let link = house.membership.as_ref().map(|stated| Link::open(stated, None)).transpose()?;
+        let feed = house.config_log.as_ref().map(Feed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
         let mut hollow = Self {
             office: Office::new(house),
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -113,7 +113,7 @@
     office.seats.iter().for_each(|seat| seat.bell.notify_one());
     tracing::info!(open = office.ask(|d| d.open()), connections = office.guests.used(), "stopping");
     // A client's patience is within its profile's cut-off; a little more lets the last answers be written.
-    let longest = office.house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max) + 1.0;
+    let longest = office.house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max) + 1.0;
     let _ = tokio::time::timeout(Duration::from_secs_f64(longest), async {
         while office.guests.used() > 0 {
             tokio::select! {
--- a/crates/gateway/src/office.rs
+++ b/crates/gateway/src/office.rs
@@ -175,9 +175,9 @@
 impl Office {
     pub fn new(house: GatewayConfig) -> Arc<Self> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let cores = house.bounds.cores.clamp(1, MOST_CORES);
+        let cores = house.limits.cores.clamp(1, MOST_CORES);
         // A call has few letters at a time: its shots, their ends and its answer; the rest is for orders and probes.
-        let letters = house.bounds.open.saturating_mul(8).saturating_add(1 << 16);
+        let letters = house.limits.max_open_requests.saturating_mul(8).saturating_add(1 << 16);
         Arc::new(Self {
             began: Instant::now(),
             epoch: unix.as_secs_f64(),
@@ -192,8 +192,8 @@
             stood_in: AtomicU64::new(0),
             earlier: Notify::new(),
             stopping: AtomicBool::new(false),
-            held: Arc::new(Budget::new(house.bounds.held)),
-            guests: Budget::new(house.bounds.connections),
+            held: Arc::new(Budget::new(house.limits.max_buffered_bytes)),
+            guests: Budget::new(house.limits.max_connections),
             fewer: Notify::new(),
             numbers: AtomicU64::new(0),
             rooms: Mutex::default(),
@@ -355,8 +355,8 @@
 
     /// The figures of a function, as they are in force. Where no change can come the desk is not entered.
     pub fn figures(&self, function: &str) -> FunctionConfig {
-        match &self.house.changes {
-            None => self.house.functions.of(function),
+        match &self.house.config_log {
+            None => self.house.functions.resolve(function),
             Some(_) => self.ask(|desk| desk.figures(function)),
         }
     }
@@ -411,7 +411,10 @@
     /// The connections of a worker, over all cores.
     pub fn room(&self, address: SocketAddr) -> Arc<Room> {
         let mut rooms = self.rooms.lock().unwrap_or_else(PoisonError::into_inner);
-        rooms.entry(address).or_insert_with(|| Arc::new(Room::new(self.house.bounds.per_worker))).clone()
+        rooms
+            .entry(address)
+            .or_insert_with(|| Arc::new(Room::new(self.house.limits.max_connections_per_worker)))
+            .clone()
     }
 
     /// Forgets the rooms that no connection is in.
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -56,7 +56,7 @@
 impl Link {
     /// Opens the socket that the charter states, and reads the key.
     pub fn open(stated: &MembershipConfig, plant: Option<Plant>) -> io::Result<Self> {
-        let key = key_of(&stated.key)?;
+        let key = key_of(&stated.key_file)?;
         let socket = UdpSocket::bind(stated.listen)
             .map_err(|e| io::Error::new(e.kind(), format!("{} can't be listened on: {e}", stated.listen)))?;
         Ok(Self { socket, key, plant })
@@ -88,7 +88,7 @@
     link: Link,
     onlooker: Option<Box<dyn Onlooker>>,
 ) -> io::Result<JoinHandle<()>> {
-    let Some(stated) = office.house.peers.clone() else {
+    let Some(stated) = office.house.membership.clone() else {
         return Err(io::Error::other("the charter has no peers"));
     };
     let at = if stated.advertise.port() == 0 { link.address()? } else { stated.advertise };
@@ -308,8 +308,8 @@
     /// Times that it is asked, and seconds for each.
     const TRIES: u64 = 4;
     const WAIT: Duration = Duration::from_secs(1);
-    let Some(stated) = &house.peers else { return Err(io::Error::other("the charter has no peers")) };
-    let key = key_of(&stated.key)?;
+    let Some(stated) = &house.membership else { return Err(io::Error::other("the charter has no peers")) };
+    let key = key_of(&stated.key_file)?;
     let mut to = stated.listen;
     if to.port() == 0 {
         return Err(io::Error::other("listen of peers has port 0: nobody can tell where it is; give it one"));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -82,11 +82,11 @@
         let (gateway, line, stopping) = (gateway.clone(), owner.clone(), *stopping.borrow());
         async move { Ok::<_, Infallible>(answer(gateway, line, request, stopping).await) }
     });
-    let io = Paced::new(OwnEnd(line), Duration::from_secs_f64(bounds.stall));
+    let io = Paced::new(OwnEnd(line), Duration::from_secs_f64(bounds.stall_timeout));
     let mut connection = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(Duration::from_secs_f64(bounds.head))
+            .header_read_timeout(Duration::from_secs_f64(bounds.header_timeout))
             .max_buf_size(HEAD)
             .max_headers(FIELDS)
             .serve_connection(io, service)
@@ -286,7 +286,7 @@
     Ok(Door {
         profile,
         client,
-        patience: patience.unwrap_or(f64::INFINITY).min(house.profiles[profile].cut_off),
+        patience: patience.unwrap_or(f64::INFINITY).min(house.profiles[profile].deadline),
         repeat: invoke::repeat(headers).map_err(|f| Box::new(faulty(&f)))?,
     })
 }
@@ -295,15 +295,15 @@
 async fn read(gateway: &Gateway, mut body: Incoming, until: f64) -> Result<(Bytes, Vec<Held>), Refusal> {
     let bounds = gateway.bounds();
     let too_large = || {
-        let detail = format!("A call's body may have {} bytes here.", bounds.body);
+        let detail = format!("A call's body may have {} bytes here.", bounds.max_request_body);
         Box::new(refused(StatusCode::PAYLOAD_TOO_LARGE, "too-large", "The body is too large", &detail))
     };
-    if body.size_hint().lower() > bounds.body as u64 {
+    if body.size_hint().lower() > bounds.max_request_body as u64 {
         return Err(too_large());
     }
     let (mut gathered, mut held) = (Gathered::default(), Vec::new());
     while !body.is_end_stream() {
-        let wait = bounds.stall.min(until - gateway.now()).max(0.0);
+        let wait = bounds.stall_timeout.min(until - gateway.now()).max(0.0);
         let frame = match tokio::time::timeout(Duration::from_secs_f64(wait), body.frame()).await {
             Ok(None) => break,
             Ok(Some(Ok(frame))) => frame,
@@ -326,7 +326,7 @@
             }
         };
         let Ok(data) = frame.into_data() else { continue };
-        if gathered.len() + data.len() > bounds.body {
+        if gathered.len() + data.len() > bounds.max_request_body {
             return Err(too_large());
         }
         match gateway.hold(data.len()) {
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -51,7 +51,7 @@
         if let Some((window, free, _)) = policy.retries {
             add(Budget::Retries, "retries".into(), Form::Window(window), free);
         }
-        let longest = house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max);
+        let longest = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
         Self {
             shares,
             open,
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -83,7 +83,7 @@
     }
 
     pub fn bounds(&self) -> &Limits {
-        &self.office.house.bounds
+        &self.office.house.limits
     }
 
     /// Seconds on the true clock since the start.
@@ -230,7 +230,7 @@
     }
 
     pub fn close_idle(&self) {
-        let since = self.now() - self.bounds().idle;
+        let since = self.now() - self.bounds().idle_timeout;
         self.pools.borrow_mut().iter_mut().for_each(|p| p.close_idle(since));
     }
 
--- a/crates/gateway/src/shot.rs
+++ b/crates/gateway/src/shot.rs
@@ -165,7 +165,7 @@
 
 /// Reads an answer to its end, within the bounds on one and on all together.
 async fn read(gateway: &Gateway, mut body: Incoming) -> Result<(Bytes, Held), Short> {
-    let most = gateway.bounds().answer;
+    let most = gateway.bounds().max_response_body;
     if body.size_hint().lower() > most as u64 {
         return Err(Short::TooLarge);
     }
@@ -309,14 +309,14 @@
 
 /// Has a worker unload idle instances. Nobody waits for the answer.
 pub async fn unload(gateway: Rc<Gateway>, worker: usize, way: Way, function: Arc<str>) {
-    let wait = Duration::from_secs_f64(gateway.bounds().probe);
+    let wait = Duration::from_secs_f64(gateway.bounds().probe_timeout);
     let asked = ask(&gateway, worker, way, Method::POST, wire::unload(&function), None, || true);
     let _ = tokio::time::timeout(wait, asked).await;
 }
 
 /// Asks a worker how it is.
 pub async fn probe(gateway: Rc<Gateway>, worker: usize, way: Way, serial: u64) {
-    let wait = Duration::from_secs_f64(gateway.bounds().probe);
+    let wait = Duration::from_secs_f64(gateway.bounds().probe_timeout);
     let asked = ask(&gateway, worker, way, Method::GET, wire::READY.to_owned(), None, || true);
     let Ok(answer) = tokio::time::timeout(wait, asked).await else { return };
     let (outcome, report) = match answer {
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -94,7 +94,7 @@
         let name = file.display();
         let text = std::fs::read_to_string(file)
             .map_err(|e| vec![format!("{name}: can't be read: {e}; name a file of statements")])?;
-        let stated = house.statements(&text);
+        let stated = house.parse_changes(&text);
         let stated = stated.map_err(|all| all.iter().map(|m| format!("{name}:{m}")).collect::<Vec<_>>())?;
         wanted.extend(stated.into_iter().map(|s| Wanted {
             key: s.subject.to_string(),
@@ -104,7 +104,7 @@
     }
     for name in asked.remove {
         // A name alone is a function's.
-        let subject = Subject::of(name).or_else(|| Subject::of(&format!("function {name}")));
+        let subject = Subject::from_key(name).or_else(|| Subject::from_key(&format!("function {name}")));
         let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_config_log::KEY) else {
             let remedy = "write the function's name, or functions for what is stated of all";
             return Err(vec![format!("--remove {name}: no statement goes by that; {remedy}")]);
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -29,7 +29,7 @@
         return ExitCode::from(2);
     };
     let file = charter.with_file_name(format!("control-{number}.log"));
-    let key = match milletpath_gateway::control_key(&stated.key) {
+    let key = match milletpath_gateway::control_key(&stated.key_file) {
         Ok(key) => key,
         Err(e) => return failed(&format!("key of changes: {e}")),
     };
@@ -133,7 +133,7 @@
 /// A charter, with what it states of changes.
 pub fn stated(charter: &Path) -> Result<(GatewayConfig, ConfigLogConfig), ExitCode> {
     let house = crate::read(charter)?;
-    match house.changes.clone() {
+    match house.config_log.clone() {
         Some(changes) => Ok((house, changes)),
         None => {
             eprintln!("{}: has no changes; add changes {{ ... }} to the charter", charter.display());
@@ -225,7 +225,7 @@
         if let Message::Propose { change } = &message
             // What another control machine passes on was looked at there.
             && !self.control.contains(&from)
-            && let Err(mistakes) = self.house.amendment(&change.key, change.text.as_deref())
+            && let Err(mistakes) = self.house.parse_change(&change.key, change.text.as_deref())
         {
             let mut why = mistakes.first().map(ToString::to_string).unwrap_or_default();
             let end = (0..=LONGEST_DENIAL.min(why.len())).rev().find(|n| why.is_char_boundary(*n));
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -199,17 +199,17 @@
         ExitCode::from(2)
     })?;
     // Beside the charter, wherever the program was started.
-    if let (Some(peers), Some(folder)) = (&mut house.peers, path.parent()) {
-        peers.key = folder.join(&peers.key);
-        milletpath_gateway::key_of(&peers.key).map_err(|e| {
+    if let (Some(peers), Some(folder)) = (&mut house.membership, path.parent()) {
+        peers.key_file = folder.join(&peers.key_file);
+        milletpath_gateway::key_of(&peers.key_file).map_err(|e| {
             eprintln!("{}: key of peers: {e}; make one of chance, alike for all gateways", path.display());
             ExitCode::from(2)
         })?;
     }
-    if let (Some(changes), Some(folder)) = (&mut house.changes, path.parent()) {
-        changes.key = folder.join(&changes.key);
-        changes.state = folder.join(&changes.state);
-        milletpath_gateway::control_key(&changes.key).map_err(|e| {
+    if let (Some(changes), Some(folder)) = (&mut house.config_log, path.parent()) {
+        changes.key_file = folder.join(&changes.key_file);
+        changes.state_file = folder.join(&changes.state_file);
+        milletpath_gateway::control_key(&changes.key_file).map_err(|e| {
             eprintln!(
                 "{}: key of changes: {e}; make one of chance, alike for control machines, gateways and authors",
                 path.display()
--- a/crates/milletpath/src/peers.rs
+++ b/crates/milletpath/src/peers.rs
@@ -10,7 +10,7 @@
         Ok(house) => house,
         Err(code) => return code,
     };
-    if house.peers.is_none() {
+    if house.membership.is_none() {
         eprintln!("{}: has no peers; add peers {{ ... }} to the charter", charter.display());
         return ExitCode::from(2);
     }
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -29,7 +29,7 @@
         Err(code) => return code,
     };
     let run = async |mut house: GatewayConfig, inside| {
-        house.bounds.cores = how.cores.map_or(house.bounds.cores, usize::from);
+        house.limits.cores = how.cores.map_or(house.limits.cores, usize::from);
         run(house, inside, how.stir, plant).await
     };
     crate::local(async move {
@@ -56,7 +56,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let link = match house.peers.as_ref().map(|peers| Link::open(peers, plant)).transpose() {
+    let link = match house.membership.as_ref().map(|peers| Link::open(peers, plant)).transpose() {
         Ok(link) => link,
         Err(e) => {
             eprintln!("the link to the other gateways can't be opened: {e}; change peers in the charter");
@@ -67,7 +67,7 @@
         tracing::info!(%address, "hears other gateways");
         say(&format!("peers on udp://{address}"));
     }
-    let feed = match house.changes.as_ref().map(Feed::open).transpose() {
+    let feed = match house.config_log.as_ref().map(Feed::open).transpose() {
         Ok(feed) => feed,
         Err(e) => {
             eprintln!("changes can't be heard: {e}; change changes in the charter");
--- a/crates/milletpath/tests/town/mod.rs
+++ b/crates/milletpath/tests/town/mod.rs
@@ -1,7 +1,7 @@
 //! A small platform on loopback for stories of the router: workers, a bulletin and clients of our own that speak its
 //! protocol, each on threads that end with their sockets.
 
-#[path = "../../../platform-protocol/tests/pen/mod.rs"]
+#[path = "../../../platform-protocol/tests/worker_frames/mod.rs"]
 mod pen;
 
 pub use pen::frame;
--- a/crates/platform-protocol/src/told.rs
+++ b/crates/platform-protocol/src/bootstrap.rs
@@ -1,7 +1,7 @@
 //! The file that a router starts from, and reads again when told to: who it is, its limits, the bulletin, the list so
 //! far, and the settings. What is read becomes a [`GatewayConfig`] and the few figures beside it.
 
-use crate::events::{self, Line};
+use crate::events::{self, DiscoveryLine};
 use milletpath_config::{FunctionConfigs, GatewayConfig, Limits, ProfileConfig, WorkerSource};
 use milletpath_protocol::Fault;
 use milletpath_protocol::registry::Entry;
@@ -11,20 +11,20 @@
 
 /// What a router starts from.
 #[derive(Debug)]
-pub struct Told {
-    pub house: GatewayConfig,
-    pub bulletin: SocketAddr,
+pub struct Bootstrap {
+    pub config: GatewayConfig,
+    pub discovery: SocketAddr,
     /// The number of the last event told, and the lists so far: whether each is whole, and its entries.
-    pub last: u64,
-    pub lists: Vec<(bool, Vec<Entry>)>,
+    pub last_event: u64,
+    pub worker_lists: Vec<(bool, Vec<Entry>)>,
     /// Bytes of memory that the router may use.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Descriptors that the router may hold.
     pub descriptors: usize,
     /// Shots that one connection carries at a time.
-    pub lanes: usize,
+    pub streams_per_connection: usize,
     /// Whether the settings promise reports of load.
-    pub reports: bool,
+    pub load_reports: bool,
 }
 
 fn address(value: &Value, key: &str) -> Result<SocketAddr, Fault> {
@@ -34,20 +34,20 @@
 
 /// Where the bulletin is now: all that a router takes from the file when it is read again. Beside it, what else the
 /// file says otherwise than the one that the router started from: it holds from the next start.
-pub fn again(text: &[u8], first: &[u8]) -> Result<(SocketAddr, Vec<String>), Fault> {
+pub fn reread(text: &[u8], first: &[u8]) -> Result<(SocketAddr, Vec<String>), Fault> {
     /// What is new with each file, and tells a running router nothing.
     const NEW: [&str; 3] = ["bulletin", "known", "seed"];
     let read = |text| serde_json::from_slice::<Value>(text).map_err(|e| Fault::new("file", e.to_string()));
     let (value, first) = (read(text)?, read(first)?);
     let address = address(&value, "bulletin")?;
     let mut other = Vec::new();
-    differ("", &first, &value, &mut other);
+    collect_differences("", &first, &value, &mut other);
     other.retain(|place| !NEW.contains(&place.split('.').next().unwrap_or_default()));
     Ok((address, other))
 }
 
 /// The places at which two values differ, each as deep as both have it.
-fn differ(place: &str, one: &Value, other: &Value, places: &mut Vec<String>) {
+fn collect_differences(place: &str, one: &Value, other: &Value, places: &mut Vec<String>) {
     /// More say no more.
     const MOST: usize = 16;
     match (one, other) {
@@ -56,7 +56,7 @@
             let keys: BTreeSet<_> = a.keys().chain(b.keys()).collect();
             for key in keys {
                 let deeper = if place.is_empty() { key.clone() } else { format!("{place}.{key}") };
-                differ(&deeper, &one[key.as_str()], &other[key.as_str()], places);
+                collect_differences(&deeper, &one[key.as_str()], &other[key.as_str()], places);
             }
         }
         _ if one != other => places.push(place.to_owned()),
@@ -64,7 +64,7 @@
     }
 }
 
-pub fn read(text: &[u8]) -> Result<Told, Fault> {
+pub fn read(text: &[u8]) -> Result<Bootstrap, Fault> {
     /// For want of a stated one: the least that the platform grants.
     const DESCRIPTORS: u64 = 256;
     /// The same of memory, in MB.
@@ -76,57 +76,57 @@
     let seed = value["seed"].as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     let seed = seed.ok_or_else(|| Fault::new("seed", "is missing or no hex digits"))?;
     let wrong = |e: String| Fault::new("settings", e);
-    let policy = milletpath_platform_settings::charter(settings, seed).map_err(wrong)?;
+    let policy = milletpath_platform_settings::policy_config(settings, seed).map_err(wrong)?;
     let known = &value["known"];
-    let last = known["no"].as_u64().ok_or_else(|| Fault::new("known.no", "is no whole number"))?;
-    let mut lists = Vec::new();
+    let last_event = known["no"].as_u64().ok_or_else(|| Fault::new("known.no", "is no whole number"))?;
+    let mut worker_lists = Vec::new();
     for item in known["items"].as_array().into_iter().flatten() {
-        if let Line::Event { whole, entries, .. } = events::event(item)? {
-            lists.push((whole, entries));
+        if let DiscoveryLine::Event { complete, entries, .. } = events::event(item)? {
+            worker_lists.push((complete, entries));
         }
     }
-    let profiles = milletpath_platform_settings::profiles(settings).map_err(wrong)?;
+    let profiles = milletpath_platform_settings::profile_settings(settings).map_err(wrong)?;
     let profiles =
-        profiles.into_iter().map(|(name, cut_off, importance)| ProfileConfig { name, cut_off, importance });
-    let limit = |name| milletpath_platform_settings::limit(settings, name).map_err(wrong);
-    let bounds = Limits {
+        profiles.into_iter().map(|(name, deadline, importance)| ProfileConfig { name, deadline, importance });
+    let time_limit = |name| milletpath_platform_settings::time_limit(settings, name).map_err(wrong);
+    let limits = Limits {
         cores: 1,
         pin: false,
-        open: milletpath_platform_settings::count(settings, "OpenCap", OPEN).min(OPEN),
-        held: usize::MAX,
-        body: crate::lines::BODY,
-        answer: crate::frames::ANSWER,
-        connections: usize::MAX,
-        per_worker: usize::MAX,
-        head: f64::INFINITY,
-        stall: f64::INFINITY,
-        connect: limit("ConnectTimeout")?,
-        idle: limit("Keepalive")?,
+        max_open_requests: milletpath_platform_settings::count_limit(settings, "OpenCap", OPEN).min(OPEN),
+        max_buffered_bytes: usize::MAX,
+        max_request_body: crate::lines::MAX_REQUEST_BODY,
+        max_response_body: crate::frames::MAX_RESPONSE_BODY,
+        max_connections: usize::MAX,
+        max_connections_per_worker: usize::MAX,
+        header_timeout: f64::INFINITY,
+        stall_timeout: f64::INFINITY,
+        connect_timeout: time_limit("ConnectTimeout")?,
+        idle_timeout: time_limit("Keepalive")?,
         // A probe that takes longer than a connection may is as good as lost.
-        probe: limit("ConnectTimeout")?,
-        grace: milletpath_platform_settings::grace(settings).map_err(wrong)?,
+        probe_timeout: time_limit("ConnectTimeout")?,
+        drain_grace: milletpath_platform_settings::drain_grace(settings).map_err(wrong)?,
     };
-    Ok(Told {
-        bulletin: address(&value, "bulletin")?,
-        last,
-        lists,
-        memory: (value["limits"]["memory_mb"].as_f64().filter(|mb| *mb > 0.0).unwrap_or(MEMORY) * 1e6)
+    Ok(Bootstrap {
+        discovery: address(&value, "bulletin")?,
+        last_event,
+        worker_lists,
+        memory_bytes: (value["limits"]["memory_mb"].as_f64().filter(|mb| *mb > 0.0).unwrap_or(MEMORY) * 1e6)
             as usize,
         descriptors: value["limits"]["sockets"].as_u64().unwrap_or(DESCRIPTORS) as usize,
-        lanes: milletpath_platform_settings::count(settings, "StreamsPerConn", 1),
-        reports: !milletpath_platform_settings::report_names(settings).is_empty(),
-        house: GatewayConfig {
+        streams_per_connection: milletpath_platform_settings::count_limit(settings, "StreamsPerConn", 1),
+        load_reports: !milletpath_platform_settings::load_report_names(settings).is_empty(),
+        config: GatewayConfig {
             listen: address(&value, "listen")?,
             policy,
             profiles: profiles.collect(),
-            clients: milletpath_platform_settings::clients(settings),
+            clients: milletpath_platform_settings::client_groups(settings),
             functions: FunctionConfigs::default(),
-            kinds: milletpath_platform_settings::kinds(settings),
+            worker_kinds: milletpath_platform_settings::worker_kinds(settings),
             source: WorkerSource::List(Vec::new()),
-            bounds,
+            limits,
             // Routers of the platform share nothing, and go by what they are told.
-            peers: None,
-            changes: None,
+            membership: None,
+            config_log: None,
         },
     })
 }
--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -5,47 +5,47 @@
 use serde_json::Value;
 
 /// Bytes that one line may have: thousands of workers.
-pub const LONGEST: usize = 2 << 20;
+pub const MAX_LINE: usize = 2 << 20;
 
 /// Asks for all that comes after an event.
-pub fn after(number: u64) -> String {
+pub fn subscribe_after(number: u64) -> String {
     format!("after {number}\n")
 }
 
 /// One event, or what a line that is none tells: a number alone.
 #[derive(Debug, PartialEq)]
-pub enum Line {
-    Event { number: u64, whole: bool, entries: Vec<Entry> },
+pub enum DiscoveryLine {
+    Event { number: u64, complete: bool, entries: Vec<Entry> },
     Last(u64),
 }
 
-pub fn read(line: &[u8]) -> Result<Line, Fault> {
-    if line.len() > LONGEST {
+pub fn read(line: &[u8]) -> Result<DiscoveryLine, Fault> {
+    if line.len() > MAX_LINE {
         return Err(Fault::new("line", "is too long"));
     }
     let value: Value = serde_json::from_slice(line).map_err(|e| Fault::new("line", e.to_string()))?;
     match value.as_u64() {
-        Some(last) => Ok(Line::Last(last)),
+        Some(last) => Ok(DiscoveryLine::Last(last)),
         None => event(&value),
     }
 }
 
 /// Reads an event that is JSON already, as in the file that a router starts from.
-pub fn event(value: &Value) -> Result<Line, Fault> {
+pub fn event(value: &Value) -> Result<DiscoveryLine, Fault> {
     let number = value["no"].as_u64().ok_or_else(|| Fault::new("no", "is no whole number"))?;
     let roster = &value["roster"];
     // Taken for an event, a heartbeat ahead of ours would hide the one that is missing.
     if value.as_object().is_some_and(|o| o.len() == 1) {
-        return Ok(Line::Last(number));
+        return Ok(DiscoveryLine::Last(number));
     }
     if roster.is_null() {
         // An event of another matter: nothing in it concerns the list.
-        return Ok(Line::Event { number, whole: false, entries: Vec::new() });
+        return Ok(DiscoveryLine::Event { number, complete: false, entries: Vec::new() });
     }
-    let whole = roster["complete"].as_bool().unwrap_or(false);
+    let complete = roster["complete"].as_bool().unwrap_or(false);
     let members = roster["members"].as_array().ok_or_else(|| Fault::new("members", "is no list"))?;
     let entries = members.iter().enumerate().map(entry).collect::<Result<_, _>>()?;
-    Ok(Line::Event { number, whole, entries })
+    Ok(DiscoveryLine::Event { number, complete, entries })
 }
 
 fn entry((n, value): (usize, &Value)) -> Result<Entry, Fault> {
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -1,16 +1,16 @@
 //! Codecs of the platform: what is sound comes through whole, what is not is named, and nothing is set aside for what
 //! is claimed. Wild bytes by the thousand never do more than that.
 
-mod pen;
+mod worker_frames;
 
-use milletpath_platform_protocol::events::{self, Line};
+use milletpath_platform_protocol::bootstrap;
+use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use milletpath_platform_protocol::frames;
-use milletpath_platform_protocol::lines::{self, Said};
-use milletpath_platform_protocol::told;
+use milletpath_platform_protocol::lines::{self, ClientMessage};
 use milletpath_policy::host::Outcome;
-use pen::frame;
 use proptest::prelude::*;
 use test_case::test_case;
+use worker_frames::frame;
 
 fn call(change: &str) -> String {
     let call = r#"{"jsonrpc":"2.0","id":7,"method":"p","params":{"i":"9b1f03aa5c7e2d41","d":1500,"t":"acme","r":1,"o":"7f3a9c21e0b4d655","info":"memory_mb:512;lanes:2;load_ms:640","content":"aGk="}}"#;
@@ -20,11 +20,11 @@
 
 #[test]
 fn a_call_is_read_with_all_that_it_says() {
-    let Ok(Said::Call(ask)) = lines::read(call("").as_bytes()) else { panic!("it is sound") };
-    assert_eq!((ask.number, ask.id, ask.profile.as_str()), (7, 0x9b1f_03aa_5c7e_2d41, "p"));
-    assert_eq!((ask.client.as_str(), ask.function.as_str()), ("acme", "7f3a9c21e0b4d655"));
-    assert_eq!((ask.patience, ask.repeat, &ask.body[..]), (1.5, true, &b"hi"[..]));
-    assert_eq!((ask.memory, ask.lanes, ask.load), (512.0, 2.0, Some(0.64)));
+    let Ok(ClientMessage::Call(call)) = lines::read(call("").as_bytes()) else { panic!("it is sound") };
+    assert_eq!((call.number, call.id, call.profile.as_str()), (7, 0x9b1f_03aa_5c7e_2d41, "p"));
+    assert_eq!((call.client.as_str(), call.function.as_str()), ("acme", "7f3a9c21e0b4d655"));
+    assert_eq!((call.timeout, call.is_repeat, &call.body[..]), (1.5, true, &b"hi"[..]));
+    assert_eq!((call.memory, call.lanes, call.load), (512.0, 2.0, Some(0.64)));
 }
 
 #[test_case(r#""id":7=>"id":0"#, "id"; "no number")]
@@ -52,17 +52,21 @@
 #[test_case(r#""r":1=>"k":"51c47357e4320fd8""#, ",uniq=51c47357e4320fd8"; "marked")]
 #[test_case("", ""; "unmarked")]
 fn a_mark_goes_on_to_the_worker(change: &str, field: &str) {
-    let Ok(Said::Call(ask)) = lines::read(call(change).as_bytes()) else { panic!("it is sound") };
-    let lines::Ask { id, profile, function, mark, body, .. } = &*ask;
+    let Ok(ClientMessage::Call(call)) = lines::read(call(change).as_bytes()) else { panic!("it is sound") };
+    let lines::Call { id, profile, function, idempotency_key, body, .. } = &*call;
     let mut made = Vec::new();
-    frames::shot(&mut made, &frames::Shot { id: *id, profile, function, mark, body }, 1.5);
+    frames::write_attempt(
+        &mut made,
+        &frames::Attempt { id: *id, profile, function, idempotency_key, body },
+        1.5,
+    );
     let fields = usize::from(u16::from_be_bytes([made[2], made[3]]));
     let wanted = format!("queue=p,path=7f3a9c21e0b4d655,budget=1500{field}");
     assert_eq!(std::str::from_utf8(&made[16..16 + fields]), Ok(wanted.as_str()));
 }
 
-#[test_case(lines::BODY, true; "at the bound")]
-#[test_case(lines::BODY + 1, false; "one past it")]
+#[test_case(lines::MAX_REQUEST_BODY, true; "at the bound")]
+#[test_case(lines::MAX_REQUEST_BODY + 1, false; "one past it")]
 fn bodies_are_bounded(length: usize, fits: bool) {
     use base64::Engine;
     let body = base64::engine::general_purpose::STANDARD.encode(vec![b'x'; length]);
@@ -71,7 +75,7 @@
 
 #[test]
 fn nesting_costs_no_stack() {
-    assert!(lines::read(&b"[".repeat(lines::LONGEST)).is_err());
+    assert!(lines::read(&b"[".repeat(lines::MAX_LINE)).is_err());
 }
 
 /// An answer that claims 3 GB and keeps coming is known by its head.
@@ -88,15 +92,18 @@
     let bytes = frame(200, 5, "same=-3,use=q:NaN;x0:0.5;x1:-1,later=1", b"");
     let (answer, _) = frames::read(&bytes).expect("sound").expect("whole");
     let report = answer.report.expect("a report");
-    assert_eq!((answer.company, report.waiting, report.memory, report.loading), (0.0, None, Some(0.5), None));
+    assert_eq!(
+        (answer.concurrent_calls, report.waiting, report.memory, report.loading),
+        (0.0, None, Some(0.5), None)
+    );
 }
 
-#[test_case("17", Some(Line::Last(17)); "a number alone")]
-#[test_case(r#"{"no":17}"#, Some(Line::Last(17)); "a number in an object")]
+#[test_case("17", Some(DiscoveryLine::Last(17)); "a number alone")]
+#[test_case(r#"{"no":17}"#, Some(DiscoveryLine::Last(17)); "a number in an object")]
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"gone"}]}}"#, None; "an unknown state")]
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"active"}]}}"#, None; "no address")]
 #[test_case(r#"{"no":41,"roster":"#, None; "half an event")]
-fn lines_of_the_bulletin(line: &str, read: Option<Line>) {
+fn lines_of_the_bulletin(line: &str, read: Option<DiscoveryLine>) {
     assert_eq!(events::read(line.as_bytes()).ok(), read);
 }
 
@@ -112,7 +119,7 @@
         let twice = [&bytes[..], &bytes[..]].concat();
         let (answer, took) = frames::read(&twice).unwrap().unwrap();
         prop_assert_eq!((answer.id, answer.outcome, answer.body, took), (id, Outcome::Handled, &body[..], bytes.len()));
-        prop_assert_eq!(answer.company, f64::from(same));
+        prop_assert_eq!(answer.concurrent_calls, f64::from(same));
         // What was spoilt past the head is never believed.
         let at = 16 + flip.index(bytes.len() - 16);
         let mut spoilt = bytes.clone();
@@ -121,14 +128,14 @@
     }
 
     #[test]
-    fn wild_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..300), mark: bool) {
+    fn wild_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..300), idempotency_key: bool) {
         let mut bytes = bytes;
-        if let Some(first) = bytes.first_mut().filter(|_| mark) {
+        if let Some(first) = bytes.first_mut().filter(|_| idempotency_key) {
             *first = 127;
         }
         let _ = frames::read(&bytes);
         let _ = events::read(&bytes);
-        let _ = milletpath_platform_protocol::told::read(&bytes);
+        let _ = milletpath_platform_protocol::bootstrap::read(&bytes);
         prop_assert!(lines::read(&bytes).is_err());
     }
 }
@@ -144,8 +151,11 @@
     let first = r#"{"listen":"127.0.0.1:1","seed":"5","bulletin":"127.0.0.1:2","known":{"no":1},"limits":{"memory_mb":64},
         "settings":{"Classes":[{"Name":"p","Effect":"free"}],"Tick":1000}}"#;
     let (from, to) = change.split_once("=>").unwrap_or(("", ""));
-    let again = first.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
-    let (bulletin, other) = told::again(again.as_bytes(), first.as_bytes()).expect("sound");
-    assert_eq!((bulletin.port(), other.iter().map(String::as_str).collect::<Vec<_>>()), (3, places.to_vec()));
-    assert!(told::again(&again.as_bytes()[..40], first.as_bytes()).is_err());
+    let reread = first.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
+    let (discovery, other) = bootstrap::reread(reread.as_bytes(), first.as_bytes()).expect("sound");
+    assert_eq!(
+        (discovery.port(), other.iter().map(String::as_str).collect::<Vec<_>>()),
+        (3, places.to_vec())
+    );
+    assert!(bootstrap::reread(&reread.as_bytes()[..40], first.as_bytes()).is_err());
 }
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -1,9 +1,9 @@
 //! Bytes on the wire, captured before this package's names changed: what the codecs write equals the stored bytes, and
 //! the stored bytes of clients and workers read as they did then.
 
-use milletpath_platform_protocol::events::{self, Line};
-use milletpath_platform_protocol::lines::{self, Ask, Said};
-use milletpath_platform_protocol::{frames, hex};
+use milletpath_platform_protocol::events::{self, DiscoveryLine};
+use milletpath_platform_protocol::lines::{self, Call, ClientMessage};
+use milletpath_platform_protocol::{frames, parse_hex_id};
 use milletpath_policy::host::{Outcome, Report};
 use milletpath_protocol::Fault;
 use milletpath_protocol::registry::Standing;
@@ -34,32 +34,35 @@
 
 /// Everything that the codecs write, by the name of its capture.
 fn everything_written() -> Vec<(&'static str, Vec<u8>)> {
-    let attempt = |mark| frames::Shot {
+    let attempt = |idempotency_key| frames::Attempt {
         id: 0x9b1f_03aa_5c7e_2d41,
         profile: "check",
         function: "7f3a9c21e0b4d655",
-        mark,
+        idempotency_key,
         body: b"hi",
     };
     let fault = Fault::new("info.lanes", "is \"out\" of range\n");
     vec![
-        ("line-success", written(|to| lines::handled(to, 7, b"\x00\xffhello"))),
-        ("line-success-empty", written(|to| lines::handled(to, 1, b""))),
-        ("line-rejected", written(|to| lines::bounced(to, 8, None))),
-        ("line-rejected-retry-after", written(|to| lines::bounced(to, 9, Some(0.2504)))),
-        ("line-failed", written(|to| lines::terminated(to, 10))),
-        ("line-invalid", written(|to| lines::faulty(to, Some(11), &fault))),
-        ("line-invalid-unnumbered", written(|to| lines::faulty(to, None, &fault))),
-        ("line-probe-healthy", written(|to| lines::fit(to, 12, true))),
-        ("line-probe-unhealthy", written(|to| lines::fit(to, 12, false))),
-        ("frame-attempt", written(|to| frames::shot(to, &attempt(""), 1.5))),
-        ("frame-attempt-key", written(|to| frames::shot(to, &attempt("51c47357e4320fd8"), 0.0001))),
-        ("frame-cancel", written(|to| frames::give_up(to, 5))),
-        ("frame-probe", written(|to| frames::probe(to, 6, false))),
-        ("frame-probe-load", written(|to| frames::probe(to, 6, true))),
-        ("frame-load", written(|to| frames::hold(to, u64::MAX, "7f3a9c21e0b4d655", 3))),
-        ("frame-unload", written(|to| frames::unload(to, hex("7f3a9c21e0b4d655").expect("hex")))),
-        ("events-after", events::after(41).into_bytes()),
+        ("line-success", written(|to| lines::write_success(to, 7, b"\x00\xffhello"))),
+        ("line-success-empty", written(|to| lines::write_success(to, 1, b""))),
+        ("line-rejected", written(|to| lines::write_rejected(to, 8, None))),
+        ("line-rejected-retry-after", written(|to| lines::write_rejected(to, 9, Some(0.2504)))),
+        ("line-failed", written(|to| lines::write_failed(to, 10))),
+        ("line-invalid", written(|to| lines::write_invalid(to, Some(11), &fault))),
+        ("line-invalid-unnumbered", written(|to| lines::write_invalid(to, None, &fault))),
+        ("line-probe-healthy", written(|to| lines::write_health(to, 12, true))),
+        ("line-probe-unhealthy", written(|to| lines::write_health(to, 12, false))),
+        ("frame-attempt", written(|to| frames::write_attempt(to, &attempt(""), 1.5))),
+        ("frame-attempt-key", written(|to| frames::write_attempt(to, &attempt("51c47357e4320fd8"), 0.0001))),
+        ("frame-cancel", written(|to| frames::write_cancel(to, 5))),
+        ("frame-probe", written(|to| frames::write_probe(to, 6, false))),
+        ("frame-probe-load", written(|to| frames::write_probe(to, 6, true))),
+        ("frame-load", written(|to| frames::write_load_request(to, u64::MAX, "7f3a9c21e0b4d655", 3))),
+        (
+            "frame-unload",
+            written(|to| frames::write_unload(to, parse_hex_id("7f3a9c21e0b4d655").expect("hex"))),
+        ),
+        ("events-after", events::subscribe_after(41).into_bytes()),
     ]
 }
 
@@ -72,25 +75,25 @@
 
 #[test]
 fn captured_client_lines_read_as_before() {
-    let call = Ask {
+    let call = Call {
         number: 7,
         id: 0x9b1f_03aa_5c7e_2d41,
         profile: "p".into(),
         client: "acme".into(),
         function: "7f3a9c21e0b4d655".into(),
-        patience: 1.5,
-        repeat: true,
-        mark: "51c4".into(),
+        timeout: 1.5,
+        is_repeat: true,
+        idempotency_key: "51c4".into(),
         memory: 512.0,
         lanes: 2.0,
         load: Some(0.64),
         body: b"hi".to_vec(),
     };
-    assert_eq!(lines::read(&captured("client-call")), Ok(Said::Call(Box::new(call))));
-    let give_up = |id, number| Ok(Said::GiveUp { id, number });
-    assert_eq!(lines::read(&captured("client-cancel-id")), give_up(Some(0x9b1f_03aa_5c7e_2d41), None));
-    assert_eq!(lines::read(&captured("client-cancel-number")), give_up(None, Some(7)));
-    assert_eq!(lines::read(&captured("client-probe")), Ok(Said::Probe { number: 3 }));
+    assert_eq!(lines::read(&captured("client-call")), Ok(ClientMessage::Call(Box::new(call))));
+    let write_cancel = |id, number| Ok(ClientMessage::Cancel { id, number });
+    assert_eq!(lines::read(&captured("client-cancel-id")), write_cancel(Some(0x9b1f_03aa_5c7e_2d41), None));
+    assert_eq!(lines::read(&captured("client-cancel-number")), write_cancel(None, Some(7)));
+    assert_eq!(lines::read(&captured("client-probe")), Ok(ClientMessage::Probe { number: 3 }));
 }
 
 #[test]
@@ -119,7 +122,7 @@
             (outcome, probe, 77, bytes.len()),
             "{name}"
         );
-        assert_eq!((answer.company, answer.copies, answer.body), (4.0, 2, &b"hi"[..]), "{name}");
+        assert_eq!((answer.concurrent_calls, answer.instances, answer.body), (4.0, 2, &b"hi"[..]), "{name}");
         assert_eq!(format!("{:?}", answer.report), format!("{:?}", Some(report)), "{name}");
     }
 }
@@ -127,12 +130,12 @@
 #[test]
 fn captured_discovery_lines_read_as_before() {
     let read = events::read(&captured("events-roster")).expect("sound");
-    let Line::Event { number: 41, whole: true, entries } = read else { panic!("{read:?}") };
+    let DiscoveryLine::Event { number: 41, complete: true, entries } = read else { panic!("{read:?}") };
     assert_eq!(entries.len(), 2);
     let first = &entries[0];
     assert_eq!((first.name.as_str(), first.address.to_string()), ("w1", "10.0.0.7:9001".into()));
     assert_eq!((first.started, first.size, first.kind.as_str()), (Some(1700.5), 2.0, "std"));
     assert_eq!((first.zone.as_str(), first.cell.as_str(), first.state), ("north", "3", Standing::Ready));
     assert_eq!((entries[1].name.as_str(), entries[1].state), ("w2", Standing::Gone));
-    assert_eq!(events::read(&captured("events-heartbeat")), Ok(Line::Last(41)));
+    assert_eq!(events::read(&captured("events-heartbeat")), Ok(DiscoveryLine::Last(41)));
 }
--- a/crates/platform-router/src/bulletin.rs
+++ b/crates/platform-router/src/bulletin.rs
@@ -2,7 +2,7 @@
 //! a silence longer than its heartbeat explains leads to asking again for all after the last event.
 
 use crate::station::Shared;
-use milletpath_platform_protocol::events::{self, Line};
+use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -58,7 +58,7 @@
 
 /// Asks on a connection that stands, and takes what is told until it breaks or falls silent: why.
 async fn heed(station: &Shared, mut stream: impl AsyncRead + AsyncWrite + Unpin, last: &mut u64) -> String {
-    if let Err(e) = stream.write_all(events::after(*last).as_bytes()).await {
+    if let Err(e) = stream.write_all(events::subscribe_after(*last).as_bytes()).await {
         return format!("it could not be asked: {e}");
     }
     let mut rest = Vec::new();
@@ -76,20 +76,22 @@
             tracing::trace!("bulletin: {}", String::from_utf8_lossy(&line).trim());
             match events::read(line.trim_ascii()) {
                 // Told before.
-                Ok(Line::Event { number, .. }) if number <= *last => {}
-                Ok(Line::Event { number, whole, entries }) if whole || number == *last + 1 => {
+                Ok(DiscoveryLine::Event { number, .. }) if number <= *last => {}
+                Ok(DiscoveryLine::Event { number, complete: whole, entries })
+                    if whole || number == *last + 1 =>
+                {
                     *last = number;
                     let mut s = station.borrow_mut();
                     let now = s.now();
                     s.desk.list(now, whole, &entries);
                     s.carry_out();
                 }
-                Ok(Line::Last(number)) if number <= *last => {}
+                Ok(DiscoveryLine::Last(number)) if number <= *last => {}
                 Ok(_) => return format!("events after {last} are missing"),
                 Err(fault) => return format!("a line that can't be read, {fault}"),
             }
         }
-        if rest.len() > events::LONGEST {
+        if rest.len() > events::MAX_LINE {
             return "a line without end".into();
         }
     }
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -6,7 +6,7 @@
 use crate::room::Holds;
 use crate::station::{Asker, Shared, Station};
 use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
-use milletpath_platform_protocol::lines::{self, Ask, Said};
+use milletpath_platform_protocol::lines::{self, Call, ClientMessage};
 use milletpath_protocol::Fault;
 use socket2::SockRef;
 use std::rc::Rc;
@@ -212,7 +212,7 @@
             client.since = now;
         }
         client.heard = now;
-        let mut said: Vec<Said> = Vec::new();
+        let mut said: Vec<ClientMessage> = Vec::new();
         let mut fault = None;
         while let Some(end) = bytes.iter().position(|&b| b == b'\n') {
             let (line, more) = bytes.split_at(end);
@@ -220,7 +220,7 @@
             let read = if rest.is_empty() {
                 self.check(key, line, &mut said)
             } else {
-                let room = (lines::LONGEST + 1).saturating_sub(rest.len());
+                let room = (lines::MAX_LINE + 1).saturating_sub(rest.len());
                 rest.extend_from_slice(&line[..line.len().min(room)]);
                 let read = self.check(key, &rest, &mut said);
                 rest.clear();
@@ -231,7 +231,7 @@
                 break;
             }
         }
-        if fault.is_none() && rest.len() + bytes.len() > lines::LONGEST {
+        if fault.is_none() && rest.len() + bytes.len() > lines::MAX_LINE {
             fault = Some((None, Fault::new("line", "is too long")));
         }
         if fault.is_none() && rest.len() + bytes.len() > KEPT && self.room.full() {
@@ -239,7 +239,7 @@
         }
         if let Some((number, fault)) = fault {
             let numbers = said.iter().filter_map(|s| match s {
-                Said::Call(ask) => Some(ask.number),
+                ClientMessage::Call(ask) => Some(ask.number),
                 _ => None,
             });
             return self.condemn(key, numbers.collect(), number, &fault);
@@ -257,12 +257,12 @@
         }
         for one in said {
             match one {
-                Said::Call(ask) => self.ask(key, *ask),
-                Said::GiveUp { id, number } => self.give_up(key, id, number),
-                Said::Probe { number } => {
+                ClientMessage::Call(ask) => self.ask(key, *ask),
+                ClientMessage::Cancel { id, number } => self.give_up(key, id, number),
+                ClientMessage::Probe { number } => {
                     let fit = self.desk.listed() && !self.leave.begun();
                     if let Some(client) = self.clients.get_mut(key) {
-                        lines::fit(&mut client.out.bytes, number, fit);
+                        lines::write_health(&mut client.out.bytes, number, fit);
                         self.client_writes(key);
                     }
                 }
@@ -271,7 +271,12 @@
     }
 
     /// Reads one line and checks it against what is known of its connection and of all.
-    fn check(&mut self, key: usize, line: &[u8], said: &mut Vec<Said>) -> Result<(), (Option<u64>, Fault)> {
+    fn check(
+        &mut self,
+        key: usize,
+        line: &[u8],
+        said: &mut Vec<ClientMessage>,
+    ) -> Result<(), (Option<u64>, Fault)> {
         let line = line.trim_ascii();
         if line.is_empty() {
             return Ok(());
@@ -280,9 +285,11 @@
         let read = lines::read(line)?;
         let Some(client) = self.clients.get_mut(key) else { return Ok(()) };
         match &read {
-            Said::Call(ask) => {
+            ClientMessage::Call(ask) => {
                 let wrong = |place: &str, wrong: &str| Err((Some(ask.number), Fault::new(place, wrong)));
-                let calls = || said.iter().filter_map(|s| if let Said::Call(a) = s { Some(a) } else { None });
+                let calls = || {
+                    said.iter().filter_map(|s| if let ClientMessage::Call(a) = s { Some(a) } else { None })
+                };
                 if !client.numbers.take(ask.number) {
                     return wrong("id", "was used before on this connection");
                 }
@@ -300,11 +307,11 @@
                 }
             }
             // Withdrawn before it was acted on: it never comes to the desk.
-            Said::GiveUp { id, number } => {
-                let withdrawn = |a: &Ask| Some(a.id) == *id || Some(a.number) == *number;
-                said.retain(|s| !matches!(s, Said::Call(a) if withdrawn(a)));
+            ClientMessage::Cancel { id, number } => {
+                let withdrawn = |a: &Call| Some(a.id) == *id || Some(a.number) == *number;
+                said.retain(|s| !matches!(s, ClientMessage::Call(a) if withdrawn(a)));
             }
-            Said::Probe { number } => {
+            ClientMessage::Probe { number } => {
                 if !client.numbers.take(*number) {
                     return Err((Some(*number), Fault::new("id", "was used before on this connection")));
                 }
@@ -314,10 +321,22 @@
         Ok(())
     }
 
-    fn ask(&mut self, key: usize, ask: Ask) {
+    fn ask(&mut self, key: usize, ask: Call) {
         let now = self.now();
-        let Ask { number, id, profile, client, function, patience, repeat, mark, memory, lanes, load, body } =
-            ask;
+        let Call {
+            number,
+            id,
+            profile,
+            client,
+            function,
+            timeout: patience,
+            is_repeat: repeat,
+            idempotency_key: mark,
+            memory,
+            lanes,
+            load,
+            body,
+        } = ask;
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
         let profile = place(&self.profiles, &profile);
         let come = IncomingRequest {
@@ -359,7 +378,7 @@
     /// There is no room for a call: it was not taken.
     fn turn_away(&mut self, key: usize, number: u64) {
         if let Some(client) = self.clients.get_mut(key) {
-            lines::bounced(&mut client.out.bytes, number, self.come_back);
+            lines::write_rejected(&mut client.out.bytes, number, self.come_back);
             self.client_writes(key);
         }
     }
@@ -384,13 +403,13 @@
         numbers.extend(open.iter().map(|(n, _)| *n));
         client.condemned = true;
         for n in numbers.into_iter().filter(|n| Some(*n) != number) {
-            lines::faulty(
+            lines::write_invalid(
                 &mut client.out.bytes,
                 Some(n),
                 &Fault::new("connection", "is closed for another line"),
             );
         }
-        lines::faulty(&mut client.out.bytes, number, fault);
+        lines::write_invalid(&mut client.out.bytes, number, fault);
         self.withdraw(open);
         self.client_writes(key);
     }
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -350,22 +350,22 @@
             Load::Shot(tag, shot) => self.make_shot(&mut out, *tag, *shot, now),
             Load::Hold(order, function, copies) => self.desk.begin_order(now, *order).then(|| {
                 let id = self.own_id(key);
-                frames::hold(&mut out, id, function, *copies);
+                frames::write_load_request(&mut out, id, function, *copies);
                 (id, Sent::Order(*order))
             }),
             Load::Unload(function) => {
-                if let Some(id) = milletpath_platform_protocol::hex(function) {
-                    frames::unload(&mut out, id);
+                if let Some(id) = milletpath_platform_protocol::parse_hex_id(function) {
+                    frames::write_unload(&mut out, id);
                 }
                 None
             }
             Load::Probe(serial) => {
                 let id = self.own_id(key);
-                frames::probe(&mut out, id, self.reports);
+                frames::write_probe(&mut out, id, self.reports);
                 Some((id, Sent::Probe(*serial)))
             }
             Load::GiveUp(id) => {
-                frames::give_up(&mut out, *id);
+                frames::write_cancel(&mut out, *id);
                 None
             }
         };
@@ -402,7 +402,11 @@
         asker.begun = now;
         let Asker { id, mark, body, .. } = &*asker;
         let profile = &self.profiles[asker.profile];
-        frames::shot(out, &frames::Shot { id: *id, profile, function: &function, mark, body }, left);
+        frames::write_attempt(
+            out,
+            &frames::Attempt { id: *id, profile, function: &function, idempotency_key: mark, body },
+            left,
+        );
         Some((asker.id, Sent::Shot(tag, shot)))
     }
 
@@ -452,7 +456,12 @@
     }
 
     /// One sound answer. An unknown id is passed over: a second copy, or the answer to what was given up.
-    fn answered(&mut self, key: usize, answer: frames::Answer<'_>, now: f64) -> Result<(), &'static str> {
+    fn answered(
+        &mut self,
+        key: usize,
+        answer: frames::WorkerResponse<'_>,
+        now: f64,
+    ) -> Result<(), &'static str> {
         let Some(link) = self.links.get_mut(key) else { return Ok(()) };
         let Some(at) = link.open.iter().position(|o| o.id == answer.id) else { return Ok(()) };
         if answer.probe != matches!(link.open[at].what, Sent::Probe(_)) {
@@ -467,27 +476,27 @@
                 let end = AttemptResult {
                     outcome: answer.outcome,
                     found: None,
-                    company: answer.company,
+                    company: answer.concurrent_calls,
                     report: answer.report,
                     settles: false,
                 };
                 if self.desk.end(now, tag, shot, end) {
-                    self.answer(tag, |out, number| lines::handled(out, number, answer.body));
+                    self.answer(tag, |out, number| lines::write_success(out, number, answer.body));
                 }
             }
-            Sent::Order(order) => self.desk.order_ended(now, order, answer.outcome, answer.copies),
+            Sent::Order(order) => self.desk.order_ended(now, order, answer.outcome, answer.instances),
             Sent::Probe(serial) => self.desk.probed(now, worker, serial, answer.outcome, answer.report),
         }
         Ok(())
     }
 
     /// Where the time of an answer went.
-    fn log_answer(&mut self, worker: usize, tag: RequestId, answer: &frames::Answer<'_>, now: f64) {
+    fn log_answer(&mut self, worker: usize, tag: RequestId, answer: &frames::WorkerResponse<'_>, now: f64) {
         let function = self.desk.function(tag);
         let Some(asker) = self.desk.what(tag) else { return };
         let (function, shots) = (function.as_deref().unwrap_or_default(), asker.at.len());
         let (waited, there) = (asker.begun - asker.came, now - asker.begun);
-        let (company, outcome) = (answer.company, answer.outcome);
+        let (company, outcome) = (answer.concurrent_calls, answer.outcome);
         tracing::debug!(worker, function, id = asker.id, waited, there, shots, company, ?outcome, "answered");
     }
 
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -7,8 +7,8 @@
 use crate::link::Link;
 use crate::room::{Holds, Room};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
+use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
 use milletpath_platform_protocol::lines;
-use milletpath_platform_protocol::told::{self, Told};
 use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
 use nix::sys::resource::{Resource, getrlimit};
 use slab::Slab;
@@ -78,13 +78,13 @@
 }
 
 impl Station {
-    fn new(told: &Told) -> Shared {
+    fn new(told: &Bootstrap) -> Shared {
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
         let begun = Instant::now();
-        let house = &told.house;
-        let patience = house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max);
+        let house = &told.config;
+        let patience = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
         let mut desk = Dispatcher::new(house, epoch);
-        for (whole, entries) in &told.lists {
+        for (whole, entries) in &told.worker_lists {
             desk.list(0.0, *whole, entries);
         }
         Rc::new_cyclic(|me| {
@@ -99,15 +99,15 @@
                 ids: BTreeSet::new(),
                 keeping: Keeping::new(
                     told.descriptors,
-                    told.lanes,
-                    house.bounds.idle,
-                    house.bounds.connect,
+                    told.streams_per_connection,
+                    house.limits.idle_timeout,
+                    house.limits.connect_timeout,
                     patience,
                 ),
-                room: Room::new(told.memory),
+                room: Room::new(told.memory_bytes),
                 leave: Leave::default(),
-                connect: house.bounds.connect,
-                reports: told.reports,
+                connect: house.limits.connect_timeout,
+                reports: told.load_reports,
                 cancels: house.policy.cancels,
                 come_back: house.policy.come_back,
                 scratch: vec![0; TURN],
@@ -144,9 +144,9 @@
                 Action::Shoot { tag, shot, worker } => self.shoot(tag, shot, worker),
                 Action::Drop { tag, shot } => self.drop_shot(tag, shot),
                 Action::Bounce { tag, come_back } => {
-                    self.answer(tag, |out, number| lines::bounced(out, number, come_back));
+                    self.answer(tag, |out, number| lines::write_rejected(out, number, come_back));
                 }
-                Action::Terminate { tag, .. } => self.answer(tag, lines::terminated),
+                Action::Terminate { tag, .. } => self.answer(tag, lines::write_failed),
                 Action::Hold { order, worker, function, copies } => {
                     self.hold(order, worker, function, copies)
                 }
@@ -240,7 +240,8 @@
         }
     };
     let read = std::fs::read(file).map_err(|e| e.to_string());
-    let read = read.and_then(|text| told::read(&text).map(|told| (told, text)).map_err(|e| e.to_string()));
+    let read =
+        read.and_then(|text| bootstrap::read(&text).map(|told| (told, text)).map_err(|e| e.to_string()));
     let (mut told, first) = match read {
         Ok((told, text)) => (told, Rc::<[u8]>::from(text)),
         Err(e) => {
@@ -258,7 +259,7 @@
         );
         told.descriptors = granted as usize;
     }
-    let address = address.unwrap_or(told.house.listen);
+    let address = address.unwrap_or(told.config.listen);
     let listener = match milletpath_gateway::listen(address) {
         Ok(listener) => listener,
         Err(e) => {
@@ -266,13 +267,13 @@
             return ExitCode::FAILURE;
         }
     };
-    tracing::debug!(charter = ?told.house.policy, bounds = ?told.house.bounds, "what the platform states");
+    tracing::debug!(charter = ?told.config.policy, bounds = ?told.config.limits, "what the platform states");
     let address = listener.local_addr().unwrap_or(address);
     let station = Station::new(&told);
     station.borrow_mut().carry_out();
-    tracing::info!(%address, descriptors = told.descriptors, last = told.last, "the router listens");
-    let (moved, bulletin) = watch::channel(told.bulletin);
-    spawn_local(crate::bulletin::follow(station.clone(), bulletin, told.last));
+    tracing::info!(%address, descriptors = told.descriptors, last = told.last_event, "the router listens");
+    let (moved, bulletin) = watch::channel(told.discovery);
+    spawn_local(crate::bulletin::follow(station.clone(), bulletin, told.last_event));
     spawn_local(keep_time(station.clone()));
     spawn_local(keep_tidy(station.clone()));
     let listener = Rc::new(listener);
@@ -313,7 +314,7 @@
     let [mut pause, longest] = PAUSES;
     for n in 0..TRIES {
         let read = std::fs::read(&file).map_err(|e| e.to_string());
-        match read.and_then(|text| told::again(&text, &first).map_err(|e| e.to_string())) {
+        match read.and_then(|text| bootstrap::reread(&text, &first).map_err(|e| e.to_string())) {
             Ok((bulletin, other)) => {
                 tracing::info!(%bulletin, "the file was read again");
                 if !other.is_empty() {
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/station/tests.rs
@@ -24,7 +24,7 @@
         "Rules":{{"DrainGrace":1,"StartCapacity":0.2,"WarmUp":1,"TipMultiple":2.5,"OverloadFor":1}}}}}}"#,
         members.join(",")
     );
-    Station::new(&told::read(text.as_bytes()).expect("sound"))
+    Station::new(&bootstrap::read(text.as_bytes()).expect("sound"))
 }
 
 /// A connection was closed in the same turn in which its socket had become readable. The room to read into went
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -234,7 +234,7 @@
     fn ask(&self, gateway: usize, text: &str, link: SocketAddr) -> io::Result<()> {
         let mistakes = |m: Vec<_>| io::Error::other(format!("its charter can't be read: {m:?}"));
         let mut house = milletpath_config::read(text).map_err(mistakes)?;
-        house.peers.iter_mut().for_each(|p| p.listen = link);
+        house.membership.iter_mut().for_each(|p| p.listen = link);
         let (asking, tell, places) = (self.asking.clone(), self.tell.clone(), self.reached.clone());
         let there = move || {
             let places = places.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -3,7 +3,7 @@
 //! `docs/operators/scale.md`.
 
 use hcl_edit::parser::parse_body;
-use milletpath_config::page::{ConfigError, Page, Section};
+use milletpath_config::document::{ConfigError, Document, Section};
 use milletpath_protocol::is_name;
 
 /// A whole plan. Times in seconds.
@@ -214,21 +214,21 @@
 /// Reads a plan, for another number of gateways where one is given; the error holds every mistake, in its
 /// order.
 pub fn read(text: &str, gateways: Option<usize>) -> Result<Plan, Vec<ConfigError>> {
-    let page = Page::new(text);
+    let document = Document::new(text);
     let body = match parse_body(text) {
         Ok(body) => body,
         Err(e) => {
             let (line, column) = (e.location().line(), e.location().column());
             let wrong = format!("no HCL here: {}", e.message());
             let remedy = "mend the line and start again".to_owned();
-            return Err(vec![ConfigError { line, column, wrong, remedy }]);
+            return Err(vec![ConfigError { line, column, problem: wrong, remedy }]);
         }
     };
-    let mut top = Section::whole(&page, &body);
+    let mut top = Section::root(&document, &body);
     top.title = "the plan".into();
     let plan = whole(&top, gateways);
     drop(top);
-    let mistakes = page.mistakes();
+    let mistakes = document.into_errors();
     if mistakes.is_empty() { Ok(plan) } else { Err(mistakes) }
 }
 
@@ -236,7 +236,7 @@
 fn needed<'p>(top: &Section<'p>, key: &'static str, example: &str) -> Option<Section<'p>> {
     let block = top.block(key);
     if block.is_none() {
-        top.mistake(0, format!("the plan has no {key}"), format!("add {key} {{ {example} }}"));
+        top.report(0, format!("the plan has no {key}"), format!("add {key} {{ {example} }}"));
     }
     block
 }
@@ -244,22 +244,22 @@
 fn whole(top: &Section<'_>, wanted: Option<usize>) -> Plan {
     let name = top.parsed("name", "\"size\"", |t| is_name(t).then(|| t.to_owned()));
     if !top.has("name") {
-        top.missing("name", "\"size\"");
+        top.report_missing("name", "\"size\"");
     }
     let stated = top.count("gateways", "gateways", 2..=MOST);
     if !top.has("gateways") {
-        top.missing("gateways", "60");
+        top.report_missing("gateways", "60");
     }
     let gateways = wanted.or(stated).unwrap_or(2);
     let real = top.count("real", "gateways", 0..=64).unwrap_or(0);
     if real >= gateways {
         let wrong = format!("real of {real} leaves no hollow gateway among {gateways}");
-        top.mistake(top.place("real"), wrong, "make real less than gateways");
+        top.report(top.offset_of("real"), wrong, "make real less than gateways");
     }
     let (regions, zones) = places(top);
     if zones.len() > gateways {
         let wrong = format!("{} zones, but {gateways} gateways only", zones.len());
-        top.mistake(top.place("gateways"), wrong, "have a gateway in each zone, or fewer zones");
+        top.report(top.offset_of("gateways"), wrong, "have a gateway in each zone, or fewer zones");
     }
     let links = links(top, &regions);
     let control = needed(top, "control", "runs = [\"membership\", \"budgets\", \"list\"]");
@@ -268,29 +268,29 @@
     let runs = control.as_ref().and_then(|c| c.list("runs", shape, known)).unwrap_or_default();
     let has = |core| runs.contains(&core);
     if let Some(c) = control.as_ref().filter(|_| runs.is_empty()) {
-        c.mistake(c.place("runs"), "no core runs", format!("write runs = {shape}"));
+        c.report(c.offset_of("runs"), "no core runs", format!("write runs = {shape}"));
     }
     if let Some(c) = control.as_ref().filter(|_| has(Core::Budgets) && !has(Core::Membership)) {
         let wrong = "budgets are shared by those who know of each other, and there is no membership";
-        c.mistake(c.place("runs"), wrong, format!("write runs = {shape}, or leave budgets out"));
+        c.report(c.offset_of("runs"), wrong, format!("write runs = {shape}, or leave budgets out"));
     }
     // What no core goes by need not be stated.
     let stated = |core, key, example| if has(core) { needed(top, key, example) } else { top.block(key) };
     let peers = stated(Core::Membership, "peers", "period = 0.4, lease = 12");
     let peers = peers.as_ref();
-    let of = |key, within, usual| peers.and_then(|p| p.figure(key, "seconds", within)).unwrap_or(usual);
+    let of = |key, within, usual| peers.and_then(|p| p.number(key, "seconds", within)).unwrap_or(usual);
     let terms = Peers {
         period: of("period", 0.05..=60.0, 0.4),
         lease: of("lease", 0.1..=600.0, 12.0),
-        floor: peers.and_then(|p| p.figure("floor", "of its part", 0.0..=1.0)).unwrap_or(0.5),
+        floor: peers.and_then(|p| p.number("floor", "of its part", 0.0..=1.0)).unwrap_or(0.5),
     };
     if let Some(p) = peers.filter(|_| terms.lease < 4.0 * terms.period) {
         let wrong = format!("lease of peers is shorter than four periods of {}", terms.period);
-        p.mistake(p.place("lease"), wrong, format!("make it {} or more", 4.0 * terms.period));
+        p.report(p.offset_of("lease"), wrong, format!("make it {} or more", 4.0 * terms.period));
     }
     let budgets = stated(Core::Budgets, "budgets", "quota = 100");
     let budgets = budgets.as_ref();
-    let figure = |key, unit, usual| budgets.and_then(|b| b.figure(key, unit, 0.001..=1e9)).unwrap_or(usual);
+    let figure = |key, unit, usual| budgets.and_then(|b| b.number(key, unit, 0.001..=1e9)).unwrap_or(usual);
     let budgets = Budgets {
         quota: figure("quota", "calls a second", 100.0),
         window: figure("window", "seconds", 10.0),
@@ -302,12 +302,12 @@
     let workers = Workers { hollow: count("hollow", 60_000, 600), real: count("real", 64, 3) };
     let functions = top.block("functions");
     let functions = functions.as_ref();
-    let calls = functions.and_then(|f| f.figure("calls", "calls a second", 0.0..=1_000.0)).unwrap_or(0.0);
+    let calls = functions.and_then(|f| f.number("calls", "calls a second", 0.0..=1_000.0)).unwrap_or(0.0);
     let names = functions.and_then(|f| f.count("names", "functions", 1..=1_000_000)).unwrap_or(1);
     let machines = control_machines(top, &zones, has(Core::Changes));
     let grant = top.block("grant");
     let grant = grant.as_ref();
-    let granted = |key, unit| grant.and_then(|g| g.figure(key, unit, 0.000_001..=1e12));
+    let granted = |key, unit| grant.and_then(|g| g.number(key, unit, 0.000_001..=1e12));
     let grant = Grant {
         cpu: granted("cpu", "cores"),
         memory_mb: granted("memory_mb", "MB"),
@@ -317,7 +317,7 @@
     let changes = has(Core::Changes);
     Plan {
         name: name.unwrap_or_default(),
-        seed: top.figure("seed", "chance", 0.0..=9e15).map_or(1, |s| s as u64),
+        seed: top.number("seed", "chance", 0.0..=9e15).map_or(1, |s| s as u64),
         gateways,
         real,
         processes: top.count("processes", "processes", 1..=16).unwrap_or(8),
@@ -330,8 +330,8 @@
         runs,
         grant,
         plays: plays(top, gateways, &zones, &regions, changes),
-        limit: top.figure("limit", "seconds", 1.0..=LONG).unwrap_or(300.0),
-        memory_gb: top.figure("memory_gb", "GB", 0.1..=1e5).unwrap_or(12.0),
+        limit: top.number("limit", "seconds", 1.0..=LONG).unwrap_or(300.0),
+        memory_gb: top.number("memory_gb", "GB", 0.1..=1e5).unwrap_or(12.0),
         zones,
         regions,
         links,
@@ -346,12 +346,12 @@
     let machines = section.as_ref().and_then(|s| s.count("control", "control machines", 1..=CONTROL));
     if let Some(s) = section.as_ref().filter(|_| machines.is_some_and(|m| m > IN_ZONE * zones.len())) {
         let wrong = format!("control machines of changes are more than {IN_ZONE} for each zone");
-        s.mistake(s.place("control"), wrong, format!("write {} or less", IN_ZONE * zones.len()));
+        s.report(s.offset_of("control"), wrong, format!("write {} or less", IN_ZONE * zones.len()));
     }
     match (wanted, section) {
         (true, None) => {
             let remedy = "add changes { control = 7 }";
-            top.mistake(0, "the plan runs changes and has no control machines", remedy);
+            top.report(0, "the plan runs changes and has no control machines", remedy);
             1
         }
         (false, _) => 0,
@@ -366,19 +366,19 @@
         let named = |text: &str| is_name(text).then(|| text.to_owned());
         let names = section.list("zones", "[\"north-1\", \"north-2\"]", named).unwrap_or_default();
         if names.is_empty() {
-            section.missing("zones", "[\"north-1\", \"north-2\"]");
+            section.report_missing("zones", "[\"north-1\", \"north-2\"]");
         }
         for name in names {
             if zones.iter().any(|z| z.name == name) {
                 let wrong = format!("a zone {name} stands here for the second time");
-                section.mistake(section.place("zones"), wrong, "give each its own name");
+                section.report(section.offset_of("zones"), wrong, "give each its own name");
             }
             zones.push(Zone { name, region: regions.len() });
         }
         regions.push(section.label.clone());
     }
     if zones.is_empty() {
-        top.mistake(0, "the plan has no region", "add region \"north\" { zones = [\"north-1\"] }");
+        top.report(0, "the plan has no region", "add region \"north\" { zones = [\"north-1\"] }");
         (regions, zones) = (vec!["all".into()], vec![Zone { name: "all".into(), region: 0 }]);
     }
     (regions, zones)
@@ -388,20 +388,20 @@
     let section = needed(top, "links", "within = 1, across = 90");
     let section = section.as_ref();
     let figure = |key, usual| {
-        section.and_then(|s| s.figure(key, "milliseconds", 0.0..=10_000.0)).unwrap_or(usual) / 1e3
+        section.and_then(|s| s.number(key, "milliseconds", 0.0..=10_000.0)).unwrap_or(usual) / 1e3
     };
     let (within, across) = (figure("within", 1.0), figure("across", 90.0));
     let mut between = vec![vec![across; regions.len()]; regions.len()];
     for pair in section.map(|s| s.blocks("pair", true)).unwrap_or_default() {
-        let ms = pair.figure("ms", "milliseconds", 0.0..=10_000.0);
+        let ms = pair.number("ms", "milliseconds", 0.0..=10_000.0);
         if !pair.has("ms") {
-            pair.missing("ms", "30");
+            pair.report_missing("ms", "30");
         }
         if let (Some((a, b)), Some(ms)) = (two(&pair, regions), ms) {
             (between[a][b], between[b][a]) = (ms / 1e3, ms / 1e3);
         }
     }
-    let loss = section.and_then(|s| s.figure("loss", "of the letters", 0.0..=0.9)).unwrap_or(0.0);
+    let loss = section.and_then(|s| s.number("loss", "of the letters", 0.0..=0.9)).unwrap_or(0.0);
     Links { within, between, loss }
 }
 
@@ -410,7 +410,7 @@
     let known = |text: &str| regions.iter().position(|r| r == text);
     let both = section.list("regions", "[\"north\", \"south\"]", known);
     if !section.has("regions") {
-        section.missing("regions", "[\"north\", \"south\"]");
+        section.report_missing("regions", "[\"north\", \"south\"]");
     }
     let both = both?;
     if let [a, b] = both[..]
@@ -419,7 +419,7 @@
         return Some((a, b));
     }
     let wrong = format!("regions of {} are not two", section.title);
-    section.mistake(section.place("regions"), wrong, "name two regions of the plan");
+    section.report(section.offset_of("regions"), wrong, "name two regions of the plan");
     None
 }
 
@@ -433,16 +433,16 @@
     let mut plays: Vec<Play> = Vec::new();
     let words: Vec<(&str, &str)> = PLAYS.iter().map(|w| (*w, *w)).collect();
     for s in top.blocks("play", true) {
-        let word = s.word("does", &words);
+        let word = s.one_of("does", &words);
         if !s.has("does") {
-            s.missing("does", "\"start\"");
+            s.report_missing("does", "\"start\"");
         }
-        let seconds = |key, usual| s.figure(key, "seconds", 0.0..=LONG).unwrap_or(usual);
+        let seconds = |key, usual| s.number(key, "seconds", 0.0..=LONG).unwrap_or(usual);
         let zone = || {
             let known = |text: &str| zones.iter().position(|z| z.name == text);
             let zone = s.parsed("zone", "the name of a zone above", known);
             if !s.has("zone") {
-                s.missing("zone", &format!("\"{}\"", zones[0].name));
+                s.report_missing("zone", &format!("\"{}\"", zones[0].name));
             }
             zone.unwrap_or(0)
         };
@@ -474,7 +474,7 @@
         let changes = s.count("changes", "changes", 1..=CHANGES).unwrap_or(usual);
         if changes > 0 && !has_changes {
             let wrong = format!("{} makes changes, and nothing carries them", s.title);
-            s.mistake(s.at, wrong, "add \"changes\" to runs of control");
+            s.report(s.offset, wrong, "add \"changes\" to runs of control");
         }
         let over = match what {
             What::Settled { seconds } => seconds,
@@ -484,13 +484,13 @@
         };
         if plays.is_empty() && !matches!(what, What::Start { .. }) {
             let wrong = format!("{} comes before any start", s.title);
-            s.mistake(s.at, wrong, "let the first play be one that does = \"start\"");
+            s.report(s.offset, wrong, "let the first play be one that does = \"start\"");
         }
-        let settle = s.figure("settle", "seconds", 0.1..=LONG);
+        let settle = s.number("settle", "seconds", 0.1..=LONG);
         plays.push(Play { label: s.label.clone(), what, settle, changes, over });
     }
     if plays.is_empty() {
-        top.mistake(0, "the plan plays nothing", "add play \"begin\" { does = \"start\" }");
+        top.report(0, "the plan plays nothing", "add play \"begin\" { does = \"start\" }");
     }
     plays
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
 //! One router with the ids it goes by on the wire. Nothing here is shared between instances.
 
 use crate::frame::{Batch, Cells, Malformed, Reply};
-use milletpath_platform_settings as terms;
+use milletpath_platform_settings as platform_settings;
 use milletpath_policy::host::{Answer, Arrival, Found, Host, Listing, Outcome, Report, State};
 use milletpath_policy::policy::Router;
 use std::collections::HashMap;
@@ -157,12 +157,12 @@
         settings: &[u8],
         reply: &mut Reply,
     ) -> Result<Self, String> {
-        let settings = terms::read(settings)?;
-        let charter = terms::charter(&settings, seed)?;
+        let settings = platform_settings::parse(settings)?;
+        let charter = platform_settings::policy_config(&settings, seed)?;
         let mut names = Names {
             number: number.to_le_bytes(),
             origin: clock,
-            report: terms::report_names(&settings),
+            report: platform_settings::load_report_names(&settings),
             activations: Ids::new(),
             functions: Ids::new(),
             workers: Ids::new(),
@@ -300,7 +300,7 @@
     }
     let mut report = Report::default();
     for (n, name) in names.iter().take(count).enumerate() {
-        terms::note(&mut report, name, e.f32(at + 1 + 4 * n));
+        platform_settings::set_report_value(&mut report, name, e.f32(at + 1 + 4 * n));
     }
     Ok((count > 0).then_some(report))
 }
