--- /dev/null
+++ b/crates/config/src/change/parser.rs
@@ -0,0 +1,112 @@
+//! Texts of changes: a file of several, or the text of one under its key.
+
+use super::apply::ConfigChange;
+use super::subject::Subject;
+use crate::document::{ConfigError, Document, Position, Section};
+use crate::model::{FunctionOverrides, GatewayConfig};
+use crate::reader::{functions, syntax};
+
+/// What gateways share or hold connections by. To change it while they run would need a rule for the moment at which
+/// some go by the old value and some by the new one.
+const FLEET_WIDE_KEYS: [&str; 7] = ["client", "gateways", "limits", "peers", "profile", "seed", "workers"];
+
+/// What belongs to one gateway.
+const PER_GATEWAY_KEYS: [&str; 4] = ["changes", "cores", "listen", "pin"];
+
+/// One block of a file of changes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ParsedChange {
+    /// What it is about.
+    pub subject: Subject,
+    /// The settings that it states.
+    pub overrides: FunctionOverrides,
+    /// The block as it is written.
+    pub text: String,
+    /// The line at which the block begins, from 1.
+    pub line: usize,
+    /// The column at which the block begins, in characters from 1.
+    pub column: usize,
+}
+
+impl GatewayConfig {
+    /// The blocks of a file of changes, in its order; the error holds every mistake of the text.
+    pub fn parse_changes(&self, text: &str) -> Result<Vec<ParsedChange>, Vec<ConfigError>> {
+        let document = Document::new(text);
+        let body = syntax::parse(text)?;
+        let changes = self.read_changes(&document, &Section::titled(&document, "a change", &body));
+        let errors = document.into_errors();
+        if errors.is_empty() { Ok(changes) } else { Err(errors) }
+    }
+
+    /// What the change of a key does here; without a text, the file's own settings hold again. The error says why this
+    /// gateway can't take it.
+    pub fn parse_change(&self, key: &str, text: Option<&str>) -> Result<ConfigChange, Vec<ConfigError>> {
+        let Some(subject) = Subject::from_key(key) else {
+            let remedy = "write functions or function NAME, or run a program that knows it";
+            return Err(error_at_start(format!("no change goes by the key {key:?} here"), remedy));
+        };
+        let Some(text) = text else { return Ok(ConfigChange { subject, overrides: None }) };
+        let mut changes = self.parse_changes(text)?;
+        match changes.pop() {
+            Some(change) if changes.is_empty() && change.subject == subject => {
+                Ok(ConfigChange { subject, overrides: Some(change.overrides) })
+            }
+            _ => {
+                let remedy = "one statement, that of its key";
+                Err(error_at_start(format!("this states something else than {key}"), remedy))
+            }
+        }
+    }
+
+    fn read_changes(&self, document: &Document<'_>, top: &Section<'_>) -> Vec<ParsedChange> {
+        refuse_other_keys(top);
+        let all = top.blocks("functions", false).into_iter().map(|s| (Subject::AllFunctions, s));
+        let named = top.blocks("function", true).into_iter();
+        let named = named.map(|s| (Subject::Function(s.label.clone()), s));
+        let mut changes = Vec::new();
+        for (subject, section) in all.chain(named) {
+            check_size(&section, &subject);
+            let Position { line, column } = document.position(section.offset);
+            let overrides = functions::overrides(&section, &self.profiles);
+            let text = section.source().into();
+            changes.push((section.offset, ParsedChange { subject, overrides, text, line, column }));
+        }
+        if changes.is_empty() {
+            let remedy = "add function \"name\" { lanes = 2 } or functions { ... }";
+            top.report(0, "nothing is stated here", remedy);
+        }
+        changes.sort_by_key(|(offset, _)| *offset);
+        changes.into_iter().map(|(_, change)| change).collect()
+    }
+}
+
+fn error_at_start(problem: String, remedy: &str) -> Vec<ConfigError> {
+    vec![ConfigError { line: 1, column: 1, problem, remedy: remedy.into() }]
+}
+
+/// Reports the keys of a configuration file that no change may carry.
+fn refuse_other_keys(top: &Section<'_>) {
+    for key in FLEET_WIDE_KEYS {
+        let problem = format!("a change can't carry {key}, by which all gateways must go at once");
+        top.refuse(key, &problem, "state it in the charter files and begin the gateways anew");
+    }
+    for key in PER_GATEWAY_KEYS {
+        let problem = format!("a change can't carry {key}, which is each gateway's own");
+        top.refuse(key, &problem, "state it in that gateway's charter file");
+    }
+}
+
+/// Key and text must fit into an entry of the log.
+fn check_size(section: &Section<'_>, subject: &Subject) {
+    if subject.to_string().len() > milletpath_config_log::KEY {
+        let longest = milletpath_config_log::KEY - "function ".len();
+        let problem = format!("the name of {} is too long for a change", section.title);
+        section.report(section.offset, problem, format!("changes carry names of up to {longest} bytes"));
+    }
+    let bytes = section.source().len();
+    if bytes > milletpath_config_log::TEXT {
+        let problem = format!("{} has {bytes} bytes of text", section.title);
+        let remedy = format!("keep it within {}; leave comments out", milletpath_config_log::TEXT);
+        section.report(section.offset, problem, remedy);
+    }
+}
--- /dev/null
+++ b/crates/config/src/document/blocks.rs
@@ -0,0 +1,64 @@
+//! Blocks within a section, merged over the texts that a document builds on: a block of the document adds to that of the
+//! same label below it, whose values hold where it gives none.
+
+use super::section::Section;
+use hcl_edit::Span;
+use hcl_edit::structure::Block;
+use milletpath_protocol::is_name;
+
+impl<'p> Section<'p> {
+    /// The one block of that name.
+    #[must_use]
+    pub fn block(&self, key: &'static str) -> Option<Section<'p>> {
+        self.blocks(key, false).into_iter().next()
+    }
+
+    /// The blocks of that name; each with a label of its own where `labelled`, which must be a name.
+    #[must_use]
+    pub fn blocks(&self, key: &'static str, labelled: bool) -> Vec<Section<'p>> {
+        self.known_keys.borrow_mut().push(key);
+        let mut sections: Vec<Section<'p>> = Vec::new();
+        // From the ground up: the texts built on come first, and keep their order.
+        for (layer, body) in self.bodies.iter().enumerate().rev() {
+            let in_document = layer == 0 && self.in_document;
+            for block in body.get_blocks(key) {
+                self.add_block(&mut sections, key, block, in_document, labelled);
+            }
+        }
+        sections
+    }
+
+    /// Adds a block as a section of its own, or as a layer of the section that has its label already.
+    fn add_block(
+        &self,
+        sections: &mut Vec<Section<'p>>,
+        key: &str,
+        block: &'p Block,
+        in_document: bool,
+        labelled: bool,
+    ) {
+        let span = block.span().filter(|_| in_document).unwrap_or(self.offset..self.offset);
+        let label = block.labels.first().map(|label| label.as_str().to_owned()).unwrap_or_default();
+        let title = if labelled { format!("{key} \"{label}\"") } else { key.to_owned() };
+        if block.labels.len() != usize::from(labelled) || labelled && !is_name(&label) {
+            let example =
+                if labelled { format!("{key} \"name\" {{ ... }}") } else { format!("{key} {{ ... }}") };
+            self.report(span.start, format!("{title} has no proper label"), format!("write {example}"));
+        }
+        match sections.iter_mut().find(|section| section.label == label) {
+            Some(below) if in_document && !below.in_document => {
+                below.bodies.insert(0, &block.body);
+                (below.offset, below.end, below.in_document) = (span.start, span.end, true);
+            }
+            Some(below) if !in_document => below.bodies.insert(0, &block.body),
+            duplicate => {
+                if duplicate.is_some() {
+                    let remedy = if labelled { "give each its own name" } else { "keep one" };
+                    self.report(span.start, format!("{title} stands here for the second time"), remedy);
+                }
+                let bodies = vec![&block.body];
+                sections.push(Section::new(self.document, title, label, span, bodies, in_document));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/config/src/document/values.rs
@@ -0,0 +1,120 @@
+//! Typed values of attributes, each checked against the bounds that make sense. What is out of bounds is reported, and
+//! the value is none, so that reading goes on with a default.
+
+use super::section::Section;
+use hcl_edit::expr::Expression;
+use std::ops::RangeInclusive;
+
+/// A number, with its sign; none for any other expression.
+fn as_number(value: &Expression) -> Option<f64> {
+    match value {
+        Expression::Number(number) => number.value().as_f64(),
+        Expression::UnaryOp(negated) => match &negated.expr {
+            Expression::Number(number) => number.value().as_f64().map(|x| -x),
+            _ => None,
+        },
+        _ => None,
+    }
+}
+
+impl<'p> Section<'p> {
+    /// A number within bounds; `unit` says what it counts.
+    #[must_use]
+    pub fn number(&self, key: &'static str, unit: &str, within: RangeInclusive<f64>) -> Option<f64> {
+        let (offset, value) = self.value(key)?;
+        let number = as_number(value).filter(|x| within.contains(x));
+        if number.is_none() {
+            let bounds = match (within.start(), within.end()) {
+                (low, high) if high.is_infinite() => format!("{low} or more"),
+                (low, high) => format!("{low} to {high}"),
+            };
+            let problem = format!("{key} of {} is no number of {unit} from {bounds}", self.title);
+            self.report(offset, problem, format!("write {key} = NUMBER, {bounds}"));
+        }
+        number
+    }
+
+    /// A whole number within bounds; `unit` says what it counts.
+    #[must_use]
+    pub fn count(&self, key: &'static str, unit: &str, within: RangeInclusive<u32>) -> Option<usize> {
+        let number = self.number(key, unit, f64::from(*within.start())..=f64::from(*within.end()))?;
+        if number.fract() != 0.0 {
+            let problem = format!("{key} of {} is no whole number", self.title);
+            self.report(self.offset_of(key), problem, format!("write {key} = {}", number.round()));
+        }
+        Some(number as usize)
+    }
+
+    /// True or false.
+    #[must_use]
+    pub fn flag(&self, key: &'static str) -> Option<bool> {
+        let (offset, value) = self.value(key)?;
+        if let Expression::Bool(flag) = value {
+            return Some(*flag.value());
+        }
+        let problem = format!("{key} of {} is neither true nor false", self.title);
+        self.report(offset, problem, format!("write {key} = true or {key} = false"));
+        None
+    }
+
+    /// A text in quotes.
+    #[must_use]
+    pub fn text(&self, key: &'static str) -> Option<&'p str> {
+        let (offset, value) = self.value(key)?;
+        if let Expression::String(text) = value {
+            return Some(text.value());
+        }
+        self.report(offset, format!("{key} of {} is no text", self.title), format!("write {key} = \"...\""));
+        None
+    }
+
+    /// A text that `parse` understands; `example` shows one.
+    #[must_use]
+    pub fn parsed<T>(
+        &self,
+        key: &'static str,
+        example: &str,
+        parse: impl Fn(&str) -> Option<T>,
+    ) -> Option<T> {
+        let text = self.text(key)?;
+        let value = parse(text);
+        if value.is_none() {
+            let problem = format!("{key} of {} can't be \"{text}\"", self.title);
+            self.report(self.offset_of(key), problem, format!("write {key} = {example}"));
+        }
+        value
+    }
+
+    /// A list of texts that `parse` understands; `example` shows one.
+    #[must_use]
+    pub fn list<T>(
+        &self,
+        key: &'static str,
+        example: &str,
+        parse: impl Fn(&str) -> Option<T>,
+    ) -> Option<Vec<T>> {
+        let (offset, value) = self.value(key)?;
+        let remedy = format!("write {key} = {example}");
+        let Expression::Array(items) = value else {
+            self.report(offset, format!("{key} of {} is no list", self.title), remedy);
+            return None;
+        };
+        let parse_item = |item: &Expression| match item {
+            Expression::String(text) => parse(text.value()),
+            _ => None,
+        };
+        let values: Option<Vec<T>> = items.iter().map(parse_item).collect();
+        if values.is_none() {
+            self.report(offset, format!("{key} of {} holds what it can't", self.title), remedy);
+        }
+        values
+    }
+
+    /// One of a few words, each with the value that it stands for.
+    #[must_use]
+    pub fn one_of<T: Copy>(&self, key: &'static str, choices: &[(&str, T)]) -> Option<T> {
+        let quoted: Vec<_> = choices.iter().map(|(word, _)| format!("\"{word}\"")).collect();
+        let parse = |text: &str| choices.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
+        self.parsed(key, &quoted.join(" or "), parse)
+    }
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,172 +1,20 @@
-//! What an installation states, in HCL, and the figures that the gateway derives from it at start.
+//! The configuration of a gateway, read from HCL and checked, with the values that the gateway derives from it at start.
 //!
-//! [`read`] gives a [`GatewayConfig`], or every [`ConfigError`] of the text with line, column and remedy. What a figure means,
-//! its unit and bounds stand in `docs/operators/charter.md`.
+//! [`read`] gives a [`GatewayConfig`], or every [`ConfigError`] of the text with line, column and remedy. What a setting
+//! means, its unit and bounds are in `docs/operators/charter.md`. [`change`] holds changes made while gateways run.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod change;
 pub mod document;
-mod read;
+mod model;
+mod reader;
 
 pub use change::{ConfigChange, Subject};
 pub use document::ConfigError;
-pub use read::read;
-
-use milletpath_policy::host::Charter;
-use milletpath_protocol::registry::Entry;
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use std::path::PathBuf;
-
-/// All that a gateway goes by.
-#[derive(Clone, Debug)]
-pub struct GatewayConfig {
-    /// Where clients come in.
-    pub listen: SocketAddr,
-    /// What the decisions go by.
-    pub policy: Charter,
-    pub profiles: Vec<ProfileConfig>,
-    /// Client groups, in the order of the policy's quotas.
-    pub clients: Vec<String>,
-    pub functions: FunctionConfigs,
-    /// Kinds of workers, in the order of the policy's memory.
-    pub worker_kinds: Vec<String>,
-    pub source: WorkerSource,
-    pub limits: Limits,
-    /// What gateways tell each other; none where they share nothing.
-    pub membership: Option<MembershipConfig>,
-    /// Where changes of configuration come from; none where only the charter's file holds.
-    pub config_log: Option<ConfigLogConfig>,
-}
-
-/// The control machines, and how this gateway hears them.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ConfigLogConfig {
-    /// In the order of their numbers.
-    pub control: Vec<SocketAddr>,
-    /// The file with the secret that control machines, gateways and authors share.
-    pub key_file: PathBuf,
-    pub listen: SocketAddr,
-    /// Where the last known state outlives a restart.
-    pub state_file: PathBuf,
-    /// As control machines and operators know this gateway.
-    pub name: String,
-}
-
-/// How a gateway is known to the others, and how it knows them. Times in seconds.
-#[derive(Clone, Debug, PartialEq)]
-pub struct MembershipConfig {
-    /// Where it hears letters, and where others are told that it does.
-    pub listen: SocketAddr,
-    pub advertise: SocketAddr,
-    pub name: String,
-    /// Where others may be found.
-    pub seeds: Vec<SocketAddr>,
-    /// The file with the secret that the gateways share.
-    pub key_file: PathBuf,
-    /// Between two probes.
-    pub period: f64,
-    /// For which a word counts as proof.
-    pub lease: f64,
-    /// Part of one in the most that it keeps while it hears no majority.
-    pub floor: f64,
-}
-
-/// A profile as clients name it; its due time and effect are the policy's.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ProfileConfig {
-    pub name: String,
-    /// Seconds that a client waits at most.
-    pub deadline: f64,
-    pub importance: f64,
-}
-
-/// What is stated of functions: of those named, and of all others.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct FunctionConfigs {
-    pub defaults: FunctionOverrides,
-    pub by_name: BTreeMap<String, FunctionOverrides>,
-}
-
-impl FunctionConfigs {
-    /// The figures of a function: its specific where they are stated, else those of all.
-    pub fn resolve(&self, name: &str) -> FunctionConfig {
-        let (specific, defaults, minimum) =
-            (self.by_name.get(name), self.defaults, FunctionConfig::default());
-        let specific = specific.copied().unwrap_or_default();
-        FunctionConfig {
-            lanes: specific.lanes.or(defaults.lanes).unwrap_or(minimum.lanes),
-            memory: specific.memory.or(defaults.memory).unwrap_or(minimum.memory),
-            load: specific.load.or(defaults.load),
-            profile: specific.profile.or(defaults.profile),
-        }
-    }
-}
-
-/// The figures that a statement of functions gives; the others are the usual ones.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FunctionOverrides {
-    pub lanes: Option<f64>,
-    pub memory: Option<f64>,
-    pub load: Option<f64>,
-    pub profile: Option<usize>,
-}
-
-/// One instance of a function.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FunctionConfig {
-    /// Activations that it runs at a time.
-    pub lanes: f64,
-    /// In MB.
-    pub memory: f64,
-    /// The usual seconds of a load, where stated.
-    pub load: Option<f64>,
-    /// The only profile under which it may be called, where stated.
-    pub profile: Option<usize>,
-}
-
-impl Default for FunctionConfig {
-    fn default() -> Self {
-        // A small function, one call at a time: the minimum that a worker can be expected to do.
-        Self { lanes: 1.0, memory: 128.0, load: None, profile: None }
-    }
-}
-
-/// Where the worker list comes from.
-#[derive(Clone, Debug, PartialEq)]
-pub enum WorkerSource {
-    List(Vec<Entry>),
-    Registry(SocketAddr),
-}
-
-/// Bounds of the gateway's specific queues, tables and waits. Times in seconds, sizes in bytes.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
-    /// Threads that carry calls.
-    pub cores: usize,
-    /// Whether each is kept on a processor of its specific.
-    pub pin: bool,
-    /// Activations in hand at once; what comes beyond is bounced at the door.
-    pub max_open_requests: usize,
-    /// Bytes of all bodies and answers in hand together.
-    pub max_buffered_bytes: usize,
-    /// Bytes of one call's body.
-    pub max_request_body: usize,
-    /// Bytes of one answer.
-    pub max_response_body: usize,
-    /// Client connections.
-    pub max_connections: usize,
-    /// Connections to one worker.
-    pub max_connections_per_worker: usize,
-    /// For a client to send its header fields.
-    pub header_timeout: f64,
-    /// For a client that takes or sends nothing in the midst of a message.
-    pub stall_timeout: f64,
-    /// For a connection to be made.
-    pub connect_timeout: f64,
-    /// After which a connection to a worker that nobody used is closed.
-    pub idle_timeout: f64,
-    /// For a probe to be answered.
-    pub probe_timeout: f64,
-    /// After word that a worker drains, past which nothing is sent to it.
-    pub drain_grace: f64,
-}
+pub use model::{
+    ConfigLogConfig, FunctionConfig, FunctionConfigs, FunctionOverrides, GatewayConfig, Limits,
+    MembershipConfig, ProfileConfig, WorkerSource,
+};
+pub use reader::read;
--- /dev/null
+++ b/crates/config/src/reader/config_log.rs
@@ -0,0 +1,48 @@
+//! Where changes of configuration come from: the control machines, and how this gateway follows their log.
+
+use super::common::{gateway_name, is_reachable, key_file, name_of_address, parse_address};
+use super::control_machines;
+use crate::document::Section;
+use crate::model::{ConfigLogConfig, MembershipConfig};
+use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
+use std::path::PathBuf;
+
+const DEFAULT_STATE_FILE: &str = "changes.state";
+
+/// Reads how the log is followed; none where a setting that it can't do without is missing or invalid.
+///
+/// A gateway without a name here has that of its membership, or else the address at which clients reach it.
+pub fn read(
+    section: &Section<'_>,
+    client_listen: SocketAddr,
+    membership: Option<&MembershipConfig>,
+) -> Option<ConfigLogConfig> {
+    let control = control_machines::read(section);
+    let key_file = key_file(section, "changes.key");
+    let listen = listen(section, &control);
+    let state_file = PathBuf::from(section.text("state").unwrap_or(DEFAULT_STATE_FILE));
+    let name = gateway_name(section, milletpath_config_log::message::LONGEST_NAME);
+    // The address tells gateways apart only where it is one of its own.
+    let address = Some(client_listen).filter(is_reachable).map(name_of_address);
+    let name = name.or(membership.map(|membership| membership.name.clone())).or(address);
+    if name.is_none() && !section.has("name") {
+        let example = "\"gateway-1\" (its own among the gateways, as listen is no address of one)";
+        section.report_missing("name", example);
+    }
+    Some(ConfigLogConfig { control, key_file: key_file?, listen, state_file, name: name? })
+}
+
+/// Where datagrams are received: any port, unless stated, of the control machines' address family.
+fn listen(section: &Section<'_>, control: &[SocketAddr]) -> SocketAddr {
+    let any = match control.first() {
+        Some(SocketAddr::V6(_)) => SocketAddr::from((Ipv6Addr::UNSPECIFIED, 0)),
+        _ => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
+    };
+    let listen = section.parsed("listen", "\"0.0.0.0:0\"", parse_address).unwrap_or(any);
+    if control.first().is_some_and(|address| address.is_ipv4() != listen.is_ipv4()) {
+        let problem = "listen of changes can't reach the control machines";
+        let remedy = format!("write listen = \"{any}\", or leave it out");
+        section.report(section.offset_of("listen"), problem, remedy);
+    }
+    listen
+}
--- /dev/null
+++ b/crates/config/src/reader/functions.rs
@@ -0,0 +1,24 @@
+//! Settings of functions: those of all, and those of one.
+
+use super::common::MAX_SECONDS;
+use crate::document::Section;
+use crate::model::{FunctionConfigs, FunctionOverrides, ProfileConfig};
+
+/// Reads what is stated of all functions and of each named one.
+pub fn read(top: &Section<'_>, profiles: &[ProfileConfig]) -> FunctionConfigs {
+    let defaults = top.block("functions").map(|section| overrides(&section, profiles)).unwrap_or_default();
+    let named = top.blocks("function", true).into_iter();
+    let by_name = named.map(|section| (section.label.clone(), overrides(&section, profiles))).collect();
+    FunctionConfigs { defaults, by_name }
+}
+
+/// Reads one block of settings, in a configuration file or in a change.
+pub fn overrides(section: &Section<'_>, profiles: &[ProfileConfig]) -> FunctionOverrides {
+    let choices: Vec<_> = profiles.iter().enumerate().map(|(n, p)| (p.name.as_str(), n)).collect();
+    FunctionOverrides {
+        lanes: section.number("lanes", "activations", 1.0..=10_000.0),
+        memory: section.number("memory", "MB", 0.0..=1e9),
+        load: section.number("load", "seconds", 0.0..=MAX_SECONDS),
+        profile: section.one_of("profile", &choices),
+    }
+}
--- /dev/null
+++ b/crates/config/src/reader/membership.rs
@@ -0,0 +1,45 @@
+//! Membership among the gateways. Its settings should be the same in all files of a fleet: the defaults find a failed
+//! gateway within some seconds at some 2 kB a second, and serve dozens of gateways (`docs/design/peers.md`).
+
+use super::common::{gateway_name, key_file, name_of_address, parse_address};
+use crate::document::Section;
+use crate::model::MembershipConfig;
+
+/// A lease shorter than this many probe periods could end between two probes that both succeed.
+const MIN_LEASE_PERIODS: f64 = 4.0;
+
+/// Reads the membership; none where a setting that it can't do without is missing or invalid.
+pub fn read(top: &Section<'_>, section: &Section<'_>, gateways: usize) -> Option<MembershipConfig> {
+    let listen = section.parsed("listen", "\"10.0.0.3:7400\"", parse_address);
+    if !section.has("listen") {
+        section.report_missing("listen", "\"10.0.0.3:7400\"");
+    }
+    let advertise = section.parsed("advertise", "\"10.0.0.3:7400\"", parse_address);
+    if advertise.is_none() && listen.is_some_and(|address| address.ip().is_unspecified()) {
+        section.report_missing("advertise", "\"10.0.0.3:7400\" (where others reach it)");
+    }
+    let name = gateway_name(section, milletpath_membership::letter::LONGEST_NAME);
+    let key_file = key_file(section, "peers.key");
+    let defaults = milletpath_membership::Terms::default();
+    let period = section.number("period", "seconds", 0.05..=60.0).unwrap_or(defaults.period);
+    let lease = section.number("lease", "seconds", 0.1..=600.0).unwrap_or(defaults.lease);
+    check_lease(section, period, lease);
+    let floor = section.number("floor", "of its part", 0.0..=1.0).unwrap_or(defaults.floor);
+    let seeds = section.list("seeds", "[\"10.0.0.1:7400\"]", parse_address).unwrap_or_default();
+    if gateways < 2 {
+        let remedy = "add gateways = NUMBER, the most that there may be";
+        top.report(section.offset, "peers, but the charter allows for one gateway only", remedy);
+    }
+    let (listen, key_file) = (listen?, key_file?);
+    let advertise = advertise.unwrap_or(listen);
+    let name = name.unwrap_or_else(|| name_of_address(advertise));
+    Some(MembershipConfig { listen, advertise, name, seeds, key_file, period, lease, floor })
+}
+
+fn check_lease(section: &Section<'_>, period: f64, lease: f64) {
+    let least = MIN_LEASE_PERIODS * period;
+    if lease < least {
+        let problem = format!("lease of peers is shorter than four periods of {period}");
+        section.report(section.offset_of("lease"), problem, format!("make it {least} or more"));
+    }
+}
--- /dev/null
+++ b/crates/config/src/reader/policy.rs
@@ -0,0 +1,87 @@
+//! What the routing decisions go by: the policy's configuration, from the settings of limits and workers.
+
+use super::common::{MAX_SECONDS, OptionalSection};
+use super::host::random_seed;
+use crate::document::Section;
+use crate::model::WorkerSource;
+use milletpath_policy::host::{Charter, Profile};
+
+/// Seconds between two turns of the gateway's clock: what a loop on a busy core keeps.
+const TICK: f64 = 0.004;
+
+/// The sections that hold the policy's settings, and what was read from others before.
+pub struct PolicySources<'s, 'p> {
+    pub top: &'s Section<'p>,
+    pub limits: Option<&'s Section<'p>>,
+    pub workers: Option<&'s Section<'p>>,
+    /// Gateways of the fleet, at most.
+    pub gateways: usize,
+    pub profiles: Vec<Profile>,
+    pub quotas: Vec<f64>,
+    pub ceilings: Vec<f64>,
+    /// Memory of each kind of worker, in MB.
+    pub memory: Vec<f64>,
+}
+
+impl PolicySources<'_, '_> {
+    /// Reads the policy's configuration. `source` tells whether changes of the worker list have to be asked for.
+    pub fn read(self, source: &WorkerSource) -> Charter {
+        let (limits, workers) = (OptionalSection(self.limits), OptionalSection(self.workers));
+        let seconds = |key, least, default| workers.number(key, "seconds", least..=MAX_SECONDS, default);
+        Charter {
+            seed: self.top.number("seed", "chance", 0.0..=9e15).map_or_else(random_seed, |seed| seed as u64),
+            routers: self.gateways,
+            profiles: self.profiles,
+            quotas: self.quotas,
+            ceilings: self.ceilings,
+            // Free retries are stated for the fleet: each gateway has its part of them.
+            retries: self
+                .limits
+                .and_then(|limits| rate_limit(limits, "retries"))
+                .map(|(window, free, fraction)| (window, free / self.gateways as f64, fraction)),
+            hand: self.limits.and_then(|limits| in_flight(limits, self.gateways)).unwrap_or(f64::INFINITY),
+            over_share: limits.number("over_share", "importance", 0.0..=1.0, 1.0),
+            shots: limits.count("shots", "shots", 1..=16, 4),
+            cancels: workers.flag("cancels", true),
+            orders: workers.flag("orders", true),
+            misses: workers.flag("misses", false),
+            // The registry streams to whoever asks, and is asked again when the stream breaks.
+            asks: matches!(source, WorkerSource::Registry(_)),
+            probes: workers.flag("probes", true),
+            come_back: Some(limits.number("come_back", "seconds", 0.0..=MAX_SECONDS, 1.0))
+                .filter(|seconds| *seconds > 0.0),
+            keep: seconds("keep", 0.0, 10.0),
+            ration: self.limits.and_then(|limits| rate_limit(limits, "ration")),
+            order_wait: seconds("order_wait", 0.01, 30.0),
+            cold_share: workers.number("cold_share", "capacity", 0.0..=1.0, 0.2),
+            warm_up: seconds("warm_up", 0.0, 15.0),
+            tip_multiple: workers.number("tip_multiple", "capacities", 0.0..=1000.0, 2.5),
+            tip_window: seconds("tip_window", 0.0, 1.0),
+            memory: self.memory,
+            tick: TICK,
+        }
+    }
+}
+
+/// A rate limit as the policy has it: seconds of its window, how many are free in each, and for each request accepted.
+fn rate_limit(limits: &Section<'_>, key: &'static str) -> Option<(f64, f64, f64)> {
+    let section = limits.block(key)?;
+    let window = section.number("window", "seconds", 0.001..=MAX_SECONDS);
+    if !section.has("window") {
+        section.report_missing("window", "10");
+    }
+    let free = section.number("free", "of them", 0.0..=1e9).unwrap_or(0.0);
+    let window = window?;
+    let fraction = section.number("share", "of one an activation", 0.0..=1e3).unwrap_or(0.0);
+    Some((window, free, fraction))
+}
+
+/// Attempts in flight at one worker, over all gateways. Each gateway needs a whole one, for when it reaches no other.
+fn in_flight(limits: &Section<'_>, gateways: usize) -> Option<f64> {
+    let most = limits.number("in_flight", "shots at one worker", 1.0..=1e9)?;
+    if most < gateways as f64 {
+        let problem = format!("in_flight of {most} is less than one shot for each of {gateways} gateways");
+        limits.report(limits.offset_of("in_flight"), problem, format!("make it {gateways} or more"));
+    }
+    Some(most)
+}
--- /dev/null
+++ b/crates/config/src/reader/profiles.rs
@@ -0,0 +1,103 @@
+//! Profiles of requests: latency objective, deadline, effect and importance.
+
+use super::common::MAX_SECONDS;
+use crate::document::Section;
+use crate::model::ProfileConfig;
+use milletpath_policy::host::{Effect, Group, Profile};
+
+/// The profiles, as the policy and as clients know them, in one order.
+#[derive(Default)]
+pub struct Profiles {
+    pub policy: Vec<Profile>,
+    pub config: Vec<ProfileConfig>,
+}
+
+/// The words of the file for effects.
+#[derive(Clone, Copy)]
+enum EffectKind {
+    Idempotent,
+    IdempotentWithKey,
+    NonIdempotent,
+}
+
+const EFFECTS: [(&str, EffectKind); 3] = [
+    ("pure", EffectKind::Idempotent),
+    ("receipted", EffectKind::IdempotentWithKey),
+    ("effectful", EffectKind::NonIdempotent),
+];
+
+const GROUPS: [(&str, Group); 3] = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+
+/// Deadlines that are not stated, as a multiple of the latency objective.
+const DEFAULT_DEADLINE: f64 = 3.0;
+
+/// Reads all profiles; there must be one.
+pub fn read(top: &Section<'_>) -> Profiles {
+    let mut profiles = Profiles::default();
+    for section in top.blocks("profile", true) {
+        let due = latency_objective(&section);
+        let deadline = deadline(&section, due);
+        let effect = effect(&section);
+        let importance = section.number("importance", "importance", 0.0..=1e9).unwrap_or(1.0);
+        profiles.policy.push(Profile { due, effect });
+        profiles.config.push(ProfileConfig { name: section.label.clone(), deadline, importance });
+    }
+    if profiles.policy.is_empty() {
+        let remedy = "add profile \"usual\" { due = 1.0, effect = \"effectful\" }";
+        top.report(0, "the charter has no profile", remedy);
+    }
+    profiles
+}
+
+fn latency_objective(section: &Section<'_>) -> f64 {
+    let due = section.number("due", "seconds", 0.001..=MAX_SECONDS);
+    if !section.has("due") {
+        section.report_missing("due", "1.0");
+    }
+    due.unwrap_or(1.0)
+}
+
+fn deadline(section: &Section<'_>, due: f64) -> f64 {
+    let stated = section.number("cut_off", "seconds", 0.001..=MAX_SECONDS);
+    let deadline = stated.unwrap_or(DEFAULT_DEADLINE * due);
+    if deadline < due {
+        let problem = format!("cut_off of {} comes before its due time", section.title);
+        section.report(section.offset_of("cut_off"), problem, format!("make it {due} or more"));
+    }
+    deadline
+}
+
+/// The effect of a request. One that is not stated is taken for the most harmful to repeat.
+fn effect(section: &Section<'_>) -> Effect {
+    let kind = section.one_of("effect", &EFFECTS);
+    if !section.has("effect") {
+        section.report_missing("effect", "\"pure\", \"receipted\" or \"effectful\"");
+    }
+    let group = section.one_of("group", &GROUPS);
+    let memory = section.number("memory", "seconds", 0.0..=MAX_SECONDS);
+    match kind {
+        Some(EffectKind::IdempotentWithKey) => {
+            if memory.is_none() && !section.has("memory") {
+                section.report_missing("memory", "60 (seconds for which workers know a repeat)");
+            }
+            Effect::Receipted { group: group.unwrap_or(Group::All), memory: memory.unwrap_or(0.0) }
+        }
+        Some(EffectKind::Idempotent) => {
+            refuse_key_settings(section);
+            Effect::Pure
+        }
+        Some(EffectKind::NonIdempotent) | None => {
+            refuse_key_settings(section);
+            Effect::Effectful
+        }
+    }
+}
+
+/// Reports the settings that only a profile with idempotency keys has.
+fn refuse_key_settings(section: &Section<'_>) {
+    for key in ["group", "memory"].into_iter().filter(|key| section.has(key)) {
+        let problem = format!("{key} of {} means nothing, as it is not receipted", section.title);
+        let remedy = format!("remove {key}, or write effect = \"receipted\"");
+        section.report(section.offset_of(key), problem, remedy);
+    }
+}
