--- a/crates/config/src/reader/policy.rs
+++ b/crates/config/src/reader/policy.rs
@@ -71,9 +71,9 @@
         section.report_missing("window", "10");
     }
     let free = section.number("free", "of them", 0.0..=1e9).unwrap_or(0.0);
-    let window = window?;
+    // Asked for also where the window is missing: a key that nobody asked for would be reported as unknown.
     let fraction = section.number("share", "of one an activation", 0.0..=1e3).unwrap_or(0.0);
-    Some((window, free, fraction))
+    Some((window?, free, fraction))
 }
 
 /// Attempts in flight at one worker, over all gateways. Each gateway needs a whole one, for when it reaches no other.
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -102,6 +102,13 @@
     assert!(found, "{messages:#?}");
 }
 
+#[test]
+fn a_rate_limit_without_a_window_gets_one_error_only() {
+    let errors = read(&VALID.replacen("    window = 10\n", "", 1)).unwrap_err();
+    let messages: Vec<_> = errors.iter().map(ToString::to_string).collect();
+    assert_eq!(messages, ["44:3: ration has no window; add window = 10"]);
+}
+
 #[test]
 fn all_mistakes_are_told_at_once_in_order() {
     let text = VALID
