--- a/crates/config/src/change/parser.rs
+++ b/crates/config/src/change/parser.rs
@@ -43,7 +43,7 @@
     pub fn parse_change(&self, key: &str, text: Option<&str>) -> Result<ConfigChange, Vec<ConfigError>> {
         let Some(subject) = Subject::from_key(key) else {
             let remedy = "write functions or function NAME, or run a program that knows it";
-            return Err(error_at_start(format!("no change goes by the key {key:?} here"), remedy));
+            return Err(error_at_start(format!("unknown key of a change: {key:?}"), remedy));
         };
         let Some(text) = text else { return Ok(ConfigChange { subject, overrides: None }) };
         let mut changes = self.parse_changes(text)?;
@@ -52,8 +52,8 @@
                 Ok(ConfigChange { subject, overrides: Some(change.overrides) })
             }
             _ => {
-                let remedy = "one statement, that of its key";
-                Err(error_at_start(format!("this states something else than {key}"), remedy))
+                let remedy = "write one block, that of its key";
+                Err(error_at_start(format!("the text is not about {key}"), remedy))
             }
         }
     }
@@ -73,7 +73,7 @@
         }
         if changes.is_empty() {
             let remedy = "add function \"name\" { lanes = 2 } or functions { ... }";
-            top.report(0, "nothing is stated here", remedy);
+            top.report(0, "the text holds no change", remedy);
         }
         changes.sort_by_key(|(offset, _)| *offset);
         changes.into_iter().map(|(_, change)| change).collect()
@@ -87,12 +87,12 @@
 /// Reports the keys of a configuration file that no change may carry.
 fn refuse_other_keys(top: &Section<'_>) {
     for key in FLEET_WIDE_KEYS {
-        let problem = format!("a change can't carry {key}, by which all gateways must go at once");
-        top.refuse(key, &problem, "state it in the charter files and begin the gateways anew");
+        let problem = format!("a change can't set {key}, which must be the same on all gateways");
+        top.refuse(key, &problem, "set it in the configuration files and restart the gateways");
     }
     for key in PER_GATEWAY_KEYS {
-        let problem = format!("a change can't carry {key}, which is each gateway's own");
-        top.refuse(key, &problem, "state it in that gateway's charter file");
+        let problem = format!("a change can't set {key}, which belongs to one gateway");
+        top.refuse(key, &problem, "set it in that gateway's configuration file");
     }
 }
 
@@ -101,12 +101,12 @@
     if subject.to_string().len() > milletpath_config_log::KEY {
         let longest = milletpath_config_log::KEY - "function ".len();
         let problem = format!("the name of {} is too long for a change", section.title);
-        section.report(section.offset, problem, format!("changes carry names of up to {longest} bytes"));
+        section.report(section.offset, problem, format!("use a name of up to {longest} bytes"));
     }
     let bytes = section.source().len();
     if bytes > milletpath_config_log::TEXT {
         let problem = format!("{} has {bytes} bytes of text", section.title);
-        let remedy = format!("keep it within {}; leave comments out", milletpath_config_log::TEXT);
+        let remedy = format!("keep it within {} bytes; leave comments out", milletpath_config_log::TEXT);
         section.report(section.offset, problem, remedy);
     }
 }
--- a/crates/config/src/document/blocks.rs
+++ b/crates/config/src/document/blocks.rs
@@ -41,9 +41,12 @@
         let label = block.labels.first().map(|label| label.as_str().to_owned()).unwrap_or_default();
         let title = if labelled { format!("{key} \"{label}\"") } else { key.to_owned() };
         if block.labels.len() != usize::from(labelled) || labelled && !is_name(&label) {
-            let example =
-                if labelled { format!("{key} \"name\" {{ ... }}") } else { format!("{key} {{ ... }}") };
-            self.report(span.start, format!("{title} has no proper label"), format!("write {example}"));
+            let (problem, example) = if labelled {
+                ("needs one label, which is a name", format!("{key} \"name\" {{ ... }}"))
+            } else {
+                ("takes no label", format!("{key} {{ ... }}"))
+            };
+            self.report(span.start, format!("{title} {problem}"), format!("write {example}"));
         }
         match sections.iter_mut().find(|section| section.label == label) {
             Some(below) if in_document && !below.in_document => {
@@ -54,7 +57,7 @@
             duplicate => {
                 if duplicate.is_some() {
                     let remedy = if labelled { "give each its own name" } else { "keep one" };
-                    self.report(span.start, format!("{title} stands here for the second time"), remedy);
+                    self.report(span.start, format!("{title} is defined more than once"), remedy);
                 }
                 let bodies = vec![&block.body];
                 sections.push(Section::new(self.document, title, label, span, bodies, in_document));
--- a/crates/config/src/document/section.rs
+++ b/crates/config/src/document/section.rs
@@ -51,7 +51,7 @@
     /// A file that builds on others: first its own body, then those of the others, which must be valid by themselves.
     #[must_use]
     pub fn layered(document: &'p Document<'p>, bodies: Vec<&'p Body>) -> Self {
-        Self::new(document, "the charter".into(), String::new(), 0..document.text.len(), bodies, true)
+        Self::new(document, "the configuration".into(), String::new(), 0..document.text.len(), bodies, true)
     }
 
     /// A text that is no configuration file, by the title that messages give it.
--- a/crates/config/src/document/unknown_keys.rs
+++ b/crates/config/src/document/unknown_keys.rs
@@ -26,9 +26,9 @@
             }
             let remedy = match closest_key(&known_keys, name) {
                 Some(closest) => format!("did you mean {closest}?"),
-                None => format!("remove it; known here: {}", known_keys.join(", ")),
+                None => format!("remove it; known keys: {}", known_keys.join(", ")),
             };
-            self.document.report(offset, format!("{} knows no {name}", self.title), remedy);
+            self.document.report(offset, format!("unknown key {name} in {}", self.title), remedy);
         }
     }
 }
--- a/crates/config/src/document/values.rs
+++ b/crates/config/src/document/values.rs
@@ -18,7 +18,7 @@
 }
 
 impl<'p> Section<'p> {
-    /// A number within bounds; `unit` says what it counts.
+    /// A number within bounds; `unit` says what it counts, and is empty where that goes without saying.
     #[must_use]
     pub fn number(&self, key: &'static str, unit: &str, within: RangeInclusive<f64>) -> Option<f64> {
         let (offset, value) = self.value(key)?;
@@ -28,7 +28,8 @@
                 (low, high) if high.is_infinite() => format!("{low} or more"),
                 (low, high) => format!("{low} to {high}"),
             };
-            let problem = format!("{key} of {} is no number of {unit} from {bounds}", self.title);
+            let of_unit = if unit.is_empty() { String::new() } else { format!(" of {unit}") };
+            let problem = format!("{key} of {} must be a number{of_unit} from {bounds}", self.title);
             self.report(offset, problem, format!("write {key} = NUMBER, {bounds}"));
         }
         number
@@ -39,7 +40,7 @@
     pub fn count(&self, key: &'static str, unit: &str, within: RangeInclusive<u32>) -> Option<usize> {
         let number = self.number(key, unit, f64::from(*within.start())..=f64::from(*within.end()))?;
         if number.fract() != 0.0 {
-            let problem = format!("{key} of {} is no whole number", self.title);
+            let problem = format!("{key} of {} must be a whole number", self.title);
             self.report(self.offset_of(key), problem, format!("write {key} = {}", number.round()));
         }
         Some(number as usize)
@@ -52,7 +53,7 @@
         if let Expression::Bool(flag) = value {
             return Some(*flag.value());
         }
-        let problem = format!("{key} of {} is neither true nor false", self.title);
+        let problem = format!("{key} of {} must be true or false", self.title);
         self.report(offset, problem, format!("write {key} = true or {key} = false"));
         None
     }
@@ -64,7 +65,11 @@
         if let Expression::String(text) = value {
             return Some(text.value());
         }
-        self.report(offset, format!("{key} of {} is no text", self.title), format!("write {key} = \"...\""));
+        self.report(
+            offset,
+            format!("{key} of {} must be a string", self.title),
+            format!("write {key} = \"...\""),
+        );
         None
     }
 
@@ -79,7 +84,7 @@
         let text = self.text(key)?;
         let value = parse(text);
         if value.is_none() {
-            let problem = format!("{key} of {} can't be \"{text}\"", self.title);
+            let problem = format!("{key} of {} has the invalid value \"{text}\"", self.title);
             self.report(self.offset_of(key), problem, format!("write {key} = {example}"));
         }
         value
@@ -96,7 +101,7 @@
         let (offset, value) = self.value(key)?;
         let remedy = format!("write {key} = {example}");
         let Expression::Array(items) = value else {
-            self.report(offset, format!("{key} of {} is no list", self.title), remedy);
+            self.report(offset, format!("{key} of {} must be a list", self.title), remedy);
             return None;
         };
         let parse_item = |item: &Expression| match item {
@@ -105,7 +110,7 @@
         };
         let values: Option<Vec<T>> = items.iter().map(parse_item).collect();
         if values.is_none() {
-            self.report(offset, format!("{key} of {} holds what it can't", self.title), remedy);
+            self.report(offset, format!("{key} of {} has an invalid item", self.title), remedy);
         }
         values
     }
--- a/crates/config/src/reader/clients.rs
+++ b/crates/config/src/reader/clients.rs
@@ -16,7 +16,7 @@
 pub fn read(top: &Section<'_>) -> ClientGroups {
     let mut groups = ClientGroups::default();
     for section in top.blocks("client", true) {
-        let rate = |key| section.number(key, "activations a second over all gateways", 0.0..=1e9);
+        let rate = |key| section.number(key, "requests a second over all gateways", 0.0..=1e9);
         groups.quotas.push(rate("quota").unwrap_or(f64::INFINITY));
         groups.ceilings.push(rate("ceiling").unwrap_or(f64::INFINITY));
         groups.names.push(section.label.clone());
--- a/crates/config/src/reader/common.rs
+++ b/crates/config/src/reader/common.rs
@@ -56,7 +56,7 @@
 pub fn key_file(section: &Section<'_>, example: &str) -> Option<PathBuf> {
     let key_file = section.text("key").map(PathBuf::from);
     if key_file.is_none() && !section.has("key") {
-        section.report_missing("key", &format!("\"{example}\" (a file with 32 bytes of chance or more)"));
+        section.report_missing("key", &format!("\"{example}\" (a file with 32 random bytes or more)"));
     }
     key_file
 }
--- a/crates/config/src/reader/control_machines.rs
+++ b/crates/config/src/reader/control_machines.rs
@@ -24,7 +24,7 @@
 
 fn check_number(section: &Section<'_>, control: &[SocketAddr]) {
     if section.has("control") && !(1..=MAX_CONTROL_MACHINES).contains(&control.len()) {
-        let problem = format!("changes names {} control machines", control.len());
+        let problem = format!("changes has {} control machines", control.len());
         let remedy = format!("name 1 to {MAX_CONTROL_MACHINES}; an odd number, as more than half must agree");
         section.report(section.offset_of("control"), problem, remedy);
     }
@@ -33,15 +33,15 @@
 fn check_addresses(section: &Section<'_>, control: &[SocketAddr]) {
     let offset = section.offset_of("control");
     if let Some(unreachable) = control.iter().find(|address| !is_reachable(address)) {
-        let problem = format!("{unreachable} is no place of a control machine");
+        let problem = format!("{unreachable} can't be the address of a control machine");
         section.report(offset, problem, "name the address and port at which the others reach it");
     }
     if control.iter().any(|address| address.is_ipv4() != control[0].is_ipv4()) {
-        let problem = "control machines that can't reach each other";
+        let problem = "control mixes IPv4 and IPv6 addresses";
         section.report(offset, problem, "name all by IPv4 or all by IPv6 addresses");
     }
     if let Some(duplicate) = (1..control.len()).find(|n| control[..*n].contains(&control[*n])) {
-        let problem = format!("{} is named as two control machines", control[duplicate]);
+        let problem = format!("{} is listed as two control machines", control[duplicate]);
         section.report(offset, problem, "name each once");
     }
 }
--- a/crates/config/src/reader/gateway.rs
+++ b/crates/config/src/reader/gateway.rs
@@ -26,7 +26,7 @@
     let workers = top.block("workers");
     if workers.is_none() {
         let remedy = "add workers { worker \"w1\" { address = \"...\" } }";
-        top.report(0, "the charter has no workers", remedy);
+        top.report(0, "the configuration has no workers", remedy);
     }
     let workers = workers.as_ref();
     let kinds = workers.map(workers::read_kinds).unwrap_or_default();
--- a/crates/config/src/reader/limits.rs
+++ b/crates/config/src/reader/limits.rs
@@ -14,7 +14,7 @@
     let limits = Limits {
         cores: top.count("cores", "cores", 1..=MAX_CORES).unwrap_or_else(available_cores),
         pin: top.flag("pin").unwrap_or(false),
-        max_open_requests: optional.count("open", "activations", 1..=10_000_000, 20_000),
+        max_open_requests: optional.count("open", "requests", 1..=10_000_000, 20_000),
         max_buffered_bytes: optional.count("held", "bytes", 1024..=u32::MAX, 256 << 20),
         max_request_body: optional.count("body", "bytes", 0..=GIB, 1 << 20),
         max_response_body: optional.count("answer", "bytes", 0..=GIB, 8 << 20),
--- a/crates/config/src/reader/membership.rs
+++ b/crates/config/src/reader/membership.rs
@@ -24,11 +24,11 @@
     let period = section.number("period", "seconds", 0.05..=60.0).unwrap_or(defaults.period);
     let lease = section.number("lease", "seconds", 0.1..=600.0).unwrap_or(defaults.lease);
     check_lease(section, period, lease);
-    let floor = section.number("floor", "of its part", 0.0..=1.0).unwrap_or(defaults.floor);
+    let floor = section.number("floor", "the quota", 0.0..=1.0).unwrap_or(defaults.floor);
     let seeds = section.list("seeds", "[\"10.0.0.1:7400\"]", parse_address).unwrap_or_default();
     if gateways < 2 {
         let remedy = "add gateways = NUMBER, the most that there may be";
-        top.report(section.offset, "peers, but the charter allows for one gateway only", remedy);
+        top.report(section.offset, "peers is set, but gateways allows for one only", remedy);
     }
     let (listen, key_file) = (listen?, key_file?);
     let advertise = advertise.unwrap_or(listen);
--- a/crates/config/src/reader/policy.rs
+++ b/crates/config/src/reader/policy.rs
@@ -29,7 +29,7 @@
         let (limits, workers) = (OptionalSection(self.limits), OptionalSection(self.workers));
         let seconds = |key, least, default| workers.number(key, "seconds", least..=MAX_SECONDS, default);
         Charter {
-            seed: self.top.number("seed", "chance", 0.0..=9e15).map_or_else(random_seed, |seed| seed as u64),
+            seed: self.top.number("seed", "", 0.0..=9e15).map_or_else(random_seed, |seed| seed as u64),
             routers: self.gateways,
             profiles: self.profiles,
             quotas: self.quotas,
@@ -40,8 +40,8 @@
                 .and_then(|limits| rate_limit(limits, "retries"))
                 .map(|(window, free, fraction)| (window, free / self.gateways as f64, fraction)),
             hand: self.limits.and_then(|limits| in_flight(limits, self.gateways)).unwrap_or(f64::INFINITY),
-            over_share: limits.number("over_share", "importance", 0.0..=1.0, 1.0),
-            shots: limits.count("shots", "shots", 1..=16, 4),
+            over_share: limits.number("over_share", "", 0.0..=1.0, 1.0),
+            shots: limits.count("shots", "attempts", 1..=16, 4),
             cancels: workers.flag("cancels", true),
             orders: workers.flag("orders", true),
             misses: workers.flag("misses", false),
@@ -70,17 +70,17 @@
     if !section.has("window") {
         section.report_missing("window", "10");
     }
-    let free = section.number("free", "of them", 0.0..=1e9).unwrap_or(0.0);
+    let free = section.number("free", "", 0.0..=1e9).unwrap_or(0.0);
     // Asked for also where the window is missing: a key that nobody asked for would be reported as unknown.
-    let fraction = section.number("share", "of one an activation", 0.0..=1e3).unwrap_or(0.0);
+    let fraction = section.number("share", "", 0.0..=1e3).unwrap_or(0.0);
     Some((window?, free, fraction))
 }
 
 /// Attempts in flight at one worker, over all gateways. Each gateway needs a whole one, for when it reaches no other.
 fn in_flight(limits: &Section<'_>, gateways: usize) -> Option<f64> {
-    let most = limits.number("in_flight", "shots at one worker", 1.0..=1e9)?;
+    let most = limits.number("in_flight", "attempts at one worker", 1.0..=1e9)?;
     if most < gateways as f64 {
-        let problem = format!("in_flight of {most} is less than one shot for each of {gateways} gateways");
+        let problem = format!("in_flight of {most} is less than one attempt for each of {gateways} gateways");
         limits.report(limits.offset_of("in_flight"), problem, format!("make it {gateways} or more"));
     }
     Some(most)
--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -38,13 +38,13 @@
         let due = latency_objective(&section);
         let deadline = deadline(&section, due);
         let effect = effect(&section);
-        let importance = section.number("importance", "importance", 0.0..=1e9).unwrap_or(1.0);
+        let importance = section.number("importance", "", 0.0..=1e9).unwrap_or(1.0);
         profiles.policy.push(Profile { due, effect });
         profiles.config.push(ProfileConfig { name: section.label.clone(), deadline, importance });
     }
     if profiles.policy.is_empty() {
         let remedy = "add profile \"usual\" { due = 1.0, effect = \"effectful\" }";
-        top.report(0, "the charter has no profile", remedy);
+        top.report(0, "the configuration has no profile", remedy);
     }
     profiles
 }
@@ -61,7 +61,7 @@
     let stated = section.number("cut_off", "seconds", 0.001..=MAX_SECONDS);
     let deadline = stated.unwrap_or(DEFAULT_DEADLINE * due);
     if deadline < due {
-        let problem = format!("cut_off of {} comes before its due time", section.title);
+        let problem = format!("cut_off of {} is shorter than its due time", section.title);
         section.report(section.offset_of("cut_off"), problem, format!("make it {due} or more"));
     }
     deadline
@@ -96,7 +96,7 @@
 /// Reports the settings that only a profile with idempotency keys has.
 fn refuse_key_settings(section: &Section<'_>) {
     for key in ["group", "memory"].into_iter().filter(|key| section.has(key)) {
-        let problem = format!("{key} of {} means nothing, as it is not receipted", section.title);
+        let problem = format!("{key} of {} has no effect, as the profile is not receipted", section.title);
         let remedy = format!("remove {key}, or write effect = \"receipted\"");
         section.report(section.offset_of(key), problem, remedy);
     }
--- a/crates/config/src/reader/syntax.rs
+++ b/crates/config/src/reader/syntax.rs
@@ -8,7 +8,7 @@
 pub fn parse(text: &str) -> Result<Body, Vec<ConfigError>> {
     parse_body(text).map_err(|error| {
         let (line, column) = (error.location().line(), error.location().column());
-        let problem = format!("no HCL here: {}", error.message());
-        vec![ConfigError { line, column, problem, remedy: "mend the line and check again".into() }]
+        let problem = format!("invalid HCL: {}", error.message());
+        vec![ConfigError { line, column, problem, remedy: "correct the line and check again".into() }]
     })
 }
--- a/crates/config/src/reader/workers.rs
+++ b/crates/config/src/reader/workers.rs
@@ -41,7 +41,7 @@
         None => {
             if list.is_empty() && !workers.has("registry") {
                 let remedy = "add worker \"w1\" { ... } or registry = \"...\"";
-                workers.report(workers.offset, "workers lists none", remedy);
+                workers.report(workers.offset, "workers has no worker", remedy);
             }
             WorkerSource::List(list)
         }
@@ -74,7 +74,7 @@
         name: section.label.clone(),
         address: address.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
         started: None,
-        size: section.number("size", "sizes", 0.001..=1e6).unwrap_or(1.0),
+        size: section.number("size", "", 0.001..=1e6).unwrap_or(1.0),
         kind: section.parsed("kind", "the name of a kind above", parse_kind).unwrap_or_default(),
         zone: location("zone"),
         cell: location("cell"),
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -63,12 +63,12 @@
     assert_eq!(read(&own).unwrap().config_log.unwrap().name, "other");
 }
 
-#[test_case("\"10.0.1.1:7500\"", "\"10.0.0.1:7500\"", 23, 3, "named as two"; "one twice")]
-#[test_case("\"10.0.1.1:7500\"", "\"10.0.0.1:0\"", 23, 3, "no place of a control"; "no port")]
-#[test_case("\"10.0.1.1:7500\"", "\"0.0.0.0:7500\"", 23, 3, "no place of a control"; "any address")]
+#[test_case("\"10.0.1.1:7500\"", "\"10.0.0.1:7500\"", 23, 3, "listed as two"; "one twice")]
+#[test_case("\"10.0.1.1:7500\"", "\"10.0.0.1:0\"", 23, 3, "can't be the address of a control"; "no port")]
+#[test_case("\"10.0.1.1:7500\"", "\"0.0.0.0:7500\"", 23, 3, "can't be the address of a control"; "any address")]
 #[test_case("\"10.0.1.1:7500\"", "\"[::1]:7500\"", 23, 3, "all by IPv4 or all by IPv6"; "two families")]
-#[test_case("\"10.0.1.1:7500\"", "\"host\"", 23, 3, "holds what it can't"; "a host's name")]
-#[test_case("[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]", "[]", 23, 3, "names 0"; "none")]
+#[test_case("\"10.0.1.1:7500\"", "\"host\"", 23, 3, "has an invalid item"; "a host's name")]
+#[test_case("[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]", "[]", 23, 3, "has 0 control"; "none")]
 #[test_case("  key     = \"changes.key\"", "", 22, 1, "has no key"; "no key")]
 #[test_case("  key ", "  listen = \"[::]:0\"\n  key ", 24, 3, "can't reach"; "listens elsewhere")]
 #[test_case("\"10.1.0.3:8080\"", "\"0.0.0.0:8080\"", 22, 1, "has no name"; "an address that tells nothing")]
@@ -87,7 +87,7 @@
     let old = "[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]";
     let of = |n: usize| read(&VALID.replace(old, &format!("[{}]", all[..n].join(", "))));
     assert_eq!(of(7).unwrap().config_log.unwrap().control.len(), 7);
-    assert!(of(8).unwrap_err()[0].to_string().contains("names 8 control machines"));
+    assert!(of(8).unwrap_err()[0].to_string().contains("has 8 control machines"));
 }
 
 const CHANGES: &str = r#"# Why: more calls than one lane bears.
@@ -118,13 +118,13 @@
 #[test_case("lanes   = 4", "lanes = 0", 3, 3, "from 1 to 10000"; "no lane")]
 #[test_case("lanes   = 4", "lines = 4", 3, 3, "did you mean lanes?"; "a slip in a key")]
 #[test_case("\"order\"", "\"late\"", 4, 3, "\"check\" or \"order\""; "a profile that there is not")]
-#[test_case("\"b\"", "\"packs-a\"", 7, 1, "second time"; "one function twice")]
-#[test_case("function \"b\"", "client \"b\"", 7, 1, "can't carry client, by which all gateways"; "a quota")]
-#[test_case("function \"b\"", "limits", 7, 1, "can't carry limits, by which all gateways"; "a limit")]
-#[test_case("function \"b\" {}", "cores = 3", 7, 1, "each gateway's own"; "a gateway's own")]
+#[test_case("\"b\"", "\"packs-a\"", 7, 1, "more than once"; "one function twice")]
+#[test_case("function \"b\"", "client \"b\"", 7, 1, "can't set client, which must be the same on all gateways"; "a quota")]
+#[test_case("function \"b\"", "limits", 7, 1, "can't set limits, which must be the same on all gateways"; "a limit")]
+#[test_case("function \"b\" {}", "cores = 3", 7, 1, "belongs to one gateway"; "a gateway's own")]
 #[test_case("function \"b\"", "fanction \"b\"", 7, 1, "did you mean function?"; "a slip in a block")]
-#[test_case("\"b\"", "\"b b\"", 7, 1, "no proper label"; "no name")]
-#[test_case("\"b\" {}", "\"b\" {", 7, 16, "no HCL here"; "broken grammar")]
+#[test_case("\"b\"", "\"b b\"", 7, 1, "needs one label, which is a name"; "no name")]
+#[test_case("\"b\" {}", "\"b\" {", 7, 16, "invalid HCL"; "broken grammar")]
 fn a_mistake_of_a_change_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
     assert!(CHANGES.contains(from));
     let errors = config().parse_changes(&CHANGES.replacen(from, to, 1)).unwrap_err();
@@ -141,7 +141,7 @@
     let padded = |n: usize| format!("functions {{\n#{}\n}}", "x".repeat(n - 15));
     assert_eq!(config.parse_changes(&padded(800)).unwrap()[0].text.len(), 800);
     assert!(config.parse_changes(&padded(801)).unwrap_err()[0].to_string().contains("801 bytes"));
-    assert!(config.parse_changes("# nothing\n").unwrap_err()[0].to_string().contains("nothing is stated"));
+    assert!(config.parse_changes("# nothing\n").unwrap_err()[0].to_string().contains("holds no change"));
 }
 
 #[test_case("function a", "function \"b\" {}"; "another function")]
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -78,22 +78,22 @@
 
 /// One change to a sound text, and the line, column and words of what is told of it.
 #[test_case("shots     = 3", "shotz = 3", 37, 3, "did you mean shots?"; "a slip in a key")]
-#[test_case("shots     = 3", "shots = 3.5", 37, 3, "no whole number"; "half a shot")]
-#[test_case("in_flight = 40", "in_flight = 1", 38, 3, "less than one shot for each of 2"; "less than a shot a gateway")]
+#[test_case("shots     = 3", "shots = 3.5", 37, 3, "must be a whole number"; "half a shot")]
+#[test_case("in_flight = 40", "in_flight = 1", 38, 3, "less than one attempt for each of 2"; "less than a shot a gateway")]
 #[test_case("shots     = 3", "shots = -3", 37, 3, "from 1 to 16"; "less than none")]
 #[test_case("due    = 0.5", "", 11, 1, "has no due"; "no due time")]
 #[test_case("memory = 60", "", 11, 1, "has no memory"; "receipts without memory")]
 #[test_case("\"receipted\"", "\"pure\"", 14, 3, "not receipted"; "a group that means nothing")]
-#[test_case("cut_off = 3.0", "cut_off = 0.3", 8, 3, "before its due time"; "a cut off before the due time")]
+#[test_case("cut_off = 3.0", "cut_off = 0.3", 8, 3, "is shorter than its due time"; "a cut off before the due time")]
 #[test_case("127.0.0.1:9002", "127.0.0.1:9001", 34, 17, "address of another"; "two workers at one address")]
-#[test_case("worker \"w2\"", "worker \"w1\"", 34, 3, "second time"; "a worker twice")]
+#[test_case("worker \"w2\"", "worker \"w1\"", 34, 3, "more than once"; "a worker twice")]
 #[test_case("\"std\"\n", "\"fast\"\n", 31, 5, "name of a kind above"; "a kind that there is not")]
 #[test_case("127.0.0.1:0", "localhost", 2, 1, "listen = \"127.0.0.1:8080\""; "an address without a port")]
 #[test_case("drain_grace = 0.5", "registry = \"127.0.0.1:1\"", 27, 3, "both"; "a list and a registry")]
-#[test_case("profile \"order\"", "profile \"or der\"", 11, 1, "no proper label"; "a label with a space")]
+#[test_case("profile \"order\"", "profile \"or der\"", 11, 1, "needs one label, which is a name"; "a label with a space")]
 #[test_case("quota   = 44", "quota = 1e99", 18, 3, "from 0 to"; "a quota without sense")]
-#[test_case("free   = 2", "free   = [2]", 46, 5, "no number"; "a list for a figure")]
-#[test_case("gateways = 2", "gateways = ", 3, 12, "no HCL"; "broken grammar")]
+#[test_case("free   = 2", "free   = [2]", 46, 5, "must be a number"; "a list for a figure")]
+#[test_case("gateways = 2", "gateways = ", 3, 12, "invalid HCL"; "broken grammar")]
 fn a_mistake_is_told_with_its_place(from: &str, to: &str, line: usize, column: usize, words: &str) {
     assert!(VALID.contains(from));
     let errors = read(&VALID.replacen(from, to, 1)).unwrap_err();
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -54,7 +54,7 @@
 #[test]
 fn mistakes_are_told_where_they_stand() {
     let told = upon("mistakes", "upon = \"ground.hcl\"\n\nfleet { wrkers = 3 }\n").unwrap_err();
-    assert!(told[0].contains("day.hcl:3:9: fleet knows no wrkers; did you mean workers?"), "{told:?}");
+    assert!(told[0].contains("day.hcl:3:9: unknown key wrkers in fleet; did you mean workers?"), "{told:?}");
     let told = upon("absent", "upon = \"nowhere.hcl\"\n").unwrap_err();
     assert!(told[0].contains("nowhere.hcl: can't be read"), "{told:?}");
     let told = upon("circle", "upon = \"day.hcl\"\n").unwrap_err();
--- a/crates/milletpath/tests/changes.rs
+++ b/crates/milletpath/tests/changes.rs
@@ -262,7 +262,7 @@
 /// Refused at the author's own door, with file, line, column and remedy; nothing is proposed.
 #[test_case("function \"packs\" {\n  profile = \"late\"\n}\n", ":2:3: ", "\"check\" or \"order\""; "an unknown profile")]
 #[test_case("function \"a\" {}\nfunction \"b\" {\n  lanes = 0\n}\n", ":3:3: ", "write lanes = NUMBER"; "a bad figure")]
-#[test_case("client \"c\" { quota = 5 }\n", ":1:1: ", "can't carry client"; "a quota")]
+#[test_case("client \"c\" { quota = 5 }\n", ":1:1: ", "can't set client"; "a quota")]
 fn a_statement_that_the_charter_can_t_take(text: &str, place: &str, words: &str) {
     let mut site = Site::new(1, 0);
     site.begin_control(0, &["--found"]);
--- a/crates/milletpath/tests/program.rs
+++ b/crates/milletpath/tests/program.rs
@@ -97,7 +97,7 @@
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
     std::fs::remove_file(&path).unwrap();
     assert_eq!(output.status.code(), Some(2));
-    assert!(told.contains(":1:1: the charter knows no listn; did you mean listen?"), "{told}");
+    assert!(told.contains(":1:1: unknown key listn in the configuration; did you mean listen?"), "{told}");
     assert!(told.contains(":2:1: profile \"p\" has no effect"), "{told}");
 }
 
--- a/crates/milletpath/tests/scale.rs
+++ b/crates/milletpath/tests/scale.rs
@@ -232,9 +232,9 @@
     assert_eq!(output.status.code(), Some(1));
 }
 
-#[test_case("gatways = 9\n", ":17:1: the plan knows no gatways; did you mean gateways?"; "a slip")]
+#[test_case("gatways = 9\n", ":17:1: unknown key gatways in the plan; did you mean gateways?"; "a slip")]
 #[test_case("links { within = 1 }\n", ": the plan plays nothing; add play"; "no plays")]
-#[test_case("play \"x\" { does = \"fly\" }\n", ":17:12: does of play \"x\" can't be \"fly\""; "no such play")]
+#[test_case("play \"x\" { does = \"fly\" }\n", ":17:12: does of play \"x\" has the invalid value \"fly\""; "no such play")]
 fn a_bad_plan_is_told_with_place_and_remedy(more: &str, wanted: &str) {
     let name = format!("bad-{}", more.len());
     let output = scale(&file(&name, more)).output().expect("it runs");
--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -85,11 +85,11 @@
     assert_eq!(restarts, Some(What::Restarts { gateways: 29, over: 10.0 }));
 }
 
-#[test_case("gateways = 6", "gatways = 6", "2:1: the plan knows no gatways; did you mean gateways?")]
+#[test_case("gateways = 6", "gatways = 6", "2:1: unknown key gatways in the plan; did you mean gateways?")]
 #[test_case(
     "gateways = 6",
     "gateways = 1",
-    "2:1: gateways of the plan is no number of gateways from 2 to 4000"
+    "2:1: gateways of the plan must be a number of gateways from 2 to 4000"
 )]
 #[test_case("real = 1", "real = 6", "3:1: real of 6 leaves no hollow gateway among 6")]
 #[test_case("zones = [\"b1\"]", "zones = [\"a1\"]", "a zone a1 stands here for the second time")]
@@ -111,8 +111,12 @@
     "does = \"changes\"",
     "14:1: play \"begin\" makes changes, and nothing carries them"
 )]
-#[test_case("\"membership\"", "\"gossip\"", "13:11: runs of control holds what it can't")]
-#[test_case("does = \"start\"", "does = \"stat\"", "14:16: does of play \"begin\" can't be \"stat\"")]
+#[test_case("\"membership\"", "\"gossip\"", "13:11: runs of control has an invalid item")]
+#[test_case(
+    "does = \"start\"",
+    "does = \"stat\"",
+    "14:16: does of play \"begin\" has the invalid value \"stat\""
+)]
 #[test_case("does = \"start\"", "does = \"settled\"", "14:1: play \"begin\" comes before any start")]
 #[test_case(
     "play \"begin\"",
