--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -139,3 +139,14 @@
     assert_eq!((entries[1].name.as_str(), entries[1].state), ("w2", Standing::Gone));
     assert_eq!(events::read(&captured("events-heartbeat")), Ok(DiscoveryLine::Last(41)));
 }
+
+/// Each row holds a line that is invalid, its number or `-`, and what its sender is told.
+#[test]
+fn invalid_client_lines_get_the_captured_faults() {
+    for row in include_str!("wire/faults.txt").lines() {
+        let [line, number, fault] = row.split('\t').collect::<Vec<_>>()[..] else { panic!("{row}") };
+        let (read_number, read_fault) = lines::read(line.as_bytes()).expect_err(line);
+        assert_eq!(read_number.map_or("-".into(), |n| n.to_string()), number, "{line}");
+        assert_eq!(read_fault.to_string(), fault, "{line}");
+    }
+}
