--- a/crates/platform-protocol/src/bootstrap.rs
+++ b/crates/platform-protocol/src/bootstrap.rs
@@ -3,6 +3,7 @@
 
 use crate::events::{self, DiscoveryLine};
 use milletpath_config::{FunctionConfigs, GatewayConfig, Limits, ProfileConfig, WorkerSource};
+use milletpath_platform_settings::{ProfileSettings, SettingsError};
 use milletpath_protocol::Fault;
 use milletpath_protocol::registry::Entry;
 use serde_json::Value;
@@ -75,7 +76,7 @@
     let settings = &value["settings"];
     let seed = value["seed"].as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     let seed = seed.ok_or_else(|| Fault::new("seed", "is missing or no hex digits"))?;
-    let wrong = |e: String| Fault::new("settings", e);
+    let wrong = |error: SettingsError| Fault::new("settings", error.to_string());
     let policy = milletpath_platform_settings::policy_config(settings, seed).map_err(wrong)?;
     let known = &value["known"];
     let last_event = known["no"].as_u64().ok_or_else(|| Fault::new("known.no", "is no whole number"))?;
@@ -86,8 +87,11 @@
         }
     }
     let profiles = milletpath_platform_settings::profile_settings(settings).map_err(wrong)?;
-    let profiles =
-        profiles.into_iter().map(|(name, deadline, importance)| ProfileConfig { name, deadline, importance });
+    let profiles = profiles.into_iter().map(|ProfileSettings { name, deadline, importance }| ProfileConfig {
+        name,
+        deadline,
+        importance,
+    });
     let time_limit = |name| milletpath_platform_settings::time_limit(settings, name).map_err(wrong);
     let limits = Limits {
         cores: 1,
--- /dev/null
+++ b/crates/platform-settings/src/lookup.rs
@@ -0,0 +1,39 @@
+//! Values at a path of the settings, as JSON pointers name them (RFC 6901), checked for their bounds.
+
+use crate::error::SettingsError;
+use serde::Deserialize;
+use serde_json::Value;
+
+/// The platform states times in microseconds.
+const MICROSECONDS: f64 = 1e6;
+
+/// The value at a path; none where it is absent or of another type.
+pub fn value_at<'v, T: Deserialize<'v>>(settings: &'v Value, path: &str) -> Option<T> {
+    settings.pointer(path).and_then(|value| T::deserialize(value).ok())
+}
+
+/// A required number, not negative.
+pub fn non_negative(settings: &Value, path: &str) -> Result<f64, SettingsError> {
+    number(settings, path, |x| x >= 0.0)
+}
+
+/// A required number above zero.
+pub fn positive(settings: &Value, path: &str) -> Result<f64, SettingsError> {
+    number(settings, path, |x| x > 0.0)
+}
+
+/// A required time, in seconds.
+pub fn seconds(settings: &Value, path: &str) -> Result<f64, SettingsError> {
+    non_negative(settings, path).map(|time| time / MICROSECONDS)
+}
+
+/// A time in seconds; none where it is absent or not above zero.
+pub fn optional_seconds(settings: &Value, path: &str) -> Option<f64> {
+    let time = value_at::<f64>(settings, path).filter(|time| time.is_finite() && *time > 0.0);
+    time.map(|time| time / MICROSECONDS)
+}
+
+fn number(settings: &Value, path: &str, is_valid: impl Fn(f64) -> bool) -> Result<f64, SettingsError> {
+    let number = value_at::<f64>(settings, path).filter(|x| x.is_finite() && is_valid(*x));
+    number.ok_or_else(|| SettingsError::invalid(path[1..].replace('/', ".")))
+}
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -157,8 +157,8 @@
         settings: &[u8],
         reply: &mut Reply,
     ) -> Result<Self, String> {
-        let settings = platform_settings::parse(settings)?;
-        let charter = platform_settings::policy_config(&settings, seed)?;
+        let settings = platform_settings::parse(settings).map_err(|e| e.to_string())?;
+        let charter = platform_settings::policy_config(&settings, seed).map_err(|e| e.to_string())?;
         let mut names = Names {
             number: number.to_le_bytes(),
             origin: clock,
