--- /dev/null
+++ b/crates/platform-protocol/src/bootstrap/read.rs
@@ -0,0 +1,130 @@
+//! The file as a router starts from it.
+
+use super::address::address;
+use crate::events::{self, DiscoveryLine};
+use crate::{frames, lines};
+use milletpath_config::{FunctionConfigs, GatewayConfig, Limits, ProfileConfig, WorkerSource};
+use milletpath_platform_settings::{self as platform_settings, ProfileSettings, SettingsError};
+use milletpath_protocol::Fault;
+use milletpath_protocol::registry::Entry;
+use serde_json::Value;
+use std::net::SocketAddr;
+
+/// Descriptors where none are stated: the least that the platform grants.
+const DEFAULT_DESCRIPTORS: u64 = 256;
+/// MB of memory where none are stated: the least that the platform grants.
+const DEFAULT_MEMORY_MB: f64 = 32.0;
+/// Open requests at most: past these, memory would be exhausted before descriptors are.
+const MAX_OPEN_REQUESTS: usize = 20_000;
+
+/// What a router starts from.
+#[derive(Debug)]
+pub struct Bootstrap {
+    /// Its configuration.
+    pub config: GatewayConfig,
+    /// The address of the discovery service.
+    pub discovery: SocketAddr,
+    /// The number of the last event among the worker lists.
+    pub last_event: u64,
+    /// The worker lists so far, in the order of their events.
+    pub worker_lists: Vec<WorkerList>,
+    /// Bytes of memory that the router may use.
+    pub memory_bytes: usize,
+    /// Descriptors that the router may have open.
+    pub descriptors: usize,
+    /// Attempts that one connection to a worker carries at a time.
+    pub streams_per_connection: usize,
+    /// Whether the settings promise load reports.
+    pub load_reports: bool,
+}
+
+/// The worker list of one event.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WorkerList {
+    /// Whether the list is complete: a worker that it does not name is gone.
+    pub complete: bool,
+    /// Workers that changed, or all of them where the list is complete.
+    pub entries: Vec<Entry>,
+}
+
+/// Reads the file; the error names what is missing or invalid.
+pub fn read(text: &[u8]) -> Result<Bootstrap, Fault> {
+    let file: Value = serde_json::from_slice(text).map_err(|error| Fault::new("file", error.to_string()))?;
+    let settings = &file["settings"];
+    let seed = file["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok());
+    let seed = seed.ok_or_else(|| Fault::new("seed", "is missing or no hex digits"))?;
+    let policy = platform_settings::policy_config(settings, seed).map_err(settings_fault)?;
+    let last_event = file["known"]["no"].as_u64();
+    let last_event = last_event.ok_or_else(|| Fault::new("known.no", "is no whole number"))?;
+    let worker_lists = worker_lists(&file["known"]["items"])?;
+    let profiles = profiles(settings).map_err(settings_fault)?;
+    let limits = limits(settings).map_err(settings_fault)?;
+    let memory_mb = file["limits"]["memory_mb"].as_f64().filter(|mb| *mb > 0.0);
+    Ok(Bootstrap {
+        discovery: address(&file, "bulletin")?,
+        last_event,
+        worker_lists,
+        memory_bytes: (memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * 1e6) as usize,
+        descriptors: file["limits"]["sockets"].as_u64().unwrap_or(DEFAULT_DESCRIPTORS) as usize,
+        streams_per_connection: platform_settings::count_limit(settings, "StreamsPerConn", 1),
+        load_reports: !platform_settings::load_report_names(settings).is_empty(),
+        config: GatewayConfig {
+            listen: address(&file, "listen")?,
+            policy,
+            profiles,
+            clients: platform_settings::client_groups(settings),
+            functions: FunctionConfigs::default(),
+            worker_kinds: platform_settings::worker_kinds(settings),
+            source: WorkerSource::List(Vec::new()),
+            limits,
+            // Routers of the platform share nothing, and are configured by this file alone.
+            membership: None,
+            config_log: None,
+        },
+    })
+}
+
+fn settings_fault(error: SettingsError) -> Fault {
+    Fault::new("settings", error.to_string())
+}
+
+fn worker_lists(items: &Value) -> Result<Vec<WorkerList>, Fault> {
+    let mut worker_lists = Vec::new();
+    for item in items.as_array().into_iter().flatten() {
+        if let DiscoveryLine::Event { complete, entries, .. } = events::event(item)? {
+            worker_lists.push(WorkerList { complete, entries });
+        }
+    }
+    Ok(worker_lists)
+}
+
+fn profiles(settings: &Value) -> Result<Vec<ProfileConfig>, SettingsError> {
+    let config = |profile: ProfileSettings| ProfileConfig {
+        name: profile.name,
+        deadline: profile.deadline,
+        importance: profile.importance,
+    };
+    Ok(platform_settings::profile_settings(settings)?.into_iter().map(config).collect())
+}
+
+/// The limits that the settings state. What the router's own memory budget bounds has no other bound here.
+fn limits(settings: &Value) -> Result<Limits, SettingsError> {
+    let open_requests = platform_settings::count_limit(settings, "OpenCap", MAX_OPEN_REQUESTS);
+    Ok(Limits {
+        cores: 1,
+        pin: false,
+        max_open_requests: open_requests.min(MAX_OPEN_REQUESTS),
+        max_buffered_bytes: usize::MAX,
+        max_request_body: lines::MAX_REQUEST_BODY,
+        max_response_body: frames::MAX_RESPONSE_BODY,
+        max_connections: usize::MAX,
+        max_connections_per_worker: usize::MAX,
+        header_timeout: f64::INFINITY,
+        stall_timeout: f64::INFINITY,
+        connect_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
+        idle_timeout: platform_settings::time_limit(settings, "Keepalive")?,
+        // A probe that takes longer than a connection may is as good as lost.
+        probe_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
+        drain_grace: platform_settings::drain_grace(settings)?,
+    })
+}
--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -1,29 +1,42 @@
-//! The bulletin: numbered events, one a line as JSON, and lines that hold only the last number.
+//! The discovery service: numbered events with changes of the worker list, one a line as JSON, and heartbeats that hold
+//! only the last number.
 
 use milletpath_protocol::Fault;
 use milletpath_protocol::registry::{Entry, Standing};
 use serde_json::Value;
+use std::net::{Ipv4Addr, SocketAddr};
 
 /// Bytes that one line may have: thousands of workers.
 pub const MAX_LINE: usize = 2 << 20;
 
-/// Asks for all that comes after an event.
-pub fn subscribe_after(number: u64) -> String {
-    format!("after {number}\n")
-}
-
-/// One event, or what a line that is none tells: a number alone.
+/// One line of the discovery service.
 #[derive(Debug, PartialEq)]
 pub enum DiscoveryLine {
-    Event { number: u64, complete: bool, entries: Vec<Entry> },
+    /// A change of the worker list.
+    Event {
+        /// Its number: one more than that of the event before.
+        number: u64,
+        /// Whether the list is complete: a worker that it does not name is gone.
+        complete: bool,
+        /// Workers that changed, or all of them where the list is complete.
+        entries: Vec<Entry>,
+    },
+    /// A heartbeat, with the number of the last event.
     Last(u64),
 }
 
+/// The line that asks for all events after one.
+#[must_use]
+pub fn subscribe_after(number: u64) -> String {
+    format!("after {number}\n")
+}
+
+/// Reads one line, without the character that ends it.
 pub fn read(line: &[u8]) -> Result<DiscoveryLine, Fault> {
     if line.len() > MAX_LINE {
         return Err(Fault::new("line", "is too long"));
     }
-    let value: Value = serde_json::from_slice(line).map_err(|e| Fault::new("line", e.to_string()))?;
+    let value: Value = serde_json::from_slice(line).map_err(|error| Fault::new("line", error.to_string()))?;
     match value.as_u64() {
         Some(last) => Ok(DiscoveryLine::Last(last)),
         None => event(&value),
@@ -34,8 +47,8 @@
 pub fn event(value: &Value) -> Result<DiscoveryLine, Fault> {
     let number = value["no"].as_u64().ok_or_else(|| Fault::new("no", "is no whole number"))?;
     let roster = &value["roster"];
-    // Taken for an event, a heartbeat ahead of ours would hide the one that is missing.
-    if value.as_object().is_some_and(|o| o.len() == 1) {
+    // Taken for an event, a heartbeat ahead of the last event received would hide the one that is missing.
+    if value.as_object().is_some_and(|object| object.len() == 1) {
         return Ok(DiscoveryLine::Last(number));
     }
     if roster.is_null() {
@@ -48,28 +61,35 @@
     Ok(DiscoveryLine::Event { number, complete, entries })
 }
 
-fn entry((n, value): (usize, &Value)) -> Result<Entry, Fault> {
-    let fault = |key: &str| Fault::new(format!("members[{n}].{key}"), "is missing or senseless");
-    let text = |key: &str| value[key].as_str().unwrap_or_default().to_owned();
-    let name = Some(text("id")).filter(|n| !n.is_empty()).ok_or_else(|| fault("id"))?;
-    let state = match value["phase"].as_str() {
-        Some("active") => Standing::Ready,
-        Some("leaving") => Standing::Draining,
-        Some("left") => Standing::Gone,
-        _ => return Err(fault("phase")),
-    };
-    let address = match value["host_port"].as_str().and_then(|a| a.parse().ok()) {
-        Some(address) => address,
-        // One that has gone needs none.
-        None if state == Standing::Gone => std::net::SocketAddr::from(([0, 0, 0, 0], 0)),
-        None => return Err(fault("host_port")),
-    };
-    let started = value["up_since_ms"].as_f64().filter(|ms| *ms > 0.0).map(|ms| ms / 1e3);
-    let cell = match &value["cell"] {
+/// One worker, by its index in the list.
+fn entry((index, member): (usize, &Value)) -> Result<Entry, Fault> {
+    let fault = |key: &str| Fault::new(format!("members[{index}].{key}"), "is missing or senseless");
+    let text = |key: &str| member[key].as_str().unwrap_or_default().to_owned();
+    let name = Some(text("id")).filter(|name| !name.is_empty()).ok_or_else(|| fault("id"))?;
+    let state = standing(member).ok_or_else(|| fault("phase"))?;
+    let address = address(member, state).ok_or_else(|| fault("host_port"))?;
+    let started = member["up_since_ms"].as_f64().filter(|ms| *ms > 0.0).map(|ms| ms / 1e3);
+    let cell = match &member["cell"] {
         Value::Null => String::new(),
-        Value::String(s) => s.clone(),
+        Value::String(cell) => cell.clone(),
         other => other.to_string(),
     };
-    let size = value["size"].as_f64().filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0);
+    let size = member["size"].as_f64().filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0);
     Ok(Entry { name, address, started, size, kind: text("flavor"), zone: text("locality"), cell, state })
 }
+
+fn standing(member: &Value) -> Option<Standing> {
+    match member["phase"].as_str() {
+        Some("active") => Some(Standing::Ready),
+        Some("leaving") => Some(Standing::Draining),
+        Some("left") => Some(Standing::Gone),
+        _ => None,
+    }
+}
+
+/// The address of a worker; one that has gone needs none.
+fn address(member: &Value, state: Standing) -> Option<SocketAddr> {
+    let stated = member["host_port"].as_str().and_then(|address| address.parse().ok());
+    let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
+    stated.or_else(|| (state == Standing::Gone).then_some(unspecified))
+}
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,16 +1,14 @@
-//! The platform's protocol as codecs, with no sockets and no state of its own: what clients say ([`lines`]), what
-//! passes between router and workers ([`frames`]), what the bulletin tells ([`events`]) and the file that a router
-//! starts from ([`bootstrap`]). Names and numbers of the wire end here.
+//! The platform's protocol as codecs, with no sockets and no state of its own: what passes between clients and a router
+//! ([`lines`]), between a router and workers ([`frames`]), what the discovery service sends ([`events`]), and the file
+//! that a router starts from ([`bootstrap`]). Names and numbers of the wire end here.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod bootstrap;
 pub mod events;
 pub mod frames;
+mod hex_id;
 pub mod lines;
 
-/// A name of 16 hex digits as a number; none where it is anything else.
-pub fn parse_hex_id(name: &str) -> Option<u64> {
-    let digits = |c: u8| c.is_ascii_digit() || (b'a'..=b'f').contains(&c);
-    Some(name)
-        .filter(|n| n.len() == 16 && n.bytes().all(digits))
-        .and_then(|n| u64::from_str_radix(n, 16).ok())
-}
+pub use hex_id::parse_hex_id;
--- /dev/null
+++ b/crates/platform-protocol/src/lines/call.rs
@@ -0,0 +1,145 @@
+//! A call of a function: its parameters, each checked against its bounds.
+
+use crate::hex_id::parse_hex_id;
+use base64::{Engine, engine::general_purpose::STANDARD};
+use milletpath_protocol::Fault;
+use serde_json::Value;
+
+/// Bytes of the body of a request, as the platform states it.
+pub const MAX_REQUEST_BODY: usize = 16 << 10;
+/// Milliseconds that a client may say it waits: an hour. Nobody waits longer, and sums of times stay finite.
+const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
+/// The largest value of a function's setting that makes sense, in MB, calls or ms.
+const MAX_FUNCTION_SETTING: f64 = 1e7;
+/// Bytes of an idempotency key: twice what clients are seen to send.
+const MAX_IDEMPOTENCY_KEY: usize = 64;
+
+/// A call as its client sent it.
+#[derive(Debug, PartialEq)]
+pub struct Call {
+    /// The line's number on its connection, by which it is answered.
+    pub number: u64,
+    /// The id of the request, unique among all clients.
+    pub id: u64,
+    /// The name of its profile.
+    pub profile: String,
+    /// The name of its client group; empty for none.
+    pub client: String,
+    /// The name of the function: 16 hex digits.
+    pub function: String,
+    /// Seconds that the client waits.
+    pub timeout: f64,
+    /// Whether the client marks it as a repeat.
+    pub is_repeat: bool,
+    /// The key by which workers know a repeat, passed on as it is; empty for none.
+    pub idempotency_key: String,
+    /// Memory of one instance of the function, in MB.
+    pub memory: f64,
+    /// Calls that one instance runs at a time.
+    pub lanes: f64,
+    /// Seconds that a load of the function usually takes, where stated.
+    pub load: Option<f64>,
+    /// The body of the request.
+    pub body: Vec<u8>,
+}
+
+/// What a client says of the function that it calls.
+struct FunctionSettings {
+    memory: f64,
+    lanes: f64,
+    load: Option<f64>,
+}
+
+/// Reads a call from the parameters of its line; `method` is the name of its profile.
+pub fn read(number: u64, id: Option<u64>, method: &str, params: &Value) -> Result<Call, Fault> {
+    let id = id.ok_or_else(|| Fault::new("i", "is not 16 hex digits"))?;
+    let function = function(params)?;
+    let is_repeat = is_repeat(params)?;
+    let body = body(params)?;
+    let idempotency_key = idempotency_key(params)?;
+    let client = optional_text(params, "t", "is no name")?;
+    let timeout = timeout(params)?;
+    let FunctionSettings { memory, lanes, load } =
+        function_settings(optional_text(params, "info", "is no text")?)?;
+    Ok(Call {
+        number,
+        id,
+        profile: method.to_owned(),
+        client: client.to_owned(),
+        function: function.to_owned(),
+        timeout,
+        is_repeat,
+        idempotency_key: idempotency_key.to_owned(),
+        memory,
+        lanes,
+        load,
+        body,
+    })
+}
+
+fn function(params: &Value) -> Result<&str, Fault> {
+    let function = params["o"].as_str().ok_or_else(|| Fault::new("o", "is missing or no text"))?;
+    parse_hex_id(function).ok_or_else(|| Fault::new("o", "is not 16 hex digits"))?;
+    Ok(function)
+}
+
+fn is_repeat(params: &Value) -> Result<bool, Fault> {
+    match &params["r"] {
+        Value::Null => Ok(false),
+        Value::Number(n) if n.as_u64().is_some_and(|n| n <= 1) => Ok(n.as_u64() == Some(1)),
+        Value::String(text) if text == "1" => Ok(true),
+        _ => Err(Fault::new("r", "is no mark")),
+    }
+}
+
+fn body(params: &Value) -> Result<Vec<u8>, Fault> {
+    let encoded = optional_text(params, "content", "is no text")?;
+    let body = STANDARD.decode(encoded).map_err(|_| Fault::new("content", "is no base64"))?;
+    if body.len() > MAX_REQUEST_BODY {
+        return Err(Fault::new("content", "is too long"));
+    }
+    Ok(body)
+}
+
+fn idempotency_key(params: &Value) -> Result<&str, Fault> {
+    // It becomes the value of one field in a list of fields: a character that ends a value could begin another field.
+    let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b",=".contains(&byte);
+    match &params["k"] {
+        Value::Null => Ok(""),
+        Value::String(key) if key.len() <= MAX_IDEMPOTENCY_KEY && key.bytes().all(is_allowed) => Ok(key),
+        _ => Err(Fault::new("k", "is no mark of up to 64 visible characters")),
+    }
+}
+
+/// The seconds that a client waits.
+fn timeout(params: &Value) -> Result<f64, Fault> {
+    let milliseconds = params["d"].as_f64().filter(|ms| (1.0..=MAX_TIMEOUT_MS).contains(ms));
+    milliseconds.map(|ms| ms / 1e3).ok_or_else(|| Fault::new("d", "is no time to wait"))
+}
+
+/// A list as `memory_mb:512;lanes:2;load_ms:640`; unknown names are left out.
+fn function_settings(info: &str) -> Result<FunctionSettings, Fault> {
+    let mut settings = FunctionSettings { memory: 0.0, lanes: 1.0, load: None };
+    for (name, value) in info.split(';').filter_map(|setting| setting.split_once(':')) {
+        let number = || -> Result<f64, Fault> {
+            let number = value.parse::<f64>().ok().filter(|x| (0.0..=MAX_FUNCTION_SETTING).contains(x));
+            number.ok_or_else(|| Fault::new(format!("info.{name}"), "is out of range or no number"))
+        };
+        match name {
+            "memory_mb" => settings.memory = number()?,
+            "lanes" => settings.lanes = number()?,
+            "load_ms" => settings.load = Some(number()? / 1e3).filter(|seconds| *seconds > 0.0),
+            _ => {}
+        }
+    }
+    Ok(settings)
+}
+
+/// A text that may be left out; empty then.
+fn optional_text<'v>(params: &'v Value, key: &str, problem: &str) -> Result<&'v str, Fault> {
+    match &params[key] {
+        Value::Null => Ok(""),
+        Value::String(text) => Ok(text),
+        _ => Err(Fault::new(key, problem)),
+    }
+}
--- /dev/null
+++ b/crates/platform-protocol/src/lines/message.rs
@@ -0,0 +1,70 @@
+//! One line of a client as a message: a call, a cancellation or a probe.
+
+use super::call::{self, Call, MAX_REQUEST_BODY};
+use crate::hex_id::parse_hex_id;
+use milletpath_protocol::Fault;
+use serde_json::Value;
+use std::ops::RangeInclusive;
+
+/// Bytes of a line: the largest body in base64, and room for its fields.
+pub const MAX_LINE: usize = MAX_REQUEST_BODY.div_ceil(3) * 4 + (2 << 10);
+/// Whole numbers that every reader of JSON keeps exactly.
+const LINE_NUMBERS: RangeInclusive<u64> = 1..=1 << 53;
+
+/// What a client sends.
+#[derive(Debug, PartialEq)]
+pub enum ClientMessage {
+    /// A call of a function.
+    Call(Box<Call>),
+    /// The client waits no longer for the request of that id or the line of that number.
+    Cancel {
+        /// The id of the request.
+        id: Option<u64>,
+        /// The number of its line.
+        number: Option<u64>,
+    },
+    /// A health check of the router.
+    Probe {
+        /// The line's number, by which it is answered.
+        number: u64,
+    },
+}
+
+/// A line that is no message.
+#[derive(Debug, PartialEq, thiserror::Error)]
+#[error("{fault}")]
+pub struct InvalidLine {
+    /// The line's number, where that could be read: its sender is answered under it.
+    pub number: Option<u64>,
+    /// What is wrong.
+    #[source]
+    pub fault: Fault,
+}
+
+/// Reads one line, without the character that ends it.
+pub fn read(line: &[u8]) -> Result<ClientMessage, InvalidLine> {
+    if line.len() > MAX_LINE {
+        return Err(InvalidLine { number: None, fault: Fault::new("line", "is too long") });
+    }
+    let value: Value = serde_json::from_slice(line)
+        .map_err(|error| InvalidLine { number: None, fault: Fault::new("line", error.to_string()) })?;
+    let number = value["id"].as_u64().filter(|number| LINE_NUMBERS.contains(number));
+    message(&value, number).map_err(|fault| InvalidLine { number, fault })
+}
+
+fn message(value: &Value, number: Option<u64>) -> Result<ClientMessage, Fault> {
+    if value["jsonrpc"] != "2.0" {
+        return Err(Fault::new("jsonrpc", "is not 2.0"));
+    }
+    let method = value["method"].as_str().ok_or_else(|| Fault::new("method", "is no name"))?;
+    let params = &value["params"];
+    let id = params["i"].as_str().and_then(parse_hex_id);
+    if method == "giveUp" {
+        return Ok(ClientMessage::Cancel { id, number: params["id"].as_u64().or(number) });
+    }
+    let number = number.ok_or_else(|| Fault::new("id", "is no whole number from 1"))?;
+    if method == "probe" {
+        return Ok(ClientMessage::Probe { number });
+    }
+    call::read(number, id, method, params).map(|call| ClientMessage::Call(Box::new(call)))
+}
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -44,8 +44,8 @@
 #[test_case("2.0=>1.0", "jsonrpc"; "another protocol")]
 #[test_case("{=>", "line"; "no json")]
 fn a_call_that_is_unsound_is_told_where(change: &str, place: &str) {
-    let Err((_, fault)) = lines::read(call(change).as_bytes()) else { panic!("it is unsound") };
-    assert_eq!(fault.place, place);
+    let Err(invalid) = lines::read(call(change).as_bytes()) else { panic!("it is unsound") };
+    assert_eq!(invalid.fault.place, place);
 }
 
 /// Calls of receipted profiles bear a mark; without it no worker knows a repeat. It was left out of every shot.
@@ -90,7 +90,7 @@
 #[test]
 fn senseless_figures_are_left_out() {
     let bytes = frame(200, 5, "same=-3,use=q:NaN;x0:0.5;x1:-1,later=1", b"");
-    let (answer, _) = frames::read(&bytes).expect("sound").expect("whole");
+    let answer = frames::read(&bytes).expect("sound").expect("whole").response;
     let report = answer.report.expect("a report");
     assert_eq!(
         (answer.concurrent_calls, report.waiting, report.memory, report.loading),
@@ -117,7 +117,7 @@
             prop_assert!(matches!(frames::read(&bytes[..end]), Ok(None)));
         }
         let twice = [&bytes[..], &bytes[..]].concat();
-        let (answer, took) = frames::read(&twice).unwrap().unwrap();
+        let frames::Frame { response: answer, length: took } = frames::read(&twice).unwrap().unwrap();
         prop_assert_eq!((answer.id, answer.outcome, answer.body, took), (id, Outcome::Handled, &body[..], bytes.len()));
         prop_assert_eq!(answer.concurrent_calls, f64::from(same));
         // What was spoilt past the head is never believed.
@@ -152,7 +152,8 @@
         "settings":{"Classes":[{"Name":"p","Effect":"free"}],"Tick":1000}}"#;
     let (from, to) = change.split_once("=>").unwrap_or(("", ""));
     let reread = first.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
-    let (discovery, other) = bootstrap::reread(reread.as_bytes(), first.as_bytes()).expect("sound");
+    let bootstrap::Reread { discovery, ignored_changes: other } =
+        bootstrap::reread(reread.as_bytes(), first.as_bytes()).expect("sound");
     assert_eq!(
         (discovery.port(), other.iter().map(String::as_str).collect::<Vec<_>>()),
         (3, places.to_vec())
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -116,7 +116,7 @@
     };
     for (name, outcome, probe) in codes {
         let bytes = captured(name);
-        let (answer, length) = frames::read(&bytes).expect("sound").expect("whole");
+        let frames::Frame { response: answer, length } = frames::read(&bytes).expect("sound").expect("whole");
         assert_eq!(
             (answer.outcome, answer.probe, answer.id, length),
             (outcome, probe, 77, bytes.len()),
@@ -145,8 +145,8 @@
 fn invalid_client_lines_get_the_captured_faults() {
     for row in include_str!("wire/faults.txt").lines() {
         let [line, number, fault] = row.split('\t').collect::<Vec<_>>()[..] else { panic!("{row}") };
-        let (read_number, read_fault) = lines::read(line.as_bytes()).expect_err(line);
-        assert_eq!(read_number.map_or("-".into(), |n| n.to_string()), number, "{line}");
-        assert_eq!(read_fault.to_string(), fault, "{line}");
+        let invalid = lines::read(line.as_bytes()).expect_err(line);
+        assert_eq!(invalid.number.map_or("-".into(), |n| n.to_string()), number, "{line}");
+        assert_eq!(invalid.fault.to_string(), fault, "{line}");
     }
 }
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -282,7 +282,7 @@
             return Ok(());
         }
         tracing::trace!(key, "client: {}", String::from_utf8_lossy(line));
-        let read = lines::read(line)?;
+        let read = lines::read(line).map_err(|invalid| (invalid.number, invalid.fault))?;
         let Some(client) = self.clients.get_mut(key) else { return Ok(()) };
         match &read {
             ClientMessage::Call(ask) => {
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -431,9 +431,9 @@
         };
         let fault = loop {
             match frames::read(rest) {
-                Ok(Some((answer, took))) => {
-                    rest = &rest[took..];
-                    if let Err(wrong) = self.answered(key, answer, now) {
+                Ok(Some(frame)) => {
+                    rest = &rest[frame.length..];
+                    if let Err(wrong) = self.answered(key, frame.response, now) {
                         break Some(wrong.to_owned());
                     }
                 }
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -7,7 +7,7 @@
 use crate::link::Link;
 use crate::room::{Holds, Room};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
-use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
+use milletpath_platform_protocol::bootstrap::{self, Bootstrap, Reread};
 use milletpath_platform_protocol::lines;
 use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
 use nix::sys::resource::{Resource, getrlimit};
@@ -84,8 +84,8 @@
         let house = &told.config;
         let patience = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
         let mut desk = Dispatcher::new(house, epoch);
-        for (whole, entries) in &told.worker_lists {
-            desk.list(0.0, *whole, entries);
+        for list in &told.worker_lists {
+            desk.list(0.0, list.complete, &list.entries);
         }
         Rc::new_cyclic(|me| {
             RefCell::new(Self {
@@ -315,7 +315,7 @@
     for n in 0..TRIES {
         let read = std::fs::read(&file).map_err(|e| e.to_string());
         match read.and_then(|text| bootstrap::reread(&text, &first).map_err(|e| e.to_string())) {
-            Ok((bulletin, other)) => {
+            Ok(Reread { discovery: bulletin, ignored_changes: other }) => {
                 tracing::info!(%bulletin, "the file was read again");
                 if !other.is_empty() {
                     tracing::warn!(
