--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What a charter says of changes, and what a change may state: read, refused with its place, taken back.
+//! The config log in a file, and changes made while gateways run: read, refused with their position, removed.
 
 use milletpath_config::{
     ConfigChange, FunctionConfig, FunctionConfigs, FunctionOverrides, GatewayConfig, Subject, read,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_usual_figures_of_changes() {
+fn settings_of_the_config_log_have_defaults() {
     let changes = config().config_log.expect("stated");
     assert_eq!(changes.control.len(), 3);
     assert_eq!(
@@ -52,37 +52,43 @@
     assert_eq!(read(without).unwrap().config_log, None);
 }
 
-/// The name of peers is that of changes, where these give none.
+/// The name that the file gives for the membership is that for the config log, where it gives none there.
 #[test]
-fn a_gateway_has_one_name() {
+fn the_name_of_membership_is_the_default_of_the_config_log() {
     let peers =
         "gateways = 2\npeers {\n  listen = \"10.1.0.3:7400\"\n  name = \"g-3\"\n  key = \"peers.key\"\n}\n";
     let text = format!("{peers}{VALID}");
     assert_eq!(read(&text).unwrap().config_log.unwrap().name, "g-3");
-    let own = text.replace("changes {", "changes {\n  name = \"other\"");
-    assert_eq!(read(&own).unwrap().config_log.unwrap().name, "other");
+    let specific = text.replace("changes {", "changes {\n  name = \"other\"");
+    assert_eq!(read(&specific).unwrap().config_log.unwrap().name, "other");
 }
 
 #[test_case("\"10.0.1.1:7500\"", "\"10.0.0.1:7500\"", 23, 3, "listed as two"; "one twice")]
 #[test_case("\"10.0.1.1:7500\"", "\"10.0.0.1:0\"", 23, 3, "can't be the address of a control"; "no port")]
-#[test_case("\"10.0.1.1:7500\"", "\"0.0.0.0:7500\"", 23, 3, "can't be the address of a control"; "any address")]
-#[test_case("\"10.0.1.1:7500\"", "\"[::1]:7500\"", 23, 3, "all by IPv4 or all by IPv6"; "two families")]
+#[test_case("\"10.0.1.1:7500\"", "\"0.0.0.0:7500\"", 23, 3, "can't be the address of a control"; "an unspecified address")]
+#[test_case("\"10.0.1.1:7500\"", "\"[::1]:7500\"", 23, 3, "all by IPv4 or all by IPv6"; "two address families")]
 #[test_case("\"10.0.1.1:7500\"", "\"host\"", 23, 3, "has an invalid item"; "a host's name")]
 #[test_case("[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]", "[]", 23, 3, "has 0 control"; "none")]
 #[test_case("  key     = \"changes.key\"", "", 22, 1, "has no key"; "no key")]
-#[test_case("  key ", "  listen = \"[::]:0\"\n  key ", 24, 3, "can't reach"; "listens elsewhere")]
-#[test_case("\"10.1.0.3:8080\"", "\"0.0.0.0:8080\"", 22, 1, "has no name"; "an address that tells nothing")]
+#[test_case("  key ", "  listen = \"[::]:0\"\n  key ", 24, 3, "can't reach"; "listen of another address family")]
+#[test_case("\"10.1.0.3:8080\"", "\"0.0.0.0:8080\"", 22, 1, "has no name"; "a listen address of no machine")]
 #[test_case("  key ", "  name = \"a b\"\n  key ", 24, 3, "up to 64 letters"; "no name")]
-#[test_case("  key ", "  kay = 1\n  key ", 24, 3, "did you mean key?"; "a slip")]
-fn a_mistake_of_changes_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
+#[test_case("  key ", "  kay = 1\n  key ", 24, 3, "did you mean key?"; "a misspelt key")]
+fn an_error_in_the_config_log_is_reported_at_its_position(
+    from: &str,
+    to: &str,
+    line: usize,
+    column: usize,
+    expected_text: &str,
+) {
     assert!(VALID.contains(from));
     let errors = read(&VALID.replacen(from, to, 1)).unwrap_err();
     let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
-    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(words)), "{errors:#?}");
+    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(expected_text)), "{errors:#?}");
 }
 
 #[test]
-fn eight_control_machines_are_one_too_many() {
+fn at_most_seven_control_machines_are_accepted() {
     let all: Vec<_> = (1..=8).map(|n| format!("\"10.0.0.{n}:7500\"")).collect();
     let old = "[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]";
     let of = |n: usize| read(&VALID.replace(old, &format!("[{}]", all[..n].join(", "))));
@@ -100,13 +106,13 @@
 "#;
 
 #[test]
-fn a_file_of_changes_is_cut_into_its_statements() {
+fn a_file_of_changes_is_split_into_blocks() {
     let changes = config().parse_changes(CHANGES).unwrap();
     let parsed: Vec<_> = changes.iter().map(|s| (s.subject.to_string(), s.line, s.column)).collect();
     let expected = [("function packs-a", 2, 1), ("functions", 6, 3), ("function b", 7, 1)];
     assert_eq!(parsed, expected.map(|(key, line, column)| (key.to_owned(), line, column)));
     assert_eq!(changes[1].text, "functions { memory = 200 }");
-    // Each text says by itself what it said in the file.
+    // Each text means by itself what it meant in the file.
     for one in &changes {
         let parse_change = config().parse_change(&one.subject.to_string(), Some(&one.text)).unwrap();
         let expected = ConfigChange { subject: one.subject.clone(), overrides: Some(one.overrides) };
@@ -114,26 +120,32 @@
     }
 }
 
-/// One change to a file, and the line, column and words of what is told of it.
-#[test_case("lanes   = 4", "lanes = 0", 3, 3, "from 1 to 10000"; "no lane")]
-#[test_case("lanes   = 4", "lines = 4", 3, 3, "did you mean lanes?"; "a slip in a key")]
-#[test_case("\"order\"", "\"late\"", 4, 3, "\"check\" or \"order\""; "a profile that there is not")]
+/// One edit of a valid file, and the line, column and words of the error that it makes.
+#[test_case("lanes   = 4", "lanes = 0", 3, 3, "from 1 to 10000"; "no concurrent call")]
+#[test_case("lanes   = 4", "lines = 4", 3, 3, "did you mean lanes?"; "a misspelt key")]
+#[test_case("\"order\"", "\"late\"", 4, 3, "\"check\" or \"order\""; "an unknown profile")]
 #[test_case("\"b\"", "\"packs-a\"", 7, 1, "more than once"; "one function twice")]
 #[test_case("function \"b\"", "client \"b\"", 7, 1, "can't set client, which must be the same on all gateways"; "a quota")]
 #[test_case("function \"b\"", "limits", 7, 1, "can't set limits, which must be the same on all gateways"; "a limit")]
-#[test_case("function \"b\" {}", "cores = 3", 7, 1, "belongs to one gateway"; "a gateway's own")]
-#[test_case("function \"b\"", "fanction \"b\"", 7, 1, "did you mean function?"; "a slip in a block")]
+#[test_case("function \"b\" {}", "cores = 3", 7, 1, "belongs to one gateway"; "a setting of one gateway")]
+#[test_case("function \"b\"", "fanction \"b\"", 7, 1, "did you mean function?"; "a misspelt block")]
 #[test_case("\"b\"", "\"b b\"", 7, 1, "needs one label, which is a name"; "no name")]
 #[test_case("\"b\" {}", "\"b\" {", 7, 16, "invalid HCL"; "broken grammar")]
-fn a_mistake_of_a_change_is_told(from: &str, to: &str, line: usize, column: usize, words: &str) {
+fn an_error_in_a_change_is_reported_at_its_position(
+    from: &str,
+    to: &str,
+    line: usize,
+    column: usize,
+    expected_text: &str,
+) {
     assert!(CHANGES.contains(from));
     let errors = config().parse_changes(&CHANGES.replacen(from, to, 1)).unwrap_err();
     let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
-    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(words)), "{errors:#?}");
+    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(expected_text)), "{errors:#?}");
 }
 
 #[test]
-fn what_is_too_long_or_empty_is_no_change() {
+fn changes_too_long_or_empty_are_refused() {
     let config = config();
     let name = |n: usize| format!("function \"{}\" {{}}\n", "n".repeat(n));
     assert_eq!(config.parse_changes(&name(87)).unwrap().len(), 1);
@@ -145,11 +157,11 @@
 }
 
 #[test_case("function a", "function \"b\" {}"; "another function")]
-#[test_case("functions", "function \"a\" {}"; "one for all")]
-#[test_case("function a", "function \"a\" {}\nfunction \"b\" {}"; "two at once")]
+#[test_case("functions", "function \"a\" {}"; "all functions")]
+#[test_case("function a", "function \"a\" {}\nfunction \"b\" {}"; "two blocks")]
 #[test_case("quota a", "function \"a\" {}"; "a key of a later version")]
-#[test_case("function a b", "function \"a\" {}"; "a key that is none")]
-fn a_text_must_say_what_its_key_says(key: &str, text: &str) {
+#[test_case("function a b", "function \"a\" {}"; "an invalid key")]
+fn a_change_must_be_about_its_key(key: &str, text: &str) {
     assert!(config().parse_change(key, Some(text)).is_err());
 }
 
@@ -157,9 +169,9 @@
     functions.resolve(name)
 }
 
-/// A statement takes the place of the charter's as a whole; taken back, the charter's own holds again.
+/// A change takes the place of the file's block as a whole; when it is removed, the file's own holds again.
 #[test]
-fn an_amendment_holds_until_it_is_taken_back() {
+fn a_change_holds_until_it_is_removed() {
     let config = config();
     let mut functions = config.functions.clone();
     let apply = |functions: &mut FunctionConfigs, key: &str, text: Option<&str>| {
@@ -168,7 +180,7 @@
     apply(&mut functions, "function packs-a", Some("function \"packs-a\" { lanes = 4 }"));
     let is = FunctionConfig { lanes: 4.0, memory: 400.0, load: None, profile: None };
     assert_eq!(resolved(&functions, "packs-a"), is);
-    // What it leaves out is what holds for all, also when that changes.
+    // A setting that it leaves out is that of all functions, also when that changes.
     apply(&mut functions, "functions", Some("functions { memory = 300 }"));
     assert_eq!(resolved(&functions, "packs-a"), FunctionConfig { memory: 300.0, ..is });
     assert_eq!(resolved(&functions, "b"), FunctionConfig { lanes: 1.0, memory: 300.0, ..is });
@@ -181,22 +193,22 @@
 
 proptest! {
     #[test]
-    fn a_mangled_change_is_no_panic(at in 0..CHANGES.len(), with in ".{0,8}", cut in 0..40usize) {
+    fn mangled_changes_never_panic(at in 0..CHANGES.len(), replacement in ".{0,8}", cut in 0..40usize) {
         let end = (at + cut).min(CHANGES.len());
-        let text = format!("{}{with}{}", &CHANGES[..at], &CHANGES[end..]);
+        let text = format!("{}{replacement}{}", &CHANGES[..at], &CHANGES[end..]);
         let config = config();
         let _ = config.parse_changes(&text);
         let _ = config.parse_change("functions", Some(&text));
     }
 
-    /// Whatever is stated and taken back in whatever order, what holds is the last word for each key.
+    /// Whatever is changed and removed in whatever order, what holds is the last change of each key.
     #[test]
-    fn the_last_word_holds(words in proptest::collection::vec((0..4usize, proptest::option::of(1..9u8)), 0..30)) {
+    fn the_last_change_of_each_key_holds(expected_text in proptest::collection::vec((0..4usize, proptest::option::of(1..9u8)), 0..30)) {
         let config = config();
         let keys = ["functions", "function packs-a", "function b", "function c"];
         let mut functions = config.functions.clone();
         let mut last = [None; 4];
-        for (key, lanes) in words {
+        for (key, lanes) in expected_text {
             let subject = Subject::from_key(keys[key]).unwrap();
             let overrides = lanes.map(|n| FunctionOverrides { lanes: Some(f64::from(n)), ..FunctionOverrides::default() });
             functions.apply(&ConfigChange { subject, overrides }, &config.functions);
@@ -204,8 +216,8 @@
         }
         prop_assert_eq!(functions.defaults, last[0].unwrap_or(config.functions.defaults));
         for (key, name) in [(1, "packs-a"), (2, "b"), (3, "c")] {
-            let own = last[key].or(config.functions.by_name.get(name).copied());
-            prop_assert_eq!(functions.by_name.get(name).copied(), own);
+            let specific = last[key].or(config.functions.by_name.get(name).copied());
+            prop_assert_eq!(functions.by_name.get(name).copied(), specific);
         }
     }
 }
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Charters as operators get them wrong: each mistake is told with its place, all at once.
+//! Configuration files as operators get them wrong: every error is reported with its position, all at once.
 
 use milletpath_config::{WorkerSource, read};
 use milletpath_policy::host::{Effect, Group};
@@ -57,7 +57,7 @@
 "#;
 
 #[test]
-fn a_sound_charter_gives_its_figures() {
+fn a_valid_file_gives_its_settings() {
     let config = read(VALID).unwrap();
     assert_eq!((config.policy.routers, config.policy.shots, config.policy.seed), (2, 3, 5));
     assert_eq!(config.policy.profiles[1].effect, Effect::Receipted { group: Group::Zone, memory: 60.0 });
@@ -76,29 +76,36 @@
     assert_eq!((list[0].kind.as_str(), list[1].kind.as_str()), ("std", ""));
 }
 
-/// One change to a sound text, and the line, column and words of what is told of it.
-#[test_case("shots     = 3", "shotz = 3", 37, 3, "did you mean shots?"; "a slip in a key")]
-#[test_case("shots     = 3", "shots = 3.5", 37, 3, "must be a whole number"; "half a shot")]
-#[test_case("in_flight = 40", "in_flight = 1", 38, 3, "less than one attempt for each of 2"; "less than a shot a gateway")]
-#[test_case("shots     = 3", "shots = -3", 37, 3, "from 1 to 16"; "less than none")]
-#[test_case("due    = 0.5", "", 11, 1, "has no due"; "no due time")]
-#[test_case("memory = 60", "", 11, 1, "has no memory"; "receipts without memory")]
-#[test_case("\"receipted\"", "\"pure\"", 14, 3, "not receipted"; "a group that means nothing")]
-#[test_case("cut_off = 3.0", "cut_off = 0.3", 8, 3, "is shorter than its due time"; "a cut off before the due time")]
+/// One edit of a valid text, and the line, column and words of the error that it makes.
+#[test_case("shots     = 3", "shotz = 3", 37, 3, "did you mean shots?"; "a misspelt key")]
+#[test_case("shots     = 3", "shots = 3.5", 37, 3, "must be a whole number"; "half an attempt")]
+#[test_case("in_flight = 40", "in_flight = 1", 38, 3, "less than one attempt for each of 2"; "less than an attempt for each gateway")]
+#[test_case("shots     = 3", "shots = -3", 37, 3, "from 1 to 16"; "a negative number")]
+#[test_case("due    = 0.5", "", 11, 1, "has no due"; "no latency objective")]
+#[test_case("memory = 60", "", 11, 1, "has no memory"; "an idempotency key without memory")]
+#[test_case("\"receipted\"", "\"pure\"", 14, 3, "not receipted"; "a group without an idempotency key")]
+#[test_case("cut_off = 3.0", "cut_off = 0.3", 8, 3, "is shorter than its due time"; "a deadline before the latency objective")]
 #[test_case("127.0.0.1:9002", "127.0.0.1:9001", 34, 17, "address of another"; "two workers at one address")]
 #[test_case("worker \"w2\"", "worker \"w1\"", 34, 3, "more than once"; "a worker twice")]
-#[test_case("\"std\"\n", "\"fast\"\n", 31, 5, "name of a kind above"; "a kind that there is not")]
+#[test_case("\"std\"\n", "\"fast\"\n", 31, 5, "name of a kind above"; "an unknown kind")]
 #[test_case("127.0.0.1:0", "localhost", 2, 1, "listen = \"127.0.0.1:8080\""; "an address without a port")]
 #[test_case("drain_grace = 0.5", "registry = \"127.0.0.1:1\"", 27, 3, "both"; "a list and a registry")]
 #[test_case("profile \"order\"", "profile \"or der\"", 11, 1, "needs one label, which is a name"; "a label with a space")]
-#[test_case("quota   = 44", "quota = 1e99", 18, 3, "from 0 to"; "a quota without sense")]
-#[test_case("free   = 2", "free   = [2]", 46, 5, "must be a number"; "a list for a figure")]
+#[test_case("quota   = 44", "quota = 1e99", 18, 3, "from 0 to"; "a quota out of bounds")]
+#[test_case("free   = 2", "free   = [2]", 46, 5, "must be a number"; "a list for a number")]
 #[test_case("gateways = 2", "gateways = ", 3, 12, "invalid HCL"; "broken grammar")]
-fn a_mistake_is_told_with_its_place(from: &str, to: &str, line: usize, column: usize, words: &str) {
+fn an_error_is_reported_at_its_position(
+    from: &str,
+    to: &str,
+    line: usize,
+    column: usize,
+    expected_text: &str,
+) {
     assert!(VALID.contains(from));
     let errors = read(&VALID.replacen(from, to, 1)).unwrap_err();
     let messages: Vec<_> = errors.iter().map(ToString::to_string).collect();
-    let found = errors.iter().any(|m| (m.line, m.column) == (line, column) && m.to_string().contains(words));
+    let found =
+        errors.iter().any(|m| (m.line, m.column) == (line, column) && m.to_string().contains(expected_text));
     assert!(found, "{messages:#?}");
 }
 
@@ -110,7 +117,7 @@
 }
 
 #[test]
-fn all_mistakes_are_told_at_once_in_order() {
+fn all_errors_are_reported_in_the_order_of_the_text() {
     let text = VALID
         .replace("seed ", "sead ")
         .replace("due     = 1.0", "due = \"soon\"")
@@ -120,15 +127,15 @@
 }
 
 proptest! {
-    /// A charter cut off or mangled anywhere is refused or read, never a panic.
+    /// A file cut off or mangled anywhere is refused or read, never a panic.
     #[test]
-    fn mangled_text_is_no_panic(at in 0..VALID.len(), with in ".{0,8}", cut in 0..40usize) {
+    fn mangled_text_never_panics(at in 0..VALID.len(), replacement in ".{0,8}", cut in 0..40usize) {
         let end = (at + cut).min(VALID.len());
-        let _ = read(&format!("{}{with}{}", &VALID[..at], &VALID[end..]));
+        let _ = read(&format!("{}{replacement}{}", &VALID[..at], &VALID[end..]));
     }
 
     #[test]
-    fn any_text_is_no_panic(text in "\\PC{0,200}") {
+    fn arbitrary_text_never_panics(text in "\\PC{0,200}") {
         let _ = read(&text);
     }
 }
--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -66,7 +66,7 @@
     let fault = |key: &str| Fault::new(format!("members[{index}].{key}"), "is missing or senseless");
     let text = |key: &str| member[key].as_str().unwrap_or_default().to_owned();
     let name = Some(text("id")).filter(|name| !name.is_empty()).ok_or_else(|| fault("id"))?;
-    let state = standing(member).ok_or_else(|| fault("phase"))?;
+    let state = worker_state(member).ok_or_else(|| fault("phase"))?;
     let address = address(member, state).ok_or_else(|| fault("host_port"))?;
     let started = member["up_since_ms"].as_f64().filter(|ms| *ms > 0.0).map(|ms| ms / 1e3);
     let cell = match &member["cell"] {
@@ -78,7 +78,7 @@
     Ok(Entry { name, address, started, size, kind: text("flavor"), zone: text("locality"), cell, state })
 }
 
-fn standing(member: &Value) -> Option<Standing> {
+fn worker_state(member: &Value) -> Option<Standing> {
     match member["phase"].as_str() {
         Some("active") => Some(Standing::Ready),
         Some("leaving") => Some(Standing::Draining),
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! Codecs of the platform: what is sound comes through whole, what is not is named, and nothing is set aside for what
-//! is claimed. Wild bytes by the thousand never do more than that.
+//! Codecs of the platform: what is valid is read completely, what is not is refused by its field, and nothing is allocated
+//! for a length that is only claimed. Arbitrary bytes by the thousand never do more than that.
 
 mod worker_frames;
 
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn a_call_is_read_with_all_that_it_says() {
-    let Ok(ClientMessage::Call(call)) = lines::read(call("").as_bytes()) else { panic!("it is sound") };
+fn a_call_is_read_with_all_its_fields() {
+    let Ok(ClientMessage::Call(call)) = lines::read(call("").as_bytes()) else { panic!("it is valid") };
     assert_eq!((call.number, call.id, call.profile.as_str()), (7, 0x9b1f_03aa_5c7e_2d41, "p"));
     assert_eq!((call.client.as_str(), call.function.as_str()), ("acme", "7f3a9c21e0b4d655"));
     assert_eq!((call.timeout, call.is_repeat, &call.body[..]), (1.5, true, &b"hi"[..]));
@@ -34,63 +34,63 @@
 #[test_case("7f3a=>zzzz", "o"; "a function that is no number")]
 #[test_case("1500=>-1", "d"; "a negative time")]
 #[test_case("1500=>1e300", "d"; "an endless time")]
-#[test_case("lanes:2=>lanes:NaN", "info.lanes"; "a figure that is none")]
-#[test_case("512=>1e99", "info.memory_mb"; "a figure past sense")]
+#[test_case("lanes:2=>lanes:NaN", "info.lanes"; "a number that is none")]
+#[test_case("512=>1e99", "info.memory_mb"; "a number out of bounds")]
 #[test_case("aGk==>a", "content"; "no base64")]
-#[test_case(r#""r":1=>"r":[]"#, "r"; "a mark that is none")]
-#[test_case(r#""r":1=>"k":7"#, "k"; "a mark that is no text")]
-#[test_case(r#""r":1=>"k":"a,queue=q""#, "k"; "a mark that would name other fields")]
-#[test_case(r#""r":1=>"k":"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef0""#, "k"; "a mark past its bound")]
+#[test_case(r#""r":1=>"r":[]"#, "r"; "a repeat flag that is a list")]
+#[test_case(r#""r":1=>"k":7"#, "k"; "an idempotency key that is no text")]
+#[test_case(r#""r":1=>"k":"a,queue=q""#, "k"; "an idempotency key that would begin another field")]
+#[test_case(r#""r":1=>"k":"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef0""#, "k"; "an idempotency key past its bound")]
 #[test_case("2.0=>1.0", "jsonrpc"; "another protocol")]
 #[test_case("{=>", "line"; "no json")]
-fn a_call_that_is_unsound_is_told_where(change: &str, place: &str) {
-    let Err(invalid) = lines::read(call(change).as_bytes()) else { panic!("it is unsound") };
-    assert_eq!(invalid.fault.place, place);
+fn an_invalid_call_is_refused_with_its_field(change: &str, field: &str) {
+    let Err(invalid) = lines::read(call(change).as_bytes()) else { panic!("it is invalid") };
+    assert_eq!(invalid.fault.place, field);
 }
 
-/// Calls of receipted profiles bear a mark; without it no worker knows a repeat. It was left out of every shot.
-#[test_case(r#""r":1=>"k":"51c47357e4320fd8""#, ",uniq=51c47357e4320fd8"; "marked")]
-#[test_case("", ""; "unmarked")]
-fn a_mark_goes_on_to_the_worker(change: &str, field: &str) {
-    let Ok(ClientMessage::Call(call)) = lines::read(call(change).as_bytes()) else { panic!("it is sound") };
+/// Without its idempotency key no worker knows a repeat. A past version left it out of every attempt.
+#[test_case(r#""r":1=>"k":"51c47357e4320fd8""#, ",uniq=51c47357e4320fd8"; "with a key")]
+#[test_case("", ""; "without a key")]
+fn the_idempotency_key_is_passed_to_the_worker(change: &str, field: &str) {
+    let Ok(ClientMessage::Call(call)) = lines::read(call(change).as_bytes()) else { panic!("it is valid") };
     let lines::Call { id, profile, function, idempotency_key, body, .. } = &*call;
-    let mut made = Vec::new();
+    let mut frame_bytes = Vec::new();
     frames::write_attempt(
-        &mut made,
+        &mut frame_bytes,
         &frames::Attempt { id: *id, profile, function, idempotency_key, body },
         1.5,
     );
-    let fields = usize::from(u16::from_be_bytes([made[2], made[3]]));
-    let wanted = format!("queue=p,path=7f3a9c21e0b4d655,budget=1500{field}");
-    assert_eq!(std::str::from_utf8(&made[16..16 + fields]), Ok(wanted.as_str()));
+    let fields = usize::from(u16::from_be_bytes([frame_bytes[2], frame_bytes[3]]));
+    let expected = format!("queue=p,path=7f3a9c21e0b4d655,budget=1500{field}");
+    assert_eq!(std::str::from_utf8(&frame_bytes[16..16 + fields]), Ok(expected.as_str()));
 }
 
 #[test_case(lines::MAX_REQUEST_BODY, true; "at the bound")]
 #[test_case(lines::MAX_REQUEST_BODY + 1, false; "one past it")]
-fn bodies_are_bounded(length: usize, fits: bool) {
+fn request_bodies_are_bounded(length: usize, is_accepted: bool) {
     use base64::Engine;
     let body = base64::engine::general_purpose::STANDARD.encode(vec![b'x'; length]);
-    assert_eq!(lines::read(call(&format!("aGk==>{body}")).as_bytes()).is_ok(), fits);
+    assert_eq!(lines::read(call(&format!("aGk==>{body}")).as_bytes()).is_ok(), is_accepted);
 }
 
 #[test]
-fn nesting_costs_no_stack() {
+fn deep_nesting_is_refused() {
     assert!(lines::read(&b"[".repeat(lines::MAX_LINE)).is_err());
 }
 
-/// An answer that claims 3 GB and keeps coming is known by its head.
+/// A response that claims 3 GB and keeps coming is refused by its header.
 #[test_case(&[127, 200, 0, 0, 0xc0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8]; "three gigabytes")]
 #[test_case(&[127, 200, 0xff, 0xff, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8]; "long fields")]
-#[test_case(&[126]; "a router's mark")]
+#[test_case(&[126]; "a frame of a router")]
 #[test_case(&[127, 1]; "an unknown code")]
-fn what_can_not_be_read_is_not_waited_for(bytes: &[u8]) {
+fn an_invalid_header_is_refused_before_the_frame_is_complete(bytes: &[u8]) {
     assert!(frames::read(bytes).is_err());
 }
 
 #[test]
-fn senseless_figures_are_left_out() {
+fn implausible_numbers_are_left_out() {
     let bytes = frame(200, 5, "same=-3,use=q:NaN;x0:0.5;x1:-1,later=1", b"");
-    let answer = frames::read(&bytes).expect("sound").expect("whole").response;
+    let answer = frames::read(&bytes).expect("valid").expect("complete").response;
     let report = answer.report.expect("a report");
     assert_eq!(
         (answer.concurrent_calls, report.waiting, report.memory, report.loading),
@@ -103,13 +103,13 @@
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"gone"}]}}"#, None; "an unknown state")]
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"active"}]}}"#, None; "no address")]
 #[test_case(r#"{"no":41,"roster":"#, None; "half an event")]
-fn lines_of_the_bulletin(line: &str, read: Option<DiscoveryLine>) {
+fn discovery_lines_are_read_or_refused(line: &str, read: Option<DiscoveryLine>) {
     assert_eq!(events::read(line.as_bytes()).ok(), read);
 }
 
 proptest! {
     #[test]
-    fn answers_come_through_whole_or_not_at_all(
+    fn responses_are_read_complete_or_not_at_all(
         id: u64, same in 0u8..30, body in prop::collection::vec(any::<u8>(), 0..200), flip: prop::sample::Index,
     ) {
         let bytes = frame(200, id, &format!("same={same}"), &body);
@@ -117,20 +117,20 @@
             prop_assert!(matches!(frames::read(&bytes[..end]), Ok(None)));
         }
         let twice = [&bytes[..], &bytes[..]].concat();
-        let frames::Frame { response: answer, length: took } = frames::read(&twice).unwrap().unwrap();
-        prop_assert_eq!((answer.id, answer.outcome, answer.body, took), (id, Outcome::Handled, &body[..], bytes.len()));
+        let frames::Frame { response: answer, length: length } = frames::read(&twice).unwrap().unwrap();
+        prop_assert_eq!((answer.id, answer.outcome, answer.body, length), (id, Outcome::Handled, &body[..], bytes.len()));
         prop_assert_eq!(answer.concurrent_calls, f64::from(same));
-        // What was spoilt past the head is never believed.
+        // What is corrupted past the header is never accepted.
         let at = 16 + flip.index(bytes.len() - 16);
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= 1;
-        prop_assert!(frames::read(&spoilt).is_err());
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 1;
+        prop_assert!(frames::read(&corrupted).is_err());
     }
 
     #[test]
-    fn wild_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..300), idempotency_key: bool) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), from_worker: bool) {
         let mut bytes = bytes;
-        if let Some(first) = bytes.first_mut().filter(|_| idempotency_key) {
+        if let Some(first) = bytes.first_mut().filter(|_| from_worker) {
             *first = 127;
         }
         let _ = frames::read(&bytes);
@@ -140,23 +140,20 @@
     }
 }
 
-/// A file read again: the bulletin's address is taken, and what else differs is named; the list so far and the seed are
+/// Of a file read again the discovery address is taken, and what else differs is named; the list so far and the seed are
 /// new with every file.
 #[test_case("", &[]; "the same")]
 #[test_case(r#""no":1=>"no":9"#, &[]; "a longer list so far")]
 #[test_case(r#""memory_mb":64=>"memory_mb":32"#, &["limits.memory_mb"]; "another limit")]
 #[test_case(r#""Tick":1000=>"Tock":1000"#, &["settings.Tick", "settings.Tock"]; "a key for another")]
 #[test_case(r#""Effect":"free"=>"Effect":"single_shot""#, &["settings.Classes"]; "another effect")]
-fn what_a_file_read_again_says(change: &str, places: &[&str]) {
+fn a_file_read_again_reports_what_changed(change: &str, paths: &[&str]) {
     let first = r#"{"listen":"127.0.0.1:1","seed":"5","bulletin":"127.0.0.1:2","known":{"no":1},"limits":{"memory_mb":64},
         "settings":{"Classes":[{"Name":"p","Effect":"free"}],"Tick":1000}}"#;
     let (from, to) = change.split_once("=>").unwrap_or(("", ""));
     let reread = first.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
     let bootstrap::Reread { discovery, ignored_changes: other } =
-        bootstrap::reread(reread.as_bytes(), first.as_bytes()).expect("sound");
-    assert_eq!(
-        (discovery.port(), other.iter().map(String::as_str).collect::<Vec<_>>()),
-        (3, places.to_vec())
-    );
+        bootstrap::reread(reread.as_bytes(), first.as_bytes()).expect("valid");
+    assert_eq!((discovery.port(), other.iter().map(String::as_str).collect::<Vec<_>>()), (3, paths.to_vec()));
     assert!(bootstrap::reread(&reread.as_bytes()[..40], first.as_bytes()).is_err());
 }
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -116,7 +116,8 @@
     };
     for (name, outcome, probe) in codes {
         let bytes = captured(name);
-        let frames::Frame { response: answer, length } = frames::read(&bytes).expect("sound").expect("whole");
+        let frames::Frame { response: answer, length } =
+            frames::read(&bytes).expect("valid").expect("complete");
         assert_eq!(
             (answer.outcome, answer.probe, answer.id, length),
             (outcome, probe, 77, bytes.len()),
@@ -129,7 +130,7 @@
 
 #[test]
 fn captured_discovery_lines_read_as_before() {
-    let read = events::read(&captured("events-roster")).expect("sound");
+    let read = events::read(&captured("events-roster")).expect("valid");
     let DiscoveryLine::Event { number: 41, complete: true, entries } = read else { panic!("{read:?}") };
     assert_eq!(entries.len(), 2);
     let first = &entries[0];
--- a/crates/platform-protocol/tests/worker_frames/mod.rs
+++ b/crates/platform-protocol/tests/worker_frames/mod.rs
@@ -1,4 +1,4 @@
-//! A worker's hand, written from the page and not from the codec that it tests.
+//! Frames as a worker writes them, written from the platform's page and not from the codec that they test.
 
 /// A frame as a worker writes it.
 pub fn frame(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
