--- a/crates/config/src/reader/config_log.rs
+++ b/crates/config/src/reader/config_log.rs
@@ -1,7 +1,8 @@
 //! Where changes of configuration come from: the control machines, and how this gateway follows their log.
 
-use super::common::{gateway_name, is_reachable, key_file, name_of_address, parse_address};
+use super::address::{is_reachable, name_of_address, parse_address};
 use super::control_machines;
+use super::identity::{gateway_name, key_file};
 use crate::document::Section;
 use crate::model::{ConfigLogConfig, MembershipConfig};
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
--- a/crates/config/src/reader/control_machines.rs
+++ b/crates/config/src/reader/control_machines.rs
@@ -1,6 +1,6 @@
 //! The addresses of the control machines, which must be able to reach each other and to form a majority.
 
-use super::common::{is_reachable, parse_address};
+use super::address::{is_reachable, parse_address};
 use crate::document::Section;
 use std::net::SocketAddr;
 
--- a/crates/config/src/reader/functions.rs
+++ b/crates/config/src/reader/functions.rs
@@ -1,6 +1,6 @@
 //! Settings of functions: those of all, and those of one.
 
-use super::common::MAX_SECONDS;
+use super::bounds::MAX_SECONDS;
 use crate::document::Section;
 use crate::model::{FunctionConfigs, FunctionOverrides, ProfileConfig};
 
--- a/crates/config/src/reader/gateway.rs
+++ b/crates/config/src/reader/gateway.rs
@@ -1,6 +1,6 @@
 //! The whole file: its parts in their order, and what one part needs of another.
 
-use super::common::parse_address;
+use super::address::parse_address;
 use super::policy::PolicySources;
 use super::{clients, config_log, functions, limits, membership, profiles, syntax, workers};
 use crate::document::{ConfigError, Document, Section};
--- a/crates/config/src/reader/limits.rs
+++ b/crates/config/src/reader/limits.rs
@@ -1,7 +1,8 @@
 //! Bounds of the gateway's own queues, tables and waits.
 
-use super::common::{MAX_SECONDS, OptionalSection};
+use super::bounds::MAX_SECONDS;
 use super::host::{MAX_CORES, available_cores};
+use super::optional_section::OptionalSection;
 use crate::document::Section;
 use crate::model::Limits;
 
--- a/crates/config/src/reader/membership.rs
+++ b/crates/config/src/reader/membership.rs
@@ -1,7 +1,8 @@
 //! Membership among the gateways. Its settings should be the same in all files of a fleet: the defaults find a failed
 //! gateway within some seconds at some 2 kB a second, and serve dozens of gateways (`docs/design/peers.md`).
 
-use super::common::{gateway_name, key_file, name_of_address, parse_address};
+use super::address::{name_of_address, parse_address};
+use super::identity::{gateway_name, key_file};
 use crate::document::Section;
 use crate::model::MembershipConfig;
 
--- a/crates/config/src/reader/policy.rs
+++ b/crates/config/src/reader/policy.rs
@@ -1,7 +1,8 @@
 //! What the routing decisions go by: the policy's configuration, from the settings of limits and workers.
 
-use super::common::{MAX_SECONDS, OptionalSection};
+use super::bounds::MAX_SECONDS;
 use super::host::random_seed;
+use super::optional_section::OptionalSection;
 use crate::document::Section;
 use crate::model::WorkerSource;
 use milletpath_policy::host::{Charter, Profile};
--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -1,6 +1,6 @@
 //! Profiles of requests: latency objective, deadline, effect and importance.
 
-use super::common::MAX_SECONDS;
+use super::bounds::MAX_SECONDS;
 use crate::document::Section;
 use crate::model::ProfileConfig;
 use milletpath_policy::host::{Effect, Group, Profile};
--- a/crates/config/src/reader/workers.rs
+++ b/crates/config/src/reader/workers.rs
@@ -1,6 +1,6 @@
 //! Workers: their kinds, and the list of them or the registry that has it.
 
-use super::common::parse_address;
+use super::address::parse_address;
 use crate::document::Section;
 use crate::model::WorkerSource;
 use milletpath_protocol::is_name;
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,7 +1,10 @@
 //! Changes made while gateways run: read, refused with their position, applied and removed.
 
+#[path = "support/expect.rs"]
+mod expect;
 mod support;
 
+use expect::assert_has_error;
 use milletpath_config::{ConfigChange, FunctionConfig, FunctionConfigs, FunctionOverrides, Subject};
 use proptest::prelude::*;
 use support::config;
@@ -51,8 +54,7 @@
 ) {
     assert!(CHANGES.contains(from));
     let errors = config().parse_changes(&CHANGES.replacen(from, to, 1)).unwrap_err();
-    let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
-    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(expected_text)), "{errors:#?}");
+    assert_has_error(&errors, line, column, expected_text);
 }
 
 #[test]
--- a/crates/config/tests/config_log.rs
+++ b/crates/config/tests/config_log.rs
@@ -1,7 +1,10 @@
 //! The config log as a file states it: defaults, names, and the control machines' addresses.
 
+#[path = "support/expect.rs"]
+mod expect;
 mod support;
 
+use expect::assert_has_error;
 use milletpath_config::read;
 use support::{VALID, config};
 use test_case::test_case;
@@ -52,8 +55,7 @@
 ) {
     assert!(VALID.contains(from));
     let errors = read(&VALID.replacen(from, to, 1)).unwrap_err();
-    let here = |m: &&milletpath_config::ConfigError| (m.line, m.column) == (line, column);
-    assert!(errors.iter().filter(here).any(|m| m.to_string().contains(expected_text)), "{errors:#?}");
+    assert_has_error(&errors, line, column, expected_text);
 }
 
 #[test]
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,5 +1,9 @@
 //! Configuration files as operators get them wrong: every error is reported with its position, all at once.
 
+#[path = "support/expect.rs"]
+mod expect;
+
+use expect::assert_has_error;
 use milletpath_config::{WorkerSource, read};
 use milletpath_policy::host::{Effect, Group};
 use proptest::prelude::*;
@@ -103,10 +107,7 @@
 ) {
     assert!(VALID.contains(from));
     let errors = read(&VALID.replacen(from, to, 1)).unwrap_err();
-    let messages: Vec<_> = errors.iter().map(ToString::to_string).collect();
-    let found =
-        errors.iter().any(|m| (m.line, m.column) == (line, column) && m.to_string().contains(expected_text));
-    assert!(found, "{messages:#?}");
+    assert_has_error(&errors, line, column, expected_text);
 }
 
 #[test]
