--- a/crates/config/src/change/parser.rs
+++ b/crates/config/src/change/parser.rs
@@ -29,7 +29,7 @@
 }
 
 impl GatewayConfig {
-    /// The blocks of a file of changes, in its order; the error holds every mistake of the text.
+    /// The blocks of a file of changes, in its order; the error holds every problem of the text.
     pub fn parse_changes(&self, text: &str) -> Result<Vec<ParsedChange>, Vec<ConfigError>> {
         let document = Document::new(text);
         let body = syntax::parse(text)?;
--- a/crates/config/src/reader/gateway.rs
+++ b/crates/config/src/reader/gateway.rs
@@ -10,7 +10,7 @@
 /// Where clients connect if nothing is stated.
 const DEFAULT_LISTEN: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 8080);
 
-/// Reads a configuration file; the error holds every mistake of the text, in its order.
+/// Reads a configuration file; the error holds every problem of the text, in its order.
 pub fn read(text: &str) -> Result<GatewayConfig, Vec<ConfigError>> {
     let document = Document::new(text);
     let body = syntax::parse(text)?;
