--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -117,7 +117,7 @@
             prop_assert!(matches!(frames::read(&bytes[..end]), Ok(None)));
         }
         let twice = [&bytes[..], &bytes[..]].concat();
-        let frames::Frame { response: answer, length: length } = frames::read(&twice).unwrap().unwrap();
+        let frames::Frame { response: answer, length } = frames::read(&twice).unwrap().unwrap();
         prop_assert_eq!((answer.id, answer.outcome, answer.body, length), (id, Outcome::Handled, &body[..], bytes.len()));
         prop_assert_eq!(answer.concurrent_calls, f64::from(same));
         // What is corrupted past the header is never accepted.
