--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -57,10 +57,11 @@
     /// clock begins; see [`wall_clock_read`](Self::wall_clock_read) for later readings.
     pub fn new(config: &GatewayConfig, unix_time: f64) -> Self {
         // By then every attempt, load request and health check to a worker that is gone has ended.
-        let longest = config.profiles.iter().map(|p| p.cut_off).fold(config.policy.order_wait, f64::max);
-        let forget_after = 2.0 * (longest + config.bounds.probe);
+        let longest = config.profiles.iter().map(|p| p.deadline).fold(config.policy.order_wait, f64::max);
+        let forget_after = 2.0 * (longest + config.limits.probe_timeout);
         let start_times = StartTimes::new(unix_time);
-        let worker_table = WorkerTable::new(&config.kinds, config.policy.seed, start_times, 0, forget_after);
+        let worker_table =
+            WorkerTable::new(&config.worker_kinds, config.policy.seed, start_times, 0, forget_after);
         Self::with_worker_table(config, worker_table, 0.0, 0)
     }
 
@@ -108,12 +109,12 @@
     /// Applies a change of functions' configuration to requests that arrive from here on. `initial` is what holds where
     /// no change does.
     pub fn apply_config_change(&mut self, change: &ConfigChange, initial: &FunctionConfigs) {
-        self.functions.amend(change, initial);
+        self.functions.apply(change, initial);
     }
 
     /// The configuration of a function that is in force.
     pub fn function_config(&self, function: &str) -> FunctionConfig {
-        self.functions.of(function)
+        self.functions.resolve(function)
     }
 
     /// What the caller is to do next; it must take actions until there are none after each event.
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -42,7 +42,7 @@
     /// whose connection is not made yet, and has to be allowed again.
     pub fn attempt_not_written(&mut self, now: f64, request: RequestId, attempt: usize) {
         self.state.now = now;
-        let connect_deadline = now + self.state.limits.connect;
+        let connect_deadline = now + self.state.limits.connect_timeout;
         let Some(record) = self.state.requests.attempt_mut(request, attempt) else { return };
         if record.stage != AttemptStage::Sent {
             return;
--- a/crates/dispatcher/src/dispatcher/effects.rs
+++ b/crates/dispatcher/src/dispatcher/effects.rs
@@ -13,7 +13,7 @@
         let Some(record) = self.requests.get_mut(request) else { return };
         let attempt = record.attempts.len();
         let deadline_timer = self.timers.set(deadline, Timer::AttemptDeadline { request, attempt });
-        let connect_deadline = self.now + self.limits.connect;
+        let connect_deadline = self.now + self.limits.connect_timeout;
         let connect_timer = self.timers.set(connect_deadline, Timer::ConnectDeadline { request, attempt });
         record.attempts.push(Attempt {
             worker,
@@ -73,7 +73,7 @@
     fn probe(&mut self, worker: usize) {
         let serial = self.next_serial();
         self.counters.health_checks += 1;
-        let deadline = self.now + self.limits.probe;
+        let deadline = self.now + self.limits.probe_timeout;
         let deadline_timer = self.timers.set(deadline, Timer::HealthCheckDeadline { worker, serial });
         if self.health_checks.len() <= worker {
             self.health_checks.resize_with(worker + 1, || None);
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -14,7 +14,7 @@
     /// configuration allows, and the caller has to reject the request itself.
     pub fn submit(&mut self, now: f64, incoming: IncomingRequest<'_>, context: T) -> Option<RequestId> {
         let state = &mut self.state;
-        if state.requests.open() >= state.limits.open {
+        if state.requests.open() >= state.limits.max_open_requests {
             return None;
         }
         state.now = now;
@@ -24,7 +24,7 @@
         }
         state.count_demand(Budget::Ceiling(incoming.client), 1, 0);
         state.count_demand(Budget::Quota(incoming.client), u64::from(!incoming.is_retry), 0);
-        let timeout = incoming.timeout.min(self.profiles[incoming.profile].cut_off);
+        let timeout = incoming.timeout.min(self.profiles[incoming.profile].deadline);
         let function = state.functions.intern(incoming.function);
         let serial = state.next_serial();
         let request = state.requests.insert(serial, Request::new(function, now + timeout, context));
@@ -37,7 +37,7 @@
     /// The request as the router sees it.
     fn arrival(&self, incoming: IncomingRequest<'_>, function: usize, timeout: f64) -> Arrival {
         let resources = incoming.resources.unwrap_or_else(|| {
-            let config = self.functions.of(incoming.function);
+            let config = self.functions.resolve(incoming.function);
             FunctionResources { lanes: config.lanes, memory: config.memory, load_time: config.load }
         });
         Arrival {
--- a/crates/dispatcher/src/dispatcher/state.rs
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -98,7 +98,7 @@
             worker_table,
             timers: TimerWheel::default(),
             serial,
-            limits: config.bounds.clone(),
+            limits: config.limits.clone(),
             load_timeout: config.policy.order_wait,
             load_rate_limit: config.policy.ration.map(LoadRateLimit::new),
             usage_meters: None,
--- a/crates/dispatcher/tests/dispatcher/config_changes.rs
+++ b/crates/dispatcher/tests/dispatcher/config_changes.rs
@@ -11,7 +11,7 @@
 
 fn apply_change(dispatcher: &mut Dispatcher<u32>, key: &str, text: Option<&str>) {
     let config = config();
-    let change = config.amendment(key, text).unwrap_or_else(|errors| panic!("{errors:#?}"));
+    let change = config.parse_change(key, text).unwrap_or_else(|errors| panic!("{errors:#?}"));
     dispatcher.apply_config_change(&change, &config.functions);
 }
 
@@ -65,5 +65,5 @@
     assert_eq!(take_attempts(&mut dispatcher).len(), 3);
     apply_change(&mut dispatcher, "functions", None);
     apply_change(&mut dispatcher, "function f", None);
-    assert_eq!(dispatcher.function_config("f"), config().functions.of("f"));
+    assert_eq!(dispatcher.function_config("f"), config().functions.resolve("f"));
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -19,7 +19,7 @@
 ) -> io::Result<JoinHandle<()>> {
     let (office, accepting) = (office.clone(), accepting.clone());
     std::thread::Builder::new().name(format!("core-{seat}")).spawn(move || {
-        if office.house.bounds.pin {
+        if office.house.limits.pin {
             pin(seat);
         }
         match tokio::runtime::Builder::new_current_thread().enable_all().build() {
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -124,7 +124,7 @@
     office.stopping.store(true, Ordering::Release);
     office.seats.iter().for_each(|seat| seat.bell.notify_one());
     tracing::info!(open = office.ask(|d| d.open_requests()), connections = office.guests.used(), "stopping");
-    let longest = office.house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max) + LAST_ANSWERS;
+    let longest = office.house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max) + LAST_ANSWERS;
     let _ = tokio::time::timeout(Duration::from_secs_f64(longest), async {
         tokio::select! {
             () = keeper.clone().wind_up(listener) => {}
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -83,7 +83,7 @@
     }
 
     pub fn bounds(&self) -> &Limits {
-        &self.office.house.bounds
+        &self.office.house.limits
     }
 
     /// Seconds on the true clock since the start.
@@ -239,7 +239,7 @@
     }
 
     pub fn close_idle(&self) {
-        let since = self.now() - self.bounds().idle;
+        let since = self.now() - self.bounds().idle_timeout;
         self.pools.borrow_mut().iter_mut().for_each(|p| p.close_idle(since));
     }
 
@@ -264,7 +264,7 @@
             }
         };
         // Well before the connection counts as one that the worker did not give.
-        let patience = Duration::from_secs_f64(self.bounds().connect / 2.0);
+        let patience = Duration::from_secs_f64(self.bounds().connect_timeout / 2.0);
         Some(pool::connect(place, way, patience).await)
     }
 
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -34,7 +34,7 @@
         return ExitCode::from(2);
     };
     let file = charter.with_file_name(format!("control-{number}.log"));
-    let key = match milletpath_gateway::control_key(&stated.key) {
+    let key = match milletpath_gateway::control_key(&stated.key_file) {
         Ok(key) => key,
         Err(e) => return failed(&format!("key of changes: {e}")),
     };
@@ -152,7 +152,7 @@
 /// A charter, with what it states of changes.
 pub fn stated(charter: &Path) -> Result<(GatewayConfig, ConfigLogConfig), ExitCode> {
     let house = crate::read(charter)?;
-    match house.changes.clone() {
+    match house.config_log.clone() {
         Some(changes) => Ok((house, changes)),
         None => {
             eprintln!("{}: has no changes; add changes {{ ... }} to the charter", charter.display());
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -88,7 +88,7 @@
         if let Message::Propose { change } = &message
             // What another control machine passes on was looked at there.
             && !self.control.contains(&from)
-            && let Err(mistakes) = self.house.amendment(&change.key, change.text.as_deref())
+            && let Err(mistakes) = self.house.parse_change(&change.key, change.text.as_deref())
         {
             let mut why = mistakes.first().map(ToString::to_string).unwrap_or_default();
             let end = (0..=LONGEST_DENIAL.min(why.len())).rev().find(|n| why.is_char_boundary(*n));
--- a/crates/platform-router/src/door/drain.rs
+++ b/crates/platform-router/src/door/drain.rs
@@ -85,9 +85,9 @@
             let Some(client) = self.clients.get_mut(key) else { continue };
             client.open.retain(|(open, _)| *open != number);
             if may_have_run {
-                lines::terminated(&mut client.out.bytes, number);
+                lines::write_failed(&mut client.out.bytes, number);
             } else {
-                lines::bounced(&mut client.out.bytes, number, self.come_back);
+                lines::write_rejected(&mut client.out.bytes, number, self.come_back);
             }
             self.client_writes(key);
         }
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -280,7 +280,7 @@
         };
         let fault = loop {
             match frames::read(rest) {
-                Ok(Some((answer, took))) => {
+                Ok(Some(frames::Frame { response: answer, length: took })) => {
                     rest = &rest[took..];
                     if let Err(wrong) = self.answered(key, answer, now) {
                         break Some(wrong.to_owned());
@@ -306,7 +306,12 @@
     }
 
     /// One sound answer. An unknown id is passed over: a second copy, or the answer to what was given up.
-    fn answered(&mut self, key: usize, answer: frames::Answer<'_>, now: f64) -> Result<(), &'static str> {
+    fn answered(
+        &mut self,
+        key: usize,
+        answer: frames::WorkerResponse<'_>,
+        now: f64,
+    ) -> Result<(), &'static str> {
         let Some(link) = self.links.get_mut(key) else { return Ok(()) };
         let Some(at) = link.open.iter().position(|o| o.id == answer.id) else { return Ok(()) };
         if answer.probe != matches!(link.open[at].what, Sent::Probe(_)) {
@@ -321,15 +326,15 @@
                 let end = AttemptResult {
                     outcome: answer.outcome,
                     found: None,
-                    company: answer.company,
+                    company: answer.concurrent_calls,
                     report: answer.report,
                     answers_client: false,
                 };
                 if self.desk.attempt_ended(now, tag, shot, end) {
-                    self.answer(tag, |out, number| lines::handled(out, number, answer.body));
+                    self.answer(tag, |out, number| lines::write_success(out, number, answer.body));
                 }
             }
-            Sent::Order(order) => self.desk.load_request_ended(now, order, answer.outcome, answer.copies),
+            Sent::Order(order) => self.desk.load_request_ended(now, order, answer.outcome, answer.instances),
             Sent::Probe(serial) => {
                 self.desk.health_check_ended(now, worker, serial, answer.outcome, answer.report)
             }
@@ -338,12 +343,12 @@
     }
 
     /// Where the time of an answer went.
-    fn log_answer(&mut self, worker: usize, tag: RequestId, answer: &frames::Answer<'_>, now: f64) {
+    fn log_answer(&mut self, worker: usize, tag: RequestId, answer: &frames::WorkerResponse<'_>, now: f64) {
         let function = self.desk.function(tag);
         let Some(asker) = self.desk.context(tag) else { return };
         let (function, shots) = (function.as_deref().unwrap_or_default(), asker.at.len());
         let (waited, there) = (asker.begun - asker.came, now - asker.begun);
-        let (company, outcome) = (answer.company, answer.outcome);
+        let (company, outcome) = (answer.concurrent_calls, answer.outcome);
         tracing::debug!(worker, function, id = asker.id, waited, there, shots, company, ?outcome, "answered");
     }
 
--- a/crates/platform-router/src/link/writing.rs
+++ b/crates/platform-router/src/link/writing.rs
@@ -120,22 +120,22 @@
             Load::Shot(tag, shot) => self.make_shot(&mut out, *tag, *shot, now),
             Load::Hold(order, function, copies) => self.desk.begin_load_request(now, *order).then(|| {
                 let id = self.own_id(key);
-                frames::hold(&mut out, id, function, *copies);
+                frames::write_load_request(&mut out, id, function, *copies);
                 (id, Sent::Order(*order))
             }),
             Load::Unload(function) => {
-                if let Some(id) = milletpath_platform_protocol::hex(function) {
-                    frames::unload(&mut out, id);
+                if let Some(id) = milletpath_platform_protocol::parse_hex_id(function) {
+                    frames::write_unload(&mut out, id);
                 }
                 None
             }
             Load::Probe(serial) => {
                 let id = self.own_id(key);
-                frames::probe(&mut out, id, self.reports);
+                frames::write_probe(&mut out, id, self.reports);
                 Some((id, Sent::Probe(*serial)))
             }
             Load::GiveUp(id) => {
-                frames::give_up(&mut out, *id);
+                frames::write_cancel(&mut out, *id);
                 None
             }
         };
@@ -172,7 +172,11 @@
         asker.begun = now;
         let Asker { id, mark, body, .. } = &*asker;
         let profile = &self.profiles[asker.profile];
-        frames::shot(out, &frames::Shot { id: *id, profile, function: &function, mark, body }, left);
+        frames::write_attempt(
+            out,
+            &frames::Attempt { id: *id, profile, function: &function, idempotency_key: mark, body },
+            left,
+        );
         Some((asker.id, Sent::Shot(tag, shot)))
     }
 }
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -1,8 +1,8 @@
 //! Errors of system calls on connections to workers, put in place of the system's answers while calls go on: once, for
 //! 100 ms and for 2 s. Sockets, timers and the worker are real.
 
-#[path = "../../../platform-protocol/tests/pen/mod.rs"]
-mod pen;
+#[path = "../../../platform-protocol/tests/worker_frames/mod.rs"]
+mod worker_frames;
 
 use super::*;
 use crate::faults::Operation;
@@ -113,10 +113,10 @@
         let answer = match code {
             2 => {
                 seen.borrow_mut().push(id);
-                pen::frame(200, id, "", b"done")
+                worker_frames::frame(200, id, "", b"done")
             }
-            4 | 5 => pen::frame(206, id, "", b""),
-            6 => pen::frame(200, id, "n=1", b""),
+            4 | 5 => worker_frames::frame(206, id, "", b""),
+            6 => worker_frames::frame(200, id, "n=1", b""),
             _ => continue,
         };
         stream.write_all(&answer).await?;
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -9,8 +9,8 @@
 use crate::sockets::{Sockets, SystemSockets};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
 use milletpath_gateway::wall_clock::unix_time;
+use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
 use milletpath_platform_protocol::lines;
-use milletpath_platform_protocol::told::{self, Told};
 use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
 use nix::sys::resource::{Resource, getrlimit};
 use slab::Slab;
@@ -85,12 +85,12 @@
 }
 
 impl Station {
-    fn new(told: &Told) -> Shared {
+    fn new(told: &Bootstrap) -> Shared {
         let begun = Instant::now();
-        let house = &told.house;
-        let patience = house.profiles.iter().map(|p| p.cut_off).fold(0.0, f64::max);
+        let house = &told.config;
+        let patience = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
         let mut desk = Dispatcher::new(house, unix_time());
-        for (whole, entries) in &told.lists {
+        for bootstrap::WorkerList { complete: whole, entries } in &told.worker_lists {
             desk.update_endpoints(0.0, *whole, entries);
         }
         Rc::new_cyclic(|me| {
@@ -106,16 +106,16 @@
                 ids: BTreeSet::new(),
                 keeping: Keeping::new(
                     told.descriptors,
-                    told.lanes,
-                    house.bounds.idle,
-                    house.bounds.connect,
+                    told.streams_per_connection,
+                    house.limits.idle_timeout,
+                    house.limits.connect_timeout,
                     patience,
                 ),
-                room: Room::new(told.memory),
+                room: Room::new(told.memory_bytes),
                 shutdown: Shutdown::new(patience),
                 liveness: Liveness::default(),
-                connect: house.bounds.connect,
-                reports: told.reports,
+                connect: house.limits.connect_timeout,
+                reports: told.load_reports,
                 cancels: house.policy.cancels,
                 come_back: house.policy.come_back,
                 scratch: vec![0; TURN],
@@ -155,9 +155,9 @@
                 Action::SendAttempt { request: tag, attempt: shot, worker } => self.shoot(tag, shot, worker),
                 Action::CancelAttempt { request: tag, attempt: shot } => self.drop_shot(tag, shot),
                 Action::Reject { request: tag, retry_after: come_back } => {
-                    self.answer(tag, |out, number| lines::bounced(out, number, come_back));
+                    self.answer(tag, |out, number| lines::write_rejected(out, number, come_back));
                 }
-                Action::Fail { request: tag, .. } => self.answer(tag, lines::terminated),
+                Action::Fail { request: tag, .. } => self.answer(tag, lines::write_failed),
                 Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
                     self.hold(order, worker, function, copies)
                 }
@@ -251,7 +251,8 @@
         }
     };
     let read = std::fs::read(file).map_err(|e| e.to_string());
-    let read = read.and_then(|text| told::read(&text).map(|told| (told, text)).map_err(|e| e.to_string()));
+    let read =
+        read.and_then(|text| bootstrap::read(&text).map(|told| (told, text)).map_err(|e| e.to_string()));
     let (mut told, first) = match read {
         Ok((told, text)) => (told, Rc::<[u8]>::from(text)),
         Err(e) => {
@@ -269,7 +270,7 @@
         );
         told.descriptors = granted as usize;
     }
-    let address = address.unwrap_or(told.house.listen);
+    let address = address.unwrap_or(told.config.listen);
     let listener = match milletpath_gateway::listen(address) {
         Ok(listener) => listener,
         Err(e) => {
@@ -277,13 +278,13 @@
             return ExitCode::FAILURE;
         }
     };
-    tracing::debug!(charter = ?told.house.policy, bounds = ?told.house.bounds, "what the platform states");
+    tracing::debug!(charter = ?told.config.policy, bounds = ?told.config.limits, "what the platform states");
     let address = listener.local_addr().unwrap_or(address);
     let station = Station::new(&told);
     station.borrow_mut().carry_out();
-    tracing::info!(%address, descriptors = told.descriptors, last = told.last, "the router listens");
-    let (moved, bulletin) = watch::channel(told.bulletin);
-    spawn_local(crate::bulletin::follow(station.clone(), bulletin, told.last));
+    tracing::info!(%address, descriptors = told.descriptors, last = told.last_event, "the router listens");
+    let (moved, bulletin) = watch::channel(told.discovery);
+    spawn_local(crate::bulletin::follow(station.clone(), bulletin, told.last_event));
     spawn_local(keep_time(station.clone()));
     spawn_local(keep_tidy(station.clone()));
     let mut entrance = Some(Entrance::open(station.clone(), listener));
@@ -321,8 +322,8 @@
     let [mut pause, longest] = PAUSES;
     for n in 0..TRIES {
         let read = std::fs::read(&file).map_err(|e| e.to_string());
-        match read.and_then(|text| told::again(&text, &first).map_err(|e| e.to_string())) {
-            Ok((bulletin, other)) => {
+        match read.and_then(|text| bootstrap::reread(&text, &first).map_err(|e| e.to_string())) {
+            Ok(bootstrap::Reread { discovery: bulletin, ignored_changes: other }) => {
                 tracing::info!(%bulletin, "the file was read again");
                 if !other.is_empty() {
                     tracing::warn!(
