--- a/crates/milletpath/tests/changes.rs
+++ b/crates/milletpath/tests/changes.rs
@@ -3,6 +3,7 @@
 //! profile that its function is not called under is refused.
 
 mod control;
+mod json_fields;
 #[path = "changes/storage.rs"]
 mod storage;
 #[path = "changes/stored_files.rs"]
@@ -10,6 +11,7 @@
 
 use control::authors::{between, proposed};
 use control::{Differs, Site};
+use json_fields::field_paths;
 use nix::sys::signal::Signal;
 use std::process::{Output, Stdio};
 use std::time::Duration;
@@ -451,3 +453,16 @@
     let output = run(&site, 0, &[]);
     assert!(output.status.code() == Some(2) && told(&output).contains("key of changes"), "{output:?}");
 }
+
+/// Scripts of operators read it: the fixtures are the output of an earlier program.
+#[test]
+fn changes_json_keeps_its_fields() {
+    let here = include_str!("fixtures/status/here.json");
+    let status: milletpath_gateway::Followed = serde_json::from_str(here).expect("the fixture is read");
+    assert_eq!(serde_json::to_string(&status).unwrap(), here);
+    let changes = include_str!("fixtures/status/changes.json");
+    let parsed = |text| field_paths(&serde_json::from_str(text).expect("JSON"));
+    let site = Site::running(1, 1);
+    assert_eq!(field_paths(&site.known()), parsed(changes));
+    assert_eq!(field_paths(&site.here(0)), parsed(here));
+}
--- a/crates/milletpath/tests/fleet/mod.rs
+++ b/crates/milletpath/tests/fleet/mod.rs
@@ -143,10 +143,19 @@
 
     /// What a gateway knows, as `milletpath peers` tells it.
     pub fn view(&self, n: usize) -> Option<MembershipView> {
+        serde_json::from_slice(&self.peers_output(n)?).ok()
+    }
+
+    /// The same as it is printed.
+    pub fn peers_json(&self, n: usize) -> Option<serde_json::Value> {
+        serde_json::from_slice(&self.peers_output(n)?).ok()
+    }
+
+    fn peers_output(&self, n: usize) -> Option<Vec<u8>> {
         let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
         let output =
             command.arg("peers").arg("--charter").arg(self.charter(n)).arg("--json").output().ok()?;
-        serde_json::from_slice(&output.stdout).ok()
+        Some(output.stdout)
     }
 
     /// Whether one takes just these, beside itself, for there.
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -1,8 +1,10 @@
 //! Gateways that know each other, as processes: what befalls their links and themselves, and what they make of it.
 
 mod fleet;
+mod json_fields;
 
 use fleet::Fleet;
+use json_fields::field_paths;
 use milletpath_emulator::relay::Fault;
 use milletpath_membership::Reachability;
 use nix::sys::signal::Signal;
@@ -213,3 +215,17 @@
     fleet.relay.lift(repeat);
     fleet.wait("all is as before", |f| (0..3).all(|n| f.knows(n, &all(3))));
 }
+
+/// Scripts of operators read it: the fixture is the output of an earlier program.
+#[test]
+fn peers_json_keeps_its_fields() {
+    let fixture = include_str!("fixtures/status/peers.json");
+    let status: milletpath_gateway::Told = serde_json::from_str(fixture).expect("the fixture is read");
+    assert_eq!(serde_json::to_string(&status).unwrap(), fixture);
+    let fixture = serde_json::from_str(fixture).unwrap();
+    let fleet = Fleet::together(2);
+    let output = fleet.peers_json(0).expect("the gateway answers");
+    // A fleet of these tests shares no budget.
+    let paths = field_paths(&fixture).into_iter().filter(|path| !path.starts_with(".budgets[]")).collect();
+    assert_eq!(field_paths(&output), paths);
+}
