--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -5,7 +5,7 @@
 use crate::measure::{Asked, Slope, size, spent};
 use milletpath_capacity_model::run::Size;
 use milletpath_dispatcher::dispatcher::Dispatcher;
-use milletpath_gateway::sharing::Sharing;
+use milletpath_gateway::budget_sharing::BudgetSharing;
 use milletpath_membership::QuotaFraction;
 use milletpath_shared_budgets::{Entitlement, FunctionConcurrency, SharedBudgets};
 
@@ -222,16 +222,16 @@
     for workers in WORKERS {
         let mut desk: Dispatcher<()> = desk(1_100, 60.0, limits);
         desk.update_endpoints(0.0, true, &entries(workers));
-        let mut sharing = Sharing::new(&house, 1, LEASE, 0.0);
-        sharing.turn(&mut desk, 0.0, &parts, others.clone());
+        let mut sharing = BudgetSharing::new(&house, 1, LEASE, 0.0);
+        sharing.tick(&mut desk, 0.0, &parts, others.clone());
         let mut now = 1.0;
         // Looks at which nothing was changed, 25 a second.
-        let mut second = |desk: &mut Dispatcher<()>, sharing: &mut Sharing| {
+        let mut second = |desk: &mut Dispatcher<()>, sharing: &mut BudgetSharing| {
             let began = spent();
             for _ in 0..25 {
                 now += METERS;
-                sharing.turn(desk, now, &parts, others.clone());
-                while sharing.out().is_some() {}
+                sharing.tick(desk, now, &parts, others.clone());
+                while sharing.next_message().is_some() {}
             }
             (spent() - began) * 1e3
         };
@@ -241,7 +241,7 @@
             let at = 100.0 + n as f64;
             desk.update_endpoints(at, false, &[entry(workers + n)]);
             let began = spent();
-            sharing.turn(&mut desk, at, &parts, others.clone());
+            sharing.tick(&mut desk, at, &parts, others.clone());
             (spent() - began) * 1e3
         });
         changed.push(size(workers as f64, joins.collect()));
--- /dev/null
+++ b/crates/gateway/src/budget_sharing.rs
@@ -0,0 +1,196 @@
+//! Budgets that the gateways share, between the core of `milletpath-shared-budgets` and the desk: which there are, what of them is
+//! wanted and in use, what the decisions are allotted. Each method is called inside the desk: what is lent is subtracted
+//! there before anything else is decided, and before any note of it goes out.
+
+use milletpath_config::GatewayConfig;
+use milletpath_dispatcher::dispatcher::{Dispatcher, EndpointRevision};
+use milletpath_membership::QuotaFraction;
+use milletpath_policy::host::Budget;
+use milletpath_shared_budgets::{
+    BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, SharedBudgets, SlotAdjustment,
+};
+use std::collections::BTreeMap;
+
+/// One budget that is open.
+struct OpenBudget {
+    budget: Budget,
+    slot: usize,
+    /// A worker's, while it is listed.
+    listed: bool,
+}
+
+pub struct BudgetSharing {
+    shared_budgets: SharedBudgets,
+    open: Vec<OpenBudget>,
+    /// The list by which workers' budgets were last opened.
+    revision: EndpointRevision,
+    /// When the decisions were last told what functions keep busy elsewhere.
+    remote_concurrency_set_at: f64,
+    /// Of a worker's: this gateway's part of the shots that may be out there, and seconds that one may be out.
+    in_flight_limit: (f64, f64),
+}
+
+impl BudgetSharing {
+    /// All budgets that the charter bounds, but those of workers, which come with the list.
+    pub fn new(house: &GatewayConfig, instance_id: u64, lease: f64, now: f64) -> Self {
+        /// Seconds past its cut-off after which a shot has ended for certain.
+        const END_MARGIN_SECONDS: f64 = 0.5;
+        let mut shared_budgets = SharedBudgets::new(instance_id, lease, instance_id, now);
+        let (policy, gateways) = (&house.policy, house.policy.routers.max(1) as f64);
+        let mut open = Vec::new();
+        let mut add = |budget, name: String, kind, fraction: f64| {
+            if fraction.is_finite() && fraction > 0.0 {
+                open.push(OpenBudget {
+                    budget,
+                    slot: shared_budgets.open(now, &name, kind, fraction),
+                    listed: true,
+                });
+            }
+        };
+        for (client, name) in house.clients.iter().enumerate() {
+            add(
+                Budget::Quota(client),
+                format!("quota {name}"),
+                BudgetKind::Rate,
+                policy.quotas[client] / gateways,
+            );
+            add(
+                Budget::Ceiling(client),
+                format!("ceiling {name}"),
+                BudgetKind::Rate,
+                policy.ceilings[client] / gateways,
+            );
+        }
+        if let Some((window, free, _)) = policy.ration {
+            add(Budget::Orders, "orders".into(), BudgetKind::Window(window), free);
+        }
+        if let Some((window, free, _)) = policy.retries {
+            add(Budget::Retries, "retries".into(), BudgetKind::Window(window), free);
+        }
+        let longest = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
+        Self {
+            shared_budgets,
+            open,
+            revision: EndpointRevision::default(),
+            remote_concurrency_set_at: f64::NEG_INFINITY,
+            in_flight_limit: (policy.hand / gateways, longest + END_MARGIN_SECONDS),
+        }
+    }
+
+    /// When [`tick`](Self::tick) is wanted next.
+    pub fn next_deadline(&self) -> f64 {
+        self.shared_budgets.next_tick().min(self.shared_budgets.next_usage_report())
+    }
+
+    /// Opens budgets of workers that came, closes those of workers that are gone.
+    fn update_worker_budgets<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
+        let revision = desk.endpoint_revision();
+        if revision == self.revision {
+            return;
+        }
+        if revision.generation != self.revision.generation {
+            self.shared_budgets.resend_adjustments();
+        }
+        self.revision = revision;
+        let (fraction, longest) = self.in_flight_limit;
+        if !fraction.is_finite() {
+            return;
+        }
+        self.open.iter_mut().for_each(|open| open.listed = !matches!(open.budget, Budget::Hand(_)));
+        for (worker, name) in desk.workers() {
+            let slot = self.shared_budgets.open(
+                now,
+                &format!("in flight {name}"),
+                BudgetKind::InFlight(longest),
+                fraction,
+            );
+            let budget = Budget::Hand(worker);
+            match self.open.iter_mut().find(|open| open.slot == slot) {
+                Some(known) => (known.budget, known.listed) = (budget, true),
+                None => self.open.push(OpenBudget { budget, slot, listed: true }),
+            }
+        }
+    }
+
+    fn record_usage<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
+        for open in self.open.iter().filter(|open| open.listed) {
+            self.shared_budgets.record_usage(now, open.slot, desk.usage(now, open.budget));
+        }
+    }
+
+    /// Does what is due, with what is one's own by the count and those who can be asked.
+    pub fn tick<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, quota: &QuotaFraction, others: Vec<u64>) {
+        self.update_worker_budgets(desk, now);
+        let QuotaFraction { fraction, floor, valid_until, .. } = *quota;
+        self.shared_budgets.set_entitlement(
+            now,
+            Entitlement { fraction, floor_fraction: floor, valid_until },
+            others,
+        );
+        self.record_usage(desk, now);
+        self.shared_budgets.tick(now);
+        self.exchange_concurrency(desk, now);
+        let shared_budgets = &mut self.shared_budgets;
+        self.open.retain(|open| open.listed || shared_budgets.close(now, open.slot).is_err());
+        self.apply_adjustments(desk, now);
+    }
+
+    /// Tells others what functions keep busy here, and the decisions what they do elsewhere.
+    fn exchange_concurrency<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
+        /// Seconds between two words to the decisions.
+        const INTERVAL_SECONDS: f64 = 0.5;
+        let concurrency_of = |(function, concurrency)| FunctionConcurrency { function, concurrency };
+        self.shared_budgets
+            .report_usage(now, || desk.local_concurrency(now).into_iter().map(concurrency_of).collect());
+        if self.remote_concurrency_set_at == f64::NEG_INFINITY {
+            // Whoever has just begun sees little and knows nothing of how long things take: times the count that would stretch
+            // sets over all workers. Until the first word comes, or time has passed without one, others have what they need.
+            desk.set_remote_concurrency(now, &BTreeMap::new());
+            self.remote_concurrency_set_at = now;
+        }
+        if now < self.remote_concurrency_set_at + INTERVAL_SECONDS {
+            return;
+        }
+        if let Some(concurrency) = self.shared_budgets.usage_elsewhere(now) {
+            self.remote_concurrency_set_at = now;
+            desk.set_remote_concurrency(now, &concurrency);
+        }
+    }
+
+    /// A note came of another process.
+    pub fn receive<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, instance_id: u64, message: &[u8]) {
+        let open = &self.open;
+        self.shared_budgets.receive(now, instance_id, message, &mut |slot| {
+            let open = open.iter().find(|open| open.slot == slot && open.listed)?;
+            Some(desk.usage(now, open.budget))
+        });
+        self.apply_adjustments(desk, now);
+    }
+
+    fn apply_adjustments<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
+        for SlotAdjustment { slot, adjustment } in self.shared_budgets.take_adjustments(now) {
+            if let Some(open) = self.open.iter().find(|open| open.slot == slot && open.listed) {
+                desk.grant_quota(open.budget, adjustment);
+            }
+        }
+    }
+
+    /// What to send next, and to which process.
+    pub fn next_message(&mut self) -> Option<(u64, Vec<u8>)> {
+        self.shared_budgets.next_message().map(|message| (message.recipient, message.bytes))
+    }
+
+    /// Budgets as an operator sees them: those of which something is wanted, lent or borrowed come first.
+    pub fn view(&mut self, now: f64) -> (Vec<BudgetView>, Counters) {
+        /// Budgets that are told.
+        const MAX_VIEWED: usize = 48;
+        let mut budgets = self.shared_budgets.view(now);
+        budgets.sort_by(|a, b| {
+            let moved =
+                |budget: &BudgetView| budget.demand / budget.quota.max(1e-9) + budget.granted + budget.held;
+            moved(b).total_cmp(&moved(a)).then(a.name.cmp(&b.name))
+        });
+        budgets.truncate(MAX_VIEWED);
+        (budgets, self.shared_budgets.counters())
+    }
+}
--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -7,7 +7,7 @@
 
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
-use crate::telling::{Telling, cpu};
+use crate::status_pages::{StatusPages, thread_cpu_seconds};
 use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
 use milletpath_config_log::{Entry, Follower, FollowerView, Terms};
@@ -23,22 +23,23 @@
 use std::thread::JoinHandle;
 
 /// A socket over which changes come, open and not yet read.
-pub struct Feed {
+pub struct ConfigFeed {
     socket: UdpSocket,
     key: Key,
 }
 
 /// The key of control machines, gateways and authors, from the file that the charter names.
-pub fn control_key(path: &Path) -> io::Result<Key> {
-    crate::peering::secret_of(path).map(|secret| Key::new(&secret))
+pub fn read_control_key(path: &Path) -> io::Result<Key> {
+    crate::membership_link::read_secret(path).map(|secret| Key::new(&secret))
 }
 
-impl Feed {
+impl ConfigFeed {
     /// Opens the socket that the charter states, and reads the key.
-    pub fn open(stated: &ConfigLogConfig) -> io::Result<Self> {
-        let key = control_key(&stated.key_file)?;
-        let socket = UdpSocket::bind(stated.listen)
-            .map_err(|e| io::Error::new(e.kind(), format!("{} can't be listened on: {e}", stated.listen)))?;
+    pub fn open(settings: &ConfigLogConfig) -> io::Result<Self> {
+        let key = read_control_key(&settings.key_file)?;
+        let socket = UdpSocket::bind(settings.listen).map_err(|e| {
+            io::Error::new(e.kind(), format!("{} can't be listened on: {e}", settings.listen))
+        })?;
         Ok(Self { socket, key })
     }
 
@@ -49,52 +50,57 @@
 
 /// What a gateway tells an operator of changes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Followed {
+pub struct ConfigStatus {
     #[serde(flatten)]
     pub view: FollowerView,
     /// Seconds of a processor that this took since the start.
-    pub cpu: f64,
+    #[serde(rename = "cpu")]
+    pub cpu_seconds: f64,
     /// Datagrams that were not taken: of another key or changed, and all others.
-    pub seals: u64,
-    pub unread: u64,
+    #[serde(rename = "seals")]
+    pub rejected_seal: u64,
+    #[serde(rename = "unread")]
+    pub rejected_other: u64,
     /// Times that the last known state was kept, and that it could not be.
-    pub kept: u64,
-    pub not_kept: u64,
+    #[serde(rename = "kept")]
+    pub saves: u64,
+    #[serde(rename = "not_kept")]
+    pub failed_saves: u64,
 }
 
 /// Looks on while changes are followed, in that thread.
-pub(crate) trait Onlooker: Send {
+pub(crate) trait FollowerObserver: Send {
     /// The desk has taken all up to this number.
     fn applied(&mut self, number: u64);
     /// Once in each turn of the thread, after all that was due.
-    fn turn(&mut self, follower: &Follower);
+    fn after_turn(&mut self, follower: &Follower);
     /// Whether it is to end as if its process had been killed: what was not kept by then is not.
     fn killed(&self) -> bool;
 }
 
 /// Starts the thread of a feed. What was in force when the last process of this gateway ended is so again
 /// before this comes back.
-pub fn start(office: Arc<Office>, feed: Feed) -> io::Result<JoinHandle<()>> {
-    start_watched(office, feed, None)
+pub fn start(office: Arc<Office>, feed: ConfigFeed) -> io::Result<JoinHandle<()>> {
+    start_observed(office, feed, None)
 }
 
 /// As [`start`], with somebody who looks on.
-pub(crate) fn start_watched(
+pub(crate) fn start_observed(
     office: Arc<Office>,
-    feed: Feed,
-    onlooker: Option<Box<dyn Onlooker>>,
+    feed: ConfigFeed,
+    observer: Option<Box<dyn FollowerObserver>>,
 ) -> io::Result<JoinHandle<()>> {
-    let Some(stated) = office.house.config_log.clone() else {
+    let Some(settings) = office.house.config_log.clone() else {
         return Err(io::Error::other("the charter has no changes"));
     };
-    let Some((folder, name)) = DiskFolder::of_file(&stated.state_file) else {
+    let Some((folder, name)) = DiskFolder::of_file(&settings.state_file) else {
         return Err(io::Error::other("the state of changes is no file name"));
     };
     if let Err(e) = survive_file_size_limit() {
         tracing::warn!("a limit on the size of files will end this process: {e}");
     }
-    let file = stated.state_file.display();
-    let saved = match std::fs::read(&stated.state_file) {
+    let file = settings.state_file.display();
+    let saved = match std::fs::read(&settings.state_file) {
         Ok(saved) => Some(saved),
         Err(e) if e.kind() == ErrorKind::NotFound => None,
         Err(e) => {
@@ -105,7 +111,7 @@
     let (there, now) = (saved.is_some(), office.now());
     // Drawn anew by each process from the system's chance: gateways that begin together must not ask in step.
     let seed = RandomState::new().hash_one(std::process::id());
-    let follower = Follower::new(stated.name, stated.control, Terms::default(), seed, now, saved);
+    let follower = Follower::new(settings.name, settings.control, Terms::default(), seed, now, saved);
     let head = follower.state().head();
     match (there, head) {
         (true, 0) => tracing::error!(
@@ -116,84 +122,90 @@
         (false, _) => tracing::info!("no state is known yet: the charter's figures hold"),
     }
     let state_file = StateFile::new(folder, name, state_id(&follower), now);
-    let mut running = Running {
+    let mut thread = FollowerThread {
         follower,
         office,
         feed,
         state_file,
-        telling: Telling::default(),
-        seals: 0,
-        unread: 0,
-        counts: (0, 0),
-        heard: Heard::Unknown,
-        look: now,
-        onlooker,
+        status_pages: StatusPages::default(),
+        rejected_seal: 0,
+        rejected_other: 0,
+        logged_counts: (0, 0),
+        freshness: Freshness::Unknown,
+        next_log_check: now,
+        observer,
     };
-    running.apply();
-    std::thread::Builder::new().name("changes".into()).spawn(move || running.run())
+    thread.apply_changes();
+    std::thread::Builder::new().name("changes".into()).spawn(move || thread.run())
 }
 
 /// Whether the control machines were heard lately, as the log was told last.
 #[derive(Clone, Copy, PartialEq)]
-enum Heard {
+enum Freshness {
     Unknown,
-    Yes,
-    No,
+    Confirmed,
+    Stale,
 }
 
-struct Running {
+struct FollowerThread {
     follower: Follower,
     office: Arc<Office>,
-    feed: Feed,
+    feed: ConfigFeed,
     state_file: StateFile<DiskFolder>,
-    telling: Telling,
-    seals: u64,
-    unread: u64,
+    status_pages: StatusPages,
+    rejected_seal: u64,
+    rejected_other: u64,
     /// Conflicts and states that were no state of the log, as the log was told last.
-    counts: (u64, u64),
-    heard: Heard,
+    logged_counts: (u64, u64),
+    freshness: Freshness,
     /// When it is looked at next what is worth a line in the log.
-    look: f64,
-    onlooker: Option<Box<dyn Onlooker>>,
+    next_log_check: f64,
+    observer: Option<Box<dyn FollowerObserver>>,
 }
 
-impl Running {
+impl FollowerThread {
     fn run(mut self) {
         let mut inbox = Inbox::new(LARGEST);
         while !self.office.stopping.load(Ordering::Acquire) {
             let due_in = self.follower.next() - self.office.now();
             if let Some((datagram, from)) = inbox.next(&self.feed.socket, due_in, "changes can't be heard") {
-                self.take(datagram, from);
+                self.receive(datagram, from);
             }
             let now = self.office.now();
             if inbox.turns(now, self.follower.next()) {
                 self.follower.turn(now);
             }
-            self.apply();
-            self.post();
-            self.state_file.keep(state_id(&self.follower), now, || self.follower.save());
-            self.log(now);
-            if let Some(onlooker) = &mut self.onlooker {
-                onlooker.turn(&self.follower);
+            self.apply_changes();
+            self.send_outgoing();
+            self.state_file.save(state_id(&self.follower), now, || self.follower.save());
+            self.log_changes(now);
+            if let Some(observer) = &mut self.observer {
+                observer.after_turn(&self.follower);
             }
         }
-        if self.onlooker.as_ref().is_some_and(|o| o.killed()) {
+        if self.observer.as_ref().is_some_and(|observer| observer.killed()) {
             return;
         }
-        self.state_file.keep_last(state_id(&self.follower), self.office.now(), || self.follower.save());
-        let Followed { cpu, kept, not_kept, view, .. } = self.view();
-        tracing::info!(number = view.number, cpu, kept, not_kept, "changes are followed no more");
+        self.state_file.save_last(state_id(&self.follower), self.office.now(), || self.follower.save());
+        let ConfigStatus { cpu_seconds, saves, failed_saves, view, .. } = self.view();
+        tracing::info!(
+            number = view.number,
+            cpu_seconds,
+            saves,
+            failed_saves,
+            "changes are followed no more"
+        );
     }
 
-    fn take(&mut self, datagram: &[u8], from: SocketAddr) {
+    fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         match message::open(&self.feed.key, datagram) {
-            Ok(Message::Status { ask, page }) => self.answer(ask, page, from),
+            Ok(Message::Status { ask, page }) => self.answer_query(ask, page, from),
             Ok(message) => self.follower.heard(self.office.now(), from, message),
             Err(why) => {
-                let seal = matches!(why, message::Refused::Seal);
-                self.seals += u64::from(seal);
-                self.unread += u64::from(!seal);
-                let all = self.seals + self.unread;
+                let wrong_seal = matches!(why, message::Refused::Seal);
+                self.rejected_seal += u64::from(wrong_seal);
+                self.rejected_other += u64::from(!wrong_seal);
+                let all = self.rejected_seal + self.rejected_other;
                 if tenfold(all) {
                     tracing::warn!(%from, all, "a message of a control machine is not taken: {why}");
                 }
@@ -203,17 +215,17 @@
 
     /// Passes what is new on to the desk, each batch at once. What this gateway's charter can't take is told
     /// to the control machines; what was in force under its key stays.
-    fn apply(&mut self) {
+    fn apply_changes(&mut self) {
         while let Some(batch) = self.follower.news() {
             let house = &self.office.house;
-            let mut amendments: Vec<ConfigChange> = Vec::with_capacity(batch.len());
+            let mut config_changes: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
                 if change.text.is_none() && Subject::from_key(&change.key).is_none() {
                     // What was never in force here is easily taken back.
                     continue;
                 }
                 match house.parse_change(&change.key, change.text.as_deref()) {
-                    Ok(amendment) => amendments.push(amendment),
+                    Ok(config_change) => config_changes.push(config_change),
                     Err(mistakes) => {
                         let why = mistakes.first().map(ToString::to_string).unwrap_or_default();
                         tracing::error!(number, key = change.key, "a change can't be applied here: {why}");
@@ -221,16 +233,18 @@
                     }
                 }
             }
-            let (number, entries) = (self.follower.state().head(), amendments.len());
+            let (number, entries) = (self.follower.state().head(), config_changes.len());
             self.office.tell(None, |desk, _| {
-                amendments.iter().for_each(|amendment| desk.apply_config_change(amendment, &house.functions));
+                config_changes
+                    .iter()
+                    .for_each(|config_change| desk.apply_config_change(config_change, &house.functions));
             });
             tracing::info!(number, entries, "changes are in force");
-            self.onlooker.iter_mut().for_each(|onlooker| onlooker.applied(number));
+            self.observer.iter_mut().for_each(|observer| observer.applied(number));
         }
     }
 
-    fn post(&mut self) {
+    fn send_outgoing(&mut self) {
         while let Some((to, message)) = self.follower.out() {
             if let Some(datagram) = message::seal(&self.feed.key, &message) {
                 // What can't be sent is as if lost on its way: that is what the core is built for.
@@ -239,60 +253,69 @@
         }
     }
 
-    fn view(&self) -> Followed {
-        let (seals, unread) = (self.seals, self.unread);
-        let (kept, not_kept) = (self.state_file.written, self.state_file.failed);
+    fn view(&self) -> ConfigStatus {
+        let (rejected_seal, rejected_other) = (self.rejected_seal, self.rejected_other);
+        let (saves, failed_saves) = (self.state_file.writes, self.state_file.failures);
         let view = self.follower.view(self.office.now());
-        Followed { view, cpu: cpu(), seals, unread, kept, not_kept }
+        ConfigStatus {
+            view,
+            cpu_seconds: thread_cpu_seconds(),
+            rejected_seal,
+            rejected_other,
+            saves,
+            failed_saves,
+        }
     }
 
     /// Tells an operator what is known here.
-    fn answer(&mut self, ask: u64, page: u32, from: SocketAddr) {
-        let mut telling = std::mem::take(&mut self.telling);
-        let told = telling.page(from, ask, page, || serde_json::to_vec(&self.view()).ok());
-        self.telling = telling;
-        if let Some(datagram) = told.and_then(|told| message::seal(&self.feed.key, &told)) {
+    fn answer_query(&mut self, request_id: u64, page: u32, from: SocketAddr) {
+        let mut status_pages = std::mem::take(&mut self.status_pages);
+        let reply = status_pages.page(from, request_id, page, || serde_json::to_vec(&self.view()).ok());
+        self.status_pages = status_pages;
+        if let Some(datagram) = reply.and_then(|reply| message::seal(&self.feed.key, &reply)) {
             let _ = self.feed.socket.send_to(&datagram, from);
         }
     }
 
     /// Tells the log what an operator should know without asking.
-    fn log(&mut self, now: f64) {
+    fn log_changes(&mut self, now: f64) {
         /// Seconds between two looks.
-        const AGAIN: f64 = 1.0;
+        const INTERVAL_SECONDS: f64 = 1.0;
         /// Seconds after which what is in force here may not be the latest: several polls, and a change of
         /// whom it follows.
-        const SILENT: f64 = 5.0;
-        if now < self.look {
+        const SILENCE_SECONDS: f64 = 5.0;
+        if now < self.next_log_check {
             return;
         }
-        self.look = now + AGAIN;
+        self.next_log_check = now + INTERVAL_SECONDS;
         let view = self.follower.view(now);
-        let heard = match view.sure_as_of {
-            Some(age) if age < SILENT => Heard::Yes,
-            None if now < SILENT => Heard::Unknown,
-            _ => Heard::No,
+        let freshness = match view.sure_as_of {
+            Some(age) if age < SILENCE_SECONDS => Freshness::Confirmed,
+            None if now < SILENCE_SECONDS => Freshness::Unknown,
+            _ => Freshness::Stale,
         };
-        if heard != self.heard {
+        if freshness != self.freshness {
             let number = view.number;
-            match heard {
-                Heard::Yes => tracing::info!(number, "what is in force here is known to be the latest"),
+            match freshness {
+                Freshness::Confirmed => {
+                    tracing::info!(number, "what is in force here is known to be the latest")
+                }
                 _ => tracing::warn!(
                     number,
                     "the control machines are silent, or no majority of them is: what is in force stays"
                 ),
             }
-            self.heard = heard;
+            self.freshness = freshness;
         }
         let counts = (view.conflicts, view.anew);
-        if counts.0 > self.counts.0 {
-            let told: Vec<_> = view.replicas.iter().map(|r| (r.replica, r.conflicts)).collect();
-            tracing::warn!(?told, "a control machine tells other than the others do, by number");
+        if counts.0 > self.logged_counts.0 {
+            let conflicts: Vec<_> = view.replicas.iter().map(|r| (r.replica, r.conflicts)).collect();
+            tracing::warn!(?conflicts, "a control machine tells other than the others do, by number");
         }
-        if counts.1 > self.counts.1 {
+        if counts.1 > self.logged_counts.1 {
             tracing::warn!("what was in force here was no state of the log; it was gathered anew");
         }
-        self.counts = counts;
+        self.logged_counts = counts;
     }
 }
 
--- a/crates/gateway/src/changing/state_file/tests.rs
+++ b/crates/gateway/src/config_follower/state_file/tests.rs
@@ -16,25 +16,25 @@
     StateFile::new(folder.clone(), NAME.into(), StateId { number: 0, digest: 0 }, 0.0)
 }
 
-/// Six states, each tried for ten seconds; gives the number that was kept last.
+/// Six states, each tried for ten seconds; gives the number that was stored last.
 fn play(folder: &FaultyFolder) -> u64 {
     let mut file = file(folder);
-    let mut kept = 0;
+    let mut stored = 0;
     for number in 1..=6 {
         for second in 0..10 {
             let (id, bytes) = state(number);
-            file.keep(id, (number * 10 + second) as f64, || bytes);
+            file.save(id, (number * 10 + second) as f64, || bytes);
             if folder.is_killed() {
-                return kept;
+                return stored;
             }
-            kept = if file.kept == id { number } else { kept };
+            stored = if file.stored == id { number } else { stored };
         }
     }
-    kept
+    stored
 }
 
 /// What is read after a loss of power, whatever of it was not synced.
-fn holds(folder: &FaultyFolder, kept: u64, what: &str) {
+fn holds(folder: &FaultyFolder, stored: u64, what: &str) {
     for (keeps_names, keeps_bytes) in [(false, 0), (true, 0), (false, 9), (true, 9), (true, usize::MAX)] {
         let left = folder.after(PowerLoss { keeps_names, keeps_bytes });
         let number = match left.read(NAME) {
@@ -45,15 +45,15 @@
             }
             Err(_) => 0,
         };
-        assert!((kept..=kept + 1).contains(&number), "{what}: {number} after {kept} was kept");
+        assert!((stored..=stored + 1).contains(&number), "{what}: {number} after {stored} was kept");
     }
 }
 
 #[test]
 fn each_fault_at_each_operation() {
-    let whole = FaultyFolder::default();
-    assert_eq!(play(&whole), 6);
-    let operations = whole.operations();
+    let faultless = FaultyFolder::default();
+    assert_eq!(play(&faultless), 6);
+    let operations = faultless.operations();
     for (at, operation) in operations.iter().enumerate() {
         let errors = [Errno::ENOSPC, Errno::EIO].into_iter();
         let faults = errors.flat_map(|e| [Fault::Fails(e), Fault::FailsAfter(e)]).chain([Fault::ShortWrite]);
@@ -69,8 +69,8 @@
         for after in 0..=prefixes {
             let folder = FaultyFolder::default();
             folder.fails(at..at + 1, Fault::Killed { after });
-            let kept = play(&folder);
-            holds(&folder, kept, &format!("killed at {at} ({operation:?}) after {after} bytes"));
+            let stored = play(&folder);
+            holds(&folder, stored, &format!("killed at {at} ({operation:?}) after {after} bytes"));
             folder.recovers();
             assert_eq!(play(&folder), 6);
             assert_eq!(folder.names(), [NAME], "what a kill left beside it goes");
@@ -84,14 +84,14 @@
     let folder = FaultyFolder::default();
     let mut file = file(&folder);
     let (id, bytes) = state(1);
-    file.keep(id, 0.0, || bytes);
+    file.save(id, 0.0, || bytes);
     folder.fails_at(Operation::SyncFile, Fault::Fails(Errno::EIO));
     let (id, bytes) = state(2);
-    (0..1000).for_each(|tenth| file.keep(id, 2.0 + f64::from(tenth) / 10.0, || bytes.clone()));
-    assert!((10..30).contains(&file.failed), "{} attempts in 100 s", file.failed);
+    (0..1000).for_each(|tenth| file.save(id, 2.0 + f64::from(tenth) / 10.0, || bytes.clone()));
+    assert!((10..30).contains(&file.failures), "{} attempts in 100 s", file.failures);
     assert_eq!(folder.read(NAME).unwrap(), state(1).1);
     folder.recovers();
-    file.keep_last(id, 103.0, || bytes.clone());
+    file.save_last(id, 103.0, || bytes.clone());
     assert_eq!(folder.read(NAME).unwrap(), bytes);
 }
 
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -1,5 +1,5 @@
 //! How authors and operators talk with the control machines: one UDP socket, questions to one or all of them,
-//! each sent again until it is answered or its time is over. Nobody is believed for being quick: of several
+//! each sent resend_at until it is answered or its time is over. Nobody is believed for being quick: of several
 //! answers the one counts that knows of the latest entry.
 
 use milletpath_config::ConfigLogConfig;
@@ -14,13 +14,13 @@
 
 /// Between two times that a question is sent: several times what a message and its answer take between
 /// regions.
-const AGAIN: Duration = Duration::from_millis(300);
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
 /// For a question to all, once the first has answered it.
-const OTHERS: Duration = Duration::from_millis(300);
+const STRAGGLER_WAIT: Duration = Duration::from_millis(300);
 
 /// For a question, at most.
-const MOST: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 pub struct Client {
     socket: UdpSocket,
@@ -31,7 +31,7 @@
 
 /// What stands under a key, by the control machine that knows of the latest entry.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct KeyState {
     pub number: u64,
     pub text: Option<String>,
     head: u64,
@@ -41,27 +41,27 @@
 
 /// What became of a proposal.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    Outcome(Outcome),
+pub enum ProposalOutcome {
+    Decided(Outcome),
     /// The control machine's charter can't take it.
     Denied(String),
     /// No control machine has said anything of it.
-    Silence,
+    Unanswered,
 }
 
-/// A number of chance, never 0.
-pub fn chance() -> u64 {
+/// A number of random_id, never 0.
+pub fn random_id() -> u64 {
     RandomState::new().hash_one(std::process::id()).max(1)
 }
 
 impl Client {
-    pub fn new(stated: &ConfigLogConfig) -> io::Result<Self> {
-        let key = crate::control_key(&stated.key_file)?;
-        let any: IpAddr = match stated.control.first() {
+    pub fn new(settings: &ConfigLogConfig) -> io::Result<Self> {
+        let key = crate::read_control_key(&settings.key_file)?;
+        let any: IpAddr = match settings.control.first() {
             Some(SocketAddr::V6(_)) => Ipv6Addr::UNSPECIFIED.into(),
             _ => Ipv4Addr::UNSPECIFIED.into(),
         };
-        Ok(Self { socket: UdpSocket::bind((any, 0))?, key, control: stated.control.clone() })
+        Ok(Self { socket: UdpSocket::bind((any, 0))?, key, control: settings.control.clone() })
     }
 
     /// Where it hears answers.
@@ -71,13 +71,13 @@
 
     fn send(&self, to: SocketAddr, message: &Message) {
         if let Some(datagram) = message::seal(&self.key, message) {
-            // As if lost on its way: it is sent again.
+            // As if lost on its way: it is sent resend_at.
             let _ = self.socket.send_to(&datagram, to);
         }
     }
 
     /// The next message until then.
-    fn hear(&self, until: Instant) -> Option<(SocketAddr, Message)> {
+    fn receive(&self, until: Instant) -> Option<(SocketAddr, Message)> {
         let mut buffer = [0; LARGEST + 1];
         loop {
             let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
@@ -91,91 +91,96 @@
     }
 
     /// What stands under a key; none where nobody answers.
-    pub fn get(&self, key: &str) -> Option<Got> {
-        let mut answers: BTreeMap<SocketAddr, Got> = BTreeMap::new();
-        let (began, mut end) = (Instant::now(), Instant::now() + MOST);
-        let mut ask = began;
+    pub fn get(&self, key: &str) -> Option<KeyState> {
+        let mut answers: BTreeMap<SocketAddr, KeyState> = BTreeMap::new();
+        let (began, mut end) = (Instant::now(), Instant::now() + REQUEST_TIMEOUT);
+        let mut resend_at = began;
         while Instant::now() < end && answers.len() < self.control.len() {
-            if Instant::now() >= ask {
-                ask = Instant::now() + AGAIN;
+            if Instant::now() >= resend_at {
+                resend_at = Instant::now() + RESEND_INTERVAL;
                 let silent = self.control.iter().filter(|to| !answers.contains_key(to));
                 silent.for_each(|to| self.send(*to, &Message::Get { key: key.to_owned() }));
             }
-            let Some((from, message)) = self.hear(ask.min(end)) else { continue };
+            let Some((from, message)) = self.receive(resend_at.min(end)) else { continue };
             let Message::Got { key: about, number, text, head, .. } = message else { continue };
             if about == key && self.control.contains(&from) {
                 if answers.is_empty() {
-                    end = end.min(Instant::now() + OTHERS);
+                    end = end.min(Instant::now() + STRAGGLER_WAIT);
                 }
-                answers.insert(from, Got { number, text, head, from });
+                answers.insert(from, KeyState { number, text, head, from });
             }
         }
-        answers.into_values().max_by_key(|got| (got.head, got.number))
+        answers.into_values().max_by_key(|state| (state.head, state.number))
     }
 
     /// Proposes a change to one control machine, and to the next where that one says nothing or doesn't know.
-    pub fn propose(&self, change: &Change, first: SocketAddr) -> Told {
+    pub fn propose(&self, change: &Change, first: SocketAddr) -> ProposalOutcome {
         /// For one to say something, before the next is asked too: an agreement and its answer take so long but over
         /// the farthest links, and asking twice does no harm. With 1.5 s the author who asked a machine that had just
         /// been killed, and lost one more letter, waited past the 3 s in which a change is to be in force.
-        const EACH: Duration = Duration::from_millis(600);
+        const REPLICA_TIMEOUT: Duration = Duration::from_millis(600);
         /// For all together: two of them may take their time until they say that they don't know.
-        const ALL: Duration = Duration::from_secs(12);
+        const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(12);
         let begin = self.control.iter().position(|to| *to == first).unwrap_or(0);
         let mut order = self.control.iter().cycle().skip(begin).take(2 * self.control.len());
-        let (end, mut next) = (Instant::now() + ALL, Instant::now());
-        let mut told = Told::Silence;
+        let (end, mut next) = (Instant::now() + PROPOSAL_TIMEOUT, Instant::now());
+        let mut outcome_so_far = ProposalOutcome::Unanswered;
         while Instant::now() < end {
             if Instant::now() >= next {
-                next = Instant::now() + EACH;
+                next = Instant::now() + REPLICA_TIMEOUT;
                 match order.next() {
                     Some(to) => self.send(*to, &Message::Propose { change: change.clone() }),
-                    None if told != Told::Silence => return told,
+                    None if outcome_so_far != ProposalOutcome::Unanswered => return outcome_so_far,
                     None => {}
                 }
             }
-            match self.hear(next.min(end)) {
+            match self.receive(next.min(end)) {
                 Some((_, Message::Proposed { id, outcome })) if id == change.id => match outcome {
                     Outcome::Unknown | Outcome::Busy => {
-                        (told, next) = (Told::Outcome(outcome), Instant::now());
+                        (outcome_so_far, next) = (ProposalOutcome::Decided(outcome), Instant::now());
                     }
-                    known => return Told::Outcome(known),
+                    known => return ProposalOutcome::Decided(known),
                 },
-                Some((_, Message::Denied { id, why })) if id == change.id => return Told::Denied(why),
+                Some((_, Message::Denied { id, why })) if id == change.id => {
+                    return ProposalOutcome::Denied(why);
+                }
                 _ => {}
             }
         }
-        told
+        outcome_so_far
     }
 
     /// The texts that those tell of themselves; none for one that doesn't answer.
-    pub fn told(&self, by: &[SocketAddr]) -> Vec<Option<Vec<u8>>> {
-        let ask = chance();
-        let mut pages: Vec<Vec<Option<Vec<u8>>>> = vec![vec![None]; by.len()];
-        let whole = |pages: &[Option<Vec<u8>>]| pages.iter().all(Option::is_some);
-        let (mut end, mut again) = (Instant::now() + MOST, Instant::now());
+    pub fn status_texts(&self, targets: &[SocketAddr]) -> Vec<Option<Vec<u8>>> {
+        let request_id = random_id();
+        let mut pages: Vec<Vec<Option<Vec<u8>>>> = vec![vec![None]; targets.len()];
+        let is_complete = |pages: &[Option<Vec<u8>>]| pages.iter().all(Option::is_some);
+        let (mut end, mut resend_at) = (Instant::now() + REQUEST_TIMEOUT, Instant::now());
         let mut first = true;
-        while Instant::now() < end && !pages.iter().all(|p| whole(p)) {
-            if Instant::now() >= again {
-                again = Instant::now() + AGAIN;
-                pages.iter().zip(by).for_each(|(pages, to)| self.ask(*to, ask, pages));
+        while Instant::now() < end && !pages.iter().all(|p| is_complete(p)) {
+            if Instant::now() >= resend_at {
+                resend_at = Instant::now() + RESEND_INTERVAL;
+                pages.iter().zip(targets).for_each(|(pages, to)| self.request_pages(*to, request_id, pages));
             }
-            let Some((from, message)) = self.hear(again.min(end)) else { continue };
-            let Message::StatusPage { ask: about, page, of, bytes } = message else { continue };
-            let Some(n) = by.iter().position(|to| *to == from).filter(|_| about == ask) else { continue };
+            let Some((from, message)) = self.receive(resend_at.min(end)) else { continue };
+            let Message::StatusPage { ask: about, page, of: total, bytes } = message else { continue };
+            let Some(target) = targets.iter().position(|to| *to == from).filter(|_| about == request_id)
+            else {
+                continue;
+            };
             /// Far more than a control machine tells of all its gateways.
-            const PAGES: u32 = 10_000;
-            let before = pages[n].len();
-            pages[n].resize(of.clamp(1, PAGES) as usize, None);
-            if let Some(slot) = pages[n].get_mut(page as usize) {
+            const MAX_PAGES: u32 = 10_000;
+            let before = pages[target].len();
+            pages[target].resize(total.clamp(1, MAX_PAGES) as usize, None);
+            if let Some(slot) = pages[target].get_mut(page as usize) {
                 *slot = Some(bytes);
             }
-            if pages[n].len() > before {
-                self.ask(from, ask, &pages[n]);
+            if pages[target].len() > before {
+                self.request_pages(from, request_id, &pages[target]);
             }
-            if std::mem::take(&mut first) || !whole(&pages[n]) {
-                // Whoever answers page by page is waited for; the others had their chance.
-                end = (Instant::now() + 2 * OTHERS).max(end.min(Instant::now() + OTHERS));
+            if std::mem::take(&mut first) || !is_complete(&pages[target]) {
+                // Whoever answers page by page is waited for; the others had their random_id.
+                end = (Instant::now() + 2 * STRAGGLER_WAIT).max(end.min(Instant::now() + STRAGGLER_WAIT));
             }
         }
         let text = |pages: Vec<Option<Vec<u8>>>| {
@@ -186,16 +191,18 @@
     }
 
     /// Asks for the pages that are missing, a few at a time.
-    fn ask(&self, to: SocketAddr, ask: u64, pages: &[Option<Vec<u8>>]) {
+    fn request_pages(&self, to: SocketAddr, request_id: u64, pages: &[Option<Vec<u8>>]) {
         /// Pages at once: what any socket holds until it is read.
-        const ONCE: usize = 64;
+        const MAX_REQUESTS: usize = 64;
         let missing = (0..).zip(pages).filter(|(_, page)| page.is_none());
-        missing.take(ONCE).for_each(|(page, _)| self.send(to, &Message::Status { ask, page }));
+        missing
+            .take(MAX_REQUESTS)
+            .for_each(|(page, _)| self.send(to, &Message::Status { ask: request_id, page }));
     }
 
     /// What each control machine knows, in the order of their numbers; none for one that doesn't answer.
-    pub fn machines<T: DeserializeOwned>(&self) -> Vec<Option<T>> {
+    pub fn control_status<T: DeserializeOwned>(&self) -> Vec<Option<T>> {
         let read = |text: Option<Vec<u8>>| serde_json::from_slice(&text?).ok();
-        self.told(&self.control).into_iter().map(read).collect()
+        self.status_texts(&self.control).into_iter().map(read).collect()
     }
 }
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -2,11 +2,11 @@
 //! `serve` has, in the same control threads, many of them in one process. Whoever runs it hands in the worker list and keeps the desk's
 //! time; what the control costs is read from the threads' own clocks.
 
-use crate::changing::{self, Feed};
+use crate::budget_sharing::BudgetSharing;
+use crate::config_follower::{self, ConfigFeed};
+use crate::membership_link::{self, MembershipLink, MembershipObserver};
 use crate::office::Office;
-use crate::peering::{self, Link, Onlooker};
-use crate::sharing::Sharing;
-use crate::telling::cpu;
+use crate::status_pages::thread_cpu_seconds;
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::Follower;
 use milletpath_membership::{Counters, Membership, MembershipEvent, QuotaFraction};
@@ -22,10 +22,10 @@
 
 /// Seconds between two readings that a control thread gives of itself: often enough to see what a budget was
 /// at its lowest within a second, seldom enough to cost nothing beside the control.
-const READ: f64 = 0.25;
+const READING_INTERVAL: f64 = 0.25;
 
 /// Seconds whose lowest figures are kept until somebody takes them.
-const KEPT: usize = 16;
+const MAX_MINIMUMS: usize = 16;
 
 /// Seconds on the monotonic clock, which all processes of the machine share.
 #[expect(
@@ -39,60 +39,65 @@
 
 /// The lowest figures of one second: at every moment of it the gateway could use at least so much.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Low {
+pub struct SecondMinimum {
     /// The whole second, on [`clock`].
     pub second: u64,
     /// Its part of what is shared, as a multiple of one in the most.
-    pub part: f64,
+    pub fraction: f64,
     /// Of each budget its part by the count alone, and what it might use.
     pub budgets: BTreeMap<String, (f64, f64)>,
 }
 
-impl Low {
+impl SecondMinimum {
     /// Lower where the other is. A budget that was not open all the while counts as none.
-    fn sink(&mut self, other: &Low) {
-        self.part = self.part.min(other.part);
+    fn lower_to(&mut self, other: &SecondMinimum) {
+        self.fraction = self.fraction.min(other.fraction);
         self.budgets.retain(|name, _| other.budgets.contains_key(name));
-        for (name, (part, allowed)) in &mut self.budgets {
-            let seen = other.budgets[name];
-            (*part, *allowed) = (part.min(seen.0), allowed.min(seen.1));
+        for (name, (quota, allowed)) in &mut self.budgets {
+            let reading = other.budgets[name];
+            (*quota, *allowed) = (quota.min(reading.0), allowed.min(reading.1));
         }
     }
 }
 
-/// Lows from single readings. A loan is subtracted by the lender before the borrower has it, and until after:
+/// MinimumTracker from single readings. A loan is subtracted by the lender before the borrower has it, and until after:
 /// so a borrower that had it at all its readings of a second, which lie this close, has a lender that lacked
 /// it at one of its own. Seconds with fewer readings, the first ones among them, are left out.
 #[derive(Clone, Debug, Default)]
-pub struct Lows {
-    low: Option<Low>,
+pub struct MinimumTracker {
+    minimum: Option<SecondMinimum>,
     /// Readings of that second, and when the last was.
     readings: u32,
     last: f64,
     gap: f64,
 }
 
-impl Lows {
+impl MinimumTracker {
     /// One more reading; gives the second before, once it is over.
-    pub fn see(&mut self, at: f64, part: f64, budgets: BTreeMap<String, (f64, f64)>) -> Option<Low> {
+    pub fn record(
+        &mut self,
+        at: f64,
+        fraction: f64,
+        budgets: BTreeMap<String, (f64, f64)>,
+    ) -> Option<SecondMinimum> {
         /// Readings that a second must have, and seconds between two of them at most.
-        const LEAST: u32 = 3;
-        const GAP: f64 = 0.45;
-        let seen = Low { second: at as u64, part, budgets };
-        let over = match &mut self.low {
-            Some(low) if low.second == seen.second => {
-                low.sink(&seen);
+        const MIN_READINGS: u32 = 3;
+        const MAX_GAP_SECONDS: f64 = 0.45;
+        let reading = SecondMinimum { second: at as u64, fraction, budgets };
+        let finished = match &mut self.minimum {
+            Some(minimum) if minimum.second == reading.second => {
+                minimum.lower_to(&reading);
                 (self.readings, self.gap) = (self.readings + 1, self.gap.max(at - self.last));
                 None
             }
-            low => {
-                let whole = self.readings >= LEAST && self.gap <= GAP;
+            minimum => {
+                let is_complete = self.readings >= MIN_READINGS && self.gap <= MAX_GAP_SECONDS;
                 (self.readings, self.gap) = (1, 0.0);
-                low.replace(seen).filter(|_| whole)
+                minimum.replace(reading).filter(|_| is_complete)
             }
         };
         self.last = at;
-        over
+        finished
     }
 }
 
@@ -102,27 +107,27 @@
     /// When it was read, on [`clock`].
     pub at: f64,
     /// Seconds of processor time of the control thread.
-    pub control: f64,
+    pub control_cpu: f64,
     /// Seconds of processor time that others spent inside its desk: the worker list and the desk's own
     /// timers.
     pub desk: f64,
-    pub tally: Counters,
+    pub counters: Counters,
     /// The control thread, as the system names it: `PROCESS/task/THREAD`.
     thread: Option<PathBuf>,
     /// Gateways likely to be there, by its own word.
-    pub likely: f64,
+    pub likely_gateways: f64,
     /// Whole seconds that are over, each told once.
-    pub lows: VecDeque<Low>,
-    pub changes: Option<Following>,
+    pub minimums: VecDeque<SecondMinimum>,
+    pub changes: Option<FollowerReading>,
 }
 
 /// What the thread that follows changes says of itself.
 #[derive(Clone, Debug, Default)]
-pub struct Following {
+pub struct FollowerReading {
     /// When it was read, on [`clock`].
     pub at: f64,
     /// Seconds of its processor time.
-    pub cpu: f64,
+    pub cpu_seconds: f64,
     /// What is in force.
     pub number: u64,
     pub digest: u64,
@@ -130,45 +135,53 @@
 }
 
 /// What is done with events of the membership.
-pub type Heed = Box<dyn FnMut(MembershipEvent) + Send>;
+pub type MembershipCallback = Box<dyn FnMut(MembershipEvent) + Send>;
 
-struct Look {
-    heed: Heed,
+struct MembershipMonitor {
+    on_membership_event: MembershipCallback,
     reading: Arc<Mutex<Reading>>,
     killed: Arc<AtomicBool>,
     /// When it reads next.
-    due: f64,
-    lows: Lows,
+    next_reading: f64,
+    minimums: MinimumTracker,
     /// Processor time that the readings themselves took.
-    own: f64,
+    own_cpu: f64,
 }
 
-impl Onlooker for Look {
+impl MembershipObserver for MembershipMonitor {
     fn event(&mut self, event: MembershipEvent) {
-        (self.heed)(event);
+        (self.on_membership_event)(event);
     }
 
-    fn turn(&mut self, now: f64, membership: &mut Membership, sharing: &mut Sharing, quota: &QuotaFraction) {
-        if now < self.due {
+    fn after_turn(
+        &mut self,
+        now: f64,
+        membership: &mut Membership,
+        sharing: &mut BudgetSharing,
+        quota: &QuotaFraction,
+    ) {
+        if now < self.next_reading {
             return;
         }
-        self.due = now + READ;
-        let (before, at) = (cpu(), clock());
+        self.next_reading = now + READING_INTERVAL;
+        let (before, at) = (thread_cpu_seconds(), clock());
         let mut reading = lock(&self.reading);
-        (reading.at, reading.control, reading.likely) = (at, before - self.own, quota.likely_gateways);
-        reading.tally = *membership.counters_mut();
+        (reading.at, reading.control_cpu, reading.likely_gateways) =
+            (at, before - self.own_cpu, quota.likely_gateways);
+        reading.counters = *membership.counters_mut();
         if reading.thread.is_none() {
             reading.thread = std::fs::read_link("/proc/thread-self").ok();
         }
-        let budgets = sharing.view(now).0.into_iter().map(|b| (b.name, (b.quota, b.allowed)));
-        if let Some(low) = self.lows.see(at, quota.fraction, budgets.collect()) {
-            if reading.lows.len() == KEPT {
-                reading.lows.pop_front();
+        let budgets =
+            sharing.view(now).0.into_iter().map(|budget| (budget.name, (budget.quota, budget.allowed)));
+        if let Some(minimum) = self.minimums.record(at, quota.fraction, budgets.collect()) {
+            if reading.minimums.len() == MAX_MINIMUMS {
+                reading.minimums.pop_front();
             }
-            reading.lows.push_back(low);
+            reading.minimums.push_back(minimum);
         }
         drop(reading);
-        self.own += cpu() - before;
+        self.own_cpu += thread_cpu_seconds() - before;
     }
 
     fn killed(&self) -> bool {
@@ -177,39 +190,39 @@
 }
 
 /// What is done when the desk has taken all changes up to a number.
-pub type Hear = Box<dyn FnMut(u64) + Send>;
+pub type AppliedCallback = Box<dyn FnMut(u64) + Send>;
 
 /// Looks on at the thread that follows changes.
-struct Watch {
-    hear: Hear,
-    following: Arc<Mutex<Following>>,
+struct FollowerMonitor {
+    on_applied: AppliedCallback,
+    following: Arc<Mutex<FollowerReading>>,
     killed: Arc<AtomicBool>,
-    due: f64,
-    own: f64,
+    next_reading: f64,
+    own_cpu: f64,
 }
 
-impl changing::Onlooker for Watch {
+impl config_follower::FollowerObserver for FollowerMonitor {
     fn applied(&mut self, number: u64) {
-        let before = cpu();
-        (self.hear)(number);
-        self.own += cpu() - before;
+        let before = thread_cpu_seconds();
+        (self.on_applied)(number);
+        self.own_cpu += thread_cpu_seconds() - before;
     }
 
-    fn turn(&mut self, follower: &Follower) {
+    fn after_turn(&mut self, follower: &Follower) {
         let at = clock();
-        if at < self.due {
+        if at < self.next_reading {
             return;
         }
-        self.due = at + READ;
-        let before = cpu();
+        self.next_reading = at + READING_INTERVAL;
+        let before = thread_cpu_seconds();
         let mut following = lock(&self.following);
-        (following.at, following.cpu) = (at, before - self.own);
+        (following.at, following.cpu_seconds) = (at, before - self.own_cpu);
         (following.number, following.digest) = (follower.state().head(), follower.state().digest());
         if following.thread.is_none() {
             following.thread = std::fs::read_link("/proc/thread-self").ok();
         }
         drop(following);
-        self.own += cpu() - before;
+        self.own_cpu += thread_cpu_seconds() - before;
     }
 
     fn killed(&self) -> bool {
@@ -222,60 +235,78 @@
 }
 
 /// A hollow gateway that runs.
-pub struct Hollow {
+pub struct HollowGateway {
     office: Arc<Office>,
     /// Where it hears other gateways, and changes.
     pub link: Option<SocketAddr>,
     pub feed: Option<SocketAddr>,
     threads: Vec<JoinHandle<()>>,
     reading: Arc<Mutex<Reading>>,
-    following: Arc<Mutex<Following>>,
+    following: Arc<Mutex<FollowerReading>>,
     killed: Arc<AtomicBool>,
-    /// Nanoseconds of processor time that [`list`](Self::list) and [`turn`](Self::turn) took.
+    /// Nanoseconds of processor time that [`update_endpoints`](Self::update_endpoints) and [`tick`](Self::tick) took.
     desk: AtomicU64,
 }
 
-impl Hollow {
+impl HollowGateway {
     /// Begins with a worker list, as `serve` does before its first call: with a link where the charter has
     /// peers, and a follower where it has changes.
-    pub fn begin(house: GatewayConfig, list: &[Entry], heed: Heed, hear: Hear) -> io::Result<Self> {
-        let link = house.membership.as_ref().map(|stated| Link::open(stated, None)).transpose()?;
-        let feed = house.config_log.as_ref().map(Feed::open).transpose()?;
+    pub fn start(
+        house: GatewayConfig,
+        entries: &[Entry],
+        on_membership_event: MembershipCallback,
+        on_applied: AppliedCallback,
+    ) -> io::Result<Self> {
+        let link = house.membership.as_ref().map(|stated| MembershipLink::open(stated, None)).transpose()?;
+        let feed = house.config_log.as_ref().map(ConfigFeed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
         let mut hollow = Self {
             office: Office::new(house),
-            link: link.as_ref().map(Link::address).transpose()?,
-            feed: feed.as_ref().map(Feed::address).transpose()?,
+            link: link.as_ref().map(MembershipLink::address).transpose()?,
+            feed: feed.as_ref().map(ConfigFeed::address).transpose()?,
             threads: Vec::new(),
             reading: Arc::new(Mutex::new(Reading { at: clock(), ..Reading::default() })),
-            following: Arc::new(Mutex::new(Following { at: clock(), ..Following::default() })),
+            following: Arc::new(Mutex::new(FollowerReading { at: clock(), ..FollowerReading::default() })),
             killed: killed.clone(),
             desk: AtomicU64::new(0),
         };
-        hollow.list(true, list);
+        hollow.update_endpoints(true, entries);
         if let Some(feed) = feed {
             let following = hollow.following.clone();
-            let watch = Watch { hear, following, killed: killed.clone(), due: f64::NEG_INFINITY, own: 0.0 };
-            let watch: Box<dyn changing::Onlooker> = Box::new(watch);
-            hollow.threads.push(changing::start_watched(hollow.office.clone(), feed, Some(watch))?);
+            let monitor = FollowerMonitor {
+                on_applied,
+                following,
+                killed: killed.clone(),
+                next_reading: f64::NEG_INFINITY,
+                own_cpu: 0.0,
+            };
+            let monitor: Box<dyn config_follower::FollowerObserver> = Box::new(monitor);
+            hollow.threads.push(config_follower::start_observed(hollow.office.clone(), feed, Some(monitor))?);
         }
         if let Some(link) = link {
             let reading = hollow.reading.clone();
-            let (due, lows) = (f64::NEG_INFINITY, Lows::default());
-            let look: Box<dyn Onlooker> = Box::new(Look { heed, reading, killed, due, lows, own: 0.0 });
-            hollow.threads.push(peering::start_watched(hollow.office.clone(), link, Some(look))?);
+            let (next_reading, minimums) = (f64::NEG_INFINITY, MinimumTracker::default());
+            let monitor: Box<dyn MembershipObserver> = Box::new(MembershipMonitor {
+                on_membership_event,
+                reading,
+                killed,
+                next_reading,
+                minimums,
+                own_cpu: 0.0,
+            });
+            hollow.threads.push(membership_link::start_observed(hollow.office.clone(), link, Some(monitor))?);
         }
         Ok(hollow)
     }
 
     /// One edition of the worker list.
-    pub fn list(&self, whole: bool, entries: &[Entry]) -> f64 {
-        self.within(|office| office.list(None, whole, entries))
+    pub fn update_endpoints(&self, whole: bool, entries: &[Entry]) -> f64 {
+        self.timed(|office| office.list(None, whole, entries))
     }
 
     /// Does what is due at the desk. To be called often, as the keeper of `serve` does.
-    pub fn turn(&self) {
-        self.within(|office| {
+    pub fn tick(&self) {
+        self.timed(|office| {
             if office.overdue(0.0) {
                 office.tell(None, |desk, now| desk.advance(now));
             }
@@ -283,10 +314,10 @@
     }
 
     /// Does something inside the desk; gives the processor time that it took.
-    fn within(&self, what: impl FnOnce(&Office)) -> f64 {
-        let before = cpu();
-        what(&self.office);
-        let took = (cpu() - before).max(0.0);
+    fn timed(&self, work: impl FnOnce(&Office)) -> f64 {
+        let before = thread_cpu_seconds();
+        work(&self.office);
+        let took = (thread_cpu_seconds() - before).max(0.0);
         self.desk.fetch_add((took * 1e9) as u64, Ordering::Relaxed);
         took
     }
@@ -295,26 +326,26 @@
     /// is read by the system's word.
     pub fn reading(&self) -> Reading {
         /// Seconds past which a reading is of another time.
-        const OLD: f64 = 1.0;
+        const MAX_AGE_SECONDS: f64 = 1.0;
         let mut reading = lock(&self.reading);
-        let lows = std::mem::take(&mut reading.lows);
-        let mut reading = Reading { lows, ..reading.clone() };
+        let minimums = std::mem::take(&mut reading.minimums);
+        let mut reading = Reading { minimums, ..reading.clone() };
         reading.desk = self.desk.load(Ordering::Relaxed) as f64 / 1e9;
         let now = clock();
         if self.link.is_none() {
             // No link, and no thread of it: that costs nothing.
             reading.at = now;
-        } else if now - reading.at > OLD
-            && let Some(used) = reading.thread.as_deref().and_then(used)
+        } else if now - reading.at > MAX_AGE_SECONDS
+            && let Some(used) = reading.thread.as_deref().and_then(cpu_seconds_of)
         {
-            (reading.at, reading.control) = (now, used);
+            (reading.at, reading.control_cpu) = (now, used);
         }
         if self.feed.is_some() {
             let mut following = lock(&self.following).clone();
-            if now - following.at > OLD
-                && let Some(used) = following.thread.as_deref().and_then(used)
+            if now - following.at > MAX_AGE_SECONDS
+                && let Some(used) = following.thread.as_deref().and_then(cpu_seconds_of)
             {
-                (following.at, following.cpu) = (now, used);
+                (following.at, following.cpu_seconds) = (now, used);
             }
             reading.changes = Some(following);
         }
@@ -322,25 +353,25 @@
     }
 
     /// Whether its control threads still run.
-    pub fn runs(&self) -> bool {
-        self.threads.iter().all(|t| !t.is_finished())
+    pub fn is_running(&self) -> bool {
+        self.threads.iter().all(|thread| !thread.is_finished())
     }
 
     /// Begins its end: with a word to the others, or without as a process that is killed. Dropped, it is
     /// waited for.
-    pub fn end(&self, killed: bool) {
+    pub fn stop(&self, killed: bool) {
         self.killed.store(killed, Ordering::Release);
         self.office.stopping.store(true, Ordering::Release);
     }
 }
 
 /// Seconds of processor time of another thread.
-fn used(thread: &Path) -> Option<f64> {
+fn cpu_seconds_of(thread: &Path) -> Option<f64> {
     let text = std::fs::read_to_string(Path::new("/proc").join(thread).join("schedstat")).ok()?;
     text.split_whitespace().next()?.parse::<f64>().ok().map(|ns| ns / 1e9)
 }
 
-impl Drop for Hollow {
+impl Drop for HollowGateway {
     fn drop(&mut self) {
         self.office.stopping.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -2,13 +2,13 @@
 //! watches the cores. It carries no calls; for a core that stands still it gives the answers that fall due.
 
 use crate::answer::{Own, answer_of};
-use crate::changing::{self, Feed};
+use crate::config_follower::{self, ConfigFeed};
 use crate::core;
 use crate::errands;
 use crate::io_fault::{AcceptFault, Backoff};
 use crate::line::{Line, has_unread};
+use crate::membership_link::{self, MembershipLink};
 use crate::office::{Errand, Office, Stir, Ticket};
-use crate::peering::{self, Link};
 use crate::shell::{Gateway, PULSE};
 use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_dispatcher::dispatcher::{AttemptResult, Counters};
@@ -56,8 +56,8 @@
 /// What a gateway has beside its clients and workers: a link to the other gateways, and a feed of changes.
 #[derive(Default)]
 pub struct Links {
-    pub peers: Option<Link>,
-    pub changes: Option<Feed>,
+    pub peers: Option<MembershipLink>,
+    pub changes: Option<ConfigFeed>,
 }
 
 /// As [`serve`], with links to others, and with mischief for tests and days: what comes on the channel
@@ -72,14 +72,14 @@
     let keeper = Rc::new(Keeper::new(house));
     let office = keeper.office.clone();
     tracing::info!(cores = office.cores(), "serving");
-    let changing = links.changes.and_then(|feed| match changing::start(office.clone(), feed) {
+    let changing = links.changes.and_then(|feed| match config_follower::start(office.clone(), feed) {
         Ok(thread) => Some(thread),
         Err(e) => {
             tracing::error!("changes can't be followed, the charter's figures hold: {e}");
             None
         }
     });
-    let peering = links.peers.and_then(|link| match peering::start(office.clone(), link) {
+    let peering = links.peers.and_then(|link| match membership_link::start(office.clone(), link) {
         Ok(thread) => Some(thread),
         Err(e) => {
             tracing::error!("the link to the other gateways can't start, this one shares nothing: {e}");
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,11 +6,12 @@
 //! down `serve.rs` shows the whole way of a request on its core: accept, decode, dispatch, attempt, answer.
 
 pub mod control_client;
-pub mod hollow;
+pub mod hollow_gateway;
 pub mod wall_clock;
 
 mod answer;
-mod changing;
+pub mod budget_sharing;
+mod config_follower;
 mod core;
 mod errands;
 mod follow;
@@ -20,19 +21,20 @@
 mod io_fault;
 mod keeper;
 mod line;
+mod membership_link;
 mod office;
 mod paced;
-mod peering;
 mod pool;
 mod serve;
-pub mod sharing;
 mod shell;
 mod shot;
-mod telling;
+mod status_pages;
 
-pub use changing::{Feed, Followed, control_key};
+pub use config_follower::{ConfigFeed, ConfigStatus, read_control_key};
 pub use inbox::tenfold;
 pub use keeper::{Links, listen, serve, serve_stirred};
+pub use membership_link::{
+    InjectedFault, MembershipLink, MembershipStatus, query_membership, read_fleet_key,
+};
 pub use office::Stir;
-pub use peering::{Link, Plant, Told, ask, key_of};
-pub use telling::{Telling, cpu};
+pub use status_pages::{StatusPages, thread_cpu_seconds};
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -2,9 +2,9 @@
 //! desk through the office alone, and no call ever waits for it. What is told to the desk ends by itself: whoever acts
 //! looks at the time at that moment.
 
+use crate::budget_sharing::BudgetSharing;
 use crate::inbox::{Inbox, tenfold};
 use crate::office::Office;
-use crate::sharing::Sharing;
 use milletpath_config::{GatewayConfig, MembershipConfig as MembershipSettings};
 use milletpath_dispatcher::dispatcher::QuotaFraction as DispatcherQuota;
 use milletpath_membership::datagram::{self, Datagram, Identity, Key, MAX_DATAGRAM_BYTES, Page, kind};
@@ -22,44 +22,45 @@
 
 /// A fault of the program that tests ask for, to see that it is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// Budgets that bound harm take the likeliest count.
     LikelyCount,
 }
 
 /// A link that is open and not yet read.
-pub struct Link {
+pub struct MembershipLink {
     socket: UdpSocket,
     key: Key,
-    plant: Option<Plant>,
+    injected_fault: Option<InjectedFault>,
 }
 
 /// The key of a fleet, from the file that the charter names.
-pub fn key_of(path: &Path) -> io::Result<Key> {
-    secret_of(path).map(|secret| Key::new(&secret))
+pub fn read_fleet_key(path: &Path) -> io::Result<Key> {
+    read_secret(path).map(|secret| Key::new(&secret))
 }
 
 /// What is read from the file of a key.
-pub fn secret_of(path: &Path) -> io::Result<Vec<u8>> {
+pub fn read_secret(path: &Path) -> io::Result<Vec<u8>> {
     /// Bytes below which a secret can be guessed.
-    const LEAST: usize = 32;
+    const MIN_SECRET_BYTES: usize = 32;
     let name = path.display();
     let secret = std::fs::read(path).map_err(|e| io::Error::new(e.kind(), format!("{name}: {e}")))?;
     let secret = secret.trim_ascii();
-    if secret.len() < LEAST {
-        let wrong = format!("{name} has {} bytes; a key has {LEAST} or more", secret.len());
+    if secret.len() < MIN_SECRET_BYTES {
+        let wrong = format!("{name} has {} bytes; a key has {MIN_SECRET_BYTES} or more", secret.len());
         return Err(io::Error::new(ErrorKind::InvalidData, wrong));
     }
     Ok(secret.to_vec())
 }
 
-impl Link {
+impl MembershipLink {
     /// Opens the socket that the charter states, and reads the key.
-    pub fn open(stated: &MembershipSettings, plant: Option<Plant>) -> io::Result<Self> {
-        let key = key_of(&stated.key_file)?;
-        let socket = UdpSocket::bind(stated.listen)
-            .map_err(|e| io::Error::new(e.kind(), format!("{} can't be listened on: {e}", stated.listen)))?;
-        Ok(Self { socket, key, plant })
+    pub fn open(settings: &MembershipSettings, injected_fault: Option<InjectedFault>) -> io::Result<Self> {
+        let key = read_fleet_key(&settings.key_file)?;
+        let socket = UdpSocket::bind(settings.listen).map_err(|e| {
+            io::Error::new(e.kind(), format!("{} can't be listened on: {e}", settings.listen))
+        })?;
+        Ok(Self { socket, key, injected_fault })
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
@@ -68,53 +69,59 @@
 }
 
 /// Looks on while a link runs, in its own thread.
-pub(crate) trait Onlooker: Send {
+pub(crate) trait MembershipObserver: Send {
     /// Takes an event in place of the log.
     fn event(&mut self, event: MembershipEvent);
     /// Once in each turn of the thread, after all that was due.
-    fn turn(&mut self, now: f64, membership: &mut Membership, sharing: &mut Sharing, quota: &QuotaFraction);
+    fn after_turn(
+        &mut self,
+        now: f64,
+        membership: &mut Membership,
+        sharing: &mut BudgetSharing,
+        quota: &QuotaFraction,
+    );
     /// Whether the link is to end as if its process had been killed, without a word to the others.
     fn killed(&self) -> bool;
 }
 
 /// Starts the thread of a link.
-pub fn start(office: Arc<Office>, link: Link) -> io::Result<JoinHandle<()>> {
-    start_watched(office, link, None)
+pub fn start(office: Arc<Office>, link: MembershipLink) -> io::Result<JoinHandle<()>> {
+    start_observed(office, link, None)
 }
 
 /// As [`start`], with somebody who looks on.
-pub(crate) fn start_watched(
+pub(crate) fn start_observed(
     office: Arc<Office>,
-    link: Link,
-    onlooker: Option<Box<dyn Onlooker>>,
+    link: MembershipLink,
+    observer: Option<Box<dyn MembershipObserver>>,
 ) -> io::Result<JoinHandle<()>> {
-    let Some(stated) = office.house.membership.clone() else {
+    let Some(settings) = office.house.membership.clone() else {
         return Err(io::Error::other("the charter has no peers"));
     };
-    let at = if stated.advertise.port() == 0 { link.address()? } else { stated.advertise };
-    let identity = identity(&office.house, &stated, at);
+    let address = if settings.advertise.port() == 0 { link.address()? } else { settings.advertise };
+    let identity = identity(&office.house, &settings, address);
     let (instance_id, now) = (identity.instance_id, office.now());
-    let sharing = Sharing::new(&office.house, instance_id, stated.lease, now);
+    let sharing = BudgetSharing::new(&office.house, instance_id, settings.lease, now);
     let membership =
-        Membership::new(identity, config(&office.house, &stated), stated.seeds, instance_id, now);
-    let mut running = Running {
+        Membership::new(identity, config(&office.house, &settings), settings.seeds, instance_id, now);
+    let mut thread = LinkThread {
         membership,
         sharing,
         office,
         link,
-        told: None,
-        shared: f64::NEG_INFINITY,
-        asks: 0,
-        onlooker,
+        published: None,
+        budgets_updated_at: f64::NEG_INFINITY,
+        queries_answered: 0,
+        observer,
     };
     // Before the first call is taken: what a former process of this name may have lent is not used.
-    running.tell();
-    std::thread::Builder::new().name("peers".into()).spawn(move || running.run())
+    thread.publish_quota();
+    std::thread::Builder::new().name("peers".into()).spawn(move || thread.run())
 }
 
 /// What a gateway tells an operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
+pub struct MembershipStatus {
     #[serde(flatten)]
     pub view: MembershipView,
     /// Budgets that it shares with the others, the most moved first.
@@ -122,80 +129,80 @@
     pub sharing: Counters,
 }
 
-fn identity(house: &GatewayConfig, stated: &MembershipSettings, at: SocketAddr) -> Identity {
+fn identity(house: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
     // Drawn anew by each process from the system's chance, also where the charter fixes the seed of its decisions.
     let instance_id = RandomState::new().hash_one(std::process::id()).max(1);
     Identity {
         instance_id,
-        name: stated.name.clone(),
-        address: at,
+        name: settings.name.clone(),
+        address,
         incarnation: 0,
         max_gateways: house.policy.routers as u32,
     }
 }
 
-fn config(house: &GatewayConfig, stated: &MembershipSettings) -> MembershipConfig {
+fn config(house: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
     // Quotas are counted by the second, orders within their window.
     let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
     MembershipConfig {
-        period: stated.period,
-        lease: stated.lease,
-        floor: stated.floor,
+        period: settings.period,
+        lease: settings.lease,
+        floor: settings.floor,
         budget_window: window,
     }
 }
 
-struct Running {
+struct LinkThread {
     membership: Membership,
-    sharing: Sharing,
+    sharing: BudgetSharing,
     office: Arc<Office>,
-    link: Link,
+    link: MembershipLink,
     /// What the desk was told last, and when.
-    told: Option<(f64, DispatcherQuota)>,
+    published: Option<(f64, DispatcherQuota)>,
     /// When what is shared was last looked after.
-    shared: f64,
+    budgets_updated_at: f64,
     /// Questions of operators answered in this second.
-    asks: u32,
-    onlooker: Option<Box<dyn Onlooker>>,
+    queries_answered: u32,
+    observer: Option<Box<dyn MembershipObserver>>,
 }
 
-impl Running {
+impl LinkThread {
     fn run(mut self) {
         let mut inbox = Inbox::new(MAX_DATAGRAM_BYTES);
-        let mut second = 0.0;
+        let mut second_began = 0.0;
         while !self.office.stopping.load(Ordering::Acquire) {
             let now = self.office.now();
-            if now >= second + 1.0 {
-                (second, self.asks) = (now, 0);
+            if now >= second_began + 1.0 {
+                (second_began, self.queries_answered) = (now, 0);
             }
-            let due_in = self.membership.next_deadline().min(self.sharing.next()) - now;
+            let due_in = self.membership.next_deadline().min(self.sharing.next_deadline()) - now;
             if let Some((sealed, from)) =
                 inbox.next(&self.link.socket, due_in, "letters of other gateways can't be read")
             {
-                self.take(sealed, from);
+                self.receive(sealed, from);
             }
             let now = self.office.now();
             if inbox.turns(now, self.membership.next_deadline()) {
                 self.membership.tick(now);
             }
-            let quota = self.tell();
-            self.post();
-            self.log();
-            if let Some(onlooker) = &mut self.onlooker {
-                onlooker.turn(self.office.now(), &mut self.membership, &mut self.sharing, &quota);
+            let quota = self.publish_quota();
+            self.send_outgoing();
+            self.log_events();
+            if let Some(observer) = &mut self.observer {
+                observer.after_turn(self.office.now(), &mut self.membership, &mut self.sharing, &quota);
             }
         }
-        if self.onlooker.as_ref().is_some_and(|o| o.killed()) {
+        if self.observer.as_ref().is_some_and(|observer| observer.killed()) {
             return;
         }
         self.membership.announce_departure(self.office.now());
-        self.tell();
-        self.post();
+        self.publish_quota();
+        self.send_outgoing();
     }
 
-    fn take(&mut self, sealed: &[u8], from: SocketAddr) {
+    fn receive(&mut self, sealed: &[u8], from: SocketAddr) {
         match datagram::open(&self.link.key, sealed) {
-            Ok(datagram) if datagram.kind == kind::STATUS_QUERY => self.answer(&datagram, from),
+            Ok(datagram) if datagram.kind == kind::STATUS_QUERY => self.answer_query(&datagram, from),
             Ok(datagram) => self.membership.receive(self.office.now(), datagram),
             Err(why) => {
                 let counters = self.membership.counters_mut();
@@ -209,30 +216,30 @@
     }
 
     /// Tells an operator what is known here.
-    fn answer(&mut self, ask: &Datagram, from: SocketAddr) {
+    fn answer_query(&mut self, query: &Datagram, from: SocketAddr) {
         /// Questions answered a second: an old one played again is no lever.
-        const ASKS: u32 = 10;
-        self.asks += 1;
-        if self.asks > ASKS {
+        const MAX_QUERIES_PER_SECOND: u32 = 10;
+        self.queries_answered += 1;
+        if self.queries_answered > MAX_QUERIES_PER_SECOND {
             return;
         }
         let now = self.office.now();
         let (budgets, sharing) = self.sharing.view(now);
-        let told = Told { view: self.membership.view(now), budgets, sharing };
-        let Ok(text) = serde_json::to_vec(&told) else { return };
-        let chunks: Vec<_> = text.chunks(PAGE).collect();
+        let status = MembershipStatus { view: self.membership.view(now), budgets, sharing };
+        let Ok(text) = serde_json::to_vec(&status) else { return };
+        let chunks: Vec<_> = text.chunks(PAGE_BYTES).collect();
         for (number, chunk) in chunks.iter().enumerate() {
-            let mut told = Datagram::new(ask.sender.clone(), 0, kind::STATUS_REPLY, ask.request_id);
-            told.page =
+            let mut reply = Datagram::new(query.sender.clone(), 0, kind::STATUS_REPLY, query.request_id);
+            reply.page =
                 Some(Page { index: number as u16, total: chunks.len() as u16, bytes: chunk.to_vec() });
-            if let Ok(sealed) = datagram::seal(&self.link.key, &told) {
+            if let Ok(sealed) = datagram::seal(&self.link.key, &reply) {
                 let _ = self.link.socket.send_to(&sealed, from);
             }
         }
     }
 
-    fn post(&mut self) {
-        while let Some((instance_id, payload)) = self.sharing.out() {
+    fn send_outgoing(&mut self) {
+        while let Some((instance_id, payload)) = self.sharing.next_message() {
             self.membership.send_payload(instance_id, payload);
         }
         while let Some(sent) = self.membership.next_outgoing() {
@@ -250,62 +257,71 @@
     }
 
     /// Tells the desk where it changes something, or before what it was told ends; gives what is one's own.
-    fn tell(&mut self) -> QuotaFraction {
+    fn publish_quota(&mut self) -> QuotaFraction {
         /// Seconds after which it is told anew that all is as it was.
-        const AGAIN: f64 = 0.2;
+        const REPUBLISH_SECONDS: f64 = 0.2;
         let now = self.office.now();
         let quota = self.membership.quota_fraction(now);
-        let mut share = DispatcherQuota {
+        let mut dispatcher_quota = DispatcherQuota {
             likely_gateways: quota.likely_gateways,
             fraction: quota.fraction,
             fraction_after_expiry: quota.floor,
             valid_until: quota.valid_until,
         };
-        if self.link.plant == Some(Plant::LikelyCount) {
-            let part = self.office.house.policy.routers as f64 / quota.likely_gateways;
-            share = DispatcherQuota {
+        if self.link.injected_fault == Some(InjectedFault::LikelyCount) {
+            let fraction = self.office.house.policy.routers as f64 / quota.likely_gateways;
+            dispatcher_quota = DispatcherQuota {
                 likely_gateways: quota.likely_gateways,
-                fraction: part,
-                fraction_after_expiry: part,
+                fraction,
+                fraction_after_expiry: fraction,
                 valid_until: f64::INFINITY,
             };
         }
-        let same = |(at, told): (f64, DispatcherQuota)| {
-            (told.likely_gateways, told.fraction, told.fraction_after_expiry)
-                == (share.likely_gateways, share.fraction, share.fraction_after_expiry)
-                && (told.valid_until == share.valid_until
-                    || now - at < AGAIN && told.valid_until <= share.valid_until)
+        let unchanged = |(published_at, published): (f64, DispatcherQuota)| {
+            (published.likely_gateways, published.fraction, published.fraction_after_expiry)
+                == (
+                    dispatcher_quota.likely_gateways,
+                    dispatcher_quota.fraction,
+                    dispatcher_quota.fraction_after_expiry,
+                )
+                && (published.valid_until == dispatcher_quota.valid_until
+                    || now - published_at < REPUBLISH_SECONDS
+                        && published.valid_until <= dispatcher_quota.valid_until)
         };
-        if !self.told.is_some_and(same) {
-            self.told = Some((now, share));
-            self.office.tell(None, |desk, _| desk.set_quota_fraction(share));
+        if !self.published.is_some_and(unchanged) {
+            self.published = Some((now, dispatcher_quota));
+            self.office.tell(None, |desk, _| desk.set_quota_fraction(dispatcher_quota));
         }
-        self.share(quota);
+        self.update_budgets(quota);
         quota
     }
 
     /// Takes what others say of budgets, and does what is due there; all of it inside the desk.
-    fn share(&mut self, quota: QuotaFraction) {
+    fn update_budgets(&mut self, quota: QuotaFraction) {
         /// Seconds between two looks at what is wanted and lacked: asked for as soon as it is seen.
-        const METERS: f64 = 0.04;
+        const UPDATE_SECONDS: f64 = 0.04;
         let others = self.membership.fresh_instances();
         let payloads: Vec<_> = std::iter::from_fn(|| self.membership.next_payload()).collect();
         let now = self.office.now();
-        if payloads.is_empty() && now < self.sharing.next().min(self.shared + METERS) {
+        if payloads.is_empty()
+            && now < self.sharing.next_deadline().min(self.budgets_updated_at + UPDATE_SECONDS)
+        {
             return;
         }
-        self.shared = now;
+        self.budgets_updated_at = now;
         let sharing = &mut self.sharing;
         self.office.tell(None, |desk, now| {
-            payloads.iter().for_each(|received| sharing.heard(desk, now, received.sender, &received.payload));
-            sharing.turn(desk, now, &quota, others);
+            payloads
+                .iter()
+                .for_each(|received| sharing.receive(desk, now, received.sender, &received.payload));
+            sharing.tick(desk, now, &quota, others);
         });
     }
 
-    fn log(&mut self) {
+    fn log_events(&mut self) {
         for event in self.membership.take_events() {
-            if let Some(onlooker) = &mut self.onlooker {
-                onlooker.event(event);
+            if let Some(observer) = &mut self.observer {
+                observer.event(event);
                 continue;
             }
             match event {
@@ -337,16 +353,16 @@
 }
 
 /// Bytes of text in one page of an answer.
-const PAGE: usize = 1100;
+const PAGE_BYTES: usize = 1100;
 
 /// Asks the gateway of a charter what it knows of the others. Waits for some seconds at most.
-pub fn ask(house: &GatewayConfig) -> io::Result<Told> {
+pub fn query_membership(house: &GatewayConfig) -> io::Result<MembershipStatus> {
     /// Times that it is asked, and seconds for each.
-    const TRIES: u64 = 4;
-    const WAIT: Duration = Duration::from_secs(1);
-    let Some(stated) = &house.membership else { return Err(io::Error::other("the charter has no peers")) };
-    let key = key_of(&stated.key_file)?;
-    let mut to = stated.listen;
+    const ATTEMPTS: u64 = 4;
+    const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
+    let Some(settings) = &house.membership else { return Err(io::Error::other("the charter has no peers")) };
+    let key = read_fleet_key(&settings.key_file)?;
+    let mut to = settings.listen;
     if to.port() == 0 {
         return Err(io::Error::other("listen of peers has port 0: nobody can tell where it is; give it one"));
     }
@@ -358,18 +374,18 @@
     let identity =
         Identity { instance_id: 0, name: "operator".into(), address: any, incarnation: 0, max_gateways: 0 };
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-    for number in 1..=TRIES {
-        let ask = Datagram::new(identity.clone(), 0, kind::STATUS_QUERY, number);
-        let sealed = datagram::seal(&key, &ask).map_err(io::Error::other)?;
+    for request_id in 1..=ATTEMPTS {
+        let query = Datagram::new(identity.clone(), 0, kind::STATUS_QUERY, request_id);
+        let sealed = datagram::seal(&key, &query).map_err(io::Error::other)?;
         socket.send_to(&sealed, to)?;
-        let end = Instant::now() + WAIT;
+        let end = Instant::now() + ATTEMPT_TIMEOUT;
         let mut pages: Vec<Option<Vec<u8>>> = Vec::new();
         while let Some(left) = end.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) {
             socket.set_read_timeout(Some(left))?;
             let Ok((size, _)) = socket.recv_from(&mut buffer) else { break };
             let Ok(reply) = datagram::open(&key, &buffer[..size]) else { continue };
             let Some(page) =
-                reply.page.filter(|_| reply.kind == kind::STATUS_REPLY && reply.request_id == number)
+                reply.page.filter(|_| reply.kind == kind::STATUS_REPLY && reply.request_id == request_id)
             else {
                 continue;
             };
--- a/crates/gateway/src/telling.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -7,46 +7,46 @@
 use std::net::SocketAddr;
 
 /// Bytes of text in a page.
-const PAGE: usize = 1100;
+const PAGE_BYTES: usize = 1100;
 
 /// Answers that are kept until all of their pages were asked for.
-const KEPT: usize = 4;
+const MAX_ANSWERS: usize = 4;
 
 /// Answers to operators, by whom and what they asked with.
 #[derive(Default)]
-pub struct Telling {
-    kept: VecDeque<(SocketAddr, u64, Vec<u8>)>,
+pub struct StatusPages {
+    answers: VecDeque<(SocketAddr, u64, Vec<u8>)>,
 }
 
-impl Telling {
+impl StatusPages {
     /// A page of the answer to one question; `text` makes it when its first page is asked for.
     pub fn page(
         &mut self,
         from: SocketAddr,
-        ask: u64,
+        request_id: u64,
         page: u32,
         text: impl FnOnce() -> Option<Vec<u8>>,
     ) -> Option<Message> {
-        let place = self.kept.iter().position(|(who, known, _)| (*who, *known) == (from, ask));
-        let place = match place {
-            Some(place) => place,
+        let index = self.answers.iter().position(|(sender, id, _)| (*sender, *id) == (from, request_id));
+        let index = match index {
+            Some(index) => index,
             None => {
                 let text = text()?;
-                self.kept.truncate(KEPT - 1);
-                self.kept.push_front((from, ask, text));
+                self.answers.truncate(MAX_ANSWERS - 1);
+                self.answers.push_front((from, request_id, text));
                 0
             }
         };
-        let pages = self.kept[place].2.chunks(PAGE);
-        let of = pages.len() as u32;
+        let pages = self.answers[index].2.chunks(PAGE_BYTES);
+        let total = pages.len() as u32;
         let bytes = { pages }.nth(page as usize)?.to_vec();
-        Some(Message::StatusPage { ask, page, of, bytes })
+        Some(Message::StatusPage { ask: request_id, page, of: total, bytes })
     }
 }
 
 /// Seconds of a processor that the calling thread took.
 #[expect(clippy::disallowed_methods, reason = "the thread's own clock, which no step moves")]
-pub fn cpu() -> f64 {
+pub fn thread_cpu_seconds() -> f64 {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
-        .map_or(0.0, |t| t.tv_sec() as f64 + t.tv_nsec() as f64 * 1e-9)
+        .map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 * 1e-9)
 }
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -4,7 +4,7 @@
 use crate::changes::{Known, State};
 use milletpath_config::{GatewayConfig, Subject};
 use milletpath_config_log::{Change, Outcome};
-use milletpath_gateway::control_client::{Client, Told, chance};
+use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
 use std::path::Path;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -137,10 +137,10 @@
         return Ok(before.number);
     }
     let (key, text) = (wanted.key.clone(), wanted.text.clone());
-    let change = Change { id: chance(), key, text, replaces: before.number };
+    let change = Change { id: random_id(), key, text, replaces: before.number };
     match client.propose(&change, before.from) {
-        Told::Outcome(Outcome::Committed(number)) => Ok(number),
-        Told::Outcome(Outcome::Superseded(number)) => {
+        ProposalOutcome::Decided(Outcome::Committed(number)) => Ok(number),
+        ProposalOutcome::Decided(Outcome::Superseded(number)) => {
             // Of two askings for one proposal the later can find the earlier in force.
             match client.get(&wanted.key) {
                 Some(now) if now.text == wanted.text => Ok(now.number),
@@ -149,26 +149,26 @@
                 )),
             }
         }
-        Told::Denied(why) => {
+        ProposalOutcome::Denied(why) => {
             let (within, why) = located(&why);
             let wrong = format!("the control machine refuses it: {why}");
             Err(Failed { wrong, input: Some(within) })
         }
-        Told::Outcome(Outcome::TooLarge | Outcome::NoKey) => {
+        ProposalOutcome::Decided(Outcome::TooLarge | Outcome::NoKey) => {
             Err(Failed { wrong: "it is larger than a change may be".into(), input: Some((1, 1)) })
         }
-        Told::Outcome(Outcome::Full) => {
+        ProposalOutcome::Decided(Outcome::Full) => {
             failed("there is no room for more statements; take back some that are not needed".into())
         }
-        Told::Outcome(Outcome::Busy) => {
+        ProposalOutcome::Decided(Outcome::Busy) => {
             failed("too many changes wait: it was not proposed; run this again".into())
         }
-        Told::Outcome(Outcome::Unknown) => failed(
+        ProposalOutcome::Decided(Outcome::Unknown) => failed(
             "no majority of the control machines answered in time: it is not known whether it will come into force; \
              see milletpath changes, and run this again: it is never applied twice"
                 .into(),
         ),
-        Told::Silence => failed(
+        ProposalOutcome::Unanswered => failed(
             "the control machines fell silent: it is not known whether it will come into force; see milletpath changes, \
              and run this again: it is never applied twice"
                 .into(),
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -2,7 +2,7 @@
 
 use crate::control::ControlStatus;
 use milletpath_config::ConfigLogConfig;
-use milletpath_gateway::Followed;
+use milletpath_gateway::ConfigStatus;
 use milletpath_gateway::control_client::Client;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 
 impl Known {
     pub fn ask(client: &Client) -> Self {
-        let told: Vec<Option<ControlStatus>> = client.machines();
+        let told: Vec<Option<ControlStatus>> = client.control_status();
         let views = || told.iter().flatten().map(|told| &told.view);
         let latest = views().max_by_key(|view| view.number);
         let (head, digest) = latest.map_or((0, 0), |view| (view.number, view.digest));
@@ -209,8 +209,8 @@
     if at.ip().is_unspecified() {
         at.set_ip(if at.is_ipv4() { IpAddr::from(Ipv4Addr::LOCALHOST) } else { Ipv6Addr::LOCALHOST.into() });
     }
-    let text = client.told(&[at]).into_iter().flatten().next();
-    let told = text.as_ref().and_then(|text| serde_json::from_slice::<Followed>(text).ok());
+    let text = client.status_texts(&[at]).into_iter().flatten().next();
+    let told = text.as_ref().and_then(|text| serde_json::from_slice::<ConfigStatus>(text).ok());
     let (Some(text), Some(told)) = (text, told) else {
         eprintln!(
             "{}: the gateway does not answer on {at}: is it running, with this key?",
@@ -243,7 +243,7 @@
     println!(
         "gathered anew {} times; state kept {} times, not kept {}; not taken: {} of another key or changed, {} others; \
          processor {:.3} s",
-        view.anew, told.kept, told.not_kept, told.seals, told.unread, told.cpu
+        view.anew, told.saves, told.failed_saves, told.rejected_seal, told.rejected_other, told.cpu_seconds
     );
     ExitCode::SUCCESS
 }
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -34,7 +34,7 @@
         return ExitCode::from(2);
     };
     let file = charter.with_file_name(format!("control-{number}.log"));
-    let key = match milletpath_gateway::control_key(&stated.key_file) {
+    let key = match milletpath_gateway::read_control_key(&stated.key_file) {
         Ok(key) => key,
         Err(e) => return failed(&format!("key of changes: {e}")),
     };
@@ -50,7 +50,7 @@
         Ok(stored) => stored,
         Err(code) => return code,
     };
-    let (began, seed) = (Instant::now(), milletpath_gateway::control_client::chance());
+    let (began, seed) = (Instant::now(), milletpath_gateway::control_client::random_id());
     let control = stated.control.clone();
     let replica = DurableReplica::new(stored, RewritePolicy::default(), 0.0, |records| {
         Replica::new(number, control, Terms::default(), seed, 0.0, records)
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -5,7 +5,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
 use milletpath_config_log::{DurableReplica, StorageEvent};
-use milletpath_gateway::{Telling, cpu, tenfold};
+use milletpath_gateway::{StatusPages, tenfold, thread_cpu_seconds};
 use milletpath_storage::DiskFolder;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     socket: Arc<UdpSocket>,
     key: Key,
     began: Instant,
-    telling: Telling,
+    status_pages: StatusPages,
     /// Datagrams that were not taken.
     refused: u64,
     /// Why the log can't be written, since it failed last.
@@ -45,7 +45,7 @@
             socket,
             key,
             began,
-            telling: Telling::default(),
+            status_pages: StatusPages::default(),
             refused: 0,
             log_error: None,
             look: 0.0,
@@ -107,8 +107,15 @@
     fn answer(&mut self, ask: u64, page: u32, from: SocketAddr) {
         let (up, log, log_error) = (self.now(), self.replica.log_size(), self.log_error.clone());
         let replica = self.replica.replica_mut();
-        let told = self.telling.page(from, ask, page, || {
-            serde_json::to_vec(&ControlStatus { view: replica.view(up), up, cpu: cpu(), log, log_error }).ok()
+        let told = self.status_pages.page(from, ask, page, || {
+            serde_json::to_vec(&ControlStatus {
+                view: replica.view(up),
+                up,
+                cpu: thread_cpu_seconds(),
+                log,
+                log_error,
+            })
+            .ok()
         });
         if let Some(told) = told {
             self.send(from, &told);
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -201,7 +201,7 @@
     // Beside the charter, wherever the program was started.
     if let (Some(peers), Some(folder)) = (&mut house.membership, path.parent()) {
         peers.key_file = folder.join(&peers.key_file);
-        milletpath_gateway::key_of(&peers.key_file).map_err(|e| {
+        milletpath_gateway::read_fleet_key(&peers.key_file).map_err(|e| {
             eprintln!("{}: key of peers: {e}; make one of chance, alike for all gateways", path.display());
             ExitCode::from(2)
         })?;
@@ -209,7 +209,7 @@
     if let (Some(changes), Some(folder)) = (&mut house.config_log, path.parent()) {
         changes.key_file = folder.join(&changes.key_file);
         changes.state_file = folder.join(&changes.state_file);
-        milletpath_gateway::control_key(&changes.key_file).map_err(|e| {
+        milletpath_gateway::read_control_key(&changes.key_file).map_err(|e| {
             eprintln!(
                 "{}: key of changes: {e}; make one of chance, alike for control machines, gateways and authors",
                 path.display()
--- a/crates/milletpath/src/peers.rs
+++ b/crates/milletpath/src/peers.rs
@@ -1,6 +1,6 @@
 //! `milletpath peers`: what a gateway knows of the others, for operators in trouble.
 
-use milletpath_gateway::Told;
+use milletpath_gateway::MembershipStatus;
 use milletpath_membership::Reachability;
 use std::path::Path;
 use std::process::ExitCode;
@@ -14,16 +14,16 @@
         eprintln!("{}: has no peers; add peers {{ ... }} to the charter", charter.display());
         return ExitCode::from(2);
     }
-    match milletpath_gateway::ask(&house) {
-        Ok(told) if json => match serde_json::to_string(&told) {
+    match milletpath_gateway::query_membership(&house) {
+        Ok(status) if json => match serde_json::to_string(&status) {
             Ok(text) => {
                 println!("{text}");
                 ExitCode::SUCCESS
             }
             Err(_) => ExitCode::FAILURE,
         },
-        Ok(told) => {
-            print(&told);
+        Ok(status) => {
+            print(&status);
             ExitCode::SUCCESS
         }
         Err(e) => {
@@ -33,8 +33,8 @@
     }
 }
 
-fn print(told: &Told) {
-    let view = &told.view;
+fn print(status: &MembershipStatus) {
+    let view = &status.view;
     let reachability = match view.reachability {
         Reachability::Majority => "hears a majority",
         Reachability::Minority => "hears some, no majority",
@@ -60,19 +60,19 @@
             m.name, m.incarnation, m.address
         );
     }
-    if !told.budgets.is_empty() {
+    if !status.budgets.is_empty() {
         println!(
             "{:<32} {:>10} {:>10} {:>10} {:>10} {:>10}",
             "budget", "its part", "allowed", "needed", "lent", "borrowed"
         );
     }
-    for b in &told.budgets {
+    for b in &status.budgets {
         println!(
             "{:<32} {:>10.3} {:>10.3} {:>10.3} {:>10.3} {:>10.3}",
             b.name, b.quota, b.allowed, b.demand, b.granted, b.held
         );
     }
-    let s = &told.sharing;
+    let s = &status.sharing;
     println!(
         "notes on budgets: {} sent, {} held back for want of bytes, {} unreadable; asks {}, grants {}",
         s.messages, s.suppressed, s.unreadable, s.requests, s.grants
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -1,7 +1,7 @@
 //! `milletpath serve`.
 
 use milletpath_config::GatewayConfig;
-use milletpath_gateway::{Feed, Link, Links, Plant, Stir};
+use milletpath_gateway::{ConfigFeed, InjectedFault, Links, MembershipLink, Stir};
 use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
 use std::io::Write;
 use std::path::Path;
@@ -18,7 +18,7 @@
 pub fn serve(charter: Option<&Path>, how: &How) -> ExitCode {
     let plant = match how.plant.as_deref() {
         None => None,
-        Some("likely-count") => Some(Plant::LikelyCount),
+        Some("likely-count") => Some(InjectedFault::LikelyCount),
         Some(other) => {
             eprintln!("no fault is called {other}; known: likely-count");
             return ExitCode::from(2);
@@ -43,7 +43,7 @@
     })
 }
 
-async fn run(house: GatewayConfig, inside: bool, stir: bool, plant: Option<Plant>) -> ExitCode {
+async fn run(house: GatewayConfig, inside: bool, stir: bool, plant: Option<InjectedFault>) -> ExitCode {
     let mut bound = milletpath_gateway::listen(house.listen);
     if bound.is_err() && inside {
         // The built-in charter's port is taken: any other will do.
@@ -56,7 +56,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let link = match house.membership.as_ref().map(|peers| Link::open(peers, plant)).transpose() {
+    let link = match house.membership.as_ref().map(|peers| MembershipLink::open(peers, plant)).transpose() {
         Ok(link) => link,
         Err(e) => {
             eprintln!("the link to the other gateways can't be opened: {e}; change peers in the charter");
@@ -67,7 +67,7 @@
         tracing::info!(%address, "hears other gateways");
         say(&format!("peers on udp://{address}"));
     }
-    let feed = match house.config_log.as_ref().map(Feed::open).transpose() {
+    let feed = match house.config_log.as_ref().map(ConfigFeed::open).transpose() {
         Ok(feed) => feed,
         Err(e) => {
             eprintln!("changes can't be heard: {e}; change changes in the charter");
--- a/crates/milletpath/tests/changes.rs
+++ b/crates/milletpath/tests/changes.rs
@@ -458,7 +458,7 @@
 #[test]
 fn changes_json_keeps_its_fields() {
     let here = include_str!("fixtures/status/here.json");
-    let status: milletpath_gateway::Followed = serde_json::from_str(here).expect("the fixture is read");
+    let status: milletpath_gateway::ConfigStatus = serde_json::from_str(here).expect("the fixture is read");
     assert_eq!(serde_json::to_string(&status).unwrap(), here);
     let changes = include_str!("fixtures/status/changes.json");
     let parsed = |text| field_paths(&serde_json::from_str(text).expect("JSON"));
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -220,7 +220,8 @@
 #[test]
 fn peers_json_keeps_its_fields() {
     let fixture = include_str!("fixtures/status/peers.json");
-    let status: milletpath_gateway::Told = serde_json::from_str(fixture).expect("the fixture is read");
+    let status: milletpath_gateway::MembershipStatus =
+        serde_json::from_str(fixture).expect("the fixture is read");
     assert_eq!(serde_json::to_string(&status).unwrap(), fixture);
     let fixture = serde_json::from_str(fixture).unwrap();
     let fleet = Fleet::together(2);
--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -4,7 +4,7 @@
 use crate::book::Says;
 use crate::charter;
 use crate::wire::{Low, Order, Told};
-use milletpath_gateway::hollow::clock;
+use milletpath_gateway::hollow_gateway::clock;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::fs::File;
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -6,9 +6,9 @@
 use crate::children::Heard;
 use crate::wire::Places;
 use milletpath_config_log::{Change, Outcome, ReplicaView};
-use milletpath_gateway::Followed;
-use milletpath_gateway::control_client::{Client, Told, chance};
-use milletpath_gateway::hollow::clock;
+use milletpath_gateway::ConfigStatus;
+use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
+use milletpath_gateway::hollow_gateway::clock;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -106,7 +106,7 @@
 
 /// What control machines tell, asked where they are; none for one that does not answer.
 pub fn views(places: &Places, at: &[SocketAddr]) -> io::Result<Vec<Option<ReplicaView>>> {
-    if at.is_empty() { Ok(Vec::new()) } else { Ok(client(places, at)?.machines()) }
+    if at.is_empty() { Ok(Vec::new()) } else { Ok(client(places, at)?.control_status()) }
 }
 
 /// Number and digest of what is in force at real gateways, asked where they hear changes.
@@ -114,9 +114,9 @@
     if at.is_empty() {
         return Ok(Vec::new());
     }
-    let told = client(places, &places.control)?.told(at).into_iter();
+    let told = client(places, &places.control)?.status_texts(at).into_iter();
     let read = |text: Option<Vec<u8>>| {
-        let followed: Followed = serde_json::from_slice(&text?).ok()?;
+        let followed: ConfigStatus = serde_json::from_slice(&text?).ok()?;
         Some((followed.view.number, followed.view.digest))
     };
     Ok(told.map(read).collect())
@@ -162,18 +162,19 @@
             return (clock(), Err("no control machine answers".into()));
         };
         std::thread::sleep(Duration::from_secs_f64((due - clock()).max(0.0)));
-        let change = Change { id: chance(), key: key.clone(), text: text.clone(), replaces: before.number };
+        let change =
+            Change { id: random_id(), key: key.clone(), text: text.clone(), replaces: before.number };
         let at = clock();
         let outcome = match self.client.propose(&change, before.from) {
-            Told::Outcome(Outcome::Committed(number)) => Ok(number),
+            ProposalOutcome::Decided(Outcome::Committed(number)) => Ok(number),
             // Of two askings for one proposal the later can find the earlier in force.
-            Told::Outcome(Outcome::Superseded(by)) => match self.client.get(&key) {
+            ProposalOutcome::Decided(Outcome::Superseded(by)) => match self.client.get(&key) {
                 Some(now) if now.text == text => Ok(now.number),
                 _ => Err(format!("superseded by number {by}")),
             },
-            Told::Outcome(other) => Err(format!("{other:?}")),
-            Told::Denied(why) => Err(format!("refused: {why}")),
-            Told::Silence => Err("the control machines fell silent".into()),
+            ProposalOutcome::Decided(other) => Err(format!("{other:?}")),
+            ProposalOutcome::Denied(why) => Err(format!("refused: {why}")),
+            ProposalOutcome::Unanswered => Err("the control machines fell silent".into()),
         };
         (at, outcome)
     }
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::plan::{Core, Plan};
 use crate::relay::{Relay, Ways};
 use crate::wire::{Low, Order, Places, Reading, Told};
-use milletpath_gateway::hollow::{Lows, clock};
+use milletpath_gateway::hollow_gateway::{MinimumTracker, clock};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
 use std::io;
@@ -243,16 +243,16 @@
         std::thread::Builder::new().name("ask".into()).spawn(move || {
             /// Seconds between two questions.
             const EACH: f64 = 0.25;
-            let mut lows = Lows::default();
+            let mut lows = MinimumTracker::default();
             while asking.load(Ordering::Acquire) {
                 std::thread::sleep(Duration::from_secs_f64(EACH));
                 if !there() {
                     return;
                 }
-                let Ok(told) = milletpath_gateway::ask(&house) else { continue };
+                let Ok(told) = milletpath_gateway::query_membership(&house) else { continue };
                 let budgets = told.budgets.into_iter().map(|b| (b.name, (b.quota, b.allowed))).collect();
-                if let Some(low) = lows.see(clock(), told.view.fraction, budgets) {
-                    let low = Low { second: low.second, part: low.part, budgets: low.budgets };
+                if let Some(low) = lows.record(clock(), told.view.fraction, budgets) {
+                    let low = Low { second: low.second, part: low.fraction, budgets: low.budgets };
                     let _ = tell.send(Heard::RealLow { gateway, low });
                 }
             }
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -6,7 +6,7 @@
 use crate::plan::{self, Core, Plan};
 use crate::wire::{Change, Event, Following, Low, Order, Places, Reading, Told};
 use milletpath_config::{GatewayConfig, WorkerSource};
-use milletpath_gateway::hollow::{Hear, Heed, Hollow, clock};
+use milletpath_gateway::hollow_gateway::{AppliedCallback, HollowGateway, MembershipCallback, clock};
 use milletpath_membership::MembershipEvent;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 /// Shared by the thread that takes orders, the one that keeps time, and the gateways' own.
 #[derive(Default)]
 struct Place {
-    gateways: Mutex<BTreeMap<usize, Hollow>>,
+    gateways: Mutex<BTreeMap<usize, HollowGateway>>,
     events: Arc<Mutex<Vec<Event>>>,
     changes: Arc<Mutex<Vec<Change>>>,
     /// What is told, line by line. Who holds it passes on events before anything that comes after them.
@@ -53,7 +53,7 @@
     let done = take_orders(&place, input);
     place.stop.store(true, Ordering::Release);
     let mut gateways = lock(&place.gateways);
-    gateways.values().for_each(|g| g.end(true));
+    gateways.values().for_each(|g| g.stop(true));
     gateways.clear();
     drop(gateways);
     let _ = keeper.join();
@@ -64,7 +64,7 @@
 fn keep(place: &Place) {
     while !place.stop.load(Ordering::Acquire) {
         std::thread::sleep(Duration::from_secs_f64(PULSE));
-        lock(&place.gateways).values().for_each(Hollow::turn);
+        lock(&place.gateways).values().for_each(HollowGateway::tick);
         let out = lock(&place.out);
         // Nobody listens any more: the input ends as well.
         let _ = pass_on(place);
@@ -139,14 +139,14 @@
             said
         }
         Order::AttemptResult { gateways, killed } => {
-            let mut ended: Vec<(usize, Hollow)> = Vec::new();
+            let mut ended: Vec<(usize, HollowGateway)> = Vec::new();
             {
                 let mut there = lock(&place.gateways);
                 ended.extend(gateways.iter().filter_map(|g| Some((*g, there.remove(g)?))));
             }
             // All of them at once; then each is waited for.
             let at = clock();
-            ended.iter().for_each(|(_, hollow)| hollow.end(killed));
+            ended.iter().for_each(|(_, hollow)| hollow.stop(killed));
             for (gateway, hollow) in ended {
                 drop(hollow);
                 let out = lock(&place.out);
@@ -165,7 +165,7 @@
             }
             let entries: Vec<Entry> =
                 known.iter().map(|w| charter::worker(plan, *w, generation, state)).collect();
-            let took = |hollow: &Hollow| hollow.list(false, &entries);
+            let took = |hollow: &HollowGateway| hollow.update_endpoints(false, &entries);
             let slowest = lock(&place.gateways).values().map(took).fold(0.0, f64::max);
             let out = lock(&place.out);
             let said = say(&Told::Listed { workers: entries.len(), slowest });
@@ -175,7 +175,8 @@
         Order::Read { number } => {
             let gateways = lock(&place.gateways);
             let readings = gateways.iter().map(|(gateway, hollow)| reading(*gateway, hollow)).collect();
-            let broke: Vec<usize> = gateways.iter().filter(|(_, h)| !h.runs()).map(|(g, _)| *g).collect();
+            let broke: Vec<usize> =
+                gateways.iter().filter(|(_, h)| !h.is_running()).map(|(g, _)| *g).collect();
             drop(gateways);
             let out = lock(&place.out);
             for gateway in broke {
@@ -188,11 +189,11 @@
     }
 }
 
-fn begin(place: &Place, setting: &Setting, gateway: usize) -> io::Result<Hollow> {
+fn begin(place: &Place, setting: &Setting, gateway: usize) -> io::Result<HollowGateway> {
     let Setting { plan, places, workers } = setting;
     let house = house(plan, gateway, places)?;
     let (events, me) = (place.events.clone(), gateway as u32);
-    let heed: Heed = Box::new(move |event| {
+    let on_event: MembershipCallback = Box::new(move |event| {
         let (name, says) = match &event {
             MembershipEvent::Joined { name, .. } | MembershipEvent::Returned { name } => (name, Says::Here),
             MembershipEvent::Suspected { name } => (name, Says::Doubted),
@@ -205,13 +206,13 @@
         }
     });
     let (changes, me) = (place.changes.clone(), gateway as u32);
-    let hear: Hear = Box::new(move |number| {
+    let on_applied: AppliedCallback = Box::new(move |number| {
         let mut changes = lock(&changes);
         if changes.len() < EVENTS {
             changes.push((me, number, clock()));
         }
     });
-    Hollow::begin(house, &workers.entries(plan), heed, hear)
+    HollowGateway::start(house, &workers.entries(plan), on_event, on_applied)
 }
 
 /// What a hollow gateway goes by: the charter of a real one, read by the same reader, with its workers handed
@@ -225,17 +226,18 @@
     Ok(house)
 }
 
-fn reading(gateway: usize, hollow: &Hollow) -> Reading {
+fn reading(gateway: usize, hollow: &HollowGateway) -> Reading {
     let reading = hollow.reading();
-    let low = |low: milletpath_gateway::hollow::Low| Low {
+    let low = |low: milletpath_gateway::hollow_gateway::SecondMinimum| Low {
         second: low.second,
-        part: low.part,
+        part: low.fraction,
         budgets: low.budgets,
     };
-    let lows = reading.lows.into_iter().map(low).collect();
-    let (at, control, desk, likely) = (reading.at, reading.control, reading.desk, reading.likely);
+    let lows = reading.minimums.into_iter().map(low).collect();
+    let (at, control, desk, likely) =
+        (reading.at, reading.control_cpu, reading.desk, reading.likely_gateways);
     let changes = reading.changes.map(|c| {
-        let (at, cpu, number, digest) = (c.at, c.cpu, c.number, c.digest);
+        let (at, cpu, number, digest) = (c.at, c.cpu_seconds, c.number, c.digest);
         Following { at, cpu, number, digest }
     });
     Reading { gateway, at, control, desk, likely, lows, changes }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -9,7 +9,7 @@
 use crate::report::{Findings, Played, Report, Settled, State};
 use crate::standins::{Calls, StandIns};
 use crate::wire::Reading;
-use milletpath_gateway::hollow::clock;
+use milletpath_gateway::hollow_gateway::clock;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use std::io::{self, IsTerminal, Write};
--- a/crates/scale-test/src/run/changes.rs
+++ b/crates/scale-test/src/run/changes.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Over;
 use crate::plan::{Core, Play, What};
 use crate::report::{Played, State};
-use milletpath_gateway::hollow::clock;
+use milletpath_gateway::hollow_gateway::clock;
 
 impl Playing {
     /// Has authors propose the changes of a play.
--- a/crates/scale-test/src/run/measuring.rs
+++ b/crates/scale-test/src/run/measuring.rs
@@ -6,7 +6,7 @@
 use crate::relay::Passed;
 use crate::report::{Cost, Played};
 use crate::wire::Reading;
-use milletpath_gateway::hollow::clock;
+use milletpath_gateway::hollow_gateway::clock;
 use std::collections::BTreeMap;
 
 impl Playing {
--- a/crates/scale-test/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -1,6 +1,6 @@
 //! Sums of budgets over gateways: what counts as used together, and when that is more than there is.
 
-use milletpath_gateway::hollow::Lows;
+use milletpath_gateway::hollow_gateway::MinimumTracker;
 use milletpath_scale_test::budgets::Sums;
 use milletpath_scale_test::wire::Low;
 use std::collections::BTreeMap;
@@ -63,32 +63,32 @@
 
 #[test]
 fn of_a_second_the_lowest_counts() {
-    let mut lows = Lows::default();
+    let mut lows = MinimumTracker::default();
     for (at, part, allowed) in [(5.1, 1.0, 20.0), (5.4, 0.5, 30.0), (5.8, 1.0, 25.0)] {
-        assert_eq!(lows.see(at, part, budgets(allowed)), None);
+        assert_eq!(lows.record(at, part, budgets(allowed)), None);
     }
-    let low = lows.see(6.1, 1.0, budgets(99.0)).expect("a second");
-    assert_eq!((low.second, low.part, low.budgets["orders"]), (5, 0.5, (20.0, 20.0)));
+    let low = lows.record(6.1, 1.0, budgets(99.0)).expect("a second");
+    assert_eq!((low.second, low.fraction, low.budgets["orders"]), (5, 0.5, (20.0, 20.0)));
 }
 
 /// A lender may have been without what it lent just when nobody looked.
 #[test]
 fn a_second_with_gaps_is_left_out() {
-    let mut lows = Lows::default();
+    let mut lows = MinimumTracker::default();
     for at in [5.1, 5.2, 5.9] {
-        lows.see(at, 1.0, budgets(20.0));
+        lows.record(at, 1.0, budgets(20.0));
     }
-    assert_eq!(lows.see(6.1, 1.0, budgets(20.0)), None);
+    assert_eq!(lows.record(6.1, 1.0, budgets(20.0)), None);
     // Nor the next, of which there is one reading.
-    assert_eq!(lows.see(7.1, 1.0, budgets(20.0)), None);
+    assert_eq!(lows.record(7.1, 1.0, budgets(20.0)), None);
 }
 
 #[test]
 fn a_budget_that_was_not_open_all_the_while_counts_as_none() {
-    let mut lows = Lows::default();
-    lows.see(5.1, 1.0, BTreeMap::new());
-    lows.see(5.4, 1.0, budgets(20.0));
-    lows.see(5.7, 1.0, budgets(20.0));
-    let low = lows.see(6.0, 1.0, budgets(20.0)).expect("a second");
+    let mut lows = MinimumTracker::default();
+    lows.record(5.1, 1.0, BTreeMap::new());
+    lows.record(5.4, 1.0, budgets(20.0));
+    lows.record(5.7, 1.0, budgets(20.0));
+    let low = lows.record(6.0, 1.0, budgets(20.0)).expect("a second");
     assert!(low.budgets.is_empty());
 }
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -3,13 +3,13 @@
 
 use crate::town::{Next, Town, WAY};
 use milletpath_config::GatewayConfig;
-use milletpath_gateway::sharing::Sharing;
+use milletpath_gateway::budget_sharing::BudgetSharing;
 use milletpath_membership::QuotaFraction;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 pub(crate) struct Links {
-    sharing: Vec<Sharing>,
+    sharing: Vec<BudgetSharing>,
     /// When each is to be looked after next.
     armed: Vec<f64>,
     /// Part of the notes that is lost.
@@ -27,7 +27,8 @@
     pub fn new(houses: &[GatewayConfig], seed: u64) -> Self {
         /// Seconds for which words count as proof: the usual.
         const LEASE: f64 = 3.0;
-        let sharing = houses.iter().enumerate().map(|(n, house)| Sharing::new(house, life(n), LEASE, 0.0));
+        let sharing =
+            houses.iter().enumerate().map(|(n, house)| BudgetSharing::new(house, life(n), LEASE, 0.0));
         let chance = ChaCha8Rng::seed_from_u64(seed ^ 0x11_4b5);
         Self { sharing: sharing.collect(), armed: vec![0.0; houses.len()], lost: 0.0, sent: 0.0, chance }
     }
@@ -49,7 +50,7 @@
         let Some(mut links) = self.links.take() else { return };
         if links.armed[gateway] <= self.now {
             links.armed[gateway] = f64::INFINITY;
-            self.at_desk(gateway, |desk, now| links.sharing[gateway].turn(desk, now, &parts, others));
+            self.at_desk(gateway, |desk, now| links.sharing[gateway].tick(desk, now, &parts, others));
             self.post(gateway, &mut links);
         }
         self.links = Some(links);
@@ -57,7 +58,7 @@
 
     pub(crate) fn noted(&mut self, gateway: usize, life: u64, note: &[u8]) {
         let Some(mut links) = self.links.take() else { return };
-        self.at_desk(gateway, |desk, now| links.sharing[gateway].heard(desk, now, life, note));
+        self.at_desk(gateway, |desk, now| links.sharing[gateway].receive(desk, now, life, note));
         self.post(gateway, &mut links);
         self.links = Some(links);
     }
@@ -67,13 +68,13 @@
         /// Bytes of a letter around its note; seconds between two looks at most.
         const AROUND: f64 = 120.0;
         const LOOK: f64 = 0.05;
-        while let Some((to, note)) = links.sharing[gateway].out() {
+        while let Some((to, note)) = links.sharing[gateway].next_message() {
             links.sent += AROUND + note.len() as f64;
             if !links.chance.random_bool(links.lost) {
                 self.put(self.now + WAY, Next::Note(to as usize - 1, life(gateway), note));
             }
         }
-        let next = links.sharing[gateway].next().clamp(self.now + 0.001, self.now + LOOK);
+        let next = links.sharing[gateway].next_deadline().clamp(self.now + 0.001, self.now + LOOK);
         if next < links.armed[gateway] {
             links.armed[gateway] = next;
             self.put(next, Next::QuotaFraction(gateway));
