--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -4,20 +4,23 @@
 //! after a restart, whoever is silent.
 
 mod state_file;
+mod status_log;
 
 use crate::inbox::{Inbox, tenfold};
+use crate::key_file::read_control_key;
 use crate::office::Office;
-use crate::status_pages::{StatusPages, thread_cpu_seconds};
+use crate::process_clocks::thread_cpu_seconds;
+use crate::status_pages::StatusPages;
 use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
 use milletpath_config_log::{Entry, Follower, FollowerView, Terms};
 use milletpath_storage::{DiskFolder, survive_file_size_limit};
 use serde::{Deserialize, Serialize};
 use state_file::{StateFile, StateId};
+use status_log::StatusLog;
 use std::hash::{BuildHasher, RandomState};
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
-use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
@@ -28,11 +31,6 @@
     key: Key,
 }
 
-/// The key of control machines, gateways and authors, from the file that the charter names.
-pub fn read_control_key(path: &Path) -> io::Result<Key> {
-    crate::membership_link::read_secret(path).map(|secret| Key::new(&secret))
-}
-
 impl ConfigFeed {
     /// Opens the socket that the charter states, and reads the key.
     pub fn open(settings: &ConfigLogConfig) -> io::Result<Self> {
@@ -130,23 +128,13 @@
         status_pages: StatusPages::default(),
         rejected_seal: 0,
         rejected_other: 0,
-        logged_counts: (0, 0),
-        freshness: Freshness::Unknown,
-        next_log_check: now,
+        status_log: StatusLog::new(now),
         observer,
     };
     thread.apply_changes();
     std::thread::Builder::new().name("changes".into()).spawn(move || thread.run())
 }
 
-/// Whether the control machines were heard lately, as the log was told last.
-#[derive(Clone, Copy, PartialEq)]
-enum Freshness {
-    Unknown,
-    Confirmed,
-    Stale,
-}
-
 struct FollowerThread {
     follower: Follower,
     office: Arc<Office>,
@@ -155,11 +143,7 @@
     status_pages: StatusPages,
     rejected_seal: u64,
     rejected_other: u64,
-    /// Conflicts and states that were no state of the log, as the log was told last.
-    logged_counts: (u64, u64),
-    freshness: Freshness,
-    /// When it is looked at next what is worth a line in the log.
-    next_log_check: f64,
+    status_log: StatusLog,
     observer: Option<Box<dyn FollowerObserver>>,
 }
 
@@ -178,7 +162,7 @@
             self.apply_changes();
             self.send_outgoing();
             self.state_file.save(state_id(&self.follower), now, || self.follower.save());
-            self.log_changes(now);
+            self.status_log.update(&self.follower, now);
             if let Some(observer) = &mut self.observer {
                 observer.after_turn(&self.follower);
             }
@@ -276,47 +260,6 @@
             let _ = self.feed.socket.send_to(&datagram, from);
         }
     }
-
-    /// Tells the log what an operator should know without asking.
-    fn log_changes(&mut self, now: f64) {
-        /// Seconds between two looks.
-        const INTERVAL_SECONDS: f64 = 1.0;
-        /// Seconds after which what is in force here may not be the latest: several polls, and a change of
-        /// whom it follows.
-        const SILENCE_SECONDS: f64 = 5.0;
-        if now < self.next_log_check {
-            return;
-        }
-        self.next_log_check = now + INTERVAL_SECONDS;
-        let view = self.follower.view(now);
-        let freshness = match view.sure_as_of {
-            Some(age) if age < SILENCE_SECONDS => Freshness::Confirmed,
-            None if now < SILENCE_SECONDS => Freshness::Unknown,
-            _ => Freshness::Stale,
-        };
-        if freshness != self.freshness {
-            let number = view.number;
-            match freshness {
-                Freshness::Confirmed => {
-                    tracing::info!(number, "what is in force here is known to be the latest")
-                }
-                _ => tracing::warn!(
-                    number,
-                    "the control machines are silent, or no majority of them is: what is in force stays"
-                ),
-            }
-            self.freshness = freshness;
-        }
-        let counts = (view.conflicts, view.anew);
-        if counts.0 > self.logged_counts.0 {
-            let conflicts: Vec<_> = view.replicas.iter().map(|r| (r.replica, r.conflicts)).collect();
-            tracing::warn!(?conflicts, "a control machine tells other than the others do, by number");
-        }
-        if counts.1 > self.logged_counts.1 {
-            tracing::warn!("what was in force here was no state of the log; it was gathered anew");
-        }
-        self.logged_counts = counts;
-    }
 }
 
 /// Which state is in force.
--- a/crates/gateway/src/config_follower/state_file.rs
+++ b/crates/gateway/src/config_follower/state_file.rs
@@ -80,7 +80,7 @@
         self.next = now + wait.max(REST_FACTOR * began.elapsed().as_secs_f64());
     }
 
-    /// The name temporary it is this process's own: another process of the same gateway may still write.
+    /// The temporary name is this process's own: another process of the same gateway may still write.
     fn replace(&self, bytes: &[u8]) -> Result<(), ReplaceError> {
         let temporary = format!("{}.{}.new", self.name, std::process::id());
         replace_file(&self.folder, &self.name, &temporary, bytes).map(drop)
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -56,7 +56,7 @@
 
 impl Client {
     pub fn new(settings: &ConfigLogConfig) -> io::Result<Self> {
-        let key = crate::read_control_key(&settings.key_file)?;
+        let key = crate::key_file::read_control_key(&settings.key_file)?;
         let any: IpAddr = match settings.control.first() {
             Some(SocketAddr::V6(_)) => Ipv6Addr::UNSPECIFIED.into(),
             _ => Ipv4Addr::UNSPECIFIED.into(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,21 +20,23 @@
 mod inbox;
 mod io_fault;
 mod keeper;
+mod key_file;
 mod line;
 mod membership_link;
 mod office;
 mod paced;
 mod pool;
+mod process_clocks;
 mod serve;
 mod shell;
 mod shot;
 mod status_pages;
 
-pub use config_follower::{ConfigFeed, ConfigStatus, read_control_key};
+pub use config_follower::{ConfigFeed, ConfigStatus};
 pub use inbox::tenfold;
 pub use keeper::{Links, listen, serve, serve_stirred};
-pub use membership_link::{
-    InjectedFault, MembershipLink, MembershipStatus, query_membership, read_fleet_key,
-};
+pub use key_file::{read_control_key, read_fleet_key};
+pub use membership_link::{InjectedFault, MembershipLink, MembershipStatus, query_membership};
 pub use office::Stir;
-pub use status_pages::{StatusPages, thread_cpu_seconds};
+pub use process_clocks::thread_cpu_seconds;
+pub use status_pages::StatusPages;
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -2,23 +2,26 @@
 //! desk through the office alone, and no call ever waits for it. What is told to the desk ends by itself: whoever acts
 //! looks at the time at that moment.
 
+mod event_log;
+mod status;
+
+pub use status::{MembershipStatus, query_membership};
+
 use crate::budget_sharing::BudgetSharing;
 use crate::inbox::{Inbox, tenfold};
+use crate::key_file::read_fleet_key;
 use crate::office::Office;
+use crate::status_pages::PAGE_BYTES;
 use milletpath_config::{GatewayConfig, MembershipConfig as MembershipSettings};
 use milletpath_dispatcher::dispatcher::QuotaFraction as DispatcherQuota;
 use milletpath_membership::datagram::{self, Datagram, Identity, Key, MAX_DATAGRAM_BYTES, Page, kind};
-use milletpath_membership::{Membership, MembershipConfig, MembershipEvent, MembershipView, QuotaFraction};
-use milletpath_shared_budgets::{BudgetView, Counters};
-use serde::{Deserialize, Serialize};
+use milletpath_membership::{Membership, MembershipConfig, MembershipEvent, QuotaFraction};
 use std::hash::{BuildHasher, RandomState};
-use std::io::{self, ErrorKind};
-use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
-use std::path::Path;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
-use std::time::{Duration, Instant};
 
 /// A fault of the program that tests ask for, to see that it is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,25 +37,6 @@
     injected_fault: Option<InjectedFault>,
 }
 
-/// The key of a fleet, from the file that the charter names.
-pub fn read_fleet_key(path: &Path) -> io::Result<Key> {
-    read_secret(path).map(|secret| Key::new(&secret))
-}
-
-/// What is read from the file of a key.
-pub fn read_secret(path: &Path) -> io::Result<Vec<u8>> {
-    /// Bytes below which a secret can be guessed.
-    const MIN_SECRET_BYTES: usize = 32;
-    let name = path.display();
-    let secret = std::fs::read(path).map_err(|e| io::Error::new(e.kind(), format!("{name}: {e}")))?;
-    let secret = secret.trim_ascii();
-    if secret.len() < MIN_SECRET_BYTES {
-        let wrong = format!("{name} has {} bytes; a key has {MIN_SECRET_BYTES} or more", secret.len());
-        return Err(io::Error::new(ErrorKind::InvalidData, wrong));
-    }
-    Ok(secret.to_vec())
-}
-
 impl MembershipLink {
     /// Opens the socket that the charter states, and reads the key.
     pub fn open(settings: &MembershipSettings, injected_fault: Option<InjectedFault>) -> io::Result<Self> {
@@ -102,8 +86,13 @@
     let identity = identity(&office.house, &settings, address);
     let (instance_id, now) = (identity.instance_id, office.now());
     let sharing = BudgetSharing::new(&office.house, instance_id, settings.lease, now);
-    let membership =
-        Membership::new(identity, config(&office.house, &settings), settings.seeds, instance_id, now);
+    let membership = Membership::new(
+        identity,
+        membership_config(&office.house, &settings),
+        settings.seeds,
+        instance_id,
+        now,
+    );
     let mut thread = LinkThread {
         membership,
         sharing,
@@ -119,16 +108,6 @@
     std::thread::Builder::new().name("peers".into()).spawn(move || thread.run())
 }
 
-/// What a gateway tells an operator.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct MembershipStatus {
-    #[serde(flatten)]
-    pub view: MembershipView,
-    /// Budgets that it shares with the others, the most moved first.
-    pub budgets: Vec<BudgetView>,
-    pub sharing: Counters,
-}
-
 fn identity(house: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
     // Drawn anew by each process from the system's chance, also where the charter fixes the seed of its decisions.
     let instance_id = RandomState::new().hash_one(std::process::id()).max(1);
@@ -141,7 +120,7 @@
     }
 }
 
-fn config(house: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
+fn membership_config(house: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
     // Quotas are counted by the second, orders within their window.
     let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
     MembershipConfig {
@@ -320,85 +299,10 @@
 
     fn log_events(&mut self) {
         for event in self.membership.take_events() {
-            if let Some(observer) = &mut self.observer {
-                observer.event(event);
-                continue;
-            }
-            match event {
-                MembershipEvent::Joined { name, address } => {
-                    tracing::info!(name, at = %address, "a gateway is there")
-                }
-                MembershipEvent::Suspected { name } => tracing::info!(name, "a gateway does not answer"),
-                MembershipEvent::Died { name } => tracing::warn!(name, "a gateway counts as gone"),
-                MembershipEvent::Left { name } => tracing::info!(name, "a gateway has left"),
-                MembershipEvent::Returned { name } => {
-                    tracing::info!(name, "a gateway that counted as gone is there")
-                }
-                MembershipEvent::DuplicateName { name } => tracing::error!(
-                    name,
-                    "two gateways go by one name: give each its own; until then neither has a say in shared budgets"
-                ),
-                MembershipEvent::MaxGatewaysMismatch { name, max_gateways } => tracing::error!(
-                    name,
-                    most = max_gateways,
-                    own = self.office.house.policy.routers,
-                    "another gateway's charter states another number of gateways: make them alike; the larger one holds"
-                ),
-                MembershipEvent::ProcessPaused { seconds } => {
-                    tracing::warn!(seconds, "the link to the other gateways stood still")
-                }
-            }
-        }
-    }
-}
-
-/// Bytes of text in one page of an answer.
-const PAGE_BYTES: usize = 1100;
-
-/// Asks the gateway of a charter what it knows of the others. Waits for some seconds at most.
-pub fn query_membership(house: &GatewayConfig) -> io::Result<MembershipStatus> {
-    /// Times that it is asked, and seconds for each.
-    const ATTEMPTS: u64 = 4;
-    const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
-    let Some(settings) = &house.membership else { return Err(io::Error::other("the charter has no peers")) };
-    let key = read_fleet_key(&settings.key_file)?;
-    let mut to = settings.listen;
-    if to.port() == 0 {
-        return Err(io::Error::other("listen of peers has port 0: nobody can tell where it is; give it one"));
-    }
-    if to.ip().is_unspecified() {
-        to.set_ip(IpAddr::V4(Ipv4Addr::LOCALHOST));
-    }
-    let any: SocketAddr = if to.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" }.parse().expect("an address");
-    let socket = UdpSocket::bind(any)?;
-    let identity =
-        Identity { instance_id: 0, name: "operator".into(), address: any, incarnation: 0, max_gateways: 0 };
-    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-    for request_id in 1..=ATTEMPTS {
-        let query = Datagram::new(identity.clone(), 0, kind::STATUS_QUERY, request_id);
-        let sealed = datagram::seal(&key, &query).map_err(io::Error::other)?;
-        socket.send_to(&sealed, to)?;
-        let end = Instant::now() + ATTEMPT_TIMEOUT;
-        let mut pages: Vec<Option<Vec<u8>>> = Vec::new();
-        while let Some(left) = end.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) {
-            socket.set_read_timeout(Some(left))?;
-            let Ok((size, _)) = socket.recv_from(&mut buffer) else { break };
-            let Ok(reply) = datagram::open(&key, &buffer[..size]) else { continue };
-            let Some(page) =
-                reply.page.filter(|_| reply.kind == kind::STATUS_REPLY && reply.request_id == request_id)
-            else {
-                continue;
-            };
-            pages.resize(usize::from(page.total), None);
-            if let Some(slot) = pages.get_mut(usize::from(page.index)) {
-                *slot = Some(page.bytes);
-            }
-            if pages.iter().all(Option::is_some) {
-                let text: Vec<u8> = pages.into_iter().flatten().flatten().collect();
-                return serde_json::from_slice(&text).map_err(io::Error::other);
+            match &mut self.observer {
+                Some(observer) => observer.event(event),
+                None => event_log::log_event(&event, self.office.house.policy.routers),
             }
         }
     }
-    let wrong = format!("the gateway does not answer on {to}: is it running, with this key?");
-    Err(io::Error::new(ErrorKind::TimedOut, wrong))
 }
--- a/crates/gateway/src/status_pages.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -2,12 +2,11 @@
 //! question are of one moment, and the next question is of another.
 
 use milletpath_config_log::message::Message;
-use nix::time::{ClockId, clock_gettime};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Bytes of text in a page.
-const PAGE_BYTES: usize = 1100;
+/// Bytes of text in a page, which fits into one datagram.
+pub const PAGE_BYTES: usize = 1100;
 
 /// Answers that are kept until all of their pages were asked for.
 const MAX_ANSWERS: usize = 4;
@@ -43,10 +42,3 @@
         Some(Message::StatusPage { ask: request_id, page, of: total, bytes })
     }
 }
-
-/// Seconds of a processor that the calling thread took.
-#[expect(clippy::disallowed_methods, reason = "the thread's own clock, which no step moves")]
-pub fn thread_cpu_seconds() -> f64 {
-    clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
-        .map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 * 1e-9)
-}
