--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -6,7 +6,8 @@
 mod state_file;
 mod status_log;
 
-use crate::inbox::{Inbox, tenfold};
+use crate::control_thread::{self, ControlLoop};
+use crate::inbox::tenfold;
 use crate::key_file::read_control_key;
 use crate::office::Office;
 use crate::process_clocks::thread_cpu_seconds;
@@ -21,8 +22,8 @@
 use std::hash::{BuildHasher, RandomState};
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
+use std::path::Path;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
 
 /// A socket over which changes come, open and not yet read.
@@ -97,32 +98,16 @@
     if let Err(e) = survive_file_size_limit() {
         tracing::warn!("a limit on the size of files will end this process: {e}");
     }
-    let file = settings.state_file.display();
-    let saved = match std::fs::read(&settings.state_file) {
-        Ok(saved) => Some(saved),
-        Err(e) if e.kind() == ErrorKind::NotFound => None,
-        Err(e) => {
-            tracing::error!(%file, "the last known state can't be read: {e}; the charter's figures hold");
-            None
-        }
-    };
-    let (there, now) = (saved.is_some(), office.now());
+    let (saved, now) = (read_saved_state(&settings.state_file), office.now());
+    let was_saved = saved.is_some();
     // Drawn anew by each process from the system's chance: gateways that begin together must not ask in step.
     let seed = RandomState::new().hash_one(std::process::id());
     let follower = Follower::new(settings.name, settings.control, Terms::default(), seed, now, saved);
-    let head = follower.state().head();
-    match (there, head) {
-        (true, 0) => tracing::error!(
-            %file,
-            "the last known state is rotten or empty: the charter's figures hold until the control machines are heard"
-        ),
-        (true, _) => tracing::info!(number = head, "the last known state is in force"),
-        (false, _) => tracing::info!("no state is known yet: the charter's figures hold"),
-    }
+    log_initial_state(&settings.state_file, was_saved, follower.state().head());
     let state_file = StateFile::new(folder, name, state_id(&follower), now);
     let mut thread = FollowerThread {
         follower,
-        office,
+        office: office.clone(),
         feed,
         state_file,
         status_pages: StatusPages::default(),
@@ -132,7 +117,32 @@
         observer,
     };
     thread.apply_changes();
-    std::thread::Builder::new().name("changes".into()).spawn(move || thread.run())
+    control_thread::spawn(thread, office)
+}
+
+/// The last known state as the file holds it; none where there is no file or it can't be read.
+fn read_saved_state(path: &Path) -> Option<Vec<u8>> {
+    match std::fs::read(path) {
+        Ok(saved) => Some(saved),
+        Err(e) if e.kind() == ErrorKind::NotFound => None,
+        Err(e) => {
+            let file = path.display();
+            tracing::error!(%file, "the last known state can't be read: {e}; the charter's figures hold");
+            None
+        }
+    }
+}
+
+fn log_initial_state(path: &Path, was_saved: bool, number: u64) {
+    let file = path.display();
+    match (was_saved, number) {
+        (true, 0) => tracing::error!(
+            %file,
+            "the last known state is rotten or empty: the charter's figures hold until the control machines are heard"
+        ),
+        (true, _) => tracing::info!(number, "the last known state is in force"),
+        (false, _) => tracing::info!("no state is known yet: the charter's figures hold"),
+    }
 }
 
 struct FollowerThread {
@@ -147,38 +157,21 @@
     observer: Option<Box<dyn FollowerObserver>>,
 }
 
-impl FollowerThread {
-    fn run(mut self) {
-        let mut inbox = Inbox::new(LARGEST);
-        while !self.office.stopping.load(Ordering::Acquire) {
-            let due_in = self.follower.next() - self.office.now();
-            if let Some((datagram, from)) = inbox.next(&self.feed.socket, due_in, "changes can't be heard") {
-                self.receive(datagram, from);
-            }
-            let now = self.office.now();
-            if inbox.turns(now, self.follower.next()) {
-                self.follower.turn(now);
-            }
-            self.apply_changes();
-            self.send_outgoing();
-            self.state_file.save(state_id(&self.follower), now, || self.follower.save());
-            self.status_log.update(&self.follower, now);
-            if let Some(observer) = &mut self.observer {
-                observer.after_turn(&self.follower);
-            }
-        }
-        if self.observer.as_ref().is_some_and(|observer| observer.killed()) {
-            return;
-        }
-        self.state_file.save_last(state_id(&self.follower), self.office.now(), || self.follower.save());
-        let ConfigStatus { cpu_seconds, saves, failed_saves, view, .. } = self.view();
-        tracing::info!(
-            number = view.number,
-            cpu_seconds,
-            saves,
-            failed_saves,
-            "changes are followed no more"
-        );
+impl ControlLoop for FollowerThread {
+    const THREAD_NAME: &'static str = "changes";
+    const MAX_DATAGRAM_BYTES: usize = LARGEST;
+    const READ_FAILED: &'static str = "changes can't be heard";
+
+    fn socket(&self) -> &UdpSocket {
+        &self.feed.socket
+    }
+
+    fn wait_until(&self) -> f64 {
+        self.follower.next()
+    }
+
+    fn next_tick(&self) -> f64 {
+        self.follower.next()
     }
 
     fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
@@ -197,6 +190,38 @@
         }
     }
 
+    fn tick(&mut self, now: f64) {
+        self.follower.turn(now);
+    }
+
+    fn act(&mut self, now: f64) {
+        self.apply_changes();
+        self.send_outgoing();
+        self.state_file.save(state_id(&self.follower), now, || self.follower.save());
+        self.status_log.update(&self.follower, now);
+        if let Some(observer) = &mut self.observer {
+            observer.after_turn(&self.follower);
+        }
+    }
+
+    fn is_killed(&self) -> bool {
+        self.observer.as_ref().is_some_and(|observer| observer.killed())
+    }
+
+    fn finish(mut self) {
+        self.state_file.save_last(state_id(&self.follower), self.office.now(), || self.follower.save());
+        let ConfigStatus { cpu_seconds, saves, failed_saves, view, .. } = self.view();
+        tracing::info!(
+            number = view.number,
+            cpu_seconds,
+            saves,
+            failed_saves,
+            "changes are followed no more"
+        );
+    }
+}
+
+impl FollowerThread {
     /// Passes what is new on to the desk, each batch at once. What this gateway's charter can't take is told
     /// to the control machines; what was in force under its key stays.
     fn apply_changes(&mut self) {
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -2,6 +2,7 @@
 //! each sent resend_at until it is answered or its time is over. Nobody is believed for being quick: of several
 //! answers the one counts that knows of the latest entry.
 
+use crate::status_pages::PageCollector;
 use milletpath_config::ConfigLogConfig;
 use milletpath_config_log::message::{self, Key, LARGEST, Message};
 use milletpath_config_log::{Change, Outcome};
@@ -153,51 +154,35 @@
     /// The texts that those tell of themselves; none for one that doesn't answer.
     pub fn status_texts(&self, targets: &[SocketAddr]) -> Vec<Option<Vec<u8>>> {
         let request_id = random_id();
-        let mut pages: Vec<Vec<Option<Vec<u8>>>> = vec![vec![None]; targets.len()];
-        let is_complete = |pages: &[Option<Vec<u8>>]| pages.iter().all(Option::is_some);
+        let mut pages = vec![PageCollector::default(); targets.len()];
         let (mut end, mut resend_at) = (Instant::now() + REQUEST_TIMEOUT, Instant::now());
-        let mut first = true;
-        while Instant::now() < end && !pages.iter().all(|p| is_complete(p)) {
+        let mut is_first = true;
+        while Instant::now() < end && !pages.iter().all(PageCollector::is_complete) {
             if Instant::now() >= resend_at {
                 resend_at = Instant::now() + RESEND_INTERVAL;
                 pages.iter().zip(targets).for_each(|(pages, to)| self.request_pages(*to, request_id, pages));
             }
             let Some((from, message)) = self.receive(resend_at.min(end)) else { continue };
             let Message::StatusPage { ask: about, page, of: total, bytes } = message else { continue };
-            let Some(target) = targets.iter().position(|to| *to == from).filter(|_| about == request_id)
-            else {
-                continue;
-            };
-            /// Far more than a control machine tells of all its gateways.
-            const MAX_PAGES: u32 = 10_000;
-            let before = pages[target].len();
-            pages[target].resize(total.clamp(1, MAX_PAGES) as usize, None);
-            if let Some(slot) = pages[target].get_mut(page as usize) {
-                *slot = Some(bytes);
+            let target = targets.iter().position(|to| *to == from).filter(|_| about == request_id);
+            let Some(pages) = target.and_then(|target| pages.get_mut(target)) else { continue };
+            if pages.insert(page as usize, total as usize, bytes) {
+                self.request_pages(from, request_id, pages);
             }
-            if pages[target].len() > before {
-                self.request_pages(from, request_id, &pages[target]);
-            }
-            if std::mem::take(&mut first) || !is_complete(&pages[target]) {
-                // Whoever answers page by page is waited for; the others had their random_id.
+            if std::mem::take(&mut is_first) || !pages.is_complete() {
+                // Whoever answers page by page is waited for; the others had their chance.
                 end = (Instant::now() + 2 * STRAGGLER_WAIT).max(end.min(Instant::now() + STRAGGLER_WAIT));
             }
         }
-        let text = |pages: Vec<Option<Vec<u8>>>| {
-            let pages: Option<Vec<_>> = pages.into_iter().collect();
-            pages.map(|pages| pages.concat())
-        };
-        pages.into_iter().map(text).collect()
+        pages.into_iter().map(PageCollector::into_text).collect()
     }
 
     /// Asks for the pages that are missing, a few at a time.
-    fn request_pages(&self, to: SocketAddr, request_id: u64, pages: &[Option<Vec<u8>>]) {
+    fn request_pages(&self, to: SocketAddr, request_id: u64, pages: &PageCollector) {
         /// Pages at once: what any socket holds until it is read.
         const MAX_REQUESTS: usize = 64;
-        let missing = (0..).zip(pages).filter(|(_, page)| page.is_none());
-        missing
-            .take(MAX_REQUESTS)
-            .for_each(|(page, _)| self.send(to, &Message::Status { ask: request_id, page }));
+        let missing = pages.missing().take(MAX_REQUESTS);
+        missing.for_each(|page| self.send(to, &Message::Status { ask: request_id, page }));
     }
 
     /// What each control machine knows, in the order of their numbers; none for one that doesn't answer.
--- /dev/null
+++ b/crates/gateway/src/control_thread.rs
@@ -0,0 +1,61 @@
+//! What the control threads (membership link, configuration follower) do alike: each reads datagrams in batches from one
+//! UDP socket, lets time pass for its core once a batch is read, and acts on what follows, until the gateway stops.
+
+use crate::inbox::Inbox;
+use crate::office::Office;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::thread::JoinHandle;
+
+/// A core without I/O together with its socket, as [`spawn`] runs it. All times are seconds on the gateway's clock.
+pub trait ControlLoop: Send + 'static {
+    /// The name of the thread.
+    const THREAD_NAME: &'static str;
+    /// The size of the largest datagram that is valid, in bytes.
+    const MAX_DATAGRAM_BYTES: usize;
+    /// The log line for a socket that can't be read.
+    const READ_FAILED: &'static str;
+
+    /// The socket whose datagrams are received.
+    fn socket(&self) -> &UdpSocket;
+    /// The time up to which the thread may wait for a datagram.
+    fn wait_until(&self) -> f64;
+    /// The time at which [`tick`](Self::tick) is due.
+    fn next_tick(&self) -> f64;
+    /// Handles one datagram as it came, whoever sent it.
+    fn receive(&mut self, datagram: &[u8], from: SocketAddr);
+    /// Lets time pass for the core. All datagrams that came before were received, so that nobody counts as silent because
+    /// this thread was paused.
+    fn tick(&mut self, now: f64);
+    /// Acts on what the core decided: after each datagram, and after each wait without one.
+    fn act(&mut self, now: f64);
+    /// Whether the thread is to end as if its process had been killed, without [`finish`](Self::finish).
+    fn is_killed(&self) -> bool;
+    /// Does what an orderly end owes to others and to the next process.
+    fn finish(self);
+}
+
+/// Starts the thread of a control loop; it ends once `office` is stopping. The caller owns the thread and joins it.
+pub fn spawn<L: ControlLoop>(control_loop: L, office: Arc<Office>) -> io::Result<JoinHandle<()>> {
+    std::thread::Builder::new().name(L::THREAD_NAME.into()).spawn(move || run(control_loop, &office))
+}
+
+fn run<L: ControlLoop>(mut control_loop: L, office: &Office) {
+    let mut inbox = Inbox::new(L::MAX_DATAGRAM_BYTES);
+    while !office.stopping.load(Ordering::Acquire) {
+        let due_in = control_loop.wait_until() - office.now();
+        if let Some((datagram, from)) = inbox.next(control_loop.socket(), due_in, L::READ_FAILED) {
+            control_loop.receive(datagram, from);
+        }
+        let now = office.now();
+        if inbox.turns(now, control_loop.next_tick()) {
+            control_loop.tick(now);
+        }
+        control_loop.act(now);
+    }
+    if !control_loop.is_killed() {
+        control_loop.finish();
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -12,6 +12,7 @@
 mod answer;
 pub mod budget_sharing;
 mod config_follower;
+mod control_thread;
 mod core;
 mod errands;
 mod follow;
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -8,7 +8,8 @@
 pub use status::{MembershipStatus, query_membership};
 
 use crate::budget_sharing::BudgetSharing;
-use crate::inbox::{Inbox, tenfold};
+use crate::control_thread::{self, ControlLoop};
+use crate::inbox::tenfold;
 use crate::key_file::read_fleet_key;
 use crate::office::Office;
 use crate::status_pages::PAGE_BYTES;
@@ -20,7 +21,6 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
 
 /// A fault of the program that tests ask for, to see that it is found.
@@ -96,16 +96,17 @@
     let mut thread = LinkThread {
         membership,
         sharing,
-        office,
+        office: office.clone(),
         link,
         published: None,
         budgets_updated_at: f64::NEG_INFINITY,
         queries_answered: 0,
+        second_began: 0.0,
         observer,
     };
     // Before the first call is taken: what a former process of this name may have lent is not used.
     thread.publish_quota();
-    std::thread::Builder::new().name("peers".into()).spawn(move || thread.run())
+    control_thread::spawn(thread, office)
 }
 
 fn identity(house: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
@@ -140,43 +141,27 @@
     published: Option<(f64, DispatcherQuota)>,
     /// When what is shared was last looked after.
     budgets_updated_at: f64,
-    /// Questions of operators answered in this second.
+    /// Questions of operators answered since `second_began`.
     queries_answered: u32,
+    second_began: f64,
     observer: Option<Box<dyn MembershipObserver>>,
 }
 
-impl LinkThread {
-    fn run(mut self) {
-        let mut inbox = Inbox::new(MAX_DATAGRAM_BYTES);
-        let mut second_began = 0.0;
-        while !self.office.stopping.load(Ordering::Acquire) {
-            let now = self.office.now();
-            if now >= second_began + 1.0 {
-                (second_began, self.queries_answered) = (now, 0);
-            }
-            let due_in = self.membership.next_deadline().min(self.sharing.next_deadline()) - now;
-            if let Some((sealed, from)) =
-                inbox.next(&self.link.socket, due_in, "letters of other gateways can't be read")
-            {
-                self.receive(sealed, from);
-            }
-            let now = self.office.now();
-            if inbox.turns(now, self.membership.next_deadline()) {
-                self.membership.tick(now);
-            }
-            let quota = self.publish_quota();
-            self.send_outgoing();
-            self.log_events();
-            if let Some(observer) = &mut self.observer {
-                observer.after_turn(self.office.now(), &mut self.membership, &mut self.sharing, &quota);
-            }
-        }
-        if self.observer.as_ref().is_some_and(|observer| observer.killed()) {
-            return;
-        }
-        self.membership.announce_departure(self.office.now());
-        self.publish_quota();
-        self.send_outgoing();
+impl ControlLoop for LinkThread {
+    const THREAD_NAME: &'static str = "peers";
+    const MAX_DATAGRAM_BYTES: usize = MAX_DATAGRAM_BYTES;
+    const READ_FAILED: &'static str = "letters of other gateways can't be read";
+
+    fn socket(&self) -> &UdpSocket {
+        &self.link.socket
+    }
+
+    fn wait_until(&self) -> f64 {
+        self.membership.next_deadline().min(self.sharing.next_deadline())
+    }
+
+    fn next_tick(&self) -> f64 {
+        self.membership.next_deadline()
     }
 
     fn receive(&mut self, sealed: &[u8], from: SocketAddr) {
@@ -194,6 +179,34 @@
         }
     }
 
+    fn tick(&mut self, now: f64) {
+        self.membership.tick(now);
+    }
+
+    fn act(&mut self, now: f64) {
+        if now >= self.second_began + 1.0 {
+            (self.second_began, self.queries_answered) = (now, 0);
+        }
+        let quota = self.publish_quota();
+        self.send_outgoing();
+        self.log_events();
+        if let Some(observer) = &mut self.observer {
+            observer.after_turn(self.office.now(), &mut self.membership, &mut self.sharing, &quota);
+        }
+    }
+
+    fn is_killed(&self) -> bool {
+        self.observer.as_ref().is_some_and(|observer| observer.killed())
+    }
+
+    fn finish(mut self) {
+        self.membership.announce_departure(self.office.now());
+        self.publish_quota();
+        self.send_outgoing();
+    }
+}
+
+impl LinkThread {
     /// Tells an operator what is known here.
     fn answer_query(&mut self, query: &Datagram, from: SocketAddr) {
         /// Questions answered a second: an old one played again is no lever.
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -2,6 +2,7 @@
 //! gateway in pages.
 
 use crate::key_file::read_fleet_key;
+use crate::status_pages::PageCollector;
 use milletpath_config::GatewayConfig;
 use milletpath_membership::MembershipView;
 use milletpath_membership::datagram::{self, Datagram, Identity, MAX_DATAGRAM_BYTES, kind};
@@ -45,7 +46,7 @@
         let sealed = datagram::seal(&key, &query).map_err(io::Error::other)?;
         socket.send_to(&sealed, to)?;
         let end = Instant::now() + ATTEMPT_TIMEOUT;
-        let mut pages: Vec<Option<Vec<u8>>> = Vec::new();
+        let mut pages = PageCollector::default();
         while let Some(left) = end.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) {
             socket.set_read_timeout(Some(left))?;
             let Ok((size, _)) = socket.recv_from(&mut buffer) else { break };
@@ -55,12 +56,9 @@
             else {
                 continue;
             };
-            pages.resize(usize::from(page.total), None);
-            if let Some(slot) = pages.get_mut(usize::from(page.index)) {
-                *slot = Some(page.bytes);
-            }
-            if pages.iter().all(Option::is_some) {
-                let text: Vec<u8> = pages.into_iter().flatten().flatten().collect();
+            pages.insert(page.index.into(), page.total.into(), page.bytes);
+            if pages.is_complete() {
+                let text = pages.into_text().unwrap_or_default();
                 return serde_json::from_slice(&text).map_err(io::Error::other);
             }
         }
--- a/crates/gateway/src/status_pages.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -42,3 +42,46 @@
         Some(Message::StatusPage { ask: request_id, page, of: total, bytes })
     }
 }
+
+/// The pages of one answer as they come, in any order and more than once.
+#[derive(Clone)]
+pub struct PageCollector {
+    /// None for a page that is missing; one missing page until the first tells how many there are.
+    pages: Vec<Option<Vec<u8>>>,
+}
+
+impl Default for PageCollector {
+    fn default() -> Self {
+        Self { pages: vec![None] }
+    }
+}
+
+impl PageCollector {
+    /// Takes one page of `total`; gives whether there are more pages than was known.
+    pub fn insert(&mut self, index: usize, total: usize, bytes: Vec<u8>) -> bool {
+        /// Far more than a control machine tells of all its gateways.
+        const MAX_PAGES: usize = 10_000;
+        let known = self.pages.len();
+        self.pages.resize(total.clamp(1, MAX_PAGES), None);
+        if let Some(page) = self.pages.get_mut(index) {
+            *page = Some(bytes);
+        }
+        self.pages.len() > known
+    }
+
+    /// Whether no page is missing.
+    pub fn is_complete(&self) -> bool {
+        self.pages.iter().all(Option::is_some)
+    }
+
+    /// The indices of the pages that are missing, in order.
+    pub fn missing(&self) -> impl Iterator<Item = u32> {
+        (0..).zip(&self.pages).filter(|(_, page)| page.is_none()).map(|(index, _)| index)
+    }
+
+    /// The text of all pages; none while one is missing.
+    pub fn into_text(self) -> Option<Vec<u8>> {
+        let pages: Option<Vec<_>> = self.pages.into_iter().collect();
+        pages.map(|pages| pages.concat())
+    }
+}
