--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -7,7 +7,8 @@
 use milletpath_membership::QuotaFraction;
 use milletpath_policy::host::Budget;
 use milletpath_shared_budgets::{
-    BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, SharedBudgets, SlotAdjustment,
+    BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, OutgoingMessage, SharedBudgets,
+    SlotAdjustment,
 };
 use std::collections::BTreeMap;
 
@@ -19,6 +20,24 @@
     listed: bool,
 }
 
+/// This gateway's part of the requests that may be in flight at one worker.
+#[derive(Clone, Copy)]
+struct InFlightLimit {
+    /// Requests in flight; not finite where the number is not limited.
+    quota: f64,
+    /// Seconds after which an attempt has ended for certain.
+    longest_attempt: f64,
+}
+
+/// The shared budgets of one gateway as an operator sees them.
+pub struct BudgetSharingView {
+    /// The budgets of which most is wanted, lent or borrowed, those first.
+    pub budgets: Vec<BudgetView>,
+    /// Messages, requests and grants since the start.
+    pub counters: Counters,
+}
+
+/// The shared budgets of one gateway: its part of each, by number of gateways and by leases.
 pub struct BudgetSharing {
     shared_budgets: SharedBudgets,
     open: Vec<OpenBudget>,
@@ -26,8 +45,7 @@
     revision: EndpointRevision,
     /// When the decisions were last told what functions keep busy elsewhere.
     remote_concurrency_set_at: f64,
-    /// Of a worker's: this gateway's part of the shots that may be out there, and seconds that one may be out.
-    in_flight_limit: (f64, f64),
+    in_flight_limit: InFlightLimit,
 }
 
 impl BudgetSharing {
@@ -38,11 +56,11 @@
         let mut shared_budgets = SharedBudgets::new(instance_id, lease, instance_id, now);
         let (policy, gateways) = (&house.policy, house.policy.routers.max(1) as f64);
         let mut open = Vec::new();
-        let mut add = |budget, name: String, kind, fraction: f64| {
-            if fraction.is_finite() && fraction > 0.0 {
+        let mut add = |budget, name: String, kind, quota: f64| {
+            if quota.is_finite() && quota > 0.0 {
                 open.push(OpenBudget {
                     budget,
-                    slot: shared_budgets.open(now, &name, kind, fraction),
+                    slot: shared_budgets.open(now, &name, kind, quota),
                     listed: true,
                 });
             }
@@ -73,7 +91,10 @@
             open,
             revision: EndpointRevision::default(),
             remote_concurrency_set_at: f64::NEG_INFINITY,
-            in_flight_limit: (policy.hand / gateways, longest + END_MARGIN_SECONDS),
+            in_flight_limit: InFlightLimit {
+                quota: policy.hand / gateways,
+                longest_attempt: longest + END_MARGIN_SECONDS,
+            },
         }
     }
 
@@ -92,8 +113,8 @@
             self.shared_budgets.resend_adjustments();
         }
         self.revision = revision;
-        let (fraction, longest) = self.in_flight_limit;
-        if !fraction.is_finite() {
+        let InFlightLimit { quota, longest_attempt } = self.in_flight_limit;
+        if !quota.is_finite() {
             return;
         }
         self.open.iter_mut().for_each(|open| open.listed = !matches!(open.budget, Budget::Hand(_)));
@@ -101,8 +122,8 @@
             let slot = self.shared_budgets.open(
                 now,
                 &format!("in flight {name}"),
-                BudgetKind::InFlight(longest),
-                fraction,
+                BudgetKind::InFlight(longest_attempt),
+                quota,
             );
             let budget = Budget::Hand(worker);
             match self.open.iter_mut().find(|open| open.slot == slot) {
@@ -176,12 +197,12 @@
     }
 
     /// What to send next, and to which process.
-    pub fn next_message(&mut self) -> Option<(u64, Vec<u8>)> {
-        self.shared_budgets.next_message().map(|message| (message.recipient, message.bytes))
+    pub fn next_message(&mut self) -> Option<OutgoingMessage> {
+        self.shared_budgets.next_message()
     }
 
     /// Budgets as an operator sees them: those of which something is wanted, lent or borrowed come first.
-    pub fn view(&mut self, now: f64) -> (Vec<BudgetView>, Counters) {
+    pub fn view(&mut self, now: f64) -> BudgetSharingView {
         /// Budgets that are told.
         const MAX_VIEWED: usize = 48;
         let mut budgets = self.shared_budgets.view(now);
@@ -191,6 +212,6 @@
             moved(b).total_cmp(&moved(a)).then(a.name.cmp(&b.name))
         });
         budgets.truncate(MAX_VIEWED);
-        (budgets, self.shared_budgets.counters())
+        BudgetSharingView { budgets, counters: self.shared_budgets.counters() }
     }
 }
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -6,7 +6,7 @@
 mod readings;
 
 pub use crate::process_clocks::clock;
-pub use minimums::{MinimumTracker, SecondMinimum};
+pub use minimums::{BudgetLevel, MinimumTracker, SecondMinimum};
 pub use readings::{AppliedCallback, FollowerReading, MembershipCallback, Reading};
 
 use crate::config_follower::{self, ConfigFeed};
--- a/crates/gateway/src/hollow_gateway/minimums.rs
+++ b/crates/gateway/src/hollow_gateway/minimums.rs
@@ -2,6 +2,16 @@
 
 use std::collections::BTreeMap;
 
+/// What one gateway may use of one budget, in units of that budget (requests a second, orders in a window, requests in
+/// flight).
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct BudgetLevel {
+    /// Its part by the number of gateways alone.
+    pub quota: f64,
+    /// What it might use, with what was lent and borrowed.
+    pub allowed: f64,
+}
+
 /// The lowest figures of one second: at every moment of it the gateway could use at least so much.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SecondMinimum {
@@ -9,8 +19,8 @@
     pub second: u64,
     /// Its part of what is shared, as a multiple of one in the most.
     pub fraction: f64,
-    /// Of each budget its part by the count alone, and what it might use.
-    pub budgets: BTreeMap<String, (f64, f64)>,
+    /// The level of each budget by its name.
+    pub budgets: BTreeMap<String, BudgetLevel>,
 }
 
 impl SecondMinimum {
@@ -18,9 +28,10 @@
     fn lower_to(&mut self, other: &SecondMinimum) {
         self.fraction = self.fraction.min(other.fraction);
         self.budgets.retain(|name, _| other.budgets.contains_key(name));
-        for (name, (quota, allowed)) in &mut self.budgets {
+        for (name, level) in &mut self.budgets {
             let reading = other.budgets[name];
-            (*quota, *allowed) = (quota.min(reading.0), allowed.min(reading.1));
+            level.quota = level.quota.min(reading.quota);
+            level.allowed = level.allowed.min(reading.allowed);
         }
     }
 }
@@ -43,7 +54,7 @@
         &mut self,
         at: f64,
         fraction: f64,
-        budgets: BTreeMap<String, (f64, f64)>,
+        budgets: BTreeMap<String, BudgetLevel>,
     ) -> Option<SecondMinimum> {
         /// Readings that a second must have, and seconds between two of them at most.
         const MIN_READINGS: u32 = 3;
--- a/crates/gateway/src/hollow_gateway/readings.rs
+++ b/crates/gateway/src/hollow_gateway/readings.rs
@@ -1,7 +1,7 @@
 //! What the control threads of a hollow gateway cost and have: readings that each thread takes of itself, as an observer in
 //! that thread.
 
-use super::minimums::{MinimumTracker, SecondMinimum};
+use super::minimums::{BudgetLevel, MinimumTracker, SecondMinimum};
 use crate::budget_sharing::BudgetSharing;
 use crate::config_follower::FollowerObserver;
 use crate::membership_link::MembershipObserver;
@@ -103,8 +103,11 @@
         if reading.thread.is_none() {
             reading.thread = std::fs::read_link("/proc/thread-self").ok();
         }
-        let budgets =
-            sharing.view(now).0.into_iter().map(|budget| (budget.name, (budget.quota, budget.allowed)));
+        let budgets = sharing
+            .view(now)
+            .budgets
+            .into_iter()
+            .map(|budget| (budget.name, BudgetLevel { quota: budget.quota, allowed: budget.allowed }));
         if let Some(minimum) = self.minimums.record(at, quota.fraction, budgets.collect()) {
             if reading.minimums.len() == MAX_MINIMUMS {
                 reading.minimums.pop_front();
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -7,7 +7,7 @@
 
 pub use status::{MembershipStatus, query_membership};
 
-use crate::budget_sharing::BudgetSharing;
+use crate::budget_sharing::{BudgetSharing, BudgetSharingView};
 use crate::control_thread::{self, ControlLoop};
 use crate::inbox::tenfold;
 use crate::key_file::read_fleet_key;
@@ -132,13 +132,35 @@
     }
 }
 
+/// A quota fraction as the dispatcher was given it last.
+struct PublishedQuota {
+    /// When, in seconds on the gateway's clock.
+    at: f64,
+    quota: DispatcherQuota,
+}
+
+impl PublishedQuota {
+    /// Whether `current` is to be published: it differs, or its validity was extended a while ago.
+    fn is_outdated(&self, now: f64, current: &DispatcherQuota) -> bool {
+        /// Seconds after which a longer validity alone is published.
+        const REPUBLISH_SECONDS: f64 = 0.2;
+        let same_fractions =
+            (self.quota.likely_gateways, self.quota.fraction, self.quota.fraction_after_expiry)
+                == (current.likely_gateways, current.fraction, current.fraction_after_expiry);
+        let same_validity = self.quota.valid_until == current.valid_until;
+        let was_just_published = now - self.at < REPUBLISH_SECONDS;
+        let is_extended = self.quota.valid_until <= current.valid_until;
+        !(same_fractions && (same_validity || was_just_published && is_extended))
+    }
+}
+
 struct LinkThread {
     membership: Membership,
     sharing: BudgetSharing,
     office: Arc<Office>,
     link: MembershipLink,
-    /// What the desk was told last, and when.
-    published: Option<(f64, DispatcherQuota)>,
+    /// What the dispatcher was told last.
+    published: Option<PublishedQuota>,
     /// When what is shared was last looked after.
     budgets_updated_at: f64,
     /// Questions of operators answered since `second_began`.
@@ -216,8 +238,8 @@
             return;
         }
         let now = self.office.now();
-        let (budgets, sharing) = self.sharing.view(now);
-        let status = MembershipStatus { view: self.membership.view(now), budgets, sharing };
+        let BudgetSharingView { budgets, counters } = self.sharing.view(now);
+        let status = MembershipStatus { view: self.membership.view(now), budgets, sharing: counters };
         let Ok(text) = serde_json::to_vec(&status) else { return };
         let chunks: Vec<_> = text.chunks(PAGE_BYTES).collect();
         for (number, chunk) in chunks.iter().enumerate() {
@@ -231,8 +253,8 @@
     }
 
     fn send_outgoing(&mut self) {
-        while let Some((instance_id, payload)) = self.sharing.next_message() {
-            self.membership.send_payload(instance_id, payload);
+        while let Some(message) = self.sharing.next_message() {
+            self.membership.send_payload(message.recipient, message.bytes);
         }
         while let Some(sent) = self.membership.next_outgoing() {
             let sealed = datagram::seal(&self.link.key, &sent.datagram);
@@ -248,46 +270,41 @@
         }
     }
 
-    /// Tells the desk where it changes something, or before what it was told ends; gives what is one's own.
+    /// Gives the dispatcher this gateway's quota fraction where it changed, or before the fraction given last expires.
     fn publish_quota(&mut self) -> QuotaFraction {
-        /// Seconds after which it is told anew that all is as it was.
-        const REPUBLISH_SECONDS: f64 = 0.2;
         let now = self.office.now();
         let quota = self.membership.quota_fraction(now);
-        let mut dispatcher_quota = DispatcherQuota {
-            likely_gateways: quota.likely_gateways,
-            fraction: quota.fraction,
-            fraction_after_expiry: quota.floor,
-            valid_until: quota.valid_until,
-        };
-        if self.link.injected_fault == Some(InjectedFault::LikelyCount) {
-            let fraction = self.office.house.policy.routers as f64 / quota.likely_gateways;
-            dispatcher_quota = DispatcherQuota {
-                likely_gateways: quota.likely_gateways,
-                fraction,
-                fraction_after_expiry: fraction,
-                valid_until: f64::INFINITY,
-            };
-        }
-        let unchanged = |(published_at, published): (f64, DispatcherQuota)| {
-            (published.likely_gateways, published.fraction, published.fraction_after_expiry)
-                == (
-                    dispatcher_quota.likely_gateways,
-                    dispatcher_quota.fraction,
-                    dispatcher_quota.fraction_after_expiry,
-                )
-                && (published.valid_until == dispatcher_quota.valid_until
-                    || now - published_at < REPUBLISH_SECONDS
-                        && published.valid_until <= dispatcher_quota.valid_until)
-        };
-        if !self.published.is_some_and(unchanged) {
-            self.published = Some((now, dispatcher_quota));
+        let dispatcher_quota = self.dispatcher_quota(&quota);
+        if self.published.as_ref().is_none_or(|published| published.is_outdated(now, &dispatcher_quota)) {
+            self.published = Some(PublishedQuota { at: now, quota: dispatcher_quota });
             self.office.tell(None, |desk, _| desk.set_quota_fraction(dispatcher_quota));
         }
         self.update_budgets(quota);
         quota
     }
 
+    /// The quota as the dispatcher takes it, with the injected fault where a test asked for it.
+    fn dispatcher_quota(&self, quota: &QuotaFraction) -> DispatcherQuota {
+        let likely_gateways = quota.likely_gateways;
+        match self.link.injected_fault {
+            None => DispatcherQuota {
+                likely_gateways,
+                fraction: quota.fraction,
+                fraction_after_expiry: quota.floor,
+                valid_until: quota.valid_until,
+            },
+            Some(InjectedFault::LikelyCount) => {
+                let fraction = self.office.house.policy.routers as f64 / likely_gateways;
+                DispatcherQuota {
+                    likely_gateways,
+                    fraction,
+                    fraction_after_expiry: fraction,
+                    valid_until: f64::INFINITY,
+                }
+            }
+        }
+    }
+
     /// Takes what others say of budgets, and does what is due there; all of it inside the desk.
     fn update_budgets(&mut self, quota: QuotaFraction) {
         /// Seconds between two looks at what is wanted and lacked: asked for as soon as it is seen.
--- a/crates/gateway/src/status_pages.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -11,10 +11,17 @@
 /// Answers that are kept until all of their pages were asked for.
 const MAX_ANSWERS: usize = 4;
 
+/// One answer, of which pages may still be asked for.
+struct Answer {
+    asked_by: SocketAddr,
+    request_id: u64,
+    text: Vec<u8>,
+}
+
 /// Answers to operators, by whom and what they asked with.
 #[derive(Default)]
 pub struct StatusPages {
-    answers: VecDeque<(SocketAddr, u64, Vec<u8>)>,
+    answers: VecDeque<Answer>,
 }
 
 impl StatusPages {
@@ -26,17 +33,18 @@
         page: u32,
         text: impl FnOnce() -> Option<Vec<u8>>,
     ) -> Option<Message> {
-        let index = self.answers.iter().position(|(sender, id, _)| (*sender, *id) == (from, request_id));
+        let index =
+            self.answers.iter().position(|answer| (answer.asked_by, answer.request_id) == (from, request_id));
         let index = match index {
             Some(index) => index,
             None => {
                 let text = text()?;
                 self.answers.truncate(MAX_ANSWERS - 1);
-                self.answers.push_front((from, request_id, text));
+                self.answers.push_front(Answer { asked_by: from, request_id, text });
                 0
             }
         };
-        let pages = self.answers[index].2.chunks(PAGE_BYTES);
+        let pages = self.answers[index].text.chunks(PAGE_BYTES);
         let total = pages.len() as u32;
         let bytes = { pages }.nth(page as usize)?.to_vec();
         Some(Message::StatusPage { ask: request_id, page, of: total, bytes })
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::plan::{Core, Plan};
 use crate::relay::{Relay, Ways};
 use crate::wire::{Low, Order, Places, Reading, Told};
-use milletpath_gateway::hollow_gateway::{MinimumTracker, clock};
+use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker, clock};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
 use std::io;
@@ -250,9 +250,21 @@
                     return;
                 }
                 let Ok(told) = milletpath_gateway::query_membership(&house) else { continue };
-                let budgets = told.budgets.into_iter().map(|b| (b.name, (b.quota, b.allowed))).collect();
+                let budgets = told
+                    .budgets
+                    .into_iter()
+                    .map(|b| (b.name, BudgetLevel { quota: b.quota, allowed: b.allowed }))
+                    .collect();
                 if let Some(low) = lows.record(clock(), told.view.fraction, budgets) {
-                    let low = Low { second: low.second, part: low.fraction, budgets: low.budgets };
+                    let low = Low {
+                        second: low.second,
+                        part: low.fraction,
+                        budgets: low
+                            .budgets
+                            .into_iter()
+                            .map(|(name, level)| (name, (level.quota, level.allowed)))
+                            .collect(),
+                    };
                     let _ = tell.send(Heard::RealLow { gateway, low });
                 }
             }
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -231,7 +231,7 @@
     let low = |low: milletpath_gateway::hollow_gateway::SecondMinimum| Low {
         second: low.second,
         part: low.fraction,
-        budgets: low.budgets,
+        budgets: low.budgets.into_iter().map(|(name, level)| (name, (level.quota, level.allowed))).collect(),
     };
     let lows = reading.minimums.into_iter().map(low).collect();
     let (at, control, desk, likely) =
--- a/crates/scale-test/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -1,6 +1,6 @@
 //! Sums of budgets over gateways: what counts as used together, and when that is more than there is.
 
-use milletpath_gateway::hollow_gateway::MinimumTracker;
+use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker};
 use milletpath_scale_test::budgets::Sums;
 use milletpath_scale_test::wire::Low;
 use std::collections::BTreeMap;
@@ -57,8 +57,8 @@
     assert_eq!(sums.end()["share"].seconds, 1);
 }
 
-fn budgets(allowed: f64) -> BTreeMap<String, (f64, f64)> {
-    BTreeMap::from([("orders".to_owned(), (20.0, allowed))])
+fn budgets(allowed: f64) -> BTreeMap<String, BudgetLevel> {
+    BTreeMap::from([("orders".to_owned(), BudgetLevel { quota: 20.0, allowed })])
 }
 
 #[test]
@@ -68,7 +68,10 @@
         assert_eq!(lows.record(at, part, budgets(allowed)), None);
     }
     let low = lows.record(6.1, 1.0, budgets(99.0)).expect("a second");
-    assert_eq!((low.second, low.fraction, low.budgets["orders"]), (5, 0.5, (20.0, 20.0)));
+    assert_eq!(
+        (low.second, low.fraction, low.budgets["orders"]),
+        (5, 0.5, BudgetLevel { quota: 20.0, allowed: 20.0 })
+    );
 }
 
 /// A lender may have been without what it lent just when nobody looked.
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -68,10 +68,13 @@
         /// Bytes of a letter around its note; seconds between two looks at most.
         const AROUND: f64 = 120.0;
         const LOOK: f64 = 0.05;
-        while let Some((to, note)) = links.sharing[gateway].next_message() {
-            links.sent += AROUND + note.len() as f64;
+        while let Some(message) = links.sharing[gateway].next_message() {
+            links.sent += AROUND + message.bytes.len() as f64;
             if !links.chance.random_bool(links.lost) {
-                self.put(self.now + WAY, Next::Note(to as usize - 1, life(gateway), note));
+                self.put(
+                    self.now + WAY,
+                    Next::Note(message.recipient as usize - 1, life(gateway), message.bytes),
+                );
             }
         }
         let next = links.sharing[gateway].next_deadline().clamp(self.now + 0.001, self.now + LOOK);
