--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -6,7 +6,7 @@
 mod state_file;
 mod status_log;
 
-use crate::control_thread::{self, ControlLoop};
+use crate::control_thread::{self, ControlLoop, ControlThreadError, bind};
 use crate::inbox::tenfold;
 use crate::key_file::read_control_key;
 use crate::office::Office;
@@ -34,11 +34,9 @@
 
 impl ConfigFeed {
     /// Opens the socket that the charter states, and reads the key.
-    pub fn open(settings: &ConfigLogConfig) -> io::Result<Self> {
+    pub fn open(settings: &ConfigLogConfig) -> Result<Self, ControlThreadError> {
         let key = read_control_key(&settings.key_file)?;
-        let socket = UdpSocket::bind(settings.listen).map_err(|e| {
-            io::Error::new(e.kind(), format!("{} can't be listened on: {e}", settings.listen))
-        })?;
+        let socket = bind(settings.listen)?;
         Ok(Self { socket, key })
     }
 
@@ -79,7 +77,7 @@
 
 /// Starts the thread of a feed. What was in force when the last process of this gateway ended is so again
 /// before this comes back.
-pub fn start(office: Arc<Office>, feed: ConfigFeed) -> io::Result<JoinHandle<()>> {
+pub fn start(office: Arc<Office>, feed: ConfigFeed) -> Result<JoinHandle<()>, ControlThreadError> {
     start_observed(office, feed, None)
 }
 
@@ -88,12 +86,12 @@
     office: Arc<Office>,
     feed: ConfigFeed,
     observer: Option<Box<dyn FollowerObserver>>,
-) -> io::Result<JoinHandle<()>> {
+) -> Result<JoinHandle<()>, ControlThreadError> {
     let Some(settings) = office.house.config_log.clone() else {
-        return Err(io::Error::other("the charter has no changes"));
+        return Err(ControlThreadError::NotConfigured("changes"));
     };
     let Some((folder, name)) = DiskFolder::of_file(&settings.state_file) else {
-        return Err(io::Error::other("the state of changes is no file name"));
+        return Err(ControlThreadError::StateFileName(settings.state_file));
     };
     if let Err(e) = survive_file_size_limit() {
         tracing::warn!("a limit on the size of files will end this process: {e}");
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -2,6 +2,7 @@
 //! each sent resend_at until it is answered or its time is over. Nobody is believed for being quick: of several
 //! answers the one counts that knows of the latest entry.
 
+use crate::key_file::{KeyFileError, read_control_key};
 use crate::status_pages::PageCollector;
 use milletpath_config::ConfigLogConfig;
 use milletpath_config_log::message::{self, Key, LARGEST, Message};
@@ -23,6 +24,17 @@
 /// For a question, at most.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// Why control machines can't be asked.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlClientError {
+    /// The key that seals the datagrams can't be used.
+    #[error(transparent)]
+    Key(#[from] KeyFileError),
+    /// The system gives no socket.
+    #[error("no socket can be opened: {0}")]
+    Socket(#[source] io::Error),
+}
+
 pub struct Client {
     socket: UdpSocket,
     key: Key,
@@ -56,13 +68,14 @@
 }
 
 impl Client {
-    pub fn new(settings: &ConfigLogConfig) -> io::Result<Self> {
-        let key = crate::key_file::read_control_key(&settings.key_file)?;
+    pub fn new(settings: &ConfigLogConfig) -> Result<Self, ControlClientError> {
+        let key = read_control_key(&settings.key_file)?;
         let any: IpAddr = match settings.control.first() {
             Some(SocketAddr::V6(_)) => Ipv6Addr::UNSPECIFIED.into(),
             _ => Ipv4Addr::UNSPECIFIED.into(),
         };
-        Ok(Self { socket: UdpSocket::bind((any, 0))?, key, control: settings.control.clone() })
+        let socket = UdpSocket::bind((any, 0)).map_err(ControlClientError::Socket)?;
+        Ok(Self { socket, key, control: settings.control.clone() })
     }
 
     /// Where it hears answers.
--- a/crates/gateway/src/control_thread.rs
+++ b/crates/gateway/src/control_thread.rs
@@ -2,13 +2,48 @@
 //! UDP socket, lets time pass for its core once a batch is read, and acts on what follows, until the gateway stops.
 
 use crate::inbox::Inbox;
+use crate::key_file::KeyFileError;
 use crate::office::Office;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
 
+/// Why a control thread can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlThreadError {
+    /// The key that seals its datagrams can't be used.
+    #[error(transparent)]
+    Key(#[from] KeyFileError),
+    /// The socket can't be opened on the configured address.
+    #[error("{address} can't be listened on: {source}")]
+    Bind {
+        /// The address that the configuration states.
+        address: SocketAddr,
+        /// What the system says of it.
+        source: io::Error,
+    },
+    /// The socket's own address can't be read.
+    #[error("the address of a socket can't be read: {0}")]
+    LocalAddress(#[source] io::Error),
+    /// The configuration lacks the section of that name.
+    #[error("the configuration has no section {0}")]
+    NotConfigured(&'static str),
+    /// The path of the state file does not end in a file name.
+    #[error("{} is no file name; change state of changes in the configuration", .0.display())]
+    StateFileName(PathBuf),
+    /// The system has no room for another thread.
+    #[error("the thread can't be started: {0}")]
+    Spawn(#[source] io::Error),
+}
+
+/// Opens the UDP socket of a control thread.
+pub fn bind(address: SocketAddr) -> Result<UdpSocket, ControlThreadError> {
+    UdpSocket::bind(address).map_err(|source| ControlThreadError::Bind { address, source })
+}
+
 /// A core without I/O together with its socket, as [`spawn`] runs it. All times are seconds on the gateway's clock.
 pub trait ControlLoop: Send + 'static {
     /// The name of the thread.
@@ -38,8 +73,14 @@
 }
 
 /// Starts the thread of a control loop; it ends once `office` is stopping. The caller owns the thread and joins it.
-pub fn spawn<L: ControlLoop>(control_loop: L, office: Arc<Office>) -> io::Result<JoinHandle<()>> {
-    std::thread::Builder::new().name(L::THREAD_NAME.into()).spawn(move || run(control_loop, &office))
+pub fn spawn<L: ControlLoop>(
+    control_loop: L,
+    office: Arc<Office>,
+) -> Result<JoinHandle<()>, ControlThreadError> {
+    std::thread::Builder::new()
+        .name(L::THREAD_NAME.into())
+        .spawn(move || run(control_loop, &office))
+        .map_err(ControlThreadError::Spawn)
 }
 
 fn run<L: ControlLoop>(mut control_loop: L, office: &Office) {
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -10,13 +10,13 @@
 pub use readings::{AppliedCallback, FollowerReading, MembershipCallback, Reading};
 
 use crate::config_follower::{self, ConfigFeed};
+use crate::control_thread::ControlThreadError;
 use crate::membership_link::{self, MembershipLink, MembershipObserver};
 use crate::office::Office;
 use crate::process_clocks::thread_cpu_seconds;
 use milletpath_config::GatewayConfig;
 use milletpath_protocol::registry::Entry;
 use readings::{FollowerMonitor, MembershipMonitor, cpu_seconds_of, lock};
-use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -44,14 +44,22 @@
         entries: &[Entry],
         on_membership_event: MembershipCallback,
         on_applied: AppliedCallback,
-    ) -> io::Result<Self> {
+    ) -> Result<Self, ControlThreadError> {
         let link = house.membership.as_ref().map(|stated| MembershipLink::open(stated, None)).transpose()?;
         let feed = house.config_log.as_ref().map(ConfigFeed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
         let mut hollow = Self {
             office: Office::new(house),
-            link: link.as_ref().map(MembershipLink::address).transpose()?,
-            feed: feed.as_ref().map(ConfigFeed::address).transpose()?,
+            link: link
+                .as_ref()
+                .map(MembershipLink::address)
+                .transpose()
+                .map_err(ControlThreadError::LocalAddress)?,
+            feed: feed
+                .as_ref()
+                .map(ConfigFeed::address)
+                .transpose()
+                .map_err(ControlThreadError::LocalAddress)?,
             threads: Vec::new(),
             reading: Arc::new(Mutex::new(Reading { at: clock(), ..Reading::default() })),
             following: Arc::new(Mutex::new(FollowerReading { at: clock(), ..FollowerReading::default() })),
--- a/crates/gateway/src/key_file.rs
+++ b/crates/gateway/src/key_file.rs
@@ -3,29 +3,48 @@
 
 use milletpath_config_log::message as config_log;
 use milletpath_membership::datagram;
-use std::io::{self, ErrorKind};
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
 
-/// The key of a fleet, from the file that the charter names.
-pub fn read_fleet_key(path: &Path) -> io::Result<datagram::Key> {
+/// Bytes below which a secret can be guessed.
+const MIN_SECRET_BYTES: usize = 32;
+
+/// Why a key file can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum KeyFileError {
+    /// The file is missing or not readable by this process.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file as the configuration names it.
+        path: PathBuf,
+        /// What the system says of it.
+        source: io::Error,
+    },
+    /// The secret in the file could be guessed.
+    #[error("{} has {bytes} bytes; a key has {MIN_SECRET_BYTES} or more", path.display())]
+    TooShort {
+        /// The file as the configuration names it.
+        path: PathBuf,
+        /// The length of the secret, without white space around it.
+        bytes: usize,
+    },
+}
+
+/// Reads the key with which gateways seal their datagrams to each other.
+pub fn read_fleet_key(path: &Path) -> Result<datagram::Key, KeyFileError> {
     read_secret(path).map(|secret| datagram::Key::new(&secret))
 }
 
-/// What is read from the file of a key.
-fn read_secret(path: &Path) -> io::Result<Vec<u8>> {
-    /// Bytes below which a secret can be guessed.
-    const MIN_SECRET_BYTES: usize = 32;
-    let name = path.display();
-    let secret = std::fs::read(path).map_err(|e| io::Error::new(e.kind(), format!("{name}: {e}")))?;
-    let secret = secret.trim_ascii();
+/// Reads the key with which control machines, gateways and authors of changes seal their datagrams.
+pub fn read_control_key(path: &Path) -> Result<config_log::Key, KeyFileError> {
+    read_secret(path).map(|secret| config_log::Key::new(&secret))
+}
+
+fn read_secret(path: &Path) -> Result<Vec<u8>, KeyFileError> {
+    let file = std::fs::read(path).map_err(|source| KeyFileError::Read { path: path.to_owned(), source })?;
+    let secret = file.trim_ascii();
     if secret.len() < MIN_SECRET_BYTES {
-        let wrong = format!("{name} has {} bytes; a key has {MIN_SECRET_BYTES} or more", secret.len());
-        return Err(io::Error::new(ErrorKind::InvalidData, wrong));
+        return Err(KeyFileError::TooShort { path: path.to_owned(), bytes: secret.len() });
     }
     Ok(secret.to_vec())
 }
-
-/// The key of control machines, gateways and authors, from the file that the charter names.
-pub fn read_control_key(path: &Path) -> io::Result<config_log::Key> {
-    read_secret(path).map(|secret| config_log::Key::new(&secret))
-}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -34,10 +34,13 @@
 mod status_pages;
 
 pub use config_follower::{ConfigFeed, ConfigStatus};
+pub use control_thread::ControlThreadError;
 pub use inbox::tenfold;
 pub use keeper::{Links, listen, serve, serve_stirred};
-pub use key_file::{read_control_key, read_fleet_key};
-pub use membership_link::{InjectedFault, MembershipLink, MembershipStatus, query_membership};
+pub use key_file::{KeyFileError, read_control_key, read_fleet_key};
+pub use membership_link::{
+    InjectedFault, MembershipLink, MembershipQueryError, MembershipStatus, query_membership,
+};
 pub use office::Stir;
 pub use process_clocks::thread_cpu_seconds;
 pub use status_pages::StatusPages;
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -5,10 +5,10 @@
 mod event_log;
 mod status;
 
-pub use status::{MembershipStatus, query_membership};
+pub use status::{MembershipQueryError, MembershipStatus, query_membership};
 
 use crate::budget_sharing::{BudgetSharing, BudgetSharingView};
-use crate::control_thread::{self, ControlLoop};
+use crate::control_thread::{self, ControlLoop, ControlThreadError, bind};
 use crate::inbox::tenfold;
 use crate::key_file::read_fleet_key;
 use crate::office::Office;
@@ -39,11 +39,12 @@
 
 impl MembershipLink {
     /// Opens the socket that the charter states, and reads the key.
-    pub fn open(settings: &MembershipSettings, injected_fault: Option<InjectedFault>) -> io::Result<Self> {
+    pub fn open(
+        settings: &MembershipSettings,
+        injected_fault: Option<InjectedFault>,
+    ) -> Result<Self, ControlThreadError> {
         let key = read_fleet_key(&settings.key_file)?;
-        let socket = UdpSocket::bind(settings.listen).map_err(|e| {
-            io::Error::new(e.kind(), format!("{} can't be listened on: {e}", settings.listen))
-        })?;
+        let socket = bind(settings.listen)?;
         Ok(Self { socket, key, injected_fault })
     }
 
@@ -69,7 +70,7 @@
 }
 
 /// Starts the thread of a link.
-pub fn start(office: Arc<Office>, link: MembershipLink) -> io::Result<JoinHandle<()>> {
+pub fn start(office: Arc<Office>, link: MembershipLink) -> Result<JoinHandle<()>, ControlThreadError> {
     start_observed(office, link, None)
 }
 
@@ -78,11 +79,15 @@
     office: Arc<Office>,
     link: MembershipLink,
     observer: Option<Box<dyn MembershipObserver>>,
-) -> io::Result<JoinHandle<()>> {
+) -> Result<JoinHandle<()>, ControlThreadError> {
     let Some(settings) = office.house.membership.clone() else {
-        return Err(io::Error::other("the charter has no peers"));
+        return Err(ControlThreadError::NotConfigured("peers"));
+    };
+    let address = if settings.advertise.port() == 0 {
+        link.address().map_err(ControlThreadError::LocalAddress)?
+    } else {
+        settings.advertise
     };
-    let address = if settings.advertise.port() == 0 { link.address()? } else { settings.advertise };
     let identity = identity(&office.house, &settings, address);
     let (instance_id, now) = (identity.instance_id, office.now());
     let sharing = BudgetSharing::new(&office.house, instance_id, settings.lease, now);
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -1,17 +1,23 @@
 //! The status of a membership link as operators ask for it: its content, and the query that fetches it from a running
 //! gateway in pages.
 
-use crate::key_file::read_fleet_key;
+use crate::key_file::{KeyFileError, read_fleet_key};
 use crate::status_pages::PageCollector;
 use milletpath_config::GatewayConfig;
 use milletpath_membership::MembershipView;
-use milletpath_membership::datagram::{self, Datagram, Identity, MAX_DATAGRAM_BYTES, kind};
+use milletpath_membership::datagram::{self, Datagram, Identity, Key, MAX_DATAGRAM_BYTES, kind};
 use milletpath_shared_budgets::{BudgetView, Counters};
 use serde::{Deserialize, Serialize};
-use std::io::{self, ErrorKind};
-use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
+use std::io;
+use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
+/// Times that a gateway is asked.
+const ATTEMPTS: u64 = 4;
+
+/// The time in which all pages of an answer must come.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// What a gateway tells an operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembershipStatus {
@@ -22,47 +28,87 @@
     pub sharing: Counters,
 }
 
-/// Asks the gateway of a charter what it knows of the others. Waits for some seconds at most.
-pub fn query_membership(house: &GatewayConfig) -> io::Result<MembershipStatus> {
-    /// Times that it is asked, and seconds for each.
-    const ATTEMPTS: u64 = 4;
-    const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
-    let Some(settings) = &house.membership else { return Err(io::Error::other("the charter has no peers")) };
+/// Why the status of a gateway's membership is not known.
+#[derive(Debug, thiserror::Error)]
+pub enum MembershipQueryError {
+    /// The configuration has no section `peers`.
+    #[error("the configuration has no section peers")]
+    NotConfigured,
+    /// The key of the fleet can't be used.
+    #[error(transparent)]
+    Key(#[from] KeyFileError),
+    /// The configured port is chosen by the system, so nobody can tell where the gateway listens.
+    #[error("listen of peers has port 0: nobody can tell where the gateway is; give it a port")]
+    AnyPort,
+    /// A socket of this process failed.
+    #[error("the query can't be sent: {0}")]
+    Socket(#[from] io::Error),
+    /// The query can't be sealed.
+    #[error("the query can't be sealed: {0}")]
+    Seal(#[from] datagram::SealError),
+    /// The gateway answered something else than a status, as one of another version does.
+    #[error("the answer can't be read: {0}; is the gateway of this version?")]
+    Unreadable(#[from] serde_json::Error),
+    /// The gateway did not answer in time.
+    #[error("the gateway does not answer on {0}: is it running, with this key?")]
+    Unanswered(SocketAddr),
+}
+
+/// Asks the gateway of a configuration for its membership. Waits for [`ATTEMPTS`] times [`ATTEMPT_TIMEOUT`] at most.
+pub fn query_membership(house: &GatewayConfig) -> Result<MembershipStatus, MembershipQueryError> {
+    let settings = house.membership.as_ref().ok_or(MembershipQueryError::NotConfigured)?;
     let key = read_fleet_key(&settings.key_file)?;
-    let mut to = settings.listen;
-    if to.port() == 0 {
-        return Err(io::Error::other("listen of peers has port 0: nobody can tell where it is; give it one"));
+    let target = query_target(settings.listen)?;
+    let local: SocketAddr = match target {
+        SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
+        SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
+    };
+    let socket = UdpSocket::bind(local)?;
+    for request_id in 1..=ATTEMPTS {
+        let query = Datagram::new(operator(local), 0, kind::STATUS_QUERY, request_id);
+        socket.send_to(&datagram::seal(&key, &query)?, target)?;
+        if let Some(text) = receive_text(&socket, &key, request_id)? {
+            return Ok(serde_json::from_slice(&text)?);
+        }
     }
-    if to.ip().is_unspecified() {
-        to.set_ip(IpAddr::V4(Ipv4Addr::LOCALHOST));
+    Err(MembershipQueryError::Unanswered(target))
+}
+
+/// Where a gateway with that `listen` address is reached from its own machine.
+fn query_target(listen: SocketAddr) -> Result<SocketAddr, MembershipQueryError> {
+    if listen.port() == 0 {
+        return Err(MembershipQueryError::AnyPort);
     }
-    let any: SocketAddr = if to.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" }.parse().expect("an address");
-    let socket = UdpSocket::bind(any)?;
-    let identity =
-        Identity { instance_id: 0, name: "operator".into(), address: any, incarnation: 0, max_gateways: 0 };
+    let mut target = listen;
+    if target.ip().is_unspecified() {
+        target.set_ip(IpAddr::V4(Ipv4Addr::LOCALHOST));
+    }
+    Ok(target)
+}
+
+/// The sender of a query, which is no gateway.
+fn operator(address: SocketAddr) -> Identity {
+    Identity { instance_id: 0, name: "operator".into(), address, incarnation: 0, max_gateways: 0 }
+}
+
+/// Receives the pages of one answer; none where they were not complete within [`ATTEMPT_TIMEOUT`].
+fn receive_text(socket: &UdpSocket, key: &Key, request_id: u64) -> io::Result<Option<Vec<u8>>> {
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-    for request_id in 1..=ATTEMPTS {
-        let query = Datagram::new(identity.clone(), 0, kind::STATUS_QUERY, request_id);
-        let sealed = datagram::seal(&key, &query).map_err(io::Error::other)?;
-        socket.send_to(&sealed, to)?;
-        let end = Instant::now() + ATTEMPT_TIMEOUT;
-        let mut pages = PageCollector::default();
-        while let Some(left) = end.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) {
-            socket.set_read_timeout(Some(left))?;
-            let Ok((size, _)) = socket.recv_from(&mut buffer) else { break };
-            let Ok(reply) = datagram::open(&key, &buffer[..size]) else { continue };
-            let Some(page) =
-                reply.page.filter(|_| reply.kind == kind::STATUS_REPLY && reply.request_id == request_id)
-            else {
-                continue;
-            };
-            pages.insert(page.index.into(), page.total.into(), page.bytes);
-            if pages.is_complete() {
-                let text = pages.into_text().unwrap_or_default();
-                return serde_json::from_slice(&text).map_err(io::Error::other);
-            }
+    let mut pages = PageCollector::default();
+    let end = Instant::now() + ATTEMPT_TIMEOUT;
+    while let Some(left) = end.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
+        socket.set_read_timeout(Some(left))?;
+        // Time is over, or a datagram reached nobody: the query is sent again.
+        let Ok((size, _)) = socket.recv_from(&mut buffer) else { return Ok(None) };
+        let Ok(reply) = datagram::open(key, &buffer[..size]) else { continue };
+        if reply.kind != kind::STATUS_REPLY || reply.request_id != request_id {
+            continue;
+        }
+        let Some(page) = reply.page else { continue };
+        pages.insert(page.index.into(), page.total.into(), page.bytes);
+        if pages.is_complete() {
+            return Ok(pages.into_text());
         }
     }
-    let wrong = format!("the gateway does not answer on {to}: is it running, with this key?");
-    Err(io::Error::new(ErrorKind::TimedOut, wrong))
+    Ok(None)
 }
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -102,6 +102,7 @@
     let mistakes = |m: Vec<_>| io::Error::other(format!("a charter can't be read: {m:?}"));
     let house = milletpath_config::read(&charter::control_text(control, places)).map_err(mistakes)?;
     Client::new(&house.config_log.ok_or_else(|| io::Error::other("a charter without changes"))?)
+        .map_err(io::Error::other)
 }
 
 /// What control machines tell, asked where they are; none for one that does not answer.
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -212,7 +212,7 @@
             changes.push((me, number, clock()));
         }
     });
-    HollowGateway::start(house, &workers.entries(plan), on_event, on_applied)
+    HollowGateway::start(house, &workers.entries(plan), on_event, on_applied).map_err(io::Error::other)
 }
 
 /// What a hollow gateway goes by: the charter of a real one, read by the same reader, with its workers handed
