--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -1,6 +1,6 @@
-//! Budgets that the gateways share, between the core of `milletpath-shared-budgets` and the desk: which there are, what of them is
-//! wanted and in use, what the decisions are allotted. Each method is called inside the desk: what is lent is subtracted
-//! there before anything else is decided, and before any note of it goes out.
+//! Connects the core of `milletpath-shared-budgets` with the dispatcher: which budgets there are, how much of each is used,
+//! and what the decisions are granted. Every method runs under the dispatcher's lock, so that a granted lease is subtracted
+//! from this gateway's own quota before the next decision and before the message of it is sent.
 
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Dispatcher, EndpointRevision};
@@ -12,11 +12,12 @@
 };
 use std::collections::BTreeMap;
 
-/// One budget that is open.
+/// One open budget.
 struct OpenBudget {
     budget: Budget,
+    /// Its index in the shared budgets.
     slot: usize,
-    /// A worker's, while it is listed.
+    /// False for a worker's budget once the worker left the endpoint list: it is closed when nothing of it is lent.
     listed: bool,
 }
 
@@ -41,17 +42,19 @@
 pub struct BudgetSharing {
     shared_budgets: SharedBudgets,
     open: Vec<OpenBudget>,
-    /// The list by which workers' budgets were last opened.
+    /// The endpoint list by which workers' budgets were last opened.
     revision: EndpointRevision,
-    /// When the decisions were last told what functions keep busy elsewhere.
+    /// When the dispatcher was last given the functions' concurrency at other gateways, in seconds.
     remote_concurrency_set_at: f64,
     in_flight_limit: InFlightLimit,
 }
 
 impl BudgetSharing {
-    /// All budgets that the charter bounds, but those of workers, which come with the list.
+    /// Opens all budgets that the configuration limits but those of workers, which come with the endpoint list.
+    ///
+    /// `lease` and `now` are in seconds, `now` on the gateway's clock; `instance_id` is that of this process.
     pub fn new(house: &GatewayConfig, instance_id: u64, lease: f64, now: f64) -> Self {
-        /// Seconds past its cut-off after which a shot has ended for certain.
+        /// Seconds past its deadline after which an attempt has ended for certain.
         const END_MARGIN_SECONDS: f64 = 0.5;
         let mut shared_budgets = SharedBudgets::new(instance_id, lease, instance_id, now);
         let (policy, gateways) = (&house.policy, house.policy.routers.max(1) as f64);
@@ -98,12 +101,12 @@
         }
     }
 
-    /// When [`tick`](Self::tick) is wanted next.
+    /// When [`tick`](Self::tick) is due next, in seconds on the gateway's clock.
     pub fn next_deadline(&self) -> f64 {
         self.shared_budgets.next_tick().min(self.shared_budgets.next_usage_report())
     }
 
-    /// Opens budgets of workers that came, closes those of workers that are gone.
+    /// Opens budgets of workers that were added to the endpoint list, and marks those of removed workers for closing.
     fn update_worker_budgets<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         let revision = desk.endpoint_revision();
         if revision == self.revision {
@@ -133,13 +136,17 @@
         }
     }
 
+    /// Samples how much of each budget is used now.
     fn record_usage<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for open in self.open.iter().filter(|open| open.listed) {
             self.shared_budgets.record_usage(now, open.slot, desk.usage(now, open.budget));
         }
     }
 
-    /// Does what is due, with what is one's own by the count and those who can be asked.
+    /// Does what is due: samples usage, requests and returns leases, applies grants to the dispatcher.
+    ///
+    /// `quota` is this gateway's fraction by the number of gateways; `others` are the processes that can be asked for a
+    /// lease.
     pub fn tick<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, quota: &QuotaFraction, others: Vec<u64>) {
         self.update_worker_budgets(desk, now);
         let QuotaFraction { fraction, floor, valid_until, .. } = *quota;
@@ -156,16 +163,17 @@
         self.apply_adjustments(desk, now);
     }
 
-    /// Tells others what functions keep busy here, and the decisions what they do elsewhere.
+    /// Reports the functions' concurrency here to other gateways, and theirs to the dispatcher.
     fn exchange_concurrency<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
-        /// Seconds between two words to the decisions.
+        /// Seconds between two updates of the dispatcher.
         const INTERVAL_SECONDS: f64 = 0.5;
         let concurrency_of = |(function, concurrency)| FunctionConcurrency { function, concurrency };
         self.shared_budgets
             .report_usage(now, || desk.local_concurrency(now).into_iter().map(concurrency_of).collect());
         if self.remote_concurrency_set_at == f64::NEG_INFINITY {
-            // Whoever has just begun sees little and knows nothing of how long things take: times the count that would stretch
-            // sets over all workers. Until the first word comes, or time has passed without one, others have what they need.
+            // A gateway that has just started has no estimate of its own; multiplied by the number of gateways it would
+            // spread every function over all workers. Until the first report comes, or none came in time, others count
+            // as needing nothing.
             desk.set_remote_concurrency(now, &BTreeMap::new());
             self.remote_concurrency_set_at = now;
         }
@@ -178,7 +186,7 @@
         }
     }
 
-    /// A note came of another process.
+    /// Handles a message of another process on shared budgets; one that can't be read is counted and dropped.
     pub fn receive<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, instance_id: u64, message: &[u8]) {
         let open = &self.open;
         self.shared_budgets.receive(now, instance_id, message, &mut |slot| {
@@ -188,6 +196,7 @@
         self.apply_adjustments(desk, now);
     }
 
+    /// Grants the dispatcher what leases added to or took from its quotas.
     fn apply_adjustments<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
         for SlotAdjustment { slot, adjustment } in self.shared_budgets.take_adjustments(now) {
             if let Some(open) = self.open.iter().find(|open| open.slot == slot && open.listed) {
@@ -196,14 +205,14 @@
         }
     }
 
-    /// What to send next, and to which process.
+    /// The next message to send; none once all were taken.
     pub fn next_message(&mut self) -> Option<OutgoingMessage> {
         self.shared_budgets.next_message()
     }
 
-    /// Budgets as an operator sees them: those of which something is wanted, lent or borrowed come first.
+    /// The budgets for operators: those of which most is wanted, lent or borrowed, 48 at most.
     pub fn view(&mut self, now: f64) -> BudgetSharingView {
-        /// Budgets that are told.
+        /// Keeps a status within some datagrams; with many workers there are thousands of budgets.
         const MAX_VIEWED: usize = 48;
         let mut budgets = self.shared_budgets.view(now);
         budgets.sort_by(|a, b| {
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -1,7 +1,7 @@
-//! Changes of configuration, as they come: a thread with one UDP socket around the follower of
-//! `milletpath-config-log`. What is in force reaches the desk through the office, a batch at once, and no call
-//! ever waits for the network. The last known state is kept in a file, and is in force from the first call on
-//! after a restart, whoever is silent.
+//! Follows the replicated log of configuration changes: a thread with one UDP socket around the follower of
+//! `milletpath-config-log`. Committed changes reach the dispatcher a batch at a time, and no request ever waits for the
+//! network. The last known state is stored in a file and applied before the first request after a restart, also while no
+//! control machine answers.
 
 mod state_file;
 mod status_log;
@@ -26,62 +26,79 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A socket over which changes come, open and not yet read.
+/// An open socket with its key, before [`start`] reads it.
 pub struct ConfigFeed {
     socket: UdpSocket,
     key: Key,
 }
 
 impl ConfigFeed {
-    /// Opens the socket that the charter states, and reads the key.
+    /// Opens the socket that the configuration states, and reads the control machines' key.
+    ///
+    /// # Errors
+    ///
+    /// The key file can't be used, or the address can't be listened on.
     pub fn open(settings: &ConfigLogConfig) -> Result<Self, ControlThreadError> {
         let key = read_control_key(&settings.key_file)?;
         let socket = bind(settings.listen)?;
         Ok(Self { socket, key })
     }
 
+    /// The address on which datagrams are received.
+    ///
+    /// # Errors
+    ///
+    /// What the system says where it does not know the socket's address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 }
 
-/// What a gateway tells an operator of changes.
+/// The status of a gateway's configuration follower, as `milletpath changes --here` shows it. Operators read its JSON: the
+/// serde names of its fields stay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigStatus {
+    /// What is applied here, and what is known of each replica.
     #[serde(flatten)]
     pub view: FollowerView,
-    /// Seconds of a processor that this took since the start.
+    /// Processor time of the follower's thread since the start, in seconds.
     #[serde(rename = "cpu")]
     pub cpu_seconds: f64,
-    /// Datagrams that were not taken: of another key or changed, and all others.
+    /// Datagrams rejected since their seal was of another key, or they were altered.
     #[serde(rename = "seals")]
     pub rejected_seal: u64,
+    /// Datagrams rejected for all other reasons.
     #[serde(rename = "unread")]
     pub rejected_other: u64,
-    /// Times that the last known state was kept, and that it could not be.
+    /// Times that the last known state was written to its file.
     #[serde(rename = "kept")]
     pub saves: u64,
+    /// Times that it could not be written.
     #[serde(rename = "not_kept")]
     pub failed_saves: u64,
 }
 
-/// Looks on while changes are followed, in that thread.
+/// Observes the follower from within its thread.
 pub(crate) trait FollowerObserver: Send {
-    /// The desk has taken all up to this number.
+    /// The dispatcher applied all changes up to this number of the log.
     fn applied(&mut self, number: u64);
-    /// Once in each turn of the thread, after all that was due.
+    /// Called after each turn of the thread.
     fn after_turn(&mut self, follower: &Follower);
-    /// Whether it is to end as if its process had been killed: what was not kept by then is not.
-    fn killed(&self) -> bool;
+    /// Whether the thread is to end as if its process had been killed, without storing its state.
+    fn is_killed(&self) -> bool;
 }
 
-/// Starts the thread of a feed. What was in force when the last process of this gateway ended is so again
-/// before this comes back.
+/// Applies the stored last known state, then starts the thread of a feed. It ends once `office` is stopping; the caller
+/// joins it.
+///
+/// # Errors
+///
+/// The configuration has no section `changes`, its state file has no file name, or the system gives no thread.
 pub fn start(office: Arc<Office>, feed: ConfigFeed) -> Result<JoinHandle<()>, ControlThreadError> {
     start_observed(office, feed, None)
 }
 
-/// As [`start`], with somebody who looks on.
+/// As [`start`], with an observer.
 pub(crate) fn start_observed(
     office: Arc<Office>,
     feed: ConfigFeed,
@@ -98,7 +115,7 @@
     }
     let (saved, now) = (read_saved_state(&settings.state_file), office.now());
     let was_saved = saved.is_some();
-    // Drawn anew by each process from the system's chance: gateways that begin together must not ask in step.
+    // Random in each process: gateways that start together must not poll in step.
     let seed = RandomState::new().hash_one(std::process::id());
     let follower = Follower::new(settings.name, settings.control, Terms::default(), seed, now, saved);
     log_initial_state(&settings.state_file, was_saved, follower.state().head());
@@ -131,6 +148,7 @@
     }
 }
 
+/// Logs which state is applied before the first request; `number` is its number, 0 for none.
 fn log_initial_state(path: &Path, was_saved: bool, number: u64) {
     let file = path.display();
     match (was_saved, number) {
@@ -203,7 +221,7 @@
     }
 
     fn is_killed(&self) -> bool {
-        self.observer.as_ref().is_some_and(|observer| observer.killed())
+        self.observer.as_ref().is_some_and(|observer| observer.is_killed())
     }
 
     fn finish(mut self) {
@@ -220,15 +238,15 @@
 }
 
 impl FollowerThread {
-    /// Passes what is new on to the desk, each batch at once. What this gateway's charter can't take is told
-    /// to the control machines; what was in force under its key stays.
+    /// Applies new changes to the dispatcher, each batch at once. A change that this gateway's configuration does not allow
+    /// is reported to the control machines, and the former value of its key stays.
     fn apply_changes(&mut self) {
         while let Some(batch) = self.follower.news() {
             let house = &self.office.house;
             let mut config_changes: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
                 if change.text.is_none() && Subject::from_key(&change.key).is_none() {
-                    // What was never in force here is easily taken back.
+                    // A removal under a key that this version does not know: nothing was applied under it.
                     continue;
                 }
                 match house.parse_change(&change.key, change.text.as_deref()) {
@@ -251,10 +269,11 @@
         }
     }
 
+    /// Sends all messages that the follower has ready.
     fn send_outgoing(&mut self) {
         while let Some((to, message)) = self.follower.out() {
             if let Some(datagram) = message::seal(&self.feed.key, &message) {
-                // What can't be sent is as if lost on its way: that is what the core is built for.
+                // As if it were lost on its way: the core repeats what matters.
                 let _ = self.feed.socket.send_to(&datagram, to);
             }
         }
@@ -274,25 +293,26 @@
         }
     }
 
-    /// Tells an operator what is known here.
+    /// Sends one page of the follower's status to an operator.
     fn answer_query(&mut self, request_id: u64, page: u32, from: SocketAddr) {
         let mut status_pages = std::mem::take(&mut self.status_pages);
         let reply = status_pages.page(from, request_id, page, || serde_json::to_vec(&self.view()).ok());
         self.status_pages = status_pages;
         if let Some(datagram) = reply.and_then(|reply| message::seal(&self.feed.key, &reply)) {
+            // A lost page makes the operator ask again.
             let _ = self.feed.socket.send_to(&datagram, from);
         }
     }
 }
 
-/// Which state is in force.
+/// Identifies the applied state.
 fn state_id(follower: &Follower) -> StateId {
     StateId { number: follower.state().head(), digest: follower.state().digest() }
 }
 
-/// A reason that fits into a message.
+/// Cuts a reason to the bytes that fit into a message.
 fn shortened(mut why: String) -> String {
-    let end = (0..=LONGEST_WHY.min(why.len())).rev().find(|n| why.is_char_boundary(*n)).unwrap_or(0);
+    let end = (0..=LONGEST_WHY.min(why.len())).rev().find(|end| why.is_char_boundary(*end)).unwrap_or(0);
     why.truncate(end);
     why
 }
--- a/crates/gateway/src/config_follower/status_log.rs
+++ b/crates/gateway/src/config_follower/status_log.rs
@@ -1,44 +1,48 @@
-//! Log lines for what an operator should know of the follower without asking: looked at once a second, told when it changes.
+//! Log lines for what an operator should know of the follower without asking. The follower is looked at once a second, and
+//! a line is written when something changed.
 
 use milletpath_config_log::Follower;
 
-/// Whether the control machines were heard lately, as the log was told last.
+/// Whether the applied state is known to be the latest.
 #[derive(Clone, Copy, PartialEq)]
 enum Freshness {
+    /// The process has just started.
     Unknown,
+    /// A majority of the control machines confirmed it lately.
     Confirmed,
+    /// No majority has confirmed it for a while.
     Stale,
 }
 
-/// Counts whose growth is worth a line.
+/// Counters whose growth is logged.
 #[derive(Clone, Copy)]
 struct Counts {
     /// Times that control machines contradicted each other.
     conflicts: u64,
-    /// Times that the state was gathered anew, as it was no state of the log.
+    /// Times that the state was collected again, as it was no state of the log.
     rebuilds: u64,
 }
 
-/// What the log was told last.
+/// What was logged last.
 pub struct StatusLog {
     logged: Counts,
     freshness: Freshness,
-    /// When the follower is looked at next.
+    /// When the follower is looked at next, in seconds on the gateway's clock.
     next_check: f64,
 }
 
 impl StatusLog {
-    /// Nothing is told yet; the follower is first looked at from `now` on.
+    /// Nothing is logged yet; the follower is first looked at from `now` on.
     pub fn new(now: f64) -> Self {
         Self { logged: Counts { conflicts: 0, rebuilds: 0 }, freshness: Freshness::Unknown, next_check: now }
     }
 
-    /// Tells the log what an operator should know without asking.
+    /// Logs what changed since the last look, at most once a second.
     pub fn update(&mut self, follower: &Follower, now: f64) {
-        /// Seconds between two looks.
+        /// Between two looks.
         const INTERVAL_SECONDS: f64 = 1.0;
-        /// Seconds after which what is in force here may not be the latest: several polls, and a change of
-        /// whom it follows.
+        /// Without confirmation for so long the state may not be the latest: several polls, and the choice of another
+        /// control machine to follow.
         const SILENCE_SECONDS: f64 = 5.0;
         if now < self.next_check {
             return;
@@ -65,7 +69,8 @@
         }
         let counts = Counts { conflicts: view.conflicts, rebuilds: view.anew };
         if counts.conflicts > self.logged.conflicts {
-            let conflicts: Vec<_> = view.replicas.iter().map(|r| (r.replica, r.conflicts)).collect();
+            let conflicts: Vec<_> =
+                view.replicas.iter().map(|replica| (replica.replica, replica.conflicts)).collect();
             tracing::warn!(?conflicts, "a control machine tells other than the others do, by number");
         }
         if counts.rebuilds > self.logged.rebuilds {
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -1,6 +1,6 @@
-//! How authors and operators talk with the control machines: one UDP socket, questions to one or all of them,
-//! each sent resend_at until it is answered or its time is over. Nobody is believed for being quick: of several
-//! answers the one counts that knows of the latest entry.
+//! A client of the control machines, for authors of configuration changes and for operators. It sends each request to one
+//! or all of them over one UDP socket, and again until it is answered or its time is over. Of several answers the one that
+//! knows the latest entry counts, not the first.
 
 use crate::key_file::{KeyFileError, read_control_key};
 use crate::status_pages::PageCollector;
@@ -14,14 +14,13 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Between two times that a question is sent: several times what a message and its answer take between
-/// regions.
+/// Between two transmissions of a request: several round trips between regions.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// For a question to all, once the first has answered it.
+/// How long the others may take once the first control machine answered a request to all.
 const STRAGGLER_WAIT: Duration = Duration::from_millis(300);
 
-/// For a question, at most.
+/// For all transmissions of one request together.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why control machines can't be asked.
@@ -35,39 +34,49 @@
     Socket(#[source] io::Error),
 }
 
+/// A client of the control machines of one fleet.
 pub struct Client {
     socket: UdpSocket,
     key: Key,
-    /// In the order of their numbers.
+    /// The control machines' addresses, in the order of their numbers.
     pub control: Vec<SocketAddr>,
 }
 
-/// What stands under a key, by the control machine that knows of the latest entry.
+/// The value of a key, by the control machine that knows the latest entry.
 #[derive(Clone, Debug)]
 pub struct KeyState {
+    /// The number of the entry that set it, 0 for none.
     pub number: u64,
+    /// The statement under the key; none where it was never set, or removed.
     pub text: Option<String>,
+    /// The latest entry that the control machine knows.
     head: u64,
-    /// Who answered.
+    /// The control machine that answered.
     pub from: SocketAddr,
 }
 
-/// What became of a proposal.
+/// What became of a proposed change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalOutcome {
+    /// A control machine reported this outcome.
     Decided(Outcome),
-    /// The control machine's charter can't take it.
+    /// The control machine's configuration does not allow the change, for this reason.
     Denied(String),
-    /// No control machine has said anything of it.
+    /// No control machine answered: the change may still be committed.
     Unanswered,
 }
 
-/// A number of random_id, never 0.
+/// A random identifier, never 0.
 pub fn random_id() -> u64 {
     RandomState::new().hash_one(std::process::id()).max(1)
 }
 
 impl Client {
+    /// A client by the section `changes` of a configuration.
+    ///
+    /// # Errors
+    ///
+    /// The key file can't be used, or the system gives no socket.
     pub fn new(settings: &ConfigLogConfig) -> Result<Self, ControlClientError> {
         let key = read_control_key(&settings.key_file)?;
         let any: IpAddr = match settings.control.first() {
@@ -78,25 +87,29 @@
         Ok(Self { socket, key, control: settings.control.clone() })
     }
 
-    /// Where it hears answers.
+    /// The address on which answers are received.
+    ///
+    /// # Errors
+    ///
+    /// What the system says where it does not know the socket's address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     fn send(&self, to: SocketAddr, message: &Message) {
         if let Some(datagram) = message::seal(&self.key, message) {
-            // As if lost on its way: it is sent resend_at.
+            // As if it were lost on its way: it is sent again.
             let _ = self.socket.send_to(&datagram, to);
         }
     }
 
-    /// The next message until then.
+    /// The next valid message, waited for until `until`.
     fn receive(&self, until: Instant) -> Option<(SocketAddr, Message)> {
         let mut buffer = [0; LARGEST + 1];
         loop {
             let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
             self.socket.set_read_timeout(Some(left)).ok()?;
-            // An error is the word of a message that reached nobody, or that time is over.
+            // The timeout, or the report that an earlier datagram reached nobody.
             let Ok((size, from)) = self.socket.recv_from(&mut buffer) else { continue };
             if let Ok(message) = message::open(&self.key, &buffer[..size]) {
                 return Some((from, message));
@@ -104,7 +117,7 @@
         }
     }
 
-    /// What stands under a key; none where nobody answers.
+    /// The value of a key; none where no control machine answers within 3 s.
     pub fn get(&self, key: &str) -> Option<KeyState> {
         let mut answers: BTreeMap<SocketAddr, KeyState> = BTreeMap::new();
         let (began, mut end) = (Instant::now(), Instant::now() + REQUEST_TIMEOUT);
@@ -127,13 +140,14 @@
         answers.into_values().max_by_key(|state| (state.head, state.number))
     }
 
-    /// Proposes a change to one control machine, and to the next where that one says nothing or doesn't know.
+    /// Proposes a change to the control machine `first`, and to the next ones where it does not answer or can't tell the
+    /// outcome. Takes 12 s at most; asking several is harmless, as a change with one id is applied once.
     pub fn propose(&self, change: &Change, first: SocketAddr) -> ProposalOutcome {
-        /// For one to say something, before the next is asked too: an agreement and its answer take so long but over
-        /// the farthest links, and asking twice does no harm. With 1.5 s the author who asked a machine that had just
-        /// been killed, and lost one more letter, waited past the 3 s in which a change is to be in force.
+        /// For one control machine before the next is asked too: a commit and its answer take longer only over the
+        /// farthest links. With 1.5 s an author who asked a machine that had just been killed, and lost one more datagram,
+        /// waited past the 3 s in which a change is to be applied.
         const REPLICA_TIMEOUT: Duration = Duration::from_millis(600);
-        /// For all together: two of them may take their time until they say that they don't know.
+        /// For all together: two of them may take long until they report that they can't tell.
         const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(12);
         let begin = self.control.iter().position(|to| *to == first).unwrap_or(0);
         let mut order = self.control.iter().cycle().skip(begin).take(2 * self.control.len());
@@ -153,7 +167,7 @@
                     Outcome::Unknown | Outcome::Busy => {
                         (outcome_so_far, next) = (ProposalOutcome::Decided(outcome), Instant::now());
                     }
-                    known => return ProposalOutcome::Decided(known),
+                    decided => return ProposalOutcome::Decided(decided),
                 },
                 Some((_, Message::Denied { id, why })) if id == change.id => {
                     return ProposalOutcome::Denied(why);
@@ -164,7 +178,7 @@
         outcome_so_far
     }
 
-    /// The texts that those tell of themselves; none for one that doesn't answer.
+    /// The status texts (JSON) of processes, in the order of `targets`; none for one that does not answer completely.
     pub fn status_texts(&self, targets: &[SocketAddr]) -> Vec<Option<Vec<u8>>> {
         let request_id = random_id();
         let mut pages = vec![PageCollector::default(); targets.len()];
@@ -183,22 +197,23 @@
                 self.request_pages(from, request_id, pages);
             }
             if std::mem::take(&mut is_first) || !pages.is_complete() {
-                // Whoever answers page by page is waited for; the others had their chance.
+                // A process that sends page after page is waited for; those that sent none had their time.
                 end = (Instant::now() + 2 * STRAGGLER_WAIT).max(end.min(Instant::now() + STRAGGLER_WAIT));
             }
         }
         pages.into_iter().map(PageCollector::into_text).collect()
     }
 
-    /// Asks for the pages that are missing, a few at a time.
+    /// Requests missing pages, a few at a time.
     fn request_pages(&self, to: SocketAddr, request_id: u64, pages: &PageCollector) {
-        /// Pages at once: what any socket holds until it is read.
+        /// Pages requested at once: their datagrams fit into the receive buffer of any socket.
         const MAX_REQUESTS: usize = 64;
         let missing = pages.missing().take(MAX_REQUESTS);
         missing.for_each(|page| self.send(to, &Message::Status { ask: request_id, page }));
     }
 
-    /// What each control machine knows, in the order of their numbers; none for one that doesn't answer.
+    /// The status of each control machine, in the order of their numbers; none for one that does not answer or whose status
+    /// is not a `T`.
     pub fn control_status<T: DeserializeOwned>(&self) -> Vec<Option<T>> {
         let read = |text: Option<Vec<u8>>| serde_json::from_slice(&text?).ok();
         self.status_texts(&self.control).into_iter().map(read).collect()
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -1,6 +1,6 @@
-//! A gateway without client sockets: the same desk, budgets, membership, link and follower of changes as
-//! `serve` has, in the same control threads, many of them in one process. Whoever runs it hands in the worker list and keeps the desk's
-//! time; what the control costs is read from the threads' own clocks.
+//! A hollow gateway: one without client and worker sockets, with the dispatcher, budgets, membership link and configuration
+//! follower of a real gateway in the same control threads, so that many run in one process. The caller hands in the
+//! endpoint list and advances the dispatcher's time; what the control threads cost is read from their own clocks.
 
 mod minimums;
 mod readings;
@@ -22,11 +22,12 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 
-/// A hollow gateway that runs.
+/// A running hollow gateway. Dropping it stops its control threads and joins them.
 pub struct HollowGateway {
     office: Arc<Office>,
-    /// Where it hears other gateways, and changes.
+    /// The address of its membership link, if it has one.
     pub link: Option<SocketAddr>,
+    /// The address of its configuration follower, if it has one.
     pub feed: Option<SocketAddr>,
     threads: Vec<JoinHandle<()>>,
     reading: Arc<Mutex<Reading>>,
@@ -37,8 +38,12 @@
 }
 
 impl HollowGateway {
-    /// Begins with a worker list, as `serve` does before its first call: with a link where the charter has
-    /// peers, and a follower where it has changes.
+    /// Starts with an endpoint list, as a real gateway does before its first request: with a membership link where the
+    /// configuration has a section `peers`, and a follower where it has `changes`.
+    ///
+    /// # Errors
+    ///
+    /// A control thread can't start.
     pub fn start(
         house: GatewayConfig,
         entries: &[Entry],
@@ -82,12 +87,12 @@
         Ok(hollow)
     }
 
-    /// One edition of the worker list.
+    /// Applies an endpoint list, or changes to it where it is not `whole`. Gives the processor time taken, in seconds.
     pub fn update_endpoints(&self, whole: bool, entries: &[Entry]) -> f64 {
         self.timed(|office| office.list(None, whole, entries))
     }
 
-    /// Does what is due at the desk. To be called often, as the keeper of `serve` does.
+    /// Runs the dispatcher's timers that are due. To be called often, as the supervisor of a real gateway does.
     pub fn tick(&self) {
         self.timed(|office| {
             if office.overdue(0.0) {
@@ -96,7 +101,7 @@
         });
     }
 
-    /// Does something inside the desk; gives the processor time that it took.
+    /// Does some work of the dispatcher; gives the processor time that it took, in seconds.
     fn timed(&self, work: impl FnOnce(&Office)) -> f64 {
         let before = thread_cpu_seconds();
         work(&self.office);
@@ -105,10 +110,10 @@
         took
     }
 
-    /// Its latest reading; takes the seconds that are over. A control thread that is too busy to read itself
-    /// is read by the system's word.
+    /// The latest reading, with the minimums of all seconds that were completed since the last call. The processor time of
+    /// a control thread that is too busy to take readings comes from the system.
     pub fn reading(&self) -> Reading {
-        /// Seconds past which a reading is of another time.
+        /// Seconds after which a reading is outdated.
         const MAX_AGE_SECONDS: f64 = 1.0;
         let mut reading = lock(&self.reading);
         let minimums = std::mem::take(&mut reading.minimums);
@@ -116,7 +121,7 @@
         reading.desk = self.desk.load(Ordering::Relaxed) as f64 / 1e9;
         let now = clock();
         if self.link.is_none() {
-            // No link, and no thread of it: that costs nothing.
+            // Without a link there is no thread, and no cost.
             reading.at = now;
         } else if now - reading.at > MAX_AGE_SECONDS
             && let Some(used) = reading.thread.as_deref().and_then(cpu_seconds_of)
@@ -135,13 +140,12 @@
         reading
     }
 
-    /// Whether its control threads still run.
+    /// Whether all control threads still run.
     pub fn is_running(&self) -> bool {
         self.threads.iter().all(|thread| !thread.is_finished())
     }
 
-    /// Begins its end: with a word to the others, or without as a process that is killed. Dropped, it is
-    /// waited for.
+    /// Asks the control threads to end: in order, or as if the process had been `killed`. Does not wait; dropping does.
     pub fn stop(&self, killed: bool) {
         self.killed.store(killed, Ordering::Release);
         self.office.stopping.store(true, Ordering::Release);
--- a/crates/gateway/src/hollow_gateway/minimums.rs
+++ b/crates/gateway/src/hollow_gateway/minimums.rs
@@ -1,30 +1,30 @@
-//! The lowest figures of each second of a gateway's budgets, from single readings.
+//! The minimum of each budget within each second, from single readings.
 
 use std::collections::BTreeMap;
 
-/// What one gateway may use of one budget, in units of that budget (requests a second, orders in a window, requests in
-/// flight).
+/// What one gateway may use of one budget, in units of that budget: requests a second, load requests in a window, or
+/// requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLevel {
-    /// Its part by the number of gateways alone.
+    /// Its quota by the number of gateways alone.
     pub quota: f64,
-    /// What it might use, with what was lent and borrowed.
+    /// What it might use, with leases granted and held.
     pub allowed: f64,
 }
 
-/// The lowest figures of one second: at every moment of it the gateway could use at least so much.
+/// The minimums of one second: at every moment of it the gateway could use at least so much.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SecondMinimum {
     /// The whole second, on [`clock`](crate::hollow_gateway::clock).
     pub second: u64,
-    /// Its part of what is shared, as a multiple of one in the most.
+    /// Its quota fraction, as a multiple of one gateway's part among the configured number.
     pub fraction: f64,
     /// The level of each budget by its name.
     pub budgets: BTreeMap<String, BudgetLevel>,
 }
 
 impl SecondMinimum {
-    /// Lower where the other is. A budget that was not open all the while counts as none.
+    /// Lowers each figure to that of another reading. A budget that is not open in both is left out.
     fn lower_to(&mut self, other: &SecondMinimum) {
         self.fraction = self.fraction.min(other.fraction);
         self.budgets.retain(|name, _| other.budgets.contains_key(name));
@@ -36,28 +36,31 @@
     }
 }
 
-/// MinimumTracker from single readings. A loan is subtracted by the lender before the borrower has it, and until after:
-/// so a borrower that had it at all its readings of a second, which lie this close, has a lender that lacked
-/// it at one of its own. Seconds with fewer readings, the first ones among them, are left out.
+/// Computes minimums from single readings. A lender subtracts a lease before the borrower has it, and until after: so if a
+/// borrower had it at all its readings of a second, which lie this close, then the lender lacked it at one of its own.
+/// Seconds with fewer readings are left out, the first one among them.
 #[derive(Clone, Debug, Default)]
 pub struct MinimumTracker {
     minimum: Option<SecondMinimum>,
-    /// Readings of that second, and when the last was.
+    /// Readings of that second so far.
     readings: u32,
+    /// When the last reading was, in seconds on [`clock`](crate::hollow_gateway::clock).
     last: f64,
+    /// The longest time between two readings of that second, in seconds.
     gap: f64,
 }
 
 impl MinimumTracker {
-    /// One more reading; gives the second before, once it is over.
+    /// Adds a reading at the time `at`, in seconds; gives the minimum of the second before it, once that is complete.
     pub fn record(
         &mut self,
         at: f64,
         fraction: f64,
         budgets: BTreeMap<String, BudgetLevel>,
     ) -> Option<SecondMinimum> {
-        /// Readings that a second must have, and seconds between two of them at most.
+        /// Readings that a second must have.
         const MIN_READINGS: u32 = 3;
+        /// Seconds between two of them at most.
         const MAX_GAP_SECONDS: f64 = 0.45;
         let reading = SecondMinimum { second: at as u64, fraction, budgets };
         let finished = match &mut self.minimum {
--- a/crates/gateway/src/hollow_gateway/readings.rs
+++ b/crates/gateway/src/hollow_gateway/readings.rs
@@ -1,5 +1,5 @@
-//! What the control threads of a hollow gateway cost and have: readings that each thread takes of itself, as an observer in
-//! that thread.
+//! Readings of the control threads of a hollow gateway: what they cost, and what they know. Each thread takes them of
+//! itself, through an observer that runs within it.
 
 use super::minimums::{BudgetLevel, MinimumTracker, SecondMinimum};
 use crate::budget_sharing::BudgetSharing;
@@ -13,57 +13,61 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Seconds between two readings that a control thread gives of itself: often enough to see what a budget was
-/// at its lowest within a second, seldom enough to cost nothing beside the control.
+/// Seconds between two readings: short enough to find the minimum of a budget within a second, long enough to cost little
+/// beside the thread's own work.
 const READING_INTERVAL: f64 = 0.25;
 
-/// Seconds whose lowest figures are kept until somebody takes them.
+/// Completed seconds whose minimums are kept until they are read; the oldest go first.
 const MAX_MINIMUMS: usize = 16;
 
-/// What a control thread says of itself; times and counts since it began.
+/// A reading of the membership link's thread; times and counts are since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
     /// When it was read, on [`clock`].
     pub at: f64,
-    /// Seconds of processor time of the control thread.
+    /// Processor time of the control thread, in seconds.
     pub control_cpu: f64,
-    /// Seconds of processor time that others spent inside its desk: the worker list and the desk's own
-    /// timers.
+    /// Processor time that other threads spent in its dispatcher, for endpoint lists and timers, in seconds.
     pub desk: f64,
+    /// Counters of the membership.
     pub counters: Counters,
     /// The control thread, as the system names it: `PROCESS/task/THREAD`.
     pub(super) thread: Option<PathBuf>,
-    /// Gateways likely to be there, by its own word.
+    /// Its estimate of the number of gateways.
     pub likely_gateways: f64,
-    /// Whole seconds that are over, each told once.
+    /// The minimums of completed seconds, each given once.
     pub minimums: VecDeque<SecondMinimum>,
+    /// The reading of the configuration follower's thread, if there is one.
     pub changes: Option<FollowerReading>,
 }
 
-/// What the thread that follows changes says of itself.
+/// A reading of the configuration follower's thread.
 #[derive(Clone, Debug, Default)]
 pub struct FollowerReading {
     /// When it was read, on [`clock`].
     pub at: f64,
-    /// Seconds of its processor time.
+    /// Processor time of the thread since its start, in seconds.
     pub cpu_seconds: f64,
-    /// What is in force.
+    /// The number of the applied state.
     pub number: u64,
+    /// The digest of the applied state.
     pub digest: u64,
+    /// The thread, as the system names it: `PROCESS/task/THREAD`.
     pub(super) thread: Option<PathBuf>,
 }
 
-/// What is done with events of the membership.
+/// Called for each event of the membership, in the link's thread.
 pub type MembershipCallback = Box<dyn FnMut(MembershipEvent) + Send>;
 
+/// Takes readings in the thread of a membership link.
 pub struct MembershipMonitor {
     on_membership_event: MembershipCallback,
     reading: Arc<Mutex<Reading>>,
     killed: Arc<AtomicBool>,
-    /// When it reads next.
+    /// When the next reading is due, in seconds on the gateway's clock.
     next_reading: f64,
     minimums: MinimumTracker,
-    /// Processor time that the readings themselves took.
+    /// Processor time that the readings themselves took, in seconds.
     own_cpu: f64,
 }
 
@@ -118,15 +122,15 @@
         self.own_cpu += thread_cpu_seconds() - before;
     }
 
-    fn killed(&self) -> bool {
+    fn is_killed(&self) -> bool {
         self.killed.load(Ordering::Acquire)
     }
 }
 
-/// What is done when the desk has taken all changes up to a number.
+/// Called with the number up to which the dispatcher applied all changes, in the follower's thread.
 pub type AppliedCallback = Box<dyn FnMut(u64) + Send>;
 
-/// Looks on at the thread that follows changes.
+/// Takes readings in the thread of a configuration follower.
 pub struct FollowerMonitor {
     on_applied: AppliedCallback,
     following: Arc<Mutex<FollowerReading>>,
@@ -170,7 +174,7 @@
         self.own_cpu += thread_cpu_seconds() - before;
     }
 
-    fn killed(&self) -> bool {
+    fn is_killed(&self) -> bool {
         self.killed.load(Ordering::Acquire)
     }
 }
@@ -180,7 +184,7 @@
     reading.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Seconds of processor time of another thread.
+/// Processor time of another thread in seconds, by `/proc/PROCESS/task/THREAD/schedstat`.
 pub fn cpu_seconds_of(thread: &Path) -> Option<f64> {
     let text = std::fs::read_to_string(Path::new("/proc").join(thread).join("schedstat")).ok()?;
     text.split_whitespace().next()?.parse::<f64>().ok().map(|ns| ns / 1e9)
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -1,6 +1,6 @@
-//! The link to the other gateways: a thread with one UDP socket around the core of `milletpath-membership`. It reaches the
-//! desk through the office alone, and no call ever waits for it. What is told to the desk ends by itself: whoever acts
-//! looks at the time at that moment.
+//! The link to the other gateways: a thread with one UDP socket around the core of `milletpath-membership`. It gives the
+//! dispatcher this gateway's fraction of shared quotas, and no request ever waits for it. Each fraction has an expiry,
+//! which the dispatcher checks itself, so that a link that stops takes its fraction with it.
 
 mod event_log;
 mod status;
@@ -23,14 +23,14 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A fault of the program that tests ask for, to see that it is found.
+/// A fault that tests put into the program, to see that the checks of a run find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Budgets that bound harm take the likeliest count.
+    /// The quota fraction is computed from the likely number of gateways instead of the safe bound, and never expires.
     LikelyCount,
 }
 
-/// A link that is open and not yet read.
+/// An open socket with its key, before [`start`] reads it.
 pub struct MembershipLink {
     socket: UdpSocket,
     key: Key,
@@ -38,7 +38,11 @@
 }
 
 impl MembershipLink {
-    /// Opens the socket that the charter states, and reads the key.
+    /// Opens the socket that the configuration states, and reads the fleet's key.
+    ///
+    /// # Errors
+    ///
+    /// The key file can't be used, or the address can't be listened on.
     pub fn open(
         settings: &MembershipSettings,
         injected_fault: Option<InjectedFault>,
@@ -48,16 +52,21 @@
         Ok(Self { socket, key, injected_fault })
     }
 
+    /// The address on which datagrams are received.
+    ///
+    /// # Errors
+    ///
+    /// What the system says where it does not know the socket's address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 }
 
-/// Looks on while a link runs, in its own thread.
+/// Observes a link from within its thread.
 pub(crate) trait MembershipObserver: Send {
-    /// Takes an event in place of the log.
+    /// Receives an event of the membership, which is then not logged.
     fn event(&mut self, event: MembershipEvent);
-    /// Once in each turn of the thread, after all that was due.
+    /// Called after each turn of the thread; `now` is in seconds on the gateway's clock.
     fn after_turn(
         &mut self,
         now: f64,
@@ -65,16 +74,20 @@
         sharing: &mut BudgetSharing,
         quota: &QuotaFraction,
     );
-    /// Whether the link is to end as if its process had been killed, without a word to the others.
-    fn killed(&self) -> bool;
+    /// Whether the link is to end as if its process had been killed, without announcing its departure.
+    fn is_killed(&self) -> bool;
 }
 
-/// Starts the thread of a link.
+/// Starts the thread of a link. It ends once `office` is stopping; the caller joins it.
+///
+/// # Errors
+///
+/// The configuration has no section `peers`, or the system gives no address or thread.
 pub fn start(office: Arc<Office>, link: MembershipLink) -> Result<JoinHandle<()>, ControlThreadError> {
     start_observed(office, link, None)
 }
 
-/// As [`start`], with somebody who looks on.
+/// As [`start`], with an observer.
 pub(crate) fn start_observed(
     office: Arc<Office>,
     link: MembershipLink,
@@ -109,13 +122,14 @@
         second_began: 0.0,
         observer,
     };
-    // Before the first call is taken: what a former process of this name may have lent is not used.
+    // Before the first request is accepted: quota that a former process of this name may have lent must not be used.
     thread.publish_quota();
     control_thread::spawn(thread, office)
 }
 
 fn identity(house: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
-    // Drawn anew by each process from the system's chance, also where the charter fixes the seed of its decisions.
+    // Random in each process, also where the configuration fixes the seed of the decisions: two processes under one name
+    // must differ.
     let instance_id = RandomState::new().hash_one(std::process::id()).max(1);
     Identity {
         instance_id,
@@ -127,7 +141,7 @@
 }
 
 fn membership_config(house: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
-    // Quotas are counted by the second, orders within their window.
+    // Quotas are counted by the second, load requests within their window.
     let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
     MembershipConfig {
         period: settings.period,
@@ -164,12 +178,13 @@
     sharing: BudgetSharing,
     office: Arc<Office>,
     link: MembershipLink,
-    /// What the dispatcher was told last.
+    /// The quota fraction that the dispatcher was given last.
     published: Option<PublishedQuota>,
-    /// When what is shared was last looked after.
+    /// When shared budgets were last updated, in seconds on the gateway's clock.
     budgets_updated_at: f64,
-    /// Questions of operators answered since `second_began`.
+    /// Status queries answered since `second_began`.
     queries_answered: u32,
+    /// In seconds on the gateway's clock.
     second_began: f64,
     observer: Option<Box<dyn MembershipObserver>>,
 }
@@ -223,7 +238,7 @@
     }
 
     fn is_killed(&self) -> bool {
-        self.observer.as_ref().is_some_and(|observer| observer.killed())
+        self.observer.as_ref().is_some_and(|observer| observer.is_killed())
     }
 
     fn finish(mut self) {
@@ -234,9 +249,9 @@
 }
 
 impl LinkThread {
-    /// Tells an operator what is known here.
+    /// Sends the membership's status to an operator, in as many datagrams as it takes.
     fn answer_query(&mut self, query: &Datagram, from: SocketAddr) {
-        /// Questions answered a second: an old one played again is no lever.
+        /// Bounds what an attacker gains by replaying an old query: each is answered with many datagrams.
         const MAX_QUERIES_PER_SECOND: u32 = 10;
         self.queries_answered += 1;
         if self.queries_answered > MAX_QUERIES_PER_SECOND {
@@ -247,16 +262,18 @@
         let status = MembershipStatus { view: self.membership.view(now), budgets, sharing: counters };
         let Ok(text) = serde_json::to_vec(&status) else { return };
         let chunks: Vec<_> = text.chunks(PAGE_BYTES).collect();
-        for (number, chunk) in chunks.iter().enumerate() {
+        for (index, chunk) in chunks.iter().enumerate() {
             let mut reply = Datagram::new(query.sender.clone(), 0, kind::STATUS_REPLY, query.request_id);
             reply.page =
-                Some(Page { index: number as u16, total: chunks.len() as u16, bytes: chunk.to_vec() });
+                Some(Page { index: index as u16, total: chunks.len() as u16, bytes: chunk.to_vec() });
             if let Ok(sealed) = datagram::seal(&self.link.key, &reply) {
+                // A lost page makes the operator ask again.
                 let _ = self.link.socket.send_to(&sealed, from);
             }
         }
     }
 
+    /// Sends all datagrams that the membership and shared budgets have ready.
     fn send_outgoing(&mut self) {
         while let Some(message) = self.sharing.next_message() {
             self.membership.send_payload(message.recipient, message.bytes);
@@ -264,12 +281,12 @@
         while let Some(sent) = self.membership.next_outgoing() {
             let sealed = datagram::seal(&self.link.key, &sent.datagram);
             let counters = self.membership.counters_mut();
-            match sealed.map(|d| self.link.socket.send_to(&d, sent.to)) {
+            match sealed.map(|sealed| self.link.socket.send_to(&sealed, sent.to)) {
                 Ok(Ok(bytes)) => {
                     counters.sent += 1;
                     counters.bytes += bytes as u64;
                 }
-                // As if lost on its way: that is what the core is built for.
+                // As if it were lost on its way: the core repeats what matters.
                 Ok(Err(_)) | Err(_) => counters.unsent += 1,
             }
         }
@@ -310,9 +327,9 @@
         }
     }
 
-    /// Takes what others say of budgets, and does what is due there; all of it inside the desk.
+    /// Passes messages of other gateways to the shared budgets and does what is due there, under the dispatcher's lock.
     fn update_budgets(&mut self, quota: QuotaFraction) {
-        /// Seconds between two looks at what is wanted and lacked: asked for as soon as it is seen.
+        /// Seconds between two samples of usage: a budget that runs short is noticed within this time.
         const UPDATE_SECONDS: f64 = 0.04;
         let others = self.membership.fresh_instances();
         let payloads: Vec<_> = std::iter::from_fn(|| self.membership.next_payload()).collect();
--- a/crates/gateway/src/membership_link/event_log.rs
+++ b/crates/gateway/src/membership_link/event_log.rs
@@ -1,4 +1,4 @@
-//! Log lines for what the membership reports of other gateways.
+//! Log lines for the events of the membership: gateways that join, leave, die or are configured wrongly.
 
 use milletpath_membership::MembershipEvent;
 
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -18,13 +18,16 @@
 /// The time in which all pages of an answer must come.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a gateway tells an operator.
+/// The status of one gateway's membership and shared budgets, as `milletpath peers` shows it. Operators read its JSON: the
+/// names of its fields stay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembershipStatus {
+    /// The other gateways as this one knows them.
     #[serde(flatten)]
     pub view: MembershipView,
-    /// Budgets that it shares with the others, the most moved first.
+    /// Budgets that it shares with the others; those of which most is wanted or lent come first.
     pub budgets: Vec<BudgetView>,
+    /// Messages on budgets, requests and grants since the process began.
     pub sharing: Counters,
 }
 
@@ -54,7 +57,11 @@
     Unanswered(SocketAddr),
 }
 
-/// Asks the gateway of a configuration for its membership. Waits for [`ATTEMPTS`] times [`ATTEMPT_TIMEOUT`] at most.
+/// Asks the running gateway of a configuration for its status, in 4 attempts of a second each.
+///
+/// # Errors
+///
+/// The configuration lacks what is needed to reach the gateway, the system fails, or no complete answer comes.
 pub fn query_membership(house: &GatewayConfig) -> Result<MembershipStatus, MembershipQueryError> {
     let settings = house.membership.as_ref().ok_or(MembershipQueryError::NotConfigured)?;
     let key = read_fleet_key(&settings.key_file)?;
--- a/crates/gateway/src/process_clocks.rs
+++ b/crates/gateway/src/process_clocks.rs
@@ -9,7 +9,7 @@
     reason = "the monotonic clock; an Instant can't be passed to another process"
 )]
 pub fn clock() -> f64 {
-    // It is there on every Linux; one that is not reads as 0 throughout, which shows.
+    // Every Linux has this clock; without it all times would be 0, which shows in any result.
     clock_gettime(ClockId::CLOCK_MONOTONIC).map_or(0.0, |t| t.tv_sec() as f64 + t.tv_nsec() as f64 / 1e9)
 }
 
--- a/crates/gateway/src/status_pages.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -1,31 +1,32 @@
-//! What a process tells operators of itself, in pages that fit into one message each: all pages of one
-//! question are of one moment, and the next question is of another.
+//! Status reports for operators, split into pages of one datagram each. All pages of one request show the same moment, as
+//! the report is kept until other requests displace it.
 
 use milletpath_config_log::message::Message;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Bytes of text in a page, which fits into one datagram.
+/// Bytes of text in a page, so that it fits into one datagram.
 pub const PAGE_BYTES: usize = 1100;
 
-/// Answers that are kept until all of their pages were asked for.
+/// Reports that are kept for requests of further pages.
 const MAX_ANSWERS: usize = 4;
 
-/// One answer, of which pages may still be asked for.
+/// A report of which further pages may be requested.
 struct Answer {
     asked_by: SocketAddr,
     request_id: u64,
     text: Vec<u8>,
 }
 
-/// Answers to operators, by whom and what they asked with.
+/// The reports that a process made lately, by the operator and the request.
 #[derive(Default)]
 pub struct StatusPages {
     answers: VecDeque<Answer>,
 }
 
 impl StatusPages {
-    /// A page of the answer to one question; `text` makes it when its first page is asked for.
+    /// One page of the report for a request; `text` makes the report when its first page is requested. None where `text`
+    /// gives none, or the report has no such page.
     pub fn page(
         &mut self,
         from: SocketAddr,
@@ -51,10 +52,10 @@
     }
 }
 
-/// The pages of one answer as they come, in any order and more than once.
+/// Collects the pages of one report, which may come in any order and more than once.
 #[derive(Clone)]
 pub struct PageCollector {
-    /// None for a page that is missing; one missing page until the first tells how many there are.
+    /// None for a missing page; a single one until the first page says how many there are.
     pages: Vec<Option<Vec<u8>>>,
 }
 
@@ -65,9 +66,9 @@
 }
 
 impl PageCollector {
-    /// Takes one page of `total`; gives whether there are more pages than was known.
+    /// Adds page `index` of `total`; gives whether there are more pages than was known.
     pub fn insert(&mut self, index: usize, total: usize, bytes: Vec<u8>) -> bool {
-        /// Far more than a control machine tells of all its gateways.
+        /// Far more than the status of a control machine with all gateways of a fleet takes.
         const MAX_PAGES: usize = 10_000;
         let known = self.pages.len();
         self.pages.resize(total.clamp(1, MAX_PAGES), None);
