--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -142,7 +142,7 @@
         Err(e) if e.kind() == ErrorKind::NotFound => None,
         Err(e) => {
             let file = path.display();
-            tracing::error!(%file, "the last known state can't be read: {e}; the charter's figures hold");
+            tracing::error!(%file, "the last known state can't be read: {e}; the values of the configuration file apply");
             None
         }
     }
@@ -154,10 +154,10 @@
     match (was_saved, number) {
         (true, 0) => tracing::error!(
             %file,
-            "the last known state is rotten or empty: the charter's figures hold until the control machines are heard"
+            "the last known state is corrupt or empty: the values of the configuration file apply until a control machine answers"
         ),
-        (true, _) => tracing::info!(number, "the last known state is in force"),
-        (false, _) => tracing::info!("no state is known yet: the charter's figures hold"),
+        (true, _) => tracing::info!(number, "the last known state is applied"),
+        (false, _) => tracing::info!("no state is known yet: the values of the configuration file apply"),
     }
 }
 
@@ -176,7 +176,7 @@
 impl ControlLoop for FollowerThread {
     const THREAD_NAME: &'static str = "changes";
     const MAX_DATAGRAM_BYTES: usize = LARGEST;
-    const READ_FAILED: &'static str = "changes can't be heard";
+    const READ_FAILED: &'static str = "datagrams of control machines can't be received";
 
     fn socket(&self) -> &UdpSocket {
         &self.feed.socket
@@ -198,9 +198,9 @@
                 let wrong_seal = matches!(why, message::Refused::Seal);
                 self.rejected_seal += u64::from(wrong_seal);
                 self.rejected_other += u64::from(!wrong_seal);
-                let all = self.rejected_seal + self.rejected_other;
-                if tenfold(all) {
-                    tracing::warn!(%from, all, "a message of a control machine is not taken: {why}");
+                let rejected = self.rejected_seal + self.rejected_other;
+                if tenfold(rejected) {
+                    tracing::warn!(%from, rejected, "a datagram of a control machine is rejected: {why}");
                 }
             }
         }
@@ -232,7 +232,7 @@
             cpu_seconds,
             saves,
             failed_saves,
-            "changes are followed no more"
+            "the configuration follower stopped"
         );
     }
 }
@@ -253,7 +253,11 @@
                     Ok(config_change) => config_changes.push(config_change),
                     Err(mistakes) => {
                         let why = mistakes.first().map(ToString::to_string).unwrap_or_default();
-                        tracing::error!(number, key = change.key, "a change can't be applied here: {why}");
+                        tracing::error!(
+                            number,
+                            key = change.key,
+                            "a configuration change can't be applied here: {why}"
+                        );
                         self.follower.refused(*number, shortened(why));
                     }
                 }
@@ -264,7 +268,7 @@
                     .iter()
                     .for_each(|config_change| desk.apply_config_change(config_change, &house.functions));
             });
-            tracing::info!(number, entries, "changes are in force");
+            tracing::info!(number, entries, "configuration changes are applied");
             self.observer.iter_mut().for_each(|observer| observer.applied(number));
         }
     }
--- a/crates/gateway/src/config_follower/state_file.rs
+++ b/crates/gateway/src/config_follower/state_file.rs
@@ -78,7 +78,7 @@
                 wait = wait.max(self.backoff.failed());
                 if self.failures == 0 {
                     let file = &self.name;
-                    tracing::error!(%file, "the last known state can't be stored, it would not outlive a restart: {e}");
+                    tracing::error!(%file, "the last known state can't be written and would be lost in a restart: {e}");
                 }
                 self.failures += 1;
             }
--- a/crates/gateway/src/config_follower/status_log.rs
+++ b/crates/gateway/src/config_follower/status_log.rs
@@ -58,11 +58,11 @@
             let number = view.number;
             match freshness {
                 Freshness::Confirmed => {
-                    tracing::info!(number, "what is in force here is known to be the latest")
+                    tracing::info!(number, "the applied configuration state is confirmed to be the latest")
                 }
                 _ => tracing::warn!(
                     number,
-                    "the control machines are silent, or no majority of them is: what is in force stays"
+                    "no majority of the control machines answers: the applied configuration state stays"
                 ),
             }
             self.freshness = freshness;
@@ -71,10 +71,10 @@
         if counts.conflicts > self.logged.conflicts {
             let conflicts: Vec<_> =
                 view.replicas.iter().map(|replica| (replica.replica, replica.conflicts)).collect();
-            tracing::warn!(?conflicts, "a control machine tells other than the others do, by number");
+            tracing::warn!(?conflicts, "a control machine contradicts the others");
         }
         if counts.rebuilds > self.logged.rebuilds {
-            tracing::warn!("what was in force here was no state of the log; it was gathered anew");
+            tracing::warn!("the applied configuration state was no state of the log; it was collected again");
         }
         self.logged = counts;
     }
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -157,7 +157,7 @@
         self.office.stopping.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
             if thread.join().is_err() {
-                tracing::error!("the control of a hollow gateway broke");
+                tracing::error!("a control thread of a hollow gateway panicked");
             }
         }
     }
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -192,7 +192,7 @@
 impl ControlLoop for LinkThread {
     const THREAD_NAME: &'static str = "peers";
     const MAX_DATAGRAM_BYTES: usize = MAX_DATAGRAM_BYTES;
-    const READ_FAILED: &'static str = "letters of other gateways can't be read";
+    const READ_FAILED: &'static str = "datagrams of other gateways can't be received";
 
     fn socket(&self) -> &UdpSocket {
         &self.link.socket
@@ -213,9 +213,9 @@
             Err(why) => {
                 let counters = self.membership.counters_mut();
                 counters.record_rejected(why);
-                let all = counters.rejected();
-                if tenfold(all) {
-                    tracing::warn!(%from, all, "a letter of another gateway is not taken: {why}");
+                let rejected = counters.rejected();
+                if tenfold(rejected) {
+                    tracing::warn!(%from, rejected, "a datagram of another gateway is rejected: {why}");
                 }
             }
         }
--- a/crates/gateway/src/membership_link/event_log.rs
+++ b/crates/gateway/src/membership_link/event_log.rs
@@ -5,27 +5,25 @@
 /// Logs one event; `max_gateways_here` is the number of gateways that this one's configuration states.
 pub fn log_event(event: &MembershipEvent, max_gateways_here: usize) {
     match event {
-        MembershipEvent::Joined { name, address } => {
-            tracing::info!(name, at = %address, "a gateway is there")
-        }
+        MembershipEvent::Joined { name, address } => tracing::info!(name, %address, "a gateway joined"),
         MembershipEvent::Suspected { name } => tracing::info!(name, "a gateway does not answer"),
-        MembershipEvent::Died { name } => tracing::warn!(name, "a gateway counts as gone"),
-        MembershipEvent::Left { name } => tracing::info!(name, "a gateway has left"),
+        MembershipEvent::Died { name } => tracing::warn!(name, "a gateway is declared dead"),
+        MembershipEvent::Left { name } => tracing::info!(name, "a gateway left"),
         MembershipEvent::Returned { name } => {
-            tracing::info!(name, "a gateway that counted as gone is there")
+            tracing::info!(name, "a gateway that was declared dead returned")
         }
         MembershipEvent::DuplicateName { name } => tracing::error!(
             name,
-            "two gateways go by one name: give each its own; until then neither has a say in shared budgets"
+            "two gateways have the same name, and neither counts for shared budgets; give each its own name"
         ),
         MembershipEvent::MaxGatewaysMismatch { name, max_gateways } => tracing::error!(
             name,
-            most = max_gateways,
-            own = max_gateways_here,
-            "another gateway's charter states another number of gateways: make them alike; the larger one holds"
+            max_gateways,
+            max_gateways_here,
+            "another gateway's configuration states another number of gateways, and the larger one applies; make them equal"
         ),
         MembershipEvent::ProcessPaused { seconds } => {
-            tracing::warn!(seconds, "the link to the other gateways stood still")
+            tracing::warn!(seconds, "the membership link was paused: its process or thread did not run")
         }
     }
 }
--- a/crates/milletpath/tests/changes.rs
+++ b/crates/milletpath/tests/changes.rs
@@ -236,7 +236,7 @@
         assert_eq!((site.call(0, "order"), site.call(0, "check")), (400, 200), "byte {at}");
         site.end_gateway(0, Signal::SIGKILL);
     }
-    assert_eq!(site.said("gateway-0", "rotten or empty"), 3);
+    assert_eq!(site.said("gateway-0", "corrupt or empty"), 3);
     std::fs::write(&state, &whole[..whole.len() / 2]).unwrap();
     site.begin_gateway(0);
     (0..3).for_each(|n| site.begin_control(n, &[]));
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -27,7 +27,7 @@
     let all = all(24);
     fleet.wait("each of 24 knows the others", |f| all.iter().all(|n| f.knows(*n, &all)));
     for n in all {
-        assert_eq!(fleet.said(n, "counts as gone"), 0, "{n} buried nobody on the way");
+        assert_eq!(fleet.said(n, "is declared dead"), 0, "{n} buried nobody on the way");
     }
 }
 
@@ -75,7 +75,7 @@
     // The others never took one another for gone.
     for n in [0, 1, 3, 4] {
         for other in [0, 1, 3, 4] {
-            assert_eq!(fleet.said(n, &format!("counts as gone name=\"gateway-{other}\"")), 0);
+            assert_eq!(fleet.said(n, &format!("is declared dead name=\"gateway-{other}\"")), 0);
         }
     }
 }
@@ -109,7 +109,7 @@
         state(&life).as_deref() == Some("alive") && state(&former).is_none_or(|s| s == "dead")
     });
     fleet.wait("and stays", |f| (0..3).all(|n| f.knows(n, &all(3))));
-    assert_eq!(fleet.said(0, "two gateways go by one name"), 0);
+    assert_eq!(fleet.said(0, "two gateways have the same name"), 0);
 }
 
 /// Stopped for longer than it takes to be buried: it wakes, accuses nobody, and is taken back.
@@ -123,9 +123,9 @@
     fleet.signal(3, Signal::SIGCONT);
     fleet.wait("it is taken back", |f| (0..5).all(|n| f.knows(n, &all(5))));
     assert_eq!(fleet.said(3, "does not answer"), before);
-    assert!(fleet.said(3, "stood still") >= 1);
+    assert!(fleet.said(3, "was paused") >= 1);
     for n in [0, 1, 2, 4] {
-        assert_eq!(fleet.said(n, "counts as gone"), 1, "{n} buried the one that stood, and nobody else");
+        assert_eq!(fleet.said(n, "is declared dead"), 1, "{n} buried the one that stood, and nobody else");
     }
 }
 
@@ -135,7 +135,7 @@
     let lost = fleet.relay.put(Fault::Lost(fleet.relay.links(), 0.2));
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
-        assert_eq!(fleet.said(n, "counts as gone"), 0, "{n}");
+        assert_eq!(fleet.said(n, "is declared dead"), 0, "{n}");
         assert_eq!(hears(&fleet, n), Some(Reachability::Majority));
     }
     fleet.relay.lift(lost);
@@ -147,7 +147,7 @@
     let mut fleet = Fleet::new(4);
     fleet.stated[3].name = "gateway-2".into();
     (0..4).for_each(|n| fleet.begin(n));
-    fleet.wait("all say so", |f| (0..4).all(|n| f.said(n, "two gateways go by one name") > 0));
+    fleet.wait("all say so", |f| (0..4).all(|n| f.said(n, "two gateways have the same name") > 0));
     let twice = |n: usize| {
         let members = fleet.view(n).map(|v| v.members).unwrap_or_default();
         members.iter().filter(|m| m.duplicate_name && m.state == "alive").count()
--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -220,7 +220,7 @@
 
 /// The number up to which a line of a gateway's log says that all changes are in force.
 pub fn holds(line: &str) -> Option<u64> {
-    if !line.contains("\"changes are in force\"") {
+    if !line.contains("\"configuration changes are applied\"") {
         return None;
     }
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
@@ -236,9 +236,9 @@
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = &line["fields"];
     let says = match fields["message"].as_str()? {
-        "a gateway is there" | "a gateway that counted as gone is there" => Says::Here,
+        "a gateway joined" | "a gateway that was declared dead returned" => Says::Here,
         "a gateway does not answer" => Says::Doubted,
-        "a gateway counts as gone" | "a gateway has left" => Says::Gone,
+        "a gateway is declared dead" | "a gateway left" => Says::Gone,
         _ => return None,
     };
     Some((charter::number(fields["name"].as_str()?)?, says))
--- a/crates/scale-test/tests/machine.rs
+++ b/crates/scale-test/tests/machine.rs
@@ -37,21 +37,21 @@
     assert_eq!((known.spread, known.learnt, known.never), (None, 0, 2));
 }
 
-#[test_case("a gateway is there", "gateway-7", Some((7, Says::Here)))]
-#[test_case("a gateway counts as gone", "gateway-12", Some((12, Says::Gone)))]
-#[test_case("a gateway has left", "gateway-0", Some((0, Says::Gone)))]
-#[test_case("a gateway that counted as gone is there", "gateway-3", Some((3, Says::Here)))]
+#[test_case("a gateway joined", "gateway-7", Some((7, Says::Here)))]
+#[test_case("a gateway is declared dead", "gateway-12", Some((12, Says::Gone)))]
+#[test_case("a gateway left", "gateway-0", Some((0, Says::Gone)))]
+#[test_case("a gateway that was declared dead returned", "gateway-3", Some((3, Says::Here)))]
 #[test_case("a gateway does not answer", "gateway-3", Some((3, Says::Doubted)))]
-#[test_case("a gateway is there", "another", None; "of another fleet")]
+#[test_case("a gateway joined", "another", None; "of another fleet")]
 fn a_line_of_the_log_says_who_is_there(message: &str, name: &str, says: Option<(usize, Says)>) {
     let line = format!(r#"{{"level":"INFO","fields":{{"message":"{message}","name":"{name}"}}}}"#);
     assert_eq!(believes(&line), says);
     assert_eq!(believes(&line[1..]), None, "no JSON");
 }
 
-#[test_case("changes are in force", "\"number\":12", Some(12))]
-#[test_case("changes are in force", "\"other\":12", None; "no number")]
-#[test_case("the last known state is in force", "\"number\":12", None; "of something else")]
+#[test_case("configuration changes are applied", "\"number\":12", Some(12))]
+#[test_case("configuration changes are applied", "\"other\":12", None; "no number")]
+#[test_case("the last known state is applied", "\"number\":12", None; "of something else")]
 fn a_line_of_the_log_says_up_to_which_number_all_is_in_force(
     message: &str,
     field: &str,
