--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -26,7 +26,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// An open socket with its key, before [`start`] reads it.
+/// An open socket with its key, before its thread reads it.
 pub struct ConfigFeed {
     socket: UdpSocket,
     key: Key,
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -30,7 +30,7 @@
     LikelyCount,
 }
 
-/// An open socket with its key, before [`start`] reads it.
+/// An open socket with its key, before its thread reads it.
 pub struct MembershipLink {
     socket: UdpSocket,
     key: Key,
