--- a/crates/config-log/src/state.rs
+++ b/crates/config-log/src/state.rs
@@ -1,36 +1,46 @@
-//! What is in force: the latest entry under each key, the head of the log and a digest over both. Two that applied the
-//! same entries are equal, whether they took them one by one or compacted.
+//! The configuration in force: the latest entry under each key, the head of the log and a digest over both. Two replicas
+//! that applied the same entries have equal states, whether they applied them one by one or from a snapshot.
 
-use crate::entry::{Change, Entry, KEYS, TEXTS};
+use crate::entry::{Change, Entry, MAX_KEYS, MAX_TOTAL_BYTES};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::Xxh3;
 
+/// The head of a log and the digest of the state there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Checkpoint {
+    pub head: u64,
+    pub digest: u64,
+}
+
+/// The configuration in force at one number of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     head: u64,
     /// Wrapping sum of the hashes of all entries in force.
     digest: u64,
-    /// Bytes of keys and texts.
-    texts: usize,
-    /// The number in force under each key; also under those whose text was removed.
+    /// Bytes of all keys and texts in force.
+    total_bytes: usize,
+    /// Number of the entry in force under each key, keys included whose text was removed.
     keys: BTreeMap<String, u64>,
+    /// The entries in force, by number.
     latest: BTreeMap<u64, Change>,
 }
 
-/// What an entry does when its turn comes.
+/// What a change does if it is the next entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Holds,
-    /// It is the entry that changes nothing.
+pub(crate) enum Effect {
+    /// It takes effect.
+    Applies,
+    /// It is the no-op, or out of bounds.
     Nothing,
-    /// Under its key stands another number than it replaces.
-    Late,
+    /// Another entry than the one it replaces is in force under its key.
+    Conflicts,
     /// There is no room for its key or its text.
     Full,
 }
 
-/// Bytes that an entry takes beside key and text when it is written, at most, its digest among them.
-const AROUND: usize = 64;
+/// Upper bound on the encoded size of an entry beside its key and text, the digest included.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 fn hash(number: u64, change: &Change) -> u64 {
     let mut hasher = Xxh3::new();
@@ -38,65 +48,64 @@
     hasher.update(&change.id.to_le_bytes());
     hasher.update(&(change.key.len() as u64).to_le_bytes());
     hasher.update(change.key.as_bytes());
-    // A removed text is told from an empty one.
+    // Tells a removed text from an empty one.
     hasher.update(&[u8::from(change.text.is_some())]);
     hasher.update(change.text.as_deref().unwrap_or("").as_bytes());
     hasher.digest()
 }
 
 impl State {
-    /// Applies the next entry; gives whether it changed more than the head. One that is not the next does nothing.
+    /// Applies the next entry and returns whether it changed more than the head. An entry that is not the next one has no
+    /// effect.
     pub fn apply(&mut self, entry: Entry) -> bool {
         if entry.number != self.head + 1 {
             return false;
         }
         self.head = entry.number;
-        let holds = self.verdict(&entry.change) == Verdict::Holds;
-        if holds {
+        let took_effect = self.effect_of(&entry.change) == Effect::Applies;
+        if took_effect {
             self.set(entry);
         }
-        holds
+        took_effect
     }
 
     /// What a change would do as the next entry.
-    pub fn verdict(&self, change: &Change) -> Verdict {
-        if change.is_nothing() || !change.fits() {
-            return Verdict::Nothing;
+    pub(crate) fn effect_of(&self, change: &Change) -> Effect {
+        if change.is_no_op() || !change.fits() {
+            return Effect::Nothing;
         }
-        let standing = self.get(&change.key);
-        if standing.map_or(0, |(number, _)| number) != change.replaces {
-            return Verdict::Late;
-        }
-        let before = standing.map_or(0, |(_, change)| change.size());
-        let keys = self.keys.len() + usize::from(standing.is_none());
-        match keys > KEYS || self.texts - before + change.size() > TEXTS {
-            true => Verdict::Full,
-            false => Verdict::Holds,
+        let current = self.get(&change.key);
+        if current.map_or(0, |(number, _)| number) != change.replaces {
+            return Effect::Conflicts;
         }
+        let before = current.map_or(0, |(_, change)| change.size());
+        let keys = self.keys.len() + usize::from(current.is_none());
+        let total_bytes = self.total_bytes - before + change.size();
+        if keys > MAX_KEYS || total_bytes > MAX_TOTAL_BYTES { Effect::Full } else { Effect::Applies }
     }
 
     fn set(&mut self, entry: Entry) {
         let Entry { number, change } = entry;
-        self.texts += change.size();
+        self.total_bytes += change.size();
         self.digest = self.digest.wrapping_add(hash(number, &change));
         let before = match self.keys.get_mut(&change.key) {
-            Some(standing) => Some(std::mem::replace(standing, number)),
+            Some(current) => Some(std::mem::replace(current, number)),
             None => self.keys.insert(change.key.clone(), number),
         };
         if let Some((number, old)) = before.and_then(|n| self.latest.remove(&n).map(|old| (n, old))) {
-            self.texts -= old.size();
+            self.total_bytes -= old.size();
             self.digest = self.digest.wrapping_sub(hash(number, &old));
         }
         self.latest.insert(number, change);
     }
 
-    /// Takes over entries of a compacted log: they are in force at that head, whatever stood under their keys.
+    /// Installs entries of a snapshot taken at `head`: they replace whatever is in force under their keys.
     pub(crate) fn install(&mut self, entries: impl IntoIterator<Item = Entry>, head: u64) {
         entries.into_iter().for_each(|entry| self.set(entry));
         self.head = head;
     }
 
-    /// The digest after such an installation.
+    /// The digest after these entries of a snapshot were installed.
     pub(crate) fn digest_with(&self, entries: &BTreeMap<u64, Change>) -> u64 {
         let last: BTreeMap<&str, (u64, &Change)> =
             entries.iter().map(|(number, change)| (change.key.as_str(), (*number, change))).collect();
@@ -106,10 +115,10 @@
         })
     }
 
-    /// The digest after the next entry.
+    /// The digest after this entry, if it is the next one.
     pub(crate) fn digest_after(&self, entry: &Entry) -> u64 {
-        match self.verdict(&entry.change) {
-            Verdict::Holds => {
+        match self.effect_of(&entry.change) {
+            Effect::Applies => {
                 let old = self.get(&entry.change.key).map_or(0, |(number, old)| hash(number, old));
                 self.digest.wrapping_sub(old).wrapping_add(hash(entry.number, &entry.change))
             }
@@ -117,31 +126,40 @@
         }
     }
 
-    /// The number of the last entry that was applied.
+    /// Number of the last entry that was applied.
+    #[must_use]
     pub fn head(&self) -> u64 {
         self.head
     }
 
+    pub(crate) fn checkpoint(&self) -> Checkpoint {
+        Checkpoint { head: self.head, digest: self.digest }
+    }
+
+    /// A hash of all entries in force, XXH3 of each summed modulo 2^64. It does not protect against forgery.
+    #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The number in force under a key, and the change: its text is none where it was removed.
+    /// The entry in force under a key, as number and change; the text is `None` if it was removed.
+    #[must_use]
     pub fn get(&self, key: &str) -> Option<(u64, &Change)> {
         let number = *self.keys.get(key)?;
         Some((number, self.latest.get(&number)?))
     }
 
-    /// All entries in force by number, removals among them.
+    /// All entries in force in the order of their numbers, removals included.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &Change)> {
         self.latest.iter().map(|(number, change)| (*number, change))
     }
 
-    /// The compacted log: entries in force with numbers above that one, as many as take at most so many bytes.
-    pub fn after(&self, number: u64, bytes: usize) -> Vec<Entry> {
-        let mut left = bytes;
+    /// The entries in force with numbers above `number`, as many as take at most `max_bytes` in a message.
+    #[must_use]
+    pub fn after(&self, number: u64, max_bytes: usize) -> Vec<Entry> {
+        let mut left = max_bytes;
         let fits = move |entry: &Entry| {
-            let size = space(&entry.change);
+            let size = encoded_bytes(&entry.change);
             let fits = size <= left;
             left = left.saturating_sub(size);
             fits
@@ -150,23 +168,24 @@
         entries.map(|(number, change)| Entry { number, change: change.clone() }).take_while(fits).collect()
     }
 
-    /// Entries in force from that number on.
+    /// The entries in force from `number` on.
     pub(crate) fn iter_from(&self, number: u64) -> impl Iterator<Item = (u64, &Change)> {
         self.latest.range(number..).map(|(number, change)| (*number, change))
     }
 
-    /// The highest number that is in force under a key, 0 for none.
-    pub(crate) fn last(&self) -> u64 {
+    /// The highest number of an entry in force, 0 for none.
+    pub(crate) fn last_number(&self) -> u64 {
         self.latest.last_key_value().map_or(0, |(number, _)| *number)
     }
 
-    /// Bytes of keys and texts.
-    pub fn texts(&self) -> usize {
-        self.texts
+    /// Bytes of all keys and texts in force; at most [`MAX_TOTAL_BYTES`].
+    #[must_use]
+    pub fn total_bytes(&self) -> usize {
+        self.total_bytes
     }
 }
 
-/// Bytes that an entry takes in a message, at most.
-pub(crate) fn space(change: &Change) -> usize {
-    change.size() + AROUND
+/// Upper bound on the encoded size of an entry in a message, in bytes.
+pub(crate) fn encoded_bytes(change: &Change) -> usize {
+    change.size() + ENTRY_OVERHEAD_BYTES
 }
--- /dev/null
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -0,0 +1,433 @@
+//! Replicas and followers in simulated time from one seed: the state machines themselves, disks that keep what was made
+//! durable, clocks that drift apart, and a network that loses, delays, duplicates and partitions by a rule. After each
+//! event, what is committed and what is in force anywhere is compared with the reference log.
+
+#![allow(dead_code)]
+
+mod inspection;
+pub mod network;
+mod node;
+pub mod reference_log;
+mod schedule;
+
+pub use inspection::change;
+pub use network::NodeId;
+pub use node::Node;
+
+use milletpath_config_log::message::{self, Key};
+use milletpath_config_log::{
+    Action, Change, Follower, FollowerConfig, Message, Outcome, OutgoingMessage, Record, Replica,
+    ReplicaConfig, Timing,
+};
+use network::NodeId::{Author, Follower as Gateway, Replica as Machine};
+use network::{DeliveryRule, Tamper, reliable};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use reference_log::ReferenceLog;
+use schedule::{Event, Schedule, ScheduledEvent};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+/// When a replica crashes while it carries out its actions.
+#[derive(Clone, Copy, Debug)]
+pub enum CrashPoint {
+    /// Once it has made such a record durable, before it sends anything.
+    AfterStore(fn(&Record) -> bool),
+    /// Once it has sent one such message.
+    AfterSend(fn(&Message) -> bool),
+}
+
+pub struct SimulatedCluster {
+    pub now: f64,
+    pub timing: Timing,
+    pub replicas: Vec<Node<Replica>>,
+    pub disks: Vec<Vec<Record>>,
+    pub followers: Vec<Node<Follower>>,
+    /// What each follower gave its gateway to apply, by key.
+    pub delivered: Vec<BTreeMap<String, (u64, Option<String>)>>,
+    /// When each follower reached which number.
+    pub in_force: Vec<Vec<(u64, f64)>>,
+    pub saved: Vec<Option<Vec<u8>>>,
+    /// Messages that authors received: time, author, message.
+    pub author_inbox: Vec<(f64, usize, Message)>,
+    pub log: ReferenceLog,
+    schedule: Schedule,
+    pub rng: ChaCha8Rng,
+    pub delivery_rule: DeliveryRule,
+    pub tamper: Option<Tamper>,
+    /// Zones that are isolated from all others.
+    pub isolated_zones: Vec<usize>,
+    /// The replica that crashes, and when; used once.
+    pub crash_point: Option<(usize, CrashPoint)>,
+    key: Key,
+    /// Whether CPU time is measured, sealing and opening included.
+    pub timed: bool,
+}
+
+impl SimulatedCluster {
+    /// Replicas of a new log, all started, and followers that are not started.
+    pub fn new(replicas: usize, followers: usize, seed: u64) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut cluster = Self {
+            now: 0.0,
+            timing: Timing::default(),
+            replicas: (0..replicas).map(|_| Node::new(&mut rng)).collect(),
+            disks: vec![vec![Record::Initialized]; replicas],
+            followers: (0..followers).map(|_| Node::new(&mut rng)).collect(),
+            delivered: vec![BTreeMap::new(); followers],
+            in_force: vec![Vec::new(); followers],
+            saved: vec![None; followers],
+            author_inbox: Vec::new(),
+            log: ReferenceLog::default(),
+            schedule: Schedule::default(),
+            rng,
+            delivery_rule: reliable(),
+            tamper: None,
+            isolated_zones: Vec::new(),
+            crash_point: None,
+            key: Key::new(b"a fleet"),
+            timed: false,
+        };
+        (0..replicas).for_each(|n| cluster.start_replica(n));
+        cluster
+    }
+
+    pub fn all_replicas(&self) -> Vec<SocketAddr> {
+        (0..self.replicas.len()).map(|n| Machine(n).at()).collect()
+    }
+
+    /// Starts a replica from its disk.
+    pub fn start_replica(&mut self, n: usize) {
+        let (replicas, seed) = (self.all_replicas(), self.rng.random());
+        let node = &mut self.replicas[n];
+        let clock = node.clock(self.now);
+        let config = ReplicaConfig { own_index: n, replicas, timing: self.timing, seed };
+        node.core = Some(Replica::new(config, clock, self.disks[n].clone()));
+        (node.incarnation, node.paused_until, node.next_tick_at) = (node.incarnation + 1, 0.0, f64::INFINITY);
+        node.inbox.clear();
+        self.carry_out(Machine(n));
+    }
+
+    /// Starts a follower from its saved state.
+    pub fn start_follower(&mut self, n: usize) {
+        let (replicas, seed) = (self.all_replicas(), self.rng.random());
+        let node = &mut self.followers[n];
+        let (clock, name) = (node.clock(self.now), format!("gateway-{n}"));
+        let saved = self.saved[n].clone();
+        let config = FollowerConfig { name, replicas, timing: self.timing, seed };
+        node.core = Some(Follower::new(config, clock, saved.as_deref()));
+        (node.incarnation, node.paused_until, node.next_tick_at) = (node.incarnation + 1, 0.0, f64::INFINITY);
+        node.inbox.clear();
+        self.delivered[n].clear();
+        self.carry_out(Gateway(n));
+    }
+
+    pub fn start_all_followers(&mut self) {
+        (0..self.followers.len()).for_each(|n| self.start_follower(n));
+    }
+
+    pub fn stop_replica(&mut self, n: usize) {
+        self.replicas[n].core = None;
+    }
+
+    pub fn stop_follower(&mut self, n: usize) {
+        self.followers[n].core = None;
+    }
+
+    /// Pauses the process of a follower.
+    pub fn pause_follower(&mut self, n: usize, seconds: f64) {
+        self.followers[n].paused_until = self.now + seconds;
+    }
+
+    pub fn replica(&self, n: usize) -> &Replica {
+        self.replicas[n].core.as_ref().expect("a running node")
+    }
+
+    pub fn follower(&self, n: usize) -> &Follower {
+        self.followers[n].core.as_ref().expect("a running node")
+    }
+
+    pub fn head(&self, n: usize) -> u64 {
+        self.replica(n).state().head()
+    }
+
+    pub fn number(&self, n: usize) -> u64 {
+        self.follower(n).state().head()
+    }
+
+    /// Rewrites a replica's disk with its compacted records.
+    pub fn compact(&mut self, n: usize) {
+        self.disks[n] = self.replica(n).compact();
+    }
+
+    pub fn leaders(&mut self) -> Vec<usize> {
+        let now = self.now;
+        let view = |node: &mut Node<Replica>| {
+            let clock = node.clock(now);
+            node.core.as_mut().is_some_and(|core| core.view(clock).leads)
+        };
+        (0..self.replicas.len()).filter(|n| view(&mut self.replicas[*n])).collect()
+    }
+
+    /// An author proposes a change to a replica.
+    pub fn propose(&mut self, author: usize, replica: usize, change: Change) {
+        self.send(Author(author), Machine(replica).at(), Message::Propose { change });
+    }
+
+    /// The last outcome that an author received for a change.
+    pub fn outcome(&self, author: usize, id: u64) -> Option<Outcome> {
+        let messages = self.author_inbox.iter().rev().filter(|(_, who, _)| *who == author);
+        messages
+            .filter_map(|(_, _, message)| match message {
+                Message::ProposalResult { id: proposed, outcome } if *proposed == id => Some(*outcome),
+                _ => None,
+            })
+            .next()
+    }
+
+    /// Proposes a change, runs until its author receives the outcome, and returns the number.
+    pub fn commit(&mut self, replica: usize, change: Change) -> u64 {
+        let id = change.id;
+        self.propose(0, replica, change);
+        let until = self.now + 10.0;
+        while self.outcome(0, id).is_none() && self.now < until {
+            self.run_until(self.now + 0.01);
+        }
+        match self.outcome(0, id) {
+            Some(Outcome::Committed(number)) => number,
+            other => panic!("{other:?} of {id}"),
+        }
+    }
+
+    /// Commits that many changes, each under a key of its own with that prefix.
+    pub fn commit_many(&mut self, replica: usize, keys: &str, count: u64) {
+        for id in 0..count {
+            let id = self.log.state.head() * 1_000 + id + 1;
+            let change = change(id, &format!("{keys} {id}"), "lanes = 2", 0);
+            self.commit(replica, change);
+        }
+    }
+
+    /// Hands a message to the network.
+    pub fn send(&mut self, from: NodeId, to: SocketAddr, mut message: Message) {
+        if let Some(tamper) = &mut self.tamper {
+            tamper(from, &mut message);
+        }
+        let began = self.timed.then(Instant::now);
+        let datagram = message::seal(&self.key, &message).expect("no message is too large");
+        let busy = began.map_or(0.0, |began| began.elapsed().as_secs_f64());
+        let bytes = datagram.len() as u64;
+        let to = NodeId::of(to);
+        match from {
+            Machine(n) => {
+                self.replicas[n].bytes_out += bytes;
+                self.replicas[n].busy += busy;
+            }
+            Gateway(n) => {
+                self.followers[n].bytes_out += bytes;
+                self.followers[n].busy += busy;
+            }
+            Author(_) => {}
+        }
+        if self.isolated_zones.contains(&from.zone()) || self.isolated_zones.contains(&to.zone()) {
+            return;
+        }
+        for delay in (self.delivery_rule)(self.now, from, to, &mut self.rng) {
+            let began = self.timed.then(Instant::now);
+            let message = message::open(&self.key, &datagram).expect("it is as it was sealed");
+            let busy = began.map_or(0.0, |began| began.elapsed().as_secs_f64());
+            match to {
+                Machine(n) => {
+                    self.replicas[n].bytes_in += bytes;
+                    self.replicas[n].busy += busy;
+                }
+                Gateway(n) => {
+                    self.followers[n].bytes_in += bytes;
+                    self.followers[n].busy += busy;
+                }
+                Author(_) => {}
+            }
+            self.schedule.add(self.now + delay, Event::Deliver(to, from.at(), Box::new(message)));
+        }
+    }
+
+    /// Carries out what a node asks for, checks what it committed or applied, and schedules its next tick.
+    fn carry_out(&mut self, node: NodeId) {
+        match node {
+            Machine(n) => self.carry_out_replica(n),
+            Gateway(n) => self.carry_out_follower(n),
+            Author(_) => {}
+        }
+    }
+
+    fn carry_out_replica(&mut self, n: usize) {
+        while let Some(action) = self.next_action(n) {
+            match action {
+                Action::Store(record) => {
+                    if let Record::Chosen(entry) = &record {
+                        self.log.committed(self.now, entry);
+                    }
+                    if let Record::SnapshotHead(head, digest) = &record {
+                        assert_eq!(self.log.digest(*head), Some(*digest), "a state that never was at {head}");
+                    }
+                    let crashes = matches!(self.crash_point, Some((who, CrashPoint::AfterStore(such))) if who == n && such(&record));
+                    self.disks[n].push(record);
+                    if crashes {
+                        self.crash_point = None;
+                        self.stop_replica(n);
+                    }
+                }
+                Action::Send(OutgoingMessage { to, message }) => {
+                    let crashes = matches!(self.crash_point, Some((who, CrashPoint::AfterSend(such))) if who == n && such(&message));
+                    self.send(Machine(n), to, message);
+                    if crashes {
+                        self.crash_point = None;
+                        self.stop_replica(n);
+                    }
+                }
+            }
+        }
+        let node = &self.replicas[n];
+        let Some(core) = node.core.as_ref() else { return };
+        let (next, incarnation) = (node.when(core.next_deadline()).max(self.now + 1e-6), node.incarnation);
+        if next < node.next_tick_at {
+            self.replicas[n].next_tick_at = next;
+            self.schedule.add(next, Event::Tick(Machine(n), incarnation));
+        }
+    }
+
+    fn carry_out_follower(&mut self, n: usize) {
+        let began = self.timed.then(Instant::now);
+        let Some(core) = self.followers[n].core.as_mut() else { return };
+        let out: Vec<_> = std::iter::from_fn(|| core.next_outgoing()).collect();
+        let take_updates = core.take_updates();
+        let (head, next) = (core.state().head(), core.next_deadline());
+        if let Some(began) = began {
+            self.followers[n].busy += began.elapsed().as_secs_f64();
+        }
+        if let Some(take_updates) = take_updates {
+            let rebuilds = self.follower(n).view(0.0).rebuilds;
+            for entry in take_updates {
+                let before = self.delivered[n].get(&entry.change.key).map(|(number, _)| *number);
+                let later = before.is_none_or(|before| before < entry.number);
+                assert!(later || rebuilds > 0, "follower {n} delivered {} twice", entry.number);
+                self.delivered[n].insert(entry.change.key, (entry.number, entry.change.text));
+            }
+        }
+        if self.in_force[n].last().is_none_or(|(number, _)| *number != head) {
+            self.in_force[n].push((head, self.now));
+        }
+        out.into_iter().for_each(|outgoing| self.send(Gateway(n), outgoing.to, outgoing.message));
+        let node = &self.followers[n];
+        let (next, incarnation) = (node.when(next).max(self.now + 1e-6), node.incarnation);
+        if next < node.next_tick_at {
+            self.followers[n].next_tick_at = next;
+            self.schedule.add(next, Event::Tick(Gateway(n), incarnation));
+        }
+    }
+
+    /// The state of a follower is that of the reference log at its number, and its gateway was given just that.
+    pub fn check(&self, n: usize) {
+        let state = self.follower(n).state();
+        let (head, digest) = (state.head(), state.digest());
+        assert_eq!(self.log.digest(head), Some(digest), "gateway {n}: a state that never was at {head}");
+        let is_current = |(key, (number, text)): (&String, &(u64, Option<String>))| {
+            let own = state.get(key).map(|(number, change)| (number, change.text.clone()));
+            // Keys that were never in force anywhere are removed.
+            own == Some((*number, text.clone())) || (own.is_none() && text.is_none())
+        };
+        assert!(
+            self.delivered[n].iter().all(is_current),
+            "follower {n} delivered other than what is in force"
+        );
+        assert!(
+            state.iter().all(|(_, c)| self.delivered[n].contains_key(&c.key)),
+            "follower {n} delivered too little"
+        );
+    }
+
+    pub fn check_all(&self) {
+        (0..self.followers.len()).filter(|n| self.followers[*n].core.is_some()).for_each(|n| self.check(n));
+    }
+
+    /// Runs until that time, and checks followers after each of their events.
+    pub fn run_until(&mut self, until: f64) {
+        while let Some(ScheduledEvent { at, event: what, .. }) = self.schedule.next_until(until) {
+            self.now = at;
+            match what {
+                Event::Deliver(Author(n), _, message) => self.author_inbox.push((at, n, *message)),
+                Event::Tick(Machine(n), incarnation) => {
+                    let node = &mut self.replicas[n];
+                    if node.incarnation == incarnation && node.next_tick_at == at {
+                        node.next_tick_at = f64::INFINITY;
+                        self.with_replica(n, |core, clock| core.tick(clock));
+                    }
+                }
+                Event::Deliver(Machine(n), from, message) => {
+                    self.with_replica(n, |core, clock| core.receive(clock, from, *message));
+                }
+                Event::Tick(Gateway(n), incarnation) => {
+                    let node = &mut self.followers[n];
+                    if node.incarnation != incarnation || node.next_tick_at != at {
+                        continue;
+                    }
+                    if node.paused_until > at {
+                        node.next_tick_at = node.paused_until;
+                        let paused_until = node.paused_until;
+                        self.schedule.add(paused_until, Event::Tick(Gateway(n), incarnation));
+                        continue;
+                    }
+                    node.next_tick_at = f64::INFINITY;
+                    self.with_follower(n, |core, clock| core.tick(clock));
+                }
+                Event::Deliver(Gateway(n), from, message) => {
+                    if self.followers[n].paused_until > at {
+                        self.followers[n].inbox.push((from, *message));
+                        continue;
+                    }
+                    self.with_follower(n, |core, clock| core.receive(clock, from, *message));
+                }
+                Event::Tick(Author(_), _) => {}
+            }
+        }
+        self.now = until;
+    }
+
+    fn with_replica(&mut self, n: usize, event: impl FnOnce(&mut Replica, f64)) {
+        let node = &mut self.replicas[n];
+        let clock = node.clock(self.now);
+        let Some(core) = node.core.as_mut() else { return };
+        let began = self.timed.then(Instant::now);
+        event(core, clock);
+        if let Some(began) = began {
+            node.busy += began.elapsed().as_secs_f64();
+        }
+        self.carry_out_replica(n);
+    }
+
+    fn with_follower(&mut self, n: usize, event: impl FnOnce(&mut Follower, f64)) {
+        let node = &mut self.followers[n];
+        let clock = node.clock(self.now);
+        let Some(core) = node.core.as_mut() else { return };
+        let before = core.state().head();
+        let began = self.timed.then(Instant::now);
+        for (from, message) in node.inbox.drain(..) {
+            core.receive(clock, from, message);
+        }
+        event(core, clock);
+        if let Some(began) = began {
+            node.busy += began.elapsed().as_secs_f64();
+        }
+        let after = core.state().head();
+        self.carry_out_follower(n);
+        if after != before && !self.timed {
+            self.check(n);
+        }
+    }
+
+    /// Seconds from `since` until a number, or a later one, was in force at a follower.
+    pub fn delay(&self, n: usize, number: u64, since: f64) -> Option<f64> {
+        self.in_force[n].iter().find(|(head, _)| *head >= number).map(|(_, at)| at - since)
+    }
+}
--- /dev/null
+++ b/crates/config-log/tests/cluster/network.rs
@@ -0,0 +1,88 @@
+//! The nodes of the simulated network, where they are, and what happens to messages between them.
+
+#![allow(dead_code)]
+
+use milletpath_config_log::Message;
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use std::net::SocketAddr;
+
+use NodeId::{Author, Follower as Gateway, Replica as Machine};
+
+/// A sender or receiver.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum NodeId {
+    Replica(usize),
+    Follower(usize),
+    Author(usize),
+}
+
+/// What happens to a message: the delays after which it is delivered, none if it is lost.
+pub type DeliveryRule = Box<dyn FnMut(f64, NodeId, NodeId, &mut ChaCha8Rng) -> Vec<f64>>;
+
+/// Changes messages that a faulty node sends.
+pub type Tamper = Box<dyn FnMut(NodeId, &mut Message)>;
+
+impl NodeId {
+    pub fn at(self) -> SocketAddr {
+        let (cluster, n) = match self {
+            Machine(n) => (0, n),
+            Gateway(n) => (1, n),
+            Author(n) => (2, n),
+        };
+        SocketAddr::from(([10, cluster, (n / 250) as u8, (n % 250) as u8 + 1], 7500))
+    }
+
+    pub fn of(at: SocketAddr) -> Self {
+        let SocketAddr::V4(at) = at else { panic!("{at}") };
+        let [_, cluster, high, low] = at.ip().octets();
+        let n = usize::from(high) * 250 + usize::from(low) - 1;
+        [Machine(n), Gateway(n), Author(n)][usize::from(cluster)]
+    }
+
+    /// Ten zones in four regions; each replica has a zone of its own.
+    pub fn zone(self) -> usize {
+        match self {
+            Machine(n) | Gateway(n) | Author(n) => n % 10,
+        }
+    }
+
+    pub fn region(self) -> usize {
+        self.zone() % 4
+    }
+}
+
+/// Messages take half a millisecond to two, and none is lost.
+pub fn reliable() -> DeliveryRule {
+    Box::new(|_, _, _, rng| vec![rng.random_range(0.0005..0.002)])
+}
+
+/// A fraction of the messages is lost.
+pub fn lossy(loss: f64) -> DeliveryRule {
+    Box::new(
+        move |_, _, _, rng| {
+            if rng.random_bool(loss) { vec![] } else { vec![rng.random_range(0.0005..0.002)] }
+        },
+    )
+}
+
+/// A millisecond within a region, 30 to 150 ms between two by pair of regions, and a fraction is lost.
+pub fn regions(loss: f64) -> DeliveryRule {
+    Box::new(move |_, from, to, rng| {
+        if rng.random_bool(loss) {
+            return vec![];
+        }
+        let (a, b) = (from.region().min(to.region()), from.region().max(to.region()));
+        let far = [[0.001, 0.03, 0.08, 0.15], [0.0, 0.001, 0.06, 0.11], [0.0, 0.0, 0.001, 0.05], [0.001; 4]];
+        vec![far[a][b] * rng.random_range(1.0..1.1)]
+    })
+}
+
+/// A partition: nodes reach only those on the same side.
+pub fn partitioned(side: impl Fn(NodeId) -> usize + 'static) -> DeliveryRule {
+    Box::new(
+        move |_, from, to, rng| {
+            if side(from) == side(to) { vec![rng.random_range(0.0005..0.002)] } else { vec![] }
+        },
+    )
+}
--- a/crates/config-log/tests/net/reference.rs
+++ b/crates/config-log/tests/cluster/reference_log.rs
@@ -1,11 +1,11 @@
-//! The one log that all that is committed or in force anywhere is compared with.
+//! The reference log, with which all that is committed or in force anywhere is compared.
 
 use milletpath_config_log::{Entry, State};
 use std::collections::BTreeMap;
 
-/// The one log, as it is first seen committed anywhere.
+/// Entries as they are first seen committed anywhere.
 #[derive(Default)]
-pub struct Reference {
+pub struct ReferenceLog {
     pub entries: BTreeMap<u64, Entry>,
     pub state: State,
     /// Digests by number, from 0 on.
@@ -13,7 +13,7 @@
     pub at: Vec<f64>,
 }
 
-impl Reference {
+impl ReferenceLog {
     pub fn committed(&mut self, now: f64, entry: &Entry) {
         if self.digests.is_empty() {
             self.digests.push(0);
--- /dev/null
+++ b/crates/config-log/tests/search/model.rs
@@ -0,0 +1,435 @@
+//! The model that is searched: three replicas with their disks, a follower, and the messages between them.
+
+use milletpath_config_log::{
+    Action, Change, Entry, Follower, FollowerConfig, Message, Outcome, OutgoingMessage, Record, Replica,
+    ReplicaConfig, State, Timing,
+};
+use std::collections::BTreeMap;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::net::SocketAddr;
+
+pub const SIZE: usize = 3;
+
+/// The follower's index among the nodes.
+pub const FOLLOWER: usize = 3;
+
+const TIMING: Timing = Timing {
+    poll_interval: 0.5,
+    silence_timeout: 1.2,
+    heartbeat_interval: 0.6,
+    retransmit_interval: 0.4,
+    proposal_timeout: 5.0,
+};
+
+/// Messages in transit; more are lost.
+const MAX_MESSAGES: usize = 12;
+
+/// A seeded defect, for the test that shows that the search finds it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Defect {
+    None,
+    /// Messages are sent before the records they depend on are durable.
+    SendBeforeDurable,
+    /// A quorum of one of three.
+    Quorum,
+    /// A replica that lost its disk votes as if it had never promised anything.
+    LostDiskVotes,
+    /// Records that could not be stored count as stored.
+    IgnoreStorageFailure,
+}
+
+#[derive(Clone, Copy, Debug)]
+pub enum Event {
+    /// A message is delivered, and may be delivered again.
+    Deliver(usize, bool),
+    /// A message is delivered, and its receiver crashes after that many actions.
+    DeliverThenCrash(usize, usize),
+    Drop(usize),
+    Crash(usize),
+    /// It crashes, and its disk is lost.
+    LoseDisk(usize),
+    Start(usize),
+    /// Its storage fails from now on; the first failing record may be on the disk nevertheless.
+    Fail(usize, bool),
+    /// Its storage takes a new file again.
+    Recover(usize),
+    /// Time advances to the next deadline of this one; the others may be late for theirs.
+    Tick(usize),
+    /// The follower restarts from what it saved some time ago.
+    RestartFollower,
+    /// An author proposes a change to it.
+    Propose(usize),
+}
+
+#[derive(Clone)]
+pub struct Model {
+    pub now: f64,
+    defect: Defect,
+    pub nodes: [Option<Replica>; SIZE],
+    disks: [Vec<Record>; SIZE],
+    /// Whose storage fails, and whether the failing record is on the disk nevertheless.
+    pub failing: [Option<bool>; SIZE],
+    /// Records of each that a crash would lose, if durability is not awaited.
+    volatile: [Vec<Record>; SIZE],
+    follower: Follower,
+    saved: Vec<u8>,
+    seeds: u64,
+    messages: Vec<(usize, usize, Message)>,
+    /// What any node reported as chosen, and the outcomes that authors received.
+    pub chosen: BTreeMap<u64, Change>,
+    outcomes: BTreeMap<u64, Outcome>,
+    ids: u64,
+    pub fault: Option<String>,
+}
+
+fn at(n: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, n as u8 + 1], 7500))
+}
+
+fn follower(seed: u64, now: f64, saved: Option<&[u8]>) -> Follower {
+    let replicas = (0..SIZE).map(at).collect();
+    let config = FollowerConfig { name: "gateway".into(), replicas, timing: TIMING, seed };
+    Follower::new(config, now, saved)
+}
+
+fn author() -> SocketAddr {
+    SocketAddr::from(([10, 2, 0, 1], 9000))
+}
+
+impl Model {
+    pub fn new(defect: Defect) -> Self {
+        let mut model = Self {
+            now: 0.0,
+            defect,
+            nodes: [None, None, None],
+            disks: std::array::from_fn(|_| vec![Record::Initialized]),
+            failing: [None; SIZE],
+            volatile: Default::default(),
+            follower: follower(0, 0.0, None),
+            saved: Vec::new(),
+            seeds: 0,
+            messages: Vec::new(),
+            chosen: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
+            ids: 0,
+            fault: None,
+        };
+        (0..SIZE).for_each(|n| model.start_replica(n));
+        model
+    }
+
+    fn start_replica(&mut self, n: usize) {
+        self.seeds += 1;
+        if self.disks[n].is_empty() && self.defect == Defect::LostDiskVotes {
+            self.disks[n].push(Record::Initialized);
+        }
+        self.failing[n] = None;
+        let stored = self.disks[n].clone();
+        let replicas = (0..SIZE).map(at).collect();
+        let config = ReplicaConfig { own_index: n, replicas, timing: TIMING, seed: self.seeds };
+        let mut replica = Replica::new(config, self.now, stored);
+        if self.defect == Defect::Quorum {
+            replica.break_quorum(1);
+        }
+        self.nodes[n] = Some(replica);
+        self.carry_out(n, usize::MAX);
+    }
+
+    fn record_fault(&mut self, description: String) {
+        self.fault.get_or_insert(description);
+    }
+
+    /// An entry that one node reports as chosen must be so for all.
+    fn record_chosen(&mut self, n: usize, entry: &Entry) {
+        let before = self.chosen.entry(entry.number).or_insert_with(|| entry.change.clone());
+        if *before != entry.change {
+            let description = format!("{n} has {:?} at {}, which was {before:?}", entry.change, entry.number);
+            self.record_fault(description);
+        }
+    }
+
+    /// The next action of a replica; when there is none left, all before it is stored.
+    fn next_action(&mut self, n: usize) -> Option<Action> {
+        let replica = self.nodes[n].as_mut()?;
+        replica.next_action().or_else(|| {
+            replica.confirm_stored();
+            replica.next_action()
+        })
+    }
+
+    fn store(&mut self, n: usize, record: Record) {
+        match (self.defect, self.failing[n]) {
+            (Defect::SendBeforeDurable, _) => self.volatile[n].push(record),
+            (Defect::IgnoreStorageFailure, Some(_)) => {}
+            (_, Some(reaches_disk)) => {
+                let replica = self.nodes[n].as_mut().expect("it stores");
+                if !replica.is_suspended() {
+                    self.disks[n].extend(reaches_disk.then_some(record));
+                    replica.storage_failed();
+                }
+            }
+            (_, None) => self.disks[n].push(record),
+        }
+    }
+
+    /// A new file holds all that a replica knows.
+    fn recover(&mut self, n: usize) {
+        self.failing[n] = None;
+        if let Some(replica) = self.nodes[n].as_mut() {
+            self.disks[n] = replica.compact();
+            replica.storage_recovered();
+        }
+        self.carry_out(n, usize::MAX);
+    }
+
+    /// Carries out that many actions, and crashes if more are left.
+    fn carry_out(&mut self, n: usize, max_actions: usize) {
+        let mut left = max_actions;
+        while let Some(action) = self.next_action(n) {
+            if left == 0 {
+                self.stop_replica(n);
+                return;
+            }
+            left -= 1;
+            match action {
+                Action::Store(record) => {
+                    if let Record::Chosen(entry) = &record {
+                        self.record_chosen(n, entry);
+                    }
+                    self.store(n, record);
+                }
+                Action::Send(OutgoingMessage { to, message }) => self.send(n, to, message),
+            }
+        }
+    }
+
+    fn send(&mut self, n: usize, to: SocketAddr, message: Message) {
+        match &message {
+            Message::LogEntries { entries } => {
+                entries.iter().for_each(|logged| self.record_chosen(n, &logged.entry));
+            }
+            Message::Push { logged } => self.record_chosen(n, &logged.entry),
+            Message::PollReply { entries, .. } => {
+                entries.iter().for_each(|logged| self.record_chosen(n, &logged.entry));
+            }
+            Message::SnapshotPage { entries, .. } => {
+                entries.iter().for_each(|entry| self.record_chosen(n, entry))
+            }
+            Message::ProposalResult { id, outcome } if to == author() => {
+                if let Outcome::Committed(number) = outcome
+                    && self.chosen.get(number).is_none_or(|c| c.id != *id)
+                {
+                    self.record_fault(format!("{id} is said to be at {number}"));
+                }
+                if let (Some(Outcome::Superseded(_)), Outcome::Committed(_))
+                | (Some(Outcome::Committed(_)), Outcome::Superseded(_)) = (self.outcomes.get(id), outcome)
+                {
+                    self.record_fault(format!("{id} was committed and not"));
+                }
+                self.outcomes.insert(*id, *outcome);
+            }
+            _ => {}
+        }
+        let to = (0..=FOLLOWER).find(|n| at(*n) == to);
+        if let Some(to) = to.filter(|_| self.messages.len() < MAX_MESSAGES) {
+            self.messages.push((n, to, message));
+        }
+    }
+
+    fn stop_replica(&mut self, n: usize) {
+        self.nodes[n] = None;
+        self.volatile[n].clear();
+    }
+
+    /// Fewer than a quorum may have lost their disks at a time.
+    pub fn may_lose_disk(&self, n: usize) -> bool {
+        let votes =
+            |o: usize| self.disks[o].iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted));
+        (0..SIZE).filter(|o| *o != n).all(votes)
+    }
+
+    pub fn events(&self) -> Vec<Event> {
+        let messages = (0..self.messages.len()).flat_map(|l| {
+            [
+                Event::Deliver(l, false),
+                Event::Deliver(l, true),
+                Event::DeliverThenCrash(l, 0),
+                Event::DeliverThenCrash(l, 1),
+            ]
+        });
+        let lost = (0..self.messages.len()).map(Event::Drop);
+        let processes = (0..SIZE).flat_map(|n| match self.nodes[n] {
+            Some(_) => {
+                let mut all = vec![Event::Crash(n), Event::Tick(n), Event::Propose(n)];
+                all.extend(self.may_lose_disk(n).then_some(Event::LoseDisk(n)));
+                match self.failing[n] {
+                    Some(_) => all.push(Event::Recover(n)),
+                    None => all.extend([Event::Fail(n, false), Event::Fail(n, true)]),
+                }
+                all
+            }
+            None => vec![Event::Start(n)],
+        });
+        let follower_events = [Event::Tick(FOLLOWER), Event::RestartFollower];
+        messages.chain(lost).chain(processes).chain(follower_events).collect()
+    }
+
+    fn deliver(&mut self, message_index: usize, duplicate: bool, max_actions: usize) {
+        let (from, to, message) = self.messages[message_index].clone();
+        if !duplicate {
+            self.messages.remove(message_index);
+        }
+        if to == FOLLOWER {
+            self.follower.receive(self.now, at(from), message);
+            self.check_follower();
+            return;
+        }
+        if let Some(replica) = self.nodes[to].as_mut() {
+            replica.receive(self.now, at(from), message);
+        }
+        self.carry_out(to, max_actions);
+    }
+
+    /// Sends what the follower has to send, and checks that its state is one of the log.
+    fn check_follower(&mut self) {
+        while let Some(OutgoingMessage { to, message }) = self.follower.next_outgoing() {
+            self.send(FOLLOWER, to, message);
+        }
+        let head = self.follower.state().head();
+        let mut state = State::default();
+        for (number, change) in self.chosen.range(..=head) {
+            state.apply(Entry { number: *number, change: change.clone() });
+        }
+        if state != *self.follower.state() {
+            self.record_fault(format!("at the gateway {head} is in force, which was not committed so"));
+        }
+    }
+
+    pub fn apply(&mut self, event: Event) {
+        match event {
+            Event::Deliver(message_index, duplicate) => self.deliver(message_index, duplicate, usize::MAX),
+            Event::DeliverThenCrash(message_index, actions) => self.deliver(message_index, false, actions),
+            Event::Drop(message_index) => {
+                self.messages.remove(message_index);
+            }
+            Event::Crash(n) => self.stop_replica(n),
+            Event::LoseDisk(n) => {
+                self.stop_replica(n);
+                self.disks[n].clear();
+            }
+            Event::Start(n) => self.start_replica(n),
+            Event::Fail(n, reaches_disk) => self.failing[n] = Some(reaches_disk),
+            Event::Recover(n) => self.recover(n),
+            Event::RestartFollower => {
+                self.seeds += 1;
+                self.follower = follower(self.seeds, self.now, Some(&self.saved));
+                self.check_follower();
+            }
+            Event::Tick(FOLLOWER) => {
+                self.saved = self.follower.save();
+                self.now = self.now.max(self.follower.next_deadline());
+                self.follower.tick(self.now);
+                self.check_follower();
+            }
+            Event::Tick(n) => {
+                // What nobody waited for is durable at last.
+                let mut stored = std::mem::take(&mut self.volatile[n]);
+                self.disks[n].append(&mut stored);
+                if let Some(replica) = self.nodes[n].as_mut() {
+                    self.now = self.now.max(replica.next_deadline());
+                    replica.tick(self.now);
+                    if replica.next_deadline() <= self.now {
+                        self.record_fault(format!("{n} has something due and does not do it"));
+                    }
+                }
+                self.carry_out(n, usize::MAX);
+            }
+            Event::Propose(n) => self.propose(n),
+        }
+    }
+
+    /// Two keys, so that authors compete; each has seen the state of its replica.
+    fn propose(&mut self, n: usize) {
+        let Some(replica) = self.nodes[n].as_mut() else { return };
+        self.ids += 1;
+        let key = ["a", "b"][self.ids as usize % 2];
+        let replaces = replica.state().get(key).map_or(0, |(number, _)| number);
+        let change = Change { id: self.ids, key: key.into(), text: Some(self.ids.to_string()), replaces };
+        replica.receive(self.now, author(), Message::Propose { change });
+        self.carry_out(n, usize::MAX);
+    }
+
+    /// From here on messages are delivered at once and nobody crashes. Then all agree, the outcomes that authors received
+    /// hold, and one more change is committed.
+    pub fn heal(&mut self) -> Result<(), String> {
+        self.messages.clear();
+        for n in 0..SIZE {
+            match (&self.nodes[n], self.failing[n]) {
+                (None, _) => self.start_replica(n),
+                (_, Some(_)) => self.recover(n),
+                _ => {}
+            }
+        }
+        self.run_reliably(20.0);
+        self.propose(0);
+        let id = self.ids;
+        self.run_reliably(10.0);
+        if let Some(fault) = self.fault.clone() {
+            return Err(fault);
+        }
+        let states: Vec<_> = self.nodes.iter().flatten().map(Replica::state).collect();
+        if states.iter().any(|s| *s != states[0]) {
+            return Err("they do not agree after all went well".into());
+        }
+        if self.chosen.last_key_value().is_some_and(|(number, _)| *number > states[0].head()) {
+            return Err("what was committed is lost".into());
+        }
+        if self.follower.state() != states[0] {
+            return Err("the gateway is behind after all went well".into());
+        }
+        let votes = self.nodes.iter_mut().flatten().all(|r| r.view(self.now).votes);
+        if !votes {
+            return Err("one is never taken in".into());
+        }
+        match self.outcomes.get(&id) {
+            Some(Outcome::Committed(_) | Outcome::Superseded(_)) => Ok(()),
+            outcome => Err(format!("the last change: {outcome:?}")),
+        }
+    }
+
+    fn run_reliably(&mut self, seconds: f64) {
+        deliver_promptly(self, &[[true; SIZE + 1]; SIZE + 1], seconds);
+    }
+
+    pub fn fingerprint(&self) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        // What a replica is, is all that it tells of itself.
+        format!("{:?}{:?}{:?}", self.nodes, self.follower, self.messages).hash(&mut hasher);
+        self.disks.hash(&mut hasher);
+        self.failing.hash(&mut hasher);
+        self.now.to_bits().hash(&mut hasher);
+        hasher.finish()
+    }
+}
+
+/// For a while messages are delivered at once on the links that are up, and each node ticks in time.
+pub fn deliver_promptly(model: &mut Model, link_is_up: &[[bool; SIZE + 1]; SIZE + 1], seconds: f64) {
+    let until = model.now + seconds;
+    loop {
+        if let Some((from, to, _)) = model.messages.first() {
+            let event = if link_is_up[*from][*to] { Event::Deliver(0, false) } else { Event::Drop(0) };
+            model.apply(event);
+            continue;
+        }
+        let next = |n: &usize| match *n {
+            FOLLOWER => model.follower.next_deadline(),
+            n => model.nodes[n].as_ref().map_or(f64::INFINITY, Replica::next_deadline),
+        };
+        let first = (0..=FOLLOWER).min_by(|a, b| next(a).total_cmp(&next(b))).expect("four");
+        if next(&first) > until {
+            model.now = until;
+            return;
+        }
+        model.apply(Event::Tick(first));
+    }
+}
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -1,8 +1,9 @@
-//! Three control machines on disks in memory with messages that come at once, an author, and a look at each message of
-//! the machine whose disk fails.
+//! Three replicas on disks in memory, with messages that are delivered at once and an author; each message of the replica
+//! whose disk fails is checked.
 
 use milletpath_config_log::{
-    Ballot, Change, DurableReplica, Message, Outcome, Record, Replica, RewritePolicy, StoredLog, Terms,
+    Ballot, Change, DurableReplica, Message, Outcome, OutgoingMessage, Record, Replica, ReplicaConfig,
+    RewritePolicy, StoredLog, Timing,
 };
 use milletpath_storage::RecordLog;
 use milletpath_storage::testing::{FaultyFolder, Operation, PowerLoss};
@@ -11,7 +12,7 @@
 
 const SIZE: usize = 3;
 
-/// The machine whose disk fails.
+/// The replica whose disk fails.
 pub const FAULTY: usize = 1;
 
 /// Seconds that the scripted history takes.
@@ -22,23 +23,23 @@
 /// Small, so that the scripted history rewrites its logs.
 const POLICY: RewritePolicy = RewritePolicy { multiple: 2, above: 900 };
 
-/// Seconds until a process that was killed, or can't read its log, begins again.
+/// Seconds until a process that crashed, or cannot read its log, restarts.
 const RESTART: f64 = 0.3;
 
-type Machine = DurableReplica<FaultyFolder>;
+type StoredReplica = DurableReplica<FaultyFolder>;
 
 pub struct Cluster {
     now: f64,
-    machines: [Option<Machine>; SIZE],
+    replicas: [Option<StoredReplica>; SIZE],
     disks: [FaultyFolder; SIZE],
     /// The disk that fails.
     pub disk: FaultyFolder,
-    /// What a kill leaves of the disk.
+    /// What a crash leaves of the disk.
     pub loss: PowerLoss,
     restart_at: [f64; SIZE],
     stopped: [bool; SIZE],
     messages: VecDeque<(SocketAddr, SocketAddr, Message)>,
-    /// Numbers that the author was told, by change.
+    /// Numbers that the author received, by change.
     committed: BTreeMap<u64, u64>,
     ids: u64,
     seeds: u64,
@@ -86,7 +87,7 @@
         let disks: [FaultyFolder; SIZE] = Default::default();
         Self {
             now: 0.0,
-            machines: Default::default(),
+            replicas: Default::default(),
             disk: disks[FAULTY].clone(),
             disks,
             loss: PowerLoss { keeps_names: true, keeps_bytes: usize::MAX },
@@ -104,21 +105,21 @@
     }
 
     pub fn head(&self, n: usize) -> u64 {
-        self.machines[n].as_ref().expect("it runs").replica().state().head()
+        self.replicas[n].as_ref().expect("it runs").replica().state().head()
     }
 
     pub fn votes(&mut self, n: usize) -> bool {
         let now = self.now;
-        self.machines[n].as_mut().is_some_and(|m| m.replica_mut().view(now).votes)
+        self.replicas[n].as_mut().is_some_and(|m| m.replica_mut().view(now).votes)
     }
 
-    /// A machine ends, and does not begin again.
+    /// Stops a replica for good.
     pub fn stop(&mut self, n: usize) {
-        self.machines[n] = None;
+        self.replicas[n] = None;
         self.stopped[n] = true;
     }
 
-    /// The process of a machine begins from its disk: for the first time with a new log.
+    /// Starts the process of a replica from its disk; the first time with a new log.
     fn start(&mut self, n: usize) {
         let disk = self.disks[n].clone();
         self.restart_at[n] = self.now + RESTART;
@@ -130,14 +131,16 @@
         }
         self.seeds += 1;
         let (seed, now) = (self.seeds, self.now);
-        self.machines[n] = Some(DurableReplica::new(stored, POLICY, now, |records| {
-            Replica::new(n, (0..SIZE).map(at).collect(), Terms::default(), seed, now, records)
+        self.replicas[n] = Some(DurableReplica::new(stored, POLICY, now, |records| {
+            let replicas = (0..SIZE).map(at).collect();
+            let config = ReplicaConfig { own_index: n, replicas, timing: Timing::default(), seed };
+            Replica::new(config, now, records)
         }));
     }
 
     fn restart_where_due(&mut self) {
         for n in 0..SIZE {
-            if self.machines[n].is_some() || self.stopped[n] || self.now < self.restart_at[n] {
+            if self.replicas[n].is_some() || self.stopped[n] || self.now < self.restart_at[n] {
                 continue;
             }
             if self.disks[n].is_killed() {
@@ -147,24 +150,24 @@
         }
     }
 
-    /// Stores and sends what a machine has.
+    /// Stores and sends what a replica has.
     fn flush(&mut self, n: usize) {
         let now = self.now;
-        let Some(machine) = self.machines[n].as_mut() else { return };
-        let (out, _) = machine.flush(now);
+        let Some(durable) = self.replicas[n].as_mut() else { return };
+        let out = durable.flush(now).messages;
         if self.disks[n].is_killed() {
-            self.machines[n] = None;
+            self.replicas[n] = None;
             self.restart_at[n] = now + RESTART;
             return;
         }
         if n == FAULTY {
             self.binds(&out);
         }
-        self.messages.extend(out.into_iter().map(|(to, message)| (at(n), to, message)));
+        self.messages.extend(out.into_iter().map(|outgoing| (at(n), outgoing.to, outgoing.message)));
     }
 
-    /// What a machine says must hold after a loss of power at this moment.
-    fn binds(&self, out: &[(SocketAddr, Message)]) {
+    /// What a replica sends must hold after a loss of power at this moment.
+    fn binds(&self, out: &[OutgoingMessage]) {
         let binding = |message: &Message| {
             matches!(
                 message,
@@ -174,12 +177,12 @@
                     | Message::Accept { .. }
             )
         };
-        if !out.iter().any(|(_, message)| binding(message)) {
+        if !out.iter().any(|outgoing| binding(&outgoing.message)) {
             return;
         }
         let records = durable_records(&self.disks[FAULTY]);
         let votes = records.iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted));
-        for (_, message) in out {
+        for OutgoingMessage { message, .. } in out {
             let holds = match message {
                 Message::Promise { votes: false, .. } => true,
                 Message::Promise { ballot, .. } => votes && has_promised(&records, *ballot),
@@ -194,22 +197,22 @@
 
     fn deliver(&mut self) {
         while let Some((from, to, message)) = self.messages.pop_front() {
-            if let (Message::Proposed { id, outcome: Outcome::Committed(number) }, true) =
+            if let (Message::ProposalResult { id, outcome: Outcome::Committed(number) }, true) =
                 (&message, to == author())
             {
                 let before = self.committed.insert(*id, *number);
                 assert!(before.is_none_or(|before| before == *number), "{id} at {number} and at {before:?}");
             }
             let Some(n) = (0..SIZE).find(|n| at(*n) == to) else { continue };
-            if let Some(machine) = self.machines[n].as_mut() {
-                machine.replica_mut().heard(self.now, from, message);
+            if let Some(durable) = self.replicas[n].as_mut() {
+                durable.replica_mut().receive(self.now, from, message);
                 self.flush(n);
             }
         }
     }
 
-    /// Time goes on for so many seconds.
-    pub fn play(&mut self, seconds: f64) {
+    /// Runs for that many seconds.
+    pub fn run_for(&mut self, seconds: f64) {
         /// Seconds of the simulation's clock at a time.
         const STEP: f64 = 0.02;
         let until = self.now + seconds;
@@ -218,8 +221,8 @@
             self.restart_where_due();
             for n in 0..SIZE {
                 let now = self.now;
-                if let Some(machine) = self.machines[n].as_mut().filter(|m| m.next() <= now) {
-                    machine.replica_mut().turn(now);
+                if let Some(durable) = self.replicas[n].as_mut().filter(|m| m.next_deadline() <= now) {
+                    durable.replica_mut().tick(now);
                     self.flush(n);
                 }
             }
@@ -230,25 +233,25 @@
     fn next_change(&mut self) -> Change {
         self.ids += 1;
         let key = key(self.ids);
-        let newest = self.machines.iter().flatten().map(|m| m.replica().state()).max_by_key(|s| s.head());
+        let newest = self.replicas.iter().flatten().map(|m| m.replica().state()).max_by_key(|s| s.head());
         let replaces = newest.and_then(|state| state.get(key)).map_or(0, |(number, _)| number);
         Change { id: self.ids, key: key.into(), text: Some("x".repeat(60)), replaces }
     }
 
-    /// An author proposes a change there, once.
+    /// An author proposes a change once.
     pub fn propose(&mut self, n: usize) {
         let change = self.next_change();
         self.messages.push_back((author(), at(n), Message::Propose { change }));
         self.deliver();
     }
 
-    /// An author proposes a change there until he is told that it is committed.
+    /// An author proposes a change until it is committed.
     pub fn commit(&mut self, n: usize) -> u64 {
         let change = self.next_change();
         for _ in 0..40 {
             self.messages.push_back((author(), at(n), Message::Propose { change: change.clone() }));
             self.deliver();
-            self.play(0.2);
+            self.run_for(0.2);
             if let Some(number) = self.committed.get(&change.id) {
                 return *number;
             }
@@ -256,45 +259,45 @@
         panic!("{change:?} at {n} is not committed by {:.2} s", self.now);
     }
 
-    /// The scripted history: changes at each machine, logs that are rewritten, a loss of power where the disk fails.
+    /// The scripted history: changes at each replica, logs that are rewritten, and a loss of power where the disk fails.
     pub fn history(&mut self) {
-        self.play(1.0);
+        self.run_for(1.0);
         for n in [0, FAULTY, 2, 0, FAULTY, 2] {
             self.propose(n);
-            self.play(0.3);
+            self.run_for(0.3);
         }
-        self.machines[FAULTY] = None;
+        self.replicas[FAULTY] = None;
         self.restart_at[FAULTY] = self.now + RESTART;
-        self.play(0.5);
+        self.run_for(0.5);
         for n in [FAULTY, 0] {
             self.propose(n);
-            self.play(0.3);
+            self.run_for(0.3);
         }
     }
 
-    /// All goes well from here on. Then all machines vote, a change at each is committed, all agree, and all that authors
-    /// were told of is there, also after a loss of power at all machines at once.
+    /// Without further faults all replicas vote, a change at each is committed, all agree, and all acknowledged changes are
+    /// there, also after a loss of power at all replicas at once.
     pub fn check(&mut self, what: &str) {
         for n in 0..SIZE {
             self.disks[n].recovers();
             self.stopped[n] = false;
         }
-        self.play(7.0);
+        self.run_for(7.0);
         (0..SIZE).for_each(|n| assert!(self.votes(n), "{what}: {n} does not vote"));
-        self.agree(what);
+        self.assert_agreement(what);
         for n in 0..SIZE {
-            self.machines[n] = None;
+            self.replicas[n] = None;
             self.disks[n] = self.disks[n].after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
         }
         self.messages.clear();
-        self.play(1.0);
-        self.agree(what);
+        self.run_for(1.0);
+        self.assert_agreement(what);
     }
 
-    fn agree(&mut self, what: &str) {
+    fn assert_agreement(&mut self, what: &str) {
         let last = self.commit(0);
-        self.play(1.0);
-        let states: Vec<_> = self.machines.iter().flatten().map(|m| m.replica().state()).collect();
+        self.run_for(1.0);
+        let states: Vec<_> = self.replicas.iter().flatten().map(|m| m.replica().state()).collect();
         assert_eq!(states.len(), SIZE, "{what}: all run");
         assert!(states.iter().all(|state| *state == states[0]), "{what}: they do not agree");
         let highest = self.committed.values().copied().max().unwrap_or(0);
--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -5,7 +5,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Dispatcher, EndpointRevision};
 use milletpath_membership::QuotaFraction;
-use milletpath_policy::host::Budget;
+use milletpath_policy::Budget;
 use milletpath_shared_budgets::{
     BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, OutgoingMessage, SharedBudgets,
     SlotAdjustment,
@@ -76,16 +76,16 @@
                 policy.quotas[client] / gateways,
             );
             add(
-                Budget::Ceiling(client),
+                Budget::RateLimit(client),
                 format!("ceiling {name}"),
                 BudgetKind::Rate,
-                policy.ceilings[client] / gateways,
+                policy.rate_limits[client] / gateways,
             );
         }
-        if let Some((window, free, _)) = policy.ration {
-            add(Budget::Orders, "orders".into(), BudgetKind::Window(window), free);
+        if let Some((window, free, _)) = policy.load_budget {
+            add(Budget::LoadRequests, "orders".into(), BudgetKind::Window(window), free);
         }
-        if let Some((window, free, _)) = policy.retries {
+        if let Some((window, free, _)) = policy.retry_budget {
             add(Budget::Retries, "retries".into(), BudgetKind::Window(window), free);
         }
         let longest = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
@@ -95,7 +95,7 @@
             revision: EndpointRevision::default(),
             remote_concurrency_set_at: f64::NEG_INFINITY,
             in_flight_limit: InFlightLimit {
-                quota: policy.hand / gateways,
+                quota: policy.max_in_flight / gateways,
                 longest_attempt: longest + END_MARGIN_SECONDS,
             },
         }
@@ -120,7 +120,7 @@
         if !quota.is_finite() {
             return;
         }
-        self.open.iter_mut().for_each(|open| open.listed = !matches!(open.budget, Budget::Hand(_)));
+        self.open.iter_mut().for_each(|open| open.listed = !matches!(open.budget, Budget::InFlight(_)));
         for (worker, name) in desk.workers() {
             let slot = self.shared_budgets.open(
                 now,
@@ -128,7 +128,7 @@
                 BudgetKind::InFlight(longest_attempt),
                 quota,
             );
-            let budget = Budget::Hand(worker);
+            let budget = Budget::InFlight(worker);
             match self.open.iter_mut().find(|open| open.slot == slot) {
                 Some(known) => (known.budget, known.listed) = (budget, true),
                 None => self.open.push(OpenBudget { budget, slot, listed: true }),
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -13,8 +13,8 @@
 use crate::process_clocks::thread_cpu_seconds;
 use crate::status_pages::StatusPages;
 use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
-use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
-use milletpath_config_log::{Entry, Follower, FollowerView, Terms};
+use milletpath_config_log::message::{self, Key, MAX_APPLY_ERROR_BYTES, MAX_DATAGRAM_BYTES, Message};
+use milletpath_config_log::{Entry, Follower, FollowerConfig, FollowerView, OutgoingMessage, Timing};
 use milletpath_storage::{DiskFolder, survive_file_size_limit};
 use serde::{Deserialize, Serialize};
 use state_file::{StateFile, StateId};
@@ -117,7 +117,9 @@
     let was_saved = saved.is_some();
     // Random in each process: gateways that start together must not poll in step.
     let seed = RandomState::new().hash_one(std::process::id());
-    let follower = Follower::new(settings.name, settings.control, Terms::default(), seed, now, saved);
+    let config =
+        FollowerConfig { name: settings.name, replicas: settings.control, timing: Timing::default(), seed };
+    let follower = Follower::new(config, now, saved.as_deref());
     log_initial_state(&settings.state_file, was_saved, follower.state().head());
     let state_file = StateFile::new(folder, name, state_id(&follower), now);
     let mut thread = FollowerThread {
@@ -175,7 +177,7 @@
 
 impl ControlLoop for FollowerThread {
     const THREAD_NAME: &'static str = "changes";
-    const MAX_DATAGRAM_BYTES: usize = LARGEST;
+    const MAX_DATAGRAM_BYTES: usize = MAX_DATAGRAM_BYTES;
     const READ_FAILED: &'static str = "datagrams of control machines can't be received";
 
     fn socket(&self) -> &UdpSocket {
@@ -183,19 +185,19 @@
     }
 
     fn wait_until(&self) -> f64 {
-        self.follower.next()
+        self.follower.next_deadline()
     }
 
     fn next_tick(&self) -> f64 {
-        self.follower.next()
+        self.follower.next_deadline()
     }
 
     fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         match message::open(&self.feed.key, datagram) {
-            Ok(Message::Status { ask, page }) => self.answer_query(ask, page, from),
-            Ok(message) => self.follower.heard(self.office.now(), from, message),
+            Ok(Message::StatusRequest { query_id: ask, page }) => self.answer_query(ask, page, from),
+            Ok(message) => self.follower.receive(self.office.now(), from, message),
             Err(why) => {
-                let wrong_seal = matches!(why, message::Refused::Seal);
+                let wrong_seal = matches!(why, message::OpenError::InvalidTag);
                 self.rejected_seal += u64::from(wrong_seal);
                 self.rejected_other += u64::from(!wrong_seal);
                 let rejected = self.rejected_seal + self.rejected_other;
@@ -207,7 +209,7 @@
     }
 
     fn tick(&mut self, now: f64) {
-        self.follower.turn(now);
+        self.follower.tick(now);
     }
 
     fn act(&mut self, now: f64) {
@@ -241,7 +243,7 @@
     /// Applies new changes to the dispatcher, each batch at once. A change that this gateway's configuration does not allow
     /// is reported to the control machines, and the former value of its key stays.
     fn apply_changes(&mut self) {
-        while let Some(batch) = self.follower.news() {
+        while let Some(batch) = self.follower.take_updates() {
             let house = &self.office.house;
             let mut config_changes: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
@@ -258,7 +260,7 @@
                             key = change.key,
                             "a configuration change can't be applied here: {why}"
                         );
-                        self.follower.refused(*number, shortened(why));
+                        self.follower.report_apply_error(*number, shortened(why));
                     }
                 }
             }
@@ -275,8 +277,8 @@
 
     /// Sends all messages that the follower has ready.
     fn send_outgoing(&mut self) {
-        while let Some((to, message)) = self.follower.out() {
-            if let Some(datagram) = message::seal(&self.feed.key, &message) {
+        while let Some(OutgoingMessage { to, message }) = self.follower.next_outgoing() {
+            if let Ok(datagram) = message::seal(&self.feed.key, &message) {
                 // As if it were lost on its way: the core repeats what matters.
                 let _ = self.feed.socket.send_to(&datagram, to);
             }
@@ -302,7 +304,7 @@
         let mut status_pages = std::mem::take(&mut self.status_pages);
         let reply = status_pages.page(from, request_id, page, || serde_json::to_vec(&self.view()).ok());
         self.status_pages = status_pages;
-        if let Some(datagram) = reply.and_then(|reply| message::seal(&self.feed.key, &reply)) {
+        if let Some(datagram) = reply.and_then(|reply| message::seal(&self.feed.key, &reply).ok()) {
             // A lost page makes the operator ask again.
             let _ = self.feed.socket.send_to(&datagram, from);
         }
@@ -316,7 +318,8 @@
 
 /// Cuts a reason to the bytes that fit into a message.
 fn shortened(mut why: String) -> String {
-    let end = (0..=LONGEST_WHY.min(why.len())).rev().find(|end| why.is_char_boundary(*end)).unwrap_or(0);
+    let end =
+        (0..=MAX_APPLY_ERROR_BYTES.min(why.len())).rev().find(|end| why.is_char_boundary(*end)).unwrap_or(0);
     why.truncate(end);
     why
 }
--- a/crates/gateway/src/config_follower/status_log.rs
+++ b/crates/gateway/src/config_follower/status_log.rs
@@ -49,7 +49,7 @@
         }
         self.next_check = now + INTERVAL_SECONDS;
         let view = follower.view(now);
-        let freshness = match view.sure_as_of {
+        let freshness = match view.confirmed_age {
             Some(age) if age < SILENCE_SECONDS => Freshness::Confirmed,
             None if now < SILENCE_SECONDS => Freshness::Unknown,
             _ => Freshness::Stale,
@@ -67,7 +67,7 @@
             }
             self.freshness = freshness;
         }
-        let counts = Counts { conflicts: view.conflicts, rebuilds: view.anew };
+        let counts = Counts { conflicts: view.conflicts, rebuilds: view.rebuilds };
         if counts.conflicts > self.logged.conflicts {
             let conflicts: Vec<_> =
                 view.replicas.iter().map(|replica| (replica.replica, replica.conflicts)).collect();
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -5,7 +5,7 @@
 use crate::key_file::{KeyFileError, read_control_key};
 use crate::status_pages::PageCollector;
 use milletpath_config::ConfigLogConfig;
-use milletpath_config_log::message::{self, Key, LARGEST, Message};
+use milletpath_config_log::message::{self, Key, MAX_DATAGRAM_BYTES, Message};
 use milletpath_config_log::{Change, Outcome};
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -97,7 +97,7 @@
     }
 
     fn send(&self, to: SocketAddr, message: &Message) {
-        if let Some(datagram) = message::seal(&self.key, message) {
+        if let Ok(datagram) = message::seal(&self.key, message) {
             // As if it were lost on its way: it is sent again.
             let _ = self.socket.send_to(&datagram, to);
         }
@@ -105,7 +105,7 @@
 
     /// The next valid message, waited for until `until`.
     fn receive(&self, until: Instant) -> Option<(SocketAddr, Message)> {
-        let mut buffer = [0; LARGEST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
             self.socket.set_read_timeout(Some(left)).ok()?;
@@ -129,7 +129,7 @@
                 silent.for_each(|to| self.send(*to, &Message::Get { key: key.to_owned() }));
             }
             let Some((from, message)) = self.receive(resend_at.min(end)) else { continue };
-            let Message::Got { key: about, number, text, head, .. } = message else { continue };
+            let Message::GetReply { key: about, number, text, head, .. } = message else { continue };
             if about == key && self.control.contains(&from) {
                 if answers.is_empty() {
                     end = end.min(Instant::now() + STRAGGLER_WAIT);
@@ -163,13 +163,13 @@
                 }
             }
             match self.receive(next.min(end)) {
-                Some((_, Message::Proposed { id, outcome })) if id == change.id => match outcome {
+                Some((_, Message::ProposalResult { id, outcome })) if id == change.id => match outcome {
                     Outcome::Unknown | Outcome::Busy => {
                         (outcome_so_far, next) = (ProposalOutcome::Decided(outcome), Instant::now());
                     }
                     decided => return ProposalOutcome::Decided(decided),
                 },
-                Some((_, Message::Denied { id, why })) if id == change.id => {
+                Some((_, Message::ChangeDenied { id, reason: why })) if id == change.id => {
                     return ProposalOutcome::Denied(why);
                 }
                 _ => {}
@@ -190,7 +190,9 @@
                 pages.iter().zip(targets).for_each(|(pages, to)| self.request_pages(*to, request_id, pages));
             }
             let Some((from, message)) = self.receive(resend_at.min(end)) else { continue };
-            let Message::StatusPage { ask: about, page, of: total, bytes } = message else { continue };
+            let Message::StatusPage { query_id: about, page, page_count: total, bytes } = message else {
+                continue;
+            };
             let target = targets.iter().position(|to| *to == from).filter(|_| about == request_id);
             let Some(pages) = target.and_then(|target| pages.get_mut(target)) else { continue };
             if pages.insert(page as usize, total as usize, bytes) {
@@ -209,7 +211,7 @@
         /// Pages requested at once: their datagrams fit into the receive buffer of any socket.
         const MAX_REQUESTS: usize = 64;
         let missing = pages.missing().take(MAX_REQUESTS);
-        missing.for_each(|page| self.send(to, &Message::Status { ask: request_id, page }));
+        missing.for_each(|page| self.send(to, &Message::StatusRequest { query_id: request_id, page }));
     }
 
     /// The status of each control machine, in the order of their numbers; none for one that does not answer or whose status
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -142,7 +142,7 @@
 
 fn membership_config(house: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
     // Quotas are counted by the second, load requests within their window.
-    let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
+    let window = house.policy.load_budget.map_or(1.0, |(window, ..)| window.max(1.0));
     MembershipConfig {
         period: settings.period,
         lease: settings.lease,
--- a/crates/gateway/src/status_pages.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -48,7 +48,7 @@
         let pages = self.answers[index].text.chunks(PAGE_BYTES);
         let total = pages.len() as u32;
         let bytes = { pages }.nth(page as usize)?.to_vec();
-        Some(Message::StatusPage { ask: request_id, page, of: total, bytes })
+        Some(Message::StatusPage { query_id: request_id, page, page_count: total, bytes })
     }
 }
 
--- a/crates/gateway/src/status_pages/tests.rs
+++ b/crates/gateway/src/status_pages/tests.rs
@@ -13,7 +13,7 @@
 
 fn page_of(message: Message) -> (u32, u32, Vec<u8>) {
     match message {
-        Message::StatusPage { page, of, bytes, .. } => (page, of, bytes),
+        Message::StatusPage { page, page_count, bytes, .. } => (page, page_count, bytes),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -110,7 +110,8 @@
     for name in request.remove {
         // A name alone is a function's.
         let subject = Subject::from_key(name).or_else(|| Subject::from_key(&format!("function {name}")));
-        let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_config_log::KEY) else {
+        let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_config_log::MAX_KEY_BYTES)
+        else {
             let remedy = "write the function's name, or functions for what is stated of all";
             return Err(vec![format!("--remove {name}: no statement goes by that; {remedy}")]);
         };
@@ -159,7 +160,7 @@
             let reason = format!("the control machine refuses it: {why}");
             Err(ChangeError { reason, input_position: Some(within) })
         }
-        ProposalOutcome::Decided(Outcome::TooLarge | Outcome::NoKey) => {
+        ProposalOutcome::Decided(Outcome::TooLarge | Outcome::EmptyKey) => {
             Err(ChangeError { reason: "it is larger than a change may be".into(), input_position: Some((1, 1)) })
         }
         ProposalOutcome::Decided(Outcome::Full) => {
