--- a/crates/platform-router/src/backoff.rs
+++ b/crates/platform-router/src/backoff.rs
@@ -22,9 +22,9 @@
 
 impl Backoff {
     /// Pauses for a connection that may take so many seconds to be made.
-    pub fn new(connect: f64) -> Self {
-        let longest = LONGEST.min(connect * LONGEST_PART).max(SHORTEST);
-        Self { longest, give_back: connect * GIVE_BACK_PART, pause: SHORTEST, failing: None }
+    pub fn new(connect_timeout: f64) -> Self {
+        let longest = LONGEST.min(connect_timeout * LONGEST_PART).max(SHORTEST);
+        Self { longest, give_back: connect_timeout * GIVE_BACK_PART, pause: SHORTEST, failing: None }
     }
 
     /// The call failed: when it is made again.
--- a/crates/platform-router/src/door/accept/tests.rs
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::outbox::{Look, look};
-use crate::station::tests::{listed, with};
+use crate::platform_router::tests::{router_with_workers, run_local};
+use crate::write_buffer::{SocketState, peek_socket};
 use std::collections::VecDeque;
 use test_case::test_case;
 
@@ -11,7 +11,7 @@
     (client, listener.accept().unwrap().0.into())
 }
 
-fn error(errno: Errno) -> io::Result<Socket> {
+fn accept_error(errno: Errno) -> io::Result<Socket> {
     Err(io::Error::from_raw_os_error(errno as i32))
 }
 
@@ -22,14 +22,14 @@
 #[test_case(Errno::ENETUNREACH)]
 #[test_case(Errno::EHOSTUNREACH)]
 #[test_case(Errno::ETIMEDOUT)]
-fn what_queues_behind_a_failed_accept_is_taken_in(errno: Errno) {
-    with(async move {
-        let station = listed(&[]);
+fn connections_behind_a_failed_accept_are_accepted(errno: Errno) {
+    run_local(async move {
+        let router = router_with_workers(&[]);
         let (_client, socket) = connection();
-        let mut results = VecDeque::from([error(errno), Ok(socket), error(errno)]);
-        let next = || results.pop_front().unwrap_or_else(|| error(Errno::EAGAIN));
-        let drained = station.borrow_mut().drain_queue(next);
-        assert_eq!((drained, results.len()), (Drained { accepted: 1, empty: true }, 0));
+        let mut results = VecDeque::from([accept_error(errno), Ok(socket), accept_error(errno)]);
+        let next = || results.pop_front().unwrap_or_else(|| accept_error(Errno::EAGAIN));
+        let result = router.borrow_mut().accept_queued(next);
+        assert_eq!((result, results.len()), (QueueResult { accepted: 1, empty: true }, 0));
     });
 }
 
@@ -38,25 +38,25 @@
 #[test_case(Errno::ENFILE)]
 #[test_case(Errno::ENOBUFS)]
 #[test_case(Errno::ENOMEM)]
-fn a_queue_that_can_not_be_accepted_is_not_empty(errno: Errno) {
-    with(async move {
-        let station = listed(&[]);
-        let drained = station.borrow_mut().drain_queue(|| error(errno));
-        assert_eq!(drained, Drained { accepted: 0, empty: false });
+fn queue_is_not_empty_while_accept_lacks_resources(errno: Errno) {
+    run_local(async move {
+        let router = router_with_workers(&[]);
+        let result = router.borrow_mut().accept_queued(|| accept_error(errno));
+        assert_eq!(result, QueueResult { accepted: 0, empty: false });
     });
 }
 
 /// An error that never passes ends the attempt within a bound.
 #[test]
-fn a_queue_that_fails_for_ever_is_given_up_for_the_moment() {
-    with(async {
-        let station = listed(&[]);
+fn persistent_accept_errors_are_given_up_after_a_bound() {
+    run_local(async {
+        let router = router_with_workers(&[]);
         let mut attempts = 0;
-        let drained = station.borrow_mut().drain_queue(|| {
+        let result = router.borrow_mut().accept_queued(|| {
             attempts += 1;
-            error(Errno::ECONNABORTED)
+            accept_error(Errno::ECONNABORTED)
         });
-        assert_eq!((drained, attempts), (Drained { accepted: 0, empty: false }, QUEUE));
+        assert_eq!((result, attempts), (QueueResult { accepted: 0, empty: false }, MAX_QUEUED));
     });
 }
 
@@ -64,47 +64,47 @@
 /// place until it had the time to say something.
 #[test_case(5, [true, true]; "at once")]
 #[test_case(100, [false, true]; "after 100 ms")]
-fn a_connection_has_time_for_its_first_call(later_ms: u64, stay: [bool; 2]) {
-    with(async move {
+fn new_connection_is_not_evicted_before_its_first_call(later_ms: u64, expected: [bool; 2]) {
+    run_local(async move {
         tokio::time::pause();
-        let station = listed(&[]);
-        station.borrow_mut().keeping.clients = 1;
+        let router = router_with_workers(&[]);
+        router.borrow_mut().connection_limits.clients = 1;
         let mut clients = Vec::new();
         for _ in 0..2 {
             let (client, socket) = connection();
             socket.set_nonblocking(true).unwrap();
             clients.push(client);
             let stream = TcpStream::from_std(socket.into()).unwrap();
-            assert!(station.borrow_mut().admit(stream));
+            assert!(router.borrow_mut().admit(stream));
             tokio::time::advance(Duration::from_millis(later_ms)).await;
         }
-        let s = station.borrow();
-        let stays = |serial: u64| s.clients.iter().any(|(_, c)| c.serial == serial);
-        assert_eq!([stays(1), stays(2)], stay);
+        let s = router.borrow();
+        let is_open = |serial: u64| s.clients.iter().any(|(_, c)| c.serial == serial);
+        assert_eq!([is_open(1), is_open(2)], expected);
     });
 }
 
 /// A client beside the bound whose rejection could not be written at once is closed once it was: it kept its place.
 #[test]
-fn a_place_beside_the_bound_is_given_back() {
-    with(async {
-        let station = listed(&[]);
-        station.borrow_mut().keeping.clients = 0;
+fn overflow_connection_is_closed_after_its_rejection() {
+    run_local(async {
+        let router = router_with_workers(&[]);
+        router.borrow_mut().connection_limits.clients = 0;
         let (client, socket) = connection();
         socket.set_nonblocking(true).unwrap();
-        assert!(station.borrow_mut().admit(TcpStream::from_std(socket.into()).unwrap()));
+        assert!(router.borrow_mut().admit(TcpStream::from_std(socket.into()).unwrap()));
         {
-            let mut s = station.borrow_mut();
+            let mut s = router.borrow_mut();
             let key = s.clients.iter().next().unwrap().0;
             // As after a call that was rejected while the socket took nothing.
-            s.clients[key].said = true;
+            s.clients[key].has_sent_message = true;
             let now = s.now();
-            s.tidy_clients(now);
-            assert!(s.clients[key].finished.is_some());
+            s.close_stale_clients(now);
+            assert!(s.clients[key].write_closed_at.is_some());
         }
         client.set_nonblocking(true).unwrap();
         let client = TcpStream::from_std(client).unwrap();
         client.readable().await.unwrap();
-        assert_eq!(look(&client), Look::Closed);
+        assert_eq!(peek_socket(&client), SocketState::Closed);
     });
 }
--- /dev/null
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -0,0 +1,161 @@
+use super::*;
+use crate::platform_router::tests::{router_with_workers, run_local};
+use socket2::SockRef;
+use std::io::Write;
+use std::time::Duration;
+use test_case::test_case;
+use tokio::net::TcpListener;
+
+/// A client that has come in, and its place.
+async fn connect_client(router: &SharedRouter) -> (std::net::TcpStream, usize) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    client.set_nodelay(true).unwrap();
+    let (stream, _) = listener.accept().await.unwrap();
+    let mut s = router.borrow_mut();
+    assert!(s.admit(stream));
+    let serial = s.serial;
+    let key = s.clients.iter().find(|(_, c)| c.serial == serial).unwrap().0;
+    (client, key)
+}
+
+/// Sends something at this moment, and waits until it is read.
+async fn send_and_wait_until_read(
+    router: &SharedRouter,
+    (client, key): &mut (std::net::TcpStream, usize),
+    text: &[u8],
+) {
+    client.write_all(text).unwrap();
+    let silent_since = |s: &PlatformRouter| s.clients.get(*key).is_some_and(|c| c.last_received < s.now());
+    while silent_since(&router.borrow()) {
+        tokio::task::yield_now().await;
+    }
+}
+
+/// Sends a text a byte at a time, evenly over some seconds; for how many it was heard before it was closed,
+/// if it was.
+async fn send_byte_by_byte(
+    router: &SharedRouter,
+    to: &mut (std::net::TcpStream, usize),
+    text: &str,
+    seconds: f64,
+) -> Option<f64> {
+    let begun = router.borrow().now();
+    let step = Duration::from_secs_f64(seconds / text.len() as f64);
+    for byte in text.bytes() {
+        tokio::time::advance(step).await;
+        let now = router.borrow().now();
+        router.borrow_mut().close_stale_clients(now);
+        if !router.borrow().clients.contains(to.1) {
+            return Some(now - begun);
+        }
+        send_and_wait_until_read(router, to, &[byte]).await;
+    }
+    None
+}
+
+const PROBE: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"probe\"}\n";
+const CALL: &str = concat!(
+    r#"{"jsonrpc":"2.0","id":2,"method":"p","params":{"i":"9b1f03aa5c7e2d41","#,
+    r#""d":1500,"o":"7f3a9c21e0b4d655"}}"#
+);
+
+/// A call comes a byte at a time, over as long as its client would wait for an answer: it is taken, and its
+/// time counts from its last byte. It was closed after 2 s.
+#[test_case(true, 2.9; "from a known client")]
+#[test_case(false, 2.4; "as the first of its client")]
+fn call_received_byte_by_byte_is_accepted(known: bool, seconds: f64) {
+    run_local(async move {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let mut client = connect_client(&router).await;
+        if known {
+            send_and_wait_until_read(&router, &mut client, PROBE).await;
+            tokio::time::advance(Duration::from_secs(60)).await;
+        }
+        assert_eq!(send_byte_by_byte(&router, &mut client, CALL, seconds).await, None);
+        assert!(router.borrow().clients[client.1].open.is_empty());
+        tokio::time::advance(Duration::from_millis(10)).await;
+        send_and_wait_until_read(&router, &mut client, b"\n").await;
+        let mut s = router.borrow_mut();
+        let [(2, request)] = s.clients[client.1].open[..] else { panic!("one open call") };
+        let now = s.now();
+        assert_eq!(s.dispatcher.context(request).unwrap().received_at, now);
+    });
+}
+
+/// What never becomes a line is closed in its time, however it comes: within 3 s where nothing of use was
+/// ever said. By empty lines a client was held open for good.
+#[test_case(false, &CALL.repeat(3), 2.5; "the first line")]
+#[test_case(true, &CALL.repeat(3), 3.0; "a later line")]
+#[test_case(false, &"\n".repeat(99), 2.0; "empty lines")]
+#[test_case(false, &" \n".repeat(99), 2.0; "lines of a space")]
+fn line_that_never_ends_is_closed_in_time(known: bool, text: &str, closed: f64) {
+    let text = text.to_owned();
+    run_local(async move {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let mut client = connect_client(&router).await;
+        if known {
+            send_and_wait_until_read(&router, &mut client, PROBE).await;
+        }
+        let after = send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("it is closed");
+        assert!(after >= closed && after < closed + 0.2, "{after}");
+    });
+}
+
+/// Room is wanted: a known client in the midst of a call stays, and one that has been quiet for less time
+/// than that call takes goes.
+#[test]
+fn client_with_a_partial_call_is_not_evicted() {
+    run_local(async {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let mut clients = [connect_client(&router).await, connect_client(&router).await];
+        for client in &mut clients {
+            send_and_wait_until_read(&router, client, PROBE).await;
+        }
+        assert_eq!(send_byte_by_byte(&router, &mut clients[0], &CALL[..20], 1.0).await, None);
+        send_and_wait_until_read(
+            &router,
+            &mut clients[1],
+            b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"probe\"}\n",
+        )
+        .await;
+        assert_eq!(send_byte_by_byte(&router, &mut clients[0], &CALL[20..40], 0.9).await, None);
+        router.borrow_mut().connection_limits.clients = 2;
+        let third = connect_client(&router).await;
+        let serials: Vec<_> = router.borrow().clients.iter().map(|(_, c)| c.serial).collect();
+        assert!(serials.contains(&1) && !serials.contains(&2) && third.1 == clients[1].1, "{serials:?}");
+    });
+}
+
+/// One that said what can't be used goes on sending and reads nothing of what it is told: it is closed in its time. As long
+/// as bytes of it lay unread, which nobody reads any more, it was taken for one about to call, and kept for good.
+#[test]
+fn invalid_client_is_closed_however_much_it_sends() {
+    run_local(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let mut invalid_client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let (stream, _) = listener.accept().await.unwrap();
+        SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
+        while stream.try_write(&[b' '; 1 << 10]).is_ok() {}
+        let router = router_with_workers(&[]);
+        assert!(router.borrow_mut().admit(stream));
+        invalid_client.write_all(b"{\n").unwrap();
+        let first = |s: &PlatformRouter| s.clients.iter().map(|(key, c)| (key, c.stream.clone())).next();
+        let (key, stream) = first(&router.borrow()).unwrap();
+        stream.readable().await.unwrap();
+        router.borrow_mut().on_client_readable(key);
+        {
+            let s = router.borrow();
+            assert!(s.clients[key].closing && s.clients[key].write_buffer.remaining() > 0);
+        }
+        invalid_client.write_all(b"more of the same\n").unwrap();
+        stream.readable().await.unwrap();
+        let mut s = router.borrow_mut();
+        let now = s.now();
+        s.close_stale_clients(now + 2.5);
+        assert!(s.clients.is_empty());
+    });
+}
--- a/crates/platform-router/src/bulletin.rs
+++ b/crates/platform-router/src/discovery_watch.rs
@@ -1,7 +1,7 @@
 //! Follows the bulletin: each event once and in order, whatever breaks. A gap, a line that can't be read, a break or
 //! a silence longer than its heartbeat explains leads to asking again for all after the last event.
 
-use crate::station::Shared;
+use crate::platform_router::SharedRouter;
 use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 /// The bulletin ends a line every second; past this it has fallen silent, whatever drips in. Well within the 4 s
 /// after which what it would have told counts as told.
-const SILENCE: Duration = Duration::from_millis(1800);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
 /// For a connection to be made.
 const CONNECT: Duration = Duration::from_millis(500);
 /// Between two tries, doubled up to the longest.
@@ -20,20 +20,20 @@
 
 /// For what the address before had told to be read, when the file names another: with a drain among it, that
 /// must not wait until the next one speaks.
-const LAST_WORDS: Duration = Duration::from_millis(20);
+const FINAL_READ: Duration = Duration::from_millis(20);
 
 /// Follows for the router's life, from the event after `last`; `address` changes when the file names another.
-pub async fn follow(station: Shared, mut address: watch::Receiver<SocketAddr>, mut last: u64) {
+pub async fn watch_discovery(router: SharedRouter, mut address: watch::Receiver<SocketAddr>, mut last: u64) {
     let [shortest, longest] = PAUSES;
     let mut pause = shortest;
     loop {
         let at = *address.borrow_and_update();
         let before = last;
-        let mut stream = Box::pin(stream(&station, at, &mut last));
+        let mut stream = Box::pin(stream(&router, at, &mut last));
         let why = tokio::select! {
             why = &mut stream => why,
             _ = address.changed() => {
-                let _ = tokio::time::timeout(LAST_WORDS, stream).await;
+                let _ = tokio::time::timeout(FINAL_READ, stream).await;
                 pause = shortest;
                 continue;
             }
@@ -48,24 +48,28 @@
     }
 }
 
-async fn stream(station: &Shared, address: SocketAddr, last: &mut u64) -> String {
-    let sockets = station.borrow().sockets.clone();
+async fn stream(router: &SharedRouter, address: SocketAddr, last: &mut u64) -> String {
+    let sockets = router.borrow().sockets.clone();
     match tokio::time::timeout(CONNECT, sockets.connect(address)).await {
-        Ok(Ok(stream)) => heed(station, stream, last).await,
+        Ok(Ok(stream)) => read_events(router, stream, last).await,
         Ok(Err(e)) => format!("no connection: {e}"),
         Err(_) => "no connection in time".into(),
     }
 }
 
 /// Asks on a connection that stands, and takes what is told until it breaks or falls silent: why.
-async fn heed(station: &Shared, mut stream: impl AsyncRead + AsyncWrite + Unpin, last: &mut u64) -> String {
+async fn read_events(
+    router: &SharedRouter,
+    mut stream: impl AsyncRead + AsyncWrite + Unpin,
+    last: &mut u64,
+) -> String {
     if let Err(e) = stream.write_all(events::subscribe_after(*last).as_bytes()).await {
         return format!("it could not be asked: {e}");
     }
     let mut rest = Vec::new();
     let mut spoke = Instant::now();
     loop {
-        match tokio::time::timeout_at(spoke + SILENCE, stream.read_buf(&mut rest)).await {
+        match tokio::time::timeout_at(spoke + SILENCE_TIMEOUT, stream.read_buf(&mut rest)).await {
             Ok(Ok(0)) => return "it ended".into(),
             Ok(Ok(_)) => {}
             Ok(Err(e)) => return format!("it broke: {e}"),
@@ -78,20 +82,18 @@
             match events::read(line.trim_ascii()) {
                 // Told before.
                 Ok(DiscoveryLine::Event { number, .. }) if number <= *last => {}
-                Ok(DiscoveryLine::Event { number, complete: whole, entries })
-                    if whole || number == *last + 1 =>
-                {
+                Ok(DiscoveryLine::Event { number, complete, entries }) if complete || number == *last + 1 => {
                     *last = number;
-                    let mut s = station.borrow_mut();
+                    let mut s = router.borrow_mut();
                     let now = s.now();
-                    s.desk.wall_clock_read(now, unix_time());
-                    s.desk.update_endpoints(now, whole, &entries);
-                    s.carry_out();
+                    s.dispatcher.wall_clock_read(now, unix_time());
+                    s.dispatcher.update_endpoints(now, complete, &entries);
+                    s.run_actions();
                 }
                 Ok(DiscoveryLine::Last(number)) if number == *last => {
-                    let mut s = station.borrow_mut();
+                    let mut s = router.borrow_mut();
                     let now = s.now();
-                    s.desk.endpoint_list_confirmed(now);
+                    s.dispatcher.endpoint_list_confirmed(now);
                 }
                 // Of a bulletin behind the one that was followed before.
                 Ok(DiscoveryLine::Last(number)) if number < *last => {}
--- a/crates/platform-router/src/bulletin/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -1,7 +1,9 @@
 use super::*;
-use crate::faults::Operation;
-use crate::sockets::tests::{BRIEF, CONNECT as CONNECT_ERRORS, Injected, LONG, Span, TRANSFER};
-use crate::station::tests::{listed, with};
+use crate::platform_router::tests::{router_with_workers, run_local};
+use crate::socket_errors::Operation;
+use crate::sockets::tests::{
+    CONNECT as CONNECT_ERRORS, FaultDuration, FaultySockets, LONG_FAULT, SHORT_FAULT, TRANSFER,
+};
 use nix::errno::Errno;
 use std::io;
 use std::pin::Pin;
@@ -20,14 +22,14 @@
 /// silent: it is given up as soon as one that never spoke, with all that it had told.
 #[test_case(""; "between two lines")]
 #[test_case("{\"no\":"; "amid a line")]
-fn a_bulletin_that_falls_silent_after_hours(rest: &'static str) {
-    with(async move {
+fn silent_discovery_stream_is_given_up_after_hours_of_heartbeats(rest: &'static str) {
+    run_local(async move {
         tokio::time::pause();
-        let station = listed(&[]);
+        let router = router_with_workers(&[]);
         let (ours, mut theirs) = tokio::io::duplex(4 << 10);
-        let heeded = spawn_local(async move {
+        let reader = spawn_local(async move {
             let mut last = 1;
-            let why = heed(&station, ours, &mut last).await;
+            let why = read_events(&router, ours, &mut last).await;
             (why, last, Instant::now())
         });
         let mut last = 1;
@@ -39,12 +41,12 @@
             theirs.write_all(format!("{last}\n").as_bytes()).await.unwrap();
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
-        assert!(!heeded.is_finished());
+        assert!(!reader.is_finished());
         theirs.write_all(rest.as_bytes()).await.unwrap();
         let stops = Instant::now();
-        let (why, heard, at) = heeded.await.unwrap();
+        let (why, heard, at) = reader.await.unwrap();
         assert_eq!((why.as_str(), heard), ("it fell silent", last));
-        assert!(at - stops <= SILENCE);
+        assert!(at - stops <= SILENCE_TIMEOUT);
     });
 }
 
@@ -52,25 +54,25 @@
 /// taken first. It was dropped with its stream, and a worker that was gone got shots until the new address
 /// spoke.
 #[test]
-fn what_lies_unread_when_the_file_names_another_is_taken() {
-    with(async {
+fn unread_events_are_applied_before_the_discovery_address_changes() {
+    run_local(async {
         let [old, new] = [TcpListener::bind("127.0.0.1:0").await, TcpListener::bind("127.0.0.1:0").await];
         let [old, new] = [old.unwrap(), new.unwrap()];
-        let station = listed(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
-        let (moved, address) = watch::channel(old.local_addr().unwrap());
-        spawn_local(follow(station.clone(), address, 1));
+        let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
+        let (discovery_address, address) = watch::channel(old.local_addr().unwrap());
+        spawn_local(watch_discovery(router.clone(), address, 1));
         let (mut stream, _) = old.accept().await.unwrap();
-        let mut asked = [0; 8];
-        stream.read_exact(&mut asked).await.unwrap();
-        assert_eq!(&asked, b"after 1\n");
+        let mut subscription = [0; 8];
+        stream.read_exact(&mut subscription).await.unwrap();
+        assert_eq!(&subscription, b"after 1\n");
         stream.writable().await.unwrap();
         // Nothing waits between the two: the router hears of both in one turn.
         stream.try_write(event(2, "left").as_bytes()).unwrap();
-        moved.send(new.local_addr().unwrap()).unwrap();
+        discovery_address.send(new.local_addr().unwrap()).unwrap();
         let (mut stream, _) = new.accept().await.unwrap();
-        assert_eq!(station.borrow().desk.workers(), []);
-        stream.read_exact(&mut asked).await.unwrap();
-        assert_eq!(&asked, b"after 2\n");
+        assert_eq!(router.borrow().dispatcher.workers(), []);
+        stream.read_exact(&mut subscription).await.unwrap();
+        assert_eq!(&subscription, b"after 2\n");
     });
 }
 
@@ -80,13 +82,13 @@
 #[test_case(-3.0; "three seconds behind")]
 #[test_case(3.0; "three seconds ahead")]
 #[test_case(3600.0; "an hour ahead")]
-fn a_worker_joins_by_a_clock_that_was_stepped(step: f64) {
-    with(async move {
+fn worker_joining_by_a_stepped_clock_is_no_older_than_its_event(step: f64) {
+    run_local(async move {
         tokio::time::pause();
-        let station = listed(&[]);
+        let router = router_with_workers(&[]);
         let (ours, mut theirs) = tokio::io::duplex(4 << 10);
-        let theirs_heeded = station.clone();
-        spawn_local(async move { heed(&theirs_heeded, ours, &mut 1).await });
+        let reader_router = router.clone();
+        spawn_local(async move { read_events(&reader_router, ours, &mut 1).await });
         for _ in 0..10 {
             theirs.write_all(b"1\n").await.unwrap();
             tokio::time::sleep(Duration::from_secs(1)).await;
@@ -95,8 +97,8 @@
         let event = event(2, "active").replace(r#""phase":"active""#, &stamp);
         theirs.write_all(event.as_bytes()).await.unwrap();
         tokio::time::sleep(Duration::from_millis(1)).await;
-        let s = station.borrow();
-        let started = s.desk.started(0).expect("a start");
+        let s = router.borrow();
+        let started = s.dispatcher.started(0).expect("a start");
         assert!(
             (s.now() - 1.1..=s.now()).contains(&started),
             "started at {started:.1}, now it is {:.1}",
@@ -106,29 +108,30 @@
 }
 /// No connection to the bulletin can be made, for a reason of our own or another: it is asked again, with pauses, and
 /// what it tells is heard once it can. Held before.
-#[test_case(Span::Once; "once")]
-#[test_case(BRIEF; "for 100 ms")]
-#[test_case(LONG; "for 2 s")]
-fn no_connection_to_the_bulletin_can_be_made(span: Span) {
-    with(async move {
-        let stories = CONNECT_ERRORS.iter().map(|&errno| spawn_local(asked_until_it_answers(errno, span)));
-        for story in stories.collect::<Vec<_>>() {
-            story.await.unwrap();
+#[test_case(FaultDuration::Once; "once")]
+#[test_case(SHORT_FAULT; "for 100 ms")]
+#[test_case(LONG_FAULT; "for 2 s")]
+fn discovery_connection_is_retried_until_it_succeeds(duration: FaultDuration) {
+    run_local(async move {
+        let scenarios =
+            CONNECT_ERRORS.iter().map(|&errno| spawn_local(retries_until_discovery_answers(errno, duration)));
+        for scenario in scenarios.collect::<Vec<_>>() {
+            scenario.await.unwrap();
         }
     });
 }
 
-async fn asked_until_it_answers(errno: Errno, span: Span) {
-    let sockets = Injected::new(Operation::Connect, errno, span, usize::MAX);
-    sockets.armed.set(true);
+async fn retries_until_discovery_answers(errno: Errno, duration: FaultDuration) {
+    let sockets = FaultySockets::new(Operation::Connect, errno, duration, usize::MAX);
+    sockets.timer_set_for.set(true);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let station = listed(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
-    station.borrow_mut().sockets = sockets.clone();
+    let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
+    router.borrow_mut().sockets = sockets.clone();
     let (_moved, address) = watch::channel(listener.local_addr().unwrap());
-    spawn_local(follow(station.clone(), address, 1));
+    spawn_local(watch_discovery(router.clone(), address, 1));
     let (mut stream, _) = listener.accept().await.unwrap();
     stream.write_all(event(2, "left").as_bytes()).await.unwrap();
-    while !station.borrow().desk.workers().is_empty() {
+    while !router.borrow().dispatcher.workers().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     // Pauses of 50, 100, 200 and then 400 ms.
@@ -137,14 +140,14 @@
 }
 
 /// A stream of which the first write fails, or the read behind all that lies there.
-struct Failing {
+struct FailingStream {
     stream: DuplexStream,
     operation: Operation,
     errno: Errno,
     written: bool,
 }
 
-impl AsyncRead for Failing {
+impl AsyncRead for FailingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -158,7 +161,7 @@
     }
 }
 
-impl AsyncWrite for Failing {
+impl AsyncWrite for FailingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if self.operation == Operation::Write && !std::mem::replace(&mut self.written, true) {
             return Poll::Ready(Err(io::Error::from_raw_os_error(self.errno as i32)));
@@ -178,26 +181,26 @@
 /// A read fails behind an event and half of another, or the question can't be written: the stream is given up with what
 /// was told whole, so that the half event is asked for again. Held before.
 #[test]
-fn a_read_or_write_of_the_bulletin_fails() {
-    with(async {
+fn complete_events_survive_a_failed_read_or_write() {
+    run_local(async {
         for &errno in TRANSFER {
-            let station = listed(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
+            let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
             let (ours, mut theirs) = tokio::io::duplex(4 << 10);
-            let told = event(2, "left") + &event(3, "active")[..30];
-            theirs.write_all(told.as_bytes()).await.unwrap();
+            let sent = event(2, "left") + &event(3, "active")[..30];
+            theirs.write_all(sent.as_bytes()).await.unwrap();
             let mut last = 1;
-            let reads = Failing { stream: ours, operation: Operation::Read, errno, written: false };
-            let why = heed(&station, reads, &mut last).await;
+            let reads = FailingStream { stream: ours, operation: Operation::Read, errno, written: false };
+            let why = read_events(&router, reads, &mut last).await;
             assert!(why.starts_with("it broke"), "{errno:?}: {why}");
-            assert_eq!((last, station.borrow().desk.workers().len()), (2, 0), "{errno:?}");
+            assert_eq!((last, router.borrow().dispatcher.workers().len()), (2, 0), "{errno:?}");
 
             let (ours, mut theirs) = tokio::io::duplex(4 << 10);
             theirs.shutdown().await.unwrap();
-            let writes = Failing { stream: ours, operation: Operation::Write, errno, written: false };
-            let why = heed(&station, writes, &mut last).await;
+            let writes = FailingStream { stream: ours, operation: Operation::Write, errno, written: false };
+            let why = read_events(&router, writes, &mut last).await;
             // The runtime writes again after an interruption.
-            let told = if errno == Errno::EINTR { "it ended" } else { "it could not be asked" };
-            assert!(why.starts_with(told), "{errno:?}: {why}");
+            let sent = if errno == Errno::EINTR { "it ended" } else { "it could not be asked" };
+            assert!(why.starts_with(sent), "{errno:?}: {why}");
             assert_eq!(last, 2, "{errno:?}");
         }
     });
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/platform_router/tests.rs
@@ -4,18 +4,18 @@
 use test_case::test_case;
 
 /// Runs a story on one thread, as the router does.
-pub fn with(story: impl Future<Output = ()>) {
+pub fn run_local(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(tokio::task::LocalSet::new().run_until(story));
+    runtime.block_on(tokio::task::LocalSet::new().run_until(scenario));
 }
 
 /// A router alone that knows such workers, all warm.
-pub fn listed(workers: &[SocketAddr]) -> Shared {
-    listed_for("free", 250_000, workers)
+pub fn router_with_workers(workers: &[SocketAddr]) -> SharedRouter {
+    router_with_effect("free", 250_000, workers)
 }
 
 /// The same, for calls of such an effect, and with so many microseconds for a connection to be made.
-pub fn listed_for(effect: &str, connect: u64, workers: &[SocketAddr]) -> Shared {
+pub fn router_with_effect(effect: &str, connect: u64, workers: &[SocketAddr]) -> SharedRouter {
     let member = |(n, at): (usize, &SocketAddr)| {
         format!(r#"{{"id":"w{n}","host_port":"{at}","locality":"z","flavor":"k","phase":"active","size":1}}"#)
     };
@@ -29,23 +29,23 @@
         "Rules":{{"DrainGrace":1,"StartCapacity":0.2,"WarmUp":1,"TipMultiple":2.5,"OverloadFor":1}}}}}}"#,
         members.join(",")
     );
-    Station::new(&bootstrap::read(text.as_bytes()).expect("sound"))
+    PlatformRouter::new(&bootstrap::read(text.as_bytes()).expect("sound"))
 }
 
 /// A connection was closed in the same turn in which its socket had become readable. The room to read into went
 /// with it, and every socket read after that looked closed.
 #[test]
-fn a_socket_that_is_gone_takes_no_room_along() {
-    let station = listed(&[]);
-    let mut station = station.borrow_mut();
-    station.client_reads(7);
-    station.link_reads(7);
-    assert_eq!(station.scratch.len(), TURN);
+fn closed_socket_keeps_the_read_buffer() {
+    let router = router_with_workers(&[]);
+    let mut router = router.borrow_mut();
+    router.on_client_readable(7);
+    router.on_worker_readable(7);
+    assert_eq!(router.read_buffer.len(), READ_SIZE);
 }
 
 /// A call of a client who waits for two seconds and of whom nothing more is known.
-pub fn arrive(s: &mut Station, id: u64) -> RequestId {
-    let come = IncomingRequest {
+pub fn submit_request(s: &mut PlatformRouter, id: u64) -> RequestId {
+    let incoming = IncomingRequest {
         function: "00000000000000ff",
         profile: 0,
         client: 0,
@@ -53,20 +53,21 @@
         is_retry: false,
         resources: Some(FunctionResources { lanes: 64.0, memory: 1.0, load_time: None }),
     };
-    let (now, body, mark, holds) = (s.now(), vec![1; 64], String::new(), s.room.holds(64));
-    let asker = Asker {
+    let (now, body, idempotency_key, reservation) =
+        (s.now(), vec![1; 64], String::new(), s.memory_budget.reserve(64));
+    let context = RequestContext {
         client: (999, 0),
         number: id,
         id,
         profile: 0,
-        mark,
+        idempotency_key,
         body,
-        _holds: holds,
-        came: now,
-        begun: now,
-        at: Vec::new(),
+        _reservation: reservation,
+        received_at: now,
+        last_attempt_at: now,
+        worker_connections: Vec::new(),
     };
-    s.desk.submit(now, come, asker).expect("there is room")
+    s.dispatcher.submit(now, incoming, context).expect("there is room")
 }
 
 /// A call is answered, or nobody ever does: its client has the final answer in its own time, and once nothing
@@ -74,29 +75,34 @@
 /// bulletin's heartbeat.
 #[test_case(true; "answered")]
 #[test_case(false; "by nobody")]
-fn a_router_that_nobody_calls_any_more_is_woken_for_nothing(answered: bool) {
-    let station = listed(&[SocketAddr::from(([127, 0, 0, 1], 9))]);
-    let mut s = station.borrow_mut();
+fn idle_router_sets_no_timer(answered: bool) {
+    let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 9))]);
+    let mut s = router.borrow_mut();
     let begun = s.now();
-    let tag = arrive(&mut s, 7);
-    assert!(s.desk.begin_attempt(begun, tag, 0));
+    let request = submit_request(&mut s, 7);
+    assert!(s.dispatcher.begin_attempt(begun, request, 0));
     if answered {
-        assert!(s.desk.attempt_ended(begun + 0.1, tag, 0, AttemptResult::from_outcome(Outcome::Handled)));
+        assert!(s.dispatcher.attempt_ended(
+            begun + 0.1,
+            request,
+            0,
+            AttemptResult::from_outcome(Outcome::Handled)
+        ));
     }
-    let (mut turns, mut ended) = (0, begun);
-    while let Some(next) = s.desk.next_deadline() {
-        turns += 1;
+    let (mut wakeups, mut ended) = (0, begun);
+    while let Some(next) = s.dispatcher.next_deadline() {
+        wakeups += 1;
         // Twice as often as it looks at what is open.
-        assert!(turns < 1000, "still woken at {next}");
-        if s.desk.open_requests() > 0 {
+        assert!(wakeups < 1000, "still woken at {next}");
+        if s.dispatcher.open_requests() > 0 {
             ended = next;
         }
-        s.desk.advance(next);
-        while let Some(act) = s.desk.next_action() {
-            assert!(!matches!(act, Action::HealthCheck { .. } | Action::LoadFunction { .. }));
+        s.dispatcher.advance(next);
+        while let Some(action) = s.dispatcher.next_action() {
+            assert!(!matches!(action, Action::HealthCheck { .. } | Action::LoadFunction { .. }));
         }
     }
-    assert_eq!(s.desk.open_requests(), 0);
+    assert_eq!(s.dispatcher.open_requests(), 0);
     // The door takes this off what a client says that it waits, for the module's look at what is open and the way back.
-    assert!(ended - begun < 2.0 + crate::door::MARGIN, "{ended}");
+    assert!(ended - begun < 2.0 + crate::client_connections::RESPONSE_MARGIN, "{ended}");
 }
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -8,7 +8,7 @@
 #[test_case(1.0, 0.75, 1.55; "1 s")]
 #[test_case(3.0, 0.75, 3.55; "3 s")]
 #[test_case(10.0, 0.75, 3.55; "10 s, which count for 3")]
-fn the_times_of_a_shutdown(deadline: f64, admits: f64, answers: f64) {
+fn shutdown_schedule_follows_the_longest_deadline(deadline: f64, admits: f64, answers: f64) {
     let mut shutdown = Shutdown::new(deadline);
     assert!(!shutdown.begun() && !shutdown.admission_over(99.0) && !shutdown.exit_due(99.0));
     assert!(shutdown.time_to_answer(5.0).is_infinite());
@@ -29,14 +29,14 @@
 #[test_case(0.5, true)]
 #[test_case(1.0, false)]
 #[test_case(3.0, false)]
-fn a_call_that_is_read_late(deadline: f64, rejected: bool) {
+fn late_call_is_admitted_only_with_time_to_serve_it(deadline: f64, rejected: bool) {
     let mut shutdown = Shutdown::new(deadline);
     shutdown.begin(10.0, 10.0);
     assert_eq!(shutdown.rejects(10.8), rejected);
 }
 
 #[test]
-fn no_call_is_admitted_once_the_admission_is_closed() {
+fn no_call_is_admitted_after_admission_closes() {
     let mut shutdown = Shutdown::new(3.0);
     shutdown.begin(10.0, 10.0);
     assert!(!shutdown.rejects(10.8) && !shutdown.admission_closed());
@@ -46,7 +46,7 @@
 
 /// SIGTERM came amid a standstill: the kill may come by its beginning, and clients by its end.
 #[test]
-fn a_signal_that_is_read_after_a_standstill() {
+fn kill_time_counts_from_the_start_of_a_process_stall() {
     let liveness = Liveness::default();
     for now in [0.2, 0.4, 1.0] {
         liveness.note(now);
--- a/crates/platform-router/src/faults/tests.rs
+++ b/crates/platform-router/src/socket_errors/tests.rs
@@ -64,7 +64,7 @@
 
 /// Every line of the page holds, and there is one for each system call with each error.
 #[test]
-fn the_page_states_every_error_as_it_is_classified() {
+fn design_page_matches_the_classification_of_every_error() {
     let rows = rows();
     for operation in [Operation::Connect, Operation::Read, Operation::Write] {
         for errno in NAMED {
@@ -89,7 +89,7 @@
 
 /// What failed for a reason of our own ends as something that the policy holds against no worker.
 #[test]
-fn a_local_fault_ends_as_nothing_that_counts_against_a_worker() {
+fn local_fault_does_not_count_against_the_worker() {
     assert_eq!(outcome(FaultOrigin::Local, false), Outcome::Unsent);
     assert_eq!(outcome(FaultOrigin::Local, true), Outcome::Withdrawn);
     assert_eq!(outcome(FaultOrigin::Remote, false), Outcome::Unreached);
@@ -98,7 +98,7 @@
 
 /// Errors of the runtime's own have a kind and no number.
 #[test]
-fn errors_without_a_number_go_by_their_kind() {
+fn errors_without_errno_are_classified_by_kind() {
     let of = |operation, kind: ErrorKind| classify(operation, &io::Error::from(kind));
     assert_eq!(of(Operation::Connect, ErrorKind::TimedOut).origin, FaultOrigin::Remote);
     assert_eq!(of(Operation::Read, ErrorKind::WouldBlock).recovery, Recovery::AwaitReadiness);
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -5,9 +5,9 @@
 mod worker_frames;
 
 use super::*;
-use crate::faults::Operation;
-use crate::station::Shared;
-use crate::station::tests::{arrive, listed_for, with};
+use crate::platform_router::SharedRouter;
+use crate::platform_router::tests::{router_with_effect, run_local, submit_request};
+use crate::socket_errors::Operation;
 use nix::errno::Errno;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,39 +23,39 @@
 
 /// For how long an operation fails.
 #[derive(Clone, Copy)]
-pub enum Span {
+pub enum FaultDuration {
     Once,
     For(Duration),
 }
 
 /// The system's calls, but that one of them fails for a while, and that reads and writes may be short.
-pub struct Injected {
+pub struct FaultySockets {
     operation: Operation,
     errno: Errno,
-    span: Span,
-    /// When it failed first, set by the first call after `armed`.
+    duration: FaultDuration,
+    /// When it failed first, set by the first call after `timer_set_for`.
     first: Cell<Option<Instant>>,
-    pub armed: Cell<bool>,
+    pub timer_set_for: Cell<bool>,
     /// How often it failed.
     pub failures: Cell<usize>,
     /// Bytes that one read or write takes at most.
     at_a_time: usize,
 }
 
-impl Injected {
-    pub fn new(operation: Operation, errno: Errno, span: Span, at_a_time: usize) -> Rc<Self> {
-        let (first, armed, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
-        Rc::new(Self { operation, errno, span, first, armed, failures, at_a_time })
+impl FaultySockets {
+    pub fn new(operation: Operation, errno: Errno, duration: FaultDuration, at_a_time: usize) -> Rc<Self> {
+        let (first, timer_set_for, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
+        Rc::new(Self { operation, errno, duration, first, timer_set_for, failures, at_a_time })
     }
 
     fn fails(&self, operation: Operation) -> io::Result<()> {
-        if operation != self.operation || !self.armed.get() {
+        if operation != self.operation || !self.timer_set_for.get() {
             return Ok(());
         }
-        let fails = match (self.first.get(), self.span) {
+        let fails = match (self.first.get(), self.duration) {
             (None, _) => true,
-            (Some(_), Span::Once) => false,
-            (Some(first), Span::For(span)) => first.elapsed() < span,
+            (Some(_), FaultDuration::Once) => false,
+            (Some(first), FaultDuration::For(duration)) => first.elapsed() < duration,
         };
         if !fails {
             return Ok(());
@@ -66,7 +66,7 @@
     }
 }
 
-impl Sockets for Injected {
+impl Sockets for FaultySockets {
     fn connect(&self, address: SocketAddr) -> Connecting {
         match self.fails(Operation::Connect) {
             Ok(()) => SystemSockets.connect(address),
@@ -87,22 +87,22 @@
 }
 
 /// The ids of the calls that a worker was sent whole.
-type Seen = Rc<RefCell<Vec<u64>>>;
+type ReceivedIds = Rc<RefCell<Vec<u64>>>;
 
 /// A worker that answers everything at once, and the calls that it got.
-async fn worker() -> (SocketAddr, Seen) {
+async fn worker() -> (SocketAddr, ReceivedIds) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (address, seen) = (listener.local_addr().unwrap(), Seen::default());
-    let all = seen.clone();
+    let (address, received_ids) = (listener.local_addr().unwrap(), ReceivedIds::default());
+    let all = received_ids.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             spawn_local(serve(stream, all.clone()));
         }
     });
-    (address, seen)
+    (address, received_ids)
 }
 
-async fn serve(mut stream: TcpStream, seen: Seen) -> io::Result<()> {
+async fn serve(mut stream: TcpStream, received_ids: ReceivedIds) -> io::Result<()> {
     loop {
         let mut head = [0; 16];
         stream.read_exact(&mut head).await?;
@@ -112,7 +112,7 @@
         let (code, id) = (head[1], number(&head[8..]));
         let answer = match code {
             2 => {
-                seen.borrow_mut().push(id);
+                received_ids.borrow_mut().push(id);
                 worker_frames::frame(200, id, "", b"done")
             }
             4 | 5 => worker_frames::frame(206, id, "", b""),
@@ -125,82 +125,91 @@
 
 /// Plays calls, one each 20 ms, against a worker that is well. The fault begins with the first call of a router that
 /// has a connection, or none yet; it must hold what it promises whatever fails.
-async fn story(sockets: Rc<Injected>, connected: bool) {
+async fn run_scenario(sockets: Rc<FaultySockets>, connected: bool) {
     /// Between two calls.
     const PACE: Duration = Duration::from_millis(20);
     let (operation, errno) = (sockets.operation, sockets.errno);
-    let told = format!("{operation:?} {errno:?}, connected before: {connected}");
-    let (address, seen) = worker().await;
-    let station = listed_for("single_shot", CONNECT_MICROSECONDS, &[address]);
-    station.borrow_mut().sockets = sockets.clone();
+    let case = format!("{operation:?} {errno:?}, connected before: {connected}");
+    let (address, received_ids) = worker().await;
+    let router = router_with_effect("single_shot", CONNECT_MICROSECONDS, &[address]);
+    router.borrow_mut().sockets = sockets.clone();
     let mut id = 0;
     let mut call = || {
         id += 1;
-        let mut s = station.borrow_mut();
-        arrive(&mut s, id);
-        s.carry_out();
+        let mut s = router.borrow_mut();
+        submit_request(&mut s, id);
+        s.run_actions();
     };
     if connected {
         call();
-        answered(&station).await;
+        wait_until_answered(&router).await;
     }
-    sockets.armed.set(true);
-    let span = if let Span::For(span) = sockets.span { span } else { Duration::ZERO };
+    sockets.timer_set_for.set(true);
+    let duration =
+        if let FaultDuration::For(duration) = sockets.duration { duration } else { Duration::ZERO };
     let begun = Instant::now();
-    while begun.elapsed() < span + 10 * PACE {
+    while begun.elapsed() < duration + 10 * PACE {
         call();
         tokio::time::sleep(PACE).await;
     }
-    answered(&station).await;
-    let during = station.borrow().desk.counters();
+    wait_until_answered(&router).await;
+    let during = router.borrow().dispatcher.counters();
     // What failed is over: calls are handled again, at once where it counted against no worker.
     let most = if LOCAL.contains(&errno) { 1 } else { 500 };
     for _ in 0..most {
         call();
-        answered(&station).await;
-        if station.borrow().desk.counters().succeeded > during.succeeded {
+        wait_until_answered(&router).await;
+        if router.borrow().dispatcher.counters().succeeded > during.succeeded {
             break;
         }
         tokio::time::sleep(PACE).await;
     }
-    let tally = station.borrow().desk.counters();
-    assert_eq!(tally.succeeded, during.succeeded + 1, "{told}: {tally:?}");
+    let counters = router.borrow().dispatcher.counters();
+    assert_eq!(counters.succeeded, during.succeeded + 1, "{case}: {counters:?}");
 
-    assert_eq!(tally.accepted, tally.succeeded + tally.rejected + tally.failed, "{told}: {tally:?}");
-    let seen = seen.borrow();
-    let mut once = seen.clone();
+    assert_eq!(
+        counters.accepted,
+        counters.succeeded + counters.rejected + counters.failed,
+        "{case}: {counters:?}"
+    );
+    let received_ids = received_ids.borrow();
+    let mut once = received_ids.clone();
     once.sort_unstable();
     once.dedup();
-    assert_eq!(once.len(), seen.len(), "{told}: a call that may run once was sent twice");
+    assert_eq!(once.len(), received_ids.len(), "{case}: a call that may run once was sent twice");
     // A call that was rejected never ran; one that reached the worker was handled or failed.
-    assert!(seen.len() as u64 <= tally.succeeded + tally.failed, "{told}: {tally:?}, {}", seen.len());
-    let waited_out = operation == Operation::Connect && LOCAL.contains(&errno) || PASSING.contains(&errno);
-    if waited_out && span < Duration::from_millis(500) {
+    assert!(
+        received_ids.len() as u64 <= counters.succeeded + counters.failed,
+        "{case}: {counters:?}, {}",
+        received_ids.len()
+    );
+    let waited_out = operation == Operation::Connect && LOCAL.contains(&errno) || TRANSIENT.contains(&errno);
+    if waited_out && duration < Duration::from_millis(500) {
         assert_eq!(
-            tally.succeeded, tally.attempts,
-            "{told}: a brief fault of our own cost an attempt: {tally:?}"
+            counters.succeeded, counters.attempts,
+            "{case}: a brief fault of our own cost an attempt: {counters:?}"
         );
     }
     // Pauses grow to 32 ms; what ends a connection costs each call four attempts at the most.
-    let attempts = if waited_out { 0 } else { 4 * tally.accepted as usize };
-    let most = 32 + span.as_millis() as usize / 32 + attempts;
-    assert!(sockets.failures.get() <= most, "{told}: failed {} times", sockets.failures.get());
-    assert!(sockets.failures.get() > 0, "{told}");
+    let attempts = if waited_out { 0 } else { 4 * counters.accepted as usize };
+    let most = 32 + duration.as_millis() as usize / 32 + attempts;
+    assert!(sockets.failures.get() <= most, "{case}: failed {} times", sockets.failures.get());
+    assert!(sockets.failures.get() > 0, "{case}");
 }
 
 /// Waits until each call has its final answer, in its time.
-async fn answered(station: &Shared) {
+async fn wait_until_answered(router: &SharedRouter) {
     /// What a client waits, and some time of a busy machine.
     const LONGEST: Duration = Duration::from_millis(4000);
     let begun = Instant::now();
-    while station.borrow().desk.open_requests() > 0 {
-        assert!(begun.elapsed() < LONGEST, "{:?}", station.borrow().desk.counters());
+    while router.borrow().dispatcher.open_requests() > 0 {
+        assert!(begun.elapsed() < LONGEST, "{:?}", router.borrow().dispatcher.counters());
         tokio::time::sleep(Duration::from_millis(1)).await;
         // The timer that the router runs beside its sockets.
-        let mut s = station.borrow_mut();
+        let mut s = router.borrow_mut();
         let now = s.now();
-        s.desk.advance(now);
-        s.carry_out();
+        s.dispatcher.advance(now);
+        s.run_actions();
     }
 }
 
@@ -247,30 +256,35 @@
 ];
 
 /// Those that leave a connection as it was.
-const PASSING: &[Errno] = &[Errno::EINTR, Errno::ENOBUFS, Errno::ENOMEM];
+const TRANSIENT: &[Errno] = &[Errno::EINTR, Errno::ENOBUFS, Errno::ENOMEM];
 
-pub const BRIEF: Span = Span::For(Duration::from_millis(100));
-pub const LONG: Span = Span::For(Duration::from_secs(2));
+pub const SHORT_FAULT: FaultDuration = FaultDuration::For(Duration::from_millis(100));
+pub const LONG_FAULT: FaultDuration = FaultDuration::For(Duration::from_secs(2));
 
-#[test_case(Operation::Connect, CONNECT, Span::Once, false; "connect, once")]
-#[test_case(Operation::Connect, CONNECT, BRIEF, false; "connect, for 100 ms")]
-#[test_case(Operation::Connect, CONNECT, LONG, false; "connect, for 2 s")]
-#[test_case(Operation::Read, TRANSFER, Span::Once, true; "read, once")]
-#[test_case(Operation::Read, TRANSFER, BRIEF, true; "read, for 100 ms")]
-#[test_case(Operation::Read, TRANSFER, LONG, true; "read, for 2 s")]
-#[test_case(Operation::Read, TRANSFER, BRIEF, false; "first read, for 100 ms")]
-#[test_case(Operation::Write, TRANSFER, Span::Once, true; "write, once")]
-#[test_case(Operation::Write, TRANSFER, BRIEF, true; "write, for 100 ms")]
-#[test_case(Operation::Write, TRANSFER, LONG, true; "write, for 2 s")]
-#[test_case(Operation::Write, TRANSFER, BRIEF, false; "first write, for 100 ms")]
-fn a_system_call_fails(operation: Operation, errors: &'static [Errno], span: Span, connected: bool) {
-    with(async move {
+#[test_case(Operation::Connect, CONNECT, FaultDuration::Once, false; "connect, once")]
+#[test_case(Operation::Connect, CONNECT, SHORT_FAULT, false; "connect, for 100 ms")]
+#[test_case(Operation::Connect, CONNECT, LONG_FAULT, false; "connect, for 2 s")]
+#[test_case(Operation::Read, TRANSFER, FaultDuration::Once, true; "read, once")]
+#[test_case(Operation::Read, TRANSFER, SHORT_FAULT, true; "read, for 100 ms")]
+#[test_case(Operation::Read, TRANSFER, LONG_FAULT, true; "read, for 2 s")]
+#[test_case(Operation::Read, TRANSFER, SHORT_FAULT, false; "first read, for 100 ms")]
+#[test_case(Operation::Write, TRANSFER, FaultDuration::Once, true; "write, once")]
+#[test_case(Operation::Write, TRANSFER, SHORT_FAULT, true; "write, for 100 ms")]
+#[test_case(Operation::Write, TRANSFER, LONG_FAULT, true; "write, for 2 s")]
+#[test_case(Operation::Write, TRANSFER, SHORT_FAULT, false; "first write, for 100 ms")]
+fn requests_survive_a_failing_system_call(
+    operation: Operation,
+    errors: &'static [Errno],
+    duration: FaultDuration,
+    connected: bool,
+) {
+    run_local(async move {
         let stories = errors.iter().map(|&errno| {
-            let sockets = Injected::new(operation, errno, span, usize::MAX);
-            spawn_local(story(sockets, connected))
+            let sockets = FaultySockets::new(operation, errno, duration, usize::MAX);
+            spawn_local(run_scenario(sockets, connected))
         });
-        for story in stories.collect::<Vec<_>>() {
-            story.await.unwrap();
+        for run_scenario in stories.collect::<Vec<_>>() {
+            run_scenario.await.unwrap();
         }
     });
 }
@@ -278,11 +292,12 @@
 /// Reads and writes take a byte or a few at a time, and fail once as well amid them.
 #[test_case(1; "a byte at a time")]
 #[test_case(7; "seven bytes at a time")]
-fn reads_and_writes_are_short(at_a_time: usize) {
-    with(async move {
+fn requests_survive_short_reads_and_writes(at_a_time: usize) {
+    run_local(async move {
         for operation in [Operation::Read, Operation::Write] {
             for errno in [Errno::EINTR, Errno::ENOBUFS] {
-                story(Injected::new(operation, errno, Span::Once, at_a_time), true).await;
+                run_scenario(FaultySockets::new(operation, errno, FaultDuration::Once, at_a_time), true)
+                    .await;
             }
         }
     });
--- a/crates/platform-router/src/link/tests.rs
+++ b/crates/platform-router/src/worker_connection/tests.rs
@@ -1,65 +1,78 @@
 use super::*;
-use crate::room::Room;
-use crate::station::tests::{arrive, listed, with};
+use crate::memory_budget::MemoryBudget;
+use crate::platform_router::tests::{router_with_workers, run_local, submit_request};
 use std::io::Read;
 
 /// A worker that turned a shot away said so twice; the second copy would have ended the next shot of the same id.
 #[test]
-fn an_id_is_not_used_again_where_a_second_copy_may_come() {
-    let mut link = Link::new(0, 1, Room::new(1).holds(0), 0.0, 0.25);
-    for id in 0..=PAST as u64 {
-        link.open.push(Open { id, what: Sent::Probe(id), whole: 0, at: 0.0 });
-        assert!(link.bears(id));
-        link.end(0);
-        assert!(link.bears(id));
+fn recent_frame_ids_are_not_reused() {
+    let mut connection = WorkerConnection::new(0, 1, MemoryBudget::new(1).reserve(0), 0.0, 0.25);
+    for id in 0..=RECENT_IDS as u64 {
+        connection.open.push(OutstandingFrame {
+            id,
+            awaited: AwaitedResponse::HealthCheck(id),
+            end_offset: 0,
+            at: 0.0,
+        });
+        assert!(connection.uses_id(id));
+        connection.finish(0);
+        assert!(connection.uses_id(id));
     }
-    assert!(!link.bears(0) && link.past.len() == PAST);
+    assert!(!connection.uses_id(0) && connection.recent_ids.len() == RECENT_IDS);
 }
 
 /// The socket takes nothing: what is meant for it waits unmade, and what is withdrawn meanwhile never goes. Up to 16 KiB
 /// of frames were made ahead, and went when the worker took them, whoever had left.
 #[test]
-fn what_is_withdrawn_before_its_first_byte_goes_is_not_sent() {
-    with(async {
+fn attempt_cancelled_before_its_first_byte_is_not_sent() {
+    run_local(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let station = listed(&[address]);
+        let router = router_with_workers(&[address]);
         let stream = TcpStream::connect(address).await.unwrap();
         socket2::SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
         let (mut worker, _) = listener.accept().unwrap();
-        let mut junk = 0;
+        let mut filler = 0;
         stream.writable().await.unwrap();
         while let Ok(n) = stream.try_write(&[0; 1 << 10]) {
-            junk += n;
+            filler += n;
         }
         let stream = Rc::new(stream);
         let key = {
-            let mut s = station.borrow_mut();
-            let process = s.desk.worker_process(0).process;
-            let mut link = Link::new(0, process, s.room.holds(0), 0.0, 0.25);
-            link.stream = Some(stream.clone());
-            let key = s.links.insert(link);
-            s.reach.entry(0).or_default().push(key);
-            let tags = [5, 6].map(|id| arrive(&mut s, id));
-            s.carry_out();
-            let link = &s.links[key];
-            assert_eq!((link.waiting.len(), link.open.len(), link.out.left(), link.made), (2, 0, 0, 0));
+            let mut s = router.borrow_mut();
+            let process = s.dispatcher.worker_process(0).process;
+            let mut connection = WorkerConnection::new(0, process, s.memory_budget.reserve(0), 0.0, 0.25);
+            connection.stream = Some(stream.clone());
+            let key = s.worker_connections.insert(connection);
+            s.connections_by_worker.entry(0).or_default().push(key);
+            let tags = [5, 6].map(|id| submit_request(&mut s, id));
+            s.run_actions();
+            let connection = &s.worker_connections[key];
+            assert_eq!(
+                (
+                    connection.queue.len(),
+                    connection.open.len(),
+                    connection.write_buffer.remaining(),
+                    connection.bytes_made
+                ),
+                (2, 0, 0, 0)
+            );
             let now = s.now();
-            s.desk.client_gone(now, tags[0]);
-            s.carry_out();
+            s.dispatcher.client_gone(now, tags[0]);
+            s.run_actions();
             key
         };
-        let mut read = vec![0; junk];
+        let mut read = vec![0; filler];
         worker.read_exact(&mut read).unwrap();
         stream.writable().await.unwrap();
-        station.borrow_mut().link_writes(key);
+        router.borrow_mut().flush_worker(key);
         let mut head = [0; 16];
         worker.read_exact(&mut head).unwrap();
         assert_eq!((head[1], head[15]), (2, 6), "the one that was not withdrawn");
-        let s = station.borrow();
-        let link = &s.links[key];
-        assert_eq!((link.waiting.len(), link.open.len()), (0, 1));
-        assert_eq!(link.made, link.written);
+        let s = router.borrow();
+        let connection = &s.worker_connections[key];
+        assert_eq!((connection.queue.len(), connection.open.len()), (0, 1));
+        assert_eq!(connection.bytes_made, connection.bytes_written);
     });
 }
 
@@ -72,51 +85,51 @@
 #[test_case::test_case(nix::errno::Errno::EAGAIN, true; "no entry free")]
 #[test_case::test_case(nix::errno::Errno::ECONNREFUSED, false; "refused")]
 #[test_case::test_case(nix::errno::Errno::EHOSTUNREACH, false; "no way there")]
-fn want_of_our_own_says_nothing_of_a_worker(errno: nix::errno::Errno, own: bool) {
-    let fault = faults::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
+fn local_connect_error_does_not_blame_the_worker(errno: nix::errno::Errno, own: bool) {
+    let fault = socket_errors::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
     assert_eq!(fault.origin == FaultOrigin::Local, own);
 }
 
 /// A socket takes nothing for a second with calls queued for it: each frame says what its client has left as its first
 /// byte goes, and not what was left when it was queued. Held before.
 #[test]
-fn a_frame_that_waited_says_what_is_left_as_it_goes() {
-    with(async {
+fn queued_frame_states_the_time_left_when_written() {
+    run_local(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let station = crate::station::tests::listed_for("free", 3_000_000, &[address]);
+        let router = crate::platform_router::tests::router_with_effect("free", 3_000_000, &[address]);
         let stream = TcpStream::connect(address).await.unwrap();
         socket2::SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
         let (mut worker, _) = listener.accept().unwrap();
         worker.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
-        let mut junk = 0;
+        let mut filler = 0;
         stream.writable().await.unwrap();
         while let Ok(n) = stream.try_write(&[0; 1 << 10]) {
-            junk += n;
+            filler += n;
         }
         let stream = Rc::new(stream);
         let (key, arrived) = {
-            let mut s = station.borrow_mut();
-            let process = s.desk.worker_process(0).process;
-            let mut link = Link::new(0, process, s.room.holds(0), 0.0, 3.0);
-            link.stream = Some(stream.clone());
-            let key = s.links.insert(link);
-            s.reach.entry(0).or_default().push(key);
+            let mut s = router.borrow_mut();
+            let process = s.dispatcher.worker_process(0).process;
+            let mut connection = WorkerConnection::new(0, process, s.memory_budget.reserve(0), 0.0, 3.0);
+            connection.stream = Some(stream.clone());
+            let key = s.worker_connections.insert(connection);
+            s.connections_by_worker.entry(0).or_default().push(key);
             let arrived = s.now();
             for id in 1..=10 {
-                arrive(&mut s, id);
+                submit_request(&mut s, id);
             }
-            s.carry_out();
+            s.run_actions();
             (key, arrived)
         };
-        let queued = station.borrow().links[key].waiting.len();
+        let queued = router.borrow().worker_connections[key].queue.len();
         assert!(queued > 1, "{queued}");
         tokio::time::sleep(std::time::Duration::from_secs(1)).await;
-        let mut read = vec![0; junk];
+        let mut read = vec![0; filler];
         worker.read_exact(&mut read).unwrap();
         stream.writable().await.unwrap();
-        let left = arrived + 2.0 - station.borrow().now();
-        station.borrow_mut().link_writes(key);
+        let remaining = arrived + 2.0 - router.borrow().now();
+        router.borrow_mut().flush_worker(key);
         for _ in 0..queued {
             let mut head = [0; 16];
             worker.read_exact(&mut head).unwrap();
@@ -126,7 +139,7 @@
             let text = String::from_utf8_lossy(&rest[..fields]).into_owned();
             let budget = text.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
             let budget: f64 = budget.parse().unwrap();
-            assert!(budget <= left * 1e3 + 5.0, "{budget} with {left} s left");
+            assert!(budget <= remaining * 1e3 + 5.0, "{budget} with {remaining} s left");
         }
     });
 }
--- a/crates/platform-router/tests/cold.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -10,7 +10,7 @@
 /// Nine in ten workers are replaced within seven seconds, under a full load.
 #[test_case(24; "two dozen")]
 #[test_case(48; "four dozen")]
-fn cold_workers_under_a_few_dozen_routers(routers: usize) {
+fn slow_start_bound_holds_with_dozens_of_routers(routers: usize) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
     let mut day = script::open(&file).expect("a sound day");
     (day.gateways, day.seconds) = (routers, 20.0);
