--- /dev/null
+++ b/crates/platform-router/src/actions.rs
@@ -0,0 +1,50 @@
+//! Carries out what the dispatcher decides.
+
+use crate::platform_router::{DeferredFlush, PlatformRouter};
+use milletpath_dispatcher::dispatcher::Action;
+use milletpath_platform_protocol::lines;
+
+impl PlatformRouter {
+    /// Carries out the dispatcher's actions until there are none, and sets the timer for what is due next. Called after
+    /// each event that the dispatcher was told of.
+    pub fn run_actions(&mut self) {
+        loop {
+            self.run_queued_actions();
+            let Some(DeferredFlush { client, worker_connection }) = self.deferred_flushes.pop() else {
+                break;
+            };
+            self.read_client(client);
+            self.run_queued_actions();
+            self.flush_worker(worker_connection);
+        }
+        if self.dispatcher.next_deadline().is_some_and(|at| at < self.timer_set_for) {
+            self.timer_changed.notify_one();
+        }
+    }
+
+    fn run_queued_actions(&mut self) {
+        while let Some(action) = self.dispatcher.next_action() {
+            self.run_action(action);
+        }
+    }
+
+    fn run_action(&mut self, action: Action) {
+        match action {
+            Action::SendAttempt { request, attempt, worker } => self.send_attempt(request, attempt, worker),
+            Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::Reject { request, retry_after } => {
+                self.send_final_response(request, |out, number| {
+                    lines::write_rejected(out, number, retry_after);
+                });
+            }
+            Action::Fail { request, .. } => self.send_final_response(request, lines::write_failed),
+            Action::LoadFunction { load_request, worker, function, instances } => {
+                self.send_load_request(load_request, worker, function, instances);
+            }
+            Action::UnloadFunction { worker, function } => self.send_unload(worker, function),
+            Action::HealthCheck { worker, serial } => self.send_health_check(worker, serial),
+            // The discovery address is followed in any case.
+            Action::WatchEndpoints => {}
+        }
+    }
+}
--- a/crates/platform-router/src/backoff.rs
+++ b/crates/platform-router/src/backoff.rs
@@ -4,52 +4,61 @@
 const SHORTEST: f64 = 0.001;
 /// Seconds of the longest pause.
 const LONGEST: f64 = 0.032;
-/// Part of the time that a connection may take after which no pause grows further.
-const LONGEST_PART: f64 = 1.0 / 8.0;
-/// Part of the same after which what waits is given back. With the longest pause that is still sooner than the timer
+/// Fraction of the time that a connection may take after which no pause grows further.
+const LONGEST_FRACTION: f64 = 1.0 / 8.0;
+/// Fraction of the same after which what waits is given back. With the longest pause that is still sooner than the timer
 /// that takes a connection for unreached, which would count a local fault against the worker.
-const GIVE_BACK_PART: f64 = 0.5;
+const GIVE_BACK_FRACTION: f64 = 0.5;
 
-/// The pauses of one operation on one connection.
+/// A run of failures without a success.
 #[derive(Clone, Copy, Debug)]
-pub struct Backoff {
+struct Failures {
+    /// When it began.
+    since: f64,
+    /// When the call is made again.
+    resume_at: f64,
+}
+
+/// The pauses of one operation on one connection. Times are in seconds on the caller's clock.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Backoff {
     longest: f64,
-    give_back: f64,
+    give_back_after: f64,
     pause: f64,
-    /// When the failures began, and when the call is made again.
-    failing: Option<(f64, f64)>,
+    failures: Option<Failures>,
 }
 
 impl Backoff {
-    /// Pauses for a connection that may take so many seconds to be made.
+    /// Pauses for a connection that may take `connect_timeout` seconds to be made.
     pub fn new(connect_timeout: f64) -> Self {
-        let longest = LONGEST.min(connect_timeout * LONGEST_PART).max(SHORTEST);
-        Self { longest, give_back: connect_timeout * GIVE_BACK_PART, pause: SHORTEST, failing: None }
+        let longest = LONGEST.min(connect_timeout * LONGEST_FRACTION).max(SHORTEST);
+        let give_back_after = connect_timeout * GIVE_BACK_FRACTION;
+        Self { longest, give_back_after, pause: SHORTEST, failures: None }
     }
 
-    /// The call failed: when it is made again.
+    /// The call failed: returns when it is made again.
     pub fn failed(&mut self, now: f64) -> f64 {
-        let since = self.failing.map_or(now, |(since, _)| since);
-        let resume = now + self.pause;
-        self.failing = Some((since, resume));
+        let since = self.failures.map_or(now, |failures| failures.since);
+        let resume_at = now + self.pause;
+        self.failures = Some(Failures { since, resume_at });
         self.pause = (2.0 * self.pause).min(self.longest);
-        resume
+        resume_at
     }
 
     /// The call succeeded: the next failure is a first one.
     pub fn succeeded(&mut self) {
-        self.failing = None;
+        self.failures = None;
         self.pause = SHORTEST;
     }
 
     /// When the call is made again, where that is still to come.
     pub fn pauses_until(&self, now: f64) -> Option<f64> {
-        self.failing.map(|(_, resume)| resume).filter(|resume| now < *resume)
+        self.failures.map(|failures| failures.resume_at).filter(|resume_at| now < *resume_at)
     }
 
     /// Whether it has failed for so long that what waits for it should be given back.
     pub fn exhausted(&self, now: f64) -> bool {
-        self.failing.is_some_and(|(since, _)| now - since >= self.give_back)
+        self.failures.is_some_and(|failures| now - failures.since >= self.give_back_after)
     }
 }
 
--- a/crates/platform-router/src/client_connections/accept.rs
+++ b/crates/platform-router/src/client_connections/accept.rs
@@ -1,29 +1,28 @@
-//! Connections of clients are accepted: within the bound on them, past failures of `accept` that pass.
+//! Accepts connections of clients, within the limit on them and past transient failures of `accept`.
 
-use super::{ClientConnection, serve_client};
-use crate::platform_router::{PlatformRouter, SharedRouter};
-use crate::request_ids_seen::RequestIdsSeen;
-use crate::write_buffer::WriteBuffer;
+use super::close::CloseReason;
+use super::task::serve_client;
+use crate::connection_limits::EvictionCandidate;
+use crate::platform_router::{ClientConnection, PlatformRouter, SharedRouter};
 use nix::errno::Errno;
 use socket2::Socket;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
 /// Connections that are taken from the queue of the listener at a time.
 const MAX_QUEUED: usize = 1024;
-/// Pause before the next attempt where a connection can't be accepted yet: for want of descriptors it would fail again
-/// at once.
+/// Pause before the next attempt where a connection can't be accepted yet: without descriptors it would fail again at
+/// once.
 const PAUSE: Duration = Duration::from_millis(20);
-/// Connections beside the bound, where all others are owed answers: they take their descriptors from the reserve.
+/// Connections beyond the limit, where all others wait for responses: they take their descriptors from the reserve.
 const MAX_OVERFLOW: usize = 8;
-/// Seconds for which a connection that has said nothing yet is not closed for another: its first call may be on its way.
-/// Short, as a flood of silent connections holds up all others for as long.
+/// Seconds for which a connection that has sent nothing yet is not closed for another: its first call may be on its way.
+/// Short, as a flood of silent connections delays all others for as long.
 const FIRST_CALL: f64 = 0.01;
-/// Pause before the next look for a place for a connection that waits for one.
+/// Pause before a connection that waits for a place is tried again.
 const ADMISSION_PAUSE: Duration = Duration::from_millis(2);
 /// Transient failures in a row after which there is a pause as well: an error that stays must not spin.
 const MAX_TRANSIENT_FAILURES: u32 = 16;
@@ -35,7 +34,7 @@
     QueueEmpty,
     /// The connection ended before it was accepted, or the call was interrupted: others may wait behind it.
     Transient,
-    /// The system has no room for it, and it still waits.
+    /// The system lacks resources for it, and it still waits.
     NoResources,
 }
 
@@ -64,17 +63,18 @@
     }
 }
 
-/// What was found in the queue of the listener.
+/// What came of accepting the queue of the listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QueueResult {
-    /// Connections that were taken in.
+#[must_use]
+pub(super) struct QueueResult {
+    /// Connections that were accepted.
     pub accepted: usize,
-    /// Whether nothing is left there.
+    /// Whether none is left there.
     pub empty: bool,
 }
 
 /// Accepts connections for as long as the router runs.
-pub async fn accept_connections(router: SharedRouter, listener: Rc<TcpListener>) {
+pub(super) async fn accept_connections(router: SharedRouter, listener: Rc<TcpListener>) {
     let mut failures = 0;
     loop {
         match listener.accept().await {
@@ -85,11 +85,11 @@
                     tokio::time::sleep(ADMISSION_PAUSE).await;
                 }
                 router.borrow_mut().run_actions();
-                // Who made room for it lets go of its descriptor first, before another is taken.
+                // The connection that was closed for it frees its descriptor before another is accepted.
                 tokio::task::yield_now().await;
             }
             Err(e) => {
-                tracing::warn!("a connection could not be accepted: {e}");
+                tracing::warn!(error = %e, "could not accept a connection");
                 failures += 1;
                 if AcceptFailure::of(&e) == AcceptFailure::Transient && failures < MAX_TRANSIENT_FAILURES {
                     tokio::task::yield_now().await;
@@ -104,44 +104,63 @@
 /// The place of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Admission {
+    /// Within the limit.
     Regular,
-    /// Beside those that are all owed answers: its calls are rejected until there is room.
+    /// Beyond it, where all others wait for responses: its calls are rejected until there is a place.
     Overflow,
 }
 
 impl PlatformRouter {
-    /// Finds a place for one more connection, where need be by closing another that is owed nothing, has nothing unread
-    /// and was not accepted just now. None where there is none: the connection waits, and what is written on it.
+    /// Finds a place for one more connection, where need be by closing another that waits for no response, has nothing
+    /// unread and was not accepted just now. None where there is none: the connection waits, with what is sent on it
+    /// unread.
     fn find_place(&mut self) -> Option<Admission> {
         if self.clients.len() < self.connection_limits.clients {
             return Some(Admission::Regular);
         }
         let now = self.now();
-        let settled = |c: &ClientConnection| {
-            c.open.is_empty() && (c.has_sent_message || now - c.last_used() >= FIRST_CALL)
-        };
-        let regular = self.clients.iter().filter(|(_, c)| !c.overflow && settled(c));
-        let regular = regular.map(|(key, c)| (key, c.has_sent_message, now - c.last_used()));
-        let idle =
-            self.connection_limits.eviction_order(regular).find(|key| self.clients[*key].nothing_unread());
-        if let Some(key) = idle {
-            self.close_client(key, "room for another");
+        if let Some(slot) = self.idle_client(now) {
+            self.close_client(slot, &CloseReason::Evicted);
             return Some(Admission::Regular);
         }
         if self.clients.len() < self.connection_limits.clients + MAX_OVERFLOW {
             return Some(Admission::Overflow);
         }
-        let silent = |c: &ClientConnection| {
-            settled(c) && !c.has_sent_message && c.partial_line.is_empty() && c.nothing_unread()
-        };
-        let spent = |c: &ClientConnection| c.overflow && (c.write_closed_at.is_some() || silent(c));
-        let spent = self.clients.iter().filter(|(_, c)| spent(c));
-        let (key, _) = spent.min_by(|(_, a), (_, b)| a.last_used().total_cmp(&b.last_used()))?;
-        self.close_client(key, "room for another beside the bound");
+        let slot = self.idle_overflow_client(now)?;
+        self.close_client(slot, &CloseReason::EvictedOverflow);
         Some(Admission::Overflow)
     }
 
-    /// Takes in the connection that waits for a place; false where it goes on waiting.
+    /// The client within the limit that makes room first.
+    fn idle_client(&self, now: f64) -> Option<usize> {
+        let regular =
+            self.clients.iter().filter(|(_, client)| !client.overflow && may_be_evicted(client, now));
+        let candidates = regular.map(|(slot, client)| EvictionCandidate {
+            slot,
+            has_sent_message: client.has_sent_message,
+            idle_seconds: now - client.last_used(),
+        });
+        let mut order = self.connection_limits.eviction_order(candidates);
+        order.find(|slot| self.clients[*slot].nothing_unread())
+    }
+
+    /// The client beyond the limit that makes room first: the longest idle that was shut down, or has sent nothing.
+    fn idle_overflow_client(&self, now: f64) -> Option<usize> {
+        let is_silent = |client: &ClientConnection| {
+            may_be_evicted(client, now)
+                && !client.has_sent_message
+                && client.partial_line.is_empty()
+                && client.nothing_unread()
+        };
+        let candidates = self
+            .clients
+            .iter()
+            .filter(|(_, client)| client.overflow && (client.write_closed_at.is_some() || is_silent(client)));
+        let longest_idle = candidates.min_by(|(_, a), (_, b)| a.last_used().total_cmp(&b.last_used()));
+        longest_idle.map(|(slot, _)| slot)
+    }
+
+    /// Admits the connection that waits for a place; false where it goes on waiting.
     fn admit_pending(&mut self) -> bool {
         let Some(stream) = self.pending_connection.take() else { return true };
         let admission = self.find_place();
@@ -152,40 +171,28 @@
         admission.is_some()
     }
 
-    /// Takes in a connection that was accepted; false where it waits for a place.
+    /// Admits a connection that was accepted; false where it waits for a place.
     pub(super) fn admit(&mut self, stream: TcpStream) -> bool {
         self.pending_connection = Some(stream);
         self.admit_pending()
     }
 
     fn accept_client(&mut self, stream: TcpStream, admission: Admission) {
+        // Without it answers may be delayed, which is no reason to refuse the connection.
         let _ = stream.set_nodelay(true);
         self.serial += 1;
-        let (stream, wake) = (Rc::new(stream), Rc::new(Notify::new()));
-        let client = ClientConnection {
-            serial: self.serial,
-            stream: stream.clone(),
-            wake: wake.clone(),
-            partial_line: Vec::new(),
-            write_buffer: WriteBuffer::default(),
-            reservation: self.memory_budget.reserve(0),
-            open: Vec::new(),
-            request_ids_seen: RequestIdsSeen::default(),
-            has_sent_message: false,
-            last_progress: self.now(),
-            last_received: f64::NEG_INFINITY,
-            checked_at: f64::NEG_INFINITY,
-            closing: false,
-            overflow: admission == Admission::Overflow,
-            write_closed_at: None,
-        };
-        let key = self.clients.insert(client);
+        let stream = Rc::new(stream);
+        let reservation = self.memory_budget.reserve(0);
+        let mut client = ClientConnection::new(self.serial, stream.clone(), reservation, self.now());
+        client.overflow = admission == Admission::Overflow;
+        let wake = client.wake.clone();
+        let slot = self.clients.insert(client);
         if let Some(router) = self.weak_self.upgrade() {
-            spawn_local(serve_client(router, key, stream, wake));
+            spawn_local(serve_client(router, slot, stream, wake));
         }
     }
 
-    /// Takes in what queues at the listener, without waiting: no more than may queue there at once.
+    /// Accepts what is queued at the listener, without waiting: no more than may be queued there at once.
     pub(super) fn accept_queued(&mut self, mut next: impl FnMut() -> io::Result<Socket>) -> QueueResult {
         let mut accepted = 0;
         if !self.admit_pending() {
@@ -213,5 +220,10 @@
     }
 }
 
+/// Whether a connection waits for no response, and was not accepted just now.
+fn may_be_evicted(client: &ClientConnection, now: f64) -> bool {
+    client.open_calls.is_empty() && (client.has_sent_message || now - client.last_used() >= FIRST_CALL)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/platform-router/src/client_connections/accept/tests.rs
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::platform_router::tests::{router_with_workers, run_local};
-use crate::write_buffer::{SocketState, peek_socket};
+use crate::sockets::{SocketState, peek_socket};
 use std::collections::VecDeque;
 use test_case::test_case;
 
@@ -33,7 +33,7 @@
     });
 }
 
-/// Where the system has no room for a connection it still queues: the queue does not count as empty.
+/// Where the system lacks resources for a connection it stays queued: the queue does not count as empty.
 #[test_case(Errno::EMFILE)]
 #[test_case(Errno::ENFILE)]
 #[test_case(Errno::ENOBUFS)]
@@ -61,7 +61,7 @@
 }
 
 /// A connection that was just accepted was closed for the next one, with its first call a moment away. It keeps its
-/// place until it had the time to say something.
+/// place until it had the time to send something.
 #[test_case(5, [true, true]; "at once")]
 #[test_case(100, [false, true]; "after 100 ms")]
 fn new_connection_is_not_evicted_before_its_first_call(later_ms: u64, expected: [bool; 2]) {
@@ -84,7 +84,7 @@
     });
 }
 
-/// A client beside the bound whose rejection could not be written at once is closed once it was: it kept its place.
+/// A client beyond the limit whose rejection could not be written at once is closed once it was: it kept its place.
 #[test]
 fn overflow_connection_is_closed_after_its_rejection() {
     run_local(async {
--- /dev/null
+++ b/crates/platform-router/src/client_connections/graceful_shutdown.rs
@@ -0,0 +1,98 @@
+//! The shutdown step by step: the listener is closed with nothing left in its queue, every call that is read is
+//! answered, and each connection is closed once it is idle.
+
+use super::accept::accept_connections;
+use crate::platform_router::{ClientConnection, OpenCall, PlatformRouter, SharedRouter};
+use milletpath_platform_protocol::lines;
+use socket2::SockRef;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::task::JoinHandle;
+
+/// The listener, and the task that accepts connections from it.
+pub(crate) struct Acceptor {
+    listener: Rc<TcpListener>,
+    accept_task: JoinHandle<()>,
+}
+
+impl Acceptor {
+    /// Accepts connections from now on, in a task of its own.
+    pub fn open(router: SharedRouter, listener: TcpListener) -> Self {
+        let listener = Rc::new(listener);
+        let accept_task = tokio::task::spawn_local(accept_connections(router, listener.clone()));
+        Self { listener, accept_task }
+    }
+}
+
+impl PlatformRouter {
+    /// Takes the next step of a shutdown that has begun; true where the process may exit. `acceptor` is taken away, and
+    /// the listener closed with it, once nothing is left in its queue.
+    pub fn step_shutdown(&mut self, acceptor: &mut Option<Acceptor>) -> bool {
+        let now = self.now();
+        if !self.shutdown.admission_over(now) || !self.close_acceptor(acceptor, now) {
+            return false;
+        }
+        self.read_unread_clients();
+        self.shutdown.close_admission();
+        if self.shutdown.answers_due(now) {
+            self.answer_open_calls(now);
+        }
+        self.run_actions();
+        self.shut_down_idle(now, |_| true);
+        self.close_shut_down(now);
+        let (open_requests, connections) = (self.dispatcher.open_requests(), self.clients.len());
+        if self.shutdown.exit_due(now) {
+            tracing::info!(open_requests, connections, "exiting: SIGKILL may come soon");
+            return true;
+        }
+        acceptor.is_none() && open_requests == 0 && connections == 0
+    }
+
+    /// Ends the task that accepts, then accepts what is queued, then closes the listener. False where the shutdown goes
+    /// on in the next step only.
+    fn close_acceptor(&mut self, acceptor: &mut Option<Acceptor>, now: f64) -> bool {
+        let Some(Acceptor { listener, accept_task }) = acceptor else { return true };
+        if !accept_task.is_finished() {
+            // It holds the listener until it has ended, before the next step.
+            accept_task.abort();
+            return false;
+        }
+        let result = self.accept_queued(|| SockRef::from(&**listener).accept().map(|(socket, _)| socket));
+        if result.empty || self.shutdown.exit_due(now) {
+            *acceptor = None;
+        }
+        // The new sockets are known to be readable only in the next step.
+        result.accepted == 0 || self.shutdown.answers_due(now)
+    }
+
+    /// Reads what lies unread in the sockets of clients.
+    fn read_unread_clients(&mut self) {
+        let unread = self.clients_where(|_, client| {
+            !client.closing && client.write_closed_at.is_none() && !client.nothing_unread()
+        });
+        for slot in unread {
+            self.on_client_readable(slot);
+        }
+    }
+
+    /// Gives every open call its final response, by what is known of it: one that may have run has failed, one that
+    /// has not begun is rejected.
+    fn answer_open_calls(&mut self, now: f64) {
+        let calls_of = |(slot, client): (usize, &ClientConnection)| {
+            client.open_calls.iter().map(|call| (slot, *call)).collect::<Vec<_>>()
+        };
+        let open_calls: Vec<(usize, OpenCall)> = self.clients.iter().flat_map(calls_of).collect();
+        for (slot, OpenCall { number, request }) in open_calls {
+            self.forget_request_id(request);
+            let may_have_run = self.dispatcher.client_gone(now, request);
+            let Some(client) = self.clients.get_mut(slot) else { continue };
+            client.open_calls.retain(|call| call.number != number);
+            if may_have_run {
+                lines::write_failed(&mut client.write_buffer.bytes, number);
+            } else {
+                lines::write_rejected(&mut client.write_buffer.bytes, number, self.retry_after);
+            }
+            self.flush_client(slot);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/client_connections/requests.rs
@@ -0,0 +1,138 @@
+//! Passes the calls of clients to the dispatcher, and its final responses to clients.
+
+use crate::platform_router::{ClientKey, OpenCall, PlatformRouter, RequestContext};
+use milletpath_dispatcher::dispatcher::{FunctionResources, IncomingRequest, RequestId};
+use milletpath_platform_protocol::lines::{self, Call};
+
+/// Seconds by which a final response leaves before its client's time is up: what a busy machine takes from the client's
+/// write to the router's read, and back.
+pub(crate) const RESPONSE_MARGIN: f64 = 0.015;
+
+impl PlatformRouter {
+    /// Submits a call to the dispatcher, or rejects it at once.
+    pub(super) fn submit_call(&mut self, slot: usize, call: Call) {
+        if !self.admits_call(slot) {
+            return self.reject_call(slot, call.number);
+        }
+        let now = self.now();
+        let Some(client) = self.clients.get(slot).map(|client| ClientKey { slot, serial: client.serial })
+        else {
+            return;
+        };
+        let reservation = self.memory_budget.reserve(call.body.capacity() + call.idempotency_key.capacity());
+        if self.memory_budget.is_full() {
+            return self.reject_call(slot, call.number);
+        }
+        let profile = index_of(&self.profiles, &call.profile);
+        let incoming = IncomingRequest {
+            function: &call.function,
+            profile,
+            client: index_of(&self.groups, &call.client),
+            timeout: (call.timeout - RESPONSE_MARGIN).max(0.0).min(self.shutdown.time_to_answer(now)),
+            is_retry: call.is_repeat,
+            resources: Some(FunctionResources {
+                lanes: call.lanes,
+                memory: call.memory,
+                load_time: call.load,
+            }),
+        };
+        let context = RequestContext {
+            client,
+            number: call.number,
+            id: call.id,
+            profile,
+            idempotency_key: call.idempotency_key,
+            body: call.body,
+            _reservation: reservation,
+            received_at: now,
+            last_attempt_at: now,
+            worker_connections: Vec::new(),
+        };
+        match self.dispatcher.submit(now, incoming, context) {
+            Some(request) => self.open_call(slot, call.id, OpenCall { number: call.number, request }),
+            None => self.reject_call(slot, call.number),
+        }
+    }
+
+    /// Whether calls on a connection are taken now. One beyond the limit is an ordinary one as soon as there is room.
+    fn admits_call(&mut self, slot: usize) -> bool {
+        let now = self.now();
+        if self.shutdown.rejects(now) {
+            return false;
+        }
+        let crowded = self.clients.len() > self.connection_limits.clients;
+        match self.clients.get_mut(slot) {
+            Some(client) if client.overflow && crowded => false,
+            Some(client) => {
+                client.overflow = false;
+                true
+            }
+            None => true,
+        }
+    }
+
+    fn open_call(&mut self, slot: usize, id: u64, call: OpenCall) {
+        if let Some(client) = self.clients.get_mut(slot) {
+            client.open_calls.push(call);
+            self.open_request_ids.insert(id);
+        }
+    }
+
+    /// Rejects a call that was not taken.
+    fn reject_call(&mut self, slot: usize, number: u64) {
+        if let Some(client) = self.clients.get_mut(slot) {
+            lines::write_rejected(&mut client.write_buffer.bytes, number, self.retry_after);
+            self.flush_client(slot);
+        }
+    }
+
+    /// Cancels the calls of a client with this request id or, where it gave none, with this number.
+    pub(super) fn cancel_calls(&mut self, slot: usize, id: Option<u64>, number: Option<u64>) {
+        let Some(client) = self.clients.get_mut(slot) else { return };
+        let dispatcher = &mut self.dispatcher;
+        let mut is_cancelled = |call: &OpenCall| match id {
+            Some(id) => dispatcher.context(call.request).is_some_and(|context| context.id == id),
+            None => Some(call.number) == number,
+        };
+        let open_calls = std::mem::take(&mut client.open_calls);
+        let (cancelled, kept): (Vec<_>, Vec<_>) = open_calls.into_iter().partition(&mut is_cancelled);
+        client.open_calls = kept;
+        self.cancel_requests(cancelled);
+    }
+
+    /// Tells the dispatcher that nobody waits for these calls any more.
+    pub(super) fn cancel_requests(&mut self, calls: Vec<OpenCall>) {
+        let now = self.now();
+        for OpenCall { request, .. } in calls {
+            if self.forget_request_id(request) {
+                self.dispatcher.client_gone(now, request);
+            }
+        }
+    }
+
+    /// Frees the id of a request that ends; whether the dispatcher still had the request.
+    pub(super) fn forget_request_id(&mut self, request: RequestId) -> bool {
+        let id = self.dispatcher.context(request).map(|context| context.id);
+        if let Some(id) = id {
+            self.open_request_ids.remove(&id);
+        }
+        id.is_some()
+    }
+
+    /// Gives a client the final response to its call: `write` appends it to the bytes, under the call's number. Nothing
+    /// is written where the client has gone.
+    pub fn send_final_response(&mut self, request: RequestId, write: impl FnOnce(&mut Vec<u8>, u64)) {
+        let Some(context) = self.dispatcher.context(request) else { return };
+        let (key, number, id) = (context.client, context.number, context.id);
+        self.open_request_ids.remove(&id);
+        let Some(client) = self.client_by_key(key) else { return };
+        client.open_calls.retain(|call| call.number != number);
+        write(&mut client.write_buffer.bytes, number);
+        self.flush_client(key.slot);
+    }
+}
+
+/// Position of a name; past the end of any list where it is not among them.
+fn index_of(names: &[String], name: &str) -> usize {
+    names.iter().position(|other| other == name).unwrap_or(usize::MAX)
+}
--- /dev/null
+++ b/crates/platform-router/src/client_connections/task.rs
@@ -0,0 +1,24 @@
+//! The task of a client's connection: it waits for the socket.
+
+use crate::platform_router::SharedRouter;
+use std::rc::Rc;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+
+/// Serves the connection in a slot until it is closed.
+pub(super) async fn serve_client(router: SharedRouter, slot: usize, stream: Rc<TcpStream>, wake: Rc<Notify>) {
+    loop {
+        let (reads, writes) = {
+            let router = router.borrow();
+            match router.clients.get(slot).filter(|client| Rc::ptr_eq(&client.stream, &stream)) {
+                Some(client) => (!client.closing, client.write_buffer.remaining() > 0),
+                None => return,
+            }
+        };
+        tokio::select! {
+            _ = stream.readable(), if reads => router.borrow_mut().on_client_readable(slot),
+            _ = stream.writable(), if writes => router.borrow_mut().flush_client(slot),
+            () = wake.notified() => {}
+        }
+    }
+}
--- a/crates/platform-router/src/client_connections/tests.rs
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -1,12 +1,12 @@
-use super::*;
 use crate::platform_router::tests::{router_with_workers, run_local};
+use crate::platform_router::{OpenCall, PlatformRouter, SharedRouter};
 use socket2::SockRef;
 use std::io::Write;
 use std::time::Duration;
 use test_case::test_case;
 use tokio::net::TcpListener;
 
-/// A client that has come in, and its place.
+/// A client that was accepted, and its slot.
 async fn connect_client(router: &SharedRouter) -> (std::net::TcpStream, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -19,7 +19,7 @@
     (client, key)
 }
 
-/// Sends something at this moment, and waits until it is read.
+/// Sends bytes now, and waits until the router has read them.
 async fn send_and_wait_until_read(
     router: &SharedRouter,
     (client, key): &mut (std::net::TcpStream, usize),
@@ -32,8 +32,8 @@
     }
 }
 
-/// Sends a text a byte at a time, evenly over some seconds; for how many it was heard before it was closed,
-/// if it was.
+/// Sends a text a byte at a time, evenly over some seconds. Where the connection was closed before the end: after how
+/// many seconds.
 async fn send_byte_by_byte(
     router: &SharedRouter,
     to: &mut (std::net::TcpStream, usize),
@@ -60,8 +60,8 @@
     r#""d":1500,"o":"7f3a9c21e0b4d655"}}"#
 );
 
-/// A call comes a byte at a time, over as long as its client would wait for an answer: it is taken, and its
-/// time counts from its last byte. It was closed after 2 s.
+/// A call comes a byte at a time, over as long as its client would wait for a response: it is accepted, and its time
+/// counts from its last byte. The connection used to be closed after 2 s.
 #[test_case(true, 2.9; "from a known client")]
 #[test_case(false, 2.4; "as the first of its client")]
 fn call_received_byte_by_byte_is_accepted(known: bool, seconds: f64) {
@@ -74,18 +74,20 @@
             tokio::time::advance(Duration::from_secs(60)).await;
         }
         assert_eq!(send_byte_by_byte(&router, &mut client, CALL, seconds).await, None);
-        assert!(router.borrow().clients[client.1].open.is_empty());
+        assert!(router.borrow().clients[client.1].open_calls.is_empty());
         tokio::time::advance(Duration::from_millis(10)).await;
         send_and_wait_until_read(&router, &mut client, b"\n").await;
         let mut s = router.borrow_mut();
-        let [(2, request)] = s.clients[client.1].open[..] else { panic!("one open call") };
+        let [OpenCall { number: 2, request }] = s.clients[client.1].open_calls[..] else {
+            panic!("one open call")
+        };
         let now = s.now();
         assert_eq!(s.dispatcher.context(request).unwrap().received_at, now);
     });
 }
 
-/// What never becomes a line is closed in its time, however it comes: within 3 s where nothing of use was
-/// ever said. By empty lines a client was held open for good.
+/// A connection on which a line never ends is closed in time, however the bytes come: within 3 s where no valid line
+/// ever came. Empty lines used to hold a connection open for good.
 #[test_case(false, &CALL.repeat(3), 2.5; "the first line")]
 #[test_case(true, &CALL.repeat(3), 3.0; "a later line")]
 #[test_case(false, &"\n".repeat(99), 2.0; "empty lines")]
@@ -104,8 +106,8 @@
     });
 }
 
-/// Room is wanted: a known client in the midst of a call stays, and one that has been quiet for less time
-/// than that call takes goes.
+/// A place is needed: a client amid a call stays, and one is closed that has been idle for less time than that call
+/// takes.
 #[test]
 fn client_with_a_partial_call_is_not_evicted() {
     run_local(async {
@@ -130,8 +132,8 @@
     });
 }
 
-/// One that said what can't be used goes on sending and reads nothing of what it is told: it is closed in its time. As long
-/// as bytes of it lay unread, which nobody reads any more, it was taken for one about to call, and kept for good.
+/// After an invalid line a client goes on sending and reads nothing: it is closed in time. While bytes of it lay unread,
+/// which are not read any more, it was taken for one about to call, and kept for good.
 #[test]
 fn invalid_client_is_closed_however_much_it_sends() {
     run_local(async {
--- /dev/null
+++ b/crates/platform-router/src/client_connections/write.rs
@@ -0,0 +1,33 @@
+//! Writes responses to clients.
+
+use super::close::CloseReason;
+use crate::platform_router::PlatformRouter;
+use crate::write_buffer::RETAINED_CAPACITY;
+
+/// Bytes of responses that may wait for a slow reader: some of the usual size, and small against the least memory that
+/// a router is granted.
+const MAX_UNWRITTEN: usize = 128 << 10;
+
+impl PlatformRouter {
+    /// Writes what there is for a client, as far as its socket takes it, and closes a client that reads too slowly.
+    pub fn flush_client(&mut self, slot: usize) {
+        let now = self.now();
+        let Some(client) = self.clients.get_mut(slot) else { return };
+        match client.write_buffer.write(&client.stream) {
+            Ok(0) => {}
+            Ok(_) => client.last_progress = now,
+            Err(error) => return self.close_client(slot, &CloseReason::Io(error)),
+        }
+        client.update_reservation();
+        let (remaining, closing) = (client.write_buffer.remaining(), client.closing);
+        if remaining > 0 {
+            client.wake.notify_one();
+            let limit = if self.memory_budget.is_full() { RETAINED_CAPACITY } else { MAX_UNWRITTEN };
+            if remaining > limit {
+                self.close_client(slot, &CloseReason::ReadsTooSlowly);
+            }
+        } else if closing {
+            self.close_client(slot, &CloseReason::InvalidLine);
+        }
+    }
+}
--- a/crates/platform-router/src/connection_limits.rs
+++ b/crates/platform-router/src/connection_limits.rs
@@ -1,109 +1,141 @@
-//! Which connections a router opens, keeps and closes, within the descriptors that it may hold. Free of I/O.
+//! How many connections a router opens and keeps, which it closes first and when, within the descriptors that it may
+//! hold. Free of I/O. Times are in seconds.
 
-/// Descriptors for what is neither client nor worker: standard streams, the runtime's own, listener, bulletin and its
-/// successor, the file, and connections that are on their way out.
+/// Descriptors for what is neither client nor worker: standard streams, the runtime's own, the listener, the discovery
+/// connection and its successor, the file, and connections that are being closed.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Part of the rest for clients: the platform's own hold a third of all at most, and the others need room to be told.
+/// Fraction of the rest for clients: the platform's own hold a third of all at most, and the others need a place to be
+/// answered on.
 const CLIENT_FRACTION: f64 = 0.55;
-/// Shots on one connection past which another is opened: what breaks takes all on it along, and each connection
+/// Attempts on one connection from which on another is opened: a connection that breaks takes all on it along, and each
 /// costs the worker a handshake.
 const PREFERRED_ATTEMPTS: usize = 4;
-/// Seconds that a client may be connected without a whole word: the platform wants such closed within 3 s.
+/// Seconds that a client may be connected without a whole line: the platform wants such closed within 3 s.
 const SILENT_SECONDS: f64 = 2.0;
-/// Seconds that the first line of a client may take: with a look each 0.2 s still closed within those 3 s.
+/// Seconds that the first line of a client may take: with a look each 0.2 s it is still closed within those 3 s.
 const FIRST_LINE_SECONDS: f64 = 2.5;
-/// Seconds after which a client that has not spoken is taken for a silent one, where room is wanted.
+/// Seconds after which a client that has sent nothing counts as silent, where its place is needed.
 const NEWCOMER_SECONDS: f64 = 0.3;
-/// Part of the stated idle time after which a connection to a worker is closed: before the worker does.
+/// Fraction of the stated idle time after which a connection to a worker is closed: before the worker does.
 const IDLE_FRACTION: f64 = 0.8;
 
-/// What a router may hold.
-pub struct ConnectionLimits {
+/// What the limits are derived from.
+pub(crate) struct ConnectionSettings {
+    /// File descriptors that the process may hold.
+    pub descriptors: usize,
+    /// Attempts that a worker takes on one connection at a time.
+    pub streams_per_connection: usize,
+    /// Seconds after which a worker may close an idle connection.
+    pub idle_timeout: f64,
+    /// Seconds that a connection to a worker may take to be made.
+    pub connect_timeout: f64,
+    /// The longest time in seconds that a client waits for a response.
+    pub longest_deadline: f64,
+}
+
+/// The use of one connection to a worker.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ConnectionUse {
+    /// Attempts on it, queued ones included.
+    pub attempts: usize,
+    /// Since when a response has been awaited with nothing coming; none where none is awaited.
+    pub silent_since: Option<f64>,
+}
+
+/// A client's connection that may be closed for another.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EvictionCandidate {
+    /// Position of the connection.
+    pub slot: usize,
+    /// Whether a whole valid line ever came.
+    pub has_sent_message: bool,
+    /// Seconds since it was last of use.
+    pub idle_seconds: f64,
+}
+
+/// The limits on connections.
+pub(crate) struct ConnectionLimits {
+    /// Connections of clients, but for a few beyond the limit while all others wait for responses.
     pub clients: usize,
+    /// Connections to workers.
     pub worker_connections: usize,
-    lanes: usize,
-    idle: f64,
+    streams_per_connection: usize,
+    idle_seconds: f64,
     connect_timeout: f64,
     longest_deadline: f64,
 }
 
 impl ConnectionLimits {
-    /// Within so many descriptors, with so many shots a connection to a worker. Those are closed once idle
-    /// for so many seconds and made within so many; and no client waits longer for an answer than the last
-    /// says.
-    pub fn new(
-        descriptors: usize,
-        lanes: usize,
-        idle: f64,
-        connect_timeout: f64,
-        longest_deadline: f64,
-    ) -> Self {
-        let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2);
+    /// Divides the descriptors among clients and workers; each side gets one at least.
+    pub fn new(settings: &ConnectionSettings) -> Self {
+        let available = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2);
         let clients = ((available as f64 * CLIENT_FRACTION) as usize).max(1);
-        let (worker_connections, longest_deadline) =
-            ((available - clients).max(1), longest_deadline.max(FIRST_LINE_SECONDS));
         Self {
             clients,
-            worker_connections,
-            lanes: lanes.max(1),
-            idle: idle * IDLE_FRACTION,
-            connect_timeout,
-            longest_deadline,
+            worker_connections: (available - clients).max(1),
+            streams_per_connection: settings.streams_per_connection.max(1),
+            idle_seconds: settings.idle_timeout * IDLE_FRACTION,
+            connect_timeout: settings.connect_timeout,
+            longest_deadline: settings.longest_deadline.max(FIRST_LINE_SECONDS),
         }
     }
 
-    /// Where one more shot for a worker goes, by the shots on each of its connections and since when each is unheard;
-    /// none for a new one. Where nothing was heard for as long as a connection may take to be made, a new one tells
-    /// a slow worker from a machine that is gone: that one never comes up, and nothing piles up on the silent one.
+    /// Which of a worker's connections takes one more attempt, by position; none for a new one. `open` is the number of
+    /// connections to all workers.
+    ///
+    /// Where nothing came for as long as a connection may take to be made, a new one tells a slow worker from a machine
+    /// that is gone: to that one it never comes up, and no more attempts gather on the silent one.
     pub fn choose_connection(
         &self,
         now: f64,
-        each: impl Iterator<Item = (usize, Option<f64>)>,
-        worker_connections: usize,
+        connections: impl Iterator<Item = ConnectionUse>,
+        open: usize,
     ) -> Option<usize> {
-        let silent = |since: Option<f64>| since.is_some_and(|since| now - since >= self.connect_timeout);
-        let each = each.enumerate().map(|(at, (open, since))| (silent(since), open, at));
-        let more = worker_connections < self.worker_connections;
-        let least = each.min();
-        least
-            .filter(|&(silent, open, _)| !silent && open < PREFERRED_ATTEMPTS.min(self.lanes) || !more)
-            .map(|(.., at)| at)
+        let is_silent = |since: Option<f64>| since.is_some_and(|since| now - since >= self.connect_timeout);
+        let ranked =
+            connections.enumerate().map(|(at, usage)| (is_silent(usage.silent_since), usage.attempts, at));
+        let (is_silent, attempts, at) = ranked.min()?;
+        let has_capacity = !is_silent && attempts < PREFERRED_ATTEMPTS.min(self.streams_per_connection);
+        (has_capacity || open >= self.worker_connections).then_some(at)
     }
 
-    /// Which clients make room for another, the first first, by whether each ever said something and for how long
-    /// nothing passed: those that keep silent, then the longest idle. One that has only just come is about to
-    /// speak: closed, its call would be lost.
+    /// The order in which clients are closed for another: those that keep silent, then the longest idle. The last are
+    /// those that have only just come and are about to send something: closed, their call would be lost.
     pub fn eviction_order(
         &self,
-        clients: impl Iterator<Item = (usize, bool, f64)>,
+        clients: impl Iterator<Item = EvictionCandidate>,
     ) -> impl Iterator<Item = usize> {
-        let rank = |has_sent_message: bool, idle: f64| match (has_sent_message, idle < NEWCOMER_SECONDS) {
-            (false, false) => 0,
-            (true, false) => 1,
-            (_, true) => 2,
+        let rank = |client: &EvictionCandidate| match client {
+            EvictionCandidate { idle_seconds, .. } if *idle_seconds < NEWCOMER_SECONDS => 2,
+            EvictionCandidate { has_sent_message: true, .. } => 1,
+            EvictionCandidate { has_sent_message: false, .. } => 0,
         };
-        let mut all: Vec<_> =
-            clients.map(|(key, has_sent_message, idle)| (rank(has_sent_message, idle), idle, key)).collect();
-        all.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
-        all.into_iter().map(|(.., key)| key)
+        let mut order: Vec<_> = clients.collect();
+        order.sort_by(|a, b| rank(a).cmp(&rank(b)).then(b.idle_seconds.total_cmp(&a.idle_seconds)));
+        order.into_iter().map(|client| client.slot)
     }
 
-    /// Whether a client that has never sent a whole word is closed, or one that does not read what it was
-    /// sent.
-    pub fn silent(&self, now: f64, since: f64) -> bool {
-        now - since >= SILENT_SECONDS
+    /// Whether a client has sent no whole line, or not read what it was sent, for too long since `last_progress`.
+    pub fn is_silent(&self, now: f64, last_progress: f64) -> bool {
+        now - last_progress >= SILENT_SECONDS
     }
 
-    /// Whether a line that began at `since` is waited for no longer: its pieces, the last of them at `last_received`,
-    /// stopped coming, or it takes longer than any client waits for an answer. Less is borne of one who never
-    /// sent a whole one.
-    pub fn line_timed_out(&self, now: f64, since: f64, last_received: f64, has_sent_message: bool) -> bool {
-        self.silent(now, last_received)
-            || now - since >= if has_sent_message { self.longest_deadline } else { FIRST_LINE_SECONDS }
+    /// Whether the rest of a line is waited for no longer: its pieces, the last of them at `last_received`, stopped
+    /// coming, or it takes longer than any client waits for a response. A client's first line gets less time.
+    pub fn line_timed_out(
+        &self,
+        now: f64,
+        line_started: f64,
+        last_received: f64,
+        has_sent_message: bool,
+    ) -> bool {
+        let limit = if has_sent_message { self.longest_deadline } else { FIRST_LINE_SECONDS };
+        self.is_silent(now, last_received) || now - line_started >= limit
     }
 
-    pub fn idle(&self, now: f64, used: f64) -> bool {
-        now - used >= self.idle
+    /// Whether a connection to a worker is closed that has been unused since `last_used`.
+    pub fn is_idle(&self, now: f64, last_used: f64) -> bool {
+        now - last_used >= self.idle_seconds
     }
 }
 
--- a/crates/platform-router/src/connection_limits/tests.rs
+++ b/crates/platform-router/src/connection_limits/tests.rs
@@ -1,42 +1,51 @@
 use super::*;
 use test_case::test_case;
 
-/// A client had connected a moment ago and its first call was on the way, when room was made for another.
+fn limits() -> ConnectionLimits {
+    ConnectionLimits::new(&ConnectionSettings {
+        descriptors: 256,
+        streams_per_connection: 32,
+        idle_timeout: 30.0,
+        connect_timeout: 0.25,
+        longest_deadline: 3.0,
+    })
+}
+
+/// A client had connected a moment ago and its first call was on the way, when it was closed for another.
 #[test]
 fn newcomers_are_evicted_last() {
-    let connection_limits = ConnectionLimits::new(256, 32, 30.0, 0.25, 3.0);
     let clients = [(7, false, 0.01), (3, true, 5.0), (4, true, 9.0), (5, false, 1.0), (6, true, 0.1)];
-    assert_eq!(connection_limits.eviction_order(clients.into_iter()).collect::<Vec<_>>(), [5, 4, 3, 6, 7]);
+    let clients = clients.map(|(slot, has_sent_message, idle_seconds)| EvictionCandidate {
+        slot,
+        has_sent_message,
+        idle_seconds,
+    });
+    assert_eq!(limits().eviction_order(clients.into_iter()).collect::<Vec<_>>(), [5, 4, 3, 6, 7]);
+}
+
+/// Chooses at 1.0 s among connections with so many attempts, each silent since a time.
+fn choose(connections: &[(usize, Option<f64>)], open: usize) -> Option<usize> {
+    let usage = connections.iter().map(|&(attempts, silent_since)| ConnectionUse { attempts, silent_since });
+    limits().choose_connection(1.0, usage, open)
 }
 
 #[test]
 fn busy_connection_is_joined_by_another_within_the_limit() {
-    let connection_limits = ConnectionLimits::new(256, 32, 30.0, 0.25, 3.0);
-    let choose_connection = |open: [usize; 2], worker_connections| {
-        connection_limits.choose_connection(1.0, open.map(|n| (n, Some(0.9))).into_iter(), worker_connections)
-    };
-    assert_eq!(choose_connection([3, 2], 9), Some(1));
-    assert_eq!(choose_connection([4, 4], 9), None);
-    assert_eq!(choose_connection([9, 8], connection_limits.worker_connections), Some(1));
-    assert!(connection_limits.clients + connection_limits.worker_connections + RESERVED_DESCRIPTORS <= 256);
+    let limits = limits();
+    assert_eq!(choose(&[(3, Some(0.9)), (2, Some(0.9))], 9), Some(1));
+    assert_eq!(choose(&[(4, Some(0.9)), (4, Some(0.9))], 9), None);
+    assert_eq!(choose(&[(9, Some(0.9)), (8, Some(0.9))], limits.worker_connections), Some(1));
+    assert!(limits.clients + limits.worker_connections + RESERVED_DESCRIPTORS <= 256);
 }
-/// A machine vanished without a sign, and each new shot went to the connection that had the fewest.
+
+/// A machine vanished without a sign, and each new attempt went to the connection that had the fewest.
 #[test]
 fn silent_connection_gets_no_more_attempts_within_the_limit() {
-    let connection_limits = ConnectionLimits::new(256, 32, 30.0, 0.25, 3.0);
-    let choose_connection = |worker_connections| {
-        connection_limits.choose_connection(
-            1.0,
-            [(1, Some(0.7)), (3, Some(0.8))].into_iter(),
-            worker_connections,
-        )
-    };
-    assert_eq!(
-        (choose_connection(9), choose_connection(connection_limits.worker_connections)),
-        (Some(1), Some(1))
-    );
-    assert_eq!(connection_limits.choose_connection(1.0, [(1, Some(0.7))].into_iter(), 9), None);
-    assert_eq!(connection_limits.choose_connection(1.0, [(0, None)].into_iter(), 9), Some(0));
+    let one_silent = [(1, Some(0.7)), (3, Some(0.8))];
+    assert_eq!(choose(&one_silent, 9), Some(1));
+    assert_eq!(choose(&one_silent, limits().worker_connections), Some(1));
+    assert_eq!(choose(&[(1, Some(0.7))], 9), None);
+    assert_eq!(choose(&[(0, None)], 9), Some(0));
 }
 
 /// A line of a known client that came in pieces for longer than 2 s was given up, with its call.
@@ -46,9 +55,6 @@
 #[test_case(2.4, 0.1, false, false; "pieces of the first")]
 #[test_case(2.5, 0.1, false, true; "the first in pieces without end")]
 fn partial_line_has_a_time_limit(started: f64, last_received: f64, has_sent_message: bool, over: bool) {
-    let connection_limits = ConnectionLimits::new(256, 32, 30.0, 0.25, 3.0);
-    assert_eq!(
-        connection_limits.line_timed_out(100.0, 100.0 - started, 100.0 - last_received, has_sent_message),
-        over
-    );
+    let (line_started, last_received) = (100.0 - started, 100.0 - last_received);
+    assert_eq!(limits().line_timed_out(100.0, line_started, last_received, has_sent_message), over);
 }
--- a/crates/platform-router/src/discovery_watch.rs
+++ b/crates/platform-router/src/discovery_watch.rs
@@ -1,46 +1,77 @@
-//! Follows the bulletin: each event once and in order, whatever breaks. A gap, a line that can't be read, a break or
-//! a silence longer than its heartbeat explains leads to asking again for all after the last event.
+//! Follows the platform's list of workers: each event once and in order, whatever breaks. A gap, an invalid line, a
+//! broken connection or a silence longer than the heartbeat explains leads to a new subscription after the last event.
 
 use crate::platform_router::SharedRouter;
 use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
+use milletpath_protocol::Fault;
+use std::convert::Infallible;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The bulletin ends a line every second; past this it has fallen silent, whatever drips in. Well within the 4 s
-/// after which what it would have told counts as told.
+/// The platform ends a line every second; past this the stream has fallen silent, whatever pieces of a line come. Well
+/// within the 4 s after which an event counts as known to the router.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
-/// For a connection to be made.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Between two tries, doubled up to the longest.
-const PAUSES: [Duration; 2] = [Duration::from_millis(50), Duration::from_millis(400)];
-
-/// For what the address before had told to be read, when the file names another: with a drain among it, that
-/// must not wait until the next one speaks.
+/// Time for a connection to be made.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause before the second attempt, doubled from one to the next.
+const SHORTEST_PAUSE: Duration = Duration::from_millis(50);
+/// The longest pause between two attempts.
+const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+/// Time to read what the last address has sent already, when the file names another: a drain among it must not wait
+/// until the next address answers.
 const FINAL_READ: Duration = Duration::from_millis(20);
 
-/// Follows for the router's life, from the event after `last`; `address` changes when the file names another.
-pub async fn watch_discovery(router: SharedRouter, mut address: watch::Receiver<SocketAddr>, mut last: u64) {
-    let [shortest, longest] = PAUSES;
-    let mut pause = shortest;
+/// Why a stream of events ended.
+#[derive(Debug, thiserror::Error)]
+enum StreamEnd {
+    #[error("could not connect: {0}")]
+    Connect(#[source] io::Error),
+    #[error("no connection in time")]
+    ConnectTimeout,
+    #[error("could not subscribe: {0}")]
+    Subscribe(#[source] io::Error),
+    #[error("the stream was closed")]
+    Closed,
+    #[error("the stream broke: {0}")]
+    Broken(#[source] io::Error),
+    #[error("no line came in time")]
+    Silent,
+    #[error("events after {after} are missing")]
+    MissingEvents { after: u64 },
+    #[error("a line is invalid: {0}")]
+    InvalidLine(#[from] Fault),
+    #[error("a line is too long")]
+    LineTooLong,
+}
+
+/// Follows the list for as long as the router runs, from the event after `last` on. `address` changes when the file
+/// names another.
+pub(crate) async fn watch_discovery(
+    router: SharedRouter,
+    mut address: watch::Receiver<SocketAddr>,
+    mut last: u64,
+) {
+    let mut pause = SHORTEST_PAUSE;
     loop {
-        let at = *address.borrow_and_update();
+        let current = *address.borrow_and_update();
         let before = last;
-        let mut stream = Box::pin(stream(&router, at, &mut last));
-        let why = tokio::select! {
-            why = &mut stream => why,
+        let mut stream = Box::pin(follow_stream(&router, current, &mut last));
+        let Err(reason) = tokio::select! {
+            result = &mut stream => result,
             _ = address.changed() => {
                 let _ = tokio::time::timeout(FINAL_READ, stream).await;
-                pause = shortest;
+                pause = SHORTEST_PAUSE;
                 continue;
             }
         };
         drop(stream);
-        tracing::info!(address = %at, last, "the bulletin is asked again: {why}");
-        pause = if last > before { shortest } else { (2 * pause).min(longest) };
+        tracing::info!(address = %current, last_event = last, %reason, "subscribing to discovery again");
+        pause = if last > before { SHORTEST_PAUSE } else { (2 * pause).min(LONGEST_PAUSE) };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             _ = address.changed() => {}
@@ -48,63 +79,68 @@
     }
 }
 
-async fn stream(router: &SharedRouter, address: SocketAddr, last: &mut u64) -> String {
+/// Connects and follows one stream until it ends.
+async fn follow_stream(
+    router: &SharedRouter,
+    address: SocketAddr,
+    last: &mut u64,
+) -> Result<Infallible, StreamEnd> {
     let sockets = router.borrow().sockets.clone();
-    match tokio::time::timeout(CONNECT, sockets.connect(address)).await {
-        Ok(Ok(stream)) => read_events(router, stream, last).await,
-        Ok(Err(e)) => format!("no connection: {e}"),
-        Err(_) => "no connection in time".into(),
-    }
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, sockets.connect(address)).await;
+    let stream = connected.map_err(|_| StreamEnd::ConnectTimeout)?.map_err(StreamEnd::Connect)?;
+    read_events(router, stream, last).await
 }
 
-/// Asks on a connection that stands, and takes what is told until it breaks or falls silent: why.
+/// Subscribes to the events after `last` and applies them until the stream ends.
 async fn read_events(
     router: &SharedRouter,
     mut stream: impl AsyncRead + AsyncWrite + Unpin,
     last: &mut u64,
-) -> String {
-    if let Err(e) = stream.write_all(events::subscribe_after(*last).as_bytes()).await {
-        return format!("it could not be asked: {e}");
-    }
-    let mut rest = Vec::new();
-    let mut spoke = Instant::now();
+) -> Result<Infallible, StreamEnd> {
+    stream.write_all(events::subscribe_after(*last).as_bytes()).await.map_err(StreamEnd::Subscribe)?;
+    let mut unread = Vec::new();
+    let mut last_line_at = Instant::now();
     loop {
-        match tokio::time::timeout_at(spoke + SILENCE_TIMEOUT, stream.read_buf(&mut rest)).await {
-            Ok(Ok(0)) => return "it ended".into(),
-            Ok(Ok(_)) => {}
-            Ok(Err(e)) => return format!("it broke: {e}"),
-            Err(_) => return "it fell silent".into(),
+        let read =
+            tokio::time::timeout_at(last_line_at + SILENCE_TIMEOUT, stream.read_buf(&mut unread)).await;
+        if read.map_err(|_| StreamEnd::Silent)?.map_err(StreamEnd::Broken)? == 0 {
+            return Err(StreamEnd::Closed);
         }
-        while let Some(end) = rest.iter().position(|&b| b == b'\n') {
-            let line: Vec<u8> = rest.drain(..=end).collect();
-            spoke = Instant::now();
-            tracing::trace!("bulletin: {}", String::from_utf8_lossy(&line).trim());
-            match events::read(line.trim_ascii()) {
-                // Told before.
-                Ok(DiscoveryLine::Event { number, .. }) if number <= *last => {}
-                Ok(DiscoveryLine::Event { number, complete, entries }) if complete || number == *last + 1 => {
-                    *last = number;
-                    let mut s = router.borrow_mut();
-                    let now = s.now();
-                    s.dispatcher.wall_clock_read(now, unix_time());
-                    s.dispatcher.update_endpoints(now, complete, &entries);
-                    s.run_actions();
-                }
-                Ok(DiscoveryLine::Last(number)) if number == *last => {
-                    let mut s = router.borrow_mut();
-                    let now = s.now();
-                    s.dispatcher.endpoint_list_confirmed(now);
-                }
-                // Of a bulletin behind the one that was followed before.
-                Ok(DiscoveryLine::Last(number)) if number < *last => {}
-                Ok(_) => return format!("events after {last} are missing"),
-                Err(fault) => return format!("a line that can't be read, {fault}"),
-            }
+        while let Some(end) = unread.iter().position(|&byte| byte == b'\n') {
+            let line: Vec<u8> = unread.drain(..=end).collect();
+            last_line_at = Instant::now();
+            apply_line(router, line.trim_ascii(), last)?;
+        }
+        if unread.len() > events::MAX_LINE {
+            return Err(StreamEnd::LineTooLong);
+        }
+    }
+}
+
+/// Applies one line; `last` is the number of the last event that was applied.
+fn apply_line(router: &SharedRouter, line: &[u8], last: &mut u64) -> Result<(), StreamEnd> {
+    tracing::trace!(line = %String::from_utf8_lossy(line), "received a line from discovery");
+    match events::read(line)? {
+        // Applied before.
+        DiscoveryLine::Event { number, .. } if number <= *last => {}
+        DiscoveryLine::Event { number, complete, entries } if complete || number == *last + 1 => {
+            *last = number;
+            let mut router = router.borrow_mut();
+            let now = router.now();
+            router.dispatcher.wall_clock_read(now, unix_time());
+            router.dispatcher.update_endpoints(now, complete, &entries);
+            router.run_actions();
         }
-        if rest.len() > events::MAX_LINE {
-            return "a line without end".into();
+        DiscoveryLine::Last(number) if number == *last => {
+            let mut router = router.borrow_mut();
+            let now = router.now();
+            router.dispatcher.endpoint_list_confirmed(now);
         }
+        // From a source that is behind the one that was followed before.
+        DiscoveryLine::Last(number) if number < *last => {}
+        _ => return Err(StreamEnd::MissingEvents { after: *last }),
     }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -18,8 +18,8 @@
     format!(r#"{{"no":{number},"roster":{{"complete":false,"members":[{worker}]}}}}"#) + "\n"
 }
 
-/// A stream has stood for hours, with a heartbeat a second and an event every ten minutes, when it falls
-/// silent: it is given up as soon as one that never spoke, with all that it had told.
+/// A stream has lasted for hours, with a heartbeat a second and an event every ten minutes, when it falls silent: it is
+/// given up as soon as a new one would be, with all its events applied.
 #[test_case(""; "between two lines")]
 #[test_case("{\"no\":"; "amid a line")]
 fn silent_discovery_stream_is_given_up_after_hours_of_heartbeats(rest: &'static str) {
@@ -29,8 +29,8 @@
         let (ours, mut theirs) = tokio::io::duplex(4 << 10);
         let reader = spawn_local(async move {
             let mut last = 1;
-            let why = read_events(&router, ours, &mut last).await;
-            (why, last, Instant::now())
+            let Err(reason) = read_events(&router, ours, &mut last).await;
+            (reason, last, Instant::now())
         });
         let mut last = 1;
         for second in 0..3 * 3600 {
@@ -44,15 +44,15 @@
         assert!(!reader.is_finished());
         theirs.write_all(rest.as_bytes()).await.unwrap();
         let stops = Instant::now();
-        let (why, heard, at) = reader.await.unwrap();
-        assert_eq!((why.as_str(), heard), ("it fell silent", last));
+        let (reason, heard, at) = reader.await.unwrap();
+        assert!(matches!(reason, StreamEnd::Silent), "{reason}");
+        assert_eq!(heard, last);
         assert!(at - stops <= SILENCE_TIMEOUT);
     });
 }
 
-/// What the old address has told lies unread when the file names another, which does not answer yet: it is
-/// taken first. It was dropped with its stream, and a worker that was gone got shots until the new address
-/// spoke.
+/// An event of the old address lies unread when the file names another, which does not answer yet: it is applied first.
+/// It used to be dropped with its stream, and a worker that was gone got attempts until the new address answered.
 #[test]
 fn unread_events_are_applied_before_the_discovery_address_changes() {
     run_local(async {
@@ -76,8 +76,8 @@
     });
 }
 
-/// A worker joins after ten heartbeats without it, by a clock that was stepped: it is as old as its news at most. An hour
-/// behind it counted as warm, an hour ahead as cold for an hour.
+/// A worker joins after ten heartbeats without it, by a clock that was stepped: it is as old as its event at most. With
+/// a clock an hour behind it got no slow start, with one an hour ahead an hour of it.
 #[test_case(-3600.0; "an hour behind")]
 #[test_case(-3.0; "three seconds behind")]
 #[test_case(3.0; "three seconds ahead")]
@@ -106,8 +106,8 @@
         );
     });
 }
-/// No connection to the bulletin can be made, for a reason of our own or another: it is asked again, with pauses, and
-/// what it tells is heard once it can. Held before.
+/// No connection to the discovery address can be made, for a local reason or another: it is tried again, with pauses,
+/// and events are applied once it can.
 #[test_case(FaultDuration::Once; "once")]
 #[test_case(SHORT_FAULT; "for 100 ms")]
 #[test_case(LONG_FAULT; "for 2 s")]
@@ -123,7 +123,7 @@
 
 async fn retries_until_discovery_answers(errno: Errno, duration: FaultDuration) {
     let sockets = FaultySockets::new(Operation::Connect, errno, duration, usize::MAX);
-    sockets.timer_set_for.set(true);
+    sockets.armed.set(true);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
     router.borrow_mut().sockets = sockets.clone();
@@ -139,7 +139,7 @@
     assert!((1..=8).contains(&failures), "{errno:?}: {failures}");
 }
 
-/// A stream of which the first write fails, or the read behind all that lies there.
+/// A stream of which the first write fails, or the read after all that was sent.
 struct FailingStream {
     stream: DuplexStream,
     operation: Operation,
@@ -178,8 +178,8 @@
     }
 }
 
-/// A read fails behind an event and half of another, or the question can't be written: the stream is given up with what
-/// was told whole, so that the half event is asked for again. Held before.
+/// A read fails after an event and half of another, or the subscription can't be written: the stream is given up with
+/// whole events applied, so that the half event is subscribed to again.
 #[test]
 fn complete_events_survive_a_failed_read_or_write() {
     run_local(async {
@@ -190,17 +190,23 @@
             theirs.write_all(sent.as_bytes()).await.unwrap();
             let mut last = 1;
             let reads = FailingStream { stream: ours, operation: Operation::Read, errno, written: false };
-            let why = read_events(&router, reads, &mut last).await;
-            assert!(why.starts_with("it broke"), "{errno:?}: {why}");
+            let Err(reason) = read_events(&router, reads, &mut last).await;
+            let StreamEnd::Broken(error) = reason else { panic!("{errno:?}: {reason}") };
+            assert_eq!(error.raw_os_error(), Some(errno as i32));
             assert_eq!((last, router.borrow().dispatcher.workers().len()), (2, 0), "{errno:?}");
 
             let (ours, mut theirs) = tokio::io::duplex(4 << 10);
             theirs.shutdown().await.unwrap();
             let writes = FailingStream { stream: ours, operation: Operation::Write, errno, written: false };
-            let why = read_events(&router, writes, &mut last).await;
+            let Err(reason) = read_events(&router, writes, &mut last).await;
             // The runtime writes again after an interruption.
-            let sent = if errno == Errno::EINTR { "it ended" } else { "it could not be asked" };
-            assert!(why.starts_with(sent), "{errno:?}: {why}");
+            match reason {
+                StreamEnd::Closed if errno == Errno::EINTR => {}
+                StreamEnd::Subscribe(error) if errno != Errno::EINTR => {
+                    assert_eq!(error.raw_os_error(), Some(errno as i32));
+                }
+                other => panic!("{errno:?}: {other}"),
+            }
             assert_eq!(last, 2, "{errno:?}");
         }
     });
--- a/crates/platform-router/src/platform_router/tests.rs
+++ b/crates/platform-router/src/platform_router/tests.rs
@@ -1,20 +1,25 @@
 use super::*;
-use milletpath_dispatcher::dispatcher::{AttemptResult, FunctionResources, IncomingRequest};
+use crate::client_connections::RESPONSE_MARGIN;
+use milletpath_dispatcher::dispatcher::{
+    Action, AttemptResult, FunctionResources, IncomingRequest, RequestId,
+};
+use milletpath_platform_protocol::bootstrap;
 use milletpath_policy::host::Outcome;
+use std::net::SocketAddr;
 use test_case::test_case;
 
-/// Runs a story on one thread, as the router does.
+/// Runs a scenario on one thread, as the router does.
 pub fn run_local(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(tokio::task::LocalSet::new().run_until(scenario));
 }
 
-/// A router alone that knows such workers, all warm.
+/// A router without tasks that knows these workers, none of them in slow start.
 pub fn router_with_workers(workers: &[SocketAddr]) -> SharedRouter {
     router_with_effect("free", 250_000, workers)
 }
 
-/// The same, for calls of such an effect, and with so many microseconds for a connection to be made.
+/// The same, for calls with this effect, and with so many microseconds for a connection to be made.
 pub fn router_with_effect(effect: &str, connect: u64, workers: &[SocketAddr]) -> SharedRouter {
     let member = |(n, at): (usize, &SocketAddr)| {
         format!(r#"{{"id":"w{n}","host_port":"{at}","locality":"z","flavor":"k","phase":"active","size":1}}"#)
@@ -32,8 +37,8 @@
     PlatformRouter::new(&bootstrap::read(text.as_bytes()).expect("sound"))
 }
 
-/// A connection was closed in the same turn in which its socket had become readable. The room to read into went
-/// with it, and every socket read after that looked closed.
+/// A connection was closed in the same turn in which its socket became readable. The read buffer was lost with it, and
+/// every socket that was read after that looked closed.
 #[test]
 fn closed_socket_keeps_the_read_buffer() {
     let router = router_with_workers(&[]);
@@ -43,7 +48,7 @@
     assert_eq!(router.read_buffer.len(), READ_SIZE);
 }
 
-/// A call of a client who waits for two seconds and of whom nothing more is known.
+/// Submits a call of a client that waits for two seconds and is no longer connected.
 pub fn submit_request(s: &mut PlatformRouter, id: u64) -> RequestId {
     let incoming = IncomingRequest {
         function: "00000000000000ff",
@@ -56,7 +61,7 @@
     let (now, body, idempotency_key, reservation) =
         (s.now(), vec![1; 64], String::new(), s.memory_budget.reserve(64));
     let context = RequestContext {
-        client: (999, 0),
+        client: ClientKey { slot: 999, serial: 0 },
         number: id,
         id,
         profile: 0,
@@ -70,9 +75,9 @@
     s.dispatcher.submit(now, incoming, context).expect("there is room")
 }
 
-/// A call is answered, or nobody ever does: its client has the final answer in its own time, and once nothing
-/// is in hand nothing is due any more. What wakes an idle router then is the look at its connections and the
-/// bulletin's heartbeat.
+/// A call is answered, or no worker ever answers: its client has the final response in time, and without open requests
+/// nothing is due any more. What wakes an idle router then is the look at its connections and the heartbeat of
+/// discovery.
 #[test_case(true; "answered")]
 #[test_case(false; "by nobody")]
 fn idle_router_sets_no_timer(answered: bool) {
@@ -93,7 +98,7 @@
     while let Some(next) = s.dispatcher.next_deadline() {
         wakeups += 1;
         // Twice as often as it looks at what is open.
-        assert!(wakeups < 1000, "still woken at {next}");
+        assert!(wakeups < 1000, "still due at {next}");
         if s.dispatcher.open_requests() > 0 {
             ended = next;
         }
@@ -103,6 +108,6 @@
         }
     }
     assert_eq!(s.dispatcher.open_requests(), 0);
-    // The door takes this off what a client says that it waits, for the module's look at what is open and the way back.
-    assert!(ended - begun < 2.0 + crate::client_connections::RESPONSE_MARGIN, "{ended}");
+    // The margin is taken off the time that a client waits: for the dispatcher's look at open requests and the way back.
+    assert!(ended - begun < 2.0 + RESPONSE_MARGIN, "{ended}");
 }
--- a/crates/platform-router/src/request_ids_seen.rs
+++ b/crates/platform-router/src/request_ids_seen.rs
@@ -1,30 +1,32 @@
-//! Numbers that a client used on its connection: each counts once. They may come a little out of order.
+//! Numbers that a client has used on its connection: each may be used once. They may come a little out of order.
 
-/// How far back numbers are told apart; older ones count as used.
+/// How far below the highest number used ones are remembered; lower ones all count as used.
 const WINDOW: u64 = 64;
 
+/// The numbers used on one connection, in constant space.
 #[derive(Default)]
-pub struct RequestIdsSeen {
+pub(crate) struct RequestIdsSeen {
     highest: u64,
-    /// Used ones from the top down, the top in the lowest bit.
-    seen: u64,
+    /// Bit `n` says whether the number `n` below the highest was used.
+    window: u64,
 }
 
 impl RequestIdsSeen {
-    /// Whether this number was free; it is used from now on.
+    /// Marks a number as used; whether it was not before.
+    #[must_use = "a number that was used before is an error of the client"]
     pub fn insert(&mut self, number: u64) -> bool {
         if number > self.highest {
-            let by = number - self.highest;
-            self.seen = if by >= WINDOW { 0 } else { self.seen << by } | 1;
+            let step = number - self.highest;
+            self.window = if step >= WINDOW { 0 } else { self.window << step } | 1;
             self.highest = number;
             return true;
         }
-        let back = self.highest - number;
-        let free = back < WINDOW && self.seen & 1 << back == 0;
-        if free {
-            self.seen |= 1 << back;
+        let below = self.highest - number;
+        let is_new = below < WINDOW && self.window & 1 << below == 0;
+        if is_new {
+            self.window |= 1 << below;
         }
-        free
+        is_new
     }
 }
 
--- /dev/null
+++ b/crates/platform-router/src/run.rs
@@ -0,0 +1,176 @@
+//! Starts the router, and runs it until SIGTERM and the shutdown after it.
+
+mod reload;
+mod timer;
+
+use crate::client_connections::Acceptor;
+use crate::discovery_watch::watch_discovery;
+use crate::platform_router::{PlatformRouter, SharedRouter};
+use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
+use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
+use milletpath_protocol::Fault;
+use nix::sys::resource::{Resource, getrlimit};
+use reload::reload_bootstrap;
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+/// Time between two steps of a shutdown.
+const SHUTDOWN_STEP: Duration = Duration::from_millis(20);
+
+/// Why the router could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// A handler of SIGHUP or SIGTERM could not be installed.
+    #[error("can't install the handlers of SIGHUP and SIGTERM: {0}")]
+    Signals(#[source] io::Error),
+    /// The file could not be read.
+    #[error("can't read {}: {source}; LB_CONFIG must name the platform's file", path.display())]
+    ReadFile {
+        /// The file.
+        path: PathBuf,
+        /// The error of the system.
+        source: io::Error,
+    },
+    /// The file is not what the platform gives a router.
+    #[error("{} is invalid: {source}; LB_CONFIG must name the platform's file", path.display())]
+    InvalidFile {
+        /// The file.
+        path: PathBuf,
+        /// The field that is wrong, and why.
+        source: Fault,
+    },
+    /// The address is not free, or not of this host.
+    #[error("can't listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The error of the system.
+        source: io::Error,
+    },
+}
+
+impl StartError {
+    /// Whether the file is at fault: another start with the same file fails alike.
+    #[must_use]
+    pub fn is_configuration(&self) -> bool {
+        matches!(self, Self::ReadFile { .. } | Self::InvalidFile { .. })
+    }
+}
+
+/// The signals that the router acts upon.
+struct Signals {
+    hangup: Heard,
+    terminate: Heard,
+}
+
+impl Signals {
+    fn install() -> Result<Self, StartError> {
+        let install = |signal| Heard::new(signal).map_err(StartError::Signals);
+        Ok(Self { hangup: install(SIGHUP)?, terminate: install(SIGTERM)? })
+    }
+}
+
+/// Runs the router until SIGTERM and the graceful shutdown after it; SIGHUP reads the file again. `file` is what the
+/// platform gives a router, and `address` where it listens instead of where the file says. Must run on a
+/// [`LocalSet`](tokio::task::LocalSet).
+///
+/// # Errors
+///
+/// Why the router could not start. Once it has, it only ends by its shutdown.
+pub async fn run(file: &Path, address: Option<SocketAddr>) -> Result<(), StartError> {
+    // Before all else: a signal at any time after this ends nothing by itself.
+    let signals = Signals::install()?;
+    let (mut bootstrap, text) = read_bootstrap(file)?;
+    limit_descriptors(&mut bootstrap);
+    let address = address.unwrap_or(bootstrap.config.listen);
+    let listener =
+        milletpath_gateway::listen(address).map_err(|source| StartError::Listen { address, source })?;
+    tracing::debug!(
+        policy = ?bootstrap.config.policy,
+        limits = ?bootstrap.config.limits,
+        "read the platform's settings"
+    );
+    let address = listener.local_addr().unwrap_or(address);
+    let router = PlatformRouter::new(&bootstrap);
+    router.borrow_mut().run_actions();
+    tracing::info!(
+        %address,
+        descriptors = bootstrap.descriptors,
+        last_event = bootstrap.last_event,
+        "the router listens"
+    );
+    let (discovery_address, followed_address) = watch::channel(bootstrap.discovery);
+    spawn_local(watch_discovery(router.clone(), followed_address, bootstrap.last_event));
+    spawn_local(timer::run_timer(router.clone()));
+    spawn_local(timer::run_cleanup(router.clone()));
+    let reloads = Reloads { file: file.to_owned(), text, discovery_address };
+    serve(router, listener, signals, &reloads).await;
+    Ok(())
+}
+
+/// What a reload of the file needs.
+struct Reloads {
+    file: PathBuf,
+    /// The file as it was at the start.
+    text: Rc<[u8]>,
+    /// Where the discovery watch learns of another address.
+    discovery_address: watch::Sender<SocketAddr>,
+}
+
+/// Accepts clients and acts upon signals until the shutdown is over.
+async fn serve(router: SharedRouter, listener: TcpListener, mut signals: Signals, reloads: &Reloads) {
+    let mut acceptor = Some(Acceptor::open(router.clone(), listener));
+    loop {
+        let shutting_down = router.borrow().shutdown.begun();
+        tokio::select! {
+            () = signals.hangup.next() => {
+                let Reloads { file, text, discovery_address } = reloads;
+                spawn_local(reload_bootstrap(file.clone(), text.clone(), discovery_address.clone()));
+            }
+            () = signals.terminate.next() => begin_shutdown(&router),
+            () = tokio::time::sleep(SHUTDOWN_STEP), if shutting_down => {
+                if router.borrow_mut().step_shutdown(&mut acceptor) {
+                    tracing::info!("shutdown complete");
+                    return;
+                }
+            }
+        }
+    }
+}
+
+fn begin_shutdown(router: &SharedRouter) {
+    tracing::info!("received SIGTERM: admitting what was sent before, answering what was admitted");
+    let mut router = router.borrow_mut();
+    let now = router.now();
+    let earliest = router.liveness.earliest(now);
+    router.shutdown.begin(now, earliest);
+}
+
+/// Reads the platform's file; returns its text as well, with which a later reload is compared.
+fn read_bootstrap(file: &Path) -> Result<(Bootstrap, Rc<[u8]>), StartError> {
+    let text =
+        std::fs::read(file).map_err(|source| StartError::ReadFile { path: file.to_owned(), source })?;
+    let bootstrap =
+        bootstrap::read(&text).map_err(|source| StartError::InvalidFile { path: file.to_owned(), source })?;
+    Ok((bootstrap, text.into()))
+}
+
+/// Takes the system's limit on descriptors where it is lower than what the file states.
+fn limit_descriptors(bootstrap: &mut Bootstrap) {
+    if let Ok((granted, _)) = getrlimit(Resource::RLIMIT_NOFILE)
+        && granted < bootstrap.descriptors as u64
+    {
+        tracing::warn!(
+            granted,
+            stated = bootstrap.descriptors,
+            "the system grants fewer descriptors than the platform's file states"
+        );
+        bootstrap.descriptors = granted as usize;
+    }
+}
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -1,8 +1,8 @@
 //! The times of a graceful shutdown, by the earliest SIGKILL. Free of I/O.
 //!
-//! After SIGTERM the platform still opens connections and sends calls: they are admitted. Past that each call is
-//! rejected at once, each connection is closed when nothing is open on it, and what is still in flight shortly before
-//! the earliest SIGKILL is answered by what is known of it then.
+//! After SIGTERM the platform still opens connections and sends calls for a while: they are admitted. After that each
+//! call is rejected at once, each connection is closed when nothing is open on it, and what is still in flight shortly
+//! before the earliest SIGKILL is answered by what is known of it then.
 
 use std::cell::Cell;
 
@@ -22,12 +22,12 @@
 /// Seconds before the earliest SIGKILL at which the process exits whatever its clients do.
 const EXIT_MARGIN: f64 = 0.03;
 
-/// Seconds without a sign of life that tell a standstill: an idle process looks after its connections five times a
-/// second.
+/// Seconds without a sign of life that tell a standstill: an idle process looks at its connections five times a second.
 const STANDSTILL: f64 = 0.25;
 /// Seconds after a standstill in which a signal may be one that came amid it.
 const RECENT: f64 = 0.1;
 
+/// What happens until when, in seconds on the router's clock.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     admit_until: f64,
@@ -35,16 +35,16 @@
     exit_by: f64,
 }
 
-/// Where a process stands between SIGTERM and its exit.
+/// The progress of a process between SIGTERM and its exit.
 #[derive(Debug)]
-pub struct Shutdown {
+pub(crate) struct Shutdown {
     longest_deadline: f64,
     schedule: Option<Schedule>,
     admission_closed: bool,
 }
 
 impl Shutdown {
-    /// Of a process whose calls have at most this many seconds.
+    /// The schedule of a process whose calls have `longest_deadline` seconds at most.
     pub fn new(longest_deadline: f64) -> Self {
         Self { longest_deadline, schedule: None, admission_closed: false }
     }
@@ -60,6 +60,7 @@
         });
     }
 
+    /// Whether SIGTERM was read.
     pub fn begun(&self) -> bool {
         self.schedule.is_some()
     }
@@ -70,10 +71,12 @@
         self.schedule.is_some_and(|s| now >= s.admit_until)
     }
 
+    /// All that came in time was read: from now on every call is rejected.
     pub fn close_admission(&mut self) {
         self.admission_closed = true;
     }
 
+    /// Whether every call is rejected.
     pub fn admission_closed(&self) -> bool {
         self.admission_closed
     }
@@ -99,11 +102,18 @@
     }
 }
 
-/// Signs of life of the process, and the last time at which there were none for long: it stood still.
+/// A time in which the process did not run.
+#[derive(Clone, Copy, Debug)]
+struct Standstill {
+    from: f64,
+    until: f64,
+}
+
+/// When the process ran last, and when it last stood still.
 #[derive(Debug, Default)]
-pub struct Liveness {
+pub(crate) struct Liveness {
     last: Cell<f64>,
-    standstill: Cell<Option<(f64, f64)>>,
+    standstill: Cell<Option<Standstill>>,
 }
 
 impl Liveness {
@@ -111,14 +121,14 @@
     pub fn note(&self, now: f64) {
         let last = self.last.replace(now);
         if now - last > STANDSTILL {
-            self.standstill.set(Some((last, now)));
+            self.standstill.set(Some(Standstill { from: last, until: now }));
         }
     }
 
     /// The earliest time at which a signal may have come that is read at `now`.
     pub fn earliest(&self, now: f64) -> f64 {
         match self.standstill.get() {
-            Some((from, until)) if now - until <= RECENT => from,
+            Some(Standstill { from, until }) if now - until <= RECENT => from,
             _ => now,
         }
     }
--- a/crates/platform-router/src/socket_errors.rs
+++ b/crates/platform-router/src/socket_errors.rs
@@ -7,16 +7,18 @@
 
 /// The system call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Operation {
+pub(crate) enum Operation {
     /// `socket` and `connect`, up to the moment at which the connection stands.
     Connect,
+    /// `read`, or a look without reading.
     Read,
+    /// `write`.
     Write,
 }
 
 /// Whose fault an error is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FaultOrigin {
+pub(crate) enum FaultOrigin {
     /// This process or its host lacks something: it says nothing about the worker.
     Local,
     /// The worker or the way to it.
@@ -25,7 +27,7 @@
 
 /// What to do after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recovery {
+pub(crate) enum Recovery {
     /// The socket is not ready: wait until it is.
     AwaitReadiness,
     /// Nothing was lost: repeat the call after a pause.
@@ -36,13 +38,15 @@
 
 /// A classified error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub(crate) struct Fault {
+    /// Whose fault it is.
     pub origin: FaultOrigin,
+    /// What to do.
     pub recovery: Recovery,
 }
 
 /// Classifies the error of a system call.
-pub fn classify(operation: Operation, error: &io::Error) -> Fault {
+pub(crate) fn classify(operation: Operation, error: &io::Error) -> Fault {
     let errno = errno(error);
     match operation {
         Operation::Connect => classify_connect(errno),
@@ -92,7 +96,7 @@
 
 /// How a request ends whose connection is over: one of which the socket did not take every byte never ran, any other
 /// may have.
-pub fn outcome(origin: FaultOrigin, written_whole: bool) -> Outcome {
+pub(crate) fn outcome(origin: FaultOrigin, written_whole: bool) -> Outcome {
     match (origin, written_whole) {
         (FaultOrigin::Local, false) => Outcome::Unsent,
         (FaultOrigin::Remote, false) => Outcome::Unreached,
--- a/crates/platform-router/src/socket_errors/tests.rs
+++ b/crates/platform-router/src/socket_errors/tests.rs
@@ -3,7 +3,7 @@
 /// The page that states what every error proves.
 const PAGE: &str = include_str!("../../../../docs/design/system-calls.md");
 
-/// The errors that the users' letter names, and those that `read`, `write`, `socket` and `connect` add to them.
+/// The errors that `read`, `write`, `socket` and `connect` are tested with.
 const NAMED: [Errno; 15] = [
     Errno::ECONNABORTED,
     Errno::ENFILE,
@@ -87,7 +87,7 @@
     assert_eq!(rows.len(), 3 * NAMED.len(), "a line that no error stands for");
 }
 
-/// What failed for a reason of our own ends as something that the policy holds against no worker.
+/// What failed for a local reason ends with an outcome that the policy holds against no worker.
 #[test]
 fn local_fault_does_not_count_against_the_worker() {
     assert_eq!(outcome(FaultOrigin::Local, false), Outcome::Unsent);
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -8,6 +8,7 @@
 use crate::platform_router::SharedRouter;
 use crate::platform_router::tests::{router_with_effect, run_local, submit_request};
 use crate::socket_errors::Operation;
+use milletpath_dispatcher::dispatcher::Counters;
 use nix::errno::Errno;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -33,9 +34,9 @@
     operation: Operation,
     errno: Errno,
     duration: FaultDuration,
-    /// When it failed first, set by the first call after `timer_set_for`.
+    /// When it failed first, set by the first call after `armed`.
     first: Cell<Option<Instant>>,
-    pub timer_set_for: Cell<bool>,
+    pub armed: Cell<bool>,
     /// How often it failed.
     pub failures: Cell<usize>,
     /// Bytes that one read or write takes at most.
@@ -44,12 +45,16 @@
 
 impl FaultySockets {
     pub fn new(operation: Operation, errno: Errno, duration: FaultDuration, at_a_time: usize) -> Rc<Self> {
-        let (first, timer_set_for, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
-        Rc::new(Self { operation, errno, duration, first, timer_set_for, failures, at_a_time })
+        let (first, armed, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
+        Rc::new(Self { operation, errno, duration, first, armed, failures, at_a_time })
+    }
+
+    fn duration(&self) -> Duration {
+        if let FaultDuration::For(duration) = self.duration { duration } else { Duration::ZERO }
     }
 
     fn fails(&self, operation: Operation) -> io::Result<()> {
-        if operation != self.operation || !self.timer_set_for.get() {
+        if operation != self.operation || !self.armed.get() {
             return Ok(());
         }
         let fails = match (self.first.get(), self.duration) {
@@ -86,10 +91,10 @@
     }
 }
 
-/// The ids of the calls that a worker was sent whole.
+/// The ids of the calls that a worker has received.
 type ReceivedIds = Rc<RefCell<Vec<u64>>>;
 
-/// A worker that answers everything at once, and the calls that it got.
+/// A worker that answers everything at once, and the calls that it received.
 async fn worker() -> (SocketAddr, ReceivedIds) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (address, received_ids) = (listener.local_addr().unwrap(), ReceivedIds::default());
@@ -123,83 +128,119 @@
     }
 }
 
+/// Between two calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A router whose system calls fail for a while, and a worker that is well.
+struct Scenario {
+    /// What fails, for messages.
+    case: String,
+    sockets: Rc<FaultySockets>,
+    router: SharedRouter,
+    received_ids: ReceivedIds,
+    calls: u64,
+}
+
 /// Plays calls, one each 20 ms, against a worker that is well. The fault begins with the first call of a router that
 /// has a connection, or none yet; it must hold what it promises whatever fails.
 async fn run_scenario(sockets: Rc<FaultySockets>, connected: bool) {
-    /// Between two calls.
-    const PACE: Duration = Duration::from_millis(20);
-    let (operation, errno) = (sockets.operation, sockets.errno);
-    let case = format!("{operation:?} {errno:?}, connected before: {connected}");
-    let (address, received_ids) = worker().await;
-    let router = router_with_effect("single_shot", CONNECT_MICROSECONDS, &[address]);
-    router.borrow_mut().sockets = sockets.clone();
-    let mut id = 0;
-    let mut call = || {
-        id += 1;
-        let mut s = router.borrow_mut();
-        submit_request(&mut s, id);
-        s.run_actions();
-    };
+    let mut scenario = Scenario::new(sockets, connected).await;
     if connected {
-        call();
-        wait_until_answered(&router).await;
+        scenario.call();
+        wait_until_answered(&scenario.router).await;
     }
-    sockets.timer_set_for.set(true);
-    let duration =
-        if let FaultDuration::For(duration) = sockets.duration { duration } else { Duration::ZERO };
-    let begun = Instant::now();
-    while begun.elapsed() < duration + 10 * PACE {
-        call();
-        tokio::time::sleep(PACE).await;
+    scenario.call_during_the_fault().await;
+    scenario.check_recovery().await;
+    scenario.check_final_responses();
+    scenario.check_cost();
+}
+
+impl Scenario {
+    async fn new(sockets: Rc<FaultySockets>, connected: bool) -> Self {
+        let case = format!("{:?} {:?}, connected before: {connected}", sockets.operation, sockets.errno);
+        let (address, received_ids) = worker().await;
+        let router = router_with_effect("single_shot", CONNECT_MICROSECONDS, &[address]);
+        router.borrow_mut().sockets = sockets.clone();
+        Self { case, sockets, router, received_ids, calls: 0 }
+    }
+
+    fn call(&mut self) {
+        self.calls += 1;
+        let mut router = self.router.borrow_mut();
+        submit_request(&mut router, self.calls);
+        router.run_actions();
     }
-    wait_until_answered(&router).await;
-    let during = router.borrow().dispatcher.counters();
-    // What failed is over: calls are handled again, at once where it counted against no worker.
-    let most = if LOCAL.contains(&errno) { 1 } else { 500 };
-    for _ in 0..most {
-        call();
-        wait_until_answered(&router).await;
-        if router.borrow().dispatcher.counters().succeeded > during.succeeded {
-            break;
+
+    fn counters(&self) -> Counters {
+        self.router.borrow().dispatcher.counters()
+    }
+
+    async fn call_during_the_fault(&mut self) {
+        self.sockets.armed.set(true);
+        let (duration, begun) = (self.sockets.duration(), Instant::now());
+        while begun.elapsed() < duration + 10 * CALL_INTERVAL {
+            self.call();
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
-        tokio::time::sleep(PACE).await;
+        wait_until_answered(&self.router).await;
     }
-    let counters = router.borrow().dispatcher.counters();
-    assert_eq!(counters.succeeded, during.succeeded + 1, "{case}: {counters:?}");
-
-    assert_eq!(
-        counters.accepted,
-        counters.succeeded + counters.rejected + counters.failed,
-        "{case}: {counters:?}"
-    );
-    let received_ids = received_ids.borrow();
-    let mut once = received_ids.clone();
-    once.sort_unstable();
-    once.dedup();
-    assert_eq!(once.len(), received_ids.len(), "{case}: a call that may run once was sent twice");
-    // A call that was rejected never ran; one that reached the worker was handled or failed.
-    assert!(
-        received_ids.len() as u64 <= counters.succeeded + counters.failed,
-        "{case}: {counters:?}, {}",
-        received_ids.len()
-    );
-    let waited_out = operation == Operation::Connect && LOCAL.contains(&errno) || TRANSIENT.contains(&errno);
-    if waited_out && duration < Duration::from_millis(500) {
-        assert_eq!(
-            counters.succeeded, counters.attempts,
-            "{case}: a brief fault of our own cost an attempt: {counters:?}"
-        );
+
+    /// What failed is over: calls succeed again, at once where it counted against no worker.
+    async fn check_recovery(&mut self) {
+        let during = self.counters();
+        let most = if LOCAL.contains(&self.sockets.errno) { 1 } else { 500 };
+        for _ in 0..most {
+            self.call();
+            wait_until_answered(&self.router).await;
+            if self.counters().succeeded > during.succeeded {
+                break;
+            }
+            tokio::time::sleep(CALL_INTERVAL).await;
+        }
+        let counters = self.counters();
+        assert_eq!(counters.succeeded, during.succeeded + 1, "{}: {counters:?}", self.case);
+    }
+
+    /// Each call has one final response, and none was sent to the worker twice.
+    fn check_final_responses(&self) {
+        let (case, counters) = (&self.case, self.counters());
+        let responses = counters.succeeded + counters.rejected + counters.failed;
+        assert_eq!(counters.accepted, responses, "{case}: {counters:?}");
+        let received = self.received_ids.borrow();
+        let mut once = received.clone();
+        once.sort_unstable();
+        once.dedup();
+        assert_eq!(once.len(), received.len(), "{case}: a call that may run once was sent twice");
+        // A call that was rejected never ran; one that reached the worker succeeded or failed.
+        let may_have_run = counters.succeeded + counters.failed;
+        assert!(received.len() as u64 <= may_have_run, "{case}: {counters:?}, {}", received.len());
+    }
+
+    /// A brief local fault costs no attempt, and a call that fails is repeated a bounded number of times.
+    fn check_cost(&self) {
+        let (case, counters, duration) = (&self.case, self.counters(), self.sockets.duration());
+        let FaultySockets { operation, errno, .. } = *self.sockets;
+        let waited_out =
+            operation == Operation::Connect && LOCAL.contains(&errno) || TRANSIENT.contains(&errno);
+        if waited_out && duration < Duration::from_millis(500) {
+            let attempts = counters.attempts;
+            assert_eq!(
+                counters.succeeded, attempts,
+                "{case}: a brief local fault cost an attempt: {counters:?}"
+            );
+        }
+        // Pauses grow to 32 ms; what ends a connection costs each call four attempts at the most.
+        let attempts = if waited_out { 0 } else { 4 * counters.accepted as usize };
+        let most = 32 + duration.as_millis() as usize / 32 + attempts;
+        let failures = self.sockets.failures.get();
+        assert!(failures <= most, "{case}: failed {failures} times");
+        assert!(failures > 0, "{case}");
     }
-    // Pauses grow to 32 ms; what ends a connection costs each call four attempts at the most.
-    let attempts = if waited_out { 0 } else { 4 * counters.accepted as usize };
-    let most = 32 + duration.as_millis() as usize / 32 + attempts;
-    assert!(sockets.failures.get() <= most, "{case}: failed {} times", sockets.failures.get());
-    assert!(sockets.failures.get() > 0, "{case}");
 }
 
-/// Waits until each call has its final answer, in its time.
+/// Waits until each call has its final response, in time.
 async fn wait_until_answered(router: &SharedRouter) {
-    /// What a client waits, and some time of a busy machine.
+    /// The time that a client waits, and some more for a busy machine.
     const LONGEST: Duration = Duration::from_millis(4000);
     let begun = Instant::now();
     while router.borrow().dispatcher.open_requests() > 0 {
--- /dev/null
+++ b/crates/platform-router/src/worker_connections/close.rs
@@ -0,0 +1,94 @@
+//! Ends connections to workers, and reports what became of the frames on them.
+
+use super::error::WorkerConnectionError;
+use crate::platform_router::{AwaitedResponse, PlatformRouter, QueuedFrame, WorkerConnection};
+use crate::socket_errors;
+use milletpath_dispatcher::dispatcher::AttemptResult;
+use milletpath_policy::host::Outcome;
+
+impl PlatformRouter {
+    /// Takes a connection away; its task ends by itself.
+    pub(super) fn remove_worker_connection(&mut self, key: usize) -> Option<WorkerConnection> {
+        let connection = self.worker_connections.try_remove(key)?;
+        connection.wake.notify_one();
+        if let Some(keys) = self.connections_by_worker.get_mut(&connection.worker) {
+            keys.retain(|&other| other != key);
+            if keys.is_empty() {
+                self.connections_by_worker.remove(&connection.worker);
+            }
+        }
+        Some(connection)
+    }
+
+    /// A connection was not made, or broke before it took a byte: nothing that waited for it ran.
+    pub(super) fn connection_not_made(&mut self, key: usize, error: &WorkerConnectionError) {
+        let Some(connection) = self.remove_worker_connection(key) else { return };
+        tracing::debug!(worker = connection.worker, %error, "could not connect to a worker");
+        let outcome = socket_errors::outcome(error.origin(), false);
+        let outstanding = connection.outstanding.iter().map(|frame| frame.awaited);
+        for awaited in outstanding.chain(connection.queue.iter().filter_map(QueuedFrame::awaited_response)) {
+            self.report_no_response(connection.worker, awaited, outcome);
+        }
+    }
+
+    /// A connection broke or is of no more use. What was written whole may have run, and the rest did not. What is
+    /// queued goes on another connection, unless this one broke before it took a byte: the next would as well.
+    pub(super) fn connection_broken(&mut self, key: usize, error: &WorkerConnectionError) {
+        if self.worker_connections.get(key).is_some_and(|connection| connection.bytes_written == 0) {
+            return self.connection_not_made(key, error);
+        }
+        let Some(connection) = self.remove_worker_connection(key) else { return };
+        let WorkerConnection { worker, bytes_written, outstanding, queue, .. } = connection;
+        tracing::debug!(worker, %error, outstanding = outstanding.len(), "a connection to a worker broke");
+        for frame in outstanding {
+            let outcome = socket_errors::outcome(error.origin(), bytes_written >= frame.end_offset);
+            self.report_no_response(worker, frame.awaited, outcome);
+        }
+        for frame in queue {
+            self.send_again(worker, frame);
+        }
+    }
+
+    /// Queues a frame on another connection to its worker.
+    fn send_again(&mut self, worker: usize, frame: QueuedFrame) {
+        match frame {
+            QueuedFrame::Attempt { request, attempt } => self.send_attempt(request, attempt, worker),
+            QueuedFrame::LoadRequest { load_request, function, instances } => {
+                self.send_load_request(load_request, worker, function, instances);
+            }
+            QueuedFrame::Unload { function } => self.send_unload(worker, function),
+            QueuedFrame::HealthCheck { serial } => self.send_health_check(worker, serial),
+            // What it cancels broke off with the connection.
+            QueuedFrame::Cancel { .. } => {}
+        }
+    }
+
+    /// Tells the dispatcher that no response comes any more, and by `outcome` what that proves.
+    pub(super) fn report_no_response(&mut self, worker: usize, awaited: AwaitedResponse, outcome: Outcome) {
+        let now = self.now();
+        match awaited {
+            AwaitedResponse::Attempt { request, attempt } => {
+                self.dispatcher.attempt_ended(now, request, attempt, AttemptResult::from_outcome(outcome));
+            }
+            AwaitedResponse::LoadRequest { load_request } => {
+                self.dispatcher.load_request_ended(now, load_request, outcome, 0);
+            }
+            AwaitedResponse::HealthCheck { serial } => {
+                self.dispatcher.health_check_ended(now, worker, serial, outcome, None);
+            }
+        }
+    }
+
+    /// Closes connections to workers that have been unused for long.
+    pub fn close_idle_worker_connections(&mut self, now: f64) {
+        let is_idle = |connection: &WorkerConnection| {
+            connection.is_unused() && self.connection_limits.is_idle(now, connection.last_used)
+        };
+        let connections = self.worker_connections.iter();
+        let idle: Vec<_> =
+            connections.filter(|(_, connection)| is_idle(connection)).map(|(key, _)| key).collect();
+        for key in idle {
+            self.remove_worker_connection(key);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/worker_connections/frame.rs
@@ -0,0 +1,127 @@
+//! Makes the frame of what is queued, if it may still go.
+
+use crate::platform_router::{
+    AwaitedResponse, OutstandingFrame, PlatformRouter, QueuedFrame, RequestContext,
+};
+use milletpath_dispatcher::dispatcher::RequestId;
+use milletpath_platform_protocol::{frames, parse_hex_id};
+use milletpath_policy::host::Outcome;
+
+/// What became of a frame whose turn has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use]
+pub(super) enum FrameStatus {
+    /// It was made, or dropped as no longer wanted: the next may follow.
+    Done,
+    /// It waits until the socket of its client was read.
+    Deferred,
+}
+
+/// The id of a frame that was made, and the response that it awaits.
+struct AwaitedId {
+    id: u64,
+    awaited: AwaitedResponse,
+}
+
+impl PlatformRouter {
+    /// Makes the frame of what is next in a connection's queue, in its empty write buffer, if it may still go.
+    pub(super) fn make_frame(&mut self, key: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
+        let connection = &mut self.worker_connections[key];
+        let (worker, process) = (connection.worker, connection.process);
+        if let Some(awaited) = frame.awaited_response()
+            && self.dispatcher.worker_process(worker).process != process
+        {
+            // Another process has the worker's name by now; what was meant for the one before is not for it.
+            self.report_no_response(worker, awaited, Outcome::Unsent);
+            return FrameStatus::Done;
+        }
+        if let QueuedFrame::Attempt { request, .. } = frame
+            && !self.may_begin_attempt(request, key, now)
+        {
+            self.worker_connections[key].queue.push_front(frame);
+            return FrameStatus::Deferred;
+        }
+        let mut out = std::mem::take(&mut self.worker_connections[key].write_buffer.bytes);
+        let awaited = self.write_frame(key, &frame, &mut out, now);
+        let Some(connection) = self.worker_connections.get_mut(key) else { return FrameStatus::Deferred };
+        connection.bytes_made += out.len() as u64;
+        connection.frame_source = (!out.is_empty()).then_some(frame);
+        connection.write_buffer.bytes = out;
+        if let Some(AwaitedId { id, awaited }) = awaited {
+            let end_offset = connection.bytes_made;
+            connection.outstanding.push(OutstandingFrame { id, awaited, end_offset, made_at: now });
+        }
+        FrameStatus::Done
+    }
+
+    /// Appends a frame to `out`: nothing where the dispatcher no longer wants it. Returns the response that it awaits.
+    fn write_frame(
+        &mut self,
+        key: usize,
+        frame: &QueuedFrame,
+        out: &mut Vec<u8>,
+        now: f64,
+    ) -> Option<AwaitedId> {
+        match frame {
+            QueuedFrame::Attempt { request, attempt } => self.write_attempt(out, *request, *attempt, now),
+            QueuedFrame::LoadRequest { load_request, function, instances } => {
+                if !self.dispatcher.begin_load_request(now, *load_request) {
+                    return None;
+                }
+                let id = self.new_frame_id(key);
+                frames::write_load_request(out, id, function, *instances);
+                Some(AwaitedId { id, awaited: AwaitedResponse::LoadRequest { load_request: *load_request } })
+            }
+            QueuedFrame::Unload { function } => {
+                if let Some(id) = parse_hex_id(function) {
+                    frames::write_unload(out, id);
+                }
+                None
+            }
+            QueuedFrame::HealthCheck { serial } => {
+                let id = self.new_frame_id(key);
+                frames::write_probe(out, id, self.load_reports);
+                Some(AwaitedId { id, awaited: AwaitedResponse::HealthCheck { serial: *serial } })
+            }
+            QueuedFrame::Cancel { id } => {
+                frames::write_cancel(out, *id);
+                None
+            }
+        }
+    }
+
+    /// The frame says how much time the client has left as its first byte goes.
+    fn write_attempt(
+        &mut self,
+        out: &mut Vec<u8>,
+        request: RequestId,
+        attempt: usize,
+        now: f64,
+    ) -> Option<AwaitedId> {
+        let remaining = self.dispatcher.time_left(now, request, attempt)?;
+        if !self.dispatcher.begin_attempt(now, request, attempt) {
+            return None;
+        }
+        let function = self.dispatcher.function(request)?;
+        let context = self.dispatcher.context(request)?;
+        context.last_attempt_at = now;
+        let RequestContext { id, idempotency_key, body, profile, .. } = &*context;
+        let profile = &self.profiles[*profile];
+        let frame = frames::Attempt { id: *id, profile, function: &function, idempotency_key, body };
+        frames::write_attempt(out, &frame, remaining);
+        Some(AwaitedId { id: *id, awaited: AwaitedResponse::Attempt { request, attempt } })
+    }
+
+    /// An id for a frame of the router's own, which no client is likely to have chosen, and none has open here.
+    fn new_frame_id(&mut self, key: usize) -> u64 {
+        /// An odd multiplier spreads serial numbers over all ids, so that none follows from another by chance.
+        const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+        loop {
+            self.serial += 1;
+            let id = self.serial.wrapping_mul(SPREAD);
+            if !self.worker_connections[key].uses_id(id) {
+                return id;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -0,0 +1,155 @@
+//! Reads responses of workers and reports them to the dispatcher.
+
+use super::error::WorkerConnectionError;
+use crate::platform_router::{AwaitedResponse, PlatformRouter};
+use crate::socket_errors::{self, Operation, Recovery};
+use crate::write_buffer::RETAINED_CAPACITY;
+use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
+use milletpath_platform_protocol::frames::{self, Frame, WorkerResponse};
+use milletpath_platform_protocol::lines;
+use std::io;
+
+impl PlatformRouter {
+    /// The socket of a worker is readable.
+    pub fn on_worker_readable(&mut self, key: usize) {
+        let connection = self.worker_connections.get(key);
+        let Some(stream) = connection.and_then(|connection| connection.stream.clone()) else { return };
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
+        match self.sockets.read(&stream, &mut read_buffer) {
+            Ok(0) => self.connection_broken(key, &WorkerConnectionError::ClosedByWorker),
+            Ok(length) => self.receive_frames(key, &read_buffer[..length]),
+            Err(error) => self.read_failed(key, error),
+        }
+        self.read_buffer = read_buffer;
+        self.run_actions();
+    }
+
+    fn read_failed(&mut self, key: usize, source: io::Error) {
+        let now = self.now();
+        match socket_errors::classify(Operation::Read, &source).recovery {
+            Recovery::AwaitReadiness => {}
+            Recovery::Retry => {
+                if let Some(connection) = self.worker_connections.get_mut(key) {
+                    connection.read_backoff.failed(now);
+                }
+            }
+            Recovery::Close => {
+                let error = WorkerConnectionError::Io { operation: Operation::Read, source };
+                self.connection_broken(key, &error);
+            }
+        }
+    }
+
+    fn receive_frames(&mut self, key: usize, bytes: &[u8]) {
+        let now = self.now();
+        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        let mut joined = std::mem::take(&mut connection.partial_frame);
+        let bytes = if joined.is_empty() {
+            bytes
+        } else {
+            joined.extend_from_slice(bytes);
+            &joined
+        };
+        let partial_frame = match self.read_frames(key, bytes, now) {
+            Ok(rest) => rest.to_vec(),
+            Err(error) => return self.connection_broken(key, &error),
+        };
+        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        connection.last_used = now;
+        connection.last_received = now;
+        connection.read_backoff.succeeded();
+        connection.partial_frame = partial_frame;
+        connection.reservation.resize(connection.partial_frame.capacity());
+        if connection.partial_frame.len() > RETAINED_CAPACITY && self.memory_budget.is_full() {
+            self.connection_broken(key, &WorkerConnectionError::NoMemory);
+        }
+    }
+
+    /// Handles all responses that came whole; returns the bytes after them.
+    fn read_frames<'b>(
+        &mut self,
+        key: usize,
+        mut bytes: &'b [u8],
+        now: f64,
+    ) -> Result<&'b [u8], WorkerConnectionError> {
+        while let Some(Frame { response, length }) = frames::read(bytes)? {
+            bytes = &bytes[length..];
+            self.on_response(key, &response, now)?;
+        }
+        Ok(bytes)
+    }
+
+    /// One valid response. An unknown id is passed over: it is a second copy, or the response to what was cancelled.
+    fn on_response(
+        &mut self,
+        key: usize,
+        response: &WorkerResponse<'_>,
+        now: f64,
+    ) -> Result<(), WorkerConnectionError> {
+        let Some(connection) = self.worker_connections.get_mut(key) else { return Ok(()) };
+        let Some(at) = connection.outstanding.iter().position(|frame| frame.id == response.id) else {
+            return Ok(());
+        };
+        let awaited = connection.outstanding[at].awaited;
+        if response.probe != matches!(awaited, AwaitedResponse::HealthCheck { .. }) {
+            return Err(WorkerConnectionError::UnexpectedResponse);
+        }
+        let worker = connection.worker;
+        connection.finish(at);
+        match awaited {
+            AwaitedResponse::Attempt { request, attempt } => {
+                self.log_response(worker, request, response, now);
+                self.on_attempt_response(request, attempt, response, now);
+            }
+            AwaitedResponse::LoadRequest { load_request } => {
+                self.dispatcher.load_request_ended(now, load_request, response.outcome, response.instances)
+            }
+            AwaitedResponse::HealthCheck { serial } => {
+                self.dispatcher.health_check_ended(now, worker, serial, response.outcome, response.report)
+            }
+        }
+        Ok(())
+    }
+
+    /// Reports the response to an attempt; where it is the final one of its request, the client gets it.
+    fn on_attempt_response(
+        &mut self,
+        request: RequestId,
+        attempt: usize,
+        response: &WorkerResponse<'_>,
+        now: f64,
+    ) {
+        let result = AttemptResult {
+            outcome: response.outcome,
+            found: None,
+            company: response.concurrent_calls,
+            report: response.report,
+            answers_client: false,
+        };
+        if self.dispatcher.attempt_ended(now, request, attempt, result) {
+            self.send_final_response(request, |out, number| {
+                lines::write_success(out, number, response.body);
+            });
+        }
+    }
+
+    /// Logs where the time of a request went, up to this response.
+    fn log_response(&mut self, worker: usize, request: RequestId, response: &WorkerResponse<'_>, now: f64) {
+        if !tracing::enabled!(tracing::Level::DEBUG) {
+            return;
+        }
+        let function = self.dispatcher.function(request);
+        let Some(context) = self.dispatcher.context(request) else { return };
+        tracing::debug!(
+            worker,
+            function = function.as_deref().unwrap_or_default(),
+            id = context.id,
+            seconds_at_router = context.last_attempt_at - context.received_at,
+            seconds_at_worker = now - context.last_attempt_at,
+            attempts = context.worker_connections.len(),
+            concurrent_calls = response.concurrent_calls,
+            outcome = ?response.outcome,
+            "received a response from a worker"
+        );
+    }
+}
--- /dev/null
+++ b/crates/platform-router/src/worker_connections/task.rs
@@ -0,0 +1,148 @@
+//! The task of a connection to a worker: it makes the connection, then waits until its socket is ready.
+
+use super::error::WorkerConnectionError;
+use crate::backoff::Backoff;
+use crate::platform_router::{PlatformRouter, SharedRouter, WorkerConnection};
+use crate::socket_errors::{self, Operation, Recovery};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+
+/// What a task waits for.
+struct WaitConditions {
+    reads: bool,
+    writes: bool,
+    /// How long until a pause after a local fault is over.
+    pause: Option<Duration>,
+}
+
+/// Identifies the connection of a task: another one may have its slot once it was removed.
+#[derive(Clone)]
+struct ConnectionHandle {
+    key: usize,
+    wake: Rc<Notify>,
+}
+
+impl ConnectionHandle {
+    fn get<'r>(&self, router: &'r PlatformRouter) -> Option<&'r WorkerConnection> {
+        router.worker_connections.get(self.key).filter(|connection| Rc::ptr_eq(&connection.wake, &self.wake))
+    }
+
+    fn get_mut<'r>(&self, router: &'r mut PlatformRouter) -> Option<&'r mut WorkerConnection> {
+        let connection = router.worker_connections.get_mut(self.key);
+        connection.filter(|connection| Rc::ptr_eq(&connection.wake, &self.wake))
+    }
+}
+
+/// Makes a connection and serves it until it is removed, upon which `wake` is notified.
+pub(super) async fn run_connection(router: SharedRouter, key: usize, address: SocketAddr, wake: Rc<Notify>) {
+    let handle = ConnectionHandle { key, wake };
+    let result = tokio::select! {
+        result = connect(&router, &handle, address) => result,
+        // Before it is connected it is woken only where it was removed: its descriptor is needed for another.
+        () = handle.wake.notified() => return,
+    };
+    let stream = match result {
+        Ok(stream) => Rc::new(stream),
+        Err(error) => return connect_failed(&router, &handle, error),
+    };
+    if !connected(&router, &handle, &stream) {
+        return;
+    }
+    while let Some(conditions) = wait_conditions(&router, &handle) {
+        tokio::select! {
+            _ = stream.readable(), if conditions.reads => router.borrow_mut().on_worker_readable(key),
+            _ = stream.writable(), if conditions.writes => {
+                let mut router = router.borrow_mut();
+                router.flush_worker(key);
+                router.run_actions();
+            }
+            () = tokio::time::sleep(conditions.pause.unwrap_or_default()), if conditions.pause.is_some() => {}
+            () = handle.wake.notified() => {}
+        }
+    }
+}
+
+/// Takes a new socket into use and writes what is queued; false where the connection was removed meanwhile.
+fn connected(router: &SharedRouter, handle: &ConnectionHandle, stream: &Rc<TcpStream>) -> bool {
+    let mut router = router.borrow_mut();
+    let Some(connection) = handle.get_mut(&mut router) else { return false };
+    connection.stream = Some(stream.clone());
+    connection.connect_failing = false;
+    router.flush_worker(handle.key);
+    router.run_actions();
+    true
+}
+
+/// What the task waits for; none once its connection was removed.
+fn wait_conditions(router: &SharedRouter, handle: &ConnectionHandle) -> Option<WaitConditions> {
+    let router = router.borrow();
+    let now = router.now();
+    let connection = handle.get(&router)?;
+    let read_pause = connection.read_backoff.pauses_until(now);
+    let write_pause = connection.write_backoff.pauses_until(now);
+    let resume_at = read_pause.into_iter().chain(write_pause).min_by(f64::total_cmp);
+    let has_unwritten = connection.write_buffer.remaining() > 0 || !connection.queue.is_empty();
+    Some(WaitConditions {
+        reads: read_pause.is_none(),
+        writes: write_pause.is_none() && has_unwritten,
+        pause: resume_at.map(|at| Duration::from_secs_f64((at - now).max(0.0))),
+    })
+}
+
+/// Makes a connection. After a local fault it is tried again for as long as something waits for the connection.
+async fn connect(
+    router: &SharedRouter,
+    handle: &ConnectionHandle,
+    address: SocketAddr,
+) -> io::Result<TcpStream> {
+    let (sockets, limit) = {
+        let router = router.borrow();
+        (router.sockets.clone(), router.connect_timeout)
+    };
+    let mut backoff = Backoff::new(limit);
+    loop {
+        let attempt = tokio::time::timeout(Duration::from_secs_f64(limit), sockets.connect(address)).await;
+        let error = match attempt {
+            Ok(Ok(stream)) => return Ok(stream),
+            Ok(Err(error)) => error,
+            Err(_) => return Err(io::ErrorKind::TimedOut.into()),
+        };
+        let now = router.borrow().now();
+        let resume_at = backoff.failed(now);
+        let retries = socket_errors::classify(Operation::Connect, &error).recovery == Recovery::Retry;
+        if !retries || !is_still_needed(router, handle, backoff.exhausted(now)) {
+            return Err(error);
+        }
+        tracing::debug!(%address, %error, "retrying a connection to a worker after a local fault");
+        tokio::time::sleep(Duration::from_secs_f64(resume_at - now)).await;
+    }
+}
+
+/// Notes that a connection can't be made for a local reason; where that has lasted too long, what waits for it is
+/// given back. Returns whether something still, or again, waits for it.
+fn is_still_needed(router: &SharedRouter, handle: &ConnectionHandle, exhausted: bool) -> bool {
+    let mut router = router.borrow_mut();
+    let Some(connection) = handle.get_mut(&mut router) else { return false };
+    connection.connect_failing = true;
+    if exhausted {
+        router.fail_queued_as_unsent(handle.key);
+        router.run_actions();
+    }
+    let is_awaited = |connection: &WorkerConnection| {
+        connection.queue.iter().any(|frame| frame.awaited_response().is_some())
+    };
+    handle.get(&router).is_some_and(is_awaited)
+}
+
+fn connect_failed(router: &SharedRouter, handle: &ConnectionHandle, source: io::Error) {
+    let mut router = router.borrow_mut();
+    if handle.get(&router).is_some() {
+        let error = WorkerConnectionError::Io { operation: Operation::Connect, source };
+        router.connection_not_made(handle.key, &error);
+        router.run_actions();
+    }
+}
--- a/crates/platform-router/src/worker_connection/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -1,18 +1,23 @@
-use super::*;
 use crate::memory_budget::MemoryBudget;
-use crate::platform_router::tests::{router_with_workers, run_local, submit_request};
+use crate::platform_router::tests::{router_with_effect, router_with_workers, run_local, submit_request};
+use crate::platform_router::{AwaitedResponse, OutstandingFrame, RECENT_IDS, WorkerConnection};
+use crate::socket_errors::{self, FaultOrigin, Operation};
+use nix::errno::Errno;
 use std::io::Read;
+use std::rc::Rc;
+use test_case::test_case;
+use tokio::net::TcpStream;
 
-/// A worker that turned a shot away said so twice; the second copy would have ended the next shot of the same id.
+/// A worker rejected an attempt twice; the second copy would have ended the next attempt with the same id.
 #[test]
 fn recent_frame_ids_are_not_reused() {
     let mut connection = WorkerConnection::new(0, 1, MemoryBudget::new(1).reserve(0), 0.0, 0.25);
     for id in 0..=RECENT_IDS as u64 {
-        connection.open.push(OutstandingFrame {
+        connection.outstanding.push(OutstandingFrame {
             id,
-            awaited: AwaitedResponse::HealthCheck(id),
+            awaited: AwaitedResponse::HealthCheck { serial: id },
             end_offset: 0,
-            at: 0.0,
+            made_at: 0.0,
         });
         assert!(connection.uses_id(id));
         connection.finish(0);
@@ -21,8 +26,8 @@
     assert!(!connection.uses_id(0) && connection.recent_ids.len() == RECENT_IDS);
 }
 
-/// The socket takes nothing: what is meant for it waits unmade, and what is withdrawn meanwhile never goes. Up to 16 KiB
-/// of frames were made ahead, and went when the worker took them, whoever had left.
+/// The socket takes nothing: frames for it are queued unmade, and what is cancelled meanwhile is never sent. Up to
+/// 16 KiB of frames used to be made ahead, and were sent once the worker took them, whichever client had gone.
 #[test]
 fn attempt_cancelled_before_its_first_byte_is_not_sent() {
     run_local(async {
@@ -51,7 +56,7 @@
             assert_eq!(
                 (
                     connection.queue.len(),
-                    connection.open.len(),
+                    connection.outstanding.len(),
                     connection.write_buffer.remaining(),
                     connection.bytes_made
                 ),
@@ -68,36 +73,36 @@
         router.borrow_mut().flush_worker(key);
         let mut head = [0; 16];
         worker.read_exact(&mut head).unwrap();
-        assert_eq!((head[1], head[15]), (2, 6), "the one that was not withdrawn");
+        assert_eq!((head[1], head[15]), (2, 6), "the one that was not cancelled");
         let s = router.borrow();
         let connection = &s.worker_connections[key];
-        assert_eq!((connection.queue.len(), connection.open.len()), (0, 1));
+        assert_eq!((connection.queue.len(), connection.outstanding.len()), (0, 1));
         assert_eq!(connection.bytes_made, connection.bytes_written);
     });
 }
 
-/// Descriptors of our own had run out, and each worker that was dialled meanwhile was taken for one that is not reached.
-#[test_case::test_case(nix::errno::Errno::EMFILE, true; "no descriptor")]
-#[test_case::test_case(nix::errno::Errno::ENFILE, true; "none on the whole system")]
-#[test_case::test_case(nix::errno::Errno::EADDRNOTAVAIL, true; "no port")]
-#[test_case::test_case(nix::errno::Errno::ENETUNREACH, true; "no route")]
-#[test_case::test_case(nix::errno::Errno::ECONNABORTED, true; "aborted here")]
-#[test_case::test_case(nix::errno::Errno::EAGAIN, true; "no entry free")]
-#[test_case::test_case(nix::errno::Errno::ECONNREFUSED, false; "refused")]
-#[test_case::test_case(nix::errno::Errno::EHOSTUNREACH, false; "no way there")]
-fn local_connect_error_does_not_blame_the_worker(errno: nix::errno::Errno, own: bool) {
+/// Descriptors had run out here, and each worker that was connected to meanwhile was taken for unreachable.
+#[test_case(Errno::EMFILE, true; "no descriptor")]
+#[test_case(Errno::ENFILE, true; "none on the whole system")]
+#[test_case(Errno::EADDRNOTAVAIL, true; "no port")]
+#[test_case(Errno::ENETUNREACH, true; "no route")]
+#[test_case(Errno::ECONNABORTED, true; "aborted here")]
+#[test_case(Errno::EAGAIN, true; "no entry free")]
+#[test_case(Errno::ECONNREFUSED, false; "refused")]
+#[test_case(Errno::EHOSTUNREACH, false; "no way there")]
+fn local_connect_error_does_not_blame_the_worker(errno: Errno, own: bool) {
     let fault = socket_errors::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
     assert_eq!(fault.origin == FaultOrigin::Local, own);
 }
 
-/// A socket takes nothing for a second with calls queued for it: each frame says what its client has left as its first
-/// byte goes, and not what was left when it was queued. Held before.
+/// A socket takes nothing for a second with calls queued for it: each frame states the time that its client has left as
+/// its first byte is written, and not what was left when it was queued.
 #[test]
 fn queued_frame_states_the_time_left_when_written() {
     run_local(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let router = crate::platform_router::tests::router_with_effect("free", 3_000_000, &[address]);
+        let router = router_with_effect("free", 3_000_000, &[address]);
         let stream = TcpStream::connect(address).await.unwrap();
         socket2::SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
         let (mut worker, _) = listener.accept().unwrap();
--- /dev/null
+++ b/crates/platform-router/src/worker_connections/write.rs
@@ -0,0 +1,129 @@
+//! Writes queued frames to workers, each no sooner than the socket has taken the one before.
+
+use super::error::WorkerConnectionError;
+use super::frame::FrameStatus;
+use crate::platform_router::{PlatformRouter, QueuedFrame};
+use crate::socket_errors::{self, Operation, Recovery};
+use milletpath_policy::host::Outcome;
+use std::io;
+
+/// Whether more can be written to a worker now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use]
+enum WriteStatus {
+    /// The socket has taken all there was.
+    Ready,
+    /// It takes no more now, or the connection is over.
+    Stopped,
+}
+
+impl PlatformRouter {
+    /// Writes what is queued for a worker, as far as the socket takes it: frame by frame, so that what is cancelled
+    /// before its first byte was written is not sent, however long the worker takes nothing.
+    pub fn flush_worker(&mut self, key: usize) {
+        loop {
+            let now = self.now();
+            if self.write_buffered(key, now) == WriteStatus::Stopped {
+                return;
+            }
+            let Some(connection) = self.worker_connections.get_mut(key) else { return };
+            connection.frame_source = None;
+            if connection.queue.is_empty() {
+                return;
+            }
+            // Written into a connection that its worker has closed, an attempt would count as one that may have run.
+            if connection.is_closed_by_worker() {
+                return self.connection_broken(key, &WorkerConnectionError::ClosedByWorker);
+            }
+            if let Some(frame) = connection.queue.pop_front()
+                && self.make_frame(key, frame, now) == FrameStatus::Deferred
+            {
+                return;
+            }
+        }
+    }
+
+    /// Writes the frame that was made, as far as the socket takes it.
+    fn write_buffered(&mut self, key: usize, now: f64) -> WriteStatus {
+        let Some(connection) = self.worker_connections.get_mut(key) else { return WriteStatus::Stopped };
+        let Some(stream) = connection.stream.clone() else { return WriteStatus::Stopped };
+        if connection.write_backoff.pauses_until(now).is_some() {
+            return WriteStatus::Stopped;
+        }
+        let before = connection.write_buffer.remaining();
+        let result = connection.write_buffer.write_with(&*self.sockets, &stream);
+        // What was written before an error counts as well.
+        let written = before - connection.write_buffer.remaining();
+        if written > 0 {
+            connection.bytes_written += written as u64;
+            connection.last_used = now;
+            connection.write_backoff.succeeded();
+        }
+        if let Err(error) = result {
+            self.write_failed(key, error, now);
+            return WriteStatus::Stopped;
+        }
+        if connection.write_buffer.remaining() > 0 {
+            connection.wake.notify_one();
+            self.requeue_unsent(key, now);
+            return WriteStatus::Stopped;
+        }
+        WriteStatus::Ready
+    }
+
+    fn write_failed(&mut self, key: usize, source: io::Error, now: f64) {
+        if socket_errors::classify(Operation::Write, &source).recovery == Recovery::Close {
+            let error = WorkerConnectionError::Io { operation: Operation::Write, source };
+            return self.connection_broken(key, &error);
+        }
+        self.requeue_unsent(key, now);
+        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        connection.write_backoff.failed(now);
+        connection.wake.notify_one();
+        if connection.write_backoff.exhausted(now) {
+            self.fail_queued_as_unsent(key);
+        }
+    }
+
+    /// Ends what is queued on a connection as never sent: for a local reason its turn does not come soon. What awaits
+    /// no response stays queued.
+    pub(super) fn fail_queued_as_unsent(&mut self, key: usize) {
+        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        let worker = connection.worker;
+        let awaited: Vec<_> = connection.queue.iter().filter_map(QueuedFrame::awaited_response).collect();
+        connection.queue.retain(|frame| frame.awaited_response().is_none());
+        for awaited in awaited {
+            self.report_no_response(worker, awaited, Outcome::Unsent);
+        }
+    }
+
+    /// A frame of which no byte was written has not begun: it is queued again, and the dispatcher is asked about it
+    /// anew.
+    fn requeue_unsent(&mut self, key: usize, now: f64) {
+        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        if connection.write_buffer.is_partially_written() {
+            return;
+        }
+        let Some(frame) = connection.frame_source.take() else { return };
+        let length = connection.write_buffer.remaining() as u64;
+        connection.write_buffer.bytes.clear();
+        connection.bytes_made -= length;
+        if frame.awaited_response().is_some() {
+            // The last one that was made.
+            connection.outstanding.pop();
+        }
+        match frame {
+            QueuedFrame::Attempt { request, attempt } => {
+                connection.queue.push_front(frame);
+                self.dispatcher.attempt_not_written(now, request, attempt);
+            }
+            // The dispatcher has counted it against the load rate limit; begun again it would count twice.
+            QueuedFrame::LoadRequest { load_request, .. } => {
+                self.dispatcher.load_request_ended(now, load_request, Outcome::Unsent, 0);
+            }
+            QueuedFrame::Unload { .. } | QueuedFrame::HealthCheck { .. } | QueuedFrame::Cancel { .. } => {
+                connection.queue.push_front(frame);
+            }
+        }
+    }
+}
--- a/crates/platform-router/src/write_buffer.rs
+++ b/crates/platform-router/src/write_buffer.rs
@@ -1,40 +1,16 @@
 //! Bytes on their way to a socket that takes them when it can, for clients and workers alike.
 
-use crate::socket_errors::{self, Operation, Recovery};
 use crate::sockets::{Sockets, SystemSockets};
-use socket2::SockRef;
 use std::io::{self, ErrorKind};
-use std::mem::MaybeUninit;
 use tokio::net::TcpStream;
 
-/// Bytes of a buffer that a quiet connection keeps.
-pub const RETAINED_CAPACITY: usize = 4 << 10;
-
-/// What lies unread in a socket.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SocketState {
-    Empty,
-    Readable,
-    /// The other end has closed it, or it broke.
-    Closed,
-}
-
-/// Looks without taking anything.
-pub fn peek_socket(stream: &TcpStream) -> SocketState {
-    let mut one = [MaybeUninit::uninit()];
-    match SockRef::from(stream).peek(&mut one) {
-        Ok(0) => SocketState::Closed,
-        Ok(_) => SocketState::Readable,
-        // What fails for a reason of our own says nothing about the other end.
-        Err(e) if socket_errors::classify(Operation::Read, &e).recovery != Recovery::Close => {
-            SocketState::Empty
-        }
-        Err(_) => SocketState::Closed,
-    }
-}
+/// Bytes of a buffer that an idle connection keeps; a larger one is freed.
+pub(crate) const RETAINED_CAPACITY: usize = 4 << 10;
 
+/// Bytes that wait for a socket. Who appends to them bounds them.
 #[derive(Default)]
-pub struct WriteBuffer {
+pub(crate) struct WriteBuffer {
+    /// What was appended since the socket last took everything.
     pub bytes: Vec<u8>,
     sent: usize,
 }
@@ -45,17 +21,25 @@
         self.bytes.len() - self.sent
     }
 
-    /// Whether a first part of what is there has gone.
+    /// Whether the socket has taken a first part of the bytes.
     pub fn is_partially_written(&self) -> bool {
         self.sent > 0
     }
 
-    /// Writes as far as the socket takes it; how many bytes that were.
+    /// Writes as far as the socket takes it; returns how many bytes that were.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call; the bytes before it count as written.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.write_with(&SystemSockets, stream)
     }
 
-    /// The same by other system calls. What went before an error counts as gone.
+    /// The same by the system calls given.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call; the bytes before it count as written.
     pub fn write_with(&mut self, sockets: &dyn Sockets, stream: &TcpStream) -> io::Result<usize> {
         let before = self.sent;
         while self.remaining() > 0 {
--- a/crates/platform-router/tests/slow_start.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! A few dozen routers and cold workers. Each router knows only what it sends itself: what all of them
-//! together send a cold worker has to stay under what that can take, however thin the traffic of each is.
-//! Played with the desk that the station runs, in simulated time.
+//! A few dozen routers and workers in slow start. Each router knows only what it sends itself: what all of them
+//! together send a worker in slow start has to stay under what it can take, however little each of them sends.
+//! Simulated with the dispatcher that the router runs.
 
 use milletpath_emulator::script;
 use milletpath_simulator::{Cold, cold, play};
@@ -17,7 +17,7 @@
     (day.troubles[0].part, day.traffic.rate) = (0.9, 460.0);
     for seed in 1..=2 {
         let Cold { of_bound, calls, .. } = cold(&day, &play(&day, seed, None).records);
-        assert!(calls > 100, "seed {seed}: {calls} calls to cold workers");
-        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a cold worker may be sent");
+        assert!(calls > 100, "seed {seed}: {calls} calls to workers in slow start");
+        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a worker in slow start may be sent");
     }
 }
