--- a/crates/platform-router/src/client_connections/accept/tests.rs
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -78,8 +78,8 @@
             assert!(router.borrow_mut().admit(stream));
             tokio::time::advance(Duration::from_millis(later_ms)).await;
         }
-        let s = router.borrow();
-        let is_open = |serial: u64| s.clients.iter().any(|(_, c)| c.serial == serial);
+        let state = router.borrow();
+        let is_open = |serial: u64| state.clients.iter().any(|(_, c)| c.serial == serial);
         assert_eq!([is_open(1), is_open(2)], expected);
     });
 }
@@ -94,13 +94,13 @@
         socket.set_nonblocking(true).unwrap();
         assert!(router.borrow_mut().admit(TcpStream::from_std(socket.into()).unwrap()));
         {
-            let mut s = router.borrow_mut();
-            let key = s.clients.iter().next().unwrap().0;
+            let mut state = router.borrow_mut();
+            let slot = state.clients.iter().next().unwrap().0;
             // As after a call that was rejected while the socket took nothing.
-            s.clients[key].has_sent_message = true;
-            let now = s.now();
-            s.close_stale_clients(now);
-            assert!(s.clients[key].write_closed_at.is_some());
+            state.clients[slot].has_sent_message = true;
+            let now = state.now();
+            state.close_stale_clients(now);
+            assert!(state.clients[slot].write_closed_at.is_some());
         }
         client.set_nonblocking(true).unwrap();
         let client = TcpStream::from_std(client).unwrap();
--- a/crates/platform-router/src/client_connections/tests.rs
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -12,22 +12,23 @@
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     client.set_nodelay(true).unwrap();
     let (stream, _) = listener.accept().await.unwrap();
-    let mut s = router.borrow_mut();
-    assert!(s.admit(stream));
-    let serial = s.serial;
-    let key = s.clients.iter().find(|(_, c)| c.serial == serial).unwrap().0;
-    (client, key)
+    let mut state = router.borrow_mut();
+    assert!(state.admit(stream));
+    let serial = state.serial;
+    let slot = state.clients.iter().find(|(_, c)| c.serial == serial).unwrap().0;
+    (client, slot)
 }
 
 /// Sends bytes now, and waits until the router has read them.
 async fn send_and_wait_until_read(
     router: &SharedRouter,
-    (client, key): &mut (std::net::TcpStream, usize),
+    (client, slot): &mut (std::net::TcpStream, usize),
     text: &[u8],
 ) {
     client.write_all(text).unwrap();
-    let silent_since = |s: &PlatformRouter| s.clients.get(*key).is_some_and(|c| c.last_received < s.now());
-    while silent_since(&router.borrow()) {
+    let has_unread =
+        |state: &PlatformRouter| state.clients.get(*slot).is_some_and(|c| c.last_received < state.now());
+    while has_unread(&router.borrow()) {
         tokio::task::yield_now().await;
     }
 }
@@ -77,12 +78,12 @@
         assert!(router.borrow().clients[client.1].open_calls.is_empty());
         tokio::time::advance(Duration::from_millis(10)).await;
         send_and_wait_until_read(&router, &mut client, b"\n").await;
-        let mut s = router.borrow_mut();
-        let [OpenCall { number: 2, request }] = s.clients[client.1].open_calls[..] else {
+        let mut state = router.borrow_mut();
+        let [OpenCall { number: 2, request }] = state.clients[client.1].open_calls[..] else {
             panic!("one open call")
         };
-        let now = s.now();
-        assert_eq!(s.dispatcher.context(request).unwrap().received_at, now);
+        let now = state.now();
+        assert_eq!(state.dispatcher.context(request).unwrap().received_at, now);
     });
 }
 
@@ -145,19 +146,20 @@
         let router = router_with_workers(&[]);
         assert!(router.borrow_mut().admit(stream));
         invalid_client.write_all(b"{\n").unwrap();
-        let first = |s: &PlatformRouter| s.clients.iter().map(|(key, c)| (key, c.stream.clone())).next();
-        let (key, stream) = first(&router.borrow()).unwrap();
+        let first =
+            |state: &PlatformRouter| state.clients.iter().map(|(slot, c)| (slot, c.stream.clone())).next();
+        let (slot, stream) = first(&router.borrow()).unwrap();
         stream.readable().await.unwrap();
-        router.borrow_mut().on_client_readable(key);
+        router.borrow_mut().on_client_readable(slot);
         {
-            let s = router.borrow();
-            assert!(s.clients[key].closing && s.clients[key].write_buffer.remaining() > 0);
+            let state = router.borrow();
+            assert!(state.clients[slot].closing && state.clients[slot].write_buffer.remaining() > 0);
         }
         invalid_client.write_all(b"more of the same\n").unwrap();
         stream.readable().await.unwrap();
-        let mut s = router.borrow_mut();
-        let now = s.now();
-        s.close_stale_clients(now + 2.5);
-        assert!(s.clients.is_empty());
+        let mut state = router.borrow_mut();
+        let now = state.now();
+        state.close_stale_clients(now + 2.5);
+        assert!(state.clients.is_empty());
     });
 }
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -97,12 +97,12 @@
         let event = event(2, "active").replace(r#""phase":"active""#, &stamp);
         theirs.write_all(event.as_bytes()).await.unwrap();
         tokio::time::sleep(Duration::from_millis(1)).await;
-        let s = router.borrow();
-        let started = s.dispatcher.started(0).expect("a start");
+        let state = router.borrow();
+        let started = state.dispatcher.started(0).expect("a start");
         assert!(
-            (s.now() - 1.1..=s.now()).contains(&started),
+            (state.now() - 1.1..=state.now()).contains(&started),
             "started at {started:.1}, now it is {:.1}",
-            s.now()
+            state.now()
         );
     });
 }
--- a/crates/platform-router/src/platform_router/tests.rs
+++ b/crates/platform-router/src/platform_router/tests.rs
@@ -49,7 +49,7 @@
 }
 
 /// Submits a call of a client that waits for two seconds and is no longer connected.
-pub fn submit_request(s: &mut PlatformRouter, id: u64) -> RequestId {
+pub fn submit_request(state: &mut PlatformRouter, id: u64) -> RequestId {
     let incoming = IncomingRequest {
         function: "00000000000000ff",
         profile: 0,
@@ -59,7 +59,7 @@
         resources: Some(FunctionResources { lanes: 64.0, memory: 1.0, load_time: None }),
     };
     let (now, body, idempotency_key, reservation) =
-        (s.now(), vec![1; 64], String::new(), s.memory_budget.reserve(64));
+        (state.now(), vec![1; 64], String::new(), state.memory_budget.reserve(64));
     let context = RequestContext {
         client: ClientKey { slot: 999, serial: 0 },
         number: id,
@@ -72,7 +72,7 @@
         last_attempt_at: now,
         worker_connections: Vec::new(),
     };
-    s.dispatcher.submit(now, incoming, context).expect("there is room")
+    state.dispatcher.submit(now, incoming, context).expect("there is room")
 }
 
 /// A call is answered, or no worker ever answers: its client has the final response in time, and without open requests
@@ -82,12 +82,12 @@
 #[test_case(false; "by nobody")]
 fn idle_router_sets_no_timer(answered: bool) {
     let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 9))]);
-    let mut s = router.borrow_mut();
-    let begun = s.now();
-    let request = submit_request(&mut s, 7);
-    assert!(s.dispatcher.begin_attempt(begun, request, 0));
+    let mut state = router.borrow_mut();
+    let begun = state.now();
+    let request = submit_request(&mut state, 7);
+    assert!(state.dispatcher.begin_attempt(begun, request, 0));
     if answered {
-        assert!(s.dispatcher.attempt_ended(
+        assert!(state.dispatcher.attempt_ended(
             begun + 0.1,
             request,
             0,
@@ -95,19 +95,19 @@
         ));
     }
     let (mut wakeups, mut ended) = (0, begun);
-    while let Some(next) = s.dispatcher.next_deadline() {
+    while let Some(next) = state.dispatcher.next_deadline() {
         wakeups += 1;
         // Twice as often as it looks at what is open.
         assert!(wakeups < 1000, "still due at {next}");
-        if s.dispatcher.open_requests() > 0 {
+        if state.dispatcher.open_requests() > 0 {
             ended = next;
         }
-        s.dispatcher.advance(next);
-        while let Some(action) = s.dispatcher.next_action() {
+        state.dispatcher.advance(next);
+        while let Some(action) = state.dispatcher.next_action() {
             assert!(!matches!(action, Action::HealthCheck { .. } | Action::LoadFunction { .. }));
         }
     }
-    assert_eq!(s.dispatcher.open_requests(), 0);
+    assert_eq!(state.dispatcher.open_requests(), 0);
     // The margin is taken off the time that a client waits: for the dispatcher's look at open requests and the way back.
     assert!(ended - begun < 2.0 + RESPONSE_MARGIN, "{ended}");
 }
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -247,10 +247,10 @@
         assert!(begun.elapsed() < LONGEST, "{:?}", router.borrow().dispatcher.counters());
         tokio::time::sleep(Duration::from_millis(1)).await;
         // The timer that the router runs beside its sockets.
-        let mut s = router.borrow_mut();
-        let now = s.now();
-        s.dispatcher.advance(now);
-        s.run_actions();
+        let mut state = router.borrow_mut();
+        let now = state.now();
+        state.dispatcher.advance(now);
+        state.run_actions();
     }
 }
 
--- a/crates/platform-router/src/worker_connections/close.rs
+++ b/crates/platform-router/src/worker_connections/close.rs
@@ -8,12 +8,12 @@
 
 impl PlatformRouter {
     /// Takes a connection away; its task ends by itself.
-    pub(super) fn remove_worker_connection(&mut self, key: usize) -> Option<WorkerConnection> {
-        let connection = self.worker_connections.try_remove(key)?;
+    pub(super) fn remove_worker_connection(&mut self, slot: usize) -> Option<WorkerConnection> {
+        let connection = self.worker_connections.try_remove(slot)?;
         connection.wake.notify_one();
-        if let Some(keys) = self.connections_by_worker.get_mut(&connection.worker) {
-            keys.retain(|&other| other != key);
-            if keys.is_empty() {
+        if let Some(slots) = self.connections_by_worker.get_mut(&connection.worker) {
+            slots.retain(|&other| other != slot);
+            if slots.is_empty() {
                 self.connections_by_worker.remove(&connection.worker);
             }
         }
@@ -21,8 +21,8 @@
     }
 
     /// A connection was not made, or broke before it took a byte: nothing that waited for it ran.
-    pub(super) fn connection_not_made(&mut self, key: usize, error: &WorkerConnectionError) {
-        let Some(connection) = self.remove_worker_connection(key) else { return };
+    pub(super) fn connection_not_made(&mut self, slot: usize, error: &WorkerConnectionError) {
+        let Some(connection) = self.remove_worker_connection(slot) else { return };
         tracing::debug!(worker = connection.worker, %error, "could not connect to a worker");
         let outcome = socket_errors::outcome(error.origin(), false);
         let outstanding = connection.outstanding.iter().map(|frame| frame.awaited);
@@ -33,11 +33,11 @@
 
     /// A connection broke or is of no more use. What was written whole may have run, and the rest did not. What is
     /// queued goes on another connection, unless this one broke before it took a byte: the next would as well.
-    pub(super) fn connection_broken(&mut self, key: usize, error: &WorkerConnectionError) {
-        if self.worker_connections.get(key).is_some_and(|connection| connection.bytes_written == 0) {
-            return self.connection_not_made(key, error);
+    pub(super) fn connection_broken(&mut self, slot: usize, error: &WorkerConnectionError) {
+        if self.worker_connections.get(slot).is_some_and(|connection| connection.bytes_written == 0) {
+            return self.connection_not_made(slot, error);
         }
-        let Some(connection) = self.remove_worker_connection(key) else { return };
+        let Some(connection) = self.remove_worker_connection(slot) else { return };
         let WorkerConnection { worker, bytes_written, outstanding, queue, .. } = connection;
         tracing::debug!(worker, %error, outstanding = outstanding.len(), "a connection to a worker broke");
         for frame in outstanding {
@@ -86,9 +86,9 @@
         };
         let connections = self.worker_connections.iter();
         let idle: Vec<_> =
-            connections.filter(|(_, connection)| is_idle(connection)).map(|(key, _)| key).collect();
-        for key in idle {
-            self.remove_worker_connection(key);
+            connections.filter(|(_, connection)| is_idle(connection)).map(|(slot, _)| slot).collect();
+        for slot in idle {
+            self.remove_worker_connection(slot);
         }
     }
 }
--- a/crates/platform-router/src/worker_connections/frame.rs
+++ b/crates/platform-router/src/worker_connections/frame.rs
@@ -25,8 +25,8 @@
 
 impl PlatformRouter {
     /// Makes the frame of what is next in a connection's queue, in its empty write buffer, if it may still go.
-    pub(super) fn make_frame(&mut self, key: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
-        let connection = &mut self.worker_connections[key];
+    pub(super) fn make_frame(&mut self, slot: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
+        let connection = &mut self.worker_connections[slot];
         let (worker, process) = (connection.worker, connection.process);
         if let Some(awaited) = frame.awaited_response()
             && self.dispatcher.worker_process(worker).process != process
@@ -36,14 +36,14 @@
             return FrameStatus::Done;
         }
         if let QueuedFrame::Attempt { request, .. } = frame
-            && !self.may_begin_attempt(request, key, now)
+            && !self.may_begin_attempt(request, slot, now)
         {
-            self.worker_connections[key].queue.push_front(frame);
+            self.worker_connections[slot].queue.push_front(frame);
             return FrameStatus::Deferred;
         }
-        let mut out = std::mem::take(&mut self.worker_connections[key].write_buffer.bytes);
-        let awaited = self.write_frame(key, &frame, &mut out, now);
-        let Some(connection) = self.worker_connections.get_mut(key) else { return FrameStatus::Deferred };
+        let mut out = std::mem::take(&mut self.worker_connections[slot].write_buffer.bytes);
+        let awaited = self.write_frame(slot, &frame, &mut out, now);
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return FrameStatus::Deferred };
         connection.bytes_made += out.len() as u64;
         connection.frame_source = (!out.is_empty()).then_some(frame);
         connection.write_buffer.bytes = out;
@@ -57,7 +57,7 @@
     /// Appends a frame to `out`: nothing where the dispatcher no longer wants it. Returns the response that it awaits.
     fn write_frame(
         &mut self,
-        key: usize,
+        slot: usize,
         frame: &QueuedFrame,
         out: &mut Vec<u8>,
         now: f64,
@@ -68,7 +68,7 @@
                 if !self.dispatcher.begin_load_request(now, *load_request) {
                     return None;
                 }
-                let id = self.new_frame_id(key);
+                let id = self.new_frame_id(slot);
                 frames::write_load_request(out, id, function, *instances);
                 Some(AwaitedId { id, awaited: AwaitedResponse::LoadRequest { load_request: *load_request } })
             }
@@ -79,7 +79,7 @@
                 None
             }
             QueuedFrame::HealthCheck { serial } => {
-                let id = self.new_frame_id(key);
+                let id = self.new_frame_id(slot);
                 frames::write_probe(out, id, self.load_reports);
                 Some(AwaitedId { id, awaited: AwaitedResponse::HealthCheck { serial: *serial } })
             }
@@ -113,13 +113,13 @@
     }
 
     /// An id for a frame of the router's own, which no client is likely to have chosen, and none has open here.
-    fn new_frame_id(&mut self, key: usize) -> u64 {
+    fn new_frame_id(&mut self, slot: usize) -> u64 {
         /// An odd multiplier spreads serial numbers over all ids, so that none follows from another by chance.
         const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
         loop {
             self.serial += 1;
             let id = self.serial.wrapping_mul(SPREAD);
-            if !self.worker_connections[key].uses_id(id) {
+            if !self.worker_connections[slot].uses_id(id) {
                 return id;
             }
         }
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -11,38 +11,38 @@
 
 impl PlatformRouter {
     /// The socket of a worker is readable.
-    pub fn on_worker_readable(&mut self, key: usize) {
-        let connection = self.worker_connections.get(key);
+    pub fn on_worker_readable(&mut self, slot: usize) {
+        let connection = self.worker_connections.get(slot);
         let Some(stream) = connection.and_then(|connection| connection.stream.clone()) else { return };
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         match self.sockets.read(&stream, &mut read_buffer) {
-            Ok(0) => self.connection_broken(key, &WorkerConnectionError::ClosedByWorker),
-            Ok(length) => self.receive_frames(key, &read_buffer[..length]),
-            Err(error) => self.read_failed(key, error),
+            Ok(0) => self.connection_broken(slot, &WorkerConnectionError::ClosedByWorker),
+            Ok(length) => self.receive_frames(slot, &read_buffer[..length]),
+            Err(error) => self.read_failed(slot, error),
         }
         self.read_buffer = read_buffer;
         self.run_actions();
     }
 
-    fn read_failed(&mut self, key: usize, source: io::Error) {
+    fn read_failed(&mut self, slot: usize, source: io::Error) {
         let now = self.now();
         match socket_errors::classify(Operation::Read, &source).recovery {
             Recovery::AwaitReadiness => {}
             Recovery::Retry => {
-                if let Some(connection) = self.worker_connections.get_mut(key) {
+                if let Some(connection) = self.worker_connections.get_mut(slot) {
                     connection.read_backoff.failed(now);
                 }
             }
             Recovery::Close => {
                 let error = WorkerConnectionError::Io { operation: Operation::Read, source };
-                self.connection_broken(key, &error);
+                self.connection_broken(slot, &error);
             }
         }
     }
 
-    fn receive_frames(&mut self, key: usize, bytes: &[u8]) {
+    fn receive_frames(&mut self, slot: usize, bytes: &[u8]) {
         let now = self.now();
-        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         let mut joined = std::mem::take(&mut connection.partial_frame);
         let bytes = if joined.is_empty() {
             bytes
@@ -50,31 +50,31 @@
             joined.extend_from_slice(bytes);
             &joined
         };
-        let partial_frame = match self.read_frames(key, bytes, now) {
+        let partial_frame = match self.read_frames(slot, bytes, now) {
             Ok(rest) => rest.to_vec(),
-            Err(error) => return self.connection_broken(key, &error),
+            Err(error) => return self.connection_broken(slot, &error),
         };
-        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         connection.last_used = now;
         connection.last_received = now;
         connection.read_backoff.succeeded();
         connection.partial_frame = partial_frame;
         connection.reservation.resize(connection.partial_frame.capacity());
         if connection.partial_frame.len() > RETAINED_CAPACITY && self.memory_budget.is_full() {
-            self.connection_broken(key, &WorkerConnectionError::NoMemory);
+            self.connection_broken(slot, &WorkerConnectionError::NoMemory);
         }
     }
 
     /// Handles all responses that came whole; returns the bytes after them.
     fn read_frames<'b>(
         &mut self,
-        key: usize,
+        slot: usize,
         mut bytes: &'b [u8],
         now: f64,
     ) -> Result<&'b [u8], WorkerConnectionError> {
         while let Some(Frame { response, length }) = frames::read(bytes)? {
             bytes = &bytes[length..];
-            self.on_response(key, &response, now)?;
+            self.on_response(slot, &response, now)?;
         }
         Ok(bytes)
     }
@@ -82,11 +82,11 @@
     /// One valid response. An unknown id is passed over: it is a second copy, or the response to what was cancelled.
     fn on_response(
         &mut self,
-        key: usize,
+        slot: usize,
         response: &WorkerResponse<'_>,
         now: f64,
     ) -> Result<(), WorkerConnectionError> {
-        let Some(connection) = self.worker_connections.get_mut(key) else { return Ok(()) };
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return Ok(()) };
         let Some(at) = connection.outstanding.iter().position(|frame| frame.id == response.id) else {
             return Ok(());
         };
--- a/crates/platform-router/src/worker_connections/send.rs
+++ b/crates/platform-router/src/worker_connections/send.rs
@@ -11,13 +11,13 @@
     /// Sends an attempt of a request to a worker.
     pub fn send_attempt(&mut self, request: RequestId, attempt: usize, worker: usize) {
         let Some(id) = self.dispatcher.context(request).map(|context| context.id) else { return };
-        let key = self.connection_for(worker, Some(id));
+        let slot = self.connection_for(worker, Some(id));
         if let Some(context) = self.dispatcher.context(request) {
             let attempts = context.worker_connections.len().max(attempt + 1);
             context.worker_connections.resize(attempts, usize::MAX);
-            context.worker_connections[attempt] = key;
+            context.worker_connections[attempt] = slot;
         }
-        self.enqueue(key, QueuedFrame::Attempt { request, attempt });
+        self.enqueue(slot, QueuedFrame::Attempt { request, attempt });
     }
 
     /// Asks a worker to load instances of a function.
@@ -28,33 +28,33 @@
         function: Arc<str>,
         instances: u8,
     ) {
-        let key = self.connection_for(worker, None);
-        self.enqueue(key, QueuedFrame::LoadRequest { load_request, function, instances });
+        let slot = self.connection_for(worker, None);
+        self.enqueue(slot, QueuedFrame::LoadRequest { load_request, function, instances });
     }
 
     /// Asks a worker to unload a function.
     pub fn send_unload(&mut self, worker: usize, function: Arc<str>) {
-        let key = self.connection_for(worker, None);
-        self.enqueue(key, QueuedFrame::Unload { function });
+        let slot = self.connection_for(worker, None);
+        self.enqueue(slot, QueuedFrame::Unload { function });
     }
 
     /// Sends a health check to a worker.
     pub fn send_health_check(&mut self, worker: usize, serial: u64) {
-        let key = self.connection_for(worker, None);
-        self.enqueue(key, QueuedFrame::HealthCheck { serial });
+        let slot = self.connection_for(worker, None);
+        self.enqueue(slot, QueuedFrame::HealthCheck { serial });
     }
 
     /// Cancels an attempt that the dispatcher counts as ended: it is taken off the queue if nothing of it was written,
     /// and its worker is told otherwise.
     pub fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
-        let Some(key) = self
+        let Some(slot) = self
             .dispatcher
             .context(request)
             .and_then(|context| context.worker_connections.get(attempt).copied())
         else {
             return;
         };
-        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         if connection.remove_queued_attempt(request, attempt) {
             tracing::debug!(
                 worker = connection.worker,
@@ -66,27 +66,27 @@
         }
         let Some(id) = connection.finish_attempt(request, attempt) else { return };
         if self.sends_cancels {
-            self.enqueue(key, QueuedFrame::Cancel { id });
+            self.enqueue(slot, QueuedFrame::Cancel { id });
         }
     }
 
-    fn enqueue(&mut self, key: usize, frame: QueuedFrame) {
+    fn enqueue(&mut self, slot: usize, frame: QueuedFrame) {
         let now = self.now();
-        let connection = &mut self.worker_connections[key];
+        let connection = &mut self.worker_connections[slot];
         connection.last_used = now;
         connection.queue.push_back(frame);
-        self.flush_worker(key);
+        self.flush_worker(slot);
     }
 
     /// The connection on which one more frame for a worker goes, where need be a new one. `id` is that of a request.
     fn connection_for(&mut self, worker: usize, id: Option<u64>) -> usize {
         let WorkerProcess { address, process } = self.dispatcher.worker_process(worker);
         let usable = self.usable_connections(worker, process, id);
-        if let Some(key) = self.existing_while_connect_fails(&usable) {
-            return key;
+        if let Some(slot) = self.existing_while_connect_fails(&usable) {
+            return slot;
         }
         let now = self.now();
-        let usage = usable.iter().map(|&key| self.worker_connections[key].usage());
+        let usage = usable.iter().map(|&slot| self.worker_connections[slot].usage());
         let chosen = self.connection_limits.choose_connection(now, usage, self.worker_connections.len());
         match chosen {
             Some(at) => usable[at],
@@ -98,8 +98,8 @@
     /// same id, by which their responses could not be told apart.
     fn usable_connections(&self, worker: usize, process: u64, id: Option<u64>) -> Vec<usize> {
         let known = self.connections_by_worker.get(&worker).into_iter().flatten().copied();
-        let is_usable = |key: &usize| {
-            let connection = &self.worker_connections[*key];
+        let is_usable = |slot: &usize| {
+            let connection = &self.worker_connections[*slot];
             connection.process == process && id.is_none_or(|id| !connection.uses_id(id))
         };
         known.filter(is_usable).collect()
@@ -108,9 +108,9 @@
     /// While no connection to a worker can be made for a local reason, the least loaded one that is connected, or else
     /// the one that is still tried: another would fail alike.
     fn existing_while_connect_fails(&self, usable: &[usize]) -> Option<usize> {
-        let failing = usable.iter().copied().find(|&key| self.worker_connections[key].connect_failing)?;
-        let connected = usable.iter().copied().filter(|&key| self.worker_connections[key].stream.is_some());
-        Some(connected.min_by_key(|&key| self.worker_connections[key].attempts()).unwrap_or(failing))
+        let failing = usable.iter().copied().find(|&slot| self.worker_connections[slot].connect_failing)?;
+        let connected = usable.iter().copied().filter(|&slot| self.worker_connections[slot].stream.is_some());
+        Some(connected.min_by_key(|&slot| self.worker_connections[slot].attempts()).unwrap_or(failing))
     }
 
     /// Opens a connection; at the limit the longest idle one, of whatever worker, is closed for it.
@@ -118,19 +118,19 @@
         if self.worker_connections.len() >= self.connection_limits.worker_connections {
             let idle = self.worker_connections.iter().filter(|(_, connection)| connection.is_unused());
             let longest = idle.min_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used));
-            if let Some(key) = longest.map(|(key, _)| key) {
-                self.remove_worker_connection(key);
+            if let Some(slot) = longest.map(|(slot, _)| slot) {
+                self.remove_worker_connection(slot);
             }
         }
         let reservation = self.memory_budget.reserve(0);
         let connection =
             WorkerConnection::new(worker, process, reservation, self.now(), self.connect_timeout);
         let wake = connection.wake.clone();
-        let key = self.worker_connections.insert(connection);
-        self.connections_by_worker.entry(worker).or_default().push(key);
+        let slot = self.worker_connections.insert(connection);
+        self.connections_by_worker.entry(worker).or_default().push(slot);
         if let Some(router) = self.weak_self.upgrade() {
-            spawn_local(task::run_connection(router, key, address, wake));
+            spawn_local(task::run_connection(router, slot, address, wake));
         }
-        key
+        slot
     }
 }
--- a/crates/platform-router/src/worker_connections/task.rs
+++ b/crates/platform-router/src/worker_connections/task.rs
@@ -22,24 +22,24 @@
 /// Identifies the connection of a task: another one may have its slot once it was removed.
 #[derive(Clone)]
 struct ConnectionHandle {
-    key: usize,
+    slot: usize,
     wake: Rc<Notify>,
 }
 
 impl ConnectionHandle {
     fn get<'r>(&self, router: &'r PlatformRouter) -> Option<&'r WorkerConnection> {
-        router.worker_connections.get(self.key).filter(|connection| Rc::ptr_eq(&connection.wake, &self.wake))
+        router.worker_connections.get(self.slot).filter(|connection| Rc::ptr_eq(&connection.wake, &self.wake))
     }
 
     fn get_mut<'r>(&self, router: &'r mut PlatformRouter) -> Option<&'r mut WorkerConnection> {
-        let connection = router.worker_connections.get_mut(self.key);
+        let connection = router.worker_connections.get_mut(self.slot);
         connection.filter(|connection| Rc::ptr_eq(&connection.wake, &self.wake))
     }
 }
 
 /// Makes a connection and serves it until it is removed, upon which `wake` is notified.
-pub(super) async fn run_connection(router: SharedRouter, key: usize, address: SocketAddr, wake: Rc<Notify>) {
-    let handle = ConnectionHandle { key, wake };
+pub(super) async fn run_connection(router: SharedRouter, slot: usize, address: SocketAddr, wake: Rc<Notify>) {
+    let handle = ConnectionHandle { slot, wake };
     let result = tokio::select! {
         result = connect(&router, &handle, address) => result,
         // Before it is connected it is woken only where it was removed: its descriptor is needed for another.
@@ -54,10 +54,10 @@
     }
     while let Some(conditions) = wait_conditions(&router, &handle) {
         tokio::select! {
-            _ = stream.readable(), if conditions.reads => router.borrow_mut().on_worker_readable(key),
+            _ = stream.readable(), if conditions.reads => router.borrow_mut().on_worker_readable(slot),
             _ = stream.writable(), if conditions.writes => {
                 let mut router = router.borrow_mut();
-                router.flush_worker(key);
+                router.flush_worker(slot);
                 router.run_actions();
             }
             () = tokio::time::sleep(conditions.pause.unwrap_or_default()), if conditions.pause.is_some() => {}
@@ -72,7 +72,7 @@
     let Some(connection) = handle.get_mut(&mut router) else { return false };
     connection.stream = Some(stream.clone());
     connection.connect_failing = false;
-    router.flush_worker(handle.key);
+    router.flush_worker(handle.slot);
     router.run_actions();
     true
 }
@@ -129,7 +129,7 @@
     let Some(connection) = handle.get_mut(&mut router) else { return false };
     connection.connect_failing = true;
     if exhausted {
-        router.fail_queued_as_unsent(handle.key);
+        router.fail_queued_as_unsent(handle.slot);
         router.run_actions();
     }
     let is_awaited = |connection: &WorkerConnection| {
@@ -142,7 +142,7 @@
     let mut router = router.borrow_mut();
     if handle.get(&router).is_some() {
         let error = WorkerConnectionError::Io { operation: Operation::Connect, source };
-        router.connection_not_made(handle.key, &error);
+        router.connection_not_made(handle.slot, &error);
         router.run_actions();
     }
 }
--- a/crates/platform-router/src/worker_connections/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -43,16 +43,16 @@
             filler += n;
         }
         let stream = Rc::new(stream);
-        let key = {
-            let mut s = router.borrow_mut();
-            let process = s.dispatcher.worker_process(0).process;
-            let mut connection = WorkerConnection::new(0, process, s.memory_budget.reserve(0), 0.0, 0.25);
+        let slot = {
+            let mut state = router.borrow_mut();
+            let process = state.dispatcher.worker_process(0).process;
+            let mut connection = WorkerConnection::new(0, process, state.memory_budget.reserve(0), 0.0, 0.25);
             connection.stream = Some(stream.clone());
-            let key = s.worker_connections.insert(connection);
-            s.connections_by_worker.entry(0).or_default().push(key);
-            let tags = [5, 6].map(|id| submit_request(&mut s, id));
-            s.run_actions();
-            let connection = &s.worker_connections[key];
+            let slot = state.worker_connections.insert(connection);
+            state.connections_by_worker.entry(0).or_default().push(slot);
+            let tags = [5, 6].map(|id| submit_request(&mut state, id));
+            state.run_actions();
+            let connection = &state.worker_connections[slot];
             assert_eq!(
                 (
                     connection.queue.len(),
@@ -62,20 +62,20 @@
                 ),
                 (2, 0, 0, 0)
             );
-            let now = s.now();
-            s.dispatcher.client_gone(now, tags[0]);
-            s.run_actions();
-            key
+            let now = state.now();
+            state.dispatcher.client_gone(now, tags[0]);
+            state.run_actions();
+            slot
         };
         let mut read = vec![0; filler];
         worker.read_exact(&mut read).unwrap();
         stream.writable().await.unwrap();
-        router.borrow_mut().flush_worker(key);
+        router.borrow_mut().flush_worker(slot);
         let mut head = [0; 16];
         worker.read_exact(&mut head).unwrap();
         assert_eq!((head[1], head[15]), (2, 6), "the one that was not cancelled");
-        let s = router.borrow();
-        let connection = &s.worker_connections[key];
+        let state = router.borrow();
+        let connection = &state.worker_connections[slot];
         assert_eq!((connection.queue.len(), connection.outstanding.len()), (0, 1));
         assert_eq!(connection.bytes_made, connection.bytes_written);
     });
@@ -113,28 +113,28 @@
             filler += n;
         }
         let stream = Rc::new(stream);
-        let (key, arrived) = {
-            let mut s = router.borrow_mut();
-            let process = s.dispatcher.worker_process(0).process;
-            let mut connection = WorkerConnection::new(0, process, s.memory_budget.reserve(0), 0.0, 3.0);
+        let (slot, arrived) = {
+            let mut state = router.borrow_mut();
+            let process = state.dispatcher.worker_process(0).process;
+            let mut connection = WorkerConnection::new(0, process, state.memory_budget.reserve(0), 0.0, 3.0);
             connection.stream = Some(stream.clone());
-            let key = s.worker_connections.insert(connection);
-            s.connections_by_worker.entry(0).or_default().push(key);
-            let arrived = s.now();
+            let slot = state.worker_connections.insert(connection);
+            state.connections_by_worker.entry(0).or_default().push(slot);
+            let arrived = state.now();
             for id in 1..=10 {
-                submit_request(&mut s, id);
+                submit_request(&mut state, id);
             }
-            s.run_actions();
-            (key, arrived)
+            state.run_actions();
+            (slot, arrived)
         };
-        let queued = router.borrow().worker_connections[key].queue.len();
+        let queued = router.borrow().worker_connections[slot].queue.len();
         assert!(queued > 1, "{queued}");
         tokio::time::sleep(std::time::Duration::from_secs(1)).await;
         let mut read = vec![0; filler];
         worker.read_exact(&mut read).unwrap();
         stream.writable().await.unwrap();
         let remaining = arrived + 2.0 - router.borrow().now();
-        router.borrow_mut().flush_worker(key);
+        router.borrow_mut().flush_worker(slot);
         for _ in 0..queued {
             let mut head = [0; 16];
             worker.read_exact(&mut head).unwrap();
--- a/crates/platform-router/src/worker_connections/write.rs
+++ b/crates/platform-router/src/worker_connections/write.rs
@@ -20,23 +20,23 @@
 impl PlatformRouter {
     /// Writes what is queued for a worker, as far as the socket takes it: frame by frame, so that what is cancelled
     /// before its first byte was written is not sent, however long the worker takes nothing.
-    pub fn flush_worker(&mut self, key: usize) {
+    pub fn flush_worker(&mut self, slot: usize) {
         loop {
             let now = self.now();
-            if self.write_buffered(key, now) == WriteStatus::Stopped {
+            if self.write_buffered(slot, now) == WriteStatus::Stopped {
                 return;
             }
-            let Some(connection) = self.worker_connections.get_mut(key) else { return };
+            let Some(connection) = self.worker_connections.get_mut(slot) else { return };
             connection.frame_source = None;
             if connection.queue.is_empty() {
                 return;
             }
             // Written into a connection that its worker has closed, an attempt would count as one that may have run.
             if connection.is_closed_by_worker() {
-                return self.connection_broken(key, &WorkerConnectionError::ClosedByWorker);
+                return self.connection_broken(slot, &WorkerConnectionError::ClosedByWorker);
             }
             if let Some(frame) = connection.queue.pop_front()
-                && self.make_frame(key, frame, now) == FrameStatus::Deferred
+                && self.make_frame(slot, frame, now) == FrameStatus::Deferred
             {
                 return;
             }
@@ -44,8 +44,8 @@
     }
 
     /// Writes the frame that was made, as far as the socket takes it.
-    fn write_buffered(&mut self, key: usize, now: f64) -> WriteStatus {
-        let Some(connection) = self.worker_connections.get_mut(key) else { return WriteStatus::Stopped };
+    fn write_buffered(&mut self, slot: usize, now: f64) -> WriteStatus {
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return WriteStatus::Stopped };
         let Some(stream) = connection.stream.clone() else { return WriteStatus::Stopped };
         if connection.write_backoff.pauses_until(now).is_some() {
             return WriteStatus::Stopped;
@@ -60,35 +60,35 @@
             connection.write_backoff.succeeded();
         }
         if let Err(error) = result {
-            self.write_failed(key, error, now);
+            self.write_failed(slot, error, now);
             return WriteStatus::Stopped;
         }
         if connection.write_buffer.remaining() > 0 {
             connection.wake.notify_one();
-            self.requeue_unsent(key, now);
+            self.requeue_unsent(slot, now);
             return WriteStatus::Stopped;
         }
         WriteStatus::Ready
     }
 
-    fn write_failed(&mut self, key: usize, source: io::Error, now: f64) {
+    fn write_failed(&mut self, slot: usize, source: io::Error, now: f64) {
         if socket_errors::classify(Operation::Write, &source).recovery == Recovery::Close {
             let error = WorkerConnectionError::Io { operation: Operation::Write, source };
-            return self.connection_broken(key, &error);
+            return self.connection_broken(slot, &error);
         }
-        self.requeue_unsent(key, now);
-        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+        self.requeue_unsent(slot, now);
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         connection.write_backoff.failed(now);
         connection.wake.notify_one();
         if connection.write_backoff.exhausted(now) {
-            self.fail_queued_as_unsent(key);
+            self.fail_queued_as_unsent(slot);
         }
     }
 
     /// Ends what is queued on a connection as never sent: for a local reason its turn does not come soon. What awaits
     /// no response stays queued.
-    pub(super) fn fail_queued_as_unsent(&mut self, key: usize) {
-        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+    pub(super) fn fail_queued_as_unsent(&mut self, slot: usize) {
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         let worker = connection.worker;
         let awaited: Vec<_> = connection.queue.iter().filter_map(QueuedFrame::awaited_response).collect();
         connection.queue.retain(|frame| frame.awaited_response().is_none());
@@ -99,8 +99,8 @@
 
     /// A frame of which no byte was written has not begun: it is queued again, and the dispatcher is asked about it
     /// anew.
-    fn requeue_unsent(&mut self, key: usize, now: f64) {
-        let Some(connection) = self.worker_connections.get_mut(key) else { return };
+    fn requeue_unsent(&mut self, slot: usize, now: f64) {
+        let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         if connection.write_buffer.is_partially_written() {
             return;
         }
