--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -7,7 +7,7 @@
 //! - `backoff`, `connection_limits`, `memory_budget`, `request_ids_seen`, `shutdown`, `socket_errors`: rules without
 //!   I/O. They take times and sizes as arguments and are tested without sockets.
 //! - `sockets`, `write_buffer`: the system calls on a connection, and the bytes on their way to it.
-//! - `platform_router`: the state, [`PlatformRouter`](platform_router::PlatformRouter), with one type for a connection
+//! - `platform_router`: the state, `PlatformRouter`, with one type for a connection
 //!   of a client, one for a connection to a worker, and one for what is kept of a request.
 //! - `client_connections`, `worker_connections`: how the two kinds of connections are opened, read, written and closed.
 //! - `actions`: carries out what the dispatcher decides.
