--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The router on the platform. One thread of sockets tells one [`Dispatcher`](milletpath_dispatcher::dispatcher::Desk) what happens
+//! The router on the platform. One thread of sockets tells one [`Dispatcher`](milletpath_dispatcher::dispatcher::Dispatcher) what happens
 //! and carries out its acts; every routing decision is the desk's. Clients come in at `door.rs`, workers are reached
 //! through `link.rs`, the list is followed in `bulletin.rs`. What else must be decided is free of I/O: `numbers.rs`,
 //! `room.rs` (bytes in all buffers), `keeping.rs` (which connections to open and close), `shutdown.rs` (the times of
