--- a/crates/witness/src/fleet.rs
+++ b/crates/witness/src/fleet.rs
@@ -62,11 +62,14 @@
     let mut bounds =
         BTreeMap::from([("letter-bytes", Bound::default()), ("letters-a-second", Bound::default())]);
     letters(records, &mut bounds);
-    let mut intake = Bound::default();
-    cold(records, &shared.terms, |Window { at, worker, sum, most, .. }| {
-        intake.see(at, sum, most, || format!("worker {worker} was sent {sum:.2} s of work for {most:.2}"));
+    let (mut work, mut calls) = (Bound::default(), Bound::default());
+    cold(records, &shared.terms, |Window { at, worker, shots, sum, most, most_shots, .. }| {
+        work.see(at, sum, most, || format!("worker {worker} was sent {sum:.2} s of work for {most:.2}"));
+        calls.see(at, shots as f64, most_shots, || {
+            format!("worker {worker} was sent {shots} calls for {most_shots:.1}")
+        });
     });
-    bounds.insert("cold", intake);
+    bounds.extend([("cold", work), ("cold-calls", calls)]);
     bounds.extend(shared.ration.map(|ration| ("orders", budgets::orders(records, shared, ration))));
     bounds.extend(shared.retries.map(|retries| ("retries", budgets::retries(records, shared, retries))));
     bounds.extend(shared.in_flight.map(|most| ("in-flight", budgets::in_flight(records, shared, most))));
--- a/crates/witness/src/lib.rs
+++ b/crates/witness/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use fleet::{Bound, Known, Shared, Times, bounds, known};
 
-pub use rules::{Broken, Terms, Window, check, cold};
+pub use rules::{Broken, Terms, Window, check, cold, slow_start_limit};
 pub use service::{Account, Counts, count, latencies};
 
 use serde::{Deserialize, Serialize};
--- a/crates/witness/src/rules.rs
+++ b/crates/witness/src/rules.rs
@@ -43,8 +43,12 @@
 /// When a try was asked, and when and how it ended.
 type Tries = BTreeMap<(u64, u32), (f64, Option<(f64, Ended)>)>;
 
+/// Seconds after a client has closed or cancelled in which an attempt for it may still begin.
+const CLIENT_GONE: f64 = 0.1;
+
 /// Rule 1: every try that a gateway took gets one final answer within the client's time, and nothing is sent for
-/// it afterwards. A try whose gateway was killed meanwhile is its client's to repeat.
+/// it afterwards; once its client has gone for 0.1 s at the most, however late the stand-ins of a day may be. A try whose
+/// gateway was killed meanwhile is its client's to repeat.
 fn answered_once(records: &[Record], terms: &Terms, broken: &mut Vec<Broken>) {
     let mut killed: BTreeMap<usize, f64> = BTreeMap::new();
     // When a gateway last moved again after it had stood still; endless while it does.
@@ -93,7 +97,11 @@
             }
             Saw::Came { call, attempt, gateway, worker, .. } => {
                 let ended = tries.get(&(call, attempt)).and_then(|(_, ended)| *ended);
-                if let Some((when, how)) = ended.filter(|(when, _)| at - when > terms.lag) {
+                let slack = |how| match how {
+                    Ended::Left | Ended::Unanswered => terms.lag.min(CLIENT_GONE),
+                    _ => terms.lag,
+                };
+                if let Some((when, how)) = ended.filter(|(when, how)| at - when > slack(*how)) {
                     let late = at - when;
                     let what = format!(
                         "call {call}.{attempt} was {how:?}, and {late:.3} s later gateway {gateway} sent it to \
@@ -189,20 +197,32 @@
 }
 
 /// Rule 4: what all gateways send a worker that started lately stays, over any window, within the multiple of what
-/// it can do at that moment.
+/// it can do at that moment: by the work of the calls, and by their number. It binds however few or many gateways there
+/// are, and whether or not they had been notified of the start.
 fn cold_not_pushed_over(records: &[Record], terms: &Terms, broken: &mut Vec<Broken>) {
     let mut fallen: BTreeMap<usize, f64> = BTreeMap::new();
-    cold(records, terms, |Window { at, worker, sum, most, .. }| {
+    cold(records, terms, |Window { at, worker, shots, sum, most, most_shots, .. }| {
+        let over = sum > most || shots as f64 > most_shots;
         // It has fallen once, until it starts anew.
-        if sum > most && fallen.insert(worker, at).is_none_or(|before| at - before > terms.warm_up) {
-            let what = format!("worker {worker} was sent {sum:.2} s of work while cold, for {most:.2}");
+        if over && fallen.insert(worker, at).is_none_or(|before| at - before > terms.warm_up) {
+            let what = format!(
+                "worker {worker} was sent {sum:.2} s of work while cold, for {most:.2}, in {shots} calls, for \
+                 {most_shots:.1}"
+            );
             broken.push(Broken { rule: 4, at, what });
         }
     });
 }
 
+/// Calls of mean work within one window at which a worker in slow start falls over, where the settings allow it `allowed`.
+pub fn slow_start_limit(allowed: f64) -> f64 {
+    /// Under so many calls chance is allowed more.
+    const FEW: f64 = 30.0;
+    if allowed < FEW { allowed + 3.0 * allowed.sqrt() + 3.0 } else { allowed + 2.0 * allowed.sqrt() + 2.0 }
+}
+
 /// What a cold worker was sent in the stated window up to a shot: how many shots, of how much work; what it may be by its
-/// budget, and the most that chance beyond that explains.
+/// budget, and the most that chance beyond that explains, in work and in shots of mean work.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     pub at: f64,
@@ -211,6 +231,7 @@
     pub sum: f64,
     pub budget: f64,
     pub most: f64,
+    pub most_shots: f64,
 }
 
 /// The windows of workers that started lately: one at each shot that came.
@@ -249,8 +270,9 @@
                 }
                 let warmth = terms.cold_share + (1.0 - terms.cold_share) * age / terms.warm_up.max(1e-9);
                 let budget = terms.tip_multiple * c.capacity * warmth * terms.tip_window;
-                let most = budget + CHANCE * works / shots;
-                see(Window { at: *at, worker, shots: c.sent.len(), sum: c.sum, budget, most });
+                let mean = works / shots;
+                let (most, most_shots) = (budget + CHANCE * mean, slow_start_limit(budget / mean.max(1e-9)));
+                see(Window { at: *at, worker, shots: c.sent.len(), sum: c.sum, budget, most, most_shots });
             }
             _ => {}
         }
--- a/crates/witness/tests/rejects.rs
+++ b/crates/witness/tests/rejects.rs
@@ -81,6 +81,61 @@
     assert!(broken.iter().any(|b| b.rule == rule), "{broken:?}");
 }
 
+/// A day on which stand-ins may be two seconds late: of a client that closed, an attempt over 0.1 s later is found all the
+/// same; of one that was answered it may have been on its way.
+#[test_case(Ended::Left, 0.15, true; "the client closed")]
+#[test_case(Ended::Unanswered, 0.15, true; "the client gave up")]
+#[test_case(Ended::Left, 0.05, false; "the client closed a moment ago")]
+#[test_case(Ended::Handled, 0.15, false; "the client was answered")]
+fn an_attempt_for_a_client_that_has_gone_is_found_on_every_day(how: Ended, later: f64, found: bool) {
+    let day = with(vec![
+        (6.0, call(9, Effect::Pure)),
+        (6.0, asked(9, 0)),
+        (6.5, ended(9, how)),
+        (6.5 + later, came(9, 0)),
+    ]);
+    let broken = check(&day, &Terms { lag: 2.0, ..TERMS });
+    let late = |b: &milletpath_witness::Broken| b.rule == 1 && b.what.contains("s later gateway");
+    assert_eq!(broken.iter().any(late), found, "{broken:?}");
+}
+
+/// A cold worker that is allowed 64 calls of mean work, by any number of gateways: one call over the bound is found,
+/// also where the calls that it is sent are light ones.
+#[test_case(1, 0.01, 82, false; "one gateway, as many light calls as there may be")]
+#[test_case(1, 0.01, 83, true; "one gateway, one light call more")]
+#[test_case(24, 0.01, 83, true; "two dozen gateways, one light call more")]
+#[test_case(300, 0.01, 83, true; "three hundred gateways, one light call more")]
+#[test_case(1, 0.1, 66, false; "one gateway, as many calls of mean work as there may be")]
+#[test_case(1, 0.1, 69, true; "one gateway, calls of mean work past chance")]
+fn a_cold_worker_s_calls_are_counted_however_few_gateways_there_are(
+    gateways: usize,
+    work: f64,
+    calls: usize,
+    found: bool,
+) {
+    let terms = Terms { cold_share: 0.2, warm_up: 1e9, tip_multiple: 2.0, ..TERMS };
+    let at = |at: f64, saw: Saw| Record { at, saw };
+    let mut day = vec![at(0.0, Saw::Started { worker: 0, capacity: 1e3, warm: true })];
+    // Thousands of calls elsewhere, so that the mean work is known to a hundredth: 0.1 s.
+    let elsewhere = |n: u64| Saw::Came { call: n, attempt: 0, gateway: 0, worker: 0, work: 0.1 };
+    day.extend((0..200_000).map(|n| at(0.1, elsewhere(n))));
+    day.push(at(1.0, Saw::Started { worker: 1, capacity: 16.0, warm: false }));
+    let cold = |n: usize| Saw::Came { call: n as u64, attempt: 0, gateway: n % gateways, worker: 1, work };
+    day.extend((0..calls).map(|n| at(1.0 + n as f64 / 1e3, cold(n))));
+    let broken = check(&day, &terms);
+    assert_eq!(broken.iter().any(|b| b.rule == 4), found, "{broken:?}");
+}
+
+/// The limit of the standing test: N + 2 x root of N + 2, under thirty N + 3 x root of N + 3.
+#[test_case(0.0, 3.0)]
+#[test_case(4.0, 13.0)]
+#[test_case(25.0, 43.0)]
+#[test_case(36.0, 50.0)]
+#[test_case(100.0, 122.0)]
+fn the_limit_of_a_slow_start(allowed: f64, limit: f64) {
+    assert!((milletpath_witness::slow_start_limit(allowed) - limit).abs() < 1e-9);
+}
+
 /// What looks like a broken rule and is none.
 #[test_case(vec![(6.0, asked(9, 0)), (6.0, call(9, Effect::Pure)), (7.0, Saw::Killed { gateway: 0 }), (7.1, ended(9, Ended::Broken))]; "its gateway was killed")]
 #[test_case(vec![(6.0, call(9, Effect::Pure)), (6.0, asked(9, 0)), (8.0, Saw::Still { gateway: 0 }), (9.0, ended(9, Ended::Unanswered)), (9.5, Saw::Moves { gateway: 0 })]; "its gateway stands still")]
