--- a/crates/policy/src/fading.rs
+++ b/crates/policy/src/decay.rs
@@ -7,6 +7,9 @@
     pub at: f64,
 }
 
+/// Half life in seconds of the counts behind rates: what turns hot shows within a second or two.
+pub(crate) const RATE_HALF: f64 = 3.0;
+
 impl Fading {
     pub fn now(&self, now: f64, half: f64) -> f64 {
         self.sum * (-(now - self.at).max(0.0) / half).exp2()
--- /dev/null
+++ b/crates/policy/src/hash_ring.rs
@@ -0,0 +1,54 @@
+//! A consistent-hashing ring of the workers that are ready (Karger et al. 1997): every router finds the same order of workers
+//! for a function, and a worker that leaves moves only what it had.
+
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+/// Points of a worker on the ring: shares are even, and a lost worker's functions go to several.
+const POINTS: u64 = 32;
+
+struct Point {
+    hash: u64,
+    worker: usize,
+}
+
+#[derive(Default)]
+pub(crate) struct HashRing {
+    points: Vec<Point>,
+    /// Counts the times that the ring was built.
+    edition: u64,
+}
+
+impl HashRing {
+    /// Builds the ring from workers and the functions of their names that are the same on every router.
+    pub(crate) fn build(&mut self, workers: impl Iterator<Item = usize>, name: impl Fn(usize) -> u64) {
+        let point =
+            |worker: usize, n| Point { hash: xxh3_64_with_seed(&name(worker).to_le_bytes(), n), worker };
+        self.points =
+            workers.flat_map(|w| (0..POINTS).map(move |n| (w, n))).map(|(w, n)| point(w, n)).collect();
+        self.points.sort_unstable_by_key(|point| (point.hash, name(point.worker)));
+        self.edition += 1;
+    }
+
+    /// Workers on the ring.
+    pub(crate) fn workers(&self) -> f64 {
+        self.points.len() as f64 / POINTS as f64
+    }
+
+    pub(crate) fn edition(&self) -> u64 {
+        self.edition
+    }
+
+    /// Fills `order` with the workers in the order in which they follow the hash of a key. `known` is above any worker's
+    /// index.
+    pub(crate) fn walk(&self, key: u64, known: usize, order: &mut Vec<usize>) {
+        order.clear();
+        let home = xxh3_64_with_seed(&key.to_le_bytes(), 0);
+        let from = self.points.partition_point(|point| point.hash < home);
+        let mut met = vec![false; known];
+        for point in self.points[from..].iter().chain(&self.points[..from]) {
+            if !std::mem::replace(&mut met[point.worker], true) {
+                order.push(point.worker);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/random.rs
@@ -0,0 +1,16 @@
+//! The one source of chance of a router: a seeded generator, so that the same events give the same decisions.
+
+use oorandom::Rand64;
+
+pub(crate) struct Random(Rand64);
+
+impl Random {
+    pub(crate) fn new(seed: u64) -> Self {
+        Self(Rand64::new(u128::from(seed)))
+    }
+
+    /// A draw from 0 up to 1.
+    pub(crate) fn luck(&mut self) -> f64 {
+        self.0.rand_float()
+    }
+}
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -175,7 +175,8 @@
             }
         }
     }
-    let most = begun.iter().map(|from| begun.iter().filter(|at| (*from..*from + window).contains(*at)).count());
+    let most =
+        begun.iter().map(|from| begun.iter().filter(|at| (*from..*from + window).contains(*at)).count());
     let most = most.max().unwrap_or(0) as f64;
     let bound = n + 2.0 * n.sqrt() + 2.0;
     assert!(most > 0.4 * n, "{most} of {n}");
