--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,86 +1,107 @@
 //! Dispatch: the rules that every attempt keeps, and the one place where attempts are sent.
 
 use crate::effects::{Budget, Host};
-use crate::request_state::{Activation, Shot};
+use crate::request_state::{Attempt, Request};
 use crate::retry;
 use crate::router_state::RouterState;
 
 impl RouterState {
     /// Whether so many shots of ours may be out at a worker, as far as the bound on all that are goes.
-    fn may_hold(&self, now: f64, w: usize, out: usize) -> bool {
-        self.hand.is_infinite() || out as f64 <= self.budgets.allowed(now, Budget::Hand(w), self.hand)
+    fn within_in_flight_limit(&self, now: f64, worker: usize, in_flight: usize) -> bool {
+        self.max_in_flight.is_infinite()
+            || in_flight as f64 <= self.budgets.allowed(now, Budget::Hand(worker), self.max_in_flight)
     }
 
     /// Whether rules and sense allow yet another shot, on some worker.
-    pub(crate) fn may_go_on(&self, now: f64, id: usize) -> bool {
-        self.activations.get(id).is_some_and(|a| {
-            let effect = self.profiles[a.profile].effect;
-            self.retry.may_go_on(now, a, effect, self.functions.sound(a.function))
+    pub(crate) fn may_attempt_again(&self, now: f64, id: usize) -> bool {
+        self.requests.get(id).is_some_and(|request| {
+            let effect = self.profiles[request.profile].effect;
+            self.retry.may_attempt_again(now, request, effect, self.functions.has_succeeded(request.function))
         })
     }
 
     /// Whether its client group's ceiling lets a request through; if not, it learns when to come.
-    pub(crate) fn may_pass(&mut self, now: f64, id: usize) -> bool {
-        let Some(a) = self.activations.get_mut(id) else { return false };
-        self.admission.may_pass(now, a, &mut self.budgets, &mut self.random)
+    pub(crate) fn within_rate_limit(&mut self, now: f64, id: usize) -> bool {
+        let Some(request) = self.requests.get_mut(id) else { return false };
+        self.admission.within_rate_limit(now, request, &mut self.budgets, &mut self.random)
     }
 
     /// Whether a request may have a further shot as far as the budget of those goes.
-    pub(crate) fn may_repeat(&mut self, now: f64, id: usize) -> bool {
-        let first = self.activations.get(id).is_none_or(|a| a.shots.is_empty());
-        self.retry.may_repeat(now, first, &mut self.budgets)
+    pub(crate) fn within_retry_budget(&mut self, now: f64, id: usize) -> bool {
+        let first = self.requests.get(id).is_none_or(|request| request.attempts.is_empty());
+        self.retry.within_retry_budget(now, first, &mut self.budgets)
     }
 
     /// The rules that every shot keeps: number, time, repeats, list state, and the budget of a cold worker.
-    pub(crate) fn may_shoot(&mut self, now: f64, id: usize, w: usize) -> bool {
-        let Some(a) = self.activations.get(id) else { return false };
-        let effect = self.profiles[a.profile].effect;
-        let allowed = self.may_go_on(now, id)
-            && self.fleet[w].is_ready()
-            && retry::may_meet(a, effect, w, &self.fleet[w])
-            && self.slow_start.cold_room(now, w, &mut self.fleet, &mut self.throughput, &mut self.random);
-        let held = allowed && !self.may_hold(now, w, self.fleet[w].out + 1);
-        if held {
-            self.budgets.lack(Budget::Hand(w));
+    pub(crate) fn may_attempt(&mut self, now: f64, id: usize, worker: usize) -> bool {
+        let Some(request) = self.requests.get(id) else { return false };
+        let effect = self.profiles[request.profile].effect;
+        let allowed = self.may_attempt_again(now, id)
+            && self.workers[worker].is_ready()
+            && retry::may_run_on(request, effect, worker, &self.workers[worker])
+            && self.slow_start.has_capacity(
+                now,
+                worker,
+                &mut self.workers,
+                &mut self.throughput,
+                &mut self.random,
+            );
+        let over_limit =
+            allowed && !self.within_in_flight_limit(now, worker, self.workers[worker].in_flight + 1);
+        if over_limit {
+            self.budgets.note_exhausted(Budget::Hand(worker));
         }
-        allowed && !held
+        allowed && !over_limit
     }
 
     /// Sends a shot.
-    pub(crate) fn shoot(&mut self, now: f64, id: usize, w: usize, host: &mut dyn Host) {
+    pub(crate) fn send_attempt(&mut self, now: f64, id: usize, worker: usize, host: &mut dyn Host) {
         /// So many times its usual time a load may take before another is begun elsewhere.
-        const SLOW: f64 = 4.0;
-        if !self.may_shoot(now, id, w) {
+        const MAX_LOADS: f64 = 4.0;
+        if !self.may_attempt(now, id, worker) {
             return;
         }
-        let Some(a) = self.activations.get_mut(id) else { return };
-        let Some(f) = self.functions.get_mut(a.function) else { return };
-        let warm = f.standing(now, w).copies > 0.0;
-        let stand = f.stand(w);
-        stand.out += 1.0;
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(function) = self.functions.get_mut(request.function) else { return };
+        let warm = function.instances(now, worker).count > 0.0;
+        let placement = function.placement(worker);
+        placement.in_flight += 1.0;
         if !warm {
-            stand.coming = stand.coming.max(now + SLOW * self.load);
+            placement.loading_until = placement.loading_until.max(now + MAX_LOADS * self.load_latency);
         }
-        self.retry.sent(now, a.shots.is_empty());
-        self.admission.sent(now, a);
-        let worker = &mut self.fleet[w];
-        let (zone, cell) = (worker.zone, worker.cell);
-        a.shots.push(Shot { worker: w, zone, cell, sent: now, out: true, never_ran: false, warm });
-        worker.out += 1;
-        worker.busy += f64::from(u8::from(warm));
-        worker.turn.left -= 1.0;
-        host.send(id, w, a.until);
+        self.retry.attempt_sent(now, request.attempts.is_empty());
+        self.admission.attempt_sent(now, request);
+        let worker_state = &mut self.workers[worker];
+        let (zone, cell) = (worker_state.zone, worker_state.cell);
+        request.attempts.push(Attempt {
+            worker,
+            zone,
+            cell,
+            sent_at: now,
+            in_flight: true,
+            never_ran: false,
+            warm,
+        });
+        worker_state.in_flight += 1;
+        worker_state.in_flight_loaded += f64::from(u8::from(warm));
+        worker_state.turn.left -= 1.0;
+        host.send(id, worker, request.deadline);
     }
 
     /// Whether a shot that was decided before may begin, by what it is allotted now, by receipts, and at a cold worker by
     /// how long ago that was: what was decided over a longer time would all count in one window.
-    pub(crate) fn may_begin(&self, now: f64, id: usize, w: usize) -> bool {
-        let refused = |a: &Activation| {
-            let old = |s: &Shot| s.out && s.worker == w && now - s.sent > self.slow_start.turn();
-            self.admission.lapsed(now, a)
-                || retry::forgotten(now, a, self.profiles[a.profile].effect)
-                || a.shots.iter().any(old) && self.slow_start.is_cold(now, &self.fleet[w])
+    pub(crate) fn may_begin(&self, now: f64, id: usize, worker: usize) -> bool {
+        let refused = |request: &Request| {
+            let is_old = |attempt: &Attempt| {
+                attempt.in_flight
+                    && attempt.worker == worker
+                    && now - attempt.sent_at > self.slow_start.turn_seconds()
+            };
+            self.admission.lapsed(now, request)
+                || retry::key_expired(now, request, self.profiles[request.profile].effect)
+                || request.attempts.iter().any(is_old) && self.slow_start.is_cold(now, &self.workers[worker])
         };
-        !self.activations.get(id).is_some_and(refused) && self.may_hold(now, w, self.fleet[w].out)
+        !self.requests.get(id).is_some_and(refused)
+            && self.within_in_flight_limit(now, worker, self.workers[worker].in_flight)
     }
 }
--- a/crates/policy/src/fleet_budgets.rs
+++ b/crates/policy/src/fleet_budgets.rs
@@ -18,47 +18,47 @@
 }
 
 pub(crate) struct FleetBudgets {
-    part: Step,
+    quota_fraction: Step,
     /// Units of a budget beside this router's part.
-    allotted: BTreeMap<Budget, Step>,
+    leases: BTreeMap<Budget, Step>,
     /// Budgets that something was not done for want of, since the host was last notified.
-    lacked: Vec<Budget>,
+    exhausted: Vec<Budget>,
 }
 
 impl FleetBudgets {
     pub(crate) fn new() -> Self {
-        let part = Step { before: 1.0, after: 1.0, until: f64::INFINITY };
-        Self { part, allotted: BTreeMap::new(), lacked: Vec::new() }
+        let quota_fraction = Step { before: 1.0, after: 1.0, until: f64::INFINITY };
+        Self { quota_fraction, leases: BTreeMap::new(), exhausted: Vec::new() }
     }
 
     /// Sets the fraction of its configured part that this router has until a time, and from then on.
-    pub(crate) fn share(&mut self, part: [f64; 2], until: f64) {
-        let [before, after] = part;
-        self.part = Step { before, after, until };
+    pub(crate) fn set_quota_fraction(&mut self, quota_fraction: [f64; 2], until: f64) {
+        let [before, after] = quota_fraction;
+        self.quota_fraction = Step { before, after, until };
     }
 
     /// Sets the units that it has beside, until a time and from then on.
-    pub(crate) fn allot(&mut self, what: Budget, more: [f64; 2], until: f64) {
-        let [before, after] = more;
-        self.allotted.insert(what, Step { before, after, until });
+    pub(crate) fn set_lease(&mut self, what: Budget, lease: [f64; 2], until: f64) {
+        let [before, after] = lease;
+        self.leases.insert(what, Step { before, after, until });
     }
 
-    pub(crate) fn part(&self, now: f64) -> f64 {
-        self.part.at(now)
+    pub(crate) fn quota_fraction(&self, now: f64) -> f64 {
+        self.quota_fraction.at(now)
     }
 
     /// What this router may use of a budget now, of which it has `own` by its configuration.
     pub(crate) fn allowed(&self, now: f64, what: Budget, own: f64) -> f64 {
-        let more = self.allotted.get(&what).map_or(0.0, |more| more.at(now));
-        (own * self.part(now) + more).max(0.0)
+        let lease = self.leases.get(&what).map_or(0.0, |lease| lease.at(now));
+        (own * self.quota_fraction(now) + lease).max(0.0)
     }
 
     /// Notes that something was not done for want of a budget.
-    pub(crate) fn lack(&mut self, what: Budget) {
-        self.lacked.push(what);
+    pub(crate) fn note_exhausted(&mut self, what: Budget) {
+        self.exhausted.push(what);
     }
 
-    pub(crate) fn take_lacked(&mut self) -> impl Iterator<Item = Budget> {
-        self.lacked.drain(..)
+    pub(crate) fn take_exhausted(&mut self) -> impl Iterator<Item = Budget> {
+        self.exhausted.drain(..)
     }
 }
--- a/crates/policy/src/function_state.rs
+++ b/crates/policy/src/function_state.rs
@@ -10,32 +10,32 @@
 
 /// What a router believes of one function on one worker.
 #[derive(Default)]
-pub(crate) struct Stand {
+pub(crate) struct FunctionOnWorker {
     pub(crate) worker: usize,
     /// Instances there, until when unless used again.
-    pub(crate) copies: f64,
-    pub(crate) until: f64,
+    pub(crate) instances: f64,
+    pub(crate) expires_at: f64,
     /// Until when a load that an order or a shot began may still be under way.
-    pub(crate) coming: f64,
+    pub(crate) loading_until: f64,
     /// Own shots there.
-    pub(crate) out: f64,
+    pub(crate) in_flight: f64,
     /// When it was last found to lack the function.
-    pub(crate) missed: f64,
+    pub(crate) missing_at: f64,
 }
 
-impl Stand {
+impl FunctionOnWorker {
     /// Whether instances are there now.
-    pub(crate) fn stands(&self, now: f64) -> bool {
-        self.copies > 0.0 && self.until > now
+    pub(crate) fn is_loaded(&self, now: f64) -> bool {
+        self.instances > 0.0 && self.expires_at > now
     }
 }
 
 /// Instances believed to be on a worker, whether one is on its way there, and own shots there.
 #[derive(Clone, Copy)]
-pub(crate) struct Standing {
-    pub(crate) copies: f64,
-    pub(crate) coming: bool,
-    pub(crate) out: f64,
+pub(crate) struct Instances {
+    pub(crate) count: f64,
+    pub(crate) loading: bool,
+    pub(crate) in_flight: f64,
 }
 
 #[derive(Default)]
@@ -51,22 +51,22 @@
     /// When it first arrived.
     pub(crate) since: f64,
     /// Mean time that its shots are out, over the mean of all functions.
-    pub(crate) slow: f64,
+    pub(crate) relative_latency: f64,
     /// Seconds that answers of instances took.
-    pub(crate) busy: Fading,
+    pub(crate) busy_time: Fading,
     /// What it keeps busy at other routers, in lanes.
-    pub(crate) elsewhere: f64,
+    pub(crate) remote_concurrency: f64,
     /// Workers in the set, and since when the set could be smaller.
-    pub(crate) set: usize,
-    pub(crate) roomy_since: f64,
+    pub(crate) set_size: usize,
+    pub(crate) shrinkable_since: f64,
     /// Whether a worker ever handled it: until then its failures may be its own.
-    pub(crate) sound: bool,
+    pub(crate) has_succeeded: bool,
     /// Requests that are not let go of yet.
-    pub(crate) open: usize,
+    pub(crate) open_requests: usize,
     /// Workers in ring order from the home on, for the ring of that edition.
-    pub(crate) walk: Vec<usize>,
-    pub(crate) edition: u64,
-    pub(crate) stands: Vec<Stand>,
+    pub(crate) ring_order: Vec<usize>,
+    pub(crate) revision: u64,
+    pub(crate) placements: Vec<FunctionOnWorker>,
 }
 
 impl Function {
@@ -75,35 +75,40 @@
             name: arrival.name,
             memory: arrival.memory.max(0.0),
             since: now,
-            slow: 1.0,
-            set: 1,
-            roomy_since: now,
+            relative_latency: 1.0,
+            set_size: 1,
+            shrinkable_since: now,
             ..Self::default()
         }
     }
 
     /// Its state on a worker, new where nothing is known.
-    pub(crate) fn stand(&mut self, worker: usize) -> &mut Stand {
-        let at = self.stands.iter().position(|s| s.worker == worker).unwrap_or_else(|| {
-            self.stands.push(Stand { worker, missed: f64::NEG_INFINITY, ..Stand::default() });
-            self.stands.len() - 1
-        });
-        &mut self.stands[at]
-    }
-
-    pub(crate) fn standing(&self, now: f64, worker: usize) -> Standing {
-        let stand = self.stands.iter().find(|s| s.worker == worker);
-        stand.map_or(Standing { copies: 0.0, coming: false, out: 0.0 }, |s| Standing {
-            copies: if s.until > now { s.copies } else { 0.0 },
-            coming: s.coming > now,
-            out: s.out,
+    pub(crate) fn placement(&mut self, worker: usize) -> &mut FunctionOnWorker {
+        let at =
+            self.placements.iter().position(|placement| placement.worker == worker).unwrap_or_else(|| {
+                self.placements.push(FunctionOnWorker {
+                    worker,
+                    missing_at: f64::NEG_INFINITY,
+                    ..FunctionOnWorker::default()
+                });
+                self.placements.len() - 1
+            });
+        &mut self.placements[at]
+    }
+
+    pub(crate) fn instances(&self, now: f64, worker: usize) -> Instances {
+        let placement = self.placements.iter().find(|placement| placement.worker == worker);
+        placement.map_or(Instances { count: 0.0, loading: false, in_flight: 0.0 }, |placement| Instances {
+            count: if placement.expires_at > now { placement.instances } else { 0.0 },
+            loading: placement.loading_until > now,
+            in_flight: placement.in_flight,
         })
     }
 
     /// The process of a worker is another one: it has no instance.
     pub(crate) fn worker_restarted(&mut self, worker: usize) {
-        let stands = self.stands.iter_mut().filter(|s| s.worker == worker);
-        stands.for_each(|s| (s.copies, s.coming) = (0.0, 0.0));
+        let placements = self.placements.iter_mut().filter(|placement| placement.worker == worker);
+        placements.for_each(|placement| (placement.instances, placement.loading_until) = (0.0, 0.0));
     }
 
     /// Requests a second, by the count that says most.
@@ -113,8 +118,8 @@
     }
 
     /// What it keeps busy at this router, in lanes.
-    pub(crate) fn busy_here(&self, now: f64) -> f64 {
-        self.busy.rate(now, RATE_HALF, now - self.since)
+    pub(crate) fn local_concurrency(&self, now: f64) -> f64 {
+        self.busy_time.rate(now, RATE_HALF, now - self.since)
     }
 
     fn count_arrival(&mut self, now: f64) {
@@ -124,12 +129,14 @@
     }
 
     /// Whether all that was believed of it has run out, and its demand has faded to that of nothing.
-    fn faded(&self, now: f64) -> bool {
+    fn is_unused(&self, now: f64) -> bool {
         /// Half an arrival in the long count: one-offs go within 15 s, a busy function after minutes.
-        const FADED: f64 = 0.5;
-        let over = |s: &Stand| s.out == 0.0 && now > s.until && now > s.coming;
-        let faded = self.arrivals[1].now(now, DEMAND_HALVES[1]) < FADED;
-        self.open == 0 && faded && self.stands.iter().all(over)
+        const MIN_ARRIVALS: f64 = 0.5;
+        let expired = |placement: &FunctionOnWorker| {
+            placement.in_flight == 0.0 && now > placement.expires_at && now > placement.loading_until
+        };
+        let is_unused = self.arrivals[1].now(now, DEMAND_HALVES[1]) < MIN_ARRIVALS;
+        self.open_requests == 0 && is_unused && self.placements.iter().all(expired)
     }
 }
 
@@ -138,7 +145,7 @@
 pub(crate) struct Functions {
     functions: Vec<Option<Function>>,
     /// Where the round that looks for functions to forget has come to.
-    swept: usize,
+    sweep_position: usize,
 }
 
 impl Functions {
@@ -147,7 +154,7 @@
     pub(crate) fn arrived(&mut self, now: f64, arrival: &Arrival) {
         self.functions.resize_with(self.functions.len().max(arrival.function + 1), || None);
         let function = self.functions[arrival.function].get_or_insert_with(|| Function::new(now, arrival));
-        function.open += 1;
+        function.open_requests += 1;
         function.lanes = if arrival.lanes >= 1.0 { arrival.lanes } else { 1.0 };
         if !arrival.repeat {
             function.count_arrival(now);
@@ -158,31 +165,31 @@
     /// up.
     pub(crate) fn sweep(&mut self, now: f64, host: &mut dyn Host) {
         /// Above 1, so that the round comes about faster than arrivals can add to it.
-        const LOOKS: usize = 2;
-        for _ in 0..LOOKS.min(self.functions.len()) {
-            self.swept = (self.swept + 1) % self.functions.len();
-            if self.functions[self.swept].as_ref().is_some_and(|f| f.faded(now)) {
-                self.functions[self.swept] = None;
-                host.forget_function(self.swept);
+        const FUNCTIONS_EACH: usize = 2;
+        for _ in 0..FUNCTIONS_EACH.min(self.functions.len()) {
+            self.sweep_position = (self.sweep_position + 1) % self.functions.len();
+            if self.functions[self.sweep_position].as_ref().is_some_and(|f| f.is_unused(now)) {
+                self.functions[self.sweep_position] = None;
+                host.forget_function(self.sweep_position);
             }
         }
     }
 
-    pub(crate) fn get(&self, key: usize) -> Option<&Function> {
-        self.functions.get(key)?.as_ref()
+    pub(crate) fn get(&self, function: usize) -> Option<&Function> {
+        self.functions.get(function)?.as_ref()
     }
 
-    pub(crate) fn get_mut(&mut self, key: usize) -> Option<&mut Function> {
-        self.functions.get_mut(key)?.as_mut()
+    pub(crate) fn get_mut(&mut self, function: usize) -> Option<&mut Function> {
+        self.functions.get_mut(function)?.as_mut()
     }
 
     /// Takes a function out while its workers are compared; [`put_back`](Self::put_back) ends that.
-    pub(crate) fn take(&mut self, key: usize) -> Option<Function> {
-        self.functions.get_mut(key)?.take()
+    pub(crate) fn take(&mut self, function: usize) -> Option<Function> {
+        self.functions.get_mut(function)?.take()
     }
 
-    pub(crate) fn put_back(&mut self, key: usize, function: Function) {
-        self.functions[key] = Some(function);
+    pub(crate) fn put_back(&mut self, index: usize, function: Function) {
+        self.functions[index] = Some(function);
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Function> {
@@ -194,17 +201,17 @@
     }
 
     /// Whether a function was ever handled; yes where it is not known.
-    pub(crate) fn sound(&self, key: usize) -> bool {
-        self.get(key).is_none_or(|f| f.sound)
+    pub(crate) fn has_succeeded(&self, function: usize) -> bool {
+        self.get(function).is_none_or(|f| f.has_succeeded)
     }
 
     /// Sets what functions keep busy at other routers, in lanes by name; all else is next to nothing.
-    pub(crate) fn elsewhere(&mut self, busy: &BTreeMap<u64, f64>) {
-        self.iter_mut().for_each(|f| f.elsewhere = busy.get(&f.name).copied().unwrap_or(0.0));
+    pub(crate) fn set_remote_concurrency(&mut self, busy: &BTreeMap<u64, f64>) {
+        self.iter_mut().for_each(|f| f.remote_concurrency = busy.get(&f.name).copied().unwrap_or(0.0));
     }
 
     /// Memory in MB of the instances on a worker.
     pub(crate) fn memory_on(&self, now: f64, worker: usize) -> f64 {
-        self.iter().map(|f| f.memory * f.standing(now, worker).copies).sum()
+        self.iter().map(|f| f.memory * f.instances(now, worker).count).sum()
     }
 }
--- a/crates/policy/src/hash_ring.rs
+++ b/crates/policy/src/hash_ring.rs
@@ -15,7 +15,7 @@
 pub(crate) struct HashRing {
     points: Vec<Point>,
     /// Counts the times that the ring was built.
-    edition: u64,
+    revision: u64,
 }
 
 impl HashRing {
@@ -27,7 +27,7 @@
             workers.flat_map(|w| (0..POINTS).map(move |n| (w, n))).map(|(w, n)| point(w, n)).collect();
         self.points
             .sort_unstable_by(|a, b| a.hash.cmp(&b.hash).then_with(|| name(a.worker).cmp(&name(b.worker))));
-        self.edition += 1;
+        self.revision += 1;
     }
 
     /// Workers on the ring.
@@ -35,19 +35,19 @@
         self.points.len() as f64 / POINTS as f64
     }
 
-    pub(crate) fn edition(&self) -> u64 {
-        self.edition
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// Fills `order` with the workers in the order in which they follow the hash of a key. `known` is above any worker's
     /// index.
-    pub(crate) fn walk(&self, key: u64, known: usize, order: &mut Vec<usize>) {
+    pub(crate) fn successors(&self, key: u64, known: usize, order: &mut Vec<usize>) {
         order.clear();
         let home = xxh3_64_with_seed(&key.to_le_bytes(), 0);
         let from = self.points.partition_point(|point| point.hash < home);
-        let mut met = vec![false; known];
+        let mut seen = vec![false; known];
         for point in self.points[from..].iter().chain(&self.points[..from]) {
-            if !std::mem::replace(&mut met[point.worker], true) {
+            if !std::mem::replace(&mut seen[point.worker], true) {
                 order.push(point.worker);
             }
         }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -2,11 +2,11 @@
 
 use crate::decay::Fading;
 use crate::events::{Answer, Outcome};
-use crate::request_state::Shot;
+use crate::request_state::Attempt;
 use crate::worker_state::Worker;
 
 /// Distrust halves in so many seconds, so that a trial shot every few seconds finds out whether a trouble lasts.
-const DOUBT_HALF: f64 = 4.0;
+const SCORE_HALF_LIFE: f64 = 4.0;
 
 /// What one answer, or its absence, says of a worker: its fault from 0 to 1, and the weight of that.
 #[derive(Clone, Copy)]
@@ -23,17 +23,23 @@
     pub(crate) const UNREACHED: Self = Self { fault: 1.0, weight: 0.7 };
 
     /// What an attempt's end says of its worker; `sound` where the function was ever handled, `latency` the mean of all.
-    pub(crate) fn of(answer: &Answer, shot: &Shot, heard: f64, sound: bool, latency: f64) -> Option<Self> {
+    pub(crate) fn of(
+        answer: &Answer,
+        attempt: &Attempt,
+        answered_at: f64,
+        has_succeeded: bool,
+        latency: f64,
+    ) -> Option<Self> {
         /// Silence of this many mean latencies is more than chance explains.
-        const PATIENCE: f64 = 4.0;
+        const SILENCE: f64 = 4.0;
         match answer.outcome {
             Outcome::Handled => Some(Self::HANDLED),
             // Names that no worker knows fail everywhere: judged by them, all workers would be shunned.
-            Outcome::Failed if sound => Some(Self::FAILED),
+            Outcome::Failed if has_succeeded => Some(Self::FAILED),
             // Overdue while it waited for a load tells of the store; among answers, of a long request; and after a short
             // time, of a client that left early.
             Outcome::Overdue | Outcome::Withdrawn
-                if shot.warm && heard < shot.sent && answer.latency > PATIENCE * latency =>
+                if attempt.warm && answered_at < attempt.sent_at && answer.latency > SILENCE * latency =>
             {
                 Some(Self::SILENT)
             }
@@ -51,16 +57,16 @@
 
 impl Worker {
     /// Distrust now; a single failure in a healthy stream means nothing.
-    pub(crate) fn doubt(&self, now: f64) -> f64 {
+    pub(crate) fn ejection_probability(&self, now: f64) -> f64 {
         /// Distrust that counts for nothing.
         const NOISE: f64 = 0.25;
-        let doubt = self.doubt.now(now, DOUBT_HALF);
-        if doubt < NOISE { 0.0 } else { doubt }
+        let outlier_score = self.outlier_score.now(now, SCORE_HALF_LIFE);
+        if outlier_score < NOISE { 0.0 } else { outlier_score }
     }
 
     /// Moves the distrust towards the fault that evidence shows.
-    pub(crate) fn judge(&mut self, now: f64, Evidence { fault, weight }: Evidence) {
-        let doubt = self.doubt.now(now, DOUBT_HALF);
-        self.doubt = Fading { sum: doubt + weight * (fault - doubt), at: now };
+    pub(crate) fn record_evidence(&mut self, now: f64, Evidence { fault, weight }: Evidence) {
+        let outlier_score = self.outlier_score.now(now, SCORE_HALF_LIFE);
+        self.outlier_score = Fading { sum: outlier_score + weight * (fault - outlier_score), at: now };
     }
 }
--- a/crates/policy/src/overload.rs
+++ b/crates/policy/src/overload.rs
@@ -4,8 +4,8 @@
 
 /// Part of the due time that may pass at a worker on average; the rest is for luck and waiting here. The second part shrinks
 /// with the number of routers, as more of a worker's queue is what others send unseen.
-const TIME: f64 = 0.36;
-const TIME_ALONE: f64 = 0.24;
+const TIME_SHARE: f64 = 0.36;
+const TIME_SHARE_ALONE: f64 = 0.24;
 
 /// While answers are quick the rate is what clients ask, not what it can do: so much more.
 const GROWTH: f64 = 2.0;
@@ -20,29 +20,33 @@
     pub(crate) due: f64,
     pub(crate) left: f64,
     /// How slow its function is, over the mean of all.
-    pub(crate) slow: f64,
+    pub(crate) relative_latency: f64,
 }
 
 impl RouterState {
     /// Whether what a worker was sent takes too much of the due time at the rate for its size: our own shots where `warm`,
     /// and what its report tells; by chance near the bound, as others read it too.
-    pub(crate) fn swamped(&mut self, now: f64, w: usize, times: TimeBounds, warm: bool) -> bool {
+    pub(crate) fn is_overloaded(&mut self, now: f64, worker: usize, times: TimeBounds, warm: bool) -> bool {
         /// Part of its client's time that may pass there on average: less would turn all of an impatient client group,
         /// which comes again at once, away from workers that answer in time.
-        const LEFT: f64 = 0.7;
+        const CLIENT_TIME: f64 = 0.7;
         /// With less of its cores in use a worker has no queue to speak of.
         const BUSY: f64 = 0.9;
-        let TimeBounds { due, left, slow } = times;
-        let part = TIME + TIME_ALONE / self.routers.sqrt();
-        let (time, worker) = ((part * due).min(LEFT * left), &self.fleet[w]);
-        let rate = self.throughput.peak(now) * self.routers * worker.size;
-        let work = if worker.held { self.latency.min(time) } else { 0.0 };
-        let quick = time / (self.latency * slow).max(1e-3);
-        let (growth, floor) = (quick.clamp(1.0, GROWTH), (worker.size * quick.min(1.0)).max(FLOOR));
-        let own = warm && worker.busy + 1.0 > (rate * time / self.routers + FLOOR) * growth;
-        let told = worker.told(now).filter(|_| worker.cores > BUSY);
-        let (out, bound) = (worker.out as f64, (rate * (time + work) + floor) * growth);
-        own || self.routers > 1.0
-            && told.is_some_and(|foreign| out + foreign > bound * (0.5 + self.random.luck()))
+        let TimeBounds { due, left, relative_latency } = times;
+        let time_share = TIME_SHARE + TIME_SHARE_ALONE / self.routers.sqrt();
+        let (time, worker_state) = ((time_share * due).min(CLIENT_TIME * left), &self.workers[worker]);
+        let rate = self.throughput.peak(now) * self.routers * worker_state.size;
+        let running = if worker_state.counts_running { self.latency.min(time) } else { 0.0 };
+        let quick = time / (self.latency * relative_latency).max(1e-3);
+        let (growth, floor) = (quick.clamp(1.0, GROWTH), (worker_state.size * quick.min(1.0)).max(FLOOR));
+        let own_overload =
+            warm && worker_state.in_flight_loaded + 1.0 > (rate * time / self.routers + FLOOR) * growth;
+        let reported = worker_state.recent_foreign_load(now).filter(|_| worker_state.utilization > BUSY);
+        let (in_flight, bound) = (worker_state.in_flight as f64, (rate * (time + running) + floor) * growth);
+        own_overload
+            || self.routers > 1.0
+                && reported.is_some_and(|foreign_load| {
+                    in_flight + foreign_load > bound * (0.5 + self.random.uniform())
+                })
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -3,31 +3,31 @@
 
 use crate::effects::Host;
 use crate::function_state::Function;
-use crate::load_requests::Order;
+use crate::load_requests::LoadRequest;
 use crate::overload::TimeBounds;
 use crate::router_state::RouterState;
 
 /// What a stage does with a request: on to a worker, kept here, or ended.
-pub(crate) enum Stage {
-    Pass(usize),
-    Keep,
-    End,
+pub(crate) enum Decision {
+    Dispatch(usize),
+    Queue,
+    GiveUp,
 }
 
 /// What a request brings to the choice of its worker. Times are in seconds.
 #[derive(Clone, Copy)]
 struct Query {
     id: usize,
-    key: usize,
-    over_share: bool,
+    function_index: usize,
+    over_quota: bool,
     /// Since it arrived, until its client gives up, and until its answer is due.
     waited: f64,
     left: f64,
     due: f64,
     /// Lanes that its function keeps busy.
-    usage: f64,
+    concurrency: f64,
     /// How far what other routers said still holds.
-    faith: f64,
+    remote_weight: f64,
 }
 
 /// What is the same for all workers that are compared.
@@ -61,40 +61,46 @@
 #[derive(Default)]
 struct Search {
     /// Lanes of the members so far, how many they are, and how many of them the usage needs.
-    room: f64,
+    capacity: f64,
     members: usize,
     needed: usize,
     /// Workers met with an instance, or one on its way.
-    somewhere: usize,
+    with_instance: usize,
     /// A member was over its bound.
-    pressed: bool,
+    member_overloaded: bool,
     /// The first that lacks the function and loads nothing unasked.
-    lacking: Option<usize>,
+    without_function: Option<usize>,
     /// The first with an instance on its way.
-    on_way: Option<Candidate>,
+    loading: Option<Candidate>,
     /// The least loaded member, and the least loaded one with an instance.
-    any: Option<Candidate>,
-    warm: Option<Candidate>,
+    least_loaded: Option<Candidate>,
+    least_loaded_warm: Option<Candidate>,
     /// The first past the set, and the first of those with an instance.
-    past: Option<Candidate>,
-    warm_past: Option<Candidate>,
+    past_set: Option<Candidate>,
+    past_set_warm: Option<Candidate>,
 }
 
 impl Search {
     fn is_member(&self, query: &Query, function: &Function) -> bool {
-        self.room < query.usage || self.members < function.set
+        self.capacity < query.concurrency || self.members < function.set_size
     }
 
     /// Whether nothing further on could be picked.
     fn is_over(&self, common: &CommonLoad, member: bool) -> bool {
-        let fits = self.any.is_some_and(|any| any.load <= common.fair) || self.past.is_some();
-        !member && fits && (self.warm.is_some() && self.past.is_none() || self.somewhere == common.live)
+        let fits = self.least_loaded.is_some_and(|any| any.load <= common.fair) || self.past_set.is_some();
+        !member
+            && fits
+            && (self.least_loaded_warm.is_some() && self.past_set.is_none()
+                || self.with_instance == common.live)
     }
 
     /// In the set the least loaded, past it the first.
     fn offer(&mut self, candidate: Candidate, member: bool, warm: bool) {
-        let (any, loaded) =
-            if member { (&mut self.any, &mut self.warm) } else { (&mut self.past, &mut self.warm_past) };
+        let (any, loaded) = if member {
+            (&mut self.least_loaded, &mut self.least_loaded_warm)
+        } else {
+            (&mut self.past_set, &mut self.past_set_warm)
+        };
         let better = |best: &Option<Candidate>| best.is_none_or(|b| member && candidate.load < b.load);
         if better(any) {
             *any = Some(candidate);
@@ -107,54 +113,67 @@
 
 /// Where a request goes, and where one more instance is called for.
 struct Choice {
-    pick: Option<Candidate>,
+    target: Option<Candidate>,
     load_at: Option<Candidate>,
 }
 
 impl RouterState {
     /// Chooses the worker of a request.
-    pub(crate) fn place(&mut self, now: f64, id: usize, host: &mut dyn Host) -> Stage {
-        let Some(query) = self.query(now, id) else { return Stage::End };
-        let Some(function) = self.functions.take(query.key) else { return Stage::End };
+    pub(crate) fn place(&mut self, now: f64, id: usize, host: &mut dyn Host) -> Decision {
+        let Some(query) = self.query(now, id) else { return Decision::GiveUp };
+        let Some(function) = self.functions.take(query.function_index) else { return Decision::GiveUp };
         let common = self.common_load(now, &query, &function);
         let search = self.search(now, &Comparison { query, function: &function, common });
-        self.functions.put_back(query.key, function);
-        if let Some(worker) = search.lacking.filter(|_| search.warm.or(search.warm_past).is_none()) {
-            self.order(now, Order { worker, function: query.key, copies: 1, ahead: false }, host);
-            return Stage::Keep;
+        self.functions.put_back(query.function_index, function);
+        if let Some(worker) =
+            search.without_function.filter(|_| search.least_loaded_warm.or(search.past_set_warm).is_none())
+        {
+            self.request_load(
+                now,
+                LoadRequest { worker, function: query.function_index, instances: 1, ahead: false },
+                host,
+            );
+            return Decision::Queue;
         }
         let choice = self.choose(&common, &search);
         if let Some(Candidate { worker, .. }) = choice.load_at {
-            self.order(now, Order { worker, function: query.key, copies: 1, ahead: true }, host);
+            self.request_load(
+                now,
+                LoadRequest { worker, function: query.function_index, instances: 1, ahead: true },
+                host,
+            );
         }
-        if let Some(function) = self.functions.get_mut(query.key) {
+        if let Some(function) = self.functions.get_mut(query.function_index) {
             function.resize_set(now, search.needed);
         }
-        let Some(Candidate { worker, .. }) = choice.pick else { return Stage::Keep };
-        if self.asks_first(now, &query, worker, host) {
-            return Stage::Keep;
+        let Some(Candidate { worker, .. }) = choice.target else { return Decision::Queue };
+        if self.probes_first(now, &query, worker, host) {
+            return Decision::Queue;
         }
-        self.order_for(now, &query, worker, host);
-        Stage::Pass(worker)
+        self.request_missing_instances(now, &query, worker, host);
+        Decision::Dispatch(worker)
     }
 
     fn query(&mut self, now: f64, id: usize) -> Option<Query> {
-        let a = self.activations.get(id)?;
-        let (key, profile, over_share) = (a.function, a.profile, a.over_share);
-        let (waited, left) = (now - a.taken, a.until - now);
-        self.walk(key);
-        let faith = self.faith(now);
-        let usage = self.functions.get(key).map_or(0.0, |f| f.usage(now, self.routers, self.latency, faith));
-        let due = self.profiles[profile].due * if over_share { 0.5 } else { 1.0 };
-        Some(Query { id, key, over_share, waited, left, due, usage, faith })
+        let request = self.requests.get(id)?;
+        let (function_index, profile, over_quota) = (request.function, request.profile, request.over_quota);
+        let (waited, left) = (now - request.arrived_at, request.deadline - now);
+        self.update_ring_order(function_index);
+        let remote_weight = self.remote_weight(now);
+        let concurrency = self
+            .functions
+            .get(function_index)
+            .map_or(0.0, |f| f.concurrency(now, self.routers, self.latency, remote_weight));
+        let due = self.profiles[profile].due * if over_quota { 0.5 } else { 1.0 };
+        Some(Query { id, function_index, over_quota, waited, left, due, concurrency, remote_weight })
     }
 
     /// Brings a function's workers up to the present ring.
-    fn walk(&mut self, key: usize) {
-        let Some(f) = self.functions.get_mut(key) else { return };
-        if f.edition != self.ring.edition() {
-            f.edition = self.ring.edition();
-            self.ring.walk(f.name, self.fleet.len(), &mut f.walk);
+    fn update_ring_order(&mut self, function_index: usize) {
+        let Some(f) = self.functions.get_mut(function_index) else { return };
+        if f.revision != self.ring.revision() {
+            f.revision = self.ring.revision();
+            self.ring.successors(f.name, self.workers.len(), &mut f.ring_order);
         }
     }
 
@@ -163,27 +182,27 @@
         const SPREAD: f64 = 1.25;
         const SLACK: f64 = 3.0;
         /// Deviations of chance, squared, that an instance's lanes have room for beside the mean.
-        const LUCK: f64 = 1.0;
-        self.slow_start.pace(now, &self.fleet, &mut self.throughput);
-        let n = function.walk.len().max(1) as f64;
+        const CHANCE: f64 = 1.0;
+        self.slow_start.rate(now, &self.workers, &mut self.throughput);
+        let n = function.ring_order.len().max(1) as f64;
         // One pass: with thousands of workers this is most of what a request costs.
-        let (mut heard, mut foreign, mut sizes, mut out) = (0, 0.0, 0.0, 0.0);
-        for worker in function.walk.iter().map(|&w| &self.fleet[w]) {
-            if let Some(told) = worker.told(now) {
-                heard += 1;
-                foreign += told;
+        let (mut reports, mut foreign_load, mut sizes, mut in_flight) = (0, 0.0, 0.0, 0.0);
+        for worker in function.ring_order.iter().map(|&worker| &self.workers[worker]) {
+            if let Some(reported) = worker.recent_foreign_load(now) {
+                reports += 1;
+                foreign_load += reported;
             }
             sizes += worker.size;
-            out += worker.out as f64;
+            in_flight += worker.in_flight as f64;
         }
-        let average = foreign / heard.max(1) as f64;
-        let (mean_size, mean_out) = (sizes / n, out / n);
-        let fair = (average + mean_out) * SPREAD + SLACK;
-        let live = function.stands.iter().filter(|s| s.stands(now) || s.coming > now);
-        let live = live.filter(|s| self.fleet[s.worker].is_ready()).count();
+        let average = foreign_load / reports.max(1) as f64;
+        let (mean_size, mean_in_flight) = (sizes / n, in_flight / n);
+        let fair = (average + mean_in_flight) * SPREAD + SLACK;
+        let live = function.placements.iter().filter(|s| s.is_loaded(now) || s.loading_until > now);
+        let live = live.filter(|s| self.workers[s.worker].is_ready()).count();
         // Lanes are left free for the chance in what others send: a moment's crowd would begin one more load. Sets that are
         // sized by what all see need none of that.
-        let unseen = LUCK * (1.0 - 1.0 / self.routers) * (1.0 - query.faith);
+        let unseen = CHANCE * (1.0 - 1.0 / self.routers) * (1.0 - query.remote_weight);
         let lanes = function.lanes + unseen / 2.0 - (unseen * (function.lanes + unseen / 4.0)).sqrt();
         CommonLoad { average, mean_size, fair, lanes, live }
     }
@@ -192,60 +211,70 @@
     fn search(&mut self, now: f64, comparison: &Comparison) -> Search {
         let Comparison { query, function, common } = comparison;
         let mut search = Search::default();
-        for &w in &function.walk {
+        for &worker in &function.ring_order {
             let member = search.is_member(query, function);
             if search.is_over(common, member) {
                 break;
             }
-            self.consider(now, comparison, &mut search, w, member);
+            self.consider(now, comparison, &mut search, worker, member);
         }
         search
     }
 
     /// Compares one worker with those before it.
-    fn consider(&mut self, now: f64, comparison: &Comparison, search: &mut Search, w: usize, member: bool) {
+    fn consider(
+        &mut self,
+        now: f64,
+        comparison: &Comparison,
+        search: &mut Search,
+        worker: usize,
+        member: bool,
+    ) {
         /// Part of the due time that may pass waiting for a lane before one more instance is called for.
         const LANE_WAIT: f64 = 0.05;
         /// Seconds of rest of a worker that turned a shot away, apart for loads and for instances.
         const REST: f64 = 0.3;
         let Comparison { query, function, common } = comparison;
-        if !self.may_shoot(now, query.id, w) || self.shuns(now, w) {
+        if !self.may_attempt(now, query.id, worker) || self.passes_over(now, worker) {
             return;
         }
-        let worker = &self.fleet[w];
-        let size = worker.size / common.mean_size;
-        let standing = function.standing(now, w);
-        let holds = worker.out as f64 + worker.told(now).unwrap_or(common.average);
-        let load = (holds + 1.0) / size + 1e-6 * self.random.luck();
-        search.needed += usize::from(search.room < query.usage);
+        let worker_state = &self.workers[worker];
+        let size = worker_state.size / common.mean_size;
+        let instances = function.instances(now, worker);
+        let in_flight_there =
+            worker_state.in_flight as f64 + worker_state.recent_foreign_load(now).unwrap_or(common.average);
+        let load = (in_flight_there + 1.0) / size + 1e-6 * self.random.uniform();
+        search.needed += usize::from(search.capacity < query.concurrency);
         search.members += usize::from(member);
-        search.room += common.lanes * size;
-        let warm = standing.copies > 0.0;
-        search.somewhere += usize::from(warm || standing.coming);
+        search.capacity += common.lanes * size;
+        let warm = instances.count > 0.0;
+        search.with_instance += usize::from(warm || instances.loading);
         // Beyond the lanes there a worker loads one more, at cost of others' memory. Of those of an instance on its way
         // others want theirs as well.
-        let known = warm || query.faith < 0.5;
-        let own = if known { function.lanes * standing.copies.max(1.0) } else { 1.0 };
-        if standing.out >= own && (!warm || query.waited < LANE_WAIT * query.due) {
+        let counts_lanes = warm || query.remote_weight < 0.5;
+        let own = if counts_lanes { function.lanes * instances.count.max(1.0) } else { 1.0 };
+        if instances.in_flight >= own && (!warm || query.waited < LANE_WAIT * query.due) {
             return;
         }
         // What is over its bound takes nothing: the ring order goes on past the set, or the request waits here.
-        let rests = now - self.fleet[w].full.last(warm) < REST;
-        let missed = function.stands.iter().any(|s| s.worker == w && now - s.missed < self.load);
-        let rests = rests || missed && !standing.coming && self.loads.rests(now);
-        let times = TimeBounds { due: query.due, left: query.left, slow: function.slow };
-        if rests || self.swamped(now, w, times, warm || query.over_share) {
-            search.pressed |= member;
+        let rejected = now - self.workers[worker].rejected_at.last(warm) < REST;
+        let missing =
+            function.placements.iter().any(|s| s.worker == worker && now - s.missing_at < self.load_latency);
+        let refused = rejected || missing && !instances.loading && self.load_requests.backs_off(now);
+        let times =
+            TimeBounds { due: query.due, left: query.left, relative_latency: function.relative_latency };
+        if refused || self.is_overloaded(now, worker, times, warm || query.over_quota) {
+            search.member_overloaded |= member;
             return;
         }
         // Where workers load nothing unasked, one that missed is sent nothing until an instance is there.
-        if self.misses && !warm && (standing.coming || missed) {
-            search.lacking = search.lacking.or(Some(w));
+        if self.reports_missing && !warm && (instances.loading || missing) {
+            search.without_function = search.without_function.or(Some(worker));
             return;
         }
-        let candidate = Candidate { load, worker: w };
-        if standing.coming && !warm {
-            search.on_way = search.on_way.or(Some(candidate));
+        let candidate = Candidate { load, worker };
+        if instances.loading && !warm {
+            search.loading = search.loading.or(Some(candidate));
         }
         // Past the set only what is not itself above the common load.
         if member || load <= common.fair {
@@ -254,60 +283,68 @@
     }
 
     /// Whether a worker is passed over: the more often the more it is doubted.
-    fn shuns(&mut self, now: f64, w: usize) -> bool {
-        let trust = 1.0 - self.fleet[w].doubt(now);
-        trust < 1.0 && self.random.luck() > trust.powi(3)
+    fn passes_over(&mut self, now: f64, worker: usize) -> bool {
+        let trust = 1.0 - self.workers[worker].ejection_probability(now);
+        trust < 1.0 && self.random.uniform() > trust.powi(3)
     }
 
     /// Chooses among what was found.
     fn choose(&self, common: &CommonLoad, search: &Search) -> Choice {
-        let &Search { any, past, pressed, somewhere, on_way, .. } = search;
-        let above = any.map_or(pressed, |any| any.load > common.fair);
-        let cold = if above { past.or(any) } else { any };
-        let warm_past = search.warm_past.filter(|_| above);
-        let warm = if above { warm_past.or(search.warm) } else { search.warm };
+        let &Search { least_loaded: any, past_set: past, member_overloaded, with_instance, loading, .. } =
+            search;
+        let above = any.map_or(member_overloaded, |any| any.load > common.fair);
+        let to_load = if above { past.or(any) } else { any };
+        let warm_past = search.past_set_warm.filter(|_| above);
+        let warm = if above { warm_past.or(search.least_loaded_warm) } else { search.least_loaded_warm };
         // On its path it loads only in the set and where no instance is or comes: what a full home turns away would load
         // at one worker after the other.
-        let orders = self.loads.possible();
-        let pick = match warm.or(warm_past) {
+        let orders = self.load_requests.is_supported();
+        let target = match warm.or(warm_past) {
             // An instance past the set, as after it shrank, is gone to while the home is given one.
-            None if somewhere > 0 && orders => on_way.or(search.warm_past),
+            None if with_instance > 0 && orders => loading.or(search.past_set_warm),
             None => any,
             found if orders => found,
             found => any.or(found),
         };
-        let same = |cold: &Candidate| pick.is_some_and(|pick| pick.worker == cold.worker);
-        Choice { pick, load_at: cold.filter(|cold| !same(cold) && warm_past.is_none()) }
+        let same = |to_load: &Candidate| target.is_some_and(|target| target.worker == to_load.worker);
+        Choice { target, load_at: to_load.filter(|to_load| !same(to_load) && warm_past.is_none()) }
     }
 
     /// Whether a probe is waited for: what others send is seen in reports alone, and an old one is asked for anew before an
     /// unseen queue is joined; but an answer that stays out is not waited for.
-    fn asks_first(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) -> bool {
+    fn probes_first(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) -> bool {
         /// Part of the due time that probes before a shot may take.
-        const ASK: f64 = 0.03;
-        let asks = self.probes && self.fleet[worker].report_is_old(now) && query.waited < ASK * query.due;
-        if asks {
-            self.fleet[worker].ask(now, worker, host);
+        const PROBE_SHARE: f64 = 0.03;
+        let waits = self.probes_enabled
+            && self.workers[worker].report_is_stale(now)
+            && query.waited < PROBE_SHARE * query.due;
+        if waits {
+            self.workers[worker].probe(now, worker, host);
         }
-        asks
+        waits
     }
 
     /// Orders the instances that the request's worker lacks.
-    fn order_for(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) {
+    fn request_missing_instances(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) {
         /// Loads in the time of a client that may leave before one is over.
-        const LONG: f64 = 2.0;
+        const MIN_LOADS_LEFT: f64 = 2.0;
         /// Instances that one order may ask for.
-        const MOST: f64 = 16.0;
-        let Some(function) = self.functions.get(query.key) else { return };
-        let standing = function.standing(now, worker);
+        const MAX_INSTANCES: f64 = 16.0;
+        let Some(function) = self.functions.get(query.function_index) else { return };
+        let instances = function.instances(now, worker);
         // Where only an order adds an instance, all lanes taken would make the rest wait in line.
-        let needed = ((standing.out + 1.0) / function.lanes).ceil().min(MOST);
-        if standing.copies > 0.0 && needed > standing.copies {
-            let order = Order { worker, function: query.key, copies: needed as u8, ahead: true };
-            self.order(now, order, host);
-        } else if standing.copies == 0.0 && query.left < LONG * self.load {
+        let needed = ((instances.in_flight + 1.0) / function.lanes).ceil().min(MAX_INSTANCES);
+        if instances.count > 0.0 && needed > instances.count {
+            let request =
+                LoadRequest { worker, function: query.function_index, instances: needed as u8, ahead: true };
+            self.request_load(now, request, host);
+        } else if instances.count == 0.0 && query.left < MIN_LOADS_LEFT * self.load_latency {
             // A load that nobody waits for any more is left out: with clients of little time none would end.
-            self.order(now, Order { worker, function: query.key, copies: 1, ahead: false }, host);
+            self.request_load(
+                now,
+                LoadRequest { worker, function: query.function_index, instances: 1, ahead: false },
+                host,
+            );
         }
     }
 }
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -10,7 +10,7 @@
     }
 
     /// A draw from 0 up to 1.
-    pub(crate) fn luck(&mut self) -> f64 {
+    pub(crate) fn uniform(&mut self) -> f64 {
         self.0.rand_float()
     }
 }
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -10,20 +10,20 @@
 use crate::effects::{Budget, Host};
 use crate::events::{Answer, Arrival, Listing, Outcome, Report};
 use crate::outlier_detection::Evidence;
-use crate::placement::Stage;
-use crate::request_state::Activation;
+use crate::placement::Decision;
+use crate::request_state::Request;
 use crate::router_state::RouterState;
 use std::collections::BTreeMap;
 
 pub struct Router {
     state: RouterState,
     /// Requests that are not let go of yet, in order of arrival, and those that are kept here.
-    live: Vec<usize>,
-    kept: Vec<usize>,
+    open: Vec<usize>,
+    queued: Vec<usize>,
     /// The next look at the time that was asked for.
-    wake: f64,
+    wake_at: f64,
     /// When the worker list is asked for again.
-    ask_again: f64,
+    watch_again_at: f64,
 }
 
 impl Router {
@@ -33,10 +33,10 @@
         }
         Self {
             state: RouterState::new(charter, now),
-            live: Vec::new(),
-            kept: Vec::new(),
-            wake: f64::INFINITY,
-            ask_again: f64::INFINITY,
+            open: Vec::new(),
+            queued: Vec::new(),
+            wake_at: f64::INFINITY,
+            watch_again_at: f64::INFINITY,
         }
     }
 
@@ -44,171 +44,194 @@
     /// by the charter so much until then, and so much afterwards. Where nobody says so the charter's count holds.
     pub fn share(&mut self, likely: f64, part: [f64; 2], until: f64) {
         self.state.routers = likely.max(1.0);
-        self.state.budgets.share(part, until);
+        self.state.budgets.set_quota_fraction(part, until);
     }
 
     /// Allots more or less of a budget than this router's part by the count, until then and from then on.
     pub fn allot(&mut self, what: Budget, more: [f64; 2], until: f64) {
-        self.state.budgets.allot(what, more, until);
+        self.state.budgets.set_lease(what, more, until);
     }
 
     /// Other routers said what functions keep busy there, in lanes by name; all else is next to nothing.
     pub fn elsewhere(&mut self, now: f64, busy: &BTreeMap<u64, f64>) {
-        self.state.told = now;
-        self.state.functions.elsewhere(busy);
+        self.state.remote_reported_at = now;
+        self.state.functions.set_remote_concurrency(busy);
     }
 
     /// What functions keep busy here: lanes by name.
     pub fn busy(&self, now: f64) -> impl Iterator<Item = (u64, f64)> {
-        self.state.functions.iter().map(move |f| (f.name, f.busy_here(now)))
+        self.state.functions.iter().map(move |f| (f.name, f.local_concurrency(now)))
     }
 
     /// What of a budget's units is in use here.
     pub fn in_use(&mut self, now: f64, what: Budget) -> f64 {
         match what {
-            Budget::Retries => self.state.retry.retries.as_mut().map_or(0.0, |r| r.used(now)),
-            Budget::Hand(w) => self.state.fleet.get(w).map_or(0.0, |w| w.out as f64),
+            Budget::Retries => self.state.retry.budget.as_mut().map_or(0.0, |r| r.used(now)),
+            Budget::Hand(worker) => self.state.workers.get(worker).map_or(0.0, |w| w.in_flight as f64),
             Budget::Orders | Budget::Quota(_) | Budget::Ceiling(_) => 0.0,
         }
     }
 
     /// One line of the list. A line that repeats a known worker changes it.
     pub fn listed(&mut self, line: Listing) {
-        let memory = self.state.memory.get(line.kind).copied().unwrap_or(f64::INFINITY);
-        if self.state.fleet.listed(&line, memory) {
+        let memory = self.state.worker_memory.get(line.kind).copied().unwrap_or(f64::INFINITY);
+        if self.state.workers.listed(&line, memory) {
             self.state.functions.iter_mut().for_each(|f| f.worker_restarted(line.worker));
         }
     }
 
     /// A complete list begins: who is not on it is gone.
     pub fn list_renewed(&mut self) {
-        self.state.fleet.renewed();
+        self.state.workers.renewed();
     }
 
     /// The lines of one list have all been given.
     pub fn list_complete(&mut self, now: f64, host: &mut dyn Host) {
-        let fleet = &self.state.fleet;
-        let ready = (0..fleet.len()).filter(|&w| fleet[w].is_ready());
-        self.state.ring.build(ready, |w| fleet[w].name);
-        self.release(now, host);
+        let workers = &self.state.workers;
+        let ready = (0..workers.len()).filter(|&w| workers[w].is_ready());
+        self.state.ring.build(ready, |w| workers[w].name);
+        self.retry_queued(now, host);
     }
 
     /// The registry did not answer, or dropped the subscription.
     pub fn list_failed(&mut self, now: f64, host: &mut dyn Host) {
-        if self.state.asks {
-            self.ask_again = now + 0.5 + self.state.random.luck();
-            self.wake_by(now, self.ask_again, host);
+        if self.state.watches_on_request {
+            self.watch_again_at = now + 0.5 + self.state.random.uniform();
+            self.wake_by(now, self.watch_again_at, host);
         }
     }
 
     /// A request arrived, under an index that the host gave it.
-    pub fn arrived(&mut self, now: f64, id: usize, a: Arrival, host: &mut dyn Host) {
+    pub fn arrived(&mut self, now: f64, id: usize, arrival: Arrival, host: &mut dyn Host) {
         let state = &mut self.state;
-        state.loads.arrived(now);
-        state.retry.retries.iter_mut().for_each(|r| r.take(now));
-        state.functions.arrived(now, &a);
-        let over_share = !a.repeat && state.admission.over_share(now, a.client, &state.budgets);
-        let activation = Activation {
-            function: a.function,
-            profile: a.profile.min(state.profiles.len().saturating_sub(1)),
-            client: a.client,
-            taken: now,
-            until: now + a.patience,
-            open: true,
-            over_share,
-            passed: f64::NEG_INFINITY,
-            away: None,
-            shots: Vec::new(),
+        state.load_requests.arrived(now);
+        state.retry.budget.iter_mut().for_each(|r| r.take(now));
+        state.functions.arrived(now, &arrival);
+        let over_quota =
+            !arrival.repeat && state.admission.is_over_quota(now, arrival.client, &state.budgets);
+        let request = Request {
+            function: arrival.function,
+            profile: arrival.profile.min(state.profiles.len().saturating_sub(1)),
+            client: arrival.client,
+            arrived_at: now,
+            deadline: now + arrival.patience,
+            is_open: true,
+            over_quota,
+            admitted_at: f64::NEG_INFINITY,
+            retry_after: None,
+            attempts: Vec::new(),
         };
-        state.activations.insert(id, activation);
-        self.live.push(id);
+        state.requests.insert(id, request);
+        self.open.push(id);
         state.functions.sweep(now, host);
         let margin = state.margin;
-        if a.patience <= margin {
-            return self.give_up(id, host);
+        if arrival.patience <= margin {
+            return self.reject_or_fail(id, host);
         }
-        self.wake_by(now, now + (a.patience - margin).min(margin), host);
-        self.run(now, id, false, host);
+        self.wake_by(now, now + (arrival.patience - margin).min(margin), host);
+        self.advance(now, id, false, host);
     }
 
     /// Takes a request through the stages from the first; tells whether it was not kept.
-    fn run(&mut self, now: f64, id: usize, stuck: bool, host: &mut dyn Host) -> bool {
-        match self.admit(now, id, stuck, host) {
-            Stage::Pass(worker) => self.state.shoot(now, id, worker, host),
-            Stage::End => self.give_up(id, host),
-            Stage::Keep => self.kept.push(id),
+    fn advance(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Host) -> bool {
+        match self.admit(now, id, blocked, host) {
+            Decision::Dispatch(worker) => self.state.send_attempt(now, id, worker, host),
+            Decision::GiveUp => self.reject_or_fail(id, host),
+            Decision::Queue => self.queued.push(id),
         }
-        self.state.budgets.take_lacked().for_each(|what| host.lacks(what));
-        self.kept.last() != Some(&id)
+        self.state.budgets.take_exhausted().for_each(|what| host.lacks(what));
+        self.queued.last() != Some(&id)
     }
 
     /// First stage: a request for which no worker has room waits while an answer can still be in time.
-    fn admit(&mut self, now: f64, id: usize, stuck: bool, host: &mut dyn Host) -> Stage {
+    fn admit(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Host) -> Decision {
         let state = &mut self.state;
-        if !state.may_go_on(now, id) || !state.may_pass(now, id) || !state.may_repeat(now, id) {
-            return Stage::End;
+        if !state.may_attempt_again(now, id)
+            || !state.within_rate_limit(now, id)
+            || !state.within_retry_budget(now, id)
+        {
+            return Decision::GiveUp;
         }
-        match if stuck { Stage::Keep } else { state.place(now, id, host) } {
-            Stage::Keep => {}
+        match if blocked { Decision::Queue } else { state.place(now, id, host) } {
+            Decision::Queue => {}
             other => return other,
         }
-        let Some(a) = state.activations.get(id) else { return Stage::End };
-        let due = state.profiles[a.profile].due;
-        let loaded = state.functions.get(a.function).is_some_and(|f| f.stands.iter().any(|s| s.stands(now)));
-        if admission::waited_out(now, a, due, loaded, state.latency) { Stage::End } else { Stage::Keep }
+        let Some(request) = state.requests.get(id) else { return Decision::GiveUp };
+        let due = state.profiles[request.profile].due;
+        let loaded = state
+            .functions
+            .get(request.function)
+            .is_some_and(|f| f.placements.iter().any(|s| s.is_loaded(now)));
+        if admission::has_waited_too_long(now, request, due, loaded, state.latency) {
+            Decision::GiveUp
+        } else {
+            Decision::Queue
+        }
     }
 
     /// Whether a shot that was decided before may begin, by what holds now.
-    pub fn may_begin(&self, now: f64, id: usize, w: usize) -> bool {
-        self.state.may_begin(now, id, w)
+    pub fn may_begin(&self, now: f64, id: usize, worker: usize) -> bool {
+        self.state.may_begin(now, id, worker)
     }
 
     /// What came back of a shot: it is booked, and its request has ended or runs again.
     pub fn answered(&mut self, now: f64, id: usize, answer: Answer, host: &mut dyn Host) {
-        let Some((key, shot)) = self.state.shot_ended(id, &answer) else { return };
-        self.state.book_on_worker(now, key, &shot, &answer);
-        self.state.book_load(now, &answer);
-        self.state.book_on_function(now, key, &shot, &answer);
+        let Some((function, attempt)) = self.state.attempt_ended(id, &answer) else { return };
+        self.state.record_on_worker(now, function, &attempt, &answer);
+        self.state.record_load(now, &answer);
+        self.state.record_on_function(now, function, &attempt, &answer);
         if answer.settled {
             self.close(id, None, host);
         }
-        self.finish(id, host);
-        if self.state.activations.get(id).is_some_and(|a| a.open && !a.shot_out()) {
-            self.run(now, id, false, host);
+        self.release_if_done(id, host);
+        if self
+            .state
+            .requests
+            .get(id)
+            .is_some_and(|request| request.is_open && !request.has_attempt_in_flight())
+        {
+            self.advance(now, id, false, host);
         }
-        self.release(now, host);
+        self.retry_queued(now, host);
     }
 
     /// The client has left, has its answer or gets it streamed: calls off what else is out.
     pub fn close(&mut self, id: usize, streams: Option<usize>, host: &mut dyn Host) {
-        let Some(a) = self.state.activations.get_mut(id) else { return };
-        if std::mem::replace(&mut a.open, false) && self.state.cancels {
-            for shot in (0..a.shots.len()).filter(|&n| a.shots[n].out && Some(n) != streams) {
-                host.cancel(id, shot);
+        let Some(request) = self.state.requests.get_mut(id) else { return };
+        if std::mem::replace(&mut request.is_open, false) && self.state.can_cancel {
+            for attempt in
+                (0..request.attempts.len()).filter(|&n| request.attempts[n].in_flight && Some(n) != streams)
+            {
+                host.cancel(id, attempt);
             }
         }
-        self.finish(id, host);
+        self.release_if_done(id, host);
     }
 
     /// Lets go of a request that has its answer once nothing of it is out.
-    fn finish(&mut self, id: usize, host: &mut dyn Host) {
-        if self.state.activations.get(id).is_some_and(|a| !a.open && !a.shot_out()) {
-            let gone = self.state.activations.take(id);
-            let function = gone.and_then(|a| self.state.functions.get_mut(a.function));
-            function.into_iter().for_each(|f| f.open -= 1);
-            self.live.retain(|&other| other != id);
-            self.kept.retain(|&other| other != id);
+    fn release_if_done(&mut self, id: usize, host: &mut dyn Host) {
+        if self
+            .state
+            .requests
+            .get(id)
+            .is_some_and(|request| !request.is_open && !request.has_attempt_in_flight())
+        {
+            let request = self.state.requests.take(id);
+            let function = request.and_then(|request| self.state.functions.get_mut(request.function));
+            function.into_iter().for_each(|f| f.open_requests -= 1);
+            self.open.retain(|&other| other != id);
+            self.queued.retain(|&other| other != id);
             host.forget(id);
         }
     }
 
     /// The final answer of a request that cannot be handled: a rejection where that is harmless.
-    fn give_up(&mut self, id: usize, host: &mut dyn Host) {
-        let Some(a) = self.state.activations.get(id).filter(|a| a.open) else { return };
-        let profile = self.state.profiles[a.profile];
+    fn reject_or_fail(&mut self, id: usize, host: &mut dyn Host) {
+        let Some(request) = self.state.requests.get(id).filter(|request| request.is_open) else { return };
+        let profile = self.state.profiles[request.profile];
         let harmless = matches!(profile.effect, Effect::Pure | Effect::Receipted { group: Group::All, .. });
-        if harmless || a.shots.iter().all(|s| s.never_ran) {
-            host.bounce(id, self.state.admission.retry_after(a, profile.due));
+        if harmless || request.attempts.iter().all(|s| s.never_ran) {
+            host.bounce(id, self.state.admission.retry_after(request, profile.due));
         } else {
             host.terminate(id);
         }
@@ -216,55 +239,73 @@
     }
 
     /// Tries what is kept again.
-    fn release(&mut self, now: f64, host: &mut dyn Host) {
+    fn retry_queued(&mut self, now: f64, host: &mut dyn Host) {
         // One that stays kept speaks for those behind it that want the same function.
-        let mut stuck = Vec::new();
-        for id in std::mem::take(&mut self.kept) {
-            let Some(a) = self.state.activations.get(id) else { continue };
-            let key = (a.function, a.over_share);
-            if a.open && !a.shot_out() && !self.run(now, id, stuck.contains(&key), host) {
-                stuck.push(key);
+        let mut blocked = Vec::new();
+        for id in std::mem::take(&mut self.queued) {
+            let Some(request) = self.state.requests.get(id) else { continue };
+            let key = (request.function, request.over_quota);
+            if request.is_open
+                && !request.has_attempt_in_flight()
+                && !self.advance(now, id, blocked.contains(&key), host)
+            {
+                blocked.push(key);
             }
         }
     }
 
     /// An order to hold was answered.
-    pub fn held(&mut self, now: f64, w: usize, key: usize, is: Outcome, copies: u8, host: &mut dyn Host) {
+    pub fn held(
+        &mut self,
+        now: f64,
+        worker: usize,
+        function: usize,
+        outcome: Outcome,
+        instances: u8,
+        host: &mut dyn Host,
+    ) {
         let state = &mut self.state;
-        if let Some(f) = state.functions.get_mut(key) {
-            let stand = f.stand(w);
-            stand.coming = 0.0;
-            state.loads.answered();
-            if copies > 0 {
-                stand.copies = copies.into();
-                stand.until = now + state.keep;
+        if let Some(f) = state.functions.get_mut(function) {
+            let placement = f.placement(worker);
+            placement.loading_until = 0.0;
+            state.load_requests.ended();
+            if instances > 0 {
+                placement.instances = instances.into();
+                placement.expires_at = now + state.keep_alive;
             }
         }
-        match is {
-            Outcome::Unreached => state.fleet[w].judge(now, Evidence::UNREACHED),
+        match outcome {
+            Outcome::Unreached => state.workers[worker].record_evidence(now, Evidence::UNREACHED),
             Outcome::Failed | Outcome::Handled => {
-                state.loads.load_ended(now, is == Outcome::Handled, &mut state.random);
+                state.load_requests.load_ended(now, outcome == Outcome::Handled, &mut state.random);
             }
             _ => {}
         }
-        self.release(now, host);
+        self.retry_queued(now, host);
     }
 
     /// A probe was answered, or was not.
-    pub fn probed(&mut self, now: f64, w: usize, is: Outcome, report: Option<Report>, host: &mut dyn Host) {
-        let worker = &mut self.state.fleet[w];
-        worker.probe_ended();
-        worker.reported(now, report, self.state.routers);
-        if is == Outcome::Unreached {
-            worker.judge(now, Evidence::UNREACHED);
+    pub fn probed(
+        &mut self,
+        now: f64,
+        worker: usize,
+        outcome: Outcome,
+        report: Option<Report>,
+        host: &mut dyn Host,
+    ) {
+        let worker_state = &mut self.state.workers[worker];
+        worker_state.probe_ended();
+        worker_state.record_report(now, report, self.state.routers);
+        if outcome == Outcome::Unreached {
+            worker_state.record_evidence(now, Evidence::UNREACHED);
         }
-        self.release(now, host);
+        self.retry_queued(now, host);
     }
 
     /// Asks to be woken at a time, unless that happens anyway.
     fn wake_by(&mut self, now: f64, at: f64, host: &mut dyn Host) {
-        if at < self.wake {
-            self.wake = at;
+        if at < self.wake_at {
+            self.wake_at = at;
             host.wake((at - now).max(0.0));
         }
     }
@@ -272,26 +313,26 @@
     /// The time that was asked for has come.
     pub fn woken(&mut self, now: f64, host: &mut dyn Host) {
         /// Seconds between two looks at what is open: short against due times, long against its work.
-        const PULSE: f64 = 0.005;
-        if now < self.wake - 1e-6 {
+        const INTERVAL: f64 = 0.005;
+        if now < self.wake_at - 1e-6 {
             return;
         }
-        self.wake = f64::INFINITY;
-        if now >= self.ask_again {
-            self.ask_again = f64::INFINITY;
+        self.wake_at = f64::INFINITY;
+        if now >= self.watch_again_at {
+            self.watch_again_at = f64::INFINITY;
             host.follow();
         }
-        for id in self.live.clone() {
-            let a = self.state.activations.get(id);
-            if a.is_some_and(|a| a.open && now >= a.until - self.state.margin) {
-                self.give_up(id, host);
+        for id in self.open.clone() {
+            let request = self.state.requests.get(id);
+            if request.is_some_and(|request| request.is_open && now >= request.deadline - self.state.margin) {
+                self.reject_or_fail(id, host);
             }
         }
-        self.release(now, host);
-        if !self.live.is_empty() {
-            self.wake_by(now, now + PULSE, host);
-        } else if self.ask_again.is_finite() {
-            self.wake_by(now, self.ask_again, host);
+        self.retry_queued(now, host);
+        if !self.open.is_empty() {
+            self.wake_by(now, now + INTERVAL, host);
+        } else if self.watch_again_at.is_finite() {
+            self.wake_by(now, self.watch_again_at, host);
         }
     }
 }
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -6,29 +6,29 @@
 
 /// When a worker last rejected attempts, apart for those that had to load and those that met an instance.
 #[derive(Clone, Copy)]
-pub(crate) struct Full {
+pub(crate) struct RejectedAt {
     pub(crate) loading: f64,
     pub(crate) loaded: f64,
 }
 
-impl Full {
+impl RejectedAt {
     pub(crate) fn last(self, warm: bool) -> f64 {
         if warm { self.loaded } else { self.loading }
     }
 
-    pub(crate) fn now(&mut self, now: f64, warm: bool) {
+    pub(crate) fn set(&mut self, now: f64, warm: bool) {
         *(if warm { &mut self.loaded } else { &mut self.loading }) = now;
     }
 }
 
 /// A turn of a cold worker's window: when it began, and the shots that may still be sent in it.
 #[derive(Clone, Copy)]
-pub(crate) struct Turn {
+pub(crate) struct SlowStartTurn {
     pub(crate) began: f64,
     pub(crate) left: f64,
 }
 
-impl Turn {
+impl SlowStartTurn {
     const NONE: Self = Self { began: f64::NEG_INFINITY, left: 0.0 };
 }
 
@@ -45,25 +45,25 @@
     pub(crate) zone: usize,
     pub(crate) cell: usize,
     /// This router's shots out there, and those of them that met an instance.
-    pub(crate) out: usize,
-    pub(crate) busy: f64,
+    pub(crate) in_flight: usize,
+    pub(crate) in_flight_loaded: f64,
     /// When it last answered anything.
-    pub(crate) heard: f64,
-    pub(crate) full: Full,
+    pub(crate) answered_at: f64,
+    pub(crate) rejected_at: RejectedAt,
     /// Reported load that is not this router's own; none until it reports.
-    pub(crate) foreign: Option<f64>,
+    pub(crate) foreign_load: Option<f64>,
     /// How busy its cores were by that, 0 to 1; 1 where it does not say.
-    pub(crate) cores: f64,
+    pub(crate) utilization: f64,
     /// Whether that counts requests at work as well as those that wait.
-    pub(crate) held: bool,
+    pub(crate) counts_running: bool,
     /// When the last report came.
-    pub(crate) told: f64,
+    pub(crate) reported_at: f64,
     /// When a probe went out that is not answered yet; minus infinity where there is none.
-    pub(crate) asked: f64,
+    pub(crate) probed_at: f64,
     /// Distrust, 0 to 1.
-    pub(crate) doubt: Fading,
+    pub(crate) outlier_score: Fading,
     /// Where it is cold.
-    pub(crate) turn: Turn,
+    pub(crate) turn: SlowStartTurn,
 }
 
 impl Worker {
@@ -75,17 +75,17 @@
         memory: f64::INFINITY,
         zone: 0,
         cell: 0,
-        out: 0,
-        busy: 0.0,
-        heard: f64::NEG_INFINITY,
-        full: Full { loading: f64::NEG_INFINITY, loaded: f64::NEG_INFINITY },
-        foreign: None,
-        cores: 1.0,
-        held: false,
-        told: f64::NEG_INFINITY,
-        asked: f64::NEG_INFINITY,
-        doubt: Fading { sum: 0.0, at: 0.0 },
-        turn: Turn::NONE,
+        in_flight: 0,
+        in_flight_loaded: 0.0,
+        answered_at: f64::NEG_INFINITY,
+        rejected_at: RejectedAt { loading: f64::NEG_INFINITY, loaded: f64::NEG_INFINITY },
+        foreign_load: None,
+        utilization: 1.0,
+        counts_running: false,
+        reported_at: f64::NEG_INFINITY,
+        probed_at: f64::NEG_INFINITY,
+        outlier_score: Fading { sum: 0.0, at: 0.0 },
+        turn: SlowStartTurn::NONE,
     };
 
     pub(crate) fn is_ready(&self) -> bool {
@@ -101,9 +101,9 @@
         if anew {
             // A new process: empty, cold, and not to be blamed for the old one.
             self.started = started;
-            self.doubt = Fading::default();
-            self.foreign = None;
-            self.turn = Turn::NONE;
+            self.outlier_score = Fading::default();
+            self.foreign_load = None;
+            self.turn = SlowStartTurn::NONE;
         }
         self.name = line.name;
         self.state = line.state;
@@ -117,11 +117,11 @@
 
 /// All workers, under the host's index.
 #[derive(Default)]
-pub(crate) struct Fleet {
+pub(crate) struct WorkerTable {
     workers: Vec<Worker>,
 }
 
-impl Fleet {
+impl WorkerTable {
     /// Takes on one endpoint of the list; tells whether it is another process than before.
     pub(crate) fn listed(&mut self, line: &Listing, memory: f64) -> bool {
         if line.worker >= self.workers.len() {
@@ -148,7 +148,7 @@
     }
 }
 
-impl Index<usize> for Fleet {
+impl Index<usize> for WorkerTable {
     type Output = Worker;
 
     fn index(&self, worker: usize) -> &Worker {
@@ -156,7 +156,7 @@
     }
 }
 
-impl IndexMut<usize> for Fleet {
+impl IndexMut<usize> for WorkerTable {
     fn index_mut(&mut self, worker: usize) -> &mut Worker {
         &mut self.workers[worker]
     }
