--- a/crates/policy/src/rate_limiter/tests.rs
+++ b/crates/policy/src/rate_limiter/tests.rs
@@ -2,7 +2,7 @@
 
 /// Two ten seconds apart, the first of which was done late: the second waits for the window.
 #[test]
-fn what_is_done_counts_from_when_it_was_done() {
+fn an_action_counts_from_when_it_was_done() {
     let mut ration = Ration::new((10.0, 1.0, 0.0), 0.05);
     assert!(ration.may(0.2, 1.0));
     ration.done(0.2);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn activations_earn_shares_for_a_window() {
+fn requests_earn_actions_for_one_window() {
     let mut ration = Ration::new((10.0, 0.0, 0.5), 0.05);
     assert!(!ration.may(0.0, 0.0));
     (0..4).for_each(|n| ration.take(f64::from(n)));
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -2,180 +2,186 @@
 
 mod common;
 
-use common::{Did, Town, charter, line, pure};
+use common::{HostCall, TestRouter, config, endpoint, idempotent};
 use milletpath_policy::host::{Budget, Charter, Outcome, State};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
 /// Activations of a steady stream of twenty a second that are bounced within so many seconds.
-fn bounced(town: &mut Town, seconds: f64) -> usize {
+fn rejected(router: &mut TestRouter, seconds: f64) -> usize {
     let ids: Vec<_> = (0..(20.0 * seconds) as usize)
         .map(|_| {
-            let id = town.arrive(0, 4.0);
-            town.pass(0.05);
-            if !town.shots(id).is_empty() {
-                town.answer(id, 0, Outcome::Handled, 0.05);
+            let id = router.arrive(0, 4.0);
+            router.advance(0.05);
+            if !router.attempts(id).is_empty() {
+                router.answer(id, 0, Outcome::Handled, 0.05);
             }
             id
         })
         .collect();
-    ids.into_iter().filter(|id| town.did(&Did::Bounce { id: *id })).count()
+    ids.into_iter().filter(|id| router.has_called(&HostCall::Reject { id: *id })).count()
 }
 
-fn under(ceiling: f64, routers: usize) -> Town {
-    let terms = Charter { ceilings: vec![ceiling], come_back: Some(5.0), routers, ..charter(pure()) };
-    let mut town = Town::new(terms, 4);
-    town.pass(1.0);
-    town
+fn limited_to(ceiling: f64, routers: usize) -> TestRouter {
+    let settings = Charter { ceilings: vec![ceiling], come_back: Some(5.0), routers, ..config(idempotent()) };
+    let mut router = TestRouter::new(settings, 4);
+    router.advance(1.0);
+    router
 }
 
 #[test_case(40.0, 1, 0; "more than asked for")]
 #[test_case(10.0, 1, 95; "half of it")]
 #[test_case(40.0, 4, 95; "one of four routers")]
-fn a_group_is_held_to_its_ceiling(ceiling: f64, routers: usize, wanted: usize) {
-    let mut town = under(ceiling, routers);
-    let bounced = bounced(&mut town, 10.0);
-    assert!(bounced.abs_diff(wanted) <= 8, "{bounced}");
-    assert_eq!(town.host.lacked.contains(&Budget::Ceiling(0)), bounced > 0);
+fn a_client_group_is_limited_to_its_rate(ceiling: f64, routers: usize, expected: usize) {
+    let mut router = limited_to(ceiling, routers);
+    let rejected = rejected(&mut router, 10.0);
+    assert!(rejected.abs_diff(expected) <= 8, "{rejected}");
+    assert_eq!(router.host.exhausted.contains(&Budget::Ceiling(0)), rejected > 0);
     // Told when there is room again: a tenth of a second for each call at ten a second, not all in step.
-    assert!(town.host.away.iter().all(|a| a.is_some_and(|a| a > 0.0 && a <= 0.2)), "{:?}", town.host.away);
+    assert!(
+        router.host.retry_after.iter().all(|a| a.is_some_and(|a| a > 0.0 && a <= 0.2)),
+        "{:?}",
+        router.host.retry_after
+    );
 }
 
 /// What is allotted counts until its time, and not a moment longer.
 #[test]
-fn what_is_allotted_ends_by_itself() {
-    let mut town = under(10.0, 1);
-    let end = town.host.now + 5.0;
-    town.router.allot(Budget::Ceiling(0), [10.0, -8.0], end);
-    assert!(bounced(&mut town, 5.0) <= 10);
-    let after = bounced(&mut town, 10.0);
+fn a_lease_expires_by_itself() {
+    let mut router = limited_to(10.0, 1);
+    let end = router.host.now + 5.0;
+    router.router.allot(Budget::Ceiling(0), [10.0, -8.0], end);
+    assert!(rejected(&mut router, 5.0) <= 10);
+    let after = rejected(&mut router, 10.0);
     assert!(after >= 175, "{after} of 200 at two a second");
 }
 
 /// A burst after a lull has half a second of the ceiling, however long the lull was.
 #[test]
-fn a_lull_saves_up_half_a_second() {
-    let mut town = under(20.0, 1);
-    town.pass(60.0);
-    let ids: Vec<_> = (0..40).map(|n| town.arrive(n, 4.0)).collect();
-    assert_eq!(ids.iter().filter(|id| !town.shots(**id).is_empty()).count(), 10);
+fn an_idle_client_group_accumulates_at_most_half_a_second_of_its_rate() {
+    let mut router = limited_to(20.0, 1);
+    router.advance(60.0);
+    let ids: Vec<_> = (0..40).map(|n| router.arrive(n, 4.0)).collect();
+    assert_eq!(ids.iter().filter(|id| !router.attempts(**id).is_empty()).count(), 10);
 }
 
 /// A process stood still between deciding a shot and sending it: by then the ceiling has to let it through anew.
 #[test]
-fn what_was_let_through_long_ago_is_not_sent() {
-    let mut town = under(20.0, 1);
-    let id = town.arrive(0, 4.0);
-    let worker = town.shots(id)[0];
-    assert!(town.router.may_begin(town.host.now + 0.3, id, worker));
-    assert!(!town.router.may_begin(town.host.now + 0.6, id, worker));
+fn an_attempt_admitted_too_long_ago_is_not_sent() {
+    let mut router = limited_to(20.0, 1);
+    let id = router.arrive(0, 4.0);
+    let worker = router.attempts(id)[0];
+    assert!(router.router.may_begin(router.host.now + 0.3, id, worker));
+    assert!(!router.router.may_begin(router.host.now + 0.6, id, worker));
 }
 
 #[test_case(None, 3; "no bound")]
 #[test_case(Some((10.0, 1.0, 0.0)), 1; "one free")]
 #[test_case(Some((10.0, 0.0, 2.0)), 2; "two for each activation")]
 #[test_case(Some((10.0, 0.0, 0.0)), 0; "none")]
-fn further_shots_are_rationed(retries: Option<(f64, f64, f64)>, wanted: usize) {
-    let mut town = Town::new(Charter { retries, ..charter(pure()) }, 6);
-    town.serve(0, 0.01);
-    town.pass(10.0);
-    let id = town.arrive(0, 4.0);
+fn retries_stay_within_their_budget(retries: Option<(f64, f64, f64)>, expected: usize) {
+    let mut router = TestRouter::new(Charter { retries, ..config(idempotent()) }, 6);
+    router.serve(0, 0.01);
+    router.advance(10.0);
+    let id = router.arrive(0, 4.0);
     for shot in 0..4 {
-        if town.shots(id).len() > shot {
-            town.pass(0.01);
-            town.answer(id, shot, Outcome::Cut, 0.01);
+        if router.attempts(id).len() > shot {
+            router.advance(0.01);
+            router.answer(id, shot, Outcome::Cut, 0.01);
         }
     }
-    assert_eq!(town.shots(id).len() - 1, wanted);
-    assert_eq!(town.router.in_use(town.host.now, Budget::Retries), if wanted == 1 { 1.0 } else { 0.0 });
+    assert_eq!(router.attempts(id).len() - 1, expected);
+    assert_eq!(router.router.in_use(router.host.now, Budget::Retries), if expected == 1 { 1.0 } else { 0.0 });
     // Ended at once rather than kept until its time is over.
-    assert!(town.did(&Did::Bounce { id }), "{:?}", town.host.did);
+    assert!(router.has_called(&HostCall::Reject { id }), "{:?}", router.host.calls);
 }
 
 /// Shots out at a worker over all routers: this one has its part, and what it is allotted.
 #[test]
-fn shots_at_a_worker_are_bounded() {
-    let terms = Charter { hand: 8.0, routers: 4, orders: false, ..charter(pure()) };
-    let mut town = Town::new(terms, 1);
-    town.serve(0, 0.1);
-    let out = |town: &Town, ids: &[usize]| ids.iter().filter(|id| !town.shots(**id).is_empty()).count();
-    let ids: Vec<_> = (0..6).map(|_| town.arrive(0, 4.0)).collect();
-    assert_eq!(out(&town, &ids), 2);
-    assert!(town.host.lacked.contains(&Budget::Hand(0)));
-    assert_eq!(town.router.in_use(town.host.now, Budget::Hand(0)), 2.0);
-    town.router.allot(Budget::Hand(0), [-1.0, -1.0], f64::INFINITY);
+fn attempts_in_flight_at_a_worker_are_limited() {
+    let settings = Charter { hand: 8.0, routers: 4, orders: false, ..config(idempotent()) };
+    let mut router = TestRouter::new(settings, 1);
+    router.serve(0, 0.1);
+    let out = |router: &TestRouter, ids: &[usize]| {
+        ids.iter().filter(|id| !router.attempts(**id).is_empty()).count()
+    };
+    let ids: Vec<_> = (0..6).map(|_| router.arrive(0, 4.0)).collect();
+    assert_eq!(out(&router, &ids), 2);
+    assert!(router.host.exhausted.contains(&Budget::Hand(0)));
+    assert_eq!(router.router.in_use(router.host.now, Budget::Hand(0)), 2.0);
+    router.router.allot(Budget::Hand(0), [-1.0, -1.0], f64::INFINITY);
     // Sent before, and too many by now: what has not begun does not begin.
-    assert!(!town.router.may_begin(town.host.now, ids[0], 0));
-    town.answer(ids[0], 0, Outcome::Unsent, 0.0);
-    assert!(town.router.may_begin(town.host.now, ids[1], 0));
+    assert!(!router.router.may_begin(router.host.now, ids[0], 0));
+    router.answer(ids[0], 0, Outcome::Unsent, 0.0);
+    assert!(router.router.may_begin(router.host.now, ids[1], 0));
 }
 
 /// Nobody is told anything: whatever the list of budgets, all is as it was without them.
 #[test]
-fn a_budget_that_nobody_states_decides_nothing() {
-    let played = |terms: Charter| {
-        let mut town = Town::new(terms, 6);
+fn an_ample_budget_decides_as_none_at_all() {
+    let played = |settings: Charter| {
+        let mut router = TestRouter::new(settings, 6);
         for round in 0..200 {
-            let ids: Vec<_> = (0..3).map(|n| town.arrive((round + n) % 5, 4.0)).collect();
-            town.pass(0.03);
+            let ids: Vec<_> = (0..3).map(|n| router.arrive((round + n) % 5, 4.0)).collect();
+            router.advance(0.03);
             for id in ids {
-                for shot in 0..town.shots(id).len() {
+                for shot in 0..router.attempts(id).len() {
                     let outcome = if (round + shot) % 7 == 0 { Outcome::Failed } else { Outcome::Handled };
-                    town.answer(id, shot, outcome, 0.03);
+                    router.answer(id, shot, outcome, 0.03);
                 }
             }
         }
-        town.host.did
+        router.host.calls
     };
     let ample = Charter {
         ceilings: vec![f64::INFINITY],
         retries: Some((10.0, f64::INFINITY, 0.0)),
         hand: 1e9,
-        ..charter(pure())
+        ..config(idempotent())
     };
-    assert_eq!(played(charter(pure())), played(ample));
+    assert_eq!(played(config(idempotent())), played(ample));
 }
 
-fn members(town: &mut Town, rate: usize, busy: Option<f64>) -> usize {
+fn members(router: &mut TestRouter, rate: usize, busy: Option<f64>) -> usize {
     for _ in 0..100 {
-        let ids: Vec<_> = (0..rate).map(|_| town.arrive(0, 4.0)).collect();
-        town.pass(0.1);
+        let ids: Vec<_> = (0..rate).map(|_| router.arrive(0, 4.0)).collect();
+        router.advance(0.1);
         for id in ids {
-            (0..town.shots(id).len()).for_each(|shot| town.answer(id, shot, Outcome::Handled, 0.1));
+            (0..router.attempts(id).len()).for_each(|shot| router.answer(id, shot, Outcome::Handled, 0.1));
         }
-        for (_, worker) in town.holds() {
-            town.router.held(town.host.now, worker, 0, Outcome::Handled, 1, &mut town.host);
+        for (_, worker) in router.load_requests() {
+            router.router.held(router.host.now, worker, 0, Outcome::Handled, 1, &mut router.host);
         }
         if let Some(busy) = busy {
-            town.router.elsewhere(town.host.now, &BTreeMap::from([(1000, busy)]));
+            router.router.elsewhere(router.host.now, &BTreeMap::from([(1000, busy)]));
         }
     }
-    let last = town.host.now - 3.0;
-    let met = town.host.did.iter().filter_map(|(at, did)| match did {
-        Did::Send { worker, .. } if *at > last => Some(*worker),
+    let last = router.host.now - 3.0;
+    let used = router.host.calls.iter().filter_map(|(at, calls)| match calls {
+        HostCall::Send { worker, .. } if *at > last => Some(*worker),
         _ => None,
     });
-    met.collect::<std::collections::BTreeSet<_>>().len()
+    used.collect::<std::collections::BTreeSet<_>>().len()
 }
 
 /// A set is sized by what others say that they keep busy, and not by own times count, while they say so.
 #[test]
-fn a_set_is_sized_by_what_all_see() {
-    let routers = Charter { routers: 12, ..charter(pure()) };
+fn a_worker_set_is_sized_by_the_concurrency_of_all_routers() {
+    let routers = Charter { routers: 12, ..config(idempotent()) };
     // Alone a router that sees one call at a time takes it for twelve.
-    let guessed = members(&mut Town::new(routers.clone(), 12), 1, None);
-    let told = members(&mut Town::new(routers.clone(), 12), 1, Some(0.5));
-    let busy = members(&mut Town::new(routers, 12), 1, Some(11.0));
-    assert!(told <= 2 && told < guessed && busy >= 4, "{told} {guessed} {busy}");
+    let guessed = members(&mut TestRouter::new(routers.clone(), 12), 1, None);
+    let reported = members(&mut TestRouter::new(routers.clone(), 12), 1, Some(0.5));
+    let busy = members(&mut TestRouter::new(routers, 12), 1, Some(11.0));
+    assert!(reported <= 2 && reported < guessed && busy >= 4, "{reported} {guessed} {busy}");
 }
 
 /// The word of others fades: after some seconds the router's own guess counts again.
 #[test]
-fn what_others_said_fades() {
-    let mut town = Town::new(Charter { routers: 12, ..charter(pure()) }, 12);
-    let told = members(&mut town, 1, Some(0.5));
-    town.pass(30.0);
-    town.list((0..12).map(|w| line(w, State::Ready, None)).collect());
-    let guessed = members(&mut town, 1, None);
-    assert!(guessed > told, "{guessed} {told}");
+fn the_concurrency_that_other_routers_reported_decays() {
+    let mut router = TestRouter::new(Charter { routers: 12, ..config(idempotent()) }, 12);
+    let reported = members(&mut router, 1, Some(0.5));
+    router.advance(30.0);
+    router.list((0..12).map(|w| endpoint(w, State::Ready, None)).collect());
+    let guessed = members(&mut router, 1, None);
+    assert!(guessed > reported, "{guessed} {reported}");
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -4,56 +4,56 @@
 use milletpath_policy::policy::Router;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Did {
+pub enum HostCall {
     Send { id: usize, worker: usize },
     Cancel { id: usize, shot: usize },
-    Bounce { id: usize },
-    Terminate { id: usize },
-    Hold { worker: usize, function: usize, copies: u8 },
-    Follow,
+    Reject { id: usize },
+    Fail { id: usize },
+    RequestLoad { worker: usize, function: usize, copies: u8 },
+    WatchEndpoints,
     Probe { worker: usize },
 }
 
 #[derive(Default)]
-pub struct Fake {
+pub struct RecordingHost {
     pub now: f64,
-    pub did: Vec<(f64, Did)>,
+    pub calls: Vec<(f64, HostCall)>,
     pub wakes: Vec<f64>,
     pub forgotten: Vec<usize>,
     pub forgotten_functions: Vec<usize>,
-    pub lacked: Vec<Budget>,
-    pub away: Vec<Option<f64>>,
+    pub exhausted: Vec<Budget>,
+    pub retry_after: Vec<Option<f64>>,
 }
 
-impl Host for Fake {
+impl Host for RecordingHost {
     fn send(&mut self, id: usize, worker: usize, _until: f64) {
-        self.did.push((self.now, Did::Send { id, worker }));
+        self.calls.push((self.now, HostCall::Send { id, worker }));
     }
     fn cancel(&mut self, id: usize, shot: usize) {
-        self.did.push((self.now, Did::Cancel { id, shot }));
+        self.calls.push((self.now, HostCall::Cancel { id, shot }));
     }
     fn lacks(&mut self, what: Budget) {
-        self.lacked.push(what);
+        self.exhausted.push(what);
     }
     fn bounce(&mut self, id: usize, come_back: Option<f64>) {
-        self.away.push(come_back);
-        self.did.push((self.now, Did::Bounce { id }));
+        self.retry_after.push(come_back);
+        self.calls.push((self.now, HostCall::Reject { id }));
     }
     fn terminate(&mut self, id: usize) {
-        self.did.push((self.now, Did::Terminate { id }));
+        self.calls.push((self.now, HostCall::Fail { id }));
     }
     fn hold(&mut self, worker: usize, function: usize, copies: u8) {
-        self.did.push((self.now, Did::Hold { worker, function, copies }));
+        self.calls.push((self.now, HostCall::RequestLoad { worker, function, copies }));
     }
     fn unload(&mut self, _worker: usize, _function: usize) {}
     fn probe(&mut self, worker: usize) {
-        self.did.push((self.now, Did::Probe { worker }));
+        self.calls.push((self.now, HostCall::Probe { worker }));
     }
     fn wake(&mut self, after: f64) {
         self.wakes.push(self.now + after);
     }
     fn follow(&mut self) {
-        self.did.push((self.now, Did::Follow));
+        self.calls.push((self.now, HostCall::WatchEndpoints));
     }
     fn forget(&mut self, id: usize) {
         self.forgotten.push(id);
@@ -64,18 +64,18 @@
 }
 
 /// A router on its fake host, with the workers it was told of.
-pub struct Town {
-    pub host: Fake,
+pub struct TestRouter {
+    pub host: RecordingHost,
     pub router: Router,
     next: usize,
 }
 
-pub fn pure() -> Profile {
+pub fn idempotent() -> Profile {
     Profile { due: 1.0, effect: Effect::Pure }
 }
 
 /// A plain charter: one router, one profile, orders and second copies allowed, nothing rationed.
-pub fn charter(profile: Profile) -> Charter {
+pub fn config(profile: Profile) -> Charter {
     Charter {
         seed: 7,
         routers: 1,
@@ -104,14 +104,14 @@
     }
 }
 
-impl Town {
+impl TestRouter {
     /// A router that knows so many warm workers.
-    pub fn new(charter: Charter, workers: usize) -> Self {
-        let mut host = Fake::default();
-        let router = Router::new(charter, 0.0, &mut host);
-        let mut town = Self { host, router, next: 0 };
-        town.list((0..workers).map(|w| line(w, State::Ready, None)).collect());
-        town
+    pub fn new(config: Charter, workers: usize) -> Self {
+        let mut host = RecordingHost::default();
+        let router = Router::new(config, 0.0, &mut host);
+        let mut router = Self { host, router, next: 0 };
+        router.list((0..workers).map(|w| endpoint(w, State::Ready, None)).collect());
+        router
     }
 
     pub fn list(&mut self, lines: Vec<Listing>) {
@@ -120,7 +120,7 @@
     }
 
     /// Lets time pass, in steps in which the router's wakes come.
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let end = self.host.now + seconds;
         while let Some(&at) = self.host.wakes.iter().min_by(|a, b| a.total_cmp(b)).filter(|&&t| t <= end) {
             self.host.wakes.retain(|&t| t != at);
@@ -156,9 +156,9 @@
     }
 
     /// The workers that an activation's shots went to, in order.
-    pub fn shots(&self, id: usize) -> Vec<usize> {
-        let sends = self.host.did.iter().filter_map(|(_, d)| match d {
-            Did::Send { id: other, worker } if *other == id => Some(*worker),
+    pub fn attempts(&self, id: usize) -> Vec<usize> {
+        let sends = self.host.calls.iter().filter_map(|(_, d)| match d {
+            HostCall::Send { id: other, worker } if *other == id => Some(*worker),
             _ => None,
         });
         sends.collect()
@@ -167,26 +167,26 @@
     /// An activation comes, and is handled after so many seconds.
     pub fn serve(&mut self, function: usize, latency: f64) -> usize {
         let id = self.arrive(function, 4.0);
-        self.pass(latency);
-        let shot = self.shots(id).len().checked_sub(1).expect("a shot was sent");
+        self.advance(latency);
+        let shot = self.attempts(id).len().checked_sub(1).expect("a shot was sent");
         self.answer(id, shot, Outcome::Handled, latency);
-        self.shots(id)[shot]
+        self.attempts(id)[shot]
     }
 
-    pub fn holds(&self) -> Vec<(f64, usize)> {
-        let holds = self.host.did.iter().filter_map(|(t, d)| match d {
-            Did::Hold { worker, copies: 1.., .. } => Some((*t, *worker)),
+    pub fn load_requests(&self) -> Vec<(f64, usize)> {
+        let load_requests = self.host.calls.iter().filter_map(|(t, d)| match d {
+            HostCall::RequestLoad { worker, copies: 1.., .. } => Some((*t, *worker)),
             _ => None,
         });
-        holds.collect()
+        load_requests.collect()
     }
 
-    pub fn did(&self, what: &Did) -> bool {
-        self.host.did.iter().any(|(_, d)| d == what)
+    pub fn has_called(&self, what: &HostCall) -> bool {
+        self.host.calls.iter().any(|(_, d)| d == what)
     }
 }
 
-pub fn line(worker: usize, state: State, started: Option<f64>) -> Listing {
+pub fn endpoint(worker: usize, state: State, started: Option<f64>) -> Listing {
     Listing {
         worker,
         name: 77 + worker as u64 * 13,
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,355 +2,357 @@
 
 mod common;
 
-use common::{Did, Town, charter, line, pure};
+use common::{HostCall, TestRouter, config, endpoint, idempotent};
 use milletpath_policy::host::{Charter, Listing, Outcome, Report, State};
 use test_case::test_case;
 
 #[test_case(2; "few routers")]
 #[test_case(300; "many, of which each sees one arrival")]
-fn routers_agree_on_a_function_s_home(routers: usize) {
-    let mut one = Town::new(charter(pure()), 8);
-    let mut other = Town::new(Charter { seed: 99, routers, ..charter(pure()) }, 8);
+fn routers_agree_on_the_home_worker_of_a_function(routers: usize) {
+    let mut one = TestRouter::new(config(idempotent()), 8);
+    let mut other = TestRouter::new(Charter { seed: 99, routers, ..config(idempotent()) }, 8);
     for function in 0..20 {
         assert_eq!(one.serve(function, 0.1), other.serve(function, 0.1));
     }
 }
 
 #[test]
-fn a_function_that_turns_hot_reaches_more_workers() {
-    let mut town = Town::new(charter(pure()), 8);
+fn the_worker_set_grows_with_the_load_of_a_function() {
+    let mut router = TestRouter::new(config(idempotent()), 8);
     for _ in 0..60 {
-        let ids: Vec<_> = (0..6).map(|_| town.arrive(0, 4.0)).collect();
-        town.pass(0.2);
+        let ids: Vec<_> = (0..6).map(|_| router.arrive(0, 4.0)).collect();
+        router.advance(0.2);
         for id in ids {
-            (0..town.shots(id).len()).for_each(|shot| town.answer(id, shot, Outcome::Handled, 0.2));
+            (0..router.attempts(id).len()).for_each(|shot| router.answer(id, shot, Outcome::Handled, 0.2));
         }
-        for (_, worker) in town.holds() {
-            town.router.held(town.host.now, worker, 0, Outcome::Handled, 1, &mut town.host);
+        for (_, worker) in router.load_requests() {
+            router.router.held(router.host.now, worker, 0, Outcome::Handled, 1, &mut router.host);
         }
     }
-    let mut met: Vec<_> = (0..360).flat_map(|id| town.shots(id)).collect();
-    met.sort_unstable();
-    met.dedup();
-    assert!(met.len() >= 3, "{met:?}");
+    let mut used: Vec<_> = (0..360).flat_map(|id| router.attempts(id)).collect();
+    used.sort_unstable();
+    used.dedup();
+    assert!(used.len() >= 3, "{used:?}");
 }
 
 #[test]
-fn a_full_worker_is_given_no_more_for_a_while() {
-    let mut town = Town::new(charter(pure()), 4);
-    let home = town.serve(0, 0.1);
-    let id = town.arrive(0, 4.0);
-    town.answer(id, 0, Outcome::Full, 0.0);
-    assert!(town.shots(id)[1..].iter().all(|&w| w != home));
+fn a_worker_that_rejected_an_attempt_is_avoided_for_a_while() {
+    let mut router = TestRouter::new(config(idempotent()), 4);
+    let home = router.serve(0, 0.1);
+    let id = router.arrive(0, 4.0);
+    router.answer(id, 0, Outcome::Full, 0.0);
+    assert!(router.attempts(id)[1..].iter().all(|&w| w != home));
 }
 
 #[test]
-fn a_load_that_outlives_its_shot_is_not_begun_again_elsewhere() {
+fn a_load_that_outlives_its_attempt_is_not_started_on_another_worker() {
     // Loads begun by shots that were called off left no trace, and each next one began on another worker.
-    let mut town = Town::new(charter(pure()), 8);
-    let id = town.arrive(0, 1.5);
-    town.pass(1.5);
-    town.answer(id, 0, Outcome::Withdrawn, 1.5);
-    let next = town.arrive(0, 4.0);
-    assert_eq!(town.shots(next)[0], town.shots(id)[0]);
+    let mut router = TestRouter::new(config(idempotent()), 8);
+    let id = router.arrive(0, 1.5);
+    router.advance(1.5);
+    router.answer(id, 0, Outcome::Withdrawn, 1.5);
+    let next = router.arrive(0, 4.0);
+    assert_eq!(router.attempts(next)[0], router.attempts(id)[0]);
 }
 
 #[test]
-fn activations_join_a_load_up_to_its_lanes_and_wait_beyond_them() {
-    let mut town = Town::new(charter(pure()), 8);
-    let ids: Vec<_> = (0..3).map(|_| town.arrive(0, 4.0)).collect();
-    assert_eq!(town.shots(ids[0]), town.shots(ids[1]));
-    assert!(town.shots(ids[2]).is_empty());
-    town.pass(0.5);
-    town.answer(ids[0], 0, Outcome::Handled, 0.5);
-    assert_eq!(town.shots(ids[2]), town.shots(ids[0]));
+fn requests_join_a_load_up_to_its_concurrency_and_queue_beyond_it() {
+    let mut router = TestRouter::new(config(idempotent()), 8);
+    let ids: Vec<_> = (0..3).map(|_| router.arrive(0, 4.0)).collect();
+    assert_eq!(router.attempts(ids[0]), router.attempts(ids[1]));
+    assert!(router.attempts(ids[2]).is_empty());
+    router.advance(0.5);
+    router.answer(ids[0], 0, Outcome::Handled, 0.5);
+    assert_eq!(router.attempts(ids[2]), router.attempts(ids[0]));
 }
 
 #[test_case(false; "told nothing of memory")]
 #[test_case(true; "memory filled")]
-fn no_instance_is_ordered_ahead_where_memory_is_filled(filled: bool) {
+fn no_instance_is_preloaded_where_memory_is_full(filled: bool) {
     let memory = if filled { vec![120.0] } else { vec![] };
-    let mut town = Town::new(Charter { memory, ..charter(pure()) }, 4);
+    let mut router = TestRouter::new(Charter { memory, ..config(idempotent()) }, 4);
     for _ in 0..20 {
-        let ids: Vec<_> = (0..8).map(|_| town.arrive(0, 4.0)).collect();
-        town.pass(0.3);
-        ids.iter().filter(|&&id| !town.shots(id).is_empty()).for_each(|_| ());
+        let ids: Vec<_> = (0..8).map(|_| router.arrive(0, 4.0)).collect();
+        router.advance(0.3);
+        ids.iter().filter(|&&id| !router.attempts(id).is_empty()).for_each(|_| ());
         for id in ids {
-            (0..town.shots(id).len()).for_each(|shot| town.answer(id, shot, Outcome::Handled, 0.3));
+            (0..router.attempts(id).len()).for_each(|shot| router.answer(id, shot, Outcome::Handled, 0.3));
         }
     }
-    assert_eq!(town.holds().is_empty(), filled);
+    assert_eq!(router.load_requests().is_empty(), filled);
 }
 
 #[test]
-fn a_silent_worker_loses_its_traffic() {
-    let mut town = Town::new(charter(pure()), 6);
-    let home = town.serve(0, 0.1);
-    (0..30).for_each(|_| _ = town.serve(0, 0.1));
+fn a_worker_that_stops_answering_loses_its_traffic() {
+    let mut router = TestRouter::new(config(idempotent()), 6);
+    let home = router.serve(0, 0.1);
+    (0..30).for_each(|_| _ = router.serve(0, 0.1));
     // What it took ends unanswered, after a time that no chance explains.
-    town.pass(0.1);
-    let held: Vec<_> = (0..2).map(|_| town.arrive(0, 1.5)).collect();
-    town.pass(1.5);
-    held.iter().for_each(|&id| town.answer(id, 0, Outcome::Withdrawn, 1.5));
-    let next: Vec<_> = (0..10).map(|_| town.arrive(0, 4.0)).collect();
-    assert!(next.iter().filter(|&&id| town.shots(id).contains(&home)).count() <= 1);
+    router.advance(0.1);
+    let held: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
+    router.advance(1.5);
+    held.iter().for_each(|&id| router.answer(id, 0, Outcome::Withdrawn, 1.5));
+    let next: Vec<_> = (0..10).map(|_| router.arrive(0, 4.0)).collect();
+    assert!(next.iter().filter(|&&id| router.attempts(id).contains(&home)).count() <= 1);
 }
 
 #[test]
-fn a_worker_that_fails_fast_loses_its_traffic_and_gets_it_back() {
-    let mut town = Town::new(Charter { orders: false, ..charter(pure()) }, 6);
-    let home = town.serve(0, 0.1);
-    let mut kept = 0;
+fn a_worker_that_fails_fast_loses_its_traffic_and_recovers_it() {
+    let mut router = TestRouter::new(Charter { orders: false, ..config(idempotent()) }, 6);
+    let home = router.serve(0, 0.1);
+    let mut sent_to_failing = 0;
     for _ in 0..40 {
-        let id = town.arrive(0, 4.0);
+        let id = router.arrive(0, 4.0);
         for shot in 0..4 {
-            let Some(&worker) = town.shots(id).get(shot) else { break };
+            let Some(&worker) = router.attempts(id).get(shot) else { break };
             let bad = worker == home;
-            kept += usize::from(bad);
-            town.pass(0.01);
-            town.answer(id, shot, if bad { Outcome::Failed } else { Outcome::Handled }, 0.01);
+            sent_to_failing += usize::from(bad);
+            router.advance(0.01);
+            router.answer(id, shot, if bad { Outcome::Failed } else { Outcome::Handled }, 0.01);
         }
     }
-    assert!(kept <= 10, "{kept} of 40");
-    town.pass(30.0);
-    assert!((0..40).any(|_| town.serve(0, 0.01) == home));
+    assert!(sent_to_failing <= 10, "{sent_to_failing} of 40");
+    router.advance(30.0);
+    assert!((0..40).any(|_| router.serve(0, 0.01) == home));
 }
 
 #[test]
-fn an_instance_past_a_set_that_shrank_is_still_used() {
+fn an_instance_outside_a_set_that_shrank_is_still_used() {
     // The set shrank under its only instance, and all that came was bounced as no member had one.
-    let mut town = Town::new(charter(pure()), 6);
-    (0..30).for_each(|_| _ = town.serve(0, 0.01));
-    let home = town.shots(0)[0];
-    town.list(vec![line(home, State::Draining, None)]);
-    town.pass(31.0);
-    let other = town.serve(0, 0.01);
-    town.list(vec![line(home, State::Ready, None)]);
-    assert_eq!(town.serve(0, 0.01), other);
+    let mut router = TestRouter::new(config(idempotent()), 6);
+    (0..30).for_each(|_| _ = router.serve(0, 0.01));
+    let home = router.attempts(0)[0];
+    router.list(vec![endpoint(home, State::Draining, None)]);
+    router.advance(31.0);
+    let other = router.serve(0, 0.01);
+    router.list(vec![endpoint(home, State::Ready, None)]);
+    assert_eq!(router.serve(0, 0.01), other);
 }
 
 #[test]
-fn a_miss_is_answered_by_an_order_and_another_shot_once_it_stands() {
-    let mut town = Town::new(Charter { misses: true, ..charter(pure()) }, 4);
-    let id = town.arrive(0, 4.0);
-    let home = town.shots(id)[0];
-    town.answer(id, 0, Outcome::Missed, 0.0);
-    assert!(town.did(&Did::Hold { worker: home, function: 0, copies: 1 }));
-    assert_eq!(town.shots(id), [home]);
-    town.pass(0.5);
-    town.router.held(town.host.now, home, 0, Outcome::Handled, 1, &mut town.host);
-    assert_eq!(town.shots(id), [home, home]);
+fn a_missing_function_is_loaded_and_the_attempt_repeated() {
+    let mut router = TestRouter::new(Charter { misses: true, ..config(idempotent()) }, 4);
+    let id = router.arrive(0, 4.0);
+    let home = router.attempts(id)[0];
+    router.answer(id, 0, Outcome::Missed, 0.0);
+    assert!(router.has_called(&HostCall::RequestLoad { worker: home, function: 0, copies: 1 }));
+    assert_eq!(router.attempts(id), [home]);
+    router.advance(0.5);
+    router.router.held(router.host.now, home, 0, Outcome::Handled, 1, &mut router.host);
+    assert_eq!(router.attempts(id), [home, home]);
 }
 
 #[test]
-fn clients_beyond_their_share_wait_first() {
-    let mut town = Town::new(Charter { quotas: vec![2.0], over_share: 0.1, ..charter(pure()) }, 1);
-    town.serve(0, 0.5);
-    (0..12).for_each(|_| _ = town.arrive(0, 4.0));
-    town.pass(0.9);
-    let bounced = (0..13).filter(|&id| town.did(&Did::Bounce { id })).count();
-    assert!(bounced >= 6, "{bounced}");
+fn requests_over_quota_are_shed_first() {
+    let mut router =
+        TestRouter::new(Charter { quotas: vec![2.0], over_share: 0.1, ..config(idempotent()) }, 1);
+    router.serve(0, 0.5);
+    (0..12).for_each(|_| _ = router.arrive(0, 4.0));
+    router.advance(0.9);
+    let rejected = (0..13).filter(|&id| router.has_called(&HostCall::Reject { id })).count();
+    assert!(rejected >= 6, "{rejected}");
 }
 
 #[test]
-fn a_subscription_that_broke_is_asked_for_again() {
-    let mut town = Town::new(Charter { asks: true, ..charter(pure()) }, 2);
-    town.router.list_failed(town.host.now, &mut town.host);
-    town.pass(3.0);
-    assert_eq!(town.host.did.iter().filter(|(_, d)| *d == Did::Follow).count(), 2);
+fn a_failed_endpoint_watch_is_requested_again() {
+    let mut router = TestRouter::new(Charter { asks: true, ..config(idempotent()) }, 2);
+    router.router.list_failed(router.host.now, &mut router.host);
+    router.advance(3.0);
+    assert_eq!(router.host.calls.iter().filter(|(_, d)| *d == HostCall::WatchEndpoints).count(), 2);
 }
 
 #[test]
-fn a_restarted_worker_is_forgiven_and_taken_to_be_empty() {
-    let mut town = Town::new(charter(pure()), 6);
-    let home = town.serve(0, 0.1);
-    town.list(vec![line(home, State::Ready, Some(town.host.now))]);
-    let next = town.serve(0, 0.1);
+fn a_restarted_worker_has_no_outlier_score_and_no_instances() {
+    let mut router = TestRouter::new(config(idempotent()), 6);
+    let home = router.serve(0, 0.1);
+    router.list(vec![endpoint(home, State::Ready, Some(router.host.now))]);
+    let next = router.serve(0, 0.1);
     assert_ne!(next, home, "it has no capacity yet that is known");
 }
 
 #[test]
-fn late_and_unknown_word_is_passed_over() {
-    let mut town = Town::new(charter(pure()), 2);
-    let id = town.arrive(0, 4.0);
-    town.answer(id, 0, Outcome::Handled, 0.1);
-    town.answer(id, 0, Outcome::Handled, 0.1);
-    town.answer(id + 7, 3, Outcome::Cut, f64::NAN);
-    town.router.close(id + 9, None, &mut town.host);
-    town.router.held(town.host.now, 1, 99, Outcome::Overdue, 0, &mut town.host);
-    assert_eq!(town.host.forgotten, [id]);
+fn late_and_unknown_results_are_ignored() {
+    let mut router = TestRouter::new(config(idempotent()), 2);
+    let id = router.arrive(0, 4.0);
+    router.answer(id, 0, Outcome::Handled, 0.1);
+    router.answer(id, 0, Outcome::Handled, 0.1);
+    router.answer(id + 7, 3, Outcome::Cut, f64::NAN);
+    router.router.close(id + 9, None, &mut router.host);
+    router.router.held(router.host.now, 1, 99, Outcome::Overdue, 0, &mut router.host);
+    assert_eq!(router.host.forgotten, [id]);
 }
 
 #[test_case(true; "answered")]
 #[test_case(false; "not answered")]
-fn one_of_many_routers_asks_before_it_joins_a_queue_unseen(answers: bool) {
-    let mut town = Town::new(Charter { routers: 100, probes: true, ..charter(pure()) }, 4);
-    let id = town.arrive(0, 4.0);
-    assert!(town.shots(id).is_empty());
-    let Some((_, Did::Probe { worker })) = town.host.did.last().cloned() else { panic!("no probe") };
+fn one_of_many_routers_probes_a_worker_before_it_joins_an_unknown_queue(answers: bool) {
+    let mut router = TestRouter::new(Charter { routers: 100, probes: true, ..config(idempotent()) }, 4);
+    let id = router.arrive(0, 4.0);
+    assert!(router.attempts(id).is_empty());
+    let Some((_, HostCall::Probe { worker })) = router.host.calls.last().cloned() else { panic!("no probe") };
     if answers {
         let report = Some(Report { held: Some(0.0), ..Report::default() });
-        town.router.probed(0.004, worker, Outcome::Handled, report, &mut town.host);
+        router.router.probed(0.004, worker, Outcome::Handled, report, &mut router.host);
     } else {
-        town.pass(0.05);
+        router.advance(0.05);
     }
-    assert_eq!(town.shots(id), [worker]);
+    assert_eq!(router.attempts(id), [worker]);
 }
 
 #[test_case(0.99, false; "busy cores")]
 #[test_case(0.3, true; "cores to spare")]
-fn a_worker_that_reports_a_crowd_gets_nothing_from_one_of_many_routers(busy: f64, gets: bool) {
-    let mut town = Town::new(Charter { routers: 100, ..charter(pure()) }, 4);
-    let home = town.serve(0, 0.1);
+fn a_worker_that_reports_overload_gets_nothing_from_one_of_many_routers(busy: f64, gets: bool) {
+    let mut router = TestRouter::new(Charter { routers: 100, ..config(idempotent()) }, 4);
+    let home = router.serve(0, 0.1);
     let report = Some(Report { held: Some(50.0), busy: Some(busy), ..Report::default() });
-    town.router.probed(0.1, home, Outcome::Handled, report, &mut town.host);
-    let id = town.arrive(0, 4.0);
-    assert_eq!(town.shots(id).contains(&home), gets);
+    router.router.probed(0.1, home, Outcome::Handled, report, &mut router.host);
+    let id = router.arrive(0, 4.0);
+    assert_eq!(router.attempts(id).contains(&home), gets);
 }
 
 /// Two wait at a worker, and an activation takes less than the time that may pass there. A worker of one core's size has
 /// a crowd; one of five works through them at once. It was taken for as crowded while its rate was not known.
 #[test_case(1.0, false; "a small worker")]
 #[test_case(5.0, true; "a large one")]
-fn a_large_worker_is_not_crowded_by_two_that_wait(size: f64, gets: bool) {
+fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, gets: bool) {
     for seed in 0..20 {
-        let mut town = Town::new(Charter { seed, routers: 100, ..charter(pure()) }, 4);
-        town.list((0..4).map(|w| Listing { size, ..line(w, State::Ready, None) }).collect());
+        let mut router = TestRouter::new(Charter { seed, routers: 100, ..config(idempotent()) }, 4);
+        router.list((0..4).map(|w| Listing { size, ..endpoint(w, State::Ready, None) }).collect());
         for w in 0..4 {
             let report = Some(Report { waiting: Some(2.02), ..Report::default() });
-            town.router.probed(0.0, w, Outcome::Handled, report, &mut town.host);
+            router.router.probed(0.0, w, Outcome::Handled, report, &mut router.host);
         }
-        let id = town.arrive(0, 4.0);
-        assert_eq!(!town.shots(id).is_empty(), gets, "seed {seed}");
+        let id = router.arrive(0, 4.0);
+        assert_eq!(!router.attempts(id).is_empty(), gets, "seed {seed}");
     }
 }
 
 /// Two activations of a function come together at one of three hundred routers, as they do at some of them all the time.
 /// Read as hundreds a second they stretched its set over a dozen workers, each of which loads it.
 #[test]
-fn a_chance_meeting_stretches_no_set() {
-    let mut met = std::collections::BTreeSet::new();
+fn a_few_concurrent_arrivals_do_not_grow_the_worker_set() {
+    let mut used = std::collections::BTreeSet::new();
     for seed in 0..60 {
-        let mut town = Town::new(Charter { seed, routers: 300, ..charter(pure()) }, 40);
-        town.serve(0, 0.3);
-        town.pass(30.0);
-        let ids = [0, 0].map(|function| town.arrive(function, 4.0));
-        met.extend(town.shots(ids[1]));
-        met.extend(town.holds().into_iter().map(|(_, worker)| worker));
+        let mut router = TestRouter::new(Charter { seed, routers: 300, ..config(idempotent()) }, 40);
+        router.serve(0, 0.3);
+        router.advance(30.0);
+        let ids = [0, 0].map(|function| router.arrive(function, 4.0));
+        used.extend(router.attempts(ids[1]));
+        used.extend(router.load_requests().into_iter().map(|(_, worker)| worker));
     }
-    assert!(met.len() <= 8, "{met:?}");
+    assert!(used.len() <= 8, "{used:?}");
 }
 
 #[test]
-fn after_a_failed_load_orders_rest_for_a_while() {
+fn load_requests_back_off_after_a_failed_load() {
     // The store was pushed over by loads that every router began again at once.
-    let mut town = Town::new(Charter { misses: true, ..charter(pure()) }, 4);
-    let miss = |town: &mut Town, function| {
-        let id = town.arrive(function, 4.0);
-        town.answer(id, 0, Outcome::Missed, 0.0);
-        (town.shots(id)[0], town.holds().len())
+    let mut router = TestRouter::new(Charter { misses: true, ..config(idempotent()) }, 4);
+    let miss = |router: &mut TestRouter, function| {
+        let id = router.arrive(function, 4.0);
+        router.answer(id, 0, Outcome::Missed, 0.0);
+        (router.attempts(id)[0], router.load_requests().len())
     };
-    let (home, orders) = miss(&mut town, 0);
-    town.router.held(town.host.now, home, 0, Outcome::Failed, 0, &mut town.host);
-    assert_eq!(miss(&mut town, 1).1, orders, "at once");
-    town.pass(1.0);
-    assert!(town.holds().len() > orders, "later");
+    let (home, orders) = miss(&mut router, 0);
+    router.router.held(router.host.now, home, 0, Outcome::Failed, 0, &mut router.host);
+    assert_eq!(miss(&mut router, 1).1, orders, "at once");
+    router.advance(1.0);
+    assert!(router.load_requests().len() > orders, "later");
 }
 
 #[test_case(0.5, true; "little time")]
 #[test_case(4.0, false; "time enough")]
-fn a_load_that_its_client_may_not_wait_for_is_ordered_as_well(patience: f64, ordered: bool) {
-    let mut town = Town::new(charter(pure()), 4);
-    let id = town.arrive(0, patience);
-    let worker = town.shots(id)[0];
-    assert_eq!(town.did(&Did::Hold { worker, function: 0, copies: 1 }), ordered);
+fn a_load_is_requested_where_its_client_may_not_wait_for_it(patience: f64, ordered: bool) {
+    let mut router = TestRouter::new(config(idempotent()), 4);
+    let id = router.arrive(0, patience);
+    let worker = router.attempts(id)[0];
+    assert_eq!(router.has_called(&HostCall::RequestLoad { worker, function: 0, copies: 1 }), ordered);
 }
 
 /// One-off functions, each wanted once, would pile up for as long as a router lives.
 #[test]
-fn functions_asked_for_once_are_forgotten_and_busy_ones_are_not() {
-    let mut town = Town::new(charter(pure()), 4);
+fn unused_functions_are_released_and_used_ones_are_not() {
+    let mut router = TestRouter::new(config(idempotent()), 4);
     for one_off in 0..400 {
-        town.serve(0, 0.05);
-        town.serve(1 + one_off, 0.05);
+        router.serve(0, 0.05);
+        router.serve(1 + one_off, 0.05);
     }
-    let forgotten = &town.host.forgotten_functions;
+    let forgotten = &router.host.forgotten_functions;
     // Those of the last 15 s or so, and the time a round takes, are still known.
     assert!((150..400).contains(&forgotten.len()), "{} forgotten", forgotten.len());
     assert!(!forgotten.contains(&0));
     // What is forgotten is served as if new.
-    town.serve(1, 0.05);
+    router.serve(1, 0.05);
 }
 
 /// The answer to an order that comes after its function was forgotten would be booked on another one.
 #[test]
-fn a_function_with_an_order_out_is_not_forgotten() {
-    let mut town = Town::new(Charter { misses: true, order_wait: 60.0, ..charter(pure()) }, 2);
-    let forgotten_after = |town: &mut Town, seconds: usize| {
+fn a_function_with_a_pending_load_request_is_not_released() {
+    let mut router = TestRouter::new(Charter { misses: true, order_wait: 60.0, ..config(idempotent()) }, 2);
+    let forgotten_after = |router: &mut TestRouter, seconds: usize| {
         for _ in 0..seconds {
-            town.arrive(3, 0.4);
-            town.pass(1.0);
+            router.arrive(3, 0.4);
+            router.advance(1.0);
         }
-        town.host.forgotten_functions.contains(&2)
+        router.host.forgotten_functions.contains(&2)
     };
-    let id = town.arrive(2, 0.5);
-    (0..4).for_each(|shot| town.answer(id, shot, Outcome::Missed, 0.01));
-    assert!(!town.holds().is_empty());
-    assert!(!forgotten_after(&mut town, 50));
-    assert!(forgotten_after(&mut town, 50));
+    let id = router.arrive(2, 0.5);
+    (0..4).for_each(|shot| router.answer(id, shot, Outcome::Missed, 0.01));
+    assert!(!router.load_requests().is_empty());
+    assert!(!forgotten_after(&mut router, 50));
+    assert!(forgotten_after(&mut router, 50));
 }
 
 /// A client group that waited 0.25 s a try came again at once with each bounce, four times what it had to ask, while
 /// the workers answered in half that time.
 #[test_case(4.0; "a patient client")]
 #[test_case(0.3; "one of little time, that answers still reach")]
-fn a_worker_that_answers_in_time_is_sent_what_its_client_waits_for(patience: f64) {
-    let mut town = Town::new(charter(pure()), 1);
+fn a_worker_that_answers_within_its_client_s_time_gets_the_request(patience: f64) {
+    let mut router = TestRouter::new(config(idempotent()), 1);
     for n in 0..120 {
-        town.serve(n % 10, 0.05);
+        router.serve(n % 10, 0.05);
     }
-    let before: Vec<_> = (0..4).map(|function| town.arrive(function, 4.0)).collect();
-    assert!(before.iter().all(|&id| town.shots(id).len() == 1));
-    let id = town.arrive(5, patience);
-    assert_eq!(town.shots(id).len(), 1);
+    let before: Vec<_> = (0..4).map(|function| router.arrive(function, 4.0)).collect();
+    assert!(before.iter().all(|&id| router.attempts(id).len() == 1));
+    let id = router.arrive(5, patience);
+    assert_eq!(router.attempts(id).len(), 1);
 }
 
 /// Kept to the end of its client's own time, which was shorter than the due time, it came too late for a further try.
 #[test]
-fn nobody_is_kept_past_half_of_his_own_time_without_a_shot() {
-    let mut town = Town::new(charter(pure()), 0);
-    let id = town.arrive(0, 0.4);
-    town.pass(0.19);
-    assert!(town.did(&Did::Bounce { id }));
+fn no_request_is_queued_past_half_of_its_own_time_without_an_attempt() {
+    let mut router = TestRouter::new(config(idempotent()), 0);
+    let id = router.arrive(0, 0.4);
+    router.advance(0.19);
+    assert!(router.has_called(&HostCall::Reject { id }));
 }
 
 /// Bad clients called functions that no worker knows: each failed at four workers, and soon all were distrusted.
 #[test]
-fn a_function_that_fails_everywhere_is_no_fault_of_the_workers() {
-    let mut town = Town::new(charter(pure()), 6);
-    let home = town.serve(0, 0.1);
+fn a_function_that_fails_everywhere_does_not_make_workers_outliers() {
+    let mut router = TestRouter::new(config(idempotent()), 6);
+    let home = router.serve(0, 0.1);
     for function in 1..40 {
-        let id = town.arrive(function, 4.0);
-        while let Some(shot) = town.shots(id).len().checked_sub(1).filter(|_| !town.did(&Did::Bounce { id }))
+        let id = router.arrive(function, 4.0);
+        while let Some(shot) =
+            router.attempts(id).len().checked_sub(1).filter(|_| !router.has_called(&HostCall::Reject { id }))
         {
-            town.answer(id, shot, Outcome::Failed, 0.001);
+            router.answer(id, shot, Outcome::Failed, 0.001);
         }
-        assert_eq!(town.shots(id).len(), 2);
+        assert_eq!(router.attempts(id).len(), 2);
     }
-    assert!((0..20).all(|_| town.serve(0, 0.1) == home));
+    assert!((0..20).all(|_| router.serve(0, 0.1) == home));
 }
 
 /// With a sixth of the workers cold, three routers turned a third away from queues that had room: the bound was set for
 /// a hundred routers, which see little of what the others send.
 #[test]
-fn few_routers_give_a_worker_more_than_each_of_many() {
+fn each_of_few_routers_sends_a_worker_more_than_each_of_many() {
     let taken = |routers| {
-        let mut town = Town::new(Charter { routers, ..charter(pure()) }, 1);
+        let mut router = TestRouter::new(Charter { routers, ..config(idempotent()) }, 1);
         for n in 0..120 {
-            town.serve(n % 30, 0.1);
+            router.serve(n % 30, 0.1);
         }
-        let ids: Vec<_> = (0..30).map(|function| town.arrive(function, 4.0)).collect();
-        ids.into_iter().filter(|&id| !town.shots(id).is_empty()).count()
+        let ids: Vec<_> = (0..30).map(|function| router.arrive(function, 4.0)).collect();
+        ids.into_iter().filter(|&id| !router.attempts(id).is_empty()).count()
     };
     let (few, many) = (taken(3), taken(100));
     assert!(few > many && many > 0, "{few} and {many}");
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Did, Town, charter, line, pure};
+use common::{HostCall, TestRouter, config, endpoint, idempotent};
 use milletpath_policy::host::{Charter, Effect, Group, Outcome, Profile, State};
 use oorandom::Rand32;
 use test_case::test_case;
@@ -13,25 +13,25 @@
     Effect::Receipted { group, memory: 2.0 }
 }
 
-fn with(effect: Effect) -> Profile {
-    Profile { effect, ..pure() }
+fn profile_with(effect: Effect) -> Profile {
+    Profile { effect, ..idempotent() }
 }
 
 #[test_case(Effect::Pure, true; "pure is bounced")]
 #[test_case(receipted(Group::All), true; "receipted everywhere is bounced")]
 #[test_case(receipted(Group::Zone), false; "receipted in a zone is terminated")]
 #[test_case(EFFECTFUL, false; "effectful is terminated")]
-fn an_unanswered_shot_gets_its_one_final_answer_in_time(effect: Effect, bounced: bool) {
-    let mut town = Town::new(charter(with(effect)), 3);
-    let id = town.arrive(0, 2.0);
-    town.pass(2.0);
-    let finals: Vec<_> = town
+fn an_unanswered_attempt_gets_one_final_answer_in_time(effect: Effect, rejected: bool) {
+    let mut router = TestRouter::new(config(profile_with(effect)), 3);
+    let id = router.arrive(0, 2.0);
+    router.advance(2.0);
+    let finals: Vec<_> = router
         .host
-        .did
+        .calls
         .iter()
-        .filter(|(_, d)| matches!(d, Did::Bounce { .. } | Did::Terminate { .. }))
+        .filter(|(_, d)| matches!(d, HostCall::Reject { .. } | HostCall::Fail { .. }))
         .collect();
-    let expected = if bounced { Did::Bounce { id } } else { Did::Terminate { id } };
+    let expected = if rejected { HostCall::Reject { id } } else { HostCall::Fail { id } };
     assert_eq!(finals.len(), 1);
     assert_eq!(finals[0].1, expected);
     assert!(finals[0].0 < 2.0);
@@ -39,13 +39,13 @@
 
 #[test_case(0; "no worker at all")]
 #[test_case(3; "all draining")]
-fn without_a_ready_worker_an_activation_is_bounced_early(workers: usize) {
-    let mut town = Town::new(charter(pure()), workers);
-    town.list((0..workers).map(|w| line(w, State::Draining, None)).collect());
-    let id = town.arrive(0, 4.0);
-    town.pass(1.0);
-    assert!(town.shots(id).is_empty());
-    assert!(town.did(&Did::Bounce { id }));
+fn without_a_ready_worker_a_request_is_rejected_early(workers: usize) {
+    let mut router = TestRouter::new(config(idempotent()), workers);
+    router.list((0..workers).map(|w| endpoint(w, State::Draining, None)).collect());
+    let id = router.arrive(0, 4.0);
+    router.advance(1.0);
+    assert!(router.attempts(id).is_empty());
+    assert!(router.has_called(&HostCall::Reject { id }));
 }
 
 #[test_case(Effect::Pure, Outcome::Failed, true; "pure goes on after an error")]
@@ -54,82 +54,82 @@
 #[test_case(EFFECTFUL, Outcome::Full, true; "effectful never ran")]
 #[test_case(EFFECTFUL, Outcome::Unreached, true; "effectful never arrived")]
 #[test_case(receipted(Group::All), Outcome::Failed, true; "receipted everywhere goes on")]
-fn a_failed_shot_is_followed_only_where_that_is_harmless(effect: Effect, outcome: Outcome, again: bool) {
-    let mut town = Town::new(charter(with(effect)), 3);
-    let id = town.arrive(0, 4.0);
-    town.pass(0.1);
-    town.answer(id, 0, outcome, 0.1);
-    assert_eq!(town.shots(id).len(), if again { 2 } else { 1 });
-    assert_eq!(town.did(&Did::Terminate { id }), !again, "what cannot go on ends at once");
+fn a_failed_attempt_is_retried_only_where_that_is_harmless(effect: Effect, outcome: Outcome, again: bool) {
+    let mut router = TestRouter::new(config(profile_with(effect)), 3);
+    let id = router.arrive(0, 4.0);
+    router.advance(0.1);
+    router.answer(id, 0, outcome, 0.1);
+    assert_eq!(router.attempts(id).len(), if again { 2 } else { 1 });
+    assert_eq!(router.has_called(&HostCall::Fail { id }), !again, "what cannot go on ends at once");
 }
 
 #[test_case(Group::Zone; "zone")]
 #[test_case(Group::Cell; "cell")]
-fn a_receipted_activation_stays_with_those_who_know_it(group: Group) {
+fn a_retry_with_an_idempotency_key_stays_where_the_key_is_known(group: Group) {
     for function in 0..12 {
-        let mut town = Town::new(charter(with(receipted(group))), 8);
-        let id = town.arrive(function, 4.0);
-        town.answer(id, 0, Outcome::Cut, 0.1);
+        let mut router = TestRouter::new(config(profile_with(receipted(group))), 8);
+        let id = router.arrive(function, 4.0);
+        router.answer(id, 0, Outcome::Cut, 0.1);
         let at: Vec<_> =
-            town.shots(id).iter().map(|&w| if group == Group::Zone { w % 2 } else { w / 2 }).collect();
+            router.attempts(id).iter().map(|&w| if group == Group::Zone { w % 2 } else { w / 2 }).collect();
         assert_eq!(at.len(), 2);
         assert_eq!(at[0], at[1]);
     }
 }
 
 #[test]
-fn a_receipted_activation_is_not_repeated_after_its_receipt_is_forgotten() {
-    let mut town = Town::new(charter(with(receipted(Group::All))), 4);
-    let id = town.arrive(0, 9.0);
-    town.pass(2.5);
-    let before = town.shots(id).len();
-    town.answer(id, 0, Outcome::Cut, 2.5);
-    assert_eq!(town.shots(id).len(), before);
+fn no_retry_after_the_idempotency_key_has_expired() {
+    let mut router = TestRouter::new(config(profile_with(receipted(Group::All))), 4);
+    let id = router.arrive(0, 9.0);
+    router.advance(2.5);
+    let before = router.attempts(id).len();
+    router.answer(id, 0, Outcome::Cut, 2.5);
+    assert_eq!(router.attempts(id).len(), before);
 }
 
 #[test]
-fn a_silent_shot_is_left_alone() {
-    let mut town = Town::new(charter(pure()), 4);
-    let ids: Vec<_> = (0..8).map(|_| town.arrive(0, 4.0)).collect();
-    town.pass(3.5);
-    assert!(ids.iter().all(|&id| town.shots(id).len() <= 1));
+fn an_unanswered_attempt_is_not_hedged() {
+    let mut router = TestRouter::new(config(idempotent()), 4);
+    let ids: Vec<_> = (0..8).map(|_| router.arrive(0, 4.0)).collect();
+    router.advance(3.5);
+    assert!(ids.iter().all(|&id| router.attempts(id).len() <= 1));
 }
 
 #[test_case(State::Draining; "draining")]
 #[test_case(State::Gone; "gone")]
-fn a_worker_that_leaves_gets_neither_shots_nor_orders(state: State) {
-    let mut town = Town::new(charter(pure()), 3);
-    let home = town.serve(0, 0.1);
-    town.list(vec![line(home, state, None)]);
-    let from = town.host.did.len();
+fn a_draining_worker_gets_neither_attempts_nor_load_requests(state: State) {
+    let mut router = TestRouter::new(config(idempotent()), 3);
+    let home = router.serve(0, 0.1);
+    router.list(vec![endpoint(home, state, None)]);
+    let from = router.host.calls.len();
     for _ in 0..40 {
-        town.arrive(0, 4.0);
-        town.pass(0.02);
+        router.arrive(0, 4.0);
+        router.advance(0.02);
     }
-    assert!(town.host.did.len() > from);
-    assert!(town.host.did[from..].iter().all(|(_, d)| !matches!(d,
-        Did::Send { worker, .. } | Did::Hold { worker, copies: 1.., .. } if *worker == home)));
+    assert!(router.host.calls.len() > from);
+    assert!(router.host.calls[from..].iter().all(|(_, d)| !matches!(d,
+        HostCall::Send { worker, .. } | HostCall::RequestLoad { worker, copies: 1.., .. } if *worker == home)));
 }
 
 #[test_case(1, 1.0; "one router")]
 #[test_case(4, 1.0; "four routers")]
 #[test_case(1, 0.25; "a slow day")]
-fn a_cold_worker_is_not_sent_more_than_its_budget(routers: usize, pace: f64) {
-    let terms = milletpath_policy::host::Charter { routers, orders: false, ..charter(pure()) };
-    let budget = terms.tip_multiple * terms.cold_share * terms.tip_window / routers as f64;
-    let mut town = Town::new(terms, 2);
+fn a_worker_in_slow_start_is_not_sent_more_than_its_budget(routers: usize, pace: f64) {
+    let settings = milletpath_policy::host::Charter { routers, orders: false, ..config(idempotent()) };
+    let budget = settings.tip_multiple * settings.cold_share * settings.tip_window / routers as f64;
+    let mut router = TestRouter::new(settings, 2);
     for n in 0..200 {
-        town.serve(n % 60, 0.05 / pace);
+        router.serve(n % 60, 0.05 / pace);
     }
     // A warm worker takes about ten a second times the pace, and one that is alike starts.
     let rate = 10.0 * pace * routers as f64;
-    let start = town.host.now;
-    town.list(vec![line(9, State::Ready, Some(start))]);
+    let start = router.host.now;
+    router.list(vec![endpoint(9, State::Ready, Some(start))]);
     for n in 0..180 {
-        town.arrive(n % 60, 4.0);
-        town.pass(0.01);
+        router.arrive(n % 60, 4.0);
+        router.advance(0.01);
     }
-    let to = town.host.did.iter().filter(|(_, d)| matches!(d, Did::Send { worker: 9, .. })).count();
+    let to = router.host.calls.iter().filter(|(_, d)| matches!(d, HostCall::Send { worker: 9, .. })).count();
     assert!(to as f64 <= budget * rate * 1.4, "{to} shots against {}", budget * rate);
 }
 
@@ -138,39 +138,40 @@
 #[test_case(0.25; "a quarter of the window")]
 #[test_case(0.5; "half of the window")]
 #[test_case(1.0; "all of the window")]
-fn late_connections_do_not_exceed_a_cold_worker_s_bound(late: f64) {
+fn late_connections_do_not_exceed_the_limit_of_a_slow_start(late: f64) {
     const RATE: f64 = 800.0;
     const STEP: f64 = 0.0005;
-    let terms = Charter { orders: false, warm_up: 1e4, tip_window: 1.0, ..charter(pure()) };
-    let (window, n) = (terms.tip_window, terms.tip_multiple * terms.cold_share * terms.tip_window * RATE);
-    let mut town = Town::new(terms, 1);
+    let settings = Charter { orders: false, warm_up: 1e4, tip_window: 1.0, ..config(idempotent()) };
+    let (window, n) =
+        (settings.tip_window, settings.tip_multiple * settings.cold_share * settings.tip_window * RATE);
+    let mut router = TestRouter::new(settings, 1);
     for function in 0..4000 {
-        town.serve(function % 400, 1.0 / RATE);
+        router.serve(function % 400, 1.0 / RATE);
     }
-    let start = town.host.now;
-    town.list(vec![line(0, State::Draining, None), line(9, State::Ready, Some(start))]);
+    let start = router.host.now;
+    router.list(vec![endpoint(0, State::Draining, None), endpoint(9, State::Ready, Some(start))]);
     // For so long before `up` no connection comes up; then all are there at once.
     let up = start + window;
     let (mut waiting, mut begun) = (Vec::new(), Vec::new());
-    let mut seen = town.host.did.len();
-    while town.host.now < up + window {
-        town.arrive(town.host.did.len() % 400, 0.9);
-        town.pass(STEP);
-        let now = town.host.now;
-        for (decided, did) in &town.host.did[seen..] {
-            if let Did::Send { id, worker: 9 } = did {
+    let mut seen = router.host.calls.len();
+    while router.host.now < up + window {
+        router.arrive(router.host.calls.len() % 400, 0.9);
+        router.advance(STEP);
+        let now = router.host.now;
+        for (decided, calls) in &router.host.calls[seen..] {
+            if let HostCall::Send { id, worker: 9 } = calls {
                 waiting.push((*decided, *id));
             }
         }
-        seen = town.host.did.len();
+        seen = router.host.calls.len();
         if now >= up || now < up - late {
             for (decided, id) in std::mem::take(&mut waiting) {
-                if now - decided <= late && town.router.may_begin(now, id, 9) {
+                if now - decided <= late && router.router.may_begin(now, id, 9) {
                     begun.push(now);
-                    town.answer(id, town.shots(id).len() - 1, Outcome::Handled, 0.01);
+                    router.answer(id, router.attempts(id).len() - 1, Outcome::Handled, 0.01);
                 } else {
-                    town.router.close(id, None, &mut town.host);
-                    town.answer(id, town.shots(id).len() - 1, Outcome::Unsent, 0.01);
+                    router.router.close(id, None, &mut router.host);
+                    router.answer(id, router.attempts(id).len() - 1, Outcome::Unsent, 0.01);
                 }
             }
         }
@@ -184,24 +185,27 @@
 }
 
 #[test]
-fn orders_to_load_stay_within_the_ration() {
-    let terms =
-        milletpath_policy::host::Charter { ration: Some((5.0, 2.0, 0.05)), misses: true, ..charter(pure()) };
-    let mut town = Town::new(terms, 6);
+fn load_requests_stay_within_their_budget() {
+    let settings = milletpath_policy::host::Charter {
+        ration: Some((5.0, 2.0, 0.05)),
+        misses: true,
+        ..config(idempotent())
+    };
+    let mut router = TestRouter::new(settings, 6);
     let mut taken = Vec::new();
     for n in 0..300 {
-        taken.push(town.host.now);
-        let id = town.arrive(n % 60, 4.0);
-        if !town.shots(id).is_empty() {
-            town.answer(id, 0, Outcome::Missed, 0.0);
+        taken.push(router.host.now);
+        let id = router.arrive(n % 60, 4.0);
+        if !router.attempts(id).is_empty() {
+            router.answer(id, 0, Outcome::Missed, 0.0);
         }
-        town.pass(0.05);
+        router.advance(0.05);
     }
-    let holds = town.holds();
-    assert!(holds.len() > 3);
-    for &(at, _) in &holds {
+    let load_requests = router.load_requests();
+    assert!(load_requests.len() > 3);
+    for &(at, _) in &load_requests {
         // An arrival just at the edge is out, however its time was rounded.
-        let orders = holds.iter().filter(|&&(t, _)| t <= at && at - t < 5.0 + 1e-6).count() as f64;
+        let orders = load_requests.iter().filter(|&&(t, _)| t <= at && at - t < 5.0 + 1e-6).count() as f64;
         let share = taken.iter().filter(|&&t| t <= at && at - t < 5.0 - 1e-6).count() as f64;
         assert!(orders <= 2.0 + 0.05 * share);
     }
@@ -213,10 +217,10 @@
 #[test_case(2, EFFECTFUL; "effectful")]
 #[test_case(3, Effect::Receipted { group: Group::Cell, memory: 1.0 }; "receipted in a cell")]
 #[test_case(4, Effect::Receipted { group: Group::All, memory: 1.0 }; "receipted everywhere")]
-fn whatever_happens_the_rules_hold(seed: u64, effect: Effect) {
+fn any_order_of_events_keeps_the_rules(seed: u64, effect: Effect) {
     let mut chance = Rand32::new(seed);
-    let mut town = Town::new(
-        milletpath_policy::host::Charter { misses: seed.is_multiple_of(2), ..charter(with(effect)) },
+    let mut router = TestRouter::new(
+        milletpath_policy::host::Charter { misses: seed.is_multiple_of(2), ..config(profile_with(effect)) },
         6,
     );
     let (mut ready, mut open, mut out) = (vec![true; 6], Vec::new(), Vec::new());
@@ -225,8 +229,8 @@
         match chance.rand_range(0..10) {
             0..3 => {
                 let patience = f64::from(chance.rand_range(1..2000)) / 1000.0;
-                let id = town.arrive(chance.rand_range(0..9) as usize, patience);
-                ends.push((town.host.now + patience, 0, Vec::new()));
+                let id = router.arrive(chance.rand_range(0..9) as usize, patience);
+                ends.push((router.host.now + patience, 0, Vec::new()));
                 open.push(id);
             }
             3..7 if !out.is_empty() => {
@@ -244,42 +248,44 @@
                 let settled = outcome == Outcome::Handled && ends[id].1 == 0;
                 ends[id].1 += usize::from(settled);
                 ends[id].2[shot] = outcome.never_ran();
-                town.answer(id, shot, outcome, 0.1);
+                router.answer(id, shot, outcome, 0.1);
             }
             7 => {
                 let w = chance.rand_range(0..6) as usize;
                 ready[w] = !ready[w];
                 let state = if ready[w] { State::Ready } else { State::Draining };
-                town.list(vec![line(w, state, None)]);
+                router.list(vec![endpoint(w, state, None)]);
             }
-            8 => town.router.held(town.host.now, 1, 3, Outcome::Failed, 0, &mut town.host),
-            _ => town.pass(0.03),
+            8 => router.router.held(router.host.now, 1, 3, Outcome::Failed, 0, &mut router.host),
+            _ => router.advance(0.03),
         }
-        for n in seen..town.host.did.len() {
-            let (at, did) = town.host.did[n].clone();
-            match did {
-                Did::Send { id, worker } => {
+        for n in seen..router.host.calls.len() {
+            let (at, calls) = router.host.calls[n].clone();
+            match calls {
+                HostCall::Send { id, worker } => {
                     let (until, finals, never_ran) = &mut ends[id];
                     assert!(*finals == 0 && at < *until && ready[worker]);
                     assert!(effect != EFFECTFUL || never_ran.iter().all(|&n| n));
                     out.push((id, never_ran.len()));
                     never_ran.push(false);
                 }
-                Did::Bounce { id } | Did::Terminate { id } => {
+                HostCall::Reject { id } | HostCall::Fail { id } => {
                     ends[id].1 += 1;
                     assert!(
-                        effect != EFFECTFUL || did == Did::Terminate { id } || ends[id].2.iter().all(|&n| n)
+                        effect != EFFECTFUL
+                            || calls == HostCall::Fail { id }
+                            || ends[id].2.iter().all(|&n| n)
                     );
                     assert!(at <= ends[id].0 + 1e-9);
                 }
                 _ => {}
             }
         }
-        seen = town.host.did.len();
+        seen = router.host.calls.len();
     }
-    town.pass(3.0);
-    for (_, did) in &town.host.did[seen..] {
-        if let Did::Bounce { id } | Did::Terminate { id } = did {
+    router.advance(3.0);
+    for (_, calls) in &router.host.calls[seen..] {
+        if let HostCall::Reject { id } | HostCall::Fail { id } = calls {
             ends[*id].1 += 1;
         }
     }
