--- a/crates/policy/src/hash_ring.rs
+++ b/crates/policy/src/hash_ring.rs
@@ -45,9 +45,9 @@
         order.clear();
         let home = xxh3_64_with_seed(&key.to_le_bytes(), 0);
         let from = self.points.partition_point(|point| point.hash < home);
-        let mut seen = vec![false; known];
+        let mut visited = vec![false; known];
         for point in self.points[from..].iter().chain(&self.points[..from]) {
-            if !std::mem::replace(&mut seen[point.worker], true) {
+            if !std::mem::replace(&mut visited[point.worker], true) {
                 order.push(point.worker);
             }
         }
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -27,12 +27,12 @@
 }
 
 impl Router {
-    pub fn new(charter: Charter, now: f64, host: &mut dyn Host) -> Self {
-        if charter.asks {
+    pub fn new(config: Charter, now: f64, host: &mut dyn Host) -> Self {
+        if config.asks {
             host.follow();
         }
         Self {
-            state: RouterState::new(charter, now),
+            state: RouterState::new(config, now),
             open: Vec::new(),
             queued: Vec::new(),
             wake_at: f64::INFINITY,
@@ -42,8 +42,8 @@
 
     /// Routers that know of each other say how many there likely are, and this one's part of what bounds harm: of what it has
     /// by the charter so much until then, and so much afterwards. Where nobody says so the charter's count holds.
-    pub fn share(&mut self, likely: f64, part: [f64; 2], until: f64) {
-        self.state.routers = likely.max(1.0);
+    pub fn share(&mut self, routers: f64, part: [f64; 2], until: f64) {
+        self.state.routers = routers.max(1.0);
         self.state.budgets.set_quota_fraction(part, until);
     }
 
@@ -73,10 +73,10 @@
     }
 
     /// One line of the list. A line that repeats a known worker changes it.
-    pub fn listed(&mut self, line: Listing) {
-        let memory = self.state.worker_memory.get(line.kind).copied().unwrap_or(f64::INFINITY);
-        if self.state.workers.listed(&line, memory) {
-            self.state.functions.iter_mut().for_each(|f| f.worker_restarted(line.worker));
+    pub fn listed(&mut self, endpoint: Listing) {
+        let memory = self.state.worker_memory.get(endpoint.kind).copied().unwrap_or(f64::INFINITY);
+        if self.state.workers.listed(&endpoint, memory) {
+            self.state.functions.iter_mut().for_each(|f| f.worker_restarted(endpoint.worker));
         }
     }
 
--- a/crates/policy/src/router_state.rs
+++ b/crates/policy/src/router_state.rs
@@ -57,54 +57,49 @@
 }
 
 impl RouterState {
-    pub(crate) fn new(charter: Charter, now: f64) -> Self {
+    pub(crate) fn new(config: Charter, now: f64) -> Self {
         /// For a request of no stated profile: the wariest.
         const UNSTATED: Profile = Profile { due: 1.0, effect: Effect::Effectful };
         /// What is at a window's edge, but for a clock's rounding, counts as done but not as taken.
         const EDGE_TOLERANCE: f64 = 1e-5;
-        let routers = charter.routers.max(1) as f64;
+        let routers = config.routers.max(1) as f64;
         let own_part = |all: Vec<f64>| all.into_iter().map(|figure| figure / routers).collect();
-        let sheds_over_quota = charter.over_share < 1.0;
+        let sheds_over_quota = config.over_share < 1.0;
         let limit = |budget: Option<(f64, f64, f64)>| budget.map(|r| Ration::new(r, EDGE_TOLERANCE));
         Self {
-            random: Random::new(charter.seed),
+            random: Random::new(config.seed),
             routers,
             budgets: FleetBudgets::new(),
-            profiles: if charter.profiles.is_empty() { vec![UNSTATED] } else { charter.profiles },
+            profiles: if config.profiles.is_empty() { vec![UNSTATED] } else { config.profiles },
             admission: Admission::new(
                 now,
-                own_part(charter.quotas),
-                own_part(charter.ceilings),
+                own_part(config.quotas),
+                own_part(config.ceilings),
                 sheds_over_quota,
-                charter.come_back,
-            ),
-            retry: RetryPolicy { max_attempts: charter.shots.max(1), budget: limit(charter.retries) },
-            load_requests: LoadRequests::new(
-                charter.orders,
-                charter.order_wait,
-                limit(charter.ration),
-                routers,
+                config.come_back,
             ),
+            retry: RetryPolicy { max_attempts: config.shots.max(1), budget: limit(config.retries) },
+            load_requests: LoadRequests::new(config.orders, config.order_wait, limit(config.ration), routers),
             slow_start: SlowStart {
-                initial_capacity: charter.cold_share.clamp(0.0, 1.0),
-                warm_up: charter.warm_up,
-                overload_multiple: charter.tip_multiple,
-                overload_window: charter.tip_window,
+                initial_capacity: config.cold_share.clamp(0.0, 1.0),
+                warm_up: config.warm_up,
+                overload_multiple: config.tip_multiple,
+                overload_window: config.tip_window,
             },
             throughput: Throughput::default(),
             workers: WorkerTable::default(),
             ring: HashRing::default(),
             functions: Functions::default(),
             requests: Requests::default(),
-            can_cancel: charter.cancels,
-            reports_missing: charter.misses,
-            watches_on_request: charter.asks,
+            can_cancel: config.cancels,
+            reports_missing: config.misses,
+            watches_on_request: config.asks,
             // What is sent by this router alone needs no probes to be seen.
-            probes_enabled: charter.probes && charter.routers > 1,
-            keep_alive: charter.keep,
-            worker_memory: charter.memory,
-            max_in_flight: charter.hand / routers,
-            margin: 2.0 * charter.tick.max(0.001),
+            probes_enabled: config.probes && config.routers > 1,
+            keep_alive: config.keep,
+            worker_memory: config.memory,
+            max_in_flight: config.hand / routers,
+            margin: 2.0 * config.tick.max(0.001),
             remote_reported_at: f64::NEG_INFINITY,
             latency: 0.3,
             load_latency: 1.0,
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -93,10 +93,10 @@
     }
 
     /// Takes on one endpoint of the list, with the memory of its kind; tells whether it is another process than before.
-    fn listed(&mut self, line: &Listing, memory: f64) -> bool {
-        let started = line.started.unwrap_or(f64::NEG_INFINITY);
+    fn listed(&mut self, endpoint: &Listing, memory: f64) -> bool {
+        let started = endpoint.started.unwrap_or(f64::NEG_INFINITY);
         // The index of one that is forgotten: nothing of that one holds for this.
-        let other = self.name != line.name;
+        let other = self.name != endpoint.name;
         let anew = other || started > self.started;
         if anew {
             // A new process: empty, cold, and not to be blamed for the old one.
@@ -105,12 +105,12 @@
             self.foreign_load = None;
             self.turn = SlowStartTurn::NONE;
         }
-        self.name = line.name;
-        self.state = line.state;
-        self.size = if line.size.is_finite() && line.size > 0.0 { line.size } else { 1.0 };
+        self.name = endpoint.name;
+        self.state = endpoint.state;
+        self.size = if endpoint.size.is_finite() && endpoint.size > 0.0 { endpoint.size } else { 1.0 };
         self.memory = memory;
-        self.zone = line.zone;
-        self.cell = line.cell;
+        self.zone = endpoint.zone;
+        self.cell = endpoint.cell;
         anew
     }
 }
@@ -123,11 +123,11 @@
 
 impl WorkerTable {
     /// Takes on one endpoint of the list; tells whether it is another process than before.
-    pub(crate) fn listed(&mut self, line: &Listing, memory: f64) -> bool {
-        if line.worker >= self.workers.len() {
-            self.workers.resize(line.worker + 1, Worker::UNKNOWN);
+    pub(crate) fn listed(&mut self, endpoint: &Listing, memory: f64) -> bool {
+        if endpoint.worker >= self.workers.len() {
+            self.workers.resize(endpoint.worker + 1, Worker::UNKNOWN);
         }
-        self.workers[line.worker].listed(line, memory)
+        self.workers[endpoint.worker].listed(endpoint, memory)
     }
 
     /// A complete list begins: who is not on it is gone.
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -84,10 +84,10 @@
     router.serve(0, 0.01);
     router.advance(10.0);
     let id = router.arrive(0, 4.0);
-    for shot in 0..4 {
-        if router.attempts(id).len() > shot {
+    for attempt in 0..4 {
+        if router.attempts(id).len() > attempt {
             router.advance(0.01);
-            router.answer(id, shot, Outcome::Cut, 0.01);
+            router.answer(id, attempt, Outcome::Cut, 0.01);
         }
     }
     assert_eq!(router.attempts(id).len() - 1, expected);
@@ -125,9 +125,9 @@
             let ids: Vec<_> = (0..3).map(|n| router.arrive((round + n) % 5, 4.0)).collect();
             router.advance(0.03);
             for id in ids {
-                for shot in 0..router.attempts(id).len() {
-                    let outcome = if (round + shot) % 7 == 0 { Outcome::Failed } else { Outcome::Handled };
-                    router.answer(id, shot, outcome, 0.03);
+                for attempt in 0..router.attempts(id).len() {
+                    let outcome = if (round + attempt) % 7 == 0 { Outcome::Failed } else { Outcome::Handled };
+                    router.answer(id, attempt, outcome, 0.03);
                 }
             }
         }
@@ -147,7 +147,8 @@
         let ids: Vec<_> = (0..rate).map(|_| router.arrive(0, 4.0)).collect();
         router.advance(0.1);
         for id in ids {
-            (0..router.attempts(id).len()).for_each(|shot| router.answer(id, shot, Outcome::Handled, 0.1));
+            (0..router.attempts(id).len())
+                .for_each(|attempt| router.answer(id, attempt, Outcome::Handled, 0.1));
         }
         for (_, worker) in router.load_requests() {
             router.router.held(router.host.now, worker, 0, Outcome::Handled, 1, &mut router.host);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostCall {
     Send { id: usize, worker: usize },
-    Cancel { id: usize, shot: usize },
+    Cancel { id: usize, attempt: usize },
     Reject { id: usize },
     Fail { id: usize },
     RequestLoad { worker: usize, function: usize, copies: u8 },
@@ -29,14 +29,14 @@
     fn send(&mut self, id: usize, worker: usize, _until: f64) {
         self.calls.push((self.now, HostCall::Send { id, worker }));
     }
-    fn cancel(&mut self, id: usize, shot: usize) {
-        self.calls.push((self.now, HostCall::Cancel { id, shot }));
+    fn cancel(&mut self, id: usize, attempt: usize) {
+        self.calls.push((self.now, HostCall::Cancel { id, attempt }));
     }
     fn lacks(&mut self, what: Budget) {
         self.exhausted.push(what);
     }
-    fn bounce(&mut self, id: usize, come_back: Option<f64>) {
-        self.retry_after.push(come_back);
+    fn bounce(&mut self, id: usize, retry_after: Option<f64>) {
+        self.retry_after.push(retry_after);
         self.calls.push((self.now, HostCall::Reject { id }));
     }
     fn terminate(&mut self, id: usize) {
@@ -149,9 +149,10 @@
         id
     }
 
-    pub fn answer(&mut self, id: usize, shot: usize, outcome: Outcome, latency: f64) {
+    pub fn answer(&mut self, id: usize, attempt: usize, outcome: Outcome, latency: f64) {
         let settled = outcome == Outcome::Handled;
-        let answer = Answer { shot, outcome, settled, latency, found: None, company: 0.0, report: None };
+        let answer =
+            Answer { shot: attempt, outcome, settled, latency, found: None, company: 0.0, report: None };
         self.router.answered(self.host.now, id, answer, &mut self.host);
     }
 
@@ -168,9 +169,9 @@
     pub fn serve(&mut self, function: usize, latency: f64) -> usize {
         let id = self.arrive(function, 4.0);
         self.advance(latency);
-        let shot = self.attempts(id).len().checked_sub(1).expect("a shot was sent");
-        self.answer(id, shot, Outcome::Handled, latency);
-        self.attempts(id)[shot]
+        let attempt = self.attempts(id).len().checked_sub(1).expect("a shot was sent");
+        self.answer(id, attempt, Outcome::Handled, latency);
+        self.attempts(id)[attempt]
     }
 
     pub fn load_requests(&self) -> Vec<(f64, usize)> {
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -23,7 +23,8 @@
         let ids: Vec<_> = (0..6).map(|_| router.arrive(0, 4.0)).collect();
         router.advance(0.2);
         for id in ids {
-            (0..router.attempts(id).len()).for_each(|shot| router.answer(id, shot, Outcome::Handled, 0.2));
+            (0..router.attempts(id).len())
+                .for_each(|attempt| router.answer(id, attempt, Outcome::Handled, 0.2));
         }
         for (_, worker) in router.load_requests() {
             router.router.held(router.host.now, worker, 0, Outcome::Handled, 1, &mut router.host);
@@ -76,7 +77,8 @@
         router.advance(0.3);
         ids.iter().filter(|&&id| !router.attempts(id).is_empty()).for_each(|_| ());
         for id in ids {
-            (0..router.attempts(id).len()).for_each(|shot| router.answer(id, shot, Outcome::Handled, 0.3));
+            (0..router.attempts(id).len())
+                .for_each(|attempt| router.answer(id, attempt, Outcome::Handled, 0.3));
         }
     }
     assert_eq!(router.load_requests().is_empty(), filled);
@@ -103,12 +105,12 @@
     let mut sent_to_failing = 0;
     for _ in 0..40 {
         let id = router.arrive(0, 4.0);
-        for shot in 0..4 {
-            let Some(&worker) = router.attempts(id).get(shot) else { break };
+        for attempt in 0..4 {
+            let Some(&worker) = router.attempts(id).get(attempt) else { break };
             let bad = worker == home;
             sent_to_failing += usize::from(bad);
             router.advance(0.01);
-            router.answer(id, shot, if bad { Outcome::Failed } else { Outcome::Handled }, 0.01);
+            router.answer(id, attempt, if bad { Outcome::Failed } else { Outcome::Handled }, 0.01);
         }
     }
     assert!(sent_to_failing <= 10, "{sent_to_failing} of 40");
@@ -295,7 +297,7 @@
         router.host.forgotten_functions.contains(&2)
     };
     let id = router.arrive(2, 0.5);
-    (0..4).for_each(|shot| router.answer(id, shot, Outcome::Missed, 0.01));
+    (0..4).for_each(|attempt| router.answer(id, attempt, Outcome::Missed, 0.01));
     assert!(!router.load_requests().is_empty());
     assert!(!forgotten_after(&mut router, 50));
     assert!(forgotten_after(&mut router, 50));
@@ -332,10 +334,10 @@
     let home = router.serve(0, 0.1);
     for function in 1..40 {
         let id = router.arrive(function, 4.0);
-        while let Some(shot) =
+        while let Some(attempt) =
             router.attempts(id).len().checked_sub(1).filter(|_| !router.has_called(&HostCall::Reject { id }))
         {
-            router.answer(id, shot, Outcome::Failed, 0.001);
+            router.answer(id, attempt, Outcome::Failed, 0.001);
         }
         assert_eq!(router.attempts(id).len(), 2);
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -153,17 +153,17 @@
     // For so long before `up` no connection comes up; then all are there at once.
     let up = start + window;
     let (mut waiting, mut begun) = (Vec::new(), Vec::new());
-    let mut seen = router.host.calls.len();
+    let mut checked = router.host.calls.len();
     while router.host.now < up + window {
         router.arrive(router.host.calls.len() % 400, 0.9);
         router.advance(STEP);
         let now = router.host.now;
-        for (decided, calls) in &router.host.calls[seen..] {
+        for (decided, calls) in &router.host.calls[checked..] {
             if let HostCall::Send { id, worker: 9 } = calls {
                 waiting.push((*decided, *id));
             }
         }
-        seen = router.host.calls.len();
+        checked = router.host.calls.len();
         if now >= up || now < up - late {
             for (decided, id) in std::mem::take(&mut waiting) {
                 if now - decided <= late && router.router.may_begin(now, id, 9) {
@@ -224,7 +224,7 @@
         6,
     );
     let (mut ready, mut open, mut out) = (vec![true; 6], Vec::new(), Vec::new());
-    let (mut ends, mut seen) = (Vec::new(), 0);
+    let (mut ends, mut checked) = (Vec::new(), 0);
     for _ in 0..4000 {
         match chance.rand_range(0..10) {
             0..3 => {
@@ -235,7 +235,7 @@
             }
             3..7 if !out.is_empty() => {
                 let at = chance.rand_range(0..out.len() as u32) as usize;
-                let (id, shot): (usize, usize) = out.swap_remove(at);
+                let (id, attempt): (usize, usize) = out.swap_remove(at);
                 let outcome = [
                     Outcome::Handled,
                     Outcome::Failed,
@@ -247,8 +247,8 @@
                 ][chance.rand_range(0..7) as usize];
                 let settled = outcome == Outcome::Handled && ends[id].1 == 0;
                 ends[id].1 += usize::from(settled);
-                ends[id].2[shot] = outcome.never_ran();
-                router.answer(id, shot, outcome, 0.1);
+                ends[id].2[attempt] = outcome.never_ran();
+                router.answer(id, attempt, outcome, 0.1);
             }
             7 => {
                 let w = chance.rand_range(0..6) as usize;
@@ -259,7 +259,7 @@
             8 => router.router.held(router.host.now, 1, 3, Outcome::Failed, 0, &mut router.host),
             _ => router.advance(0.03),
         }
-        for n in seen..router.host.calls.len() {
+        for n in checked..router.host.calls.len() {
             let (at, calls) = router.host.calls[n].clone();
             match calls {
                 HostCall::Send { id, worker } => {
@@ -281,10 +281,10 @@
                 _ => {}
             }
         }
-        seen = router.host.calls.len();
+        checked = router.host.calls.len();
     }
     router.advance(3.0);
-    for (_, calls) in &router.host.calls[seen..] {
+    for (_, calls) in &router.host.calls[checked..] {
         if let HostCall::Reject { id } | HostCall::Fail { id } = calls {
             ends[*id].1 += 1;
         }
