--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,15 +1,16 @@
-//! Admission: the shares and ceilings of client groups (token buckets), how long a request may wait here, and when one that
-//! is rejected may come again.
+//! Admission: quotas and rate limits of client groups (token buckets), the time that a request may be queued,
+//! and the Retry-After of one that is rejected.
 
 use crate::effects::Budget;
 use crate::fleet_budgets::FleetBudgets;
 use crate::random::Random;
 use crate::request_state::Request;
 
-/// Seconds for which what a ceiling let through may go out: what stood still for longer asks anew.
+/// Seconds for which an admission under the rate limit is valid: a process that was stopped for longer asks
+/// again.
 const ADMITTED_FOR: f64 = 0.5;
 
-/// A token bucket: what may still be used, as of when.
+/// A token bucket: the tokens left, as of a time in seconds.
 #[derive(Clone, Copy)]
 struct Bucket {
     left: f64,
@@ -24,15 +25,15 @@
 }
 
 pub(crate) struct Admission {
-    /// Requests a second of this router's part within each client group's share, and at all.
+    /// Requests a second of this router's part: within each client group's quota, and under its rate limit.
     quotas: Vec<f64>,
     ceilings: Vec<f64>,
-    /// What each client group may still send within its share, and under its ceiling.
+    /// The bucket of each client group for its quota, and for its rate limit.
     within_quota: Vec<Bucket>,
     under_ceiling: Vec<Bucket>,
-    /// Beyond a client group's share a request matters less.
+    /// Requests over their quota are shed first.
     sheds_over_quota: bool,
-    /// The longest advice in seconds to stay away that clients heed; none where they are given none.
+    /// The longest Retry-After in seconds that clients follow; none where they are not given one.
     max_retry_after: Option<f64>,
 }
 
@@ -54,9 +55,10 @@
         }
     }
 
-    /// Counts a request against its client group's share; tells whether it is beyond that, where this matters.
+    /// Counts a request against its client group's quota; returns whether it is over it and may be shed
+    /// first.
     pub(crate) fn is_over_quota(&mut self, now: f64, client: usize, budgets: &FleetBudgets) -> bool {
-        // A client group may use a second of its share at once.
+        // The burst is one second of the quota.
         let own_rate = self.quotas.get(client).copied().unwrap_or(0.0);
         let quota = budgets.allowed(now, Budget::Quota(client), own_rate);
         let Some(bucket) = self.within_quota.get_mut(client) else { return false };
@@ -68,7 +70,7 @@
         self.sheds_over_quota && !within
     }
 
-    /// Whether its client group's ceiling lets a request through; if not, it learns when to come.
+    /// Whether a request is within its client group's rate limit; if not, sets its Retry-After.
     pub(crate) fn within_rate_limit(
         &mut self,
         now: f64,
@@ -76,7 +78,7 @@
         budgets: &mut FleetBudgets,
         random: &mut Random,
     ) -> bool {
-        /// Seconds of its ceiling that a group may use at once.
+        /// The burst, in seconds of the rate limit.
         const AT_ONCE: f64 = 0.5;
         let Some(&own_rate) = self.ceilings.get(request.client).filter(|c| c.is_finite()) else {
             return true;
@@ -89,7 +91,7 @@
         bucket.fill(now, rate, (rate * AT_ONCE).max(1.0));
         let jitter = random.uniform();
         let within = bucket.left >= 1.0;
-        // When there is capacity again, not all in step.
+        // When there are tokens again, with jitter.
         let retry_after = (1.0 - bucket.left) / rate.max(1e-3) * (1.0 + jitter);
         request.retry_after = (!within).then_some(retry_after);
         if !within {
@@ -98,7 +100,7 @@
         within
     }
 
-    /// A shot of a request is sent: it counts under the ceiling, unless one of a moment ago did.
+    /// An attempt of a request is sent: it takes a token, unless one of a moment ago did.
     pub(crate) fn attempt_sent(&mut self, now: f64, request: &mut Request) {
         if let Some(bucket) =
             self.under_ceiling.get_mut(request.client).filter(|_| now - request.admitted_at >= ADMITTED_FOR)
@@ -108,28 +110,32 @@
         }
     }
 
-    /// Whether the ceiling let a request through too long ago for it to be sent now.
+    /// Whether a request was admitted under its rate limit too long ago to be sent now.
     pub(crate) fn lapsed(&self, now: f64, request: &Request) -> bool {
         self.ceilings.get(request.client).is_some_and(|c| c.is_finite())
             && now - request.admitted_at >= ADMITTED_FOR
     }
 
-    /// Seconds after which the client of a rejected request may come again, where clients heed that.
+    /// The Retry-After in seconds of a rejected request, where clients follow it; `due` is its latency
+    /// objective.
     pub(crate) fn retry_after(&self, request: &Request, due: f64) -> Option<f64> {
-        /// Part of the due time after which to come back: not into the same crowd, and in time.
+        /// Part of the latency objective after which to retry: not in the same burst, and still in time.
         const RETRY_AFTER_SHARE: f64 = 0.08;
         self.max_retry_after.map(|most| most.min(request.retry_after.unwrap_or(RETRY_AFTER_SHARE * due)))
     }
 }
 
-/// Whether a request has waited for its first shot for so long that an answer could hardly be in time; `loaded` where an
-/// instance of its function is anywhere, `latency` the mean of answers.
+/// Whether a request has been queued for so long that an answer could hardly be in time. `due` is its latency
+/// objective, `loaded` whether an instance of its function is anywhere, `latency` the mean of answers; in
+/// seconds.
 pub(crate) fn has_waited_too_long(now: f64, request: &Request, due: f64, loaded: bool, latency: f64) -> bool {
-    /// Part of the due time that may pass before the first shot.
+    /// Part of the latency objective that may pass before the first attempt.
     const WAIT_SHARE: f64 = 0.15;
-    /// The same of its client's own time, which may be shorter: what is left must do for a try elsewhere.
+    /// The same of its client's own time, which may be shorter: the rest has to suffice for a retry
+    /// elsewhere.
     const CLIENT_TIME_SHARE: f64 = 0.4;
-    // Rejected while a retry can still be in time; what waits for a load would wait elsewhere as well.
+    // Rejected while a retry can still be in time; a request that waits for a load would wait elsewhere as
+    // well.
     let wait = if loaded { WAIT_SHARE * due } else { due - latency };
     now - request.arrived_at > wait.min(CLIENT_TIME_SHARE * (request.deadline - request.arrived_at))
 }
--- a/crates/policy/src/attempt_result.rs
+++ b/crates/policy/src/attempt_result.rs
@@ -1,4 +1,4 @@
-//! What came back of an attempt is booked on its worker, on its function's instances, and in the means.
+//! The result of an attempt, recorded on its worker, on its function's instances, and in the mean latencies.
 
 use crate::decay::RATE_HALF;
 use crate::events::{Answer, Found, Outcome};
@@ -8,7 +8,8 @@
 use crate::router_state::RouterState;
 
 impl RouterState {
-    /// Notes that a shot ended; none where it is not known, or had ended before.
+    /// Marks an attempt as ended; none where it is not known, or had ended before. Returns its function's
+    /// index and it.
     pub(crate) fn attempt_ended(&mut self, id: usize, answer: &Answer) -> Option<(usize, Attempt)> {
         let request = self.requests.get_mut(id)?;
         let attempt = request.attempts.get_mut(answer.shot).filter(|attempt| attempt.in_flight)?;
@@ -17,7 +18,7 @@
         Some((request.function, *attempt))
     }
 
-    /// The figures of the shot's worker.
+    /// Records the result on the attempt's worker: in-flight counts, load report, outlier score, throughput.
     pub(crate) fn record_on_worker(&mut self, now: f64, function: usize, attempt: &Attempt, answer: &Answer) {
         let has_succeeded = self.functions.has_succeeded(function);
         let worker = &mut self.workers[attempt.worker];
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Whether a load that the shot began went well.
+    /// Records whether a load that the attempt started succeeded.
     pub(crate) fn record_load(&mut self, now: f64, answer: &Answer) {
         if answer.outcome == Outcome::Missed && !self.reports_missing
             || answer.found == Some(Found::LoadFailed)
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The figures of the shot's function.
+    /// Records the result on the attempt's function: relative latency, instances, concurrency.
     pub(crate) fn record_on_function(
         &mut self,
         now: f64,
@@ -61,12 +62,13 @@
         attempt: &Attempt,
         answer: &Answer,
     ) {
-        /// Weight of one answer in the mean of one function, of which it sees few.
+        /// Weight of one answer in the mean of one function, which has few.
         const FUNCTION_WEIGHT: f64 = 0.2;
-        /// Times the mean of all that one answer counts for at most, for slow stores.
+        /// The most that one answer counts for, over the mean of all: a slow store is not the function's
+        /// latency.
         const MAX_RATIO: f64 = 3.0;
         let Some(state) = self.functions.get_mut(function) else { return };
-        // Also what is never answered, as in a jam at its lanes.
+        // Also attempts that are never answered, as when requests queue for the function's instances.
         if matches!(answer.outcome, Outcome::Handled | Outcome::Withdrawn | Outcome::Overdue) {
             state.relative_latency += FUNCTION_WEIGHT
                 * ((answer.latency / self.latency.max(1e-3)).min(MAX_RATIO) - state.relative_latency);
@@ -79,11 +81,11 @@
         }
     }
 
-    /// The mean times of answers.
+    /// Updates the mean latencies, exponentially weighted.
     fn record_latency(&mut self, now: f64, function: usize, attempt: &Attempt, answer: &Answer) {
         /// Weight of one answer in the mean of loads: a dozen answers, about a second of a busy worker.
         const LOAD_WEIGHT: f64 = 0.1;
-        /// The same in the mean of answers of instances.
+        /// The same in the mean of answers of loaded instances.
         const WEIGHT: f64 = 0.02;
         let cold = matches!(answer.found, Some(Found::BeganLoad | Found::AwaitedLoad))
             || answer.found.is_none() && !attempt.warm;
@@ -100,8 +102,8 @@
 }
 
 impl Function {
-    /// What a shot's end says of the instances on its worker, where a load takes so long and an idle instance remains so
-    /// long, in seconds.
+    /// Updates the instances on the attempt's worker. `load_latency` is the mean time of a load and
+    /// `keep_alive` the time that an idle instance is kept, in seconds.
     fn attempt_ended(
         &mut self,
         now: f64,
@@ -117,7 +119,7 @@
                 (placement.instances, placement.loading_until, placement.missing_at) = (0.0, 0.0, now)
             }
             Outcome::Withdrawn | Outcome::Overdue if outlasted => {
-                // The load goes on when nobody waits for it: begun again elsewhere it would never end.
+                // The load goes on when no request waits for it; started again elsewhere it would never end.
                 placement.instances = placement.instances.max(1.0);
                 placement.expires_at = now + keep_alive;
             }
@@ -128,7 +130,7 @@
                 placement.instances = instances.max(1.0);
                 (placement.expires_at, placement.loading_until) = (now + keep_alive, 0.0);
                 if attempt.warm && answer.found == Some(Found::BeganLoad) {
-                    // Released anew: what is elsewhere is void as well.
+                    // A new version was released: instances on other workers are out of date as well.
                     let others = self.placements.iter_mut().filter(|other| other.worker != attempt.worker);
                     others.for_each(|other| other.instances = 0.0);
                 }
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,79 +1,94 @@
-//! What a deployment states when a router starts.
+//! Configuration: what a deployment states when a router starts. Times are seconds, memory is in MB.
 
-/// How harmful it is to run an activation twice.
+/// How harmful it is to run a request twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// It may run again.
+    /// Idempotent: it may run again.
     Pure,
-    /// Workers of one group drop repeats for `memory` seconds.
-    Receipted { group: Group, memory: f64 },
-    /// It must never run twice.
+    /// Idempotent by its key: the workers of one group recognise a repeat.
+    Receipted {
+        /// The workers among which the key is known.
+        group: Group,
+        /// Seconds for which it is known there.
+        memory: f64,
+    },
+    /// Not idempotent: it must never run twice.
     Effectful,
 }
 
-/// The workers among which the repeat of a receipted activation is known.
+/// The workers among which an idempotency key is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Group {
+    /// All workers.
     All,
+    /// Those of one zone.
     Zone,
+    /// Those of one cell.
     Cell,
 }
 
-/// A kind of activation.
+/// A kind of request.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// Seconds within which an answer is wanted.
+    /// Latency objective: seconds within which an answer is wanted.
     pub due: f64,
+    /// How harmful a repeat is.
     pub effect: Effect,
 }
 
-/// What an installation states when a router starts.
+/// Configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Charter {
+    /// Seed of the router's random draws.
     pub seed: u64,
     /// Routers that share the workers, this one included.
     pub routers: usize,
+    /// Kinds of requests, by index.
     pub profiles: Vec<Profile>,
-    /// Activations a second, over all routers, within the share of each client group.
+    /// Requests a second, over all routers, within the share of each client group.
     pub quotas: Vec<f64>,
-    /// Activations a second, over all routers, that each client group may have sent at all; boundless where it is not
-    /// stated.
+    /// Requests a second, over all routers, that may be sent at all for each client group; infinite where it
+    /// is not limited.
     pub ceilings: Vec<f64>,
-    /// Further shots of activations: window, free ones, and for each activation taken; boundless where not stated.
+    /// Retry budget: the window in seconds, the retries that are free in it, and those earned by each
+    /// request; unlimited where there is none.
     pub retries: Option<(f64, f64, f64)>,
-    /// Shots out at a worker, over all routers.
+    /// Attempts in flight at one worker, over all routers; infinite where they are not limited.
     pub hand: f64,
-    /// The importance of an activation beyond its client group's share.
+    /// The weight of a request beyond its client group's share, 0 to 1.
     pub over_share: f64,
-    /// Shots an activation may have.
+    /// Attempts that a request may have.
     pub shots: usize,
+    /// An attempt in flight can be cancelled.
     pub cancels: bool,
-    /// Orders to hold and unload are possible.
+    /// Load and unload requests are possible.
     pub orders: bool,
-    /// A worker without the function answers a miss rather than load it unasked.
+    /// A worker without the function answers that it is missing, rather than load it unasked.
     pub misses: bool,
-    /// Changes of the worker list come only when asked for.
+    /// Changes of the endpoint list come only on request.
     pub asks: bool,
-    /// Workers may be probed, and tell their load when they are.
+    /// Workers answer health checks, and report their load when they do.
     pub probes: bool,
-    /// The longest advice to stay away that clients heed; none where they are told nothing.
+    /// The longest Retry-After in seconds that clients follow; none where they are not given one.
     pub come_back: Option<f64>,
-    /// Seconds an idle instance remains at least.
+    /// Seconds that an idle instance is kept at least.
     pub keep: f64,
-    /// The ration of orders to load: window, free orders, orders for each activation taken.
+    /// Budget of load requests: the window in seconds, the requests that are free in it, and those earned by
+    /// each request that arrives; unlimited where there is none.
     pub ration: Option<(f64, f64, f64)>,
-    /// Seconds after which an order to hold counts as unanswered.
+    /// Seconds after which a load request counts as unanswered.
     pub order_wait: f64,
-    /// A worker starts at this part of its capacity or above ...
+    /// Slow start: the part of its capacity that a worker has at its start, or more, 0 to 1.
     pub cold_share: f64,
-    /// ... and is warm after this many seconds.
+    /// Slow start: seconds until it has all of it.
     pub warm_up: f64,
-    /// Sent more than this multiple of its present capacity ...
+    /// Slow start: a worker that is sent more than this multiple of its present capacity for
+    /// [`tip_window`](Self::tip_window) fails from overload.
     pub tip_multiple: f64,
-    /// ... for this long, it falls over.
+    /// Slow start: the window, in seconds, in which what it is sent is counted.
     pub tip_window: f64,
-    /// Memory of each kind of worker, in MB; empty where it is not stated.
+    /// Memory of each kind of worker, in MB; empty where it is not known.
     pub memory: Vec<f64>,
-    /// The least time between two turns of the router.
+    /// The resolution in seconds of the host's timer.
     pub tick: f64,
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -6,13 +6,14 @@
 use crate::router_state::RouterState;
 
 impl RouterState {
-    /// Whether so many shots of ours may be out at a worker, as far as the bound on all that are goes.
+    /// Whether so many attempts of this router may be in flight at a worker, by its part of the limit on all
+    /// routers.
     fn within_in_flight_limit(&self, now: f64, worker: usize, in_flight: usize) -> bool {
         self.max_in_flight.is_infinite()
             || in_flight as f64 <= self.budgets.allowed(now, Budget::Hand(worker), self.max_in_flight)
     }
 
-    /// Whether rules and sense allow yet another shot, on some worker.
+    /// Whether a request may have one more attempt, on some worker.
     pub(crate) fn may_attempt_again(&self, now: f64, id: usize) -> bool {
         self.requests.get(id).is_some_and(|request| {
             let effect = self.profiles[request.profile].effect;
@@ -20,19 +21,20 @@
         })
     }
 
-    /// Whether its client group's ceiling lets a request through; if not, it learns when to come.
+    /// Whether a request is within its client group's rate limit; if not, sets its Retry-After.
     pub(crate) fn within_rate_limit(&mut self, now: f64, id: usize) -> bool {
         let Some(request) = self.requests.get_mut(id) else { return false };
         self.admission.within_rate_limit(now, request, &mut self.budgets, &mut self.random)
     }
 
-    /// Whether a request may have a further shot as far as the budget of those goes.
+    /// Whether a request may have one more attempt by the retry budget.
     pub(crate) fn within_retry_budget(&mut self, now: f64, id: usize) -> bool {
         let first = self.requests.get(id).is_none_or(|request| request.attempts.is_empty());
         self.retry.within_retry_budget(now, first, &mut self.budgets)
     }
 
-    /// The rules that every shot keeps: number, time, repeats, list state, and the budget of a cold worker.
+    /// Whether a request may have an attempt at a worker: number, time, idempotency, endpoint state, slow
+    /// start, in-flight limit.
     pub(crate) fn may_attempt(&mut self, now: f64, id: usize, worker: usize) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let effect = self.profiles[request.profile].effect;
@@ -54,9 +56,9 @@
         allowed && !over_limit
     }
 
-    /// Sends a shot.
+    /// Sends an attempt, where that is allowed.
     pub(crate) fn send_attempt(&mut self, now: f64, id: usize, worker: usize, host: &mut dyn Host) {
-        /// So many times its usual time a load may take before another is begun elsewhere.
+        /// Times its mean that a load may take before it is taken to have failed.
         const MAX_LOADS: f64 = 4.0;
         if !self.may_attempt(now, id, worker) {
             return;
@@ -88,8 +90,9 @@
         host.send(id, worker, request.deadline);
     }
 
-    /// Whether a shot that was decided before may begin, by what it is allotted now, by receipts, and at a cold worker by
-    /// how long ago that was: what was decided over a longer time would all count in one window.
+    /// Whether an attempt that was decided before may begin now: by its rate limit, its idempotency key, the
+    /// in-flight limit, and at a worker in slow start by the time since, as decisions of a longer time would
+    /// all count in one window there.
     pub(crate) fn may_begin(&self, now: f64, id: usize, worker: usize) -> bool {
         let refused = |request: &Request| {
             let is_old = |attempt: &Attempt| {
--- a/crates/policy/src/effects.rs
+++ b/crates/policy/src/effects.rs
@@ -1,27 +1,29 @@
-//! What the decisions ask for: the calls that a router makes on its host. Times are seconds; workers, functions and
-//! activations are small indices that the host hands out.
+//! What the decisions ask for: the calls that a router makes on its host. Times are seconds; workers,
+//! functions and requests are small indices that the host hands out.
 
-/// What a router asks of its surroundings. Nothing here answers at once; results come back as router calls.
+/// The effects of a router on its surroundings. None of these calls returns a result; results come back as
+/// events of the [`Router`](crate::router::Router).
 pub trait Host {
-    /// Starts one more shot of the activation; it is abandoned at `until`.
+    /// Sends one more attempt of a request; it is abandoned at `until`, a time of the router's clock.
     fn send(&mut self, activation: usize, worker: usize, until: f64);
-    /// Stops waiting for a shot that was sent before.
+    /// Cancels an attempt that is in flight, by its index among those of the request.
     fn cancel(&mut self, activation: usize, shot: usize);
-    /// Final answer: not taken, trying again does no harm. `come_back` advises how long to stay away.
+    /// Final answer: rejected, and nothing has run. `come_back` is the Retry-After in seconds.
     fn bounce(&mut self, activation: usize, come_back: Option<f64>);
     /// Final answer: failed, with no promise about effects.
     fn terminate(&mut self, activation: usize);
-    /// Orders that at least `copies` instances of the function be held on the worker; 0 only asks.
+    /// Requests that at least `copies` instances of the function be loaded on the worker; 0 only asks how
+    /// many there are.
     fn hold(&mut self, worker: usize, function: usize, copies: u8);
-    /// Unloads the idle instances of the function on the worker.
+    /// Requests that the idle instances of the function on the worker be unloaded.
     fn unload(&mut self, worker: usize, function: usize);
-    /// Asks a worker how it is.
+    /// Sends a health check, which a load report answers.
     fn probe(&mut self, worker: usize);
-    /// Asks for a [`woken`](crate::router::Router::woken) call after so many seconds.
+    /// Asks for a call of [`woken`](crate::router::Router::woken) after so many seconds.
     fn wake(&mut self, after: f64);
-    /// Asks the registry to pass on changes of the worker list from now on.
+    /// Asks the registry to send changes of the endpoint list from now on.
     fn follow(&mut self);
-    /// The router will not name this activation again; its index may be given to another.
+    /// The router will not name this request again; its index may be given to another.
     fn forget(&mut self, activation: usize);
     /// The router knows nothing of this function any more; its index may be given to another.
     fn forget_function(&mut self, function: usize);
@@ -29,17 +31,17 @@
     fn lacks(&mut self, _what: Budget) {}
 }
 
-/// What all routers together may use of something, and this one a part of it.
+/// A budget that all routers share, of which each has a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
-    /// Activations a second of a client group within its share.
+    /// Requests a second of a client group within its share, by the group's index.
     Quota(usize),
-    /// Activations a second of a client group that may be sent at all.
+    /// Requests a second of a client group that may be sent at all, by the group's index.
     Ceiling(usize),
-    /// Free orders to load within the ration's window.
+    /// Load requests that are free within their window.
     Orders,
-    /// Free further shots within their window.
+    /// Retries that are free within their window.
     Retries,
-    /// Shots out at a worker.
+    /// Attempts in flight at a worker, by the worker's index.
     Hand(usize),
 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,65 +1,79 @@
-//! What a router is notified of: arrivals, endpoints, results of attempts, load reports. Times are seconds.
+//! Events that a router is notified of: arrivals, endpoints, results of attempts, load reports. Times are
+//! seconds.
 
-/// One activation as it arrives.
+/// A request as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
+    /// Index of its function.
     pub function: usize,
-    /// What the function is called everywhere: its place on the ring.
+    /// A hash of the function's name that is the same on every router: its key on the hash ring.
     pub name: u64,
+    /// Index of its profile.
     pub profile: usize,
+    /// Index of its client group.
     pub client: usize,
     /// Seconds until the client gives up.
     pub patience: f64,
-    /// A client's marked repeat.
+    /// The client marked it as a retry of its own.
     pub repeat: bool,
-    /// Activations that one instance runs at a time.
+    /// Requests that one instance runs at a time.
     pub lanes: f64,
     /// Memory of one instance, in MB.
     pub memory: f64,
-    /// The usual seconds of a load, where told.
+    /// The usual seconds of a load, where they are known.
     pub load: Option<f64>,
 }
 
-/// What a list says of a worker.
+/// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
+    /// It takes requests.
     Ready,
+    /// It shuts down gracefully and takes no new requests.
     Draining,
+    /// It is not in the list any more.
     Gone,
 }
 
-/// One line of the worker list.
+/// An endpoint of the list of workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Listing {
+    /// Index of the worker.
     pub worker: usize,
-    /// What the worker is called everywhere: its place on the ring.
+    /// A hash of the worker's name that is the same on every router: its place on the hash ring.
     pub name: u64,
-    /// When it last started; none means long ago.
+    /// When its process started, in seconds of the router's clock; none means long ago.
     pub started: Option<f64>,
+    /// Its size in relation to other workers; 1 where this is not a positive number.
     pub size: f64,
+    /// Index of its kind, which states its memory.
     pub kind: usize,
+    /// Its zone.
     pub zone: usize,
+    /// Its cell, a part of a zone.
     pub cell: usize,
+    /// Whether it takes requests.
     pub state: State,
 }
 
-/// How a shot ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
+    /// The worker answered.
     Handled,
-    /// The worker reported an error; it may have run.
+    /// The worker reported an error; the request may have run.
     Failed,
-    /// Turned away unseen.
+    /// The worker rejected it before it ran, as its queue was full.
     Full,
     /// No answer in time; it may have run, or may still.
     Overdue,
-    /// No connection.
+    /// No connection could be made.
     Unreached,
-    /// The connection broke; it may have run.
+    /// The connection was lost; it may have run.
     Cut,
-    /// Called off; it may have run.
+    /// It was cancelled; it may have run.
     Withdrawn,
-    /// Never sent.
+    /// It was never sent.
     Unsent,
     /// The function is not loaded there, or its load failed.
     Missed,
@@ -72,41 +86,49 @@
     }
 }
 
-/// What an answer tells of the instance it met.
+/// State of the instance that an attempt met.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Found {
+    /// It was loaded.
     Loaded,
+    /// The attempt started its load.
     BeganLoad,
+    /// The attempt waited for a load that was under way.
     AwaitedLoad,
+    /// Its load failed.
     LoadFailed,
 }
 
-/// A worker's report on itself; what it does not say is none.
+/// A worker's load report; what it does not state is none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Activations it holds.
+    /// Requests there, running and queued.
     pub held: Option<f64>,
-    /// Activations that wait there.
+    /// Requests that are queued there.
     pub waiting: Option<f64>,
-    /// How busy its cores are, 0 to 1.
+    /// Utilization of its cores, 0 to 1.
     pub busy: Option<f64>,
-    /// Share of its memory that cannot be freed.
+    /// Part of its memory that cannot be freed, 0 to 1.
     pub memory: Option<f64>,
-    /// Loads under way or waiting.
+    /// Loads under way or queued.
     pub loading: Option<f64>,
 }
 
-/// What came back of a shot.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
+    /// Index of the attempt among those of its request.
     pub shot: usize,
+    /// How it ended.
     pub outcome: Outcome,
     /// The client has its final answer.
     pub settled: bool,
-    /// Seconds since the shot was sent.
+    /// Seconds since the attempt was sent.
     pub latency: f64,
+    /// State of the instance that it met, where it is known.
     pub found: Option<Found>,
-    /// Activations of the same function that the worker held when this one came, where told.
+    /// Requests of the same function that the worker had when this one came, where known.
     pub company: f64,
+    /// The load report that came with it.
     pub report: Option<Report>,
 }
--- a/crates/policy/src/fleet_budgets.rs
+++ b/crates/policy/src/fleet_budgets.rs
@@ -1,4 +1,4 @@
-//! This router's part of the budgets that all routers share: its quota fraction, and what it was allotted beside.
+//! This router's part of the budgets that all routers share: its quota fraction, and its leases.
 
 use crate::effects::Budget;
 use std::collections::BTreeMap;
@@ -19,9 +19,9 @@
 
 pub(crate) struct FleetBudgets {
     quota_fraction: Step,
-    /// Units of a budget beside this router's part.
+    /// Units of a budget beside this router's part; negative where it has leased some out.
     leases: BTreeMap<Budget, Step>,
-    /// Budgets that something was not done for want of, since the host was last notified.
+    /// Budgets that were exhausted when something was to be done, since the host was last notified.
     exhausted: Vec<Budget>,
 }
 
@@ -37,7 +37,7 @@
         self.quota_fraction = Step { before, after, until };
     }
 
-    /// Sets the units that it has beside, until a time and from then on.
+    /// Sets the units of a lease until a time, and from then on.
     pub(crate) fn set_lease(&mut self, what: Budget, lease: [f64; 2], until: f64) {
         let [before, after] = lease;
         self.leases.insert(what, Step { before, after, until });
@@ -47,13 +47,13 @@
         self.quota_fraction.at(now)
     }
 
-    /// What this router may use of a budget now, of which it has `own` by its configuration.
+    /// Units that this router may use of a budget now, of which it has `own` by its configuration.
     pub(crate) fn allowed(&self, now: f64, what: Budget, own: f64) -> f64 {
         let lease = self.leases.get(&what).map_or(0.0, |lease| lease.at(now));
         (own * self.quota_fraction(now) + lease).max(0.0)
     }
 
-    /// Notes that something was not done for want of a budget.
+    /// Notes that a budget was exhausted.
     pub(crate) fn note_exhausted(&mut self, what: Budget) {
         self.exhausted.push(what);
     }
--- a/crates/policy/src/function_state.rs
+++ b/crates/policy/src/function_state.rs
@@ -1,36 +1,38 @@
-//! What is known of each function: its demand, how long its requests take, and where its instances are believed to be.
+//! What is known of each function: its arrival rate, the latency of its requests, and where its instances
+//! are.
 
 use crate::decay::{Fading, RATE_HALF};
 use crate::effects::Host;
 use crate::events::Arrival;
 use std::collections::BTreeMap;
 
-/// Half lives in seconds of the counts behind demand: the long one is for what one of many routers sees too seldom.
+/// Half lives in seconds of the counts of arrivals: the long one is for functions that one of many routers
+/// sees seldom.
 pub(crate) const DEMAND_HALVES: [f64; 2] = [RATE_HALF, 15.0];
 
-/// What a router believes of one function on one worker.
+/// A function on one worker, as far as this router knows. Times are in seconds.
 #[derive(Default)]
 pub(crate) struct FunctionOnWorker {
     pub(crate) worker: usize,
-    /// Instances there, until when unless used again.
+    /// Instances there, and when they are unloaded unless they are used again.
     pub(crate) instances: f64,
     pub(crate) expires_at: f64,
-    /// Until when a load that an order or a shot began may still be under way.
+    /// Until when a load that was requested or that an attempt started may still be under way.
     pub(crate) loading_until: f64,
-    /// Own shots there.
+    /// Attempts of this router there.
     pub(crate) in_flight: f64,
-    /// When it was last found to lack the function.
+    /// When the worker last answered that the function is missing.
     pub(crate) missing_at: f64,
 }
 
 impl FunctionOnWorker {
-    /// Whether instances are there now.
+    /// Whether it is loaded there now.
     pub(crate) fn is_loaded(&self, now: f64) -> bool {
         self.instances > 0.0 && self.expires_at > now
     }
 }
 
-/// Instances believed to be on a worker, whether one is on its way there, and own shots there.
+/// Instances on a worker now, whether one is being loaded, and attempts of this router there.
 #[derive(Clone, Copy)]
 pub(crate) struct Instances {
     pub(crate) count: f64,
@@ -40,7 +42,7 @@
 
 #[derive(Default)]
 pub(crate) struct Function {
-    /// What it is called on every router.
+    /// Its key on the hash ring.
     pub(crate) name: u64,
     /// Requests that one instance runs at a time.
     pub(crate) lanes: f64,
@@ -50,20 +52,20 @@
     pub(crate) arrivals: [Fading; 2],
     /// When it first arrived.
     pub(crate) since: f64,
-    /// Mean time that its shots are out, over the mean of all functions.
+    /// Mean latency of its attempts, over that of all functions.
     pub(crate) relative_latency: f64,
-    /// Seconds that answers of instances took.
+    /// Sum of the latencies of answers of loaded instances, in seconds.
     pub(crate) busy_time: Fading,
-    /// What it keeps busy at other routers, in lanes.
+    /// Concurrency at other routers.
     pub(crate) remote_concurrency: f64,
-    /// Workers in the set, and since when the set could be smaller.
+    /// Workers in its set, and since when the set could be smaller.
     pub(crate) set_size: usize,
     pub(crate) shrinkable_since: f64,
-    /// Whether a worker ever handled it: until then its failures may be its own.
+    /// Whether any request of it succeeded: until then failures may be the function's own.
     pub(crate) has_succeeded: bool,
-    /// Requests that are not let go of yet.
+    /// Requests that are not released yet.
     pub(crate) open_requests: usize,
-    /// Workers in ring order from the home on, for the ring of that edition.
+    /// Workers in ring order from its key on, and the revision of the ring that this is of.
     pub(crate) ring_order: Vec<usize>,
     pub(crate) revision: u64,
     pub(crate) placements: Vec<FunctionOnWorker>,
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Its state on a worker, new where nothing is known.
+    /// Its state on a worker, a new one where nothing is known.
     pub(crate) fn placement(&mut self, worker: usize) -> &mut FunctionOnWorker {
         let at =
             self.placements.iter().position(|placement| placement.worker == worker).unwrap_or_else(|| {
@@ -96,6 +98,7 @@
         &mut self.placements[at]
     }
 
+    /// Its instances on a worker now.
     pub(crate) fn instances(&self, now: f64, worker: usize) -> Instances {
         let placement = self.placements.iter().find(|placement| placement.worker == worker);
         placement.map_or(Instances { count: 0.0, loading: false, in_flight: 0.0 }, |placement| Instances {
@@ -105,19 +108,19 @@
         })
     }
 
-    /// The process of a worker is another one: it has no instance.
+    /// A worker's process was replaced: the new one has no instance.
     pub(crate) fn worker_restarted(&mut self, worker: usize) {
         let placements = self.placements.iter_mut().filter(|placement| placement.worker == worker);
         placements.for_each(|placement| (placement.instances, placement.loading_until) = (0.0, 0.0));
     }
 
-    /// Requests a second, by the count that says most.
+    /// Arrivals a second, by the larger of the two counts.
     pub(crate) fn arrival_rate(&self, now: f64) -> f64 {
         let rate = |(count, half): (&Fading, f64)| count.rate(now, half, now - self.since);
         self.arrivals.iter().zip(DEMAND_HALVES).map(rate).fold(0.0, f64::max)
     }
 
-    /// What it keeps busy at this router, in lanes.
+    /// Concurrency at this router.
     pub(crate) fn local_concurrency(&self, now: f64) -> f64 {
         self.busy_time.rate(now, RATE_HALF, now - self.since)
     }
@@ -128,9 +131,10 @@
         }
     }
 
-    /// Whether all that was believed of it has run out, and its demand has faded to that of nothing.
+    /// Whether it has no request, no instance and hardly an arrival of late.
     fn is_unused(&self, now: f64) -> bool {
-        /// Half an arrival in the long count: one-offs go within 15 s, a busy function after minutes.
+        /// In the long count: a function that is called once is released within 15 s, a busy one after
+        /// minutes.
         const MIN_ARRIVALS: f64 = 0.5;
         let expired = |placement: &FunctionOnWorker| {
             placement.in_flight == 0.0 && now > placement.expires_at && now > placement.loading_until
@@ -140,17 +144,17 @@
     }
 }
 
-/// All functions that are asked for, under the host's index.
+/// All functions that are in use, by the host's index.
 #[derive(Default)]
 pub(crate) struct Functions {
     functions: Vec<Option<Function>>,
-    /// Where the round that looks for functions to forget has come to.
+    /// Where the search for unused functions has come to.
     sweep_position: usize,
 }
 
 impl Functions {
-    /// One more request of a function arrived. A client's repeat is no new demand: counted, it would stretch sets onto cold
-    /// workers.
+    /// A request of a function arrived. A client's retry is no new demand: counted, it would grow sets onto
+    /// workers without instances.
     pub(crate) fn arrived(&mut self, now: f64, arrival: &Arrival) {
         self.functions.resize_with(self.functions.len().max(arrival.function + 1), || None);
         let function = self.functions[arrival.function].get_or_insert_with(|| Function::new(now, arrival));
@@ -161,10 +165,10 @@
         }
     }
 
-    /// Forgets functions that are not asked for any more. Each arrival looks at a few, so that one-off functions can't pile
-    /// up.
+    /// Releases unused functions. Each arrival checks a few, so that functions that are called once can't
+    /// accumulate.
     pub(crate) fn sweep(&mut self, now: f64, host: &mut dyn Host) {
-        /// Above 1, so that the round comes about faster than arrivals can add to it.
+        /// Above 1, so that all are checked faster than arrivals can add to them.
         const FUNCTIONS_EACH: usize = 2;
         for _ in 0..FUNCTIONS_EACH.min(self.functions.len()) {
             self.sweep_position = (self.sweep_position + 1) % self.functions.len();
@@ -200,12 +204,12 @@
         self.functions.iter_mut().flatten()
     }
 
-    /// Whether a function was ever handled; yes where it is not known.
+    /// Whether any request of a function succeeded; true where the function is not known.
     pub(crate) fn has_succeeded(&self, function: usize) -> bool {
         self.get(function).is_none_or(|f| f.has_succeeded)
     }
 
-    /// Sets what functions keep busy at other routers, in lanes by name; all else is next to nothing.
+    /// Sets the concurrency of functions at other routers, by name; it is zero where a name is missing.
     pub(crate) fn set_remote_concurrency(&mut self, busy: &BTreeMap<u64, f64>) {
         self.iter_mut().for_each(|f| f.remote_concurrency = busy.get(&f.name).copied().unwrap_or(0.0));
     }
--- a/crates/policy/src/hash_ring.rs
+++ b/crates/policy/src/hash_ring.rs
@@ -1,9 +1,11 @@
-//! A consistent-hashing ring of the workers that are ready (Karger et al. 1997): every router finds the same order of workers
-//! for a function, and a worker that leaves moves only what it had.
+//! A consistent-hashing ring of ready workers (Karger et al., 1997): every router finds the same order of
+//! workers for a function, and a worker that is removed moves only the functions that it had. Hashes are
+//! XXH3.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Points of a worker on the ring: shares are even, and a lost worker's functions go to several.
+/// Points of a worker on the ring: enough for even shares, and for a lost worker's functions to go to
+/// several.
 const POINTS: u64 = 32;
 
 struct Point {
@@ -14,12 +16,12 @@
 #[derive(Default)]
 pub(crate) struct HashRing {
     points: Vec<Point>,
-    /// Counts the times that the ring was built.
+    /// Counts how often the ring was built.
     revision: u64,
 }
 
 impl HashRing {
-    /// Builds the ring from workers and the functions of their names that are the same on every router.
+    /// Builds the ring from workers, by their index, and their names, which are the same on every router.
     pub(crate) fn build(&mut self, workers: impl Iterator<Item = usize>, name: impl Fn(usize) -> u64) {
         let point =
             |worker: usize, n| Point { hash: xxh3_64_with_seed(&name(worker).to_le_bytes(), n), worker };
@@ -39,8 +41,8 @@
         self.revision
     }
 
-    /// Fills `order` with the workers in the order in which they follow the hash of a key. `known` is above any worker's
-    /// index.
+    /// Fills `order` with the workers in the order in which they follow the hash of a key. `known` is above
+    /// any worker's index.
     pub(crate) fn successors(&self, key: u64, known: usize, order: &mut Vec<usize>) {
         order.clear();
         let home = xxh3_64_with_seed(&key.to_le_bytes(), 0);
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -1,26 +1,26 @@
-//! Load reports of workers, and the probes (health checks) that ask for them.
+//! Health checks of workers, and the load reports that answer them or come with results.
 
 use crate::effects::Host;
 use crate::events::Report;
 use crate::worker_state::Worker;
 
-/// Seconds for which a worker's report says what it holds: about as long as a queue takes to change.
+/// Seconds for which a load report is fresh: about as long as a queue takes to change.
 const REPORT_AGE: f64 = 1.0;
 
 impl Worker {
-    /// What reports say that it holds of others', where that is not long ago.
+    /// Requests of other routers there by its last report, where that is recent.
     pub(crate) fn recent_foreign_load(&self, now: f64) -> Option<f64> {
-        /// Times as long a report is still better than a guess.
+        /// Times as long for which a report is still better than an average.
         const MAX_AGE: f64 = 4.0;
         self.foreign_load.filter(|_| now - self.reported_at < MAX_AGE * REPORT_AGE)
     }
 
-    /// Whether its last report is too old to join an unseen queue by it.
+    /// Whether its last report is too old to judge its queue by.
     pub(crate) fn report_is_stale(&self, now: f64) -> bool {
         now - self.reported_at > REPORT_AGE
     }
 
-    /// Asks for its report, unless an answer to such a probe is still out.
+    /// Sends a health check, unless one is still unanswered.
     pub(crate) fn probe(&mut self, now: f64, index: usize, host: &mut dyn Host) {
         if self.probed_at == f64::NEG_INFINITY {
             self.probed_at = now;
@@ -28,12 +28,12 @@
         }
     }
 
-    /// A probe was answered, or was not.
+    /// A health check was answered, or was not.
     pub(crate) fn probe_ended(&mut self) {
         self.probed_at = f64::NEG_INFINITY;
     }
 
-    /// A report came in, with an answer or a probe; among so many routers.
+    /// Records a load report; `routers` share the worker.
     pub(crate) fn record_report(&mut self, now: f64, report: Option<Report>, routers: f64) {
         let Some(report) = report else { return };
         let own_load = self.in_flight as f64;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,21 @@
-//! Min-worker-set routing decisions for functions that workers load on demand.
+//! Routing decisions for functions that workers load on demand: the min-worker-set policy (MWS) of "Faster
+//! and Cheaper Serverless Computing on Harvested Resources" (SOSP 2021), sections 5.2 and 6.2, with
+//! admission, retries, slow start and outlier detection. `docs/design.md` gives the reasons.
 //!
-//! [`policy::Router`] makes every decision; [`host`] is the interface it is reached through.
+//! [`policy::Router`] makes every decision; [`host`] holds its configuration, its events and the effects that
+//! it asks for. The package does no I/O and reads no clock: the same events with the same seed give the same
+//! decisions.
+//!
+//! | modules | concern |
+//! | --- | --- |
+//! | `router`, `router_state` | the events and the order of the stages; what is known |
+//! | `admission`, `placement`, `dispatch`, `attempt_result` | the stages of a request, and of the results of its attempts |
+//! | `hash_ring`, `worker_set`, `overload` | which workers a function has, and how much each takes |
+//! | `slow_start`, `throughput`, `outlier_detection`, `health_check` | what a worker can be trusted with |
+//! | `retry`, `load_requests`, `fleet_budgets`, `rate_limiter` | what may be repeated or loaded, and the budgets of both |
+//! | `worker_state`, `function_state`, `request_state`, `decay`, `random` | data |
 
+#![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
 
 mod admission;
@@ -30,24 +44,24 @@
 mod worker_set;
 mod worker_state;
 
-/// The interface of the decisions.
+/// Configuration, events and effects of a router.
 pub mod host {
     pub use crate::config::*;
     pub use crate::effects::*;
     pub use crate::events::*;
 }
 
-/// The decisions.
+/// The router.
 pub mod policy {
     pub use crate::router::Router;
 }
 
-/// Figures that decay.
+/// Sums that decay.
 pub mod fading {
     pub use crate::decay::Fading;
 }
 
-/// Rate limits within a window.
+/// Rate limits over a sliding window.
 pub mod ration {
     pub use crate::rate_limiter::Ration;
 }
--- a/crates/policy/src/load_requests.rs
+++ b/crates/policy/src/load_requests.rs
@@ -1,4 +1,4 @@
-//! Load requests: orders to workers to load a function, their rate limit, and the backoff after loads that failed.
+//! Requests to workers to load a function, their budget, and the backoff after loads that failed.
 
 use crate::effects::{Budget, Host};
 use crate::fleet_budgets::FleetBudgets;
@@ -7,8 +7,8 @@
 use crate::rate_limiter::Ration;
 use crate::worker_state::WorkerTable;
 
-/// An order that a worker hold at least `copies` instances of a function; `ahead` of need as loads under way and memory
-/// allow.
+/// A request that a worker load a function until it has so many instances; `ahead` of need only as far as
+/// loads under way and memory allow.
 #[derive(Clone, Copy)]
 pub(crate) struct LoadRequest {
     pub(crate) worker: usize,
@@ -17,7 +17,7 @@
     pub(crate) ahead: bool,
 }
 
-/// How long this router begins no load after the last that failed, and until when.
+/// How long this router starts no load after one that failed, and until when.
 #[derive(Clone, Copy, Default)]
 struct Backoff {
     seconds: f64,
@@ -25,14 +25,14 @@
 }
 
 pub(crate) struct LoadRequests {
-    /// Orders are possible.
+    /// Load requests are possible.
     supported: bool,
-    /// Seconds after which an order counts as unanswered.
+    /// Seconds after which a load request counts as unanswered.
     timeout: f64,
     limit: Option<Ration>,
-    /// Routers that there may be.
+    /// Routers by the configuration.
     routers: f64,
-    /// Orders not answered yet.
+    /// Load requests that are not answered yet.
     pending: f64,
     backoff: Backoff,
 }
@@ -46,17 +46,17 @@
         self.supported
     }
 
-    /// A request arrived, which earns a share of an order.
+    /// A request arrived, which earns a part of a load request.
     pub(crate) fn arrived(&mut self, now: f64) {
         self.limit.iter_mut().for_each(|limit| limit.take(now));
     }
 
-    /// Whether no load is begun now, as the last one failed.
+    /// Whether no load is started now, as one failed.
     pub(crate) fn backs_off(&self, now: f64) -> bool {
         now < self.backoff.until
     }
 
-    /// Whether an order is possible now, and the worker has not yet what it asks for.
+    /// Whether a load request is possible now, and the worker has fewer instances than it asks for.
     pub(crate) fn is_wanted(
         &self,
         now: f64,
@@ -70,8 +70,8 @@
         able && !instances.loading && instances.count < f64::from(request.instances)
     }
 
-    /// Whether loads under way and the worker's memory allow an order ahead of need, where this router may have `most` loads
-    /// under way.
+    /// Whether loads under way and the worker's memory allow a load ahead of need, where this router may have
+    /// `most` loads under way.
     pub(crate) fn may_load_ahead(
         &self,
         now: f64,
@@ -80,7 +80,7 @@
         functions: &Functions,
         most: f64,
     ) -> bool {
-        /// Part of a worker's memory that they may fill: past it one pushes out another that is loaded again.
+        /// Part of a worker's memory that instances may fill: beyond it they evict each other.
         const MEMORY_SHARE: f64 = 0.6;
         let memory = functions.get(request.function).map_or(0.0, |f| f.memory);
         let filled = functions.memory_on(now, request.worker);
@@ -91,12 +91,12 @@
 
     /// Loads ahead of need that this router may have under way, at so many ready workers.
     pub(crate) fn most_ahead(&self, ready: f64, quota_fraction: f64) -> f64 {
-        /// Loads asked for ahead that may be under way for each worker of this router's part.
+        /// Loads that all routers may have under way for each ready worker.
         const LOADS_PER_WORKER: f64 = 0.25;
         ready * LOADS_PER_WORKER / self.routers * quota_fraction
     }
 
-    /// Whether the rate limit lets one more order through.
+    /// Whether the budget allows one more load request.
     pub(crate) fn within_limit(&mut self, now: f64, budgets: &mut FleetBudgets) -> bool {
         let own_part = self.limit.as_ref().map_or(0.0, |limit| limit.free);
         let free = budgets.allowed(now, Budget::Orders, own_part);
@@ -107,7 +107,7 @@
         within
     }
 
-    /// The one place where orders to load are given.
+    /// Sends a load request: the one place that does.
     pub(crate) fn send(
         &mut self,
         now: f64,
@@ -123,13 +123,13 @@
         host.hold(request.worker, request.function, request.instances);
     }
 
-    /// An order was answered.
+    /// A load request was answered.
     pub(crate) fn ended(&mut self) {
         self.pending -= 1.0;
     }
 
-    /// A load ended. Failed ones, begun again at once by every router, push the store over: each rests, for longer from
-    /// failure to failure, out of step.
+    /// A load ended. Loads that failed and are started again at once by every router overload the store: each
+    /// router backs off, exponentially and with jitter.
     pub(crate) fn load_ended(&mut self, now: f64, succeeded: bool, random: &mut Random) {
         /// Seconds.
         const MIN_BACKOFF: f64 = 0.1;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,14 +1,17 @@
-//! Outlier detection: distrust of a worker whose attempts fail, or that falls silent. Traffic follows trust.
+//! Outlier detection: a worker whose attempts fail, or that stops answering, gets less traffic. There is no
+//! ejection at a threshold: the probability that a worker is passed over grows with its outlier score, and
+//! the score decays.
 
 use crate::decay::Fading;
 use crate::events::{Answer, Outcome};
 use crate::request_state::Attempt;
 use crate::worker_state::Worker;
 
-/// Distrust halves in so many seconds, so that a trial shot every few seconds finds out whether a trouble lasts.
+/// Half life in seconds of an outlier score, so that a trial attempt every few seconds finds out whether a
+/// fault lasts.
 const SCORE_HALF_LIFE: f64 = 4.0;
 
-/// What one answer, or its absence, says of a worker: its fault from 0 to 1, and the weight of that.
+/// Evidence of one result: the score that it speaks for, 0 to 1, and its weight in the mean.
 #[derive(Clone, Copy)]
 pub(crate) struct Evidence {
     fault: f64,
@@ -22,7 +25,8 @@
     const CUT: Self = Self { fault: 1.0, weight: 0.1 };
     pub(crate) const UNREACHED: Self = Self { fault: 1.0, weight: 0.7 };
 
-    /// What an attempt's end says of its worker; `sound` where the function was ever handled, `latency` the mean of all.
+    /// The evidence of a result, if any. `answered_at` is when the worker last answered, `has_succeeded`
+    /// whether any request of the function did, and `latency` the mean of answers, in seconds.
     pub(crate) fn of(
         answer: &Answer,
         attempt: &Attempt,
@@ -30,14 +34,14 @@
         has_succeeded: bool,
         latency: f64,
     ) -> Option<Self> {
-        /// Silence of this many mean latencies is more than chance explains.
+        /// Mean latencies after which silence is more than a slow request.
         const SILENCE: f64 = 4.0;
         match answer.outcome {
             Outcome::Handled => Some(Self::HANDLED),
-            // Names that no worker knows fail everywhere: judged by them, all workers would be shunned.
+            // A function that no worker knows fails on all of them: by its failures all would be outliers.
             Outcome::Failed if has_succeeded => Some(Self::FAILED),
-            // Overdue while it waited for a load tells of the store; among answers, of a long request; and after a short
-            // time, of a client that left early.
+            // A timeout while a load is awaited is the store's; among answers, that of a long request; and
+            // after a short time, that of a client that left early.
             Outcome::Overdue | Outcome::Withdrawn
                 if attempt.warm && answered_at < attempt.sent_at && answer.latency > SILENCE * latency =>
             {
@@ -56,15 +60,15 @@
 }
 
 impl Worker {
-    /// Distrust now; a single failure in a healthy stream means nothing.
+    /// The outlier score now; 0 where it is within the noise of single failures.
     pub(crate) fn ejection_probability(&self, now: f64) -> f64 {
-        /// Distrust that counts for nothing.
+        /// Scores under it count as none.
         const NOISE: f64 = 0.25;
         let outlier_score = self.outlier_score.now(now, SCORE_HALF_LIFE);
         if outlier_score < NOISE { 0.0 } else { outlier_score }
     }
 
-    /// Moves the distrust towards the fault that evidence shows.
+    /// Moves the outlier score, a weighted mean, towards the evidence.
     pub(crate) fn record_evidence(&mut self, now: f64, Evidence { fault, weight }: Evidence) {
         let outlier_score = self.outlier_score.now(now, SCORE_HALF_LIFE);
         self.outlier_score = Fading { sum: outlier_score + weight * (fault - outlier_score), at: now };
--- a/crates/policy/src/overload.rs
+++ b/crates/policy/src/overload.rs
@@ -1,36 +1,39 @@
-//! Load shedding for a worker's sake: whether what it was sent takes too much of a request's time.
+//! Overload protection: whether the requests at a worker would take too much of a new request's time.
 
 use crate::router_state::RouterState;
 
-/// Part of the due time that may pass at a worker on average; the rest is for luck and waiting here. The second part shrinks
-/// with the number of routers, as more of a worker's queue is what others send unseen.
+/// Part of the latency objective that may pass at a worker on average; the rest is for variance and for the
+/// queue here. The second part shrinks with the square root of the number of routers, as more of a worker's
+/// queue is unknown to this one.
 const TIME_SHARE: f64 = 0.36;
 const TIME_SHARE_ALONE: f64 = 0.24;
 
-/// While answers are quick the rate is what clients ask, not what it can do: so much more.
+/// While answers are quick the measured rate is the demand, not the worker's capacity, which may be so many
+/// times as much.
 const GROWTH: f64 = 2.0;
 
-/// Shots beyond that, at the least; else one for each unit of a worker's size that is done in that time.
+/// Attempts beyond that, at the least; else one for each unit of a worker's size that is served in that time.
 const FLOOR: f64 = 1.0;
 
 /// The times of a request that bound what its worker may have in flight, in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct TimeBounds {
-    /// Its due time, and what its client has left.
+    /// Its latency objective, and the time that its client has left.
     pub(crate) due: f64,
     pub(crate) left: f64,
-    /// How slow its function is, over the mean of all.
+    /// The latency of its function, over the mean of all.
     pub(crate) relative_latency: f64,
 }
 
 impl RouterState {
-    /// Whether what a worker was sent takes too much of the due time at the rate for its size: our own shots where `warm`,
-    /// and what its report tells; by chance near the bound, as others read it too.
+    /// Whether the requests at a worker take too much of a new request's time, at the peak throughput for its
+    /// size (Little's law): this router's attempts, where `warm`, and those of its load report. Near the
+    /// bound a random draw decides, as all routers read the same report.
     pub(crate) fn is_overloaded(&mut self, now: f64, worker: usize, times: TimeBounds, warm: bool) -> bool {
-        /// Part of its client's time that may pass there on average: less would turn all of an impatient client group,
-        /// which comes again at once, away from workers that answer in time.
+        /// Part of its client's time that may pass there on average: with less, all requests of an impatient
+        /// client group, which retries at once, would be rejected although workers answer in time.
         const CLIENT_TIME: f64 = 0.7;
-        /// With less of its cores in use a worker has no queue to speak of.
+        /// With a lower utilization of its cores a worker has no queue.
         const BUSY: f64 = 0.9;
         let TimeBounds { due, left, relative_latency } = times;
         let time_share = TIME_SHARE + TIME_SHARE_ALONE / self.routers.sqrt();
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,5 +1,6 @@
-//! Placement: the least loaded worker of the function's set. A member without an instance is ordered one and joins once it
-//! is there; where all members are above the common load the ring order goes on past the set.
+//! Placement: a request goes to the least loaded worker of its function's set. A member without an instance
+//! is asked to load one and joins once it is there; where all members are above the fair load, workers past
+//! the set in ring order are taken.
 
 use crate::effects::Host;
 use crate::function_state::Function;
@@ -7,44 +8,44 @@
 use crate::overload::TimeBounds;
 use crate::router_state::RouterState;
 
-/// What a stage does with a request: on to a worker, kept here, or ended.
+/// What becomes of a request: an attempt at a worker, the queue, or a final answer.
 pub(crate) enum Decision {
     Dispatch(usize),
     Queue,
     GiveUp,
 }
 
-/// What a request brings to the choice of its worker. Times are in seconds.
+/// The request that is placed. Times are in seconds.
 #[derive(Clone, Copy)]
 struct Query {
     id: usize,
     function_index: usize,
     over_quota: bool,
-    /// Since it arrived, until its client gives up, and until its answer is due.
+    /// Since it arrived; until its client gives up; and its latency objective.
     waited: f64,
     left: f64,
     due: f64,
-    /// Lanes that its function keeps busy.
+    /// Concurrency of its function over all routers.
     concurrency: f64,
-    /// How far what other routers said still holds.
+    /// Weight of the concurrency that other routers reported, 0 to 1.
     remote_weight: f64,
 }
 
-/// What is the same for all workers that are compared.
+/// Means over all ready workers, and bounds that follow from them.
 #[derive(Clone, Copy)]
 struct CommonLoad {
-    /// What a worker not heard from lately is taken to hold of others'.
+    /// Mean of other routers' requests at a worker; assumed for one without a recent report.
     average: f64,
     mean_size: f64,
-    /// A worker above it is passed over for one past the set.
+    /// Fair load: where all members are above it, workers past the set are taken.
     fair: f64,
-    /// Lanes of an instance that are counted on.
+    /// Requests that an instance is counted on to run at a time.
     lanes: f64,
-    /// Ready workers with an instance, or one on its way.
+    /// Ready workers with an instance, or with one that is being loaded.
     live: usize,
 }
 
-/// What workers are compared by.
+/// The state of a comparison of workers that does not change from one to the next.
 struct Comparison<'a> {
     query: Query,
     function: &'a Function,
@@ -57,20 +58,21 @@
     worker: usize,
 }
 
-/// What was found in the ring order so far.
+/// What was found in ring order so far.
 #[derive(Default)]
 struct Search {
-    /// Lanes of the members so far, how many they are, and how many of them the usage needs.
+    /// Concurrent requests that the members so far can run, their number, and how many of them the
+    /// concurrency needs.
     capacity: f64,
     members: usize,
     needed: usize,
-    /// Workers met with an instance, or one on its way.
+    /// Workers with an instance, or with one that is being loaded.
     with_instance: usize,
-    /// A member was over its bound.
+    /// A member was overloaded.
     member_overloaded: bool,
-    /// The first that lacks the function and loads nothing unasked.
+    /// The first that lacks the function and loads only on request.
     without_function: Option<usize>,
-    /// The first with an instance on its way.
+    /// The first where an instance is being loaded.
     loading: Option<Candidate>,
     /// The least loaded member, and the least loaded one with an instance.
     least_loaded: Option<Candidate>,
@@ -85,7 +87,7 @@
         self.capacity < query.concurrency || self.members < function.set_size
     }
 
-    /// Whether nothing further on could be picked.
+    /// Whether no later worker could be chosen.
     fn is_over(&self, common: &CommonLoad, member: bool) -> bool {
         let fits = self.least_loaded.is_some_and(|any| any.load <= common.fair) || self.past_set.is_some();
         !member
@@ -94,7 +96,7 @@
                 || self.with_instance == common.live)
     }
 
-    /// In the set the least loaded, past it the first.
+    /// Takes a candidate: in the set the least loaded, past it the first.
     fn offer(&mut self, candidate: Candidate, member: bool, warm: bool) {
         let (any, loaded) = if member {
             (&mut self.least_loaded, &mut self.least_loaded_warm)
@@ -111,7 +113,7 @@
     }
 }
 
-/// Where a request goes, and where one more instance is called for.
+/// The worker of a request, and the worker that is to load one more instance.
 struct Choice {
     target: Option<Candidate>,
     load_at: Option<Candidate>,
@@ -154,6 +156,7 @@
         Decision::Dispatch(worker)
     }
 
+    /// The request's part of the comparison, with its function's ring order brought up to date.
     fn query(&mut self, now: f64, id: usize) -> Option<Query> {
         let request = self.requests.get(id)?;
         let (function_index, profile, over_quota) = (request.function, request.profile, request.over_quota);
@@ -168,7 +171,7 @@
         Some(Query { id, function_index, over_quota, waited, left, due, concurrency, remote_weight })
     }
 
-    /// Brings a function's workers up to the present ring.
+    /// Brings a function's ring order up to the present ring.
     fn update_ring_order(&mut self, function_index: usize) {
         let Some(f) = self.functions.get_mut(function_index) else { return };
         if f.revision != self.ring.revision() {
@@ -177,11 +180,13 @@
         }
     }
 
+    /// Means over all workers of the ring.
     fn common_load(&mut self, now: f64, query: &Query, function: &Function) -> CommonLoad {
-        /// Above the common load: homes of several busy functions would drown beside idle workers.
+        /// Times the mean load, and requests beyond that: with less spread the home of several busy functions
+        /// would be overloaded beside idle workers.
         const SPREAD: f64 = 1.25;
         const SLACK: f64 = 3.0;
-        /// Deviations of chance, squared, that an instance's lanes have room for beside the mean.
+        /// Squared standard deviations of unknown traffic for which an instance keeps capacity free.
         const CHANCE: f64 = 1.0;
         self.slow_start.rate(now, &self.workers, &mut self.throughput);
         let n = function.ring_order.len().max(1) as f64;
@@ -200,14 +205,14 @@
         let fair = (average + mean_in_flight) * SPREAD + SLACK;
         let live = function.placements.iter().filter(|s| s.is_loaded(now) || s.loading_until > now);
         let live = live.filter(|s| self.workers[s.worker].is_ready()).count();
-        // Lanes are left free for the chance in what others send: a moment's crowd would begin one more load. Sets that are
-        // sized by what all see need none of that.
+        // Capacity is kept free for the variance of other routers' traffic, or a moment's burst would start
+        // one more load. Sets that are sized by what all routers report need none.
         let unseen = CHANCE * (1.0 - 1.0 / self.routers) * (1.0 - query.remote_weight);
         let lanes = function.lanes + unseen / 2.0 - (unseen * (function.lanes + unseen / 4.0)).sqrt();
         CommonLoad { average, mean_size, fair, lanes, live }
     }
 
-    /// Compares the workers in ring order, up to where nothing further on could be picked.
+    /// Compares the workers in ring order, up to where no later one could be chosen.
     fn search(&mut self, now: f64, comparison: &Comparison) -> Search {
         let Comparison { query, function, common } = comparison;
         let mut search = Search::default();
@@ -230,9 +235,11 @@
         worker: usize,
         member: bool,
     ) {
-        /// Part of the due time that may pass waiting for a lane before one more instance is called for.
+        /// Part of the latency objective that a request may be queued for a busy instance before one more is
+        /// loaded.
         const LANE_WAIT: f64 = 0.05;
-        /// Seconds of rest of a worker that turned a shot away, apart for loads and for instances.
+        /// Seconds for which a worker that rejected an attempt gets none, apart for loads and for loaded
+        /// instances.
         const REST: f64 = 0.3;
         let Comparison { query, function, common } = comparison;
         if !self.may_attempt(now, query.id, worker) || self.passes_over(now, worker) {
@@ -249,14 +256,14 @@
         search.capacity += common.lanes * size;
         let warm = instances.count > 0.0;
         search.with_instance += usize::from(warm || instances.loading);
-        // Beyond the lanes there a worker loads one more, at cost of others' memory. Of those of an instance on its way
-        // others want theirs as well.
+        // Beyond its instances' concurrency a worker loads one more, at cost of others' memory. Of an
+        // instance that is being loaded other routers want their part as well.
         let counts_lanes = warm || query.remote_weight < 0.5;
         let own = if counts_lanes { function.lanes * instances.count.max(1.0) } else { 1.0 };
         if instances.in_flight >= own && (!warm || query.waited < LANE_WAIT * query.due) {
             return;
         }
-        // What is over its bound takes nothing: the ring order goes on past the set, or the request waits here.
+        // An overloaded worker gets nothing: the search goes on past the set, or the request is queued here.
         let rejected = now - self.workers[worker].rejected_at.last(warm) < REST;
         let missing =
             function.placements.iter().any(|s| s.worker == worker && now - s.missing_at < self.load_latency);
@@ -267,7 +274,8 @@
             search.member_overloaded |= member;
             return;
         }
-        // Where workers load nothing unasked, one that missed is sent nothing until an instance is there.
+        // Where workers load only on request, one that lacks the function is sent nothing until an instance
+        // is there.
         if self.reports_missing && !warm && (instances.loading || missing) {
             search.without_function = search.without_function.or(Some(worker));
             return;
@@ -276,13 +284,13 @@
         if instances.loading && !warm {
             search.loading = search.loading.or(Some(candidate));
         }
-        // Past the set only what is not itself above the common load.
+        // Past the set only workers that are not above the fair load themselves.
         if member || load <= common.fair {
             search.offer(candidate, member, warm);
         }
     }
 
-    /// Whether a worker is passed over: the more often the more it is doubted.
+    /// Whether a worker is passed over: the more often the higher its outlier score.
     fn passes_over(&mut self, now: f64, worker: usize) -> bool {
         let trust = 1.0 - self.workers[worker].ejection_probability(now);
         trust < 1.0 && self.random.uniform() > trust.powi(3)
@@ -296,11 +304,11 @@
         let to_load = if above { past.or(any) } else { any };
         let warm_past = search.past_set_warm.filter(|_| above);
         let warm = if above { warm_past.or(search.least_loaded_warm) } else { search.least_loaded_warm };
-        // On its path it loads only in the set and where no instance is or comes: what a full home turns away would load
-        // at one worker after the other.
+        // A request starts a load only in the set, and where no instance is or is being loaded: rejected by a
+        // full home, it would start loads at one worker after the other.
         let orders = self.load_requests.is_supported();
         let target = match warm.or(warm_past) {
-            // An instance past the set, as after it shrank, is gone to while the home is given one.
+            // An instance past the set, as after it shrank, is used while the home loads one.
             None if with_instance > 0 && orders => loading.or(search.past_set_warm),
             None => any,
             found if orders => found,
@@ -310,10 +318,10 @@
         Choice { target, load_at: to_load.filter(|to_load| !same(to_load) && warm_past.is_none()) }
     }
 
-    /// Whether a probe is waited for: what others send is seen in reports alone, and an old one is asked for anew before an
-    /// unseen queue is joined; but an answer that stays out is not waited for.
+    /// Whether the request waits for a health check of its worker. Other routers' requests are known from
+    /// load reports alone, so a stale one is renewed before an unknown queue is joined; but not for long.
     fn probes_first(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) -> bool {
-        /// Part of the due time that probes before a shot may take.
+        /// Part of the latency objective that health checks before an attempt may take.
         const PROBE_SHARE: f64 = 0.03;
         let waits = self.probes_enabled
             && self.workers[worker].report_is_stale(now)
@@ -324,22 +332,23 @@
         waits
     }
 
-    /// Orders the instances that the request's worker lacks.
+    /// Requests the instances that the worker lacks for the request.
     fn request_missing_instances(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) {
-        /// Loads in the time of a client that may leave before one is over.
+        /// Mean load times under which a client may leave before its load is over.
         const MIN_LOADS_LEFT: f64 = 2.0;
-        /// Instances that one order may ask for.
+        /// Instances that one load request may ask for.
         const MAX_INSTANCES: f64 = 16.0;
         let Some(function) = self.functions.get(query.function_index) else { return };
         let instances = function.instances(now, worker);
-        // Where only an order adds an instance, all lanes taken would make the rest wait in line.
+        // Where instances are added only on request, busy ones would make further requests queue.
         let needed = ((instances.in_flight + 1.0) / function.lanes).ceil().min(MAX_INSTANCES);
         if instances.count > 0.0 && needed > instances.count {
             let request =
                 LoadRequest { worker, function: query.function_index, instances: needed as u8, ahead: true };
             self.request_load(now, request, host);
         } else if instances.count == 0.0 && query.left < MIN_LOADS_LEFT * self.load_latency {
-            // A load that nobody waits for any more is left out: with clients of little time none would end.
+            // Workers drop a load that no request waits for; with impatient clients none would end unless it
+            // is requested.
             self.request_load(
                 now,
                 LoadRequest { worker, function: query.function_index, instances: 1, ahead: false },
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -1,7 +1,8 @@
-//! The one source of chance of a router: a seeded generator, so that the same events give the same decisions.
+//! The random numbers of a router: one seeded generator, so that the same events give the same decisions.
 
 use oorandom::Rand64;
 
+/// A seeded generator.
 pub(crate) struct Random(Rand64);
 
 impl Random {
@@ -9,7 +10,7 @@
         Self(Rand64::new(u128::from(seed)))
     }
 
-    /// A draw from 0 up to 1.
+    /// A uniform draw from 0 up to 1.
     pub(crate) fn uniform(&mut self) -> f64 {
         self.0.rand_float()
     }
--- a/crates/policy/src/rate_limiter.rs
+++ b/crates/policy/src/rate_limiter.rs
@@ -1,42 +1,49 @@
-//! The account of what is rationed within a window: so much is free, and each activation taken earns a share of one. Plain
-//! counting; who asks says how much is free, and how sharply the window's edge can be seen.
+//! A rate limiter over a sliding window: some actions are free in it, and each request that arrives in it
+//! earns a part of one.
 
 use std::collections::VecDeque;
 
+/// Counts actions against those that are free in a sliding window and those that requests have earned in it.
 pub struct Ration {
+    /// Seconds.
     window: f64,
-    /// What is free by the charter.
+    /// Actions that are free by the configuration.
     pub free: f64,
+    /// Actions that a request earns.
     share: f64,
-    /// Seconds at the window's edge that count for what was done, and not for what was taken.
+    /// Seconds at the window's edge in which actions still count and requests no more: how sharply it can be
+    /// measured.
     edge: f64,
-    /// As many as there are within the window.
+    /// Times of requests and of actions within the window.
     taken: VecDeque<f64>,
     done: VecDeque<f64>,
 }
 
 impl Ration {
+    /// A limiter by its window in seconds, the actions that are free in it and those that a request earns;
+    /// `edge` in seconds is how sharply the window's edge can be measured.
     pub fn new((window, free, share): (f64, f64, f64), edge: f64) -> Self {
         Self { window, free, share, edge, taken: VecDeque::new(), done: VecDeque::new() }
     }
 
-    /// An activation was taken.
+    /// A request arrived.
     pub fn take(&mut self, now: f64) {
         self.forget(now);
         self.taken.push_back(now);
     }
 
-    /// Whether one more may be done where so much is free.
+    /// Whether one more action is within the limit, where `free` are free.
     pub fn may(&mut self, now: f64, free: f64) -> bool {
         self.forget(now);
         self.done.len() as f64 + 1.0 <= free + self.earned(now)
     }
 
+    /// An action was done.
     pub fn done(&mut self, now: f64) {
         self.done.push_back(now);
     }
 
-    /// What of the free ones is in use.
+    /// Actions that are used of the free ones.
     pub fn used(&mut self, now: f64) -> f64 {
         self.forget(now);
         (self.done.len() as f64 - self.earned(now)).max(0.0)
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -1,46 +1,48 @@
-//! What is known of each request: its time, and the attempts that were made for it.
+//! What is known of each request: its times, and its attempts.
 
 /// One attempt of a request at a worker.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) worker: usize,
-    /// The worker's zone and cell then: those who know the receipt, whatever the list says of its name later.
+    /// The worker's zone and cell when it was sent: there the idempotency key is known, whatever endpoint has
+    /// the index later.
     pub(crate) zone: usize,
     pub(crate) cell: usize,
     pub(crate) sent_at: f64,
     pub(crate) in_flight: bool,
-    /// Known never to have run.
+    /// It is certain that it never ran.
     pub(crate) never_ran: bool,
-    /// Sent to an instance believed to be there.
+    /// It was sent to an instance that was loaded, as far as known.
     pub(crate) warm: bool,
 }
 
+/// A request.
 pub(crate) struct Request {
     pub(crate) function: usize,
     pub(crate) profile: usize,
     pub(crate) client: usize,
-    /// When it arrived, and when its client gives up.
+    /// When it arrived, and when its client gives up, in seconds.
     pub(crate) arrived_at: f64,
     pub(crate) deadline: f64,
     /// The final answer is owed.
     pub(crate) is_open: bool,
-    /// Beyond the share of its client group.
+    /// It arrived over the quota of its client group.
     pub(crate) over_quota: bool,
-    /// When its client group's ceiling let it through.
+    /// When it was admitted under its client group's rate limit.
     pub(crate) admitted_at: f64,
-    /// Seconds after which its client may come again, where the ceiling does not let it through.
+    /// Retry-After in seconds, where the rate limit does not admit it.
     pub(crate) retry_after: Option<f64>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// Whether a shot is out.
+    /// Whether an attempt is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 }
 
-/// All requests that are not let go of yet, under the host's index.
+/// All requests that are not released yet, by the host's index.
 #[derive(Default)]
 pub(crate) struct Requests {
     requests: Vec<Option<Request>>,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: what may be sent again by its effect and its receipts, to whom, and the budget of retries.
+//! Retries: which requests may be sent again by their idempotency, to which workers, and the retry budget.
 
 use crate::config::{Effect, Group};
 use crate::effects::Budget;
@@ -7,15 +7,17 @@
 use crate::request_state::{Attempt, Request};
 use crate::worker_state::Worker;
 
+/// The limits on attempts.
 pub(crate) struct RetryPolicy {
-    /// Shots that a request may have.
+    /// Attempts that a request may have.
     pub(crate) max_attempts: usize,
-    /// The budget of further shots; boundless where there is none.
+    /// The retry budget; unlimited where there is none.
     pub(crate) budget: Option<Ration>,
 }
 
 impl RetryPolicy {
-    /// Whether rules and sense allow yet another shot, on some worker; `sound` where the function was ever handled.
+    /// Whether a request may have one more attempt, on some worker; `has_succeeded` where any request of its
+    /// function did.
     pub(crate) fn may_attempt_again(
         &self,
         now: f64,
@@ -23,7 +25,8 @@
         effect: Effect,
         has_succeeded: bool,
     ) -> bool {
-        /// Workers that may have run a function that none ever handled, before it is taken for unsound.
+        /// Attempts that may have run of a function that never succeeded: then the function itself is taken
+        /// to be at fault.
         const MAX_UNPROVEN: usize = 2;
         let mut may_have_run = request.attempts.iter().filter(|attempt| !attempt.never_ran);
         let repeatable = match effect {
@@ -35,7 +38,7 @@
             request.attempts.iter().filter(|attempt| !attempt.in_flight && !attempt.never_ran).count()
                 >= MAX_UNPROVEN;
         let repeatable = repeatable && (has_succeeded || !unproven);
-        // No hedged requests: they crowd the rest more than they save.
+        // No hedged requests: they cost other requests more than they save.
         let alone = !request.has_attempt_in_flight();
         request.is_open
             && request.attempts.len() < self.max_attempts
@@ -44,7 +47,7 @@
             && alone
     }
 
-    /// Whether a request may have a further shot as far as the budget of those goes.
+    /// Whether the retry budget allows an attempt, which is no retry where it is the `first`.
     pub(crate) fn within_retry_budget(&mut self, now: f64, first: bool, budgets: &mut FleetBudgets) -> bool {
         let own = self.budget.as_ref().map_or(0.0, |limit| limit.free);
         let free = budgets.allowed(now, Budget::Retries, own);
@@ -55,7 +58,7 @@
         may
     }
 
-    /// A shot is sent.
+    /// An attempt is sent; a retry unless it is the `first`.
     pub(crate) fn attempt_sent(&mut self, now: f64, first: bool) {
         if let Some(budget) = self.budget.as_mut().filter(|_| !first) {
             budget.done(now);
@@ -63,7 +66,7 @@
     }
 }
 
-/// Whether the receipt of a shot that may have run is no longer known.
+/// Whether an attempt that ended may have run so long ago that its idempotency key is no longer known.
 pub(crate) fn key_expired(now: f64, request: &Request, effect: Effect) -> bool {
     let Effect::Receipted { memory, .. } = effect else { return false };
     request
@@ -72,8 +75,8 @@
         .any(|attempt| !attempt.in_flight && !attempt.never_ran && now - attempt.sent_at >= memory)
 }
 
-/// Whether a request may have a shot at a worker after those that it had: each that may have run is known there by its
-/// receipt, and a worker that may have failed the request is not asked again.
+/// Whether a request may have an attempt at a worker after those that it had: the worker knows the
+/// idempotency key of each that may have run, and may not have failed one itself.
 pub(crate) fn may_run_on(request: &Request, effect: Effect, index: usize, worker: &Worker) -> bool {
     let known = |attempt: &Attempt| match effect {
         Effect::Receipted { group: Group::Zone, .. } => attempt.never_ran || attempt.zone == worker.zone,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,9 +1,11 @@
-//! The events that a router is notified of, and the order of the stages. A host (see [`Host`]) calls the router as things
-//! happen: `listed` and `list_complete` for the worker list, `arrived`, `answered` and `close` for requests, `held` for
-//! orders to load, `probed` for probes and `woken` for time. The router acts through the `Host` passed in.
+//! The events that a router is notified of, and the order of the stages. A host (see [`Host`]) calls the
+//! router as things happen: `listed` and `list_complete` for the endpoint list, `arrived`, `answered` and
+//! `close` for requests, `held` for load requests, `probed` for health checks and `woken` for time. The
+//! router acts through the `Host` passed in.
 //!
-//! A request passes the stages admission, placement and dispatch; each passes it on, keeps it or ends it. The result of an
-//! attempt runs the other way: it is booked on the worker and on the function, and ends the request or sends it round again.
+//! A request passes the stages admission, placement and dispatch; each passes it on, queues it or ends it.
+//! The result of an attempt is recorded on its worker and its function, and ends the request or sends it
+//! through the stages again.
 
 use crate::admission;
 use crate::config::{Charter, Effect, Group};
@@ -15,18 +17,21 @@
 use crate::router_state::RouterState;
 use std::collections::BTreeMap;
 
+/// The decisions of one router: a core without I/O, clock or threads. Times are seconds of one monotonic
+/// clock of the host's.
 pub struct Router {
     state: RouterState,
-    /// Requests that are not let go of yet, in order of arrival, and those that are kept here.
+    /// Requests that are not released yet, in order of arrival, and those of them that wait for a worker.
     open: Vec<usize>,
     queued: Vec<usize>,
-    /// The next look at the time that was asked for.
+    /// When the host was asked to wake the router next.
     wake_at: f64,
-    /// When the worker list is asked for again.
+    /// When the endpoint list is requested again, after that failed.
     watch_again_at: f64,
 }
 
 impl Router {
+    /// A router at its start.
     pub fn new(config: Charter, now: f64, host: &mut dyn Host) -> Self {
         if config.asks {
             host.follow();
@@ -40,30 +45,32 @@
         }
     }
 
-    /// Routers that know of each other say how many there likely are, and this one's part of what bounds harm: of what it has
-    /// by the charter so much until then, and so much afterwards. Where nobody says so the charter's count holds.
+    /// Sets how many routers there likely are, and the fraction of its configured part of budgets that this
+    /// one may use: the first until a time, and the second from then on. Until it is called the configured
+    /// number of routers holds.
     pub fn share(&mut self, routers: f64, part: [f64; 2], until: f64) {
         self.state.routers = routers.max(1.0);
         self.state.budgets.set_quota_fraction(part, until);
     }
 
-    /// Allots more or less of a budget than this router's part by the count, until then and from then on.
+    /// Sets what this router may use of a budget beside its own part, in the budget's units: the first until
+    /// a time, and the second from then on. Either may be negative.
     pub fn allot(&mut self, what: Budget, more: [f64; 2], until: f64) {
         self.state.budgets.set_lease(what, more, until);
     }
 
-    /// Other routers said what functions keep busy there, in lanes by name; all else is next to nothing.
+    /// Sets the concurrency of functions at other routers, by name; functions that are not named have none.
     pub fn elsewhere(&mut self, now: f64, busy: &BTreeMap<u64, f64>) {
         self.state.remote_reported_at = now;
         self.state.functions.set_remote_concurrency(busy);
     }
 
-    /// What functions keep busy here: lanes by name.
+    /// The concurrency of functions at this router, by name.
     pub fn busy(&self, now: f64) -> impl Iterator<Item = (u64, f64)> {
         self.state.functions.iter().map(move |f| (f.name, f.local_concurrency(now)))
     }
 
-    /// What of a budget's units is in use here.
+    /// Units of a budget that are in use at this router.
     pub fn in_use(&mut self, now: f64, what: Budget) -> f64 {
         match what {
             Budget::Retries => self.state.retry.budget.as_mut().map_or(0.0, |r| r.used(now)),
@@ -72,7 +79,7 @@
         }
     }
 
-    /// One line of the list. A line that repeats a known worker changes it.
+    /// An endpoint of the list, new or changed. [`list_complete`](Self::list_complete) ends a list.
     pub fn listed(&mut self, endpoint: Listing) {
         let memory = self.state.worker_memory.get(endpoint.kind).copied().unwrap_or(f64::INFINITY);
         if self.state.workers.listed(&endpoint, memory) {
@@ -80,12 +87,12 @@
         }
     }
 
-    /// A complete list begins: who is not on it is gone.
+    /// A complete list begins: endpoints that are not in it are gone.
     pub fn list_renewed(&mut self) {
         self.state.workers.renewed();
     }
 
-    /// The lines of one list have all been given.
+    /// All endpoints of a list, or of a change of it, have been given.
     pub fn list_complete(&mut self, now: f64, host: &mut dyn Host) {
         let workers = &self.state.workers;
         let ready = (0..workers.len()).filter(|&w| workers[w].is_ready());
@@ -93,7 +100,7 @@
         self.retry_queued(now, host);
     }
 
-    /// The registry did not answer, or dropped the subscription.
+    /// The registry did not answer, or ended the watch of its list: it is requested again after a moment.
     pub fn list_failed(&mut self, now: f64, host: &mut dyn Host) {
         if self.state.watches_on_request {
             self.watch_again_at = now + 0.5 + self.state.random.uniform();
@@ -101,7 +108,7 @@
         }
     }
 
-    /// A request arrived, under an index that the host gave it.
+    /// A request arrived, with an index that no other unreleased request has.
     pub fn arrived(&mut self, now: f64, id: usize, arrival: Arrival, host: &mut dyn Host) {
         let state = &mut self.state;
         state.load_requests.arrived(now);
@@ -132,7 +139,7 @@
         self.advance(now, id, false, host);
     }
 
-    /// Takes a request through the stages from the first; tells whether it was not kept.
+    /// Takes a request through the stages from the first; returns whether it left the queue.
     fn advance(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Host) -> bool {
         match self.admit(now, id, blocked, host) {
             Decision::Dispatch(worker) => self.state.send_attempt(now, id, worker, host),
@@ -143,7 +150,8 @@
         self.queued.last() != Some(&id)
     }
 
-    /// First stage: a request for which no worker has room waits while an answer can still be in time.
+    /// Admission, then placement: a request for which no worker has capacity is queued while an answer can
+    /// still be in time.
     fn admit(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Host) -> Decision {
         let state = &mut self.state;
         if !state.may_attempt_again(now, id)
@@ -169,12 +177,12 @@
         }
     }
 
-    /// Whether a shot that was decided before may begin, by what holds now.
+    /// Whether an attempt that [`Host::send`] asked for before may begin now, when its connection is up.
     pub fn may_begin(&self, now: f64, id: usize, worker: usize) -> bool {
         self.state.may_begin(now, id, worker)
     }
 
-    /// What came back of a shot: it is booked, and its request has ended or runs again.
+    /// An attempt ended: it is recorded, and its request ends or is placed again.
     pub fn answered(&mut self, now: f64, id: usize, answer: Answer, host: &mut dyn Host) {
         let Some((function, attempt)) = self.state.attempt_ended(id, &answer) else { return };
         self.state.record_on_worker(now, function, &attempt, &answer);
@@ -195,7 +203,8 @@
         self.retry_queued(now, host);
     }
 
-    /// The client has left, has its answer or gets it streamed: calls off what else is out.
+    /// The client has gone, has its answer, or gets it streamed by the attempt `streams`: other attempts are
+    /// cancelled.
     pub fn close(&mut self, id: usize, streams: Option<usize>, host: &mut dyn Host) {
         let Some(request) = self.state.requests.get_mut(id) else { return };
         if std::mem::replace(&mut request.is_open, false) && self.state.can_cancel {
@@ -208,7 +217,7 @@
         self.release_if_done(id, host);
     }
 
-    /// Lets go of a request that has its answer once nothing of it is out.
+    /// Releases a request that has its answer, once no attempt of it is in flight.
     fn release_if_done(&mut self, id: usize, host: &mut dyn Host) {
         if self
             .state
@@ -225,7 +234,8 @@
         }
     }
 
-    /// The final answer of a request that cannot be handled: a rejection where that is harmless.
+    /// Gives the final answer of a request that cannot be served: rejected where a repeat is harmless, else
+    /// failed.
     fn reject_or_fail(&mut self, id: usize, host: &mut dyn Host) {
         let Some(request) = self.state.requests.get(id).filter(|request| request.is_open) else { return };
         let profile = self.state.profiles[request.profile];
@@ -238,9 +248,9 @@
         self.close(id, None, host);
     }
 
-    /// Tries what is kept again.
+    /// Places queued requests again.
     fn retry_queued(&mut self, now: f64, host: &mut dyn Host) {
-        // One that stays kept speaks for those behind it that want the same function.
+        // One that stays queued speaks for those behind it that want the same function.
         let mut blocked = Vec::new();
         for id in std::mem::take(&mut self.queued) {
             let Some(request) = self.state.requests.get(id) else { continue };
@@ -254,7 +264,7 @@
         }
     }
 
-    /// An order to hold was answered.
+    /// A load request was answered, by a worker with so many instances of the function.
     pub fn held(
         &mut self,
         now: f64,
@@ -284,7 +294,7 @@
         self.retry_queued(now, host);
     }
 
-    /// A probe was answered, or was not.
+    /// A health check was answered, or was not.
     pub fn probed(
         &mut self,
         now: f64,
@@ -302,7 +312,7 @@
         self.retry_queued(now, host);
     }
 
-    /// Asks to be woken at a time, unless that happens anyway.
+    /// Asks to be woken at a time, unless the host does so before.
     fn wake_by(&mut self, now: f64, at: f64, host: &mut dyn Host) {
         if at < self.wake_at {
             self.wake_at = at;
@@ -310,9 +320,10 @@
         }
     }
 
-    /// The time that was asked for has come.
+    /// The time that [`Host::wake`] asked for has come.
     pub fn woken(&mut self, now: f64, host: &mut dyn Host) {
-        /// Seconds between two looks at what is open: short against due times, long against its work.
+        /// Seconds between two checks of open requests: short against latency objectives, long against the
+        /// work of one.
         const INTERVAL: f64 = 0.005;
         if now < self.wake_at - 1e-6 {
             return;
--- a/crates/policy/src/router_state.rs
+++ b/crates/policy/src/router_state.rs
@@ -1,6 +1,6 @@
-//! All that a router knows, and the parts that decide by it. The steps of a request's way are in [`placement`](crate::placement),
-//! [`dispatch`](crate::dispatch) and [`attempt_result`](crate::attempt_result); the events and their
-//! order in [`router`](crate::router).
+//! The state of a router: the workers, functions and requests that it knows, and the components that decide
+//! by them. The stages of a request are methods of it in `placement`, `dispatch` and `attempt_result`; the
+//! events and their order are in `router`.
 
 use crate::admission::Admission;
 use crate::config::{Charter, Effect, Profile};
@@ -18,6 +18,7 @@
 use crate::worker_set;
 use crate::worker_state::WorkerTable;
 
+/// The state of a router.
 pub(crate) struct RouterState {
     pub(crate) random: Random,
     /// Routers that share the workers.
@@ -33,34 +34,36 @@
     pub(crate) ring: HashRing,
     pub(crate) functions: Functions,
     pub(crate) requests: Requests,
-    /// Shots that are out can be called off.
+    /// Attempts in flight can be cancelled.
     pub(crate) can_cancel: bool,
-    /// A worker without the function answers a miss rather than load it unasked.
+    /// A worker without the function answers that it is missing, rather than load it unasked.
     pub(crate) reports_missing: bool,
-    /// Changes of the worker list come only when asked for.
+    /// Changes of the endpoint list come only on request.
     pub(crate) watches_on_request: bool,
-    /// Workers may be probed.
+    /// Workers answer health checks.
     pub(crate) probes_enabled: bool,
-    /// Seconds that an idle instance remains at least.
+    /// Seconds that an idle instance is kept at least.
     pub(crate) keep_alive: f64,
     /// Memory of each kind of worker, in MB.
     pub(crate) worker_memory: Vec<f64>,
-    /// Shots that may be out at a worker, of this router's part.
+    /// Attempts in flight at a worker that are this router's part of the limit.
     pub(crate) max_in_flight: f64,
-    /// A request ends so many seconds before its client gives up: no turn of the clock is missed.
+    /// A request gets its final answer so many seconds before its client gives up: two ticks of the host's
+    /// timer.
     pub(crate) margin: f64,
-    /// When this router was last told what the functions keep busy at others.
+    /// When other routers' concurrency was last reported.
     pub(crate) remote_reported_at: f64,
-    /// Mean seconds of answers of instances, and of answers that waited for a load.
+    /// Mean seconds of answers of loaded instances, and of answers that waited for a load.
     pub(crate) latency: f64,
     pub(crate) load_latency: f64,
 }
 
 impl RouterState {
+    /// The state at the start, from the configuration.
     pub(crate) fn new(config: Charter, now: f64) -> Self {
-        /// For a request of no stated profile: the wariest.
+        /// The profile of a request that states none: not idempotent.
         const UNSTATED: Profile = Profile { due: 1.0, effect: Effect::Effectful };
-        /// What is at a window's edge, but for a clock's rounding, counts as done but not as taken.
+        /// Seconds of rounding of clocks at a window's edge.
         const EDGE_TOLERANCE: f64 = 1e-5;
         let routers = config.routers.max(1) as f64;
         let own_part = |all: Vec<f64>| all.into_iter().map(|figure| figure / routers).collect();
@@ -94,7 +97,7 @@
             can_cancel: config.cancels,
             reports_missing: config.misses,
             watches_on_request: config.asks,
-            // What is sent by this router alone needs no probes to be seen.
+            // One router alone knows what it sends, without health checks.
             probes_enabled: config.probes && config.routers > 1,
             keep_alive: config.keep,
             worker_memory: config.memory,
@@ -106,12 +109,12 @@
         }
     }
 
-    /// How far what other routers said still holds.
+    /// Weight of the concurrency that other routers reported, 0 to 1.
     pub(crate) fn remote_weight(&self, now: f64) -> f64 {
         worker_set::remote_weight(now, self.remote_reported_at)
     }
 
-    /// Gives an order to load, where that is allowed.
+    /// Sends a load request, where that is allowed.
     pub(crate) fn request_load(&mut self, now: f64, request: LoadRequest, host: &mut dyn Host) {
         if !self.load_requests.is_wanted(now, request, &self.workers, &self.functions) {
             return;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,28 +1,38 @@
-//! Slow start: what a worker that started lately is sent, over all routers, stays under what it can take in the window that
-//! the settings name. Each router sends its own part: that of the throughput that it sees itself.
+//! Slow start: the requests that a warming worker gets from all routers stay under what it can take in the
+//! configured window. Each router sends its own part, in proportion to the throughput that it measures
+//! itself, so that no router has to know the others.
+//!
+//! Where the settings allow a worker N requests of mean work in the window, it fails from overload at more
+//! than N + 2 √N + 2 (under 30 at N + 3 √N + 3). In the mean all routers together send 0.6 N in four turns,
+//! and 0.75 N at most in a window, which five turns may touch; with connections that come up a turn late 0.9
+//! N.
 
 use crate::random::Random;
 use crate::throughput::Throughput;
 use crate::worker_state::{SlowStartTurn, Worker, WorkerTable};
 
-/// Turns of a cold worker's window, each with its part of the budget; a shot begins at most one turn after its decision.
+/// Turns of the window, each with its part of the budget; an attempt begins at most one turn after its
+/// decision.
 const TURNS: f64 = 4.0;
 
+/// The configuration of slow start.
 pub(crate) struct SlowStart {
-    /// A worker starts at this part of its capacity or above, and is warm after so many seconds.
+    /// A worker starts at this part of its capacity or more, and has all of it after so many seconds.
     pub(crate) initial_capacity: f64,
     pub(crate) warm_up: f64,
-    /// Sent more than this multiple of its present capacity for so many seconds, it falls over.
+    /// Sent more than this multiple of its present capacity for so many seconds, a worker fails from
+    /// overload.
     pub(crate) overload_multiple: f64,
     pub(crate) overload_window: f64,
 }
 
 impl SlowStart {
+    /// Whether a worker has its full capacity.
     pub(crate) fn is_warm(&self, now: f64, worker: &Worker) -> bool {
         now - worker.started >= self.warm_up
     }
 
-    /// Whether a worker may still be in the time in which it falls over when it is sent too much.
+    /// Whether a worker may still fail from overload in slow start: until a window after it is warm.
     pub(crate) fn is_cold(&self, now: f64, worker: &Worker) -> bool {
         now - worker.started < self.warm_up + self.overload_window
     }
@@ -32,14 +42,14 @@
         self.overload_window / TURNS
     }
 
-    /// The throughput that is known of warm workers.
+    /// The throughput of warm workers, in requests a second for a unit of size.
     pub(crate) fn rate(&self, now: f64, workers: &WorkerTable, throughput: &mut Throughput) -> f64 {
         throughput.rate(now, workers, |worker| self.is_warm(now, worker))
     }
 
-    /// Whether a worker that started lately can take one more shot of ours without being pushed over. In each turn of the
-    /// stated window it sends its part of what the worker can take; of a part of one shot, chance decides. So many routers
-    /// come to the same as one, and none saves up for a crowd.
+    /// Whether a worker can take one more attempt of this router. In each turn of the window the router sends
+    /// its part of what the worker can take, rounded at random, so that the parts of many routers add up to
+    /// the same as that of one; what is not used in a turn is lost, so that none saves up for a burst.
     pub(crate) fn has_capacity(
         &self,
         now: f64,
@@ -48,7 +58,7 @@
         throughput: &mut Throughput,
         random: &mut Random,
     ) -> bool {
-        /// Part of the stated limit that is used: work differs from its mean and counts lag.
+        /// Part of the limit that is used: work differs from its mean, and measurements lag.
         const BUDGET_SHARE: f64 = 0.6;
         if !self.is_cold(now, &workers[worker]) {
             return true;
--- a/crates/policy/src/worker_set.rs
+++ b/crates/policy/src/worker_set.rs
@@ -1,24 +1,27 @@
-//! The size of a function's worker set, from its estimated concurrency (Little's law: rate times latency), and the trust in
-//! what other routers said of theirs.
+//! The size of a function's worker set, from its estimated concurrency: rate times latency (Little's law;
+//! section 5.2 of the paper in `docs/design.md`).
 
 use crate::decay::Fading;
 use crate::function_state::{DEMAND_HALVES, Function};
 
-/// How far what others said at a time still holds, 1 to 0: it decays into this router's own guess.
+/// Weight of the concurrency that other routers reported at a time, 1 to 0: it decays into this router's own
+/// estimate.
 pub(crate) fn remote_weight(now: f64, reported_at: f64) -> f64 {
-    /// Seconds for which a word is as good as new, and in which it then loses half.
+    /// Seconds for which a report has its full weight, and the half life of that afterwards.
     const FRESH: f64 = 2.0;
     const HALF_LIFE: f64 = 2.0;
     (-(now - reported_at - FRESH).max(0.0) / HALF_LIFE).exp2()
 }
 
 impl Function {
-    /// Rate over all routers times mean latency: the lanes of instances that the function keeps busy.
+    /// Concurrency over all routers: arrivals a second times mean latency. Without reports of others this
+    /// router takes itself for one of `routers` that are alike.
     pub(crate) fn concurrency(&self, now: f64, routers: f64, latency: f64, remote_weight: f64) -> f64 {
-        /// Deviations that are a count's own chance: of those of many routers some are always past the first.
+        /// Standard deviations of a count that are taken off it: of many routers' counts some are always past
+        /// the first.
         const DEVIATIONS: f64 = 1.25;
-        // Of a count only what is beyond that: one arrival at one of many routers would read as hundreds a second and
-        // stretch the set over all workers.
+        // One arrival at one of many routers would else read as hundreds a second and grow the set over all
+        // workers.
         let rate = |(count, half): (&Fading, f64)| {
             let n = count.now(now, half).max(DEVIATIONS * DEVIATIONS);
             count.rate(now, half, now - self.since) * (1.0 - DEVIATIONS / n.sqrt())
@@ -28,17 +31,17 @@
         if remote_weight == 0.0 {
             return estimate;
         }
-        // Nothing is taken off the own part for chance, which is small beside the whole.
+        // Nothing is taken off the local part, whose variance is small beside the sum.
         let local_rate = self.arrival_rate(now);
         estimate
             + remote_weight
                 * (local_rate * latency * self.relative_latency + self.remote_concurrency - estimate)
     }
 
-    /// Sets the size of the set by the members that are needed now. It shrinks after the paper's least interval between
-    /// reductions.
+    /// Sets the size of the set by the members that are needed now: it grows at once, and shrinks after the
+    /// paper's minimum interval.
     pub(crate) fn resize_set(&mut self, now: f64, needed: usize) {
-        /// Seconds.
+        /// Seconds between reductions.
         const LEAST_INTERVAL: f64 = 30.0;
         if needed >= self.set_size || now - self.shrinkable_since >= LEAST_INTERVAL {
             self.set_size = needed.max(1);
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -1,10 +1,12 @@
-//! What is known of each worker: its endpoint, what this router has in flight there, and what came back of it.
+//! What is known of each worker: its endpoint, this router's attempts there, and their results. Times are in
+//! seconds.
 
 use crate::decay::Fading;
 use crate::events::{Listing, State};
 use std::ops::{Index, IndexMut};
 
-/// When a worker last rejected attempts, apart for those that had to load and those that met an instance.
+/// When a worker last rejected attempts, apart for those that needed a load and those that met a loaded
+/// instance.
 #[derive(Clone, Copy)]
 pub(crate) struct RejectedAt {
     pub(crate) loading: f64,
@@ -12,16 +14,18 @@
 }
 
 impl RejectedAt {
+    /// When it last rejected one of the kind.
     pub(crate) fn last(self, warm: bool) -> f64 {
         if warm { self.loaded } else { self.loading }
     }
 
+    /// It rejects one of the kind now.
     pub(crate) fn set(&mut self, now: f64, warm: bool) {
         *(if warm { &mut self.loaded } else { &mut self.loading }) = now;
     }
 }
 
-/// A turn of a cold worker's window: when it began, and the shots that may still be sent in it.
+/// A turn of the slow-start window of a worker: when it began, and the attempts that may still be sent in it.
 #[derive(Clone, Copy)]
 pub(crate) struct SlowStartTurn {
     pub(crate) began: f64,
@@ -32,37 +36,38 @@
     const NONE: Self = Self { began: f64::NEG_INFINITY, left: 0.0 };
 }
 
+/// A worker.
 #[derive(Clone)]
 pub(crate) struct Worker {
-    /// What it is called on every router: its place on the ring.
+    /// A hash of its name that is the same on every router: its place on the hash ring.
     pub(crate) name: u64,
     pub(crate) state: State,
     /// When its process started; minus infinity means long ago.
     pub(crate) started: f64,
     pub(crate) size: f64,
-    /// In MB; boundless where it is not known.
+    /// In MB; infinite where it is not known.
     pub(crate) memory: f64,
     pub(crate) zone: usize,
     pub(crate) cell: usize,
-    /// This router's shots out there, and those of them that met an instance.
+    /// This router's attempts in flight there, and those of them that met a loaded instance.
     pub(crate) in_flight: usize,
     pub(crate) in_flight_loaded: f64,
     /// When it last answered anything.
     pub(crate) answered_at: f64,
     pub(crate) rejected_at: RejectedAt,
-    /// Reported load that is not this router's own; none until it reports.
+    /// Requests of other routers there by its last report; none until it reports.
     pub(crate) foreign_load: Option<f64>,
-    /// How busy its cores were by that, 0 to 1; 1 where it does not say.
+    /// Utilization of its cores by that report, 0 to 1; 1 where it does not state it.
     pub(crate) utilization: f64,
-    /// Whether that counts requests at work as well as those that wait.
+    /// Whether that report counts running requests as well as queued ones.
     pub(crate) counts_running: bool,
     /// When the last report came.
     pub(crate) reported_at: f64,
-    /// When a probe went out that is not answered yet; minus infinity where there is none.
+    /// When a health check was sent that is not answered yet; minus infinity where there is none.
     pub(crate) probed_at: f64,
-    /// Distrust, 0 to 1.
+    /// Outlier score, 0 to 1.
     pub(crate) outlier_score: Fading,
-    /// Where it is cold.
+    /// The current turn of its slow-start window.
     pub(crate) turn: SlowStartTurn,
 }
 
@@ -92,14 +97,16 @@
         self.state == State::Ready
     }
 
-    /// Takes on one endpoint of the list, with the memory of its kind; tells whether it is another process than before.
+    /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
+    /// before.
     fn listed(&mut self, endpoint: &Listing, memory: f64) -> bool {
         let started = endpoint.started.unwrap_or(f64::NEG_INFINITY);
-        // The index of one that is forgotten: nothing of that one holds for this.
+        // The index was another worker's: nothing of that one holds for this.
         let other = self.name != endpoint.name;
         let anew = other || started > self.started;
         if anew {
-            // A new process: empty, cold, and not to be blamed for the old one.
+            // A new process: without instances, in slow start, and not responsible for the faults of the old
+            // one.
             self.started = started;
             self.outlier_score = Fading::default();
             self.foreign_load = None;
@@ -115,14 +122,15 @@
     }
 }
 
-/// All workers, under the host's index.
+/// All workers, by the host's index.
 #[derive(Default)]
 pub(crate) struct WorkerTable {
     workers: Vec<Worker>,
 }
 
 impl WorkerTable {
-    /// Takes on one endpoint of the list; tells whether it is another process than before.
+    /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
+    /// before.
     pub(crate) fn listed(&mut self, endpoint: &Listing, memory: f64) -> bool {
         if endpoint.worker >= self.workers.len() {
             self.workers.resize(endpoint.worker + 1, Worker::UNKNOWN);
@@ -130,7 +138,7 @@
         self.workers[endpoint.worker].listed(endpoint, memory)
     }
 
-    /// A complete list begins: who is not on it is gone.
+    /// A complete list begins: endpoints that are not in it are gone.
     pub(crate) fn renewed(&mut self) {
         self.workers.iter_mut().for_each(|w| w.state = State::Gone);
     }
