--- a/crates/policy/src/rate_limiter/tests.rs
+++ b/crates/policy/src/rate_limiter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Two ten seconds apart, the first of which was done late: the second waits for the window.
+/// Two actions ten seconds apart, the first of which was done late: the second waits for the window.
 #[test]
 fn an_action_counts_from_when_it_was_done() {
     let mut limiter = Ration::new((10.0, 1.0, 0.0), 0.05);
@@ -19,6 +19,6 @@
         limiter.done(4.0);
     }
     assert!(!limiter.may(4.0, 0.0) && limiter.used(4.0) == 0.0);
-    // The activations have left the window before what was done has.
+    // The requests have left the window before the actions have.
     assert!(!limiter.may(13.9, 0.0) && limiter.used(13.9) == 2.0);
 }
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Stories of budgets that all routers share: what this one may use of them, by its part and by what it is allotted.
+//! Budgets that all routers share: what this one may use of them, by its quota fraction and by its leases.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-/// Activations of a steady stream of twenty a second that are bounced within so many seconds.
+/// Requests that are rejected within so many seconds of a steady stream of twenty a second.
 fn rejected(router: &mut TestRouter, seconds: f64) -> usize {
     let ids: Vec<_> = (0..(20.0 * seconds) as usize)
         .map(|_| {
@@ -37,7 +37,7 @@
     let rejected = rejected(&mut router, 10.0);
     assert!(rejected.abs_diff(expected) <= 8, "{rejected}");
     assert_eq!(router.host.exhausted.contains(&Budget::Ceiling(0)), rejected > 0);
-    // Told when there is room again: a tenth of a second for each call at ten a second, not all in step.
+    // Retry-After says when there are tokens again: a tenth of a second for each request at ten a second, with jitter.
     assert!(
         router.host.retry_after.iter().all(|a| a.is_some_and(|a| a > 0.0 && a <= 0.2)),
         "{:?}",
@@ -45,7 +45,7 @@
     );
 }
 
-/// What is allotted counts until its time, and not a moment longer.
+/// A lease counts until its time, and not a moment longer.
 #[test]
 fn a_lease_expires_by_itself() {
     let mut router = limited_to(10.0, 1);
@@ -56,7 +56,7 @@
     assert!(after >= 175, "{after} of 200 at two a second");
 }
 
-/// A burst after a lull has half a second of the ceiling, however long the lull was.
+/// A burst after a quiet time has half a second of the rate limit, however long that time was.
 #[test]
 fn an_idle_client_group_accumulates_at_most_half_a_second_of_its_rate() {
     let mut router = limited_to(20.0, 1);
@@ -65,7 +65,7 @@
     assert_eq!(ids.iter().filter(|id| !router.attempts(**id).is_empty()).count(), 10);
 }
 
-/// A process stood still between deciding a shot and sending it: by then the ceiling has to let it through anew.
+/// A process was stopped between deciding an attempt and sending it: by then the rate limit has to admit it anew.
 #[test]
 fn an_attempt_admitted_too_long_ago_is_not_sent() {
     let mut router = limited_to(20.0, 1);
@@ -77,7 +77,7 @@
 
 #[test_case(None, 3; "no bound")]
 #[test_case(Some((10.0, 1.0, 0.0)), 1; "one free")]
-#[test_case(Some((10.0, 0.0, 2.0)), 2; "two for each activation")]
+#[test_case(Some((10.0, 0.0, 2.0)), 2; "two for each request")]
 #[test_case(Some((10.0, 0.0, 0.0)), 0; "none")]
 fn retries_stay_within_their_budget(retries: Option<(f64, f64, f64)>, expected: usize) {
     let mut router = TestRouter::new(Charter { retries, ..config(idempotent()) }, 6);
@@ -92,11 +92,11 @@
     }
     assert_eq!(router.attempts(id).len() - 1, expected);
     assert_eq!(router.router.in_use(router.host.now, Budget::Retries), if expected == 1 { 1.0 } else { 0.0 });
-    // Ended at once rather than kept until its time is over.
+    // Ended at once rather than queued until its time is over.
     assert!(router.has_called(&HostCall::Reject { id }), "{:?}", router.host.calls);
 }
 
-/// Shots out at a worker over all routers: this one has its part, and what it is allotted.
+/// Attempts in flight at a worker over all routers: this one has its part, and its lease.
 #[test]
 fn attempts_in_flight_at_a_worker_are_limited() {
     let settings = Charter { hand: 8.0, routers: 4, orders: false, ..config(idempotent()) };
@@ -110,13 +110,13 @@
     assert!(router.host.exhausted.contains(&Budget::Hand(0)));
     assert_eq!(router.router.in_use(router.host.now, Budget::Hand(0)), 2.0);
     router.router.allot(Budget::Hand(0), [-1.0, -1.0], f64::INFINITY);
-    // Sent before, and too many by now: what has not begun does not begin.
+    // Sent before, and too many by now: an attempt that has not begun does not begin.
     assert!(!router.router.may_begin(router.host.now, ids[0], 0));
     router.answer(ids[0], 0, Outcome::Unsent, 0.0);
     assert!(router.router.may_begin(router.host.now, ids[1], 0));
 }
 
-/// Nobody is told anything: whatever the list of budgets, all is as it was without them.
+/// Budgets that are never exhausted change nothing.
 #[test]
 fn an_ample_budget_decides_as_none_at_all() {
     let played = |settings: Charter| {
@@ -165,18 +165,18 @@
     used.collect::<std::collections::BTreeSet<_>>().len()
 }
 
-/// A set is sized by what others say that they keep busy, and not by own times count, while they say so.
+/// A set is sized by the concurrency that other routers report, rather than by the local one times their number.
 #[test]
 fn a_worker_set_is_sized_by_the_concurrency_of_all_routers() {
     let routers = Charter { routers: 12, ..config(idempotent()) };
-    // Alone a router that sees one call at a time takes it for twelve.
+    // A router without reports takes one request at a time for twelve.
     let guessed = members(&mut TestRouter::new(routers.clone(), 12), 1, None);
     let reported = members(&mut TestRouter::new(routers.clone(), 12), 1, Some(0.5));
     let busy = members(&mut TestRouter::new(routers, 12), 1, Some(11.0));
     assert!(reported <= 2 && reported < guessed && busy >= 4, "{reported} {guessed} {busy}");
 }
 
-/// The word of others fades: after some seconds the router's own guess counts again.
+/// Reports of other routers decay: after some seconds the router's own estimate counts again.
 #[test]
 fn the_concurrency_that_other_routers_reported_decays() {
     let mut router = TestRouter::new(Charter { routers: 12, ..config(idempotent()) }, 12);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! One tiny fake host: it notes what a router does, and keeps the rules' books on it.
+//! A host that records the calls of a router, and a router on it. Not every test file uses all of it.
+#![allow(dead_code)]
 
 use milletpath_policy::host::*;
 use milletpath_policy::policy::Router;
@@ -63,7 +64,7 @@
     }
 }
 
-/// A router on its fake host, with the workers it was told of.
+/// A router on a recording host.
 pub struct TestRouter {
     pub host: RecordingHost,
     pub router: Router,
@@ -74,7 +75,7 @@
     Profile { due: 1.0, effect: Effect::Pure }
 }
 
-/// A plain charter: one router, one profile, orders and second copies allowed, nothing rationed.
+/// A plain configuration: one router, one profile, load requests possible, no budgets.
 pub fn config(profile: Profile) -> Charter {
     Charter {
         seed: 7,
@@ -105,7 +106,7 @@
 }
 
 impl TestRouter {
-    /// A router that knows so many warm workers.
+    /// A router with so many warm workers.
     pub fn new(config: Charter, workers: usize) -> Self {
         let mut host = RecordingHost::default();
         let router = Router::new(config, 0.0, &mut host);
@@ -119,7 +120,7 @@
         self.router.list_complete(self.host.now, &mut self.host);
     }
 
-    /// Lets time pass, in steps in which the router's wakes come.
+    /// Advances the clock and wakes the router when it asked for it.
     pub fn advance(&mut self, seconds: f64) {
         let end = self.host.now + seconds;
         while let Some(&at) = self.host.wakes.iter().min_by(|a, b| a.total_cmp(b)).filter(|&&t| t <= end) {
@@ -130,7 +131,7 @@
         self.host.now = end;
     }
 
-    /// An activation of the function arrives; its number is returned.
+    /// A request of the function arrives; returns its index.
     pub fn arrive(&mut self, function: usize, patience: f64) -> usize {
         let id = self.next;
         self.next += 1;
@@ -156,7 +157,7 @@
         self.router.answered(self.host.now, id, answer, &mut self.host);
     }
 
-    /// The workers that an activation's shots went to, in order.
+    /// The workers of a request's attempts, in order.
     pub fn attempts(&self, id: usize) -> Vec<usize> {
         let sends = self.host.calls.iter().filter_map(|(_, d)| match d {
             HostCall::Send { id: other, worker } if *other == id => Some(*worker),
@@ -165,11 +166,11 @@
         sends.collect()
     }
 
-    /// An activation comes, and is handled after so many seconds.
+    /// A request arrives and is answered after so many seconds; returns the worker.
     pub fn serve(&mut self, function: usize, latency: f64) -> usize {
         let id = self.arrive(function, 4.0);
         self.advance(latency);
-        let attempt = self.attempts(id).len().checked_sub(1).expect("a shot was sent");
+        let attempt = self.attempts(id).len().checked_sub(1).expect("an attempt was sent");
         self.answer(id, attempt, Outcome::Handled, latency);
         self.attempts(id)[attempt]
     }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! One story for each decision, and for each failure met in service or on the bench.
+//! One test for each decision, and for each failure that was met in service or on the bench.
 
 mod common;
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_load_that_outlives_its_attempt_is_not_started_on_another_worker() {
-    // Loads begun by shots that were called off left no trace, and each next one began on another worker.
+    // Loads that cancelled attempts had started were not remembered, and each next one started on another worker.
     let mut router = TestRouter::new(config(idempotent()), 8);
     let id = router.arrive(0, 1.5);
     router.advance(1.5);
@@ -67,8 +67,8 @@
     assert_eq!(router.attempts(ids[2]), router.attempts(ids[0]));
 }
 
-#[test_case(false; "told nothing of memory")]
-#[test_case(true; "memory filled")]
+#[test_case(false; "memory not known")]
+#[test_case(true; "memory full")]
 fn no_instance_is_preloaded_where_memory_is_full(filled: bool) {
     let memory = if filled { vec![120.0] } else { vec![] };
     let mut router = TestRouter::new(Charter { memory, ..config(idempotent()) }, 4);
@@ -89,7 +89,7 @@
     let mut router = TestRouter::new(config(idempotent()), 6);
     let home = router.serve(0, 0.1);
     (0..30).for_each(|_| _ = router.serve(0, 0.1));
-    // What it took ends unanswered, after a time that no chance explains.
+    // Its requests end unanswered, after a time that is more than a slow request.
     router.advance(0.1);
     let held: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
     router.advance(1.5);
@@ -120,7 +120,7 @@
 
 #[test]
 fn an_instance_outside_a_set_that_shrank_is_still_used() {
-    // The set shrank under its only instance, and all that came was bounced as no member had one.
+    // The set shrank under its only instance, and all requests were rejected as no member had one.
     let mut router = TestRouter::new(config(idempotent()), 6);
     (0..30).for_each(|_| _ = router.serve(0, 0.01));
     let home = router.attempts(0)[0];
@@ -211,8 +211,8 @@
     assert_eq!(router.attempts(id).contains(&home), gets);
 }
 
-/// Two wait at a worker, and an activation takes less than the time that may pass there. A worker of one core's size has
-/// a crowd; one of five works through them at once. It was taken for as crowded while its rate was not known.
+/// Two requests are queued at a worker, and a request takes less than the time that may pass there. A worker of one core
+/// is overloaded; one of five runs them at once. It was taken for overloaded, too, while its throughput was not known.
 #[test_case(1.0, false; "a small worker")]
 #[test_case(5.0, true; "a large one")]
 fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, gets: bool) {
@@ -228,8 +228,8 @@
     }
 }
 
-/// Two activations of a function come together at one of three hundred routers, as they do at some of them all the time.
-/// Read as hundreds a second they stretched its set over a dozen workers, each of which loads it.
+/// Two requests of a function arrive together at one of three hundred routers, as they do at some of them all the time.
+/// Read as hundreds a second they grew its set over a dozen workers, each of which loads it.
 #[test]
 fn a_few_concurrent_arrivals_do_not_grow_the_worker_set() {
     let mut used = std::collections::BTreeSet::new();
@@ -246,7 +246,7 @@
 
 #[test]
 fn load_requests_back_off_after_a_failed_load() {
-    // The store was pushed over by loads that every router began again at once.
+    // The store was overloaded by loads that every router started again at once.
     let mut router = TestRouter::new(Charter { misses: true, ..config(idempotent()) }, 4);
     let miss = |router: &mut TestRouter, function| {
         let id = router.arrive(function, 4.0);
@@ -269,7 +269,7 @@
     assert_eq!(router.has_called(&HostCall::RequestLoad { worker, function: 0, copies: 1 }), ordered);
 }
 
-/// One-off functions, each wanted once, would pile up for as long as a router lives.
+/// Functions that are called once would accumulate for as long as a router runs.
 #[test]
 fn unused_functions_are_released_and_used_ones_are_not() {
     let mut router = TestRouter::new(config(idempotent()), 4);
@@ -278,14 +278,14 @@
         router.serve(1 + one_off, 0.05);
     }
     let forgotten = &router.host.forgotten_functions;
-    // Those of the last 15 s or so, and the time a round takes, are still known.
+    // Those of the last 15 s or so, and of the time that a sweep takes, are still known.
     assert!((150..400).contains(&forgotten.len()), "{} forgotten", forgotten.len());
     assert!(!forgotten.contains(&0));
-    // What is forgotten is served as if new.
+    // A function that was released is served as a new one.
     router.serve(1, 0.05);
 }
 
-/// The answer to an order that comes after its function was forgotten would be booked on another one.
+/// The answer to a load request that comes after its function was released would be recorded on another one.
 #[test]
 fn a_function_with_a_pending_load_request_is_not_released() {
     let mut router = TestRouter::new(Charter { misses: true, order_wait: 60.0, ..config(idempotent()) }, 2);
@@ -303,10 +303,10 @@
     assert!(forgotten_after(&mut router, 50));
 }
 
-/// A client group that waited 0.25 s a try came again at once with each bounce, four times what it had to ask, while
-/// the workers answered in half that time.
+/// A client group that waited 0.25 s for an attempt retried at once after each rejection, four times what it had to ask,
+/// while the workers answered in half that time.
 #[test_case(4.0; "a patient client")]
-#[test_case(0.3; "one of little time, that answers still reach")]
+#[test_case(0.3; "an impatient one, that answers still reach")]
 fn a_worker_that_answers_within_its_client_s_time_gets_the_request(patience: f64) {
     let mut router = TestRouter::new(config(idempotent()), 1);
     for n in 0..120 {
@@ -318,7 +318,7 @@
     assert_eq!(router.attempts(id).len(), 1);
 }
 
-/// Kept to the end of its client's own time, which was shorter than the due time, it came too late for a further try.
+/// Queued to the end of its client's own time, which was shorter than the latency objective, it came too late for a retry.
 #[test]
 fn no_request_is_queued_past_half_of_its_own_time_without_an_attempt() {
     let mut router = TestRouter::new(config(idempotent()), 0);
@@ -327,7 +327,7 @@
     assert!(router.has_called(&HostCall::Reject { id }));
 }
 
-/// Bad clients called functions that no worker knows: each failed at four workers, and soon all were distrusted.
+/// Bad clients called functions that no worker knows: each failed at four workers, and soon all were outliers.
 #[test]
 fn a_function_that_fails_everywhere_does_not_make_workers_outliers() {
     let mut router = TestRouter::new(config(idempotent()), 6);
@@ -344,8 +344,8 @@
     assert!((0..20).all(|_| router.serve(0, 0.1) == home));
 }
 
-/// With a sixth of the workers cold, three routers turned a third away from queues that had room: the bound was set for
-/// a hundred routers, which see little of what the others send.
+/// With a sixth of the workers in slow start, three routers rejected a third of the requests although queues had capacity:
+/// the bound was set for a hundred routers, which see little of what the others send.
 #[test]
 fn each_of_few_routers_sends_a_worker_more_than_each_of_many() {
     let taken = |routers| {
