--- a/crates/policy/src/fleet_budgets.rs
+++ b/crates/policy/src/fleet_budgets.rs
@@ -5,10 +5,10 @@
 
 /// A figure that changes once, at a time that is known before.
 #[derive(Clone, Copy)]
-struct Step {
-    before: f64,
-    after: f64,
-    until: f64,
+pub(crate) struct Step {
+    pub(crate) before: f64,
+    pub(crate) after: f64,
+    pub(crate) until: f64,
 }
 
 impl Step {
@@ -31,16 +31,14 @@
         Self { quota_fraction, leases: BTreeMap::new(), exhausted: Vec::new() }
     }
 
-    /// Sets the fraction of its configured part that this router has until a time, and from then on.
-    pub(crate) fn set_quota_fraction(&mut self, quota_fraction: [f64; 2], until: f64) {
-        let [before, after] = quota_fraction;
-        self.quota_fraction = Step { before, after, until };
+    /// Sets the fraction of its configured part that this router has.
+    pub(crate) fn set_quota_fraction(&mut self, quota_fraction: Step) {
+        self.quota_fraction = quota_fraction;
     }
 
-    /// Sets the units of a lease until a time, and from then on.
-    pub(crate) fn set_lease(&mut self, what: Budget, lease: [f64; 2], until: f64) {
-        let [before, after] = lease;
-        self.leases.insert(what, Step { before, after, until });
+    /// Sets the units of a lease.
+    pub(crate) fn set_lease(&mut self, what: Budget, lease: Step) {
+        self.leases.insert(what, lease);
     }
 
     pub(crate) fn quota_fraction(&self, now: f64) -> f64 {
--- a/crates/policy/src/function_state.rs
+++ b/crates/policy/src/function_state.rs
@@ -8,7 +8,27 @@
 
 /// Half lives in seconds of the counts of arrivals: the long one is for functions that one of many routers
 /// sees seldom.
-pub(crate) const DEMAND_HALVES: [f64; 2] = [RATE_HALF, 15.0];
+const SHORT_HALF_LIFE: f64 = RATE_HALF;
+const LONG_HALF_LIFE: f64 = 15.0;
+
+/// Decaying counts of arrivals.
+#[derive(Default)]
+pub(crate) struct ArrivalCounts {
+    short: Fading,
+    long: Fading,
+}
+
+impl ArrivalCounts {
+    fn add(&mut self, now: f64) {
+        self.short.add(now, SHORT_HALF_LIFE, 1.0);
+        self.long.add(now, LONG_HALF_LIFE, 1.0);
+    }
+
+    /// The larger of a rate of the two counts, which `rate` gives for a count and its half life.
+    pub(crate) fn larger(&self, rate: impl Fn(&Fading, f64) -> f64) -> f64 {
+        rate(&self.short, SHORT_HALF_LIFE).max(0.0).max(rate(&self.long, LONG_HALF_LIFE))
+    }
+}
 
 /// A function on one worker, as far as this router knows. Times are in seconds.
 #[derive(Default)]
@@ -48,8 +68,8 @@
     pub(crate) lanes: f64,
     /// Memory of one instance, in MB.
     pub(crate) memory: f64,
-    /// Arrivals over a short and a long while, by the half lives of [`DEMAND_HALVES`].
-    pub(crate) arrivals: [Fading; 2],
+    /// Its arrivals of late.
+    pub(crate) arrivals: ArrivalCounts,
     /// When it first arrived.
     pub(crate) since: f64,
     /// Mean latency of its attempts, over that of all functions.
@@ -116,8 +136,7 @@
 
     /// Arrivals a second, by the larger of the two counts.
     pub(crate) fn arrival_rate(&self, now: f64) -> f64 {
-        let rate = |(count, half): (&Fading, f64)| count.rate(now, half, now - self.since);
-        self.arrivals.iter().zip(DEMAND_HALVES).map(rate).fold(0.0, f64::max)
+        self.arrivals.larger(|count, half_life| count.rate(now, half_life, now - self.since))
     }
 
     /// Concurrency at this router.
@@ -125,12 +144,6 @@
         self.busy_time.rate(now, RATE_HALF, now - self.since)
     }
 
-    fn count_arrival(&mut self, now: f64) {
-        for (count, half) in self.arrivals.iter_mut().zip(DEMAND_HALVES) {
-            count.add(now, half, 1.0);
-        }
-    }
-
     /// Whether it has no request, no instance and hardly an arrival of late.
     fn is_unused(&self, now: f64) -> bool {
         /// In the long count: a function that is called once is released within 15 s, a busy one after
@@ -139,7 +152,7 @@
         let expired = |placement: &FunctionOnWorker| {
             placement.in_flight == 0.0 && now > placement.expires_at && now > placement.loading_until
         };
-        let is_unused = self.arrivals[1].now(now, DEMAND_HALVES[1]) < MIN_ARRIVALS;
+        let is_unused = self.arrivals.long.now(now, LONG_HALF_LIFE) < MIN_ARRIVALS;
         self.open_requests == 0 && is_unused && self.placements.iter().all(expired)
     }
 }
@@ -161,7 +174,7 @@
         function.open_requests += 1;
         function.lanes = if arrival.lanes >= 1.0 { arrival.lanes } else { 1.0 };
         if !arrival.repeat {
-            function.count_arrival(now);
+            function.arrivals.add(now);
         }
     }
 
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -11,6 +11,7 @@
 use crate::config::{Charter, Effect, Group};
 use crate::effects::{Budget, Host};
 use crate::events::{Answer, Arrival, Listing, Outcome, Report};
+use crate::fleet_budgets::Step;
 use crate::outlier_detection::Evidence;
 use crate::placement::Decision;
 use crate::request_state::Request;
@@ -50,13 +51,15 @@
     /// number of routers holds.
     pub fn share(&mut self, routers: f64, part: [f64; 2], until: f64) {
         self.state.routers = routers.max(1.0);
-        self.state.budgets.set_quota_fraction(part, until);
+        let [before, after] = part;
+        self.state.budgets.set_quota_fraction(Step { before, after, until });
     }
 
     /// Sets what this router may use of a budget beside its own part, in the budget's units: the first until
     /// a time, and the second from then on. Either may be negative.
     pub fn allot(&mut self, what: Budget, more: [f64; 2], until: f64) {
-        self.state.budgets.set_lease(what, more, until);
+        let [before, after] = more;
+        self.state.budgets.set_lease(what, Step { before, after, until });
     }
 
     /// Sets the concurrency of functions at other routers, by name; functions that are not named have none.
--- a/crates/policy/src/worker_set.rs
+++ b/crates/policy/src/worker_set.rs
@@ -1,8 +1,7 @@
 //! The size of a function's worker set, from its estimated concurrency: rate times latency (Little's law;
 //! section 5.2 of the paper in `docs/design.md`).
 
-use crate::decay::Fading;
-use crate::function_state::{DEMAND_HALVES, Function};
+use crate::function_state::Function;
 
 /// Weight of the concurrency that other routers reported at a time, 1 to 0: it decays into this router's own
 /// estimate.
@@ -22,11 +21,10 @@
         const DEVIATIONS: f64 = 1.25;
         // One arrival at one of many routers would else read as hundreds a second and grow the set over all
         // workers.
-        let rate = |(count, half): (&Fading, f64)| {
-            let n = count.now(now, half).max(DEVIATIONS * DEVIATIONS);
-            count.rate(now, half, now - self.since) * (1.0 - DEVIATIONS / n.sqrt())
-        };
-        let rate = self.arrivals.iter().zip(DEMAND_HALVES).map(rate).fold(0.0, f64::max);
+        let rate = self.arrivals.larger(|count, half_life| {
+            let n = count.now(now, half_life).max(DEVIATIONS * DEVIATIONS);
+            count.rate(now, half_life, now - self.since) * (1.0 - DEVIATIONS / n.sqrt())
+        });
         let estimate = rate * routers * latency * self.relative_latency;
         if remote_weight == 0.0 {
             return estimate;
