--- a/crates/history-checker/src/budgets/tests.rs
+++ b/crates/history-checker/src/budgets/tests.rs
@@ -78,3 +78,23 @@
     records.push(Record { at: 2.5, saw: Saw::Over { gateway: 0, worker: 0 } });
     assert_eq!(broken("in-flight", records), 0);
 }
+
+/// Many light calls at a worker in slow start: within its bound by work, and past the one by calls.
+#[test_case(1; "of one gateway")]
+#[test_case(24; "of two dozen gateways")]
+fn light_calls_at_a_cold_worker_count(gateways: usize) {
+    let at = |at: f64, saw: Saw| Record { at, saw };
+    let came = |n: usize, worker: usize, work: f64| {
+        let gateway = n % gateways;
+        Saw::Came { call: n as u64, attempt: 0, gateway, worker, work }
+    };
+    let started = |worker: usize, warm: bool| Saw::Started { worker, capacity: 16.0, warm };
+    let mut records = vec![at(0.0, started(0, true)), at(1.0, started(1, false))];
+    // 0.2 of its capacity, two and a half times for a second: 8 s of work, or 80 calls of the mean; 99.9 with the bound.
+    records.extend((0..100_000).map(|n| at(0.5, came(n, 0, 0.1))));
+    records.extend((0..99).map(|n| at(1.0, came(n, 1, 0.01))));
+    assert_eq!(broken("cold-calls", records.clone()), 0);
+    records.extend((99..102).map(|n| at(1.0, came(n, 1, 0.01))));
+    assert_eq!(broken("cold", records.clone()), 0);
+    assert!(broken("cold-calls", records) > 0);
+}
