--- a/crates/policy/src/effects.rs
+++ b/crates/policy/src/effects.rs
@@ -5,16 +5,16 @@
 /// events of the [`Router`](crate::router::Router).
 pub trait Host {
     /// Sends one more attempt of a request; it is abandoned at `until`, a time of the router's clock.
-    fn send(&mut self, activation: usize, worker: usize, until: f64);
+    fn send(&mut self, request: usize, worker: usize, until: f64);
     /// Cancels an attempt that is in flight, by its index among those of the request.
-    fn cancel(&mut self, activation: usize, shot: usize);
-    /// Final answer: rejected, and nothing has run. `come_back` is the Retry-After in seconds.
-    fn bounce(&mut self, activation: usize, come_back: Option<f64>);
+    fn cancel(&mut self, request: usize, attempt: usize);
+    /// Final answer: rejected, and nothing has run. `retry_after` is the Retry-After in seconds.
+    fn bounce(&mut self, request: usize, retry_after: Option<f64>);
     /// Final answer: failed, with no promise about effects.
-    fn terminate(&mut self, activation: usize);
-    /// Requests that at least `copies` instances of the function be loaded on the worker; 0 only asks how
+    fn terminate(&mut self, request: usize);
+    /// Requests that at least `instances` instances of the function be loaded on the worker; 0 only asks how
     /// many there are.
-    fn hold(&mut self, worker: usize, function: usize, copies: u8);
+    fn hold(&mut self, worker: usize, function: usize, instances: u8);
     /// Requests that the idle instances of the function on the worker be unloaded.
     fn unload(&mut self, worker: usize, function: usize);
     /// Sends a health check, which a load report answers.
@@ -24,11 +24,11 @@
     /// Asks the registry to send changes of the endpoint list from now on.
     fn follow(&mut self);
     /// The router will not name this request again; its index may be given to another.
-    fn forget(&mut self, activation: usize);
+    fn forget(&mut self, request: usize);
     /// The router knows nothing of this function any more; its index may be given to another.
     fn forget_function(&mut self, function: usize);
     /// Something was not done for want of a budget that all routers share.
-    fn lacks(&mut self, _what: Budget) {}
+    fn lacks(&mut self, _budget: Budget) {}
 }
 
 /// A budget that all routers share, of which each has a part.
--- a/crates/policy/src/fleet_budgets.rs
+++ b/crates/policy/src/fleet_budgets.rs
@@ -37,8 +37,8 @@
     }
 
     /// Sets the units of a lease.
-    pub(crate) fn set_lease(&mut self, what: Budget, lease: Step) {
-        self.leases.insert(what, lease);
+    pub(crate) fn set_lease(&mut self, budget: Budget, lease: Step) {
+        self.leases.insert(budget, lease);
     }
 
     pub(crate) fn quota_fraction(&self, now: f64) -> f64 {
@@ -46,14 +46,14 @@
     }
 
     /// Units that this router may use of a budget now, of which it has `own` by its configuration.
-    pub(crate) fn allowed(&self, now: f64, what: Budget, own: f64) -> f64 {
-        let lease = self.leases.get(&what).map_or(0.0, |lease| lease.at(now));
+    pub(crate) fn allowed(&self, now: f64, budget: Budget, own: f64) -> f64 {
+        let lease = self.leases.get(&budget).map_or(0.0, |lease| lease.at(now));
         (own * self.quota_fraction(now) + lease).max(0.0)
     }
 
     /// Notes that a budget was exhausted.
-    pub(crate) fn note_exhausted(&mut self, what: Budget) {
-        self.exhausted.push(what);
+    pub(crate) fn note_exhausted(&mut self, budget: Budget) {
+        self.exhausted.push(budget);
     }
 
     pub(crate) fn take_exhausted(&mut self) -> impl Iterator<Item = Budget> {
--- a/crates/policy/src/function_state.rs
+++ b/crates/policy/src/function_state.rs
@@ -223,8 +223,8 @@
     }
 
     /// Sets the concurrency of functions at other routers, by name; it is zero where a name is missing.
-    pub(crate) fn set_remote_concurrency(&mut self, busy: &BTreeMap<u64, f64>) {
-        self.iter_mut().for_each(|f| f.remote_concurrency = busy.get(&f.name).copied().unwrap_or(0.0));
+    pub(crate) fn set_remote_concurrency(&mut self, concurrency: &BTreeMap<u64, f64>) {
+        self.iter_mut().for_each(|f| f.remote_concurrency = concurrency.get(&f.name).copied().unwrap_or(0.0));
     }
 
     /// Memory in MB of the instances on a worker.
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -49,23 +49,23 @@
     /// Sets how many routers there likely are, and the fraction of its configured part of budgets that this
     /// one may use: the first until a time, and the second from then on. Until it is called the configured
     /// number of routers holds.
-    pub fn share(&mut self, routers: f64, part: [f64; 2], until: f64) {
+    pub fn share(&mut self, routers: f64, quota_fraction: [f64; 2], until: f64) {
         self.state.routers = routers.max(1.0);
-        let [before, after] = part;
+        let [before, after] = quota_fraction;
         self.state.budgets.set_quota_fraction(Step { before, after, until });
     }
 
     /// Sets what this router may use of a budget beside its own part, in the budget's units: the first until
     /// a time, and the second from then on. Either may be negative.
-    pub fn allot(&mut self, what: Budget, more: [f64; 2], until: f64) {
-        let [before, after] = more;
-        self.state.budgets.set_lease(what, Step { before, after, until });
+    pub fn allot(&mut self, budget: Budget, lease: [f64; 2], until: f64) {
+        let [before, after] = lease;
+        self.state.budgets.set_lease(budget, Step { before, after, until });
     }
 
     /// Sets the concurrency of functions at other routers, by name; functions that are not named have none.
-    pub fn elsewhere(&mut self, now: f64, busy: &BTreeMap<u64, f64>) {
+    pub fn elsewhere(&mut self, now: f64, concurrency: &BTreeMap<u64, f64>) {
         self.state.remote_reported_at = now;
-        self.state.functions.set_remote_concurrency(busy);
+        self.state.functions.set_remote_concurrency(concurrency);
     }
 
     /// The concurrency of functions at this router, by name.
@@ -74,8 +74,8 @@
     }
 
     /// Units of a budget that are in use at this router.
-    pub fn in_use(&mut self, now: f64, what: Budget) -> f64 {
-        match what {
+    pub fn in_use(&mut self, now: f64, budget: Budget) -> f64 {
+        match budget {
             Budget::Retries => self.state.retry.budget.as_mut().map_or(0.0, |r| r.used(now)),
             Budget::Hand(worker) => self.state.workers.get(worker).map_or(0.0, |w| w.in_flight as f64),
             Budget::Orders | Budget::Quota(_) | Budget::Ceiling(_) => 0.0,
@@ -149,7 +149,7 @@
             Decision::GiveUp => self.reject_or_fail(id, host),
             Decision::Queue => self.queued.push(id),
         }
-        self.state.budgets.take_exhausted().for_each(|what| host.lacks(what));
+        self.state.budgets.take_exhausted().for_each(|budget| host.lacks(budget));
         self.queued.last() != Some(&id)
     }
 
@@ -206,13 +206,13 @@
         self.retry_queued(now, host);
     }
 
-    /// The client has gone, has its answer, or gets it streamed by the attempt `streams`: other attempts are
+    /// The client has gone, has its answer, or gets it streamed by the attempt `streaming`: other attempts are
     /// cancelled.
-    pub fn close(&mut self, id: usize, streams: Option<usize>, host: &mut dyn Host) {
+    pub fn close(&mut self, id: usize, streaming: Option<usize>, host: &mut dyn Host) {
         let Some(request) = self.state.requests.get_mut(id) else { return };
         if std::mem::replace(&mut request.is_open, false) && self.state.can_cancel {
             for attempt in
-                (0..request.attempts.len()).filter(|&n| request.attempts[n].in_flight && Some(n) != streams)
+                (0..request.attempts.len()).filter(|&n| request.attempts[n].in_flight && Some(n) != streaming)
             {
                 host.cancel(id, attempt);
             }
