--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,59 +1,60 @@
-//! One tiny fake host: it notes what a router does, and keeps the rules' books on it.
+//! A host that records the calls of a router, and a router on it. Not every test file uses all of it.
+#![allow(dead_code)]
 
 use milletpath_policy::host::*;
 use milletpath_policy::policy::Router;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Did {
+pub enum HostCall {
     Send { id: usize, worker: usize },
-    Cancel { id: usize, shot: usize },
-    Bounce { id: usize },
-    Terminate { id: usize },
-    Hold { worker: usize, function: usize, copies: u8 },
-    Follow,
+    Cancel { id: usize, attempt: usize },
+    Reject { id: usize },
+    Fail { id: usize },
+    RequestLoad { worker: usize, function: usize, copies: u8 },
+    WatchEndpoints,
     Probe { worker: usize },
 }
 
 #[derive(Default)]
-pub struct Fake {
+pub struct RecordingHost {
     pub now: f64,
-    pub did: Vec<(f64, Did)>,
+    pub calls: Vec<(f64, HostCall)>,
     pub wakes: Vec<f64>,
     pub forgotten: Vec<usize>,
     pub forgotten_functions: Vec<usize>,
-    pub lacked: Vec<Budget>,
-    pub away: Vec<Option<f64>>,
+    pub exhausted: Vec<Budget>,
+    pub retry_after: Vec<Option<f64>>,
 }
 
-impl Host for Fake {
+impl Host for RecordingHost {
     fn send(&mut self, id: usize, worker: usize, _until: f64) {
-        self.did.push((self.now, Did::Send { id, worker }));
+        self.calls.push((self.now, HostCall::Send { id, worker }));
     }
-    fn cancel(&mut self, id: usize, shot: usize) {
-        self.did.push((self.now, Did::Cancel { id, shot }));
+    fn cancel(&mut self, id: usize, attempt: usize) {
+        self.calls.push((self.now, HostCall::Cancel { id, attempt }));
     }
     fn lacks(&mut self, what: Budget) {
-        self.lacked.push(what);
+        self.exhausted.push(what);
     }
-    fn bounce(&mut self, id: usize, come_back: Option<f64>) {
-        self.away.push(come_back);
-        self.did.push((self.now, Did::Bounce { id }));
+    fn bounce(&mut self, id: usize, retry_after: Option<f64>) {
+        self.retry_after.push(retry_after);
+        self.calls.push((self.now, HostCall::Reject { id }));
     }
     fn terminate(&mut self, id: usize) {
-        self.did.push((self.now, Did::Terminate { id }));
+        self.calls.push((self.now, HostCall::Fail { id }));
     }
     fn hold(&mut self, worker: usize, function: usize, copies: u8) {
-        self.did.push((self.now, Did::Hold { worker, function, copies }));
+        self.calls.push((self.now, HostCall::RequestLoad { worker, function, copies }));
     }
     fn unload(&mut self, _worker: usize, _function: usize) {}
     fn probe(&mut self, worker: usize) {
-        self.did.push((self.now, Did::Probe { worker }));
+        self.calls.push((self.now, HostCall::Probe { worker }));
     }
     fn wake(&mut self, after: f64) {
         self.wakes.push(self.now + after);
     }
     fn follow(&mut self) {
-        self.did.push((self.now, Did::Follow));
+        self.calls.push((self.now, HostCall::WatchEndpoints));
     }
     fn forget(&mut self, id: usize) {
         self.forgotten.push(id);
@@ -63,19 +64,19 @@
     }
 }
 
-/// A router on its fake host, with the workers it was told of.
-pub struct Town {
-    pub host: Fake,
+/// A router on a recording host.
+pub struct TestRouter {
+    pub host: RecordingHost,
     pub router: Router,
     next: usize,
 }
 
-pub fn pure() -> Profile {
+pub fn idempotent() -> Profile {
     Profile { due: 1.0, effect: Effect::Pure }
 }
 
-/// A plain charter: one router, one profile, orders and second copies allowed, nothing rationed.
-pub fn charter(profile: Profile) -> Charter {
+/// A plain configuration: one router, one profile, load requests possible, no budgets.
+pub fn config(profile: Profile) -> Charter {
     Charter {
         seed: 7,
         routers: 1,
@@ -104,14 +105,14 @@
     }
 }
 
-impl Town {
-    /// A router that knows so many warm workers.
-    pub fn new(charter: Charter, workers: usize) -> Self {
-        let mut host = Fake::default();
-        let router = Router::new(charter, 0.0, &mut host);
-        let mut town = Self { host, router, next: 0 };
-        town.list((0..workers).map(|w| line(w, State::Ready, None)).collect());
-        town
+impl TestRouter {
+    /// A router with so many warm workers.
+    pub fn new(config: Charter, workers: usize) -> Self {
+        let mut host = RecordingHost::default();
+        let router = Router::new(config, 0.0, &mut host);
+        let mut router = Self { host, router, next: 0 };
+        router.list((0..workers).map(|w| endpoint(w, State::Ready, None)).collect());
+        router
     }
 
     pub fn list(&mut self, lines: Vec<Listing>) {
@@ -119,8 +120,8 @@
         self.router.list_complete(self.host.now, &mut self.host);
     }
 
-    /// Lets time pass, in steps in which the router's wakes come.
-    pub fn pass(&mut self, seconds: f64) {
+    /// Advances the clock and wakes the router when it asked for it.
+    pub fn advance(&mut self, seconds: f64) {
         let end = self.host.now + seconds;
         while let Some(&at) = self.host.wakes.iter().min_by(|a, b| a.total_cmp(b)).filter(|&&t| t <= end) {
             self.host.wakes.retain(|&t| t != at);
@@ -130,7 +131,7 @@
         self.host.now = end;
     }
 
-    /// An activation of the function arrives; its number is returned.
+    /// A request of the function arrives; returns its index.
     pub fn arrive(&mut self, function: usize, patience: f64) -> usize {
         let id = self.next;
         self.next += 1;
@@ -149,44 +150,45 @@
         id
     }
 
-    pub fn answer(&mut self, id: usize, shot: usize, outcome: Outcome, latency: f64) {
+    pub fn answer(&mut self, id: usize, attempt: usize, outcome: Outcome, latency: f64) {
         let settled = outcome == Outcome::Handled;
-        let answer = Answer { shot, outcome, settled, latency, found: None, company: 0.0, report: None };
+        let answer =
+            Answer { shot: attempt, outcome, settled, latency, found: None, company: 0.0, report: None };
         self.router.answered(self.host.now, id, answer, &mut self.host);
     }
 
-    /// The workers that an activation's shots went to, in order.
-    pub fn shots(&self, id: usize) -> Vec<usize> {
-        let sends = self.host.did.iter().filter_map(|(_, d)| match d {
-            Did::Send { id: other, worker } if *other == id => Some(*worker),
+    /// The workers of a request's attempts, in order.
+    pub fn attempts(&self, id: usize) -> Vec<usize> {
+        let sends = self.host.calls.iter().filter_map(|(_, d)| match d {
+            HostCall::Send { id: other, worker } if *other == id => Some(*worker),
             _ => None,
         });
         sends.collect()
     }
 
-    /// An activation comes, and is handled after so many seconds.
+    /// A request arrives and is answered after so many seconds; returns the worker.
     pub fn serve(&mut self, function: usize, latency: f64) -> usize {
         let id = self.arrive(function, 4.0);
-        self.pass(latency);
-        let shot = self.shots(id).len().checked_sub(1).expect("a shot was sent");
-        self.answer(id, shot, Outcome::Handled, latency);
-        self.shots(id)[shot]
+        self.advance(latency);
+        let attempt = self.attempts(id).len().checked_sub(1).expect("an attempt was sent");
+        self.answer(id, attempt, Outcome::Handled, latency);
+        self.attempts(id)[attempt]
     }
 
-    pub fn holds(&self) -> Vec<(f64, usize)> {
-        let holds = self.host.did.iter().filter_map(|(t, d)| match d {
-            Did::Hold { worker, copies: 1.., .. } => Some((*t, *worker)),
+    pub fn load_requests(&self) -> Vec<(f64, usize)> {
+        let load_requests = self.host.calls.iter().filter_map(|(t, d)| match d {
+            HostCall::RequestLoad { worker, copies: 1.., .. } => Some((*t, *worker)),
             _ => None,
         });
-        holds.collect()
+        load_requests.collect()
     }
 
-    pub fn did(&self, what: &Did) -> bool {
-        self.host.did.iter().any(|(_, d)| d == what)
+    pub fn has_called(&self, what: &HostCall) -> bool {
+        self.host.calls.iter().any(|(_, d)| d == what)
     }
 }
 
-pub fn line(worker: usize, state: State, started: Option<f64>) -> Listing {
+pub fn endpoint(worker: usize, state: State, started: Option<f64>) -> Listing {
     Listing {
         worker,
         name: 77 + worker as u64 * 13,
