--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -7,7 +7,7 @@
 use crate::measure::{Asked, Slope, allocated, look, size, spent};
 use milletpath_capacity_model::run::Size;
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
-use milletpath_policy::host::{Found, Outcome, Report};
+use milletpath_policy::{InstanceState, LoadReport, Outcome};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -97,11 +97,15 @@
         self.queue.insert(((at * 1e6) as u64, self.number), next);
     }
 
-    fn report(&mut self, worker: usize) -> Report {
+    fn report(&mut self, worker: usize) -> LoadReport {
         // What others have there: a call on average.
         let others = Exp::new(1.0f64).expect("a mean").sample(&mut self.chance).round();
         let held = self.held[worker] + others;
-        Report { held: Some(held), busy: Some((held / 8.0).min(1.0)), ..Report::default() }
+        LoadReport {
+            in_flight: Some(held),
+            utilization: Some((held / 8.0).min(1.0)),
+            ..LoadReport::default()
+        }
     }
 
     /// Whether an instance stands there; other gateways may have had it loaded at a worker that they share.
@@ -203,17 +207,18 @@
                 arrived = desk.submit(now, come, function);
             }
             Next::Ended(tag, shot, _, found) => {
-                let found = Some(if *found == 1 { Found::Loaded } else { Found::BeganLoad });
+                let found =
+                    Some(if *found == 1 { InstanceState::Loaded } else { InstanceState::LoadStarted });
                 desk.attempt_ended(
                     now,
                     *tag,
                     *shot,
-                    AttemptResult { report, found, ..AttemptResult::from_outcome(Outcome::Handled) },
+                    AttemptResult { report, found, ..AttemptResult::from_outcome(Outcome::Succeeded) },
                 );
             }
-            Next::Ordered(order, copies) => desk.load_request_ended(now, *order, Outcome::Handled, *copies),
+            Next::Ordered(order, copies) => desk.load_request_ended(now, *order, Outcome::Succeeded, *copies),
             Next::Probed(worker, serial) => {
-                desk.health_check_ended(now, *worker, *serial, Outcome::Handled, report)
+                desk.health_check_ended(now, *worker, *serial, Outcome::Succeeded, report)
             }
             Next::Change => desk.update_endpoints(now, false, change.as_ref().expect("a change")),
         }
--- a/crates/config/src/model/gateway.rs
+++ b/crates/config/src/model/gateway.rs
@@ -3,7 +3,7 @@
 use super::functions::FunctionConfigs;
 use super::limits::Limits;
 use super::replication::{ConfigLogConfig, MembershipConfig};
-use milletpath_policy::host::Charter;
+use milletpath_policy::PolicyConfig;
 use milletpath_protocol::registry::Entry;
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// What the routing decisions go by.
-    pub policy: Charter,
+    pub policy: PolicyConfig,
     /// Profiles of requests, in the order of the policy's.
     pub profiles: Vec<ProfileConfig>,
     /// Client groups, in the order of the policy's quotas.
--- a/crates/config/src/reader/policy.rs
+++ b/crates/config/src/reader/policy.rs
@@ -5,7 +5,7 @@
 use super::optional_section::OptionalSection;
 use crate::document::Section;
 use crate::model::WorkerSource;
-use milletpath_policy::host::{Charter, Profile};
+use milletpath_policy::{PolicyConfig, Profile};
 
 /// Seconds between two turns of the gateway's clock: what a loop on a busy core keeps.
 const TICK: f64 = 0.004;
@@ -26,40 +26,43 @@
 
 impl PolicySources<'_, '_> {
     /// Reads the policy's configuration. `source` tells whether changes of the worker list have to be asked for.
-    pub fn read(self, source: &WorkerSource) -> Charter {
+    pub fn read(self, source: &WorkerSource) -> PolicyConfig {
         let (limits, workers) = (OptionalSection(self.limits), OptionalSection(self.workers));
         let seconds = |key, least, default| workers.number(key, "seconds", least..=MAX_SECONDS, default);
-        Charter {
+        PolicyConfig {
             seed: self.top.number("seed", "", 0.0..=9e15).map_or_else(random_seed, |seed| seed as u64),
             routers: self.gateways,
             profiles: self.profiles,
             quotas: self.quotas,
-            ceilings: self.ceilings,
+            rate_limits: self.ceilings,
             // Free retries are stated for the fleet: each gateway has its part of them.
-            retries: self
+            retry_budget: self
                 .limits
                 .and_then(|limits| rate_limit(limits, "retries"))
                 .map(|(window, free, fraction)| (window, free / self.gateways as f64, fraction)),
-            hand: self.limits.and_then(|limits| in_flight(limits, self.gateways)).unwrap_or(f64::INFINITY),
-            over_share: limits.number("over_share", "", 0.0..=1.0, 1.0),
-            shots: limits.count("shots", "attempts", 1..=16, 4),
-            cancels: workers.flag("cancels", true),
-            orders: workers.flag("orders", true),
-            misses: workers.flag("misses", false),
+            max_in_flight: self
+                .limits
+                .and_then(|limits| in_flight(limits, self.gateways))
+                .unwrap_or(f64::INFINITY),
+            over_quota_weight: limits.number("over_share", "", 0.0..=1.0, 1.0),
+            max_attempts: limits.count("shots", "attempts", 1..=16, 4),
+            can_cancel: workers.flag("cancels", true),
+            can_request_loads: workers.flag("orders", true),
+            reports_missing_functions: workers.flag("misses", false),
             // The registry streams to whoever asks, and is asked again when the stream breaks.
-            asks: matches!(source, WorkerSource::Registry(_)),
-            probes: workers.flag("probes", true),
-            come_back: Some(limits.number("come_back", "seconds", 0.0..=MAX_SECONDS, 1.0))
+            watches_on_request: matches!(source, WorkerSource::Registry(_)),
+            can_probe: workers.flag("probes", true),
+            max_retry_after: Some(limits.number("come_back", "seconds", 0.0..=MAX_SECONDS, 1.0))
                 .filter(|seconds| *seconds > 0.0),
-            keep: seconds("keep", 0.0, 10.0),
-            ration: self.limits.and_then(|limits| rate_limit(limits, "ration")),
-            order_wait: seconds("order_wait", 0.01, 30.0),
-            cold_share: workers.number("cold_share", "capacity", 0.0..=1.0, 0.2),
+            keep_alive: seconds("keep", 0.0, 10.0),
+            load_budget: self.limits.and_then(|limits| rate_limit(limits, "ration")),
+            load_request_timeout: seconds("order_wait", 0.01, 30.0),
+            initial_capacity: workers.number("cold_share", "capacity", 0.0..=1.0, 0.2),
             warm_up: seconds("warm_up", 0.0, 15.0),
-            tip_multiple: workers.number("tip_multiple", "capacities", 0.0..=1000.0, 2.5),
-            tip_window: seconds("tip_window", 0.0, 1.0),
+            overload_multiple: workers.number("tip_multiple", "capacities", 0.0..=1000.0, 2.5),
+            overload_window: seconds("tip_window", 0.0, 1.0),
             memory: self.memory,
-            tick: TICK,
+            clock_resolution: TICK,
         }
     }
 }
--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -3,7 +3,7 @@
 use super::bounds::MAX_SECONDS;
 use crate::document::Section;
 use crate::model::ProfileConfig;
-use milletpath_policy::host::{Effect, Group, Profile};
+use milletpath_policy::{Idempotency, KeyScope, Profile};
 
 /// The profiles, as the policy and as clients know them, in one order.
 #[derive(Default)]
@@ -26,7 +26,8 @@
     ("effectful", EffectKind::NonIdempotent),
 ];
 
-const GROUPS: [(&str, Group); 3] = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+const GROUPS: [(&str, KeyScope); 3] =
+    [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
 
 /// Deadlines that are not stated, as a multiple of the latency objective.
 const DEFAULT_DEADLINE: f64 = 3.0;
@@ -39,7 +40,7 @@
         let deadline = deadline(&section, due);
         let effect = effect(&section);
         let importance = section.number("importance", "", 0.0..=1e9).unwrap_or(1.0);
-        profiles.policy.push(Profile { due, effect });
+        profiles.policy.push(Profile { latency_objective: due, idempotency: effect });
         profiles.config.push(ProfileConfig { name: section.label.clone(), deadline, importance });
     }
     if profiles.policy.is_empty() {
@@ -68,7 +69,7 @@
 }
 
 /// The effect of a request. One that is not stated is taken for the most harmful to repeat.
-fn effect(section: &Section<'_>) -> Effect {
+fn effect(section: &Section<'_>) -> Idempotency {
     let kind = section.one_of("effect", &EFFECTS);
     if !section.has("effect") {
         section.report_missing("effect", "\"pure\", \"receipted\" or \"effectful\"");
@@ -80,15 +81,18 @@
             if memory.is_none() && !section.has("memory") {
                 section.report_missing("memory", "60 (seconds for which workers know a repeat)");
             }
-            Effect::Receipted { group: group.unwrap_or(Group::All), memory: memory.unwrap_or(0.0) }
+            Idempotency::IdempotentWithKey {
+                group: group.unwrap_or(KeyScope::All),
+                memory: memory.unwrap_or(0.0),
+            }
         }
         Some(EffectKind::Idempotent) => {
             refuse_key_settings(section);
-            Effect::Pure
+            Idempotency::Idempotent
         }
         Some(EffectKind::NonIdempotent) | None => {
             refuse_key_settings(section);
-            Effect::Effectful
+            Idempotency::NonIdempotent
         }
     }
 }
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -5,7 +5,7 @@
 
 use expect::assert_has_error;
 use milletpath_config::{WorkerSource, read};
-use milletpath_policy::host::{Effect, Group};
+use milletpath_policy::{Idempotency, KeyScope};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -63,13 +63,16 @@
 #[test]
 fn a_valid_file_gives_its_settings() {
     let config = read(VALID).unwrap();
-    assert_eq!((config.policy.routers, config.policy.shots, config.policy.seed), (2, 3, 5));
-    assert_eq!(config.policy.profiles[1].effect, Effect::Receipted { group: Group::Zone, memory: 60.0 });
-    assert_eq!(config.policy.ration, Some((10.0, 2.0, 0.1)));
+    assert_eq!((config.policy.routers, config.policy.max_attempts, config.policy.seed), (2, 3, 5));
+    assert_eq!(
+        config.policy.profiles[1].idempotency,
+        Idempotency::IdempotentWithKey { group: KeyScope::Zone, memory: 60.0 }
+    );
+    assert_eq!(config.policy.load_budget, Some((10.0, 2.0, 0.1)));
     assert_eq!((config.policy.quotas[0], config.clients[0].as_str()), (44.0, "clinic"));
-    assert_eq!((config.policy.ceilings[0], config.policy.hand), (60.0, 40.0));
+    assert_eq!((config.policy.rate_limits[0], config.policy.max_in_flight), (60.0, 40.0));
     // Free ones are the fleet's: each gateway has its part.
-    assert_eq!(config.policy.retries, Some((5.0, 4.0, 0.2)));
+    assert_eq!(config.policy.retry_budget, Some((5.0, 4.0, 0.2)));
     assert_eq!(
         (config.functions.resolve("packs-a").lanes, config.functions.resolve("packs-a").load),
         (2.0, Some(0.7))
--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -5,7 +5,7 @@
 //! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds a request, all its events together.
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
-use milletpath_policy::host::{Outcome, Report};
+use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::registry::{Entry, Standing};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -149,23 +149,23 @@
             Event::AttemptEnded { request, attempt, worker } => {
                 self.in_flight[worker] -= 1;
                 let report = Some(self.load(worker));
-                let result = AttemptResult { report, ..AttemptResult::from_outcome(Outcome::Handled) };
+                let result = AttemptResult { report, ..AttemptResult::from_outcome(Outcome::Succeeded) };
                 self.dispatcher.attempt_ended(now, request, attempt, result);
             }
             Event::LoadRequestEnded { load_request, instances } => {
-                self.dispatcher.load_request_ended(now, load_request, Outcome::Handled, instances);
+                self.dispatcher.load_request_ended(now, load_request, Outcome::Succeeded, instances);
             }
             Event::HealthCheckEnded { worker, serial } => {
                 let report = Some(self.load(worker));
-                self.dispatcher.health_check_ended(now, worker, serial, Outcome::Handled, report);
+                self.dispatcher.health_check_ended(now, worker, serial, Outcome::Succeeded, report);
             }
         }
     }
 
     /// The load that a worker reports.
-    fn load(&self, worker: usize) -> Report {
+    fn load(&self, worker: usize) -> LoadReport {
         let in_flight = self.in_flight[worker] as f64;
-        Report { held: Some(in_flight), busy: Some(in_flight / 8.0), ..Report::default() }
+        LoadReport { in_flight: Some(in_flight), utilization: Some(in_flight / 8.0), ..LoadReport::default() }
     }
 
     fn carry_out(&mut self, now: f64, action: Action) {
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -26,8 +26,8 @@
 use crate::start_times::StartTimes;
 use crate::worker_table::WorkerTable;
 use milletpath_config::{ConfigChange, FunctionConfig, FunctionConfigs, GatewayConfig, ProfileConfig};
-use milletpath_policy::host::Budget;
-use milletpath_policy::policy::Router;
+use milletpath_policy::Budget;
+use milletpath_policy::Router;
 use milletpath_shared_budgets::QuotaAdjustment;
 use request_table::Request;
 use state::DispatcherState;
@@ -57,7 +57,8 @@
     /// clock begins; see [`wall_clock_read`](Self::wall_clock_read) for later readings.
     pub fn new(config: &GatewayConfig, unix_time: f64) -> Self {
         // By then every attempt, load request and health check to a worker that is gone has ended.
-        let longest = config.profiles.iter().map(|p| p.deadline).fold(config.policy.order_wait, f64::max);
+        let longest =
+            config.profiles.iter().map(|p| p.deadline).fold(config.policy.load_request_timeout, f64::max);
         let forget_after = 2.0 * (longest + config.limits.probe_timeout);
         let start_times = StartTimes::new(unix_time);
         let worker_table =
@@ -138,11 +139,11 @@
 
     /// Concurrency of functions at this gateway, in lanes, by the hash of the function's name.
     pub fn local_concurrency(&self, now: f64) -> Vec<(u64, f64)> {
-        self.router.busy(now).collect()
+        self.router.local_concurrency(now).collect()
     }
 
     /// Sets the concurrency of functions at all other gateways, in lanes, by the hash of the function's name.
     pub fn set_remote_concurrency(&mut self, now: f64, concurrency: &BTreeMap<u64, f64>) {
-        self.router.elsewhere(now, concurrency);
+        self.router.set_remote_concurrency(now, concurrency);
     }
 }
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use super::messages::AttemptResult;
 use super::request_table::AttemptStage;
 use super::state::{CancelledAttempt, Timer};
-use milletpath_policy::host::{Answer, Outcome};
+use milletpath_policy::{AttemptCompletion, Outcome};
 
 impl<T> Dispatcher<T> {
     /// Seconds until an attempt times out; negative where it is overdue.
@@ -23,11 +23,10 @@
         let Some(record) = self.state.requests.attempt_mut(request, attempt) else { return false };
         let in_time = now < record.deadline;
         let (worker, connect_timer) = (record.worker, record.connect_timer);
-        let ready =
-            self.state.worker_table.ready(worker) && self.router.may_begin(now, request.index, worker);
+        let ready = self.state.worker_table.ready(worker) && self.router.may_send(now, request.index, worker);
         if !(open && ready && in_time) {
             self.state.counters.suppressed += u64::from(!ready);
-            self.attempt_ended(now, request, attempt, AttemptResult::from_outcome(Outcome::Unsent));
+            self.attempt_ended(now, request, attempt, AttemptResult::from_outcome(Outcome::NotSent));
             return false;
         }
         self.state.timers.cancel(connect_timer);
@@ -65,14 +64,14 @@
         let in_time = record.awaiting_answer && now < record.deadline;
         // A client that gave up gets no answer, even where its own end was not noticed yet.
         let outcome = match result.outcome {
-            Outcome::Handled if record.awaiting_answer && !in_time => Outcome::Overdue,
+            Outcome::Succeeded if record.awaiting_answer && !in_time => Outcome::TimedOut,
             other => other,
         };
         let Some(latency) = self.state.end_attempt(request, attempt, outcome) else { return false };
-        let answers_client = in_time && (result.answers_client || outcome == Outcome::Handled);
+        let answers_client = in_time && (result.answers_client || outcome == Outcome::Succeeded);
         if answers_client && self.state.requests.close(request).is_some() {
             match outcome {
-                Outcome::Handled => self.state.counters.succeeded += 1,
+                Outcome::Succeeded => self.state.counters.succeeded += 1,
                 _ => self.state.counters.failed += 1,
             }
         }
@@ -95,7 +94,7 @@
         let Some(record) = self.state.requests.attempt_mut(request, attempt) else { return };
         // Without a connection nothing can have run, whatever time limit ended it.
         let connecting = record.stage == AttemptStage::Connecting;
-        let outcome = if connecting { Outcome::Unreached } else { Outcome::Overdue };
+        let outcome = if connecting { Outcome::Unreachable } else { Outcome::TimedOut };
         let Some(latency) = self.state.end_attempt(request, attempt, outcome) else { return };
         self.state.actions.push_back(Action::CancelAttempt { request, attempt });
         self.report_to_router(request, attempt, latency, false, AttemptResult::from_outcome(outcome));
@@ -124,9 +123,17 @@
         let record = self.state.requests.get_mut(request);
         let settled = settled || record.is_some_and(|record| !record.awaiting_answer);
         let AttemptResult { outcome, found, company, report, .. } = result;
-        let answer = Answer { shot: attempt, outcome, settled, latency, found, company, report };
+        let answer = AttemptCompletion {
+            attempt,
+            outcome,
+            is_final: settled,
+            latency,
+            instance_state: found,
+            in_flight_of_function: company,
+            report,
+        };
         let now = self.state.now;
-        self.router.answered(now, request.index, answer, &mut self.state);
+        self.router.attempt_ended(now, request.index, answer, &mut self.state);
     }
 
     fn set_attempt_stage(&mut self, request: RequestId, attempt: usize, stage: AttemptStage) {
--- a/crates/dispatcher/src/dispatcher/effects.rs
+++ b/crates/dispatcher/src/dispatcher/effects.rs
@@ -4,10 +4,10 @@
 use super::action::Action;
 use super::request_table::{Attempt, AttemptStage};
 use super::state::{CancelledAttempt, DispatcherState, HealthCheck, LoadRequest, Timer};
-use milletpath_policy::host::{Budget, Host, Outcome};
+use milletpath_policy::{Budget, Effects, Outcome};
 
-impl<T> Host for DispatcherState<T> {
-    fn send(&mut self, request: usize, worker: usize, deadline: f64) {
+impl<T> Effects for DispatcherState<T> {
+    fn send_attempt(&mut self, request: usize, worker: usize, deadline: f64) {
         let request = self.requests.id_at(request);
         self.counters.attempts += 1;
         let Some(record) = self.requests.get_mut(request) else { return };
@@ -26,17 +26,17 @@
         self.actions.push_back(Action::SendAttempt { request, attempt, worker });
     }
 
-    fn cancel(&mut self, request: usize, attempt: usize) {
+    fn cancel_attempt(&mut self, request: usize, attempt: usize) {
         let request = self.requests.id_at(request);
         let Some(record) = self.requests.attempt_mut(request, attempt) else { return };
         // What has no connection yet never ran.
         let sent = record.stage == AttemptStage::Sent;
-        let outcome = if sent { Outcome::Withdrawn } else { Outcome::Unsent };
+        let outcome = if sent { Outcome::Cancelled } else { Outcome::NotSent };
         self.actions.push_back(Action::CancelAttempt { request, attempt });
         self.cancelled_attempts.push_back(CancelledAttempt { request, attempt, outcome });
     }
 
-    fn bounce(&mut self, request: usize, retry_after: Option<f64>) {
+    fn reject(&mut self, request: usize, retry_after: Option<f64>) {
         let request = self.requests.id_at(request);
         if self.requests.close(request).is_some() {
             self.counters.rejected += 1;
@@ -44,7 +44,7 @@
         }
     }
 
-    fn terminate(&mut self, request: usize) {
+    fn fail(&mut self, request: usize) {
         let request = self.requests.id_at(request);
         if let Some(record) = self.requests.close(request) {
             let timed_out = record.timed_out || record.has_attempt_in_flight();
@@ -53,10 +53,10 @@
         }
     }
 
-    fn hold(&mut self, worker: usize, function: usize, instances: u8) {
+    fn request_load(&mut self, worker: usize, function: usize, instances: u8) {
         let serial = self.next_serial();
         self.counters.load_requests += 1;
-        self.count_demand(Budget::Orders, 1, 0);
+        self.count_demand(Budget::LoadRequests, 1, 0);
         let load_request = self.load_requests.next_id(serial);
         let deadline = self.now + self.load_timeout;
         let deadline_timer = self.timers.set(deadline, Timer::LoadRequestDeadline(load_request));
@@ -82,26 +82,26 @@
         self.actions.push_back(Action::HealthCheck { worker, serial });
     }
 
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         self.timers.set(self.now + after, Timer::Wake);
     }
 
-    fn follow(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.actions.push_back(Action::WatchEndpoints);
     }
 
-    fn forget(&mut self, request: usize) {
+    fn release_request(&mut self, request: usize) {
         // An action that was not taken yet may still name it.
         self.requests.release(request);
     }
 
-    fn forget_function(&mut self, function: usize) {
+    fn release_function(&mut self, function: usize) {
         self.functions.release(function);
     }
 
-    fn lacks(&mut self, budget: Budget) {
+    fn budget_exhausted(&mut self, budget: Budget) {
         // Demand for quotas and concurrency limits is counted where requests come in.
-        let counted_before = matches!(budget, Budget::Quota(_) | Budget::Ceiling(_));
+        let counted_before = matches!(budget, Budget::Quota(_) | Budget::RateLimit(_));
         self.count_demand(budget, u64::from(!counted_before), 1);
     }
 }
--- a/crates/dispatcher/src/dispatcher/endpoints.rs
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -3,7 +3,7 @@
 
 use super::Dispatcher;
 use crate::worker_table::{EndpointRevision, WorkerProcess};
-use milletpath_policy::host::Budget;
+use milletpath_policy::Budget;
 use milletpath_protocol::registry::Entry;
 use std::sync::Arc;
 
@@ -15,11 +15,13 @@
     pub fn update_endpoints(&mut self, now: f64, complete: bool, entries: &[Entry]) {
         self.state.now = now;
         if complete {
-            self.router.list_renewed();
+            self.router.begin_full_list();
         }
-        self.state.worker_table.update(now, complete, entries, |listing| self.router.listed(listing));
+        self.state
+            .worker_table
+            .update(now, complete, entries, |listing| self.router.update_endpoint(listing));
         self.apply_worker_adjustments();
-        self.router.list_complete(now, &mut self.state);
+        self.router.end_list(now, &mut self.state);
         self.report_cancelled_attempts();
     }
 
@@ -31,7 +33,7 @@
         }
         for (worker, name) in listed {
             if let Some(adjustment) = self.worker_adjustments.get(&name).copied() {
-                self.adjust_router_budget(Budget::Hand(worker), adjustment);
+                self.adjust_router_budget(Budget::InFlight(worker), adjustment);
             }
         }
     }
@@ -39,7 +41,7 @@
     /// The registry did not answer, or closed the stream of changes.
     pub fn endpoint_list_failed(&mut self, now: f64) {
         self.state.now = now;
-        self.router.list_failed(now, &mut self.state);
+        self.router.watch_failed(now, &mut self.state);
         self.report_cancelled_attempts();
     }
 
--- a/crates/dispatcher/src/dispatcher/health_checks.rs
+++ b/crates/dispatcher/src/dispatcher/health_checks.rs
@@ -2,7 +2,7 @@
 //! matched to the check that is out.
 
 use super::Dispatcher;
-use milletpath_policy::host::{Outcome, Report};
+use milletpath_policy::{LoadReport, Outcome};
 
 impl<T> Dispatcher<T> {
     /// A health check was answered or failed. `serial` is the number that came with its action, and `report` the load
@@ -13,13 +13,13 @@
         worker: usize,
         serial: u64,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         self.state.now = now;
         let Some(slot) = self.state.health_checks.get_mut(worker) else { return };
         let Some(health_check) = slot.take_if(|health_check| health_check.serial == serial) else { return };
         self.state.timers.cancel(health_check.deadline_timer);
-        self.router.probed(now, worker, outcome, report, &mut self.state);
+        self.router.health_check_ended(now, worker, outcome, report, &mut self.state);
         self.report_cancelled_attempts();
     }
 }
--- a/crates/dispatcher/src/dispatcher/load_requests.rs
+++ b/crates/dispatcher/src/dispatcher/load_requests.rs
@@ -4,7 +4,7 @@
 use super::Dispatcher;
 use super::action::RequestId;
 use super::state::LoadRequest;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 
 impl<T> Dispatcher<T> {
     /// Whether a load request may be sent now, by what the endpoint list and the rate limit say at this moment. If not,
@@ -18,7 +18,7 @@
         let allowed = self.state.worker_table.ready(worker) && limit.is_none_or(|limit| limit.try_send(now));
         if !allowed {
             self.state.counters.suppressed += 1;
-            self.load_request_ended(now, load_request, Outcome::Unsent, 0);
+            self.load_request_ended(now, load_request, Outcome::NotSent, 0);
         }
         allowed
     }
@@ -29,7 +29,7 @@
         let Some(record) = self.state.load_requests.remove(load_request) else { return };
         let LoadRequest { worker, function, deadline_timer } = record;
         self.state.timers.cancel(deadline_timer);
-        self.router.held(now, worker, function, outcome, instances, &mut self.state);
+        self.router.load_request_ended(now, worker, function, outcome, instances, &mut self.state);
         self.report_cancelled_attempts();
     }
 }
--- a/crates/dispatcher/src/dispatcher/messages.rs
+++ b/crates/dispatcher/src/dispatcher/messages.rs
@@ -1,7 +1,7 @@
 //! What the caller tells the dispatcher, and what it is told in return: requests, results of attempts, its fraction of
 //! shared quotas, and requests that a restart interrupted.
 
-use milletpath_policy::host::{Found, Outcome, Report};
+use milletpath_policy::{InstanceState, LoadReport, Outcome};
 
 /// A request as a client sent it.
 #[derive(Clone, Copy, Debug)]
@@ -37,11 +37,11 @@
     /// The result itself.
     pub outcome: Outcome,
     /// Whether the worker had the function loaded, where it said so.
-    pub found: Option<Found>,
+    pub found: Option<InstanceState>,
     /// Other requests that the worker executed at the same time.
     pub company: f64,
     /// The worker's load, where it reported it.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The caller answers the client itself whatever the outcome, and the request ends with that answer.
     pub answers_client: bool,
 }
--- a/crates/dispatcher/src/dispatcher/quota.rs
+++ b/crates/dispatcher/src/dispatcher/quota.rs
@@ -3,7 +3,7 @@
 
 use super::Dispatcher;
 use super::messages::QuotaFraction;
-use milletpath_policy::host::Budget;
+use milletpath_policy::Budget;
 use milletpath_shared_budgets::{QuotaAdjustment, UsageMeter};
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     pub fn set_quota_fraction(&mut self, quota_fraction: QuotaFraction) {
         let QuotaFraction { likely_gateways, fraction, fraction_after_expiry, valid_until } = quota_fraction;
         self.quota_fraction = Some(quota_fraction);
-        self.router.share(likely_gateways, [fraction, fraction_after_expiry], valid_until);
+        self.router.set_quota_fraction(likely_gateways, [fraction, fraction_after_expiry], valid_until);
         if let Some(limit) = &mut self.state.load_rate_limit {
             limit.set_quota_fraction(fraction, fraction_after_expiry, valid_until);
         }
@@ -21,11 +21,11 @@
     /// Sets what is added to this gateway's fraction of a budget, or taken from it, until it is set again.
     pub fn grant_quota(&mut self, budget: Budget, adjustment: QuotaAdjustment) {
         self.adjustments.insert(budget, adjustment);
-        if let Budget::Hand(worker) = budget {
+        if let Budget::InFlight(worker) = budget {
             self.worker_adjustments.insert(self.state.worker_table.name(worker), adjustment);
         }
         self.adjust_router_budget(budget, adjustment);
-        if let Some(limit) = self.state.load_rate_limit.as_mut().filter(|_| budget == Budget::Orders) {
+        if let Some(limit) = self.state.load_rate_limit.as_mut().filter(|_| budget == Budget::LoadRequests) {
             let QuotaAdjustment { amount, amount_after_expiry, valid_until } = adjustment;
             limit.set_adjustment(amount, amount_after_expiry, valid_until);
         }
@@ -33,7 +33,7 @@
 
     pub(super) fn adjust_router_budget(&mut self, budget: Budget, adjustment: QuotaAdjustment) {
         let QuotaAdjustment { amount, amount_after_expiry, valid_until } = adjustment;
-        self.router.allot(budget, [amount, amount_after_expiry], valid_until);
+        self.router.set_lease(budget, [amount, amount_after_expiry], valid_until);
     }
 
     /// Applies what held before a restart. Adjustments of workers' budgets follow by name, once a list is known again.
@@ -46,7 +46,7 @@
             self.set_quota_fraction(fraction);
         }
         for (budget, adjustment) in adjustments {
-            if !matches!(budget, Budget::Hand(_)) {
+            if !matches!(budget, Budget::InFlight(_)) {
                 self.grant_quota(budget, adjustment);
             }
         }
@@ -58,7 +58,9 @@
         let usage_meters = self.state.usage_meters.get_or_insert_default();
         let meter = usage_meters.get(&budget).copied().unwrap_or_default();
         let in_use = match budget {
-            Budget::Orders => self.state.load_rate_limit.as_mut().map_or(0.0, |limit| limit.in_use(now)),
+            Budget::LoadRequests => {
+                self.state.load_rate_limit.as_mut().map_or(0.0, |limit| limit.in_use(now))
+            }
             other => self.router.in_use(now, other),
         };
         UsageMeter { in_use, ..meter }
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -5,7 +5,7 @@
 use super::action::RequestId;
 use super::messages::{FunctionResources, IncomingRequest};
 use super::request_table::Request;
-use milletpath_policy::host::{Arrival, Budget};
+use milletpath_policy::{Arrival, Budget};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -22,14 +22,14 @@
         if let Some(load_rate_limit) = &mut state.load_rate_limit {
             load_rate_limit.request_arrived(now);
         }
-        state.count_demand(Budget::Ceiling(incoming.client), 1, 0);
+        state.count_demand(Budget::RateLimit(incoming.client), 1, 0);
         state.count_demand(Budget::Quota(incoming.client), u64::from(!incoming.is_retry), 0);
         let timeout = incoming.timeout.min(self.profiles[incoming.profile].deadline);
         let function = state.functions.intern(incoming.function);
         let serial = state.next_serial();
         let request = state.requests.insert(serial, Request::new(function, now + timeout, context));
         let arrival = self.arrival(incoming, function, timeout);
-        self.router.arrived(now, request.index, arrival, &mut self.state);
+        self.router.request_arrived(now, request.index, arrival, &mut self.state);
         self.report_cancelled_attempts();
         Some(request)
     }
@@ -45,11 +45,11 @@
             name: xxh3_64(incoming.function.as_bytes()),
             profile: incoming.profile,
             client: incoming.client,
-            patience: timeout,
-            repeat: incoming.is_retry,
-            lanes: resources.lanes,
+            timeout,
+            is_retry: incoming.is_retry,
+            concurrency: resources.lanes,
             memory: resources.memory,
-            load: resources.load_time,
+            load_time: resources.load_time,
         }
     }
 
@@ -83,7 +83,7 @@
         let may_have_run = record.may_have_run;
         if self.state.requests.close(request).is_some() {
             self.state.counters.client_gone += 1;
-            self.router.close(request.index, None, &mut self.state);
+            self.router.close_request(request.index, None, &mut self.state);
             self.report_cancelled_attempts();
         }
         may_have_run
--- a/crates/dispatcher/src/dispatcher/state.rs
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -11,7 +11,7 @@
 use crate::timer_wheel::{TimerKey, TimerWheel};
 use crate::worker_table::WorkerTable;
 use milletpath_config::{GatewayConfig, Limits};
-use milletpath_policy::host::{Budget, Outcome};
+use milletpath_policy::{Budget, Outcome};
 use milletpath_shared_budgets::UsageMeter;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -99,8 +99,8 @@
             timers: TimerWheel::default(),
             serial,
             limits: config.limits.clone(),
-            load_timeout: config.policy.order_wait,
-            load_rate_limit: config.policy.ration.map(LoadRateLimit::new),
+            load_timeout: config.policy.load_request_timeout,
+            load_rate_limit: config.policy.load_budget.map(LoadRateLimit::new),
             usage_meters: None,
             counters: Counters::default(),
         }
@@ -137,7 +137,7 @@
         self.timers.cancel(record.deadline_timer);
         self.timers.cancel(record.connect_timer);
         if let Some(record) = self.requests.get_mut(request) {
-            record.timed_out |= outcome == Outcome::Overdue;
+            record.timed_out |= outcome == Outcome::TimedOut;
         }
         Some(latency)
     }
--- a/crates/dispatcher/src/dispatcher/timers.rs
+++ b/crates/dispatcher/src/dispatcher/timers.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use super::state::Timer;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 
 impl<T> Dispatcher<T> {
     /// When [`advance`](Self::advance) has to be called next, in seconds on the dispatcher's clock.
@@ -21,16 +21,16 @@
     fn timer_fired(&mut self, now: f64, timer: Timer) {
         match timer {
             Timer::Wake => {
-                self.router.woken(now, &mut self.state);
+                self.router.timer_fired(now, &mut self.state);
                 self.report_cancelled_attempts();
             }
             Timer::AttemptDeadline { request, attempt } => self.attempt_timed_out(request, attempt),
             Timer::ConnectDeadline { request, attempt } => self.connect_timed_out(request, attempt),
             Timer::LoadRequestDeadline(load_request) => {
-                self.load_request_ended(now, load_request, Outcome::Overdue, 0);
+                self.load_request_ended(now, load_request, Outcome::TimedOut, 0);
             }
             Timer::HealthCheckDeadline { worker, serial } => {
-                self.health_check_ended(now, worker, serial, Outcome::Overdue, None);
+                self.health_check_ended(now, worker, serial, Outcome::TimedOut, None);
             }
         }
     }
--- a/crates/dispatcher/src/load_rate_limit.rs
+++ b/crates/dispatcher/src/load_rate_limit.rs
@@ -2,7 +2,7 @@
 //! on a load request; until that is sent, a connection may have to be made, and load requests that were decided on ten
 //! seconds apart may be sent closer together.
 
-use milletpath_policy::ration::Ration as PolicyRateLimit;
+use milletpath_policy::RateLimiter as PolicyRateLimit;
 
 /// Seconds by which load requests may come closer together, or further from the requests they count on, between a
 /// write here and its reading on a busy machine.
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -4,7 +4,7 @@
 
 use crate::interner::Interner;
 use crate::start_times::{StartTimes, is_another_process};
-use milletpath_policy::host::{Listing, State};
+use milletpath_policy::{EndpointState, EndpointUpdate};
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -41,7 +41,7 @@
     /// Changes with every process that has the index.
     process: u64,
     start: Start,
-    state: State,
+    state: EndpointState,
     presence: Presence,
 }
 
@@ -127,7 +127,7 @@
     /// Index and name of each worker that is not gone.
     pub(crate) fn workers(&self) -> Vec<(usize, Arc<str>)> {
         let workers = self.workers.iter().enumerate();
-        let listed = workers.filter(|(_, worker)| worker.state != State::Gone);
+        let listed = workers.filter(|(_, worker)| worker.state != EndpointState::Gone);
         listed.map(|(index, _)| (index, self.names.name(index))).collect()
     }
 
@@ -137,7 +137,7 @@
 
     /// Whether a worker takes requests.
     pub(crate) fn ready(&self, worker: usize) -> bool {
-        self.workers.get(worker).is_some_and(|worker| worker.state == State::Ready)
+        self.workers.get(worker).is_some_and(|worker| worker.state == EndpointState::Ready)
     }
 
     /// The process of a worker; an address that can't be reached for an index that was never given out.
@@ -160,12 +160,12 @@
         now: f64,
         complete: bool,
         entries: &[Entry],
-        mut notify: impl FnMut(Listing),
+        mut notify: impl FnMut(EndpointUpdate),
     ) {
         self.revision += 1;
         if complete {
             for worker in &mut self.workers {
-                worker.set_state(now, State::Gone);
+                worker.set_state(now, EndpointState::Gone);
             }
         }
         self.forget_gone(now);
@@ -193,9 +193,9 @@
             self.update_known_worker(now, worker, entry);
         }
         let state = match entry.state {
-            Standing::Ready => State::Ready,
-            Standing::Draining => State::Draining,
-            Standing::Gone => State::Gone,
+            Standing::Ready => EndpointState::Ready,
+            Standing::Draining => EndpointState::Draining,
+            Standing::Gone => EndpointState::Gone,
         };
         self.workers[worker].set_state(now, state);
         Some(worker)
@@ -210,7 +210,7 @@
             address: entry.address,
             process,
             start: self.first_start(now, entry),
-            state: State::Gone,
+            state: EndpointState::Gone,
             presence: Presence::Listed,
         };
         match self.workers.get_mut(worker) {
@@ -251,16 +251,16 @@
     }
 
     /// What the router is told of a worker.
-    fn listing(&mut self, worker: usize, entry: &Entry) -> Listing {
+    fn listing(&mut self, worker: usize, entry: &Entry) -> EndpointUpdate {
         // Workers without a zone or cell share none: nobody else knows the idempotency keys that they remember.
         let alone = usize::MAX - worker;
         let group = |groups: &mut Interner, name: &str| {
             if name.is_empty() { alone } else { groups.intern(name) }
         };
-        Listing {
+        EndpointUpdate {
             worker,
             name: xxh3_64(entry.name.as_bytes()),
-            started: self.workers[worker].start.at,
+            started_at: self.workers[worker].start.at,
             size: entry.size,
             kind: self.kinds.iter().position(|kind| *kind == entry.kind).unwrap_or(usize::MAX),
             zone: group(&mut self.zones, &entry.zone),
@@ -296,10 +296,10 @@
 }
 
 impl Worker {
-    fn set_state(&mut self, now: f64, state: State) {
+    fn set_state(&mut self, now: f64, state: EndpointState) {
         self.state = state;
         self.presence = match self.presence {
-            _ if state != State::Gone => Presence::Listed,
+            _ if state != EndpointState::Gone => Presence::Listed,
             Presence::Listed => Presence::GoneSince(now),
             gone => gone,
         };
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -40,7 +40,7 @@
 fn update(table: &mut WorkerTable, now: f64, complete: bool, entry: Entry) -> Option<f64> {
     let mut listings = Vec::new();
     table.update(now, complete, &[entry], |listing| listings.push(listing));
-    listings[0].started
+    listings[0].started_at
 }
 
 /// A worker joins right after a step: its report can't be older than the last confirmation of the list, whatever the
--- a/crates/dispatcher/tests/dispatcher/endpoints.rs
+++ b/crates/dispatcher/tests/dispatcher/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -21,7 +21,7 @@
         assert!(sent.worker < 8, "index {} at {now}", sent.worker);
         assert_eq!(dispatcher.worker_process(sent.worker).address, added.address);
         assert!(dispatcher.begin_attempt(now, request, sent.attempt));
-        assert!(end(&mut dispatcher, now + 0.1, sent, Outcome::Handled));
+        assert!(end(&mut dispatcher, now + 0.1, sent, Outcome::Succeeded));
         take_actions(&mut dispatcher);
     }
 }
--- a/crates/dispatcher/tests/dispatcher/functions.rs
+++ b/crates/dispatcher/tests/dispatcher/functions.rs
@@ -2,7 +2,7 @@
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 
 /// A load request that is never answered ends when its time is over, and a late answer to it is ignored.
 #[test]
@@ -12,7 +12,7 @@
     let request = submit(&mut dispatcher, 1.0, 1.0);
     let sent = take_attempts(&mut dispatcher)[0];
     dispatcher.begin_attempt(1.0, request, sent.attempt);
-    end(&mut dispatcher, 1.01, sent, Outcome::Missed);
+    end(&mut dispatcher, 1.01, sent, Outcome::NotLoaded);
     let load_request = take_actions(&mut dispatcher).into_iter().find_map(|action| match action {
         Action::LoadFunction { load_request, .. } => Some(load_request),
         _ => None,
@@ -20,7 +20,7 @@
     let load_request = load_request.expect("a load request");
     advance_to(&mut dispatcher, 3.2);
     assert!(!dispatcher.begin_load_request(3.3, load_request));
-    dispatcher.load_request_ended(3.3, load_request, Outcome::Handled, 1);
+    dispatcher.load_request_ended(3.3, load_request, Outcome::Succeeded, 1);
 }
 
 /// Of many functions that are called once, only those of recent seconds are known.
@@ -37,7 +37,7 @@
         let request = dispatcher.submit(now, incoming(&function, 1.0), 0).unwrap();
         for sent in take_attempts(&mut dispatcher) {
             dispatcher.begin_attempt(now, sent.request, sent.attempt);
-            end(&mut dispatcher, now + 0.001, sent, Outcome::Handled);
+            end(&mut dispatcher, now + 0.001, sent, Outcome::Succeeded);
         }
         take_actions(&mut dispatcher);
         assert!(dispatcher.context(request).is_none());
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -2,7 +2,7 @@
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use milletpath_protocol::registry::Standing;
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -117,8 +117,8 @@
         match event {
             Event::Connected => self.connect(),
             Event::NotWritten => self.fail_to_write(),
-            Event::Answer | Event::SecondAnswer => self.end_first(Outcome::Handled),
-            Event::ConnectionLost => self.end_first(Outcome::Cut),
+            Event::Answer | Event::SecondAnswer => self.end_first(Outcome::Succeeded),
+            Event::ConnectionLost => self.end_first(Outcome::ConnectionLost),
             Event::ClientGone => self.disconnect_client(),
             Event::WorkerDrained => self.drain_worker(),
             Event::Timer => self.advance_to(self.now + 0.3),
@@ -149,7 +149,7 @@
     fn end_first(&mut self, outcome: Outcome) {
         let Some((attempt, InFlight { worker, begun })) = self.first_in_flight() else { return };
         self.in_flight.remove(&attempt);
-        let outcome = if begun { outcome } else { Outcome::Unreached };
+        let outcome = if begun { outcome } else { Outcome::Unreachable };
         let sent = SentAttempt { request: self.request, attempt, worker };
         if end(&mut self.dispatcher, self.now, sent, outcome) {
             assert!(!self.is_over(), "an answer after the end");
--- a/crates/dispatcher/tests/dispatcher/random_histories.rs
+++ b/crates/dispatcher/tests/dispatcher/random_histories.rs
@@ -2,7 +2,7 @@
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use milletpath_protocol::registry::Standing;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,8 +27,16 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     use Outcome::*;
-    let outcome =
-        proptest::sample::select(vec![Handled, Handled, Handled, Failed, Full, Unreached, Cut, Missed]);
+    let outcome = proptest::sample::select(vec![
+        Succeeded,
+        Succeeded,
+        Succeeded,
+        Failed,
+        Rejected,
+        Unreachable,
+        ConnectionLost,
+        NotLoaded,
+    ]);
     let state =
         proptest::sample::select(vec![Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]);
     let step = prop_oneof![
@@ -136,7 +144,7 @@
     fn end_attempt(&mut self, n: usize, outcome: Outcome) {
         let Some(InFlight { sent, begun }) = self.nth_in_flight(n) else { return };
         // Before it was written only one end is possible.
-        let outcome = if begun { outcome } else { Outcome::Unreached };
+        let outcome = if begun { outcome } else { Outcome::Unreachable };
         let serial = sent.request.serial;
         if outcome.never_ran() {
             self.may_have_run.remove(&serial);
--- a/crates/dispatcher/tests/dispatcher/support.rs
+++ b/crates/dispatcher/tests/dispatcher/support.rs
@@ -2,7 +2,7 @@
 
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -8,7 +8,7 @@
 //! `cargo bench -p milletpath-gateway --bench cores` prints calls a second, and for (b) the wait of a lone hand-over.
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::hint::{black_box, spin_loop};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -85,7 +85,7 @@
             desk.begin_attempt(now, tag, shot);
         }
         Step::AttemptResult(Action::SendAttempt { request: tag, attempt: shot, .. }) => {
-            desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::Handled));
+            desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::Succeeded));
         }
         Step::Begin(_) | Step::AttemptResult(_) => {}
     }
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -14,7 +14,7 @@
 use milletpath_dispatcher::dispatcher::{AttemptResult, Counters};
 use milletpath_multicore::deal::{self, Deal, Seen};
 use milletpath_multicore::watch::{Do, Watch};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::future::Future;
@@ -382,7 +382,7 @@
                     Errand::Answer { own, line, .. } => self.last_word(&line, own),
                     Errand::Shoot { tag, shot, .. } => {
                         self.gateway.tell(|desk, now| {
-                            desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::Unsent))
+                            desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::NotSent))
                         });
                     }
                     Errand::Guest(stream, ticket) => {
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -136,7 +136,7 @@
 
 fn config(house: &GatewayConfig, stated: &MembershipSettings) -> MembershipConfig {
     // Quotas are counted by the second, orders within their window.
-    let window = house.policy.ration.map_or(1.0, |(window, ..)| window.max(1.0));
+    let window = house.policy.load_budget.map_or(1.0, |(window, ..)| window.max(1.0));
     MembershipConfig {
         period: stated.period,
         lease: stated.lease,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -17,7 +17,7 @@
 use hyper::server::conn::http1;
 use hyper::service::{HttpService, service_fn};
 use milletpath_dispatcher::dispatcher::{IncomingRequest, RequestId};
-use milletpath_policy::host::Effect;
+use milletpath_policy::Idempotency;
 use milletpath_protocol::{Fault, invoke};
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -249,7 +249,7 @@
         tag.inspect(|tag| line.take_up(*tag))
     });
     let Some(tag) = owed.tag else {
-        return bounced("full", "Too many calls are in hand", gateway.house().policy.come_back);
+        return bounced("full", "Too many calls are in hand", gateway.house().policy.max_retry_after);
     };
     // hyper looks for the client's end only where it has no bytes of a further call.
     let reply = tokio::select! {
@@ -315,7 +315,8 @@
     let client = client.and_then(|name| house.clients.iter().position(|c| c == name)).unwrap_or(usize::MAX);
     let patience = invoke::patience(headers).map_err(|f| Box::new(faulty(&f)))?;
     let key = invoke::key(headers).map_err(|f| Box::new(faulty(&f)))?;
-    let receipted = matches!(house.policy.profiles[profile].effect, Effect::Receipted { .. });
+    let receipted =
+        matches!(house.policy.profiles[profile].idempotency, Idempotency::IdempotentWithKey { .. });
     if receipted && key.is_none() {
         let wrong = "is missing; calls of this profile need a mark by which a repeat is known";
         return Err(Box::new(faulty(&Fault::new(invoke::IDEMPOTENCY_KEY.as_str(), wrong))));
@@ -372,7 +373,7 @@
                 return Err(Box::new(bounced(
                     "full",
                     "Too many bytes are in hand",
-                    gateway.house().policy.come_back,
+                    gateway.house().policy.max_retry_after,
                 )));
             }
         }
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -5,7 +5,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Dispatcher, EndpointRevision};
 use milletpath_membership::QuotaFraction;
-use milletpath_policy::host::Budget;
+use milletpath_policy::Budget;
 use milletpath_shared_budgets::{
     BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, SharedBudgets, SlotAdjustment,
 };
@@ -46,16 +46,16 @@
         for (n, name) in house.clients.iter().enumerate() {
             add(Budget::Quota(n), format!("quota {name}"), BudgetKind::Rate, policy.quotas[n] / gateways);
             add(
-                Budget::Ceiling(n),
+                Budget::RateLimit(n),
                 format!("ceiling {name}"),
                 BudgetKind::Rate,
-                policy.ceilings[n] / gateways,
+                policy.rate_limits[n] / gateways,
             );
         }
-        if let Some((window, free, _)) = policy.ration {
-            add(Budget::Orders, "orders".into(), BudgetKind::Window(window), free);
+        if let Some((window, free, _)) = policy.load_budget {
+            add(Budget::LoadRequests, "orders".into(), BudgetKind::Window(window), free);
         }
-        if let Some((window, free, _)) = policy.retries {
+        if let Some((window, free, _)) = policy.retry_budget {
             add(Budget::Retries, "retries".into(), BudgetKind::Window(window), free);
         }
         let longest = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
@@ -64,7 +64,7 @@
             open,
             edition: EndpointRevision::default(),
             counted: f64::NEG_INFINITY,
-            hand: (policy.hand / gateways, longest + LATE),
+            hand: (policy.max_in_flight / gateways, longest + LATE),
         }
     }
 
@@ -87,11 +87,11 @@
         if !part.is_finite() {
             return;
         }
-        self.open.iter_mut().for_each(|o| o.here = !matches!(o.what, Budget::Hand(_)));
+        self.open.iter_mut().for_each(|o| o.here = !matches!(o.what, Budget::InFlight(_)));
         for (worker, name) in desk.workers() {
             let slot =
                 self.shares.open(now, &format!("in flight {name}"), BudgetKind::InFlight(longest), part);
-            let what = Budget::Hand(worker);
+            let what = Budget::InFlight(worker);
             match self.open.iter_mut().find(|o| o.slot == slot) {
                 Some(known) => (known.what, known.here) = (what, true),
                 None => self.open.push(Open { what, slot, here: true }),
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -159,7 +159,7 @@
         body: Bytes,
     ) -> (usize, oneshot::Receiver<Reply>) {
         let (sender, receiver) = oneshot::channel();
-        let cancels = self.house().policy.cancels;
+        let cancels = self.house().policy.can_cancel;
         let waiting = Waiting { answer: Some(sender), line, headers, body, shots: Vec::new(), cancels };
         (self.slots.borrow_mut().insert(waiting), receiver)
     }
--- a/crates/gateway/src/shot.rs
+++ b/crates/gateway/src/shot.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
-use milletpath_policy::host::{Found, Outcome, Report};
+use milletpath_policy::{InstanceState, LoadReport, Outcome};
 use milletpath_protocol::{orca, worker as wire};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -118,14 +118,14 @@
 }
 
 /// A worker's load report, where there is one that can be read.
-fn report(headers: &HeaderMap) -> Option<Report> {
+fn report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(&orca::FIELD)?.to_str().ok()?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     let read = orca::read(text, |name, figure| match name {
-        orca::BUSY => report.busy = Some(figure),
+        orca::BUSY => report.utilization = Some(figure),
         orca::MEMORY => report.memory = Some(figure),
-        orca::HELD => report.held = Some(figure),
-        orca::WAITING => report.waiting = Some(figure),
+        orca::HELD => report.in_flight = Some(figure),
+        orca::WAITING => report.queued = Some(figure),
         orca::LOADING => report.loading = Some(figure),
         _ => {}
     });
@@ -142,18 +142,18 @@
     let status = response.status();
     let refused = wire::refused(headers).filter(|_| status.is_client_error() || status.is_server_error());
     let outcome = match refused {
-        Some(wire::Refused::Full | wire::Refused::Draining) => Outcome::Full,
-        Some(wire::Refused::Missing) => Outcome::Missed,
+        Some(wire::Refused::Full | wire::Refused::Draining) => Outcome::Rejected,
+        Some(wire::Refused::Missing) => Outcome::NotLoaded,
         // The worker's answer, be it that the client's input was wrong.
-        None if status.as_u16() < 500 => Outcome::Handled,
+        None if status.as_u16() < 500 => Outcome::Succeeded,
         // A bare error may come from anything that stands in between; it may have run.
         None => Outcome::Failed,
     };
     let found = wire::found(headers).map(|found| match found {
-        wire::Found::Loaded => Found::Loaded,
-        wire::Found::Began => Found::BeganLoad,
-        wire::Found::Awaited => Found::AwaitedLoad,
-        wire::Found::Failed => Found::LoadFailed,
+        wire::Found::Loaded => InstanceState::Loaded,
+        wire::Found::Began => InstanceState::LoadStarted,
+        wire::Found::Awaited => InstanceState::LoadAwaited,
+        wire::Found::Failed => InstanceState::LoadFailed,
     });
     let company = wire::count(headers, &wire::COMPANY).ok().flatten().unwrap_or(0);
     AttemptResult { outcome, found, company: company.into(), report: report(headers), answers_client: false }
@@ -214,9 +214,9 @@
         Err(broken) => {
             let outcome = match broken {
                 Broken::KeptBack => return,
-                Broken::Unreached => Outcome::Unreached,
-                Broken::Unsent => Outcome::Unsent,
-                Broken::Cut => Outcome::Cut,
+                Broken::Unreached => Outcome::Unreachable,
+                Broken::Unsent => Outcome::NotSent,
+                Broken::Cut => Outcome::ConnectionLost,
             };
             gateway
                 .tell(|desk, now| desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(outcome)));
@@ -233,7 +233,7 @@
             settle(&gateway, (tag, slot, shot), end, reply);
         }
         Err(Short::Cut) => {
-            let end = AttemptResult { outcome: Outcome::Cut, ..end };
+            let end = AttemptResult { outcome: Outcome::ConnectionLost, ..end };
             gateway.tell(|desk, now| desk.attempt_ended(now, tag, shot, end));
         }
         // It would be too large from any other worker as well.
@@ -289,23 +289,23 @@
     copies: u8,
 ) {
     let may = || gateway.tell(|desk, now| desk.begin_load_request(now, order));
-    let wait = Duration::from_secs_f64(gateway.house().policy.order_wait);
+    let wait = Duration::from_secs_f64(gateway.house().policy.load_request_timeout);
     let asked = ask(&gateway, worker, way, Method::POST, wire::load(&function), Some(copies), may);
     // The desk ends the order at the same time; here only the connection is let go of.
     let Ok(answer) = tokio::time::timeout(wait, asked).await else { return };
     let (outcome, stand) = match answer {
         Ok(parts) if parts.status.is_success() => {
             let stand = wire::count(&parts.headers, &wire::COPIES).ok().flatten();
-            (Outcome::Handled, stand.unwrap_or(u32::from(copies)).min(255) as u8)
+            (Outcome::Succeeded, stand.unwrap_or(u32::from(copies)).min(255) as u8)
         }
         Ok(parts) => match wire::refused(&parts.headers) {
-            Some(wire::Refused::Full | wire::Refused::Draining) => (Outcome::Full, 0),
+            Some(wire::Refused::Full | wire::Refused::Draining) => (Outcome::Rejected, 0),
             Some(wire::Refused::Missing) | None => (Outcome::Failed, 0),
         },
         Err(Broken::KeptBack) => return,
-        Err(Broken::Unreached) => (Outcome::Unreached, 0),
-        Err(Broken::Unsent) => (Outcome::Unsent, 0),
-        Err(Broken::Cut) => (Outcome::Cut, 0),
+        Err(Broken::Unreached) => (Outcome::Unreachable, 0),
+        Err(Broken::Unsent) => (Outcome::NotSent, 0),
+        Err(Broken::Cut) => (Outcome::ConnectionLost, 0),
     };
     gateway.tell(|desk, now| desk.load_request_ended(now, order, outcome, stand));
 }
@@ -323,11 +323,11 @@
     let asked = ask(&gateway, worker, way, Method::GET, wire::READY.to_owned(), None, || true);
     let Ok(answer) = tokio::time::timeout(wait, asked).await else { return };
     let (outcome, report) = match answer {
-        Ok(parts) if parts.status.is_success() => (Outcome::Handled, report(&parts.headers)),
+        Ok(parts) if parts.status.is_success() => (Outcome::Succeeded, report(&parts.headers)),
         Ok(parts) => (Outcome::Failed, report(&parts.headers)),
-        Err(Broken::Unreached) => (Outcome::Unreached, None),
-        Err(Broken::Unsent | Broken::KeptBack) => (Outcome::Unsent, None),
-        Err(Broken::Cut) => (Outcome::Cut, None),
+        Err(Broken::Unreached) => (Outcome::Unreachable, None),
+        Err(Broken::Unsent | Broken::KeptBack) => (Outcome::NotSent, None),
+        Err(Broken::Cut) => (Outcome::ConnectionLost, None),
     };
     gateway.tell(|desk, now| desk.health_check_ended(now, worker, serial, outcome, report));
 }
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -145,7 +145,7 @@
         let more =
             format!("cores = {cores}\nlimits {{\nration {{\nwindow = 60\nfree = 1\nshare = 0\n}}\n}}\n");
         let mut house = charter(&workers, &more);
-        house.policy.orders = true;
+        house.policy.can_request_loads = true;
         let (at, ..) = stirred(house).await;
         let ask = |n: usize| {
             let text = format!(
--- a/crates/platform-protocol/src/frames/read.rs
+++ b/crates/platform-protocol/src/frames/read.rs
@@ -2,7 +2,7 @@
 
 use super::layout::{CHECKSUM_BYTES, FROM_WORKER, HEADER_BYTES};
 use milletpath_platform_settings::set_report_value;
-use milletpath_policy::host::{Outcome, Report};
+use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::Fault;
 use std::ops::RangeInclusive;
 
@@ -27,7 +27,7 @@
     /// Instances of the function that are loaded.
     pub instances: u8,
     /// The worker's load, where it was reported.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The body of the response.
     pub body: &'b [u8],
 }
@@ -74,12 +74,12 @@
     }
     let Some(&code) = bytes.get(1) else { return Ok(None) };
     let (outcome, probe) = match code {
-        200 => (Outcome::Handled, false),
-        202 => (Outcome::Missed, false),
-        203 => (Outcome::Full, false),
+        200 => (Outcome::Succeeded, false),
+        202 => (Outcome::NotLoaded, false),
+        203 => (Outcome::Rejected, false),
         204 => (Outcome::Failed, false),
-        205 => (Outcome::Unsent, false),
-        206 => (Outcome::Handled, true),
+        205 => (Outcome::NotSent, false),
+        206 => (Outcome::Succeeded, true),
         207 => (Outcome::Failed, true),
         _ => return Err(Fault::new("code", "is unknown")),
     };
@@ -109,8 +109,8 @@
     response
 }
 
-fn read_report(values: &str) -> Report {
-    let mut report = Report::default();
+fn read_report(values: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in values.split(';').filter_map(|value| value.split_once(':')) {
         if let Some(value) = plausible_number(value) {
             set_report_value(&mut report, name, value);
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -7,7 +7,7 @@
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use milletpath_platform_protocol::frames;
 use milletpath_platform_protocol::lines::{self, ClientMessage};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use proptest::prelude::*;
 use test_case::test_case;
 use worker_frames::frame;
@@ -93,7 +93,7 @@
     let answer = frames::read(&bytes).expect("valid").expect("complete").response;
     let report = answer.report.expect("a report");
     assert_eq!(
-        (answer.concurrent_calls, report.waiting, report.memory, report.loading),
+        (answer.concurrent_calls, report.queued, report.memory, report.loading),
         (0.0, None, Some(0.5), None)
     );
 }
@@ -118,7 +118,7 @@
         }
         let twice = [&bytes[..], &bytes[..]].concat();
         let frames::Frame { response: answer, length } = frames::read(&twice).unwrap().unwrap();
-        prop_assert_eq!((answer.id, answer.outcome, answer.body, length), (id, Outcome::Handled, &body[..], bytes.len()));
+        prop_assert_eq!((answer.id, answer.outcome, answer.body, length), (id, Outcome::Succeeded, &body[..], bytes.len()));
         prop_assert_eq!(answer.concurrent_calls, f64::from(same));
         // What is corrupted past the header is never accepted.
         let at = 16 + flip.index(bytes.len() - 16);
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -4,7 +4,7 @@
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use milletpath_platform_protocol::lines::{self, Call, ClientMessage};
 use milletpath_platform_protocol::{frames, parse_hex_id};
-use milletpath_policy::host::{Outcome, Report};
+use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::Fault;
 use milletpath_protocol::registry::Standing;
 use std::fmt::Write as _;
@@ -99,18 +99,18 @@
 #[test]
 fn captured_worker_frames_read_as_before() {
     let codes = [
-        ("worker-success", Outcome::Handled, false),
-        ("worker-not-loaded", Outcome::Missed, false),
-        ("worker-full", Outcome::Full, false),
+        ("worker-success", Outcome::Succeeded, false),
+        ("worker-not-loaded", Outcome::NotLoaded, false),
+        ("worker-full", Outcome::Rejected, false),
         ("worker-failed", Outcome::Failed, false),
-        ("worker-not-executed", Outcome::Unsent, false),
-        ("worker-probe-healthy", Outcome::Handled, true),
+        ("worker-not-executed", Outcome::NotSent, false),
+        ("worker-probe-healthy", Outcome::Succeeded, true),
         ("worker-probe-unhealthy", Outcome::Failed, true),
     ];
-    let report = Report {
-        held: Some(2.0),
-        waiting: Some(1.0),
-        busy: Some(0.75),
+    let report = LoadReport {
+        in_flight: Some(2.0),
+        queued: Some(1.0),
+        utilization: Some(0.75),
         memory: Some(0.5),
         loading: Some(3.0),
     };
--- a/crates/platform-router/src/faults.rs
+++ b/crates/platform-router/src/faults.rs
@@ -1,7 +1,7 @@
 //! Classifies errors of system calls on connections to workers. Free of I/O. The table of
 //! `docs/design/system-calls.md` states the same, and is tested against this line by line.
 
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use nix::errno::Errno;
 use std::io::{self, ErrorKind};
 
@@ -94,11 +94,11 @@
 /// may have.
 pub fn outcome(origin: FaultOrigin, written_whole: bool) -> Outcome {
     match (origin, written_whole) {
-        (FaultOrigin::Local, false) => Outcome::Unsent,
-        (FaultOrigin::Remote, false) => Outcome::Unreached,
+        (FaultOrigin::Local, false) => Outcome::NotSent,
+        (FaultOrigin::Remote, false) => Outcome::Unreachable,
         // The one end that may have run and is not counted as a fault of the worker.
-        (FaultOrigin::Local, true) => Outcome::Withdrawn,
-        (FaultOrigin::Remote, true) => Outcome::Cut,
+        (FaultOrigin::Local, true) => Outcome::Cancelled,
+        (FaultOrigin::Remote, true) => Outcome::ConnectionLost,
     }
 }
 
--- a/crates/platform-router/src/faults/tests.rs
+++ b/crates/platform-router/src/faults/tests.rs
@@ -90,10 +90,10 @@
 /// What failed for a reason of our own ends as something that the policy holds against no worker.
 #[test]
 fn a_local_fault_ends_as_nothing_that_counts_against_a_worker() {
-    assert_eq!(outcome(FaultOrigin::Local, false), Outcome::Unsent);
-    assert_eq!(outcome(FaultOrigin::Local, true), Outcome::Withdrawn);
-    assert_eq!(outcome(FaultOrigin::Remote, false), Outcome::Unreached);
-    assert_eq!(outcome(FaultOrigin::Remote, true), Outcome::Cut);
+    assert_eq!(outcome(FaultOrigin::Local, false), Outcome::NotSent);
+    assert_eq!(outcome(FaultOrigin::Local, true), Outcome::Cancelled);
+    assert_eq!(outcome(FaultOrigin::Remote, false), Outcome::Unreachable);
+    assert_eq!(outcome(FaultOrigin::Remote, true), Outcome::ConnectionLost);
 }
 
 /// Errors of the runtime's own have a kind and no number.
--- a/crates/platform-router/src/link.rs
+++ b/crates/platform-router/src/link.rs
@@ -15,7 +15,7 @@
 use crate::station::Station;
 use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId, WorkerProcess};
 use milletpath_platform_protocol::{frames, lines};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/platform-router/src/link/writing.rs
+++ b/crates/platform-router/src/link/writing.rs
@@ -5,7 +5,7 @@
 use crate::station::{Asker, Station};
 use milletpath_dispatcher::dispatcher::RequestId;
 use milletpath_platform_protocol::frames;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use std::collections::VecDeque;
 use std::io;
 
@@ -75,7 +75,7 @@
         link.waiting = rest;
         let awaited: VecDeque<Load> = awaited;
         for what in awaited.iter().filter_map(Load::awaits) {
-            self.unanswered(worker, what, Outcome::Unsent);
+            self.unanswered(worker, what, Outcome::NotSent);
         }
     }
 
@@ -95,7 +95,7 @@
                 self.desk.attempt_not_written(now, tag, shot);
             }
             // It has its place in the ration: given again it would have two.
-            Load::Hold(order, ..) => self.desk.load_request_ended(now, order, Outcome::Unsent, 0),
+            Load::Hold(order, ..) => self.desk.load_request_ended(now, order, Outcome::NotSent, 0),
             Load::Unload(_) | Load::Probe(_) | Load::GiveUp(_) => link.waiting.push_front(load),
         }
     }
@@ -106,7 +106,7 @@
         let (worker, process) = (self.links[key].worker, self.links[key].process);
         if let Some(what) = load.awaits().filter(|_| self.desk.worker_process(worker).process != process) {
             // Another process has the worker's name by now; what was meant for that one was not meant for this.
-            self.unanswered(worker, what, Outcome::Unsent);
+            self.unanswered(worker, what, Outcome::NotSent);
             return true;
         }
         if let Load::Shot(tag, _) = load
--- a/crates/platform-router/src/station/tests.rs
+++ b/crates/platform-router/src/station/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use milletpath_dispatcher::dispatcher::{AttemptResult, FunctionResources, IncomingRequest};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use test_case::test_case;
 
 /// Runs a story on one thread, as the router does.
@@ -81,7 +81,7 @@
     let tag = arrive(&mut s, 7);
     assert!(s.desk.begin_attempt(begun, tag, 0));
     if answered {
-        assert!(s.desk.attempt_ended(begun + 0.1, tag, 0, AttemptResult::from_outcome(Outcome::Handled)));
+        assert!(s.desk.attempt_ended(begun + 0.1, tag, 0, AttemptResult::from_outcome(Outcome::Succeeded)));
     }
     let (mut turns, mut ended) = (0, begun);
     while let Some(next) = s.desk.next_deadline() {
--- a/crates/platform-settings/src/policy.rs
+++ b/crates/platform-settings/src/policy.rs
@@ -2,42 +2,43 @@
 
 use crate::error::SettingsError;
 use crate::lookup::{non_negative, optional_seconds, positive, seconds, value_at};
-use milletpath_policy::host::{Charter, Effect, Group, Profile};
+use milletpath_policy::{Idempotency, KeyScope, PolicyConfig, Profile};
 use serde_json::Value;
 
 /// The configuration of the routing decisions; the error names a setting that is missing or out of bounds. `seed` makes
 /// the decisions of routers alike in all else differ.
-pub fn policy_config(settings: &Value, seed: u64) -> Result<Charter, SettingsError> {
+pub fn policy_config(settings: &Value, seed: u64) -> Result<PolicyConfig, SettingsError> {
     let classes: Vec<Value> =
         value_at(settings, "/Classes").ok_or_else(|| SettingsError::invalid("Classes"))?;
     let profiles = classes.iter().enumerate().map(profile).collect::<Result<Vec<_>, _>>()?;
     let flag = |path| value_at::<bool>(settings, path).unwrap_or(false);
     let reports_load = value_at::<&str>(settings, "/Telemetry/Via").is_some_and(|via| via != "off");
-    Ok(Charter {
+    Ok(PolicyConfig {
         seed,
         routers: positive(settings, "/Balancers")? as usize,
         profiles,
         quotas: quotas(settings),
-        ceilings: Vec::new(),
-        retries: None,
-        hand: f64::INFINITY,
-        over_share: value_at(settings, "/OverShareWorth").unwrap_or(1.0),
-        shots: positive(settings, "/Limits/MaxAttempts")? as usize,
-        cancels: flag("/Limits/Cancelling"),
-        orders: flag("/FamilyInfo/PlacementCalls"),
-        misses: value_at::<&str>(settings, "/FamilyInfo/MissMode") == Some("miss"),
-        asks: value_at::<&str>(settings, "/RegistryMode") == Some("subscribe"),
-        probes: flag("/Limits/Probing") && reports_load,
-        come_back: optional_seconds(settings, "/Limits/MaxRetryAfter").filter(|_| flag("/Limits/RetryAfter")),
-        keep: optional_seconds(settings, "/FamilyInfo/KeepAlive").unwrap_or(0.0),
-        ration: load_rate_limit(settings),
-        order_wait: optional_seconds(settings, "/FamilyInfo/LoadWait").unwrap_or(f64::INFINITY),
-        cold_share: non_negative(settings, "/Rules/StartCapacity")?,
+        rate_limits: Vec::new(),
+        retry_budget: None,
+        max_in_flight: f64::INFINITY,
+        over_quota_weight: value_at(settings, "/OverShareWorth").unwrap_or(1.0),
+        max_attempts: positive(settings, "/Limits/MaxAttempts")? as usize,
+        can_cancel: flag("/Limits/Cancelling"),
+        can_request_loads: flag("/FamilyInfo/PlacementCalls"),
+        reports_missing_functions: value_at::<&str>(settings, "/FamilyInfo/MissMode") == Some("miss"),
+        watches_on_request: value_at::<&str>(settings, "/RegistryMode") == Some("subscribe"),
+        can_probe: flag("/Limits/Probing") && reports_load,
+        max_retry_after: optional_seconds(settings, "/Limits/MaxRetryAfter")
+            .filter(|_| flag("/Limits/RetryAfter")),
+        keep_alive: optional_seconds(settings, "/FamilyInfo/KeepAlive").unwrap_or(0.0),
+        load_budget: load_rate_limit(settings),
+        load_request_timeout: optional_seconds(settings, "/FamilyInfo/LoadWait").unwrap_or(f64::INFINITY),
+        initial_capacity: non_negative(settings, "/Rules/StartCapacity")?,
         warm_up: seconds(settings, "/Rules/WarmUp")?,
-        tip_multiple: non_negative(settings, "/Rules/TipMultiple")?,
-        tip_window: seconds(settings, "/Rules/OverloadFor")?,
+        overload_multiple: non_negative(settings, "/Rules/TipMultiple")?,
+        overload_window: seconds(settings, "/Rules/OverloadFor")?,
         memory: value_at(settings, "/FamilyInfo/MemoryMbByKind").unwrap_or_default(),
-        tick: seconds(settings, "/Tick")?,
+        clock_resolution: seconds(settings, "/Tick")?,
     })
 }
 
@@ -60,29 +61,29 @@
 fn profile((index, class): (usize, &Value)) -> Result<Profile, SettingsError> {
     let read = || {
         let effect = effect(class)?;
-        Ok(Profile { due: seconds(class, "/Objective")?, effect })
+        Ok(Profile { latency_objective: seconds(class, "/Objective")?, idempotency: effect })
     };
     read().map_err(|error: SettingsError| error.within(&format!("Classes[{index}]")))
 }
 
-fn effect(class: &Value) -> Result<Effect, SettingsError> {
+fn effect(class: &Value) -> Result<Idempotency, SettingsError> {
     match value_at::<&str>(class, "/Effect") {
-        Some("free") => Ok(Effect::Pure),
-        Some("single_shot") => Ok(Effect::Effectful),
+        Some("free") => Ok(Idempotency::Idempotent),
+        Some("single_shot") => Ok(Idempotency::NonIdempotent),
         Some("guarded") => {
             let group = key_scope(class).ok_or_else(|| SettingsError::invalid("KeyScope"))?;
-            Ok(Effect::Receipted { group, memory: seconds(class, "/DedupWindow")? })
+            Ok(Idempotency::IdempotentWithKey { group, memory: seconds(class, "/DedupWindow")? })
         }
         _ => Err(SettingsError::invalid("Effect")),
     }
 }
 
 /// The workers among which an idempotency key is known.
-fn key_scope(class: &Value) -> Option<Group> {
+fn key_scope(class: &Value) -> Option<KeyScope> {
     match value_at::<&str>(class, "/KeyScope") {
-        Some("zone") => Some(Group::Zone),
-        Some("cell") => Some(Group::Cell),
-        Some("all") => Some(Group::All),
+        Some("zone") => Some(KeyScope::Zone),
+        Some("cell") => Some(KeyScope::Cell),
+        Some("all") => Some(KeyScope::All),
         _ => None,
     }
 }
--- a/crates/platform-settings/tests/settings.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings: a valid object gives its values, and what is missing or out of bounds is named by its path.
 
 use milletpath_platform_settings::{self as platform_settings, ProfileSettings};
-use milletpath_policy::host::{Effect, Group, Report};
+use milletpath_policy::{Idempotency, KeyScope, LoadReport};
 use serde_json::Value;
 use test_case::test_case;
 
@@ -42,15 +42,30 @@
 #[test]
 fn valid_settings_give_the_policy_its_values() {
     let config = platform_settings::policy_config(&valid(), 9).expect("valid");
-    assert_eq!((config.seed, config.routers, config.shots, config.tick), (9, 3, 4, 0.001));
-    assert_eq!(config.profiles[0].effect, Effect::Pure);
-    assert_eq!(config.profiles[1].effect, Effect::Receipted { group: Group::Zone, memory: 60.0 });
-    assert_eq!((config.profiles[2].effect, config.profiles[2].due), (Effect::Effectful, 0.5));
+    assert_eq!((config.seed, config.routers, config.max_attempts, config.clock_resolution), (9, 3, 4, 0.001));
+    assert_eq!(config.profiles[0].idempotency, Idempotency::Idempotent);
+    assert_eq!(
+        config.profiles[1].idempotency,
+        Idempotency::IdempotentWithKey { group: KeyScope::Zone, memory: 60.0 }
+    );
+    assert_eq!(
+        (config.profiles[2].idempotency, config.profiles[2].latency_objective),
+        (Idempotency::NonIdempotent, 0.5)
+    );
     assert_eq!(config.quotas, [44.0, f64::INFINITY]);
-    assert_eq!((config.ration, config.retries), (Some((10.0, 2.0, 0.1)), None));
-    assert_eq!((config.come_back, config.keep, config.order_wait), (Some(2.0), 10.0, f64::INFINITY));
-    assert_eq!((config.memory, config.over_share), (vec![4096.0, 8192.0], 0.25));
-    assert!(config.cancels && config.orders && config.misses && config.asks && config.probes);
+    assert_eq!((config.load_budget, config.retry_budget), (Some((10.0, 2.0, 0.1)), None));
+    assert_eq!(
+        (config.max_retry_after, config.keep_alive, config.load_request_timeout),
+        (Some(2.0), 10.0, f64::INFINITY)
+    );
+    assert_eq!((config.memory, config.over_quota_weight), (vec![4096.0, 8192.0], 0.25));
+    assert!(
+        config.can_cancel
+            && config.can_request_loads
+            && config.reports_missing_functions
+            && config.watches_on_request
+            && config.can_probe
+    );
 }
 
 #[test]
@@ -98,9 +113,9 @@
 
 #[test]
 fn unknown_and_infinite_values_of_a_load_report_are_left_out() {
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (name, value) in [("rif", 2.0), ("q", f64::INFINITY), ("x0", 0.5), ("other", 9.0)] {
         platform_settings::set_report_value(&mut report, name, value);
     }
-    assert_eq!((report.held, report.waiting, report.memory), (Some(2.0), None, Some(0.5)));
+    assert_eq!((report.in_flight, report.queued, report.memory), (Some(2.0), None, Some(0.5)));
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -86,7 +86,7 @@
         if now - request.admitted_at < ADMITTED_FOR {
             return true;
         }
-        let rate = budgets.allowed(now, Budget::Ceiling(request.client), own_rate);
+        let rate = budgets.allowed(now, Budget::RateLimit(request.client), own_rate);
         let bucket = &mut self.under_ceiling[request.client];
         bucket.fill(now, rate, (rate * AT_ONCE).max(1.0));
         let jitter = random.uniform();
@@ -95,7 +95,7 @@
         let retry_after = (1.0 - bucket.left) / rate.max(1e-3) * (1.0 + jitter);
         request.retry_after = (!within).then_some(retry_after);
         if !within {
-            budgets.note_exhausted(Budget::Ceiling(request.client));
+            budgets.note_exhausted(Budget::RateLimit(request.client));
         }
         within
     }
--- a/crates/policy/src/attempt_result.rs
+++ b/crates/policy/src/attempt_result.rs
@@ -1,7 +1,7 @@
 //! The result of an attempt, recorded on its worker, on its function's instances, and in the mean latencies.
 
 use crate::decay::RATE_HALF;
-use crate::events::{Answer, Found, Outcome};
+use crate::events::{AttemptCompletion, InstanceState, Outcome};
 use crate::function_state::Function;
 use crate::outlier_detection::Evidence;
 use crate::request_state::Attempt;
@@ -10,16 +10,26 @@
 impl RouterState {
     /// Marks an attempt as ended; none where it is not known, or had ended before. Returns its function's
     /// index and it.
-    pub(crate) fn attempt_ended(&mut self, id: usize, answer: &Answer) -> Option<(usize, Attempt)> {
+    pub(crate) fn attempt_ended(
+        &mut self,
+        id: usize,
+        answer: &AttemptCompletion,
+    ) -> Option<(usize, Attempt)> {
         let request = self.requests.get_mut(id)?;
-        let attempt = request.attempts.get_mut(answer.shot).filter(|attempt| attempt.in_flight)?;
+        let attempt = request.attempts.get_mut(answer.attempt).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
         attempt.never_ran = answer.outcome.never_ran();
         Some((request.function, *attempt))
     }
 
     /// Records the result on the attempt's worker: in-flight counts, load report, outlier score, throughput.
-    pub(crate) fn record_on_worker(&mut self, now: f64, function: usize, attempt: &Attempt, answer: &Answer) {
+    pub(crate) fn record_on_worker(
+        &mut self,
+        now: f64,
+        function: usize,
+        attempt: &Attempt,
+        answer: &AttemptCompletion,
+    ) {
         let has_succeeded = self.functions.has_succeeded(function);
         let worker = &mut self.workers[attempt.worker];
         worker.in_flight_loaded -= f64::from(u8::from(attempt.warm));
@@ -30,12 +40,12 @@
             worker.record_evidence(now, evidence);
         }
         match answer.outcome {
-            Outcome::Handled => {
+            Outcome::Succeeded => {
                 worker.answered_at = now;
                 let warm = self.slow_start.is_warm(now, worker);
                 self.throughput.handled(now, warm);
             }
-            Outcome::Full => {
+            Outcome::Rejected => {
                 worker.answered_at = now;
                 worker.rejected_at.set(now, attempt.warm);
             }
@@ -44,12 +54,14 @@
     }
 
     /// Records whether a load that the attempt started succeeded.
-    pub(crate) fn record_load(&mut self, now: f64, answer: &Answer) {
-        if answer.outcome == Outcome::Missed && !self.reports_missing
-            || answer.found == Some(Found::LoadFailed)
+    pub(crate) fn record_load(&mut self, now: f64, answer: &AttemptCompletion) {
+        if answer.outcome == Outcome::NotLoaded && !self.reports_missing
+            || answer.instance_state == Some(InstanceState::LoadFailed)
         {
             self.load_requests.load_ended(now, false, &mut self.random);
-        } else if answer.found == Some(Found::BeganLoad) && answer.outcome == Outcome::Handled {
+        } else if answer.instance_state == Some(InstanceState::LoadStarted)
+            && answer.outcome == Outcome::Succeeded
+        {
             self.load_requests.load_ended(now, true, &mut self.random);
         }
     }
@@ -60,7 +72,7 @@
         now: f64,
         function: usize,
         attempt: &Attempt,
-        answer: &Answer,
+        answer: &AttemptCompletion,
     ) {
         /// Weight of one answer in the mean of one function, which has few.
         const FUNCTION_WEIGHT: f64 = 0.2;
@@ -69,26 +81,27 @@
         const MAX_RATIO: f64 = 3.0;
         let Some(state) = self.functions.get_mut(function) else { return };
         // Also attempts that are never answered, as when requests queue for the function's instances.
-        if matches!(answer.outcome, Outcome::Handled | Outcome::Withdrawn | Outcome::Overdue) {
+        if matches!(answer.outcome, Outcome::Succeeded | Outcome::Cancelled | Outcome::TimedOut) {
             state.relative_latency += FUNCTION_WEIGHT
                 * ((answer.latency / self.latency.max(1e-3)).min(MAX_RATIO) - state.relative_latency);
         }
-        state.has_succeeded |= answer.outcome == Outcome::Handled;
+        state.has_succeeded |= answer.outcome == Outcome::Succeeded;
         state.placement(attempt.worker).in_flight -= 1.0;
         state.attempt_ended(now, attempt, answer, self.load_latency, self.keep_alive);
-        if answer.outcome == Outcome::Handled {
+        if answer.outcome == Outcome::Succeeded {
             self.record_latency(now, function, attempt, answer);
         }
     }
 
     /// Updates the mean latencies, exponentially weighted.
-    fn record_latency(&mut self, now: f64, function: usize, attempt: &Attempt, answer: &Answer) {
+    fn record_latency(&mut self, now: f64, function: usize, attempt: &Attempt, answer: &AttemptCompletion) {
         /// Weight of one answer in the mean of loads: a dozen answers, about a second of a busy worker.
         const LOAD_WEIGHT: f64 = 0.1;
         /// The same in the mean of answers of loaded instances.
         const WEIGHT: f64 = 0.02;
-        let cold = matches!(answer.found, Some(Found::BeganLoad | Found::AwaitedLoad))
-            || answer.found.is_none() && !attempt.warm;
+        let cold =
+            matches!(answer.instance_state, Some(InstanceState::LoadStarted | InstanceState::LoadAwaited))
+                || answer.instance_state.is_none() && !attempt.warm;
         if !attempt.warm {
             self.load_latency += LOAD_WEIGHT * (answer.latency - self.load_latency);
         }
@@ -108,28 +121,28 @@
         &mut self,
         now: f64,
         attempt: &Attempt,
-        answer: &Answer,
+        answer: &AttemptCompletion,
         load_latency: f64,
         keep_alive: f64,
     ) {
         let placement = self.placement(attempt.worker);
         let outlasted = !attempt.warm && answer.latency > load_latency;
         match answer.outcome {
-            Outcome::Missed => {
+            Outcome::NotLoaded => {
                 (placement.instances, placement.loading_until, placement.missing_at) = (0.0, 0.0, now)
             }
-            Outcome::Withdrawn | Outcome::Overdue if outlasted => {
+            Outcome::Cancelled | Outcome::TimedOut if outlasted => {
                 // The load goes on when no request waits for it; started again elsewhere it would never end.
                 placement.instances = placement.instances.max(1.0);
                 placement.expires_at = now + keep_alive;
             }
             outcome if outcome.never_ran() => placement.loading_until = 0.0,
             Outcome::Failed if !attempt.warm => placement.loading_until = 0.0,
-            Outcome::Handled => {
+            Outcome::Succeeded => {
                 let instances = if placement.expires_at > now { placement.instances } else { 0.0 };
                 placement.instances = instances.max(1.0);
                 (placement.expires_at, placement.loading_until) = (now + keep_alive, 0.0);
-                if attempt.warm && answer.found == Some(Found::BeganLoad) {
+                if attempt.warm && answer.instance_state == Some(InstanceState::LoadStarted) {
                     // A new version was released: instances on other workers are out of date as well.
                     let others = self.placements.iter_mut().filter(|other| other.worker != attempt.worker);
                     others.for_each(|other| other.instances = 0.0);
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -2,23 +2,23 @@
 
 /// How harmful it is to run a request twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Idempotent: it may run again.
-    Pure,
+    Idempotent,
     /// Idempotent by its key: the workers of one group recognise a repeat.
-    Receipted {
+    IdempotentWithKey {
         /// The workers among which the key is known.
-        group: Group,
+        group: KeyScope,
         /// Seconds for which it is known there.
         memory: f64,
     },
     /// Not idempotent: it must never run twice.
-    Effectful,
+    NonIdempotent,
 }
 
 /// The workers among which an idempotency key is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Group {
+pub enum KeyScope {
     /// All workers.
     All,
     /// Those of one zone.
@@ -31,14 +31,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
     /// Latency objective: seconds within which an answer is wanted.
-    pub due: f64,
+    pub latency_objective: f64,
     /// How harmful a repeat is.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// Configuration of a router.
 #[derive(Clone, Debug)]
-pub struct Charter {
+pub struct PolicyConfig {
     /// Seed of the router's random draws.
     pub seed: u64,
     /// Routers that share the workers, this one included.
@@ -49,46 +49,46 @@
     pub quotas: Vec<f64>,
     /// Requests a second, over all routers, that may be sent at all for each client group; infinite where it
     /// is not limited.
-    pub ceilings: Vec<f64>,
+    pub rate_limits: Vec<f64>,
     /// Retry budget: the window in seconds, the retries that are free in it, and those earned by each
     /// request; unlimited where there is none.
-    pub retries: Option<(f64, f64, f64)>,
+    pub retry_budget: Option<(f64, f64, f64)>,
     /// Attempts in flight at one worker, over all routers; infinite where they are not limited.
-    pub hand: f64,
+    pub max_in_flight: f64,
     /// The weight of a request beyond its client group's share, 0 to 1.
-    pub over_share: f64,
+    pub over_quota_weight: f64,
     /// Attempts that a request may have.
-    pub shots: usize,
+    pub max_attempts: usize,
     /// An attempt in flight can be cancelled.
-    pub cancels: bool,
+    pub can_cancel: bool,
     /// Load and unload requests are possible.
-    pub orders: bool,
+    pub can_request_loads: bool,
     /// A worker without the function answers that it is missing, rather than load it unasked.
-    pub misses: bool,
+    pub reports_missing_functions: bool,
     /// Changes of the endpoint list come only on request.
-    pub asks: bool,
+    pub watches_on_request: bool,
     /// Workers answer health checks, and report their load when they do.
-    pub probes: bool,
+    pub can_probe: bool,
     /// The longest Retry-After in seconds that clients follow; none where they are not given one.
-    pub come_back: Option<f64>,
+    pub max_retry_after: Option<f64>,
     /// Seconds that an idle instance is kept at least.
-    pub keep: f64,
+    pub keep_alive: f64,
     /// Budget of load requests: the window in seconds, the requests that are free in it, and those earned by
     /// each request that arrives; unlimited where there is none.
-    pub ration: Option<(f64, f64, f64)>,
+    pub load_budget: Option<(f64, f64, f64)>,
     /// Seconds after which a load request counts as unanswered.
-    pub order_wait: f64,
+    pub load_request_timeout: f64,
     /// Slow start: the part of its capacity that a worker has at its start, or more, 0 to 1.
-    pub cold_share: f64,
+    pub initial_capacity: f64,
     /// Slow start: seconds until it has all of it.
     pub warm_up: f64,
     /// Slow start: a worker that is sent more than this multiple of its present capacity for
     /// [`tip_window`](Self::tip_window) fails from overload.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// Slow start: the window, in seconds, in which what it is sent is counted.
-    pub tip_window: f64,
+    pub overload_window: f64,
     /// Memory of each kind of worker, in MB; empty where it is not known.
     pub memory: Vec<f64>,
     /// The resolution in seconds of the host's timer.
-    pub tick: f64,
+    pub clock_resolution: f64,
 }
--- a/crates/policy/src/decay.rs
+++ b/crates/policy/src/decay.rs
@@ -6,14 +6,14 @@
 /// A sum that decays exponentially: each addition loses half its weight in one half life, which every call
 /// states.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fading {
+pub struct DecayingSum {
     /// The sum as of [`at`](Self::at).
     pub sum: f64,
     /// When it was last brought up to date, in seconds.
     pub at: f64,
 }
 
-impl Fading {
+impl DecayingSum {
     /// The sum now, at a half life in seconds.
     pub fn now(&self, now: f64, half: f64) -> f64 {
         self.sum * (-(now - self.at).max(0.0) / half).exp2()
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatch: the rules that every attempt keeps, and the one place where attempts are sent.
 
-use crate::effects::{Budget, Host};
+use crate::effects::{Budget, Effects};
 use crate::request_state::{Attempt, Request};
 use crate::retry;
 use crate::router_state::RouterState;
@@ -10,13 +10,13 @@
     /// routers.
     fn within_in_flight_limit(&self, now: f64, worker: usize, in_flight: usize) -> bool {
         self.max_in_flight.is_infinite()
-            || in_flight as f64 <= self.budgets.allowed(now, Budget::Hand(worker), self.max_in_flight)
+            || in_flight as f64 <= self.budgets.allowed(now, Budget::InFlight(worker), self.max_in_flight)
     }
 
     /// Whether a request may have one more attempt, on some worker.
     pub(crate) fn may_attempt_again(&self, now: f64, id: usize) -> bool {
         self.requests.get(id).is_some_and(|request| {
-            let effect = self.profiles[request.profile].effect;
+            let effect = self.profiles[request.profile].idempotency;
             self.retry.may_attempt_again(now, request, effect, self.functions.has_succeeded(request.function))
         })
     }
@@ -37,7 +37,7 @@
     /// start, in-flight limit.
     pub(crate) fn may_attempt(&mut self, now: f64, id: usize, worker: usize) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
-        let effect = self.profiles[request.profile].effect;
+        let effect = self.profiles[request.profile].idempotency;
         let allowed = self.may_attempt_again(now, id)
             && self.workers[worker].is_ready()
             && retry::may_run_on(request, effect, worker, &self.workers[worker])
@@ -51,13 +51,13 @@
         let over_limit =
             allowed && !self.within_in_flight_limit(now, worker, self.workers[worker].in_flight + 1);
         if over_limit {
-            self.budgets.note_exhausted(Budget::Hand(worker));
+            self.budgets.note_exhausted(Budget::InFlight(worker));
         }
         allowed && !over_limit
     }
 
     /// Sends an attempt, where that is allowed.
-    pub(crate) fn send_attempt(&mut self, now: f64, id: usize, worker: usize, host: &mut dyn Host) {
+    pub(crate) fn send_attempt(&mut self, now: f64, id: usize, worker: usize, host: &mut dyn Effects) {
         /// Times its mean that a load may take before it is taken to have failed.
         const MAX_LOADS: f64 = 4.0;
         if !self.may_attempt(now, id, worker) {
@@ -87,7 +87,7 @@
         worker_state.in_flight += 1;
         worker_state.in_flight_loaded += f64::from(u8::from(warm));
         worker_state.turn.left -= 1.0;
-        host.send(id, worker, request.deadline);
+        host.send_attempt(id, worker, request.deadline);
     }
 
     /// Whether an attempt that was decided before may begin now: by its rate limit, its idempotency key, the
@@ -101,7 +101,7 @@
                     && now - attempt.sent_at > self.slow_start.turn_seconds()
             };
             self.admission.lapsed(now, request)
-                || retry::key_expired(now, request, self.profiles[request.profile].effect)
+                || retry::key_expired(now, request, self.profiles[request.profile].idempotency)
                 || request.attempts.iter().any(is_old) && self.slow_start.is_cold(now, &self.workers[worker])
         };
         !self.requests.get(id).is_some_and(refused)
--- a/crates/policy/src/effects.rs
+++ b/crates/policy/src/effects.rs
@@ -3,32 +3,32 @@
 
 /// The effects of a router on its surroundings. None of these calls returns a result; results come back as
 /// events of the [`Router`](crate::router::Router).
-pub trait Host {
+pub trait Effects {
     /// Sends one more attempt of a request; it is abandoned at `until`, a time of the router's clock.
-    fn send(&mut self, request: usize, worker: usize, until: f64);
+    fn send_attempt(&mut self, request: usize, worker: usize, until: f64);
     /// Cancels an attempt that is in flight, by its index among those of the request.
-    fn cancel(&mut self, request: usize, attempt: usize);
+    fn cancel_attempt(&mut self, request: usize, attempt: usize);
     /// Final answer: rejected, and nothing has run. `retry_after` is the Retry-After in seconds.
-    fn bounce(&mut self, request: usize, retry_after: Option<f64>);
+    fn reject(&mut self, request: usize, retry_after: Option<f64>);
     /// Final answer: failed, with no promise about effects.
-    fn terminate(&mut self, request: usize);
+    fn fail(&mut self, request: usize);
     /// Requests that at least `instances` instances of the function be loaded on the worker; 0 only asks how
     /// many there are.
-    fn hold(&mut self, worker: usize, function: usize, instances: u8);
+    fn request_load(&mut self, worker: usize, function: usize, instances: u8);
     /// Requests that the idle instances of the function on the worker be unloaded.
     fn unload(&mut self, worker: usize, function: usize);
     /// Sends a health check, which a load report answers.
     fn probe(&mut self, worker: usize);
     /// Asks for a call of [`woken`](crate::router::Router::woken) after so many seconds.
-    fn wake(&mut self, after: f64);
+    fn wake_after(&mut self, after: f64);
     /// Asks the registry to send changes of the endpoint list from now on.
-    fn follow(&mut self);
+    fn watch_endpoints(&mut self);
     /// The router will not name this request again; its index may be given to another.
-    fn forget(&mut self, request: usize);
+    fn release_request(&mut self, request: usize);
     /// The router knows nothing of this function any more; its index may be given to another.
-    fn forget_function(&mut self, function: usize);
+    fn release_function(&mut self, function: usize);
     /// Something was not done for want of a budget that all routers share.
-    fn lacks(&mut self, _budget: Budget) {}
+    fn budget_exhausted(&mut self, _budget: Budget) {}
 }
 
 /// A budget that all routers share, of which each has a part.
@@ -37,11 +37,11 @@
     /// Requests a second of a client group within its share, by the group's index.
     Quota(usize),
     /// Requests a second of a client group that may be sent at all, by the group's index.
-    Ceiling(usize),
+    RateLimit(usize),
     /// Load requests that are free within their window.
-    Orders,
+    LoadRequests,
     /// Retries that are free within their window.
     Retries,
     /// Attempts in flight at a worker, by the worker's index.
-    Hand(usize),
+    InFlight(usize),
 }
--- a/crates/policy/src/function_state.rs
+++ b/crates/policy/src/function_state.rs
@@ -1,8 +1,8 @@
 //! What is known of each function: its arrival rate, the latency of its requests, and where its instances
 //! are.
 
-use crate::decay::{Fading, RATE_HALF};
-use crate::effects::Host;
+use crate::decay::{DecayingSum, RATE_HALF};
+use crate::effects::Effects;
 use crate::events::Arrival;
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
 /// Decaying counts of arrivals.
 #[derive(Default)]
 pub(crate) struct ArrivalCounts {
-    short: Fading,
-    long: Fading,
+    short: DecayingSum,
+    long: DecayingSum,
 }
 
 impl ArrivalCounts {
@@ -25,7 +25,7 @@
     }
 
     /// The larger of a rate of the two counts, which `rate` gives for a count and its half life.
-    pub(crate) fn larger(&self, rate: impl Fn(&Fading, f64) -> f64) -> f64 {
+    pub(crate) fn larger(&self, rate: impl Fn(&DecayingSum, f64) -> f64) -> f64 {
         rate(&self.short, SHORT_HALF_LIFE).max(0.0).max(rate(&self.long, LONG_HALF_LIFE))
     }
 }
@@ -75,7 +75,7 @@
     /// Mean latency of its attempts, over that of all functions.
     pub(crate) relative_latency: f64,
     /// Sum of the latencies of answers of loaded instances, in seconds.
-    pub(crate) busy_time: Fading,
+    pub(crate) busy_time: DecayingSum,
     /// Concurrency at other routers.
     pub(crate) remote_concurrency: f64,
     /// Workers in its set, and since when the set could be smaller.
@@ -172,22 +172,22 @@
         self.functions.resize_with(self.functions.len().max(arrival.function + 1), || None);
         let function = self.functions[arrival.function].get_or_insert_with(|| Function::new(now, arrival));
         function.open_requests += 1;
-        function.lanes = if arrival.lanes >= 1.0 { arrival.lanes } else { 1.0 };
-        if !arrival.repeat {
+        function.lanes = if arrival.concurrency >= 1.0 { arrival.concurrency } else { 1.0 };
+        if !arrival.is_retry {
             function.arrivals.add(now);
         }
     }
 
     /// Releases unused functions. Each arrival checks a few, so that functions that are called once can't
     /// accumulate.
-    pub(crate) fn sweep(&mut self, now: f64, host: &mut dyn Host) {
+    pub(crate) fn sweep(&mut self, now: f64, host: &mut dyn Effects) {
         /// Above 1, so that all are checked faster than arrivals can add to them.
         const FUNCTIONS_EACH: usize = 2;
         for _ in 0..FUNCTIONS_EACH.min(self.functions.len()) {
             self.sweep_position = (self.sweep_position + 1) % self.functions.len();
             if self.functions[self.sweep_position].as_ref().is_some_and(|f| f.is_unused(now)) {
                 self.functions[self.sweep_position] = None;
-                host.forget_function(self.sweep_position);
+                host.release_function(self.sweep_position);
             }
         }
     }
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -1,7 +1,7 @@
 //! Health checks of workers, and the load reports that answer them or come with results.
 
-use crate::effects::Host;
-use crate::events::Report;
+use crate::effects::Effects;
+use crate::events::LoadReport;
 use crate::worker_state::Worker;
 
 /// Seconds for which a load report is fresh: about as long as a queue takes to change.
@@ -21,7 +21,7 @@
     }
 
     /// Sends a health check, unless one is still unanswered.
-    pub(crate) fn probe(&mut self, now: f64, index: usize, host: &mut dyn Host) {
+    pub(crate) fn probe(&mut self, now: f64, index: usize, host: &mut dyn Effects) {
         if self.probed_at == f64::NEG_INFINITY {
             self.probed_at = now;
             host.probe(index);
@@ -34,17 +34,17 @@
     }
 
     /// Records a load report; `routers` share the worker.
-    pub(crate) fn record_report(&mut self, now: f64, report: Option<Report>, routers: f64) {
+    pub(crate) fn record_report(&mut self, now: f64, report: Option<LoadReport>, routers: f64) {
         let Some(report) = report else { return };
         let own_load = self.in_flight as f64;
-        let foreign_load = match (report.held, report.waiting) {
+        let foreign_load = match (report.in_flight, report.queued) {
             (Some(held), _) => (held - own_load).max(0.0),
             (None, Some(waiting)) => waiting * (routers - 1.0) / routers,
             _ => return,
         };
         self.foreign_load = Some(foreign_load);
         self.reported_at = now;
-        self.utilization = report.busy.unwrap_or(1.0);
-        self.counts_running = report.held.is_some();
+        self.utilization = report.utilization.unwrap_or(1.0);
+        self.counts_running = report.in_flight.is_some();
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,8 +2,8 @@
 //! and Cheaper Serverless Computing on Harvested Resources" (SOSP 2021), sections 5.2 and 6.2, with
 //! admission, retries, slow start and outlier detection. `docs/design.md` gives the reasons.
 //!
-//! [`policy::Router`] makes every decision; [`host`] holds its configuration, its events and the effects that
-//! it asks for. The package does no I/O and reads no clock: the same events with the same seed give the same
+//! [`Router`] makes every decision: [`PolicyConfig`] configures it, events come in as method calls, and what it asks
+//! for goes out by [`Effects`]. The package does no I/O and reads no clock: the same events with the same seed give the same
 //! decisions.
 //!
 //! | modules | concern |
@@ -44,24 +44,11 @@
 mod worker_set;
 mod worker_state;
 
-/// Configuration, events and effects of a router.
-pub mod host {
-    pub use crate::config::*;
-    pub use crate::effects::*;
-    pub use crate::events::*;
-}
-
-/// The router.
-pub mod policy {
-    pub use crate::router::Router;
-}
-
-/// Sums that decay.
-pub mod fading {
-    pub use crate::decay::Fading;
-}
-
-/// Rate limits over a sliding window.
-pub mod ration {
-    pub use crate::rate_limiter::Ration;
-}
+pub use config::{Idempotency, KeyScope, PolicyConfig, Profile};
+pub use decay::DecayingSum;
+pub use effects::{Budget, Effects};
+pub use events::{
+    Arrival, AttemptCompletion, EndpointState, EndpointUpdate, InstanceState, LoadReport, Outcome,
+};
+pub use rate_limiter::RateLimiter;
+pub use router::Router;
--- a/crates/policy/src/load_requests.rs
+++ b/crates/policy/src/load_requests.rs
@@ -1,10 +1,10 @@
 //! Requests to workers to load a function, their budget, and the backoff after loads that failed.
 
-use crate::effects::{Budget, Host};
+use crate::effects::{Budget, Effects};
 use crate::fleet_budgets::FleetBudgets;
 use crate::function_state::Functions;
 use crate::random::Random;
-use crate::rate_limiter::Ration;
+use crate::rate_limiter::RateLimiter;
 use crate::worker_state::WorkerTable;
 
 /// A request that a worker load a function until it has so many instances; `ahead` of need only as far as
@@ -29,7 +29,7 @@
     supported: bool,
     /// Seconds after which a load request counts as unanswered.
     timeout: f64,
-    limit: Option<Ration>,
+    limit: Option<RateLimiter>,
     /// Routers by the configuration.
     routers: f64,
     /// Load requests that are not answered yet.
@@ -38,7 +38,7 @@
 }
 
 impl LoadRequests {
-    pub(crate) fn new(supported: bool, timeout: f64, limit: Option<Ration>, routers: f64) -> Self {
+    pub(crate) fn new(supported: bool, timeout: f64, limit: Option<RateLimiter>, routers: f64) -> Self {
         Self { supported, timeout, limit, routers, pending: 0.0, backoff: Backoff::default() }
     }
 
@@ -99,10 +99,10 @@
     /// Whether the budget allows one more load request.
     pub(crate) fn within_limit(&mut self, now: f64, budgets: &mut FleetBudgets) -> bool {
         let own_part = self.limit.as_ref().map_or(0.0, |limit| limit.free);
-        let free = budgets.allowed(now, Budget::Orders, own_part);
+        let free = budgets.allowed(now, Budget::LoadRequests, own_part);
         let within = self.limit.as_mut().is_none_or(|limit| limit.may(now, free));
         if !within {
-            budgets.note_exhausted(Budget::Orders);
+            budgets.note_exhausted(Budget::LoadRequests);
         }
         within
     }
@@ -113,14 +113,14 @@
         now: f64,
         request: LoadRequest,
         functions: &mut Functions,
-        host: &mut dyn Host,
+        host: &mut dyn Effects,
     ) {
         self.limit.iter_mut().for_each(|limit| limit.done(now));
         if let Some(f) = functions.get_mut(request.function) {
             f.placement(request.worker).loading_until = now + self.timeout;
         }
         self.pending += 1.0;
-        host.hold(request.worker, request.function, request.instances);
+        host.request_load(request.worker, request.function, request.instances);
     }
 
     /// A load request was answered.
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -2,8 +2,8 @@
 //! ejection at a threshold: the probability that a worker is passed over grows with its outlier score, and
 //! the score decays.
 
-use crate::decay::Fading;
-use crate::events::{Answer, Outcome};
+use crate::decay::DecayingSum;
+use crate::events::{AttemptCompletion, Outcome};
 use crate::request_state::Attempt;
 use crate::worker_state::Worker;
 
@@ -28,7 +28,7 @@
     /// The evidence of a result, if any. `answered_at` is when the worker last answered, `has_succeeded`
     /// whether any request of the function did, and `latency` the mean of answers, in seconds.
     pub(crate) fn of(
-        answer: &Answer,
+        answer: &AttemptCompletion,
         attempt: &Attempt,
         answered_at: f64,
         has_succeeded: bool,
@@ -37,24 +37,24 @@
         /// Mean latencies after which silence is more than a slow request.
         const SILENCE: f64 = 4.0;
         match answer.outcome {
-            Outcome::Handled => Some(Self::HANDLED),
+            Outcome::Succeeded => Some(Self::HANDLED),
             // A function that no worker knows fails on all of them: by its failures all would be outliers.
             Outcome::Failed if has_succeeded => Some(Self::FAILED),
             // A timeout while a load is awaited is the store's; among answers, that of a long request; and
             // after a short time, that of a client that left early.
-            Outcome::Overdue | Outcome::Withdrawn
+            Outcome::TimedOut | Outcome::Cancelled
                 if attempt.warm && answered_at < attempt.sent_at && answer.latency > SILENCE * latency =>
             {
                 Some(Self::SILENT)
             }
-            Outcome::Cut => Some(Self::CUT),
-            Outcome::Unreached => Some(Self::UNREACHED),
+            Outcome::ConnectionLost => Some(Self::CUT),
+            Outcome::Unreachable => Some(Self::UNREACHED),
             Outcome::Failed
-            | Outcome::Overdue
-            | Outcome::Withdrawn
-            | Outcome::Full
-            | Outcome::Missed
-            | Outcome::Unsent => None,
+            | Outcome::TimedOut
+            | Outcome::Cancelled
+            | Outcome::Rejected
+            | Outcome::NotLoaded
+            | Outcome::NotSent => None,
         }
     }
 }
@@ -71,6 +71,6 @@
     /// Moves the outlier score, a weighted mean, towards the evidence.
     pub(crate) fn record_evidence(&mut self, now: f64, Evidence { fault, weight }: Evidence) {
         let outlier_score = self.outlier_score.now(now, SCORE_HALF_LIFE);
-        self.outlier_score = Fading { sum: outlier_score + weight * (fault - outlier_score), at: now };
+        self.outlier_score = DecayingSum { sum: outlier_score + weight * (fault - outlier_score), at: now };
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -2,7 +2,7 @@
 //! is asked to load one and joins once it is there; where all members are above the fair load, workers past
 //! the set in ring order are taken.
 
-use crate::effects::Host;
+use crate::effects::Effects;
 use crate::function_state::Function;
 use crate::load_requests::LoadRequest;
 use crate::overload::TimeBounds;
@@ -121,7 +121,7 @@
 
 impl RouterState {
     /// Chooses the worker of a request.
-    pub(crate) fn place(&mut self, now: f64, id: usize, host: &mut dyn Host) -> Decision {
+    pub(crate) fn place(&mut self, now: f64, id: usize, host: &mut dyn Effects) -> Decision {
         let Some(query) = self.query(now, id) else { return Decision::GiveUp };
         let Some(function) = self.functions.take(query.function_index) else { return Decision::GiveUp };
         let common = self.common_load(now, &query, &function);
@@ -167,7 +167,7 @@
             .functions
             .get(function_index)
             .map_or(0.0, |f| f.concurrency(now, self.routers, self.latency, remote_weight));
-        let due = self.profiles[profile].due * if over_quota { 0.5 } else { 1.0 };
+        let due = self.profiles[profile].latency_objective * if over_quota { 0.5 } else { 1.0 };
         Some(Query { id, function_index, over_quota, waited, left, due, concurrency, remote_weight })
     }
 
@@ -320,7 +320,7 @@
 
     /// Whether the request waits for a health check of its worker. Other routers' requests are known from
     /// load reports alone, so a stale one is renewed before an unknown queue is joined; but not for long.
-    fn probes_first(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) -> bool {
+    fn probes_first(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Effects) -> bool {
         /// Part of the latency objective that health checks before an attempt may take.
         const PROBE_SHARE: f64 = 0.03;
         let waits = self.probes_enabled
@@ -333,7 +333,7 @@
     }
 
     /// Requests the instances that the worker lacks for the request.
-    fn request_missing_instances(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Host) {
+    fn request_missing_instances(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Effects) {
         /// Mean load times under which a client may leave before its load is over.
         const MIN_LOADS_LEFT: f64 = 2.0;
         /// Instances that one load request may ask for.
--- a/crates/policy/src/rate_limiter.rs
+++ b/crates/policy/src/rate_limiter.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 /// Counts actions against those that are free in a sliding window and those that requests have earned in it.
-pub struct Ration {
+pub struct RateLimiter {
     /// Seconds.
     window: f64,
     /// Actions that are free by the configuration.
@@ -19,7 +19,7 @@
     done: VecDeque<f64>,
 }
 
-impl Ration {
+impl RateLimiter {
     /// A limiter by its window in seconds, the actions that are free in it and those that a request earns;
     /// `edge` in seconds is how sharply the window's edge can be measured.
     pub fn new((window, free, share): (f64, f64, f64), edge: f64) -> Self {
--- a/crates/policy/src/rate_limiter/tests.rs
+++ b/crates/policy/src/rate_limiter/tests.rs
@@ -3,7 +3,7 @@
 /// Two actions ten seconds apart, the first of which was done late: the second waits for the window.
 #[test]
 fn an_action_counts_from_when_it_was_done() {
-    let mut limiter = Ration::new((10.0, 1.0, 0.0), 0.05);
+    let mut limiter = RateLimiter::new((10.0, 1.0, 0.0), 0.05);
     assert!(limiter.may(0.2, 1.0));
     limiter.done(0.2);
     assert!(!limiter.may(10.01, 1.0) && !limiter.may(10.24, 1.0) && limiter.may(10.26, 1.0));
@@ -11,7 +11,7 @@
 
 #[test]
 fn requests_earn_actions_for_one_window() {
-    let mut limiter = Ration::new((10.0, 0.0, 0.5), 0.05);
+    let mut limiter = RateLimiter::new((10.0, 0.0, 0.5), 0.05);
     assert!(!limiter.may(0.0, 0.0));
     (0..4).for_each(|n| limiter.take(f64::from(n)));
     for _ in 0..2 {
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,9 +1,9 @@
 //! Retries: which requests may be sent again by their idempotency, to which workers, and the retry budget.
 
-use crate::config::{Effect, Group};
+use crate::config::{Idempotency, KeyScope};
 use crate::effects::Budget;
 use crate::fleet_budgets::FleetBudgets;
-use crate::rate_limiter::Ration;
+use crate::rate_limiter::RateLimiter;
 use crate::request_state::{Attempt, Request};
 use crate::worker_state::Worker;
 
@@ -12,7 +12,7 @@
     /// Attempts that a request may have.
     pub(crate) max_attempts: usize,
     /// The retry budget; unlimited where there is none.
-    pub(crate) budget: Option<Ration>,
+    pub(crate) budget: Option<RateLimiter>,
 }
 
 impl RetryPolicy {
@@ -22,7 +22,7 @@
         &self,
         now: f64,
         request: &Request,
-        effect: Effect,
+        effect: Idempotency,
         has_succeeded: bool,
     ) -> bool {
         /// Attempts that may have run of a function that never succeeded: then the function itself is taken
@@ -30,9 +30,9 @@
         const MAX_UNPROVEN: usize = 2;
         let mut may_have_run = request.attempts.iter().filter(|attempt| !attempt.never_ran);
         let repeatable = match effect {
-            Effect::Pure => true,
-            Effect::Effectful => may_have_run.next().is_none(),
-            Effect::Receipted { .. } => !key_expired(now, request, effect),
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => may_have_run.next().is_none(),
+            Idempotency::IdempotentWithKey { .. } => !key_expired(now, request, effect),
         };
         let unproven =
             request.attempts.iter().filter(|attempt| !attempt.in_flight && !attempt.never_ran).count()
@@ -67,8 +67,8 @@
 }
 
 /// Whether an attempt that ended may have run so long ago that its idempotency key is no longer known.
-pub(crate) fn key_expired(now: f64, request: &Request, effect: Effect) -> bool {
-    let Effect::Receipted { memory, .. } = effect else { return false };
+pub(crate) fn key_expired(now: f64, request: &Request, effect: Idempotency) -> bool {
+    let Idempotency::IdempotentWithKey { memory, .. } = effect else { return false };
     request
         .attempts
         .iter()
@@ -77,10 +77,14 @@
 
 /// Whether a request may have an attempt at a worker after those that it had: the worker knows the
 /// idempotency key of each that may have run, and may not have failed one itself.
-pub(crate) fn may_run_on(request: &Request, effect: Effect, index: usize, worker: &Worker) -> bool {
+pub(crate) fn may_run_on(request: &Request, effect: Idempotency, index: usize, worker: &Worker) -> bool {
     let known = |attempt: &Attempt| match effect {
-        Effect::Receipted { group: Group::Zone, .. } => attempt.never_ran || attempt.zone == worker.zone,
-        Effect::Receipted { group: Group::Cell, .. } => attempt.never_ran || attempt.cell == worker.cell,
+        Idempotency::IdempotentWithKey { group: KeyScope::Zone, .. } => {
+            attempt.never_ran || attempt.zone == worker.zone
+        }
+        Idempotency::IdempotentWithKey { group: KeyScope::Cell, .. } => {
+            attempt.never_ran || attempt.cell == worker.cell
+        }
         _ => true,
     };
     let fresh = |attempt: &Attempt| attempt.worker != index || attempt.never_ran;
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,16 +1,16 @@
-//! The events that a router is notified of, and the order of the stages. A host (see [`Host`]) calls the
+//! The events that a router is notified of, and the order of the stages. A host (see [`Effects`]) calls the
 //! router as things happen: `listed` and `list_complete` for the endpoint list, `arrived`, `answered` and
 //! `close` for requests, `held` for load requests, `probed` for health checks and `woken` for time. The
-//! router acts through the `Host` passed in.
+//! router acts through the `Effects` passed in.
 //!
 //! A request passes the stages admission, placement and dispatch; each passes it on, queues it or ends it.
 //! The result of an attempt is recorded on its worker and its function, and ends the request or sends it
 //! through the stages again.
 
 use crate::admission;
-use crate::config::{Charter, Effect, Group};
-use crate::effects::{Budget, Host};
-use crate::events::{Answer, Arrival, Listing, Outcome, Report};
+use crate::config::{Idempotency, KeyScope, PolicyConfig};
+use crate::effects::{Budget, Effects};
+use crate::events::{Arrival, AttemptCompletion, EndpointUpdate, LoadReport, Outcome};
 use crate::fleet_budgets::Step;
 use crate::outlier_detection::Evidence;
 use crate::placement::Decision;
@@ -33,9 +33,9 @@
 
 impl Router {
     /// A router at its start.
-    pub fn new(config: Charter, now: f64, host: &mut dyn Host) -> Self {
-        if config.asks {
-            host.follow();
+    pub fn new(config: PolicyConfig, now: f64, host: &mut dyn Effects) -> Self {
+        if config.watches_on_request {
+            host.watch_endpoints();
         }
         Self {
             state: RouterState::new(config, now),
@@ -49,7 +49,7 @@
     /// Sets how many routers there likely are, and the fraction of its configured part of budgets that this
     /// one may use: the first until a time, and the second from then on. Until it is called the configured
     /// number of routers holds.
-    pub fn share(&mut self, routers: f64, quota_fraction: [f64; 2], until: f64) {
+    pub fn set_quota_fraction(&mut self, routers: f64, quota_fraction: [f64; 2], until: f64) {
         self.state.routers = routers.max(1.0);
         let [before, after] = quota_fraction;
         self.state.budgets.set_quota_fraction(Step { before, after, until });
@@ -57,19 +57,19 @@
 
     /// Sets what this router may use of a budget beside its own part, in the budget's units: the first until
     /// a time, and the second from then on. Either may be negative.
-    pub fn allot(&mut self, budget: Budget, lease: [f64; 2], until: f64) {
+    pub fn set_lease(&mut self, budget: Budget, lease: [f64; 2], until: f64) {
         let [before, after] = lease;
         self.state.budgets.set_lease(budget, Step { before, after, until });
     }
 
     /// Sets the concurrency of functions at other routers, by name; functions that are not named have none.
-    pub fn elsewhere(&mut self, now: f64, concurrency: &BTreeMap<u64, f64>) {
+    pub fn set_remote_concurrency(&mut self, now: f64, concurrency: &BTreeMap<u64, f64>) {
         self.state.remote_reported_at = now;
         self.state.functions.set_remote_concurrency(concurrency);
     }
 
     /// The concurrency of functions at this router, by name.
-    pub fn busy(&self, now: f64) -> impl Iterator<Item = (u64, f64)> {
+    pub fn local_concurrency(&self, now: f64) -> impl Iterator<Item = (u64, f64)> {
         self.state.functions.iter().map(move |f| (f.name, f.local_concurrency(now)))
     }
 
@@ -77,13 +77,13 @@
     pub fn in_use(&mut self, now: f64, budget: Budget) -> f64 {
         match budget {
             Budget::Retries => self.state.retry.budget.as_mut().map_or(0.0, |r| r.used(now)),
-            Budget::Hand(worker) => self.state.workers.get(worker).map_or(0.0, |w| w.in_flight as f64),
-            Budget::Orders | Budget::Quota(_) | Budget::Ceiling(_) => 0.0,
+            Budget::InFlight(worker) => self.state.workers.get(worker).map_or(0.0, |w| w.in_flight as f64),
+            Budget::LoadRequests | Budget::Quota(_) | Budget::RateLimit(_) => 0.0,
         }
     }
 
     /// An endpoint of the list, new or changed. [`list_complete`](Self::list_complete) ends a list.
-    pub fn listed(&mut self, endpoint: Listing) {
+    pub fn update_endpoint(&mut self, endpoint: EndpointUpdate) {
         let memory = self.state.worker_memory.get(endpoint.kind).copied().unwrap_or(f64::INFINITY);
         if self.state.workers.listed(&endpoint, memory) {
             self.state.functions.iter_mut().for_each(|f| f.worker_restarted(endpoint.worker));
@@ -91,12 +91,12 @@
     }
 
     /// A complete list begins: endpoints that are not in it are gone.
-    pub fn list_renewed(&mut self) {
+    pub fn begin_full_list(&mut self) {
         self.state.workers.renewed();
     }
 
     /// All endpoints of a list, or of a change of it, have been given.
-    pub fn list_complete(&mut self, now: f64, host: &mut dyn Host) {
+    pub fn end_list(&mut self, now: f64, host: &mut dyn Effects) {
         let workers = &self.state.workers;
         let ready = (0..workers.len()).filter(|&w| workers[w].is_ready());
         self.state.ring.build(ready, |w| workers[w].name);
@@ -104,7 +104,7 @@
     }
 
     /// The registry did not answer, or ended the watch of its list: it is requested again after a moment.
-    pub fn list_failed(&mut self, now: f64, host: &mut dyn Host) {
+    pub fn watch_failed(&mut self, now: f64, host: &mut dyn Effects) {
         if self.state.watches_on_request {
             self.watch_again_at = now + 0.5 + self.state.random.uniform();
             self.wake_by(now, self.watch_again_at, host);
@@ -112,19 +112,19 @@
     }
 
     /// A request arrived, with an index that no other unreleased request has.
-    pub fn arrived(&mut self, now: f64, id: usize, arrival: Arrival, host: &mut dyn Host) {
+    pub fn request_arrived(&mut self, now: f64, id: usize, arrival: Arrival, host: &mut dyn Effects) {
         let state = &mut self.state;
         state.load_requests.arrived(now);
         state.retry.budget.iter_mut().for_each(|r| r.take(now));
         state.functions.arrived(now, &arrival);
         let over_quota =
-            !arrival.repeat && state.admission.is_over_quota(now, arrival.client, &state.budgets);
+            !arrival.is_retry && state.admission.is_over_quota(now, arrival.client, &state.budgets);
         let request = Request {
             function: arrival.function,
             profile: arrival.profile.min(state.profiles.len().saturating_sub(1)),
             client: arrival.client,
             arrived_at: now,
-            deadline: now + arrival.patience,
+            deadline: now + arrival.timeout,
             is_open: true,
             over_quota,
             admitted_at: f64::NEG_INFINITY,
@@ -135,27 +135,27 @@
         self.open.push(id);
         state.functions.sweep(now, host);
         let margin = state.margin;
-        if arrival.patience <= margin {
+        if arrival.timeout <= margin {
             return self.reject_or_fail(id, host);
         }
-        self.wake_by(now, now + (arrival.patience - margin).min(margin), host);
+        self.wake_by(now, now + (arrival.timeout - margin).min(margin), host);
         self.advance(now, id, false, host);
     }
 
     /// Takes a request through the stages from the first; returns whether it left the queue.
-    fn advance(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Host) -> bool {
+    fn advance(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Effects) -> bool {
         match self.admit(now, id, blocked, host) {
             Decision::Dispatch(worker) => self.state.send_attempt(now, id, worker, host),
             Decision::GiveUp => self.reject_or_fail(id, host),
             Decision::Queue => self.queued.push(id),
         }
-        self.state.budgets.take_exhausted().for_each(|budget| host.lacks(budget));
+        self.state.budgets.take_exhausted().for_each(|budget| host.budget_exhausted(budget));
         self.queued.last() != Some(&id)
     }
 
     /// Admission, then placement: a request for which no worker has capacity is queued while an answer can
     /// still be in time.
-    fn admit(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Host) -> Decision {
+    fn admit(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Effects) -> Decision {
         let state = &mut self.state;
         if !state.may_attempt_again(now, id)
             || !state.within_rate_limit(now, id)
@@ -168,7 +168,7 @@
             other => return other,
         }
         let Some(request) = state.requests.get(id) else { return Decision::GiveUp };
-        let due = state.profiles[request.profile].due;
+        let due = state.profiles[request.profile].latency_objective;
         let loaded = state
             .functions
             .get(request.function)
@@ -180,19 +180,19 @@
         }
     }
 
-    /// Whether an attempt that [`Host::send`] asked for before may begin now, when its connection is up.
-    pub fn may_begin(&self, now: f64, id: usize, worker: usize) -> bool {
+    /// Whether an attempt that [`Effects::send`] asked for before may begin now, when its connection is up.
+    pub fn may_send(&self, now: f64, id: usize, worker: usize) -> bool {
         self.state.may_begin(now, id, worker)
     }
 
     /// An attempt ended: it is recorded, and its request ends or is placed again.
-    pub fn answered(&mut self, now: f64, id: usize, answer: Answer, host: &mut dyn Host) {
+    pub fn attempt_ended(&mut self, now: f64, id: usize, answer: AttemptCompletion, host: &mut dyn Effects) {
         let Some((function, attempt)) = self.state.attempt_ended(id, &answer) else { return };
         self.state.record_on_worker(now, function, &attempt, &answer);
         self.state.record_load(now, &answer);
         self.state.record_on_function(now, function, &attempt, &answer);
-        if answer.settled {
-            self.close(id, None, host);
+        if answer.is_final {
+            self.close_request(id, None, host);
         }
         self.release_if_done(id, host);
         if self
@@ -208,20 +208,20 @@
 
     /// The client has gone, has its answer, or gets it streamed by the attempt `streaming`: other attempts are
     /// cancelled.
-    pub fn close(&mut self, id: usize, streaming: Option<usize>, host: &mut dyn Host) {
+    pub fn close_request(&mut self, id: usize, streaming: Option<usize>, host: &mut dyn Effects) {
         let Some(request) = self.state.requests.get_mut(id) else { return };
         if std::mem::replace(&mut request.is_open, false) && self.state.can_cancel {
             for attempt in
                 (0..request.attempts.len()).filter(|&n| request.attempts[n].in_flight && Some(n) != streaming)
             {
-                host.cancel(id, attempt);
+                host.cancel_attempt(id, attempt);
             }
         }
         self.release_if_done(id, host);
     }
 
     /// Releases a request that has its answer, once no attempt of it is in flight.
-    fn release_if_done(&mut self, id: usize, host: &mut dyn Host) {
+    fn release_if_done(&mut self, id: usize, host: &mut dyn Effects) {
         if self
             .state
             .requests
@@ -233,26 +233,29 @@
             function.into_iter().for_each(|f| f.open_requests -= 1);
             self.open.retain(|&other| other != id);
             self.queued.retain(|&other| other != id);
-            host.forget(id);
+            host.release_request(id);
         }
     }
 
     /// Gives the final answer of a request that cannot be served: rejected where a repeat is harmless, else
     /// failed.
-    fn reject_or_fail(&mut self, id: usize, host: &mut dyn Host) {
+    fn reject_or_fail(&mut self, id: usize, host: &mut dyn Effects) {
         let Some(request) = self.state.requests.get(id).filter(|request| request.is_open) else { return };
         let profile = self.state.profiles[request.profile];
-        let harmless = matches!(profile.effect, Effect::Pure | Effect::Receipted { group: Group::All, .. });
+        let harmless = matches!(
+            profile.idempotency,
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey { group: KeyScope::All, .. }
+        );
         if harmless || request.attempts.iter().all(|s| s.never_ran) {
-            host.bounce(id, self.state.admission.retry_after(request, profile.due));
+            host.reject(id, self.state.admission.retry_after(request, profile.latency_objective));
         } else {
-            host.terminate(id);
+            host.fail(id);
         }
-        self.close(id, None, host);
+        self.close_request(id, None, host);
     }
 
     /// Places queued requests again.
-    fn retry_queued(&mut self, now: f64, host: &mut dyn Host) {
+    fn retry_queued(&mut self, now: f64, host: &mut dyn Effects) {
         // One that stays queued speaks for those behind it that want the same function.
         let mut blocked = Vec::new();
         for id in std::mem::take(&mut self.queued) {
@@ -268,14 +271,14 @@
     }
 
     /// A load request was answered, by a worker with so many instances of the function.
-    pub fn held(
+    pub fn load_request_ended(
         &mut self,
         now: f64,
         worker: usize,
         function: usize,
         outcome: Outcome,
         instances: u8,
-        host: &mut dyn Host,
+        host: &mut dyn Effects,
     ) {
         let state = &mut self.state;
         if let Some(f) = state.functions.get_mut(function) {
@@ -288,9 +291,9 @@
             }
         }
         match outcome {
-            Outcome::Unreached => state.workers[worker].record_evidence(now, Evidence::UNREACHED),
-            Outcome::Failed | Outcome::Handled => {
-                state.load_requests.load_ended(now, outcome == Outcome::Handled, &mut state.random);
+            Outcome::Unreachable => state.workers[worker].record_evidence(now, Evidence::UNREACHED),
+            Outcome::Failed | Outcome::Succeeded => {
+                state.load_requests.load_ended(now, outcome == Outcome::Succeeded, &mut state.random);
             }
             _ => {}
         }
@@ -298,33 +301,33 @@
     }
 
     /// A health check was answered, or was not.
-    pub fn probed(
+    pub fn health_check_ended(
         &mut self,
         now: f64,
         worker: usize,
         outcome: Outcome,
-        report: Option<Report>,
-        host: &mut dyn Host,
+        report: Option<LoadReport>,
+        host: &mut dyn Effects,
     ) {
         let worker_state = &mut self.state.workers[worker];
         worker_state.probe_ended();
         worker_state.record_report(now, report, self.state.routers);
-        if outcome == Outcome::Unreached {
+        if outcome == Outcome::Unreachable {
             worker_state.record_evidence(now, Evidence::UNREACHED);
         }
         self.retry_queued(now, host);
     }
 
     /// Asks to be woken at a time, unless the host does so before.
-    fn wake_by(&mut self, now: f64, at: f64, host: &mut dyn Host) {
+    fn wake_by(&mut self, now: f64, at: f64, host: &mut dyn Effects) {
         if at < self.wake_at {
             self.wake_at = at;
-            host.wake((at - now).max(0.0));
+            host.wake_after((at - now).max(0.0));
         }
     }
 
-    /// The time that [`Host::wake`] asked for has come.
-    pub fn woken(&mut self, now: f64, host: &mut dyn Host) {
+    /// The time that [`Effects::wake`] asked for has come.
+    pub fn timer_fired(&mut self, now: f64, host: &mut dyn Effects) {
         /// Seconds between two checks of open requests: short against latency objectives, long against the
         /// work of one.
         const INTERVAL: f64 = 0.005;
@@ -334,7 +337,7 @@
         self.wake_at = f64::INFINITY;
         if now >= self.watch_again_at {
             self.watch_again_at = f64::INFINITY;
-            host.follow();
+            host.watch_endpoints();
         }
         for id in self.open.clone() {
             let request = self.state.requests.get(id);
--- a/crates/policy/src/router_state.rs
+++ b/crates/policy/src/router_state.rs
@@ -3,14 +3,14 @@
 //! events and their order are in `router`.
 
 use crate::admission::Admission;
-use crate::config::{Charter, Effect, Profile};
-use crate::effects::Host;
+use crate::config::{Idempotency, PolicyConfig, Profile};
+use crate::effects::Effects;
 use crate::fleet_budgets::FleetBudgets;
 use crate::function_state::Functions;
 use crate::hash_ring::HashRing;
 use crate::load_requests::{LoadRequest, LoadRequests};
 use crate::random::Random;
-use crate::rate_limiter::Ration;
+use crate::rate_limiter::RateLimiter;
 use crate::request_state::Requests;
 use crate::retry::RetryPolicy;
 use crate::slow_start::SlowStart;
@@ -60,15 +60,15 @@
 
 impl RouterState {
     /// The state at the start, from the configuration.
-    pub(crate) fn new(config: Charter, now: f64) -> Self {
+    pub(crate) fn new(config: PolicyConfig, now: f64) -> Self {
         /// The profile of a request that states none: not idempotent.
-        const UNSTATED: Profile = Profile { due: 1.0, effect: Effect::Effectful };
+        const UNSTATED: Profile = Profile { latency_objective: 1.0, idempotency: Idempotency::NonIdempotent };
         /// Seconds of rounding of clocks at a window's edge.
         const EDGE_TOLERANCE: f64 = 1e-5;
         let routers = config.routers.max(1) as f64;
         let own_part = |all: Vec<f64>| all.into_iter().map(|figure| figure / routers).collect();
-        let sheds_over_quota = config.over_share < 1.0;
-        let limit = |budget: Option<(f64, f64, f64)>| budget.map(|r| Ration::new(r, EDGE_TOLERANCE));
+        let sheds_over_quota = config.over_quota_weight < 1.0;
+        let limit = |budget: Option<(f64, f64, f64)>| budget.map(|r| RateLimiter::new(r, EDGE_TOLERANCE));
         Self {
             random: Random::new(config.seed),
             routers,
@@ -77,32 +77,40 @@
             admission: Admission::new(
                 now,
                 own_part(config.quotas),
-                own_part(config.ceilings),
+                own_part(config.rate_limits),
                 sheds_over_quota,
-                config.come_back,
+                config.max_retry_after,
+            ),
+            retry: RetryPolicy {
+                max_attempts: config.max_attempts.max(1),
+                budget: limit(config.retry_budget),
+            },
+            load_requests: LoadRequests::new(
+                config.can_request_loads,
+                config.load_request_timeout,
+                limit(config.load_budget),
+                routers,
             ),
-            retry: RetryPolicy { max_attempts: config.shots.max(1), budget: limit(config.retries) },
-            load_requests: LoadRequests::new(config.orders, config.order_wait, limit(config.ration), routers),
             slow_start: SlowStart {
-                initial_capacity: config.cold_share.clamp(0.0, 1.0),
+                initial_capacity: config.initial_capacity.clamp(0.0, 1.0),
                 warm_up: config.warm_up,
-                overload_multiple: config.tip_multiple,
-                overload_window: config.tip_window,
+                overload_multiple: config.overload_multiple,
+                overload_window: config.overload_window,
             },
             throughput: Throughput::default(),
             workers: WorkerTable::default(),
             ring: HashRing::default(),
             functions: Functions::default(),
             requests: Requests::default(),
-            can_cancel: config.cancels,
-            reports_missing: config.misses,
-            watches_on_request: config.asks,
+            can_cancel: config.can_cancel,
+            reports_missing: config.reports_missing_functions,
+            watches_on_request: config.watches_on_request,
             // One router alone knows what it sends, without health checks.
-            probes_enabled: config.probes && config.routers > 1,
-            keep_alive: config.keep,
+            probes_enabled: config.can_probe && config.routers > 1,
+            keep_alive: config.keep_alive,
             worker_memory: config.memory,
-            max_in_flight: config.hand / routers,
-            margin: 2.0 * config.tick.max(0.001),
+            max_in_flight: config.max_in_flight / routers,
+            margin: 2.0 * config.clock_resolution.max(0.001),
             remote_reported_at: f64::NEG_INFINITY,
             latency: 0.3,
             load_latency: 1.0,
@@ -115,7 +123,7 @@
     }
 
     /// Sends a load request, where that is allowed.
-    pub(crate) fn request_load(&mut self, now: f64, request: LoadRequest, host: &mut dyn Host) {
+    pub(crate) fn request_load(&mut self, now: f64, request: LoadRequest, host: &mut dyn Effects) {
         if !self.load_requests.is_wanted(now, request, &self.workers, &self.functions) {
             return;
         }
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -1,7 +1,7 @@
 //! The throughput of warm workers for their size, as far as this router measures it: a lower bound of their
 //! capacity.
 
-use crate::decay::{Fading, RATE_HALF};
+use crate::decay::{DecayingSum, RATE_HALF};
 use crate::worker_state::{Worker, WorkerTable};
 
 /// Half life in seconds of the peak rate: a quiet time or a slow one does not lower the bounds that follow
@@ -12,12 +12,12 @@
 #[derive(Default)]
 pub(crate) struct Throughput {
     /// Answers of warm workers, and the sum of their size times seconds.
-    answers: Fading,
-    size_time: Fading,
+    answers: DecayingSum,
+    size_time: DecayingSum,
     /// When the rate was last calculated, the rate, and its decaying peak.
     counted_at: f64,
     rate: f64,
-    peak: Fading,
+    peak: DecayingSum,
 }
 
 impl Throughput {
@@ -46,7 +46,7 @@
             0.0
         };
         if rate > self.peak(now) {
-            self.peak = Fading { sum: rate, at: now };
+            self.peak = DecayingSum { sum: rate, at: now };
         }
         (self.counted_at, self.rate) = (now, rate);
         rate
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -1,8 +1,8 @@
 //! What is known of each worker: its endpoint, this router's attempts there, and their results. Times are in
 //! seconds.
 
-use crate::decay::Fading;
-use crate::events::{Listing, State};
+use crate::decay::DecayingSum;
+use crate::events::{EndpointState, EndpointUpdate};
 use std::ops::{Index, IndexMut};
 
 /// When a worker last rejected attempts, apart for those that needed a load and those that met a loaded
@@ -41,7 +41,7 @@
 pub(crate) struct Worker {
     /// A hash of its name that is the same on every router: its place on the hash ring.
     pub(crate) name: u64,
-    pub(crate) state: State,
+    pub(crate) state: EndpointState,
     /// When its process started; minus infinity means long ago.
     pub(crate) started: f64,
     pub(crate) size: f64,
@@ -66,7 +66,7 @@
     /// When a health check was sent that is not answered yet; minus infinity where there is none.
     pub(crate) probed_at: f64,
     /// Outlier score, 0 to 1.
-    pub(crate) outlier_score: Fading,
+    pub(crate) outlier_score: DecayingSum,
     /// The current turn of its slow-start window.
     pub(crate) turn: SlowStartTurn,
 }
@@ -74,7 +74,7 @@
 impl Worker {
     const UNKNOWN: Self = Self {
         name: 0,
-        state: State::Gone,
+        state: EndpointState::Gone,
         started: f64::NEG_INFINITY,
         size: 1.0,
         memory: f64::INFINITY,
@@ -89,18 +89,18 @@
         counts_running: false,
         reported_at: f64::NEG_INFINITY,
         probed_at: f64::NEG_INFINITY,
-        outlier_score: Fading { sum: 0.0, at: 0.0 },
+        outlier_score: DecayingSum { sum: 0.0, at: 0.0 },
         turn: SlowStartTurn::NONE,
     };
 
     pub(crate) fn is_ready(&self) -> bool {
-        self.state == State::Ready
+        self.state == EndpointState::Ready
     }
 
     /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
     /// before.
-    fn listed(&mut self, endpoint: &Listing, memory: f64) -> bool {
-        let started = endpoint.started.unwrap_or(f64::NEG_INFINITY);
+    fn listed(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
+        let started = endpoint.started_at.unwrap_or(f64::NEG_INFINITY);
         // The index was another worker's: nothing of that one holds for this.
         let other = self.name != endpoint.name;
         let anew = other || started > self.started;
@@ -108,7 +108,7 @@
             // A new process: without instances, in slow start, and not responsible for the faults of the old
             // one.
             self.started = started;
-            self.outlier_score = Fading::default();
+            self.outlier_score = DecayingSum::default();
             self.foreign_load = None;
             self.turn = SlowStartTurn::NONE;
         }
@@ -131,7 +131,7 @@
 impl WorkerTable {
     /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
     /// before.
-    pub(crate) fn listed(&mut self, endpoint: &Listing, memory: f64) -> bool {
+    pub(crate) fn listed(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
         if endpoint.worker >= self.workers.len() {
             self.workers.resize(endpoint.worker + 1, Worker::UNKNOWN);
         }
@@ -140,7 +140,7 @@
 
     /// A complete list begins: endpoints that are not in it are gone.
     pub(crate) fn renewed(&mut self) {
-        self.workers.iter_mut().for_each(|w| w.state = State::Gone);
+        self.workers.iter_mut().for_each(|w| w.state = EndpointState::Gone);
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{HostCall, TestRouter, config, endpoint, idempotent};
-use milletpath_policy::host::{Budget, Charter, Outcome, State};
+use milletpath_policy::{Budget, EndpointState, Outcome, PolicyConfig};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -14,7 +14,7 @@
             let id = router.arrive(0, 4.0);
             router.advance(0.05);
             if !router.attempts(id).is_empty() {
-                router.answer(id, 0, Outcome::Handled, 0.05);
+                router.answer(id, 0, Outcome::Succeeded, 0.05);
             }
             id
         })
@@ -23,7 +23,12 @@
 }
 
 fn limited_to(ceiling: f64, routers: usize) -> TestRouter {
-    let settings = Charter { ceilings: vec![ceiling], come_back: Some(5.0), routers, ..config(idempotent()) };
+    let settings = PolicyConfig {
+        rate_limits: vec![ceiling],
+        max_retry_after: Some(5.0),
+        routers,
+        ..config(idempotent())
+    };
     let mut router = TestRouter::new(settings, 4);
     router.advance(1.0);
     router
@@ -36,7 +41,7 @@
     let mut router = limited_to(ceiling, routers);
     let rejected = rejected(&mut router, 10.0);
     assert!(rejected.abs_diff(expected) <= 8, "{rejected}");
-    assert_eq!(router.host.exhausted.contains(&Budget::Ceiling(0)), rejected > 0);
+    assert_eq!(router.host.exhausted.contains(&Budget::RateLimit(0)), rejected > 0);
     // Retry-After says when there are tokens again: a tenth of a second for each request at ten a second, with jitter.
     assert!(
         router.host.retry_after.iter().all(|a| a.is_some_and(|a| a > 0.0 && a <= 0.2)),
@@ -50,7 +55,7 @@
 fn a_lease_expires_by_itself() {
     let mut router = limited_to(10.0, 1);
     let end = router.host.now + 5.0;
-    router.router.allot(Budget::Ceiling(0), [10.0, -8.0], end);
+    router.router.set_lease(Budget::RateLimit(0), [10.0, -8.0], end);
     assert!(rejected(&mut router, 5.0) <= 10);
     let after = rejected(&mut router, 10.0);
     assert!(after >= 175, "{after} of 200 at two a second");
@@ -71,8 +76,8 @@
     let mut router = limited_to(20.0, 1);
     let id = router.arrive(0, 4.0);
     let worker = router.attempts(id)[0];
-    assert!(router.router.may_begin(router.host.now + 0.3, id, worker));
-    assert!(!router.router.may_begin(router.host.now + 0.6, id, worker));
+    assert!(router.router.may_send(router.host.now + 0.3, id, worker));
+    assert!(!router.router.may_send(router.host.now + 0.6, id, worker));
 }
 
 #[test_case(None, 3; "no bound")]
@@ -80,14 +85,14 @@
 #[test_case(Some((10.0, 0.0, 2.0)), 2; "two for each request")]
 #[test_case(Some((10.0, 0.0, 0.0)), 0; "none")]
 fn retries_stay_within_their_budget(retries: Option<(f64, f64, f64)>, expected: usize) {
-    let mut router = TestRouter::new(Charter { retries, ..config(idempotent()) }, 6);
+    let mut router = TestRouter::new(PolicyConfig { retry_budget: retries, ..config(idempotent()) }, 6);
     router.serve(0, 0.01);
     router.advance(10.0);
     let id = router.arrive(0, 4.0);
     for attempt in 0..4 {
         if router.attempts(id).len() > attempt {
             router.advance(0.01);
-            router.answer(id, attempt, Outcome::Cut, 0.01);
+            router.answer(id, attempt, Outcome::ConnectionLost, 0.01);
         }
     }
     assert_eq!(router.attempts(id).len() - 1, expected);
@@ -99,7 +104,8 @@
 /// Attempts in flight at a worker over all routers: this one has its part, and its lease.
 #[test]
 fn attempts_in_flight_at_a_worker_are_limited() {
-    let settings = Charter { hand: 8.0, routers: 4, orders: false, ..config(idempotent()) };
+    let settings =
+        PolicyConfig { max_in_flight: 8.0, routers: 4, can_request_loads: false, ..config(idempotent()) };
     let mut router = TestRouter::new(settings, 1);
     router.serve(0, 0.1);
     let out = |router: &TestRouter, ids: &[usize]| {
@@ -107,36 +113,37 @@
     };
     let ids: Vec<_> = (0..6).map(|_| router.arrive(0, 4.0)).collect();
     assert_eq!(out(&router, &ids), 2);
-    assert!(router.host.exhausted.contains(&Budget::Hand(0)));
-    assert_eq!(router.router.in_use(router.host.now, Budget::Hand(0)), 2.0);
-    router.router.allot(Budget::Hand(0), [-1.0, -1.0], f64::INFINITY);
+    assert!(router.host.exhausted.contains(&Budget::InFlight(0)));
+    assert_eq!(router.router.in_use(router.host.now, Budget::InFlight(0)), 2.0);
+    router.router.set_lease(Budget::InFlight(0), [-1.0, -1.0], f64::INFINITY);
     // Sent before, and too many by now: an attempt that has not begun does not begin.
-    assert!(!router.router.may_begin(router.host.now, ids[0], 0));
-    router.answer(ids[0], 0, Outcome::Unsent, 0.0);
-    assert!(router.router.may_begin(router.host.now, ids[1], 0));
+    assert!(!router.router.may_send(router.host.now, ids[0], 0));
+    router.answer(ids[0], 0, Outcome::NotSent, 0.0);
+    assert!(router.router.may_send(router.host.now, ids[1], 0));
 }
 
 /// Budgets that are never exhausted change nothing.
 #[test]
 fn an_ample_budget_decides_as_none_at_all() {
-    let played = |settings: Charter| {
+    let played = |settings: PolicyConfig| {
         let mut router = TestRouter::new(settings, 6);
         for round in 0..200 {
             let ids: Vec<_> = (0..3).map(|n| router.arrive((round + n) % 5, 4.0)).collect();
             router.advance(0.03);
             for id in ids {
                 for attempt in 0..router.attempts(id).len() {
-                    let outcome = if (round + attempt) % 7 == 0 { Outcome::Failed } else { Outcome::Handled };
+                    let outcome =
+                        if (round + attempt) % 7 == 0 { Outcome::Failed } else { Outcome::Succeeded };
                     router.answer(id, attempt, outcome, 0.03);
                 }
             }
         }
         router.host.calls
     };
-    let ample = Charter {
-        ceilings: vec![f64::INFINITY],
-        retries: Some((10.0, f64::INFINITY, 0.0)),
-        hand: 1e9,
+    let ample = PolicyConfig {
+        rate_limits: vec![f64::INFINITY],
+        retry_budget: Some((10.0, f64::INFINITY, 0.0)),
+        max_in_flight: 1e9,
         ..config(idempotent())
     };
     assert_eq!(played(config(idempotent())), played(ample));
@@ -148,13 +155,20 @@
         router.advance(0.1);
         for id in ids {
             (0..router.attempts(id).len())
-                .for_each(|attempt| router.answer(id, attempt, Outcome::Handled, 0.1));
+                .for_each(|attempt| router.answer(id, attempt, Outcome::Succeeded, 0.1));
         }
         for (_, worker) in router.load_requests() {
-            router.router.held(router.host.now, worker, 0, Outcome::Handled, 1, &mut router.host);
+            router.router.load_request_ended(
+                router.host.now,
+                worker,
+                0,
+                Outcome::Succeeded,
+                1,
+                &mut router.host,
+            );
         }
         if let Some(busy) = busy {
-            router.router.elsewhere(router.host.now, &BTreeMap::from([(1000, busy)]));
+            router.router.set_remote_concurrency(router.host.now, &BTreeMap::from([(1000, busy)]));
         }
     }
     let last = router.host.now - 3.0;
@@ -168,7 +182,7 @@
 /// A set is sized by the concurrency that other routers report, rather than by the local one times their number.
 #[test]
 fn a_worker_set_is_sized_by_the_concurrency_of_all_routers() {
-    let routers = Charter { routers: 12, ..config(idempotent()) };
+    let routers = PolicyConfig { routers: 12, ..config(idempotent()) };
     // A router without reports takes one request at a time for twelve.
     let guessed = members(&mut TestRouter::new(routers.clone(), 12), 1, None);
     let reported = members(&mut TestRouter::new(routers.clone(), 12), 1, Some(0.5));
@@ -179,10 +193,10 @@
 /// Reports of other routers decay: after some seconds the router's own estimate counts again.
 #[test]
 fn the_concurrency_that_other_routers_reported_decays() {
-    let mut router = TestRouter::new(Charter { routers: 12, ..config(idempotent()) }, 12);
+    let mut router = TestRouter::new(PolicyConfig { routers: 12, ..config(idempotent()) }, 12);
     let reported = members(&mut router, 1, Some(0.5));
     router.advance(30.0);
-    router.list((0..12).map(|w| endpoint(w, State::Ready, None)).collect());
+    router.list((0..12).map(|w| endpoint(w, EndpointState::Ready, None)).collect());
     let guessed = members(&mut router, 1, None);
     assert!(guessed > reported, "{guessed} {reported}");
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A host that records the calls of a router, and a router on it. Not every test file uses all of it.
 #![allow(dead_code)]
 
-use milletpath_policy::host::*;
-use milletpath_policy::policy::Router;
+use milletpath_policy::Router;
+use milletpath_policy::*;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostCall {
@@ -26,40 +26,40 @@
     pub retry_after: Vec<Option<f64>>,
 }
 
-impl Host for RecordingHost {
-    fn send(&mut self, id: usize, worker: usize, _until: f64) {
+impl Effects for RecordingHost {
+    fn send_attempt(&mut self, id: usize, worker: usize, _until: f64) {
         self.calls.push((self.now, HostCall::Send { id, worker }));
     }
-    fn cancel(&mut self, id: usize, attempt: usize) {
+    fn cancel_attempt(&mut self, id: usize, attempt: usize) {
         self.calls.push((self.now, HostCall::Cancel { id, attempt }));
     }
-    fn lacks(&mut self, what: Budget) {
+    fn budget_exhausted(&mut self, what: Budget) {
         self.exhausted.push(what);
     }
-    fn bounce(&mut self, id: usize, retry_after: Option<f64>) {
+    fn reject(&mut self, id: usize, retry_after: Option<f64>) {
         self.retry_after.push(retry_after);
         self.calls.push((self.now, HostCall::Reject { id }));
     }
-    fn terminate(&mut self, id: usize) {
+    fn fail(&mut self, id: usize) {
         self.calls.push((self.now, HostCall::Fail { id }));
     }
-    fn hold(&mut self, worker: usize, function: usize, copies: u8) {
+    fn request_load(&mut self, worker: usize, function: usize, copies: u8) {
         self.calls.push((self.now, HostCall::RequestLoad { worker, function, copies }));
     }
     fn unload(&mut self, _worker: usize, _function: usize) {}
     fn probe(&mut self, worker: usize) {
         self.calls.push((self.now, HostCall::Probe { worker }));
     }
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         self.wakes.push(self.now + after);
     }
-    fn follow(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.calls.push((self.now, HostCall::WatchEndpoints));
     }
-    fn forget(&mut self, id: usize) {
+    fn release_request(&mut self, id: usize) {
         self.forgotten.push(id);
     }
-    fn forget_function(&mut self, function: usize) {
+    fn release_function(&mut self, function: usize) {
         self.forgotten_functions.push(function);
     }
 }
@@ -72,52 +72,52 @@
 }
 
 pub fn idempotent() -> Profile {
-    Profile { due: 1.0, effect: Effect::Pure }
+    Profile { latency_objective: 1.0, idempotency: Idempotency::Idempotent }
 }
 
 /// A plain configuration: one router, one profile, load requests possible, no budgets.
-pub fn config(profile: Profile) -> Charter {
-    Charter {
+pub fn config(profile: Profile) -> PolicyConfig {
+    PolicyConfig {
         seed: 7,
         routers: 1,
         profiles: vec![profile],
         quotas: vec![],
-        ceilings: vec![],
-        retries: None,
-        hand: f64::INFINITY,
-        over_share: 1.0,
-        shots: 4,
-        cancels: true,
-        orders: true,
-        misses: false,
-        asks: false,
-        probes: false,
-        come_back: None,
-        keep: 10.0,
-        ration: None,
-        order_wait: 10.0,
-        cold_share: 0.2,
+        rate_limits: vec![],
+        retry_budget: None,
+        max_in_flight: f64::INFINITY,
+        over_quota_weight: 1.0,
+        max_attempts: 4,
+        can_cancel: true,
+        can_request_loads: true,
+        reports_missing_functions: false,
+        watches_on_request: false,
+        can_probe: false,
+        max_retry_after: None,
+        keep_alive: 10.0,
+        load_budget: None,
+        load_request_timeout: 10.0,
+        initial_capacity: 0.2,
         warm_up: 15.0,
-        tip_multiple: 2.5,
-        tip_window: 2.0,
+        overload_multiple: 2.5,
+        overload_window: 2.0,
         memory: vec![],
-        tick: 0.004,
+        clock_resolution: 0.004,
     }
 }
 
 impl TestRouter {
     /// A router with so many warm workers.
-    pub fn new(config: Charter, workers: usize) -> Self {
+    pub fn new(config: PolicyConfig, workers: usize) -> Self {
         let mut host = RecordingHost::default();
         let router = Router::new(config, 0.0, &mut host);
         let mut router = Self { host, router, next: 0 };
-        router.list((0..workers).map(|w| endpoint(w, State::Ready, None)).collect());
+        router.list((0..workers).map(|w| endpoint(w, EndpointState::Ready, None)).collect());
         router
     }
 
-    pub fn list(&mut self, lines: Vec<Listing>) {
-        lines.into_iter().for_each(|l| self.router.listed(l));
-        self.router.list_complete(self.host.now, &mut self.host);
+    pub fn list(&mut self, lines: Vec<EndpointUpdate>) {
+        lines.into_iter().for_each(|l| self.router.update_endpoint(l));
+        self.router.end_list(self.host.now, &mut self.host);
     }
 
     /// Advances the clock and wakes the router when it asked for it.
@@ -126,7 +126,7 @@
         while let Some(&at) = self.host.wakes.iter().min_by(|a, b| a.total_cmp(b)).filter(|&&t| t <= end) {
             self.host.wakes.retain(|&t| t != at);
             self.host.now = at.max(self.host.now);
-            self.router.woken(self.host.now, &mut self.host);
+            self.router.timer_fired(self.host.now, &mut self.host);
         }
         self.host.now = end;
     }
@@ -140,21 +140,28 @@
             name: 1000 + function as u64,
             profile: 0,
             client: 0,
-            patience,
-            repeat: false,
-            lanes: 2.0,
+            timeout: patience,
+            is_retry: false,
+            concurrency: 2.0,
             memory: 100.0,
-            load: None,
+            load_time: None,
         };
-        self.router.arrived(self.host.now, id, arrival, &mut self.host);
+        self.router.request_arrived(self.host.now, id, arrival, &mut self.host);
         id
     }
 
     pub fn answer(&mut self, id: usize, attempt: usize, outcome: Outcome, latency: f64) {
-        let settled = outcome == Outcome::Handled;
-        let answer =
-            Answer { shot: attempt, outcome, settled, latency, found: None, company: 0.0, report: None };
-        self.router.answered(self.host.now, id, answer, &mut self.host);
+        let settled = outcome == Outcome::Succeeded;
+        let answer = AttemptCompletion {
+            attempt,
+            outcome,
+            is_final: settled,
+            latency,
+            instance_state: None,
+            in_flight_of_function: 0.0,
+            report: None,
+        };
+        self.router.attempt_ended(self.host.now, id, answer, &mut self.host);
     }
 
     /// The workers of a request's attempts, in order.
@@ -171,7 +178,7 @@
         let id = self.arrive(function, 4.0);
         self.advance(latency);
         let attempt = self.attempts(id).len().checked_sub(1).expect("an attempt was sent");
-        self.answer(id, attempt, Outcome::Handled, latency);
+        self.answer(id, attempt, Outcome::Succeeded, latency);
         self.attempts(id)[attempt]
     }
 
@@ -188,11 +195,11 @@
     }
 }
 
-pub fn endpoint(worker: usize, state: State, started: Option<f64>) -> Listing {
-    Listing {
+pub fn endpoint(worker: usize, state: EndpointState, started: Option<f64>) -> EndpointUpdate {
+    EndpointUpdate {
         worker,
         name: 77 + worker as u64 * 13,
-        started,
+        started_at: started,
         size: 1.0,
         kind: 0,
         zone: worker % 2,
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::{HostCall, TestRouter, config, endpoint, idempotent};
-use milletpath_policy::host::{Charter, Listing, Outcome, Report, State};
+use milletpath_policy::{EndpointState, EndpointUpdate, LoadReport, Outcome, PolicyConfig};
 use test_case::test_case;
 
 #[test_case(2; "few routers")]
 #[test_case(300; "many, of which each sees one arrival")]
 fn routers_agree_on_the_home_worker_of_a_function(routers: usize) {
     let mut one = TestRouter::new(config(idempotent()), 8);
-    let mut other = TestRouter::new(Charter { seed: 99, routers, ..config(idempotent()) }, 8);
+    let mut other = TestRouter::new(PolicyConfig { seed: 99, routers, ..config(idempotent()) }, 8);
     for function in 0..20 {
         assert_eq!(one.serve(function, 0.1), other.serve(function, 0.1));
     }
@@ -24,10 +24,17 @@
         router.advance(0.2);
         for id in ids {
             (0..router.attempts(id).len())
-                .for_each(|attempt| router.answer(id, attempt, Outcome::Handled, 0.2));
+                .for_each(|attempt| router.answer(id, attempt, Outcome::Succeeded, 0.2));
         }
         for (_, worker) in router.load_requests() {
-            router.router.held(router.host.now, worker, 0, Outcome::Handled, 1, &mut router.host);
+            router.router.load_request_ended(
+                router.host.now,
+                worker,
+                0,
+                Outcome::Succeeded,
+                1,
+                &mut router.host,
+            );
         }
     }
     let mut used: Vec<_> = (0..360).flat_map(|id| router.attempts(id)).collect();
@@ -41,7 +48,7 @@
     let mut router = TestRouter::new(config(idempotent()), 4);
     let home = router.serve(0, 0.1);
     let id = router.arrive(0, 4.0);
-    router.answer(id, 0, Outcome::Full, 0.0);
+    router.answer(id, 0, Outcome::Rejected, 0.0);
     assert!(router.attempts(id)[1..].iter().all(|&w| w != home));
 }
 
@@ -51,7 +58,7 @@
     let mut router = TestRouter::new(config(idempotent()), 8);
     let id = router.arrive(0, 1.5);
     router.advance(1.5);
-    router.answer(id, 0, Outcome::Withdrawn, 1.5);
+    router.answer(id, 0, Outcome::Cancelled, 1.5);
     let next = router.arrive(0, 4.0);
     assert_eq!(router.attempts(next)[0], router.attempts(id)[0]);
 }
@@ -63,7 +70,7 @@
     assert_eq!(router.attempts(ids[0]), router.attempts(ids[1]));
     assert!(router.attempts(ids[2]).is_empty());
     router.advance(0.5);
-    router.answer(ids[0], 0, Outcome::Handled, 0.5);
+    router.answer(ids[0], 0, Outcome::Succeeded, 0.5);
     assert_eq!(router.attempts(ids[2]), router.attempts(ids[0]));
 }
 
@@ -71,14 +78,14 @@
 #[test_case(true; "memory full")]
 fn no_instance_is_preloaded_where_memory_is_full(filled: bool) {
     let memory = if filled { vec![120.0] } else { vec![] };
-    let mut router = TestRouter::new(Charter { memory, ..config(idempotent()) }, 4);
+    let mut router = TestRouter::new(PolicyConfig { memory, ..config(idempotent()) }, 4);
     for _ in 0..20 {
         let ids: Vec<_> = (0..8).map(|_| router.arrive(0, 4.0)).collect();
         router.advance(0.3);
         ids.iter().filter(|&&id| !router.attempts(id).is_empty()).for_each(|_| ());
         for id in ids {
             (0..router.attempts(id).len())
-                .for_each(|attempt| router.answer(id, attempt, Outcome::Handled, 0.3));
+                .for_each(|attempt| router.answer(id, attempt, Outcome::Succeeded, 0.3));
         }
     }
     assert_eq!(router.load_requests().is_empty(), filled);
@@ -93,14 +100,14 @@
     router.advance(0.1);
     let held: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
     router.advance(1.5);
-    held.iter().for_each(|&id| router.answer(id, 0, Outcome::Withdrawn, 1.5));
+    held.iter().for_each(|&id| router.answer(id, 0, Outcome::Cancelled, 1.5));
     let next: Vec<_> = (0..10).map(|_| router.arrive(0, 4.0)).collect();
     assert!(next.iter().filter(|&&id| router.attempts(id).contains(&home)).count() <= 1);
 }
 
 #[test]
 fn a_worker_that_fails_fast_loses_its_traffic_and_recovers_it() {
-    let mut router = TestRouter::new(Charter { orders: false, ..config(idempotent()) }, 6);
+    let mut router = TestRouter::new(PolicyConfig { can_request_loads: false, ..config(idempotent()) }, 6);
     let home = router.serve(0, 0.1);
     let mut sent_to_failing = 0;
     for _ in 0..40 {
@@ -110,7 +117,7 @@
             let bad = worker == home;
             sent_to_failing += usize::from(bad);
             router.advance(0.01);
-            router.answer(id, attempt, if bad { Outcome::Failed } else { Outcome::Handled }, 0.01);
+            router.answer(id, attempt, if bad { Outcome::Failed } else { Outcome::Succeeded }, 0.01);
         }
     }
     assert!(sent_to_failing <= 10, "{sent_to_failing} of 40");
@@ -124,30 +131,33 @@
     let mut router = TestRouter::new(config(idempotent()), 6);
     (0..30).for_each(|_| _ = router.serve(0, 0.01));
     let home = router.attempts(0)[0];
-    router.list(vec![endpoint(home, State::Draining, None)]);
+    router.list(vec![endpoint(home, EndpointState::Draining, None)]);
     router.advance(31.0);
     let other = router.serve(0, 0.01);
-    router.list(vec![endpoint(home, State::Ready, None)]);
+    router.list(vec![endpoint(home, EndpointState::Ready, None)]);
     assert_eq!(router.serve(0, 0.01), other);
 }
 
 #[test]
 fn a_missing_function_is_loaded_and_the_attempt_repeated() {
-    let mut router = TestRouter::new(Charter { misses: true, ..config(idempotent()) }, 4);
+    let mut router =
+        TestRouter::new(PolicyConfig { reports_missing_functions: true, ..config(idempotent()) }, 4);
     let id = router.arrive(0, 4.0);
     let home = router.attempts(id)[0];
-    router.answer(id, 0, Outcome::Missed, 0.0);
+    router.answer(id, 0, Outcome::NotLoaded, 0.0);
     assert!(router.has_called(&HostCall::RequestLoad { worker: home, function: 0, copies: 1 }));
     assert_eq!(router.attempts(id), [home]);
     router.advance(0.5);
-    router.router.held(router.host.now, home, 0, Outcome::Handled, 1, &mut router.host);
+    router.router.load_request_ended(router.host.now, home, 0, Outcome::Succeeded, 1, &mut router.host);
     assert_eq!(router.attempts(id), [home, home]);
 }
 
 #[test]
 fn requests_over_quota_are_shed_first() {
-    let mut router =
-        TestRouter::new(Charter { quotas: vec![2.0], over_share: 0.1, ..config(idempotent()) }, 1);
+    let mut router = TestRouter::new(
+        PolicyConfig { quotas: vec![2.0], over_quota_weight: 0.1, ..config(idempotent()) },
+        1,
+    );
     router.serve(0, 0.5);
     (0..12).for_each(|_| _ = router.arrive(0, 4.0));
     router.advance(0.9);
@@ -157,8 +167,8 @@
 
 #[test]
 fn a_failed_endpoint_watch_is_requested_again() {
-    let mut router = TestRouter::new(Charter { asks: true, ..config(idempotent()) }, 2);
-    router.router.list_failed(router.host.now, &mut router.host);
+    let mut router = TestRouter::new(PolicyConfig { watches_on_request: true, ..config(idempotent()) }, 2);
+    router.router.watch_failed(router.host.now, &mut router.host);
     router.advance(3.0);
     assert_eq!(router.host.calls.iter().filter(|(_, d)| *d == HostCall::WatchEndpoints).count(), 2);
 }
@@ -167,7 +177,7 @@
 fn a_restarted_worker_has_no_outlier_score_and_no_instances() {
     let mut router = TestRouter::new(config(idempotent()), 6);
     let home = router.serve(0, 0.1);
-    router.list(vec![endpoint(home, State::Ready, Some(router.host.now))]);
+    router.list(vec![endpoint(home, EndpointState::Ready, Some(router.host.now))]);
     let next = router.serve(0, 0.1);
     assert_ne!(next, home, "it has no capacity yet that is known");
 }
@@ -176,24 +186,25 @@
 fn late_and_unknown_results_are_ignored() {
     let mut router = TestRouter::new(config(idempotent()), 2);
     let id = router.arrive(0, 4.0);
-    router.answer(id, 0, Outcome::Handled, 0.1);
-    router.answer(id, 0, Outcome::Handled, 0.1);
-    router.answer(id + 7, 3, Outcome::Cut, f64::NAN);
-    router.router.close(id + 9, None, &mut router.host);
-    router.router.held(router.host.now, 1, 99, Outcome::Overdue, 0, &mut router.host);
+    router.answer(id, 0, Outcome::Succeeded, 0.1);
+    router.answer(id, 0, Outcome::Succeeded, 0.1);
+    router.answer(id + 7, 3, Outcome::ConnectionLost, f64::NAN);
+    router.router.close_request(id + 9, None, &mut router.host);
+    router.router.load_request_ended(router.host.now, 1, 99, Outcome::TimedOut, 0, &mut router.host);
     assert_eq!(router.host.forgotten, [id]);
 }
 
 #[test_case(true; "answered")]
 #[test_case(false; "not answered")]
 fn one_of_many_routers_probes_a_worker_before_it_joins_an_unknown_queue(answers: bool) {
-    let mut router = TestRouter::new(Charter { routers: 100, probes: true, ..config(idempotent()) }, 4);
+    let mut router =
+        TestRouter::new(PolicyConfig { routers: 100, can_probe: true, ..config(idempotent()) }, 4);
     let id = router.arrive(0, 4.0);
     assert!(router.attempts(id).is_empty());
     let Some((_, HostCall::Probe { worker })) = router.host.calls.last().cloned() else { panic!("no probe") };
     if answers {
-        let report = Some(Report { held: Some(0.0), ..Report::default() });
-        router.router.probed(0.004, worker, Outcome::Handled, report, &mut router.host);
+        let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
+        router.router.health_check_ended(0.004, worker, Outcome::Succeeded, report, &mut router.host);
     } else {
         router.advance(0.05);
     }
@@ -203,10 +214,10 @@
 #[test_case(0.99, false; "busy cores")]
 #[test_case(0.3, true; "cores to spare")]
 fn a_worker_that_reports_overload_gets_nothing_from_one_of_many_routers(busy: f64, gets: bool) {
-    let mut router = TestRouter::new(Charter { routers: 100, ..config(idempotent()) }, 4);
+    let mut router = TestRouter::new(PolicyConfig { routers: 100, ..config(idempotent()) }, 4);
     let home = router.serve(0, 0.1);
-    let report = Some(Report { held: Some(50.0), busy: Some(busy), ..Report::default() });
-    router.router.probed(0.1, home, Outcome::Handled, report, &mut router.host);
+    let report = Some(LoadReport { in_flight: Some(50.0), utilization: Some(busy), ..LoadReport::default() });
+    router.router.health_check_ended(0.1, home, Outcome::Succeeded, report, &mut router.host);
     let id = router.arrive(0, 4.0);
     assert_eq!(router.attempts(id).contains(&home), gets);
 }
@@ -217,11 +228,13 @@
 #[test_case(5.0, true; "a large one")]
 fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, gets: bool) {
     for seed in 0..20 {
-        let mut router = TestRouter::new(Charter { seed, routers: 100, ..config(idempotent()) }, 4);
-        router.list((0..4).map(|w| Listing { size, ..endpoint(w, State::Ready, None) }).collect());
+        let mut router = TestRouter::new(PolicyConfig { seed, routers: 100, ..config(idempotent()) }, 4);
+        router.list(
+            (0..4).map(|w| EndpointUpdate { size, ..endpoint(w, EndpointState::Ready, None) }).collect(),
+        );
         for w in 0..4 {
-            let report = Some(Report { waiting: Some(2.02), ..Report::default() });
-            router.router.probed(0.0, w, Outcome::Handled, report, &mut router.host);
+            let report = Some(LoadReport { queued: Some(2.02), ..LoadReport::default() });
+            router.router.health_check_ended(0.0, w, Outcome::Succeeded, report, &mut router.host);
         }
         let id = router.arrive(0, 4.0);
         assert_eq!(!router.attempts(id).is_empty(), gets, "seed {seed}");
@@ -234,7 +247,7 @@
 fn a_few_concurrent_arrivals_do_not_grow_the_worker_set() {
     let mut used = std::collections::BTreeSet::new();
     for seed in 0..60 {
-        let mut router = TestRouter::new(Charter { seed, routers: 300, ..config(idempotent()) }, 40);
+        let mut router = TestRouter::new(PolicyConfig { seed, routers: 300, ..config(idempotent()) }, 40);
         router.serve(0, 0.3);
         router.advance(30.0);
         let ids = [0, 0].map(|function| router.arrive(function, 4.0));
@@ -247,14 +260,15 @@
 #[test]
 fn load_requests_back_off_after_a_failed_load() {
     // The store was overloaded by loads that every router started again at once.
-    let mut router = TestRouter::new(Charter { misses: true, ..config(idempotent()) }, 4);
+    let mut router =
+        TestRouter::new(PolicyConfig { reports_missing_functions: true, ..config(idempotent()) }, 4);
     let miss = |router: &mut TestRouter, function| {
         let id = router.arrive(function, 4.0);
-        router.answer(id, 0, Outcome::Missed, 0.0);
+        router.answer(id, 0, Outcome::NotLoaded, 0.0);
         (router.attempts(id)[0], router.load_requests().len())
     };
     let (home, orders) = miss(&mut router, 0);
-    router.router.held(router.host.now, home, 0, Outcome::Failed, 0, &mut router.host);
+    router.router.load_request_ended(router.host.now, home, 0, Outcome::Failed, 0, &mut router.host);
     assert_eq!(miss(&mut router, 1).1, orders, "at once");
     router.advance(1.0);
     assert!(router.load_requests().len() > orders, "later");
@@ -288,7 +302,10 @@
 /// The answer to a load request that comes after its function was released would be recorded on another one.
 #[test]
 fn a_function_with_a_pending_load_request_is_not_released() {
-    let mut router = TestRouter::new(Charter { misses: true, order_wait: 60.0, ..config(idempotent()) }, 2);
+    let mut router = TestRouter::new(
+        PolicyConfig { reports_missing_functions: true, load_request_timeout: 60.0, ..config(idempotent()) },
+        2,
+    );
     let forgotten_after = |router: &mut TestRouter, seconds: usize| {
         for _ in 0..seconds {
             router.arrive(3, 0.4);
@@ -297,7 +314,7 @@
         router.host.forgotten_functions.contains(&2)
     };
     let id = router.arrive(2, 0.5);
-    (0..4).for_each(|attempt| router.answer(id, attempt, Outcome::Missed, 0.01));
+    (0..4).for_each(|attempt| router.answer(id, attempt, Outcome::NotLoaded, 0.01));
     assert!(!router.load_requests().is_empty());
     assert!(!forgotten_after(&mut router, 50));
     assert!(forgotten_after(&mut router, 50));
@@ -349,7 +366,7 @@
 #[test]
 fn each_of_few_routers_sends_a_worker_more_than_each_of_many() {
     let taken = |routers| {
-        let mut router = TestRouter::new(Charter { routers, ..config(idempotent()) }, 1);
+        let mut router = TestRouter::new(PolicyConfig { routers, ..config(idempotent()) }, 1);
         for n in 0..120 {
             router.serve(n % 30, 0.1);
         }
--- a/crates/policy/tests/random_events.rs
+++ b/crates/policy/tests/random_events.rs
@@ -4,20 +4,20 @@
 mod common;
 
 use common::{HostCall, TestRouter, config, endpoint, idempotent};
-use milletpath_policy::host::{Charter, Effect, Group, Outcome, Profile, State};
+use milletpath_policy::{EndpointState, Idempotency, KeyScope, Outcome, PolicyConfig, Profile};
 use oorandom::Rand32;
 use test_case::test_case;
 
 const WORKERS: usize = 6;
 
 const OUTCOMES: [Outcome; 7] = [
-    Outcome::Handled,
+    Outcome::Succeeded,
     Outcome::Failed,
-    Outcome::Full,
-    Outcome::Cut,
-    Outcome::Unreached,
-    Outcome::Missed,
-    Outcome::Withdrawn,
+    Outcome::Rejected,
+    Outcome::ConnectionLost,
+    Outcome::Unreachable,
+    Outcome::NotLoaded,
+    Outcome::Cancelled,
 ];
 
 /// What a request has had so far.
@@ -30,7 +30,7 @@
 
 struct History {
     random: Rand32,
-    effect: Effect,
+    effect: Idempotency,
     router: TestRouter,
     ready: [bool; WORKERS],
     requests: Vec<Request>,
@@ -41,9 +41,12 @@
 }
 
 impl History {
-    fn new(seed: u64, effect: Effect) -> Self {
+    fn new(seed: u64, effect: Idempotency) -> Self {
         let misses = seed.is_multiple_of(2);
-        let settings = Charter { misses, ..config(Profile { effect, ..idempotent() }) };
+        let settings = PolicyConfig {
+            reports_missing_functions: misses,
+            ..config(Profile { idempotency: effect, ..idempotent() })
+        };
         Self {
             random: Rand32::new(seed),
             effect,
@@ -62,7 +65,7 @@
             7 => self.endpoint_changes(),
             8 => {
                 let router = &mut self.router;
-                router.router.held(router.host.now, 1, 3, Outcome::Failed, 0, &mut router.host);
+                router.router.load_request_ended(router.host.now, 1, 3, Outcome::Failed, 0, &mut router.host);
             }
             _ => self.router.advance(0.03),
         }
@@ -81,7 +84,7 @@
         let (id, attempt) = self.in_flight.swap_remove(at);
         let outcome = OUTCOMES[self.random.rand_range(0..7) as usize];
         let request = &mut self.requests[id];
-        request.final_answers += usize::from(outcome == Outcome::Handled && request.final_answers == 0);
+        request.final_answers += usize::from(outcome == Outcome::Succeeded && request.final_answers == 0);
         request.never_ran[attempt] = outcome.never_ran();
         self.router.answer(id, attempt, outcome, 0.1);
     }
@@ -89,12 +92,12 @@
     fn endpoint_changes(&mut self) {
         let worker = self.random.rand_range(0..WORKERS as u32) as usize;
         self.ready[worker] = !self.ready[worker];
-        let state = if self.ready[worker] { State::Ready } else { State::Draining };
+        let state = if self.ready[worker] { EndpointState::Ready } else { EndpointState::Draining };
         self.router.list(vec![endpoint(worker, state, None)]);
     }
 
     fn check_calls(&mut self) {
-        let not_idempotent = self.effect == Effect::Effectful;
+        let not_idempotent = self.effect == Idempotency::NonIdempotent;
         for (at, call) in &self.router.host.calls[self.checked..] {
             match *call {
                 HostCall::Send { id, worker } => {
@@ -128,11 +131,11 @@
     }
 }
 
-#[test_case(1, Effect::Pure; "idempotent")]
-#[test_case(2, Effect::Effectful; "not idempotent")]
-#[test_case(3, Effect::Receipted { group: Group::Cell, memory: 1.0 }; "with a key that is known in a cell")]
-#[test_case(4, Effect::Receipted { group: Group::All, memory: 1.0 }; "with a key that is known everywhere")]
-fn any_order_of_events_keeps_the_rules(seed: u64, effect: Effect) {
+#[test_case(1, Idempotency::Idempotent; "idempotent")]
+#[test_case(2, Idempotency::NonIdempotent; "not idempotent")]
+#[test_case(3, Idempotency::IdempotentWithKey { group: KeyScope::Cell, memory: 1.0 }; "with a key that is known in a cell")]
+#[test_case(4, Idempotency::IdempotentWithKey { group: KeyScope::All, memory: 1.0 }; "with a key that is known everywhere")]
+fn any_order_of_events_keeps_the_rules(seed: u64, effect: Idempotency) {
     let mut history = History::new(seed, effect);
     (0..4000).for_each(|_| history.event());
     history.end();
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -3,24 +3,24 @@
 mod common;
 
 use common::{HostCall, TestRouter, config, endpoint, idempotent};
-use milletpath_policy::host::{Charter, Effect, Group, Outcome, Profile, State};
+use milletpath_policy::{EndpointState, Idempotency, KeyScope, Outcome, PolicyConfig, Profile};
 use test_case::test_case;
 
-const EFFECTFUL: Effect = Effect::Effectful;
+const EFFECTFUL: Idempotency = Idempotency::NonIdempotent;
 
-fn receipted(group: Group) -> Effect {
-    Effect::Receipted { group, memory: 2.0 }
+fn receipted(group: KeyScope) -> Idempotency {
+    Idempotency::IdempotentWithKey { group, memory: 2.0 }
 }
 
-fn profile_with(effect: Effect) -> Profile {
-    Profile { effect, ..idempotent() }
+fn profile_with(effect: Idempotency) -> Profile {
+    Profile { idempotency: effect, ..idempotent() }
 }
 
-#[test_case(Effect::Pure, true; "idempotent is rejected")]
-#[test_case(receipted(Group::All), true; "with a key that is known everywhere is rejected")]
-#[test_case(receipted(Group::Zone), false; "with a key that is known in a zone fails")]
+#[test_case(Idempotency::Idempotent, true; "idempotent is rejected")]
+#[test_case(receipted(KeyScope::All), true; "with a key that is known everywhere is rejected")]
+#[test_case(receipted(KeyScope::Zone), false; "with a key that is known in a zone fails")]
 #[test_case(EFFECTFUL, false; "not idempotent fails")]
-fn an_unanswered_attempt_gets_one_final_answer_in_time(effect: Effect, rejected: bool) {
+fn an_unanswered_attempt_gets_one_final_answer_in_time(effect: Idempotency, rejected: bool) {
     let mut router = TestRouter::new(config(profile_with(effect)), 3);
     let id = router.arrive(0, 2.0);
     router.advance(2.0);
@@ -40,20 +40,24 @@
 #[test_case(3; "all draining")]
 fn without_a_ready_worker_a_request_is_rejected_early(workers: usize) {
     let mut router = TestRouter::new(config(idempotent()), workers);
-    router.list((0..workers).map(|w| endpoint(w, State::Draining, None)).collect());
+    router.list((0..workers).map(|w| endpoint(w, EndpointState::Draining, None)).collect());
     let id = router.arrive(0, 4.0);
     router.advance(1.0);
     assert!(router.attempts(id).is_empty());
     assert!(router.has_called(&HostCall::Reject { id }));
 }
 
-#[test_case(Effect::Pure, Outcome::Failed, true; "idempotent is retried after an error")]
+#[test_case(Idempotency::Idempotent, Outcome::Failed, true; "idempotent is retried after an error")]
 #[test_case(EFFECTFUL, Outcome::Failed, false; "not idempotent may have run")]
-#[test_case(EFFECTFUL, Outcome::Cut, false; "not idempotent, connection lost")]
-#[test_case(EFFECTFUL, Outcome::Full, true; "not idempotent, never ran")]
-#[test_case(EFFECTFUL, Outcome::Unreached, true; "not idempotent, never arrived")]
-#[test_case(receipted(Group::All), Outcome::Failed, true; "with a key that is known everywhere is retried")]
-fn a_failed_attempt_is_retried_only_where_that_is_harmless(effect: Effect, outcome: Outcome, again: bool) {
+#[test_case(EFFECTFUL, Outcome::ConnectionLost, false; "not idempotent, connection lost")]
+#[test_case(EFFECTFUL, Outcome::Rejected, true; "not idempotent, never ran")]
+#[test_case(EFFECTFUL, Outcome::Unreachable, true; "not idempotent, never arrived")]
+#[test_case(receipted(KeyScope::All), Outcome::Failed, true; "with a key that is known everywhere is retried")]
+fn a_failed_attempt_is_retried_only_where_that_is_harmless(
+    effect: Idempotency,
+    outcome: Outcome,
+    again: bool,
+) {
     let mut router = TestRouter::new(config(profile_with(effect)), 3);
     let id = router.arrive(0, 4.0);
     router.advance(0.1);
@@ -62,15 +66,18 @@
     assert_eq!(router.has_called(&HostCall::Fail { id }), !again, "what cannot go on ends at once");
 }
 
-#[test_case(Group::Zone; "zone")]
-#[test_case(Group::Cell; "cell")]
-fn a_retry_with_an_idempotency_key_stays_where_the_key_is_known(group: Group) {
+#[test_case(KeyScope::Zone; "zone")]
+#[test_case(KeyScope::Cell; "cell")]
+fn a_retry_with_an_idempotency_key_stays_where_the_key_is_known(group: KeyScope) {
     for function in 0..12 {
         let mut router = TestRouter::new(config(profile_with(receipted(group))), 8);
         let id = router.arrive(function, 4.0);
-        router.answer(id, 0, Outcome::Cut, 0.1);
-        let at: Vec<_> =
-            router.attempts(id).iter().map(|&w| if group == Group::Zone { w % 2 } else { w / 2 }).collect();
+        router.answer(id, 0, Outcome::ConnectionLost, 0.1);
+        let at: Vec<_> = router
+            .attempts(id)
+            .iter()
+            .map(|&w| if group == KeyScope::Zone { w % 2 } else { w / 2 })
+            .collect();
         assert_eq!(at.len(), 2);
         assert_eq!(at[0], at[1]);
     }
@@ -78,11 +85,11 @@
 
 #[test]
 fn no_retry_after_the_idempotency_key_has_expired() {
-    let mut router = TestRouter::new(config(profile_with(receipted(Group::All))), 4);
+    let mut router = TestRouter::new(config(profile_with(receipted(KeyScope::All))), 4);
     let id = router.arrive(0, 9.0);
     router.advance(2.5);
     let before = router.attempts(id).len();
-    router.answer(id, 0, Outcome::Cut, 2.5);
+    router.answer(id, 0, Outcome::ConnectionLost, 2.5);
     assert_eq!(router.attempts(id).len(), before);
 }
 
@@ -94,9 +101,9 @@
     assert!(ids.iter().all(|&id| router.attempts(id).len() <= 1));
 }
 
-#[test_case(State::Draining; "draining")]
-#[test_case(State::Gone; "removed")]
-fn a_draining_worker_gets_neither_attempts_nor_load_requests(state: State) {
+#[test_case(EndpointState::Draining; "draining")]
+#[test_case(EndpointState::Gone; "removed")]
+fn a_draining_worker_gets_neither_attempts_nor_load_requests(state: EndpointState) {
     let mut router = TestRouter::new(config(idempotent()), 3);
     let home = router.serve(0, 0.1);
     router.list(vec![endpoint(home, state, None)]);
@@ -114,8 +121,9 @@
 #[test_case(4, 1.0; "four routers")]
 #[test_case(1, 0.25; "a slow day")]
 fn a_worker_in_slow_start_is_not_sent_more_than_its_budget(routers: usize, pace: f64) {
-    let settings = Charter { routers, orders: false, ..config(idempotent()) };
-    let budget = settings.tip_multiple * settings.cold_share * settings.tip_window / routers as f64;
+    let settings = PolicyConfig { routers, can_request_loads: false, ..config(idempotent()) };
+    let budget =
+        settings.overload_multiple * settings.initial_capacity * settings.overload_window / routers as f64;
     let mut router = TestRouter::new(settings, 2);
     for n in 0..200 {
         router.serve(n % 60, 0.05 / pace);
@@ -123,7 +131,7 @@
     // A warm worker serves about ten a second times the pace, and an equal one starts.
     let rate = 10.0 * pace * routers as f64;
     let start = router.host.now;
-    router.list(vec![endpoint(9, State::Ready, Some(start))]);
+    router.list(vec![endpoint(9, EndpointState::Ready, Some(start))]);
     for n in 0..180 {
         router.arrive(n % 60, 4.0);
         router.advance(0.01);
@@ -138,9 +146,10 @@
 #[test_case(0.5; "half of the window")]
 #[test_case(1.0; "all of the window")]
 fn late_connections_do_not_exceed_the_limit_of_a_slow_start(late: f64) {
-    let settings = Charter { orders: false, warm_up: 1e4, tip_window: 1.0, ..config(idempotent()) };
-    let window = settings.tip_window;
-    let allowed = settings.tip_multiple * settings.cold_share * window * LateConnections::RATE;
+    let settings =
+        PolicyConfig { can_request_loads: false, warm_up: 1e4, overload_window: 1.0, ..config(idempotent()) };
+    let window = settings.overload_window;
+    let allowed = settings.overload_multiple * settings.initial_capacity * window * LateConnections::RATE;
     let begun = LateConnections::new(settings).run(window, late);
     let in_window = |from: &f64| begun.iter().filter(|at| (*from..*from + window).contains(*at)).count();
     let most = begun.iter().map(in_window).max().unwrap_or(0) as f64;
@@ -166,13 +175,16 @@
     const FUNCTIONS: usize = 400;
     const COLD: usize = 9;
 
-    fn new(settings: Charter) -> Self {
+    fn new(settings: PolicyConfig) -> Self {
         let mut router = TestRouter::new(settings, 1);
         for n in 0..4000 {
             router.serve(n % Self::FUNCTIONS, 1.0 / Self::RATE);
         }
         let started = Some(router.host.now);
-        router.list(vec![endpoint(0, State::Draining, None), endpoint(Self::COLD, State::Ready, started)]);
+        router.list(vec![
+            endpoint(0, EndpointState::Draining, None),
+            endpoint(Self::COLD, EndpointState::Ready, started),
+        ]);
         Self { router, waiting: Vec::new(), begun: Vec::new() }
     }
 
@@ -200,12 +212,12 @@
         let now = self.router.host.now;
         for (decided, id) in std::mem::take(&mut self.waiting) {
             let attempt = self.router.attempts(id).len() - 1;
-            if now - decided <= late && self.router.router.may_begin(now, id, Self::COLD) {
+            if now - decided <= late && self.router.router.may_send(now, id, Self::COLD) {
                 self.begun.push(now);
-                self.router.answer(id, attempt, Outcome::Handled, 0.01);
+                self.router.answer(id, attempt, Outcome::Succeeded, 0.01);
             } else {
-                self.router.router.close(id, None, &mut self.router.host);
-                self.router.answer(id, attempt, Outcome::Unsent, 0.01);
+                self.router.router.close_request(id, None, &mut self.router.host);
+                self.router.answer(id, attempt, Outcome::NotSent, 0.01);
             }
         }
     }
@@ -213,14 +225,18 @@
 
 #[test]
 fn load_requests_stay_within_their_budget() {
-    let settings = Charter { ration: Some((5.0, 2.0, 0.05)), misses: true, ..config(idempotent()) };
+    let settings = PolicyConfig {
+        load_budget: Some((5.0, 2.0, 0.05)),
+        reports_missing_functions: true,
+        ..config(idempotent())
+    };
     let mut router = TestRouter::new(settings, 6);
     let mut taken = Vec::new();
     for n in 0..300 {
         taken.push(router.host.now);
         let id = router.arrive(n % 60, 4.0);
         if !router.attempts(id).is_empty() {
-            router.answer(id, 0, Outcome::Missed, 0.0);
+            router.answer(id, 0, Outcome::NotLoaded, 0.0);
         }
         router.advance(0.05);
     }
