--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,8 +2,10 @@
 
 use crate::frame::{Batch, Cells, Malformed, Reply};
 use milletpath_platform_settings as platform_settings;
-use milletpath_policy::host::{Answer, Arrival, Found, Host, Listing, Outcome, Report, State};
-use milletpath_policy::policy::Router;
+use milletpath_policy::Router;
+use milletpath_policy::{
+    Arrival, AttemptCompletion, Effects, EndpointState, EndpointUpdate, InstanceState, LoadReport, Outcome,
+};
 use std::collections::HashMap;
 use std::hash::Hash;
 
@@ -65,32 +67,32 @@
     reply: &'a mut Reply,
 }
 
-impl Host for Wire<'_> {
-    fn send(&mut self, activation: usize, worker: usize, until: f64) {
+impl Effects for Wire<'_> {
+    fn send_attempt(&mut self, activation: usize, worker: usize, until: f64) {
         let n = &self.names;
         let until = n.origin + micros(until);
         let rid = n.activations.id[activation].to_le_bytes();
         self.reply.action(80, &[&n.number, &rid, &n.workers.id[worker].to_le_bytes(), &until.to_le_bytes()]);
     }
 
-    fn cancel(&mut self, activation: usize, shot: usize) {
+    fn cancel_attempt(&mut self, activation: usize, shot: usize) {
         let n = &self.names;
         let rid = n.activations.id[activation].to_le_bytes();
         self.reply.action(10, &[&n.number, &rid, &(shot as u16).to_le_bytes()]);
     }
 
-    fn bounce(&mut self, activation: usize, come_back: Option<f64>) {
+    fn reject(&mut self, activation: usize, come_back: Option<f64>) {
         let n = &self.names;
         let rid = n.activations.id[activation].to_le_bytes();
         self.reply.action(20, &[&n.number, &rid, &span(come_back.unwrap_or(0.0))]);
     }
 
-    fn terminate(&mut self, activation: usize) {
+    fn fail(&mut self, activation: usize) {
         let n = &self.names;
         self.reply.action(50, &[&n.number, &n.activations.id[activation].to_le_bytes()]);
     }
 
-    fn hold(&mut self, worker: usize, function: usize, copies: u8) {
+    fn request_load(&mut self, worker: usize, function: usize, copies: u8) {
         let n = &self.names;
         let (worker, function) = (n.workers.id[worker].to_le_bytes(), n.functions.id[function].to_le_bytes());
         self.reply.action(70, &[&n.number, &worker, &function, &[copies]]);
@@ -107,19 +109,19 @@
         self.reply.action(30, &[&n.number, &n.workers.id[worker].to_le_bytes()]);
     }
 
-    fn wake(&mut self, after: f64) {
+    fn wake_after(&mut self, after: f64) {
         self.reply.action(100, &[&self.names.number, &span(after)]);
     }
 
-    fn follow(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.reply.action(130, &[&self.names.number, &[1]]);
     }
 
-    fn forget(&mut self, activation: usize) {
+    fn release_request(&mut self, activation: usize) {
         self.names.activations.give_back(activation);
     }
 
-    fn forget_function(&mut self, function: usize) {
+    fn release_function(&mut self, function: usize) {
         self.names.functions.give_back(function);
     }
 }
@@ -135,15 +137,15 @@
 
 fn outcome(code: u16) -> Result<Outcome, Malformed> {
     Ok(match code {
-        200 => Outcome::Handled,
+        200 => Outcome::Succeeded,
         502 => Outcome::Failed,
-        429 => Outcome::Full,
-        408 => Outcome::Overdue,
-        521 => Outcome::Unreached,
-        520 => Outcome::Cut,
-        444 => Outcome::Withdrawn,
-        409 => Outcome::Unsent,
-        204 => Outcome::Missed,
+        429 => Outcome::Rejected,
+        408 => Outcome::TimedOut,
+        521 => Outcome::Unreachable,
+        520 => Outcome::ConnectionLost,
+        444 => Outcome::Cancelled,
+        409 => Outcome::NotSent,
+        204 => Outcome::NotLoaded,
         other => return Err(Malformed(format!("{other} is no outcome"))),
     })
 }
@@ -183,32 +185,32 @@
         let now = now(clock, names.origin);
         match mode {
             0 => {}
-            1 | 2 => router.list_renewed(),
+            1 | 2 => router.begin_full_list(),
             3 => {
-                router.list_failed(now, &mut Wire { names, reply });
+                router.watch_failed(now, &mut Wire { names, reply });
                 return Ok(());
             }
             other => return Err(Malformed(format!("{other} is no kind of worker list"))),
         }
         for entry in entries.chunks_exact(crate::frame::ENTRY).map(Cells) {
             let (id, started) = (entry.u32(0), entry.u64(4));
-            router.listed(Listing {
+            router.update_endpoint(EndpointUpdate {
                 worker: names.workers.take(id),
                 name: id.into(),
-                started: (started > 0).then(|| (started as f64 - names.origin as f64) / 1e6),
+                started_at: (started > 0).then(|| (started as f64 - names.origin as f64) / 1e6),
                 cell: entry.u16(12).into(),
                 size: entry.f32(14),
                 kind: entry.u8(18).into(),
                 state: match entry.u8(19) {
-                    0 => State::Gone,
-                    1 => State::Ready,
-                    2 => State::Draining,
+                    0 => EndpointState::Gone,
+                    1 => EndpointState::Ready,
+                    2 => EndpointState::Draining,
                     other => return Err(Malformed(format!("{other} is no state of a worker"))),
                 },
                 zone: entry.u8(20).into(),
             });
         }
-        router.list_complete(now, &mut Wire { names, reply });
+        router.end_list(now, &mut Wire { names, reply });
         Ok(())
     }
 
@@ -226,50 +228,50 @@
                     name,
                     profile: e.u16(19).into(),
                     client: e.u32(21) as usize,
-                    patience: e.span(15),
-                    repeat: e.u8(29) & 2 != 0,
-                    lanes: e.f32(25),
+                    timeout: e.span(15),
+                    is_retry: e.u8(29) & 2 != 0,
+                    concurrency: e.f32(25),
                     memory: e.f32(11),
-                    load: (load > 0.0).then_some(load),
+                    load_time: (load > 0.0).then_some(load),
                 };
-                router.arrived(now, id, arrival, &mut Wire { names, reply });
+                router.request_arrived(now, id, arrival, &mut Wire { names, reply });
             }
             40 => {
                 if let Some(id) = names.activations.get(e.u64(3)) {
-                    router.close(id, Some(e.u16(19).into()), &mut Wire { names, reply });
+                    router.close_request(id, Some(e.u16(19).into()), &mut Wire { names, reply });
                 }
             }
             50 => {
                 let note = e.u8(16);
-                let answer = Answer {
-                    shot: e.u16(23).into(),
+                let answer = AttemptCompletion {
+                    attempt: e.u16(23).into(),
                     outcome: outcome(e.u16(21))?,
-                    settled: e.u8(15) != 0,
+                    is_final: e.u8(15) != 0,
                     latency: e.span(17),
-                    found: match note & 7 {
-                        1 => Some(Found::Loaded),
-                        2 => Some(Found::BeganLoad),
-                        3 => Some(Found::AwaitedLoad),
-                        4 => Some(Found::LoadFailed),
+                    instance_state: match note & 7 {
+                        1 => Some(InstanceState::Loaded),
+                        2 => Some(InstanceState::LoadStarted),
+                        3 => Some(InstanceState::LoadAwaited),
+                        4 => Some(InstanceState::LoadFailed),
                         _ => None,
                     },
-                    company: f64::from(note >> 3),
+                    in_flight_of_function: f64::from(note >> 3),
                     report: report(&names.report, e, 25)?,
                 };
                 if let Some(id) = names.activations.get(e.u64(3)) {
-                    router.answered(now, id, answer, &mut Wire { names, reply });
+                    router.attempt_ended(now, id, answer, &mut Wire { names, reply });
                 }
             }
             60 => {
                 if let Some(id) = names.activations.get(e.u64(3)) {
-                    router.close(id, None, &mut Wire { names, reply });
+                    router.close_request(id, None, &mut Wire { names, reply });
                 }
             }
-            70 => router.woken(now, &mut Wire { names, reply }),
+            70 => router.timer_fired(now, &mut Wire { names, reply }),
             80 => {
                 let (outcome, report) = (outcome(e.u16(3))?, report(&names.report, e, 13)?);
                 if let Some(worker) = names.workers.get(e.u32(5)) {
-                    router.probed(now, worker, outcome, report, &mut Wire { names, reply });
+                    router.health_check_ended(now, worker, outcome, report, &mut Wire { names, reply });
                 }
             }
             // No router here sends word to others, so nothing that arrives concerns it.
@@ -279,7 +281,14 @@
                 let (worker, function) = (names.workers.get(e.u32(5)), names.functions.get(e.u64(14)));
                 if let (Some(worker), Some(function)) = (worker, function) {
                     let copies = e.u8(13);
-                    router.held(now, worker, function, outcome, copies, &mut Wire { names, reply });
+                    router.load_request_ended(
+                        now,
+                        worker,
+                        function,
+                        outcome,
+                        copies,
+                        &mut Wire { names, reply },
+                    );
                 }
             }
             other => return Err(Malformed(format!("{other} is no event"))),
@@ -293,12 +302,12 @@
 }
 
 /// A load report, where there is one.
-fn report(names: &[String], e: Cells<'_>, at: usize) -> Result<Option<Report>, Malformed> {
+fn report(names: &[String], e: Cells<'_>, at: usize) -> Result<Option<LoadReport>, Malformed> {
     let count = usize::from(e.u8(at));
     if count > 4 {
         return Err(Malformed(format!("a load report of {count} values")));
     }
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (n, name) in names.iter().take(count).enumerate() {
         platform_settings::set_report_value(&mut report, name, e.f32(at + 1 + 4 * n));
     }
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -16,7 +16,7 @@
 use milletpath_emulator::store::Store;
 use milletpath_emulator::traffic;
 use milletpath_history_checker::{self as witness, Broken, Counts, Effect, Ended, Record, Saw};
-use milletpath_policy::host::{Outcome, Report};
+use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::registry::Entry;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -96,7 +96,7 @@
         worker: usize,
         serial: u64,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Something is due of what a gateway shares; a note of another comes.
     QuotaFraction(usize),
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -6,7 +6,7 @@
 use milletpath_emulator::engine::{Engine, Figures, Job, Make, Say};
 use milletpath_emulator::script::What;
 use milletpath_history_checker::Saw;
-use milletpath_policy::host::{Found, Outcome, Report};
+use milletpath_policy::{InstanceState, LoadReport, Outcome};
 use milletpath_protocol::registry::{Entry, Standing};
 use milletpath_protocol::worker as wire;
 use rand::Rng;
@@ -47,22 +47,22 @@
     }
 }
 
-fn report(figures: Figures) -> Report {
-    Report {
-        held: Some(figures.held),
-        waiting: Some(figures.waiting),
-        busy: Some(figures.busy),
+fn report(figures: Figures) -> LoadReport {
+    LoadReport {
+        in_flight: Some(figures.held),
+        queued: Some(figures.waiting),
+        utilization: Some(figures.busy),
         memory: Some(figures.memory),
         loading: Some(figures.loading),
     }
 }
 
-fn found(word: wire::Found) -> Found {
+fn found(word: wire::Found) -> InstanceState {
     match word {
-        wire::Found::Loaded => Found::Loaded,
-        wire::Found::Began => Found::BeganLoad,
-        wire::Found::Awaited => Found::AwaitedLoad,
-        wire::Found::Failed => Found::LoadFailed,
+        wire::Found::Loaded => InstanceState::Loaded,
+        wire::Found::Began => InstanceState::LoadStarted,
+        wire::Found::Awaited => InstanceState::LoadAwaited,
+        wire::Found::Failed => InstanceState::LoadFailed,
     }
 }
 
@@ -79,7 +79,7 @@
     pub(crate) fn shot(&mut self, gateway: usize, tag: RequestId, shot: usize, worker: usize, process: u64) {
         let Some((call, attempt)) = self.desks[gateway].context(tag).copied() else { return };
         if !self.reached(worker, process) {
-            return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Unreached));
+            return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Unreachable));
         }
         let planned = self.calls[call].planned.clone();
         self.note(Saw::Came { call: call as u64, attempt, gateway, worker, work: planned.work });
@@ -104,7 +104,7 @@
         copies: u8,
     ) {
         if !self.reached(worker, process) {
-            let next = Next::Ordered { gateway, order, outcome: Outcome::Unreached, copies: 0 };
+            let next = Next::Ordered { gateway, order, outcome: Outcome::Unreachable, copies: 0 };
             return self.put(self.now + WAY, next);
         }
         if copies > 0 {
@@ -118,9 +118,9 @@
 
     pub(crate) fn probe(&mut self, gateway: usize, worker: usize, process: u64, serial: u64) {
         let (outcome, report) = if self.reached(worker, process) {
-            (Outcome::Handled, Some(report(self.workers[worker].engine.figures())))
+            (Outcome::Succeeded, Some(report(self.workers[worker].engine.figures())))
         } else {
-            (Outcome::Unreached, None)
+            (Outcome::Unreachable, None)
         };
         self.put(self.now + WAY, Next::Probed { gateway, worker, serial, outcome, report });
     }
@@ -154,14 +154,15 @@
                     let end = AttemptResult {
                         found: Some(found(word)),
                         company: company.into(),
-                        ..AttemptResult::from_outcome(Outcome::Handled)
+                        ..AttemptResult::from_outcome(Outcome::Succeeded)
                     };
                     self.says(worker, job, end);
                 }
                 Say::Refused { job, why, failed_load } => {
-                    let outcome = if why == wire::Refused::Missing { Outcome::Missed } else { Outcome::Full };
+                    let outcome =
+                        if why == wire::Refused::Missing { Outcome::NotLoaded } else { Outcome::Rejected };
                     let end = AttemptResult {
-                        found: failed_load.then_some(Found::LoadFailed),
+                        found: failed_load.then_some(InstanceState::LoadFailed),
                         ..AttemptResult::from_outcome(outcome)
                     };
                     self.says(worker, job, end);
@@ -176,7 +177,7 @@
                 }
                 Say::Stands { order, copies, failed } => {
                     if let Some((gateway, order)) = self.workers[worker].orders.remove(&order) {
-                        let outcome = if failed { Outcome::Failed } else { Outcome::Handled };
+                        let outcome = if failed { Outcome::Failed } else { Outcome::Succeeded };
                         let copies = copies.min(255) as u8;
                         self.put(now + WAY, Next::Ordered { gateway, order, outcome, copies });
                     }
@@ -204,11 +205,11 @@
         self.workers[worker].alive = false;
         let jobs = std::mem::take(&mut self.workers[worker].jobs);
         for Held { gateway, tag, shot, .. } in jobs.into_values() {
-            self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Cut));
+            self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::ConnectionLost));
         }
         let orders = std::mem::take(&mut self.workers[worker].orders);
         for (gateway, order) in orders.into_values() {
-            let next = Next::Ordered { gateway, order, outcome: Outcome::Cut, copies: 0 };
+            let next = Next::Ordered { gateway, order, outcome: Outcome::ConnectionLost, copies: 0 };
             self.put(self.now + WAY, next);
         }
     }
