--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -124,7 +124,7 @@
         let settled = settled || record.is_some_and(|record| !record.awaiting_answer);
         let AttemptResult { outcome, found, company, report, .. } = result;
         let answer = AttemptCompletion {
-            attempt: attempt,
+            attempt,
             outcome,
             is_final: settled,
             latency,
