--- a/crates/milletpath/tests/platform.rs
+++ b/crates/milletpath/tests/platform.rs
@@ -6,6 +6,8 @@
 mod crossings;
 #[path = "platform/crowded.rs"]
 mod crowded;
+#[path = "platform/gone_clients.rs"]
+mod gone_clients;
 #[path = "platform/held.rs"]
 mod held;
 #[path = "platform/shutdown.rs"]
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -27,6 +27,9 @@
 /// Seconds for which a look at what a client has said or whether it has closed holds, before a shot of its begins: a
 /// fifth of the 0.1 s after which nothing may begin for one that has gone.
 const LOOKED: f64 = 0.02;
+/// Turns in which what a client has said is read before a shot of its begins, to find whether it gave the call up: more
+/// than the calls that it may have open can fill.
+const UNREAD_TURNS: usize = 16;
 /// Seconds by which an answer leaves before its client's time is up: what a crowded machine takes from the client's
 /// write to our read, and back.
 pub const MARGIN: f64 = 0.015;
@@ -46,8 +49,10 @@
     said: bool,
     since: f64,
     heard: f64,
-    /// When its socket was last read or looked at.
+    /// When its socket was last found open with nothing unread.
     looked: f64,
+    /// Turns read since, to find that.
+    unread_turns: usize,
     /// It said what can't be used: it gets what is written and is closed.
     condemned: bool,
     /// It was accepted where all others were owed answers: its calls are rejected for as long as that holds.
@@ -118,7 +123,6 @@
     pub fn look_into(&mut self, key: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(key) else { return };
-        client.looked = now;
         let stream = client.stream.clone();
         if client.condemned {
             return;
@@ -140,17 +144,18 @@
     pub fn looked_at(&mut self, tag: RequestId, link: usize, now: f64) -> bool {
         let Some((key, serial)) = self.desk.context(tag).map(|a| a.client) else { return true };
         let Some(client) = self.clients.get_mut(key).filter(|c| c.serial == serial) else { return true };
-        if now - client.looked < LOOKED {
+        if now - client.looked < LOOKED || client.condemned {
             return true;
         }
         match look(&client.stream) {
-            Look::Nothing => client.looked = now,
             // Its connection ends here, with all that was called on it.
             Look::Closed => self.part(key, "it was closed"),
-            Look::Bytes => {
+            Look::Bytes if client.unread_turns < UNREAD_TURNS => {
+                client.unread_turns += 1;
                 self.unread.push((key, link));
                 return false;
             }
+            Look::Nothing | Look::Bytes => (client.looked, client.unread_turns) = (now, 0),
         }
         true
     }
