--- a/crates/milletpath/tests/platform.rs
+++ b/crates/milletpath/tests/platform.rs
@@ -6,6 +6,8 @@
 mod crossings;
 #[path = "platform/crowded.rs"]
 mod crowded;
+#[path = "platform/deadlines.rs"]
+mod deadlines;
 #[path = "platform/gone_clients.rs"]
 mod gone_clients;
 #[path = "platform/held.rs"]
--- a/crates/platform-router/src/door.rs
+++ b/crates/platform-router/src/door.rs
@@ -11,7 +11,7 @@
 use crate::numbers::Numbers;
 use crate::outbox::{KEPT, Look, Outbox, look};
 use crate::room::Holds;
-use crate::station::{Asker, Shared, Station};
+use crate::station::{Asker, Shared, Station, TURN};
 use accept::accept;
 use milletpath_dispatcher::dispatcher::{FunctionResources, IncomingRequest, RequestId};
 use milletpath_platform_protocol::lines::{self, Call, ClientMessage};
@@ -33,6 +33,10 @@
 /// Seconds by which an answer leaves before its client's time is up: what a crowded machine takes from the client's
 /// write to our read, and back.
 pub const MARGIN: f64 = 0.015;
+/// Seconds by which a call may have lain unread for longer than is counted: the time that is passed on to workers may be
+/// 0.15 s over what the client has left. A call that came at the end of a standstill, or one that only looks like a
+/// standstill on a crowded machine, loses the less.
+const UNREAD_SLACK: f64 = 0.1;
 
 pub struct Client {
     pub serial: u64,
@@ -51,7 +55,9 @@
     heard: f64,
     /// When its socket was last found open with nothing unread.
     looked: f64,
-    /// Turns read since, to find that.
+    /// When a read last left nothing in it.
+    emptied: f64,
+    /// Turns read since it was last looked at, to find it so.
     unread_turns: usize,
     /// It said what can't be used: it gets what is written and is closed.
     condemned: bool,
@@ -130,7 +136,12 @@
         let finished = client.finished.is_some();
         self.read(&stream, |station, read| match read {
             Ok(_) if finished => {}
-            Ok(bytes) => station.hear(key, bytes),
+            Ok(bytes) => {
+                station.hear(key, bytes);
+                if let Some(client) = station.clients.get_mut(key).filter(|_| bytes.len() < TURN) {
+                    client.emptied = now;
+                }
+            }
             Err(why) => station.part(key, &why),
         });
         if self.clients.get(key).is_some_and(|c| c.overflow) {
@@ -306,17 +317,19 @@
             load,
             body,
         } = ask;
+        let Some((serial, emptied)) = self.clients.get(key).map(|c| (c.serial, c.emptied)) else { return };
+        let arrived = self.liveness.earliest_arrival(now, emptied);
+        let lay_unread = (now - arrived - UNREAD_SLACK).max(0.0);
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
         let profile = place(&self.profiles, &profile);
         let come = IncomingRequest {
             function: &function,
             profile,
             client: place(&self.groups, &client),
-            timeout: (patience - MARGIN).max(0.0).min(self.shutdown.time_to_answer(now)),
+            timeout: (patience - lay_unread - MARGIN).max(0.0).min(self.shutdown.time_to_answer(now)),
             is_retry: repeat,
             resources: Some(FunctionResources { lanes, memory, load_time: load }),
         };
-        let Some(serial) = self.clients.get(key).map(|c| c.serial) else { return };
         let holds = self.room.holds(body.capacity() + mark.capacity());
         if self.room.full() {
             return self.turn_away(key, number);
--- a/crates/platform-router/src/door/accept.rs
+++ b/crates/platform-router/src/door/accept.rs
@@ -170,6 +170,7 @@
             since: self.now(),
             heard: f64::NEG_INFINITY,
             looked: f64::NEG_INFINITY,
+            emptied: f64::NEG_INFINITY,
             unread_turns: 0,
             condemned: false,
             overflow: place == Place::Overflow,
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -25,7 +25,7 @@
 /// Seconds without a sign of life that tell a standstill: an idle process looks after its connections five times a
 /// second.
 const STANDSTILL: f64 = 0.25;
-/// Seconds after a standstill in which a signal may be one that came amid it.
+/// Seconds after a standstill in which a signal, or bytes of a client, may have come amid it.
 const RECENT: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug)]
@@ -122,6 +122,15 @@
             _ => now,
         }
     }
+
+    /// The earliest time at which bytes may have come that are read at `now` from a socket in which nothing lay at
+    /// `emptied`.
+    pub fn earliest_arrival(&self, now: f64, emptied: f64) -> f64 {
+        match self.standstill.get() {
+            Some((_, until)) if emptied >= until => now,
+            _ => self.earliest(now).max(emptied),
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -56,3 +56,17 @@
     shutdown.begin(1.05, liveness.earliest(1.05));
     assert!(!shutdown.answers_due(1.44) && shutdown.admission_over(1.46) && shutdown.exit_due(1.58));
 }
+
+/// Bytes that are read right after a standstill may have come at its beginning, where nothing was read since; those that
+/// are read later, or from a socket that was emptied since, came just now.
+#[test]
+fn bytes_that_are_read_after_a_standstill() {
+    let liveness = Liveness::default();
+    for now in [0.2, 0.4, 1.0] {
+        liveness.note(now);
+    }
+    assert_eq!(liveness.earliest_arrival(1.05, 0.1), 0.4);
+    assert_eq!(liveness.earliest_arrival(1.05, f64::NEG_INFINITY), 0.4);
+    assert_eq!(liveness.earliest_arrival(1.05, 1.0), 1.05);
+    assert_eq!(liveness.earliest_arrival(1.2, 0.1), 1.2);
+}
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -66,7 +66,7 @@
     pub keeping: Keeping,
     pub room: Rc<Room>,
     pub shutdown: Shutdown,
-    liveness: Liveness,
+    pub liveness: Liveness,
     pub connect: f64,
     pub reports: bool,
     pub cancels: bool,
