--- a/crates/milletpath/tests/platform/gone_clients.rs
+++ b/crates/milletpath/tests/platform/gone_clients.rs
@@ -96,6 +96,11 @@
     std::iter::from_fn(|| wire.next(ATTEMPT)).map(|frame| frame.id).collect()
 }
 
+/// The connections to a worker that were not taken yet.
+fn further_connections(held: &Held) -> impl Iterator<Item = Wire> {
+    std::iter::from_fn(|| held.taken())
+}
+
 /// Its call comes and the client leaves before the router has read anything of it: the call was read, and its attempt
 /// sent, before the end of the connection was seen.
 #[test_matrix([Closes, HalfCloses, Resets, Cancels])]
@@ -182,8 +187,8 @@
     stays.say(&call(1, STAYS).replace("2500", "400"));
     assert!(stays.hear().contains("\"error\""));
     drop((router, leaver));
-    let others = workers.iter().flat_map(|held| std::iter::from_fn(|| held.taken()));
-    let late: Vec<u64> = others.chain([wire]).flat_map(attempts).collect();
+    let late: Vec<u64> =
+        workers.iter().flat_map(further_connections).chain([wire]).flat_map(attempts).collect();
     assert!(late.contains(&STAYS) && !late.contains(&GONE), "{late:?}");
 }
 
@@ -221,8 +226,31 @@
     assert_eq!(next_attempt(&mut wire).id, STAYS);
     wire.answer(DONE, STAYS);
     assert!(stays.hear().contains(DELIVERED));
+    // An attempt would have its own connection, as both bear the same id: that takes a moment.
+    std::thread::sleep(LONG_GONE);
     drop((router, leaver));
-    assert_eq!(attempts(wire), []);
+    let late: Vec<u64> = further_connections(&held).chain([wire]).flat_map(attempts).collect();
+    assert_eq!(late, []);
+}
+
+/// Where its client stays, the attempt does go out behind the load.
+#[test]
+fn an_attempt_behind_a_load_for_a_client_that_stays() {
+    let held = Held::new();
+    let router = Router::by(&patient(&[held.address], true));
+    let mut stays = Client::new(&router);
+    stays.say(&call(1, STAYS));
+    let mut wire = held.connection();
+    assert_eq!(next_attempt(&mut wire).id, STAYS);
+    wire.answer(MISS, STAYS);
+    let order = wire.next(LOAD).expect("an order to load");
+    std::thread::sleep(LONG_GONE);
+    wire.stream.write_all(&frame(DONE, order.id, "n=1", b"")).expect("it is open");
+    // On a connection of its own, as both attempts bear the same id.
+    let mut wire = held.connection();
+    assert_eq!(next_attempt(&mut wire).id, STAYS);
+    wire.answer(DONE, STAYS);
+    assert!(stays.hear().contains(DELIVERED));
 }
 
 /// Behind a bounded queue: the worker's one instance executes one call at a time, and another's is there.
