--- a/crates/platform-router/src/bulletin.rs
+++ b/crates/platform-router/src/bulletin.rs
@@ -4,6 +4,7 @@
 use crate::station::Shared;
 use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
+use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -13,8 +14,11 @@
 /// The bulletin ends a line every second; past this it has fallen silent, whatever drips in. Well within the 4 s
 /// after which what it would have told counts as told.
 const SILENCE: Duration = Duration::from_millis(1800);
-/// For a connection to be made.
+/// For a connection to be made, and for the request to be written on it.
 const CONNECT: Duration = Duration::from_millis(500);
+/// Before an interrupted call is repeated; doubled each time, so that it is repeated nine times at most within the time
+/// for the request.
+const INTERRUPTION_PAUSE: Duration = Duration::from_millis(1);
 /// Between two tries, doubled up to the longest.
 const PAUSES: [Duration; 2] = [Duration::from_millis(50), Duration::from_millis(400)];
 
@@ -57,10 +61,31 @@
     }
 }
 
+/// Writes the request for events. Interrupted calls are repeated after pauses: the runtime's own `write_all` repeats
+/// them at once, for as long as they are interrupted.
+async fn write_request(stream: &mut (impl AsyncWrite + Unpin), mut request: &[u8]) -> io::Result<()> {
+    let mut pause = INTERRUPTION_PAUSE;
+    while !request.is_empty() {
+        match stream.write(request).await {
+            Ok(0) => return Err(ErrorKind::WriteZero.into()),
+            Ok(written) => request = &request[written..],
+            Err(e) if e.kind() == ErrorKind::Interrupted => {
+                tokio::time::sleep(pause).await;
+                pause *= 2;
+            }
+            Err(e) => return Err(e),
+        }
+    }
+    Ok(())
+}
+
 /// Asks on a connection that stands, and takes what is told until it breaks or falls silent: why.
 async fn heed(station: &Shared, mut stream: impl AsyncRead + AsyncWrite + Unpin, last: &mut u64) -> String {
-    if let Err(e) = stream.write_all(events::subscribe_after(*last).as_bytes()).await {
-        return format!("it could not be asked: {e}");
+    let request = events::subscribe_after(*last);
+    match tokio::time::timeout(CONNECT, write_request(&mut stream, request.as_bytes())).await {
+        Ok(Ok(())) => {}
+        Ok(Err(e)) => return format!("it could not be asked: {e}"),
+        Err(_) => return "it could not be asked in time".into(),
     }
     let mut rest = Vec::new();
     let mut spoke = Instant::now();
--- a/crates/platform-router/src/bulletin/tests.rs
+++ b/crates/platform-router/src/bulletin/tests.rs
@@ -3,8 +3,10 @@
 use crate::sockets::tests::{BRIEF, CONNECT as CONNECT_ERRORS, Injected, LONG, Span, TRANSFER};
 use crate::station::tests::{listed, with};
 use nix::errno::Errno;
+use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
+use std::rc::Rc;
 use std::task::{Context, Poll};
 use test_case::test_case;
 use tokio::io::{DuplexStream, ReadBuf};
@@ -195,10 +197,60 @@
             theirs.shutdown().await.unwrap();
             let writes = Failing { stream: ours, operation: Operation::Write, errno, written: false };
             let why = heed(&station, writes, &mut last).await;
-            // The runtime writes again after an interruption.
+            // Written again after an interruption.
             let told = if errno == Errno::EINTR { "it ended" } else { "it could not be asked" };
             assert!(why.starts_with(told), "{errno:?}: {why}");
             assert_eq!(last, 2, "{errno:?}");
         }
     });
 }
+
+/// A stream of which every write is interrupted.
+struct Interrupted {
+    stream: DuplexStream,
+    writes: Rc<Cell<usize>>,
+}
+
+impl AsyncRead for Interrupted {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        to: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_read(cx, to)
+    }
+}
+
+impl AsyncWrite for Interrupted {
+    fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, _: &[u8]) -> Poll<io::Result<usize>> {
+        self.writes.set(self.writes.get() + 1);
+        assert!(self.writes.get() < 1000, "it spins");
+        Poll::Ready(Err(io::ErrorKind::Interrupted.into()))
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
+
+/// Each write of the request is interrupted: it is repeated with pauses, a bounded number of times, and the connection
+/// given up. It was repeated at once and without end, and nothing else ran meanwhile.
+#[test]
+fn a_request_to_the_bulletin_that_is_always_interrupted() {
+    with(async {
+        tokio::time::pause();
+        let station = listed(&[]);
+        let (ours, _theirs) = tokio::io::duplex(4 << 10);
+        let writes = Rc::new(Cell::new(0));
+        let begun = Instant::now();
+        let stream = Interrupted { stream: ours, writes: writes.clone() };
+        let why = heed(&station, stream, &mut 1).await;
+        assert_eq!(why, "it could not be asked in time");
+        assert!((2..=10).contains(&writes.get()), "{}", writes.get());
+        assert!(begun.elapsed() <= CONNECT + Duration::from_millis(1));
+    });
+}
