--- a/crates/milletpath/tests/platform.rs
+++ b/crates/milletpath/tests/platform.rs
@@ -10,8 +10,11 @@
 mod deadlines;
 #[path = "platform/gone_clients.rs"]
 mod gone_clients;
+#[path = "platform/gone_clients_of_serve.rs"]
+mod gone_clients_of_serve;
 #[path = "platform/held.rs"]
 mod held;
+mod served;
 #[path = "platform/shutdown.rs"]
 mod shutdown;
 #[path = "platform/standing.rs"]
--- a/crates/milletpath/tests/platform/gone_clients.rs
+++ b/crates/milletpath/tests/platform/gone_clients.rs
@@ -24,7 +24,7 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
+pub enum Leaves {
     Closes,
     HalfCloses,
     Resets,
@@ -48,7 +48,7 @@
 
 /// What the router does between the client's leaving and the end of what its call waits for.
 #[derive(Clone, Copy, Debug)]
-enum Meanwhile {
+pub enum Meanwhile {
     Runs,
     StandsStill,
 }
--- a/crates/milletpath/tests/served/mod.rs
+++ b/crates/milletpath/tests/served/mod.rs
@@ -167,6 +167,8 @@
     /// At the top of the charter, and in its section on workers.
     pub top: &'static str,
     pub of_workers: &'static str,
+    /// Whether workers are ordered to load.
+    pub orders: bool,
     /// Seconds that a call may take.
     pub cut_off: u32,
     /// That the system grants.
@@ -175,7 +177,7 @@
 
 impl Default for Setup {
     fn default() -> Self {
-        Self { top: "", of_workers: "", cut_off: 3, descriptors: 1024 }
+        Self { top: "", of_workers: "", orders: false, cut_off: 3, descriptors: 1024 }
     }
 }
 
@@ -190,11 +192,11 @@
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let name = format!("served-{}-{number}.hcl", std::process::id());
         let charter = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-        let Setup { top, of_workers, cut_off, descriptors } = setup;
+        let Setup { top, of_workers, orders, cut_off, descriptors } = setup;
         let text = format!(
             "seed = 3\nlisten = \"127.0.0.1:0\"\n{top}\n\
              profile \"pure\" {{\ndue = 1\ncut_off = {cut_off}\neffect = \"pure\"\n}}\n\
-             workers {{\norders = false\nprobes = false\n{of_workers}\n\
+             workers {{\norders = {orders}\nprobes = false\n{of_workers}\n\
              worker \"w\" {{ address = \"{worker}\" }}\n}}\n"
         );
         std::fs::write(&charter, text).expect("a file");
