--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -25,7 +25,7 @@
 /// Seconds without a sign of life that tell a standstill: an idle process looks after its connections five times a
 /// second.
 const STANDSTILL: f64 = 0.25;
-/// Seconds after a standstill in which a signal, or bytes of a client, may have come amid it.
+/// Seconds after a standstill in which a signal may be one that came amid it.
 const RECENT: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug)]
@@ -111,7 +111,9 @@
     pub fn note(&self, now: f64) {
         let last = self.last.replace(now);
         if now - last > STANDSTILL {
-            self.standstill.set(Some((last, now)));
+            // Where it had hardly moved on from another, both are one: what came amid the first may lie unread still.
+            let before = self.standstill.get().filter(|(_, until)| last - until <= RECENT);
+            self.standstill.set(Some((before.map_or(last, |(from, _)| from), now)));
         }
     }
 
@@ -124,11 +126,11 @@
     }
 
     /// The earliest time at which bytes may have come that are read at `now` from a socket in which nothing lay at
-    /// `emptied`.
+    /// `emptied`. All that came amid a standstill is read before the process would count as standing still again.
     pub fn earliest_arrival(&self, now: f64, emptied: f64) -> f64 {
         match self.standstill.get() {
-            Some((_, until)) if emptied >= until => now,
-            _ => self.earliest(now).max(emptied),
+            Some((from, until)) if emptied < until && now - until <= STANDSTILL => from.max(emptied),
+            _ => now,
         }
     }
 }
