--- a/crates/milletpath/tests/platform.rs
+++ b/crates/milletpath/tests/platform.rs
@@ -6,8 +6,15 @@
 mod crossings;
 #[path = "platform/crowded.rs"]
 mod crowded;
+#[path = "platform/deadlines.rs"]
+mod deadlines;
+#[path = "platform/gone_clients.rs"]
+mod gone_clients;
+#[path = "platform/gone_clients_of_serve.rs"]
+mod gone_clients_of_serve;
 #[path = "platform/held.rs"]
 mod held;
+mod served;
 #[path = "platform/shutdown.rs"]
 mod shutdown;
 #[path = "platform/standing.rs"]
--- a/crates/platform-router/src/client_connections/read.rs
+++ b/crates/platform-router/src/client_connections/read.rs
@@ -1,7 +1,7 @@
 //! Reads the sockets of clients and splits what comes into lines.
 
 use super::close::CloseReason;
-use crate::platform_router::{DeferredFlush, PlatformRouter};
+use crate::platform_router::{DeferredFlush, PlatformRouter, READ_SIZE};
 use crate::sockets::{SocketState, peek_socket};
 use crate::write_buffer::RETAINED_CAPACITY;
 use milletpath_dispatcher::dispatcher::RequestId;
@@ -13,6 +13,9 @@
 /// Seconds for which a look at a client's socket is believed before an attempt of its request begins: a fifth of the
 /// 0.1 s after which nothing may begin for a client that has gone.
 const CLIENT_CHECK_SECONDS: f64 = 0.02;
+/// Reads of a client's socket before an attempt of its request begins, to find whether it gave the call up: more than
+/// the calls that it may have open can fill.
+const MAX_READS_BEFORE_CHECK: usize = 16;
 
 impl PlatformRouter {
     /// The socket of a client is readable.
@@ -25,7 +28,6 @@
     pub fn read_client(&mut self, slot: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(slot) else { return };
-        client.checked_at = now;
         if client.closing {
             return;
         }
@@ -33,7 +35,12 @@
         let write_closed = client.write_closed_at.is_some();
         self.read_stream(&stream, |router, result| match result {
             Ok(_) if write_closed => {}
-            Ok(bytes) => router.receive_bytes(slot, bytes),
+            Ok(bytes) => {
+                router.receive_bytes(slot, bytes);
+                if let Some(client) = router.clients.get_mut(slot).filter(|_| bytes.len() < READ_SIZE) {
+                    client.emptied_at = now;
+                }
+            }
             Err(reason) => router.close_client(slot, &reason),
         });
         if self.clients.get(slot).is_some_and(|client| client.overflow) {
@@ -64,17 +71,21 @@
     pub fn may_begin_attempt(&mut self, request: RequestId, worker_connection: usize, now: f64) -> bool {
         let Some(key) = self.dispatcher.context(request).map(|context| context.client) else { return true };
         let Some(client) = self.client_by_key(key) else { return true };
-        if now - client.checked_at < CLIENT_CHECK_SECONDS {
+        if now - client.checked_at < CLIENT_CHECK_SECONDS || client.closing {
             return true;
         }
         match peek_socket(&client.stream) {
-            SocketState::Empty => client.checked_at = now,
             // All calls on the connection end with it, this one too.
             SocketState::Closed => self.close_client(key.slot, &CloseReason::ClosedByClient),
-            SocketState::Readable => {
+            SocketState::Readable if client.reads_before_check < MAX_READS_BEFORE_CHECK => {
+                client.reads_before_check += 1;
                 self.deferred_flushes.push(DeferredFlush { client: key.slot, worker_connection });
                 return false;
             }
+            SocketState::Empty | SocketState::Readable => {
+                client.checked_at = now;
+                client.reads_before_check = 0;
+            }
         }
         true
     }
--- a/crates/platform-router/src/client_connections/requests.rs
+++ b/crates/platform-router/src/client_connections/requests.rs
@@ -7,6 +7,10 @@
 /// Seconds by which a final response leaves before its client's time is up: what a busy machine takes from the client's
 /// write to the router's read, and back.
 pub(crate) const RESPONSE_MARGIN: f64 = 0.015;
+/// Seconds by which a call may have been unread for longer than is counted: the deadline that is sent on may be 0.15 s
+/// over what the client has left. A call that came at the end of a standstill, or in a pause that only looks like one on
+/// a busy machine, loses the less.
+const UNREAD_SLACK: f64 = 0.1;
 
 impl PlatformRouter {
     /// Submits a call to the dispatcher, or rejects it at once.
@@ -15,10 +19,11 @@
             return self.reject_call(slot, call.number);
         }
         let now = self.now();
-        let Some(client) = self.clients.get(slot).map(|client| ClientKey { slot, serial: client.serial })
-        else {
-            return;
-        };
+        let Some(connection) = self.clients.get(slot) else { return };
+        let client = ClientKey { slot, serial: connection.serial };
+        let arrived_at = self.liveness.earliest_arrival(now, connection.emptied_at);
+        let unread_seconds = (now - arrived_at - UNREAD_SLACK).max(0.0);
+        let time_left = (call.timeout - unread_seconds - RESPONSE_MARGIN).max(0.0);
         let reservation = self.memory_budget.reserve(call.body.capacity() + call.idempotency_key.capacity());
         if self.memory_budget.is_full() {
             return self.reject_call(slot, call.number);
@@ -28,7 +33,7 @@
             function: &call.function,
             profile,
             client: index_of(&self.groups, &call.client),
-            timeout: (call.timeout - RESPONSE_MARGIN).max(0.0).min(self.shutdown.time_to_answer(now)),
+            timeout: time_left.min(self.shutdown.time_to_answer(now)),
             is_retry: call.is_repeat,
             resources: Some(FunctionResources {
                 lanes: call.lanes,
--- a/crates/platform-router/src/discovery_watch.rs
+++ b/crates/platform-router/src/discovery_watch.rs
@@ -6,7 +6,7 @@
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use milletpath_protocol::Fault;
 use std::convert::Infallible;
-use std::io;
+use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -16,8 +16,11 @@
 /// The platform ends a line every second; past this the stream has fallen silent, whatever pieces of a line come. Well
 /// within the 4 s after which an event counts as known to the router.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Time for a connection to be made.
+/// Time for a connection to be made, and for the subscription to be written on it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause before an interrupted write is repeated; doubled each time, so that it is repeated nine times at most within the
+/// time for the subscription.
+const INTERRUPTION_PAUSE: Duration = Duration::from_millis(1);
 /// Pause before the second attempt, doubled from one to the next.
 const SHORTEST_PAUSE: Duration = Duration::from_millis(50);
 /// The longest pause between two attempts.
@@ -35,6 +38,8 @@
     ConnectTimeout,
     #[error("could not subscribe: {0}")]
     Subscribe(#[source] io::Error),
+    #[error("could not subscribe in time")]
+    SubscribeTimeout,
     #[error("the stream was closed")]
     Closed,
     #[error("the stream broke: {0}")]
@@ -91,13 +96,34 @@
     read_events(router, stream, last).await
 }
 
+/// Writes all bytes. Interrupted writes are repeated after pauses: the runtime's own `write_all` repeats them at once, for
+/// as long as they are interrupted.
+async fn write_patiently(stream: &mut (impl AsyncWrite + Unpin), mut bytes: &[u8]) -> io::Result<()> {
+    let mut pause = INTERRUPTION_PAUSE;
+    while !bytes.is_empty() {
+        match stream.write(bytes).await {
+            Ok(0) => return Err(ErrorKind::WriteZero.into()),
+            Ok(written) => bytes = &bytes[written..],
+            Err(error) if error.kind() == ErrorKind::Interrupted => {
+                tokio::time::sleep(pause).await;
+                pause *= 2;
+            }
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(())
+}
+
 /// Subscribes to the events after `last` and applies them until the stream ends.
 async fn read_events(
     router: &SharedRouter,
     mut stream: impl AsyncRead + AsyncWrite + Unpin,
     last: &mut u64,
 ) -> Result<Infallible, StreamEnd> {
-    stream.write_all(events::subscribe_after(*last).as_bytes()).await.map_err(StreamEnd::Subscribe)?;
+    let subscription = events::subscribe_after(*last);
+    let written =
+        tokio::time::timeout(CONNECT_TIMEOUT, write_patiently(&mut stream, subscription.as_bytes())).await;
+    written.map_err(|_| StreamEnd::SubscribeTimeout)?.map_err(StreamEnd::Subscribe)?;
     let mut unread = Vec::new();
     let mut last_line_at = Instant::now();
     loop {
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -5,8 +5,10 @@
     CONNECT as CONNECT_ERRORS, FaultDuration, FaultySockets, LONG_FAULT, SHORT_FAULT, TRANSFER,
 };
 use nix::errno::Errno;
+use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
+use std::rc::Rc;
 use std::task::{Context, Poll};
 use test_case::test_case;
 use tokio::io::{DuplexStream, ReadBuf};
@@ -199,7 +201,7 @@
             theirs.shutdown().await.unwrap();
             let writes = FailingStream { stream: ours, operation: Operation::Write, errno, written: false };
             let Err(reason) = read_events(&router, writes, &mut last).await;
-            // The runtime writes again after an interruption.
+            // Written again after an interruption.
             match reason {
                 StreamEnd::Closed if errno == Errno::EINTR => {}
                 StreamEnd::Subscribe(error) if errno != Errno::EINTR => {
@@ -211,3 +213,53 @@
         }
     });
 }
+
+/// A stream of which every write is interrupted.
+struct InterruptedStream {
+    stream: DuplexStream,
+    writes: Rc<Cell<usize>>,
+}
+
+impl AsyncRead for InterruptedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        to: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_read(cx, to)
+    }
+}
+
+impl AsyncWrite for InterruptedStream {
+    fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, _: &[u8]) -> Poll<io::Result<usize>> {
+        self.writes.set(self.writes.get() + 1);
+        assert!(self.writes.get() < 1000, "it spins");
+        Poll::Ready(Err(io::ErrorKind::Interrupted.into()))
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
+
+/// Each write of the subscription is interrupted: it is repeated with pauses, a bounded number of times, and the
+/// connection given up. It was repeated at once and without end, and nothing else ran meanwhile.
+#[test]
+fn subscription_that_is_always_interrupted_is_given_up() {
+    run_local(async {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let (ours, _theirs) = tokio::io::duplex(4 << 10);
+        let writes = Rc::new(Cell::new(0));
+        let begun = Instant::now();
+        let stream = InterruptedStream { stream: ours, writes: writes.clone() };
+        let Err(reason) = read_events(&router, stream, &mut 1).await;
+        assert!(matches!(reason, StreamEnd::SubscribeTimeout), "{reason}");
+        assert!((2..=10).contains(&writes.get()), "{}", writes.get());
+        assert!(begun.elapsed() <= CONNECT_TIMEOUT + Duration::from_millis(1));
+    });
+}
--- a/crates/platform-router/src/platform_router/client_connection.rs
+++ b/crates/platform-router/src/platform_router/client_connection.rs
@@ -42,8 +42,12 @@
     pub last_progress: f64,
     /// When bytes last came; negative infinity before the first.
     pub last_received: f64,
-    /// When its socket was last read or peeked at.
+    /// When its socket was last found open with nothing unread.
     pub checked_at: f64,
+    /// When a read last left nothing in its socket.
+    pub emptied_at: f64,
+    /// Reads since `checked_at` that were made to find its socket so.
+    pub reads_before_check: usize,
     /// An invalid line came: what is in the buffer is written, and the connection closed.
     pub closing: bool,
     /// It was accepted beyond the limit, where all others wait for responses: its calls are rejected while that holds.
@@ -68,6 +72,8 @@
             last_progress: now,
             last_received: f64::NEG_INFINITY,
             checked_at: f64::NEG_INFINITY,
+            emptied_at: f64::NEG_INFINITY,
+            reads_before_check: 0,
             closing: false,
             overflow: false,
             write_closed_at: None,
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -121,7 +121,10 @@
     pub fn note(&self, now: f64) {
         let last = self.last.replace(now);
         if now - last > STANDSTILL {
-            self.standstill.set(Some(Standstill { from: last, until: now }));
+            // Where it had hardly moved on from another, both are one: what came amid the first may still be unread.
+            let previous = self.standstill.get().filter(|previous| last - previous.until <= RECENT);
+            let from = previous.map_or(last, |previous| previous.from);
+            self.standstill.set(Some(Standstill { from, until: now }));
         }
     }
 
@@ -132,6 +135,17 @@
             _ => now,
         }
     }
+
+    /// The earliest time at which bytes may have come that are read at `now` from a socket that was empty at
+    /// `emptied_at`. All that came amid a standstill is read before the process would count as standing still again.
+    pub fn earliest_arrival(&self, now: f64, emptied_at: f64) -> f64 {
+        match self.standstill.get() {
+            Some(Standstill { from, until }) if emptied_at < until && now - until <= STANDSTILL => {
+                from.max(emptied_at)
+            }
+            _ => now,
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -56,3 +56,23 @@
     shutdown.begin(1.05, liveness.earliest(1.05));
     assert!(!shutdown.answers_due(1.44) && shutdown.admission_over(1.46) && shutdown.exit_due(1.58));
 }
+
+/// Bytes that are read right after a standstill may have come at its beginning, where nothing was read since; those that
+/// are read later, or from a socket that was emptied since, came just now.
+#[test]
+fn bytes_that_are_read_after_a_standstill() {
+    let liveness = Liveness::default();
+    for now in [0.2, 0.4, 1.0] {
+        liveness.note(now);
+    }
+    assert_eq!(liveness.earliest_arrival(1.05, 0.1), 0.4);
+    assert_eq!(liveness.earliest_arrival(1.05, f64::NEG_INFINITY), 0.4);
+    assert_eq!(liveness.earliest_arrival(1.05, 1.0), 1.05);
+    assert_eq!(liveness.earliest_arrival(1.2, 0.1), 0.4);
+    assert_eq!(liveness.earliest_arrival(1.3, 0.1), 1.3);
+    // It stands still again as soon as it has moved on.
+    for now in [1.02, 1.5] {
+        liveness.note(now);
+    }
+    assert_eq!((liveness.earliest_arrival(1.5, 0.1), liveness.earliest_arrival(1.5, 1.01)), (0.4, 1.01));
+}
