--- a/crates/config-log/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -6,17 +6,20 @@
 
 #[path = "../tests/burst/mod.rs"]
 mod burst;
-#[path = "../tests/net/mod.rs"]
-mod net;
+#[path = "../tests/cluster/mod.rs"]
+mod cluster;
 
-use burst::{Burst, Cost, between, spent};
+use burst::{Burst, Cost, cost_between, cost_so_far};
+use cluster::network::regions;
+use cluster::{NodeId, SimulatedCluster};
 use milletpath_config_log::{Entry, State};
-use net::place::regions;
-use net::{Net, Place};
 
-fn at(values: &mut [f64], part: f64) -> f64 {
+fn value_at(values: &mut [f64], quantile: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    values.get((part * values.len().saturating_sub(1) as f64).round() as usize).copied().unwrap_or(f64::NAN)
+    values
+        .get((quantile * values.len().saturating_sub(1) as f64).round() as usize)
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 /// Bytes that a state of so many statements of the usual length takes, by estimate: its keys twice, its texts, and the
@@ -26,14 +29,14 @@
     const AROUND: usize = (24 + 8 + 8 + 72) * 3 / 2;
     let mut state = State::default();
     for number in 1..=statements {
-        assert!(state.apply(Entry { number, change: burst::stated(number) }));
+        assert!(state.apply(Entry { number, change: burst::usual_change(number) }));
     }
     let keys: usize = state.iter().map(|(_, change)| change.key.len()).sum();
-    state.texts() + keys + state.iter().count() * AROUND
+    state.total_bytes() + keys + state.iter().count() * AROUND
 }
 
 /// Seconds until in force, and how often that was not so after 6 s.
-struct Known {
+struct Latencies {
     p50: f64,
     p99: f64,
     worst: f64,
@@ -41,15 +44,15 @@
 }
 
 /// A burst while that zone is gone.
-fn known(net: &mut Net, gone: usize) -> (Known, Burst) {
-    net.gone = vec![gone];
-    let mut burst = Burst::play(net, 20);
-    let [p50, p99] = [0.5, 0.99].map(|part| at(&mut burst.delays, part));
-    let there = (0..net.gateways.len()).filter(|n| Place::Follower(*n).zone() != gone).count();
+fn latencies(cluster: &mut SimulatedCluster, isolated_zone: usize) -> (Latencies, Burst) {
+    cluster.isolated_zones = vec![isolated_zone];
+    let mut burst = Burst::run(cluster, 20);
+    let [p50, p99] = [0.5, 0.99].map(|quantile| value_at(&mut burst.delays, quantile));
+    let there = (0..cluster.gateways.len()).filter(|n| NodeId::Follower(*n).zone() != isolated_zone).count();
     let missed = 20 * there - burst.delays.len();
-    net.gone.clear();
-    net.play(net.now + 10.0);
-    (Known { p50, p99, worst: burst.worst(), missed }, burst)
+    cluster.isolated_zones.clear();
+    cluster.run_until(cluster.now + 10.0);
+    (Latencies { p50, p99, worst: burst.worst(), missed }, burst)
 }
 
 /// A zone without a control machine, and that of the machine which leads.
@@ -63,49 +66,49 @@
 }
 
 fn main() {
-    let asked = |name: &str| std::env::args().any(|a| a == name);
-    let sizes: &[usize] = if asked("quick") { &[100] } else { &[100, 300, 600, 1100] };
-    if !asked("--json") {
+    let has_argument = |name: &str| std::env::args().any(|a| a == name);
+    let sizes: &[usize] = if has_argument("quick") { &[100] } else { &[100, 300, 600, 1100] };
+    if !has_argument("--json") {
         println!("                a gateway, a second              a machine, a second");
         println!("size           cpu ms  bytes in  bytes out      cpu ms  bytes in  bytes out");
     }
     for &size in sizes {
-        let mut net = Net::new(7, size, size as u64);
-        net.rule = regions(0.01);
-        net.follow_all();
-        net.play(4.0);
-        net.commit(0, net::change(1, "first", "lanes = 1", 0));
-        net.play(net.now + 2.0);
-        net.timed = true;
-        let (before, from) = (spent(&net), net.now);
-        net.play(from + 10.0);
-        let rest = between(before, spent(&net), 10.0);
-        let (calm, burst) = known(&mut net, ZONES[0]);
-        assert_eq!(net.leaders(), [ZONES[1]]);
-        let (led, _) = known(&mut net, ZONES[1]);
-        if asked("--json") {
-            let known = |k: &Known| serde_json::json!({ "p50": k.p50, "p99": k.p99, "worst": k.worst, "missed": k.missed });
+        let mut cluster = SimulatedCluster::new(7, size, size as u64);
+        cluster.delivery_rule = regions(0.01);
+        cluster.start_all_followers();
+        cluster.run_until(4.0);
+        cluster.commit(0, cluster::change(1, "first", "lanes = 1", 0));
+        cluster.run_until(cluster.now + 2.0);
+        cluster.timed = true;
+        let (before, from) = (cost_so_far(&cluster), cluster.now);
+        cluster.run_until(from + 10.0);
+        let rest = cost_between(before, cost_so_far(&cluster), 10.0);
+        let (follower_zone_isolated, burst) = latencies(&mut cluster, ZONES[0]);
+        assert_eq!(cluster.leaders(), [ZONES[1]]);
+        let (leader_zone_isolated, _) = latencies(&mut cluster, ZONES[1]);
+        if has_argument("--json") {
+            let latencies = |k: &Latencies| serde_json::json!({ "p50": k.p50, "p99": k.p99, "worst": k.worst, "missed": k.missed });
             let mut line = figures(rest);
             line["size"] = size.into();
-            line["burst"] = figures(burst.spent);
-            line["known"] = known(&calm);
-            line["known_leader_gone"] = known(&led);
+            line["burst"] = figures(burst.cost_so_far);
+            line["known"] = latencies(&follower_zone_isolated);
+            line["known_leader_gone"] = latencies(&leader_zone_isolated);
             println!("{line}");
             continue;
         }
-        for (what, (gateway, machine)) in [("at rest", rest), ("20 changes", burst.spent)] {
+        for (what, (gateway, machine)) in [("at rest", rest), ("20 changes", burst.cost_so_far)] {
             let ([cpu, b_in, b_out], [m_cpu, m_in, m_out]) = (gateway, machine);
             print!("{size:>4} {what:<10} {:>6.3} {b_in:>9.0} {b_out:>10.0} ", cpu * 1e3);
             println!("{:>11.3} {m_in:>9.0} {m_out:>10.0}", m_cpu * 1e3);
         }
-        for (what, k) in [("a zone", calm), ("the leader's zone", led)] {
+        for (what, k) in [("a zone", follower_zone_isolated), ("the leader's zone", leader_zone_isolated)] {
             println!(
-                "     in force with {what} gone: p50 {:.2} s, p99 {:.2} s, worst {:.2} s; not after 6 s: {}",
+                "     in force with {what} isolated_zone: p50 {:.2} s, p99 {:.2} s, worst {:.2} s; not after 6 s: {}",
                 k.p50, k.p99, k.worst, k.missed
             );
         }
     }
-    if !asked("--json") {
+    if !has_argument("--json") {
         for statements in [1_000, 100_000] {
             println!("state of {statements} statements: {} bytes by estimate", memory(statements));
         }
--- a/crates/config-log/src/acceptor.rs
+++ b/crates/config-log/src/acceptor.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Numbers above its head at which a replica accepts and counts, and twice what one that leads has open at a time.
-pub(crate) const SLOTS: u64 = 64;
+pub(crate) const ACCEPT_WINDOW: u64 = 64;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Acceptor {
@@ -58,12 +58,12 @@
     }
 
     /// What it accepted at that number under that ballot or a later one. Where that ballot was chosen, both are the same.
-    pub fn value(&self, number: u64, ballot: Ballot) -> Option<&Change> {
+    pub fn value_at(&self, number: u64, ballot: Ballot) -> Option<&Change> {
         self.votes.get(&number).filter(|v| v.ballot >= ballot).map(|v| &v.change)
     }
 
     /// All up to that number is chosen.
-    pub fn forget(&mut self, head: u64) {
+    pub fn discard_through(&mut self, head: u64) {
         self.votes = self.votes.split_off(&(head + 1));
     }
 }
--- a/crates/config-log/src/clock.rs
+++ b/crates/config-log/src/clock.rs
@@ -13,7 +13,7 @@
     }
 
     /// The caller's clock shows that time; gives the seconds since the last one.
-    pub fn pass(&mut self, now: f64) -> f64 {
+    pub fn advance_to(&mut self, now: f64) -> f64 {
         let ahead = now + self.shift;
         if ahead < self.now {
             self.shift = self.now - now;
@@ -25,7 +25,7 @@
     }
 
     /// When that is, on the caller's clock.
-    pub fn theirs(&self, time: f64) -> f64 {
+    pub fn to_caller(&self, time: f64) -> f64 {
         time - self.shift
     }
 }
--- a/crates/config-log/src/durable.rs
+++ b/crates/config-log/src/durable.rs
@@ -85,7 +85,7 @@
     /// The first failure in a row, or a further one.
     Failed {
         error: StorageError,
-        in_a_row: u32,
+        consecutive_failures: u32,
         retry_in: f64,
     },
     Recovered,
@@ -150,10 +150,10 @@
 
     /// When [`flush`](Self::flush) is wanted next though nothing came: the replica has something due, or the storage is
     /// to be tried again.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         match self.replica.is_suspended() {
-            true => self.replica.next().min(self.retry_at),
-            false => self.replica.next(),
+            true => self.replica.next_deadline().min(self.retry_at),
+            false => self.replica.next_deadline(),
         }
     }
 
@@ -192,7 +192,7 @@
                     continue;
                 }
                 self.backoff.succeeded();
-                self.replica.stored();
+                self.replica.confirm_stored();
             }
             self.out.append(&mut sends);
         }
@@ -220,8 +220,12 @@
             Err(error) if self.log.is_appendable() => {
                 let retry_in = self.grown_backoff.failed();
                 self.grown_retry_at = now + retry_in;
-                let in_a_row = self.grown_backoff.failures();
-                self.events.push(StorageEvent::Failed { error: error.into(), in_a_row, retry_in });
+                let consecutive_failures = self.grown_backoff.failures();
+                self.events.push(StorageEvent::Failed {
+                    error: error.into(),
+                    consecutive_failures,
+                    retry_in,
+                });
             }
             Err(error) => self.suspend(now, error.into()),
         }
@@ -231,8 +235,8 @@
         self.replica.storage_failed();
         let retry_in = self.backoff.failed();
         self.retry_at = now + retry_in;
-        let in_a_row = self.backoff.failures();
-        self.events.push(StorageEvent::Failed { error, in_a_row, retry_in });
+        let consecutive_failures = self.backoff.failures();
+        self.events.push(StorageEvent::Failed { error, consecutive_failures, retry_in });
     }
 }
 
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -25,9 +25,9 @@
 mod view;
 
 pub use durable::{DurableReplica, LoadError, RewritePolicy, StorageError, StorageEvent, StoredLog};
-pub use entry::{Change, Entry, KEY, KEYS, Logged, TEXT, TEXTS};
+pub use entry::{Change, Entry, LoggedEntry, MAX_KEY_BYTES, MAX_KEYS, MAX_TEXT_BYTES, MAX_TOTAL_BYTES};
 pub use follower::Follower;
 pub use message::{Ballot, Message, Outcome};
-pub use replica::{Action, REPLICAS, Record, Replica, Terms};
+pub use replica::{Action, MAX_REPLICAS, Record, Replica, Timing};
 pub use state::State;
-pub use view::{Followed, FollowerView, ReplicaView, Seen, Tally};
+pub use view::{Counters, FollowerStatus, FollowerView, ReplicaStatus, ReplicaView};
--- a/crates/config-log/src/message.rs
+++ b/crates/config-log/src/message.rs
@@ -4,7 +4,7 @@
 //! is not known is skipped, a kind that is not known is passed over, a number never changes its meaning: old and new
 //! programs stand side by side.
 
-use crate::entry::{Change, Entry, Logged};
+use crate::entry::{Change, Entry, LoggedEntry};
 use minicbor::decode::Decoder;
 use minicbor::{Decode, Encode};
 use std::fmt;
@@ -12,25 +12,25 @@
 /// The version that is written. All from 1 on are read.
 pub const VERSION: u8 = 1;
 
-pub use milletpath_sealed_datagram::MAX_DATAGRAM_LEN as LARGEST;
+pub use milletpath_sealed_datagram::MAX_DATAGRAM_LEN as MAX_DATAGRAM_BYTES;
 
 /// Bytes of a follower's name.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_FOLLOWER_NAME_BYTES: usize = 64;
 
 /// Bytes of a reason why a gateway could not apply an entry.
-pub const LONGEST_WHY: usize = 200;
+pub const MAX_APPLY_ERROR_BYTES: usize = 200;
 
 /// Bytes of a reason why a change is denied.
-pub const LONGEST_DENIAL: usize = 1000;
+pub const MAX_DENIAL_BYTES: usize = 1000;
 
 /// Bytes that entries may take in one datagram: what is left beside a seal and the other fields of the largest reply.
-pub const ROOM: usize = 1200;
+pub const MAX_ENTRIES_BYTES: usize = 1200;
 
 /// Numbers of entries and ballots are below this: a garbled or hostile one can't stop the count.
-const NUMBERS: u64 = 1 << 56;
+const NUMBER_LIMIT: u64 = 1 << 56;
 
 /// Numbers in a promise: with them and the longest entry it still passes in one datagram.
-const SLOTS: usize = 64;
+const MAX_PROMISED_SLOTS: usize = 64;
 
 /// Which attempt to lead a replica follows: grows; its last three bits are the number of the replica that made it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
@@ -45,7 +45,7 @@
 
     /// Far below where counting up would end.
     fn fits(self) -> bool {
-        self.0 < NUMBERS
+        self.0 < NUMBER_LIMIT
     }
 
     pub fn owner(self) -> usize {
@@ -67,14 +67,14 @@
 
 impl Vote {
     fn fits(&self) -> bool {
-        self.ballot.fits() && self.number < NUMBERS && self.change.fits()
+        self.ballot.fits() && self.number < NUMBER_LIMIT && self.change.fits()
     }
 }
 
 /// How a replica stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(map)]
-pub struct Standing {
+pub struct Progress {
     /// Up to this number all is chosen and applied, and the digest of what is then in force.
     #[n(0)]
     pub head: u64,
@@ -82,7 +82,7 @@
     pub digest: u64,
     /// The highest number that it accepted anything at, or its head.
     #[n(2)]
-    pub top: u64,
+    pub highest_accepted: u64,
     /// The highest ballot that it promised.
     #[n(3)]
     pub ballot: Ballot,
@@ -114,17 +114,17 @@
     Busy,
     /// The key is empty.
     #[n(6)]
-    NoKey,
+    EmptyKey,
 }
 
 /// A follower's word that its gateway could not apply an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(map)]
-pub struct Refusal {
+pub struct ApplyError {
     #[n(0)]
     pub number: u64,
     #[n(1)]
-    pub why: String,
+    pub reason: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
@@ -138,7 +138,7 @@
     },
     /// What became of the change with that id.
     #[n(2)]
-    Proposed {
+    ProposalResult {
         #[n(0)]
         id: u64,
         #[n(1)]
@@ -150,10 +150,10 @@
         #[n(0)]
         key: String,
     },
-    /// `number` 0: nothing ever stood there. `text` none: nothing stands there now. `age`: milliseconds since a majority
+    /// `number` 0: nothing ever stood there. `text` none: nothing stands there now. `confirmed_age_ms`: milliseconds since a majority
     /// knew of nothing beyond `head`, none for never.
     #[n(4)]
-    Got {
+    GetReply {
         #[n(0)]
         key: String,
         #[n(1)]
@@ -163,13 +163,13 @@
         #[n(3)]
         head: u64,
         #[n(4)]
-        age: Option<u64>,
+        confirmed_age_ms: Option<u64>,
     },
-    /// An operator asks for a replica's view; one page at a time, all of one `ask` from the same moment.
+    /// An operator asks for a replica's view; one page at a time, all of one `query_id` from the same moment.
     #[n(5)]
-    Status {
+    StatusRequest {
         #[n(0)]
-        ask: u64,
+        query_id: u64,
         #[n(1)]
         page: u32,
     },
@@ -177,11 +177,11 @@
     #[n(6)]
     StatusPage {
         #[n(0)]
-        ask: u64,
+        query_id: u64,
         #[n(1)]
         page: u32,
         #[n(2)]
-        of: u32,
+        page_count: u32,
         #[cbor(n(3), with = "minicbor::bytes")]
         bytes: Vec<u8>,
     },
@@ -227,24 +227,24 @@
     },
     /// The sender promised this higher ballot.
     #[n(11)]
-    Outvoted {
+    Preempted {
         #[n(0)]
         ballot: Ballot,
     },
-    /// How do you stand? `stamp` comes back.
+    /// How do you stand? `request_id` comes back.
     #[n(12)]
-    Ask {
+    Heartbeat {
         #[n(0)]
-        stamp: u64,
+        request_id: u64,
         #[n(1)]
-        standing: Standing,
+        progress: Progress,
     },
     #[n(13)]
-    Answer {
+    HeartbeatReply {
         #[n(0)]
-        stamp: u64,
+        request_id: u64,
         #[n(1)]
-        standing: Standing,
+        progress: Progress,
     },
     /// What is there after this number? Answered by so many pages at most, of the log or, where that doesn't reach
     /// back so far, of what is in force.
@@ -256,22 +256,22 @@
         pages: u8,
         /// Pages of what is in force are wanted in any case.
         #[n(2)]
-        compacted: bool,
+        snapshot: bool,
     },
     /// Entries of the log that follow each other, each with the digest after it.
     #[n(15)]
-    Log {
+    LogEntries {
         #[n(0)]
-        entries: Vec<Logged>,
+        entries: Vec<LoggedEntry>,
     },
-    /// Of the entries that are in force all with numbers above `after` and up to `upto`. Where `upto` is `head`, that
+    /// Of the entries that are in force all with numbers above `after` and up to `through`. Where `through` is `head`, that
     /// was the last page, and the digest is that of all that is in force at the head.
     #[n(16)]
-    Page {
+    SnapshotPage {
         #[n(0)]
         after: u64,
         #[n(1)]
-        upto: u64,
+        through: u64,
         #[n(2)]
         entries: Vec<Entry>,
         #[n(3)]
@@ -280,7 +280,7 @@
         digest: u64,
     },
     /// A follower tells how it stands and asks what is new. `about`: a number at which it wants to know the digest, 0
-    /// for none. `stamp` comes back.
+    /// for none. `request_id` comes back.
     #[n(17)]
     Poll {
         #[n(0)]
@@ -290,44 +290,44 @@
         #[n(2)]
         digest: u64,
         #[n(3)]
-        about: u64,
+        queried_number: u64,
         #[n(4)]
-        stamp: u64,
+        request_id: u64,
         #[n(5)]
-        refused: Option<Refusal>,
+        apply_error: Option<ApplyError>,
     },
-    /// `age`: milliseconds since a majority knew of nothing beyond `head`, none for never. `entries`: what follows the
+    /// `confirmed_age_ms`: milliseconds since a majority knew of nothing beyond `head`, none for never. `entries`: what follows the
     /// follower's number, as far as it has room; none although the head is further on where the log doesn't reach back.
     #[n(18)]
-    Reply {
+    PollReply {
         #[n(0)]
-        stamp: u64,
+        request_id: u64,
         #[n(1)]
         head: u64,
         #[n(2)]
         digest: u64,
         #[n(3)]
-        age: Option<u64>,
-        /// The digest at the number that was asked about, where it is known.
+        confirmed_age_ms: Option<u64>,
+        /// The digest at the number that was asked queried_digest, where it is known.
         #[n(4)]
-        about: Option<u64>,
+        queried_digest: Option<u64>,
         #[n(5)]
-        entries: Vec<Logged>,
+        entries: Vec<LoggedEntry>,
     },
     /// An entry as soon as it is committed.
     #[n(19)]
     Push {
         #[n(0)]
-        logged: Logged,
+        logged: LoggedEntry,
     },
     /// A control machine's shell tells an author why it doesn't take his change: its charter can't have it. Replicas and
     /// followers pass it over.
     #[n(20)]
-    Denied {
+    ChangeDenied {
         #[n(0)]
         id: u64,
         #[n(1)]
-        why: String,
+        reason: String,
     },
 }
 
@@ -336,37 +336,39 @@
 
 /// Why a datagram is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// Larger than [`LARGEST`], or too small for a seal.
-    Size,
+pub enum OpenError {
+    /// Larger than [`MAX_DATAGRAM_BYTES`], or too small for a seal.
+    InvalidSize,
     /// Of a version that this program does not read.
-    Version(u8),
+    UnsupportedVersion(u8),
     /// Sealed with another key, or changed on its way.
-    Seal,
+    InvalidTag,
     /// Sealed rightly, but of a kind that this program does not know.
-    Kind(u32),
+    UnknownKind(u32),
     /// Sealed rightly, but it can't be read or breaks a bound.
-    Body,
+    InvalidBody,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Size => write!(f, "no message has this size"),
-            Self::Version(v) => write!(f, "its version {v} is not read here"),
-            Self::Seal => write!(f, "its seal is of another key"),
-            Self::Kind(k) => write!(f, "its kind {k} is not known here"),
-            Self::Body => write!(f, "it can't be read"),
+            Self::InvalidSize => write!(f, "no message has this size"),
+            Self::UnsupportedVersion(v) => write!(f, "its version {v} is not read here"),
+            Self::InvalidTag => write!(f, "its seal is of another key"),
+            Self::UnknownKind(k) => write!(f, "its kind {k} is not known here"),
+            Self::InvalidBody => write!(f, "it can't be read"),
         }
     }
 }
 
-impl From<milletpath_sealed_datagram::OpenError> for Refused {
-    fn from(why: milletpath_sealed_datagram::OpenError) -> Self {
-        match why {
-            milletpath_sealed_datagram::OpenError::InvalidSize => Self::Size,
-            milletpath_sealed_datagram::OpenError::UnsupportedVersion(version) => Self::Version(version),
-            milletpath_sealed_datagram::OpenError::InvalidTag => Self::Seal,
+impl From<milletpath_sealed_datagram::OpenError> for OpenError {
+    fn from(reason: milletpath_sealed_datagram::OpenError) -> Self {
+        match reason {
+            milletpath_sealed_datagram::OpenError::InvalidSize => Self::InvalidSize,
+            milletpath_sealed_datagram::OpenError::UnsupportedVersion(version) => {
+                Self::UnsupportedVersion(version)
+            }
+            milletpath_sealed_datagram::OpenError::InvalidTag => Self::InvalidTag,
         }
     }
 }
@@ -388,39 +390,39 @@
 }
 
 /// Reads a datagram.
-pub fn open(key: &Key, datagram: &[u8]) -> Result<Message, Refused> {
+pub fn open(key: &Key, datagram: &[u8]) -> Result<Message, OpenError> {
     let body = key.0.open(datagram)?;
     let mut head = Decoder::new(body);
-    let kind = head.array().and_then(|_| head.u32()).map_err(|_| Refused::Body)?;
+    let kind = head.array().and_then(|_| head.u32()).map_err(|_| OpenError::InvalidBody)?;
     if kind == 0 || kind > LAST_KIND {
-        return Err(Refused::Kind(kind));
+        return Err(OpenError::UnknownKind(kind));
     }
-    let message: Message = minicbor::decode(body).map_err(|_| Refused::Body)?;
-    if message.fits() { Ok(message) } else { Err(Refused::Body) }
+    let message: Message = minicbor::decode(body).map_err(|_| OpenError::InvalidBody)?;
+    if message.fits() { Ok(message) } else { Err(OpenError::InvalidBody) }
 }
 
 impl Message {
     /// Whether all that it carries keeps its bounds. A change that an author proposes may break them: he is told.
     pub fn fits(&self) -> bool {
-        let logged = |all: &[Logged]| all.iter().all(|l| l.entry.change.fits());
+        let logged = |all: &[LoggedEntry]| all.iter().all(|l| l.entry.change.fits());
         match self {
             Self::Promise { ballot, slots, vote, .. } => {
-                ballot.fits() && slots.len() <= SLOTS && vote.as_ref().is_none_or(Vote::fits)
+                ballot.fits() && slots.len() <= MAX_PROMISED_SLOTS && vote.as_ref().is_none_or(Vote::fits)
             }
             Self::Accept { vote } => vote.fits(),
-            Self::Prepare { ballot, .. } | Self::Outvoted { ballot } => ballot.fits(),
-            Self::Accepted { ballot, number } => ballot.fits() && *number < NUMBERS,
-            Self::Ask { standing, .. } | Self::Answer { standing, .. } => {
-                standing.ballot.fits() && standing.top < NUMBERS
+            Self::Prepare { ballot, .. } | Self::Preempted { ballot } => ballot.fits(),
+            Self::Accepted { ballot, number } => ballot.fits() && *number < NUMBER_LIMIT,
+            Self::Heartbeat { progress, .. } | Self::HeartbeatReply { progress, .. } => {
+                progress.ballot.fits() && progress.highest_accepted < NUMBER_LIMIT
             }
-            Self::Log { entries } | Self::Reply { entries, .. } => logged(entries),
-            Self::Page { entries, .. } => entries.iter().all(|e| e.change.fits()),
-            Self::Denied { why, .. } => why.len() <= LONGEST_DENIAL,
+            Self::LogEntries { entries } | Self::PollReply { entries, .. } => logged(entries),
+            Self::SnapshotPage { entries, .. } => entries.iter().all(|e| e.change.fits()),
+            Self::ChangeDenied { reason, .. } => reason.len() <= MAX_DENIAL_BYTES,
             Self::Push { logged } => logged.entry.change.fits(),
-            Self::Poll { name, refused, .. } => {
+            Self::Poll { name, apply_error, .. } => {
                 !name.is_empty()
-                    && name.len() <= LONGEST_NAME
-                    && refused.as_ref().is_none_or(|r| r.why.len() <= LONGEST_WHY)
+                    && name.len() <= MAX_FOLLOWER_NAME_BYTES
+                    && apply_error.as_ref().is_none_or(|r| r.reason.len() <= MAX_APPLY_ERROR_BYTES)
             }
             _ => true,
         }
--- a/crates/config-log/src/pending.rs
+++ b/crates/config-log/src/pending.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// Changes of authors that wait at a replica.
-const WAITING: usize = 256;
+const MAX_PENDING_CHANGES: usize = 256;
 
 #[derive(Clone, Debug)]
 pub(crate) struct PendingChange {
@@ -25,43 +25,43 @@
     /// An author, or a replica for one, proposes a change.
     pub(crate) fn propose(&mut self, from: SocketAddr, passed_on: bool, change: Change) {
         let id = change.id;
-        let room = self.proposer.waiting.len() < WAITING;
-        let known = self.proposer.waiting.iter_mut().find(|w| w.change.id == id);
-        let outcome = if change.is_nothing() || id == 0 {
-            Outcome::NoKey
+        let has_capacity = self.proposer.pending.len() < MAX_PENDING_CHANGES;
+        let known = self.proposer.pending.iter_mut().find(|w| w.change.id == id);
+        let outcome = if change.is_no_op() || id == 0 {
+            Outcome::EmptyKey
         } else if !change.fits() {
             Outcome::TooLarge
-        } else if let Some(waiting) = known {
-            waiting.author = if passed_on { waiting.author } else { Some(from) };
+        } else if let Some(pending) = known {
+            pending.author = if passed_on { pending.author } else { Some(from) };
             return;
         } else if let Some(outcome) = self.log.outcome(&change) {
             outcome
-        } else if self.log.state.verdict(&change) == crate::state::Verdict::Full {
+        } else if self.log.state.effect_of(&change) == crate::state::Effect::Full {
             Outcome::Full
-        } else if !room {
+        } else if !has_capacity {
             Outcome::Busy
         } else {
-            self.tally.proposals += 1;
+            self.counters.proposals += 1;
             let author = (!passed_on).then_some(from);
             let since = self.clock.now;
-            self.proposer.waiting.push(PendingChange { change, author, since, sent: None, number: None });
+            self.proposer.pending.push(PendingChange { change, author, since, sent: None, number: None });
             return;
         };
-        self.send(from, Message::Proposed { id, outcome });
+        self.send(from, Message::ProposalResult { id, outcome });
     }
 
     /// Where it was passed on to, its outcome is known already.
-    pub(crate) fn proposed_elsewhere(&mut self, id: u64, outcome: Outcome) {
+    pub(crate) fn on_proposal_result(&mut self, id: u64, outcome: Outcome) {
         if !matches!(outcome, Outcome::Unknown | Outcome::Busy) {
-            self.answer(|w| w.change.id == id, outcome);
+            self.resolve(|w| w.change.id == id, outcome);
         }
     }
 
-    fn answer(&mut self, which: impl Fn(&PendingChange) -> bool, outcome: Outcome) {
-        while let Some(n) = self.proposer.waiting.iter().position(&which) {
-            let waiting = self.proposer.waiting.remove(n);
-            if let Some(author) = waiting.author {
-                self.send(author, Message::Proposed { id: waiting.change.id, outcome });
+    fn resolve(&mut self, which: impl Fn(&PendingChange) -> bool, outcome: Outcome) {
+        while let Some(n) = self.proposer.pending.iter().position(&which) {
+            let pending = self.proposer.pending.remove(n);
+            if let Some(author) = pending.author {
+                self.send(author, Message::ProposalResult { id: pending.change.id, outcome });
             }
         }
     }
@@ -69,13 +69,13 @@
     /// An entry was applied.
     pub(crate) fn settle(&mut self, number: u64, id: u64) {
         self.proposer.open.remove(&number);
-        self.proposer.losses = 0;
-        let own = self.proposer.waiting.iter().find(|w| w.change.id == id);
+        self.proposer.preemptions = 0;
+        let own = self.proposer.pending.iter().find(|w| w.change.id == id);
         if let Some(outcome) = own.map(|w| self.log.outcome_in_turn(&w.change)) {
-            self.answer(|w| w.change.id == id, outcome);
+            self.resolve(|w| w.change.id == id, outcome);
         }
         // Another's came there: this one is still to be proposed.
-        let beaten = self.proposer.waiting.iter_mut().filter(|w| w.number == Some(number));
+        let beaten = self.proposer.pending.iter_mut().filter(|w| w.number == Some(number));
         beaten.for_each(|w| w.number = None);
     }
 
@@ -84,29 +84,29 @@
         let head = self.log.state.head();
         self.proposer.open = self.proposer.open.split_off(&(head + 1));
         let decided = |w: &PendingChange| self.log.outcome(&w.change).map(|outcome| (w.change.id, outcome));
-        let decided: Vec<_> = self.proposer.waiting.iter().filter_map(decided).collect();
-        decided.into_iter().for_each(|(id, outcome)| self.answer(|w| w.change.id == id, outcome));
-        let beaten = self.proposer.waiting.iter_mut().filter(|w| w.number.is_some_and(|n| n <= head));
+        let decided: Vec<_> = self.proposer.pending.iter().filter_map(decided).collect();
+        decided.into_iter().for_each(|(id, outcome)| self.resolve(|w| w.change.id == id, outcome));
+        let beaten = self.proposer.pending.iter_mut().filter(|w| w.number.is_some_and(|n| n <= head));
         beaten.for_each(|w| w.number = None);
     }
 
     /// Passes what waits on to the one that leads.
-    pub(crate) fn pass_on(&mut self, leader: usize) {
-        let (now, again) = (self.clock.now, self.terms.again);
+    pub(crate) fn forward_to(&mut self, leader: usize) {
+        let (now, again) = (self.clock.now, self.timing.retransmit_interval);
         let due = |w: &&mut PendingChange| w.sent.is_none_or(|at| now >= at + again);
         let mut changes = Vec::new();
-        for waiting in self.proposer.waiting.iter_mut().filter(due) {
-            waiting.sent = Some(now);
-            changes.push(waiting.change.clone());
+        for pending in self.proposer.pending.iter_mut().filter(due) {
+            pending.sent = Some(now);
+            changes.push(pending.change.clone());
         }
         changes.into_iter().for_each(|change| self.send_to(leader, Message::Propose { change }));
     }
 
     /// Tells authors whose changes waited too long that the outcome is not known.
-    pub(crate) fn expire(&mut self) {
-        let (now, patience) = (self.clock.now, self.terms.patience);
-        let before = self.proposer.waiting.len();
-        self.answer(|w| w.since + patience <= now, Outcome::Unknown);
-        self.tally.unknown += (before - self.proposer.waiting.len()) as u64;
+    pub(crate) fn expire_proposals(&mut self) {
+        let (now, proposal_timeout) = (self.clock.now, self.timing.proposal_timeout);
+        let before = self.proposer.pending.len();
+        self.resolve(|w| w.since + proposal_timeout <= now, Outcome::Unknown);
+        self.counters.expired_proposals += (before - self.proposer.pending.len()) as u64;
     }
 }
--- a/crates/config-log/src/replica.rs
+++ b/crates/config-log/src/replica.rs
@@ -4,15 +4,15 @@
 
 use crate::acceptor::Acceptor;
 use crate::clock::Clock;
-use crate::collect::Page;
+use crate::collect::SnapshotPage;
 use crate::entry::Entry;
-use crate::learner::{Fetching, Learner};
+use crate::learner::{CatchUp, Learner};
 use crate::log::Log;
-use crate::message::{Ballot, Message, Standing, Vote};
+use crate::message::{Ballot, Message, Progress, Vote};
 use crate::proposer::Proposer;
 use crate::serving::Serving;
 use crate::state::State;
-use crate::view::Tally;
+use crate::view::Counters;
 use minicbor::{Decode, Encode};
 use oorandom::Rand64;
 use std::collections::VecDeque;
@@ -20,22 +20,28 @@
 
 /// The figures that a fleet goes by. All its programs should have the same.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Timing {
     /// Seconds between two polls of a follower to a replica, on average.
-    pub poll: f64,
+    pub poll_interval: f64,
     /// Seconds without an answer after which a follower passes a replica over.
-    pub silent: f64,
+    pub silence_timeout: f64,
     /// Seconds between two questions of a replica to the others.
-    pub ask: f64,
+    pub heartbeat_interval: f64,
     /// Seconds after which what was not answered is sent again: longer than a letter and its answer take.
-    pub again: f64,
+    pub retransmit_interval: f64,
     /// Seconds after which an author is told that the outcome is unknown.
-    pub patience: f64,
+    pub proposal_timeout: f64,
 }
 
-impl Default for Terms {
+impl Default for Timing {
     fn default() -> Self {
-        Self { poll: 0.5, silent: 1.2, ask: 0.3, again: 0.4, patience: 5.0 }
+        Self {
+            poll_interval: 0.5,
+            silence_timeout: 1.2,
+            heartbeat_interval: 0.3,
+            retransmit_interval: 0.4,
+            proposal_timeout: 5.0,
+        }
     }
 }
 
@@ -72,54 +78,54 @@
 }
 
 /// Replicas at most: the last three bits of a ballot name its owner.
-pub const REPLICAS: usize = 7;
+pub const MAX_REPLICAS: usize = 7;
 
 /// Sends that wait to be carried out at most; what comes beyond is as if it were lost on the way. A burst of 32 entries
 /// to 500 followers passes.
-const SENDS: usize = 16_384;
+const MAX_QUEUED_SENDS: usize = 16_384;
 
 /// Questions to the others of which answers count: those of the last seconds.
-const ASKED: usize = 16;
+const MAX_PENDING_HEARTBEATS: usize = 16;
 
 /// Another replica as it is known here.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Other {
-    pub heard: Option<f64>,
-    pub standing: Standing,
+    pub last_received_at: Option<f64>,
+    pub progress: Progress,
     /// When the question was asked that it answered last, and the highest number that it had accepted anything at.
-    pub answered: Option<(f64, u64)>,
+    pub confirmed_progress: Option<(f64, u64)>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Replica {
-    pub(crate) me: usize,
+    pub(crate) own_index: usize,
     pub(crate) replicas: Vec<SocketAddr>,
     pub(crate) quorum: usize,
-    pub(crate) terms: Terms,
+    pub(crate) timing: Timing,
     pub(crate) clock: Clock,
-    pub(crate) chance: Rand64,
+    pub(crate) random: Rand64,
     /// Whether it votes: not before it was taken in where it began without a disk.
-    pub(crate) votes: bool,
+    pub(crate) is_voter: bool,
     /// Whether its storage failed: until a fresh file holds all it knows, it neither promises nor votes nor proposes.
     pub(crate) suspended: bool,
     /// Own votes that are not known to be durable yet: they count towards no quorum. As many as the events between two
-    /// calls of [`stored`](Self::stored) add.
+    /// calls of [`confirm_stored`](Self::confirm_stored) add.
     unstored_votes: Vec<(Ballot, u64)>,
     pub(crate) acceptor: Acceptor,
     pub(crate) learner: Learner,
     pub(crate) log: Log,
-    pub(crate) fetching: Fetching,
+    pub(crate) catch_up: CatchUp,
     pub(crate) proposer: Proposer,
     pub(crate) serving: Serving,
     pub(crate) others: Vec<Other>,
     /// The highest ballot that was heard of.
     pub(crate) observed: Ballot,
-    asked: VecDeque<(u64, f64)>,
-    stamp: u64,
-    ask_at: f64,
+    heartbeats_sent: VecDeque<(u64, f64)>,
+    request_id: u64,
+    next_heartbeat_at: f64,
     actions: VecDeque<Action>,
     sends: usize,
-    pub(crate) tally: Tally,
+    pub(crate) counters: Counters,
 }
 
 impl Replica {
@@ -128,52 +134,56 @@
     ///
     /// # Panics
     ///
-    /// Where there is no replica of that number, or there are more than [`REPLICAS`]: the charter was checked before.
+    /// Where there is no replica of that number, or there are more than [`MAX_REPLICAS`]: the charter was checked before.
     pub fn new(
-        me: usize,
+        own_index: usize,
         replicas: Vec<SocketAddr>,
-        terms: Terms,
+        timing: Timing,
         seed: u64,
         now: f64,
         stored: Vec<Record>,
     ) -> Self {
-        assert!(me < replicas.len() && replicas.len() <= REPLICAS, "replica {me} of {}", replicas.len());
-        let mut chance = Rand64::new(u128::from(seed));
-        let stamp = chance.rand_u64();
+        assert!(
+            own_index < replicas.len() && replicas.len() <= MAX_REPLICAS,
+            "replica {own_index} of {}",
+            replicas.len()
+        );
+        let mut random = Rand64::new(u128::from(seed));
+        let request_id = random.rand_u64();
         let mut replica = Self {
-            me,
+            own_index,
             quorum: replicas.len() / 2 + 1,
-            terms,
+            timing,
             clock: Clock::new(now),
-            chance,
-            votes: false,
+            random,
+            is_voter: false,
             suspended: false,
             unstored_votes: Vec::new(),
             acceptor: Acceptor::default(),
             learner: Learner::default(),
             log: Log::default(),
-            fetching: Fetching::default(),
+            catch_up: CatchUp::default(),
             proposer: Proposer::new(now),
             serving: Serving::default(),
             others: vec![Other::default(); replicas.len()],
             observed: Ballot::default(),
-            asked: VecDeque::new(),
-            stamp,
-            ask_at: now,
+            heartbeats_sent: VecDeque::new(),
+            request_id,
+            next_heartbeat_at: now,
             actions: VecDeque::new(),
             sends: 0,
-            tally: Tally::default(),
+            counters: Counters::default(),
             replicas,
         };
-        replica.remember(stored);
+        replica.restore(stored);
         replica
     }
 
-    fn remember(&mut self, stored: Vec<Record>) {
-        let mut held = Vec::new();
+    fn restore(&mut self, stored: Vec<Record>) {
+        let mut snapshot = Vec::new();
         for record in stored {
             match record {
-                Record::Initialized | Record::Readmitted => self.votes = true,
+                Record::Initialized | Record::Readmitted => self.is_voter = true,
                 Record::Promised(ballot) => self.acceptor.promised = self.acceptor.promised.max(ballot),
                 Record::Accepted(vote) => {
                     self.acceptor.promised = self.acceptor.promised.max(vote.ballot);
@@ -182,123 +192,125 @@
                 Record::Chosen(entry) => {
                     self.log.append(entry, self.clock.now);
                 }
-                Record::SnapshotEntry(entry) => held.push(entry),
+                Record::SnapshotEntry(entry) => snapshot.push(entry),
                 Record::SnapshotHead(head, _) if head >= self.log.state.head() => {
-                    self.log.install(held.drain(..), head);
+                    self.log.install(snapshot.drain(..), head);
                 }
-                Record::SnapshotHead(..) => held.clear(),
+                Record::SnapshotHead(..) => snapshot.clear(),
             }
         }
-        self.acceptor.forget(self.log.state.head());
+        self.acceptor.discard_through(self.log.state.head());
         self.observed = self.acceptor.promised;
     }
 
     /// A message came.
-    pub fn heard(&mut self, now: f64, from: SocketAddr, message: Message) {
-        self.clock.pass(now);
-        self.tally.taken += 1;
-        let other = self.replicas.iter().position(|at| *at == from).filter(|n| *n != self.me);
+    pub fn receive(&mut self, now: f64, from: SocketAddr, message: Message) {
+        self.clock.advance_to(now);
+        self.counters.received += 1;
+        let other = self.replicas.iter().position(|at| *at == from).filter(|n| *n != self.own_index);
         match (other, message) {
             (_, Message::Propose { change }) => self.propose(from, other.is_some(), change),
-            (None, Message::Get { key }) => self.get(from, key),
-            (None, Message::Status { ask, page }) => self.status(from, ask, page),
-            (None, Message::Poll { name, number, about, stamp, refused, .. }) => {
-                self.polled(from, name, number, (about, stamp), refused);
+            (None, Message::Get { key }) => self.on_get(from, key),
+            (None, Message::StatusRequest { query_id, page }) => self.on_status_request(from, query_id, page),
+            (None, Message::Poll { name, number, queried_number, request_id, apply_error, .. }) => {
+                self.on_poll(from, name, number, (queried_number, request_id), apply_error);
             }
-            (_, Message::Fetch { after, pages, compacted }) => self.fetched(from, after, pages, compacted),
-            (Some(n), message) => self.heard_of(n, message),
-            (None, _) => self.tally.strange += 1,
+            (_, Message::Fetch { after, pages, snapshot }) => self.on_fetch(from, after, pages, snapshot),
+            (Some(n), message) => self.receive_from_replica(n, message),
+            (None, _) => self.counters.unexpected += 1,
         }
-        self.go_on();
+        self.make_progress();
     }
 
     /// Another replica's word.
-    fn heard_of(&mut self, n: usize, message: Message) {
+    fn receive_from_replica(&mut self, n: usize, message: Message) {
         let now = self.clock.now;
-        self.others[n].heard = Some(now);
+        self.others[n].last_received_at = Some(now);
         let owned = |ballot: &Ballot| ballot.owner() == n;
         match message {
-            Message::Prepare { ballot, attempt } if owned(&ballot) => self.prepare_heard(n, ballot, attempt),
-            Message::Accept { vote } if owned(&vote.ballot) => self.accept_heard(n, vote),
+            Message::Prepare { ballot, attempt } if owned(&ballot) => self.on_prepare(n, ballot, attempt),
+            Message::Accept { vote } if owned(&vote.ballot) => self.on_accept(n, vote),
             Message::Promise { ballot, attempt, votes, head, slots, vote } => {
-                self.promise_heard(n, (ballot, attempt), votes, head, slots, vote);
+                self.on_promise(n, (ballot, attempt), votes, head, slots, vote);
             }
-            Message::Accepted { ballot, number } => self.accepted(n, ballot, number),
-            Message::Outvoted { ballot } => self.outvoted(ballot),
-            Message::Ask { stamp, standing } => {
-                self.stands(n, standing);
-                let answer = Message::Answer { stamp, standing: self.standing() };
-                self.send_to(n, answer);
+            Message::Accepted { ballot, number } => self.record_acceptance(n, ballot, number),
+            Message::Preempted { ballot } => self.preempted_by(ballot),
+            Message::Heartbeat { request_id, progress } => {
+                self.on_progress(n, progress);
+                let resolve = Message::HeartbeatReply { request_id, progress: self.progress() };
+                self.send_to(n, resolve);
             }
-            Message::Answer { stamp, standing } => {
-                self.stands(n, standing);
-                let asked = self.asked.iter().find(|(s, _)| *s == stamp).map(|(_, at)| *at);
-                let newer = |at: &f64| self.others[n].answered.is_none_or(|(before, _)| before < *at);
-                if let Some(at) = asked.filter(|at| standing.votes && newer(at)) {
-                    self.others[n].answered = Some((at, standing.top));
+            Message::HeartbeatReply { request_id, progress } => {
+                self.on_progress(n, progress);
+                let heartbeats_sent =
+                    self.heartbeats_sent.iter().find(|(s, _)| *s == request_id).map(|(_, at)| *at);
+                let newer =
+                    |at: &f64| self.others[n].confirmed_progress.is_none_or(|(before, _)| before < *at);
+                if let Some(at) = heartbeats_sent.filter(|at| progress.votes && newer(at)) {
+                    self.others[n].confirmed_progress = Some((at, progress.highest_accepted));
                 }
             }
-            Message::Log { entries } => self.log_heard(entries),
-            Message::Page { after, upto, entries, head, digest } => {
-                self.page_heard(n, Page { after, upto, entries, told: (head, digest) });
+            Message::LogEntries { entries } => self.on_log_entries(entries),
+            Message::SnapshotPage { after, through, entries, head, digest } => {
+                self.on_snapshot_page(n, SnapshotPage { after, through, entries, reported: (head, digest) });
             }
-            Message::Proposed { id, outcome } => self.proposed_elsewhere(id, outcome),
-            _ => self.tally.strange += 1,
+            Message::ProposalResult { id, outcome } => self.on_proposal_result(id, outcome),
+            _ => self.counters.unexpected += 1,
         }
     }
 
-    fn stands(&mut self, n: usize, standing: Standing) {
-        self.observed = self.observed.max(standing.ballot);
-        if standing.head == self.log.state.head() && standing.digest != self.log.state.digest() {
-            self.tally.conflicts += 1;
+    fn on_progress(&mut self, n: usize, progress: Progress) {
+        self.observed = self.observed.max(progress.ballot);
+        if progress.head == self.log.state.head() && progress.digest != self.log.state.digest() {
+            self.counters.conflicts += 1;
         }
-        self.others[n].standing = standing;
+        self.others[n].progress = progress;
     }
 
     /// Does what is due.
-    pub fn turn(&mut self, now: f64) {
-        self.clock.pass(now);
-        if self.clock.now >= self.ask_at {
-            self.ask();
+    pub fn tick(&mut self, now: f64) {
+        self.clock.advance_to(now);
+        if self.clock.now >= self.next_heartbeat_at {
+            self.send_heartbeats();
         }
-        self.go_on();
+        self.make_progress();
     }
 
-    fn ask(&mut self) {
-        self.ask_at = self.clock.now + self.terms.ask;
-        self.stamp = self.stamp.wrapping_add(1);
-        if self.asked.len() == ASKED {
-            self.asked.pop_front();
+    fn send_heartbeats(&mut self) {
+        self.next_heartbeat_at = self.clock.now + self.timing.heartbeat_interval;
+        self.request_id = self.request_id.wrapping_add(1);
+        if self.heartbeats_sent.len() == MAX_PENDING_HEARTBEATS {
+            self.heartbeats_sent.pop_front();
         }
-        self.asked.push_back((self.stamp, self.clock.now));
-        let ask = Message::Ask { stamp: self.stamp, standing: self.standing() };
-        self.send_all(ask);
+        self.heartbeats_sent.push_back((self.request_id, self.clock.now));
+        let send_heartbeats = Message::Heartbeat { request_id: self.request_id, progress: self.progress() };
+        self.send_all(send_heartbeats);
     }
 
     /// What follows from what is known by now, after each event.
-    fn go_on(&mut self) {
+    fn make_progress(&mut self) {
         loop {
-            self.advance();
-            self.fetch_on();
-            self.lead_on();
+            self.apply_chosen();
+            self.fetch_missing();
+            self.drive_proposer();
             let head = self.log.state.head();
-            self.advance();
+            self.apply_chosen();
             if self.log.state.head() == head {
                 return;
             }
         }
     }
 
-    /// When [`turn`](Self::turn) is wanted next, on the caller's clock.
-    pub fn next(&self) -> f64 {
-        self.clock.theirs(self.ask_at.min(self.fetch_due()).min(self.lead_due()))
+    /// When [`tick`](Self::turn) is wanted next, on the caller's clock.
+    pub fn next_deadline(&self) -> f64 {
+        self.clock.to_caller(self.next_heartbeat_at.min(self.fetch_deadline()).min(self.proposer_deadline()))
     }
 
-    pub(crate) fn standing(&self) -> Standing {
-        Standing {
+    pub(crate) fn progress(&self) -> Progress {
+        Progress {
             head: self.log.state.head(),
             digest: self.log.state.digest(),
-            top: self.top(),
+            highest_accepted: self.highest_accepted(),
             ballot: self.observed.max(self.acceptor.promised),
             votes: self.may_vote(),
         }
@@ -306,22 +318,27 @@
 
     /// Whether it may promise, vote and propose now.
     pub(crate) fn may_vote(&self) -> bool {
-        self.votes && !self.suspended
+        self.is_voter && !self.suspended
     }
 
     /// The highest number at which it accepted anything, or its head.
-    pub(crate) fn top(&self) -> u64 {
-        let accepted = self.acceptor.votes.last_key_value().map_or(0, |(number, _)| *number);
-        accepted.max(self.log.state.head())
+    pub(crate) fn highest_accepted(&self) -> u64 {
+        let record_acceptance = self.acceptor.votes.last_key_value().map_or(0, |(number, _)| *number);
+        record_acceptance.max(self.log.state.head())
     }
 
     /// When a majority was asked that then knew of nothing beyond the head here: whatever was committed before that
     /// time is in force here. Each committed entry was accepted by a majority, so one that was asked after it knew it.
-    pub(crate) fn sure(&self) -> Option<f64> {
+    pub(crate) fn confirmed_at(&self) -> Option<f64> {
         let head = self.log.state.head();
-        let mut times: Vec<f64> =
-            self.others.iter().filter_map(|o| o.answered).filter(|a| a.1 <= head).map(|a| a.0).collect();
-        if self.votes && self.top() <= head {
+        let mut times: Vec<f64> = self
+            .others
+            .iter()
+            .filter_map(|o| o.confirmed_progress)
+            .filter(|a| a.1 <= head)
+            .map(|a| a.0)
+            .collect();
+        if self.is_voter && self.highest_accepted() <= head {
             times.push(self.clock.now);
         }
         times.sort_by(|a, b| b.total_cmp(a));
@@ -340,14 +357,14 @@
 
     /// All records that [`next_action`](Self::next_action) gave out are durable: own votes among them count from now on. May leave more
     /// to do.
-    pub fn stored(&mut self) {
+    pub fn confirm_stored(&mut self) {
         if self.suspended || self.unstored_votes.is_empty() {
             return;
         }
         for (ballot, number) in std::mem::take(&mut self.unstored_votes) {
-            self.accepted(self.me, ballot, number);
+            self.record_acceptance(self.own_index, ballot, number);
         }
-        self.go_on();
+        self.make_progress();
     }
 
     /// A record that [`next_action`](Self::next_action) gave out could not be made durable. What else it gave out since then must not
@@ -358,7 +375,7 @@
         self.suspended = true;
         self.actions.clear();
         self.sends = 0;
-        self.stand_down();
+        self.step_down();
     }
 
     /// Whether its storage failed and has not recovered.
@@ -369,16 +386,16 @@
     /// What [`compact`](Self::compact) gave since the last event is durable in a fresh file.
     pub fn storage_recovered(&mut self) {
         self.suspended = false;
-        self.stored();
+        self.confirm_stored();
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, message: Message) {
-        if self.sends == SENDS {
-            self.tally.unsent += 1;
+        if self.sends == MAX_QUEUED_SENDS {
+            self.counters.dropped += 1;
             return;
         }
         self.sends += 1;
-        self.tally.sent += 1;
+        self.counters.sent += 1;
         self.actions.push_back(Action::Send { to, message });
     }
 
@@ -387,8 +404,8 @@
     }
 
     pub(crate) fn send_all(&mut self, message: Message) {
-        let me = self.me;
-        let others = (0..self.replicas.len()).filter(|n| *n != me);
+        let own_index = self.own_index;
+        let others = (0..self.replicas.len()).filter(|n| *n != own_index);
         others.for_each(|n| self.send_to(n, message.clone()));
     }
 
@@ -403,12 +420,13 @@
     /// [`next_action`](Self::next_action) has nothing left.
     pub fn compact(&self) -> Vec<Record> {
         let state = &self.log.state;
-        let joined = self.votes.then_some(Record::Readmitted);
-        let held = state.iter().map(|(number, c)| Record::SnapshotEntry(Entry { number, change: c.clone() }));
-        joined
+        let readmitted = self.is_voter.then_some(Record::Readmitted);
+        let snapshot =
+            state.iter().map(|(number, c)| Record::SnapshotEntry(Entry { number, change: c.clone() }));
+        readmitted
             .into_iter()
             .chain([Record::Promised(self.acceptor.promised)])
-            .chain(held)
+            .chain(snapshot)
             .chain([Record::SnapshotHead(state.head(), state.digest())])
             .chain(self.acceptor.votes.values().cloned().map(Record::Accepted))
             .collect()
--- a/crates/config-log/src/sources.rs
+++ b/crates/config-log/src/sources.rs
@@ -1,53 +1,53 @@
 //! The replicas as a follower knows them: what each told, whom it follows, and what enough of them tell alike.
 
-use crate::entry::Logged;
+use crate::entry::LoggedEntry;
 use crate::message::Message;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Replicas that a follower follows: with one silent and one that lies the third and the next still agree soon.
-pub(crate) const FOLLOWED: usize = 3;
+pub(crate) const FOLLOWED_REPLICAS: usize = 3;
 
 /// Numbers above what is in force here that are kept of what each replica told.
-pub(crate) const AHEAD: u64 = 256;
+pub(crate) const MAX_ENTRIES_AHEAD: u64 = 256;
 
 /// Digests kept of what each replica told.
-const DIGESTS: usize = 512;
+const MAX_DIGESTS: usize = 512;
 
 /// Seconds between two polls of a replica that was passed over, and seconds for which one is passed over that told
 /// other than the rest.
-const TRIED: f64 = 5.0;
-const DOUBTED: f64 = 60.0;
+const PASSED_OVER_POLL_INTERVAL: f64 = 5.0;
+const DISTRUST_DURATION: f64 = 60.0;
 
 /// Polls of which an answer counts.
-const POLLS: usize = 16;
+const MAX_PENDING_POLLS: usize = 16;
 
 #[derive(Clone, Debug)]
-struct Asked {
-    stamp: u64,
+struct PendingPoll {
+    request_id: u64,
     at: f64,
-    about: u64,
+    queried_number: u64,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Source {
     pub at: SocketAddr,
-    pub heard: Option<f64>,
+    pub last_received_at: Option<f64>,
     /// When the first poll was sent that was not answered since.
     unanswered: Option<f64>,
     silent: bool,
-    doubted: f64,
+    distrusted: f64,
     pub poll_at: f64,
-    polled: f64,
-    asked: VecDeque<Asked>,
+    last_polled_at: f64,
+    pending_polls: VecDeque<PendingPoll>,
     pub head: u64,
     /// As of when that head was the latest, and which head.
-    sure: Option<(f64, u64)>,
+    confirmed_at: Option<(f64, u64)>,
     /// It is further on and its log doesn't reach back to here.
-    pub gap: bool,
+    pub has_gap: bool,
     /// Entries above what is in force here, as it told them.
-    told: BTreeMap<u64, Logged>,
+    entries: BTreeMap<u64, LoggedEntry>,
     /// Digests by number, the highest that were told.
     digests: BTreeMap<u64, u64>,
     pub conflicts: u64,
@@ -57,47 +57,47 @@
 pub(crate) struct Sources {
     pub all: Vec<Source>,
     /// By rank for this follower.
-    order: Vec<usize>,
+    rank_order: Vec<usize>,
     /// As many must tell the same.
-    pub need: usize,
+    pub required: usize,
 }
 
 impl Sources {
     pub fn new(name: &str, replicas: Vec<SocketAddr>, now: f64) -> Self {
         let source = |at| Source {
             at,
-            heard: None,
+            last_received_at: None,
             unanswered: None,
             silent: false,
-            doubted: f64::NEG_INFINITY,
+            distrusted: f64::NEG_INFINITY,
             poll_at: now,
-            polled: f64::NEG_INFINITY,
-            asked: VecDeque::new(),
+            last_polled_at: f64::NEG_INFINITY,
+            pending_polls: VecDeque::new(),
             head: 0,
-            sure: None,
-            gap: false,
-            told: BTreeMap::new(),
+            confirmed_at: None,
+            has_gap: false,
+            entries: BTreeMap::new(),
             digests: BTreeMap::new(),
             conflicts: 0,
         };
         // Rendezvous: each follower has its own order, and a replica's followers go to all others alike when it falls
         // silent.
         let weight = |n: &usize| xxh3_64(format!("{name} {}", replicas[*n]).as_bytes());
-        let mut order: Vec<usize> = (0..replicas.len()).collect();
-        order.sort_by_key(|n| std::cmp::Reverse(weight(n)));
-        let need = replicas.len().min(2);
-        Self { all: replicas.into_iter().map(source).collect(), order, need }
+        let mut rank_order: Vec<usize> = (0..replicas.len()).collect();
+        rank_order.sort_by_key(|n| std::cmp::Reverse(weight(n)));
+        let required = replicas.len().min(2);
+        Self { all: replicas.into_iter().map(source).collect(), rank_order, required }
     }
 
     /// Whom it follows: the first by rank of those that are neither silent nor in doubt, and then the others.
     pub fn followed(&self, now: f64) -> Vec<usize> {
-        let mut order = self.order.clone();
-        order.sort_by_key(|n| {
+        let mut rank_order = self.rank_order.clone();
+        rank_order.sort_by_key(|n| {
             let source = &self.all[*n];
-            2 * u8::from(now < source.doubted) + u8::from(source.silent)
+            2 * u8::from(now < source.distrusted) + u8::from(source.silent)
         });
-        order.truncate(FOLLOWED);
-        order
+        rank_order.truncate(FOLLOWED_REPLICAS);
+        rank_order
     }
 
     pub fn position(&self, at: SocketAddr) -> Option<usize> {
@@ -105,14 +105,14 @@
     }
 
     /// Marks those silent that did not answer for so long.
-    pub fn listen(&mut self, now: f64, silent: f64) {
+    pub fn mark_silent(&mut self, now: f64, silent: f64) {
         for source in &mut self.all {
             source.silent |= source.unanswered.is_some_and(|since| now >= since + silent);
         }
     }
 
     /// The process stood still: nobody was silent meanwhile.
-    pub fn stood(&mut self, now: f64) {
+    pub fn reset_after_pause(&mut self, now: f64) {
         self.all.iter_mut().filter(|s| s.unanswered.is_some()).for_each(|s| s.unanswered = Some(now));
     }
 
@@ -127,7 +127,7 @@
         let source = &self.all[n];
         match (followed.contains(&n), source.silent) {
             (true, _) => source.poll_at,
-            (false, true) => source.polled + TRIED,
+            (false, true) => source.last_polled_at + PASSED_OVER_POLL_INTERVAL,
             (false, false) => f64::INFINITY,
         }
     }
@@ -144,96 +144,108 @@
     }
 
     /// A poll goes out.
-    pub fn polled(&mut self, n: usize, now: f64, stamp: u64, about: u64, next: f64) {
+    pub fn record_poll(&mut self, n: usize, now: f64, request_id: u64, queried_number: u64, next: f64) {
         let source = &mut self.all[n];
-        if source.asked.len() == POLLS {
-            source.asked.pop_front();
+        if source.pending_polls.len() == MAX_PENDING_POLLS {
+            source.pending_polls.pop_front();
         }
-        source.asked.push_back(Asked { stamp, at: now, about });
+        source.pending_polls.push_back(PendingPoll { request_id, at: now, queried_number });
         source.unanswered.get_or_insert(now);
-        (source.polled, source.poll_at) = (now, next);
+        (source.last_polled_at, source.poll_at) = (now, next);
     }
 
     /// Polls those followed as soon as that time after their last poll, where they would not be polled before.
-    pub fn hurry(&mut self, now: f64, after: f64) {
+    pub fn poll_soon(&mut self, now: f64, after: f64) {
         for n in self.followed(now) {
             let source = &mut self.all[n];
-            source.poll_at = source.poll_at.min((source.polled + after).max(now));
+            source.poll_at = source.poll_at.min((source.last_polled_at + after).max(now));
         }
     }
 
     /// The answer to a poll; whether it is one. Each counts once.
-    pub fn replied(&mut self, n: usize, now: f64, here: u64, stamp: u64, reply: &Message) -> bool {
-        let Message::Reply { head, digest, age, about, entries, .. } = reply else { return false };
+    pub fn on_reply(&mut self, n: usize, now: f64, here: u64, request_id: u64, reply: &Message) -> bool {
+        let Message::PollReply { head, digest, confirmed_age_ms, queried_digest, entries, .. } = reply else {
+            return false;
+        };
         let source = &mut self.all[n];
-        let Some(place) = source.asked.iter().position(|a| a.stamp == stamp) else { return false };
+        let Some(index) = source.pending_polls.iter().position(|a| a.request_id == request_id) else {
+            return false;
+        };
         // What was asked before is not waited for any more.
-        let Some(asked) = source.asked.drain(..=place).next_back() else { return false };
-        source.heard = Some(now);
-        source.unanswered = source.asked.front().map(|a| a.at);
+        let Some(poll) = source.pending_polls.drain(..=index).next_back() else { return false };
+        source.last_received_at = Some(now);
+        source.unanswered = source.pending_polls.front().map(|a| a.at);
         source.silent = false;
         source.head = *head;
-        source.sure = age.map(|age| (asked.at - age as f64 / 1e3, *head));
-        source.gap = *head > here && entries.is_empty();
+        source.confirmed_at =
+            confirmed_age_ms.map(|confirmed_age_ms| (poll.at - confirmed_age_ms as f64 / 1e3, *head));
+        source.has_gap = *head > here && entries.is_empty();
         source.digest(*head, *digest);
-        if let Some(digest) = about {
-            source.digest(asked.about, *digest);
+        if let Some(digest) = queried_digest {
+            source.digest(poll.queried_number, *digest);
         }
         true
     }
 
     /// A replica told an entry.
-    pub fn told(&mut self, n: usize, here: u64, logged: Logged) {
+    pub fn record_entry(&mut self, n: usize, here: u64, logged: LoggedEntry) {
         let number = logged.entry.number;
-        if number <= here || number > here + AHEAD {
+        if number <= here || number > here + MAX_ENTRIES_AHEAD {
             return;
         }
         let source = &mut self.all[n];
         source.head = source.head.max(number);
         source.digest(number, logged.digest);
-        source.told.insert(number, logged);
+        source.entries.insert(number, logged);
     }
 
     /// What enough of them told alike at that number.
-    pub fn vouched_entry(&self, number: u64) -> Option<Logged> {
-        let told: Vec<_> = self.all.iter().filter_map(|s| s.told.get(&number)).collect();
-        let enough = |l: &&&Logged| told.iter().filter(|other| *other == *l).count() >= self.need;
-        told.iter().find(enough).map(|l| (*l).clone())
+    pub fn confirmed_entry(&self, number: u64) -> Option<LoggedEntry> {
+        let entries: Vec<_> = self.all.iter().filter_map(|s| s.entries.get(&number)).collect();
+        let enough = |l: &&&LoggedEntry| entries.iter().filter(|other| *other == *l).count() >= self.required;
+        entries.iter().find(enough).map(|l| (*l).clone())
     }
 
     /// The digest at that number that enough of them told alike.
-    pub fn vouched_digest(&self, number: u64) -> Option<u64> {
-        let told: Vec<_> = self.all.iter().filter_map(|s| s.digests.get(&number)).collect();
-        let enough = |d: &&&u64| told.iter().filter(|other| *other == *d).count() >= self.need;
-        told.iter().find(enough).map(|d| **d)
+    pub fn confirmed_digest(&self, number: u64) -> Option<u64> {
+        let entries: Vec<_> = self.all.iter().filter_map(|s| s.digests.get(&number)).collect();
+        let enough = |d: &&&u64| entries.iter().filter(|other| *other == *d).count() >= self.required;
+        entries.iter().find(enough).map(|d| **d)
     }
 
     /// Finds those that told another digest at a number than is vouched, or another entry, once each time they told it.
-    pub fn contradicted(&mut self, now: f64, number: u64, digest: u64, entry: Option<&Logged>) {
+    pub fn distrust_contradicting(
+        &mut self,
+        now: f64,
+        number: u64,
+        digest: u64,
+        entry: Option<&LoggedEntry>,
+    ) {
         for n in 0..self.all.len() {
             let source = &self.all[n];
-            let digest = source.digests.get(&number).is_some_and(|told| *told != digest);
-            let entry = entry.is_some_and(|entry| source.told.get(&number).is_some_and(|told| told != entry));
+            let digest = source.digests.get(&number).is_some_and(|entries| *entries != digest);
+            let entry = entry
+                .is_some_and(|entry| source.entries.get(&number).is_some_and(|entries| entries != entry));
             if digest || entry {
-                self.doubt(n, now);
+                self.distrust(n, now);
             }
         }
     }
 
     /// It told what can't be: it is passed over for a while and what it told is forgotten.
-    pub fn doubt(&mut self, n: usize, now: f64) {
+    pub fn distrust(&mut self, n: usize, now: f64) {
         let source = &mut self.all[n];
         source.conflicts += 1;
-        source.doubted = now + DOUBTED;
-        source.told.clear();
+        source.distrusted = now + DISTRUST_DURATION;
+        source.entries.clear();
         source.digests.clear();
-        source.gap = false;
+        source.has_gap = false;
     }
 
     /// All up to there is in force.
     pub fn forget(&mut self, here: u64) {
         for source in &mut self.all {
-            source.told = source.told.split_off(&(here + 1));
+            source.entries = source.entries.split_off(&(here + 1));
         }
     }
 
@@ -241,26 +253,31 @@
     pub fn known(&self) -> u64 {
         let mut heads: Vec<u64> = self.all.iter().map(|s| s.head).collect();
         heads.sort_by(|a, b| b.cmp(a));
-        heads.get(self.need - 1).copied().unwrap_or(0)
+        heads.get(self.required - 1).copied().unwrap_or(0)
     }
 
     /// Whether enough of them say that after that time nothing was committed up to that number: what is in force here is
     /// then of another log.
     pub fn never_reached(&self, here: u64, since: f64) -> bool {
-        let below = |s: &&Source| s.sure.is_some_and(|(at, head)| at > since && head < here);
-        self.all.iter().filter(below).count() >= self.need
+        let below = |s: &&Source| s.confirmed_at.is_some_and(|(at, head)| at > since && head < here);
+        self.all.iter().filter(below).count() >= self.required
     }
 
-    pub fn doubted(&self, n: usize, now: f64) -> bool {
-        now < self.all[n].doubted
+    pub fn distrusted(&self, n: usize, now: f64) -> bool {
+        now < self.all[n].distrusted
     }
 
     /// As of when enough of them say that nothing beyond that number was committed.
-    pub fn sure(&self, here: u64) -> Option<f64> {
-        let mut times: Vec<f64> =
-            self.all.iter().filter_map(|s| s.sure).filter(|(_, head)| *head <= here).map(|s| s.0).collect();
+    pub fn confirmed_at(&self, here: u64) -> Option<f64> {
+        let mut times: Vec<f64> = self
+            .all
+            .iter()
+            .filter_map(|s| s.confirmed_at)
+            .filter(|(_, head)| *head <= here)
+            .map(|s| s.0)
+            .collect();
         times.sort_by(|a, b| b.total_cmp(a));
-        times.get(self.need - 1).copied()
+        times.get(self.required - 1).copied()
     }
 }
 
@@ -268,7 +285,7 @@
     /// The lowest numbers go first. A replica that tells of many that never were forgets its own.
     fn digest(&mut self, number: u64, digest: u64) {
         self.digests.insert(number, digest);
-        if self.digests.len() > DIGESTS {
+        if self.digests.len() > MAX_DIGESTS {
             self.digests.pop_first();
         }
     }
--- a/crates/config-log/src/state.rs
+++ b/crates/config-log/src/state.rs
@@ -1,7 +1,7 @@
 //! What is in force: the latest entry under each key, the head of the log and a digest over both. Two that applied the
 //! same entries are equal, whether they took them one by one or compacted.
 
-use crate::entry::{Change, Entry, KEYS, TEXTS};
+use crate::entry::{Change, Entry, MAX_KEYS, MAX_TOTAL_BYTES};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -11,7 +11,7 @@
     /// Wrapping sum of the hashes of all entries in force.
     digest: u64,
     /// Bytes of keys and texts.
-    texts: usize,
+    total_bytes: usize,
     /// The number in force under each key; also under those whose text was removed.
     keys: BTreeMap<String, u64>,
     latest: BTreeMap<u64, Change>,
@@ -19,18 +19,18 @@
 
 /// What an entry does when its turn comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Holds,
+pub enum Effect {
+    Applies,
     /// It is the entry that changes nothing.
     Nothing,
     /// Under its key stands another number than it replaces.
-    Late,
+    Conflicts,
     /// There is no room for its key or its text.
     Full,
 }
 
 /// Bytes that an entry takes beside key and text when it is written, at most, its digest among them.
-const AROUND: usize = 64;
+const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 fn hash(number: u64, change: &Change) -> u64 {
     let mut hasher = Xxh3::new();
@@ -51,40 +51,40 @@
             return false;
         }
         self.head = entry.number;
-        let holds = self.verdict(&entry.change) == Verdict::Holds;
-        if holds {
+        let took_effect = self.effect_of(&entry.change) == Effect::Applies;
+        if took_effect {
             self.set(entry);
         }
-        holds
+        took_effect
     }
 
     /// What a change would do as the next entry.
-    pub fn verdict(&self, change: &Change) -> Verdict {
-        if change.is_nothing() || !change.fits() {
-            return Verdict::Nothing;
+    pub fn effect_of(&self, change: &Change) -> Effect {
+        if change.is_no_op() || !change.fits() {
+            return Effect::Nothing;
         }
-        let standing = self.get(&change.key);
-        if standing.map_or(0, |(number, _)| number) != change.replaces {
-            return Verdict::Late;
+        let current = self.get(&change.key);
+        if current.map_or(0, |(number, _)| number) != change.replaces {
+            return Effect::Conflicts;
         }
-        let before = standing.map_or(0, |(_, change)| change.size());
-        let keys = self.keys.len() + usize::from(standing.is_none());
-        match keys > KEYS || self.texts - before + change.size() > TEXTS {
-            true => Verdict::Full,
-            false => Verdict::Holds,
+        let before = current.map_or(0, |(_, change)| change.size());
+        let keys = self.keys.len() + usize::from(current.is_none());
+        match keys > MAX_KEYS || self.total_bytes - before + change.size() > MAX_TOTAL_BYTES {
+            true => Effect::Full,
+            false => Effect::Applies,
         }
     }
 
     fn set(&mut self, entry: Entry) {
         let Entry { number, change } = entry;
-        self.texts += change.size();
+        self.total_bytes += change.size();
         self.digest = self.digest.wrapping_add(hash(number, &change));
         let before = match self.keys.get_mut(&change.key) {
-            Some(standing) => Some(std::mem::replace(standing, number)),
+            Some(current) => Some(std::mem::replace(current, number)),
             None => self.keys.insert(change.key.clone(), number),
         };
         if let Some((number, old)) = before.and_then(|n| self.latest.remove(&n).map(|old| (n, old))) {
-            self.texts -= old.size();
+            self.total_bytes -= old.size();
             self.digest = self.digest.wrapping_sub(hash(number, &old));
         }
         self.latest.insert(number, change);
@@ -108,8 +108,8 @@
 
     /// The digest after the next entry.
     pub(crate) fn digest_after(&self, entry: &Entry) -> u64 {
-        match self.verdict(&entry.change) {
-            Verdict::Holds => {
+        match self.effect_of(&entry.change) {
+            Effect::Applies => {
                 let old = self.get(&entry.change.key).map_or(0, |(number, old)| hash(number, old));
                 self.digest.wrapping_sub(old).wrapping_add(hash(entry.number, &entry.change))
             }
@@ -141,7 +141,7 @@
     pub fn after(&self, number: u64, bytes: usize) -> Vec<Entry> {
         let mut left = bytes;
         let fits = move |entry: &Entry| {
-            let size = space(&entry.change);
+            let size = encoded_bytes(&entry.change);
             let fits = size <= left;
             left = left.saturating_sub(size);
             fits
@@ -161,12 +161,12 @@
     }
 
     /// Bytes of keys and texts.
-    pub fn texts(&self) -> usize {
-        self.texts
+    pub fn total_bytes(&self) -> usize {
+        self.total_bytes
     }
 }
 
 /// Bytes that an entry takes in a message, at most.
-pub(crate) fn space(change: &Change) -> usize {
-    change.size() + AROUND
+pub(crate) fn encoded_bytes(change: &Change) -> usize {
+    change.size() + ENTRY_OVERHEAD_BYTES
 }
--- a/crates/config-log/tests/net/mod.rs
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -4,20 +4,20 @@
 
 #![allow(dead_code)]
 
-mod looks;
-pub mod place;
-pub mod reference;
+mod inspection;
+pub mod network;
+pub mod reference_log;
 
-pub use looks::change;
-pub use place::Place;
+pub use inspection::change;
+pub use network::NodeId;
 
 use milletpath_config_log::message::{self, Key};
-use milletpath_config_log::{Action, Change, Follower, Message, Outcome, Record, Replica, Terms};
-use place::Place::{Author, Follower as Gateway, Replica as Machine};
-use place::{Lies, Rule, calm};
+use milletpath_config_log::{Action, Change, Follower, Message, Outcome, Record, Replica, Timing};
+use network::NodeId::{Author, Follower as Gateway, Replica as Machine};
+use network::{DeliveryRule, Tamper, reliable};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use reference::Reference;
+use reference_log::ReferenceLog;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -28,10 +28,10 @@
     rate: f64,
     skew: f64,
     /// Added to its clock from now on: it may go back.
-    pub leap: f64,
-    still: f64,
-    armed: f64,
-    life: u64,
+    pub clock_step: f64,
+    paused_until: f64,
+    next_tick_at: f64,
+    incarnation: u64,
     inbox: Vec<(SocketAddr, Message)>,
     pub bytes_in: u64,
     pub bytes_out: u64,
@@ -40,15 +40,15 @@
 }
 
 impl<T> Node<T> {
-    fn new(chance: &mut ChaCha8Rng) -> Self {
+    fn new(rng: &mut ChaCha8Rng) -> Self {
         Self {
             core: None,
-            rate: chance.random_range(0.999..1.001),
-            skew: chance.random_range(0.0..1e5),
-            leap: 0.0,
-            still: 0.0,
-            armed: f64::INFINITY,
-            life: 0,
+            rate: rng.random_range(0.999..1.001),
+            skew: rng.random_range(0.0..1e5),
+            clock_step: 0.0,
+            paused_until: 0.0,
+            next_tick_at: f64::INFINITY,
+            incarnation: 0,
             inbox: Vec::new(),
             bytes_in: 0,
             bytes_out: 0,
@@ -57,33 +57,33 @@
     }
 
     pub fn clock(&self, now: f64) -> f64 {
-        self.skew + self.leap + now * self.rate
+        self.skew + self.clock_step + now * self.rate
     }
 
     fn when(&self, clock: f64) -> f64 {
-        (clock - self.skew - self.leap) / self.rate
+        (clock - self.skew - self.clock_step) / self.rate
     }
 }
 
-enum What {
-    Turn(Place, u64),
-    Come(Place, SocketAddr, Box<Message>),
+enum Event {
+    Tick(NodeId, u64),
+    Deliver(NodeId, SocketAddr, Box<Message>),
 }
 
-struct Due(f64, u64, What);
+struct ScheduledEvent(f64, u64, Event);
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
@@ -91,68 +91,68 @@
 
 /// A machine dies while it carries out its acts.
 #[derive(Clone, Copy, Debug)]
-pub enum Dies {
+pub enum CrashPoint {
     /// As soon as it has made a record durable which that says something of, before anything goes out after it.
-    Stored(fn(&Record) -> bool),
+    AfterStore(fn(&Record) -> bool),
     /// As soon as such a message went out once.
-    Sent(fn(&Message) -> bool),
+    AfterSend(fn(&Message) -> bool),
 }
 
-pub struct Net {
+pub struct SimulatedCluster {
     pub now: f64,
-    pub terms: Terms,
+    pub timing: Timing,
     pub machines: Vec<Node<Replica>>,
     pub disks: Vec<Vec<Record>>,
     pub gateways: Vec<Node<Follower>>,
     /// What each gateway was told to apply, by key.
-    pub shown: Vec<BTreeMap<String, (u64, Option<String>)>>,
+    pub delivered: Vec<BTreeMap<String, (u64, Option<String>)>>,
     /// When each gateway had which number in force.
     pub in_force: Vec<Vec<(u64, f64)>>,
     pub saved: Vec<Option<Vec<u8>>>,
     /// What authors heard.
-    pub mail: Vec<(f64, usize, Message)>,
-    pub log: Reference,
-    queue: BinaryHeap<Due>,
+    pub author_inbox: Vec<(f64, usize, Message)>,
+    pub log: ReferenceLog,
+    queue: BinaryHeap<ScheduledEvent>,
     count: u64,
-    pub chance: ChaCha8Rng,
-    pub rule: Rule,
-    pub lies: Option<Lies>,
+    pub rng: ChaCha8Rng,
+    pub delivery_rule: DeliveryRule,
+    pub tamper: Option<Tamper>,
     /// Zones that are cut off.
-    pub gone: Vec<usize>,
+    pub isolated_zones: Vec<usize>,
     /// Who dies where, and is then struck off.
-    pub dies: Option<(usize, Dies)>,
+    pub crash_point: Option<(usize, CrashPoint)>,
     key: Key,
     /// Whether the time is measured that cores, sealing and opening take.
     pub timed: bool,
 }
 
-impl Net {
+impl SimulatedCluster {
     /// Control machines of a new log, all begun, and followers that have not begun.
     pub fn new(machines: usize, followers: usize, seed: u64) -> Self {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let mut net = Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut cluster = Self {
             now: 0.0,
-            terms: Terms::default(),
-            machines: (0..machines).map(|_| Node::new(&mut chance)).collect(),
+            timing: Timing::default(),
+            machines: (0..machines).map(|_| Node::new(&mut rng)).collect(),
             disks: vec![vec![Record::Initialized]; machines],
-            gateways: (0..followers).map(|_| Node::new(&mut chance)).collect(),
-            shown: vec![BTreeMap::new(); followers],
+            gateways: (0..followers).map(|_| Node::new(&mut rng)).collect(),
+            delivered: vec![BTreeMap::new(); followers],
             in_force: vec![Vec::new(); followers],
             saved: vec![None; followers],
-            mail: Vec::new(),
-            log: Reference::default(),
+            author_inbox: Vec::new(),
+            log: ReferenceLog::default(),
             queue: BinaryHeap::new(),
             count: 0,
-            chance,
-            rule: calm(),
-            lies: None,
-            gone: Vec::new(),
-            dies: None,
+            rng,
+            delivery_rule: reliable(),
+            tamper: None,
+            isolated_zones: Vec::new(),
+            crash_point: None,
             key: Key::new(b"a fleet"),
             timed: false,
         };
-        (0..machines).for_each(|n| net.begin(n));
-        net
+        (0..machines).for_each(|n| cluster.start_replica(n));
+        cluster
     }
 
     pub fn all_replicas(&self) -> Vec<SocketAddr> {
@@ -160,44 +160,44 @@
     }
 
     /// Begins a machine from its disk.
-    pub fn begin(&mut self, n: usize) {
-        let (replicas, seed) = (self.all_replicas(), self.chance.random());
+    pub fn start_replica(&mut self, n: usize) {
+        let (replicas, seed) = (self.all_replicas(), self.rng.random());
         let node = &mut self.machines[n];
         let clock = node.clock(self.now);
-        node.core = Some(Replica::new(n, replicas, self.terms, seed, clock, self.disks[n].clone()));
-        (node.life, node.still, node.armed) = (node.life + 1, 0.0, f64::INFINITY);
+        node.core = Some(Replica::new(n, replicas, self.timing, seed, clock, self.disks[n].clone()));
+        (node.incarnation, node.paused_until, node.next_tick_at) = (node.incarnation + 1, 0.0, f64::INFINITY);
         node.inbox.clear();
-        self.after(Machine(n));
+        self.carry_out(Machine(n));
     }
 
     /// Begins a gateway, from what was saved there.
-    pub fn follow(&mut self, n: usize) {
-        let (replicas, seed) = (self.all_replicas(), self.chance.random());
+    pub fn start_follower(&mut self, n: usize) {
+        let (replicas, seed) = (self.all_replicas(), self.rng.random());
         let node = &mut self.gateways[n];
         let (clock, name) = (node.clock(self.now), format!("gateway-{n}"));
         let saved = self.saved[n].clone();
-        node.core = Some(Follower::new(name, replicas, self.terms, seed, clock, saved));
-        (node.life, node.still, node.armed) = (node.life + 1, 0.0, f64::INFINITY);
+        node.core = Some(Follower::new(name, replicas, self.timing, seed, clock, saved));
+        (node.incarnation, node.paused_until, node.next_tick_at) = (node.incarnation + 1, 0.0, f64::INFINITY);
         node.inbox.clear();
-        self.shown[n].clear();
-        self.after(Gateway(n));
+        self.delivered[n].clear();
+        self.carry_out(Gateway(n));
     }
 
-    pub fn follow_all(&mut self) {
-        (0..self.gateways.len()).for_each(|n| self.follow(n));
+    pub fn start_all_followers(&mut self) {
+        (0..self.gateways.len()).for_each(|n| self.start_follower(n));
     }
 
-    pub fn kill(&mut self, n: usize) {
+    pub fn stop_replica(&mut self, n: usize) {
         self.machines[n].core = None;
     }
 
-    pub fn end(&mut self, n: usize) {
+    pub fn stop_follower(&mut self, n: usize) {
         self.gateways[n].core = None;
     }
 
     /// A gateway's process stands still for so many seconds.
-    pub fn stall(&mut self, n: usize, seconds: f64) {
-        self.gateways[n].still = self.now + seconds;
+    pub fn pause_follower(&mut self, n: usize, seconds: f64) {
+        self.gateways[n].paused_until = self.now + seconds;
     }
 
     pub fn replica(&self, n: usize) -> &Replica {
@@ -232,17 +232,18 @@
 
     /// An author proposes a change to a machine.
     pub fn propose(&mut self, author: usize, machine: usize, change: Change) {
-        self.post(Author(author), Machine(machine).at(), Message::Propose { change });
+        self.send(Author(author), Machine(machine).at(), Message::Propose { change });
     }
 
     /// What an author was last told of a change.
     pub fn outcome(&self, author: usize, id: u64) -> Option<Outcome> {
-        let told = self.mail.iter().rev().filter(|(_, who, _)| *who == author);
-        told.filter_map(|(_, _, message)| match message {
-            Message::Proposed { id: told, outcome } if *told == id => Some(*outcome),
-            _ => None,
-        })
-        .next()
+        let messages = self.author_inbox.iter().rev().filter(|(_, who, _)| *who == author);
+        messages
+            .filter_map(|(_, _, message)| match message {
+                Message::ProposalResult { id: proposed, outcome } if *proposed == id => Some(*outcome),
+                _ => None,
+            })
+            .next()
     }
 
     /// Proposes a change, plays until its author is told, and gives the number.
@@ -251,7 +252,7 @@
         self.propose(0, machine, change);
         let until = self.now + 10.0;
         while self.outcome(0, id).is_none() && self.now < until {
-            self.play(self.now + 0.01);
+            self.run_until(self.now + 0.01);
         }
         match self.outcome(0, id) {
             Some(Outcome::Committed(number)) => number,
@@ -268,21 +269,21 @@
         }
     }
 
-    fn put(&mut self, at: f64, what: What) {
+    fn schedule(&mut self, at: f64, what: Event) {
         self.count += 1;
-        self.queue.push(Due(at, self.count, what));
+        self.queue.push(ScheduledEvent(at, self.count, what));
     }
 
     /// A message goes into the network.
-    pub fn post(&mut self, from: Place, to: SocketAddr, mut message: Message) {
-        if let Some(lies) = &mut self.lies {
-            lies(from, &mut message);
+    pub fn send(&mut self, from: NodeId, to: SocketAddr, mut message: Message) {
+        if let Some(tamper) = &mut self.tamper {
+            tamper(from, &mut message);
         }
         let began = self.timed.then(Instant::now);
         let datagram = message::seal(&self.key, &message).expect("no message is too large");
         let busy = began.map_or(0.0, |began| began.elapsed().as_secs_f64());
         let bytes = datagram.len() as u64;
-        let to = Place::of(to);
+        let to = NodeId::of(to);
         match from {
             Machine(n) => {
                 self.machines[n].bytes_out += bytes;
@@ -294,10 +295,10 @@
             }
             Author(_) => {}
         }
-        if self.gone.contains(&from.zone()) || self.gone.contains(&to.zone()) {
+        if self.isolated_zones.contains(&from.zone()) || self.isolated_zones.contains(&to.zone()) {
             return;
         }
-        for delay in (self.rule)(self.now, from, to, &mut self.chance) {
+        for delay in (self.delivery_rule)(self.now, from, to, &mut self.rng) {
             let began = self.timed.then(Instant::now);
             let message = message::open(&self.key, &datagram).expect("it is as it was sealed");
             let busy = began.map_or(0.0, |began| began.elapsed().as_secs_f64());
@@ -312,20 +313,20 @@
                 }
                 Author(_) => {}
             }
-            self.put(self.now + delay, What::Come(to, from.at(), Box::new(message)));
+            self.schedule(self.now + delay, Event::Deliver(to, from.at(), Box::new(message)));
         }
     }
 
     /// Does what a core says, looks at what it has committed or in force, and sets its clock.
-    fn after(&mut self, place: Place) {
-        match place {
-            Machine(n) => self.after_machine(n),
-            Gateway(n) => self.after_gateway(n),
+    fn carry_out(&mut self, node: NodeId) {
+        match node {
+            Machine(n) => self.carry_out_replica(n),
+            Gateway(n) => self.carry_out_follower(n),
             Author(_) => {}
         }
     }
 
-    fn after_machine(&mut self, n: usize) {
+    fn carry_out_replica(&mut self, n: usize) {
         while let Some(action) = self.next_action(n) {
             match action {
                 Action::Store(record) => {
@@ -335,61 +336,59 @@
                     if let Record::SnapshotHead(head, digest) = &record {
                         assert_eq!(self.log.digest(*head), Some(*digest), "a state that never was at {head}");
                     }
-                    let dies =
-                        matches!(self.dies, Some((who, Dies::Stored(such))) if who == n && such(&record));
+                    let crashes = matches!(self.crash_point, Some((who, CrashPoint::AfterStore(such))) if who == n && such(&record));
                     self.disks[n].push(record);
-                    if dies {
-                        self.dies = None;
-                        self.kill(n);
+                    if crashes {
+                        self.crash_point = None;
+                        self.stop_replica(n);
                     }
                 }
                 Action::Send { to, message } => {
-                    let last =
-                        matches!(self.dies, Some((who, Dies::Sent(such))) if who == n && such(&message));
-                    self.post(Machine(n), to, message);
-                    if last {
-                        self.dies = None;
-                        self.kill(n);
+                    let crashes = matches!(self.crash_point, Some((who, CrashPoint::AfterSend(such))) if who == n && such(&message));
+                    self.send(Machine(n), to, message);
+                    if crashes {
+                        self.crash_point = None;
+                        self.stop_replica(n);
                     }
                 }
             }
         }
         let node = &self.machines[n];
         let Some(core) = node.core.as_ref() else { return };
-        let (next, life) = (node.when(core.next()).max(self.now + 1e-6), node.life);
-        if next < node.armed {
-            self.machines[n].armed = next;
-            self.put(next, What::Turn(Machine(n), life));
+        let (next, incarnation) = (node.when(core.next_deadline()).max(self.now + 1e-6), node.incarnation);
+        if next < node.next_tick_at {
+            self.machines[n].next_tick_at = next;
+            self.schedule(next, Event::Tick(Machine(n), incarnation));
         }
     }
 
-    fn after_gateway(&mut self, n: usize) {
+    fn carry_out_follower(&mut self, n: usize) {
         let began = self.timed.then(Instant::now);
         let Some(core) = self.gateways[n].core.as_mut() else { return };
-        let out: Vec<_> = std::iter::from_fn(|| core.out()).collect();
-        let news = core.news();
-        let (head, next) = (core.state().head(), core.next());
+        let out: Vec<_> = std::iter::from_fn(|| core.next_outgoing()).collect();
+        let take_updates = core.take_updates();
+        let (head, next) = (core.state().head(), core.next_deadline());
         if let Some(began) = began {
             self.gateways[n].busy += began.elapsed().as_secs_f64();
         }
-        if let Some(news) = news {
-            let anew = self.follower(n).view(0.0).anew;
-            for entry in news {
-                let before = self.shown[n].get(&entry.change.key).map(|(number, _)| *number);
+        if let Some(take_updates) = take_updates {
+            let rebuilds = self.follower(n).view(0.0).rebuilds;
+            for entry in take_updates {
+                let before = self.delivered[n].get(&entry.change.key).map(|(number, _)| *number);
                 let later = before.is_none_or(|before| before < entry.number);
-                assert!(later || anew > 0, "gateway {n} was told {} twice", entry.number);
-                self.shown[n].insert(entry.change.key, (entry.number, entry.change.text));
+                assert!(later || rebuilds > 0, "gateway {n} was told {} twice", entry.number);
+                self.delivered[n].insert(entry.change.key, (entry.number, entry.change.text));
             }
         }
         if self.in_force[n].last().is_none_or(|(number, _)| *number != head) {
             self.in_force[n].push((head, self.now));
         }
-        out.into_iter().for_each(|(to, message)| self.post(Gateway(n), to, message));
+        out.into_iter().for_each(|(to, message)| self.send(Gateway(n), to, message));
         let node = &self.gateways[n];
-        let (next, life) = (node.when(next).max(self.now + 1e-6), node.life);
-        if next < node.armed {
-            self.gateways[n].armed = next;
-            self.put(next, What::Turn(Gateway(n), life));
+        let (next, incarnation) = (node.when(next).max(self.now + 1e-6), node.incarnation);
+        if next < node.next_tick_at {
+            self.gateways[n].next_tick_at = next;
+            self.schedule(next, Event::Tick(Gateway(n), incarnation));
         }
     }
 
@@ -398,14 +397,14 @@
         let state = self.follower(n).state();
         let (head, digest) = (state.head(), state.digest());
         assert_eq!(self.log.digest(head), Some(digest), "gateway {n}: a state that never was at {head}");
-        let standing = |(key, (number, text)): (&String, &(u64, Option<String>))| {
+        let is_current = |(key, (number, text)): (&String, &(u64, Option<String>))| {
             let own = state.get(key).map(|(number, change)| (number, change.text.clone()));
             // What was never in force anywhere it was told to remove.
             own == Some((*number, text.clone())) || (own.is_none() && text.is_none())
         };
-        assert!(self.shown[n].iter().all(standing), "gateway {n} was told other than what is in force");
+        assert!(self.delivered[n].iter().all(is_current), "gateway {n} was told other than what is in force");
         assert!(
-            state.iter().all(|(_, c)| self.shown[n].contains_key(&c.key)),
+            state.iter().all(|(_, c)| self.delivered[n].contains_key(&c.key)),
             "gateway {n} was told too little"
         );
     }
@@ -415,44 +414,44 @@
     }
 
     /// Plays on until then; after each event of a gateway what is in force there is looked at.
-    pub fn play(&mut self, until: f64) {
+    pub fn run_until(&mut self, until: f64) {
         while self.queue.peek().is_some_and(|due| due.0 <= until) {
-            let Some(Due(at, _, what)) = self.queue.pop() else { break };
+            let Some(ScheduledEvent(at, _, what)) = self.queue.pop() else { break };
             self.now = at;
             match what {
-                What::Come(Author(n), _, message) => self.mail.push((at, n, *message)),
-                What::Turn(Machine(n), life) => {
+                Event::Deliver(Author(n), _, message) => self.author_inbox.push((at, n, *message)),
+                Event::Tick(Machine(n), incarnation) => {
                     let node = &mut self.machines[n];
-                    if node.life == life && node.armed == at {
-                        node.armed = f64::INFINITY;
-                        self.machine(n, |core, clock| core.turn(clock));
+                    if node.incarnation == incarnation && node.next_tick_at == at {
+                        node.next_tick_at = f64::INFINITY;
+                        self.machine(n, |core, clock| core.tick(clock));
                     }
                 }
-                What::Come(Machine(n), from, message) => {
-                    self.machine(n, |core, clock| core.heard(clock, from, *message));
+                Event::Deliver(Machine(n), from, message) => {
+                    self.machine(n, |core, clock| core.receive(clock, from, *message));
                 }
-                What::Turn(Gateway(n), life) => {
+                Event::Tick(Gateway(n), incarnation) => {
                     let node = &mut self.gateways[n];
-                    if node.life != life || node.armed != at {
+                    if node.incarnation != incarnation || node.next_tick_at != at {
                         continue;
                     }
-                    if node.still > at {
-                        node.armed = node.still;
-                        let still = node.still;
-                        self.put(still, What::Turn(Gateway(n), life));
+                    if node.paused_until > at {
+                        node.next_tick_at = node.paused_until;
+                        let paused_until = node.paused_until;
+                        self.schedule(paused_until, Event::Tick(Gateway(n), incarnation));
                         continue;
                     }
-                    node.armed = f64::INFINITY;
-                    self.gateway(n, |core, clock| core.turn(clock));
+                    node.next_tick_at = f64::INFINITY;
+                    self.gateway(n, |core, clock| core.tick(clock));
                 }
-                What::Come(Gateway(n), from, message) => {
-                    if self.gateways[n].still > at {
+                Event::Deliver(Gateway(n), from, message) => {
+                    if self.gateways[n].paused_until > at {
                         self.gateways[n].inbox.push((from, *message));
                         continue;
                     }
-                    self.gateway(n, |core, clock| core.heard(clock, from, *message));
+                    self.gateway(n, |core, clock| core.receive(clock, from, *message));
                 }
-                What::Turn(Author(_), _) => {}
+                Event::Tick(Author(_), _) => {}
             }
         }
         self.now = until;
@@ -467,7 +466,7 @@
         if let Some(began) = began {
             node.busy += began.elapsed().as_secs_f64();
         }
-        self.after_machine(n);
+        self.carry_out_replica(n);
     }
 
     fn gateway(&mut self, n: usize, event: impl FnOnce(&mut Follower, f64)) {
@@ -477,14 +476,14 @@
         let before = core.state().head();
         let began = self.timed.then(Instant::now);
         for (from, message) in node.inbox.drain(..) {
-            core.heard(clock, from, message);
+            core.receive(clock, from, message);
         }
         event(core, clock);
         if let Some(began) = began {
             node.busy += began.elapsed().as_secs_f64();
         }
         let after = core.state().head();
-        self.after_gateway(n);
+        self.carry_out_follower(n);
         if after != before && !self.timed {
             self.check(n);
         }
--- a/crates/config-log/tests/net/reference.rs
+++ b/crates/config-log/tests/cluster/reference_log.rs
@@ -5,7 +5,7 @@
 
 /// The one log, as it is first seen committed anywhere.
 #[derive(Default)]
-pub struct Reference {
+pub struct ReferenceLog {
     pub entries: BTreeMap<u64, Entry>,
     pub state: State,
     /// Digests by number, from 0 on.
@@ -13,7 +13,7 @@
     pub at: Vec<f64>,
 }
 
-impl Reference {
+impl ReferenceLog {
     pub fn committed(&mut self, now: f64, entry: &Entry) {
         if self.digests.is_empty() {
             self.digests.push(0);
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -1,76 +1,78 @@
 //! Gateways that follow: machines that lie or fall silent, loss, standing still, old and rotten saves, and catching up
-//! while the log goes on. After each event of a gateway the network of `net` looks whether what is in force there was
+//! while the log goes on. After each event of a gateway the network of `cluster` looks whether what is in force there was
 //! ever in force, and whether the gateway was told just that.
 
-mod net;
+mod cluster;
 
-use milletpath_config_log::{Follower, FollowerView, Message, Terms};
-use net::place::{apart, calm, lossy};
-use net::{Net, Place, change};
+use cluster::network::{lossy, partitioned, reliable};
+use cluster::{NodeId, SimulatedCluster, change};
+use milletpath_config_log::{Follower, FollowerView, Message, Timing};
 use rand::Rng;
 use test_case::test_case;
 
-fn view(net: &Net, n: usize) -> FollowerView {
-    net.follower(n).view(net.gateways[n].clock(net.now))
+fn view(cluster: &SimulatedCluster, n: usize) -> FollowerView {
+    cluster.follower(n).view(cluster.gateways[n].clock(cluster.now))
 }
 
 /// All gateways have in force what is committed.
-fn all_at_head(net: &Net) -> bool {
-    let head = net.log.state.head();
-    (0..net.gateways.len()).all(|n| net.number(n) == head && *net.follower(n).state() == net.log.state)
+fn all_at_head(cluster: &SimulatedCluster) -> bool {
+    let head = cluster.log.state.head();
+    (0..cluster.gateways.len())
+        .all(|n| cluster.number(n) == head && *cluster.follower(n).state() == cluster.log.state)
 }
 
-fn settled(machines: usize, followers: usize, seed: u64) -> Net {
-    let mut net = Net::new(machines, followers, seed);
-    net.follow_all();
-    net.play(2.0);
-    net
+fn settled(machines: usize, followers: usize, seed: u64) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(machines, followers, seed);
+    cluster.start_all_followers();
+    cluster.run_until(2.0);
+    cluster
 }
 
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(7)]
-fn a_change_is_in_force_at_all_gateways_and_they_know_that_it_is_the_latest(machines: usize) {
-    let mut net = settled(machines, 10, 1);
-    net.commit(0, change(1, "a", "lanes = 1", 0));
-    net.play(net.now + 1.0);
-    assert!(all_at_head(&net));
-    net.check_all();
+fn every_follower_applies_a_change_and_confirms_that_it_is_the_latest(machines: usize) {
+    let mut cluster = settled(machines, 10, 1);
+    cluster.commit(0, change(1, "a", "lanes = 1", 0));
+    cluster.run_until(cluster.now + 1.0);
+    assert!(all_at_head(&cluster));
+    cluster.check_all();
     for n in 0..10 {
-        let view = view(&net, n);
+        let view = view(&cluster, n);
         assert_eq!((view.number, view.known, view.behind, view.conflicts), (1, 1, false, 0));
-        assert!(view.sure_as_of.is_some_and(|age| age < 1.5), "{:?}", view.sure_as_of);
+        assert!(view.confirmed_age.is_some_and(|age| age < 1.5), "{:?}", view.confirmed_age);
     }
 }
 
 #[test_case(0.01)]
 #[test_case(0.2)]
-fn loss_is_made_up_for(lost: f64) {
+fn followers_catch_up_despite_message_loss(lost: f64) {
     for seed in 0..5 {
-        let mut net = settled(5, 20, seed);
-        net.rule = lossy(lost);
+        let mut cluster = settled(5, 20, seed);
+        cluster.delivery_rule = lossy(lost);
         // Authors ask again, each time another machine, until they are told.
         for again in 0..12 {
-            for id in (1..=20).filter(|id| net.outcome(0, *id).is_none()).collect::<Vec<_>>() {
+            for id in (1..=20).filter(|id| cluster.outcome(0, *id).is_none()).collect::<Vec<_>>() {
                 let key = format!("key {}", id % 9);
-                net.propose(0, (id as usize + again) % 5, change(id, &key, "lanes = 1", 0));
-                net.play(net.now + 0.05);
+                cluster.propose(0, (id as usize + again) % 5, change(id, &key, "lanes = 1", 0));
+                cluster.run_until(cluster.now + 0.05);
             }
         }
-        net.play(net.now + if lost > 0.1 { 8.0 } else { 3.0 });
-        assert!(net.log.state.head() >= 9, "seed {seed}");
-        assert!(all_at_head(&net), "seed {seed}");
-        net.check_all();
+        cluster.run_until(cluster.now + if lost > 0.1 { 8.0 } else { 3.0 });
+        assert!(cluster.log.state.head() >= 9, "seed {seed}");
+        assert!(all_at_head(&cluster), "seed {seed}");
+        cluster.check_all();
     }
 }
 
 fn other_text(message: &mut Message) {
-    let lie =
-        |logged: &mut milletpath_config_log::Logged| logged.entry.change.text = Some("lanes = 99".into());
+    let replace_text = |logged: &mut milletpath_config_log::LoggedEntry| {
+        logged.entry.change.text = Some("lanes = 99".into())
+    };
     match message {
-        Message::Push { logged } => lie(logged),
-        Message::Reply { entries, .. } => entries.iter_mut().for_each(lie),
+        Message::Push { logged } => replace_text(logged),
+        Message::PollReply { entries, .. } => entries.iter_mut().for_each(replace_text),
         _ => {}
     }
 }
@@ -78,20 +80,20 @@
 fn other_digest(message: &mut Message) {
     match message {
         Message::Push { logged } => logged.digest ^= 1,
-        Message::Reply { entries, digest, about, .. } => {
+        Message::PollReply { entries, digest, queried_digest, .. } => {
             *digest ^= 1;
-            *about = about.map(|digest| digest ^ 1);
+            *queried_digest = queried_digest.map(|digest| digest ^ 1);
             entries.iter_mut().for_each(|logged| logged.digest ^= 1);
         }
-        Message::Page { digest, .. } => *digest ^= 1,
+        Message::SnapshotPage { digest, .. } => *digest ^= 1,
         _ => {}
     }
 }
 
 /// Entries that nobody committed, far ahead, and known to be the latest.
 fn far_ahead(message: &mut Message) {
-    if let Message::Reply { head, age, entries, .. } = message {
-        (*head, *age) = (*head + 1_000_000, Some(0));
+    if let Message::PollReply { head, confirmed_age_ms, entries, .. } = message {
+        (*head, *confirmed_age_ms) = (*head + 1_000_000, Some(0));
         entries.iter_mut().for_each(|logged| logged.entry.number += 7);
     }
 }
@@ -99,8 +101,8 @@
 /// An old log, and known to be the latest.
 fn far_behind(message: &mut Message) {
     match message {
-        Message::Reply { head, digest, age, about, entries, .. } => {
-            (*head, *digest, *age, *about) = (0, 0, Some(0), None);
+        Message::PollReply { head, digest, confirmed_age_ms, queried_digest, entries, .. } => {
+            (*head, *digest, *confirmed_age_ms, *queried_digest) = (0, 0, Some(0), None);
             entries.clear();
         }
         Message::Push { logged } => logged.entry.number = 1,
@@ -111,8 +113,8 @@
 /// Pages that never end.
 fn endless(message: &mut Message) {
     other_digest(message);
-    if let Message::Page { upto, head, .. } = message {
-        (*upto, *head) = (*upto + 1, *head + 1_000);
+    if let Message::SnapshotPage { through, head, .. } = message {
+        (*through, *head) = (*through + 1, *head + 1_000);
     }
 }
 
@@ -122,112 +124,112 @@
 #[test_case(far_ahead, false; "entries that nobody committed")]
 #[test_case(far_behind, false; "an old log")]
 #[test_case(endless, true; "pages that never end")]
-fn one_that_lies_misleads_and_holds_up_nobody(lie: fn(&mut Message), told: bool) {
+fn a_byzantine_replica_neither_misleads_nor_delays_followers(tamper: fn(&mut Message), detectable: bool) {
     for seed in 0..4 {
-        let mut net = settled(7, 30, seed);
-        net.commit_many(0, "function", 80);
-        net.play(net.now + 1.0);
-        net.lies = Some(Box::new(move |from, message| {
-            if from == Place::Replica(3) {
-                lie(message);
+        let mut cluster = settled(7, 30, seed);
+        cluster.commit_many(0, "function", 80);
+        cluster.run_until(cluster.now + 1.0);
+        cluster.tamper = Some(Box::new(move |from, message| {
+            if from == NodeId::Replica(3) {
+                tamper(message);
             }
         }));
         for id in 1..=10 {
-            let since = net.now;
-            let number = net.commit(id as usize % 3, change(id, &format!("key {id}"), "lanes = 1", 0));
-            net.play(since + 3.0);
-            let late = (0..30).filter(|n| net.delay(*n, number, since).is_none()).count();
+            let since = cluster.now;
+            let number = cluster.commit(id as usize % 3, change(id, &format!("key {id}"), "lanes = 1", 0));
+            cluster.run_until(since + 3.0);
+            let late = (0..30).filter(|n| cluster.delay(*n, number, since).is_none()).count();
             assert_eq!(late, 0, "seed {seed}: gateways without {number} after 3 s");
         }
-        assert!(all_at_head(&net));
-        net.check_all();
-        let views: Vec<_> = (0..30).map(|n| view(&net, n)).collect();
-        let head = net.log.state.head();
-        let well = |v: &FollowerView| !v.behind && v.known == head && v.anew == 0;
-        assert!(views.iter().all(well), "seed {seed}: {:?}", views.iter().find(|v| !well(v)));
-        // Of the honest ones nobody is doubted.
-        let doubted: Vec<_> = views
+        assert!(all_at_head(&cluster));
+        cluster.check_all();
+        let views: Vec<_> = (0..30).map(|n| view(&cluster, n)).collect();
+        let head = cluster.log.state.head();
+        let is_correct = |v: &FollowerView| !v.behind && v.known == head && v.rebuilds == 0;
+        assert!(views.iter().all(is_correct), "seed {seed}: {:?}", views.iter().find(|v| !is_correct(v)));
+        // Of the honest ones nobody is distrusted.
+        let distrusted: Vec<_> = views
             .iter()
             .flat_map(|v| v.replicas.iter().filter(|r| r.conflicts > 0).map(|r| r.replica))
             .collect();
-        assert!(doubted.iter().all(|n| *n == 3), "seed {seed}: {doubted:?}");
-        assert!(!told || !doubted.is_empty(), "seed {seed}: nobody told");
+        assert!(distrusted.iter().all(|n| *n == 3), "seed {seed}: {distrusted:?}");
+        assert!(!detectable || !distrusted.is_empty(), "seed {seed}: nobody told");
         // Gateways that begin from nothing and gather pages, too.
         for n in 0..10 {
-            net.end(n);
-            net.follow(n);
+            cluster.stop_follower(n);
+            cluster.start_follower(n);
         }
-        net.play(net.now + 8.0);
-        assert!(all_at_head(&net), "seed {seed}");
+        cluster.run_until(cluster.now + 8.0);
+        assert!(all_at_head(&cluster), "seed {seed}");
     }
 }
 
 /// It stood still for a minute and more than it polls for was committed: nothing is told twice, and it is there at once.
 #[test]
-fn a_gateway_that_stood_still_for_a_minute_is_there_at_once() {
-    let mut net = settled(3, 2, 3);
-    net.commit(0, change(1, "a", "lanes = 1", 0));
-    net.play(net.now + 1.0);
-    net.stall(0, 60.0);
-    net.commit_many(0, "function", 30);
-    net.play(net.now.max(3.0) + 60.0);
-    net.play(net.now + 1.0);
-    assert!(all_at_head(&net), "{} of {}", net.number(0), net.log.state.head());
-    net.check_all();
-    assert_eq!(view(&net, 0).conflicts, 0);
+fn a_follower_paused_for_a_minute_catches_up_within_a_second() {
+    let mut cluster = settled(3, 2, 3);
+    cluster.commit(0, change(1, "a", "lanes = 1", 0));
+    cluster.run_until(cluster.now + 1.0);
+    cluster.pause_follower(0, 60.0);
+    cluster.commit_many(0, "function", 30);
+    cluster.run_until(cluster.now.max(3.0) + 60.0);
+    cluster.run_until(cluster.now + 1.0);
+    assert!(all_at_head(&cluster), "{} of {}", cluster.number(0), cluster.log.state.head());
+    cluster.check_all();
+    assert_eq!(view(&cluster, 0).conflicts, 0);
 }
 
 #[test]
-fn a_clock_that_goes_back_changes_nothing() {
-    let mut net = settled(3, 2, 4);
-    net.commit(0, change(1, "a", "lanes = 1", 0));
-    net.gateways[0].leap = -5_000.0;
-    net.machines[1].leap = -5_000.0;
-    net.play(net.now + 2.0);
+fn a_clock_stepped_back_delays_nothing() {
+    let mut cluster = settled(3, 2, 4);
+    cluster.commit(0, change(1, "a", "lanes = 1", 0));
+    cluster.gateways[0].clock_step = -5_000.0;
+    cluster.machines[1].clock_step = -5_000.0;
+    cluster.run_until(cluster.now + 2.0);
     for id in 2..6 {
-        let since = net.now;
-        let number = net.commit(id as usize % 3, change(id, &format!("key {id}"), "lanes = 1", 0));
-        net.play(since + 2.0);
-        assert!((0..2).all(|n| net.delay(n, number, since).is_some()));
+        let since = cluster.now;
+        let number = cluster.commit(id as usize % 3, change(id, &format!("key {id}"), "lanes = 1", 0));
+        cluster.run_until(since + 2.0);
+        assert!((0..2).all(|n| cluster.delay(n, number, since).is_some()));
     }
-    assert!(view(&net, 0).sure_as_of.is_some_and(|age| (0.0..1.5).contains(&age)));
+    assert!(view(&cluster, 0).confirmed_age.is_some_and(|age| (0.0..1.5).contains(&age)));
 }
 
 /// What was saved is in force before anything is heard, also where nothing ever is.
 #[test]
-fn a_saved_state_is_in_force_at_once_and_without_any_machine() {
-    let mut net = settled(3, 2, 5);
-    net.commit(0, change(1, "a", "lanes = 1", 0));
-    net.commit(0, change(2, "b", "lanes = 2", 0));
-    net.play(net.now + 1.0);
-    net.saved[0] = Some(net.follower(0).save());
-    net.commit(0, change(3, "a", "lanes = 3", 1));
-    net.end(0);
-    net.rule = Box::new(|_, _, _, _| vec![]);
-    net.follow(0);
-    assert_eq!((net.number(0), net.shown[0].len()), (2, 2));
-    net.play(net.now + 30.0);
-    assert_eq!(net.number(0), 2);
-    assert_eq!(view(&net, 0).sure_as_of, None, "it doesn't know how old that is");
-    net.rule = calm();
-    net.play(net.now + 7.0);
-    assert!(all_at_head(&net));
-    net.check_all();
+fn a_saved_state_is_in_force_at_once_without_any_replica() {
+    let mut cluster = settled(3, 2, 5);
+    cluster.commit(0, change(1, "a", "lanes = 1", 0));
+    cluster.commit(0, change(2, "b", "lanes = 2", 0));
+    cluster.run_until(cluster.now + 1.0);
+    cluster.saved[0] = Some(cluster.follower(0).save());
+    cluster.commit(0, change(3, "a", "lanes = 3", 1));
+    cluster.stop_follower(0);
+    cluster.delivery_rule = Box::new(|_, _, _, _| vec![]);
+    cluster.start_follower(0);
+    assert_eq!((cluster.number(0), cluster.delivered[0].len()), (2, 2));
+    cluster.run_until(cluster.now + 30.0);
+    assert_eq!(cluster.number(0), 2);
+    assert_eq!(view(&cluster, 0).confirmed_age, None, "it doesn't know how old that is");
+    cluster.delivery_rule = reliable();
+    cluster.run_until(cluster.now + 7.0);
+    assert!(all_at_head(&cluster));
+    cluster.check_all();
 }
 
 #[test]
-fn a_broken_save_is_as_none() {
-    let mut net = settled(3, 1, 6);
-    net.commit(0, change(1, "a", "lanes = 1", 0));
-    net.play(net.now + 1.0);
-    let save = net.follower(0).save();
+fn a_corrupt_saved_state_is_ignored() {
+    let mut cluster = settled(3, 1, 6);
+    cluster.commit(0, change(1, "a", "lanes = 1", 0));
+    cluster.run_until(cluster.now + 1.0);
+    let save = cluster.follower(0).save();
     for at in 0..save.len() {
         let mut broken = save.clone();
         broken[at] ^= 0x10;
         for broken in [broken, save[..at].to_vec()] {
-            let (replicas, terms) = (net.all_replicas(), Terms::default());
-            let mut follower = Follower::new("g".into(), replicas, terms, 1, 0.0, Some(broken));
-            assert_eq!((follower.state().head(), follower.news()), (0, None));
+            let (replicas, timing) = (cluster.all_replicas(), Timing::default());
+            let mut follower = Follower::new("g".into(), replicas, timing, 1, 0.0, Some(broken));
+            assert_eq!((follower.state().head(), follower.take_updates()), (0, None));
         }
     }
 }
@@ -237,166 +239,166 @@
 #[test_case(3; "as far as the right one")]
 #[test_case(2; "not so far")]
 #[test_case(9; "further")]
-fn a_save_of_another_log_is_replaced_whole(count: u64) {
+fn a_saved_state_of_another_log_is_replaced_as_one(count: u64) {
     let mut other = settled(3, 1, 7);
     other.commit_many(0, "wrong", count);
-    other.play(other.now + 1.0);
-    let mut net = settled(3, 1, 8);
-    net.commit_many(0, "right", 3);
-    net.end(0);
-    net.saved[0] = Some(other.follower(0).save());
-    net.follow(0);
-    assert_eq!(net.shown[0].len(), count as usize);
-    net.play(net.now + 2.0);
-    net.commit(0, change(1, "more", "lanes = 2", 0));
-    net.play(net.now + 6.0);
-    assert!(all_at_head(&net), "{:?}", view(&net, 0));
-    net.check(0);
-    let wrong = net.shown[0].iter().filter(|(key, _)| key.starts_with("wrong"));
+    other.run_until(other.now + 1.0);
+    let mut cluster = settled(3, 1, 8);
+    cluster.commit_many(0, "right", 3);
+    cluster.stop_follower(0);
+    cluster.saved[0] = Some(other.follower(0).save());
+    cluster.start_follower(0);
+    assert_eq!(cluster.delivered[0].len(), count as usize);
+    cluster.run_until(cluster.now + 2.0);
+    cluster.commit(0, change(1, "more", "lanes = 2", 0));
+    cluster.run_until(cluster.now + 6.0);
+    assert!(all_at_head(&cluster), "{:?}", view(&cluster, 0));
+    cluster.check(0);
+    let wrong = cluster.delivered[0].iter().filter(|(key, _)| key.starts_with("wrong"));
     assert!(wrong.clone().all(|(_, (_, text))| text.is_none()));
-    assert_eq!((wrong.count(), view(&net, 0).anew), (count as usize, 1));
+    assert_eq!((wrong.count(), view(&cluster, 0).rebuilds), (count as usize, 1));
 }
 
 /// From nothing, from long ago, and across a restart of all machines which left them no entries one by one; the log goes
-/// on meanwhile. Each state that shows was in force: `net` looks at each.
+/// on meanwhile. Each state that shows was in force: `cluster` looks at each.
 #[test]
-fn catching_up_never_shows_a_state_that_never_was() {
+fn catching_up_exposes_only_committed_states() {
     for seed in 0..3 {
-        let mut net = settled(3, 4, seed);
-        (1..4).for_each(|n| net.end(n));
+        let mut cluster = settled(3, 4, seed);
+        (1..4).for_each(|n| cluster.stop_follower(n));
         for id in 1..=300 {
-            net.propose(0, 0, change(id, &format!("function {id}"), &"x".repeat(200), 0));
+            cluster.propose(0, 0, change(id, &format!("function {id}"), &"x".repeat(200), 0));
             if id % 20 == 0 {
-                net.play(net.now + 1.0);
+                cluster.run_until(cluster.now + 1.0);
             }
         }
-        net.saved[2] = Some(net.follower(0).save());
+        cluster.saved[2] = Some(cluster.follower(0).save());
         for id in 301..=400 {
             let key = format!("function {}", id - 300);
-            let replaces = net.log.state.get(&key).expect("it stands").0;
-            net.propose(0, 0, change(id, &key, &"y".repeat(200), replaces));
+            let replaces = cluster.log.state.get(&key).expect("it stands").0;
+            cluster.propose(0, 0, change(id, &key, &"y".repeat(200), replaces));
             if id % 20 == 0 {
-                net.play(net.now + 1.0);
+                cluster.run_until(cluster.now + 1.0);
             }
         }
         for n in 0..3 {
-            net.compact(n);
-            net.kill(n);
-            net.begin(n);
+            cluster.compact(n);
+            cluster.stop_replica(n);
+            cluster.start_replica(n);
         }
-        net.play(net.now + 1.0);
-        (1..4).for_each(|n| net.follow(n));
+        cluster.run_until(cluster.now + 1.0);
+        (1..4).for_each(|n| cluster.start_follower(n));
         for id in 401..=480 {
             let key = format!("function {}", id - 300);
-            let replaces = net.log.state.get(&key).expect("it stands").0;
-            net.propose(0, 0, change(id, &key, "z", replaces));
-            net.play(net.now + 0.1);
+            let replaces = cluster.log.state.get(&key).expect("it stands").0;
+            cluster.propose(0, 0, change(id, &key, "z", replaces));
+            cluster.run_until(cluster.now + 0.1);
         }
-        net.play(net.now + 10.0);
-        assert_eq!(net.log.state.head(), 480, "seed {seed}");
-        assert!(all_at_head(&net), "seed {seed}");
-        net.check_all();
-        let steps = net.in_force[1].len();
+        cluster.run_until(cluster.now + 10.0);
+        assert_eq!(cluster.log.state.head(), 480, "seed {seed}");
+        assert!(all_at_head(&cluster), "seed {seed}");
+        cluster.check_all();
+        let steps = cluster.in_force[1].len();
         assert!(steps > 3, "seed {seed}: it went on in steps, {steps}");
     }
 }
 
 /// Cut off with two of five machines: what is in force stays, and a gateway there knows since when it may be behind.
 #[test]
-fn followers_of_a_minority_know_that_they_may_be_behind() {
-    let mut net = settled(5, 8, 9);
-    net.commit(0, change(1, "a", "lanes = 1", 0));
-    net.play(net.now + 2.0);
-    let small = |place: Place| match place {
-        Place::Replica(n) => n < 2,
-        Place::Follower(n) => n < 4,
-        Place::Author(_) => false,
+fn followers_of_a_minority_know_how_old_their_state_may_be() {
+    let mut cluster = settled(5, 8, 9);
+    cluster.commit(0, change(1, "a", "lanes = 1", 0));
+    cluster.run_until(cluster.now + 2.0);
+    let small = |node: NodeId| match node {
+        NodeId::Replica(n) => n < 2,
+        NodeId::Follower(n) => n < 4,
+        NodeId::Author(_) => false,
     };
-    net.rule = apart(move |place| usize::from(small(place)));
-    net.commit(3, change(2, "a", "lanes = 2", 1));
-    net.play(net.now + 10.0);
+    cluster.delivery_rule = partitioned(move |node| usize::from(small(node)));
+    cluster.commit(3, change(2, "a", "lanes = 2", 1));
+    cluster.run_until(cluster.now + 10.0);
     for n in 0..8 {
-        let view = view(&net, n);
-        let age = view.sure_as_of.expect("it was sure once");
+        let view = view(&cluster, n);
+        let age = view.confirmed_age.expect("it was sure once");
         match n < 4 {
             true => assert!(view.number == 1 && age > 9.0, "{n}: {} as of {age}", view.number),
             false => assert!(view.number == 2 && age < 1.5, "{n}: {} as of {age}", view.number),
         }
     }
-    net.rule = calm();
-    net.play(net.now + 7.0);
-    assert!(all_at_head(&net));
-    assert!((0..8).all(|n| view(&net, n).sure_as_of.is_some_and(|age| age < 1.5)));
+    cluster.delivery_rule = reliable();
+    cluster.run_until(cluster.now + 7.0);
+    assert!(all_at_head(&cluster));
+    assert!((0..8).all(|n| view(&cluster, n).confirmed_age.is_some_and(|age| age < 1.5)));
 }
 
 /// Two of the three that a gateway follows die: the next ones take their place.
 #[test]
-fn those_that_fall_silent_are_passed_over() {
-    let mut net = settled(7, 1, 10);
-    let follows = view(&net, 0).follows;
-    net.kill(follows[0]);
-    net.kill(follows[1]);
-    let since = net.now;
-    let number = net.commit(follows[2], change(1, "a", "lanes = 1", 0));
-    net.play(since + 3.0);
-    assert!(net.delay(0, number, since).is_some());
-    assert!(!view(&net, 0).follows.contains(&follows[0]));
-    net.begin(follows[0]);
-    net.begin(follows[1]);
-    net.play(net.now + 8.0);
-    assert_eq!(view(&net, 0).follows, follows, "they are tried again");
+fn silent_replicas_are_replaced_and_tried_again() {
+    let mut cluster = settled(7, 1, 10);
+    let follows = view(&cluster, 0).follows;
+    cluster.stop_replica(follows[0]);
+    cluster.stop_replica(follows[1]);
+    let since = cluster.now;
+    let number = cluster.commit(follows[2], change(1, "a", "lanes = 1", 0));
+    cluster.run_until(since + 3.0);
+    assert!(cluster.delay(0, number, since).is_some());
+    assert!(!view(&cluster, 0).follows.contains(&follows[0]));
+    cluster.start_replica(follows[0]);
+    cluster.start_replica(follows[1]);
+    cluster.run_until(cluster.now + 8.0);
+    assert_eq!(view(&cluster, 0).follows, follows, "they are tried again");
 }
 
 #[test]
-fn what_a_gateway_could_not_apply_is_told_to_the_machines() {
-    let mut net = settled(3, 1, 11);
-    let number = net.commit(0, change(1, "a", "lanes = -1", 0));
-    net.play(net.now + 1.0);
-    let why = "no such figure ".repeat(40);
-    net.gateways[0].core.as_mut().expect("it is up").refused(number, why.clone());
-    net.play(net.now + 1.0);
-    let clock = net.machines[0].clock(net.now);
-    let seen = net.machines[0].core.as_mut().expect("it is up").view(clock).followers;
-    let refused = seen[0].refused.clone().expect("it was told");
-    assert_eq!((seen[0].name.as_str(), refused.0), ("gateway-0", number));
-    assert!(why.starts_with(&refused.1) && refused.1.len() == 200);
-    net.commit(0, change(2, "a", "lanes = 1", number));
-    net.play(net.now + 1.0);
-    assert_eq!(view(&net, 0).refused, None, "another one stands there");
+fn an_apply_error_is_reported_to_the_replicas() {
+    let mut cluster = settled(3, 1, 11);
+    let number = cluster.commit(0, change(1, "a", "lanes = -1", 0));
+    cluster.run_until(cluster.now + 1.0);
+    let reason = "no such figure ".repeat(40);
+    cluster.gateways[0].core.as_mut().expect("it is up").report_apply_error(number, reason.clone());
+    cluster.run_until(cluster.now + 1.0);
+    let clock = cluster.machines[0].clock(cluster.now);
+    let followers = cluster.machines[0].core.as_mut().expect("it is up").view(clock).followers;
+    let apply_error = followers[0].apply_error.clone().expect("it was told");
+    assert_eq!((followers[0].name.as_str(), apply_error.0), ("gateway-0", number));
+    assert!(reason.starts_with(&apply_error.1) && apply_error.1.len() == 200);
+    cluster.commit(0, change(2, "a", "lanes = 1", number));
+    cluster.run_until(cluster.now + 1.0);
+    assert_eq!(view(&cluster, 0).apply_error, None, "another one stands there");
 }
 
 /// Whatever is said from wherever, in any order: nothing is applied that was not committed, and nothing panics.
 #[test]
-fn garbage_that_is_sealed_rightly_does_no_harm() {
-    let mut net = settled(3, 3, 12);
-    net.commit_many(0, "function", 3);
-    net.lies = Some(Box::new(|from, message| {
-        if from == Place::Replica(1) {
+fn authenticated_garbage_does_no_harm() {
+    let mut cluster = settled(3, 3, 12);
+    cluster.commit_many(0, "function", 3);
+    cluster.tamper = Some(Box::new(|from, message| {
+        if from == NodeId::Replica(1) {
             match message {
-                Message::Reply { stamp, head, entries, age, .. } => {
-                    *stamp ^= *head & 1;
-                    *age = Some(u64::MAX);
+                Message::PollReply { request_id, head, entries, confirmed_age_ms, .. } => {
+                    *request_id ^= *head & 1;
+                    *confirmed_age_ms = Some(u64::MAX);
                     entries.reverse();
                 }
                 Message::Push { logged } => logged.entry.number = u64::MAX,
-                Message::Page { after, upto, head, .. } => {
-                    (*after, *upto, *head) = (*upto, *after, u64::MAX);
+                Message::SnapshotPage { after, through, head, .. } => {
+                    (*after, *through, *head) = (*through, *after, u64::MAX);
                 }
                 _ => {}
             }
         }
     }));
     for id in 1..20 {
-        let machine = net.chance.random_range(0..3);
-        net.propose(0, machine, change(id, &format!("key {id}"), "lanes = 1", 0));
+        let machine = cluster.rng.random_range(0..3);
+        cluster.propose(0, machine, change(id, &format!("key {id}"), "lanes = 1", 0));
         if id % 6 == 0 {
-            net.end(0);
-            net.follow(0);
+            cluster.stop_follower(0);
+            cluster.start_follower(0);
         }
-        net.play(net.now + 0.3);
+        cluster.run_until(cluster.now + 0.3);
     }
-    net.lies = None;
-    net.play(net.now + 70.0);
-    assert!(all_at_head(&net));
-    net.check_all();
+    cluster.tamper = None;
+    cluster.run_until(cluster.now + 70.0);
+    assert!(all_at_head(&cluster));
+    cluster.check_all();
 }
--- a/crates/config-log/tests/message.rs
+++ b/crates/config-log/tests/message.rs
@@ -1,7 +1,9 @@
 //! Messages: what is sealed is read as it was, and nothing else is read.
 
-use milletpath_config_log::message::{Key, LARGEST, ROOM, Refused, VERSION, Vote, open, seal};
-use milletpath_config_log::{Ballot, Change, Entry, KEY, Logged, Message, TEXT};
+use milletpath_config_log::message::{
+    Key, MAX_DATAGRAM_BYTES, MAX_ENTRIES_BYTES, OpenError, VERSION, Vote, open, seal,
+};
+use milletpath_config_log::{Ballot, Change, Entry, LoggedEntry, MAX_KEY_BYTES, MAX_TEXT_BYTES, Message};
 use proptest::prelude::*;
 
 fn key() -> Key {
@@ -20,7 +22,7 @@
 
 fn message() -> impl Strategy<Value = Message> {
     let logged = (any::<u64>(), change(), any::<u64>())
-        .prop_map(|(number, change, digest)| Logged { entry: Entry { number, change }, digest })
+        .prop_map(|(number, change, digest)| LoggedEntry { entry: Entry { number, change }, digest })
         .boxed();
     let vote = (0..1u64 << 56, 0..1u64 << 56, change()).prop_map(|(number, ballot, change)| Vote {
         number,
@@ -30,11 +32,20 @@
     prop_oneof![
         change().prop_map(|change| Message::Propose { change }),
         vote.prop_map(|vote| Message::Accept { vote }),
-        prop::collection::vec(logged.clone(), 0..5).prop_map(|entries| Message::Log { entries }),
+        prop::collection::vec(logged.clone(), 0..5).prop_map(|entries| Message::LogEntries { entries }),
         logged.prop_map(|logged| Message::Push { logged }),
-        (any::<u64>(), any::<u64>(), prop::option::of(any::<u64>())).prop_map(|(stamp, head, age)| {
-            Message::Reply { stamp, head, digest: head, age, about: age, entries: vec![] }
-        }),
+        (any::<u64>(), any::<u64>(), prop::option::of(any::<u64>())).prop_map(
+            |(request_id, head, confirmed_age_ms)| {
+                Message::PollReply {
+                    request_id,
+                    head,
+                    digest: head,
+                    confirmed_age_ms,
+                    queried_digest: confirmed_age_ms,
+                    entries: vec![],
+                }
+            }
+        ),
     ]
 }
 
@@ -54,12 +65,12 @@
 
 proptest! {
     #[test]
-    fn what_is_sealed_is_read_as_it_was(message in message()) {
+    fn a_sealed_message_opens_unchanged(message in message()) {
         prop_assert_eq!(open(&key(), &sealed(&message)), Ok(message));
     }
 
     #[test]
-    fn what_is_changed_on_its_way_is_not_read(message in message(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
+    fn a_datagram_with_a_flipped_bit_is_rejected(message in message(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
         let mut datagram = sealed(&message);
         let at = at.index(datagram.len());
         datagram[at] ^= 1 << bit;
@@ -67,13 +78,13 @@
     }
 
     #[test]
-    fn garbage_is_refused_and_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..1500)) {
+    fn garbage_is_rejected_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..1500)) {
         prop_assert!(open(&key(), &bytes).is_err());
     }
 
     /// Whoever has the key may be wrong, too.
     #[test]
-    fn a_sealed_body_of_any_bytes_does_not_panic(message in message(), cut in any::<prop::sample::Index>(), with in any::<u8>()) {
+    fn any_authenticated_body_is_decoded_without_a_panic(message in message(), cut in any::<prop::sample::Index>(), with in any::<u8>()) {
         let mut body = sealed(&message)[17..].to_vec();
         let at = cut.index(body.len());
         body[at] = with;
@@ -85,46 +96,57 @@
 }
 
 #[test]
-fn another_key_reads_nothing() {
+fn a_datagram_sealed_with_another_key_is_rejected() {
     let datagram = sealed(&Message::Get { key: "a".into() });
-    assert_eq!(open(&Key::new(b"another"), &datagram), Err(Refused::Seal));
+    assert_eq!(open(&Key::new(b"another"), &datagram), Err(OpenError::InvalidTag));
 }
 
 #[test]
-fn versions_kinds_and_sizes_are_told_apart() {
+fn unsupported_versions_sizes_and_kinds_have_errors_of_their_own() {
     let mut datagram = sealed(&Message::Get { key: "a".into() });
     datagram[0] = 0;
-    assert_eq!(open(&key(), &datagram), Err(Refused::Version(0)));
-    assert_eq!(open(&key(), &datagram[..17]), Err(Refused::Size));
-    assert_eq!(open(&key(), &vec![1; LARGEST + 1]), Err(Refused::Size));
+    assert_eq!(open(&key(), &datagram), Err(OpenError::UnsupportedVersion(0)));
+    assert_eq!(open(&key(), &datagram[..17]), Err(OpenError::InvalidSize));
+    assert_eq!(open(&key(), &vec![1; MAX_DATAGRAM_BYTES + 1]), Err(OpenError::InvalidSize));
     // [200, {}]: a kind of a later version.
-    assert_eq!(open(&key(), &sealed_body(&[0x82, 0x18, 200, 0xa0])), Err(Refused::Kind(200)));
+    assert_eq!(open(&key(), &sealed_body(&[0x82, 0x18, 200, 0xa0])), Err(OpenError::UnknownKind(200)));
 }
 
 /// `Get` with a field 9 that this program doesn't know: [3, {0: "a", 9: 5}].
 #[test]
-fn a_field_of_a_later_version_is_passed_over() {
+fn an_unknown_field_is_skipped() {
     let body = [0x82, 3, 0xa2, 0, 0x61, b'a', 9, 5];
     assert_eq!(open(&key(), &sealed_body(&body)), Ok(Message::Get { key: "a".into() }));
 }
 
 #[test]
-fn what_breaks_a_bound_is_not_read_but_for_a_proposal() {
-    let change =
-        |text: usize| Change { id: 1, key: "k".repeat(KEY), text: Some("x".repeat(text)), replaces: 0 };
+fn out_of_bounds_messages_are_rejected_except_proposals() {
+    let change = |text: usize| Change {
+        id: 1,
+        key: "k".repeat(MAX_KEY_BYTES),
+        text: Some("x".repeat(text)),
+        replaces: 0,
+    };
     let vote = |text| Vote { number: 1, ballot: Ballot(9), change: change(text) };
-    assert_eq!(open(&key(), &sealed(&Message::Accept { vote: vote(TEXT + 1) })), Err(Refused::Body));
-    assert!(open(&key(), &sealed(&Message::Accept { vote: vote(TEXT) })).is_ok());
-    assert!(open(&key(), &sealed(&Message::Propose { change: change(TEXT + 1) })).is_ok());
-    let high = Message::Outvoted { ballot: Ballot(u64::MAX) };
-    assert_eq!(open(&key(), &sealed(&high)), Err(Refused::Body));
+    assert_eq!(
+        open(&key(), &sealed(&Message::Accept { vote: vote(MAX_TEXT_BYTES + 1) })),
+        Err(OpenError::InvalidBody)
+    );
+    assert!(open(&key(), &sealed(&Message::Accept { vote: vote(MAX_TEXT_BYTES) })).is_ok());
+    assert!(open(&key(), &sealed(&Message::Propose { change: change(MAX_TEXT_BYTES + 1) })).is_ok());
+    let high = Message::Preempted { ballot: Ballot(u64::MAX) };
+    assert_eq!(open(&key(), &sealed(&high)), Err(OpenError::InvalidBody));
 }
 
 /// The largest of each kind that carries entries, with the largest numbers that occur.
 #[test]
-fn the_largest_messages_pass_in_one_datagram() {
-    let change =
-        Change { id: u64::MAX, key: "k".repeat(KEY), text: Some("x".repeat(TEXT)), replaces: 1 << 40 };
+fn the_largest_messages_fit_into_one_datagram() {
+    let change = Change {
+        id: u64::MAX,
+        key: "k".repeat(MAX_KEY_BYTES),
+        text: Some("x".repeat(MAX_TEXT_BYTES)),
+        replaces: 1 << 40,
+    };
     let vote = Vote { number: 1 << 32, ballot: Ballot(1 << 40), change: change.clone() };
     let slots = (0..64).map(|n| (1 << 31) + n).collect();
     let promise = Message::Promise {
@@ -138,10 +160,16 @@
     assert!(seal(&key(), &promise).is_some());
     // As many small ones as a page has room for, each counted with what stands around it at most.
     let small = Change { id: u64::MAX, key: "k".into(), text: None, replaces: u64::MAX };
-    let logged = Logged { entry: Entry { number: u64::MAX, change: small }, digest: u64::MAX };
-    let entries = vec![logged; ROOM / 65];
+    let logged = LoggedEntry { entry: Entry { number: u64::MAX, change: small }, digest: u64::MAX };
+    let entries = vec![logged; MAX_ENTRIES_BYTES / 65];
     let max = Some(u64::MAX);
-    let reply =
-        Message::Reply { stamp: u64::MAX, head: u64::MAX, digest: u64::MAX, age: max, about: max, entries };
+    let reply = Message::PollReply {
+        request_id: u64::MAX,
+        head: u64::MAX,
+        digest: u64::MAX,
+        confirmed_age_ms: max,
+        queried_digest: max,
+        entries,
+    };
     assert!(seal(&key(), &reply).is_some());
 }
--- a/crates/config-log/tests/search.rs
+++ b/crates/config-log/tests/search.rs
@@ -2,21 +2,21 @@
 //! changes are proposed, processes die (also between storing and sending) and begin anew, a disk fails for a while or is
 //! lost, and time runs out for one or the other: to a stated depth, from many places along ways of chance.
 
-#[path = "search/world.rs"]
-mod world;
+#[path = "search/model.rs"]
+mod model;
 
+use model::{Defect, Event, FOLLOWER, Model, SIZE, deliver_promptly};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
-use world::{Broken, Event, GATEWAY, SIZE, World, pass};
 
 /// Looks at all that can happen within so many events; gives the states seen, and the first fault.
-fn search(world: &World, depth: usize, seen: &mut HashSet<u64>) -> Result<usize, String> {
+fn search(model: &Model, depth: usize, visited: &mut HashSet<u64>) -> Result<usize, String> {
     let mut states = 0;
-    for event in world.events() {
-        let mut next = world.clone();
-        next.befall(event);
-        if !seen.insert(next.print()) {
+    for event in model.events() {
+        let mut next = model.clone();
+        next.apply(event);
+        if !visited.insert(next.fingerprint()) {
             continue;
         }
         states += 1;
@@ -24,7 +24,7 @@
             return Err(format!("after {event:?}: {fault}"));
         }
         if depth > 1 {
-            states += search(&next, depth - 1, seen).map_err(|told| format!("{event:?}, {told}"))?;
+            states += search(&next, depth - 1, visited).map_err(|error| format!("{event:?}, {error}"))?;
         }
     }
     Ok(states)
@@ -32,78 +32,85 @@
 
 /// Some whiles. Before each a machine may die, lose its disk, or come back, at once or later; in each one of them may be
 /// cut off, or single links be down; changes are proposed, and messages come in any order for a moment.
-fn wander(world: &mut World, whiles: usize, chance: &mut ChaCha8Rng) {
-    for _ in 0..whiles {
-        let n = chance.random_range(0..SIZE);
-        match world.nodes[n] {
-            Some(_) if chance.random_bool(0.15) && world.may_wipe(n) => world.befall(Event::Wipe(n)),
-            Some(_) if chance.random_bool(0.3) => world.befall(Event::Kill(n)),
-            Some(_) if chance.random_bool(0.3) && world.failing[n].is_none() => {
-                world.befall(Event::Fail(n, chance.random_bool(0.5)));
+fn random_walk(model: &mut Model, phases: usize, rng: &mut ChaCha8Rng) {
+    for _ in 0..phases {
+        let n = rng.random_range(0..SIZE);
+        match model.nodes[n] {
+            Some(_) if rng.random_bool(0.15) && model.may_lose_disk(n) => model.apply(Event::LoseDisk(n)),
+            Some(_) if rng.random_bool(0.3) => model.apply(Event::Crash(n)),
+            Some(_) if rng.random_bool(0.3) && model.failing[n].is_none() => {
+                model.apply(Event::Fail(n, rng.random_bool(0.5)));
             }
             _ => {}
         }
         for n in 0..SIZE {
-            if world.failing[n].is_some() && chance.random_bool(0.4) {
-                world.befall(Event::Recover(n));
+            if model.failing[n].is_some() && rng.random_bool(0.4) {
+                model.apply(Event::Recover(n));
             }
-            if world.nodes[n].is_none() && chance.random_bool(0.8) {
-                world.befall(Event::Begin(n));
+            if model.nodes[n].is_none() && rng.random_bool(0.8) {
+                model.apply(Event::Start(n));
             }
         }
-        let mut up = [[true; SIZE + 1]; SIZE + 1];
-        match chance.random_range(0..8) {
+        let mut link_is_up = [[true; SIZE + 1]; SIZE + 1];
+        match rng.random_range(0..8) {
             0 | 1 => {}
-            2 => up.iter_mut().flatten().for_each(|up| *up = chance.random_bool(0.6)),
+            2 => link_is_up.iter_mut().flatten().for_each(|link_is_up| *link_is_up = rng.random_bool(0.6)),
             _ => {
-                let cut = chance.random_range(0..SIZE);
-                (0..=GATEWAY).for_each(|n| (up[cut][n], up[n][cut]) = (false, false));
+                let cut = rng.random_range(0..SIZE);
+                (0..=FOLLOWER).for_each(|n| (link_is_up[cut][n], link_is_up[n][cut]) = (false, false));
             }
         }
-        for _ in 0..chance.random_range(0..3) {
-            world.befall(Event::Propose(chance.random_range(0..SIZE)));
+        for _ in 0..rng.random_range(0..3) {
+            model.apply(Event::Propose(rng.random_range(0..SIZE)));
         }
-        let seconds = if chance.random_bool(0.5) { 0.05..0.4 } else { 0.8..3.0 };
-        pass(world, &up, chance.random_range(seconds));
-        if chance.random_bool(0.3) {
-            let events = chance.random_range(0..10);
-            stir(world, events, chance);
+        let seconds = if rng.random_bool(0.5) { 0.05..0.4 } else { 0.8..3.0 };
+        deliver_promptly(model, &link_is_up, rng.random_range(seconds));
+        if rng.random_bool(0.3) {
+            let events = rng.random_range(0..10);
+            random_events(model, events, rng);
         }
     }
 }
 
 /// Into the midst of things, with messages under way.
-fn stir(world: &mut World, events: usize, chance: &mut ChaCha8Rng) {
+fn random_events(model: &mut Model, events: usize, rng: &mut ChaCha8Rng) {
     for _ in 0..events {
-        let events = world.events();
-        let event = events[chance.random_range(0..events.len())];
-        let ends = matches!(event, Event::Kill(_) | Event::Wipe(_) | Event::Die(..) | Event::Lose(_));
-        if !ends || chance.random_bool(0.2) {
-            world.befall(event);
+        let events = model.events();
+        let event = events[rng.random_range(0..events.len())];
+        let ends = matches!(
+            event,
+            Event::Crash(_) | Event::LoseDisk(_) | Event::DeliverThenCrash(..) | Event::Drop(_)
+        );
+        if !ends || rng.random_bool(0.2) {
+            model.apply(event);
         }
     }
 }
 
 /// States and commits over all seeds; the first fault that is met.
-fn hunt(seeds: std::ops::Range<u64>, depth: usize, broken: Broken) -> Result<(usize, usize), String> {
+fn search_from_random_walks(
+    seeds: std::ops::Range<u64>,
+    depth: usize,
+    defect: Defect,
+) -> Result<(usize, usize), String> {
     let (mut states, mut commits) = (0, 0);
     for seed in seeds {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::new(broken);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut model = Model::new(defect);
         for _ in 0..3 {
-            wander(&mut world, 6, &mut chance);
-            if let Some(fault) = &world.fault {
-                return Err(format!("seed {seed} at {:.3} s: {fault}", world.now));
+            random_walk(&mut model, 6, &mut rng);
+            if let Some(fault) = &model.fault {
+                return Err(format!("seed {seed} at {:.3} s: {fault}", model.now));
             }
             if depth > 0 {
-                stir(&mut world, 12, &mut chance);
-                let told = |told| format!("seed {seed} at {:.3} s: {told}", world.now);
-                states += search(&world, depth, &mut HashSet::new()).map_err(told)?;
+                random_events(&mut model, 12, &mut rng);
+                let error = |error| format!("seed {seed} at {:.3} s: {error}", model.now);
+                states += search(&model, depth, &mut HashSet::new()).map_err(error)?;
             }
-            let mut healed = world.clone();
-            healed.heal().map_err(|told| format!("seed {seed}, healed at {:.3} s: {told}", world.now))?;
+            let mut healed = model.clone();
+            healed.heal().map_err(|error| format!("seed {seed}, healed at {:.3} s: {error}", model.now))?;
         }
-        commits += world.chosen.len();
+        commits += model.chosen.len();
     }
     Ok((states, commits))
 }
@@ -112,10 +119,12 @@
 /// `DEPTH=4 cargo test --release -p milletpath-config-log --test search -- --ignored`.
 #[test]
 fn no_order_of_events_breaks_the_log() {
-    let (states, commits) = hunt(0..5, 2, Broken::Nothing).unwrap_or_else(|told| panic!("{told}"));
+    let (states, commits) =
+        search_from_random_walks(0..5, 2, Defect::None).unwrap_or_else(|error| panic!("{error}"));
     println!("{states} states, {commits} commits");
     assert!(states > 5_000 && commits > 50, "{states} states, {commits} commits");
-    let (_, commits) = hunt(1_000..1_120, 0, Broken::Nothing).unwrap_or_else(|told| panic!("{told}"));
+    let (_, commits) =
+        search_from_random_walks(1_000..1_120, 0, Defect::None).unwrap_or_else(|error| panic!("{error}"));
     println!("{commits} commits");
     assert!(commits > 1_200, "{commits} commits");
 }
@@ -123,23 +132,27 @@
 #[test]
 #[ignore = "takes minutes; depth and seeds are asked for by hand"]
 fn no_order_of_events_breaks_the_log_in_depth() {
-    let asked = |name: &str, usual| std::env::var(name).ok().and_then(|d| d.parse().ok()).unwrap_or(usual);
-    let (depth, seeds, ways) = (asked("DEPTH", 3), asked("SEEDS", 40), asked("WAYS", 20_000));
-    let found = hunt(0..seeds, depth as usize, Broken::Nothing).unwrap_or_else(|told| panic!("{told}"));
+    let from_environment =
+        |name: &str, usual| std::env::var(name).ok().and_then(|d| d.parse().ok()).unwrap_or(usual);
+    let (depth, seeds, walks) =
+        (from_environment("DEPTH", 3), from_environment("SEEDS", 40), from_environment("WAYS", 20_000));
+    let found = search_from_random_walks(0..seeds, depth as usize, Defect::None)
+        .unwrap_or_else(|error| panic!("{error}"));
     println!("{} states, {} commits", found.0, found.1);
-    let found = hunt(10_000..10_000 + ways, 0, Broken::Nothing).unwrap_or_else(|told| panic!("{told}"));
-    println!("{ways} ways, {} commits", found.1);
+    let found = search_from_random_walks(10_000..10_000 + walks, 0, Defect::None)
+        .unwrap_or_else(|error| panic!("{error}"));
+    println!("{walks} walks, {} commits", found.1);
 }
 
 /// The same ways find a log in which one promise is left out.
-#[test_case::test_case(Broken::Unawaited; "sends before what was stored is durable")]
-#[test_case::test_case(Broken::Quorum; "one of three is enough")]
-#[test_case::test_case(Broken::Forgetful; "a lost disk is passed over")]
-#[test_case::test_case(Broken::Unheeded; "what could not be stored is taken for stored")]
-fn a_promise_left_out_is_found(broken: Broken) {
-    let found = hunt(0..3_000, 0, broken);
+#[test_case::test_case(Defect::SendBeforeDurable; "sends before what was stored is durable")]
+#[test_case::test_case(Defect::Quorum; "one of three is enough")]
+#[test_case::test_case(Defect::LostDiskVotes; "a lost disk is passed over")]
+#[test_case::test_case(Defect::IgnoreStorageFailure; "what could not be stored is taken for stored")]
+fn each_seeded_defect_is_found(defect: Defect) {
+    let found = search_from_random_walks(0..3_000, 0, defect);
     assert!(
-        found.as_ref().is_err_and(|told| told.contains("which was") || told.contains("is said")),
+        found.as_ref().is_err_and(|error| error.contains("which was") || error.contains("is said")),
         "{found:?}"
     );
 }
--- a/crates/config-log/tests/state.rs
+++ b/crates/config-log/tests/state.rs
@@ -1,7 +1,7 @@
 //! What is in force: one by one or compacted it comes to the same, a change holds only over what its author saw, and the
 //! bounds hold.
 
-use milletpath_config_log::{Change, Entry, KEYS, State, TEXT, TEXTS};
+use milletpath_config_log::{Change, Entry, MAX_KEYS, MAX_TEXT_BYTES, MAX_TOTAL_BYTES, State};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 }
 
 #[test]
-fn a_change_holds_only_over_what_its_author_saw() {
+fn a_change_applies_only_over_the_entry_that_its_author_saw() {
     let mut state = State::default();
     assert!(state.apply(entry(1, "a", Some("1"), 0)));
     assert!(!state.apply(entry(2, "a", Some("2"), 0)), "another one stands there");
     assert!(state.apply(entry(3, "a", None, 1)));
     assert!(!state.apply(entry(4, "a", Some("4"), 0)), "a removed one stands there, too");
     assert!(state.apply(entry(5, "a", Some("5"), 3)));
-    assert!(!state.apply(Entry { number: 6, change: Change::nothing() }));
+    assert!(!state.apply(Entry { number: 6, change: Change::no_op() }));
     assert!(!state.apply(entry(8, "b", Some("8"), 0)), "it is not the next");
     assert_eq!((state.head(), state.get("a").map(|(n, _)| n), state.get("b")), (6, Some(5), None));
 }
@@ -25,20 +25,20 @@
 #[test]
 fn keys_and_texts_are_bounded() {
     let mut state = State::default();
-    for number in 1..=KEYS as u64 {
+    for number in 1..=MAX_KEYS as u64 {
         assert!(state.apply(entry(number, &format!("{number}"), None, 0)));
     }
-    let next = KEYS as u64 + 1;
+    let next = MAX_KEYS as u64 + 1;
     assert!(!state.apply(entry(next, "one more", None, 0)));
     assert!(state.apply(entry(next + 1, "1", Some("x"), 1)), "there is room under a key that stands");
 
-    let (mut state, text) = (State::default(), "x".repeat(TEXT));
+    let (mut state, text) = (State::default(), "x".repeat(MAX_TEXT_BYTES));
     let mut number = 0;
     while state.apply(entry(number + 1, &format!("{number:06}"), Some(&text), 0)) {
         number += 1;
     }
-    assert_eq!(number, (TEXTS / (TEXT + 6)) as u64);
-    assert!(state.texts() <= TEXTS);
+    assert_eq!(number, (MAX_TOTAL_BYTES / (MAX_TEXT_BYTES + 6)) as u64);
+    assert!(state.total_bytes() <= MAX_TOTAL_BYTES);
 }
 
 prop_compose! {
@@ -46,12 +46,12 @@
     fn history()(
         changes in prop::collection::vec((0..8u8, prop::option::of("[a-z]{0,4}"), any::<bool>()), 1..60)
     ) -> Vec<Entry> {
-        let mut standing = BTreeMap::new();
+        let mut current = BTreeMap::new();
         let entries = changes.into_iter().zip(1..).map(|((key, text, late), number)| {
             let key = format!("key {key}");
-            let replaces = standing.get(&key).copied().unwrap_or(0) + u64::from(late && number % 3 == 0);
+            let replaces = current.get(&key).copied().unwrap_or(0) + u64::from(late && number % 3 == 0);
             if !(late && number % 3 == 0) {
-                standing.insert(key.clone(), number);
+                current.insert(key.clone(), number);
             }
             entry(number, &key, text.as_deref(), replaces)
         });
@@ -62,7 +62,7 @@
 proptest! {
     /// The digest is of what is in force alone, not of the way there; pages of the compacted log have all of it in order.
     #[test]
-    fn the_compacted_log_is_what_is_in_force(entries in history(), bytes in 200..2000usize) {
+    fn the_compacted_log_equals_the_state_in_force(entries in history(), bytes in 200..2000usize) {
         let mut state = State::default();
         let mut plain = BTreeMap::new();
         for entry in &entries {
@@ -82,23 +82,23 @@
         prop_assert!(pages.windows(2).all(|p| p[0].number < p[1].number));
         prop_assert_eq!(pages.len(), plain.len());
         let sizes = pages.iter().map(|e| e.change.size()).sum::<usize>();
-        prop_assert_eq!(sizes, state.texts());
+        prop_assert_eq!(sizes, state.total_bytes());
     }
 
     /// Another text, number or author gives another digest.
     #[test]
-    fn the_digest_tells_states_apart(entries in history(), at in any::<prop::sample::Index>()) {
+    fn different_states_have_different_digests(entries in history(), at in any::<prop::sample::Index>()) {
         let digest = |entries: &[Entry]| {
             let mut state = State::default();
-            let held = entries.iter().map(|e| state.apply(e.clone())).collect::<Vec<_>>();
-            (held, state)
+            let effective = entries.iter().map(|e| state.apply(e.clone())).collect::<Vec<_>>();
+            (effective, state)
         };
-        let (held, state) = digest(&entries);
+        let (effective, state) = digest(&entries);
         let n = at.index(entries.len());
         let mut other = entries.clone();
         other[n].change.id += 1_000;
         let (_, changed) = digest(&other);
-        let stands = held[n] && state.get(&entries[n].change.key).map(|(n, _)| n) == Some(entries[n].number);
+        let stands = effective[n] && state.get(&entries[n].change.key).map(|(n, _)| n) == Some(entries[n].number);
         prop_assert_eq!(state.digest() != changed.digest(), stands);
     }
 }
--- a/crates/config-log/tests/storage.rs
+++ b/crates/config-log/tests/storage.rs
@@ -18,9 +18,15 @@
     cluster.history();
     cluster.check("no fault");
     let operations = cluster.operations();
-    let there = |kind| operations.iter().filter(|o| **o == kind).count();
-    assert!(there(Operation::Write) > 10 && there(Operation::Rename) > 2, "{operations:?}");
-    assert!(there(Operation::SyncFolder) > 2 && there(Operation::SyncFile) > 10, "{operations:?}");
+    let operation_count = |kind| operations.iter().filter(|o| **o == kind).count();
+    assert!(
+        operation_count(Operation::Write) > 10 && operation_count(Operation::Rename) > 2,
+        "{operations:?}"
+    );
+    assert!(
+        operation_count(Operation::SyncFolder) > 2 && operation_count(Operation::SyncFile) > 10,
+        "{operations:?}"
+    );
     operations
 }
 
@@ -41,7 +47,7 @@
 }
 
 #[test]
-fn a_kill_at_each_operation_loses_nothing() {
+fn a_crash_at_each_operation_loses_nothing() {
     for (at, operation) in operations().iter().enumerate() {
         let prefixes: &[usize] =
             if *operation == Operation::Write { &[0, 1, 15, 40, usize::MAX] } else { &[0] };
@@ -58,40 +64,40 @@
 /// While its disk fails a machine passes changes on, tells what is in force, and does not vote; with another machine gone
 /// nothing is committed. Once the disk takes a fresh file it votes again.
 #[test]
-fn a_machine_whose_disk_fails_relays_and_does_not_vote() {
+fn a_replica_with_a_failing_disk_relays_and_does_not_vote() {
     let mut cluster = Cluster::new();
-    cluster.play(1.0);
+    cluster.run_for(1.0);
     cluster.commit(FAULTY);
     let at = cluster.operations().len();
     cluster.disk.fails(at..usize::MAX, Fault::Fails(Errno::ENOSPC));
     // What it can't store it does not say; the others commit it all the same, and it learns of it.
     let number = cluster.commit(0);
-    cluster.play(1.0);
+    cluster.run_for(1.0);
     assert!(!cluster.votes(FAULTY) && cluster.votes(0));
     assert_eq!(cluster.head(FAULTY), number);
     let number = cluster.commit(FAULTY);
-    cluster.play(1.0);
+    cluster.run_for(1.0);
     assert_eq!(cluster.head(FAULTY), number);
     // No majority can promise without it.
     cluster.stop(2);
     cluster.propose(0);
-    cluster.play(4.0);
+    cluster.run_for(4.0);
     assert_eq!(cluster.head(0), number, "one of three is no majority");
     // It is tried again ever more rarely: some 0.1 s, 0.2 s, 0.4 s ... 5 s, with two operations each time.
     let tried = cluster.operations().len() - at;
     assert!((8..30).contains(&tried), "{tried} operations");
     cluster.disk.recovers();
-    cluster.play(6.0);
+    cluster.run_for(6.0);
     assert!(cluster.votes(FAULTY));
-    assert!(cluster.head(0) > number, "with it there is a majority again");
+    assert!(cluster.head(0) > number, "with it operation_count is a majority again");
     cluster.check("recovered");
 }
 
 /// All is on a disk that is full: a log that has grown can't be rewritten, and takes records as long as there is room.
 #[test]
-fn a_log_that_can_t_be_rewritten_takes_records() {
+fn a_log_that_cannot_be_rewritten_still_takes_records() {
     let mut cluster = Cluster::new();
-    cluster.play(1.0);
+    cluster.run_for(1.0);
     cluster.commit(0);
     let before = cluster.operations();
     // Only the fresh file fails: its creation comes before its first byte.
@@ -103,6 +109,6 @@
     let tried = cluster.operations()[before.len()..].iter().filter(|o| **o == Operation::Create).count();
     assert!((1..8).contains(&tried), "{tried} attempts");
     cluster.disk.recovers();
-    cluster.play(HISTORY_ENDS);
+    cluster.run_for(HISTORY_ENDS);
     cluster.check("recovered");
 }
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -2,7 +2,7 @@
 //! the machine whose disk fails.
 
 use milletpath_config_log::{
-    Ballot, Change, DurableReplica, Message, Outcome, Record, Replica, RewritePolicy, StoredLog, Terms,
+    Ballot, Change, DurableReplica, Message, Outcome, Record, Replica, RewritePolicy, StoredLog, Timing,
 };
 use milletpath_storage::RecordLog;
 use milletpath_storage::testing::{FaultyFolder, Operation, PowerLoss};
@@ -131,7 +131,7 @@
         self.seeds += 1;
         let (seed, now) = (self.seeds, self.now);
         self.machines[n] = Some(DurableReplica::new(stored, POLICY, now, |records| {
-            Replica::new(n, (0..SIZE).map(at).collect(), Terms::default(), seed, now, records)
+            Replica::new(n, (0..SIZE).map(at).collect(), Timing::default(), seed, now, records)
         }));
     }
 
@@ -194,7 +194,7 @@
 
     fn deliver(&mut self) {
         while let Some((from, to, message)) = self.messages.pop_front() {
-            if let (Message::Proposed { id, outcome: Outcome::Committed(number) }, true) =
+            if let (Message::ProposalResult { id, outcome: Outcome::Committed(number) }, true) =
                 (&message, to == author())
             {
                 let before = self.committed.insert(*id, *number);
@@ -202,14 +202,14 @@
             }
             let Some(n) = (0..SIZE).find(|n| at(*n) == to) else { continue };
             if let Some(machine) = self.machines[n].as_mut() {
-                machine.replica_mut().heard(self.now, from, message);
+                machine.replica_mut().receive(self.now, from, message);
                 self.flush(n);
             }
         }
     }
 
     /// Time goes on for so many seconds.
-    pub fn play(&mut self, seconds: f64) {
+    pub fn run_for(&mut self, seconds: f64) {
         /// Seconds of the simulation's clock at a time.
         const STEP: f64 = 0.02;
         let until = self.now + seconds;
@@ -218,8 +218,8 @@
             self.restart_where_due();
             for n in 0..SIZE {
                 let now = self.now;
-                if let Some(machine) = self.machines[n].as_mut().filter(|m| m.next() <= now) {
-                    machine.replica_mut().turn(now);
+                if let Some(machine) = self.machines[n].as_mut().filter(|m| m.next_deadline() <= now) {
+                    machine.replica_mut().tick(now);
                     self.flush(n);
                 }
             }
@@ -248,7 +248,7 @@
         for _ in 0..40 {
             self.messages.push_back((author(), at(n), Message::Propose { change: change.clone() }));
             self.deliver();
-            self.play(0.2);
+            self.run_for(0.2);
             if let Some(number) = self.committed.get(&change.id) {
                 return *number;
             }
@@ -258,17 +258,17 @@
 
     /// The scripted history: changes at each machine, logs that are rewritten, a loss of power where the disk fails.
     pub fn history(&mut self) {
-        self.play(1.0);
+        self.run_for(1.0);
         for n in [0, FAULTY, 2, 0, FAULTY, 2] {
             self.propose(n);
-            self.play(0.3);
+            self.run_for(0.3);
         }
         self.machines[FAULTY] = None;
         self.restart_at[FAULTY] = self.now + RESTART;
-        self.play(0.5);
+        self.run_for(0.5);
         for n in [FAULTY, 0] {
             self.propose(n);
-            self.play(0.3);
+            self.run_for(0.3);
         }
     }
 
@@ -279,21 +279,21 @@
             self.disks[n].recovers();
             self.stopped[n] = false;
         }
-        self.play(7.0);
+        self.run_for(7.0);
         (0..SIZE).for_each(|n| assert!(self.votes(n), "{what}: {n} does not vote"));
-        self.agree(what);
+        self.assert_agreement(what);
         for n in 0..SIZE {
             self.machines[n] = None;
             self.disks[n] = self.disks[n].after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
         }
         self.messages.clear();
-        self.play(1.0);
-        self.agree(what);
+        self.run_for(1.0);
+        self.assert_agreement(what);
     }
 
-    fn agree(&mut self, what: &str) {
+    fn assert_agreement(&mut self, what: &str) {
         let last = self.commit(0);
-        self.play(1.0);
+        self.run_for(1.0);
         let states: Vec<_> = self.machines.iter().flatten().map(|m| m.replica().state()).collect();
         assert_eq!(states.len(), SIZE, "{what}: all run");
         assert!(states.iter().all(|state| *state == states[0]), "{what}: they do not agree");
--- a/crates/config-log/tests/wire_forms.rs
+++ b/crates/config-log/tests/wire_forms.rs
@@ -1,10 +1,10 @@
 //! What other programs read stays byte for byte as it was released: each message kind, each record of a stored log, the
 //! saved state of a follower and the JSON that operators read. The fixture was written by the release of 2026-12-02.
 
-use milletpath_config_log::message::{Key, Refusal, Standing, Vote, seal};
+use milletpath_config_log::message::{ApplyError, Key, Progress, Vote, seal};
 use milletpath_config_log::{
-    Ballot, Change, Entry, Followed, Follower, FollowerView, Logged, Message, Outcome, Record, ReplicaView,
-    Seen, Tally, Terms,
+    Ballot, Change, Counters, Entry, Follower, FollowerStatus, FollowerView, LoggedEntry, Message, Outcome,
+    Record, ReplicaStatus, ReplicaView, Timing,
 };
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -19,20 +19,20 @@
     Entry { number: 5, change: change() }
 }
 
-fn logged() -> Logged {
-    Logged { entry: entry(), digest: 11 }
+fn logged() -> LoggedEntry {
+    LoggedEntry { entry: entry(), digest: 11 }
 }
 
 fn vote() -> Vote {
     Vote { number: 5, ballot: Ballot(17), change: change() }
 }
 
-fn refusal() -> Refusal {
-    Refusal { number: 4, why: "unknown key".into() }
+fn refusal() -> ApplyError {
+    ApplyError { number: 4, reason: "unknown key".into() }
 }
 
-fn standing() -> Standing {
-    Standing { head: 5, digest: 11, top: 6, ballot: Ballot(17), votes: true }
+fn progress() -> Progress {
+    Progress { head: 5, digest: 11, highest_accepted: 6, ballot: Ballot(17), votes: true }
 }
 
 fn messages_of_authors() -> Vec<Message> {
@@ -43,16 +43,22 @@
         Outcome::TooLarge,
         Outcome::Full,
         Outcome::Busy,
-        Outcome::NoKey,
+        Outcome::EmptyKey,
     ];
     let mut messages = vec![Message::Propose { change: change() }];
-    messages.extend(outcomes.map(|outcome| Message::Proposed { id: 7, outcome }));
+    messages.extend(outcomes.map(|outcome| Message::ProposalResult { id: 7, outcome }));
     messages.extend([
         Message::Get { key: "function a".into() },
-        Message::Got { key: "function a".into(), number: 5, text: Some("x".into()), head: 6, age: Some(20) },
-        Message::Status { ask: 9, page: 1 },
-        Message::StatusPage { ask: 9, page: 1, of: 2, bytes: b"{}".to_vec() },
-        Message::Denied { id: 7, why: "line 1: unknown key".into() },
+        Message::GetReply {
+            key: "function a".into(),
+            number: 5,
+            text: Some("x".into()),
+            head: 6,
+            confirmed_age_ms: Some(20),
+        },
+        Message::StatusRequest { query_id: 9, page: 1 },
+        Message::StatusPage { query_id: 9, page: 1, page_count: 2, bytes: b"{}".to_vec() },
+        Message::ChangeDenied { id: 7, reason: "line 1: unknown key".into() },
     ]);
     messages
 }
@@ -72,12 +78,12 @@
         promise(None),
         Message::Accept { vote: vote() },
         Message::Accepted { ballot: Ballot(17), number: 5 },
-        Message::Outvoted { ballot: Ballot(17) },
-        Message::Ask { stamp: 10, standing: standing() },
-        Message::Answer { stamp: 10, standing: standing() },
-        Message::Fetch { after: 4, pages: 8, compacted: true },
-        Message::Log { entries: vec![logged()] },
-        Message::Page { after: 4, upto: 5, entries: vec![entry()], head: 6, digest: 11 },
+        Message::Preempted { ballot: Ballot(17) },
+        Message::Heartbeat { request_id: 10, progress: progress() },
+        Message::HeartbeatReply { request_id: 10, progress: progress() },
+        Message::Fetch { after: 4, pages: 8, snapshot: true },
+        Message::LogEntries { entries: vec![logged()] },
+        Message::SnapshotPage { after: 4, through: 5, entries: vec![entry()], head: 6, digest: 11 },
     ]
 }
 
@@ -87,16 +93,16 @@
             name: "gateway-1".into(),
             number: 5,
             digest: 11,
-            about: 4,
-            stamp: 10,
-            refused: Some(refusal()),
+            queried_number: 4,
+            request_id: 10,
+            apply_error: Some(refusal()),
         },
-        Message::Reply {
-            stamp: 10,
+        Message::PollReply {
+            request_id: 10,
             head: 5,
             digest: 11,
-            age: Some(20),
-            about: None,
+            confirmed_age_ms: Some(20),
+            queried_digest: None,
             entries: vec![logged()],
         },
         Message::Push { logged: logged() },
@@ -118,34 +124,38 @@
 /// The state that a follower of one replica saves after two entries.
 fn saved_state() -> Vec<u8> {
     let replica = SocketAddr::from(([10, 0, 0, 1], 7500));
-    let mut follower = Follower::new("gateway-1".into(), vec![replica], Terms::default(), 1, 0.0, None);
+    let mut follower = Follower::new("gateway-1".into(), vec![replica], Timing::default(), 1, 0.0, None);
     let mut state = milletpath_config_log::State::default();
     for (number, replaces) in [(1, 0), (2, 1)] {
         let entry = Entry { number, change: Change { id: number, replaces, ..change() } };
         state.apply(entry.clone());
-        follower.heard(0.0, replica, Message::Push { logged: Logged { entry, digest: state.digest() } });
+        follower.receive(
+            0.0,
+            replica,
+            Message::Push { logged: LoggedEntry { entry, digest: state.digest() } },
+        );
     }
     follower.save()
 }
 
-fn tally() -> Tally {
-    Tally {
+fn counters() -> Counters {
+    Counters {
         sent: 1,
-        taken: 2,
-        strange: 3,
-        unsent: 4,
-        crowded: 5,
-        prepared: 6,
-        outvoted: 7,
+        received: 2,
+        unexpected: 3,
+        dropped: 4,
+        rejected_followers: 5,
+        prepares: 6,
+        preempted: 7,
         proposals: 8,
-        unknown: 9,
+        expired_proposals: 9,
         conflicts: 10,
     }
 }
 
 fn replica_view() -> ReplicaView {
     ReplicaView {
-        me: 1,
+        own_index: 1,
         replicas: 3,
         number: 5,
         digest: 11,
@@ -154,15 +164,15 @@
         ballot: 17,
         committed: 2,
         majority: true,
-        sure_as_of: Some(0.5),
-        heard: vec![0, 1],
-        followers: vec![Seen {
+        confirmed_age: Some(0.5),
+        reachable: vec![0, 1],
+        followers: vec![FollowerStatus {
             name: "gateway-1".into(),
             number: 4,
-            heard: 0.25,
-            refused: Some((4, "unknown key".into())),
+            seconds_since_contact: 0.25,
+            apply_error: Some((4, "unknown key".into())),
         }],
-        tally: tally(),
+        counters: counters(),
     }
 }
 
@@ -172,14 +182,19 @@
         number: 5,
         digest: 11,
         follows: vec![0, 2],
-        replicas: vec![Followed { replica: 0, heard: Some(0.25), head: 6, conflicts: 1 }],
-        sure_as_of: None,
+        replicas: vec![ReplicaStatus {
+            replica: 0,
+            seconds_since_contact: Some(0.25),
+            head: 6,
+            conflicts: 1,
+        }],
+        confirmed_age: None,
         known: 6,
         behind: true,
         conflicts: 1,
-        anew: 2,
-        refused: Some((4, "unknown key".into())),
-        tally: tally(),
+        rebuilds: 2,
+        apply_error: Some((4, "unknown key".into())),
+        counters: counters(),
     }
 }
 
--- a/crates/config/src/change/parser.rs
+++ b/crates/config/src/change/parser.rs
@@ -98,15 +98,16 @@
 
 /// Key and text must fit into an entry of the log.
 fn check_size(section: &Section<'_>, subject: &Subject) {
-    if subject.to_string().len() > milletpath_config_log::KEY {
-        let longest = milletpath_config_log::KEY - "function ".len();
+    if subject.to_string().len() > milletpath_config_log::MAX_KEY_BYTES {
+        let longest = milletpath_config_log::MAX_KEY_BYTES - "function ".len();
         let problem = format!("the name of {} is too long for a change", section.title);
         section.report(section.offset, problem, format!("use a name of up to {longest} bytes"));
     }
     let bytes = section.source().len();
-    if bytes > milletpath_config_log::TEXT {
+    if bytes > milletpath_config_log::MAX_TEXT_BYTES {
         let problem = format!("{} has {bytes} bytes of text", section.title);
-        let remedy = format!("keep it within {} bytes; leave comments out", milletpath_config_log::TEXT);
+        let remedy =
+            format!("keep it within {} bytes; leave comments out", milletpath_config_log::MAX_TEXT_BYTES);
         section.report(section.offset, problem, remedy);
     }
 }
--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -9,8 +9,8 @@
 use crate::office::Office;
 use crate::telling::{Telling, cpu};
 use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
-use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
-use milletpath_config_log::{Entry, Follower, FollowerView, Terms};
+use milletpath_config_log::message::{self, Key, MAX_APPLY_ERROR_BYTES, MAX_DATAGRAM_BYTES, Message};
+use milletpath_config_log::{Entry, Follower, FollowerView, Timing};
 use milletpath_storage::{DiskFolder, survive_file_size_limit};
 use serde::{Deserialize, Serialize};
 use state_file::{StateFile, StateId};
@@ -105,7 +105,7 @@
     let (there, now) = (saved.is_some(), office.now());
     // Drawn anew by each process from the system's chance: gateways that begin together must not ask in step.
     let seed = RandomState::new().hash_one(std::process::id());
-    let follower = Follower::new(stated.name, stated.control, Terms::default(), seed, now, saved);
+    let follower = Follower::new(stated.name, stated.control, Timing::default(), seed, now, saved);
     let head = follower.state().head();
     match (there, head) {
         (true, 0) => tracing::error!(
@@ -159,15 +159,15 @@
 
 impl Running {
     fn run(mut self) {
-        let mut inbox = Inbox::new(LARGEST);
+        let mut inbox = Inbox::new(MAX_DATAGRAM_BYTES);
         while !self.office.stopping.load(Ordering::Acquire) {
-            let due_in = self.follower.next() - self.office.now();
+            let due_in = self.follower.next_deadline() - self.office.now();
             if let Some((datagram, from)) = inbox.next(&self.feed.socket, due_in, "changes can't be heard") {
                 self.take(datagram, from);
             }
             let now = self.office.now();
-            if inbox.turns(now, self.follower.next()) {
-                self.follower.turn(now);
+            if inbox.turns(now, self.follower.next_deadline()) {
+                self.follower.tick(now);
             }
             self.apply();
             self.post();
@@ -187,10 +187,10 @@
 
     fn take(&mut self, datagram: &[u8], from: SocketAddr) {
         match message::open(&self.feed.key, datagram) {
-            Ok(Message::Status { ask, page }) => self.answer(ask, page, from),
-            Ok(message) => self.follower.heard(self.office.now(), from, message),
+            Ok(Message::StatusRequest { query_id: ask, page }) => self.answer(ask, page, from),
+            Ok(message) => self.follower.receive(self.office.now(), from, message),
             Err(why) => {
-                let seal = matches!(why, message::Refused::Seal);
+                let seal = matches!(why, message::OpenError::InvalidTag);
                 self.seals += u64::from(seal);
                 self.unread += u64::from(!seal);
                 let all = self.seals + self.unread;
@@ -204,7 +204,7 @@
     /// Passes what is new on to the desk, each batch at once. What this gateway's charter can't take is told
     /// to the control machines; what was in force under its key stays.
     fn apply(&mut self) {
-        while let Some(batch) = self.follower.news() {
+        while let Some(batch) = self.follower.take_updates() {
             let house = &self.office.house;
             let mut amendments: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
@@ -217,7 +217,7 @@
                     Err(mistakes) => {
                         let why = mistakes.first().map(ToString::to_string).unwrap_or_default();
                         tracing::error!(number, key = change.key, "a change can't be applied here: {why}");
-                        self.follower.refused(*number, shortened(why));
+                        self.follower.report_apply_error(*number, shortened(why));
                     }
                 }
             }
@@ -231,7 +231,7 @@
     }
 
     fn post(&mut self) {
-        while let Some((to, message)) = self.follower.out() {
+        while let Some((to, message)) = self.follower.next_outgoing() {
             if let Some(datagram) = message::seal(&self.feed.key, &message) {
                 // What can't be sent is as if lost on its way: that is what the core is built for.
                 let _ = self.feed.socket.send_to(&datagram, to);
@@ -268,7 +268,7 @@
         }
         self.look = now + AGAIN;
         let view = self.follower.view(now);
-        let heard = match view.sure_as_of {
+        let heard = match view.confirmed_age {
             Some(age) if age < SILENT => Heard::Yes,
             None if now < SILENT => Heard::Unknown,
             _ => Heard::No,
@@ -284,7 +284,7 @@
             }
             self.heard = heard;
         }
-        let counts = (view.conflicts, view.anew);
+        let counts = (view.conflicts, view.rebuilds);
         if counts.0 > self.counts.0 {
             let told: Vec<_> = view.replicas.iter().map(|r| (r.replica, r.conflicts)).collect();
             tracing::warn!(?told, "a control machine tells other than the others do, by number");
@@ -303,7 +303,8 @@
 
 /// A reason that fits into a message.
 fn shortened(mut why: String) -> String {
-    let end = (0..=LONGEST_WHY.min(why.len())).rev().find(|n| why.is_char_boundary(*n)).unwrap_or(0);
+    let end =
+        (0..=MAX_APPLY_ERROR_BYTES.min(why.len())).rev().find(|n| why.is_char_boundary(*n)).unwrap_or(0);
     why.truncate(end);
     why
 }
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -3,7 +3,7 @@
 //! answers the one counts that knows of the latest entry.
 
 use milletpath_config::ConfigLogConfig;
-use milletpath_config_log::message::{self, Key, LARGEST, Message};
+use milletpath_config_log::message::{self, Key, MAX_DATAGRAM_BYTES, Message};
 use milletpath_config_log::{Change, Outcome};
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
 
     /// The next message until then.
     fn hear(&self, until: Instant) -> Option<(SocketAddr, Message)> {
-        let mut buffer = [0; LARGEST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
             self.socket.set_read_timeout(Some(left)).ok()?;
@@ -102,7 +102,7 @@
                 silent.for_each(|to| self.send(*to, &Message::Get { key: key.to_owned() }));
             }
             let Some((from, message)) = self.hear(ask.min(end)) else { continue };
-            let Message::Got { key: about, number, text, head, .. } = message else { continue };
+            let Message::GetReply { key: about, number, text, head, .. } = message else { continue };
             if about == key && self.control.contains(&from) {
                 if answers.is_empty() {
                     end = end.min(Instant::now() + OTHERS);
@@ -135,13 +135,15 @@
                 }
             }
             match self.hear(next.min(end)) {
-                Some((_, Message::Proposed { id, outcome })) if id == change.id => match outcome {
+                Some((_, Message::ProposalResult { id, outcome })) if id == change.id => match outcome {
                     Outcome::Unknown | Outcome::Busy => {
                         (told, next) = (Told::Outcome(outcome), Instant::now());
                     }
                     known => return Told::Outcome(known),
                 },
-                Some((_, Message::Denied { id, why })) if id == change.id => return Told::Denied(why),
+                Some((_, Message::ChangeDenied { id, reason: why })) if id == change.id => {
+                    return Told::Denied(why);
+                }
                 _ => {}
             }
         }
@@ -161,7 +163,9 @@
                 pages.iter().zip(by).for_each(|(pages, to)| self.ask(*to, ask, pages));
             }
             let Some((from, message)) = self.hear(again.min(end)) else { continue };
-            let Message::StatusPage { ask: about, page, of, bytes } = message else { continue };
+            let Message::StatusPage { query_id: about, page, page_count: of, bytes } = message else {
+                continue;
+            };
             let Some(n) = by.iter().position(|to| *to == from).filter(|_| about == ask) else { continue };
             /// Far more than a control machine tells of all its gateways.
             const PAGES: u32 = 10_000;
@@ -190,7 +194,9 @@
         /// Pages at once: what any socket holds until it is read.
         const ONCE: usize = 64;
         let missing = (0..).zip(pages).filter(|(_, page)| page.is_none());
-        missing.take(ONCE).for_each(|(page, _)| self.send(to, &Message::Status { ask, page }));
+        missing
+            .take(ONCE)
+            .for_each(|(page, _)| self.send(to, &Message::StatusRequest { query_id: ask, page }));
     }
 
     /// What each control machine knows, in the order of their numbers; none for one that doesn't answer.
--- a/crates/gateway/src/telling.rs
+++ b/crates/gateway/src/telling.rs
@@ -40,7 +40,7 @@
         let pages = self.kept[place].2.chunks(PAGE);
         let of = pages.len() as u32;
         let bytes = { pages }.nth(page as usize)?.to_vec();
-        Some(Message::StatusPage { ask, page, of, bytes })
+        Some(Message::StatusPage { query_id: ask, page, page_count: of, bytes })
     }
 }
 
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -105,7 +105,8 @@
     for name in asked.remove {
         // A name alone is a function's.
         let subject = Subject::from_key(name).or_else(|| Subject::from_key(&format!("function {name}")));
-        let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_config_log::KEY) else {
+        let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_config_log::MAX_KEY_BYTES)
+        else {
             let remedy = "write the function's name, or functions for what is stated of all";
             return Err(vec![format!("--remove {name}: no statement goes by that; {remedy}")]);
         };
@@ -154,7 +155,7 @@
             let wrong = format!("the control machine refuses it: {why}");
             Err(Failed { wrong, input: Some(within) })
         }
-        Told::Outcome(Outcome::TooLarge | Outcome::NoKey) => {
+        Told::Outcome(Outcome::TooLarge | Outcome::EmptyKey) => {
             Err(Failed { wrong: "it is larger than a change may be".into(), input: Some((1, 1)) })
         }
         Told::Outcome(Outcome::Full) => {
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -61,7 +61,7 @@
         let views = || told.iter().flatten().map(|told| &told.view);
         let latest = views().max_by_key(|view| view.number);
         let (head, digest) = latest.map_or((0, 0), |view| (view.number, view.digest));
-        let sure = views().filter(|view| view.number == head).filter_map(|v| v.sure_as_of);
+        let sure = views().filter(|view| view.number == head).filter_map(|v| v.confirmed_age);
         let sure_as_of = sure.reduce(f64::min);
         let mut gateways: BTreeMap<String, Gateway> = BTreeMap::new();
         for seen in views().flat_map(|view| &view.followers) {
@@ -69,10 +69,10 @@
             let fresh = Gateway { name, number: 0, heard: f64::INFINITY, state, refused: None };
             let gateway = gateways.entry(seen.name.clone()).or_insert(fresh);
             // What was said last counts: a gateway that began anew may be further back than it was.
-            if seen.heard < gateway.heard {
-                gateway.heard = seen.heard;
+            if seen.seconds_since_contact < gateway.heard {
+                gateway.heard = seen.seconds_since_contact;
                 gateway.number = seen.number;
-                gateway.refused.clone_from(&seen.refused);
+                gateway.refused.clone_from(&seen.apply_error);
             }
         }
         for gateway in gateways.values_mut() {
@@ -101,7 +101,7 @@
         const POLLED: f64 = 2.0;
         let views = || self.control.iter().filter_map(|machine| machine.view.as_ref());
         let answers = |n: &usize| self.control.get(*n).is_some_and(|machine| machine.view.is_some());
-        self.heard() > 0 && views().all(|told| told.up >= POLLED && told.view.heard.iter().all(answers))
+        self.heard() > 0 && views().all(|told| told.up >= POLLED && told.view.reachable.iter().all(answers))
     }
 
     pub fn heard(&self) -> usize {
@@ -173,8 +173,11 @@
         let log_error = v.log_error.as_ref();
         let v = &v.view;
         let votes = if v.votes { "yes" } else { "no" };
-        let (sure, gateways) = (age(v.sure_as_of), v.followers.len());
-        println!("{number:<8} {at:<22} {:>9} {sure:>8} {votes:>8} {gateways:>9}  {:?}", v.number, v.heard);
+        let (sure, gateways) = (age(v.confirmed_age), v.followers.len());
+        println!(
+            "{number:<8} {at:<22} {:>9} {sure:>8} {votes:>8} {gateways:>9}  {:?}",
+            v.number, v.reachable
+        );
         if let Some(error) = log_error {
             println!("{:<8} its log can't be written: {error}; make room on its disk", "");
         }
@@ -223,7 +226,7 @@
         return ExitCode::SUCCESS;
     }
     let view = &told.view;
-    let sure = match view.sure_as_of {
+    let sure = match view.confirmed_age {
         Some(age) => format!("known to be the latest {age:.1} s ago"),
         None => "not known to be the latest since the start".into(),
     };
@@ -231,19 +234,19 @@
     if view.behind {
         println!("behind: there is number {}", view.known);
     }
-    if let Some((number, why)) = &view.refused {
+    if let Some((number, why)) = &view.apply_error {
         println!("could not apply number {number}: {why}");
     }
     println!("follows control machines {:?}", view.follows);
     println!("{:<8} {:>9} {:>9} {:>10}", "control", "heard, s", "number", "conflicts");
     for r in &view.replicas {
-        let heard = r.heard.map_or("never".into(), |age| format!("{age:.1}"));
+        let heard = r.seconds_since_contact.map_or("never".into(), |age| format!("{age:.1}"));
         println!("{:<8} {heard:>9} {:>9} {:>10}", r.replica, r.head, r.conflicts);
     }
     println!(
         "gathered anew {} times; state kept {} times, not kept {}; not taken: {} of another key or changed, {} others; \
          processor {:.3} s",
-        view.anew, told.kept, told.not_kept, told.seals, told.unread, told.cpu
+        view.rebuilds, told.kept, told.not_kept, told.seals, told.unread, told.cpu
     );
     ExitCode::SUCCESS
 }
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -3,7 +3,7 @@
 use super::receiver::{self, Receiver, Turn};
 use super::{ControlStatus, LOOK};
 use milletpath_config::GatewayConfig;
-use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
+use milletpath_config_log::message::{self, Key, MAX_DATAGRAM_BYTES, MAX_DENIAL_BYTES, Message};
 use milletpath_config_log::{DurableReplica, StorageEvent};
 use milletpath_gateway::{Telling, cpu, tenfold};
 use milletpath_storage::DiskFolder;
@@ -59,15 +59,15 @@
 
     /// Runs until it is told to stop.
     pub fn run(mut self, stop: &AtomicBool) {
-        let mut receiver = Receiver::new(self.socket.clone(), LARGEST);
+        let mut receiver = Receiver::new(self.socket.clone(), MAX_DATAGRAM_BYTES);
         while !stop.load(Ordering::Acquire) {
-            let wait = (self.replica.next() - self.now()).clamp(0.001, LOOK.as_secs_f64());
+            let wait = (self.replica.next_deadline() - self.now()).clamp(0.001, LOOK.as_secs_f64());
             let turn =
                 receiver.receive(Duration::from_secs_f64(wait), |datagram, from| self.take(datagram, from));
             // Whatever came while this thread stood still is heard before anybody counts as silent.
             if turn == Turn::Drained {
                 let now = self.now();
-                self.replica.replica_mut().turn(now);
+                self.replica.replica_mut().tick(now);
             }
             self.flush();
             self.log_role_change();
@@ -91,16 +91,16 @@
             && let Err(mistakes) = self.house.parse_change(&change.key, change.text.as_deref())
         {
             let mut why = mistakes.first().map(ToString::to_string).unwrap_or_default();
-            let end = (0..=LONGEST_DENIAL.min(why.len())).rev().find(|n| why.is_char_boundary(*n));
+            let end = (0..=MAX_DENIAL_BYTES.min(why.len())).rev().find(|n| why.is_char_boundary(*n));
             why.truncate(end.unwrap_or(0));
             tracing::info!(%from, key = change.key, "a change is refused: {why}");
-            return self.send(from, &Message::Denied { id: change.id, why });
+            return self.send(from, &Message::ChangeDenied { id: change.id, reason: why });
         }
-        if let Message::Status { ask, page } = message {
+        if let Message::StatusRequest { query_id: ask, page } = message {
             return self.answer(ask, page, from);
         }
         let now = self.now();
-        self.replica.replica_mut().heard(now, from, message);
+        self.replica.replica_mut().receive(now, from, message);
     }
 
     /// Tells an operator what is known here.
@@ -130,7 +130,7 @@
 
     fn log_storage_event(&mut self, event: StorageEvent) {
         match event {
-            StorageEvent::Failed { error, in_a_row, retry_in } => {
+            StorageEvent::Failed { error, consecutive_failures: in_a_row, retry_in } => {
                 let votes = !self.replica.replica().is_suspended();
                 if tenfold(in_a_row.into()) {
                     tracing::error!(in_a_row, retry_in, votes, "the log can't be written: {error}");
@@ -160,7 +160,7 @@
         let view = self.replica.replica_mut().view(now);
         let leads = Some((view.votes, view.majority));
         if leads != self.leads {
-            let (number, votes, majority, heard) = (view.number, view.votes, view.majority, &view.heard);
+            let (number, votes, majority, heard) = (view.number, view.votes, view.majority, &view.reachable);
             tracing::info!(number, votes, majority, ?heard, "how it stands among the control machines");
             self.leads = leads;
         }
--- a/crates/milletpath/tests/control/authors.rs
+++ b/crates/milletpath/tests/control/authors.rs
@@ -2,7 +2,7 @@
 //! changes are committed.
 
 use super::{Site, key};
-use milletpath_config_log::message::{self, LARGEST, Message};
+use milletpath_config_log::message::{self, MAX_DATAGRAM_BYTES, Message};
 use milletpath_config_log::{Change, Outcome};
 use std::net::{SocketAddr, UdpSocket};
 use std::ops::RangeInclusive;
@@ -18,7 +18,7 @@
     let at = near.local_addr().unwrap();
     let ((held, tell), (go, gone)) = (mpsc::channel(), mpsc::channel());
     std::thread::spawn(move || {
-        let (mut buffer, mut author, mut first) = ([0; LARGEST + 1], None, true);
+        let (mut buffer, mut author, mut first) = ([0; MAX_DATAGRAM_BYTES + 1], None, true);
         for socket in [&near, &far] {
             socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         }
@@ -52,7 +52,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.connect(site.at(machine)).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-    let (mut number, mut buffer) = (replaces, [0; LARGEST + 1]);
+    let (mut number, mut buffer) = (replaces, [0; MAX_DATAGRAM_BYTES + 1]);
     for n in changes {
         let text = format!("functions {{\n  lanes = {n}\n#{}\n}}", "x".repeat(700));
         let change = Change { id: n as u64, key: "functions".into(), text: Some(text), replaces: number };
@@ -61,7 +61,9 @@
             socket.send(&datagram).unwrap();
             let size = socket.recv(&mut buffer).ok()?;
             match message::open(&key(), &buffer[..size]) {
-                Ok(Message::Proposed { id, outcome: Outcome::Committed(at) }) if id == n as u64 => Some(at),
+                Ok(Message::ProposalResult { id, outcome: Outcome::Committed(at) }) if id == n as u64 => {
+                    Some(at)
+                }
                 _ => None,
             }
         });
