--- a/crates/config-log/src/collect.rs
+++ b/crates/config-log/src/collect.rs
@@ -59,14 +59,14 @@
     fn append(&mut self, page: SnapshotPage) -> Result<(), MalformedPage> {
         let SnapshotPage { after, through, entries, reported } = page;
         let last = entries.last().map_or(after, |e| e.number);
-        let rising = entries.first().is_none_or(|e| e.number > after)
+        let is_ascending = entries.first().is_none_or(|e| e.number > after)
             && entries.windows(2).all(|pair| pair[0].number < pair[1].number);
-        let end = if through == reported.0 {
+        let ends_rightly = if through == reported.0 {
             last <= through
         } else {
             through < reported.0 && last == through && through > after
         };
-        if !rising || !end || entries.iter().any(|e| e.change.is_no_op()) {
+        if !is_ascending || !ends_rightly || entries.iter().any(|e| e.change.is_no_op()) {
             return Err(MalformedPage);
         }
         self.total_bytes += entries.iter().map(|e| e.change.size()).sum::<usize>();
--- a/crates/config-log/src/follower.rs
+++ b/crates/config-log/src/follower.rs
@@ -47,7 +47,7 @@
 struct SnapshotFetch {
     from: usize,
     /// From nothing, not from what is in force here.
-    rebuilds: bool,
+    is_rebuild: bool,
     assembly: SnapshotAssembly,
     ends: f64,
     fetch_at: f64,
@@ -143,8 +143,8 @@
     }
 
     fn advance_to(&mut self, now: f64) {
-        let has_gap = self.clock.advance_to(now);
-        if has_gap > self.timing.silence_timeout {
+        let elapsed = self.clock.advance_to(now);
+        if elapsed > self.timing.silence_timeout {
             self.sources.reset_after_pause(self.clock.now);
         }
     }
@@ -161,7 +161,7 @@
         match message {
             Message::Push { logged } => self.sources.record_entry(n, here, logged),
             Message::SnapshotPage { after, through, entries, head, digest } => {
-                self.page(n, SnapshotPage { after, through, entries, reported: (head, digest) });
+                self.on_snapshot_page(n, SnapshotPage { after, through, entries, reported: (head, digest) });
             }
             Message::PollReply { request_id, .. } => {
                 if !self.sources.on_reply(n, self.clock.now, here, request_id, &message) {
@@ -235,9 +235,9 @@
         self.check_digest();
         self.install();
         if self.state.head() != before {
-            let on_progress =
+            let is_in_force =
                 |number: u64| self.state.iter_from(number).next().is_some_and(|(n, _)| n == number);
-            if self.apply_error.as_ref().is_some_and(|r| !on_progress(r.number)) {
+            if self.apply_error.as_ref().is_some_and(|r| !is_in_force(r.number)) {
                 self.apply_error = None;
             }
             // The acknowledgement.
@@ -277,7 +277,7 @@
 
     fn start_rebuild(&mut self) {
         if self.clock.now < self.rebuild_allowed_at
-            || self.snapshot_fetch.as_ref().is_some_and(|g| g.rebuilds)
+            || self.snapshot_fetch.as_ref().is_some_and(|g| g.is_rebuild)
         {
             return;
         }
@@ -290,18 +290,18 @@
     }
 
     /// Begins to gather the compacted log from one of those followed, another one each time that it failed.
-    fn start_snapshot_fetch(&mut self, rebuilds: bool) {
+    fn start_snapshot_fetch(&mut self, is_rebuild: bool) {
         let now = self.clock.now;
         let (known, here) = (self.sources.known(), self.state.head());
         let followed = self.sources.followed(now);
-        let candidates =
+        let can_serve =
             |n: &usize| self.sources.all[*n].head >= known && self.sources.all[*n].last_received_at.is_some();
-        let candidates: Vec<_> = followed.into_iter().filter(candidates).collect();
+        let candidates: Vec<_> = followed.into_iter().filter(can_serve).collect();
         let Some(&from) = candidates.get(self.failed_fetches % candidates.len().max(1)) else { return };
-        let after = if rebuilds { 0 } else { here };
+        let after = if is_rebuild { 0 } else { here };
         self.snapshot_fetch = Some(SnapshotFetch {
             from,
-            rebuilds,
+            is_rebuild,
             assembly: SnapshotAssembly::after(after),
             ends: now + SNAPSHOT_TIMEOUT * 2f64.powi(self.failed_fetches.min(6) as i32),
             fetch_at: now,
@@ -309,9 +309,9 @@
     }
 
     fn fail_snapshot_fetch(&mut self) {
-        let rebuilds = self.snapshot_fetch.take().is_some_and(|g| g.rebuilds);
+        let is_rebuild = self.snapshot_fetch.take().is_some_and(|g| g.is_rebuild);
         self.failed_fetches += 1;
-        if rebuilds {
+        if is_rebuild {
             self.start_snapshot_fetch(true);
         }
     }
@@ -332,7 +332,7 @@
         self.sources.poll_soon(self.clock.now, MISSING_ENTRY_DELAY);
     }
 
-    fn page(&mut self, n: usize, page: SnapshotPage) {
+    fn on_snapshot_page(&mut self, n: usize, page: SnapshotPage) {
         let Some(snapshot_fetch) = self.snapshot_fetch.as_mut().filter(|g| g.from == n) else { return };
         if snapshot_fetch.assembly.take(page).is_err() {
             self.sources.distrust(n, self.clock.now);
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Asks for the next pages, and where all are there whether there is more by now: others may have gone on and keep
+    /// Asks for the next pages, and where all are there whether there is more by now: others may have disappeared on and keep
     /// no digest of that number any more.
     fn fetch(&mut self) {
         let now = self.clock.now;
@@ -368,14 +368,14 @@
     fn install(&mut self) {
         let Some(snapshot_fetch) = self.snapshot_fetch.as_ref() else { return };
         let here = self.state.head();
-        let (from, rebuilds) = (snapshot_fetch.from, snapshot_fetch.rebuilds);
+        let (from, is_rebuild) = (snapshot_fetch.from, snapshot_fetch.is_rebuild);
         let Some((head, digest)) = snapshot_fetch.assembly.complete else {
-            if !rebuilds && snapshot_fetch.assembly.cursor < here {
+            if !is_rebuild && snapshot_fetch.assembly.cursor < here {
                 self.snapshot_fetch = None;
             }
             return;
         };
-        if !rebuilds && head <= here {
+        if !is_rebuild && head <= here {
             // What came meanwhile went further.
             self.snapshot_fetch = None;
             return;
@@ -387,11 +387,11 @@
             return;
         }
         let entries = &snapshot_fetch.assembly.entries;
-        let with =
-            if rebuilds { State::default().digest_with(entries) } else { self.state.digest_with(entries) };
-        if with != digest {
+        let rebuilt =
+            if is_rebuild { State::default().digest_with(entries) } else { self.state.digest_with(entries) };
+        if rebuilt != digest {
             // From nothing: it can only be whom it is from. Else it may be what is in force here.
-            if rebuilds {
+            if is_rebuild {
                 self.sources.distrust(from, self.clock.now);
                 self.fail_snapshot_fetch();
             } else {
@@ -403,7 +403,7 @@
         let Some(snapshot_fetch) = self.snapshot_fetch.take() else { return };
         let entries = snapshot_fetch.assembly.entries.into_iter();
         let entries = entries.map(|(number, change)| Entry { number, change });
-        if rebuilds {
+        if is_rebuild {
             let mut state = State::default();
             state.install(entries, head);
             self.replace(state);
@@ -416,15 +416,16 @@
     }
 
     /// All is to be told to the gateway again, and what it must forget.
-    fn replace(&mut self, with: State) {
-        let gone = self.state.iter().filter(|(_, c)| with.get(&c.key).is_none() && c.text.is_some());
+    fn replace(&mut self, rebuilt: State) {
+        let disappeared =
+            self.state.iter().filter(|(_, c)| rebuilt.get(&c.key).is_none() && c.text.is_some());
         let removal = |(number, c): (u64, &Change)| Entry {
             number,
             change: Change { id: 0, key: c.key.clone(), text: None, replaces: number },
         };
-        self.removals = gone.map(removal).collect();
+        self.removals = disappeared.map(removal).collect();
         self.delivered = 0;
-        self.state = with;
+        self.state = rebuilt;
     }
 
     /// A batch of entries to be applied whole, in order; later ones follow. Only entries that change something: none for
@@ -434,10 +435,10 @@
         if self.delivered == self.state.head() && self.removals.is_empty() {
             return None;
         }
-        let mut take_updates = std::mem::take(&mut self.removals);
-        take_updates.extend(self.state.after(self.delivered, usize::MAX));
+        let mut updates = std::mem::take(&mut self.removals);
+        updates.extend(self.state.after(self.delivered, usize::MAX));
         self.delivered = self.state.head();
-        (!take_updates.is_empty()).then_some(take_updates)
+        (!updates.is_empty()).then_some(updates)
     }
 
     /// The gateway could not apply an entry: told to the replicas with each poll. The latest one is kept, until another
--- a/crates/config-log/src/learner.rs
+++ b/crates/config-log/src/learner.rs
@@ -27,7 +27,7 @@
 
 impl Learner {
     /// Who accepted at that number under that ballot, as bits.
-    pub fn record_acceptance(&self, number: u64, ballot: Ballot) -> u8 {
+    pub fn acceptors(&self, number: u64, ballot: Ballot) -> u8 {
         self.votes_by_ballot.get(&number).and_then(|by| by.get(&ballot)).copied().unwrap_or(0)
     }
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CatchUp {
     /// When it may be asked for again.
-    again: f64,
+    fetch_again_at: f64,
     /// A compacted log in pages, and from whom.
     assembly: Option<(usize, SnapshotAssembly)>,
 }
@@ -112,10 +112,10 @@
             self.catch_up.assembly = None;
             return;
         };
-        if self.clock.now < self.catch_up.again {
+        if self.clock.now < self.catch_up.fetch_again_at {
             return;
         }
-        self.catch_up.again = self.clock.now + self.timing.retransmit_interval;
+        self.catch_up.fetch_again_at = self.clock.now + self.timing.retransmit_interval;
         let head = self.log.state.head();
         if self.catch_up.assembly.as_ref().is_some_and(|(from, _)| !self.heard_recently(*from)) {
             self.catch_up.assembly = None;
@@ -130,7 +130,7 @@
     }
 
     pub(crate) fn fetch_deadline(&self) -> f64 {
-        if self.most_advanced_replica().is_some() { self.catch_up.again } else { f64::INFINITY }
+        if self.most_advanced_replica().is_some() { self.catch_up.fetch_again_at } else { f64::INFINITY }
     }
 
     /// Entries that are chosen, as another replica has them. They are late: followers had them from others, or poll.
@@ -144,7 +144,8 @@
                 return;
             }
             self.append_chosen(logged.entry);
-            self.catch_up.again = self.catch_up.again.min(self.clock.now + MIN_FETCH_INTERVAL);
+            self.catch_up.fetch_again_at =
+                self.catch_up.fetch_again_at.min(self.clock.now + MIN_FETCH_INTERVAL);
         }
     }
 
@@ -159,7 +160,10 @@
             return;
         }
         match assembly.take(page) {
-            Ok(true) => self.catch_up.again = self.catch_up.again.min(self.clock.now + MIN_FETCH_INTERVAL),
+            Ok(true) => {
+                self.catch_up.fetch_again_at =
+                    self.catch_up.fetch_again_at.min(self.clock.now + MIN_FETCH_INTERVAL)
+            }
             Ok(false) => return,
             Err(_) => {
                 self.counters.conflicts += 1;
--- a/crates/config-log/src/pending.rs
+++ b/crates/config-log/src/pending.rs
@@ -23,16 +23,16 @@
 
 impl Replica {
     /// An author, or a replica for one, proposes a change.
-    pub(crate) fn propose(&mut self, from: SocketAddr, passed_on: bool, change: Change) {
+    pub(crate) fn propose(&mut self, from: SocketAddr, forwarded: bool, change: Change) {
         let id = change.id;
         let has_capacity = self.proposer.pending.len() < MAX_PENDING_CHANGES;
-        let known = self.proposer.pending.iter_mut().find(|w| w.change.id == id);
+        let known = self.proposer.pending.iter_mut().find(|p| p.change.id == id);
         let outcome = if change.is_no_op() || id == 0 {
             Outcome::EmptyKey
         } else if !change.fits() {
             Outcome::TooLarge
         } else if let Some(pending) = known {
-            pending.author = if passed_on { pending.author } else { Some(from) };
+            pending.author = if forwarded { pending.author } else { Some(from) };
             return;
         } else if let Some(outcome) = self.log.outcome(&change) {
             outcome
@@ -42,7 +42,7 @@
             Outcome::Busy
         } else {
             self.counters.proposals += 1;
-            let author = (!passed_on).then_some(from);
+            let author = (!forwarded).then_some(from);
             let since = self.clock.now;
             self.proposer.pending.push(PendingChange { change, author, since, sent: None, number: None });
             return;
@@ -53,7 +53,7 @@
     /// Where it was passed on to, its outcome is known already.
     pub(crate) fn on_proposal_result(&mut self, id: u64, outcome: Outcome) {
         if !matches!(outcome, Outcome::Unknown | Outcome::Busy) {
-            self.resolve(|w| w.change.id == id, outcome);
+            self.resolve(|p| p.change.id == id, outcome);
         }
     }
 
@@ -70,30 +70,30 @@
     pub(crate) fn settle(&mut self, number: u64, id: u64) {
         self.proposer.open.remove(&number);
         self.proposer.preemptions = 0;
-        let own = self.proposer.pending.iter().find(|w| w.change.id == id);
-        if let Some(outcome) = own.map(|w| self.log.outcome_in_turn(&w.change)) {
-            self.resolve(|w| w.change.id == id, outcome);
+        let own = self.proposer.pending.iter().find(|p| p.change.id == id);
+        if let Some(outcome) = own.map(|p| self.log.outcome_in_turn(&p.change)) {
+            self.resolve(|p| p.change.id == id, outcome);
         }
         // Another's came there: this one is still to be proposed.
-        let beaten = self.proposer.pending.iter_mut().filter(|w| w.number == Some(number));
-        beaten.for_each(|w| w.number = None);
+        let displaced = self.proposer.pending.iter_mut().filter(|p| p.number == Some(number));
+        displaced.for_each(|p| p.number = None);
     }
 
     /// Many entries were applied at once.
     pub(crate) fn settle_all(&mut self) {
         let head = self.log.state.head();
         self.proposer.open = self.proposer.open.split_off(&(head + 1));
-        let decided = |w: &PendingChange| self.log.outcome(&w.change).map(|outcome| (w.change.id, outcome));
+        let decided = |p: &PendingChange| self.log.outcome(&p.change).map(|outcome| (p.change.id, outcome));
         let decided: Vec<_> = self.proposer.pending.iter().filter_map(decided).collect();
-        decided.into_iter().for_each(|(id, outcome)| self.resolve(|w| w.change.id == id, outcome));
-        let beaten = self.proposer.pending.iter_mut().filter(|w| w.number.is_some_and(|n| n <= head));
-        beaten.for_each(|w| w.number = None);
+        decided.into_iter().for_each(|(id, outcome)| self.resolve(|p| p.change.id == id, outcome));
+        let displaced = self.proposer.pending.iter_mut().filter(|p| p.number.is_some_and(|n| n <= head));
+        displaced.for_each(|p| p.number = None);
     }
 
     /// Passes what waits on to the one that leads.
     pub(crate) fn forward_to(&mut self, leader: usize) {
-        let (now, again) = (self.clock.now, self.timing.retransmit_interval);
-        let due = |w: &&mut PendingChange| w.sent.is_none_or(|at| now >= at + again);
+        let (now, interval) = (self.clock.now, self.timing.retransmit_interval);
+        let due = |p: &&mut PendingChange| p.sent.is_none_or(|at| now >= at + interval);
         let mut changes = Vec::new();
         for pending in self.proposer.pending.iter_mut().filter(due) {
             pending.sent = Some(now);
@@ -106,7 +106,7 @@
     pub(crate) fn expire_proposals(&mut self) {
         let (now, proposal_timeout) = (self.clock.now, self.timing.proposal_timeout);
         let before = self.proposer.pending.len();
-        self.resolve(|w| w.since + proposal_timeout <= now, Outcome::Unknown);
+        self.resolve(|p| p.since + proposal_timeout <= now, Outcome::Unknown);
         self.counters.expired_proposals += (before - self.proposer.pending.len()) as u64;
     }
 }
--- a/crates/config-log/src/proposer.rs
+++ b/crates/config-log/src/proposer.rs
@@ -22,7 +22,7 @@
 struct PromiseReceived {
     votes: bool,
     head: u64,
-    record_acceptance: BTreeMap<u64, Vote>,
+    accepted: BTreeMap<u64, Vote>,
     /// All that it accepted above its head is there.
     complete: bool,
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 enum Role {
     Idle,
-    Preparing { ballot: Ballot, attempt: u64, promises: BTreeMap<usize, PromiseReceived>, again: f64 },
+    Preparing { ballot: Ballot, attempt: u64, promises: BTreeMap<usize, PromiseReceived>, retransmit_at: f64 },
     Leading { ballot: Ballot, next: u64 },
 }
 
@@ -53,13 +53,13 @@
     next_attempt_at: f64,
     pub preemptions: i32,
     /// The head at which something beyond it was accepted, and since when nothing became of it.
-    stalled_at: Option<(u64, f64)>,
+    stalled: Option<(u64, f64)>,
 }
 
 impl Proposer {
     pub fn new(now: f64) -> Self {
         let (pending, open) = (Vec::new(), BTreeMap::new());
-        Self { role: Role::Idle, pending, open, next_attempt_at: now, preemptions: 0, stalled_at: None }
+        Self { role: Role::Idle, pending, open, next_attempt_at: now, preemptions: 0, stalled: None }
     }
 }
 
@@ -89,7 +89,7 @@
         let proposer = &mut self.proposer;
         proposer.role = Role::Idle;
         proposer.open.clear();
-        proposer.pending.iter_mut().for_each(|w| (w.number, w.sent) = (None, None));
+        proposer.pending.iter_mut().for_each(|p| (p.number, p.sent) = (None, None));
     }
 
     pub(crate) fn on_prepare(&mut self, n: usize, ballot: Ballot, attempt: u64) {
@@ -134,7 +134,7 @@
     pub(crate) fn on_promise(
         &mut self,
         n: usize,
-        of: (Ballot, u64),
+        answered: (Ballot, u64),
         votes: bool,
         head: u64,
         slots: Vec<u64>,
@@ -143,7 +143,7 @@
         let progress = &mut self.others[n].progress;
         progress.head = progress.head.max(head);
         let Role::Preparing { ballot, attempt, promises, .. } = &mut self.proposer.role else { return };
-        if (*ballot, *attempt) != of {
+        if (*ballot, *attempt) != answered {
             return;
         }
         let promised = promises.entry(n).or_default();
@@ -151,10 +151,9 @@
             *promised = PromiseReceived { votes, ..PromiseReceived::default() };
         }
         promised.head = promised.head.max(head);
-        promised.record_acceptance.extend(vote.map(|vote| (vote.number, vote)));
-        let there =
-            |number: &u64| *number <= promised.head || promised.record_acceptance.contains_key(number);
-        promised.complete |= slots.iter().all(there);
+        promised.accepted.extend(vote.map(|vote| (vote.number, vote)));
+        let is_known = |number: &u64| *number <= promised.head || promised.accepted.contains_key(number);
+        promised.complete |= slots.iter().all(is_known);
     }
 
     pub(crate) fn on_accept(&mut self, n: usize, vote: Vote) {
@@ -198,8 +197,8 @@
             self.acceptor.prepare(ballot, attempt);
             self.store(Record::Promised(ballot));
         }
-        let (promises, again) = (BTreeMap::new(), self.clock.now + self.timing.retransmit_interval);
-        self.proposer.role = Role::Preparing { ballot, attempt, promises, again };
+        let (promises, retransmit_at) = (BTreeMap::new(), self.clock.now + self.timing.retransmit_interval);
+        self.proposer.role = Role::Preparing { ballot, attempt, promises, retransmit_at };
         self.send_all(Message::Prepare { ballot, attempt });
     }
 
@@ -218,8 +217,7 @@
         if reach > self.log.state.head() || !(if self.is_voter { established } else { readmitted }) {
             return;
         }
-        let reported =
-            voters.into_iter().flat_map(|p| p.record_acceptance.values()).cloned().collect::<Vec<_>>();
+        let reported = voters.into_iter().flat_map(|p| p.accepted.values()).cloned().collect::<Vec<_>>();
         if !self.is_voter {
             self.readmit(ballot, &reported);
         }
@@ -232,8 +230,8 @@
         self.proposer.role = Role::Leading { ballot, next: last + 1 };
         for number in self.log.state.head() + 1..=last {
             let change = highest_votes.get(&number).map_or_else(Change::no_op, |vote| vote.change.clone());
-            let own = self.proposer.pending.iter_mut().filter(|w| w.change.id == change.id);
-            own.for_each(|w| w.number = Some(number));
+            let own = self.proposer.pending.iter_mut().filter(|p| p.change.id == change.id);
+            own.for_each(|p| p.number = Some(number));
             self.propose_at(number, ballot, change);
         }
     }
@@ -242,8 +240,8 @@
     fn highest_votes(&self, reported: Vec<Vote>) -> BTreeMap<u64, Vote> {
         let mut highest_votes = self.acceptor.votes.clone();
         for vote in reported.into_iter().filter(|v| v.number > self.log.state.head()) {
-            let lower = highest_votes.get(&vote.number).is_none_or(|b| b.ballot < vote.ballot);
-            if lower {
+            let is_lower = highest_votes.get(&vote.number).is_none_or(|b| b.ballot < vote.ballot);
+            if is_lower {
                 highest_votes.insert(vote.number, vote);
             }
         }
@@ -275,7 +273,7 @@
         let now = self.clock.now;
         self.expire_proposals();
         let (head, top) = (self.log.state.head(), self.highest_accepted());
-        self.proposer.stalled_at = match self.proposer.stalled_at {
+        self.proposer.stalled = match self.proposer.stalled {
             _ if top <= head => None,
             Some((at, since)) if at == head => Some((at, since)),
             _ => Some((head, now)),
@@ -309,11 +307,13 @@
     /// Sends an attempt again to those that have not answered it whole.
     fn retransmit_prepare(&mut self) {
         let now = self.clock.now;
-        let Role::Preparing { ballot, attempt, promises, again } = &mut self.proposer.role else { return };
-        if now < *again {
+        let Role::Preparing { ballot, attempt, promises, retransmit_at } = &mut self.proposer.role else {
+            return;
+        };
+        if now < *retransmit_at {
             return;
         }
-        *again = now + self.timing.retransmit_interval;
+        *retransmit_at = now + self.timing.retransmit_interval;
         let prepare = Message::Prepare { ballot: *ballot, attempt: *attempt };
         let complete = |n: &usize| promises.get(n).is_some_and(|p| p.complete);
         let left: Vec<_> =
@@ -323,25 +323,25 @@
 
     /// Since when there is something to be led; none where there is nothing.
     fn oldest_work_at(&self) -> Option<f64> {
-        let pending = self.proposer.pending.iter().map(|w| w.since).reduce(f64::min);
-        let stalled_at = self.proposer.stalled_at.map(|(_, since)| since + TAKEOVER_DELAY);
-        let stalled_at = stalled_at.filter(|since| *since <= self.clock.now);
-        pending.into_iter().chain(stalled_at).reduce(f64::min)
+        let pending = self.proposer.pending.iter().map(|p| p.since).reduce(f64::min);
+        let stalled = self.proposer.stalled.map(|(_, since)| since + TAKEOVER_DELAY);
+        let stalled = stalled.filter(|since| *since <= self.clock.now);
+        pending.into_iter().chain(stalled).reduce(f64::min)
     }
 
     /// Another replica that leads, as far as is known here: the owner of the highest ballot, or where that one fell
     /// silent the first that votes and is heard, so that not all try at once.
     fn leader(&self) -> Option<usize> {
         let since = self.oldest_work_at()?;
-        let receive =
+        let heard_recently =
             |n: usize| self.others[n].last_received_at.is_some_and(|at| self.clock.now < at + LEADER_TIMEOUT);
-        let there = |n: &usize| match *n == self.own_index {
+        let can_lead = |n: &usize| match *n == self.own_index {
             true => self.may_vote(),
-            false => receive(*n) && self.others[*n].progress.votes,
+            false => heard_recently(*n) && self.others[*n].progress.votes,
         };
-        let owner = Some(self.observed.owner()).filter(|n| *n < self.others.len() && there(n));
+        let owner = Some(self.observed.owner()).filter(|n| *n < self.others.len() && can_lead(n));
         let owner = owner.filter(|_| self.observed != Ballot::default());
-        let leader = owner.or_else(|| (0..self.others.len()).find(there))?;
+        let leader = owner.or_else(|| (0..self.others.len()).find(can_lead))?;
         // One whose storage failed can't take it into its own hands.
         let waits = self.suspended || self.clock.now < since + TAKEOVER_DELAY;
         (leader != self.own_index && waits).then_some(leader)
@@ -353,7 +353,7 @@
         while let Role::Leading { ballot, next } = &mut self.proposer.role {
             let head = self.log.state.head();
             let number = (*next).max(head + 1);
-            let Some(pending) = self.proposer.pending.iter_mut().find(|w| w.number.is_none()) else { break };
+            let Some(pending) = self.proposer.pending.iter_mut().find(|p| p.number.is_none()) else { break };
             if number > head + MAX_OPEN_NUMBERS {
                 break;
             }
@@ -368,33 +368,33 @@
         for number in due {
             self.proposer.open.insert(number, now + self.timing.retransmit_interval);
             let Some(vote) = self.acceptor.votes.get(&number).cloned() else { continue };
-            let record_acceptance = self.learner.record_acceptance(number, ballot);
-            let left = (0..self.replicas.len()).filter(|n| record_acceptance & (1 << n) == 0);
+            let acceptors = self.learner.acceptors(number, ballot);
+            let left = (0..self.replicas.len()).filter(|n| acceptors & (1 << n) == 0);
             left.for_each(|n| self.send_to(n, Message::Accept { vote: vote.clone() }));
         }
     }
 
     /// When something is to be passed on again, or that leader counts as silent.
     fn forward_deadline(&self, leader: usize) -> f64 {
-        let again = self
+        let resend = self
             .proposer
             .pending
             .iter()
-            .filter_map(|w| w.sent)
+            .filter_map(|p| p.sent)
             .map(|at| at + self.timing.retransmit_interval);
         let silent = self.others[leader].last_received_at.map_or(self.clock.now, |at| at + LEADER_TIMEOUT);
-        again.fold(silent, f64::min)
+        resend.fold(silent, f64::min)
     }
 
     /// When something is due here.
     pub(crate) fn proposer_deadline(&self) -> f64 {
         let (proposer, now) = (&self.proposer, self.clock.now);
         let first = |times: &mut dyn Iterator<Item = f64>| times.fold(f64::INFINITY, f64::min);
-        let expires = first(&mut proposer.pending.iter().map(|w| w.since + self.timing.proposal_timeout));
-        let stalled_at = proposer.stalled_at.map(|(_, since)| since + TAKEOVER_DELAY).filter(|at| *at > now);
+        let expires = first(&mut proposer.pending.iter().map(|p| p.since + self.timing.proposal_timeout));
+        let stalled = proposer.stalled.map(|(_, since)| since + TAKEOVER_DELAY).filter(|at| *at > now);
         let role = match &proposer.role {
             Role::Leading { .. } => first(&mut proposer.open.values().copied()),
-            Role::Preparing { again, .. } => *again,
+            Role::Preparing { retransmit_at, .. } => *retransmit_at,
             Role::Idle if self.suspended => {
                 self.leader().map_or(f64::INFINITY, |leader| self.forward_deadline(leader))
             }
@@ -405,6 +405,6 @@
                 _ => proposer.next_attempt_at,
             },
         };
-        expires.min(role).min(stalled_at.unwrap_or(f64::INFINITY))
+        expires.min(role).min(stalled.unwrap_or(f64::INFINITY))
     }
 }
--- a/crates/config-log/src/sources.rs
+++ b/crates/config-log/src/sources.rs
@@ -163,7 +163,7 @@
     }
 
     /// The answer to a poll; whether it is one. Each counts once.
-    pub fn on_reply(&mut self, n: usize, now: f64, here: u64, request_id: u64, reply: &Message) -> bool {
+    pub fn on_reply(&mut self, n: usize, now: f64, own_head: u64, request_id: u64, reply: &Message) -> bool {
         let Message::PollReply { head, digest, confirmed_age_ms, queried_digest, entries, .. } = reply else {
             return false;
         };
@@ -179,23 +179,23 @@
         source.head = *head;
         source.confirmed_at =
             confirmed_age_ms.map(|confirmed_age_ms| (poll.at - confirmed_age_ms as f64 / 1e3, *head));
-        source.has_gap = *head > here && entries.is_empty();
-        source.digest(*head, *digest);
+        source.has_gap = *head > own_head && entries.is_empty();
+        source.record_digest(*head, *digest);
         if let Some(digest) = queried_digest {
-            source.digest(poll.queried_number, *digest);
+            source.record_digest(poll.queried_number, *digest);
         }
         true
     }
 
     /// A replica told an entry.
-    pub fn record_entry(&mut self, n: usize, here: u64, logged: LoggedEntry) {
+    pub fn record_entry(&mut self, n: usize, own_head: u64, logged: LoggedEntry) {
         let number = logged.entry.number;
-        if number <= here || number > here + MAX_ENTRIES_AHEAD {
+        if number <= own_head || number > own_head + MAX_ENTRIES_AHEAD {
             return;
         }
         let source = &mut self.all[n];
         source.head = source.head.max(number);
-        source.digest(number, logged.digest);
+        source.record_digest(number, logged.digest);
         source.entries.insert(number, logged);
     }
 
@@ -208,9 +208,9 @@
 
     /// The digest at that number that enough of them told alike.
     pub fn confirmed_digest(&self, number: u64) -> Option<u64> {
-        let entries: Vec<_> = self.all.iter().filter_map(|s| s.digests.get(&number)).collect();
-        let enough = |d: &&&u64| entries.iter().filter(|other| *other == *d).count() >= self.required;
-        entries.iter().find(enough).map(|d| **d)
+        let digests: Vec<_> = self.all.iter().filter_map(|s| s.digests.get(&number)).collect();
+        let enough = |d: &&&u64| digests.iter().filter(|other| *other == *d).count() >= self.required;
+        digests.iter().find(enough).map(|d| **d)
     }
 
     /// Finds those that told another digest at a number than is vouched, or another entry, once each time they told it.
@@ -223,9 +223,9 @@
     ) {
         for n in 0..self.all.len() {
             let source = &self.all[n];
-            let digest = source.digests.get(&number).is_some_and(|entries| *entries != digest);
+            let digest = source.digests.get(&number).is_some_and(|reported| *reported != digest);
             let entry = entry
-                .is_some_and(|entry| source.entries.get(&number).is_some_and(|entries| entries != entry));
+                .is_some_and(|entry| source.entries.get(&number).is_some_and(|reported| reported != entry));
             if digest || entry {
                 self.distrust(n, now);
             }
@@ -243,9 +243,9 @@
     }
 
     /// All up to there is in force.
-    pub fn forget(&mut self, here: u64) {
+    pub fn forget(&mut self, own_head: u64) {
         for source in &mut self.all {
-            source.entries = source.entries.split_off(&(here + 1));
+            source.entries = source.entries.split_off(&(own_head + 1));
         }
     }
 
@@ -258,8 +258,8 @@
 
     /// Whether enough of them say that after that time nothing was committed up to that number: what is in force here is
     /// then of another log.
-    pub fn never_reached(&self, here: u64, since: f64) -> bool {
-        let below = |s: &&Source| s.confirmed_at.is_some_and(|(at, head)| at > since && head < here);
+    pub fn never_reached(&self, own_head: u64, since: f64) -> bool {
+        let below = |s: &&Source| s.confirmed_at.is_some_and(|(at, head)| at > since && head < own_head);
         self.all.iter().filter(below).count() >= self.required
     }
 
@@ -268,12 +268,12 @@
     }
 
     /// As of when enough of them say that nothing beyond that number was committed.
-    pub fn confirmed_at(&self, here: u64) -> Option<f64> {
+    pub fn confirmed_at(&self, own_head: u64) -> Option<f64> {
         let mut times: Vec<f64> = self
             .all
             .iter()
             .filter_map(|s| s.confirmed_at)
-            .filter(|(_, head)| *head <= here)
+            .filter(|(_, head)| *head <= own_head)
             .map(|s| s.0)
             .collect();
         times.sort_by(|a, b| b.total_cmp(a));
@@ -283,7 +283,7 @@
 
 impl Source {
     /// The lowest numbers go first. A replica that tells of many that never were forgets its own.
-    fn digest(&mut self, number: u64, digest: u64) {
+    fn record_digest(&mut self, number: u64, digest: u64) {
         self.digests.insert(number, digest);
         if self.digests.len() > MAX_DIGESTS {
             self.digests.pop_first();
