--- a/crates/config-log/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -1,6 +1,6 @@
-//! What following costs and how soon a change is in force, by size of the fleet: simulated time, the cores as they are,
-//! datagrams sealed as in service, seven control machines, 1% of the messages lost; in a burst one of ten zones is
-//! gone, once one without a control machine and once that of the machine which leads.
+//! What following costs and how soon a change is in force, by number of followers: in simulated time, with datagrams sealed
+//! as in service, seven replicas and 1% of the messages lost. During a burst one of ten zones is isolated: first one without
+//! a replica, then that of the leader.
 //! `cargo bench -p milletpath-config-log --bench fleet`; `-- quick` for the small sizes alone, `-- --json` for one line of
 //! JSON a size.
 
@@ -22,8 +22,7 @@
         .unwrap_or(f64::NAN)
 }
 
-/// Bytes that a state of so many statements of the usual length takes, by estimate: its keys twice, its texts, and the
-/// nodes of two trees.
+/// Estimated size of a state of that many entries of the usual size: its keys twice, its texts, and the nodes of two trees.
 fn memory(statements: u64) -> usize {
     /// An entry in both trees with the headers of its three strings, where trees are two thirds full.
     const AROUND: usize = (24 + 8 + 8 + 72) * 3 / 2;
@@ -35,7 +34,7 @@
     state.total_bytes() + keys + state.iter().count() * AROUND
 }
 
-/// Seconds until in force, and how often that was not so after 6 s.
+/// Seconds until in force, and how often that took more than 6 s.
 struct Latencies {
     p50: f64,
     p99: f64,
@@ -43,7 +42,7 @@
     missed: usize,
 }
 
-/// A burst while that zone is gone.
+/// A burst while that zone is isolated.
 fn latencies(cluster: &mut SimulatedCluster, isolated_zone: usize) -> (Latencies, Burst) {
     cluster.isolated_zones = vec![isolated_zone];
     let mut burst = Burst::run(cluster, 20);
@@ -55,7 +54,7 @@
     (Latencies { p50, p99, worst: burst.worst(), missed }, burst)
 }
 
-/// A zone without a control machine, and that of the machine which leads.
+/// A zone without a replica, and that of the leader.
 const ZONES: [usize; 2] = [9, 0];
 
 fn figures((gateway, machine): (Cost, Cost)) -> serde_json::Value {
--- a/crates/config-log/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -1,5 +1,5 @@
-//! A burst of changes by authors that ask again, and when each was in force at each gateway: for the fleet's test and the
-//! bench.
+//! A burst of changes by authors that retry, and when each change was in force at each follower: for the test of a large
+//! cluster and for the benchmark.
 
 #![allow(dead_code)]
 
@@ -7,16 +7,16 @@
 use milletpath_config_log::Outcome;
 use rand::Rng;
 
-/// How long it is played on after the last change.
+/// Seconds simulated after the last change.
 pub const SECONDS: f64 = 6.0;
 
-/// Seconds after which an author asks the next machine.
+/// Seconds after which an author tries the next replica.
 const AGAIN: f64 = 0.4;
 
 /// CPU seconds, bytes in and bytes out.
 pub type Cost = [f64; 3];
 
-/// What a gateway and a machine have spent by now, on average over those that are not cut off.
+/// What a follower and a replica have used so far, on average over those that are not isolated.
 pub fn cost_so_far(cluster: &SimulatedCluster) -> (Cost, Cost) {
     fn sum<'a, T: 'a>(nodes: impl Iterator<Item = &'a Node<T>>) -> Cost {
         let (sum, count) = nodes.fold(([0.0; 3], 0.0), |([cpu, bytes_in, bytes_out], count), n| {
@@ -30,23 +30,23 @@
     (sum(gateways.map(|(_, node)| node)), sum(machines.map(|(_, node)| node)))
 }
 
-/// What each spent a second between two such looks.
+/// What each used a second between two measurements.
 pub fn cost_between(before: (Cost, Cost), after: (Cost, Cost), seconds: f64) -> (Cost, Cost) {
     let each = |a: Cost, b: Cost| std::array::from_fn(|n| (b[n] - a[n]) / seconds);
     (each(before.0, after.0), each(before.1, after.1))
 }
 
 pub struct Burst {
-    /// Seconds from a change's proposal until it was in force, for each change and gateway that is not cut off.
+    /// Seconds from the proposal until in force, for each change and each follower that is not isolated.
     pub delays: Vec<f64>,
-    /// Seconds until its author was told.
+    /// Seconds from the proposal until the author received the outcome.
     pub acknowledgement_delays: Vec<f64>,
-    /// What a gateway and a machine spent in the second of the burst.
+    /// What a follower and a replica used during the second of the burst.
     pub cost_so_far: (Cost, Cost),
 }
 
 impl Burst {
-    /// So many changes within a second, from authors in zones that are there, proposed to any machine.
+    /// Proposes that many changes within a second, from authors in reachable zones to random replicas.
     pub fn run(cluster: &mut SimulatedCluster, changes: u64) -> Self {
         let began = cluster.now;
         let base = 1_000_000 + cluster.log.state.head() * 1_000;
@@ -105,7 +105,7 @@
     }
 }
 
-/// A statement of the usual length.
+/// A change of the usual size.
 pub fn usual_change(id: u64) -> milletpath_config_log::Change {
     let text =
         "function \"resize-thumbnails\" {\n  lanes = 2\n  memory = 400\n  profile = \"interactive\"\n}\n";
--- a/crates/config-log/tests/cluster/inspection.rs
+++ b/crates/config-log/tests/cluster/inspection.rs
@@ -1,4 +1,4 @@
-//! What stories share: changes, and looks at control machines.
+//! Changes, and inspection of replicas, for all scenarios.
 
 use super::SimulatedCluster;
 use milletpath_config_log::{Action, Change, ReplicaView};
@@ -8,7 +8,7 @@
 }
 
 impl SimulatedCluster {
-    /// What a machine does next; where nothing is left, all before it is durable.
+    /// The next action of a replica; when there is none left, all before it counts as durable.
     pub fn next_action(&mut self, n: usize) -> Option<Action> {
         let core = self.machines[n].core.as_mut()?;
         core.next_action().or_else(|| {
@@ -17,18 +17,18 @@
         })
     }
 
-    /// All machines that are up have the same in force.
+    /// All running replicas have the same state.
     pub fn assert_agreement(&self) {
         let up: Vec<_> = self.machines.iter().filter_map(|node| node.core.as_ref()).collect();
         assert!(up.iter().all(|core| core.state() == up[0].state()), "heads {:?}", self.heads());
     }
 
-    /// The heads of the machines that are up.
+    /// The heads of the running replicas.
     pub fn heads(&self) -> Vec<u64> {
         self.machines.iter().filter_map(|node| node.core.as_ref()).map(|core| core.state().head()).collect()
     }
 
-    /// At which numbers a change stands in the log.
+    /// The numbers at which a change is in the log.
     pub fn numbers_of(&self, id: u64) -> Vec<u64> {
         self.log.entries.values().filter(|e| e.change.id == id).map(|e| e.number).collect()
     }
--- a/crates/config-log/tests/cluster/mod.rs
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -1,15 +1,18 @@
-//! Control machines and gateways in simulated time from one seed: the cores as they are, disks that keep what was made
-//! durable, clocks that run apart, and a network that loses, delays, doubles and cuts as a rule says. After each event
-//! what is committed and what is in force anywhere is compared with the one log.
+//! Replicas and followers in simulated time from one seed: the state machines themselves, disks that keep what was made
+//! durable, clocks that drift apart, and a network that loses, delays, duplicates and partitions by a rule. After each
+//! event, what is committed and what is in force anywhere is compared with the reference log.
 
 #![allow(dead_code)]
 
 mod inspection;
 pub mod network;
+mod node;
 pub mod reference_log;
+mod schedule;
 
 pub use inspection::change;
 pub use network::NodeId;
+pub use node::Node;
 
 use milletpath_config_log::message::{self, Key};
 use milletpath_config_log::{
@@ -21,83 +24,17 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reference_log::ReferenceLog;
-use std::cmp::Ordering;
-use std::collections::{BTreeMap, BinaryHeap};
+use schedule::{Event, Schedule, ScheduledEvent};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Instant;
 
-pub struct Node<T> {
-    pub core: Option<T>,
-    rate: f64,
-    skew: f64,
-    /// Added to its clock from now on: it may go back.
-    pub clock_step: f64,
-    paused_until: f64,
-    next_tick_at: f64,
-    incarnation: u64,
-    inbox: Vec<(SocketAddr, Message)>,
-    pub bytes_in: u64,
-    pub bytes_out: u64,
-    /// Seconds of this machine's time, where that is measured.
-    pub busy: f64,
-}
-
-impl<T> Node<T> {
-    fn new(rng: &mut ChaCha8Rng) -> Self {
-        Self {
-            core: None,
-            rate: rng.random_range(0.999..1.001),
-            skew: rng.random_range(0.0..1e5),
-            clock_step: 0.0,
-            paused_until: 0.0,
-            next_tick_at: f64::INFINITY,
-            incarnation: 0,
-            inbox: Vec::new(),
-            bytes_in: 0,
-            bytes_out: 0,
-            busy: 0.0,
-        }
-    }
-
-    pub fn clock(&self, now: f64) -> f64 {
-        self.skew + self.clock_step + now * self.rate
-    }
-
-    fn when(&self, clock: f64) -> f64 {
-        (clock - self.skew - self.clock_step) / self.rate
-    }
-}
-
-enum Event {
-    Tick(NodeId, u64),
-    Deliver(NodeId, SocketAddr, Box<Message>),
-}
-
-struct ScheduledEvent(f64, u64, Event);
-
-impl PartialEq for ScheduledEvent {
-    fn eq(&self, other: &Self) -> bool {
-        self.cmp(other) == Ordering::Equal
-    }
-}
-impl Eq for ScheduledEvent {}
-impl PartialOrd for ScheduledEvent {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for ScheduledEvent {
-    fn cmp(&self, other: &Self) -> Ordering {
-        other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
-    }
-}
-
-/// A machine dies while it carries out its acts.
+/// When a replica crashes while it carries out its actions.
 #[derive(Clone, Copy, Debug)]
 pub enum CrashPoint {
-    /// As soon as it has made a record durable which that says something of, before anything goes out after it.
+    /// Once it has made such a record durable, before it sends anything.
     AfterStore(fn(&Record) -> bool),
-    /// As soon as such a message went out once.
+    /// Once it has sent one such message.
     AfterSend(fn(&Message) -> bool),
 }
 
@@ -107,30 +44,29 @@
     pub machines: Vec<Node<Replica>>,
     pub disks: Vec<Vec<Record>>,
     pub gateways: Vec<Node<Follower>>,
-    /// What each gateway was told to apply, by key.
+    /// What each follower gave its gateway to apply, by key.
     pub delivered: Vec<BTreeMap<String, (u64, Option<String>)>>,
-    /// When each gateway had which number in force.
+    /// When each follower reached which number.
     pub in_force: Vec<Vec<(u64, f64)>>,
     pub saved: Vec<Option<Vec<u8>>>,
-    /// What authors heard.
+    /// Messages that authors received: time, author, message.
     pub author_inbox: Vec<(f64, usize, Message)>,
     pub log: ReferenceLog,
-    queue: BinaryHeap<ScheduledEvent>,
-    count: u64,
+    schedule: Schedule,
     pub rng: ChaCha8Rng,
     pub delivery_rule: DeliveryRule,
     pub tamper: Option<Tamper>,
-    /// Zones that are cut off.
+    /// Zones that are isolated from all others.
     pub isolated_zones: Vec<usize>,
-    /// Who dies where, and is then struck off.
+    /// The replica that crashes, and when; used once.
     pub crash_point: Option<(usize, CrashPoint)>,
     key: Key,
-    /// Whether the time is measured that cores, sealing and opening take.
+    /// Whether CPU time is measured, sealing and opening included.
     pub timed: bool,
 }
 
 impl SimulatedCluster {
-    /// Control machines of a new log, all begun, and followers that have not begun.
+    /// Replicas of a new log, all started, and followers that are not started.
     pub fn new(machines: usize, followers: usize, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut cluster = Self {
@@ -144,8 +80,7 @@
             saved: vec![None; followers],
             author_inbox: Vec::new(),
             log: ReferenceLog::default(),
-            queue: BinaryHeap::new(),
-            count: 0,
+            schedule: Schedule::default(),
             rng,
             delivery_rule: reliable(),
             tamper: None,
@@ -162,7 +97,7 @@
         (0..self.machines.len()).map(|n| Machine(n).at()).collect()
     }
 
-    /// Begins a machine from its disk.
+    /// Starts a replica from its disk.
     pub fn start_replica(&mut self, n: usize) {
         let (replicas, seed) = (self.all_replicas(), self.rng.random());
         let node = &mut self.machines[n];
@@ -174,7 +109,7 @@
         self.carry_out(Machine(n));
     }
 
-    /// Begins a gateway, from what was saved there.
+    /// Starts a follower from its saved state.
     pub fn start_follower(&mut self, n: usize) {
         let (replicas, seed) = (self.all_replicas(), self.rng.random());
         let node = &mut self.gateways[n];
@@ -200,7 +135,7 @@
         self.gateways[n].core = None;
     }
 
-    /// A gateway's process stands still for so many seconds.
+    /// Pauses the process of a follower.
     pub fn pause_follower(&mut self, n: usize, seconds: f64) {
         self.gateways[n].paused_until = self.now + seconds;
     }
@@ -221,7 +156,7 @@
         self.follower(n).state().head()
     }
 
-    /// Rewrites a machine's disk as its core says.
+    /// Rewrites a replica's disk with its compacted records.
     pub fn compact(&mut self, n: usize) {
         self.disks[n] = self.replica(n).compact();
     }
@@ -235,12 +170,12 @@
         (0..self.machines.len()).filter(|n| view(&mut self.machines[*n])).collect()
     }
 
-    /// An author proposes a change to a machine.
+    /// An author proposes a change to a replica.
     pub fn propose(&mut self, author: usize, machine: usize, change: Change) {
         self.send(Author(author), Machine(machine).at(), Message::Propose { change });
     }
 
-    /// What an author was last told of a change.
+    /// The last outcome that an author received for a change.
     pub fn outcome(&self, author: usize, id: u64) -> Option<Outcome> {
         let messages = self.author_inbox.iter().rev().filter(|(_, who, _)| *who == author);
         messages
@@ -251,7 +186,7 @@
             .next()
     }
 
-    /// Proposes a change, plays until its author is told, and gives the number.
+    /// Proposes a change, runs until its author receives the outcome, and returns the number.
     pub fn commit(&mut self, machine: usize, change: Change) -> u64 {
         let id = change.id;
         self.propose(0, machine, change);
@@ -265,7 +200,7 @@
         }
     }
 
-    /// Commits so many changes, each under a key of its own beginning with that.
+    /// Commits that many changes, each under a key of its own with that prefix.
     pub fn commit_many(&mut self, machine: usize, keys: &str, count: u64) {
         for id in 0..count {
             let id = self.log.state.head() * 1_000 + id + 1;
@@ -274,12 +209,7 @@
         }
     }
 
-    fn schedule(&mut self, at: f64, what: Event) {
-        self.count += 1;
-        self.queue.push(ScheduledEvent(at, self.count, what));
-    }
-
-    /// A message goes into the network.
+    /// Hands a message to the network.
     pub fn send(&mut self, from: NodeId, to: SocketAddr, mut message: Message) {
         if let Some(tamper) = &mut self.tamper {
             tamper(from, &mut message);
@@ -318,11 +248,11 @@
                 }
                 Author(_) => {}
             }
-            self.schedule(self.now + delay, Event::Deliver(to, from.at(), Box::new(message)));
+            self.schedule.add(self.now + delay, Event::Deliver(to, from.at(), Box::new(message)));
         }
     }
 
-    /// Does what a core says, looks at what it has committed or in force, and sets its clock.
+    /// Carries out what a node asks for, checks what it committed or applied, and schedules its next tick.
     fn carry_out(&mut self, node: NodeId) {
         match node {
             Machine(n) => self.carry_out_replica(n),
@@ -363,7 +293,7 @@
         let (next, incarnation) = (node.when(core.next_deadline()).max(self.now + 1e-6), node.incarnation);
         if next < node.next_tick_at {
             self.machines[n].next_tick_at = next;
-            self.schedule(next, Event::Tick(Machine(n), incarnation));
+            self.schedule.add(next, Event::Tick(Machine(n), incarnation));
         }
     }
 
@@ -393,11 +323,11 @@
         let (next, incarnation) = (node.when(next).max(self.now + 1e-6), node.incarnation);
         if next < node.next_tick_at {
             self.gateways[n].next_tick_at = next;
-            self.schedule(next, Event::Tick(Gateway(n), incarnation));
+            self.schedule.add(next, Event::Tick(Gateway(n), incarnation));
         }
     }
 
-    /// Whether what is in force at a gateway was in force at that number of the one log, and it was told just that.
+    /// The state of a follower is that of the reference log at its number, and its gateway was given just that.
     pub fn check(&self, n: usize) {
         let state = self.follower(n).state();
         let (head, digest) = (state.head(), state.digest());
@@ -418,10 +348,9 @@
         (0..self.gateways.len()).filter(|n| self.gateways[*n].core.is_some()).for_each(|n| self.check(n));
     }
 
-    /// Plays on until then; after each event of a gateway what is in force there is looked at.
+    /// Runs until that time, and checks followers after each of their events.
     pub fn run_until(&mut self, until: f64) {
-        while self.queue.peek().is_some_and(|due| due.0 <= until) {
-            let Some(ScheduledEvent(at, _, what)) = self.queue.pop() else { break };
+        while let Some(ScheduledEvent { at, event: what, .. }) = self.schedule.next_until(until) {
             self.now = at;
             match what {
                 Event::Deliver(Author(n), _, message) => self.author_inbox.push((at, n, *message)),
@@ -443,7 +372,7 @@
                     if node.paused_until > at {
                         node.next_tick_at = node.paused_until;
                         let paused_until = node.paused_until;
-                        self.schedule(paused_until, Event::Tick(Gateway(n), incarnation));
+                        self.schedule.add(paused_until, Event::Tick(Gateway(n), incarnation));
                         continue;
                     }
                     node.next_tick_at = f64::INFINITY;
@@ -494,7 +423,7 @@
         }
     }
 
-    /// Seconds after a number was proposed until it, or a later one, was in force at a gateway.
+    /// Seconds from `since` until a number, or a later one, was in force at a follower.
     pub fn delay(&self, n: usize, number: u64, since: f64) -> Option<f64> {
         self.in_force[n].iter().find(|(head, _)| *head >= number).map(|(_, at)| at - since)
     }
--- a/crates/config-log/tests/cluster/network.rs
+++ b/crates/config-log/tests/cluster/network.rs
@@ -1,4 +1,4 @@
-//! Who there is in the simulated network, where, and what befalls messages between any two.
+//! The nodes of the simulated network, where they are, and what happens to messages between them.
 
 #![allow(dead_code)]
 
@@ -9,7 +9,7 @@
 
 use NodeId::{Author, Follower as Gateway, Replica as Machine};
 
-/// Who sends or hears.
+/// A sender or receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeId {
     Replica(usize),
@@ -17,10 +17,10 @@
     Author(usize),
 }
 
-/// What befalls one message: the delays after which it comes, none where it is lost.
+/// What happens to a message: the delays after which it is delivered, none if it is lost.
 pub type DeliveryRule = Box<dyn FnMut(f64, NodeId, NodeId, &mut ChaCha8Rng) -> Vec<f64>>;
 
-/// What a place that lies makes of what it sends.
+/// Changes messages that a faulty node sends.
 pub type Tamper = Box<dyn FnMut(NodeId, &mut Message)>;
 
 impl NodeId {
@@ -40,7 +40,7 @@
         [Machine(n), Gateway(n), Author(n)][usize::from(cluster)]
     }
 
-    /// Ten zones in four regions; each control machine has a zone of its own.
+    /// Ten zones in four regions; each replica has a zone of its own.
     pub fn zone(self) -> usize {
         match self {
             Machine(n) | Gateway(n) | Author(n) => n % 10,
@@ -52,12 +52,12 @@
     }
 }
 
-/// Messages take half a millisecond to two, and are never lost.
+/// Messages take half a millisecond to two, and none is lost.
 pub fn reliable() -> DeliveryRule {
     Box::new(|_, _, _, rng| vec![rng.random_range(0.0005..0.002)])
 }
 
-/// A part of the messages is lost.
+/// A fraction of the messages is lost.
 pub fn lossy(loss: f64) -> DeliveryRule {
     Box::new(
         move |_, _, _, rng| {
@@ -66,7 +66,7 @@
     )
 }
 
-/// A millisecond inside a region, 30 to 150 ms across by pair of regions, and a part is lost.
+/// A millisecond within a region, 30 to 150 ms between two by pair of regions, and a fraction is lost.
 pub fn regions(loss: f64) -> DeliveryRule {
     Box::new(move |_, from, to, rng| {
         if rng.random_bool(loss) {
@@ -78,7 +78,7 @@
     })
 }
 
-/// Parts that hear only themselves: by the number of the part of each place.
+/// A partition: nodes reach only those on the same side.
 pub fn partitioned(side: impl Fn(NodeId) -> usize + 'static) -> DeliveryRule {
     Box::new(
         move |_, from, to, rng| {
--- /dev/null
+++ b/crates/config-log/tests/cluster/node.rs
@@ -0,0 +1,51 @@
+//! A node of the simulation: a state machine, its clock and its costs.
+
+use milletpath_config_log::Message;
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use std::net::SocketAddr;
+
+/// A replica or follower; without a `core` while its process is down.
+pub struct Node<T> {
+    pub core: Option<T>,
+    pub rate: f64,
+    pub skew: f64,
+    /// Added to its clock from now on; may be negative.
+    pub clock_step: f64,
+    pub paused_until: f64,
+    pub next_tick_at: f64,
+    pub incarnation: u64,
+    pub inbox: Vec<(SocketAddr, Message)>,
+    pub bytes_in: u64,
+    pub bytes_out: u64,
+    /// CPU seconds used by this node, if they are measured.
+    pub busy: f64,
+}
+
+impl<T> Node<T> {
+    pub fn new(rng: &mut ChaCha8Rng) -> Self {
+        Self {
+            core: None,
+            rate: rng.random_range(0.999..1.001),
+            skew: rng.random_range(0.0..1e5),
+            clock_step: 0.0,
+            paused_until: 0.0,
+            next_tick_at: f64::INFINITY,
+            incarnation: 0,
+            inbox: Vec::new(),
+            bytes_in: 0,
+            bytes_out: 0,
+            busy: 0.0,
+        }
+    }
+
+    /// What its clock shows.
+    pub fn clock(&self, now: f64) -> f64 {
+        self.skew + self.clock_step + now * self.rate
+    }
+
+    /// Converts a time of its clock to simulated time.
+    pub fn when(&self, clock: f64) -> f64 {
+        (clock - self.skew - self.clock_step) / self.rate
+    }
+}
--- a/crates/config-log/tests/cluster/reference_log.rs
+++ b/crates/config-log/tests/cluster/reference_log.rs
@@ -1,9 +1,9 @@
-//! The one log that all that is committed or in force anywhere is compared with.
+//! The reference log, with which all that is committed or in force anywhere is compared.
 
 use milletpath_config_log::{Entry, State};
 use std::collections::BTreeMap;
 
-/// The one log, as it is first seen committed anywhere.
+/// Entries as they are first seen committed anywhere.
 #[derive(Default)]
 pub struct ReferenceLog {
     pub entries: BTreeMap<u64, Entry>,
--- a/crates/config-log/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -1,5 +1,5 @@
-//! Control machines and their disks: what was made durable and not yet told, disks that are old, rewritten or lost. The
-//! network of `cluster` looks at each committed entry; what is told here is what becomes of it.
+//! Replicas and their disks: records that were stored before a crash, and disks that are outdated, compacted or lost. The
+//! simulated cluster checks each committed entry.
 
 mod cluster;
 
@@ -12,8 +12,8 @@
     matches!(record, Record::Accepted(vote) if vote.change.key == "late")
 }
 
-/// A machine dies when it has stored what it accepts and before anybody hears of it; who proposed it dies too. What it
-/// has on its disk is found by who leads next.
+/// A replica crashes after it stored its vote and before it sends anything; the proposer crashes too. The next leader
+/// finds the vote on the disk.
 #[test]
 fn a_vote_stored_but_not_sent_is_recovered_after_a_restart() {
     let mut cluster = SimulatedCluster::new(3, 0, 2);
@@ -36,7 +36,7 @@
     cluster.assert_agreement();
 }
 
-/// A machine that was away for long comes back with what it had.
+/// A replica that was down for long restarts from an outdated disk.
 #[test]
 fn a_replica_with_an_outdated_disk_catches_up_and_votes() {
     let mut cluster = SimulatedCluster::new(3, 0, 6);
@@ -53,8 +53,8 @@
     cluster.assert_agreement();
 }
 
-/// Without a disk a machine learns and does not vote until both others answered; with one of these away nothing passes, as
-/// the two that are left could together forget what the three had chosen.
+/// A replica without a disk learns, but does not vote until both others answered. While one of these is down nothing is
+/// committed, as the remaining two could together have forgotten what was chosen.
 #[test]
 fn a_replica_that_lost_its_disk_votes_only_after_all_others_answered() {
     let mut cluster = SimulatedCluster::new(3, 0, 7);
@@ -79,8 +79,8 @@
     cluster.assert_agreement();
 }
 
-/// One helped to choose a change and told its author, lost its disk, and dies again just when it was taken in: what it was
-/// told then binds it, although it has sent nothing since.
+/// A replica helped to choose a change and told its author, lost its disk, and crashes again right after its readmission:
+/// what it learned then binds it, although it has sent nothing since.
 #[test]
 fn votes_learned_at_readmission_bind_the_replica_after_another_crash() {
     let mut cluster = SimulatedCluster::new(3, 0, 17);
@@ -119,8 +119,8 @@
     cluster.assert_agreement();
 }
 
-/// Five machines die, lose disks (two may lack one at a time) and are cut off one after the other while changes come: never
-/// two entries at a number, as `cluster` looks at each, and after it all are taken in and agree.
+/// Five replicas crash, lose disks (two may lack one at a time) and are isolated in turn while changes are proposed: there
+/// are never two entries at a number, and in the end all are readmitted and agree.
 #[test]
 fn disks_lost_one_at_a_time_lose_no_committed_entry() {
     let (mut lost, mut committed) = (0, 0);
@@ -166,7 +166,7 @@
     assert!(lost > 60 && committed > 400, "{lost} disks lost, {committed} entries");
 }
 
-/// With a majority of disks lost nobody is taken in: the log would be a new one.
+/// With a majority of disks lost, the log would be a new one.
 #[test]
 fn no_replica_is_readmitted_after_a_majority_lost_its_disks() {
     let mut cluster = SimulatedCluster::new(3, 0, 8);
@@ -183,8 +183,8 @@
     assert!((1..3).all(|n| !cluster.machine_view(n).votes));
 }
 
-/// A machine begins from a rewritten disk as it ended; one that is behind what the others keep one by one gathers what is
-/// in force, and what it had of that when it died is as nothing.
+/// A replica restarts from compacted records as it was; one that is behind what the others keep one by one fetches a
+/// snapshot, and a part of it that was stored before a crash is ignored.
 #[test]
 fn a_compacted_disk_restores_the_state_and_a_lagging_replica_installs_a_snapshot() {
     let mut cluster = SimulatedCluster::new(3, 0, 14);
--- a/crates/config-log/tests/fleet.rs
+++ b/crates/config-log/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet as it is meant: seven control machines in as many zones, a hundred gateways in ten zones and four regions, 1% of
-//! the messages lost, a zone gone. A change is in force everywhere within 3 s of its proposal, in simulated time.
+//! A cluster of the intended size: seven replicas in as many zones, a hundred followers in ten zones and four regions, 1% of
+//! the messages lost, one zone isolated. A change is in force everywhere within 3 s of its proposal, in simulated time.
 
 mod burst;
 mod cluster;
@@ -8,7 +8,7 @@
 use cluster::network::regions;
 use cluster::{NodeId, SimulatedCluster};
 
-/// What comes of a burst of 20 changes within a second while that zone is cut off; the gateways there are not counted.
+/// A burst of 20 changes within a second while one zone is isolated; the followers there are not counted.
 fn burst(seed: u64, isolated_zone: Option<usize>, followers: usize) -> (Burst, SimulatedCluster) {
     let mut cluster = SimulatedCluster::new(7, followers, seed);
     cluster.delivery_rule = regions(0.01);
@@ -20,7 +20,7 @@
     (burst, cluster)
 }
 
-/// Zones 0 to 6 have a control machine each, the first of them the one that leads.
+/// Zones 0 to 6 have a replica each; the one in zone 0 leads.
 #[test]
 fn a_change_is_in_force_at_all_followers_within_three_seconds() {
     for seed in 0..6 {
@@ -34,8 +34,8 @@
     }
 }
 
-/// The leader's zone goes in the midst of a burst: whoever takes over ends it, all that was told to be committed is in
-/// force, and the gateways of that zone are there soon after it came back.
+/// The leader's zone is isolated during a burst: the next leader completes it, all acknowledged changes are in force, and
+/// the followers of that zone catch up soon after it is back.
 #[test]
 fn losing_the_zone_of_the_leader_during_a_burst_loses_no_committed_change() {
     for seed in 20..24 {
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -1,6 +1,6 @@
-//! Gateways that follow: machines that lie or fall silent, loss, standing still, old and rotten saves, and catching up
-//! while the log goes on. After each event of a gateway the network of `cluster` looks whether what is in force there was
-//! ever in force, and whether the gateway was told just that.
+//! Followers under faults: Byzantine and silent replicas, message loss, pauses, outdated and corrupt saved states, and
+//! catching up while the log advances. After each event of a follower the simulated cluster checks that its state was ever
+//! committed, and that the gateway was given just that.
 
 mod cluster;
 
@@ -14,7 +14,7 @@
     cluster.follower(n).view(cluster.gateways[n].clock(cluster.now))
 }
 
-/// All gateways have in force what is committed.
+/// All followers have the committed state.
 fn all_at_head(cluster: &SimulatedCluster) -> bool {
     let head = cluster.log.state.head();
     (0..cluster.gateways.len())
@@ -90,7 +90,7 @@
     }
 }
 
-/// Entries that nobody committed, far ahead, and known to be the latest.
+/// Entries that nobody committed, far ahead, and claimed to be the latest.
 fn far_ahead(message: &mut Message) {
     if let Message::PollReply { head, confirmed_age_ms, entries, .. } = message {
         (*head, *confirmed_age_ms) = (*head + 1_000_000, Some(0));
@@ -98,7 +98,7 @@
     }
 }
 
-/// An old log, and known to be the latest.
+/// An old log, claimed to be the latest.
 fn far_behind(message: &mut Message) {
     match message {
         Message::PollReply { head, digest, confirmed_age_ms, queried_digest, entries, .. } => {
@@ -118,7 +118,7 @@
     }
 }
 
-/// One machine of seven lies to all that follow it; nobody is misled, nobody is held up, and those that can tell do.
+/// One of seven replicas is Byzantine: it misleads and delays nobody, and followers that can detect it do.
 #[test_case(other_text, true; "another text")]
 #[test_case(other_digest, true; "another digest")]
 #[test_case(far_ahead, false; "entries that nobody committed")]
@@ -164,7 +164,7 @@
     }
 }
 
-/// It stood still for a minute and more than it polls for was committed: nothing is told twice, and it is there at once.
+/// A follower is paused for a minute while more is committed than one poll brings: no entry is delivered twice.
 #[test]
 fn a_follower_paused_for_a_minute_catches_up_within_a_second() {
     let mut cluster = settled(3, 2, 3);
@@ -195,7 +195,7 @@
     assert!(view(&cluster, 0).confirmed_age.is_some_and(|age| (0.0..1.5).contains(&age)));
 }
 
-/// What was saved is in force before anything is heard, also where nothing ever is.
+/// The saved state is in force before any message, also if none ever arrives.
 #[test]
 fn a_saved_state_is_in_force_at_once_without_any_replica() {
     let mut cluster = settled(3, 2, 5);
@@ -238,8 +238,8 @@
     }
 }
 
-/// Saved rightly, but from another log: what is in force there never was. It stays until the whole of the right one is
-/// there, and then what should never have been there is told to be removed.
+/// The saved state is authentic, but of another log. It stays in force until the whole right one is there; then keys that
+/// should never have been in force are removed.
 #[test_case(3; "as far as the right one")]
 #[test_case(2; "not so far")]
 #[test_case(9; "further")]
@@ -263,8 +263,8 @@
     assert_eq!((wrong.count(), view(&cluster, 0).rebuilds), (count as usize, 1));
 }
 
-/// From nothing, from long ago, and across a restart of all machines which left them no entries one by one; the log goes
-/// on meanwhile. Each state that shows was in force: `cluster` looks at each.
+/// From nothing, from an old state, and across a restart of all replicas after which they keep no single entries, while the
+/// log advances.
 #[test]
 fn catching_up_exposes_only_committed_states() {
     for seed in 0..3 {
@@ -307,7 +307,7 @@
     }
 }
 
-/// Cut off with two of five machines: what is in force stays, and a gateway there knows since when it may be behind.
+/// With two of five replicas isolated, the state stays in force, and a follower there knows since when it may be outdated.
 #[test]
 fn followers_of_a_minority_know_how_old_their_state_may_be() {
     let mut cluster = settled(5, 8, 9);
@@ -335,7 +335,7 @@
     assert!((0..8).all(|n| view(&cluster, n).confirmed_age.is_some_and(|age| age < 1.5)));
 }
 
-/// Two of the three that a gateway follows die: the next ones take their place.
+/// Two of the three followed replicas crash: the next ones replace them.
 #[test]
 fn silent_replicas_are_replaced_and_tried_again() {
     let mut cluster = settled(7, 1, 10);
@@ -371,7 +371,7 @@
     assert_eq!(view(&cluster, 0).apply_error, None, "another one stands there");
 }
 
-/// Whatever is said from wherever, in any order: nothing is applied that was not committed, and nothing panics.
+/// Whatever a faulty replica sends: nothing uncommitted is applied, and nothing panics.
 #[test]
 fn authenticated_garbage_does_no_harm() {
     let mut cluster = settled(3, 3, 12);
--- a/crates/config-log/tests/message.rs
+++ b/crates/config-log/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages: what is sealed is read as it was, and nothing else is read.
+//! Sealing and opening: a sealed message opens unchanged, and nothing else opens.
 
 use milletpath_config_log::message::{
     Key, MAX_DATAGRAM_BYTES, MAX_ENTRIES_BYTES, OpenError, VERSION, Vote, open, seal,
@@ -53,7 +53,7 @@
     seal(&key(), message).expect("it is small enough")
 }
 
-/// A body of any bytes, sealed rightly.
+/// Any body with a valid tag.
 fn sealed_body(body: &[u8]) -> Vec<u8> {
     let key = blake3::derive_key(
         "milletpath 2026-12 changes of configuration",
@@ -82,7 +82,7 @@
         prop_assert!(open(&key(), &bytes).is_err());
     }
 
-    /// Whoever has the key may be wrong, too.
+    /// A program that has the key may be faulty, too.
     #[test]
     fn any_authenticated_body_is_decoded_without_a_panic(message in message(), cut in any::<prop::sample::Index>(), with in any::<u8>()) {
         let mut body = sealed(&message)[17..].to_vec();
--- a/crates/config-log/tests/replicas.rs
+++ b/crates/config-log/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! Control machines: deaths between two acts, cuts, authors and proposers that meet. Disks are in `disks.rs`. In all of
-//! it the network of `cluster` looks at each committed entry; what is told here is what becomes of it.
+//! Replicas under crashes between two actions, partitions, and concurrent authors and proposers; disks are in `disks.rs`.
+//! The simulated cluster checks each committed entry.
 
 mod cluster;
 
@@ -33,8 +33,8 @@
     assert_eq!((number, usual_change.text.as_deref()), (2, Some("lanes = 3")));
 }
 
-/// Who proposes dies after the first of its messages: whoever takes over finds it and ends it, and the author, who asks
-/// again elsewhere, is told the number.
+/// The proposer crashes after the first of its messages: the next leader completes the change, and the author, who retries
+/// elsewhere, receives the number.
 #[test]
 fn a_partly_accepted_change_is_completed_by_the_next_leader() {
     let mut cluster = SimulatedCluster::new(5, 0, 3);
@@ -54,7 +54,7 @@
     assert_eq!((current.0, current.1.id), (2, 2));
 }
 
-/// Nobody asks again: an open number is ended by itself.
+/// Nobody retries: an open number is completed by itself.
 #[test]
 fn a_partly_accepted_change_is_completed_without_its_author() {
     let mut cluster = SimulatedCluster::new(3, 0, 3);
@@ -67,8 +67,8 @@
     assert_eq!((cluster.numbers_of(2), cluster.heads()), (vec![2], vec![2, 2]));
 }
 
-/// Who proposes dies before anybody heard: the change is nowhere, also after its machine came back, as its number went to
-/// another one meanwhile.
+/// The proposer crashes before any message: the change is not committed, not even after the restart, as another one took
+/// its number.
 #[test]
 fn a_change_that_no_other_replica_received_is_not_committed() {
     let mut cluster = SimulatedCluster::new(3, 0, 4);
@@ -87,8 +87,8 @@
     assert_eq!(cluster.commit(0, change(2, "late", "lanes = 2", 0)), 3);
 }
 
-/// The side with the leader and two of five commits nothing and says so, the other side goes on; after the cut all have
-/// the same.
+/// The side with the leader and one more of five replicas commits nothing and reports it, the other side goes on;
+/// afterwards all agree.
 #[test]
 fn a_minority_commits_nothing_and_reports_unknown_outcomes() {
     let mut cluster = SimulatedCluster::new(5, 0, 5);
@@ -146,7 +146,7 @@
     cluster.assert_agreement();
 }
 
-/// Nobody leads yet, and three machines want to at the same moment.
+/// Nobody leads yet, and three replicas try to at the same time.
 #[test]
 fn concurrent_proposers_back_off_and_all_changes_are_committed() {
     for seed in 0..20 {
@@ -171,8 +171,7 @@
     }
 }
 
-/// Asked again, also after another change went over it, an author is told what became of his; where the log doesn't reach
-/// back so far, that it is not known.
+/// A retry, also after the change was superseded, gets the outcome; if the log does not reach back that far, it is unknown.
 #[test]
 fn a_change_proposed_again_is_not_applied_twice() {
     let mut cluster = SimulatedCluster::new(3, 0, 11);
@@ -230,7 +229,7 @@
     assert_eq!(cluster.number(0), 1);
 }
 
-/// Messages come twice, late by seconds, and in any order, and a fifth is lost.
+/// Messages are duplicated, delayed by seconds and reordered, and a fifth is lost.
 #[test]
 fn duplicated_and_late_messages_do_no_harm() {
     for seed in 0..6 {
@@ -262,7 +261,7 @@
     }
 }
 
-/// Sealed rightly but from no machine of the log, or in another's name: nothing follows from it.
+/// Authentic messages of no replica, or with a ballot of another one, have no effect.
 #[test]
 fn messages_of_non_members_and_forged_ballots_have_no_effect() {
     let mut cluster = SimulatedCluster::new(3, 0, 15);
@@ -286,7 +285,7 @@
     assert_eq!(cluster.machine_view(1).counters.unexpected, 5);
 }
 
-/// What stands under a key, and the view in pages.
+/// The entry under a key, and the view in pages.
 #[test]
 fn get_and_status_requests_are_answered() {
     let mut cluster = SimulatedCluster::new(3, 40, 16);
--- a/crates/config-log/tests/search.rs
+++ b/crates/config-log/tests/search.rs
@@ -1,6 +1,6 @@
-//! Three control machines and a gateway that follows them, and every order in which messages come, come twice or never,
-//! changes are proposed, processes die (also between storing and sending) and begin anew, a disk fails for a while or is
-//! lost, and time runs out for one or the other: to a stated depth, from many places along ways of chance.
+//! Three replicas and a follower, and every order in which messages are delivered, duplicated or lost, changes are proposed,
+//! processes crash (also between storing and sending) and restart, a disk fails for a while or is lost, and timers run
+//! out: to a given depth, from many states along random walks.
 
 #[path = "search/model.rs"]
 mod model;
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
 
-/// Looks at all that can happen within so many events; gives the states seen, and the first fault.
+/// Explores all that can happen within that many events; returns the number of new states, or the first fault.
 fn search(model: &Model, depth: usize, visited: &mut HashSet<u64>) -> Result<usize, String> {
     let mut states = 0;
     for event in model.events() {
@@ -30,8 +30,8 @@
     Ok(states)
 }
 
-/// Some whiles. Before each a machine may die, lose its disk, or come back, at once or later; in each one of them may be
-/// cut off, or single links be down; changes are proposed, and messages come in any order for a moment.
+/// Some phases. Before each, a replica may crash, lose its disk, or restart; in each, one may be isolated or single links be
+/// down; changes are proposed, and for a moment messages are delivered in any order.
 fn random_walk(model: &mut Model, phases: usize, rng: &mut ChaCha8Rng) {
     for _ in 0..phases {
         let n = rng.random_range(0..SIZE);
@@ -72,7 +72,7 @@
     }
 }
 
-/// Into the midst of things, with messages under way.
+/// Random events, with messages in transit.
 fn random_events(model: &mut Model, events: usize, rng: &mut ChaCha8Rng) {
     for _ in 0..events {
         let events = model.events();
@@ -87,7 +87,7 @@
     }
 }
 
-/// States and commits over all seeds; the first fault that is met.
+/// States and commits over all seeds, or the first fault.
 fn search_from_random_walks(
     seeds: std::ops::Range<u64>,
     depth: usize,
@@ -115,7 +115,7 @@
     Ok((states, commits))
 }
 
-/// Every order of events to depth two from 15 places, and 120 more ways of chance; deeper by hand:
+/// Every order of events to depth two from 15 states, and 120 more random walks; deeper by hand:
 /// `DEPTH=4 cargo test --release -p milletpath-config-log --test search -- --ignored`.
 #[test]
 fn no_order_of_events_breaks_the_log() {
@@ -144,7 +144,7 @@
     println!("{walks} walks, {} commits", found.1);
 }
 
-/// The same ways find a log in which one promise is left out.
+/// The same walks find a protocol with a seeded defect.
 #[test_case::test_case(Defect::SendBeforeDurable; "sends before what was stored is durable")]
 #[test_case::test_case(Defect::Quorum; "one of three is enough")]
 #[test_case::test_case(Defect::LostDiskVotes; "a lost disk is passed over")]
--- a/crates/config-log/tests/search/model.rs
+++ b/crates/config-log/tests/search/model.rs
@@ -1,4 +1,4 @@
-//! What the search looks at: three control machines with their disks, a gateway, and the messages between them.
+//! The model that is searched: three replicas with their disks, a follower, and the messages between them.
 
 use milletpath_config_log::{
     Action, Change, Entry, Follower, FollowerConfig, Message, Outcome, OutgoingMessage, Record, Replica,
@@ -10,7 +10,7 @@
 
 pub const SIZE: usize = 3;
 
-/// The gateway's place among them.
+/// The follower's index among the nodes.
 pub const FOLLOWER: usize = 3;
 
 const TIMING: Timing = Timing {
@@ -21,43 +21,43 @@
     proposal_timeout: 5.0,
 };
 
-/// Messages under way; those that would be more are lost.
+/// Messages in transit; more are lost.
 const MAX_MESSAGES: usize = 12;
 
-/// A promise that is left out, for tests that show that this is found.
+/// A seeded defect, for the test that shows that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
     None,
-    /// What is sent goes out before what was stored is durable.
+    /// Messages are sent before the records they depend on are durable.
     SendBeforeDurable,
-    /// One of three is enough.
+    /// A quorum of one of three.
     Quorum,
-    /// One without a disk votes as if it had never promised anything.
+    /// A replica that lost its disk votes as if it had never promised anything.
     LostDiskVotes,
-    /// What could not be stored is taken for stored.
+    /// Records that could not be stored count as stored.
     IgnoreStorageFailure,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A message comes, and may come again.
+    /// A message is delivered, and may be delivered again.
     Deliver(usize, bool),
-    /// A message comes, and its receiver dies after so many acts.
+    /// A message is delivered, and its receiver crashes after that many actions.
     DeliverThenCrash(usize, usize),
     Drop(usize),
     Crash(usize),
-    /// It dies, and its disk is lost.
+    /// It crashes, and its disk is lost.
     LoseDisk(usize),
     Start(usize),
-    /// Its storage fails from now on; the first record that fails is on the disk all the same, or is not.
+    /// Its storage fails from now on; the first failing record may be on the disk nevertheless.
     Fail(usize, bool),
-    /// Its storage takes a fresh file again.
+    /// Its storage takes a new file again.
     Recover(usize),
-    /// Time goes on until something is due at this one; the others may be late for theirs.
+    /// Time advances to the next deadline of this one; the others may be late for theirs.
     Tick(usize),
-    /// The gateway begins anew from what it saved some time ago.
+    /// The follower restarts from what it saved some time ago.
     RestartFollower,
-    /// An author proposes a change there.
+    /// An author proposes a change to it.
     Propose(usize),
 }
 
@@ -67,15 +67,15 @@
     defect: Defect,
     pub nodes: [Option<Replica>; SIZE],
     disks: [Vec<Record>; SIZE],
-    /// Whose storage fails, and whether what fails is on the disk all the same.
+    /// Whose storage fails, and whether the failing record is on the disk nevertheless.
     pub failing: [Option<bool>; SIZE],
-    /// Records of each that a crash would lose, where durability is not awaited.
+    /// Records of each that a crash would lose, if durability is not awaited.
     volatile: [Vec<Record>; SIZE],
     follower: Follower,
     saved: Vec<u8>,
     seeds: u64,
     messages: Vec<(usize, usize, Message)>,
-    /// What was said to be chosen by anybody, and what authors were told.
+    /// What any node reported as chosen, and the outcomes that authors received.
     pub chosen: BTreeMap<u64, Change>,
     outcomes: BTreeMap<u64, Outcome>,
     ids: u64,
@@ -139,7 +139,7 @@
         self.fault.get_or_insert(description);
     }
 
-    /// Whoever says that an entry is chosen says so for all.
+    /// An entry that one node reports as chosen must be so for all.
     fn record_chosen(&mut self, n: usize, entry: &Entry) {
         let before = self.chosen.entry(entry.number).or_insert_with(|| entry.change.clone());
         if *before != entry.change {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// What a machine does next; where nothing is left, all before it is stored.
+    /// The next action of a replica; when there is none left, all before it is stored.
     fn next_action(&mut self, n: usize) -> Option<Action> {
         let replica = self.nodes[n].as_mut()?;
         replica.next_action().or_else(|| {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// A fresh file holds all that a machine knows.
+    /// A new file holds all that a replica knows.
     fn recover(&mut self, n: usize) {
         self.failing[n] = None;
         if let Some(replica) = self.nodes[n].as_mut() {
@@ -182,7 +182,7 @@
         self.carry_out(n, usize::MAX);
     }
 
-    /// Carries out so many acts, and dies where more are left.
+    /// Carries out that many actions, and crashes if more are left.
     fn carry_out(&mut self, n: usize, max_actions: usize) {
         let mut left = max_actions;
         while let Some(action) = self.next_action(n) {
@@ -241,7 +241,7 @@
         self.volatile[n].clear();
     }
 
-    /// Fewer than a quorum may have forgotten at a time.
+    /// Fewer than a quorum may have lost their disks at a time.
     pub fn may_lose_disk(&self, n: usize) -> bool {
         let votes =
             |o: usize| self.disks[o].iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted));
@@ -290,7 +290,7 @@
         self.carry_out(to, max_actions);
     }
 
-    /// Sends what the gateway has to send, and looks whether what is in force there was in force in the log.
+    /// Sends what the follower has to send, and checks that its state is one of the log.
     fn check_follower(&mut self) {
         while let Some(OutgoingMessage { to, message }) = self.follower.next_outgoing() {
             self.send(FOLLOWER, to, message);
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Two keys, so that authors meet; each has seen what that machine has.
+    /// Two keys, so that authors compete; each has seen the state of its replica.
     fn propose(&mut self, n: usize) {
         let Some(replica) = self.nodes[n].as_mut() else { return };
         self.ids += 1;
@@ -359,8 +359,8 @@
         self.carry_out(n, usize::MAX);
     }
 
-    /// All goes well from here on: messages come at once, nobody dies, whoever is not there begins. Then all have the same
-    /// log, what authors were told holds, and one more change passes.
+    /// From here on messages are delivered at once and nobody crashes. Then all agree, the outcomes that authors received
+    /// hold, and one more change is committed.
     pub fn heal(&mut self) -> Result<(), String> {
         self.messages.clear();
         for n in 0..SIZE {
@@ -412,7 +412,7 @@
     }
 }
 
-/// A while in which messages come at once on the links that are up, and each does in time what is due.
+/// For a while messages are delivered at once on the links that are up, and each node ticks in time.
 pub fn deliver_promptly(model: &mut Model, link_is_up: &[[bool; SIZE + 1]; SIZE + 1], seconds: f64) {
     let until = model.now + seconds;
     loop {
--- a/crates/config-log/tests/state.rs
+++ b/crates/config-log/tests/state.rs
@@ -1,5 +1,4 @@
-//! What is in force: one by one or compacted it comes to the same, a change holds only over what its author saw, and the
-//! bounds hold.
+//! The state: equal one by one or from a snapshot, compare and set, and its bounds.
 
 use milletpath_config_log::{Change, Entry, MAX_KEYS, MAX_TEXT_BYTES, MAX_TOTAL_BYTES, State};
 use proptest::prelude::*;
@@ -42,7 +41,7 @@
 }
 
 prop_compose! {
-    /// Changes over few keys, most of them over what stands there.
+    /// Changes of few keys, most of which replace the entry in force.
     fn history()(
         changes in prop::collection::vec((0..8u8, prop::option::of("[a-z]{0,4}"), any::<bool>()), 1..60)
     ) -> Vec<Entry> {
@@ -60,7 +59,7 @@
 }
 
 proptest! {
-    /// The digest is of what is in force alone, not of the way there; pages of the compacted log have all of it in order.
+    /// The digest depends on the state alone; pages of the snapshot have all of it in order.
     #[test]
     fn the_compacted_log_equals_the_state_in_force(entries in history(), bytes in 200..2000usize) {
         let mut state = State::default();
--- a/crates/config-log/tests/storage.rs
+++ b/crates/config-log/tests/storage.rs
@@ -1,6 +1,6 @@
-//! Three control machines on disks in memory, one of which fails: at each operation of a scripted history, with each
-//! error, for a while or for good, or with a kill there. Whatever that machine says binds it after a loss of power at that
-//! moment, it goes on relaying, and nothing that an author was told of is lost.
+//! Three replicas on disks in memory, one of which fails: at each operation of a scripted history, with each error, for a
+//! while or for good, or with a crash there. Whatever that replica sends binds it after a loss of power at that moment, it
+//! goes on relaying, and no acknowledged change is lost.
 
 #[path = "storage/cluster.rs"]
 mod cluster;
@@ -61,8 +61,8 @@
     }
 }
 
-/// While its disk fails a machine passes changes on, tells what is in force, and does not vote; with another machine gone
-/// nothing is committed. Once the disk takes a fresh file it votes again.
+/// While its disk fails a replica forwards changes, reports what is in force, and does not vote; with another replica down
+/// nothing is committed. Once the disk takes a new file it votes again.
 #[test]
 fn a_replica_with_a_failing_disk_relays_and_does_not_vote() {
     let mut cluster = Cluster::new();
@@ -93,7 +93,7 @@
     cluster.check("recovered");
 }
 
-/// All is on a disk that is full: a log that has grown can't be rewritten, and takes records as long as there is room.
+/// On a full disk a log that has grown cannot be rewritten, and takes records as long as there is room.
 #[test]
 fn a_log_that_cannot_be_rewritten_still_takes_records() {
     let mut cluster = Cluster::new();
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -1,5 +1,5 @@
-//! Three control machines on disks in memory with messages that come at once, an author, and a look at each message of
-//! the machine whose disk fails.
+//! Three replicas on disks in memory, with messages that are delivered at once and an author; each message of the replica
+//! whose disk fails is checked.
 
 use milletpath_config_log::{
     Ballot, Change, DurableReplica, Message, Outcome, OutgoingMessage, Record, Replica, ReplicaConfig,
@@ -12,7 +12,7 @@
 
 const SIZE: usize = 3;
 
-/// The machine whose disk fails.
+/// The replica whose disk fails.
 pub const FAULTY: usize = 1;
 
 /// Seconds that the scripted history takes.
@@ -23,7 +23,7 @@
 /// Small, so that the scripted history rewrites its logs.
 const POLICY: RewritePolicy = RewritePolicy { multiple: 2, above: 900 };
 
-/// Seconds until a process that was killed, or can't read its log, begins again.
+/// Seconds until a process that crashed, or cannot read its log, restarts.
 const RESTART: f64 = 0.3;
 
 type Machine = DurableReplica<FaultyFolder>;
@@ -34,12 +34,12 @@
     disks: [FaultyFolder; SIZE],
     /// The disk that fails.
     pub disk: FaultyFolder,
-    /// What a kill leaves of the disk.
+    /// What a crash leaves of the disk.
     pub loss: PowerLoss,
     restart_at: [f64; SIZE],
     stopped: [bool; SIZE],
     messages: VecDeque<(SocketAddr, SocketAddr, Message)>,
-    /// Numbers that the author was told, by change.
+    /// Numbers that the author received, by change.
     committed: BTreeMap<u64, u64>,
     ids: u64,
     seeds: u64,
@@ -113,13 +113,13 @@
         self.machines[n].as_mut().is_some_and(|m| m.replica_mut().view(now).votes)
     }
 
-    /// A machine ends, and does not begin again.
+    /// Stops a replica for good.
     pub fn stop(&mut self, n: usize) {
         self.machines[n] = None;
         self.stopped[n] = true;
     }
 
-    /// The process of a machine begins from its disk: for the first time with a new log.
+    /// Starts the process of a replica from its disk; the first time with a new log.
     fn start(&mut self, n: usize) {
         let disk = self.disks[n].clone();
         self.restart_at[n] = self.now + RESTART;
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Stores and sends what a machine has.
+    /// Stores and sends what a replica has.
     fn flush(&mut self, n: usize) {
         let now = self.now;
         let Some(machine) = self.machines[n].as_mut() else { return };
@@ -166,7 +166,7 @@
         self.messages.extend(out.into_iter().map(|outgoing| (at(n), outgoing.to, outgoing.message)));
     }
 
-    /// What a machine says must hold after a loss of power at this moment.
+    /// What a replica sends must hold after a loss of power at this moment.
     fn binds(&self, out: &[OutgoingMessage]) {
         let binding = |message: &Message| {
             matches!(
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Time goes on for so many seconds.
+    /// Runs for that many seconds.
     pub fn run_for(&mut self, seconds: f64) {
         /// Seconds of the simulation's clock at a time.
         const STEP: f64 = 0.02;
@@ -238,14 +238,14 @@
         Change { id: self.ids, key: key.into(), text: Some("x".repeat(60)), replaces }
     }
 
-    /// An author proposes a change there, once.
+    /// An author proposes a change once.
     pub fn propose(&mut self, n: usize) {
         let change = self.next_change();
         self.messages.push_back((author(), at(n), Message::Propose { change }));
         self.deliver();
     }
 
-    /// An author proposes a change there until he is told that it is committed.
+    /// An author proposes a change until it is committed.
     pub fn commit(&mut self, n: usize) -> u64 {
         let change = self.next_change();
         for _ in 0..40 {
@@ -259,7 +259,7 @@
         panic!("{change:?} at {n} is not committed by {:.2} s", self.now);
     }
 
-    /// The scripted history: changes at each machine, logs that are rewritten, a loss of power where the disk fails.
+    /// The scripted history: changes at each replica, logs that are rewritten, and a loss of power where the disk fails.
     pub fn history(&mut self) {
         self.run_for(1.0);
         for n in [0, FAULTY, 2, 0, FAULTY, 2] {
@@ -275,8 +275,8 @@
         }
     }
 
-    /// All goes well from here on. Then all machines vote, a change at each is committed, all agree, and all that authors
-    /// were told of is there, also after a loss of power at all machines at once.
+    /// Without further faults all replicas vote, a change at each is committed, all agree, and all acknowledged changes are
+    /// there, also after a loss of power at all replicas at once.
     pub fn check(&mut self, what: &str) {
         for n in 0..SIZE {
             self.disks[n].recovers();
