--- a/crates/config-log/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -47,7 +47,7 @@
     cluster.isolated_zones = vec![isolated_zone];
     let mut burst = Burst::run(cluster, 20);
     let [p50, p99] = [0.5, 0.99].map(|quantile| value_at(&mut burst.delays, quantile));
-    let there = (0..cluster.gateways.len()).filter(|n| NodeId::Follower(*n).zone() != isolated_zone).count();
+    let there = (0..cluster.followers.len()).filter(|n| NodeId::Follower(*n).zone() != isolated_zone).count();
     let missed = 20 * there - burst.delays.len();
     cluster.isolated_zones.clear();
     cluster.run_until(cluster.now + 10.0);
@@ -57,10 +57,10 @@
 /// A zone without a replica, and that of the leader.
 const ZONES: [usize; 2] = [9, 0];
 
-fn figures((gateway, machine): (Cost, Cost)) -> serde_json::Value {
+fn figures((follower, replica): (Cost, Cost)) -> serde_json::Value {
     serde_json::json!({
-        "follower_cpu": gateway[0], "follower_bytes_in": gateway[1], "follower_bytes_out": gateway[2],
-        "replica_cpu": machine[0], "replica_bytes_in": machine[1], "replica_bytes_out": machine[2],
+        "follower_cpu": follower[0], "follower_bytes_in": follower[1], "follower_bytes_out": follower[2],
+        "replica_cpu": replica[0], "replica_bytes_in": replica[1], "replica_bytes_out": replica[2],
     })
 }
 
@@ -95,8 +95,8 @@
             println!("{line}");
             continue;
         }
-        for (what, (gateway, machine)) in [("at rest", rest), ("20 changes", burst.cost_so_far)] {
-            let ([cpu, b_in, b_out], [m_cpu, m_in, m_out]) = (gateway, machine);
+        for (what, (follower, replica)) in [("at rest", rest), ("20 changes", burst.cost_so_far)] {
+            let ([cpu, b_in, b_out], [m_cpu, m_in, m_out]) = (follower, replica);
             print!("{size:>4} {what:<10} {:>6.3} {b_in:>9.0} {b_out:>10.0} ", cpu * 1e3);
             println!("{:>11.3} {m_in:>9.0} {m_out:>10.0}", m_cpu * 1e3);
         }
--- a/crates/config-log/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -25,9 +25,9 @@
         sum.map(|all| all / count)
     }
     let is_reachable = |network: NodeId| !cluster.isolated_zones.contains(&network.zone());
-    let gateways = cluster.gateways.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Follower(*n)));
-    let machines = cluster.machines.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Replica(*n)));
-    (sum(gateways.map(|(_, node)| node)), sum(machines.map(|(_, node)| node)))
+    let followers = cluster.followers.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Follower(*n)));
+    let replicas = cluster.replicas.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Replica(*n)));
+    (sum(followers.map(|(_, node)| node)), sum(replicas.map(|(_, node)| node)))
 }
 
 /// What each used a second between two measurements.
@@ -61,26 +61,26 @@
         while cluster.now < until {
             while next < changes && cluster.now >= began + next as f64 / changes as f64 {
                 let author = reachable_zones[cluster.rng.random_range(0..reachable_zones.len())];
-                let machine = cluster.rng.random_range(0..cluster.machines.len());
+                let replica = cluster.rng.random_range(0..cluster.replicas.len());
                 let id = base + next;
-                cluster.propose(author, machine, usual_change(id));
-                open.push((id, author, cluster.now, cluster.now, machine));
+                cluster.propose(author, replica, usual_change(id));
+                open.push((id, author, cluster.now, cluster.now, replica));
                 next += 1;
             }
             cluster.run_until(cluster.now + 0.01);
             if cluster.now >= began + 1.0 && after.is_none() {
                 after = Some(cost_between(before, cost_so_far(cluster), cluster.now - began));
             }
-            for (id, author, since, last_proposed_at, machine) in std::mem::take(&mut open) {
+            for (id, author, since, last_proposed_at, replica) in std::mem::take(&mut open) {
                 match cluster.outcome(author, id) {
                     Some(Outcome::Committed(number)) => done.push((number, since, cluster.now)),
                     Some(Outcome::Unknown) | None if cluster.now - last_proposed_at >= AGAIN => {
-                        let machine = (machine + 1) % cluster.machines.len();
-                        cluster.propose(author, machine, usual_change(id));
-                        open.push((id, author, since, cluster.now, machine));
+                        let replica = (replica + 1) % cluster.replicas.len();
+                        cluster.propose(author, replica, usual_change(id));
+                        open.push((id, author, since, cluster.now, replica));
                     }
                     Some(Outcome::Unknown) | None => {
-                        open.push((id, author, since, last_proposed_at, machine))
+                        open.push((id, author, since, last_proposed_at, replica))
                     }
                     other => panic!("{other:?} of a change under a key of its own"),
                 }
@@ -88,10 +88,12 @@
         }
         assert!(open.is_empty(), "{} changes have no outcome", open.len());
         let is_reachable = |n: &usize| !cluster.isolated_zones.contains(&NodeId::Follower(*n).zone());
-        let gateways: Vec<usize> = (0..cluster.gateways.len()).filter(is_reachable).collect();
+        let followers: Vec<usize> = (0..cluster.followers.len()).filter(is_reachable).collect();
         let delays = done
             .iter()
-            .flat_map(|(number, since, _)| gateways.iter().filter_map(|n| cluster.delay(*n, *number, *since)))
+            .flat_map(|(number, since, _)| {
+                followers.iter().filter_map(|n| cluster.delay(*n, *number, *since))
+            })
             .collect();
         Self {
             delays,
--- a/crates/config-log/tests/cluster/inspection.rs
+++ b/crates/config-log/tests/cluster/inspection.rs
@@ -10,7 +10,7 @@
 impl SimulatedCluster {
     /// The next action of a replica; when there is none left, all before it counts as durable.
     pub fn next_action(&mut self, n: usize) -> Option<Action> {
-        let core = self.machines[n].core.as_mut()?;
+        let core = self.replicas[n].core.as_mut()?;
         core.next_action().or_else(|| {
             core.confirm_stored();
             core.next_action()
@@ -19,13 +19,13 @@
 
     /// All running replicas have the same state.
     pub fn assert_agreement(&self) {
-        let up: Vec<_> = self.machines.iter().filter_map(|node| node.core.as_ref()).collect();
+        let up: Vec<_> = self.replicas.iter().filter_map(|node| node.core.as_ref()).collect();
         assert!(up.iter().all(|core| core.state() == up[0].state()), "heads {:?}", self.heads());
     }
 
     /// The heads of the running replicas.
     pub fn heads(&self) -> Vec<u64> {
-        self.machines.iter().filter_map(|node| node.core.as_ref()).map(|core| core.state().head()).collect()
+        self.replicas.iter().filter_map(|node| node.core.as_ref()).map(|core| core.state().head()).collect()
     }
 
     /// The numbers at which a change is in the log.
@@ -33,8 +33,8 @@
         self.log.entries.values().filter(|e| e.change.id == id).map(|e| e.number).collect()
     }
 
-    pub fn machine_view(&mut self, n: usize) -> ReplicaView {
-        let clock = self.machines[n].clock(self.now);
-        self.machines[n].core.as_mut().expect("it is up").view(clock)
+    pub fn replica_view(&mut self, n: usize) -> ReplicaView {
+        let clock = self.replicas[n].clock(self.now);
+        self.replicas[n].core.as_mut().expect("a running node").view(clock)
     }
 }
--- a/crates/config-log/tests/cluster/mod.rs
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -41,9 +41,9 @@
 pub struct SimulatedCluster {
     pub now: f64,
     pub timing: Timing,
-    pub machines: Vec<Node<Replica>>,
+    pub replicas: Vec<Node<Replica>>,
     pub disks: Vec<Vec<Record>>,
-    pub gateways: Vec<Node<Follower>>,
+    pub followers: Vec<Node<Follower>>,
     /// What each follower gave its gateway to apply, by key.
     pub delivered: Vec<BTreeMap<String, (u64, Option<String>)>>,
     /// When each follower reached which number.
@@ -67,14 +67,14 @@
 
 impl SimulatedCluster {
     /// Replicas of a new log, all started, and followers that are not started.
-    pub fn new(machines: usize, followers: usize, seed: u64) -> Self {
+    pub fn new(replicas: usize, followers: usize, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut cluster = Self {
             now: 0.0,
             timing: Timing::default(),
-            machines: (0..machines).map(|_| Node::new(&mut rng)).collect(),
-            disks: vec![vec![Record::Initialized]; machines],
-            gateways: (0..followers).map(|_| Node::new(&mut rng)).collect(),
+            replicas: (0..replicas).map(|_| Node::new(&mut rng)).collect(),
+            disks: vec![vec![Record::Initialized]; replicas],
+            followers: (0..followers).map(|_| Node::new(&mut rng)).collect(),
             delivered: vec![BTreeMap::new(); followers],
             in_force: vec![Vec::new(); followers],
             saved: vec![None; followers],
@@ -89,18 +89,18 @@
             key: Key::new(b"a fleet"),
             timed: false,
         };
-        (0..machines).for_each(|n| cluster.start_replica(n));
+        (0..replicas).for_each(|n| cluster.start_replica(n));
         cluster
     }
 
     pub fn all_replicas(&self) -> Vec<SocketAddr> {
-        (0..self.machines.len()).map(|n| Machine(n).at()).collect()
+        (0..self.replicas.len()).map(|n| Machine(n).at()).collect()
     }
 
     /// Starts a replica from its disk.
     pub fn start_replica(&mut self, n: usize) {
         let (replicas, seed) = (self.all_replicas(), self.rng.random());
-        let node = &mut self.machines[n];
+        let node = &mut self.replicas[n];
         let clock = node.clock(self.now);
         let config = ReplicaConfig { own_index: n, replicas, timing: self.timing, seed };
         node.core = Some(Replica::new(config, clock, self.disks[n].clone()));
@@ -112,7 +112,7 @@
     /// Starts a follower from its saved state.
     pub fn start_follower(&mut self, n: usize) {
         let (replicas, seed) = (self.all_replicas(), self.rng.random());
-        let node = &mut self.gateways[n];
+        let node = &mut self.followers[n];
         let (clock, name) = (node.clock(self.now), format!("gateway-{n}"));
         let saved = self.saved[n].clone();
         let config = FollowerConfig { name, replicas, timing: self.timing, seed };
@@ -124,28 +124,28 @@
     }
 
     pub fn start_all_followers(&mut self) {
-        (0..self.gateways.len()).for_each(|n| self.start_follower(n));
+        (0..self.followers.len()).for_each(|n| self.start_follower(n));
     }
 
     pub fn stop_replica(&mut self, n: usize) {
-        self.machines[n].core = None;
+        self.replicas[n].core = None;
     }
 
     pub fn stop_follower(&mut self, n: usize) {
-        self.gateways[n].core = None;
+        self.followers[n].core = None;
     }
 
     /// Pauses the process of a follower.
     pub fn pause_follower(&mut self, n: usize, seconds: f64) {
-        self.gateways[n].paused_until = self.now + seconds;
+        self.followers[n].paused_until = self.now + seconds;
     }
 
     pub fn replica(&self, n: usize) -> &Replica {
-        self.machines[n].core.as_ref().expect("it is up")
+        self.replicas[n].core.as_ref().expect("a running node")
     }
 
     pub fn follower(&self, n: usize) -> &Follower {
-        self.gateways[n].core.as_ref().expect("it is up")
+        self.followers[n].core.as_ref().expect("a running node")
     }
 
     pub fn head(&self, n: usize) -> u64 {
@@ -167,12 +167,12 @@
             let clock = node.clock(now);
             node.core.as_mut().is_some_and(|core| core.view(clock).leads)
         };
-        (0..self.machines.len()).filter(|n| view(&mut self.machines[*n])).collect()
+        (0..self.replicas.len()).filter(|n| view(&mut self.replicas[*n])).collect()
     }
 
     /// An author proposes a change to a replica.
-    pub fn propose(&mut self, author: usize, machine: usize, change: Change) {
-        self.send(Author(author), Machine(machine).at(), Message::Propose { change });
+    pub fn propose(&mut self, author: usize, replica: usize, change: Change) {
+        self.send(Author(author), Machine(replica).at(), Message::Propose { change });
     }
 
     /// The last outcome that an author received for a change.
@@ -187,9 +187,9 @@
     }
 
     /// Proposes a change, runs until its author receives the outcome, and returns the number.
-    pub fn commit(&mut self, machine: usize, change: Change) -> u64 {
+    pub fn commit(&mut self, replica: usize, change: Change) -> u64 {
         let id = change.id;
-        self.propose(0, machine, change);
+        self.propose(0, replica, change);
         let until = self.now + 10.0;
         while self.outcome(0, id).is_none() && self.now < until {
             self.run_until(self.now + 0.01);
@@ -201,11 +201,11 @@
     }
 
     /// Commits that many changes, each under a key of its own with that prefix.
-    pub fn commit_many(&mut self, machine: usize, keys: &str, count: u64) {
+    pub fn commit_many(&mut self, replica: usize, keys: &str, count: u64) {
         for id in 0..count {
             let id = self.log.state.head() * 1_000 + id + 1;
             let change = change(id, &format!("{keys} {id}"), "lanes = 2", 0);
-            self.commit(machine, change);
+            self.commit(replica, change);
         }
     }
 
@@ -221,12 +221,12 @@
         let to = NodeId::of(to);
         match from {
             Machine(n) => {
-                self.machines[n].bytes_out += bytes;
-                self.machines[n].busy += busy;
+                self.replicas[n].bytes_out += bytes;
+                self.replicas[n].busy += busy;
             }
             Gateway(n) => {
-                self.gateways[n].bytes_out += bytes;
-                self.gateways[n].busy += busy;
+                self.followers[n].bytes_out += bytes;
+                self.followers[n].busy += busy;
             }
             Author(_) => {}
         }
@@ -239,12 +239,12 @@
             let busy = began.map_or(0.0, |began| began.elapsed().as_secs_f64());
             match to {
                 Machine(n) => {
-                    self.machines[n].bytes_in += bytes;
-                    self.machines[n].busy += busy;
+                    self.replicas[n].bytes_in += bytes;
+                    self.replicas[n].busy += busy;
                 }
                 Gateway(n) => {
-                    self.gateways[n].bytes_in += bytes;
-                    self.gateways[n].busy += busy;
+                    self.followers[n].bytes_in += bytes;
+                    self.followers[n].busy += busy;
                 }
                 Author(_) => {}
             }
@@ -288,30 +288,30 @@
                 }
             }
         }
-        let node = &self.machines[n];
+        let node = &self.replicas[n];
         let Some(core) = node.core.as_ref() else { return };
         let (next, incarnation) = (node.when(core.next_deadline()).max(self.now + 1e-6), node.incarnation);
         if next < node.next_tick_at {
-            self.machines[n].next_tick_at = next;
+            self.replicas[n].next_tick_at = next;
             self.schedule.add(next, Event::Tick(Machine(n), incarnation));
         }
     }
 
     fn carry_out_follower(&mut self, n: usize) {
         let began = self.timed.then(Instant::now);
-        let Some(core) = self.gateways[n].core.as_mut() else { return };
+        let Some(core) = self.followers[n].core.as_mut() else { return };
         let out: Vec<_> = std::iter::from_fn(|| core.next_outgoing()).collect();
         let take_updates = core.take_updates();
         let (head, next) = (core.state().head(), core.next_deadline());
         if let Some(began) = began {
-            self.gateways[n].busy += began.elapsed().as_secs_f64();
+            self.followers[n].busy += began.elapsed().as_secs_f64();
         }
         if let Some(take_updates) = take_updates {
             let rebuilds = self.follower(n).view(0.0).rebuilds;
             for entry in take_updates {
                 let before = self.delivered[n].get(&entry.change.key).map(|(number, _)| *number);
                 let later = before.is_none_or(|before| before < entry.number);
-                assert!(later || rebuilds > 0, "gateway {n} was told {} twice", entry.number);
+                assert!(later || rebuilds > 0, "follower {n} delivered {} twice", entry.number);
                 self.delivered[n].insert(entry.change.key, (entry.number, entry.change.text));
             }
         }
@@ -319,10 +319,10 @@
             self.in_force[n].push((head, self.now));
         }
         out.into_iter().for_each(|outgoing| self.send(Gateway(n), outgoing.to, outgoing.message));
-        let node = &self.gateways[n];
+        let node = &self.followers[n];
         let (next, incarnation) = (node.when(next).max(self.now + 1e-6), node.incarnation);
         if next < node.next_tick_at {
-            self.gateways[n].next_tick_at = next;
+            self.followers[n].next_tick_at = next;
             self.schedule.add(next, Event::Tick(Gateway(n), incarnation));
         }
     }
@@ -334,18 +334,21 @@
         assert_eq!(self.log.digest(head), Some(digest), "gateway {n}: a state that never was at {head}");
         let is_current = |(key, (number, text)): (&String, &(u64, Option<String>))| {
             let own = state.get(key).map(|(number, change)| (number, change.text.clone()));
-            // What was never in force anywhere it was told to remove.
+            // Keys that were never in force anywhere are removed.
             own == Some((*number, text.clone())) || (own.is_none() && text.is_none())
         };
-        assert!(self.delivered[n].iter().all(is_current), "gateway {n} was told other than what is in force");
+        assert!(
+            self.delivered[n].iter().all(is_current),
+            "follower {n} delivered other than what is in force"
+        );
         assert!(
             state.iter().all(|(_, c)| self.delivered[n].contains_key(&c.key)),
-            "gateway {n} was told too little"
+            "follower {n} delivered too little"
         );
     }
 
     pub fn check_all(&self) {
-        (0..self.gateways.len()).filter(|n| self.gateways[*n].core.is_some()).for_each(|n| self.check(n));
+        (0..self.followers.len()).filter(|n| self.followers[*n].core.is_some()).for_each(|n| self.check(n));
     }
 
     /// Runs until that time, and checks followers after each of their events.
@@ -355,17 +358,17 @@
             match what {
                 Event::Deliver(Author(n), _, message) => self.author_inbox.push((at, n, *message)),
                 Event::Tick(Machine(n), incarnation) => {
-                    let node = &mut self.machines[n];
+                    let node = &mut self.replicas[n];
                     if node.incarnation == incarnation && node.next_tick_at == at {
                         node.next_tick_at = f64::INFINITY;
-                        self.machine(n, |core, clock| core.tick(clock));
+                        self.with_replica(n, |core, clock| core.tick(clock));
                     }
                 }
                 Event::Deliver(Machine(n), from, message) => {
-                    self.machine(n, |core, clock| core.receive(clock, from, *message));
+                    self.with_replica(n, |core, clock| core.receive(clock, from, *message));
                 }
                 Event::Tick(Gateway(n), incarnation) => {
-                    let node = &mut self.gateways[n];
+                    let node = &mut self.followers[n];
                     if node.incarnation != incarnation || node.next_tick_at != at {
                         continue;
                     }
@@ -376,14 +379,14 @@
                         continue;
                     }
                     node.next_tick_at = f64::INFINITY;
-                    self.gateway(n, |core, clock| core.tick(clock));
+                    self.with_follower(n, |core, clock| core.tick(clock));
                 }
                 Event::Deliver(Gateway(n), from, message) => {
-                    if self.gateways[n].paused_until > at {
-                        self.gateways[n].inbox.push((from, *message));
+                    if self.followers[n].paused_until > at {
+                        self.followers[n].inbox.push((from, *message));
                         continue;
                     }
-                    self.gateway(n, |core, clock| core.receive(clock, from, *message));
+                    self.with_follower(n, |core, clock| core.receive(clock, from, *message));
                 }
                 Event::Tick(Author(_), _) => {}
             }
@@ -391,8 +394,8 @@
         self.now = until;
     }
 
-    fn machine(&mut self, n: usize, event: impl FnOnce(&mut Replica, f64)) {
-        let node = &mut self.machines[n];
+    fn with_replica(&mut self, n: usize, event: impl FnOnce(&mut Replica, f64)) {
+        let node = &mut self.replicas[n];
         let clock = node.clock(self.now);
         let Some(core) = node.core.as_mut() else { return };
         let began = self.timed.then(Instant::now);
@@ -403,8 +406,8 @@
         self.carry_out_replica(n);
     }
 
-    fn gateway(&mut self, n: usize, event: impl FnOnce(&mut Follower, f64)) {
-        let node = &mut self.gateways[n];
+    fn with_follower(&mut self, n: usize, event: impl FnOnce(&mut Follower, f64)) {
+        let node = &mut self.followers[n];
         let clock = node.clock(self.now);
         let Some(core) = node.core.as_mut() else { return };
         let before = core.state().head();
--- a/crates/config-log/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -23,7 +23,7 @@
     cluster.crash_point = Some((1, CrashPoint::AfterStore(is_accepted)));
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 1.0);
-    assert!(cluster.machines[1].core.is_none(), "it died");
+    assert!(cluster.replicas[1].core.is_none(), "the replica crashed");
     assert_eq!(cluster.log.state.head(), 1, "one of three is not enough");
     cluster.stop_replica(0);
     cluster.start_replica(1);
@@ -67,11 +67,11 @@
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 6.0);
     assert_eq!(cluster.outcome(0, 2), Some(Outcome::Unknown));
-    assert!(!cluster.machine_view(2).votes);
+    assert!(!cluster.replica_view(2).votes);
     assert_eq!(cluster.heads(), [1, 1], "it learns all the same");
     cluster.start_replica(1);
     cluster.run_until(cluster.now + 3.0);
-    assert!(cluster.machine_view(2).votes);
+    assert!(cluster.replica_view(2).votes);
     cluster.stop_replica(0);
     cluster.commit(2, change(3, "later", "lanes = 3", 0));
     cluster.start_replica(0);
@@ -108,7 +108,7 @@
     cluster.start_replica(2);
     cluster.start_replica(1);
     cluster.run_until(cluster.now + 3.0);
-    assert!(cluster.machines[1].core.is_none(), "it died");
+    assert!(cluster.replicas[1].core.is_none(), "the replica crashed");
     cluster.stop_replica(0);
     cluster.start_replica(1);
     cluster.commit(2, change(3, "other", "lanes = 3", 0));
@@ -144,8 +144,8 @@
             let cut = cluster.rng.random_range(0..8);
             cluster.delivery_rule = partitioned(move |node| usize::from(node == NodeId::Replica(cut)));
             for id in [2 * step, 2 * step + 1] {
-                let machine = cluster.rng.random_range(0..5);
-                cluster.propose(0, machine, change(id, &format!("key {id}"), "lanes = 1", 0));
+                let replica = cluster.rng.random_range(0..5);
+                cluster.propose(0, replica, change(id, &format!("key {id}"), "lanes = 1", 0));
             }
             let seconds = cluster.rng.random_range(0.1..3.0);
             cluster.run_until(cluster.now + seconds);
@@ -153,7 +153,7 @@
         cluster.delivery_rule = reliable();
         cluster.run_until(cluster.now + 15.0);
         cluster.assert_agreement();
-        assert!((0..5).all(|n| cluster.machine_view(n).votes), "seed {seed}");
+        assert!((0..5).all(|n| cluster.replica_view(n).votes), "seed {seed}");
         let outcomes = cluster.author_inbox.iter().filter_map(|(_, _, m)| match m {
             Message::ProposalResult { id, outcome: Outcome::Committed(number) } => Some((*id, *number)),
             _ => None,
@@ -180,7 +180,7 @@
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 6.0);
     assert_eq!(cluster.outcome(0, 2), Some(Outcome::Unknown));
-    assert!((1..3).all(|n| !cluster.machine_view(n).votes));
+    assert!((1..3).all(|n| !cluster.replica_view(n).votes));
 }
 
 /// A replica restarts from compacted records as it was; one that is behind what the others keep one by one fetches a
@@ -202,7 +202,7 @@
         Some((2, CrashPoint::AfterStore(|record| matches!(record, Record::SnapshotEntry(_)))));
     cluster.start_replica(2);
     cluster.run_until(cluster.now + 3.0);
-    assert!(cluster.machines[2].core.is_none(), "it died");
+    assert!(cluster.replicas[2].core.is_none(), "the replica crashed");
     cluster.start_replica(2);
     assert_eq!(cluster.head(2), 0);
     cluster.run_until(cluster.now + 3.0);
--- a/crates/config-log/tests/fleet.rs
+++ b/crates/config-log/tests/fleet.rs
@@ -49,8 +49,8 @@
             if id == 12 {
                 cluster.isolated_zones.push(0);
             }
-            let machine = 1 + id as usize % 6;
-            cluster.propose(1, machine, cluster::change(id, &format!("key {id}"), "lanes = 2", 0));
+            let replica = 1 + id as usize % 6;
+            cluster.propose(1, replica, cluster::change(id, &format!("key {id}"), "lanes = 2", 0));
             cluster.run_until(cluster.now + 0.05);
         }
         cluster.run_until(cluster.now + 8.0);
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -11,18 +11,18 @@
 use test_case::test_case;
 
 fn view(cluster: &SimulatedCluster, n: usize) -> FollowerView {
-    cluster.follower(n).view(cluster.gateways[n].clock(cluster.now))
+    cluster.follower(n).view(cluster.followers[n].clock(cluster.now))
 }
 
 /// All followers have the committed state.
 fn all_at_head(cluster: &SimulatedCluster) -> bool {
     let head = cluster.log.state.head();
-    (0..cluster.gateways.len())
+    (0..cluster.followers.len())
         .all(|n| cluster.number(n) == head && *cluster.follower(n).state() == cluster.log.state)
 }
 
-fn settled(machines: usize, followers: usize, seed: u64) -> SimulatedCluster {
-    let mut cluster = SimulatedCluster::new(machines, followers, seed);
+fn settled(replicas: usize, followers: usize, seed: u64) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(replicas, followers, seed);
     cluster.start_all_followers();
     cluster.run_until(2.0);
     cluster
@@ -32,8 +32,8 @@
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(7)]
-fn every_follower_applies_a_change_and_confirms_that_it_is_the_latest(machines: usize) {
-    let mut cluster = settled(machines, 10, 1);
+fn every_follower_applies_a_change_and_confirms_that_it_is_the_latest(replicas: usize) {
+    let mut cluster = settled(replicas, 10, 1);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.run_until(cluster.now + 1.0);
     assert!(all_at_head(&cluster));
@@ -153,7 +153,7 @@
             .flat_map(|v| v.replicas.iter().filter(|r| r.conflicts > 0).map(|r| r.replica))
             .collect();
         assert!(distrusted.iter().all(|n| *n == 3), "seed {seed}: {distrusted:?}");
-        assert!(!detectable || !distrusted.is_empty(), "seed {seed}: nobody told");
+        assert!(!detectable || !distrusted.is_empty(), "seed {seed}: nobody detected it");
         // Gateways that begin from nothing and gather pages, too.
         for n in 0..10 {
             cluster.stop_follower(n);
@@ -183,8 +183,8 @@
 fn a_clock_stepped_back_delays_nothing() {
     let mut cluster = settled(3, 2, 4);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
-    cluster.gateways[0].clock_step = -5_000.0;
-    cluster.machines[1].clock_step = -5_000.0;
+    cluster.followers[0].clock_step = -5_000.0;
+    cluster.replicas[1].clock_step = -5_000.0;
     cluster.run_until(cluster.now + 2.0);
     for id in 2..6 {
         let since = cluster.now;
@@ -279,7 +279,7 @@
         cluster.saved[2] = Some(cluster.follower(0).save());
         for id in 301..=400 {
             let key = format!("function {}", id - 300);
-            let replaces = cluster.log.state.get(&key).expect("it stands").0;
+            let replaces = cluster.log.state.get(&key).expect("an entry in force").0;
             cluster.propose(0, 0, change(id, &key, &"y".repeat(200), replaces));
             if id % 20 == 0 {
                 cluster.run_until(cluster.now + 1.0);
@@ -294,7 +294,7 @@
         (1..4).for_each(|n| cluster.start_follower(n));
         for id in 401..=480 {
             let key = format!("function {}", id - 300);
-            let replaces = cluster.log.state.get(&key).expect("it stands").0;
+            let replaces = cluster.log.state.get(&key).expect("an entry in force").0;
             cluster.propose(0, 0, change(id, &key, "z", replaces));
             cluster.run_until(cluster.now + 0.1);
         }
@@ -359,11 +359,11 @@
     let number = cluster.commit(0, change(1, "a", "lanes = -1", 0));
     cluster.run_until(cluster.now + 1.0);
     let reason = "no such figure ".repeat(40);
-    cluster.gateways[0].core.as_mut().expect("it is up").report_apply_error(number, reason.clone());
+    cluster.followers[0].core.as_mut().expect("a running node").report_apply_error(number, reason.clone());
     cluster.run_until(cluster.now + 1.0);
-    let clock = cluster.machines[0].clock(cluster.now);
-    let followers = cluster.machines[0].core.as_mut().expect("it is up").view(clock).followers;
-    let apply_error = followers[0].apply_error.clone().expect("it was told");
+    let clock = cluster.replicas[0].clock(cluster.now);
+    let followers = cluster.replicas[0].core.as_mut().expect("a running node").view(clock).followers;
+    let apply_error = followers[0].apply_error.clone().expect("a reported error");
     assert_eq!((followers[0].name.as_str(), apply_error.number), ("gateway-0", number));
     assert!(reason.starts_with(&apply_error.reason) && apply_error.reason.len() == 200);
     cluster.commit(0, change(2, "a", "lanes = 1", number));
@@ -393,8 +393,8 @@
         }
     }));
     for id in 1..20 {
-        let machine = cluster.rng.random_range(0..3);
-        cluster.propose(0, machine, change(id, &format!("key {id}"), "lanes = 1", 0));
+        let replica = cluster.rng.random_range(0..3);
+        cluster.propose(0, replica, change(id, &format!("key {id}"), "lanes = 1", 0));
         if id % 6 == 0 {
             cluster.stop_follower(0);
             cluster.start_follower(0);
--- a/crates/config-log/tests/replicas.rs
+++ b/crates/config-log/tests/replicas.rs
@@ -29,8 +29,8 @@
     assert_eq!(cluster.commit(size - 1, change(2, "function a", "lanes = 3", 1)), 2);
     cluster.run_until(cluster.now + 1.0);
     cluster.assert_agreement();
-    let (number, usual_change) = cluster.replica(0).state().get("function a").expect("it stands");
-    assert_eq!((number, usual_change.text.as_deref()), (2, Some("lanes = 3")));
+    let (number, current) = cluster.replica(0).state().get("function a").expect("an entry in force");
+    assert_eq!((number, current.text.as_deref()), (2, Some("lanes = 3")));
 }
 
 /// The proposer crashes after the first of its messages: the next leader completes the change, and the author, who retries
@@ -44,13 +44,13 @@
     let late = change(2, "late", "lanes = 2", 0);
     cluster.propose(0, 0, late.clone());
     cluster.run_until(cluster.now + 0.5);
-    assert!(cluster.machines[0].core.is_none(), "it died");
+    assert!(cluster.replicas[0].core.is_none(), "the replica crashed");
     assert_eq!(cluster.outcome(0, 2), None);
     assert_eq!(cluster.commit(3, late), 2);
     cluster.start_replica(0);
     cluster.run_until(cluster.now + 2.0);
     cluster.assert_agreement();
-    let current = cluster.log.state.get("late").expect("it stands");
+    let current = cluster.log.state.get("late").expect("an entry in force");
     assert_eq!((current.0, current.1.id), (2, 2));
 }
 
@@ -63,7 +63,7 @@
     cluster.crash_point = Some((0, CrashPoint::AfterSend(is_accept)));
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 8.0);
-    assert!(cluster.machines[0].core.is_none(), "it died");
+    assert!(cluster.replicas[0].core.is_none(), "the replica crashed");
     assert_eq!((cluster.numbers_of(2), cluster.heads()), (vec![2], vec![2, 2]));
 }
 
@@ -77,7 +77,7 @@
     cluster.crash_point = Some((0, CrashPoint::AfterStore(is_accepted)));
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 0.5);
-    assert!(cluster.machines[0].core.is_none(), "it died");
+    assert!(cluster.replicas[0].core.is_none(), "the replica crashed");
     assert_eq!(cluster.commit(1, change(3, "other", "lanes = 3", 0)), 2);
     cluster.start_replica(0);
     cluster.run_until(cluster.now + 5.0);
@@ -104,10 +104,10 @@
     assert_eq!(cluster.outcome(1, 3), Some(Outcome::Committed(2)));
     assert_eq!(cluster.heads(), [1, 1, 2, 2, 2]);
     assert!(
-        cluster.machine_view(0).confirmed_age.is_none_or(|age| age > 5.0),
+        cluster.replica_view(0).confirmed_age.is_none_or(|age| age > 5.0),
         "it knows that it may be behind"
     );
-    assert!(cluster.machine_view(2).confirmed_age.is_some_and(|age| age < 1.0));
+    assert!(cluster.replica_view(2).confirmed_age.is_some_and(|age| age < 1.0));
     cluster.delivery_rule = reliable();
     cluster.run_until(cluster.now + 3.0);
     cluster.assert_agreement();
@@ -125,7 +125,7 @@
     cluster.propose(2, 2, change(3, "a", "lanes = 3", number));
     cluster.run_until(cluster.now + 2.0);
     let outcomes = [cluster.outcome(1, 2), cluster.outcome(2, 3)];
-    let won = cluster.log.state.get("a").expect("it stands").0;
+    let won = cluster.log.state.get("a").expect("an entry in force").0;
     assert!(
         outcomes == [Some(Outcome::Committed(won)), Some(Outcome::Superseded(won))]
             || outcomes == [Some(Outcome::Superseded(won)), Some(Outcome::Committed(won))],
@@ -165,7 +165,7 @@
             outcomes.iter().all(|o| matches!(o, Some(Outcome::Committed(_)))),
             "seed {seed}: {outcomes:?}"
         );
-        let prepares: u64 = (0..3).map(|n| cluster.machine_view(n).counters.prepares).sum();
+        let prepares: u64 = (0..3).map(|n| cluster.replica_view(n).counters.prepares).sum();
         assert!(prepares >= 2, "seed {seed}: they met");
         cluster.assert_agreement();
     }
@@ -244,8 +244,8 @@
             (0..times).map(|_| late(rng)).collect()
         });
         for id in 1..30 {
-            let machine = cluster.rng.random_range(0..3);
-            cluster.propose(0, machine, change(id, &format!("key {}", id % 4), "lanes = 1", 0));
+            let replica = cluster.rng.random_range(0..3);
+            cluster.propose(0, replica, change(id, &format!("key {}", id % 4), "lanes = 1", 0));
             if id % 7 == 0 {
                 let n = cluster.rng.random_range(0..3);
                 cluster.stop_replica(n);
@@ -282,7 +282,7 @@
     }
     cluster.run_until(cluster.now + 0.1);
     assert_eq!(cluster.replica(1).compact(), before);
-    assert_eq!(cluster.machine_view(1).counters.unexpected, 5);
+    assert_eq!(cluster.replica_view(1).counters.unexpected, 5);
 }
 
 /// The entry under a key, and the view in pages.
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -26,11 +26,11 @@
 /// Seconds until a process that crashed, or cannot read its log, restarts.
 const RESTART: f64 = 0.3;
 
-type Machine = DurableReplica<FaultyFolder>;
+type StoredReplica = DurableReplica<FaultyFolder>;
 
 pub struct Cluster {
     now: f64,
-    machines: [Option<Machine>; SIZE],
+    replicas: [Option<StoredReplica>; SIZE],
     disks: [FaultyFolder; SIZE],
     /// The disk that fails.
     pub disk: FaultyFolder,
@@ -87,7 +87,7 @@
         let disks: [FaultyFolder; SIZE] = Default::default();
         Self {
             now: 0.0,
-            machines: Default::default(),
+            replicas: Default::default(),
             disk: disks[FAULTY].clone(),
             disks,
             loss: PowerLoss { keeps_names: true, keeps_bytes: usize::MAX },
@@ -105,17 +105,17 @@
     }
 
     pub fn head(&self, n: usize) -> u64 {
-        self.machines[n].as_ref().expect("it runs").replica().state().head()
+        self.replicas[n].as_ref().expect("it runs").replica().state().head()
     }
 
     pub fn votes(&mut self, n: usize) -> bool {
         let now = self.now;
-        self.machines[n].as_mut().is_some_and(|m| m.replica_mut().view(now).votes)
+        self.replicas[n].as_mut().is_some_and(|m| m.replica_mut().view(now).votes)
     }
 
     /// Stops a replica for good.
     pub fn stop(&mut self, n: usize) {
-        self.machines[n] = None;
+        self.replicas[n] = None;
         self.stopped[n] = true;
     }
 
@@ -131,7 +131,7 @@
         }
         self.seeds += 1;
         let (seed, now) = (self.seeds, self.now);
-        self.machines[n] = Some(DurableReplica::new(stored, POLICY, now, |records| {
+        self.replicas[n] = Some(DurableReplica::new(stored, POLICY, now, |records| {
             let replicas = (0..SIZE).map(at).collect();
             let config = ReplicaConfig { own_index: n, replicas, timing: Timing::default(), seed };
             Replica::new(config, now, records)
@@ -140,7 +140,7 @@
 
     fn restart_where_due(&mut self) {
         for n in 0..SIZE {
-            if self.machines[n].is_some() || self.stopped[n] || self.now < self.restart_at[n] {
+            if self.replicas[n].is_some() || self.stopped[n] || self.now < self.restart_at[n] {
                 continue;
             }
             if self.disks[n].is_killed() {
@@ -153,10 +153,10 @@
     /// Stores and sends what a replica has.
     fn flush(&mut self, n: usize) {
         let now = self.now;
-        let Some(machine) = self.machines[n].as_mut() else { return };
-        let out = machine.flush(now).messages;
+        let Some(durable) = self.replicas[n].as_mut() else { return };
+        let out = durable.flush(now).messages;
         if self.disks[n].is_killed() {
-            self.machines[n] = None;
+            self.replicas[n] = None;
             self.restart_at[n] = now + RESTART;
             return;
         }
@@ -204,8 +204,8 @@
                 assert!(before.is_none_or(|before| before == *number), "{id} at {number} and at {before:?}");
             }
             let Some(n) = (0..SIZE).find(|n| at(*n) == to) else { continue };
-            if let Some(machine) = self.machines[n].as_mut() {
-                machine.replica_mut().receive(self.now, from, message);
+            if let Some(durable) = self.replicas[n].as_mut() {
+                durable.replica_mut().receive(self.now, from, message);
                 self.flush(n);
             }
         }
@@ -221,8 +221,8 @@
             self.restart_where_due();
             for n in 0..SIZE {
                 let now = self.now;
-                if let Some(machine) = self.machines[n].as_mut().filter(|m| m.next_deadline() <= now) {
-                    machine.replica_mut().tick(now);
+                if let Some(durable) = self.replicas[n].as_mut().filter(|m| m.next_deadline() <= now) {
+                    durable.replica_mut().tick(now);
                     self.flush(n);
                 }
             }
@@ -233,7 +233,7 @@
     fn next_change(&mut self) -> Change {
         self.ids += 1;
         let key = key(self.ids);
-        let newest = self.machines.iter().flatten().map(|m| m.replica().state()).max_by_key(|s| s.head());
+        let newest = self.replicas.iter().flatten().map(|m| m.replica().state()).max_by_key(|s| s.head());
         let replaces = newest.and_then(|state| state.get(key)).map_or(0, |(number, _)| number);
         Change { id: self.ids, key: key.into(), text: Some("x".repeat(60)), replaces }
     }
@@ -266,7 +266,7 @@
             self.propose(n);
             self.run_for(0.3);
         }
-        self.machines[FAULTY] = None;
+        self.replicas[FAULTY] = None;
         self.restart_at[FAULTY] = self.now + RESTART;
         self.run_for(0.5);
         for n in [FAULTY, 0] {
@@ -286,7 +286,7 @@
         (0..SIZE).for_each(|n| assert!(self.votes(n), "{what}: {n} does not vote"));
         self.assert_agreement(what);
         for n in 0..SIZE {
-            self.machines[n] = None;
+            self.replicas[n] = None;
             self.disks[n] = self.disks[n].after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
         }
         self.messages.clear();
@@ -297,7 +297,7 @@
     fn assert_agreement(&mut self, what: &str) {
         let last = self.commit(0);
         self.run_for(1.0);
-        let states: Vec<_> = self.machines.iter().flatten().map(|m| m.replica().state()).collect();
+        let states: Vec<_> = self.replicas.iter().flatten().map(|m| m.replica().state()).collect();
         assert_eq!(states.len(), SIZE, "{what}: all run");
         assert!(states.iter().all(|state| *state == states[0]), "{what}: they do not agree");
         let highest = self.committed.values().copied().max().unwrap_or(0);
