--- a/crates/storage/src/backoff.rs
+++ b/crates/storage/src/backoff.rs
@@ -1,10 +1,10 @@
 //! When a failed operation is tried again.
 
 /// Seconds until the first retry.
-const FIRST: f64 = 0.1;
+const FIRST_RETRY_DELAY: f64 = 0.1;
 
 /// Seconds between two retries at most.
-const LONGEST: f64 = 5.0;
+const MAX_RETRY_DELAY: f64 = 5.0;
 
 /// Exponential backoff: each failure in a row doubles the time until the next retry, up to a bound.
 #[derive(Clone, Copy, Debug, Default)]
@@ -15,7 +15,7 @@
 impl Backoff {
     /// Counts a failure; gives the seconds until the next attempt.
     pub fn failed(&mut self) -> f64 {
-        let delay = (FIRST * 2f64.powi(self.failures.min(30) as i32)).min(LONGEST);
+        let delay = (FIRST_RETRY_DELAY * 2f64.powi(self.failures.min(30) as i32)).min(MAX_RETRY_DELAY);
         self.failures = self.failures.saturating_add(1);
         delay
     }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -69,23 +69,23 @@
 }
 
 /// Replaces a file as a whole: at every moment of a crash it is the old or the new one, and the new one once this comes
-/// back. `beside` is the name that the new file has until it is complete. Gives the new file, to be appended to.
+/// back. `temporary_name` is the name that the new file has until it is complete. Gives the new file, to be appended to.
 pub fn replace_file<F: Folder>(
     folder: &F,
     name: &str,
-    beside: &str,
+    temporary_name: &str,
     bytes: &[u8],
 ) -> Result<F::File, ReplaceError> {
-    let file = write_fresh(folder, beside, bytes).map_err(|e| {
+    let file = write_new_file(folder, temporary_name, bytes).map_err(|e| {
         // What was written takes room that the next attempt needs.
-        let _ = folder.remove(beside);
+        let _ = folder.remove(temporary_name);
         ReplaceError::Before(e)
     })?;
-    folder.rename(beside, name).and_then(|()| folder.sync()).map_err(ReplaceError::Uncertain)?;
+    folder.rename(temporary_name, name).and_then(|()| folder.sync()).map_err(ReplaceError::Uncertain)?;
     Ok(file)
 }
 
-fn write_fresh<F: Folder>(folder: &F, name: &str, bytes: &[u8]) -> io::Result<F::File> {
+fn write_new_file<F: Folder>(folder: &F, name: &str, bytes: &[u8]) -> io::Result<F::File> {
     // One that a crash or a failed attempt left behind is not written on.
     match folder.remove(name) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
--- a/crates/storage/src/framing.rs
+++ b/crates/storage/src/framing.rs
@@ -6,10 +6,10 @@
 pub const HEADER: &[u8] = b"milletpath control log 1\n";
 
 /// Before each record: its length, a checksum of that, and a checksum of the record.
-const FRAME: usize = 4 + 4 + 8;
+const FRAME_BYTES: usize = 4 + 4 + 8;
 
 /// Bytes of one record at most: far more than a change has.
-const LARGEST_RECORD: u32 = 1 << 20;
+const MAX_RECORD_BYTES: u32 = 1 << 20;
 
 /// Why a file can't be read as a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,10 +31,10 @@
 ///
 /// # Panics
 ///
-/// Where a record is larger than [`LARGEST_RECORD`]: its author bounds it far below.
+/// Where a record is larger than [`MAX_RECORD_BYTES`]: its author bounds it far below.
 pub fn frame(records: &[Vec<u8>], bytes: &mut Vec<u8>) {
     for record in records {
-        let length = u32::try_from(record.len()).ok().filter(|n| *n <= LARGEST_RECORD);
+        let length = u32::try_from(record.len()).ok().filter(|n| *n <= MAX_RECORD_BYTES);
         let length = length.expect("a record within its bound").to_le_bytes();
         bytes.extend(length);
         bytes.extend((xxh3_64(&length) as u32).to_le_bytes());
@@ -53,39 +53,39 @@
     let mut records = Vec::new();
     while !rest.is_empty() {
         match parse_record(rest) {
-            Next::Record(record, behind) => {
+            ParsedRecord::Record(record, following) => {
                 records.push(record.to_vec());
-                rest = behind;
+                rest = following;
             }
-            Next::Torn => break,
-            Next::Corrupt => return Err(FormatError::CorruptAt((bytes.len() - rest.len()) as u64)),
+            ParsedRecord::Torn => break,
+            ParsedRecord::Corrupt => return Err(FormatError::CorruptAt((bytes.len() - rest.len()) as u64)),
         }
     }
     Ok(Parsed { records, torn_bytes: rest.len() as u64 })
 }
 
-enum Next<'a> {
+enum ParsedRecord<'a> {
     /// A record, and the bytes behind it.
     Record(&'a [u8], &'a [u8]),
     Torn,
     Corrupt,
 }
 
-fn parse_record(bytes: &[u8]) -> Next<'_> {
+fn parse_record(bytes: &[u8]) -> ParsedRecord<'_> {
     /// Zeros at the end of a record whose bytes did not reach the disk.
     const TORN_ZEROS: usize = 8;
     let zeros = |part: &[u8]| part.iter().all(|b| *b == 0);
-    let Some((frame, behind)) = bytes.split_at_checked(FRAME) else { return Next::Torn };
+    let Some((frame, following)) = bytes.split_at_checked(FRAME_BYTES) else { return ParsedRecord::Torn };
     let (length, checks) = frame.split_at(4);
-    let (of_length, of_record) = checks.split_at(4);
+    let (length_checksum, record_checksum) = checks.split_at(4);
     let size = length.iter().rev().fold(0, |n, b| n << 8 | usize::from(*b));
-    if of_length != (xxh3_64(length) as u32).to_le_bytes() || size > LARGEST_RECORD as usize {
-        return if zeros(bytes) { Next::Torn } else { Next::Corrupt };
+    if length_checksum != (xxh3_64(length) as u32).to_le_bytes() || size > MAX_RECORD_BYTES as usize {
+        return if zeros(bytes) { ParsedRecord::Torn } else { ParsedRecord::Corrupt };
     }
-    let Some((record, after)) = behind.split_at_checked(size) else { return Next::Torn };
-    if of_record == xxh3_64(record).to_le_bytes() {
-        return Next::Record(record, after);
+    let Some((record, after)) = following.split_at_checked(size) else { return ParsedRecord::Torn };
+    if record_checksum == xxh3_64(record).to_le_bytes() {
+        return ParsedRecord::Record(record, after);
     }
     let end = &record[size.saturating_sub(TORN_ZEROS)..];
-    if size > 0 && zeros(end) && zeros(after) { Next::Torn } else { Next::Corrupt }
+    if size > 0 && zeros(end) && zeros(after) { ParsedRecord::Torn } else { ParsedRecord::Corrupt }
 }
--- a/crates/storage/src/record_log.rs
+++ b/crates/storage/src/record_log.rs
@@ -108,8 +108,8 @@
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), ReplaceError> {
         let mut bytes = HEADER.to_vec();
         framing::frame(records, &mut bytes);
-        let beside = format!("{}.new", self.name);
-        match replace_file(&self.folder, &self.name, &beside, &bytes) {
+        let temporary_name = format!("{}.new", self.name);
+        match replace_file(&self.folder, &self.name, &temporary_name, &bytes) {
             Ok(file) => {
                 self.state = State::Appendable(file);
                 (self.size, self.rewritten_size) = (bytes.len() as u64, bytes.len() as u64);
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -61,12 +61,12 @@
         self.status.resize(self.bytes.len(), Byte::Written);
     }
 
-    fn synced(&mut self, to: Byte) {
+    fn mark_unsynced(&mut self, to: Byte) {
         self.status.iter_mut().filter(|s| **s == Byte::Written).for_each(|s| *s = to);
     }
 
     /// What is left after a loss of power.
-    fn cut(&mut self, mut keeps: usize) {
+    fn lose_power(&mut self, mut keeps: usize) {
         let mut left = Vec::new();
         for (byte, status) in self.bytes.iter().zip(&self.status) {
             match status {
@@ -140,7 +140,7 @@
         let names = if loss.keeps_names { &disk.names } else { &disk.durable_names };
         disk.names = names.clone();
         disk.durable_names = disk.names.clone();
-        disk.inodes.iter_mut().for_each(|inode| inode.cut(loss.keeps_bytes));
+        disk.inodes.iter_mut().for_each(|inode| inode.lose_power(loss.keeps_bytes));
         disk.clear_faults();
         Self { disk: Rc::new(RefCell::new(disk)) }
     }
@@ -193,13 +193,13 @@
     fn operate<T>(
         &mut self,
         operation: Operation,
-        act: impl FnOnce(&mut Self) -> io::Result<T>,
+        operation_body: impl FnOnce(&mut Self) -> io::Result<T>,
     ) -> io::Result<T> {
         match self.begin(operation)? {
             Some(Fault::Fails(errno)) => Err(errno.into()),
-            Some(Fault::FailsAfter(errno)) => act(self).and_then(|_| Err(errno.into())),
+            Some(Fault::FailsAfter(errno)) => operation_body(self).and_then(|_| Err(errno.into())),
             Some(Fault::Killed { .. }) => Err(killed()),
-            Some(Fault::ShortWrite) | None => act(self),
+            Some(Fault::ShortWrite) | None => operation_body(self),
         }
     }
 
@@ -268,14 +268,14 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut disk = self.disk();
         let half = bytes.len().div_ceil(2);
-        let (takes, result) = match disk.begin(Operation::Write)? {
+        let (accepted_bytes, result) = match disk.begin(Operation::Write)? {
             None => (bytes.len(), Ok(bytes.len())),
             Some(Fault::Fails(errno)) => (0, Err(errno.into())),
             Some(Fault::FailsAfter(errno)) => (half, Err(errno.into())),
             Some(Fault::ShortWrite) => (half, Ok(half)),
             Some(Fault::Killed { after }) => (after.min(bytes.len()), Err(killed())),
         };
-        disk.inodes[self.inode].write(&bytes[..takes]);
+        disk.inodes[self.inode].write(&bytes[..accepted_bytes]);
         result
     }
 
@@ -288,13 +288,13 @@
     fn sync(&mut self) -> io::Result<()> {
         let inode = self.inode;
         let mut disk = self.disk();
-        let synced = disk.operate(Operation::SyncFile, |disk| {
-            disk.inodes[inode].synced(Byte::Durable);
+        let result = disk.operate(Operation::SyncFile, |disk| {
+            disk.inodes[inode].mark_unsynced(Byte::Durable);
             Ok(())
         });
-        if synced.is_err() && !disk.killed {
-            disk.inodes[inode].synced(Byte::Lost);
+        if result.is_err() && !disk.killed {
+            disk.inodes[inode].mark_unsynced(Byte::Lost);
         }
-        synced
+        result
     }
 }
--- a/crates/storage/tests/record_log.rs
+++ b/crates/storage/tests/record_log.rs
@@ -110,8 +110,11 @@
             Err(OpenError::NoLog) => assert!(at < HEADER),
             Err(error @ OpenError::CorruptAt(record)) => {
                 assert!(record <= at as u64 && at >= HEADER);
-                let told = error.to_string();
-                assert!(told.contains(&format!("byte {record}")) && told.contains("move the file"), "{told}");
+                let cause = error.to_string();
+                assert!(
+                    cause.contains(&format!("byte {record}")) && cause.contains("move the file"),
+                    "{cause}"
+                );
             }
             other => panic!("bit {} of byte {at}: {:?}", at % 8, other.map(|(_, recovered)| recovered)),
         }
