--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -8,17 +8,21 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
+/// A folder of the file system.
 #[derive(Clone, Debug)]
 pub struct DiskFolder {
     path: PathBuf,
 }
 
 impl DiskFolder {
+    /// The folder at that path, which must exist.
+    #[must_use]
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Self { path: path.into() }
     }
 
-    /// The folder that holds a file, and the file's name in it; none where the path has no file name.
+    /// The folder that holds a file, and the name of the file in it; `None` if the path has no file name in UTF-8.
+    #[must_use]
     pub fn of_file(file: &Path) -> Option<(Self, String)> {
         let name = file.file_name()?.to_str()?.to_owned();
         let parent = file.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
@@ -61,7 +65,12 @@
     }
 }
 
-/// From now on a write beyond the limit on a file's size fails with EFBIG, and no signal ends the process.
+/// Makes a write beyond the limit on file sizes (`RLIMIT_FSIZE`) fail with `EFBIG`, instead of ending the process by
+/// `SIGXFSZ`.
+///
+/// # Errors
+///
+/// If the signal handler cannot be installed.
 pub fn survive_file_size_limit() -> io::Result<()> {
     signal_hook::flag::register(SIGXFSZ, Arc::new(AtomicBool::new(false))).map(drop)
 }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,38 +1,42 @@
-//! The operations on files that durable state needs, and what is built on them alone.
+//! The file operations that durable state needs, and the replacement of a whole file, which needs nothing else.
 
 use nix::errno::Errno;
 use std::io::{self, Write};
 use thiserror::Error;
 
-/// A folder whose files outlive the process. File names are plain names within it.
+/// A folder whose files outlive the process. File names are names within it, without separators. All errors are those of
+/// the operating system.
 pub trait Folder {
+    /// A file of this folder that is being written.
     type File: FolderFile;
 
-    /// All bytes of a file.
+    /// Reads a whole file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// A new, empty file; an error where the name is taken.
+    /// Creates an empty file; fails if the name is taken.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Gives a file another name, in place of the file that had it.
+    /// Renames a file, and replaces the file that had the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
+    /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// The names of the files in it.
+    /// The names of all files.
     fn names(&self) -> io::Result<Vec<String>>;
 
-    /// Makes durable which names there are, and which file each stands for.
+    /// Makes the names durable: which there are, and which file each refers to.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A file that is written from its first byte to its last.
+/// A file that is only appended to.
 pub trait FolderFile: Write {
-    /// Makes durable what was written.
+    /// Makes all written bytes durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// Whether an error may pass by itself: the disk is full or fails, or the system is short of something.
+/// Whether an error may go away by itself: the disk is full or fails, or the system is short of a resource.
+#[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     let transient = [
         Errno::EIO,
@@ -52,15 +56,17 @@
 /// Why a file could not be replaced.
 #[derive(Debug, Error)]
 pub enum ReplaceError {
-    /// The old file stands as it was.
+    /// The old file is unchanged.
     #[error("a fresh file can't be written: {0}")]
     Before(#[source] io::Error),
-    /// After a crash it may be the old file or the new one.
+    /// After a crash either the old or the new file may be there.
     #[error("a fresh file can't be put in the place of the old: {0}")]
     Uncertain(#[source] io::Error),
 }
 
 impl ReplaceError {
+    /// The error of the operating system.
+    #[must_use]
     pub fn io(&self) -> &io::Error {
         match self {
             Self::Before(e) | Self::Uncertain(e) => e,
@@ -68,8 +74,12 @@
     }
 }
 
-/// Replaces a file as a whole: at every moment of a crash it is the old or the new one, and the new one once this comes
-/// back. `temporary_name` is the name that the new file has until it is complete. Gives the new file, to be appended to.
+/// Replaces a file as a whole. After a crash at any time either the old or the new file is there, and the new one once this
+/// function has returned it. The new file has `temporary_name` until it is complete, and can be appended to.
+///
+/// # Errors
+///
+/// A [`ReplaceError`], which tells whether the old file is certainly still there.
 pub fn replace_file<F: Folder>(
     folder: &F,
     name: &str,
@@ -77,7 +87,7 @@
     bytes: &[u8],
 ) -> Result<F::File, ReplaceError> {
     let file = write_new_file(folder, temporary_name, bytes).map_err(|e| {
-        // What was written takes room that the next attempt needs.
+        // An incomplete file takes space that the next attempt needs.
         let _ = folder.remove(temporary_name);
         ReplaceError::Before(e)
     })?;
@@ -86,7 +96,7 @@
 }
 
 fn write_new_file<F: Folder>(folder: &F, name: &str, bytes: &[u8]) -> io::Result<F::File> {
-    // One that a crash or a failed attempt left behind is not written on.
+    // A file that a crash or a failed attempt left behind must not be appended to.
     match folder.remove(name) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
--- a/crates/storage/src/framing.rs
+++ b/crates/storage/src/framing.rs
@@ -1,37 +1,40 @@
-//! The form of a record log: a header, then records one behind the other, each with its length and checksums.
+//! The format of a record log: a header, then the records, each behind a frame with its length and two checksums.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What such a file begins with.
+/// The first bytes of a record log.
 pub const HEADER: &[u8] = b"milletpath control log 1\n";
 
-/// Before each record: its length, a checksum of that, and a checksum of the record.
+/// Size of a frame: the length of the record (4 bytes), a checksum of the length (4), and a checksum of the record (8);
+/// integers are little-endian, checksums are XXH3, cut to the lower bytes.
 const FRAME_BYTES: usize = 4 + 4 + 8;
 
-/// Bytes of one record at most: far more than a change has.
+/// Largest size of a record, in bytes; a change is far smaller.
 const MAX_RECORD_BYTES: u32 = 1 << 20;
 
 /// Why a file can't be read as a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FormatError {
+    /// It does not begin with the header.
     NoLog,
-    /// The record at this byte is not what was written.
+    /// The record at this byte offset was changed after it was written.
     CorruptAt(u64),
 }
 
-/// What a file holds.
+/// The contents of a file.
 #[derive(Debug, Default, PartialEq)]
 pub struct Parsed {
+    /// All complete records.
     pub records: Vec<Vec<u8>>,
-    /// Bytes at the end of a record that a crash or a failed write cut short.
+    /// Size of a last record that a crash or a failed write cut short, in bytes.
     pub torn_bytes: u64,
 }
 
-/// Adds records to `bytes`, each in its frame.
+/// Appends records to `bytes`, each behind its frame.
 ///
 /// # Panics
 ///
-/// Where a record is larger than [`MAX_RECORD_BYTES`]: its author bounds it far below.
+/// If a record is larger than [`MAX_RECORD_BYTES`]; callers bound their records far below that.
 pub fn frame(records: &[Vec<u8>], bytes: &mut Vec<u8>) {
     for record in records {
         let length = u32::try_from(record.len()).ok().filter(|n| *n <= MAX_RECORD_BYTES);
@@ -43,10 +46,10 @@
     }
 }
 
-/// The records of a whole file.
+/// Parses a whole file.
 pub fn parse(bytes: &[u8]) -> Result<Parsed, FormatError> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
-        // New, or cut short before it held anything.
+        // New, or cut short before its first record.
         return Ok(Parsed::default());
     }
     let mut rest = bytes.strip_prefix(HEADER).ok_or(FormatError::NoLog)?;
@@ -65,14 +68,14 @@
 }
 
 enum ParsedRecord<'a> {
-    /// A record, and the bytes behind it.
+    /// A record, and the bytes that follow it.
     Record(&'a [u8], &'a [u8]),
     Torn,
     Corrupt,
 }
 
 fn parse_record(bytes: &[u8]) -> ParsedRecord<'_> {
-    /// Zeros at the end of a record whose bytes did not reach the disk.
+    /// Zeros at the end of a record which tell that its last bytes did not reach the disk.
     const TORN_ZEROS: usize = 8;
     let zeros = |part: &[u8]| part.iter().all(|b| *b == 0);
     let Some((frame, following)) = bytes.split_at_checked(FRAME_BYTES) else { return ParsedRecord::Torn };
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,9 +1,14 @@
-//! Durable files on disks that fail for a while.
+//! Files that survive crashes, on disks that may fail for a while.
 //!
-//! [`Folder`] is the one seam between durable state and the operating system: [`DiskFolder`] is a folder of the file
-//! system, `testing::FaultyFolder` one in memory that fails where a test says. On it stand [`RecordLog`], the log of a
-//! control machine, and [`replace_file`], by which a file is replaced as a whole. Both hold to one rule: after a failed
-//! write or sync a file is never appended to or synced again; what it should hold goes into a fresh file.
+//! [`Folder`] is the only interface between durable state and the operating system: [`DiskFolder`] is a folder of the file
+//! system, `testing::FaultyFolder` a folder in memory that fails where a test asks for it. [`RecordLog`], the log file of a
+//! control machine, and [`replace_file`], which replaces a file as a whole, are built on it. Both follow one rule: after a
+//! failed write or sync a file is never appended to or synced again, and its contents go into a new file. The state of a
+//! file after a failed sync is undefined (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC
+//! 2020).
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 mod backoff;
 mod disk;
--- a/crates/storage/src/record_log.rs
+++ b/crates/storage/src/record_log.rs
@@ -1,29 +1,31 @@
-//! A log of records in one file. What was appended is durable when [`RecordLog::append`] comes back. After an error the
-//! file is not touched again: all that the log must hold goes into a fresh file by [`RecordLog::rewrite`], at a start
-//! as well, as it can't be known whether what is read there ever reached the disk.
+//! A log of records in one file. Records are durable once [`RecordLog::append`] has returned. After an error the file is
+//! not touched again, and all records have to go into a new file by [`RecordLog::rewrite`]; likewise after opening, as it
+//! cannot be known whether the bytes that were read ever reached the disk.
 
 use crate::folder::{Folder, FolderFile, ReplaceError, replace_file};
 use crate::framing::{self, FormatError, HEADER};
 use std::io::{self, Write};
 use thiserror::Error;
 
-/// What a log held when it was opened.
+/// The contents of a log that was opened.
 #[derive(Debug, Default, PartialEq)]
 pub struct Recovered {
+    /// All complete records, in order.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of a record that a crash or a failed write cut short; they are passed over.
+    /// Size of a last record that a crash or a failed write cut short, in bytes; it is ignored.
     pub torn_bytes: u64,
 }
 
-/// Why a log can't be opened.
+/// Why a log cannot be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
+    /// The operating system cannot read it.
     #[error("it can't be read: {0}; mend the disk or its permissions")]
     Io(#[source] io::Error),
-    /// The file is something else from its first byte on.
+    /// The file does not begin like a record log.
     #[error("it is no log of a control machine; move it away")]
     NoLog,
-    /// The record at this byte is not what was written.
+    /// The record at this byte offset was changed after it was written.
     #[error(
         "the record at byte {0} is rotten; while more than half of the control machines run, move the file away and \
          begin this one again: it learns all from the others"
@@ -31,13 +33,13 @@
     CorruptAt(u64),
 }
 
-/// Why records could not be appended. After either nothing may be acknowledged that builds on them.
+/// Why records could not be appended. Nothing that depends on them may be acknowledged.
 #[derive(Debug, Error)]
 pub enum AppendError {
-    /// The disk failed, now: a part may be there after a crash. All that the log must hold is to be rewritten.
+    /// The disk failed just now; after a crash a part of the records may be there. The log has to be rewritten.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The disk failed before, and the log has not been rewritten since.
+    /// The disk failed earlier, and the log has not been rewritten since.
     #[error("the log must be rewritten first")]
     NeedsRewrite,
 }
@@ -51,26 +53,31 @@
     }
 }
 
-/// What the file is good for.
+/// Whether the file can be appended to.
 #[derive(Debug)]
 enum State<T> {
-    /// All that was acknowledged is in this file, and it can be appended to.
+    /// All acknowledged records are durable in this file.
     Appendable(T),
-    /// Only a fresh file is to be trusted.
+    /// Only a new file can be trusted.
     NeedsRewrite,
 }
 
+/// A log of records in one file.
 pub struct RecordLog<F: Folder> {
     folder: F,
     name: String,
     state: State<F::File>,
     size: u64,
-    /// Its size when it was last written anew.
+    /// Its size after the last rewrite.
     rewritten_size: u64,
 }
 
 impl<F: Folder> RecordLog<F> {
-    /// Reads a log; a file that is not there holds nothing. It takes records once it was rewritten.
+    /// Reads a log; a missing file is an empty log. It can be appended to once it was rewritten.
+    ///
+    /// # Errors
+    ///
+    /// An [`OpenError`] if the file cannot be read, is no record log, or is corrupt.
     pub fn open(folder: F, name: &str) -> Result<(Self, Recovered), OpenError> {
         let bytes = match folder.read(name) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
@@ -83,12 +90,17 @@
         Ok((log, Recovered { records, torn_bytes }))
     }
 
-    /// Whether records can be appended; if not, all that the log must hold is to be rewritten first.
+    /// Whether records can be appended; if not, the log has to be rewritten first.
+    #[must_use]
     pub fn is_appendable(&self) -> bool {
         matches!(self.state, State::Appendable(_))
     }
 
-    /// Appends records; they are durable when this comes back.
+    /// Appends records and makes them durable.
+    ///
+    /// # Errors
+    ///
+    /// An [`AppendError`] if the records may not be durable; the log then has to be rewritten.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), AppendError> {
         let mut bytes = Vec::new();
         framing::frame(records, &mut bytes);
@@ -103,8 +115,11 @@
         Ok(written?)
     }
 
-    /// Holds these records instead of all others, in a fresh file. At every moment of a crash the log is the old or the
-    /// new one. An error before the new file takes the old one's name leaves an appendable log appendable.
+    /// Replaces all records, in a new file. After a crash at any time the log is either the old or the new one.
+    ///
+    /// # Errors
+    ///
+    /// A [`ReplaceError`]. After [`ReplaceError::Before`] an appendable log is still appendable.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), ReplaceError> {
         let mut bytes = HEADER.to_vec();
         framing::frame(records, &mut bytes);
@@ -124,13 +139,15 @@
         }
     }
 
-    /// Bytes of the file.
+    /// Size of the file, in bytes.
+    #[must_use]
     pub fn size(&self) -> u64 {
         self.size
     }
 
-    /// Whether it has grown to such a multiple of what it was when it was last rewritten; not while it is small.
-    pub fn has_grown(&self, multiple: u64, small: u64) -> bool {
-        self.size > small && self.size > multiple * self.rewritten_size
+    /// Whether it is larger than `min_bytes`, and than that multiple of its size after the last rewrite.
+    #[must_use]
+    pub fn has_grown(&self, multiple: u64, min_bytes: u64) -> bool {
+        self.size > min_bytes && self.size > multiple * self.rewritten_size
     }
 }
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -1,4 +1,4 @@
-//! A folder in memory that fails where a test says, and that forgets at a loss of power what was never made durable.
+//! A folder in memory that fails where a test asks for it, and that loses at a power failure what was never made durable.
 
 use crate::folder::{Folder, FolderFile};
 use nix::errno::Errno;
@@ -8,36 +8,49 @@
 use std::ops::Range;
 use std::rc::Rc;
 
+/// The kinds of operations of a folder and its files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Operation {
+    /// [`Folder::read`].
     Read,
+    /// [`Folder::create`].
     Create,
+    /// A write to a file.
     Write,
+    /// [`FolderFile::sync`].
     SyncFile,
+    /// [`Folder::rename`].
     Rename,
+    /// [`Folder::remove`].
     Remove,
+    /// [`Folder::names`].
     List,
+    /// [`Folder::sync`].
     SyncFolder,
 }
 
+/// How an operation fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The operation fails and changes nothing, but that what a failed sync was to store is never stored.
+    /// The operation fails without effect, except that bytes whose sync failed never become durable.
     Fails(Errno),
     /// The operation fails after it took effect; a write after half of its bytes.
     FailsAfter(Errno),
-    /// A write takes half of its bytes, and says so.
+    /// A write accepts half of its bytes, and reports that.
     ShortWrite,
-    /// The process is killed: before the operation, or after so many bytes of a write.
-    Killed { after: usize },
+    /// The process is killed before the operation, or during a write.
+    Killed {
+        /// Bytes that the write accepts before.
+        after: usize,
+    },
 }
 
-/// What a loss of power leaves of what was not made durable.
+/// What a power failure leaves of what was not made durable.
 #[derive(Clone, Copy, Debug)]
 pub struct PowerLoss {
-    /// Whether new names are there though the folder was not synced.
+    /// Whether names are kept although the folder was not synced.
     pub keeps_names: bool,
-    /// Bytes of each file that are there though it was not synced.
+    /// Number of bytes of each file that are kept although it was not synced.
     pub keeps_bytes: usize,
 }
 
@@ -45,7 +58,7 @@
 enum Byte {
     Written,
     Durable,
-    /// A sync of it failed: the system takes it for stored, and no later sync stores it.
+    /// Its sync failed: the system considers it clean, and no later sync writes it.
     Lost,
 }
 
@@ -65,7 +78,7 @@
         self.status.iter_mut().filter(|s| **s == Byte::Written).for_each(|s| *s = to);
     }
 
-    /// What is left after a loss of power.
+    /// Drops what a power failure loses.
     fn lose_power(&mut self, mut keeps: usize) {
         let mut left = Vec::new();
         for (byte, status) in self.bytes.iter().zip(&self.status) {
@@ -101,6 +114,7 @@
     disk: Rc<RefCell<Disk>>,
 }
 
+/// A file of a [`FaultyFolder`].
 #[derive(Debug)]
 pub struct FaultyFile {
     disk: Rc<RefCell<Disk>>,
@@ -108,33 +122,36 @@
 }
 
 impl FaultyFolder {
-    /// That befalls the operations of these numbers, counted from 0.
+    /// Makes the operations with these indexes, counted from 0, fail.
     pub fn fails(&self, operations: Range<usize>, fault: Fault) {
         self.disk.borrow_mut().faults.push((operations, fault));
     }
 
-    /// That befalls all operations of this kind from now on.
+    /// Makes all operations of this kind fail from now on.
     pub fn fails_at(&self, operation: Operation, fault: Fault) {
         self.disk.borrow_mut().failing_kinds.push((operation, fault));
     }
 
-    /// All goes well from now on, and a process that was killed begins again.
+    /// Clears all faults; a process that was killed can use the folder again.
     pub fn recovers(&self) {
         let mut disk = self.disk.borrow_mut();
         disk.clear_faults();
     }
 
-    /// Whether the process that uses it was killed by a fault.
+    /// Whether a fault killed the process that uses it.
+    #[must_use]
     pub fn is_killed(&self) -> bool {
         self.disk.borrow().killed
     }
 
     /// All operations so far.
+    #[must_use]
     pub fn operations(&self) -> Vec<Operation> {
         self.disk.borrow().operations.clone()
     }
 
-    /// A folder as it would be after a loss of power now, apart from this one.
+    /// An independent folder as this one would be after a power failure now.
+    #[must_use]
     pub fn after(&self, loss: PowerLoss) -> Self {
         let mut disk = self.disk.borrow().clone();
         let names = if loss.keeps_names { &disk.names } else { &disk.durable_names };
@@ -145,12 +162,13 @@
         Self { disk: Rc::new(RefCell::new(disk)) }
     }
 
-    /// The names there are.
+    /// The names of all files.
+    #[must_use]
     pub fn names(&self) -> Vec<String> {
         self.disk.borrow().names.keys().cloned().collect()
     }
 
-    /// Puts a durable file there.
+    /// Adds a durable file.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let mut disk = self.disk.borrow_mut();
         disk.inodes.push(Inode { bytes: bytes.to_vec(), status: vec![Byte::Durable; bytes.len()] });
@@ -171,7 +189,7 @@
         self.killed = false;
     }
 
-    /// Counts an operation; gives what befalls it.
+    /// Counts an operation, and returns its fault.
     fn begin(&mut self, operation: Operation) -> io::Result<Option<Fault>> {
         if self.killed {
             return Err(killed());
--- a/crates/storage/tests/record_log.rs
+++ b/crates/storage/tests/record_log.rs
@@ -100,7 +100,7 @@
 
 /// One bit turned anywhere: no record is read that was not written, and none is passed over in silence.
 #[test]
-fn a_corrupt_bit_is_told_with_its_place() {
+fn a_corrupt_bit_is_reported_with_its_offset() {
     let whole = bytes_of_three();
     for at in 0..whole.len() {
         let mut bytes = whole.clone();
