--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -5,7 +5,7 @@
 mod machine;
 mod receiver;
 
-use machine::Machine;
+use machine::ControlMachine;
 use milletpath_config::{ConfigLogConfig, GatewayConfig};
 use milletpath_config_log::{
     DurableReplica, LoadError, Replica, ReplicaConfig, ReplicaView, RewritePolicy, StoredLog, Timing,
@@ -21,27 +21,29 @@
 use std::time::{Duration, Instant};
 
 /// Between two looks whether it is to stop.
-const LOOK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-pub fn control(charter: &Path, number: usize, initialize: bool) -> ExitCode {
-    let (house, stated) = match stated(charter) {
-        Ok(stated) => stated,
+pub fn control(config_file: &Path, number: usize, initialize: bool) -> ExitCode {
+    let (config, config_log) = match read_config_log(config_file) {
+        Ok(config) => config,
         Err(code) => return code,
     };
-    let Some(at) = stated.control.get(number).copied() else {
-        let (name, last) = (charter.display(), stated.control.len() - 1);
+    let Some(at) = config_log.control.get(number).copied() else {
+        let (name, last) = (config_file.display(), config_log.control.len() - 1);
         eprintln!("{name}: has no control machine {number}; write --number 0 to {last}");
         return ExitCode::from(2);
     };
-    let file = charter.with_file_name(format!("control-{number}.log"));
-    let key = match milletpath_gateway::control_key(&stated.key_file) {
+    let file = config_file.with_file_name(format!("control-{number}.log"));
+    let key = match milletpath_gateway::control_key(&config_log.key_file) {
         Ok(key) => key,
-        Err(e) => return failed(&format!("key of changes: {e}")),
+        Err(e) => return print_failure(&format!("key of changes: {e}")),
     };
     // Before the file is touched: of two processes under one number the second ends here.
     let socket = match UdpSocket::bind(at) {
         Ok(socket) => socket,
-        Err(e) => return failed(&format!("{at} can't be listened on: {e}; is this machine {number} here?")),
+        Err(e) => {
+            return print_failure(&format!("{at} can't be listened on: {e}; is this machine {number} here?"));
+        }
     };
     if let Err(e) = survive_file_size_limit() {
         tracing::warn!("a limit on the size of files will end this process: {e}");
@@ -50,8 +52,8 @@
         Ok(stored) => stored,
         Err(code) => return code,
     };
-    let (began, seed) = (Instant::now(), milletpath_gateway::control_client::chance());
-    let control = stated.control.clone();
+    let (started_at, seed) = (Instant::now(), milletpath_gateway::control_client::chance());
+    let control = config_log.control.clone();
     let replica = DurableReplica::new(stored, RewritePolicy::default(), 0.0, |records| {
         let config = ReplicaConfig { own_index: number, replicas: control, timing: Timing::default(), seed };
         Replica::new(config, 0.0, records)
@@ -60,27 +62,34 @@
     tracing::info!(number, %at, head, "a control machine");
     // For whoever started it.
     let _ = writeln!(io::stdout(), "control {number} on udp://{at}");
-    run_until_stopped(Machine::new(replica, house, stated.control, socket.into(), key, began))
+    run_until_stopped(ControlMachine::new(
+        replica,
+        config,
+        config_log.control,
+        socket.into(),
+        key,
+        started_at,
+    ))
 }
 
 /// Runs a control machine in a thread of its own until the process is asked to end.
-fn run_until_stopped(machine: Machine) -> ExitCode {
+fn run_until_stopped(machine: ControlMachine) -> ExitCode {
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
     let thread = std::thread::Builder::new().name("control".into()).spawn(move || machine.run(&stopped));
-    let Ok(thread) = thread else { return failed("its thread can't start") };
+    let Ok(thread) = thread else { return print_failure("its thread can't start") };
     let ended = crate::local(async {
         tokio::select! {
             () = crate::serve::stop() => {}
             // It ends by itself only where it broke.
-            () = async { while !thread.is_finished() { tokio::time::sleep(LOOK).await } } => {}
+            () = async { while !thread.is_finished() { tokio::time::sleep(STOP_CHECK_INTERVAL).await } } => {}
         }
         ExitCode::SUCCESS
     });
     stop.store(true, Ordering::Release);
     match thread.join() {
         Ok(()) => ended,
-        Err(_) => failed("the control machine broke"),
+        Err(_) => print_failure("the control machine broke"),
     }
 }
 
@@ -89,10 +98,10 @@
 fn open_log(file: &Path, initialize: bool) -> Result<StoredLog<DiskFolder>, ExitCode> {
     let shown = file.display();
     let Some((folder, name)) = DiskFolder::of_file(file) else {
-        return Err(failed(&format!("{shown}: is no file name")));
+        return Err(print_failure(&format!("{shown}: is no file name")));
     };
-    let mut stored =
-        load(&folder, &name, std::thread::sleep).map_err(|unfit| failed(&format!("{shown}: {unfit}")))?;
+    let mut stored = load(&folder, &name, std::thread::sleep)
+        .map_err(|error| print_failure(&format!("{shown}: {error}")))?;
     if stored.torn_bytes > 0 {
         let bytes = stored.torn_bytes;
         tracing::warn!(file = %shown, bytes, "a record that a crash cut short is taken off the log");
@@ -110,7 +119,7 @@
             tracing::error!(file = %shown, "{e}; it does not vote until its log is written");
             Ok(stored)
         }
-        Err(e) => Err(failed(&format!("{shown}: {e}; mend the disk or its permissions"))),
+        Err(e) => Err(print_failure(&format!("{shown}: {e}; mend the disk or its permissions"))),
     }
 }
 
@@ -151,18 +160,18 @@
 }
 
 /// A charter, with what it states of changes.
-pub fn stated(charter: &Path) -> Result<(GatewayConfig, ConfigLogConfig), ExitCode> {
-    let house = crate::read(charter)?;
-    match house.config_log.clone() {
-        Some(changes) => Ok((house, changes)),
+pub fn read_config_log(config_file: &Path) -> Result<(GatewayConfig, ConfigLogConfig), ExitCode> {
+    let config = crate::read(config_file)?;
+    match config.config_log.clone() {
+        Some(changes) => Ok((config, changes)),
         None => {
-            eprintln!("{}: has no changes; add changes {{ ... }} to the charter", charter.display());
+            eprintln!("{}: has no changes; add changes {{ ... }} to the charter", config_file.display());
             Err(ExitCode::from(2))
         }
     }
 }
 
-fn failed(why: &str) -> ExitCode {
+fn print_failure(why: &str) -> ExitCode {
     eprintln!("{why}");
     ExitCode::FAILURE
 }
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -1,7 +1,7 @@
 //! The thread of a control machine: datagrams in, what is to be stored into the log, datagrams out.
 
 use super::receiver::{self, Receiver, Turn};
-use super::{ControlStatus, LOOK};
+use super::{ControlStatus, STOP_CHECK_INTERVAL};
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::message::{self, Key, MAX_DATAGRAM_BYTES, MAX_DENIAL_BYTES, Message};
 use milletpath_config_log::{DurableReplica, FlushOutput, StorageEvent};
@@ -12,58 +12,60 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-pub struct Machine {
+pub struct ControlMachine {
     replica: DurableReplica<DiskFolder>,
-    house: GatewayConfig,
+    config: GatewayConfig,
     control: Vec<SocketAddr>,
     socket: Arc<UdpSocket>,
     key: Key,
-    began: Instant,
-    telling: Telling,
+    started_at: Instant,
+    status_pages: Telling,
     /// Datagrams that were not taken.
-    refused: u64,
+    rejected_datagrams: u64,
     /// Why the log can't be written, since it failed last.
     log_error: Option<String>,
     /// When it is looked at next what is worth a line in the log, and what that was told last.
-    look: f64,
-    leads: Option<(bool, bool)>,
+    next_role_check: f64,
+    logged_role: Option<(bool, bool)>,
 }
 
-impl Machine {
+impl ControlMachine {
     pub fn new(
         replica: DurableReplica<DiskFolder>,
-        house: GatewayConfig,
+        config: GatewayConfig,
         control: Vec<SocketAddr>,
         socket: Arc<UdpSocket>,
         key: Key,
-        began: Instant,
+        started_at: Instant,
     ) -> Self {
         Self {
             replica,
-            house,
+            config,
             control,
             socket,
             key,
-            began,
-            telling: Telling::default(),
-            refused: 0,
+            started_at,
+            status_pages: Telling::default(),
+            rejected_datagrams: 0,
             log_error: None,
-            look: 0.0,
-            leads: None,
+            next_role_check: 0.0,
+            logged_role: None,
         }
     }
 
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
     /// Runs until it is told to stop.
     pub fn run(mut self, stop: &AtomicBool) {
         let mut receiver = Receiver::new(self.socket.clone(), MAX_DATAGRAM_BYTES);
         while !stop.load(Ordering::Acquire) {
-            let wait = (self.replica.next_deadline() - self.now()).clamp(0.001, LOOK.as_secs_f64());
-            let turn =
-                receiver.receive(Duration::from_secs_f64(wait), |datagram, from| self.take(datagram, from));
+            let wait =
+                (self.replica.next_deadline() - self.now()).clamp(0.001, STOP_CHECK_INTERVAL.as_secs_f64());
+            let turn = receiver.receive(Duration::from_secs_f64(wait), |datagram, from| {
+                self.handle_datagram(datagram, from)
+            });
             // Whatever came while this thread stood still is heard before anybody counts as silent.
             if turn == Turn::Drained {
                 let now = self.now();
@@ -74,13 +76,13 @@
         }
     }
 
-    fn take(&mut self, datagram: &[u8], from: SocketAddr) {
+    fn handle_datagram(&mut self, datagram: &[u8], from: SocketAddr) {
         let message = match message::open(&self.key, datagram) {
             Ok(message) => message,
             Err(why) => {
-                self.refused += 1;
-                if tenfold(self.refused) {
-                    tracing::warn!(%from, all = self.refused, "a message is not taken: {why}");
+                self.rejected_datagrams += 1;
+                if tenfold(self.rejected_datagrams) {
+                    tracing::warn!(%from, all = self.rejected_datagrams, "a message is not taken: {why}");
                 }
                 return;
             }
@@ -88,7 +90,7 @@
         if let Message::Propose { change } = &message
             // What another control machine passes on was looked at there.
             && !self.control.contains(&from)
-            && let Err(mistakes) = self.house.parse_change(&change.key, change.text.as_deref())
+            && let Err(mistakes) = self.config.parse_change(&change.key, change.text.as_deref())
         {
             let mut why = mistakes.first().map(ToString::to_string).unwrap_or_default();
             let end = (0..=MAX_DENIAL_BYTES.min(why.len())).rev().find(|n| why.is_char_boundary(*n));
@@ -96,22 +98,22 @@
             tracing::info!(%from, key = change.key, "a change is refused: {why}");
             return self.send(from, &Message::ChangeDenied { id: change.id, reason: why });
         }
-        if let Message::StatusRequest { query_id: ask, page } = message {
-            return self.answer(ask, page, from);
+        if let Message::StatusRequest { query_id, page } = message {
+            return self.answer_status_request(query_id, page, from);
         }
         let now = self.now();
         self.replica.replica_mut().receive(now, from, message);
     }
 
     /// Tells an operator what is known here.
-    fn answer(&mut self, ask: u64, page: u32, from: SocketAddr) {
+    fn answer_status_request(&mut self, query_id: u64, page: u32, from: SocketAddr) {
         let (up, log, log_error) = (self.now(), self.replica.log_size(), self.log_error.clone());
         let replica = self.replica.replica_mut();
-        let told = self.telling.page(from, ask, page, || {
+        let reply = self.status_pages.page(from, query_id, page, || {
             serde_json::to_vec(&ControlStatus { view: replica.view(up), up, cpu: cpu(), log, log_error }).ok()
         });
-        if let Some(told) = told {
-            self.send(from, &told);
+        if let Some(reply) = reply {
+            self.send(from, &reply);
         }
     }
 
@@ -151,18 +153,18 @@
     /// Tells the log when its part among the others changes.
     fn log_role_change(&mut self) {
         /// Seconds between two looks.
-        const AGAIN: f64 = 1.0;
+        const ROLE_CHECK_INTERVAL: f64 = 1.0;
         let now = self.now();
-        if now < self.look {
+        if now < self.next_role_check {
             return;
         }
-        self.look = now + AGAIN;
+        self.next_role_check = now + ROLE_CHECK_INTERVAL;
         let view = self.replica.replica_mut().view(now);
-        let leads = Some((view.votes, view.majority));
-        if leads != self.leads {
+        let role = Some((view.votes, view.majority));
+        if role != self.logged_role {
             let (number, votes, majority, heard) = (view.number, view.votes, view.majority, &view.reachable);
             tracing::info!(number, votes, majority, ?heard, "how it stands among the control machines");
-            self.leads = leads;
+            self.logged_role = role;
         }
     }
 }
--- a/crates/milletpath/src/control/receiver.rs
+++ b/crates/milletpath/src/control/receiver.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 /// Datagrams read in a row before what follows from them is stored, once for all, and sent.
-pub const TURN: usize = 256;
+pub const MAX_DATAGRAMS_PER_TURN: usize = 256;
 
 /// How long a thread rests after an error that is not of one datagram.
-const PAUSE: Duration = Duration::from_millis(50);
+const ERROR_PAUSE: Duration = Duration::from_millis(50);
 
 /// How long a datagram waits for room in the socket's buffer, after which it is as if lost on its way.
 const SEND_WAIT_MS: u8 = 10;
@@ -89,7 +89,7 @@
             Err(e) => return self.pause("messages can't be waited for", &e),
             Ok(()) => {}
         }
-        for _ in 0..TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.recv_from(&mut self.buffer) {
                 Ok((size, from)) => take(&self.buffer[..size], from),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
@@ -107,7 +107,7 @@
         if milletpath_gateway::tenfold(self.errors) {
             tracing::error!(all = self.errors, "{what}: {error}");
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(ERROR_PAUSE);
         Turn::Drained
     }
 }
--- a/crates/milletpath/src/control/receiver/tests.rs
+++ b/crates/milletpath/src/control/receiver/tests.rs
@@ -71,7 +71,7 @@
         // Either a pause for each, or a call that fails and the next at once.
         let (calls, pauses) = (receiver.socket.calls.get(), receiver.errors as u32);
         assert!(calls <= 3 * (times + 1) + 4, "{calls} calls");
-        assert!(began.elapsed() >= PAUSE * pauses, "{pauses} pauses");
+        assert!(began.elapsed() >= ERROR_PAUSE * pauses, "{pauses} pauses");
     }
 }
 
@@ -82,5 +82,5 @@
     let (call, errno, waiting) = (Call::Receive, Errno::ECONNREFUSED, RefCell::default());
     let mut receiver = Receiver::new(FailingSocket { call, errno, left, calls, waiting }, 100);
     assert_eq!(receiver.receive(Duration::from_millis(1), |_, _| {}), Turn::Full);
-    assert!(receiver.socket.calls.get() <= TURN + 2);
+    assert!(receiver.socket.calls.get() <= MAX_DATAGRAMS_PER_TURN + 2);
 }
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -172,7 +172,7 @@
         Wanted::Control { charter, number, found } => control::control(&charter, number, found),
         Wanted::Change { charter, file, remove, wait } => {
             let (file, remove) = (file.as_deref(), &remove[..]);
-            change::change(&change::Asked { charter: &charter, file, remove, wait })
+            change::change(&change::ChangeOptions { config_file: &charter, file, remove, wait })
         }
         Wanted::Changes { charter, json, here } => changes::changes(&charter, json, here),
         Wanted::Workers { charter } => workers::workers(&charter),
