--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -1,5 +1,4 @@
-//! `milletpath change`: proposes the statements of a file, each for itself, and tells where they are in
-//! force.
+//! `milletpath change`: proposes the statements of a file, one by one, and reports until they are in force.
 
 use crate::changes::{ControlOverview, GatewayState};
 use milletpath_config::{GatewayConfig, Subject};
@@ -9,25 +8,27 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// What is asked.
+/// Options of the command.
 pub struct ChangeOptions<'a> {
+    /// The configuration file, which names the control machines.
     pub config_file: &'a Path,
-    /// A file of statements.
+    /// A file of statements to set.
     pub file: Option<&'a Path>,
-    /// Statements to take back, by function or key.
+    /// Statements to remove, by function or key.
     pub remove: &'a [String],
-    /// Seconds for all gateways to have it.
+    /// Seconds to wait for all gateways to apply the changes.
     pub wait: f64,
 }
 
-/// One change to be proposed.
+/// A change to propose.
 struct ProposedChange {
     key: String,
     text: Option<String>,
-    /// Where it stands in its file.
+    /// Its line and column in the file, from 1.
     position: Option<(usize, usize)>,
 }
 
+/// Runs `milletpath change`. Exits with 2 if the request is wrong, and with 1 if it could not be carried out.
 pub fn change(options: &ChangeOptions<'_>) -> ExitCode {
     let (config, config_log) = match crate::control::read_config_log(options.config_file) {
         Ok(config) => config,
@@ -69,7 +70,7 @@
     wait_until_applied(&client, last, options.wait)
 }
 
-/// Line and column that a reason begins with, from 1, and the rest of it.
+/// The line and column at the beginning of a reason, from 1, and the rest of it.
 fn parse_position(why: &str) -> ((usize, usize), &str) {
     let mut parts = why.splitn(3, ':');
     let mut number = || parts.next()?.parse::<usize>().ok().filter(|n| *n > 0);
@@ -79,7 +80,7 @@
     }
 }
 
-/// A place within a statement, as one of the file in which that begins there.
+/// Converts a position in a statement to one in the file, where the statement begins at `start`.
 fn position_in_file(start: (usize, usize), relative: (usize, usize)) -> (usize, usize) {
     match relative {
         (1, column) => (start.0, start.1 + column - 1),
@@ -87,7 +88,7 @@
     }
 }
 
-/// All changes that are asked for, or what is wrong with them.
+/// The changes that the options ask for, or what is wrong with them.
 fn proposals_of(
     config: &GatewayConfig,
     options: &ChangeOptions<'_>,
@@ -122,14 +123,14 @@
     Ok(proposals)
 }
 
-/// Why a change was not made.
+/// Why a change was not committed.
 struct ProposalError {
     message: String,
-    /// Where in its statement, from 1, if it is what was asked for that is wrong.
+    /// Line and column in its statement, from 1, if the statement is wrong.
     position: Option<(usize, usize)>,
 }
 
-/// Has one change made; gives its number in the log.
+/// Has one change committed, and returns its number in the log.
 fn propose(client: &Client, proposed: &ProposedChange) -> Result<u64, ProposalError> {
     let failed = |message: String| Err(ProposalError { message, position: None });
     let Some(current) = client.get(&proposed.key) else {
@@ -146,7 +147,7 @@
     match client.propose(&change, current.from) {
         Told::Outcome(Outcome::Committed(number)) => Ok(number),
         Told::Outcome(Outcome::Superseded(number)) => {
-            // Of two askings for one proposal the later can find the earlier in force.
+            // The change may have been committed by an earlier one of the client's own requests.
             match client.get(&proposed.key) {
                 Some(now) if now.text == proposed.text => Ok(now.number),
                 _ => failed(format!(
@@ -181,10 +182,9 @@
     }
 }
 
-/// Tells at how many gateways a number is in force, until it is so at all that are heard, or the time is
-/// over.
+/// Prints at how many gateways a number is in force, until it is at all reachable ones or the time is over.
 fn wait_until_applied(client: &Client, number: u64, wait: f64) -> ExitCode {
-    /// Between two looks.
+    /// Time between two queries.
     const POLL_INTERVAL: Duration = Duration::from_millis(100);
     let end = Instant::now() + Duration::from_secs_f64(wait);
     let mut printed = None;
@@ -192,8 +192,10 @@
         let known = ControlOverview::query(client);
         let reachable: Vec<_> = known.gateways.iter().filter(|g| g.state != GatewayState::Silent).collect();
         let reached = reachable.iter().filter(|g| g.number >= number).count();
-        let failing: Vec<_> =
-            reachable.iter().filter(|g| g.apply_error.as_ref().is_some_and(|(n, _)| *n == number)).collect();
+        let failing: Vec<_> = reachable
+            .iter()
+            .filter(|g| g.apply_error.as_ref().is_some_and(|error| error.number == number))
+            .collect();
         let progress = (reached - failing.len().min(reached), reachable.len());
         if printed != Some(progress) {
             println!("number {number}: in force at {} of {} gateways", progress.0, progress.1);
@@ -205,7 +207,7 @@
         }
         if is_everywhere || Instant::now() >= end {
             for g in &failing {
-                let why = g.apply_error.as_ref().map_or("", |(_, why)| why);
+                let why = g.apply_error.as_ref().map_or("", |error| &error.reason);
                 eprintln!("{} could not apply it: {why}", g.name);
             }
             for g in reachable.iter().filter(|g| g.number < number) {
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -14,52 +14,65 @@
 /// Seconds after which a gateway counts as silent: several of its polls.
 const SILENCE_TIMEOUT: f64 = 3.0;
 
-/// What all control machines together know.
+/// What all control machines together know. The names in JSON are older than the fields' names.
 #[derive(Serialize)]
 pub struct ControlOverview {
-    /// The latest number that one of them tells of, and the digest of what is in force there.
+    /// The highest number that one of them reports.
     pub head: u64,
+    /// Digest of the configuration there, in hexadecimal.
     pub digest: String,
-    /// Seconds since a majority knew of nothing beyond it; none where no machine heard one.
+    /// Seconds since a majority knew of nothing beyond `head`; `None` if that never was so.
     #[serde(rename = "sure_as_of")]
     pub confirmed_age: Option<f64>,
+    /// All control machines, by number.
     pub control: Vec<ControlMachineStatus>,
+    /// The gateways that poll any of them, by name.
     pub gateways: Vec<GatewayStatus>,
 }
 
+/// A control machine and its report.
 #[derive(Serialize)]
 pub struct ControlMachineStatus {
+    /// Its number in the configuration, from 0.
     pub number: usize,
+    /// Its address.
     pub at: SocketAddr,
-    /// None where it does not answer.
+    /// Its report; `None` if it does not answer.
     pub view: Option<ControlStatus>,
 }
 
+/// How far a gateway has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GatewayState {
+    /// It has the latest configuration.
     Current,
+    /// It has an older one.
     Behind,
     /// It has the latest, and could not apply an entry of it.
     Refusing,
+    /// No control machine has received anything from it for a while.
     Silent,
 }
 
+/// A gateway as the control machines know it.
 #[derive(Clone, Debug, Serialize)]
 pub struct GatewayStatus {
+    /// Its name.
     pub name: String,
-    /// What is in force there.
+    /// Number of the configuration in force there.
     pub number: u64,
-    /// Seconds since any control machine heard it.
+    /// Seconds since its last poll of any control machine.
     #[serde(rename = "heard")]
     pub seconds_since_contact: f64,
     pub state: GatewayState,
-    /// The latest entry that it could not apply, and why.
+    /// The latest entry that it could not apply.
     #[serde(rename = "refused")]
-    pub apply_error: Option<(u64, String)>,
+    pub apply_error: Option<ApplyError>,
 }
 
 impl ControlOverview {
+    /// Asks all control machines, and combines their reports.
     pub fn query(client: &Client) -> Self {
         let statuses: Vec<Option<ControlStatus>> = client.machines();
         let views = || statuses.iter().flatten().map(|status| &status.view);
@@ -78,11 +91,11 @@
                 apply_error: None,
             };
             let gateway = gateways.entry(follower.name.clone()).or_insert(unknown);
-            // What was said last counts: a gateway that began anew may be further back than it was.
+            // The latest report counts: a gateway that restarted may be further behind than before.
             if follower.seconds_since_contact < gateway.seconds_since_contact {
                 gateway.seconds_since_contact = follower.seconds_since_contact;
                 gateway.number = follower.number;
-                gateway.apply_error = follower.apply_error.clone().map(Into::into);
+                gateway.apply_error.clone_from(&follower.apply_error);
             }
         }
         for gateway in gateways.values_mut() {
@@ -105,11 +118,10 @@
         }
     }
 
-    /// Whether all gateways that are there must be among those that are known: each control machine that
-    /// another one hears has answered, and has been up for long enough to have been polled by all that follow
-    /// it.
+    /// Whether no gateway can be missing: each control machine that another one can reach has answered, and has been up
+    /// long enough for all its followers to have polled it.
     pub fn is_complete(&self) -> bool {
-        /// Seconds: three polls, of which two may get lost.
+        /// Seconds: time for three polls, of which two may be lost.
         const MIN_UPTIME: f64 = 2.0;
         let views = || self.control.iter().filter_map(|machine| machine.view.as_ref());
         let answers = |n: &usize| self.control.get(*n).is_some_and(|machine| machine.view.is_some());
@@ -117,15 +129,18 @@
             && views().all(|status| status.up >= MIN_UPTIME && status.view.reachable.iter().all(answers))
     }
 
+    /// Number of control machines that answer.
     pub fn answering(&self) -> usize {
         self.control.iter().filter(|machine| machine.view.is_some()).count()
     }
 
+    /// Number of gateways in that state.
     pub fn count(&self, state: GatewayState) -> usize {
         self.gateways.iter().filter(|gateway| gateway.state == state).count()
     }
 }
 
+/// Runs `milletpath changes`; with `here`, asks the gateway of that configuration file instead of the control machines.
 pub fn changes(config_file: &Path, json: bool, here: bool) -> ExitCode {
     let (_, config_log) = match crate::control::read_config_log(config_file) {
         Ok(config) => config,
@@ -195,7 +210,7 @@
             println!("{:<8} its log can't be written: {error}; make room on its disk", "");
         }
     }
-    /// Gateways in trouble that are named.
+    /// Largest number of gateways listed that are not current.
     const MAX_LISTED_GATEWAYS: usize = 100;
     let not_current: Vec<_> = known.gateways.iter().filter(|g| g.state != GatewayState::Current).collect();
     if !not_current.is_empty() {
@@ -203,7 +218,7 @@
     }
     for g in not_current.iter().take(MAX_LISTED_GATEWAYS) {
         let why = match &g.apply_error {
-            Some((number, why)) => format!("number {number}: {why}"),
+            Some(ApplyError { number, reason }) => format!("number {number}: {reason}"),
             None => String::new(),
         };
         let state = format!("{:?}", g.state).to_lowercase();
@@ -214,7 +229,7 @@
     }
 }
 
-/// What the gateway of a charter knows itself.
+/// Prints what the gateway of a configuration file reports itself.
 fn print_own_gateway(
     config_file: &Path,
     config_log: &ConfigLogConfig,
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -1,6 +1,6 @@
-//! `milletpath control`: a control machine. One thread with a UDP socket and a log file around the replica of
-//! `milletpath-config-log`: what it is to store is on the disk before anything goes out that builds on it. While its disk
-//! fails it relays and does not vote. A change that its charter can't take is refused here, before anybody decides on it.
+//! `milletpath control`: a control machine. One thread runs a replica of `milletpath-config-log` with a UDP socket and a log
+//! file: records are on the disk before any message goes out that depends on them. While the disk fails, the machine relays
+//! and does not vote. A change that its configuration cannot hold is denied here, before it is proposed.
 
 mod machine;
 mod receiver;
@@ -20,9 +20,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Between two looks whether it is to stop.
+/// Time between two checks whether the process is to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Runs `milletpath control`; `initialize` starts a new log.
 pub fn control(config_file: &Path, number: usize, initialize: bool) -> ExitCode {
     let (config, config_log) = match read_config_log(config_file) {
         Ok(config) => config,
@@ -38,7 +39,7 @@
         Ok(key) => key,
         Err(e) => return print_failure(&format!("key of changes: {e}")),
     };
-    // Before the file is touched: of two processes under one number the second ends here.
+    // Before the file is touched, so that a second process with the same number ends here.
     let socket = match UdpSocket::bind(at) {
         Ok(socket) => socket,
         Err(e) => {
@@ -60,7 +61,7 @@
     });
     let head = replica.replica().state().head();
     tracing::info!(number, %at, head, "a control machine");
-    // For whoever started it.
+    // For the program that started this one.
     let _ = writeln!(io::stdout(), "control {number} on udp://{at}");
     run_until_stopped(ControlMachine::new(
         replica,
@@ -72,7 +73,7 @@
     ))
 }
 
-/// Runs a control machine in a thread of its own until the process is asked to end.
+/// Runs a control machine in a thread of its own until the process is asked to stop.
 fn run_until_stopped(machine: ControlMachine) -> ExitCode {
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
@@ -81,7 +82,7 @@
     let ended = crate::local(async {
         tokio::select! {
             () = crate::serve::stop() => {}
-            // It ends by itself only where it broke.
+            // The thread ends by itself only if it panics.
             () = async { while !thread.is_finished() { tokio::time::sleep(STOP_CHECK_INTERVAL).await } } => {}
         }
         ExitCode::SUCCESS
@@ -93,8 +94,8 @@
     }
 }
 
-/// Reads the log, and writes what it held into a fresh file. Where the disk fails for a while, reading waits, and the
-/// fresh file is left to the machine.
+/// Reads the log file, and writes its records into a new one. While the disk fails, reading is tried again; writing the new
+/// file is left to the running machine.
 fn open_log(file: &Path, initialize: bool) -> Result<StoredLog<DiskFolder>, ExitCode> {
     let shown = file.display();
     let Some((folder, name)) = DiskFolder::of_file(file) else {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Reads the log, again and again while the disk fails; `sleep` waits between two times.
+/// Reads the log file, again while the disk fails; `sleep` waits between two attempts.
 fn load<F: Folder + Clone>(
     folder: &F,
     name: &str,
@@ -144,22 +145,24 @@
     }
 }
 
-/// A control machine's status report for operators.
+/// The status report of a control machine for operators, in JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlStatus {
     #[serde(flatten)]
+    /// What its replica knows.
     pub view: ReplicaView,
-    /// Seconds since its process began, and seconds of a processor that it took.
+    /// Seconds since its process started.
     pub up: f64,
+    /// CPU seconds of its thread.
     pub cpu: f64,
-    /// Bytes of its log.
+    /// Size of its log file, in bytes.
     pub log: u64,
-    /// Why its log can't be written, since it failed last; none while it can.
+    /// Why the log file cannot be written at present.
     #[serde(default)]
     pub log_error: Option<String>,
 }
 
-/// A charter, with what it states of changes.
+/// Reads a configuration file that has a section on the configuration log, and prints what is wrong with it otherwise.
 pub fn read_config_log(config_file: &Path) -> Result<(GatewayConfig, ConfigLogConfig), ExitCode> {
     let config = crate::read(config_file)?;
     match config.config_log.clone() {
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -1,4 +1,4 @@
-//! The thread of a control machine: datagrams in, what is to be stored into the log, datagrams out.
+//! The thread of a control machine: receives datagrams, stores records, and sends datagrams.
 
 use super::receiver::{self, Receiver, Turn};
 use super::{ControlStatus, STOP_CHECK_INTERVAL};
@@ -20,12 +20,12 @@
     key: Key,
     started_at: Instant,
     status_pages: Telling,
-    /// Datagrams that were not taken.
+    /// Datagrams that could not be opened.
     rejected_datagrams: u64,
-    /// Why the log can't be written, since it failed last.
+    /// Why the log file cannot be written at present.
     log_error: Option<String>,
-    /// When it is looked at next what is worth a line in the log, and what that was told last.
     next_role_check: f64,
+    /// Whether it voted and had a majority when that was last logged.
     logged_role: Option<(bool, bool)>,
 }
 
@@ -57,7 +57,7 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Runs until it is told to stop.
+    /// Runs until `stop` is set.
     pub fn run(mut self, stop: &AtomicBool) {
         let mut receiver = Receiver::new(self.socket.clone(), MAX_DATAGRAM_BYTES);
         while !stop.load(Ordering::Acquire) {
@@ -66,7 +66,7 @@
             let turn = receiver.receive(Duration::from_secs_f64(wait), |datagram, from| {
                 self.handle_datagram(datagram, from)
             });
-            // Whatever came while this thread stood still is heard before anybody counts as silent.
+            // All datagrams that arrived during a pause of this thread are handled before any timeout.
             if turn == Turn::Drained {
                 let now = self.now();
                 self.replica.replica_mut().tick(now);
@@ -88,7 +88,7 @@
             }
         };
         if let Message::Propose { change } = &message
-            // What another control machine passes on was looked at there.
+            // The control machine that forwards a change has checked it.
             && !self.control.contains(&from)
             && let Err(mistakes) = self.config.parse_change(&change.key, change.text.as_deref())
         {
@@ -105,7 +105,7 @@
         self.replica.replica_mut().receive(now, from, message);
     }
 
-    /// Tells an operator what is known here.
+    /// Sends a page of the status report to an operator.
     fn answer_status_request(&mut self, query_id: u64, page: u32, from: SocketAddr) {
         let (up, log, log_error) = (self.now(), self.replica.log_size(), self.log_error.clone());
         let replica = self.replica.replica_mut();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Stores all that is to be stored, and sends what builds on it once that is on the disk.
+    /// Stores records, and sends the messages that may go out once they are on the disk.
     fn flush(&mut self) {
         let FlushOutput { messages, events } = self.replica.flush(self.now());
         messages.iter().for_each(|outgoing| self.send(outgoing.to, &outgoing.message));
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Tells the log when its part among the others changes.
+    /// Logs when it begins or ceases to vote or to have a majority.
     fn log_role_change(&mut self) {
-        /// Seconds between two looks.
+        /// Seconds between two checks.
         const ROLE_CHECK_INTERVAL: f64 = 1.0;
         let now = self.now();
         if now < self.next_role_check {
--- a/crates/milletpath/src/control/receiver.rs
+++ b/crates/milletpath/src/control/receiver.rs
@@ -1,5 +1,5 @@
-//! Datagrams as a control machine receives them: all that wait, in a turn of bounded length. An error of the socket
-//! costs a pause, and never the process.
+//! Receives the datagrams of a control machine: all that are waiting, in batches of bounded length. An error of the socket
+//! costs a pause, and never ends the process.
 
 use nix::errno::Errno;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
@@ -9,23 +9,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Datagrams read in a row before what follows from them is stored, once for all, and sent.
+/// Largest number of datagrams in a batch; what follows from a batch is stored with one sync.
 pub const MAX_DATAGRAMS_PER_TURN: usize = 256;
 
-/// How long a thread rests after an error that is not of one datagram.
+/// Pause after an error that does not concern one datagram.
 const ERROR_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a datagram waits for room in the socket's buffer, after which it is as if lost on its way.
+/// Milliseconds for which a datagram waits for space in the send buffer before it is dropped.
 const SEND_WAIT_MS: u8 = 10;
 
-/// What of a socket can fail.
+/// The operations of a socket, which tests replace by failing ones.
 pub trait DatagramSocket {
     fn set_nonblocking(&self) -> io::Result<()>;
 
-    /// Waits until a datagram may be there, or so long.
+    /// Waits until a datagram may be available, for at most `timeout`.
     fn wait(&self, timeout: Duration) -> io::Result<()>;
 
-    /// The next datagram, at once.
+    /// Reads the next datagram without waiting.
     fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)>;
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Sends a datagram; one that can't be sent is as if lost on its way.
+/// Sends a datagram; one that cannot be sent is dropped.
 pub fn send(socket: &UdpSocket, datagram: &[u8], to: SocketAddr) {
     let full = |sent: &io::Result<usize>| sent.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
     if full(&socket.send_to(datagram, to)) {
@@ -54,11 +54,11 @@
     }
 }
 
-/// Whether a turn read all that waited.
+/// Whether a batch has all datagrams that were waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
     Drained,
-    /// More may wait.
+    /// More may be waiting.
     Full,
 }
 
@@ -66,17 +66,17 @@
     socket: S,
     buffer: Vec<u8>,
     nonblocking: bool,
-    /// Errors of the socket that were not of one datagram.
+    /// Errors of the socket that did not concern one datagram.
     errors: u64,
 }
 
 impl<S: DatagramSocket> Receiver<S> {
-    /// For datagrams of so many bytes; a larger one shows by one more.
+    /// For datagrams of at most `largest` bytes; a larger one is cut to one byte more.
     pub fn new(socket: S, largest: usize) -> Self {
         Self { socket, buffer: vec![0; largest + 1], nonblocking: false, errors: 0 }
     }
 
-    /// Waits for a datagram for so long, and takes all that are there.
+    /// Waits for datagrams for at most `timeout`, and passes all that are waiting to `take`.
     pub fn receive(&mut self, timeout: Duration, mut take: impl FnMut(&[u8], SocketAddr)) -> Turn {
         if !self.nonblocking {
             match self.socket.set_nonblocking() {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Whether an error says only that a datagram sent earlier did not arrive, or that a signal came.
+/// Whether an error only tells that a datagram sent earlier did not arrive, or that a signal was handled.
 fn concerns_one_datagram(error: &io::Error) -> bool {
     let unreachable = [Errno::ECONNREFUSED, Errno::EHOSTUNREACH, Errno::ENETUNREACH, Errno::EINTR];
     error.raw_os_error().is_some_and(|code| unreachable.contains(&Errno::from_raw(code)))
