--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -1,7 +1,6 @@
-//! `milletpath change`: proposes the statements of a file, one change each, and reports at how many gateways they are
-//! applied.
+//! `milletpath change`: proposes the statements of a file, one by one, and reports until they are in force.
 
-use crate::changes::{Known, State};
+use crate::changes::{ControlOverview, GatewayState};
 use milletpath_config::{GatewayConfig, Subject};
 use milletpath_config_log::{Change, Outcome};
 use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
@@ -9,69 +8,70 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// What the command line asks for.
-pub struct ChangeRequest<'a> {
-    /// The configuration file.
+/// Options of the command.
+pub struct ChangeOptions<'a> {
+    /// The configuration file, which names the control machines.
     pub config_file: &'a Path,
-    /// A file of statements.
+    /// A file of statements to set.
     pub file: Option<&'a Path>,
-    /// Statements to take back, by function or key.
+    /// Statements to remove, by function or key.
     pub remove: &'a [String],
-    /// Seconds for all gateways to have it.
+    /// Seconds to wait for all gateways to apply the changes.
     pub wait: f64,
 }
 
-/// One change to be proposed.
+/// A change to propose.
 struct ProposedChange {
     key: String,
     text: Option<String>,
-    /// Where it stands in its file.
+    /// Its line and column in the file, from 1.
     position: Option<(usize, usize)>,
 }
 
-pub fn change(request: &ChangeRequest<'_>) -> ExitCode {
-    let (house, settings) = match crate::control::stated(request.config_file) {
-        Ok(settings) => settings,
+/// Runs `milletpath change`. Exits with 2 if the request is wrong, and with 1 if it could not be carried out.
+pub fn change(options: &ChangeOptions<'_>) -> ExitCode {
+    let (config, config_log) = match crate::control::read_config_log(options.config_file) {
+        Ok(config) => config,
         Err(code) => return code,
     };
-    let changes = match read_changes(&house, request) {
-        Ok(changes) => changes,
+    let proposals = match proposals_of(&config, options) {
+        Ok(proposals) => proposals,
         Err(mistakes) => {
             mistakes.iter().for_each(|mistake| eprintln!("{mistake}"));
             return ExitCode::from(2);
         }
     };
-    let client = match Client::new(&settings) {
+    let client = match Client::new(&config_log) {
         Ok(client) => client,
         Err(e) => {
-            eprintln!("{}: {e}", request.config_file.display());
+            eprintln!("{}: {e}", options.config_file.display());
             return ExitCode::FAILURE;
         }
     };
     let mut last = 0;
-    for one in &changes {
-        match propose(&client, one) {
+    for change in &proposals {
+        match propose(&client, change) {
             Ok(number) => {
-                println!("{}: number {number}", one.key);
+                println!("{}: number {number}", change.key);
                 last = last.max(number);
             }
-            Err(ChangeError { reason, input_position }) => {
-                match (input_position, one.position, request.file) {
-                    (Some(within), Some(begins), Some(file)) => {
-                        let (line, column) = position_in_file(begins, within);
-                        eprintln!("{}:{line}:{column}: {}: {reason}", file.display(), one.key);
+            Err(ProposalError { message, position }) => {
+                match (position, change.position, options.file) {
+                    (Some(relative), Some(start), Some(file)) => {
+                        let (line, column) = position_in_file(start, relative);
+                        eprintln!("{}:{line}:{column}: {}: {message}", file.display(), change.key);
                     }
-                    _ => eprintln!("{}: {reason}", one.key),
+                    _ => eprintln!("{}: {message}", change.key),
                 }
-                return if input_position.is_some() { ExitCode::from(2) } else { ExitCode::FAILURE };
+                return if position.is_some() { ExitCode::from(2) } else { ExitCode::FAILURE };
             }
         }
     }
-    wait_until_applied(&client, last, request.wait)
+    wait_until_applied(&client, last, options.wait)
 }
 
-/// Line and column that a reason begins with, from 1, and the rest of it.
-fn split_position(why: &str) -> ((usize, usize), &str) {
+/// The line and column at the beginning of a reason, from 1, and the rest of it.
+fn parse_position(why: &str) -> ((usize, usize), &str) {
     let mut parts = why.splitn(3, ':');
     let mut number = || parts.next()?.parse::<usize>().ok().filter(|n| *n > 0);
     match (number(), number(), parts.next()) {
@@ -80,34 +80,34 @@
     }
 }
 
-/// A place within a statement, as one of the file in which that begins there.
-fn position_in_file(begins: (usize, usize), within: (usize, usize)) -> (usize, usize) {
-    match within {
-        (1, column) => (begins.0, begins.1 + column - 1),
-        (line, column) => (begins.0 + line - 1, column),
+/// Converts a position in a statement to one in the file, where the statement begins at `start`.
+fn position_in_file(start: (usize, usize), relative: (usize, usize)) -> (usize, usize) {
+    match relative {
+        (1, column) => (start.0, start.1 + column - 1),
+        (line, column) => (start.0 + line - 1, column),
     }
 }
 
-/// All changes that are asked for, or what is wrong with them.
-fn read_changes(
-    house: &GatewayConfig,
-    request: &ChangeRequest<'_>,
+/// The changes that the options ask for, or what is wrong with them.
+fn proposals_of(
+    config: &GatewayConfig,
+    options: &ChangeOptions<'_>,
 ) -> Result<Vec<ProposedChange>, Vec<String>> {
-    let mut changes = Vec::new();
-    if let Some(file) = request.file {
+    let mut proposals = Vec::new();
+    if let Some(file) = options.file {
         let name = file.display();
         let text = std::fs::read_to_string(file)
             .map_err(|e| vec![format!("{name}: can't be read: {e}; name a file of statements")])?;
-        let statements = house.parse_changes(&text);
+        let statements = config.parse_changes(&text);
         let statements =
             statements.map_err(|all| all.iter().map(|m| format!("{name}:{m}")).collect::<Vec<_>>())?;
-        changes.extend(statements.into_iter().map(|s| ProposedChange {
+        proposals.extend(statements.into_iter().map(|s| ProposedChange {
             key: s.subject.to_string(),
             text: Some(s.text),
             position: Some((s.line, s.column)),
         }));
     }
-    for name in request.remove {
+    for name in options.remove {
         // A name alone is a function's.
         let subject = Subject::from_key(name).or_else(|| Subject::from_key(&format!("function {name}")));
         let Some(subject) = subject.filter(|s| s.to_string().len() <= milletpath_config_log::MAX_KEY_BYTES)
@@ -115,39 +115,39 @@
             let remedy = "write the function's name, or functions for what is stated of all";
             return Err(vec![format!("--remove {name}: no statement goes by that; {remedy}")]);
         };
-        changes.push(ProposedChange { key: subject.to_string(), text: None, position: None });
+        proposals.push(ProposedChange { key: subject.to_string(), text: None, position: None });
     }
-    if changes.is_empty() {
+    if proposals.is_empty() {
         return Err(vec!["nothing to change; name a file of statements, or --remove NAME".into()]);
     }
-    Ok(changes)
+    Ok(proposals)
 }
 
-/// Why a change was not made.
-struct ChangeError {
-    reason: String,
-    /// Where in its statement, from 1, if it is what was asked for that is wrong.
-    input_position: Option<(usize, usize)>,
+/// Why a change was not committed.
+struct ProposalError {
+    message: String,
+    /// Line and column in its statement, from 1, if the statement is wrong.
+    position: Option<(usize, usize)>,
 }
 
-/// Has one change made; gives its number in the log.
-fn propose(client: &Client, proposed: &ProposedChange) -> Result<u64, ChangeError> {
-    let failed = |reason: String| Err(ChangeError { reason, input_position: None });
-    let Some(before) = client.get(&proposed.key) else {
+/// Has one change committed, and returns its number in the log.
+fn propose(client: &Client, proposed: &ProposedChange) -> Result<u64, ProposalError> {
+    let failed = |message: String| Err(ProposalError { message, position: None });
+    let Some(current) = client.get(&proposed.key) else {
         return failed(
             "no control machine answers: nothing was proposed; are they running, with this key?".into(),
         );
     };
-    if before.text == proposed.text {
+    if current.text == proposed.text {
         println!("{}: so already", proposed.key);
-        return Ok(before.number);
+        return Ok(current.number);
     }
     let (key, text) = (proposed.key.clone(), proposed.text.clone());
-    let change = Change { id: random_id(), key, text, replaces: before.number };
-    match client.propose(&change, before.from) {
+    let change = Change { id: random_id(), key, text, replaces: current.number };
+    match client.propose(&change, current.from) {
         ProposalOutcome::Decided(Outcome::Committed(number)) => Ok(number),
         ProposalOutcome::Decided(Outcome::Superseded(number)) => {
-            // Of two askings for one proposal the later can find the earlier in force.
+            // The change may have been committed by an earlier one of the client's own requests.
             match client.get(&proposed.key) {
                 Some(now) if now.text == proposed.text => Ok(now.number),
                 _ => failed(format!(
@@ -156,12 +156,12 @@
             }
         }
         ProposalOutcome::Denied(why) => {
-            let (within, why) = split_position(&why);
-            let reason = format!("the control machine refuses it: {why}");
-            Err(ChangeError { reason, input_position: Some(within) })
+            let (relative, why) = parse_position(&why);
+            let message = format!("the control machine refuses it: {why}");
+            Err(ProposalError { message, position: Some(relative) })
         }
         ProposalOutcome::Decided(Outcome::TooLarge | Outcome::EmptyKey) => {
-            Err(ChangeError { reason: "it is larger than a change may be".into(), input_position: Some((1, 1)) })
+            Err(ProposalError { message: "it is larger than a change may be".into(), position: Some((1, 1)) })
         }
         ProposalOutcome::Decided(Outcome::Full) => {
             failed("there is no room for more statements; take back some that are not needed".into())
@@ -182,39 +182,40 @@
     }
 }
 
-/// Tells at how many gateways a number is in force, until it is so at all that are heard, or the time is
-/// over.
+/// Prints at how many gateways a number is in force, until it is at all reachable ones or the time is over.
 fn wait_until_applied(client: &Client, number: u64, wait: f64) -> ExitCode {
-    /// Between two looks.
+    /// Time between two queries.
     const POLL_INTERVAL: Duration = Duration::from_millis(100);
     let end = Instant::now() + Duration::from_secs_f64(wait);
     let mut printed = None;
     loop {
-        let known = Known::ask(client);
-        let heard: Vec<_> = known.gateways.iter().filter(|g| g.state != State::Silent).collect();
-        let there = heard.iter().filter(|g| g.number >= number).count();
-        let refusing: Vec<_> =
-            heard.iter().filter(|g| g.refused.as_ref().is_some_and(|(n, _)| *n == number)).collect();
-        let now = (there - refusing.len().min(there), heard.len());
-        if printed != Some(now) {
-            println!("number {number}: in force at {} of {} gateways", now.0, now.1);
-            printed = Some(now);
+        let known = ControlOverview::query(client);
+        let reachable: Vec<_> = known.gateways.iter().filter(|g| g.state != GatewayState::Silent).collect();
+        let reached = reachable.iter().filter(|g| g.number >= number).count();
+        let failing: Vec<_> = reachable
+            .iter()
+            .filter(|g| g.apply_error.as_ref().is_some_and(|error| error.number == number))
+            .collect();
+        let progress = (reached - failing.len().min(reached), reachable.len());
+        if printed != Some(progress) {
+            println!("number {number}: in force at {} of {} gateways", progress.0, progress.1);
+            printed = Some(progress);
         }
-        let all = !heard.is_empty() && there == heard.len() && known.is_whole();
-        if all && refusing.is_empty() {
+        let is_everywhere = !reachable.is_empty() && reached == reachable.len() && known.is_complete();
+        if is_everywhere && failing.is_empty() {
             return ExitCode::SUCCESS;
         }
-        if all || Instant::now() >= end {
-            for g in &refusing {
-                let why = g.refused.as_ref().map_or("", |(_, why)| why);
+        if is_everywhere || Instant::now() >= end {
+            for g in &failing {
+                let why = g.apply_error.as_ref().map_or("", |error| &error.reason);
                 eprintln!("{} could not apply it: {why}", g.name);
             }
-            for g in heard.iter().filter(|g| g.number < number) {
+            for g in reachable.iter().filter(|g| g.number < number) {
                 eprintln!("{} is at number {}", g.name, g.number);
             }
-            if heard.is_empty() {
+            if reachable.is_empty() {
                 eprintln!("no gateway is heard by the control machines that answer");
-            } else if !known.is_whole() {
+            } else if !known.is_complete() {
                 eprintln!(
                     "not all control machines answer, or some have just begun: there may be more gateways"
                 );
--- /dev/null
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -0,0 +1,110 @@
+use super::*;
+use crate::platform_router::tests::{router_with_workers, run_local};
+use crate::sockets::{SocketState, peek_socket};
+use std::collections::VecDeque;
+use test_case::test_case;
+
+/// A connection of a client, as `accept` gives it.
+fn connection() -> (std::net::TcpStream, Socket) {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (client, listener.accept().unwrap().0.into())
+}
+
+fn accept_error(errno: Errno) -> io::Result<Socket> {
+    Err(io::Error::from_raw_os_error(errno as i32))
+}
+
+/// A connection was aborted in the queue, and the one behind it was left unread at the exit.
+#[test_case(Errno::ECONNABORTED)]
+#[test_case(Errno::EINTR)]
+#[test_case(Errno::EPROTO)]
+#[test_case(Errno::ENETUNREACH)]
+#[test_case(Errno::EHOSTUNREACH)]
+#[test_case(Errno::ETIMEDOUT)]
+fn connections_behind_a_failed_accept_are_accepted(errno: Errno) {
+    run_local(async move {
+        let router = router_with_workers(&[]);
+        let (_client, socket) = connection();
+        let mut results = VecDeque::from([accept_error(errno), Ok(socket), accept_error(errno)]);
+        let next = || results.pop_front().unwrap_or_else(|| accept_error(Errno::EAGAIN));
+        let result = router.borrow_mut().accept_queued(next);
+        assert_eq!((result, results.len()), (QueueResult { accepted: 1, empty: true }, 0));
+    });
+}
+
+/// Where the system lacks resources for a connection it stays queued: the queue does not count as empty.
+#[test_case(Errno::EMFILE)]
+#[test_case(Errno::ENFILE)]
+#[test_case(Errno::ENOBUFS)]
+#[test_case(Errno::ENOMEM)]
+fn queue_is_not_empty_while_accept_lacks_resources(errno: Errno) {
+    run_local(async move {
+        let router = router_with_workers(&[]);
+        let result = router.borrow_mut().accept_queued(|| accept_error(errno));
+        assert_eq!(result, QueueResult { accepted: 0, empty: false });
+    });
+}
+
+/// An error that never passes ends the attempt within a bound.
+#[test]
+fn persistent_accept_errors_are_given_up_after_a_bound() {
+    run_local(async {
+        let router = router_with_workers(&[]);
+        let mut attempts = 0;
+        let result = router.borrow_mut().accept_queued(|| {
+            attempts += 1;
+            accept_error(Errno::ECONNABORTED)
+        });
+        assert_eq!((result, attempts), (QueueResult { accepted: 0, empty: false }, MAX_QUEUED));
+    });
+}
+
+/// A connection that was just accepted was closed for the next one, with its first call a moment away. It keeps its
+/// place until it had the time to send something.
+#[test_case(5, [true, true]; "at once")]
+#[test_case(100, [false, true]; "after 100 ms")]
+fn new_connection_is_not_evicted_before_its_first_call(later_ms: u64, expected: [bool; 2]) {
+    run_local(async move {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        router.borrow_mut().connection_limits.clients = 1;
+        let mut clients = Vec::new();
+        for _ in 0..2 {
+            let (client, socket) = connection();
+            socket.set_nonblocking(true).unwrap();
+            clients.push(client);
+            let stream = TcpStream::from_std(socket.into()).unwrap();
+            assert!(router.borrow_mut().admit(stream));
+            tokio::time::advance(Duration::from_millis(later_ms)).await;
+        }
+        let state = router.borrow();
+        let is_open = |serial: u64| state.clients.iter().any(|(_, c)| c.serial == serial);
+        assert_eq!([is_open(1), is_open(2)], expected);
+    });
+}
+
+/// A client beyond the limit whose rejection could not be written at once is closed once it was: it kept its place.
+#[test]
+fn overflow_connection_is_closed_after_its_rejection() {
+    run_local(async {
+        let router = router_with_workers(&[]);
+        router.borrow_mut().connection_limits.clients = 0;
+        let (client, socket) = connection();
+        socket.set_nonblocking(true).unwrap();
+        assert!(router.borrow_mut().admit(TcpStream::from_std(socket.into()).unwrap()));
+        {
+            let mut state = router.borrow_mut();
+            let slot = state.clients.iter().next().unwrap().0;
+            // As after a call that was rejected while the socket took nothing.
+            state.clients[slot].has_sent_message = true;
+            let now = state.now();
+            state.close_stale_clients(now);
+            assert!(state.clients[slot].write_closed_at.is_some());
+        }
+        client.set_nonblocking(true).unwrap();
+        let client = TcpStream::from_std(client).unwrap();
+        client.readable().await.unwrap();
+        assert_eq!(peek_socket(&client), SocketState::Closed);
+    });
+}
--- /dev/null
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -0,0 +1,265 @@
+use super::*;
+use crate::platform_router::tests::{router_with_workers, run_local};
+use crate::socket_errors::Operation;
+use crate::sockets::tests::{
+    CONNECT as CONNECT_ERRORS, FaultDuration, FaultySockets, LONG_FAULT, SHORT_FAULT, TRANSFER,
+};
+use nix::errno::Errno;
+use std::cell::Cell;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use test_case::test_case;
+use tokio::io::{DuplexStream, ReadBuf};
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+
+fn event(number: u64, phase: &str) -> String {
+    let worker = format!(r#"{{"id":"w0","host_port":"127.0.0.1:1","phase":"{phase}"}}"#);
+    format!(r#"{{"no":{number},"roster":{{"complete":false,"members":[{worker}]}}}}"#) + "\n"
+}
+
+/// A stream has lasted for hours, with a heartbeat a second and an event every ten minutes, when it falls silent: it is
+/// given up as soon as a new one would be, with all its events applied.
+#[test_case(""; "between two lines")]
+#[test_case("{\"no\":"; "amid a line")]
+fn silent_discovery_stream_is_given_up_after_hours_of_heartbeats(rest: &'static str) {
+    run_local(async move {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let (ours, mut theirs) = tokio::io::duplex(4 << 10);
+        let reader = spawn_local(async move {
+            let mut last = 1;
+            let Err(reason) = read_events(&router, ours, &mut last).await;
+            (reason, last, Instant::now())
+        });
+        let mut last = 1;
+        for second in 0..3 * 3600 {
+            if second % 600 == 0 {
+                last += 1;
+                theirs.write_all(event(last, "active").as_bytes()).await.unwrap();
+            }
+            theirs.write_all(format!("{last}\n").as_bytes()).await.unwrap();
+            tokio::time::sleep(Duration::from_secs(1)).await;
+        }
+        assert!(!reader.is_finished());
+        theirs.write_all(rest.as_bytes()).await.unwrap();
+        let stops = Instant::now();
+        let (reason, heard, at) = reader.await.unwrap();
+        assert!(matches!(reason, StreamEnd::Silent), "{reason}");
+        assert_eq!(heard, last);
+        assert!(at - stops <= SILENCE_TIMEOUT);
+    });
+}
+
+/// An event of the old address lies unread when the file names another, which does not answer yet: it is applied first.
+/// It used to be dropped with its stream, and a worker that was gone got attempts until the new address answered.
+#[test]
+fn unread_events_are_applied_before_the_discovery_address_changes() {
+    run_local(async {
+        let [old, new] = [TcpListener::bind("127.0.0.1:0").await, TcpListener::bind("127.0.0.1:0").await];
+        let [old, new] = [old.unwrap(), new.unwrap()];
+        let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
+        let (discovery_address, address) = watch::channel(old.local_addr().unwrap());
+        spawn_local(watch_discovery(router.clone(), address, 1));
+        let (mut stream, _) = old.accept().await.unwrap();
+        let mut subscription = [0; 8];
+        stream.read_exact(&mut subscription).await.unwrap();
+        assert_eq!(&subscription, b"after 1\n");
+        stream.writable().await.unwrap();
+        // Nothing waits between the two: the router hears of both in one turn.
+        stream.try_write(event(2, "left").as_bytes()).unwrap();
+        discovery_address.send(new.local_addr().unwrap()).unwrap();
+        let (mut stream, _) = new.accept().await.unwrap();
+        assert_eq!(router.borrow().dispatcher.workers(), []);
+        stream.read_exact(&mut subscription).await.unwrap();
+        assert_eq!(&subscription, b"after 2\n");
+    });
+}
+
+/// A worker joins after ten heartbeats without it, by a clock that was stepped: it is as old as its event at most. With
+/// a clock an hour behind it got no slow start, with one an hour ahead an hour of it.
+#[test_case(-3600.0; "an hour behind")]
+#[test_case(-3.0; "three seconds behind")]
+#[test_case(3.0; "three seconds ahead")]
+#[test_case(3600.0; "an hour ahead")]
+fn worker_joining_by_a_stepped_clock_is_no_older_than_its_event(step: f64) {
+    run_local(async move {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let (ours, mut theirs) = tokio::io::duplex(4 << 10);
+        let reader_router = router.clone();
+        spawn_local(async move { read_events(&reader_router, ours, &mut 1).await });
+        for _ in 0..10 {
+            theirs.write_all(b"1\n").await.unwrap();
+            tokio::time::sleep(Duration::from_secs(1)).await;
+        }
+        let stamp = format!(r#""phase":"active","up_since_ms":{:.0}"#, (unix_time() + step) * 1e3);
+        let event = event(2, "active").replace(r#""phase":"active""#, &stamp);
+        theirs.write_all(event.as_bytes()).await.unwrap();
+        tokio::time::sleep(Duration::from_millis(1)).await;
+        let state = router.borrow();
+        let started = state.dispatcher.started(0).expect("a start");
+        assert!(
+            (state.now() - 1.1..=state.now()).contains(&started),
+            "started at {started:.1}, now it is {:.1}",
+            state.now()
+        );
+    });
+}
+/// No connection to the discovery address can be made, for a local reason or another: it is tried again, with pauses,
+/// and events are applied once it can.
+#[test_case(FaultDuration::Once; "once")]
+#[test_case(SHORT_FAULT; "for 100 ms")]
+#[test_case(LONG_FAULT; "for 2 s")]
+fn discovery_connection_is_retried_until_it_succeeds(duration: FaultDuration) {
+    run_local(async move {
+        let scenarios =
+            CONNECT_ERRORS.iter().map(|&errno| spawn_local(retries_until_discovery_answers(errno, duration)));
+        for scenario in scenarios.collect::<Vec<_>>() {
+            scenario.await.unwrap();
+        }
+    });
+}
+
+async fn retries_until_discovery_answers(errno: Errno, duration: FaultDuration) {
+    let sockets = FaultySockets::new(Operation::Connect, errno, duration, usize::MAX);
+    sockets.armed.set(true);
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
+    router.borrow_mut().sockets = sockets.clone();
+    let (_moved, address) = watch::channel(listener.local_addr().unwrap());
+    spawn_local(watch_discovery(router.clone(), address, 1));
+    let (mut stream, _) = listener.accept().await.unwrap();
+    stream.write_all(event(2, "left").as_bytes()).await.unwrap();
+    while !router.borrow().dispatcher.workers().is_empty() {
+        tokio::time::sleep(Duration::from_millis(1)).await;
+    }
+    // Pauses of 50, 100, 200 and then 400 ms.
+    let failures = sockets.failures.get();
+    assert!((1..=8).contains(&failures), "{errno:?}: {failures}");
+}
+
+/// A stream of which the first write fails, or the read after all that was sent.
+struct FailingStream {
+    stream: DuplexStream,
+    operation: Operation,
+    errno: Errno,
+    written: bool,
+}
+
+impl AsyncRead for FailingStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        to: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let read = Pin::new(&mut self.stream).poll_read(cx, to);
+        if self.operation == Operation::Read && read.is_pending() {
+            return Poll::Ready(Err(io::Error::from_raw_os_error(self.errno as i32)));
+        }
+        read
+    }
+}
+
+impl AsyncWrite for FailingStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        if self.operation == Operation::Write && !std::mem::replace(&mut self.written, true) {
+            return Poll::Ready(Err(io::Error::from_raw_os_error(self.errno as i32)));
+        }
+        Pin::new(&mut self.stream).poll_write(cx, bytes)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
+
+/// A read fails after an event and half of another, or the subscription can't be written: the stream is given up with
+/// whole events applied, so that the half event is subscribed to again.
+#[test]
+fn complete_events_survive_a_failed_read_or_write() {
+    run_local(async {
+        for &errno in TRANSFER {
+            let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
+            let (ours, mut theirs) = tokio::io::duplex(4 << 10);
+            let sent = event(2, "left") + &event(3, "active")[..30];
+            theirs.write_all(sent.as_bytes()).await.unwrap();
+            let mut last = 1;
+            let reads = FailingStream { stream: ours, operation: Operation::Read, errno, written: false };
+            let Err(reason) = read_events(&router, reads, &mut last).await;
+            let StreamEnd::Broken(error) = reason else { panic!("{errno:?}: {reason}") };
+            assert_eq!(error.raw_os_error(), Some(errno as i32));
+            assert_eq!((last, router.borrow().dispatcher.workers().len()), (2, 0), "{errno:?}");
+
+            let (ours, mut theirs) = tokio::io::duplex(4 << 10);
+            theirs.shutdown().await.unwrap();
+            let writes = FailingStream { stream: ours, operation: Operation::Write, errno, written: false };
+            let Err(reason) = read_events(&router, writes, &mut last).await;
+            // Written again after an interruption.
+            match reason {
+                StreamEnd::Closed if errno == Errno::EINTR => {}
+                StreamEnd::Subscribe(error) if errno != Errno::EINTR => {
+                    assert_eq!(error.raw_os_error(), Some(errno as i32));
+                }
+                other => panic!("{errno:?}: {other}"),
+            }
+            assert_eq!(last, 2, "{errno:?}");
+        }
+    });
+}
+
+/// A stream of which every write is interrupted.
+struct InterruptedStream {
+    stream: DuplexStream,
+    writes: Rc<Cell<usize>>,
+}
+
+impl AsyncRead for InterruptedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        to: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_read(cx, to)
+    }
+}
+
+impl AsyncWrite for InterruptedStream {
+    fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, _: &[u8]) -> Poll<io::Result<usize>> {
+        self.writes.set(self.writes.get() + 1);
+        assert!(self.writes.get() < 1000, "it spins");
+        Poll::Ready(Err(io::ErrorKind::Interrupted.into()))
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
+
+/// Each write of the subscription is interrupted: it is repeated with pauses, a bounded number of times, and the
+/// connection given up. It was repeated at once and without end, and nothing else ran meanwhile.
+#[test]
+fn subscription_that_is_always_interrupted_is_given_up() {
+    run_local(async {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let (ours, _theirs) = tokio::io::duplex(4 << 10);
+        let writes = Rc::new(Cell::new(0));
+        let begun = Instant::now();
+        let stream = InterruptedStream { stream: ours, writes: writes.clone() };
+        let Err(reason) = read_events(&router, stream, &mut 1).await;
+        assert!(matches!(reason, StreamEnd::SubscribeTimeout), "{reason}");
+        assert!((2..=10).contains(&writes.get()), "{}", writes.get());
+        assert!(begun.elapsed() <= CONNECT_TIMEOUT + Duration::from_millis(1));
+    });
+}
