--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -7,10 +7,10 @@
 mod status_log;
 
 use crate::control_thread::{self, ControlLoop, ControlThreadError, bind};
-use crate::inbox::tenfold;
+use crate::datagram_receiver::is_power_of_ten;
 use crate::key_file::read_control_key;
-use crate::office::Office;
 use crate::process_clocks::thread_cpu_seconds;
+use crate::shared_runtime::SharedRuntime;
 use crate::status_pages::StatusPages;
 use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
 use milletpath_config_log::message::{self, Key, MAX_APPLY_ERROR_BYTES, MAX_DATAGRAM_BYTES, Message};
@@ -94,17 +94,20 @@
 /// # Errors
 ///
 /// The configuration has no section `changes`, its state file has no file name, or the system gives no thread.
-pub fn start(office: Arc<Office>, feed: ConfigFeed) -> Result<JoinHandle<()>, ControlThreadError> {
-    start_observed(office, feed, None)
+pub fn start(
+    shared_runtime: Arc<SharedRuntime>,
+    feed: ConfigFeed,
+) -> Result<JoinHandle<()>, ControlThreadError> {
+    start_observed(shared_runtime, feed, None)
 }
 
 /// As [`start`], with an observer.
 pub(crate) fn start_observed(
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     feed: ConfigFeed,
     observer: Option<Box<dyn FollowerObserver>>,
 ) -> Result<JoinHandle<()>, ControlThreadError> {
-    let Some(settings) = office.house.config_log.clone() else {
+    let Some(settings) = shared_runtime.config.config_log.clone() else {
         return Err(ControlThreadError::NotConfigured("changes"));
     };
     let Some((folder, name)) = DiskFolder::of_file(&settings.state_file) else {
@@ -113,7 +116,7 @@
     if let Err(e) = survive_file_size_limit() {
         tracing::warn!("a limit on the size of files will end this process: {e}");
     }
-    let (saved, now) = (read_saved_state(&settings.state_file), office.now());
+    let (saved, now) = (read_saved_state(&settings.state_file), shared_runtime.now());
     let was_saved = saved.is_some();
     // Random in each process: gateways that start together must not poll in step.
     let seed = RandomState::new().hash_one(std::process::id());
@@ -124,7 +127,7 @@
     let state_file = StateFile::new(folder, name, state_id(&follower), now);
     let mut thread = FollowerThread {
         follower,
-        office: office.clone(),
+        shared_runtime: shared_runtime.clone(),
         feed,
         state_file,
         status_pages: StatusPages::default(),
@@ -134,7 +137,7 @@
         observer,
     };
     thread.apply_changes();
-    control_thread::spawn(thread, office)
+    control_thread::spawn(thread, shared_runtime)
 }
 
 /// The last known state as the file holds it; none where there is no file or it can't be read.
@@ -165,7 +168,7 @@
 
 struct FollowerThread {
     follower: Follower,
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     feed: ConfigFeed,
     state_file: StateFile<DiskFolder>,
     status_pages: StatusPages,
@@ -195,13 +198,13 @@
     fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         match message::open(&self.feed.key, datagram) {
             Ok(Message::StatusRequest { query_id: ask, page }) => self.answer_query(ask, page, from),
-            Ok(message) => self.follower.receive(self.office.now(), from, message),
+            Ok(message) => self.follower.receive(self.shared_runtime.now(), from, message),
             Err(why) => {
                 let wrong_seal = matches!(why, message::OpenError::InvalidTag);
                 self.rejected_seal += u64::from(wrong_seal);
                 self.rejected_other += u64::from(!wrong_seal);
                 let rejected = self.rejected_seal + self.rejected_other;
-                if tenfold(rejected) {
+                if is_power_of_ten(rejected) {
                     tracing::warn!(%from, rejected, "a datagram of a control machine is rejected: {why}");
                 }
             }
@@ -227,7 +230,8 @@
     }
 
     fn finish(mut self) {
-        self.state_file.save_last(state_id(&self.follower), self.office.now(), || self.follower.save());
+        self.state_file
+            .save_last(state_id(&self.follower), self.shared_runtime.now(), || self.follower.save());
         let ConfigStatus { cpu_seconds, saves, failed_saves, view, .. } = self.view();
         tracing::info!(
             number = view.number,
@@ -244,7 +248,7 @@
     /// is reported to the control machines, and the former value of its key stays.
     fn apply_changes(&mut self) {
         while let Some(batch) = self.follower.take_updates() {
-            let house = &self.office.house;
+            let house = &self.shared_runtime.config;
             let mut config_changes: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
                 if change.text.is_none() && Subject::from_key(&change.key).is_none() {
@@ -265,7 +269,7 @@
                 }
             }
             let (number, entries) = (self.follower.state().head(), config_changes.len());
-            self.office.tell(None, |desk, _| {
+            self.shared_runtime.with_dispatcher(None, |desk, _| {
                 config_changes
                     .iter()
                     .for_each(|config_change| desk.apply_config_change(config_change, &house.functions));
@@ -288,7 +292,7 @@
     fn view(&self) -> ConfigStatus {
         let (rejected_seal, rejected_other) = (self.rejected_seal, self.rejected_other);
         let (saves, failed_saves) = (self.state_file.writes, self.state_file.failures);
-        let view = self.follower.view(self.office.now());
+        let view = self.follower.view(self.shared_runtime.now());
         ConfigStatus {
             view,
             cpu_seconds: thread_cpu_seconds(),
--- a/crates/gateway/src/control_thread.rs
+++ b/crates/gateway/src/control_thread.rs
@@ -1,9 +1,9 @@
 //! What the control threads (membership link, configuration follower) do alike: each reads datagrams in batches from one
 //! UDP socket, lets time pass for its core once a batch is read, and acts on what follows, until the gateway stops.
 
-use crate::inbox::Inbox;
+use crate::datagram_receiver::DatagramReceiver;
 use crate::key_file::KeyFileError;
-use crate::office::Office;
+use crate::shared_runtime::SharedRuntime;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -75,23 +75,25 @@
 /// Starts the thread of a control loop; it ends once `office` is stopping. The caller owns the thread and joins it.
 pub fn spawn<L: ControlLoop>(
     control_loop: L,
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
 ) -> Result<JoinHandle<()>, ControlThreadError> {
     std::thread::Builder::new()
         .name(L::THREAD_NAME.into())
-        .spawn(move || run(control_loop, &office))
+        .spawn(move || run(control_loop, &shared_runtime))
         .map_err(ControlThreadError::Spawn)
 }
 
-fn run<L: ControlLoop>(mut control_loop: L, office: &Office) {
-    let mut inbox = Inbox::new(L::MAX_DATAGRAM_BYTES);
-    while !office.stopping.load(Ordering::Acquire) {
-        let due_in = control_loop.wait_until() - office.now();
-        if let Some((datagram, from)) = inbox.next(control_loop.socket(), due_in, L::READ_FAILED) {
+fn run<L: ControlLoop>(mut control_loop: L, shared_runtime: &SharedRuntime) {
+    let mut datagram_receiver = DatagramReceiver::new(L::MAX_DATAGRAM_BYTES);
+    while !shared_runtime.stopping.load(Ordering::Acquire) {
+        let due_in = control_loop.wait_until() - shared_runtime.now();
+        if let Some((datagram, from)) =
+            datagram_receiver.receive(control_loop.socket(), due_in, L::READ_FAILED)
+        {
             control_loop.receive(datagram, from);
         }
-        let now = office.now();
-        if inbox.turns(now, control_loop.next_tick()) {
+        let now = shared_runtime.now();
+        if datagram_receiver.is_tick_due(now, control_loop.next_tick()) {
             control_loop.tick(now);
         }
         control_loop.act(now);
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -12,8 +12,8 @@
 use crate::config_follower::{self, ConfigFeed};
 use crate::control_thread::ControlThreadError;
 use crate::membership_link::{self, MembershipLink, MembershipObserver};
-use crate::office::Office;
 use crate::process_clocks::thread_cpu_seconds;
+use crate::shared_runtime::SharedRuntime;
 use milletpath_config::GatewayConfig;
 use milletpath_protocol::registry::Entry;
 use readings::{FollowerMonitor, MembershipMonitor, cpu_seconds_of, lock};
@@ -24,7 +24,7 @@
 
 /// A running hollow gateway. Dropping it stops its control threads and joins them.
 pub struct HollowGateway {
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     /// The address of its membership link, if it has one.
     pub link: Option<SocketAddr>,
     /// The address of its configuration follower, if it has one.
@@ -54,7 +54,7 @@
         let feed = house.config_log.as_ref().map(ConfigFeed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
         let mut hollow = Self {
-            office: Office::new(house),
+            shared_runtime: SharedRuntime::new(house),
             link: link
                 .as_ref()
                 .map(MembershipLink::address)
@@ -76,35 +76,43 @@
             let following = hollow.following.clone();
             let monitor = FollowerMonitor::new(on_applied, following, killed.clone());
             let monitor: Box<dyn config_follower::FollowerObserver> = Box::new(monitor);
-            hollow.threads.push(config_follower::start_observed(hollow.office.clone(), feed, Some(monitor))?);
+            hollow.threads.push(config_follower::start_observed(
+                hollow.shared_runtime.clone(),
+                feed,
+                Some(monitor),
+            )?);
         }
         if let Some(link) = link {
             let reading = hollow.reading.clone();
             let monitor = MembershipMonitor::new(on_membership_event, reading, killed);
             let monitor: Box<dyn MembershipObserver> = Box::new(monitor);
-            hollow.threads.push(membership_link::start_observed(hollow.office.clone(), link, Some(monitor))?);
+            hollow.threads.push(membership_link::start_observed(
+                hollow.shared_runtime.clone(),
+                link,
+                Some(monitor),
+            )?);
         }
         Ok(hollow)
     }
 
     /// Applies an endpoint list, or changes to it where it is not `whole`. Gives the processor time taken, in seconds.
     pub fn update_endpoints(&self, whole: bool, entries: &[Entry]) -> f64 {
-        self.timed(|office| office.list(None, whole, entries))
+        self.timed(|shared_runtime| shared_runtime.update_endpoints(None, whole, entries))
     }
 
     /// Runs the dispatcher's timers that are due. To be called often, as the supervisor of a real gateway does.
     pub fn tick(&self) {
-        self.timed(|office| {
-            if office.overdue(0.0) {
-                office.tell(None, |desk, now| desk.advance(now));
+        self.timed(|shared_runtime| {
+            if shared_runtime.is_overdue(0.0) {
+                shared_runtime.with_dispatcher(None, |desk, now| desk.advance(now));
             }
         });
     }
 
     /// Does some work of the dispatcher; gives the processor time that it took, in seconds.
-    fn timed(&self, work: impl FnOnce(&Office)) -> f64 {
+    fn timed(&self, work: impl FnOnce(&SharedRuntime)) -> f64 {
         let before = thread_cpu_seconds();
-        work(&self.office);
+        work(&self.shared_runtime);
         let took = (thread_cpu_seconds() - before).max(0.0);
         self.desk.fetch_add((took * 1e9) as u64, Ordering::Relaxed);
         took
@@ -148,13 +156,13 @@
     /// Asks the control threads to end: in order, or as if the process had been `killed`. Does not wait; dropping does.
     pub fn stop(&self, killed: bool) {
         self.killed.store(killed, Ordering::Release);
-        self.office.stopping.store(true, Ordering::Release);
+        self.shared_runtime.stopping.store(true, Ordering::Release);
     }
 }
 
 impl Drop for HollowGateway {
     fn drop(&mut self) {
-        self.office.stopping.store(true, Ordering::Release);
+        self.shared_runtime.stopping.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
             if thread.join().is_err() {
                 tracing::error!("a control thread of a hollow gateway panicked");
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -9,9 +9,9 @@
 
 use crate::budget_sharing::{BudgetSharing, BudgetSharingView};
 use crate::control_thread::{self, ControlLoop, ControlThreadError, bind};
-use crate::inbox::tenfold;
+use crate::datagram_receiver::is_power_of_ten;
 use crate::key_file::read_fleet_key;
-use crate::office::Office;
+use crate::shared_runtime::SharedRuntime;
 use crate::status_pages::PAGE_BYTES;
 use milletpath_config::{GatewayConfig, MembershipConfig as MembershipSettings};
 use milletpath_dispatcher::dispatcher::QuotaFraction as DispatcherQuota;
@@ -83,17 +83,20 @@
 /// # Errors
 ///
 /// The configuration has no section `peers`, or the system gives no address or thread.
-pub fn start(office: Arc<Office>, link: MembershipLink) -> Result<JoinHandle<()>, ControlThreadError> {
-    start_observed(office, link, None)
+pub fn start(
+    shared_runtime: Arc<SharedRuntime>,
+    link: MembershipLink,
+) -> Result<JoinHandle<()>, ControlThreadError> {
+    start_observed(shared_runtime, link, None)
 }
 
 /// As [`start`], with an observer.
 pub(crate) fn start_observed(
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     link: MembershipLink,
     observer: Option<Box<dyn MembershipObserver>>,
 ) -> Result<JoinHandle<()>, ControlThreadError> {
-    let Some(settings) = office.house.membership.clone() else {
+    let Some(settings) = shared_runtime.config.membership.clone() else {
         return Err(ControlThreadError::NotConfigured("peers"));
     };
     let address = if settings.advertise.port() == 0 {
@@ -101,12 +104,12 @@
     } else {
         settings.advertise
     };
-    let identity = identity(&office.house, &settings, address);
-    let (instance_id, now) = (identity.instance_id, office.now());
-    let sharing = BudgetSharing::new(&office.house, instance_id, settings.lease, now);
+    let identity = identity(&shared_runtime.config, &settings, address);
+    let (instance_id, now) = (identity.instance_id, shared_runtime.now());
+    let sharing = BudgetSharing::new(&shared_runtime.config, instance_id, settings.lease, now);
     let membership = Membership::new(
         identity,
-        membership_config(&office.house, &settings),
+        membership_config(&shared_runtime.config, &settings),
         settings.seeds,
         instance_id,
         now,
@@ -114,7 +117,7 @@
     let mut thread = LinkThread {
         membership,
         sharing,
-        office: office.clone(),
+        shared_runtime: shared_runtime.clone(),
         link,
         published: None,
         budgets_updated_at: f64::NEG_INFINITY,
@@ -124,7 +127,7 @@
     };
     // Before the first request is accepted: quota that a former process of this name may have lent must not be used.
     thread.publish_quota();
-    control_thread::spawn(thread, office)
+    control_thread::spawn(thread, shared_runtime)
 }
 
 fn identity(house: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
@@ -176,7 +179,7 @@
 struct LinkThread {
     membership: Membership,
     sharing: BudgetSharing,
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     link: MembershipLink,
     /// The quota fraction that the dispatcher was given last.
     published: Option<PublishedQuota>,
@@ -209,12 +212,12 @@
     fn receive(&mut self, sealed: &[u8], from: SocketAddr) {
         match datagram::open(&self.link.key, sealed) {
             Ok(datagram) if datagram.kind == kind::STATUS_QUERY => self.answer_query(&datagram, from),
-            Ok(datagram) => self.membership.receive(self.office.now(), datagram),
+            Ok(datagram) => self.membership.receive(self.shared_runtime.now(), datagram),
             Err(why) => {
                 let counters = self.membership.counters_mut();
                 counters.record_rejected(why);
                 let rejected = counters.rejected();
-                if tenfold(rejected) {
+                if is_power_of_ten(rejected) {
                     tracing::warn!(%from, rejected, "a datagram of another gateway is rejected: {why}");
                 }
             }
@@ -233,7 +236,7 @@
         self.send_outgoing();
         self.log_events();
         if let Some(observer) = &mut self.observer {
-            observer.after_turn(self.office.now(), &mut self.membership, &mut self.sharing, &quota);
+            observer.after_turn(self.shared_runtime.now(), &mut self.membership, &mut self.sharing, &quota);
         }
     }
 
@@ -242,7 +245,7 @@
     }
 
     fn finish(mut self) {
-        self.membership.announce_departure(self.office.now());
+        self.membership.announce_departure(self.shared_runtime.now());
         self.publish_quota();
         self.send_outgoing();
     }
@@ -257,7 +260,7 @@
         if self.queries_answered > MAX_QUERIES_PER_SECOND {
             return;
         }
-        let now = self.office.now();
+        let now = self.shared_runtime.now();
         let BudgetSharingView { budgets, counters } = self.sharing.view(now);
         let status = MembershipStatus { view: self.membership.view(now), budgets, sharing: counters };
         let Ok(text) = serde_json::to_vec(&status) else { return };
@@ -294,12 +297,12 @@
 
     /// Gives the dispatcher this gateway's quota fraction where it changed, or before the fraction given last expires.
     fn publish_quota(&mut self) -> QuotaFraction {
-        let now = self.office.now();
+        let now = self.shared_runtime.now();
         let quota = self.membership.quota_fraction(now);
         let dispatcher_quota = self.dispatcher_quota(&quota);
         if self.published.as_ref().is_none_or(|published| published.is_outdated(now, &dispatcher_quota)) {
             self.published = Some(PublishedQuota { at: now, quota: dispatcher_quota });
-            self.office.tell(None, |desk, _| desk.set_quota_fraction(dispatcher_quota));
+            self.shared_runtime.with_dispatcher(None, |desk, _| desk.set_quota_fraction(dispatcher_quota));
         }
         self.update_budgets(quota);
         quota
@@ -316,7 +319,7 @@
                 valid_until: quota.valid_until,
             },
             Some(InjectedFault::LikelyCount) => {
-                let fraction = self.office.house.policy.routers as f64 / likely_gateways;
+                let fraction = self.shared_runtime.config.policy.routers as f64 / likely_gateways;
                 DispatcherQuota {
                     likely_gateways,
                     fraction,
@@ -333,7 +336,7 @@
         const UPDATE_SECONDS: f64 = 0.04;
         let others = self.membership.fresh_instances();
         let payloads: Vec<_> = std::iter::from_fn(|| self.membership.next_payload()).collect();
-        let now = self.office.now();
+        let now = self.shared_runtime.now();
         if payloads.is_empty()
             && now < self.sharing.next_deadline().min(self.budgets_updated_at + UPDATE_SECONDS)
         {
@@ -341,7 +344,7 @@
         }
         self.budgets_updated_at = now;
         let sharing = &mut self.sharing;
-        self.office.tell(None, |desk, now| {
+        self.shared_runtime.with_dispatcher(None, |desk, now| {
             payloads
                 .iter()
                 .for_each(|received| sharing.receive(desk, now, received.sender, &received.payload));
@@ -353,7 +356,7 @@
         for event in self.membership.take_events() {
             match &mut self.observer {
                 Some(observer) => observer.event(event),
-                None => event_log::log_event(&event, self.office.house.policy.routers),
+                None => event_log::log_event(&event, self.shared_runtime.config.policy.routers),
             }
         }
     }
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -5,7 +5,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::message::{self, Key, MAX_DATAGRAM_BYTES, MAX_DENIAL_BYTES, Message};
 use milletpath_config_log::{DurableReplica, FlushOutput, StorageEvent};
-use milletpath_gateway::{StatusPages, tenfold, thread_cpu_seconds};
+use milletpath_gateway::{StatusPages, is_power_of_ten, thread_cpu_seconds};
 use milletpath_storage::DiskFolder;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -81,7 +81,7 @@
             Ok(message) => message,
             Err(why) => {
                 self.rejected_datagrams += 1;
-                if tenfold(self.rejected_datagrams) {
+                if is_power_of_ten(self.rejected_datagrams) {
                     tracing::warn!(%from, all = self.rejected_datagrams, "a message is not taken: {why}");
                 }
                 return;
@@ -141,7 +141,7 @@
         match event {
             StorageEvent::Failed { error, consecutive_failures: in_a_row, retry_in } => {
                 let votes = !self.replica.replica().is_suspended();
-                if tenfold(in_a_row.into()) {
+                if is_power_of_ten(in_a_row.into()) {
                     tracing::error!(in_a_row, retry_in, votes, "the log can't be written: {error}");
                 }
                 self.log_error = Some(error.to_string());
