--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -5,8 +5,8 @@
 
 mod state_file;
 
-use crate::inbox::{Inbox, tenfold};
-use crate::office::Office;
+use crate::datagram_receiver::{DatagramReceiver, is_power_of_ten};
+use crate::shared_runtime::SharedRuntime;
 use crate::telling::{Telling, cpu};
 use milletpath_config::{ConfigChange, ConfigLogConfig, Subject};
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_WHY, Message};
@@ -74,17 +74,17 @@
 
 /// Starts the thread of a feed. What was in force when the last process of this gateway ended is so again
 /// before this comes back.
-pub fn start(office: Arc<Office>, feed: Feed) -> io::Result<JoinHandle<()>> {
-    start_watched(office, feed, None)
+pub fn start(shared_runtime: Arc<SharedRuntime>, feed: Feed) -> io::Result<JoinHandle<()>> {
+    start_watched(shared_runtime, feed, None)
 }
 
 /// As [`start`], with somebody who looks on.
 pub(crate) fn start_watched(
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     feed: Feed,
     onlooker: Option<Box<dyn Onlooker>>,
 ) -> io::Result<JoinHandle<()>> {
-    let Some(stated) = office.house.config_log.clone() else {
+    let Some(stated) = shared_runtime.config.config_log.clone() else {
         return Err(io::Error::other("the charter has no changes"));
     };
     let Some((folder, name)) = DiskFolder::of_file(&stated.state_file) else {
@@ -102,7 +102,7 @@
             None
         }
     };
-    let (there, now) = (saved.is_some(), office.now());
+    let (there, now) = (saved.is_some(), shared_runtime.now());
     // Drawn anew by each process from the system's chance: gateways that begin together must not ask in step.
     let seed = RandomState::new().hash_one(std::process::id());
     let follower = Follower::new(stated.name, stated.control, Terms::default(), seed, now, saved);
@@ -118,7 +118,7 @@
     let state_file = StateFile::new(folder, name, state_id(&follower), now);
     let mut running = Running {
         follower,
-        office,
+        shared_runtime,
         feed,
         state_file,
         telling: Telling::default(),
@@ -143,7 +143,7 @@
 
 struct Running {
     follower: Follower,
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     feed: Feed,
     state_file: StateFile<DiskFolder>,
     telling: Telling,
@@ -159,14 +159,16 @@
 
 impl Running {
     fn run(mut self) {
-        let mut inbox = Inbox::new(LARGEST);
-        while !self.office.stopping.load(Ordering::Acquire) {
-            let due_in = self.follower.next() - self.office.now();
-            if let Some((datagram, from)) = inbox.next(&self.feed.socket, due_in, "changes can't be heard") {
+        let mut datagram_receiver = DatagramReceiver::new(LARGEST);
+        while !self.shared_runtime.stopping.load(Ordering::Acquire) {
+            let due_in = self.follower.next() - self.shared_runtime.now();
+            if let Some((datagram, from)) =
+                datagram_receiver.receive(&self.feed.socket, due_in, "changes can't be heard")
+            {
                 self.take(datagram, from);
             }
-            let now = self.office.now();
-            if inbox.turns(now, self.follower.next()) {
+            let now = self.shared_runtime.now();
+            if datagram_receiver.is_tick_due(now, self.follower.next()) {
                 self.follower.turn(now);
             }
             self.apply();
@@ -180,7 +182,8 @@
         if self.onlooker.as_ref().is_some_and(|o| o.killed()) {
             return;
         }
-        self.state_file.keep_last(state_id(&self.follower), self.office.now(), || self.follower.save());
+        self.state_file
+            .keep_last(state_id(&self.follower), self.shared_runtime.now(), || self.follower.save());
         let Followed { cpu, kept, not_kept, view, .. } = self.view();
         tracing::info!(number = view.number, cpu, kept, not_kept, "changes are followed no more");
     }
@@ -188,13 +191,13 @@
     fn take(&mut self, datagram: &[u8], from: SocketAddr) {
         match message::open(&self.feed.key, datagram) {
             Ok(Message::Status { ask, page }) => self.answer(ask, page, from),
-            Ok(message) => self.follower.heard(self.office.now(), from, message),
+            Ok(message) => self.follower.heard(self.shared_runtime.now(), from, message),
             Err(why) => {
                 let seal = matches!(why, message::Refused::Seal);
                 self.seals += u64::from(seal);
                 self.unread += u64::from(!seal);
                 let all = self.seals + self.unread;
-                if tenfold(all) {
+                if is_power_of_ten(all) {
                     tracing::warn!(%from, all, "a message of a control machine is not taken: {why}");
                 }
             }
@@ -205,7 +208,7 @@
     /// to the control machines; what was in force under its key stays.
     fn apply(&mut self) {
         while let Some(batch) = self.follower.news() {
-            let house = &self.office.house;
+            let house = &self.shared_runtime.config;
             let mut amendments: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
                 if change.text.is_none() && Subject::from_key(&change.key).is_none() {
@@ -222,7 +225,7 @@
                 }
             }
             let (number, entries) = (self.follower.state().head(), amendments.len());
-            self.office.tell(None, |desk, _| {
+            self.shared_runtime.with_dispatcher(None, |desk, _| {
                 amendments.iter().for_each(|amendment| desk.apply_config_change(amendment, &house.functions));
             });
             tracing::info!(number, entries, "changes are in force");
@@ -242,7 +245,7 @@
     fn view(&self) -> Followed {
         let (seals, unread) = (self.seals, self.unread);
         let (kept, not_kept) = (self.state_file.written, self.state_file.failed);
-        let view = self.follower.view(self.office.now());
+        let view = self.follower.view(self.shared_runtime.now());
         Followed { view, cpu: cpu(), seals, unread, kept, not_kept }
     }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -2,7 +2,7 @@
 //! their last.
 
 use crate::errands;
-use crate::office::Office;
+use crate::shared_runtime::SharedRuntime;
 use crate::shell::{Gateway, PULSE};
 use std::io;
 use std::sync::Arc;
@@ -12,19 +12,24 @@
 
 /// Starts the thread of a seat, in that one of its lives. It lasts for as long as connections may be dealt to it.
 pub fn start(
-    office: &Arc<Office>,
+    shared_runtime: &Arc<SharedRuntime>,
     seat: usize,
     life: u32,
     accepting: &Arc<AtomicBool>,
 ) -> io::Result<JoinHandle<()>> {
-    let (office, accepting) = (office.clone(), accepting.clone());
+    let (shared_runtime, accepting) = (shared_runtime.clone(), accepting.clone());
     std::thread::Builder::new().name(format!("core-{seat}")).spawn(move || {
-        if office.house.limits.pin {
+        if shared_runtime.config.limits.pin {
             pin(seat);
         }
         match tokio::runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => {
-                runtime.block_on(tokio::task::LocalSet::new().run_until(run(office, seat, life, accepting)));
+                runtime.block_on(tokio::task::LocalSet::new().run_until(run(
+                    shared_runtime,
+                    seat,
+                    life,
+                    accepting,
+                )));
             }
             // The keeper sees that the thread has ended, and tries again.
             Err(e) => tracing::error!(seat, "a core's runtime can't start: {e}"),
@@ -48,14 +53,14 @@
     }
 }
 
-async fn run(office: Arc<Office>, number: usize, life: u32, accepting: Arc<AtomicBool>) {
+async fn run(shared_runtime: Arc<SharedRuntime>, number: usize, life: u32, accepting: Arc<AtomicBool>) {
     /// Seconds between two looks for idle connections: short against the time they may be idle.
     const LOOK: f64 = 1.0;
-    let seat = &office.seats[number];
-    let gateway = Gateway::new(office.clone(), number, life, errands::carry_out);
-    let (mut pulse, mut look) = (0.0, office.now() + LOOK);
+    let seat = &shared_runtime.core_slots[number];
+    let gateway = Gateway::new(shared_runtime.clone(), number, life, errands::carry_out);
+    let (mut pulse, mut look) = (0.0, shared_runtime.now() + LOOK);
     loop {
-        let now = office.now();
+        let now = shared_runtime.now();
         if now >= pulse {
             pulse = now + PULSE;
             if !gateway.beat().await {
@@ -63,7 +68,7 @@
                 return;
             }
             // The keeper itself may stand still; then whoever notices does what is due.
-            if office.overdue(2.0 * PULSE) {
+            if shared_runtime.overdue(2.0 * PULSE) {
                 gateway.tell(|desk, now| desk.advance(now));
             }
             if now >= look {
@@ -72,7 +77,7 @@
             }
         }
         gateway.collect();
-        if office.stopping.load(Ordering::Acquire) {
+        if shared_runtime.stopping.load(Ordering::Acquire) {
             gateway.stop();
             let more = accepting.load(Ordering::Acquire);
             if !more && seat.open.load(Ordering::Acquire) == 0 && seat.mail.is_empty() {
--- a/crates/gateway/src/inbox.rs
+++ b/crates/gateway/src/datagram_receiver.rs
@@ -12,19 +12,19 @@
 const LOOK: f64 = 0.05;
 
 /// What a thread reads datagrams into.
-pub struct Inbox {
+pub struct DatagramReceiver {
     buffer: Vec<u8>,
     read: usize,
 }
 
-impl Inbox {
+impl DatagramReceiver {
     /// For datagrams of so many bytes; a larger one shows by one more.
     pub fn new(largest: usize) -> Self {
         Self { buffer: vec![0; largest + 1], read: 0 }
     }
 
     /// The next datagram, waited for until something is due in so many seconds; `failed` is what the log says where it can't be read.
-    pub fn next(&mut self, socket: &UdpSocket, due_in: f64, failed: &str) -> Option<(&[u8], SocketAddr)> {
+    pub fn receive(&mut self, socket: &UdpSocket, due_in: f64, failed: &str) -> Option<(&[u8], SocketAddr)> {
         let wait = Duration::from_secs_f64(due_in.clamp(0.001, LOOK));
         match socket.set_read_timeout(Some(wait)).and_then(|()| socket.recv_from(&mut self.buffer)) {
             Ok((size, from)) => {
@@ -44,16 +44,16 @@
     }
 
     /// Whether time is to be looked at now, where that was due at `due`; counts anew from there.
-    pub fn turns(&mut self, now: f64, due: f64) -> bool {
-        let turns = self.read >= TURN || now >= due + LOOK;
-        if turns {
+    pub fn is_tick_due(&mut self, now: f64, due: f64) -> bool {
+        let due_now = self.read >= TURN || now >= due + LOOK;
+        if due_now {
             self.read = 0;
         }
-        turns
+        due_now
     }
 }
 
 /// Whether the count of what is refused is one that is told: each tenfold, as a flood is not to fill the log.
-pub fn tenfold(count: u64) -> bool {
+pub fn is_power_of_ten(count: u64) -> bool {
     count.to_string().trim_end_matches('0') == "1"
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -20,7 +20,7 @@
 }
 
 async fn stream(gateway: &Rc<Gateway>, address: SocketAddr) -> String {
-    let Some(place) = gateway.office.room(address).reserve() else { return "no place".into() };
+    let Some(place) = gateway.shared_runtime.room(address).reserve() else { return "no place".into() };
     let mut connection = match pool::connect(place, Way { address, process: 0 }, Duration::ZERO).await {
         Ok(connection) => connection,
         Err(e) => return format!("no connection: {e}"),
@@ -59,7 +59,7 @@
                 // The stream stood since the edition before, and would have told of anybody who was listed earlier.
                 gateway.tell(|desk, now| desk.endpoint_list_confirmed(now));
             }
-            gateway.office.list(Some(gateway.seat), whole, &entries);
+            gateway.shared_runtime.update_endpoints(Some(gateway.seat), whole, &entries);
             gateway.collect();
             if gap && !asked_anew {
                 tracing::warn!(edition, "changes before it are missing; the list is asked for anew");
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -3,8 +3,8 @@
 //! time; what the control costs is read from the threads' own clocks.
 
 use crate::changing::{self, Feed};
-use crate::office::Office;
 use crate::peering::{self, Link, Onlooker};
+use crate::shared_runtime::SharedRuntime;
 use crate::sharing::Sharing;
 use crate::telling::cpu;
 use milletpath_config::GatewayConfig;
@@ -223,7 +223,7 @@
 
 /// A hollow gateway that runs.
 pub struct Hollow {
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     /// Where it hears other gateways, and changes.
     pub link: Option<SocketAddr>,
     pub feed: Option<SocketAddr>,
@@ -243,7 +243,7 @@
         let feed = house.config_log.as_ref().map(Feed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
         let mut hollow = Self {
-            office: Office::new(house),
+            shared_runtime: SharedRuntime::new(house),
             link: link.as_ref().map(Link::address).transpose()?,
             feed: feed.as_ref().map(Feed::address).transpose()?,
             threads: Vec::new(),
@@ -257,35 +257,35 @@
             let following = hollow.following.clone();
             let watch = Watch { hear, following, killed: killed.clone(), due: f64::NEG_INFINITY, own: 0.0 };
             let watch: Box<dyn changing::Onlooker> = Box::new(watch);
-            hollow.threads.push(changing::start_watched(hollow.office.clone(), feed, Some(watch))?);
+            hollow.threads.push(changing::start_watched(hollow.shared_runtime.clone(), feed, Some(watch))?);
         }
         if let Some(link) = link {
             let reading = hollow.reading.clone();
             let (due, lows) = (f64::NEG_INFINITY, Lows::default());
             let look: Box<dyn Onlooker> = Box::new(Look { heed, reading, killed, due, lows, own: 0.0 });
-            hollow.threads.push(peering::start_watched(hollow.office.clone(), link, Some(look))?);
+            hollow.threads.push(peering::start_watched(hollow.shared_runtime.clone(), link, Some(look))?);
         }
         Ok(hollow)
     }
 
     /// One edition of the worker list.
     pub fn list(&self, whole: bool, entries: &[Entry]) -> f64 {
-        self.within(|office| office.list(None, whole, entries))
+        self.within(|shared_runtime| shared_runtime.update_endpoints(None, whole, entries))
     }
 
     /// Does what is due at the desk. To be called often, as the keeper of `serve` does.
     pub fn turn(&self) {
-        self.within(|office| {
-            if office.overdue(0.0) {
-                office.tell(None, |desk, now| desk.advance(now));
+        self.within(|shared_runtime| {
+            if shared_runtime.overdue(0.0) {
+                shared_runtime.with_dispatcher(None, |desk, now| desk.advance(now));
             }
         });
     }
 
     /// Does something inside the desk; gives the processor time that it took.
-    fn within(&self, what: impl FnOnce(&Office)) -> f64 {
+    fn within(&self, what: impl FnOnce(&SharedRuntime)) -> f64 {
         let before = cpu();
-        what(&self.office);
+        what(&self.shared_runtime);
         let took = (cpu() - before).max(0.0);
         self.desk.fetch_add((took * 1e9) as u64, Ordering::Relaxed);
         took
@@ -330,7 +330,7 @@
     /// waited for.
     pub fn end(&self, killed: bool) {
         self.killed.store(killed, Ordering::Release);
-        self.office.stopping.store(true, Ordering::Release);
+        self.shared_runtime.stopping.store(true, Ordering::Release);
     }
 }
 
@@ -342,7 +342,7 @@
 
 impl Drop for Hollow {
     fn drop(&mut self) {
-        self.office.stopping.store(true, Ordering::Release);
+        self.shared_runtime.stopping.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
             if thread.join().is_err() {
                 tracing::error!("the control of a hollow gateway broke");
--- a/crates/gateway/src/peering.rs
+++ b/crates/gateway/src/peering.rs
@@ -2,8 +2,8 @@
 //! desk through the office alone, and no call ever waits for it. What is told to the desk ends by itself: whoever acts
 //! looks at the time at that moment.
 
-use crate::inbox::{Inbox, tenfold};
-use crate::office::Office;
+use crate::datagram_receiver::{DatagramReceiver, is_power_of_ten};
+use crate::shared_runtime::SharedRuntime;
 use crate::sharing::Sharing;
 use milletpath_config::{GatewayConfig, MembershipConfig as MembershipSettings};
 use milletpath_dispatcher::dispatcher::QuotaFraction as DispatcherQuota;
@@ -78,29 +78,29 @@
 }
 
 /// Starts the thread of a link.
-pub fn start(office: Arc<Office>, link: Link) -> io::Result<JoinHandle<()>> {
-    start_watched(office, link, None)
+pub fn start(shared_runtime: Arc<SharedRuntime>, link: Link) -> io::Result<JoinHandle<()>> {
+    start_watched(shared_runtime, link, None)
 }
 
 /// As [`start`], with somebody who looks on.
 pub(crate) fn start_watched(
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     link: Link,
     onlooker: Option<Box<dyn Onlooker>>,
 ) -> io::Result<JoinHandle<()>> {
-    let Some(stated) = office.house.membership.clone() else {
+    let Some(stated) = shared_runtime.config.membership.clone() else {
         return Err(io::Error::other("the charter has no peers"));
     };
     let at = if stated.advertise.port() == 0 { link.address()? } else { stated.advertise };
-    let identity = identity(&office.house, &stated, at);
-    let (instance_id, now) = (identity.instance_id, office.now());
-    let sharing = Sharing::new(&office.house, instance_id, stated.lease, now);
+    let identity = identity(&shared_runtime.config, &stated, at);
+    let (instance_id, now) = (identity.instance_id, shared_runtime.now());
+    let sharing = Sharing::new(&shared_runtime.config, instance_id, stated.lease, now);
     let membership =
-        Membership::new(identity, config(&office.house, &stated), stated.seeds, instance_id, now);
+        Membership::new(identity, config(&shared_runtime.config, &stated), stated.seeds, instance_id, now);
     let mut running = Running {
         membership,
         sharing,
-        office,
+        shared_runtime,
         link,
         told: None,
         shared: f64::NEG_INFINITY,
@@ -148,7 +148,7 @@
 struct Running {
     membership: Membership,
     sharing: Sharing,
-    office: Arc<Office>,
+    shared_runtime: Arc<SharedRuntime>,
     link: Link,
     /// What the desk was told last, and when.
     told: Option<(f64, DispatcherQuota)>,
@@ -161,34 +161,36 @@
 
 impl Running {
     fn run(mut self) {
-        let mut inbox = Inbox::new(MAX_DATAGRAM_BYTES);
+        let mut datagram_receiver = DatagramReceiver::new(MAX_DATAGRAM_BYTES);
         let mut second = 0.0;
-        while !self.office.stopping.load(Ordering::Acquire) {
-            let now = self.office.now();
+        while !self.shared_runtime.stopping.load(Ordering::Acquire) {
+            let now = self.shared_runtime.now();
             if now >= second + 1.0 {
                 (second, self.asks) = (now, 0);
             }
             let due_in = self.membership.next_deadline().min(self.sharing.next()) - now;
-            if let Some((sealed, from)) =
-                inbox.next(&self.link.socket, due_in, "letters of other gateways can't be read")
-            {
+            if let Some((sealed, from)) = datagram_receiver.receive(
+                &self.link.socket,
+                due_in,
+                "letters of other gateways can't be read",
+            ) {
                 self.take(sealed, from);
             }
-            let now = self.office.now();
-            if inbox.turns(now, self.membership.next_deadline()) {
+            let now = self.shared_runtime.now();
+            if datagram_receiver.is_tick_due(now, self.membership.next_deadline()) {
                 self.membership.tick(now);
             }
             let quota = self.tell();
             self.post();
             self.log();
             if let Some(onlooker) = &mut self.onlooker {
-                onlooker.turn(self.office.now(), &mut self.membership, &mut self.sharing, &quota);
+                onlooker.turn(self.shared_runtime.now(), &mut self.membership, &mut self.sharing, &quota);
             }
         }
         if self.onlooker.as_ref().is_some_and(|o| o.killed()) {
             return;
         }
-        self.membership.announce_departure(self.office.now());
+        self.membership.announce_departure(self.shared_runtime.now());
         self.tell();
         self.post();
     }
@@ -196,12 +198,12 @@
     fn take(&mut self, sealed: &[u8], from: SocketAddr) {
         match datagram::open(&self.link.key, sealed) {
             Ok(datagram) if datagram.kind == kind::STATUS_QUERY => self.answer(&datagram, from),
-            Ok(datagram) => self.membership.receive(self.office.now(), datagram),
+            Ok(datagram) => self.membership.receive(self.shared_runtime.now(), datagram),
             Err(why) => {
                 let counters = self.membership.counters_mut();
                 counters.record_rejected(why);
                 let all = counters.rejected();
-                if tenfold(all) {
+                if is_power_of_ten(all) {
                     tracing::warn!(%from, all, "a letter of another gateway is not taken: {why}");
                 }
             }
@@ -216,7 +218,7 @@
         if self.asks > ASKS {
             return;
         }
-        let now = self.office.now();
+        let now = self.shared_runtime.now();
         let (budgets, sharing) = self.sharing.view(now);
         let told = Told { view: self.membership.view(now), budgets, sharing };
         let Ok(text) = serde_json::to_vec(&told) else { return };
@@ -253,7 +255,7 @@
     fn tell(&mut self) -> QuotaFraction {
         /// Seconds after which it is told anew that all is as it was.
         const AGAIN: f64 = 0.2;
-        let now = self.office.now();
+        let now = self.shared_runtime.now();
         let quota = self.membership.quota_fraction(now);
         let mut share = DispatcherQuota {
             likely_gateways: quota.likely_gateways,
@@ -262,7 +264,7 @@
             valid_until: quota.valid_until,
         };
         if self.link.plant == Some(Plant::LikelyCount) {
-            let part = self.office.house.policy.routers as f64 / quota.likely_gateways;
+            let part = self.shared_runtime.config.policy.routers as f64 / quota.likely_gateways;
             share = DispatcherQuota {
                 likely_gateways: quota.likely_gateways,
                 fraction: part,
@@ -278,7 +280,7 @@
         };
         if !self.told.is_some_and(same) {
             self.told = Some((now, share));
-            self.office.tell(None, |desk, _| desk.set_quota_fraction(share));
+            self.shared_runtime.with_dispatcher(None, |desk, _| desk.set_quota_fraction(share));
         }
         self.share(quota);
         quota
@@ -290,13 +292,13 @@
         const METERS: f64 = 0.04;
         let others = self.membership.fresh_instances();
         let payloads: Vec<_> = std::iter::from_fn(|| self.membership.next_payload()).collect();
-        let now = self.office.now();
+        let now = self.shared_runtime.now();
         if payloads.is_empty() && now < self.sharing.next().min(self.shared + METERS) {
             return;
         }
         self.shared = now;
         let sharing = &mut self.sharing;
-        self.office.tell(None, |desk, now| {
+        self.shared_runtime.with_dispatcher(None, |desk, now| {
             payloads.iter().for_each(|received| sharing.heard(desk, now, received.sender, &received.payload));
             sharing.turn(desk, now, &quota, others);
         });
@@ -325,7 +327,7 @@
                 MembershipEvent::MaxGatewaysMismatch { name, max_gateways } => tracing::error!(
                     name,
                     most = max_gateways,
-                    own = self.office.house.policy.routers,
+                    own = self.shared_runtime.config.policy.routers,
                     "another gateway's charter states another number of gateways: make them alike; the larger one holds"
                 ),
                 MembershipEvent::ProcessPaused { seconds } => {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -4,8 +4,8 @@
 use crate::gather::Gathered;
 use crate::header_timer::HeaderTimer;
 use crate::line::{Line, Own as OwnEnd};
-use crate::office::{Place, Ticket};
 use crate::paced::Paced;
+use crate::shared_runtime::{ConnectionPermit, Place};
 use crate::shell::Gateway;
 use crate::shot::pass_on;
 use bytes::Bytes;
@@ -36,33 +36,33 @@
     line: Arc<Line>,
     /// It came to its end; else it is dropped with its core.
     ended: Cell<bool>,
-    _ticket: Ticket,
+    _ticket: ConnectionPermit,
 }
 
 impl Drop for Guest {
     fn drop(&mut self) {
-        let office = &self.gateway.office;
-        let seat = &office.seats[self.gateway.seat];
+        let shared_runtime = &self.gateway.shared_runtime;
+        let seat = &shared_runtime.core_slots[self.gateway.seat];
         seat.lines().remove(&self.number);
         if !self.ended.get() {
             self.line.farewell(answer_of(Own::lost(false)));
         }
-        if seat.open.fetch_sub(1, Ordering::AcqRel) == 1 && office.stopping.load(Ordering::Acquire) {
+        if seat.open.fetch_sub(1, Ordering::AcqRel) == 1 && shared_runtime.stopping.load(Ordering::Acquire) {
             seat.bell.notify_one();
         }
     }
 }
 
 /// Takes up a connection that was dealt to this core.
-pub fn welcome(gateway: &Rc<Gateway>, stream: std::net::TcpStream, ticket: Ticket) {
+pub fn welcome(gateway: &Rc<Gateway>, stream: std::net::TcpStream, ticket: ConnectionPermit) {
     let stream = match TcpStream::from_std(stream) {
         Ok(stream) => stream,
         Err(e) => return tracing::warn!("a client's connection can't be taken up: {e}"),
     };
     let _ = stream.set_nodelay(true);
     let line = Arc::new(Line::new(stream, gateway.now()));
-    let seat = &gateway.office.seats[gateway.seat];
-    let (number, ended) = (gateway.office.number(), Cell::new(false));
+    let seat = &gateway.shared_runtime.core_slots[gateway.seat];
+    let (number, ended) = (gateway.shared_runtime.number(), Cell::new(false));
     let guest = Guest { gateway: gateway.clone(), number, line: line.clone(), ended, _ticket: ticket };
     seat.open.fetch_add(1, Ordering::AcqRel);
     seat.lines().insert(guest.number, line.clone());
@@ -144,7 +144,8 @@
     }
 
     fn lost(&self) -> Own {
-        let left = |tag| self.gateway.office.tell(None, |desk, now| desk.client_gone(now, tag));
+        let left =
+            |tag| self.gateway.shared_runtime.with_dispatcher(None, |desk, now| desk.client_gone(now, tag));
         Own::lost(self.tag.is_some_and(left))
     }
 }
@@ -163,7 +164,7 @@
 /// One request, from its head to its answer; a crowded core closes the connection behind some, a gateway that ends
 /// behind each.
 async fn answer(gateway: Rc<Gateway>, line: Arc<Line>, request: Request<Incoming>) -> Response<Written> {
-    let seat = &gateway.office.seats[gateway.seat];
+    let seat = &gateway.shared_runtime.core_slots[gateway.seat];
     seat.calls.fetch_add(1, Ordering::Relaxed);
     let rate = line.count(gateway.now());
     if !line.claim.owe() {
@@ -187,7 +188,7 @@
         Ok(invoke::Wanted::Activation(function)) => function,
         Ok(invoke::Wanted::Live) => return healthy(true, "live\n"),
         Ok(invoke::Wanted::Ready) if stopping => return healthy(false, "stopping\n"),
-        Ok(invoke::Wanted::Ready) if !gateway.office.ask(|d| d.has_endpoints()) => {
+        Ok(invoke::Wanted::Ready) if !gateway.shared_runtime.query_dispatcher(|d| d.has_endpoints()) => {
             return healthy(false, "no worker list yet\n");
         }
         Ok(invoke::Wanted::Ready) => return healthy(true, "ready\n"),
@@ -272,7 +273,7 @@
         // Another core has said the last word; this is not written any more.
         Err(_) => answer_of(Own::Terminated { late: false }),
     };
-    if let Ok(id) = HeaderValue::from_str(&format!("{:08x}-{:x}", gateway.office.life, tag.serial)) {
+    if let Ok(id) = HeaderValue::from_str(&format!("{:08x}-{:x}", gateway.shared_runtime.life, tag.serial)) {
         response.headers_mut().insert(&invoke::ACTIVATION, id);
     }
     response
@@ -292,7 +293,7 @@
 fn door(gateway: &Gateway, function: &str, headers: &http::HeaderMap) -> Result<Door, Refusal> {
     let house = gateway.house();
     let named = invoke::name(headers, &invoke::PROFILE).map_err(|f| Box::new(faulty(&f)))?;
-    let bound = gateway.office.figures(function).profile;
+    let bound = gateway.shared_runtime.figures(function).profile;
     let profile = match named {
         None => bound.unwrap_or(0),
         Some(name) => match house.profiles.iter().position(|p| p.name == name) {
--- a/crates/gateway/src/office.rs
+++ b/crates/gateway/src/shared_runtime.rs
@@ -30,9 +30,9 @@
 }
 
 /// A client connection's part of the bound on all; given back when dropped.
-pub struct Ticket(pub Arc<Office>);
+pub struct ConnectionPermit(pub Arc<SharedRuntime>);
 
-impl Drop for Ticket {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.guests.give_back(1);
         self.0.fewer.notify_one();
@@ -40,9 +40,9 @@
 }
 
 /// What a core is to do, with all that it takes.
-pub enum Errand {
+pub enum CoreMessage {
     /// A client's connection.
-    Guest(std::net::TcpStream, Ticket),
+    Guest(std::net::TcpStream, ConnectionPermit),
     Shoot {
         tag: RequestId,
         slot: usize,
@@ -85,12 +85,12 @@
     Spare {
         worker: usize,
     },
-    Stir(Stir),
+    FaultInjection(FaultInjection),
 }
 
 /// Mischief for tests and days: what can go wrong with a core, on demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stir {
+pub enum FaultInjection {
     /// The thread of a core does nothing for so many seconds.
     Stall(f64),
     /// The thread of a core ends by a panic.
@@ -101,8 +101,8 @@
 
 /// One core as the others see it; on cache lines of its own, as each writes on its seat with every call.
 #[repr(align(128))]
-pub struct Seat {
-    pub mail: Mailbox<Errand>,
+pub struct CoreSlot {
+    pub mail: Mailbox<CoreMessage>,
     pub bell: Notify,
     pub pulse: Pulse,
     /// Client connections, and those of them that are open, by a number.
@@ -114,7 +114,7 @@
     pub away_most: AtomicU64,
 }
 
-impl Seat {
+impl CoreSlot {
     fn new(letters: usize) -> Self {
         Self {
             mail: Mailbox::new(letters),
@@ -149,12 +149,12 @@
     armed: f64,
 }
 
-pub struct Office {
+pub struct SharedRuntime {
     began: Instant,
-    pub house: GatewayConfig,
+    pub config: GatewayConfig,
     inside: Mutex<Inside>,
     /// One for each core, and the last for the keeper.
-    pub seats: Vec<Seat>,
+    pub core_slots: Vec<CoreSlot>,
     /// Desks that broke, cores that were lost, and calls answered for cores that stood still.
     pub broken: AtomicU64,
     pub lost: AtomicU64,
@@ -174,41 +174,41 @@
 /// Seats at most: one bit each in the set of those to be woken.
 pub const MOST_CORES: usize = 63;
 
-impl Office {
-    pub fn new(house: GatewayConfig) -> Arc<Self> {
-        let cores = house.limits.cores.clamp(1, MOST_CORES);
+impl SharedRuntime {
+    pub fn new(config: GatewayConfig) -> Arc<Self> {
+        let cores = config.limits.cores.clamp(1, MOST_CORES);
         // A call has few letters at a time: its shots, their ends and its answer; the rest is for orders and probes.
-        let letters = house.limits.max_open_requests.saturating_mul(8).saturating_add(1 << 16);
+        let letters = config.limits.max_open_requests.saturating_mul(8).saturating_add(1 << 16);
         Arc::new(Self {
             began: Instant::now(),
             inside: Mutex::new(Inside {
-                desk: Dispatcher::new(&house, unix_time()),
+                desk: Dispatcher::new(&config, unix_time()),
                 list: BTreeMap::new(),
                 armed: f64::INFINITY,
             }),
-            seats: (0..=cores).map(|_| Seat::new(letters)).collect(),
+            core_slots: (0..=cores).map(|_| CoreSlot::new(letters)).collect(),
             broken: AtomicU64::new(0),
             lost: AtomicU64::new(0),
             stood_in: AtomicU64::new(0),
             earlier: Notify::new(),
             stopping: AtomicBool::new(false),
-            held: Arc::new(Budget::new(house.limits.max_buffered_bytes)),
-            guests: Budget::new(house.limits.max_connections),
+            held: Arc::new(Budget::new(config.limits.max_buffered_bytes)),
+            guests: Budget::new(config.limits.max_connections),
             fewer: Notify::new(),
             numbers: AtomicU64::new(0),
             rooms: Mutex::default(),
             life: RandomState::new().hash_one(std::process::id()) as u32,
-            house,
+            config,
         })
     }
 
     /// Cores; also the keeper's seat.
     pub fn cores(&self) -> usize {
-        self.seats.len() - 1
+        self.core_slots.len() - 1
     }
 
-    pub fn keeper(&self) -> &Seat {
-        &self.seats[self.cores()]
+    pub fn keeper(&self) -> &CoreSlot {
+        &self.core_slots[self.cores()]
     }
 
     /// Seconds on the true clock since the start.
@@ -232,7 +232,7 @@
 
     fn begin_anew(&self, inside: &mut Inside) {
         let now = self.now();
-        let open = inside.desk.restart(&self.house, now);
+        let open = inside.desk.restart(&self.config, now);
         self.broken.fetch_add(1, Ordering::Relaxed);
         tracing::error!(
             calls = open.len(),
@@ -244,8 +244,8 @@
         }
         for InterruptedRequest { context: place, may_have_run: begun } in open {
             let own = Own::lost(begun);
-            self.post(place.seat, Errand::Answer { slot: place.slot, own, line: place.line });
-            self.seats[place.seat].bell.notify_one();
+            self.post(place.seat, CoreMessage::Answer { slot: place.slot, own, line: place.line });
+            self.core_slots[place.seat].bell.notify_one();
         }
         inside.armed = f64::NEG_INFINITY;
         self.earlier.notify_one();
@@ -253,7 +253,11 @@
 
     /// Tells the desk something at the present time; `seat` is the core that does. What follows is posted, and the
     /// other cores are woken for theirs.
-    pub fn tell<R>(&self, seat: Option<usize>, what: impl FnOnce(&mut Dispatcher<Place>, f64) -> R) -> R {
+    pub fn with_dispatcher<R>(
+        &self,
+        seat: Option<usize>,
+        what: impl FnOnce(&mut Dispatcher<Place>, f64) -> R,
+    ) -> R {
         /// Seconds past which one event's decisions are worth a line in the log.
         const SLOW: f64 = 0.02;
         let mut inside = self.enter();
@@ -277,7 +281,7 @@
             tracing::warn!(seconds = took, open, functions, "one event took long to decide");
         }
         drop(inside);
-        for (n, other) in self.seats.iter().enumerate() {
+        for (n, other) in self.core_slots.iter().enumerate() {
             if wake >> n & 1 == 1 && seat != Some(n) {
                 other.bell.notify_one();
             }
@@ -287,17 +291,17 @@
 
     /// Posts an errand; true where its core must be woken. Called inside the desk, so that letters lie in the order
     /// of the desk's acts.
-    fn post(&self, seat: usize, errand: Errand) -> bool {
-        self.seats[seat].mail.put(errand).unwrap_or_else(|_| {
+    fn post(&self, seat: usize, errand: CoreMessage) -> bool {
+        self.core_slots[seat].mail.put(errand).unwrap_or_else(|_| {
             tracing::error!(seat, "a core's mailbox is full; what it was to do is left to its time limits");
             false
         })
     }
 
     /// Posts an errand that no event led to.
-    pub fn send(&self, seat: usize, errand: Errand) {
+    pub fn send(&self, seat: usize, errand: CoreMessage) {
         if self.post(seat, errand) {
-            self.seats[seat].bell.notify_one();
+            self.core_slots[seat].bell.notify_one();
         }
     }
 
@@ -309,7 +313,7 @@
         seat: Option<usize>,
         now: f64,
         act: Action,
-    ) -> Option<(usize, Errand)> {
+    ) -> Option<(usize, CoreMessage)> {
         let here = |worker: usize| seat.filter(|s| *s < self.cores()).unwrap_or(worker % self.cores());
         let way = |desk: &Dispatcher<Place>, worker| {
             let WorkerProcess { address, process } = desk.worker_process(worker);
@@ -317,7 +321,7 @@
         };
         let answer = |desk: &mut Dispatcher<Place>, tag, own| {
             let place = desk.context(tag)?;
-            Some((place.seat, Errand::Answer { slot: place.slot, own, line: place.line.clone() }))
+            Some((place.seat, CoreMessage::Answer { slot: place.slot, own, line: place.line.clone() }))
         };
         match act {
             Action::SendAttempt { request: tag, attempt: shot, worker } => {
@@ -327,44 +331,45 @@
                 let function = desk.function(tag)?;
                 let place = desk.context(tag)?;
                 let (seat, slot) = (place.seat, place.slot);
-                Some((seat, Errand::Shoot { tag, slot, shot, worker, way, function, left }))
+                Some((seat, CoreMessage::Shoot { tag, slot, shot, worker, way, function, left }))
             }
             Action::CancelAttempt { request: tag, attempt: shot } => {
                 let place = desk.context(tag)?;
-                Some((place.seat, Errand::Drop { tag, slot: place.slot, shot }))
+                Some((place.seat, CoreMessage::Drop { tag, slot: place.slot, shot }))
             }
             Action::Reject { request: tag, retry_after: come_back } => {
                 answer(desk, tag, Own::Bounced(come_back))
             }
             Action::Fail { request: tag, timed_out: late } => answer(desk, tag, Own::Terminated { late }),
-            Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
-                Some((here(worker), Errand::Hold { order, worker, way: way(desk, worker), function, copies }))
-            }
+            Action::LoadFunction { load_request: order, worker, function, instances: copies } => Some((
+                here(worker),
+                CoreMessage::Hold { order, worker, way: way(desk, worker), function, copies },
+            )),
             Action::UnloadFunction { worker, function } => {
-                Some((here(worker), Errand::Unload { worker, way: way(desk, worker), function }))
+                Some((here(worker), CoreMessage::Unload { worker, way: way(desk, worker), function }))
             }
             Action::HealthCheck { worker, serial } => {
-                Some((here(worker), Errand::Probe { worker, way: way(desk, worker), serial }))
+                Some((here(worker), CoreMessage::Probe { worker, way: way(desk, worker), serial }))
             }
-            Action::WatchEndpoints => Some((self.cores(), Errand::Follow)),
+            Action::WatchEndpoints => Some((self.cores(), CoreMessage::Follow)),
         }
     }
 
     /// Looks something up at the desk.
-    pub fn ask<R>(&self, what: impl FnOnce(&mut Dispatcher<Place>) -> R) -> R {
+    pub fn query_dispatcher<R>(&self, what: impl FnOnce(&mut Dispatcher<Place>) -> R) -> R {
         what(&mut self.enter().desk)
     }
 
     /// The figures of a function, as they are in force. Where no change can come the desk is not entered.
     pub fn figures(&self, function: &str) -> FunctionConfig {
-        match &self.house.config_log {
-            None => self.house.functions.resolve(function),
-            Some(_) => self.ask(|desk| desk.function_config(function)),
+        match &self.config.config_log {
+            None => self.config.functions.resolve(function),
+            Some(_) => self.query_dispatcher(|desk| desk.function_config(function)),
         }
     }
 
     /// Passes on one edition of the worker list, and keeps what it says.
-    pub fn list(&self, seat: Option<usize>, whole: bool, entries: &[Entry]) {
+    pub fn update_endpoints(&self, seat: Option<usize>, whole: bool, entries: &[Entry]) {
         {
             let mut inside = self.enter();
             if whole {
@@ -378,7 +383,7 @@
                 }
             }
         }
-        self.tell(seat, |desk, now| {
+        self.with_dispatcher(seat, |desk, now| {
             desk.wall_clock_read(now, unix_time());
             desk.update_endpoints(now, whole, entries);
         });
@@ -386,7 +391,7 @@
 
     /// Ends the calls of a core that is lost; gives their lines, and whether something of them may have run.
     pub fn abandon(&self, seat: usize) -> Vec<(Arc<Line>, bool)> {
-        self.tell(None, |desk, now| {
+        self.with_dispatcher(None, |desk, now| {
             let tags = desk.requests(|place| place.seat == seat);
             let end = |tag| {
                 let line = desk.context(tag)?.line.clone();
@@ -406,11 +411,11 @@
     /// Whether something is due for so long that the keeper must be standing still.
     pub fn overdue(&self, by: f64) -> bool {
         let now = self.now();
-        self.ask(|desk| desk.next_deadline()).is_some_and(|next| next < now - by)
+        self.query_dispatcher(|desk| desk.next_deadline()).is_some_and(|next| next < now - by)
     }
 
-    pub fn tally(&self) -> Counters {
-        self.ask(|desk| desk.counters())
+    pub fn counters(&self) -> Counters {
+        self.query_dispatcher(|desk| desk.counters())
     }
 
     /// The connections of a worker, over all cores.
@@ -418,7 +423,7 @@
         let mut rooms = self.rooms.lock().unwrap_or_else(PoisonError::into_inner);
         rooms
             .entry(address)
-            .or_insert_with(|| Arc::new(Room::new(self.house.limits.max_connections_per_worker)))
+            .or_insert_with(|| Arc::new(Room::new(self.config.limits.max_connections_per_worker)))
             .clone()
     }
 
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -2,8 +2,8 @@
 
 use crate::answer::{Held, Reply};
 use crate::line::Line;
-use crate::office::{Errand, Office, Place};
 use crate::pool::{self, Connection, Pool, Way};
+use crate::shared_runtime::{CoreMessage, Place, SharedRuntime};
 use bytes::Bytes;
 use http::HeaderMap;
 use milletpath_config::{GatewayConfig, Limits};
@@ -40,10 +40,10 @@
 pub const PULSE: f64 = 0.05;
 
 /// Carries out what the desk has for a core.
-pub type Carry = fn(&Rc<Gateway>, Errand);
+pub type Carry = fn(&Rc<Gateway>, CoreMessage);
 
 pub struct Gateway {
-    pub office: Arc<Office>,
+    pub shared_runtime: Arc<SharedRuntime>,
     carry: Carry,
     pub seat: usize,
     /// Which of the lives of its seat this is.
@@ -62,11 +62,11 @@
 
 impl Gateway {
     /// Must run within a `LocalSet`.
-    pub fn new(office: Arc<Office>, seat: usize, life: u32, carry: Carry) -> Rc<Self> {
+    pub fn new(shared_runtime: Arc<SharedRuntime>, seat: usize, life: u32, carry: Carry) -> Rc<Self> {
         Rc::new(Self {
             carry,
-            seen: Cell::new(office.now()),
-            office,
+            seen: Cell::new(shared_runtime.now()),
+            shared_runtime,
             seat,
             life,
             slots: RefCell::default(),
@@ -79,16 +79,16 @@
     }
 
     pub fn house(&self) -> &GatewayConfig {
-        &self.office.house
+        &self.shared_runtime.config
     }
 
     pub fn bounds(&self) -> &Limits {
-        &self.office.house.limits
+        &self.shared_runtime.config.limits
     }
 
     /// Seconds on the true clock since the start.
     pub fn now(&self) -> f64 {
-        self.office.now()
+        self.shared_runtime.now()
     }
 
     /// Since when a request that is read now may have waited unread: now, unless this thread stood still lately.
@@ -107,29 +107,29 @@
     /// say that a worker drains, and clients may have left.
     pub async fn awake(&self) {
         let still = |since: f64| self.now() - since > STILL;
-        while still(self.seen.get()) || still(self.office.keeper().pulse.seen()) {
+        while still(self.seen.get()) || still(self.shared_runtime.keeper().pulse.seen()) {
             self.moves.notified().await;
         }
     }
 
     /// Tells the desk something and carries out what follows.
     pub fn tell<R>(self: &Rc<Self>, what: impl FnOnce(&mut Dispatcher<Place>, f64) -> R) -> R {
-        let result = self.office.tell(Some(self.seat), what);
+        let result = self.shared_runtime.with_dispatcher(Some(self.seat), what);
         self.collect();
         result
     }
 
     /// Carries out what lies in the mailbox, unless that is another's by now.
     pub fn collect(self: &Rc<Self>) {
-        if self.office.seats[self.seat].pulse.life() != self.life {
+        if self.shared_runtime.core_slots[self.seat].pulse.life() != self.life {
             return;
         }
-        for errand in self.office.seats[self.seat].mail.take() {
+        for errand in self.shared_runtime.core_slots[self.seat].mail.take() {
             self.carry_out(errand);
         }
     }
 
-    pub fn carry_out(self: &Rc<Self>, errand: Errand) {
+    pub fn carry_out(self: &Rc<Self>, errand: CoreMessage) {
         (self.carry)(self, errand);
     }
 
@@ -203,7 +203,7 @@
 
     /// Counts bytes as in hand; none where the bound on all together is reached.
     pub fn hold(&self, bytes: usize) -> Option<Held> {
-        Held::take(&self.office.held, bytes)
+        Held::take(&self.shared_runtime.held, bytes)
     }
 
     /// This thread runs; false where another has taken its seat.
@@ -223,7 +223,7 @@
             tokio::time::sleep(READ).await;
         }
         self.seen.set(self.now());
-        let lives = self.office.seats[self.seat].pulse.beat(self.life, self.now());
+        let lives = self.shared_runtime.core_slots[self.seat].pulse.beat(self.life, self.now());
         self.moves.notify_waiters();
         lives
     }
@@ -252,12 +252,12 @@
     pub async fn connect(&self, worker: usize, way: Way) -> Option<std::io::Result<Connection>> {
         /// What another core takes to close an idle connection, with room for a busy one.
         const SPARE: Duration = Duration::from_millis(20);
-        let room = self.office.room(way.address);
+        let room = self.shared_runtime.room(way.address);
         let place = match room.reserve() {
             Some(place) => place,
             None => {
-                for seat in (0..self.office.seats.len()).filter(|s| *s != self.seat) {
-                    self.office.send(seat, Errand::Spare { worker });
+                for seat in (0..self.shared_runtime.core_slots.len()).filter(|s| *s != self.seat) {
+                    self.shared_runtime.send(seat, CoreMessage::Spare { worker });
                 }
                 let _ = tokio::time::timeout(SPARE, room.freed.notified()).await;
                 room.reserve()?
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -7,8 +7,8 @@
 use crate::errands;
 use crate::io_fault::{AcceptFault, Backoff};
 use crate::line::{Line, has_unread};
-use crate::office::{Errand, Office, Stir, Ticket};
 use crate::peering::{self, Link};
+use crate::shared_runtime::{ConnectionPermit, CoreMessage, FaultInjection, SharedRuntime};
 use crate::shell::{Gateway, PULSE};
 use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_dispatcher::dispatcher::{AttemptResult, Counters};
@@ -50,7 +50,7 @@
 /// calling thread is the keeper, and the cores are threads beside it.
 pub async fn serve(house: GatewayConfig, listener: TcpListener, stop: impl Future<Output = ()>) -> Counters {
     let (_, quiet) = tokio::sync::mpsc::unbounded_channel();
-    serve_stirred(house, listener, Links::default(), stop, quiet).await
+    serve_with_faults(house, listener, Links::default(), stop, quiet).await
 }
 
 /// What a gateway has beside its clients and workers: a link to the other gateways, and a feed of changes.
@@ -62,24 +62,24 @@
 
 /// As [`serve`], with links to others, and with mischief for tests and days: what comes on the channel
 /// befalls the core of that number; the one behind the last is the keeper.
-pub async fn serve_stirred(
+pub async fn serve_with_faults(
     house: GatewayConfig,
     listener: TcpListener,
     links: Links,
     stop: impl Future<Output = ()>,
-    mut stirs: UnboundedReceiver<(usize, Stir)>,
+    mut stirs: UnboundedReceiver<(usize, FaultInjection)>,
 ) -> Counters {
-    let keeper = Rc::new(Keeper::new(house));
-    let office = keeper.office.clone();
-    tracing::info!(cores = office.cores(), "serving");
-    let changing = links.changes.and_then(|feed| match changing::start(office.clone(), feed) {
+    let keeper = Rc::new(Supervisor::new(house));
+    let shared_runtime = keeper.shared_runtime.clone();
+    tracing::info!(cores = shared_runtime.cores(), "serving");
+    let changing = links.changes.and_then(|feed| match changing::start(shared_runtime.clone(), feed) {
         Ok(thread) => Some(thread),
         Err(e) => {
             tracing::error!("changes can't be followed, the charter's figures hold: {e}");
             None
         }
     });
-    let peering = links.peers.and_then(|link| match peering::start(office.clone(), link) {
+    let peering = links.peers.and_then(|link| match peering::start(shared_runtime.clone(), link) {
         Ok(thread) => Some(thread),
         Err(e) => {
             tracing::error!("the link to the other gateways can't start, this one shares nothing: {e}");
@@ -91,7 +91,7 @@
     let mut stirred = true;
     let (mut backoff, mut rest, mut rests) = (Backoff::default(), tokio::time::Instant::now(), false);
     loop {
-        let room = office.guests.used() < office.guests.most();
+        let room = shared_runtime.guests.used() < shared_runtime.guests.most();
         tokio::select! {
             biased;
             () = &mut stop => break,
@@ -101,7 +101,7 @@
                 time = spawn_local(keeper.clone().keep_time());
             }
             stir = stirs.recv(), if stirred => match stir {
-                Some((seat, stir)) if seat <= office.cores() => office.send(seat, Errand::Stir(stir)),
+                Some((seat, stir)) if seat <= shared_runtime.cores() => shared_runtime.send(seat, CoreMessage::FaultInjection(stir)),
                 Some((seat, _)) => tracing::warn!(seat, "there is no such core to stir"),
                 None => stirred = false,
             },
@@ -118,13 +118,18 @@
                 }
             }
             () = tokio::time::sleep_until(rest), if rests => rests = false,
-            () = office.fewer.notified(), if !room => {}
+            () = shared_runtime.fewer.notified(), if !room => {}
         }
     }
-    office.stopping.store(true, Ordering::Release);
-    office.seats.iter().for_each(|seat| seat.bell.notify_one());
-    tracing::info!(open = office.ask(|d| d.open_requests()), connections = office.guests.used(), "stopping");
-    let longest = office.house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max) + LAST_ANSWERS;
+    shared_runtime.stopping.store(true, Ordering::Release);
+    shared_runtime.core_slots.iter().for_each(|seat| seat.bell.notify_one());
+    tracing::info!(
+        open = shared_runtime.query_dispatcher(|d| d.open_requests()),
+        connections = shared_runtime.guests.used(),
+        "stopping"
+    );
+    let longest =
+        shared_runtime.config.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max) + LAST_ANSWERS;
     let _ = tokio::time::timeout(Duration::from_secs_f64(longest), async {
         tokio::select! {
             () = keeper.clone().wind_up(listener) => {}
@@ -142,7 +147,7 @@
         tracing::error!("the link to the other gateways broke");
     }
     keeper.account();
-    office.tally()
+    shared_runtime.counters()
 }
 
 /// How long to wait after an error of `accept`.
@@ -162,8 +167,8 @@
     watch: Watch,
 }
 
-struct Keeper {
-    office: Arc<Office>,
+struct Supervisor {
+    shared_runtime: Arc<SharedRuntime>,
     gateway: Rc<Gateway>,
     filled: RefCell<Vec<Filled>>,
     deal: RefCell<Deal>,
@@ -171,33 +176,34 @@
     accepting: Arc<AtomicBool>,
 }
 
-impl Keeper {
+impl Supervisor {
     fn new(house: GatewayConfig) -> Self {
-        let office = Office::new(house);
-        let gateway = Gateway::new(office.clone(), office.cores(), 0, errands::carry_out);
-        match &office.house.source {
-            WorkerSource::List(entries) => office.list(Some(gateway.seat), true, entries),
+        let shared_runtime = SharedRuntime::new(house);
+        let gateway = Gateway::new(shared_runtime.clone(), shared_runtime.cores(), 0, errands::carry_out);
+        match &shared_runtime.config.source {
+            WorkerSource::List(entries) => shared_runtime.update_endpoints(Some(gateway.seat), true, entries),
             // Says what the desk had to say at its start: that the list is to be followed.
-            WorkerSource::Registry(_) => office.tell(Some(gateway.seat), |_, _| ()),
+            WorkerSource::Registry(_) => shared_runtime.with_dispatcher(Some(gateway.seat), |_, _| ()),
         }
         gateway.collect();
-        let now = office.now();
+        let now = shared_runtime.now();
         let accepting = Arc::new(AtomicBool::new(true));
-        let filled = (0..office.cores()).map(|seat| {
+        let filled = (0..shared_runtime.cores()).map(|seat| {
             let mut filled = Filled { thread: None, life: 0, watch: Watch::new(now) };
-            filled.fill(&office, seat, &accepting);
+            filled.fill(&shared_runtime, seat, &accepting);
             filled
         });
         let filled = RefCell::new(filled.collect());
-        let deal = RefCell::new(Deal::new(office.cores(), now));
-        Self { office, gateway, filled, deal, accepting }
+        let deal = RefCell::new(Deal::new(shared_runtime.cores(), now));
+        Self { shared_runtime, gateway, filled, deal, accepting }
     }
 
     /// Gives a connection to a core.
     fn deal(&self, stream: std::net::TcpStream) {
-        if self.office.guests.take(1) {
+        if self.shared_runtime.guests.take(1) {
             let seat = self.deal.borrow_mut().pick();
-            self.office.send(seat, Errand::Guest(stream, Ticket(self.office.clone())));
+            self.shared_runtime
+                .send(seat, CoreMessage::Guest(stream, ConnectionPermit(self.shared_runtime.clone())));
         }
     }
 
@@ -206,9 +212,9 @@
         self.deal_waiting(&listener).await;
         drop(listener);
         self.accepting.store(false, Ordering::Release);
-        self.office.seats.iter().for_each(|seat| seat.bell.notify_one());
-        while self.office.guests.used() > 0 {
-            self.office.fewer.notified().await;
+        self.shared_runtime.core_slots.iter().for_each(|seat| seat.bell.notify_one());
+        while self.shared_runtime.guests.used() > 0 {
+            self.shared_runtime.fewer.notified().await;
         }
     }
 
@@ -217,8 +223,8 @@
     async fn deal_waiting(&self, listener: &TcpListener) {
         let mut backoff = Backoff::default();
         for _ in 0..WAITING {
-            while self.office.guests.used() >= self.office.guests.most() {
-                self.office.fewer.notified().await;
+            while self.shared_runtime.guests.used() >= self.shared_runtime.guests.most() {
+                self.shared_runtime.fewer.notified().await;
             }
             let accepted = SockRef::from(listener).accept();
             match accepted.and_then(|(socket, _)| socket.set_nonblocking(true).map(|()| socket)) {
@@ -234,14 +240,14 @@
 
     /// Lets the desk's timers fire and looks after the cores. Runs for as long as the gateway.
     async fn keep_time(self: Rc<Self>) {
-        let office = &self.office;
+        let shared_runtime = &self.shared_runtime;
         let mut look = 0.0;
         loop {
-            let wait = (office.arm(office.now() + PULSE) - office.now()).max(0.0);
+            let wait = (shared_runtime.arm(shared_runtime.now() + PULSE) - shared_runtime.now()).max(0.0);
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_secs_f64(wait)) => {}
-                () = office.earlier.notified() => {}
-                () = office.keeper().bell.notified() => {}
+                () = shared_runtime.earlier.notified() => {}
+                () = shared_runtime.keeper().bell.notified() => {}
             }
             let stood = self.gateway.stood();
             self.gateway.beat().await;
@@ -262,30 +268,30 @@
     /// Looks at how even the load is.
     fn look(&self, now: f64) {
         let filled = self.filled.borrow();
-        let seen = |(seat, filled): (&crate::office::Seat, &Filled)| Seen {
+        let seen = |(seat, filled): (&crate::shared_runtime::CoreSlot, &Filled)| Seen {
             open: seat.open.load(Ordering::Relaxed),
             calls: seat.calls.load(Ordering::Relaxed),
             still: filled.thread.is_none() || filled.watch.look(now, seat.pulse.seen()) != Do::Nothing,
         };
-        let seen: Vec<_> = self.office.seats.iter().zip(filled.iter()).map(seen).collect();
+        let seen: Vec<_> = self.shared_runtime.core_slots.iter().zip(filled.iter()).map(seen).collect();
         for away in self.deal.borrow_mut().look(now, &seen) {
-            let seat = &self.office.seats[away.core];
+            let seat = &self.shared_runtime.core_slots[away.core];
             let (connections, most) = (away.connections, away.most);
             tracing::info!(seat = away.core, connections, "crowded: clients are asked to connect anew");
             seat.away_most.store(most.to_bits(), Ordering::Relaxed);
             seat.away.store(connections, Ordering::Relaxed);
         }
         self.gateway.close_idle();
-        self.office.clear_rooms();
+        self.shared_runtime.clear_rooms();
     }
 
     /// Looks at each core; does what must be done about it.
     fn watch(&self, now: f64) {
         let mut filled = self.filled.borrow_mut();
         for (seat, core) in filled.iter_mut().enumerate() {
-            let pulse = &self.office.seats[seat].pulse;
+            let pulse = &self.shared_runtime.core_slots[seat].pulse;
             if core.thread.as_ref().is_some_and(JoinHandle::is_finished)
-                && !self.office.stopping.load(Ordering::Acquire)
+                && !self.shared_runtime.stopping.load(Ordering::Acquire)
             {
                 let panicked = core.thread.take().is_some_and(|t| t.join().is_err());
                 tracing::error!(
@@ -308,7 +314,7 @@
             if core.thread.is_none() {
                 self.stand_in(seat);
                 if core.watch.due(now) {
-                    core.fill(&self.office, seat, &self.accepting);
+                    core.fill(&self.shared_runtime, seat, &self.accepting);
                 }
             }
         }
@@ -316,9 +322,9 @@
 
     /// Empties a seat: what is left of its last life learns that it is over.
     fn vacate(&self, seat: usize, core: &mut Filled, now: f64) {
-        let place = &self.office.seats[seat];
+        let place = &self.shared_runtime.core_slots[seat];
         core.life = place.pulse.succeed(core.life, now).unwrap_or(core.life);
-        for (line, begun) in self.office.abandon(seat) {
+        for (line, begun) in self.shared_runtime.abandon(seat) {
             line.last_word(answer_of(Own::lost(begun)));
         }
         for line in std::mem::take(&mut *place.lines()).values() {
@@ -329,15 +335,17 @@
             }
         }
         core.watch.lost(now);
-        self.office.lost.fetch_add(1, Ordering::Relaxed);
+        self.shared_runtime.lost.fetch_add(1, Ordering::Relaxed);
     }
 
     /// What the cores did, for the log.
     fn account(&self) {
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let office = &self.office;
-        let calls: Vec<_> = office.seats[..office.cores()].iter().map(|seat| of(&seat.calls)).collect();
-        let (lost, broken, stood_in) = (of(&office.lost), of(&office.broken), of(&office.stood_in));
+        let shared_runtime = &self.shared_runtime;
+        let calls: Vec<_> =
+            shared_runtime.core_slots[..shared_runtime.cores()].iter().map(|seat| of(&seat.calls)).collect();
+        let (lost, broken, stood_in) =
+            (of(&shared_runtime.lost), of(&shared_runtime.broken), of(&shared_runtime.stood_in));
         tracing::info!(
             ?calls,
             lost,
@@ -349,19 +357,19 @@
 
     /// Gives the final answers that fell due on a still core's connections; the rest waits for it.
     fn answer_for(&self, seat: usize) {
-        for errand in self.office.seats[seat].mail.take() {
-            if let Errand::Answer { own, line, .. } = errand {
+        for errand in self.shared_runtime.core_slots[seat].mail.take() {
+            if let CoreMessage::Answer { own, line, .. } = errand {
                 self.last_word(&line, own);
             } else {
                 // Behind what came meanwhile: a shot whose call is over by then is kept back at the desk.
-                self.office.send(seat, errand);
+                self.shared_runtime.send(seat, errand);
             }
         }
     }
 
     fn last_word(&self, line: &Line, own: Own) {
         if line.last_word(answer_of(own)) {
-            self.office.stood_in.fetch_add(1, Ordering::Relaxed);
+            self.shared_runtime.stood_in.fetch_add(1, Ordering::Relaxed);
             tracing::info!(?own, "answered for a core that stands still");
         }
     }
@@ -372,44 +380,49 @@
         // No more of them than connections may be open.
         let mut waiting = Vec::new();
         loop {
-            let errands = self.office.seats[seat].mail.take();
+            let errands = self.shared_runtime.core_slots[seat].mail.take();
             if errands.is_empty() {
-                waiting.into_iter().for_each(|guest| self.office.send(seat, guest));
+                waiting.into_iter().for_each(|guest| self.shared_runtime.send(seat, guest));
                 return;
             }
             for errand in errands {
                 match errand {
-                    Errand::Answer { own, line, .. } => self.last_word(&line, own),
-                    Errand::Shoot { tag, shot, .. } => {
+                    CoreMessage::Answer { own, line, .. } => self.last_word(&line, own),
+                    CoreMessage::Shoot { tag, shot, .. } => {
                         self.gateway.tell(|desk, now| {
                             desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::Unsent))
                         });
                     }
-                    Errand::Guest(stream, ticket) => {
+                    CoreMessage::Guest(stream, ticket) => {
                         let other = self.deal.borrow_mut().pick();
                         if other != seat {
-                            self.office.send(other, Errand::Guest(stream, ticket));
+                            self.shared_runtime.send(other, CoreMessage::Guest(stream, ticket));
                         } else if has_unread(&stream) {
                             self.reject(stream, ticket);
                         } else {
-                            waiting.push(Errand::Guest(stream, ticket));
+                            waiting.push(CoreMessage::Guest(stream, ticket));
                         }
                     }
-                    errand @ (Errand::Hold { .. } | Errand::Unload { .. } | Errand::Probe { .. }) => {
+                    errand @ (CoreMessage::Hold { .. }
+                    | CoreMessage::Unload { .. }
+                    | CoreMessage::Probe { .. }) => {
                         self.gateway.carry_out(errand);
                     }
                     // Its own tasks and idle connections, which nobody else can reach.
-                    Errand::Drop { .. } | Errand::Spare { .. } | Errand::Follow | Errand::Stir(_) => {}
+                    CoreMessage::Drop { .. }
+                    | CoreMessage::Spare { .. }
+                    | CoreMessage::Follow
+                    | CoreMessage::FaultInjection(_) => {}
                 }
             }
         }
     }
 
     /// Answers the call on a new connection that no core takes up.
-    fn reject(&self, stream: std::net::TcpStream, ticket: Ticket) {
+    fn reject(&self, stream: std::net::TcpStream, ticket: ConnectionPermit) {
         match TcpStream::from_std(stream) {
             Ok(stream) => {
-                let line = Line::new(stream, self.office.now());
+                let line = Line::new(stream, self.shared_runtime.now());
                 line.farewell(answer_of(Own::lost(false)));
                 spawn_local(async move {
                     line.linger().await;
@@ -426,16 +439,16 @@
         const PULSES: u32 = 10;
         let mut threads: Vec<_> =
             self.filled.borrow_mut().iter_mut().filter_map(|f| f.thread.take()).collect();
-        self.office.seats.iter().for_each(|seat| seat.bell.notify_one());
+        self.shared_runtime.core_slots.iter().for_each(|seat| seat.bell.notify_one());
         for n in 0..PULSES {
             threads.retain(|t| !t.is_finished());
             if threads.is_empty() {
                 return;
             }
             // With connections left nobody waits for longer: their time is up.
-            if n == 2 || n == 0 && self.office.guests.used() > 0 {
-                for seat in &self.office.seats[..self.office.cores()] {
-                    seat.pulse.succeed(seat.pulse.life(), self.office.now());
+            if n == 2 || n == 0 && self.shared_runtime.guests.used() > 0 {
+                for seat in &self.shared_runtime.core_slots[..self.shared_runtime.cores()] {
+                    seat.pulse.succeed(seat.pulse.life(), self.shared_runtime.now());
                 }
             }
             tokio::time::sleep(Duration::from_secs_f64(PULSE)).await;
@@ -445,11 +458,11 @@
 }
 
 impl Filled {
-    fn fill(&mut self, office: &Arc<Office>, seat: usize, accepting: &Arc<AtomicBool>) {
-        let now = office.now();
+    fn fill(&mut self, shared_runtime: &Arc<SharedRuntime>, seat: usize, accepting: &Arc<AtomicBool>) {
+        let now = shared_runtime.now();
         // Given time to be seen for the first time.
-        office.seats[seat].pulse.beat(self.life, now);
-        match core::start(office, seat, self.life, accepting) {
+        shared_runtime.core_slots[seat].pulse.beat(self.life, now);
+        match core::start(shared_runtime, seat, self.life, accepting) {
             Ok(thread) => {
                 self.thread = Some(thread);
                 self.watch.filled(now);
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -3,7 +3,7 @@
 
 mod town;
 
-use milletpath_gateway::Stir;
+use milletpath_gateway::FaultInjection;
 use milletpath_gateway::wall_clock::unix_time;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -102,7 +102,7 @@
         let clients: Vec<_> = (0..8).map(|_| spawn_local(calls(at, 20_000))).collect();
         pause(0.3).await;
         assert!(drained(&mut heads) > 0, "the story needs calls at the worker that drains");
-        stir.send((1, Stir::Stall(3.0))).unwrap();
+        stir.send((1, FaultInjection::Stall(3.0))).unwrap();
         pause(0.1).await;
         say.send(edition(2, &[(drains, "draining"), (stays, "ready")])).unwrap();
         pause(0.7).await;
@@ -126,7 +126,7 @@
         let (at, _stop, _served, stir) = stirred(followed(4, registry)).await;
         pause(0.2).await;
         let clients: Vec<_> = (0..8).map(|_| spawn_local(calls(at, 20_000))).collect();
-        stir.send((2, Stir::Stall(1.5))).unwrap();
+        stir.send((2, FaultInjection::Stall(1.5))).unwrap();
         (2..=2000).for_each(|n| say.send(both(n)).unwrap());
         pause(1.0).await;
         drained(&mut heads);
@@ -205,7 +205,7 @@
             town::worker(Does::Late(400, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")).await;
         let house = charter(&[worker], "cores = 4\nfunctions {\nlanes = 16\n}\nlimits {\nopen = 6\n}\n");
         let (at, _stop, _served, stir) = stirred(house).await;
-        (1..4).for_each(|core| stir.send((core, Stir::Stall(2.0))).unwrap());
+        (1..4).for_each(|core| stir.send((core, FaultInjection::Stall(2.0))).unwrap());
         // Until the keeper has seen that they stand still.
         pause(0.8).await;
         let asked: Vec<_> = (0..9).map(|_| spawn_local(async move { call(at, "", "").await })).collect();
@@ -256,7 +256,7 @@
         let (at, _stop, _served, stir) = stirred(charter(&[worker], &format!("cores = 1\n{profile}"))).await;
         let asked = spawn_local(async move { call(at, "milletpath-patience: 0.8\r\n", "").await });
         assert!(heads.recv().await.is_some());
-        stir.send((0, Stir::Stall(2.5))).unwrap();
+        stir.send((0, FaultInjection::Stall(2.5))).unwrap();
         let answer =
             tokio::time::timeout(Duration::from_secs(2), asked).await.expect("while it stands still");
         let answer = answer.unwrap();
@@ -269,9 +269,9 @@
 }
 
 /// A core dies with a call in hand: that client is told, others notice nothing, and the seat is filled again.
-#[test_case(Stir::Panic, 1; "its thread")]
-#[test_case(Stir::Stall(7.5), 1; "it does not come back for long")]
-fn a_core_is_lost_and_replaced(stir_with: Stir, lost: usize) {
+#[test_case(FaultInjection::Panic, 1; "its thread")]
+#[test_case(FaultInjection::Stall(7.5), 1; "it does not come back for long")]
+fn a_core_is_lost_and_replaced(stir_with: FaultInjection, lost: usize) {
     story(async {
         let late = Does::Late(200, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
         let (worker, mut heads) = town::worker(late).await;
@@ -290,7 +290,7 @@
         }
         let count = |is: &str| outcomes.iter().filter(|o| *o == is).count();
         assert_eq!((count("terminated"), count("handled")), (lost, 2 - lost), "{outcomes:?}");
-        pause(if matches!(stir_with, Stir::Stall(_)) { 5.5 } else { 0.5 }).await;
+        pause(if matches!(stir_with, FaultInjection::Stall(_)) { 5.5 } else { 0.5 }).await;
         for _ in 0..4 {
             assert_eq!(outcome(&call(at, "", "").await), "handled");
         }
@@ -309,8 +309,8 @@
         let mut first = [0; 4096];
         assert!(stream.read(&mut first).await.unwrap() > 0);
         assert_eq!(drained(&mut heads), 1);
-        stir.send((0, Stir::Stall(0.4))).unwrap();
-        stir.send((0, Stir::Panic)).unwrap();
+        stir.send((0, FaultInjection::Stall(0.4))).unwrap();
+        stir.send((0, FaultInjection::Panic)).unwrap();
         pause(0.1).await;
         stream.write_all(text.as_bytes()).await.unwrap();
         let mut rest = String::new();
@@ -328,7 +328,7 @@
         let (at, _stop, _served, stir) = stirred(charter(&[worker], &format!("cores = 1\n{long}"))).await;
         let asked = spawn_local(async move { call(at, "", "").await });
         assert!(heads.recv().await.is_some());
-        stir.send((0, Stir::Stall(12.0))).unwrap();
+        stir.send((0, FaultInjection::Stall(12.0))).unwrap();
         let answer =
             tokio::time::timeout(Duration::from_secs(10), asked).await.expect("while it stands still");
         assert_eq!(outcome(&answer.unwrap()), "terminated");
@@ -348,7 +348,7 @@
             [0; 4].map(|_| spawn_local(async move { call(at, "milletpath-patience: 2\r\n", "").await }));
         assert!(heads.recv().await.is_some());
         pause(0.1).await;
-        stir.send((0, Stir::Break)).unwrap();
+        stir.send((0, FaultInjection::Break)).unwrap();
         let mut outcomes = Vec::new();
         for answer in asked {
             outcomes.push(outcome(&answer.await.unwrap()).to_owned());
@@ -366,15 +366,15 @@
         let (worker, _heads) = town::worker(OK).await;
         let (silent, _silent_heads) = town::worker(Does::Nothing).await;
         let (at, _stop, _served, stir) = stirred(charter(&[worker], "cores = 2\n")).await;
-        stir.send((2, Stir::Panic)).unwrap();
+        stir.send((2, FaultInjection::Panic)).unwrap();
         pause(0.5).await;
         assert_eq!(outcome(&call(at, "", "").await), "handled");
-        stir.send((2, Stir::Break)).unwrap();
+        stir.send((2, FaultInjection::Break)).unwrap();
         pause(0.5).await;
         assert_eq!(outcome(&call(at, "", "").await), "handled");
         let (at, _stop, _served, stir) =
             stirred(charter(&[silent], &format!("cores = 2\n{EFFECTFUL}"))).await;
-        stir.send((2, Stir::Panic)).unwrap();
+        stir.send((2, FaultInjection::Panic)).unwrap();
         assert_eq!(outcome(&call(at, "milletpath-patience: 0.5\r\n", "").await), "terminated");
     });
 }
@@ -409,7 +409,7 @@
         let (workers, _heads) = town::team(4, vec![OK]).await;
         let (at, _stop, _served, stir) =
             stirred(charter(&workers, "cores = 2\nfunctions {\nlanes = 8\n}\n")).await;
-        stir.send((1, Stir::Stall(1.2))).unwrap();
+        stir.send((1, FaultInjection::Stall(1.2))).unwrap();
         pause(0.8).await;
         let (count, mut closed) = (20, 0);
         let clients: Vec<_> = (0..count).map(|_| spawn_local(calls(at, 100_000))).collect();
@@ -433,7 +433,7 @@
         let (worker, _heads) = town::worker(OK).await;
         let (at, _stop, _served, stir) = stirred(charter(&[worker], "cores = 1\n")).await;
         assert_eq!(outcome(&call(at, "", "").await), "handled");
-        stir.send((0, Stir::Stall(2.0))).unwrap();
+        stir.send((0, FaultInjection::Stall(2.0))).unwrap();
         pause(0.1).await;
         let silent = TcpStream::connect(at).await.unwrap();
         let answer = call(at, "", "").await;
--- a/crates/gateway/tests/town/mod.rs
+++ b/crates/gateway/tests/town/mod.rs
@@ -64,7 +64,7 @@
 /// The same, with mischief for its cores.
 pub async fn stirred(
     house: GatewayConfig,
-) -> (SocketAddr, oneshot::Sender<()>, Served, UnboundedSender<(usize, milletpath_gateway::Stir)>) {
+) -> (SocketAddr, oneshot::Sender<()>, Served, UnboundedSender<(usize, milletpath_gateway::FaultInjection)>) {
     let listener = TcpListener::bind(house.listen).await.unwrap();
     let address = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel::<()>();
@@ -77,7 +77,7 @@
     (
         address,
         stop,
-        spawn_local(milletpath_gateway::serve_stirred(house, listener, Links::default(), stopped, stirs)),
+        spawn_local(milletpath_gateway::serve_with_faults(house, listener, Links::default(), stopped, stirs)),
         stir,
     )
 }
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -5,7 +5,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::message::{self, Key, LARGEST, LONGEST_DENIAL, Message};
 use milletpath_config_log::{DurableReplica, StorageEvent};
-use milletpath_gateway::{Telling, cpu, tenfold};
+use milletpath_gateway::{Telling, cpu, is_power_of_ten};
 use milletpath_storage::DiskFolder;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -79,7 +79,7 @@
             Ok(message) => message,
             Err(why) => {
                 self.refused += 1;
-                if tenfold(self.refused) {
+                if is_power_of_ten(self.refused) {
                     tracing::warn!(%from, all = self.refused, "a message is not taken: {why}");
                 }
                 return;
@@ -132,7 +132,7 @@
         match event {
             StorageEvent::Failed { error, in_a_row, retry_in } => {
                 let votes = !self.replica.replica().is_suspended();
-                if tenfold(in_a_row.into()) {
+                if is_power_of_ten(in_a_row.into()) {
                     tracing::error!(in_a_row, retry_in, votes, "the log can't be written: {error}");
                 }
                 self.log_error = Some(error.to_string());
--- a/crates/milletpath/src/control/receiver.rs
+++ b/crates/milletpath/src/control/receiver.rs
@@ -104,7 +104,7 @@
 
     fn pause(&mut self, what: &str, error: &io::Error) -> Turn {
         self.errors += 1;
-        if milletpath_gateway::tenfold(self.errors) {
+        if milletpath_gateway::is_power_of_ten(self.errors) {
             tracing::error!(all = self.errors, "{what}: {error}");
         }
         std::thread::sleep(PAUSE);
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -1,7 +1,7 @@
 //! `milletpath serve`.
 
 use milletpath_config::GatewayConfig;
-use milletpath_gateway::{Feed, Link, Links, Plant, Stir};
+use milletpath_gateway::{FaultInjection, Feed, Link, Links, Plant};
 use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
 use std::io::Write;
 use std::path::Path;
@@ -93,7 +93,7 @@
         });
     }
     let links = Links { peers: link, changes: feed };
-    let tally = milletpath_gateway::serve_stirred(house, listener, links, stop(), stirs).await;
+    let tally = milletpath_gateway::serve_with_faults(house, listener, links, stop(), stirs).await;
     tracing::info!(?tally, "stopped");
     ExitCode::SUCCESS
 }
@@ -104,13 +104,13 @@
 }
 
 /// One line of mischief: the core, what befalls it, and for how many seconds.
-fn take(line: &str, tell: &UnboundedSender<(usize, Stir)>) {
+fn take(line: &str, tell: &UnboundedSender<(usize, FaultInjection)>) {
     let mut words = line.split_whitespace();
     let (core, what, seconds) = (words.next(), words.next(), words.next());
     let stir = match (what, seconds.and_then(|s| s.parse::<f64>().ok())) {
-        (Some("stall"), Some(seconds)) if (0.0..=60.0).contains(&seconds) => Stir::Stall(seconds),
-        (Some("panic"), _) => Stir::Panic,
-        (Some("break"), _) => Stir::Break,
+        (Some("stall"), Some(seconds)) if (0.0..=60.0).contains(&seconds) => FaultInjection::Stall(seconds),
+        (Some("panic"), _) => FaultInjection::Panic,
+        (Some("break"), _) => FaultInjection::Break,
         _ => return tracing::warn!(line, "no mischief of that kind"),
     };
     if let Some(core) = core.and_then(|c| c.parse().ok()) {
