--- a/crates/milletpath/src/scale.rs
+++ b/crates/milletpath/src/scale.rs
@@ -1,7 +1,7 @@
 //! `milletpath scale`: hollow gateways beside real ones, at full size; and the processes that it starts for
 //! them.
 
-use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
+use milletpath_process_environment::signals::{SIGINT, SIGTERM, SignalReceiver};
 use milletpath_scale_test::run::Asked;
 use milletpath_scale_test::{host, plan, run};
 use std::io;
@@ -48,7 +48,7 @@
     let (ready, hears) = std::sync::mpsc::channel();
     std::thread::Builder::new().name("signals".into()).spawn(move || {
         crate::local(async move {
-            let both = Heard::new(SIGINT).and_then(|int| Ok((int, Heard::new(SIGTERM)?)));
+            let both = SignalReceiver::new(SIGINT).and_then(|int| Ok((int, SignalReceiver::new(SIGTERM)?)));
             let (mut int, mut term) = match both {
                 Ok(both) => both,
                 Err(e) => {
@@ -74,7 +74,7 @@
     // Ctrl-C reaches all processes of a terminal: the run hears it, and ends this one by ending its input.
     let deaf = std::thread::Builder::new().name("signals".into()).spawn(|| {
         crate::local(async {
-            let _kept = Heard::new(SIGINT);
+            let _kept = SignalReceiver::new(SIGINT);
             std::future::pending().await
         })
     });
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -2,7 +2,7 @@
 
 use milletpath_config::GatewayConfig;
 use milletpath_gateway::{FaultInjection, Feed, Link, Links, Plant};
-use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
+use milletpath_process_environment::signals::{SIGINT, SIGTERM, SignalReceiver};
 use std::io::Write;
 use std::path::Path;
 use std::process::ExitCode;
@@ -120,7 +120,7 @@
 
 /// SIGTERM, or Ctrl-C on a terminal.
 pub async fn stop() {
-    let (Ok(mut term), Ok(mut int)) = (Heard::new(SIGTERM), Heard::new(SIGINT)) else {
+    let (Ok(mut term), Ok(mut int)) = (SignalReceiver::new(SIGTERM), SignalReceiver::new(SIGINT)) else {
         tracing::error!("signals can't be heard; end the process outright");
         return std::future::pending().await;
     };
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -11,7 +11,7 @@
 use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
 use milletpath_platform_protocol::lines;
-use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
+use milletpath_process_environment::signals::{SIGHUP, SIGTERM, SignalReceiver};
 use nix::sys::resource::{Resource, getrlimit};
 use slab::Slab;
 use std::cell::RefCell;
@@ -242,7 +242,7 @@
 /// where the file says.
 pub async fn run(file: &Path, address: Option<SocketAddr>) -> ExitCode {
     // Before all else: a signal at any time after this ends nothing by itself.
-    let signals = Heard::new(SIGHUP).and_then(|h| Heard::new(SIGTERM).map(|t| (h, t)));
+    let signals = SignalReceiver::new(SIGHUP).and_then(|h| SignalReceiver::new(SIGTERM).map(|t| (h, t)));
     let (mut hangup, mut terminate) = match signals {
         Ok(signals) => signals,
         Err(e) => {
