--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -3,7 +3,7 @@
 
 use cap::Cap;
 use milletpath_capacity_model::run::{Run, Size};
-use milletpath_gateway::wall_clock::unix_time;
+use milletpath_process_environment::wall_clock::unix_time;
 use nix::time::{ClockId, clock_gettime};
 use std::alloc::System;
 use std::collections::BTreeMap;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,7 +7,6 @@
 
 pub mod control_client;
 pub mod hollow;
-pub mod wall_clock;
 
 mod answer;
 mod changing;
@@ -34,5 +33,5 @@
 pub use datagram_receiver::is_power_of_ten;
 pub use peering::{Link, Plant, Told, ask, key_of};
 pub use shared_runtime::FaultInjection;
-pub use supervisor::{Links, listen, serve, serve_with_faults};
+pub use supervisor::{Links, serve, serve_with_faults};
 pub use telling::{Telling, cpu};
--- a/crates/gateway/src/shared_runtime.rs
+++ b/crates/gateway/src/shared_runtime.rs
@@ -5,7 +5,6 @@
 use crate::answer::Own;
 use crate::line::Line;
 use crate::pool::{Room, Way};
-use crate::wall_clock::unix_time;
 use milletpath_config::{FunctionConfig, GatewayConfig};
 use milletpath_dispatcher::dispatcher::{
     Action, Counters, Dispatcher, InterruptedRequest, RequestId, WorkerProcess,
@@ -13,6 +12,7 @@
 use milletpath_multicore::budget::Budget;
 use milletpath_multicore::mail::Mailbox;
 use milletpath_multicore::pulse::Pulse;
+use milletpath_process_environment::wall_clock::unix_time;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -15,37 +15,25 @@
 use milletpath_multicore::deal::{self, Deal, Seen};
 use milletpath_multicore::watch::{Do, Watch};
 use milletpath_policy::host::Outcome;
+use milletpath_process_environment::listener::ACCEPT_QUEUE_LENGTH;
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::future::Future;
 use std::io;
-use std::net::SocketAddr;
 use std::pin::pin;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::spawn_local;
 
-/// Places for connections not yet accepted; the kernel takes its own bound where that is less.
-const WAITING: u32 = 16_384;
-
 /// Seconds past the longest time that a client may wait, in which the last answers are written. Together with what the
 /// cores take to end it is less than the 0.7 s after which the process may be killed.
 const LAST_ANSWERS: f64 = 0.2;
 
-/// Opens the listener of a gateway. Connections that come while the process stands still wait in the kernel: with
-/// the usual 128 places for them the rest would be dropped, and each dropped client tries again a second later only.
-pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    socket.set_reuseaddr(true)?;
-    socket.bind(address)?;
-    socket.listen(WAITING)
-}
-
 /// Runs a gateway on a listener until `stop` comes, and finishes what it took. Must run within a `LocalSet`; the
 /// calling thread is the keeper, and the cores are threads beside it.
 pub async fn serve(house: GatewayConfig, listener: TcpListener, stop: impl Future<Output = ()>) -> Counters {
@@ -222,7 +210,7 @@
     /// that lie on them unread. Asks the socket itself, as the runtime may not have heard of them.
     async fn deal_waiting(&self, listener: &TcpListener) {
         let mut backoff = Backoff::default();
-        for _ in 0..WAITING {
+        for _ in 0..ACCEPT_QUEUE_LENGTH {
             while self.shared_runtime.guests.used() >= self.shared_runtime.guests.most() {
                 self.shared_runtime.fewer.notified().await;
             }
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -4,7 +4,7 @@
 mod town;
 
 use milletpath_gateway::FaultInjection;
-use milletpath_gateway::wall_clock::unix_time;
+use milletpath_process_environment::wall_clock::unix_time;
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -44,10 +44,10 @@
 }
 
 async fn run(house: GatewayConfig, inside: bool, stir: bool, plant: Option<Plant>) -> ExitCode {
-    let mut bound = milletpath_gateway::listen(house.listen);
+    let mut bound = milletpath_process_environment::listener::listen(house.listen);
     if bound.is_err() && inside {
         // The built-in charter's port is taken: any other will do.
-        bound = milletpath_gateway::listen((std::net::Ipv4Addr::LOCALHOST, 0).into());
+        bound = milletpath_process_environment::listener::listen((std::net::Ipv4Addr::LOCALHOST, 0).into());
     }
     let listener = match bound {
         Ok(listener) => listener,
--- a/crates/platform-router/src/bulletin.rs
+++ b/crates/platform-router/src/bulletin.rs
@@ -2,8 +2,8 @@
 //! a silence longer than its heartbeat explains leads to asking again for all after the last event.
 
 use crate::station::Shared;
-use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
+use milletpath_process_environment::wall_clock::unix_time;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
--- a/crates/platform-router/src/station.rs
+++ b/crates/platform-router/src/station.rs
@@ -8,10 +8,10 @@
 use crate::shutdown::{Liveness, Shutdown};
 use crate::sockets::{Sockets, SystemSockets};
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
-use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
 use milletpath_platform_protocol::lines;
 use milletpath_process_environment::signals::{SIGHUP, SIGTERM, SignalReceiver};
+use milletpath_process_environment::wall_clock::unix_time;
 use nix::sys::resource::{Resource, getrlimit};
 use slab::Slab;
 use std::cell::RefCell;
@@ -271,7 +271,7 @@
         told.descriptors = granted as usize;
     }
     let address = address.unwrap_or(told.config.listen);
-    let listener = match milletpath_gateway::listen(address) {
+    let listener = match milletpath_process_environment::listener::listen(address) {
         Ok(listener) => listener,
         Err(e) => {
             tracing::error!("can't listen on {address}: {e}");
--- a/crates/gateway/src/wall_clock.rs
+++ b/crates/process-environment/src/wall_clock.rs
@@ -1,8 +1,8 @@
 //! The one place where the wall clock is read.
 //!
-//! It may be stepped at any time, by seconds or by an hour, so it measures nothing here: every deadline, window, wait
-//! and grace is a span of the monotonic clock. It serves only to place stamps that the clocks of others made, and
-//! `milletpath_dispatcher::start_times` bounds what such a stamp may claim.
+//! The wall clock may be stepped at any time, by seconds or by an hour, so no deadline, window or wait is measured with
+//! it: those are spans of the monotonic clock. It serves only to place timestamps that other clocks made, and
+//! `milletpath_dispatcher::start_times` bounds what such a timestamp may claim.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
