--- a/crates/gateway/src/gather.rs
+++ b/crates/gateway/src/body_buffer.rs
@@ -4,18 +4,18 @@
 use bytes::{Bytes, BytesMut};
 
 #[derive(Default)]
-pub struct Gathered {
+pub struct BodyBuffer {
     first: Bytes,
     /// All of it, once there is more than one piece.
     rest: BytesMut,
 }
 
-impl Gathered {
+impl BodyBuffer {
     pub fn len(&self) -> usize {
         if self.rest.is_empty() { self.first.len() } else { self.rest.len() }
     }
 
-    pub fn add(&mut self, piece: Bytes) {
+    pub fn push(&mut self, piece: Bytes) {
         if self.first.is_empty() {
             self.first = piece;
             return;
@@ -26,7 +26,7 @@
         self.rest.extend_from_slice(&piece);
     }
 
-    pub fn whole(self) -> Bytes {
+    pub fn into_bytes(self) -> Bytes {
         if self.rest.is_empty() { self.first } else { self.rest.freeze() }
     }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -25,69 +25,69 @@
 
 /// Where a worker is: its address, and a number that changes when another process takes its name.
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct Endpoint {
     pub address: SocketAddr,
     pub process: u64,
 }
 
 /// The connections that one worker may have, over all cores.
-pub struct Room {
-    places: Budget,
-    pub freed: Notify,
+pub struct ConnectionLimit {
+    used: Budget,
+    pub released: Notify,
 }
 
-impl Room {
-    pub fn new(most: usize) -> Self {
-        Self { places: Budget::new(most), freed: Notify::new() }
+impl ConnectionLimit {
+    pub fn new(max_connections: usize) -> Self {
+        Self { used: Budget::new(max_connections), released: Notify::new() }
     }
 
     /// A place for one more connection. It is given back when dropped.
-    pub fn reserve(self: &Arc<Self>) -> Option<Place> {
-        self.places.take(1).then(|| Place(self.clone()))
+    pub fn reserve(self: &Arc<Self>) -> Option<ConnectionReservation> {
+        self.used.take(1).then(|| ConnectionReservation(self.clone()))
     }
 }
 
-/// Room for a connection, from before it is made until it is closed.
-pub struct Place(Arc<Room>);
+/// Room for a connection, from before it is handshake until it is closed.
+pub struct ConnectionReservation(Arc<ConnectionLimit>);
 
-impl Drop for Place {
+impl Drop for ConnectionReservation {
     fn drop(&mut self) {
-        self.0.places.give_back(1);
-        self.0.freed.notify_one();
+        self.0.used.give_back(1);
+        self.0.released.notify_one();
     }
 }
 
 /// Leave to write one request, for as long as the verdict behind it holds: a thread that stood still since then
 /// must not write what was true before. Nothing but requests is ever written to a worker.
 #[derive(Default)]
-pub struct Leave {
+pub struct WritePermit {
     until: Cell<Option<Instant>>,
-    refused: Cell<bool>,
+    was_refused: Cell<bool>,
 }
 
-impl Leave {
+impl WritePermit {
     /// Given at the verdict.
-    pub fn give(&self) {
+    pub fn grant(&self) {
         self.until.set(Some(Instant::now() + Duration::from_secs_f64(STILL)));
     }
 
     /// Asked in the moment of writing; the first byte uses it up.
-    fn take(&self) -> io::Result<()> {
+    fn consume(&self) -> io::Result<()> {
         if self.until.take().is_some_and(|until| Instant::now() > until) {
-            self.refused.set(true);
+            self.was_refused.set(true);
             return Err(io::Error::new(io::ErrorKind::TimedOut, "this thread stood still before it wrote"));
         }
         Ok(())
     }
 
-    /// Whether a request was refused, so that not a byte of it was written.
-    pub fn refused(&self) -> bool {
-        self.refused.get()
+    /// Whether a request was was_refused, so that not a byte of it was written.
+    pub fn was_refused(&self) -> bool {
+        self.was_refused.get()
     }
 }
 
 /// A worker's stream on which nothing is written without leave.
-struct Gated(TokioIo<TcpStream>, Rc<Leave>);
+struct Gated(TokioIo<TcpStream>, Rc<WritePermit>);
 
 impl Read for Gated {
     fn poll_read(
@@ -101,7 +101,7 @@
 
 impl Write for Gated {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.1.take()?;
+        self.1.consume()?;
         Pin::new(&mut self.0).poll_write(cx, buf)
     }
 
@@ -122,7 +122,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.1.take()?;
+        self.1.consume()?;
         Pin::new(&mut self.0).poll_write_vectored(cx, bufs)
     }
 }
@@ -130,11 +130,11 @@
 /// One connection. Dropped, it is closed at once, with whatever is under way on it.
 pub struct Connection {
     pub sender: SendRequest<Body>,
-    pub leave: Rc<Leave>,
+    pub write_permit: Rc<WritePermit>,
     task: AbortHandle,
     /// The process that it leads to.
     process: u64,
-    _place: Place,
+    _reservation: ConnectionReservation,
 }
 
 impl Drop for Connection {
@@ -144,11 +144,11 @@
 }
 
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: Vec<(f64, Connection)>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An idle connection to that process which still stands as far as is known.
     pub fn take(&mut self, process: u64) -> Option<Connection> {
         while let Some((_, connection)) = self.idle.pop() {
@@ -160,7 +160,7 @@
     }
 
     /// Takes a connection back once its exchange is over.
-    pub fn give_back(&mut self, now: f64, connection: Connection) {
+    pub fn return_connection(&mut self, now: f64, connection: Connection) {
         if !connection.sender.is_closed() {
             self.idle.push((now, connection));
         }
@@ -172,7 +172,7 @@
     }
 
     /// Closes the connection that is idle for longest: another core has need of its place.
-    pub fn spare(&mut self) {
+    pub fn close_one(&mut self) {
         if !self.idle.is_empty() {
             self.idle.remove(0);
         }
@@ -180,21 +180,31 @@
 }
 
 /// Bytes that one answer's header fields may take; the body has its own bound.
-const HEAD: usize = 64 << 10;
-
-/// Makes a connection in its place; for `patience` it is tried again where this machine itself lacks something.
-pub async fn connect(place: Place, way: Way, patience: Duration) -> io::Result<Connection> {
-    let stream = io_fault::connect(patience, async || TcpStream::connect(way.address).await).await?;
+const MAX_HEAD_BYTES: usize = 64 << 10;
+
+/// Makes a connection in its place; for `max_wait` it is tried again where this machine itself lacks something.
+pub async fn connect(
+    reservation: ConnectionReservation,
+    endpoint: Endpoint,
+    max_wait: Duration,
+) -> io::Result<Connection> {
+    let stream = io_fault::connect(max_wait, async || TcpStream::connect(endpoint.address).await).await?;
     stream.set_nodelay(true)?;
-    let leave = Rc::new(Leave::default());
-    let gated = Gated(TokioIo::new(stream), leave.clone());
-    let made = Builder::new().max_buf_size(HEAD).handshake::<_, Body>(gated).await;
-    let (sender, connection) = made.map_err(io::Error::other)?;
+    let write_permit = Rc::new(WritePermit::default());
+    let gated = Gated(TokioIo::new(stream), write_permit.clone());
+    let handshake = Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake::<_, Body>(gated).await;
+    let (sender, connection) = handshake.map_err(io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
         // How it ended is told to whoever waits for an answer on it.
         let _ = connection.await;
     });
-    Ok(Connection { sender, leave, task: task.abort_handle(), process: way.process, _place: place })
+    Ok(Connection {
+        sender,
+        write_permit,
+        task: task.abort_handle(),
+        process: endpoint.process,
+        _reservation: reservation,
+    })
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/pool/tests.rs
+++ b/crates/gateway/src/connection_pool/tests.rs
@@ -10,22 +10,22 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(tokio::task::LocalSet::new().run_until(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let way = Way { address: listener.local_addr().unwrap(), process: 1 };
-        let room = Arc::new(Room::new(1));
-        let mut connection = connect(room.reserve().unwrap(), way, Duration::ZERO).await.unwrap();
-        assert!(room.reserve().is_none());
+        let endpoint = Endpoint { address: listener.local_addr().unwrap(), process: 1 };
+        let limit = Arc::new(ConnectionLimit::new(1));
+        let mut connection = connect(limit.reserve().unwrap(), endpoint, Duration::ZERO).await.unwrap();
+        assert!(limit.reserve().is_none());
         let (mut stream, _) = listener.accept().await.unwrap();
         connection.sender.ready().await.unwrap();
-        connection.leave.give();
+        connection.write_permit.grant();
         let request = http::Request::get("/").body(Body::default()).unwrap();
         let sent = connection.sender.send_request(request);
         std::thread::sleep(Duration::from_secs_f64(stands));
         let sent = tokio::task::spawn_local(sent);
         let mut bytes = [0; 16];
         let read = stream.read(&mut bytes).await.unwrap();
-        assert_eq!((read == 0, connection.leave.refused()), (refused, refused));
+        assert_eq!((read == 0, connection.write_permit.was_refused()), (refused, refused));
         drop(sent);
         drop(connection);
-        assert!(room.reserve().is_some());
+        assert!(limit.reserve().is_some());
     }));
 }
--- a/crates/gateway/src/datagram_receiver.rs
+++ b/crates/gateway/src/datagram_receiver.rs
@@ -6,38 +6,40 @@
 use std::time::Duration;
 
 /// Datagrams read in a row before time is looked at again.
-const TURN: usize = 64;
+const MAX_DATAGRAMS_IN_A_ROW: usize = 64;
 
 /// Seconds between two looks whether the gateway stops.
-const LOOK: f64 = 0.05;
+const STOP_CHECK_INTERVAL: f64 = 0.05;
 
 /// What a thread reads datagrams into.
 pub struct DatagramReceiver {
     buffer: Vec<u8>,
-    read: usize,
+    received: usize,
 }
 
 impl DatagramReceiver {
     /// For datagrams of so many bytes; a larger one shows by one more.
     pub fn new(largest: usize) -> Self {
-        Self { buffer: vec![0; largest + 1], read: 0 }
+        Self { buffer: vec![0; largest + 1], received: 0 }
     }
 
     /// The next datagram, waited for until something is due in so many seconds; `failed` is what the log says where it can't be read.
-    pub fn receive(&mut self, socket: &UdpSocket, due_in: f64, failed: &str) -> Option<(&[u8], SocketAddr)> {
-        let wait = Duration::from_secs_f64(due_in.clamp(0.001, LOOK));
+    pub fn receive(&mut self, socket: &UdpSocket, due_in: f64, failure: &str) -> Option<(&[u8], SocketAddr)> {
+        let wait = Duration::from_secs_f64(due_in.clamp(0.001, STOP_CHECK_INTERVAL));
         match socket.set_read_timeout(Some(wait)).and_then(|()| socket.recv_from(&mut self.buffer)) {
             Ok((size, from)) => {
-                self.read += 1;
+                self.received += 1;
                 return Some((&self.buffer[..size], from));
             }
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => self.read = TURN,
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                self.received = MAX_DATAGRAMS_IN_A_ROW
+            }
             // The word of a datagram that reached nobody.
             Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
             Err(e) => {
-                tracing::error!("{failed}: {e}");
-                std::thread::sleep(Duration::from_secs_f64(LOOK));
-                self.read = TURN;
+                tracing::error!("{failure}: {e}");
+                std::thread::sleep(Duration::from_secs_f64(STOP_CHECK_INTERVAL));
+                self.received = MAX_DATAGRAMS_IN_A_ROW;
             }
         }
         None
@@ -45,9 +47,9 @@
 
     /// Whether time is to be looked at now, where that was due at `due`; counts anew from there.
     pub fn is_tick_due(&mut self, now: f64, due: f64) -> bool {
-        let due_now = self.read >= TURN || now >= due + LOOK;
+        let due_now = self.received >= MAX_DATAGRAMS_IN_A_ROW || now >= due + STOP_CHECK_INTERVAL;
         if due_now {
-            self.read = 0;
+            self.received = 0;
         }
         due_now
     }
--- a/crates/gateway/src/header_timer.rs
+++ b/crates/gateway/src/header_timer.rs
@@ -2,7 +2,7 @@
 //! process (SIGSTOP) `epoll_wait` returns EINTR without events, and the runtime fires the timers that fell due before
 //! it has heard which sockets are readable. A connection closed then would take the request on it along.
 
-use crate::line::Line;
+use crate::response_channel::ResponseChannel;
 use hyper::rt::{Sleep, Timer};
 use std::future::Future;
 use std::pin::Pin;
@@ -18,7 +18,7 @@
 const MOST_RECHECKS: u32 = 10;
 
 /// Timer of one client connection.
-pub struct HeaderTimer(pub Arc<Line>);
+pub struct HeaderTimer(pub Arc<ResponseChannel>);
 
 impl Timer for HeaderTimer {
     fn sleep(&self, duration: Duration) -> Pin<Box<dyn Sleep>> {
@@ -27,12 +27,12 @@
 
     fn sleep_until(&self, deadline: Instant) -> Pin<Box<dyn Sleep>> {
         let sleep = Box::pin(tokio::time::sleep_until(deadline.into()));
-        Box::pin(HeaderDeadline { line: self.0.clone(), sleep, rechecks: 0 })
+        Box::pin(HeaderDeadline { channel: self.0.clone(), sleep, rechecks: 0 })
     }
 }
 
 struct HeaderDeadline {
-    line: Arc<Line>,
+    channel: Arc<ResponseChannel>,
     sleep: Pin<Box<tokio::time::Sleep>>,
     rechecks: u32,
 }
@@ -44,7 +44,7 @@
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         while self.sleep.as_mut().poll(context).is_ready() {
-            if self.rechecks >= MOST_RECHECKS || !self.line.has_unread() {
+            if self.rechecks >= MOST_RECHECKS || !self.channel.has_unread() {
                 return Poll::Ready(());
             }
             self.rechecks += 1;
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -276,7 +276,7 @@
     /// Does what is due at the desk. To be called often, as the keeper of `serve` does.
     pub fn turn(&self) {
         self.within(|shared_runtime| {
-            if shared_runtime.overdue(0.0) {
+            if shared_runtime.is_overdue(0.0) {
                 shared_runtime.with_dispatcher(None, |desk, now| desk.advance(now));
             }
         });
--- a/crates/gateway/src/io_fault.rs
+++ b/crates/gateway/src/io_fault.rs
@@ -85,26 +85,26 @@
     const FIRST: Duration = Duration::from_millis(5);
     const LONGEST: Duration = Duration::from_millis(100);
     /// Connections in a row that may be gone before there is a pause: there is one fewer of them each time.
-    const FREE: u32 = 64;
+    const IMMEDIATE_RETRIES: u32 = 64;
 
     /// How long to wait before the next attempt to accept.
     pub fn after_accept(&mut self, fault: AcceptFault) -> Duration {
-        if fault == AcceptFault::Connection && self.failures < Self::FREE {
+        if fault == AcceptFault::Connection && self.failures < Self::IMMEDIATE_RETRIES {
             self.failures += 1;
             return Duration::ZERO;
         }
         // What a connection had for nothing is no reason for a longer pause.
-        self.failures = self.failures.max(Self::FREE);
-        self.grown(Self::FREE)
+        self.failures = self.failures.max(Self::IMMEDIATE_RETRIES);
+        self.next_pause(Self::IMMEDIATE_RETRIES)
     }
 
     /// How long to wait before the next attempt to connect.
     pub fn after_connect(&mut self) -> Duration {
-        self.grown(0)
+        self.next_pause(0)
     }
 
-    fn grown(&mut self, free: u32) -> Duration {
-        let doublings = self.failures.saturating_sub(free).min(16);
+    fn next_pause(&mut self, immediate_retries: u32) -> Duration {
+        let doublings = self.failures.saturating_sub(immediate_retries).min(16);
         self.failures = self.failures.saturating_add(1);
         Self::FIRST.saturating_mul(1 << doublings).min(Self::LONGEST)
     }
@@ -116,20 +116,20 @@
 
 /// Attempts to connect, and again where that fails for a reason of this machine's own, for `patience` at most.
 pub async fn connect<T>(
-    patience: Duration,
+    max_wait: Duration,
     mut attempt: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let (mut backoff, mut left) = (Backoff::default(), patience);
+    let (mut backoff, mut wait_left) = (Backoff::default(), max_wait);
     loop {
         let error = match attempt().await {
-            Ok(made) => return Ok(made),
+            Ok(connected) => return Ok(connected),
             Err(error) => error,
         };
         let pause = backoff.after_connect();
-        if ConnectFault::of(&error) == ConnectFault::Worker || pause > left {
+        if ConnectFault::of(&error) == ConnectFault::Worker || pause > wait_left {
             return Err(error);
         }
-        left -= pause;
+        wait_left -= pause;
         tokio::time::sleep(pause).await;
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,26 +8,26 @@
 pub mod control_client;
 pub mod hollow;
 
-mod answer;
+mod attempt;
+mod body_buffer;
 mod changing;
-mod core;
+mod connection_pool;
+mod core_context;
+mod core_thread;
 mod datagram_receiver;
-mod errands;
-mod follow;
-mod gather;
+mod endpoint_watch;
 mod header_timer;
+mod http_service;
 mod io_fault;
-mod line;
-mod paced;
+mod message_handler;
 mod peering;
-mod pool;
-mod serve;
+mod response;
+mod response_channel;
 mod shared_runtime;
 pub mod sharing;
-mod shell;
-mod shot;
 mod supervisor;
 mod telling;
+mod write_timeout;
 
 pub use changing::{Feed, Followed, control_key};
 pub use datagram_receiver::is_power_of_ten;
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/response.rs
@@ -12,53 +12,53 @@
 use std::task::{Context, Poll};
 
 /// The final answer of an activation, on its way to the client.
-pub enum Reply {
-    Handled(http::response::Parts, Bytes, Held),
-    Own(Own),
+pub enum FinalResponse {
+    FromWorker(http::response::Parts, Bytes, BufferedBytes),
+    Local(LocalResponse),
     /// The worker's answer is larger than may be passed on; it has run.
     TooLarge,
 }
 
 /// A final answer that the gateway gives itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Own {
-    Bounced(Option<f64>),
-    Terminated { late: bool },
+pub enum LocalResponse {
+    Rejected(Option<f64>),
+    Failed { timed_out: bool },
 }
 
-impl Own {
+impl LocalResponse {
     /// For a call that nobody will carry on, by whether something of it may have run.
-    pub fn lost(begun: bool) -> Self {
-        if begun { Self::Terminated { late: false } } else { Self::Bounced(None) }
+    pub fn interrupted(may_have_run: bool) -> Self {
+        if may_have_run { Self::Failed { timed_out: false } } else { Self::Rejected(None) }
     }
 }
 
 /// Bytes in hand, given back when dropped.
-pub struct Held {
+pub struct BufferedBytes {
     bytes: usize,
-    of: Arc<Budget>,
+    budget: Arc<Budget>,
 }
 
-impl Held {
+impl BufferedBytes {
     /// Counts bytes as in hand; none where the bound on all together is reached.
-    pub fn take(of: &Arc<Budget>, bytes: usize) -> Option<Self> {
-        of.take(bytes).then(|| Self { bytes, of: of.clone() })
+    pub fn reserve(budget: &Arc<Budget>, bytes: usize) -> Option<Self> {
+        budget.take(bytes).then(|| Self { bytes, budget: budget.clone() })
     }
 }
 
-impl Drop for Held {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
-        self.of.give_back(self.bytes);
+        self.budget.give_back(self.bytes);
     }
 }
 
 /// The body of an answer; its bytes count as in hand until it is written.
-pub struct Written {
+pub struct ResponseBody {
     bytes: Bytes,
-    _held: Option<Held>,
+    _buffered: Option<BufferedBytes>,
 }
 
-impl Body for Written {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -79,10 +79,10 @@
     }
 }
 
-impl Written {
+impl ResponseBody {
     /// What a worker answered.
-    pub fn handled(bytes: Bytes, held: Held) -> Self {
-        Self { bytes, _held: Some(held) }
+    pub fn from_worker(bytes: Bytes, buffered: BufferedBytes) -> Self {
+        Self { bytes, _buffered: Some(buffered) }
     }
 
     pub fn len(&self) -> usize {
@@ -90,18 +90,24 @@
     }
 }
 
-impl From<Written> for Bytes {
-    fn from(written: Written) -> Self {
+impl From<ResponseBody> for Bytes {
+    fn from(written: ResponseBody) -> Self {
         written.bytes
     }
 }
 
-const BOUNCED: HeaderValue = HeaderValue::from_static("bounced");
+const REJECTED: HeaderValue = HeaderValue::from_static("bounced");
 
 /// An answer that the gateway gives itself, as a problem document.
-fn own(status: StatusCode, outcome: HeaderValue, kind: &str, title: &str, detail: &str) -> Response<Written> {
+fn problem_response(
+    status: StatusCode,
+    outcome: HeaderValue,
+    kind: &str,
+    title: &str,
+    detail: &str,
+) -> Response<ResponseBody> {
     let bytes = problem::document(status.as_u16(), kind, title, detail).into();
-    let mut response = Response::new(Written { bytes, _held: None });
+    let mut response = Response::new(ResponseBody { bytes, _buffered: None });
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(problem::MEDIA_TYPE));
@@ -109,48 +115,56 @@
     response
 }
 
-pub fn bounced(kind: &str, title: &str, come_back: Option<f64>) -> Response<Written> {
+pub fn rejected(kind: &str, title: &str, retry_after: Option<f64>) -> Response<ResponseBody> {
     let detail = "The call was not taken, or nothing of it has run; trying again does no harm.";
-    let mut response = own(StatusCode::SERVICE_UNAVAILABLE, BOUNCED, kind, title, detail);
-    let after = HeaderValue::from(invoke::retry_after(come_back.unwrap_or(1.0)));
+    let mut response = problem_response(StatusCode::SERVICE_UNAVAILABLE, REJECTED, kind, title, detail);
+    let after = HeaderValue::from(invoke::retry_after(retry_after.unwrap_or(1.0)));
     response.headers_mut().insert(header::RETRY_AFTER, after);
     response
 }
 
 /// A client's mistake: refused, and the connection is closed, as what follows on it can't be trusted.
-pub fn refused(status: StatusCode, kind: &str, title: &str, detail: &str) -> Response<Written> {
-    let mut response = own(status, BOUNCED, kind, title, detail);
+pub fn client_error(status: StatusCode, kind: &str, title: &str, detail: &str) -> Response<ResponseBody> {
+    let mut response = problem_response(status, REJECTED, kind, title, detail);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-pub fn faulty(fault: &Fault) -> Response<Written> {
-    refused(StatusCode::BAD_REQUEST, "bad-field", "A header field can't be understood", &fault.to_string())
+pub fn invalid_header(fault: &Fault) -> Response<ResponseBody> {
+    client_error(
+        StatusCode::BAD_REQUEST,
+        "bad-field",
+        "A header field can't be understood",
+        &fault.to_string(),
+    )
 }
 
 /// Health answers, for balancers: short text.
-pub fn healthy(ok: bool, text: &'static str) -> Response<Written> {
-    let mut response = Response::new(Written { bytes: Bytes::from_static(text.as_bytes()), _held: None });
+pub fn health_response(ok: bool, text: &'static str) -> Response<ResponseBody> {
+    let mut response =
+        Response::new(ResponseBody { bytes: Bytes::from_static(text.as_bytes()), _buffered: None });
     *response.status_mut() = if ok { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
 
 /// The answer to a call that no worker handled.
-pub fn answer_of(own: Own) -> Response<Written> {
-    match own {
-        Own::Bounced(come_back) => bounced("bounced", "No worker could take the call in time", come_back),
-        Own::Terminated { late: true } => {
+pub fn local_response(response: LocalResponse) -> Response<ResponseBody> {
+    match response {
+        LocalResponse::Rejected(retry_after) => {
+            rejected("bounced", "No worker could take the call in time", retry_after)
+        }
+        LocalResponse::Failed { timed_out: true } => {
             let detail = "A worker had the call and did not answer in time; it may have run, or may still.";
-            terminated(StatusCode::GATEWAY_TIMEOUT, "late", "No answer in time", detail)
+            failed(StatusCode::GATEWAY_TIMEOUT, "late", "No answer in time", detail)
         }
-        Own::Terminated { late: false } => {
+        LocalResponse::Failed { timed_out: false } => {
             let detail = "A worker had the call and failed; it may have run.";
-            terminated(StatusCode::BAD_GATEWAY, "failed", "The call failed", detail)
+            failed(StatusCode::BAD_GATEWAY, "failed", "The call failed", detail)
         }
     }
 }
 
-pub fn terminated(status: StatusCode, kind: &str, title: &str, detail: &str) -> Response<Written> {
-    own(status, HeaderValue::from_static("terminated"), kind, title, detail)
+pub fn failed(status: StatusCode, kind: &str, title: &str, detail: &str) -> Response<ResponseBody> {
+    problem_response(status, HeaderValue::from_static("terminated"), kind, title, detail)
 }
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/response_channel.rs
@@ -1,7 +1,7 @@
 //! A client's connection as all cores may see it: its own core reads and writes; where that core stands still or
 //! ends, another says the last word on it.
 
-use crate::answer::Written;
+use crate::response::ResponseBody;
 use bytes::Bytes;
 use http::Response;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -21,62 +21,62 @@
 use tokio::net::TcpStream;
 
 /// Readiness that comes with the end of the stream, and not with bytes: nobody sends urgent ones here.
-const LEFT: Interest = Interest::PRIORITY;
+const DISCONNECTED: Interest = Interest::PRIORITY;
 
 /// Whether bytes or the end of the stream lie unread, by the socket's own word: the runtime's may be older.
 pub fn has_unread(stream: &impl AsFd) -> bool {
-    let mut asked = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
-    poll(&mut asked, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
+    let mut descriptors = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
+    poll(&mut descriptors, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
 }
 
-pub struct Line {
+pub struct ResponseChannel {
     stream: TcpStream,
     pub claim: Claim,
-    /// When it was dealt to its core, and the calls that it brought since.
-    since: f64,
-    calls: AtomicU64,
+    /// When it was dealt to its core, and the requests that it brought since.
+    assigned_at: f64,
+    requests: AtomicU64,
     /// The serial number of the call in hand; 0 for none.
-    serial: AtomicU64,
+    current_serial: AtomicU64,
     /// The core has an answer that it writes or is about to.
-    ready: AtomicBool,
+    response_ready: AtomicBool,
     /// Bytes were read since the last answer was written.
-    begun: AtomicBool,
+    request_begun: AtomicBool,
 }
 
-impl Line {
-    pub fn new(stream: TcpStream, since: f64) -> Self {
+impl ResponseChannel {
+    pub fn new(stream: TcpStream, assigned_at: f64) -> Self {
         Self {
             stream,
             claim: Claim::default(),
-            since,
-            calls: AtomicU64::new(0),
-            serial: AtomicU64::new(0),
-            ready: AtomicBool::new(false),
-            begun: AtomicBool::new(false),
+            assigned_at,
+            requests: AtomicU64::new(0),
+            current_serial: AtomicU64::new(0),
+            response_ready: AtomicBool::new(false),
+            request_begun: AtomicBool::new(false),
         }
     }
 
     /// Counts a call; tells how many a second came on this connection.
-    pub fn count(&self, now: f64) -> f64 {
+    pub fn record_request(&self, now: f64) -> f64 {
         /// Seconds below which a rate means little.
-        const YOUNG: f64 = 1.0;
-        let calls = self.calls.fetch_add(1, Ordering::Relaxed) + 1;
-        calls as f64 / (now - self.since).max(YOUNG)
+        const MIN_SECONDS: f64 = 1.0;
+        let requests = self.requests.fetch_add(1, Ordering::Relaxed) + 1;
+        requests as f64 / (now - self.assigned_at).max(MIN_SECONDS)
     }
 
     /// Tells which call is in hand on this connection.
-    pub fn take_up(&self, tag: RequestId) {
-        self.serial.store(tag.serial, Ordering::Relaxed);
+    pub fn set_current_request(&self, request: RequestId) {
+        self.current_serial.store(request.serial, Ordering::Relaxed);
     }
 
     /// Whether that call is the one in hand. Only its own core asks.
-    pub fn owes(&self, tag: RequestId) -> bool {
-        self.serial.load(Ordering::Relaxed) == tag.serial
+    pub fn is_current_request(&self, request: RequestId) -> bool {
+        self.current_serial.load(Ordering::Relaxed) == request.serial
     }
 
     /// The answer to the call in hand is there; what is written from here on is that.
-    pub fn ready(&self) {
-        self.ready.store(true, Ordering::Relaxed);
+    pub fn begin_response(&self) {
+        self.response_ready.store(true, Ordering::Relaxed);
     }
 
     /// Whether bytes or the end of the stream lie unread, by the socket's own word.
@@ -86,22 +86,22 @@
 
     /// Whether the client has closed its side or reset the connection, as far as the runtime has heard; also where
     /// bytes lie unread before that.
-    pub fn has_left(&self) -> bool {
-        self.stream.try_io(LEFT, || Ok(())).is_ok()
+    pub fn client_disconnected(&self) -> bool {
+        self.stream.try_io(DISCONNECTED, || Ok(())).is_ok()
     }
 
     /// Waits until the client has left.
-    pub async fn left(&self) {
-        while !self.has_left() {
-            if self.stream.ready(LEFT).await.is_err() {
+    pub async fn wait_for_disconnect(&self) {
+        while !self.client_disconnected() {
+            if self.stream.ready(DISCONNECTED).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Whether nothing is open, begun or unread here: closed now, the connection takes no call along.
+    /// Whether nothing is open, request_begun or unread here: closed now, the connection takes no call along.
     pub fn is_quiet(&self) -> bool {
-        !self.begun.load(Ordering::Relaxed) && self.claim.is_idle() && !self.has_unread()
+        !self.request_begun.load(Ordering::Relaxed) && self.claim.is_idle() && !self.has_unread()
     }
 
     /// Ends this side of the connection, and takes off what the client still sends until it ends its own or sends
@@ -111,10 +111,10 @@
         const PAUSE: Duration = Duration::from_millis(200);
         const LONGEST: Duration = Duration::from_secs(1);
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
-        let mut piece = [0; 8192];
+        let mut chunk = [0; 8192];
         let drained = async {
             while let Ok(Ok(())) = tokio::time::timeout(PAUSE, self.stream.readable()).await {
-                match self.stream.try_read(&mut piece) {
+                match self.stream.try_read(&mut chunk) {
                     Ok(1..) => {}
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                     Ok(0) | Err(_) => return,
@@ -126,37 +126,37 @@
 
     /// Its core is lost with nothing in hand here. A call that lies unread is answered, as nobody will read it; it
     /// would else be lost without a word when the connection is closed.
-    pub fn farewell(&self, answer: Response<Written>) {
-        /// Bytes taken off at most: what is left makes the kernel reset the connection, which may outrun the answer.
-        const MOST: usize = 1 << 20;
+    pub fn answer_unread_and_close(&self, answer: Response<ResponseBody>) {
+        /// Bytes discarded off at most: what is left makes the kernel reset the connection, which may outrun the answer.
+        const MAX_BYTES: usize = 1 << 20;
         if !self.claim.close() {
             return;
         }
-        let (mut piece, mut taken) = ([0; 8192], 0);
+        let (mut chunk, mut discarded) = ([0; 8192], 0);
         let socket = SockRef::from(&self.stream);
-        while taken < MOST
-            && let Ok(read @ 1..) = (&*socket).read(&mut piece)
+        while discarded < MAX_BYTES
+            && let Ok(read @ 1..) = (&*socket).read(&mut chunk)
         {
-            taken += read;
+            discarded += read;
         }
-        if taken > 0 {
-            self.say(answer);
+        if discarded > 0 {
+            self.write_response(answer);
         } else {
             self.close();
         }
     }
 
     /// Gives the final answer in place of the core that owes it, and ends the connection; false where that core
-    /// has begun to answer, or owes nothing.
-    pub fn last_word(&self, answer: Response<Written>) -> bool {
-        let may = self.claim.speak();
-        if may {
-            self.say(answer);
+    /// has request_begun to answer, or owes nothing.
+    pub fn respond_from_other_core(&self, answer: Response<ResponseBody>) -> bool {
+        let claimed = self.claim.speak();
+        if claimed {
+            self.write_response(answer);
         }
-        may
+        claimed
     }
 
-    fn say(&self, answer: Response<Written>) {
+    fn write_response(&self, answer: Response<ResponseBody>) {
         let (parts, body) = answer.into_parts();
         let mut text =
             format!("HTTP/1.1 {}\r\nconnection: close\r\ncontent-length: {}\r\n", parts.status, body.len());
@@ -177,31 +177,31 @@
 }
 
 /// The core's own end of a line.
-pub struct Own(pub Arc<Line>);
+pub struct ChannelIo(pub Arc<ResponseChannel>);
 
-fn spoken() -> io::Error {
+fn already_answered() -> io::Error {
     io::Error::new(io::ErrorKind::BrokenPipe, "another core has answered here")
 }
 
-impl Read for Own {
+impl Read for ChannelIo {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        /// Bytes taken at a time: most calls whole.
-        const PIECE: usize = 8192;
-        let mut piece = [0; PIECE];
-        let most = PIECE.min(buf.remaining());
+        /// Bytes discarded at a time: most requests whole.
+        const MAX_READ_BYTES: usize = 8192;
+        let mut chunk = [0; MAX_READ_BYTES];
+        let most = MAX_READ_BYTES.min(buf.remaining());
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
             if self.0.claim.spoken() {
-                return Poll::Ready(Err(spoken()));
+                return Poll::Ready(Err(already_answered()));
             }
-            match self.0.stream.try_read(&mut piece[..most]) {
+            match self.0.stream.try_read(&mut chunk[..most]) {
                 Ok(read) => {
-                    self.0.begun.store(true, Ordering::Relaxed);
-                    buf.put_slice(&piece[..read]);
+                    self.0.request_begun.store(true, Ordering::Relaxed);
+                    buf.put_slice(&chunk[..read]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -211,7 +211,7 @@
     }
 }
 
-impl Own {
+impl ChannelIo {
     /// Writes once the socket is ready, unless the last word has been said.
     fn write(
         &self,
@@ -219,10 +219,10 @@
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            let ready = self.0.ready.load(Ordering::Relaxed);
+            let ready = self.0.response_ready.load(Ordering::Relaxed);
             // An interim answer is not the final one: what is written without that changes nothing.
             if if ready { !self.0.claim.write() } else { self.0.claim.spoken() } {
-                return Poll::Ready(Err(spoken()));
+                return Poll::Ready(Err(already_answered()));
             }
             ready!(self.0.stream.poll_write_ready(cx))?;
             match write(&self.0.stream) {
@@ -233,15 +233,15 @@
     }
 }
 
-impl Write for Own {
+impl Write for ChannelIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(cx, |stream| stream.try_write(buf))
     }
 
     /// Asked when all that was there to write is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.0.ready.swap(false, Ordering::Relaxed) {
-            self.0.begun.store(false, Ordering::Relaxed);
+        if self.0.response_ready.swap(false, Ordering::Relaxed) {
+            self.0.request_begun.store(false, Ordering::Relaxed);
             self.0.claim.rest();
         }
         Poll::Ready(Ok(()))
--- a/crates/gateway/src/paced.rs
+++ b/crates/gateway/src/write_timeout.rs
@@ -13,11 +13,11 @@
 /// peer has taken something meanwhile.
 const RECHECK: Duration = Duration::from_millis(20);
 
-pub struct Paced<S> {
+pub struct WriteTimeout<S> {
     stream: S,
     stall: Duration,
-    /// Set while a write waits.
-    waits: Option<WriteLimit>,
+    /// Set while a write pending_write.
+    pending_write: Option<WriteLimit>,
 }
 
 struct WriteLimit {
@@ -42,19 +42,19 @@
     }
 }
 
-impl<S> Paced<S> {
+impl<S> WriteTimeout<S> {
     pub fn new(stream: S, stall: Duration) -> Self {
-        Self { stream, stall, waits: None }
+        Self { stream, stall, pending_write: None }
     }
 
-    /// Passes on what a write came to; one that waits is given so much time in all.
-    fn pace<R>(&mut self, cx: &mut Context<'_>, done: Poll<io::Result<R>>) -> Poll<io::Result<R>> {
-        if done.is_ready() {
-            self.waits = None;
-            return done;
+    /// Passes on what a write came to; one that pending_write is given so much time in all.
+    fn limit<R>(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<R>>) -> Poll<io::Result<R>> {
+        if result.is_ready() {
+            self.pending_write = None;
+            return result;
         }
         let stall = self.stall;
-        match self.waits.get_or_insert_with(|| WriteLimit::new(stall)).poll(cx) {
+        match self.pending_write.get_or_insert_with(|| WriteLimit::new(stall)).poll(cx) {
             Poll::Ready(()) => {
                 Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "the client reads nothing")))
             }
@@ -63,7 +63,7 @@
     }
 }
 
-impl<S: Read + Unpin> Read for Paced<S> {
+impl<S: Read + Unpin> Read for WriteTimeout<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -73,20 +73,20 @@
     }
 }
 
-impl<S: Write + Unpin> Write for Paced<S> {
+impl<S: Write + Unpin> Write for WriteTimeout<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.pace(cx, done)
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        self.limit(cx, result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let done = Pin::new(&mut self.stream).poll_flush(cx);
-        self.pace(cx, done)
+        let result = Pin::new(&mut self.stream).poll_flush(cx);
+        self.limit(cx, result)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let done = Pin::new(&mut self.stream).poll_shutdown(cx);
-        self.pace(cx, done)
+        let result = Pin::new(&mut self.stream).poll_shutdown(cx);
+        self.limit(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -98,7 +98,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.pace(cx, done)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
+        self.limit(cx, result)
     }
 }
--- a/crates/gateway/tests/cores.rs
+++ b/crates/gateway/tests/cores.rs
@@ -348,7 +348,7 @@
             [0; 4].map(|_| spawn_local(async move { call(at, "milletpath-patience: 2\r\n", "").await }));
         assert!(heads.recv().await.is_some());
         pause(0.1).await;
-        stir.send((0, FaultInjection::Break)).unwrap();
+        stir.send((0, FaultInjection::DispatcherPanic)).unwrap();
         let mut outcomes = Vec::new();
         for answer in asked {
             outcomes.push(outcome(&answer.await.unwrap()).to_owned());
@@ -369,7 +369,7 @@
         stir.send((2, FaultInjection::Panic)).unwrap();
         pause(0.5).await;
         assert_eq!(outcome(&call(at, "", "").await), "handled");
-        stir.send((2, FaultInjection::Break)).unwrap();
+        stir.send((2, FaultInjection::DispatcherPanic)).unwrap();
         pause(0.5).await;
         assert_eq!(outcome(&call(at, "", "").await), "handled");
         let (at, _stop, _served, stir) =
--- a/crates/gateway/tests/house.rs
+++ b/crates/gateway/tests/house.rs
@@ -33,7 +33,10 @@
 #[test]
 fn no_piece_leans_on_itself_by_way_of_others() {
     let mut leans = leans();
-    assert!(leans["serve"].contains("shell") && leans["errands"].contains("follow"), "{leans:?}");
+    assert!(
+        leans["http_service"].contains("core_context") && leans["message_handler"].contains("endpoint_watch"),
+        "{leans:?}"
+    );
     // Those that lean on nothing left are taken away, until none is left or a circle.
     loop {
         let free: BTreeSet<_> =
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -110,7 +110,7 @@
     let stir = match (what, seconds.and_then(|s| s.parse::<f64>().ok())) {
         (Some("stall"), Some(seconds)) if (0.0..=60.0).contains(&seconds) => FaultInjection::Stall(seconds),
         (Some("panic"), _) => FaultInjection::Panic,
-        (Some("break"), _) => FaultInjection::Break,
+        (Some("break"), _) => FaultInjection::DispatcherPanic,
         _ => return tracing::warn!(line, "no mischief of that kind"),
     };
     if let Some(core) = core.and_then(|c| c.parse().ok()) {
--- a/tools/gwhttp.sh
+++ b/tools/gwhttp.sh
@@ -21,6 +21,7 @@
     (r"\bshared_runtime(\s*)\.ask\(", r"shared_runtime\1.query_dispatcher("),
     (r"\bshared_runtime(\s*)\.list\(", r"shared_runtime\1.update_endpoints("),
     (r"\bshared_runtime(\s*)\.tally\(", r"shared_runtime\1.counters("),
+    (r"\bshared_runtime(\s*)\.overdue\(", r"shared_runtime\1.is_overdue("),
     (r"\bdatagram_receiver(\s*)\.next\(", r"datagram_receiver\1.receive("),
     (r"\bdatagram_receiver(\s*)\.turns\(", r"datagram_receiver\1.is_tick_due("),
     (r"\bmod keeper\b", "mod supervisor"), (r"\bkeeper::", "supervisor::"),
@@ -34,6 +35,6 @@
         open(path, "w").write(text)
 ' "$map"
 # The definitions themselves.
-perl -0pi -e 's/pub house: GatewayConfig/pub config: GatewayConfig/; s/\bpub fn tell</pub fn with_dispatcher</; s/self\.tell\(/self.with_dispatcher(/g; s/pub fn ask</pub fn query_dispatcher</; s/self\.ask\(/self.query_dispatcher(/g; s/pub fn list\(/pub fn update_endpoints(/; s/pub fn tally\(/pub fn counters(/; s/self\.house\b/self.config/g; s/pub fn new\(house: GatewayConfig\)/pub fn new(config: GatewayConfig)/; s/\bhouse\.limits/config.limits/g; s/Dispatcher::new\(&house/Dispatcher::new(&config/; s/            house,\n/            config,\n/' $source/shared_runtime.rs
+perl -0pi -e 's/pub house: GatewayConfig/pub config: GatewayConfig/; s/\bpub fn tell</pub fn with_dispatcher</; s/self\.tell\(/self.with_dispatcher(/g; s/pub fn ask</pub fn query_dispatcher</; s/self\.ask\(/self.query_dispatcher(/g; s/pub fn list\(/pub fn update_endpoints(/; s/pub fn overdue\(/pub fn is_overdue(/; s/pub fn tally\(/pub fn counters(/; s/self\.house\b/self.config/g; s/pub fn new\(house: GatewayConfig\)/pub fn new(config: GatewayConfig)/; s/\bhouse\.limits/config.limits/g; s/Dispatcher::new\(&house/Dispatcher::new(&config/; s/            house,\n/            config,\n/' $source/shared_runtime.rs
 perl -0pi -e 's/pub fn next\(/pub fn receive(/; s/pub fn turns\(/pub fn is_tick_due(/; s/let turns = /let due_now = /; s/if turns \{/if due_now {/; s/        turns\n/        due_now\n/' $source/datagram_receiver.rs
 cargo fmt
