--- /dev/null
+++ b/crates/gateway/src/client_connection.rs
@@ -0,0 +1,127 @@
+//! One client connection on its core, from the moment that it is assigned until it is closed. HTTP/1.1 is spoken by
+//! hyper; each request goes to the HTTP service.
+
+use crate::connection_limit::ConnectionPermit;
+use crate::core_context::CoreContext;
+use crate::header_timer::HeaderTimer;
+use crate::http_service::handle_request;
+use crate::response::{LocalResponse, ResponseBody, local_response};
+use crate::response_channel::{ChannelIo, ResponseChannel};
+use crate::write_timeout::WriteTimeout;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::{HttpService, service_fn};
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::pin::{Pin, pin};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+
+/// Bytes of a request's header fields: several times what browsers and tools send.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+
+/// Header fields of a request.
+const MAX_HEADER_FIELDS: usize = 128;
+
+/// Between two looks whether a connection is idle, while the gateway shuts down.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A client connection, counted in its core's slot for as long as it is open.
+struct ClientConnection {
+    context: Rc<CoreContext>,
+    id: u64,
+    channel: Arc<ResponseChannel>,
+    /// Whether it was served to its end; otherwise it is dropped with its core.
+    ended: Cell<bool>,
+    _permit: ConnectionPermit,
+}
+
+impl Drop for ClientConnection {
+    fn drop(&mut self) {
+        let slot = self.context.slot();
+        slot.channels().remove(&self.id);
+        if !self.ended.get() {
+            self.channel.answer_unread_and_close(local_response(LocalResponse::interrupted(false)));
+        }
+        let was_last = slot.open.fetch_sub(1, Ordering::AcqRel) == 1;
+        if was_last && self.context.shared_runtime.stopping.load(Ordering::Acquire) {
+            slot.wake.notify_one();
+        }
+    }
+}
+
+/// Serves a connection that was assigned to this core. Must run within a `LocalSet`.
+pub fn accept(context: &Rc<CoreContext>, stream: std::net::TcpStream, permit: ConnectionPermit) {
+    let stream = match TcpStream::from_std(stream) {
+        Ok(stream) => stream,
+        Err(error) => {
+            return tracing::warn!(%error, "a client connection can't be registered with the runtime");
+        }
+    };
+    let _ = stream.set_nodelay(true);
+    let channel = Arc::new(ResponseChannel::new(stream, context.now()));
+    let id = context.shared_runtime.new_connection_id();
+    let (ended, context) = (Cell::new(false), context.clone());
+    context.slot().open.fetch_add(1, Ordering::AcqRel);
+    context.slot().channels().insert(id, channel.clone());
+    let connection = ClientConnection { context, id, channel, ended, _permit: permit };
+    spawn_local(serve_connection(connection));
+}
+
+/// Serves a connection until either side closes it.
+async fn serve_connection(client: ClientConnection) {
+    let (context, channel) = (client.context.clone(), client.channel.clone());
+    let mut stopping = context.stopping();
+    let stall_timeout = Duration::from_secs_f64(context.limits().stall_timeout);
+    let header_timeout = Duration::from_secs_f64(context.limits().header_timeout);
+    let service_channel = channel.clone();
+    let service = service_fn(move |request| {
+        let (context, channel) = (context.clone(), service_channel.clone());
+        async move { Ok::<_, Infallible>(handle_request(context, channel, request).await) }
+    });
+    let io = WriteTimeout::new(ChannelIo(channel.clone()), stall_timeout);
+    let mut connection = pin!(
+        http1::Builder::new()
+            .timer(HeaderTimer(channel.clone()))
+            .header_read_timeout(header_timeout)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADER_FIELDS)
+            .serve_connection(io, service)
+    );
+    let ended = tokio::select! {
+        ended = connection.as_mut() => ended,
+        // The value that `wait_for` returns holds the watch's lock, for which `stop` would wait on this very thread.
+        () = async { drop(stopping.wait_for(|stopping| *stopping).await) } => {
+            drain(connection.as_mut(), &channel).await
+        }
+    };
+    client.ended.set(true);
+    channel.linger().await;
+    if let Err(error) = ended {
+        tracing::debug!(%error, "client connection ended");
+    }
+}
+
+/// Ends a connection at shutdown: once no request is open, begun or unread on it, or after its next response.
+async fn drain(
+    mut connection: Pin<
+        &mut http1::Connection<
+            WriteTimeout<ChannelIo>,
+            impl HttpService<Incoming, ResBody = ResponseBody, Error = Infallible>,
+        >,
+    >,
+    channel: &ResponseChannel,
+) -> hyper::Result<()> {
+    while !channel.is_idle() {
+        tokio::select! {
+            ended = connection.as_mut() => return ended,
+            () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {}
+        }
+    }
+    connection.as_mut().graceful_shutdown();
+    connection.await
+}
--- a/crates/gateway/src/connection_pool/tests.rs
+++ b/crates/gateway/src/connection_pool/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::connection_limit::ConnectionLimit;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
@@ -11,7 +12,7 @@
     runtime.block_on(tokio::task::LocalSet::new().run_until(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = Endpoint { address: listener.local_addr().unwrap(), process: 1 };
-        let limit = Arc::new(ConnectionLimit::new(1));
+        let limit = ConnectionLimit::new(1);
         let mut connection = connect(limit.reserve().unwrap(), endpoint, Duration::ZERO).await.unwrap();
         assert!(limit.reserve().is_none());
         let (mut stream, _) = listener.accept().await.unwrap();
--- a/crates/gateway/src/core_context.rs
+++ b/crates/gateway/src/core_context.rs
@@ -1,67 +1,83 @@
-//! The shell of one core: its calls, its connections to workers, and the errands that the desk has for it.
+//! What the tasks of one core share: its open requests, its connections to workers, and its heartbeat. It belongs to one
+//! thread; other threads reach the core by its slot in the shared runtime.
 
-use crate::connection_pool::{self, Connection, ConnectionPool, Endpoint};
+use crate::connection_pool::{self, Connection, ConnectionPool, Endpoint, WorkerTarget};
+use crate::core_message::{CoreMessage, RequestLocation};
+use crate::core_slot::CoreSlot;
+use crate::open_requests::{NewRequest, OpenRequest, OpenRequests};
 use crate::response::{BufferedBytes, FinalResponse};
 use crate::response_channel::ResponseChannel;
-use crate::shared_runtime::{CoreMessage, RequestLocation, SharedRuntime};
+use crate::shared_runtime::SharedRuntime;
 use bytes::Bytes;
 use http::HeaderMap;
 use milletpath_config::{GatewayConfig, Limits};
 use milletpath_dispatcher::dispatcher::{Dispatcher, RequestId};
 use milletpath_multicore::watch::STILL;
-use slab::Slab;
 use std::cell::{Cell, RefCell};
+use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{Notify, oneshot, watch};
+use tokio::sync::{Notify, watch};
 use tokio::task::AbortHandle;
 
-/// What the shell keeps of a call while it is in hand.
-pub struct OpenRequest {
-    answer: Option<oneshot::Sender<FinalResponse>>,
-    channel: Arc<ResponseChannel>,
-    pub headers: HeaderMap,
-    pub body: Bytes,
-    pub attempts: Vec<AbortHandle>,
-    /// Nobody waits for what is out when the call is let go of.
-    cancels: bool,
-}
+/// Seconds between two heartbeats of a core.
+pub const HEARTBEAT_INTERVAL: f64 = 0.05;
 
-impl Drop for OpenRequest {
-    fn drop(&mut self) {
-        if self.cancels {
-            self.attempts.iter().for_each(AbortHandle::abort);
-        }
-    }
-}
+/// How many times as fast as they arrived requests are read after a stall.
+const CATCH_UP_RATE: f64 = 4.0;
 
-/// Seconds between two looks at whether this thread runs.
-pub const HEARTBEAT_INTERVAL: f64 = 0.05;
+/// After a stall, the time in which everything that arrived meanwhile is read.
+const READ_AFTER_STALL: Duration = Duration::from_millis(5);
 
-/// Carries out what the desk has for a core.
+/// How long another core may take to close an idle connection, and to be given a busy one's place.
+const WAIT_FOR_CONNECTION: Duration = Duration::from_millis(20);
+
+/// Handles a core's messages.
 pub type MessageHandler = fn(&Rc<CoreContext>, CoreMessage);
 
+/// A time for which a thread did not run, in seconds since the start of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Stall {
+    /// The last heartbeat before it.
+    pub began: f64,
+    /// The first heartbeat after it.
+    pub ended: f64,
+}
+
+/// Why a core has no connection to a worker.
+#[derive(Debug, thiserror::Error)]
+pub enum ConnectError {
+    /// The worker has as many connections as it may, and none is idle.
+    #[error("the limit on connections to the worker is reached")]
+    LimitReached,
+    /// The connection failed.
+    #[error("no connection to the worker: {0}")]
+    Io(#[from] io::Error),
+}
+
+/// The state of one core, for the tasks on its thread.
 pub struct CoreContext {
+    /// The state that all cores share.
     pub shared_runtime: Arc<SharedRuntime>,
-    handler: MessageHandler,
+    /// Index of this core.
     pub core: usize,
-    /// Which of the lives of its seat this is.
     incarnation: u32,
-    open_requests: RefCell<Slab<OpenRequest>>,
+    handler: MessageHandler,
+    open_requests: OpenRequests,
+    /// By worker; bounded by the workers that the dispatcher knows.
     pools: RefCell<Vec<ConnectionPool>>,
     endpoint_watch: RefCell<Option<AbortHandle>>,
-    /// When this thread was last last_heartbeat to run, and who waits for it to be so again.
     last_heartbeat: Cell<f64>,
-    /// The last standstill: since when, and until when.
-    last_stall: Cell<(f64, f64)>,
+    last_stall: Cell<Stall>,
+    /// Wakes tasks that wait for the end of a stall.
     resumed: Notify,
-    /// Told to the client connections of this core.
+    /// Seen by this core's client connections.
     stopping: watch::Sender<bool>,
 }
 
 impl CoreContext {
-    /// Must run within a `LocalSet`.
+    /// The context of a core's thread, which is the given incarnation of the core. Must run within a `LocalSet`.
     pub fn new(
         shared_runtime: Arc<SharedRuntime>,
         core: usize,
@@ -69,49 +85,55 @@
         handler: MessageHandler,
     ) -> Rc<Self> {
         Rc::new(Self {
-            handler,
             last_heartbeat: Cell::new(shared_runtime.now()),
             shared_runtime,
             core,
             incarnation,
-            open_requests: RefCell::default(),
+            handler,
+            open_requests: OpenRequests::default(),
             pools: RefCell::default(),
             endpoint_watch: RefCell::default(),
-            last_stall: Cell::new((0.0, 0.0)),
+            last_stall: Cell::default(),
             resumed: Notify::new(),
             stopping: watch::Sender::new(false),
         })
     }
 
+    /// The gateway's configuration.
     pub fn config(&self) -> &GatewayConfig {
         &self.shared_runtime.config
     }
 
+    /// The gateway's limits.
     pub fn limits(&self) -> &Limits {
         &self.shared_runtime.config.limits
     }
 
-    /// Seconds on the true clock since the start.
+    /// This core's slot.
+    pub fn slot(&self) -> &CoreSlot {
+        &self.shared_runtime.core_slots[self.core]
+    }
+
+    /// Seconds since the start, by the monotonic clock.
     pub fn now(&self) -> f64 {
         self.shared_runtime.now()
     }
 
-    /// Since when a request that is read now may have waited unread: now, unless this thread stood still lately.
+    /// The earliest time at which a request that is read now may have arrived: now, unless this thread was stalled
+    /// lately.
     pub fn earliest_arrival(&self) -> f64 {
-        /// What came during a standstill is read about so many times as fast as it came.
-        const CATCH_UP: f64 = 4.0;
         let now = self.now();
         if now - self.last_heartbeat.get() > STILL {
             return self.last_heartbeat.get();
         }
-        let (from, to) = self.last_stall.get();
-        now.min(from + CATCH_UP * (now - to))
+        let Stall { began, ended } = self.last_stall.get();
+        now.min(began + CATCH_UP_RATE * (now - ended))
     }
 
-    /// Waits, after this thread or the keeper last_stall still, until what came meanwhile has been read: the list may
-    /// say that a worker drains, and clients may have left.
+    /// Waits, after a stall of this thread or the supervisor, until what arrived meanwhile has been read: a worker may be
+    /// draining by now, and clients may have disconnected.
     pub async fn wait_until_responsive(&self) {
-        let is_stalled = |since: f64| self.now() - since > STILL;
+        let is_stalled = |heartbeat: f64| self.now() - heartbeat > STILL;
         while is_stalled(self.last_heartbeat.get())
             || is_stalled(self.shared_runtime.supervisor().pulse.seen())
         {
@@ -119,7 +141,7 @@
         }
     }
 
-    /// Tells the desk something and carries out what follows.
+    /// Calls the dispatcher and handles the messages that follow for this core.
     pub fn with_dispatcher<R>(
         self: &Rc<Self>,
         operation: impl FnOnce(&mut Dispatcher<RequestLocation>, f64) -> R,
@@ -129,179 +151,157 @@
         result
     }
 
-    /// Carries out what lies in the mailbox, unless that is another's by now.
+    /// Handles the messages in the core's mailbox, unless another thread has replaced this one.
     pub fn process_messages(self: &Rc<Self>) {
-        if self.shared_runtime.core_slots[self.core].pulse.life() != self.incarnation {
+        if self.slot().pulse.life() != self.incarnation {
             return;
         }
-        for message in self.shared_runtime.core_slots[self.core].mail.take() {
+        for message in self.slot().mail.take() {
             self.handle_message(message);
         }
     }
 
+    /// Handles one message.
     pub fn handle_message(self: &Rc<Self>, message: CoreMessage) {
         (self.handler)(self, message);
     }
 
-    /// What is kept of the call in a slot, unless it was let go of meanwhile: the desk has booked the ends of its shots
-    /// with its own then.
+    /// Keeps what is needed to attempt a request and to respond to it.
+    pub fn open_request(&self, channel: Arc<ResponseChannel>, headers: HeaderMap, body: Bytes) -> NewRequest {
+        self.open_requests.insert(channel, headers, body, self.config().policy.cancels)
+    }
+
+    /// Forgets a request.
+    pub fn close_request(&self, request_slot: usize) {
+        self.open_requests.remove(request_slot);
+    }
+
+    /// Calls `operation` with an open request; `None` where it is over, and with it its attempts.
     pub fn with_open_request<R>(
         &self,
         request: RequestId,
         request_slot: usize,
         operation: impl FnOnce(&mut OpenRequest) -> R,
     ) -> Option<R> {
-        self.open_requests
-            .borrow_mut()
-            .get_mut(request_slot)
-            .filter(|w| w.channel.is_current_request(request))
-            .map(operation)
+        self.open_requests.with(request, request_slot, operation)
     }
 
-    /// The worker list is followed by this task, and no longer by the one before.
-    pub fn set_endpoint_watch(&self, task: AbortHandle) {
-        if let Some(before) = self.endpoint_watch.replace(Some(task)) {
-            before.abort();
-        }
+    /// Gives a client its response.
+    pub fn respond(&self, request_slot: usize, channel: &Arc<ResponseChannel>, response: FinalResponse) {
+        self.open_requests.respond(request_slot, channel, response);
     }
 
-    /// Closes an idle connection to a worker, for another core that has need of its place.
-    pub fn close_one_idle(&self, worker: usize) {
-        self.with_pool(worker, ConnectionPool::close_one);
+    /// Gives the client of a request its response, unless the request is over.
+    pub fn respond_to(&self, request: RequestId, request_slot: usize, response: FinalResponse) {
+        if let Some(channel) = self.open_requests.channel(request, request_slot) {
+            self.respond(request_slot, &channel, response);
+        }
     }
 
-    /// Keeps what the shell has of a call; gives its slot.
-    pub fn open_request(
-        &self,
-        channel: Arc<ResponseChannel>,
-        headers: HeaderMap,
-        body: Bytes,
-    ) -> (usize, oneshot::Receiver<FinalResponse>) {
-        let (sender, receiver) = oneshot::channel();
-        let cancels = self.config().policy.cancels;
-        let open_request =
-            OpenRequest { answer: Some(sender), channel, headers, body, attempts: Vec::new(), cancels };
-        (self.open_requests.borrow_mut().insert(open_request), receiver)
+    /// Counts bytes of a body as buffered; `None` where the limit on all of them is reached.
+    pub fn reserve_buffer(&self, bytes: usize) -> Option<BufferedBytes> {
+        BufferedBytes::reserve(&self.shared_runtime.buffered_bytes, bytes)
     }
 
-    pub fn close_request(&self, request_slot: usize) {
-        // Borrowed where a panic unwinds through it: then the whole shell goes.
-        let open_request = self
-            .open_requests
-            .try_borrow_mut()
-            .ok()
-            .and_then(|mut open_requests| open_requests.try_remove(request_slot));
-        drop(open_request);
+    /// Makes this the task that watches the endpoints; the one before it is aborted.
+    pub fn set_endpoint_watch(&self, task: AbortHandle) {
+        if let Some(previous) = self.endpoint_watch.replace(Some(task)) {
+            previous.abort();
+        }
     }
 
-    /// Nothing new is taken from here on.
+    /// Has this core's client connections end, each after its open request.
     pub fn stop(&self) {
         self.stopping.send_if_modified(|stopping| !std::mem::replace(stopping, true));
     }
 
+    /// Whether the gateway is shutting down.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
+    /// Tells when the gateway shuts down.
     pub fn stopping(&self) -> watch::Receiver<bool> {
         self.stopping.subscribe()
     }
 
-    /// Gives a client its final answer. A slot that went to another call meanwhile has another line.
-    pub fn respond(&self, request_slot: usize, channel: &Arc<ResponseChannel>, reply: FinalResponse) {
-        let mut open_requests = self.open_requests.borrow_mut();
-        let open_request = open_requests.get_mut(request_slot).filter(|w| Arc::ptr_eq(&w.channel, channel));
-        if let Some(answer) = open_request.and_then(|w| w.answer.take()) {
-            // A client that left in this very moment has nobody to take it.
-            let _ = answer.send(reply);
-        }
-    }
-
-    /// The same by the number of the call.
-    pub fn respond_to(&self, request: RequestId, request_slot: usize, reply: FinalResponse) {
-        let channel = self
-            .open_requests
-            .borrow()
-            .get(request_slot)
-            .filter(|w| w.channel.is_current_request(request))
-            .map(|w| w.channel.clone());
-        if let Some(channel) = channel {
-            self.respond(request_slot, &channel, reply);
-        }
-    }
-
-    /// Counts bytes as in hand; none where the bound on all together is reached.
-    pub fn reserve_buffer(&self, bytes: usize) -> Option<BufferedBytes> {
-        BufferedBytes::reserve(&self.shared_runtime.buffered_bytes, bytes)
-    }
-
-    /// This thread runs; false where another has taken its seat.
+    /// Records that this thread runs; false where another thread has replaced it.
     pub async fn beat(&self) -> bool {
-        /// After a standstill, within which all that came meanwhile is read.
-        const READ_TIME: Duration = Duration::from_millis(5);
-        let stalled_for = self.now() - self.last_heartbeat.get();
-        if stalled_for > STILL {
-            tracing::warn!(seconds = stalled_for, core = self.core, "this thread stood still");
-            self.last_stall.set((self.last_heartbeat.get(), self.now()));
-            // Where another core has answered meanwhile, nobody waits any more.
-            self.open_requests
-                .borrow_mut()
-                .iter_mut()
-                .filter(|(_, w)| w.channel.claim.spoken())
-                .for_each(|(_, w)| w.answer = None);
-            tokio::time::sleep(READ_TIME).await;
+        let seconds = self.now() - self.last_heartbeat.get();
+        if seconds > STILL {
+            tracing::warn!(seconds, core = self.core, "this thread was stalled");
+            self.last_stall.set(Stall { began: self.last_heartbeat.get(), ended: self.now() });
+            self.open_requests.drop_answered();
+            tokio::time::sleep(READ_AFTER_STALL).await;
         }
         self.last_heartbeat.set(self.now());
-        let owns_slot = self.shared_runtime.core_slots[self.core].pulse.beat(self.incarnation, self.now());
+        let is_current = self.slot().pulse.beat(self.incarnation, self.now());
         self.resumed.notify_waiters();
-        owns_slot
+        is_current
     }
 
-    /// When this thread was last last_heartbeat to run.
+    /// When this thread last ran, in seconds since the start.
     pub fn last_heartbeat(&self) -> f64 {
         self.last_heartbeat.get()
     }
 
-    /// How long this thread stood still when it last did, and until when.
-    pub fn last_stall(&self) -> (f64, f64) {
+    /// When this thread was last stalled.
+    pub fn last_stall(&self) -> Stall {
         self.last_stall.get()
     }
 
-    pub fn close_idle(&self) {
-        let since = self.now() - self.limits().idle_timeout;
-        self.pools.borrow_mut().iter_mut().for_each(|p| p.close_idle(since));
-    }
-
-    /// A kept connection to a worker.
-    pub fn idle_connection(&self, worker: usize, endpoint: Endpoint) -> Option<Connection> {
-        self.with_pool(worker, |pool| pool.take(endpoint.process))
+    /// An idle connection to a worker.
+    pub fn idle_connection(&self, target: WorkerTarget) -> Option<Connection> {
+        self.with_pool(target.worker, |pool| pool.take(target.endpoint.process))
     }
 
-    /// A new connection to a worker; none where it has all that it may have, and no core has one to spare.
-    pub async fn connect(&self, worker: usize, endpoint: Endpoint) -> Option<std::io::Result<Connection>> {
-        /// What another core takes to close an idle connection, with room for a busy one.
-        const MAX_WAIT: Duration = Duration::from_millis(20);
-        let limit = self.shared_runtime.connection_limit(endpoint.address);
-        let reservation = match limit.reserve() {
-            Some(reservation) => reservation,
+    /// Opens a connection to a worker. Where the limit is reached, other cores are asked to close an idle one.
+    pub async fn connect(&self, target: WorkerTarget) -> Result<Connection, ConnectError> {
+        let WorkerTarget { worker, endpoint } = target;
+        let limit = self.shared_runtime.worker_connection_limit(endpoint.address);
+        let permit = match limit.reserve() {
+            Some(permit) => permit,
             None => {
-                for core in (0..self.shared_runtime.core_slots.len()).filter(|s| *s != self.core) {
-                    self.shared_runtime.send(core, CoreMessage::CloseIdleConnection { worker });
-                }
-                let _ = tokio::time::timeout(MAX_WAIT, limit.released.notified()).await;
-                limit.reserve()?
+                self.request_idle_connection(worker);
+                let _ = tokio::time::timeout(WAIT_FOR_CONNECTION, limit.wait_for_release()).await;
+                limit.reserve().ok_or(ConnectError::LimitReached)?
             }
         };
-        // Well before the connection counts as one that the worker did not give.
+        // Ends well before the connection counts as one that the worker refused.
         let max_wait = Duration::from_secs_f64(self.limits().connect_timeout / 2.0);
-        Some(connection_pool::connect(reservation, endpoint, max_wait).await)
+        Ok(connection_pool::connect(permit, endpoint, max_wait).await?)
+    }
+
+    /// Opens a connection outside the pools; it counts against the limit of its address.
+    pub async fn connect_unpooled(&self, endpoint: Endpoint) -> Result<Connection, ConnectError> {
+        let limit = self.shared_runtime.worker_connection_limit(endpoint.address);
+        let permit = limit.reserve().ok_or(ConnectError::LimitReached)?;
+        Ok(connection_pool::connect(permit, endpoint, Duration::ZERO).await?)
     }
 
+    fn request_idle_connection(&self, worker: usize) {
+        for core in (0..self.shared_runtime.core_slots.len()).filter(|core| *core != self.core) {
+            self.shared_runtime.send(core, CoreMessage::CloseIdleConnection { worker });
+        }
+    }
+
+    /// Puts a connection back once its exchange is over.
     pub fn return_connection(&self, worker: usize, connection: Connection) {
         let now = self.now();
         self.with_pool(worker, |pool| pool.return_connection(now, connection));
     }
 
+    /// Closes one idle connection to a worker, where there is one.
+    pub fn close_one_idle(&self, worker: usize) {
+        self.with_pool(worker, ConnectionPool::close_one);
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub fn close_idle(&self) {
+        let since = self.now() - self.limits().idle_timeout;
+        self.pools.borrow_mut().iter_mut().for_each(|pool| pool.close_idle(since));
+    }
+
     fn with_pool<R>(&self, worker: usize, operation: impl FnOnce(&mut ConnectionPool) -> R) -> R {
         let mut pools = self.pools.borrow_mut();
         if pools.len() <= worker {
--- a/crates/gateway/src/core_thread.rs
+++ b/crates/gateway/src/core_thread.rs
@@ -1,17 +1,79 @@
-//! One core: a thread with a runtime of its own, which carries the calls of its connections from their first byte to
-//! their last.
+//! The thread of one core: a runtime of its own, on which the core serves its client connections from accept to close.
 
 use crate::core_context::{CoreContext, HEARTBEAT_INTERVAL};
 use crate::message_handler;
 use crate::shared_runtime::SharedRuntime;
+use milletpath_multicore::watch::Watch;
+use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
+use nix::unistd::Pid;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration;
+use tokio::task::LocalSet;
 
-/// Starts the thread of a seat, in that one of its lives. It lasts for as long as connections may be dealt to it.
-pub fn start(
+/// Seconds between two closings of idle connections: short against the time for which they may be idle.
+const IDLE_CHECK_INTERVAL: f64 = 1.0;
+
+/// A core's thread as the supervisor sees it.
+pub struct CoreThread {
+    thread: Option<JoinHandle<()>>,
+    /// Which thread in the core's slot this is, from 0.
+    pub incarnation: u32,
+    /// Judges the thread's heartbeat.
+    pub watch: Watch,
+}
+
+impl CoreThread {
+    /// Starts the first thread of a core. It runs for as long as `accepting` is set or it has connections.
+    pub fn start(shared_runtime: &Arc<SharedRuntime>, core: usize, accepting: &Arc<AtomicBool>) -> Self {
+        let watch = Watch::new(shared_runtime.now());
+        let mut core_thread = Self { thread: None, incarnation: 0, watch };
+        core_thread.restart(shared_runtime, core, accepting);
+        core_thread
+    }
+
+    /// Starts a thread where there is none; a failure is logged, and the watch says when to try again.
+    pub fn restart(&mut self, shared_runtime: &Arc<SharedRuntime>, core: usize, accepting: &Arc<AtomicBool>) {
+        let now = shared_runtime.now();
+        // Counts as a heartbeat, so that the thread has time for its first one.
+        shared_runtime.core_slots[core].pulse.beat(self.incarnation, now);
+        match spawn(shared_runtime, core, self.incarnation, accepting) {
+            Ok(thread) => {
+                self.thread = Some(thread);
+                self.watch.filled(now);
+            }
+            Err(error) => {
+                tracing::error!(core, %error, "a core thread can't start; trying again later");
+                self.watch.lost(now);
+            }
+        }
+    }
+
+    /// Whether there is a thread, which may have ended.
+    pub fn is_started(&self) -> bool {
+        self.thread.is_some()
+    }
+
+    /// Joins the thread if it has ended; whether it panicked.
+    pub fn take_finished(&mut self) -> Option<bool> {
+        let thread = self.thread.take_if(|thread| thread.is_finished())?;
+        Some(thread.join().is_err())
+    }
+
+    /// Takes the thread out, to be joined elsewhere.
+    pub fn take_thread(&mut self) -> Option<JoinHandle<()>> {
+        self.thread.take()
+    }
+
+    /// Gives up a thread that is stalled. It can't be joined; it ends once it runs again and finds itself replaced.
+    pub fn abandon(&mut self) {
+        self.thread = None;
+    }
+}
+
+fn spawn(
     shared_runtime: &Arc<SharedRuntime>,
     core: usize,
     incarnation: u32,
@@ -20,72 +82,65 @@
     let (shared_runtime, accepting) = (shared_runtime.clone(), accepting.clone());
     std::thread::Builder::new().name(format!("core-{core}")).spawn(move || {
         if shared_runtime.config.limits.pin {
-            pin(core);
+            pin_to_processor(core);
         }
         match tokio::runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => {
-                runtime.block_on(tokio::task::LocalSet::new().run_until(run(
-                    shared_runtime,
-                    core,
-                    incarnation,
-                    accepting,
-                )));
+                let core = run(shared_runtime, core, incarnation, accepting);
+                runtime.block_on(LocalSet::new().run_until(core));
             }
-            // The keeper sees that the thread has ended, and tries again.
-            Err(e) => tracing::error!(core, "a core's runtime can't start: {e}"),
+            // The supervisor finds that the thread has ended, and starts another.
+            Err(error) => tracing::error!(core, %error, "a core's runtime can't start"),
         }
     })
 }
 
 /// Keeps this thread on one of the processors that the process may use.
-fn pin(core: usize) {
-    use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
-    use nix::unistd::Pid;
-    let this = Pid::from_raw(0);
-    let pinned = sched_getaffinity(this).and_then(|allowed| {
+fn pin_to_processor(core: usize) {
+    let this_thread = Pid::from_raw(0);
+    let pinned = sched_getaffinity(this_thread).and_then(|allowed| {
         let allowed: Vec<_> = (0..CpuSet::count()).filter(|n| allowed.is_set(*n) == Ok(true)).collect();
-        let mut one = CpuSet::new();
-        one.set(allowed[core % allowed.len().max(1)])?;
-        sched_setaffinity(this, &one)
+        let mut processor = CpuSet::new();
+        processor.set(allowed[core % allowed.len().max(1)])?;
+        sched_setaffinity(this_thread, &processor)
     });
-    if let Err(e) = pinned {
-        tracing::warn!(core, "can't be pinned to a processor: {e}");
+    if let Err(error) = pinned {
+        tracing::warn!(core, %error, "a core thread can't be pinned to a processor");
     }
 }
 
-async fn run(shared_runtime: Arc<SharedRuntime>, index: usize, incarnation: u32, accepting: Arc<AtomicBool>) {
-    /// Seconds between two looks for idle connections: short against the time they may be idle.
-    const CHECK_INTERVAL: f64 = 1.0;
-    let core_slot = &shared_runtime.core_slots[index];
-    let context = CoreContext::new(shared_runtime.clone(), index, incarnation, message_handler::handle);
-    let (mut next_heartbeat, mut next_check) = (0.0, shared_runtime.now() + CHECK_INTERVAL);
+/// Serves until the gateway stops, or until another thread has this core's slot.
+async fn run(shared_runtime: Arc<SharedRuntime>, core: usize, incarnation: u32, accepting: Arc<AtomicBool>) {
+    let slot = &shared_runtime.core_slots[core];
+    let context = CoreContext::new(shared_runtime.clone(), core, incarnation, message_handler::handle);
+    let (mut next_heartbeat, mut next_idle_check) = (0.0, shared_runtime.now() + IDLE_CHECK_INTERVAL);
     loop {
         let now = shared_runtime.now();
         if now >= next_heartbeat {
             next_heartbeat = now + HEARTBEAT_INTERVAL;
             if !context.beat().await {
-                tracing::warn!(core = index, "another core has taken this seat");
+                tracing::warn!(core, "this core thread was replaced; it ends");
                 return;
             }
-            // The keeper itself may stand still; then whoever notices does what is due.
+            // The supervisor may be stalled itself; then the first core that notices runs the timers.
             if shared_runtime.is_overdue(2.0 * HEARTBEAT_INTERVAL) {
                 context.with_dispatcher(|dispatcher, now| dispatcher.advance(now));
             }
-            if now >= next_check {
-                next_check = now + CHECK_INTERVAL;
+            if now >= next_idle_check {
+                next_idle_check = now + IDLE_CHECK_INTERVAL;
                 context.close_idle();
             }
         }
         context.process_messages();
         if shared_runtime.stopping.load(Ordering::Acquire) {
             context.stop();
-            let more = accepting.load(Ordering::Acquire);
-            if !more && core_slot.open.load(Ordering::Acquire) == 0 && core_slot.mail.is_empty() {
+            let accepting = accepting.load(Ordering::Acquire);
+            if !accepting && slot.open.load(Ordering::Acquire) == 0 && slot.mail.is_empty() {
                 return;
             }
         }
         tokio::select! {
-            () = core_slot.wake.notified() => {}
+            () = slot.wake.notified() => {}
             () = tokio::time::sleep(Duration::from_secs_f64(HEARTBEAT_INTERVAL)) => {}
         }
     }
--- a/crates/gateway/src/endpoint_watch.rs
+++ b/crates/gateway/src/endpoint_watch.rs
@@ -1,80 +1,111 @@
-//! Follows the registry's stream of worker lists. Each line is taken complete or not at all; a revision that is not
-//! newer than the last is passed over. After a gap between changes the list is asked for
-//! anew, complete, and the stream is read on until then.
+//! Follows the registry's stream of worker endpoints. Each line is a revision, which is applied whole or not at all, and
+//! only if it is newer than the one before. Where changes are missing, the dispatcher asks for a new stream with the
+//! complete list, and the old one is read until that replaces it.
 
-use crate::connection_pool::{self, Endpoint};
-use crate::core_context::CoreContext;
+use crate::connection_pool::{Connection, Endpoint};
+use crate::core_context::{ConnectError, CoreContext};
 use bytes::{Bytes, BytesMut};
-use http::{Request, header};
+use http::{Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
-use milletpath_protocol::registry;
+use hyper::body::Incoming;
+use milletpath_protocol::{Fault, registry};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
-/// Follows until the stream breaks, and tells the desk that it did.
-pub async fn watch(context: Rc<CoreContext>, address: SocketAddr) {
-    let cause = stream(&context, address).await;
-    tracing::warn!(%address, "the registry's list is not followed any more: {cause}");
+/// Why the stream ended.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    #[error("connecting failed: {0}")]
+    Connect(#[from] ConnectError),
+    #[error("the request can't be built: {0}")]
+    Request(#[from] http::Error),
+    #[error("the registry answered {0}")]
+    Status(StatusCode),
+    #[error("the connection failed: {0}")]
+    Connection(#[from] hyper::Error),
+    #[error("malformed revision: {0}")]
+    Malformed(Fault),
+    #[error("the first revision has changes only, not the complete list")]
+    Incomplete,
+    #[error("a line is longer than {} bytes", registry::LONGEST)]
+    TooLong,
+    #[error("the registry closed the stream")]
+    Ended,
+}
+
+/// Follows a registry until its stream ends, and reports that to the dispatcher, which asks for another one later.
+pub async fn watch(context: Rc<CoreContext>, registry: SocketAddr) {
+    let mut stream = EndpointStream { context: context.clone(), last_revision: None, gap_reported: false };
+    if let Err(error) = stream.follow(registry).await {
+        tracing::warn!(%registry, %error, "the registry's endpoint stream ended");
+    }
     context.with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_failed(now));
 }
 
-async fn stream(context: &Rc<CoreContext>, address: SocketAddr) -> String {
-    let Some(reservation) = context.shared_runtime.connection_limit(address).reserve() else {
-        return "no place".into();
-    };
-    let mut connection =
-        match connection_pool::connect(reservation, Endpoint { address, process: 0 }, Duration::ZERO).await {
-            Ok(connection) => connection,
-            Err(e) => return format!("no connection: {e}"),
-        };
-    let request =
-        Request::get(registry::PATH).header(header::HOST, address.to_string()).body(Full::new(Bytes::new()));
-    let Ok(request) = request else { return "no request".into() };
-    let response = match connection.sender.send_request(request).await {
-        Ok(response) if response.status().is_success() => response,
-        Ok(response) => return format!("it answered {}", response.status()),
-        Err(e) => return format!("no answer: {e}"),
-    };
-    let mut body = response.into_body();
-    let mut unparsed = BytesMut::new();
-    // Known only from a complete list on; a revision counts within one stream.
-    let mut last_revision = None;
-    let mut watch_restarted = false;
-    while let Some(frame) = body.frame().await {
-        let Ok(Ok(data)) = frame.map(|f| f.into_data()) else { return "the stream broke".into() };
-        unparsed.extend_from_slice(&data);
-        while let Some(end) = unparsed.iter().position(|&b| b == b'\n') {
-            let line = unparsed.split_to(end + 1);
-            let (revision, complete, entries) = match registry::read(&line) {
-                Ok(read) => read,
-                Err(fault) => return format!("a line that can't be read, {fault}"),
-            };
-            let is_gap = match last_revision {
-                Some(last_revision) if revision <= last_revision => continue,
-                Some(last_revision) => !complete && revision != last_revision + 1,
-                None if !complete => return "it begins with changes".into(),
-                None => false,
-            };
-            tracing::info!(revision, complete, endpoints = entries.len(), "worker list");
-            // Also past a gap: what is said of these workers is true, and may be that one drains.
-            if last_revision.is_some() && !is_gap {
-                // The stream stood since the revision before, and would have told of anybody who was listed earlier.
-                context.with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_confirmed(now));
+struct EndpointStream {
+    context: Rc<CoreContext>,
+    /// Known from the first complete list on; revisions count within one stream.
+    last_revision: Option<u64>,
+    /// Whether the dispatcher was told that changes are missing.
+    gap_reported: bool,
+}
+
+impl EndpointStream {
+    async fn follow(&mut self, registry: SocketAddr) -> Result<(), WatchError> {
+        let mut connection =
+            self.context.connect_unpooled(Endpoint { address: registry, process: 0 }).await?;
+        let mut body = open_stream(&mut connection, registry).await?;
+        let mut unparsed = BytesMut::new();
+        while let Some(frame) = body.frame().await {
+            let Ok(data) = frame?.into_data() else { return Err(WatchError::Ended) };
+            unparsed.extend_from_slice(&data);
+            while let Some(end) = unparsed.iter().position(|&byte| byte == b'\n') {
+                self.apply(&unparsed.split_to(end + 1))?;
             }
-            context.shared_runtime.update_endpoints(Some(context.core), complete, &entries);
-            context.process_messages();
-            if is_gap && !watch_restarted {
-                tracing::warn!(revision, "changes before it are missing; the list is asked for anew");
-                // This stream is read on until the next takes its place: it may say more that must be known.
-                watch_restarted = true;
-                context.with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_failed(now));
+            if unparsed.len() > registry::LONGEST {
+                return Err(WatchError::TooLong);
             }
-            last_revision = Some(revision);
         }
-        if unparsed.len() > registry::LONGEST {
-            return "a line without end".into();
+        Err(WatchError::Ended)
+    }
+
+    /// Applies one line.
+    fn apply(&mut self, line: &[u8]) -> Result<(), WatchError> {
+        let (revision, complete, entries) = registry::read(line).map_err(WatchError::Malformed)?;
+        let is_gap = match self.last_revision {
+            Some(last_revision) if revision <= last_revision => return Ok(()),
+            Some(last_revision) => !complete && revision != last_revision + 1,
+            None if !complete => return Err(WatchError::Incomplete),
+            None => false,
+        };
+        tracing::info!(revision, complete, endpoints = entries.len(), "endpoint list received");
+        if self.last_revision.is_some() && !is_gap {
+            // The stream was open since the revision before, so endpoints that it did not mention are unchanged.
+            self.context.with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_confirmed(now));
+        }
+        // Applied also after a gap: what it says of its endpoints is true, for example that one is draining.
+        self.context.shared_runtime.update_endpoints(Some(self.context.core), complete, &entries);
+        self.context.process_messages();
+        if is_gap && !self.gap_reported {
+            tracing::warn!(
+                revision,
+                "changes before this revision are missing; requesting the complete list"
+            );
+            self.gap_reported = true;
+            self.context.with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_failed(now));
         }
+        self.last_revision = Some(revision);
+        Ok(())
+    }
+}
+
+async fn open_stream(connection: &mut Connection, registry: SocketAddr) -> Result<Incoming, WatchError> {
+    let request = Request::get(registry::PATH)
+        .header(header::HOST, registry.to_string())
+        .body(Full::new(Bytes::new()))?;
+    let response = connection.sender.send_request(request).await?;
+    if !response.status().is_success() {
+        return Err(WatchError::Status(response.status()));
     }
-    "the stream ended".into()
+    Ok(response.into_body())
 }
--- a/crates/gateway/src/header_timer.rs
+++ b/crates/gateway/src/header_timer.rs
@@ -1,6 +1,6 @@
-//! The time limit on a client's header fields. It asks the socket itself before it expires: after a standstill of the
-//! process (SIGSTOP) `epoll_wait` returns EINTR without events, and the runtime fires the timers that fell due before
-//! it has heard which sockets are readable. A connection closed then would take the request on it along.
+//! The time limit on a client's header fields. It asks the socket before it expires: after the process was suspended
+//! (SIGSTOP) `epoll_wait` returns EINTR without events, and the runtime fires the timers that fell due before it knows
+//! which sockets are readable. A connection closed at that point would lose the request that it brought.
 
 use crate::response_channel::ResponseChannel;
 use hyper::rt::{Sleep, Timer};
@@ -10,14 +10,14 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Until the runtime has heard of what lies unread.
+/// Time in which the runtime learns of unread bytes.
 const RECHECK: Duration = Duration::from_millis(20);
 
-/// Rechecks after which the time limit holds whatever comes: a client that sends its fields bit by bit must not keep
-/// the connection for ever.
-const MOST_RECHECKS: u32 = 10;
+/// Rechecks after which the limit holds in any case: a client that sends its fields bit by bit must not keep the
+/// connection for ever.
+const MAX_RECHECKS: u32 = 10;
 
-/// Timer of one client connection.
+/// The timer that hyper uses for one client connection.
 pub struct HeaderTimer(pub Arc<ResponseChannel>);
 
 impl Timer for HeaderTimer {
@@ -44,7 +44,7 @@
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         while self.sleep.as_mut().poll(context).is_ready() {
-            if self.rechecks >= MOST_RECHECKS || !self.channel.has_unread() {
+            if self.rechecks >= MAX_RECHECKS || !self.channel.has_unread() {
                 return Poll::Ready(());
             }
             self.rechecks += 1;
--- a/crates/gateway/src/io_fault.rs
+++ b/crates/gateway/src/io_fault.rs
@@ -1,5 +1,5 @@
-//! What an error of `accept` or `connect` says, and about whom. An error for a reason of this machine's own counts
-//! against no worker, and nothing is tried again without a pause that grows.
+//! Classifies errors of `accept` and `connect`, and sets the pauses between retries. An error that this machine caused
+//! counts against no worker.
 
 use nix::errno::Errno;
 use std::io;
@@ -8,7 +8,7 @@
 /// Why a connection could not be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFault {
-    /// That one connection is gone, or the call was interrupted: the next may be there. Linux passes on network errors
+    /// This one connection failed, or the call was interrupted; the next may succeed. Linux passes on network errors
     /// that are pending on a new connection (accept(2), "Error handling").
     Connection,
     /// This machine or process lacks something.
@@ -16,6 +16,7 @@
 }
 
 impl AcceptFault {
+    /// Classifies an error of `accept`.
     pub fn of(error: &io::Error) -> Self {
         match errno(error) {
             Some(
@@ -41,13 +42,14 @@
 /// Why a connection to a worker could not be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFault {
-    /// For a reason of this machine's own: nothing was asked of the worker.
+    /// This machine or process lacks something; the worker had no part in it.
     Local,
-    /// The worker, or the way to it, gave no connection.
+    /// The worker or the network refused it.
     Worker,
 }
 
 impl ConnectFault {
+    /// Classifies an error of `connect`.
     pub fn of(error: &io::Error) -> Self {
         match errno(error) {
             Some(
@@ -75,7 +77,7 @@
     error.raw_os_error().map(Errno::from_raw)
 }
 
-/// The pauses between attempts that fail in a row.
+/// Growing pauses between attempts that fail in a row.
 #[derive(Debug, Default)]
 pub struct Backoff {
     failures: u32,
@@ -84,7 +86,7 @@
 impl Backoff {
     const FIRST: Duration = Duration::from_millis(5);
     const LONGEST: Duration = Duration::from_millis(100);
-    /// Connections in a row that may be gone before there is a pause: there is one fewer of them each time.
+    /// Failed connections in a row that are accepted without a pause: each leaves one fewer in the queue.
     const IMMEDIATE_RETRIES: u32 = 64;
 
     /// How long to wait before the next attempt to accept.
@@ -93,7 +95,7 @@
             self.failures += 1;
             return Duration::ZERO;
         }
-        // What a connection had for nothing is no reason for a longer pause.
+        // Attempts that had no pause do not lengthen the first one.
         self.failures = self.failures.max(Self::IMMEDIATE_RETRIES);
         self.next_pause(Self::IMMEDIATE_RETRIES)
     }
@@ -109,12 +111,17 @@
         Self::FIRST.saturating_mul(1 << doublings).min(Self::LONGEST)
     }
 
+    /// An attempt succeeded: pauses begin with the shortest again.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 }
 
-/// Attempts to connect, and again where that fails for a reason of this machine's own, for `patience` at most.
+/// Attempts to connect, and again after errors that this machine caused, with pauses of `max_wait` in all.
+///
+/// # Errors
+///
+/// That of the last attempt.
 pub async fn connect<T>(
     max_wait: Duration,
     mut attempt: impl AsyncFnMut() -> io::Result<T>,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,18 +1,28 @@
-//! The running router: it tells the decisions what happens and carries out what they decide.
+//! The gateway: HTTP sockets, threads and timers around the dispatcher of `milletpath-dispatcher`, which decides which
+//! worker gets a request. `server.rs` accepts client connections and hands them to the cores, which share one dispatcher
+//! behind a lock (`shared_runtime.rs`); `supervisor.rs` runs its timers and watches the cores.
 //!
-//! The dispatcher (`milletpath-dispatcher`) knows of requests, attempts, load requests and workers, free of sockets and
-//! clocks; this package puts the HTTP connections around it, on each core. The cores share one dispatcher behind a lock
-//! (`office.rs`); the supervisor hands out client connections, keeps time and watches the cores (`keeper.rs`). Reading
-//! down `serve.rs` shows the whole way of a request on its core: accept, decode, dispatch, attempt, answer.
+//! A request passes these files in order: `server.rs` (accept), `core_thread.rs` and `message_handler.rs` (on its core),
+//! `client_connection.rs` (HTTP/1.1), `http_service.rs` with `request_reader.rs` (head and body), `shared_runtime.rs`
+//! with `action_router.rs` (dispatch), `attempt.rs` with `worker_exchange.rs` and `connection_pool.rs` (worker), and
+//! back through `open_requests.rs`, `http_service.rs` and `response_channel.rs` (response).
+
+#![warn(clippy::too_many_lines)]
 
 pub mod control_client;
 pub mod hollow;
+pub mod sharing;
 
+mod action_router;
 mod attempt;
 mod body_buffer;
 mod changing;
+mod client_connection;
+mod connection_limit;
 mod connection_pool;
 mod core_context;
+mod core_message;
+mod core_slot;
 mod core_thread;
 mod datagram_receiver;
 mod endpoint_watch;
@@ -20,18 +30,26 @@
 mod http_service;
 mod io_fault;
 mod message_handler;
+mod open_requests;
 mod peering;
+mod request_error;
+mod request_reader;
 mod response;
 mod response_channel;
+mod response_guard;
+mod server;
 mod shared_runtime;
-pub mod sharing;
+mod stalled_core;
 mod supervisor;
 mod telling;
+mod worker_commands;
+mod worker_exchange;
+mod worker_response;
 mod write_timeout;
 
 pub use changing::{Feed, Followed, control_key};
+pub use core_message::FaultInjection;
 pub use datagram_receiver::is_power_of_ten;
 pub use peering::{Link, Plant, Told, ask, key_of};
-pub use shared_runtime::FaultInjection;
-pub use supervisor::{Links, serve, serve_with_faults};
+pub use server::{Links, serve, serve_with_faults};
 pub use telling::{Telling, cpu};
--- a/crates/gateway/src/message_handler.rs
+++ b/crates/gateway/src/message_handler.rs
@@ -1,75 +1,70 @@
-//! What the desk has for a core, carried out: each errand goes to the piece that does it.
+//! Carries out the messages of one core: each goes to the module that does the work.
 
+use crate::attempt::{self, AttemptRequest};
 use crate::core_context::CoreContext;
+use crate::core_message::{AttemptId, CoreMessage, FaultInjection};
 use crate::response::FinalResponse;
-use crate::shared_runtime::{CoreMessage, FaultInjection};
-use crate::{attempt, endpoint_watch, http_service};
+use crate::{client_connection, endpoint_watch, worker_commands};
 use milletpath_config::WorkerSource;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{AbortHandle, spawn_local};
 
+/// Handles one message. Must run within a `LocalSet`.
 pub fn handle(context: &Rc<CoreContext>, message: CoreMessage) {
     match message {
-        CoreMessage::AcceptConnection(stream, permit) => http_service::accept(context, stream, permit),
-        CoreMessage::SendAttempt {
-            request,
-            request_slot,
-            attempt,
-            worker,
-            endpoint,
-            function,
-            time_left,
-        } => {
-            context.with_open_request(request, request_slot, |open_request| {
+        CoreMessage::AcceptConnection(stream, permit) => client_connection::accept(context, stream, permit),
+        CoreMessage::SendAttempt { id, target, function, time_left } => {
+            context.with_open_request(id.request, id.request_slot, |open_request| {
                 let (headers, body) = (open_request.headers.clone(), open_request.body.clone());
-                let parts = attempt::AttemptRequest { function, time_left, headers, body };
-                let task =
-                    attempt::send(context.clone(), (request, request_slot, attempt), worker, endpoint, parts);
+                let parts = AttemptRequest { function, time_left, headers, body };
+                let task = attempt::send(context.clone(), id, target, parts);
                 open_request.attempts.push(spawn_local(task).abort_handle());
             });
         }
-        CoreMessage::CancelAttempt { request, request_slot, attempt } => {
-            context.with_open_request(request, request_slot, |open_request| {
-                open_request.attempts.get(attempt).into_iter().for_each(AbortHandle::abort)
-            });
-        }
-        CoreMessage::Respond { request_slot, local, channel } => {
-            context.respond(request_slot, &channel, FinalResponse::Local(local))
+        CoreMessage::CancelAttempt(id) => cancel_attempt(context, id),
+        CoreMessage::Respond { request_slot, response, channel } => {
+            context.respond(request_slot, &channel, FinalResponse::Local(response));
         }
-        CoreMessage::LoadFunction { load_request, worker, endpoint, function, instances } => {
-            spawn_local(attempt::load_function(
-                context.clone(),
-                load_request,
-                worker,
-                endpoint,
-                function,
-                instances,
-            ));
-        }
-        CoreMessage::UnloadFunction { worker, endpoint, function } => {
-            spawn_local(attempt::unload_function(context.clone(), worker, endpoint, function));
+        CoreMessage::LoadFunction { load_request, target, function, instances } => {
+            let context = context.clone();
+            spawn_local(worker_commands::load_function(context, load_request, target, function, instances));
         }
-        CoreMessage::HealthCheck { worker, endpoint, serial } => {
-            spawn_local(attempt::health_check(context.clone(), worker, endpoint, serial));
+        CoreMessage::UnloadFunction { target, function } => {
+            spawn_local(worker_commands::unload_function(context.clone(), target, function));
         }
-        CoreMessage::WatchEndpoints => {
-            if let WorkerSource::Registry(address) = context.config().source {
-                context.set_endpoint_watch(
-                    spawn_local(endpoint_watch::watch(context.clone(), address)).abort_handle(),
-                );
-            }
+        CoreMessage::HealthCheck { target, serial } => {
+            spawn_local(worker_commands::health_check(context.clone(), target, serial));
         }
+        CoreMessage::WatchEndpoints => watch_endpoints(context),
         CoreMessage::CloseIdleConnection { worker } => context.close_one_idle(worker),
-        CoreMessage::InjectFault(FaultInjection::Stall(seconds)) => {
-            std::thread::sleep(Duration::from_secs_f64(seconds))
-        }
-        CoreMessage::InjectFault(FaultInjection::Panic) => panic!("asked for"),
-        CoreMessage::InjectFault(FaultInjection::DispatcherPanic) => {
-            let context = context.clone();
-            spawn_local(
-                async move { context.shared_runtime.with_dispatcher(None, |_, _| panic!("asked for")) },
-            );
+        CoreMessage::InjectFault(fault) => inject_fault(context, fault),
+    }
+}
+
+fn cancel_attempt(context: &CoreContext, id: AttemptId) {
+    context.with_open_request(id.request, id.request_slot, |open_request| {
+        open_request.attempts.get(id.attempt).into_iter().for_each(AbortHandle::abort);
+    });
+}
+
+fn watch_endpoints(context: &Rc<CoreContext>) {
+    if let WorkerSource::Registry(address) = context.config().source {
+        let task = spawn_local(endpoint_watch::watch(context.clone(), address));
+        context.set_endpoint_watch(task.abort_handle());
+    }
+}
+
+fn inject_fault(context: &Rc<CoreContext>, fault: FaultInjection) {
+    match fault {
+        FaultInjection::Stall(seconds) => std::thread::sleep(Duration::from_secs_f64(seconds)),
+        FaultInjection::Panic => panic!("a test asked for this panic"),
+        FaultInjection::DispatcherPanic => {
+            let shared_runtime = context.shared_runtime.clone();
+            let operation = async move {
+                shared_runtime.with_dispatcher(None, |_, _| panic!("a test asked for this panic"));
+            };
+            spawn_local(operation);
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/request_reader.rs
@@ -0,0 +1,113 @@
+//! Reads a request: checks the header fields against the configuration and reads the body within its limits.
+
+use crate::body_buffer::BodyBuffer;
+use crate::core_context::CoreContext;
+use crate::request_error::RequestError;
+use crate::response::BufferedBytes;
+use bytes::Bytes;
+use http::header::HeaderMap;
+use http_body::Body as _;
+use http_body_util::BodyExt;
+use hyper::body::{Frame, Incoming};
+use milletpath_policy::host::Effect;
+use milletpath_protocol::{Fault, invoke};
+use std::time::Duration;
+
+/// What the header fields of a request say to the dispatcher.
+pub struct RequestParameters {
+    /// Index of the profile in the configuration.
+    pub profile: usize,
+    /// Index of the client in the configuration; `usize::MAX` for one that is not listed.
+    pub client: usize,
+    /// Seconds from arrival until the request times out.
+    pub timeout: f64,
+    /// Whether the client says that it tries again.
+    pub is_retry: bool,
+}
+
+impl RequestParameters {
+    /// Checks the header fields of a request for a function.
+    pub fn parse(context: &CoreContext, function: &str, headers: &HeaderMap) -> Result<Self, RequestError> {
+        let config = context.config();
+        let profile = profile(context, function, headers)?;
+        let client = invoke::name(headers, &invoke::CLIENT).map_err(RequestError::InvalidHeader)?;
+        let client = client.and_then(|name| config.clients.iter().position(|client| client == name));
+        let timeout = invoke::patience(headers).map_err(RequestError::InvalidHeader)?;
+        let key = invoke::key(headers).map_err(RequestError::InvalidHeader)?;
+        let needs_key = matches!(config.policy.profiles[profile].effect, Effect::Receipted { .. });
+        if needs_key && key.is_none() {
+            let detail = "is missing; calls of this profile need a mark by which a repeat is known";
+            return Err(invalid(invoke::IDEMPOTENCY_KEY.as_str(), detail));
+        }
+        Ok(Self {
+            profile,
+            client: client.unwrap_or(usize::MAX),
+            timeout: timeout.unwrap_or(f64::INFINITY).min(config.profiles[profile].deadline),
+            is_retry: invoke::repeat(headers).map_err(RequestError::InvalidHeader)?,
+        })
+    }
+}
+
+/// The profile that the request names or its function requires; where both do they must agree.
+fn profile(context: &CoreContext, function: &str, headers: &HeaderMap) -> Result<usize, RequestError> {
+    let stated = invoke::name(headers, &invoke::PROFILE).map_err(RequestError::InvalidHeader)?;
+    let required = context.shared_runtime.function_config(function).profile;
+    let Some(name) = stated else { return Ok(required.unwrap_or(0)) };
+    let known = context.config().profiles.iter().position(|profile| profile.name == name);
+    let field = invoke::PROFILE.as_str();
+    let profile = known.ok_or_else(|| invalid(field, format!("there is no profile {name}")))?;
+    if required.is_some_and(|required| required != profile) {
+        return Err(invalid(field, "the function is called under another profile only"));
+    }
+    Ok(profile)
+}
+
+fn invalid(field: &str, detail: impl Into<String>) -> RequestError {
+    RequestError::InvalidHeader(Fault::new(field, detail.into()))
+}
+
+/// A request's body in memory.
+pub struct RequestBody {
+    /// The body.
+    pub bytes: Bytes,
+    /// Its parts of the limit on buffered bytes.
+    pub reservations: Vec<BufferedBytes>,
+}
+
+/// Reads a request's body, within the limits on its size and pace, until `deadline` in seconds since the start.
+pub async fn read_body(
+    context: &CoreContext,
+    mut body: Incoming,
+    deadline: f64,
+) -> Result<RequestBody, RequestError> {
+    let limit = context.limits().max_request_body;
+    if body.size_hint().lower() > limit as u64 {
+        return Err(RequestError::BodyTooLarge { limit });
+    }
+    let (mut buffer, mut reservations) = (BodyBuffer::default(), Vec::new());
+    while !body.is_end_stream() {
+        let Some(frame) = next_frame(context, &mut body, deadline).await? else { break };
+        let Ok(data) = frame.into_data() else { continue };
+        if buffer.len() + data.len() > limit {
+            return Err(RequestError::BodyTooLarge { limit });
+        }
+        let retry_after = context.config().policy.come_back;
+        let reservation = context.reserve_buffer(data.len());
+        reservations.push(reservation.ok_or(RequestError::BuffersFull { retry_after })?);
+        buffer.push(data);
+    }
+    Ok(RequestBody { bytes: buffer.into_bytes(), reservations })
+}
+
+/// The next piece of a body; `None` at its end.
+async fn next_frame(
+    context: &CoreContext,
+    body: &mut Incoming,
+    deadline: f64,
+) -> Result<Option<Frame<Bytes>>, RequestError> {
+    let wait = context.limits().stall_timeout.min(deadline - context.now()).max(0.0);
+    match tokio::time::timeout(Duration::from_secs_f64(wait), body.frame()).await {
+        Ok(frame) => frame.transpose().map_err(RequestError::MalformedBody),
+        Err(_) => Err(RequestError::SlowBody),
+    }
+}
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -1,46 +1,54 @@
-//! Final answers, and those that the gateway gives itself; bytes in hand.
+//! Responses to clients: those of workers, and those that the gateway makes itself as problem documents (RFC 9457). The
+//! bytes of a response count as buffered until they are written.
 
 use bytes::Bytes;
 use http::header::{self, HeaderValue};
 use http::{Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
 use milletpath_multicore::budget::Budget;
-use milletpath_protocol::{Fault, invoke, problem};
+use milletpath_protocol::{invoke, problem};
 use std::convert::Infallible;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// The final answer of an activation, on its way to the client.
+/// The response to a request, on its way to the client.
 pub enum FinalResponse {
+    /// The head and the body of a worker's response.
     FromWorker(http::response::Parts, Bytes, BufferedBytes),
+    /// The gateway's own.
     Local(LocalResponse),
-    /// The worker's answer is larger than may be passed on; it has run.
+    /// The worker has run the request, and its response is larger than is passed on.
     TooLarge,
 }
 
-/// A final answer that the gateway gives itself.
+/// A response that the gateway makes itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LocalResponse {
+    /// No worker has run the request; seconds after which to try again, where they are known.
     Rejected(Option<f64>),
-    Failed { timed_out: bool },
+    /// A worker may have run the request.
+    Failed {
+        /// Whether its time was over, as opposed to a failure of the worker.
+        timed_out: bool,
+    },
 }
 
 impl LocalResponse {
-    /// For a call that nobody will carry on, by whether something of it may have run.
+    /// For a request that is given up, by whether a worker may have run it.
     pub fn interrupted(may_have_run: bool) -> Self {
         if may_have_run { Self::Failed { timed_out: false } } else { Self::Rejected(None) }
     }
 }
 
-/// Bytes in hand, given back when dropped.
+/// Bytes that count as buffered until this is dropped.
 pub struct BufferedBytes {
     bytes: usize,
     budget: Arc<Budget>,
 }
 
 impl BufferedBytes {
-    /// Counts bytes as in hand; none where the bound on all together is reached.
+    /// Counts bytes as buffered; `None` where the limit on all of them is reached.
     pub fn reserve(budget: &Arc<Budget>, bytes: usize) -> Option<Self> {
         budget.take(bytes).then(|| Self { bytes, budget: budget.clone() })
     }
@@ -52,7 +60,7 @@
     }
 }
 
-/// The body of an answer; its bytes count as in hand until it is written.
+/// The body of a response; it counts as buffered until it is written.
 pub struct ResponseBody {
     bytes: Bytes,
     _buffered: Option<BufferedBytes>,
@@ -80,25 +88,26 @@
 }
 
 impl ResponseBody {
-    /// What a worker answered.
+    /// The body of a worker's response.
     pub fn from_worker(bytes: Bytes, buffered: BufferedBytes) -> Self {
         Self { bytes, _buffered: Some(buffered) }
     }
 
+    /// Bytes that are left to write.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 }
 
 impl From<ResponseBody> for Bytes {
-    fn from(written: ResponseBody) -> Self {
-        written.bytes
+    fn from(body: ResponseBody) -> Self {
+        body.bytes
     }
 }
 
 const REJECTED: HeaderValue = HeaderValue::from_static("bounced");
 
-/// An answer that the gateway gives itself, as a problem document.
+/// A response with a problem document.
 fn problem_response(
     status: StatusCode,
     outcome: HeaderValue,
@@ -115,6 +124,7 @@
     response
 }
 
+/// The response to a request that no worker has run, and that may be sent again after `retry_after` seconds.
 pub fn rejected(kind: &str, title: &str, retry_after: Option<f64>) -> Response<ResponseBody> {
     let detail = "The call was not taken, or nothing of it has run; trying again does no harm.";
     let mut response = problem_response(StatusCode::SERVICE_UNAVAILABLE, REJECTED, kind, title, detail);
@@ -123,23 +133,14 @@
     response
 }
 
-/// A client's mistake: refused, and the connection is closed, as what follows on it can't be trusted.
+/// The response to an invalid request. The connection ends behind it, as what follows can't be trusted.
 pub fn client_error(status: StatusCode, kind: &str, title: &str, detail: &str) -> Response<ResponseBody> {
     let mut response = problem_response(status, REJECTED, kind, title, detail);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-pub fn invalid_header(fault: &Fault) -> Response<ResponseBody> {
-    client_error(
-        StatusCode::BAD_REQUEST,
-        "bad-field",
-        "A header field can't be understood",
-        &fault.to_string(),
-    )
-}
-
-/// Health answers, for balancers: short text.
+/// The response to a health check of a load balancer.
 pub fn health_response(ok: bool, text: &'static str) -> Response<ResponseBody> {
     let mut response =
         Response::new(ResponseBody { bytes: Bytes::from_static(text.as_bytes()), _buffered: None });
@@ -148,7 +149,7 @@
     response
 }
 
-/// The answer to a call that no worker handled.
+/// The response to a request that no worker has answered.
 pub fn local_response(response: LocalResponse) -> Response<ResponseBody> {
     match response {
         LocalResponse::Rejected(retry_after) => {
@@ -165,6 +166,7 @@
     }
 }
 
+/// The response to a request that may have run and failed.
 pub fn failed(status: StatusCode, kind: &str, title: &str, detail: &str) -> Response<ResponseBody> {
     problem_response(status, HeaderValue::from_static("terminated"), kind, title, detail)
 }
--- a/crates/gateway/src/response_channel.rs
+++ b/crates/gateway/src/response_channel.rs
@@ -1,5 +1,5 @@
-//! A client's connection as all cores may see it: its own core reads and writes; where that core stands still or
-//! ends, another says the last word on it.
+//! A client's connection, shared by all cores: its own core reads requests and writes responses; where that core is
+//! stalled or lost, another sends the final response. An atomic claim decides which of the two writes.
 
 use crate::response::ResponseBody;
 use bytes::Bytes;
@@ -20,30 +20,34 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Readiness that comes with the end of the stream, and not with bytes: nobody sends urgent ones here.
+/// Readiness that comes with the end of the stream but not with bytes; no client sends urgent data.
 const DISCONNECTED: Interest = Interest::PRIORITY;
 
-/// Whether bytes or the end of the stream lie unread, by the socket's own word: the runtime's may be older.
+/// Whether bytes or the end of the stream are unread. Asks the socket, as the runtime's knowledge may be outdated.
 pub fn has_unread(stream: &impl AsFd) -> bool {
     let mut descriptors = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
     poll(&mut descriptors, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
 }
 
+/// A client's connection.
 pub struct ResponseChannel {
     stream: TcpStream,
+    /// Which thread may write the response.
     pub claim: Claim,
-    /// When it was dealt to its core, and the requests that it brought since.
+    /// When it was assigned to its core, in seconds since the start.
     assigned_at: f64,
+    /// Requests since then.
     requests: AtomicU64,
-    /// The serial number of the call in hand; 0 for none.
+    /// Serial number of the open request; 0 for none.
     current_serial: AtomicU64,
-    /// The core has an answer that it writes or is about to.
+    /// Whether the response to the open request is being written or about to be.
     response_ready: AtomicBool,
-    /// Bytes were read since the last answer was written.
+    /// Whether bytes were read since the last response was written.
     request_begun: AtomicBool,
 }
 
 impl ResponseChannel {
+    /// A connection that was assigned to a core at `assigned_at`, in seconds since the start.
     pub fn new(stream: TcpStream, assigned_at: f64) -> Self {
         Self {
             stream,
@@ -56,41 +60,41 @@
         }
     }
 
-    /// Counts a call; tells how many a second came on this connection.
+    /// Counts a request; how many per second came on this connection.
     pub fn record_request(&self, now: f64) -> f64 {
-        /// Seconds below which a rate means little.
+        /// A rate over a shorter time, in seconds, means little.
         const MIN_SECONDS: f64 = 1.0;
         let requests = self.requests.fetch_add(1, Ordering::Relaxed) + 1;
         requests as f64 / (now - self.assigned_at).max(MIN_SECONDS)
     }
 
-    /// Tells which call is in hand on this connection.
+    /// Sets which request is open on this connection.
     pub fn set_current_request(&self, request: RequestId) {
         self.current_serial.store(request.serial, Ordering::Relaxed);
     }
 
-    /// Whether that call is the one in hand. Only its own core asks.
+    /// Whether this request is the open one. Only for the connection's own core.
     pub fn is_current_request(&self, request: RequestId) -> bool {
         self.current_serial.load(Ordering::Relaxed) == request.serial
     }
 
-    /// The answer to the call in hand is there; what is written from here on is that.
+    /// The response to the open request is ready: it is what is written from here on.
     pub fn begin_response(&self) {
         self.response_ready.store(true, Ordering::Relaxed);
     }
 
-    /// Whether bytes or the end of the stream lie unread, by the socket's own word.
+    /// Whether bytes or the end of the stream are unread, according to the socket.
     pub fn has_unread(&self) -> bool {
         has_unread(&self.stream)
     }
 
-    /// Whether the client has closed its side or reset the connection, as far as the runtime has heard; also where
-    /// bytes lie unread before that.
+    /// Whether the client has closed its side or reset the connection, as far as the runtime knows; also where unread
+    /// bytes precede that.
     pub fn client_disconnected(&self) -> bool {
         self.stream.try_io(DISCONNECTED, || Ok(())).is_ok()
     }
 
-    /// Waits until the client has left.
+    /// Waits until the client has closed its side or reset the connection.
     pub async fn wait_for_disconnect(&self) {
         while !self.client_disconnected() {
             if self.stream.ready(DISCONNECTED).await.is_err() {
@@ -99,16 +103,17 @@
         }
     }
 
-    /// Whether nothing is open, request_begun or unread here: closed now, the connection takes no call along.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether no request is open, begun or unread, so that closing the connection loses none.
+    pub fn is_idle(&self) -> bool {
         !self.request_begun.load(Ordering::Relaxed) && self.claim.is_idle() && !self.has_unread()
     }
 
-    /// Ends this side of the connection, and takes off what the client still sends until it ends its own or sends
-    /// nothing for a moment: with bytes unread the kernel would reset the connection over an answer not yet read.
+    /// Closes the sending side, and discards what the client still sends until it closes its own or pauses: with unread
+    /// bytes the kernel would reset the connection before the client has read the response.
     pub async fn linger(&self) {
-        /// Between two pieces, and in all.
+        /// The longest pause.
         const PAUSE: Duration = Duration::from_millis(200);
+        /// The longest time in all.
         const LONGEST: Duration = Duration::from_secs(1);
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
         let mut chunk = [0; 8192];
@@ -124,10 +129,11 @@
         let _ = tokio::time::timeout(LONGEST, drained).await;
     }
 
-    /// Its core is lost with nothing in hand here. A call that lies unread is answered, as nobody will read it; it
-    /// would else be lost without a word when the connection is closed.
-    pub fn answer_unread_and_close(&self, answer: Response<ResponseBody>) {
-        /// Bytes discarded off at most: what is left makes the kernel reset the connection, which may outrun the answer.
+    /// Closes the connection of a lost core, unless a request is open on it. A request that is unread gets this
+    /// response, as no core will read it.
+    pub fn answer_unread_and_close(&self, response: Response<ResponseBody>) {
+        /// Bytes that are discarded at most: the rest makes the kernel reset the connection, perhaps before the response
+        /// is read.
         const MAX_BYTES: usize = 1 << 20;
         if !self.claim.close() {
             return;
@@ -140,24 +146,24 @@
             discarded += read;
         }
         if discarded > 0 {
-            self.write_response(answer);
+            self.write_response(response);
         } else {
             self.close();
         }
     }
 
-    /// Gives the final answer in place of the core that owes it, and ends the connection; false where that core
-    /// has request_begun to answer, or owes nothing.
-    pub fn respond_from_other_core(&self, answer: Response<ResponseBody>) -> bool {
+    /// Sends the final response in place of the connection's own core, and closes the sending side; false where that
+    /// core has begun to respond or no request is open.
+    pub fn respond_from_other_core(&self, response: Response<ResponseBody>) -> bool {
         let claimed = self.claim.speak();
         if claimed {
-            self.write_response(answer);
+            self.write_response(response);
         }
         claimed
     }
 
-    fn write_response(&self, answer: Response<ResponseBody>) {
-        let (parts, body) = answer.into_parts();
+    fn write_response(&self, response: Response<ResponseBody>) {
+        let (parts, body) = response.into_parts();
         let mut text =
             format!("HTTP/1.1 {}\r\nconnection: close\r\ncontent-length: {}\r\n", parts.status, body.len());
         for (name, value) in parts.headers.iter().filter(|(name, _)| *name != http::header::CONNECTION) {
@@ -165,22 +171,22 @@
         }
         text.push_str("\r\n");
         let bytes = [text.as_bytes(), &Bytes::from(body)].concat();
-        // It fits into the socket's buffer, in which no answer waits. A client that left has nobody to take it.
+        // It fits into the socket's buffer, which is empty. A client that disconnected does not read it.
         let _ = SockRef::from(&self.stream).send(&bytes);
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
     }
 
-    /// Ends the connection both ways.
+    /// Closes both sides.
     pub fn close(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Both);
     }
 }
 
-/// The core's own end of a line.
+/// The stream that the connection's own core reads and writes.
 pub struct ChannelIo(pub Arc<ResponseChannel>);
 
 fn already_answered() -> io::Error {
-    io::Error::new(io::ErrorKind::BrokenPipe, "another core has answered here")
+    io::Error::new(io::ErrorKind::BrokenPipe, "another core has sent the final response")
 }
 
 impl Read for ChannelIo {
@@ -189,16 +195,16 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        /// Bytes discarded at a time: most requests whole.
+        /// Bytes read at a time; most requests are shorter.
         const MAX_READ_BYTES: usize = 8192;
         let mut chunk = [0; MAX_READ_BYTES];
-        let most = MAX_READ_BYTES.min(buf.remaining());
+        let max_bytes = MAX_READ_BYTES.min(buf.remaining());
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
             if self.0.claim.spoken() {
                 return Poll::Ready(Err(already_answered()));
             }
-            match self.0.stream.try_read(&mut chunk[..most]) {
+            match self.0.stream.try_read(&mut chunk[..max_bytes]) {
                 Ok(read) => {
                     self.0.request_begun.store(true, Ordering::Relaxed);
                     buf.put_slice(&chunk[..read]);
@@ -212,7 +218,7 @@
 }
 
 impl ChannelIo {
-    /// Writes once the socket is ready, unless the last word has been said.
+    /// Writes once the socket is ready, unless another core has responded.
     fn write(
         &self,
         cx: &mut Context<'_>,
@@ -220,7 +226,7 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             let ready = self.0.response_ready.load(Ordering::Relaxed);
-            // An interim answer is not the final one: what is written without that changes nothing.
+            // An interim response (100 Continue) is not the final one and needs no claim.
             if if ready { !self.0.claim.write() } else { self.0.claim.spoken() } {
                 return Poll::Ready(Err(already_answered()));
             }
@@ -238,7 +244,7 @@
         self.write(cx, |stream| stream.try_write(buf))
     }
 
-    /// Asked when all that was there to write is written.
+    /// hyper calls this once everything is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.0.response_ready.swap(false, Ordering::Relaxed) {
             self.0.request_begun.store(false, Ordering::Relaxed);
--- a/crates/gateway/src/shared_runtime.rs
+++ b/crates/gateway/src/shared_runtime.rs
@@ -1,227 +1,137 @@
-//! What all cores of the gateway share: the desk, which they enter in turn, a seat for each of them with its mailbox
-//! and its pulse, and the bounds on all together. Whoever enters tells the desk one thing, on the true clock, and
-//! posts what follows to the cores whose calls it is about, in the order in which the desk said it.
-
-use crate::connection_pool::{ConnectionLimit, Endpoint};
+//! State that all cores share: the dispatcher behind a lock, a slot for each core, and the limits on all of them
+//! together. A core that calls the dispatcher passes it one event with the present time; the messages that follow are
+//! posted under the same lock, so that each mailbox has them in the dispatcher's order.
+
+use crate::action_router::{ActionRouter, RoutedMessage};
+use crate::connection_limit::ConnectionLimit;
+use crate::core_message::{CoreMessage, RequestLocation};
+use crate::core_slot::{CoreSlot, MAX_CORES};
 use crate::response::LocalResponse;
 use crate::response_channel::ResponseChannel;
 use milletpath_config::{FunctionConfig, GatewayConfig};
-use milletpath_dispatcher::dispatcher::{
-    Action, Counters, Dispatcher, InterruptedRequest, RequestId, WorkerProcess,
-};
+use milletpath_dispatcher::dispatcher::{Counters, Dispatcher, InterruptedRequest};
 use milletpath_multicore::budget::Budget;
-use milletpath_multicore::mail::Mailbox;
-use milletpath_multicore::pulse::Pulse;
 use milletpath_process_environment::wall_clock::unix_time;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// Where the shell keeps the rest of a call.
-pub struct RequestLocation {
-    pub core: usize,
-    pub request_slot: usize,
-    pub channel: Arc<ResponseChannel>,
-}
-
-/// A client connection's part of the bound on all; given back when dropped.
-pub struct ConnectionPermit(pub Arc<SharedRuntime>);
+/// Messages that a request has in a mailbox at most: its attempts, their cancellations and its response.
+const MESSAGES_PER_REQUEST: usize = 8;
 
-impl Drop for ConnectionPermit {
-    fn drop(&mut self) {
-        self.0.client_connections.give_back(1);
-        self.0.connection_closed.notify_one();
-    }
-}
+/// Messages in a mailbox that belong to no request: connections, load requests and health checks.
+const OTHER_MESSAGES: usize = 1 << 16;
 
-/// What a core is to do, with all that it takes.
-pub enum CoreMessage {
-    /// A client's connection.
-    AcceptConnection(std::net::TcpStream, ConnectionPermit),
-    SendAttempt {
-        request: RequestId,
-        request_slot: usize,
-        attempt: usize,
-        worker: usize,
-        endpoint: Endpoint,
-        function: Arc<str>,
-        /// Seconds that the shot has.
-        time_left: f64,
-    },
-    CancelAttempt {
-        request: RequestId,
-        request_slot: usize,
-        attempt: usize,
-    },
-    Respond {
-        request_slot: usize,
-        local: LocalResponse,
-        channel: Arc<ResponseChannel>,
-    },
-    LoadFunction {
-        load_request: RequestId,
-        worker: usize,
-        endpoint: Endpoint,
-        function: Arc<str>,
-        instances: u8,
-    },
-    UnloadFunction {
-        worker: usize,
-        endpoint: Endpoint,
-        function: Arc<str>,
-    },
-    HealthCheck {
-        worker: usize,
-        endpoint: Endpoint,
-        serial: u64,
-    },
-    WatchEndpoints,
-    /// Another core has need of a place among this worker's connections.
-    CloseIdleConnection {
-        worker: usize,
-    },
-    InjectFault(FaultInjection),
-}
+/// Seconds above which one call of the dispatcher is logged.
+const SLOW_DISPATCHER_CALL: f64 = 0.02;
 
-/// Mischief for tests and days: what can go wrong with a core, on demand.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FaultInjection {
-    /// The thread of a core does nothing for so many seconds.
-    Stall(f64),
-    /// The thread of a core ends by a panic.
-    Panic,
-    /// The decisions panic, in the hands of a core.
-    DispatcherPanic,
-}
-
-/// One core as the others see it; on cache lines of its local, as each writes on its seat with every call.
-#[repr(align(128))]
-pub struct CoreSlot {
-    pub mail: Mailbox<CoreMessage>,
-    pub wake: Notify,
-    pub pulse: Pulse,
-    /// Client connections, and those of them that are open, by a number.
-    pub channels: Mutex<BTreeMap<u64, Arc<ResponseChannel>>>,
-    pub open: AtomicUsize,
-    pub requests: AtomicU64,
-    /// Connections that it should send away, and the calls a second that one of them may have, as bits.
-    pub connections_to_close: AtomicUsize,
-    pub max_rate_to_close: AtomicU64,
+/// What the lock protects.
+struct DispatcherState {
+    dispatcher: Dispatcher<RequestLocation>,
+    /// The endpoints as last reported, for a dispatcher that has to be restarted.
+    endpoints: BTreeMap<String, Entry>,
+    /// The time at which the supervisor wakes next.
+    next_wakeup: f64,
 }
 
-impl CoreSlot {
-    fn new(mailbox_capacity: usize) -> Self {
-        Self {
-            mail: Mailbox::new(mailbox_capacity),
-            wake: Notify::new(),
-            pulse: Pulse::new(0.0),
-            channels: Mutex::default(),
-            open: AtomicUsize::new(0),
-            requests: AtomicU64::new(0),
-            connections_to_close: AtomicUsize::new(0),
-            max_rate_to_close: AtomicU64::new(0),
-        }
-    }
-
-    /// Whether a connection that brings so many calls a second is one to send away now.
-    pub fn should_close_connection(&self, rate: f64) -> bool {
-        let decrement = |n: usize| n.checked_sub(1);
-        self.connections_to_close.load(Ordering::Relaxed) > 0
-            && rate <= f64::from_bits(self.max_rate_to_close.load(Ordering::Relaxed))
-            && self.connections_to_close.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement).is_ok()
-    }
-
-    pub fn channels(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ResponseChannel>>> {
-        self.channels.lock().unwrap_or_else(PoisonError::into_inner)
-    }
+/// Events that are counted for the log.
+#[derive(Default)]
+pub struct FaultCounters {
+    /// Dispatchers that panicked and were restarted.
+    pub dispatcher_restarts: AtomicU64,
+    /// Core threads that ended or were given up.
+    pub cores_lost: AtomicU64,
+    /// Responses that the supervisor sent for stalled cores.
+    pub responses_for_stalled_cores: AtomicU64,
 }
 
-struct State {
-    dispatcher: Dispatcher<RequestLocation>,
-    /// The list as it stands, for a desk that must begin anew.
-    endpoints: BTreeMap<String, Entry>,
-    /// The time for which the keeper's clock is set.
-    next_wakeup: f64,
+/// An open request of a core that was lost.
+pub struct CancelledRequest {
+    /// The client's connection.
+    pub channel: Arc<ResponseChannel>,
+    /// Whether a worker may have run it.
+    pub may_have_run: bool,
 }
 
+/// State that the threads of one gateway share.
 pub struct SharedRuntime {
-    began: Instant,
+    started: Instant,
+    /// The configuration that the process was started with.
     pub config: GatewayConfig,
-    state: Mutex<State>,
-    /// One for each core, and the last for the keeper.
+    state: Mutex<DispatcherState>,
+    /// A slot for each core, and behind them the supervisor's.
     pub core_slots: Vec<CoreSlot>,
-    /// Desks that broke, cores that were lost, and calls answered for cores that stood still.
-    pub dispatcher_restarts: AtomicU64,
-    pub cores_lost: AtomicU64,
-    pub responses_for_stalled_cores: AtomicU64,
+    /// Counts of faults.
+    pub faults: FaultCounters,
+    /// Wakes the supervisor: the dispatcher's next deadline has become an earlier one.
     pub deadline_moved: Notify,
+    /// Set once the gateway shuts down.
     pub stopping: AtomicBool,
-    /// Bytes in hand, and client connections.
+    /// Bytes of bodies in memory.
     pub buffered_bytes: Arc<Budget>,
-    pub client_connections: Budget,
-    pub connection_closed: Notify,
+    /// The limit on client connections.
+    pub client_connections: Arc<ConnectionLimit>,
     next_connection_id: AtomicU64,
-    connection_limits: Mutex<BTreeMap<SocketAddr, Arc<ConnectionLimit>>>,
-    /// Told apart in logs and ids from other gateways and earlier lives.
+    /// By worker address; unused ones are removed by [`remove_unused_limits`](Self::remove_unused_limits).
+    worker_limits: Mutex<BTreeMap<SocketAddr, Arc<ConnectionLimit>>>,
+    /// Differs from that of other gateways and of earlier processes of this one.
     pub instance_id: u32,
 }
 
-/// Seats at latest: one bit each in the set of those to be woken.
-pub const MAX_CORES: usize = 63;
-
 impl SharedRuntime {
+    /// The state of a gateway before it serves.
     pub fn new(config: GatewayConfig) -> Arc<Self> {
-        let cores = config.limits.cores.clamp(1, MAX_CORES);
-        // A call has few mailbox_capacity at a time: its shots, their ends and its answer; the rest is for orders and probes.
-        let mailbox_capacity = config.limits.max_open_requests.saturating_mul(8).saturating_add(1 << 16);
+        let limits = &config.limits;
+        let cores = limits.cores.clamp(1, MAX_CORES);
+        let request_messages = limits.max_open_requests.saturating_mul(MESSAGES_PER_REQUEST);
+        let mailbox_capacity = request_messages.saturating_add(OTHER_MESSAGES);
         Arc::new(Self {
-            began: Instant::now(),
-            state: Mutex::new(State {
+            started: Instant::now(),
+            state: Mutex::new(DispatcherState {
                 dispatcher: Dispatcher::new(&config, unix_time()),
                 endpoints: BTreeMap::new(),
                 next_wakeup: f64::INFINITY,
             }),
             core_slots: (0..=cores).map(|_| CoreSlot::new(mailbox_capacity)).collect(),
-            dispatcher_restarts: AtomicU64::new(0),
-            cores_lost: AtomicU64::new(0),
-            responses_for_stalled_cores: AtomicU64::new(0),
+            faults: FaultCounters::default(),
             deadline_moved: Notify::new(),
             stopping: AtomicBool::new(false),
-            buffered_bytes: Arc::new(Budget::new(config.limits.max_buffered_bytes)),
-            client_connections: Budget::new(config.limits.max_connections),
-            connection_closed: Notify::new(),
+            buffered_bytes: Arc::new(Budget::new(limits.max_buffered_bytes)),
+            client_connections: ConnectionLimit::new(limits.max_connections),
             next_connection_id: AtomicU64::new(0),
-            connection_limits: Mutex::default(),
+            worker_limits: Mutex::default(),
             instance_id: RandomState::new().hash_one(std::process::id()) as u32,
             config,
         })
     }
 
-    /// Cores; also the keeper's seat.
+    /// How many cores serve clients; also the index of the supervisor's slot.
     pub fn cores(&self) -> usize {
         self.core_slots.len() - 1
     }
 
+    /// The supervisor's slot.
     pub fn supervisor(&self) -> &CoreSlot {
         &self.core_slots[self.cores()]
     }
 
-    /// Seconds on the true clock since the start.
+    /// Seconds since the start, by the monotonic clock.
     pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started.elapsed().as_secs_f64()
     }
 
+    /// An id for a client connection.
     pub fn new_connection_id(&self) -> u64 {
         self.next_connection_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Enters the desk. One whose decisions broke is replaced by an empty one first.
-    fn lock(&self) -> MutexGuard<'_, State> {
+    /// Locks the dispatcher. One that panicked is restarted first.
+    fn lock(&self) -> MutexGuard<'_, DispatcherState> {
         self.state.lock().unwrap_or_else(|poisoned| {
             let mut state = poisoned.into_inner();
             self.restart_dispatcher(&mut state);
@@ -230,176 +140,97 @@
         })
     }
 
-    fn restart_dispatcher(&self, state: &mut State) {
+    fn restart_dispatcher(&self, state: &mut DispatcherState) {
         let now = self.now();
-        let open = state.dispatcher.restart(&self.config, now);
-        self.dispatcher_restarts.fetch_add(1, Ordering::Relaxed);
+        let interrupted = state.dispatcher.restart(&self.config, now);
+        self.faults.dispatcher_restarts.fetch_add(1, Ordering::Relaxed);
         tracing::error!(
-            calls = open.len(),
-            "the decisions broke; they begin anew, and open calls are answered"
+            requests = interrupted.len(),
+            "dispatcher panicked; restarting it and answering all open requests"
         );
         let endpoints: Vec<_> = state.endpoints.values().cloned().collect();
         if !endpoints.is_empty() {
             state.dispatcher.update_endpoints(now, true, &endpoints);
         }
-        for InterruptedRequest { context: location, may_have_run } in open {
-            let local = LocalResponse::interrupted(may_have_run);
-            self.post(
-                location.core,
-                CoreMessage::Respond {
-                    request_slot: location.request_slot,
-                    local,
-                    channel: location.channel,
-                },
-            );
-            self.core_slots[location.core].wake.notify_one();
+        for InterruptedRequest { context: location, may_have_run } in interrupted {
+            let RequestLocation { core, request_slot, channel } = location;
+            let response = LocalResponse::interrupted(may_have_run);
+            self.post(core, CoreMessage::Respond { request_slot, response, channel });
+            self.core_slots[core].wake.notify_one();
         }
         state.next_wakeup = f64::NEG_INFINITY;
         self.deadline_moved.notify_one();
     }
 
-    /// Tells the desk something at the present time; `seat` is the core that does. What follows is posted, and the
-    /// other cores are woken for theirs.
+    /// Calls the dispatcher at the present time, posts the messages that follow, and wakes the cores that get them.
+    /// `calling_core` is not woken: it looks into its mailbox itself.
     pub fn with_dispatcher<R>(
         &self,
-        core: Option<usize>,
+        calling_core: Option<usize>,
         operation: impl FnOnce(&mut Dispatcher<RequestLocation>, f64) -> R,
     ) -> R {
-        /// Seconds past which one event's decisions are worth a line in the log.
-        const SLOW_DECISION: f64 = 0.02;
         let mut state = self.lock();
-        // Read under the lock: the desk's time never goes back, whichever core comes next.
+        // Read under the lock, so that the dispatcher's time never goes back, whichever core is next.
         let now = self.now();
         let result = operation(&mut state.dispatcher, now);
-        let mut wake = 0u64;
-        while let Some(action) = state.dispatcher.next_action() {
-            if let Some((to, message)) = self.message_for(&mut state.dispatcher, core, now, action) {
-                wake |= u64::from(self.post(to, message)) << to;
-            }
-        }
-        let next = state.dispatcher.next_deadline().unwrap_or(f64::INFINITY);
-        if next < state.next_wakeup {
-            state.next_wakeup = next;
+        let woken = self.post_actions(&mut state.dispatcher, calling_core, now);
+        let deadline = state.dispatcher.next_deadline().unwrap_or(f64::INFINITY);
+        if deadline < state.next_wakeup {
+            state.next_wakeup = deadline;
             self.deadline_moved.notify_one();
         }
-        let elapsed = self.now() - now;
-        if elapsed > SLOW_DECISION {
+        let seconds = self.now() - now;
+        if seconds > SLOW_DISPATCHER_CALL {
             let (open, functions) = (state.dispatcher.open_requests(), state.dispatcher.function_count());
-            tracing::warn!(seconds = elapsed, open, functions, "one event took long to decide");
+            tracing::warn!(seconds, open, functions, "one call of the dispatcher took long");
         }
         drop(state);
-        for (n, other) in self.core_slots.iter().enumerate() {
-            if wake >> n & 1 == 1 && core != Some(n) {
-                other.wake.notify_one();
+        for (core, slot) in self.core_slots.iter().enumerate() {
+            if woken >> core & 1 == 1 && calling_core != Some(core) {
+                slot.wake.notify_one();
             }
         }
         result
     }
 
-    /// Posts an errand; true where its core must be woken. Called state the desk, so that mailbox_capacity lie in the order
-    /// of the desk's acts.
+    /// Posts what the dispatcher has decided; the cores to wake, one bit each.
+    fn post_actions(
+        &self,
+        dispatcher: &mut Dispatcher<RequestLocation>,
+        calling_core: Option<usize>,
+        now: f64,
+    ) -> u64 {
+        let router = ActionRouter { calling_core, cores: self.cores(), now };
+        let mut woken = 0;
+        while let Some(action) = dispatcher.next_action() {
+            if let Some(RoutedMessage { core, message }) = router.route(dispatcher, action) {
+                woken |= u64::from(self.post(core, message)) << core;
+            }
+        }
+        woken
+    }
+
+    /// Puts a message into a mailbox; true where its core must be woken.
     fn post(&self, core: usize, message: CoreMessage) -> bool {
         self.core_slots[core].mail.put(message).unwrap_or_else(|_| {
-            tracing::error!(core, "a core's mailbox is full; what it was to do is left to its time limits");
+            tracing::error!(core, "mailbox full; message dropped, time limits will end what it was about");
             false
         })
     }
 
-    /// Posts an errand that no event led to.
+    /// Sends a core a message that did not follow from an action.
     pub fn send(&self, core: usize, message: CoreMessage) {
         if self.post(core, message) {
             self.core_slots[core].wake.notify_one();
         }
     }
 
-    /// Makes an act into an errand for a core: a call's local, and for the rest the one at the desk, or that to
-    /// which the worker falls where the keeper is.
-    fn message_for(
-        &self,
-        dispatcher: &mut Dispatcher<RequestLocation>,
-        core: Option<usize>,
-        now: f64,
-        action: Action,
-    ) -> Option<(usize, CoreMessage)> {
-        let executing_core =
-            |worker: usize| core.filter(|s| *s < self.cores()).unwrap_or(worker % self.cores());
-        let endpoint_of = |dispatcher: &Dispatcher<RequestLocation>, worker| {
-            let WorkerProcess { address, process } = dispatcher.worker_process(worker);
-            Endpoint { address, process }
-        };
-        let respond = |dispatcher: &mut Dispatcher<RequestLocation>, request, local| {
-            let location = dispatcher.context(request)?;
-            Some((
-                location.core,
-                CoreMessage::Respond {
-                    request_slot: location.request_slot,
-                    local,
-                    channel: location.channel.clone(),
-                },
-            ))
-        };
-        match action {
-            Action::SendAttempt { request, attempt, worker } => {
-                let endpoint = endpoint_of(dispatcher, worker);
-                // None where it was called off in the same breath.
-                let time_left = dispatcher.time_left(now, request, attempt)?;
-                let function = dispatcher.function(request)?;
-                let location = dispatcher.context(request)?;
-                let (core, request_slot) = (location.core, location.request_slot);
-                Some((
-                    core,
-                    CoreMessage::SendAttempt {
-                        request,
-                        request_slot,
-                        attempt,
-                        worker,
-                        endpoint,
-                        function,
-                        time_left,
-                    },
-                ))
-            }
-            Action::CancelAttempt { request, attempt } => {
-                let location = dispatcher.context(request)?;
-                Some((
-                    location.core,
-                    CoreMessage::CancelAttempt { request, request_slot: location.request_slot, attempt },
-                ))
-            }
-            Action::Reject { request, retry_after } => {
-                respond(dispatcher, request, LocalResponse::Rejected(retry_after))
-            }
-            Action::Fail { request, timed_out } => {
-                respond(dispatcher, request, LocalResponse::Failed { timed_out })
-            }
-            Action::LoadFunction { load_request, worker, function, instances } => Some((
-                executing_core(worker),
-                CoreMessage::LoadFunction {
-                    load_request,
-                    worker,
-                    endpoint: endpoint_of(dispatcher, worker),
-                    function,
-                    instances,
-                },
-            )),
-            Action::UnloadFunction { worker, function } => Some((
-                executing_core(worker),
-                CoreMessage::UnloadFunction { worker, endpoint: endpoint_of(dispatcher, worker), function },
-            )),
-            Action::HealthCheck { worker, serial } => Some((
-                executing_core(worker),
-                CoreMessage::HealthCheck { worker, endpoint: endpoint_of(dispatcher, worker), serial },
-            )),
-            Action::WatchEndpoints => Some((self.cores(), CoreMessage::WatchEndpoints)),
-        }
-    }
-
-    /// Looks something up at the desk.
-    pub fn query_dispatcher<R>(&self, operation: impl FnOnce(&mut Dispatcher<RequestLocation>) -> R) -> R {
-        operation(&mut self.lock().dispatcher)
+    /// Reads from the dispatcher.
+    pub fn query_dispatcher<R>(&self, query: impl FnOnce(&mut Dispatcher<RequestLocation>) -> R) -> R {
+        query(&mut self.lock().dispatcher)
     }
 
-    /// The figures of a function, as they are in force. Where no change can come the desk is not entered.
+    /// The configuration of a function as it is in force. Without a config log it can't change, and nothing is locked.
     pub fn function_config(&self, function: &str) -> FunctionConfig {
         match &self.config.config_log {
             None => self.config.functions.resolve(function),
@@ -407,68 +238,74 @@
         }
     }
 
-    /// Passes on one edition of the worker list, and keeps what it says.
-    pub fn update_endpoints(&self, core: Option<usize>, complete: bool, entries: &[Entry]) {
-        {
-            let mut state = self.lock();
-            if complete {
-                state.endpoints.clear();
-            }
-            for entry in entries {
-                if entry.state == Standing::Gone {
-                    state.endpoints.remove(&entry.name);
-                } else {
-                    state.endpoints.insert(entry.name.clone(), entry.clone());
-                }
-            }
-        }
-        self.with_dispatcher(core, |dispatcher, now| {
+    /// Passes one revision of the endpoint list to the dispatcher; `complete` says that it replaces all before it.
+    pub fn update_endpoints(&self, calling_core: Option<usize>, complete: bool, entries: &[Entry]) {
+        self.store_endpoints(complete, entries);
+        self.with_dispatcher(calling_core, |dispatcher, now| {
             dispatcher.wall_clock_read(now, unix_time());
             dispatcher.update_endpoints(now, complete, entries);
         });
     }
 
-    /// Ends the calls of a core that is lost; gives their lines, and whether something of them may have run.
-    pub fn cancel_requests_of_core(&self, core: usize) -> Vec<(Arc<ResponseChannel>, bool)> {
+    fn store_endpoints(&self, complete: bool, entries: &[Entry]) {
+        let mut state = self.lock();
+        if complete {
+            state.endpoints.clear();
+        }
+        for entry in entries {
+            if entry.state == Standing::Gone {
+                state.endpoints.remove(&entry.name);
+            } else {
+                state.endpoints.insert(entry.name.clone(), entry.clone());
+            }
+        }
+    }
+
+    /// Cancels all open requests of a core that is lost.
+    pub fn cancel_requests_of_core(&self, core: usize) -> Vec<CancelledRequest> {
         self.with_dispatcher(None, |dispatcher, now| {
             let requests = dispatcher.requests(|location| location.core == core);
             let cancel = |request| {
                 let channel = dispatcher.context(request)?.channel.clone();
-                Some((channel, dispatcher.client_gone(now, request)))
+                let may_have_run = dispatcher.client_gone(now, request);
+                Some(CancelledRequest { channel, may_have_run })
             };
             requests.into_iter().filter_map(cancel).collect()
         })
     }
 
-    /// Sets the keeper's clock for what is due next, at latest `latest`.
+    /// Sets when the supervisor wakes next, at `latest` or at the dispatcher's next deadline, and returns it.
     pub fn schedule_wakeup(&self, latest: f64) -> f64 {
         let mut state = self.lock();
         state.next_wakeup = state.dispatcher.next_deadline().unwrap_or(f64::INFINITY).min(latest);
         state.next_wakeup
     }
 
-    /// Whether something is due for so long that the keeper must be standing still.
-    pub fn is_overdue(&self, by: f64) -> bool {
+    /// Whether a deadline passed more than `seconds` ago, so that the supervisor must be stalled.
+    pub fn is_overdue(&self, seconds: f64) -> bool {
         let now = self.now();
-        self.query_dispatcher(|dispatcher| dispatcher.next_deadline()).is_some_and(|next| next < now - by)
+        let deadline = self.query_dispatcher(|dispatcher| dispatcher.next_deadline());
+        deadline.is_some_and(|deadline| deadline < now - seconds)
     }
 
+    /// Counts of requests since the start.
     pub fn counters(&self) -> Counters {
         self.query_dispatcher(|dispatcher| dispatcher.counters())
     }
 
-    /// The connections of a worker, over all cores.
-    pub fn connection_limit(&self, address: SocketAddr) -> Arc<ConnectionLimit> {
-        let mut connection_limits = self.connection_limits.lock().unwrap_or_else(PoisonError::into_inner);
-        connection_limits
-            .entry(address)
-            .or_insert_with(|| Arc::new(ConnectionLimit::new(self.config.limits.max_connections_per_worker)))
-            .clone()
+    /// The limit on connections to a worker, over all cores.
+    pub fn worker_connection_limit(&self, address: SocketAddr) -> Arc<ConnectionLimit> {
+        let max_connections = self.config.limits.max_connections_per_worker;
+        let new_limit = || ConnectionLimit::new(max_connections);
+        self.worker_limits().entry(address).or_insert_with(new_limit).clone()
     }
 
-    /// Forgets the rooms that no connection is in.
+    /// Forgets the limits of workers to which no connection is open.
     pub fn remove_unused_limits(&self) {
-        let mut connection_limits = self.connection_limits.lock().unwrap_or_else(PoisonError::into_inner);
-        connection_limits.retain(|_, limit| Arc::strong_count(limit) > 1);
+        self.worker_limits().retain(|_, limit| Arc::strong_count(limit) > 1);
+    }
+
+    fn worker_limits(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Arc<ConnectionLimit>>> {
+        self.worker_limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- /dev/null
+++ b/crates/gateway/src/worker_commands.rs
@@ -0,0 +1,100 @@
+//! What the gateway asks of workers on its own account: to load or unload a function, and whether they are ready.
+
+use crate::connection_pool::WorkerTarget;
+use crate::core_context::CoreContext;
+use crate::worker_exchange::{ExchangeError, PendingResponse, build_request, exchange, host, read_body};
+use crate::worker_response::{load_report, load_result};
+use bytes::Bytes;
+use http::Method;
+use http::header::{self, HeaderMap, HeaderValue};
+use http::response::Parts;
+use milletpath_dispatcher::dispatcher::RequestId;
+use milletpath_policy::host::{Outcome, Report};
+use milletpath_protocol::worker as wire;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A request without a body.
+struct Command {
+    method: Method,
+    path: String,
+    /// The instances that are asked for, in a load request.
+    instances: Option<u8>,
+}
+
+/// Sends a command; the head of the response once its body is read.
+async fn send(
+    context: &CoreContext,
+    target: WorkerTarget,
+    command: Command,
+    may_send: impl FnMut() -> bool,
+) -> Result<Parts, ExchangeError> {
+    let Command { method, path, instances } = command;
+    let mut headers = HeaderMap::new();
+    headers.insert(header::HOST, host(target.endpoint));
+    if let Some(instances) = instances {
+        headers.insert(&wire::COPIES, HeaderValue::from(u16::from(instances)));
+    }
+    let request = build_request(method, path, headers, Bytes::new()).ok_or(ExchangeError::NoConnection)?;
+    let PendingResponse { response, connection } = exchange(context, target, request, may_send).await?;
+    let (head, body) = response.into_parts();
+    read_body(context, body).await.map_err(|_| ExchangeError::Interrupted)?;
+    context.return_connection(target.worker, connection);
+    Ok(head)
+}
+
+/// Has a worker load instances of a function, and reports what came of it.
+pub async fn load_function(
+    context: Rc<CoreContext>,
+    load_request: RequestId,
+    target: WorkerTarget,
+    function: Arc<str>,
+    instances: u8,
+) {
+    let command = Command { method: Method::POST, path: wire::load(&function), instances: Some(instances) };
+    let may_send =
+        || context.with_dispatcher(|dispatcher, now| dispatcher.begin_load_request(now, load_request));
+    let timeout = Duration::from_secs_f64(context.config().policy.order_wait);
+    let response = tokio::time::timeout(timeout, send(&context, target, command, may_send));
+    // The dispatcher ends the load request at the same time; here only the connection is closed.
+    let Ok(response) = response.await else { return };
+    let (outcome, loaded) = match response {
+        Ok(head) => load_result(&head, instances),
+        Err(error) => match error.outcome() {
+            Some(outcome) => (outcome, 0),
+            None => return,
+        },
+    };
+    context.with_dispatcher(|dispatcher, now| {
+        dispatcher.load_request_ended(now, load_request, outcome, loaded);
+    });
+}
+
+/// Has a worker unload idle instances. Nothing depends on the response.
+pub async fn unload_function(context: Rc<CoreContext>, target: WorkerTarget, function: Arc<str>) {
+    let command = Command { method: Method::POST, path: wire::unload(&function), instances: None };
+    let timeout = Duration::from_secs_f64(context.limits().probe_timeout);
+    let _ = tokio::time::timeout(timeout, send(&context, target, command, || true)).await;
+}
+
+/// Asks a worker whether it is ready, and reports the answer.
+pub async fn health_check(context: Rc<CoreContext>, target: WorkerTarget, serial: u64) {
+    let command = Command { method: Method::GET, path: wire::READY.to_owned(), instances: None };
+    let timeout = Duration::from_secs_f64(context.limits().probe_timeout);
+    let response = tokio::time::timeout(timeout, send(&context, target, command, || true));
+    // The dispatcher ends the check at the same time.
+    let Ok(response) = response.await else { return };
+    let (outcome, report) = health(response);
+    context.with_dispatcher(|dispatcher, now| {
+        dispatcher.health_check_ended(now, target.worker, serial, outcome, report);
+    });
+}
+
+fn health(response: Result<Parts, ExchangeError>) -> (Outcome, Option<Report>) {
+    match response {
+        Ok(head) if head.status.is_success() => (Outcome::Handled, load_report(&head.headers)),
+        Ok(head) => (Outcome::Failed, load_report(&head.headers)),
+        Err(error) => (error.outcome().unwrap_or(Outcome::Unsent), None),
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/worker_exchange.rs
@@ -0,0 +1,151 @@
+//! One HTTP exchange with a worker, on a pooled connection or a new one. Errors say what is known: that the worker never
+//! got the request is certain only where nothing of it was written.
+
+use crate::body_buffer::BodyBuffer;
+use crate::connection_pool::{Body, Connection, Endpoint, WorkerTarget};
+use crate::core_context::{ConnectError, CoreContext};
+use crate::io_fault::ConnectFault;
+use crate::response::BufferedBytes;
+use bytes::Bytes;
+use http::header::{HeaderMap, HeaderValue};
+use http::{Method, Request, Response};
+use http_body::Body as _;
+use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
+use milletpath_policy::host::Outcome;
+
+/// Why an exchange brought no response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ExchangeError {
+    /// The worker gave no connection, or closed it before anything was written.
+    #[error("the worker can't be reached")]
+    Unreachable,
+    /// The worker's connections are all in use, or this machine can't open one.
+    #[error("no connection is available")]
+    NoConnection,
+    /// The dispatcher decided at the last moment not to send the request.
+    #[error("the request was withheld")]
+    Withheld,
+    /// The connection failed after part of the request was written, or the response was malformed.
+    #[error("the exchange was interrupted")]
+    Interrupted,
+}
+
+impl ExchangeError {
+    /// The outcome of an attempt that failed so; `None` where the dispatcher has counted it already.
+    pub fn outcome(self) -> Option<Outcome> {
+        match self {
+            Self::Unreachable => Some(Outcome::Unreached),
+            Self::NoConnection => Some(Outcome::Unsent),
+            Self::Withheld => None,
+            Self::Interrupted => Some(Outcome::Cut),
+        }
+    }
+}
+
+impl From<ConnectError> for ExchangeError {
+    fn from(error: ConnectError) -> Self {
+        match error {
+            ConnectError::LimitReached => Self::NoConnection,
+            ConnectError::Io(error) if ConnectFault::of(&error) == ConnectFault::Local => Self::NoConnection,
+            ConnectError::Io(_) => Self::Unreachable,
+        }
+    }
+}
+
+/// A response whose body has not been read, and the connection that it arrives on.
+pub struct PendingResponse {
+    /// The response.
+    pub response: Response<Incoming>,
+    /// To be returned to its pool once the body is read.
+    pub connection: Connection,
+}
+
+/// Sends one request. `may_send` is asked right before it is written. A pooled connection that was closed before
+/// anything was written proves that the worker did not get the request: another one is used.
+pub async fn exchange(
+    context: &CoreContext,
+    target: WorkerTarget,
+    mut request: Request<Body>,
+    mut may_send: impl FnMut() -> bool,
+) -> Result<PendingResponse, ExchangeError> {
+    loop {
+        let (mut connection, is_new) = match context.idle_connection(target) {
+            Some(connection) => (connection, false),
+            None => (context.connect(target).await?, true),
+        };
+        if connection.sender.ready().await.is_err() {
+            if is_new {
+                return Err(ExchangeError::Unreachable);
+            }
+            continue;
+        }
+        context.wait_until_responsive().await;
+        if !may_send() {
+            context.return_connection(target.worker, connection);
+            return Err(ExchangeError::Withheld);
+        }
+        connection.write_permit.grant();
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => return Ok(PendingResponse { response, connection }),
+            // This thread was stalled between the decision and the write.
+            Err(_) if connection.write_permit.was_refused() => return Err(ExchangeError::NoConnection),
+            Err(mut error) => match error.take_message() {
+                // Given back whole: nothing of it was written.
+                Some(unwritten) if !is_new => request = unwritten,
+                Some(_) => return Err(ExchangeError::Unreachable),
+                None => return Err(ExchangeError::Interrupted),
+            },
+        }
+    }
+}
+
+/// Builds a request; `None` where the path is no URI.
+pub fn build_request(method: Method, path: String, headers: HeaderMap, body: Bytes) -> Option<Request<Body>> {
+    let mut request = Request::builder().method(method).uri(path).body(Full::new(body)).ok()?;
+    *request.headers_mut() = headers;
+    Some(request)
+}
+
+/// The `Host` field for a worker.
+pub fn host(endpoint: Endpoint) -> HeaderValue {
+    HeaderValue::from_str(&endpoint.address.to_string()).unwrap_or(HeaderValue::from_static("worker"))
+}
+
+/// Why a response's body is incomplete.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BodyError {
+    /// The connection failed.
+    #[error("the connection failed within the body")]
+    Interrupted,
+    /// It is larger than allowed, by itself or with all other bodies in memory.
+    #[error("the body is too large")]
+    TooLarge,
+}
+
+/// A body that was read to its end.
+pub struct BufferedBody {
+    /// The body.
+    pub bytes: Bytes,
+    /// Its part of the limit on buffered bytes.
+    pub reservation: BufferedBytes,
+}
+
+/// Reads a response's body, within the limits on one body and on all bodies together.
+pub async fn read_body(context: &CoreContext, mut body: Incoming) -> Result<BufferedBody, BodyError> {
+    let max_bytes = context.limits().max_response_body;
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(BodyError::TooLarge);
+    }
+    let mut buffer = BodyBuffer::default();
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame.map_err(|_| BodyError::Interrupted)?.into_data() else { continue };
+        if buffer.len() + data.len() > max_bytes {
+            return Err(BodyError::TooLarge);
+        }
+        buffer.push(data);
+    }
+    let bytes = buffer.into_bytes();
+    let reservation = context.reserve_buffer(bytes.len()).ok_or(BodyError::TooLarge)?;
+    Ok(BufferedBody { bytes, reservation })
+}
--- /dev/null
+++ b/crates/gateway/src/worker_response.rs
@@ -0,0 +1,96 @@
+//! What the header fields of a worker's response say: the outcome of an attempt, the worker's load report, and which
+//! fields are passed on.
+
+use http::header::{self, HeaderMap, HeaderName};
+use http::response::Parts;
+use milletpath_dispatcher::dispatcher::AttemptResult;
+use milletpath_policy::host::{Found, Outcome, Report};
+use milletpath_protocol::{orca, worker as wire};
+
+/// Fields with this prefix are the gateway's own.
+const OWN_FIELDS: &str = "milletpath-";
+
+/// Whether a field concerns one connection only (RFC 9110, 7.6.1), is made anew for each, or is set by the gateway
+/// alone.
+fn is_connection_specific(name: &HeaderName) -> bool {
+    matches!(
+        *name,
+        header::CONNECTION
+            | header::CONTENT_LENGTH
+            | header::EXPECT
+            | header::HOST
+            | header::PROXY_AUTHENTICATE
+            | header::PROXY_AUTHORIZATION
+            | header::TE
+            | header::TRAILER
+            | header::TRANSFER_ENCODING
+            | header::UPGRADE
+    ) || matches!(name.as_str(), "keep-alive" | "proxy-connection" | "endpoint-load-metrics")
+        || name.as_str().starts_with(OWN_FIELDS)
+}
+
+/// Removes the fields that must not be passed on, among them those that `Connection` names.
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let connection = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    let named = connection.flat_map(|value| value.split(',')).filter_map(|name| name.trim().parse().ok());
+    let specific = headers.keys().filter(|name| is_connection_specific(name)).cloned();
+    let removed: Vec<HeaderName> = named.chain(specific).collect();
+    for name in &removed {
+        headers.remove(name);
+    }
+}
+
+/// A worker's load report (ORCA); `None` where there is none or it is malformed.
+pub fn load_report(headers: &HeaderMap) -> Option<Report> {
+    let text = headers.get(&orca::FIELD)?.to_str().ok()?;
+    let mut report = Report::default();
+    let parsed = orca::read(text, |name, figure| match name {
+        orca::BUSY => report.busy = Some(figure),
+        orca::MEMORY => report.memory = Some(figure),
+        orca::HELD => report.held = Some(figure),
+        orca::WAITING => report.waiting = Some(figure),
+        orca::LOADING => report.loading = Some(figure),
+        _ => {}
+    });
+    if let Err(error) = parsed {
+        tracing::debug!(%error, "malformed load report ignored");
+        return None;
+    }
+    Some(report)
+}
+
+/// The result of an attempt by the head of its response. A worker's word that it refused the request is believed; a bare
+/// server error may come from an intermediary, and the request may have run.
+pub fn attempt_result(head: &Parts) -> AttemptResult {
+    let is_error = head.status.is_client_error() || head.status.is_server_error();
+    let refused = wire::refused(&head.headers).filter(|_| is_error);
+    let outcome = match refused {
+        Some(wire::Refused::Full | wire::Refused::Draining) => Outcome::Full,
+        Some(wire::Refused::Missing) => Outcome::Missed,
+        // Also where it says that the client's input was wrong.
+        None if head.status.as_u16() < 500 => Outcome::Handled,
+        None => Outcome::Failed,
+    };
+    let found = wire::found(&head.headers).map(|found| match found {
+        wire::Found::Loaded => Found::Loaded,
+        wire::Found::Began => Found::BeganLoad,
+        wire::Found::Awaited => Found::AwaitedLoad,
+        wire::Found::Failed => Found::LoadFailed,
+    });
+    let company = wire::count(&head.headers, &wire::COMPANY).ok().flatten().unwrap_or(0);
+    let report = load_report(&head.headers);
+    AttemptResult { outcome, found, company: company.into(), report, answers_client: false }
+}
+
+/// The outcome of a load request by the head of its response, and the instances that the worker now has; `requested` is
+/// assumed where a success does not say.
+pub fn load_result(head: &Parts, requested: u8) -> (Outcome, u8) {
+    if head.status.is_success() {
+        let instances = wire::count(&head.headers, &wire::COPIES).ok().flatten();
+        return (Outcome::Handled, instances.unwrap_or(requested.into()).min(u8::MAX.into()) as u8);
+    }
+    match wire::refused(&head.headers) {
+        Some(wire::Refused::Full | wire::Refused::Draining) => (Outcome::Full, 0),
+        Some(wire::Refused::Missing) | None => (Outcome::Failed, 0),
+    }
+}
--- a/crates/gateway/src/write_timeout.rs
+++ b/crates/gateway/src/write_timeout.rs
@@ -1,5 +1,5 @@
-//! A client's connection that gives up on a peer which takes nothing for too long, so that answers nobody reads do
-//! not stay in memory.
+//! A stream that fails where the peer accepts no bytes for too long, so that responses nobody reads don't stay in
+//! memory.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use std::future::Future;
@@ -9,28 +9,30 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Past the time limit: a limit that passed while the process stood still fires before the runtime has heard that the
-/// peer has taken something meanwhile.
+/// Time after the limit in which the runtime learns of the socket's state: a limit that passed while the process was
+/// suspended fires before the runtime knows that the peer has accepted bytes meanwhile.
 const RECHECK: Duration = Duration::from_millis(20);
 
+/// Limits the time for which a write may be pending.
 pub struct WriteTimeout<S> {
     stream: S,
-    stall: Duration,
-    /// Set while a write pending_write.
+    limit: Duration,
+    /// Set while a write is pending.
     pending_write: Option<WriteLimit>,
 }
 
 struct WriteLimit {
     sleep: Pin<Box<Sleep>>,
+    /// Whether the limit is checked once more after it has passed.
     rechecks: bool,
 }
 
 impl WriteLimit {
-    fn new(stall: Duration) -> Self {
-        Self { sleep: Box::pin(sleep_until(Instant::now() + stall)), rechecks: true }
+    fn new(limit: Duration) -> Self {
+        Self { sleep: Box::pin(sleep_until(Instant::now() + limit)), rechecks: true }
     }
 
-    /// Ready once the limit has passed, and the runtime has had the time to hear of the socket since.
+    /// Ready once the limit has passed, and the runtime has had time to learn of the socket since.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.sleep.as_mut().poll(cx).is_ready() {
             if !std::mem::take(&mut self.rechecks) {
@@ -43,21 +45,23 @@
 }
 
 impl<S> WriteTimeout<S> {
-    pub fn new(stream: S, stall: Duration) -> Self {
-        Self { stream, stall, pending_write: None }
+    /// Limits writes on `stream`.
+    pub fn new(stream: S, limit: Duration) -> Self {
+        Self { stream, limit, pending_write: None }
     }
 
-    /// Passes on what a write came to; one that pending_write is given so much time in all.
-    fn limit<R>(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<R>>) -> Poll<io::Result<R>> {
+    /// Returns the result of a write; one that is pending for too long becomes an error.
+    fn apply<R>(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<R>>) -> Poll<io::Result<R>> {
         if result.is_ready() {
             self.pending_write = None;
             return result;
         }
-        let stall = self.stall;
-        match self.pending_write.get_or_insert_with(|| WriteLimit::new(stall)).poll(cx) {
-            Poll::Ready(()) => {
-                Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "the client reads nothing")))
-            }
+        let limit = self.limit;
+        match self.pending_write.get_or_insert_with(|| WriteLimit::new(limit)).poll(cx) {
+            Poll::Ready(()) => Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "the client accepted no bytes within the time limit",
+            ))),
             Poll::Pending => Poll::Pending,
         }
     }
@@ -76,17 +80,17 @@
 impl<S: Write + Unpin> Write for WriteTimeout<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.limit(cx, result)
+        self.apply(cx, result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.stream).poll_flush(cx);
-        self.limit(cx, result)
+        self.apply(cx, result)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.stream).poll_shutdown(cx);
-        self.limit(cx, result)
+        self.apply(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -99,6 +103,6 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.limit(cx, result)
+        self.apply(cx, result)
     }
 }
