--- a/crates/gateway/src/connection_pool/tests.rs
+++ b/crates/gateway/src/connection_pool/tests.rs
@@ -3,11 +3,11 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// The thread stands still between the verdict on a request and its first byte: it is not written, and what was
-/// refused is known to be so. Without a standstill it is written.
-#[test_case::test_case(2.0 * STILL, true; "a standstill")]
-#[test_case::test_case(0.0, false; "none")]
-fn what_was_true_before_a_standstill_is_not_written(stands: f64, refused: bool) {
+/// The thread is stalled between the decision to send a request and its first byte: nothing is written, and it is
+/// known that nothing was. Without a stall the request is written.
+#[test_case::test_case(2.0 * STILL, true; "stalled")]
+#[test_case::test_case(0.0, false; "not stalled")]
+fn a_request_decided_before_a_stall_is_not_written(stall: f64, refused: bool) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(tokio::task::LocalSet::new().run_until(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -20,7 +20,7 @@
         connection.write_permit.grant();
         let request = http::Request::get("/").body(Body::default()).unwrap();
         let sent = connection.sender.send_request(request);
-        std::thread::sleep(Duration::from_secs_f64(stands));
+        std::thread::sleep(Duration::from_secs_f64(stall));
         let sent = tokio::task::spawn_local(sent);
         let mut bytes = [0; 16];
         let read = stream.read(&mut bytes).await.unwrap();
--- a/crates/gateway/src/io_fault/tests.rs
+++ b/crates/gateway/src/io_fault/tests.rs
@@ -27,7 +27,7 @@
 #[test_case(ENOMEM, Resources)]
 #[test_case(ENOSR, Resources)]
 #[test_case(EINVAL, Resources)]
-fn errors_of_accept(errno: Errno, fault: AcceptFault) {
+fn accept_errors_are_classified(errno: Errno, fault: AcceptFault) {
     assert_eq!(AcceptFault::of(&error(errno)), fault);
 }
 
@@ -51,13 +51,13 @@
 #[test_case(EHOSTUNREACH, Worker)]
 #[test_case(EPIPE, Worker)]
 #[test_case(ETIMEDOUT, Worker)]
-fn errors_of_connect(errno: Errno, fault: ConnectFault) {
+fn connect_errors_are_classified(errno: Errno, fault: ConnectFault) {
     assert_eq!(ConnectFault::of(&error(errno)), fault);
 }
 
 /// An error that no system call gave says nothing of this machine.
 #[test]
-fn errors_without_a_number() {
+fn errors_without_an_errno_are_classified() {
     let error = io::Error::other("the handshake failed");
     assert_eq!((AcceptFault::of(&error), ConnectFault::of(&error)), (Resources, Worker));
 }
@@ -65,38 +65,42 @@
 /// Whatever fails and for however long, there is a pause before long, and none is longer than the bound.
 #[test_case(Connection, 64; "connections that are gone")]
 #[test_case(Resources, 0; "no resources")]
-fn pauses_grow_up_to_a_bound(fault: AcceptFault, free: usize) {
+fn pauses_grow_up_to_a_bound(fault: AcceptFault, immediate_retries: usize) {
     let mut backoff = Backoff::default();
     let pauses: Vec<_> = (0..100_000).map(|_| backoff.after_accept(fault)).collect();
-    assert!(pauses[..free].iter().all(Duration::is_zero));
-    assert_eq!(pauses[free..free + 3], [5, 10, 20].map(Duration::from_millis));
-    assert!(pauses[free + 5..].iter().all(|pause| *pause == Backoff::LONGEST));
+    assert!(pauses[..immediate_retries].iter().all(Duration::is_zero));
+    assert_eq!(pauses[immediate_retries..immediate_retries + 3], [5, 10, 20].map(Duration::from_millis));
+    assert!(pauses[immediate_retries + 5..].iter().all(|pause| *pause == Backoff::LONGEST));
     backoff.succeeded();
     assert_eq!(backoff.after_accept(Resources), Backoff::FIRST);
 }
 
-/// Plays attempts that fail so for so often; the outcome, and the attempts that were made.
-fn played(errno: Errno, failures: usize, patience: u64) -> (Result<usize, Option<i32>>, usize) {
+/// Makes attempts of which the first ones fail so; the outcome, and the attempts that were made.
+fn connect_with_failures(
+    errno: Errno,
+    failures: usize,
+    max_wait: u64,
+) -> (Result<usize, Option<i32>>, usize) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     let mut attempts = 0;
-    let made = runtime.block_on(connect(Duration::from_millis(patience), async || {
+    let made = runtime.block_on(connect(Duration::from_millis(max_wait), async || {
         attempts += 1;
         if attempts <= failures { Err(error(errno)) } else { Ok(attempts) }
     }));
     (made.map_err(|e| e.raw_os_error()), attempts)
 }
 
-#[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a fault of ours that passes")]
+#[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a local fault that passes")]
 #[test_case(EADDRNOTAVAIL, usize::MAX, 40, Err(EADDRNOTAVAIL), 4; "one that does not: 5, 10 and 20 ms, then no more")]
 #[test_case(ENETUNREACH, usize::MAX, 1, Err(ENETUNREACH), 1; "no time for a pause")]
-#[test_case(ECONNREFUSED, 1, 40, Err(ECONNREFUSED), 1; "a worker that refuses is not asked again")]
-fn connections_are_tried_again_within_bounds(
+#[test_case(ECONNREFUSED, 1, 40, Err(ECONNREFUSED), 1; "a worker that refuses is not tried again")]
+fn connecting_is_retried_for_a_bounded_time(
     errno: Errno,
     failures: usize,
-    patience: u64,
+    max_wait: u64,
     made: Result<usize, Errno>,
     attempts: usize,
 ) {
     let made = made.map_err(|errno| Some(errno as i32));
-    assert_eq!(played(errno, failures, patience), (made, attempts));
+    assert_eq!(connect_with_failures(errno, failures, max_wait), (made, attempts));
 }
--- /dev/null
+++ b/crates/gateway/tests/requests.rs
@@ -0,0 +1,346 @@
+//! Requests through a gateway on loopback: each test causes one failure and checks what client and workers receive.
+
+mod support;
+
+use std::time::Duration;
+use support::{
+    BARE_503, Behavior, FULL, IDEMPOTENT, IDEMPOTENT_WITH_KEY, KEY_KNOWN_BY_ZONE, NON_IDEMPOTENT, OK,
+    config_for, outcome, run, send_request, start_gateway, status,
+};
+use test_case::test_case;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// Request heads that a worker has received until now.
+fn received_heads(heads: &mut support::RequestHeads) -> Vec<String> {
+    std::iter::from_fn(|| heads.try_recv().ok()).collect()
+}
+
+#[test]
+fn a_request_is_forwarded_and_its_response_returned() {
+    run(async {
+        let (worker, mut heads) = support::start_worker(OK).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], "")).await;
+        let answer =
+            send_request(gateway_address, "x-own: 7\r\nmilletpath-patience: 2\r\nte: trailers\r\n", "hello")
+                .await;
+        assert_eq!((status(&answer), outcome(&answer)), (200, "handled"));
+        assert!(answer.ends_with("done") && answer.contains("milletpath-activation: "));
+        let head = &received_heads(&mut heads)[0];
+        assert!(head.starts_with("POST /v2/models/greet/infer HTTP/1.1") && head.ends_with("hello"));
+        assert!(
+            head.contains("x-own: 7") && !head.contains("patience") && !head.contains("trailers"),
+            "{head}"
+        );
+    });
+}
+
+/// With a moment left no attempt can be in time: the request is rejected at once, and nothing is sent.
+#[test_case("0.001", "bounced", 0; "a millisecond")]
+#[test_case("0.2", "handled", 1; "200 ms")]
+fn a_request_with_too_little_time_is_rejected_unsent(patience: &str, expected: &str, attempts: usize) {
+    run(async {
+        let (worker, mut heads) = support::start_worker(OK).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], "")).await;
+        let answer = send_request(gateway_address, &format!("milletpath-patience: {patience}\r\n"), "").await;
+        assert_eq!((outcome(&answer), received_heads(&mut heads).len()), (expected, attempts), "{answer}");
+    });
+}
+
+/// A worker dies during a request: idempotent ones are retried elsewhere, others fail. An idempotency key is known for
+/// 0.4 s: a request that was in flight for longer is not sent again.
+#[test_case(IDEMPOTENT, 0, "handled", 2; "pure")]
+#[test_case(IDEMPOTENT_WITH_KEY, 0, "handled", 2; "receipted")]
+#[test_case(IDEMPOTENT_WITH_KEY, 500, "bounced", 1; "receipted, and forgotten")]
+#[test_case(KEY_KNOWN_BY_ZONE, 0, "terminated", 1; "receipted, and known to no other worker")]
+#[test_case(NON_IDEMPOTENT, 0, "terminated", 1; "effectful")]
+fn a_request_whose_worker_dies_is_retried_only_if_idempotent(
+    profile: &str,
+    after: u64,
+    expected: &str,
+    attempts: usize,
+) {
+    run(async {
+        let (workers, mut heads) =
+            support::start_workers(2, vec![Behavior::RespondsAfter(after, "no answer"), OK]).await;
+        let (gateway_address, ..) = start_gateway(config_for(&workers, profile)).await;
+        let answer =
+            send_request(gateway_address, "idempotency-key: a\r\nmilletpath-patience: 2\r\n", "").await;
+        assert_eq!((outcome(&answer), received_heads(&mut heads).len()), (expected, attempts), "{answer}");
+    });
+}
+
+/// A bare 503 may come from an intermediary: only the worker's own refusal proves that nothing ran.
+#[test_case(BARE_503, "terminated"; "a bare error")]
+#[test_case(FULL, "bounced"; "its own word")]
+fn only_a_refusal_by_the_worker_proves_that_a_request_did_not_run(behavior: Behavior, expected: &str) {
+    run(async {
+        let (worker, mut heads) = support::start_worker(behavior).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], NON_IDEMPOTENT)).await;
+        let answer = send_request(gateway_address, "milletpath-patience: 0.6\r\n", "").await;
+        assert_eq!(outcome(&answer), expected, "{answer}");
+        assert!(!received_heads(&mut heads).is_empty());
+    });
+}
+
+/// Nobody listens: proof that the request did not run, also where it must not run twice.
+#[test]
+fn a_refused_connection_is_a_rejection() {
+    run(async {
+        let nobody = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let (gateway_address, ..) = start_gateway(config_for(&[nobody], NON_IDEMPOTENT)).await;
+        let answer = send_request(gateway_address, "milletpath-patience: 0.5\r\n", "").await;
+        assert_eq!((status(&answer), outcome(&answer)), (503, "bounced"));
+        assert!(answer.contains("retry-after: "));
+    });
+}
+
+/// The worker closes a pooled connection just as the next attempt is written on it. A request that is not idempotent
+/// must not be sent again unless nothing of it was written.
+#[test]
+fn a_pooled_connection_that_closes_during_an_attempt_runs_nothing_twice() {
+    run(async {
+        let script = (0..200).map(|n| if n % 2 == 0 { OK } else { Behavior::Closes }).collect();
+        let (workers, mut heads) = support::start_workers(1, script).await;
+        let (gateway_address, ..) = start_gateway(config_for(&workers, NON_IDEMPOTENT)).await;
+        let mut handled = 0;
+        for n in 0..40 {
+            let answer = send_request(gateway_address, "", &format!("call {n}.")).await;
+            let met =
+                received_heads(&mut heads).iter().filter(|h| h.ends_with(&format!("call {n}."))).count();
+            assert!(met <= 1, "sent {met} times");
+            assert_eq!(met == 1 && outcome(&answer) == "handled", outcome(&answer) == "handled");
+            handled += usize::from(outcome(&answer) == "handled");
+        }
+        assert_eq!(handled, 20);
+    });
+}
+
+/// Responses that are cut off, malformed, or larger than is passed on.
+#[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"), "failed"; "half an answer")]
+#[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf"), "failed"; "half a chunked one")]
+#[test_case(Behavior::RespondsAndCloses("\x13\x37 what\r\n\r\n"), "failed"; "garbage")]
+#[test_case(Behavior::Responds("HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n"), "answer-too-large"; "stated too large")]
+#[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\n\r\n0123456789012345678901234567890123456789"), "answer-too-large"; "found too large")]
+fn incomplete_malformed_and_oversized_responses_are_not_forwarded(behavior: Behavior, problem: &str) {
+    run(async {
+        let (worker, _heads) = support::start_worker(behavior).await;
+        let (gateway_address, ..) =
+            start_gateway(config_for(&[worker], &format!("{NON_IDEMPOTENT}limits {{ answer = 32 }}"))).await;
+        let answer = send_request(gateway_address, "", "").await;
+        assert_eq!((status(&answer), outcome(&answer)), (502, "terminated"));
+        assert!(answer.contains(&format!("urn:milletpath:problem:{problem}")), "{answer}");
+    });
+}
+
+/// A response that arrives at the deadline or later is dropped: the client gets one response, and the connection to the
+/// worker is closed.
+#[test]
+fn a_response_after_the_deadline_is_dropped() {
+    run(async {
+        let late = Behavior::RespondsAfter(320, "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate");
+        let (worker, _heads) = support::start_worker(late).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], NON_IDEMPOTENT)).await;
+        let answer = send_request(gateway_address, "milletpath-patience: 0.3\r\n", "").await;
+        assert_eq!((status(&answer), outcome(&answer)), (504, "terminated"));
+        assert!(!answer.contains("late\n") && answer.matches("HTTP/1.1").count() == 1);
+    });
+}
+
+/// The client disconnects: its attempt is cancelled by closing the connection, and nothing more is sent for it.
+#[test]
+fn the_attempt_of_a_disconnected_client_is_cancelled() {
+    run(async {
+        let (worker, mut heads) = support::start_worker(Behavior::NeverResponds).await;
+        let (gateway_address, stop, served) = start_gateway(config_for(&[worker], "")).await;
+        let mut client = TcpStream::connect(gateway_address).await.unwrap();
+        let head = b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
+        client.write_all(head).await.unwrap();
+        assert!(heads.recv().await.is_some());
+        drop(client);
+        tokio::time::sleep(Duration::from_millis(100)).await;
+        stop.send(()).unwrap();
+        let counters = served.await.unwrap();
+        assert_eq!(
+            (counters.accepted, counters.client_gone, counters.attempts, counters.succeeded),
+            (1, 1, 1, 0)
+        );
+        assert!(received_heads(&mut heads).is_empty());
+    });
+}
+
+/// Shutdown: open requests are finished, later ones on open connections are rejected, new connections are refused.
+#[test]
+fn a_stopping_gateway_finishes_its_open_requests() {
+    run(async {
+        let (worker, mut heads) = support::start_worker(Behavior::RespondsAfter(
+            300,
+            "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone",
+        ))
+        .await;
+        let (gateway_address, stop, served) = start_gateway(config_for(&[worker], "")).await;
+        let taken = tokio::task::spawn_local(send_request(gateway_address, "", ""));
+        assert!(heads.recv().await.is_some());
+        stop.send(()).unwrap();
+        tokio::time::sleep(Duration::from_millis(50)).await;
+        assert!(TcpStream::connect(gateway_address).await.is_err());
+        let answer = taken.await.unwrap();
+        assert_eq!(outcome(&answer), "handled", "{answer}");
+        assert_eq!(served.await.unwrap().succeeded, 1);
+    });
+}
+
+/// Whatever a client sends, it gets a clear response or none, and others are served.
+#[test_case(b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400; "a handshake of another protocol")]
+#[test_case(b"GET / HTTP/9.9\r\n\r\n", 400; "a version that there is not")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: -3\r\n\r\n", 400; "a negative length")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 3\r\ncontent-length: 9\r\n\r\n", 400; "two lengths")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n", 400; "a bad chunk")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 99\r\n\r\n", 413; "a body over the bound")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n40\r\n0123456789012345678901234567890123456789012345678901234567890123\r\n0\r\n\r\n", 413; "chunks over the bound")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 9\r\n\r\nhalf", 408; "a body that does not come")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nmilletpath-patience: soon\r\ncontent-length: 0\r\n\r\n", 400; "no patience")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nmilletpath-profile: other\r\ncontent-length: 0\r\n\r\n", 400; "no profile of ours")]
+#[test_case(b"DELETE /v1/functions/greet/activations HTTP/1.1\r\ncontent-length: 0\r\n\r\n", 405; "another method")]
+#[test_case(b"POST /v1/functions/gr%20eet/activations HTTP/1.1\r\ncontent-length: 0\r\n\r\n", 400; "no name")]
+fn malformed_requests_get_an_error_response(bytes: &[u8], expected: u16) {
+    run(async {
+        let (worker, _heads) = support::start_worker(OK).await;
+        let extra_config = "limits {\nbody = 32\nstall = 0.1\nhead = 0.5\n}";
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], extra_config)).await;
+        let answer = support::send_bytes(gateway_address, bytes).await;
+        assert_eq!(status(&answer), expected, "{answer}");
+        assert_eq!(outcome(&send_request(gateway_address, "", "").await), "handled");
+    });
+}
+
+/// Header fields that are too large, and ones that never end: the connection is closed within its limits.
+#[test]
+fn oversized_and_slow_request_heads_end_the_connection() {
+    run(async {
+        let (worker, _heads) = support::start_worker(OK).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], "limits { head = 0.2 }")).await;
+        let large = format!("POST / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(200_000));
+        assert!(
+            [0, 400, 431].contains(&status(&support::send_bytes(gateway_address, large.as_bytes()).await))
+        );
+        let answer = support::send_bytes(gateway_address, b"POST /v1/func").await;
+        assert!([0, 408].contains(&status(&answer)), "{answer}");
+        assert_eq!(outcome(&send_request(gateway_address, "", "").await), "handled");
+    });
+}
+
+/// Pipelined requests on one connection are answered in their order.
+#[test]
+fn pipelined_requests_are_answered_in_order() {
+    run(async {
+        let (worker, _heads) = support::start_worker(OK).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], "")).await;
+        let one = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
+        let last = "GET /health/ready HTTP/1.1\r\nhost: g\r\nconnection: close\r\n\r\n";
+        let answer = support::send_bytes(gateway_address, format!("{one}{one}{last}").as_bytes()).await;
+        assert_eq!(answer.matches("milletpath-outcome: handled").count(), 2);
+        assert!(answer.ends_with("ready\n"));
+    });
+}
+
+/// A client reads nothing: its response is not kept for ever.
+#[test]
+fn a_client_that_reads_nothing_is_disconnected() {
+    run(async {
+        let (worker, _heads) = support::start_worker(Behavior::Responds(LARGE.as_str())).await;
+        let extra_config = "limits {\nstall = 0.2\nanswer = 30000000\n}";
+        let (gateway_address, stop, served) = start_gateway(config_for(&[worker], extra_config)).await;
+        let mut client = TcpStream::connect(gateway_address).await.unwrap();
+        let head = b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
+        client.write_all(head).await.unwrap();
+        tokio::time::sleep(Duration::from_millis(900)).await;
+        // The gateway has closed: stopping waits for no connection, else it would for the cut-off and a second more.
+        stop.send(()).unwrap();
+        let stopped = tokio::time::timeout(Duration::from_millis(2500), served).await;
+        assert_eq!(stopped.unwrap().unwrap().succeeded, 1);
+        let mut rest = Vec::new();
+        let _ = client.read_to_end(&mut rest).await;
+        assert!(rest.len() < LARGE.len());
+    });
+}
+
+static LARGE: std::sync::LazyLock<String> = std::sync::LazyLock::new(|| {
+    format!("HTTP/1.1 200 OK\r\ncontent-length: 20000000\r\n\r\n{}", "x".repeat(20_000_000))
+});
+
+/// The limit on open requests is reached: further ones are rejected, with Retry-After.
+#[test]
+fn requests_beyond_the_limit_are_rejected_with_retry_after() {
+    run(async {
+        let (worker, mut heads) = support::start_worker(Behavior::NeverResponds).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], "limits { open = 1 }")).await;
+        let first = tokio::task::spawn_local(send_request(gateway_address, "milletpath-patience: 1\r\n", ""));
+        assert!(heads.recv().await.is_some());
+        let answer = send_request(gateway_address, "", "").await;
+        assert_eq!((status(&answer), outcome(&answer)), (503, "bounced"));
+        assert!(answer.contains("problem:full"));
+        first.await.unwrap();
+    });
+}
+
+/// Repetitions are recognized by the idempotency key alone, so a profile that promises that requires one.
+#[test]
+fn keyed_requests_need_an_idempotency_key_and_forward_it() {
+    run(async {
+        let (worker, mut heads) = support::start_worker(OK).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], IDEMPOTENT_WITH_KEY)).await;
+        let answer = send_request(gateway_address, "", "").await;
+        assert!(status(&answer) == 400 && answer.contains("idempotency-key"), "{answer}");
+        let answer =
+            send_request(gateway_address, "connection: idempotency-key\r\nidempotency-key: \"k1\"\r\n", "")
+                .await;
+        assert_eq!(outcome(&answer), "handled");
+        assert!(received_heads(&mut heads)[0].contains("idempotency-key: \"k1\""));
+    });
+}
+
+/// Ten thousand requests for one function at once: each gets one response.
+#[test]
+fn ten_thousand_concurrent_requests_get_one_response_each() {
+    run(async {
+        let (one, _h1) = support::start_worker(OK).await;
+        let (two, _h2) = support::start_worker(OK).await;
+        let (gateway_address, stop, served) = start_gateway(config_for(&[one, two], "")).await;
+        let mut clients = tokio::task::JoinSet::new();
+        for _ in 0..100 {
+            clients.spawn_local(async move {
+                let one =
+                    "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
+                let close = "GET /health/live HTTP/1.1\r\nhost: g\r\nconnection: close\r\n\r\n";
+                support::send_bytes(gateway_address, format!("{}{close}", one.repeat(100)).as_bytes()).await
+            });
+        }
+        let mut answers = 0;
+        while let Some(text) = clients.join_next().await {
+            answers += text.unwrap().matches("milletpath-outcome: ").count();
+        }
+        assert_eq!(answers, 10_000);
+        stop.send(()).unwrap();
+        let counters = served.await.unwrap();
+        assert_eq!(
+            (counters.accepted, counters.succeeded + counters.rejected + counters.failed),
+            (10_000, 10_000)
+        );
+    });
+}
+
+/// Bodies of requests and responses that arrive in chunks are passed on whole.
+#[test]
+fn chunked_bodies_are_forwarded_whole() {
+    run(async {
+        let pieces = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nwe\r\n4\r\n did\r\n0\r\n\r\n";
+        let (worker, mut heads) = support::start_worker(Behavior::Responds(pieces)).await;
+        let (gateway_address, ..) = start_gateway(config_for(&[worker], "")).await;
+        let head = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\nconnection: close\r\n";
+        let body = "transfer-encoding: chunked\r\n\r\n3\r\ndo \r\n2\r\nit\r\n1\r\n!\r\n0\r\n\r\n";
+        let answer = support::send_bytes(gateway_address, format!("{head}{body}").as_bytes()).await;
+        assert!(received_heads(&mut heads)[0].ends_with("do it!"));
+        assert!(outcome(&answer) == "handled" && answer.ends_with("we did"), "{answer}");
+    });
+}
--- a/crates/gateway/tests/town/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,6 +1,5 @@
-//! A gateway on loopback in the test's own thread, workers that the test scripts, and clients that speak plain
-//! bytes.
-#![allow(dead_code, reason = "each file of stories uses a part of it")]
+//! A gateway on loopback in the test's own thread, workers with scripted behavior, and clients that send plain bytes.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use milletpath_config::GatewayConfig;
 use milletpath_gateway::{Links, serve};
@@ -15,43 +14,43 @@
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Runs a story on one thread. It ends by itself or fails: no story here takes half a minute.
-pub fn story(what: impl Future<Output = ()>) {
+/// Runs a test on one thread; it fails after half a minute.
+pub fn run(what: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let bounded = async { tokio::time::timeout(Duration::from_secs(30), what).await };
-    runtime.block_on(LocalSet::new().run_until(bounded)).expect("the story came to no end");
+    runtime.block_on(LocalSet::new().run_until(bounded)).expect("the test took too long");
 }
 
-/// A charter for workers at these addresses; `more` goes in as it is.
-pub fn charter(workers: &[SocketAddr], more: &str) -> GatewayConfig {
-    let lines: String = workers
+/// A configuration for workers at these addresses; `extra_config` goes in as it is.
+pub fn config_for(workers: &[SocketAddr], extra_config: &str) -> GatewayConfig {
+    let workers_text: String = workers
         .iter()
         .enumerate()
         .map(|(n, a)| format!("worker \"w{n}\" {{ address = \"{a}\" }}\n"))
         .collect();
     let text = format!(
-        "seed = 3\nlisten = \"127.0.0.1:0\"\n{more}\nworkers {{\norders = false\nprobes = false\n{lines}}}\n"
+        "seed = 3\nlisten = \"127.0.0.1:0\"\n{extra_config}\nworkers {{\norders = false\nprobes = false\n{workers_text}}}\n"
     );
-    let text = if more.contains("profile") { text } else { format!("{PURE}{text}") };
+    let text = if extra_config.contains("profile") { text } else { format!("{IDEMPOTENT}{text}") };
     milletpath_config::read(&text).unwrap_or_else(|m| panic!("{m:#?}"))
 }
 
-pub const PURE: &str = "profile \"pure\" {\ndue = 1\ncut_off = 3\neffect = \"pure\"\n}\n";
-pub const EFFECTFUL: &str = "profile \"once\" {\ndue = 1\ncut_off = 3\neffect = \"effectful\"\n}\n";
-/// Workers here have no stated zone: a mark is known to the one that saw it alone.
-pub const ZONED: &str =
+pub const IDEMPOTENT: &str = "profile \"pure\" {\ndue = 1\ncut_off = 3\neffect = \"pure\"\n}\n";
+pub const NON_IDEMPOTENT: &str = "profile \"once\" {\ndue = 1\ncut_off = 3\neffect = \"effectful\"\n}\n";
+/// Workers here have no stated zone: an idempotency key is known only to the worker that saw it.
+pub const KEY_KNOWN_BY_ZONE: &str =
     "profile \"zoned\" {\ndue = 1\ncut_off = 3\neffect = \"receipted\"\ngroup = \"zone\"\nmemory = 60\n}\n";
-pub const RECEIPTED: &str =
+pub const IDEMPOTENT_WITH_KEY: &str =
     "profile \"marked\" {\ndue = 1\ncut_off = 3\neffect = \"receipted\"\nmemory = 0.4\n}\n";
 
 /// Starts a gateway; it stops when the sender is used.
-pub async fn gateway(
-    house: GatewayConfig,
+pub async fn start_gateway(
+    config: GatewayConfig,
 ) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Counters>) {
-    let listener = TcpListener::bind(house.listen).await.unwrap();
+    let listener = TcpListener::bind(config.listen).await.unwrap();
     let address = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel::<()>();
-    let served = spawn_local(serve(house, listener, async {
+    let served = spawn_local(serve(config, listener, async {
         if stopped.await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -61,14 +60,14 @@
 
 pub type Served = tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Counters>;
 
-/// The same, with mischief for its cores.
-pub async fn stirred(
-    house: GatewayConfig,
+/// Starts a gateway whose cores can be made to fail.
+pub async fn start_with_faults(
+    config: GatewayConfig,
 ) -> (SocketAddr, oneshot::Sender<()>, Served, UnboundedSender<(usize, milletpath_gateway::FaultInjection)>) {
-    let listener = TcpListener::bind(house.listen).await.unwrap();
+    let listener = TcpListener::bind(config.listen).await.unwrap();
     let address = listener.local_addr().unwrap();
     let (stop, stopped) = oneshot::channel::<()>();
-    let (stir, stirs) = tokio::sync::mpsc::unbounded_channel();
+    let (faults, received_faults) = tokio::sync::mpsc::unbounded_channel();
     let stopped = async {
         if stopped.await.is_err() {
             std::future::pending::<()>().await;
@@ -77,50 +76,57 @@
     (
         address,
         stop,
-        spawn_local(milletpath_gateway::serve_with_faults(house, listener, Links::default(), stopped, stirs)),
-        stir,
+        spawn_local(milletpath_gateway::serve_with_faults(
+            config,
+            listener,
+            Links::default(),
+            stopped,
+            received_faults,
+        )),
+        faults,
     )
 }
 
 /// What a scripted worker does with one request.
 #[derive(Clone, Copy)]
-pub enum Does {
-    /// Answers these bytes.
-    Says(&'static str),
-    /// Reads the request and answers nothing.
-    Nothing,
+pub enum Behavior {
+    /// Responds with these bytes.
+    Responds(&'static str),
+    /// Reads the request and never responds.
+    NeverResponds,
     /// Reads the request and closes.
     Closes,
-    /// Answers these bytes and closes.
-    SaysAndCloses(&'static str),
-    /// Answers after so many milliseconds.
-    Late(u64, &'static str),
+    /// Responds with these bytes and closes.
+    RespondsAndCloses(&'static str),
+    /// Responds after so many milliseconds.
+    RespondsAfter(u64, &'static str),
 }
 
-pub const OK: Does = Does::Says("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone");
-pub const FULL: Does = Does::Says("HTTP/1.1 503 X\r\nmilletpath-refused: full\r\ncontent-length: 0\r\n\r\n");
-pub const BARE_503: Does = Does::Says("HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n");
+pub const OK: Behavior = Behavior::Responds("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone");
+pub const FULL: Behavior =
+    Behavior::Responds("HTTP/1.1 503 X\r\nmilletpath-refused: full\r\ncontent-length: 0\r\n\r\n");
+pub const BARE_503: Behavior = Behavior::Responds("HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n");
 
-pub type Heads = tokio::sync::mpsc::UnboundedReceiver<String>;
+pub type RequestHeads = tokio::sync::mpsc::UnboundedReceiver<String>;
 
-/// A worker that does the same with each request; tells the heads that it read.
-pub async fn worker(does: Does) -> (SocketAddr, Heads) {
-    let (addresses, heads) = team(1, vec![does]).await;
+/// Starts a worker that does the same with each request; its address, and the heads that it reads.
+pub async fn start_worker(behavior: Behavior) -> (SocketAddr, RequestHeads) {
+    let (addresses, heads) = start_workers(1, vec![behavior]).await;
     (addresses[0], heads)
 }
 
-/// Workers that go through one script together, request by request, and repeat its last line.
-pub async fn team(workers: usize, script: Vec<Does>) -> (Vec<SocketAddr>, Heads) {
-    let (seen, heads) = tokio::sync::mpsc::unbounded_channel();
+/// Starts workers that go through one script together, request by request, and repeat its last behavior.
+pub async fn start_workers(workers: usize, script: Vec<Behavior>) -> (Vec<SocketAddr>, RequestHeads) {
+    let (sender, heads) = tokio::sync::mpsc::unbounded_channel();
     let script = Rc::new((script, Cell::new(0)));
     let mut addresses = Vec::new();
     for _ in 0..workers {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         addresses.push(listener.local_addr().unwrap());
-        let (seen, script) = (seen.clone(), script.clone());
+        let (sender, script) = (sender.clone(), script.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(serve_one(stream, seen.clone(), script.clone()));
+                spawn_local(serve_one(stream, sender.clone(), script.clone()));
             }
         });
     }
@@ -129,26 +135,26 @@
 
 async fn serve_one(
     mut stream: TcpStream,
-    seen: UnboundedSender<String>,
-    script: Rc<(Vec<Does>, Cell<usize>)>,
+    sender: UnboundedSender<String>,
+    script: Rc<(Vec<Behavior>, Cell<usize>)>,
 ) {
     while let Some(head) = request(&mut stream).await {
-        let _ = seen.send(head);
-        let (lines, turn) = &*script;
-        let does = lines[turn.get().min(lines.len() - 1)];
-        turn.set(turn.get() + 1);
-        match does {
-            Does::Says(text) => stream.write_all(text.as_bytes()).await.unwrap_or(()),
-            Does::SaysAndCloses(text) => {
+        let _ = sender.send(head);
+        let (behaviors, next) = &*script;
+        let behavior = behaviors[next.get().min(behaviors.len() - 1)];
+        next.set(next.get() + 1);
+        match behavior {
+            Behavior::Responds(text) => stream.write_all(text.as_bytes()).await.unwrap_or(()),
+            Behavior::RespondsAndCloses(text) => {
                 let _ = stream.write_all(text.as_bytes()).await;
                 return;
             }
-            Does::Late(wait, text) => {
+            Behavior::RespondsAfter(wait, text) => {
                 tokio::time::sleep(Duration::from_millis(wait)).await;
                 let _ = stream.write_all(text.as_bytes()).await;
             }
-            Does::Closes => return,
-            Does::Nothing => {}
+            Behavior::Closes => return,
+            Behavior::NeverResponds => {}
         }
     }
 }
@@ -172,13 +178,13 @@
     }
 }
 
-/// One call on a connection of its own; the whole answer as text.
-pub async fn call(gateway: SocketAddr, fields: &str, body: &str) -> String {
-    say(gateway, &bytes_of_call(fields, body)).await
+/// Sends one request on a connection of its own; the whole response as text.
+pub async fn send_request(address: SocketAddr, fields: &str, body: &str) -> String {
+    send_bytes(address, &request_bytes(fields, body)).await
 }
 
-/// A call behind which the connection is closed.
-pub fn bytes_of_call(fields: &str, body: &str) -> Vec<u8> {
+/// A request after which the connection is closed.
+pub fn request_bytes(fields: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
         "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: gateway\r\nconnection: close\r\n{fields}content-length: \
@@ -188,12 +194,12 @@
 }
 
 /// Sends bytes and reads until the other side closes.
-pub async fn say(gateway: SocketAddr, bytes: &[u8]) -> String {
-    say_on(TcpStream::connect(gateway).await.unwrap(), bytes).await
+pub async fn send_bytes(address: SocketAddr, bytes: &[u8]) -> String {
+    send_bytes_on(TcpStream::connect(address).await.unwrap(), bytes).await
 }
 
-/// The same on a connection that stands.
-pub async fn say_on(mut stream: TcpStream, bytes: &[u8]) -> String {
+/// The same on an open connection.
+pub async fn send_bytes_on(mut stream: TcpStream, bytes: &[u8]) -> String {
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer).await;
