--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -1,9 +1,9 @@
 //! What it costs to let several cores decide: prototypes of the options weighed in `docs/design/several-cores.md`,
-//! around the real desk. Each thread carries calls that cost so many microseconds beside their decisions.
+//! around the real dispatcher. Each thread carries calls that cost so many microseconds beside their decisions.
 //!
-//! a: a desk on each core. b: one deciding core, asked by bounded channels. c: a desk on each core, and a ledger of
-//! facts per worker in shared atomics that every call writes and reads. d: one desk that the cores enter in turn, by a
-//! lock on which they sleep; e: the same, by one at which they wait awake first.
+//! a: a dispatcher on each core. b: one deciding core, reached by bounded channels. c: a dispatcher on each core, and
+//! figures of each worker in shared atomics that every call writes and reads. d: one dispatcher behind a lock on which
+//! threads sleep; e: the same, where they spin first.
 //!
 //! `cargo bench -p milletpath-gateway --bench cores` prints calls a second, and for (b) the wait of a lone hand-over.
 
@@ -22,13 +22,13 @@
 const SECONDS: f64 = 0.7;
 const ROUNDS: usize = 2;
 
-fn desk(gateways: usize) -> Dispatcher<()> {
+fn dispatcher(gateways: usize) -> Dispatcher<()> {
     let text = format!(
         "seed = 7\ngateways = {gateways}\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nworkers {{\n  registry = \
          \"127.0.0.1:1\"\n  orders = false\n  probes = false\n}}\n"
     );
-    let house = milletpath_config::read(&text).expect("a sound charter");
-    let mut desk = Dispatcher::new(&house, 0.0);
+    let config = milletpath_config::read(&text).expect("a valid configuration");
+    let mut dispatcher = Dispatcher::new(&config, 0.0);
     let entry = |n: usize| Entry {
         name: format!("w{n}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + n as u16)),
@@ -39,68 +39,70 @@
         cell: String::new(),
         state: Standing::Ready,
     };
-    desk.update_endpoints(0.0, true, &(0..WORKERS).map(entry).collect::<Vec<_>>());
-    desk
+    dispatcher.update_endpoints(0.0, true, &(0..WORKERS).map(entry).collect::<Vec<_>>());
+    dispatcher
 }
 
-/// Enters the desk; waits awake for about as long as several events take.
-fn awake(desk: &Mutex<Dispatcher<()>>) -> MutexGuard<'_, Dispatcher<()>> {
+/// Locks the dispatcher; spins first, for about as long as several events take.
+fn lock_spinning(dispatcher: &Mutex<Dispatcher<()>>) -> MutexGuard<'_, Dispatcher<()>> {
     for _ in 0..2000 {
-        if let Ok(free) = desk.try_lock() {
+        if let Ok(free) = dispatcher.try_lock() {
             return free;
         }
         spin_loop();
     }
-    desk.lock().expect("the desk")
+    dispatcher.lock().expect("the dispatcher")
 }
 
 /// What a call costs beside its decisions, in three parts as they lie between them.
-fn work(micros: f64) {
+fn burn(micros: f64) {
     let began = Instant::now();
     while began.elapsed().as_secs_f64() * 1e6 < micros {
         spin_loop();
     }
 }
 
-fn come(function: &str) -> IncomingRequest<'_> {
+fn incoming_request(function: &str) -> IncomingRequest<'_> {
     IncomingRequest { function, profile: 0, client: 9, timeout: 3.0, is_retry: false, resources: None }
 }
 
-/// One event of a call, told to a desk; what it gives to do next.
-enum Step {
-    Arrive(usize),
+/// One event of a call.
+enum RequestStep {
+    Submit(usize),
     Begin(Action),
     AttemptResult(Action),
 }
 
-fn step(desk: &mut Dispatcher<()>, names: &[String], now: f64, step: Step) -> Vec<Action> {
-    while desk.next_deadline().is_some_and(|due| due <= now) {
-        desk.advance(now);
+fn step(dispatcher: &mut Dispatcher<()>, names: &[String], now: f64, step: RequestStep) -> Vec<Action> {
+    while dispatcher.next_deadline().is_some_and(|due| due <= now) {
+        dispatcher.advance(now);
     }
     match step {
-        Step::Arrive(n) => {
-            desk.submit(now, come(&names[n % names.len()]), ());
+        RequestStep::Submit(n) => {
+            dispatcher.submit(now, incoming_request(&names[n % names.len()]), ());
         }
-        Step::Begin(Action::SendAttempt { request: tag, attempt: shot, .. }) => {
-            desk.begin_attempt(now, tag, shot);
+        RequestStep::Begin(Action::SendAttempt { request, attempt, .. }) => {
+            dispatcher.begin_attempt(now, request, attempt);
         }
-        Step::AttemptResult(Action::SendAttempt { request: tag, attempt: shot, .. }) => {
-            desk.attempt_ended(now, tag, shot, AttemptResult::from_outcome(Outcome::Handled));
+        RequestStep::AttemptResult(Action::SendAttempt { request, attempt, .. }) => {
+            dispatcher.attempt_ended(now, request, attempt, AttemptResult::from_outcome(Outcome::Handled));
         }
-        Step::Begin(_) | Step::AttemptResult(_) => {}
+        RequestStep::Begin(_) | RequestStep::AttemptResult(_) => {}
     }
-    std::iter::from_fn(|| desk.next_action()).filter(|a| matches!(a, Action::SendAttempt { .. })).collect()
+    std::iter::from_fn(|| dispatcher.next_action())
+        .filter(|a| matches!(a, Action::SendAttempt { .. }))
+        .collect()
 }
 
-/// A call on one thread, and what else its events set free, each told by `tell`; how many shots were ended.
-fn call(n: usize, micros: f64, mut tell: impl FnMut(Step) -> Vec<Action>) -> u64 {
-    work(micros / 3.0);
-    let (mut acts, mut ended) = (tell(Step::Arrive(n)), 0);
-    while let Some(act) = acts.pop() {
-        acts.extend(tell(Step::Begin(act.clone())));
-        work(micros / 3.0);
-        acts.extend(tell(Step::AttemptResult(act)));
-        work(micros / 3.0);
+/// A call on one thread, and the attempts of others that its events release; how many attempts were ended.
+fn call(n: usize, micros: f64, mut apply: impl FnMut(RequestStep) -> Vec<Action>) -> u64 {
+    burn(micros / 3.0);
+    let (mut actions, mut ended) = (apply(RequestStep::Submit(n)), 0);
+    while let Some(action) = actions.pop() {
+        actions.extend(apply(RequestStep::Begin(action.clone())));
+        burn(micros / 3.0);
+        actions.extend(apply(RequestStep::AttemptResult(action)));
+        burn(micros / 3.0);
         ended += 1;
     }
     ended
@@ -128,133 +130,179 @@
     calls.load(Ordering::Relaxed) as f64 / SECONDS
 }
 
-/// Facts of one worker on a cache line of its own.
+/// Shared figures of one worker, on a cache line of their own.
 #[repr(align(64))]
 #[derive(Default)]
-struct Facts {
-    out: AtomicI64,
-    told: AtomicU64,
+struct WorkerFacts {
+    in_flight: AtomicI64,
+    events: AtomicU64,
 }
 
-type Asked = (Step, SyncSender<Vec<Action>>);
+/// A step for the deciding core of (b), and where the actions that follow are sent.
+struct StepRequest {
+    step: RequestStep,
+    actions: SyncSender<Vec<Action>>,
+}
 
-/// The deciding core of (b).
-fn decider(desk: Dispatcher<()>, names: Arc<Vec<String>>, began: Instant) -> SyncSender<Asked> {
-    let (ask, asked): (SyncSender<Asked>, Receiver<Asked>) = sync_channel(1024);
-    std::thread::spawn(move || {
-        let mut desk = desk;
-        while let Ok((told, answer)) = asked.recv() {
-            let act = step(&mut desk, &names, began.elapsed().as_secs_f64(), told);
-            let _ = answer.send(act);
-        }
-    });
-    ask
+/// What all prototypes use.
+#[derive(Clone)]
+struct Bench {
+    functions: Arc<Vec<String>>,
+    started: Instant,
 }
 
-fn main() {
-    let names: Arc<Vec<String>> = Arc::new((0..FUNCTIONS).map(|n| format!("pack-{n}")).collect());
-    let began = Instant::now();
-    let now = move || began.elapsed().as_secs_f64();
-    let a = |threads: usize, micros: f64| {
-        let names = names.clone();
-        run(threads, move |_| {
-            let (mut desk, names) = (desk(threads), names.clone());
-            Box::new(move |n| call(n, micros, |s| step(&mut desk, &names, now(), s)))
+impl Bench {
+    fn now(&self) -> f64 {
+        self.started.elapsed().as_secs_f64()
+    }
+
+    fn step(&self, dispatcher: &mut Dispatcher<()>, request_step: RequestStep) -> Vec<Action> {
+        step(dispatcher, &self.functions, self.now(), request_step)
+    }
+
+    /// (a): a dispatcher on each core.
+    fn dispatcher_per_core(&self, threads: usize, micros: f64) -> f64 {
+        run(threads, |_| {
+            let (mut dispatcher, bench) = (dispatcher(threads), self.clone());
+            Box::new(move |n| call(n, micros, |step| bench.step(&mut dispatcher, step)))
         })
-    };
-    let b = |threads: usize, micros: f64| {
-        let ask = decider(desk(1), names.clone(), began);
-        run(threads, move |_| {
-            let (ask, (answer, answered)) = (ask.clone(), sync_channel(1));
+    }
+
+    /// The deciding core of (b).
+    fn deciding_core(&self) -> SyncSender<StepRequest> {
+        let (sender, receiver): (SyncSender<StepRequest>, Receiver<StepRequest>) = sync_channel(1024);
+        let bench = self.clone();
+        std::thread::spawn(move || {
+            let mut dispatcher = dispatcher(1);
+            while let Ok(StepRequest { step, actions }) = receiver.recv() {
+                let _ = actions.send(bench.step(&mut dispatcher, step));
+            }
+        });
+        sender
+    }
+
+    /// (b): one core decides for all.
+    fn one_deciding_core(&self, threads: usize, micros: f64) -> f64 {
+        let decider = self.deciding_core();
+        run(threads, |_| {
+            let (decider, (actions, received)) = (decider.clone(), sync_channel(1));
             Box::new(move |n| {
-                call(n, micros, |s| {
-                    ask.send((s, answer.clone())).expect("the decider");
-                    answered.recv().expect("an answer")
+                call(n, micros, |step| {
+                    decider.send(StepRequest { step, actions: actions.clone() }).expect("the deciding core");
+                    received.recv().expect("actions")
                 })
             })
         })
-    };
-    let c = |threads: usize, micros: f64| {
-        let (names, facts) =
-            (names.clone(), Arc::new(Vec::from_iter((0..WORKERS).map(|_| Facts::default()))));
-        run(threads, move |_| {
-            let (mut desk, names, facts) = (desk(threads), names.clone(), facts.clone());
+    }
+
+    /// (c): a dispatcher on each core, with shared figures of the workers.
+    fn shared_worker_facts(&self, threads: usize, micros: f64) -> f64 {
+        let facts = Arc::new(Vec::from_iter((0..WORKERS).map(|_| WorkerFacts::default())));
+        run(threads, |_| {
+            let (mut dispatcher, bench, facts) = (dispatcher(threads), self.clone(), facts.clone());
+            Box::new(move |n| call(n, micros, |step| bench.step_with_facts(&mut dispatcher, &facts, step)))
+        })
+    }
+
+    /// Before a decision the figures of all workers are read; what was decided is written.
+    fn step_with_facts(
+        &self,
+        dispatcher: &mut Dispatcher<()>,
+        facts: &[WorkerFacts],
+        step: RequestStep,
+    ) -> Vec<Action> {
+        if matches!(step, RequestStep::Submit(_)) {
+            black_box(facts.iter().map(|worker| worker.in_flight.load(Ordering::Relaxed)).sum::<i64>());
+        }
+        let (change, ended) = match &step {
+            RequestStep::AttemptResult(action) => (-1, worker_of(action)),
+            RequestStep::Submit(_) | RequestStep::Begin(_) => (1, None),
+        };
+        let actions = self.step(dispatcher, step);
+        let begun = actions.iter().map(|action| worker_of(action).unwrap_or(0));
+        for worker in ended.into_iter().chain(begun) {
+            facts[worker].in_flight.fetch_add(change, Ordering::AcqRel);
+            facts[worker].events.fetch_add(1, Ordering::AcqRel);
+        }
+        actions
+    }
+
+    /// (d): one dispatcher behind a lock.
+    fn locked(&self, threads: usize, micros: f64) -> f64 {
+        let shared = Arc::new(Mutex::new(dispatcher(1)));
+        run(threads, |_| {
+            let (bench, shared) = (self.clone(), shared.clone());
             Box::new(move |n| {
-                call(n, micros, |s| {
-                    // Before a decision all workers' facts are read; what was decided is written.
-                    if matches!(s, Step::Arrive(_)) {
-                        black_box(facts.iter().map(|f| f.out.load(Ordering::Relaxed)).sum::<i64>());
-                    }
-                    let sign = if matches!(s, Step::AttemptResult(_)) { -1 } else { 1 };
-                    let ended = if let Step::AttemptResult(Action::SendAttempt { worker, .. }) = s {
-                        Some(worker)
-                    } else {
-                        None
-                    };
-                    let act = step(&mut desk, &names, now(), s);
-                    let begun = act
-                        .iter()
-                        .map(|a| if let Action::SendAttempt { worker, .. } = a { *worker } else { 0 });
-                    for w in ended.into_iter().chain(begun) {
-                        facts[w].out.fetch_add(sign, Ordering::AcqRel);
-                        facts[w].told.fetch_add(1, Ordering::AcqRel);
-                    }
-                    act
-                })
+                call(n, micros, |step| bench.step(&mut shared.lock().expect("the dispatcher"), step))
             })
         })
-    };
-    let d = |threads: usize, micros: f64| {
-        let (names, one) = (names.clone(), Arc::new(Mutex::new(desk(1))));
-        run(threads, move |_| {
-            let (names, one) = (names.clone(), one.clone());
-            Box::new(move |n| call(n, micros, |s| step(&mut one.lock().expect("the desk"), &names, now(), s)))
-        })
-    };
-    // As d, but whoever finds the desk taken waits awake for a while before it sleeps.
-    let e = |threads: usize, micros: f64| {
-        let (names, one) = (names.clone(), Arc::new(Mutex::new(desk(1))));
-        run(threads, move |_| {
-            let (names, one) = (names.clone(), one.clone());
-            Box::new(move |n| call(n, micros, |s| step(&mut awake(&one), &names, now(), s)))
+    }
+
+    /// (e): as (d), but a thread that finds the lock taken spins for a while before it sleeps.
+    fn spin_locked(&self, threads: usize, micros: f64) -> f64 {
+        let shared = Arc::new(Mutex::new(dispatcher(1)));
+        run(threads, |_| {
+            let (bench, shared) = (self.clone(), shared.clone());
+            Box::new(move |n| call(n, micros, |step| bench.step(&mut lock_spinning(&shared), step)))
         })
-    };
-    println!("calls a second (over one thread's), best of {ROUNDS} interleaved rounds of {SECONDS} s");
-    for micros in [0.0, 30.0] {
+    }
+
+    /// Prints calls a second of all prototypes, and the gain over one thread.
+    fn compare(&self, micros: f64) {
         println!("{micros} us a call beside its decisions");
         let mut best = [[0.0f64; 5]; 4];
         let threads = [1, 2, 4, 8];
         for _ in 0..ROUNDS {
             for (row, &threads) in best.iter_mut().zip(&threads) {
-                let now = [
-                    a(threads, micros),
-                    b(threads, micros),
-                    c(threads, micros),
-                    d(threads, micros),
-                    e(threads, micros),
+                let rates = [
+                    self.dispatcher_per_core(threads, micros),
+                    self.one_deciding_core(threads, micros),
+                    self.shared_worker_facts(threads, micros),
+                    self.locked(threads, micros),
+                    self.spin_locked(threads, micros),
                 ];
-                row.iter_mut().zip(now).for_each(|(best, now)| *best = best.max(now));
+                row.iter_mut().zip(rates).for_each(|(best, rate)| *best = best.max(rate));
             }
         }
         for (row, threads) in best.iter().zip(threads) {
             let cells = ["a", "b", "c", "d", "e"].iter().zip(row).zip(best[0]);
             let cells: Vec<_> =
-                cells.map(|((name, is), one)| format!("{name} {:>9.0} ({:.2})", is, is / one)).collect();
+                cells.map(|((name, rate), one)| format!("{name} {rate:>9.0} ({:.2})", rate / one)).collect();
             println!("  {threads} threads: {}", cells.join("  "));
         }
     }
-    // A lone hand-over, as at a low rate: both sides sleep in between.
-    let ask = decider(desk(1), names.clone(), began);
-    let (answer, answered) = sync_channel(1);
-    let mut waits: Vec<f64> = (0..500)
-        .map(|n| {
+
+    /// Prints the time of a lone hand-over of (b), as at a low rate: both sides sleep in between.
+    fn hand_over(&self) {
+        let decider = self.deciding_core();
+        let (actions, received) = sync_channel(1);
+        let hand_over = |n| {
             std::thread::sleep(Duration::from_millis(1));
-            let asked = Instant::now();
-            ask.send((Step::Arrive(n), answer.clone())).expect("the decider");
-            answered.recv().expect("an answer");
-            asked.elapsed().as_secs_f64() * 1e6
-        })
-        .collect();
-    waits.sort_by(f64::total_cmp);
-    println!("b, a lone hand-over there and back: p50 {:.0} us, p99 {:.0} us", waits[250], waits[495]);
+            let sent = Instant::now();
+            let step = RequestStep::Submit(n);
+            decider.send(StepRequest { step, actions: actions.clone() }).expect("the deciding core");
+            received.recv().expect("actions");
+            sent.elapsed().as_secs_f64() * 1e6
+        };
+        let mut waits: Vec<f64> = (0..500).map(hand_over).collect();
+        waits.sort_by(f64::total_cmp);
+        println!("b, a lone hand-over there and back: p50 {:.0} us, p99 {:.0} us", waits[250], waits[495]);
+    }
+}
+
+fn worker_of(action: &Action) -> Option<usize> {
+    match action {
+        Action::SendAttempt { worker, .. } => Some(*worker),
+        _ => None,
+    }
+}
+
+fn main() {
+    let functions = Arc::new((0..FUNCTIONS).map(|n| format!("pack-{n}")).collect());
+    let bench = Bench { functions, started: Instant::now() };
+    println!("calls a second (over one thread's), best of {ROUNDS} interleaved rounds of {SECONDS} s");
+    for micros in [0.0, 30.0] {
+        bench.compare(micros);
+    }
+    bench.hand_over();
 }
--- a/crates/gateway/benches/spread.rs
+++ b/crates/gateway/benches/spread.rs
@@ -26,7 +26,7 @@
     let at = first.local_addr().expect("an address");
     let mut listeners = vec![first];
     listeners.extend((1..cores).map(|_| listener(at)));
-    let kept: Vec<_> = (0..clients).map(|_| TcpStream::connect(at).expect("a connection")).collect();
+    let connections: Vec<_> = (0..clients).map(|_| TcpStream::connect(at).expect("a connection")).collect();
     std::thread::sleep(Duration::from_millis(2));
     let mut taken = Vec::new();
     let counts: Vec<usize> = listeners
@@ -39,7 +39,7 @@
             taken.len() - before
         })
         .collect();
-    drop(kept);
+    drop(connections);
     assert_eq!(counts.iter().sum::<usize>(), clients);
     *counts.iter().max().unwrap_or(&0) as f64 * cores as f64 / clients as f64
 }
@@ -50,9 +50,9 @@
     );
     for cores in [2, 4, 8] {
         for clients in [8, 32, 128, 1024] {
-            let found: Vec<f64> = (0..ROUNDS).map(|_| shared(cores, clients)).collect();
-            let mean = found.iter().sum::<f64>() / ROUNDS as f64;
-            let worst = found.iter().copied().fold(0.0, f64::max);
+            let shares: Vec<f64> = (0..ROUNDS).map(|_| shared(cores, clients)).collect();
+            let mean = shares.iter().sum::<f64>() / ROUNDS as f64;
+            let worst = shares.iter().copied().fold(0.0, f64::max);
             let dealt = clients.div_ceil(cores) as f64 * cores as f64 / clients as f64;
             println!(
                 "{cores} cores, {clients:>4} clients: kernel {mean:.2} (worst {worst:.2}), in turn {dealt:.2}"
