--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -8,7 +8,7 @@
 //! `cargo bench -p milletpath-gateway --bench cores` prints calls a second, and for (b) the wait of a lone hand-over.
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest};
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use milletpath_protocol::registry::{Entry, Standing};
 use std::hint::{black_box, spin_loop};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -85,7 +85,7 @@
             dispatcher.begin_attempt(now, request, attempt);
         }
         RequestStep::AttemptResult(Action::SendAttempt { request, attempt, .. }) => {
-            dispatcher.attempt_ended(now, request, attempt, AttemptResult::from_outcome(Outcome::Handled));
+            dispatcher.attempt_ended(now, request, attempt, AttemptResult::from_outcome(Outcome::Succeeded));
         }
         RequestStep::Begin(_) | RequestStep::AttemptResult(_) => {}
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -12,7 +12,7 @@
 use http::{Method, Request};
 use http_body_util::Full;
 use milletpath_dispatcher::dispatcher::AttemptResult;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use milletpath_protocol::worker as wire;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -69,7 +69,7 @@
             finish(context, id, result, FinalResponse::FromWorker(head, bytes, reservation));
         }
         Err(BodyError::Interrupted) => {
-            report(context, id, AttemptResult { outcome: Outcome::Cut, ..result });
+            report(context, id, AttemptResult { outcome: Outcome::ConnectionLost, ..result });
         }
         // Another worker's response would be too large as well, so the client is told now.
         Err(BodyError::TooLarge) => {
--- a/crates/gateway/src/core_context.rs
+++ b/crates/gateway/src/core_context.rs
@@ -168,7 +168,7 @@
 
     /// Keeps what is needed to attempt a request and to respond to it.
     pub fn open_request(&self, channel: Arc<ResponseChannel>, headers: HeaderMap, body: Bytes) -> NewRequest {
-        self.open_requests.insert(channel, headers, body, self.config().policy.cancels)
+        self.open_requests.insert(channel, headers, body, self.config().policy.can_cancel)
     }
 
     /// Forgets a request.
--- a/crates/gateway/src/http_service.rs
+++ b/crates/gateway/src/http_service.rs
@@ -72,7 +72,7 @@
     guard.request_slot = Some(request_slot);
     guard.request = submit(context, function, &parameters, arrived_at, request_slot, &guard.channel);
     let Some(request) = guard.request else {
-        return Err(RequestError::TooManyRequests { retry_after: context.config().policy.come_back });
+        return Err(RequestError::TooManyRequests { retry_after: context.config().policy.max_retry_after });
     };
     let response = tokio::select! {
         biased;
--- a/crates/gateway/src/request_reader.rs
+++ b/crates/gateway/src/request_reader.rs
@@ -9,7 +9,7 @@
 use http_body::Body as _;
 use http_body_util::BodyExt;
 use hyper::body::{Frame, Incoming};
-use milletpath_policy::host::Effect;
+use milletpath_policy::Idempotency;
 use milletpath_protocol::{Fault, invoke};
 use std::time::Duration;
 
@@ -34,7 +34,8 @@
         let client = client.and_then(|name| config.clients.iter().position(|client| client == name));
         let timeout = invoke::patience(headers).map_err(RequestError::InvalidHeader)?;
         let key = invoke::key(headers).map_err(RequestError::InvalidHeader)?;
-        let needs_key = matches!(config.policy.profiles[profile].effect, Effect::Receipted { .. });
+        let needs_key =
+            matches!(config.policy.profiles[profile].idempotency, Idempotency::IdempotentWithKey { .. });
         if needs_key && key.is_none() {
             let detail = "is missing; calls of this profile need a mark by which a repeat is known";
             return Err(invalid(invoke::IDEMPOTENCY_KEY.as_str(), detail));
@@ -91,7 +92,7 @@
         if buffer.len() + data.len() > limit {
             return Err(RequestError::BodyTooLarge { limit });
         }
-        let retry_after = context.config().policy.come_back;
+        let retry_after = context.config().policy.max_retry_after;
         let reservation = context.reserve_buffer(data.len());
         reservations.push(reservation.ok_or(RequestError::BuffersFull { retry_after })?);
         buffer.push(data);
--- a/crates/gateway/src/stalled_core.rs
+++ b/crates/gateway/src/stalled_core.rs
@@ -9,7 +9,7 @@
 use crate::shared_runtime::SharedRuntime;
 use milletpath_dispatcher::dispatcher::AttemptResult;
 use milletpath_multicore::deal::Deal;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -90,7 +90,7 @@
     }
 
     fn report_unsent(&self, id: AttemptId) {
-        let result = AttemptResult::from_outcome(Outcome::Unsent);
+        let result = AttemptResult::from_outcome(Outcome::NotSent);
         self.context.with_dispatcher(|dispatcher, now| {
             dispatcher.attempt_ended(now, id.request, id.attempt, result);
         });
--- a/crates/gateway/src/worker_commands.rs
+++ b/crates/gateway/src/worker_commands.rs
@@ -9,7 +9,7 @@
 use http::header::{self, HeaderMap, HeaderValue};
 use http::response::Parts;
 use milletpath_dispatcher::dispatcher::RequestId;
-use milletpath_policy::host::{Outcome, Report};
+use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::worker as wire;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -55,7 +55,7 @@
     let command = Command { method: Method::POST, path: wire::load(&function), instances: Some(instances) };
     let may_send =
         || context.with_dispatcher(|dispatcher, now| dispatcher.begin_load_request(now, load_request));
-    let timeout = Duration::from_secs_f64(context.config().policy.order_wait);
+    let timeout = Duration::from_secs_f64(context.config().policy.load_request_timeout);
     let response = tokio::time::timeout(timeout, send(&context, target, command, may_send));
     // The dispatcher ends the load request at the same time; here only the connection is closed.
     let Ok(response) = response.await else { return };
@@ -91,10 +91,10 @@
     });
 }
 
-fn health(response: Result<Parts, ExchangeError>) -> (Outcome, Option<Report>) {
+fn health(response: Result<Parts, ExchangeError>) -> (Outcome, Option<LoadReport>) {
     match response {
-        Ok(head) if head.status.is_success() => (Outcome::Handled, load_report(&head.headers)),
+        Ok(head) if head.status.is_success() => (Outcome::Succeeded, load_report(&head.headers)),
         Ok(head) => (Outcome::Failed, load_report(&head.headers)),
-        Err(error) => (error.outcome().unwrap_or(Outcome::Unsent), None),
+        Err(error) => (error.outcome().unwrap_or(Outcome::NotSent), None),
     }
 }
--- a/crates/gateway/src/worker_exchange.rs
+++ b/crates/gateway/src/worker_exchange.rs
@@ -12,7 +12,7 @@
 use http_body::Body as _;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use milletpath_policy::host::Outcome;
+use milletpath_policy::Outcome;
 
 /// Why an exchange brought no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -35,10 +35,10 @@
     /// The outcome of an attempt that failed so; `None` where the dispatcher has counted it already.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
-            Self::Unreachable => Some(Outcome::Unreached),
-            Self::NoConnection => Some(Outcome::Unsent),
+            Self::Unreachable => Some(Outcome::Unreachable),
+            Self::NoConnection => Some(Outcome::NotSent),
             Self::Withheld => None,
-            Self::Interrupted => Some(Outcome::Cut),
+            Self::Interrupted => Some(Outcome::ConnectionLost),
         }
     }
 }
--- a/crates/gateway/src/worker_response.rs
+++ b/crates/gateway/src/worker_response.rs
@@ -4,7 +4,7 @@
 use http::header::{self, HeaderMap, HeaderName};
 use http::response::Parts;
 use milletpath_dispatcher::dispatcher::AttemptResult;
-use milletpath_policy::host::{Found, Outcome, Report};
+use milletpath_policy::{InstanceState, LoadReport, Outcome};
 use milletpath_protocol::{orca, worker as wire};
 
 /// Fields with this prefix are the gateway's own.
@@ -41,14 +41,14 @@
 }
 
 /// A worker's load report (ORCA); `None` where there is none or it is malformed.
-pub fn load_report(headers: &HeaderMap) -> Option<Report> {
+pub fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(&orca::FIELD)?.to_str().ok()?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     let parsed = orca::read(text, |name, figure| match name {
-        orca::BUSY => report.busy = Some(figure),
+        orca::BUSY => report.utilization = Some(figure),
         orca::MEMORY => report.memory = Some(figure),
-        orca::HELD => report.held = Some(figure),
-        orca::WAITING => report.waiting = Some(figure),
+        orca::HELD => report.in_flight = Some(figure),
+        orca::WAITING => report.queued = Some(figure),
         orca::LOADING => report.loading = Some(figure),
         _ => {}
     });
@@ -65,17 +65,17 @@
     let is_error = head.status.is_client_error() || head.status.is_server_error();
     let refused = wire::refused(&head.headers).filter(|_| is_error);
     let outcome = match refused {
-        Some(wire::Refused::Full | wire::Refused::Draining) => Outcome::Full,
-        Some(wire::Refused::Missing) => Outcome::Missed,
+        Some(wire::Refused::Full | wire::Refused::Draining) => Outcome::Rejected,
+        Some(wire::Refused::Missing) => Outcome::NotLoaded,
         // Also where it says that the client's input was wrong.
-        None if head.status.as_u16() < 500 => Outcome::Handled,
+        None if head.status.as_u16() < 500 => Outcome::Succeeded,
         None => Outcome::Failed,
     };
     let found = wire::found(&head.headers).map(|found| match found {
-        wire::Found::Loaded => Found::Loaded,
-        wire::Found::Began => Found::BeganLoad,
-        wire::Found::Awaited => Found::AwaitedLoad,
-        wire::Found::Failed => Found::LoadFailed,
+        wire::Found::Loaded => InstanceState::Loaded,
+        wire::Found::Began => InstanceState::LoadStarted,
+        wire::Found::Awaited => InstanceState::LoadAwaited,
+        wire::Found::Failed => InstanceState::LoadFailed,
     });
     let company = wire::count(&head.headers, &wire::COMPANY).ok().flatten().unwrap_or(0);
     let report = load_report(&head.headers);
@@ -87,10 +87,10 @@
 pub fn load_result(head: &Parts, requested: u8) -> (Outcome, u8) {
     if head.status.is_success() {
         let instances = wire::count(&head.headers, &wire::COPIES).ok().flatten();
-        return (Outcome::Handled, instances.unwrap_or(requested.into()).min(u8::MAX.into()) as u8);
+        return (Outcome::Succeeded, instances.unwrap_or(requested.into()).min(u8::MAX.into()) as u8);
     }
     match wire::refused(&head.headers) {
-        Some(wire::Refused::Full | wire::Refused::Draining) => (Outcome::Full, 0),
+        Some(wire::Refused::Full | wire::Refused::Draining) => (Outcome::Rejected, 0),
         Some(wire::Refused::Missing) | None => (Outcome::Failed, 0),
     }
 }
--- a/crates/gateway/tests/multiple_cores.rs
+++ b/crates/gateway/tests/multiple_cores.rs
@@ -150,7 +150,7 @@
         let extra_config =
             format!("cores = {cores}\nlimits {{\nration {{\nwindow = 60\nfree = 1\nshare = 0\n}}\n}}\n");
         let mut config = config_for(&workers, &extra_config);
-        config.policy.orders = true;
+        config.policy.can_request_loads = true;
         let (gateway_address, ..) = start_with_faults(config).await;
         let ask = |n: usize| {
             let text = format!(
--- /dev/null
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -0,0 +1,165 @@
+use crate::platform_router::tests::{router_with_workers, run_local};
+use crate::platform_router::{OpenCall, PlatformRouter, SharedRouter};
+use socket2::SockRef;
+use std::io::Write;
+use std::time::Duration;
+use test_case::test_case;
+use tokio::net::TcpListener;
+
+/// A client that was accepted, and its slot.
+async fn connect_client(router: &SharedRouter) -> (std::net::TcpStream, usize) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    client.set_nodelay(true).unwrap();
+    let (stream, _) = listener.accept().await.unwrap();
+    let mut state = router.borrow_mut();
+    assert!(state.admit(stream));
+    let serial = state.serial;
+    let slot = state.clients.iter().find(|(_, c)| c.serial == serial).unwrap().0;
+    (client, slot)
+}
+
+/// Sends bytes now, and waits until the router has read them.
+async fn send_and_wait_until_read(
+    router: &SharedRouter,
+    (client, slot): &mut (std::net::TcpStream, usize),
+    text: &[u8],
+) {
+    client.write_all(text).unwrap();
+    let has_unread =
+        |state: &PlatformRouter| state.clients.get(*slot).is_some_and(|c| c.last_received < state.now());
+    while has_unread(&router.borrow()) {
+        tokio::task::yield_now().await;
+    }
+}
+
+/// Sends a text a byte at a time, evenly over some seconds. Where the connection was closed before the end: after how
+/// many seconds.
+async fn send_byte_by_byte(
+    router: &SharedRouter,
+    to: &mut (std::net::TcpStream, usize),
+    text: &str,
+    seconds: f64,
+) -> Option<f64> {
+    let begun = router.borrow().now();
+    let step = Duration::from_secs_f64(seconds / text.len() as f64);
+    for byte in text.bytes() {
+        tokio::time::advance(step).await;
+        let now = router.borrow().now();
+        router.borrow_mut().close_stale_clients(now);
+        if !router.borrow().clients.contains(to.1) {
+            return Some(now - begun);
+        }
+        send_and_wait_until_read(router, to, &[byte]).await;
+    }
+    None
+}
+
+const PROBE: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"probe\"}\n";
+const CALL: &str = concat!(
+    r#"{"jsonrpc":"2.0","id":2,"method":"p","params":{"i":"9b1f03aa5c7e2d41","#,
+    r#""d":1500,"o":"7f3a9c21e0b4d655"}}"#
+);
+
+/// A call comes a byte at a time, over as long as its client would wait for a response: it is accepted, and its time
+/// counts from its last byte. The connection used to be closed after 2 s.
+#[test_case(true, 2.9; "from a known client")]
+#[test_case(false, 2.4; "as the first of its client")]
+fn call_received_byte_by_byte_is_accepted(known: bool, seconds: f64) {
+    run_local(async move {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let mut client = connect_client(&router).await;
+        if known {
+            send_and_wait_until_read(&router, &mut client, PROBE).await;
+            tokio::time::advance(Duration::from_secs(60)).await;
+        }
+        assert_eq!(send_byte_by_byte(&router, &mut client, CALL, seconds).await, None);
+        assert!(router.borrow().clients[client.1].open_calls.is_empty());
+        tokio::time::advance(Duration::from_millis(10)).await;
+        send_and_wait_until_read(&router, &mut client, b"\n").await;
+        let mut state = router.borrow_mut();
+        let [OpenCall { number: 2, request }] = state.clients[client.1].open_calls[..] else {
+            panic!("one open call")
+        };
+        let now = state.now();
+        assert_eq!(state.dispatcher.context(request).unwrap().received_at, now);
+    });
+}
+
+/// A connection on which a line never ends is closed in time, however the bytes come: within 3 s where no valid line
+/// ever came. Empty lines used to hold a connection open for good.
+#[test_case(false, &CALL.repeat(3), 2.5; "the first line")]
+#[test_case(true, &CALL.repeat(3), 3.0; "a later line")]
+#[test_case(false, &"\n".repeat(99), 2.0; "empty lines")]
+#[test_case(false, &" \n".repeat(99), 2.0; "lines of a space")]
+fn line_that_never_ends_is_closed_in_time(known: bool, text: &str, closed: f64) {
+    let text = text.to_owned();
+    run_local(async move {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let mut client = connect_client(&router).await;
+        if known {
+            send_and_wait_until_read(&router, &mut client, PROBE).await;
+        }
+        let after = send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("it is closed");
+        assert!(after >= closed && after < closed + 0.2, "{after}");
+    });
+}
+
+/// A place is needed: a client amid a call stays, and one is closed that has been idle for less time than that call
+/// takes.
+#[test]
+fn client_with_a_partial_call_is_not_evicted() {
+    run_local(async {
+        tokio::time::pause();
+        let router = router_with_workers(&[]);
+        let mut clients = [connect_client(&router).await, connect_client(&router).await];
+        for client in &mut clients {
+            send_and_wait_until_read(&router, client, PROBE).await;
+        }
+        assert_eq!(send_byte_by_byte(&router, &mut clients[0], &CALL[..20], 1.0).await, None);
+        send_and_wait_until_read(
+            &router,
+            &mut clients[1],
+            b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"probe\"}\n",
+        )
+        .await;
+        assert_eq!(send_byte_by_byte(&router, &mut clients[0], &CALL[20..40], 0.9).await, None);
+        router.borrow_mut().connection_limits.clients = 2;
+        let third = connect_client(&router).await;
+        let serials: Vec<_> = router.borrow().clients.iter().map(|(_, c)| c.serial).collect();
+        assert!(serials.contains(&1) && !serials.contains(&2) && third.1 == clients[1].1, "{serials:?}");
+    });
+}
+
+/// After an invalid line a client goes on sending and reads nothing: it is closed in time. While bytes of it lay unread,
+/// which are not read any more, it was taken for one about to call, and kept for good.
+#[test]
+fn invalid_client_is_closed_however_much_it_sends() {
+    run_local(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let mut invalid_client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let (stream, _) = listener.accept().await.unwrap();
+        SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
+        while stream.try_write(&[b' '; 1 << 10]).is_ok() {}
+        let router = router_with_workers(&[]);
+        assert!(router.borrow_mut().admit(stream));
+        invalid_client.write_all(b"{\n").unwrap();
+        let first =
+            |state: &PlatformRouter| state.clients.iter().map(|(slot, c)| (slot, c.stream.clone())).next();
+        let (slot, stream) = first(&router.borrow()).unwrap();
+        stream.readable().await.unwrap();
+        router.borrow_mut().on_client_readable(slot);
+        {
+            let state = router.borrow();
+            assert!(state.clients[slot].closing && state.clients[slot].write_buffer.remaining() > 0);
+        }
+        invalid_client.write_all(b"more of the same\n").unwrap();
+        stream.readable().await.unwrap();
+        let mut state = router.borrow_mut();
+        let now = state.now();
+        state.close_stale_clients(now + 2.5);
+        assert!(state.clients.is_empty());
+    });
+}
--- a/crates/platform-router/src/faults/tests.rs
+++ b/crates/platform-router/src/socket_errors/tests.rs
@@ -3,7 +3,7 @@
 /// The page that states what every error proves.
 const PAGE: &str = include_str!("../../../../docs/design/system-calls.md");
 
-/// The errors that the users' letter names, and those that `read`, `write`, `socket` and `connect` add to them.
+/// The errors that `read`, `write`, `socket` and `connect` are tested with.
 const NAMED: [Errno; 15] = [
     Errno::ECONNABORTED,
     Errno::ENFILE,
@@ -64,7 +64,7 @@
 
 /// Every line of the page holds, and there is one for each system call with each error.
 #[test]
-fn the_page_states_every_error_as_it_is_classified() {
+fn design_page_matches_the_classification_of_every_error() {
     let rows = rows();
     for operation in [Operation::Connect, Operation::Read, Operation::Write] {
         for errno in NAMED {
@@ -87,18 +87,18 @@
     assert_eq!(rows.len(), 3 * NAMED.len(), "a line that no error stands for");
 }
 
-/// What failed for a reason of our own ends as something that the policy holds against no worker.
+/// What failed for a local reason ends with an outcome that the policy holds against no worker.
 #[test]
-fn a_local_fault_ends_as_nothing_that_counts_against_a_worker() {
-    assert_eq!(outcome(FaultOrigin::Local, false), Outcome::Unsent);
-    assert_eq!(outcome(FaultOrigin::Local, true), Outcome::Withdrawn);
-    assert_eq!(outcome(FaultOrigin::Remote, false), Outcome::Unreached);
-    assert_eq!(outcome(FaultOrigin::Remote, true), Outcome::Cut);
+fn local_fault_does_not_count_against_the_worker() {
+    assert_eq!(outcome(FaultOrigin::Local, false), Outcome::NotSent);
+    assert_eq!(outcome(FaultOrigin::Local, true), Outcome::Cancelled);
+    assert_eq!(outcome(FaultOrigin::Remote, false), Outcome::Unreachable);
+    assert_eq!(outcome(FaultOrigin::Remote, true), Outcome::ConnectionLost);
 }
 
 /// Errors of the runtime's own have a kind and no number.
 #[test]
-fn errors_without_a_number_go_by_their_kind() {
+fn errors_without_errno_are_classified_by_kind() {
     let of = |operation, kind: ErrorKind| classify(operation, &io::Error::from(kind));
     assert_eq!(of(Operation::Connect, ErrorKind::TimedOut).origin, FaultOrigin::Remote);
     assert_eq!(of(Operation::Read, ErrorKind::WouldBlock).recovery, Recovery::AwaitReadiness);
--- /dev/null
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -0,0 +1,150 @@
+use crate::memory_budget::MemoryBudget;
+use crate::platform_router::tests::{router_with_effect, router_with_workers, run_local, submit_request};
+use crate::platform_router::{AwaitedResponse, OutstandingFrame, RECENT_IDS, WorkerConnection};
+use crate::socket_errors::{self, FaultOrigin, Operation};
+use nix::errno::Errno;
+use std::io::Read;
+use std::rc::Rc;
+use test_case::test_case;
+use tokio::net::TcpStream;
+
+/// A worker rejected an attempt twice; the second copy would have ended the next attempt with the same id.
+#[test]
+fn recent_frame_ids_are_not_reused() {
+    let mut connection = WorkerConnection::new(0, 1, MemoryBudget::new(1).reserve(0), 0.0, 0.25);
+    for id in 0..=RECENT_IDS as u64 {
+        connection.outstanding.push(OutstandingFrame {
+            id,
+            awaited: AwaitedResponse::HealthCheck { serial: id },
+            end_offset: 0,
+            made_at: 0.0,
+        });
+        assert!(connection.uses_id(id));
+        connection.finish(0);
+        assert!(connection.uses_id(id));
+    }
+    assert!(!connection.uses_id(0) && connection.recent_ids.len() == RECENT_IDS);
+}
+
+/// The socket takes nothing: frames for it are queued unmade, and what is cancelled meanwhile is never sent. Up to
+/// 16 KiB of frames used to be made ahead, and were sent once the worker took them, whichever client had gone.
+#[test]
+fn attempt_cancelled_before_its_first_byte_is_not_sent() {
+    run_local(async {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let router = router_with_workers(&[address]);
+        let stream = TcpStream::connect(address).await.unwrap();
+        socket2::SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
+        let (mut worker, _) = listener.accept().unwrap();
+        let mut filler = 0;
+        stream.writable().await.unwrap();
+        while let Ok(n) = stream.try_write(&[0; 1 << 10]) {
+            filler += n;
+        }
+        let stream = Rc::new(stream);
+        let slot = {
+            let mut state = router.borrow_mut();
+            let process = state.dispatcher.worker_process(0).process;
+            let mut connection = WorkerConnection::new(0, process, state.memory_budget.reserve(0), 0.0, 0.25);
+            connection.stream = Some(stream.clone());
+            let slot = state.worker_connections.insert(connection);
+            state.connections_by_worker.entry(0).or_default().push(slot);
+            let tags = [5, 6].map(|id| submit_request(&mut state, id));
+            state.run_actions();
+            let connection = &state.worker_connections[slot];
+            assert_eq!(
+                (
+                    connection.queue.len(),
+                    connection.outstanding.len(),
+                    connection.write_buffer.remaining(),
+                    connection.bytes_made
+                ),
+                (2, 0, 0, 0)
+            );
+            let now = state.now();
+            state.dispatcher.client_gone(now, tags[0]);
+            state.run_actions();
+            slot
+        };
+        let mut read = vec![0; filler];
+        worker.read_exact(&mut read).unwrap();
+        stream.writable().await.unwrap();
+        router.borrow_mut().flush_worker(slot);
+        let mut head = [0; 16];
+        worker.read_exact(&mut head).unwrap();
+        assert_eq!((head[1], head[15]), (2, 6), "the one that was not cancelled");
+        let state = router.borrow();
+        let connection = &state.worker_connections[slot];
+        assert_eq!((connection.queue.len(), connection.outstanding.len()), (0, 1));
+        assert_eq!(connection.bytes_made, connection.bytes_written);
+    });
+}
+
+/// Descriptors had run out here, and each worker that was connected to meanwhile was taken for unreachable.
+#[test_case(Errno::EMFILE, true; "no descriptor")]
+#[test_case(Errno::ENFILE, true; "none on the whole system")]
+#[test_case(Errno::EADDRNOTAVAIL, true; "no port")]
+#[test_case(Errno::ENETUNREACH, true; "no route")]
+#[test_case(Errno::ECONNABORTED, true; "aborted here")]
+#[test_case(Errno::EAGAIN, true; "no entry free")]
+#[test_case(Errno::ECONNREFUSED, false; "refused")]
+#[test_case(Errno::EHOSTUNREACH, false; "no way there")]
+fn local_connect_error_does_not_blame_the_worker(errno: Errno, own: bool) {
+    let fault = socket_errors::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
+    assert_eq!(fault.origin == FaultOrigin::Local, own);
+}
+
+/// A socket takes nothing for a second with calls queued for it: each frame states the time that its client has left as
+/// its first byte is written, and not what was left when it was queued.
+#[test]
+fn queued_frame_states_the_time_left_when_written() {
+    run_local(async {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let router = router_with_effect("free", 3_000_000, &[address]);
+        let stream = TcpStream::connect(address).await.unwrap();
+        socket2::SockRef::from(&stream).set_send_buffer_size(4 << 10).unwrap();
+        let (mut worker, _) = listener.accept().unwrap();
+        worker.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
+        let mut filler = 0;
+        stream.writable().await.unwrap();
+        while let Ok(n) = stream.try_write(&[0; 1 << 10]) {
+            filler += n;
+        }
+        let stream = Rc::new(stream);
+        let (slot, arrived) = {
+            let mut state = router.borrow_mut();
+            let process = state.dispatcher.worker_process(0).process;
+            let mut connection = WorkerConnection::new(0, process, state.memory_budget.reserve(0), 0.0, 3.0);
+            connection.stream = Some(stream.clone());
+            let slot = state.worker_connections.insert(connection);
+            state.connections_by_worker.entry(0).or_default().push(slot);
+            let arrived = state.now();
+            for id in 1..=10 {
+                submit_request(&mut state, id);
+            }
+            state.run_actions();
+            (slot, arrived)
+        };
+        let queued = router.borrow().worker_connections[slot].queue.len();
+        assert!(queued > 1, "{queued}");
+        tokio::time::sleep(std::time::Duration::from_secs(1)).await;
+        let mut read = vec![0; filler];
+        worker.read_exact(&mut read).unwrap();
+        stream.writable().await.unwrap();
+        let remaining = arrived + 2.0 - router.borrow().now();
+        router.borrow_mut().flush_worker(slot);
+        for _ in 0..queued {
+            let mut head = [0; 16];
+            worker.read_exact(&mut head).unwrap();
+            let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
+            let mut rest = vec![0; fields + head[7] as usize + 4];
+            worker.read_exact(&mut rest).unwrap();
+            let text = String::from_utf8_lossy(&rest[..fields]).into_owned();
+            let budget = text.split(',').find_map(|field| field.strip_prefix("budget=")).unwrap();
+            let budget: f64 = budget.parse().unwrap();
+            assert!(budget <= remaining * 1e3 + 5.0, "{budget} with {remaining} s left");
+        }
+    });
+}
