--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -71,7 +71,7 @@
         Err(BodyError::Interrupted) => {
             report(context, id, AttemptResult { outcome: Outcome::ConnectionLost, ..result });
         }
-        // Another worker's response would be too large as well, so the client is told now.
+        // Another worker's response would be too large as well, so the client gets its response now.
         Err(BodyError::TooLarge) => {
             let result = AttemptResult { outcome: Outcome::Failed, answers_client: true, ..result };
             finish(context, id, result, FinalResponse::TooLarge);
--- a/crates/gateway/src/endpoint_watch.rs
+++ b/crates/gateway/src/endpoint_watch.rs
@@ -46,7 +46,7 @@
     context: Rc<CoreContext>,
     /// Known from the first complete list on; revisions count within one stream.
     last_revision: Option<u64>,
-    /// Whether the dispatcher was told that changes are missing.
+    /// Whether it was reported that changes are missing.
     gap_reported: bool,
 }
 
--- a/crates/gateway/src/http_service.rs
+++ b/crates/gateway/src/http_service.rs
@@ -33,7 +33,7 @@
     context.slot().requests.fetch_add(1, Ordering::Relaxed);
     let rate = channel.record_request(context.now());
     if !channel.claim.owe() {
-        // Another core has closed this connection and told the client that the request was not run.
+        // Another core has closed this connection; its response says that the request was not run.
         return rejected("bounced", "This connection is closed", None);
     }
     let mut guard = ResponseGuard::new(context.clone(), channel);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Runs a gateway: accepts client connections until it is told to stop, and then finishes the requests that it has.
+//! Runs a gateway: accepts client connections until it is stopped, and then finishes the requests that it has.
 //! The calling thread accepts and supervises; each core has a thread of its own.
 
 use crate::changing::{self, Feed};
--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -20,10 +20,10 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Heartbeats within which a thread that runs has ended after it was told to.
+/// Heartbeats within which a thread that runs has ended after it was asked to.
 const HEARTBEATS_TO_END: u32 = 10;
 
-/// Heartbeats after which cores that still have connections are told that their time is up.
+/// Heartbeats after which cores that still have connections are ended.
 const HEARTBEATS_TO_FINISH: u32 = 2;
 
 /// Supervises the cores of one gateway.
--- a/crates/gateway/tests/multiple_cores.rs
+++ b/crates/gateway/tests/multiple_cores.rs
@@ -251,7 +251,7 @@
 fn more_pinned_cores_than_processors_serve() {
     run(async {
         let (worker, _heads) = support::start_worker(OK).await;
-        let (gateway_address, stop, served, _stir) =
+        let (gateway_address, stop, served, _faults) =
             start_with_faults(config_for(&[worker], "cores = 63\npin = true\n")).await;
         let clients: Vec<_> = (0..70).map(|_| spawn_local(send_requests(gateway_address, 2))).collect();
         for client in clients {
@@ -263,8 +263,8 @@
 }
 
 /// A core is stalled with an open request: its client gets one response meanwhile, and the connection ends.
-#[test_case(IDEMPOTENT, "bounced"; "pure")]
-#[test_case(NON_IDEMPOTENT, "terminated"; "effectful, and at a worker")]
+#[test_case(IDEMPOTENT, "bounced"; "idempotent")]
+#[test_case(NON_IDEMPOTENT, "terminated"; "not idempotent, and at a worker")]
 fn the_request_of_a_stalled_core_is_answered_once(profile: &str, expected: &str) {
     run(async {
         let (worker, mut heads) = support::start_worker(Behavior::RespondsAfter(
@@ -419,7 +419,7 @@
 fn a_stop_during_a_burst_answers_every_accepted_request() {
     run(async {
         let (workers, _heads) = support::start_workers(4, vec![OK]).await;
-        let (gateway_address, stop, served, _stir) =
+        let (gateway_address, stop, served, _faults) =
             start_with_faults(config_for(&workers, "cores = 4\n")).await;
         let clients: Vec<_> = (0..32).map(|_| spawn_local(send_requests(gateway_address, 100_000))).collect();
         pause(0.5).await;
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -49,11 +49,11 @@
 
 /// A worker dies during a request: idempotent ones are retried elsewhere, others fail. An idempotency key is known for
 /// 0.4 s: a request that was in flight for longer is not sent again.
-#[test_case(IDEMPOTENT, 0, "handled", 2; "pure")]
-#[test_case(IDEMPOTENT_WITH_KEY, 0, "handled", 2; "receipted")]
-#[test_case(IDEMPOTENT_WITH_KEY, 500, "bounced", 1; "receipted, and forgotten")]
-#[test_case(KEY_KNOWN_BY_ZONE, 0, "terminated", 1; "receipted, and known to no other worker")]
-#[test_case(NON_IDEMPOTENT, 0, "terminated", 1; "effectful")]
+#[test_case(IDEMPOTENT, 0, "handled", 2; "idempotent")]
+#[test_case(IDEMPOTENT_WITH_KEY, 0, "handled", 2; "with a key")]
+#[test_case(IDEMPOTENT_WITH_KEY, 500, "bounced", 1; "with a key that is forgotten")]
+#[test_case(KEY_KNOWN_BY_ZONE, 0, "terminated", 1; "with a key that no other worker knows")]
+#[test_case(NON_IDEMPOTENT, 0, "terminated", 1; "not idempotent")]
 fn a_request_whose_worker_dies_is_retried_only_if_idempotent(
     profile: &str,
     after: u64,
@@ -72,7 +72,7 @@
 
 /// A bare 503 may come from an intermediary: only the worker's own refusal proves that nothing ran.
 #[test_case(BARE_503, "terminated"; "a bare error")]
-#[test_case(FULL, "bounced"; "its own word")]
+#[test_case(FULL, "bounced"; "its own refusal")]
 fn only_a_refusal_by_the_worker_proves_that_a_request_did_not_run(behavior: Behavior, expected: &str) {
     run(async {
         let (worker, mut heads) = support::start_worker(behavior).await;
@@ -117,7 +117,7 @@
 }
 
 /// Responses that are cut off, malformed, or larger than is passed on.
-#[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"), "failed"; "half an answer")]
+#[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"), "failed"; "half a response")]
 #[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf"), "failed"; "half a chunked one")]
 #[test_case(Behavior::RespondsAndCloses("\x13\x37 what\r\n\r\n"), "failed"; "garbage")]
 #[test_case(Behavior::Responds("HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n"), "answer-too-large"; "stated too large")]
@@ -192,17 +192,17 @@
 
 /// Whatever a client sends, it gets a clear response or none, and others are served.
 #[test_case(b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400; "a handshake of another protocol")]
-#[test_case(b"GET / HTTP/9.9\r\n\r\n", 400; "a version that there is not")]
+#[test_case(b"GET / HTTP/9.9\r\n\r\n", 400; "an unknown version")]
 #[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: -3\r\n\r\n", 400; "a negative length")]
 #[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 3\r\ncontent-length: 9\r\n\r\n", 400; "two lengths")]
 #[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n", 400; "a bad chunk")]
-#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 99\r\n\r\n", 413; "a body over the bound")]
-#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n40\r\n0123456789012345678901234567890123456789012345678901234567890123\r\n0\r\n\r\n", 413; "chunks over the bound")]
-#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 9\r\n\r\nhalf", 408; "a body that does not come")]
-#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nmilletpath-patience: soon\r\ncontent-length: 0\r\n\r\n", 400; "no patience")]
-#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nmilletpath-profile: other\r\ncontent-length: 0\r\n\r\n", 400; "no profile of ours")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 99\r\n\r\n", 413; "a body over the limit")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n40\r\n0123456789012345678901234567890123456789012345678901234567890123\r\n0\r\n\r\n", 413; "chunks over the limit")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 9\r\n\r\nhalf", 408; "a body that does not arrive")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nmilletpath-patience: soon\r\ncontent-length: 0\r\n\r\n", 400; "an invalid timeout")]
+#[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nmilletpath-profile: other\r\ncontent-length: 0\r\n\r\n", 400; "an unknown profile")]
 #[test_case(b"DELETE /v1/functions/greet/activations HTTP/1.1\r\ncontent-length: 0\r\n\r\n", 405; "another method")]
-#[test_case(b"POST /v1/functions/gr%20eet/activations HTTP/1.1\r\ncontent-length: 0\r\n\r\n", 400; "no name")]
+#[test_case(b"POST /v1/functions/gr%20eet/activations HTTP/1.1\r\ncontent-length: 0\r\n\r\n", 400; "an invalid function name")]
 fn malformed_requests_get_an_error_response(bytes: &[u8], expected: u16) {
     run(async {
         let (worker, _heads) = support::start_worker(OK).await;
