--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -11,6 +11,7 @@
 use milletpath_dispatcher::dispatcher::Counters;
 use milletpath_process_environment::listener::ACCEPT_QUEUE_LENGTH;
 use socket2::SockRef;
+use std::fmt::Display;
 use std::future::Future;
 use std::io;
 use std::pin::{Pin, pin};
@@ -205,11 +206,6 @@
 impl ControlThreads {
     /// Starts those whose links are given; the gateway serves also without one that can't start.
     fn start(shared_runtime: &Arc<SharedRuntime>, links: Links) -> Self {
-        let started = |thread: io::Result<JoinHandle<()>>, without: &str| {
-            thread
-                .inspect_err(|error| tracing::error!(%error, "a control thread can't start; {without}"))
-                .ok()
-        };
         let changes = links.changes.and_then(|feed| {
             let thread = changing::start(shared_runtime.clone(), feed);
             started(thread, "configuration changes don't arrive, the file's values stay in force")
@@ -231,3 +227,8 @@
         }
     }
 }
+
+/// The thread, or `None` with a log line that says what the gateway does without it.
+fn started<E: Display>(thread: Result<JoinHandle<()>, E>, without: &str) -> Option<JoinHandle<()>> {
+    thread.inspect_err(|error| tracing::error!(%error, "a control thread can't start; {without}")).ok()
+}
