--- /dev/null
+++ b/crates/gateway/src/attempt.rs
@@ -0,0 +1,92 @@
+//! One attempt of a request at a worker: sends it, reads the response, and reports the result to the dispatcher, which
+//! decides whether it is the client's response.
+
+use crate::connection_pool::WorkerTarget;
+use crate::core_context::CoreContext;
+use crate::core_message::AttemptId;
+use crate::response::FinalResponse;
+use crate::worker_exchange::{self, BodyError, BufferedBody, PendingResponse, build_request, exchange, host};
+use crate::worker_response::{attempt_result, remove_hop_by_hop_headers};
+use bytes::Bytes;
+use http::header::{self, HeaderMap, HeaderValue};
+use http::{Method, Request};
+use http_body_util::Full;
+use milletpath_dispatcher::dispatcher::AttemptResult;
+use milletpath_policy::Outcome;
+use milletpath_protocol::worker as wire;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// What an attempt sends.
+pub struct AttemptRequest {
+    /// Name of the function.
+    pub function: Arc<str>,
+    /// Seconds until the attempt times out.
+    pub time_left: f64,
+    /// The client's header fields that are passed on.
+    pub headers: HeaderMap,
+    /// The client's body.
+    pub body: Bytes,
+}
+
+impl AttemptRequest {
+    /// The request for a worker; `None` where its path would be no URI.
+    fn into_http(self, attempt: usize, target: WorkerTarget) -> Option<Request<Full<Bytes>>> {
+        let Self { function, time_left, mut headers, body } = self;
+        headers.insert(header::HOST, host(target.endpoint));
+        headers.insert(&wire::SHOT, HeaderValue::from(attempt as u64));
+        if let Ok(time_left) = HeaderValue::from_str(&format!("{time_left:.3}")) {
+            headers.insert(&wire::LEFT, time_left);
+        }
+        build_request(Method::POST, wire::infer(&function), headers, body)
+    }
+}
+
+/// Sends an attempt and reports its result.
+pub async fn send(context: Rc<CoreContext>, id: AttemptId, target: WorkerTarget, parts: AttemptRequest) {
+    let Some(request) = parts.into_http(id.attempt, target) else { return };
+    let may_send =
+        || context.with_dispatcher(|dispatcher, now| dispatcher.begin_attempt(now, id.request, id.attempt));
+    match exchange(&context, target, request, may_send).await {
+        Ok(pending) => receive(&context, id, target, pending).await,
+        Err(error) => {
+            if let Some(outcome) = error.outcome() {
+                report(&context, id, AttemptResult::from_outcome(outcome));
+            }
+        }
+    }
+}
+
+/// Reads the response of an attempt and reports the result.
+async fn receive(context: &Rc<CoreContext>, id: AttemptId, target: WorkerTarget, pending: PendingResponse) {
+    let PendingResponse { response, connection } = pending;
+    let (mut head, body) = response.into_parts();
+    let result = attempt_result(&head);
+    match worker_exchange::read_body(context, body).await {
+        Ok(BufferedBody { bytes, reservation }) => {
+            context.return_connection(target.worker, connection);
+            remove_hop_by_hop_headers(&mut head.headers);
+            finish(context, id, result, FinalResponse::FromWorker(head, bytes, reservation));
+        }
+        Err(BodyError::Interrupted) => {
+            report(context, id, AttemptResult { outcome: Outcome::ConnectionLost, ..result });
+        }
+        // Another worker's response would be too large as well, so the client gets its response now.
+        Err(BodyError::TooLarge) => {
+            let result = AttemptResult { outcome: Outcome::Failed, answers_client: true, ..result };
+            finish(context, id, result, FinalResponse::TooLarge);
+        }
+    }
+}
+
+/// Reports the result of an attempt; whether it is the client's response.
+fn report(context: &Rc<CoreContext>, id: AttemptId, result: AttemptResult) -> bool {
+    context.with_dispatcher(|dispatcher, now| dispatcher.attempt_ended(now, id.request, id.attempt, result))
+}
+
+/// Reports the result of an attempt, and responds to the client where the dispatcher says so.
+fn finish(context: &Rc<CoreContext>, id: AttemptId, result: AttemptResult, response: FinalResponse) {
+    if report(context, id, result) {
+        context.respond_to(id.request, id.request_slot, response);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/core_context.rs
@@ -0,0 +1,312 @@
+//! What the tasks of one core share: its open requests, its connections to workers, and its heartbeat. It belongs to one
+//! thread; other threads reach the core by its slot in the shared runtime.
+
+use crate::connection_pool::{self, Connection, ConnectionPool, Endpoint, WorkerTarget};
+use crate::core_message::{CoreMessage, RequestLocation};
+use crate::core_slot::CoreSlot;
+use crate::open_requests::{NewRequest, OpenRequest, OpenRequests};
+use crate::response::{BufferedBytes, FinalResponse};
+use crate::response_channel::ResponseChannel;
+use crate::shared_runtime::SharedRuntime;
+use bytes::Bytes;
+use http::HeaderMap;
+use milletpath_config::{GatewayConfig, Limits};
+use milletpath_dispatcher::dispatcher::{Dispatcher, RequestId};
+use milletpath_multicore::watch::STILL;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{Notify, watch};
+use tokio::task::AbortHandle;
+
+/// Seconds between two heartbeats of a core.
+pub const HEARTBEAT_INTERVAL: f64 = 0.05;
+
+/// How many times as fast as they arrived requests are read after a stall.
+const CATCH_UP_RATE: f64 = 4.0;
+
+/// After a stall, the time in which everything that arrived meanwhile is read.
+const READ_AFTER_STALL: Duration = Duration::from_millis(5);
+
+/// How long another core may take to close an idle connection, and to be given a busy one's place.
+const WAIT_FOR_CONNECTION: Duration = Duration::from_millis(20);
+
+/// Handles a core's messages.
+pub type MessageHandler = fn(&Rc<CoreContext>, CoreMessage);
+
+/// A time for which a thread did not run, in seconds since the start of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Stall {
+    /// The last heartbeat before it.
+    pub began: f64,
+    /// The first heartbeat after it.
+    pub ended: f64,
+}
+
+/// Why a core has no connection to a worker.
+#[derive(Debug, thiserror::Error)]
+pub enum ConnectError {
+    /// The worker has as many connections as it may, and none is idle.
+    #[error("the limit on connections to the worker is reached")]
+    LimitReached,
+    /// The connection failed.
+    #[error("no connection to the worker: {0}")]
+    Io(#[from] io::Error),
+}
+
+/// The state of one core, for the tasks on its thread.
+pub struct CoreContext {
+    /// The state that all cores share.
+    pub shared_runtime: Arc<SharedRuntime>,
+    /// Index of this core.
+    pub core: usize,
+    incarnation: u32,
+    handler: MessageHandler,
+    open_requests: OpenRequests,
+    /// By worker; bounded by the workers that the dispatcher knows.
+    pools: RefCell<Vec<ConnectionPool>>,
+    endpoint_watch: RefCell<Option<AbortHandle>>,
+    last_heartbeat: Cell<f64>,
+    last_stall: Cell<Stall>,
+    /// Wakes tasks that wait for the end of a stall.
+    resumed: Notify,
+    /// Seen by this core's client connections.
+    stopping: watch::Sender<bool>,
+}
+
+impl CoreContext {
+    /// The context of a core's thread, which is the given incarnation of the core. Must run within a `LocalSet`.
+    pub fn new(
+        shared_runtime: Arc<SharedRuntime>,
+        core: usize,
+        incarnation: u32,
+        handler: MessageHandler,
+    ) -> Rc<Self> {
+        Rc::new(Self {
+            last_heartbeat: Cell::new(shared_runtime.now()),
+            shared_runtime,
+            core,
+            incarnation,
+            handler,
+            open_requests: OpenRequests::default(),
+            pools: RefCell::default(),
+            endpoint_watch: RefCell::default(),
+            last_stall: Cell::default(),
+            resumed: Notify::new(),
+            stopping: watch::Sender::new(false),
+        })
+    }
+
+    /// The gateway's configuration.
+    pub fn config(&self) -> &GatewayConfig {
+        &self.shared_runtime.config
+    }
+
+    /// The gateway's limits.
+    pub fn limits(&self) -> &Limits {
+        &self.shared_runtime.config.limits
+    }
+
+    /// This core's slot.
+    pub fn slot(&self) -> &CoreSlot {
+        &self.shared_runtime.core_slots[self.core]
+    }
+
+    /// Seconds since the start, by the monotonic clock.
+    pub fn now(&self) -> f64 {
+        self.shared_runtime.now()
+    }
+
+    /// The earliest time at which a request that is read now may have arrived: now, unless this thread was stalled
+    /// lately.
+    pub fn earliest_arrival(&self) -> f64 {
+        let now = self.now();
+        if now - self.last_heartbeat.get() > STILL {
+            return self.last_heartbeat.get();
+        }
+        let Stall { began, ended } = self.last_stall.get();
+        now.min(began + CATCH_UP_RATE * (now - ended))
+    }
+
+    /// Waits, after a stall of this thread or the supervisor, until what arrived meanwhile has been read: a worker may be
+    /// draining by now, and clients may have disconnected.
+    pub async fn wait_until_responsive(&self) {
+        let is_stalled = |heartbeat: f64| self.now() - heartbeat > STILL;
+        while is_stalled(self.last_heartbeat.get())
+            || is_stalled(self.shared_runtime.supervisor().pulse.seen())
+        {
+            self.resumed.notified().await;
+        }
+    }
+
+    /// Calls the dispatcher and handles the messages that follow for this core.
+    pub fn with_dispatcher<R>(
+        self: &Rc<Self>,
+        operation: impl FnOnce(&mut Dispatcher<RequestLocation>, f64) -> R,
+    ) -> R {
+        let result = self.shared_runtime.with_dispatcher(Some(self.core), operation);
+        self.process_messages();
+        result
+    }
+
+    /// Handles the messages in the core's mailbox, unless another thread has replaced this one.
+    pub fn process_messages(self: &Rc<Self>) {
+        if self.slot().pulse.life() != self.incarnation {
+            return;
+        }
+        for message in self.slot().mail.take() {
+            self.handle_message(message);
+        }
+    }
+
+    /// Handles one message.
+    pub fn handle_message(self: &Rc<Self>, message: CoreMessage) {
+        (self.handler)(self, message);
+    }
+
+    /// Keeps what is needed to attempt a request and to respond to it.
+    pub fn open_request(&self, channel: Arc<ResponseChannel>, headers: HeaderMap, body: Bytes) -> NewRequest {
+        self.open_requests.insert(channel, headers, body, self.config().policy.can_cancel)
+    }
+
+    /// Forgets a request.
+    pub fn close_request(&self, request_slot: usize) {
+        self.open_requests.remove(request_slot);
+    }
+
+    /// Calls `operation` with an open request; `None` where it is over, and with it its attempts.
+    pub fn with_open_request<R>(
+        &self,
+        request: RequestId,
+        request_slot: usize,
+        operation: impl FnOnce(&mut OpenRequest) -> R,
+    ) -> Option<R> {
+        self.open_requests.with(request, request_slot, operation)
+    }
+
+    /// Gives a client its response.
+    pub fn respond(&self, request_slot: usize, channel: &Arc<ResponseChannel>, response: FinalResponse) {
+        self.open_requests.respond(request_slot, channel, response);
+    }
+
+    /// Gives the client of a request its response, unless the request is over.
+    pub fn respond_to(&self, request: RequestId, request_slot: usize, response: FinalResponse) {
+        if let Some(channel) = self.open_requests.channel(request, request_slot) {
+            self.respond(request_slot, &channel, response);
+        }
+    }
+
+    /// Counts bytes of a body as buffered; `None` where the limit on all of them is reached.
+    pub fn reserve_buffer(&self, bytes: usize) -> Option<BufferedBytes> {
+        BufferedBytes::reserve(&self.shared_runtime.buffered_bytes, bytes)
+    }
+
+    /// Makes this the task that watches the endpoints; the one before it is aborted.
+    pub fn set_endpoint_watch(&self, task: AbortHandle) {
+        if let Some(previous) = self.endpoint_watch.replace(Some(task)) {
+            previous.abort();
+        }
+    }
+
+    /// Has this core's client connections end, each after its open request.
+    pub fn stop(&self) {
+        self.stopping.send_if_modified(|stopping| !std::mem::replace(stopping, true));
+    }
+
+    /// Whether the gateway is shutting down.
+    pub fn is_stopping(&self) -> bool {
+        *self.stopping.borrow()
+    }
+
+    /// Tells when the gateway shuts down.
+    pub fn stopping(&self) -> watch::Receiver<bool> {
+        self.stopping.subscribe()
+    }
+
+    /// Records that this thread runs; false where another thread has replaced it.
+    pub async fn beat(&self) -> bool {
+        let seconds = self.now() - self.last_heartbeat.get();
+        if seconds > STILL {
+            tracing::warn!(seconds, core = self.core, "this thread was stalled");
+            self.last_stall.set(Stall { began: self.last_heartbeat.get(), ended: self.now() });
+            self.open_requests.drop_answered();
+            tokio::time::sleep(READ_AFTER_STALL).await;
+        }
+        self.last_heartbeat.set(self.now());
+        let is_current = self.slot().pulse.beat(self.incarnation, self.now());
+        self.resumed.notify_waiters();
+        is_current
+    }
+
+    /// When this thread last ran, in seconds since the start.
+    pub fn last_heartbeat(&self) -> f64 {
+        self.last_heartbeat.get()
+    }
+
+    /// When this thread was last stalled.
+    pub fn last_stall(&self) -> Stall {
+        self.last_stall.get()
+    }
+
+    /// An idle connection to a worker.
+    pub fn idle_connection(&self, target: WorkerTarget) -> Option<Connection> {
+        self.with_pool(target.worker, |pool| pool.take(target.endpoint.process))
+    }
+
+    /// Opens a connection to a worker. Where the limit is reached, other cores are asked to close an idle one.
+    pub async fn connect(&self, target: WorkerTarget) -> Result<Connection, ConnectError> {
+        let WorkerTarget { worker, endpoint } = target;
+        let limit = self.shared_runtime.worker_connection_limit(endpoint.address);
+        let permit = match limit.reserve() {
+            Some(permit) => permit,
+            None => {
+                self.request_idle_connection(worker);
+                let _ = tokio::time::timeout(WAIT_FOR_CONNECTION, limit.wait_for_release()).await;
+                limit.reserve().ok_or(ConnectError::LimitReached)?
+            }
+        };
+        // Ends well before the connection counts as one that the worker refused.
+        let max_wait = Duration::from_secs_f64(self.limits().connect_timeout / 2.0);
+        Ok(connection_pool::connect(permit, endpoint, max_wait).await?)
+    }
+
+    /// Opens a connection outside the pools; it counts against the limit of its address.
+    pub async fn connect_unpooled(&self, endpoint: Endpoint) -> Result<Connection, ConnectError> {
+        let limit = self.shared_runtime.worker_connection_limit(endpoint.address);
+        let permit = limit.reserve().ok_or(ConnectError::LimitReached)?;
+        Ok(connection_pool::connect(permit, endpoint, Duration::ZERO).await?)
+    }
+
+    fn request_idle_connection(&self, worker: usize) {
+        for core in (0..self.shared_runtime.core_slots.len()).filter(|core| *core != self.core) {
+            self.shared_runtime.send(core, CoreMessage::CloseIdleConnection { worker });
+        }
+    }
+
+    /// Puts a connection back once its exchange is over.
+    pub fn return_connection(&self, worker: usize, connection: Connection) {
+        let now = self.now();
+        self.with_pool(worker, |pool| pool.return_connection(now, connection));
+    }
+
+    /// Closes one idle connection to a worker, where there is one.
+    pub fn close_one_idle(&self, worker: usize) {
+        self.with_pool(worker, ConnectionPool::close_one);
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub fn close_idle(&self) {
+        let since = self.now() - self.limits().idle_timeout;
+        self.pools.borrow_mut().iter_mut().for_each(|pool| pool.close_idle(since));
+    }
+
+    fn with_pool<R>(&self, worker: usize, operation: impl FnOnce(&mut ConnectionPool) -> R) -> R {
+        let mut pools = self.pools.borrow_mut();
+        if pools.len() <= worker {
+            pools.resize_with(worker + 1, ConnectionPool::default);
+        }
+        operation(&mut pools[worker])
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/response_channel.rs
@@ -0,0 +1,274 @@
+//! A client's connection, shared by all cores: its own core reads requests and writes responses; where that core is
+//! stalled or lost, another sends the final response. An atomic claim decides which of the two writes.
+
+use crate::response::ResponseBody;
+use bytes::Bytes;
+use http::Response;
+use hyper::rt::{Read, ReadBufCursor, Write};
+use milletpath_dispatcher::dispatcher::RequestId;
+use milletpath_multicore::claim::Claim;
+use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
+use socket2::SockRef;
+use std::io::{self, Read as _};
+use std::net::Shutdown;
+use std::os::fd::AsFd;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+use tokio::io::Interest;
+use tokio::net::TcpStream;
+
+/// Readiness that comes with the end of the stream but not with bytes; no client sends urgent data.
+const DISCONNECTED: Interest = Interest::PRIORITY;
+
+/// Whether bytes or the end of the stream are unread. Asks the socket, as the runtime's knowledge may be outdated.
+pub fn has_unread(stream: &impl AsFd) -> bool {
+    let mut descriptors = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
+    poll(&mut descriptors, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
+}
+
+/// A client's connection.
+pub struct ResponseChannel {
+    stream: TcpStream,
+    /// Which thread may write the response.
+    pub claim: Claim,
+    /// When it was assigned to its core, in seconds since the start.
+    assigned_at: f64,
+    /// Requests since then.
+    requests: AtomicU64,
+    /// Serial number of the open request; 0 for none.
+    current_serial: AtomicU64,
+    /// Whether the response to the open request is being written or about to be.
+    response_ready: AtomicBool,
+    /// Whether bytes were read since the last response was written.
+    request_begun: AtomicBool,
+}
+
+impl ResponseChannel {
+    /// A connection that was assigned to a core at `assigned_at`, in seconds since the start.
+    pub fn new(stream: TcpStream, assigned_at: f64) -> Self {
+        Self {
+            stream,
+            claim: Claim::default(),
+            assigned_at,
+            requests: AtomicU64::new(0),
+            current_serial: AtomicU64::new(0),
+            response_ready: AtomicBool::new(false),
+            request_begun: AtomicBool::new(false),
+        }
+    }
+
+    /// Counts a request; how many per second came on this connection.
+    pub fn record_request(&self, now: f64) -> f64 {
+        /// A rate over a shorter time, in seconds, means little.
+        const MIN_SECONDS: f64 = 1.0;
+        let requests = self.requests.fetch_add(1, Ordering::Relaxed) + 1;
+        requests as f64 / (now - self.assigned_at).max(MIN_SECONDS)
+    }
+
+    /// Sets which request is open on this connection.
+    pub fn set_current_request(&self, request: RequestId) {
+        self.current_serial.store(request.serial, Ordering::Relaxed);
+    }
+
+    /// Whether this request is the open one. Only for the connection's own core.
+    pub fn is_current_request(&self, request: RequestId) -> bool {
+        self.current_serial.load(Ordering::Relaxed) == request.serial
+    }
+
+    /// The response to the open request is ready: it is what is written from here on.
+    pub fn begin_response(&self) {
+        self.response_ready.store(true, Ordering::Relaxed);
+    }
+
+    /// Whether bytes or the end of the stream are unread, according to the socket.
+    pub fn has_unread(&self) -> bool {
+        has_unread(&self.stream)
+    }
+
+    /// Whether the client has closed its side or reset the connection, as far as the runtime knows; also where unread
+    /// bytes precede that.
+    pub fn client_disconnected(&self) -> bool {
+        self.stream.try_io(DISCONNECTED, || Ok(())).is_ok()
+    }
+
+    /// Waits until the client has closed its side or reset the connection.
+    pub async fn wait_for_disconnect(&self) {
+        while !self.client_disconnected() {
+            if self.stream.ready(DISCONNECTED).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Whether no request is open, begun or unread, so that closing the connection loses none.
+    pub fn is_idle(&self) -> bool {
+        !self.request_begun.load(Ordering::Relaxed) && self.claim.is_idle() && !self.has_unread()
+    }
+
+    /// Closes the sending side, and discards what the client still sends until it closes its own or pauses: with unread
+    /// bytes the kernel would reset the connection before the client has read the response.
+    pub async fn linger(&self) {
+        /// The longest pause.
+        const PAUSE: Duration = Duration::from_millis(200);
+        /// The longest time in all.
+        const LONGEST: Duration = Duration::from_secs(1);
+        let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
+        let mut chunk = [0; 8192];
+        let drained = async {
+            while let Ok(Ok(())) = tokio::time::timeout(PAUSE, self.stream.readable()).await {
+                match self.stream.try_read(&mut chunk) {
+                    Ok(1..) => {}
+                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                    Ok(0) | Err(_) => return,
+                }
+            }
+        };
+        let _ = tokio::time::timeout(LONGEST, drained).await;
+    }
+
+    /// Closes the connection of a lost core, unless a request is open on it. A request that is unread gets this
+    /// response, as no core will read it.
+    pub fn answer_unread_and_close(&self, response: Response<ResponseBody>) {
+        /// Bytes that are discarded at most: the rest makes the kernel reset the connection, perhaps before the response
+        /// is read.
+        const MAX_BYTES: usize = 1 << 20;
+        if !self.claim.close() {
+            return;
+        }
+        let (mut chunk, mut discarded) = ([0; 8192], 0);
+        let socket = SockRef::from(&self.stream);
+        while discarded < MAX_BYTES
+            && let Ok(read @ 1..) = (&*socket).read(&mut chunk)
+        {
+            discarded += read;
+        }
+        if discarded > 0 {
+            self.write_response(response);
+        } else {
+            self.close();
+        }
+    }
+
+    /// Sends the final response in place of the connection's own core, and closes the sending side; false where that
+    /// core has begun to respond or no request is open.
+    pub fn respond_from_other_core(&self, response: Response<ResponseBody>) -> bool {
+        let claimed = self.claim.speak();
+        if claimed {
+            self.write_response(response);
+        }
+        claimed
+    }
+
+    fn write_response(&self, response: Response<ResponseBody>) {
+        let (parts, body) = response.into_parts();
+        let mut text =
+            format!("HTTP/1.1 {}\r\nconnection: close\r\ncontent-length: {}\r\n", parts.status, body.len());
+        for (name, value) in parts.headers.iter().filter(|(name, _)| *name != http::header::CONNECTION) {
+            text.push_str(&format!("{name}: {}\r\n", value.to_str().unwrap_or("")));
+        }
+        text.push_str("\r\n");
+        let bytes = [text.as_bytes(), &Bytes::from(body)].concat();
+        // It fits into the socket's buffer, which is empty. A client that disconnected does not read it.
+        let _ = SockRef::from(&self.stream).send(&bytes);
+        let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
+    }
+
+    /// Closes both sides.
+    pub fn close(&self) {
+        let _ = SockRef::from(&self.stream).shutdown(Shutdown::Both);
+    }
+}
+
+/// The stream that the connection's own core reads and writes.
+pub struct ChannelIo(pub Arc<ResponseChannel>);
+
+fn already_answered() -> io::Error {
+    io::Error::new(io::ErrorKind::BrokenPipe, "another core has sent the final response")
+}
+
+impl Read for ChannelIo {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        mut buf: ReadBufCursor<'_>,
+    ) -> Poll<io::Result<()>> {
+        /// Bytes read at a time; most requests are shorter.
+        const MAX_READ_BYTES: usize = 8192;
+        let mut chunk = [0; MAX_READ_BYTES];
+        let max_bytes = MAX_READ_BYTES.min(buf.remaining());
+        loop {
+            ready!(self.0.stream.poll_read_ready(cx))?;
+            if self.0.claim.spoken() {
+                return Poll::Ready(Err(already_answered()));
+            }
+            match self.0.stream.try_read(&mut chunk[..max_bytes]) {
+                Ok(read) => {
+                    self.0.request_begun.store(true, Ordering::Relaxed);
+                    buf.put_slice(&chunk[..read]);
+                    return Poll::Ready(Ok(()));
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(e) => return Poll::Ready(Err(e)),
+            }
+        }
+    }
+}
+
+impl ChannelIo {
+    /// Writes once the socket is ready, unless another core has responded.
+    fn write(
+        &self,
+        cx: &mut Context<'_>,
+        write: impl Fn(&TcpStream) -> io::Result<usize>,
+    ) -> Poll<io::Result<usize>> {
+        loop {
+            let ready = self.0.response_ready.load(Ordering::Relaxed);
+            // An interim response (100 Continue) is not the final one and needs no claim.
+            if if ready { !self.0.claim.write() } else { self.0.claim.spoken() } {
+                return Poll::Ready(Err(already_answered()));
+            }
+            ready!(self.0.stream.poll_write_ready(cx))?;
+            match write(&self.0.stream) {
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                written => return Poll::Ready(written),
+            }
+        }
+    }
+}
+
+impl Write for ChannelIo {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        self.write(cx, |stream| stream.try_write(buf))
+    }
+
+    /// hyper calls this once everything is written.
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if self.0.response_ready.swap(false, Ordering::Relaxed) {
+            self.0.request_begun.store(false, Ordering::Relaxed);
+            self.0.claim.rest();
+        }
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(match SockRef::from(&self.0.stream).shutdown(Shutdown::Write) {
+            Err(e) if e.kind() == io::ErrorKind::NotConnected => Ok(()),
+            done => done,
+        })
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.write(cx, |stream| stream.try_write_vectored(bufs))
+    }
+}
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -2,7 +2,7 @@
 
 use milletpath_config::GatewayConfig;
 use milletpath_gateway::{ConfigFeed, FaultInjection, InjectedFault, Links, MembershipLink};
-use milletpath_process_signals::{Heard, SIGINT, SIGTERM};
+use milletpath_process_environment::signals::{SIGINT, SIGTERM, SignalReceiver};
 use std::io::Write;
 use std::path::Path;
 use std::process::ExitCode;
@@ -44,10 +44,10 @@
 }
 
 async fn run(house: GatewayConfig, inside: bool, stir: bool, plant: Option<InjectedFault>) -> ExitCode {
-    let mut bound = milletpath_gateway::listen(house.listen);
+    let mut bound = milletpath_process_environment::listener::listen(house.listen);
     if bound.is_err() && inside {
         // The built-in charter's port is taken: any other will do.
-        bound = milletpath_gateway::listen((std::net::Ipv4Addr::LOCALHOST, 0).into());
+        bound = milletpath_process_environment::listener::listen((std::net::Ipv4Addr::LOCALHOST, 0).into());
     }
     let listener = match bound {
         Ok(listener) => listener,
@@ -110,7 +110,7 @@
     let stir = match (what, seconds.and_then(|s| s.parse::<f64>().ok())) {
         (Some("stall"), Some(seconds)) if (0.0..=60.0).contains(&seconds) => FaultInjection::Stall(seconds),
         (Some("panic"), _) => FaultInjection::Panic,
-        (Some("break"), _) => FaultInjection::Break,
+        (Some("break"), _) => FaultInjection::DispatcherPanic,
         _ => return tracing::warn!(line, "no mischief of that kind"),
     };
     if let Some(core) = core.and_then(|c| c.parse().ok()) {
@@ -120,7 +120,7 @@
 
 /// SIGTERM, or Ctrl-C on a terminal.
 pub async fn stop() {
-    let (Ok(mut term), Ok(mut int)) = (Heard::new(SIGTERM), Heard::new(SIGINT)) else {
+    let (Ok(mut term), Ok(mut int)) = (SignalReceiver::new(SIGTERM), SignalReceiver::new(SIGINT)) else {
         tracing::error!("signals can't be heard; end the process outright");
         return std::future::pending().await;
     };
--- a/crates/milletpath/tests/architecture.rs
+++ b/crates/milletpath/tests/architecture.rs
@@ -6,13 +6,12 @@
 use std::path::{Path, PathBuf};
 
 /// From the lowest layer to the highest: a package may depend on packages of layers before its own.
-const LAYERS: [&[&str]; 8] = [
-    &["multicore", "policy", "process-signals", "protocol", "sealed-datagram", "storage"],
-    &["history-checker", "membership", "platform-settings"],
+const LAYERS: [&[&str]; 7] = [
+    &["multicore", "policy", "process-environment", "protocol", "sealed-datagram", "storage"],
+    &["config-log", "history-checker", "membership", "platform-settings"],
     &["config", "shared-budgets", "simulator-adapter"],
     &["dispatcher", "platform-protocol"],
-    &["gateway"],
-    &["platform-router"],
+    &["gateway", "platform-router"],
     &["emulator"],
     &["capacity-model", "scale-test", "simulator"],
 ];
--- a/crates/platform-router/src/discovery_watch.rs
+++ b/crates/platform-router/src/discovery_watch.rs
@@ -2,8 +2,8 @@
 //! broken connection or a silence longer than the heartbeat explains leads to a new subscription after the last event.
 
 use crate::platform_router::SharedRouter;
-use milletpath_gateway::wall_clock::unix_time;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
+use milletpath_process_environment::wall_clock::unix_time;
 use milletpath_protocol::Fault;
 use std::convert::Infallible;
 use std::io::{self, ErrorKind};
--- a/crates/platform-router/src/run.rs
+++ b/crates/platform-router/src/run.rs
@@ -7,7 +7,7 @@
 use crate::discovery_watch::watch_discovery;
 use crate::platform_router::{PlatformRouter, SharedRouter};
 use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
-use milletpath_process_signals::{Heard, SIGHUP, SIGTERM};
+use milletpath_process_environment::signals::{SIGHUP, SIGTERM, SignalReceiver};
 use milletpath_protocol::Fault;
 use nix::sys::resource::{Resource, getrlimit};
 use reload::reload_bootstrap;
@@ -65,13 +65,13 @@
 
 /// The signals that the router acts upon.
 struct Signals {
-    hangup: Heard,
-    terminate: Heard,
+    hangup: SignalReceiver,
+    terminate: SignalReceiver,
 }
 
 impl Signals {
     fn install() -> Result<Self, StartError> {
-        let install = |signal| Heard::new(signal).map_err(StartError::Signals);
+        let install = |signal| SignalReceiver::new(signal).map_err(StartError::Signals);
         Ok(Self { hangup: install(SIGHUP)?, terminate: install(SIGTERM)? })
     }
 }
@@ -89,8 +89,8 @@
     let (mut bootstrap, text) = read_bootstrap(file)?;
     limit_descriptors(&mut bootstrap);
     let address = address.unwrap_or(bootstrap.config.listen);
-    let listener =
-        milletpath_gateway::listen(address).map_err(|source| StartError::Listen { address, source })?;
+    let listener = milletpath_process_environment::listener::listen(address)
+        .map_err(|source| StartError::Listen { address, source })?;
     tracing::debug!(
         policy = ?bootstrap.config.policy,
         limits = ?bootstrap.config.limits,
