--- a/crates/gateway/src/action_router.rs
+++ b/crates/gateway/src/action_router.rs
@@ -70,11 +70,11 @@
     ) -> Option<RoutedMessage> {
         let target = target(dispatcher, worker);
         // None where a later decision of the same call has cancelled it.
-        let time_left = dispatcher.time_left(self.now, request, attempt)?;
+        dispatcher.time_left(self.now, request, attempt)?;
         let function = dispatcher.function(request)?;
         let location = dispatcher.context(request)?;
         let id = AttemptId { request, request_slot: location.request_slot, attempt };
-        let message = CoreMessage::SendAttempt { id, target, function, time_left };
+        let message = CoreMessage::SendAttempt { id, target, function };
         Some(RoutedMessage { core: location.core, message })
     }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -21,8 +21,6 @@
 pub struct AttemptRequest {
     /// Name of the function.
     pub function: Arc<str>,
-    /// Seconds until the attempt times out.
-    pub time_left: f64,
     /// The client's header fields that are passed on.
     pub headers: HeaderMap,
     /// The client's body.
@@ -32,12 +30,9 @@
 impl AttemptRequest {
     /// The request for a worker; `None` where its path would be no URI.
     fn into_http(self, attempt: usize, target: WorkerTarget) -> Option<Request<Full<Bytes>>> {
-        let Self { function, time_left, mut headers, body } = self;
+        let Self { function, mut headers, body } = self;
         headers.insert(header::HOST, host(target.endpoint));
         headers.insert(&wire::SHOT, HeaderValue::from(attempt as u64));
-        if let Ok(time_left) = HeaderValue::from_str(&format!("{time_left:.3}")) {
-            headers.insert(&wire::LEFT, time_left);
-        }
         build_request(Method::POST, wire::infer(&function), headers, body)
     }
 }
@@ -45,9 +40,8 @@
 /// Sends an attempt and reports its result.
 pub async fn send(context: Rc<CoreContext>, id: AttemptId, target: WorkerTarget, parts: AttemptRequest) {
     let Some(request) = parts.into_http(id.attempt, target) else { return };
-    let may_send =
-        || context.with_dispatcher(|dispatcher, now| dispatcher.begin_attempt(now, id.request, id.attempt));
-    match exchange(&context, target, request, may_send).await {
+    let begin = |headers: &mut HeaderMap| begin(&context, id, headers);
+    match exchange(&context, target, request, begin).await {
         Ok(pending) => receive(&context, id, target, pending).await,
         Err(error) => {
             if let Some(outcome) = error.outcome() {
@@ -57,6 +51,20 @@
     }
 }
 
+/// Begins an attempt that is about to be written, and states the seconds that it has from now on: its connection may have
+/// come up late. False where the dispatcher withholds it.
+fn begin(context: &Rc<CoreContext>, id: AttemptId, headers: &mut HeaderMap) -> bool {
+    let time_left = context.with_dispatcher(|dispatcher, now| {
+        let begun = dispatcher.begin_attempt(now, id.request, id.attempt);
+        begun.then(|| dispatcher.time_left(now, id.request, id.attempt)).flatten()
+    });
+    let Some(time_left) = time_left else { return false };
+    if let Ok(time_left) = HeaderValue::from_str(&format!("{time_left:.3}")) {
+        headers.insert(&wire::LEFT, time_left);
+    }
+    true
+}
+
 /// Reads the response of an attempt and reports the result.
 async fn receive(context: &Rc<CoreContext>, id: AttemptId, target: WorkerTarget, pending: PendingResponse) {
     let PendingResponse { response, connection } = pending;
--- a/crates/gateway/src/core_message.rs
+++ b/crates/gateway/src/core_message.rs
@@ -42,8 +42,6 @@
         target: WorkerTarget,
         /// Name of the function.
         function: Arc<str>,
-        /// Seconds until the attempt times out.
-        time_left: f64,
     },
     /// Abort an attempt.
     CancelAttempt(AttemptId),
--- a/crates/gateway/src/message_handler.rs
+++ b/crates/gateway/src/message_handler.rs
@@ -14,10 +14,10 @@
 pub fn handle(context: &Rc<CoreContext>, message: CoreMessage) {
     match message {
         CoreMessage::AcceptConnection(stream, permit) => client_connection::accept(context, stream, permit),
-        CoreMessage::SendAttempt { id, target, function, time_left } => {
+        CoreMessage::SendAttempt { id, target, function } => {
             context.with_open_request(id.request, id.request_slot, |open_request| {
                 let (headers, body) = (open_request.headers.clone(), open_request.body.clone());
-                let parts = AttemptRequest { function, time_left, headers, body };
+                let parts = AttemptRequest { function, headers, body };
                 let task = attempt::send(context.clone(), id, target, parts);
                 open_request.attempts.push(spawn_local(task).abort_handle());
             });
--- a/crates/gateway/src/worker_commands.rs
+++ b/crates/gateway/src/worker_commands.rs
@@ -28,7 +28,7 @@
     context: &CoreContext,
     target: WorkerTarget,
     command: Command,
-    may_send: impl FnMut() -> bool,
+    mut may_send: impl FnMut() -> bool,
 ) -> Result<Parts, ExchangeError> {
     let Command { method, path, instances } = command;
     let mut headers = HeaderMap::new();
@@ -37,7 +37,7 @@
         headers.insert(&wire::COPIES, HeaderValue::from(u16::from(instances)));
     }
     let request = build_request(method, path, headers, Bytes::new()).ok_or(ExchangeError::NoConnection)?;
-    let PendingResponse { response, connection } = exchange(context, target, request, may_send).await?;
+    let PendingResponse { response, connection } = exchange(context, target, request, |_| may_send()).await?;
     let (head, body) = response.into_parts();
     read_body(context, body).await.map_err(|_| ExchangeError::Interrupted)?;
     context.return_connection(target.worker, connection);
--- a/crates/gateway/src/worker_exchange.rs
+++ b/crates/gateway/src/worker_exchange.rs
@@ -61,13 +61,13 @@
     pub connection: Connection,
 }
 
-/// Sends one request. `may_send` is asked right before it is written. A pooled connection that was closed before
+/// Sends one request. `begin` is called right before it is written, with its header fields, and tells whether it may go. A pooled connection that was closed before
 /// anything was written proves that the worker did not get the request: another one is used.
 pub async fn exchange(
     context: &CoreContext,
     target: WorkerTarget,
     mut request: Request<Body>,
-    mut may_send: impl FnMut() -> bool,
+    mut begin: impl FnMut(&mut HeaderMap) -> bool,
 ) -> Result<PendingResponse, ExchangeError> {
     loop {
         let (mut connection, is_new) = match context.idle_connection(target) {
@@ -81,7 +81,7 @@
             continue;
         }
         context.wait_until_responsive().await;
-        if !may_send() {
+        if !begin(request.headers_mut()) {
             context.return_connection(target.worker, connection);
             return Err(ExchangeError::Withheld);
         }
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -83,7 +83,7 @@
     /// Slow start: seconds until it has all of it.
     pub warm_up: f64,
     /// Slow start: a worker that is sent more than this multiple of its present capacity for
-    /// [`tip_window`](Self::tip_window) fails from overload.
+    /// [`overload_window`](Self::overload_window) fails from overload.
     pub overload_multiple: f64,
     /// Slow start: the window, in seconds, in which what it is sent is counted.
     pub overload_window: f64,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,7 +1,7 @@
 //! The events that a router is notified of, and the order of the stages. A host (see [`Effects`]) calls the
-//! router as things happen: `listed` and `list_complete` for the endpoint list, `arrived`, `answered` and
-//! `close` for requests, `held` for load requests, `probed` for health checks and `woken` for time. The
-//! router acts through the `Effects` passed in.
+//! router as things happen: `update_endpoint` and `end_list` for the endpoint list, `request_arrived`,
+//! `attempt_ended` and `close_request` for requests, `load_request_ended` and `health_check_ended` for what
+//! it asked of workers, and `timer_fired` for time. The router acts through the `Effects` passed in.
 //!
 //! A request passes the stages admission, placement and dispatch; each passes it on, queues it or ends it.
 //! The result of an attempt is recorded on its worker and its function, and ends the request or sends it
@@ -82,7 +82,7 @@
         }
     }
 
-    /// An endpoint of the list, new or changed. [`list_complete`](Self::list_complete) ends a list.
+    /// An endpoint of the list, new or changed. [`end_list`](Self::end_list) ends a list.
     pub fn update_endpoint(&mut self, endpoint: EndpointUpdate) {
         let memory = self.state.worker_memory.get(endpoint.kind).copied().unwrap_or(f64::INFINITY);
         if self.state.workers.listed(&endpoint, memory) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Whether an attempt that [`Effects::send`] asked for before may begin now, when its connection is up.
+    /// Whether an attempt that [`Effects::send_attempt`] asked for before may begin now, when its connection is up.
     pub fn may_send(&self, now: f64, id: usize, worker: usize) -> bool {
         self.state.may_begin(now, id, worker)
     }
@@ -326,7 +326,7 @@
         }
     }
 
-    /// The time that [`Effects::wake`] asked for has come.
+    /// The time that [`Effects::wake_after`] asked for has come.
     pub fn timer_fired(&mut self, now: f64, host: &mut dyn Effects) {
         /// Seconds between two checks of open requests: short against latency objectives, long against the
         /// work of one.
