--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -53,11 +53,11 @@
     /// Opens all budgets that the configuration limits but those of workers, which come with the endpoint list.
     ///
     /// `lease` and `now` are in seconds, `now` on the gateway's clock; `instance_id` is that of this process.
-    pub fn new(house: &GatewayConfig, instance_id: u64, lease: f64, now: f64) -> Self {
+    pub fn new(config: &GatewayConfig, instance_id: u64, lease: f64, now: f64) -> Self {
         /// Seconds past its deadline after which an attempt has ended for certain.
         const END_MARGIN_SECONDS: f64 = 0.5;
         let mut shared_budgets = SharedBudgets::new(instance_id, lease, instance_id, now);
-        let (policy, gateways) = (&house.policy, house.policy.routers.max(1) as f64);
+        let (policy, gateways) = (&config.policy, config.policy.routers.max(1) as f64);
         let mut open = Vec::new();
         let mut add = |budget, name: String, kind, quota: f64| {
             if quota.is_finite() && quota > 0.0 {
@@ -68,7 +68,7 @@
                 });
             }
         };
-        for (client, name) in house.clients.iter().enumerate() {
+        for (client, name) in config.clients.iter().enumerate() {
             add(
                 Budget::Quota(client),
                 format!("quota {name}"),
@@ -88,7 +88,7 @@
         if let Some((window, free, _)) = policy.retry_budget {
             add(Budget::Retries, "retries".into(), BudgetKind::Window(window), free);
         }
-        let longest = house.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
+        let longest = config.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
         Self {
             shared_budgets,
             open,
@@ -107,8 +107,8 @@
     }
 
     /// Opens budgets of workers that were added to the endpoint list, and marks those of removed workers for closing.
-    fn update_worker_budgets<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
-        let revision = desk.endpoint_revision();
+    fn update_worker_budgets<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
+        let revision = dispatcher.endpoint_revision();
         if revision == self.revision {
             return;
         }
@@ -121,7 +121,7 @@
             return;
         }
         self.open.iter_mut().for_each(|open| open.listed = !matches!(open.budget, Budget::InFlight(_)));
-        for (worker, name) in desk.workers() {
+        for (worker, name) in dispatcher.workers() {
             let slot = self.shared_budgets.open(
                 now,
                 &format!("in flight {name}"),
@@ -137,9 +137,9 @@
     }
 
     /// Samples how much of each budget is used now.
-    fn record_usage<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
+    fn record_usage<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
         for open in self.open.iter().filter(|open| open.listed) {
-            self.shared_budgets.record_usage(now, open.slot, desk.usage(now, open.budget));
+            self.shared_budgets.record_usage(now, open.slot, dispatcher.usage(now, open.budget));
         }
     }
 
@@ -147,34 +147,41 @@
     ///
     /// `quota` is this gateway's fraction by the number of gateways; `others` are the processes that can be asked for a
     /// lease.
-    pub fn tick<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, quota: &QuotaFraction, others: Vec<u64>) {
-        self.update_worker_budgets(desk, now);
+    pub fn tick<T>(
+        &mut self,
+        dispatcher: &mut Dispatcher<T>,
+        now: f64,
+        quota: &QuotaFraction,
+        others: Vec<u64>,
+    ) {
+        self.update_worker_budgets(dispatcher, now);
         let QuotaFraction { fraction, floor, valid_until, .. } = *quota;
         self.shared_budgets.set_entitlement(
             now,
             Entitlement { fraction, floor_fraction: floor, valid_until },
             others,
         );
-        self.record_usage(desk, now);
+        self.record_usage(dispatcher, now);
         self.shared_budgets.tick(now);
-        self.exchange_concurrency(desk, now);
+        self.exchange_concurrency(dispatcher, now);
         let shared_budgets = &mut self.shared_budgets;
         self.open.retain(|open| open.listed || shared_budgets.close(now, open.slot).is_err());
-        self.apply_adjustments(desk, now);
+        self.apply_adjustments(dispatcher, now);
     }
 
     /// Reports the functions' concurrency here to other gateways, and theirs to the dispatcher.
-    fn exchange_concurrency<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
+    fn exchange_concurrency<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
         /// Seconds between two updates of the dispatcher.
         const INTERVAL_SECONDS: f64 = 0.5;
         let concurrency_of = |(function, concurrency)| FunctionConcurrency { function, concurrency };
-        self.shared_budgets
-            .report_usage(now, || desk.local_concurrency(now).into_iter().map(concurrency_of).collect());
+        self.shared_budgets.report_usage(now, || {
+            dispatcher.local_concurrency(now).into_iter().map(concurrency_of).collect()
+        });
         if self.remote_concurrency_set_at == f64::NEG_INFINITY {
             // A gateway that has just started has no estimate of its own; multiplied by the number of gateways it would
             // spread every function over all workers. Until the first report comes, or none came in time, others count
             // as needing nothing.
-            desk.set_remote_concurrency(now, &BTreeMap::new());
+            dispatcher.set_remote_concurrency(now, &BTreeMap::new());
             self.remote_concurrency_set_at = now;
         }
         if now < self.remote_concurrency_set_at + INTERVAL_SECONDS {
@@ -182,25 +189,25 @@
         }
         if let Some(concurrency) = self.shared_budgets.usage_elsewhere(now) {
             self.remote_concurrency_set_at = now;
-            desk.set_remote_concurrency(now, &concurrency);
+            dispatcher.set_remote_concurrency(now, &concurrency);
         }
     }
 
     /// Handles a message of another process on shared budgets; one that can't be read is counted and dropped.
-    pub fn receive<T>(&mut self, desk: &mut Dispatcher<T>, now: f64, instance_id: u64, message: &[u8]) {
+    pub fn receive<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64, instance_id: u64, message: &[u8]) {
         let open = &self.open;
         self.shared_budgets.receive(now, instance_id, message, &mut |slot| {
             let open = open.iter().find(|open| open.slot == slot && open.listed)?;
-            Some(desk.usage(now, open.budget))
+            Some(dispatcher.usage(now, open.budget))
         });
-        self.apply_adjustments(desk, now);
+        self.apply_adjustments(dispatcher, now);
     }
 
     /// Grants the dispatcher what leases added to or took from its quotas.
-    fn apply_adjustments<T>(&mut self, desk: &mut Dispatcher<T>, now: f64) {
+    fn apply_adjustments<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
         for SlotAdjustment { slot, adjustment } in self.shared_budgets.take_adjustments(now) {
             if let Some(open) = self.open.iter().find(|open| open.slot == slot && open.listed) {
-                desk.grant_quota(open.budget, adjustment);
+                dispatcher.grant_quota(open.budget, adjustment);
             }
         }
     }
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -88,7 +88,7 @@
     fn is_killed(&self) -> bool;
 }
 
-/// Applies the stored last known state, then starts the thread of a feed. It ends once `office` is stopping; the caller
+/// Applies the stored last known state, then starts the thread of a feed. It ends once `shared_runtime` is stopping; the caller
 /// joins it.
 ///
 /// # Errors
@@ -248,14 +248,14 @@
     /// is reported to the control machines, and the former value of its key stays.
     fn apply_changes(&mut self) {
         while let Some(batch) = self.follower.take_updates() {
-            let house = &self.shared_runtime.config;
+            let config = &self.shared_runtime.config;
             let mut config_changes: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
                 if change.text.is_none() && Subject::from_key(&change.key).is_none() {
                     // A removal under a key that this version does not know: nothing was applied under it.
                     continue;
                 }
-                match house.parse_change(&change.key, change.text.as_deref()) {
+                match config.parse_change(&change.key, change.text.as_deref()) {
                     Ok(config_change) => config_changes.push(config_change),
                     Err(mistakes) => {
                         let why = mistakes.first().map(ToString::to_string).unwrap_or_default();
@@ -269,10 +269,10 @@
                 }
             }
             let (number, entries) = (self.follower.state().head(), config_changes.len());
-            self.shared_runtime.with_dispatcher(None, |desk, _| {
-                config_changes
-                    .iter()
-                    .for_each(|config_change| desk.apply_config_change(config_change, &house.functions));
+            self.shared_runtime.with_dispatcher(None, |dispatcher, _| {
+                config_changes.iter().for_each(|config_change| {
+                    dispatcher.apply_config_change(config_change, &config.functions)
+                });
             });
             tracing::info!(number, entries, "configuration changes are applied");
             self.observer.iter_mut().for_each(|observer| observer.applied(number));
--- a/crates/gateway/src/control_thread.rs
+++ b/crates/gateway/src/control_thread.rs
@@ -72,7 +72,7 @@
     fn finish(self);
 }
 
-/// Starts the thread of a control loop; it ends once `office` is stopping. The caller owns the thread and joins it.
+/// Starts the thread of a control loop; it ends once `shared_runtime` is stopping. The caller owns the thread and joins it.
 pub fn spawn<L: ControlLoop>(
     control_loop: L,
     shared_runtime: Arc<SharedRuntime>,
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -34,7 +34,7 @@
     following: Arc<Mutex<FollowerReading>>,
     killed: Arc<AtomicBool>,
     /// Nanoseconds of processor time that [`update_endpoints`](Self::update_endpoints) and [`tick`](Self::tick) took.
-    desk: AtomicU64,
+    dispatcher: AtomicU64,
 }
 
 impl HollowGateway {
@@ -45,16 +45,16 @@
     ///
     /// A control thread can't start.
     pub fn start(
-        house: GatewayConfig,
+        config: GatewayConfig,
         entries: &[Entry],
         on_membership_event: MembershipCallback,
         on_applied: AppliedCallback,
     ) -> Result<Self, ControlThreadError> {
-        let link = house.membership.as_ref().map(|stated| MembershipLink::open(stated, None)).transpose()?;
-        let feed = house.config_log.as_ref().map(ConfigFeed::open).transpose()?;
+        let link = config.membership.as_ref().map(|stated| MembershipLink::open(stated, None)).transpose()?;
+        let feed = config.config_log.as_ref().map(ConfigFeed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
         let mut hollow = Self {
-            shared_runtime: SharedRuntime::new(house),
+            shared_runtime: SharedRuntime::new(config),
             link: link
                 .as_ref()
                 .map(MembershipLink::address)
@@ -69,7 +69,7 @@
             reading: Arc::new(Mutex::new(Reading { at: clock(), ..Reading::default() })),
             following: Arc::new(Mutex::new(FollowerReading { at: clock(), ..FollowerReading::default() })),
             killed: killed.clone(),
-            desk: AtomicU64::new(0),
+            dispatcher: AtomicU64::new(0),
         };
         hollow.update_endpoints(true, entries);
         if let Some(feed) = feed {
@@ -104,7 +104,7 @@
     pub fn tick(&self) {
         self.timed(|shared_runtime| {
             if shared_runtime.is_overdue(0.0) {
-                shared_runtime.with_dispatcher(None, |desk, now| desk.advance(now));
+                shared_runtime.with_dispatcher(None, |dispatcher, now| dispatcher.advance(now));
             }
         });
     }
@@ -114,7 +114,7 @@
         let before = thread_cpu_seconds();
         work(&self.shared_runtime);
         let took = (thread_cpu_seconds() - before).max(0.0);
-        self.desk.fetch_add((took * 1e9) as u64, Ordering::Relaxed);
+        self.dispatcher.fetch_add((took * 1e9) as u64, Ordering::Relaxed);
         took
     }
 
@@ -126,7 +126,7 @@
         let mut reading = lock(&self.reading);
         let minimums = std::mem::take(&mut reading.minimums);
         let mut reading = Reading { minimums, ..reading.clone() };
-        reading.desk = self.desk.load(Ordering::Relaxed) as f64 / 1e9;
+        reading.dispatcher = self.dispatcher.load(Ordering::Relaxed) as f64 / 1e9;
         let now = clock();
         if self.link.is_none() {
             // Without a link there is no thread, and no cost.
--- a/crates/gateway/src/hollow_gateway/readings.rs
+++ b/crates/gateway/src/hollow_gateway/readings.rs
@@ -28,7 +28,7 @@
     /// Processor time of the control thread, in seconds.
     pub control_cpu: f64,
     /// Processor time that other threads spent in its dispatcher, for endpoint lists and timers, in seconds.
-    pub desk: f64,
+    pub dispatcher: f64,
     /// Counters of the membership.
     pub counters: Counters,
     /// The control thread, as the system names it: `PROCESS/task/THREAD`.
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -78,7 +78,7 @@
     fn is_killed(&self) -> bool;
 }
 
-/// Starts the thread of a link. It ends once `office` is stopping; the caller joins it.
+/// Starts the thread of a link. It ends once `shared_runtime` is stopping; the caller joins it.
 ///
 /// # Errors
 ///
@@ -130,7 +130,7 @@
     control_thread::spawn(thread, shared_runtime)
 }
 
-fn identity(house: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
+fn identity(config: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
     // Random in each process, also where the configuration fixes the seed of the decisions: two processes under one name
     // must differ.
     let instance_id = RandomState::new().hash_one(std::process::id()).max(1);
@@ -139,13 +139,13 @@
         name: settings.name.clone(),
         address,
         incarnation: 0,
-        max_gateways: house.policy.routers as u32,
+        max_gateways: config.policy.routers as u32,
     }
 }
 
-fn membership_config(house: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
+fn membership_config(config: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
     // Quotas are counted by the second, load requests within their window.
-    let window = house.policy.load_budget.map_or(1.0, |(window, ..)| window.max(1.0));
+    let window = config.policy.load_budget.map_or(1.0, |(window, ..)| window.max(1.0));
     MembershipConfig {
         period: settings.period,
         lease: settings.lease,
@@ -302,7 +302,8 @@
         let dispatcher_quota = self.dispatcher_quota(&quota);
         if self.published.as_ref().is_none_or(|published| published.is_outdated(now, &dispatcher_quota)) {
             self.published = Some(PublishedQuota { at: now, quota: dispatcher_quota });
-            self.shared_runtime.with_dispatcher(None, |desk, _| desk.set_quota_fraction(dispatcher_quota));
+            self.shared_runtime
+                .with_dispatcher(None, |dispatcher, _| dispatcher.set_quota_fraction(dispatcher_quota));
         }
         self.update_budgets(quota);
         quota
@@ -344,11 +345,11 @@
         }
         self.budgets_updated_at = now;
         let sharing = &mut self.sharing;
-        self.shared_runtime.with_dispatcher(None, |desk, now| {
+        self.shared_runtime.with_dispatcher(None, |dispatcher, now| {
             payloads
                 .iter()
-                .for_each(|received| sharing.receive(desk, now, received.sender, &received.payload));
-            sharing.tick(desk, now, &quota, others);
+                .for_each(|received| sharing.receive(dispatcher, now, received.sender, &received.payload));
+            sharing.tick(dispatcher, now, &quota, others);
         });
     }
 
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -62,8 +62,8 @@
 /// # Errors
 ///
 /// The configuration lacks what is needed to reach the gateway, the system fails, or no complete answer comes.
-pub fn query_membership(house: &GatewayConfig) -> Result<MembershipStatus, MembershipQueryError> {
-    let settings = house.membership.as_ref().ok_or(MembershipQueryError::NotConfigured)?;
+pub fn query_membership(config: &GatewayConfig) -> Result<MembershipStatus, MembershipQueryError> {
+    let settings = config.membership.as_ref().ok_or(MembershipQueryError::NotConfigured)?;
     let key = read_fleet_key(&settings.key_file)?;
     let target = query_target(settings.listen)?;
     let local: SocketAddr = match target {
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -235,7 +235,7 @@
     };
     let lows = reading.minimums.into_iter().map(low).collect();
     let (at, control, desk, likely) =
-        (reading.at, reading.control_cpu, reading.desk, reading.likely_gateways);
+        (reading.at, reading.control_cpu, reading.dispatcher, reading.likely_gateways);
     let changes = reading.changes.map(|c| {
         let (at, cpu, number, digest) = (c.at, c.cpu_seconds, c.number, c.digest);
         Following { at, cpu, number, digest }
