--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -184,7 +184,7 @@
         let change = matches!(next, Next::Change).then(|| {
             let mut entry = list[changed / 2 % play.workers].clone();
             if changed % 2 == 0 {
-                entry.state = milletpath_protocol::registry::Standing::Draining;
+                entry.state = milletpath_protocol::registry::EndpointStatus::Draining;
             }
             changed += 1;
             [entry]
--- a/crates/capacity-model/benches/slopes/list.rs
+++ b/crates/capacity-model/benches/slopes/list.rs
@@ -3,7 +3,7 @@
 
 use crate::measure::{Asked, Slope, allocated, size, spent};
 use milletpath_dispatcher::dispatcher::Dispatcher;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::net::{Ipv4Addr, SocketAddr};
 
 pub const WORKERS: [usize; 5] = [300, 1_000, 3_000, 9_100, 30_000];
@@ -18,7 +18,7 @@
         kind: String::new(),
         zone: format!("zone-{}", n % 10),
         cell: String::new(),
-        state: Standing::Ready,
+        state: EndpointStatus::Ready,
     }
 }
 
--- a/crates/config/src/reader/workers.rs
+++ b/crates/config/src/reader/workers.rs
@@ -4,7 +4,7 @@
 use crate::document::Section;
 use crate::model::WorkerSource;
 use milletpath_protocol::is_name;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Kinds of workers in the order of the file.
@@ -78,6 +78,6 @@
         kind: section.parsed("kind", "the name of a kind above", parse_kind).unwrap_or_default(),
         zone: location("zone"),
         cell: location("cell"),
-        state: Standing::Ready,
+        state: EndpointStatus::Ready,
     }
 }
--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -6,7 +6,7 @@
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::{LoadReport, Outcome};
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -196,7 +196,7 @@
         kind: String::new(),
         zone: "z".into(),
         cell: String::new(),
-        state: Standing::Ready,
+        state: EndpointStatus::Ready,
     }
 }
 
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -5,7 +5,7 @@
 use crate::interner::Interner;
 use crate::start_times::{StartTimes, is_another_process};
 use milletpath_policy::{EndpointState, EndpointUpdate};
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -193,9 +193,9 @@
             self.update_known_worker(now, worker, entry);
         }
         let state = match entry.state {
-            Standing::Ready => EndpointState::Ready,
-            Standing::Draining => EndpointState::Draining,
-            Standing::Gone => EndpointState::Gone,
+            EndpointStatus::Ready => EndpointState::Ready,
+            EndpointStatus::Draining => EndpointState::Draining,
+            EndpointStatus::Gone => EndpointState::Gone,
         };
         self.workers[worker].set_state(now, state);
         Some(worker)
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -32,7 +32,7 @@
         kind: String::new(),
         zone: String::new(),
         cell: String::new(),
-        state: Standing::Ready,
+        state: EndpointStatus::Ready,
     }
 }
 
--- a/crates/dispatcher/tests/dispatcher/attempts.rs
+++ b/crates/dispatcher/tests/dispatcher/attempts.rs
@@ -3,14 +3,14 @@
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use test_case::test_case;
 
 /// The endpoint list reports a drain while an attempt waits for its connection: the attempt ends as unsent, which proves
 /// that nothing ran, and goes to another worker.
-#[test_case(Standing::Draining; "draining")]
-#[test_case(Standing::Gone; "gone")]
-fn attempt_that_still_connects_is_not_sent_to_a_draining_worker(state: Standing) {
+#[test_case(EndpointStatus::Draining; "draining")]
+#[test_case(EndpointStatus::Gone; "gone")]
+fn attempt_that_still_connects_is_not_sent_to_a_draining_worker(state: EndpointStatus) {
     let mut dispatcher = dispatcher(Effect::NonIdempotent, 2);
     let request = submit(&mut dispatcher, 1.0, 2.0);
     let first = take_attempts(&mut dispatcher)[0];
@@ -24,9 +24,9 @@
 
 /// A worker's socket takes no byte of an attempt that was allowed: the attempt waits as if its connection were not made,
 /// ends as never run if that lasts, and has to be allowed again if it can be written after all.
-#[test_case(Standing::Ready, true; "it is written after all")]
-#[test_case(Standing::Draining, false; "the worker drains first")]
-fn unwritten_attempt_is_begun_again_or_moved(state: Standing, begins_again: bool) {
+#[test_case(EndpointStatus::Ready, true; "it is written after all")]
+#[test_case(EndpointStatus::Draining, false; "the worker drains first")]
+fn unwritten_attempt_is_begun_again_or_moved(state: EndpointStatus, begins_again: bool) {
     let mut dispatcher = dispatcher(Effect::NonIdempotent, 2);
     let request = submit(&mut dispatcher, 1.0, 2.0);
     let SentAttempt { attempt, worker, .. } = take_attempts(&mut dispatcher)[0];
@@ -66,7 +66,7 @@
 #[test]
 fn idempotency_key_stays_in_the_zone_of_its_attempt() {
     let zoned = Effect::IdempotentWithKey.setting().replace("memory = 1", "memory = 2\ngroup = \"zone\"");
-    let in_zone = |number, zone: &str| Entry { zone: zone.into(), ..entry(number, Standing::Ready) };
+    let in_zone = |number, zone: &str| Entry { zone: zone.into(), ..entry(number, EndpointStatus::Ready) };
     let endpoints = [in_zone(0, "a"), in_zone(1, "b")];
     let mut dispatcher = dispatcher_with(&gateway_config(&zoned, ATTEMPTS_ONLY), &endpoints);
     let request = submit(&mut dispatcher, 10.0, 2.0);
--- a/crates/dispatcher/tests/dispatcher/endpoints.rs
+++ b/crates/dispatcher/tests/dispatcher/endpoints.rs
@@ -3,7 +3,7 @@
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// A worker is replaced by another, with a name never seen, all day long: the tables stay as small as the fleet, and
@@ -13,8 +13,8 @@
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
     for number in 1..300_u16 {
         let now = f64::from(number) * 5.0;
-        let added = entry(number, Standing::Ready);
-        dispatcher.update_endpoints(now, false, &[entry(number - 1, Standing::Gone), added.clone()]);
+        let added = entry(number, EndpointStatus::Ready);
+        dispatcher.update_endpoints(now, false, &[entry(number - 1, EndpointStatus::Gone), added.clone()]);
         let request = submit(&mut dispatcher, now, 2.0);
         let attempts = take_attempts(&mut dispatcher);
         let &[sent] = &attempts[..] else { panic!("one attempt at {now}: {attempts:?}") };
@@ -32,7 +32,7 @@
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
     let before = dispatcher.worker_process(0);
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9999));
-    let moved = Entry { address, ..entry(0, Standing::Ready) };
+    let moved = Entry { address, ..entry(0, EndpointStatus::Ready) };
     dispatcher.update_endpoints(2.0, false, std::slice::from_ref(&moved));
     let after = dispatcher.worker_process(0);
     assert_eq!(after.address, address);
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -3,7 +3,7 @@
 use super::support::*;
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::Standing;
+use milletpath_protocol::registry::EndpointStatus;
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -167,7 +167,7 @@
     fn drain_worker(&mut self) {
         self.draining_worker = self.first_in_flight().map(|(_, in_flight)| in_flight.worker);
         if let Some(worker) = self.draining_worker {
-            let draining = entry(worker as u16, Standing::Draining);
+            let draining = entry(worker as u16, EndpointStatus::Draining);
             self.dispatcher.update_endpoints(self.now, false, &[draining]);
         }
     }
--- a/crates/dispatcher/tests/dispatcher/random_histories.rs
+++ b/crates/dispatcher/tests/dispatcher/random_histories.rs
@@ -3,7 +3,7 @@
 use super::support::*;
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::Standing;
+use milletpath_protocol::registry::EndpointStatus;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,7 @@
     NotWritten(usize),
     EndAttempt(usize, Outcome),
     ClientGone(usize),
-    UpdateEndpoints(u16, Standing),
+    UpdateEndpoints(u16, EndpointStatus),
     Advance(f64),
     JumpClock(f64),
 }
@@ -37,8 +37,12 @@
         ConnectionLost,
         NotLoaded,
     ]);
-    let state =
-        proptest::sample::select(vec![Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]);
+    let state = proptest::sample::select(vec![
+        EndpointStatus::Ready,
+        EndpointStatus::Ready,
+        EndpointStatus::Draining,
+        EndpointStatus::Gone,
+    ]);
     let step = prop_oneof![
         4 => (0.0..3.5f64).prop_map(Step::Submit),
         4 => (0..64usize).prop_map(Step::BeginAttempt),
@@ -74,7 +78,7 @@
     /// Attempts by the request's serial number and their own.
     in_flight: BTreeMap<(u64, usize), InFlight>,
     may_have_run: BTreeSet<u64>,
-    worker_states: BTreeMap<u16, Standing>,
+    worker_states: BTreeMap<u16, EndpointStatus>,
 }
 
 impl Model {
@@ -223,7 +227,7 @@
         assert!(!self.must_not_run_again(request), "a second effect");
         // An index may have passed to another worker; its address tells which.
         let number = self.dispatcher.worker_process(worker).address.port() - FIRST_PORT;
-        assert_ne!(self.worker_states.get(&number), Some(&Standing::Gone));
+        assert_ne!(self.worker_states.get(&number), Some(&EndpointStatus::Gone));
     }
 
     fn answer(&mut self, request: RequestId) {
--- a/crates/dispatcher/tests/dispatcher/support.rs
+++ b/crates/dispatcher/tests/dispatcher/support.rs
@@ -3,7 +3,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The Unix time at which the dispatcher's clock begins.
@@ -49,7 +49,7 @@
     milletpath_config::read(&text).unwrap_or_else(|errors| panic!("{errors:#?}"))
 }
 
-pub fn entry(number: u16, state: Standing) -> Entry {
+pub fn entry(number: u16, state: EndpointStatus) -> Entry {
     Entry {
         name: format!("w{number}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + number)),
@@ -63,7 +63,7 @@
 }
 
 pub fn ready_entries(workers: u16) -> Vec<Entry> {
-    (0..workers).map(|number| entry(number, Standing::Ready)).collect()
+    (0..workers).map(|number| entry(number, EndpointStatus::Ready)).collect()
 }
 
 /// A dispatcher with the given endpoints at time 0, its first actions taken.
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -13,7 +13,7 @@
 use milletpath_history_checker::{
     self as witness, Account, Bound, Broken, Counts, Known, Record, Saw, Shared,
 };
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rand::seq::SliceRandom;
@@ -258,7 +258,7 @@
         kind: "std".into(),
         zone: "room".into(),
         cell: String::new(),
-        state: Standing::Ready,
+        state: EndpointStatus::Ready,
     }
 }
 
@@ -479,7 +479,7 @@
         struck.iter().for_each(|w| w.kill());
         let notice = self.day.terms.notice.min(trouble.lasts);
         sleep(notice).await;
-        struck.iter().for_each(|w| self.registry.stand(w.number, Standing::Gone));
+        struck.iter().for_each(|w| self.registry.stand(w.number, EndpointStatus::Gone));
         sleep(trouble.lasts - notice).await;
         for worker in struck {
             self.come_back(worker.number).await;
@@ -493,7 +493,7 @@
         for worker in struck {
             let town = self.clone();
             turns.push(spawn_local(async move {
-                town.registry.stand(worker.number, Standing::Draining);
+                town.registry.stand(worker.number, EndpointStatus::Draining);
                 sleep(town.day.terms.grace + town.day.terms.notice).await;
                 worker.tell(|engine, _| engine.draining = true);
                 sleep(0.5).await;
@@ -509,9 +509,9 @@
 
     async fn drain(self: &Rc<Self>, trouble: &Trouble) {
         let struck = self.struck(trouble);
-        struck.iter().for_each(|w| self.registry.stand(w.number, Standing::Draining));
+        struck.iter().for_each(|w| self.registry.stand(w.number, EndpointStatus::Draining));
         sleep(trouble.lasts).await;
-        struck.iter().for_each(|w| self.registry.stand(w.number, Standing::Ready));
+        struck.iter().for_each(|w| self.registry.stand(w.number, EndpointStatus::Ready));
     }
 
     fn signal(&self, gateway: usize, signal: Signal) {
--- a/crates/emulator/src/registry.rs
+++ b/crates/emulator/src/registry.rs
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use milletpath_history_checker::Saw;
-use milletpath_protocol::registry::{Entry, Standing, write};
+use milletpath_protocol::registry::{EndpointStatus, Entry, write};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -111,7 +111,7 @@
     }
 
     /// Changes how a worker stands.
-    pub fn stand(self: &Rc<Self>, number: usize, state: Standing) {
+    pub fn stand(self: &Rc<Self>, number: usize, state: EndpointStatus) {
         if let Some((entry, _)) = self.list.borrow_mut().get_mut(&number) {
             entry.state = state;
         }
@@ -147,12 +147,12 @@
         let entries: Vec<Entry> = numbers_shown
             .iter()
             .map(|n| Entry { address: list[n].1[gateway], ..list[n].0.clone() })
-            .filter(|e| numbers.is_some() || e.state != Standing::Gone)
+            .filter(|e| numbers.is_some() || e.state != EndpointStatus::Gone)
             .collect();
         let told = list
             .iter()
             .filter(|(n, _)| numbers.is_none_or(|only| only.contains(n)))
-            .map(|(n, (entry, _))| (*n, !self.emptied.get() && entry.state == Standing::Ready))
+            .map(|(n, (entry, _))| (*n, !self.emptied.get() && entry.state == EndpointStatus::Ready))
             .collect();
         let bytes = write(self.edition.get(), numbers.is_none(), &entries).into();
         Rc::new(Line { bytes, told })
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -9,7 +9,7 @@
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest};
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::hint::{black_box, spin_loop};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering};
@@ -37,7 +37,7 @@
         kind: String::new(),
         zone: "z".into(),
         cell: String::new(),
-        state: Standing::Ready,
+        state: EndpointStatus::Ready,
     };
     dispatcher.update_endpoints(0.0, true, &(0..WORKERS).map(entry).collect::<Vec<_>>());
     dispatcher
--- a/crates/gateway/src/shared_runtime.rs
+++ b/crates/gateway/src/shared_runtime.rs
@@ -12,7 +12,7 @@
 use milletpath_dispatcher::dispatcher::{Counters, Dispatcher, InterruptedRequest};
 use milletpath_multicore::budget::Budget;
 use milletpath_process_environment::wall_clock::unix_time;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -253,7 +253,7 @@
             state.endpoints.clear();
         }
         for entry in entries {
-            if entry.state == Standing::Gone {
+            if entry.state == EndpointStatus::Gone {
                 state.endpoints.remove(&entry.name);
             } else {
                 state.endpoints.insert(entry.name.clone(), entry.clone());
--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -2,7 +2,7 @@
 //! only the last number.
 
 use milletpath_protocol::Fault;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -78,18 +78,18 @@
     Ok(Entry { name, address, started, size, kind: text("flavor"), zone: text("locality"), cell, state })
 }
 
-fn worker_state(member: &Value) -> Option<Standing> {
+fn worker_state(member: &Value) -> Option<EndpointStatus> {
     match member["phase"].as_str() {
-        Some("active") => Some(Standing::Ready),
-        Some("leaving") => Some(Standing::Draining),
-        Some("left") => Some(Standing::Gone),
+        Some("active") => Some(EndpointStatus::Ready),
+        Some("leaving") => Some(EndpointStatus::Draining),
+        Some("left") => Some(EndpointStatus::Gone),
         _ => None,
     }
 }
 
 /// The address of a worker; one that has gone needs none.
-fn address(member: &Value, state: Standing) -> Option<SocketAddr> {
+fn address(member: &Value, state: EndpointStatus) -> Option<SocketAddr> {
     let stated = member["host_port"].as_str().and_then(|address| address.parse().ok());
     let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-    stated.or_else(|| (state == Standing::Gone).then_some(unspecified))
+    stated.or_else(|| (state == EndpointStatus::Gone).then_some(unspecified))
 }
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -6,7 +6,7 @@
 use milletpath_platform_protocol::{frames, parse_hex_id};
 use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::Fault;
-use milletpath_protocol::registry::Standing;
+use milletpath_protocol::registry::EndpointStatus;
 use std::fmt::Write as _;
 
 /// One capture a line: its name and the bytes as hex digits.
@@ -136,8 +136,11 @@
     let first = &entries[0];
     assert_eq!((first.name.as_str(), first.address.to_string()), ("w1", "10.0.0.7:9001".into()));
     assert_eq!((first.started, first.size, first.kind.as_str()), (Some(1700.5), 2.0, "std"));
-    assert_eq!((first.zone.as_str(), first.cell.as_str(), first.state), ("north", "3", Standing::Ready));
-    assert_eq!((entries[1].name.as_str(), entries[1].state), ("w2", Standing::Gone));
+    assert_eq!(
+        (first.zone.as_str(), first.cell.as_str(), first.state),
+        ("north", "3", EndpointStatus::Ready)
+    );
+    assert_eq!((entries[1].name.as_str(), entries[1].state), ("w2", EndpointStatus::Gone));
     assert_eq!(events::read(&captured("events-heartbeat")), Ok(DiscoveryLine::Last(41)));
 }
 
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -22,18 +22,21 @@
     pub kind: String,
     pub zone: String,
     pub cell: String,
-    pub state: Standing,
+    pub state: EndpointStatus,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     Ready,
     Draining,
     Gone,
 }
 
-const STANDINGS: [(&str, Standing); 3] =
-    [("ready", Standing::Ready), ("draining", Standing::Draining), ("gone", Standing::Gone)];
+const STANDINGS: [(&str, EndpointStatus); 3] = [
+    ("ready", EndpointStatus::Ready),
+    ("draining", EndpointStatus::Draining),
+    ("gone", EndpointStatus::Gone),
+];
 
 /// Reads one line: the edition's number, whether it is the complete list, and its entries.
 pub fn read(line: &[u8]) -> Result<(u64, bool, Vec<Entry>), Fault> {
@@ -67,7 +70,7 @@
     }
     let address = value["address"].as_str().and_then(|a| a.parse().ok());
     let state = match &value["state"] {
-        Value::Null => Some(Standing::Ready),
+        Value::Null => Some(EndpointStatus::Ready),
         word => STANDINGS.iter().find(|(w, _)| word.as_str() == Some(w)).map(|(_, s)| *s),
     };
     let figure = |key: &str| match &value[key] {
--- a/crates/protocol/tests/round_trips.rs
+++ b/crates/protocol/tests/round_trips.rs
@@ -1,7 +1,7 @@
 //! What is written is read back, and any bytes give a value or a fault.
 
 use http::{HeaderMap, HeaderValue, Method};
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use milletpath_protocol::{invoke, is_name, orca, registry, worker};
 use proptest::prelude::*;
 use test_case::test_case;
@@ -11,7 +11,8 @@
 }
 
 fn entries() -> impl Strategy<Value = Entry> {
-    let standing = prop_oneof![Just(Standing::Ready), Just(Standing::Draining), Just(Standing::Gone)];
+    let standing =
+        prop_oneof![Just(EndpointStatus::Ready), Just(EndpointStatus::Draining), Just(EndpointStatus::Gone)];
     let place = (any::<[u8; 4]>(), any::<u16>());
     let part = || prop_oneof![Just(String::new()), names()];
     let parts = (part(), part(), part());
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -8,7 +8,7 @@
 use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_gateway::hollow_gateway::{AppliedCallback, HollowGateway, MembershipCallback, clock};
 use milletpath_membership::MembershipEvent;
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::net::SocketAddr;
@@ -88,7 +88,7 @@
 impl Workers {
     fn entries(&self, plan: &Plan) -> Vec<Entry> {
         let there = self.0.iter().enumerate().filter_map(|(n, generation)| Some((n, (*generation)?)));
-        there.map(|(n, generation)| charter::worker(plan, n, generation, Standing::Ready)).collect()
+        there.map(|(n, generation)| charter::worker(plan, n, generation, EndpointStatus::Ready)).collect()
     }
 }
 
@@ -158,7 +158,7 @@
         }
         Order::List { workers, generation, there } => {
             let plan = &setting.plan;
-            let state = if there { Standing::Ready } else { Standing::Gone };
+            let state = if there { EndpointStatus::Ready } else { EndpointStatus::Gone };
             let known: Vec<usize> = workers.into_iter().filter(|w| *w < setting.workers.0.len()).collect();
             for worker in &known {
                 setting.workers.0[*worker] = there.then_some(generation);
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -7,7 +7,7 @@
 use milletpath_emulator::script::What;
 use milletpath_history_checker::Saw;
 use milletpath_policy::{InstanceState, LoadReport, Outcome};
-use milletpath_protocol::registry::{Entry, Standing};
+use milletpath_protocol::registry::{EndpointStatus, Entry};
 use milletpath_protocol::worker as wire;
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -231,13 +231,13 @@
         for gateway in 0..self.desks.len() {
             for entry in &entries {
                 let worker = entry.name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-                self.note(Saw::Told { gateway, worker, ready: entry.state == Standing::Ready });
+                self.note(Saw::Told { gateway, worker, ready: entry.state == EndpointStatus::Ready });
             }
         }
         self.put(self.now + WAY, Next::List(entries));
     }
 
-    fn stands(&mut self, workers: &[usize], state: Standing) {
+    fn stands(&mut self, workers: &[usize], state: EndpointStatus) {
         workers.iter().for_each(|w| self.entries[*w].state = state);
         let entries = workers.iter().map(|w| self.entries[*w].clone()).collect();
         self.told(entries);
@@ -274,7 +274,7 @@
                 }
             }
             What::Drain => {
-                self.stands(&struck, Standing::Draining);
+                self.stands(&struck, EndpointStatus::Draining);
                 self.put(end, Next::Ends(number));
             }
             What::Failures => {
@@ -310,12 +310,12 @@
         let trouble = self.day.troubles[number].clone();
         let struck = self.struck[&number].clone();
         if trouble.what == What::Death {
-            return self.stands(&struck, Standing::Gone);
+            return self.stands(&struck, EndpointStatus::Gone);
         }
         let worker = struck[step / 3];
         match step % 3 {
             0 => {
-                self.stands(&[worker], Standing::Draining);
+                self.stands(&[worker], EndpointStatus::Draining);
                 let wait = self.day.terms.grace + self.day.terms.notice;
                 self.put(self.now + wait, Next::Step(number, step + 1));
             }
@@ -335,7 +335,7 @@
         let struck = self.struck[&number].clone();
         match trouble.what {
             What::Death => struck.into_iter().for_each(|w| self.comes_back(w)),
-            What::Drain => self.stands(&struck, Standing::Ready),
+            What::Drain => self.stands(&struck, EndpointStatus::Ready),
             What::Failures => struck.iter().for_each(|w| self.workers[*w].fails = 0.0),
             What::Slowness => struck.iter().for_each(|w| self.workers[*w].engine.slowness = 1.0),
             What::StoreSlow => self.store.slowness = 1.0,
