--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -218,7 +218,7 @@
             }
             Next::Ordered(order, copies) => desk.load_request_ended(now, *order, Outcome::Succeeded, *copies),
             Next::Probed(worker, serial) => {
-                desk.health_check_ended(now, *worker, *serial, Outcome::Succeeded, report)
+                desk.health_check_ended(now, *worker, *serial, Outcome::Succeeded, report);
             }
             Next::Change => desk.update_endpoints(now, false, change.as_ref().expect("a change")),
         }
@@ -261,7 +261,7 @@
                     bench.put(now + away(worker) + load, Next::Ordered(order, copies));
                 }
                 Action::HealthCheck { worker, serial } => {
-                    bench.put(now + away(worker), Next::Probed(worker, serial))
+                    bench.put(now + away(worker), Next::Probed(worker, serial));
                 }
                 _ => {}
             }
--- a/crates/config-log/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -80,7 +80,7 @@
                         open.push((id, author, since, cluster.now, replica));
                     }
                     Some(Outcome::Unknown) | None => {
-                        open.push((id, author, since, last_proposed_at, replica))
+                        open.push((id, author, since, last_proposed_at, replica));
                     }
                     other => panic!("{other:?} of a change under a key of its own"),
                 }
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -68,7 +68,7 @@
 
 fn other_text(message: &mut Message) {
     let replace_text = |logged: &mut milletpath_config_log::LoggedEntry| {
-        logged.entry.change.text = Some("lanes = 99".into())
+        logged.entry.change.text = Some("lanes = 99".into());
     };
     match message {
         Message::Push { logged } => replace_text(logged),
--- a/crates/config-log/tests/search/model.rs
+++ b/crates/config-log/tests/search/model.rs
@@ -213,7 +213,7 @@
                 entries.iter().for_each(|logged| self.record_chosen(n, &logged.entry));
             }
             Message::SnapshotPage { entries, .. } => {
-                entries.iter().for_each(|entry| self.record_chosen(n, entry))
+                entries.iter().for_each(|entry| self.record_chosen(n, entry));
             }
             Message::ProposalResult { id, outcome } if to == author() => {
                 if let Outcome::Committed(number) = outcome
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -271,7 +271,7 @@
             let (number, entries) = (self.follower.state().head(), config_changes.len());
             self.shared_runtime.with_dispatcher(None, |dispatcher, _| {
                 config_changes.iter().for_each(|config_change| {
-                    dispatcher.apply_config_change(config_change, &config.functions)
+                    dispatcher.apply_config_change(config_change, &config.functions);
                 });
             });
             tracing::info!(number, entries, "configuration changes are applied");
--- a/crates/gateway/src/config_follower/status_log.rs
+++ b/crates/gateway/src/config_follower/status_log.rs
@@ -58,7 +58,7 @@
             let number = view.number;
             match freshness {
                 Freshness::Confirmed => {
-                    tracing::info!(number, "the applied configuration state is confirmed to be the latest")
+                    tracing::info!(number, "the applied configuration state is confirmed to be the latest");
                 }
                 _ => tracing::warn!(
                     number,
--- a/crates/gateway/src/datagram_receiver.rs
+++ b/crates/gateway/src/datagram_receiver.rs
@@ -33,7 +33,7 @@
                 return Some((&self.buffer[..size], from));
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                self.received = MAX_DATAGRAMS_IN_A_ROW
+                self.received = MAX_DATAGRAMS_IN_A_ROW;
             }
             // Reports an earlier datagram that nobody received.
             Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
--- a/crates/gateway/src/membership_link/event_log.rs
+++ b/crates/gateway/src/membership_link/event_log.rs
@@ -10,7 +10,7 @@
         MembershipEvent::Died { name } => tracing::warn!(name, "a gateway is declared dead"),
         MembershipEvent::Left { name } => tracing::info!(name, "a gateway left"),
         MembershipEvent::Returned { name } => {
-            tracing::info!(name, "a gateway that was declared dead returned")
+            tracing::info!(name, "a gateway that was declared dead returned");
         }
         MembershipEvent::DuplicateName { name } => tracing::error!(
             name,
@@ -23,7 +23,7 @@
             "another gateway's configuration states another number of gateways, and the larger one applies; make them equal"
         ),
         MembershipEvent::ProcessPaused { seconds } => {
-            tracing::warn!(seconds, "the membership link was paused: its process or thread did not run")
+            tracing::warn!(seconds, "the membership link was paused: its process or thread did not run");
         }
     }
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -76,7 +76,7 @@
         (
             "status reply",
             of(kind::STATUS_REPLY, 2, &|d| {
-                d.page = Some(Page { index: 1, total: 3, bytes: vec![0, 1, 255] })
+                d.page = Some(Page { index: 1, total: 3, bytes: vec![0, 1, 255] });
             }),
         ),
         ("final ack", of(kind::FINAL_ACK, 10, &|d| d.assertions = assertions())),
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -64,7 +64,7 @@
             let wait =
                 (self.replica.next_deadline() - self.now()).clamp(0.001, STOP_CHECK_INTERVAL.as_secs_f64());
             let turn = receiver.receive(Duration::from_secs_f64(wait), |datagram, from| {
-                self.handle_datagram(datagram, from)
+                self.handle_datagram(datagram, from);
             });
             // All datagrams that arrived during a pause of this thread are handled before any timeout.
             if turn == Turn::Drained {
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -89,7 +89,7 @@
     let (tell, stirs) = tokio::sync::mpsc::unbounded_channel();
     if stir {
         std::thread::spawn(move || {
-            std::io::stdin().lines().map_while(Result::ok).for_each(|l| take(&l, &tell))
+            std::io::stdin().lines().map_while(Result::ok).for_each(|l| take(&l, &tell));
         });
     }
     let links = Links { peers: link, changes: feed };
--- a/crates/milletpath/tests/platform/crossings.rs
+++ b/crates/milletpath/tests/platform/crossings.rs
@@ -44,7 +44,7 @@
         match how {
             Leaves::Closes => leaver.close(std::net::Shutdown::Both),
             Leaves::Withdraws => {
-                leaver.say("{\"jsonrpc\":\"2.0\",\"method\":\"giveUp\",\"params\":{\"id\":1}}\n")
+                leaver.say("{\"jsonrpc\":\"2.0\",\"method\":\"giveUp\",\"params\":{\"id\":1}}\n");
             }
             Leaves::HalfCloses => leaver.close(std::net::Shutdown::Write),
         }
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -102,10 +102,10 @@
                 self.on_attempt_response(request, attempt, response, now);
             }
             AwaitedResponse::LoadRequest { load_request } => {
-                self.dispatcher.load_request_ended(now, load_request, response.outcome, response.instances)
+                self.dispatcher.load_request_ended(now, load_request, response.outcome, response.instances);
             }
             AwaitedResponse::HealthCheck { serial } => {
-                self.dispatcher.health_check_ended(now, worker, serial, response.outcome, response.report)
+                self.dispatcher.health_check_ended(now, worker, serial, response.outcome, response.report);
             }
         }
         Ok(())
--- a/crates/policy/src/attempt_result.rs
+++ b/crates/policy/src/attempt_result.rs
@@ -129,7 +129,7 @@
         let outlasted = !attempt.warm && answer.latency > load_latency;
         match answer.outcome {
             Outcome::NotLoaded => {
-                (placement.instances, placement.loading_until, placement.missing_at) = (0.0, 0.0, now)
+                (placement.instances, placement.loading_until, placement.missing_at) = (0.0, 0.0, now);
             }
             Outcome::Cancelled | Outcome::TimedOut if outlasted => {
                 // The load goes on when no request waits for it; started again elsewhere it would never end.
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -198,7 +198,7 @@
         match &self.over {
             Some(Over::Stopped) => broken.push("the run was stopped".into()),
             Some(Over::Limit) => {
-                broken.push(format!("the run was not over after its limit of {} s", plan.limit))
+                broken.push(format!("the run was not over after its limit of {} s", plan.limit));
             }
             Some(Over::Memory(gb)) => {
                 broken
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -41,7 +41,7 @@
             write!(f, "  {:<12} {:<9} from {:>6.1} s, {:>6.1} s", play.label, play.does, play.at, play.took)?;
             match play.settled {
                 Some(Settled { after: Some(after), of, .. }) => {
-                    write!(f, "; all {of} agree after {after:.1} s")?
+                    write!(f, "; all {of} agree after {after:.1} s")?;
                 }
                 Some(Settled { waited, agreed, of, .. }) => {
                     write!(f, "; NEVER SETTLED, {agreed} of {of} believed by all after {waited:.1} s")?;
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -318,7 +318,7 @@
             }
             Next::Probed { gateway, worker, serial, outcome, report } => {
                 self.at_desk(gateway, |desk, now| {
-                    desk.health_check_ended(now, worker, serial, outcome, report)
+                    desk.health_check_ended(now, worker, serial, outcome, report);
                 });
             }
             Next::QuotaFraction(gateway) => self.share(gateway),
