--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -70,7 +70,7 @@
 enum RequestStep {
     Submit(usize),
     Begin(Action),
-    AttemptResult(Action),
+    EndAttempt(Action),
 }
 
 fn step(dispatcher: &mut Dispatcher<()>, names: &[String], now: f64, step: RequestStep) -> Vec<Action> {
@@ -84,10 +84,10 @@
         RequestStep::Begin(Action::SendAttempt { request, attempt, .. }) => {
             dispatcher.begin_attempt(now, request, attempt);
         }
-        RequestStep::AttemptResult(Action::SendAttempt { request, attempt, .. }) => {
+        RequestStep::EndAttempt(Action::SendAttempt { request, attempt, .. }) => {
             dispatcher.attempt_ended(now, request, attempt, AttemptResult::from_outcome(Outcome::Succeeded));
         }
-        RequestStep::Begin(_) | RequestStep::AttemptResult(_) => {}
+        RequestStep::Begin(_) | RequestStep::EndAttempt(_) => {}
     }
     std::iter::from_fn(|| dispatcher.next_action())
         .filter(|a| matches!(a, Action::SendAttempt { .. }))
@@ -101,7 +101,7 @@
     while let Some(action) = actions.pop() {
         actions.extend(apply(RequestStep::Begin(action.clone())));
         burn(micros / 3.0);
-        actions.extend(apply(RequestStep::AttemptResult(action)));
+        actions.extend(apply(RequestStep::EndAttempt(action)));
         burn(micros / 3.0);
         ended += 1;
     }
@@ -215,7 +215,7 @@
             black_box(facts.iter().map(|worker| worker.in_flight.load(Ordering::Relaxed)).sum::<i64>());
         }
         let (change, ended) = match &step {
-            RequestStep::AttemptResult(action) => (-1, worker_of(action)),
+            RequestStep::EndAttempt(action) => (-1, worker_of(action)),
             RequestStep::Submit(_) | RequestStep::Begin(_) => (1, None),
         };
         let actions = self.step(dispatcher, step);
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -304,7 +304,7 @@
             }
         }
         for (host, gateways) in by_host {
-            self.hosts[host].order(Order::AttemptResult { gateways, killed });
+            self.hosts[host].order(Order::End { gateways, killed });
         }
         Ok(())
     }
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -138,7 +138,7 @@
             drop(out);
             said
         }
-        Order::AttemptResult { gateways, killed } => {
+        Order::End { gateways, killed } => {
             let mut ended: Vec<(usize, HollowGateway)> = Vec::new();
             {
                 let mut there = lock(&place.gateways);
--- a/crates/scale-test/src/wire.rs
+++ b/crates/scale-test/src/wire.rs
@@ -21,7 +21,7 @@
         gateway: usize,
     },
     /// End, with a word to the others or killed.
-    AttemptResult {
+    End {
         gateways: Vec<usize>,
         killed: bool,
     },
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -80,7 +80,7 @@
         let next = links.sharing[gateway].next_deadline().clamp(self.now + 0.001, self.now + LOOK);
         if next < links.armed[gateway] {
             links.armed[gateway] = next;
-            self.put(next, Next::QuotaFraction(gateway));
+            self.put(next, Next::ShareBudgets(gateway));
         }
     }
 }
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -52,8 +52,8 @@
     Arrive(usize, u32, usize),
     Answered(usize, u32, usize, Ended),
     Leaves(usize, u32, usize),
-    /// Something is due at a desk; at an engine, of that process.
-    Dispatcher(usize),
+    /// A timer of a dispatcher is due; at an engine, of that process.
+    DispatcherTimer(usize),
     Engine(usize, u64),
     Fetched(usize, u64, u64, bool),
     /// A shot, an order, a probe comes in at a worker's process.
@@ -99,7 +99,7 @@
         report: Option<LoadReport>,
     },
     /// Something is due of what a gateway shares; a note of another comes.
-    QuotaFraction(usize),
+    ShareBudgets(usize),
     Note(usize, u64, Vec<u8>),
     List(Vec<Entry>),
     /// The list says that it is as it was.
@@ -229,7 +229,7 @@
             town.put(trouble.at, Next::Begins(number));
         }
         for gateway in (0..day.gateways).filter(|_| day.sharing) {
-            town.put(0.0, Next::QuotaFraction(gateway));
+            town.put(0.0, Next::ShareBudgets(gateway));
         }
         town.put(0.0, Next::Look);
         town.put(0.0, Next::Heartbeat);
@@ -284,11 +284,11 @@
             Next::Arrive(call, attempt, gateway) => self.arrive(call, attempt, gateway),
             Next::Answered(call, attempt, gateway, how) => self.answered(call, attempt, gateway, how),
             Next::Leaves(call, attempt, gateway) => self.leaves(call, attempt, gateway),
-            Next::Dispatcher(gateway) if self.armed[gateway] <= now => {
+            Next::DispatcherTimer(gateway) if self.armed[gateway] <= now => {
                 self.armed[gateway] = f64::INFINITY;
                 self.at_desk(gateway, |_, _| ());
             }
-            Next::Dispatcher(_) => {}
+            Next::DispatcherTimer(_) => {}
             Next::Engine(worker, process) if self.workers[worker].armed <= now => {
                 self.at_engine(worker, process, Engine::turn);
             }
@@ -321,7 +321,7 @@
                     desk.health_check_ended(now, worker, serial, outcome, report);
                 });
             }
-            Next::QuotaFraction(gateway) => self.share(gateway),
+            Next::ShareBudgets(gateway) => self.share(gateway),
             Next::Note(gateway, life, note) => self.noted(gateway, life, &note),
             Next::List(entries) => {
                 let unix_time = self.variation.gateway_time(now);
@@ -400,7 +400,7 @@
         }
         if let Some(next) = self.desks[gateway].next_deadline().filter(|next| *next < self.armed[gateway]) {
             self.armed[gateway] = next;
-            self.put(next.max(now), Next::Dispatcher(gateway));
+            self.put(next.max(now), Next::DispatcherTimer(gateway));
         }
     }
 
