--- a/crates/gateway/src/connection_limit.rs
+++ b/crates/gateway/src/connection_limit.rs
@@ -19,7 +19,7 @@
 
     /// A permit for one more connection; `None` where the limit is reached.
     pub fn reserve(self: &Arc<Self>) -> Option<ConnectionPermit> {
-        self.open.take(1).then(|| ConnectionPermit(self.clone()))
+        self.open.try_acquire(1).then(|| ConnectionPermit(self.clone()))
     }
 
     /// How many permits are out.
@@ -29,7 +29,7 @@
 
     /// Whether no further permit is given now.
     pub fn is_full(&self) -> bool {
-        self.open.used() >= self.open.most()
+        self.open.used() >= self.open.limit()
     }
 
     /// Waits until a permit is dropped; returns at once where one was dropped since the last wait.
@@ -44,7 +44,7 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.0.open.give_back(1);
+        self.0.open.release(1);
         self.0.released.notify_one();
     }
 }
--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -8,7 +8,7 @@
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
-use milletpath_multicore::watch::STILL;
+use milletpath_multicore::watchdog::STALL_THRESHOLD;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 impl WritePermit {
     /// Permits one request from now on.
     pub fn grant(&self) {
-        self.until.set(Some(Instant::now() + Duration::from_secs_f64(STILL)));
+        self.until.set(Some(Instant::now() + Duration::from_secs_f64(STALL_THRESHOLD)));
     }
 
     /// Called right before writing; the first write uses the permission up.
--- a/crates/gateway/src/core_context.rs
+++ b/crates/gateway/src/core_context.rs
@@ -12,7 +12,7 @@
 use http::HeaderMap;
 use milletpath_config::{GatewayConfig, Limits};
 use milletpath_dispatcher::dispatcher::{Dispatcher, RequestId};
-use milletpath_multicore::watch::STILL;
+use milletpath_multicore::watchdog::STALL_THRESHOLD;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
@@ -123,7 +123,7 @@
     /// lately.
     pub fn earliest_arrival(&self) -> f64 {
         let now = self.now();
-        if now - self.last_heartbeat.get() > STILL {
+        if now - self.last_heartbeat.get() > STALL_THRESHOLD {
             return self.last_heartbeat.get();
         }
         let Stall { began, ended } = self.last_stall.get();
@@ -133,9 +133,9 @@
     /// Waits, after a stall of this thread or the supervisor, until what arrived meanwhile has been read: a worker may be
     /// draining by now, and clients may have disconnected.
     pub async fn wait_until_responsive(&self) {
-        let is_stalled = |heartbeat: f64| self.now() - heartbeat > STILL;
+        let is_stalled = |heartbeat: f64| self.now() - heartbeat > STALL_THRESHOLD;
         while is_stalled(self.last_heartbeat.get())
-            || is_stalled(self.shared_runtime.supervisor().pulse.seen())
+            || is_stalled(self.shared_runtime.supervisor().heartbeat.last_beat())
         {
             self.resumed.notified().await;
         }
@@ -153,10 +153,10 @@
 
     /// Handles the messages in the core's mailbox, unless another thread has replaced this one.
     pub fn process_messages(self: &Rc<Self>) {
-        if self.slot().pulse.life() != self.incarnation {
+        if self.slot().heartbeat.incarnation() != self.incarnation {
             return;
         }
-        for message in self.slot().mail.take() {
+        for message in self.slot().mailbox.take_all() {
             self.handle_message(message);
         }
     }
@@ -228,14 +228,14 @@
     /// Records that this thread runs; false where another thread has replaced it.
     pub async fn beat(&self) -> bool {
         let seconds = self.now() - self.last_heartbeat.get();
-        if seconds > STILL {
+        if seconds > STALL_THRESHOLD {
             tracing::warn!(seconds, core = self.core, "this thread was stalled");
             self.last_stall.set(Stall { began: self.last_heartbeat.get(), ended: self.now() });
             self.open_requests.drop_answered();
             tokio::time::sleep(READ_AFTER_STALL).await;
         }
         self.last_heartbeat.set(self.now());
-        let is_current = self.slot().pulse.beat(self.incarnation, self.now());
+        let is_current = self.slot().heartbeat.beat(self.incarnation, self.now());
         self.resumed.notify_waiters();
         is_current
     }
--- a/crates/gateway/src/core_slot.rs
+++ b/crates/gateway/src/core_slot.rs
@@ -3,8 +3,8 @@
 
 use crate::core_message::CoreMessage;
 use crate::response_channel::ResponseChannel;
-use milletpath_multicore::mail::Mailbox;
-use milletpath_multicore::pulse::Pulse;
+use milletpath_multicore::heartbeat::Heartbeat;
+use milletpath_multicore::mailbox::Mailbox;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,11 +17,11 @@
 #[repr(align(128))]
 pub struct CoreSlot {
     /// What the core is asked to do.
-    pub mail: Mailbox<CoreMessage>,
+    pub mailbox: Mailbox<CoreMessage>,
     /// Wakes the core's thread.
     pub wake: Notify,
     /// When the core's thread last ran, and which incarnation it is.
-    pub pulse: Pulse,
+    pub heartbeat: Heartbeat,
     /// How many client connections are open.
     pub open: AtomicUsize,
     /// Requests read since the start.
@@ -36,9 +36,9 @@
     /// A slot whose mailbox holds `mailbox_capacity` messages.
     pub fn new(mailbox_capacity: usize) -> Self {
         Self {
-            mail: Mailbox::new(mailbox_capacity),
+            mailbox: Mailbox::new(mailbox_capacity),
             wake: Notify::new(),
-            pulse: Pulse::new(0.0),
+            heartbeat: Heartbeat::new(0.0),
             open: AtomicUsize::new(0),
             requests: AtomicU64::new(0),
             channels: Mutex::default(),
--- a/crates/gateway/src/core_thread.rs
+++ b/crates/gateway/src/core_thread.rs
@@ -3,7 +3,7 @@
 use crate::core_context::{CoreContext, HEARTBEAT_INTERVAL};
 use crate::message_handler;
 use crate::shared_runtime::SharedRuntime;
-use milletpath_multicore::watch::Watch;
+use milletpath_multicore::watchdog::Watchdog;
 use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
 use nix::unistd::Pid;
 use std::io;
@@ -22,31 +22,31 @@
     /// Which thread in the core's slot this is, from 0.
     pub incarnation: u32,
     /// Judges the thread's heartbeat.
-    pub watch: Watch,
+    pub watchdog: Watchdog,
 }
 
 impl CoreThread {
     /// Starts the first thread of a core. It runs for as long as `accepting` is set or it has connections.
     pub fn start(shared_runtime: &Arc<SharedRuntime>, core: usize, accepting: &Arc<AtomicBool>) -> Self {
-        let watch = Watch::new(shared_runtime.now());
-        let mut core_thread = Self { thread: None, incarnation: 0, watch };
+        let watchdog = Watchdog::new(shared_runtime.now());
+        let mut core_thread = Self { thread: None, incarnation: 0, watchdog };
         core_thread.restart(shared_runtime, core, accepting);
         core_thread
     }
 
-    /// Starts a thread where there is none; a failure is logged, and the watch says when to try again.
+    /// Starts a thread where there is none; a failure is logged, and the watchdog says when to try again.
     pub fn restart(&mut self, shared_runtime: &Arc<SharedRuntime>, core: usize, accepting: &Arc<AtomicBool>) {
         let now = shared_runtime.now();
         // Counts as a heartbeat, so that the thread has time for its first one.
-        shared_runtime.core_slots[core].pulse.beat(self.incarnation, now);
+        shared_runtime.core_slots[core].heartbeat.beat(self.incarnation, now);
         match spawn(shared_runtime, core, self.incarnation, accepting) {
             Ok(thread) => {
                 self.thread = Some(thread);
-                self.watch.filled(now);
+                self.watchdog.core_started(now);
             }
             Err(error) => {
                 tracing::error!(core, %error, "a core thread can't start; trying again later");
-                self.watch.lost(now);
+                self.watchdog.core_lost(now);
             }
         }
     }
@@ -135,7 +135,7 @@
         if shared_runtime.stopping.load(Ordering::Acquire) {
             context.stop();
             let accepting = accepting.load(Ordering::Acquire);
-            if !accepting && slot.open.load(Ordering::Acquire) == 0 && slot.mail.is_empty() {
+            if !accepting && slot.open.load(Ordering::Acquire) == 0 && slot.mailbox.is_empty() {
                 return;
             }
         }
--- a/crates/gateway/src/http_service.rs
+++ b/crates/gateway/src/http_service.rs
@@ -32,7 +32,7 @@
 ) -> Response<ResponseBody> {
     context.slot().requests.fetch_add(1, Ordering::Relaxed);
     let rate = channel.record_request(context.now());
-    if !channel.claim.owe() {
+    if !channel.claim.expect_response() {
         // Another core has closed this connection; its response says that the request was not run.
         return rejected("bounced", "This connection is closed", None);
     }
--- a/crates/gateway/src/open_requests.rs
+++ b/crates/gateway/src/open_requests.rs
@@ -107,7 +107,7 @@
     /// Closes the response channels of requests that another core has answered.
     pub fn drop_answered(&self) {
         for (_, open_request) in self.slots.borrow_mut().iter_mut() {
-            if open_request.channel.claim.spoken() {
+            if open_request.channel.claim.is_taken_over() {
                 open_request.response = None;
             }
         }
--- a/crates/gateway/src/response.rs
+++ b/crates/gateway/src/response.rs
@@ -50,13 +50,13 @@
 impl BufferedBytes {
     /// Counts bytes as buffered; `None` where the limit on all of them is reached.
     pub fn reserve(budget: &Arc<Budget>, bytes: usize) -> Option<Self> {
-        budget.take(bytes).then(|| Self { bytes, budget: budget.clone() })
+        budget.try_acquire(bytes).then(|| Self { bytes, budget: budget.clone() })
     }
 }
 
 impl Drop for BufferedBytes {
     fn drop(&mut self) {
-        self.budget.give_back(self.bytes);
+        self.budget.release(self.bytes);
     }
 }
 
--- a/crates/gateway/src/response_channel.rs
+++ b/crates/gateway/src/response_channel.rs
@@ -6,7 +6,7 @@
 use http::Response;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use milletpath_dispatcher::dispatcher::RequestId;
-use milletpath_multicore::claim::Claim;
+use milletpath_multicore::response_claim::ResponseClaim;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use socket2::SockRef;
 use std::io::{self, Read as _};
@@ -33,7 +33,7 @@
 pub struct ResponseChannel {
     stream: TcpStream,
     /// Which thread may write the response.
-    pub claim: Claim,
+    pub claim: ResponseClaim,
     /// When it was assigned to its core, in seconds since the start.
     assigned_at: f64,
     /// Requests since then.
@@ -51,7 +51,7 @@
     pub fn new(stream: TcpStream, assigned_at: f64) -> Self {
         Self {
             stream,
-            claim: Claim::default(),
+            claim: ResponseClaim::default(),
             assigned_at,
             requests: AtomicU64::new(0),
             current_serial: AtomicU64::new(0),
@@ -135,7 +135,7 @@
         /// Bytes that are discarded at most: the rest makes the kernel reset the connection, perhaps before the response
         /// is read.
         const MAX_BYTES: usize = 1 << 20;
-        if !self.claim.close() {
+        if !self.claim.take_over_idle() {
             return;
         }
         let (mut chunk, mut discarded) = ([0; 8192], 0);
@@ -155,7 +155,7 @@
     /// Sends the final response in place of the connection's own core, and closes the sending side; false where that
     /// core has begun to respond or no request is open.
     pub fn respond_from_other_core(&self, response: Response<ResponseBody>) -> bool {
-        let claimed = self.claim.speak();
+        let claimed = self.claim.take_over();
         if claimed {
             self.write_response(response);
         }
@@ -201,7 +201,7 @@
         let max_bytes = MAX_READ_BYTES.min(buf.remaining());
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
-            if self.0.claim.spoken() {
+            if self.0.claim.is_taken_over() {
                 return Poll::Ready(Err(already_answered()));
             }
             match self.0.stream.try_read(&mut chunk[..max_bytes]) {
@@ -227,7 +227,7 @@
         loop {
             let ready = self.0.response_ready.load(Ordering::Relaxed);
             // An interim response (100 Continue) is not the final one and needs no claim.
-            if if ready { !self.0.claim.write() } else { self.0.claim.spoken() } {
+            if if ready { !self.0.claim.begin_response() } else { self.0.claim.is_taken_over() } {
                 return Poll::Ready(Err(already_answered()));
             }
             ready!(self.0.stream.poll_write_ready(cx))?;
@@ -248,7 +248,7 @@
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.0.response_ready.swap(false, Ordering::Relaxed) {
             self.0.request_begun.store(false, Ordering::Relaxed);
-            self.0.claim.rest();
+            self.0.claim.finish_response();
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/gateway/src/stalled_core.rs
+++ b/crates/gateway/src/stalled_core.rs
@@ -8,7 +8,7 @@
 use crate::response_channel::{ResponseChannel, has_unread};
 use crate::shared_runtime::SharedRuntime;
 use milletpath_dispatcher::dispatcher::AttemptResult;
-use milletpath_multicore::deal::Deal;
+use milletpath_multicore::connection_balancer::ConnectionBalancer;
 use milletpath_policy::Outcome;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     /// The supervisor's own context.
     pub context: &'a Rc<CoreContext>,
     /// Chooses cores for client connections.
-    pub balancer: &'a RefCell<Deal>,
+    pub balancer: &'a RefCell<ConnectionBalancer>,
 }
 
 impl StalledCore<'_> {
@@ -33,7 +33,7 @@
 
     /// Sends the final responses in the core's mailbox; all else stays there for the core.
     pub fn send_due_responses(&self) {
-        for message in self.shared_runtime().core_slots[self.core].mail.take() {
+        for message in self.shared_runtime().core_slots[self.core].mailbox.take_all() {
             if let CoreMessage::Respond { response, channel, .. } = message {
                 self.respond(&channel, response);
             } else {
@@ -50,7 +50,7 @@
         // Bounded by the limit on client connections.
         let mut silent_connections = Vec::new();
         loop {
-            let messages = self.shared_runtime().core_slots[self.core].mail.take();
+            let messages = self.shared_runtime().core_slots[self.core].mailbox.take_all();
             if messages.is_empty() {
                 break;
             }
@@ -99,7 +99,7 @@
     /// Moves a connection to another core. Where there is none, a request that was sent on it is rejected, and a
     /// connection without one is given back to wait for the core.
     fn reassign(&self, stream: std::net::TcpStream, permit: ConnectionPermit) -> Option<CoreMessage> {
-        let other = self.balancer.borrow_mut().pick();
+        let other = self.balancer.borrow_mut().pick_core();
         if other != self.core {
             self.shared_runtime().send(other, CoreMessage::AcceptConnection(stream, permit));
         } else if has_unread(&stream) {
--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -10,8 +10,8 @@
 use crate::shared_runtime::{CancelledRequest, SharedRuntime};
 use crate::stalled_core::StalledCore;
 use milletpath_config::{GatewayConfig, WorkerSource};
-use milletpath_multicore::deal::{self, Deal, Seen};
-use milletpath_multicore::watch::Do;
+use milletpath_multicore::connection_balancer::{ConnectionBalancer, CoreLoad, REBALANCE_INTERVAL};
+use milletpath_multicore::watchdog::CoreAction;
 use std::cell::RefCell;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     shared_runtime: Arc<SharedRuntime>,
     context: Rc<CoreContext>,
     core_threads: RefCell<Vec<CoreThread>>,
-    balancer: RefCell<Deal>,
+    balancer: RefCell<ConnectionBalancer>,
     /// Whether connections may still be assigned; until then the cores don't end.
     accepting: Arc<AtomicBool>,
 }
@@ -52,7 +52,7 @@
         let accepting = Arc::new(AtomicBool::new(true));
         let start = |core| CoreThread::start(&shared_runtime, core, &accepting);
         let core_threads = RefCell::new((0..shared_runtime.cores()).map(start).collect());
-        let balancer = RefCell::new(Deal::new(shared_runtime.cores(), now));
+        let balancer = RefCell::new(ConnectionBalancer::new(shared_runtime.cores(), now));
         Self { shared_runtime, context, core_threads, balancer, accepting }
     }
 
@@ -64,7 +64,7 @@
     /// Assigns a client connection to a core; closes it where the limit on connections is reached.
     pub fn assign(&self, stream: TcpStream) {
         if let Some(permit) = self.shared_runtime.client_connections.reserve() {
-            let core = self.balancer.borrow_mut().pick();
+            let core = self.balancer.borrow_mut().pick_core();
             self.shared_runtime.send(core, CoreMessage::AcceptConnection(stream, permit));
         }
     }
@@ -95,12 +95,12 @@
             // A stall after this point shows at the next heartbeat: no core is judged by a time from before it.
             let now = self.context.last_heartbeat();
             if self.context.last_stall() != stall_before {
-                self.core_threads.borrow_mut().iter_mut().for_each(|thread| thread.watch.moved(now));
+                self.core_threads.borrow_mut().iter_mut().for_each(|thread| thread.watchdog.resume(now));
             }
             self.context.with_dispatcher(|dispatcher, now| dispatcher.advance(now));
             self.watch_cores(now);
             if now >= next_rebalance {
-                next_rebalance = now + deal::LOOK;
+                next_rebalance = now + REBALANCE_INTERVAL;
                 self.rebalance(now);
                 self.context.close_idle();
                 self.shared_runtime.remove_unused_limits();
@@ -123,16 +123,17 @@
     fn rebalance(&self, now: f64) {
         let core_threads = self.core_threads.borrow();
         let slots = &self.shared_runtime.core_slots;
-        let loads = slots.iter().zip(core_threads.iter()).map(|(slot, thread)| Seen {
-            open: slot.open.load(Ordering::Relaxed),
-            calls: slot.requests.load(Ordering::Relaxed),
-            still: !thread.is_started() || thread.watch.look(now, slot.pulse.seen()) != Do::Nothing,
+        let loads = slots.iter().zip(core_threads.iter()).map(|(slot, thread)| CoreLoad {
+            connections: slot.open.load(Ordering::Relaxed),
+            requests: slot.requests.load(Ordering::Relaxed),
+            stalled: !thread.is_started()
+                || thread.watchdog.check(now, slot.heartbeat.last_beat()) != CoreAction::Nothing,
         });
         let loads: Vec<_> = loads.collect();
-        for overload in self.balancer.borrow_mut().look(now, &loads) {
+        for overload in self.balancer.borrow_mut().rebalance(now, &loads) {
             let (core, connections) = (overload.core, overload.connections);
             tracing::info!(core, connections, "core overloaded; asking clients to connect anew");
-            slots[core].request_closing(connections, overload.most);
+            slots[core].request_closing(connections, overload.max_request_rate);
         }
     }
 
@@ -145,12 +146,12 @@
                 tracing::error!(core, panicked, "core thread ended; answering its requests and replacing it");
                 self.release_slot(core, thread, now);
             }
-            let last_heartbeat = self.shared_runtime.core_slots[core].pulse.seen();
-            match thread.watch.look(now, last_heartbeat) {
-                Do::Nothing => {}
-                Do::Answer => self.stalled_core(core).send_due_responses(),
-                Do::StandIn => self.stalled_core(core).take_over_messages(),
-                Do::Replace => {
+            let last_heartbeat = self.shared_runtime.core_slots[core].heartbeat.last_beat();
+            match thread.watchdog.check(now, last_heartbeat) {
+                CoreAction::Nothing => {}
+                CoreAction::SendDueResponses => self.stalled_core(core).send_due_responses(),
+                CoreAction::TakeOverMessages => self.stalled_core(core).take_over_messages(),
+                CoreAction::Replace => {
                     tracing::error!(core, last_heartbeat, "core thread stalled for too long; replacing it");
                     thread.abandon();
                     self.release_slot(core, thread, now);
@@ -158,7 +159,7 @@
             }
             if !thread.is_started() {
                 self.stalled_core(core).take_over_messages();
-                if thread.watch.due(now) {
+                if thread.watchdog.may_restart(now) {
                     thread.restart(&self.shared_runtime, core, &self.accepting);
                 }
             }
@@ -172,18 +173,19 @@
     /// Ends a core's incarnation: its heartbeat is refused from here on, and its clients are answered.
     fn release_slot(&self, core: usize, thread: &mut CoreThread, now: f64) {
         let slot = &self.shared_runtime.core_slots[core];
-        thread.incarnation = slot.pulse.succeed(thread.incarnation, now).unwrap_or(thread.incarnation);
+        thread.incarnation =
+            slot.heartbeat.begin_next_incarnation(thread.incarnation, now).unwrap_or(thread.incarnation);
         for CancelledRequest { channel, may_have_run } in self.shared_runtime.cancel_requests_of_core(core) {
             channel.respond_from_other_core(local_response(LocalResponse::interrupted(may_have_run)));
         }
         for channel in std::mem::take(&mut *slot.channels()).values() {
             channel.answer_unread_and_close(local_response(LocalResponse::interrupted(false)));
             // A response that was sent from here is still to be read by the client. What is left was cut off within one.
-            if !channel.claim.spoken() {
+            if !channel.claim.is_taken_over() {
                 channel.close();
             }
         }
-        thread.watch.lost(now);
+        thread.watchdog.core_lost(now);
         self.shared_runtime.faults.cores_lost.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -229,7 +231,7 @@
     /// Has all core threads end at their next heartbeat, whatever they have open.
     fn end_incarnations(&self) {
         for slot in &self.shared_runtime.core_slots[..self.shared_runtime.cores()] {
-            slot.pulse.succeed(slot.pulse.life(), self.shared_runtime.now());
+            slot.heartbeat.begin_next_incarnation(slot.heartbeat.incarnation(), self.shared_runtime.now());
         }
     }
 }
--- a/crates/multicore/benches/deal.rs
+++ b/crates/multicore/benches/connection_balancer.rs
@@ -1,10 +1,10 @@
-//! How even the load of the cores is by three ways to deal connections out, with clients of unlike rates: by chance, as
+//! How even the load of the cores is by three ways to balancer connections out, with clients of unlike rates: by chance, as
 //! the kernel's hash does; in turn; by the calls to expect, with some sent away from a crowded core. Simulated: no
 //! sockets, so the figures are of the dealing alone.
 //!
-//! `cargo bench -p milletpath-multicore --bench deal` prints the busiest core's calls over the mean.
+//! `cargo bench -p milletpath-multicore --bench connection_balancer` prints the busiest core's calls over the mean.
 
-use milletpath_multicore::deal::{Deal, LOOK, Seen};
+use milletpath_multicore::connection_balancer::{ConnectionBalancer, CoreLoad, REBALANCE_INTERVAL};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -32,48 +32,49 @@
     let all: f64 = rates.iter().sum();
     rates.iter_mut().for_each(|r| *r *= RATE / all);
     rates.shuffle(&mut chance);
-    let (mut deal, mut turn, mut sent) = (Deal::new(CORES, 0.0), 0, 0);
+    let (mut balancer, mut turn, mut sent) = (ConnectionBalancer::new(CORES, 0.0), 0, 0);
     let mut core_of = vec![0; clients];
-    let mut place = |deal: &mut Deal, chance: &mut ChaCha8Rng| match way {
+    let mut place = |balancer: &mut ConnectionBalancer, chance: &mut ChaCha8Rng| match way {
         Way::Chance => chance.random_range(0..CORES),
         Way::Turn => {
             turn += 1;
             turn % CORES
         }
-        Way::Expected => deal.pick(),
+        Way::Expected => balancer.pick_core(),
     };
     let (mut calls, mut now, mut found, mut looks) = ([0.0; CORES], 0.0, 0.0, 0);
     for core in &mut core_of {
-        *core = place(&mut deal, &mut chance);
+        *core = place(&mut balancer, &mut chance);
     }
     while now < SECONDS {
-        now += LOOK;
+        now += REBALANCE_INTERVAL;
         let mut load = [0.0; CORES];
         core_of.iter().zip(&rates).for_each(|(core, rate)| load[*core] += rate);
-        calls.iter_mut().zip(load).for_each(|(calls, load)| *calls += load * LOOK);
+        calls.iter_mut().zip(load).for_each(|(calls, load)| *calls += load * REBALANCE_INTERVAL);
         if now > SECONDS - COUNTED {
             found += load.iter().copied().fold(0.0, f64::max) * CORES as f64 / RATE;
             looks += 1;
         }
-        let seen = |core| Seen {
-            open: core_of.iter().filter(|c| **c == core).count(),
-            calls: calls[core] as u64,
-            still: false,
+        let seen = |core| CoreLoad {
+            connections: core_of.iter().filter(|c| **c == core).count(),
+            requests: calls[core] as u64,
+            stalled: false,
         };
         let seen: Vec<_> = (0..CORES).map(seen).collect();
-        for away in deal.look(now, &seen) {
+        for shift in balancer.rebalance(now, &seen) {
             // Whose next answer comes first is asked first: by chance, the more so the more it calls.
-            let mut may: Vec<usize> =
-                (0..clients).filter(|c| core_of[*c] == away.core && rates[*c] <= away.most).collect();
+            let mut may: Vec<usize> = (0..clients)
+                .filter(|c| core_of[*c] == shift.core && rates[*c] <= shift.max_request_rate)
+                .collect();
             may.sort_by(|a, b| rates[*b].total_cmp(&rates[*a]));
-            for client in may.into_iter().take(if way == Way::Expected { away.connections } else { 0 }) {
-                core_of[client] = place(&mut deal, &mut chance);
+            for client in may.into_iter().take(if way == Way::Expected { shift.connections } else { 0 }) {
+                core_of[client] = place(&mut balancer, &mut chance);
                 sent += 1;
             }
         }
         for core in &mut core_of {
-            if chance.random_bool(LOOK / KEEPS) {
-                *core = place(&mut deal, &mut chance);
+            if chance.random_bool(REBALANCE_INTERVAL / KEEPS) {
+                *core = place(&mut balancer, &mut chance);
             }
         }
     }
--- a/crates/multicore/src/budget.rs
+++ b/crates/multicore/src/budget.rs
@@ -1,24 +1,26 @@
-//! A bound that all cores keep together: as much can be used from one core as from all, and never more.
+//! A bound that all cores keep together: as amount can be used from one core as from all, and never more.
 
 use crate::sync::atomic::{AtomicUsize, Ordering};
 
 pub struct Budget {
-    most: usize,
+    limit: usize,
     used: AtomicUsize,
 }
 
 impl Budget {
-    pub fn new(most: usize) -> Self {
-        Self { most, used: AtomicUsize::new(0) }
+    pub fn new(limit: usize) -> Self {
+        Self { limit, used: AtomicUsize::new(0) }
     }
 
-    /// Takes so much, or nothing where less is left.
-    pub fn take(&self, much: usize) -> bool {
+    /// Takes so amount, or nothing where less is left.
+    pub fn try_acquire(&self, amount: usize) -> bool {
         let mut used = self.used.load(Ordering::Relaxed);
         loop {
-            let Some(then) = used.checked_add(much).filter(|then| *then <= self.most) else { return false };
+            let Some(after) = used.checked_add(amount).filter(|after| *after <= self.limit) else {
+                return false;
+            };
             // Nothing else is passed on by it: only the count itself must be right.
-            match self.used.compare_exchange_weak(used, then, Ordering::Relaxed, Ordering::Relaxed) {
+            match self.used.compare_exchange_weak(used, after, Ordering::Relaxed, Ordering::Relaxed) {
                 Ok(_) => return true,
                 Err(is) => used = is,
             }
@@ -26,15 +28,15 @@
     }
 
     /// Gives back what was taken.
-    pub fn give_back(&self, much: usize) {
-        self.used.fetch_sub(much, Ordering::Relaxed);
+    pub fn release(&self, amount: usize) {
+        self.used.fetch_sub(amount, Ordering::Relaxed);
     }
 
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Relaxed)
     }
 
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn limit(&self) -> usize {
+        self.limit
     }
 }
--- a/crates/multicore/src/watch.rs
+++ b/crates/multicore/src/watchdog.rs
@@ -2,88 +2,88 @@
 //! place.
 
 /// A thread not seen for so long stood still: several pulses, as a busy machine keeps one waiting now and then.
-pub const STILL: f64 = 0.15;
+pub const STALL_THRESHOLD: f64 = 0.15;
 
 /// Seconds after which its errands are done by others: a crowded machine keeps a thread waiting for less, and what
 /// it would still send in time is better left to it.
-pub const LONG: f64 = 1.0;
+pub const TAKEOVER_THRESHOLD: f64 = 1.0;
 
 /// Seconds after which a core that stands still is given up on: longer than any pause of the machine from which it
 /// may come back with its connections, and short against the minutes that people take.
-pub const GIVEN_UP: f64 = 5.0;
+pub const REPLACE_THRESHOLD: f64 = 5.0;
 
 /// Seconds before a place that lost its core again and again is filled anew, and the most of them: a core that dies
 /// at once each time must not keep the machine busy with starts.
-const FIRST_REST: f64 = 0.1;
-const LONGEST_REST: f64 = 10.0;
+const MIN_RESTART_DELAY: f64 = 0.1;
+const MAX_RESTART_DELAY: f64 = 10.0;
 
 /// Seconds of life after which a core's earlier deaths count no more.
-const LIVED: f64 = 30.0;
+const STABLE_AFTER: f64 = 30.0;
 
 /// What is to be done about a core.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Do {
+pub enum CoreAction {
     /// It runs.
     Nothing,
     /// Answer its calls as they fall due.
-    Answer,
+    SendDueResponses,
     /// That, and do the rest of its errands or call them off.
-    StandIn,
+    TakeOverMessages,
     /// Close its connections and let another core take its place.
     Replace,
 }
 
 /// One place for a core, through the lives of those that fill it.
 #[derive(Clone, Copy, Debug)]
-pub struct Watch {
-    began: f64,
+pub struct Watchdog {
+    started_at: f64,
     /// None while the place is empty.
-    rest: f64,
-    until: Option<f64>,
+    restart_delay: f64,
+    restart_at: Option<f64>,
     /// When the whole process was seen to move again: a core must be given time to say that it runs.
-    moved: f64,
+    resumed_at: f64,
 }
 
-impl Watch {
+impl Watchdog {
     pub fn new(now: f64) -> Self {
-        Self { began: now, rest: 0.0, until: None, moved: now }
+        Self { started_at: now, restart_delay: 0.0, restart_at: None, resumed_at: now }
     }
 
     /// The watcher itself stood still until now: nobody else is to blame for not having been seen.
-    pub fn moved(&mut self, now: f64) {
-        self.moved = now;
+    pub fn resume(&mut self, now: f64) {
+        self.resumed_at = now;
     }
 
     /// What is to be done about a core that was last seen to run then.
-    pub fn look(&self, now: f64, seen: f64) -> Do {
-        let still = now - seen.max(self.moved);
-        if self.until.is_some() || still <= STILL {
-            Do::Nothing
-        } else if still <= LONG {
-            Do::Answer
-        } else if still <= GIVEN_UP {
-            Do::StandIn
+    pub fn check(&self, now: f64, last_beat: f64) -> CoreAction {
+        let stalled_for = now - last_beat.max(self.resumed_at);
+        if self.restart_at.is_some() || stalled_for <= STALL_THRESHOLD {
+            CoreAction::Nothing
+        } else if stalled_for <= TAKEOVER_THRESHOLD {
+            CoreAction::SendDueResponses
+        } else if stalled_for <= REPLACE_THRESHOLD {
+            CoreAction::TakeOverMessages
         } else {
-            Do::Replace
+            CoreAction::Replace
         }
     }
 
     /// The core has ended, or was given up on; tells when its place may be filled.
-    pub fn lost(&mut self, now: f64) -> f64 {
-        let rest = if now - self.began >= LIVED { 0.0 } else { self.rest };
-        self.rest = (2.0 * rest).clamp(FIRST_REST, LONGEST_REST);
-        let at = now + rest;
-        self.until = Some(at);
+    pub fn core_lost(&mut self, now: f64) -> f64 {
+        let delay = if now - self.started_at >= STABLE_AFTER { 0.0 } else { self.restart_delay };
+        self.restart_delay = (2.0 * delay).clamp(MIN_RESTART_DELAY, MAX_RESTART_DELAY);
+        let at = now + delay;
+        self.restart_at = Some(at);
         at
     }
 
     /// Whether an empty place may be filled now.
-    pub fn due(&self, now: f64) -> bool {
-        self.until.is_some_and(|at| now >= at)
+    pub fn may_restart(&self, now: f64) -> bool {
+        self.restart_at.is_some_and(|at| now >= at)
     }
 
     /// Another core fills the place.
-    pub fn filled(&mut self, now: f64) {
-        *self = Self { began: now, until: None, moved: now, ..*self };
+    pub fn core_started(&mut self, now: f64) {
+        *self = Self { started_at: now, restart_at: None, resumed_at: now, ..*self };
     }
 }
--- a/crates/multicore/tests/interleavings.rs
+++ b/crates/multicore/tests/interleavings.rs
@@ -5,21 +5,21 @@
 use loom::sync::{Arc, Mutex};
 use loom::thread;
 use milletpath_multicore::budget::Budget;
-use milletpath_multicore::claim::Claim;
-use milletpath_multicore::mail::Mailbox;
-use milletpath_multicore::pulse::Pulse;
+use milletpath_multicore::heartbeat::Heartbeat;
+use milletpath_multicore::mailbox::Mailbox;
+use milletpath_multicore::response_claim::ResponseClaim;
 
 /// Two senders and an owner that sleeps unless woken: every letter is taken, each sender's in order, and none lies
 /// in the box of an owner whom nobody woke.
 #[test]
 fn no_letter_is_left_with_a_sleeping_owner() {
     loom::model(|| {
-        let (mail, woken) = (Arc::new(Mailbox::new(8)), Arc::new(Mutex::new(false)));
-        let sender = |from: u8, letters: u8| {
-            let (mail, woken) = (mail.clone(), woken.clone());
+        let (mailbox, woken) = (Arc::new(Mailbox::new(8)), Arc::new(Mutex::new(false)));
+        let sender = |from: u8, messages: u8| {
+            let (mailbox, woken) = (mailbox.clone(), woken.clone());
             thread::spawn(move || {
-                for n in 0..letters {
-                    if mail.put((from, n)).unwrap() {
+                for n in 0..messages {
+                    if mailbox.push((from, n)).unwrap() {
                         *woken.lock().unwrap() = true;
                     }
                 }
@@ -29,13 +29,13 @@
         let mut got = Vec::new();
         // The owner looks once while they are at it, if it was woken.
         if std::mem::take(&mut *woken.lock().unwrap()) {
-            got.extend(mail.take());
+            got.extend(mailbox.take_all());
         }
         senders.into_iter().for_each(|s| s.join().unwrap());
         if std::mem::take(&mut *woken.lock().unwrap()) {
-            got.extend(mail.take());
+            got.extend(mailbox.take_all());
         }
-        assert!(mail.is_empty(), "left behind");
+        assert!(mailbox.is_empty(), "left behind");
         for (from, sent) in [(0, 2), (1, 1)] {
             let of: Vec<u8> = got.iter().filter(|(f, _)| *f == from).map(|(_, n)| *n).collect();
             assert_eq!(of, (0..sent).collect::<Vec<u8>>());
@@ -48,24 +48,24 @@
 #[should_panic = "left behind"]
 fn a_flag_put_down_too_late_is_found_out() {
     loom::model(|| {
-        let (mail, woken) = (Arc::new(Mailbox::new(8)), Arc::new(Mutex::new(false)));
-        let (box_, flag) = (mail.clone(), woken.clone());
+        let (mailbox, woken) = (Arc::new(Mailbox::new(8)), Arc::new(Mutex::new(false)));
+        let (inbox, flag) = (mailbox.clone(), woken.clone());
         let sender = thread::spawn(move || {
             for n in 0..2 {
-                if box_.put(n).unwrap() {
+                if inbox.put(n).unwrap() {
                     *flag.lock().unwrap() = true;
                 }
             }
         });
         if *woken.lock().unwrap() {
-            mail.take();
+            mailbox.take_all();
             *woken.lock().unwrap() = false;
         }
         sender.join().unwrap();
         if std::mem::take(&mut *woken.lock().unwrap()) {
-            mail.take();
+            mailbox.take_all();
         }
-        assert!(mail.is_empty(), "left behind");
+        assert!(mailbox.is_empty(), "left behind");
     });
 }
 
@@ -76,17 +76,17 @@
         let takers = [0].map(|_| {
             let (budget, got) = (budget.clone(), got.clone());
             thread::spawn(move || {
-                if budget.take(1) {
+                if budget.try_acquire(1) {
                     got.fetch_add(1, Ordering::Relaxed);
                     assert!(budget.used() <= 2);
                 }
             })
         });
-        let mine = usize::from(budget.take(1)) + usize::from(budget.take(1));
+        let mine = usize::from(budget.try_acquire(1)) + usize::from(budget.try_acquire(1));
         takers.into_iter().for_each(|t| t.join().unwrap());
         assert_eq!(mine + got.load(Ordering::Relaxed), 2);
-        budget.give_back(1);
-        assert!(budget.take(1) && !budget.take(1));
+        budget.release(1);
+        assert!(budget.try_acquire(1) && !budget.try_acquire(1));
     });
 }
 
@@ -94,22 +94,22 @@
 #[test]
 fn one_of_two_has_the_last_word() {
     loom::model(|| {
-        let (claim, answers) = (Arc::new(Claim::default()), Arc::new(AtomicUsize::new(0)));
-        assert!(claim.owe());
+        let (claim, answers) = (Arc::new(ResponseClaim::default()), Arc::new(AtomicUsize::new(0)));
+        assert!(claim.expect_response());
         let (theirs, count) = (claim.clone(), answers.clone());
         let other = thread::spawn(move || {
-            if theirs.speak() {
+            if theirs.take_over() {
                 count.fetch_add(1, Ordering::Relaxed);
             }
         });
-        if claim.write() {
+        if claim.begin_response() {
             answers.fetch_add(1, Ordering::Relaxed);
             // The rest of the same answer.
-            assert!(claim.write());
+            assert!(claim.begin_response());
         }
         other.join().unwrap();
         assert_eq!(answers.load(Ordering::Relaxed), 1);
-        assert!(claim.spoken() != claim.write());
+        assert!(claim.is_taken_over() != claim.begin_response());
     });
 }
 
@@ -118,13 +118,13 @@
 #[test]
 fn a_call_is_taken_up_or_turned_away() {
     loom::model(|| {
-        let claim = Arc::new(Claim::default());
+        let claim = Arc::new(ResponseClaim::default());
         let theirs = claim.clone();
-        let other = thread::spawn(move || theirs.close());
-        let taken = claim.owe();
+        let other = thread::spawn(move || theirs.take_over_idle());
+        let taken = claim.expect_response();
         let closed = other.join().unwrap();
         assert!(taken != closed);
-        assert!(!taken || (claim.write() && !claim.speak()));
+        assert!(!taken || (claim.begin_response() && !claim.take_over()));
     });
 }
 
@@ -132,15 +132,16 @@
 #[test]
 fn a_life_has_one_successor() {
     loom::model(|| {
-        let (pulse, successors) = (Arc::new(Pulse::new(0.0)), Arc::new(AtomicUsize::new(0)));
-        let (theirs, count) = (pulse.clone(), successors.clone());
+        let (heartbeat, successors) = (Arc::new(Heartbeat::new(0.0)), Arc::new(AtomicUsize::new(0)));
+        let (theirs, count) = (heartbeat.clone(), successors.clone());
         let other = thread::spawn(move || {
-            count.fetch_add(usize::from(theirs.succeed(0, 1.0).is_some()), Ordering::Relaxed);
+            count.fetch_add(usize::from(theirs.begin_next_incarnation(0, 1.0).is_some()), Ordering::Relaxed);
         });
-        pulse.beat(0, 2.0);
-        successors.fetch_add(usize::from(pulse.succeed(0, 1.0).is_some()), Ordering::Relaxed);
+        heartbeat.beat(0, 2.0);
+        successors
+            .fetch_add(usize::from(heartbeat.begin_next_incarnation(0, 1.0).is_some()), Ordering::Relaxed);
         other.join().unwrap();
-        assert_eq!((successors.load(Ordering::Relaxed), pulse.life()), (1, 1));
-        assert!(!pulse.beat(0, 3.0) && pulse.beat(1, 3.0) && pulse.seen() == 3.0);
+        assert_eq!((successors.load(Ordering::Relaxed), heartbeat.incarnation()), (1, 1));
+        assert!(!heartbeat.beat(0, 3.0) && heartbeat.beat(1, 3.0) && heartbeat.last_beat() == 3.0);
     });
 }
