--- a/crates/capacity-model/benches/slopes/list.rs
+++ b/crates/capacity-model/benches/slopes/list.rs
@@ -3,14 +3,14 @@
 
 use crate::measure::{Asked, Slope, allocated, size, spent};
 use milletpath_dispatcher::dispatcher::Dispatcher;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
 pub const WORKERS: [usize; 5] = [300, 1_000, 3_000, 9_100, 30_000];
 
 /// A worker of the list; its zone and region follow from its number.
-pub fn entry(n: usize) -> Entry {
-    Entry {
+pub fn entry(n: usize) -> EndpointEntry {
+    EndpointEntry {
         name: format!("worker-{n:05}"),
         address: SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + n as u32), 9_000)),
         started: None,
@@ -22,7 +22,7 @@
     }
 }
 
-pub fn entries(workers: usize) -> Vec<Entry> {
+pub fn entries(workers: usize) -> Vec<EndpointEntry> {
     (0..workers).map(entry).collect()
 }
 
--- a/crates/config/src/model/gateway.rs
+++ b/crates/config/src/model/gateway.rs
@@ -4,7 +4,7 @@
 use super::limits::Limits;
 use super::replication::{ConfigLogConfig, MembershipConfig};
 use milletpath_policy::PolicyConfig;
-use milletpath_protocol::registry::Entry;
+use milletpath_protocol::registry::EndpointEntry;
 use std::net::SocketAddr;
 
 /// All that a gateway goes by.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerSource {
     /// From the configuration file.
-    List(Vec<Entry>),
+    List(Vec<EndpointEntry>),
     /// From the registry at this address.
     Registry(SocketAddr),
 }
--- a/crates/config/src/reader/workers.rs
+++ b/crates/config/src/reader/workers.rs
@@ -4,7 +4,7 @@
 use crate::document::Section;
 use crate::model::WorkerSource;
 use milletpath_protocol::is_name;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Kinds of workers in the order of the file.
@@ -48,8 +48,8 @@
     }
 }
 
-fn read_list(workers: &Section<'_>, kinds: &[String]) -> Vec<Entry> {
-    let mut list: Vec<Entry> = Vec::new();
+fn read_list(workers: &Section<'_>, kinds: &[String]) -> Vec<EndpointEntry> {
+    let mut list: Vec<EndpointEntry> = Vec::new();
     for section in workers.blocks("worker", true) {
         let address = section.parsed("address", "\"127.0.0.1:9001\"", parse_address);
         if !section.has("address") {
@@ -64,13 +64,13 @@
     list
 }
 
-fn read_worker(section: &Section<'_>, address: Option<SocketAddr>, kinds: &[String]) -> Entry {
+fn read_worker(section: &Section<'_>, address: Option<SocketAddr>, kinds: &[String]) -> EndpointEntry {
     let parse_kind = |text: &str| kinds.iter().any(|kind| kind == text).then(|| text.to_owned());
     let location = |key| {
         let parse = |text: &str| is_name(text).then(|| text.to_owned());
         section.parsed(key, "a name of letters, digits and -._~:", parse).unwrap_or_default()
     };
-    Entry {
+    EndpointEntry {
         name: section.label.clone(),
         address: address.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
         started: None,
--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -6,7 +6,7 @@
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::{LoadReport, Outcome};
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -187,8 +187,8 @@
     }
 }
 
-fn entry(number: usize) -> Entry {
-    Entry {
+fn entry(number: usize) -> EndpointEntry {
+    EndpointEntry {
         name: format!("w{number}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + number as u16)),
         started: None,
--- a/crates/dispatcher/src/dispatcher/endpoints.rs
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -4,7 +4,7 @@
 use super::Dispatcher;
 use crate::worker_table::{EndpointRevision, WorkerProcess};
 use milletpath_policy::Budget;
-use milletpath_protocol::registry::Entry;
+use milletpath_protocol::registry::EndpointEntry;
 use std::sync::Arc;
 
 /// Adjustments of workers' budgets that are kept at least, before those of workers that are not listed are dropped.
@@ -12,7 +12,7 @@
 
 impl<T> Dispatcher<T> {
     /// Takes one revision of the endpoint list, `complete` or only the entries that changed.
-    pub fn update_endpoints(&mut self, now: f64, complete: bool, entries: &[Entry]) {
+    pub fn update_endpoints(&mut self, now: f64, complete: bool, entries: &[EndpointEntry]) {
         self.state.now = now;
         if complete {
             self.router.begin_full_list();
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -5,7 +5,7 @@
 use crate::interner::Interner;
 use crate::start_times::{StartTimes, is_another_process};
 use milletpath_policy::{EndpointState, EndpointUpdate};
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -159,7 +159,7 @@
         &mut self,
         now: f64,
         complete: bool,
-        entries: &[Entry],
+        entries: &[EndpointEntry],
         mut notify: impl FnMut(EndpointUpdate),
     ) {
         self.revision += 1;
@@ -177,7 +177,7 @@
     }
 
     /// Takes one entry. Gives the worker's index, or none where too many workers are named.
-    fn update_worker(&mut self, now: f64, entry: &Entry) -> Option<usize> {
+    fn update_worker(&mut self, now: f64, entry: &EndpointEntry) -> Option<usize> {
         let is_new = self.names.get(&entry.name).is_none();
         if is_new && self.names.len() >= MAX_WORKERS {
             tracing::error!(
@@ -202,7 +202,7 @@
     }
 
     /// Adds a worker whose name was not known, at an index that is new or was forgotten.
-    fn add_worker(&mut self, now: f64, worker: usize, entry: &Entry) {
+    fn add_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
         // What had the index before is another process, with which this one shares nothing.
         let former = self.workers.get(worker);
         let process = former.map_or(self.generation << 32 | 1, |former| former.process + 1);
@@ -221,7 +221,7 @@
 
     /// Updates a worker whose name is known. Another address or another stamp is another process, in which nothing is
     /// loaded; one whose start time nobody states started now at the latest.
-    fn update_known_worker(&mut self, now: f64, worker: usize, entry: &Entry) {
+    fn update_known_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
         let worker = &mut self.workers[worker];
         let before = worker.start;
         let another = is_another_process(entry.started, before.stamp);
@@ -238,7 +238,7 @@
     }
 
     /// The start of a worker whose name was not known.
-    fn first_start(&mut self, now: f64, entry: &Entry) -> Start {
+    fn first_start(&mut self, now: f64, entry: &EndpointEntry) -> Start {
         let former = self.former_starts.remove(entry.name.as_str());
         match former {
             Some(start) if !is_another_process(entry.started, start.stamp) => start,
@@ -251,7 +251,7 @@
     }
 
     /// What the router is told of a worker.
-    fn listing(&mut self, worker: usize, entry: &Entry) -> EndpointUpdate {
+    fn listing(&mut self, worker: usize, entry: &EndpointEntry) -> EndpointUpdate {
         // Workers without a zone or cell share none: nobody else knows the idempotency keys that they remember.
         let alone = usize::MAX - worker;
         let group = |groups: &mut Interner, name: &str| {
--- a/crates/dispatcher/tests/dispatcher/attempts.rs
+++ b/crates/dispatcher/tests/dispatcher/attempts.rs
@@ -3,7 +3,7 @@
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use test_case::test_case;
 
 /// The endpoint list reports a drain while an attempt waits for its connection: the attempt ends as unsent, which proves
@@ -66,7 +66,8 @@
 #[test]
 fn idempotency_key_stays_in_the_zone_of_its_attempt() {
     let zoned = Effect::IdempotentWithKey.setting().replace("memory = 1", "memory = 2\ngroup = \"zone\"");
-    let in_zone = |number, zone: &str| Entry { zone: zone.into(), ..entry(number, EndpointStatus::Ready) };
+    let in_zone =
+        |number, zone: &str| EndpointEntry { zone: zone.into(), ..entry(number, EndpointStatus::Ready) };
     let endpoints = [in_zone(0, "a"), in_zone(1, "b")];
     let mut dispatcher = dispatcher_with(&gateway_config(&zoned, ATTEMPTS_ONLY), &endpoints);
     let request = submit(&mut dispatcher, 10.0, 2.0);
--- a/crates/dispatcher/tests/dispatcher/endpoints.rs
+++ b/crates/dispatcher/tests/dispatcher/endpoints.rs
@@ -3,7 +3,7 @@
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// A worker is replaced by another, with a name never seen, all day long: the tables stay as small as the fleet, and
@@ -32,7 +32,7 @@
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
     let before = dispatcher.worker_process(0);
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9999));
-    let moved = Entry { address, ..entry(0, EndpointStatus::Ready) };
+    let moved = EndpointEntry { address, ..entry(0, EndpointStatus::Ready) };
     dispatcher.update_endpoints(2.0, false, std::slice::from_ref(&moved));
     let after = dispatcher.worker_process(0);
     assert_eq!(after.address, address);
--- a/crates/dispatcher/tests/dispatcher/support.rs
+++ b/crates/dispatcher/tests/dispatcher/support.rs
@@ -3,7 +3,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The Unix time at which the dispatcher's clock begins.
@@ -49,8 +49,8 @@
     milletpath_config::read(&text).unwrap_or_else(|errors| panic!("{errors:#?}"))
 }
 
-pub fn entry(number: u16, state: EndpointStatus) -> Entry {
-    Entry {
+pub fn entry(number: u16, state: EndpointStatus) -> EndpointEntry {
+    EndpointEntry {
         name: format!("w{number}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + number)),
         started: None,
@@ -62,12 +62,12 @@
     }
 }
 
-pub fn ready_entries(workers: u16) -> Vec<Entry> {
+pub fn ready_entries(workers: u16) -> Vec<EndpointEntry> {
     (0..workers).map(|number| entry(number, EndpointStatus::Ready)).collect()
 }
 
 /// A dispatcher with the given endpoints at time 0, its first actions taken.
-pub fn dispatcher_with(config: &GatewayConfig, endpoints: &[Entry]) -> Dispatcher<u32> {
+pub fn dispatcher_with(config: &GatewayConfig, endpoints: &[EndpointEntry]) -> Dispatcher<u32> {
     let mut dispatcher = Dispatcher::new(config, UNIX_TIME);
     dispatcher.update_endpoints(0.0, true, endpoints);
     take_actions(&mut dispatcher);
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -189,17 +189,17 @@
         patience: f64,
     ) -> Option<Request<Full<Bytes>>> {
         let profile = &self.day.profiles[planned.profile];
-        let mut request = Request::post(invoke::path(&planned.function))
+        let mut request = Request::post(invoke::request_path(&planned.function))
             .header("host", "gateway")
-            .header(&invoke::PATIENCE, format!("{patience:.4}"))
+            .header(&invoke::TIMEOUT, format!("{patience:.4}"))
             .header(&invoke::PROFILE, &profile.name)
-            .header(&invoke::CLIENT, &self.day.groups[planned.group].name)
+            .header(&invoke::CLIENT_GROUP, &self.day.groups[planned.group].name)
             .header(&fields::CALL, format!("{call}.{attempt}"))
             .header(&fields::WORK, planned.work.to_string())
             .header(&fields::IO, planned.io.to_string())
             .header(&fields::GROUP, planned.group);
         if attempt > 0 {
-            request = request.header(&invoke::REPEAT, attempt);
+            request = request.header(&invoke::CLIENT_RETRY, attempt);
         }
         if profile.effect == Effect::Receipted {
             request = request.header(&invoke::IDEMPOTENCY_KEY, format!("call-{call}"));
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -13,7 +13,7 @@
 use milletpath_history_checker::{
     self as witness, Account, Bound, Broken, Counts, Known, Record, Saw, Shared,
 };
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rand::seq::SliceRandom;
@@ -249,8 +249,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
 }
 
-pub fn entry(number: usize, started: Option<f64>) -> Entry {
-    Entry {
+pub fn entry(number: usize, started: Option<f64>) -> EndpointEntry {
+    EndpointEntry {
         name: format!("worker-{number}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
         started,
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -2,7 +2,7 @@
 //! cold start, falling over when pushed. It is told what arrives and says what becomes of it; a shell on sockets
 //! or a simulation carries that out.
 
-use milletpath_protocol::worker::{Found, Refused};
+use milletpath_protocol::worker::{InstanceState, Rejection};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a worker is made of. Times in seconds, memory in MB.
@@ -56,12 +56,12 @@
     },
     Done {
         job: u64,
-        found: Found,
+        found: InstanceState,
         company: u32,
     },
     Refused {
         job: u64,
-        why: Refused,
+        why: Rejection,
         failed_load: bool,
     },
     /// Wants a fetch from the store; [`Engine::fetched`] answers.
@@ -92,7 +92,7 @@
 
 struct Held {
     job: Job,
-    found: Found,
+    found: InstanceState,
     company: u32,
     /// The instance whose lane it has.
     instance: Option<u64>,
@@ -222,20 +222,20 @@
         }
         let company = self.jobs.values().filter(|held| held.job.function == job.function).count() as u32;
         if self.draining || self.jobs.len() >= self.make.queue {
-            let why = if self.draining { Refused::Draining } else { Refused::Full };
+            let why = if self.draining { Rejection::Draining } else { Rejection::Full };
             self.said.push_back(Say::Refused { job: id, why, failed_load: false });
             return id;
         }
         let stands = self.instances.values().any(|i| i.function == job.function && !i.void);
         let line = self.lines.entry(job.function).or_default();
         if self.make.misses && !stands && line.loads == 0 {
-            self.said.push_back(Say::Refused { job: id, why: Refused::Missing, failed_load: false });
+            self.said.push_back(Say::Refused { job: id, why: Rejection::NotLoaded, failed_load: false });
             return id;
         }
         let found = match (stands, line.loads) {
-            (true, _) => Found::Loaded,
-            (false, 0) => Found::Began,
-            (false, _) => Found::Awaited,
+            (true, _) => InstanceState::Loaded,
+            (false, 0) => InstanceState::LoadStarted,
+            (false, _) => InstanceState::LoadAwaited,
         };
         line.waiting.push_back(id);
         self.jobs.insert(id, Held { job, found, company, instance: None, runs: false });
@@ -311,7 +311,7 @@
             self.remove(at);
         }
         if self.used + pack.memory > self.make.memory {
-            self.load_failed(function, Refused::Full, false);
+            self.load_failed(function, Rejection::Full, false);
             return;
         }
         self.used += pack.memory;
@@ -341,12 +341,12 @@
         self.under_way -= 1;
         self.used -= pack.memory;
         self.lines.entry(function).or_default().loads -= 1;
-        self.load_failed(function, Refused::Missing, true);
+        self.load_failed(function, Rejection::NotLoaded, true);
         self.fetch();
     }
 
     /// A load came to nothing: what waits for it alone is turned away.
-    fn load_failed(&mut self, function: u32, why: Refused, failed_load: bool) {
+    fn load_failed(&mut self, function: u32, why: Rejection, failed_load: bool) {
         let stands = self.instances.values().filter(|i| i.function == function && !i.void).count() as u32;
         let Some(line) = self.lines.get_mut(&function) else { return };
         if line.loads == 0 && stands == 0 {
--- a/crates/emulator/src/registry.rs
+++ b/crates/emulator/src/registry.rs
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use milletpath_history_checker::Saw;
-use milletpath_protocol::registry::{EndpointStatus, Entry, write};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus, write};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -53,7 +53,7 @@
     hall: Rc<Hall>,
     gates: Vec<Gate>,
     /// Workers by number, with an address for each gateway.
-    list: RefCell<BTreeMap<usize, (Entry, Vec<SocketAddr>)>>,
+    list: RefCell<BTreeMap<usize, (EndpointEntry, Vec<SocketAddr>)>>,
     edition: Cell<u64>,
     manner: Cell<Manner>,
     /// A list that shows nobody: a trouble.
@@ -98,13 +98,13 @@
     }
 
     /// Lists a worker, or changes what is listed of it, and tells all gateways.
-    pub fn put(self: &Rc<Self>, number: usize, entry: Entry, addresses: Vec<SocketAddr>) {
+    pub fn put(self: &Rc<Self>, number: usize, entry: EndpointEntry, addresses: Vec<SocketAddr>) {
         self.list.borrow_mut().insert(number, (entry, addresses));
         self.publish(&[number]);
     }
 
     /// Lists several at once.
-    pub fn put_all(self: &Rc<Self>, workers: Vec<(usize, Entry, Vec<SocketAddr>)>) {
+    pub fn put_all(self: &Rc<Self>, workers: Vec<(usize, EndpointEntry, Vec<SocketAddr>)>) {
         let numbers: Vec<_> = workers.iter().map(|(number, ..)| *number).collect();
         self.list.borrow_mut().extend(workers.into_iter().map(|(number, entry, at)| (number, (entry, at))));
         self.publish(&numbers);
@@ -144,9 +144,9 @@
         let list = self.list.borrow();
         let shown = |n: &&usize| !self.emptied.get() && numbers.is_none_or(|only| only.contains(n));
         let numbers_shown: Vec<usize> = list.keys().filter(shown).copied().collect();
-        let entries: Vec<Entry> = numbers_shown
+        let entries: Vec<EndpointEntry> = numbers_shown
             .iter()
-            .map(|n| Entry { address: list[n].1[gateway], ..list[n].0.clone() })
+            .map(|n| EndpointEntry { address: list[n].1[gateway], ..list[n].0.clone() })
             .filter(|e| numbers.is_some() || e.state != EndpointStatus::Gone)
             .collect();
         let told = list
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -65,8 +65,8 @@
 }
 
 enum Ended {
-    Done(wire::Found, u32),
-    Refused(wire::Refused, bool),
+    Done(wire::InstanceState, u32),
+    Refused(wire::Rejection, bool),
 }
 
 pub struct Worker {
@@ -161,7 +161,7 @@
                 }
                 Say::Done { job, found, company } => {
                     let (warm, all) = self.hall.warm.get();
-                    self.hall.warm.set((warm + u64::from(found == wire::Found::Loaded), all + 1));
+                    self.hall.warm.set((warm + u64::from(found == wire::InstanceState::Loaded), all + 1));
                     self.end(job, Ended::Done(found, company));
                 }
                 Say::Refused { job, why, failed_load } => self.end(job, Ended::Refused(why, failed_load)),
@@ -241,11 +241,11 @@
         spoil: &Cell<Spoil>,
     ) -> Answer {
         let (parts, body) = request.into_parts();
-        match wire::wanted(parts.uri.path()) {
-            Some(wire::Wanted::Ready) => self.with_load(plain(StatusCode::OK)),
-            Some(wire::Wanted::Infer(name)) => self.infer(gateway, name, &parts.headers, body, spoil).await,
-            Some(wire::Wanted::Load(name)) => self.load(gateway, name, &parts.headers).await,
-            Some(wire::Wanted::Unload(name)) => {
+        match wire::route(parts.uri.path()) {
+            Some(wire::Route::Ready) => self.with_load(plain(StatusCode::OK)),
+            Some(wire::Route::Infer(name)) => self.infer(gateway, name, &parts.headers, body, spoil).await,
+            Some(wire::Route::Load(name)) => self.load(gateway, name, &parts.headers).await,
+            Some(wire::Route::Unload(name)) => {
                 let (function, _) = self.hall.pack(name);
                 self.tell(|engine, _| engine.unload(function));
                 plain(StatusCode::OK)
@@ -255,7 +255,7 @@
     }
 
     async fn load(self: &Rc<Self>, gateway: usize, name: &str, headers: &HeaderMap) -> Answer {
-        let copies = wire::count(headers, &wire::COPIES).ok().flatten().unwrap_or(1);
+        let copies = wire::count_field(headers, &wire::INSTANCES).ok().flatten().unwrap_or(1);
         if copies > 0 {
             self.hall.note(Saw::Ordered { gateway, worker: self.number });
         }
@@ -267,7 +267,7 @@
         self.listen_to_engine();
         let (copies, failed) = stands.await.unwrap_or((0, true));
         let mut answer = plain(if failed { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK });
-        answer.headers_mut().insert(&wire::COPIES, HeaderValue::from(copies));
+        answer.headers_mut().insert(&wire::INSTANCES, HeaderValue::from(copies));
         answer
     }
 
@@ -307,7 +307,7 @@
             return plain(StatusCode::INTERNAL_SERVER_ERROR);
         }
         if mood.wrong_full.is_some_and(|(group, part)| group == told.group && self.hall.happens(part)) {
-            return self.with_load(refusal(wire::Refused::Full));
+            return self.with_load(refusal(wire::Rejection::Full));
         }
         let (function, pack) = self.hall.pack(name);
         let (sender, ended) = oneshot::channel();
@@ -322,18 +322,22 @@
                 let mut answer = Response::new(Full::new(bytes));
                 let headers = answer.headers_mut();
                 if self.hall.tells.found {
-                    headers.insert(&wire::FOUND, HeaderValue::from_static(wire::found_word(found)));
+                    headers.insert(
+                        &wire::INSTANCE_STATE,
+                        HeaderValue::from_static(wire::instance_state_word(found)),
+                    );
                 }
                 if self.hall.tells.company {
-                    headers.insert(&wire::COMPANY, HeaderValue::from(company));
+                    headers.insert(&wire::CONCURRENT_REQUESTS, HeaderValue::from(company));
                 }
                 answer
             }
             Ok(Ended::Refused(why, failed_load)) => {
                 let mut answer = refusal(why);
                 if failed_load {
-                    let word = HeaderValue::from_static(wire::found_word(wire::Found::Failed));
-                    answer.headers_mut().insert(&wire::FOUND, word);
+                    let word =
+                        HeaderValue::from_static(wire::instance_state_word(wire::InstanceState::LoadFailed));
+                    answer.headers_mut().insert(&wire::INSTANCE_STATE, word);
                 }
                 answer
             }
@@ -354,14 +358,14 @@
     fn with_load(&self, mut answer: Answer) -> Answer {
         let figures = self.engine.borrow().figures();
         let text = orca::write([
-            (orca::HELD, figures.held),
-            (orca::WAITING, figures.waiting),
-            (orca::BUSY, figures.busy),
-            (orca::MEMORY, figures.memory),
+            (orca::IN_FLIGHT, figures.held),
+            (orca::QUEUED, figures.waiting),
+            (orca::CPU_UTILIZATION, figures.busy),
+            (orca::MEMORY_UTILIZATION, figures.memory),
             (orca::LOADING, figures.loading),
         ]);
         if let Ok(value) = HeaderValue::from_str(&text) {
-            answer.headers_mut().insert(&orca::FIELD, value);
+            answer.headers_mut().insert(&orca::HEADER, value);
         }
         answer
     }
@@ -389,10 +393,13 @@
 }
 
 /// The worker's own word that nothing ran.
-fn refusal(why: wire::Refused) -> Answer {
-    let status =
-        if why == wire::Refused::Missing { StatusCode::NOT_FOUND } else { StatusCode::SERVICE_UNAVAILABLE };
+fn refusal(why: wire::Rejection) -> Answer {
+    let status = if why == wire::Rejection::NotLoaded {
+        StatusCode::NOT_FOUND
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    };
     let mut answer = plain(status);
-    answer.headers_mut().insert(&wire::REFUSED, HeaderValue::from_static(wire::refused_word(why)));
+    answer.headers_mut().insert(&wire::REJECTION, HeaderValue::from_static(wire::rejection_word(why)));
     answer
 }
--- a/crates/emulator/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -2,7 +2,7 @@
 
 use milletpath_emulator::engine::{Engine, Job, Make, Pack, Say};
 use milletpath_emulator::store::{Shelf, Store};
-use milletpath_protocol::worker::{Found, Refused};
+use milletpath_protocol::worker::{InstanceState, Rejection};
 use proptest::prelude::*;
 
 const MAKE: Make = Make {
@@ -70,13 +70,13 @@
     engine.arrive(0.0, job(1));
     engine.arrive(0.0, job(1));
     let said = pass(&mut engine, 0.0, 1.0);
-    assert_eq!(ends(&said), [(0.45, Found::Began), (0.45, Found::Awaited)]);
+    assert_eq!(ends(&said), [(0.45, InstanceState::LoadStarted), (0.45, InstanceState::LoadAwaited)]);
     engine.arrive(1.0, job(1));
-    assert_eq!(ends(&pass(&mut engine, 1.0, 2.0)), [(1.15, Found::Loaded)]);
+    assert_eq!(ends(&pass(&mut engine, 1.0, 2.0)), [(1.15, InstanceState::Loaded)]);
     // Idle for its time it is unloaded.
     pass(&mut engine, 2.0, 8.0);
     engine.arrive(8.0, job(1));
-    assert_eq!(ends(&pass(&mut engine, 8.0, 9.0)), [(8.45, Found::Began)]);
+    assert_eq!(ends(&pass(&mut engine, 8.0, 9.0)), [(8.45, InstanceState::LoadStarted)]);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     );
     engine.release(1);
     engine.arrive(1.0, job(1));
-    assert_eq!(ends(&pass(&mut engine, 1.0, 2.0))[0].1, Found::Began);
+    assert_eq!(ends(&pass(&mut engine, 1.0, 2.0))[0].1, InstanceState::LoadStarted);
 }
 
 #[test]
@@ -108,13 +108,13 @@
     let mut engine = Engine::new(MAKE, -100.0);
     for (n, function) in [1, 2, 3].into_iter().enumerate() {
         engine.arrive(n as f64, job(function));
-        assert_eq!(ends(&pass(&mut engine, n as f64, n as f64 + 1.0))[0].1, Found::Began);
+        assert_eq!(ends(&pass(&mut engine, n as f64, n as f64 + 1.0))[0].1, InstanceState::LoadStarted);
     }
     // The third took the first one's place.
     engine.arrive(3.0, job(2));
     engine.arrive(3.0, job(1));
     let said = pass(&mut engine, 3.0, 4.0);
-    assert_eq!(ends(&said)[0].1, Found::Loaded);
+    assert_eq!(ends(&said)[0].1, InstanceState::Loaded);
     assert!(engine.figures().memory <= 1.0);
 }
 
@@ -157,5 +157,5 @@
     let mut engine = Engine::new(MAKE, -100.0);
     engine.draining = true;
     let job = engine.arrive(0.0, job(1));
-    assert_eq!(engine.say(), Some(Say::Refused { job, why: Refused::Draining, failed_load: false }));
+    assert_eq!(engine.say(), Some(Say::Refused { job, why: Rejection::Draining, failed_load: false }));
 }
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -9,7 +9,7 @@
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest};
 use milletpath_policy::Outcome;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::hint::{black_box, spin_loop};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering};
@@ -29,7 +29,7 @@
     );
     let config = milletpath_config::read(&text).expect("a valid configuration");
     let mut dispatcher = Dispatcher::new(&config, 0.0);
-    let entry = |n: usize| Entry {
+    let entry = |n: usize| EndpointEntry {
         name: format!("w{n}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + n as u16)),
         started: None,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -32,8 +32,8 @@
     fn into_http(self, attempt: usize, target: WorkerTarget) -> Option<Request<Full<Bytes>>> {
         let Self { function, mut headers, body } = self;
         headers.insert(header::HOST, host(target.endpoint));
-        headers.insert(&wire::SHOT, HeaderValue::from(attempt as u64));
-        build_request(Method::POST, wire::infer(&function), headers, body)
+        headers.insert(&wire::ATTEMPT, HeaderValue::from(attempt as u64));
+        build_request(Method::POST, wire::infer_path(&function), headers, body)
     }
 }
 
@@ -60,7 +60,7 @@
     });
     let Some(time_left) = time_left else { return false };
     if let Ok(time_left) = HeaderValue::from_str(&format!("{time_left:.3}")) {
-        headers.insert(&wire::LEFT, time_left);
+        headers.insert(&wire::TIME_LEFT, time_left);
     }
     true
 }
--- a/crates/gateway/src/endpoint_watch.rs
+++ b/crates/gateway/src/endpoint_watch.rs
@@ -8,7 +8,7 @@
 use http::{Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use milletpath_protocol::{Fault, registry};
+use milletpath_protocol::{InputError, registry};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -24,10 +24,10 @@
     #[error("the connection failed: {0}")]
     Connection(#[from] hyper::Error),
     #[error("malformed revision: {0}")]
-    Malformed(Fault),
+    Malformed(InputError),
     #[error("the first revision has changes only, not the complete list")]
     Incomplete,
-    #[error("a line is longer than {} bytes", registry::LONGEST)]
+    #[error("a line is longer than {} bytes", registry::MAX_LINE_BYTES)]
     TooLong,
     #[error("the registry closed the stream")]
     Ended,
@@ -62,7 +62,7 @@
             while let Some(end) = unparsed.iter().position(|&byte| byte == b'\n') {
                 self.apply(&unparsed.split_to(end + 1))?;
             }
-            if unparsed.len() > registry::LONGEST {
+            if unparsed.len() > registry::MAX_LINE_BYTES {
                 return Err(WatchError::TooLong);
             }
         }
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -15,7 +15,7 @@
 use crate::process_clocks::thread_cpu_seconds;
 use crate::shared_runtime::SharedRuntime;
 use milletpath_config::GatewayConfig;
-use milletpath_protocol::registry::Entry;
+use milletpath_protocol::registry::EndpointEntry;
 use readings::{FollowerMonitor, MembershipMonitor, cpu_seconds_of, lock};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -46,7 +46,7 @@
     /// A control thread can't start.
     pub fn start(
         config: GatewayConfig,
-        entries: &[Entry],
+        entries: &[EndpointEntry],
         on_membership_event: MembershipCallback,
         on_applied: AppliedCallback,
     ) -> Result<Self, ControlThreadError> {
@@ -96,7 +96,7 @@
     }
 
     /// Applies an endpoint list, or changes to it where it is not `whole`. Gives the processor time taken, in seconds.
-    pub fn update_endpoints(&self, whole: bool, entries: &[Entry]) -> f64 {
+    pub fn update_endpoints(&self, whole: bool, entries: &[EndpointEntry]) -> f64 {
         self.timed(|shared_runtime| shared_runtime.update_endpoints(None, whole, entries))
     }
 
--- a/crates/gateway/src/http_service.rs
+++ b/crates/gateway/src/http_service.rs
@@ -54,9 +54,9 @@
     let (arrived_at, is_stopping) = (context.earliest_arrival(), context.is_stopping());
     let (Parts { method, uri, mut headers, .. }, body) = request.into_parts();
     let function = match route(&method, uri.path())? {
-        invoke::Wanted::Activation(function) => function,
-        invoke::Wanted::Live => return Ok(health_response(true, "live\n")),
-        invoke::Wanted::Ready => return Ok(readiness(context, is_stopping)),
+        invoke::Route::Invoke(function) => function,
+        invoke::Route::Live => return Ok(health_response(true, "live\n")),
+        invoke::Route::Ready => return Ok(readiness(context, is_stopping)),
     };
     if is_stopping {
         return Err(RequestError::Stopping);
@@ -85,11 +85,11 @@
 }
 
 /// What a request asks for, by its method and path.
-fn route<'a>(method: &Method, path: &'a str) -> Result<invoke::Wanted<'a>, RequestError> {
-    invoke::wanted(method, path).map_err(|unknown| match unknown {
-        invoke::Unknown::Path => RequestError::UnknownPath,
-        invoke::Unknown::Method(allowed) => RequestError::WrongMethod { allowed },
-        invoke::Unknown::Name => RequestError::InvalidName,
+fn route<'a>(method: &Method, path: &'a str) -> Result<invoke::Route<'a>, RequestError> {
+    invoke::route(method, path).map_err(|unknown| match unknown {
+        invoke::RouteError::UnknownPath => RequestError::UnknownPath,
+        invoke::RouteError::MethodNotAllowed(allowed) => RequestError::WrongMethod { allowed },
+        invoke::RouteError::InvalidFunctionName => RequestError::InvalidName,
     })
 }
 
@@ -154,7 +154,7 @@
     };
     let id = format!("{:08x}-{:x}", context.shared_runtime.instance_id, request.serial);
     if let Ok(id) = HeaderValue::from_str(&id) {
-        response.headers_mut().insert(&invoke::ACTIVATION, id);
+        response.headers_mut().insert(&invoke::REQUEST_ID, id);
     }
     response
 }
--- a/crates/gateway/src/request_error.rs
+++ b/crates/gateway/src/request_error.rs
@@ -3,7 +3,7 @@
 use crate::response::{ResponseBody, client_error, rejected};
 use http::header::{self, HeaderValue};
 use http::{Response, StatusCode};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 
 /// A request that is not dispatched.
 #[derive(Debug, thiserror::Error)]
@@ -25,7 +25,7 @@
     Stopping,
     /// A header field is malformed, missing or not allowed.
     #[error("{0}")]
-    InvalidHeader(Fault),
+    InvalidHeader(InputError),
     /// The body is larger than allowed.
     #[error("the body is larger than {limit} bytes")]
     BodyTooLarge {
--- a/crates/gateway/src/request_reader.rs
+++ b/crates/gateway/src/request_reader.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Frame, Incoming};
 use milletpath_policy::Idempotency;
-use milletpath_protocol::{Fault, invoke};
+use milletpath_protocol::{InputError, invoke};
 use std::time::Duration;
 
 /// What the header fields of a request say to the dispatcher.
@@ -30,10 +30,11 @@
     pub fn parse(context: &CoreContext, function: &str, headers: &HeaderMap) -> Result<Self, RequestError> {
         let config = context.config();
         let profile = profile(context, function, headers)?;
-        let client = invoke::name(headers, &invoke::CLIENT).map_err(RequestError::InvalidHeader)?;
+        let client =
+            invoke::name_field(headers, &invoke::CLIENT_GROUP).map_err(RequestError::InvalidHeader)?;
         let client = client.and_then(|name| config.clients.iter().position(|client| client == name));
-        let timeout = invoke::patience(headers).map_err(RequestError::InvalidHeader)?;
-        let key = invoke::key(headers).map_err(RequestError::InvalidHeader)?;
+        let timeout = invoke::timeout(headers).map_err(RequestError::InvalidHeader)?;
+        let key = invoke::idempotency_key(headers).map_err(RequestError::InvalidHeader)?;
         let needs_key =
             matches!(config.policy.profiles[profile].idempotency, Idempotency::IdempotentWithKey { .. });
         if needs_key && key.is_none() {
@@ -44,14 +45,14 @@
             profile,
             client: client.unwrap_or(usize::MAX),
             timeout: timeout.unwrap_or(f64::INFINITY).min(config.profiles[profile].deadline),
-            is_retry: invoke::repeat(headers).map_err(RequestError::InvalidHeader)?,
+            is_retry: invoke::is_client_retry(headers).map_err(RequestError::InvalidHeader)?,
         })
     }
 }
 
 /// The profile that the request names or its function requires; where both do they must agree.
 fn profile(context: &CoreContext, function: &str, headers: &HeaderMap) -> Result<usize, RequestError> {
-    let stated = invoke::name(headers, &invoke::PROFILE).map_err(RequestError::InvalidHeader)?;
+    let stated = invoke::name_field(headers, &invoke::PROFILE).map_err(RequestError::InvalidHeader)?;
     let required = context.shared_runtime.function_config(function).profile;
     let Some(name) = stated else { return Ok(required.unwrap_or(0)) };
     let known = context.config().profiles.iter().position(|profile| profile.name == name);
@@ -64,7 +65,7 @@
 }
 
 fn invalid(field: &str, detail: impl Into<String>) -> RequestError {
-    RequestError::InvalidHeader(Fault::new(field, detail.into()))
+    RequestError::InvalidHeader(InputError::new(field, detail.into()))
 }
 
 /// A request's body in memory.
--- a/crates/gateway/src/shared_runtime.rs
+++ b/crates/gateway/src/shared_runtime.rs
@@ -12,7 +12,7 @@
 use milletpath_dispatcher::dispatcher::{Counters, Dispatcher, InterruptedRequest};
 use milletpath_multicore::budget::Budget;
 use milletpath_process_environment::wall_clock::unix_time;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 struct DispatcherState {
     dispatcher: Dispatcher<RequestLocation>,
     /// The endpoints as last reported, for a dispatcher that has to be restarted.
-    endpoints: BTreeMap<String, Entry>,
+    endpoints: BTreeMap<String, EndpointEntry>,
     /// The time at which the supervisor wakes next.
     next_wakeup: f64,
 }
@@ -239,7 +239,7 @@
     }
 
     /// Passes one revision of the endpoint list to the dispatcher; `complete` says that it replaces all before it.
-    pub fn update_endpoints(&self, calling_core: Option<usize>, complete: bool, entries: &[Entry]) {
+    pub fn update_endpoints(&self, calling_core: Option<usize>, complete: bool, entries: &[EndpointEntry]) {
         self.store_endpoints(complete, entries);
         self.with_dispatcher(calling_core, |dispatcher, now| {
             dispatcher.wall_clock_read(now, unix_time());
@@ -247,7 +247,7 @@
         });
     }
 
-    fn store_endpoints(&self, complete: bool, entries: &[Entry]) {
+    fn store_endpoints(&self, complete: bool, entries: &[EndpointEntry]) {
         let mut state = self.lock();
         if complete {
             state.endpoints.clear();
--- a/crates/gateway/src/worker_commands.rs
+++ b/crates/gateway/src/worker_commands.rs
@@ -34,7 +34,7 @@
     let mut headers = HeaderMap::new();
     headers.insert(header::HOST, host(target.endpoint));
     if let Some(instances) = instances {
-        headers.insert(&wire::COPIES, HeaderValue::from(u16::from(instances)));
+        headers.insert(&wire::INSTANCES, HeaderValue::from(u16::from(instances)));
     }
     let request = build_request(method, path, headers, Bytes::new()).ok_or(ExchangeError::NoConnection)?;
     let PendingResponse { response, connection } = exchange(context, target, request, |_| may_send()).await?;
@@ -52,7 +52,8 @@
     function: Arc<str>,
     instances: u8,
 ) {
-    let command = Command { method: Method::POST, path: wire::load(&function), instances: Some(instances) };
+    let command =
+        Command { method: Method::POST, path: wire::load_path(&function), instances: Some(instances) };
     let may_send =
         || context.with_dispatcher(|dispatcher, now| dispatcher.begin_load_request(now, load_request));
     let timeout = Duration::from_secs_f64(context.config().policy.load_request_timeout);
@@ -73,14 +74,14 @@
 
 /// Has a worker unload idle instances. Nothing depends on the response.
 pub async fn unload_function(context: Rc<CoreContext>, target: WorkerTarget, function: Arc<str>) {
-    let command = Command { method: Method::POST, path: wire::unload(&function), instances: None };
+    let command = Command { method: Method::POST, path: wire::unload_path(&function), instances: None };
     let timeout = Duration::from_secs_f64(context.limits().probe_timeout);
     let _ = tokio::time::timeout(timeout, send(&context, target, command, || true)).await;
 }
 
 /// Asks a worker whether it is ready, and reports the answer.
 pub async fn health_check(context: Rc<CoreContext>, target: WorkerTarget, serial: u64) {
-    let command = Command { method: Method::GET, path: wire::READY.to_owned(), instances: None };
+    let command = Command { method: Method::GET, path: wire::HEALTH_PATH.to_owned(), instances: None };
     let timeout = Duration::from_secs_f64(context.limits().probe_timeout);
     let response = tokio::time::timeout(timeout, send(&context, target, command, || true));
     // The dispatcher ends the check at the same time.
--- a/crates/gateway/src/worker_response.rs
+++ b/crates/gateway/src/worker_response.rs
@@ -42,13 +42,13 @@
 
 /// A worker's load report (ORCA); `None` where there is none or it is malformed.
 pub fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
-    let text = headers.get(&orca::FIELD)?.to_str().ok()?;
+    let text = headers.get(&orca::HEADER)?.to_str().ok()?;
     let mut report = LoadReport::default();
     let parsed = orca::read(text, |name, figure| match name {
-        orca::BUSY => report.utilization = Some(figure),
-        orca::MEMORY => report.memory = Some(figure),
-        orca::HELD => report.in_flight = Some(figure),
-        orca::WAITING => report.queued = Some(figure),
+        orca::CPU_UTILIZATION => report.utilization = Some(figure),
+        orca::MEMORY_UTILIZATION => report.memory = Some(figure),
+        orca::IN_FLIGHT => report.in_flight = Some(figure),
+        orca::QUEUED => report.queued = Some(figure),
         orca::LOADING => report.loading = Some(figure),
         _ => {}
     });
@@ -63,21 +63,21 @@
 /// server error may come from an intermediary, and the request may have run.
 pub fn attempt_result(head: &Parts) -> AttemptResult {
     let is_error = head.status.is_client_error() || head.status.is_server_error();
-    let refused = wire::refused(&head.headers).filter(|_| is_error);
+    let refused = wire::rejection(&head.headers).filter(|_| is_error);
     let outcome = match refused {
-        Some(wire::Refused::Full | wire::Refused::Draining) => Outcome::Rejected,
-        Some(wire::Refused::Missing) => Outcome::NotLoaded,
+        Some(wire::Rejection::Full | wire::Rejection::Draining) => Outcome::Rejected,
+        Some(wire::Rejection::NotLoaded) => Outcome::NotLoaded,
         // Also where it says that the client's input was wrong.
         None if head.status.as_u16() < 500 => Outcome::Succeeded,
         None => Outcome::Failed,
     };
-    let found = wire::found(&head.headers).map(|found| match found {
-        wire::Found::Loaded => InstanceState::Loaded,
-        wire::Found::Began => InstanceState::LoadStarted,
-        wire::Found::Awaited => InstanceState::LoadAwaited,
-        wire::Found::Failed => InstanceState::LoadFailed,
+    let found = wire::instance_state(&head.headers).map(|found| match found {
+        wire::InstanceState::Loaded => InstanceState::Loaded,
+        wire::InstanceState::LoadStarted => InstanceState::LoadStarted,
+        wire::InstanceState::LoadAwaited => InstanceState::LoadAwaited,
+        wire::InstanceState::LoadFailed => InstanceState::LoadFailed,
     });
-    let company = wire::count(&head.headers, &wire::COMPANY).ok().flatten().unwrap_or(0);
+    let company = wire::count_field(&head.headers, &wire::CONCURRENT_REQUESTS).ok().flatten().unwrap_or(0);
     let report = load_report(&head.headers);
     AttemptResult { outcome, found, company: company.into(), report, answers_client: false }
 }
@@ -86,11 +86,11 @@
 /// assumed where a success does not say.
 pub fn load_result(head: &Parts, requested: u8) -> (Outcome, u8) {
     if head.status.is_success() {
-        let instances = wire::count(&head.headers, &wire::COPIES).ok().flatten();
+        let instances = wire::count_field(&head.headers, &wire::INSTANCES).ok().flatten();
         return (Outcome::Succeeded, instances.unwrap_or(requested.into()).min(u8::MAX.into()) as u8);
     }
-    match wire::refused(&head.headers) {
-        Some(wire::Refused::Full | wire::Refused::Draining) => (Outcome::Rejected, 0),
-        Some(wire::Refused::Missing) | None => (Outcome::Failed, 0),
+    match wire::rejection(&head.headers) {
+        Some(wire::Rejection::Full | wire::Rejection::Draining) => (Outcome::Rejected, 0),
+        Some(wire::Rejection::NotLoaded) | None => (Outcome::Failed, 0),
     }
 }
--- a/crates/platform-protocol/src/bootstrap/address.rs
+++ b/crates/platform-protocol/src/bootstrap/address.rs
@@ -1,11 +1,11 @@
 //! Addresses in the file.
 
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// The required address under a key.
-pub fn address(file: &Value, key: &str) -> Result<SocketAddr, Fault> {
+pub fn address(file: &Value, key: &str) -> Result<SocketAddr, InputError> {
     let address = file[key].as_str().and_then(|address| address.parse().ok());
-    address.ok_or_else(|| Fault::new(key, "is missing or no address with a port"))
+    address.ok_or_else(|| InputError::new(key, "is missing or no address with a port"))
 }
--- a/crates/platform-protocol/src/bootstrap/read.rs
+++ b/crates/platform-protocol/src/bootstrap/read.rs
@@ -5,8 +5,8 @@
 use crate::{frames, lines};
 use milletpath_config::{FunctionConfigs, GatewayConfig, Limits, ProfileConfig, WorkerSource};
 use milletpath_platform_settings::{self as platform_settings, ProfileSettings, SettingsError};
-use milletpath_protocol::Fault;
-use milletpath_protocol::registry::Entry;
+use milletpath_protocol::InputError;
+use milletpath_protocol::registry::EndpointEntry;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -44,18 +44,19 @@
     /// Whether the list is complete: a worker that it does not name is gone.
     pub complete: bool,
     /// Workers that changed, or all of them where the list is complete.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
 }
 
 /// Reads the file; the error names what is missing or invalid.
-pub fn read(text: &[u8]) -> Result<Bootstrap, Fault> {
-    let file: Value = serde_json::from_slice(text).map_err(|error| Fault::new("file", error.to_string()))?;
+pub fn read(text: &[u8]) -> Result<Bootstrap, InputError> {
+    let file: Value =
+        serde_json::from_slice(text).map_err(|error| InputError::new("file", error.to_string()))?;
     let settings = &file["settings"];
     let seed = file["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok());
-    let seed = seed.ok_or_else(|| Fault::new("seed", "is missing or no hex digits"))?;
+    let seed = seed.ok_or_else(|| InputError::new("seed", "is missing or no hex digits"))?;
     let policy = platform_settings::policy_config(settings, seed).map_err(settings_fault)?;
     let last_event = file["known"]["no"].as_u64();
-    let last_event = last_event.ok_or_else(|| Fault::new("known.no", "is no whole number"))?;
+    let last_event = last_event.ok_or_else(|| InputError::new("known.no", "is no whole number"))?;
     let worker_lists = worker_lists(&file["known"]["items"])?;
     let profiles = profiles(settings).map_err(settings_fault)?;
     let limits = limits(settings).map_err(settings_fault)?;
@@ -84,11 +85,11 @@
     })
 }
 
-fn settings_fault(error: SettingsError) -> Fault {
-    Fault::new("settings", error.to_string())
+fn settings_fault(error: SettingsError) -> InputError {
+    InputError::new("settings", error.to_string())
 }
 
-fn worker_lists(items: &Value) -> Result<Vec<WorkerList>, Fault> {
+fn worker_lists(items: &Value) -> Result<Vec<WorkerList>, InputError> {
     let mut worker_lists = Vec::new();
     for item in items.as_array().into_iter().flatten() {
         if let DiscoveryLine::Event { complete, entries, .. } = events::event(item)? {
--- a/crates/platform-protocol/src/bootstrap/reread.rs
+++ b/crates/platform-protocol/src/bootstrap/reread.rs
@@ -2,7 +2,7 @@
 
 use super::address::address;
 use super::differences::differences;
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -19,9 +19,10 @@
 }
 
 /// Reads the file again; `first` is the text that the router started from.
-pub fn reread(text: &[u8], first: &[u8]) -> Result<Reread, Fault> {
-    let parse =
-        |text| serde_json::from_slice::<Value>(text).map_err(|error| Fault::new("file", error.to_string()));
+pub fn reread(text: &[u8], first: &[u8]) -> Result<Reread, InputError> {
+    let parse = |text| {
+        serde_json::from_slice::<Value>(text).map_err(|error| InputError::new("file", error.to_string()))
+    };
     let (file, first) = (parse(text)?, parse(first)?);
     let discovery = address(&file, "bulletin")?;
     let mut ignored_changes = differences(&first, &file);
--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -1,8 +1,8 @@
 //! The discovery service: numbered events with changes of the worker list, one a line as JSON, and heartbeats that hold
 //! only the last number.
 
-use milletpath_protocol::Fault;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::InputError;
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -19,7 +19,7 @@
         /// Whether the list is complete: a worker that it does not name is gone.
         complete: bool,
         /// Workers that changed, or all of them where the list is complete.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
     },
     /// A heartbeat, with the number of the last event.
     Last(u64),
@@ -32,11 +32,12 @@
 }
 
 /// Reads one line, without the character that ends it.
-pub fn read(line: &[u8]) -> Result<DiscoveryLine, Fault> {
+pub fn read(line: &[u8]) -> Result<DiscoveryLine, InputError> {
     if line.len() > MAX_LINE {
-        return Err(Fault::new("line", "is too long"));
+        return Err(InputError::new("line", "is too long"));
     }
-    let value: Value = serde_json::from_slice(line).map_err(|error| Fault::new("line", error.to_string()))?;
+    let value: Value =
+        serde_json::from_slice(line).map_err(|error| InputError::new("line", error.to_string()))?;
     match value.as_u64() {
         Some(last) => Ok(DiscoveryLine::Last(last)),
         None => event(&value),
@@ -44,8 +45,8 @@
 }
 
 /// Reads an event that is JSON already, as in the file that a router starts from.
-pub fn event(value: &Value) -> Result<DiscoveryLine, Fault> {
-    let number = value["no"].as_u64().ok_or_else(|| Fault::new("no", "is no whole number"))?;
+pub fn event(value: &Value) -> Result<DiscoveryLine, InputError> {
+    let number = value["no"].as_u64().ok_or_else(|| InputError::new("no", "is no whole number"))?;
     let roster = &value["roster"];
     // Taken for an event, a heartbeat ahead of the last event received would hide the one that is missing.
     if value.as_object().is_some_and(|object| object.len() == 1) {
@@ -56,14 +57,14 @@
         return Ok(DiscoveryLine::Event { number, complete: false, entries: Vec::new() });
     }
     let complete = roster["complete"].as_bool().unwrap_or(false);
-    let members = roster["members"].as_array().ok_or_else(|| Fault::new("members", "is no list"))?;
+    let members = roster["members"].as_array().ok_or_else(|| InputError::new("members", "is no list"))?;
     let entries = members.iter().enumerate().map(entry).collect::<Result<_, _>>()?;
     Ok(DiscoveryLine::Event { number, complete, entries })
 }
 
 /// One worker, by its index in the list.
-fn entry((index, member): (usize, &Value)) -> Result<Entry, Fault> {
-    let fault = |key: &str| Fault::new(format!("members[{index}].{key}"), "is missing or senseless");
+fn entry((index, member): (usize, &Value)) -> Result<EndpointEntry, InputError> {
+    let fault = |key: &str| InputError::new(format!("members[{index}].{key}"), "is missing or senseless");
     let text = |key: &str| member[key].as_str().unwrap_or_default().to_owned();
     let name = Some(text("id")).filter(|name| !name.is_empty()).ok_or_else(|| fault("id"))?;
     let state = worker_state(member).ok_or_else(|| fault("phase"))?;
@@ -75,7 +76,16 @@
         other => other.to_string(),
     };
     let size = member["size"].as_f64().filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0);
-    Ok(Entry { name, address, started, size, kind: text("flavor"), zone: text("locality"), cell, state })
+    Ok(EndpointEntry {
+        name,
+        address,
+        started,
+        size,
+        kind: text("flavor"),
+        zone: text("locality"),
+        cell,
+        state,
+    })
 }
 
 fn worker_state(member: &Value) -> Option<EndpointStatus> {
--- a/crates/platform-protocol/src/frames/read.rs
+++ b/crates/platform-protocol/src/frames/read.rs
@@ -3,7 +3,7 @@
 use super::layout::{CHECKSUM_BYTES, FROM_WORKER, HEADER_BYTES};
 use milletpath_platform_settings::set_report_value;
 use milletpath_policy::{LoadReport, Outcome};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use std::ops::RangeInclusive;
 
 /// Bytes of the fields of a response, at most: several times what is seen in practice.
@@ -52,25 +52,25 @@
 
 /// Reads the first frame in the bytes; none while it is not complete. Each part is checked as soon as it is there, so that
 /// nobody waits for the rest of a frame that can't be read.
-pub fn read(bytes: &[u8]) -> Result<Option<Frame<'_>>, Fault> {
+pub fn read(bytes: &[u8]) -> Result<Option<Frame<'_>>, InputError> {
     let Some(header) = read_header(bytes)? else { return Ok(None) };
     let Some(rest) = bytes.get(HEADER_BYTES..) else { return Ok(None) };
     let payload_bytes = header.fields + header.body;
     let Some((payload, rest)) = rest.split_at_checked(payload_bytes) else { return Ok(None) };
     let Some(checksum) = rest.first_chunk::<CHECKSUM_BYTES>() else { return Ok(None) };
     if crc32fast::hash(payload) != u32::from_be_bytes(*checksum) {
-        return Err(Fault::new("check", "does not match"));
+        return Err(InputError::new("check", "does not match"));
     }
     let (fields, body) = payload.split_at(header.fields);
-    let fields = std::str::from_utf8(fields).map_err(|_| Fault::new("fields", "are no text"))?;
+    let fields = std::str::from_utf8(fields).map_err(|_| InputError::new("fields", "are no text"))?;
     let response = read_response(&header, fields, body);
     Ok(Some(Frame { response, length: HEADER_BYTES + payload_bytes + CHECKSUM_BYTES }))
 }
 
 /// Reads the header; none while it is not complete.
-fn read_header(bytes: &[u8]) -> Result<Option<Header>, Fault> {
+fn read_header(bytes: &[u8]) -> Result<Option<Header>, InputError> {
     if bytes.first().is_some_and(|first| *first != FROM_WORKER) {
-        return Err(Fault::new("mark", "is not a worker's"));
+        return Err(InputError::new("mark", "is not a worker's"));
     }
     let Some(&code) = bytes.get(1) else { return Ok(None) };
     let (outcome, probe) = match code {
@@ -81,14 +81,14 @@
         205 => (Outcome::NotSent, false),
         206 => (Outcome::Succeeded, true),
         207 => (Outcome::Failed, true),
-        _ => return Err(Fault::new("code", "is unknown")),
+        _ => return Err(InputError::new("code", "is unknown")),
     };
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
     let [_, _, f0, f1, b0, b1, b2, b3, id @ ..] = *header;
     let fields = usize::from(u16::from_be_bytes([f0, f1]));
     let body = u32::from_be_bytes([b0, b1, b2, b3]) as usize;
     if fields > MAX_FIELDS || body > MAX_RESPONSE_BODY {
-        return Err(Fault::new("length", "is past its bound"));
+        return Err(InputError::new("length", "is past its bound"));
     }
     Ok(Some(Header { outcome, probe, fields, body, id: u64::from_be_bytes(id) }))
 }
--- a/crates/platform-protocol/src/lines.rs
+++ b/crates/platform-protocol/src/lines.rs
@@ -1,5 +1,5 @@
 //! Client lines: JSON-RPC 2.0 without batches, one message a line. Everything is checked before it is acted on; what is
-//! wrong is reported as a [`Fault`](milletpath_protocol::Fault), with the line's number where that could be read.
+//! wrong is reported as a [`InputError`](milletpath_protocol::InputError), with the line's number where that could be read.
 
 mod call;
 mod message;
--- a/crates/platform-protocol/src/lines/call.rs
+++ b/crates/platform-protocol/src/lines/call.rs
@@ -2,7 +2,7 @@
 
 use crate::hex_id::parse_hex_id;
 use base64::{Engine, engine::general_purpose::STANDARD};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use serde_json::Value;
 
 /// Bytes of the body of a request, as the platform states it.
@@ -51,8 +51,8 @@
 }
 
 /// Reads a call from the parameters of its line; `method` is the name of its profile.
-pub fn read(number: u64, id: Option<u64>, method: &str, params: &Value) -> Result<Call, Fault> {
-    let id = id.ok_or_else(|| Fault::new("i", "is not 16 hex digits"))?;
+pub fn read(number: u64, id: Option<u64>, method: &str, params: &Value) -> Result<Call, InputError> {
+    let id = id.ok_or_else(|| InputError::new("i", "is not 16 hex digits"))?;
     let function = function(params)?;
     let is_repeat = is_repeat(params)?;
     let body = body(params)?;
@@ -77,53 +77,53 @@
     })
 }
 
-fn function(params: &Value) -> Result<&str, Fault> {
-    let function = params["o"].as_str().ok_or_else(|| Fault::new("o", "is missing or no text"))?;
-    parse_hex_id(function).ok_or_else(|| Fault::new("o", "is not 16 hex digits"))?;
+fn function(params: &Value) -> Result<&str, InputError> {
+    let function = params["o"].as_str().ok_or_else(|| InputError::new("o", "is missing or no text"))?;
+    parse_hex_id(function).ok_or_else(|| InputError::new("o", "is not 16 hex digits"))?;
     Ok(function)
 }
 
-fn is_repeat(params: &Value) -> Result<bool, Fault> {
+fn is_repeat(params: &Value) -> Result<bool, InputError> {
     match &params["r"] {
         Value::Null => Ok(false),
         Value::Number(n) if n.as_u64().is_some_and(|n| n <= 1) => Ok(n.as_u64() == Some(1)),
         Value::String(text) if text == "1" => Ok(true),
-        _ => Err(Fault::new("r", "is no mark")),
+        _ => Err(InputError::new("r", "is no mark")),
     }
 }
 
-fn body(params: &Value) -> Result<Vec<u8>, Fault> {
+fn body(params: &Value) -> Result<Vec<u8>, InputError> {
     let encoded = optional_text(params, "content", "is no text")?;
-    let body = STANDARD.decode(encoded).map_err(|_| Fault::new("content", "is no base64"))?;
+    let body = STANDARD.decode(encoded).map_err(|_| InputError::new("content", "is no base64"))?;
     if body.len() > MAX_REQUEST_BODY {
-        return Err(Fault::new("content", "is too long"));
+        return Err(InputError::new("content", "is too long"));
     }
     Ok(body)
 }
 
-fn idempotency_key(params: &Value) -> Result<&str, Fault> {
+fn idempotency_key(params: &Value) -> Result<&str, InputError> {
     // It becomes the value of one field in a list of fields: a character that ends a value could begin another field.
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b",=".contains(&byte);
     match &params["k"] {
         Value::Null => Ok(""),
         Value::String(key) if key.len() <= MAX_IDEMPOTENCY_KEY && key.bytes().all(is_allowed) => Ok(key),
-        _ => Err(Fault::new("k", "is no mark of up to 64 visible characters")),
+        _ => Err(InputError::new("k", "is no mark of up to 64 visible characters")),
     }
 }
 
 /// The seconds that a client waits.
-fn timeout(params: &Value) -> Result<f64, Fault> {
+fn timeout(params: &Value) -> Result<f64, InputError> {
     let milliseconds = params["d"].as_f64().filter(|ms| (1.0..=MAX_TIMEOUT_MS).contains(ms));
-    milliseconds.map(|ms| ms / 1e3).ok_or_else(|| Fault::new("d", "is no time to wait"))
+    milliseconds.map(|ms| ms / 1e3).ok_or_else(|| InputError::new("d", "is no time to wait"))
 }
 
 /// A list as `memory_mb:512;lanes:2;load_ms:640`; unknown names are left out.
-fn function_settings(info: &str) -> Result<FunctionSettings, Fault> {
+fn function_settings(info: &str) -> Result<FunctionSettings, InputError> {
     let mut settings = FunctionSettings { memory: 0.0, lanes: 1.0, load: None };
     for (name, value) in info.split(';').filter_map(|setting| setting.split_once(':')) {
-        let number = || -> Result<f64, Fault> {
+        let number = || -> Result<f64, InputError> {
             let number = value.parse::<f64>().ok().filter(|x| (0.0..=MAX_FUNCTION_SETTING).contains(x));
-            number.ok_or_else(|| Fault::new(format!("info.{name}"), "is out of range or no number"))
+            number.ok_or_else(|| InputError::new(format!("info.{name}"), "is out of range or no number"))
         };
         match name {
             "memory_mb" => settings.memory = number()?,
@@ -136,10 +136,10 @@
 }
 
 /// A text that may be left out; empty then.
-fn optional_text<'v>(params: &'v Value, key: &str, problem: &str) -> Result<&'v str, Fault> {
+fn optional_text<'v>(params: &'v Value, key: &str, problem: &str) -> Result<&'v str, InputError> {
     match &params[key] {
         Value::Null => Ok(""),
         Value::String(text) => Ok(text),
-        _ => Err(Fault::new(key, problem)),
+        _ => Err(InputError::new(key, problem)),
     }
 }
--- a/crates/platform-protocol/src/lines/message.rs
+++ b/crates/platform-protocol/src/lines/message.rs
@@ -2,7 +2,7 @@
 
 use super::call::{self, Call, MAX_REQUEST_BODY};
 use crate::hex_id::parse_hex_id;
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use serde_json::Value;
 use std::ops::RangeInclusive;
 
@@ -38,31 +38,31 @@
     pub number: Option<u64>,
     /// What is wrong.
     #[source]
-    pub fault: Fault,
+    pub fault: InputError,
 }
 
 /// Reads one line, without the character that ends it.
 pub fn read(line: &[u8]) -> Result<ClientMessage, InvalidLine> {
     if line.len() > MAX_LINE {
-        return Err(InvalidLine { number: None, fault: Fault::new("line", "is too long") });
+        return Err(InvalidLine { number: None, fault: InputError::new("line", "is too long") });
     }
     let value: Value = serde_json::from_slice(line)
-        .map_err(|error| InvalidLine { number: None, fault: Fault::new("line", error.to_string()) })?;
+        .map_err(|error| InvalidLine { number: None, fault: InputError::new("line", error.to_string()) })?;
     let number = value["id"].as_u64().filter(|number| LINE_NUMBERS.contains(number));
     message(&value, number).map_err(|fault| InvalidLine { number, fault })
 }
 
-fn message(value: &Value, number: Option<u64>) -> Result<ClientMessage, Fault> {
+fn message(value: &Value, number: Option<u64>) -> Result<ClientMessage, InputError> {
     if value["jsonrpc"] != "2.0" {
-        return Err(Fault::new("jsonrpc", "is not 2.0"));
+        return Err(InputError::new("jsonrpc", "is not 2.0"));
     }
-    let method = value["method"].as_str().ok_or_else(|| Fault::new("method", "is no name"))?;
+    let method = value["method"].as_str().ok_or_else(|| InputError::new("method", "is no name"))?;
     let params = &value["params"];
     let id = params["i"].as_str().and_then(parse_hex_id);
     if method == "giveUp" {
         return Ok(ClientMessage::Cancel { id, number: params["id"].as_u64().or(number) });
     }
-    let number = number.ok_or_else(|| Fault::new("id", "is no whole number from 1"))?;
+    let number = number.ok_or_else(|| InputError::new("id", "is no whole number from 1"))?;
     if method == "probe" {
         return Ok(ClientMessage::Probe { number });
     }
--- a/crates/platform-protocol/src/lines/write.rs
+++ b/crates/platform-protocol/src/lines/write.rs
@@ -1,7 +1,7 @@
 //! Answers to clients. Each adds one line to a buffer; `number` is that of the line that is answered.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use serde_json::Value;
 
 /// JSON-RPC's code of an invalid request.
@@ -35,7 +35,7 @@
 }
 
 /// The line was not understood.
-pub fn write_invalid(out: &mut Vec<u8>, number: Option<u64>, fault: &Fault) {
+pub fn write_invalid(out: &mut Vec<u8>, number: Option<u64>, fault: &InputError) {
     let number = number.map_or("null".into(), |number| number.to_string());
     // Escaped as JSON; the quotes around it are in the frame already.
     let message = Value::from(fault.to_string()).to_string();
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -45,7 +45,7 @@
 #[test_case("{=>", "line"; "no json")]
 fn an_invalid_call_is_refused_with_its_field(change: &str, field: &str) {
     let Err(invalid) = lines::read(call(change).as_bytes()) else { panic!("it is invalid") };
-    assert_eq!(invalid.fault.place, field);
+    assert_eq!(invalid.fault.location, field);
 }
 
 /// Without its idempotency key no worker knows a repeat. A past version left it out of every attempt.
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -5,7 +5,7 @@
 use milletpath_platform_protocol::lines::{self, Call, ClientMessage};
 use milletpath_platform_protocol::{frames, parse_hex_id};
 use milletpath_policy::{LoadReport, Outcome};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use milletpath_protocol::registry::EndpointStatus;
 use std::fmt::Write as _;
 
@@ -41,7 +41,7 @@
         idempotency_key,
         body: b"hi",
     };
-    let fault = Fault::new("info.lanes", "is \"out\" of range\n");
+    let fault = InputError::new("info.lanes", "is \"out\" of range\n");
     vec![
         ("line-success", written(|to| lines::write_success(to, 7, b"\x00\xffhello"))),
         ("line-success-empty", written(|to| lines::write_success(to, 1, b""))),
--- a/crates/platform-router/src/client_connections/close.rs
+++ b/crates/platform-router/src/client_connections/close.rs
@@ -5,7 +5,7 @@
 use super::validate::calls;
 use crate::platform_router::{ClientConnection, PlatformRouter};
 use milletpath_platform_protocol::lines::{self, ClientMessage, InvalidLine};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use socket2::SockRef;
 use std::io;
 use std::net::Shutdown;
@@ -69,7 +69,7 @@
         let numbers = numbers.chain(open_calls.iter().map(|call| call.number));
         client.closing = true;
         for number in numbers.filter(|number| Some(*number) != invalid.number) {
-            let fault = Fault::new("connection", "is closed for another line");
+            let fault = InputError::new("connection", "is closed for another line");
             lines::write_invalid(&mut client.write_buffer.bytes, Some(number), &fault);
         }
         lines::write_invalid(&mut client.write_buffer.bytes, invalid.number, &invalid.fault);
--- a/crates/platform-router/src/client_connections/read.rs
+++ b/crates/platform-router/src/client_connections/read.rs
@@ -6,7 +6,7 @@
 use crate::write_buffer::RETAINED_CAPACITY;
 use milletpath_dispatcher::dispatcher::RequestId;
 use milletpath_platform_protocol::lines::{self, ClientMessage, InvalidLine};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use std::io::ErrorKind;
 use tokio::net::TcpStream;
 
@@ -144,10 +144,10 @@
         }
         let length = partial_line.len() + bytes.len();
         if length > lines::MAX_LINE {
-            return Err(InvalidLine { number: None, fault: Fault::new("line", "is too long") });
+            return Err(InvalidLine { number: None, fault: InputError::new("line", "is too long") });
         }
         if length > RETAINED_CAPACITY && self.memory_budget.is_full() {
-            let fault = Fault::new("line", "finds no memory, too many are open");
+            let fault = InputError::new("line", "finds no memory, too many are open");
             return Err(InvalidLine { number: None, fault });
         }
         partial_line.extend_from_slice(bytes);
--- a/crates/platform-router/src/client_connections/validate.rs
+++ b/crates/platform-router/src/client_connections/validate.rs
@@ -2,7 +2,7 @@
 
 use crate::platform_router::PlatformRouter;
 use milletpath_platform_protocol::lines::{self, Call, ClientMessage, InvalidLine};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 
 /// Calls that may be open on one connection.
 const MAX_OPEN_CALLS: usize = 32;
@@ -44,30 +44,30 @@
     }
 
     /// Checks a call against those that are open, on its connection or any other, and those that came with it.
-    fn check_call(&mut self, slot: usize, call: &Call, messages: &[ClientMessage]) -> Result<(), Fault> {
+    fn check_call(&mut self, slot: usize, call: &Call, messages: &[ClientMessage]) -> Result<(), InputError> {
         self.use_number(slot, call.number)?;
         let open_calls = self.clients.get(slot).map_or(0, |client| client.open_calls.len());
         if open_calls + calls(messages).count() >= MAX_OPEN_CALLS {
-            return Err(Fault::new("id", "is one open call too many"));
+            return Err(InputError::new("id", "is one open call too many"));
         }
         let is_open = self.open_request_ids.contains(&call.id);
         if is_open || calls(messages).any(|other| other.id == call.id) {
-            return Err(Fault::new("i", "is open already"));
+            return Err(InputError::new("i", "is open already"));
         }
         if !self.profiles.contains(&call.profile) {
-            return Err(Fault::new("method", "is unknown"));
+            return Err(InputError::new("method", "is unknown"));
         }
         if !(self.groups.is_empty() || self.groups.contains(&call.client)) {
-            return Err(Fault::new("t", "is unknown"));
+            return Err(InputError::new("t", "is unknown"));
         }
         Ok(())
     }
 
     /// Notes a number as used on its connection; an error where it was used before.
-    fn use_number(&mut self, slot: usize, number: u64) -> Result<(), Fault> {
+    fn use_number(&mut self, slot: usize, number: u64) -> Result<(), InputError> {
         let Some(client) = self.clients.get_mut(slot) else { return Ok(()) };
         let is_new = client.request_ids_seen.insert(number);
-        if is_new { Ok(()) } else { Err(Fault::new("id", "was used before on this connection")) }
+        if is_new { Ok(()) } else { Err(InputError::new("id", "was used before on this connection")) }
     }
 }
 
--- a/crates/platform-router/src/discovery_watch.rs
+++ b/crates/platform-router/src/discovery_watch.rs
@@ -4,7 +4,7 @@
 use crate::platform_router::SharedRouter;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use milletpath_process_environment::wall_clock::unix_time;
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use std::convert::Infallible;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
     #[error("events after {after} are missing")]
     MissingEvents { after: u64 },
     #[error("a line is invalid: {0}")]
-    InvalidLine(#[from] Fault),
+    InvalidLine(#[from] InputError),
     #[error("a line is too long")]
     LineTooLong,
 }
--- a/crates/platform-router/src/run.rs
+++ b/crates/platform-router/src/run.rs
@@ -8,7 +8,7 @@
 use crate::platform_router::{PlatformRouter, SharedRouter};
 use milletpath_platform_protocol::bootstrap::{self, Bootstrap};
 use milletpath_process_environment::signals::{SIGHUP, SIGTERM, SignalReceiver};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use nix::sys::resource::{Resource, getrlimit};
 use reload::reload_bootstrap;
 use std::io;
@@ -43,7 +43,7 @@
         /// The file.
         path: PathBuf,
         /// The field that is wrong, and why.
-        source: Fault,
+        source: InputError,
     },
     /// The address is not free, or not of this host.
     #[error("can't listen on {address}: {source}")]
--- a/crates/platform-router/src/run/reload.rs
+++ b/crates/platform-router/src/run/reload.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's file again, upon SIGHUP.
 
 use milletpath_platform_protocol::bootstrap::{self, Reread};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
     #[error("can't be read: {0}")]
     Read(#[from] io::Error),
     #[error("is invalid: {0}")]
-    Invalid(#[from] Fault),
+    Invalid(#[from] InputError),
 }
 
 /// Reads the file again, whole or not at all, and passes its discovery address on. `first` is the file's text at the
--- a/crates/platform-router/src/worker_connections/error.rs
+++ b/crates/platform-router/src/worker_connections/error.rs
@@ -1,7 +1,7 @@
 //! Why a connection to a worker is over.
 
 use crate::socket_errors::{self, FaultOrigin, Operation};
-use milletpath_protocol::Fault;
+use milletpath_protocol::InputError;
 use std::io;
 
 /// Why a connection to a worker is over.
@@ -20,7 +20,7 @@
     },
     /// A frame can't be read.
     #[error("the worker sent an invalid frame: {0}")]
-    InvalidFrame(#[from] Fault),
+    InvalidFrame(#[from] InputError),
     /// A health check was answered like an attempt, or the reverse.
     #[error("the worker's response is of another kind than the frame it answers")]
     UnexpectedResponse,
--- a/crates/protocol/src/orca.rs
+++ b/crates/protocol/src/orca.rs
@@ -1,43 +1,44 @@
 //! Load reports as ORCA header fields: `endpoint-load-metrics: TEXT cpu_utilization=0.3, named_metrics.held=2`
 //! or `JSON {...}` (Envoy's ORCA load report, its header form). The binary form is not read.
 
-use crate::Fault;
+use crate::InputError;
 use http::header::HeaderName;
 
 /// The header field of a load report.
-pub static FIELD: HeaderName = HeaderName::from_static("endpoint-load-metrics");
+pub static HEADER: HeaderName = HeaderName::from_static("endpoint-load-metrics");
 /// How busy the cores are, 0 to 1.
-pub const BUSY: &str = "cpu_utilization";
+pub const CPU_UTILIZATION: &str = "cpu_utilization";
 /// The share of memory that cannot be freed.
-pub const MEMORY: &str = "mem_utilization";
+pub const MEMORY_UTILIZATION: &str = "mem_utilization";
 /// Activations held.
-pub const HELD: &str = "named_metrics.held";
+pub const IN_FLIGHT: &str = "named_metrics.held";
 /// Activations that wait.
-pub const WAITING: &str = "named_metrics.waiting";
+pub const QUEUED: &str = "named_metrics.waiting";
 /// Loads under way or waiting.
 pub const LOADING: &str = "named_metrics.loading";
 
 /// Pairs that one report may have; a worker that sends more is not understood.
-const MOST: usize = 64;
+const MAX_FIGURES: usize = 64;
 
 /// Hands each figure of a report to `take`, with nested names joined by a point. Figures are finite; negative
 /// ones are refused, as no report has a use for them.
-pub fn read(text: &str, mut take: impl FnMut(&str, f64)) -> Result<(), Fault> {
+pub fn read(text: &str, mut take: impl FnMut(&str, f64)) -> Result<(), InputError> {
     let text = text.trim();
     let (form, rest) = text.split_once(' ').unwrap_or((text, ""));
     match form {
         "TEXT" => {
             for (n, pair) in rest.split(',').map(str::trim).filter(|p| !p.is_empty()).enumerate() {
-                let (name, value) =
-                    pair.split_once('=').ok_or_else(|| Fault::new(FIELD.as_str(), "a pair without ="))?;
+                let (name, value) = pair
+                    .split_once('=')
+                    .ok_or_else(|| InputError::new(HEADER.as_str(), "a pair without ="))?;
                 figure(n, name.trim(), value.trim().parse().ok(), &mut take)?;
             }
             Ok(())
         }
         "JSON" => {
             let value: serde_json::Value = serde_json::from_str(rest)
-                .map_err(|e| Fault::new(FIELD.as_str(), format!("no JSON: {e}")))?;
-            let object = value.as_object().ok_or_else(|| Fault::new(FIELD.as_str(), "no object"))?;
+                .map_err(|e| InputError::new(HEADER.as_str(), format!("no JSON: {e}")))?;
+            let object = value.as_object().ok_or_else(|| InputError::new(HEADER.as_str(), "no object"))?;
             let mut n = 0;
             for (name, value) in object {
                 if let Some(inner) = value.as_object() {
@@ -52,17 +53,22 @@
             }
             Ok(())
         }
-        _ => Err(Fault::new(FIELD.as_str(), "neither TEXT nor JSON")),
+        _ => Err(InputError::new(HEADER.as_str(), "neither TEXT nor JSON")),
     }
 }
 
-fn figure(n: usize, name: &str, value: Option<f64>, take: &mut impl FnMut(&str, f64)) -> Result<(), Fault> {
-    if n >= MOST {
-        return Err(Fault::new(FIELD.as_str(), format!("over {MOST} figures")));
+fn figure(
+    n: usize,
+    name: &str,
+    value: Option<f64>,
+    take: &mut impl FnMut(&str, f64),
+) -> Result<(), InputError> {
+    if n >= MAX_FIGURES {
+        return Err(InputError::new(HEADER.as_str(), format!("over {MAX_FIGURES} figures")));
     }
     match value.filter(|x| x.is_finite() && *x >= 0.0) {
         Some(value) => take(name, value),
-        None => return Err(Fault::new(FIELD.as_str(), "a figure that is none, or negative")),
+        None => return Err(InputError::new(HEADER.as_str(), "a figure that is none, or negative")),
     }
     Ok(())
 }
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -2,18 +2,18 @@
 //! `{"edition": 7, "whole": true, "workers": [{"name": "w1", "address": "127.0.0.1:9001", "state": "ready"}]}`.
 //! A line is read whole or not at all.
 
-use crate::{Fault, is_name};
+use crate::{InputError, is_name};
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// Bytes that one line may have: 10,000 workers fit in several times.
-pub const LONGEST: usize = 8 << 20;
+pub const MAX_LINE_BYTES: usize = 8 << 20;
 /// The path at which the registry streams its editions.
 pub const PATH: &str = "/v1/workers";
 
 /// One worker as a list tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub name: String,
     pub address: SocketAddr,
     /// When the process started, in seconds of the Unix clock; none means long ago.
@@ -32,33 +32,35 @@
     Gone,
 }
 
-const STANDINGS: [(&str, EndpointStatus); 3] = [
+const STATUS_WORDS: [(&str, EndpointStatus); 3] = [
     ("ready", EndpointStatus::Ready),
     ("draining", EndpointStatus::Draining),
     ("gone", EndpointStatus::Gone),
 ];
 
 /// Reads one line: the edition's number, whether it is the complete list, and its entries.
-pub fn read(line: &[u8]) -> Result<(u64, bool, Vec<Entry>), Fault> {
-    if line.len() > LONGEST {
-        return Err(Fault::new("list", format!("a line of over {LONGEST} bytes")));
+pub fn read(line: &[u8]) -> Result<(u64, bool, Vec<EndpointEntry>), InputError> {
+    if line.len() > MAX_LINE_BYTES {
+        return Err(InputError::new("list", format!("a line of over {MAX_LINE_BYTES} bytes")));
     }
     let value: Value =
-        serde_json::from_slice(line).map_err(|e| Fault::new("list", format!("no JSON: {e}")))?;
-    let edition = value["edition"].as_u64().ok_or_else(|| Fault::new("edition", "is no whole number"))?;
-    let whole = value["whole"].as_bool().ok_or_else(|| Fault::new("whole", "is neither true nor false"))?;
-    let lines = value["workers"].as_array().ok_or_else(|| Fault::new("workers", "is no list"))?;
+        serde_json::from_slice(line).map_err(|e| InputError::new("list", format!("no JSON: {e}")))?;
+    let edition =
+        value["edition"].as_u64().ok_or_else(|| InputError::new("edition", "is no whole number"))?;
+    let whole =
+        value["whole"].as_bool().ok_or_else(|| InputError::new("whole", "is neither true nor false"))?;
+    let lines = value["workers"].as_array().ok_or_else(|| InputError::new("workers", "is no list"))?;
     let entries = lines.iter().enumerate().map(entry).collect::<Result<Vec<_>, _>>()?;
     let mut names: Vec<_> = entries.iter().map(|e| &e.name).collect();
     names.sort_unstable();
     if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-        return Err(Fault::new("workers", format!("{} is listed twice", twice[0])));
+        return Err(InputError::new("workers", format!("{} is listed twice", twice[0])));
     }
     Ok((edition, whole, entries))
 }
 
-fn entry((n, value): (usize, &Value)) -> Result<Entry, Fault> {
-    let fault = |key: &str, wrong: &str| Fault::new(format!("workers[{n}].{key}"), wrong);
+fn entry((n, value): (usize, &Value)) -> Result<EndpointEntry, InputError> {
+    let fault = |key: &str, wrong: &str| InputError::new(format!("workers[{n}].{key}"), wrong);
     let named = |key: &str| match &value[key] {
         Value::Null => Ok(String::new()),
         Value::String(text) if is_name(text) => Ok(text.clone()),
@@ -71,7 +73,7 @@
     let address = value["address"].as_str().and_then(|a| a.parse().ok());
     let state = match &value["state"] {
         Value::Null => Some(EndpointStatus::Ready),
-        word => STANDINGS.iter().find(|(w, _)| word.as_str() == Some(w)).map(|(_, s)| *s),
+        word => STATUS_WORDS.iter().find(|(w, _)| word.as_str() == Some(w)).map(|(_, s)| *s),
     };
     let figure = |key: &str| match &value[key] {
         Value::Null => Ok(None),
@@ -81,7 +83,7 @@
             .map(Some)
             .ok_or_else(|| fault(key, "is no figure of 0 or more")),
     };
-    Ok(Entry {
+    Ok(EndpointEntry {
         address: address.ok_or_else(|| fault("address", "is no address with a port"))?,
         started: figure("started")?,
         size: figure("size")?.filter(|x| *x > 0.0).unwrap_or(1.0),
@@ -94,9 +96,9 @@
 }
 
 /// Writes one edition, with its line end.
-pub fn write(edition: u64, whole: bool, entries: &[Entry]) -> Vec<u8> {
-    let worker = |e: &Entry| {
-        let state = STANDINGS.iter().find(|(_, s)| *s == e.state).map_or("gone", |(word, _)| word);
+pub fn write(edition: u64, whole: bool, entries: &[EndpointEntry]) -> Vec<u8> {
+    let worker = |e: &EndpointEntry| {
+        let state = STATUS_WORDS.iter().find(|(_, s)| *s == e.state).map_or("gone", |(word, _)| word);
         let mut line = serde_json::json!({
             "name": e.name, "address": e.address.to_string(), "size": e.size, "state": state,
         });
--- a/crates/protocol/tests/round_trips.rs
+++ b/crates/protocol/tests/round_trips.rs
@@ -1,7 +1,7 @@
 //! What is written is read back, and any bytes give a value or a fault.
 
 use http::{HeaderMap, HeaderValue, Method};
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use milletpath_protocol::{invoke, is_name, orca, registry, worker};
 use proptest::prelude::*;
 use test_case::test_case;
@@ -10,14 +10,14 @@
     "[a-zA-Z0-9._~:-]{1,40}".prop_filter("no dots alone", |n| is_name(n))
 }
 
-fn entries() -> impl Strategy<Value = Entry> {
+fn entries() -> impl Strategy<Value = EndpointEntry> {
     let standing =
         prop_oneof![Just(EndpointStatus::Ready), Just(EndpointStatus::Draining), Just(EndpointStatus::Gone)];
     let place = (any::<[u8; 4]>(), any::<u16>());
     let part = || prop_oneof![Just(String::new()), names()];
     let parts = (part(), part(), part());
     (names(), place, proptest::option::of(0.0..2e9), 0.01..100.0, parts, standing).prop_map(
-        |(name, (ip, port), started, size, (kind, zone, cell), state)| Entry {
+        |(name, (ip, port), started, size, (kind, zone, cell), state)| EndpointEntry {
             name,
             address: (ip, port).into(),
             started,
@@ -65,28 +65,28 @@
             });
         }
         prop_assert!(figures <= 3 * 64);
-        let _ = worker::wanted(&text);
-        let _ = invoke::wanted(&Method::POST, &text);
+        let _ = worker::route(&text);
+        let _ = invoke::route(&Method::POST, &text);
         let mut headers = HeaderMap::new();
         if let Ok(value) = HeaderValue::from_bytes(&bytes) {
-            for name in [&invoke::PATIENCE, &invoke::REPEAT, &invoke::CLIENT, &worker::FOUND, &worker::COMPANY] {
+            for name in [&invoke::TIMEOUT, &invoke::CLIENT_RETRY, &invoke::CLIENT_GROUP, &worker::INSTANCE_STATE, &worker::CONCURRENT_REQUESTS] {
                 headers.insert(name, value.clone());
             }
-            if let Ok(Some(seconds)) = invoke::patience(&headers) {
+            if let Ok(Some(seconds)) = invoke::timeout(&headers) {
                 prop_assert!(seconds > 0.0 && seconds <= 86_400.0);
             }
-            let _ = (invoke::repeat(&headers), invoke::name(&headers, &invoke::CLIENT));
-            let _ = (worker::found(&headers), worker::count(&headers, &worker::COMPANY));
+            let _ = (invoke::is_client_retry(&headers), invoke::name_field(&headers, &invoke::CLIENT_GROUP));
+            let _ = (worker::instance_state(&headers), worker::count_field(&headers, &worker::CONCURRENT_REQUESTS));
         }
     }
 
     #[test]
     fn paths_are_read_as_written(name in names()) {
-        let path = invoke::path(&name);
-        prop_assert_eq!(invoke::wanted(&Method::POST, &path), Ok(invoke::Wanted::Activation(&name)));
-        let paths = [worker::infer(&name), worker::load(&name), worker::unload(&name)];
-        let wanted = paths.each_ref().map(|path| worker::wanted(path).unwrap());
-        let [infer, load, unload] = [worker::Wanted::Infer, worker::Wanted::Load, worker::Wanted::Unload];
+        let path = invoke::request_path(&name);
+        prop_assert_eq!(invoke::route(&Method::POST, &path), Ok(invoke::Route::Invoke(&name)));
+        let paths = [worker::infer_path(&name), worker::load_path(&name), worker::unload_path(&name)];
+        let wanted = paths.each_ref().map(|path| worker::route(path).unwrap());
+        let [infer, load, unload] = [worker::Route::Infer, worker::Route::Load, worker::Route::Unload];
         prop_assert_eq!(wanted, [infer(&name), load(&name), unload(&name)]);
     }
 }
@@ -99,35 +99,35 @@
 #[test_case("999999", Some(86_400.0); "more than a day")]
 fn patience_is_a_time(text: &str, seconds: Option<f64>) {
     let mut headers = HeaderMap::new();
-    headers.insert(&invoke::PATIENCE, HeaderValue::from_str(text).unwrap());
-    assert_eq!(invoke::patience(&headers).ok().flatten(), seconds);
+    headers.insert(&invoke::TIMEOUT, HeaderValue::from_str(text).unwrap());
+    assert_eq!(invoke::timeout(&headers).ok().flatten(), seconds);
 }
 
 /// Two readers of a request could each believe another of two values.
 #[test]
 fn a_field_that_comes_twice_is_refused() {
     let mut headers = HeaderMap::new();
-    headers.append(&invoke::PATIENCE, HeaderValue::from_static("1"));
-    headers.append(&invoke::PATIENCE, HeaderValue::from_static("9"));
-    assert!(invoke::patience(&headers).is_err());
+    headers.append(&invoke::TIMEOUT, HeaderValue::from_static("1"));
+    headers.append(&invoke::TIMEOUT, HeaderValue::from_static("9"));
+    assert!(invoke::timeout(&headers).is_err());
 }
 
 /// Only the worker's exact word proves that nothing ran.
-#[test_case("full", Some(worker::Refused::Full))]
+#[test_case("full", Some(worker::Rejection::Full))]
 #[test_case("Full", None; "another case")]
 #[test_case("full, draining", None; "two words")]
-fn a_refusal_is_believed_in_its_own_words(text: &str, is: Option<worker::Refused>) {
+fn a_refusal_is_believed_in_its_own_words(text: &str, is: Option<worker::Rejection>) {
     let mut headers = HeaderMap::new();
-    headers.insert(&worker::REFUSED, HeaderValue::from_str(text).unwrap());
-    assert_eq!(worker::refused(&headers), is);
+    headers.insert(&worker::REJECTION, HeaderValue::from_str(text).unwrap());
+    assert_eq!(worker::rejection(&headers), is);
 }
 
-#[test_case("/v1/functions//activations", Err(invoke::Unknown::Name); "no name")]
-#[test_case("/v1/functions/a%2Fb/activations", Err(invoke::Unknown::Name); "escapes")]
-#[test_case("/v1/functions/a/b/activations", Err(invoke::Unknown::Name); "two parts")]
-#[test_case("/v1/functions/../activations", Err(invoke::Unknown::Name); "dots")]
-#[test_case("/v2/functions/a/activations", Err(invoke::Unknown::Path); "another version")]
-#[test_case("/health/ready", Err(invoke::Unknown::Method("GET")); "a health check posted")]
-fn other_paths_ask_for_nothing(path: &str, is: Result<invoke::Wanted<'_>, invoke::Unknown>) {
-    assert_eq!(invoke::wanted(&Method::POST, path), is);
+#[test_case("/v1/functions//activations", Err(invoke::RouteError::InvalidFunctionName); "no name")]
+#[test_case("/v1/functions/a%2Fb/activations", Err(invoke::RouteError::InvalidFunctionName); "escapes")]
+#[test_case("/v1/functions/a/b/activations", Err(invoke::RouteError::InvalidFunctionName); "two parts")]
+#[test_case("/v1/functions/../activations", Err(invoke::RouteError::InvalidFunctionName); "dots")]
+#[test_case("/v2/functions/a/activations", Err(invoke::RouteError::UnknownPath); "another version")]
+#[test_case("/health/ready", Err(invoke::RouteError::MethodNotAllowed("GET")); "a health check posted")]
+fn other_paths_ask_for_nothing(path: &str, is: Result<invoke::Route<'_>, invoke::RouteError>) {
+    assert_eq!(invoke::route(&Method::POST, path), is);
 }
--- a/crates/scale-test/src/charter.rs
+++ b/crates/scale-test/src/charter.rs
@@ -3,7 +3,7 @@
 
 use crate::plan::{Core, Plan};
 use crate::wire::Places;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -110,11 +110,11 @@
 }
 
 /// A hollow worker as a list tells it; a generation is a process of its name.
-pub fn worker(plan: &Plan, worker: usize, generation: u32, state: EndpointStatus) -> Entry {
+pub fn worker(plan: &Plan, worker: usize, generation: u32, state: EndpointStatus) -> EndpointEntry {
     // Of a network for documentation: nobody is there, and nobody is called.
     let [_, a, b, c] = (worker as u32).to_be_bytes();
     let at = SocketAddr::from((Ipv4Addr::new(198, 18 + a, b, c), 9000));
-    Entry {
+    EndpointEntry {
         name: format!("worker-{worker}"),
         address: at,
         started: (generation > 0).then_some(f64::from(generation) + 1.0),
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -8,7 +8,7 @@
 use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_gateway::hollow_gateway::{AppliedCallback, HollowGateway, MembershipCallback, clock};
 use milletpath_membership::MembershipEvent;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::net::SocketAddr;
@@ -86,7 +86,7 @@
 struct Workers(Vec<Option<u32>>);
 
 impl Workers {
-    fn entries(&self, plan: &Plan) -> Vec<Entry> {
+    fn entries(&self, plan: &Plan) -> Vec<EndpointEntry> {
         let there = self.0.iter().enumerate().filter_map(|(n, generation)| Some((n, (*generation)?)));
         there.map(|(n, generation)| charter::worker(plan, n, generation, EndpointStatus::Ready)).collect()
     }
@@ -163,7 +163,7 @@
             for worker in &known {
                 setting.workers.0[*worker] = there.then_some(generation);
             }
-            let entries: Vec<Entry> =
+            let entries: Vec<EndpointEntry> =
                 known.iter().map(|w| charter::worker(plan, *w, generation, state)).collect();
             let took = |hollow: &HollowGateway| hollow.update_endpoints(false, &entries);
             let slowest = lock(&place.gateways).values().map(took).fold(0.0, f64::max);
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/town.rs
@@ -17,7 +17,7 @@
 use milletpath_emulator::traffic;
 use milletpath_history_checker::{self as witness, Broken, Counts, Effect, Ended, Record, Saw};
 use milletpath_policy::{LoadReport, Outcome};
-use milletpath_protocol::registry::Entry;
+use milletpath_protocol::registry::EndpointEntry;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Ordering;
@@ -101,7 +101,7 @@
     /// Something is due of what a gateway shares; a note of another comes.
     ShareBudgets(usize),
     Note(usize, u64, Vec<u8>),
-    List(Vec<Entry>),
+    List(Vec<EndpointEntry>),
     /// The list says that it is as it was.
     Heartbeat,
     /// A trouble begins, goes on to its next step, ends.
@@ -144,7 +144,7 @@
     pub(crate) desks: Vec<Dispatcher<Kept>>,
     armed: Vec<f64>,
     pub(crate) workers: Vec<Worker>,
-    pub(crate) entries: Vec<Entry>,
+    pub(crate) entries: Vec<EndpointEntry>,
     pub(crate) store: Store,
     pub(crate) functions: BTreeMap<String, u32>,
     pub(crate) calls: Vec<Call>,
@@ -189,8 +189,8 @@
         let houses: Vec<GatewayConfig> = (0..day.gateways).map(house).collect();
         let desks: Vec<Dispatcher<Kept>> = houses.iter().map(|house| Dispatcher::new(house, 0.0)).collect();
         let links = day.sharing.then(|| Links::new(&houses, seed));
-        let entries: Vec<Entry> =
-            (0..day.workers).map(|w| Entry { address: place(w, 0), ..day::entry(w, None) }).collect();
+        let entries: Vec<EndpointEntry> =
+            (0..day.workers).map(|w| EndpointEntry { address: place(w, 0), ..day::entry(w, None) }).collect();
         let mut town = Self {
             day: day.clone(),
             now: 0.0,
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -7,7 +7,7 @@
 use milletpath_emulator::script::What;
 use milletpath_history_checker::Saw;
 use milletpath_policy::{InstanceState, LoadReport, Outcome};
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use milletpath_protocol::worker as wire;
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -57,12 +57,12 @@
     }
 }
 
-fn found(word: wire::Found) -> InstanceState {
+fn found(word: wire::InstanceState) -> InstanceState {
     match word {
-        wire::Found::Loaded => InstanceState::Loaded,
-        wire::Found::Began => InstanceState::LoadStarted,
-        wire::Found::Awaited => InstanceState::LoadAwaited,
-        wire::Found::Failed => InstanceState::LoadFailed,
+        wire::InstanceState::Loaded => InstanceState::Loaded,
+        wire::InstanceState::LoadStarted => InstanceState::LoadStarted,
+        wire::InstanceState::LoadAwaited => InstanceState::LoadAwaited,
+        wire::InstanceState::LoadFailed => InstanceState::LoadFailed,
     }
 }
 
@@ -149,7 +149,7 @@
                     }
                 }
                 Say::Done { job, found: word, company } => {
-                    self.warm.0 += u64::from(word == wire::Found::Loaded);
+                    self.warm.0 += u64::from(word == wire::InstanceState::Loaded);
                     self.warm.1 += 1;
                     let end = AttemptResult {
                         found: Some(found(word)),
@@ -159,8 +159,11 @@
                     self.says(worker, job, end);
                 }
                 Say::Refused { job, why, failed_load } => {
-                    let outcome =
-                        if why == wire::Refused::Missing { Outcome::NotLoaded } else { Outcome::Rejected };
+                    let outcome = if why == wire::Rejection::NotLoaded {
+                        Outcome::NotLoaded
+                    } else {
+                        Outcome::Rejected
+                    };
                     let end = AttemptResult {
                         found: failed_load.then_some(InstanceState::LoadFailed),
                         ..AttemptResult::from_outcome(outcome)
@@ -222,12 +225,12 @@
         self.note(Saw::Started { worker, capacity, warm: false });
         let stamp = self.variation.worker_time(self.now);
         let address = place(worker, if self.variation.same_address { 0 } else { process });
-        let entry = Entry { address, ..day::entry(worker, Some(stamp)) };
+        let entry = EndpointEntry { address, ..day::entry(worker, Some(stamp)) };
         self.entries[worker] = entry.clone();
         self.told(vec![entry]);
     }
 
-    fn told(&mut self, entries: Vec<Entry>) {
+    fn told(&mut self, entries: Vec<EndpointEntry>) {
         for gateway in 0..self.desks.len() {
             for entry in &entries {
                 let worker = entry.name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
