--- a/crates/emulator/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -56,7 +56,7 @@
     }
 }
 
-fn ends(said: &[(f64, Say)]) -> Vec<(f64, Found)> {
+fn ends(said: &[(f64, Say)]) -> Vec<(f64, InstanceState)> {
     let end = |(at, say): &(f64, Say)| match say {
         Say::Done { found, .. } => Some(((at * 1e3).round() / 1e3, *found)),
         _ => None,
