--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -23,8 +23,8 @@
     WorkerTable::new(&[], 5, StartTimes::new(UNIX_TIME), 0, 10.0)
 }
 
-fn entry(name: &str, started: Option<f64>) -> Entry {
-    Entry {
+fn entry(name: &str, started: Option<f64>) -> EndpointEntry {
+    EndpointEntry {
         name: name.into(),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9000)),
         started,
@@ -37,7 +37,7 @@
 }
 
 /// Takes a list of one entry; gives the start time that the router is told.
-fn update(table: &mut WorkerTable, now: f64, complete: bool, entry: Entry) -> Option<f64> {
+fn update(table: &mut WorkerTable, now: f64, complete: bool, entry: EndpointEntry) -> Option<f64> {
     let mut listings = Vec::new();
     table.update(now, complete, &[entry], |listing| listings.push(listing));
     listings[0].started_at
