--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -207,13 +207,17 @@
                 arrived = desk.submit(now, come, function);
             }
             Next::Ended(tag, shot, _, found) => {
-                let found =
+                let instance_state =
                     Some(if *found == 1 { InstanceState::Loaded } else { InstanceState::LoadStarted });
                 desk.attempt_ended(
                     now,
                     *tag,
                     *shot,
-                    AttemptResult { report, found, ..AttemptResult::from_outcome(Outcome::Succeeded) },
+                    AttemptResult {
+                        report,
+                        instance_state,
+                        ..AttemptResult::from_outcome(Outcome::Succeeded)
+                    },
                 );
             }
             Next::Ordered(order, copies) => desk.load_request_ended(now, *order, Outcome::Succeeded, *copies),
--- a/crates/capacity-model/benches/slopes/town.rs
+++ b/crates/capacity-model/benches/slopes/town.rs
@@ -1,60 +1,61 @@
 //! The workers' side of control and the store, in the laboratory: a fleet scaled down as a whole, so that a
 //! gateway has as many calls and as many workers to choose among as at the full size in proportion to it.
 
-use crate::measure::{Asked, Slope, size};
-use milletpath_emulator::script::{self, Day};
-use milletpath_history_checker::Saw;
-use milletpath_simulator::{Came, play};
+use crate::measure::{Options, Slope, size};
+use milletpath_emulator::scenario_file::{self, Scenario};
+use milletpath_history_checker::HistoryEvent;
+use milletpath_simulator::{SimulationReport, play};
 use std::collections::BTreeSet;
 use std::path::Path;
 
 /// A fleet of so many gateways: 145 calls a second, 8 workers and 30 functions to each, as at the full
 /// size.
-fn fleet(gateways: usize, calls: f64) -> Day {
+fn fleet(gateways: usize, calls: f64) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
-    let mut day = script::open(&file).unwrap_or_else(|m| panic!("{m:?}"));
-    day.seconds = 30.0;
-    day.gateways = gateways;
-    day.workers = 8 * gateways;
-    day.functions = 30 * gateways;
-    day.zipf = 1.1;
-    day.traffic.rate = calls;
+    let mut scenario = scenario_file::open(&file).unwrap_or_else(|m| panic!("{m:?}"));
+    scenario.seconds = 30.0;
+    scenario.gateways = gateways;
+    scenario.workers = 8 * gateways;
+    scenario.functions = 30 * gateways;
+    scenario.zipf = 1.1;
+    scenario.traffic.rate = calls;
     // The store and the ration of a fleet so much larger.
     let part = gateways as f64 / 2.0;
-    day.shelf.at_once *= part;
-    day.shelf.takes = (day.shelf.takes as f64 * part) as usize;
-    day.shelf.tips = day.shelf.tips.map(|tips| tips * part);
-    day.groups.iter_mut().for_each(|g| g.quota = None);
-    day.terms.ration = None;
-    day
+    scenario.store_spec.at_once *= part;
+    scenario.store_spec.takes = (scenario.store_spec.takes as f64 * part) as usize;
+    scenario.store_spec.tips = scenario.store_spec.tips.map(|tips| tips * part);
+    scenario.groups.iter_mut().for_each(|g| g.quota = None);
+    scenario.rules.load_rate_limit = None;
+    scenario
 }
 
 /// Gateways that sent one worker something in the 30 s for which an idle connection is kept, on average.
-fn connections(came: &Came, workers: usize) -> f64 {
+fn connections(came: &SimulationReport, workers: usize) -> f64 {
     let pairs: BTreeSet<(usize, usize)> = came
         .records
         .iter()
-        .filter_map(|r| match r.saw {
-            Saw::Came { gateway, worker, .. } | Saw::Ordered { gateway, worker } => Some((gateway, worker)),
+        .filter_map(|r| match r.event {
+            HistoryEvent::AttemptReceived { gateway, worker, .. }
+            | HistoryEvent::LoadRequested { gateway, worker } => Some((gateway, worker)),
             _ => None,
         })
         .collect();
     pairs.len() as f64 / workers as f64
 }
 
-pub fn measure(asked: &Asked) {
+pub fn measure(asked: &Options) {
     const SEEDS: u64 = 3;
     const RATE: f64 = 145.0;
     let of = |gateways: usize, calls: f64| -> Vec<(f64, f64, f64, f64)> {
         (0..SEEDS)
             .map(|n| {
-                let day = fleet(gateways, calls);
-                let came = play(&day, asked.seed + n, None);
+                let scenario = fleet(gateways, calls);
+                let came = play(&scenario, asked.seed + n, None);
                 let all = came.whole.calls.max(1) as f64;
                 eprintln!("{gateways} gateways, {calls} calls/s: service {:.3}", came.whole.service());
                 let (probes, orders) =
-                    (came.tally.health_checks as f64 / all, came.tally.load_requests as f64 / all);
-                (probes, orders, connections(&came, day.workers), came.fetches as f64 / day.seconds)
+                    (came.counters.health_checks as f64 / all, came.counters.load_requests as f64 / all);
+                (probes, orders, connections(&came, scenario.workers), came.fetches as f64 / scenario.seconds)
             })
             .collect()
     };
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -122,14 +122,14 @@
     ) {
         let record = self.state.requests.get_mut(request);
         let settled = settled || record.is_some_and(|record| !record.awaiting_answer);
-        let AttemptResult { outcome, found, company, report, .. } = result;
+        let AttemptResult { outcome, instance_state, concurrent_requests, report, .. } = result;
         let answer = AttemptCompletion {
             attempt,
             outcome,
             is_final: settled,
             latency,
-            instance_state: found,
-            in_flight_of_function: company,
+            instance_state,
+            in_flight_of_function: concurrent_requests,
             report,
         };
         let now = self.state.now;
--- a/crates/dispatcher/src/dispatcher/messages.rs
+++ b/crates/dispatcher/src/dispatcher/messages.rs
@@ -37,9 +37,9 @@
     /// The result itself.
     pub outcome: Outcome,
     /// Whether the worker had the function loaded, where it said so.
-    pub found: Option<InstanceState>,
+    pub instance_state: Option<InstanceState>,
     /// Other requests that the worker executed at the same time.
-    pub company: f64,
+    pub concurrent_requests: f64,
     /// The worker's load, where it reported it.
     pub report: Option<LoadReport>,
     /// The caller answers the client itself whatever the outcome, and the request ends with that answer.
@@ -49,7 +49,7 @@
 impl AttemptResult {
     /// A result of which nothing but the outcome is known.
     pub fn from_outcome(outcome: Outcome) -> Self {
-        Self { outcome, found: None, company: 0.0, report: None, answers_client: false }
+        Self { outcome, instance_state: None, concurrent_requests: 0.0, report: None, answers_client: false }
     }
 }
 
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,16 +1,16 @@
 //! Open-loop clients: they ask when the plan says so, however slowly answers come, wait as long as their patience
 //! lasts, and try again of their own where that does no harm.
 
-use crate::hall::Hall;
-use crate::script::Day;
-use crate::traffic::Planned;
+use crate::context::EmulatorContext;
+use crate::scenario_file::Scenario;
+use crate::traffic::PlannedRequest;
 use crate::worker::fields;
 use bytes::Bytes;
 use http::{HeaderValue, Request};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
-use milletpath_history_checker::{Effect, Ended, Saw};
+use milletpath_history_checker::{AttemptOutcome, HistoryEvent, Idempotency};
 use milletpath_protocol::invoke;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,9 +48,9 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 struct Clients {
-    hall: Rc<Hall>,
+    context: Rc<EmulatorContext>,
     front: Arc<Front>,
-    day: Day,
+    scenario: Scenario,
     idle: Vec<RefCell<Vec<Sender>>>,
     chance: RefCell<ChaCha8Rng>,
     body: Bytes,
@@ -59,20 +59,27 @@
 }
 
 /// Plays all calls; comes back when the last has ended.
-pub async fn play(hall: Rc<Hall>, front: Arc<Front>, day: &Day, plan: Vec<Planned>, seed: u64, lag: f64) {
+pub async fn play(
+    context: Rc<EmulatorContext>,
+    front: Arc<Front>,
+    scenario: &Scenario,
+    plan: Vec<PlannedRequest>,
+    seed: u64,
+    lag: f64,
+) {
     let clients = Rc::new(Clients {
-        hall,
+        context,
         idle: front.gateways.iter().map(|_| RefCell::default()).collect(),
         front,
-        day: day.clone(),
+        scenario: scenario.clone(),
         chance: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
-        body: Bytes::from(vec![b'x'; day.traffic.body]),
+        body: Bytes::from(vec![b'x'; scenario.traffic.body]),
         lag,
     });
     let mut calls = JoinSet::new();
-    let begin = clients.hall.now();
+    let begin = clients.context.now();
     for (number, planned) in plan.into_iter().enumerate() {
-        let wait = begin + planned.at - clients.hall.now();
+        let wait = begin + planned.at - clients.context.now();
         if wait > 0.0 {
             tokio::time::sleep(Duration::from_secs_f64(wait)).await;
         }
@@ -84,44 +91,50 @@
 
 impl Clients {
     /// One call with all its tries.
-    async fn call(self: Rc<Self>, call: u64, planned: Planned) {
-        let profile = &self.day.profiles[planned.profile];
-        let (due, effect, importance) = (profile.due, profile.effect, profile.importance);
-        let (group, trouble) = (planned.group, planned.trouble);
-        self.hall.note(Saw::Call { call, group, importance, due, effect, trouble });
-        let began = self.hall.now();
-        for attempt in 0..=self.day.traffic.retries {
-            let left = profile.cut_off - (self.hall.now() - began);
-            let patience = if attempt == 0 { planned.patience } else { planned.patience.min(left) };
+    async fn call(self: Rc<Self>, call: u64, planned: PlannedRequest) {
+        let profile = &self.scenario.profiles[planned.profile];
+        let (due, effect, importance) = (profile.latency_objective, profile.effect, profile.importance);
+        let (group, fault) = (planned.group, planned.fault);
+        self.context.note(HistoryEvent::RequestIssued { call, group, importance, due, effect, fault });
+        let began = self.context.now();
+        for attempt in 0..=self.scenario.traffic.retries {
+            let left = profile.deadline - (self.context.now() - began);
+            let patience = if attempt == 0 { planned.timeout } else { planned.timeout.min(left) };
             if patience <= 0.0 {
                 break;
             }
             let how = self.attempt(call, attempt, &planned, patience).await;
             let again = match (how, effect) {
-                (Ended::Handled | Ended::Left, _) => false,
-                (Ended::Bounced | Ended::Unreached, _) => true,
+                (AttemptOutcome::Succeeded | AttemptOutcome::Abandoned, _) => false,
+                (AttemptOutcome::Rejected | AttemptOutcome::Unreachable, _) => true,
                 // No promise was made: only what may run again is tried again.
-                (_, Effect::Pure | Effect::Receipted) => true,
-                (_, Effect::Effectful) => false,
+                (_, Idempotency::Idempotent | Idempotency::IdempotentWithKey) => true,
+                (_, Idempotency::NonIdempotent) => false,
             };
             if !again {
                 break;
             }
-            tokio::time::sleep(Duration::from_secs_f64(self.day.traffic.backoff)).await;
+            tokio::time::sleep(Duration::from_secs_f64(self.scenario.traffic.backoff)).await;
         }
     }
 
-    async fn attempt(&self, call: u64, attempt: u32, planned: &Planned, patience: f64) -> Ended {
+    async fn attempt(
+        &self,
+        call: u64,
+        attempt: u32,
+        planned: &PlannedRequest,
+        patience: f64,
+    ) -> AttemptOutcome {
         let gateway = self.pick();
-        self.hall.note(Saw::Asked { call, attempt, gateway, patience });
+        self.context.note(HistoryEvent::AttemptSent { call, attempt, gateway, patience });
         let wait = planned.leaves.filter(|_| attempt == 0).unwrap_or(patience + self.lag);
         let asked = self.ask(gateway, call, attempt, planned, patience);
         let how = match tokio::time::timeout(Duration::from_secs_f64(wait), asked).await {
             Ok(how) => how,
-            Err(_) if planned.leaves.is_some() && attempt == 0 => Ended::Left,
-            Err(_) => Ended::Unanswered,
+            Err(_) if planned.leaves.is_some() && attempt == 0 => AttemptOutcome::Abandoned,
+            Err(_) => AttemptOutcome::Unanswered,
         };
-        self.hall.note(Saw::Ended { call, attempt, gateway, how });
+        self.context.note(HistoryEvent::AttemptEnded { call, attempt, gateway, how });
         how
     }
 
@@ -138,9 +151,16 @@
         *found.unwrap_or(&up[up.len() - 1])
     }
 
-    async fn ask(&self, gateway: usize, call: u64, attempt: u32, planned: &Planned, patience: f64) -> Ended {
+    async fn ask(
+        &self,
+        gateway: usize,
+        call: u64,
+        attempt: u32,
+        planned: &PlannedRequest,
+        patience: f64,
+    ) -> AttemptOutcome {
         let Some(mut request) = self.request(call, attempt, planned, patience) else {
-            return Ended::Unreached;
+            return AttemptOutcome::Unreachable;
         };
         loop {
             let kept = self.idle[gateway].borrow_mut().pop();
@@ -149,10 +169,10 @@
                 Some(sender) => Some(sender),
                 None => connect(self.front.gateways[gateway]).await,
             };
-            let Some(mut sender) = connected else { return Ended::Unreached };
+            let Some(mut sender) = connected else { return AttemptOutcome::Unreachable };
             if sender.ready().await.is_err() {
                 if new {
-                    return Ended::Unreached;
+                    return AttemptOutcome::Unreachable;
                 }
                 continue;
             }
@@ -163,18 +183,18 @@
                         request = unwritten;
                         continue;
                     }
-                    Some(_) => return Ended::Unreached,
-                    None => return Ended::Broken,
+                    Some(_) => return AttemptOutcome::Unreachable,
+                    None => return AttemptOutcome::ConnectionLost,
                 },
             };
             let how = match response.headers().get(&invoke::OUTCOME).map(HeaderValue::as_bytes) {
-                Some(b"handled") => Ended::Handled,
-                Some(b"bounced") => Ended::Bounced,
-                Some(b"terminated") => Ended::Terminated,
-                _ => Ended::Broken,
+                Some(b"handled") => AttemptOutcome::Succeeded,
+                Some(b"bounced") => AttemptOutcome::Rejected,
+                Some(b"terminated") => AttemptOutcome::Failed,
+                _ => AttemptOutcome::ConnectionLost,
             };
             if response.into_body().collect().await.is_err() {
-                return Ended::Broken;
+                return AttemptOutcome::ConnectionLost;
             }
             self.idle[gateway].borrow_mut().push(sender);
             return how;
@@ -185,15 +205,15 @@
         &self,
         call: u64,
         attempt: u32,
-        planned: &Planned,
+        planned: &PlannedRequest,
         patience: f64,
     ) -> Option<Request<Full<Bytes>>> {
-        let profile = &self.day.profiles[planned.profile];
+        let profile = &self.scenario.profiles[planned.profile];
         let mut request = Request::post(invoke::request_path(&planned.function))
             .header("host", "gateway")
             .header(&invoke::TIMEOUT, format!("{patience:.4}"))
             .header(&invoke::PROFILE, &profile.name)
-            .header(&invoke::CLIENT_GROUP, &self.day.groups[planned.group].name)
+            .header(&invoke::CLIENT_GROUP, &self.scenario.groups[planned.group].name)
             .header(&fields::CALL, format!("{call}.{attempt}"))
             .header(&fields::WORK, planned.work.to_string())
             .header(&fields::IO, planned.io.to_string())
@@ -201,7 +221,7 @@
         if attempt > 0 {
             request = request.header(&invoke::CLIENT_RETRY, attempt);
         }
-        if profile.effect == Effect::Receipted {
+        if profile.effect == Idempotency::IdempotentWithKey {
             request = request.header(&invoke::IDEMPOTENCY_KEY, format!("call-{call}"));
         }
         request.body(Full::new(self.body.clone())).ok()
--- a/crates/emulator/src/hall.rs
+++ b/crates/emulator/src/context.rs
@@ -1,8 +1,8 @@
 //! What all stand-ins of one place share: the clock, the notebook, the store, the functions, the receipts, chance.
 
-use crate::engine::Pack;
-use crate::store::{Shelf, Store};
-use milletpath_history_checker::{Record, Saw};
+use crate::store::{Store, StoreSpec};
+use crate::worker_model::FunctionModel;
+use milletpath_history_checker::{HistoryEvent, HistoryRecord};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
@@ -12,24 +12,24 @@
 
 /// What workers tell of themselves.
 #[derive(Clone, Copy, Debug)]
-pub struct Tells {
+pub struct ReportedFields {
     /// Whether an instance stood, on answers.
     pub found: bool,
     /// Activations of the same function, on answers.
-    pub company: bool,
+    pub concurrent_requests: bool,
     /// Load reports on answers, beside those on probes.
     pub load: bool,
 }
 
-pub struct Hall {
+pub struct EmulatorContext {
     began: Instant,
-    notes: RefCell<Vec<Record>>,
+    notes: RefCell<Vec<HistoryRecord>>,
     pub store: RefCell<Store>,
     /// Calls done by an instance that stood there when they came, and all that were done.
     pub warm: Cell<(u64, u64)>,
-    packs: RefCell<BTreeMap<String, (u32, Pack)>>,
-    usual: Pack,
-    pub tells: Tells,
+    packs: RefCell<BTreeMap<String, (u32, FunctionModel)>>,
+    usual: FunctionModel,
+    pub tells: ReportedFields,
     /// Receipts by group of workers and mark, with when they were noted.
     receipts: RefCell<BTreeMap<(u32, String), f64>>,
     /// Seconds for which a receipt is known.
@@ -37,12 +37,19 @@
     chance: RefCell<ChaCha8Rng>,
 }
 
-impl Hall {
-    pub fn new(began: Instant, seed: u64, shelf: Shelf, usual: Pack, tells: Tells, memory: f64) -> Rc<Self> {
+impl EmulatorContext {
+    pub fn new(
+        began: Instant,
+        seed: u64,
+        store_spec: StoreSpec,
+        usual: FunctionModel,
+        tells: ReportedFields,
+        memory: f64,
+    ) -> Rc<Self> {
         Rc::new(Self {
             began,
             notes: RefCell::default(),
-            store: RefCell::new(Store::new(shelf)),
+            store: RefCell::new(Store::new(store_spec)),
             warm: Cell::default(),
             packs: RefCell::default(),
             usual,
@@ -58,23 +65,23 @@
     }
 
     /// Notes what passed just now.
-    pub fn note(&self, saw: Saw) {
+    pub fn note(&self, event: HistoryEvent) {
         let at = self.now();
-        self.notes.borrow_mut().push(Record { at, saw });
+        self.notes.borrow_mut().push(HistoryRecord { at, event });
     }
 
-    pub fn notes(&self) -> Vec<Record> {
+    pub fn notes(&self) -> Vec<HistoryRecord> {
         std::mem::take(&mut self.notes.borrow_mut())
     }
 
     /// States the figures of a function; others have the usual ones.
-    pub fn state(&self, function: &str, pack: Pack) {
-        let (number, _) = self.pack(function);
-        self.packs.borrow_mut().insert(function.to_owned(), (number, pack));
+    pub fn state(&self, function: &str, function_model: FunctionModel) {
+        let (number, _) = self.function_model(function);
+        self.packs.borrow_mut().insert(function.to_owned(), (number, function_model));
     }
 
     /// The number and figures of a function.
-    pub fn pack(&self, function: &str) -> (u32, Pack) {
+    pub fn function_model(&self, function: &str) -> (u32, FunctionModel) {
         let mut packs = self.packs.borrow_mut();
         if let Some(known) = packs.get(function) {
             return *known;
--- a/crates/emulator/src/spoilt.rs
+++ b/crates/emulator/src/corrupting_stream.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Spoil {
+pub enum Corruption {
     #[default]
     Nothing,
     /// Half of what is written, then the end.
@@ -24,20 +24,20 @@
     Silence,
 }
 
-pub struct Spoilt {
+pub struct CorruptingStream {
     stream: TokioIo<TcpStream>,
     /// What becomes of the next write; set by whoever answers on this connection.
-    next: Rc<Cell<Spoil>>,
+    next: Rc<Cell<Corruption>>,
     dead: bool,
 }
 
-impl Spoilt {
-    pub fn new(stream: TcpStream, next: Rc<Cell<Spoil>>) -> Self {
+impl CorruptingStream {
+    pub fn new(stream: TcpStream, next: Rc<Cell<Corruption>>) -> Self {
         Self { stream: TokioIo::new(stream), next, dead: false }
     }
 }
 
-impl Read for Spoilt {
+impl Read for CorruptingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -47,24 +47,24 @@
     }
 }
 
-impl Write for Spoilt {
+impl Write for CorruptingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let spoil = self.next.get();
-        if self.dead || spoil == Spoil::Silence {
+        if self.dead || spoil == Corruption::Silence {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         match spoil {
-            Spoil::Nothing => Pin::new(&mut self.stream).poll_write(cx, buf),
-            Spoil::Garbage => {
+            Corruption::Nothing => Pin::new(&mut self.stream).poll_write(cx, buf),
+            Corruption::Garbage => {
                 let junk = [0x13, 0x37, b'\r', b'\n', 0, 0xff, b' ', b'\n'].repeat(8);
                 ready!(Pin::new(&mut self.stream).poll_write(cx, &junk))?;
                 self.dead = true;
                 Poll::Ready(Ok(buf.len()))
             }
-            Spoil::Half | Spoil::Reset | Spoil::Silence => {
+            Corruption::Half | Corruption::Reset | Corruption::Silence => {
                 ready!(Pin::new(&mut self.stream).poll_write(cx, &buf[..buf.len() / 2]))?;
                 self.dead = true;
-                if spoil == Spoil::Reset {
+                if spoil == Corruption::Reset {
                     let socket = socket2::SockRef::from(self.stream.inner());
                     socket.set_linger(Some(Duration::ZERO))?;
                 }
--- a/crates/emulator/src/running.rs
+++ b/crates/emulator/src/gateway_process.rs
@@ -5,14 +5,14 @@
 use std::process::{Child, Command, Stdio};
 
 /// A process that told where it listens; dropped, it is killed outright.
-pub struct Running {
+pub struct GatewayProcess {
     pub child: Child,
     pub address: SocketAddr,
     /// Where it hears other gateways, if it does.
     pub link: Option<SocketAddr>,
 }
 
-impl Running {
+impl GatewayProcess {
     /// Starts it, and waits on this thread until it tells on its standard output where it listens.
     pub fn start(mut command: Command) -> io::Result<Self> {
         let mut child = command.stdout(Stdio::piped()).spawn()?;
@@ -33,7 +33,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/emulator/src/registry.rs
+++ b/crates/emulator/src/registry.rs
@@ -1,7 +1,7 @@
 //! The stand-in registry: it streams editions of the worker list to each gateway on a socket of that gateway's own,
 //! late, stalled, with losses and repeats where the script says so.
 
-use crate::hall::Hall;
+use crate::context::EmulatorContext;
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body::{Body, Frame};
@@ -9,7 +9,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use milletpath_history_checker::Saw;
+use milletpath_history_checker::HistoryEvent;
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus, write};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 
 /// How the registry behaves at present.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Manner {
+pub struct RegistryFault {
     /// Seconds by which lines come late.
     pub late: f64,
     /// Nothing is sent at all; what was held back comes when it ends.
@@ -50,18 +50,18 @@
 }
 
 pub struct Registry {
-    hall: Rc<Hall>,
+    context: Rc<EmulatorContext>,
     gates: Vec<Gate>,
     /// Workers by number, with an address for each gateway.
     list: RefCell<BTreeMap<usize, (EndpointEntry, Vec<SocketAddr>)>>,
     edition: Cell<u64>,
-    manner: Cell<Manner>,
+    manner: Cell<RegistryFault>,
     /// A list that shows nobody: a trouble.
     emptied: Cell<bool>,
 }
 
 impl Registry {
-    pub async fn start(hall: Rc<Hall>, gateways: usize) -> io::Result<Rc<Self>> {
+    pub async fn start(context: Rc<EmulatorContext>, gateways: usize) -> io::Result<Rc<Self>> {
         let (mut gates, mut listeners) = (Vec::new(), Vec::new());
         for _ in 0..gateways {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
@@ -70,7 +70,7 @@
             listeners.push(listener);
         }
         let registry = Rc::new(Self {
-            hall,
+            context,
             gates,
             list: RefCell::default(),
             edition: Cell::new(0),
@@ -88,7 +88,7 @@
         self.gates[gateway].address
     }
 
-    pub fn manner(self: &Rc<Self>, manner: Manner) {
+    pub fn manner(self: &Rc<Self>, manner: RegistryFault) {
         self.manner.set(manner);
         if !manner.stalled {
             for gate in &self.gates {
@@ -159,7 +159,7 @@
     }
 
     fn pass(self: &Rc<Self>, gateway: usize, line: Rc<Line>) {
-        let Manner { late, stalled, repeats, .. } = self.manner.get();
+        let RegistryFault { late, stalled, repeats, .. } = self.manner.get();
         let registry = self.clone();
         spawn_local(async move {
             tokio::time::sleep(Duration::from_secs_f64(late)).await;
@@ -221,7 +221,11 @@
         self.lines.poll_recv(cx).map(|line| {
             let line = line?;
             for &(worker, ready) in &line.told {
-                self.registry.hall.note(Saw::Told { gateway: self.gateway, worker, ready });
+                self.registry.context.note(HistoryEvent::EndpointNotified {
+                    gateway: self.gateway,
+                    worker,
+                    ready,
+                });
             }
             Some(Ok(Frame::data(line.bytes.clone())))
         })
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -2,7 +2,7 @@
 //! gateways, and is lost, held up, doubled or spoilt as the script says. A thread of its own: what it adds to a letter's
 //! way does not depend on how busy the town is.
 
-use milletpath_history_checker::{Record, Saw};
+use milletpath_history_checker::{HistoryEvent, HistoryRecord};
 use milletpath_membership::datagram::{self, Datagram, Key, MAX_DATAGRAM_BYTES};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
 
 /// What is wrong with the links at present.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
+pub enum LinkFault {
     /// A part of the letters on these directed links is lost.
     Lost(Vec<(usize, usize)>, f64),
     /// These are cut off from the others, both ways.
@@ -38,9 +38,9 @@
 struct State {
     /// Where each gateway hears at present.
     real: Vec<Option<SocketAddr>>,
-    faults: BTreeMap<u64, Fault>,
+    faults: BTreeMap<u64, LinkFault>,
     count: u64,
-    notes: Vec<Record>,
+    notes: Vec<HistoryRecord>,
     /// Processes by life, and what each gateway last said of them.
     lives: BTreeMap<u64, usize>,
     said: BTreeMap<(usize, u64), u8>,
@@ -96,7 +96,7 @@
     }
 
     /// From now on something is wrong; gives its number.
-    pub fn put(&self, fault: Fault) -> u64 {
+    pub fn put(&self, fault: LinkFault) -> u64 {
         let mut state = self.state();
         state.count += 1;
         let number = state.count;
@@ -106,10 +106,10 @@
 
     pub fn lift(&self, number: u64) {
         let mut state = self.state();
-        let mended = matches!(state.faults.remove(&number), Some(Fault::Cut(_) | Fault::Deaf(_)));
+        let mended = matches!(state.faults.remove(&number), Some(LinkFault::Cut(_) | LinkFault::Deaf(_)));
         if mended {
             let at = self.began.elapsed().as_secs_f64();
-            state.notes.push(Record { at, saw: Saw::Mended });
+            state.notes.push(HistoryRecord { at, event: HistoryEvent::LinksHealed });
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// What passed so far.
-    pub fn notes(&self) -> Vec<Record> {
+    pub fn notes(&self) -> Vec<HistoryRecord> {
         std::mem::take(&mut self.state().notes)
     }
 }
@@ -176,9 +176,11 @@
         let copies = {
             let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(from) = state.real.iter().position(|real| *real == Some(source)) else { continue };
-            state.notes.push(Record { at, saw: Saw::Sent { gateway: from, bytes: size } });
+            state
+                .notes
+                .push(HistoryRecord { at, event: HistoryEvent::DatagramSent { gateway: from, bytes: size } });
             state.read(at, from, &datagram);
-            let faults: Vec<Fault> = state.faults.values().cloned().collect();
+            let faults: Vec<LinkFault> = state.faults.values().cloned().collect();
             let copies = strike(&faults, from, to, &datagram, &old, &mut chance);
             if old.len() == OLD {
                 old.pop_front();
@@ -211,14 +213,21 @@
     fn read(&mut self, at: f64, from: usize, datagram: &[u8]) {
         let Some(decoded) = datagram::decode_unverified(datagram) else { return };
         if self.lives.insert(decoded.sender.instance_id, from).is_none() {
-            self.notes
-                .push(Record { at, saw: Saw::Lives { gateway: from, life: decoded.sender.instance_id } });
+            self.notes.push(HistoryRecord {
+                at,
+                event: HistoryEvent::IncarnationObserved { gateway: from, life: decoded.sender.instance_id },
+            });
         }
         for update in decoded.updates {
             let Some(about) = self.lives.get(&update.instance_id).copied() else { continue };
             if self.said.insert((from, update.instance_id), update.state) != Some(update.state) {
-                let saw = Saw::Says { gateway: from, about, life: update.instance_id, state: update.state };
-                self.notes.push(Record { at, saw });
+                let event = HistoryEvent::MemberStateReported {
+                    gateway: from,
+                    about,
+                    life: update.instance_id,
+                    state: update.state,
+                };
+                self.notes.push(HistoryRecord { at, event });
             }
         }
     }
@@ -226,7 +235,7 @@
 
 /// What becomes of a letter: copies, each with the seconds that it is held up.
 fn strike(
-    faults: &[Fault],
+    faults: &[LinkFault],
     from: usize,
     to: usize,
     datagram: &[u8],
@@ -238,18 +247,18 @@
     let mut copies = vec![(0.0, datagram.to_vec())];
     for fault in faults {
         match fault {
-            Fault::Cut(apart) if apart.contains(&from) != apart.contains(&to) => return Vec::new(),
-            Fault::Deaf(deaf) if deaf.contains(&to) => return Vec::new(),
-            Fault::Lost(links, part) if links.contains(&(from, to)) => {
+            LinkFault::Cut(apart) if apart.contains(&from) != apart.contains(&to) => return Vec::new(),
+            LinkFault::Deaf(deaf) if deaf.contains(&to) => return Vec::new(),
+            LinkFault::Lost(links, part) if links.contains(&(from, to)) => {
                 copies.retain(|_| !chance.random_bool(*part));
             }
-            Fault::Late(links, seconds) if links.contains(&(from, to)) => {
+            LinkFault::Late(links, seconds) if links.contains(&(from, to)) => {
                 copies.iter_mut().for_each(|(late, _)| *late += chance.random_range(0.0..=2.0 * seconds));
             }
-            Fault::Repeat(links, part) if links.contains(&(from, to)) && chance.random_bool(*part) => {
+            LinkFault::Repeat(links, part) if links.contains(&(from, to)) && chance.random_bool(*part) => {
                 copies.push((chance.random_range(0.0..AGAIN), datagram.to_vec()));
             }
-            Fault::Garbage(links, part) if links.contains(&(from, to)) && chance.random_bool(*part) => {
+            LinkFault::Garbage(links, part) if links.contains(&(from, to)) && chance.random_bool(*part) => {
                 copies = vec![(0.0, garbage(datagram, old, chance))];
             }
             _ => {}
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -1,16 +1,16 @@
 //! Days as scripts in HCL: a fleet, its traffic, and the troubles that befall it. Read with the charter's page, so
 //! that mistakes are told the same way. A day may build on another (`upon`), whose figures hold where it gives none.
 
-use crate::engine::{Make, Pack};
-use crate::store::Shelf;
+use crate::store::StoreSpec;
+use crate::worker_model::{FunctionModel, WorkerSpec};
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
 use milletpath_config::document::{ConfigError, Document, Section};
-use milletpath_history_checker::Effect;
+use milletpath_history_checker::Idempotency;
 use std::path::Path;
 
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     pub name: String,
     pub seed: u64,
     pub seconds: f64,
@@ -22,17 +22,17 @@
     /// The busiest gateway gets so many times the mean of the clients' tries.
     pub uneven: f64,
     pub workers: usize,
-    pub make: Make,
-    pub shelf: Shelf,
+    pub worker_spec: WorkerSpec,
+    pub store_spec: StoreSpec,
     /// Functions that the usual traffic is for, and their popularity.
     pub functions: usize,
     pub zipf: f64,
-    pub pack: Pack,
+    pub function_model: FunctionModel,
     pub traffic: Traffic,
     pub profiles: Vec<Profile>,
     pub groups: Vec<Group>,
-    pub terms: Terms,
-    pub troubles: Vec<Trouble>,
+    pub rules: RuleSettings,
+    pub faults: Vec<ScheduledFault>,
 }
 
 #[derive(Clone, Debug)]
@@ -45,21 +45,21 @@
     /// Bytes of a call's body.
     pub body: usize,
     /// A try is given up after so much of the cut-off, at least.
-    pub patience: f64,
+    pub timeout: f64,
     /// A client's own further tries, and the seconds before each.
     pub retries: u32,
     pub backoff: f64,
     /// Part of the clients that leave in the midst of a call.
-    pub leave: f64,
+    pub abandonment: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Profile {
     pub name: String,
     pub share: f64,
-    pub due: f64,
-    pub cut_off: f64,
-    pub effect: Effect,
+    pub latency_objective: f64,
+    pub deadline: f64,
+    pub effect: Idempotency,
     pub importance: f64,
 }
 
@@ -74,25 +74,25 @@
 
 /// What the rules and the account state.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RuleSettings {
     pub grace: f64,
-    pub ration: Option<(f64, f64, f64)>,
+    pub load_rate_limit: Option<(f64, f64, f64)>,
     /// Gateways' own further shots, over all gateways: window, free ones, share of one for each try.
     pub retries: Option<(f64, f64, f64)>,
     /// Shots at one worker, over all gateways.
     pub in_flight: Option<f64>,
     /// Seconds for which receipts are known.
-    pub receipts: f64,
+    pub idempotency_window: f64,
     pub late: f64,
     pub over_share: f64,
     /// Seconds until the list says what befell a worker.
-    pub notice: f64,
+    pub notification_delay: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct ScheduledFault {
     pub name: String,
-    pub what: What,
+    pub what: FaultKind,
     pub at: f64,
     pub lasts: f64,
     /// The part of workers, functions, clients or answers that it strikes.
@@ -101,14 +101,14 @@
     pub size: f64,
 }
 
-impl Trouble {
+impl ScheduledFault {
     pub fn during(&self, at: f64) -> bool {
         (self.at..self.at + self.lasts).contains(&at)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum FaultKind {
     /// Workers die at once and come back cold, at another address.
     Death,
     /// Workers are drained, stopped and replaced one after the other.
@@ -153,7 +153,7 @@
     /// A core of each gateway ends by a panic.
     CorePanic,
     /// The decisions of each gateway panic.
-    DeskBreak,
+    DispatcherPanic,
     /// Lists come so many seconds (size) late.
     ListLate,
     ListStalled,
@@ -178,52 +178,52 @@
 }
 
 /// The script's words, with what `part` and `size` are when nothing is said.
-const WORDS: [(&str, What, f64, f64); 37] = [
-    ("death", What::Death, 0.2, 1.0),
-    ("rolling", What::Rolling, 0.5, 1.0),
-    ("drain", What::Drain, 0.2, 1.0),
-    ("failures", What::Failures, 0.2, 0.6),
-    ("silence", What::Silence, 0.15, 1.0),
-    ("lost-answers", What::LostAnswers, 0.2, 0.5),
-    ("slowness", What::Slowness, 0.2, 5.0),
-    ("wrong-full", What::WrongFull, 0.3, 0.9),
-    ("release", What::Release, 0.8, 1.0),
-    ("burst", What::Burst, 1.0, 2.0),
-    ("one-offs", What::OneOffs, 0.1, 1.0),
-    ("hot", What::Hot, 0.2, 3.0),
-    ("heavy", What::Heavy, 0.01, 12.0),
-    ("impatience", What::Impatience, 0.6, 0.4),
-    ("store-slow", What::StoreSlow, 1.0, 4.0),
-    ("store-refuses", What::StoreRefuses, 1.0, 1.0),
-    ("store-stops", What::StoreStops, 1.0, 1.0),
-    ("half-answers", What::HalfAnswers, 0.2, 0.3),
-    ("garbage", What::Garbage, 0.2, 0.3),
-    ("resets", What::Resets, 0.2, 0.3),
-    ("gateway-stall", What::GatewayStall, 0.5, 0.5),
-    ("gateway-kill", What::GatewayKill, 0.5, 1.0),
-    ("core-stall", What::CoreStall, 1.0, 0.5),
-    ("core-panic", What::CorePanic, 1.0, 1.0),
-    ("desk-break", What::DeskBreak, 1.0, 1.0),
-    ("list-late", What::ListLate, 1.0, 3.0),
-    ("list-stalled", What::ListStalled, 1.0, 1.0),
-    ("list-lost", What::ListLost, 1.0, 1.0),
-    ("list-repeated", What::ListRepeated, 1.0, 1.0),
-    ("list-emptied", What::ListEmptied, 1.0, 1.0),
-    ("link-lost", What::LinkLost, 1.0, 0.2),
-    ("link-cut", What::LinkCut, 0.4, 1.0),
-    ("link-deaf", What::LinkDeaf, 0.1, 1.0),
-    ("link-late", What::LinkLate, 1.0, 0.5),
-    ("link-repeat", What::LinkRepeat, 1.0, 0.3),
-    ("link-garbage", What::LinkGarbage, 1.0, 0.3),
-    ("gateway-join", What::GatewayJoin, 0.3, 1.0),
+const WORDS: [(&str, FaultKind, f64, f64); 37] = [
+    ("death", FaultKind::Death, 0.2, 1.0),
+    ("rolling", FaultKind::Rolling, 0.5, 1.0),
+    ("drain", FaultKind::Drain, 0.2, 1.0),
+    ("failures", FaultKind::Failures, 0.2, 0.6),
+    ("silence", FaultKind::Silence, 0.15, 1.0),
+    ("lost-answers", FaultKind::LostAnswers, 0.2, 0.5),
+    ("slowness", FaultKind::Slowness, 0.2, 5.0),
+    ("wrong-full", FaultKind::WrongFull, 0.3, 0.9),
+    ("release", FaultKind::Release, 0.8, 1.0),
+    ("burst", FaultKind::Burst, 1.0, 2.0),
+    ("one-offs", FaultKind::OneOffs, 0.1, 1.0),
+    ("hot", FaultKind::Hot, 0.2, 3.0),
+    ("heavy", FaultKind::Heavy, 0.01, 12.0),
+    ("impatience", FaultKind::Impatience, 0.6, 0.4),
+    ("store-slow", FaultKind::StoreSlow, 1.0, 4.0),
+    ("store-refuses", FaultKind::StoreRefuses, 1.0, 1.0),
+    ("store-stops", FaultKind::StoreStops, 1.0, 1.0),
+    ("half-answers", FaultKind::HalfAnswers, 0.2, 0.3),
+    ("garbage", FaultKind::Garbage, 0.2, 0.3),
+    ("resets", FaultKind::Resets, 0.2, 0.3),
+    ("gateway-stall", FaultKind::GatewayStall, 0.5, 0.5),
+    ("gateway-kill", FaultKind::GatewayKill, 0.5, 1.0),
+    ("core-stall", FaultKind::CoreStall, 1.0, 0.5),
+    ("core-panic", FaultKind::CorePanic, 1.0, 1.0),
+    ("desk-break", FaultKind::DispatcherPanic, 1.0, 1.0),
+    ("list-late", FaultKind::ListLate, 1.0, 3.0),
+    ("list-stalled", FaultKind::ListStalled, 1.0, 1.0),
+    ("list-lost", FaultKind::ListLost, 1.0, 1.0),
+    ("list-repeated", FaultKind::ListRepeated, 1.0, 1.0),
+    ("list-emptied", FaultKind::ListEmptied, 1.0, 1.0),
+    ("link-lost", FaultKind::LinkLost, 1.0, 0.2),
+    ("link-cut", FaultKind::LinkCut, 0.4, 1.0),
+    ("link-deaf", FaultKind::LinkDeaf, 0.1, 1.0),
+    ("link-late", FaultKind::LinkLate, 1.0, 0.5),
+    ("link-repeat", FaultKind::LinkRepeat, 1.0, 0.3),
+    ("link-garbage", FaultKind::LinkGarbage, 1.0, 0.3),
+    ("gateway-join", FaultKind::GatewayJoin, 0.3, 1.0),
 ];
 
 /// Reads a day's file and those that it builds on; the error holds a line for each mistake.
-pub fn open(path: &Path) -> Result<Day, Vec<String>> {
+pub fn open(path: &Path) -> Result<Scenario, Vec<String>> {
     open_under(path, 0)
 }
 
-fn open_under(path: &Path, depth: usize) -> Result<Day, Vec<String>> {
+fn open_under(path: &Path, depth: usize) -> Result<Scenario, Vec<String>> {
     /// Days one upon the other; more are a circle.
     const DEEPEST: usize = 8;
     let (mut texts, mut at) = (Vec::new(), path.to_owned());
@@ -248,9 +248,9 @@
     }
     let name = path.file_stem().map_or("day".into(), |n| n.to_string_lossy().into_owned());
     let document = Document::new(&texts[0].0);
-    let day = whole(&name, &Section::layered(&document, texts.iter().map(|(_, body)| body).collect()));
+    let scenario = whole(&name, &Section::layered(&document, texts.iter().map(|(_, body)| body).collect()));
     let mistakes = document.into_errors();
-    if mistakes.is_empty() { Ok(day) } else { Err(lines(path, &mistakes)) }
+    if mistakes.is_empty() { Ok(scenario) } else { Err(lines(path, &mistakes)) }
 }
 
 fn lines(path: &Path, mistakes: &[ConfigError]) -> Vec<String> {
@@ -264,7 +264,7 @@
     })
 }
 
-fn whole(name: &str, top: &Section<'_>) -> Day {
+fn whole(name: &str, top: &Section<'_>) -> Scenario {
     const LONG: f64 = 86_400.0;
     let _ = top.text("upon");
     let fleet = top.block("fleet");
@@ -276,22 +276,22 @@
     let count = |s: Option<&Section<'_>>, key, usual| {
         s.and_then(|s| s.count(key, "", 1..=1_000_000)).unwrap_or(usual)
     };
-    let make = Make {
+    let worker_spec = WorkerSpec {
         cores: count(fleet, "cores", 4),
         speed: of(fleet, "speed", "speed", 1000.0, 1.0),
         memory: of(fleet, "memory", "MB", 1e9, 8192.0),
         loads_at_once: count(fleet, "loads_at_once", 4),
         queue: count(fleet, "queue", 64),
-        keep: of(fleet, "keep", "seconds", LONG, 12.0),
-        misses: may("misses", false),
-        eager: may("eager", true),
-        cold_share: of(fleet, "cold_share", "capacity", 1.0, 0.2),
+        idle_timeout: of(fleet, "keep", "seconds", LONG, 12.0),
+        rejects_unloaded: may("misses", false),
+        loads_ahead: may("eager", true),
+        initial_capacity: of(fleet, "cold_share", "capacity", 1.0, 0.2),
         warm_up: of(fleet, "warm_up", "seconds", LONG, 8.0),
-        tip_multiple: of(fleet, "tip_multiple", "capacities", 1000.0, 2.5),
-        tip_window: of(fleet, "tip_window", "seconds", LONG, 1.0),
+        overload_multiple: of(fleet, "tip_multiple", "capacities", 1000.0, 2.5),
+        overload_window: of(fleet, "tip_window", "seconds", LONG, 1.0),
     };
     let store = top.block("store");
-    let shelf = Shelf {
+    let store_spec = StoreSpec {
         at_once: of(store.as_ref(), "at_once", "fetches", 1e9, 12.0),
         takes: count(store.as_ref(), "takes", 48),
         tips: store.as_ref().and_then(|s| s.number("tips", "fetches a second", 0.0..=1e9)),
@@ -299,8 +299,8 @@
     };
     let functions = top.block("functions");
     let functions = functions.as_ref();
-    let pack = Pack {
-        lanes: count(functions, "lanes", 2) as u32,
+    let function_model = FunctionModel {
+        concurrency: count(functions, "lanes", 2) as u32,
         memory: of(functions, "memory", "MB", 1e9, 300.0),
         fetch: of(functions, "fetch", "seconds", LONG, 0.25),
         start: of(functions, "start", "seconds", LONG, 0.15),
@@ -312,10 +312,10 @@
         work: of(traffic, "work", "seconds", LONG, 0.04),
         io: of(traffic, "io", "seconds", LONG, 0.0),
         body: traffic.and_then(|s| s.count("body", "bytes", 0..=1 << 30)).unwrap_or(200),
-        patience: of(traffic, "patience", "of the cut-off", 1.0, 0.5),
+        timeout: of(traffic, "patience", "of the cut-off", 1.0, 0.5),
         retries: traffic.and_then(|s| s.count("retries", "tries", 0..=10)).unwrap_or(2) as u32,
         backoff: of(traffic, "backoff", "seconds", LONG, 0.1),
-        leave: of(traffic, "leave", "of the clients", 1.0, 0.002),
+        abandonment: of(traffic, "leave", "of the clients", 1.0, 0.002),
     };
     let front = top.block("front");
     let uneven = of(front.as_ref(), "uneven", "times the mean", 1e6, 1.0);
@@ -331,17 +331,17 @@
             )
         })
     };
-    let terms = Terms {
+    let rule_settings = RuleSettings {
         grace: of(rules, "drain_grace", "seconds", LONG, 1.0),
-        ration: rationed("ration"),
+        load_rate_limit: rationed("ration"),
         retries: rationed("retries"),
         in_flight: rules.and_then(|r| r.number("in_flight", "shots at one worker", 1.0..=1e9)),
-        receipts: of(rules, "receipts", "seconds", LONG, 30.0),
+        idempotency_window: of(rules, "receipts", "seconds", LONG, 30.0),
         late: of(rules, "late", "importance", 1.0, 0.1),
         over_share: of(rules, "over_share", "importance", 1.0, 0.05),
-        notice: of(rules, "notice", "seconds", LONG, 1.5),
+        notification_delay: of(rules, "notice", "seconds", LONG, 1.5),
     };
-    Day {
+    Scenario {
         name: name.to_owned(),
         seed: top.number("seed", "chance", 0.0..=9e15).unwrap_or(1.0) as u64,
         seconds: of(Some(top), "seconds", "seconds", LONG, 30.0),
@@ -350,30 +350,33 @@
         sharing: top.flag("sharing").unwrap_or(false),
         uneven,
         workers: count(fleet, "workers", 10),
-        make,
-        shelf,
+        worker_spec,
+        store_spec,
         functions: count(functions, "count", 40),
         zipf: of(functions, "zipf", "exponent", 10.0, 1.1),
-        pack,
+        function_model,
         traffic: plays,
         profiles: profiles(top),
         groups: groups(top),
-        terms,
-        troubles: troubles(top),
+        rules: rule_settings,
+        faults: faults(top),
     }
 }
 
 fn profiles(top: &Section<'_>) -> Vec<Profile> {
-    let effects =
-        [("pure", Effect::Pure), ("receipted", Effect::Receipted), ("effectful", Effect::Effectful)];
+    let effects = [
+        ("pure", Idempotency::Idempotent),
+        ("receipted", Idempotency::IdempotentWithKey),
+        ("effectful", Idempotency::NonIdempotent),
+    ];
     let read = |s: Section<'_>| {
         let due = s.number("due", "seconds", 0.001..=86_400.0).unwrap_or(1.0);
         Profile {
             name: s.label.clone(),
             share: s.number("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
-            due,
-            cut_off: s.number("cut_off", "seconds", 0.001..=86_400.0).unwrap_or(3.0 * due),
-            effect: s.one_of("effect", &effects).unwrap_or(Effect::Pure),
+            latency_objective: due,
+            deadline: s.number("cut_off", "seconds", 0.001..=86_400.0).unwrap_or(3.0 * due),
+            effect: s.one_of("effect", &effects).unwrap_or(Idempotency::Idempotent),
             importance: s.number("importance", "importance", 0.0..=1e9).unwrap_or(1.0),
         }
     };
@@ -398,7 +401,7 @@
     groups
 }
 
-fn troubles(top: &Section<'_>) -> Vec<Trouble> {
+fn faults(top: &Section<'_>) -> Vec<ScheduledFault> {
     let read = |s: Section<'_>| {
         // `death`, or `death-2` where one befalls the day twice.
         let word =
@@ -409,7 +412,7 @@
             s.report(s.offset, format!("there is no trouble called {}", s.label), remedy);
             return None;
         };
-        Some(Trouble {
+        Some(ScheduledFault {
             name: s.label.clone(),
             what,
             at: s.number("at", "seconds", 0.0..=86_400.0).unwrap_or(0.0),
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -5,7 +5,7 @@
 
 /// What the store can do.
 #[derive(Clone, Copy, Debug)]
-pub struct Shelf {
+pub struct StoreSpec {
     /// Fetches that it serves at a time without slowing.
     pub at_once: f64,
     /// Fetches under way past which more are turned away.
@@ -17,7 +17,7 @@
 }
 
 pub struct Store {
-    shelf: Shelf,
+    store_spec: StoreSpec,
     /// Multiplies the time of fetches: a trouble.
     pub slowness: f64,
     /// Turns all away: a trouble.
@@ -30,9 +30,9 @@
 }
 
 impl Store {
-    pub fn new(shelf: Shelf) -> Self {
+    pub fn new(store_spec: StoreSpec) -> Self {
         Self {
-            shelf,
+            store_spec,
             slowness: 1.0,
             refuses: false,
             under_way: 0,
@@ -54,17 +54,17 @@
         while self.asked.front().is_some_and(|at| now - at > PUSHED) {
             self.asked.pop_front();
         }
-        if self.shelf.tips.is_some_and(|tips| self.asked.len() as f64 > tips * PUSHED) {
+        if self.store_spec.tips.is_some_and(|tips| self.asked.len() as f64 > tips * PUSHED) {
             self.asked.clear();
-            self.stopped = self.stopped.max(now + self.shelf.stops);
+            self.stopped = self.stopped.max(now + self.store_spec.stops);
         }
-        if now < self.stopped || self.refuses || self.under_way >= self.shelf.takes {
+        if now < self.stopped || self.refuses || self.under_way >= self.store_spec.takes {
             self.refusals += 1;
             return None;
         }
         self.fetches += 1;
         self.under_way += 1;
-        Some(seconds * self.slowness * (self.under_way as f64 / self.shelf.at_once).max(1.0))
+        Some(seconds * self.slowness * (self.under_way as f64 / self.store_spec.at_once).max(1.0))
     }
 
     /// A fetch that was let in is over.
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,13 +1,13 @@
 //! What clients will ask for on a day, worked out ahead from its seed: the same day, the same calls.
 
-use crate::script::{Day, Trouble, What};
+use crate::scenario_file::{FaultKind, Scenario, ScheduledFault};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
 
 /// One call as its client means it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedRequest {
     pub at: f64,
     pub function: String,
     pub profile: usize,
@@ -15,67 +15,70 @@
     pub work: f64,
     pub io: f64,
     /// Seconds until the client gives up its first try.
-    pub patience: f64,
+    pub timeout: f64,
     /// Seconds after which the client leaves, where it does.
     pub leaves: Option<f64>,
     /// The trouble under which it is asked for: the last that began.
-    pub trouble: Option<usize>,
+    pub fault: Option<usize>,
 }
 
 /// All calls of a day, in order.
-pub fn plan(day: &Day, seed: u64) -> Vec<Planned> {
+pub fn plan(scenario: &Scenario, seed: u64) -> Vec<PlannedRequest> {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let mut calls = Vec::new();
     // Bounds were checked when the day was read; a day without sense has no calls.
     let (Ok(zipf), Ok(gap), Ok(work)) = (
-        Zipf::new(day.functions as f64, day.zipf.max(0.01)),
+        Zipf::new(scenario.functions as f64, scenario.zipf.max(0.01)),
         Exp::new(1.0f64),
-        Exp::new(1.0 / day.traffic.work.max(1e-9)),
+        Exp::new(1.0 / scenario.traffic.work.max(1e-9)),
     ) else {
         return calls;
     };
     let mut at = 0.0;
     let mut once = 0;
     loop {
-        let troubles = |what| day.troubles.iter().filter(move |t: &&Trouble| t.what == what && t.during(at));
-        let rate = day.traffic.rate * troubles(What::Burst).map(|t| t.size).product::<f64>();
+        let faults =
+            |what| scenario.faults.iter().filter(move |t: &&ScheduledFault| t.what == what && t.during(at));
+        let rate = scenario.traffic.rate * faults(FaultKind::Burst).map(|t| t.size).product::<f64>();
         at += gap.sample(&mut chance) / rate.max(1e-9);
-        if at >= day.seconds {
+        if at >= scenario.seconds {
             return calls;
         }
-        let troubles = |what| day.troubles.iter().filter(move |t: &&Trouble| t.what == what && t.during(at));
-        let profile = pick(&mut chance, day.profiles.iter().map(|p| p.share));
-        let group = pick(&mut chance, day.groups.iter().map(|g| g.share));
+        let faults =
+            |what| scenario.faults.iter().filter(move |t: &&ScheduledFault| t.what == what && t.during(at));
+        let profile = pick(&mut chance, scenario.profiles.iter().map(|p| p.share));
+        let group = pick(&mut chance, scenario.groups.iter().map(|g| g.share));
         let mut function = format!("pack-{}", zipf.sample(&mut chance) as usize);
-        for trouble in troubles(What::Hot) {
-            if chance.random_bool(trouble.part) {
-                function = format!("hot-{}", chance.random_range(0..trouble.size.max(1.0) as u32));
+        for fault in faults(FaultKind::Hot) {
+            if chance.random_bool(fault.part) {
+                function = format!("hot-{}", chance.random_range(0..fault.size.max(1.0) as u32));
             }
         }
-        for trouble in troubles(What::OneOffs) {
-            if chance.random_bool(trouble.part) {
+        for fault in faults(FaultKind::OneOffs) {
+            if chance.random_bool(fault.part) {
                 once += 1;
                 function = format!("once-{once}");
             }
         }
         let mut takes = work.sample(&mut chance);
-        for trouble in troubles(What::Heavy) {
-            if chance.random_bool(trouble.part) {
-                takes *= trouble.size;
+        for fault in faults(FaultKind::Heavy) {
+            if chance.random_bool(fault.part) {
+                takes *= fault.size;
             }
         }
-        let p = &day.profiles[profile];
-        let mut patience = p.cut_off * chance.random_range(day.traffic.patience..=1.0);
-        for trouble in troubles(What::Impatience) {
-            if chance.random_bool(trouble.part) {
-                patience = p.due * trouble.size;
+        let p = &scenario.profiles[profile];
+        let mut timeout = p.deadline * chance.random_range(scenario.traffic.timeout..=1.0);
+        for fault in faults(FaultKind::Impatience) {
+            if chance.random_bool(fault.part) {
+                timeout = p.latency_objective * fault.size;
             }
         }
-        let leaves = chance.random_bool(day.traffic.leave).then(|| patience * chance.random_range(0.0..0.5));
-        let trouble = day.troubles.iter().enumerate().filter(|(_, t)| t.during(at));
-        let trouble = trouble.max_by(|(_, a), (_, b)| a.at.total_cmp(&b.at)).map(|(n, _)| n);
-        let io = day.traffic.io;
-        calls.push(Planned { at, function, profile, group, work: takes, io, patience, leaves, trouble });
+        let leaves =
+            chance.random_bool(scenario.traffic.abandonment).then(|| timeout * chance.random_range(0.0..0.5));
+        let fault = scenario.faults.iter().enumerate().filter(|(_, t)| t.during(at));
+        let fault = fault.max_by(|(_, a), (_, b)| a.at.total_cmp(&b.at)).map(|(n, _)| n);
+        let io = scenario.traffic.io;
+        calls.push(PlannedRequest { at, function, profile, group, work: takes, io, timeout, leaves, fault });
     }
 }
 
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,16 +1,16 @@
-//! A stand-in worker on loopback sockets around its [`Engine`]. It listens once for each gateway, so that who sent
+//! A stand-in worker on loopback sockets around its [`WorkerModel`]. It listens once for each gateway, so that who sent
 //! a shot is known by the socket that it came on.
 
-use crate::engine::{Engine, Job, Make, Say};
-use crate::hall::Hall;
-use crate::spoilt::{Spoil, Spoilt};
+use crate::context::EmulatorContext;
+use crate::corrupting_stream::{CorruptingStream, Corruption};
+use crate::worker_model::{Job, WorkerEvent, WorkerModel, WorkerSpec};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use milletpath_history_checker::Saw;
+use milletpath_history_checker::HistoryEvent;
 use milletpath_protocol::worker as wire;
 use milletpath_protocol::{field, invoke, orca};
 use std::cell::{Cell, RefCell};
@@ -41,7 +41,7 @@
 
 /// What ails a worker, by chance of each answer where a figure is below 1.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mood {
+pub struct WorkerFault {
     /// Quickly fails activations, unrun.
     pub fails: f64,
     /// Takes activations and answers none; probes are answered.
@@ -50,7 +50,7 @@
     pub loses: f64,
     /// Answers are spoilt on the wire after the work is done.
     pub spoils: f64,
-    pub spoil: Spoil,
+    pub spoil: Corruption,
     /// Turns away what this client group sends, though there is room.
     pub wrong_full: Option<(usize, f64)>,
 }
@@ -73,9 +73,9 @@
     pub number: usize,
     /// The group of workers that know each other's receipts.
     receipts: u32,
-    hall: Rc<Hall>,
-    engine: RefCell<Engine>,
-    pub mood: Cell<Mood>,
+    context: Rc<EmulatorContext>,
+    engine: RefCell<WorkerModel>,
+    pub mood: Cell<WorkerFault>,
     jobs: RefCell<BTreeMap<u64, (Told, oneshot::Sender<Ended>)>>,
     orders: RefCell<BTreeMap<u64, oneshot::Sender<(u32, bool)>>>,
     earlier: Notify,
@@ -87,10 +87,10 @@
 impl Worker {
     /// Starts a worker with a port for each gateway.
     pub async fn start(
-        hall: Rc<Hall>,
+        context: Rc<EmulatorContext>,
         number: usize,
         receipts: u32,
-        make: Make,
+        worker_spec: WorkerSpec,
         born: f64,
         gateways: usize,
     ) -> io::Result<Rc<Self>> {
@@ -98,26 +98,30 @@
         for _ in 0..gateways {
             listeners.push(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         }
-        Self::on(hall, number, receipts, make, born, listeners)
+        Self::on(context, number, receipts, worker_spec, born, listeners)
     }
 
     /// Starts a worker that is cold if `born` is lately; it stops when [`kill`](Self::kill)ed.
     pub fn on(
-        hall: Rc<Hall>,
+        context: Rc<EmulatorContext>,
         number: usize,
         receipts: u32,
-        make: Make,
+        worker_spec: WorkerSpec,
         born: f64,
         listeners: Vec<TcpListener>,
     ) -> io::Result<Rc<Self>> {
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
-        let warm = hall.now() - born >= make.warm_up;
-        hall.note(Saw::Started { worker: number, capacity: Engine::capacity(&make), warm });
+        let warm = context.now() - born >= worker_spec.warm_up;
+        context.note(HistoryEvent::WorkerStarted {
+            worker: number,
+            capacity: WorkerModel::capacity(&worker_spec),
+            warm,
+        });
         let worker = Rc::new(Self {
             number,
             receipts,
-            hall,
-            engine: RefCell::new(Engine::new(make, born)),
+            context,
+            engine: RefCell::new(WorkerModel::new(worker_spec, born)),
             mood: Cell::default(),
             jobs: RefCell::default(),
             orders: RefCell::default(),
@@ -141,40 +145,43 @@
     }
 
     /// Asks something of the engine, and does what it says.
-    pub fn tell<R>(self: &Rc<Self>, what: impl FnOnce(&mut Engine, f64) -> R) -> R {
-        let result = what(&mut self.engine.borrow_mut(), self.hall.now());
+    pub fn tell<R>(self: &Rc<Self>, what: impl FnOnce(&mut WorkerModel, f64) -> R) -> R {
+        let result = what(&mut self.engine.borrow_mut(), self.context.now());
         self.listen_to_engine();
         result
     }
 
     fn listen_to_engine(self: &Rc<Self>) {
         loop {
-            let Some(say) = self.engine.borrow_mut().say() else { break };
+            let Some(say) = self.engine.borrow_mut().next_event() else { break };
             match say {
-                Say::Ran { job } => {
+                WorkerEvent::Ran { job } => {
                     let jobs = self.jobs.borrow();
                     let Some((told, _)) = jobs.get(&job) else { continue };
-                    let repeat = told.mark.as_ref().is_some_and(|m| self.hall.known(self.receipts, m));
+                    let repeat = told.mark.as_ref().is_some_and(|m| self.context.known(self.receipts, m));
                     if !repeat {
-                        self.hall.note(Saw::Ran { call: told.call, worker: self.number });
+                        self.context
+                            .note(HistoryEvent::RequestExecuted { call: told.call, worker: self.number });
                     }
                 }
-                Say::Done { job, found, company } => {
-                    let (warm, all) = self.hall.warm.get();
-                    self.hall.warm.set((warm + u64::from(found == wire::InstanceState::Loaded), all + 1));
-                    self.end(job, Ended::Done(found, company));
+                WorkerEvent::Done { job, found, concurrent_requests } => {
+                    let (warm, all) = self.context.warm.get();
+                    self.context.warm.set((warm + u64::from(found == wire::InstanceState::Loaded), all + 1));
+                    self.end(job, Ended::Done(found, concurrent_requests));
+                }
+                WorkerEvent::Refused { job, why, failed_load } => {
+                    self.end(job, Ended::Refused(why, failed_load))
                 }
-                Say::Refused { job, why, failed_load } => self.end(job, Ended::Refused(why, failed_load)),
-                Say::Fetch { load, seconds, .. } => {
-                    let takes = self.hall.store.borrow_mut().fetch(self.hall.now(), seconds);
+                WorkerEvent::Fetch { load, seconds, .. } => {
+                    let takes = self.context.store.borrow_mut().fetch(self.context.now(), seconds);
                     spawn_local(self.clone().fetch(load, takes));
                 }
-                Say::Stands { order, copies, failed } => {
+                WorkerEvent::Stands { order, copies, failed } => {
                     if let Some(sender) = self.orders.borrow_mut().remove(&order) {
                         let _ = sender.send((copies, failed));
                     }
                 }
-                Say::Fell => {
+                WorkerEvent::Fell => {
                     tracing::warn!(worker = self.number, "pushed over");
                     self.kill();
                 }
@@ -194,7 +201,7 @@
         // What is turned away is told in a moment, as over a network.
         tokio::time::sleep(Duration::from_secs_f64(takes.unwrap_or(0.002))).await;
         if takes.is_some() {
-            self.hall.store.borrow_mut().fetched();
+            self.context.store.borrow_mut().fetched();
         }
         self.tell(|engine, now| engine.fetched(now, load, takes.is_some()));
     }
@@ -202,12 +209,12 @@
     async fn keep_time(self: Rc<Self>) {
         loop {
             let next = self.engine.borrow().next();
-            let wait = next.map_or(3600.0, |at| (at - self.hall.now()).max(0.0));
+            let wait = next.map_or(3600.0, |at| (at - self.context.now()).max(0.0));
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_secs_f64(wait)) => {}
                 () = self.earlier.notified() => {}
             }
-            let due = self.engine.borrow().next().is_some_and(|at| at <= self.hall.now());
+            let due = self.engine.borrow().next().is_some_and(|at| at <= self.context.now());
             if due {
                 self.tell(|engine, now| engine.turn(now));
             }
@@ -225,8 +232,8 @@
 
     async fn connection(self: Rc<Self>, gateway: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let spoil: Rc<Cell<Spoil>> = Rc::default();
-        let io = Spoilt::new(stream, spoil.clone());
+        let spoil: Rc<Cell<Corruption>> = Rc::default();
+        let io = CorruptingStream::new(stream, spoil.clone());
         let service = service_fn(move |request| {
             let (worker, spoil) = (self.clone(), spoil.clone());
             async move { Ok::<_, Infallible>(worker.answer(gateway, request, &spoil).await) }
@@ -238,7 +245,7 @@
         self: Rc<Self>,
         gateway: usize,
         request: Request<Incoming>,
-        spoil: &Cell<Spoil>,
+        spoil: &Cell<Corruption>,
     ) -> Answer {
         let (parts, body) = request.into_parts();
         match wire::route(parts.uri.path()) {
@@ -246,7 +253,7 @@
             Some(wire::Route::Infer(name)) => self.infer(gateway, name, &parts.headers, body, spoil).await,
             Some(wire::Route::Load(name)) => self.load(gateway, name, &parts.headers).await,
             Some(wire::Route::Unload(name)) => {
-                let (function, _) = self.hall.pack(name);
+                let (function, _) = self.context.function_model(name);
                 self.tell(|engine, _| engine.unload(function));
                 plain(StatusCode::OK)
             }
@@ -257,12 +264,12 @@
     async fn load(self: &Rc<Self>, gateway: usize, name: &str, headers: &HeaderMap) -> Answer {
         let copies = wire::count_field(headers, &wire::INSTANCES).ok().flatten().unwrap_or(1);
         if copies > 0 {
-            self.hall.note(Saw::Ordered { gateway, worker: self.number });
+            self.context.note(HistoryEvent::LoadRequested { gateway, worker: self.number });
         }
-        let (function, pack) = self.hall.pack(name);
+        let (function, function_model) = self.context.function_model(name);
         let (sender, stands) = oneshot::channel();
         // Said at once where the instances stand: the sender must be there before the engine is listened to.
-        let order = self.engine.borrow_mut().order(self.hall.now(), function, pack, copies);
+        let order = self.engine.borrow_mut().order(self.context.now(), function, function_model, copies);
         self.orders.borrow_mut().insert(order, sender);
         self.listen_to_engine();
         let (copies, failed) = stands.await.unwrap_or((0, true));
@@ -277,7 +284,7 @@
         name: &str,
         headers: &HeaderMap,
         body: Incoming,
-        spoil: &Cell<Spoil>,
+        spoil: &Cell<Corruption>,
     ) -> Answer {
         /// Bytes of a body that a stand-in reads.
         const BODY: usize = 64 << 20;
@@ -290,8 +297,14 @@
             .and_then(|(call, attempt)| Some((call.parse().ok()?, attempt.parse().ok()?)))
             .unwrap_or((u64::MAX, 0));
         let work = figure(&fields::WORK).unwrap_or(0.0);
-        self.hall.note(Saw::Came { call, attempt, gateway, worker: self.number, work });
-        let _over = Over { hall: self.hall.clone(), gateway, worker: self.number };
+        self.context.note(HistoryEvent::AttemptReceived {
+            call,
+            attempt,
+            gateway,
+            worker: self.number,
+            work,
+        });
+        let _over = Over { context: self.context.clone(), gateway, worker: self.number };
         let Ok(body) = Limited::new(body, BODY).collect().await else {
             return plain(StatusCode::BAD_REQUEST);
         };
@@ -303,32 +316,32 @@
         if mood.silent {
             return std::future::pending().await;
         }
-        if self.hall.happens(mood.fails) {
+        if self.context.happens(mood.fails) {
             return plain(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        if mood.wrong_full.is_some_and(|(group, part)| group == told.group && self.hall.happens(part)) {
+        if mood.wrong_full.is_some_and(|(group, part)| group == told.group && self.context.happens(part)) {
             return self.with_load(refusal(wire::Rejection::Full));
         }
-        let (function, pack) = self.hall.pack(name);
+        let (function, function_model) = self.context.function_model(name);
         let (sender, ended) = oneshot::channel();
-        let job = Job { function, pack, work, io: figure(&fields::IO).unwrap_or(0.0) };
+        let job = Job { function, function_model, work, io: figure(&fields::IO).unwrap_or(0.0) };
         tracing::trace!(worker = self.number, call, attempt = told.attempt, "came");
-        let id = self.engine.borrow_mut().arrive(self.hall.now(), job);
+        let id = self.engine.borrow_mut().arrive(self.context.now(), job);
         self.jobs.borrow_mut().insert(id, (told, sender));
         self.listen_to_engine();
         let answer = match ended.await {
-            Ok(Ended::Done(found, company)) => {
+            Ok(Ended::Done(found, concurrent_requests)) => {
                 let bytes = figure(&fields::ANSWER).map_or(body, |n| vec![b'x'; n as usize].into());
                 let mut answer = Response::new(Full::new(bytes));
                 let headers = answer.headers_mut();
-                if self.hall.tells.found {
+                if self.context.tells.found {
                     headers.insert(
                         &wire::INSTANCE_STATE,
                         HeaderValue::from_static(wire::instance_state_word(found)),
                     );
                 }
-                if self.hall.tells.company {
-                    headers.insert(&wire::CONCURRENT_REQUESTS, HeaderValue::from(company));
+                if self.context.tells.concurrent_requests {
+                    headers.insert(&wire::CONCURRENT_REQUESTS, HeaderValue::from(concurrent_requests));
                 }
                 answer
             }
@@ -345,13 +358,13 @@
             Err(_) => return std::future::pending().await,
         };
         let mood = self.mood.get();
-        if self.hall.happens(mood.loses) {
+        if self.context.happens(mood.loses) {
             return std::future::pending().await;
         }
-        if self.hall.happens(mood.spoils) {
+        if self.context.happens(mood.spoils) {
             spoil.set(mood.spoil);
         }
-        if self.hall.tells.load { self.with_load(answer) } else { answer }
+        if self.context.tells.load { self.with_load(answer) } else { answer }
     }
 
     /// Adds the worker's load report.
@@ -373,14 +386,14 @@
 
 /// Notes that a shot is over, however its handling ends: also when its connection is gone.
 struct Over {
-    hall: Rc<Hall>,
+    context: Rc<EmulatorContext>,
     gateway: usize,
     worker: usize,
 }
 
 impl Drop for Over {
     fn drop(&mut self) {
-        self.hall.note(Saw::Over { gateway: self.gateway, worker: self.worker });
+        self.context.note(HistoryEvent::AttemptFinished { gateway: self.gateway, worker: self.worker });
     }
 }
 
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Stories of days' files: one may build on another.
 
-use milletpath_emulator::script::{Day, open};
+use milletpath_emulator::scenario_file::{Scenario, open};
 use std::path::PathBuf;
 
 const GROUND: &str = r#"
@@ -18,7 +18,7 @@
 "#;
 
 /// A day upon the ground, each in a file of its own.
-fn upon(name: &str, text: &str) -> Result<Day, Vec<String>> {
+fn upon(name: &str, text: &str) -> Result<Scenario, Vec<String>> {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("ground.hcl"), GROUND).unwrap();
@@ -41,14 +41,14 @@
 sharing = true
 front { uneven = 5 }
 "#;
-    let day = upon("replaces", text).unwrap();
-    assert_eq!((day.seconds, day.workers, day.make.cores), (20.0, 9, 2));
-    assert_eq!((day.sharing, day.uneven), (true, 5.0));
-    let profiles: Vec<_> = day.profiles.iter().map(|p| (p.name.as_str(), p.due)).collect();
+    let scenario = upon("replaces", text).unwrap();
+    assert_eq!((scenario.seconds, scenario.workers, scenario.worker_spec.cores), (20.0, 9, 2));
+    assert_eq!((scenario.sharing, scenario.uneven), (true, 5.0));
+    let profiles: Vec<_> = scenario.profiles.iter().map(|p| (p.name.as_str(), p.latency_objective)).collect();
     assert_eq!(profiles, [("check", 2.0), ("order", 1.0)]);
-    assert_eq!(day.terms.ration, Some((3.0, 7.0, 0.1)));
-    let troubles: Vec<_> = day.troubles.iter().map(|t| (t.name.as_str(), t.at, t.part)).collect();
-    assert_eq!(troubles, [("death", 1.0, 0.5), ("link-cut", 2.0, 0.4)]);
+    assert_eq!(scenario.rules.load_rate_limit, Some((3.0, 7.0, 0.1)));
+    let faults: Vec<_> = scenario.faults.iter().map(|t| (t.name.as_str(), t.at, t.part)).collect();
+    assert_eq!(faults, [("death", 1.0, 0.5), ("link-cut", 2.0, 0.4)]);
 }
 
 #[test]
--- a/crates/gateway/src/worker_response.rs
+++ b/crates/gateway/src/worker_response.rs
@@ -71,15 +71,22 @@
         None if head.status.as_u16() < 500 => Outcome::Succeeded,
         None => Outcome::Failed,
     };
-    let found = wire::instance_state(&head.headers).map(|found| match found {
+    let instance_state = wire::instance_state(&head.headers).map(|state| match state {
         wire::InstanceState::Loaded => InstanceState::Loaded,
         wire::InstanceState::LoadStarted => InstanceState::LoadStarted,
         wire::InstanceState::LoadAwaited => InstanceState::LoadAwaited,
         wire::InstanceState::LoadFailed => InstanceState::LoadFailed,
     });
-    let company = wire::count_field(&head.headers, &wire::CONCURRENT_REQUESTS).ok().flatten().unwrap_or(0);
+    let concurrent_requests =
+        wire::count_field(&head.headers, &wire::CONCURRENT_REQUESTS).ok().flatten().unwrap_or(0);
     let report = load_report(&head.headers);
-    AttemptResult { outcome, found, company: company.into(), report, answers_client: false }
+    AttemptResult {
+        outcome,
+        instance_state,
+        concurrent_requests: concurrent_requests.into(),
+        report,
+        answers_client: false,
+    }
 }
 
 /// The outcome of a load request by the head of its response, and the instances that the worker now has; `requested` is
--- a/crates/history-checker/src/budgets.rs
+++ b/crates/history-checker/src/budgets.rs
@@ -1,8 +1,8 @@
 //! Budgets of the whole fleet, judged from what workers, clients and the days themselves saw. Each bound is the budget and
 //! a slack that follows from how gateways keep it (`docs/design/shares.md`).
 
-use crate::fleet::{Bound, Shared};
-use crate::{Record, Saw};
+use crate::fleet::{BoundReport, SharedBudgetBounds};
+use crate::{HistoryEvent, HistoryRecord};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Seconds for which loans last at most.
@@ -30,7 +30,7 @@
 /// before it. For each process that was killed there is once more the part of the one that takes its place, whose account
 /// begins empty; until what was borrowed of the former has ended as well.
 struct Rationed<'s> {
-    shared: &'s Shared,
+    shared: &'s SharedBudgetBounds,
     window: f64,
     free: f64,
     part: f64,
@@ -41,7 +41,7 @@
 }
 
 impl<'s> Rationed<'s> {
-    fn new(shared: &'s Shared, (window, free, share): (f64, f64, f64), part: f64) -> Self {
+    fn new(shared: &'s SharedBudgetBounds, (window, free, share): (f64, f64, f64), part: f64) -> Self {
         let [taken, done, killed] = [(); 3].map(|()| Lately::default());
         Self { shared, window, free, part, share, taken, done, killed }
     }
@@ -60,14 +60,18 @@
 }
 
 /// Orders of the whole fleet in any window.
-pub fn orders(records: &[Record], shared: &Shared, (window, free, share): (f64, f64, f64)) -> Bound {
-    let mut bound = Bound::default();
+pub fn orders(
+    records: &[HistoryRecord],
+    shared: &SharedBudgetBounds,
+    (window, free, share): (f64, f64, f64),
+) -> BoundReport {
+    let mut bound = BoundReport::default();
     let mut rationed = Rationed::new(shared, (window, free * shared.gateways as f64, share), free);
-    for Record { at, saw } in records {
-        match saw {
-            Saw::Asked { .. } => rationed.taken.add(*at),
-            Saw::Killed { .. } => rationed.killed.add(*at),
-            Saw::Ordered { .. } => {
+    for HistoryRecord { at, event } in records {
+        match event {
+            HistoryEvent::AttemptSent { .. } => rationed.taken.add(*at),
+            HistoryEvent::GatewayKilled { .. } => rationed.killed.add(*at),
+            HistoryEvent::LoadRequested { .. } => {
                 let (orders, most) = rationed.did(*at);
                 bound.see(*at, orders, most, || {
                     format!(
@@ -82,15 +86,19 @@
 }
 
 /// Shots beyond the first of each try, of the whole fleet in any window.
-pub fn retries(records: &[Record], shared: &Shared, (window, free, share): (f64, f64, f64)) -> Bound {
-    let mut bound = Bound::default();
+pub fn retries(
+    records: &[HistoryRecord],
+    shared: &SharedBudgetBounds,
+    (window, free, share): (f64, f64, f64),
+) -> BoundReport {
+    let mut bound = BoundReport::default();
     let mut rationed = Rationed::new(shared, (window, free, share), free / shared.gateways as f64);
     let mut came = BTreeSet::new();
-    for Record { at, saw } in records {
-        match *saw {
-            Saw::Asked { .. } => rationed.taken.add(*at),
-            Saw::Killed { .. } => rationed.killed.add(*at),
-            Saw::Came { call, attempt, .. } if !came.insert((call, attempt)) => {
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::AttemptSent { .. } => rationed.taken.add(*at),
+            HistoryEvent::GatewayKilled { .. } => rationed.killed.add(*at),
+            HistoryEvent::AttemptReceived { call, attempt, .. } if !came.insert((call, attempt)) => {
                 let (shots, most) = rationed.did(*at);
                 bound.see(*at, shots, most, || {
                     format!("{shots} further shots within {window} s, for {most:.1} at most")
@@ -105,20 +113,20 @@
 /// Calls of each client group that reached a worker, in any ten seconds. A gateway may use half a second of what it may
 /// at once, or one call where that is less; what it let through is sent within half a second, or the time for a
 /// connection after that.
-pub fn ceilings(records: &[Record], shared: &Shared) -> Bound {
+pub fn ceilings(records: &[HistoryRecord], shared: &SharedBudgetBounds) -> BoundReport {
     const WINDOW: f64 = 10.0;
     const AT_ONCE: f64 = 0.5;
     const SENT: f64 = 0.75;
-    let mut bound = Bound::default();
+    let mut bound = BoundReport::default();
     let mut groups: BTreeMap<u64, usize> = BTreeMap::new();
     let mut came = BTreeSet::new();
     let mut lately: BTreeMap<usize, Lately> = BTreeMap::new();
-    for Record { at, saw } in records {
-        match *saw {
-            Saw::Call { call, group, .. } => {
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::RequestIssued { call, group, .. } => {
                 groups.insert(call, group);
             }
-            Saw::Came { call, attempt, .. } if came.insert((call, attempt)) => {
+            HistoryEvent::AttemptReceived { call, attempt, .. } if came.insert((call, attempt)) => {
                 let Some(&group) = groups.get(&call) else { continue };
                 let Some(ceiling) = shared.ceilings.get(group).copied().flatten() else { continue };
                 let calls = lately.entry(group).or_default();
@@ -137,14 +145,14 @@
 }
 
 /// Shots at each worker at a time. What ended a moment ago may not have been noticed there.
-pub fn in_flight(records: &[Record], shared: &Shared, most: f64) -> Bound {
-    let mut bound = Bound::default();
-    let ended = |r: &Record| match r.saw {
-        Saw::Over { worker, .. } => Some((r.at - 2.0 * shared.lag, worker, -1.0)),
+pub fn in_flight(records: &[HistoryRecord], shared: &SharedBudgetBounds, most: f64) -> BoundReport {
+    let mut bound = BoundReport::default();
+    let ended = |r: &HistoryRecord| match r.event {
+        HistoryEvent::AttemptFinished { worker, .. } => Some((r.at - 2.0 * shared.lag, worker, -1.0)),
         _ => None,
     };
-    let began = |r: &Record| match r.saw {
-        Saw::Came { worker, .. } => Some((r.at, worker, 1.0)),
+    let began = |r: &HistoryRecord| match r.event {
+        HistoryEvent::AttemptReceived { worker, .. } => Some((r.at, worker, 1.0)),
         _ => None,
     };
     let mut events: Vec<(f64, usize, f64)> =
--- a/crates/history-checker/src/budgets/tests.rs
+++ b/crates/history-checker/src/budgets/tests.rs
@@ -1,39 +1,42 @@
 use super::*;
-use crate::{Effect, Terms, bounds};
+use crate::{Idempotency, RuleParameters, bounds};
 use test_case::test_case;
 
-fn shared() -> Shared {
-    let terms = Terms {
+fn shared() -> SharedBudgetBounds {
+    let terms = RuleParameters {
         grace: 1.0,
-        cold_share: 0.2,
+        initial_capacity: 0.2,
         warm_up: 8.0,
-        tip_multiple: 2.5,
-        tip_window: 1.0,
-        ration: None,
+        overload_multiple: 2.5,
+        overload_window: 1.0,
+        load_rate_limit: None,
         lag: 0.0,
     };
-    Shared {
+    SharedBudgetBounds {
         gateways: 2,
-        ration: Some((10.0, 2.0, 0.0)),
+        load_rate_limit: Some((10.0, 2.0, 0.0)),
         retries: Some((10.0, 3.0, 0.0)),
         ceilings: vec![Some(10.0)],
         in_flight: Some(3.0),
-        terms,
+        rules: terms,
         lag: 0.0,
     }
 }
 
-fn broken(name: &str, mut records: Vec<Record>) -> u64 {
+fn broken(name: &str, mut records: Vec<HistoryRecord>) -> u64 {
     records.sort_by(|a, b| a.at.total_cmp(&b.at));
     bounds(&records, &shared())[name].broken
 }
 
-fn ordered(times: &[f64]) -> Vec<Record> {
-    times.iter().map(|at| Record { at: *at, saw: Saw::Ordered { gateway: 0, worker: 0 } }).collect()
+fn ordered(times: &[f64]) -> Vec<HistoryRecord> {
+    times
+        .iter()
+        .map(|at| HistoryRecord { at: *at, event: HistoryEvent::LoadRequested { gateway: 0, worker: 0 } })
+        .collect()
 }
 
-fn killed(at: f64) -> Record {
-    Record { at, saw: Saw::Killed { gateway: 0 } }
+fn killed(at: f64) -> HistoryRecord {
+    HistoryRecord { at, event: HistoryEvent::GatewayKilled { gateway: 0 } }
 }
 
 /// One may use what the other leaves; together they have no more than their sum, and one part more for each process
@@ -48,11 +51,14 @@
     assert_eq!(broken("orders", records), 1);
 }
 
-fn call(call: u64, at: f64, shots: usize) -> Vec<Record> {
-    let (importance, due, trouble, effect) = (1.0, 1.0, None, Effect::Pure);
-    let mut saw = vec![Saw::Call { call, group: 0, importance, due, effect, trouble }];
-    saw.resize(1 + shots, Saw::Came { call, attempt: 0, gateway: 0, worker: 0, work: 0.01 });
-    saw.into_iter().map(|saw| Record { at, saw }).collect()
+fn call(call: u64, at: f64, shots: usize) -> Vec<HistoryRecord> {
+    let (importance, due, fault, effect) = (1.0, 1.0, None, Idempotency::Idempotent);
+    let mut event = vec![HistoryEvent::RequestIssued { call, group: 0, importance, due, effect, fault }];
+    event.resize(
+        1 + shots,
+        HistoryEvent::AttemptReceived { call, attempt: 0, gateway: 0, worker: 0, work: 0.01 },
+    );
+    event.into_iter().map(|event| HistoryRecord { at, event }).collect()
 }
 
 #[test_case(5, 1, 0; "one shot each")]
@@ -75,7 +81,7 @@
 fn shots_at_a_worker_count_until_they_are_over() {
     let mut records: Vec<_> = (0..4).flat_map(|n| call(n, n as f64, 1)).collect();
     assert_eq!(broken("in-flight", records.clone()), 1);
-    records.push(Record { at: 2.5, saw: Saw::Over { gateway: 0, worker: 0 } });
+    records.push(HistoryRecord { at: 2.5, event: HistoryEvent::AttemptFinished { gateway: 0, worker: 0 } });
     assert_eq!(broken("in-flight", records), 0);
 }
 
@@ -83,12 +89,12 @@
 #[test_case(1; "of one gateway")]
 #[test_case(24; "of two dozen gateways")]
 fn light_calls_at_a_cold_worker_count(gateways: usize) {
-    let at = |at: f64, saw: Saw| Record { at, saw };
+    let at = |at: f64, event: HistoryEvent| HistoryRecord { at, event };
     let came = |n: usize, worker: usize, work: f64| {
         let gateway = n % gateways;
-        Saw::Came { call: n as u64, attempt: 0, gateway, worker, work }
+        HistoryEvent::AttemptReceived { call: n as u64, attempt: 0, gateway, worker, work }
     };
-    let started = |worker: usize, warm: bool| Saw::Started { worker, capacity: 16.0, warm };
+    let started = |worker: usize, warm: bool| HistoryEvent::WorkerStarted { worker, capacity: 16.0, warm };
     let mut records = vec![at(0.0, started(0, true)), at(1.0, started(1, false))];
     // 0.2 of its capacity, two and a half times for a second: 8 s of work, or 80 calls of the mean; 99.9 with the bound.
     records.extend((0..100_000).map(|n| at(0.5, came(n, 0, 0.1))));
--- a/crates/history-checker/src/fleet.rs
+++ b/crates/history-checker/src/fleet.rs
@@ -1,18 +1,18 @@
 //! What gateways that share things keep together: bounds over the whole fleet, and what it costs them to know each
 //! other. Like the rules it goes by what passed on the sockets of clients, workers and links alone.
 
-use crate::rules::{Window, cold};
-use crate::{Broken, Record, Saw, Terms, budgets};
+use crate::rules::{SlowStartWindow, slow_start_windows};
+use crate::{HistoryEvent, HistoryRecord, RuleParameters, Violation, budgets};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What the gateways of a day share.
 #[derive(Clone, Debug)]
-pub struct Shared {
+pub struct SharedBudgetBounds {
     /// Gateways that there may be.
     pub gateways: usize,
     /// The ration of each: window, free orders, orders for each activation taken. The fleet's is their sum.
-    pub ration: Option<(f64, f64, f64)>,
+    pub load_rate_limit: Option<(f64, f64, f64)>,
     /// Further shots of all: window, free ones, a share of one for each try taken.
     pub retries: Option<(f64, f64, f64)>,
     /// Calls a second that each client group may have sent at all.
@@ -20,7 +20,7 @@
     /// Shots at one worker.
     pub in_flight: Option<f64>,
     /// What a worker that started lately may be sent.
-    pub terms: Terms,
+    pub rules: RuleParameters,
     /// Seconds by which a stand-in's reading may lag behind what was written.
     pub lag: f64,
 }
@@ -31,16 +31,16 @@
 
 /// One bound: the case that came nearest to it or went furthest over it, and how often it was broken.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Bound {
+pub struct BoundReport {
     pub most: f64,
     pub bound: f64,
     pub broken: u64,
     /// The first places, for people.
     #[serde(skip)]
-    pub places: Vec<Broken>,
+    pub places: Vec<Violation>,
 }
 
-impl Bound {
+impl BoundReport {
     /// Places that are told.
     const PLACES: usize = 5;
 
@@ -51,26 +51,36 @@
         if seen > bound {
             self.broken += 1;
             if self.places.len() < Self::PLACES {
-                self.places.push(Broken { rule: 0, at, what: what() });
+                self.places.push(Violation { rule: 0, at, what: what() });
             }
         }
     }
 }
 
 /// All bounds by name. Records are in the order of time.
-pub fn bounds(records: &[Record], shared: &Shared) -> BTreeMap<&'static str, Bound> {
-    let mut bounds =
-        BTreeMap::from([("letter-bytes", Bound::default()), ("letters-a-second", Bound::default())]);
-    letters(records, &mut bounds);
-    let (mut work, mut calls) = (Bound::default(), Bound::default());
-    cold(records, &shared.terms, |Window { at, worker, shots, sum, most, most_shots, .. }| {
-        work.see(at, sum, most, || format!("worker {worker} was sent {sum:.2} s of work for {most:.2}"));
-        calls.see(at, shots as f64, most_shots, || {
-            format!("worker {worker} was sent {shots} calls for {most_shots:.1}")
-        });
-    });
+pub fn bounds(records: &[HistoryRecord], shared: &SharedBudgetBounds) -> BTreeMap<&'static str, BoundReport> {
+    let mut bounds = BTreeMap::from([
+        ("letter-bytes", BoundReport::default()),
+        ("letters-a-second", BoundReport::default()),
+    ]);
+    datagrams(records, &mut bounds);
+    let (mut work, mut calls) = (BoundReport::default(), BoundReport::default());
+    slow_start_windows(
+        records,
+        &shared.rules,
+        |SlowStartWindow { at, worker, shots, sum, most, most_shots, .. }| {
+            work.see(at, sum, most, || format!("worker {worker} was sent {sum:.2} s of work for {most:.2}"));
+            calls.see(at, shots as f64, most_shots, || {
+                format!("worker {worker} was sent {shots} calls for {most_shots:.1}")
+            });
+        },
+    );
     bounds.extend([("cold", work), ("cold-calls", calls)]);
-    bounds.extend(shared.ration.map(|ration| ("orders", budgets::orders(records, shared, ration))));
+    bounds.extend(
+        shared
+            .load_rate_limit
+            .map(|load_rate_limit| ("orders", budgets::orders(records, shared, load_rate_limit))),
+    );
     bounds.extend(shared.retries.map(|retries| ("retries", budgets::retries(records, shared, retries))));
     bounds.extend(shared.in_flight.map(|most| ("in-flight", budgets::in_flight(records, shared, most))));
     if shared.ceilings.iter().any(Option::is_some) {
@@ -80,16 +90,16 @@
 }
 
 /// The size of each letter, and what each gateway sends within ten seconds.
-fn letters(records: &[Record], bounds: &mut BTreeMap<&'static str, Bound>) {
+fn datagrams(records: &[HistoryRecord], bounds: &mut BTreeMap<&'static str, BoundReport>) {
     const WINDOW: f64 = 10.0;
     let mut sent: BTreeMap<usize, (VecDeque<(f64, usize)>, usize)> = BTreeMap::new();
-    for Record { at, saw } in records {
-        let Saw::Sent { gateway, bytes } = *saw else { continue };
-        let (letters, sum) = sent.entry(gateway).or_default();
-        letters.push_back((*at, bytes));
+    for HistoryRecord { at, event } in records {
+        let HistoryEvent::DatagramSent { gateway, bytes } = *event else { continue };
+        let (datagrams, sum) = sent.entry(gateway).or_default();
+        datagrams.push_back((*at, bytes));
         *sum += bytes;
-        while letters.front().is_some_and(|(when, _)| at - when > WINDOW) {
-            *sum -= letters.pop_front().map_or(0, |(_, bytes)| bytes);
+        while datagrams.front().is_some_and(|(when, _)| at - when > WINDOW) {
+            *sum -= datagrams.pop_front().map_or(0, |(_, bytes)| bytes);
         }
         let rate = *sum as f64 / WINDOW;
         if let Some(bound) = bounds.get_mut("letter-bytes") {
@@ -105,7 +115,7 @@
 
 /// Seconds that something took, over all gateways that it was about.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Times {
+pub struct DetectionTimes {
     pub p50: Option<f64>,
     pub p99: Option<f64>,
     /// How many learnt it, and how many that were there had not when the day ended.
@@ -113,7 +123,7 @@
     pub never: usize,
 }
 
-impl Times {
+impl DetectionTimes {
     fn of(times: impl IntoIterator<Item = Option<f64>>) -> Self {
         let (learnt, never): (Vec<_>, Vec<_>) = times.into_iter().partition(Option::is_some);
         let mut learnt: Vec<f64> = learnt.into_iter().flatten().collect();
@@ -126,16 +136,17 @@
 
 /// What knowing each other costs, and how soon what is known.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Known {
+pub struct MembershipObservations {
     /// Letters and bytes a second of a gateway, on average while it was up.
-    pub letters: f64,
+    #[serde(rename = "letters")]
+    pub datagrams: f64,
     pub bytes: f64,
     /// Times that a gateway told of another as suspect, or as dead, whose process ran.
     pub false_suspicions: usize,
     pub false_deaths: usize,
-    pub death: Times,
-    pub join: Times,
-    pub healing: Times,
+    pub death: DetectionTimes,
+    pub join: DetectionTimes,
+    pub healing: DetectionTimes,
 }
 
 /// A process's life, as far as the sockets tell.
@@ -147,36 +158,36 @@
 }
 
 /// What the gateways knew of each other on a day.
-pub fn known(records: &[Record], gateways: usize) -> Known {
+pub fn membership_observations(records: &[HistoryRecord], gateways: usize) -> MembershipObservations {
     let last = records.last().map_or(0.0, |r| r.at);
     let mut lives: Vec<Life> = Vec::new();
     let mut killed: Vec<(usize, f64)> = Vec::new();
     let mut still: BTreeSet<usize> = BTreeSet::new();
     let mut says: BTreeMap<(usize, u64), Vec<(f64, u8)>> = BTreeMap::new();
-    let mut known = Known::default();
-    let (mut letters, mut bytes, mut mended) = (0.0, 0.0, Vec::new());
-    for Record { at, saw } in records {
-        match *saw {
-            Saw::Lives { gateway, life } => {
+    let mut known = MembershipObservations::default();
+    let (mut datagrams, mut bytes, mut mended) = (0.0, 0.0, Vec::new());
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::IncarnationObserved { gateway, life } => {
                 lives.push(Life { number: life, gateway, from: *at, until: f64::INFINITY });
             }
-            Saw::Killed { gateway } => {
+            HistoryEvent::GatewayKilled { gateway } => {
                 killed.push((gateway, *at));
                 let ends = lives.iter_mut().filter(|l| l.gateway == gateway && l.until.is_infinite());
                 ends.for_each(|l| l.until = *at);
             }
-            Saw::Still { gateway } => {
+            HistoryEvent::GatewayPaused { gateway } => {
                 still.insert(gateway);
             }
-            Saw::Moves { gateway } => {
+            HistoryEvent::GatewayResumed { gateway } => {
                 still.remove(&gateway);
             }
-            Saw::Sent { bytes: size, .. } => {
-                letters += 1.0;
+            HistoryEvent::DatagramSent { bytes: size, .. } => {
+                datagrams += 1.0;
                 bytes += size as f64;
             }
-            Saw::Mended => mended.push(*at),
-            Saw::Says { gateway, about, life, state } => {
+            HistoryEvent::LinksHealed => mended.push(*at),
+            HistoryEvent::MemberStateReported { gateway, about, life, state } => {
                 let runs = lives.iter().any(|l| l.number == life && l.until.is_infinite());
                 if runs && !still.contains(&about) {
                     known.false_suspicions += usize::from(state == 1);
@@ -188,7 +199,7 @@
         }
     }
     let up: f64 = lives.iter().map(|l| l.until.min(last) - l.from).sum();
-    (known.letters, known.bytes) = (letters / up.max(1e-9), bytes / up.max(1e-9));
+    (known.datagrams, known.bytes) = (datagrams / up.max(1e-9), bytes / up.max(1e-9));
     // When a gateway, up from then on without a break, first said so.
     let first = |gateway: usize, life: u64, from: f64, such: &dyn Fn(u8) -> bool| {
         let up = lives.iter().find(|l| l.gateway == gateway && l.from <= from && from < l.until)?;
@@ -203,17 +214,17 @@
     };
     let others = |gateway: usize| (0..gateways).filter(move |other| *other != gateway);
     let deaths = lives.iter().filter(|l| l.until.is_finite());
-    known.death = Times::of(deaths.flat_map(|l| {
+    known.death = DetectionTimes::of(deaths.flat_map(|l| {
         others(l.gateway).filter_map(|other| first(other, l.number, l.until, &|state| state >= 2))
     }));
-    known.join = Times::of(lives.iter().flat_map(|l| {
+    known.join = DetectionTimes::of(lives.iter().flat_map(|l| {
         others(l.gateway).filter_map(|other| first(other, l.number, l.from, &|state| state == 0))
     }));
     let lost = |gateway: usize, life: u64, at: f64| {
         let before = says.get(&(gateway, life)).into_iter().flatten().take_while(|(when, _)| *when <= at);
         before.last().is_some_and(|(_, state)| *state >= 2)
     };
-    known.healing = Times::of(mended.iter().flat_map(|at| {
+    known.healing = DetectionTimes::of(mended.iter().flat_map(|at| {
         let there = lives.iter().filter(|l| l.from <= *at && *at < l.until);
         there.flat_map(|l| {
             let lost = others(l.gateway).filter(|other| lost(*other, l.number, *at));
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -1,4 +1,4 @@
-//! Checks the five rules for all gateways together and counts service. It goes by [`Record`]s taken where stand-ins
+//! Checks the five rules for all gateways together and counts service. It goes by [`HistoryRecord`]s taken where stand-ins
 //! read and wrote: the client's side, the worker's side, the registry's; never by a gateway's own word.
 //! Where gateways share things, bounds over all of them come beside the rules.
 
@@ -7,137 +7,115 @@
 mod rules;
 mod service;
 
-pub use fleet::{Bound, Known, Shared, Times, bounds, known};
+pub use fleet::{
+    BoundReport, DetectionTimes, MembershipObservations, SharedBudgetBounds, bounds, membership_observations,
+};
 
-pub use rules::{Broken, Terms, Window, check, cold, slow_start_limit};
-pub use service::{Account, Counts, count, latencies};
+pub use rules::{RuleParameters, SlowStartWindow, Violation, check, slow_start_limit, slow_start_windows};
+pub use service::{ServiceCounts, ServiceWeights, count_service, latencies};
 
 use serde::{Deserialize, Serialize};
 
 /// What passed at a stand-in, and when, in seconds of one clock for all of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct HistoryRecord {
     pub at: f64,
-    pub saw: Saw,
+    #[serde(rename = "saw")]
+    pub event: HistoryEvent,
 }
 
 /// How a try ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ended {
-    Handled,
-    Bounced,
-    Terminated,
+pub enum AttemptOutcome {
+    #[serde(rename = "Handled")]
+    Succeeded,
+    #[serde(rename = "Bounced")]
+    Rejected,
+    #[serde(rename = "Terminated")]
+    Failed,
     /// The gateway was not reached: nothing was taken.
-    Unreached,
+    #[serde(rename = "Unreached")]
+    Unreachable,
     /// The connection broke before an answer.
-    Broken,
+    #[serde(rename = "Broken")]
+    ConnectionLost,
     /// The client's time was up without an answer.
     Unanswered,
     /// The client left before its time, of its own.
-    Left,
+    #[serde(rename = "Left")]
+    Abandoned,
 }
 
 /// How harmful a repeat is, as the client knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Effect {
-    Pure,
-    Receipted,
-    Effectful,
+pub enum Idempotency {
+    #[serde(rename = "Pure")]
+    Idempotent,
+    #[serde(rename = "Receipted")]
+    IdempotentWithKey,
+    #[serde(rename = "Effectful")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Saw {
+pub enum HistoryEvent {
     /// A client sent a try. `call` is the same for all tries of one call.
-    Asked {
-        call: u64,
-        attempt: u32,
-        gateway: usize,
-        patience: f64,
-    },
+    #[serde(rename = "Asked")]
+    AttemptSent { call: u64, attempt: u32, gateway: usize, patience: f64 },
     /// What a call is worth, and to whom; once for each call, with its first try.
-    Call {
+    #[serde(rename = "Call")]
+    RequestIssued {
         call: u64,
         group: usize,
         importance: f64,
         due: f64,
-        effect: Effect,
-        trouble: Option<usize>,
+        effect: Idempotency,
+        #[serde(rename = "trouble")]
+        fault: Option<usize>,
     },
     /// A try ended at its client.
-    Ended {
-        call: u64,
-        attempt: u32,
-        gateway: usize,
-        how: Ended,
-    },
+    #[serde(rename = "Ended")]
+    AttemptEnded { call: u64, attempt: u32, gateway: usize, how: AttemptOutcome },
     /// A shot's head was read at a worker. `work` in seconds of one core of speed 1.
-    Came {
-        call: u64,
-        attempt: u32,
-        gateway: usize,
-        worker: usize,
-        work: f64,
-    },
+    #[serde(rename = "Came")]
+    AttemptReceived { call: u64, attempt: u32, gateway: usize, worker: usize, work: f64 },
     /// A shot that came is over at its worker: answered, or its connection is gone.
-    Over {
-        gateway: usize,
-        worker: usize,
-    },
+    #[serde(rename = "Over")]
+    AttemptFinished { gateway: usize, worker: usize },
     /// A worker ran the call: its effect happened, and was no repeat that it knew.
-    Ran {
-        call: u64,
-        worker: usize,
-    },
+    #[serde(rename = "Ran")]
+    RequestExecuted { call: u64, worker: usize },
     /// An order to load was read at a worker.
-    Ordered {
-        gateway: usize,
-        worker: usize,
-    },
+    #[serde(rename = "Ordered")]
+    LoadRequested { gateway: usize, worker: usize },
     /// A worker process started, with what it can do when warm, in seconds of work a second; warm ones began long
     /// ago.
-    Started {
-        worker: usize,
-        capacity: f64,
-        warm: bool,
-    },
+    #[serde(rename = "Started")]
+    WorkerStarted { worker: usize, capacity: f64, warm: bool },
     /// A line of the list was written to a gateway.
-    Told {
-        gateway: usize,
-        worker: usize,
-        ready: bool,
-    },
+    #[serde(rename = "Told")]
+    EndpointNotified { gateway: usize, worker: usize, ready: bool },
     /// A gateway process was killed outright, or is there again.
-    Killed {
-        gateway: usize,
-    },
-    Back {
-        gateway: usize,
-    },
+    #[serde(rename = "Killed")]
+    GatewayKilled { gateway: usize },
+    #[serde(rename = "Back")]
+    GatewayRestarted { gateway: usize },
     /// A gateway process was made to stand still, or moves again.
-    Still {
-        gateway: usize,
-    },
-    Moves {
-        gateway: usize,
-    },
+    #[serde(rename = "Still")]
+    GatewayPaused { gateway: usize },
+    #[serde(rename = "Moves")]
+    GatewayResumed { gateway: usize },
     /// A letter of a gateway to another was read on its link.
-    Sent {
-        gateway: usize,
-        bytes: usize,
-    },
+    #[serde(rename = "Sent")]
+    DatagramSent { gateway: usize, bytes: usize },
     /// The first letter of a process: it goes by this number.
-    Lives {
-        gateway: usize,
-        life: u64,
-    },
+    #[serde(rename = "Lives")]
+    IncarnationObserved { gateway: usize, life: u64 },
     /// A gateway said in a letter how it takes the process of that number to stand, and had not said so before: 0
     /// alive, 1 suspect, 2 dead, 3 left.
-    Says {
-        gateway: usize,
-        about: usize,
-        life: u64,
-        state: u8,
-    },
+    #[serde(rename = "Says")]
+    MemberStateReported { gateway: usize, about: usize, life: u64, state: u8 },
     /// Links that were cut carry letters again.
-    Mended,
+    #[serde(rename = "Mended")]
+    LinksHealed,
 }
--- a/crates/history-checker/src/rules.rs
+++ b/crates/history-checker/src/rules.rs
@@ -1,35 +1,35 @@
 //! The five rules. Each check walks the records once, in the order of time, with tables bounded by the records.
 
-use crate::{Effect, Ended, Record, Saw};
+use crate::{AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The figures that the rules state, and how exactly sockets can be watched.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct RuleParameters {
     /// Seconds after word of a drain past which nothing new is sent.
     pub grace: f64,
     /// A cold worker's part of its capacity at the start, and the seconds until it is warm.
-    pub cold_share: f64,
+    pub initial_capacity: f64,
     pub warm_up: f64,
     /// Sent more than this multiple of what it can do, for so many seconds, a cold worker falls over.
-    pub tip_multiple: f64,
-    pub tip_window: f64,
+    pub overload_multiple: f64,
+    pub overload_window: f64,
     /// Orders to load: window, free ones, and orders for each activation taken.
-    pub ration: Option<(f64, f64, f64)>,
+    pub load_rate_limit: Option<(f64, f64, f64)>,
     /// Seconds by which a stand-in's reading may lag behind what was written.
     pub lag: f64,
 }
 
 /// One place where a rule is broken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: u8,
     pub at: f64,
     pub what: String,
 }
 
 /// All places where a rule is broken. Records are in the order of time.
-pub fn check(records: &[Record], terms: &Terms) -> Vec<Broken> {
+pub fn check(records: &[HistoryRecord], terms: &RuleParameters) -> Vec<Violation> {
     let mut broken = Vec::new();
     answered_once(records, terms, &mut broken);
     no_effect_twice(records, &mut broken);
@@ -41,7 +41,7 @@
 }
 
 /// When a try was asked, and when and how it ended.
-type Tries = BTreeMap<(u64, u32), (f64, Option<(f64, Ended)>)>;
+type Tries = BTreeMap<(u64, u32), (f64, Option<(f64, AttemptOutcome)>)>;
 
 /// Seconds after a client has closed or cancelled in which an attempt for it may still begin.
 const CLIENT_GONE: f64 = 0.1;
@@ -49,33 +49,33 @@
 /// Rule 1: every try that a gateway took gets one final answer within the client's time, and nothing is sent for
 /// it afterwards; once its client has gone for 0.1 s at the most, however late the stand-ins of a day may be. A try whose
 /// gateway was killed meanwhile is its client's to repeat.
-fn answered_once(records: &[Record], terms: &Terms, broken: &mut Vec<Broken>) {
+fn answered_once(records: &[HistoryRecord], terms: &RuleParameters, broken: &mut Vec<Violation>) {
     let mut killed: BTreeMap<usize, f64> = BTreeMap::new();
     // When a gateway last moved again after it had stood still; endless while it does.
     let mut moved: BTreeMap<usize, f64> = BTreeMap::new();
     let mut tries: Tries = BTreeMap::new();
-    for Record { at, saw } in records {
-        match *saw {
-            Saw::Killed { gateway } => {
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::GatewayKilled { gateway } => {
                 killed.insert(gateway, *at);
             }
-            Saw::Still { gateway } => {
+            HistoryEvent::GatewayPaused { gateway } => {
                 moved.insert(gateway, f64::INFINITY);
             }
-            Saw::Moves { gateway } => {
+            HistoryEvent::GatewayResumed { gateway } => {
                 moved.insert(gateway, *at);
             }
-            Saw::Asked { call, attempt, .. } => {
+            HistoryEvent::AttemptSent { call, attempt, .. } => {
                 let twice = tries.insert((call, attempt), (*at, None));
-                broken.extend(twice.map(|_| Broken {
+                broken.extend(twice.map(|_| Violation {
                     rule: 1,
                     at: *at,
                     what: format!("call {call}.{attempt} asked twice"),
                 }));
             }
-            Saw::Ended { call, attempt, gateway, how } => {
+            HistoryEvent::AttemptEnded { call, attempt, gateway, how } => {
                 let Some((asked, ended)) = tries.get_mut(&(call, attempt)) else {
-                    broken.push(Broken {
+                    broken.push(Violation {
                         rule: 1,
                         at: *at,
                         what: format!("call {call}.{attempt} ended unasked"),
@@ -84,21 +84,24 @@
                 };
                 if let Some((_, before)) = ended.replace((*at, how)) {
                     let what = format!("call {call}.{attempt} ended as {before:?} and again as {how:?}");
-                    broken.push(Broken { rule: 1, at: *at, what });
+                    broken.push(Violation { rule: 1, at: *at, what });
                 }
                 let fell = killed.get(&gateway).is_some_and(|k| *k >= *asked - terms.lag);
                 // While it stands still no process can answer; what is due as it moves is due at once.
-                let stood = how == Ended::Unanswered
+                let stood = how == AttemptOutcome::Unanswered
                     && moved.get(&gateway).is_some_and(|m| *m >= at - 2.0 * terms.lag);
-                if matches!(how, Ended::Unanswered | Ended::Broken) && !fell && !stood {
+                if matches!(how, AttemptOutcome::Unanswered | AttemptOutcome::ConnectionLost)
+                    && !fell
+                    && !stood
+                {
                     let what = format!("call {call}.{attempt} at gateway {gateway} got no answer: {how:?}");
-                    broken.push(Broken { rule: 1, at: *at, what });
+                    broken.push(Violation { rule: 1, at: *at, what });
                 }
             }
-            Saw::Came { call, attempt, gateway, worker, .. } => {
+            HistoryEvent::AttemptReceived { call, attempt, gateway, worker, .. } => {
                 let ended = tries.get(&(call, attempt)).and_then(|(_, ended)| *ended);
                 let slack = |how| match how {
-                    Ended::Left | Ended::Unanswered => terms.lag.min(CLIENT_GONE),
+                    AttemptOutcome::Abandoned | AttemptOutcome::Unanswered => terms.lag.min(CLIENT_GONE),
                     _ => terms.lag,
                 };
                 if let Some((when, how)) = ended.filter(|(when, how)| at - when > slack(*how)) {
@@ -107,7 +110,7 @@
                         "call {call}.{attempt} was {how:?}, and {late:.3} s later gateway {gateway} sent it to \
                          worker {worker}"
                     );
-                    broken.push(Broken { rule: 1, at: *at, what });
+                    broken.push(Violation { rule: 1, at: *at, what });
                 }
             }
             _ => {}
@@ -117,46 +120,48 @@
     for ((call, attempt), (asked, ended)) in tries {
         if ended.is_none() {
             let what = format!("call {call}.{attempt} of {asked:.3} s has no end");
-            broken.push(Broken { rule: 1, at: last, what });
+            broken.push(Violation { rule: 1, at: last, what });
         }
     }
 }
 
 /// Rule 2: no effectful or receipted call runs twice, and a bounce means that nothing ran.
-fn no_effect_twice(records: &[Record], broken: &mut Vec<Broken>) {
-    let mut effects: BTreeMap<u64, Effect> = BTreeMap::new();
+fn no_effect_twice(records: &[HistoryRecord], broken: &mut Vec<Violation>) {
+    let mut effects: BTreeMap<u64, Idempotency> = BTreeMap::new();
     let mut ran: BTreeMap<u64, usize> = BTreeMap::new();
     let mut bounced: BTreeMap<u64, f64> = BTreeMap::new();
     let mut tries: BTreeMap<u64, u32> = BTreeMap::new();
-    for Record { at, saw } in records {
-        match *saw {
-            Saw::Call { call, effect, .. } => {
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::RequestIssued { call, effect, .. } => {
                 effects.insert(call, effect);
             }
-            Saw::Asked { call, attempt, .. } => {
+            HistoryEvent::AttemptSent { call, attempt, .. } => {
                 tries.insert(call, attempt);
             }
-            Saw::Ran { call, worker } => {
-                let effect = effects.get(&call).copied().unwrap_or(Effect::Effectful);
+            HistoryEvent::RequestExecuted { call, worker } => {
+                let effect = effects.get(&call).copied().unwrap_or(Idempotency::NonIdempotent);
                 let times = ran.entry(call).or_default();
                 *times += 1;
-                if effect != Effect::Pure && *times > 1 {
+                if effect != Idempotency::Idempotent && *times > 1 {
                     let what =
                         format!("{effect:?} call {call} ran for the {times}th time, on worker {worker}");
-                    broken.push(Broken { rule: 2, at: *at, what });
+                    broken.push(Violation { rule: 2, at: *at, what });
                 }
-                if effect == Effect::Effectful && bounced.contains_key(&call) && tries.get(&call) == Some(&0)
+                if effect == Idempotency::NonIdempotent
+                    && bounced.contains_key(&call)
+                    && tries.get(&call) == Some(&0)
                 {
                     let what = format!("effectful call {call} ran on worker {worker} after it was bounced");
-                    broken.push(Broken { rule: 2, at: *at, what });
+                    broken.push(Violation { rule: 2, at: *at, what });
                 }
             }
-            Saw::Ended { call, how: Ended::Bounced, .. } => {
+            HistoryEvent::AttemptEnded { call, how: AttemptOutcome::Rejected, .. } => {
                 bounced.insert(call, *at);
-                let effectful = effects.get(&call) == Some(&Effect::Effectful);
+                let effectful = effects.get(&call) == Some(&Idempotency::NonIdempotent);
                 if effectful && ran.contains_key(&call) {
                     let what = format!("effectful call {call} was bounced though it had run");
-                    broken.push(Broken { rule: 2, at: *at, what });
+                    broken.push(Violation { rule: 2, at: *at, what });
                 }
             }
             _ => {}
@@ -165,25 +170,25 @@
 }
 
 /// Rule 3: no shot or order to a worker later than the grace after the gateway was told that it drains or is gone.
-fn drains_kept(records: &[Record], terms: &Terms, broken: &mut Vec<Broken>) {
+fn drains_kept(records: &[HistoryRecord], terms: &RuleParameters, broken: &mut Vec<Violation>) {
     let mut told: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-    for Record { at, saw } in records {
-        let (gateway, worker, kind) = match *saw {
-            Saw::Told { gateway, worker, ready: true } => {
+    for HistoryRecord { at, event } in records {
+        let (gateway, worker, kind) = match *event {
+            HistoryEvent::EndpointNotified { gateway, worker, ready: true } => {
                 told.remove(&(gateway, worker));
                 continue;
             }
-            Saw::Told { gateway, worker, ready: false } => {
+            HistoryEvent::EndpointNotified { gateway, worker, ready: false } => {
                 told.entry((gateway, worker)).or_insert(*at);
                 continue;
             }
             // A new process knows nothing of what the old one was told.
-            Saw::Killed { gateway } => {
+            HistoryEvent::GatewayKilled { gateway } => {
                 told.retain(|(g, _), _| *g != gateway);
                 continue;
             }
-            Saw::Came { gateway, worker, .. } => (gateway, worker, "a shot"),
-            Saw::Ordered { gateway, worker } => (gateway, worker, "an order"),
+            HistoryEvent::AttemptReceived { gateway, worker, .. } => (gateway, worker, "a shot"),
+            HistoryEvent::LoadRequested { gateway, worker } => (gateway, worker, "an order"),
             _ => continue,
         };
         if let Some(when) = told.get(&(gateway, worker)).filter(|when| at - **when > terms.grace + terms.lag)
@@ -191,7 +196,7 @@
             let late = at - when;
             let what =
                 format!("{kind} of gateway {gateway} came to worker {worker}, {late:.3} s after its drain");
-            broken.push(Broken { rule: 3, at: *at, what });
+            broken.push(Violation { rule: 3, at: *at, what });
         }
     }
 }
@@ -199,19 +204,23 @@
 /// Rule 4: what all gateways send a worker that started lately stays, over any window, within the multiple of what
 /// it can do at that moment: by the work of the calls, and by their number. It binds however few or many gateways there
 /// are, and whether or not they had been notified of the start.
-fn cold_not_pushed_over(records: &[Record], terms: &Terms, broken: &mut Vec<Broken>) {
+fn cold_not_pushed_over(records: &[HistoryRecord], terms: &RuleParameters, broken: &mut Vec<Violation>) {
     let mut fallen: BTreeMap<usize, f64> = BTreeMap::new();
-    cold(records, terms, |Window { at, worker, shots, sum, most, most_shots, .. }| {
-        let over = sum > most || shots as f64 > most_shots;
-        // It has fallen once, until it starts anew.
-        if over && fallen.insert(worker, at).is_none_or(|before| at - before > terms.warm_up) {
-            let what = format!(
-                "worker {worker} was sent {sum:.2} s of work while cold, for {most:.2}, in {shots} calls, for \
+    slow_start_windows(
+        records,
+        terms,
+        |SlowStartWindow { at, worker, shots, sum, most, most_shots, .. }| {
+            let over = sum > most || shots as f64 > most_shots;
+            // It has fallen once, until it starts anew.
+            if over && fallen.insert(worker, at).is_none_or(|before| at - before > terms.warm_up) {
+                let what = format!(
+                    "worker {worker} was sent {sum:.2} s of work while cold, for {most:.2}, in {shots} calls, for \
                  {most_shots:.1}"
-            );
-            broken.push(Broken { rule: 4, at, what });
-        }
-    });
+                );
+                broken.push(Violation { rule: 4, at, what });
+            }
+        },
+    );
 }
 
 /// Calls of mean work within one window at which a worker in slow start falls over, where the settings allow it `allowed`.
@@ -224,7 +233,7 @@
 /// What a cold worker was sent in the stated window up to a shot: how many shots, of how much work; what it may be by its
 /// budget, and the most that chance beyond that explains, in work and in shots of mean work.
 #[derive(Clone, Copy, Debug)]
-pub struct Window {
+pub struct SlowStartWindow {
     pub at: f64,
     pub worker: usize,
     pub shots: usize,
@@ -235,7 +244,11 @@
 }
 
 /// The windows of workers that started lately: one at each shot that came.
-pub fn cold(records: &[Record], terms: &Terms, mut see: impl FnMut(Window)) {
+pub fn slow_start_windows(
+    records: &[HistoryRecord],
+    terms: &RuleParameters,
+    mut see: impl FnMut(SlowStartWindow),
+) {
     /// Shots of chance beyond the budget: work is known by its mean alone.
     const CHANCE: f64 = 3.0;
     struct Cold {
@@ -246,15 +259,15 @@
     }
     let mut cold: BTreeMap<usize, Cold> = BTreeMap::new();
     let (mut works, mut shots) = (0.0, 0.0);
-    for Record { at, saw } in records {
-        match *saw {
-            Saw::Started { worker, warm: true, .. } => {
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::WorkerStarted { worker, warm: true, .. } => {
                 cold.remove(&worker);
             }
-            Saw::Started { worker, capacity, warm: false } => {
+            HistoryEvent::WorkerStarted { worker, capacity, warm: false } => {
                 cold.insert(worker, Cold { started: *at, capacity, sent: VecDeque::new(), sum: 0.0 });
             }
-            Saw::Came { worker, work, .. } => {
+            HistoryEvent::AttemptReceived { worker, work, .. } => {
                 works += work;
                 shots += 1.0;
                 let Some(c) = cold.get_mut(&worker) else { continue };
@@ -265,14 +278,23 @@
                 }
                 c.sent.push_back((*at, work));
                 c.sum += work;
-                while c.sent.front().is_some_and(|(when, _)| at - when > terms.tip_window) {
+                while c.sent.front().is_some_and(|(when, _)| at - when > terms.overload_window) {
                     c.sum -= c.sent.pop_front().map_or(0.0, |(_, work)| work);
                 }
-                let warmth = terms.cold_share + (1.0 - terms.cold_share) * age / terms.warm_up.max(1e-9);
-                let budget = terms.tip_multiple * c.capacity * warmth * terms.tip_window;
+                let warmth =
+                    terms.initial_capacity + (1.0 - terms.initial_capacity) * age / terms.warm_up.max(1e-9);
+                let budget = terms.overload_multiple * c.capacity * warmth * terms.overload_window;
                 let mean = works / shots;
                 let (most, most_shots) = (budget + CHANCE * mean, slow_start_limit(budget / mean.max(1e-9)));
-                see(Window { at: *at, worker, shots: c.sent.len(), sum: c.sum, budget, most, most_shots });
+                see(SlowStartWindow {
+                    at: *at,
+                    worker,
+                    shots: c.sent.len(),
+                    sum: c.sum,
+                    budget,
+                    most,
+                    most_shots,
+                });
             }
             _ => {}
         }
@@ -281,18 +303,18 @@
 
 /// Rule 5: at each order of a gateway, its orders within the window stay within the free ones and the share of what
 /// it took.
-fn orders_rationed(records: &[Record], terms: &Terms, broken: &mut Vec<Broken>) {
-    let Some((window, free, share)) = terms.ration else { return };
+fn orders_rationed(records: &[HistoryRecord], terms: &RuleParameters, broken: &mut Vec<Violation>) {
+    let Some((window, free, share)) = terms.load_rate_limit else { return };
     let mut taken: BTreeMap<usize, VecDeque<f64>> = BTreeMap::new();
     let mut orders: BTreeMap<usize, VecDeque<f64>> = BTreeMap::new();
-    for Record { at, saw } in records {
-        match *saw {
-            Saw::Killed { gateway } => {
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::GatewayKilled { gateway } => {
                 taken.remove(&gateway);
                 orders.remove(&gateway);
             }
-            Saw::Asked { gateway, .. } => taken.entry(gateway).or_default().push_back(*at),
-            Saw::Ordered { gateway, .. } => {
+            HistoryEvent::AttemptSent { gateway, .. } => taken.entry(gateway).or_default().push_back(*at),
+            HistoryEvent::LoadRequested { gateway, .. } => {
                 let ordered = orders.entry(gateway).or_default();
                 ordered.push_back(*at);
                 // What lags behind may have been sent up to so much earlier, within another window.
@@ -309,7 +331,7 @@
                     let what = format!(
                         "gateway {gateway} gave {count} orders within {window} s, for {most:.1} at most"
                     );
-                    broken.push(Broken { rule: 5, at: *at, what });
+                    broken.push(Violation { rule: 5, at: *at, what });
                 }
             }
             _ => {}
--- a/crates/milletpath/benches/cores.rs
+++ b/crates/milletpath/benches/cores.rs
@@ -8,7 +8,7 @@
 mod load;
 
 use load::{closed, cpu, gateway, open_loop, workers};
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use nix::sched::{CpuSet, sched_setaffinity};
 use nix::unistd::Pid;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 }
 
 /// CPU used by each core's thread, in hundredths of a second.
-fn by_core(under: &Running) -> Vec<f64> {
+fn by_core(under: &GatewayProcess) -> Vec<f64> {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", under.child.id())).expect("its threads");
     let ticks = |path: std::path::PathBuf| {
         let text = std::fs::read_to_string(path.join("stat")).ok()?;
@@ -45,7 +45,7 @@
     assert!(all >= 4, "four processors are needed: two for the load");
     on(all - 2..all);
     let workers: Vec<SocketAddr> = workers(2).into_iter().chain(workers(2)).collect();
-    let mut gateways: Vec<Running> = CORES
+    let mut gateways: Vec<GatewayProcess> = CORES
         .iter()
         .map(|&cores| {
             on(0..if cores <= 2 { cores } else { all });
--- a/crates/milletpath/benches/load/mod.rs
+++ b/crates/milletpath/benches/load/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each bench uses a part of it")]
 
 use hdrhistogram::Histogram;
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -68,13 +68,13 @@
     told.iter().collect()
 }
 
-pub fn start(mut command: Command) -> Running {
+pub fn start(mut command: Command) -> GatewayProcess {
     command.stderr(Stdio::null());
-    Running::start(command).expect("it starts")
+    GatewayProcess::start(command).expect("it starts")
 }
 
 /// Seconds of CPU that a process used so far.
-pub fn cpu(under: &Running) -> f64 {
+pub fn cpu(under: &GatewayProcess) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{}/stat", under.child.id())).unwrap_or_default();
     let fields: Vec<_> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |n: usize| fields.get(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
@@ -153,12 +153,12 @@
     })
 }
 
-pub fn gateway(workers: &[SocketAddr], cores: usize) -> Running {
+pub fn gateway(workers: &[SocketAddr], cores: usize) -> GatewayProcess {
     gateway_of(env!("CARGO_BIN_EXE_milletpath"), workers, &format!("cores = {cores}\n"))
 }
 
 /// Another build of the program, whose charter may know other keys.
-pub fn gateway_of(program: &str, workers: &[SocketAddr], keys: &str) -> Running {
+pub fn gateway_of(program: &str, workers: &[SocketAddr], keys: &str) -> GatewayProcess {
     let name = format!("milletpath-bench-{}-{}.hcl", std::process::id(), keys.trim().replace([' ', '='], ""));
     let path = std::env::temp_dir().join(name);
     let lines: String = workers
--- a/crates/milletpath/benches/memory.rs
+++ b/crates/milletpath/benches/memory.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p milletpath --bench memory`; the limit of open files is raised where that is allowed, and the count
 //! of connections follows it.
 
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -41,7 +41,7 @@
     address
 }
 
-fn gateway(worker: SocketAddr) -> Running {
+fn gateway(worker: SocketAddr) -> GatewayProcess {
     let path = std::env::temp_dir().join(format!("milletpath-memory-{}.hcl", std::process::id()));
     let text = format!(
         "listen = \"127.0.0.1:0\"\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{ lanes = 64 }}\n\
@@ -50,7 +50,7 @@
     std::fs::write(&path, text).expect("a charter");
     let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
     command.arg("serve").arg("--charter").arg(&path).stderr(Stdio::null());
-    Running::start(command).expect("the gateway starts")
+    GatewayProcess::start(command).expect("the gateway starts")
 }
 
 /// Resident memory in MB.
--- a/crates/milletpath/benches/peers.rs
+++ b/crates/milletpath/benches/peers.rs
@@ -5,7 +5,7 @@
 mod load;
 
 use load::{open_loop, workers};
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -27,14 +27,14 @@
     path
 }
 
-fn gateway(charter: &Path) -> Running {
+fn gateway(charter: &Path) -> GatewayProcess {
     let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
     command.arg("serve").arg("--charter").arg(charter);
     load::start(command)
 }
 
 /// Seconds of CPU of a process's thread of that name.
-fn thread_cpu(under: &Running, name: &str) -> f64 {
+fn thread_cpu(under: &GatewayProcess, name: &str) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", under.child.id())).expect("it runs");
     for task in tasks.map_while(Result::ok) {
         let text = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
--- a/crates/milletpath/src/day.rs
+++ b/crates/milletpath/src/day.rs
@@ -1,8 +1,8 @@
-//! `milletpath day`: plays a scripted day through real sockets and prints rules and service.
+//! `milletpath scenario`: plays a scripted day through real sockets and prints rules and service.
 
-use milletpath_emulator::day::{Played, Stage, play};
-use milletpath_emulator::script::{self, Day};
-use milletpath_history_checker::{Bound, Counts, Times};
+use milletpath_emulator::scenario::{RunOptions, ScenarioReport, play};
+use milletpath_emulator::scenario_file::{self, Scenario};
+use milletpath_history_checker::{BoundReport, DetectionTimes, ServiceCounts};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -14,24 +14,24 @@
     pub lag: f64,
     pub cores: Option<u8>,
     /// A fault that all gateways are started with.
-    pub plant: Option<&'a str>,
+    pub injected_fault: Option<&'a str>,
     /// Where the records go, one a line.
     pub records: Option<&'a Path>,
 }
 
 pub fn day(asked: &Asked<'_>) -> ExitCode {
-    let mut day = match script::open(asked.file) {
-        Ok(day) => day,
+    let mut scenario = match scenario_file::open(asked.file) {
+        Ok(scenario) => scenario,
         Err(mistakes) => {
             mistakes.iter().for_each(|mistake| eprintln!("{mistake}"));
             return ExitCode::from(2);
         }
     };
-    day.seed = asked.seed.unwrap_or(day.seed);
-    day.cores = asked.cores.map(usize::from).or(day.cores);
-    match staged(&day, asked) {
+    scenario.seed = asked.seed.unwrap_or(scenario.seed);
+    scenario.cores = asked.cores.map(usize::from).or(scenario.cores);
+    match staged(&scenario, asked) {
         Ok(played) => {
-            print(&day, &played, asked.json);
+            print(&scenario, &played, asked.json);
             if played.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
         Err(e) => {
@@ -41,13 +41,18 @@
     }
 }
 
-fn staged(day: &Day, asked: &Asked<'_>) -> std::io::Result<Played> {
+fn staged(scenario: &Scenario, asked: &Asked<'_>) -> std::io::Result<ScenarioReport> {
     let folder = std::env::temp_dir().join(format!("milletpath-day-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let program = std::env::current_exe()?;
-    let stage =
-        Stage { program: &program, folder: &folder, seed: day.seed, lag: asked.lag, plant: asked.plant };
-    let played = play(day, &stage);
+    let stage = RunOptions {
+        program: &program,
+        folder: &folder,
+        seed: scenario.seed,
+        lag: asked.lag,
+        injected_fault: asked.injected_fault,
+    };
+    let played = play(scenario, &stage);
     if let (Ok(played), Some(path)) = (&played, asked.records) {
         let lines: Vec<_> = played.records.iter().filter_map(|r| serde_json::to_string(r).ok()).collect();
         std::fs::write(path, lines.join("\n"))?;
@@ -60,7 +65,7 @@
     played
 }
 
-fn line(name: &str, counts: &Counts) -> String {
+fn line(name: &str, counts: &ServiceCounts) -> String {
     format!(
         "{name:<16} {:>7} {:>8.3} {:>8} {:>6} {:>8} {:>10} {:>10}",
         counts.calls,
@@ -73,21 +78,21 @@
     )
 }
 
-fn print(day: &Day, played: &Played, json: bool) {
+fn print(scenario: &Scenario, played: &ScenarioReport, json: bool) {
     /// Broken places that are told in full.
     const MOST: usize = 20;
     let latencies = milletpath_history_checker::latencies(&played.records, [0.5, 0.99, 0.999]);
     if json {
-        let counts = |c: &Counts| {
+        let counts = |c: &ServiceCounts| {
             serde_json::json!({
                 "calls": c.calls, "service": c.service(), "handled": c.handled, "late": c.late,
                 "bounced": c.bounced, "terminated": c.terminated, "unanswered": c.unanswered,
             })
         };
-        let troubles: Vec<_> = played
-            .by_trouble
+        let faults: Vec<_> = played
+            .by_fault
             .iter()
-            .map(|(t, c)| serde_json::json!({"trouble": day.troubles[*t].name, "counts": counts(c)}))
+            .map(|(t, c)| serde_json::json!({"trouble": scenario.faults[*t].name, "counts": counts(c)}))
             .collect();
         let broken: Vec<_> = played
             .broken
@@ -95,7 +100,7 @@
             .map(|b| serde_json::json!({"rule": b.rule, "at": b.at, "what": b.what}))
             .collect();
         let mut report = serde_json::json!({
-            "day": day.name, "seed": day.seed, "whole": counts(&played.whole), "troubles": troubles,
+            "day": scenario.name, "seed": scenario.seed, "whole": counts(&played.whole), "troubles": faults,
             "fetches": played.fetches, "warm": played.warm, "refusals": played.refusals, "broken": broken, "latencies": latencies,
         });
         if let Some(known) = &played.known {
@@ -107,15 +112,15 @@
     }
     println!(
         "day {} with seed {}: {} calls, {} tries",
-        day.name, day.seed, played.whole.calls, played.whole.tries
+        scenario.name, scenario.seed, played.whole.calls, played.whole.tries
     );
     println!(
         "{:<16} {:>7} {:>8} {:>8} {:>6} {:>8} {:>10} {:>10}",
         "trouble", "calls", "service", "handled", "late", "bounced", "terminated", "unanswered"
     );
     println!("{}", line("whole day", &played.whole));
-    for (trouble, counts) in &played.by_trouble {
-        println!("{}", line(&day.troubles[*trouble].name, counts));
+    for (fault, counts) in &played.by_fault {
+        println!("{}", line(&scenario.faults[*fault].name, counts));
     }
     if let Some([p50, p99, p999]) = latencies {
         println!("handled tries took: p50 {p50:.3} s, p99 {p99:.3} s, p99.9 {p999:.3} s");
@@ -132,15 +137,18 @@
         println!("  rule {} at {:.3} s: {}", b.rule, b.at, b.what);
     }
     for (name, bound) in &played.bounds {
-        let Bound { most, bound, broken, places } = bound;
+        let BoundReport { most, bound, broken, places } = bound;
         println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {broken} times");
         places.iter().for_each(|b| println!("  at {:.3} s: {}", b.at, b.what));
     }
     if let Some(known) = &played.known {
-        println!("peers: {:.1} letters and {:.0} bytes a second of each gateway", known.letters, known.bytes);
+        println!(
+            "peers: {:.1} letters and {:.0} bytes a second of each gateway",
+            known.datagrams, known.bytes
+        );
         println!("  told wrongly: {} suspects, {} dead", known.false_suspicions, known.false_deaths);
         for (what, times) in [("death", &known.death), ("join", &known.join), ("healing", &known.healing)] {
-            let Times { p50, p99, learnt, never } = times;
+            let DetectionTimes { p50, p99, learnt, never } = times;
             if let (Some(p50), Some(p99)) = (p50, p99) {
                 println!(
                     "  {what} known after: p50 {p50:.2} s, p99 {p99:.2} s ({learnt} times; {never} not)"
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -183,7 +183,7 @@
         Wanted::ScaleHost => scale::host(),
         Wanted::Day { file, seed, json, lag, cores, plant, records } => {
             let (plant, records) = (plant.as_deref(), records.as_deref());
-            day::day(&day::Asked { file: &file, seed, json, lag, cores, plant, records })
+            day::day(&day::Asked { file: &file, seed, json, lag, cores, injected_fault: plant, records })
         }
     }
 }
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -5,7 +5,7 @@
 
 use fleet::Fleet;
 use json_fields::field_paths;
-use milletpath_emulator::relay::Fault;
+use milletpath_emulator::relay::LinkFault;
 use milletpath_membership::Reachability;
 use nix::sys::signal::Signal;
 use std::net::UdpSocket;
@@ -46,7 +46,7 @@
 #[test]
 fn a_partition_leaves_the_minority_its_floor_and_heals() {
     let fleet = Fleet::together(5);
-    let cut = fleet.relay.put(Fault::Cut(vec![0, 1]));
+    let cut = fleet.relay.put(LinkFault::Cut(vec![0, 1]));
     fleet.wait("each side takes the other for gone", |f| {
         (0..2).all(|n| f.knows(n, &[0, 1])) && (2..5).all(|n| f.knows(n, &[2, 3, 4]))
     });
@@ -66,7 +66,7 @@
 #[test]
 fn a_gateway_that_receives_nothing_falls_to_its_floor() {
     let fleet = Fleet::together(5);
-    let deaf = fleet.relay.put(Fault::Deaf(vec![2]));
+    let deaf = fleet.relay.put(LinkFault::Deaf(vec![2]));
     fleet.wait("it knows that it hears nothing", |f| hears(f, 2) == Some(Reachability::Nobody));
     let view = fleet.view(2).unwrap();
     assert_eq!((view.quorum_seconds, view.likely_gateways), (0.0, 5.0));
@@ -132,7 +132,7 @@
 #[test]
 fn losing_a_fifth_of_all_datagrams_declares_nobody_dead() {
     let fleet = Fleet::together(6);
-    let lost = fleet.relay.put(Fault::Lost(fleet.relay.links(), 0.2));
+    let lost = fleet.relay.put(LinkFault::Lost(fleet.relay.links(), 0.2));
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
         assert_eq!(fleet.said(n, "is declared dead"), 0, "{n}");
@@ -191,8 +191,8 @@
 #[test]
 fn garbage_and_replayed_datagrams_change_nothing() {
     let fleet = Fleet::together(3);
-    let garbage = fleet.relay.put(Fault::Garbage(fleet.relay.links(), 0.3));
-    let repeat = fleet.relay.put(Fault::Repeat(fleet.relay.links(), 0.5));
+    let garbage = fleet.relay.put(LinkFault::Garbage(fleet.relay.links(), 0.3));
+    let repeat = fleet.relay.put(LinkFault::Repeat(fleet.relay.links(), 0.5));
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let to = fleet.links[0].unwrap();
     let mut seed = 1u64;
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -121,8 +121,8 @@
     ) {
         let result = AttemptResult {
             outcome: response.outcome,
-            found: None,
-            company: response.concurrent_calls,
+            instance_state: None,
+            concurrent_requests: response.concurrent_calls,
             report: response.report,
             answers_client: false,
         };
--- a/crates/platform-router/tests/slow_start.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -2,8 +2,8 @@
 //! together send a worker in slow start has to stay under what it can take, however little each of them sends.
 //! Simulated with the dispatcher that the router runs.
 
-use milletpath_emulator::script;
-use milletpath_simulator::{Cold, cold, play};
+use milletpath_emulator::scenario_file;
+use milletpath_simulator::{SlowStartReport, play, slow_start_report};
 use std::path::Path;
 use test_case::test_case;
 
@@ -12,11 +12,12 @@
 #[test_case(48; "four dozen")]
 fn slow_start_bound_holds_with_dozens_of_routers(routers: usize) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
-    let mut day = script::open(&file).expect("a sound day");
-    (day.gateways, day.seconds) = (routers, 20.0);
-    (day.troubles[0].part, day.traffic.rate) = (0.9, 460.0);
+    let mut scenario = scenario_file::open(&file).expect("a sound day");
+    (scenario.gateways, scenario.seconds) = (routers, 20.0);
+    (scenario.faults[0].part, scenario.traffic.rate) = (0.9, 460.0);
     for seed in 1..=2 {
-        let Cold { of_bound, calls, .. } = cold(&day, &play(&day, seed, None).records);
+        let SlowStartReport { of_bound, calls, .. } =
+            slow_start_report(&scenario, &play(&scenario, seed, None).records);
         assert!(calls > 100, "seed {seed}: {calls} calls to workers in slow start");
         assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a worker in slow start may be sent");
     }
--- a/crates/scale-test/src/standins.rs
+++ b/crates/scale-test/src/standins.rs
@@ -2,7 +2,7 @@
 //! budgets which all gateways share are wanted where some are real.
 
 use crate::plan::Plan;
-use milletpath_emulator::small::{MAKE, hall};
+use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
 use milletpath_emulator::worker::Worker;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -29,10 +29,12 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let Ok(runtime) = runtime else { return };
             let work = async move {
-                let hall = hall(seed);
+                let context = context(seed);
                 let mut all = Vec::new();
                 for number in 0..workers {
-                    all.push(Worker::start(hall.clone(), number, 0, MAKE, -MAKE.warm_up, 1).await);
+                    all.push(
+                        Worker::start(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, 1).await,
+                    );
                 }
                 let all: io::Result<Vec<_>> = all.into_iter().collect();
                 let _ = tell.send(
--- a/crates/simulator/examples/cold.rs
+++ b/crates/simulator/examples/slow_start.rs
@@ -2,28 +2,28 @@
 //! beyond the budget, in parts of what is put down to chance. `cargo run --release -p milletpath-simulator --example cold --
 //! days/cold-fleet.hcl 200 20 30`: a day, seeds, numbers of gateways.
 
-mod asked;
+mod options;
 
-use asked::Asked;
-use milletpath_simulator::{Cold, cold, play};
+use milletpath_simulator::{SlowStartReport, play, slow_start_report};
+use options::Options;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let Some(Asked { day, seeds, gateways }) = asked::read() else { return ExitCode::from(2) };
+    let Some(Options { scenario, seeds, gateways }) = options::read() else { return ExitCode::from(2) };
     println!(
         "gateways  service  part of the budget: median  9 in 10  most  of the bound: median  9 in 10  most  past it"
     );
     for gateways in gateways {
-        let mut day = day.clone();
-        day.gateways = gateways;
+        let mut scenario = scenario.clone();
+        scenario.gateways = gateways;
         let mut service = 0.0;
-        let mut worst: Vec<Cold> = Vec::new();
+        let mut worst: Vec<SlowStartReport> = Vec::new();
         for seed in 1..=seeds {
-            let came = play(&day, seed, None);
+            let came = play(&scenario, seed, None);
             service += came.whole.service();
-            worst.push(cold(&day, &came.records));
+            worst.push(slow_start_report(&scenario, &came.records));
         }
-        let sorted = |of: &dyn Fn(&Cold) -> f64| {
+        let sorted = |of: &dyn Fn(&SlowStartReport) -> f64| {
             let mut all: Vec<f64> = worst.iter().map(of).collect();
             all.sort_by(f64::total_cmp);
             let at = |part: f64| all[(part * (all.len() - 1) as f64) as usize];
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -1,14 +1,14 @@
 //! Clients in simulated time, with the manners of those on sockets: open loop, patient for so long, and with tries of
 //! their own where that does no harm.
 
-use crate::town::{Next, Town, WAY};
-use milletpath_emulator::traffic::Planned;
-use milletpath_history_checker::{Effect, Ended, Saw};
+use crate::simulation::{Event, NETWORK_DELAY, Simulation};
+use milletpath_emulator::traffic::PlannedRequest;
+use milletpath_history_checker::{AttemptOutcome, HistoryEvent, Idempotency};
 use rand::Rng;
 
 /// One call, and the try that is under way.
 pub(crate) struct Call {
-    pub planned: Planned,
+    pub planned: PlannedRequest,
     attempt: u32,
     ended: bool,
     /// A worker ran it.
@@ -17,7 +17,7 @@
 }
 
 impl Call {
-    pub fn new(planned: Planned, receipted: bool) -> Self {
+    pub fn new(planned: PlannedRequest, receipted: bool) -> Self {
         Self { planned, attempt: 0, ended: true, ran: false, receipted }
     }
 
@@ -27,12 +27,12 @@
     }
 }
 
-impl Town<'_> {
+impl Simulation<'_> {
     /// Seconds that the client waits for a try that begins now.
     pub(crate) fn patience(&self, call: usize, attempt: u32) -> f64 {
         let planned = &self.calls[call].planned;
-        let left = self.day.profiles[planned.profile].cut_off - (self.now - planned.at);
-        if attempt == 0 { planned.patience } else { planned.patience.min(left) }
+        let left = self.scenario.profiles[planned.profile].deadline - (self.now - planned.at);
+        if attempt == 0 { planned.timeout } else { planned.timeout.min(left) }
     }
 
     /// A gateway by the front layer's weights.
@@ -47,47 +47,54 @@
 
     pub(crate) fn ask(&mut self, call: usize, attempt: u32) {
         /// Seconds past its patience after which a client goes.
-        const LAG: f64 = 0.05;
+        const CHECKER_TOLERANCE: f64 = 0.05;
         let planned = &self.calls[call].planned;
-        let profile = &self.day.profiles[planned.profile];
-        let (due, effect, importance) = (profile.due, profile.effect, profile.importance);
-        let (group, trouble, leaves) = (planned.group, planned.trouble, planned.leaves);
+        let profile = &self.scenario.profiles[planned.profile];
+        let (due, effect, importance) = (profile.latency_objective, profile.effect, profile.importance);
+        let (group, fault, leaves) = (planned.group, planned.fault, planned.leaves);
         if attempt == 0 {
-            self.note(Saw::Call { call: call as u64, group, importance, due, effect, trouble });
+            self.note(HistoryEvent::RequestIssued {
+                call: call as u64,
+                group,
+                importance,
+                due,
+                effect,
+                fault,
+            });
         }
         let patience = self.patience(call, attempt);
         if patience <= 0.0 {
             return;
         }
         let gateway = self.pick();
-        self.note(Saw::Asked { call: call as u64, attempt, gateway, patience });
+        self.note(HistoryEvent::AttemptSent { call: call as u64, attempt, gateway, patience });
         (self.calls[call].attempt, self.calls[call].ended) = (attempt, false);
-        self.put(self.now + WAY, Next::Arrive(call, attempt, gateway));
+        self.put(self.now + NETWORK_DELAY, Event::Arrive(call, attempt, gateway));
         match leaves.filter(|_| attempt == 0) {
-            Some(after) => self.put(self.now + after, Next::Leaves(call, attempt, gateway)),
+            Some(after) => self.put(self.now + after, Event::Leaves(call, attempt, gateway)),
             None => {
-                let end = self.now + patience + LAG;
-                self.put(end, Next::Answered(call, attempt, gateway, Ended::Unanswered));
+                let end = self.now + patience + CHECKER_TOLERANCE;
+                self.put(end, Event::Answered(call, attempt, gateway, AttemptOutcome::Unanswered));
             }
         }
     }
 
     /// A try ended; the first end counts.
-    pub(crate) fn answered(&mut self, call: usize, attempt: u32, gateway: usize, how: Ended) {
+    pub(crate) fn answered(&mut self, call: usize, attempt: u32, gateway: usize, how: AttemptOutcome) {
         let known = &mut self.calls[call];
         if known.attempt != attempt || std::mem::replace(&mut known.ended, true) {
             return;
         }
-        let effect = self.day.profiles[known.planned.profile].effect;
-        self.note(Saw::Ended { call: call as u64, attempt, gateway, how });
+        let effect = self.scenario.profiles[known.planned.profile].effect;
+        self.note(HistoryEvent::AttemptEnded { call: call as u64, attempt, gateway, how });
         let again = match (how, effect) {
-            (Ended::Handled | Ended::Left, _) => false,
-            (Ended::Bounced | Ended::Unreached, _) => true,
-            (_, Effect::Pure | Effect::Receipted) => true,
-            (_, Effect::Effectful) => false,
+            (AttemptOutcome::Succeeded | AttemptOutcome::Abandoned, _) => false,
+            (AttemptOutcome::Rejected | AttemptOutcome::Unreachable, _) => true,
+            (_, Idempotency::Idempotent | Idempotency::IdempotentWithKey) => true,
+            (_, Idempotency::NonIdempotent) => false,
         };
-        if again && attempt < self.day.traffic.retries {
-            self.put(self.now + self.day.traffic.backoff, Next::Try(call, attempt + 1));
+        if again && attempt < self.scenario.traffic.retries {
+            self.put(self.now + self.scenario.traffic.backoff, Event::Try(call, attempt + 1));
         }
     }
 
@@ -95,10 +102,10 @@
         if self.calls[call].ended {
             return;
         }
-        let tags = self.desks[gateway].requests(|kept| *kept == (call, attempt));
+        let tags = self.dispatchers[gateway].requests(|kept| *kept == (call, attempt));
         for tag in tags {
-            self.at_desk(gateway, |desk, now| desk.client_gone(now, tag));
+            self.at_dispatcher(gateway, |dispatcher, now| dispatcher.client_gone(now, tag));
         }
-        self.answered(call, attempt, gateway, Ended::Left);
+        self.answered(call, attempt, gateway, AttemptOutcome::Abandoned);
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,11 +3,11 @@
 
 mod clients;
 mod clocks;
-mod cold;
 mod links;
-pub mod town;
+pub mod simulation;
+mod slow_start;
 mod workers;
 
 pub use clocks::{ClockStep, Machines, Variation};
-pub use cold::{Cold, cold};
-pub use town::{Came, Look, Town, play, play_varied};
+pub use simulation::{Look, Simulation, SimulationReport, play, play_varied};
+pub use slow_start::{SlowStartReport, slow_start_report};
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -1,7 +1,7 @@
 //! What gateways share in simulated time: the cores as they are around the desks, and notes that take their way or are lost.
 //! Who is there is known to all; that a part of them may not be known is played by `milletpath-membership` and in processes.
 
-use crate::town::{Next, Town, WAY};
+use crate::simulation::{Event, NETWORK_DELAY, Simulation};
 use milletpath_config::GatewayConfig;
 use milletpath_gateway::budget_sharing::BudgetSharing;
 use milletpath_membership::QuotaFraction;
@@ -38,11 +38,11 @@
     }
 }
 
-impl Town<'_> {
+impl Simulation<'_> {
     pub(crate) fn share(&mut self, gateway: usize) {
-        let others = (0..self.desks.len()).filter(|other| *other != gateway).map(life).collect();
+        let others = (0..self.dispatchers.len()).filter(|other| *other != gateway).map(life).collect();
         let parts = QuotaFraction {
-            likely_gateways: self.desks.len() as f64,
+            likely_gateways: self.dispatchers.len() as f64,
             fraction: 1.0,
             floor: 1.0,
             valid_until: f64::INFINITY,
@@ -50,7 +50,9 @@
         let Some(mut links) = self.links.take() else { return };
         if links.armed[gateway] <= self.now {
             links.armed[gateway] = f64::INFINITY;
-            self.at_desk(gateway, |desk, now| links.sharing[gateway].tick(desk, now, &parts, others));
+            self.at_dispatcher(gateway, |dispatcher, now| {
+                links.sharing[gateway].tick(dispatcher, now, &parts, others)
+            });
             self.post(gateway, &mut links);
         }
         self.links = Some(links);
@@ -58,7 +60,9 @@
 
     pub(crate) fn noted(&mut self, gateway: usize, life: u64, note: &[u8]) {
         let Some(mut links) = self.links.take() else { return };
-        self.at_desk(gateway, |desk, now| links.sharing[gateway].receive(desk, now, life, note));
+        self.at_dispatcher(gateway, |dispatcher, now| {
+            links.sharing[gateway].receive(dispatcher, now, life, note)
+        });
         self.post(gateway, &mut links);
         self.links = Some(links);
     }
@@ -72,15 +76,15 @@
             links.sent += AROUND + message.bytes.len() as f64;
             if !links.chance.random_bool(links.lost) {
                 self.put(
-                    self.now + WAY,
-                    Next::Note(message.recipient as usize - 1, life(gateway), message.bytes),
+                    self.now + NETWORK_DELAY,
+                    Event::Note(message.recipient as usize - 1, life(gateway), message.bytes),
                 );
             }
         }
         let next = links.sharing[gateway].next_deadline().clamp(self.now + 0.001, self.now + LOOK);
         if next < links.armed[gateway] {
             links.armed[gateway] = next;
-            self.put(next, Next::ShareBudgets(gateway));
+            self.put(next, Event::ShareBudgets(gateway));
         }
     }
 }
--- a/crates/simulator/src/town.rs
+++ b/crates/simulator/src/simulation.rs
@@ -10,12 +10,14 @@
     Action, AttemptResult, Counters, Dispatcher, IncomingRequest, RequestId,
 };
 use milletpath_emulator::clients::weights;
-use milletpath_emulator::day;
-use milletpath_emulator::engine::{Engine, Figures};
-use milletpath_emulator::script::Day;
+use milletpath_emulator::scenario;
+use milletpath_emulator::scenario_file::Scenario;
 use milletpath_emulator::store::Store;
 use milletpath_emulator::traffic;
-use milletpath_history_checker::{self as witness, Broken, Counts, Effect, Ended, Record, Saw};
+use milletpath_emulator::worker_model::{LoadFigures, WorkerModel};
+use milletpath_history_checker::{
+    self as witness, AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency, ServiceCounts, Violation,
+};
 use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::registry::EndpointEntry;
 use rand::SeedableRng;
@@ -25,46 +27,46 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Seconds that a message takes from one process to another: what loopback and a busy machine add.
-pub(crate) const WAY: f64 = 0.0003;
+pub(crate) const NETWORK_DELAY: f64 = 0.0003;
 
 /// Seconds by which the stand-ins may be late, for the witness.
-pub(crate) const LAG: f64 = 0.01;
+pub(crate) const CHECKER_TOLERANCE: f64 = 0.01;
 
 /// What came of a day.
-pub struct Came {
-    pub records: Vec<Record>,
-    pub broken: Vec<Broken>,
-    pub whole: Counts,
+pub struct SimulationReport {
+    pub records: Vec<HistoryRecord>,
+    pub broken: Vec<Violation>,
+    pub whole: ServiceCounts,
     pub fetches: u64,
     pub refusals: u64,
     /// Part of the calls done that found an instance standing.
     pub warm: f64,
     /// What the gateways did, all together.
-    pub tally: Counters,
+    pub counters: Counters,
     /// Bytes of notes that a gateway sent to others, a second.
     pub bytes: f64,
 }
 
 /// What happens at a time.
-pub(crate) enum Next {
+pub(crate) enum Event {
     /// A client's try goes out, comes in at its gateway, ends.
     Try(usize, u32),
     Arrive(usize, u32, usize),
-    Answered(usize, u32, usize, Ended),
+    Answered(usize, u32, usize, AttemptOutcome),
     Leaves(usize, u32, usize),
     /// A timer of a dispatcher is due; at an engine, of that process.
     DispatcherTimer(usize),
-    Engine(usize, u64),
+    WorkerModel(usize, u64),
     Fetched(usize, u64, u64, bool),
     /// A shot, an order, a probe comes in at a worker's process.
-    Shot {
+    Attempt {
         gateway: usize,
         tag: RequestId,
         shot: usize,
         worker: usize,
         process: u64,
     },
-    Order {
+    LoadRequest {
         gateway: usize,
         order: RequestId,
         worker: usize,
@@ -72,7 +74,7 @@
         function: u32,
         copies: u8,
     },
-    Probe {
+    HealthCheck {
         gateway: usize,
         worker: usize,
         process: u64,
@@ -85,13 +87,13 @@
         shot: usize,
         end: AttemptResult,
     },
-    Ordered {
+    LoadRequestEnded {
         gateway: usize,
         order: RequestId,
         outcome: Outcome,
         copies: u8,
     },
-    Probed {
+    HealthCheckEnded {
         gateway: usize,
         worker: usize,
         serial: u64,
@@ -111,7 +113,7 @@
     Look,
 }
 
-struct Due(f64, u64, Next);
+struct Due(f64, u64, Event);
 
 impl PartialEq for Due {
     fn eq(&self, other: &Self) -> bool {
@@ -134,14 +136,14 @@
 pub(crate) type Kept = (usize, u32);
 
 /// Called ten times a second with all desks and what the workers hold, by whoever plays: to tell the desks things.
-pub type Look<'l> = Box<dyn FnMut(f64, &mut [Dispatcher<(usize, u32)>], &[Figures]) + 'l>;
+pub type Look<'l> = Box<dyn FnMut(f64, &mut [Dispatcher<(usize, u32)>], &[LoadFigures]) + 'l>;
 
-pub struct Town<'l> {
-    pub(crate) day: Day,
+pub struct Simulation<'l> {
+    pub(crate) scenario: Scenario,
     pub(crate) now: f64,
     queue: BinaryHeap<Due>,
     count: u64,
-    pub(crate) desks: Vec<Dispatcher<Kept>>,
+    pub(crate) dispatchers: Vec<Dispatcher<Kept>>,
     armed: Vec<f64>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) entries: Vec<EndpointEntry>,
@@ -149,7 +151,7 @@
     pub(crate) functions: BTreeMap<String, u32>,
     pub(crate) calls: Vec<Call>,
     pub(crate) weights: Vec<f64>,
-    records: Vec<Record>,
+    records: Vec<HistoryRecord>,
     pub(crate) chance: ChaCha8Rng,
     /// The workers that each trouble strikes.
     pub(crate) struck: BTreeMap<usize, Vec<usize>>,
@@ -160,15 +162,15 @@
 }
 
 /// Plays a day.
-pub fn play(day: &Day, seed: u64, look: Option<Look<'_>>) -> Came {
-    let mut town = Town::new(day, seed);
+pub fn play(scenario: &Scenario, seed: u64, look: Option<Look<'_>>) -> SimulationReport {
+    let mut town = Simulation::new(scenario, seed);
     town.look = look;
     town.run()
 }
 
 /// Plays a day with something beside its script.
-pub fn play_varied(day: &Day, seed: u64, variation: Variation) -> Came {
-    let mut town = Town::new(day, seed);
+pub fn play_varied(scenario: &Scenario, seed: u64, variation: Variation) -> SimulationReport {
+    let mut town = Simulation::new(scenario, seed);
     town.variation = variation;
     town.run()
 }
@@ -178,32 +180,40 @@
     SocketAddr::from(([10, (process % 250) as u8, (worker / 250) as u8, (worker % 250) as u8], 80))
 }
 
-impl Town<'_> {
-    fn new(day: &Day, seed: u64) -> Self {
+impl Simulation<'_> {
+    fn new(scenario: &Scenario, seed: u64) -> Self {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let house = |gateway: usize| -> GatewayConfig {
-            let text =
-                day::charter(day, gateway, any, SocketAddr::from((Ipv4Addr::LOCALHOST, 1)), None, seed);
+            let text = scenario::charter(
+                scenario,
+                gateway,
+                any,
+                SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
+                None,
+                seed,
+            );
             milletpath_config::read(&text).unwrap_or_else(|m| panic!("a day's charter: {m:?}"))
         };
-        let houses: Vec<GatewayConfig> = (0..day.gateways).map(house).collect();
-        let desks: Vec<Dispatcher<Kept>> = houses.iter().map(|house| Dispatcher::new(house, 0.0)).collect();
-        let links = day.sharing.then(|| Links::new(&houses, seed));
-        let entries: Vec<EndpointEntry> =
-            (0..day.workers).map(|w| EndpointEntry { address: place(w, 0), ..day::entry(w, None) }).collect();
+        let houses: Vec<GatewayConfig> = (0..scenario.gateways).map(house).collect();
+        let dispatchers: Vec<Dispatcher<Kept>> =
+            houses.iter().map(|house| Dispatcher::new(house, 0.0)).collect();
+        let links = scenario.sharing.then(|| Links::new(&houses, seed));
+        let entries: Vec<EndpointEntry> = (0..scenario.workers)
+            .map(|w| EndpointEntry { address: place(w, 0), ..scenario::entry(w, None) })
+            .collect();
         let mut town = Self {
-            day: day.clone(),
+            scenario: scenario.clone(),
             now: 0.0,
             queue: BinaryHeap::new(),
             count: 0,
-            armed: vec![f64::INFINITY; desks.len()],
-            desks,
-            workers: (0..day.workers).map(|_| Worker::warm(day.make)).collect(),
+            armed: vec![f64::INFINITY; dispatchers.len()],
+            dispatchers,
+            workers: (0..scenario.workers).map(|_| Worker::warm(scenario.worker_spec)).collect(),
             entries,
-            store: Store::new(day.shelf),
+            store: Store::new(scenario.store_spec),
             functions: BTreeMap::new(),
             calls: Vec::new(),
-            weights: weights(day.gateways, day.uneven),
+            weights: weights(scenario.gateways, scenario.uneven),
             records: Vec::new(),
             chance: ChaCha8Rng::seed_from_u64(seed ^ 0x7011),
             struck: BTreeMap::new(),
@@ -212,35 +222,39 @@
             links,
             variation: Variation::default(),
         };
-        for worker in 0..day.workers {
-            town.note(Saw::Started { worker, capacity: Engine::capacity(&day.make), warm: true });
+        for worker in 0..scenario.workers {
+            town.note(HistoryEvent::WorkerStarted {
+                worker,
+                capacity: WorkerModel::capacity(&scenario.worker_spec),
+                warm: true,
+            });
         }
         let list = town.entries.clone();
-        for gateway in 0..town.desks.len() {
-            town.desks[gateway].update_endpoints(0.0, true, &list);
+        for gateway in 0..town.dispatchers.len() {
+            town.dispatchers[gateway].update_endpoints(0.0, true, &list);
             town.after(gateway);
         }
-        for (number, planned) in traffic::plan(day, seed).into_iter().enumerate() {
-            town.put(planned.at, Next::Try(number, 0));
-            let receipted = day.profiles[planned.profile].effect == Effect::Receipted;
+        for (number, planned) in traffic::plan(scenario, seed).into_iter().enumerate() {
+            town.put(planned.at, Event::Try(number, 0));
+            let receipted = scenario.profiles[planned.profile].effect == Idempotency::IdempotentWithKey;
             town.calls.push(Call::new(planned, receipted));
         }
-        for (number, trouble) in day.troubles.iter().enumerate() {
-            town.put(trouble.at, Next::Begins(number));
+        for (number, fault) in scenario.faults.iter().enumerate() {
+            town.put(fault.at, Event::Begins(number));
         }
-        for gateway in (0..day.gateways).filter(|_| day.sharing) {
-            town.put(0.0, Next::ShareBudgets(gateway));
+        for gateway in (0..scenario.gateways).filter(|_| scenario.sharing) {
+            town.put(0.0, Event::ShareBudgets(gateway));
         }
-        town.put(0.0, Next::Look);
-        town.put(0.0, Next::Heartbeat);
+        town.put(0.0, Event::Look);
+        town.put(0.0, Event::Heartbeat);
         town
     }
 
-    pub(crate) fn note(&mut self, saw: Saw) {
-        self.records.push(Record { at: self.now, saw });
+    pub(crate) fn note(&mut self, event: HistoryEvent) {
+        self.records.push(HistoryRecord { at: self.now, event });
     }
 
-    pub(crate) fn put(&mut self, at: f64, next: Next) {
+    pub(crate) fn put(&mut self, at: f64, next: Event) {
         self.count += 1;
         self.queue.push(Due(at, self.count, next));
     }
@@ -250,122 +264,130 @@
         *self.functions.entry(name.to_owned()).or_insert(next)
     }
 
-    fn run(mut self) -> Came {
+    fn run(mut self) -> SimulationReport {
         /// Seconds after the last call by which all has ended.
         const REST: f64 = 5.0;
-        let end = self.day.seconds + REST;
+        let end = self.scenario.seconds + REST;
         while let Some(Due(at, _, next)) = self.queue.pop().filter(|due| due.0 <= end) {
             self.now = at;
             self.befall(next);
         }
-        let day = &self.day;
-        let mut tally = Counters::default();
-        for t in self.desks.iter().map(Dispatcher::counters) {
-            tally.attempts += t.attempts;
-            tally.load_requests += t.load_requests;
-            tally.health_checks += t.health_checks;
+        let scenario = &self.scenario;
+        let mut counters = Counters::default();
+        for t in self.dispatchers.iter().map(Dispatcher::counters) {
+            counters.attempts += t.attempts;
+            counters.load_requests += t.load_requests;
+            counters.health_checks += t.health_checks;
         }
-        Came {
-            broken: witness::check(&self.records, &day::terms(day, LAG)),
-            whole: witness::count(&self.records, &day::account(day)).0,
+        SimulationReport {
+            broken: witness::check(&self.records, &scenario::rule_parameters(scenario, CHECKER_TOLERANCE)),
+            whole: witness::count_service(&self.records, &scenario::service_weights(scenario)).0,
             fetches: self.store.fetches,
             refusals: self.store.refusals,
             warm: self.warm.0 as f64 / self.warm.1.max(1) as f64,
-            tally,
-            bytes: self.links.as_ref().map_or(0.0, Links::bytes) / end / day.gateways as f64,
+            counters,
+            bytes: self.links.as_ref().map_or(0.0, Links::bytes) / end / scenario.gateways as f64,
             records: self.records,
         }
     }
 
-    fn befall(&mut self, next: Next) {
+    fn befall(&mut self, next: Event) {
         let now = self.now;
         match next {
-            Next::Try(call, attempt) => self.ask(call, attempt),
-            Next::Arrive(call, attempt, gateway) => self.arrive(call, attempt, gateway),
-            Next::Answered(call, attempt, gateway, how) => self.answered(call, attempt, gateway, how),
-            Next::Leaves(call, attempt, gateway) => self.leaves(call, attempt, gateway),
-            Next::DispatcherTimer(gateway) if self.armed[gateway] <= now => {
+            Event::Try(call, attempt) => self.ask(call, attempt),
+            Event::Arrive(call, attempt, gateway) => self.arrive(call, attempt, gateway),
+            Event::Answered(call, attempt, gateway, how) => self.answered(call, attempt, gateway, how),
+            Event::Leaves(call, attempt, gateway) => self.leaves(call, attempt, gateway),
+            Event::DispatcherTimer(gateway) if self.armed[gateway] <= now => {
                 self.armed[gateway] = f64::INFINITY;
-                self.at_desk(gateway, |_, _| ());
+                self.at_dispatcher(gateway, |_, _| ());
             }
-            Next::DispatcherTimer(_) => {}
-            Next::Engine(worker, process) if self.workers[worker].armed <= now => {
-                self.at_engine(worker, process, Engine::turn);
+            Event::DispatcherTimer(_) => {}
+            Event::WorkerModel(worker, process) if self.workers[worker].armed <= now => {
+                self.at_engine(worker, process, WorkerModel::turn);
             }
-            Next::Engine(..) => {}
-            Next::Fetched(worker, process, load, ok) => {
+            Event::WorkerModel(..) => {}
+            Event::Fetched(worker, process, load, ok) => {
                 if ok {
                     self.store.fetched();
                 }
                 self.at_engine(worker, process, |engine, now| engine.fetched(now, load, ok));
             }
-            Next::Shot { gateway, tag, shot, worker, process } => {
+            Event::Attempt { gateway, tag, shot, worker, process } => {
                 self.shot(gateway, tag, shot, worker, process);
             }
-            Next::Order { gateway, order, worker, process, function, copies } => {
+            Event::LoadRequest { gateway, order, worker, process, function, copies } => {
                 self.order(gateway, order, worker, process, function, copies);
             }
-            Next::Probe { gateway, worker, process, serial } => self.probe(gateway, worker, process, serial),
-            Next::Ended { gateway, tag, shot, end } => {
-                let kept = self.desks[gateway].context(tag).copied();
-                let settles = self.at_desk(gateway, |desk, now| desk.attempt_ended(now, tag, shot, end));
+            Event::HealthCheck { gateway, worker, process, serial } => {
+                self.probe(gateway, worker, process, serial)
+            }
+            Event::Ended { gateway, tag, shot, end } => {
+                let kept = self.dispatchers[gateway].context(tag).copied();
+                let settles = self
+                    .at_dispatcher(gateway, |dispatcher, now| dispatcher.attempt_ended(now, tag, shot, end));
                 if let Some((call, attempt)) = kept.filter(|_| settles) {
-                    self.put(now + WAY, Next::Answered(call, attempt, gateway, Ended::Handled));
+                    self.put(
+                        now + NETWORK_DELAY,
+                        Event::Answered(call, attempt, gateway, AttemptOutcome::Succeeded),
+                    );
                 }
             }
-            Next::Ordered { gateway, order, outcome, copies } => {
-                self.at_desk(gateway, |desk, now| desk.load_request_ended(now, order, outcome, copies));
+            Event::LoadRequestEnded { gateway, order, outcome, copies } => {
+                self.at_dispatcher(gateway, |dispatcher, now| {
+                    dispatcher.load_request_ended(now, order, outcome, copies)
+                });
             }
-            Next::Probed { gateway, worker, serial, outcome, report } => {
-                self.at_desk(gateway, |desk, now| {
-                    desk.health_check_ended(now, worker, serial, outcome, report);
+            Event::HealthCheckEnded { gateway, worker, serial, outcome, report } => {
+                self.at_dispatcher(gateway, |dispatcher, now| {
+                    dispatcher.health_check_ended(now, worker, serial, outcome, report);
                 });
             }
-            Next::ShareBudgets(gateway) => self.share(gateway),
-            Next::Note(gateway, life, note) => self.noted(gateway, life, &note),
-            Next::List(entries) => {
+            Event::ShareBudgets(gateway) => self.share(gateway),
+            Event::Note(gateway, life, note) => self.noted(gateway, life, &note),
+            Event::List(entries) => {
                 let unix_time = self.variation.gateway_time(now);
-                for gateway in 0..self.desks.len() {
-                    self.at_desk(gateway, |desk, now| {
-                        desk.wall_clock_read(now, unix_time);
-                        desk.update_endpoints(now, false, &entries);
+                for gateway in 0..self.dispatchers.len() {
+                    self.at_dispatcher(gateway, |dispatcher, now| {
+                        dispatcher.wall_clock_read(now, unix_time);
+                        dispatcher.update_endpoints(now, false, &entries);
                     });
                 }
             }
-            Next::Heartbeat => {
+            Event::Heartbeat => {
                 /// Seconds between two heartbeats of the list.
                 const HEARTBEAT: f64 = 1.0;
-                self.desks.iter_mut().for_each(|desk| desk.endpoint_list_confirmed(now));
-                self.put(now + HEARTBEAT, Next::Heartbeat);
+                self.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.endpoint_list_confirmed(now));
+                self.put(now + HEARTBEAT, Event::Heartbeat);
             }
-            Next::Begins(trouble) => self.begins(trouble),
-            Next::Step(trouble, step) => self.step(trouble, step),
-            Next::Ends(trouble) => self.ends(trouble),
-            Next::Look => {
+            Event::Begins(fault) => self.begins(fault),
+            Event::Step(fault, step) => self.step(fault, step),
+            Event::Ends(fault) => self.ends(fault),
+            Event::Look => {
                 /// Seconds between two looks.
                 const LOOK: f64 = 0.1;
                 if let Some(mut look) = self.look.take() {
                     let figures: Vec<_> = self.workers.iter().map(|w| w.engine.figures()).collect();
-                    look(now, &mut self.desks, &figures);
+                    look(now, &mut self.dispatchers, &figures);
                     self.look = Some(look);
                 }
-                (0..self.desks.len()).for_each(|g| self.after(g));
-                self.put(now + LOOK, Next::Look);
+                (0..self.dispatchers.len()).for_each(|g| self.after(g));
+                self.put(now + LOOK, Event::Look);
             }
         }
     }
 
     /// Tells a desk something, after all that is due there, and does what follows.
-    pub(crate) fn at_desk<R>(
+    pub(crate) fn at_dispatcher<R>(
         &mut self,
         gateway: usize,
         what: impl FnOnce(&mut Dispatcher<Kept>, f64) -> R,
     ) -> R {
         let now = self.now;
-        if self.desks[gateway].next_deadline().is_some_and(|due| due <= now) {
-            self.desks[gateway].advance(now);
+        if self.dispatchers[gateway].next_deadline().is_some_and(|due| due <= now) {
+            self.dispatchers[gateway].advance(now);
         }
-        let result = what(&mut self.desks[gateway], now);
+        let result = what(&mut self.dispatchers[gateway], now);
         self.after(gateway);
         result
     }
@@ -373,40 +395,44 @@
     /// Does what a desk says, and sets its clock.
     pub(crate) fn after(&mut self, gateway: usize) {
         let now = self.now;
-        while let Some(act) = self.desks[gateway].next_action() {
+        while let Some(act) = self.dispatchers[gateway].next_action() {
             match act {
                 Action::SendAttempt { request: tag, attempt: shot, worker } => {
                     let process = self.workers[worker].process;
-                    if self.desks[gateway].begin_attempt(now, tag, shot) {
-                        self.put(now + WAY, Next::Shot { gateway, tag, shot, worker, process });
+                    if self.dispatchers[gateway].begin_attempt(now, tag, shot) {
+                        self.put(now + NETWORK_DELAY, Event::Attempt { gateway, tag, shot, worker, process });
                     }
                 }
-                Action::Reject { request: tag, .. } => self.own_answer(gateway, tag, Ended::Bounced),
-                Action::Fail { request: tag, .. } => self.own_answer(gateway, tag, Ended::Terminated),
+                Action::Reject { request: tag, .. } => {
+                    self.own_answer(gateway, tag, AttemptOutcome::Rejected)
+                }
+                Action::Fail { request: tag, .. } => self.own_answer(gateway, tag, AttemptOutcome::Failed),
                 Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
                     let process = self.workers[worker].process;
                     let function = self.function(&function);
-                    if self.desks[gateway].begin_load_request(now, order) {
-                        let next = Next::Order { gateway, order, worker, process, function, copies };
-                        self.put(now + WAY, next);
+                    if self.dispatchers[gateway].begin_load_request(now, order) {
+                        let next = Event::LoadRequest { gateway, order, worker, process, function, copies };
+                        self.put(now + NETWORK_DELAY, next);
                     }
                 }
                 Action::HealthCheck { worker, serial } => {
                     let process = self.workers[worker].process;
-                    self.put(now + WAY, Next::Probe { gateway, worker, process, serial });
+                    self.put(now + NETWORK_DELAY, Event::HealthCheck { gateway, worker, process, serial });
                 }
                 Action::UnloadFunction { .. } | Action::CancelAttempt { .. } | Action::WatchEndpoints => {}
             }
         }
-        if let Some(next) = self.desks[gateway].next_deadline().filter(|next| *next < self.armed[gateway]) {
+        if let Some(next) =
+            self.dispatchers[gateway].next_deadline().filter(|next| *next < self.armed[gateway])
+        {
             self.armed[gateway] = next;
-            self.put(next.max(now), Next::DispatcherTimer(gateway));
+            self.put(next.max(now), Event::DispatcherTimer(gateway));
         }
     }
 
-    fn own_answer(&mut self, gateway: usize, tag: RequestId, how: Ended) {
-        if let Some((call, attempt)) = self.desks[gateway].context(tag).copied() {
-            self.put(self.now + WAY, Next::Answered(call, attempt, gateway, how));
+    fn own_answer(&mut self, gateway: usize, tag: RequestId, how: AttemptOutcome) {
+        if let Some((call, attempt)) = self.dispatchers[gateway].context(tag).copied() {
+            self.put(self.now + NETWORK_DELAY, Event::Answered(call, attempt, gateway, how));
         }
     }
 
@@ -421,9 +447,13 @@
             is_retry: attempt > 0,
             resources: None,
         };
-        let taken = self.at_desk(gateway, |desk, now| desk.submit(now, come, (call, attempt)));
+        let taken =
+            self.at_dispatcher(gateway, |dispatcher, now| dispatcher.submit(now, come, (call, attempt)));
         if taken.is_none() {
-            self.put(self.now + WAY, Next::Answered(call, attempt, gateway, Ended::Bounced));
+            self.put(
+                self.now + NETWORK_DELAY,
+                Event::Answered(call, attempt, gateway, AttemptOutcome::Rejected),
+            );
         }
     }
 }
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -1,11 +1,11 @@
 //! Workers in simulated time: the stand-ins' engines, and the troubles that befall them.
 
-use crate::town::{Next, Town, WAY, place};
+use crate::simulation::{Event, NETWORK_DELAY, Simulation, place};
 use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
-use milletpath_emulator::day;
-use milletpath_emulator::engine::{Engine, Figures, Job, Make, Say};
-use milletpath_emulator::script::What;
-use milletpath_history_checker::Saw;
+use milletpath_emulator::scenario;
+use milletpath_emulator::scenario_file::FaultKind;
+use milletpath_emulator::worker_model::{Job, LoadFigures, WorkerEvent, WorkerModel, WorkerSpec};
+use milletpath_history_checker::HistoryEvent;
 use milletpath_policy::{InstanceState, LoadReport, Outcome};
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use milletpath_protocol::worker as wire;
@@ -23,7 +23,7 @@
 }
 
 pub(crate) struct Worker {
-    pub engine: Engine,
+    pub engine: WorkerModel,
     /// Counts its processes: what was sent to a former one reaches nobody.
     pub process: u64,
     alive: bool,
@@ -36,18 +36,18 @@
 
 impl Worker {
     /// One that started long ago.
-    pub fn warm(make: Make) -> Self {
-        Self::new(make, -make.warm_up - 1.0, 0)
+    pub fn warm(worker_spec: WorkerSpec) -> Self {
+        Self::new(worker_spec, -worker_spec.warm_up - 1.0, 0)
     }
 
-    fn new(make: Make, born: f64, process: u64) -> Self {
-        let engine = Engine::new(make, born);
+    fn new(worker_spec: WorkerSpec, born: f64, process: u64) -> Self {
+        let engine = WorkerModel::new(worker_spec, born);
         let (jobs, orders) = (BTreeMap::new(), BTreeMap::new());
         Self { engine, process, alive: true, jobs, orders, fails: 0.0, armed: f64::INFINITY }
     }
 }
 
-fn report(figures: Figures) -> LoadReport {
+fn report(figures: LoadFigures) -> LoadReport {
     LoadReport {
         in_flight: Some(figures.held),
         queued: Some(figures.waiting),
@@ -57,7 +57,7 @@
     }
 }
 
-fn found(word: wire::InstanceState) -> InstanceState {
+fn instance_state(word: wire::InstanceState) -> InstanceState {
     match word {
         wire::InstanceState::Loaded => InstanceState::Loaded,
         wire::InstanceState::LoadStarted => InstanceState::LoadStarted,
@@ -66,29 +66,40 @@
     }
 }
 
-impl Town<'_> {
+impl Simulation<'_> {
     /// Whether a process is there to be reached.
     fn reached(&self, worker: usize, process: u64) -> bool {
         self.workers[worker].alive && self.workers[worker].process == process
     }
 
     fn back(&mut self, gateway: usize, tag: RequestId, shot: usize, end: AttemptResult) {
-        self.put(self.now + WAY, Next::Ended { gateway, tag, shot, end });
+        self.put(self.now + NETWORK_DELAY, Event::Ended { gateway, tag, shot, end });
     }
 
     pub(crate) fn shot(&mut self, gateway: usize, tag: RequestId, shot: usize, worker: usize, process: u64) {
-        let Some((call, attempt)) = self.desks[gateway].context(tag).copied() else { return };
+        let Some((call, attempt)) = self.dispatchers[gateway].context(tag).copied() else { return };
         if !self.reached(worker, process) {
             return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Unreachable));
         }
         let planned = self.calls[call].planned.clone();
-        self.note(Saw::Came { call: call as u64, attempt, gateway, worker, work: planned.work });
+        self.note(HistoryEvent::AttemptReceived {
+            call: call as u64,
+            attempt,
+            gateway,
+            worker,
+            work: planned.work,
+        });
         let fails = self.workers[worker].fails;
         if fails > 0.0 && self.chance.random_bool(fails) {
             return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Failed));
         }
         let function = self.function(&planned.function);
-        let job = Job { function, pack: self.day.pack, work: planned.work, io: planned.io };
+        let job = Job {
+            function,
+            function_model: self.scenario.function_model,
+            work: planned.work,
+            io: planned.io,
+        };
         let id = self.workers[worker].engine.arrive(self.now, job);
         self.workers[worker].jobs.insert(id, Held { gateway, tag, shot, call });
         self.listen(worker);
@@ -104,14 +115,14 @@
         copies: u8,
     ) {
         if !self.reached(worker, process) {
-            let next = Next::Ordered { gateway, order, outcome: Outcome::Unreachable, copies: 0 };
-            return self.put(self.now + WAY, next);
+            let next = Event::LoadRequestEnded { gateway, order, outcome: Outcome::Unreachable, copies: 0 };
+            return self.put(self.now + NETWORK_DELAY, next);
         }
         if copies > 0 {
-            self.note(Saw::Ordered { gateway, worker });
+            self.note(HistoryEvent::LoadRequested { gateway, worker });
         }
-        let pack = self.day.pack;
-        let id = self.workers[worker].engine.order(self.now, function, pack, u32::from(copies));
+        let function_model = self.scenario.function_model;
+        let id = self.workers[worker].engine.order(self.now, function, function_model, u32::from(copies));
         self.workers[worker].orders.insert(id, (gateway, order));
         self.listen(worker);
     }
@@ -122,11 +133,19 @@
         } else {
             (Outcome::Unreachable, None)
         };
-        self.put(self.now + WAY, Next::Probed { gateway, worker, serial, outcome, report });
+        self.put(
+            self.now + NETWORK_DELAY,
+            Event::HealthCheckEnded { gateway, worker, serial, outcome, report },
+        );
     }
 
     /// Tells an engine something, where that process still runs.
-    pub(crate) fn at_engine(&mut self, worker: usize, process: u64, what: impl FnOnce(&mut Engine, f64)) {
+    pub(crate) fn at_engine(
+        &mut self,
+        worker: usize,
+        process: u64,
+        what: impl FnOnce(&mut WorkerModel, f64),
+    ) {
         if self.reached(worker, process) {
             if self.workers[worker].armed <= self.now {
                 self.workers[worker].armed = f64::INFINITY;
@@ -139,60 +158,63 @@
     /// Does what an engine says, and sets its clock.
     fn listen(&mut self, worker: usize) {
         let now = self.now;
-        while let Some(say) = self.workers[worker].engine.say() {
+        while let Some(say) = self.workers[worker].engine.next_event() {
             match say {
-                Say::Ran { job } => {
+                WorkerEvent::Ran { job } => {
                     let held = self.workers[worker].jobs.get(&job).copied();
                     // A receipted call's repeat is known to all workers.
                     if let Some(held) = held.filter(|h| self.calls[h.call].runs()) {
-                        self.note(Saw::Ran { call: held.call as u64, worker });
+                        self.note(HistoryEvent::RequestExecuted { call: held.call as u64, worker });
                     }
                 }
-                Say::Done { job, found: word, company } => {
+                WorkerEvent::Done { job, found: word, concurrent_requests } => {
                     self.warm.0 += u64::from(word == wire::InstanceState::Loaded);
                     self.warm.1 += 1;
                     let end = AttemptResult {
-                        found: Some(found(word)),
-                        company: company.into(),
+                        instance_state: Some(instance_state(word)),
+                        concurrent_requests: concurrent_requests.into(),
                         ..AttemptResult::from_outcome(Outcome::Succeeded)
                     };
                     self.says(worker, job, end);
                 }
-                Say::Refused { job, why, failed_load } => {
+                WorkerEvent::Refused { job, why, failed_load } => {
                     let outcome = if why == wire::Rejection::NotLoaded {
                         Outcome::NotLoaded
                     } else {
                         Outcome::Rejected
                     };
                     let end = AttemptResult {
-                        found: failed_load.then_some(InstanceState::LoadFailed),
+                        instance_state: failed_load.then_some(InstanceState::LoadFailed),
                         ..AttemptResult::from_outcome(outcome)
                     };
                     self.says(worker, job, end);
                 }
-                Say::Fetch { load, seconds, .. } => {
+                WorkerEvent::Fetch { load, seconds, .. } => {
                     /// What is turned away is told in a moment, as over a network.
                     const MOMENT: f64 = 0.002;
                     let takes = self.store.fetch(now, seconds);
                     let process = self.workers[worker].process;
-                    let next = Next::Fetched(worker, process, load, takes.is_some());
+                    let next = Event::Fetched(worker, process, load, takes.is_some());
                     self.put(now + takes.unwrap_or(MOMENT), next);
                 }
-                Say::Stands { order, copies, failed } => {
+                WorkerEvent::Stands { order, copies, failed } => {
                     if let Some((gateway, order)) = self.workers[worker].orders.remove(&order) {
                         let outcome = if failed { Outcome::Failed } else { Outcome::Succeeded };
                         let copies = copies.min(255) as u8;
-                        self.put(now + WAY, Next::Ordered { gateway, order, outcome, copies });
+                        self.put(
+                            now + NETWORK_DELAY,
+                            Event::LoadRequestEnded { gateway, order, outcome, copies },
+                        );
                     }
                 }
-                Say::Fell => self.dies(worker),
+                WorkerEvent::Fell => self.dies(worker),
             }
         }
         let w = &mut self.workers[worker];
         if let Some(next) = w.engine.next().filter(|next| w.alive && *next < w.armed) {
             w.armed = next;
             let process = w.process;
-            self.put(next.max(now), Next::Engine(worker, process));
+            self.put(next.max(now), Event::WorkerModel(worker, process));
         }
     }
 
@@ -212,32 +234,37 @@
         }
         let orders = std::mem::take(&mut self.workers[worker].orders);
         for (gateway, order) in orders.into_values() {
-            let next = Next::Ordered { gateway, order, outcome: Outcome::ConnectionLost, copies: 0 };
-            self.put(self.now + WAY, next);
+            let next =
+                Event::LoadRequestEnded { gateway, order, outcome: Outcome::ConnectionLost, copies: 0 };
+            self.put(self.now + NETWORK_DELAY, next);
         }
     }
 
     /// A new process takes its place: cold, empty, at another address.
     fn comes_back(&mut self, worker: usize) {
         let process = self.workers[worker].process + 1;
-        self.workers[worker] = Worker::new(self.day.make, self.now, process);
-        let capacity = Engine::capacity(&self.day.make);
-        self.note(Saw::Started { worker, capacity, warm: false });
+        self.workers[worker] = Worker::new(self.scenario.worker_spec, self.now, process);
+        let capacity = WorkerModel::capacity(&self.scenario.worker_spec);
+        self.note(HistoryEvent::WorkerStarted { worker, capacity, warm: false });
         let stamp = self.variation.worker_time(self.now);
         let address = place(worker, if self.variation.same_address { 0 } else { process });
-        let entry = EndpointEntry { address, ..day::entry(worker, Some(stamp)) };
+        let entry = EndpointEntry { address, ..scenario::entry(worker, Some(stamp)) };
         self.entries[worker] = entry.clone();
         self.told(vec![entry]);
     }
 
     fn told(&mut self, entries: Vec<EndpointEntry>) {
-        for gateway in 0..self.desks.len() {
+        for gateway in 0..self.dispatchers.len() {
             for entry in &entries {
                 let worker = entry.name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-                self.note(Saw::Told { gateway, worker, ready: entry.state == EndpointStatus::Ready });
+                self.note(HistoryEvent::EndpointNotified {
+                    gateway,
+                    worker,
+                    ready: entry.state == EndpointStatus::Ready,
+                });
             }
         }
-        self.put(self.now + WAY, Next::List(entries));
+        self.put(self.now + NETWORK_DELAY, Event::List(entries));
     }
 
     fn stands(&mut self, workers: &[usize], state: EndpointStatus) {
@@ -254,55 +281,57 @@
     }
 
     pub(crate) fn begins(&mut self, number: usize) {
-        let trouble = self.day.troubles[number].clone();
-        let end = self.now + trouble.lasts;
-        let struck = match trouble.what {
-            What::Death | What::Rolling | What::Failures | What::Slowness | What::Drain => {
-                self.some(self.workers.len(), trouble.part)
-            }
+        let fault = self.scenario.faults[number].clone();
+        let end = self.now + fault.lasts;
+        let struck = match fault.what {
+            FaultKind::Death
+            | FaultKind::Rolling
+            | FaultKind::Failures
+            | FaultKind::Slowness
+            | FaultKind::Drain => self.some(self.workers.len(), fault.part),
             _ => Vec::new(),
         };
         self.struck.insert(number, struck.clone());
-        match trouble.what {
-            What::Death => {
+        match fault.what {
+            FaultKind::Death => {
                 struck.iter().for_each(|w| self.dies(*w));
-                let notice = self.day.terms.notice.min(trouble.lasts);
-                self.put(self.now + notice, Next::Step(number, 0));
-                self.put(end, Next::Ends(number));
+                let notice = self.scenario.rules.notification_delay.min(fault.lasts);
+                self.put(self.now + notice, Event::Step(number, 0));
+                self.put(end, Event::Ends(number));
             }
-            What::Rolling => {
-                let turn = trouble.lasts / struck.len() as f64;
+            FaultKind::Rolling => {
+                let turn = fault.lasts / struck.len() as f64;
                 for n in 0..struck.len() {
-                    self.put(self.now + turn * n as f64, Next::Step(number, 3 * n));
+                    self.put(self.now + turn * n as f64, Event::Step(number, 3 * n));
                 }
             }
-            What::Drain => {
+            FaultKind::Drain => {
                 self.stands(&struck, EndpointStatus::Draining);
-                self.put(end, Next::Ends(number));
+                self.put(end, Event::Ends(number));
             }
-            What::Failures => {
-                struck.iter().for_each(|w| self.workers[*w].fails = trouble.size);
-                self.put(end, Next::Ends(number));
+            FaultKind::Failures => {
+                struck.iter().for_each(|w| self.workers[*w].fails = fault.size);
+                self.put(end, Event::Ends(number));
             }
-            What::Slowness => {
-                struck.iter().for_each(|w| self.workers[*w].engine.slowness = trouble.size);
-                self.put(end, Next::Ends(number));
+            FaultKind::Slowness => {
+                struck.iter().for_each(|w| self.workers[*w].engine.slowness = fault.size);
+                self.put(end, Event::Ends(number));
             }
-            What::Release => {
-                let functions = self.some(self.functions.len().max(1), trouble.part);
+            FaultKind::Release => {
+                let functions = self.some(self.functions.len().max(1), fault.part);
                 for worker in &mut self.workers {
                     functions.iter().for_each(|f| worker.engine.release(*f as u32));
                 }
             }
-            What::StoreSlow => {
-                self.store.slowness = trouble.size;
-                self.put(end, Next::Ends(number));
+            FaultKind::StoreSlow => {
+                self.store.slowness = fault.size;
+                self.put(end, Event::Ends(number));
             }
-            What::StoreRefuses => {
+            FaultKind::StoreRefuses => {
                 self.store.refuses = true;
-                self.put(end, Next::Ends(number));
+                self.put(end, Event::Ends(number));
             }
-            What::StoreStops => self.store.stop(self.now, trouble.lasts),
+            FaultKind::StoreStops => self.store.stop(self.now, fault.lasts),
             // In the plan of the clients' calls, or of processes and links.
             _ => {}
         }
@@ -310,21 +339,21 @@
 
     /// The next step of a trouble that takes several.
     pub(crate) fn step(&mut self, number: usize, step: usize) {
-        let trouble = self.day.troubles[number].clone();
+        let fault = self.scenario.faults[number].clone();
         let struck = self.struck[&number].clone();
-        if trouble.what == What::Death {
+        if fault.what == FaultKind::Death {
             return self.stands(&struck, EndpointStatus::Gone);
         }
         let worker = struck[step / 3];
         match step % 3 {
             0 => {
                 self.stands(&[worker], EndpointStatus::Draining);
-                let wait = self.day.terms.grace + self.day.terms.notice;
-                self.put(self.now + wait, Next::Step(number, step + 1));
+                let wait = self.scenario.rules.grace + self.scenario.rules.notification_delay;
+                self.put(self.now + wait, Event::Step(number, step + 1));
             }
             1 => {
                 self.workers[worker].engine.draining = true;
-                self.put(self.now + 0.5, Next::Step(number, step + 1));
+                self.put(self.now + 0.5, Event::Step(number, step + 1));
             }
             _ => {
                 self.dies(worker);
@@ -334,15 +363,15 @@
     }
 
     pub(crate) fn ends(&mut self, number: usize) {
-        let trouble = self.day.troubles[number].clone();
+        let fault = self.scenario.faults[number].clone();
         let struck = self.struck[&number].clone();
-        match trouble.what {
-            What::Death => struck.into_iter().for_each(|w| self.comes_back(w)),
-            What::Drain => self.stands(&struck, EndpointStatus::Ready),
-            What::Failures => struck.iter().for_each(|w| self.workers[*w].fails = 0.0),
-            What::Slowness => struck.iter().for_each(|w| self.workers[*w].engine.slowness = 1.0),
-            What::StoreSlow => self.store.slowness = 1.0,
-            What::StoreRefuses => self.store.refuses = false,
+        match fault.what {
+            FaultKind::Death => struck.into_iter().for_each(|w| self.comes_back(w)),
+            FaultKind::Drain => self.stands(&struck, EndpointStatus::Ready),
+            FaultKind::Failures => struck.iter().for_each(|w| self.workers[*w].fails = 0.0),
+            FaultKind::Slowness => struck.iter().for_each(|w| self.workers[*w].engine.slowness = 1.0),
+            FaultKind::StoreSlow => self.store.slowness = 1.0,
+            FaultKind::StoreRefuses => self.store.refuses = false,
             _ => {}
         }
     }
--- a/crates/simulator/tests/clocks.rs
+++ b/crates/simulator/tests/clocks.rs
@@ -1,8 +1,10 @@
 //! Wall clocks are stepped while calls, retries, drains and slow starts are under way, and while gateways hold leases on
 //! each other's parts: what comes of the day is what comes of it without the step.
 
-use milletpath_emulator::script::{self, Day, Trouble, What};
-use milletpath_simulator::{Came, ClockStep, Cold, Machines, Variation, cold, play_varied};
+use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
+use milletpath_simulator::{
+    ClockStep, Machines, SimulationReport, SlowStartReport, Variation, play_varied, slow_start_report,
+};
 use std::path::Path;
 use test_case::test_case;
 
@@ -10,19 +12,19 @@
 const STEP_AT: f64 = 13.0;
 
 /// Workers are drained and replaced one by one under a full load, while some fail calls, which are retried.
-fn rolling_day() -> Day {
+fn rolling_day() -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
-    let mut day = script::open(&file).expect("a sound day");
-    (day.gateways, day.seconds, day.sharing) = (6, 20.0, true);
-    let (name, what) = ("failures".into(), What::Failures);
-    day.troubles.push(Trouble { name, what, at: 11.0, lasts: 5.0, part: 0.2, size: 0.3 });
-    day
+    let mut scenario = scenario_file::open(&file).expect("a sound day");
+    (scenario.gateways, scenario.seconds, scenario.sharing) = (6, 20.0, true);
+    let (name, what) = ("failures".into(), FaultKind::Failures);
+    scenario.faults.push(ScheduledFault { name, what, at: 11.0, lasts: 5.0, part: 0.2, size: 0.3 });
+    scenario
 }
 
-fn play(seed: u64, clock_step: Option<ClockStep>, same_address: bool) -> (Came, Cold) {
-    let day = rolling_day();
-    let came = play_varied(&day, seed, Variation { clock_step, same_address });
-    let cold = cold(&day, &came.records);
+fn play(seed: u64, clock_step: Option<ClockStep>, same_address: bool) -> (SimulationReport, SlowStartReport) {
+    let scenario = rolling_day();
+    let came = play_varied(&scenario, seed, Variation { clock_step, same_address });
+    let cold = slow_start_report(&scenario, &came.records);
     (came, cold)
 }
 
