--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,15 +1,15 @@
 //! Days in simulated time: the same seed is the same history, and the rules hold in it as they do on sockets.
 
-use milletpath_emulator::script::{self, Day, Trouble, What};
+use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::play;
 use std::path::Path;
 use test_case::test_case;
 
-fn village(gateways: usize, troubles: &[(What, f64, f64, f64)]) -> Day {
+fn village(gateways: usize, faults: &[(FaultKind, f64, f64, f64)]) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/village.hcl");
-    let mut day = script::open(&file).expect("a sound day");
-    day.gateways = gateways;
-    let trouble = |&(what, at, part, size): &(What, f64, f64, f64)| Trouble {
+    let mut scenario = scenario_file::open(&file).expect("a sound day");
+    scenario.gateways = gateways;
+    let fault = |&(what, at, part, size): &(FaultKind, f64, f64, f64)| ScheduledFault {
         name: format!("{what:?}"),
         what,
         at,
@@ -17,22 +17,22 @@
         part,
         size,
     };
-    day.troubles = troubles.iter().map(trouble).collect();
-    day
+    scenario.faults = faults.iter().map(fault).collect();
+    scenario
 }
 
-const BAD: [(What, f64, f64, f64); 5] = [
-    (What::Release, 3.0, 0.8, 1.0),
-    (What::Failures, 5.0, 0.3, 0.6),
-    (What::Slowness, 7.0, 0.3, 4.0),
-    (What::Rolling, 8.0, 0.5, 1.0),
-    (What::Death, 9.0, 0.2, 1.0),
+const BAD: [(FaultKind, f64, f64, f64); 5] = [
+    (FaultKind::Release, 3.0, 0.8, 1.0),
+    (FaultKind::Failures, 5.0, 0.3, 0.6),
+    (FaultKind::Slowness, 7.0, 0.3, 4.0),
+    (FaultKind::Rolling, 8.0, 0.5, 1.0),
+    (FaultKind::Death, 9.0, 0.2, 1.0),
 ];
 
 #[test]
 fn the_same_seed_is_the_same_history() {
-    let day = village(4, &BAD);
-    let [one, other, another] = [7, 7, 8].map(|seed| play(&day, seed, None));
+    let scenario = village(4, &BAD);
+    let [one, other, another] = [7, 7, 8].map(|seed| play(&scenario, seed, None));
     assert_eq!(one.records, other.records);
     assert!(one.records.len() > 5_000 && one.records != another.records);
 }
