--- a/crates/capacity-model/benches/slopes/town.rs
+++ b/crates/capacity-model/benches/slopes/town.rs
@@ -1,7 +1,7 @@
 //! The workers' side of control and the store, in the laboratory: a fleet scaled down as a whole, so that a
 //! gateway has as many calls and as many workers to choose among as at the full size in proportion to it.
 
-use crate::measure::{Options, Slope, size};
+use crate::measure::{Asked, Slope, size};
 use milletpath_emulator::scenario_file::{self, Scenario};
 use milletpath_history_checker::HistoryEvent;
 use milletpath_simulator::{SimulationReport, play};
@@ -43,7 +43,7 @@
     pairs.len() as f64 / workers as f64
 }
 
-pub fn measure(asked: &Options) {
+pub fn measure(asked: &Asked) {
     const SEEDS: u64 = 3;
     const RATE: f64 = 145.0;
     let of = |gateways: usize, calls: f64| -> Vec<(f64, f64, f64, f64)> {
