--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -454,16 +454,16 @@
                 self.stirred();
             }
             FaultKind::ListLate => {
-                self.mislead(lasts, RegistryFault { late: size, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { late: size, ..RegistryFault::default() }).await;
             }
             FaultKind::ListStalled => {
-                self.mislead(lasts, RegistryFault { stalled: true, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { stalled: true, ..RegistryFault::default() }).await;
             }
             FaultKind::ListLost => {
-                self.mislead(lasts, RegistryFault { loses: true, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { loses: true, ..RegistryFault::default() }).await;
             }
             FaultKind::ListRepeated => {
-                self.mislead(lasts, RegistryFault { repeats: true, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { repeats: true, ..RegistryFault::default() }).await;
             }
             FaultKind::ListEmptied => {
                 self.registry.empty(true);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -170,7 +170,7 @@
                     self.end(job, Ended::Done(found, concurrent_requests));
                 }
                 WorkerEvent::Refused { job, why, failed_load } => {
-                    self.end(job, Ended::Refused(why, failed_load))
+                    self.end(job, Ended::Refused(why, failed_load));
                 }
                 WorkerEvent::Fetch { load, seconds, .. } => {
                     let takes = self.context.store.borrow_mut().fetch(self.context.now(), seconds);
--- a/crates/multicore/benches/connection_balancer.rs
+++ b/crates/multicore/benches/connection_balancer.rs
@@ -1,102 +1,156 @@
-//! How even the load of the cores is by three ways to balancer connections out, with clients of unlike rates: by chance, as
-//! the kernel's hash does; in turn; by the calls to expect, with some sent away from a crowded core. Simulated: no
-//! sockets, so the figures are of the dealing alone.
+//! How evenly the requests of clients with unequal rates are spread over the cores by three ways to assign connections: at
+//! random, as the kernel's hash does; round-robin; and by expected request rate, where overloaded cores close connections.
+//! Simulated, without sockets: the figures are those of the assignment alone.
 //!
-//! `cargo bench -p milletpath-multicore --bench connection_balancer` prints the busiest core's calls over the mean.
+//! `cargo bench -p milletpath-multicore --bench connection_balancer` prints the busiest core's requests over the mean.
 
-use milletpath_multicore::connection_balancer::{ConnectionBalancer, CoreLoad, REBALANCE_INTERVAL};
+use milletpath_multicore::connection_balancer::{
+    ConnectionBalancer, ConnectionShift, CoreLoad, REBALANCE_INTERVAL,
+};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const CORES: usize = 4;
 const ROUNDS: u64 = 50;
-/// Calls a second of all clients; seconds of a round, and those at its end that count.
-const RATE: f64 = 10_000.0;
+/// Requests a second of all clients.
+const TOTAL_RATE: f64 = 10_000.0;
+/// Seconds of a round, and those at its end that are measured.
 const SECONDS: f64 = 60.0;
-const COUNTED: f64 = 20.0;
-/// Mean seconds that a client keeps a connection of its own accord.
-const KEEPS: f64 = 300.0;
+const MEASURED_SECONDS: f64 = 20.0;
+/// Mean seconds for which a client keeps a connection of its own accord.
+const CONNECTION_LIFETIME: f64 = 300.0;
 
+/// How connections are assigned to cores.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    Chance,
-    Turn,
-    Expected,
+enum Assignment {
+    Random,
+    RoundRobin,
+    ByExpectedRate,
 }
 
-/// Busiest over mean, on average over the last seconds; and connections sent away.
-fn round(way: Way, clients: usize, skew: f64, seed: u64) -> (f64, usize) {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    let mut rates: Vec<f64> = (1..=clients).map(|rank| 1.0 / (rank as f64).powf(skew)).collect();
-    let all: f64 = rates.iter().sum();
-    rates.iter_mut().for_each(|r| *r *= RATE / all);
-    rates.shuffle(&mut chance);
-    let (mut balancer, mut turn, mut sent) = (ConnectionBalancer::new(CORES, 0.0), 0, 0);
-    let mut core_of = vec![0; clients];
-    let mut place = |balancer: &mut ConnectionBalancer, chance: &mut ChaCha8Rng| match way {
-        Way::Chance => chance.random_range(0..CORES),
-        Way::Turn => {
-            turn += 1;
-            turn % CORES
-        }
-        Way::Expected => balancer.pick_core(),
-    };
-    let (mut calls, mut now, mut found, mut looks) = ([0.0; CORES], 0.0, 0.0, 0);
-    for core in &mut core_of {
-        *core = place(&mut balancer, &mut chance);
+/// The result of one round.
+struct RoundResult {
+    /// Busiest core's requests over the mean, on average over the measured seconds.
+    imbalance: f64,
+    /// Connections that overloaded cores closed.
+    closed: usize,
+}
+
+/// The clients of one round and the cores that have their connections.
+struct Round {
+    assignment: Assignment,
+    rng: ChaCha8Rng,
+    balancer: ConnectionBalancer,
+    next_core: usize,
+    /// Requests a second of each client.
+    rates: Vec<f64>,
+    core_of: Vec<usize>,
+    requests: [f64; CORES],
+    closed: usize,
+}
+
+impl Round {
+    fn new(assignment: Assignment, clients: usize, skew: f64, seed: u64) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut rates: Vec<f64> = (1..=clients).map(|rank| 1.0 / (rank as f64).powf(skew)).collect();
+        let total: f64 = rates.iter().sum();
+        rates.iter_mut().for_each(|rate| *rate *= TOTAL_RATE / total);
+        rates.shuffle(&mut rng);
+        let balancer = ConnectionBalancer::new(CORES, 0.0);
+        let requests = [0.0; CORES];
+        let core_of = Vec::new();
+        let mut round = Self { assignment, rng, balancer, next_core: 0, rates, core_of, requests, closed: 0 };
+        round.core_of = (0..clients).map(|_| round.assign()).collect();
+        round
     }
-    while now < SECONDS {
-        now += REBALANCE_INTERVAL;
-        let mut load = [0.0; CORES];
-        core_of.iter().zip(&rates).for_each(|(core, rate)| load[*core] += rate);
-        calls.iter_mut().zip(load).for_each(|(calls, load)| *calls += load * REBALANCE_INTERVAL);
-        if now > SECONDS - COUNTED {
-            found += load.iter().copied().fold(0.0, f64::max) * CORES as f64 / RATE;
-            looks += 1;
+
+    fn assign(&mut self) -> usize {
+        match self.assignment {
+            Assignment::Random => self.rng.random_range(0..CORES),
+            Assignment::RoundRobin => {
+                self.next_core += 1;
+                self.next_core % CORES
+            }
+            Assignment::ByExpectedRate => self.balancer.pick_core(),
         }
-        let seen = |core| CoreLoad {
-            connections: core_of.iter().filter(|c| **c == core).count(),
-            requests: calls[core] as u64,
+    }
+
+    /// Plays one interval; returns the busiest core's requests over the mean.
+    fn advance(&mut self, now: f64) -> f64 {
+        let mut rate_of = [0.0; CORES];
+        self.core_of.iter().zip(&self.rates).for_each(|(core, rate)| rate_of[*core] += rate);
+        self.requests.iter_mut().zip(rate_of).for_each(|(sum, rate)| *sum += rate * REBALANCE_INTERVAL);
+        let load = |core| CoreLoad {
+            connections: self.core_of.iter().filter(|c| **c == core).count(),
+            requests: self.requests[core] as u64,
             stalled: false,
         };
-        let seen: Vec<_> = (0..CORES).map(seen).collect();
-        for shift in balancer.rebalance(now, &seen) {
-            // Whose next answer comes first is asked first: by chance, the more so the more it calls.
-            let mut may: Vec<usize> = (0..clients)
-                .filter(|c| core_of[*c] == shift.core && rates[*c] <= shift.max_request_rate)
-                .collect();
-            may.sort_by(|a, b| rates[*b].total_cmp(&rates[*a]));
-            for client in may.into_iter().take(if way == Way::Expected { shift.connections } else { 0 }) {
-                core_of[client] = place(&mut balancer, &mut chance);
-                sent += 1;
+        let loads: Vec<_> = (0..CORES).map(load).collect();
+        for shift in self.balancer.rebalance(now, &loads) {
+            if self.assignment == Assignment::ByExpectedRate {
+                self.close(&shift);
             }
         }
-        for core in &mut core_of {
-            if chance.random_bool(REBALANCE_INTERVAL / KEEPS) {
-                *core = place(&mut balancer, &mut chance);
+        self.reconnect_some();
+        rate_of.iter().copied().fold(0.0, f64::max) * CORES as f64 / TOTAL_RATE
+    }
+
+    /// The client whose next response comes first is asked first: usually the one that sends the most requests.
+    fn close(&mut self, shift: &ConnectionShift) {
+        let may_close = |client: &usize| {
+            self.core_of[*client] == shift.core && self.rates[*client] <= shift.max_request_rate
+        };
+        let mut clients: Vec<usize> = (0..self.rates.len()).filter(may_close).collect();
+        clients.sort_by(|a, b| self.rates[*b].total_cmp(&self.rates[*a]));
+        for client in clients.into_iter().take(shift.connections) {
+            self.core_of[client] = self.assign();
+            self.closed += 1;
+        }
+    }
+
+    fn reconnect_some(&mut self) {
+        for client in 0..self.core_of.len() {
+            if self.rng.random_bool(REBALANCE_INTERVAL / CONNECTION_LIFETIME) {
+                self.core_of[client] = self.assign();
+            }
+        }
+    }
+
+    fn play(mut self) -> RoundResult {
+        let (mut now, mut sum, mut measured) = (0.0, 0.0, 0);
+        while now < SECONDS {
+            now += REBALANCE_INTERVAL;
+            let imbalance = self.advance(now);
+            if now > SECONDS - MEASURED_SECONDS {
+                sum += imbalance;
+                measured += 1;
             }
         }
+        RoundResult { imbalance: sum / f64::from(measured), closed: self.closed }
     }
-    (found / f64::from(looks), sent)
+}
+
+/// One cell of the table: mean (worst) imbalance, and connections closed in a round.
+fn cell(assignment: Assignment, name: &str, clients: usize, skew: f64) -> String {
+    let results: Vec<_> =
+        (0..ROUNDS).map(|seed| Round::new(assignment, clients, skew, seed).play()).collect();
+    let mean = results.iter().map(|result| result.imbalance).sum::<f64>() / ROUNDS as f64;
+    let worst = results.iter().map(|result| result.imbalance).fold(0.0, f64::max);
+    let closed = results.iter().map(|result| result.closed).sum::<usize>() as f64 / ROUNDS as f64;
+    let closed = if closed > 0.0 { format!(", {closed:.0} closed") } else { String::new() };
+    format!("{name} {mean:.2} ({worst:.2}{closed})")
 }
 
 fn main() {
     println!("busiest of {CORES} cores over the mean, mean (worst) of {ROUNDS} rounds of {SECONDS} s");
-    for (skew, name) in [(0.0, "alike"), (0.7, "unlike"), (1.1, "a few have most")] {
+    for (skew, name) in [(0.0, "equal rates"), (0.7, "unequal rates"), (1.1, "a few clients send most")] {
         for clients in [16, 64, 256] {
-            let cells: Vec<String> =
-                [(Way::Chance, "chance"), (Way::Turn, "in turn"), (Way::Expected, "expected")]
-                    .into_iter()
-                    .map(|(way, word)| {
-                        let found: Vec<_> = (0..ROUNDS).map(|seed| round(way, clients, skew, seed)).collect();
-                        let mean = found.iter().map(|f| f.0).sum::<f64>() / ROUNDS as f64;
-                        let worst = found.iter().map(|f| f.0).fold(0.0, f64::max);
-                        let sent = found.iter().map(|f| f.1).sum::<usize>() as f64 / ROUNDS as f64;
-                        let sent = if sent > 0.0 { format!(", {sent:.0} sent away") } else { String::new() };
-                        format!("{word} {mean:.2} ({worst:.2}{sent})")
-                    })
-                    .collect();
+            let cells = [
+                cell(Assignment::Random, "random", clients, skew),
+                cell(Assignment::RoundRobin, "round-robin", clients, skew),
+                cell(Assignment::ByExpectedRate, "by expected rate", clients, skew),
+            ];
             println!("{clients:>4} clients, {name}: {}", cells.join("  "));
         }
     }
--- a/crates/multicore/src/lib.rs
+++ b/crates/multicore/src/lib.rs
@@ -1,11 +1,14 @@
-//! What the cores of one gateway share, free of sockets and clocks.
+//! What the cores (threads) of one gateway share, free of sockets and clocks.
 //!
-//! The hand-over structures: a [`mailbox::Mailbox`] for each core, [`budget::Budget`]s for all together, a
-//! [`response_claim::ResponseClaim`] on each answer, a [`heartbeat::Pulse`] by which others see that a core runs. They are checked in all
-//! interleavings by loom (`tests/interleavings.rs`) and against sequential models (`tests/models.rs`).
+//! Shared structures, safe under any interleaving: a [`mailbox::Mailbox`] for each core, a [`budget::Budget`] for each
+//! resource that all cores use, a [`response_claim::ResponseClaim`] for each client connection, and a
+//! [`heartbeat::Heartbeat`] by which others see that a core runs. `tests/interleavings.rs` checks them in all
+//! interleavings with loom, `tests/models.rs` against sequential models.
 //!
-//! The decisions that are not the module's, as they are about cores and not about workers: [`connection_balancer`], which core gets
-//! a connection; [`watchdog`], which core stands still, and what is done about it.
+//! Decisions about cores, which have no state in common: [`connection_balancer`] chooses the core for a client connection;
+//! [`watchdog`] detects a stalled core and chooses what to do about it. The gateway's supervisor carries them out.
+
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod budget;
 pub mod connection_balancer;
--- a/crates/multicore/src/watchdog.rs
+++ b/crates/multicore/src/watchdog.rs
@@ -1,60 +1,62 @@
-//! Which cores stand still, and what is done about it: first others answer what it can't, then another takes its
-//! place.
+//! Detects stalled cores and chooses what to do about them: at first others send the responses that fall due, then they take
+//! over its messages, and in the end another thread takes its place.
 
-/// A thread not seen for so long stood still: several pulses, as a busy machine keeps one waiting now and then.
+/// Seconds without a heartbeat after which a core counts as stalled: several heartbeats, as a busy machine delays one now
+/// and then.
 pub const STALL_THRESHOLD: f64 = 0.15;
 
-/// Seconds after which its errands are done by others: a crowded machine keeps a thread waiting for less, and what
-/// it would still send in time is better left to it.
+/// Seconds without a heartbeat after which a core's messages are taken over. A crowded machine delays a thread by less,
+/// and what the core would still send in time is better left to it.
 pub const TAKEOVER_THRESHOLD: f64 = 1.0;
 
-/// Seconds after which a core that stands still is given up on: longer than any pause of the machine from which it
-/// may come back with its connections, and short against the minutes that people take.
+/// Seconds without a heartbeat after which a core is replaced: longer than any pause of the machine after which it may
+/// continue with its connections, and short against the minutes in which people react.
 pub const REPLACE_THRESHOLD: f64 = 5.0;
 
-/// Seconds before a place that lost its core again and again is filled anew, and the most of them: a core that dies
-/// at once each time must not keep the machine busy with starts.
+/// Shortest and longest seconds before a slot that lost its core again is filled: a core that ends at once each time must
+/// not keep the machine busy with starts. The delay doubles with each loss.
 const MIN_RESTART_DELAY: f64 = 0.1;
 const MAX_RESTART_DELAY: f64 = 10.0;
 
-/// Seconds of life after which a core's earlier deaths count no more.
+/// Seconds after which a running core's earlier losses no longer delay its restart.
 const STABLE_AFTER: f64 = 30.0;
 
-/// What is to be done about a core.
+/// What to do about a core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CoreAction {
-    /// It runs.
+    /// Nothing: it runs.
     Nothing,
-    /// Answer its calls as they fall due.
+    /// Send the responses of its requests that fall due.
     SendDueResponses,
-    /// That, and do the rest of its errands or call them off.
+    /// Also handle its other messages, or cancel what they ask for.
     TakeOverMessages,
-    /// Close its connections and let another core take its place.
+    /// Close its connections and start another thread in its place.
     Replace,
 }
 
-/// One place for a core, through the lives of those that fill it.
+/// Watches the slot of one core, through all threads that fill it.
 #[derive(Clone, Copy, Debug)]
 pub struct Watchdog {
     started_at: f64,
-    /// None while the place is empty.
     restart_delay: f64,
+    /// When an empty slot may be filled; none while it has a core.
     restart_at: Option<f64>,
-    /// When the whole process was seen to move again: a core must be given time to say that it runs.
+    /// When the watching thread itself last resumed after a stall: cores had no chance to send a heartbeat before.
     resumed_at: f64,
 }
 
 impl Watchdog {
+    /// Watches a core that starts at `now`.
     pub fn new(now: f64) -> Self {
         Self { started_at: now, restart_delay: 0.0, restart_at: None, resumed_at: now }
     }
 
-    /// The watcher itself stood still until now: nobody else is to blame for not having been seen.
+    /// The watching thread itself was stalled until `now`: no core is blamed for a heartbeat missing before.
     pub fn resume(&mut self, now: f64) {
         self.resumed_at = now;
     }
 
-    /// What is to be done about a core that was last seen to run then.
+    /// What to do about a core whose last heartbeat was at `last_beat`.
     pub fn check(&self, now: f64, last_beat: f64) -> CoreAction {
         let stalled_for = now - last_beat.max(self.resumed_at);
         if self.restart_at.is_some() || stalled_for <= STALL_THRESHOLD {
@@ -68,21 +70,21 @@
         }
     }
 
-    /// The core has ended, or was given up on; tells when its place may be filled.
+    /// The core has ended or is replaced; returns when its slot may be filled.
     pub fn core_lost(&mut self, now: f64) -> f64 {
         let delay = if now - self.started_at >= STABLE_AFTER { 0.0 } else { self.restart_delay };
         self.restart_delay = (2.0 * delay).clamp(MIN_RESTART_DELAY, MAX_RESTART_DELAY);
-        let at = now + delay;
-        self.restart_at = Some(at);
-        at
+        let restart_at = now + delay;
+        self.restart_at = Some(restart_at);
+        restart_at
     }
 
-    /// Whether an empty place may be filled now.
+    /// Whether the slot is empty and may be filled now.
     pub fn may_restart(&self, now: f64) -> bool {
-        self.restart_at.is_some_and(|at| now >= at)
+        self.restart_at.is_some_and(|restart_at| now >= restart_at)
     }
 
-    /// Another core fills the place.
+    /// Another thread fills the slot.
     pub fn core_started(&mut self, now: f64) {
         *self = Self { started_at: now, restart_at: None, resumed_at: now, ..*self };
     }
--- a/crates/multicore/tests/interleavings.rs
+++ b/crates/multicore/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! The hand-over structures in all interleavings of two threads, the mailbox of three: `cargo test -p milletpath-multicore
-//! --features loom --test interleavings`.
+//! The shared structures under all interleavings of two threads, the mailbox under those of three: `cargo test -p
+//! milletpath-multicore --features loom --test interleavings`.
 
 use loom::sync::atomic::{AtomicUsize, Ordering};
 use loom::sync::{Arc, Mutex};
@@ -9,10 +9,10 @@
 use milletpath_multicore::mailbox::Mailbox;
 use milletpath_multicore::response_claim::ResponseClaim;
 
-/// Two senders and an owner that sleeps unless woken: every letter is taken, each sender's in order, and none lies
-/// in the box of an owner whom nobody woke.
+/// Two senders and an owner that sleeps unless woken: every message is taken, each sender's in order, and none is left
+/// with an owner that nobody woke.
 #[test]
-fn no_letter_is_left_with_a_sleeping_owner() {
+fn no_message_is_left_with_a_sleeping_owner() {
     loom::model(|| {
         let (mailbox, woken) = (Arc::new(Mailbox::new(8)), Arc::new(Mutex::new(false)));
         let sender = |from: u8, messages: u8| {
@@ -27,7 +27,7 @@
         };
         let senders = [sender(0, 2), sender(1, 1)];
         let mut got = Vec::new();
-        // The owner looks once while they are at it, if it was woken.
+        // The owner empties its mailbox once while they push, if it was woken.
         if std::mem::take(&mut *woken.lock().unwrap()) {
             got.extend(mailbox.take_all());
         }
@@ -43,16 +43,16 @@
     });
 }
 
-/// A check that can fail: an owner that is woken for a letter before it puts the flag down misses the second.
+/// The test above can fail: an owner that clears its wake-up flag after emptying the mailbox misses the second message.
 #[test]
 #[should_panic = "left behind"]
-fn a_flag_put_down_too_late_is_found_out() {
+fn a_wake_up_flag_that_is_cleared_too_late_leaves_a_message_behind() {
     loom::model(|| {
         let (mailbox, woken) = (Arc::new(Mailbox::new(8)), Arc::new(Mutex::new(false)));
         let (inbox, flag) = (mailbox.clone(), woken.clone());
         let sender = thread::spawn(move || {
             for n in 0..2 {
-                if inbox.put(n).unwrap() {
+                if inbox.push(n).unwrap() {
                     *flag.lock().unwrap() = true;
                 }
             }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_budget_is_never_overdrawn_and_all_of_it_can_be_used() {
+fn a_budget_is_never_exceeded_and_all_of_it_can_be_used() {
     loom::model(|| {
         let (budget, got) = (Arc::new(Budget::new(2)), Arc::new(AtomicUsize::new(0)));
         let takers = [0].map(|_| {
@@ -90,9 +90,9 @@
     });
 }
 
-/// A core that comes back in the very moment in which another speaks for it: one of them answers, and once.
+/// A stalled core resumes just as another thread takes over its response: exactly one of them responds.
 #[test]
-fn one_of_two_has_the_last_word() {
+fn exactly_one_thread_sends_the_final_response() {
     loom::model(|| {
         let (claim, answers) = (Arc::new(ResponseClaim::default()), Arc::new(AtomicUsize::new(0)));
         assert!(claim.expect_response());
@@ -104,7 +104,7 @@
         });
         if claim.begin_response() {
             answers.fetch_add(1, Ordering::Relaxed);
-            // The rest of the same answer.
+            // The rest of the same response.
             assert!(claim.begin_response());
         }
         other.join().unwrap();
@@ -113,10 +113,10 @@
     });
 }
 
-/// A connection is closed for a lost core in the very moment in which that core takes up a call: either the call is
-/// not taken, or what lies unread is left alone.
+/// A lost core's connection is taken over just as that core reads a request: either the core may not process it, or the
+/// connection is not taken over.
 #[test]
-fn a_call_is_taken_up_or_turned_away() {
+fn a_request_is_processed_or_its_connection_taken_over() {
     loom::model(|| {
         let claim = Arc::new(ResponseClaim::default());
         let theirs = claim.clone();
@@ -128,9 +128,9 @@
     });
 }
 
-/// A core given up on beats once more while another takes its place: one successor, and the old one learns of it.
+/// A replaced core sends a heartbeat while two threads replace it: there is one next incarnation, and the old one is refused.
 #[test]
-fn a_life_has_one_successor() {
+fn an_incarnation_is_replaced_once() {
     loom::model(|| {
         let (heartbeat, successors) = (Arc::new(Heartbeat::new(0.0)), Arc::new(AtomicUsize::new(0)));
         let (theirs, count) = (heartbeat.clone(), successors.clone());
--- a/crates/multicore/tests/models.rs
+++ b/crates/multicore/tests/models.rs
@@ -1,4 +1,4 @@
-//! The hand-over structures against plain sequential models, and stories of the decisions about cores.
+//! The shared structures against sequential models, and the decisions about cores.
 
 use milletpath_multicore::budget::Budget;
 use milletpath_multicore::connection_balancer::{ConnectionBalancer, CoreLoad, REBALANCE_INTERVAL};
@@ -8,14 +8,14 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Any sequence of puts and takes on a box is that of a bounded queue that asks for a wake when it was empty.
+    /// Any sequence of pushes and takes is that of a bounded queue which asks for a wake-up when it was empty.
     #[test]
     fn a_mailbox_is_a_bounded_queue(steps in proptest::collection::vec(any::<Option<u8>>(), 0..60)) {
-        const MOST: usize = 5;
-        let (mailbox, mut model) = (Mailbox::new(MOST), Vec::new());
+        const CAPACITY: usize = 5;
+        let (mailbox, mut model) = (Mailbox::new(CAPACITY), Vec::new());
         for step in steps {
             match step {
-                Some(message) if model.len() < MOST => {
+                Some(message) if model.len() < CAPACITY => {
                     prop_assert_eq!(mailbox.push(message), Ok(model.is_empty()));
                     model.push(message);
                 }
@@ -28,106 +28,106 @@
 
     #[test]
     fn a_budget_is_a_bounded_sum(steps in proptest::collection::vec((0usize..6, any::<bool>()), 0..60)) {
-        let (budget, mut taken) = (Budget::new(10), Vec::new());
-        for (much, take) in steps {
-            if take {
-                let fits = taken.iter().sum::<usize>() + much <= 10;
-                prop_assert_eq!(budget.try_acquire(much), fits);
-                taken.extend(fits.then_some(much));
-            } else if let Some(much) = taken.pop() {
-                budget.release(much);
+        let (budget, mut acquired) = (Budget::new(10), Vec::new());
+        for (amount, acquire) in steps {
+            if acquire {
+                let fits = acquired.iter().sum::<usize>() + amount <= 10;
+                prop_assert_eq!(budget.try_acquire(amount), fits);
+                acquired.extend(fits.then_some(amount));
+            } else if let Some(amount) = acquired.pop() {
+                budget.release(amount);
             }
-            prop_assert_eq!(budget.used(), taken.iter().sum::<usize>());
+            prop_assert_eq!(budget.used(), acquired.iter().sum::<usize>());
         }
     }
 
-    /// Whatever is asked of a claim and in which order: nothing is written after the last word, and that is said only
-    /// between a call and the first byte of its answer, or where nothing is owed.
+    /// In any order of calls: nothing is written after a take-over, and that succeeds only between a request and the first
+    /// byte of its response, or where no response is pending.
     #[test]
-    fn a_claim_lets_one_speak(steps in proptest::collection::vec(0u8..5, 0..40)) {
+    fn a_claim_lets_one_thread_respond(steps in proptest::collection::vec(0u8..5, 0..40)) {
         #[derive(Clone, Copy, PartialEq)]
         enum State { Idle, Pending, Answering, TakenOver }
-        let (claim, mut is) = (ResponseClaim::default(), State::Idle);
+        let (claim, mut state) = (ResponseClaim::default(), State::Idle);
         for step in steps {
             match step {
                 0 => {
-                    prop_assert_eq!(claim.expect_response(), is != State::TakenOver);
-                    is = if is == State::TakenOver { is } else { State::Pending };
+                    prop_assert_eq!(claim.expect_response(), state != State::TakenOver);
+                    state = if state == State::TakenOver { state } else { State::Pending };
                 }
                 1 => {
-                    prop_assert_eq!(claim.begin_response(), is != State::TakenOver);
-                    is = if is == State::Pending { State::Answering } else { is };
+                    prop_assert_eq!(claim.begin_response(), state != State::TakenOver);
+                    state = if state == State::Pending { State::Answering } else { state };
                 }
                 2 => {
                     claim.finish_response();
-                    is = if is == State::Answering { State::Idle } else { is };
+                    state = if state == State::Answering { State::Idle } else { state };
                 }
                 3 => {
-                    prop_assert_eq!(claim.take_over(), is == State::Pending);
-                    is = if is == State::Pending { State::TakenOver } else { is };
+                    prop_assert_eq!(claim.take_over(), state == State::Pending);
+                    state = if state == State::Pending { State::TakenOver } else { state };
                 }
                 _ => {
-                    prop_assert_eq!(claim.take_over_idle(), is == State::Idle);
-                    is = if is == State::Idle { State::TakenOver } else { is };
+                    prop_assert_eq!(claim.take_over_idle(), state == State::Idle);
+                    state = if state == State::Idle { State::TakenOver } else { state };
                 }
             }
-            prop_assert_eq!(claim.is_taken_over(), is == State::TakenOver);
+            prop_assert_eq!(claim.is_taken_over(), state == State::TakenOver);
         }
     }
 }
 
-fn looks(
+/// Plays rounds with constant request rates; returns how many connections each core was to close.
+fn rebalance_rounds(
     balancer: &mut ConnectionBalancer,
-    from: f64,
-    looks: usize,
+    rounds: usize,
     rates: &[f64],
     open: &[usize],
-) -> (f64, Vec<usize>) {
-    let (mut now, mut away) = (from, vec![0; rates.len()]);
-    for _ in 0..looks {
-        now += REBALANCE_INTERVAL;
-        let seen = |(rate, open): (&f64, &usize)| CoreLoad {
+) -> Vec<usize> {
+    let mut closed = vec![0; rates.len()];
+    for round in 1..=rounds {
+        let now = round as f64 * REBALANCE_INTERVAL;
+        let load = |(rate, open): (&f64, &usize)| CoreLoad {
             connections: *open,
             requests: (rate * now) as u64,
             stalled: false,
         };
-        let seen: Vec<_> = rates.iter().zip(open).map(seen).collect();
-        balancer.rebalance(now, &seen).iter().for_each(|a| away[a.core] += a.connections);
+        let loads: Vec<_> = rates.iter().zip(open).map(load).collect();
+        balancer.rebalance(now, &loads).iter().for_each(|shift| closed[shift.core] += shift.connections);
     }
-    (now, away)
+    closed
 }
 
 #[test]
-fn idle_connections_are_dealt_in_turn() {
+fn idle_connections_are_spread_evenly() {
     let mut balancer = ConnectionBalancer::new(4, 0.0);
     let mut counts = [0; 4];
     (0..42).for_each(|_| counts[balancer.pick_core()] += 1);
     assert!(counts.iter().all(|c| (10..=11).contains(c)), "{counts:?}");
 }
 
-/// One core has nine tenths of the calls: new connections go to the others, and some of its own are asked to go too.
+/// One core has nine tenths of the requests: new connections go to the others, and it closes some of its own.
 #[test]
-fn a_core_with_most_of_the_calls_is_relieved() {
+fn a_core_with_most_requests_closes_connections() {
     let mut balancer = ConnectionBalancer::new(4, 0.0);
-    let (_, away) = looks(&mut balancer, 0.0, 12, &[9000.0, 333.0, 333.0, 333.0], &[30, 30, 30, 30]);
-    assert!(away[0] >= 3 && away[1..] == [0, 0, 0], "{away:?}");
-    let dealt: Vec<_> = (0..12).map(|_| balancer.pick_core()).collect();
-    assert!(!dealt.contains(&0), "{dealt:?}");
+    let closed = rebalance_rounds(&mut balancer, 12, &[9000.0, 333.0, 333.0, 333.0], &[30, 30, 30, 30]);
+    assert!(closed[0] >= 3 && closed[1..] == [0, 0, 0], "{closed:?}");
+    let picked: Vec<_> = (0..12).map(|_| balancer.pick_core()).collect();
+    assert!(!picked.contains(&0), "{picked:?}");
 }
 
-/// Alike but for chance, or hardly used, or crowded by one client alone: nobody is sent away.
+/// Loads that differ by random variation, low loads, and a core with a single busy client: nothing is closed.
 #[test]
-fn nobody_is_sent_away_without_need() {
+fn balanced_or_idle_cores_close_nothing() {
     for (rates, open) in
         [([1100.0, 1000.0, 900.0], [9, 9, 9]), ([90.0, 9.0, 9.0], [9, 9, 9]), ([3000.0, 0.0, 0.0], [1, 0, 0])]
     {
-        let (_, away) = looks(&mut ConnectionBalancer::new(3, 0.0), 0.0, 40, &rates, &open);
-        assert_eq!(away, [0, 0, 0], "{rates:?}");
+        let closed = rebalance_rounds(&mut ConnectionBalancer::new(3, 0.0), 40, &rates, &open);
+        assert_eq!(closed, [0, 0, 0], "{rates:?}");
     }
 }
 
 #[test]
-fn nothing_is_dealt_to_a_core_that_stands_still() {
+fn a_stalled_core_gets_no_connections() {
     let mut balancer = ConnectionBalancer::new(2, 0.0);
     balancer.rebalance(
         1.0,
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_core_is_stood_in_for_and_then_replaced() {
+fn a_stalled_core_is_taken_over_and_then_replaced() {
     let watchdog = Watchdog::new(0.0);
     assert_eq!(watchdog.check(10.0, 10.0 - STALL_THRESHOLD / 2.0), CoreAction::Nothing);
     assert_eq!(watchdog.check(10.0, 9.5), CoreAction::SendDueResponses);
@@ -148,27 +148,30 @@
     assert_eq!(watchdog.check(10.0, 9.9 - REPLACE_THRESHOLD), CoreAction::Replace);
 }
 
-/// The watcher itself stood still, as when all of the process was stopped: the cores had no chance to be seen.
+/// The watching thread itself was stalled, as when the process was stopped: the cores had no chance to run.
 #[test]
-fn nobody_is_blamed_for_the_watchers_own_standstill() {
+fn no_core_is_blamed_for_a_stall_of_the_watching_thread() {
     let mut watchdog = Watchdog::new(0.0);
     watchdog.resume(20.0);
     assert_eq!(watchdog.check(20.1, 10.0), CoreAction::Nothing);
     assert_eq!(watchdog.check(20.5, 10.0), CoreAction::SendDueResponses);
 }
 
-/// A core that dies at once each time is started ever more seldom; one that lived is replaced at once.
+/// A core that ends at once each time is restarted with growing delays; one that was stable is restarted at once.
 #[test]
-fn a_place_that_keeps_losing_its_core_rests() {
-    let (mut watchdog, mut now, mut rests) = (Watchdog::new(0.0), 1.0, Vec::new());
+fn restarts_of_a_failing_core_back_off() {
+    let (mut watchdog, mut now, mut delays) = (Watchdog::new(0.0), 1.0, Vec::new());
     for _ in 0..12 {
         let at = watchdog.core_lost(now);
-        assert_eq!(watchdog.check(now + 9.0, 0.0), CoreAction::Nothing, "there is nobody to replace");
+        assert_eq!(watchdog.check(now + 9.0, 0.0), CoreAction::Nothing, "there is no thread to replace");
         assert!(watchdog.may_restart(at) && (at <= now || !watchdog.may_restart(now)));
-        rests.push(at - now);
+        delays.push(at - now);
         now = at;
         watchdog.core_started(now);
     }
-    assert!(rests[0] == 0.0 && rests.windows(2).all(|r| r[0] <= r[1] + 1e-9) && rests[11] > 9.9, "{rests:?}");
+    assert!(
+        delays[0] == 0.0 && delays.windows(2).all(|r| r[0] <= r[1] + 1e-9) && delays[11] > 9.9,
+        "{delays:?}"
+    );
     assert_eq!(watchdog.core_lost(now + 60.0), now + 60.0);
 }
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -51,7 +51,7 @@
         if links.armed[gateway] <= self.now {
             links.armed[gateway] = f64::INFINITY;
             self.at_dispatcher(gateway, |dispatcher, now| {
-                links.sharing[gateway].tick(dispatcher, now, &parts, others)
+                links.sharing[gateway].tick(dispatcher, now, &parts, others);
             });
             self.post(gateway, &mut links);
         }
@@ -61,7 +61,7 @@
     pub(crate) fn noted(&mut self, gateway: usize, life: u64, note: &[u8]) {
         let Some(mut links) = self.links.take() else { return };
         self.at_dispatcher(gateway, |dispatcher, now| {
-            links.sharing[gateway].receive(dispatcher, now, life, note)
+            links.sharing[gateway].receive(dispatcher, now, life, note);
         });
         self.post(gateway, &mut links);
         self.links = Some(links);
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -320,7 +320,7 @@
                 self.order(gateway, order, worker, process, function, copies);
             }
             Event::HealthCheck { gateway, worker, process, serial } => {
-                self.probe(gateway, worker, process, serial)
+                self.probe(gateway, worker, process, serial);
             }
             Event::Ended { gateway, tag, shot, end } => {
                 let kept = self.dispatchers[gateway].context(tag).copied();
@@ -335,7 +335,7 @@
             }
             Event::LoadRequestEnded { gateway, order, outcome, copies } => {
                 self.at_dispatcher(gateway, |dispatcher, now| {
-                    dispatcher.load_request_ended(now, order, outcome, copies)
+                    dispatcher.load_request_ended(now, order, outcome, copies);
                 });
             }
             Event::HealthCheckEnded { gateway, worker, serial, outcome, report } => {
@@ -404,7 +404,7 @@
                     }
                 }
                 Action::Reject { request: tag, .. } => {
-                    self.own_answer(gateway, tag, AttemptOutcome::Rejected)
+                    self.own_answer(gateway, tag, AttemptOutcome::Rejected);
                 }
                 Action::Fail { request: tag, .. } => self.own_answer(gateway, tag, AttemptOutcome::Failed),
                 Action::LoadFunction { load_request: order, worker, function, instances: copies } => {
