--- a/crates/capacity-model/benches/slopes/registry.rs
+++ b/crates/capacity-model/benches/slopes/registry.rs
@@ -17,7 +17,7 @@
             let began = spent();
             let known = registry::read(&line[..line.len() - 1]).expect("a line of the list");
             let took = (spent() - began) * 1e3;
-            assert_eq!(known.2.len(), workers);
+            assert_eq!(known.endpoints.len(), workers);
             took
         });
         read.push(size(workers as f64, times.collect()));
--- a/crates/gateway/src/endpoint_watch.rs
+++ b/crates/gateway/src/endpoint_watch.rs
@@ -8,7 +8,8 @@
 use http::{Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use milletpath_protocol::{InputError, registry};
+use milletpath_protocol::InputError;
+use milletpath_protocol::registry::{self, EndpointListUpdate};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -71,20 +72,21 @@
 
     /// Applies one line.
     fn apply(&mut self, line: &[u8]) -> Result<(), WatchError> {
-        let (revision, complete, entries) = registry::read(line).map_err(WatchError::Malformed)?;
+        let update = registry::read(line).map_err(WatchError::Malformed)?;
+        let EndpointListUpdate { revision, complete, endpoints } = update;
         let is_gap = match self.last_revision {
             Some(last_revision) if revision <= last_revision => return Ok(()),
             Some(last_revision) => !complete && revision != last_revision + 1,
             None if !complete => return Err(WatchError::Incomplete),
             None => false,
         };
-        tracing::info!(revision, complete, endpoints = entries.len(), "endpoint list received");
+        tracing::info!(revision, complete, endpoints = endpoints.len(), "endpoint list received");
         if self.last_revision.is_some() && !is_gap {
             // The stream was open since the revision before, so endpoints that it did not mention are unchanged.
             self.context.with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_confirmed(now));
         }
         // Applied also after a gap: what it says of its endpoints is true, for example that one is draining.
-        self.context.shared_runtime.update_endpoints(Some(self.context.core), complete, &entries);
+        self.context.shared_runtime.update_endpoints(Some(self.context.core), complete, &endpoints);
         self.context.process_messages();
         if is_gap && !self.gap_reported {
             tracing::warn!(
--- a/crates/protocol/src/invoke.rs
+++ b/crates/protocol/src/invoke.rs
@@ -1,46 +1,49 @@
-//! The invoke API as clients speak it: `POST /v1/functions/{name}/activations` with a few header fields of ours.
-//! Paths and fields are read here; what they mean is for the gateway.
+//! The invoke API, which clients use: `POST /v1/functions/{name}/activations` with a few header fields of its own. Paths and
+//! fields are read here; the gateway decides what follows from them.
 
 use crate::{InputError, field, is_name};
 use http::header::HeaderName;
 use http::{HeaderMap, HeaderValue, Method};
 
-/// Seconds, with fractions, until the client gives up.
+/// How long the client waits for a response, in seconds with fractions.
 pub static TIMEOUT: HeaderName = HeaderName::from_static("milletpath-patience");
+/// The profile of the request.
 pub static PROFILE: HeaderName = HeaderName::from_static("milletpath-profile");
 /// The client's group.
 pub static CLIENT_GROUP: HeaderName = HeaderName::from_static("milletpath-client");
-/// A client's own further try.
+/// Marks a retry by the client itself.
 pub static CLIENT_RETRY: HeaderName = HeaderName::from_static("milletpath-repeat");
-/// `handled`, `bounced` or `terminated`; on every answer.
+/// The outcome, on every response: `handled` (succeeded), `bounced` (rejected; a retry does no harm) or `terminated` (failed;
+/// it may have run).
 pub static OUTCOME: HeaderName = HeaderName::from_static("milletpath-outcome");
+/// The gateway's id of the request, on every response.
 pub static REQUEST_ID: HeaderName = HeaderName::from_static("milletpath-activation");
-/// The mark by which workers know a repeat (draft-ietf-httpapi-idempotency-key-header).
+/// The idempotency key, by which workers recognize a retry (draft-ietf-httpapi-idempotency-key-header).
 pub static IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// What a request line asks for.
+/// What the method and path of a request ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route<'p> {
-    /// One activation of the function.
+    /// An invocation of the function with this name.
     Invoke(&'p str),
-    /// Whether the process lives.
+    /// The liveness check.
     Live,
-    /// Whether it takes work.
+    /// The readiness check.
     Ready,
 }
 
-/// Why a request line asks for nothing that there is.
+/// Why a request can't be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// Answered with 404.
+    /// There is no such path: status 404.
     UnknownPath,
-    /// Answered with 405; the method that the path has.
+    /// The path has this method only: status 405.
     MethodNotAllowed(&'static str),
-    /// Answered with 400: the function's name is none.
+    /// The function's name is invalid: status 400.
     InvalidFunctionName,
 }
 
-/// Reads a request line's method and path.
+/// Routes a request by its method and path.
 pub fn route<'p>(method: &Method, path: &'p str) -> Result<Route<'p>, RouteError> {
     let get = |route| match *method {
         Method::GET | Method::HEAD => Ok(route),
@@ -59,12 +62,12 @@
     if *method == Method::POST { Ok(Route::Invoke(name)) } else { Err(RouteError::MethodNotAllowed("POST")) }
 }
 
-/// The path of a function's activations.
+/// The path to which a function's requests are posted.
 pub fn request_path(function: &str) -> String {
     format!("/v1/functions/{function}/activations")
 }
 
-/// Seconds until the client gives up, above 0; none where it does not say. More than a day counts as a day.
+/// How long the client waits, in seconds above 0; none where the field is absent. More than a day counts as a day.
 pub fn timeout(headers: &HeaderMap) -> Result<Option<f64>, InputError> {
     const DAY: f64 = 86_400.0;
     let Some(text) = field(headers, &TIMEOUT)? else { return Ok(None) };
@@ -78,7 +81,7 @@
     })
 }
 
-/// A field that holds a name.
+/// A field whose value is a name; none where it is absent.
 pub fn name_field<'h>(headers: &'h HeaderMap, which: &HeaderName) -> Result<Option<&'h str>, InputError> {
     match field(headers, which)? {
         Some(text) if !is_name(text) => Err(InputError::new(
@@ -89,7 +92,7 @@
     }
 }
 
-/// Whether the client marks this as a further try of its own: `1`, `true` or the number of the try.
+/// Whether the client marks this request as a retry of its own: `1`, `true` or the number of the retry.
 pub fn is_client_retry(headers: &HeaderMap) -> Result<bool, InputError> {
     match field(headers, &CLIENT_RETRY)? {
         None | Some("0" | "false") => Ok(false),
@@ -102,7 +105,7 @@
     }
 }
 
-/// The mark of a receipted activation: a structured string or a bare token, at most 255 characters.
+/// The idempotency key: a structured string or a bare token of at most 255 characters.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<&HeaderValue>, InputError> {
     const MAX_CHARACTERS: usize = 255;
     match field(headers, &IDEMPOTENCY_KEY)? {
@@ -115,12 +118,12 @@
     }
 }
 
-/// Whole seconds for `Retry-After` (RFC 9110, 10.2.3): never sooner than advised.
+/// The value of `Retry-After` (RFC 9110, 10.2.3): seconds, rounded up, 1 at least.
 pub fn retry_after(seconds: f64) -> u64 {
     seconds.clamp(0.0, 86_400.0).ceil().max(1.0) as u64
 }
 
-/// So much of a senseless text as a message may repeat.
+/// The start of an invalid text, as far as an error message may quote it.
 fn truncated(text: &str) -> &str {
     const MAX_QUOTED_BYTES: usize = 40;
     let end = (0..=text.len().min(MAX_QUOTED_BYTES)).rev().find(|&n| text.is_char_boundary(n));
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,10 @@
-//! What goes over sockets, parsed and written; no sockets, no state, no decisions. Clients speak the invoke API
-//! ([`invoke`], [`problem`]), workers the Open Inference Protocol with ORCA load reports ([`worker`], [`orca`]),
-//! the registry lines of JSON ([`registry`]). Messages get no types: a decoded field is handed to the caller.
+//! Codecs of the gateway's own protocols; no sockets, no state, no decisions.
+//!
+//! Clients use the invoke API ([`invoke`], errors as [`problem`] documents), workers the Open Inference Protocol with ORCA
+//! load reports ([`worker`], [`orca`]), and the registry streams the endpoint list as lines of JSON ([`registry`]). Requests
+//! and responses are those of the `http` crate: the functions here read and name their parts.
+
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod invoke;
 pub mod orca;
@@ -8,15 +12,17 @@
 pub mod registry;
 pub mod worker;
 
-/// Why bytes from outside are no use: what is wrong, and what would be right.
+/// Why input from outside the process can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InputError {
-    /// The field or part that is wrong.
+    /// The header field, or the part of the message, that is wrong.
     pub location: String,
+    /// What is wrong with it and, where that is not obvious, what would be right.
     pub problem: String,
 }
 
 impl InputError {
+    /// An error at a location.
     pub fn new(location: impl Into<String>, problem: impl Into<String>) -> Self {
         Self { location: location.into(), problem: problem.into() }
     }
@@ -30,15 +36,16 @@
 
 impl std::error::Error for InputError {}
 
-/// Names of functions, profiles, client groups and workers: unreserved characters of RFC 3986 and `:`, at most
-/// 128 of them, so that they stand in a path, a header and a log line as they are.
+/// Whether a text may be the name of a function, profile, client group or worker: 1 to 128 unreserved characters of
+/// RFC 3986 and `:`, which need no escapes in a path, a header or a log line.
 pub fn is_name(text: &str) -> bool {
     const MAX_BYTES: usize = 128;
     let fits = |c: u8| c.is_ascii_alphanumeric() || matches!(c, b'-' | b'.' | b'_' | b'~' | b':');
     (1..=MAX_BYTES).contains(&text.len()) && text.bytes().all(fits) && text != "." && text != ".."
 }
 
-/// A header field's one value as text; none where it is absent, a fault where it comes twice or is no text.
+/// A header field's only value as text, without surrounding blanks; none where the field is absent. A field that occurs
+/// twice, or whose value is not visible ASCII, is an error.
 pub fn field<'h>(
     headers: &'h http::HeaderMap,
     name: &http::HeaderName,
--- a/crates/protocol/src/orca.rs
+++ b/crates/protocol/src/orca.rs
@@ -1,27 +1,27 @@
 //! Load reports as ORCA header fields: `endpoint-load-metrics: TEXT cpu_utilization=0.3, named_metrics.held=2`
-//! or `JSON {...}` (Envoy's ORCA load report, its header form). The binary form is not read.
+//! or `JSON {...}` (Envoy's ORCA load report, its header form). The binary form is not supported.
 
 use crate::InputError;
 use http::header::HeaderName;
 
 /// The header field of a load report.
 pub static HEADER: HeaderName = HeaderName::from_static("endpoint-load-metrics");
-/// How busy the cores are, 0 to 1.
+/// Utilization of the cores, 0 to 1.
 pub const CPU_UTILIZATION: &str = "cpu_utilization";
-/// The share of memory that cannot be freed.
+/// The fraction of memory that can't be freed.
 pub const MEMORY_UTILIZATION: &str = "mem_utilization";
-/// Activations held.
+/// Requests that the worker has accepted and not answered.
 pub const IN_FLIGHT: &str = "named_metrics.held";
-/// Activations that wait.
+/// Requests among them that wait in a queue.
 pub const QUEUED: &str = "named_metrics.waiting";
-/// Loads under way or waiting.
+/// Loads of functions in progress or queued.
 pub const LOADING: &str = "named_metrics.loading";
 
-/// Pairs that one report may have; a worker that sends more is not understood.
+/// Figures that one report may have; a report with more is invalid.
 const MAX_FIGURES: usize = 64;
 
-/// Hands each figure of a report to `take`, with nested names joined by a point. Figures are finite; negative
-/// ones are refused, as no report has a use for them.
+/// Passes each figure of a report to `take`, nested names joined by a point. Figures that are not finite, or negative, make
+/// the report invalid.
 pub fn read(text: &str, mut take: impl FnMut(&str, f64)) -> Result<(), InputError> {
     let text = text.trim();
     let (form, rest) = text.split_once(' ').unwrap_or((text, ""));
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -1,34 +1,45 @@
-//! The worker list as the registry tells it: a stream of lines, each one edition in JSON, whole or changes only:
+//! The endpoint list as the registry streams it: lines of JSON, each one revision, either the complete list or its changes:
 //! `{"edition": 7, "whole": true, "workers": [{"name": "w1", "address": "127.0.0.1:9001", "state": "ready"}]}`.
-//! A line is read whole or not at all.
+//! A line with any error in it is rejected as a whole.
 
 use crate::{InputError, is_name};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Bytes that one line may have: 10,000 workers fit in several times.
+/// Longest line in bytes; room for several times 10,000 workers.
 pub const MAX_LINE_BYTES: usize = 8 << 20;
-/// The path at which the registry streams its editions.
+/// The path at which the registry streams revisions.
 pub const PATH: &str = "/v1/workers";
 
-/// One worker as a list tells it.
+/// One worker process in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
+    /// The worker's name, unique in the list.
     pub name: String,
+    /// Where it accepts requests.
     pub address: SocketAddr,
     /// When the process started, in seconds of the Unix clock; none means long ago.
     pub started: Option<f64>,
+    /// Its capacity relative to a worker of size 1.
     pub size: f64,
+    /// The kind of worker; empty where it is not stated, like the zone and the cell.
     pub kind: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// The cell that it is in.
     pub cell: String,
+    /// Whether it takes requests.
     pub state: EndpointStatus,
 }
 
+/// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
+    /// It takes requests.
     Ready,
+    /// It finishes what it has and takes no new requests.
     Draining,
+    /// It has left the list.
     Gone,
 }
 
@@ -38,37 +49,48 @@
     ("gone", EndpointStatus::Gone),
 ];
 
-/// Reads one line: the edition's number, whether it is the complete list, and its entries.
-pub fn read(line: &[u8]) -> Result<(u64, bool, Vec<EndpointEntry>), InputError> {
+/// One revision of the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointListUpdate {
+    /// The revision's number.
+    pub revision: u64,
+    /// Whether the endpoints are the complete list; otherwise they are those that changed.
+    pub complete: bool,
+    /// The endpoints, each name once.
+    pub endpoints: Vec<EndpointEntry>,
+}
+
+/// Reads one line, without its line end.
+pub fn read(line: &[u8]) -> Result<EndpointListUpdate, InputError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(InputError::new("list", format!("a line of over {MAX_LINE_BYTES} bytes")));
     }
     let value: Value =
         serde_json::from_slice(line).map_err(|e| InputError::new("list", format!("no JSON: {e}")))?;
-    let edition =
+    let revision =
         value["edition"].as_u64().ok_or_else(|| InputError::new("edition", "is no whole number"))?;
-    let whole =
+    let complete =
         value["whole"].as_bool().ok_or_else(|| InputError::new("whole", "is neither true nor false"))?;
     let lines = value["workers"].as_array().ok_or_else(|| InputError::new("workers", "is no list"))?;
-    let entries = lines.iter().enumerate().map(entry).collect::<Result<Vec<_>, _>>()?;
-    let mut names: Vec<_> = entries.iter().map(|e| &e.name).collect();
+    let endpoints = lines.iter().enumerate().map(endpoint).collect::<Result<Vec<_>, _>>()?;
+    let mut names: Vec<_> = endpoints.iter().map(|e| &e.name).collect();
     names.sort_unstable();
     if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
         return Err(InputError::new("workers", format!("{} is listed twice", twice[0])));
     }
-    Ok((edition, whole, entries))
+    Ok(EndpointListUpdate { revision, complete, endpoints })
 }
 
-fn entry((n, value): (usize, &Value)) -> Result<EndpointEntry, InputError> {
-    let fault = |key: &str, wrong: &str| InputError::new(format!("workers[{n}].{key}"), wrong);
+fn endpoint((n, value): (usize, &Value)) -> Result<EndpointEntry, InputError> {
+    let error = |key: &str, problem: &str| InputError::new(format!("workers[{n}].{key}"), problem);
     let named = |key: &str| match &value[key] {
         Value::Null => Ok(String::new()),
         Value::String(text) if is_name(text) => Ok(text.clone()),
-        _ => Err(fault(key, "is no name")),
+        _ => Err(error(key, "is no name")),
     };
     let name = named("name")?;
     if name.is_empty() {
-        return Err(fault("name", "is missing"));
+        return Err(error("name", "is missing"));
     }
     let address = value["address"].as_str().and_then(|a| a.parse().ok());
     let state = match &value["state"] {
@@ -81,22 +103,22 @@
             .as_f64()
             .filter(|x| *x >= 0.0)
             .map(Some)
-            .ok_or_else(|| fault(key, "is no figure of 0 or more")),
+            .ok_or_else(|| error(key, "is no figure of 0 or more")),
     };
     Ok(EndpointEntry {
-        address: address.ok_or_else(|| fault("address", "is no address with a port"))?,
+        address: address.ok_or_else(|| error("address", "is no address with a port"))?,
         started: figure("started")?,
         size: figure("size")?.filter(|x| *x > 0.0).unwrap_or(1.0),
         kind: named("kind")?,
         zone: named("zone")?,
         cell: named("cell")?,
-        state: state.ok_or_else(|| fault("state", "is none of ready, draining, gone"))?,
+        state: state.ok_or_else(|| error("state", "is none of ready, draining, gone"))?,
         name,
     })
 }
 
-/// Writes one edition, with its line end.
-pub fn write(edition: u64, whole: bool, entries: &[EndpointEntry]) -> Vec<u8> {
+/// Writes one revision, with its line end.
+pub fn write(revision: u64, complete: bool, endpoints: &[EndpointEntry]) -> Vec<u8> {
     let worker = |e: &EndpointEntry| {
         let state = STATUS_WORDS.iter().find(|(_, s)| *s == e.state).map_or("gone", |(word, _)| word);
         let mut line = serde_json::json!({
@@ -112,8 +134,9 @@
         }
         line
     };
-    let workers: Vec<_> = entries.iter().map(worker).collect();
-    let mut line = serde_json::json!({"edition": edition, "whole": whole, "workers": workers}).to_string();
+    let workers: Vec<_> = endpoints.iter().map(worker).collect();
+    let mut line =
+        serde_json::json!({"edition": revision, "whole": complete, "workers": workers}).to_string();
     line.push('\n');
     line.into_bytes()
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,49 +1,57 @@
-//! The worker side: paths of the Open Inference Protocol (version 2 of KServe's REST API with its model
-//! repository extension), and the few fields of ours for what it has no word for.
+//! The protocol of workers: paths of the Open Inference Protocol (version 2 of KServe's REST API with its model repository
+//! extension), and header fields of its own for what that protocol does not define.
 
 use crate::{InputError, field, is_name};
 use http::HeaderMap;
 use http::header::HeaderName;
 
-/// On an answer: whether an instance stood loaded, and what became of the load otherwise.
+/// On a response: whether an instance was loaded, and otherwise the state of its load.
 pub static INSTANCE_STATE: HeaderName = HeaderName::from_static("milletpath-found");
-/// On an answer: activations of the same function that the worker held when this one came.
+/// On a response: requests of the same function that the worker had in flight when this one arrived.
 pub static CONCURRENT_REQUESTS: HeaderName = HeaderName::from_static("milletpath-company");
-/// On a refusal: the worker's own word that it never ran the activation.
+/// On a rejection: the worker's statement that it never ran the request.
 pub static REJECTION: HeaderName = HeaderName::from_static("milletpath-refused");
-/// On an order to load, and in its answer: instances to hold, and instances that stand.
+/// On a load request: instances to load. On its response: instances that are loaded.
 pub static INSTANCES: HeaderName = HeaderName::from_static("milletpath-copies");
-/// On a shot: seconds for which the answer is waited for.
+/// On an attempt: seconds for which the gateway waits for the response.
 pub static TIME_LEFT: HeaderName = HeaderName::from_static("milletpath-left");
-/// On a shot: the number of the shot, from 0.
+/// On an attempt: its number among the attempts of the request, from 0.
 pub static ATTEMPT: HeaderName = HeaderName::from_static("milletpath-shot");
-/// Asks how a worker is.
+/// The path of health checks.
 pub const HEALTH_PATH: &str = "/v2/health/ready";
 
-/// What a request line asks of a worker.
+/// What the path of a request to a worker asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route<'p> {
+    /// Run the function with this name.
     Infer(&'p str),
+    /// Load it.
     Load(&'p str),
+    /// Unload it.
     Unload(&'p str),
+    /// Respond to a health check.
     Ready,
 }
 
-/// What a worker's word on its instance can be.
+/// The state of the function's instance on the worker when a request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
+    /// It was loaded.
     Loaded,
+    /// The request started its load.
     LoadStarted,
+    /// The request waited for a load that was in progress.
     LoadAwaited,
+    /// Its load failed.
     LoadFailed,
 }
 
-/// Why a worker turned an activation away unrun.
+/// Why a worker rejected a request without running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// No room.
+    /// Its queue or memory is full.
     Full,
-    /// It is going away.
+    /// It drains before it stops.
     Draining,
     /// The function is not loaded there, or its load failed.
     NotLoaded,
@@ -58,19 +66,22 @@
 const REJECTION_WORDS: [(&str, Rejection); 3] =
     [("full", Rejection::Full), ("draining", Rejection::Draining), ("missing", Rejection::NotLoaded)];
 
+/// The path at which a function runs.
 pub fn infer_path(function: &str) -> String {
     format!("/v2/models/{function}/infer")
 }
 
+/// The path of load requests for a function.
 pub fn load_path(function: &str) -> String {
     format!("/v2/repository/models/{function}/load")
 }
 
+/// The path of unload requests for a function.
 pub fn unload_path(function: &str) -> String {
     format!("/v2/repository/models/{function}/unload")
 }
 
-/// Reads the path of a request to a worker.
+/// Routes a request to a worker by its path; none where there is no such path.
 pub fn route(path: &str) -> Option<Route<'_>> {
     if path == HEALTH_PATH {
         return Some(Route::Ready);
@@ -89,20 +100,22 @@
     is_name(name).then_some(route)
 }
 
-/// The worker's word on its instance; one that is not known says nothing.
+/// The instance's state as the worker reported it; none where the field is absent or its word is not known.
 pub fn instance_state(headers: &HeaderMap) -> Option<InstanceState> {
     parse_word(headers, &INSTANCE_STATE, &INSTANCE_STATE_WORDS)
 }
 
-/// The worker's own word that nothing ran. Anything but the exact words proves nothing.
+/// The worker's statement that nothing ran; none for anything but the exact words, as that proves nothing.
 pub fn rejection(headers: &HeaderMap) -> Option<Rejection> {
     parse_word(headers, &REJECTION, &REJECTION_WORDS)
 }
 
+/// The word of a state in the header field.
 pub fn instance_state_word(state: InstanceState) -> &'static str {
     INSTANCE_STATE_WORDS.iter().find(|(_, f)| *f == state).map_or("", |(word, _)| word)
 }
 
+/// The word of a rejection in the header field.
 pub fn rejection_word(rejection: Rejection) -> &'static str {
     REJECTION_WORDS.iter().find(|(_, r)| *r == rejection).map_or("", |(word, _)| word)
 }
@@ -112,7 +125,7 @@
     words.iter().find(|(word, _)| *word == text).map(|(_, value)| *value)
 }
 
-/// A count in a field of ours, up to a million.
+/// A field that holds a count, up to a million; none where it is absent.
 pub fn count_field(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u32>, InputError> {
     const MAX_COUNT: u32 = 1_000_000;
     let Some(text) = field(headers, name)? else { return Ok(None) };
--- a/crates/protocol/tests/round_trips.rs
+++ b/crates/protocol/tests/round_trips.rs
@@ -1,7 +1,7 @@
-//! What is written is read back, and any bytes give a value or a fault.
+//! What is written is read back, and any bytes give a value or an error.
 
 use http::{HeaderMap, HeaderValue, Method};
-use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
+use milletpath_protocol::registry::{EndpointEntry, EndpointListUpdate, EndpointStatus};
 use milletpath_protocol::{invoke, is_name, orca, registry, worker};
 use proptest::prelude::*;
 use test_case::test_case;
@@ -11,12 +11,12 @@
 }
 
 fn entries() -> impl Strategy<Value = EndpointEntry> {
-    let standing =
+    let status =
         prop_oneof![Just(EndpointStatus::Ready), Just(EndpointStatus::Draining), Just(EndpointStatus::Gone)];
     let place = (any::<[u8; 4]>(), any::<u16>());
     let part = || prop_oneof![Just(String::new()), names()];
     let parts = (part(), part(), part());
-    (names(), place, proptest::option::of(0.0..2e9), 0.01..100.0, parts, standing).prop_map(
+    (names(), place, proptest::option::of(0.0..2e9), 0.01..100.0, parts, status).prop_map(
         |(name, (ip, port), started, size, (kind, zone, cell), state)| EndpointEntry {
             name,
             address: (ip, port).into(),
@@ -32,16 +32,16 @@
 
 proptest! {
     #[test]
-    fn lists_are_read_as_written(edition: u64, whole: bool, mut list in proptest::collection::vec(entries(), 0..20)) {
-        list.sort_by(|a, b| a.name.cmp(&b.name));
-        list.dedup_by(|a, b| a.name == b.name);
-        let line = registry::write(edition, whole, &list);
-        prop_assert_eq!(registry::read(&line), Ok((edition, whole, list)));
+    fn endpoint_lists_are_read_as_written(revision: u64, complete: bool, mut endpoints in proptest::collection::vec(entries(), 0..20)) {
+        endpoints.sort_by(|a, b| a.name.cmp(&b.name));
+        endpoints.dedup_by(|a, b| a.name == b.name);
+        let line = registry::write(revision, complete, &endpoints);
+        prop_assert_eq!(registry::read(&line), Ok(EndpointListUpdate { revision, complete, endpoints }));
     }
 
     #[test]
-    fn half_a_list_is_no_list(list in proptest::collection::vec(entries(), 1..4), part in 0.0..1.0) {
-        let line = registry::write(3, true, &list);
+    fn a_truncated_list_is_rejected(endpoints in proptest::collection::vec(entries(), 1..4), part in 0.0..1.0) {
+        let line = registry::write(3, true, &endpoints);
         let cut = ((line.len() - 1) as f64 * part) as usize;
         prop_assert!(registry::read(&line[..cut.min(line.len() - 2)]).is_err());
     }
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn any_bytes_give_a_value_or_a_fault(bytes in proptest::collection::vec(any::<u8>(), 0..300), text in ".{0,200}") {
+    fn any_bytes_give_a_value_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..300), text in ".{0,200}") {
         let _ = registry::read(&bytes);
         let mut figures = 0;
         for form in ["", "TEXT ", "JSON "] {
@@ -85,9 +85,9 @@
         let path = invoke::request_path(&name);
         prop_assert_eq!(invoke::route(&Method::POST, &path), Ok(invoke::Route::Invoke(&name)));
         let paths = [worker::infer_path(&name), worker::load_path(&name), worker::unload_path(&name)];
-        let wanted = paths.each_ref().map(|path| worker::route(path).unwrap());
+        let routes = paths.each_ref().map(|path| worker::route(path).unwrap());
         let [infer, load, unload] = [worker::Route::Infer, worker::Route::Load, worker::Route::Unload];
-        prop_assert_eq!(wanted, [infer(&name), load(&name), unload(&name)]);
+        prop_assert_eq!(routes, [infer(&name), load(&name), unload(&name)]);
     }
 }
 
@@ -97,29 +97,29 @@
 #[test_case("1e3", None; "exponents are no plain figures")]
 #[test_case("0.2", Some(0.2); "a fraction")]
 #[test_case("999999", Some(86_400.0); "more than a day")]
-fn patience_is_a_time(text: &str, seconds: Option<f64>) {
+fn a_timeout_is_a_plain_number_of_seconds(text: &str, seconds: Option<f64>) {
     let mut headers = HeaderMap::new();
     headers.insert(&invoke::TIMEOUT, HeaderValue::from_str(text).unwrap());
     assert_eq!(invoke::timeout(&headers).ok().flatten(), seconds);
 }
 
-/// Two readers of a request could each believe another of two values.
+/// Two readers of a request could each take another of two values.
 #[test]
-fn a_field_that_comes_twice_is_refused() {
+fn a_field_that_occurs_twice_is_an_error() {
     let mut headers = HeaderMap::new();
     headers.append(&invoke::TIMEOUT, HeaderValue::from_static("1"));
     headers.append(&invoke::TIMEOUT, HeaderValue::from_static("9"));
     assert!(invoke::timeout(&headers).is_err());
 }
 
-/// Only the worker's exact word proves that nothing ran.
+/// Only the exact word proves that nothing ran.
 #[test_case("full", Some(worker::Rejection::Full))]
 #[test_case("Full", None; "another case")]
 #[test_case("full, draining", None; "two words")]
-fn a_refusal_is_believed_in_its_own_words(text: &str, is: Option<worker::Rejection>) {
+fn a_rejection_is_read_in_its_exact_words(text: &str, expected: Option<worker::Rejection>) {
     let mut headers = HeaderMap::new();
     headers.insert(&worker::REJECTION, HeaderValue::from_str(text).unwrap());
-    assert_eq!(worker::rejection(&headers), is);
+    assert_eq!(worker::rejection(&headers), expected);
 }
 
 #[test_case("/v1/functions//activations", Err(invoke::RouteError::InvalidFunctionName); "no name")]
@@ -128,6 +128,6 @@
 #[test_case("/v1/functions/../activations", Err(invoke::RouteError::InvalidFunctionName); "dots")]
 #[test_case("/v2/functions/a/activations", Err(invoke::RouteError::UnknownPath); "another version")]
 #[test_case("/health/ready", Err(invoke::RouteError::MethodNotAllowed("GET")); "a health check posted")]
-fn other_paths_ask_for_nothing(path: &str, is: Result<invoke::Route<'_>, invoke::RouteError>) {
-    assert_eq!(invoke::route(&Method::POST, path), is);
+fn other_paths_are_not_routed(path: &str, expected: Result<invoke::Route<'_>, invoke::RouteError>) {
+    assert_eq!(invoke::route(&Method::POST, path), expected);
 }
