--- /dev/null
+++ b/crates/milletpath/tests/runbook.rs
@@ -0,0 +1,260 @@
+//! The runbook has an entry for each log line of level warn and error that a program in service writes, and no entry for
+//! a line that nobody writes. Both sides are read from the text of the sources and of the page.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+
+/// Packages whose lines only scenarios and scale tests write.
+const TEST_TOOLS: [&str; 4] = ["emulator", "history-checker", "scale-test", "simulator"];
+
+/// What each entry answers, in this order.
+const QUESTIONS: [&str; 5] = ["Means", "By itself", "Look at", "Do", "Can wait"];
+
+/// The levels of which every line needs an entry: the macro's name, and how the page writes it.
+const LEVELS: [(&str, &str); 2] = [("warn!(", "WARN"), ("error!(", "ERROR")];
+
+/// A log line: its text, with `{}` for each value.
+type Message = String;
+
+/// Levels at which a line is written, and the files that write it.
+#[derive(Debug, Default)]
+struct LogLine {
+    levels: BTreeSet<&'static str>,
+    files: BTreeSet<String>,
+}
+
+/// An entry of the runbook.
+#[derive(Debug)]
+struct Entry {
+    heading: String,
+    /// The lines below the heading.
+    body: Vec<String>,
+}
+
+fn workspace() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+/// All Rust files below a folder, without test modules.
+fn sources(folder: &Path) -> Vec<PathBuf> {
+    let mut found = Vec::new();
+    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
+        let path = entry.expect("a file").path();
+        if path.is_dir() {
+            found.extend(sources(&path));
+        } else if path.extension().is_some_and(|e| e == "rs")
+            && path.file_stem().is_some_and(|s| s != "tests")
+        {
+            found.push(path);
+        }
+    }
+    found
+}
+
+/// The code of a file without comment lines.
+fn code(text: &str) -> String {
+    let lines: Vec<_> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
+    lines.join("\n")
+}
+
+/// The lines that the programs in service write at the levels above.
+fn log_lines() -> BTreeMap<Message, LogLine> {
+    let mut lines: BTreeMap<Message, LogLine> = BTreeMap::new();
+    for package in std::fs::read_dir(workspace().join("crates")).expect("the folder of packages") {
+        let package = package.expect("a folder").path();
+        let name = package.file_name().expect("a name").to_string_lossy().into_owned();
+        if TEST_TOOLS.contains(&name.as_str()) || !package.join("Cargo.toml").is_file() {
+            continue;
+        }
+        for file in sources(&package.join("src")) {
+            let text = code(&std::fs::read_to_string(&file).expect("a source"));
+            for (macro_name, level) in LEVELS {
+                for message in messages(&text, macro_name) {
+                    let line = lines.entry(message).or_default();
+                    line.levels.insert(level);
+                    line.files.insert(file.display().to_string());
+                }
+            }
+        }
+    }
+    lines
+}
+
+/// The texts of all calls of a macro in a source.
+fn messages(text: &str, macro_name: &str) -> Vec<Message> {
+    let is_other_macro = |before: &str| before.ends_with(|c: char| c.is_alphanumeric() || c == '_');
+    let calls = text.match_indices(macro_name).filter(|(at, _)| !is_other_macro(&text[..*at]));
+    calls.map(|(at, _)| message_of_call(&text[at + macro_name.len()..])).collect()
+}
+
+/// The text of one call: the last string literal among its arguments, nested calls left out.
+fn message_of_call(arguments: &str) -> Message {
+    let mut characters = arguments.chars();
+    let (mut depth, mut message) = (0_u32, None);
+    while let Some(character) = characters.next() {
+        match character {
+            '(' | '[' | '{' => depth += 1,
+            ')' | ']' | '}' if depth > 0 => depth -= 1,
+            ')' => break,
+            '"' => {
+                let literal = string_literal(&mut characters);
+                message = if depth == 0 { Some(literal) } else { message };
+            }
+            _ => {}
+        }
+    }
+    let message = message.unwrap_or_else(|| panic!("a log line without a text: {:.200}", arguments));
+    with_empty_placeholders(&message)
+}
+
+/// Reads a string literal whose opening quote was just read.
+fn string_literal(characters: &mut std::str::Chars<'_>) -> String {
+    let mut literal = String::new();
+    while let Some(character) = characters.next() {
+        match character {
+            '"' => break,
+            '\\' => match characters.next() {
+                // The literal goes on after the next line's indent.
+                Some('\n') => {
+                    let rest = characters.as_str().trim_start();
+                    *characters = rest.chars();
+                }
+                Some(escaped) => literal.push(escaped),
+                None => break,
+            },
+            _ => literal.push(character),
+        }
+    }
+    literal
+}
+
+/// The text with `{}` in the place of `{name}` and `{name:?}`.
+fn with_empty_placeholders(text: &str) -> String {
+    let mut result = String::new();
+    let mut inside = false;
+    for character in text.chars() {
+        match character {
+            '{' => result.push_str("{}"),
+            '}' => {}
+            _ if inside => {}
+            _ => result.push(character),
+        }
+        inside = (inside || character == '{') && character != '}';
+    }
+    result
+}
+
+fn runbook() -> String {
+    std::fs::read_to_string(workspace().join("docs/oncall.md")).expect("the runbook")
+}
+
+/// The entries of a runbook: its headings of the third level, each of which is a log line in backquotes.
+fn entries(page: &str) -> BTreeMap<Message, Entry> {
+    let mut entries = BTreeMap::new();
+    for section in page.split("\n### ").skip(1) {
+        let mut lines = section.lines();
+        let heading = lines.next().expect("a heading").to_owned();
+        let text = heading.strip_prefix('`').and_then(|heading| heading.strip_suffix('`'));
+        let text =
+            text.unwrap_or_else(|| panic!("{heading}: an entry's heading is a log line in backquotes"));
+        let message = with_empty_placeholders(text);
+        let body = lines.take_while(|line| !line.starts_with('#')).map(str::to_owned).collect();
+        let former = entries.insert(message, Entry { heading: heading.clone(), body });
+        assert!(former.is_none(), "{heading}: two entries");
+    }
+    entries
+}
+
+/// Log lines without an entry, each with the files that write it.
+fn missing<'l>(
+    lines: &'l BTreeMap<Message, LogLine>,
+    entries: &BTreeMap<Message, Entry>,
+) -> Vec<(&'l Message, &'l LogLine)> {
+    lines.iter().filter(|(message, _)| !entries.contains_key(*message)).collect()
+}
+
+#[test]
+fn each_line_of_level_warn_or_error_has_an_entry() {
+    let lines = log_lines();
+    let missing = missing(&lines, &entries(&runbook()));
+    assert!(missing.is_empty(), "docs/oncall.md has no entry for these log lines: {missing:#?}");
+}
+
+#[test]
+fn each_entry_is_a_line_that_a_program_writes() {
+    let lines = log_lines();
+    let dead: Vec<_> =
+        entries(&runbook()).into_iter().filter(|(message, _)| !lines.contains_key(message)).collect();
+    let headings: Vec<_> = dead.iter().map(|(_, entry)| &entry.heading).collect();
+    assert!(dead.is_empty(), "docs/oncall.md has entries for lines that nobody writes: {headings:#?}");
+}
+
+#[test]
+fn each_entry_states_the_level_and_answers_all_questions() {
+    let lines = log_lines();
+    for (message, entry) in entries(&runbook()) {
+        let heading = &entry.heading;
+        let levels: Vec<_> = lines.get(&message).map(|line| line.levels.iter().collect()).unwrap_or_default();
+        let first = entry.body.first().map(String::as_str).unwrap_or_default();
+        for level in levels {
+            assert!(first.starts_with(*level), "{heading}: the line below must begin with {level}");
+        }
+        let answers = entry.body.iter().filter_map(|line| line.strip_prefix("- **")?.split_once("**: "));
+        let (questions, answers): (Vec<_>, Vec<_>) = answers.unzip();
+        assert_eq!(questions, QUESTIONS, "{heading}");
+        assert!(answers.iter().all(|answer| !answer.trim().is_empty()), "{heading}: an answer is empty");
+    }
+}
+
+/// A text of values alone could stand for any line: its entry names each file that writes it.
+#[test]
+fn an_entry_for_a_text_without_words_names_the_files_that_write_it() {
+    let entries = entries(&runbook());
+    for (message, line) in log_lines() {
+        if message.contains(char::is_alphabetic) {
+            continue;
+        }
+        let Some(entry) = entries.get(&message) else { continue };
+        for file in &line.files {
+            let name = Path::new(file).file_name().expect("a name").to_string_lossy();
+            let is_named = entry.body.iter().any(|text| text.contains(&*name));
+            assert!(is_named, "{}: the entry does not name {file}", entry.heading);
+        }
+    }
+}
+
+#[test]
+fn a_line_whose_entry_is_removed_is_found_missing() {
+    let (lines, mut entries) = (log_lines(), entries(&runbook()));
+    let removed = lines.keys().next().expect("a log line");
+    entries.remove(removed);
+    let missing: Vec<_> = missing(&lines, &entries).into_iter().map(|(message, _)| message).collect();
+    assert_eq!(missing, [removed]);
+}
+
+#[test]
+fn the_reader_of_sources_finds_texts_among_fields_and_over_several_lines() {
+    let source =
+        "tracing::warn!(\n    a = list.join(\", \"),\n    ?b,\n    \"one {b}, \\\n     two: {c:?}\"\n);";
+    assert_eq!(messages(source, "warn!("), ["one {}, two: {}"]);
+    assert_eq!(messages("return warn!(%e, \"a \\\"quoted\\\" word\")", "warn!("), ["a \"quoted\" word"]);
+    assert!(messages("my_warn!(\"no log line\")", "warn!(").is_empty());
+    assert_eq!(code("// warn!(\"in a comment\")\nwarn!(\"b\")"), "warn!(\"b\")");
+}
+
+/// The levels above are written by their macros alone, so that this test sees every line.
+#[test]
+fn no_line_is_written_by_another_macro() {
+    for package in std::fs::read_dir(workspace().join("crates")).expect("the folder of packages") {
+        let folder = package.expect("a folder").path().join("src");
+        if !folder.is_dir() {
+            continue;
+        }
+        for file in sources(&folder) {
+            let text = code(&std::fs::read_to_string(&file).expect("a source"));
+            let name = file.display();
+            assert!(!text.contains("Level::WARN") && !text.contains("Level::ERROR"), "{name}");
+            assert!(!text.contains("event!("), "{name}: use warn! or error!");
+        }
+    }
+}
