--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The configuration of a gateway, read from HCL and checked, with the values that the gateway derives from it at start.
 //!
 //! [`read`] gives a [`GatewayConfig`], or every [`ConfigError`] of the text with line, column and remedy. What a setting
-//! means, its unit and bounds are in `docs/operators/charter.md`. [`change`] holds changes made while gateways run.
+//! means, its unit and bounds are in `docs/operators/configuration.md`. [`change`] holds changes made while gateways run.
 
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -1,6 +1,6 @@
 //! Plans of scale runs, in HCL: how many gateways in which regions, what their control has to keep, what
 //! befalls them in which order. What a figure means, its unit and its bounds stand in
-//! `docs/operators/scale.md`.
+//! `docs/operators/scale-test.md`.
 
 use hcl_edit::parser::parse_body;
 use milletpath_config::document::{ConfigError, Document, Section};
