--- a/crates/config/src/reader/membership.rs
+++ b/crates/config/src/reader/membership.rs
@@ -1,5 +1,5 @@
 //! Membership among the gateways. Its settings should be the same in all files of a fleet: the defaults find a failed
-//! gateway within some seconds at some 2 kB a second, and serve dozens of gateways (`docs/design/peers.md`).
+//! gateway within some seconds at some 2 kB a second, and serve dozens of gateways (`docs/design/membership.md`).
 
 use super::address::{name_of_address, parse_address};
 use super::identity::{gateway_name, key_file};
--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -1,4 +1,4 @@
-//! What it costs to let several cores decide: prototypes of the options weighed in `docs/design/several-cores.md`,
+//! What it costs to let several cores decide: prototypes of the options weighed in `docs/design/multicore.md`,
 //! around the real dispatcher. Each thread carries calls that cost so many microseconds beside their decisions.
 //!
 //! a: a dispatcher on each core. b: one deciding core, reached by bounded channels. c: a dispatcher on each core, and
--- a/crates/history-checker/src/budgets.rs
+++ b/crates/history-checker/src/budgets.rs
@@ -1,5 +1,5 @@
 //! Budgets of the whole fleet, judged from what workers, clients and the days themselves saw. Each bound is the budget and
-//! a slack that follows from how gateways keep it (`docs/design/shares.md`).
+//! a slack that follows from how gateways keep it (`docs/design/shared-budgets.md`).
 
 use crate::fleet::{Bound, Shared};
 use crate::{Record, Saw};
--- a/crates/milletpath/tests/platform/crossings.rs
+++ b/crates/milletpath/tests/platform/crossings.rs
@@ -1,5 +1,5 @@
 //! Crossings on the platform, each forced by order: the router stands still, or a worker holds its step, until all that
-//! is to cross lies there. Those that held before are marked in the table of `docs/design/platform.md`; the others were seen
+//! is to cross lies there. Those that held before are marked in the table of `docs/design/platform-router.md`; the others were seen
 //! to fail without what they tell of.
 
 use crate::held::Held;
