--- a/crates/multicore/src/lib.rs
+++ b/crates/multicore/src/lib.rs
@@ -1,18 +1,21 @@
-//! What the cores of one gateway share, free of sockets and clocks.
+//! What the cores (threads) of one gateway share, free of sockets and clocks.
 //!
-//! The hand-over structures: a [`mail::Mailbox`] for each core, [`budget::Budget`]s for all together, a
-//! [`claim::Claim`] on each answer, a [`pulse::Pulse`] by which others see that a core runs. They are checked in all
-//! interleavings by loom (`tests/interleavings.rs`) and against sequential models (`tests/models.rs`).
+//! Shared structures, safe under any interleaving: a [`mailbox::Mailbox`] for each core, a [`budget::Budget`] for each
+//! resource that all cores use, a [`response_claim::ResponseClaim`] for each client connection, and a
+//! [`heartbeat::Heartbeat`] by which others see that a core runs. `tests/interleavings.rs` checks them in all
+//! interleavings with loom, `tests/models.rs` against sequential models.
 //!
-//! The decisions that are not the module's, as they are about cores and not about workers: [`deal`], which core gets
-//! a connection; [`watch`], which core stands still, and what is done about it.
+//! Decisions about cores, which have no state in common: [`connection_balancer`] chooses the core for a client connection;
+//! [`watchdog`] detects a stalled core and chooses what to do about it. The gateway's supervisor carries them out.
+
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod budget;
-pub mod claim;
-pub mod deal;
-pub mod mail;
-pub mod pulse;
-pub mod watch;
+pub mod connection_balancer;
+pub mod heartbeat;
+pub mod mailbox;
+pub mod response_claim;
+pub mod watchdog;
 
 /// Loom's types in its test, the standard library's everywhere else.
 mod sync {
