--- a/days/cold-fleet.hcl
+++ b/days/cold-fleet.hcl
@@ -1,5 +1,5 @@
 # Six in ten of many small workers are replaced within seven seconds under a full load, at many gateways of uneven
-# traffic. The budget of workers in slow start must hold for all gateways together. For the simulator (example `cold`).
+# traffic. The budget of workers in slow start must hold for all gateways together. For the simulator (example `slow_start`).
 seed     = 7
 seconds  = 26
 gateways = 20
