--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -628,3 +628,6 @@
         relay.lift(number);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -287,3 +287,6 @@
     }
     bytes
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/emulator/src/relay/tests.rs
@@ -0,0 +1,49 @@
+use super::*;
+
+const GATEWAYS: usize = 4;
+const DATAGRAMS: usize = 4_000;
+
+/// FNV-1a.
+fn add(digest: &mut u64, bytes: &[u8]) {
+    for byte in bytes {
+        *digest = (*digest ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+    }
+}
+
+fn random_fault(links: &[(usize, usize)], rng: &mut ChaCha8Rng) -> Fault {
+    let chosen: Vec<_> = links.iter().copied().filter(|_| rng.random_bool(0.5)).collect();
+    let gateways: Vec<_> = (0..GATEWAYS).filter(|_| rng.random_bool(0.2)).collect();
+    match rng.random_range(0..12) {
+        0 => Fault::Cut(gateways),
+        1 => Fault::Deaf(gateways),
+        2 | 3 => Fault::Lost(chosen, 0.3),
+        4 | 5 => Fault::Late(chosen, 0.4),
+        6..9 => Fault::Repeat(chosen, 0.5),
+        _ => Fault::Garbage(chosen, 0.5),
+    }
+}
+
+/// Random datagrams on random links under random faults come out as they did when this value was taken.
+#[test]
+fn faults_act_on_datagrams_as_recorded() {
+    let (mut rng, chance) = (ChaCha8Rng::seed_from_u64(1), ChaCha8Rng::seed_from_u64(2));
+    let all = (0..GATEWAYS).flat_map(|from| (0..GATEWAYS).map(move |to| (from, to)));
+    let links: Vec<_> = all.filter(|(from, to)| from != to).collect();
+    let (mut chance, mut old) = (chance, VecDeque::new());
+    let mut digest = 0xcbf2_9ce4_8422_2325;
+    for _ in 0..DATAGRAMS {
+        let faults: Vec<_> = (0..rng.random_range(0..4)).map(|_| random_fault(&links, &mut rng)).collect();
+        let (from, to) = links[rng.random_range(0..links.len())];
+        let mut datagram = vec![0; rng.random_range(1..200)];
+        rng.fill(&mut datagram[..]);
+        for (late, bytes) in strike(&faults, from, to, &datagram, &old, &mut chance) {
+            add(&mut digest, &((late * 1e9).round() as u64).to_le_bytes());
+            add(&mut digest, &bytes);
+        }
+        if old.len() == 64 {
+            old.pop_front();
+        }
+        old.push_back(datagram);
+    }
+    assert_eq!(digest, 0x3abf_010d_5b5f_39c1, "{digest:#018x}");
+}
--- /dev/null
+++ b/crates/emulator/tests/recorded_values/digest.rs
@@ -0,0 +1,43 @@
+//! A digest of values that does not depend on the names of types, so that it stays the same while code is renamed.
+
+/// FNV-1a over figures and texts in the order in which they are added.
+pub struct Digest(u64);
+
+impl Digest {
+    pub fn new() -> Self {
+        Self(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn byte(&mut self, byte: u8) {
+        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    }
+
+    pub fn count(&mut self, count: u64) -> &mut Self {
+        count.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+        self
+    }
+
+    /// A figure to nine decimal places, so that the last bit of a logarithm does not matter.
+    pub fn figure(&mut self, figure: f64) -> &mut Self {
+        /// Decimal places that count.
+        const PLACES: f64 = 1e9;
+        self.count(((figure * PLACES).round() as i64).cast_unsigned())
+    }
+
+    pub fn optional(&mut self, figure: Option<f64>) -> &mut Self {
+        match figure {
+            Some(figure) => self.count(1).figure(figure),
+            None => self.count(0),
+        }
+    }
+
+    pub fn text(&mut self, text: &str) -> &mut Self {
+        self.count(text.len() as u64);
+        text.bytes().for_each(|byte| self.byte(byte));
+        self
+    }
+
+    pub fn value(&self) -> u64 {
+        self.0
+    }
+}
--- /dev/null
+++ b/crates/emulator/tests/recorded_values/worker_model.rs
@@ -0,0 +1,165 @@
+//! The worker's model gives the same outputs for the same inputs as it did when these values were taken.
+
+use crate::digest::Digest;
+use milletpath_emulator::engine::{Engine, Job, Make, Pack, Say};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use test_case::test_case;
+
+const FUNCTIONS: u32 = 6;
+const STEPS: usize = 20_000;
+/// One fetch in so many fails.
+const FAILED_FETCHES: u32 = 10;
+
+const SPEC: Make = Make {
+    cores: 3,
+    speed: 1.2,
+    memory: 700.0,
+    loads_at_once: 2,
+    queue: 12,
+    keep: 0.6,
+    misses: false,
+    eager: true,
+    cold_share: 0.3,
+    warm_up: 5.0,
+    tip_multiple: 2.5,
+    tip_window: 1.0,
+};
+
+/// A function's figures, by its number.
+fn model_of(function: u32) -> Pack {
+    Pack {
+        lanes: 1 + function % 3,
+        memory: 90.0 + 20.0 * f64::from(function),
+        fetch: 0.05 + 0.01 * f64::from(function),
+        start: 0.03,
+    }
+}
+
+/// A worker, the store's answers that are on their way to it, and a digest of all that it puts out.
+struct Play {
+    worker: Engine,
+    rng: ChaCha8Rng,
+    now: f64,
+    /// When the store answers which load, and whether it succeeds.
+    fetches: Vec<(f64, u64, bool)>,
+    digest: Digest,
+    /// Outputs of each kind, in the order of [`add_output`].
+    outputs: [u32; 6],
+}
+
+impl Play {
+    fn new(spec: Make, started: f64, seed: u64) -> Self {
+        Self {
+            worker: Engine::new(spec, started),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            now: 0.0,
+            fetches: Vec::new(),
+            digest: Digest::new(),
+            outputs: [0; 6],
+        }
+    }
+
+    fn random_step(&mut self) {
+        let function = self.rng.random_range(0..FUNCTIONS);
+        let model = model_of(function);
+        match self.rng.random_range(0..100) {
+            0..45 => {
+                let work = self.rng.random_range(0.005..0.06);
+                let io = self.rng.random_range(0.0..0.03);
+                let id = self.worker.arrive(self.now, Job { function, pack: model, work, io });
+                self.digest.count(id);
+            }
+            45..52 => {
+                let instances = self.rng.random_range(0..4);
+                let id = self.worker.order(self.now, function, model, instances);
+                self.digest.count(id);
+            }
+            52..54 => self.worker.unload(function),
+            54..56 => self.worker.release(function),
+            56 => self.worker.slowness = self.rng.random_range(0.5..3.0),
+            57 => self.worker.draining = self.rng.random_bool(0.3),
+            _ => {
+                let until = self.now + self.rng.random_range(0.0..0.08);
+                self.pass_time(until);
+            }
+        }
+        self.read_outputs();
+    }
+
+    fn pass_time(&mut self, until: f64) {
+        loop {
+            self.read_outputs();
+            let fetch = self.fetches.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0));
+            let answered = fetch.map_or(f64::INFINITY, |fetch| fetch.0);
+            let next = self.worker.next().unwrap_or(f64::INFINITY).min(answered);
+            if next > until {
+                self.now = until;
+                return;
+            }
+            self.now = self.now.max(next);
+            if let Some((at, load, succeeds)) = fetch.filter(|fetch| fetch.0 <= self.now) {
+                self.fetches.retain(|fetch| *fetch != (at, load, succeeds));
+                self.worker.fetched(self.now, load, succeeds);
+            }
+            self.worker.turn(self.now);
+        }
+    }
+
+    fn read_outputs(&mut self) {
+        while let Some(output) = self.worker.say() {
+            self.digest.figure(self.now);
+            if let Say::Fetch { load, seconds, .. } = output {
+                let succeeds = self.rng.random_range(0..FAILED_FETCHES) > 0;
+                self.fetches.push((self.now + seconds, load, succeeds));
+            }
+            self.outputs[add_output(&mut self.digest, output)] += 1;
+        }
+        let load = self.worker.figures();
+        for figure in [load.held, load.waiting, load.busy, load.memory, load.loading] {
+            self.digest.figure(figure);
+        }
+    }
+}
+
+/// Adds an output; gives the number of its kind.
+fn add_output(digest: &mut Digest, output: Say) -> usize {
+    let kind = match output {
+        Say::Ran { .. } => 0,
+        Say::Done { .. } => 1,
+        Say::Refused { .. } => 2,
+        Say::Fetch { .. } => 3,
+        Say::Stands { .. } => 4,
+        Say::Fell => 5,
+    };
+    digest.count(kind as u64);
+    match output {
+        Say::Ran { job } => digest.count(job),
+        Say::Done { job, found, company } => digest.count(job).count(found as u64).count(u64::from(company)),
+        Say::Refused { job, why, failed_load } => {
+            digest.count(job).count(why as u64).count(u64::from(failed_load))
+        }
+        Say::Fetch { load, function, seconds } => {
+            digest.count(load).count(u64::from(function)).figure(seconds)
+        }
+        Say::Stands { order, copies, failed } => {
+            digest.count(order).count(u64::from(copies)).count(u64::from(failed))
+        }
+        Say::Fell => digest,
+    };
+    kind
+}
+
+#[test_case(SPEC, -100.0, 0x5ca5_ac15_ea46_282a, [5680, 5680, 3268, 3036, 1407, 0]; "warm")]
+#[test_case(Make { eager: false, ..SPEC }, -100.0, 0x22fe_0f74_3e55_b84c, [6159, 6159, 2782, 2480, 1359, 0]; "without loads ahead")]
+#[test_case(Make { misses: true, ..SPEC }, -100.0, 0x6e9c_0e9f_8019_d722, [2266, 2266, 6733, 1203, 1379, 0]; "loads on request only")]
+#[test_case(Make { tip_multiple: 50.0, warm_up: 300.0, ..SPEC }, 0.0, 0x5026_0b77_f991_90b7, [5092, 5092, 3905, 2591, 1357, 0]; "warming up")]
+#[test_case(Make { tip_multiple: 1.0, warm_up: 300.0, ..SPEC }, 0.0, 0xd81b_4870_79a8_9629, [150, 150, 65, 73, 1320, 1]; "overloaded while warming up")]
+fn outputs_are_as_recorded(spec: Make, started: f64, recorded: u64, outputs: [u32; 6]) {
+    let mut play = Play::new(spec, started, 49);
+    (0..STEPS).for_each(|_| play.random_step());
+    let until = play.now + 10.0;
+    play.pass_time(until);
+    assert_eq!(play.outputs, outputs);
+    assert_eq!(play.digest.value(), recorded, "{:#018x}", play.digest.value());
+}
