--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -2,19 +2,19 @@
 //! did when these values were taken; so do the messages about invalid files.
 
 use crate::digest::Digest;
-use milletpath_emulator::day::{account, charter, terms};
-use milletpath_emulator::script::{Day, open};
+use milletpath_emulator::scenario::{charter, rule_parameters, service_weights};
+use milletpath_emulator::scenario_file::{Scenario, open};
 use milletpath_emulator::traffic;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use test_case::test_case;
 
-fn scenario(name: &str) -> Day {
+fn scenario(name: &str) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name).with_extension("hcl");
     open(&file).expect("a valid scenario")
 }
 
-fn values(scenario: &Day) -> u64 {
+fn values(scenario: &Scenario) -> u64 {
     let mut digest = Digest::new();
     digest.text(&scenario.name).count(scenario.seed).figure(scenario.seconds);
     digest.count(scenario.gateways as u64).count(scenario.cores.map_or(0, |cores| cores as u64));
@@ -23,41 +23,45 @@
     add_functions_and_traffic(&mut digest, scenario);
     add_profiles_and_clients(&mut digest, scenario);
     add_rules(&mut digest, scenario);
-    for fault in &scenario.troubles {
+    for fault in &scenario.faults {
         digest.text(&fault.name).count(fault.what as u64);
         digest.figure(fault.at).figure(fault.lasts).figure(fault.part).figure(fault.size);
     }
     digest.value()
 }
 
-fn add_worker(digest: &mut Digest, scenario: &Day) {
-    let spec = &scenario.make;
+fn add_worker(digest: &mut Digest, scenario: &Scenario) {
+    let spec = &scenario.worker_spec;
     for count in [spec.cores, spec.loads_at_once, spec.queue] {
         digest.count(count as u64);
     }
-    for figure in [spec.speed, spec.memory, spec.keep, spec.cold_share, spec.warm_up] {
+    for figure in [spec.speed, spec.memory, spec.idle_timeout, spec.initial_capacity, spec.warm_up] {
         digest.figure(figure);
     }
-    digest.figure(spec.tip_multiple).figure(spec.tip_window);
-    digest.count(u64::from(spec.misses)).count(u64::from(spec.eager));
-    let store = &scenario.shelf;
+    digest.figure(spec.overload_multiple).figure(spec.overload_window);
+    digest.count(u64::from(spec.rejects_unloaded)).count(u64::from(spec.loads_ahead));
+    let store = &scenario.store_spec;
     digest.figure(store.at_once).count(store.takes as u64).optional(store.tips).figure(store.stops);
 }
 
-fn add_functions_and_traffic(digest: &mut Digest, scenario: &Day) {
+fn add_functions_and_traffic(digest: &mut Digest, scenario: &Scenario) {
     digest.count(scenario.functions as u64).figure(scenario.zipf);
-    let function = &scenario.pack;
-    digest.count(u64::from(function.lanes)).figure(function.memory);
+    let function = &scenario.function_model;
+    digest.count(u64::from(function.concurrency)).figure(function.memory);
     digest.figure(function.fetch).figure(function.start);
     let traffic = &scenario.traffic;
     digest.figure(traffic.rate).figure(traffic.work).figure(traffic.io).count(traffic.body as u64);
-    digest.figure(traffic.patience).count(u64::from(traffic.retries));
-    digest.figure(traffic.backoff).figure(traffic.leave);
+    digest.figure(traffic.timeout).count(u64::from(traffic.retries));
+    digest.figure(traffic.backoff).figure(traffic.abandonment);
 }
 
-fn add_profiles_and_clients(digest: &mut Digest, scenario: &Day) {
+fn add_profiles_and_clients(digest: &mut Digest, scenario: &Scenario) {
     for profile in &scenario.profiles {
-        digest.text(&profile.name).figure(profile.share).figure(profile.due).figure(profile.cut_off);
+        digest
+            .text(&profile.name)
+            .figure(profile.share)
+            .figure(profile.latency_objective)
+            .figure(profile.deadline);
         digest.count(profile.effect as u64).figure(profile.importance);
     }
     for group in &scenario.groups {
@@ -65,24 +69,24 @@
     }
 }
 
-fn add_rules(digest: &mut Digest, scenario: &Day) {
-    let rules = &scenario.terms;
-    for (window, free, share) in [rules.ration, rules.retries].into_iter().flatten() {
+fn add_rules(digest: &mut Digest, scenario: &Scenario) {
+    let rules = &scenario.rules;
+    for (window, free, share) in [rules.load_rate_limit, rules.retries].into_iter().flatten() {
         digest.figure(window).figure(free).figure(share);
     }
-    digest.figure(rules.grace).optional(rules.in_flight).figure(rules.receipts);
-    digest.figure(rules.late).figure(rules.over_share).figure(rules.notice);
-    let checked = terms(scenario, 0.25);
-    digest.figure(checked.grace).figure(checked.cold_share).figure(checked.warm_up);
-    digest.figure(checked.tip_multiple).figure(checked.tip_window).figure(checked.lag);
-    digest.count(u64::from(checked.ration.is_some()));
-    let counted = account(scenario);
+    digest.figure(rules.grace).optional(rules.in_flight).figure(rules.idempotency_window);
+    digest.figure(rules.late).figure(rules.over_share).figure(rules.notification_delay);
+    let checked = rule_parameters(scenario, 0.25);
+    digest.figure(checked.grace).figure(checked.initial_capacity).figure(checked.warm_up);
+    digest.figure(checked.overload_multiple).figure(checked.overload_window).figure(checked.lag);
+    digest.count(u64::from(checked.load_rate_limit.is_some()));
+    let counted = service_weights(scenario);
     digest.figure(counted.late).figure(counted.over_share);
     counted.quotas.iter().for_each(|quota| _ = digest.optional(*quota));
 }
 
 /// The configurations of all gateways, with links and without.
-fn configurations(scenario: &Day) -> u64 {
+fn configurations(scenario: &Scenario) -> u64 {
     let address = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
     let links: Vec<_> = (0..scenario.gateways as u16).map(|gateway| address(3000 + gateway)).collect();
     let mut digest = Digest::new();
@@ -94,13 +98,13 @@
     digest.value()
 }
 
-fn planned_traffic(scenario: &Day, seed: u64) -> u64 {
+fn planned_traffic(scenario: &Scenario, seed: u64) -> u64 {
     let mut digest = Digest::new();
     for request in traffic::plan(scenario, seed) {
         digest.figure(request.at).text(&request.function);
         digest.count(request.profile as u64).count(request.group as u64);
-        digest.figure(request.work).figure(request.io).figure(request.patience).optional(request.leaves);
-        digest.optional(request.trouble.map(|fault| fault as f64));
+        digest.figure(request.work).figure(request.io).figure(request.timeout).optional(request.leaves);
+        digest.optional(request.fault.map(|fault| fault as f64));
     }
     digest.value()
 }
@@ -150,7 +154,7 @@
     let faults = words.split_whitespace().map(|word| format!("trouble \"{word}\" {{}}\n"));
     let text = format!("profile \"check\" {{}}\n{}", faults.collect::<String>());
     let scenario = open(&written("defaults", &text)).expect("a valid scenario");
-    assert_eq!(scenario.troubles.len(), 37);
+    assert_eq!(scenario.faults.len(), 37);
     assert_eq!(values(&scenario), 0x7c0e_59b8_dc6e_739a, "{:#018x}", values(&scenario));
 }
 
