--- a/crates/capacity-model/benches/slopes/town.rs
+++ b/crates/capacity-model/benches/slopes/town.rs
@@ -21,9 +21,9 @@
     scenario.traffic.rate = calls;
     // The store and the ration of a fleet so much larger.
     let part = gateways as f64 / 2.0;
-    scenario.store_spec.at_once *= part;
-    scenario.store_spec.takes = (scenario.store_spec.takes as f64 * part) as usize;
-    scenario.store_spec.tips = scenario.store_spec.tips.map(|tips| tips * part);
+    scenario.store_spec.unslowed_fetches *= part;
+    scenario.store_spec.max_fetches = (scenario.store_spec.max_fetches as f64 * part) as usize;
+    scenario.store_spec.overload_rate = scenario.store_spec.overload_rate.map(|tips| tips * part);
     scenario.groups.iter_mut().for_each(|g| g.quota = None);
     scenario.rules.load_rate_limit = None;
     scenario
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -33,7 +33,7 @@
 
 /// Weights by which the busiest of several gateways gets so many times the mean, and the others by their rank, as towns
 /// are large and small: the n-th as n to some power.
-pub fn weights(gateways: usize, uneven: f64) -> Vec<f64> {
+pub fn gateway_weights(gateways: usize, uneven: f64) -> Vec<f64> {
     let ranked = |power: f64| (1..=gateways).map(move |n| (n as f64).powf(-power));
     let busiest = |power: f64| gateways as f64 / ranked(power).sum::<f64>();
     let wanted = uneven.clamp(1.0, gateways as f64);
@@ -93,7 +93,7 @@
     /// One call with all its tries.
     async fn call(self: Rc<Self>, call: u64, planned: PlannedRequest) {
         let profile = &self.scenario.profiles[planned.profile];
-        let (due, effect, importance) = (profile.latency_objective, profile.effect, profile.importance);
+        let (due, effect, importance) = (profile.latency_objective, profile.idempotency, profile.importance);
         let (group, fault) = (planned.group, planned.fault);
         self.context.note(HistoryEvent::RequestIssued { call, group, importance, due, effect, fault });
         let began = self.context.now();
@@ -127,11 +127,11 @@
     ) -> AttemptOutcome {
         let gateway = self.pick();
         self.context.note(HistoryEvent::AttemptSent { call, attempt, gateway, patience });
-        let wait = planned.leaves.filter(|_| attempt == 0).unwrap_or(patience + self.lag);
+        let wait = planned.abandoned_after.filter(|_| attempt == 0).unwrap_or(patience + self.lag);
         let asked = self.ask(gateway, call, attempt, planned, patience);
         let how = match tokio::time::timeout(Duration::from_secs_f64(wait), asked).await {
             Ok(how) => how,
-            Err(_) if planned.leaves.is_some() && attempt == 0 => AttemptOutcome::Abandoned,
+            Err(_) if planned.abandoned_after.is_some() && attempt == 0 => AttemptOutcome::Abandoned,
             Err(_) => AttemptOutcome::Unanswered,
         };
         self.context.note(HistoryEvent::AttemptEnded { call, attempt, gateway, how });
@@ -221,7 +221,7 @@
         if attempt > 0 {
             request = request.header(&invoke::CLIENT_RETRY, attempt);
         }
-        if profile.effect == Idempotency::IdempotentWithKey {
+        if profile.idempotency == Idempotency::IdempotentWithKey {
             request = request.header(&invoke::IDEMPOTENCY_KEY, format!("call-{call}"));
         }
         request.body(Full::new(self.body.clone())).ok()
--- a/crates/emulator/src/clients/tests.rs
+++ b/crates/emulator/src/clients/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn the_busiest_gateway_gets_so_many_times_the_mean() {
     for (gateways, uneven) in [(12, 1.0), (12, 5.0), (12, 12.0), (2, 1.5), (1, 5.0), (24, 5.0)] {
-        let weights = weights(gateways, uneven);
+        let weights = gateway_weights(gateways, uneven);
         let mean = weights.iter().sum::<f64>() / gateways as f64;
         let wanted = f64::min(uneven, gateways as f64);
         assert!((weights[0] / mean - wanted).abs() < 1e-6, "{weights:?}");
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -21,17 +21,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkFault {
     /// A part of the letters on these directed links is lost.
-    Lost(Vec<(usize, usize)>, f64),
+    Loss(Vec<(usize, usize)>, f64),
     /// These are cut off from the others, both ways.
-    Cut(Vec<usize>),
+    Partition(Vec<usize>),
     /// These hear nobody.
-    Deaf(Vec<usize>),
+    InboundLoss(Vec<usize>),
     /// Letters come that many seconds late on average, from none to twice that.
-    Late(Vec<(usize, usize)>, f64),
+    Delay(Vec<(usize, usize)>, f64),
     /// A part of the letters is doubled, and played again within some seconds.
-    Repeat(Vec<(usize, usize)>, f64),
+    Duplication(Vec<(usize, usize)>, f64),
     /// Instead of a part of the letters garbage comes.
-    Garbage(Vec<(usize, usize)>, f64),
+    Corruption(Vec<(usize, usize)>, f64),
 }
 
 #[derive(Default)]
@@ -91,12 +91,12 @@
     }
 
     /// A gateway's process hears there.
-    pub fn is_at(&self, gateway: usize, at: SocketAddr) {
+    pub fn set_address(&self, gateway: usize, at: SocketAddr) {
         self.state().real[gateway] = Some(at);
     }
 
     /// From now on something is wrong; gives its number.
-    pub fn put(&self, fault: LinkFault) -> u64 {
+    pub fn inject(&self, fault: LinkFault) -> u64 {
         let mut state = self.state();
         state.count += 1;
         let number = state.count;
@@ -104,9 +104,10 @@
         number
     }
 
-    pub fn lift(&self, number: u64) {
+    pub fn clear(&self, number: u64) {
         let mut state = self.state();
-        let mended = matches!(state.faults.remove(&number), Some(LinkFault::Cut(_) | LinkFault::Deaf(_)));
+        let mended =
+            matches!(state.faults.remove(&number), Some(LinkFault::Partition(_) | LinkFault::InboundLoss(_)));
         if mended {
             let at = self.began.elapsed().as_secs_f64();
             state.notes.push(HistoryRecord { at, event: HistoryEvent::LinksHealed });
@@ -247,18 +248,22 @@
     let mut copies = vec![(0.0, datagram.to_vec())];
     for fault in faults {
         match fault {
-            LinkFault::Cut(apart) if apart.contains(&from) != apart.contains(&to) => return Vec::new(),
-            LinkFault::Deaf(deaf) if deaf.contains(&to) => return Vec::new(),
-            LinkFault::Lost(links, part) if links.contains(&(from, to)) => {
+            LinkFault::Partition(apart) if apart.contains(&from) != apart.contains(&to) => return Vec::new(),
+            LinkFault::InboundLoss(deaf) if deaf.contains(&to) => return Vec::new(),
+            LinkFault::Loss(links, part) if links.contains(&(from, to)) => {
                 copies.retain(|_| !chance.random_bool(*part));
             }
-            LinkFault::Late(links, seconds) if links.contains(&(from, to)) => {
+            LinkFault::Delay(links, seconds) if links.contains(&(from, to)) => {
                 copies.iter_mut().for_each(|(late, _)| *late += chance.random_range(0.0..=2.0 * seconds));
             }
-            LinkFault::Repeat(links, part) if links.contains(&(from, to)) && chance.random_bool(*part) => {
+            LinkFault::Duplication(links, part)
+                if links.contains(&(from, to)) && chance.random_bool(*part) =>
+            {
                 copies.push((chance.random_range(0.0..AGAIN), datagram.to_vec()));
             }
-            LinkFault::Garbage(links, part) if links.contains(&(from, to)) && chance.random_bool(*part) => {
+            LinkFault::Corruption(links, part)
+                if links.contains(&(from, to)) && chance.random_bool(*part) =>
+            {
                 copies = vec![(0.0, garbage(datagram, old, chance))];
             }
             _ => {}
--- a/crates/emulator/src/relay/tests.rs
+++ b/crates/emulator/src/relay/tests.rs
@@ -14,12 +14,12 @@
     let chosen: Vec<_> = links.iter().copied().filter(|_| rng.random_bool(0.5)).collect();
     let gateways: Vec<_> = (0..GATEWAYS).filter(|_| rng.random_bool(0.2)).collect();
     match rng.random_range(0..12) {
-        0 => LinkFault::Cut(gateways),
-        1 => LinkFault::Deaf(gateways),
-        2 | 3 => LinkFault::Lost(chosen, 0.3),
-        4 | 5 => LinkFault::Late(chosen, 0.4),
-        6..9 => LinkFault::Repeat(chosen, 0.5),
-        _ => LinkFault::Garbage(chosen, 0.5),
+        0 => LinkFault::Partition(gateways),
+        1 => LinkFault::InboundLoss(gateways),
+        2 | 3 => LinkFault::Loss(chosen, 0.3),
+        4 | 5 => LinkFault::Delay(chosen, 0.4),
+        6..9 => LinkFault::Duplication(chosen, 0.5),
+        _ => LinkFault::Corruption(chosen, 0.5),
     }
 }
 
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -35,22 +35,22 @@
 /// What came of a day.
 pub struct ScenarioReport {
     pub records: Vec<HistoryRecord>,
-    pub broken: Vec<Violation>,
-    pub whole: ServiceCounts,
+    pub violations: Vec<Violation>,
+    pub counts: ServiceCounts,
     pub by_fault: BTreeMap<usize, ServiceCounts>,
     pub fetches: u64,
     /// Part of the calls done that found an instance standing.
-    pub warm: f64,
-    pub refusals: u64,
+    pub warm_fraction: f64,
+    pub rejected_fetches: u64,
     /// Where the gateways know each other: bounds by name, and what that cost.
     pub bounds: BTreeMap<&'static str, BoundReport>,
-    pub known: Option<MembershipObservations>,
+    pub membership: Option<MembershipObservations>,
 }
 
 impl ScenarioReport {
     /// Whether all rules and bounds were kept.
-    pub fn kept(&self) -> bool {
-        self.broken.is_empty() && self.bounds.values().all(|b| b.broken == 0)
+    pub fn rules_kept(&self) -> bool {
+        self.violations.is_empty() && self.bounds.values().all(|b| b.broken == 0)
     }
 }
 
@@ -62,7 +62,7 @@
     pub folder: &'s Path,
     pub seed: u64,
     /// Seconds by which stand-ins may lag: more on a crowded machine.
-    pub lag: f64,
+    pub tolerance: f64,
     /// A fault that all gateways are started with.
     pub injected_fault: Option<&'s str>,
 }
@@ -119,8 +119,9 @@
                 .await?,
         );
     }
-    registry
-        .put_all(workers.iter().map(|w| (w.number, entry(w.number, None), w.addresses.clone())).collect());
+    registry.put_all(
+        workers.iter().map(|w| (w.number, worker_entry(w.number, None), w.addresses.clone())).collect(),
+    );
     let relay = scenario.sharing.then(|| Relay::start(scenario.gateways, began, stage.seed)).transpose()?;
     if relay.is_some() {
         let secret = format!("the secret of a day on loopback, with the seed {}", stage.seed);
@@ -134,7 +135,8 @@
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let write = |listen| {
             let links = relay.as_ref().map(Relay::addresses);
-            let text = self::charter(scenario, gateway, listen, registry.address(gateway), links, stage.seed);
+            let text =
+                gateway_config(scenario, gateway, listen, registry.address(gateway), links, stage.seed);
             std::fs::write(&charter, text)
         };
         write(any)?;
@@ -145,7 +147,7 @@
         let stirs = RefCell::new(running.child.stdin.take());
         let begun = !late.values().flatten().any(|g| *g == gateway);
         if let (Some(relay), Some(link), true) = (&relay, running.link, begun) {
-            relay.is_at(gateway, link);
+            relay.set_address(gateway, link);
         }
         // One that begins later has told its address, and nobody has heard of it.
         let running = RefCell::new(begun.then_some(running));
@@ -157,7 +159,7 @@
     let front = Arc::new(Front {
         gateways: gateways.iter().map(|g| g.address).collect(),
         alive: gateways.iter().map(|g| AtomicBool::new(g.running.borrow().is_some())).collect(),
-        weights: clients::weights(scenario.gateways, scenario.uneven),
+        weights: clients::gateway_weights(scenario.gateways, scenario.uneven),
     });
     let chance = RefCell::new(ChaCha8Rng::seed_from_u64(stage.seed ^ 0x7011));
     let town = Rc::new(Town {
@@ -176,7 +178,7 @@
     // Lists and connections settle before the first call.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let plan = traffic::plan(scenario, stage.seed);
-    let (theirs, seed, lag) = (scenario.clone(), stage.seed, stage.lag);
+    let (theirs, seed, lag) = (scenario.clone(), stage.seed, stage.tolerance);
     let asking = std::thread::Builder::new().name("clients".into()).spawn(
         move || -> io::Result<Vec<HistoryRecord>> {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -203,7 +205,7 @@
     records.extend(context.notes());
     records.extend(town.relay.iter().flat_map(Relay::notes));
     records.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let parameters = rule_parameters(scenario, stage.lag);
+    let parameters = rule_parameters(scenario, stage.tolerance);
     let shared = SharedBudgetBounds {
         gateways: scenario.gateways,
         load_rate_limit: scenario.rules.load_rate_limit,
@@ -211,16 +213,26 @@
         ceilings: scenario.groups.iter().map(|g| g.ceiling).collect(),
         in_flight: scenario.rules.in_flight,
         rules: parameters,
-        lag: stage.lag,
+        lag: stage.tolerance,
     };
     let (whole, by_fault) = witness::count_service(&records, &service_weights(scenario));
     let broken = witness::check(&records, &parameters);
-    let (fetches, refusals) = (context.store.borrow().fetches, context.store.borrow().refusals);
+    let (fetches, refusals) = (context.store.borrow().fetches, context.store.borrow().rejected_fetches);
     let (warm, done) = context.warm.get();
     let warm = warm as f64 / done.max(1) as f64;
     let bounds = if scenario.sharing { witness::bounds(&records, &shared) } else { BTreeMap::new() };
     let known = scenario.sharing.then(|| witness::membership_observations(&records, scenario.gateways));
-    Ok(ScenarioReport { records, broken, whole, by_fault, fetches, warm, refusals, bounds, known })
+    Ok(ScenarioReport {
+        records,
+        violations: broken,
+        counts: whole,
+        by_fault,
+        fetches,
+        warm_fraction: warm,
+        rejected_fetches: refusals,
+        bounds,
+        membership: known,
+    })
 }
 
 /// What a day's rules are judged by, where the stand-ins may be so late.
@@ -248,8 +260,8 @@
     let mut left: Vec<usize> = (0..scenario.gateways).collect();
     left.shuffle(dice);
     let mut late = BTreeMap::new();
-    for fault in scenario.faults.iter().filter(|t| t.what == FaultKind::GatewayJoin) {
-        let wanted = ((scenario.gateways as f64 * fault.part).round() as usize).max(1);
+    for fault in scenario.faults.iter().filter(|t| t.kind == FaultKind::LateGatewayStart) {
+        let wanted = ((scenario.gateways as f64 * fault.fraction).round() as usize).max(1);
         let taken = left.split_off(left.len() - wanted.min(left.len() - 1));
         late.insert(fault.name.clone(), taken);
     }
@@ -262,7 +274,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
 }
 
-pub fn entry(number: usize, started: Option<f64>) -> EndpointEntry {
+pub fn worker_entry(number: usize, started: Option<f64>) -> EndpointEntry {
     EndpointEntry {
         name: format!("worker-{number}"),
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
@@ -276,7 +288,7 @@
 }
 
 /// The charter that a gateway of the day goes by; `links` is where others reach each of them.
-pub fn charter(
+pub fn gateway_config(
     scenario: &Scenario,
     gateway: usize,
     listen: SocketAddr,
@@ -305,7 +317,7 @@
             p.name, p.latency_objective, p.deadline
         ));
         line(format!("  importance = {}", p.importance));
-        line(match p.effect {
+        line(match p.idempotency {
             witness::Idempotency::Idempotent => "  effect = \"pure\"\n}".into(),
             witness::Idempotency::NonIdempotent => "  effect = \"effectful\"\n}".into(),
             witness::Idempotency::IdempotentWithKey => {
@@ -387,29 +399,29 @@
 
     fn struck(&self, fault: &ScheduledFault) -> Vec<Rc<Worker>> {
         let workers = self.workers.borrow();
-        self.some(workers.len(), fault.part).into_iter().map(|n| workers[n].clone()).collect()
+        self.some(workers.len(), fault.fraction).into_iter().map(|n| workers[n].clone()).collect()
     }
 
     async fn befall(self: Rc<Self>, dawn: f64, fault: ScheduledFault) {
         sleep(dawn + fault.at - self.context.now()).await;
         tracing::info!(fault = fault.name, "begins");
-        let (lasts, size) = (fault.lasts, fault.size);
-        match fault.what {
-            FaultKind::Death => self.die(&fault).await,
-            FaultKind::Rolling => self.roll(&fault).await,
+        let (lasts, size) = (fault.duration, fault.magnitude);
+        match fault.kind {
+            FaultKind::WorkerCrash => self.die(&fault).await,
+            FaultKind::RollingReplacement => self.roll(&fault).await,
             FaultKind::Drain => self.drain(&fault).await,
-            FaultKind::Failures => self.ail(&fault, |mood| mood.fails = size).await,
-            FaultKind::Silence => self.ail(&fault, |mood| mood.silent = true).await,
-            FaultKind::LostAnswers => self.ail(&fault, |mood| mood.loses = size).await,
-            FaultKind::HalfAnswers | FaultKind::Garbage | FaultKind::Resets => {
-                let spoil = match fault.what {
-                    FaultKind::HalfAnswers => Corruption::Half,
-                    FaultKind::Garbage => Corruption::Garbage,
+            FaultKind::RequestFailures => self.ail(&fault, |mood| mood.fails = size).await,
+            FaultKind::Unresponsiveness => self.ail(&fault, |mood| mood.silent = true).await,
+            FaultKind::LostResponses => self.ail(&fault, |mood| mood.loses = size).await,
+            FaultKind::TruncatedResponses | FaultKind::GarbageResponses | FaultKind::ConnectionResets => {
+                let spoil = match fault.kind {
+                    FaultKind::TruncatedResponses => Corruption::Half,
+                    FaultKind::GarbageResponses => Corruption::Garbage,
                     _ => Corruption::Reset,
                 };
                 self.ail(&fault, |mood| (mood.spoils, mood.spoil) = (size, spoil)).await;
             }
-            FaultKind::WrongFull => {
+            FaultKind::FalseRejections => {
                 let group = self.chance.borrow_mut().random_range(0..self.scenario.groups.len());
                 self.ail(&fault, |mood| mood.wrong_full = Some((group, size))).await;
             }
@@ -419,26 +431,26 @@
                 sleep(lasts).await;
                 struck.iter().for_each(|w| w.tell(|engine, _| engine.slowness = 1.0));
             }
-            FaultKind::Release => {
-                let functions = self.some(self.context.functions(), fault.part);
+            FaultKind::FunctionRelease => {
+                let functions = self.some(self.context.functions(), fault.fraction);
                 for worker in self.workers.borrow().iter() {
-                    worker.tell(|engine, _| functions.iter().for_each(|f| engine.release(*f as u32)));
+                    worker.tell(|engine, _| functions.iter().for_each(|f| engine.release_version(*f as u32)));
                 }
             }
-            FaultKind::StoreSlow => {
+            FaultKind::StoreSlowness => {
                 self.context.store.borrow_mut().slowness = size;
                 sleep(lasts).await;
                 self.context.store.borrow_mut().slowness = 1.0;
             }
-            FaultKind::StoreRefuses => {
-                self.context.store.borrow_mut().refuses = true;
+            FaultKind::StoreRejections => {
+                self.context.store.borrow_mut().rejecting = true;
                 sleep(lasts).await;
-                self.context.store.borrow_mut().refuses = false;
+                self.context.store.borrow_mut().rejecting = false;
             }
-            FaultKind::StoreStops => self.context.store.borrow_mut().stop(self.context.now(), lasts),
-            FaultKind::GatewayStall => self.stall(&fault).await,
-            FaultKind::GatewayKill => self.kill(&fault).await,
-            FaultKind::CoreStall => {
+            FaultKind::StoreOutage => self.context.store.borrow_mut().begin_outage(self.context.now(), lasts),
+            FaultKind::GatewayPause => self.stall(&fault).await,
+            FaultKind::GatewayCrash => self.kill(&fault).await,
+            FaultKind::CorePause => {
                 let end = self.context.now() + lasts;
                 while self.context.now() < end {
                     self.stir(&fault, &format!("stall {size}")).await;
@@ -448,43 +460,43 @@
                 }
             }
             FaultKind::CorePanic | FaultKind::DispatcherPanic => {
-                let word = if fault.what == FaultKind::CorePanic { "panic" } else { "break" };
+                let word = if fault.kind == FaultKind::CorePanic { "panic" } else { "break" };
                 self.stir(&fault, word).await;
                 sleep(lasts).await;
                 self.stirred();
             }
-            FaultKind::ListLate => {
+            FaultKind::RegistryDelay => {
                 self.mislead(lasts, RegistryFault { late: size, ..RegistryFault::default() }).await
             }
-            FaultKind::ListStalled => {
+            FaultKind::RegistryStall => {
                 self.mislead(lasts, RegistryFault { stalled: true, ..RegistryFault::default() }).await
             }
-            FaultKind::ListLost => {
+            FaultKind::RegistryLoss => {
                 self.mislead(lasts, RegistryFault { loses: true, ..RegistryFault::default() }).await
             }
-            FaultKind::ListRepeated => {
+            FaultKind::RegistryDuplication => {
                 self.mislead(lasts, RegistryFault { repeats: true, ..RegistryFault::default() }).await
             }
-            FaultKind::ListEmptied => {
+            FaultKind::RegistryEmptied => {
                 self.registry.empty(true);
                 sleep(lasts).await;
                 self.registry.empty(false);
             }
-            FaultKind::GatewayJoin => {
+            FaultKind::LateGatewayStart => {
                 self.begin_all(self.late.get(&fault.name).cloned().unwrap_or_default()).await;
             }
-            FaultKind::LinkCut
-            | FaultKind::LinkDeaf
-            | FaultKind::LinkLost
-            | FaultKind::LinkLate
-            | FaultKind::LinkRepeat
-            | FaultKind::LinkGarbage => self.strike(&fault).await,
+            FaultKind::LinkPartition
+            | FaultKind::LinkInboundLoss
+            | FaultKind::LinkLoss
+            | FaultKind::LinkDelay
+            | FaultKind::LinkDuplication
+            | FaultKind::LinkCorruption => self.strike(&fault).await,
             // In the plan of the clients' calls.
-            FaultKind::Burst
-            | FaultKind::OneOffs
-            | FaultKind::Hot
-            | FaultKind::Heavy
-            | FaultKind::Impatience => {}
+            FaultKind::TrafficBurst
+            | FaultKind::OneTimeFunctions
+            | FaultKind::HotFunctions
+            | FaultKind::HeavyRequests
+            | FaultKind::ImpatientClients => {}
         }
     }
 
@@ -501,7 +513,7 @@
             falls_ill(&mut mood);
             worker.mood.set(mood);
         }
-        sleep(fault.lasts).await;
+        sleep(fault.duration).await;
         struck.iter().for_each(|w| w.mood.set(WorkerFault::default()));
     }
 
@@ -511,7 +523,11 @@
         match Worker::start(self.context.clone(), number, 0, worker_spec, self.context.now(), gateways).await
         {
             Ok(worker) => {
-                self.registry.put(number, entry(number, Some(start_stamp())), worker.addresses.clone());
+                self.registry.put(
+                    number,
+                    worker_entry(number, Some(start_stamp())),
+                    worker.addresses.clone(),
+                );
                 self.workers.borrow_mut()[number] = worker;
             }
             Err(e) => tracing::error!(number, "a worker can't come back: {e}"),
@@ -521,10 +537,10 @@
     async fn die(self: &Rc<Self>, fault: &ScheduledFault) {
         let struck = self.struck(fault);
         struck.iter().for_each(|w| w.kill());
-        let notice = self.scenario.rules.notification_delay.min(fault.lasts);
+        let notice = self.scenario.rules.notification_delay.min(fault.duration);
         sleep(notice).await;
         struck.iter().for_each(|w| self.registry.stand(w.number, EndpointStatus::Gone));
-        sleep(fault.lasts - notice).await;
+        sleep(fault.duration - notice).await;
         for worker in struck {
             self.come_back(worker.number).await;
         }
@@ -532,7 +548,7 @@
 
     async fn roll(self: &Rc<Self>, fault: &ScheduledFault) {
         let struck = self.struck(fault);
-        let turn = fault.lasts / struck.len() as f64;
+        let turn = fault.duration / struck.len() as f64;
         let mut turns = Vec::new();
         for worker in struck {
             let town = self.clone();
@@ -554,7 +570,7 @@
     async fn drain(self: &Rc<Self>, fault: &ScheduledFault) {
         let struck = self.struck(fault);
         struck.iter().for_each(|w| self.registry.stand(w.number, EndpointStatus::Draining));
-        sleep(fault.lasts).await;
+        sleep(fault.duration).await;
         struck.iter().for_each(|w| self.registry.stand(w.number, EndpointStatus::Ready));
     }
 
@@ -593,33 +609,33 @@
     }
 
     async fn stall(self: &Rc<Self>, fault: &ScheduledFault) {
-        let struck = self.some(self.gateways.len(), fault.part);
-        let end = self.context.now() + fault.lasts;
+        let struck = self.some(self.gateways.len(), fault.fraction);
+        let end = self.context.now() + fault.duration;
         while self.context.now() < end {
             for &gateway in &struck {
                 self.signal(gateway, Signal::SIGSTOP);
                 self.context.note(HistoryEvent::GatewayPaused { gateway });
             }
-            sleep(fault.size).await;
+            sleep(fault.magnitude).await;
             for &gateway in &struck {
                 self.signal(gateway, Signal::SIGCONT);
                 self.context.note(HistoryEvent::GatewayResumed { gateway });
             }
-            sleep(2.0 * fault.size).await;
+            sleep(2.0 * fault.magnitude).await;
         }
     }
 
     async fn kill(self: &Rc<Self>, fault: &ScheduledFault) {
-        let struck = self.some(self.gateways.len(), fault.part);
+        let struck = self.some(self.gateways.len(), fault.fraction);
         for &gateway in &struck {
             self.context.note(HistoryEvent::GatewayKilled { gateway });
             self.gateways[gateway].running.take();
         }
         // The front layer goes on sending there until it notices.
-        let notice = self.scenario.rules.notification_delay.min(fault.lasts);
+        let notice = self.scenario.rules.notification_delay.min(fault.duration);
         sleep(notice).await;
         struck.iter().for_each(|g| self.front.alive[*g].store(false, Ordering::Relaxed));
-        sleep(fault.lasts - notice).await;
+        sleep(fault.duration - notice).await;
         self.begin_all(struck).await;
     }
 
@@ -630,7 +646,7 @@
             Ok(mut running) => {
                 process.stirs.replace(running.child.stdin.take());
                 if let (Some(relay), Some(link)) = (&self.relay, running.link) {
-                    relay.is_at(gateway, link);
+                    relay.set_address(gateway, link);
                 }
                 process.running.replace(Some(running));
                 self.context.note(HistoryEvent::GatewayRestarted { gateway });
@@ -655,24 +671,24 @@
     /// Something is wrong with the links for a while.
     async fn strike(&self, fault: &ScheduledFault) {
         let Some(relay) = &self.relay else { return };
-        let gateways = || self.some(self.gateways.len(), fault.part);
+        let gateways = || self.some(self.gateways.len(), fault.fraction);
         let links = || {
             let all = relay.links();
-            self.some(all.len(), fault.part).into_iter().map(|n| all[n]).collect()
+            self.some(all.len(), fault.fraction).into_iter().map(|n| all[n]).collect()
         };
-        let part = fault.size.min(1.0);
-        let link_fault = match fault.what {
-            FaultKind::LinkCut => LinkFault::Cut(gateways()),
-            FaultKind::LinkDeaf => LinkFault::Deaf(gateways()),
-            FaultKind::LinkLost => LinkFault::Lost(links(), part),
-            FaultKind::LinkLate => LinkFault::Late(links(), fault.size),
-            FaultKind::LinkRepeat => LinkFault::Repeat(links(), part),
-            _ => LinkFault::Garbage(links(), part),
+        let part = fault.magnitude.min(1.0);
+        let link_fault = match fault.kind {
+            FaultKind::LinkPartition => LinkFault::Partition(gateways()),
+            FaultKind::LinkInboundLoss => LinkFault::InboundLoss(gateways()),
+            FaultKind::LinkLoss => LinkFault::Loss(links(), part),
+            FaultKind::LinkDelay => LinkFault::Delay(links(), fault.magnitude),
+            FaultKind::LinkDuplication => LinkFault::Duplication(links(), part),
+            _ => LinkFault::Corruption(links(), part),
         };
         tracing::info!(fault = fault.name, ?link_fault, "on the links");
-        let number = relay.put(link_fault);
-        sleep(fault.lasts).await;
-        relay.lift(number);
+        let number = relay.inject(link_fault);
+        sleep(fault.duration).await;
+        relay.clear(number);
     }
 }
 
--- a/crates/emulator/src/scenario/tests.rs
+++ b/crates/emulator/src/scenario/tests.rs
@@ -11,11 +11,11 @@
     scenario.faults = joins
         .map(|(name, part)| ScheduledFault {
             name: name.into(),
-            what: FaultKind::GatewayJoin,
+            kind: FaultKind::LateGatewayStart,
             at: 0.0,
-            lasts: 0.0,
-            part,
-            size: 1.0,
+            duration: 0.0,
+            fraction: part,
+            magnitude: 1.0,
         })
         .to_vec();
     let seed = 49_u64;
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -59,7 +59,7 @@
     pub share: f64,
     pub latency_objective: f64,
     pub deadline: f64,
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     pub importance: f64,
 }
 
@@ -92,130 +92,130 @@
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
     pub name: String,
-    pub what: FaultKind,
+    pub kind: FaultKind,
     pub at: f64,
-    pub lasts: f64,
+    pub duration: f64,
     /// The part of workers, functions, clients or answers that it strikes.
-    pub part: f64,
+    pub fraction: f64,
     /// How hard; what it counts depends on the trouble.
-    pub size: f64,
+    pub magnitude: f64,
 }
 
 impl ScheduledFault {
-    pub fn during(&self, at: f64) -> bool {
-        (self.at..self.at + self.lasts).contains(&at)
+    pub fn is_active(&self, at: f64) -> bool {
+        (self.at..self.at + self.duration).contains(&at)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// Workers die at once and come back cold, at another address.
-    Death,
+    WorkerCrash,
     /// Workers are drained, stopped and replaced one after the other.
-    Rolling,
+    RollingReplacement,
     /// Workers are told to drain, and take work again afterwards.
     Drain,
     /// Workers quickly fail a part (size) of their activations.
-    Failures,
+    RequestFailures,
     /// Workers take activations and answer none.
-    Silence,
+    Unresponsiveness,
     /// A part (size) of the answers is lost after the work is done.
-    LostAnswers,
+    LostResponses,
     /// Workers run so many times (size) slower.
     Slowness,
     /// Workers turn away one client group though they have room.
-    WrongFull,
+    FalseRejections,
     /// Functions are released anew: their copies are void.
-    Release,
+    FunctionRelease,
     /// Traffic jumps to so many times (size) the usual.
-    Burst,
+    TrafficBurst,
     /// A part of the calls is for functions wanted once.
-    OneOffs,
+    OneTimeFunctions,
     /// A part of the calls is for a few functions not seen before.
-    Hot,
+    HotFunctions,
     /// A part of the calls costs so many times (size) the usual work.
-    Heavy,
+    HeavyRequests,
     /// A part of the clients waits only this part (size) of the due time.
-    Impatience,
-    StoreSlow,
-    StoreRefuses,
-    StoreStops,
+    ImpatientClients,
+    StoreSlowness,
+    StoreRejections,
+    StoreOutage,
     /// A part (size) of the answers is cut in half, garbage, or reset in mid-body.
-    HalfAnswers,
-    Garbage,
-    Resets,
+    TruncatedResponses,
+    GarbageResponses,
+    ConnectionResets,
     /// Gateway processes stand still for so many seconds (size), again and again.
-    GatewayStall,
+    GatewayPause,
     /// Gateway processes are killed outright and started anew.
-    GatewayKill,
+    GatewayCrash,
     /// A core of each gateway stands still for so many seconds (size), again and again.
-    CoreStall,
+    CorePause,
     /// A core of each gateway ends by a panic.
     CorePanic,
     /// The decisions of each gateway panic.
     DispatcherPanic,
     /// Lists come so many seconds (size) late.
-    ListLate,
-    ListStalled,
-    ListLost,
-    ListRepeated,
+    RegistryDelay,
+    RegistryStall,
+    RegistryLoss,
+    RegistryDuplication,
     /// The list shows nobody.
-    ListEmptied,
+    RegistryEmptied,
     /// A part (size) of the letters between gateways is lost, on a part of the links.
-    LinkLost,
+    LinkLoss,
     /// A part of the gateways is cut off from the others, both ways.
-    LinkCut,
+    LinkPartition,
     /// A part of the gateways hears no other, and is heard.
-    LinkDeaf,
+    LinkInboundLoss,
     /// Letters come so many seconds (size) late, and overtake each other.
-    LinkLate,
+    LinkDelay,
     /// A part (size) of the letters is doubled, and played again later.
-    LinkRepeat,
+    LinkDuplication,
     /// A part (size) of the letters is garbage: cut off, changed, forged, too large, or of long ago.
-    LinkGarbage,
+    LinkCorruption,
     /// A part of the gateways begins only then.
-    GatewayJoin,
+    LateGatewayStart,
 }
 
 /// The script's words, with what `part` and `size` are when nothing is said.
 const WORDS: [(&str, FaultKind, f64, f64); 37] = [
-    ("death", FaultKind::Death, 0.2, 1.0),
-    ("rolling", FaultKind::Rolling, 0.5, 1.0),
+    ("death", FaultKind::WorkerCrash, 0.2, 1.0),
+    ("rolling", FaultKind::RollingReplacement, 0.5, 1.0),
     ("drain", FaultKind::Drain, 0.2, 1.0),
-    ("failures", FaultKind::Failures, 0.2, 0.6),
-    ("silence", FaultKind::Silence, 0.15, 1.0),
-    ("lost-answers", FaultKind::LostAnswers, 0.2, 0.5),
+    ("failures", FaultKind::RequestFailures, 0.2, 0.6),
+    ("silence", FaultKind::Unresponsiveness, 0.15, 1.0),
+    ("lost-answers", FaultKind::LostResponses, 0.2, 0.5),
     ("slowness", FaultKind::Slowness, 0.2, 5.0),
-    ("wrong-full", FaultKind::WrongFull, 0.3, 0.9),
-    ("release", FaultKind::Release, 0.8, 1.0),
-    ("burst", FaultKind::Burst, 1.0, 2.0),
-    ("one-offs", FaultKind::OneOffs, 0.1, 1.0),
-    ("hot", FaultKind::Hot, 0.2, 3.0),
-    ("heavy", FaultKind::Heavy, 0.01, 12.0),
-    ("impatience", FaultKind::Impatience, 0.6, 0.4),
-    ("store-slow", FaultKind::StoreSlow, 1.0, 4.0),
-    ("store-refuses", FaultKind::StoreRefuses, 1.0, 1.0),
-    ("store-stops", FaultKind::StoreStops, 1.0, 1.0),
-    ("half-answers", FaultKind::HalfAnswers, 0.2, 0.3),
-    ("garbage", FaultKind::Garbage, 0.2, 0.3),
-    ("resets", FaultKind::Resets, 0.2, 0.3),
-    ("gateway-stall", FaultKind::GatewayStall, 0.5, 0.5),
-    ("gateway-kill", FaultKind::GatewayKill, 0.5, 1.0),
-    ("core-stall", FaultKind::CoreStall, 1.0, 0.5),
+    ("wrong-full", FaultKind::FalseRejections, 0.3, 0.9),
+    ("release", FaultKind::FunctionRelease, 0.8, 1.0),
+    ("burst", FaultKind::TrafficBurst, 1.0, 2.0),
+    ("one-offs", FaultKind::OneTimeFunctions, 0.1, 1.0),
+    ("hot", FaultKind::HotFunctions, 0.2, 3.0),
+    ("heavy", FaultKind::HeavyRequests, 0.01, 12.0),
+    ("impatience", FaultKind::ImpatientClients, 0.6, 0.4),
+    ("store-slow", FaultKind::StoreSlowness, 1.0, 4.0),
+    ("store-refuses", FaultKind::StoreRejections, 1.0, 1.0),
+    ("store-stops", FaultKind::StoreOutage, 1.0, 1.0),
+    ("half-answers", FaultKind::TruncatedResponses, 0.2, 0.3),
+    ("garbage", FaultKind::GarbageResponses, 0.2, 0.3),
+    ("resets", FaultKind::ConnectionResets, 0.2, 0.3),
+    ("gateway-stall", FaultKind::GatewayPause, 0.5, 0.5),
+    ("gateway-kill", FaultKind::GatewayCrash, 0.5, 1.0),
+    ("core-stall", FaultKind::CorePause, 1.0, 0.5),
     ("core-panic", FaultKind::CorePanic, 1.0, 1.0),
     ("desk-break", FaultKind::DispatcherPanic, 1.0, 1.0),
-    ("list-late", FaultKind::ListLate, 1.0, 3.0),
-    ("list-stalled", FaultKind::ListStalled, 1.0, 1.0),
-    ("list-lost", FaultKind::ListLost, 1.0, 1.0),
-    ("list-repeated", FaultKind::ListRepeated, 1.0, 1.0),
-    ("list-emptied", FaultKind::ListEmptied, 1.0, 1.0),
-    ("link-lost", FaultKind::LinkLost, 1.0, 0.2),
-    ("link-cut", FaultKind::LinkCut, 0.4, 1.0),
-    ("link-deaf", FaultKind::LinkDeaf, 0.1, 1.0),
-    ("link-late", FaultKind::LinkLate, 1.0, 0.5),
-    ("link-repeat", FaultKind::LinkRepeat, 1.0, 0.3),
-    ("link-garbage", FaultKind::LinkGarbage, 1.0, 0.3),
-    ("gateway-join", FaultKind::GatewayJoin, 0.3, 1.0),
+    ("list-late", FaultKind::RegistryDelay, 1.0, 3.0),
+    ("list-stalled", FaultKind::RegistryStall, 1.0, 1.0),
+    ("list-lost", FaultKind::RegistryLoss, 1.0, 1.0),
+    ("list-repeated", FaultKind::RegistryDuplication, 1.0, 1.0),
+    ("list-emptied", FaultKind::RegistryEmptied, 1.0, 1.0),
+    ("link-lost", FaultKind::LinkLoss, 1.0, 0.2),
+    ("link-cut", FaultKind::LinkPartition, 0.4, 1.0),
+    ("link-deaf", FaultKind::LinkInboundLoss, 0.1, 1.0),
+    ("link-late", FaultKind::LinkDelay, 1.0, 0.5),
+    ("link-repeat", FaultKind::LinkDuplication, 1.0, 0.3),
+    ("link-garbage", FaultKind::LinkCorruption, 1.0, 0.3),
+    ("gateway-join", FaultKind::LateGatewayStart, 0.3, 1.0),
 ];
 
 /// Reads a day's file and those that it builds on; the error holds a line for each mistake.
@@ -292,10 +292,10 @@
     };
     let store = top.block("store");
     let store_spec = StoreSpec {
-        at_once: of(store.as_ref(), "at_once", "fetches", 1e9, 12.0),
-        takes: count(store.as_ref(), "takes", 48),
-        tips: store.as_ref().and_then(|s| s.number("tips", "fetches a second", 0.0..=1e9)),
-        stops: of(store.as_ref(), "stops", "seconds", LONG, 3.0),
+        unslowed_fetches: of(store.as_ref(), "at_once", "fetches", 1e9, 12.0),
+        max_fetches: count(store.as_ref(), "takes", 48),
+        overload_rate: store.as_ref().and_then(|s| s.number("tips", "fetches a second", 0.0..=1e9)),
+        outage_seconds: of(store.as_ref(), "stops", "seconds", LONG, 3.0),
     };
     let functions = top.block("functions");
     let functions = functions.as_ref();
@@ -376,7 +376,7 @@
             share: s.number("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
             latency_objective: due,
             deadline: s.number("cut_off", "seconds", 0.001..=86_400.0).unwrap_or(3.0 * due),
-            effect: s.one_of("effect", &effects).unwrap_or(Idempotency::Idempotent),
+            idempotency: s.one_of("effect", &effects).unwrap_or(Idempotency::Idempotent),
             importance: s.number("importance", "importance", 0.0..=1e9).unwrap_or(1.0),
         }
     };
@@ -414,11 +414,11 @@
         };
         Some(ScheduledFault {
             name: s.label.clone(),
-            what,
+            kind: what,
             at: s.number("at", "seconds", 0.0..=86_400.0).unwrap_or(0.0),
-            lasts: s.number("lasts", "seconds", 0.0..=86_400.0).unwrap_or(5.0),
-            part: s.number("part", "of what it strikes", 0.0..=1.0).unwrap_or(part),
-            size: s.number("size", "", 0.0..=1e6).unwrap_or(size),
+            duration: s.number("lasts", "seconds", 0.0..=86_400.0).unwrap_or(5.0),
+            fraction: s.number("part", "of what it strikes", 0.0..=1.0).unwrap_or(part),
+            magnitude: s.number("size", "", 0.0..=1e6).unwrap_or(size),
         })
     };
     top.blocks("trouble", true).into_iter().filter_map(read).collect()
--- a/crates/emulator/src/small_fleet.rs
+++ b/crates/emulator/src/small_fleet.rs
@@ -27,7 +27,8 @@
 
 /// What such workers stand in.
 pub fn context(seed: u64) -> Rc<EmulatorContext> {
-    let store_spec = StoreSpec { at_once: 16.0, takes: 64, tips: None, stops: 1.0 };
+    let store_spec =
+        StoreSpec { unslowed_fetches: 16.0, max_fetches: 64, overload_rate: None, outage_seconds: 1.0 };
     let tells = ReportedFields { found: true, concurrent_requests: true, load: true };
     EmulatorContext::new(Instant::now(), seed, store_spec, PACK, tells, 60.0)
 }
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSpec {
     /// Fetches that it serves at a time without slowing.
-    pub at_once: f64,
+    pub unslowed_fetches: f64,
     /// Fetches under way past which more are turned away.
-    pub takes: usize,
+    pub max_fetches: usize,
     /// Fetches asked for a second, kept up for three seconds, that make it stop; none where it never does.
-    pub tips: Option<f64>,
+    pub overload_rate: Option<f64>,
     /// Seconds for which it then stops.
-    pub stops: f64,
+    pub outage_seconds: f64,
 }
 
 pub struct Store {
@@ -21,12 +21,12 @@
     /// Multiplies the time of fetches: a trouble.
     pub slowness: f64,
     /// Turns all away: a trouble.
-    pub refuses: bool,
+    pub rejecting: bool,
     under_way: usize,
     asked: VecDeque<f64>,
     stopped: f64,
     pub fetches: u64,
-    pub refusals: u64,
+    pub rejected_fetches: u64,
 }
 
 impl Store {
@@ -34,17 +34,17 @@
         Self {
             store_spec,
             slowness: 1.0,
-            refuses: false,
+            rejecting: false,
             under_way: 0,
             asked: VecDeque::new(),
             stopped: f64::NEG_INFINITY,
             fetches: 0,
-            refusals: 0,
+            rejected_fetches: 0,
         }
     }
 
-    /// A fetch of so many seconds on an idle store; gives how long it takes, none where it is turned away.
-    pub fn fetch(&mut self, now: f64, seconds: f64) -> Option<f64> {
+    /// A fetch of so many seconds on an idle store; gives how long it max_fetches, none where it is turned away.
+    pub fn begin_fetch(&mut self, now: f64, seconds: f64) -> Option<f64> {
         /// Seconds for which it must be pushed.
         const PUSHED: f64 = 3.0;
         // While it is stopped nothing pushes it further.
@@ -54,26 +54,26 @@
         while self.asked.front().is_some_and(|at| now - at > PUSHED) {
             self.asked.pop_front();
         }
-        if self.store_spec.tips.is_some_and(|tips| self.asked.len() as f64 > tips * PUSHED) {
+        if self.store_spec.overload_rate.is_some_and(|tips| self.asked.len() as f64 > tips * PUSHED) {
             self.asked.clear();
-            self.stopped = self.stopped.max(now + self.store_spec.stops);
+            self.stopped = self.stopped.max(now + self.store_spec.outage_seconds);
         }
-        if now < self.stopped || self.refuses || self.under_way >= self.store_spec.takes {
-            self.refusals += 1;
+        if now < self.stopped || self.rejecting || self.under_way >= self.store_spec.max_fetches {
+            self.rejected_fetches += 1;
             return None;
         }
         self.fetches += 1;
         self.under_way += 1;
-        Some(seconds * self.slowness * (self.under_way as f64 / self.store_spec.at_once).max(1.0))
+        Some(seconds * self.slowness * (self.under_way as f64 / self.store_spec.unslowed_fetches).max(1.0))
     }
 
     /// A fetch that was let in is over.
-    pub fn fetched(&mut self) {
+    pub fn fetch_ended(&mut self) {
         self.under_way = self.under_way.saturating_sub(1);
     }
 
     /// Stops it for so many seconds: a trouble.
-    pub fn stop(&mut self, now: f64, seconds: f64) {
+    pub fn begin_outage(&mut self, now: f64, seconds: f64) {
         self.stopped = self.stopped.max(now + seconds);
     }
 }
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -17,7 +17,7 @@
     /// Seconds until the client gives up its first try.
     pub timeout: f64,
     /// Seconds after which the client leaves, where it does.
-    pub leaves: Option<f64>,
+    pub abandoned_after: Option<f64>,
     /// The trouble under which it is asked for: the last that began.
     pub fault: Option<usize>,
 }
@@ -37,48 +37,61 @@
     let mut at = 0.0;
     let mut once = 0;
     loop {
-        let faults =
-            |what| scenario.faults.iter().filter(move |t: &&ScheduledFault| t.what == what && t.during(at));
-        let rate = scenario.traffic.rate * faults(FaultKind::Burst).map(|t| t.size).product::<f64>();
+        let faults = |what| {
+            scenario.faults.iter().filter(move |t: &&ScheduledFault| t.kind == what && t.is_active(at))
+        };
+        let rate =
+            scenario.traffic.rate * faults(FaultKind::TrafficBurst).map(|t| t.magnitude).product::<f64>();
         at += gap.sample(&mut chance) / rate.max(1e-9);
         if at >= scenario.seconds {
             return calls;
         }
-        let faults =
-            |what| scenario.faults.iter().filter(move |t: &&ScheduledFault| t.what == what && t.during(at));
+        let faults = |what| {
+            scenario.faults.iter().filter(move |t: &&ScheduledFault| t.kind == what && t.is_active(at))
+        };
         let profile = pick(&mut chance, scenario.profiles.iter().map(|p| p.share));
         let group = pick(&mut chance, scenario.groups.iter().map(|g| g.share));
         let mut function = format!("pack-{}", zipf.sample(&mut chance) as usize);
-        for fault in faults(FaultKind::Hot) {
-            if chance.random_bool(fault.part) {
-                function = format!("hot-{}", chance.random_range(0..fault.size.max(1.0) as u32));
+        for fault in faults(FaultKind::HotFunctions) {
+            if chance.random_bool(fault.fraction) {
+                function = format!("hot-{}", chance.random_range(0..fault.magnitude.max(1.0) as u32));
             }
         }
-        for fault in faults(FaultKind::OneOffs) {
-            if chance.random_bool(fault.part) {
+        for fault in faults(FaultKind::OneTimeFunctions) {
+            if chance.random_bool(fault.fraction) {
                 once += 1;
                 function = format!("once-{once}");
             }
         }
         let mut takes = work.sample(&mut chance);
-        for fault in faults(FaultKind::Heavy) {
-            if chance.random_bool(fault.part) {
-                takes *= fault.size;
+        for fault in faults(FaultKind::HeavyRequests) {
+            if chance.random_bool(fault.fraction) {
+                takes *= fault.magnitude;
             }
         }
         let p = &scenario.profiles[profile];
         let mut timeout = p.deadline * chance.random_range(scenario.traffic.timeout..=1.0);
-        for fault in faults(FaultKind::Impatience) {
-            if chance.random_bool(fault.part) {
-                timeout = p.latency_objective * fault.size;
+        for fault in faults(FaultKind::ImpatientClients) {
+            if chance.random_bool(fault.fraction) {
+                timeout = p.latency_objective * fault.magnitude;
             }
         }
         let leaves =
             chance.random_bool(scenario.traffic.abandonment).then(|| timeout * chance.random_range(0.0..0.5));
-        let fault = scenario.faults.iter().enumerate().filter(|(_, t)| t.during(at));
+        let fault = scenario.faults.iter().enumerate().filter(|(_, t)| t.is_active(at));
         let fault = fault.max_by(|(_, a), (_, b)| a.at.total_cmp(&b.at)).map(|(n, _)| n);
         let io = scenario.traffic.io;
-        calls.push(PlannedRequest { at, function, profile, group, work: takes, io, timeout, leaves, fault });
+        calls.push(PlannedRequest {
+            at,
+            function,
+            profile,
+            group,
+            work: takes,
+            io,
+            timeout,
+            abandoned_after: leaves,
+            fault,
+        });
     }
 }
 
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -155,7 +155,7 @@
         loop {
             let Some(say) = self.engine.borrow_mut().next_event() else { break };
             match say {
-                WorkerEvent::Ran { job } => {
+                WorkerEvent::JobStarted { job } => {
                     let jobs = self.jobs.borrow();
                     let Some((told, _)) = jobs.get(&job) else { continue };
                     let repeat = told.mark.as_ref().is_some_and(|m| self.context.known(self.receipts, m));
@@ -164,24 +164,24 @@
                             .note(HistoryEvent::RequestExecuted { call: told.call, worker: self.number });
                     }
                 }
-                WorkerEvent::Done { job, found, concurrent_requests } => {
+                WorkerEvent::JobCompleted { job, instance_state: found, concurrent_requests } => {
                     let (warm, all) = self.context.warm.get();
                     self.context.warm.set((warm + u64::from(found == wire::InstanceState::Loaded), all + 1));
                     self.end(job, Ended::Done(found, concurrent_requests));
                 }
-                WorkerEvent::Refused { job, why, failed_load } => {
+                WorkerEvent::JobRejected { job, reason: why, load_failed: failed_load } => {
                     self.end(job, Ended::Refused(why, failed_load))
                 }
-                WorkerEvent::Fetch { load, seconds, .. } => {
-                    let takes = self.context.store.borrow_mut().fetch(self.context.now(), seconds);
+                WorkerEvent::FetchStarted { load, seconds, .. } => {
+                    let takes = self.context.store.borrow_mut().begin_fetch(self.context.now(), seconds);
                     spawn_local(self.clone().fetch(load, takes));
                 }
-                WorkerEvent::Stands { order, copies, failed } => {
+                WorkerEvent::LoadRequestCompleted { load_request: order, instances: copies, failed } => {
                     if let Some(sender) = self.orders.borrow_mut().remove(&order) {
                         let _ = sender.send((copies, failed));
                     }
                 }
-                WorkerEvent::Fell => {
+                WorkerEvent::Overloaded => {
                     tracing::warn!(worker = self.number, "pushed over");
                     self.kill();
                 }
@@ -201,22 +201,22 @@
         // What is turned away is told in a moment, as over a network.
         tokio::time::sleep(Duration::from_secs_f64(takes.unwrap_or(0.002))).await;
         if takes.is_some() {
-            self.context.store.borrow_mut().fetched();
+            self.context.store.borrow_mut().fetch_ended();
         }
-        self.tell(|engine, now| engine.fetched(now, load, takes.is_some()));
+        self.tell(|engine, now| engine.fetch_ended(now, load, takes.is_some()));
     }
 
     async fn keep_time(self: Rc<Self>) {
         loop {
-            let next = self.engine.borrow().next();
+            let next = self.engine.borrow().next_deadline();
             let wait = next.map_or(3600.0, |at| (at - self.context.now()).max(0.0));
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_secs_f64(wait)) => {}
                 () = self.earlier.notified() => {}
             }
-            let due = self.engine.borrow().next().is_some_and(|at| at <= self.context.now());
+            let due = self.engine.borrow().next_deadline().is_some_and(|at| at <= self.context.now());
             if due {
-                self.tell(|engine, now| engine.turn(now));
+                self.tell(|engine, now| engine.advance(now));
             }
         }
     }
@@ -269,7 +269,8 @@
         let (function, function_model) = self.context.function_model(name);
         let (sender, stands) = oneshot::channel();
         // Said at once where the instances stand: the sender must be there before the engine is listened to.
-        let order = self.engine.borrow_mut().order(self.context.now(), function, function_model, copies);
+        let order =
+            self.engine.borrow_mut().request_load(self.context.now(), function, function_model, copies);
         self.orders.borrow_mut().insert(order, sender);
         self.listen_to_engine();
         let (copies, failed) = stands.await.unwrap_or((0, true));
@@ -326,7 +327,7 @@
         let (sender, ended) = oneshot::channel();
         let job = Job { function, function_model, work, io: figure(&fields::IO).unwrap_or(0.0) };
         tracing::trace!(worker = self.number, call, attempt = told.attempt, "came");
-        let id = self.engine.borrow_mut().arrive(self.context.now(), job);
+        let id = self.engine.borrow_mut().submit(self.context.now(), job);
         self.jobs.borrow_mut().insert(id, (told, sender));
         self.listen_to_engine();
         let answer = match ended.await {
@@ -369,11 +370,11 @@
 
     /// Adds the worker's load report.
     fn with_load(&self, mut answer: Answer) -> Answer {
-        let figures = self.engine.borrow().figures();
+        let figures = self.engine.borrow().load_figures();
         let text = orca::write([
-            (orca::IN_FLIGHT, figures.held),
-            (orca::QUEUED, figures.waiting),
-            (orca::CPU_UTILIZATION, figures.busy),
+            (orca::IN_FLIGHT, figures.in_flight),
+            (orca::QUEUED, figures.queued),
+            (orca::CPU_UTILIZATION, figures.utilization),
             (orca::MEMORY_UTILIZATION, figures.memory),
             (orca::LOADING, figures.loading),
         ]);
--- a/crates/emulator/src/worker_model.rs
+++ b/crates/emulator/src/worker_model.rs
@@ -51,48 +51,48 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerEvent {
     /// It runs from now on: its effect happens.
-    Ran {
+    JobStarted {
         job: u64,
     },
-    Done {
+    JobCompleted {
         job: u64,
-        found: InstanceState,
+        instance_state: InstanceState,
         concurrent_requests: u32,
     },
-    Refused {
+    JobRejected {
         job: u64,
-        why: Rejection,
-        failed_load: bool,
+        reason: Rejection,
+        load_failed: bool,
     },
-    /// Wants a fetch from the store; [`WorkerModel::fetched`] answers.
-    Fetch {
+    /// Wants a fetch from the store; [`WorkerModel::fetch_ended`] answers.
+    FetchStarted {
         load: u64,
         function: u32,
         seconds: f64,
     },
-    /// An order is carried out as far as it can be.
-    Stands {
-        order: u64,
-        copies: u32,
+    /// An load_request is carried out as far as it can be.
+    LoadRequestCompleted {
+        load_request: u64,
+        instances: u32,
         failed: bool,
     },
     /// Pushed over; it answers nothing more.
-    Fell,
+    Overloaded,
 }
 
 /// A worker's figures of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadFigures {
-    pub held: f64,
-    pub waiting: f64,
-    pub busy: f64,
+    pub in_flight: f64,
+    pub queued: f64,
+    pub utilization: f64,
     pub memory: f64,
     pub loading: f64,
 }
 
 struct RunningJob {
     job: Job,
-    found: InstanceState,
+    instance_state: InstanceState,
     concurrent_requests: u32,
     /// The instance whose lane it has.
     instance: Option<u64>,
@@ -197,8 +197,8 @@
         self.said.pop_front()
     }
 
-    /// When [`turn`](Self::turn) is wanted.
-    pub fn next(&self) -> Option<f64> {
+    /// When [`advance`](Self::advance) is wanted.
+    pub fn next_deadline(&self) -> Option<f64> {
         // Rounded up, so that the turn finds it due.
         self.due.keys().next().map(|(at, _)| (*at as f64 + 1.0) / 1e6)
     }
@@ -215,7 +215,7 @@
     }
 
     /// An activation arrives; its number is what [`WorkerEvent`] names it by.
-    pub fn arrive(&mut self, now: f64, job: Job) -> u64 {
+    pub fn submit(&mut self, now: f64, job: Job) -> u64 {
         let id = self.number();
         if self.pushed_over(now, job.work) {
             return id;
@@ -223,27 +223,28 @@
         let concurrent_requests =
             self.jobs.values().filter(|held| held.job.function == job.function).count() as u32;
         if self.draining || self.jobs.len() >= self.worker_spec.queue {
-            let why = if self.draining { Rejection::Draining } else { Rejection::Full };
-            self.said.push_back(WorkerEvent::Refused { job: id, why, failed_load: false });
+            let reason = if self.draining { Rejection::Draining } else { Rejection::Full };
+            self.said.push_back(WorkerEvent::JobRejected { job: id, reason, load_failed: false });
             return id;
         }
         let stands = self.instances.values().any(|i| i.function == job.function && !i.void);
         let line = self.lines.entry(job.function).or_default();
         if self.worker_spec.rejects_unloaded && !stands && line.loads == 0 {
-            self.said.push_back(WorkerEvent::Refused {
+            self.said.push_back(WorkerEvent::JobRejected {
                 job: id,
-                why: Rejection::NotLoaded,
-                failed_load: false,
+                reason: Rejection::NotLoaded,
+                load_failed: false,
             });
             return id;
         }
-        let found = match (stands, line.loads) {
+        let instance_state = match (stands, line.loads) {
             (true, _) => InstanceState::Loaded,
             (false, 0) => InstanceState::LoadStarted,
             (false, _) => InstanceState::LoadAwaited,
         };
         line.waiting.push_back(id);
-        self.jobs.insert(id, RunningJob { job, found, concurrent_requests, instance: None, runs: false });
+        self.jobs
+            .insert(id, RunningJob { job, instance_state, concurrent_requests, instance: None, runs: false });
         self.assign(now, job.function, job.function_model);
         id
     }
@@ -266,7 +267,7 @@
             > self.worker_spec.overload_multiple * capacity * self.worker_spec.overload_window
                 + CHANCE * mean;
         if self.fallen {
-            self.said.push_back(WorkerEvent::Fell);
+            self.said.push_back(WorkerEvent::Overloaded);
         }
         self.fallen
     }
@@ -308,7 +309,7 @@
             held.runs = true;
             let takes = held.job.work / rate.max(1e-6);
             self.free_cores -= 1;
-            self.said.push_back(WorkerEvent::Ran { job: id });
+            self.said.push_back(WorkerEvent::JobStarted { job: id });
             self.set(now + takes, Due::Worked(id));
         }
     }
@@ -338,7 +339,7 @@
             let Some(load) = self.in_line.pop_front() else { break };
             let Some(Load { function, function_model }) = self.loads.get(&load) else { continue };
             self.under_way += 1;
-            self.said.push_back(WorkerEvent::Fetch {
+            self.said.push_back(WorkerEvent::FetchStarted {
                 load,
                 function: *function,
                 seconds: function_model.fetch,
@@ -347,7 +348,7 @@
     }
 
     /// The store has answered a fetch.
-    pub fn fetched(&mut self, now: f64, load: u64, ok: bool) {
+    pub fn fetch_ended(&mut self, now: f64, load: u64, ok: bool) {
         let Some(&Load { function, function_model }) = self.loads.get(&load) else { return };
         if ok {
             return self.set(now + function_model.start * self.slowness, Due::Started(load));
@@ -361,18 +362,22 @@
     }
 
     /// A load came to nothing: what waits for it alone is turned away.
-    fn load_failed(&mut self, function: u32, why: Rejection, failed_load: bool) {
+    fn load_failed(&mut self, function: u32, reason: Rejection, load_failed: bool) {
         let stands = self.instances.values().filter(|i| i.function == function && !i.void).count() as u32;
         let Some(line) = self.lines.get_mut(&function) else { return };
         if line.loads == 0 && stands == 0 {
             for job in std::mem::take(&mut line.waiting) {
                 self.jobs.remove(&job);
-                self.said.push_back(WorkerEvent::Refused { job, why, failed_load });
+                self.said.push_back(WorkerEvent::JobRejected { job, reason, load_failed });
             }
         }
         if line.loads == 0 {
-            for (order, _) in std::mem::take(&mut line.orders) {
-                self.said.push_back(WorkerEvent::Stands { order, copies: stands, failed: true });
+            for (load_request, _) in std::mem::take(&mut line.orders) {
+                self.said.push_back(WorkerEvent::LoadRequestCompleted {
+                    load_request,
+                    instances: stands,
+                    failed: true,
+                });
             }
         }
     }
@@ -384,29 +389,35 @@
     }
 
     /// An order to hold instances; 0 only asks.
-    pub fn order(&mut self, now: f64, function: u32, function_model: FunctionModel, copies: u32) -> u64 {
-        let order = self.number();
+    pub fn request_load(
+        &mut self,
+        now: f64,
+        function: u32,
+        function_model: FunctionModel,
+        instances: u32,
+    ) -> u64 {
+        let load_request = self.number();
         let standing = |engine: &Self| {
             engine.instances.values().filter(|i| i.function == function && !i.void).count() as u32
         };
         let stand = standing(self);
-        if self.draining || self.fallen || stand >= copies {
+        if self.draining || self.fallen || stand >= instances {
             // It renews the idle time as well.
             let idle: Vec<u64> =
                 self.instances.iter().filter(|(_, i)| i.function == function).map(|(a, _)| *a).collect();
             for at in idle {
                 self.rest(now, at);
             }
-            let failed = self.draining && stand < copies;
-            self.said.push_back(WorkerEvent::Stands { order, copies: stand, failed });
-            return order;
+            let failed = self.draining && stand < instances;
+            self.said.push_back(WorkerEvent::LoadRequestCompleted { load_request, instances: stand, failed });
+            return load_request;
         }
         let line = self.lines.entry(function).or_default();
-        line.orders.push((order, copies));
-        for _ in stand + line.loads..copies {
+        line.orders.push((load_request, instances));
+        for _ in stand + line.loads..instances {
             self.load(function, function_model);
         }
-        order
+        load_request
     }
 
     /// Unloads the idle instances of a function.
@@ -417,7 +428,7 @@
     }
 
     /// A function is released anew: its instances are void.
-    pub fn release(&mut self, function: u32) {
+    pub fn release_version(&mut self, function: u32) {
         self.unload(function);
         self.instances.values_mut().filter(|i| i.function == function).for_each(|i| i.void = true);
     }
@@ -431,7 +442,7 @@
     }
 
     /// Does what is due.
-    pub fn turn(&mut self, now: f64) {
+    pub fn advance(&mut self, now: f64) {
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= (now.max(0.0) * 1e6) as u64) {
             match entry.remove() {
                 Due::Worked(id) => {
@@ -455,10 +466,12 @@
     }
 
     fn finished(&mut self, now: f64, id: u64) {
-        let Some(RunningJob { job, found, concurrent_requests, instance, .. }) = self.jobs.remove(&id) else {
+        let Some(RunningJob { job, instance_state, concurrent_requests, instance, .. }) =
+            self.jobs.remove(&id)
+        else {
             return;
         };
-        self.said.push_back(WorkerEvent::Done { job: id, found, concurrent_requests });
+        self.said.push_back(WorkerEvent::JobCompleted { job: id, instance_state, concurrent_requests });
         if let Some(at) = instance {
             if let Some(i) = self.instances.get_mut(&at) {
                 i.taken -= 1;
@@ -480,26 +493,30 @@
         let line = self.lines.entry(function).or_default();
         line.loads -= 1;
         let loads = line.loads;
-        let done = |&(_, copies): &(u64, u32)| stands >= copies || loads == 0;
+        let done = |&(_, instances): &(u64, u32)| stands >= instances || loads == 0;
         let (ended, open): (Vec<_>, Vec<_>) = line.orders.drain(..).partition(done);
         line.orders = open;
-        for (order, copies) in ended {
-            self.said.push_back(WorkerEvent::Stands { order, copies: stands, failed: stands < copies });
+        for (load_request, instances) in ended {
+            self.said.push_back(WorkerEvent::LoadRequestCompleted {
+                load_request,
+                instances: stands,
+                failed: stands < instances,
+            });
         }
         self.assign(now, function, function_model);
         self.rest(now, at);
         self.fetch();
     }
 
-    pub fn figures(&self) -> LoadFigures {
+    pub fn load_figures(&self) -> LoadFigures {
         let running = self.jobs.values().filter(|held| held.runs).count();
         let busy: f64 =
             self.instances.values().filter(|i| i.taken > 0).map(|i| i.function_model.memory).sum();
         let loading: f64 = self.loads.values().map(|l| l.function_model.memory).sum();
         LoadFigures {
-            held: self.jobs.len() as f64,
-            waiting: (self.jobs.len() - running) as f64,
-            busy: 1.0 - self.free_cores as f64 / self.worker_spec.cores.max(1) as f64,
+            in_flight: self.jobs.len() as f64,
+            queued: (self.jobs.len() - running) as f64,
+            utilization: 1.0 - self.free_cores as f64 / self.worker_spec.cores.max(1) as f64,
             memory: ((busy + loading) / self.worker_spec.memory.max(1e-9)).min(1.0),
             loading: self.loads.len() as f64,
         }
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -2,7 +2,7 @@
 //! did when these values were taken; so do the messages about invalid files.
 
 use crate::digest::Digest;
-use milletpath_emulator::scenario::{charter, rule_parameters, service_weights};
+use milletpath_emulator::scenario::{gateway_config, rule_parameters, service_weights};
 use milletpath_emulator::scenario_file::{Scenario, open};
 use milletpath_emulator::traffic;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -24,8 +24,8 @@
     add_profiles_and_clients(&mut digest, scenario);
     add_rules(&mut digest, scenario);
     for fault in &scenario.faults {
-        digest.text(&fault.name).count(fault.what as u64);
-        digest.figure(fault.at).figure(fault.lasts).figure(fault.part).figure(fault.size);
+        digest.text(&fault.name).count(fault.kind as u64);
+        digest.figure(fault.at).figure(fault.duration).figure(fault.fraction).figure(fault.magnitude);
     }
     digest.value()
 }
@@ -41,7 +41,11 @@
     digest.figure(spec.overload_multiple).figure(spec.overload_window);
     digest.count(u64::from(spec.rejects_unloaded)).count(u64::from(spec.loads_ahead));
     let store = &scenario.store_spec;
-    digest.figure(store.at_once).count(store.takes as u64).optional(store.tips).figure(store.stops);
+    digest
+        .figure(store.unslowed_fetches)
+        .count(store.max_fetches as u64)
+        .optional(store.overload_rate)
+        .figure(store.outage_seconds);
 }
 
 fn add_functions_and_traffic(digest: &mut Digest, scenario: &Scenario) {
@@ -62,7 +66,7 @@
             .figure(profile.share)
             .figure(profile.latency_objective)
             .figure(profile.deadline);
-        digest.count(profile.effect as u64).figure(profile.importance);
+        digest.count(profile.idempotency as u64).figure(profile.importance);
     }
     for group in &scenario.groups {
         digest.text(&group.name).figure(group.share).optional(group.quota).optional(group.ceiling);
@@ -92,7 +96,7 @@
     let mut digest = Digest::new();
     for gateway in 0..scenario.gateways {
         for links in [None, Some(links.as_slice())] {
-            digest.text(&charter(scenario, gateway, address(1000), address(2000), links, 49));
+            digest.text(&gateway_config(scenario, gateway, address(1000), address(2000), links, 49));
         }
     }
     digest.value()
@@ -103,7 +107,11 @@
     for request in traffic::plan(scenario, seed) {
         digest.figure(request.at).text(&request.function);
         digest.count(request.profile as u64).count(request.group as u64);
-        digest.figure(request.work).figure(request.io).figure(request.timeout).optional(request.leaves);
+        digest
+            .figure(request.work)
+            .figure(request.io)
+            .figure(request.timeout)
+            .optional(request.abandoned_after);
         digest.optional(request.fault.map(|fault| fault as f64));
     }
     digest.value()
--- a/crates/emulator/tests/recorded_values/worker_model.rs
+++ b/crates/emulator/tests/recorded_values/worker_model.rs
@@ -67,16 +67,16 @@
             0..45 => {
                 let work = self.rng.random_range(0.005..0.06);
                 let io = self.rng.random_range(0.0..0.03);
-                let id = self.worker.arrive(self.now, Job { function, function_model: model, work, io });
+                let id = self.worker.submit(self.now, Job { function, function_model: model, work, io });
                 self.digest.count(id);
             }
             45..52 => {
                 let instances = self.rng.random_range(0..4);
-                let id = self.worker.order(self.now, function, model, instances);
+                let id = self.worker.request_load(self.now, function, model, instances);
                 self.digest.count(id);
             }
             52..54 => self.worker.unload(function),
-            54..56 => self.worker.release(function),
+            54..56 => self.worker.release_version(function),
             56 => self.worker.slowness = self.rng.random_range(0.5..3.0),
             57 => self.worker.draining = self.rng.random_bool(0.3),
             _ => {
@@ -92,7 +92,7 @@
             self.read_outputs();
             let fetch = self.fetches.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0));
             let answered = fetch.map_or(f64::INFINITY, |fetch| fetch.0);
-            let next = self.worker.next().unwrap_or(f64::INFINITY).min(answered);
+            let next = self.worker.next_deadline().unwrap_or(f64::INFINITY).min(answered);
             if next > until {
                 self.now = until;
                 return;
@@ -100,23 +100,23 @@
             self.now = self.now.max(next);
             if let Some((at, load, succeeds)) = fetch.filter(|fetch| fetch.0 <= self.now) {
                 self.fetches.retain(|fetch| *fetch != (at, load, succeeds));
-                self.worker.fetched(self.now, load, succeeds);
+                self.worker.fetch_ended(self.now, load, succeeds);
             }
-            self.worker.turn(self.now);
+            self.worker.advance(self.now);
         }
     }
 
     fn read_outputs(&mut self) {
         while let Some(output) = self.worker.next_event() {
             self.digest.figure(self.now);
-            if let WorkerEvent::Fetch { load, seconds, .. } = output {
+            if let WorkerEvent::FetchStarted { load, seconds, .. } = output {
                 let succeeds = self.rng.random_range(0..FAILED_FETCHES) > 0;
                 self.fetches.push((self.now + seconds, load, succeeds));
             }
             self.outputs[add_output(&mut self.digest, output)] += 1;
         }
-        let load = self.worker.figures();
-        for figure in [load.held, load.waiting, load.busy, load.memory, load.loading] {
+        let load = self.worker.load_figures();
+        for figure in [load.in_flight, load.queued, load.utilization, load.memory, load.loading] {
             self.digest.figure(figure);
         }
     }
@@ -125,29 +125,29 @@
 /// Adds an output; gives the number of its kind.
 fn add_output(digest: &mut Digest, output: WorkerEvent) -> usize {
     let kind = match output {
-        WorkerEvent::Ran { .. } => 0,
-        WorkerEvent::Done { .. } => 1,
-        WorkerEvent::Refused { .. } => 2,
-        WorkerEvent::Fetch { .. } => 3,
-        WorkerEvent::Stands { .. } => 4,
-        WorkerEvent::Fell => 5,
+        WorkerEvent::JobStarted { .. } => 0,
+        WorkerEvent::JobCompleted { .. } => 1,
+        WorkerEvent::JobRejected { .. } => 2,
+        WorkerEvent::FetchStarted { .. } => 3,
+        WorkerEvent::LoadRequestCompleted { .. } => 4,
+        WorkerEvent::Overloaded => 5,
     };
     digest.count(kind as u64);
     match output {
-        WorkerEvent::Ran { job } => digest.count(job),
-        WorkerEvent::Done { job, found, concurrent_requests } => {
-            digest.count(job).count(found as u64).count(u64::from(concurrent_requests))
+        WorkerEvent::JobStarted { job } => digest.count(job),
+        WorkerEvent::JobCompleted { job, instance_state, concurrent_requests } => {
+            digest.count(job).count(instance_state as u64).count(u64::from(concurrent_requests))
         }
-        WorkerEvent::Refused { job, why, failed_load } => {
-            digest.count(job).count(why as u64).count(u64::from(failed_load))
+        WorkerEvent::JobRejected { job, reason, load_failed } => {
+            digest.count(job).count(reason as u64).count(u64::from(load_failed))
         }
-        WorkerEvent::Fetch { load, function, seconds } => {
+        WorkerEvent::FetchStarted { load, function, seconds } => {
             digest.count(load).count(u64::from(function)).figure(seconds)
         }
-        WorkerEvent::Stands { order, copies, failed } => {
-            digest.count(order).count(u64::from(copies)).count(u64::from(failed))
+        WorkerEvent::LoadRequestCompleted { load_request, instances, failed } => {
+            digest.count(load_request).count(u64::from(instances)).count(u64::from(failed))
         }
-        WorkerEvent::Fell => digest,
+        WorkerEvent::Overloaded => digest,
     };
     kind
 }
--- a/crates/emulator/tests/worker_model.rs
+++ b/crates/emulator/tests/worker_model.rs
@@ -42,28 +42,28 @@
     let (mut said, mut now) = (Vec::new(), from);
     loop {
         while let Some(say) = engine.next_event() {
-            if let WorkerEvent::Fetch { load, seconds, .. } = say {
+            if let WorkerEvent::FetchStarted { load, seconds, .. } = say {
                 fetches.push((now + seconds, load));
             }
             said.push((now, say));
         }
         let fetch = fetches.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0));
-        let next = engine.next().unwrap_or(f64::INFINITY).min(fetch.map_or(f64::INFINITY, |f| f.0));
+        let next = engine.next_deadline().unwrap_or(f64::INFINITY).min(fetch.map_or(f64::INFINITY, |f| f.0));
         if next > until {
             return said;
         }
         now = next.max(now);
         if let Some(done) = fetch.filter(|f| f.0 <= now) {
             fetches.retain(|f| *f != done);
-            engine.fetched(now, done.1, true);
+            engine.fetch_ended(now, done.1, true);
         }
-        engine.turn(now);
+        engine.advance(now);
     }
 }
 
 fn ends(said: &[(f64, WorkerEvent)]) -> Vec<(f64, InstanceState)> {
     let end = |(at, say): &(f64, WorkerEvent)| match say {
-        WorkerEvent::Done { found, .. } => Some(((at * 1e3).round() / 1e3, *found)),
+        WorkerEvent::JobCompleted { instance_state: found, .. } => Some(((at * 1e3).round() / 1e3, *found)),
         _ => None,
     };
     said.iter().filter_map(end).collect()
@@ -72,40 +72,39 @@
 #[test]
 fn the_first_call_loads_the_next_awaits_and_later_ones_find() {
     let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
-    engine.arrive(0.0, job(1));
-    engine.arrive(0.0, job(1));
+    engine.submit(0.0, job(1));
+    engine.submit(0.0, job(1));
     let said = pass(&mut engine, 0.0, 1.0);
     assert_eq!(ends(&said), [(0.45, InstanceState::LoadStarted), (0.45, InstanceState::LoadAwaited)]);
-    engine.arrive(1.0, job(1));
+    engine.submit(1.0, job(1));
     assert_eq!(ends(&pass(&mut engine, 1.0, 2.0)), [(1.15, InstanceState::Loaded)]);
     // Idle for its time it is unloaded.
     pass(&mut engine, 2.0, 8.0);
-    engine.arrive(8.0, job(1));
+    engine.submit(8.0, job(1));
     assert_eq!(ends(&pass(&mut engine, 8.0, 9.0)), [(8.45, InstanceState::LoadStarted)]);
 }
 
 #[test]
 fn a_cold_worker_is_slow_and_falls_when_pushed() {
     let mut engine = WorkerModel::new(WORKER_SPEC, 0.0);
-    engine.arrive(0.0, job(1));
+    engine.submit(0.0, job(1));
     assert!(ends(&pass(&mut engine, 0.0, 1.0))[0].0 > 0.5);
     for _ in 0..60 {
-        engine.arrive(1.0, job(1));
+        engine.submit(1.0, job(1));
     }
-    assert!(pass(&mut engine, 1.0, 1.1).iter().any(|(_, say)| *say == WorkerEvent::Fell));
+    assert!(pass(&mut engine, 1.0, 1.1).iter().any(|(_, say)| *say == WorkerEvent::Overloaded));
 }
 
 #[test]
 fn a_released_function_is_loaded_anew_and_orders_are_told_when_they_stand() {
     let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
-    let order = engine.order(0.0, 1, PACK, 2);
+    let order = engine.request_load(0.0, 1, PACK, 2);
     let said = pass(&mut engine, 0.0, 1.0);
-    assert!(
-        said.iter()
-            .any(|(at, say)| *say == WorkerEvent::Stands { order, copies: 2, failed: false } && *at > 0.29)
-    );
-    engine.release(1);
-    engine.arrive(1.0, job(1));
+    assert!(said.iter().any(|(at, say)| *say
+        == WorkerEvent::LoadRequestCompleted { load_request: order, instances: 2, failed: false }
+        && *at > 0.29));
+    engine.release_version(1);
+    engine.submit(1.0, job(1));
     assert_eq!(ends(&pass(&mut engine, 1.0, 2.0))[0].1, InstanceState::LoadStarted);
 }
 
@@ -113,27 +112,32 @@
 fn memory_is_never_overfilled_and_idle_copies_give_way() {
     let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
     for (n, function) in [1, 2, 3].into_iter().enumerate() {
-        engine.arrive(n as f64, job(function));
+        engine.submit(n as f64, job(function));
         assert_eq!(ends(&pass(&mut engine, n as f64, n as f64 + 1.0))[0].1, InstanceState::LoadStarted);
     }
     // The third took the first one's place.
-    engine.arrive(3.0, job(2));
-    engine.arrive(3.0, job(1));
+    engine.submit(3.0, job(2));
+    engine.submit(3.0, job(1));
     let said = pass(&mut engine, 3.0, 4.0);
     assert_eq!(ends(&said)[0].1, InstanceState::Loaded);
-    assert!(engine.figures().memory <= 1.0);
+    assert!(engine.load_figures().memory <= 1.0);
 }
 
 #[test]
 fn a_store_slows_refuses_and_stops() {
-    let mut store = Store::new(StoreSpec { at_once: 2.0, takes: 4, tips: Some(2.0), stops: 5.0 });
-    let takes: Vec<_> = (0..5).map(|_| store.fetch(0.0, 1.0)).collect();
+    let mut store = Store::new(StoreSpec {
+        unslowed_fetches: 2.0,
+        max_fetches: 4,
+        overload_rate: Some(2.0),
+        outage_seconds: 5.0,
+    });
+    let takes: Vec<_> = (0..5).map(|_| store.begin_fetch(0.0, 1.0)).collect();
     assert_eq!(takes, [Some(1.0), Some(1.0), Some(1.5), Some(2.0), None]);
-    (0..4).for_each(|_| store.fetched());
+    (0..4).for_each(|_| store.fetch_ended());
     // Pushed past its six in three seconds it stops, and what it turns away then does not keep it stopped.
-    assert_eq!((store.fetch(1.0, 1.0), store.fetch(1.0, 1.0)), (Some(1.0), None));
-    (0..50).for_each(|n| assert_eq!(store.fetch(1.0 + f64::from(n) * 0.09, 1.0), None));
-    assert_eq!(store.fetch(6.1, 1.0), Some(1.0));
+    assert_eq!((store.begin_fetch(1.0, 1.0), store.begin_fetch(1.0, 1.0)), (Some(1.0), None));
+    (0..50).for_each(|n| assert_eq!(store.begin_fetch(1.0 + f64::from(n) * 0.09, 1.0), None));
+    assert_eq!(store.begin_fetch(6.1, 1.0), Some(1.0));
 }
 
 proptest! {
@@ -143,18 +147,18 @@
         let mut engine = WorkerModel::new(WorkerSpec { rejects_unloaded: misses, loads_ahead: eager, ..WORKER_SPEC }, -100.0);
         let (mut now, mut said, mut jobs, mut fetches) = (0.0, Vec::new(), Vec::new(), Fetches::new());
         for (gap, function) in arrivals {
-            jobs.push(engine.arrive(now, job(function)));
+            jobs.push(engine.submit(now, job(function)));
             said.extend(pass_with(&mut engine, &mut fetches, now, now + gap));
             now += gap;
         }
         said.extend(pass_with(&mut engine, &mut fetches, now, now + 100.0));
         for id in jobs {
-            let done = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::Done { job, .. } if *job == id)).count();
-            let refused = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::Refused { job, .. } if *job == id)).count();
-            let ran = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::Ran { job } if *job == id)).count();
+            let done = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::JobCompleted { job, .. } if *job == id)).count();
+            let refused = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::JobRejected { job, .. } if *job == id)).count();
+            let ran = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::JobStarted { job } if *job == id)).count();
             prop_assert_eq!((done + refused, done), (1, ran));
         }
-        prop_assert_eq!(engine.figures().held, 0.0);
+        prop_assert_eq!(engine.load_figures().in_flight, 0.0);
     }
 }
 
@@ -162,9 +166,9 @@
 fn a_draining_worker_refuses_in_its_own_words() {
     let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
     engine.draining = true;
-    let job = engine.arrive(0.0, job(1));
+    let job = engine.submit(0.0, job(1));
     assert_eq!(
         engine.next_event(),
-        Some(WorkerEvent::Refused { job, why: Rejection::Draining, failed_load: false })
+        Some(WorkerEvent::JobRejected { job, reason: Rejection::Draining, load_failed: false })
     );
 }
--- a/crates/milletpath/src/day.rs
+++ b/crates/milletpath/src/day.rs
@@ -32,7 +32,7 @@
     match staged(&scenario, asked) {
         Ok(played) => {
             print(&scenario, &played, asked.json);
-            if played.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+            if played.rules_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
         Err(e) => {
             eprintln!("{}: can't be played: {e}", asked.file.display());
@@ -49,7 +49,7 @@
         program: &program,
         folder: &folder,
         seed: scenario.seed,
-        lag: asked.lag,
+        tolerance: asked.lag,
         injected_fault: asked.injected_fault,
     };
     let played = play(scenario, &stage);
@@ -59,7 +59,7 @@
     }
     // Charters and logs are kept where something went wrong.
     match &played {
-        Ok(p) if p.kept() => std::fs::remove_dir_all(&folder)?,
+        Ok(p) if p.rules_kept() => std::fs::remove_dir_all(&folder)?,
         _ => eprintln!("the gateways' charters and logs are in {}", folder.display()),
     }
     played
@@ -95,15 +95,15 @@
             .map(|(t, c)| serde_json::json!({"trouble": scenario.faults[*t].name, "counts": counts(c)}))
             .collect();
         let broken: Vec<_> = played
-            .broken
+            .violations
             .iter()
             .map(|b| serde_json::json!({"rule": b.rule, "at": b.at, "what": b.what}))
             .collect();
         let mut report = serde_json::json!({
-            "day": scenario.name, "seed": scenario.seed, "whole": counts(&played.whole), "troubles": faults,
-            "fetches": played.fetches, "warm": played.warm, "refusals": played.refusals, "broken": broken, "latencies": latencies,
+            "day": scenario.name, "seed": scenario.seed, "whole": counts(&played.counts), "troubles": faults,
+            "fetches": played.fetches, "warm": played.warm_fraction, "refusals": played.rejected_fetches, "broken": broken, "latencies": latencies,
         });
-        if let Some(known) = &played.known {
+        if let Some(known) = &played.membership {
             report["bounds"] = serde_json::json!(played.bounds);
             report["peers"] = serde_json::json!(known);
         }
@@ -112,13 +112,13 @@
     }
     println!(
         "day {} with seed {}: {} calls, {} tries",
-        scenario.name, scenario.seed, played.whole.calls, played.whole.tries
+        scenario.name, scenario.seed, played.counts.calls, played.counts.tries
     );
     println!(
         "{:<16} {:>7} {:>8} {:>8} {:>6} {:>8} {:>10} {:>10}",
         "trouble", "calls", "service", "handled", "late", "bounced", "terminated", "unanswered"
     );
-    println!("{}", line("whole day", &played.whole));
+    println!("{}", line("whole day", &played.counts));
     for (fault, counts) in &played.by_fault {
         println!("{}", line(&scenario.faults[*fault].name, counts));
     }
@@ -127,13 +127,13 @@
     }
     println!(
         "fetches from the store: {}, turned away there: {}; calls that found an instance: {:.3}",
-        played.fetches, played.refusals, played.warm
+        played.fetches, played.rejected_fetches, played.warm_fraction
     );
-    match played.broken.len() {
+    match played.violations.len() {
         0 => println!("rules: all five kept"),
         n => println!("rules: broken in {n} places"),
     }
-    for b in played.broken.iter().take(MOST) {
+    for b in played.violations.iter().take(MOST) {
         println!("  rule {} at {:.3} s: {}", b.rule, b.at, b.what);
     }
     for (name, bound) in &played.bounds {
@@ -141,7 +141,7 @@
         println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {broken} times");
         places.iter().for_each(|b| println!("  at {:.3} s: {}", b.at, b.what));
     }
-    if let Some(known) = &played.known {
+    if let Some(known) = &played.membership {
         println!(
             "peers: {:.1} letters and {:.0} bytes a second of each gateway",
             known.datagrams, known.bytes
--- a/crates/milletpath/tests/fleet/mod.rs
+++ b/crates/milletpath/tests/fleet/mod.rs
@@ -114,7 +114,7 @@
             .expect("it tells where it hears others");
         // From here on operators find it by its charter.
         self.write(n, link);
-        self.relay.is_at(n, link);
+        self.relay.set_address(n, link);
         self.links[n] = Some(link);
         self.children[n] = Some(child);
     }
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -46,7 +46,7 @@
 #[test]
 fn a_partition_leaves_the_minority_its_floor_and_heals() {
     let fleet = Fleet::together(5);
-    let cut = fleet.relay.put(LinkFault::Cut(vec![0, 1]));
+    let cut = fleet.relay.inject(LinkFault::Partition(vec![0, 1]));
     fleet.wait("each side takes the other for gone", |f| {
         (0..2).all(|n| f.knows(n, &[0, 1])) && (2..5).all(|n| f.knows(n, &[2, 3, 4]))
     });
@@ -57,7 +57,7 @@
     });
     let large = fleet.view(4).unwrap();
     assert!(large.reachability == Reachability::Majority && large.quorum_seconds > 0.0, "{large:?}");
-    fleet.relay.lift(cut);
+    fleet.relay.clear(cut);
     fleet.wait("all are together again", |f| (0..5).all(|n| f.knows(n, &all(5))));
     fleet.wait("all have standing", |f| (0..5).all(|n| f.view(n).is_some_and(|v| v.quorum_seconds > 0.0)));
 }
@@ -66,11 +66,11 @@
 #[test]
 fn a_gateway_that_receives_nothing_falls_to_its_floor() {
     let fleet = Fleet::together(5);
-    let deaf = fleet.relay.put(LinkFault::Deaf(vec![2]));
+    let deaf = fleet.relay.inject(LinkFault::InboundLoss(vec![2]));
     fleet.wait("it knows that it hears nothing", |f| hears(f, 2) == Some(Reachability::Nobody));
     let view = fleet.view(2).unwrap();
     assert_eq!((view.quorum_seconds, view.likely_gateways), (0.0, 5.0));
-    fleet.relay.lift(deaf);
+    fleet.relay.clear(deaf);
     fleet.wait("it hears them again", |f| (0..5).all(|n| f.knows(n, &all(5))));
     // The others never took one another for gone.
     for n in [0, 1, 3, 4] {
@@ -132,13 +132,13 @@
 #[test]
 fn losing_a_fifth_of_all_datagrams_declares_nobody_dead() {
     let fleet = Fleet::together(6);
-    let lost = fleet.relay.put(LinkFault::Lost(fleet.relay.links(), 0.2));
+    let lost = fleet.relay.inject(LinkFault::Loss(fleet.relay.links(), 0.2));
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
         assert_eq!(fleet.said(n, "is declared dead"), 0, "{n}");
         assert_eq!(hears(&fleet, n), Some(Reachability::Majority));
     }
-    fleet.relay.lift(lost);
+    fleet.relay.clear(lost);
 }
 
 /// Two by mistake under one name: told loudly by all, and both are served.
@@ -191,8 +191,8 @@
 #[test]
 fn garbage_and_replayed_datagrams_change_nothing() {
     let fleet = Fleet::together(3);
-    let garbage = fleet.relay.put(LinkFault::Garbage(fleet.relay.links(), 0.3));
-    let repeat = fleet.relay.put(LinkFault::Repeat(fleet.relay.links(), 0.5));
+    let garbage = fleet.relay.inject(LinkFault::Corruption(fleet.relay.links(), 0.3));
+    let repeat = fleet.relay.inject(LinkFault::Duplication(fleet.relay.links(), 0.5));
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let to = fleet.links[0].unwrap();
     let mut seed = 1u64;
@@ -211,8 +211,8 @@
     fleet.wait("what is played again is not taken twice", |f| {
         f.view(0).is_some_and(|v| v.counters.replayed > 0)
     });
-    fleet.relay.lift(garbage);
-    fleet.relay.lift(repeat);
+    fleet.relay.clear(garbage);
+    fleet.relay.clear(repeat);
     fleet.wait("all is as before", |f| (0..3).all(|n| f.knows(n, &all(3))));
 }
 
--- a/crates/platform-router/tests/slow_start.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -14,7 +14,7 @@
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
     let mut scenario = scenario_file::open(&file).expect("a sound day");
     (scenario.gateways, scenario.seconds) = (routers, 20.0);
-    (scenario.faults[0].part, scenario.traffic.rate) = (0.9, 460.0);
+    (scenario.faults[0].fraction, scenario.traffic.rate) = (0.9, 460.0);
     for seed in 1..=2 {
         let SlowStartReport { of_bound, calls, .. } =
             slow_start_report(&scenario, &play(&scenario, seed, None).records);
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -50,8 +50,8 @@
         const CHECKER_TOLERANCE: f64 = 0.05;
         let planned = &self.calls[call].planned;
         let profile = &self.scenario.profiles[planned.profile];
-        let (due, effect, importance) = (profile.latency_objective, profile.effect, profile.importance);
-        let (group, fault, leaves) = (planned.group, planned.fault, planned.leaves);
+        let (due, effect, importance) = (profile.latency_objective, profile.idempotency, profile.importance);
+        let (group, fault, leaves) = (planned.group, planned.fault, planned.abandoned_after);
         if attempt == 0 {
             self.note(HistoryEvent::RequestIssued {
                 call: call as u64,
@@ -85,7 +85,7 @@
         if known.attempt != attempt || std::mem::replace(&mut known.ended, true) {
             return;
         }
-        let effect = self.scenario.profiles[known.planned.profile].effect;
+        let effect = self.scenario.profiles[known.planned.profile].idempotency;
         self.note(HistoryEvent::AttemptEnded { call: call as u64, attempt, gateway, how });
         let again = match (how, effect) {
             (AttemptOutcome::Succeeded | AttemptOutcome::Abandoned, _) => false,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -9,7 +9,7 @@
 use milletpath_dispatcher::dispatcher::{
     Action, AttemptResult, Counters, Dispatcher, IncomingRequest, RequestId,
 };
-use milletpath_emulator::clients::weights;
+use milletpath_emulator::clients::gateway_weights;
 use milletpath_emulator::scenario;
 use milletpath_emulator::scenario_file::Scenario;
 use milletpath_emulator::store::Store;
@@ -184,7 +184,7 @@
     fn new(scenario: &Scenario, seed: u64) -> Self {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let house = |gateway: usize| -> GatewayConfig {
-            let text = scenario::charter(
+            let text = scenario::gateway_config(
                 scenario,
                 gateway,
                 any,
@@ -199,7 +199,7 @@
             houses.iter().map(|house| Dispatcher::new(house, 0.0)).collect();
         let links = scenario.sharing.then(|| Links::new(&houses, seed));
         let entries: Vec<EndpointEntry> = (0..scenario.workers)
-            .map(|w| EndpointEntry { address: place(w, 0), ..scenario::entry(w, None) })
+            .map(|w| EndpointEntry { address: place(w, 0), ..scenario::worker_entry(w, None) })
             .collect();
         let mut town = Self {
             scenario: scenario.clone(),
@@ -213,7 +213,7 @@
             store: Store::new(scenario.store_spec),
             functions: BTreeMap::new(),
             calls: Vec::new(),
-            weights: weights(scenario.gateways, scenario.uneven),
+            weights: gateway_weights(scenario.gateways, scenario.uneven),
             records: Vec::new(),
             chance: ChaCha8Rng::seed_from_u64(seed ^ 0x7011),
             struck: BTreeMap::new(),
@@ -236,7 +236,7 @@
         }
         for (number, planned) in traffic::plan(scenario, seed).into_iter().enumerate() {
             town.put(planned.at, Event::Try(number, 0));
-            let receipted = scenario.profiles[planned.profile].effect == Idempotency::IdempotentWithKey;
+            let receipted = scenario.profiles[planned.profile].idempotency == Idempotency::IdempotentWithKey;
             town.calls.push(Call::new(planned, receipted));
         }
         for (number, fault) in scenario.faults.iter().enumerate() {
@@ -283,7 +283,7 @@
             broken: witness::check(&self.records, &scenario::rule_parameters(scenario, CHECKER_TOLERANCE)),
             whole: witness::count_service(&self.records, &scenario::service_weights(scenario)).0,
             fetches: self.store.fetches,
-            refusals: self.store.refusals,
+            refusals: self.store.rejected_fetches,
             warm: self.warm.0 as f64 / self.warm.1.max(1) as f64,
             counters,
             bytes: self.links.as_ref().map_or(0.0, Links::bytes) / end / scenario.gateways as f64,
@@ -304,14 +304,14 @@
             }
             Event::DispatcherTimer(_) => {}
             Event::WorkerModel(worker, process) if self.workers[worker].armed <= now => {
-                self.at_engine(worker, process, WorkerModel::turn);
+                self.at_engine(worker, process, WorkerModel::advance);
             }
             Event::WorkerModel(..) => {}
             Event::Fetched(worker, process, load, ok) => {
                 if ok {
-                    self.store.fetched();
+                    self.store.fetch_ended();
                 }
-                self.at_engine(worker, process, |engine, now| engine.fetched(now, load, ok));
+                self.at_engine(worker, process, |engine, now| engine.fetch_ended(now, load, ok));
             }
             Event::Attempt { gateway, tag, shot, worker, process } => {
                 self.shot(gateway, tag, shot, worker, process);
@@ -367,7 +367,7 @@
                 /// Seconds between two looks.
                 const LOOK: f64 = 0.1;
                 if let Some(mut look) = self.look.take() {
-                    let figures: Vec<_> = self.workers.iter().map(|w| w.engine.figures()).collect();
+                    let figures: Vec<_> = self.workers.iter().map(|w| w.engine.load_figures()).collect();
                     look(now, &mut self.dispatchers, &figures);
                     self.look = Some(look);
                 }
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -49,9 +49,9 @@
 
 fn report(figures: LoadFigures) -> LoadReport {
     LoadReport {
-        in_flight: Some(figures.held),
-        queued: Some(figures.waiting),
-        utilization: Some(figures.busy),
+        in_flight: Some(figures.in_flight),
+        queued: Some(figures.queued),
+        utilization: Some(figures.utilization),
         memory: Some(figures.memory),
         loading: Some(figures.loading),
     }
@@ -100,7 +100,7 @@
             work: planned.work,
             io: planned.io,
         };
-        let id = self.workers[worker].engine.arrive(self.now, job);
+        let id = self.workers[worker].engine.submit(self.now, job);
         self.workers[worker].jobs.insert(id, Held { gateway, tag, shot, call });
         self.listen(worker);
     }
@@ -122,14 +122,15 @@
             self.note(HistoryEvent::LoadRequested { gateway, worker });
         }
         let function_model = self.scenario.function_model;
-        let id = self.workers[worker].engine.order(self.now, function, function_model, u32::from(copies));
+        let id =
+            self.workers[worker].engine.request_load(self.now, function, function_model, u32::from(copies));
         self.workers[worker].orders.insert(id, (gateway, order));
         self.listen(worker);
     }
 
     pub(crate) fn probe(&mut self, gateway: usize, worker: usize, process: u64, serial: u64) {
         let (outcome, report) = if self.reached(worker, process) {
-            (Outcome::Succeeded, Some(report(self.workers[worker].engine.figures())))
+            (Outcome::Succeeded, Some(report(self.workers[worker].engine.load_figures())))
         } else {
             (Outcome::Unreachable, None)
         };
@@ -160,14 +161,14 @@
         let now = self.now;
         while let Some(say) = self.workers[worker].engine.next_event() {
             match say {
-                WorkerEvent::Ran { job } => {
+                WorkerEvent::JobStarted { job } => {
                     let held = self.workers[worker].jobs.get(&job).copied();
                     // A receipted call's repeat is known to all workers.
                     if let Some(held) = held.filter(|h| self.calls[h.call].runs()) {
                         self.note(HistoryEvent::RequestExecuted { call: held.call as u64, worker });
                     }
                 }
-                WorkerEvent::Done { job, found: word, concurrent_requests } => {
+                WorkerEvent::JobCompleted { job, instance_state: word, concurrent_requests } => {
                     self.warm.0 += u64::from(word == wire::InstanceState::Loaded);
                     self.warm.1 += 1;
                     let end = AttemptResult {
@@ -177,7 +178,7 @@
                     };
                     self.says(worker, job, end);
                 }
-                WorkerEvent::Refused { job, why, failed_load } => {
+                WorkerEvent::JobRejected { job, reason: why, load_failed: failed_load } => {
                     let outcome = if why == wire::Rejection::NotLoaded {
                         Outcome::NotLoaded
                     } else {
@@ -189,15 +190,15 @@
                     };
                     self.says(worker, job, end);
                 }
-                WorkerEvent::Fetch { load, seconds, .. } => {
+                WorkerEvent::FetchStarted { load, seconds, .. } => {
                     /// What is turned away is told in a moment, as over a network.
                     const MOMENT: f64 = 0.002;
-                    let takes = self.store.fetch(now, seconds);
+                    let takes = self.store.begin_fetch(now, seconds);
                     let process = self.workers[worker].process;
                     let next = Event::Fetched(worker, process, load, takes.is_some());
                     self.put(now + takes.unwrap_or(MOMENT), next);
                 }
-                WorkerEvent::Stands { order, copies, failed } => {
+                WorkerEvent::LoadRequestCompleted { load_request: order, instances: copies, failed } => {
                     if let Some((gateway, order)) = self.workers[worker].orders.remove(&order) {
                         let outcome = if failed { Outcome::Failed } else { Outcome::Succeeded };
                         let copies = copies.min(255) as u8;
@@ -207,11 +208,11 @@
                         );
                     }
                 }
-                WorkerEvent::Fell => self.dies(worker),
+                WorkerEvent::Overloaded => self.dies(worker),
             }
         }
         let w = &mut self.workers[worker];
-        if let Some(next) = w.engine.next().filter(|next| w.alive && *next < w.armed) {
+        if let Some(next) = w.engine.next_deadline().filter(|next| w.alive && *next < w.armed) {
             w.armed = next;
             let process = w.process;
             self.put(next.max(now), Event::WorkerModel(worker, process));
@@ -221,7 +222,7 @@
     /// A shot's answer goes out, with the worker's report.
     fn says(&mut self, worker: usize, job: u64, end: AttemptResult) {
         let Some(Held { gateway, tag, shot, .. }) = self.workers[worker].jobs.remove(&job) else { return };
-        let end = AttemptResult { report: Some(report(self.workers[worker].engine.figures())), ..end };
+        let end = AttemptResult { report: Some(report(self.workers[worker].engine.load_figures())), ..end };
         self.back(gateway, tag, shot, end);
     }
 
@@ -248,7 +249,7 @@
         self.note(HistoryEvent::WorkerStarted { worker, capacity, warm: false });
         let stamp = self.variation.worker_time(self.now);
         let address = place(worker, if self.variation.same_address { 0 } else { process });
-        let entry = EndpointEntry { address, ..scenario::entry(worker, Some(stamp)) };
+        let entry = EndpointEntry { address, ..scenario::worker_entry(worker, Some(stamp)) };
         self.entries[worker] = entry.clone();
         self.told(vec![entry]);
     }
@@ -282,25 +283,25 @@
 
     pub(crate) fn begins(&mut self, number: usize) {
         let fault = self.scenario.faults[number].clone();
-        let end = self.now + fault.lasts;
-        let struck = match fault.what {
-            FaultKind::Death
-            | FaultKind::Rolling
-            | FaultKind::Failures
+        let end = self.now + fault.duration;
+        let struck = match fault.kind {
+            FaultKind::WorkerCrash
+            | FaultKind::RollingReplacement
+            | FaultKind::RequestFailures
             | FaultKind::Slowness
-            | FaultKind::Drain => self.some(self.workers.len(), fault.part),
+            | FaultKind::Drain => self.some(self.workers.len(), fault.fraction),
             _ => Vec::new(),
         };
         self.struck.insert(number, struck.clone());
-        match fault.what {
-            FaultKind::Death => {
+        match fault.kind {
+            FaultKind::WorkerCrash => {
                 struck.iter().for_each(|w| self.dies(*w));
-                let notice = self.scenario.rules.notification_delay.min(fault.lasts);
+                let notice = self.scenario.rules.notification_delay.min(fault.duration);
                 self.put(self.now + notice, Event::Step(number, 0));
                 self.put(end, Event::Ends(number));
             }
-            FaultKind::Rolling => {
-                let turn = fault.lasts / struck.len() as f64;
+            FaultKind::RollingReplacement => {
+                let turn = fault.duration / struck.len() as f64;
                 for n in 0..struck.len() {
                     self.put(self.now + turn * n as f64, Event::Step(number, 3 * n));
                 }
@@ -309,29 +310,29 @@
                 self.stands(&struck, EndpointStatus::Draining);
                 self.put(end, Event::Ends(number));
             }
-            FaultKind::Failures => {
-                struck.iter().for_each(|w| self.workers[*w].fails = fault.size);
+            FaultKind::RequestFailures => {
+                struck.iter().for_each(|w| self.workers[*w].fails = fault.magnitude);
                 self.put(end, Event::Ends(number));
             }
             FaultKind::Slowness => {
-                struck.iter().for_each(|w| self.workers[*w].engine.slowness = fault.size);
+                struck.iter().for_each(|w| self.workers[*w].engine.slowness = fault.magnitude);
                 self.put(end, Event::Ends(number));
             }
-            FaultKind::Release => {
-                let functions = self.some(self.functions.len().max(1), fault.part);
+            FaultKind::FunctionRelease => {
+                let functions = self.some(self.functions.len().max(1), fault.fraction);
                 for worker in &mut self.workers {
-                    functions.iter().for_each(|f| worker.engine.release(*f as u32));
+                    functions.iter().for_each(|f| worker.engine.release_version(*f as u32));
                 }
             }
-            FaultKind::StoreSlow => {
-                self.store.slowness = fault.size;
+            FaultKind::StoreSlowness => {
+                self.store.slowness = fault.magnitude;
                 self.put(end, Event::Ends(number));
             }
-            FaultKind::StoreRefuses => {
-                self.store.refuses = true;
+            FaultKind::StoreRejections => {
+                self.store.rejecting = true;
                 self.put(end, Event::Ends(number));
             }
-            FaultKind::StoreStops => self.store.stop(self.now, fault.lasts),
+            FaultKind::StoreOutage => self.store.begin_outage(self.now, fault.duration),
             // In the plan of the clients' calls, or of processes and links.
             _ => {}
         }
@@ -341,7 +342,7 @@
     pub(crate) fn step(&mut self, number: usize, step: usize) {
         let fault = self.scenario.faults[number].clone();
         let struck = self.struck[&number].clone();
-        if fault.what == FaultKind::Death {
+        if fault.kind == FaultKind::WorkerCrash {
             return self.stands(&struck, EndpointStatus::Gone);
         }
         let worker = struck[step / 3];
@@ -365,13 +366,13 @@
     pub(crate) fn ends(&mut self, number: usize) {
         let fault = self.scenario.faults[number].clone();
         let struck = self.struck[&number].clone();
-        match fault.what {
-            FaultKind::Death => struck.into_iter().for_each(|w| self.comes_back(w)),
+        match fault.kind {
+            FaultKind::WorkerCrash => struck.into_iter().for_each(|w| self.comes_back(w)),
             FaultKind::Drain => self.stands(&struck, EndpointStatus::Ready),
-            FaultKind::Failures => struck.iter().for_each(|w| self.workers[*w].fails = 0.0),
+            FaultKind::RequestFailures => struck.iter().for_each(|w| self.workers[*w].fails = 0.0),
             FaultKind::Slowness => struck.iter().for_each(|w| self.workers[*w].engine.slowness = 1.0),
-            FaultKind::StoreSlow => self.store.slowness = 1.0,
-            FaultKind::StoreRefuses => self.store.refuses = false,
+            FaultKind::StoreSlowness => self.store.slowness = 1.0,
+            FaultKind::StoreRejections => self.store.rejecting = false,
             _ => {}
         }
     }
--- a/crates/simulator/tests/clocks.rs
+++ b/crates/simulator/tests/clocks.rs
@@ -16,8 +16,15 @@
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
     let mut scenario = scenario_file::open(&file).expect("a sound day");
     (scenario.gateways, scenario.seconds, scenario.sharing) = (6, 20.0, true);
-    let (name, what) = ("failures".into(), FaultKind::Failures);
-    scenario.faults.push(ScheduledFault { name, what, at: 11.0, lasts: 5.0, part: 0.2, size: 0.3 });
+    let (name, what) = ("failures".into(), FaultKind::RequestFailures);
+    scenario.faults.push(ScheduledFault {
+        name,
+        kind: what,
+        at: 11.0,
+        duration: 5.0,
+        fraction: 0.2,
+        magnitude: 0.3,
+    });
     scenario
 }
 
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -11,22 +11,22 @@
     scenario.gateways = gateways;
     let fault = |&(what, at, part, size): &(FaultKind, f64, f64, f64)| ScheduledFault {
         name: format!("{what:?}"),
-        what,
+        kind: what,
         at,
-        lasts: 2.0,
-        part,
-        size,
+        duration: 2.0,
+        fraction: part,
+        magnitude: size,
     };
     scenario.faults = faults.iter().map(fault).collect();
     scenario
 }
 
 const BAD: [(FaultKind, f64, f64, f64); 5] = [
-    (FaultKind::Release, 3.0, 0.8, 1.0),
-    (FaultKind::Failures, 5.0, 0.3, 0.6),
+    (FaultKind::FunctionRelease, 3.0, 0.8, 1.0),
+    (FaultKind::RequestFailures, 5.0, 0.3, 0.6),
     (FaultKind::Slowness, 7.0, 0.3, 4.0),
-    (FaultKind::Rolling, 8.0, 0.5, 1.0),
-    (FaultKind::Death, 9.0, 0.2, 1.0),
+    (FaultKind::RollingReplacement, 8.0, 0.5, 1.0),
+    (FaultKind::WorkerCrash, 9.0, 0.2, 1.0),
 ];
 
 #[test]
--- a/crates/simulator/tests/slow_start.rs
+++ b/crates/simulator/tests/slow_start.rs
@@ -28,7 +28,7 @@
 #[test_case(0.9, 460.0; "nine in ten at a full load")]
 fn a_ramp_holds_for_the_whole_fleet(part: f64, rate: f64) {
     let mut scenario = cold_fleet();
-    (scenario.faults[0].part, scenario.traffic.rate) = (part, rate);
+    (scenario.faults[0].fraction, scenario.traffic.rate) = (part, rate);
     // Those that are replaced and what they are sent at first, where the sum is largest.
     scenario.seconds = 20.0;
     assert_within_bound(&scenario, 1..=4);
@@ -52,7 +52,7 @@
 fn slow_start_binds_for_any_number_of_routers(routers: usize, uneven: f64) {
     let mut scenario = cold_fleet();
     (scenario.gateways, scenario.uneven, scenario.seconds) = (routers, uneven, 20.0);
-    (scenario.faults[0].part, scenario.traffic.rate) = (0.9, 460.0);
+    (scenario.faults[0].fraction, scenario.traffic.rate) = (0.9, 460.0);
     assert_within_bound(&scenario, 1..=seeds(routers));
 }
 
@@ -68,11 +68,11 @@
         (routers, uneven, 20.0, 400.0);
     let death = |name: &str, at| ScheduledFault {
         name: name.into(),
-        what: FaultKind::Death,
+        kind: FaultKind::WorkerCrash,
         at,
-        lasts: 1.0,
-        part: 0.6,
-        size: 1.0,
+        duration: 1.0,
+        fraction: 0.6,
+        magnitude: 1.0,
     };
     scenario.faults = vec![death("death", 10.0), death("death-again", 14.0)];
     assert_within_bound(&scenario, 1..=seeds(routers));
