--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -280,7 +280,7 @@
         cores: count(fleet, "cores", 4),
         speed: of(fleet, "speed", "speed", 1000.0, 1.0),
         memory: of(fleet, "memory", "MB", 1e9, 8192.0),
-        loads_at_once: count(fleet, "loads_at_once", 4),
+        concurrent_loads: count(fleet, "loads_at_once", 4),
         queue: count(fleet, "queue", 64),
         idle_timeout: of(fleet, "keep", "seconds", LONG, 12.0),
         rejects_unloaded: may("misses", false),
--- a/crates/emulator/src/small_fleet.rs
+++ b/crates/emulator/src/small_fleet.rs
@@ -11,7 +11,7 @@
     cores: 4,
     speed: 1.0,
     memory: 4096.0,
-    loads_at_once: 4,
+    concurrent_loads: 4,
     queue: 256,
     idle_timeout: 30.0,
     rejects_unloaded: false,
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -112,11 +112,7 @@
     ) -> io::Result<Rc<Self>> {
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
         let warm = context.now() - born >= worker_spec.warm_up;
-        context.note(HistoryEvent::WorkerStarted {
-            worker: number,
-            capacity: WorkerModel::capacity(&worker_spec),
-            warm,
-        });
+        context.note(HistoryEvent::WorkerStarted { worker: number, capacity: worker_spec.capacity(), warm });
         let worker = Rc::new(Self {
             number,
             receipts,
--- a/crates/emulator/src/worker_model.rs
+++ b/crates/emulator/src/worker_model.rs
@@ -1,523 +1,383 @@
-//! A worker as a model free of I/O: cores, instances with lanes, memory, loads through the shared store, a queue, a
-//! cold start, falling over when pushed. It is told what arrives and says what becomes of it; a shell on sockets
-//! or a simulation carries that out.
-
+//! A worker without I/O: cores, instances of functions, memory, loads through the shared store, a queue, slow start and
+//! overload. It is given jobs, load requests, answers of the store and the time, and yields [`WorkerEvent`]s, which a
+//! server on sockets or a simulation carries out.
+//!
+//! All times are seconds of the caller's clock.
+
+mod instances;
+mod loads;
+mod overload;
+mod spec;
+mod timers;
+
+pub use spec::{FunctionModel, Job, LoadFigures, WorkerEvent, WorkerSpec};
+
+use instances::InstanceTable;
+use loads::{Load, LoadQueue};
 use milletpath_protocol::worker::{InstanceState, Rejection};
+use overload::OverloadDetector;
 use std::collections::{BTreeMap, VecDeque};
+use timers::{Timer, TimerQueue};
 
-/// What a worker is made of. Times in seconds, memory in MB.
-#[derive(Clone, Copy, Debug)]
-pub struct WorkerSpec {
-    pub cores: usize,
-    /// Work that a core does in a second, 1 for the yardstick.
-    pub speed: f64,
-    pub memory: f64,
-    pub loads_at_once: usize,
-    /// Activations that it holds at most.
-    pub queue: usize,
-    /// After which an idle instance is unloaded.
-    pub idle_timeout: f64,
-    /// A worker without the function answers a miss rather than load it unasked.
-    pub rejects_unloaded: bool,
-    /// Loads one more instance by itself when all lanes are taken.
-    pub loads_ahead: bool,
-    pub initial_capacity: f64,
-    pub warm_up: f64,
-    pub overload_multiple: f64,
-    pub overload_window: f64,
-}
-
-/// What all workers know of a function.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FunctionModel {
-    pub concurrency: u32,
-    pub memory: f64,
-    /// Seconds of a fetch from an idle store, and of the start after it.
-    pub fetch: f64,
-    pub start: f64,
-}
-
-/// One activation as it arrives.
-#[derive(Clone, Copy, Debug)]
-pub struct Job {
-    pub function: u32,
-    pub function_model: FunctionModel,
-    /// Seconds on a core of speed 1, and of waiting on others beside it.
-    pub work: f64,
-    pub io: f64,
-}
-
-/// What becomes of things.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum WorkerEvent {
-    /// It runs from now on: its effect happens.
-    JobStarted {
-        job: u64,
-    },
-    JobCompleted {
-        job: u64,
-        instance_state: InstanceState,
-        concurrent_requests: u32,
-    },
-    JobRejected {
-        job: u64,
-        reason: Rejection,
-        load_failed: bool,
-    },
-    /// Wants a fetch from the store; [`WorkerModel::fetch_ended`] answers.
-    FetchStarted {
-        load: u64,
-        function: u32,
-        seconds: f64,
-    },
-    /// An load_request is carried out as far as it can be.
-    LoadRequestCompleted {
-        load_request: u64,
-        instances: u32,
-        failed: bool,
-    },
-    /// Pushed over; it answers nothing more.
-    Overloaded,
-}
-
-/// A worker's figures of itself.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadFigures {
-    pub in_flight: f64,
-    pub queued: f64,
-    pub utilization: f64,
-    pub memory: f64,
-    pub loading: f64,
-}
+/// Below this, speeds and spans that are divided by count as this much.
+const SMALLEST_RATE: f64 = 1e-6;
+const SMALLEST_AMOUNT: f64 = 1e-9;
 
 struct RunningJob {
     job: Job,
     instance_state: InstanceState,
     concurrent_requests: u32,
-    /// The instance whose lane it has.
+    /// The instance that it has a slot of.
     instance: Option<u64>,
-    /// Whether it has a core.
-    runs: bool,
+    has_core: bool,
 }
 
-struct Instance {
-    function: u32,
-    function_model: FunctionModel,
-    taken: u32,
-    /// Since when it is idle, told apart by number from earlier idle times.
-    idle: Option<u64>,
-    /// Released anew: gone as soon as nothing runs on it.
-    void: bool,
+/// A request to have instances of a function.
+struct LoadRequest {
+    id: u64,
+    instances: u32,
 }
 
+/// What waits for instances of a function.
 #[derive(Default)]
-struct Line {
-    /// Jobs that wait for a lane.
-    waiting: VecDeque<u64>,
-    /// Loads under way or in line.
+struct FunctionQueue {
+    /// Jobs that wait for a slot.
+    jobs: VecDeque<u64>,
+    /// Loads that proceed or wait.
     loads: u32,
-    /// Orders, and the instances that they want.
-    orders: Vec<(u64, u32)>,
-}
-
-#[derive(Clone, Copy)]
-enum Due {
-    Worked(u64),
-    Finished(u64),
-    Started(u64),
-    Idle(u64, u64),
-}
-
-struct Load {
-    function: u32,
-    function_model: FunctionModel,
+    load_requests: Vec<LoadRequest>,
 }
 
+/// The model of one worker.
 pub struct WorkerModel {
-    worker_spec: WorkerSpec,
-    born: f64,
-    /// Multiplies the time that work takes.
+    spec: WorkerSpec,
+    started: f64,
+    /// Multiplies the time that work and starts of instances take; 1 for a healthy worker.
     pub slowness: f64,
+    /// Whether it rejects new jobs.
     pub draining: bool,
-    fallen: bool,
+    overload: OverloadDetector,
     jobs: BTreeMap<u64, RunningJob>,
-    lines: BTreeMap<u32, Line>,
-    instances: BTreeMap<u64, Instance>,
-    loads: BTreeMap<u64, Load>,
-    /// Loads in line behind those under way.
-    in_line: VecDeque<u64>,
-    under_way: usize,
-    /// Jobs with a lane that wait for a core.
-    ready: VecDeque<u64>,
+    functions: BTreeMap<u32, FunctionQueue>,
+    instances: InstanceTable,
+    loads: LoadQueue,
+    /// Jobs that have a slot and wait for a core.
+    runnable: VecDeque<u64>,
     free_cores: usize,
-    used: f64,
-    due: BTreeMap<(u64, u64), Due>,
-    pushed: VecDeque<(f64, f64)>,
-    next: u64,
-    said: VecDeque<WorkerEvent>,
+    timers: TimerQueue,
+    last_id: u64,
+    events: VecDeque<WorkerEvent>,
 }
 
 impl WorkerModel {
-    /// A worker that started at `born`; long ago for a warm one.
-    pub fn new(worker_spec: WorkerSpec, born: f64) -> Self {
+    /// A worker that started at `started`; a warm one started at least its `warm_up` ago.
+    #[must_use]
+    pub fn new(spec: WorkerSpec, started: f64) -> Self {
         Self {
-            worker_spec,
-            born,
+            spec,
+            started,
             slowness: 1.0,
             draining: false,
-            fallen: false,
+            overload: OverloadDetector::new(spec.overload_multiple, spec.overload_window),
             jobs: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            instances: BTreeMap::new(),
-            loads: BTreeMap::new(),
-            in_line: VecDeque::new(),
-            under_way: 0,
-            ready: VecDeque::new(),
-            free_cores: worker_spec.cores,
-            used: 0.0,
-            due: BTreeMap::new(),
-            pushed: VecDeque::new(),
-            next: 0,
-            said: VecDeque::new(),
+            functions: BTreeMap::new(),
+            instances: InstanceTable::new(spec.memory),
+            loads: LoadQueue::new(spec.concurrent_loads),
+            runnable: VecDeque::new(),
+            free_cores: spec.cores,
+            timers: TimerQueue::default(),
+            last_id: 0,
+            events: VecDeque::new(),
         }
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    /// One sequence for jobs, load requests, instances, loads and timers.
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    fn set(&mut self, at: f64, due: Due) {
-        let number = self.number();
-        self.due.insert(((at.max(0.0) * 1e6) as u64, number), due);
+    fn set_timer(&mut self, at: f64, timer: Timer) {
+        let id = self.next_id();
+        self.timers.set(at, id, timer);
     }
 
-    /// What it has to say next.
+    /// The next thing that happened.
     pub fn next_event(&mut self) -> Option<WorkerEvent> {
-        self.said.pop_front()
+        self.events.pop_front()
     }
 
-    /// When [`advance`](Self::advance) is wanted.
+    /// When [`advance`](Self::advance) must be called next.
+    #[must_use]
     pub fn next_deadline(&self) -> Option<f64> {
-        // Rounded up, so that the turn finds it due.
-        self.due.keys().next().map(|(at, _)| (*at as f64 + 1.0) / 1e6)
-    }
-
-    /// How far it is warm, up to 1.
-    fn warmth(&self, now: f64) -> f64 {
-        let age = ((now - self.born) / self.worker_spec.warm_up.max(1e-9)).clamp(0.0, 1.0);
-        self.worker_spec.initial_capacity + (1.0 - self.worker_spec.initial_capacity) * age
+        self.timers.next_deadline()
     }
 
-    /// Seconds of work that it does in a second when warm.
-    pub fn capacity(worker_spec: &WorkerSpec) -> f64 {
-        worker_spec.cores as f64 * worker_spec.speed
+    /// The fraction of its capacity that it has: it grows while the worker warms up.
+    fn capacity_fraction(&self, now: f64) -> f64 {
+        let warm_up = self.spec.warm_up.max(SMALLEST_AMOUNT);
+        let progress = ((now - self.started) / warm_up).clamp(0.0, 1.0);
+        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * progress
     }
 
-    /// An activation arrives; its number is what [`WorkerEvent`] names it by.
+    /// Takes a job; gives the id by which events name it.
     pub fn submit(&mut self, now: f64, job: Job) -> u64 {
-        let id = self.number();
-        if self.pushed_over(now, job.work) {
-            return id;
-        }
-        let concurrent_requests =
-            self.jobs.values().filter(|held| held.job.function == job.function).count() as u32;
-        if self.draining || self.jobs.len() >= self.worker_spec.queue {
-            let reason = if self.draining { Rejection::Draining } else { Rejection::Full };
-            self.said.push_back(WorkerEvent::JobRejected { job: id, reason, load_failed: false });
+        let id = self.next_id();
+        if self.is_overloaded_by(now, job.work) {
             return id;
         }
-        let stands = self.instances.values().any(|i| i.function == job.function && !i.void);
-        let line = self.lines.entry(job.function).or_default();
-        if self.worker_spec.rejects_unloaded && !stands && line.loads == 0 {
-            self.said.push_back(WorkerEvent::JobRejected {
-                job: id,
-                reason: Rejection::NotLoaded,
-                load_failed: false,
-            });
-            return id;
+        let same_function = self.jobs.values().filter(|running| running.job.function == job.function);
+        let concurrent_requests = same_function.count() as u32;
+        match self.admit(job.function) {
+            Err(reason) => self.reject(id, reason, false),
+            Ok(instance_state) => {
+                let running =
+                    RunningJob { job, instance_state, concurrent_requests, instance: None, has_core: false };
+                self.jobs.insert(id, running);
+                self.functions.entry(job.function).or_default().jobs.push_back(id);
+                self.place_waiting_jobs(now, job.function, job.function_model);
+            }
         }
-        let instance_state = match (stands, line.loads) {
-            (true, _) => InstanceState::Loaded,
-            (false, 0) => InstanceState::LoadStarted,
-            (false, _) => InstanceState::LoadAwaited,
-        };
-        line.waiting.push_back(id);
-        self.jobs
-            .insert(id, RunningJob { job, instance_state, concurrent_requests, instance: None, runs: false });
-        self.assign(now, job.function, job.function_model);
         id
     }
 
-    /// Whether what it is sent pushes it over, or did before.
-    fn pushed_over(&mut self, now: f64, work: f64) -> bool {
-        if self.fallen || now - self.born >= self.worker_spec.warm_up {
-            return self.fallen;
+    /// Whether the worker is overloaded, by this job or by earlier ones.
+    fn is_overloaded_by(&mut self, now: f64, work: f64) -> bool {
+        let is_warm = now - self.started >= self.spec.warm_up;
+        if !self.overload.is_overloaded() && !is_warm {
+            let capacity = self.spec.capacity() * self.capacity_fraction(now);
+            if self.overload.add(now, work, capacity) {
+                self.events.push_back(WorkerEvent::Overloaded);
+            }
+        }
+        self.overload.is_overloaded()
+    }
+
+    /// Whether a new job may wait here, and what it finds.
+    fn admit(&self, function: u32) -> Result<InstanceState, Rejection> {
+        if self.draining {
+            return Err(Rejection::Draining);
         }
-        /// Shots of chance beyond the budget.
-        const CHANCE: f64 = 4.0;
-        self.pushed.push_back((now, work));
-        while self.pushed.front().is_some_and(|(at, _)| now - at > self.worker_spec.overload_window) {
-            self.pushed.pop_front();
+        if self.jobs.len() >= self.spec.queue {
+            return Err(Rejection::Full);
         }
-        let sum: f64 = self.pushed.iter().map(|(_, work)| work).sum();
-        let capacity = Self::capacity(&self.worker_spec) * self.warmth(now);
-        let mean = sum / self.pushed.len() as f64;
-        self.fallen = sum
-            > self.worker_spec.overload_multiple * capacity * self.worker_spec.overload_window
-                + CHANCE * mean;
-        if self.fallen {
-            self.said.push_back(WorkerEvent::Overloaded);
+        let is_loading = self.functions.get(&function).is_some_and(|queue| queue.loads > 0);
+        match (self.instances.any(function), is_loading) {
+            (true, _) => Ok(InstanceState::Loaded),
+            (false, true) => Ok(InstanceState::LoadAwaited),
+            (false, false) if self.spec.rejects_unloaded => Err(Rejection::NotLoaded),
+            (false, false) => Ok(InstanceState::LoadStarted),
         }
-        self.fallen
     }
 
-    /// Gives waiting jobs of a function free lanes, and begins loads for the rest.
-    fn assign(&mut self, now: f64, function: u32, function_model: FunctionModel) {
-        while let Some(&id) = self.lines.get(&function).and_then(|l| l.waiting.front()) {
-            let free =
-                |i: &Instance| i.function == function && !i.void && i.taken < i.function_model.concurrency;
-            let Some((&at, instance)) = self.instances.iter_mut().find(|(_, i)| free(i)) else { break };
-            instance.taken += 1;
-            instance.idle = None;
-            if let Some(line) = self.lines.get_mut(&function) {
-                line.waiting.pop_front();
+    fn reject(&mut self, job: u64, reason: Rejection, load_failed: bool) {
+        self.events.push_back(WorkerEvent::JobRejected { job, reason, load_failed });
+    }
+
+    /// Gives waiting jobs of a function free slots and cores, and begins a load if some still wait.
+    fn place_waiting_jobs(&mut self, now: f64, function: u32, model: FunctionModel) {
+        while let Some(&job) = self.functions.get(&function).and_then(|queue| queue.jobs.front()) {
+            let Some(instance) = self.instances.acquire_slot(function) else { break };
+            if let Some(queue) = self.functions.get_mut(&function) {
+                queue.jobs.pop_front();
             }
-            if let Some(held) = self.jobs.get_mut(&id) {
-                held.instance = Some(at);
+            if let Some(running) = self.jobs.get_mut(&job) {
+                running.instance = Some(instance);
             }
-            self.ready.push_back(id);
+            self.runnable.push_back(job);
         }
-        self.run(now);
-        let line = self.lines.entry(function).or_default();
-        let (waiting, loads) = (line.waiting.len() as u32, line.loads);
-        let stands = self.instances.values().any(|i| i.function == function && !i.void);
-        if waiting > 0
-            && (loads == 0 && !stands
-                || self.worker_spec.loads_ahead && waiting > loads * function_model.concurrency)
-        {
-            self.load(function, function_model);
+        self.start_runnable_jobs(now);
+        if self.needs_load(function, model) {
+            self.begin_load(function, model);
         }
     }
 
-    /// Starts what has a lane on free cores.
-    fn run(&mut self, now: f64) {
+    /// Whether jobs wait for an instance that nobody loads yet.
+    fn needs_load(&self, function: u32, model: FunctionModel) -> bool {
+        let Some(queue) = self.functions.get(&function) else { return false };
+        let waiting = queue.jobs.len() as u32;
+        let has_none = queue.loads == 0 && !self.instances.any(function);
+        waiting > 0 && (has_none || self.spec.loads_ahead && waiting > queue.loads * model.concurrency)
+    }
+
+    fn start_runnable_jobs(&mut self, now: f64) {
         while self.free_cores > 0 {
-            let Some(id) = self.ready.pop_front() else { break };
-            let rate = self.worker_spec.speed * self.warmth(now) / self.slowness.max(1e-6);
-            let Some(held) = self.jobs.get_mut(&id) else { continue };
-            held.runs = true;
-            let takes = held.job.work / rate.max(1e-6);
+            let Some(id) = self.runnable.pop_front() else { break };
+            let slowness = self.slowness.max(SMALLEST_RATE);
+            let rate = self.spec.speed * self.capacity_fraction(now) / slowness;
+            let Some(running) = self.jobs.get_mut(&id) else { continue };
+            running.has_core = true;
+            let seconds = running.job.work / rate.max(SMALLEST_RATE);
             self.free_cores -= 1;
-            self.said.push_back(WorkerEvent::JobStarted { job: id });
-            self.set(now + takes, Due::Worked(id));
+            self.events.push_back(WorkerEvent::JobStarted { job: id });
+            self.set_timer(now + seconds, Timer::WorkDone { job: id });
         }
     }
 
-    /// Begins a load, or puts it in line.
-    fn load(&mut self, function: u32, function_model: FunctionModel) {
-        // Idle instances make room, the longest idle first.
-        while self.used + function_model.memory > self.worker_spec.memory {
-            let idle = self.instances.iter().filter_map(|(&at, i)| i.idle.map(|since| (since, at))).min();
-            let Some((_, at)) = idle else { break };
-            self.remove(at);
-        }
-        if self.used + function_model.memory > self.worker_spec.memory {
+    /// Begins the load of one instance, or lets it wait behind others.
+    fn begin_load(&mut self, function: u32, model: FunctionModel) {
+        if !self.instances.reserve_memory(model.memory) {
             self.load_failed(function, Rejection::Full, false);
             return;
         }
-        self.used += function_model.memory;
-        self.lines.entry(function).or_default().loads += 1;
-        let load = self.number();
-        self.loads.insert(load, Load { function, function_model });
-        self.in_line.push_back(load);
-        self.fetch();
+        self.functions.entry(function).or_default().loads += 1;
+        let load = self.next_id();
+        self.loads.push(load, Load { function, model });
+        self.start_fetches();
     }
 
-    fn fetch(&mut self) {
-        while self.under_way < self.worker_spec.loads_at_once {
-            let Some(load) = self.in_line.pop_front() else { break };
-            let Some(Load { function, function_model }) = self.loads.get(&load) else { continue };
-            self.under_way += 1;
-            self.said.push_back(WorkerEvent::FetchStarted {
-                load,
-                function: *function,
-                seconds: function_model.fetch,
-            });
+    fn start_fetches(&mut self) {
+        while let Some((load, Load { function, model })) = self.loads.start_next() {
+            self.events.push_back(WorkerEvent::FetchStarted { load, function, seconds: model.fetch });
         }
     }
 
-    /// The store has answered a fetch.
-    pub fn fetch_ended(&mut self, now: f64, load: u64, ok: bool) {
-        let Some(&Load { function, function_model }) = self.loads.get(&load) else { return };
-        if ok {
-            return self.set(now + function_model.start * self.slowness, Due::Started(load));
+    /// The store has answered the fetch of a load.
+    pub fn fetch_ended(&mut self, now: f64, load: u64, succeeded: bool) {
+        let Some(Load { function, model }) = self.loads.get(load) else { return };
+        if succeeded {
+            let started = now + model.start * self.slowness;
+            self.set_timer(started, Timer::InstanceStarted { load });
+            return;
         }
-        self.loads.remove(&load);
-        self.under_way -= 1;
-        self.used -= function_model.memory;
-        self.lines.entry(function).or_default().loads -= 1;
+        self.loads.finish(load);
+        self.instances.release_memory(model.memory);
+        self.functions.entry(function).or_default().loads -= 1;
         self.load_failed(function, Rejection::NotLoaded, true);
-        self.fetch();
+        self.start_fetches();
     }
 
-    /// A load came to nothing: what waits for it alone is turned away.
+    /// Rejects the jobs and ends the load requests that waited for this load alone.
     fn load_failed(&mut self, function: u32, reason: Rejection, load_failed: bool) {
-        let stands = self.instances.values().filter(|i| i.function == function && !i.void).count() as u32;
-        let Some(line) = self.lines.get_mut(&function) else { return };
-        if line.loads == 0 && stands == 0 {
-            for job in std::mem::take(&mut line.waiting) {
-                self.jobs.remove(&job);
-                self.said.push_back(WorkerEvent::JobRejected { job, reason, load_failed });
-            }
+        let instances = self.instances.count(function);
+        let Some(queue) = self.functions.get_mut(&function) else { return };
+        if queue.loads > 0 {
+            return;
         }
-        if line.loads == 0 {
-            for (load_request, _) in std::mem::take(&mut line.orders) {
-                self.said.push_back(WorkerEvent::LoadRequestCompleted {
-                    load_request,
-                    instances: stands,
-                    failed: true,
-                });
-            }
+        let jobs = if instances == 0 { std::mem::take(&mut queue.jobs) } else { VecDeque::new() };
+        let load_requests = std::mem::take(&mut queue.load_requests);
+        for job in jobs {
+            self.jobs.remove(&job);
+            self.reject(job, reason, load_failed);
+        }
+        for LoadRequest { id, .. } in load_requests {
+            self.complete_load_request(id, instances, true);
         }
     }
 
-    fn remove(&mut self, at: u64) {
-        if let Some(instance) = self.instances.remove(&at) {
-            self.used -= instance.function_model.memory;
-        }
+    fn complete_load_request(&mut self, load_request: u64, instances: u32, failed: bool) {
+        self.events.push_back(WorkerEvent::LoadRequestCompleted { load_request, instances, failed });
     }
 
-    /// An order to hold instances; 0 only asks.
-    pub fn request_load(
-        &mut self,
-        now: f64,
-        function: u32,
-        function_model: FunctionModel,
-        instances: u32,
-    ) -> u64 {
-        let load_request = self.number();
-        let standing = |engine: &Self| {
-            engine.instances.values().filter(|i| i.function == function && !i.void).count() as u32
-        };
-        let stand = standing(self);
-        if self.draining || self.fallen || stand >= instances {
-            // It renews the idle time as well.
-            let idle: Vec<u64> =
-                self.instances.iter().filter(|(_, i)| i.function == function).map(|(a, _)| *a).collect();
-            for at in idle {
-                self.rest(now, at);
+    /// Requests that a function has so many instances; 0 only asks how many there are. Gives the id by which
+    /// [`WorkerEvent::LoadRequestCompleted`] names it.
+    pub fn request_load(&mut self, now: f64, function: u32, model: FunctionModel, instances: u32) -> u64 {
+        let id = self.next_id();
+        let present = self.instances.count(function);
+        if self.draining || self.overload.is_overloaded() || present >= instances {
+            // A request for what is there renews its idle time.
+            for instance in self.instances.ids(function) {
+                self.begin_idle_period(now, instance);
             }
-            let failed = self.draining && stand < instances;
-            self.said.push_back(WorkerEvent::LoadRequestCompleted { load_request, instances: stand, failed });
-            return load_request;
+            self.complete_load_request(id, present, self.draining && present < instances);
+            return id;
         }
-        let line = self.lines.entry(function).or_default();
-        line.orders.push((load_request, instances));
-        for _ in stand + line.loads..instances {
-            self.load(function, function_model);
+        let queue = self.functions.entry(function).or_default();
+        queue.load_requests.push(LoadRequest { id, instances });
+        for _ in present + queue.loads..instances {
+            self.begin_load(function, model);
         }
-        load_request
+        id
     }
 
     /// Unloads the idle instances of a function.
     pub fn unload(&mut self, function: u32) {
-        let idle = |i: &Instance| i.function == function && i.taken == 0;
-        let idle: Vec<u64> = self.instances.iter().filter(|(_, i)| idle(i)).map(|(at, _)| *at).collect();
-        idle.into_iter().for_each(|at| self.remove(at));
+        self.instances.unload_idle(function);
     }
 
-    /// A function is released anew: its instances are void.
+    /// A new version of a function is released: its instances take no more jobs.
     pub fn release_version(&mut self, function: u32) {
-        self.unload(function);
-        self.instances.values_mut().filter(|i| i.function == function).for_each(|i| i.void = true);
+        self.instances.invalidate(function);
     }
 
-    /// Sets the idle time of an instance on which nothing runs.
-    fn rest(&mut self, now: f64, at: u64) {
-        let number = self.number();
-        let Some(instance) = self.instances.get_mut(&at).filter(|i| i.taken == 0) else { return };
-        instance.idle = Some(number);
-        self.set(now + self.worker_spec.idle_timeout, Due::Idle(at, number));
+    /// Begins an idle period of an instance on which nothing runs.
+    fn begin_idle_period(&mut self, now: f64, instance: u64) {
+        let idle_period = self.next_id();
+        if self.instances.begin_idle_period(instance, idle_period) {
+            let timer = Timer::IdleTimeout { instance, idle_period };
+            self.set_timer(now + self.spec.idle_timeout, timer);
+        }
     }
 
-    /// Does what is due.
+    /// Does what is due by now.
     pub fn advance(&mut self, now: f64) {
-        while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= (now.max(0.0) * 1e6) as u64) {
-            match entry.remove() {
-                Due::Worked(id) => {
-                    self.free_cores += 1;
-                    let io = self.jobs.get_mut(&id).map(|held| {
-                        held.runs = false;
-                        held.job.io
-                    });
-                    self.set(now + io.unwrap_or(0.0), Due::Finished(id));
-                    self.run(now);
-                }
-                Due::Finished(id) => self.finished(now, id),
-                Due::Started(load) => self.started(now, load),
-                Due::Idle(at, number) => {
-                    if self.instances.get(&at).is_some_and(|i| i.idle == Some(number)) {
-                        self.remove(at);
-                    }
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::WorkDone { job } => self.work_done(now, job),
+                Timer::JobDone { job } => self.job_done(now, job),
+                Timer::InstanceStarted { load } => self.instance_started(now, load),
+                Timer::IdleTimeout { instance, idle_period } => {
+                    self.instances.unload_if_idle_since(instance, idle_period);
                 }
             }
         }
     }
 
-    fn finished(&mut self, now: f64, id: u64) {
-        let Some(RunningJob { job, instance_state, concurrent_requests, instance, .. }) =
-            self.jobs.remove(&id)
-        else {
-            return;
-        };
-        self.said.push_back(WorkerEvent::JobCompleted { job: id, instance_state, concurrent_requests });
-        if let Some(at) = instance {
-            if let Some(i) = self.instances.get_mut(&at) {
-                i.taken -= 1;
-                if i.void && i.taken == 0 {
-                    self.remove(at);
-                }
-            }
-            self.assign(now, job.function, job.function_model);
-            self.rest(now, at);
+    fn work_done(&mut self, now: f64, job: u64) {
+        self.free_cores += 1;
+        let io = self.jobs.get_mut(&job).map(|running| {
+            running.has_core = false;
+            running.job.io
+        });
+        self.set_timer(now + io.unwrap_or(0.0), Timer::JobDone { job });
+        self.start_runnable_jobs(now);
+    }
+
+    fn job_done(&mut self, now: f64, id: u64) {
+        let Some(done) = self.jobs.remove(&id) else { return };
+        let RunningJob { job, instance_state, concurrent_requests, instance, .. } = done;
+        self.events.push_back(WorkerEvent::JobCompleted { job: id, instance_state, concurrent_requests });
+        if let Some(instance) = instance {
+            self.instances.release_slot(instance);
+            self.place_waiting_jobs(now, job.function, job.function_model);
+            self.begin_idle_period(now, instance);
         }
     }
 
-    fn started(&mut self, now: f64, load: u64) {
-        let Some(Load { function, function_model }) = self.loads.remove(&load) else { return };
-        self.under_way -= 1;
-        let at = self.number();
-        self.instances.insert(at, Instance { function, function_model, taken: 0, idle: None, void: false });
-        let stands = self.instances.values().filter(|i| i.function == function && !i.void).count() as u32;
-        let line = self.lines.entry(function).or_default();
-        line.loads -= 1;
-        let loads = line.loads;
-        let done = |&(_, instances): &(u64, u32)| stands >= instances || loads == 0;
-        let (ended, open): (Vec<_>, Vec<_>) = line.orders.drain(..).partition(done);
-        line.orders = open;
-        for (load_request, instances) in ended {
-            self.said.push_back(WorkerEvent::LoadRequestCompleted {
-                load_request,
-                instances: stands,
-                failed: stands < instances,
-            });
+    fn instance_started(&mut self, now: f64, load: u64) {
+        let Some(Load { function, model }) = self.loads.finish(load) else { return };
+        let instance = self.next_id();
+        self.instances.add(instance, function, model);
+        self.end_load_requests(function);
+        self.place_waiting_jobs(now, function, model);
+        self.begin_idle_period(now, instance);
+        self.start_fetches();
+    }
+
+    /// Completes the load requests that have their instances after a load, or for which no load is left.
+    fn end_load_requests(&mut self, function: u32) {
+        let present = self.instances.count(function);
+        let queue = self.functions.entry(function).or_default();
+        queue.loads -= 1;
+        let is_last = queue.loads == 0;
+        let (ended, open): (Vec<_>, Vec<_>) =
+            queue.load_requests.drain(..).partition(|request| present >= request.instances || is_last);
+        queue.load_requests = open;
+        for request in ended {
+            self.complete_load_request(request.id, present, present < request.instances);
         }
-        self.assign(now, function, function_model);
-        self.rest(now, at);
-        self.fetch();
     }
 
+    /// The figures of a load report at present.
+    #[must_use]
     pub fn load_figures(&self) -> LoadFigures {
-        let running = self.jobs.values().filter(|held| held.runs).count();
-        let busy: f64 =
-            self.instances.values().filter(|i| i.taken > 0).map(|i| i.function_model.memory).sum();
-        let loading: f64 = self.loads.values().map(|l| l.function_model.memory).sum();
+        let running = self.jobs.values().filter(|running| running.has_core).count();
+        let memory = self.instances.busy_memory() + self.loads.memory();
         LoadFigures {
             in_flight: self.jobs.len() as f64,
             queued: (self.jobs.len() - running) as f64,
-            utilization: 1.0 - self.free_cores as f64 / self.worker_spec.cores.max(1) as f64,
-            memory: ((busy + loading) / self.worker_spec.memory.max(1e-9)).min(1.0),
+            utilization: 1.0 - self.free_cores as f64 / self.spec.cores.max(1) as f64,
+            memory: (memory / self.spec.memory.max(SMALLEST_AMOUNT)).min(1.0),
             loading: self.loads.len() as f64,
         }
     }
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -32,7 +32,7 @@
 
 fn add_worker(digest: &mut Digest, scenario: &Scenario) {
     let spec = &scenario.worker_spec;
-    for count in [spec.cores, spec.loads_at_once, spec.queue] {
+    for count in [spec.cores, spec.concurrent_loads, spec.queue] {
         digest.count(count as u64);
     }
     for figure in [spec.speed, spec.memory, spec.idle_timeout, spec.initial_capacity, spec.warm_up] {
--- a/crates/emulator/tests/recorded_values/worker_model.rs
+++ b/crates/emulator/tests/recorded_values/worker_model.rs
@@ -15,7 +15,7 @@
     cores: 3,
     speed: 1.2,
     memory: 700.0,
-    loads_at_once: 2,
+    concurrent_loads: 2,
     queue: 12,
     idle_timeout: 0.6,
     rejects_unloaded: false,
@@ -92,12 +92,12 @@
             self.read_outputs();
             let fetch = self.fetches.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0));
             let answered = fetch.map_or(f64::INFINITY, |fetch| fetch.0);
-            let next = self.worker.next_deadline().unwrap_or(f64::INFINITY).min(answered);
-            if next > until {
+            let next_deadline = self.worker.next_deadline().unwrap_or(f64::INFINITY).min(answered);
+            if next_deadline > until {
                 self.now = until;
                 return;
             }
-            self.now = self.now.max(next);
+            self.now = self.now.max(next_deadline);
             if let Some((at, load, succeeds)) = fetch.filter(|fetch| fetch.0 <= self.now) {
                 self.fetches.retain(|fetch| *fetch != (at, load, succeeds));
                 self.worker.fetch_ended(self.now, load, succeeds);
--- a/crates/emulator/tests/worker_model.rs
+++ b/crates/emulator/tests/worker_model.rs
@@ -1,15 +1,14 @@
-//! The models of worker and store: what a gateway's troubles are made of must itself be right.
+//! The model of a worker, whose store answers each fetch in its time.
 
-use milletpath_emulator::store::{Store, StoreSpec};
 use milletpath_emulator::worker_model::{FunctionModel, Job, WorkerEvent, WorkerModel, WorkerSpec};
 use milletpath_protocol::worker::{InstanceState, Rejection};
 use proptest::prelude::*;
 
-const WORKER_SPEC: WorkerSpec = WorkerSpec {
+const SPEC: WorkerSpec = WorkerSpec {
     cores: 2,
     speed: 1.0,
     memory: 250.0,
-    loads_at_once: 2,
+    concurrent_loads: 2,
     queue: 8,
     idle_timeout: 5.0,
     rejects_unloaded: false,
@@ -19,156 +18,168 @@
     overload_multiple: 2.0,
     overload_window: 1.0,
 };
-const PACK: FunctionModel = FunctionModel { concurrency: 2, memory: 100.0, fetch: 0.2, start: 0.1 };
+const FUNCTION: FunctionModel = FunctionModel { concurrency: 2, memory: 100.0, fetch: 0.2, start: 0.1 };
 
 fn job(function: u32) -> Job {
-    Job { function, function_model: PACK, work: 0.1, io: 0.05 }
+    Job { function, function_model: FUNCTION, work: 0.1, io: 0.05 }
 }
 
-/// Fetches under way: when each ends, and its load.
-type Fetches = Vec<(f64, u64)>;
+/// A fetch that the store has not answered yet.
+#[derive(Clone, Copy, PartialEq)]
+struct Fetch {
+    ends: f64,
+    load: u64,
+}
 
-/// Lets time pass with a store that answers each fetch in its time; what was said, and when.
-fn pass(engine: &mut WorkerModel, from: f64, until: f64) -> Vec<(f64, WorkerEvent)> {
-    pass_with(engine, &mut Fetches::new(), from, until)
+/// A worker, the store's fetches, and what happened so far.
+struct Rig {
+    worker: WorkerModel,
+    fetches: Vec<Fetch>,
 }
 
-fn pass_with(
-    engine: &mut WorkerModel,
-    fetches: &mut Fetches,
-    from: f64,
-    until: f64,
-) -> Vec<(f64, WorkerEvent)> {
-    let (mut said, mut now) = (Vec::new(), from);
-    loop {
-        while let Some(say) = engine.next_event() {
-            if let WorkerEvent::FetchStarted { load, seconds, .. } = say {
-                fetches.push((now + seconds, load));
+/// An event and when it was read.
+type TimedEvent = (f64, WorkerEvent);
+
+impl Rig {
+    fn new(spec: WorkerSpec, started: f64) -> Self {
+        Self { worker: WorkerModel::new(spec, started), fetches: Vec::new() }
+    }
+
+    fn warm() -> Self {
+        Self::new(SPEC, -100.0)
+    }
+
+    /// Lets time pass; what happened meanwhile.
+    fn pass(&mut self, from: f64, until: f64) -> Vec<TimedEvent> {
+        let (mut events, mut now) = (Vec::new(), from);
+        loop {
+            self.read_events(now, &mut events);
+            let fetch = self.fetches.iter().copied().min_by(|a, b| a.ends.total_cmp(&b.ends));
+            let deadline = self.worker.next_deadline().unwrap_or(f64::INFINITY);
+            let next = deadline.min(fetch.map_or(f64::INFINITY, |fetch| fetch.ends));
+            if next > until {
+                return events;
             }
-            said.push((now, say));
-        }
-        let fetch = fetches.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0));
-        let next = engine.next_deadline().unwrap_or(f64::INFINITY).min(fetch.map_or(f64::INFINITY, |f| f.0));
-        if next > until {
-            return said;
+            now = next.max(now);
+            if let Some(ended) = fetch.filter(|fetch| fetch.ends <= now) {
+                self.fetches.retain(|fetch| *fetch != ended);
+                self.worker.fetch_ended(now, ended.load, true);
+            }
+            self.worker.advance(now);
         }
-        now = next.max(now);
-        if let Some(done) = fetch.filter(|f| f.0 <= now) {
-            fetches.retain(|f| *f != done);
-            engine.fetch_ended(now, done.1, true);
+    }
+
+    fn read_events(&mut self, now: f64, events: &mut Vec<TimedEvent>) {
+        while let Some(event) = self.worker.next_event() {
+            if let WorkerEvent::FetchStarted { load, seconds, .. } = event {
+                self.fetches.push(Fetch { ends: now + seconds, load });
+            }
+            events.push((now, event));
         }
-        engine.advance(now);
+    }
+
+    /// Lets time pass; the jobs that were completed, at milliseconds.
+    fn completed(&mut self, from: f64, until: f64) -> Vec<(f64, InstanceState)> {
+        completed(&self.pass(from, until))
     }
 }
 
-fn ends(said: &[(f64, WorkerEvent)]) -> Vec<(f64, InstanceState)> {
-    let end = |(at, say): &(f64, WorkerEvent)| match say {
-        WorkerEvent::JobCompleted { instance_state: found, .. } => Some(((at * 1e3).round() / 1e3, *found)),
+fn completed(events: &[TimedEvent]) -> Vec<(f64, InstanceState)> {
+    let completed = |(at, event): &TimedEvent| match event {
+        WorkerEvent::JobCompleted { instance_state, .. } => Some(((at * 1e3).round() / 1e3, *instance_state)),
         _ => None,
     };
-    said.iter().filter_map(end).collect()
+    events.iter().filter_map(completed).collect()
 }
 
 #[test]
-fn the_first_call_loads_the_next_awaits_and_later_ones_find() {
-    let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
-    engine.submit(0.0, job(1));
-    engine.submit(0.0, job(1));
-    let said = pass(&mut engine, 0.0, 1.0);
-    assert_eq!(ends(&said), [(0.45, InstanceState::LoadStarted), (0.45, InstanceState::LoadAwaited)]);
-    engine.submit(1.0, job(1));
-    assert_eq!(ends(&pass(&mut engine, 1.0, 2.0)), [(1.15, InstanceState::Loaded)]);
+fn the_first_job_starts_a_load_the_next_awaits_it_and_later_ones_find_the_instance() {
+    let mut rig = Rig::warm();
+    rig.worker.submit(0.0, job(1));
+    rig.worker.submit(0.0, job(1));
+    let expected = [(0.45, InstanceState::LoadStarted), (0.45, InstanceState::LoadAwaited)];
+    assert_eq!(rig.completed(0.0, 1.0), expected);
+    rig.worker.submit(1.0, job(1));
+    assert_eq!(rig.completed(1.0, 2.0), [(1.15, InstanceState::Loaded)]);
     // Idle for its time it is unloaded.
-    pass(&mut engine, 2.0, 8.0);
-    engine.submit(8.0, job(1));
-    assert_eq!(ends(&pass(&mut engine, 8.0, 9.0)), [(8.45, InstanceState::LoadStarted)]);
+    rig.pass(2.0, 8.0);
+    rig.worker.submit(8.0, job(1));
+    assert_eq!(rig.completed(8.0, 9.0), [(8.45, InstanceState::LoadStarted)]);
 }
 
 #[test]
-fn a_cold_worker_is_slow_and_falls_when_pushed() {
-    let mut engine = WorkerModel::new(WORKER_SPEC, 0.0);
-    engine.submit(0.0, job(1));
-    assert!(ends(&pass(&mut engine, 0.0, 1.0))[0].0 > 0.5);
+fn a_worker_that_warms_up_is_slow_and_can_be_overloaded() {
+    let mut rig = Rig::new(SPEC, 0.0);
+    rig.worker.submit(0.0, job(1));
+    assert!(rig.completed(0.0, 1.0)[0].0 > 0.5);
     for _ in 0..60 {
-        engine.submit(1.0, job(1));
+        rig.worker.submit(1.0, job(1));
     }
-    assert!(pass(&mut engine, 1.0, 1.1).iter().any(|(_, say)| *say == WorkerEvent::Overloaded));
+    assert!(rig.pass(1.0, 1.1).iter().any(|(_, event)| *event == WorkerEvent::Overloaded));
 }
 
 #[test]
-fn a_released_function_is_loaded_anew_and_orders_are_told_when_they_stand() {
-    let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
-    let order = engine.request_load(0.0, 1, PACK, 2);
-    let said = pass(&mut engine, 0.0, 1.0);
-    assert!(said.iter().any(|(at, say)| *say
-        == WorkerEvent::LoadRequestCompleted { load_request: order, instances: 2, failed: false }
-        && *at > 0.29));
-    engine.release_version(1);
-    engine.submit(1.0, job(1));
-    assert_eq!(ends(&pass(&mut engine, 1.0, 2.0))[0].1, InstanceState::LoadStarted);
+fn a_load_request_completes_with_its_instances_and_a_new_version_is_loaded_again() {
+    let mut rig = Rig::warm();
+    let load_request = rig.worker.request_load(0.0, 1, FUNCTION, 2);
+    let completed = WorkerEvent::LoadRequestCompleted { load_request, instances: 2, failed: false };
+    let events = rig.pass(0.0, 1.0);
+    assert!(events.iter().any(|(at, event)| *event == completed && *at > 0.29));
+    rig.worker.release_version(1);
+    rig.worker.submit(1.0, job(1));
+    assert_eq!(rig.completed(1.0, 2.0)[0].1, InstanceState::LoadStarted);
 }
 
 #[test]
-fn memory_is_never_overfilled_and_idle_copies_give_way() {
-    let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
+fn memory_is_never_overfilled_and_idle_instances_make_room() {
+    let mut rig = Rig::warm();
     for (n, function) in [1, 2, 3].into_iter().enumerate() {
-        engine.submit(n as f64, job(function));
-        assert_eq!(ends(&pass(&mut engine, n as f64, n as f64 + 1.0))[0].1, InstanceState::LoadStarted);
+        rig.worker.submit(n as f64, job(function));
+        assert_eq!(rig.completed(n as f64, n as f64 + 1.0)[0].1, InstanceState::LoadStarted);
     }
-    // The third took the first one's place.
-    engine.submit(3.0, job(2));
-    engine.submit(3.0, job(1));
-    let said = pass(&mut engine, 3.0, 4.0);
-    assert_eq!(ends(&said)[0].1, InstanceState::Loaded);
-    assert!(engine.load_figures().memory <= 1.0);
-}
-
-#[test]
-fn a_store_slows_refuses_and_stops() {
-    let mut store = Store::new(StoreSpec {
-        unslowed_fetches: 2.0,
-        max_fetches: 4,
-        overload_rate: Some(2.0),
-        outage_seconds: 5.0,
-    });
-    let takes: Vec<_> = (0..5).map(|_| store.begin_fetch(0.0, 1.0)).collect();
-    assert_eq!(takes, [Some(1.0), Some(1.0), Some(1.5), Some(2.0), None]);
-    (0..4).for_each(|_| store.fetch_ended());
-    // Pushed past its six in three seconds it stops, and what it turns away then does not keep it stopped.
-    assert_eq!((store.begin_fetch(1.0, 1.0), store.begin_fetch(1.0, 1.0)), (Some(1.0), None));
-    (0..50).for_each(|n| assert_eq!(store.begin_fetch(1.0 + f64::from(n) * 0.09, 1.0), None));
-    assert_eq!(store.begin_fetch(6.1, 1.0), Some(1.0));
+    // The third replaced the first.
+    rig.worker.submit(3.0, job(2));
+    rig.worker.submit(3.0, job(1));
+    assert_eq!(rig.completed(3.0, 4.0)[0].1, InstanceState::Loaded);
+    assert!(rig.worker.load_figures().memory <= 1.0);
 }
 
 proptest! {
-    /// Every job ends once, as done or refused, and no effect happens for one that was refused.
+    /// Every job ends once, as completed or rejected, and none takes effect that was rejected.
     #[test]
-    fn every_job_ends_once(arrivals in proptest::collection::vec((0.0..0.2f64, 0..4u32), 1..60), misses: bool, eager: bool) {
-        let mut engine = WorkerModel::new(WorkerSpec { rejects_unloaded: misses, loads_ahead: eager, ..WORKER_SPEC }, -100.0);
-        let (mut now, mut said, mut jobs, mut fetches) = (0.0, Vec::new(), Vec::new(), Fetches::new());
+    fn every_job_ends_once(
+        arrivals in proptest::collection::vec((0.0..0.2f64, 0..4u32), 1..60),
+        rejects_unloaded: bool,
+        loads_ahead: bool,
+    ) {
+        let mut rig = Rig::new(WorkerSpec { rejects_unloaded, loads_ahead, ..SPEC }, -100.0);
+        let (mut now, mut events, mut jobs) = (0.0, Vec::new(), Vec::new());
         for (gap, function) in arrivals {
-            jobs.push(engine.submit(now, job(function)));
-            said.extend(pass_with(&mut engine, &mut fetches, now, now + gap));
+            jobs.push(rig.worker.submit(now, job(function)));
+            events.extend(rig.pass(now, now + gap));
             now += gap;
         }
-        said.extend(pass_with(&mut engine, &mut fetches, now, now + 100.0));
+        events.extend(rig.pass(now, now + 100.0));
         for id in jobs {
-            let done = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::JobCompleted { job, .. } if *job == id)).count();
-            let refused = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::JobRejected { job, .. } if *job == id)).count();
-            let ran = said.iter().filter(|(_, s)| matches!(s, WorkerEvent::JobStarted { job } if *job == id)).count();
-            prop_assert_eq!((done + refused, done), (1, ran));
+            let count = |is_of: fn(&WorkerEvent, u64) -> bool| {
+                events.iter().filter(|(_, event)| is_of(event, id)).count()
+            };
+            let completed =
+                count(|event, id| matches!(event, WorkerEvent::JobCompleted { job, .. } if *job == id));
+            let rejected =
+                count(|event, id| matches!(event, WorkerEvent::JobRejected { job, .. } if *job == id));
+            let started = count(|event, id| matches!(event, WorkerEvent::JobStarted { job } if *job == id));
+            prop_assert_eq!((completed + rejected, completed), (1, started));
         }
-        prop_assert_eq!(engine.load_figures().in_flight, 0.0);
+        prop_assert_eq!(rig.worker.load_figures().in_flight, 0.0);
     }
 }
 
 #[test]
-fn a_draining_worker_refuses_in_its_own_words() {
-    let mut engine = WorkerModel::new(WORKER_SPEC, -100.0);
-    engine.draining = true;
-    let job = engine.submit(0.0, job(1));
-    assert_eq!(
-        engine.next_event(),
-        Some(WorkerEvent::JobRejected { job, reason: Rejection::Draining, load_failed: false })
-    );
+fn a_draining_worker_rejects_new_jobs() {
+    let mut rig = Rig::warm();
+    rig.worker.draining = true;
+    let job = rig.worker.submit(0.0, job(1));
+    let rejected = WorkerEvent::JobRejected { job, reason: Rejection::Draining, load_failed: false };
+    assert_eq!(rig.worker.next_event(), Some(rejected));
 }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -225,7 +225,7 @@
         for worker in 0..scenario.workers {
             town.note(HistoryEvent::WorkerStarted {
                 worker,
-                capacity: WorkerModel::capacity(&scenario.worker_spec),
+                capacity: scenario.worker_spec.capacity(),
                 warm: true,
             });
         }
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -245,7 +245,7 @@
     fn comes_back(&mut self, worker: usize) {
         let process = self.workers[worker].process + 1;
         self.workers[worker] = Worker::new(self.scenario.worker_spec, self.now, process);
-        let capacity = WorkerModel::capacity(&self.scenario.worker_spec);
+        let capacity = self.scenario.worker_spec.capacity();
         self.note(HistoryEvent::WorkerStarted { worker, capacity, warm: false });
         let stamp = self.variation.worker_time(self.now);
         let address = place(worker, if self.variation.same_address { 0 } else { process });
