--- /dev/null
+++ b/crates/milletpath/tests/command_line.rs
@@ -0,0 +1,117 @@
+//! The command line as users hold it: which sub-commands and flags are accepted, and which exit code each use has. The
+//! fixtures `*-as-landed.txt` were written by the program before its sub-commands were split into modules.
+
+mod json_fields;
+
+use json_fields::field_paths;
+use serde_json::Value;
+use std::path::PathBuf;
+use std::process::{Command, Output, Stdio};
+
+fn fixtures() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/command_line")
+}
+
+fn fixture(name: &str) -> String {
+    std::fs::read_to_string(fixtures().join(name)).expect("a fixture")
+}
+
+/// Runs the program in the folder of the fixtures, without standard input and without the platform's variables.
+fn run(arguments: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
+    command.args(arguments).current_dir(fixtures()).stdin(Stdio::null());
+    command.env_remove("LB_CONFIG").env_remove("LB_LISTEN").env_remove("LB_NAME");
+    command.output().expect("the program runs")
+}
+
+/// A use of the program, and the exit code that it had.
+struct LandedUse {
+    exit_code: i32,
+    arguments: Vec<String>,
+}
+
+fn landed_uses() -> Vec<LandedUse> {
+    let parse = |line: &str| {
+        let mut words = line.split_whitespace();
+        let exit_code = words.next().expect("an exit code").parse().expect("a number");
+        LandedUse { exit_code, arguments: words.map(str::to_owned).collect() }
+    };
+    fixture("exit-codes-as-landed.txt").lines().map(parse).collect()
+}
+
+#[test]
+fn each_use_exits_as_it_did() {
+    for LandedUse { exit_code, arguments } in landed_uses() {
+        let arguments: Vec<_> = arguments.iter().map(String::as_str).collect();
+        let output = run(&arguments);
+        assert_eq!(output.status.code(), Some(exit_code), "{arguments:?}: {output:?}");
+    }
+}
+
+/// A flag that a sub-command had in its help, with a value where it takes one.
+struct LandedFlag {
+    sub_command: String,
+    flag: String,
+    value: Option<&'static str>,
+}
+
+/// The flags by the sections of the help, each of which begins with `### SUB-COMMAND`.
+fn landed_flags() -> Vec<LandedFlag> {
+    let (mut flags, mut sub_command) = (Vec::new(), String::new());
+    for line in fixture("help-as-landed.txt").lines() {
+        if let Some(name) = line.strip_prefix("###") {
+            sub_command = name.trim().to_owned();
+        }
+        let words: Vec<_> = line.split_whitespace().collect();
+        let Some(flag) = words.iter().find(|word| word.starts_with("--")) else { continue };
+        if !line.starts_with("  ") || ["--help", "--version"].contains(flag) {
+            continue;
+        }
+        let value = match words.get(1) {
+            Some(&"<LOG>") => Some("json"),
+            Some(value) if value.starts_with('<') => Some("2"),
+            _ => None,
+        };
+        flags.push(LandedFlag { sub_command: sub_command.clone(), flag: (*flag).to_owned(), value });
+    }
+    flags
+}
+
+/// `--help` comes last, so that an argument that is not accepted is an error before it.
+#[test]
+fn each_flag_is_still_accepted() {
+    let flags = landed_flags();
+    assert_eq!(flags.len(), 38, "the fixture is read whole");
+    for LandedFlag { sub_command, flag, value } in &flags {
+        let sub_command = Some(sub_command.as_str()).filter(|name| !name.is_empty());
+        let arguments = sub_command.into_iter().chain([flag.as_str()]).chain(*value).chain(["--help"]);
+        let arguments: Vec<_> = arguments.collect();
+        let output = run(&arguments);
+        assert_eq!(output.status.code(), Some(0), "{arguments:?}: {output:?}");
+    }
+    assert_eq!(run(&["serve", "--no-such-flag", "--help"]).status.code(), Some(2));
+}
+
+/// Flags of tests and of other programs of the project, which help does not show.
+#[test]
+fn hidden_flags_and_sub_commands_are_still_accepted() {
+    for arguments in [
+        &["serve", "--stir", "--help"][..],
+        &["serve", "--plant", "likely-count", "--help"],
+        &["day", "--plant", "likely-count", "--help"],
+        &["scale-host", "--help"],
+    ] {
+        let output = run(arguments);
+        assert_eq!(output.status.code(), Some(0), "{arguments:?}: {output:?}");
+    }
+}
+
+/// Its field names are held by users; the values depend on the machine.
+#[test]
+fn the_json_report_of_a_scenario_has_the_fields_that_it_had() {
+    let landed: Value = serde_json::from_str(&fixture("scenario-report-as-landed.json")).expect("JSON");
+    let output = run(&["day", "scenario.hcl", "--json", "--lag", "2"]);
+    let report: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {output:?}"));
+    assert_eq!(field_paths(&report), field_paths(&landed));
+    assert_eq!(output.status.code(), Some(0), "{report:#}");
+}
