--- a/crates/milletpath/src/inside.hcl
+++ b/crates/milletpath/src/built_in.hcl
@@ -1,4 +1,4 @@
-# What `milletpath serve` goes by without a charter: loopback only, stand-in workers inside.
+# The configuration of `milletpath serve` without a file: on loopback alone, with emulated workers in the same process.
 listen = "127.0.0.1:8080"
 
 profile "usual" {
--- /dev/null
+++ b/crates/milletpath/src/built_in_fleet.rs
@@ -0,0 +1,48 @@
+//! The built-in configuration of `milletpath serve`, with emulated workers that run in this process.
+
+use milletpath_config::{ConfigError, GatewayConfig};
+use milletpath_emulator::small::{MAKE, hall};
+use milletpath_emulator::worker::Worker;
+use std::fmt::Write;
+use std::io;
+
+/// The built-in configuration but for its workers, whose ports the system chooses.
+const CONFIG_WITHOUT_WORKERS: &str = include_str!("built_in.hcl");
+
+/// Emulated workers.
+const WORKERS: usize = 3;
+
+/// Seeds the random numbers of the emulated workers.
+const SEED: u64 = 1;
+
+/// Why the built-in fleet can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum BuiltInFleetError {
+    /// An emulated worker can't listen.
+    #[error("an emulated worker can't start: {0}")]
+    Worker(#[source] io::Error),
+    /// The text of the configuration is wrong: a defect of this program.
+    #[error("the built-in configuration is wrong: {0}")]
+    Config(#[source] ConfigError),
+}
+
+/// Starts the emulated workers; the configuration that lists them. Must run within a `LocalSet`, and the workers run for
+/// as long as it does.
+///
+/// # Errors
+///
+/// A worker can't listen on loopback.
+pub async fn start() -> Result<GatewayConfig, BuiltInFleetError> {
+    let hall = hall(SEED);
+    let mut workers = String::new();
+    for number in 0..WORKERS {
+        let worker = Worker::start(hall.clone(), number, 0, MAKE, -MAKE.warm_up, 1).await;
+        let address = worker.map_err(BuiltInFleetError::Worker)?.addresses[0];
+        let _ = writeln!(workers, "  worker \"inside-{number}\" {{ address = \"{address}\" }}");
+    }
+    let text = format!("{CONFIG_WITHOUT_WORKERS}workers {{\n{workers}}}\n");
+    milletpath_config::read(&text).map_err(|errors| {
+        let first = errors.into_iter().next();
+        BuiltInFleetError::Config(first.expect("a rejected configuration has an error"))
+    })
+}
--- a/crates/milletpath/src/capacity.rs
+++ b/crates/milletpath/src/capacity.rs
@@ -1,56 +1,92 @@
-//! `milletpath capacity`: the tables of docs/CAPACITY.md, printed or written into the page.
+//! `milletpath capacity`: the tables of the capacity page from measured runs, printed or written into the page.
 
+use crate::exit_status::{CommandError, ExitStatus};
+use clap::Args;
 use milletpath_capacity_model::{derived, page, scale};
-use std::path::Path;
-use std::process::ExitCode;
+use std::error::Error;
+use std::io;
+use std::path::{Path, PathBuf};
 
-/// Writes the slopes that scale runs give beside them.
-fn derive(runs: &Path) -> Result<(), String> {
-    for run in derived::derived(&scale::read_all(runs)?) {
-        let path = runs.join(format!("{}.json", run.name));
-        let text = serde_json::to_string_pretty(&run).map_err(|e| e.to_string())?;
-        std::fs::write(&path, text + "\n")
-            .map_err(|e| format!("{}: can't be written: {e}", path.display()))?;
+/// What `capacity` is started with.
+#[derive(Args)]
+pub struct Options {
+    /// The folder of the runs and the assumptions
+    #[arg(long, value_name = "FOLDER", default_value = "docs/capacity")]
+    runs: PathBuf,
+    /// The page to write the tables into, between its marks
+    #[arg(long, value_name = "FILE")]
+    page: Option<PathBuf>,
+    /// First write the slopes that scale test runs give into the folder of the runs
+    #[arg(long)]
+    derive: bool,
+}
+
+/// Why there are no tables.
+#[derive(Debug, thiserror::Error)]
+pub enum CapacityError {
+    /// The runs or the assumptions can't be read, or don't suffice.
+    #[error("{0}")]
+    Runs(Box<dyn Error>),
+    /// A derived run can't be written as JSON.
+    #[error("the derived run {name} can't be written as JSON: {source}")]
+    Json { name: String, source: serde_json::Error },
+    /// A derived run can't be stored beside the runs.
+    #[error("{}: can't be written: {source}", path.display())]
+    WriteRun { path: PathBuf, source: io::Error },
+    /// The page can't be read.
+    #[error("{}: can't be read: {source}; name a page", path.display())]
+    ReadPage { path: PathBuf, source: io::Error },
+    /// The page has no marks between which the tables belong.
+    #[error("{}: {source}", path.display())]
+    Page { path: PathBuf, source: Box<dyn Error> },
+    /// The page can't be written.
+    #[error("{}: can't be written: {source}", path.display())]
+    WritePage { path: PathBuf, source: io::Error },
+}
+
+impl CommandError for CapacityError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            Self::WritePage { .. } => ExitStatus::Failure,
+            _ => ExitStatus::InvalidInput,
+        }
     }
-    Ok(())
 }
 
-pub fn capacity(runs: &Path, page: Option<&Path>, derives: bool) -> ExitCode {
-    if derives && let Err(e) = derive(runs) {
-        eprintln!("{e}");
-        return ExitCode::from(2);
+/// Prints the tables, or writes them into the page.
+///
+/// # Errors
+///
+/// The runs can't be read, or the page can't be read or written.
+pub fn run(options: &Options) -> Result<ExitStatus, CapacityError> {
+    if options.derive {
+        write_derived_runs(&options.runs)?;
     }
-    let tables = match page::tables(runs) {
-        Ok(tables) => tables,
-        Err(e) => {
-            eprintln!("{e}");
-            return ExitCode::from(2);
-        }
-    };
-    let Some(path) = page else {
-        println!("{tables}");
-        return ExitCode::SUCCESS;
-    };
-    let place = path.display();
-    let text = match std::fs::read_to_string(path) {
-        Ok(text) => text,
-        Err(e) => {
-            eprintln!("{place}: can't be read: {e}; name a page");
-            return ExitCode::from(2);
-        }
-    };
-    let anew = match page::rewrite(&text, &tables) {
-        Ok(anew) => anew,
-        Err(e) => {
-            eprintln!("{place}: {e}");
-            return ExitCode::from(2);
-        }
-    };
-    match std::fs::write(path, anew) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("{place}: can't be written: {e}");
-            ExitCode::FAILURE
-        }
+    let tables = page::tables(&options.runs).map_err(|error| CapacityError::Runs(error.into()))?;
+    match &options.page {
+        Some(path) => write_into_page(path, &tables)?,
+        None => println!("{tables}"),
     }
+    Ok(ExitStatus::Success)
+}
+
+/// Writes the slopes that scale test runs give beside them.
+fn write_derived_runs(folder: &Path) -> Result<(), CapacityError> {
+    let fleets = scale::read_all(folder).map_err(|error| CapacityError::Runs(error.into()))?;
+    for run in derived::derived(&fleets) {
+        let text = serde_json::to_string_pretty(&run)
+            .map_err(|source| CapacityError::Json { name: run.name.clone(), source })?;
+        let path = folder.join(format!("{}.json", run.name));
+        std::fs::write(&path, text + "\n")
+            .map_err(|source| CapacityError::WriteRun { path: path.clone(), source })?;
+    }
+    Ok(())
+}
+
+fn write_into_page(path: &Path, tables: &str) -> Result<(), CapacityError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| CapacityError::ReadPage { path: path.to_owned(), source })?;
+    let text = page::rewrite(&text, tables)
+        .map_err(|error| CapacityError::Page { path: path.to_owned(), source: error.into() })?;
+    std::fs::write(path, text).map_err(|source| CapacityError::WritePage { path: path.to_owned(), source })
 }
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -1,183 +1,166 @@
-//! `milletpath control`: a control machine. One thread runs a replica of `milletpath-config-log` with a UDP socket and a log
-//! file: records are on the disk before any message goes out that depends on them. While the disk fails, the machine relays
-//! and does not vote. A change that its configuration cannot hold is denied here, before it is proposed.
+//! `milletpath control`: a control machine, which takes part in the replicated log of configuration changes.
+//!
+//! - [`config_file`] reads the configuration, which lists the control machines.
+//! - [`log_file`] reads the records that this machine stored, and writes them into a new file.
+//! - [`machine`] runs a replica of `milletpath-config-log` in a thread of its own: it receives datagrams ([`receiver`]),
+//!   stores records, and sends no message that depends on a record before the record is on the disk. While the disk fails,
+//!   the machine forwards changes and does not vote.
+//!
+//! SIGTERM and SIGINT end the thread after the batch of datagrams that it handles.
 
+mod log_file;
 mod machine;
 mod receiver;
 
-use machine::ControlMachine;
-use milletpath_config::{ConfigLogConfig, GatewayConfig};
-use milletpath_config_log::{
-    DurableReplica, LoadError, Replica, ReplicaConfig, ReplicaView, RewritePolicy, StoredLog, Timing,
-};
-use milletpath_storage::{Backoff, DiskFolder, Folder, OpenError, is_transient, survive_file_size_limit};
-use serde::{Deserialize, Serialize};
+use crate::async_runtime::{self, RuntimeError};
+use crate::config_file::{self, ConfigFileError, ConfigWithLog};
+use crate::exit_status::{CommandError, ExitStatus};
+use crate::shutdown_signal::shutdown_requested;
+use clap::Args;
+use log_file::LogFileError;
+use machine::{ControlMachine, MachineSettings};
+use milletpath_config_log::{DurableReplica, Replica, ReplicaConfig, RewritePolicy, Timing};
+use milletpath_gateway::KeyFileError;
+use milletpath_storage::survive_file_size_limit;
 use std::io::{self, Write};
-use std::net::UdpSocket;
-use std::path::Path;
-use std::process::ExitCode;
+use std::net::{SocketAddr, UdpSocket};
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::{Duration, Instant};
+use std::thread::JoinHandle;
+use std::time::Duration;
 
 /// Time between two checks whether the process is to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs `milletpath control`; `initialize` starts a new log.
-pub fn control(config_file: &Path, number: usize, initialize: bool) -> ExitCode {
-    let (config, config_log) = match read_config_log(config_file) {
-        Ok(config) => config,
-        Err(code) => return code,
-    };
-    let Some(at) = config_log.control.get(number).copied() else {
-        let (name, last) = (config_file.display(), config_log.control.len() - 1);
-        eprintln!("{name}: has no control machine {number}; write --number 0 to {last}");
-        return ExitCode::from(2);
-    };
-    let file = config_file.with_file_name(format!("control-{number}.log"));
-    let key = match milletpath_gateway::read_control_key(&config_log.key_file) {
-        Ok(key) => key,
-        Err(e) => return print_failure(&format!("key of changes: {e}")),
-    };
-    // Before the file is touched, so that a second process with the same number ends here.
-    let socket = match UdpSocket::bind(at) {
-        Ok(socket) => socket,
-        Err(e) => {
-            return print_failure(&format!("{at} can't be listened on: {e}; is this machine {number} here?"));
+/// What `control` is started with.
+#[derive(Args)]
+pub struct Options {
+    /// The configuration file, which lists the control machines
+    #[arg(long = "charter", value_name = "FILE")]
+    config_file: PathBuf,
+    /// Which of the configuration's control machines this is, from 0
+    #[arg(long)]
+    number: usize,
+    /// Begin a new log: once, at the first start of all control machines
+    #[arg(long = "found")]
+    initialize: bool,
+}
+
+/// Why a control machine does not run.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlError {
+    /// The configuration file can't be used.
+    #[error(transparent)]
+    ConfigFile(#[from] ConfigFileError),
+    /// The configuration lists fewer control machines.
+    #[error("{}: has no control machine {number}; write --number 0 to {last}", path.display())]
+    UnknownNumber { path: PathBuf, number: usize, last: usize },
+    /// The key that seals datagrams can't be used.
+    #[error("key of changes: {0}")]
+    Key(#[source] KeyFileError),
+    /// The address of this control machine is in use, or another machine's.
+    #[error("{address} can't be listened on: {source}; is this machine {number} here?")]
+    Listen { address: SocketAddr, number: usize, source: io::Error },
+    /// The log file can't be used.
+    #[error("{}: {source}", path.display())]
+    LogFile { path: PathBuf, source: LogFileError },
+    /// The system has no room for another thread.
+    #[error("the thread of the control machine can't be started: {0}")]
+    Spawn(#[source] io::Error),
+    /// The runtime that waits for signals can't start.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// The thread ended by a panic, which is in the log.
+    #[error("the thread of the control machine panicked; start it again")]
+    Panicked,
+}
+
+impl CommandError for ControlError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            Self::ConfigFile(error) => error.exit_status(),
+            Self::UnknownNumber { .. } => ExitStatus::InvalidInput,
+            Self::LogFile { source: LogFileError::AlreadyInitialized, .. } => ExitStatus::InvalidInput,
+            _ => ExitStatus::Failure,
         }
-    };
-    if let Err(e) = survive_file_size_limit() {
-        tracing::warn!("a limit on the size of files will end this process: {e}");
     }
-    let stored = match open_log(&file, initialize) {
-        Ok(stored) => stored,
-        Err(code) => return code,
+}
+
+/// Runs a control machine until the process is asked to end.
+///
+/// # Errors
+///
+/// The configuration or the log file can't be used, or the socket can't be opened.
+pub fn run(options: &Options) -> Result<ExitStatus, ControlError> {
+    let ConfigWithLog { config, config_log } = config_file::read_with_log(&options.config_file)?;
+    let number = options.number;
+    let Some(address) = config_log.control.get(number).copied() else {
+        let (path, last) = (options.config_file.clone(), config_log.control.len() - 1);
+        return Err(ControlError::UnknownNumber { path, number, last });
     };
-    let (started_at, seed) = (Instant::now(), milletpath_gateway::control_client::random_id());
-    let control = config_log.control.clone();
-    let replica = DurableReplica::new(stored, RewritePolicy::default(), 0.0, |records| {
-        let config = ReplicaConfig { own_index: number, replicas: control, timing: Timing::default(), seed };
-        Replica::new(config, 0.0, records)
-    });
+    let key = milletpath_gateway::read_control_key(&config_log.key_file).map_err(ControlError::Key)?;
+    // Before the log file is touched, so that a second process with the same number ends here.
+    let socket =
+        UdpSocket::bind(address).map_err(|source| ControlError::Listen { address, number, source })?;
+    let log_path = options.config_file.with_file_name(format!("control-{number}.log"));
+    let replica = open_replica(&log_path, options, &config_log.control)?;
     let head = replica.replica().state().head();
-    tracing::info!(number, %at, head, "a control machine");
-    // For the program that started this one.
-    let _ = writeln!(io::stdout(), "control {number} on udp://{at}");
+    tracing::info!(number, %address, head, "control machine started");
+    announce(number, address);
     run_until_stopped(ControlMachine::new(
         replica,
-        config,
-        config_log.control,
-        socket.into(),
-        key,
-        started_at,
+        MachineSettings { config, control: config_log.control, socket: Arc::new(socket), key },
     ))
 }
 
-/// Runs a control machine in a thread of its own until the process is asked to stop.
-fn run_until_stopped(machine: ControlMachine) -> ExitCode {
-    let stop = Arc::new(AtomicBool::new(false));
-    let stopped = stop.clone();
-    let thread = std::thread::Builder::new().name("control".into()).spawn(move || machine.run(&stopped));
-    let Ok(thread) = thread else { return print_failure("its thread can't start") };
-    let ended = crate::local(async {
-        tokio::select! {
-            () = crate::serve::stop() => {}
-            // The thread ends by itself only if it panics.
-            () = async { while !thread.is_finished() { tokio::time::sleep(STOP_CHECK_INTERVAL).await } } => {}
-        }
-        ExitCode::SUCCESS
-    });
-    stop.store(true, Ordering::Release);
-    match thread.join() {
-        Ok(()) => ended,
-        Err(_) => print_failure("the control machine broke"),
+/// A replica with the records of its log file.
+fn open_replica(
+    log_path: &Path,
+    options: &Options,
+    control: &[SocketAddr],
+) -> Result<machine::StoredReplica, ControlError> {
+    if let Err(error) = survive_file_size_limit() {
+        tracing::warn!(%error, "SIGXFSZ can't be ignored: a limit on file sizes will end this process");
     }
-}
-
-/// Reads the log file, and writes its records into a new one. While the disk fails, reading is tried again; writing the new
-/// file is left to the running machine.
-fn open_log(file: &Path, initialize: bool) -> Result<StoredLog<DiskFolder>, ExitCode> {
-    let shown = file.display();
-    let Some((folder, name)) = DiskFolder::of_file(file) else {
-        return Err(print_failure(&format!("{shown}: is no file name")));
+    let stored = log_file::open(log_path, options.initialize)
+        .map_err(|source| ControlError::LogFile { path: log_path.to_owned(), source })?;
+    let config = ReplicaConfig {
+        own_index: options.number,
+        replicas: control.to_vec(),
+        timing: Timing::default(),
+        seed: milletpath_gateway::control_client::random_id(),
     };
-    let mut stored = load(&folder, &name, std::thread::sleep)
-        .map_err(|error| print_failure(&format!("{shown}: {error}")))?;
-    if stored.torn_bytes > 0 {
-        let bytes = stored.torn_bytes;
-        tracing::warn!(file = %shown, bytes, "a record that a crash cut short is taken off the log");
-    }
-    if initialize && !stored.is_empty() {
-        eprintln!("{shown}: holds a log already; begin without --found");
-        return Err(ExitCode::from(2));
-    }
-    if !initialize && stored.is_empty() {
-        tracing::warn!("begins without a log: learns from the others, and votes once all of them answered");
-    }
-    match stored.renew(initialize) {
-        Ok(()) => Ok(stored),
-        Err(e) if !initialize && is_transient(e.io()) => {
-            tracing::error!(file = %shown, "{e}; it does not vote until its log is written");
-            Ok(stored)
-        }
-        Err(e) => Err(print_failure(&format!("{shown}: {e}; mend the disk or its permissions"))),
-    }
-}
-
-/// Reads the log file, again while the disk fails; `sleep` waits between two attempts.
-fn load<F: Folder + Clone>(
-    folder: &F,
-    name: &str,
-    mut sleep: impl FnMut(Duration),
-) -> Result<StoredLog<F>, LoadError> {
-    let mut backoff = Backoff::default();
-    loop {
-        match StoredLog::load(folder.clone(), name) {
-            Err(LoadError::Open(OpenError::Io(e))) if is_transient(&e) => {
-                let wait = backoff.failed();
-                if backoff.failures() == 1 {
-                    tracing::error!(file = name, "the log can't be read: {e}; it is tried again");
-                }
-                sleep(Duration::from_secs_f64(wait));
-            }
-            loaded => return loaded,
-        }
-    }
+    let replica = |records| Replica::new(config, 0.0, records);
+    Ok(DurableReplica::new(stored, RewritePolicy::default(), 0.0, replica))
 }
 
-/// The status report of a control machine for operators, in JSON.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ControlStatus {
-    #[serde(flatten)]
-    /// What its replica knows.
-    pub view: ReplicaView,
-    /// Seconds since its process started.
-    pub up: f64,
-    /// CPU seconds of its thread.
-    pub cpu: f64,
-    /// Size of its log file, in bytes.
-    pub log: u64,
-    /// Why the log file cannot be written at present.
-    #[serde(default)]
-    pub log_error: Option<String>,
+/// Prints a line on standard output for the program that started this one, which waits for it.
+fn announce(number: usize, address: SocketAddr) {
+    let _ = writeln!(io::stdout(), "control {number} on udp://{address}");
 }
 
-/// Reads a configuration file that has a section on the configuration log, and prints what is wrong with it otherwise.
-pub fn read_config_log(config_file: &Path) -> Result<(GatewayConfig, ConfigLogConfig), ExitCode> {
-    let config = crate::read(config_file)?;
-    match config.config_log.clone() {
-        Some(changes) => Ok((config, changes)),
-        None => {
-            eprintln!("{}: has no changes; add changes {{ ... }} to the charter", config_file.display());
-            Err(ExitCode::from(2))
+/// Runs a control machine in a thread of its own until the process is asked to end.
+fn run_until_stopped(machine: ControlMachine) -> Result<ExitStatus, ControlError> {
+    let stop = Arc::new(AtomicBool::new(false));
+    let stop_of_thread = stop.clone();
+    let thread = std::thread::Builder::new().name("control".into());
+    let thread = thread.spawn(move || machine.run(&stop_of_thread)).map_err(ControlError::Spawn)?;
+    let waited = async_runtime::block_on(async {
+        tokio::select! {
+            () = shutdown_requested() => {}
+            // The thread ends by itself only if it panics.
+            () = finished(&thread) => {}
         }
-    }
+    });
+    stop.store(true, Ordering::Release);
+    thread.join().map_err(|_| ControlError::Panicked)?;
+    waited?;
+    Ok(ExitStatus::Success)
 }
 
-fn print_failure(why: &str) -> ExitCode {
-    eprintln!("{why}");
-    ExitCode::FAILURE
+async fn finished(thread: &JoinHandle<()>) {
+    while !thread.is_finished() {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+    }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -1,10 +1,12 @@
-//! The thread of a control machine: receives datagrams, stores records, and sends datagrams.
+//! The thread of a control machine: receives datagrams, stores records, and sends datagrams. A change that the machine's own
+//! configuration does not allow is denied here, before it is proposed.
 
-use super::receiver::{self, Receiver, Turn};
-use super::{ControlStatus, STOP_CHECK_INTERVAL};
+use super::STOP_CHECK_INTERVAL;
+use super::receiver::{self, BatchEnd, Receiver};
+use crate::control_status::ControlStatus;
 use milletpath_config::GatewayConfig;
 use milletpath_config_log::message::{self, Key, MAX_DATAGRAM_BYTES, MAX_DENIAL_BYTES, Message};
-use milletpath_config_log::{DurableReplica, FlushOutput, StorageEvent};
+use milletpath_config_log::{Change, DurableReplica, FlushOutput, StorageEvent};
 use milletpath_gateway::{StatusPages, is_power_of_ten, thread_cpu_seconds};
 use milletpath_storage::DiskFolder;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,39 +14,56 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+/// Seconds between two checks whether the role has changed.
+const ROLE_CHECK_INTERVAL: f64 = 1.0;
+
+/// The shortest wait for a datagram, in seconds.
+const MIN_WAIT: f64 = 0.001;
+
+/// A replica with its log file on the disk.
+pub type StoredReplica = DurableReplica<DiskFolder>;
+
+/// What a control machine works with, beside its replica.
+pub struct MachineSettings {
+    /// Decides which changes are allowed.
+    pub config: GatewayConfig,
+    /// The addresses of all control machines, in the order of their numbers.
+    pub control: Vec<SocketAddr>,
+    /// The socket on which datagrams arrive.
+    pub socket: Arc<UdpSocket>,
+    /// Seals datagrams.
+    pub key: Key,
+}
+
+/// What a control machine does for the cluster, as the log reports it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Role {
+    votes: bool,
+    has_majority: bool,
+}
+
+/// The state of the thread. Times are seconds since `started_at`.
 pub struct ControlMachine {
-    replica: DurableReplica<DiskFolder>,
-    config: GatewayConfig,
-    control: Vec<SocketAddr>,
-    socket: Arc<UdpSocket>,
-    key: Key,
+    replica: StoredReplica,
+    settings: MachineSettings,
     started_at: Instant,
     status_pages: StatusPages,
     /// Datagrams that could not be opened.
     rejected_datagrams: u64,
-    /// Why the log file cannot be written at present.
+    /// Why the log file can't be written at present.
     log_error: Option<String>,
     next_role_check: f64,
-    /// Whether it voted and had a majority when that was last logged.
-    logged_role: Option<(bool, bool)>,
+    /// The role that was last logged.
+    logged_role: Option<Role>,
 }
 
 impl ControlMachine {
-    pub fn new(
-        replica: DurableReplica<DiskFolder>,
-        config: GatewayConfig,
-        control: Vec<SocketAddr>,
-        socket: Arc<UdpSocket>,
-        key: Key,
-        started_at: Instant,
-    ) -> Self {
+    /// A control machine whose clock starts now.
+    pub fn new(replica: StoredReplica, settings: MachineSettings) -> Self {
         Self {
             replica,
-            config,
-            control,
-            socket,
-            key,
-            started_at,
+            settings,
+            started_at: Instant::now(),
             status_pages: StatusPages::default(),
             rejected_datagrams: 0,
             log_error: None,
@@ -59,15 +78,12 @@
 
     /// Runs until `stop` is set.
     pub fn run(mut self, stop: &AtomicBool) {
-        let mut receiver = Receiver::new(self.socket.clone(), MAX_DATAGRAM_BYTES);
+        let mut receiver = Receiver::new(self.settings.socket.clone(), MAX_DATAGRAM_BYTES);
         while !stop.load(Ordering::Acquire) {
-            let wait =
-                (self.replica.next_deadline() - self.now()).clamp(0.001, STOP_CHECK_INTERVAL.as_secs_f64());
-            let turn = receiver.receive(Duration::from_secs_f64(wait), |datagram, from| {
-                self.handle_datagram(datagram, from);
-            });
+            let wait = self.time_to_deadline();
+            let end = receiver.receive(wait, |datagram, from| self.handle_datagram(datagram, from));
             // All datagrams that arrived during a pause of this thread are handled before any timeout.
-            if turn == Turn::Drained {
+            if end == BatchEnd::Drained {
                 let now = self.now();
                 self.replica.replica_mut().tick(now);
             }
@@ -76,48 +92,64 @@
         }
     }
 
+    /// How long the thread may wait for a datagram.
+    fn time_to_deadline(&self) -> Duration {
+        let seconds = self.replica.next_deadline() - self.now();
+        Duration::from_secs_f64(seconds.clamp(MIN_WAIT, STOP_CHECK_INTERVAL.as_secs_f64()))
+    }
+
     fn handle_datagram(&mut self, datagram: &[u8], from: SocketAddr) {
-        let message = match message::open(&self.key, datagram) {
+        let message = match message::open(&self.settings.key, datagram) {
             Ok(message) => message,
-            Err(why) => {
-                self.rejected_datagrams += 1;
-                if is_power_of_ten(self.rejected_datagrams) {
-                    tracing::warn!(%from, all = self.rejected_datagrams, "a message is not taken: {why}");
-                }
-                return;
-            }
+            Err(error) => return self.count_rejected_datagram(from, &error),
         };
-        if let Message::Propose { change } = &message
-            // The control machine that forwards a change has checked it.
-            && !self.control.contains(&from)
-            && let Err(mistakes) = self.config.parse_change(&change.key, change.text.as_deref())
-        {
-            let mut why = mistakes.first().map(ToString::to_string).unwrap_or_default();
-            let end = (0..=MAX_DENIAL_BYTES.min(why.len())).rev().find(|n| why.is_char_boundary(*n));
-            why.truncate(end.unwrap_or(0));
-            tracing::info!(%from, key = change.key, "a change is refused: {why}");
-            return self.send(from, &Message::ChangeDenied { id: change.id, reason: why });
+        match message {
+            Message::Propose { change } if self.denies(&change, from) => {}
+            Message::StatusRequest { query_id, page } => self.answer_status_request(query_id, page, from),
+            message => {
+                let now = self.now();
+                self.replica.replica_mut().receive(now, from, message);
+            }
         }
-        if let Message::StatusRequest { query_id, page } = message {
-            return self.answer_status_request(query_id, page, from);
+    }
+
+    fn count_rejected_datagram(&mut self, from: SocketAddr, error: &message::OpenError) {
+        self.rejected_datagrams += 1;
+        if is_power_of_ten(self.rejected_datagrams) {
+            let total = self.rejected_datagrams;
+            tracing::warn!(%from, total, %error, "a datagram is rejected");
         }
-        let now = self.now();
-        self.replica.replica_mut().receive(now, from, message);
+    }
+
+    /// Denies a change that the configuration does not allow, and reports whether it did.
+    fn denies(&self, change: &Change, from: SocketAddr) -> bool {
+        // The control machine that forwards a change has checked it.
+        if self.settings.control.contains(&from) {
+            return false;
+        }
+        let Err(errors) = self.settings.config.parse_change(&change.key, change.text.as_deref()) else {
+            return false;
+        };
+        let reason = denial_reason(errors.first().map(ToString::to_string).unwrap_or_default());
+        tracing::info!(%from, key = change.key, reason, "a change is denied");
+        self.send(from, &Message::ChangeDenied { id: change.id, reason });
+        true
     }
 
     /// Sends a page of the status report to an operator.
     fn answer_status_request(&mut self, query_id: u64, page: u32, from: SocketAddr) {
-        let (up, log, log_error) = (self.now(), self.replica.log_size(), self.log_error.clone());
+        let now = self.now();
+        let (log_bytes, log_error) = (self.replica.log_size(), self.log_error.clone());
         let replica = self.replica.replica_mut();
         let reply = self.status_pages.page(from, query_id, page, || {
-            serde_json::to_vec(&ControlStatus {
-                view: replica.view(up),
-                up,
-                cpu: thread_cpu_seconds(),
-                log,
+            let status = ControlStatus {
+                view: replica.view(now),
+                uptime: now,
+                cpu_seconds: thread_cpu_seconds(),
+                log_bytes,
                 log_error,
-            })
-            .ok()
+            };
+            serde_json::to_vec(&status).ok()
         });
         if let Some(reply) = reply {
             self.send(from, &reply);
@@ -125,8 +157,8 @@
     }
 
     fn send(&self, to: SocketAddr, message: &Message) {
-        if let Ok(datagram) = message::seal(&self.key, message) {
-            receiver::send(&self.socket, &datagram, to);
+        if let Ok(datagram) = message::seal(&self.settings.key, message) {
+            receiver::send(&self.settings.socket, &datagram, to);
         }
     }
 
@@ -139,39 +171,51 @@
 
     fn log_storage_event(&mut self, event: StorageEvent) {
         match event {
-            StorageEvent::Failed { error, consecutive_failures: in_a_row, retry_in } => {
+            StorageEvent::Failed { error, consecutive_failures, retry_in } => {
                 let votes = !self.replica.replica().is_suspended();
-                if is_power_of_ten(in_a_row.into()) {
-                    tracing::error!(in_a_row, retry_in, votes, "the log can't be written: {error}");
+                if is_power_of_ten(consecutive_failures.into()) {
+                    tracing::error!(consecutive_failures, retry_in, votes, %error, "the log can't be written");
                 }
                 self.log_error = Some(error.to_string());
             }
             StorageEvent::Recovered => {
-                tracing::info!("a fresh log is on the disk: it votes again");
+                tracing::info!("a new log file is on the disk: it votes again");
                 self.log_error = None;
             }
             StorageEvent::Rewritten { records } => {
-                tracing::info!(records, "the log was written anew");
+                tracing::info!(records, "the log had grown and was written anew");
                 self.log_error = None;
             }
         }
     }
 
-    /// Logs when it begins or ceases to vote or to have a majority.
+    /// Logs when the machine begins or ceases to vote or to have a majority.
     fn log_role_change(&mut self) {
-        /// Seconds between two checks.
-        const ROLE_CHECK_INTERVAL: f64 = 1.0;
         let now = self.now();
         if now < self.next_role_check {
             return;
         }
         self.next_role_check = now + ROLE_CHECK_INTERVAL;
         let view = self.replica.replica_mut().view(now);
-        let role = Some((view.votes, view.majority));
-        if role != self.logged_role {
-            let (number, votes, majority, heard) = (view.number, view.votes, view.majority, &view.reachable);
-            tracing::info!(number, votes, majority, ?heard, "how it stands among the control machines");
-            self.logged_role = role;
+        let role = Role { votes: view.votes, has_majority: view.majority };
+        if self.logged_role != Some(role) {
+            let Role { votes, has_majority } = role;
+            let (number, reachable) = (view.number, &view.reachable);
+            tracing::info!(
+                number,
+                votes,
+                has_majority,
+                ?reachable,
+                "role among the control machines changed"
+            );
+            self.logged_role = Some(role);
         }
     }
 }
+
+/// A reason that fits into a denial, cut at a character.
+fn denial_reason(mut reason: String) -> String {
+    let end = (0..=MAX_DENIAL_BYTES.min(reason.len())).rev().find(|n| reason.is_char_boundary(*n));
+    reason.truncate(end.unwrap_or(0));
+    reason
+}
--- a/crates/milletpath/src/control/receiver.rs
+++ b/crates/milletpath/src/control/receiver.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Largest number of datagrams in a batch; what follows from a batch is stored with one sync.
-pub const MAX_DATAGRAMS_PER_TURN: usize = 256;
+const MAX_DATAGRAMS_PER_BATCH: usize = 256;
 
 /// Pause after an error that does not concern one datagram.
 const ERROR_PAUSE: Duration = Duration::from_millis(50);
@@ -20,6 +20,7 @@
 
 /// The operations of a socket, which tests replace by failing ones.
 pub trait DatagramSocket {
+    /// Makes reads return at once where no datagram is available.
     fn set_nonblocking(&self) -> io::Result<()>;
 
     /// Waits until a datagram may be available, for at most `timeout`.
@@ -45,23 +46,25 @@
     }
 }
 
-/// Sends a datagram; one that cannot be sent is dropped.
+/// Sends a datagram; one that can't be sent is dropped.
 pub fn send(socket: &UdpSocket, datagram: &[u8], to: SocketAddr) {
-    let full = |sent: &io::Result<usize>| sent.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
-    if full(&socket.send_to(datagram, to)) {
+    let sent = socket.send_to(datagram, to);
+    if sent.is_err_and(|error| error.kind() == ErrorKind::WouldBlock) {
         let _ = poll(&mut [PollFd::new(socket.as_fd(), PollFlags::POLLOUT)], PollTimeout::from(SEND_WAIT_MS));
         let _ = socket.send_to(datagram, to);
     }
 }
 
-/// Whether a batch has all datagrams that were waiting.
+/// Why a batch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum BatchEnd {
+    /// No datagram is waiting any more.
     Drained,
-    /// More may be waiting.
+    /// It has as many datagrams as a batch may have; more may be waiting.
     Full,
 }
 
+/// Receives datagrams in batches.
 pub struct Receiver<S> {
     socket: S,
     buffer: Vec<u8>,
@@ -71,48 +74,50 @@
 }
 
 impl<S: DatagramSocket> Receiver<S> {
-    /// For datagrams of at most `largest` bytes; a larger one is cut to one byte more.
-    pub fn new(socket: S, largest: usize) -> Self {
-        Self { socket, buffer: vec![0; largest + 1], nonblocking: false, errors: 0 }
+    /// A receiver of datagrams of at most `max_bytes`; a larger one is cut to one byte more.
+    pub fn new(socket: S, max_bytes: usize) -> Self {
+        Self { socket, buffer: vec![0; max_bytes + 1], nonblocking: false, errors: 0 }
     }
 
-    /// Waits for datagrams for at most `timeout`, and passes all that are waiting to `take`.
-    pub fn receive(&mut self, timeout: Duration, mut take: impl FnMut(&[u8], SocketAddr)) -> Turn {
+    /// Waits for datagrams for at most `timeout`, and passes all that are waiting to `handle`.
+    pub fn receive(&mut self, timeout: Duration, mut handle: impl FnMut(&[u8], SocketAddr)) -> BatchEnd {
         if !self.nonblocking {
             match self.socket.set_nonblocking() {
                 Ok(()) => self.nonblocking = true,
-                Err(e) => return self.pause("the socket can't be set up", &e),
+                Err(e) => return self.pause_after("the socket can't be made nonblocking", &e),
             }
         }
         match self.socket.wait(timeout) {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return self.pause("messages can't be waited for", &e),
+            Err(e) => return self.pause_after("waiting for datagrams failed", &e),
             Ok(()) => {}
         }
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_BATCH {
             match self.socket.recv_from(&mut self.buffer) {
-                Ok((size, from)) => take(&self.buffer[..size], from),
+                Ok((size, from)) => handle(&self.buffer[..size], from),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return Turn::Drained;
+                    return BatchEnd::Drained;
                 }
                 Err(e) if concerns_one_datagram(&e) => {}
-                Err(e) => return self.pause("messages can't be read", &e),
+                Err(e) => return self.pause_after("reading datagrams failed", &e),
             }
         }
-        Turn::Full
+        BatchEnd::Full
     }
 
-    fn pause(&mut self, what: &str, error: &io::Error) -> Turn {
+    /// Counts and logs an error of the socket, and pauses, so that one that stays costs no processor.
+    fn pause_after(&mut self, operation: &str, error: &io::Error) -> BatchEnd {
         self.errors += 1;
         if milletpath_gateway::is_power_of_ten(self.errors) {
-            tracing::error!(all = self.errors, "{what}: {error}");
+            let total = self.errors;
+            tracing::error!(total, %error, "{operation}");
         }
         std::thread::sleep(ERROR_PAUSE);
-        Turn::Drained
+        BatchEnd::Drained
     }
 }
 
-/// Whether an error only tells that a datagram sent earlier did not arrive, or that a signal was handled.
+/// Whether an error means only that a datagram sent earlier did not arrive, or that a signal was handled.
 fn concerns_one_datagram(error: &io::Error) -> bool {
     let unreachable = [Errno::ECONNREFUSED, Errno::EHOSTUNREACH, Errno::ENETUNREACH, Errno::EINTR];
     error.raw_os_error().is_some_and(|code| unreachable.contains(&Errno::from_raw(code)))
--- a/crates/milletpath/src/control/receiver/tests.rs
+++ b/crates/milletpath/src/control/receiver/tests.rs
@@ -65,7 +65,7 @@
         let (mut receiver, mut taken, began) = (Receiver::new(socket, 100), Vec::new(), Instant::now());
         for _ in 0..=times {
             let turn = receiver.receive(Duration::from_millis(1), |bytes, _| taken.push(bytes.to_vec()));
-            assert_eq!(turn, Turn::Drained);
+            assert_eq!(turn, BatchEnd::Drained);
         }
         assert_eq!(taken, [b"datagram"], "{errno} {times} times");
         // Either a pause for each, or a call that fails and the next at once.
@@ -81,6 +81,6 @@
     let (left, calls) = (Cell::new(usize::MAX), Cell::new(0));
     let (call, errno, waiting) = (Call::Receive, Errno::ECONNREFUSED, RefCell::default());
     let mut receiver = Receiver::new(FailingSocket { call, errno, left, calls, waiting }, 100);
-    assert_eq!(receiver.receive(Duration::from_millis(1), |_, _| {}), Turn::Full);
-    assert!(receiver.socket.calls.get() <= MAX_DATAGRAMS_PER_TURN + 2);
+    assert_eq!(receiver.receive(Duration::from_millis(1), |_, _| {}), BatchEnd::Full);
+    assert!(receiver.socket.calls.get() <= MAX_DATAGRAMS_PER_BATCH + 2);
 }
--- /dev/null
+++ b/crates/milletpath/src/scale_test.rs
@@ -0,0 +1,111 @@
+//! `milletpath scale`: plays a plan of a large fleet, in which most gateways are hollow: they have the control threads of a
+//! gateway, and serve no requests.
+
+use crate::async_runtime;
+use crate::config_file::lines_of_file;
+use crate::exit_status::{CommandError, ExitStatus};
+use crate::shutdown_signal::ShutdownSignals;
+use clap::Args;
+use milletpath_config::ConfigError;
+use milletpath_scale_test::plan::{self, Plan};
+use milletpath_scale_test::run::{self, Asked};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Sender, channel};
+use std::thread;
+
+/// What `scale` is started with.
+#[derive(Args)]
+pub struct Options {
+    /// The plan
+    #[arg(value_name = "FILE")]
+    file: PathBuf,
+    /// Another seed than the file's
+    #[arg(long)]
+    seed: Option<u64>,
+    /// Another number of gateways than the file's
+    #[arg(long, value_parser = clap::value_parser!(u32).range(2..=4000))]
+    gateways: Option<u32>,
+    /// Print the report as JSON too, in the last line
+    #[arg(long)]
+    json: bool,
+}
+
+/// Why there is no report.
+#[derive(Debug, thiserror::Error)]
+pub enum ScaleTestError {
+    /// The plan can't be read.
+    #[error("{}: can't be read: {source}; name a plan", path.display())]
+    Read { path: PathBuf, source: io::Error },
+    /// The plan is wrong; all its errors.
+    #[error("{}", lines_of_file(path, errors))]
+    Invalid { path: PathBuf, errors: Vec<ConfigError> },
+    /// The run could not begin or go on.
+    #[error("{}: can't be played: {source}", path.display())]
+    Run { path: PathBuf, source: io::Error },
+}
+
+impl CommandError for ScaleTestError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            Self::Read { .. } | Self::Invalid { .. } => ExitStatus::InvalidInput,
+            Self::Run { .. } => ExitStatus::Failure,
+        }
+    }
+}
+
+/// Plays the plan and prints its report; fails where a bound was broken.
+///
+/// # Errors
+///
+/// The plan can't be read or is wrong, or the run can't go on.
+pub fn run(options: &Options) -> Result<ExitStatus, ScaleTestError> {
+    let path = &options.file;
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ScaleTestError::Read { path: path.clone(), source })?;
+    let plan = read_plan(path, &text, options)?;
+    let report = play(&plan, &text).map_err(|source| ScaleTestError::Run { path: path.clone(), source })?;
+    print!("{report}");
+    if options.json {
+        println!("{}", report.json());
+    }
+    Ok(if report.broken.is_empty() { ExitStatus::Success } else { ExitStatus::Failure })
+}
+
+fn read_plan(path: &Path, text: &str, options: &Options) -> Result<Plan, ScaleTestError> {
+    let gateways = options.gateways.map(|gateways| gateways as usize);
+    let mut plan = plan::read(text, gateways)
+        .map_err(|errors| ScaleTestError::Invalid { path: path.to_owned(), errors })?;
+    plan.seed = options.seed.unwrap_or(plan.seed);
+    Ok(plan)
+}
+
+fn play(plan: &Plan, text: &str) -> io::Result<milletpath_scale_test::report::Report> {
+    let stop = Arc::new(AtomicBool::new(false));
+    stop_on_signals(stop.clone())?;
+    let program = std::env::current_exe()?;
+    run::run(plan, Asked { text, program, stop })
+}
+
+/// From when this returns, SIGINT and SIGTERM end the run, and with it all processes that it started.
+fn stop_on_signals(stop: Arc<AtomicBool>) -> io::Result<()> {
+    let (registered, registration) = channel();
+    thread::Builder::new()
+        .name("signals".into())
+        .spawn(move || async_runtime::block_on(wait_for_signals(stop, registered)))?;
+    registration.recv().map_err(io::Error::other)?
+}
+
+async fn wait_for_signals(stop: Arc<AtomicBool>, registered: Sender<io::Result<()>>) {
+    let mut signals = match ShutdownSignals::register() {
+        Ok(signals) => signals,
+        Err(error) => return drop(registered.send(Err(error))),
+    };
+    let _ = registered.send(Ok(()));
+    signals.received().await;
+    stop.store(true, Ordering::Release);
+    // Another signal changes nothing: what was started is being ended.
+    std::future::pending::<()>().await;
+}
--- /dev/null
+++ b/crates/milletpath/src/scenario.rs
@@ -0,0 +1,109 @@
+//! `milletpath day`: plays a scenario through real sockets, and prints which rules were kept and how requests ended.
+
+mod json_report;
+mod table;
+
+use crate::exit_status::{CommandError, ExitStatus};
+use clap::Args;
+use milletpath_emulator::day::{Played, Stage, play};
+use milletpath_emulator::script::{self, Day};
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// What `day` is started with.
+#[derive(Args)]
+pub struct Options {
+    /// The scenario
+    #[arg(value_name = "FILE")]
+    file: PathBuf,
+    /// Another seed than the file's
+    #[arg(long)]
+    seed: Option<u64>,
+    /// Print the report as JSON
+    #[arg(long)]
+    json: bool,
+    /// Seconds by which this machine's emulated workers may lag behind what was written
+    #[arg(long, default_value_t = 0.05)]
+    lag: f64,
+    /// Cores of each gateway, in place of the number that the scenario sets
+    #[arg(long, value_parser = clap::value_parser!(u8).range(1..=63))]
+    cores: Option<u8>,
+    /// A fault that all gateways are started with, so that tests see that it is found
+    #[arg(long = "plant", hide = true)]
+    injected_fault: Option<String>,
+    /// Also write what passed on the sockets, one record a line
+    #[arg(long, value_name = "FILE")]
+    records: Option<PathBuf>,
+}
+
+/// Why there is no report.
+#[derive(Debug, thiserror::Error)]
+pub enum ScenarioError {
+    /// The scenario can't be read or is wrong; a line for each error.
+    #[error("{}", .0.join("\n"))]
+    Invalid(Vec<String>),
+    /// The scenario could not be played.
+    #[error("{}: can't be played: {source}", path.display())]
+    Play { path: PathBuf, source: io::Error },
+}
+
+impl CommandError for ScenarioError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            Self::Invalid(_) => ExitStatus::InvalidInput,
+            Self::Play { .. } => ExitStatus::Failure,
+        }
+    }
+}
+
+/// Plays the scenario and prints its report; fails where a rule was broken.
+///
+/// # Errors
+///
+/// The scenario can't be read or is wrong, or its processes can't be started.
+pub fn run(options: &Options) -> Result<ExitStatus, ScenarioError> {
+    let scenario = read(options)?;
+    let report = play_in_folder(&scenario, options)
+        .map_err(|source| ScenarioError::Play { path: options.file.clone(), source })?;
+    if options.json {
+        println!("{}", json_report::to_json(&scenario, &report));
+    } else {
+        table::print(&scenario, &report);
+    }
+    Ok(if report.kept() { ExitStatus::Success } else { ExitStatus::Failure })
+}
+
+fn read(options: &Options) -> Result<Day, ScenarioError> {
+    let mut scenario = script::open(&options.file).map_err(ScenarioError::Invalid)?;
+    scenario.seed = options.seed.unwrap_or(scenario.seed);
+    scenario.cores = options.cores.map(usize::from).or(scenario.cores);
+    Ok(scenario)
+}
+
+/// Plays the scenario in a folder of its own, which is kept where a rule was broken.
+fn play_in_folder(scenario: &Day, options: &Options) -> io::Result<Played> {
+    let folder = std::env::temp_dir().join(format!("milletpath-day-{}", std::process::id()));
+    std::fs::create_dir_all(&folder)?;
+    let program = std::env::current_exe()?;
+    let stage = Stage {
+        program: &program,
+        folder: &folder,
+        seed: scenario.seed,
+        lag: options.lag,
+        plant: options.injected_fault.as_deref(),
+    };
+    let played = play(scenario, &stage);
+    if let (Ok(report), Some(path)) = (&played, &options.records) {
+        write_records(report, path)?;
+    }
+    match &played {
+        Ok(report) if report.kept() => std::fs::remove_dir_all(&folder)?,
+        _ => eprintln!("the gateways' configuration files and logs are in {}", folder.display()),
+    }
+    played
+}
+
+fn write_records(report: &Played, path: &Path) -> io::Result<()> {
+    let lines: Vec<_> = report.records.iter().filter_map(|r| serde_json::to_string(r).ok()).collect();
+    std::fs::write(path, lines.join("\n"))
+}
--- /dev/null
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -0,0 +1,122 @@
+//! The report of a scenario as JSON. Its field names are older than those of the types behind it, and stay.
+
+use milletpath_emulator::day::Played;
+use milletpath_emulator::script::Day;
+use milletpath_history_checker::{Bound, Counts, Known};
+use serde::Serialize;
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+/// The percentiles of the latencies that are reported.
+pub const PERCENTILES: [f64; 3] = [0.5, 0.99, 0.999];
+
+/// The report.
+#[derive(Serialize)]
+struct JsonReport<'a> {
+    #[serde(rename = "day")]
+    scenario: &'a str,
+    seed: u64,
+    /// Of all requests.
+    #[serde(rename = "whole")]
+    total: RequestCounts,
+    #[serde(rename = "troubles")]
+    faults: Vec<FaultReport<'a>>,
+    /// Fetches from the store.
+    fetches: u64,
+    /// The fraction of requests that found an instance.
+    #[serde(rename = "warm")]
+    warm_fraction: f64,
+    /// Fetches that the store rejected.
+    #[serde(rename = "refusals")]
+    rejected_fetches: u64,
+    #[serde(rename = "broken")]
+    violations: Vec<RuleViolation<'a>>,
+    /// Seconds of successful attempts, at [`PERCENTILES`].
+    latencies: Option<[f64; PERCENTILES.len()]>,
+    #[serde(flatten)]
+    fleet: Option<FleetReport<'a>>,
+}
+
+/// What members of one fleet reported; absent where gateways run apart.
+#[derive(Serialize)]
+struct FleetReport<'a> {
+    bounds: &'a BTreeMap<&'static str, Bound>,
+    #[serde(rename = "peers")]
+    membership: &'a Known,
+}
+
+/// How requests ended.
+#[derive(Serialize)]
+struct RequestCounts {
+    calls: u64,
+    service: f64,
+    #[serde(rename = "handled")]
+    succeeded: u64,
+    late: u64,
+    #[serde(rename = "bounced")]
+    rejected: u64,
+    #[serde(rename = "terminated")]
+    failed: u64,
+    unanswered: u64,
+}
+
+/// How requests ended that were sent during a fault.
+#[derive(Serialize)]
+struct FaultReport<'a> {
+    #[serde(rename = "trouble")]
+    fault: &'a str,
+    counts: RequestCounts,
+}
+
+/// A place where a rule was broken.
+#[derive(Serialize)]
+struct RuleViolation<'a> {
+    rule: u8,
+    /// Seconds since the start of the scenario.
+    at: f64,
+    what: &'a str,
+}
+
+impl From<&Counts> for RequestCounts {
+    fn from(counts: &Counts) -> Self {
+        Self {
+            calls: counts.calls,
+            service: counts.service(),
+            succeeded: counts.handled,
+            late: counts.late,
+            rejected: counts.bounced,
+            failed: counts.terminated,
+            unanswered: counts.unanswered,
+        }
+    }
+}
+
+/// The report of a scenario that was played.
+pub fn to_json(scenario: &Day, played: &Played) -> Value {
+    let faults = played
+        .by_trouble
+        .iter()
+        .map(|(index, counts)| FaultReport { fault: &scenario.troubles[*index].name, counts: counts.into() });
+    let violations = played.broken.iter().map(|broken| RuleViolation {
+        rule: broken.rule,
+        at: broken.at,
+        what: &broken.what,
+    });
+    let fleet = played.known.as_ref().map(|membership| FleetReport { bounds: &played.bounds, membership });
+    let report = JsonReport {
+        scenario: &scenario.name,
+        seed: scenario.seed,
+        total: (&played.whole).into(),
+        faults: faults.collect(),
+        fetches: played.fetches,
+        warm_fraction: played.warm,
+        rejected_fetches: played.refusals,
+        violations: violations.collect(),
+        latencies: milletpath_history_checker::latencies(&played.records, PERCENTILES),
+        fleet,
+    };
+    serde_json::json!(report)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/milletpath/src/scenario/table.rs
@@ -0,0 +1,94 @@
+//! The report of a scenario as tables.
+
+use super::json_report::PERCENTILES;
+use milletpath_emulator::day::Played;
+use milletpath_emulator::script::Day;
+use milletpath_history_checker::{Bound, Broken, Counts, Known, Times};
+
+/// Largest number of rule violations that are listed.
+const MAX_LISTED_VIOLATIONS: usize = 20;
+
+/// Prints all tables.
+pub fn print(scenario: &Day, played: &Played) {
+    print_requests(scenario, played);
+    print_store(played);
+    print_violations(&played.broken);
+    for (name, bound) in &played.bounds {
+        print_bound(name, bound);
+    }
+    if let Some(membership) = &played.known {
+        print_membership(membership);
+    }
+}
+
+fn print_requests(scenario: &Day, played: &Played) {
+    println!(
+        "scenario {} with seed {}: {} requests, {} attempts",
+        scenario.name, scenario.seed, played.whole.calls, played.whole.tries
+    );
+    println!(
+        "{:<16} {:>8} {:>8} {:>9} {:>6} {:>8} {:>8} {:>10}",
+        "fault", "requests", "service", "succeeded", "late", "rejected", "failed", "unanswered"
+    );
+    print_counts("all", &played.whole);
+    for (index, counts) in &played.by_trouble {
+        print_counts(&scenario.troubles[*index].name, counts);
+    }
+    if let Some([p50, p99, p999]) = milletpath_history_checker::latencies(&played.records, PERCENTILES) {
+        println!("successful attempts took: p50 {p50:.3} s, p99 {p99:.3} s, p99.9 {p999:.3} s");
+    }
+}
+
+fn print_counts(name: &str, counts: &Counts) {
+    println!(
+        "{name:<16} {:>8} {:>8.3} {:>9} {:>6} {:>8} {:>8} {:>10}",
+        counts.calls,
+        counts.service(),
+        counts.handled,
+        counts.late,
+        counts.bounced,
+        counts.terminated,
+        counts.unanswered
+    );
+}
+
+fn print_store(played: &Played) {
+    println!(
+        "fetches from the store: {}, rejected there: {}; requests that found an instance: {:.3}",
+        played.fetches, played.refusals, played.warm
+    );
+}
+
+fn print_violations(violations: &[Broken]) {
+    match violations.len() {
+        0 => println!("rules: all five kept"),
+        count => println!("rules: broken in {count} places"),
+    }
+    for Broken { rule, at, what } in violations.iter().take(MAX_LISTED_VIOLATIONS) {
+        println!("  rule {rule} at {at:.3} s: {what}");
+    }
+}
+
+fn print_bound(name: &str, Bound { most, bound, broken, places }: &Bound) {
+    println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {broken} times");
+    for place in places {
+        println!("  at {:.3} s: {}", place.at, place.what);
+    }
+}
+
+fn print_membership(membership: &Known) {
+    println!(
+        "membership: {:.1} datagrams and {:.0} bytes a second of each gateway",
+        membership.letters, membership.bytes
+    );
+    println!("  false reports: {} suspects, {} dead", membership.false_suspicions, membership.false_deaths);
+    print_times("death", &membership.death);
+    print_times("join", &membership.join);
+    print_times("healing", &membership.healing);
+}
+
+fn print_times(event: &str, Times { p50, p99, learnt, never }: &Times) {
+    if let (Some(p50), Some(p99)) = (p50, p99) {
+        println!("  {event} known after: p50 {p50:.2} s, p99 {p99:.2} s ({learnt} times; {never} not)");
+    }
+}
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -1,131 +1,163 @@
-//! `milletpath serve`.
+//! `milletpath serve`: reads the configuration, opens the sockets, and runs a gateway until the process is asked to end.
+//!
+//! 1. [`config_file`] reads the configuration; without a file, [`built_in_fleet`] starts emulated workers and gives one.
+//! 2. [`run_gateway`] opens the sockets for clients, for other gateways and for changes of the configuration, and prints
+//!    their addresses.
+//! 3. [`milletpath_gateway::serve_with_faults`] serves. SIGTERM completes [`shutdown_requested`]; the gateway then finishes
+//!    its open requests and returns.
 
+mod fault_commands;
+
+use crate::async_runtime::{self, RuntimeError};
+use crate::built_in_fleet::{self, BuiltInFleetError};
+use crate::config_file::{self, ConfigFileError};
+use crate::exit_status::{CommandError, ExitStatus};
+use crate::shutdown_signal::shutdown_requested;
+use clap::Args;
+use fault_commands::parse_injected_fault;
 use milletpath_config::GatewayConfig;
-use milletpath_gateway::{ConfigFeed, FaultInjection, InjectedFault, Links, MembershipLink};
-use milletpath_process_environment::signals::{SIGINT, SIGTERM, SignalReceiver};
-use std::io::Write;
-use std::path::Path;
-use std::process::ExitCode;
-use tokio::sync::mpsc::UnboundedSender;
+use milletpath_gateway::{ConfigFeed, ControlThreadError, InjectedFault, Links, MembershipLink};
+use milletpath_process_environment::listener::listen;
+use std::io::{self, Write};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::PathBuf;
+use tokio::net::TcpListener;
 
-/// How it is to be run, beside the charter.
-pub struct How {
-    pub cores: Option<u8>,
-    pub stir: bool,
-    pub plant: Option<String>,
+/// What `serve` is started with.
+#[derive(Args)]
+pub struct Options {
+    /// The configuration file; without it, a built-in configuration with emulated workers in this process
+    #[arg(long = "charter", value_name = "FILE")]
+    config_file: Option<PathBuf>,
+    /// Threads that handle requests, in place of the number that the configuration sets
+    #[arg(long, value_parser = clap::value_parser!(u8).range(1..=63))]
+    cores: Option<u8>,
+    /// Read faults to inject into cores from standard input, one a line
+    #[arg(long = "stir", hide = true)]
+    reads_faults: bool,
+    /// A fault to run with, so that tests see that it is found
+    #[arg(long = "plant", hide = true, value_parser = parse_injected_fault)]
+    injected_fault: Option<InjectedFault>,
 }
 
-pub fn serve(charter: Option<&Path>, how: &How) -> ExitCode {
-    let plant = match how.plant.as_deref() {
-        None => None,
-        Some("likely-count") => Some(InjectedFault::LikelyCount),
-        Some(other) => {
-            eprintln!("no fault is called {other}; known: likely-count");
-            return ExitCode::from(2);
-        }
-    };
-    let house = match charter.map(crate::read).transpose() {
-        Ok(house) => house,
-        Err(code) => return code,
-    };
-    let run = async |mut house: GatewayConfig, inside| {
-        house.limits.cores = how.cores.map_or(house.limits.cores, usize::from);
-        run(house, inside, how.stir, plant).await
-    };
-    crate::local(async move {
-        match house {
-            Some(house) => run(house, false).await,
-            None => match crate::workers::inside().await {
-                Ok(house) => run(house, true).await,
-                Err(code) => code,
-            },
-        }
-    })
+/// Why a gateway does not serve.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The configuration file can't be used.
+    #[error(transparent)]
+    ConfigFile(#[from] ConfigFileError),
+    /// The emulated workers of the built-in configuration can't start.
+    #[error(transparent)]
+    BuiltInFleet(#[from] BuiltInFleetError),
+    /// The runtime of the accepting thread can't start.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// The socket for clients can't be opened.
+    #[error("{address} can't be listened on: {source}; change listen in the configuration")]
+    Listen { address: SocketAddr, source: io::Error },
+    /// The socket for membership and shared budgets can't be opened.
+    #[error("the socket for other gateways can't be opened: {0}; change section peers of the configuration")]
+    MembershipLink(#[source] ControlThreadError),
+    /// The socket for changes of the configuration can't be opened.
+    #[error(
+        "the socket for configuration changes can't be opened: {0}; change section changes of the configuration"
+    )]
+    ConfigFeed(#[source] ControlThreadError),
 }
 
-async fn run(house: GatewayConfig, inside: bool, stir: bool, plant: Option<InjectedFault>) -> ExitCode {
-    let mut bound = milletpath_process_environment::listener::listen(house.listen);
-    if bound.is_err() && inside {
-        // The built-in charter's port is taken: any other will do.
-        bound = milletpath_process_environment::listener::listen((std::net::Ipv4Addr::LOCALHOST, 0).into());
-    }
-    let listener = match bound {
-        Ok(listener) => listener,
-        Err(e) => {
-            eprintln!("{} can't be listened on: {e}; change listen in the charter", house.listen);
-            return ExitCode::FAILURE;
+impl CommandError for ServeError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            Self::ConfigFile(error) => error.exit_status(),
+            _ => ExitStatus::Failure,
         }
-    };
-    let link = match house.membership.as_ref().map(|peers| MembershipLink::open(peers, plant)).transpose() {
-        Ok(link) => link,
-        Err(e) => {
-            eprintln!("the link to the other gateways can't be opened: {e}; change peers in the charter");
-            return ExitCode::FAILURE;
-        }
-    };
-    if let Some(address) = link.as_ref().and_then(|link| link.address().ok()) {
-        tracing::info!(%address, "hears other gateways");
-        say(&format!("peers on udp://{address}"));
     }
-    let feed = match house.config_log.as_ref().map(ConfigFeed::open).transpose() {
-        Ok(feed) => feed,
-        Err(e) => {
-            eprintln!("changes can't be heard: {e}; change changes in the charter");
-            return ExitCode::FAILURE;
-        }
-    };
-    if let Some(address) = feed.as_ref().and_then(|feed| feed.address().ok()) {
-        tracing::info!(%address, "hears changes");
-        say(&format!("changes on udp://{address}"));
-    }
-    if let Ok(address) = listener.local_addr() {
-        tracing::info!(%address, "listening");
-        // For whoever started it with port 0.
-        say(&format!("listening on http://{address}"));
-        if inside {
-            say(&format!("try: curl -d hello http://{address}/v1/functions/greet/activations"));
+}
+
+/// Where the configuration came from.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ConfigSource {
+    File,
+    BuiltIn,
+}
+
+/// Serves until the process is asked to end.
+///
+/// # Errors
+///
+/// The configuration can't be used, or a socket can't be opened.
+pub fn run(options: &Options) -> Result<ExitStatus, ServeError> {
+    let config = options.config_file.as_deref().map(config_file::read).transpose()?;
+    async_runtime::block_on(async {
+        match config {
+            Some(config) => run_gateway(config, ConfigSource::File, options).await,
+            None => run_gateway(built_in_fleet::start().await?, ConfigSource::BuiltIn, options).await,
         }
-    }
-    let (tell, stirs) = tokio::sync::mpsc::unbounded_channel();
-    if stir {
-        std::thread::spawn(move || {
-            std::io::stdin().lines().map_while(Result::ok).for_each(|l| take(&l, &tell));
-        });
-    }
-    let links = Links { peers: link, changes: feed };
-    let tally = milletpath_gateway::serve_with_faults(house, listener, links, stop(), stirs).await;
-    tracing::info!(?tally, "stopped");
-    ExitCode::SUCCESS
+    })?
 }
 
-/// Tells whoever started it; that nobody reads it is no reason not to serve.
-fn say(line: &str) {
-    let _ = writeln!(std::io::stdout(), "{line}");
+async fn run_gateway(
+    mut config: GatewayConfig,
+    source: ConfigSource,
+    options: &Options,
+) -> Result<ExitStatus, ServeError> {
+    config.limits.cores = options.cores.map_or(config.limits.cores, usize::from);
+    let listener = open_listener(config.listen, source)?;
+    let links = Links {
+        peers: open_membership_link(&config, options.injected_fault)?,
+        changes: open_config_feed(&config)?,
+    };
+    announce_listener(&listener, source);
+    let faults = fault_commands::receive(options.reads_faults);
+    let stop = shutdown_requested();
+    let counters = milletpath_gateway::serve_with_faults(config, listener, links, stop, faults).await;
+    tracing::info!(?counters, "stopped");
+    Ok(ExitStatus::Success)
 }
 
-/// One line of mischief: the core, what befalls it, and for how many seconds.
-fn take(line: &str, tell: &UnboundedSender<(usize, FaultInjection)>) {
-    let mut words = line.split_whitespace();
-    let (core, what, seconds) = (words.next(), words.next(), words.next());
-    let stir = match (what, seconds.and_then(|s| s.parse::<f64>().ok())) {
-        (Some("stall"), Some(seconds)) if (0.0..=60.0).contains(&seconds) => FaultInjection::Stall(seconds),
-        (Some("panic"), _) => FaultInjection::Panic,
-        (Some("break"), _) => FaultInjection::DispatcherPanic,
-        _ => return tracing::warn!(line, "no mischief of that kind"),
+/// Opens the socket for clients. The built-in configuration takes another port where its own is in use.
+fn open_listener(address: SocketAddr, source: ConfigSource) -> Result<TcpListener, ServeError> {
+    let opened = match listen(address) {
+        Err(_) if source == ConfigSource::BuiltIn => listen((Ipv4Addr::LOCALHOST, 0).into()),
+        opened => opened,
     };
-    if let Some(core) = core.and_then(|c| c.parse().ok()) {
-        let _ = tell.send((core, stir));
+    opened.map_err(|source| ServeError::Listen { address, source })
+}
+
+fn open_membership_link(
+    config: &GatewayConfig,
+    injected_fault: Option<InjectedFault>,
+) -> Result<Option<MembershipLink>, ServeError> {
+    let Some(settings) = &config.membership else { return Ok(None) };
+    let link = MembershipLink::open(settings, injected_fault).map_err(ServeError::MembershipLink)?;
+    if let Ok(address) = link.address() {
+        tracing::info!(%address, "listening for other gateways");
+        announce(&format!("peers on udp://{address}"));
     }
+    Ok(Some(link))
 }
 
-/// SIGTERM, or Ctrl-C on a terminal.
-pub async fn stop() {
-    let (Ok(mut term), Ok(mut int)) = (SignalReceiver::new(SIGTERM), SignalReceiver::new(SIGINT)) else {
-        tracing::error!("signals can't be heard; end the process outright");
-        return std::future::pending().await;
-    };
-    tokio::select! {
-        () = term.next() => {}
-        () = int.next() => {}
+fn open_config_feed(config: &GatewayConfig) -> Result<Option<ConfigFeed>, ServeError> {
+    let Some(settings) = &config.config_log else { return Ok(None) };
+    let feed = ConfigFeed::open(settings).map_err(ServeError::ConfigFeed)?;
+    if let Ok(address) = feed.address() {
+        tracing::info!(%address, "listening for configuration changes");
+        announce(&format!("changes on udp://{address}"));
     }
+    Ok(Some(feed))
+}
+
+fn announce_listener(listener: &TcpListener, source: ConfigSource) {
+    let Ok(address) = listener.local_addr() else { return };
+    tracing::info!(%address, "listening for clients");
+    announce(&format!("listening on http://{address}"));
+    if source == ConfigSource::BuiltIn {
+        announce(&format!("try: curl -d hello http://{address}/v1/functions/greet/activations"));
+    }
+}
+
+/// Prints a line on standard output for the program that started this one, which learns the addresses by it. The gateway
+/// serves also where nobody reads it.
+fn announce(line: &str) {
+    let _ = writeln!(io::stdout(), "{line}");
 }
--- /dev/null
+++ b/crates/milletpath/src/serve/fault_commands.rs
@@ -0,0 +1,89 @@
+//! Faults that tests inject: one that lasts, given on the command line, and faults of single cores, which are read
+//! from standard input while the gateway runs.
+
+use milletpath_gateway::{FaultInjection, InjectedFault};
+use std::str::FromStr;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+
+/// The longest stall of a core, in seconds.
+const MAX_STALL: f64 = 60.0;
+
+/// The command line names a fault that does not exist.
+#[derive(Debug, thiserror::Error)]
+#[error("unknown fault {0}; write likely-count")]
+pub struct UnknownFaultError(String);
+
+/// The fault of that name.
+///
+/// # Errors
+///
+/// There is no such fault.
+pub fn parse_injected_fault(name: &str) -> Result<InjectedFault, UnknownFaultError> {
+    match name {
+        "likely-count" => Ok(InjectedFault::LikelyCount),
+        _ => Err(UnknownFaultError(name.to_owned())),
+    }
+}
+
+/// A line of standard input: `CORE stall SECONDS`, `CORE panic` or `CORE break`.
+#[derive(Debug, PartialEq)]
+struct FaultCommand {
+    /// The core, from 0; the number behind the last one is the supervisor.
+    core: usize,
+    fault: FaultInjection,
+}
+
+/// Why a line is no fault command.
+#[derive(Debug, PartialEq, thiserror::Error)]
+enum FaultCommandError {
+    #[error("the line does not begin with the number of a core")]
+    Core,
+    #[error("unknown fault; write stall SECONDS (up to {MAX_STALL}), panic or break")]
+    Fault,
+}
+
+impl FromStr for FaultCommand {
+    type Err = FaultCommandError;
+
+    fn from_str(line: &str) -> Result<Self, FaultCommandError> {
+        let mut words = line.split_whitespace();
+        let core = words.next().and_then(|word| word.parse().ok()).ok_or(FaultCommandError::Core)?;
+        let (name, argument) = (words.next(), words.next());
+        let fault = match name {
+            Some("stall") => FaultInjection::Stall(parse_stall(argument)?),
+            Some("panic") => FaultInjection::Panic,
+            Some("break") => FaultInjection::DispatcherPanic,
+            _ => return Err(FaultCommandError::Fault),
+        };
+        Ok(Self { core, fault })
+    }
+}
+
+fn parse_stall(seconds: Option<&str>) -> Result<f64, FaultCommandError> {
+    let seconds = seconds.and_then(|word| word.parse().ok());
+    seconds.filter(|seconds| (0.0..=MAX_STALL).contains(seconds)).ok_or(FaultCommandError::Fault)
+}
+
+/// The faults that standard input asks for; none unless `reads_input`.
+pub fn receive(reads_input: bool) -> UnboundedReceiver<(usize, FaultInjection)> {
+    let (sender, receiver) = unbounded_channel();
+    if reads_input {
+        std::thread::spawn(move || read_input(&sender));
+    }
+    receiver
+}
+
+fn read_input(sender: &UnboundedSender<(usize, FaultInjection)>) {
+    for line in std::io::stdin().lines().map_while(Result::ok) {
+        match line.parse() {
+            Ok(FaultCommand { core, fault }) => drop(sender.send((core, fault))),
+            Err(error) => {
+                let error: FaultCommandError = error;
+                tracing::warn!(line, %error, "a fault command is ignored");
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -1,55 +1,85 @@
-//! Stand-in workers: alone by a charter's list, or inside a gateway that was given no charter.
+//! `milletpath workers`: emulated workers alone, at the addresses that a configuration file lists.
 
-use milletpath_config::{GatewayConfig, WorkerSource};
+use crate::async_runtime::{self, RuntimeError};
+use crate::config_file::{self, ConfigFileError};
+use crate::exit_status::{CommandError, ExitStatus};
+use crate::shutdown_signal::shutdown_requested;
+use clap::Args;
+use milletpath_config::WorkerSource;
+use milletpath_emulator::hall::Hall;
 use milletpath_emulator::small::{MAKE, hall};
 use milletpath_emulator::worker::Worker;
-use std::path::Path;
-use std::process::ExitCode;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// `milletpath workers`.
-pub fn workers(charter: &Path) -> ExitCode {
-    let house = match crate::read(charter) {
-        Ok(house) => house,
-        Err(code) => return code,
-    };
-    let WorkerSource::List(list) = house.source else {
-        eprintln!("{}: names a registry; stand-in workers need a list of workers", charter.display());
-        return ExitCode::from(2);
+/// Seeds the random numbers of the emulated workers.
+const SEED: u64 = 1;
+
+/// What `workers` is started with.
+#[derive(Args)]
+pub struct Options {
+    /// The configuration file that lists the workers
+    #[arg(long = "charter", value_name = "FILE")]
+    config_file: PathBuf,
+}
+
+/// Why the emulated workers don't run.
+#[derive(Debug, thiserror::Error)]
+pub enum WorkersError {
+    /// The configuration file can't be used.
+    #[error(transparent)]
+    ConfigFile(#[from] ConfigFileError),
+    /// The configuration lists no workers, but names a registry.
+    #[error("{}: names a registry; emulated workers need a list of workers", .0.display())]
+    Registry(PathBuf),
+    /// The runtime can't start.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// A worker's address is in use, or not this machine's.
+    #[error("worker {name} can't listen on {address}: {source}")]
+    Listen { name: String, address: SocketAddr, source: io::Error },
+}
+
+impl CommandError for WorkersError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            Self::ConfigFile(error) => error.exit_status(),
+            Self::Registry(_) => ExitStatus::InvalidInput,
+            Self::Runtime(_) | Self::Listen { .. } => ExitStatus::Failure,
+        }
+    }
+}
+
+/// Runs the workers until the process is asked to end.
+///
+/// # Errors
+///
+/// The configuration can't be used, or a worker can't listen.
+pub fn run(options: &Options) -> Result<ExitStatus, WorkersError> {
+    let config = config_file::read(&options.config_file)?;
+    let WorkerSource::List(workers) = config.source else {
+        return Err(WorkersError::Registry(options.config_file.clone()));
     };
-    crate::local(async move {
-        let hall = hall(1);
-        for (number, entry) in list.iter().enumerate() {
-            let started = TcpListener::bind(entry.address)
-                .await
-                .and_then(|l| Worker::on(hall.clone(), number, 0, MAKE, -MAKE.warm_up, vec![l]));
-            if let Err(e) = started {
-                eprintln!("worker {} can't listen on {}: {e}", entry.name, entry.address);
-                return ExitCode::FAILURE;
-            }
-            println!("worker {} on {}", entry.name, entry.address);
+    async_runtime::block_on(async {
+        let hall = hall(SEED);
+        for (number, worker) in workers.iter().enumerate() {
+            start(&hall, number, worker.address).await.map_err(|source| WorkersError::Listen {
+                name: worker.name.clone(),
+                address: worker.address,
+                source,
+            })?;
+            println!("worker {} on {}", worker.name, worker.address);
         }
-        crate::serve::stop().await;
-        ExitCode::SUCCESS
-    })
+        shutdown_requested().await;
+        Ok(ExitStatus::Success)
+    })?
 }
 
-/// The built-in charter, with stand-in workers that run in this process.
-pub async fn inside() -> Result<GatewayConfig, ExitCode> {
-    const WORKERS: usize = 3;
-    let hall = hall(1);
-    let mut text = include_str!("inside.hcl").to_owned();
-    text.push_str("workers {\n");
-    for number in 0..WORKERS {
-        let worker = Worker::start(hall.clone(), number, 0, MAKE, -MAKE.warm_up, 1).await.map_err(|e| {
-            eprintln!("a stand-in worker can't start: {e}");
-            ExitCode::FAILURE
-        })?;
-        text.push_str(&format!("  worker \"inside-{number}\" {{ address = \"{}\" }}\n", worker.addresses[0]));
-    }
-    text.push_str("}\n");
-    milletpath_config::read(&text).map_err(|mistakes| {
-        mistakes.iter().for_each(|mistake| eprintln!("the built-in charter:{mistake}"));
-        ExitCode::FAILURE
-    })
+async fn start(hall: &Rc<Hall>, number: usize, address: SocketAddr) -> io::Result<()> {
+    let listener = TcpListener::bind(address).await?;
+    Worker::on(hall.clone(), number, 0, MAKE, -MAKE.warm_up, vec![listener])?;
+    Ok(())
 }
