--- a/crates/milletpath/benches/cores.rs
+++ b/crates/milletpath/benches/cores.rs
@@ -1,117 +1,156 @@
-//! What more cores bring: the gateway with 1, 2, 4 and 8 of them, instant workers, interleaved in one run.
+//! What more cores bring: the gateway with 1, 2, 4 and 8 of them, workers that answer at once, interleaved in one run.
 //!
-//! `cargo bench -p milletpath --bench cores` prints, for each: calls a second of a closed loop, CPU a call, how much
-//! the busiest core does over the mean; then latencies at 760 calls a second. With one and two cores the gateway has
+//! `cargo bench -p milletpath --bench cores` prints, for each: requests a second of a closed loop, CPU a request, how much
+//! the busiest core does over the mean; then latencies at 760 requests a second. With one and two cores the gateway has
 //! the first processors to itself and the load the last two; with more all share what there is. `-- --earlier PROGRAM`
 //! adds an earlier build, on the first processor.
 
 mod load;
 
-use load::{closed, cpu, gateway, open_loop, workers};
+use load::flag_value;
+use load::gateway_process::{process_cpu, start_gateway, start_program, thread_cpus};
+use load::instant_workers::start_workers;
+use load::request_loops::{closed_loop, open_loop};
+use load::statistics::{median, merge, percentiles};
 use milletpath_emulator::running::Running;
 use nix::sched::{CpuSet, sched_setaffinity};
 use nix::unistd::Pid;
 use std::net::SocketAddr;
 
 const ROUNDS: usize = 3;
+
+/// Seconds of a round.
 const SECONDS: f64 = 3.0;
+
+/// Seconds of a first round, in which instances are loaded and connections opened.
+const WARM_UP_SECONDS: f64 = 1.0;
+
+/// Cores of the gateways.
 const CORES: [usize; 4] = [1, 2, 4, 8];
-/// Threads of the load, and connections of each.
-const LOADERS: usize = 2;
+
+/// Threads that send requests.
+const CLIENT_THREADS: usize = 2;
+
+/// Connections of each of these threads.
 const CONNECTIONS: usize = 32;
 
-/// Keeps this thread, and what it starts from here on, on some processors.
-fn on(processors: impl Iterator<Item = usize>) {
-    let mut set = CpuSet::new();
-    processors.for_each(|n| set.set(n).expect("a processor"));
-    sched_setaffinity(Pid::from_raw(0), &set).expect("to be pinned");
+/// Processors below which gateways and load get in each other's way.
+const MIN_PROCESSORS: usize = 4;
+
+/// What one round measured.
+struct Round {
+    /// Requests answered a second.
+    rate: f64,
+    /// Microseconds of CPU a request.
+    cost: f64,
+    /// CPU of the busiest core over the mean of the cores.
+    busiest: f64,
 }
 
-/// CPU used by each core's thread, in hundredths of a second.
-fn by_core(under: &Running) -> Vec<f64> {
-    let tasks = std::fs::read_dir(format!("/proc/{}/task", under.child.id())).expect("its threads");
-    let ticks = |path: std::path::PathBuf| {
-        let text = std::fs::read_to_string(path.join("stat")).ok()?;
-        let (name, rest) = text.split_once('(')?.1.rsplit_once(')')?;
-        let fields: Vec<&str> = rest.split_whitespace().collect();
-        let of = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok());
-        name.starts_with("core-").then_some(of(11)? + of(12)?)
-    };
-    tasks.filter_map(|t| ticks(t.ok()?.path())).collect()
+/// A gateway under load.
+struct Target {
+    name: String,
+    process: Running,
+    rounds: Vec<Round>,
 }
 
-fn main() {
-    let all = std::thread::available_parallelism().expect("a count").get();
-    assert!(all >= 4, "four processors are needed: two for the load");
-    on(all - 2..all);
-    let workers: Vec<SocketAddr> = workers(2).into_iter().chain(workers(2)).collect();
-    let mut gateways: Vec<Running> = CORES
-        .iter()
-        .map(|&cores| {
-            on(0..if cores <= 2 { cores } else { all });
-            gateway(&workers, cores)
-        })
-        .collect();
-    let mut names: Vec<String> = CORES.iter().map(|c| format!("{c} cores")).collect();
-    let mut args = std::env::args().skip_while(|a| a != "--earlier").skip(1);
-    if let Some(program) = args.next() {
-        on(0..1);
-        gateways.push(load::gateway_of(&program, &workers, ""));
-        names.push("earlier".into());
+impl Target {
+    fn new(name: String, process: Running) -> Self {
+        Self { name, process, rounds: Vec::new() }
     }
-    on(all - 2..all);
-    let mut found = vec![Vec::new(); gateways.len()];
-    for _ in 0..ROUNDS {
-        for (under, found) in gateways.iter().zip(&mut found) {
-            if under.child.id() > 0 && found.is_empty() {
-                // A first round in which instances and connections get known.
-                closed(under.address, CONNECTIONS, 1.0);
-            }
-            let (before, cores) = (cpu(under), by_core(under));
-            let at = under.address;
-            let loaders: Vec<_> =
-                (0..LOADERS).map(|_| std::thread::spawn(move || closed(at, CONNECTIONS, SECONDS))).collect();
-            let rate: f64 = loaders.into_iter().map(|l| l.join().expect("a loader")).sum();
-            let used: Vec<f64> =
-                by_core(under).iter().zip(cores).map(|(after, before)| after - before).collect();
-            let mean = used.iter().sum::<f64>() / used.len() as f64;
-            let busiest = used.iter().copied().fold(0.0, f64::max) / mean.max(1e-9);
-            found.push((rate, (cpu(under) - before) * 1e6 / (rate * SECONDS), busiest));
+
+    fn measure(&mut self) {
+        if self.rounds.is_empty() {
+            closed_loop(self.process.address, CONNECTIONS, WARM_UP_SECONDS);
         }
+        let (cpu_before, cores_before) = (process_cpu(&self.process), core_cpus(&self.process));
+        let rate = load_from_threads(self.process.address);
+        let cpu = process_cpu(&self.process) - cpu_before;
+        let cores_after = core_cpus(&self.process);
+        let used: Vec<f64> =
+            cores_after.iter().zip(cores_before).map(|(after, before)| after - before).collect();
+        let mean = used.iter().sum::<f64>() / used.len() as f64;
+        let busiest = used.iter().copied().fold(0.0, f64::max) / mean.max(1e-9);
+        self.rounds.push(Round { rate, cost: cpu * 1e6 / (rate * SECONDS), busiest });
+    }
+
+    fn median(&self, value: impl Fn(&Round) -> f64) -> f64 {
+        median(self.rounds.iter().map(value).collect())
+    }
+}
+
+/// Pins this thread, and what it starts from here on, to some processors.
+fn pin_to(processors: impl Iterator<Item = usize>) {
+    let mut set = CpuSet::new();
+    processors.for_each(|processor| set.set(processor).expect("a processor"));
+    sched_setaffinity(Pid::from_raw(0), &set).expect("the thread is pinned");
+}
+
+/// Seconds of CPU that each core's thread used.
+fn core_cpus(process: &Running) -> Vec<f64> {
+    let cores = thread_cpus(process).into_iter().filter(|thread| thread.name.starts_with("core-"));
+    cores.map(|core| core.seconds).collect()
+}
+
+/// Requests answered a second to all client threads together.
+fn load_from_threads(address: SocketAddr) -> f64 {
+    let client = || std::thread::spawn(move || closed_loop(address, CONNECTIONS, SECONDS));
+    let clients: Vec<_> = (0..CLIENT_THREADS).map(|_| client()).collect();
+    clients.into_iter().map(|client| client.join().expect("a client thread")).sum()
+}
+
+/// The gateways, each started on the processors that it may use.
+fn start_targets(workers: &[SocketAddr], processors: usize) -> Vec<Target> {
+    let mut targets = Vec::new();
+    for cores in CORES {
+        pin_to(0..if cores <= 2 { cores } else { processors });
+        targets.push(Target::new(format!("{cores} cores"), start_gateway(workers, cores)));
     }
-    let middle = |mut of: Vec<f64>| {
-        of.sort_by(f64::total_cmp);
-        of[of.len() / 2]
-    };
-    println!(
-        "closed loop of {} connections, median of {ROUNDS} rounds of {SECONDS} s",
-        LOADERS * CONNECTIONS
-    );
-    let one = middle(found[0].iter().map(|f| f.0).collect());
-    for (name, found) in names.iter().zip(&found) {
-        let [rate, cost, busiest] =
-            [|f: &(f64, f64, f64)| f.0, |f: &(f64, f64, f64)| f.1, |f: &(f64, f64, f64)| f.2]
-                .map(|of| middle(found.iter().map(of).collect()));
+    if let Some(program) = flag_value("--earlier") {
+        pin_to(0..1);
+        targets.push(Target::new("earlier".into(), start_program(&program, workers, "")));
+    }
+    targets
+}
+
+fn print_rates(targets: &[Target]) {
+    let connections = CLIENT_THREADS * CONNECTIONS;
+    println!("closed loop of {connections} connections, median of {ROUNDS} rounds of {SECONDS} s");
+    let rate_of_one = targets[0].median(|round| round.rate);
+    for target in targets {
+        let (rate, cost) = (target.median(|round| round.rate), target.median(|round| round.cost));
+        let busiest = target.median(|round| round.busiest);
         println!(
-            "{name}: {rate:>7.0} calls/s ({:.2}), {cost:.1} us CPU a call, busiest core {busiest:.2} of \
-             the mean",
-            rate / one
+            "{}: {rate:>7.0} requests/s ({:.2}), {cost:.1} us CPU a request, busiest core {busiest:.2} of the mean",
+            target.name,
+            rate / rate_of_one
         );
     }
-    let addresses: Vec<SocketAddr> = gateways.iter().map(|g| g.address).collect();
-    // One at a time at the full rate, turn about in short pieces.
-    let mut latencies: Vec<Option<hdrhistogram::Histogram<u64>>> = vec![None; gateways.len()];
+}
+
+/// One gateway at a time at the full rate, in turn and in short pieces.
+fn print_latencies(targets: &[Target]) {
+    let mut latencies = vec![Vec::new(); targets.len()];
     for _ in 0..ROUNDS {
-        for (at, all) in addresses.iter().zip(&mut latencies) {
-            let piece = open_loop(&[*at], 3.0).remove(0);
-            match all {
-                Some(all) => all.add(piece).expect("the same bounds"),
-                None => *all = Some(piece),
-            }
+        for (target, latencies) in targets.iter().zip(&mut latencies) {
+            latencies.extend(open_loop(&[target.process.address], SECONDS));
         }
     }
-    for (name, h) in names.iter().zip(latencies.iter().flatten()) {
-        let at = |q| h.value_at_quantile(q) as f64 / 1e3;
-        println!("{name} at 760/s: p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms", at(0.5), at(0.99), at(0.999));
+    for (target, latencies) in targets.iter().zip(&latencies) {
+        println!("{} at 760/s: {}", target.name, percentiles(&merge(latencies)));
+    }
+}
+
+fn main() {
+    let processors = std::thread::available_parallelism().expect("a count").get();
+    assert!(processors >= MIN_PROCESSORS, "{MIN_PROCESSORS} processors are needed: two for the load");
+    pin_to(processors - 2..processors);
+    let workers: Vec<_> = start_workers(2).into_iter().chain(start_workers(2)).collect();
+    let mut targets = start_targets(&workers, processors);
+    pin_to(processors - 2..processors);
+    for _ in 0..ROUNDS {
+        targets.iter_mut().for_each(Target::measure);
     }
+    print_rates(&targets);
+    print_latencies(&targets);
 }
--- /dev/null
+++ b/crates/milletpath/benches/load/gateway_process.rs
@@ -0,0 +1,78 @@
+//! The gateway as a process, and what it uses of the processors.
+
+use milletpath_emulator::running::Running;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::{Command, Stdio};
+
+/// Clock ticks a second of the times in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
+
+/// The fields of user and system time in `/proc/PID/stat`, counted behind the name.
+const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
+
+/// Starts a process that prints where it listens.
+pub fn start(mut command: Command) -> Running {
+    command.stderr(Stdio::null());
+    Running::start(command).expect("the process starts")
+}
+
+/// A gateway of this build with so many cores.
+pub fn start_gateway(workers: &[SocketAddr], cores: usize) -> Running {
+    start_program(env!("CARGO_BIN_EXE_milletpath"), workers, &format!("cores = {cores}\n"))
+}
+
+/// A gateway of another build, whose configuration may know other keys.
+pub fn start_program(program: &str, workers: &[SocketAddr], keys: &str) -> Running {
+    let suffix = keys.trim().replace([' ', '='], "");
+    let name = format!("milletpath-bench-{}-{suffix}.hcl", std::process::id());
+    let path = std::env::temp_dir().join(name);
+    std::fs::write(&path, config_text(workers, keys, "")).expect("a configuration file");
+    serve(program, &path)
+}
+
+/// Starts a program by a configuration file.
+pub fn serve(program: &str, config_file: &Path) -> Running {
+    let mut command = Command::new(program);
+    command.arg("serve").arg("--charter").arg(config_file);
+    start(command)
+}
+
+/// A configuration with these workers, keys and further sections.
+pub fn config_text(workers: &[SocketAddr], keys: &str, sections: &str) -> String {
+    let worker =
+        |(n, address): (usize, &SocketAddr)| format!("  worker \"w{n}\" {{ address = \"{address}\" }}\n");
+    let workers: String = workers.iter().enumerate().map(worker).collect();
+    format!(
+        "listen = \"127.0.0.1:0\"\n{keys}profile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{ lanes = 64 }}\n\
+         workers {{\n{workers}}}\n{sections}"
+    )
+}
+
+/// CPU time of a thread.
+pub struct ThreadCpu {
+    pub name: String,
+    pub seconds: f64,
+}
+
+/// Seconds of CPU that a process used so far.
+pub fn process_cpu(process: &Running) -> f64 {
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.child.id()));
+    stat.ok().and_then(|stat| parse_stat(&stat)).map_or(0.0, |cpu| cpu.seconds)
+}
+
+/// What each thread of a process used so far.
+pub fn thread_cpus(process: &Running) -> Vec<ThreadCpu> {
+    let tasks = std::fs::read_dir(format!("/proc/{}/task", process.child.id())).expect("the process runs");
+    let stats = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
+    stats.filter_map(|stat| parse_stat(&stat)).collect()
+}
+
+/// Name and CPU time of a line of `/proc/PID/stat`.
+fn parse_stat(stat: &str) -> Option<ThreadCpu> {
+    let (name, rest) = stat.split_once('(')?.1.rsplit_once(')')?;
+    let fields: Vec<_> = rest.split_whitespace().collect();
+    let ticks = CPU_TIME_FIELDS.map(|field| fields.get(field).and_then(|text| text.parse::<f64>().ok()));
+    let [user, system] = [ticks[0]?, ticks[1]?];
+    Some(ThreadCpu { name: name.to_owned(), seconds: (user + system) / TICKS_PER_SECOND })
+}
--- /dev/null
+++ b/crates/milletpath/benches/membership.rs
@@ -0,0 +1,108 @@
+//! What membership costs a request: one gateway among 24 that are members of one fleet, and one by itself with the same
+//! configuration, loaded in turn in one run. `cargo bench -p milletpath --bench membership` prints the ratio of their p99
+//! with its interval over rounds, and the CPU of the membership thread.
+
+mod load;
+
+use load::gateway_process::{config_text, serve, thread_cpus};
+use load::instant_workers::start_workers;
+use load::request_loops::open_loop;
+use load::statistics::{geometric_mean, merge, milliseconds, percentiles};
+use milletpath_emulator::running::Running;
+use std::net::{SocketAddr, UdpSocket};
+use std::path::Path;
+use std::time::Duration;
+
+/// Gateways of the fleet.
+const GATEWAYS: usize = 24;
+
+const ROUNDS: usize = 24;
+
+/// Seconds of a round.
+const SECONDS: f64 = 5.0;
+
+/// The time in which the gateways learn of each other.
+const JOIN_TIME: Duration = Duration::from_secs(8);
+
+/// 97.5% of Student's t for 23 degrees of freedom.
+const STUDENT_T: f64 = 2.069;
+
+/// The name of the thread of a gateway's membership.
+const MEMBERSHIP_THREAD: &str = "peers";
+
+fn start_gateway(folder: &Path, name: &str, workers: &[SocketAddr], sections: &str) -> Running {
+    let path = folder.join(format!("{name}.hcl"));
+    let keys = format!("gateways = {GATEWAYS}\ncores = 1\n");
+    std::fs::write(&path, config_text(workers, &keys, sections)).expect("a configuration file");
+    serve(env!("CARGO_BIN_EXE_milletpath"), &path)
+}
+
+/// The gateways that are members of one fleet.
+fn start_fleet(folder: &Path, workers: &[SocketAddr]) -> Vec<Running> {
+    std::fs::write(folder.join("key"), "a secret of more than thirty-two bytes, for benches").expect("a key");
+    let addresses = free_addresses();
+    let start = |(n, address): (usize, &SocketAddr)| {
+        let seed = addresses[0];
+        let section =
+            format!("peers {{\n  listen = \"{address}\"\n  seeds = [\"{seed}\"]\n  key = \"key\"\n}}\n");
+        start_gateway(folder, &format!("g{n}"), workers, &section)
+    };
+    addresses.iter().enumerate().map(start).collect()
+}
+
+/// Free ports, all bound at once so that they differ.
+fn free_addresses() -> Vec<SocketAddr> {
+    let sockets: Vec<_> = (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+    sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect()
+}
+
+/// Seconds of CPU of the membership thread.
+fn membership_cpu(process: &Running) -> f64 {
+    let threads = thread_cpus(process);
+    threads.iter().find(|thread| thread.name == MEMBERSHIP_THREAD).map_or(f64::NAN, |thread| thread.seconds)
+}
+
+/// Loads both gateways in turn, and prints the latencies of each and the ratio of their p99.
+fn compare(member: &Running, alone: &Running) {
+    let (mut of_member, mut of_alone, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
+    for round in 0..ROUNDS {
+        // The one that is loaded first finds the caches as the last round left them: each is first in half of the rounds.
+        let member_is_first = round % 2 == 0;
+        let mut addresses = [member.address, alone.address];
+        if !member_is_first {
+            addresses.reverse();
+        }
+        let mut latencies = open_loop(&addresses, SECONDS);
+        if !member_is_first {
+            latencies.reverse();
+        }
+        let [with, without] = [0, 1].map(|n| milliseconds(&latencies[n], 0.99));
+        println!("round {round:>2}: p99 with membership {with:.3} ms, without {without:.3} ms");
+        ratios.push(with / without);
+        of_alone.extend(latencies.pop());
+        of_member.extend(latencies.pop());
+    }
+    println!("with    {}", percentiles(&merge(&of_member)));
+    println!("without {}", percentiles(&merge(&of_alone)));
+    let ratio = geometric_mean(&ratios, STUDENT_T);
+    println!(
+        "p99 with / without: {:.3} ({:.3} to {:.3}, 95% of {ROUNDS} rounds)",
+        ratio.mean, ratio.low, ratio.high
+    );
+}
+
+fn main() {
+    let folder = std::env::temp_dir().join(format!("milletpath-bench-membership-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let workers = start_workers(4);
+    let fleet = start_fleet(&folder, &workers);
+    let alone = start_gateway(&folder, "alone", &workers, "");
+    std::thread::sleep(JOIN_TIME);
+    let member = &fleet[1];
+    let before = membership_cpu(member);
+    compare(member, &alone);
+    let cpu = membership_cpu(member) - before;
+    let per_second = 1e3 * cpu / (ROUNDS as f64 * SECONDS);
+    println!("the membership thread among {GATEWAYS}: {per_second:.2} ms of CPU a second");
+    let _ = std::fs::remove_dir_all(&folder);
+}
--- a/crates/milletpath/benches/memory.rs
+++ b/crates/milletpath/benches/memory.rs
@@ -1,125 +1,150 @@
-//! What a gateway keeps in memory: after a million functions wanted once, and with 100,000 idle client connections.
-//! The gateway is a process of its own; its resident memory is read from /proc.
+//! What a gateway keeps in memory: after a million functions that were called once, and with 100,000 idle client
+//! connections. The gateway is a process of its own; its resident memory is read from /proc.
 //!
-//! `cargo bench -p milletpath --bench memory`; the limit of open files is raised where that is allowed, and the count
-//! of connections follows it.
+//! `cargo bench -p milletpath --bench memory`; the limit of open files is raised where that is allowed, and the number of
+//! connections follows it.
 
 use milletpath_emulator::running::Running;
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::ops::Range;
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-const ONE_OFFS: usize = 1_000_000;
-const IDLE: usize = 100_000;
+/// Functions that are called once.
+const FUNCTIONS: usize = 1_000_000;
+
+/// Steps after which memory is measured.
+const STEPS: usize = 10;
+
+/// Threads that call functions.
 const CLIENTS: usize = 8;
 
-/// One worker that answers at once, a thread for each connection.
-fn worker() -> SocketAddr {
+/// Idle client connections, where the limit of open files allows them.
+const IDLE_CONNECTIONS: usize = 100_000;
+
+/// Open files that are not client connections.
+const OTHER_FILES: u64 = 500;
+
+/// Connections from one client address, as ports are few.
+const CONNECTIONS_PER_ADDRESS: usize = 20_000;
+
+/// One worker that answers at once, with a thread for each connection.
+fn start_worker() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            std::thread::spawn(move || {
-                let _ = stream.set_nodelay(true);
-                let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-                let mut out = stream;
-                let mut line = String::new();
-                // Calls here have no body: an empty line ends each.
-                while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
-                    if line == "\r\n"
-                        && out.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").is_err()
-                    {
-                        return;
-                    }
-                    line.clear();
-                }
-            });
+            std::thread::spawn(move || answer(stream));
         }
     });
     address
 }
 
-fn gateway(worker: SocketAddr) -> Running {
+/// Answers the requests of one connection. They have no body: an empty line ends each.
+fn answer(mut stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let reader = BufReader::new(stream.try_clone().expect("a handle"));
+    for line in reader.lines().map_while(Result::ok) {
+        if line.is_empty() && stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").is_err() {
+            return;
+        }
+    }
+}
+
+fn start_gateway(worker: SocketAddr) -> Running {
     let path = std::env::temp_dir().join(format!("milletpath-memory-{}.hcl", std::process::id()));
     let text = format!(
         "listen = \"127.0.0.1:0\"\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{ lanes = 64 }}\n\
          workers {{\n  orders = false\n  worker \"w\" {{ address = \"{worker}\" }}\n}}\nlimits {{ connections = 200000 }}\n"
     );
-    std::fs::write(&path, text).expect("a charter");
+    std::fs::write(&path, text).expect("a configuration file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
     command.arg("serve").arg("--charter").arg(&path).stderr(Stdio::null());
     Running::start(command).expect("the gateway starts")
 }
 
 /// Resident memory in MB.
-fn resident(child: &Child) -> f64 {
-    let text = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
-    let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("0");
-    line.split_whitespace().next().and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+fn resident_memory(process: &Child) -> f64 {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", process.id())).unwrap_or_default();
+    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
+    let kilobytes = line.split_whitespace().next().and_then(|number| number.parse::<f64>().ok());
+    kilobytes.unwrap_or(0.0) / 1024.0
 }
 
-/// Calls each of so many functions once.
-fn one_offs(at: SocketAddr, which: std::ops::Range<usize>) -> usize {
-    let mut stream = TcpStream::connect(at).expect("the gateway");
+/// Raises the limit of open files as far as that is allowed; the limit then.
+fn raise_file_limit() -> u64 {
+    let (_, hard) = getrlimit(Resource::RLIMIT_NOFILE).expect("a limit");
+    let wanted = 2 * IDLE_CONNECTIONS as u64 + 1000;
+    // Root may raise the hard limit as well; otherwise what there is must do.
+    let raised = setrlimit(Resource::RLIMIT_NOFILE, wanted, wanted.max(hard)).is_ok();
+    let files = if raised { wanted } else { hard };
+    let _ = setrlimit(Resource::RLIMIT_NOFILE, files, files.max(hard));
+    files
+}
+
+/// Calls each of these functions once; the number of calls that succeeded.
+fn call_functions(gateway: SocketAddr, functions: Range<usize>) -> usize {
+    let mut stream = TcpStream::connect(gateway).expect("the gateway listens");
     let _ = stream.set_nodelay(true);
-    let (mut bytes, mut handled) = ([0u8; 4096], 0);
-    for n in which {
-        let call = format!(
+    let (mut buffer, mut succeeded) = ([0u8; 4096], 0);
+    for n in functions {
+        let request = format!(
             "POST /v1/functions/once-{n}/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n"
         );
-        stream.write_all(call.as_bytes()).expect("it is taken");
-        let read = stream.read(&mut bytes).expect("an answer");
-        handled += usize::from(bytes[..read].starts_with(b"HTTP/1.1 200"));
+        stream.write_all(request.as_bytes()).expect("the gateway reads");
+        let size = stream.read(&mut buffer).expect("a response");
+        succeeded += usize::from(buffer[..size].starts_with(b"HTTP/1.1 200"));
     }
-    handled
+    succeeded
 }
 
-fn main() {
-    let (_, hard) = getrlimit(Resource::RLIMIT_NOFILE).expect("a limit");
-    let wanted = 2 * IDLE as u64 + 1000;
-    // Root may raise the hard limit as well; otherwise what there is must do.
-    let raised = setrlimit(Resource::RLIMIT_NOFILE, wanted, wanted.max(hard)).is_ok();
-    let files = if raised { wanted } else { hard };
-    let _ = setrlimit(Resource::RLIMIT_NOFILE, files, files.max(hard));
-    let running = gateway(worker());
-    let (child, at) = (&running.child, running.address);
-    println!("at the start: {:.1} MB", resident(child));
-    let began = Instant::now();
-    for part in 0..10 {
-        let step = ONE_OFFS / 10 / CLIENTS;
-        let clients: Vec<_> = (0..CLIENTS)
-            .map(|c| {
-                let from = part * ONE_OFFS / 10 + c * step;
-                std::thread::spawn(move || one_offs(at, from..from + step))
-            })
-            .collect();
-        let handled: usize = clients.into_iter().map(|c| c.join().unwrap_or(0)).sum();
-        let (done, seconds) = ((part + 1) * ONE_OFFS / 10, began.elapsed().as_secs_f64());
+fn measure_functions(gateway: &Running) {
+    let (address, start) = (gateway.address, Instant::now());
+    let per_step = FUNCTIONS / STEPS;
+    let per_client = per_step / CLIENTS;
+    for step in 0..STEPS {
+        let first_of = |client| step * per_step + client * per_client;
+        let call =
+            |first: usize| std::thread::spawn(move || call_functions(address, first..first + per_client));
+        let clients: Vec<_> = (0..CLIENTS).map(|client| call(first_of(client))).collect();
+        let succeeded: usize = clients.into_iter().map(|client| client.join().unwrap_or(0)).sum();
         println!(
-            "{done} one-off functions after {seconds:.0} s ({handled} of the last handled): {:.1} MB",
-            resident(child)
+            "{} functions called once after {:.0} s ({succeeded} of the last succeeded): {:.1} MB",
+            (step + 1) * per_step,
+            start.elapsed().as_secs_f64(),
+            resident_memory(&gateway.child)
         );
     }
-    let idle = IDLE.min(files as usize - 500);
-    let before = resident(child);
-    // One call each, so that each connection was in use; from several addresses, as ports are few.
-    let mut kept = Vec::with_capacity(idle);
-    for n in 0..idle {
-        let from = SocketAddr::from((Ipv4Addr::new(127, 0, 1, (n / 20_000) as u8 + 1), 0));
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.bind(&from.into()).expect("an address");
-        socket.connect(&at.into()).expect("the gateway");
-        let mut stream: TcpStream = socket.into();
-        stream.write_all(b"GET /health/live HTTP/1.1\r\nhost: g\r\n\r\n").expect("it is taken");
-        let mut bytes = [0u8; 1024];
-        let _ = stream.read(&mut bytes);
-        kept.push(stream);
-    }
-    let after = resident(child);
-    let each = (after - before) * 1024.0 / idle as f64;
-    println!("{idle} idle client connections: {before:.1} to {after:.1} MB, {each:.1} KB each");
-    drop(kept);
+}
+
+/// Opens a connection from one of several addresses, and uses it once.
+fn open_connection(gateway: SocketAddr, number: usize) -> TcpStream {
+    let host = (number / CONNECTIONS_PER_ADDRESS) as u8 + 1;
+    let from = SocketAddr::from((Ipv4Addr::new(127, 0, 1, host), 0));
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket.bind(&from.into()).expect("an address");
+    socket.connect(&gateway.into()).expect("the gateway listens");
+    let mut stream: TcpStream = socket.into();
+    stream.write_all(b"GET /health/live HTTP/1.1\r\nhost: g\r\n\r\n").expect("the gateway reads");
+    let _ = stream.read(&mut [0u8; 1024]);
+    stream
+}
+
+fn measure_idle_connections(gateway: &Running, count: usize) {
+    let before = resident_memory(&gateway.child);
+    let connections: Vec<_> = (0..count).map(|number| open_connection(gateway.address, number)).collect();
+    let after = resident_memory(&gateway.child);
+    let each = (after - before) * 1024.0 / count as f64;
+    println!("{count} idle client connections: {before:.1} to {after:.1} MB, {each:.1} KB each");
+    drop(connections);
+}
+
+fn main() {
+    let files = raise_file_limit();
+    let gateway = start_gateway(start_worker());
+    println!("at the start: {:.1} MB", resident_memory(&gateway.child));
+    measure_functions(&gateway);
+    measure_idle_connections(&gateway, IDLE_CONNECTIONS.min((files - OTHER_FILES) as usize));
 }
