--- a/crates/milletpath/benches/calls.rs
+++ b/crates/milletpath/benches/calls.rs
@@ -12,7 +12,7 @@
 use load::request_loops::{closed_loop, open_loop};
 use load::statistics::{median, milliseconds, percentiles};
 use load::{block_on, flag_value};
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use std::net::SocketAddr;
 use std::process::Command;
 
@@ -31,7 +31,7 @@
 /// What a program cost, a value a round.
 struct Measured {
     name: &'static str,
-    process: Running,
+    process: GatewayProcess,
     /// Requests answered a second.
     rates: Vec<f64>,
     /// Microseconds of CPU a request.
@@ -39,7 +39,7 @@
 }
 
 impl Measured {
-    fn new(name: &'static str, process: Running) -> Self {
+    fn new(name: &'static str, process: GatewayProcess) -> Self {
         Self { name, process, rates: Vec::new(), costs: Vec::new() }
     }
 
@@ -53,7 +53,7 @@
     }
 }
 
-fn start_relay(worker: SocketAddr) -> Running {
+fn start_relay(worker: SocketAddr) -> GatewayProcess {
     let mut command = Command::new(std::env::current_exe().expect("this program"));
     command.arg(relay::FLAG).arg(worker.to_string());
     start(command)
--- a/crates/milletpath/benches/cores.rs
+++ b/crates/milletpath/benches/cores.rs
@@ -12,7 +12,7 @@
 use load::instant_workers::start_workers;
 use load::request_loops::{closed_loop, open_loop};
 use load::statistics::{median, merge, percentiles};
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use nix::sched::{CpuSet, sched_setaffinity};
 use nix::unistd::Pid;
 use std::net::SocketAddr;
@@ -50,12 +50,12 @@
 /// A gateway under load.
 struct Target {
     name: String,
-    process: Running,
+    process: GatewayProcess,
     rounds: Vec<Round>,
 }
 
 impl Target {
-    fn new(name: String, process: Running) -> Self {
+    fn new(name: String, process: GatewayProcess) -> Self {
         Self { name, process, rounds: Vec::new() }
     }
 
@@ -87,7 +87,7 @@
 }
 
 /// Seconds of CPU that each core's thread used.
-fn core_cpus(process: &Running) -> Vec<f64> {
+fn core_cpus(process: &GatewayProcess) -> Vec<f64> {
     let cores = thread_cpus(process).into_iter().filter(|thread| thread.name.starts_with("core-"));
     cores.map(|core| core.seconds).collect()
 }
--- a/crates/milletpath/benches/load/gateway_process.rs
+++ b/crates/milletpath/benches/load/gateway_process.rs
@@ -1,6 +1,6 @@
 //! The gateway as a process, and what it uses of the processors.
 
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -12,18 +12,18 @@
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
 /// Starts a process that prints where it listens.
-pub fn start(mut command: Command) -> Running {
+pub fn start(mut command: Command) -> GatewayProcess {
     command.stderr(Stdio::null());
-    Running::start(command).expect("the process starts")
+    GatewayProcess::start(command).expect("the process starts")
 }
 
 /// A gateway of this build with so many cores.
-pub fn start_gateway(workers: &[SocketAddr], cores: usize) -> Running {
+pub fn start_gateway(workers: &[SocketAddr], cores: usize) -> GatewayProcess {
     start_program(env!("CARGO_BIN_EXE_milletpath"), workers, &format!("cores = {cores}\n"))
 }
 
 /// A gateway of another build, whose configuration may know other keys.
-pub fn start_program(program: &str, workers: &[SocketAddr], keys: &str) -> Running {
+pub fn start_program(program: &str, workers: &[SocketAddr], keys: &str) -> GatewayProcess {
     let suffix = keys.trim().replace([' ', '='], "");
     let name = format!("milletpath-bench-{}-{suffix}.hcl", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -32,7 +32,7 @@
 }
 
 /// Starts a program by a configuration file.
-pub fn serve(program: &str, config_file: &Path) -> Running {
+pub fn serve(program: &str, config_file: &Path) -> GatewayProcess {
     let mut command = Command::new(program);
     command.arg("serve").arg("--charter").arg(config_file);
     start(command)
@@ -56,13 +56,13 @@
 }
 
 /// Seconds of CPU that a process used so far.
-pub fn process_cpu(process: &Running) -> f64 {
+pub fn process_cpu(process: &GatewayProcess) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.child.id()));
     stat.ok().and_then(|stat| parse_stat(&stat)).map_or(0.0, |cpu| cpu.seconds)
 }
 
 /// What each thread of a process used so far.
-pub fn thread_cpus(process: &Running) -> Vec<ThreadCpu> {
+pub fn thread_cpus(process: &GatewayProcess) -> Vec<ThreadCpu> {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", process.child.id())).expect("the process runs");
     let stats = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
     stats.filter_map(|stat| parse_stat(&stat)).collect()
--- a/crates/milletpath/benches/membership.rs
+++ b/crates/milletpath/benches/membership.rs
@@ -8,7 +8,7 @@
 use load::instant_workers::start_workers;
 use load::request_loops::open_loop;
 use load::statistics::{geometric_mean, merge, milliseconds, percentiles};
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 /// The name of the thread of a gateway's membership.
 const MEMBERSHIP_THREAD: &str = "peers";
 
-fn start_gateway(folder: &Path, name: &str, workers: &[SocketAddr], sections: &str) -> Running {
+fn start_gateway(folder: &Path, name: &str, workers: &[SocketAddr], sections: &str) -> GatewayProcess {
     let path = folder.join(format!("{name}.hcl"));
     let keys = format!("gateways = {GATEWAYS}\ncores = 1\n");
     std::fs::write(&path, config_text(workers, &keys, sections)).expect("a configuration file");
@@ -38,7 +38,7 @@
 }
 
 /// The gateways that are members of one fleet.
-fn start_fleet(folder: &Path, workers: &[SocketAddr]) -> Vec<Running> {
+fn start_fleet(folder: &Path, workers: &[SocketAddr]) -> Vec<GatewayProcess> {
     std::fs::write(folder.join("key"), "a secret of more than thirty-two bytes, for benches").expect("a key");
     let addresses = free_addresses();
     let start = |(n, address): (usize, &SocketAddr)| {
@@ -57,13 +57,13 @@
 }
 
 /// Seconds of CPU of the membership thread.
-fn membership_cpu(process: &Running) -> f64 {
+fn membership_cpu(process: &GatewayProcess) -> f64 {
     let threads = thread_cpus(process);
     threads.iter().find(|thread| thread.name == MEMBERSHIP_THREAD).map_or(f64::NAN, |thread| thread.seconds)
 }
 
 /// Loads both gateways in turn, and prints the latencies of each and the ratio of their p99.
-fn compare(member: &Running, alone: &Running) {
+fn compare(member: &GatewayProcess, alone: &GatewayProcess) {
     let (mut of_member, mut of_alone, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         // The one that is loaded first finds the caches as the last round left them: each is first in half of the rounds.
--- a/crates/milletpath/benches/memory.rs
+++ b/crates/milletpath/benches/memory.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p milletpath --bench memory`; the limit of open files is raised where that is allowed, and the number of
 //! connections follows it.
 
-use milletpath_emulator::running::Running;
+use milletpath_emulator::gateway_process::GatewayProcess;
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -53,7 +53,7 @@
     }
 }
 
-fn start_gateway(worker: SocketAddr) -> Running {
+fn start_gateway(worker: SocketAddr) -> GatewayProcess {
     let path = std::env::temp_dir().join(format!("milletpath-memory-{}.hcl", std::process::id()));
     let text = format!(
         "listen = \"127.0.0.1:0\"\nprofile \"p\" {{\n  due = 1\n  effect = \"pure\"\n}}\nfunctions {{ lanes = 64 }}\n\
@@ -62,7 +62,7 @@
     std::fs::write(&path, text).expect("a configuration file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
     command.arg("serve").arg("--charter").arg(&path).stderr(Stdio::null());
-    Running::start(command).expect("the gateway starts")
+    GatewayProcess::start(command).expect("the gateway starts")
 }
 
 /// Resident memory in MB.
@@ -100,7 +100,7 @@
     succeeded
 }
 
-fn measure_functions(gateway: &Running) {
+fn measure_functions(gateway: &GatewayProcess) {
     let (address, start) = (gateway.address, Instant::now());
     let per_step = FUNCTIONS / STEPS;
     let per_client = per_step / CLIENTS;
@@ -132,7 +132,7 @@
     stream
 }
 
-fn measure_idle_connections(gateway: &Running, count: usize) {
+fn measure_idle_connections(gateway: &GatewayProcess, count: usize) {
     let before = resident_memory(&gateway.child);
     let connections: Vec<_> = (0..count).map(|number| open_connection(gateway.address, number)).collect();
     let after = resident_memory(&gateway.child);
--- a/crates/milletpath/src/built_in_fleet.rs
+++ b/crates/milletpath/src/built_in_fleet.rs
@@ -1,7 +1,7 @@
 //! The built-in configuration of `milletpath serve`, with emulated workers that run in this process.
 
 use milletpath_config::{ConfigError, GatewayConfig};
-use milletpath_emulator::small::{MAKE, hall};
+use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
 use milletpath_emulator::worker::Worker;
 use std::fmt::Write;
 use std::io;
@@ -33,10 +33,10 @@
 ///
 /// A worker can't listen on loopback.
 pub async fn start() -> Result<GatewayConfig, BuiltInFleetError> {
-    let hall = hall(SEED);
+    let context = context(SEED);
     let mut workers = String::new();
     for number in 0..WORKERS {
-        let worker = Worker::start(hall.clone(), number, 0, MAKE, -MAKE.warm_up, 1).await;
+        let worker = Worker::start(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, 1).await;
         let address = worker.map_err(BuiltInFleetError::Worker)?.addresses[0];
         let _ = writeln!(workers, "  worker \"inside-{number}\" {{ address = \"{address}\" }}");
     }
--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -5,8 +5,8 @@
 
 use crate::exit_status::{CommandError, ExitStatus};
 use clap::Args;
-use milletpath_emulator::day::{Played, Stage, play};
-use milletpath_emulator::script::{self, Day};
+use milletpath_emulator::scenario::{RunOptions, ScenarioReport, play};
+use milletpath_emulator::scenario_file::{self, Scenario};
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -73,37 +73,37 @@
     Ok(if report.kept() { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
-fn read(options: &Options) -> Result<Day, ScenarioError> {
-    let mut scenario = script::open(&options.file).map_err(ScenarioError::Invalid)?;
+fn read(options: &Options) -> Result<Scenario, ScenarioError> {
+    let mut scenario = scenario_file::open(&options.file).map_err(ScenarioError::Invalid)?;
     scenario.seed = options.seed.unwrap_or(scenario.seed);
     scenario.cores = options.cores.map(usize::from).or(scenario.cores);
     Ok(scenario)
 }
 
 /// Plays the scenario in a folder of its own, which is kept where a rule was broken.
-fn play_in_folder(scenario: &Day, options: &Options) -> io::Result<Played> {
+fn play_in_folder(scenario: &Scenario, options: &Options) -> io::Result<ScenarioReport> {
     let folder = std::env::temp_dir().join(format!("milletpath-day-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let program = std::env::current_exe()?;
-    let stage = Stage {
+    let run_options = RunOptions {
         program: &program,
         folder: &folder,
         seed: scenario.seed,
         lag: options.lag,
-        plant: options.injected_fault.as_deref(),
+        injected_fault: options.injected_fault.as_deref(),
     };
-    let played = play(scenario, &stage);
-    if let (Ok(report), Some(path)) = (&played, &options.records) {
+    let report = play(scenario, &run_options);
+    if let (Ok(report), Some(path)) = (&report, &options.records) {
         write_records(report, path)?;
     }
-    match &played {
+    match &report {
         Ok(report) if report.kept() => std::fs::remove_dir_all(&folder)?,
         _ => eprintln!("the gateways' configuration files and logs are in {}", folder.display()),
     }
-    played
+    report
 }
 
-fn write_records(report: &Played, path: &Path) -> io::Result<()> {
+fn write_records(report: &ScenarioReport, path: &Path) -> io::Result<()> {
     let lines: Vec<_> = report.records.iter().filter_map(|r| serde_json::to_string(r).ok()).collect();
     std::fs::write(path, lines.join("\n"))
 }
--- a/crates/milletpath/src/scenario/json_report.rs
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -1,8 +1,8 @@
 //! The report of a scenario as JSON. Its field names are older than those of the types behind it, and stay.
 
-use milletpath_emulator::day::Played;
-use milletpath_emulator::script::Day;
-use milletpath_history_checker::{Bound, Counts, Known};
+use milletpath_emulator::scenario::ScenarioReport;
+use milletpath_emulator::scenario_file::Scenario;
+use milletpath_history_checker::{BoundReport, MembershipObservations, ServiceCounts};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -40,9 +40,9 @@
 /// What members of one fleet reported; absent where gateways run apart.
 #[derive(Serialize)]
 struct FleetReport<'a> {
-    bounds: &'a BTreeMap<&'static str, Bound>,
+    bounds: &'a BTreeMap<&'static str, BoundReport>,
     #[serde(rename = "peers")]
-    membership: &'a Known,
+    membership: &'a MembershipObservations,
 }
 
 /// How requests ended.
@@ -77,8 +77,8 @@
     what: &'a str,
 }
 
-impl From<&Counts> for RequestCounts {
-    fn from(counts: &Counts) -> Self {
+impl From<&ServiceCounts> for RequestCounts {
+    fn from(counts: &ServiceCounts) -> Self {
         Self {
             calls: counts.calls,
             service: counts.service(),
@@ -92,11 +92,11 @@
 }
 
 /// The report of a scenario that was played.
-pub fn to_json(scenario: &Day, played: &Played) -> Value {
+pub fn to_json(scenario: &Scenario, played: &ScenarioReport) -> Value {
     let faults = played
-        .by_trouble
+        .by_fault
         .iter()
-        .map(|(index, counts)| FaultReport { fault: &scenario.troubles[*index].name, counts: counts.into() });
+        .map(|(index, counts)| FaultReport { fault: &scenario.faults[*index].name, counts: counts.into() });
     let violations = played.broken.iter().map(|broken| RuleViolation {
         rule: broken.rule,
         at: broken.at,
--- a/crates/milletpath/src/scenario/table.rs
+++ b/crates/milletpath/src/scenario/table.rs
@@ -1,45 +1,47 @@
 //! The report of a scenario as tables.
 
 use super::json_report::PERCENTILES;
-use milletpath_emulator::day::Played;
-use milletpath_emulator::script::Day;
-use milletpath_history_checker::{Bound, Broken, Counts, Known, Times};
+use milletpath_emulator::scenario::ScenarioReport;
+use milletpath_emulator::scenario_file::Scenario;
+use milletpath_history_checker::{
+    BoundReport, DetectionTimes, MembershipObservations, ServiceCounts, Violation,
+};
 
 /// Largest number of rule violations that are listed.
 const MAX_LISTED_VIOLATIONS: usize = 20;
 
 /// Prints all tables.
-pub fn print(scenario: &Day, played: &Played) {
-    print_requests(scenario, played);
-    print_store(played);
-    print_violations(&played.broken);
-    for (name, bound) in &played.bounds {
+pub fn print(scenario: &Scenario, report: &ScenarioReport) {
+    print_requests(scenario, report);
+    print_store(report);
+    print_violations(&report.broken);
+    for (name, bound) in &report.bounds {
         print_bound(name, bound);
     }
-    if let Some(membership) = &played.known {
+    if let Some(membership) = &report.known {
         print_membership(membership);
     }
 }
 
-fn print_requests(scenario: &Day, played: &Played) {
+fn print_requests(scenario: &Scenario, report: &ScenarioReport) {
     println!(
         "scenario {} with seed {}: {} requests, {} attempts",
-        scenario.name, scenario.seed, played.whole.calls, played.whole.tries
+        scenario.name, scenario.seed, report.whole.calls, report.whole.tries
     );
     println!(
         "{:<16} {:>8} {:>8} {:>9} {:>6} {:>8} {:>8} {:>10}",
         "fault", "requests", "service", "succeeded", "late", "rejected", "failed", "unanswered"
     );
-    print_counts("all", &played.whole);
-    for (index, counts) in &played.by_trouble {
-        print_counts(&scenario.troubles[*index].name, counts);
+    print_counts("all", &report.whole);
+    for (index, counts) in &report.by_fault {
+        print_counts(&scenario.faults[*index].name, counts);
     }
-    if let Some([p50, p99, p999]) = milletpath_history_checker::latencies(&played.records, PERCENTILES) {
+    if let Some([p50, p99, p999]) = milletpath_history_checker::latencies(&report.records, PERCENTILES) {
         println!("successful attempts took: p50 {p50:.3} s, p99 {p99:.3} s, p99.9 {p999:.3} s");
     }
 }
 
-fn print_counts(name: &str, counts: &Counts) {
+fn print_counts(name: &str, counts: &ServiceCounts) {
     println!(
         "{name:<16} {:>8} {:>8.3} {:>9} {:>6} {:>8} {:>8} {:>10}",
         counts.calls,
@@ -52,34 +54,34 @@
     );
 }
 
-fn print_store(played: &Played) {
+fn print_store(report: &ScenarioReport) {
     println!(
         "fetches from the store: {}, rejected there: {}; requests that found an instance: {:.3}",
-        played.fetches, played.refusals, played.warm
+        report.fetches, report.refusals, report.warm
     );
 }
 
-fn print_violations(violations: &[Broken]) {
+fn print_violations(violations: &[Violation]) {
     match violations.len() {
         0 => println!("rules: all five kept"),
         count => println!("rules: broken in {count} places"),
     }
-    for Broken { rule, at, what } in violations.iter().take(MAX_LISTED_VIOLATIONS) {
+    for Violation { rule, at, what } in violations.iter().take(MAX_LISTED_VIOLATIONS) {
         println!("  rule {rule} at {at:.3} s: {what}");
     }
 }
 
-fn print_bound(name: &str, Bound { most, bound, broken, places }: &Bound) {
+fn print_bound(name: &str, BoundReport { most, bound, broken, places }: &BoundReport) {
     println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {broken} times");
     for place in places {
         println!("  at {:.3} s: {}", place.at, place.what);
     }
 }
 
-fn print_membership(membership: &Known) {
+fn print_membership(membership: &MembershipObservations) {
     println!(
         "membership: {:.1} datagrams and {:.0} bytes a second of each gateway",
-        membership.letters, membership.bytes
+        membership.datagrams, membership.bytes
     );
     println!("  false reports: {} suspects, {} dead", membership.false_suspicions, membership.false_deaths);
     print_times("death", &membership.death);
@@ -87,7 +89,7 @@
     print_times("healing", &membership.healing);
 }
 
-fn print_times(event: &str, Times { p50, p99, learnt, never }: &Times) {
+fn print_times(event: &str, DetectionTimes { p50, p99, learnt, never }: &DetectionTimes) {
     if let (Some(p50), Some(p99)) = (p50, p99) {
         println!("  {event} known after: p50 {p50:.2} s, p99 {p99:.2} s ({learnt} times; {never} not)");
     }
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -6,8 +6,8 @@
 use crate::shutdown_signal::shutdown_requested;
 use clap::Args;
 use milletpath_config::WorkerSource;
-use milletpath_emulator::hall::Hall;
-use milletpath_emulator::small::{MAKE, hall};
+use milletpath_emulator::context::EmulatorContext;
+use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
 use milletpath_emulator::worker::Worker;
 use std::io;
 use std::net::SocketAddr;
@@ -64,9 +64,9 @@
         return Err(WorkersError::Registry(options.config_file.clone()));
     };
     async_runtime::block_on(async {
-        let hall = hall(SEED);
+        let context = context(SEED);
         for (number, worker) in workers.iter().enumerate() {
-            start(&hall, number, worker.address).await.map_err(|source| WorkersError::Listen {
+            start(&context, number, worker.address).await.map_err(|source| WorkersError::Listen {
                 name: worker.name.clone(),
                 address: worker.address,
                 source,
@@ -78,8 +78,8 @@
     })?
 }
 
-async fn start(hall: &Rc<Hall>, number: usize, address: SocketAddr) -> io::Result<()> {
+async fn start(context: &Rc<EmulatorContext>, number: usize, address: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
-    Worker::on(hall.clone(), number, 0, MAKE, -MAKE.warm_up, vec![listener])?;
+    Worker::on(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, vec![listener])?;
     Ok(())
 }
