--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -26,7 +26,7 @@
 #[derive(Args)]
 pub struct Options {
     /// The configuration file, which names the control machines
-    #[arg(long = "charter", value_name = "FILE")]
+    #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
     /// A file of statements: function "name" { ... }, functions { ... }
     #[arg(value_name = "CHANGE")]
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -16,7 +16,7 @@
 #[derive(Args)]
 pub struct Options {
     /// The configuration file, which names the control machines
-    #[arg(long = "charter", value_name = "FILE")]
+    #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
     /// Print JSON
     #[arg(long)]
--- a/crates/milletpath/src/command_line.rs
+++ b/crates/milletpath/src/command_line.rs
@@ -1,4 +1,5 @@
-//! The command line: one sub-command for each task, with the options that its module states.
+//! The command line: one sub-command for each task, with the options that its module states. Help shows the standard names;
+//! an `alias` is a former name, which is accepted and hidden.
 
 use crate::logging::LogFormat;
 use crate::{capacity, change, changes, check, control, members, scale_test, scenario, serve, workers};
@@ -36,15 +37,15 @@
     /// Run the router on the platform, by LB_NAME, LB_LISTEN and LB_CONFIG
     Platform,
     /// Report what the gateway of a configuration file knows of the other gateways
-    #[command(name = "peers")]
+    #[command(alias = "peers")]
     Members(members::Options),
     /// Play a plan of a large fleet, with hollow gateways beside real ones; prints what control costs and which bounds broke
-    #[command(name = "scale")]
+    #[command(alias = "scale")]
     ScaleTest(scale_test::Options),
     /// A process of hollow gateways, which a scale test starts
-    #[command(name = "scale-host", hide = true)]
+    #[command(alias = "scale-host", hide = true)]
     ScaleTestHost,
     /// Play a scenario through real sockets; prints which rules were kept and how requests ended
-    #[command(name = "day")]
+    #[command(alias = "day")]
     Scenario(scenario::Options),
 }
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -37,13 +37,13 @@
 #[derive(Args)]
 pub struct Options {
     /// The configuration file, which lists the control machines
-    #[arg(long = "charter", value_name = "FILE")]
+    #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
     /// Which of the configuration's control machines this is, from 0
     #[arg(long)]
     number: usize,
     /// Begin a new log: once, at the first start of all control machines
-    #[arg(long = "found")]
+    #[arg(long, alias = "found")]
     initialize: bool,
 }
 
--- a/crates/milletpath/src/control/log_file.rs
+++ b/crates/milletpath/src/control/log_file.rs
@@ -15,7 +15,7 @@
     #[error(transparent)]
     Load(#[from] LoadError),
     /// A new log was asked for where there is one.
-    #[error("holds a log already; start without --found")]
+    #[error("holds a log already; start without --initialize")]
     AlreadyInitialized,
     /// The records can't be written into a new file.
     #[error("{0}; mend the disk or its permissions")]
--- a/crates/milletpath/src/members.rs
+++ b/crates/milletpath/src/members.rs
@@ -1,4 +1,4 @@
-//! `milletpath peers`: what a gateway knows of the other gateways, and of the budgets that it shares with them.
+//! `milletpath members`: what a gateway knows of the other gateways, and of the budgets that it shares with them.
 
 mod table;
 
@@ -8,11 +8,11 @@
 use milletpath_gateway::{MembershipQueryError, query_membership};
 use std::path::PathBuf;
 
-/// What `peers` is started with.
+/// What `members` is started with.
 #[derive(Args)]
 pub struct Options {
     /// The configuration file of the gateway to ask
-    #[arg(long = "charter", value_name = "FILE")]
+    #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
     /// Print JSON
     #[arg(long)]
--- a/crates/milletpath/src/scale_test.rs
+++ b/crates/milletpath/src/scale_test.rs
@@ -1,4 +1,4 @@
-//! `milletpath scale`: plays a plan of a large fleet, in which most gateways are hollow: they have the control threads of a
+//! `milletpath scale-test`: plays a plan of a large fleet, in which most gateways are hollow: they have the control threads of a
 //! gateway, and serve no requests.
 
 use crate::async_runtime;
@@ -16,7 +16,7 @@
 use std::sync::mpsc::{Sender, channel};
 use std::thread;
 
-/// What `scale` is started with.
+/// What `scale-test` is started with.
 #[derive(Args)]
 pub struct Options {
     /// The plan
--- a/crates/milletpath/src/scale_test_host.rs
+++ b/crates/milletpath/src/scale_test_host.rs
@@ -1,4 +1,4 @@
-//! `milletpath scale-host`: a process of hollow gateways, which a scale test starts and commands over its standard input.
+//! `milletpath scale-test-host`: a process of hollow gateways, which a scale test starts and commands over its standard input.
 
 use crate::async_runtime;
 use crate::exit_status::ExitStatus;
--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `milletpath day`: plays a scenario through real sockets, and prints which rules were kept and how requests ended.
+//! `milletpath scenario`: plays a scenario through real sockets, and prints which rules were kept and how requests ended.
 
 mod json_report;
 mod table;
@@ -10,7 +10,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What `day` is started with.
+/// What `scenario` is started with.
 #[derive(Args)]
 pub struct Options {
     /// The scenario
@@ -29,7 +29,7 @@
     #[arg(long, value_parser = clap::value_parser!(u8).range(1..=63))]
     cores: Option<u8>,
     /// A fault that all gateways are started with, so that tests see that it is found
-    #[arg(long = "plant", hide = true)]
+    #[arg(long = "inject-fault", alias = "plant", hide = true)]
     injected_fault: Option<String>,
     /// Also write what passed on the sockets, one record a line
     #[arg(long, value_name = "FILE")]
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -27,16 +27,16 @@
 #[derive(Args)]
 pub struct Options {
     /// The configuration file; without it, a built-in configuration with emulated workers in this process
-    #[arg(long = "charter", value_name = "FILE")]
+    #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: Option<PathBuf>,
     /// Threads that handle requests, in place of the number that the configuration sets
     #[arg(long, value_parser = clap::value_parser!(u8).range(1..=63))]
     cores: Option<u8>,
     /// Read faults to inject into cores from standard input, one a line
-    #[arg(long = "stir", hide = true)]
+    #[arg(long = "inject-core-faults", alias = "stir", hide = true)]
     reads_faults: bool,
     /// A fault to run with, so that tests see that it is found
-    #[arg(long = "plant", hide = true, value_parser = parse_injected_fault)]
+    #[arg(long = "inject-fault", alias = "plant", hide = true, value_parser = parse_injected_fault)]
     injected_fault: Option<InjectedFault>,
 }
 
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -22,7 +22,7 @@
 #[derive(Args)]
 pub struct Options {
     /// The configuration file that lists the workers
-    #[arg(long = "charter", value_name = "FILE")]
+    #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
 }
 
--- a/crates/milletpath/tests/command_line.rs
+++ b/crates/milletpath/tests/command_line.rs
@@ -7,6 +7,7 @@
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
+use test_case::test_case;
 
 fn fixtures() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/command_line")
@@ -103,14 +104,87 @@
     ] {
         let output = run(arguments);
         assert_eq!(output.status.code(), Some(0), "{arguments:?}: {output:?}");
+        assert_eq!(output, run(&current_names(arguments)), "{arguments:?}");
     }
 }
 
-/// Its field names are held by users; the values depend on the machine.
+/// Former names with the standard ones, which help shows.
+const RENAMED: [(&str, &str); 8] = [
+    ("--charter", "--config"),
+    ("--found", "--initialize"),
+    ("--plant", "--inject-fault"),
+    ("--stir", "--inject-core-faults"),
+    ("day", "scenario"),
+    ("peers", "members"),
+    ("scale", "scale-test"),
+    ("scale-host", "scale-test-host"),
+];
+
+/// Arguments with the standard names in place of the former ones.
+fn current_names<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
+    let current = |argument: &&'a str| {
+        let renamed = RENAMED.iter().find(|(former, _)| former == argument);
+        renamed.map_or(*argument, |(_, current)| current)
+    };
+    arguments.iter().map(current).collect()
+}
+
+#[test]
+fn a_former_name_does_the_same_as_the_standard_one() {
+    let uses: Vec<_> = landed_uses().into_iter().map(|landed| landed.arguments).collect();
+    let mut compared = 0;
+    for arguments in &uses {
+        let former: Vec<_> = arguments.iter().map(String::as_str).collect();
+        let current = current_names(&former);
+        if former != current {
+            assert_eq!(run(&former), run(&current), "{former:?}");
+            compared += 1;
+        }
+    }
+    assert_eq!(compared, 37, "each use with a former name");
+}
+
 #[test]
-fn the_json_report_of_a_scenario_has_the_fields_that_it_had() {
+fn a_flag_is_not_accepted_under_both_names_at_once() {
+    for arguments in [
+        &["serve", "--charter", "plain.hcl", "--config", "plain.hcl"][..],
+        &["control", "--config", "changes.hcl", "--number", "0", "--found", "--initialize"],
+    ] {
+        let output = run(arguments);
+        assert_eq!(output.status.code(), Some(2), "{output:?}");
+        assert!(
+            String::from_utf8_lossy(&output.stderr).contains("cannot be used multiple times"),
+            "{output:?}"
+        );
+    }
+}
+
+#[test]
+fn help_shows_the_standard_names_alone() {
+    let sub_commands =
+        ["", "serve", "control", "change", "changes", "workers", "members", "scale-test", "scenario"];
+    let mut help = String::new();
+    for sub_command in sub_commands {
+        let output =
+            run(&[sub_command, "--help"].into_iter().filter(|word| !word.is_empty()).collect::<Vec<_>>());
+        help += &String::from_utf8_lossy(&output.stdout);
+    }
+    let words: Vec<_> = help.split_whitespace().collect();
+    for (former, current) in [("--charter", "--config"), ("--found", "--initialize")] {
+        assert!(words.contains(&current) && !words.contains(&former), "{help}");
+    }
+    for (former, current) in [("day", "scenario"), ("peers", "members"), ("scale", "scale-test")] {
+        let is_listed = |name: &str| help.lines().any(|line| line.starts_with(&format!("  {name} ")));
+        assert!(is_listed(current) && !is_listed(former), "{help}");
+    }
+}
+
+/// Its field names are held by users; the values depend on the machine.
+#[test_case("scenario"; "standard name")]
+#[test_case("day"; "former name")]
+fn the_json_report_of_a_scenario_has_the_fields_that_it_had(sub_command: &str) {
     let landed: Value = serde_json::from_str(&fixture("scenario-report-as-landed.json")).expect("JSON");
-    let output = run(&["day", "scenario.hcl", "--json", "--lag", "2"]);
+    let output = run(&[sub_command, "scenario.hcl", "--json", "--lag", "2"]);
     let report: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {output:?}"));
     assert_eq!(field_paths(&report), field_paths(&landed));
     assert_eq!(output.status.code(), Some(0), "{report:#}");
