--- a/crates/milletpath/src/capacity.rs
+++ b/crates/milletpath/src/capacity.rs
@@ -83,6 +83,7 @@
     Ok(())
 }
 
+/// Writes the tables between the marks of a page.
 fn write_into_page(path: &Path, tables: &str) -> Result<(), CapacityError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| CapacityError::ReadPage { path: path.to_owned(), source })?;
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -52,8 +52,8 @@
     #[error("{}: {source}", path.display())]
     Client { path: PathBuf, source: ControlClientError },
     /// A change was not committed; those before it were.
-    #[error("{}{key}: {source}", place.as_ref().map(ToString::to_string).unwrap_or_default())]
-    Commit { place: Option<StatementPlace>, key: String, source: CommitError },
+    #[error("{}{key}: {source}", location.as_ref().map(ToString::to_string).unwrap_or_default())]
+    Commit { location: Option<StatementLocation>, key: String, source: CommitError },
     /// The changes are committed, and not in force at every gateway.
     #[error(transparent)]
     Rollout(#[from] RolloutError),
@@ -72,12 +72,14 @@
 
 /// Where in a file of changes a statement is wrong, as it stands before an error.
 #[derive(Debug)]
-pub struct StatementPlace {
+pub struct StatementLocation {
+    /// The file.
     path: PathBuf,
+    /// Line and column in it.
     position: Position,
 }
 
-impl Display for StatementPlace {
+impl Display for StatementLocation {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let Position { line, column } = self.position;
         write!(f, "{}:{line}:{column}: ", self.path.display())
@@ -105,14 +107,15 @@
     Ok(ExitStatus::Success)
 }
 
+/// An error with its location in the file, if the statement is wrong.
 fn commit_error(change: &ProposedChange, file: Option<&Path>, source: CommitError) -> ChangeError {
-    let place = match (source.position(), change.position, file) {
+    let location = match (source.position(), change.position, file) {
         (Some(relative), Some(start), Some(path)) => {
-            Some(StatementPlace { path: path.to_owned(), position: position_in_file(start, relative) })
+            Some(StatementLocation { path: path.to_owned(), position: position_in_file(start, relative) })
         }
         _ => None,
     };
-    ChangeError::Commit { place, key: change.key.clone(), source }
+    ChangeError::Commit { location, key: change.key.clone(), source }
 }
 
 /// Converts a position in a statement to one in the file, where the statement begins at `start`.
@@ -128,6 +131,7 @@
 #[error("write a number of seconds, 0 to {MAX_WAIT}")]
 struct InvalidWaitError;
 
+/// Seconds as they are written on the command line.
 fn parse_wait(text: &str) -> Result<Duration, InvalidWaitError> {
     let seconds = text.parse().ok().filter(|seconds| (0.0..=MAX_WAIT).contains(seconds));
     seconds.map(Duration::from_secs_f64).ok_or(InvalidWaitError)
--- a/crates/milletpath/src/change/proposal.rs
+++ b/crates/milletpath/src/change/proposal.rs
@@ -56,6 +56,7 @@
     if proposals.is_empty() { Err(ProposalError::Empty) } else { Ok(proposals) }
 }
 
+/// A change for each statement of a file.
 fn read_file(config: &GatewayConfig, path: &Path) -> Result<Vec<ProposedChange>, ProposalError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ProposalError::Read { path: path.to_owned(), source })?;
--- a/crates/milletpath/src/change/rollout.rs
+++ b/crates/milletpath/src/change/rollout.rs
@@ -22,8 +22,10 @@
 /// Why there may be gateways that are not known.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum UnknownGateways {
+    /// No gateway polls the control machines.
     #[error("no gateway is reachable for the control machines that answer")]
     NoneReachable,
+    /// A gateway may poll a control machine that does not answer here, or that has just started.
     #[error("not all control machines answer, or some have just started: there may be more gateways")]
     MissingReports,
 }
@@ -46,12 +48,14 @@
 
 /// How far a change has come at one time.
 struct Rollout {
+    /// What the control machines report at that time.
     overview: ControlOverview,
     /// The number of the change.
     number: u64,
 }
 
 impl Rollout {
+    /// The gateways from which a control machine received something lately.
     fn reachable(&self) -> impl Iterator<Item = &GatewayStatus> {
         self.overview.gateways.iter().filter(|gateway| gateway.state != GatewayState::Silent)
     }
@@ -69,6 +73,7 @@
         self.reachable().filter(|gateway| gateway.number < self.number)
     }
 
+    /// The numbers that are printed.
     fn progress(&self) -> Progress {
         let reachable = self.reachable().count();
         let reached = reachable - self.behind().count();
@@ -80,6 +85,7 @@
         self.reachable().count() > 0 && self.behind().count() == 0 && self.overview.is_complete()
     }
 
+    /// What is missing, where the wait ends without success.
     fn error(&self) -> RolloutError {
         let unknown = if self.reachable().count() == 0 {
             Some(UnknownGateways::NoneReachable)
@@ -96,7 +102,9 @@
 /// What is printed of a rollout.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Progress {
+    /// Reachable gateways that applied the change.
     in_force: usize,
+    /// Reachable gateways.
     reachable: usize,
 }
 
--- a/crates/milletpath/src/changes/gateway_report.rs
+++ b/crates/milletpath/src/changes/gateway_report.rs
@@ -51,6 +51,7 @@
     Ok(listen)
 }
 
+/// Prints which configuration the gateway applied.
 fn print_state(view: &FollowerView) {
     let confirmation = match view.confirmed_age {
         Some(age) => format!("known to be the latest {age:.1} s ago"),
@@ -65,6 +66,7 @@
     }
 }
 
+/// Prints a line for each control machine as the gateway knows it.
 fn print_replicas(view: &FollowerView) {
     println!("follows control machines {:?}", view.follows);
     println!("{:<8} {:>15} {:>9} {:>10}", "control", "last contact, s", "number", "conflicts");
@@ -74,6 +76,7 @@
     }
 }
 
+/// Prints counts since the start of the gateway.
 fn print_counters(status: &ConfigStatus) {
     println!(
         "rebuilt {} times; state saved {} times, not saved {}; datagrams rejected: {} of another key or altered, {} \
--- a/crates/milletpath/src/changes/overview_table.rs
+++ b/crates/milletpath/src/changes/overview_table.rs
@@ -12,6 +12,7 @@
     print_gateways(&overview.gateways);
 }
 
+/// Prints two lines on the log and on the fleet.
 fn print_summary(overview: &ControlOverview) {
     let confirmation = match overview.confirmed_age {
         Some(age) => format!("confirmed {age:.1} s ago as the latest"),
@@ -29,6 +30,7 @@
     );
 }
 
+/// Prints a line for each control machine.
 fn print_control_machines(machines: &[ControlMachineStatus]) {
     println!(
         "{:<8} {:<22} {:>9} {:>12} {:>8} {:>9}  reaches",
--- a/crates/milletpath/src/config_file.rs
+++ b/crates/milletpath/src/config_file.rs
@@ -79,6 +79,7 @@
     lines.join("\n")
 }
 
+/// Makes the paths that a file names relative to its folder.
 fn resolve_paths(config: &mut GatewayConfig, path: &Path) {
     let Some(folder) = path.parent() else { return };
     if let Some(membership) = &mut config.membership {
@@ -90,6 +91,7 @@
     }
 }
 
+/// Reads the key files once, so that a wrong one is reported before anything runs.
 fn check_keys(config: &GatewayConfig, path: &Path) -> Result<(), ConfigFileError> {
     if let Some(membership) = &config.membership {
         milletpath_gateway::read_fleet_key(&membership.key_file)
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -159,6 +159,7 @@
     Ok(ExitStatus::Success)
 }
 
+/// Waits until a thread has ended.
 async fn finished(thread: &JoinHandle<()>) {
     while !thread.is_finished() {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
--- a/crates/milletpath/src/control/log_file/tests.rs
+++ b/crates/milletpath/src/control/log_file/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_log_that_may_not_be_read_is_an_error_at_once() {
     let (loaded, waits) = load_with(1, Errno::EACCES);
-    let told = loaded.unwrap_err().to_string();
-    assert!(told.contains("mend the disk or its permissions"), "{told}");
+    let message = loaded.unwrap_err().to_string();
+    assert!(message.contains("mend the disk or its permissions"), "{message}");
     assert!(waits.is_empty());
 }
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -38,12 +38,15 @@
 /// What a control machine does for the cluster, as the log reports it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Role {
+    /// Whether it votes.
     votes: bool,
+    /// Whether a majority is reachable and votes.
     has_majority: bool,
 }
 
 /// The state of the thread. Times are seconds since `started_at`.
 pub struct ControlMachine {
+    /// What takes part in the cluster.
     replica: StoredReplica,
     settings: MachineSettings,
     started_at: Instant,
@@ -52,6 +55,7 @@
     rejected_datagrams: u64,
     /// Why the log file can't be written at present.
     log_error: Option<String>,
+    /// When the role is checked again.
     next_role_check: f64,
     /// The role that was last logged.
     logged_role: Option<Role>,
@@ -72,6 +76,7 @@
         }
     }
 
+    /// Seconds since the start.
     fn now(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
@@ -98,6 +103,7 @@
         Duration::from_secs_f64(seconds.clamp(MIN_WAIT, STOP_CHECK_INTERVAL.as_secs_f64()))
     }
 
+    /// Handles one datagram: answers it here, or gives its message to the replica.
     fn handle_datagram(&mut self, datagram: &[u8], from: SocketAddr) {
         let message = match message::open(&self.settings.key, datagram) {
             Ok(message) => message,
@@ -113,6 +119,7 @@
         }
     }
 
+    /// Logs the first rejected datagram, the tenth, the hundredth and so on.
     fn count_rejected_datagram(&mut self, from: SocketAddr, error: &message::OpenError) {
         self.rejected_datagrams += 1;
         if is_power_of_ten(self.rejected_datagrams) {
@@ -156,6 +163,7 @@
         }
     }
 
+    /// Sends a message; one that can't be sealed or sent is dropped, as the network may drop it.
     fn send(&self, to: SocketAddr, message: &Message) {
         if let Ok(datagram) = message::seal(&self.settings.key, message) {
             receiver::send(&self.settings.socket, &datagram, to);
@@ -169,6 +177,7 @@
         events.into_iter().for_each(|event| self.log_storage_event(event));
     }
 
+    /// Logs a failure of the disk, or its end, and keeps it for the status report.
     fn log_storage_event(&mut self, event: StorageEvent) {
         match event {
             StorageEvent::Failed { error, consecutive_failures, retry_in } => {
--- a/crates/milletpath/src/members/table.rs
+++ b/crates/milletpath/src/members/table.rs
@@ -11,6 +11,7 @@
     print_counters(status);
 }
 
+/// Prints what the gateway knows of itself and of the fleet.
 fn print_own_state(view: &MembershipView) {
     let reachability = match view.reachability {
         Reachability::Majority => "reaches a majority",
@@ -29,6 +30,7 @@
     println!("quota fraction: {:.3}; {quorum}", view.fraction);
 }
 
+/// Prints a line for each other gateway.
 fn print_members(view: &MembershipView) {
     println!(
         "{:<24} {:<8} {:>9} {:>17} {:>11}  address",
@@ -44,6 +46,7 @@
     }
 }
 
+/// Prints a line for each shared budget.
 fn print_budgets(status: &MembershipStatus) {
     if status.budgets.is_empty() {
         return;
@@ -60,6 +63,7 @@
     }
 }
 
+/// Prints counts since the start of the gateway.
 fn print_counters(status: &MembershipStatus) {
     let sharing = &status.sharing;
     println!(
--- a/crates/milletpath/src/platform.rs
+++ b/crates/milletpath/src/platform.rs
@@ -45,6 +45,7 @@
 }
 
 impl Settings {
+    /// Reads the variables.
     fn from_environment() -> Result<Self, PlatformError> {
         let file = std::env::var_os("LB_CONFIG").ok_or(PlatformError::ConfigNotSet)?;
         let listen = std::env::var("LB_LISTEN").ok().map(|address| address.parse()).transpose();
@@ -67,6 +68,7 @@
     )
 }
 
+/// Runs the router to its end.
 fn run_router() -> Result<(), PlatformError> {
     let Settings { file, listen, name } = Settings::from_environment()?;
     tracing::info!(name, file = %file.display(), "starting the router");
--- a/crates/milletpath/src/scale_test.rs
+++ b/crates/milletpath/src/scale_test.rs
@@ -74,6 +74,7 @@
     Ok(if report.broken.is_empty() { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
+/// Reads the plan, with what the command line sets instead.
 fn read_plan(path: &Path, text: &str, options: &Options) -> Result<Plan, ScaleTestError> {
     let gateways = options.gateways.map(|gateways| gateways as usize);
     let mut plan = plan::read(text, gateways)
@@ -82,6 +83,7 @@
     Ok(plan)
 }
 
+/// Plays the plan to its end, or until a signal.
 fn play(plan: &Plan, text: &str) -> io::Result<milletpath_scale_test::report::Report> {
     let stop = Arc::new(AtomicBool::new(false));
     stop_on_signals(stop.clone())?;
@@ -98,6 +100,7 @@
     registration.recv().map_err(io::Error::other)?
 }
 
+/// Reports whether signals can be received, and sets `stop` upon the first one.
 async fn wait_for_signals(stop: Arc<AtomicBool>, registered: Sender<io::Result<()>>) {
     let mut signals = match ShutdownSignals::register() {
         Ok(signals) => signals,
--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -73,6 +73,7 @@
     Ok(if report.kept() { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
+/// Reads the scenario, with what the command line sets instead.
 fn read(options: &Options) -> Result<Scenario, ScenarioError> {
     let mut scenario = scenario_file::open(&options.file).map_err(ScenarioError::Invalid)?;
     scenario.seed = options.seed.unwrap_or(scenario.seed);
@@ -103,6 +104,7 @@
     report
 }
 
+/// Writes a line of JSON for each record.
 fn write_records(report: &ScenarioReport, path: &Path) -> io::Result<()> {
     let lines: Vec<_> = report.records.iter().filter_map(|r| serde_json::to_string(r).ok()).collect();
     std::fs::write(path, lines.join("\n"))
--- a/crates/milletpath/src/scenario/json_report.rs
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -14,6 +14,7 @@
 #[derive(Serialize)]
 struct JsonReport<'a> {
     #[serde(rename = "day")]
+    /// Its name.
     scenario: &'a str,
     seed: u64,
     /// Of all requests.
--- a/crates/milletpath/src/scenario/table.rs
+++ b/crates/milletpath/src/scenario/table.rs
@@ -23,6 +23,7 @@
     }
 }
 
+/// Prints how requests ended: all, and those sent during each fault.
 fn print_requests(scenario: &Scenario, report: &ScenarioReport) {
     println!(
         "scenario {} with seed {}: {} requests, {} attempts",
@@ -41,6 +42,7 @@
     }
 }
 
+/// Prints a line of counts.
 fn print_counts(name: &str, counts: &ServiceCounts) {
     println!(
         "{name:<16} {:>8} {:>8.3} {:>9} {:>6} {:>8} {:>8} {:>10}",
@@ -54,6 +56,7 @@
     );
 }
 
+/// Prints what workers fetched from the store.
 fn print_store(report: &ScenarioReport) {
     println!(
         "fetches from the store: {}, rejected there: {}; requests that found an instance: {:.3}",
@@ -61,6 +64,7 @@
     );
 }
 
+/// Prints the rules that were broken.
 fn print_violations(violations: &[Violation]) {
     match violations.len() {
         0 => println!("rules: all five kept"),
@@ -71,6 +75,7 @@
     }
 }
 
+/// Prints a bound that members of one fleet must keep together.
 fn print_bound(name: &str, BoundReport { most, bound, broken, places }: &BoundReport) {
     println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {broken} times");
     for place in places {
@@ -78,6 +83,7 @@
     }
 }
 
+/// Prints what membership cost and how soon it noticed events.
 fn print_membership(membership: &MembershipObservations) {
     println!(
         "membership: {:.1} datagrams and {:.0} bytes a second of each gateway",
@@ -89,6 +95,7 @@
     print_times("healing", &membership.healing);
 }
 
+/// Prints how soon an event was known, if there was one.
 fn print_times(event: &str, DetectionTimes { p50, p99, learnt, never }: &DetectionTimes) {
     if let (Some(p50), Some(p99)) = (p50, p99) {
         println!("  {event} known after: p50 {p50:.2} s, p99 {p99:.2} s ({learnt} times; {never} not)");
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -77,7 +77,9 @@
 /// Where the configuration came from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConfigSource {
+    /// The file that the command line names.
     File,
+    /// No file: the built-in configuration.
     BuiltIn,
 }
 
@@ -96,6 +98,7 @@
     })?
 }
 
+/// Opens the sockets and serves until the process is asked to end.
 async fn run_gateway(
     mut config: GatewayConfig,
     source: ConfigSource,
@@ -124,6 +127,7 @@
     opened.map_err(|source| ServeError::Listen { address, source })
 }
 
+/// Opens the socket for membership and shared budgets, if the configuration has a section `peers`.
 fn open_membership_link(
     config: &GatewayConfig,
     injected_fault: Option<InjectedFault>,
@@ -137,6 +141,7 @@
     Ok(Some(link))
 }
 
+/// Opens the socket for changes of the configuration, if it has a section `changes`.
 fn open_config_feed(config: &GatewayConfig) -> Result<Option<ConfigFeed>, ServeError> {
     let Some(settings) = &config.config_log else { return Ok(None) };
     let feed = ConfigFeed::open(settings).map_err(ServeError::ConfigFeed)?;
@@ -147,6 +152,7 @@
     Ok(Some(feed))
 }
 
+/// Logs and prints where clients reach the gateway.
 fn announce_listener(listener: &TcpListener, source: ConfigSource) {
     let Ok(address) = listener.local_addr() else { return };
     tracing::info!(%address, "listening for clients");
--- a/crates/milletpath/src/serve/fault_commands.rs
+++ b/crates/milletpath/src/serve/fault_commands.rs
@@ -30,14 +30,17 @@
 struct FaultCommand {
     /// The core, from 0; the number behind the last one is the supervisor.
     core: usize,
+    /// What is to happen to it.
     fault: FaultInjection,
 }
 
 /// Why a line is no fault command.
 #[derive(Debug, PartialEq, thiserror::Error)]
 enum FaultCommandError {
+    /// The first word is no number.
     #[error("the line does not begin with the number of a core")]
     Core,
+    /// The second word names no fault, or the third one no duration.
     #[error("unknown fault; write stall SECONDS (up to {MAX_STALL}), panic or break")]
     Fault,
 }
@@ -59,6 +62,7 @@
     }
 }
 
+/// The duration of a stall, in seconds.
 fn parse_stall(seconds: Option<&str>) -> Result<f64, FaultCommandError> {
     let seconds = seconds.and_then(|word| word.parse().ok());
     seconds.filter(|seconds| (0.0..=MAX_STALL).contains(seconds)).ok_or(FaultCommandError::Fault)
@@ -73,6 +77,7 @@
     receiver
 }
 
+/// Sends the faults of standard input to the gateway, until its end.
 fn read_input(sender: &UnboundedSender<(usize, FaultInjection)>) {
     for line in std::io::stdin().lines().map_while(Result::ok) {
         match line.parse() {
--- a/crates/milletpath/src/shutdown_signal.rs
+++ b/crates/milletpath/src/shutdown_signal.rs
@@ -5,7 +5,9 @@
 
 /// Receives the signals that ask the process to end, which then no longer end it at once.
 pub struct ShutdownSignals {
+    /// SIGTERM.
     terminate: SignalReceiver,
+    /// SIGINT.
     interrupt: SignalReceiver,
 }
 
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -78,6 +78,7 @@
     })?
 }
 
+/// Starts one worker.
 async fn start(context: &Rc<EmulatorContext>, number: usize, address: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     Worker::on(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, vec![listener])?;
