--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -70,7 +70,7 @@
     } else {
         table::print(&scenario, &report);
     }
-    Ok(if report.kept() { ExitStatus::Success } else { ExitStatus::Failure })
+    Ok(if report.rules_kept() { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
 /// Reads the scenario, with what the command line sets instead.
@@ -90,7 +90,7 @@
         program: &program,
         folder: &folder,
         seed: scenario.seed,
-        lag: options.lag,
+        tolerance: options.lag,
         injected_fault: options.injected_fault.as_deref(),
     };
     let report = play(scenario, &run_options);
@@ -98,7 +98,7 @@
         write_records(report, path)?;
     }
     match &report {
-        Ok(report) if report.kept() => std::fs::remove_dir_all(&folder)?,
+        Ok(report) if report.rules_kept() => std::fs::remove_dir_all(&folder)?,
         _ => eprintln!("the gateways' configuration files and logs are in {}", folder.display()),
     }
     report
--- a/crates/milletpath/src/scenario/json_report.rs
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -98,20 +98,21 @@
         .by_fault
         .iter()
         .map(|(index, counts)| FaultReport { fault: &scenario.faults[*index].name, counts: counts.into() });
-    let violations = played.broken.iter().map(|broken| RuleViolation {
+    let violations = played.violations.iter().map(|broken| RuleViolation {
         rule: broken.rule,
         at: broken.at,
         what: &broken.what,
     });
-    let fleet = played.known.as_ref().map(|membership| FleetReport { bounds: &played.bounds, membership });
+    let fleet =
+        played.membership.as_ref().map(|membership| FleetReport { bounds: &played.bounds, membership });
     let report = JsonReport {
         scenario: &scenario.name,
         seed: scenario.seed,
-        total: (&played.whole).into(),
+        total: (&played.counts).into(),
         faults: faults.collect(),
         fetches: played.fetches,
-        warm_fraction: played.warm,
-        rejected_fetches: played.refusals,
+        warm_fraction: played.warm_fraction,
+        rejected_fetches: played.rejected_fetches,
         violations: violations.collect(),
         latencies: milletpath_history_checker::latencies(&played.records, PERCENTILES),
         fleet,
--- a/crates/milletpath/src/scenario/table.rs
+++ b/crates/milletpath/src/scenario/table.rs
@@ -14,11 +14,11 @@
 pub fn print(scenario: &Scenario, report: &ScenarioReport) {
     print_requests(scenario, report);
     print_store(report);
-    print_violations(&report.broken);
+    print_violations(&report.violations);
     for (name, bound) in &report.bounds {
         print_bound(name, bound);
     }
-    if let Some(membership) = &report.known {
+    if let Some(membership) = &report.membership {
         print_membership(membership);
     }
 }
@@ -27,13 +27,13 @@
 fn print_requests(scenario: &Scenario, report: &ScenarioReport) {
     println!(
         "scenario {} with seed {}: {} requests, {} attempts",
-        scenario.name, scenario.seed, report.whole.calls, report.whole.tries
+        scenario.name, scenario.seed, report.counts.calls, report.counts.tries
     );
     println!(
         "{:<16} {:>8} {:>8} {:>9} {:>6} {:>8} {:>8} {:>10}",
         "fault", "requests", "service", "succeeded", "late", "rejected", "failed", "unanswered"
     );
-    print_counts("all", &report.whole);
+    print_counts("all", &report.counts);
     for (index, counts) in &report.by_fault {
         print_counts(&scenario.faults[*index].name, counts);
     }
@@ -60,7 +60,7 @@
 fn print_store(report: &ScenarioReport) {
     println!(
         "fetches from the store: {}, rejected there: {}; requests that found an instance: {:.3}",
-        report.fetches, report.refusals, report.warm
+        report.fetches, report.rejected_fetches, report.warm_fraction
     );
 }
 
