--- a/crates/scale-test/src/budgets.rs
+++ b/crates/scale-test/src/budgets.rs
@@ -2,7 +2,7 @@
 //! second the lowest figure of each gateway is added up: at some moment of it all had at least that. So a sum
 //! over the bound is a broken bound, and one under it proves nothing of moments shorter than a second.
 
-use crate::wire::Low;
+use crate::host_protocol::Minimum;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,7 +60,7 @@
     }
 
     /// The least that a gateway could use in a second.
-    pub fn low(&mut self, gateway: usize, low: &Low) {
+    pub fn low(&mut self, gateway: usize, low: &Minimum) {
         if low.second <= self.done {
             return;
         }
@@ -69,7 +69,7 @@
         if !second.seen.insert(gateway) {
             return;
         }
-        let share = (SHARE, (1.0, low.part));
+        let share = (SHARE, (1.0, low.fraction));
         let budgets = low.budgets.iter().map(|(name, figures)| (name.as_str(), *figures));
         for (name, (part, allowed)) in budgets.chain([share]) {
             let sum = second.sums.entry(name.to_owned()).or_insert((0.0, 0.0));
--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -2,8 +2,8 @@
 //! channel. Dropped, each of them ends, whatever the run came to.
 
 use crate::book::Says;
-use crate::charter;
-use crate::wire::{Low, Order, Told};
+use crate::gateway_config;
+use crate::host_protocol::{HostCommand, Minimum, StatusMessage};
 use milletpath_gateway::hollow_gateway::clock;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -17,8 +17,8 @@
 
 /// What a run hears.
 #[derive(Debug)]
-pub enum Heard {
-    Host(Told),
+pub enum ChildMessage {
+    Host(StatusMessage),
     /// A host's output ended.
     HostEnded(usize),
     /// A real gateway says something of another; its life tells it from its former self.
@@ -51,7 +51,7 @@
     /// The least that a real gateway could use in a second.
     RealLow {
         gateway: usize,
-        low: Low,
+        low: Minimum,
     },
 }
 
@@ -73,11 +73,16 @@
 
 pub struct Host {
     child: Child,
-    orders: Option<Sender<Order>>,
+    orders: Option<Sender<HostCommand>>,
 }
 
 impl Host {
-    pub fn start(program: &Path, number: usize, log: File, heard: SyncSender<Heard>) -> io::Result<Self> {
+    pub fn start(
+        program: &Path,
+        number: usize,
+        log: File,
+        heard: SyncSender<ChildMessage>,
+    ) -> io::Result<Self> {
         let mut command = Command::new(program);
         command.arg("--log").arg("json").arg("scale-host").stdin(Stdio::piped()).stdout(Stdio::piped());
         // Of a thousand gateways only what is broken is worth a line.
@@ -95,17 +100,17 @@
         std::thread::Builder::new().name("host".into()).spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 match serde_json::from_str(&line) {
-                    Ok(told) => _ = heard.send(Heard::Host(told)),
+                    Ok(told) => _ = heard.send(ChildMessage::Host(told)),
                     Err(e) => tracing::error!(number, "a host's word can't be read: {e}"),
                 }
             }
-            let _ = heard.send(Heard::HostEnded(number));
+            let _ = heard.send(ChildMessage::HostEnded(number));
         })?;
         Ok(host)
     }
 
     /// Orders something; never waits for the host.
-    pub fn order(&self, order: Order) {
+    pub fn order(&self, order: HostCommand) {
         // A host that is gone is heard of by its end.
         self.orders.iter().for_each(|orders| _ = orders.send(order.clone()));
     }
@@ -120,7 +125,7 @@
     }
 }
 
-fn write(mut input: ChildStdin, wanted: &Receiver<Order>) {
+fn write(mut input: ChildStdin, wanted: &Receiver<HostCommand>) {
     while let Ok(order) = wanted.recv() {
         let line = serde_json::to_string(&order).unwrap_or_default();
         if writeln!(input, "{line}").and_then(|()| input.flush()).is_err() {
@@ -152,13 +157,13 @@
     /// Starts it and waits until it tells where it listens.
     pub fn start(
         program: &Path,
-        charter: &Path,
+        config: &Path,
         (gateway, life): (usize, u64),
-        heard: SyncSender<Heard>,
+        heard: SyncSender<ChildMessage>,
     ) -> io::Result<Self> {
         let began = clock();
         let mut command = Command::new(program);
-        command.arg("--log").arg("json").arg("serve").arg("--charter").arg(charter);
+        command.arg("--log").arg("json").arg("serve").arg("--charter").arg(config);
         // By its log it is known whom it believes in.
         command.env("MILLETPATH_LOG", "info").stdin(Stdio::null());
         let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
@@ -169,9 +174,9 @@
             std::thread::Builder::new().name("log".into()).spawn(move || {
                 for line in BufReader::new(log).lines().map_while(Result::ok) {
                     if let Some((about, says)) = believes(&line) {
-                        let _ = heard.send(Heard::Real { gateway, life, about, says, at: clock() });
+                        let _ = heard.send(ChildMessage::Real { gateway, life, about, says, at: clock() });
                     } else if let Some(number) = holds(&line) {
-                        let _ = heard.send(Heard::RealChanged { gateway, life, number, at: clock() });
+                        let _ = heard.send(ChildMessage::RealChanged { gateway, life, number, at: clock() });
                     }
                 }
             })?;
@@ -200,12 +205,12 @@
     }
 
     /// Tells it to stop; that it has is heard.
-    pub fn leave(mut self, gateway: usize, heard: SyncSender<Heard>) -> io::Result<()> {
+    pub fn leave(mut self, gateway: usize, heard: SyncSender<ChildMessage>) -> io::Result<()> {
         let at = clock();
         kill(Pid::from_raw(self.child.id() as i32), Signal::SIGTERM)?;
         std::thread::Builder::new().name("leave".into()).spawn(move || {
             end(&mut self.child);
-            let _ = heard.send(Heard::RealEnded { gateway, at });
+            let _ = heard.send(ChildMessage::RealEnded { gateway, at });
         })?;
         Ok(())
     }
@@ -241,5 +246,5 @@
         "a gateway is declared dead" | "a gateway left" => Says::Gone,
         _ => return None,
     };
-    Some((charter::number(fields["name"].as_str()?)?, says))
+    Some((gateway_config::number(fields["name"].as_str()?)?, says))
 }
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -2,9 +2,9 @@
 //! changes; and authors, who propose some as `milletpath change` does. Links of both pass the relay as those
 //! of gateways do; who looks after the run asks directly.
 
-use crate::charter;
-use crate::children::Heard;
-use crate::wire::Places;
+use crate::children::ChildMessage;
+use crate::gateway_config;
+use crate::host_protocol::AddressMap;
 use milletpath_config_log::{Change, Outcome, ReplicaView};
 use milletpath_gateway::ConfigStatus;
 use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
@@ -54,7 +54,7 @@
 }
 
 /// Starts one, and waits until it hears; `found` where the log is a new one.
-pub fn start(program: &Path, places: &Places, number: usize, found: bool) -> io::Result<Machine> {
+pub fn start(program: &Path, places: &AddressMap, number: usize, found: bool) -> io::Result<Machine> {
     /// Ports that are tried: one that is free may be taken by another until it is bound.
     const TRIES: usize = 4;
     let mut wrong = io::Error::other("no port is free");
@@ -70,7 +70,7 @@
 
 fn start_at(
     program: &Path,
-    places: &Places,
+    places: &AddressMap,
     number: usize,
     found: bool,
     at: SocketAddr,
@@ -79,7 +79,7 @@
     let mut control = places.control.clone();
     control[number] = at;
     let file = places.folder.join(format!("control-{number}.hcl"));
-    std::fs::write(&file, charter::control_text(&control, places))?;
+    std::fs::write(&file, gateway_config::control_text(&control, places))?;
     let log = places.folder.join(format!("control-{number}.told"));
     let log = File::options().create(true).append(true).open(log)?;
     let mut command = Command::new(program);
@@ -98,20 +98,20 @@
 }
 
 /// A client of the control machines at those addresses.
-fn client(places: &Places, control: &[SocketAddr]) -> io::Result<Client> {
+fn client(places: &AddressMap, control: &[SocketAddr]) -> io::Result<Client> {
     let mistakes = |m: Vec<_>| io::Error::other(format!("a charter can't be read: {m:?}"));
-    let house = milletpath_config::read(&charter::control_text(control, places)).map_err(mistakes)?;
+    let house = milletpath_config::read(&gateway_config::control_text(control, places)).map_err(mistakes)?;
     Client::new(&house.config_log.ok_or_else(|| io::Error::other("a charter without changes"))?)
         .map_err(io::Error::other)
 }
 
 /// What control machines tell, asked where they are; none for one that does not answer.
-pub fn views(places: &Places, at: &[SocketAddr]) -> io::Result<Vec<Option<ReplicaView>>> {
+pub fn views(places: &AddressMap, at: &[SocketAddr]) -> io::Result<Vec<Option<ReplicaView>>> {
     if at.is_empty() { Ok(Vec::new()) } else { Ok(client(places, at)?.control_status()) }
 }
 
 /// Number and digest of what is in force at real gateways, asked where they hear changes.
-pub fn states(places: &Places, at: &[SocketAddr]) -> io::Result<Vec<Option<(u64, u64)>>> {
+pub fn states(places: &AddressMap, at: &[SocketAddr]) -> io::Result<Vec<Option<(u64, u64)>>> {
     if at.is_empty() {
         return Ok(Vec::new());
     }
@@ -132,7 +132,7 @@
 }
 
 impl Author {
-    pub fn new(places: &Places) -> io::Result<Self> {
+    pub fn new(places: &AddressMap) -> io::Result<Self> {
         Ok(Self { client: client(places, &places.control)? })
     }
 
@@ -141,12 +141,12 @@
     }
 
     /// Proposes some, one after the other, in a thread of its own; what became of each is heard.
-    pub fn propose(self, wanted: Vec<Wanted>, heard: SyncSender<Heard>) -> io::Result<()> {
+    pub fn propose(self, wanted: Vec<Wanted>, heard: SyncSender<ChildMessage>) -> io::Result<()> {
         std::thread::Builder::new().name("author".into()).spawn(move || {
             for (change, due) in wanted {
                 std::thread::sleep(Duration::from_secs_f64((due - LOOK - clock()).max(0.0)));
                 let (at, outcome) = self.one(change, due);
-                let _ = heard.send(Heard::Answered { change, at, answered: clock(), outcome });
+                let _ = heard.send(ChildMessage::Answered { change, at, answered: clock(), outcome });
             }
         })?;
         Ok(())
--- a/crates/scale-test/src/standins.rs
+++ b/crates/scale-test/src/emulated_workers.rs
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 /// Stand-in workers in a thread of their own; they end with it.
-pub struct StandIns {
+pub struct EmulatedWorkers {
     pub addresses: Vec<SocketAddr>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl StandIns {
+impl EmulatedWorkers {
     pub fn start(workers: usize, seed: u64) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let (tell, told) = channel();
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for StandIns {
+impl Drop for EmulatedWorkers {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Release);
         self.thread.take().into_iter().for_each(|t| _ = t.join());
@@ -62,28 +62,28 @@
 
 /// What became of the calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct CallCounts {
     pub sent: u64,
-    pub handled: u64,
+    pub succeeded: u64,
 }
 
 /// Calls to the real gateways in turn, in a thread of its own.
 pub struct Calls {
     stop: Arc<AtomicBool>,
-    thread: Option<JoinHandle<Counts>>,
+    thread: Option<JoinHandle<CallCounts>>,
 }
 
-type Places = Arc<Mutex<BTreeMap<usize, (SocketAddr, Option<SocketAddr>)>>>;
+type AddressMap = Arc<Mutex<BTreeMap<usize, (SocketAddr, Option<SocketAddr>)>>>;
 
 impl Calls {
-    pub fn start(plan: &Plan, places: Places) -> io::Result<Self> {
+    pub fn start(plan: &Plan, places: AddressMap) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         if plan.calls <= 0.0 || plan.real == 0 {
             return Ok(Self { stop, thread: None });
         }
         let (every, functions, stopped) = (1.0 / plan.calls, plan.functions, stop.clone());
         let run = move || {
-            let (began, mut counts) = (Instant::now(), Counts::default());
+            let (began, mut counts) = (Instant::now(), CallCounts::default());
             while !stopped.load(Ordering::Acquire) {
                 // What falls due while one call takes long is called off: they keep a rate, they don't make
                 // up for time.
@@ -96,7 +96,7 @@
                 let Some(at) = there.get(counts.sent as usize % there.len().max(1)) else { continue };
                 let function = counts.sent as usize / there.len() % functions;
                 counts.sent += 1;
-                counts.handled += u64::from(call(*at, function).unwrap_or(false));
+                counts.succeeded += u64::from(call(*at, function).unwrap_or(false));
             }
             counts
         };
@@ -104,7 +104,7 @@
     }
 
     /// Ends them; none where there were none.
-    pub fn end(mut self) -> Option<Counts> {
+    pub fn end(mut self) -> Option<CallCounts> {
         self.stop.store(true, Ordering::Release);
         self.thread.take()?.join().ok()
     }
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -4,13 +4,13 @@
 use crate::book::Book;
 use crate::budgets::Sums;
 use crate::changed::Changed;
-use crate::charter;
-use crate::children::{Heard, Host, Real};
+use crate::children::{ChildMessage, Host, Real};
 use crate::control::{self, Machine};
+use crate::gateway_config;
+use crate::host_protocol::{AddressMap, HostCommand, Minimum, Reading, StatusMessage};
 use crate::machine::{self, Cores};
 use crate::plan::{Core, Plan};
 use crate::relay::{Relay, Ways};
-use crate::wire::{Low, Order, Places, Reading, Told};
 use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker, clock};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -32,13 +32,13 @@
 
 /// Why a run ends before its plan does.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Over {
+pub enum StopReason {
     /// Told to.
     Stopped,
     /// Its time is over.
-    Limit,
+    TimeLimit,
     /// It has more memory than it may, in GB.
-    Memory(f64),
+    MemoryLimit { gigabytes: f64 },
     /// A process of it failed.
     Failed(String),
 }
@@ -59,13 +59,13 @@
 
 /// Where a run has its programs and files.
 #[derive(Clone, Debug)]
-pub struct Stage {
+pub struct RunFiles {
     pub program: PathBuf,
     pub folder: PathBuf,
 }
 
 /// Real gateways as the threads see them that ask and call them: where each is, while it is there.
-type Reached = Arc<Mutex<BTreeMap<usize, (SocketAddr, Option<SocketAddr>)>>>;
+type ReachableGateways = Arc<Mutex<BTreeMap<usize, (SocketAddr, Option<SocketAddr>)>>>;
 
 pub struct Fleet {
     pub plan: Plan,
@@ -77,15 +77,15 @@
     /// Changes that authors were told to propose in this run, and control machines.
     changes: usize,
     machines: Vec<Option<Machine>>,
-    stage: Stage,
-    places: Places,
+    stage: RunFiles,
+    places: AddressMap,
     workers: Vec<SocketAddr>,
     hosts: Vec<Host>,
     reals: BTreeMap<usize, Real>,
-    pub reached: Reached,
+    pub reached: ReachableGateways,
     lives: u64,
-    heard: Receiver<Heard>,
-    tell: SyncSender<Heard>,
+    heard: Receiver<ChildMessage>,
+    tell: SyncSender<ChildMessage>,
     /// To begin anew as soon as they have ended.
     anew: BTreeSet<usize>,
     /// Told to begin or to end, and not yet heard to have.
@@ -114,7 +114,7 @@
     pub fn new(
         plan: &Plan,
         text: &str,
-        stage: Stage,
+        stage: RunFiles,
         workers: Vec<SocketAddr>,
         stop: Arc<AtomicBool>,
     ) -> io::Result<Self> {
@@ -129,8 +129,8 @@
         let all = relay.addresses()?;
         let links = all[..plan.gateways].to_vec();
         let control = all[plan.gateways..][..plan.control].to_vec();
-        let places = Places { links, control, folder: stage.folder.clone() };
-        for key in [charter::peers_key(&places), charter::changes_key(&places)] {
+        let places = AddressMap { links, control, folder: stage.folder.clone() };
+        for key in [gateway_config::peers_key(&places), gateway_config::changes_key(&places)] {
             std::fs::write(
                 key,
                 format!("the secret of a scale run on loopback, with the seed {}", plan.seed),
@@ -149,7 +149,7 @@
             let host = Host::start(&stage.program, number, log, tell.clone())?;
             let (text, seed) = (text.to_owned(), plan.seed);
             let places = places.clone();
-            host.order(Order::Plan { text, gateways: plan.gateways, seed, places });
+            host.order(HostCommand::Plan { text, gateways: plan.gateways, seed, places });
             hosts.push(host);
         }
         let now = clock();
@@ -166,7 +166,7 @@
             workers,
             hosts,
             reals: BTreeMap::new(),
-            reached: Reached::default(),
+            reached: ReachableGateways::default(),
             lives: 0,
             heard,
             tell,
@@ -198,15 +198,15 @@
     }
 
     /// Begins one.
-    pub fn begin(&mut self, gateway: usize) -> Result<(), Over> {
+    pub fn begin(&mut self, gateway: usize) -> Result<(), StopReason> {
         self.pending.insert(gateway);
         if !self.is_real(gateway) {
-            self.hosts[self.host_of(gateway)].order(Order::Begin { gateway });
+            self.hosts[self.host_of(gateway)].order(HostCommand::Begin { gateway });
             return Ok(());
         }
-        let failed = |e: io::Error| Over::Failed(format!("gateway {gateway} can't begin: {e}"));
+        let failed = |e: io::Error| StopReason::Failed(format!("gateway {gateway} can't begin: {e}"));
         let path = self.stage.folder.join(format!("gateway-{gateway}.hcl"));
-        let text = charter::text(&self.plan, gateway, &self.places, &self.workers);
+        let text = gateway_config::text(&self.plan, gateway, &self.places, &self.workers);
         std::fs::write(&path, &text).map_err(failed)?;
         self.lives += 1;
         let life = self.lives;
@@ -256,16 +256,16 @@
                     .map(|b| (b.name, BudgetLevel { quota: b.quota, allowed: b.allowed }))
                     .collect();
                 if let Some(low) = lows.record(clock(), told.view.fraction, budgets) {
-                    let low = Low {
+                    let low = Minimum {
                         second: low.second,
-                        part: low.fraction,
+                        fraction: low.fraction,
                         budgets: low
                             .budgets
                             .into_iter()
                             .map(|(name, level)| (name, (level.quota, level.allowed)))
                             .collect(),
                     };
-                    let _ = tell.send(Heard::RealLow { gateway, low });
+                    let _ = tell.send(ChildMessage::RealLow { gateway, low });
                 }
             }
         })?;
@@ -273,7 +273,7 @@
     }
 
     /// Ends some at once; those that are to begin anew do so when they have ended.
-    pub fn end(&mut self, gateways: &[usize], killed: bool, anew: bool) -> Result<(), Over> {
+    pub fn end(&mut self, gateways: &[usize], killed: bool, anew: bool) -> Result<(), StopReason> {
         let mut by_host: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         let running: Vec<usize> = gateways.iter().copied().filter(|g| self.book.runs(*g)).collect();
         for gateway in running {
@@ -299,17 +299,17 @@
                 drop(real);
                 self.ended(gateway, at)?;
             } else {
-                let failed = |e| Over::Failed(format!("gateway {gateway} can't be told to stop: {e}"));
+                let failed = |e| StopReason::Failed(format!("gateway {gateway} can't be told to stop: {e}"));
                 real.leave(gateway, self.tell.clone()).map_err(failed)?;
             }
         }
         for (host, gateways) in by_host {
-            self.hosts[host].order(Order::End { gateways, killed });
+            self.hosts[host].order(HostCommand::End { gateways, killed });
         }
         Ok(())
     }
 
-    fn ended(&mut self, gateway: usize, at: f64) -> Result<(), Over> {
+    fn ended(&mut self, gateway: usize, at: f64) -> Result<(), StopReason> {
         self.book.ended(gateway, at);
         self.changed.ended(gateway);
         self.readings.remove(&gateway);
@@ -320,13 +320,13 @@
     /// Passes one edition of the worker list to all hollow gateways.
     pub fn list(&mut self, workers: &[usize], generation: u32, there: bool) {
         for host in &self.hosts {
-            host.order(Order::List { workers: workers.to_vec(), generation, there });
+            host.order(HostCommand::List { workers: workers.to_vec(), generation, there });
         }
         self.listing += self.hosts.len();
     }
 
     /// Hears what there is until then, and looks after the run meanwhile.
-    pub fn pump(&mut self, until: f64) -> Result<(), Over> {
+    pub fn pump(&mut self, until: f64) -> Result<(), StopReason> {
         /// Seconds for which it waits at a time.
         const TURN: f64 = 0.05;
         loop {
@@ -345,29 +345,31 @@
         }
     }
 
-    fn hear(&mut self, heard: Heard) -> Result<(), Over> {
+    fn hear(&mut self, heard: ChildMessage) -> Result<(), StopReason> {
         match heard {
-            Heard::Host(told) => return self.told(told),
+            ChildMessage::Host(told) => return self.told(told),
             // The signal that stops a run may reach its hosts first.
-            Heard::HostEnded(_) if self.stop.load(Ordering::Acquire) => return Err(Over::Stopped),
-            Heard::HostEnded(number) => {
-                return Err(Over::Failed(format!("host {number} ended; its log is host-{number}.log")));
+            ChildMessage::HostEnded(_) if self.stop.load(Ordering::Acquire) => {
+                return Err(StopReason::Stopped);
             }
-            Heard::Real { gateway, life, about, says, at } => {
+            ChildMessage::HostEnded(number) => {
+                return Err(StopReason::Failed(format!("host {number} ended; its log is host-{number}.log")));
+            }
+            ChildMessage::Real { gateway, life, about, says, at } => {
                 if self.reals.get(&gateway).is_some_and(|r| r.life == life) {
                     self.book.said(gateway, about, says, at);
                 }
             }
-            Heard::RealChanged { gateway, life, number, at } => {
+            ChildMessage::RealChanged { gateway, life, number, at } => {
                 if self.reals.get(&gateway).is_some_and(|r| r.life == life) {
                     self.changed.said(gateway, number, at);
                 }
             }
-            Heard::Answered { change, at, answered, outcome } => {
+            ChildMessage::Answered { change, at, answered, outcome } => {
                 self.changed.answered(change, at, answered, outcome);
             }
-            Heard::RealEnded { gateway, at } => return self.ended(gateway, at),
-            Heard::RealLow { gateway, low } => self.sums.low(gateway, &low),
+            ChildMessage::RealEnded { gateway, at } => return self.ended(gateway, at),
+            ChildMessage::RealLow { gateway, low } => self.sums.low(gateway, &low),
         }
         Ok(())
     }
@@ -382,28 +384,28 @@
         self.pending.remove(&gateway);
     }
 
-    fn told(&mut self, told: Told) -> Result<(), Over> {
+    fn told(&mut self, told: StatusMessage) -> Result<(), StopReason> {
         match told {
-            Told::Began { gateway, link, feed, at } => self.began(gateway, (link, feed), at),
-            Told::Failed { gateway, why } => {
-                return Err(Over::Failed(format!("gateway {gateway}: {why}")));
+            StatusMessage::Began { gateway, link, feed, at } => self.began(gateway, (link, feed), at),
+            StatusMessage::Failed { gateway, why } => {
+                return Err(StopReason::Failed(format!("gateway {gateway}: {why}")));
             }
-            Told::Ended { gateway, at } => return self.ended(gateway, at),
-            Told::Events(events) => {
+            StatusMessage::Ended { gateway, at } => return self.ended(gateway, at),
+            StatusMessage::Events(events) => {
                 for (observer, about, says, at) in events {
                     self.book.said(observer as usize, about as usize, says, at);
                 }
             }
-            Told::Changed(changes) => {
+            StatusMessage::Changed(changes) => {
                 for (gateway, number, at) in changes {
                     self.changed.said(gateway as usize, number, at);
                 }
             }
-            Told::Listed { slowest, .. } => {
+            StatusMessage::Listed { slowest, .. } => {
                 self.listing = self.listing.saturating_sub(1);
                 self.slowest = self.slowest.max(slowest);
             }
-            Told::Readings { number, readings } => {
+            StatusMessage::Readings { number, readings } => {
                 for reading in readings {
                     reading.lows.iter().for_each(|low| self.sums.low(reading.gateway, low));
                     self.readings.insert(reading.gateway, reading);
@@ -417,11 +419,11 @@
     fn read(&mut self) {
         self.number += 1;
         self.awaited = self.hosts.len();
-        self.hosts.iter().for_each(|host| host.order(Order::Read { number: self.number }));
+        self.hosts.iter().for_each(|host| host.order(HostCommand::Read { number: self.number }));
     }
 
     /// Reads all hollow gateways now, and waits for what they say.
-    pub fn read_now(&mut self) -> Result<(), Over> {
+    pub fn read_now(&mut self) -> Result<(), StopReason> {
         /// Seconds for which a host that is slow is waited for.
         const WAIT: f64 = 15.0;
         self.read();
@@ -435,12 +437,12 @@
     }
 
     /// Looks whether the run may go on, and at the machine now and then.
-    fn look(&mut self, now: f64) -> Result<(), Over> {
+    fn look(&mut self, now: f64) -> Result<(), StopReason> {
         if self.stop.load(Ordering::Acquire) {
-            return Err(Over::Stopped);
+            return Err(StopReason::Stopped);
         }
         if now - self.began > self.plan.limit {
-            return Err(Over::Limit);
+            return Err(StopReason::TimeLimit);
         }
         if now >= self.read_at + READ {
             self.read_at = now;
@@ -452,7 +454,7 @@
                 if machine.as_mut().is_some_and(|m| !m.runs()) {
                     let why =
                         format!("control machine {number} ended by itself; its log is control-{number}.told");
-                    return Err(Over::Failed(why));
+                    return Err(StopReason::Failed(why));
                 }
             }
             self.sums.turn(now);
@@ -464,7 +466,7 @@
             let memory: f64 = self.processes().into_iter().filter_map(machine::memory).sum::<f64>() / 1e3;
             self.most_memory = self.most_memory.max(memory);
             if memory > self.plan.memory_gb {
-                return Err(Over::Memory(memory));
+                return Err(StopReason::MemoryLimit { gigabytes: memory });
             }
         }
         Ok(())
--- a/crates/scale-test/src/fleet/changes.rs
+++ b/crates/scale-test/src/fleet/changes.rs
@@ -1,8 +1,8 @@
 //! What a fleet has of changes: authors who propose some, control machines that come and go, what is in force.
 
-use super::{Fleet, Over};
-use crate::charter;
+use super::{Fleet, StopReason};
 use crate::control::{self, AUTHORS, Author, Machine};
+use crate::gateway_config;
 use crate::machine;
 use milletpath_config_log::ReplicaView;
 use std::collections::BTreeMap;
@@ -11,8 +11,8 @@
 
 impl Fleet {
     /// Has authors propose so many changes, spread evenly over some seconds from then on.
-    pub fn propose(&mut self, changes: usize, from: f64, over: f64) -> Result<(), Over> {
-        let failed = |e: io::Error| Over::Failed(format!("an author can't begin: {e}"));
+    pub fn propose(&mut self, changes: usize, from: f64, over: f64) -> Result<(), StopReason> {
+        let failed = |e: io::Error| StopReason::Failed(format!("an author can't begin: {e}"));
         let mut wanted: Vec<Vec<control::Wanted>> = vec![Vec::new(); AUTHORS];
         for n in 0..changes {
             wanted[n % AUTHORS].push((self.changes + n, from + over * n as f64 / changes as f64));
@@ -28,15 +28,15 @@
     }
 
     /// The control machine that leads, by the word of those that run.
-    pub fn leader(&self) -> Result<Option<usize>, Over> {
+    pub fn leader(&self) -> Result<Option<usize>, StopReason> {
         let views = self.control_views()?;
         let leads = views.into_iter().filter(|(_, view)| view.as_ref().is_some_and(|v| v.leads));
         Ok(leads.max_by_key(|(_, view)| view.as_ref().map(|v| v.ballot)).map(|(number, _)| number))
     }
 
     /// What the control machines that run tell.
-    pub fn control_views(&self) -> Result<BTreeMap<usize, Option<ReplicaView>>, Over> {
-        let failed = |e: io::Error| Over::Failed(format!("control machines can't be asked: {e}"));
+    pub fn control_views(&self) -> Result<BTreeMap<usize, Option<ReplicaView>>, StopReason> {
+        let failed = |e: io::Error| StopReason::Failed(format!("control machines can't be asked: {e}"));
         let running = || self.machines.iter().enumerate().filter_map(|(n, m)| Some((n, m.as_ref()?.at)));
         let at: Vec<SocketAddr> = running().map(|(_, at)| at).collect();
         let views = control::views(&self.places, &at).map_err(failed)?;
@@ -44,9 +44,9 @@
     }
 
     /// Number and digest of what is in force at each gateway that runs; none for one that does not say.
-    pub fn states(&mut self) -> Result<BTreeMap<usize, Option<(u64, u64)>>, Over> {
+    pub fn states(&mut self) -> Result<BTreeMap<usize, Option<(u64, u64)>>, StopReason> {
         self.read_now()?;
-        let failed = |e: io::Error| Over::Failed(format!("gateways can't be asked: {e}"));
+        let failed = |e: io::Error| StopReason::Failed(format!("gateways can't be asked: {e}"));
         let mut states = BTreeMap::new();
         for gateway in (self.plan.real..self.plan.gateways).filter(|g| self.book.runs(*g)) {
             let changes = self.readings.get(&gateway).and_then(|r| r.changes);
@@ -68,12 +68,12 @@
     }
 
     /// Begins those again that were killed, with their logs.
-    pub fn begin_control(&mut self) -> Result<(), Over> {
+    pub fn begin_control(&mut self) -> Result<(), StopReason> {
         for number in 0..self.machines.len() {
             if self.machines[number].is_some() {
                 continue;
             }
-            let failed = |e| Over::Failed(format!("control machine {number} can't begin: {e}"));
+            let failed = |e| StopReason::Failed(format!("control machine {number} can't begin: {e}"));
             let machine = control::start(&self.stage.program, &self.places, number, false).map_err(failed)?;
             self.relay.is_at(self.lines.machine(number), machine.at);
             self.machines[number] = Some(machine);
@@ -90,7 +90,7 @@
     /// Bytes that each gateway that runs keeps of what is in force.
     pub fn state_bytes(&self) -> Vec<(usize, f64)> {
         let size = |gateway: usize| {
-            let kept = std::fs::metadata(charter::state_file(&self.places, gateway)).ok()?;
+            let kept = std::fs::metadata(gateway_config::state_file(&self.places, gateway)).ok()?;
             Some((gateway, kept.len() as f64))
         };
         let there = 0..if self.plan.control > 0 { self.plan.gateways } else { 0 };
--- a/crates/scale-test/src/charter.rs
+++ b/crates/scale-test/src/gateway_config.rs
@@ -1,8 +1,8 @@
 //! The charters that the gateways of a run go by, alike for hollow and real ones but for their workers; and
 //! the entries of hollow workers.
 
+use crate::host_protocol::AddressMap;
 use crate::plan::{Core, Plan};
-use crate::wire::Places;
 use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,7 +22,7 @@
 }
 
 /// The charter of one gateway, with the workers that it lists.
-pub fn text(plan: &Plan, gateway: usize, places: &Places, workers: &[SocketAddr]) -> String {
+pub fn text(plan: &Plan, gateway: usize, places: &AddressMap, workers: &[SocketAddr]) -> String {
     let mut text = usual(workers);
     let mut line = |l: String| {
         let _ = writeln!(text, "{l}");
@@ -51,7 +51,7 @@
 }
 
 /// The charter of a control machine, which hears at one address and reaches the others at those of the list.
-pub fn control_text(control: &[SocketAddr], places: &Places) -> String {
+pub fn control_text(control: &[SocketAddr], places: &AddressMap) -> String {
     let none = SocketAddr::from(([127, 0, 0, 1], 9));
     let (usual, changes) = (usual(&[none]), changes(control, places));
     format!("listen = \"127.0.0.1:0\"\n{usual}{changes}\n  name = \"control\"\n}}\n")
@@ -74,22 +74,22 @@
 }
 
 /// The beginning of a block of changes.
-fn changes(control: &[SocketAddr], places: &Places) -> String {
+fn changes(control: &[SocketAddr], places: &AddressMap) -> String {
     let control: Vec<_> = control.iter().map(|at| format!("\"{at}\"")).collect();
     let key = changes_key(places);
     format!("changes {{\n  control = [{}]\n  key = \"{}\"", control.join(", "), key.display())
 }
 
-pub fn peers_key(places: &Places) -> PathBuf {
+pub fn peers_key(places: &AddressMap) -> PathBuf {
     places.folder.join("peers.key")
 }
 
-pub fn changes_key(places: &Places) -> PathBuf {
+pub fn changes_key(places: &AddressMap) -> PathBuf {
     places.folder.join("changes.key")
 }
 
 /// Where a gateway keeps what is in force.
-pub fn state_file(places: &Places, gateway: usize) -> PathBuf {
+pub fn state_file(places: &AddressMap, gateway: usize) -> PathBuf {
     places.folder.join(format!("{}.state", name(gateway)))
 }
 
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -2,9 +2,11 @@
 //! the time of their desks and passes on what they say of each other. `milletpath scale` starts some of them.
 
 use crate::book::Says;
-use crate::charter;
+use crate::gateway_config;
+use crate::host_protocol::{
+    AddressMap, Change, Event, Following, HostCommand, Minimum, Reading, StatusMessage,
+};
 use crate::plan::{self, Core, Plan};
-use crate::wire::{Change, Event, Following, Low, Order, Places, Reading, Told};
 use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_gateway::hollow_gateway::{AppliedCallback, HollowGateway, MembershipCallback, clock};
 use milletpath_membership::MembershipEvent;
@@ -38,7 +40,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn say(told: &Told) -> io::Result<()> {
+fn say(told: &StatusMessage) -> io::Result<()> {
     let mut out = io::stdout().lock();
     serde_json::to_writer(&mut out, told)?;
     out.write_all(b"\n")?;
@@ -76,10 +78,10 @@
 fn pass_on(place: &Place) -> io::Result<()> {
     let events = std::mem::take(&mut *lock(&place.events));
     if !events.is_empty() {
-        say(&Told::Events(events))?;
+        say(&StatusMessage::Events(events))?;
     }
     let changes = std::mem::take(&mut *lock(&place.changes));
-    if changes.is_empty() { Ok(()) } else { say(&Told::Changed(changes)) }
+    if changes.is_empty() { Ok(()) } else { say(&StatusMessage::Changed(changes)) }
 }
 
 /// What the hollow workers are at present: of each its generation, none where it is gone.
@@ -88,13 +90,15 @@
 impl Workers {
     fn entries(&self, plan: &Plan) -> Vec<Entry> {
         let there = self.0.iter().enumerate().filter_map(|(n, generation)| Some((n, (*generation)?)));
-        there.map(|(n, generation)| charter::worker(plan, n, generation, EndpointStatus::Ready)).collect()
+        there
+            .map(|(n, generation)| gateway_config::worker(plan, n, generation, EndpointStatus::Ready))
+            .collect()
     }
 }
 
 struct Setting {
     plan: Plan,
-    places: Places,
+    places: AddressMap,
     workers: Workers,
 }
 
@@ -103,7 +107,7 @@
     for line in input.lines() {
         let order = serde_json::from_str(&line?).map_err(io::Error::other)?;
         let setting = match (order, &mut setting) {
-            (Order::Plan { text, gateways, seed, places }, setting) => {
+            (HostCommand::Plan { text, gateways, seed, places }, setting) => {
                 let mistakes = |m: Vec<_>| io::Error::other(format!("the plan can't be read here: {m:?}"));
                 let mut plan = plan::read(&text, Some(gateways)).map_err(mistakes)?;
                 plan.seed = seed;
@@ -119,10 +123,10 @@
     Ok(())
 }
 
-fn carry_out(place: &Place, setting: &mut Setting, order: Order) -> io::Result<()> {
+fn carry_out(place: &Place, setting: &mut Setting, order: HostCommand) -> io::Result<()> {
     match order {
-        Order::Plan { .. } => Ok(()),
-        Order::Begin { gateway } => {
+        HostCommand::Plan { .. } => Ok(()),
+        HostCommand::Begin { gateway } => {
             // Nothing that it says is passed on before it is told that it began.
             let out = lock(&place.out);
             let at = clock();
@@ -130,15 +134,15 @@
                 Ok(hollow) => {
                     let (link, feed) = (hollow.link, hollow.feed);
                     lock(&place.gateways).insert(gateway, hollow);
-                    Told::Began { gateway, link, feed, at }
+                    StatusMessage::Began { gateway, link, feed, at }
                 }
-                Err(e) => Told::Failed { gateway, why: e.to_string() },
+                Err(e) => StatusMessage::Failed { gateway, why: e.to_string() },
             };
             let said = say(&told);
             drop(out);
             said
         }
-        Order::End { gateways, killed } => {
+        HostCommand::End { gateways, killed } => {
             let mut ended: Vec<(usize, HollowGateway)> = Vec::new();
             {
                 let mut there = lock(&place.gateways);
@@ -151,12 +155,12 @@
                 drop(hollow);
                 let out = lock(&place.out);
                 pass_on(place)?;
-                say(&Told::Ended { gateway, at })?;
+                say(&StatusMessage::Ended { gateway, at })?;
                 drop(out);
             }
             Ok(())
         }
-        Order::List { workers, generation, there } => {
+        HostCommand::List { workers, generation, there } => {
             let plan = &setting.plan;
             let state = if there { EndpointStatus::Ready } else { EndpointStatus::Gone };
             let known: Vec<usize> = workers.into_iter().filter(|w| *w < setting.workers.0.len()).collect();
@@ -164,15 +168,15 @@
                 setting.workers.0[*worker] = there.then_some(generation);
             }
             let entries: Vec<Entry> =
-                known.iter().map(|w| charter::worker(plan, *w, generation, state)).collect();
+                known.iter().map(|w| gateway_config::worker(plan, *w, generation, state)).collect();
             let took = |hollow: &HollowGateway| hollow.update_endpoints(false, &entries);
             let slowest = lock(&place.gateways).values().map(took).fold(0.0, f64::max);
             let out = lock(&place.out);
-            let said = say(&Told::Listed { workers: entries.len(), slowest });
+            let said = say(&StatusMessage::Listed { workers: entries.len(), slowest });
             drop(out);
             said
         }
-        Order::Read { number } => {
+        HostCommand::Read { number } => {
             let gateways = lock(&place.gateways);
             let readings = gateways.iter().map(|(gateway, hollow)| reading(*gateway, hollow)).collect();
             let broke: Vec<usize> =
@@ -180,9 +184,9 @@
             drop(gateways);
             let out = lock(&place.out);
             for gateway in broke {
-                say(&Told::Failed { gateway, why: "its control thread ended by itself".into() })?;
+                say(&StatusMessage::Failed { gateway, why: "its control thread ended by itself".into() })?;
             }
-            let said = say(&Told::Readings { number, readings });
+            let said = say(&StatusMessage::Readings { number, readings });
             drop(out);
             said
         }
@@ -201,7 +205,7 @@
             _ => return,
         };
         let mut events = lock(&events);
-        if let Some(about) = charter::number(name).filter(|_| events.len() < EVENTS) {
+        if let Some(about) = gateway_config::number(name).filter(|_| events.len() < EVENTS) {
             events.push((me, about as u32, says, clock()));
         }
     });
@@ -217,9 +221,9 @@
 
 /// What a hollow gateway goes by: the charter of a real one, read by the same reader, with its workers handed
 /// in.
-fn house(plan: &Plan, gateway: usize, places: &Places) -> io::Result<GatewayConfig> {
+fn house(plan: &Plan, gateway: usize, places: &AddressMap) -> io::Result<GatewayConfig> {
     let none = SocketAddr::from(([127, 0, 0, 1], 9));
-    let text = charter::text(plan, gateway, places, &[none]);
+    let text = gateway_config::text(plan, gateway, places, &[none]);
     let mistakes = |m: Vec<_>| io::Error::other(format!("a charter can't be read: {m:?}"));
     let mut house = milletpath_config::read(&text).map_err(mistakes)?;
     house.source = WorkerSource::List(Vec::new());
@@ -228,9 +232,9 @@
 
 fn reading(gateway: usize, hollow: &HollowGateway) -> Reading {
     let reading = hollow.reading();
-    let low = |low: milletpath_gateway::hollow_gateway::SecondMinimum| Low {
+    let low = |low: milletpath_gateway::hollow_gateway::SecondMinimum| Minimum {
         second: low.second,
-        part: low.fraction,
+        fraction: low.fraction,
         budgets: low.budgets.into_iter().map(|(name, level)| (name, (level.quota, level.allowed))).collect(),
     };
     let lows = reading.minimums.into_iter().map(low).collect();
--- a/crates/scale-test/src/wire.rs
+++ b/crates/scale-test/src/host_protocol.rs
@@ -8,14 +8,14 @@
 use std::path::PathBuf;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Order {
+pub enum HostCommand {
     /// Comes first, and once.
     Plan {
         /// The plan's text, and the number of gateways and the seed where they are not its own.
         text: String,
         gateways: usize,
         seed: u64,
-        places: Places,
+        places: AddressMap,
     },
     Begin {
         gateway: usize,
@@ -46,7 +46,7 @@
 
 /// Where all of a run is: what charters state beside the plan's figures.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Places {
+pub struct AddressMap {
     /// Where each gateway is reached by the others, and each control machine by all.
     pub links: Vec<SocketAddr>,
     pub control: Vec<SocketAddr>,
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Told {
+pub enum StatusMessage {
     Began {
         gateway: usize,
         /// Where it hears other gateways, and changes.
@@ -93,7 +93,7 @@
     pub control: f64,
     pub desk: f64,
     pub likely: f64,
-    pub lows: Vec<Low>,
+    pub lows: Vec<Minimum>,
     pub changes: Option<Following>,
 }
 
@@ -108,9 +108,10 @@
 
 /// The least that it could use at every moment of a second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Low {
+pub struct Minimum {
     pub second: u64,
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub fraction: f64,
     /// By budget: its part by the count alone, and what it might use.
     pub budgets: BTreeMap<String, (f64, f64)>,
 }
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -10,15 +10,15 @@
 pub mod changed;
 pub mod children;
 pub mod host;
+pub mod host_protocol;
 pub mod machine;
 pub mod plan;
 pub mod relay;
 pub mod report;
 pub mod run;
 pub mod spread;
-pub mod wire;
 
-mod charter;
 mod control;
+mod emulated_workers;
 mod fleet;
-mod standins;
+mod gateway_config;
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -4,11 +4,11 @@
 use crate::book::Learnt;
 use crate::budgets::Worst;
 use crate::changed::Made;
-use crate::fleet::Over;
+use crate::emulated_workers::CallCounts;
+use crate::fleet::StopReason;
 use crate::machine::SATURATED;
 use crate::plan::{Core, PLAYS, Plan};
 use crate::spread::{Known, Spread, Times};
-use crate::standins::Counts;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
@@ -134,7 +134,7 @@
     pub plays: Vec<Played>,
     pub budgets: BTreeMap<String, Worst>,
     pub machine: Machine,
-    pub calls: Option<Counts>,
+    pub calls: Option<CallCounts>,
     pub state: Option<State>,
 }
 
@@ -152,16 +152,16 @@
     pub unplayed: Vec<String>,
     pub budgets: BTreeMap<String, Worst>,
     pub machine: Machine,
-    pub calls: Option<Counts>,
+    pub calls: Option<CallCounts>,
     pub state: Option<State>,
-    pub over: Option<Over>,
+    pub over: Option<StopReason>,
 }
 
 impl Report {
     pub fn new(
         plan: &Plan,
         Findings { plays, budgets, machine, calls, state }: Findings,
-        over: Option<Over>,
+        over: Option<StopReason>,
         took: f64,
     ) -> Self {
         let whole = plays.len() - usize::from(over.is_some() && !plays.is_empty());
@@ -196,15 +196,15 @@
     fn judge(&self, plan: &Plan) -> Vec<String> {
         let mut broken = Vec::new();
         match &self.over {
-            Some(Over::Stopped) => broken.push("the run was stopped".into()),
-            Some(Over::Limit) => {
+            Some(StopReason::Stopped) => broken.push("the run was stopped".into()),
+            Some(StopReason::TimeLimit) => {
                 broken.push(format!("the run was not over after its limit of {} s", plan.limit));
             }
-            Some(Over::Memory(gb)) => {
+            Some(StopReason::MemoryLimit { gigabytes: gb }) => {
                 broken
                     .push(format!("memory of the run: {gb:.1} GB where {} GB are its most", plan.memory_gb));
             }
-            Some(Over::Failed(why)) => broken.push(format!("a process failed: {why}")),
+            Some(StopReason::Failed(why)) => broken.push(format!("a process failed: {why}")),
             None => {}
         }
         for play in &self.plays {
@@ -334,8 +334,8 @@
         if !self.budgets.is_empty() {
             report["budgets"] = json!(self.budgets);
         }
-        if let Some(Counts { sent, handled }) = self.calls {
-            report["calls"] = json!({"sent": sent, "handled": handled});
+        if let Some(CallCounts { sent, succeeded }) = self.calls {
+            report["calls"] = json!({"sent": sent, "handled": succeeded});
         }
         report
     }
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -1,8 +1,8 @@
 //! A report as a table for people.
 
 use super::{Cost, Report, Settled, short};
+use crate::emulated_workers::CallCounts;
 use crate::spread::Known;
-use crate::standins::Counts;
 use std::fmt;
 
 impl fmt::Display for Report {
@@ -89,8 +89,8 @@
                 "budget {name}: {sum} of {bound} at worst, in {seconds} seconds of {least} to {most} gateways"
             )?;
         }
-        if let Some(Counts { sent, handled }) = self.calls {
-            writeln!(f, "calls to real gateways: {sent}, handled {handled}")?;
+        if let Some(CallCounts { sent, succeeded }) = self.calls {
+            writeln!(f, "calls to real gateways: {sent}, handled {succeeded}")?;
         }
         let m = &self.machine;
         let busy = m.busy.map_or("unknown".into(), |b| format!("{:.0}%", 100.0 * b));
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -3,12 +3,12 @@
 use crate::book::Learnt;
 use crate::changed::Made;
 use crate::control::AUTHORS;
-use crate::fleet::{Fleet, Over, Stage, folder};
+use crate::emulated_workers::{Calls, EmulatedWorkers};
+use crate::fleet::{Fleet, RunFiles, StopReason, folder};
+use crate::host_protocol::Reading;
 use crate::machine::{self, Cores};
 use crate::plan::{Core, Plan, Play, What};
 use crate::report::{Findings, Played, Report, Settled, State};
-use crate::standins::{Calls, StandIns};
-use crate::wire::Reading;
 use milletpath_gateway::hollow_gateway::clock;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -47,8 +47,8 @@
 }
 
 fn staged(plan: &Plan, asked: Asked<'_>, folder: PathBuf) -> io::Result<Report> {
-    let stand_ins = StandIns::start(plan.workers.real, plan.seed)?;
-    let stage = Stage { program: asked.program, folder };
+    let stand_ins = EmulatedWorkers::start(plan.workers.real, plan.seed)?;
+    let stage = RunFiles { program: asked.program, folder };
     let before = (Cores::read(), machine::used(std::process::id()));
     let fleet = Fleet::new(plan, asked.text, stage, stand_ins.addresses.clone(), asked.stop)?;
     let calls = Calls::start(plan, fleet.reached.clone())?;
@@ -78,7 +78,7 @@
 }
 
 impl Playing {
-    fn plays(&mut self) -> Result<(), Over> {
+    fn plays(&mut self) -> Result<(), StopReason> {
         for play in self.fleet.plan.plays.clone() {
             let began = clock();
             self.fleet.sums.play(began, &play.label);
@@ -100,7 +100,7 @@
         self.state()
     }
 
-    fn play(&mut self, play: &Play, played: &mut Played) -> Result<(), Over> {
+    fn play(&mut self, play: &Play, played: &mut Played) -> Result<(), StopReason> {
         // Those that a play does not begin with in mind are proposed as it goes on.
         if matches!(play.what, What::Settled { .. } | What::Restarts { .. } | What::Changes) {
             self.propose(play)?;
@@ -147,8 +147,8 @@
         &mut self,
         all: &[usize],
         over: f64,
-        mut what: impl FnMut(&mut Fleet, usize) -> Result<(), Over>,
-    ) -> Result<(), Over> {
+        mut what: impl FnMut(&mut Fleet, usize) -> Result<(), StopReason>,
+    ) -> Result<(), StopReason> {
         let began = clock();
         for (n, gateway) in all.iter().enumerate() {
             self.fleet.pump(began + over * n as f64 / all.len() as f64)?;
@@ -161,7 +161,7 @@
     }
 
     /// Waits until all that was told to begin or to end has.
-    fn done(&mut self) -> Result<(), Over> {
+    fn done(&mut self) -> Result<(), StopReason> {
         while !self.fleet.pending.is_empty() {
             self.fleet.pump(clock() + 0.05)?;
         }
@@ -176,7 +176,7 @@
         play: &Play,
         away: f64,
         played: &mut Played,
-    ) -> Result<(), Over> {
+    ) -> Result<(), StopReason> {
         let began = clock();
         self.fleet.kill_control(control);
         self.fleet.end(some, true, false)?;
@@ -201,7 +201,7 @@
         self.one_by_one(some, 0.0, |fleet, gateway| fleet.begin(gateway))
     }
 
-    fn cut(&mut self, regions: (usize, usize), seconds: f64, play: &Play) -> Result<(), Over> {
+    fn cut(&mut self, regions: (usize, usize), seconds: f64, play: &Play) -> Result<(), StopReason> {
         let of: Vec<usize> = (0..self.fleet.plan.gateways).map(|g| self.fleet.plan.region_of(g)).collect();
         let began = clock();
         self.fleet.relay.cut(regions, true);
@@ -215,13 +215,20 @@
         done
     }
 
-    fn list(&mut self, zone: usize, editions: usize, over: f64, played: &mut Played) -> Result<(), Over> {
+    fn list(
+        &mut self,
+        zone: usize,
+        editions: usize,
+        over: f64,
+        played: &mut Played,
+    ) -> Result<(), StopReason> {
         if !self.fleet.plan.has(Core::List) {
             return Ok(());
         }
         let plan = &self.fleet.plan;
-        let workers: Vec<usize> =
-            (0..plan.workers.hollow).filter(|w| crate::charter::worker_zone(plan, *w) == zone).collect();
+        let workers: Vec<usize> = (0..plan.workers.hollow)
+            .filter(|w| crate::gateway_config::worker_zone(plan, *w) == zone)
+            .collect();
         let editions = editions.min(workers.len());
         self.fleet.read_now()?;
         let before = desks(&self.fleet.readings);
@@ -252,14 +259,14 @@
     }
 
     /// Waits until all hosts have taken all editions.
-    fn listed(&mut self) -> Result<(), Over> {
+    fn listed(&mut self) -> Result<(), StopReason> {
         while self.fleet.listing > 0 {
             self.fleet.pump(clock() + 0.05)?;
         }
         Ok(())
     }
 
-    fn wait(&mut self, until: f64, enough: impl Fn(&Fleet) -> bool) -> Result<(), Over> {
+    fn wait(&mut self, until: f64, enough: impl Fn(&Fleet) -> bool) -> Result<(), StopReason> {
         /// Seconds between two looks.
         const LOOK: f64 = 0.2;
         loop {
@@ -273,7 +280,7 @@
     }
 
     /// Waits until all that run believe what is so, for some seconds at most.
-    fn settle(&mut self, play: &Play, played: &mut Played) -> Result<(), Over> {
+    fn settle(&mut self, play: &Play, played: &mut Played) -> Result<(), StopReason> {
         let Some(most) = play.settle else { return Ok(()) };
         // What else is waited for is when changes are in force.
         if !self.fleet.plan.has(Core::Membership) || matches!(play.what, What::Changes | What::Control { .. })
@@ -309,7 +316,7 @@
         );
     }
 
-    fn end(self, plan: &Plan, over: Option<Over>, before: (Option<Cores>, f64)) -> io::Result<Report> {
+    fn end(self, plan: &Plan, over: Option<StopReason>, before: (Option<Cores>, f64)) -> io::Result<Report> {
         let Self { fleet, calls, played, state, terminal, .. } = self;
         if terminal {
             let _ = write!(io::stderr(), "\r\x1b[K");
--- a/crates/scale-test/src/run/changes.rs
+++ b/crates/scale-test/src/run/changes.rs
@@ -2,14 +2,14 @@
 
 use super::Playing;
 use crate::control::{AUTHOR_TRIES, LOOK};
-use crate::fleet::Over;
+use crate::fleet::StopReason;
 use crate::plan::{Core, Play, What};
 use crate::report::{Played, State};
 use milletpath_gateway::hollow_gateway::clock;
 
 impl Playing {
     /// Has authors propose the changes of a play.
-    pub(super) fn propose(&mut self, play: &Play) -> Result<(), Over> {
+    pub(super) fn propose(&mut self, play: &Play) -> Result<(), StopReason> {
         if play.changes == 0 {
             return Ok(());
         }
@@ -24,7 +24,7 @@
 
     /// Waits until all changes are in force at all that run: as long as authors try, and then for as long as
     /// the play has.
-    pub(super) fn in_force(&mut self, play: &Play) -> Result<(), Over> {
+    pub(super) fn in_force(&mut self, play: &Play) -> Result<(), StopReason> {
         if play.changes == 0 {
             return Ok(());
         }
@@ -35,12 +35,13 @@
     }
 
     /// Kills the control machine that leads when half of the changes are proposed, and begins it again later.
-    pub(super) fn control(&mut self, play: &Play, away: f64, played: &mut Played) -> Result<(), Over> {
+    pub(super) fn control(&mut self, play: &Play, away: f64, played: &mut Played) -> Result<(), StopReason> {
         self.propose(play)?;
         let half = clock() + LOOK + 0.5 * play.over;
         self.wait(half, |_| false)?;
         let leader = self.fleet.leader()?;
-        let leader = leader.ok_or_else(|| Over::Failed("no control machine leads in mid-change".into()))?;
+        let leader =
+            leader.ok_or_else(|| StopReason::Failed("no control machine leads in mid-change".into()))?;
         self.fleet.kill_control(&[leader]);
         played.killed = Some(leader);
         self.wait(half + away, |_| false)?;
@@ -48,7 +49,7 @@
     }
 
     /// What is in force at the end, at gateways and control machines.
-    pub(super) fn state(&mut self) -> Result<(), Over> {
+    pub(super) fn state(&mut self) -> Result<(), StopReason> {
         /// Seconds until those that began lately are heard.
         const WAIT: f64 = 10.0;
         if !self.fleet.plan.has(Core::Changes) {
--- a/crates/scale-test/src/run/measuring.rs
+++ b/crates/scale-test/src/run/measuring.rs
@@ -1,17 +1,17 @@
 //! What control costs, from what is read before and after a time.
 
 use super::Playing;
-use crate::fleet::Over;
+use crate::fleet::StopReason;
+use crate::host_protocol::Reading;
 use crate::machine::Cores;
 use crate::relay::Passed;
 use crate::report::{Cost, Played};
-use crate::wire::Reading;
 use milletpath_gateway::hollow_gateway::clock;
 use std::collections::BTreeMap;
 
 impl Playing {
     /// What control costs while nothing happens.
-    pub(super) fn measure(&mut self, seconds: f64, played: &mut Played) -> Result<(), Over> {
+    pub(super) fn measure(&mut self, seconds: f64, played: &mut Played) -> Result<(), StopReason> {
         let mut before = self.look()?;
         let began = (clock(), Cores::read());
         self.wait(began.0 + seconds, |_| false)?;
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    fn look(&mut self) -> Result<Look, Over> {
+    fn look(&mut self) -> Result<Look, StopReason> {
         self.fleet.read_now()?;
         Ok(Look {
             at: clock(),
--- a/crates/scale-test/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -2,11 +2,11 @@
 
 use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker};
 use milletpath_scale_test::budgets::Sums;
-use milletpath_scale_test::wire::Low;
+use milletpath_scale_test::host_protocol::Minimum;
 use std::collections::BTreeMap;
 
-fn low(second: u64, part: f64, allowed: f64) -> Low {
-    Low { second, part, budgets: BTreeMap::from([("quota all".to_owned(), (2.0, allowed))]) }
+fn low(second: u64, fraction: f64, allowed: f64) -> Minimum {
+    Minimum { second, fraction, budgets: BTreeMap::from([("quota all".to_owned(), (2.0, allowed))]) }
 }
 
 #[test]
