--- a/crates/scale-test/src/budgets.rs
+++ b/crates/scale-test/src/budgets.rs
@@ -17,7 +17,7 @@
 
 /// A budget at its worst.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Worst {
+pub struct WorstTotal {
     /// What all together might use, where that was most as a part of the bound.
     pub sum: f64,
     pub bound: f64,
@@ -37,30 +37,30 @@
     sums: BTreeMap<String, (f64, f64)>,
 }
 
-pub struct Sums {
+pub struct BudgetTotals {
     /// Gateways that there may be.
     most: f64,
     open: BTreeMap<u64, Second>,
     /// Seconds up to which all were added up.
     done: u64,
-    worst: BTreeMap<String, Worst>,
+    worst: BTreeMap<String, WorstTotal>,
     /// Plays by the second in which they began.
     plays: Vec<(u64, String)>,
 }
 
-impl Sums {
+impl BudgetTotals {
     pub fn new(most: usize) -> Self {
         let (open, worst) = (BTreeMap::new(), BTreeMap::new());
         Self { most: most as f64, open, done: 0, worst, plays: Vec::new() }
     }
 
     /// A play begins.
-    pub fn play(&mut self, now: f64, label: &str) {
+    pub fn begin_play(&mut self, now: f64, label: &str) {
         self.plays.push((now as u64, label.to_owned()));
     }
 
     /// The least that a gateway could use in a second.
-    pub fn low(&mut self, gateway: usize, low: &Minimum) {
+    pub fn record_minimum(&mut self, gateway: usize, low: &Minimum) {
         if low.second <= self.done {
             return;
         }
@@ -78,7 +78,7 @@
     }
 
     /// Adds up the seconds of which no more readings come.
-    pub fn turn(&mut self, now: f64) {
+    pub fn close_seconds(&mut self, now: f64) {
         let until = (now as u64).saturating_sub(OPEN);
         while let Some(entry) = self.open.first_entry().filter(|e| *e.key() < until) {
             self.done = *entry.key();
@@ -90,7 +90,7 @@
     fn close(&mut self, second: Second) {
         let gateways = second.seen.len();
         for (name, (sum, bound)) in second.sums {
-            let worst = self.worst.entry(name).or_insert_with(|| Worst {
+            let worst = self.worst.entry(name).or_insert_with(|| WorstTotal {
                 sum,
                 bound,
                 seconds: 0,
@@ -112,7 +112,7 @@
     }
 
     /// All budgets at their worst.
-    pub fn end(mut self) -> BTreeMap<String, Worst> {
+    pub fn finish(mut self) -> BTreeMap<String, WorstTotal> {
         for (at, second) in std::mem::take(&mut self.open) {
             self.done = at;
             self.close(second);
--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -1,9 +1,9 @@
 //! The processes that a run starts: hosts of hollow gateways, and real gateways. What they say comes on one
 //! channel. Dropped, each of them ends, whatever the run came to.
 
-use crate::book::Says;
 use crate::gateway_config;
 use crate::host_protocol::{HostCommand, Minimum, StatusMessage};
+use crate::membership_tracker::ReportedState;
 use milletpath_gateway::hollow_gateway::clock;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -26,7 +26,7 @@
         gateway: usize,
         life: u64,
         about: usize,
-        says: Says,
+        says: ReportedState,
         at: f64,
     },
     /// A real gateway has in force all changes up to a number.
@@ -233,7 +233,7 @@
 }
 
 /// What a line of a gateway's log says of another: its number, and what.
-pub fn believes(line: &str) -> Option<(usize, Says)> {
+pub fn believes(line: &str) -> Option<(usize, ReportedState)> {
     // Most lines are of other things.
     if !line.contains("\"a gateway ") {
         return None;
@@ -241,9 +241,9 @@
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = &line["fields"];
     let says = match fields["message"].as_str()? {
-        "a gateway joined" | "a gateway that was declared dead returned" => Says::Here,
-        "a gateway does not answer" => Says::Doubted,
-        "a gateway is declared dead" | "a gateway left" => Says::Gone,
+        "a gateway joined" | "a gateway that was declared dead returned" => ReportedState::Alive,
+        "a gateway does not answer" => ReportedState::Suspected,
+        "a gateway is declared dead" | "a gateway left" => ReportedState::Dead,
         _ => return None,
     };
     Some((gateway_config::number(fields["name"].as_str()?)?, says))
--- a/crates/scale-test/src/spread.rs
+++ b/crates/scale-test/src/distribution.rs
@@ -5,13 +5,13 @@
 
 /// Three figures of many.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Spread {
+pub struct Distribution {
     pub p50: f64,
     pub p99: f64,
     pub worst: f64,
 }
 
-impl Spread {
+impl Distribution {
     /// By the nearest rank; none where there is nothing.
     pub fn of(mut figures: Vec<f64>) -> Option<Self> {
         figures.sort_by(f64::total_cmp);
@@ -25,25 +25,25 @@
 
 /// Seconds until something was known, and how many never learnt it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Times {
+pub struct ConvergenceSamples {
     pub seconds: Vec<f32>,
     pub never: usize,
 }
 
 /// What is told of such times.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Known {
+pub struct ConvergenceSummary {
     #[serde(flatten)]
-    pub spread: Option<Spread>,
+    pub distribution: Option<Distribution>,
     pub learnt: usize,
     pub never: usize,
 }
 
-impl Times {
+impl ConvergenceSamples {
     /// None where nobody had anything to learn.
-    pub fn known(&self) -> Option<Known> {
-        let spread = Spread::of(self.seconds.iter().map(|s| f64::from(*s)).collect());
+    pub fn summary(&self) -> Option<ConvergenceSummary> {
+        let distribution = Distribution::of(self.seconds.iter().map(|s| f64::from(*s)).collect());
         let (learnt, never) = (self.seconds.len(), self.never);
-        (learnt + never > 0).then_some(Known { spread, learnt, never })
+        (learnt + never > 0).then_some(ConvergenceSummary { distribution, learnt, never })
     }
 }
--- a/crates/scale-test/src/emulated_workers.rs
+++ b/crates/scale-test/src/emulated_workers.rs
@@ -78,10 +78,10 @@
 impl Calls {
     pub fn start(plan: &Plan, places: AddressMap) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
-        if plan.calls <= 0.0 || plan.real == 0 {
+        if plan.calls_per_second <= 0.0 || plan.real_gateways == 0 {
             return Ok(Self { stop, thread: None });
         }
-        let (every, functions, stopped) = (1.0 / plan.calls, plan.functions, stop.clone());
+        let (every, functions, stopped) = (1.0 / plan.calls_per_second, plan.functions, stop.clone());
         let run = move || {
             let (began, mut counts) = (Instant::now(), CallCounts::default());
             while !stopped.load(Ordering::Acquire) {
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -1,16 +1,16 @@
 //! The fleet of a run: its processes, the links between them, and the books that are kept of both. It begins
 //! and ends gateways, hears what they say, and stops the run when its time or the machine's room is over.
 
-use crate::book::Book;
-use crate::budgets::Sums;
-use crate::changed::Changed;
+use crate::budgets::BudgetTotals;
+use crate::change_propagation::ChangePropagation;
 use crate::children::{ChildMessage, Host, Real};
 use crate::control::{self, Machine};
 use crate::gateway_config;
 use crate::host_protocol::{AddressMap, HostCommand, Minimum, Reading, StatusMessage};
-use crate::machine::{self, Cores};
-use crate::plan::{Core, Plan};
-use crate::relay::{Relay, Ways};
+use crate::machine_load::{self, CpuTime};
+use crate::membership_tracker::MembershipTracker;
+use crate::plan::{Component, Plan};
+use crate::relay::{LinkDelays, Relay};
 use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker, clock};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -71,8 +71,8 @@
     pub plan: Plan,
     pub relay: Relay,
     pub lines: Lines,
-    pub book: Book,
-    pub sums: Sums,
+    pub book: MembershipTracker,
+    pub sums: BudgetTotals,
     pub changed: Changed,
     /// Changes that authors were told to propose in this run, and control machines.
     changes: usize,
@@ -105,7 +105,7 @@
     read_at: f64,
     /// Part of all cores that was in use, second by second.
     pub busy: Vec<(f64, f64)>,
-    cores: Option<Cores>,
+    cores: Option<CpuTime>,
     pub most_memory: f64,
     asking: Arc<AtomicBool>,
 }
@@ -119,8 +119,10 @@
         stop: Arc<AtomicBool>,
     ) -> io::Result<Self> {
         let regions = 0..plan.regions.len();
-        let latency = |a: usize, b: usize| if a == b { plan.links.within } else { plan.links.between[a][b] };
-        let ways = Ways {
+        let latency = |a: usize, b: usize| {
+            if a == b { plan.links.within_region } else { plan.links.between_regions[a][b] }
+        };
+        let ways = LinkDelays {
             regions: Lines::of(plan).regions(plan),
             latency: regions.clone().map(|a| regions.clone().map(|b| latency(a, b)).collect()).collect(),
             loss: plan.links.loss,
@@ -128,7 +130,7 @@
         let relay = Relay::start(ways, CARRIERS, plan.seed)?;
         let all = relay.addresses()?;
         let links = all[..plan.gateways].to_vec();
-        let control = all[plan.gateways..][..plan.control].to_vec();
+        let control = all[plan.gateways..][..plan.control_machines].to_vec();
         let places = AddressMap { links, control, folder: stage.folder.clone() };
         for key in [gateway_config::peers_key(&places), gateway_config::changes_key(&places)] {
             std::fs::write(
@@ -137,14 +139,14 @@
             )?;
         }
         let mut machines = Vec::new();
-        for number in 0..plan.control {
+        for number in 0..plan.control_machines {
             let machine = control::start(&stage.program, &places, number, true)?;
-            relay.is_at(plan.gateways + number, machine.at);
+            relay.attach(plan.gateways + number, machine.at);
             machines.push(Some(machine));
         }
         let (tell, heard) = sync_channel(HEARD);
         let mut hosts = Vec::new();
-        for number in 0..plan.processes.min(plan.gateways - plan.real) {
+        for number in 0..plan.host_processes.min(plan.gateways - plan.real_gateways) {
             let log = File::create(stage.folder.join(format!("host-{number}.log")))?;
             let host = Host::start(&stage.program, number, log, tell.clone())?;
             let (text, seed) = (text.to_owned(), plan.seed);
@@ -156,9 +158,9 @@
         Ok(Self {
             relay,
             lines: Lines::of(plan),
-            book: Book::new(plan.gateways, now),
-            sums: Sums::new(plan.gateways),
-            changed: Changed::new(plan.gateways, now),
+            book: MembershipTracker::new(plan.gateways, now),
+            sums: BudgetTotals::new(plan.gateways),
+            changed: ChangePropagation::new(plan.gateways, now),
             changes: 0,
             machines,
             stage,
@@ -182,7 +184,7 @@
             looked: now,
             read_at: now,
             busy: Vec::new(),
-            cores: Cores::read(),
+            cores: CpuTime::read(),
             most_memory: 0.0,
             asking: Arc::new(AtomicBool::new(true)),
             plan: plan.clone(),
@@ -190,11 +192,11 @@
     }
 
     pub fn is_real(&self, gateway: usize) -> bool {
-        gateway < self.plan.real
+        gateway < self.plan.real_gateways
     }
 
     fn host_of(&self, gateway: usize) -> usize {
-        (gateway - self.plan.real) % self.hosts.len()
+        (gateway - self.plan.real_gateways) % self.hosts.len()
     }
 
     /// Begins one.
@@ -213,7 +215,8 @@
         let real =
             Real::start(&self.stage.program, &path, (gateway, life), self.tell.clone()).map_err(failed)?;
         self.began(gateway, (real.link, real.feed), real.began);
-        if let Some(link) = real.link.filter(|_| self.plan.gateways <= ASKED && self.plan.has(Core::Budgets))
+        if let Some(link) =
+            real.link.filter(|_| self.plan.gateways <= ASKED && self.plan.runs(Component::Budgets))
         {
             self.ask(gateway, &text, link).map_err(failed)?;
         }
@@ -275,11 +278,11 @@
     /// Ends some at once; those that are to begin anew do so when they have ended.
     pub fn end(&mut self, gateways: &[usize], killed: bool, anew: bool) -> Result<(), StopReason> {
         let mut by_host: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-        let running: Vec<usize> = gateways.iter().copied().filter(|g| self.book.runs(*g)).collect();
+        let running: Vec<usize> = gateways.iter().copied().filter(|g| self.book.is_running(*g)).collect();
         for gateway in running {
             if killed {
-                self.relay.gone(gateway);
-                self.lines.feed(gateway).into_iter().for_each(|feed| self.relay.gone(feed));
+                self.relay.detach(gateway);
+                self.lines.feed(gateway).into_iter().for_each(|feed| self.relay.detach(feed));
             }
             if anew {
                 self.anew.insert(gateway);
@@ -310,8 +313,8 @@
     }
 
     fn ended(&mut self, gateway: usize, at: f64) -> Result<(), StopReason> {
-        self.book.ended(gateway, at);
-        self.changed.ended(gateway);
+        self.book.record_stop(gateway, at);
+        self.changed.record_stop(gateway);
         self.readings.remove(&gateway);
         self.pending.remove(&gateway);
         if self.anew.remove(&gateway) { self.begin(gateway) } else { Ok(()) }
@@ -357,30 +360,30 @@
             }
             ChildMessage::Real { gateway, life, about, says, at } => {
                 if self.reals.get(&gateway).is_some_and(|r| r.life == life) {
-                    self.book.said(gateway, about, says, at);
+                    self.book.record_report(gateway, about, says, at);
                 }
             }
             ChildMessage::RealChanged { gateway, life, number, at } => {
                 if self.reals.get(&gateway).is_some_and(|r| r.life == life) {
-                    self.changed.said(gateway, number, at);
+                    self.changed.record_applied(gateway, number, at);
                 }
             }
             ChildMessage::Answered { change, at, answered, outcome } => {
-                self.changed.answered(change, at, answered, outcome);
+                self.changed.record_outcome(change, at, answered, outcome);
             }
             ChildMessage::RealEnded { gateway, at } => return self.ended(gateway, at),
-            ChildMessage::RealLow { gateway, low } => self.sums.low(gateway, &low),
+            ChildMessage::RealLow { gateway, low } => self.sums.record_minimum(gateway, &low),
         }
         Ok(())
     }
 
     /// A gateway runs, and hears others and changes there.
     fn began(&mut self, gateway: usize, (link, feed): (Option<SocketAddr>, Option<SocketAddr>), at: f64) {
-        link.into_iter().for_each(|link| self.relay.is_at(gateway, link));
+        link.into_iter().for_each(|link| self.relay.attach(gateway, link));
         let feed = self.lines.feed(gateway).zip(feed);
-        feed.into_iter().for_each(|(line, feed)| self.relay.is_at(line, feed));
-        self.book.began(gateway, at);
-        self.changed.began(gateway, at);
+        feed.into_iter().for_each(|(line, feed)| self.relay.attach(line, feed));
+        self.book.record_start(gateway, at);
+        self.changed.record_start(gateway, at);
         self.pending.remove(&gateway);
     }
 
@@ -393,12 +396,12 @@
             StatusMessage::Ended { gateway, at } => return self.ended(gateway, at),
             StatusMessage::Events(events) => {
                 for (observer, about, says, at) in events {
-                    self.book.said(observer as usize, about as usize, says, at);
+                    self.book.record_report(observer as usize, about as usize, says, at);
                 }
             }
             StatusMessage::Changed(changes) => {
                 for (gateway, number, at) in changes {
-                    self.changed.said(gateway as usize, number, at);
+                    self.changed.record_applied(gateway as usize, number, at);
                 }
             }
             StatusMessage::Listed { slowest, .. } => {
@@ -407,7 +410,7 @@
             }
             StatusMessage::Readings { number, readings } => {
                 for reading in readings {
-                    reading.lows.iter().for_each(|low| self.sums.low(reading.gateway, low));
+                    reading.lows.iter().for_each(|low| self.sums.record_minimum(reading.gateway, low));
                     self.readings.insert(reading.gateway, reading);
                 }
                 self.awaited -= usize::from(number == self.number && self.awaited > 0);
@@ -441,7 +444,7 @@
         if self.stop.load(Ordering::Acquire) {
             return Err(StopReason::Stopped);
         }
-        if now - self.began > self.plan.limit {
+        if now - self.began > self.plan.time_limit {
             return Err(StopReason::TimeLimit);
         }
         if now >= self.read_at + READ {
@@ -457,15 +460,16 @@
                     return Err(StopReason::Failed(why));
                 }
             }
-            self.sums.turn(now);
-            let cores = Cores::read();
+            self.sums.close_seconds(now);
+            let cores = CpuTime::read();
             if let (Some(cores), Some(before)) = (cores, self.cores) {
-                self.busy.push((now, cores.since(before)));
+                self.busy.push((now, cores.utilization_since(before)));
             }
             self.cores = cores;
-            let memory: f64 = self.processes().into_iter().filter_map(machine::memory).sum::<f64>() / 1e3;
+            let memory: f64 =
+                self.processes().into_iter().filter_map(machine_load::process_memory_mb).sum::<f64>() / 1e3;
             self.most_memory = self.most_memory.max(memory);
-            if memory > self.plan.memory_gb {
+            if memory > self.plan.memory_limit_gb {
                 return Err(StopReason::MemoryLimit { gigabytes: memory });
             }
         }
@@ -474,9 +478,9 @@
 
     /// Whether all that run believe what is so; and have in force what was made, where that is all there is.
     pub fn settled(&self) -> bool {
-        match self.plan.has(Core::Membership) {
-            true => self.book.settled() == self.book.running(),
-            false => self.pending.is_empty() && self.changed.settled(),
+        match self.plan.runs(Component::Membership) {
+            true => self.book.converged_observers() == self.book.running_count(),
+            false => self.pending.is_empty() && self.changed.is_converged(),
         }
     }
 }
--- a/crates/scale-test/src/fleet/changes.rs
+++ b/crates/scale-test/src/fleet/changes.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, StopReason};
 use crate::control::{self, AUTHORS, Author, Machine};
 use crate::gateway_config;
-use crate::machine;
+use crate::machine_load;
 use milletpath_config_log::ReplicaView;
 use std::collections::BTreeMap;
 use std::io;
@@ -18,10 +18,10 @@
             wanted[n % AUTHORS].push((self.changes + n, from + over * n as f64 / changes as f64));
         }
         self.changes += changes;
-        self.changed.expected(changes);
+        self.changed.expect_proposals(changes);
         for (number, wanted) in wanted.into_iter().enumerate().filter(|(_, w)| !w.is_empty()) {
             let author = Author::new(&self.places).map_err(failed)?;
-            self.relay.is_at(self.lines.author(number), author.at().map_err(failed)?);
+            self.relay.attach(self.lines.author(number), author.at().map_err(failed)?);
             author.propose(wanted, self.tell.clone()).map_err(failed)?;
         }
         Ok(())
@@ -48,7 +48,7 @@
         self.read_now()?;
         let failed = |e: io::Error| StopReason::Failed(format!("gateways can't be asked: {e}"));
         let mut states = BTreeMap::new();
-        for gateway in (self.plan.real..self.plan.gateways).filter(|g| self.book.runs(*g)) {
+        for gateway in (self.plan.real_gateways..self.plan.gateways).filter(|g| self.book.is_running(*g)) {
             let changes = self.readings.get(&gateway).and_then(|r| r.changes);
             states.insert(gateway, changes.map(|c| (c.number, c.digest)));
         }
@@ -62,7 +62,7 @@
     /// Kills control machines.
     pub fn kill_control(&mut self, machines: &[usize]) {
         for number in machines {
-            self.relay.gone(self.lines.machine(*number));
+            self.relay.detach(self.lines.machine(*number));
             self.machines[*number] = None;
         }
     }
@@ -75,7 +75,7 @@
             }
             let failed = |e| StopReason::Failed(format!("control machine {number} can't begin: {e}"));
             let machine = control::start(&self.stage.program, &self.places, number, false).map_err(failed)?;
-            self.relay.is_at(self.lines.machine(number), machine.at);
+            self.relay.attach(self.lines.machine(number), machine.at);
             self.machines[number] = Some(machine);
         }
         Ok(())
@@ -83,7 +83,13 @@
 
     /// Processor time and memory in MB of each control machine that runs, with its process.
     pub fn control_used(&self) -> BTreeMap<usize, (u32, f64, Option<f64>)> {
-        let used = |m: &Machine| (m.process(), machine::used(m.process()), machine::memory(m.process()));
+        let used = |m: &Machine| {
+            (
+                m.process(),
+                machine_load::process_cpu_seconds(m.process()),
+                machine_load::process_memory_mb(m.process()),
+            )
+        };
         self.machines.iter().enumerate().filter_map(|(n, m)| Some((n, used(m.as_ref()?)))).collect()
     }
 
@@ -93,7 +99,7 @@
             let kept = std::fs::metadata(gateway_config::state_file(&self.places, gateway)).ok()?;
             Some((gateway, kept.len() as f64))
         };
-        let there = 0..if self.plan.control > 0 { self.plan.gateways } else { 0 };
-        there.filter(|g| self.book.runs(*g)).filter_map(size).collect()
+        let there = 0..if self.plan.control_machines > 0 { self.plan.gateways } else { 0 };
+        there.filter(|g| self.book.is_running(*g)).filter_map(size).collect()
     }
 }
--- a/crates/scale-test/src/fleet/lines.rs
+++ b/crates/scale-test/src/fleet/lines.rs
@@ -13,7 +13,7 @@
 
 impl Lines {
     pub(super) fn of(plan: &Plan) -> Self {
-        Self { gateways: plan.gateways, control: plan.control }
+        Self { gateways: plan.gateways, control: plan.control_machines }
     }
 
     pub fn machine(self, number: usize) -> usize {
@@ -35,7 +35,7 @@
         if self.control == 0 {
             return gateways.collect();
         }
-        let machines = (0..self.control).map(|m| plan.zones[plan.zone_of_control(m)].region);
+        let machines = (0..self.control).map(|m| plan.zones[plan.zone_of_control_machine(m)].region);
         let authors = (0..AUTHORS).map(|a| a % plan.regions.len());
         gateways.clone().chain(machines).chain(gateways).chain(authors).collect()
     }
--- a/crates/scale-test/src/fleet/used.rs
+++ b/crates/scale-test/src/fleet/used.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use crate::children::{Host, Real};
 use crate::control::Machine;
-use crate::machine;
+use crate::machine_load;
 use std::collections::BTreeMap;
 
 impl Fleet {
@@ -18,24 +18,25 @@
     /// Memory of each gateway that runs, in MB: a hollow one's part of its host, a real one's process.
     pub fn memory(&self) -> BTreeMap<usize, f64> {
         let mut in_host: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-        for gateway in (self.plan.real..self.plan.gateways).filter(|g| self.book.runs(*g)) {
+        for gateway in (self.plan.real_gateways..self.plan.gateways).filter(|g| self.book.is_running(*g)) {
             in_host.entry(self.host_of(gateway)).or_default().push(gateway);
         }
         let mut memory = BTreeMap::new();
         for (host, gateways) in in_host {
-            if let Some(all) = machine::memory(self.hosts[host].process()) {
+            if let Some(all) = machine_load::process_memory_mb(self.hosts[host].process()) {
                 let each = all / gateways.len() as f64;
                 memory.extend(gateways.into_iter().map(|g| (g, each)));
             }
         }
-        let real = self.reals.iter().filter_map(|(g, r)| Some((*g, machine::memory(r.process())?)));
+        let real =
+            self.reals.iter().filter_map(|(g, r)| Some((*g, machine_load::process_memory_mb(r.process())?)));
         memory.extend(real);
         memory
     }
 
     /// Processor time of a thread of that name of each real gateway.
     pub fn real_thread(&self, name: &str) -> BTreeMap<usize, f64> {
-        let of = |(g, r): (&usize, &Real)| Some((*g, machine::thread(r.process(), name)?));
+        let of = |(g, r): (&usize, &Real)| Some((*g, machine_load::thread_cpu_seconds(r.process(), name)?));
         self.reals.iter().filter_map(of).collect()
     }
 
--- a/crates/scale-test/src/gateway_config.rs
+++ b/crates/scale-test/src/gateway_config.rs
@@ -2,7 +2,7 @@
 //! the entries of hollow workers.
 
 use crate::host_protocol::AddressMap;
-use crate::plan::{Core, Plan};
+use crate::plan::{Component, Plan};
 use milletpath_protocol::registry::{EndpointStatus, Entry};
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -29,20 +29,20 @@
     };
     line(format!("listen = \"127.0.0.1:0\"\ngateways = {}\ncores = 1", plan.gateways));
     line(format!("seed = {}", plan.seed.wrapping_add(gateway as u64) % 9_000_000_000_000_000));
-    if plan.has(Core::Budgets) {
+    if plan.runs(Component::Budgets) {
         line(format!("client \"all\" {{ quota = {} }}", plan.budgets.quota));
-        let (window, free) = (plan.budgets.window, plan.budgets.orders);
+        let (window, free) = (plan.budgets.load_window, plan.budgets.load_requests);
         line(format!("limits {{\n  ration {{\n    window = {window}\n    free = {free}\n  }}\n}}"));
     }
-    if plan.has(Core::Membership) {
+    if plan.runs(Component::Membership) {
         let seeds: Vec<_> = seeds(plan).into_iter().map(|g| format!("\"{}\"", places.links[g])).collect();
         line(format!("peers {{\n  listen = \"127.0.0.1:0\"\n  advertise = \"{}\"", places.links[gateway]));
         line(format!("  name = \"{}\"\n  seeds = [{}]", name(gateway), seeds.join(", ")));
-        let crate::plan::Peers { period, lease, floor } = plan.peers;
+        let crate::plan::MembershipParameters { period, lease, floor } = plan.membership;
         line(format!("  key = \"{}\"\n  period = {period}\n  lease = {lease}", peers_key(places).display()));
         line(format!("  floor = {floor}\n}}"));
     }
-    if plan.has(Core::Changes) {
+    if plan.runs(Component::ConfigChanges) {
         line(changes(&places.control, places));
         line(format!("  name = \"{}\"\n  listen = \"127.0.0.1:0\"", name(gateway)));
         line(format!("  state = \"{}\"\n}}", state_file(places, gateway).display()));
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -1,12 +1,12 @@
 //! A host: a process that holds many hollow gateways. It does what it is ordered on its standard input, keeps
 //! the time of their desks and passes on what they say of each other. `milletpath scale` starts some of them.
 
-use crate::book::Says;
 use crate::gateway_config;
 use crate::host_protocol::{
     AddressMap, Change, Event, Following, HostCommand, Minimum, Reading, StatusMessage,
 };
-use crate::plan::{self, Core, Plan};
+use crate::membership_tracker::ReportedState;
+use crate::plan::{self, Component, Plan};
 use milletpath_config::{GatewayConfig, WorkerSource};
 use milletpath_gateway::hollow_gateway::{AppliedCallback, HollowGateway, MembershipCallback, clock};
 use milletpath_membership::MembershipEvent;
@@ -111,7 +111,7 @@
                 let mistakes = |m: Vec<_>| io::Error::other(format!("the plan can't be read here: {m:?}"));
                 let mut plan = plan::read(&text, Some(gateways)).map_err(mistakes)?;
                 plan.seed = seed;
-                let hollow = if plan.has(Core::List) { plan.workers.hollow } else { 1 };
+                let hollow = if plan.runs(Component::EndpointList) { plan.workers.hollow } else { 1 };
                 *setting = Some(Setting { plan, places, workers: Workers(vec![Some(0); hollow]) });
                 continue;
             }
@@ -199,9 +199,11 @@
     let (events, me) = (place.events.clone(), gateway as u32);
     let on_event: MembershipCallback = Box::new(move |event| {
         let (name, says) = match &event {
-            MembershipEvent::Joined { name, .. } | MembershipEvent::Returned { name } => (name, Says::Here),
-            MembershipEvent::Suspected { name } => (name, Says::Doubted),
-            MembershipEvent::Died { name } | MembershipEvent::Left { name } => (name, Says::Gone),
+            MembershipEvent::Joined { name, .. } | MembershipEvent::Returned { name } => {
+                (name, ReportedState::Alive)
+            }
+            MembershipEvent::Suspected { name } => (name, ReportedState::Suspected),
+            MembershipEvent::Died { name } | MembershipEvent::Left { name } => (name, ReportedState::Dead),
             _ => return,
         };
         let mut events = lock(&events);
--- a/crates/scale-test/src/host_protocol.rs
+++ b/crates/scale-test/src/host_protocol.rs
@@ -1,7 +1,7 @@
 //! What a run and its host processes say to each other: one JSON object a line, orders on the host's standard
 //! input, what it tells on its standard output. A host ends when its input does.
 
-use crate::book::Says;
+use crate::membership_tracker::ReportedState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 /// One event: observer, about, what it says, and when.
-pub type Event = (u32, u32, Says, f64);
+pub type Event = (u32, u32, ReportedState, f64);
 
 /// A gateway has in force all changes up to a number, and when.
 pub type Change = (u32, u64, f64);
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -5,18 +5,18 @@
 //! [`plan`] reads what is asked for, [`run`] plays it, [`report`] says what it came to. [`host`] is the
 //! process that hollow gateways share, [`relay`] the links between all.
 
-pub mod book;
 pub mod budgets;
-pub mod changed;
+pub mod change_propagation;
 pub mod children;
+pub mod distribution;
 pub mod host;
 pub mod host_protocol;
-pub mod machine;
+pub mod machine_load;
+pub mod membership_tracker;
 pub mod plan;
 pub mod relay;
 pub mod report;
 pub mod run;
-pub mod spread;
 
 mod control;
 mod emulated_workers;
--- a/crates/scale-test/src/book.rs
+++ b/crates/scale-test/src/membership_tracker.rs
@@ -1,26 +1,29 @@
 //! Who runs, and who believes it of whom: told of beginnings, ends and what gateways say, it knows whether
 //! all believe what is so, and how long each took to learn it. Free of I/O; times are seconds on one clock.
 
-use crate::spread::Times;
+use crate::distribution::ConvergenceSamples;
 use serde::{Deserialize, Serialize};
 
 /// What a gateway says of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Says {
-    Here,
+pub enum ReportedState {
+    #[serde(rename = "Here")]
+    Alive,
     /// Under suspicion: there, also where it had counted as gone before.
-    Doubted,
+    #[serde(rename = "Doubted")]
+    Suspected,
     /// Dead, or that it left.
-    Gone,
+    #[serde(rename = "Gone")]
+    Dead,
 }
 
 /// How long things took to be known, and what was said wrongly.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learnt {
-    pub death: Times,
-    pub join: Times,
+pub struct ConvergenceTimes {
+    pub death: ConvergenceSamples,
+    pub join: ConvergenceSamples,
     /// That those are there after all who had been taken for gone behind a cut.
-    pub healing: Times,
+    pub healing: ConvergenceSamples,
     /// Times that one was said to be gone which ran and could be heard.
     pub false_deaths: usize,
 }
@@ -28,7 +31,7 @@
 /// Nothing is waited for.
 const NONE: f32 = f32::INFINITY;
 
-pub struct Book {
+pub struct MembershipTracker {
     size: usize,
     /// Since when each runs.
     began: Vec<Option<f64>>,
@@ -47,10 +50,10 @@
     cut: bool,
     /// The clock's time that counts as 0: sums of seconds stay small enough for f32.
     zero: f64,
-    learnt: Learnt,
+    learnt: ConvergenceTimes,
 }
 
-impl Book {
+impl MembershipTracker {
     pub fn new(size: usize, now: f64) -> Self {
         let pairs = size * size;
         Self {
@@ -65,25 +68,25 @@
             apart: Box::new(|_, _| false),
             cut: false,
             zero: now,
-            learnt: Learnt::default(),
+            learnt: ConvergenceTimes::default(),
         }
     }
 
-    pub fn runs(&self, gateway: usize) -> bool {
+    pub fn is_running(&self, gateway: usize) -> bool {
         self.began[gateway].is_some()
     }
 
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.began.iter().flatten().count()
     }
 
     fn others(&self, gateway: usize) -> impl Iterator<Item = usize> + use<> {
-        let there: Vec<usize> = (0..self.size).filter(|o| *o != gateway && self.runs(*o)).collect();
+        let there: Vec<usize> = (0..self.size).filter(|o| *o != gateway && self.is_running(*o)).collect();
         there.into_iter()
     }
 
     /// A process of this name began.
-    pub fn began(&mut self, gateway: usize, at: f64) {
+    pub fn record_start(&mut self, gateway: usize, at: f64) {
         let since = (at - self.zero) as f32;
         for other in self.others(gateway) {
             let pair = other * self.size + gateway;
@@ -98,7 +101,7 @@
     }
 
     /// It ended. Whoever believed in it has to learn that; what it had to learn itself is nobody's any more.
-    pub fn ended(&mut self, gateway: usize, at: f64) {
+    pub fn record_stop(&mut self, gateway: usize, at: f64) {
         let since = (at - self.zero) as f32;
         self.began[gateway] = None;
         for other in self.others(gateway) {
@@ -122,17 +125,17 @@
     }
 
     /// From now on these do not hear each other.
-    pub fn cut(&mut self, apart: impl Fn(usize, usize) -> bool + Send + 'static) {
+    pub fn begin_partition(&mut self, apart: impl Fn(usize, usize) -> bool + Send + 'static) {
         (self.apart, self.cut) = (Box::new(apart), true);
     }
 
     /// They do again: whoever was taken for gone is to be known again.
-    pub fn mended(&mut self, at: f64) {
+    pub fn end_partition(&mut self, at: f64) {
         let since = (at - self.zero) as f32;
         for observer in 0..self.size {
             for about in 0..self.size {
                 let pair = observer * self.size + about;
-                let both = observer != about && self.runs(observer) && self.runs(about);
+                let both = observer != about && self.is_running(observer) && self.is_running(about);
                 if both && (self.apart)(observer, about) && self.believes[pair] == 0 {
                     self.healing[pair] = since;
                 }
@@ -142,7 +145,7 @@
     }
 
     /// One gateway says something of another.
-    pub fn said(&mut self, observer: usize, about: usize, says: Says, at: f64) {
+    pub fn record_report(&mut self, observer: usize, about: usize, says: ReportedState, at: f64) {
         if observer >= self.size || about >= self.size || observer == about {
             return;
         }
@@ -151,7 +154,7 @@
             return;
         }
         let (at, pair) = ((at - self.zero) as f32, observer * self.size + about);
-        let take = |waits: &mut Vec<f32>, times: &mut Times| {
+        let take = |waits: &mut Vec<f32>, times: &mut ConvergenceSamples| {
             let since = waits[pair];
             let learnt = since <= at;
             if learnt {
@@ -161,51 +164,51 @@
             learnt
         };
         match says {
-            Says::Doubted if self.believes[pair] > 0 => {}
-            Says::Here | Says::Doubted => {
+            ReportedState::Suspected if self.believes[pair] > 0 => {}
+            ReportedState::Alive | ReportedState::Suspected => {
                 self.here[pair] = at;
                 self.believes[pair] = self.believes[pair].saturating_add(1);
                 if !take(&mut self.join, &mut self.learnt.join) {
                     take(&mut self.healing, &mut self.learnt.healing);
                 }
             }
-            Says::Gone => {
+            ReportedState::Dead => {
                 self.gone[pair] = at;
                 self.believes[pair] = self.believes[pair].saturating_sub(1);
                 let meant = take(&mut self.death, &mut self.learnt.death);
-                let heard = self.runs(about) && !(self.cut && (self.apart)(observer, about));
+                let heard = self.is_running(about) && !(self.cut && (self.apart)(observer, about));
                 self.learnt.false_deaths += usize::from(!meant && heard && self.believes[pair] == 0);
             }
         }
     }
 
     /// How many of those that run believe of all others what is so, and of no former process that it is still there.
-    pub fn settled(&self) -> usize {
+    pub fn converged_observers(&self) -> usize {
         let right = |observer: usize| {
             (0..self.size).filter(|about| *about != observer).all(|about| {
                 let pair = observer * self.size + about;
-                (self.believes[pair] > 0) == self.runs(about) && self.death[pair] == NONE
+                (self.believes[pair] > 0) == self.is_running(about) && self.death[pair] == NONE
             })
         };
-        (0..self.size).filter(|o| self.runs(*o) && right(*o)).count()
+        (0..self.size).filter(|o| self.is_running(*o) && right(*o)).count()
     }
 
     /// Of how many there is nobody who believes otherwise: those that run are believed by all, the others by
     /// none.
-    pub fn agreed(&self) -> usize {
+    pub fn agreed_gateways(&self) -> usize {
         let wrong = |about: usize| {
-            let observers = (0..self.size).filter(|o| *o != about && self.runs(*o));
+            let observers = (0..self.size).filter(|o| *o != about && self.is_running(*o));
             let mut believed = observers.map(|o| self.believes[o * self.size + about] > 0);
-            believed.any(|b| b != self.runs(about))
+            believed.any(|b| b != self.is_running(about))
         };
-        (0..self.size).filter(|g| self.runs(*g) && !wrong(*g)).count()
+        (0..self.size).filter(|g| self.is_running(*g) && !wrong(*g)).count()
     }
 
     /// What was learnt since it was last taken. What is still to be learnt counts as never where a play ends
     /// with it.
-    pub fn take(&mut self) -> Learnt {
+    pub fn take_times(&mut self) -> ConvergenceTimes {
         let mut learnt = std::mem::take(&mut self.learnt);
-        let never = |waits: &mut Vec<f32>, times: &mut Times| {
+        let never = |waits: &mut Vec<f32>, times: &mut ConvergenceSamples| {
             times.never = waits.iter().filter(|since| **since != NONE).count();
             waits.fill(NONE);
         };
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -13,31 +13,31 @@
     pub seed: u64,
     pub gateways: usize,
     /// Of them, processes of `milletpath serve`.
-    pub real: usize,
+    pub real_gateways: usize,
     /// That the hollow ones are spread over.
-    pub processes: usize,
-    pub peers: Peers,
-    pub budgets: Budgets,
+    pub host_processes: usize,
+    pub membership: MembershipParameters,
+    pub budgets: BudgetParameters,
     /// Control machines, where changes are followed.
-    pub control: usize,
+    pub control_machines: usize,
     pub zones: Vec<Zone>,
     pub regions: Vec<String>,
-    pub links: Links,
-    pub workers: Workers,
+    pub links: LinkParameters,
+    pub workers: WorkerCounts,
     /// Calls a second that all real gateways together get, of so many functions.
-    pub calls: f64,
+    pub calls_per_second: f64,
     pub functions: usize,
-    pub runs: Vec<Core>,
-    pub grant: Grant,
+    pub components: Vec<Component>,
+    pub limits: ResourceLimits,
     pub plays: Vec<Play>,
     /// For the whole run; what is not played by then is left out and said to be.
-    pub limit: f64,
+    pub time_limit: f64,
     /// Resident memory of all processes of the run together, in GB.
-    pub memory_gb: f64,
+    pub memory_limit_gb: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Peers {
+pub struct MembershipParameters {
     pub period: f64,
     pub lease: f64,
     pub floor: f64,
@@ -45,12 +45,12 @@
 
 /// What all gateways share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budgets {
+pub struct BudgetParameters {
     /// Calls a second of the one client group, over all gateways.
     pub quota: f64,
     /// Orders to load of each gateway within a window.
-    pub window: f64,
-    pub orders: f64,
+    pub load_window: f64,
+    pub load_requests: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -61,106 +61,106 @@
 
 /// Seconds that a letter takes from one zone to another, and the part of letters that are lost.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Links {
-    pub within: f64,
+pub struct LinkParameters {
+    pub within_region: f64,
     /// Between regions, by their numbers.
-    pub between: Vec<Vec<f64>>,
+    pub between_regions: Vec<Vec<f64>>,
     pub loss: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Workers {
+pub struct WorkerCounts {
     pub hollow: usize,
     pub real: usize,
 }
 
 /// A core that a run can have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Core {
+pub enum Component {
     Membership,
     Budgets,
-    List,
-    Changes,
+    EndpointList,
+    ConfigChanges,
 }
 
 /// The cores by the words of a plan.
-const CORES: [(&str, Core); 4] = [
-    ("membership", Core::Membership),
-    ("budgets", Core::Budgets),
-    ("list", Core::List),
-    ("changes", Core::Changes),
+const COMPONENTS: [(&str, Component); 4] = [
+    ("membership", Component::Membership),
+    ("budgets", Component::Budgets),
+    ("list", Component::EndpointList),
+    ("changes", Component::ConfigChanges),
 ];
 
-impl Core {
-    pub fn word(self) -> &'static str {
-        CORES.iter().find(|(_, core)| *core == self).map_or("", |(word, _)| word)
+impl Component {
+    pub fn keyword(self) -> &'static str {
+        COMPONENTS.iter().find(|(_, core)| *core == self).map_or("", |(word, _)| word)
     }
 }
 
 /// What the control of one gateway may use; what is not stated is not judged.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Grant {
+pub struct ResourceLimits {
     /// Part of a core.
-    pub cpu: Option<f64>,
+    pub cpu_cores: Option<f64>,
     pub memory_mb: Option<f64>,
     /// Bytes a second, each way.
-    pub bytes: Option<f64>,
+    pub bytes_per_second: Option<f64>,
     /// Seconds until a change is known to all.
-    pub change: Option<f64>,
+    pub change_seconds: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Play {
     pub label: String,
-    pub what: What,
+    pub action: Action,
     /// Seconds that the fleet has until all believe what is so; none where that is not waited for.
-    pub settle: Option<f64>,
+    pub settle_timeout: Option<f64>,
     /// Changes that authors propose meanwhile, and seconds over which they do.
     pub changes: usize,
-    pub over: f64,
+    pub proposal_period: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Action {
     /// All begin, spread evenly.
-    Start { over: f64 },
+    Start { duration: f64 },
     /// Nothing happens; the cost of control is measured.
-    Settled { seconds: f64 },
+    SteadyState { duration: f64 },
     /// So many leave and begin anew under their names.
-    Restarts { gateways: usize, over: f64 },
-    /// So many neighbours of one zone are killed at once, and begin anew when all know it, after `away` at the
+    RollingRestart { gateways: usize, duration: f64 },
+    /// So many neighbours of one zone are killed at once, and begin anew when all know it, after `downtime` at the
     /// latest.
-    Rack { gateways: usize, away: f64 },
+    RackFailure { gateways: usize, downtime: f64 },
     /// All of a zone.
-    Zone { zone: usize, away: f64 },
+    ZoneFailure { zone: usize, downtime: f64 },
     /// Two regions that do not hear each other.
-    Cut { regions: (usize, usize), seconds: f64 },
+    Partition { regions: (usize, usize), duration: f64 },
     /// The workers of a zone go, then come back in so many editions.
-    List { zone: usize, editions: usize, over: f64 },
+    EndpointUpdates { zone: usize, revisions: usize, duration: f64 },
     /// Nothing but changes.
-    Changes,
+    ConfigChanges,
     /// The control machine that leads is killed in the midst of changes, and begins again after some time.
-    Control { away: f64 },
+    LeaderFailure { downtime: f64 },
 }
 
-impl What {
-    pub fn word(&self) -> &'static str {
+impl Action {
+    pub fn keyword(&self) -> &'static str {
         match self {
             Self::Start { .. } => "start",
-            Self::Settled { .. } => "settled",
-            Self::Restarts { .. } => "restarts",
-            Self::Rack { .. } => "rack",
-            Self::Zone { .. } => "zone",
-            Self::Cut { .. } => "cut",
-            Self::List { .. } => "list",
-            Self::Changes => "changes",
-            Self::Control { .. } => "control",
+            Self::SteadyState { .. } => "settled",
+            Self::RollingRestart { .. } => "restarts",
+            Self::RackFailure { .. } => "rack",
+            Self::ZoneFailure { .. } => "zone",
+            Self::Partition { .. } => "cut",
+            Self::EndpointUpdates { .. } => "list",
+            Self::ConfigChanges => "changes",
+            Self::LeaderFailure { .. } => "control",
         }
     }
 }
 
 /// All that a run should play; those that it has not are named in its report.
-pub const PLAYS: [&str; 9] =
+pub const ACTION_KEYWORDS: [&str; 9] =
     ["start", "settled", "restarts", "rack", "zone", "cut", "list", "changes", "control"];
 
 /// Control machines that gateways can follow.
@@ -185,13 +185,13 @@
     }
 
     /// The gateways of a zone.
-    pub fn in_zone(&self, zone: usize) -> impl Iterator<Item = usize> + '_ {
+    pub fn gateways_in_zone(&self, zone: usize) -> impl Iterator<Item = usize> + '_ {
         (0..self.gateways).filter(move |g| self.zone_of(*g) == zone)
     }
 
     /// The zone of a control machine: one region after the other, and in each one zone after the other, so
     /// that no region has more than its part, and no zone more than two.
-    pub fn zone_of_control(&self, machine: usize) -> usize {
+    pub fn zone_of_control_machine(&self, machine: usize) -> usize {
         let in_region = |region| (0..self.zones.len()).filter(move |z| self.zones[*z].region == region);
         let mut order = Vec::new();
         for round in 0..self.zones.len() {
@@ -203,11 +203,11 @@
     /// Seconds from one gateway to another.
     pub fn latency(&self, from: usize, to: usize) -> f64 {
         let (from, to) = (self.region_of(from), self.region_of(to));
-        if from == to { self.links.within } else { self.links.between[from][to] }
+        if from == to { self.links.within_region } else { self.links.between_regions[from][to] }
     }
 
-    pub fn has(&self, core: Core) -> bool {
-        self.runs.contains(&core)
+    pub fn runs(&self, component: Component) -> bool {
+        self.components.contains(&component)
     }
 }
 
@@ -263,23 +263,23 @@
     }
     let links = links(top, &regions);
     let control = needed(top, "control", "runs = [\"membership\", \"budgets\", \"list\"]");
-    let known = |text: &str| CORES.iter().find(|(word, _)| *word == text).map(|(_, core)| *core);
+    let known = |text: &str| COMPONENTS.iter().find(|(word, _)| *word == text).map(|(_, core)| *core);
     let shape = "[\"membership\", \"budgets\", \"list\"]";
     let runs = control.as_ref().and_then(|c| c.list("runs", shape, known)).unwrap_or_default();
     let has = |core| runs.contains(&core);
     if let Some(c) = control.as_ref().filter(|_| runs.is_empty()) {
         c.report(c.offset_of("runs"), "no core runs", format!("write runs = {shape}"));
     }
-    if let Some(c) = control.as_ref().filter(|_| has(Core::Budgets) && !has(Core::Membership)) {
+    if let Some(c) = control.as_ref().filter(|_| has(Component::Budgets) && !has(Component::Membership)) {
         let wrong = "budgets are shared by those who know of each other, and there is no membership";
         c.report(c.offset_of("runs"), wrong, format!("write runs = {shape}, or leave budgets out"));
     }
     // What no core goes by need not be stated.
     let stated = |core, key, example| if has(core) { needed(top, key, example) } else { top.block(key) };
-    let peers = stated(Core::Membership, "peers", "period = 0.4, lease = 12");
+    let peers = stated(Component::Membership, "peers", "period = 0.4, lease = 12");
     let peers = peers.as_ref();
     let of = |key, within, usual| peers.and_then(|p| p.number(key, "seconds", within)).unwrap_or(usual);
-    let terms = Peers {
+    let terms = MembershipParameters {
         period: of("period", 0.05..=60.0, 0.4),
         lease: of("lease", 0.1..=600.0, 12.0),
         floor: peers.and_then(|p| p.number("floor", "of its part", 0.0..=1.0)).unwrap_or(0.5),
@@ -288,50 +288,50 @@
         let wrong = format!("lease of peers is shorter than four periods of {}", terms.period);
         p.report(p.offset_of("lease"), wrong, format!("make it {} or more", 4.0 * terms.period));
     }
-    let budgets = stated(Core::Budgets, "budgets", "quota = 100");
+    let budgets = stated(Component::Budgets, "budgets", "quota = 100");
     let budgets = budgets.as_ref();
     let figure = |key, unit, usual| budgets.and_then(|b| b.number(key, unit, 0.001..=1e9)).unwrap_or(usual);
-    let budgets = Budgets {
+    let budgets = BudgetParameters {
         quota: figure("quota", "calls a second", 100.0),
-        window: figure("window", "seconds", 10.0),
-        orders: figure("orders", "orders", 20.0),
+        load_window: figure("window", "seconds", 10.0),
+        load_requests: figure("orders", "orders", 20.0),
     };
     let workers = needed(top, "workers", "hollow = 600, real = 3");
     let workers = workers.as_ref();
     let count = |key, most, usual| workers.and_then(|w| w.count(key, "workers", 1..=most)).unwrap_or(usual);
-    let workers = Workers { hollow: count("hollow", 60_000, 600), real: count("real", 64, 3) };
+    let workers = WorkerCounts { hollow: count("hollow", 60_000, 600), real: count("real", 64, 3) };
     let functions = top.block("functions");
     let functions = functions.as_ref();
     let calls = functions.and_then(|f| f.number("calls", "calls a second", 0.0..=1_000.0)).unwrap_or(0.0);
     let names = functions.and_then(|f| f.count("names", "functions", 1..=1_000_000)).unwrap_or(1);
-    let machines = control_machines(top, &zones, has(Core::Changes));
+    let machines = control_machines(top, &zones, has(Component::ConfigChanges));
     let grant = top.block("grant");
     let grant = grant.as_ref();
     let granted = |key, unit| grant.and_then(|g| g.number(key, unit, 0.000_001..=1e12));
-    let grant = Grant {
-        cpu: granted("cpu", "cores"),
+    let grant = ResourceLimits {
+        cpu_cores: granted("cpu", "cores"),
         memory_mb: granted("memory_mb", "MB"),
-        bytes: granted("bytes", "bytes a second"),
-        change: granted("change", "seconds"),
+        bytes_per_second: granted("bytes", "bytes a second"),
+        change_seconds: granted("change", "seconds"),
     };
-    let changes = has(Core::Changes);
+    let changes = has(Component::ConfigChanges);
     Plan {
         name: name.unwrap_or_default(),
         seed: top.number("seed", "chance", 0.0..=9e15).map_or(1, |s| s as u64),
         gateways,
-        real,
-        processes: top.count("processes", "processes", 1..=16).unwrap_or(8),
-        peers: terms,
+        real_gateways: real,
+        host_processes: top.count("processes", "processes", 1..=16).unwrap_or(8),
+        membership: terms,
         budgets,
-        control: machines,
+        control_machines: machines,
         workers,
-        calls,
+        calls_per_second: calls,
         functions: names,
-        runs,
-        grant,
+        components: runs,
+        limits: grant,
         plays: plays(top, gateways, &zones, &regions, changes),
-        limit: top.number("limit", "seconds", 1.0..=LONG).unwrap_or(300.0),
-        memory_gb: top.number("memory_gb", "GB", 0.1..=1e5).unwrap_or(12.0),
+        time_limit: top.number("limit", "seconds", 1.0..=LONG).unwrap_or(300.0),
+        memory_limit_gb: top.number("memory_gb", "GB", 0.1..=1e5).unwrap_or(12.0),
         zones,
         regions,
         links,
@@ -384,7 +384,7 @@
     (regions, zones)
 }
 
-fn links(top: &Section<'_>, regions: &[String]) -> Links {
+fn links(top: &Section<'_>, regions: &[String]) -> LinkParameters {
     let section = needed(top, "links", "within = 1, across = 90");
     let section = section.as_ref();
     let figure = |key, usual| {
@@ -402,7 +402,7 @@
         }
     }
     let loss = section.and_then(|s| s.number("loss", "of the letters", 0.0..=0.9)).unwrap_or(0.0);
-    Links { within, between, loss }
+    LinkParameters { within_region: within, between_regions: between, loss }
 }
 
 /// Two regions by their names.
@@ -431,7 +431,7 @@
     has_changes: bool,
 ) -> Vec<Play> {
     let mut plays: Vec<Play> = Vec::new();
-    let words: Vec<(&str, &str)> = PLAYS.iter().map(|w| (*w, *w)).collect();
+    let words: Vec<(&str, &str)> = ACTION_KEYWORDS.iter().map(|w| (*w, *w)).collect();
     for s in top.blocks("play", true) {
         let word = s.one_of("does", &words);
         if !s.has("does") {
@@ -452,24 +452,26 @@
             s.count("gateways", "gateways", 1..=MOST).unwrap_or(usual).min(most)
         };
         let what = match word {
-            Some("start") => What::Start { over: seconds("over", 10.0) },
-            Some("settled") => What::Settled { seconds: seconds("seconds", 10.0) },
-            Some("restarts") => What::Restarts { gateways: some(40), over: seconds("over", 10.0) },
-            Some("rack") => What::Rack { gateways: some(20), away: seconds("away", 10.0) },
-            Some("zone") => What::Zone { zone: zone(), away: seconds("away", 10.0) },
+            Some("start") => Action::Start { duration: seconds("over", 10.0) },
+            Some("settled") => Action::SteadyState { duration: seconds("seconds", 10.0) },
+            Some("restarts") => {
+                Action::RollingRestart { gateways: some(40), duration: seconds("over", 10.0) }
+            }
+            Some("rack") => Action::RackFailure { gateways: some(20), downtime: seconds("away", 10.0) },
+            Some("zone") => Action::ZoneFailure { zone: zone(), downtime: seconds("away", 10.0) },
             Some("cut") => {
                 let regions = two(&s, regions).unwrap_or((0, 0));
-                What::Cut { regions, seconds: seconds("seconds", 10.0) }
+                Action::Partition { regions, duration: seconds("seconds", 10.0) }
             }
             Some("list") => {
                 let editions = s.count("editions", "editions", 1..=100_000).unwrap_or(100);
-                What::List { zone: zone(), editions, over: seconds("over", 10.0) }
+                Action::EndpointUpdates { zone: zone(), revisions: editions, duration: seconds("over", 10.0) }
             }
-            Some("changes") => What::Changes,
-            Some("control") => What::Control { away: seconds("away", 10.0) },
+            Some("changes") => Action::ConfigChanges,
+            Some("control") => Action::LeaderFailure { downtime: seconds("away", 10.0) },
             _ => continue,
         };
-        let needs = matches!(what, What::Changes | What::Control { .. });
+        let needs = matches!(what, Action::ConfigChanges | Action::LeaderFailure { .. });
         let usual = if needs { 20 } else { 0 };
         let changes = s.count("changes", "changes", 1..=CHANGES).unwrap_or(usual);
         if changes > 0 && !has_changes {
@@ -477,17 +479,25 @@
             s.report(s.offset, wrong, "add \"changes\" to runs of control");
         }
         let over = match what {
-            What::Settled { seconds } => seconds,
-            What::Start { over } | What::Restarts { over, .. } | What::List { over, .. } => over,
-            What::Changes | What::Control { .. } => seconds("over", 1.0),
-            What::Rack { .. } | What::Zone { .. } | What::Cut { .. } => 1.0,
+            Action::SteadyState { duration } => duration,
+            Action::Start { duration }
+            | Action::RollingRestart { duration, .. }
+            | Action::EndpointUpdates { duration, .. } => duration,
+            Action::ConfigChanges | Action::LeaderFailure { .. } => seconds("over", 1.0),
+            Action::RackFailure { .. } | Action::ZoneFailure { .. } | Action::Partition { .. } => 1.0,
         };
-        if plays.is_empty() && !matches!(what, What::Start { .. }) {
+        if plays.is_empty() && !matches!(what, Action::Start { .. }) {
             let wrong = format!("{} comes before any start", s.title);
             s.report(s.offset, wrong, "let the first play be one that does = \"start\"");
         }
         let settle = s.number("settle", "seconds", 0.1..=LONG);
-        plays.push(Play { label: s.label.clone(), what, settle, changes, over });
+        plays.push(Play {
+            label: s.label.clone(),
+            action: what,
+            settle_timeout: settle,
+            changes,
+            proposal_period: over,
+        });
     }
     if plays.is_empty() {
         top.report(0, "the plan plays nothing", "add play \"begin\" { does = \"start\" }");
--- a/crates/scale-test/src/relay.rs
+++ b/crates/scale-test/src/relay.rs
@@ -29,10 +29,10 @@
 
 /// What passed at the socket of one gateway, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Passed {
-    pub letters_in: u64,
+pub struct LinkTraffic {
+    pub datagrams_in: u64,
     pub bytes_in: u64,
-    pub letters_out: u64,
+    pub datagrams_out: u64,
     pub bytes_out: u64,
 }
 
@@ -55,7 +55,7 @@
 
 /// What the links go by.
 #[derive(Clone, Debug)]
-pub struct Ways {
+pub struct LinkDelays {
     /// The region of each gateway.
     pub regions: Vec<usize>,
     /// Seconds from region to region.
@@ -66,7 +66,7 @@
 
 struct Shared {
     sockets: Vec<UdpSocket>,
-    ways: Ways,
+    ways: LinkDelays,
     /// Where each hears at present, 0 for nowhere; and who hears at a port, one more than its number.
     port: Vec<AtomicU16>,
     whose: Vec<AtomicU16>,
@@ -87,7 +87,7 @@
 }
 
 impl Relay {
-    pub fn start(ways: Ways, threads: usize, seed: u64) -> io::Result<Self> {
+    pub fn start(ways: LinkDelays, threads: usize, seed: u64) -> io::Result<Self> {
         let gateways = ways.regions.len();
         let mut sockets = Vec::new();
         for _ in 0..gateways {
@@ -126,8 +126,8 @@
     }
 
     /// A gateway hears there from now on. Who heard there before does not any more.
-    pub fn is_at(&self, gateway: usize, at: SocketAddr) {
-        self.gone(gateway);
+    pub fn attach(&self, gateway: usize, at: SocketAddr) {
+        self.detach(gateway);
         let (port, mark) = (at.port(), gateway as u16 + 1);
         let former = self.shared.whose[usize::from(port)].swap(mark, Ordering::AcqRel);
         if let Some(other) = usize::from(former).checked_sub(1) {
@@ -138,7 +138,7 @@
     }
 
     /// It hears nowhere any more, and nothing that it sent is taken.
-    pub fn gone(&self, gateway: usize) {
+    pub fn detach(&self, gateway: usize) {
         let port = self.shared.port[gateway].swap(0, Ordering::AcqRel);
         let mark = gateway as u16 + 1;
         let whose = &self.shared.whose[usize::from(port)];
@@ -146,24 +146,24 @@
     }
 
     /// Cuts two regions from each other, or lets them hear each other again.
-    pub fn cut(&self, (a, b): (usize, usize), cut: bool) {
+    pub fn set_partitioned(&self, (a, b): (usize, usize), cut: bool) {
         let regions = self.shared.ways.latency.len();
         for pair in [a * regions + b, b * regions + a] {
             self.shared.cut[pair].store(cut, Ordering::Release);
         }
     }
 
-    pub fn passed(&self) -> Vec<Passed> {
+    pub fn traffic(&self) -> Vec<LinkTraffic> {
         let both = self.shared.ins.iter().zip(&self.shared.outs);
         both.map(|(ins, outs)| {
-            let ((letters_in, bytes_in), (letters_out, bytes_out)) = (ins.get(), outs.get());
-            Passed { letters_in, bytes_in, letters_out, bytes_out }
+            let ((datagrams_in, bytes_in), (datagrams_out, bytes_out)) = (ins.get(), outs.get());
+            LinkTraffic { datagrams_in, bytes_in, datagrams_out, bytes_out }
         })
         .collect()
     }
 
     /// Letters that there was no room for.
-    pub fn crowded(&self) -> u64 {
+    pub fn overflowed(&self) -> u64 {
         self.shared.crowded.load(Ordering::Relaxed)
     }
 
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,25 +1,25 @@
 //! What a run came to: figures, the bounds that were broken, what was not played. As a table for people, and
 //! as one JSON object. What was not measured stands in neither.
 
-use crate::book::Learnt;
-use crate::budgets::Worst;
-use crate::changed::Made;
-use crate::emulated_workers::CallCounts;
-use crate::fleet::StopReason;
-use crate::machine::SATURATED;
-use crate::plan::{Core, PLAYS, Plan};
-use crate::spread::{Known, Spread, Times};
+use crate::budgets::WorstTotal;
+use crate::change_propagation::ChangeOutcomes;
+use crate::distribution::{ConvergenceSamples, ConvergenceSummary, Distribution};
+use crate::machine_load::SATURATION_THRESHOLD;
+use crate::membership_tracker::ConvergenceTimes;
+use crate::plan::{ACTION_KEYWORDS, Component, Plan};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
 mod changes;
 mod table;
 
-pub use changes::State;
+pub use crate::emulated_workers::CallCounts;
+pub use crate::fleet::StopReason;
+pub use changes::FinalState;
 
 /// Whether and when all believed what was so.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settled {
+pub struct Convergence {
     pub after: Option<f64>,
     pub waited: f64,
     /// Gateways that all others believed to be there, of those that were.
@@ -29,131 +29,134 @@
 
 /// What control cost by gateway, in a time in which nothing happened. Rates are by the second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Cost {
+pub struct ControlCost {
     pub seconds: f64,
     /// The fleet was settled at the end of it.
     pub settled: bool,
     /// Part of all cores that was in use.
     pub busy: Option<f64>,
     /// Hollow gateways whose control thread gave no reading in time.
-    pub unread: usize,
+    pub unread_gateways: usize,
     pub cpu: Vec<(usize, f64)>,
     /// Of that, what was spent inside the desk on the worker list and the desk's own timers.
-    pub desk: Vec<(usize, f64)>,
-    pub memory: Vec<(usize, f64)>,
+    pub dispatcher_cpu: Vec<(usize, f64)>,
+    pub memory_mb: Vec<(usize, f64)>,
     pub bytes_in: Vec<(usize, f64)>,
     pub bytes_out: Vec<(usize, f64)>,
-    pub letters_in: Vec<(usize, f64)>,
-    pub letters_out: Vec<(usize, f64)>,
+    pub datagrams_in: Vec<(usize, f64)>,
+    pub datagrams_out: Vec<(usize, f64)>,
     /// Of that, what following changes took; and what it costs the control machines, by their numbers.
-    pub changes: Follow,
-    pub machines: Machines,
+    pub follower: FollowerCost,
+    pub control_machines: ControlMachineCost,
 }
 
 /// What following changes costs each gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Follow {
+pub struct FollowerCost {
     pub cpu: Vec<(usize, f64)>,
     pub bytes_in: Vec<(usize, f64)>,
     pub bytes_out: Vec<(usize, f64)>,
     /// Bytes of the file that it keeps.
-    pub state: Vec<(usize, f64)>,
+    pub state_bytes: Vec<(usize, f64)>,
 }
 
 /// What control machines use.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Machines {
+pub struct ControlMachineCost {
     pub cpu: Vec<(usize, f64)>,
-    pub memory: Vec<(usize, f64)>,
+    pub memory_mb: Vec<(usize, f64)>,
     pub bytes_in: Vec<(usize, f64)>,
     pub bytes_out: Vec<(usize, f64)>,
 }
 
 /// A flood of list changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct EndpointUpdateCost {
     pub workers: usize,
-    pub editions: usize,
+    pub revisions: usize,
     /// Seconds until all desks had all editions.
-    pub took: f64,
+    pub seconds: f64,
     /// Seconds of processor time of the longest edition inside one desk: when all went at once, and as they
     /// came back.
-    pub slowest_gone: f64,
-    pub slowest: f64,
+    pub slowest_removal: f64,
+    pub slowest_addition: f64,
     /// Seconds of processor time of each desk in all.
-    pub desk: Option<Spread>,
+    pub dispatcher_cpu: Option<Distribution>,
 }
 
 /// One play.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Played {
+pub struct PlayResult {
     pub label: String,
-    pub does: &'static str,
+    pub action: &'static str,
     /// Seconds from the start of the run, and that it took.
-    pub at: f64,
-    pub took: f64,
-    pub settled: Option<Settled>,
+    pub started_at: f64,
+    pub seconds: f64,
+    pub convergence: Option<Convergence>,
     /// How many knew who was gone before those came back, of how many.
-    pub gone_known: Option<(usize, usize)>,
-    pub learnt: Learnt,
-    pub cost: Option<Cost>,
-    pub list: Option<Listed>,
+    pub failure_known: Option<(usize, usize)>,
+    pub membership_times: ConvergenceTimes,
+    pub control_cost: Option<ControlCost>,
+    pub endpoint_updates: Option<EndpointUpdateCost>,
     /// Changes that were proposed meanwhile, and the control machine that was killed.
-    pub made: Option<Made>,
-    pub killed: Option<usize>,
+    pub changes: Option<ChangeOutcomes>,
+    pub killed_control_machine: Option<usize>,
 }
 
 /// What of the machine was in use. Parts are of all cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Machine {
+pub struct MachineUsage {
     pub cores: usize,
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// While the cost of control was measured, at the worst.
-    pub measuring: Option<f64>,
+    pub utilization_while_measuring: Option<f64>,
     /// In the worst second.
-    pub highest: Option<f64>,
+    pub highest_utilization: Option<f64>,
     /// By the processes of the run.
-    pub own: f64,
+    pub own_utilization: f64,
     pub memory_gb: f64,
     /// Letters dropped by the system at the relay's sockets, and by the relay for want of room.
-    pub dropped: u64,
-    pub crowded: u64,
+    pub dropped_datagrams: u64,
+    pub overflowed_datagrams: u64,
     /// Letters lost by the plan's word.
-    pub lost: u64,
+    pub lost_datagrams: u64,
 }
 
-impl Machine {
+impl MachineUsage {
     /// What was measured is then also the measure of a crowd.
-    pub fn saturated(&self) -> bool {
-        self.busy.into_iter().chain(self.measuring).any(|busy| busy > SATURATED)
+    pub fn is_saturated(&self) -> bool {
+        self.utilization
+            .into_iter()
+            .chain(self.utilization_while_measuring)
+            .any(|busy| busy > SATURATION_THRESHOLD)
     }
 }
 
 /// All that a run found.
 pub struct Findings {
-    pub plays: Vec<Played>,
-    pub budgets: BTreeMap<String, Worst>,
-    pub machine: Machine,
+    pub plays: Vec<PlayResult>,
+    pub budgets: BTreeMap<String, WorstTotal>,
+    pub machine: MachineUsage,
     pub calls: Option<CallCounts>,
-    pub state: Option<State>,
+    pub state: Option<FinalState>,
 }
 
 pub struct Report {
     pub name: String,
     pub gateways: usize,
     pub real: usize,
-    pub runs: Vec<Core>,
+    pub runs: Vec<Component>,
     pub seed: u64,
     pub took: f64,
     /// Which bound, by how much, where.
     pub broken: Vec<String>,
-    pub plays: Vec<Played>,
+    pub plays: Vec<PlayResult>,
     /// Plays that the plan has and the run had no time for; plays that the plan has not.
     pub unplayed: Vec<String>,
-    pub budgets: BTreeMap<String, Worst>,
-    pub machine: Machine,
+    pub budgets: BTreeMap<String, WorstTotal>,
+    pub machine: MachineUsage,
     pub calls: Option<CallCounts>,
-    pub state: Option<State>,
+    pub state: Option<FinalState>,
     pub over: Option<StopReason>,
 }
 
@@ -166,17 +169,17 @@
     ) -> Self {
         let whole = plays.len() - usize::from(over.is_some() && !plays.is_empty());
         let mut unplayed: Vec<String> = (plan.plays[whole..].iter())
-            .map(|p| format!("{} ({}): the run ended before its end", p.label, p.what.word()))
+            .map(|p| format!("{} ({}): the run ended before its end", p.label, p.action.keyword()))
             .collect();
-        let absent = PLAYS.iter().filter(|w| !plan.plays.iter().any(|p| p.what.word() == **w));
+        let absent = ACTION_KEYWORDS.iter().filter(|w| !plan.plays.iter().any(|p| p.action.keyword() == **w));
         unplayed.extend(absent.map(|word| format!("{word}: not in the plan")));
-        let measuring = plays.iter().filter_map(|p| p.cost.as_ref()?.busy).max_by(f64::total_cmp);
-        let machine = Machine { measuring, ..machine };
+        let measuring = plays.iter().filter_map(|p| p.control_cost.as_ref()?.busy).max_by(f64::total_cmp);
+        let machine = MachineUsage { utilization_while_measuring: measuring, ..machine };
         let mut report = Self {
             name: plan.name.clone(),
             gateways: plan.gateways,
-            real: plan.real,
-            runs: plan.runs.clone(),
+            real: plan.real_gateways,
+            runs: plan.components.clone(),
             seed: plan.seed,
             took,
             broken: Vec::new(),
@@ -198,26 +201,28 @@
         match &self.over {
             Some(StopReason::Stopped) => broken.push("the run was stopped".into()),
             Some(StopReason::TimeLimit) => {
-                broken.push(format!("the run was not over after its limit of {} s", plan.limit));
+                broken.push(format!("the run was not over after its limit of {} s", plan.time_limit));
             }
             Some(StopReason::MemoryLimit { gigabytes: gb }) => {
-                broken
-                    .push(format!("memory of the run: {gb:.1} GB where {} GB are its most", plan.memory_gb));
+                broken.push(format!(
+                    "memory of the run: {gb:.1} GB where {} GB are its most",
+                    plan.memory_limit_gb
+                ));
             }
             Some(StopReason::Failed(why)) => broken.push(format!("a process failed: {why}")),
             None => {}
         }
         for play in &self.plays {
-            if let Some(Settled { after: None, waited, agreed, of }) = play.settled {
+            if let Some(Convergence { after: None, waited, agreed, of }) = play.convergence {
                 broken.push(format!(
                     "never settled in {}: {agreed} of {of} believed by all after {waited:.1} s",
                     play.label
                 ));
             }
-            if let Some(made) = &play.made {
-                broken.extend(changes::judge(&play.label, made, plan.grant.change));
+            if let Some(made) = &play.changes {
+                broken.extend(changes::judge(&play.label, made, plan.limits.change_seconds));
             }
-            let Some(cost) = &play.cost else { continue };
+            let Some(cost) = &play.control_cost else { continue };
             let mut see = |what: &str, unit: &str, figures: &[(usize, f64)], most: Option<f64>| {
                 let Some(most) = most else { return };
                 let over: Vec<_> = figures.iter().filter(|(_, f)| *f > most).collect();
@@ -231,12 +236,12 @@
                     short(most),
                 ));
             };
-            see("cpu", "of a core", &cost.cpu, plan.grant.cpu);
-            see("memory_mb", "MB", &cost.memory, plan.grant.memory_mb);
-            see("bytes_in", "bytes a second", &cost.bytes_in, plan.grant.bytes);
-            see("bytes_out", "bytes a second", &cost.bytes_out, plan.grant.bytes);
+            see("cpu", "of a core", &cost.cpu, plan.limits.cpu_cores);
+            see("memory_mb", "MB", &cost.memory_mb, plan.limits.memory_mb);
+            see("bytes_in", "bytes a second", &cost.bytes_in, plan.limits.bytes_per_second);
+            see("bytes_out", "bytes a second", &cost.bytes_out, plan.limits.bytes_per_second);
         }
-        broken.extend(self.state.as_ref().and_then(State::wrong));
+        broken.extend(self.state.as_ref().and_then(FinalState::wrong));
         for (name, worst) in &self.budgets {
             if worst.broken > 0 {
                 let (sum, bound) = (short(worst.sum), short(worst.bound));
@@ -252,23 +257,27 @@
     }
 
     /// The cost of control that counts: of the last time that it was measured.
-    fn cost(&self) -> Option<&Cost> {
-        self.plays.iter().rev().find_map(|p| p.cost.as_ref())
+    fn cost(&self) -> Option<&ControlCost> {
+        self.plays.iter().rev().find_map(|p| p.control_cost.as_ref())
     }
 
     /// What one change costs each gateway, in seconds of processor time and bytes each way: the slope from the
     /// last time without changes in which it was measured to the last with some, by the median gateway.
     fn per_change(&self) -> Option<Value> {
         let last = |with: bool| {
-            let of = |p: &&Played| p.cost.is_some() && (p.made.as_ref().is_some_and(|m| m.made > 0)) == with;
+            let of = |p: &&PlayResult| {
+                p.control_cost.is_some()
+                    && (p.changes.as_ref().is_some_and(|m| m.committed_count > 0)) == with
+            };
             self.plays.iter().rfind(of)
         };
         let (with, without) = (last(true)?, last(false)?);
-        let (cost, before) = (with.cost.as_ref()?, without.cost.as_ref()?);
-        let rate = with.made.as_ref()?.made as f64 / cost.seconds;
-        let middle = |figures: &[(usize, f64)]| Some(Spread::of(figures.iter().map(|f| f.1).collect())?.p50);
+        let (cost, before) = (with.control_cost.as_ref()?, without.control_cost.as_ref()?);
+        let rate = with.changes.as_ref()?.made as f64 / cost.seconds;
+        let middle =
+            |figures: &[(usize, f64)]| Some(Distribution::of(figures.iter().map(|f| f.1).collect())?.p50);
         let slope = |now: &[(usize, f64)], then: &[(usize, f64)]| Some((middle(now)? - middle(then)?) / rate);
-        let (now, then) = (&cost.changes, &before.changes);
+        let (now, then) = (&cost.follower, &before.changes);
         Some(json!({
             "cpu": slope(&now.cpu, &then.cpu)?,
             "bytes_in": slope(&now.bytes_in, &then.bytes_in)?,
@@ -277,44 +286,44 @@
     }
 
     /// What was learnt in all plays.
-    fn known(&self) -> [(&'static str, Option<Known>); 5] {
-        let all = |of: fn(&Learnt) -> &Times| {
-            let mut times = Times::default();
+    fn convergence_summaries(&self) -> [(&'static str, Option<ConvergenceSummary>); 5] {
+        let all = |of: fn(&ConvergenceTimes) -> &ConvergenceSamples| {
+            let mut times = ConvergenceSamples::default();
             for play in &self.plays {
-                times.seconds.extend(&of(&play.learnt).seconds);
-                times.never += of(&play.learnt).never;
+                times.seconds.extend(&of(&play.membership_times).seconds);
+                times.never += of(&play.membership_times).never;
             }
-            times.known()
+            times.summary()
         };
-        let made = |of: fn(&Made) -> &Times| {
-            let mut times = Times::default();
-            for made in self.plays.iter().filter_map(|p| p.made.as_ref()) {
+        let made = |of: fn(&ChangeOutcomes) -> &ConvergenceSamples| {
+            let mut times = ConvergenceSamples::default();
+            for made in self.plays.iter().filter_map(|p| p.changes.as_ref()) {
                 times.seconds.extend(&of(made).seconds);
                 times.never += of(made).never;
             }
-            times.known()
+            times.summary()
         };
         [
             ("death", all(|l| &l.death)),
             ("join", all(|l| &l.join)),
             ("healing", all(|l| &l.healing)),
-            ("change", made(|m| &m.change)),
-            ("catch_up", made(|m| &m.catch_up)),
+            ("change", made(|m| &m.propagation_times)),
+            ("catch_up", made(|m| &m.catch_up_times)),
         ]
     }
 
     pub fn json(&self) -> Value {
         let mut report = json!({
-            "plan": self.name, "runs": self.runs.iter().map(|c| c.word()).collect::<Vec<_>>(),
+            "plan": self.name, "runs": self.runs.iter().map(|c| c.keyword()).collect::<Vec<_>>(),
             "gateways": self.gateways, "real": self.real, "seed": self.seed,
             "seconds": self.took, "broken": self.broken, "not_played": self.unplayed,
-            "plays": self.plays.iter().map(Played::json).collect::<Vec<_>>(),
+            "plays": self.plays.iter().map(PlayResult::json).collect::<Vec<_>>(),
             "machine": self.machine.json(),
         });
-        if let Some(control) = self.cost().map(Cost::json).filter(|c| !c.is_empty()) {
+        if let Some(control) = self.cost().map(ControlCost::json).filter(|c| !c.is_empty()) {
             report["control"] = Value::Object(control);
         }
-        for (name, apart) in self.cost().into_iter().flat_map(Cost::apart) {
+        for (name, apart) in self.cost().into_iter().flat_map(ControlCost::apart) {
             report[name] = Value::Object(apart);
         }
         if let Some(one) = self.per_change() {
@@ -327,7 +336,7 @@
                 "gateways": gateways, "control_equal": agree, "control": control,
             });
         }
-        let known = known(&self.known());
+        let known = known(&self.convergence_summaries());
         if !known.is_empty() {
             report["known"] = Value::Object(known);
         }
@@ -342,7 +351,7 @@
 }
 
 /// What is there of several, by name.
-fn known(known: &[(&'static str, Option<Known>)]) -> Map<String, Value> {
+fn known(known: &[(&'static str, Option<ConvergenceSummary>)]) -> Map<String, Value> {
     known.iter().filter_map(|(name, known)| Some(((*name).to_owned(), json!((*known)?)))).collect()
 }
 
@@ -355,23 +364,23 @@
     }
 }
 
-impl Cost {
+impl ControlCost {
     /// What following changes costs, apart: gateways and control machines.
     fn apart(&self) -> Vec<(&'static str, Map<String, Value>)> {
         let spread = |(name, figures): (&str, &[(usize, f64)])| {
-            let spread = Spread::of(figures.iter().map(|(_, f)| *f).collect())?;
+            let spread = Distribution::of(figures.iter().map(|(_, f)| *f).collect())?;
             Some((name.to_owned(), json!(spread)))
         };
-        let Self { changes: c, machines: m, .. } = self;
+        let Self { follower: c, control_machines: m, .. } = self;
         let changes: [(&str, &[(usize, f64)]); 4] = [
             ("cpu", &c.cpu),
             ("bytes_in", &c.bytes_in),
             ("bytes_out", &c.bytes_out),
-            ("state_bytes", &c.state),
+            ("state_bytes", &c.state_bytes),
         ];
         let machines: [(&str, &[(usize, f64)]); 4] = [
             ("cpu", &m.cpu),
-            ("memory_mb", &m.memory),
+            ("memory_mb", &m.memory_mb),
             ("bytes_in", &m.bytes_in),
             ("bytes_out", &m.bytes_out),
         ];
@@ -382,17 +391,17 @@
     }
 
     /// Each figure's spread over the gateways.
-    fn spreads(&self) -> Vec<(&'static str, Spread)> {
+    fn spreads(&self) -> Vec<(&'static str, Distribution)> {
         let all = [
             ("cpu", &self.cpu),
-            ("cpu_desk", &self.desk),
-            ("memory_mb", &self.memory),
+            ("cpu_desk", &self.dispatcher_cpu),
+            ("memory_mb", &self.memory_mb),
             ("bytes_in", &self.bytes_in),
             ("bytes_out", &self.bytes_out),
-            ("letters_in", &self.letters_in),
-            ("letters_out", &self.letters_out),
+            ("letters_in", &self.datagrams_in),
+            ("letters_out", &self.datagrams_out),
         ];
-        let spread = |figures: &[(usize, f64)]| Spread::of(figures.iter().map(|(_, f)| *f).collect());
+        let spread = |figures: &[(usize, f64)]| Distribution::of(figures.iter().map(|(_, f)| *f).collect());
         all.into_iter().filter_map(|(name, figures)| Some((name, spread(figures)?))).collect()
     }
 
@@ -401,25 +410,27 @@
     }
 }
 
-impl Played {
+impl PlayResult {
     fn json(&self) -> Value {
         let mut play = json!({
-            "label": self.label, "does": self.does, "at": self.at, "seconds": self.took,
-            "false_deaths": self.learnt.false_deaths,
+            "label": self.label, "does": self.action, "at": self.started_at, "seconds": self.seconds,
+            "false_deaths": self.membership_times.false_deaths,
         });
-        if let Some(Settled { after, waited, agreed, of }) = self.settled {
+        if let Some(Convergence { after, waited, agreed, of }) = self.convergence {
             play["settled"] = match after {
                 Some(after) => json!({"after": after, "believed_by_all": agreed, "of": of}),
                 None => json!({"waited": waited, "believed_by_all": agreed, "of": of}),
             };
         }
-        if let Some((knew, of)) = self.gone_known {
+        if let Some((knew, of)) = self.failure_known {
             play["gone_known"] = json!({"by": knew, "of": of});
         }
-        let times = [&self.learnt.death, &self.learnt.join, &self.learnt.healing].map(Times::known);
+        let times =
+            [&self.membership_times.death, &self.membership_times.join, &self.membership_times.healing]
+                .map(ConvergenceSamples::summary);
         let [death, join, healing] = times;
-        let change = self.made.as_ref().and_then(|m| m.change.known());
-        let catch_up = self.made.as_ref().and_then(|m| m.catch_up.known());
+        let change = self.changes.as_ref().and_then(|m| m.propagation_times.summary());
+        let catch_up = self.changes.as_ref().and_then(|m| m.catch_up_times.summary());
         let known = known(&[
             ("death", death),
             ("join", join),
@@ -430,47 +441,46 @@
         if !known.is_empty() {
             play["known"] = Value::Object(known);
         }
-        if let Some(cost) = &self.cost {
+        if let Some(cost) = &self.control_cost {
             play["control"] = Value::Object(cost.json());
-            play["measured"] =
-                json!({"seconds": cost.seconds, "fleet_settled": cost.settled, "unread": cost.unread});
+            play["measured"] = json!({"seconds": cost.seconds, "fleet_settled": cost.settled, "unread": cost.unread_gateways});
             if let Some(busy) = cost.busy {
                 play["measured"]["busy"] = json!(busy);
-                play["measured"]["saturated"] = json!(busy > SATURATED);
+                play["measured"]["saturated"] = json!(busy > SATURATION_THRESHOLD);
             }
         }
-        for (name, apart) in self.cost.iter().flat_map(Cost::apart) {
+        for (name, apart) in self.control_cost.iter().flat_map(ControlCost::apart) {
             play[name] = Value::Object(apart);
         }
-        if let Some(made) = self.made.as_ref().filter(|m| m.proposed > 0) {
+        if let Some(made) = self.changes.as_ref().filter(|m| m.proposed > 0) {
             play["changes"] = json!({
-                "proposed": made.proposed, "made": made.made, "unmade": made.unmade,
-                "gateways_without": made.without,
+                "proposed": made.proposed, "made": made.committed_count, "unmade": made.uncommitted,
+                "gateways_without": made.gateways_without,
             });
-            made.committed.known().iter().for_each(|known| play["changes"]["committed"] = json!(known));
+            made.commit_times.summary().iter().for_each(|known| play["changes"]["committed"] = json!(known));
         }
-        self.killed.iter().for_each(|killed| play["killed_control"] = json!(killed));
-        if let Some(l) = &self.list {
+        self.killed_control_machine.iter().for_each(|killed| play["killed_control"] = json!(killed));
+        if let Some(l) = &self.endpoint_updates {
             play["list"] = json!({
-                "workers": l.workers, "editions": l.editions, "seconds": l.took,
-                "slowest_gone": l.slowest_gone, "slowest": l.slowest,
+                "workers": l.workers, "editions": l.revisions, "seconds": l.seconds,
+                "slowest_gone": l.slowest_removal, "slowest": l.slowest_addition,
             });
-            l.desk.iter().for_each(|desk| play["list"]["desk"] = json!(desk));
+            l.dispatcher_cpu.iter().for_each(|desk| play["list"]["desk"] = json!(desk));
         }
         play
     }
 }
 
-impl Machine {
+impl MachineUsage {
     fn json(&self) -> Value {
         let mut machine = json!({
-            "cores": self.cores, "own": self.own, "saturated": self.saturated(), "memory_gb": self.memory_gb,
-            "letters_dropped": self.dropped, "letters_crowded": self.crowded,
-            "letters_lost_by_plan": self.lost,
+            "cores": self.cores, "own": self.own_utilization, "saturated": self.is_saturated(), "memory_gb": self.memory_gb,
+            "letters_dropped": self.dropped_datagrams, "letters_crowded": self.overflowed_datagrams,
+            "letters_lost_by_plan": self.lost_datagrams,
         });
-        self.busy.iter().for_each(|busy| machine["busy"] = json!(busy));
-        self.measuring.iter().for_each(|busy| machine["busy_measuring"] = json!(busy));
-        self.highest.iter().for_each(|highest| machine["busy_highest"] = json!(highest));
+        self.utilization.iter().for_each(|busy| machine["busy"] = json!(busy));
+        self.utilization_while_measuring.iter().for_each(|busy| machine["busy_measuring"] = json!(busy));
+        self.highest_utilization.iter().for_each(|highest| machine["busy_highest"] = json!(highest));
         machine
     }
 }
--- a/crates/scale-test/src/report/changes.rs
+++ b/crates/scale-test/src/report/changes.rs
@@ -1,13 +1,13 @@
 //! Of a report what is about changes: what is in force at the end, and the bounds that changes broke.
 
 use super::short;
-use crate::changed::Made;
+use crate::change_propagation::ChangeOutcomes;
 use std::collections::BTreeMap;
 
 /// What is in force at the end of a run: the latest number that was made, and how many have the state that
 /// most have.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct State {
+pub struct FinalState {
     pub latest: u64,
     pub number: u64,
     pub digest: u64,
@@ -15,7 +15,7 @@
     pub control: (usize, usize),
 }
 
-impl State {
+impl FinalState {
     /// From number and digest of each gateway and each control machine, none where one does not say.
     pub fn of(gateways: Vec<Option<(u64, u64)>>, control: Vec<Option<(u64, u64)>>, latest: u64) -> Self {
         let mut counts: BTreeMap<(u64, u64), usize> = BTreeMap::new();
@@ -42,29 +42,29 @@
 }
 
 /// The bounds that a play's changes broke.
-pub(super) fn judge(label: &str, made: &Made, most: Option<f64>) -> Vec<String> {
+pub(super) fn judge(label: &str, made: &ChangeOutcomes, most: Option<f64>) -> Vec<String> {
     let mut broken = Vec::new();
-    if let Some(why) = made.unmade.first() {
-        let (proposed, made) = (made.proposed, made.made);
+    if let Some(why) = made.uncommitted.first() {
+        let (proposed, made) = (made.proposed, made.committed_count);
         broken.push(format!("changes in {label}: {made} of {proposed} are known to be made; {why}"));
     }
-    if made.change.never > 0 {
-        let (never, without) = (made.change.never, made.without);
+    if made.propagation_times.never > 0 {
+        let (never, without) = (made.propagation_times.never, made.gateways_without);
         broken.push(format!(
             "changes in {label}: never in force, {never} times of a change and a gateway, at {without} gateways"
         ));
     }
-    if made.catch_up.never > 0 {
-        let never = made.catch_up.never;
+    if made.catch_up_times.never > 0 {
+        let never = made.catch_up_times.never;
         broken
             .push(format!("changes in {label}: {never} that began anew never had all that was made before"));
     }
-    let worst = made.change.known().and_then(|k| k.spread);
+    let worst = made.propagation_times.summary().and_then(|k| k.spread);
     if let (Some(worst), Some(most)) = (worst.map(|s| s.worst), most)
         && worst > most
     {
-        let late = made.change.seconds.iter().filter(|s| f64::from(**s) > most).count();
-        let of = made.change.seconds.len();
+        let late = made.propagation_times.seconds.iter().filter(|s| f64::from(**s) > most).count();
+        let of = made.propagation_times.seconds.len();
         broken.push(format!(
             "known.change in {label}: {} s where {} are granted, later at {late} of {of} changes and gateways",
             short(worst),
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -1,8 +1,8 @@
 //! A report as a table for people.
 
-use super::{Cost, Report, Settled, short};
+use super::{ControlCost, Convergence, Report, short};
+use crate::distribution::ConvergenceSummary;
 use crate::emulated_workers::CallCounts;
-use crate::spread::Known;
 use std::fmt;
 
 impl fmt::Display for Report {
@@ -27,7 +27,7 @@
                 writeln!(f, "  {unit:<22} {p50:>12} {p99:>12} {worst:>12}")?;
             }
         }
-        for (name, apart) in self.cost().into_iter().flat_map(Cost::apart) {
+        for (name, apart) in self.cost().into_iter().flat_map(ControlCost::apart) {
             let title =
                 if name == "control_machines" { "of one control machine" } else { "of it following changes" };
             writeln!(f, "{title}")?;
@@ -38,36 +38,40 @@
         }
         writeln!(f, "plays")?;
         for play in &self.plays {
-            write!(f, "  {:<12} {:<9} from {:>6.1} s, {:>6.1} s", play.label, play.does, play.at, play.took)?;
-            match play.settled {
-                Some(Settled { after: Some(after), of, .. }) => {
+            write!(
+                f,
+                "  {:<12} {:<9} from {:>6.1} s, {:>6.1} s",
+                play.label, play.action, play.started_at, play.seconds
+            )?;
+            match play.convergence {
+                Some(Convergence { after: Some(after), of, .. }) => {
                     write!(f, "; all {of} agree after {after:.1} s")?;
                 }
-                Some(Settled { waited, agreed, of, .. }) => {
+                Some(Convergence { waited, agreed, of, .. }) => {
                     write!(f, "; NEVER SETTLED, {agreed} of {of} believed by all after {waited:.1} s")?;
                 }
                 None => {}
             }
-            if let Some((knew, of)) = play.gone_known {
+            if let Some((knew, of)) = play.failure_known {
                 write!(f, "; {knew} of {of} knew who was gone")?;
             }
-            if let Some(made) = play.made.as_ref().filter(|m| m.proposed > 0) {
-                write!(f, "; {} of {} changes made", made.made, made.proposed)?;
-                if let Some(s) = made.change.known().and_then(|k| k.spread) {
+            if let Some(made) = play.changes.as_ref().filter(|m| m.proposed > 0) {
+                write!(f, "; {} of {} changes made", made.committed_count, made.proposed)?;
+                if let Some(s) = made.propagation_times.summary().and_then(|k| k.spread) {
                     write!(f, ", in force after {:.2} s, {:.2} s at the latest", s.p50, s.worst)?;
                 }
             }
-            if play.learnt.false_deaths > 0 {
-                write!(f, "; {} times one was wrongly said to be gone", play.learnt.false_deaths)?;
+            if play.membership_times.false_deaths > 0 {
+                write!(f, "; {} times one was wrongly said to be gone", play.membership_times.false_deaths)?;
             }
-            if let Some(l) = &play.list {
-                let (workers, editions, ms) = (l.workers, l.editions, 1e3 * l.slowest);
+            if let Some(l) = &play.endpoint_updates {
+                let (workers, editions, ms) = (l.workers, l.revisions, 1e3 * l.slowest_addition);
                 write!(f, "; {workers} workers in {editions} editions, the slowest {ms:.1} ms in one desk")?;
             }
             writeln!(f)?;
         }
-        for (what, known) in self.known() {
-            let Some(Known { spread, learnt, never }) = known else { continue };
+        for (what, known) in self.convergence_summaries() {
+            let Some(ConvergenceSummary { spread, learnt, never }) = known else { continue };
             let times = spread.map_or_else(String::new, |s| {
                 format!("p50 {:.2} s, p99 {:.2} s, worst {:.2} s; ", s.p50, s.p99, s.worst)
             });
@@ -93,10 +97,10 @@
             writeln!(f, "calls to real gateways: {sent}, handled {succeeded}")?;
         }
         let m = &self.machine;
-        let busy = m.busy.map_or("unknown".into(), |b| format!("{:.0}%", 100.0 * b));
-        let (own, memory) = (100.0 * m.own, m.memory_gb);
+        let busy = m.utilization.map_or("unknown".into(), |b| format!("{:.0}%", 100.0 * b));
+        let (own, memory) = (100.0 * m.own_utilization, m.memory_gb);
         writeln!(f, "machine: {busy} of {} cores in use, {own:.0}% by this run; {memory:.1} GB", m.cores)?;
-        if m.saturated() {
+        if m.is_saturated() {
             let measuring = m
                 .measuring
                 .map_or(String::new(), |b| format!(" ({:.0}% while control was measured)", 100.0 * b));
@@ -106,11 +110,11 @@
                  and cpu is what there was of them, not what was wanted"
             )?;
         }
-        if m.dropped + m.crowded > 0 {
+        if m.dropped_datagrams + m.overflowed_datagrams > 0 {
             writeln!(
                 f,
                 "letters dropped for want of room: {} by the system, {} by the relay",
-                m.dropped, m.crowded
+                m.dropped_datagrams, m.overflowed_datagrams
             )?;
         }
         for unplayed in &self.unplayed {
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,14 +1,14 @@
 //! Plays a plan: one play after the other, each with what it measured; and what could not be played any more.
 
-use crate::book::Learnt;
-use crate::changed::Made;
+use crate::change_propagation::ChangeOutcomes;
 use crate::control::AUTHORS;
 use crate::emulated_workers::{Calls, EmulatedWorkers};
 use crate::fleet::{Fleet, RunFiles, StopReason, folder};
 use crate::host_protocol::Reading;
-use crate::machine::{self, Cores};
-use crate::plan::{Core, Plan, Play, What};
-use crate::report::{Findings, Played, Report, Settled, State};
+use crate::machine_load::{self, CpuTime};
+use crate::membership_tracker::ConvergenceTimes;
+use crate::plan::{Action, Component, Plan, Play};
+use crate::report::{Convergence, FinalState, Findings, PlayResult, Report};
 use milletpath_gateway::hollow_gateway::clock;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -34,9 +34,12 @@
 const SPARE: u64 = 256;
 
 pub fn run(plan: &Plan, asked: Asked<'_>) -> io::Result<Report> {
-    let links =
-        if plan.has(Core::Changes) { 2 * plan.gateways + plan.control + 2 * AUTHORS } else { plan.gateways };
-    crate::fleet::descriptors(links as u64 + 4 * plan.real as u64 + SPARE)?;
+    let links = if plan.runs(Component::ConfigChanges) {
+        2 * plan.gateways + plan.control_machines + 2 * AUTHORS
+    } else {
+        plan.gateways
+    };
+    crate::fleet::descriptors(links as u64 + 4 * plan.real_gateways as u64 + SPARE)?;
     let folder = folder()?;
     let report = staged(plan, asked, folder.clone());
     match &report {
@@ -49,7 +52,7 @@
 fn staged(plan: &Plan, asked: Asked<'_>, folder: PathBuf) -> io::Result<Report> {
     let stand_ins = EmulatedWorkers::start(plan.workers.real, plan.seed)?;
     let stage = RunFiles { program: asked.program, folder };
-    let before = (Cores::read(), machine::used(std::process::id()));
+    let before = (CpuTime::read(), machine_load::process_cpu_seconds(std::process::id()));
     let fleet = Fleet::new(plan, asked.text, stage, stand_ins.addresses.clone(), asked.stop)?;
     let calls = Calls::start(plan, fleet.reached.clone())?;
     let mut stage = Playing {
@@ -69,11 +72,11 @@
     fleet: Fleet,
     calls: Calls,
     chance: Rand64,
-    played: Vec<Played>,
+    played: Vec<PlayResult>,
     /// Of the worker list: processes under one name are told apart by it.
     generation: u32,
     /// What is in force at the end.
-    state: Option<State>,
+    state: Option<FinalState>,
     terminal: bool,
 }
 
@@ -81,18 +84,18 @@
     fn plays(&mut self) -> Result<(), StopReason> {
         for play in self.fleet.plan.plays.clone() {
             let began = clock();
-            self.fleet.sums.play(began, &play.label);
-            let mut played = Played::new(&play, began - self.fleet.began);
+            self.fleet.sums.begin_play(began, &play.label);
+            let mut played = PlayResult::new(&play, began - self.fleet.began);
             let done = self.play(&play, &mut played);
             let done = done.and_then(|()| self.settle(&play, &mut played));
             let done = done.and_then(|()| self.in_force(&play));
-            played.took = clock() - began;
-            let learnt = self.fleet.book.take();
-            if self.fleet.plan.has(Core::Membership) {
-                played.learnt = learnt;
+            played.seconds = clock() - began;
+            let learnt = self.fleet.book.take_times();
+            if self.fleet.plan.runs(Component::Membership) {
+                played.membership_times = learnt;
             }
-            let made = self.fleet.changed.take(clock());
-            played.made = (made != Made::default()).then_some(made);
+            let made = self.fleet.changed.take_outcomes(clock());
+            played.changes = (made != ChangeOutcomes::default()).then_some(made);
             // What a play that was broken off had measured is kept.
             self.played.push(played);
             done?;
@@ -100,38 +103,44 @@
         self.state()
     }
 
-    fn play(&mut self, play: &Play, played: &mut Played) -> Result<(), StopReason> {
+    fn play(&mut self, play: &Play, played: &mut PlayResult) -> Result<(), StopReason> {
         // Those that a play does not begin with in mind are proposed as it goes on.
-        if matches!(play.what, What::Settled { .. } | What::Restarts { .. } | What::Changes) {
+        if matches!(
+            play.action,
+            Action::SteadyState { .. } | Action::RollingRestart { .. } | Action::ConfigChanges
+        ) {
             self.propose(play)?;
         }
-        match play.what {
-            What::Start { over } => {
+        match play.action {
+            Action::Start { duration } => {
                 let all = self.shuffled((0..self.fleet.plan.gateways).collect());
-                self.one_by_one(&all, over, |fleet, gateway| fleet.begin(gateway))
+                self.one_by_one(&all, duration, |fleet, gateway| fleet.begin(gateway))
             }
-            What::Settled { seconds } => self.measure(seconds, played),
-            What::Restarts { gateways, over } => {
+            Action::SteadyState { duration } => self.measure(duration, played),
+            Action::RollingRestart { gateways, duration } => {
                 let mut some = self.shuffled((0..self.fleet.plan.gateways).collect());
                 some.truncate(gateways);
-                self.one_by_one(&some, over, |fleet, gateway| fleet.end(&[gateway], false, true))
+                self.one_by_one(&some, duration, |fleet, gateway| fleet.end(&[gateway], false, true))
             }
-            What::Rack { gateways, away } => {
+            Action::RackFailure { gateways, downtime } => {
                 let zone = self.chance.rand_range(0..self.fleet.plan.zones.len() as u64) as usize;
-                let rack: Vec<usize> = self.fleet.plan.in_zone(zone).take(gateways).collect();
-                self.away(&rack, &[], play, away, played)
+                let rack: Vec<usize> = self.fleet.plan.gateways_in_zone(zone).take(gateways).collect();
+                self.away(&rack, &[], play, downtime, played)
             }
-            What::Zone { zone, away } => {
-                let all: Vec<usize> = self.fleet.plan.in_zone(zone).collect();
+            Action::ZoneFailure { zone, downtime } => {
+                let all: Vec<usize> = self.fleet.plan.gateways_in_zone(zone).collect();
                 let plan = &self.fleet.plan;
-                let control =
-                    (0..plan.control).filter(|m| plan.zone_of_control(*m) == zone).collect::<Vec<_>>();
-                self.away(&all, &control, play, away, played)
+                let control = (0..plan.control_machines)
+                    .filter(|m| plan.zone_of_control_machine(*m) == zone)
+                    .collect::<Vec<_>>();
+                self.away(&all, &control, play, downtime, played)
+            }
+            Action::Partition { regions, duration } => self.cut(regions, duration, play),
+            Action::EndpointUpdates { zone, revisions, duration } => {
+                self.list(zone, revisions, duration, played)
             }
-            What::Cut { regions, seconds } => self.cut(regions, seconds, play),
-            What::List { zone, editions, over } => self.list(zone, editions, over, played),
-            What::Changes => Ok(()),
-            What::Control { away } => self.control(play, away, played),
+            Action::ConfigChanges => Ok(()),
+            Action::LeaderFailure { downtime } => self.control(play, downtime, played),
         }
     }
 
@@ -175,7 +184,7 @@
         control: &[usize],
         play: &Play,
         away: f64,
-        played: &mut Played,
+        played: &mut PlayResult,
     ) -> Result<(), StopReason> {
         let began = clock();
         self.fleet.kill_control(control);
@@ -184,18 +193,19 @@
         self.propose(play)?;
         // They come back when all know that they are gone, and what was changed meanwhile is in force; where that
         // takes too long it is told how many did.
-        let known = self.fleet.plan.has(Core::Membership);
+        let known = self.fleet.plan.runs(Component::Membership);
         let enough = move |fleet: &Fleet| {
-            let changed = fleet.changed.settled();
+            let changed = fleet.changed.is_converged();
             if known {
-                changed && fleet.book.settled() == fleet.book.running()
+                changed && fleet.book.converged_observers() == fleet.book.running_count()
             } else {
                 play.changes > 0 && changed
             }
         };
         self.wait(began + away, enough)?;
         if known {
-            played.gone_known = Some((self.fleet.book.settled(), self.fleet.book.running()));
+            played.failure_known =
+                Some((self.fleet.book.converged_observers(), self.fleet.book.running_count()));
         }
         self.fleet.begin_control()?;
         self.one_by_one(some, 0.0, |fleet, gateway| fleet.begin(gateway))
@@ -204,14 +214,14 @@
     fn cut(&mut self, regions: (usize, usize), seconds: f64, play: &Play) -> Result<(), StopReason> {
         let of: Vec<usize> = (0..self.fleet.plan.gateways).map(|g| self.fleet.plan.region_of(g)).collect();
         let began = clock();
-        self.fleet.relay.cut(regions, true);
-        self.fleet.book.cut(move |a, b| {
+        self.fleet.relay.set_partitioned(regions, true);
+        self.fleet.book.begin_partition(move |a, b| {
             let pair = (of[a], of[b]);
             pair == regions || pair == (regions.1, regions.0)
         });
         let done = self.propose(play).and_then(|()| self.wait(began + seconds, |_| false));
-        self.fleet.relay.cut(regions, false);
-        self.fleet.book.mended(clock());
+        self.fleet.relay.set_partitioned(regions, false);
+        self.fleet.book.end_partition(clock());
         done
     }
 
@@ -220,9 +230,9 @@
         zone: usize,
         editions: usize,
         over: f64,
-        played: &mut Played,
+        played: &mut PlayResult,
     ) -> Result<(), StopReason> {
-        if !self.fleet.plan.has(Core::List) {
+        if !self.fleet.plan.runs(Component::EndpointList) {
             return Ok(());
         }
         let plan = &self.fleet.plan;
@@ -247,13 +257,13 @@
         self.fleet.read_now()?;
         let after = desks(&self.fleet.readings);
         let used = after.iter().filter_map(|(g, desk)| Some(desk - before.get(g)?)).collect();
-        played.list = Some(crate::report::Listed {
+        played.endpoint_updates = Some(crate::report::EndpointUpdateCost {
             workers: workers.len(),
-            editions,
-            took,
-            slowest_gone: gone,
-            slowest: self.fleet.slowest,
-            desk: crate::spread::Spread::of(used),
+            revisions: editions,
+            seconds: took,
+            slowest_removal: gone,
+            slowest_addition: self.fleet.slowest,
+            dispatcher_cpu: crate::distribution::Distribution::of(used),
         });
         Ok(())
     }
@@ -280,10 +290,11 @@
     }
 
     /// Waits until all that run believe what is so, for some seconds at most.
-    fn settle(&mut self, play: &Play, played: &mut Played) -> Result<(), StopReason> {
-        let Some(most) = play.settle else { return Ok(()) };
+    fn settle(&mut self, play: &Play, played: &mut PlayResult) -> Result<(), StopReason> {
+        let Some(most) = play.settle_timeout else { return Ok(()) };
         // What else is waited for is when changes are in force.
-        if !self.fleet.plan.has(Core::Membership) || matches!(play.what, What::Changes | What::Control { .. })
+        if !self.fleet.plan.runs(Component::Membership)
+            || matches!(play.action, Action::ConfigChanges | Action::LeaderFailure { .. })
         {
             return Ok(());
         }
@@ -291,11 +302,11 @@
         let all = Fleet::settled;
         let done = self.wait(began + most, all);
         let settled = all(&self.fleet);
-        let (agreed, of) = (self.fleet.book.agreed(), self.fleet.book.running());
+        let (agreed, of) = (self.fleet.book.agreed_gateways(), self.fleet.book.running_count());
         let waited = clock() - began;
         // Of one that was broken off nobody knows whether it would have.
         if done.is_ok() || settled {
-            played.settled = Some(Settled { after: settled.then_some(waited), waited, agreed, of });
+            played.convergence = Some(Convergence { after: settled.then_some(waited), waited, agreed, of });
         }
         done
     }
@@ -306,7 +317,7 @@
             return;
         }
         let play = self.fleet.plan.plays.get(self.played.len()).map_or("", |p| p.label.as_str());
-        let (settled, running) = (self.fleet.book.settled(), self.fleet.book.running());
+        let (settled, running) = (self.fleet.book.converged_observers(), self.fleet.book.running_count());
         let at = clock() - self.fleet.began;
         let busy = self.fleet.busy.last().map_or(0.0, |(_, busy)| 100.0 * busy);
         let _ = write!(
@@ -316,38 +327,44 @@
         );
     }
 
-    fn end(self, plan: &Plan, over: Option<StopReason>, before: (Option<Cores>, f64)) -> io::Result<Report> {
+    fn end(
+        self,
+        plan: &Plan,
+        over: Option<StopReason>,
+        before: (Option<CpuTime>, f64),
+    ) -> io::Result<Report> {
         let Self { fleet, calls, played, state, terminal, .. } = self;
         if terminal {
             let _ = write!(io::stderr(), "\r\x1b[K");
         }
         let took = clock() - fleet.began;
         let processes = fleet.processes();
-        let own: f64 = processes.iter().map(|p| machine::used(*p)).sum::<f64>() - before.1;
-        let busy = before.0.zip(Cores::read()).map(|(then, now)| now.since(then));
+        let own: f64 =
+            processes.iter().map(|p| machine_load::process_cpu_seconds(*p)).sum::<f64>() - before.1;
+        let busy = before.0.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
         let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
-        let dropped = machine::dropped(&fleet.relay.ports());
-        let machine = crate::report::Machine {
+        let dropped = machine_load::dropped_datagrams(&fleet.relay.ports());
+        let machine = crate::report::MachineUsage {
             cores,
-            busy,
-            measuring: None,
-            highest: fleet
+            utilization: busy,
+            utilization_while_measuring: None,
+            highest_utilization: fleet
                 .busy
                 .iter()
                 .map(|(_, busy)| *busy)
                 .fold(None, |most, b| Some(most.map_or(b, |m: f64| m.max(b)))),
-            own: own / took.max(1e-9) / cores as f64,
+            own_utilization: own / took.max(1e-9) / cores as f64,
             memory_gb: fleet.most_memory,
-            dropped,
-            crowded: fleet.relay.crowded(),
-            lost: fleet.relay.lost(),
+            dropped_datagrams: dropped,
+            overflowed_datagrams: fleet.relay.overflowed(),
+            lost_datagrams: fleet.relay.lost(),
         };
         let calls = calls.end();
         let mut fleet = fleet;
-        let sums = std::mem::replace(&mut fleet.sums, crate::budgets::Sums::new(plan.gateways));
+        let sums = std::mem::replace(&mut fleet.sums, crate::budgets::BudgetTotals::new(plan.gateways));
         // From here on nothing of the run is left.
         drop(fleet);
-        let found = Findings { plays: played, budgets: sums.end(), machine, calls, state };
+        let found = Findings { plays: played, budgets: sums.finish(), machine, calls, state };
         Ok(Report::new(plan, found, over, took))
     }
 }
@@ -356,20 +373,20 @@
     readings.iter().map(|(g, r)| (*g, r.desk)).collect()
 }
 
-impl Played {
+impl PlayResult {
     fn new(play: &crate::plan::Play, at: f64) -> Self {
         Self {
             label: play.label.clone(),
-            does: play.what.word(),
-            at,
-            took: 0.0,
-            settled: None,
-            gone_known: None,
-            learnt: Learnt::default(),
-            cost: None,
-            list: None,
-            made: None,
-            killed: None,
+            action: play.action.keyword(),
+            started_at: at,
+            seconds: 0.0,
+            convergence: None,
+            failure_known: None,
+            membership_times: ConvergenceTimes::default(),
+            control_cost: None,
+            endpoint_updates: None,
+            changes: None,
+            killed_control_machine: None,
         }
     }
 }
--- a/crates/scale-test/src/run/changes.rs
+++ b/crates/scale-test/src/run/changes.rs
@@ -3,8 +3,8 @@
 use super::Playing;
 use crate::control::{AUTHOR_TRIES, LOOK};
 use crate::fleet::StopReason;
-use crate::plan::{Core, Play, What};
-use crate::report::{Played, State};
+use crate::plan::{Action, Component, Play};
+use crate::report::{FinalState, PlayResult};
 use milletpath_gateway::hollow_gateway::clock;
 
 impl Playing {
@@ -14,10 +14,10 @@
             return Ok(());
         }
         // All within the play, and known before it ends.
-        let over = if matches!(play.what, What::Settled { .. }) {
-            (play.over - 2.0 * LOOK).max(0.0)
+        let over = if matches!(play.action, Action::SteadyState { .. }) {
+            (play.proposal_period - 2.0 * LOOK).max(0.0)
         } else {
-            play.over
+            play.proposal_period
         };
         self.fleet.propose(play.changes, clock() + LOOK, over)
     }
@@ -30,20 +30,25 @@
         }
         /// Seconds, where the play does not say.
         const USUAL: f64 = 10.0;
-        self.wait(clock() + AUTHOR_TRIES, |fleet| fleet.changed.open() == 0)?;
-        self.wait(clock() + play.settle.unwrap_or(USUAL), |fleet| fleet.changed.settled())
+        self.wait(clock() + AUTHOR_TRIES, |fleet| fleet.changed.open_proposals() == 0)?;
+        self.wait(clock() + play.settle_timeout.unwrap_or(USUAL), |fleet| fleet.changed.is_converged())
     }
 
     /// Kills the control machine that leads when half of the changes are proposed, and begins it again later.
-    pub(super) fn control(&mut self, play: &Play, away: f64, played: &mut Played) -> Result<(), StopReason> {
+    pub(super) fn control(
+        &mut self,
+        play: &Play,
+        away: f64,
+        played: &mut PlayResult,
+    ) -> Result<(), StopReason> {
         self.propose(play)?;
-        let half = clock() + LOOK + 0.5 * play.over;
+        let half = clock() + LOOK + 0.5 * play.proposal_period;
         self.wait(half, |_| false)?;
         let leader = self.fleet.leader()?;
         let leader =
             leader.ok_or_else(|| StopReason::Failed("no control machine leads in mid-change".into()))?;
         self.fleet.kill_control(&[leader]);
-        played.killed = Some(leader);
+        played.killed_control_machine = Some(leader);
         self.wait(half + away, |_| false)?;
         self.fleet.begin_control()
     }
@@ -52,7 +57,7 @@
     pub(super) fn state(&mut self) -> Result<(), StopReason> {
         /// Seconds until those that began lately are heard.
         const WAIT: f64 = 10.0;
-        if !self.fleet.plan.has(Core::Changes) {
+        if !self.fleet.plan.runs(Component::ConfigChanges) {
             return Ok(());
         }
         let until = clock() + WAIT;
@@ -60,7 +65,7 @@
             let gateways = self.fleet.states()?.into_values().collect();
             let control = self.fleet.control_views()?.into_values();
             let control = control.map(|v| v.map(|v| (v.number, v.digest))).collect();
-            let state = State::of(gateways, control, self.fleet.changed.latest());
+            let state = FinalState::of(gateways, control, self.fleet.changed.latest_committed());
             let done = state.wrong().is_none() || clock() >= until;
             self.state = Some(state);
             if done {
--- a/crates/scale-test/src/run/measuring.rs
+++ b/crates/scale-test/src/run/measuring.rs
@@ -3,41 +3,41 @@
 use super::Playing;
 use crate::fleet::StopReason;
 use crate::host_protocol::Reading;
-use crate::machine::Cores;
-use crate::relay::Passed;
-use crate::report::{Cost, Played};
+use crate::machine_load::CpuTime;
+use crate::relay::LinkTraffic;
+use crate::report::{ControlCost, PlayResult};
 use milletpath_gateway::hollow_gateway::clock;
 use std::collections::BTreeMap;
 
 impl Playing {
     /// What control costs while nothing happens.
-    pub(super) fn measure(&mut self, seconds: f64, played: &mut Played) -> Result<(), StopReason> {
+    pub(super) fn measure(&mut self, seconds: f64, played: &mut PlayResult) -> Result<(), StopReason> {
         let mut before = self.look()?;
-        let began = (clock(), Cores::read());
+        let began = (clock(), CpuTime::read());
         self.wait(began.0 + seconds, |_| false)?;
         let after = self.look()?;
         let took = after.at - before.at;
-        let mut cost = Cost { seconds: took, ..Cost::default() };
+        let mut cost = ControlCost { seconds: took, ..ControlCost::default() };
         for (gateway, now) in &after.readings {
             // Of one process, and one that was read lately both times.
             let Some(then) = before.readings.remove(gateway) else { continue };
             let between = now.at - then.at;
             if between < 0.5 * took || now.control < then.control {
-                cost.unread += 1;
+                cost.unread_gateways += 1;
                 continue;
             }
             let (control, desk) = ((now.control - then.control) / between, (now.desk - then.desk) / took);
             let changes = match (now.changes, then.changes) {
                 (Some(now), Some(then)) if now.at - then.at < 0.5 * took => {
-                    cost.unread += 1;
+                    cost.unread_gateways += 1;
                     continue;
                 }
                 (Some(now), Some(then)) => Some((now.cpu - then.cpu) / (now.at - then.at)),
                 _ => None,
             };
-            cost.changes.cpu.extend(changes.map(|changes| (*gateway, changes)));
+            cost.follower.cpu.extend(changes.map(|changes| (*gateway, changes)));
             cost.cpu.push((*gateway, control + desk + changes.unwrap_or(0.0)));
-            cost.desk.push((*gateway, desk));
+            cost.dispatcher_cpu.push((*gateway, desk));
         }
         for (gateway, _) in after.lives.iter().filter(|(g, life)| before.lives.get(g) == Some(life)) {
             let used = |now: &BTreeMap<usize, f64>, then: &BTreeMap<usize, f64>| {
@@ -45,7 +45,7 @@
             };
             let (control, changes) =
                 (used(&after.control, &before.control), used(&after.changes, &before.changes));
-            cost.changes.cpu.extend(changes.map(|changes| (*gateway, changes)));
+            cost.follower.cpu.extend(changes.map(|changes| (*gateway, changes)));
             if let Some(all) = control.into_iter().chain(changes).reduce(|a, b| a + b) {
                 cost.cpu.push((*gateway, all));
             }
@@ -53,36 +53,36 @@
         let passed: Vec<Rates> =
             after.passed.iter().zip(&before.passed).map(|b| Rates::of(b, took)).collect();
         let running: Vec<usize> =
-            (0..self.fleet.plan.gateways).filter(|g| self.fleet.book.runs(*g)).collect();
+            (0..self.fleet.plan.gateways).filter(|g| self.fleet.book.is_running(*g)).collect();
         for gateway in running {
             let mut all = passed[gateway];
             if let Some(changes) = self.fleet.lines.feed(gateway).map(|line| passed[line]) {
-                cost.changes.bytes_in.push((gateway, changes.bytes_in));
-                cost.changes.bytes_out.push((gateway, changes.bytes_out));
+                cost.follower.bytes_in.push((gateway, changes.bytes_in));
+                cost.follower.bytes_out.push((gateway, changes.bytes_out));
                 all = all.and(changes);
             }
             cost.bytes_in.push((gateway, all.bytes_in));
             cost.bytes_out.push((gateway, all.bytes_out));
-            cost.letters_in.push((gateway, all.letters_in));
-            cost.letters_out.push((gateway, all.letters_out));
+            cost.datagrams_in.push((gateway, all.datagrams_in));
+            cost.datagrams_out.push((gateway, all.datagrams_out));
         }
         for (number, (process, used, memory)) in &after.machines {
             let Some((_, then, _)) = before.machines.get(number).filter(|(p, ..)| p == process) else {
                 continue;
             };
             let rates = passed[self.fleet.lines.machine(*number)];
-            cost.machines.cpu.push((*number, (used - then) / took));
-            cost.machines.memory.extend(memory.map(|memory| (*number, memory)));
-            cost.machines.bytes_in.push((*number, rates.bytes_in));
-            cost.machines.bytes_out.push((*number, rates.bytes_out));
+            cost.control_machines.cpu.push((*number, (used - then) / took));
+            cost.control_machines.memory_mb.extend(memory.map(|memory| (*number, memory)));
+            cost.control_machines.bytes_in.push((*number, rates.bytes_in));
+            cost.control_machines.bytes_out.push((*number, rates.bytes_out));
         }
-        cost.changes.state = self.fleet.state_bytes();
-        cost.memory = self.fleet.memory().into_iter().collect();
+        cost.follower.state_bytes = self.fleet.state_bytes();
+        cost.memory_mb = self.fleet.memory().into_iter().collect();
         cost.settled = self.fleet.settled();
-        if let (Some(then), Some(now)) = (began.1, Cores::read()) {
-            cost.busy = Some(now.since(then));
+        if let (Some(then), Some(now)) = (began.1, CpuTime::read()) {
+            cost.busy = Some(now.utilization_since(then));
         }
-        played.cost = Some(cost);
+        played.control_cost = Some(cost);
         Ok(())
     }
 
@@ -91,7 +91,7 @@
         Ok(Look {
             at: clock(),
             readings: self.fleet.readings.clone(),
-            passed: self.fleet.relay.passed(),
+            passed: self.fleet.relay.traffic(),
             control: self.fleet.real_thread("peers"),
             changes: self.fleet.real_thread("changes"),
             machines: self.fleet.control_used(),
@@ -105,18 +105,18 @@
 struct Rates {
     bytes_in: f64,
     bytes_out: f64,
-    letters_in: f64,
-    letters_out: f64,
+    datagrams_in: f64,
+    datagrams_out: f64,
 }
 
 impl Rates {
-    fn of((now, then): (&Passed, &Passed), took: f64) -> Self {
+    fn of((now, then): (&LinkTraffic, &LinkTraffic), took: f64) -> Self {
         let rate = |now: u64, then: u64| (now - then) as f64 / took;
         Self {
             bytes_in: rate(now.bytes_in, then.bytes_in),
             bytes_out: rate(now.bytes_out, then.bytes_out),
-            letters_in: rate(now.letters_in, then.letters_in),
-            letters_out: rate(now.letters_out, then.letters_out),
+            datagrams_in: rate(now.datagrams_in, then.datagrams_in),
+            datagrams_out: rate(now.datagrams_out, then.datagrams_out),
         }
     }
 
@@ -125,8 +125,8 @@
         Self {
             bytes_in: self.bytes_in + other.bytes_in,
             bytes_out: self.bytes_out + other.bytes_out,
-            letters_in: self.letters_in + other.letters_in,
-            letters_out: self.letters_out + other.letters_out,
+            datagrams_in: self.datagrams_in + other.datagrams_in,
+            datagrams_out: self.datagrams_out + other.datagrams_out,
         }
     }
 }
@@ -135,7 +135,7 @@
 struct Look {
     at: f64,
     readings: BTreeMap<usize, Reading>,
-    passed: Vec<Passed>,
+    passed: Vec<LinkTraffic>,
     control: BTreeMap<usize, f64>,
     changes: BTreeMap<usize, f64>,
     machines: BTreeMap<usize, (u32, f64, Option<f64>)>,
--- a/crates/scale-test/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! Sums of budgets over gateways: what counts as used together, and when that is more than there is.
 
 use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker};
-use milletpath_scale_test::budgets::Sums;
+use milletpath_scale_test::budgets::BudgetTotals;
 use milletpath_scale_test::host_protocol::Minimum;
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 
 #[test]
 fn what_is_there_is_shared_whole_and_no_bound_is_broken() {
-    let mut sums = Sums::new(3);
-    sums.play(100.0, "quiet");
+    let mut sums = BudgetTotals::new(3);
+    sums.begin_play(100.0, "quiet");
     // One has borrowed what the two others lent.
     for (gateway, allowed) in [(0, 4.0), (1, 1.0), (2, 1.0)] {
-        sums.low(gateway, &low(101, 1.0, allowed));
+        sums.record_minimum(gateway, &low(101, 1.0, allowed));
     }
-    let worst = sums.end();
+    let worst = sums.finish();
     let quota = &worst["quota all"];
     assert_eq!((quota.sum, quota.bound, quota.broken, quota.gateways), (6.0, 6.0, 0, (3, 3)));
     assert_eq!((worst["share"].sum, worst["share"].bound), (3.0, 3.0));
@@ -25,14 +25,14 @@
 
 #[test]
 fn more_than_there_is_is_found_and_put_down_to_its_play() {
-    let mut sums = Sums::new(3);
-    sums.play(100.0, "quiet");
-    sums.play(200.0, "apart");
-    (0..3).for_each(|g| sums.low(g, &low(150, 1.0, 2.0)));
+    let mut sums = BudgetTotals::new(3);
+    sums.begin_play(100.0, "quiet");
+    sums.begin_play(200.0, "apart");
+    (0..3).for_each(|g| sums.record_minimum(g, &low(150, 1.0, 2.0)));
     // Two halves of a fleet that each spend the whole.
-    (0..3).for_each(|g| sums.low(g, &low(205, 1.5, 2.0)));
-    sums.turn(400.0);
-    let worst = sums.end();
+    (0..3).for_each(|g| sums.record_minimum(g, &low(205, 1.5, 2.0)));
+    sums.close_seconds(400.0);
+    let worst = sums.finish();
     let share = &worst["share"];
     assert_eq!((share.sum, share.bound, share.broken, share.seconds), (4.5, 3.0, 1, 2));
     assert_eq!(share.during.as_deref(), Some("apart"));
@@ -41,20 +41,20 @@
 
 #[test]
 fn two_processes_of_one_name_do_not_count_together() {
-    let mut sums = Sums::new(2);
-    sums.low(0, &low(10, 2.0, 4.0));
-    sums.low(0, &low(10, 2.0, 4.0));
-    let worst = sums.end();
+    let mut sums = BudgetTotals::new(2);
+    sums.record_minimum(0, &low(10, 2.0, 4.0));
+    sums.record_minimum(0, &low(10, 2.0, 4.0));
+    let worst = sums.finish();
     assert_eq!((worst["share"].sum, worst["share"].broken), (2.0, 0));
 }
 
 #[test]
 fn a_reading_that_comes_when_its_second_is_closed_changes_nothing() {
-    let mut sums = Sums::new(1);
-    sums.low(0, &low(10, 1.0, 1.0));
-    sums.turn(100.0);
-    sums.low(0, &low(9, 9.0, 9.0));
-    assert_eq!(sums.end()["share"].seconds, 1);
+    let mut sums = BudgetTotals::new(1);
+    sums.record_minimum(0, &low(10, 1.0, 1.0));
+    sums.close_seconds(100.0);
+    sums.record_minimum(0, &low(9, 9.0, 9.0));
+    assert_eq!(sums.finish()["share"].seconds, 1);
 }
 
 fn budgets(allowed: f64) -> BTreeMap<String, BudgetLevel> {
--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans as people write them: what a sound one says, and what is told of one that is not.
 
-use milletpath_scale_test::plan::{Core, Plan, What, read};
+use milletpath_scale_test::plan::{Action, Component, Plan, read};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -41,17 +41,20 @@
 fn the_plans_that_come_along_are_sound(name: &str, gateways: usize, regions: usize, zones: usize) {
     let plan = sound(&file(name), None);
     assert_eq!((plan.gateways, plan.regions.len(), plan.zones.len()), (gateways, regions, zones));
-    let all = [Core::Membership, Core::Budgets, Core::List, Core::Changes];
-    assert!(all.into_iter().all(|core| plan.has(core)), "{:?}", plan.runs);
-    let words: Vec<_> = plan.plays.iter().map(|p| p.what.word()).collect();
+    let all = [Component::Membership, Component::Budgets, Component::EndpointList, Component::ConfigChanges];
+    assert!(all.into_iter().all(|core| plan.runs(core)), "{:?}", plan.components);
+    let words: Vec<_> = plan.plays.iter().map(|p| p.action.keyword()).collect();
     assert_eq!(words, ["start", "settled", "changes", "restarts", "rack", "zone", "cut", "list", "control"]);
 }
 
 #[test]
 fn changes_are_played_at_full_size_by_themselves() {
     let plan = sound(&file("size-changes.hcl"), None);
-    assert_eq!((plan.gateways, plan.runs.clone()), (1100, vec![Core::Changes, Core::List]));
-    let words: Vec<_> = plan.plays.iter().map(|p| (p.what.word(), p.changes)).collect();
+    assert_eq!(
+        (plan.gateways, plan.components.clone()),
+        (1100, vec![Component::ConfigChanges, Component::EndpointList])
+    );
+    let words: Vec<_> = plan.plays.iter().map(|p| (p.action.keyword(), p.changes)).collect();
     let wanted =
         [("settled", 0), ("settled", 15), ("changes", 20), ("zone", 20), ("control", 20), ("cut", 20)];
     assert!(wanted.iter().all(|w| words.contains(w)), "{words:?}");
@@ -60,7 +63,7 @@
 #[test]
 fn control_machines_stand_in_all_regions_and_no_two_in_a_zone_while_there_are_others() {
     let plan = sound(&file("size-changes.hcl"), None);
-    let zones: Vec<usize> = (0..plan.control).map(|m| plan.zone_of_control(m)).collect();
+    let zones: Vec<usize> = (0..plan.control_machines).map(|m| plan.zone_of_control_machine(m)).collect();
     let names: Vec<&str> = zones.iter().map(|z| plan.zones[*z].name.as_str()).collect();
     assert_eq!(names, ["north-1", "south-1", "east-1", "west-1", "north-2", "south-2", "east-2"]);
 }
@@ -73,7 +76,7 @@
     assert_eq!(plan.latency(0, 10), 0.001);
     assert_eq!((plan.latency(0, 3), plan.latency(3, 0)), (0.03, 0.03));
     assert_eq!((plan.latency(0, 6), plan.latency(3, 6)), (0.07, 0.1));
-    assert_eq!(plan.in_zone(0).take(3).collect::<Vec<_>>(), [0, 10, 20]);
+    assert_eq!(plan.gateways_in_zone(0).take(3).collect::<Vec<_>>(), [0, 10, 20]);
 }
 
 #[test]
@@ -81,8 +84,8 @@
     let plan = sound(&file("size.hcl"), Some(30));
     assert_eq!(plan.gateways, 30);
     // Not more than all but one can be restarted.
-    let restarts = plan.plays.iter().find(|p| p.what.word() == "restarts").map(|p| p.what.clone());
-    assert_eq!(restarts, Some(What::Restarts { gateways: 29, over: 10.0 }));
+    let restarts = plan.plays.iter().find(|p| p.action.keyword() == "restarts").map(|p| p.action.clone());
+    assert_eq!(restarts, Some(Action::RollingRestart { gateways: 29, duration: 10.0 }));
 }
 
 #[test_case("gateways = 6", "gatways = 6", "2:1: unknown key gatways in the plan; did you mean gateways?")]
@@ -134,9 +137,9 @@
 fn a_cut_is_between_two_regions() {
     let cut = |regions: &str| {
         let text = format!("{SMALL}play \"cut\" {{\n  does = \"cut\"\n  regions = {regions}\n}}\n");
-        read(&text, None).map(|p| p.plays[1].what.clone()).map_err(|m| m[0].to_string())
+        read(&text, None).map(|p| p.plays[1].action.clone()).map_err(|m| m[0].to_string())
     };
-    assert_eq!(cut("[\"a\", \"b\"]"), Ok(What::Cut { regions: (0, 1), seconds: 10.0 }));
+    assert_eq!(cut("[\"a\", \"b\"]"), Ok(Action::Partition { regions: (0, 1), duration: 10.0 }));
     let wrong = cut("[\"a\", \"a\"]").unwrap_err();
     assert!(wrong.starts_with("17:3: regions of play \"cut\" are not two"), "{wrong}");
 }
