--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -73,7 +73,7 @@
     pub lines: Lines,
     pub book: MembershipTracker,
     pub sums: BudgetTotals,
-    pub changed: Changed,
+    pub changed: ChangePropagation,
     /// Changes that authors were told to propose in this run, and control machines.
     changes: usize,
     machines: Vec<Option<Machine>>,
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -273,11 +273,11 @@
         };
         let (with, without) = (last(true)?, last(false)?);
         let (cost, before) = (with.control_cost.as_ref()?, without.control_cost.as_ref()?);
-        let rate = with.changes.as_ref()?.made as f64 / cost.seconds;
+        let rate = with.changes.as_ref()?.committed_count as f64 / cost.seconds;
         let middle =
             |figures: &[(usize, f64)]| Some(Distribution::of(figures.iter().map(|f| f.1).collect())?.p50);
         let slope = |now: &[(usize, f64)], then: &[(usize, f64)]| Some((middle(now)? - middle(then)?) / rate);
-        let (now, then) = (&cost.follower, &before.changes);
+        let (now, then) = (&cost.follower, &before.follower);
         Some(json!({
             "cpu": slope(&now.cpu, &then.cpu)?,
             "bytes_in": slope(&now.bytes_in, &then.bytes_in)?,
--- a/crates/scale-test/src/report/changes.rs
+++ b/crates/scale-test/src/report/changes.rs
@@ -59,7 +59,7 @@
         broken
             .push(format!("changes in {label}: {never} that began anew never had all that was made before"));
     }
-    let worst = made.propagation_times.summary().and_then(|k| k.spread);
+    let worst = made.propagation_times.summary().and_then(|k| k.distribution);
     if let (Some(worst), Some(most)) = (worst.map(|s| s.worst), most)
         && worst > most
     {
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -57,7 +57,7 @@
             }
             if let Some(made) = play.changes.as_ref().filter(|m| m.proposed > 0) {
                 write!(f, "; {} of {} changes made", made.committed_count, made.proposed)?;
-                if let Some(s) = made.propagation_times.summary().and_then(|k| k.spread) {
+                if let Some(s) = made.propagation_times.summary().and_then(|k| k.distribution) {
                     write!(f, ", in force after {:.2} s, {:.2} s at the latest", s.p50, s.worst)?;
                 }
             }
@@ -71,8 +71,8 @@
             writeln!(f)?;
         }
         for (what, known) in self.convergence_summaries() {
-            let Some(ConvergenceSummary { spread, learnt, never }) = known else { continue };
-            let times = spread.map_or_else(String::new, |s| {
+            let Some(ConvergenceSummary { distribution, learnt, never }) = known else { continue };
+            let times = distribution.map_or_else(String::new, |s| {
                 format!("p50 {:.2} s, p99 {:.2} s, worst {:.2} s; ", s.p50, s.p99, s.worst)
             });
             writeln!(f, "{what} known: {times}{learnt} learnt it, {never} never")?;
@@ -102,7 +102,7 @@
         writeln!(f, "machine: {busy} of {} cores in use, {own:.0}% by this run; {memory:.1} GB", m.cores)?;
         if m.is_saturated() {
             let measuring = m
-                .measuring
+                .utilization_while_measuring
                 .map_or(String::new(), |b| format!(" ({:.0}% while control was measured)", 100.0 * b));
             writeln!(
                 f,
--- a/crates/scale-test/tests/change_propagation.rs
+++ b/crates/scale-test/tests/change_propagation.rs
@@ -14,7 +14,7 @@
 }
 
 /// One change proposed at 10 s, and made with that number.
-fn one(book: &mut Changed, number: u64) {
+fn one(book: &mut ChangePropagation, number: u64) {
     book.expect_proposals(1);
     book.record_outcome(number as usize, 10.0, 10.2, Ok(number));
 }
