--- /dev/null
+++ b/crates/scale-test/tests/output_fixtures.rs
@@ -0,0 +1,416 @@
+//! What users hold of a scale run stays as it is: the JSON object and the printed table of a report that is built
+//! from fixed findings, and the figures that the plans of the repository are read to. The files in `fixtures/` were
+//! written from the text as it landed in December 2026; `UPDATE_FIXTURES=1` writes them anew.
+
+use milletpath_scale_test::budgets::WorstTotal;
+use milletpath_scale_test::change_propagation::ChangeOutcomes;
+use milletpath_scale_test::distribution::{ConvergenceSamples, Distribution};
+use milletpath_scale_test::membership_tracker::ConvergenceTimes;
+use milletpath_scale_test::plan::{Action, Component, Plan, Play, read};
+use milletpath_scale_test::report::{
+    CallCounts, ControlCost, ControlMachineCost, Convergence, EndpointUpdateCost, FinalState, Findings,
+    FollowerCost, MachineUsage, PlayResult, Report, StopReason,
+};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::path::PathBuf;
+use test_case::test_case;
+
+/// Compares a text with the file of that name byte for byte.
+fn assert_matches_fixture(name: &str, text: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    if std::env::var_os("UPDATE_FIXTURES").is_some() {
+        std::fs::write(&path, text).expect("the fixture can be written");
+    }
+    let fixture = std::fs::read_to_string(&path).expect("the fixture can be read");
+    assert!(fixture == text, "{name} differs from its fixture, which is\n{fixture}\nand this is\n{text}");
+}
+
+fn plan_text(name: &str) -> String {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../plans").join(name);
+    std::fs::read_to_string(path).expect("a plan of the repository")
+}
+
+/// A plan in which every resource is limited, with one play of each kind but one.
+const LIMITED_PLAN: &str = r#"name = "limited"
+seed = 7
+gateways = 12
+real = 2
+limit = 90
+memory_gb = 3
+region "a" { zones = ["a1", "a2"] }
+region "b" { zones = ["b1"] }
+links {
+  within = 1
+  across = 50
+}
+peers { period = 0.2 }
+budgets { quota = 10 }
+workers { hollow = 10 }
+control { runs = ["membership", "budgets", "list", "changes"] }
+changes { control = 5 }
+grant {
+  cpu = 0.01
+  memory_mb = 150.5
+  bytes = 2000
+  change = 0.75
+}
+play "begin" { does = "start" }
+play "quiet" { does = "settled" }
+play "at-work" {
+  does = "settled"
+  changes = 15
+}
+play "roll" { does = "restarts" }
+play "rack-gone" { does = "rack" }
+play "zone-gone" {
+  does = "zone"
+  zone = "a2"
+}
+play "apart" {
+  does = "cut"
+  regions = ["a", "b"]
+}
+play "workers-back" {
+  does = "list"
+  zone = "b1"
+}
+play "leader-gone" { does = "control" }
+"#;
+
+fn limited_plan() -> Plan {
+    read(LIMITED_PLAN, None).unwrap_or_else(|errors| panic!("{errors:?}"))
+}
+
+fn times(seconds: &[f32], never: usize) -> ConvergenceSamples {
+    ConvergenceSamples { seconds: seconds.to_vec(), never }
+}
+
+/// A figure of each gateway from 0 on.
+fn of_gateways(figures: &[f64]) -> Vec<(usize, f64)> {
+    figures.iter().copied().enumerate().collect()
+}
+
+fn result_of(play: &Play, at: f64, took: f64) -> PlayResult {
+    PlayResult {
+        label: play.label.clone(),
+        action: play.action.keyword(),
+        started_at: at,
+        seconds: took,
+        convergence: None,
+        failure_known: None,
+        membership_times: ConvergenceTimes::default(),
+        control_cost: None,
+        endpoint_updates: None,
+        changes: None,
+        killed_control_machine: None,
+    }
+}
+
+/// A cost of control of three gateways and two control machines, larger by a factor.
+fn cost(factor: f64) -> ControlCost {
+    let figures = |values: [f64; 3]| of_gateways(&values.map(|value| factor * value));
+    ControlCost {
+        seconds: 14.75,
+        settled: factor < 2.0,
+        busy: Some(0.46 * factor),
+        unread_gateways: 1,
+        cpu: figures([0.004, 0.0062, 0.005_123_4]),
+        dispatcher_cpu: figures([0.001, 0.002, 0.0015]),
+        memory_mb: figures([100.25, 99.0, 151.75]),
+        bytes_in: figures([1_234.5, 1_500.0, 1_100.25]),
+        bytes_out: figures([1_834.5, 1_700.0, 0.25]),
+        datagrams_in: figures([12.5, 11.0, 3.0]),
+        datagrams_out: figures([7.5, 8.0, 9.25]),
+        follower: FollowerCost {
+            cpu: figures([0.0001, 0.0002, 0.0004]),
+            bytes_in: figures([100.0, 120.0, 90.0]),
+            bytes_out: figures([50.0, 60.5, 45.0]),
+            state_bytes: figures([2_000.0, 2_000.0, 1_024.0]),
+        },
+        control_machines: ControlMachineCost {
+            cpu: of_gateways(&[0.02 * factor, 0.05]),
+            memory_mb: of_gateways(&[12.0, 14.5]),
+            bytes_in: of_gateways(&[3_000.0, 20_000.0]),
+            bytes_out: of_gateways(&[90_000.0, 400.0]),
+        },
+    }
+}
+
+fn worst(sum: f64, bound: f64, broken: u64, during: Option<&str>) -> WorstTotal {
+    WorstTotal { sum, bound, seconds: 77, gateways: (3, 12), broken, during: during.map(str::to_owned) }
+}
+
+/// Results of all plays of the limited plan, with every figure that a play can have in one of them.
+fn results_with_everything(plan: &Plan) -> Vec<PlayResult> {
+    let mut results: Vec<PlayResult> = (plan.plays.iter().enumerate())
+        .map(|(n, play)| result_of(play, 10.125 * n as f64, 10.0 + n as f64 / 8.0))
+        .collect();
+    results[0].convergence = Some(Convergence { after: Some(4.25), waited: 4.25, agreed: 12, of: 12 });
+    results[0].membership_times.join = times(&[0.5, 1.25, 3.0, 2.75], 0);
+    results[1].control_cost = Some(cost(1.0));
+    results[2].control_cost = Some(cost(2.0));
+    results[2].changes = Some(ChangeOutcomes {
+        proposed: 15,
+        committed_count: 13,
+        uncommitted: vec!["change 3: superseded by number 9".into(), "change 4: Unknown".into()],
+        commit_times: times(&[0.25, 0.5], 2),
+        propagation_times: times(&[0.5, 0.625, 1.5, 0.875], 3),
+        gateways_without: 2,
+        catch_up_times: times(&[], 0),
+    });
+    results[3].convergence = Some(Convergence { after: None, waited: 30.5, agreed: 11, of: 12 });
+    results[3].changes =
+        Some(ChangeOutcomes { catch_up_times: times(&[0.125, 2.5], 1), ..ChangeOutcomes::default() });
+    results[4].failure_known = Some((9, 10));
+    results[4].membership_times = ConvergenceTimes {
+        death: times(&[4.5, 3.25], 2),
+        join: times(&[1.0], 0),
+        healing: ConvergenceSamples::default(),
+        false_deaths: 0,
+    };
+    results[6].membership_times =
+        ConvergenceTimes { healing: times(&[], 4), false_deaths: 3, ..ConvergenceTimes::default() };
+    results[7].endpoint_updates = Some(EndpointUpdateCost {
+        workers: 333,
+        revisions: 20,
+        seconds: 4.0625,
+        slowest_removal: 0.012_345,
+        slowest_addition: 0.001_25,
+        dispatcher_cpu: Some(Distribution { p50: 0.01, p99: 0.02, worst: 0.031_25 }),
+    });
+    results[8].killed_control_machine = Some(2);
+    results[8].changes = Some(ChangeOutcomes {
+        proposed: 20,
+        committed_count: 20,
+        commit_times: times(&[0.25, 7.5], 0),
+        propagation_times: times(&[0.125], 0),
+        ..ChangeOutcomes::default()
+    });
+    results
+}
+
+fn findings_with_everything(plan: &Plan) -> Findings {
+    let budgets = [
+        ("quota all".to_owned(), worst(12.5, 10.0, 4, Some("apart"))),
+        ("ration".to_owned(), worst(240.0, 240.0, 0, None)),
+        ("share".to_owned(), worst(12.000_5, 12.0, 1, None)),
+    ];
+    Findings {
+        plays: results_with_everything(plan),
+        budgets: BTreeMap::from(budgets),
+        machine: MachineUsage {
+            cores: 8,
+            utilization: Some(0.625),
+            utilization_while_measuring: None,
+            highest_utilization: Some(0.97),
+            own_utilization: 0.5,
+            memory_gb: 1.75,
+            dropped_datagrams: 3,
+            overflowed_datagrams: 4,
+            lost_datagrams: 1_234,
+        },
+        calls: Some(CallCounts { sent: 400, succeeded: 399 }),
+        state: Some(FinalState {
+            latest: 33,
+            number: 33,
+            digest: 0xdead_beef,
+            gateways: (11, 12),
+            control: (5, 5),
+        }),
+    }
+}
+
+/// Findings of a run in which nothing could be measured, with results of the first plays only.
+fn bare_findings(plan: &Plan, plays: usize) -> Findings {
+    let results = plan.plays.iter().take(plays).map(|play| result_of(play, 0.5, 2.0)).collect();
+    let machine = MachineUsage { cores: 4, ..MachineUsage::default() };
+    Findings { plays: results, budgets: BTreeMap::new(), machine, calls: None, state: None }
+}
+
+fn assert_report_matches(name: &str, report: &Report) {
+    assert_matches_fixture(&format!("{name}.txt"), &report.to_string());
+    let json = report.json();
+    assert_matches_fixture(&format!("{name}.json"), &format!("{json}\n{json:#}\n"));
+}
+
+#[test]
+fn a_report_with_every_figure_and_every_broken_bound() {
+    let plan = limited_plan();
+    let report = Report::new(&plan, findings_with_everything(&plan), None, 101.5);
+    assert_report_matches("report-everything", &report);
+}
+
+#[test]
+fn a_report_of_a_run_that_kept_all_bounds() {
+    let mut plan = limited_plan();
+    plan.plays.truncate(2);
+    plan.limits.cpu_cores = Some(0.5);
+    let mut findings = bare_findings(&plan, 2);
+    findings.plays[1].control_cost = Some(ControlCost {
+        follower: FollowerCost::default(),
+        control_machines: ControlMachineCost::default(),
+        ..cost(0.5)
+    });
+    findings.state =
+        Some(FinalState { latest: 5, number: 5, digest: 77, gateways: (12, 12), control: (5, 5) });
+    findings.machine.utilization = Some(0.25);
+    let report = Report::new(&plan, findings, None, 20.0);
+    assert!(report.broken.is_empty(), "{:?}", report.broken);
+    assert_report_matches("report-kept", &report);
+}
+
+#[test]
+fn a_report_of_a_state_that_lags_behind() {
+    let plan = limited_plan();
+    let mut findings = bare_findings(&plan, plan.plays.len());
+    findings.state =
+        Some(FinalState { latest: 6, number: 5, digest: 77, gateways: (12, 12), control: (5, 5) });
+    assert_report_matches("report-lagging", &Report::new(&plan, findings, None, 20.0));
+}
+
+#[test_case("report-stopped", StopReason::Stopped, 1)]
+#[test_case("report-limit", StopReason::TimeLimit, 4)]
+#[test_case("report-memory", StopReason::MemoryLimit { gigabytes: 3.25 }, 0)]
+#[test_case("report-failed", StopReason::Failed("gateway 3: its control thread ended by itself".into()), 2)]
+fn a_report_of_a_run_that_ended_early(name: &str, over: StopReason, plays: usize) {
+    let plan = limited_plan();
+    assert_report_matches(name, &Report::new(&plan, bare_findings(&plan, plays), Some(over), 12.5));
+}
+
+fn write_line(text: &mut String, name: &str, value: impl std::fmt::Debug) {
+    writeln!(text, "{name} = {value:?}").expect("a string can be written");
+}
+
+fn describe(action: &Action) -> String {
+    let keyword = action.keyword();
+    match action {
+        Action::Start { duration } => format!("{keyword}: over {duration} s"),
+        Action::SteadyState { duration } => format!("{keyword}: {duration} s"),
+        Action::RollingRestart { gateways, duration } => {
+            format!("{keyword}: {gateways} gateways over {duration} s")
+        }
+        Action::RackFailure { gateways, downtime } => {
+            format!("{keyword}: {gateways} gateways for {downtime} s")
+        }
+        Action::ZoneFailure { zone, downtime } => format!("{keyword}: {zone} for {downtime} s"),
+        Action::Partition { regions: (a, b), duration } => format!("{keyword}: {a} and {b} for {duration} s"),
+        Action::EndpointUpdates { zone, revisions, duration } => {
+            format!("{keyword}: {zone} in {revisions} over {duration} s")
+        }
+        Action::ConfigChanges => keyword.to_owned(),
+        Action::LeaderFailure { downtime } => format!("{keyword}: for {downtime} s"),
+    }
+}
+
+/// All figures of a plan by the names of the file's keys.
+fn figures_of(plan: &Plan) -> String {
+    let mut text = String::new();
+    let mut line = |name: &str, value: &dyn std::fmt::Debug| write_line(&mut text, name, value);
+    line("name", &plan.name);
+    line("seed", &plan.seed);
+    line("gateways", &plan.gateways);
+    line("real", &plan.real_gateways);
+    line("processes", &plan.host_processes);
+    line("limit", &plan.time_limit);
+    line("memory_gb", &plan.memory_limit_gb);
+    line(
+        "peers period, lease, floor",
+        &(plan.membership.period, plan.membership.lease, plan.membership.floor),
+    );
+    line(
+        "budgets quota, window, orders",
+        &(plan.budgets.quota, plan.budgets.load_window, plan.budgets.load_requests),
+    );
+    line("changes control", &plan.control_machines);
+    line("regions", &plan.regions);
+    for zone in &plan.zones {
+        line("zone", &(&zone.name, zone.region));
+    }
+    line("links within", &plan.links.within_region);
+    line("links between", &plan.links.between_regions);
+    line("links loss", &plan.links.loss);
+    line("workers hollow, real", &(plan.workers.hollow, plan.workers.real));
+    line("functions names", &plan.functions);
+    line("functions calls", &plan.calls_per_second);
+    line("control runs", &plan.components.iter().map(|core: &Component| core.keyword()).collect::<Vec<_>>());
+    line("grant cpu", &plan.limits.cpu_cores);
+    line("grant memory_mb", &plan.limits.memory_mb);
+    line("grant bytes", &plan.limits.bytes_per_second);
+    line("grant change", &plan.limits.change_seconds);
+    for play in &plan.plays {
+        let what = describe(&play.action);
+        line("play", &(&play.label, what, play.settle_timeout, play.changes, play.proposal_period));
+    }
+    text
+}
+
+#[test_case("size", None)]
+#[test_case("size", Some(30); "size with 30 gateways")]
+#[test_case("size-small", None)]
+#[test_case("size-changes", None)]
+fn a_plan_of_the_repository_reads_to_the_same_figures(name: &str, gateways: Option<usize>) {
+    let plan = read(&plan_text(&format!("{name}.hcl")), gateways).unwrap_or_else(|e| panic!("{e:?}"));
+    let size = gateways.map(|n| format!("-{n}")).unwrap_or_default();
+    assert_matches_fixture(&format!("plan-{name}{size}.txt"), &figures_of(&plan));
+}
+
+/// A plan in which nearly everything is wrong.
+const BROKEN_PLAN: &str = r#"name = "not a name"
+gateways = 3
+real = 3
+processes = 0
+seed = "one"
+limit = 0
+surplus = 1
+region "a" { zones = ["a1", "a1"] }
+region "b" { zones = ["b1", "b2"] }
+region "c" {}
+links {
+  within = -1
+  loss = 2
+  pair "a-a" {
+    regions = ["a", "a"]
+    ms = 4
+  }
+  pair "a-b" { regions = ["a", "b"] }
+  pair "b-a" { ms = 30 }
+}
+peers {
+  period = 2
+  lease = 5
+}
+workers { hollow = 0 }
+functions { calls = -1 }
+control { runs = ["budgets", "changes"] }
+changes { control = 7 }
+grant { cpu = 0 }
+play "quiet" { does = "settled" }
+play "nowhere" {
+  does = "zone"
+  zone = "z"
+}
+play "zone-gone" { does = "zone" }
+play "apart" { does = "cut" }
+play "undone" {}
+play "roll" {
+  does = "restarts"
+  gateways = 0
+  changes = 9999
+}
+"#;
+
+/// The places of all errors of a plan. Their texts are for people and may be reworded.
+fn places_of_errors(text: &str) -> String {
+    let errors = read(text, None).expect_err("errors");
+    errors.iter().map(|error| format!("{}:{}\n", error.line, error.column)).collect()
+}
+
+#[test_case("plan-errors.txt", BROKEN_PLAN)]
+#[test_case("plan-errors-empty.txt", ""; "an empty plan")]
+#[test_case("plan-errors-syntax.txt", "name = \"a\"\ngateways = 4 +\n"; "no HCL")]
+#[test_case("plan-errors-no-changes.txt", "name = \"a\"\ncontrol { runs = [\"changes\"] }\nchanges { control = 9 }\n";
+    "a plan with little in it")]
+fn an_invalid_plan_is_refused_with_errors_at_the_same_places(fixture: &str, text: &str) {
+    assert_matches_fixture(fixture, &places_of_errors(text));
+}
