--- /dev/null
+++ b/crates/scale-test/src/control/queries.rs
@@ -0,0 +1,44 @@
+//! Queries of what control machines and real gateways have applied. They are sent directly, not by the relay.
+
+use super::{ControlError, client};
+use crate::applied_state::AppliedState;
+use crate::host_protocol::AddressMap;
+use milletpath_config_log::ReplicaView;
+use milletpath_gateway::ConfigStatus;
+use std::net::SocketAddr;
+
+/// What the control machines at these addresses report, in their order; none for one that does not answer.
+///
+/// # Errors
+///
+/// The client can't be opened.
+pub fn control_machine_views(
+    addresses: &AddressMap,
+    targets: &[SocketAddr],
+) -> Result<Vec<Option<ReplicaView>>, ControlError> {
+    if targets.is_empty() {
+        return Ok(Vec::new());
+    }
+    Ok(client(addresses, targets)?.control_status())
+}
+
+/// What the real gateways that follow changes at these addresses have applied, in their order; none for one that does not
+/// answer.
+///
+/// # Errors
+///
+/// The client can't be opened.
+pub fn gateway_states(
+    addresses: &AddressMap,
+    targets: &[SocketAddr],
+) -> Result<Vec<Option<AppliedState>>, ControlError> {
+    if targets.is_empty() {
+        return Ok(Vec::new());
+    }
+    let texts = client(addresses, &addresses.control_machines)?.status_texts(targets);
+    let parse = |text: Option<Vec<u8>>| {
+        let status: ConfigStatus = serde_json::from_slice(&text?).ok()?;
+        Some(AppliedState { number: status.view.number, digest: status.view.digest })
+    };
+    Ok(texts.into_iter().map(parse).collect())
+}
--- /dev/null
+++ b/crates/scale-test/src/descriptor_limit.rs
@@ -0,0 +1,35 @@
+//! The number of files and sockets that this process may have open.
+
+use nix::sys::resource::{Resource, getrlimit, setrlimit};
+
+/// Why the limit can't be raised as far as a run needs.
+#[derive(Debug, thiserror::Error)]
+pub enum DescriptorLimitError {
+    /// The hard limit is too low.
+    #[error("{needed} open files are needed and the system allows {allowed}: have fewer gateways")]
+    TooLow {
+        /// Descriptors that the run needs.
+        needed: u64,
+        /// The hard limit.
+        allowed: u64,
+    },
+    /// The system refuses to read or to set the limit.
+    #[error("the limit of open files can't be read or raised: {0}")]
+    System(#[from] nix::Error),
+}
+
+/// Raises the limit to `needed`, where it is lower.
+///
+/// # Errors
+///
+/// The hard limit is lower than `needed`, or the system refuses.
+pub fn raise_descriptor_limit(needed: u64) -> Result<(), DescriptorLimitError> {
+    let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE)?;
+    if soft < needed && soft < hard {
+        setrlimit(Resource::RLIMIT_NOFILE, needed.min(hard), hard)?;
+    }
+    if hard < needed {
+        return Err(DescriptorLimitError::TooLow { needed, allowed: hard });
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/scale-test/src/fleet/config_changes.rs
@@ -0,0 +1,100 @@
+//! Configuration changes in a fleet: authors propose them, control machines are killed and started again, and it is asked
+//! what is applied where.
+
+use super::Fleet;
+use crate::applied_state::AppliedState;
+use crate::control::{Author, ControlError, gateway_states};
+use crate::gateway_config;
+use crate::stop_reason::{ProcessFailure, StopReason};
+use milletpath_config_log::ReplicaView;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+impl Fleet {
+    /// Has authors propose changes, spread evenly over `duration` seconds from `start` on.
+    ///
+    /// # Errors
+    ///
+    /// An author can't be started.
+    pub fn propose_changes(&mut self, changes: usize, start: f64, duration: f64) -> Result<(), StopReason> {
+        self.trackers.changes.expect_proposals(changes);
+        for (number, scheduled) in self.proposals.schedule(changes, start, duration) {
+            let author = Author::new(&self.addresses).map_err(ProcessFailure::StartAuthor)?;
+            let failed = |e| ProcessFailure::StartAuthor(ControlError::System(e));
+            self.links.connect_author(number, author.address().map_err(failed)?);
+            author.start(scheduled, self.sender.clone()).map_err(failed)?;
+        }
+        Ok(())
+    }
+
+    /// Kills control machines.
+    pub fn kill_control_machines(&mut self, numbers: &[usize]) {
+        for number in numbers {
+            self.links.disconnect_control_machine(*number);
+            self.control_machines.kill(*number);
+        }
+    }
+
+    /// Starts the control machines again that were killed, with their logs.
+    ///
+    /// # Errors
+    ///
+    /// One can't be started.
+    pub fn restart_control_machines(&mut self) -> Result<(), StopReason> {
+        for (number, address) in self.control_machines.restart_killed(&self.addresses)? {
+            self.links.connect_control_machine(number, address);
+        }
+        Ok(())
+    }
+
+    /// The control machine that leads, if one does.
+    ///
+    /// # Errors
+    ///
+    /// The control machines can't be queried.
+    pub fn leader(&self) -> Result<Option<usize>, StopReason> {
+        Ok(self.control_machines.leader(&self.addresses)?)
+    }
+
+    /// What the control machines that run report; none for one that does not answer.
+    ///
+    /// # Errors
+    ///
+    /// The control machines can't be queried.
+    pub fn control_machine_views(&self) -> Result<BTreeMap<usize, Option<ReplicaView>>, StopReason> {
+        Ok(self.control_machines.views(&self.addresses)?)
+    }
+
+    /// What each gateway that runs has applied; none for one that does not answer.
+    ///
+    /// # Errors
+    ///
+    /// The gateways can't be queried, or the run is to end.
+    pub fn gateway_states(&mut self) -> Result<BTreeMap<usize, Option<AppliedState>>, StopReason> {
+        self.refresh_readings()?;
+        let mut states = BTreeMap::new();
+        for gateway in self.running_hollow_gateways() {
+            let reading = self.hosts.readings.latest().get(&gateway);
+            let config_log = reading.and_then(|reading| reading.config_log);
+            let state = config_log.map(|log| AppliedState { number: log.number, digest: log.digest });
+            states.insert(gateway, state);
+        }
+        let real = self.real_gateways.config_log_addresses();
+        let targets: Vec<SocketAddr> = real.values().copied().collect();
+        let answers = gateway_states(&self.addresses, &targets).map_err(ProcessFailure::QueryGateways)?;
+        states.extend(real.into_keys().zip(answers));
+        Ok(states)
+    }
+
+    /// The size of each running gateway's state file in bytes, where changes are followed.
+    pub fn state_file_bytes(&self) -> BTreeMap<usize, f64> {
+        if self.plan.control_machines == 0 {
+            return BTreeMap::new();
+        }
+        let size = |gateway: usize| {
+            let metadata = std::fs::metadata(gateway_config::state_file(&self.addresses, gateway)).ok()?;
+            Some((gateway, metadata.len() as f64))
+        };
+        self.running_gateways().into_iter().filter_map(size).collect()
+    }
+}
--- /dev/null
+++ b/crates/scale-test/src/fleet/link_index.rs
@@ -0,0 +1,50 @@
+//! Which link of the relay belongs to whom.
+
+use crate::control::AUTHORS;
+use crate::plan::Plan;
+
+/// The order of the relay's links: the gateways' membership links, the control machines, the gateways' configuration
+/// followers, the authors. The latter three are there only if the plan has control machines.
+#[derive(Clone, Copy, Debug)]
+pub struct LinkIndex {
+    gateways: usize,
+    control_machines: usize,
+}
+
+impl LinkIndex {
+    pub fn new(plan: &Plan) -> Self {
+        Self { gateways: plan.gateways, control_machines: plan.control_machines }
+    }
+
+    /// The membership link of a gateway.
+    pub fn membership(self, gateway: usize) -> usize {
+        gateway
+    }
+
+    /// The link of a control machine.
+    pub fn control_machine(self, number: usize) -> usize {
+        self.gateways + number
+    }
+
+    /// The link by which a gateway receives configuration changes.
+    pub fn follower(self, gateway: usize) -> Option<usize> {
+        (self.control_machines > 0).then_some(self.gateways + self.control_machines + gateway)
+    }
+
+    /// The link of an author.
+    pub fn author(self, number: usize) -> usize {
+        2 * self.gateways + self.control_machines + number
+    }
+
+    /// The region of each link.
+    pub fn regions(self, plan: &Plan) -> Vec<usize> {
+        let gateways = (0..plan.gateways).map(|gateway| plan.region_of(gateway));
+        if self.control_machines == 0 {
+            return gateways.collect();
+        }
+        let machines = 0..self.control_machines;
+        let machines = machines.map(|machine| plan.zones[plan.zone_of_control_machine(machine)].region);
+        let authors = (0..AUTHORS).map(|author| author % plan.regions.len());
+        gateways.clone().chain(machines).chain(gateways).chain(authors).collect()
+    }
+}
--- /dev/null
+++ b/crates/scale-test/src/fleet/messages.rs
@@ -0,0 +1,142 @@
+//! How a fleet receives what its processes report, and checks the run's limits meanwhile.
+
+use super::Fleet;
+use crate::child_message::ChildMessage;
+use crate::host_protocol::StatusMessage;
+use crate::stop_reason::{ProcessFailure, StopReason};
+use milletpath_gateway::hollow_gateway::clock;
+use std::time::Duration;
+
+/// The longest wait for a message before the limits are checked again, in seconds.
+const MAX_WAIT: f64 = 0.05;
+
+/// How long all hosts may take to report their readings, in seconds.
+const READING_TIMEOUT: f64 = 15.0;
+
+/// How often it is checked whether all hosts reported, in seconds.
+const READING_CHECK: f64 = 0.02;
+
+impl Fleet {
+    /// Receives messages until a time, in seconds on the machine's monotonic clock.
+    ///
+    /// # Errors
+    ///
+    /// A limit of the run is reached, a process failed, or the run is to stop.
+    pub fn process_messages(&mut self, until: f64) -> Result<(), StopReason> {
+        loop {
+            let now = clock();
+            self.check_limits(now)?;
+            let time_left = until - now;
+            if time_left <= 0.0 {
+                return Ok(());
+            }
+            let wait = Duration::from_secs_f64(time_left.min(MAX_WAIT));
+            if let Ok(message) = self.messages.recv_timeout(wait) {
+                self.receive(message)?;
+                while let Ok(message) = self.messages.try_recv() {
+                    self.receive(message)?;
+                }
+            }
+        }
+    }
+
+    /// Checks whether the run may go on; requests readings and samples the machine's load when they are due.
+    fn check_limits(&mut self, now: f64) -> Result<(), StopReason> {
+        self.stop_conditions.check_time(now)?;
+        self.hosts.request_readings_if_due(now);
+        if !self.load.is_due(now) {
+            return Ok(());
+        }
+        self.control_machines.check_running()?;
+        self.trackers.budgets.close_seconds(now);
+        let processes = self.process_ids();
+        let memory_gb = self.load.sample(now, &processes);
+        self.stop_conditions.check_memory(memory_gb)
+    }
+
+    fn receive(&mut self, message: ChildMessage) -> Result<(), StopReason> {
+        match message {
+            ChildMessage::Host(status) => return self.receive_status(status),
+            // The signal that stops a run may reach its hosts first.
+            ChildMessage::HostEnded { .. } if self.stop_conditions.is_stopping() => {
+                return Err(StopReason::Stopped);
+            }
+            ChildMessage::HostEnded { host } => return Err(ProcessFailure::HostEnded { host }.into()),
+            ChildMessage::Observed { gateway, incarnation, subject, state, at } => {
+                if self.real_gateways.is_current(gateway, incarnation) {
+                    self.trackers.membership.record_report(gateway, subject, state, at);
+                }
+            }
+            ChildMessage::Applied { gateway, incarnation, number, at } => {
+                if self.real_gateways.is_current(gateway, incarnation) {
+                    self.trackers.changes.record_applied(gateway, number, at);
+                }
+            }
+            ChildMessage::ProposalFinished { change, proposed_at, finished_at, outcome } => {
+                let outcome = outcome.map_err(|e| e.to_string());
+                self.trackers.changes.record_outcome(change, proposed_at, finished_at, outcome);
+            }
+            ChildMessage::GatewayStopped { gateway, at } => return self.gateway_stopped(gateway, at),
+            ChildMessage::BudgetMinimum { gateway, minimum } => {
+                self.trackers.budgets.record_minimum(gateway, &minimum);
+            }
+        }
+        Ok(())
+    }
+
+    fn receive_status(&mut self, status: StatusMessage) -> Result<(), StopReason> {
+        match status {
+            StatusMessage::GatewayStarted { gateway, membership_address, config_log_address, at } => {
+                self.gateway_started(gateway, membership_address, config_log_address, at);
+            }
+            StatusMessage::GatewayFailed { gateway, reason } => {
+                return Err(ProcessFailure::HollowGateway { gateway, reason }.into());
+            }
+            StatusMessage::GatewayStopped { gateway, at } => return self.gateway_stopped(gateway, at),
+            StatusMessage::MembershipObservations(observations) => {
+                for seen in observations {
+                    let (observer, subject) = (seen.observer as usize, seen.subject as usize);
+                    self.trackers.membership.record_report(observer, subject, seen.state, seen.at);
+                }
+            }
+            StatusMessage::AppliedChanges(changes) => {
+                for applied in changes {
+                    self.trackers.changes.record_applied(
+                        applied.gateway as usize,
+                        applied.number,
+                        applied.at,
+                    );
+                }
+            }
+            StatusMessage::EndpointsUpdated { max_cpu_seconds, .. } => {
+                self.hosts.endpoint_updates.receive(max_cpu_seconds);
+            }
+            StatusMessage::Readings { request_id, readings } => {
+                for reading in &readings {
+                    for minimum in &reading.minimums {
+                        self.trackers.budgets.record_minimum(reading.gateway, minimum);
+                    }
+                }
+                self.hosts.readings.receive(request_id, readings);
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes readings of all hollow gateways now. Hosts that are too slow are left out.
+    ///
+    /// # Errors
+    ///
+    /// A limit of the run is reached, a process failed, or the run is to stop.
+    pub fn refresh_readings(&mut self) -> Result<(), StopReason> {
+        self.hosts.request_readings();
+        let until = clock() + READING_TIMEOUT;
+        // No other request is sent meanwhile.
+        self.hosts.readings.requested_at = until;
+        while !self.hosts.readings.is_complete() && clock() < until {
+            self.process_messages(clock() + READING_CHECK)?;
+        }
+        self.hosts.readings.requested_at = clock();
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/scale-test/src/fleet/real_gateways.rs
@@ -0,0 +1,145 @@
+//! The real gateways of a run: their processes, and the threads that query them.
+
+use super::budget_poller;
+use crate::child_message::ChildMessage;
+use crate::children::GatewayProcess;
+use crate::gateway_config;
+use crate::host_protocol::AddressMap;
+use crate::machine_load;
+use crate::plan::{Component, Plan};
+use crate::reachable_gateways::ReachableGateways;
+use crate::run_files::RunFiles;
+use crate::stop_reason::StartGatewayError;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::SyncSender;
+
+/// The largest fleet whose real gateways are queried for their budgets. The answer grows with the fleet, and beyond this
+/// the queries would be a load of their own.
+const MAX_POLLED_FLEET: usize = 200;
+
+/// The processes of real gateways.
+pub struct RealGateways {
+    files: RunFiles,
+    /// Where their emulated workers listen.
+    workers: Vec<SocketAddr>,
+    processes: BTreeMap<usize, GatewayProcess>,
+    reachable: ReachableGateways,
+    last_incarnation: u64,
+    polling: Arc<AtomicBool>,
+    messages: SyncSender<ChildMessage>,
+}
+
+impl RealGateways {
+    /// None yet.
+    pub fn new(files: RunFiles, workers: Vec<SocketAddr>, messages: SyncSender<ChildMessage>) -> Self {
+        Self {
+            files,
+            workers,
+            processes: BTreeMap::new(),
+            reachable: ReachableGateways::default(),
+            last_incarnation: 0,
+            polling: Arc::new(AtomicBool::new(true)),
+            messages,
+        }
+    }
+
+    /// Starts one and waits until it listens.
+    pub fn start(
+        &mut self,
+        plan: &Plan,
+        gateway: usize,
+        addresses: &AddressMap,
+    ) -> Result<&GatewayProcess, StartGatewayError> {
+        let path = self.files.gateway_config(gateway);
+        let text = gateway_config::gateway_text(plan, gateway, addresses, &self.workers);
+        std::fs::write(&path, &text)?;
+        self.last_incarnation += 1;
+        let (incarnation, messages) = (self.last_incarnation, self.messages.clone());
+        let process = GatewayProcess::start(&self.files.program, &path, gateway, incarnation, messages)?;
+        self.reachable.insert(gateway, process.addresses);
+        let is_polled = plan.gateways <= MAX_POLLED_FLEET && plan.runs(Component::Budgets);
+        if let Some(address) = process.addresses.membership.filter(|_| is_polled) {
+            self.poll_budgets(gateway, &text, address)?;
+        }
+        self.processes.insert(gateway, process);
+        Ok(&self.processes[&gateway])
+    }
+
+    fn poll_budgets(&self, gateway: usize, text: &str, address: SocketAddr) -> Result<(), StartGatewayError> {
+        let mut config = gateway_config::parse(text)?;
+        if let Some(membership) = &mut config.membership {
+            membership.listen = address;
+        }
+        let (polling, reachable, messages) =
+            (self.polling.clone(), self.reachable.clone(), self.messages.clone());
+        let is_there =
+            move || polling.load(Ordering::Acquire) && reachable.has_membership_address(gateway, address);
+        budget_poller::start(gateway, config, is_there, messages)?;
+        Ok(())
+    }
+
+    /// Takes a gateway out, to be stopped; none if it is being stopped already.
+    pub fn remove(&mut self, gateway: usize) -> Option<GatewayProcess> {
+        let process = self.processes.remove(&gateway)?;
+        self.reachable.remove(gateway);
+        Some(process)
+    }
+
+    /// Asks a gateway that was taken out to shut down gracefully; its end is reported as a message.
+    pub fn shut_down(&self, process: GatewayProcess) -> io::Result<()> {
+        process.shut_down(self.messages.clone())
+    }
+
+    /// Whether this process of the gateway is the one that runs.
+    pub fn is_current(&self, gateway: usize, incarnation: u64) -> bool {
+        self.processes.get(&gateway).is_some_and(|process| process.incarnation == incarnation)
+    }
+
+    /// A handle on the gateways that run.
+    pub fn reachable(&self) -> ReachableGateways {
+        self.reachable.clone()
+    }
+
+    /// The gateways that follow configuration changes, and where they receive them.
+    pub fn config_log_addresses(&self) -> BTreeMap<usize, SocketAddr> {
+        let address =
+            |(gateway, process): (&usize, &GatewayProcess)| Some((*gateway, process.config_log_address?));
+        self.processes.iter().filter_map(address).collect()
+    }
+
+    /// Resident memory of each, in MB.
+    pub fn memory(&self) -> BTreeMap<usize, f64> {
+        let memory = |(gateway, process): (&usize, &GatewayProcess)| {
+            Some((*gateway, machine_load::process_memory_mb(process.process_id())?))
+        };
+        self.processes.iter().filter_map(memory).collect()
+    }
+
+    /// Processor time of each one's thread of that name, in seconds.
+    pub fn thread_cpu(&self, thread: &str) -> BTreeMap<usize, f64> {
+        let cpu = |(gateway, process): (&usize, &GatewayProcess)| {
+            Some((*gateway, machine_load::thread_cpu_seconds(process.process_id(), thread)?))
+        };
+        self.processes.iter().filter_map(cpu).collect()
+    }
+
+    /// The incarnation of each, by which two samples are known to be of one process.
+    pub fn incarnations(&self) -> BTreeMap<usize, u64> {
+        self.processes.iter().map(|(gateway, process)| (*gateway, process.incarnation)).collect()
+    }
+
+    /// The process ids of all.
+    pub fn process_ids(&self) -> impl Iterator<Item = u32> + '_ {
+        self.processes.values().map(GatewayProcess::process_id)
+    }
+
+    /// Kills all, and ends the threads that query them.
+    pub fn kill_all(&mut self) {
+        self.polling.store(false, Ordering::Release);
+        self.processes.clear();
+    }
+}
--- /dev/null
+++ b/crates/scale-test/src/fleet/stop_conditions.rs
@@ -0,0 +1,44 @@
+//! What ends a run before its plan does.
+
+use crate::plan::Plan;
+use crate::stop_reason::StopReason;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+/// The limits of a run, and the flag by which it is stopped from elsewhere.
+pub struct StopConditions {
+    stop: Arc<AtomicBool>,
+    /// When the run started, in seconds on the machine's monotonic clock.
+    pub started_at: f64,
+    time_limit_seconds: f64,
+    memory_limit_gb: f64,
+}
+
+impl StopConditions {
+    /// The limits of a plan.
+    pub fn new(plan: &Plan, stop: Arc<AtomicBool>, now: f64) -> Self {
+        let (time_limit_seconds, memory_limit_gb) = (plan.time_limit, plan.memory_limit_gb);
+        Self { stop, started_at: now, time_limit_seconds, memory_limit_gb }
+    }
+
+    /// Whether the run is being stopped from elsewhere.
+    pub fn is_stopping(&self) -> bool {
+        self.stop.load(Ordering::Acquire)
+    }
+
+    /// Checks whether the run was stopped or its time is over.
+    pub fn check_time(&self, now: f64) -> Result<(), StopReason> {
+        if self.is_stopping() {
+            return Err(StopReason::Stopped);
+        }
+        if now - self.started_at > self.time_limit_seconds {
+            return Err(StopReason::TimeLimit);
+        }
+        Ok(())
+    }
+
+    /// Checks the resident memory of all processes.
+    pub fn check_memory(&self, gigabytes: f64) -> Result<(), StopReason> {
+        if gigabytes > self.memory_limit_gb { Err(StopReason::MemoryLimit { gigabytes }) } else { Ok(()) }
+    }
+}
--- a/crates/scale-test/src/gateway_config.rs
+++ b/crates/scale-test/src/gateway_config.rs
@@ -1,127 +1,176 @@
-//! The charters that the gateways of a run go by, alike for hollow and real ones but for their workers; and
-//! the entries of hollow workers.
+//! The configuration texts of a run's gateways and control machines. Hollow and real gateways have the same, except for
+//! their workers.
 
 use crate::host_protocol::AddressMap;
 use crate::plan::{Component, Plan};
-use milletpath_protocol::registry::{EndpointStatus, Entry};
-use std::fmt::Write;
-use std::net::{Ipv4Addr, SocketAddr};
+use milletpath_config::document::ConfigError;
+use milletpath_config::{GatewayConfig, WorkerSource};
+use std::fmt::{self, Display, Formatter, Write};
+use std::io;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Seconds from the start until a letter of any function; also what every call of a run takes at most.
-const CUT_OFF: f64 = 3.0;
+/// Deadline of a request to any function, in seconds.
+const REQUEST_DEADLINE_SECONDS: f64 = 3.0;
 
-/// The name of a gateway, which tells its number.
-pub fn name(gateway: usize) -> String {
+/// The largest seed that a configuration may state, and one.
+const SEED_BOUND: u64 = 9_000_000_000_000_000;
+
+/// An address where nobody listens, for configurations that need a worker and use none.
+const UNUSED_WORKER: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
+
+/// A configuration text that this package wrote was not accepted, with every error in it.
+#[derive(Debug)]
+pub struct InvalidConfig(Vec<ConfigError>);
+
+impl Display for InvalidConfig {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "the configuration is not valid")?;
+        self.0.iter().try_for_each(|error| write!(f, "; {error}"))
+    }
+}
+
+impl std::error::Error for InvalidConfig {}
+
+/// Reads a configuration text.
+///
+/// # Errors
+///
+/// The text is not valid.
+pub fn parse(text: &str) -> Result<GatewayConfig, InvalidConfig> {
+    milletpath_config::read(text).map_err(InvalidConfig)
+}
+
+/// The name of a gateway, which contains its number.
+pub fn gateway_name(gateway: usize) -> String {
     format!("gateway-{gateway}")
 }
 
-/// The number that a name tells.
-pub fn number(name: &str) -> Option<usize> {
+/// The number in the name of a gateway; none if it is not a name of this fleet.
+pub fn gateway_number(name: &str) -> Option<usize> {
     name.strip_prefix("gateway-")?.parse().ok()
 }
 
-/// The charter of one gateway, with the workers that it lists.
-pub fn text(plan: &Plan, gateway: usize, places: &AddressMap, workers: &[SocketAddr]) -> String {
-    let mut text = usual(workers);
-    let mut line = |l: String| {
-        let _ = writeln!(text, "{l}");
-    };
-    line(format!("listen = \"127.0.0.1:0\"\ngateways = {}\ncores = 1", plan.gateways));
-    line(format!("seed = {}", plan.seed.wrapping_add(gateway as u64) % 9_000_000_000_000_000));
+/// The configuration text of a gateway whose endpoint list consists of these workers.
+pub fn gateway_text(plan: &Plan, gateway: usize, addresses: &AddressMap, workers: &[SocketAddr]) -> String {
+    let mut text = common_sections(workers);
+    let seed = plan.seed.wrapping_add(gateway as u64) % SEED_BOUND;
+    text += &format!("listen = \"127.0.0.1:0\"\ngateways = {}\ncores = 1\nseed = {seed}\n", plan.gateways);
     if plan.runs(Component::Budgets) {
-        line(format!("client \"all\" {{ quota = {} }}", plan.budgets.quota));
-        let (window, free) = (plan.budgets.load_window, plan.budgets.load_requests);
-        line(format!("limits {{\n  ration {{\n    window = {window}\n    free = {free}\n  }}\n}}"));
+        text += &budget_sections(plan);
     }
     if plan.runs(Component::Membership) {
-        let seeds: Vec<_> = seeds(plan).into_iter().map(|g| format!("\"{}\"", places.links[g])).collect();
-        line(format!("peers {{\n  listen = \"127.0.0.1:0\"\n  advertise = \"{}\"", places.links[gateway]));
-        line(format!("  name = \"{}\"\n  seeds = [{}]", name(gateway), seeds.join(", ")));
-        let crate::plan::MembershipParameters { period, lease, floor } = plan.membership;
-        line(format!("  key = \"{}\"\n  period = {period}\n  lease = {lease}", peers_key(places).display()));
-        line(format!("  floor = {floor}\n}}"));
+        text += &peers_section(plan, gateway, addresses);
     }
     if plan.runs(Component::ConfigChanges) {
-        line(changes(&places.control, places));
-        line(format!("  name = \"{}\"\n  listen = \"127.0.0.1:0\"", name(gateway)));
-        line(format!("  state = \"{}\"\n}}", state_file(places, gateway).display()));
+        text += &changes_section_start(&addresses.control_machines, addresses);
+        let (name, state) = (gateway_name(gateway), state_file(addresses, gateway));
+        text += &format!("  name = \"{name}\"\n  listen = \"127.0.0.1:0\"\n");
+        text += &format!("  state = \"{}\"\n}}\n", state.display());
     }
     text
 }
 
-/// The charter of a control machine, which hears at one address and reaches the others at those of the list.
-pub fn control_text(control: &[SocketAddr], places: &AddressMap) -> String {
-    let none = SocketAddr::from(([127, 0, 0, 1], 9));
-    let (usual, changes) = (usual(&[none]), changes(control, places));
-    format!("listen = \"127.0.0.1:0\"\n{usual}{changes}\n  name = \"control\"\n}}\n")
+/// The configuration of a hollow gateway: that of a real one with an empty endpoint list, which its host fills.
+///
+/// # Errors
+///
+/// The text is not valid: the plan and the reader of configurations disagree.
+pub fn hollow_gateway_config(
+    plan: &Plan,
+    gateway: usize,
+    addresses: &AddressMap,
+) -> Result<GatewayConfig, InvalidConfig> {
+    let text = gateway_text(plan, gateway, addresses, &[SocketAddr::from(UNUSED_WORKER)]);
+    let mut config = parse(&text)?;
+    config.source = WorkerSource::List(Vec::new());
+    Ok(config)
+}
+
+/// The configuration text of a control machine, or of a client of the control machines at these addresses.
+pub fn control_text(control_machines: &[SocketAddr], addresses: &AddressMap) -> String {
+    let common = common_sections(&[SocketAddr::from(UNUSED_WORKER)]);
+    let changes = changes_section_start(control_machines, addresses);
+    format!("listen = \"127.0.0.1:0\"\n{common}{changes}  name = \"control\"\n}}\n")
 }
 
 /// What gateways and control machines have in common.
-fn usual(workers: &[SocketAddr]) -> String {
-    let mut text = String::new();
-    let mut line = |l: String| {
-        let _ = writeln!(text, "{l}");
-    };
-    line(format!("profile \"usual\" {{\n  due = 1\n  cut_off = {CUT_OFF}\n  effect = \"pure\"\n}}"));
-    line("functions {\n  lanes = 4\n  memory = 128\n  load = 0.2\n}".into());
-    line("workers {\n  kind \"std\" { memory = 4096 }".into());
-    for (n, at) in workers.iter().enumerate() {
-        line(format!("  worker \"real-{n}\" {{\n    address = \"{at}\"\n    kind = \"std\"\n  }}"));
+fn common_sections(workers: &[SocketAddr]) -> String {
+    let deadline = REQUEST_DEADLINE_SECONDS;
+    let mut text =
+        format!("profile \"usual\" {{\n  due = 1\n  cut_off = {deadline}\n  effect = \"pure\"\n}}\n");
+    text += "functions {\n  lanes = 4\n  memory = 128\n  load = 0.2\n}\n";
+    text += "workers {\n  kind \"std\" { memory = 4096 }\n";
+    for (number, address) in workers.iter().enumerate() {
+        let _ = writeln!(
+            text,
+            "  worker \"real-{number}\" {{\n    address = \"{address}\"\n    kind = \"std\"\n  }}"
+        );
     }
-    line("}".into());
+    text += "}\n";
     text
 }
 
-/// The beginning of a block of changes.
-fn changes(control: &[SocketAddr], places: &AddressMap) -> String {
-    let control: Vec<_> = control.iter().map(|at| format!("\"{at}\"")).collect();
-    let key = changes_key(places);
-    format!("changes {{\n  control = [{}]\n  key = \"{}\"", control.join(", "), key.display())
+fn budget_sections(plan: &Plan) -> String {
+    let crate::plan::BudgetParameters { quota, load_window, load_requests } = plan.budgets;
+    format!(
+        "client \"all\" {{ quota = {quota} }}\n\
+         limits {{\n  ration {{\n    window = {load_window}\n    free = {load_requests}\n  }}\n}}\n"
+    )
 }
 
-pub fn peers_key(places: &AddressMap) -> PathBuf {
-    places.folder.join("peers.key")
+fn peers_section(plan: &Plan, gateway: usize, addresses: &AddressMap) -> String {
+    let crate::plan::MembershipParameters { period, lease, floor } = plan.membership;
+    let seeds = seed_gateways(plan).into_iter().map(|seed| addresses.gateways[seed]);
+    format!(
+        "peers {{\n  listen = \"127.0.0.1:0\"\n  advertise = \"{}\"\n  name = \"{}\"\n  seeds = [{}]\n  \
+         key = \"{}\"\n  period = {period}\n  lease = {lease}\n  floor = {floor}\n}}\n",
+        addresses.gateways[gateway],
+        gateway_name(gateway),
+        quoted(seeds),
+        peers_key(addresses).display(),
+    )
 }
 
-pub fn changes_key(places: &AddressMap) -> PathBuf {
-    places.folder.join("changes.key")
+/// The section `changes` without its end.
+fn changes_section_start(control_machines: &[SocketAddr], addresses: &AddressMap) -> String {
+    let control = quoted(control_machines.iter().copied());
+    let key = changes_key(addresses);
+    format!("changes {{\n  control = [{control}]\n  key = \"{}\"\n", key.display())
 }
 
-/// Where a gateway keeps what is in force.
-pub fn state_file(places: &AddressMap, gateway: usize) -> PathBuf {
-    places.folder.join(format!("{}.state", name(gateway)))
+fn quoted(addresses: impl Iterator<Item = SocketAddr>) -> String {
+    let quoted: Vec<String> = addresses.map(|address| format!("\"{address}\"")).collect();
+    quoted.join(", ")
 }
 
-/// Places where others may be found: a gateway of each region, and three at most.
-fn seeds(plan: &Plan) -> Vec<usize> {
-    const SEEDS: usize = 3;
-    let mut seeds = Vec::new();
-    for region in 0..plan.regions.len() {
-        seeds.extend((0..plan.gateways).find(|g| plan.region_of(*g) == region));
-    }
-    seeds.truncate(SEEDS);
-    seeds
-}
-
-/// The zone of a hollow worker, spread as gateways are.
-pub fn worker_zone(plan: &Plan, worker: usize) -> usize {
-    worker % plan.zones.len()
-}
-
-/// A hollow worker as a list tells it; a generation is a process of its name.
-pub fn worker(plan: &Plan, worker: usize, generation: u32, state: EndpointStatus) -> Entry {
-    // Of a network for documentation: nobody is there, and nobody is called.
-    let [_, a, b, c] = (worker as u32).to_be_bytes();
-    let at = SocketAddr::from((Ipv4Addr::new(198, 18 + a, b, c), 9000));
-    Entry {
-        name: format!("worker-{worker}"),
-        address: at,
-        started: (generation > 0).then_some(f64::from(generation) + 1.0),
-        size: 1.0,
-        kind: "std".into(),
-        zone: plan.zones[worker_zone(plan, worker)].name.clone(),
-        cell: String::new(),
-        state,
-    }
+/// Writes the keys of the membership links and of the control machines.
+///
+/// # Errors
+///
+/// What the system says where a file can't be written.
+pub fn write_keys(addresses: &AddressMap, seed: u64) -> io::Result<()> {
+    let secret = format!("the secret of a scale run on loopback, with the seed {seed}");
+    std::fs::write(peers_key(addresses), &secret)?;
+    std::fs::write(changes_key(addresses), &secret)
+}
+
+fn peers_key(addresses: &AddressMap) -> PathBuf {
+    addresses.folder.join("peers.key")
+}
+
+fn changes_key(addresses: &AddressMap) -> PathBuf {
+    addresses.folder.join("changes.key")
+}
+
+/// The file in which a gateway keeps the configuration changes that it applied.
+pub fn state_file(addresses: &AddressMap, gateway: usize) -> PathBuf {
+    addresses.folder.join(format!("{}.state", gateway_name(gateway)))
+}
+
+/// Gateways by which others join the cluster: the first of each region, for three regions at most.
+fn seed_gateways(plan: &Plan) -> Vec<usize> {
+    const MAX_SEEDS: usize = 3;
+    let first_of = |region| (0..plan.gateways).find(|gateway| plan.region_of(*gateway) == region);
+    (0..plan.regions.len()).filter_map(first_of).take(MAX_SEEDS).collect()
 }
--- /dev/null
+++ b/crates/scale-test/src/hollow_workers.rs
@@ -0,0 +1,62 @@
+//! Hollow workers: entries of the endpoint list without a process behind them.
+
+use crate::plan::Plan;
+use milletpath_protocol::registry::{EndpointStatus, Entry};
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// The zone of a hollow worker. They are spread over the zones as gateways are.
+pub fn zone_of(plan: &Plan, worker: usize) -> usize {
+    worker % plan.zones.len()
+}
+
+/// A hollow worker as an entry of the endpoint list. Its generation distinguishes processes that use one name.
+pub fn endpoint(plan: &Plan, worker: usize, generation: u32, status: EndpointStatus) -> Entry {
+    // In a network for benchmarks (RFC 2544), where nobody answers; hollow gateways have no connections to workers.
+    let [_, a, b, c] = (worker as u32).to_be_bytes();
+    let address = SocketAddr::from((Ipv4Addr::new(198, 18 + a, b, c), 9000));
+    Entry {
+        name: format!("worker-{worker}"),
+        address,
+        started: (generation > 0).then_some(f64::from(generation) + 1.0),
+        size: 1.0,
+        kind: "std".into(),
+        zone: plan.zones[zone_of(plan, worker)].name.clone(),
+        cell: String::new(),
+        state: status,
+    }
+}
+
+/// The hollow workers that are there.
+pub struct HollowWorkers {
+    /// The generation of each; none where it is gone.
+    generations: Vec<Option<u32>>,
+}
+
+impl HollowWorkers {
+    /// That many workers, all there in their first generation.
+    pub fn new(count: usize) -> Self {
+        Self { generations: vec![Some(0); count] }
+    }
+
+    /// The complete endpoint list.
+    pub fn endpoints(&self, plan: &Plan) -> Vec<Entry> {
+        let present = self.generations.iter().enumerate();
+        present
+            .filter_map(|(worker, generation)| {
+                Some(endpoint(plan, worker, (*generation)?, EndpointStatus::Ready))
+            })
+            .collect()
+    }
+
+    /// Applies an update, and gives the entries that it changes. Workers beyond the number of all are ignored.
+    pub fn update(&mut self, plan: &Plan, workers: &[usize], generation: u32, present: bool) -> Vec<Entry> {
+        let status = if present { EndpointStatus::Ready } else { EndpointStatus::Gone };
+        let mut changed = Vec::new();
+        for worker in workers {
+            let Some(current) = self.generations.get_mut(*worker) else { continue };
+            *current = present.then_some(generation);
+            changed.push(endpoint(plan, *worker, generation, status));
+        }
+        changed
+    }
+}
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -1,250 +1,170 @@
-//! A host: a process that holds many hollow gateways. It does what it is ordered on its standard input, keeps
-//! the time of their desks and passes on what they say of each other. `milletpath scale` starts some of them.
+//! The host process: holds many hollow gateways, carries out the commands that it reads, and reports what the gateways
+//! observe. `milletpath scale` starts several hosts.
 
-use crate::gateway_config;
-use crate::host_protocol::{
-    AddressMap, Change, Event, Following, HostCommand, Minimum, Reading, StatusMessage,
-};
-use crate::membership_tracker::ReportedState;
-use crate::plan::{self, Component, Plan};
-use milletpath_config::{GatewayConfig, WorkerSource};
-use milletpath_gateway::hollow_gateway::{AppliedCallback, HollowGateway, MembershipCallback, clock};
-use milletpath_membership::MembershipEvent;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+mod error;
+mod gateway_factory;
+mod status_output;
+
+pub use error::HostError;
+
+use crate::host_protocol::{ConfigLogReading, GatewayReading, HostCommand, Minimum, StatusMessage};
+use gateway_factory::GatewayFactory;
+use milletpath_gateway::hollow_gateway::{HollowGateway, clock};
+use status_output::StatusOutput;
 use std::collections::BTreeMap;
-use std::io::{self, BufRead, Write};
-use std::net::SocketAddr;
+use std::io::{self, BufRead};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Seconds between two looks at the desks, as the keeper of `serve` has it.
-const PULSE: f64 = 0.05;
-
-/// Events that wait to be passed on; more than two rounds of all gateways of a full run saying something of
-/// all.
-const EVENTS: usize = 4_000_000;
+/// How often the gateways' dispatchers are advanced, as the supervisor of `serve` does.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shared by the thread that takes orders, the one that keeps time, and the gateways' own.
+/// What the command loop and the timer thread share.
 #[derive(Default)]
-struct Place {
+struct HostState {
     gateways: Mutex<BTreeMap<usize, HollowGateway>>,
-    events: Arc<Mutex<Vec<Event>>>,
-    changes: Arc<Mutex<Vec<Change>>>,
-    /// What is told, line by line. Who holds it passes on events before anything that comes after them.
-    out: Mutex<()>,
-    stop: AtomicBool,
+    output: StatusOutput,
+    stopping: AtomicBool,
 }
 
+/// Locks a mutex. One that a panic poisoned is used as it is.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn say(told: &StatusMessage) -> io::Result<()> {
-    let mut out = io::stdout().lock();
-    serde_json::to_writer(&mut out, told)?;
-    out.write_all(b"\n")?;
-    out.flush()
-}
-
-/// Runs until the input ends; an error says why it could not.
-pub fn run(input: impl BufRead) -> io::Result<()> {
-    let place = Arc::new(Place::default());
-    let keeper = place.clone();
-    let keeper = std::thread::Builder::new().name("keeper".into()).spawn(move || keep(&keeper))?;
-    let done = take_orders(&place, input);
-    place.stop.store(true, Ordering::Release);
-    let mut gateways = lock(&place.gateways);
-    gateways.values().for_each(|g| g.stop(true));
-    gateways.clear();
+/// Carries out commands until the input ends, then stops all gateways. Reports go to standard output.
+///
+/// # Errors
+///
+/// A command can't be read, the plan is not valid, or a report can't be written.
+pub fn run(input: impl BufRead) -> Result<(), HostError> {
+    let state = Arc::new(HostState::default());
+    let timer_state = state.clone();
+    let run_timer = move || tick_until_stopped(&timer_state);
+    let timer = std::thread::Builder::new().name("timer".into()).spawn(run_timer)?;
+    let result = run_commands(&state, input);
+    state.stopping.store(true, Ordering::Release);
+    let gateways = std::mem::take(&mut *lock(&state.gateways));
+    gateways.values().for_each(|gateway| gateway.stop(true));
     drop(gateways);
-    let _ = keeper.join();
-    done
+    // A panic of the thread was reported on standard error.
+    let _ = timer.join();
+    result
 }
 
-/// Keeps the desks' time, and passes on what gateways say.
-fn keep(place: &Place) {
-    while !place.stop.load(Ordering::Acquire) {
-        std::thread::sleep(Duration::from_secs_f64(PULSE));
-        lock(&place.gateways).values().for_each(HollowGateway::tick);
-        let out = lock(&place.out);
-        // Nobody listens any more: the input ends as well.
-        let _ = pass_on(place);
-        drop(out);
+/// Advances the dispatchers and writes what was observed, again and again.
+fn tick_until_stopped(state: &HostState) {
+    while !state.stopping.load(Ordering::Acquire) {
+        std::thread::sleep(TICK_INTERVAL);
+        lock(&state.gateways).values().for_each(HollowGateway::tick);
+        // An error says that the run is gone; the input ends then too.
+        let _ = state.output.lock().write_observations();
     }
 }
 
-/// Passes on the events so far; the lock on what is told is held by the caller.
-fn pass_on(place: &Place) -> io::Result<()> {
-    let events = std::mem::take(&mut *lock(&place.events));
-    if !events.is_empty() {
-        say(&StatusMessage::Events(events))?;
-    }
-    let changes = std::mem::take(&mut *lock(&place.changes));
-    if changes.is_empty() { Ok(()) } else { say(&StatusMessage::Changed(changes)) }
-}
-
-/// What the hollow workers are at present: of each its generation, none where it is gone.
-struct Workers(Vec<Option<u32>>);
-
-impl Workers {
-    fn entries(&self, plan: &Plan) -> Vec<Entry> {
-        let there = self.0.iter().enumerate().filter_map(|(n, generation)| Some((n, (*generation)?)));
-        there
-            .map(|(n, generation)| gateway_config::worker(plan, n, generation, EndpointStatus::Ready))
-            .collect()
-    }
-}
-
-struct Setting {
-    plan: Plan,
-    places: AddressMap,
-    workers: Workers,
-}
-
-fn take_orders(place: &Place, input: impl BufRead) -> io::Result<()> {
-    let mut setting: Option<Setting> = None;
+fn run_commands(state: &HostState, input: impl BufRead) -> Result<(), HostError> {
+    let mut factory: Option<GatewayFactory> = None;
     for line in input.lines() {
-        let order = serde_json::from_str(&line?).map_err(io::Error::other)?;
-        let setting = match (order, &mut setting) {
-            (HostCommand::Plan { text, gateways, seed, places }, setting) => {
-                let mistakes = |m: Vec<_>| io::Error::other(format!("the plan can't be read here: {m:?}"));
-                let mut plan = plan::read(&text, Some(gateways)).map_err(mistakes)?;
-                plan.seed = seed;
-                let hollow = if plan.runs(Component::EndpointList) { plan.workers.hollow } else { 1 };
-                *setting = Some(Setting { plan, places, workers: Workers(vec![Some(0); hollow]) });
-                continue;
+        let command = serde_json::from_str(&line?).map_err(HostError::MalformedCommand)?;
+        match (command, &mut factory) {
+            (HostCommand::Plan { text, gateways, seed, addresses }, factory) => {
+                *factory = Some(GatewayFactory::new(&text, gateways, seed, addresses)?);
             }
-            (order, Some(setting)) => (order, setting),
-            (_, None) => return Err(io::Error::other("an order came before the plan")),
-        };
-        carry_out(place, setting.1, setting.0)?;
+            (command, Some(factory)) => run_command(state, factory, command)?,
+            (_, None) => return Err(HostError::NoPlan),
+        }
     }
     Ok(())
 }
 
-fn carry_out(place: &Place, setting: &mut Setting, order: HostCommand) -> io::Result<()> {
-    match order {
+fn run_command(state: &HostState, factory: &mut GatewayFactory, command: HostCommand) -> io::Result<()> {
+    match command {
         HostCommand::Plan { .. } => Ok(()),
-        HostCommand::Begin { gateway } => {
-            // Nothing that it says is passed on before it is told that it began.
-            let out = lock(&place.out);
-            let at = clock();
-            let told = match begin(place, setting, gateway) {
-                Ok(hollow) => {
-                    let (link, feed) = (hollow.link, hollow.feed);
-                    lock(&place.gateways).insert(gateway, hollow);
-                    StatusMessage::Began { gateway, link, feed, at }
-                }
-                Err(e) => StatusMessage::Failed { gateway, why: e.to_string() },
-            };
-            let said = say(&told);
-            drop(out);
-            said
-        }
-        HostCommand::End { gateways, killed } => {
-            let mut ended: Vec<(usize, HollowGateway)> = Vec::new();
-            {
-                let mut there = lock(&place.gateways);
-                ended.extend(gateways.iter().filter_map(|g| Some((*g, there.remove(g)?))));
-            }
-            // All of them at once; then each is waited for.
-            let at = clock();
-            ended.iter().for_each(|(_, hollow)| hollow.stop(killed));
-            for (gateway, hollow) in ended {
-                drop(hollow);
-                let out = lock(&place.out);
-                pass_on(place)?;
-                say(&StatusMessage::Ended { gateway, at })?;
-                drop(out);
-            }
-            Ok(())
-        }
-        HostCommand::List { workers, generation, there } => {
-            let plan = &setting.plan;
-            let state = if there { EndpointStatus::Ready } else { EndpointStatus::Gone };
-            let known: Vec<usize> = workers.into_iter().filter(|w| *w < setting.workers.0.len()).collect();
-            for worker in &known {
-                setting.workers.0[*worker] = there.then_some(generation);
-            }
-            let entries: Vec<Entry> =
-                known.iter().map(|w| gateway_config::worker(plan, *w, generation, state)).collect();
-            let took = |hollow: &HollowGateway| hollow.update_endpoints(false, &entries);
-            let slowest = lock(&place.gateways).values().map(took).fold(0.0, f64::max);
-            let out = lock(&place.out);
-            let said = say(&StatusMessage::Listed { workers: entries.len(), slowest });
-            drop(out);
-            said
-        }
-        HostCommand::Read { number } => {
-            let gateways = lock(&place.gateways);
-            let readings = gateways.iter().map(|(gateway, hollow)| reading(*gateway, hollow)).collect();
-            let broke: Vec<usize> =
-                gateways.iter().filter(|(_, h)| !h.is_running()).map(|(g, _)| *g).collect();
-            drop(gateways);
-            let out = lock(&place.out);
-            for gateway in broke {
-                say(&StatusMessage::Failed { gateway, why: "its control thread ended by itself".into() })?;
-            }
-            let said = say(&StatusMessage::Readings { number, readings });
-            drop(out);
-            said
+        HostCommand::StartGateway { gateway } => start_gateway(state, factory, gateway),
+        HostCommand::StopGateways { gateways, killed } => stop_gateways(state, &gateways, killed),
+        HostCommand::UpdateEndpoints { workers, generation, present } => {
+            update_endpoints(state, factory, &workers, generation, present)
         }
+        HostCommand::ReadGateways { request_id } => report_readings(state, request_id),
     }
 }
 
-fn begin(place: &Place, setting: &Setting, gateway: usize) -> io::Result<HollowGateway> {
-    let Setting { plan, places, workers } = setting;
-    let house = house(plan, gateway, places)?;
-    let (events, me) = (place.events.clone(), gateway as u32);
-    let on_event: MembershipCallback = Box::new(move |event| {
-        let (name, says) = match &event {
-            MembershipEvent::Joined { name, .. } | MembershipEvent::Returned { name } => {
-                (name, ReportedState::Alive)
-            }
-            MembershipEvent::Suspected { name } => (name, ReportedState::Suspected),
-            MembershipEvent::Died { name } | MembershipEvent::Left { name } => (name, ReportedState::Dead),
-            _ => return,
-        };
-        let mut events = lock(&events);
-        if let Some(about) = gateway_config::number(name).filter(|_| events.len() < EVENTS) {
-            events.push((me, about as u32, says, clock()));
-        }
-    });
-    let (changes, me) = (place.changes.clone(), gateway as u32);
-    let on_applied: AppliedCallback = Box::new(move |number| {
-        let mut changes = lock(&changes);
-        if changes.len() < EVENTS {
-            changes.push((me, number, clock()));
+fn start_gateway(state: &HostState, factory: &GatewayFactory, gateway: usize) -> io::Result<()> {
+    // Nothing that it observes is written before the report that it started.
+    let mut writer = state.output.lock();
+    let at = clock();
+    let report = match factory.start(gateway, &state.output) {
+        Ok(hollow) => {
+            let (membership_address, config_log_address) = (hollow.link, hollow.feed);
+            lock(&state.gateways).insert(gateway, hollow);
+            StatusMessage::GatewayStarted { gateway, membership_address, config_log_address, at }
         }
-    });
-    HollowGateway::start(house, &workers.entries(plan), on_event, on_applied).map_err(io::Error::other)
+        Err(e) => StatusMessage::GatewayFailed { gateway, reason: e.to_string() },
+    };
+    writer.write(&report)
 }
 
-/// What a hollow gateway goes by: the charter of a real one, read by the same reader, with its workers handed
-/// in.
-fn house(plan: &Plan, gateway: usize, places: &AddressMap) -> io::Result<GatewayConfig> {
-    let none = SocketAddr::from(([127, 0, 0, 1], 9));
-    let text = gateway_config::text(plan, gateway, places, &[none]);
-    let mistakes = |m: Vec<_>| io::Error::other(format!("a charter can't be read: {m:?}"));
-    let mut house = milletpath_config::read(&text).map_err(mistakes)?;
-    house.source = WorkerSource::List(Vec::new());
-    Ok(house)
+fn stop_gateways(state: &HostState, gateways: &[usize], killed: bool) -> io::Result<()> {
+    let mut stopping: Vec<(usize, HollowGateway)> = Vec::new();
+    {
+        let mut running = lock(&state.gateways);
+        stopping.extend(gateways.iter().filter_map(|gateway| Some((*gateway, running.remove(gateway)?))));
+    }
+    // All are asked to stop before the first is waited for.
+    let at = clock();
+    stopping.iter().for_each(|(_, hollow)| hollow.stop(killed));
+    for (gateway, hollow) in stopping {
+        drop(hollow);
+        let mut writer = state.output.lock();
+        writer.write_observations()?;
+        writer.write(&StatusMessage::GatewayStopped { gateway, at })?;
+    }
+    Ok(())
+}
+
+fn update_endpoints(
+    state: &HostState,
+    factory: &mut GatewayFactory,
+    workers: &[usize],
+    generation: u32,
+    present: bool,
+) -> io::Result<()> {
+    let changed = factory.update_workers(workers, generation, present);
+    let update = |gateway: &HollowGateway| gateway.update_endpoints(false, &changed);
+    let max_cpu_seconds = lock(&state.gateways).values().map(update).fold(0.0, f64::max);
+    state.output.lock().write(&StatusMessage::EndpointsUpdated { workers: changed.len(), max_cpu_seconds })
 }
 
-fn reading(gateway: usize, hollow: &HollowGateway) -> Reading {
+fn report_readings(state: &HostState, request_id: u64) -> io::Result<()> {
+    let gateways = lock(&state.gateways);
+    let readings = gateways.iter().map(|(gateway, hollow)| read_gateway(*gateway, hollow)).collect();
+    let ended = gateways.iter().filter(|(_, hollow)| !hollow.is_running());
+    let ended: Vec<usize> = ended.map(|(gateway, _)| *gateway).collect();
+    drop(gateways);
+    let mut writer = state.output.lock();
+    for gateway in ended {
+        let reason = "its control thread ended by itself".into();
+        writer.write(&StatusMessage::GatewayFailed { gateway, reason })?;
+    }
+    writer.write(&StatusMessage::Readings { request_id, readings })
+}
+
+fn read_gateway(gateway: usize, hollow: &HollowGateway) -> GatewayReading {
     let reading = hollow.reading();
-    let low = |low: milletpath_gateway::hollow_gateway::SecondMinimum| Minimum {
-        second: low.second,
-        fraction: low.fraction,
-        budgets: low.budgets.into_iter().map(|(name, level)| (name, (level.quota, level.allowed))).collect(),
-    };
-    let lows = reading.minimums.into_iter().map(low).collect();
-    let (at, control, desk, likely) =
-        (reading.at, reading.control_cpu, reading.dispatcher, reading.likely_gateways);
-    let changes = reading.changes.map(|c| {
-        let (at, cpu, number, digest) = (c.at, c.cpu_seconds, c.number, c.digest);
-        Following { at, cpu, number, digest }
+    let config_log = reading.changes.map(|follower| ConfigLogReading {
+        at: follower.at,
+        cpu_seconds: follower.cpu_seconds,
+        number: follower.number,
+        digest: follower.digest,
     });
-    Reading { gateway, at, control, desk, likely, lows, changes }
+    GatewayReading {
+        gateway,
+        at: reading.at,
+        membership_cpu: reading.control_cpu,
+        dispatcher_cpu: reading.dispatcher,
+        likely_gateways: reading.likely_gateways,
+        minimums: reading.minimums.into_iter().map(Minimum::from).collect(),
+        config_log,
+    }
 }
--- /dev/null
+++ b/crates/scale-test/src/host/status_output.rs
@@ -0,0 +1,85 @@
+//! What a host reports on its standard output. What gateways observe is buffered by their threads, and written before any
+//! later message about the same gateway.
+
+use super::lock;
+use crate::host_protocol::{AppliedChange, MembershipObservation, StatusMessage};
+use std::io::{self, Write};
+use std::sync::{Arc, Mutex, MutexGuard};
+
+/// Observations of each kind that are buffered at most: more than two rounds in which all gateways of a full run observe
+/// something of all others. Further ones are dropped.
+const MAX_BUFFERED: usize = 4_000_000;
+
+/// What gateways observed and was not written yet. Clones share one buffer.
+#[derive(Clone, Default)]
+pub struct ObservationBuffer {
+    membership: Arc<Mutex<Vec<MembershipObservation>>>,
+    applied: Arc<Mutex<Vec<AppliedChange>>>,
+}
+
+impl ObservationBuffer {
+    /// Adds what a gateway observed of another. `observe` is called under the lock, so that its time is in order.
+    pub fn push_membership(&self, observe: impl FnOnce() -> MembershipObservation) {
+        push_bounded(&self.membership, observe);
+    }
+
+    /// Adds a change that a gateway applied. `observe` is called under the lock, so that its time is in order.
+    pub fn push_applied(&self, observe: impl FnOnce() -> AppliedChange) {
+        push_bounded(&self.applied, observe);
+    }
+}
+
+fn push_bounded<T>(buffer: &Mutex<Vec<T>>, item: impl FnOnce() -> T) {
+    let mut buffer = lock(buffer);
+    if buffer.len() < MAX_BUFFERED {
+        buffer.push(item());
+    }
+}
+
+/// The standard output of a host, for one writer at a time.
+#[derive(Default)]
+pub struct StatusOutput {
+    observations: ObservationBuffer,
+    turn: Mutex<()>,
+}
+
+impl StatusOutput {
+    /// The buffer of what gateways observe.
+    pub fn observations(&self) -> ObservationBuffer {
+        self.observations.clone()
+    }
+
+    /// Waits until nobody else writes.
+    pub fn lock(&self) -> StatusWriter<'_> {
+        StatusWriter { observations: &self.observations, _turn: lock(&self.turn) }
+    }
+}
+
+/// The right to write; others wait until it is dropped.
+pub struct StatusWriter<'a> {
+    observations: &'a ObservationBuffer,
+    _turn: MutexGuard<'a, ()>,
+}
+
+impl StatusWriter<'_> {
+    /// Writes one message as a line.
+    pub fn write(&mut self, message: &StatusMessage) -> io::Result<()> {
+        let mut output = io::stdout().lock();
+        serde_json::to_writer(&mut output, message)?;
+        output.write_all(b"\n")?;
+        output.flush()
+    }
+
+    /// Writes what is buffered.
+    pub fn write_observations(&mut self) -> io::Result<()> {
+        let membership = std::mem::take(&mut *lock(&self.observations.membership));
+        if !membership.is_empty() {
+            self.write(&StatusMessage::MembershipObservations(membership))?;
+        }
+        let applied = std::mem::take(&mut *lock(&self.observations.applied));
+        if !applied.is_empty() {
+            self.write(&StatusMessage::AppliedChanges(applied))?;
+        }
+        Ok(())
+    }
+}
--- a/crates/scale-test/src/host_protocol.rs
+++ b/crates/scale-test/src/host_protocol.rs
@@ -1,117 +1,244 @@
-//! What a run and its host processes say to each other: one JSON object a line, orders on the host's standard
-//! input, what it tells on its standard output. A host ends when its input does.
+//! Messages between a run and its host processes: one JSON object a line. The run writes [`HostCommand`]s to the host's
+//! standard input, and the host writes [`StatusMessage`]s to its standard output. A host ends when its input does.
+//!
+//! Gateways, hollow workers and control machines are identified by their numbers, from 0. Times (`at`) are seconds on the
+//! machine's monotonic clock, which all processes of a run share.
 
 use crate::membership_tracker::ReportedState;
+use milletpath_gateway::hollow_gateway;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// What a host is to do.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HostCommand {
-    /// Comes first, and once.
+    /// The first command, sent once.
     Plan {
-        /// The plan's text, and the number of gateways and the seed where they are not its own.
+        /// The text of the plan.
         text: String,
+        /// Gateways of the fleet, which need not be as many as the plan states.
         gateways: usize,
+        /// The seed of the run, which need not be the plan's.
         seed: u64,
-        places: AddressMap,
+        /// Where gateways and control machines are reached.
+        #[serde(rename = "places")]
+        addresses: AddressMap,
     },
-    Begin {
+    /// Start a gateway.
+    #[serde(rename = "Begin")]
+    StartGateway {
+        /// Its number.
         gateway: usize,
     },
-    /// End, with a word to the others or killed.
-    End {
+    /// Stop gateways.
+    #[serde(rename = "End")]
+    StopGateways {
+        /// Their numbers.
         gateways: Vec<usize>,
+        /// Whether they stop without notifying the others, as a process that is killed does.
         killed: bool,
     },
-    /// One edition of the worker list for all gateways there: these workers are there, in that generation, or
-    /// gone.
-    List {
+    /// Pass one update of the endpoint list to all gateways of the host.
+    #[serde(rename = "List")]
+    UpdateEndpoints {
+        /// The hollow workers concerned.
         workers: Vec<usize>,
+        /// Distinguishes processes that use one worker's name.
         generation: u32,
-        there: bool,
+        /// Whether these workers are there; if not, they are gone.
+        #[serde(rename = "there")]
+        present: bool,
     },
-    /// Tell the readings.
-    Read {
-        number: u64,
+    /// Report the readings of all gateways.
+    #[serde(rename = "Read")]
+    ReadGateways {
+        /// Repeated in the answer.
+        #[serde(rename = "number")]
+        request_id: u64,
     },
 }
 
-/// One event: observer, about, what it says, and when.
-pub type Event = (u32, u32, ReportedState, f64);
-
-/// A gateway has in force all changes up to a number, and when.
-pub type Change = (u32, u64, f64);
-
-/// Where all of a run is: what charters state beside the plan's figures.
+/// Where the gateways and the control machines of a run are reached, and where its files are.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AddressMap {
-    /// Where each gateway is reached by the others, and each control machine by all.
-    pub links: Vec<SocketAddr>,
-    pub control: Vec<SocketAddr>,
-    /// Keys, and what gateways keep.
+    /// The address at which other gateways reach each gateway.
+    #[serde(rename = "links")]
+    pub gateways: Vec<SocketAddr>,
+    /// The address at which all reach each control machine.
+    #[serde(rename = "control")]
+    pub control_machines: Vec<SocketAddr>,
+    /// The folder of keys and state files.
     pub folder: PathBuf,
 }
 
+/// What a host reports.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StatusMessage {
-    Began {
+    /// A gateway started.
+    #[serde(rename = "Began")]
+    GatewayStarted {
+        /// Its number.
         gateway: usize,
-        /// Where it hears other gateways, and changes.
-        link: Option<SocketAddr>,
-        feed: Option<SocketAddr>,
+        /// The address of its membership link, if it has one.
+        #[serde(rename = "link")]
+        membership_address: Option<SocketAddr>,
+        /// The address of its configuration follower, if it has one.
+        #[serde(rename = "feed")]
+        config_log_address: Option<SocketAddr>,
+        /// When it was told to start.
         at: f64,
     },
-    /// It could not begin, or its control thread ended by itself.
-    Failed {
+    /// A gateway could not start, or its control thread ended by itself.
+    #[serde(rename = "Failed")]
+    GatewayFailed {
+        /// Its number.
         gateway: usize,
-        why: String,
+        /// What went wrong.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    Ended {
+    /// A gateway stopped, as it was told to.
+    #[serde(rename = "Ended")]
+    GatewayStopped {
+        /// Its number.
         gateway: usize,
+        /// When it was told to stop.
         at: f64,
     },
-    Events(Vec<Event>),
-    Changed(Vec<Change>),
-    /// An edition is taken by all gateways there: the processor time that it took at the slowest.
-    Listed {
+    /// What gateways observed of each other, in order.
+    #[serde(rename = "Events")]
+    MembershipObservations(Vec<MembershipObservation>),
+    /// Configuration changes that gateways applied, in order.
+    #[serde(rename = "Changed")]
+    AppliedChanges(Vec<AppliedChange>),
+    /// All gateways of the host took an update of the endpoint list.
+    #[serde(rename = "Listed")]
+    EndpointsUpdated {
+        /// Workers in the update.
         workers: usize,
-        slowest: f64,
+        /// Processor time that the slowest gateway took, in seconds.
+        #[serde(rename = "slowest")]
+        max_cpu_seconds: f64,
     },
+    /// Readings of all gateways of the host.
     Readings {
-        number: u64,
-        readings: Vec<Reading>,
+        /// The id of the request that is answered.
+        #[serde(rename = "number")]
+        request_id: u64,
+        /// One reading for each gateway that runs.
+        readings: Vec<GatewayReading>,
     },
 }
 
-/// What one hollow gateway used and had; times and counts since it began.
+/// One gateway's view of another changed.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(u32, u32, ReportedState, f64)", into = "(u32, u32, ReportedState, f64)")]
+pub struct MembershipObservation {
+    /// The gateway whose view changed.
+    pub observer: u32,
+    /// The gateway that it is about.
+    pub subject: u32,
+    /// What the observer takes the subject for from then on.
+    pub state: ReportedState,
+    /// When the view changed.
+    pub at: f64,
+}
+
+impl From<(u32, u32, ReportedState, f64)> for MembershipObservation {
+    fn from((observer, subject, state, at): (u32, u32, ReportedState, f64)) -> Self {
+        Self { observer, subject, state, at }
+    }
+}
+
+impl From<MembershipObservation> for (u32, u32, ReportedState, f64) {
+    fn from(observation: MembershipObservation) -> Self {
+        (observation.observer, observation.subject, observation.state, observation.at)
+    }
+}
+
+/// A gateway has applied all configuration changes up to a number.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(u32, u64, f64)", into = "(u32, u64, f64)")]
+pub struct AppliedChange {
+    /// The gateway.
+    pub gateway: u32,
+    /// The number in the configuration log.
+    pub number: u64,
+    /// When it was applied.
+    pub at: f64,
+}
+
+impl From<(u32, u64, f64)> for AppliedChange {
+    fn from((gateway, number, at): (u32, u64, f64)) -> Self {
+        Self { gateway, number, at }
+    }
+}
+
+impl From<AppliedChange> for (u32, u64, f64) {
+    fn from(applied: AppliedChange) -> Self {
+        (applied.gateway, applied.number, applied.at)
+    }
+}
+
+/// What one hollow gateway used and knew. Times and counts are since it started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Reading {
+pub struct GatewayReading {
+    /// Its number.
     pub gateway: usize,
+    /// When its membership thread was read.
     pub at: f64,
-    pub control: f64,
-    pub desk: f64,
-    pub likely: f64,
-    pub lows: Vec<Minimum>,
-    pub changes: Option<Following>,
+    /// Processor time of its membership thread, in seconds.
+    #[serde(rename = "control")]
+    pub membership_cpu: f64,
+    /// Processor time of its dispatcher's timers and endpoint updates, in seconds.
+    #[serde(rename = "desk")]
+    pub dispatcher_cpu: f64,
+    /// Gateways that it expects to be alive, itself included.
+    #[serde(rename = "likely")]
+    pub likely_gateways: f64,
+    /// Budget minimums of the seconds that were completed since the previous reading.
+    #[serde(rename = "lows")]
+    pub minimums: Vec<Minimum>,
+    /// Its configuration follower, if it has one.
+    #[serde(rename = "changes")]
+    pub config_log: Option<ConfigLogReading>,
 }
 
-/// The follower of changes: when it was read, its thread's processor time, and what is in force.
+/// What the configuration follower of a hollow gateway used and applied.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Following {
+pub struct ConfigLogReading {
+    /// When its thread was read.
     pub at: f64,
-    pub cpu: f64,
+    /// Processor time of its thread, in seconds.
+    #[serde(rename = "cpu")]
+    pub cpu_seconds: f64,
+    /// The number up to which all changes are applied.
     pub number: u64,
+    /// The digest of the state at that number.
     pub digest: u64,
 }
 
-/// The least that it could use at every moment of a second.
+/// The least that a gateway was allowed to use at any moment of a second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Minimum {
+    /// The second, on the machine's monotonic clock.
     pub second: u64,
+    /// Its fraction of what all gateways share by their number alone.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// By budget: its part by the count alone, and what it might use.
+    /// By the name of a budget: its quota by the number of gateways alone, and what it was allowed with leases.
     pub budgets: BTreeMap<String, (f64, f64)>,
 }
+
+impl From<hollow_gateway::SecondMinimum> for Minimum {
+    fn from(minimum: hollow_gateway::SecondMinimum) -> Self {
+        let budgets = minimum.budgets.into_iter();
+        Self {
+            second: minimum.second,
+            fraction: minimum.fraction,
+            budgets: budgets.map(|(name, level)| (name, (level.quota, level.allowed))).collect(),
+        }
+    }
+}
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -13,8 +13,8 @@
 mod changes;
 mod table;
 
-pub use crate::emulated_workers::CallCounts;
-pub use crate::fleet::StopReason;
+pub use crate::client_calls::CallCounts;
+pub use crate::stop_reason::StopReason;
 pub use changes::FinalState;
 
 /// Whether and when all believed what was so.
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -1,8 +1,8 @@
 //! A report as a table for people.
 
 use super::{ControlCost, Convergence, Report, short};
+use crate::client_calls::CallCounts;
 use crate::distribution::ConvergenceSummary;
-use crate::emulated_workers::CallCounts;
 use std::fmt;
 
 impl fmt::Display for Report {
--- /dev/null
+++ b/crates/scale-test/src/run/control_cost.rs
@@ -0,0 +1,224 @@
+//! What control costs each gateway, from samples before and after a time in which nothing happens.
+
+use super::player::Player;
+use crate::fleet::{ControlMachineUsage, Fleet, Traffic};
+use crate::host_protocol::{ConfigLogReading, GatewayReading};
+use crate::machine_load::CpuTime;
+use crate::relay::LinkTraffic;
+use crate::report::{ControlCost, PlayResult};
+use crate::stop_reason::StopReason;
+use milletpath_gateway::hollow_gateway::clock;
+use std::collections::BTreeMap;
+
+/// The names of the threads of a real gateway whose processor time is the cost of control.
+const MEMBERSHIP_THREAD: &str = "peers";
+const FOLLOWER_THREAD: &str = "changes";
+
+/// Readings of one gateway must lie apart by at least this fraction of the measured time.
+const MIN_READING_FRACTION: f64 = 0.5;
+
+impl Player {
+    /// Measures what control costs within `duration` seconds.
+    pub(super) fn measure_control_cost(
+        &mut self,
+        duration: f64,
+        result: &mut PlayResult,
+    ) -> Result<(), StopReason> {
+        let before = Sample::take(&mut self.fleet)?;
+        let (began, cores_before) = (clock(), CpuTime::read());
+        self.wait_until(began + duration)?;
+        let after = Sample::take(&mut self.fleet)?;
+        let mut cost = Measurement { seconds: after.at - before.at, before, after }.cost(&self.fleet);
+        cost.follower.state_bytes = self.fleet.state_file_bytes().into_iter().collect();
+        cost.memory_mb = self.fleet.gateway_memory().into_iter().collect();
+        cost.settled = self.fleet.is_settled();
+        cost.busy = cores_before.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
+        result.control_cost = Some(cost);
+        Ok(())
+    }
+}
+
+/// What is read of a fleet at one time.
+struct Sample {
+    at: f64,
+    readings: BTreeMap<usize, GatewayReading>,
+    traffic: Traffic,
+    /// Processor time of the real gateways' threads, in seconds.
+    membership_cpu: BTreeMap<usize, f64>,
+    follower_cpu: BTreeMap<usize, f64>,
+    control_machines: BTreeMap<usize, ControlMachineUsage>,
+    /// By these it is known whether two samples are of one process of a real gateway.
+    incarnations: BTreeMap<usize, u64>,
+}
+
+impl Sample {
+    fn take(fleet: &mut Fleet) -> Result<Self, StopReason> {
+        fleet.refresh_readings()?;
+        Ok(Self {
+            at: clock(),
+            readings: fleet.hosts.readings.latest().clone(),
+            traffic: fleet.links.traffic(),
+            membership_cpu: fleet.real_gateways.thread_cpu(MEMBERSHIP_THREAD),
+            follower_cpu: fleet.real_gateways.thread_cpu(FOLLOWER_THREAD),
+            control_machines: fleet.control_machines.usage(),
+            incarnations: fleet.real_gateways.incarnations(),
+        })
+    }
+}
+
+/// Two samples and the time between them.
+struct Measurement {
+    before: Sample,
+    after: Sample,
+    seconds: f64,
+}
+
+impl Measurement {
+    fn cost(&self, fleet: &Fleet) -> ControlCost {
+        let mut cost = ControlCost { seconds: self.seconds, ..ControlCost::default() };
+        self.add_hollow_gateways(&mut cost);
+        self.add_real_gateways(&mut cost);
+        self.add_traffic(&fleet.running_gateways(), &mut cost);
+        self.add_control_machines(&mut cost);
+        cost
+    }
+
+    /// Processor time of hollow gateways, of those that were read lately both times.
+    fn add_hollow_gateways(&self, cost: &mut ControlCost) {
+        for (gateway, now) in &self.after.readings {
+            let Some(then) = self.before.readings.get(gateway) else { continue };
+            let Some(cpu) = HollowCpu::between(then, now, self.seconds) else {
+                cost.unread_gateways += 1;
+                continue;
+            };
+            cost.follower.cpu.extend(cpu.follower.map(|follower| (*gateway, follower)));
+            cost.cpu.push((*gateway, cpu.membership + cpu.dispatcher + cpu.follower.unwrap_or(0.0)));
+            cost.dispatcher_cpu.push((*gateway, cpu.dispatcher));
+        }
+    }
+
+    /// Processor time of real gateways, of those whose process is the same as before.
+    fn add_real_gateways(&self, cost: &mut ControlCost) {
+        let incarnations = self.after.incarnations.iter();
+        let same = incarnations.filter(|(gateway, now)| self.before.incarnations.get(gateway) == Some(now));
+        for (gateway, _) in same {
+            let membership = self.rate_of(*gateway, &self.before.membership_cpu, &self.after.membership_cpu);
+            let follower = self.rate_of(*gateway, &self.before.follower_cpu, &self.after.follower_cpu);
+            cost.follower.cpu.extend(follower.map(|follower| (*gateway, follower)));
+            if let Some(total) = membership.into_iter().chain(follower).reduce(|a, b| a + b) {
+                cost.cpu.push((*gateway, total));
+            }
+        }
+    }
+
+    /// Processor time that a gateway used a second.
+    fn rate_of(
+        &self,
+        gateway: usize,
+        before: &BTreeMap<usize, f64>,
+        after: &BTreeMap<usize, f64>,
+    ) -> Option<f64> {
+        Some((after.get(&gateway)? - before.get(&gateway)?) / self.seconds)
+    }
+
+    /// What passed the links of gateways.
+    fn add_traffic(&self, gateways: &[usize], cost: &mut ControlCost) {
+        let (before, after) = (&self.before.traffic, &self.after.traffic);
+        for gateway in gateways.iter().copied() {
+            let mut total =
+                Rates::between(before.membership(gateway), after.membership(gateway), self.seconds);
+            if let Some((then, now)) = before.follower(gateway).zip(after.follower(gateway)) {
+                let follower = Rates::between(then, now, self.seconds);
+                cost.follower.bytes_in.push((gateway, follower.bytes_in));
+                cost.follower.bytes_out.push((gateway, follower.bytes_out));
+                total = total.plus(follower);
+            }
+            cost.bytes_in.push((gateway, total.bytes_in));
+            cost.bytes_out.push((gateway, total.bytes_out));
+            cost.datagrams_in.push((gateway, total.datagrams_in));
+            cost.datagrams_out.push((gateway, total.datagrams_out));
+        }
+    }
+
+    /// What control machines used, of those whose process is the same as before.
+    fn add_control_machines(&self, cost: &mut ControlCost) {
+        for (number, now) in &self.after.control_machines {
+            let then = self.before.control_machines.get(number);
+            let Some(then) = then.filter(|then| then.process_id == now.process_id) else { continue };
+            let (before, after) = (&self.before.traffic, &self.after.traffic);
+            let rates =
+                Rates::between(before.control_machine(*number), after.control_machine(*number), self.seconds);
+            let machines = &mut cost.control_machines;
+            machines.cpu.push((*number, (now.cpu_seconds - then.cpu_seconds) / self.seconds));
+            machines.memory_mb.extend(now.memory_mb.map(|memory| (*number, memory)));
+            machines.bytes_in.push((*number, rates.bytes_in));
+            machines.bytes_out.push((*number, rates.bytes_out));
+        }
+    }
+}
+
+/// Processor time that a hollow gateway used, in seconds a second.
+struct HollowCpu {
+    membership: f64,
+    dispatcher: f64,
+    /// None if it has no follower.
+    follower: Option<f64>,
+}
+
+impl HollowCpu {
+    /// None if a thread was not read lately both times, or is another than before.
+    fn between(then: &GatewayReading, now: &GatewayReading, seconds: f64) -> Option<Self> {
+        let elapsed = now.at - then.at;
+        if elapsed < MIN_READING_FRACTION * seconds || now.membership_cpu < then.membership_cpu {
+            return None;
+        }
+        let follower = match (&then.config_log, &now.config_log) {
+            (Some(then), Some(now)) => Some(follower_cpu(then, now, seconds)?),
+            _ => None,
+        };
+        Some(Self {
+            membership: (now.membership_cpu - then.membership_cpu) / elapsed,
+            dispatcher: (now.dispatcher_cpu - then.dispatcher_cpu) / seconds,
+            follower,
+        })
+    }
+}
+
+/// None if the thread was not read lately both times.
+fn follower_cpu(then: &ConfigLogReading, now: &ConfigLogReading, seconds: f64) -> Option<f64> {
+    let elapsed = now.at - then.at;
+    if elapsed < MIN_READING_FRACTION * seconds {
+        return None;
+    }
+    Some((now.cpu_seconds - then.cpu_seconds) / elapsed)
+}
+
+/// What passed one link a second.
+#[derive(Clone, Copy)]
+struct Rates {
+    bytes_in: f64,
+    bytes_out: f64,
+    datagrams_in: f64,
+    datagrams_out: f64,
+}
+
+impl Rates {
+    fn between(then: LinkTraffic, now: LinkTraffic, seconds: f64) -> Self {
+        let rate = |then: u64, now: u64| (now - then) as f64 / seconds;
+        Self {
+            bytes_in: rate(then.bytes_in, now.bytes_in),
+            bytes_out: rate(then.bytes_out, now.bytes_out),
+            datagrams_in: rate(then.datagrams_in, now.datagrams_in),
+            datagrams_out: rate(then.datagrams_out, now.datagrams_out),
+        }
+    }
+
+    fn plus(self, other: Self) -> Self {
+        Self {
+            bytes_in: self.bytes_in + other.bytes_in,
+            bytes_out: self.bytes_out + other.bytes_out,
+            datagrams_in: self.datagrams_in + other.datagrams_in,
+            datagrams_out: self.datagrams_out + other.datagrams_out,
+        }
+    }
+}
--- /dev/null
+++ b/crates/scale-test/src/run/failures.rs
@@ -0,0 +1,109 @@
+//! Plays in which gateways and control machines are killed and started again, or regions are cut from each other.
+
+use super::player::Player;
+use crate::control::LOOKUP_SECONDS;
+use crate::fleet::Fleet;
+use crate::plan::{Component, Play};
+use crate::report::PlayResult;
+use crate::stop_reason::{ProcessFailure, StopReason};
+use milletpath_gateway::hollow_gateway::clock;
+
+impl Player {
+    /// Kills that many neighbours of a zone chosen at random, all at once.
+    pub(super) fn fail_rack(
+        &mut self,
+        count: usize,
+        downtime: f64,
+        play: &Play,
+        result: &mut PlayResult,
+    ) -> Result<(), StopReason> {
+        let zones = self.fleet.plan.zones.len() as u64;
+        let zone = self.rng.rand_range(0..zones) as usize;
+        let gateways: Vec<usize> = self.fleet.plan.gateways_in_zone(zone).take(count).collect();
+        self.fail(&gateways, &[], downtime, play, result)
+    }
+
+    /// Kills all gateways and control machines of a zone at once.
+    pub(super) fn fail_zone(
+        &mut self,
+        zone: usize,
+        downtime: f64,
+        play: &Play,
+        result: &mut PlayResult,
+    ) -> Result<(), StopReason> {
+        let plan = &self.fleet.plan;
+        let gateways: Vec<usize> = plan.gateways_in_zone(zone).collect();
+        let machines = 0..plan.control_machines;
+        let machines: Vec<usize> =
+            machines.filter(|machine| plan.zone_of_control_machine(*machine) == zone).collect();
+        self.fail(&gateways, &machines, downtime, play, result)
+    }
+
+    /// Kills gateways and control machines at once, and starts them again when all others know of it and have applied what
+    /// was changed meanwhile, or after `downtime` seconds.
+    fn fail(
+        &mut self,
+        gateways: &[usize],
+        control_machines: &[usize],
+        downtime: f64,
+        play: &Play,
+        result: &mut PlayResult,
+    ) -> Result<(), StopReason> {
+        let began = clock();
+        self.fleet.kill_control_machines(control_machines);
+        self.fleet.kill_gateways(gateways)?;
+        self.await_completion(Fleet::is_steady)?;
+        self.propose_changes(play)?;
+        let has_membership = self.fleet.plan.runs(Component::Membership);
+        let has_changes = play.changes > 0;
+        self.wait_for(began + downtime, |fleet| {
+            let is_known = if has_membership { fleet.trackers.is_membership_settled() } else { has_changes };
+            is_known && fleet.trackers.changes.is_converged()
+        })?;
+        if has_membership {
+            let membership = &self.fleet.trackers.membership;
+            result.failure_known = Some((membership.converged_observers(), membership.running_count()));
+        }
+        self.fleet.restart_control_machines()?;
+        self.for_each(gateways, 0.0, Fleet::start_gateway)
+    }
+
+    /// Cuts two regions from each other for `duration` seconds.
+    pub(super) fn partition(
+        &mut self,
+        regions: (usize, usize),
+        duration: f64,
+        play: &Play,
+    ) -> Result<(), StopReason> {
+        let plan = &self.fleet.plan;
+        let region_of: Vec<usize> = (0..plan.gateways).map(|gateway| plan.region_of(gateway)).collect();
+        let began = clock();
+        self.fleet.links.cut_regions(regions);
+        self.fleet.trackers.membership.begin_partition(move |a, b| {
+            let pair = (region_of[a], region_of[b]);
+            pair == regions || pair == (regions.1, regions.0)
+        });
+        let outcome = self.propose_changes(play).and_then(|()| self.wait_until(began + duration));
+        self.fleet.links.reconnect_regions(regions);
+        self.fleet.trackers.membership.end_partition(clock());
+        outcome
+    }
+
+    /// Kills the control machine that leads when half of the play's changes are proposed, and starts it again `downtime`
+    /// seconds later.
+    pub(super) fn fail_leader(
+        &mut self,
+        downtime: f64,
+        play: &Play,
+        result: &mut PlayResult,
+    ) -> Result<(), StopReason> {
+        self.propose_changes(play)?;
+        let half = clock() + LOOKUP_SECONDS + 0.5 * play.proposal_period;
+        self.wait_until(half)?;
+        let leader = self.fleet.leader()?.ok_or(ProcessFailure::NoLeader)?;
+        self.fleet.kill_control_machines(&[leader]);
+        result.killed_control_machine = Some(leader);
+        self.wait_until(half + downtime)?;
+        self.fleet.restart_control_machines()
+    }
+}
--- /dev/null
+++ b/crates/scale-test/src/run/player.rs
@@ -0,0 +1,194 @@
+//! Plays the plays of a plan in their order, and keeps the result of each.
+
+use super::progress_line::ProgressLine;
+use crate::client_calls::CallCounts;
+use crate::fleet::Fleet;
+use crate::membership_tracker::ConvergenceTimes;
+use crate::plan::{Action, Component, Play};
+use crate::report::{Convergence, FinalState, Findings, MachineUsage, PlayResult};
+use crate::stop_reason::StopReason;
+use milletpath_gateway::hollow_gateway::clock;
+use oorandom::Rand64;
+
+/// Distinguishes the player's random numbers from others that are drawn with the plan's seed.
+const SEED_SALT: u128 = 0x5ca1e;
+
+/// How often it is checked whether what is waited for is so, in seconds.
+const CHECK_INTERVAL: f64 = 0.2;
+
+/// How often it is checked whether all processes have carried out what they were told, in seconds.
+const COMPLETION_CHECK: f64 = 0.05;
+
+/// A run in progress.
+pub struct Player {
+    pub(super) fleet: Fleet,
+    pub(super) rng: Rand64,
+    /// Distinguishes processes of hollow workers that use one name.
+    pub(super) endpoint_generation: u32,
+    pub(super) final_state: Option<FinalState>,
+    results: Vec<PlayResult>,
+    progress: ProgressLine,
+}
+
+impl Player {
+    /// A player of the fleet's plan, at its beginning.
+    pub fn new(fleet: Fleet) -> Self {
+        Self {
+            rng: Rand64::new(u128::from(fleet.plan.seed) ^ SEED_SALT),
+            fleet,
+            endpoint_generation: 0,
+            final_state: None,
+            results: Vec::new(),
+            progress: ProgressLine::new(),
+        }
+    }
+
+    /// The fleet of the run.
+    pub fn fleet(&self) -> &Fleet {
+        &self.fleet
+    }
+
+    /// Plays all plays, then asks what configuration changes are applied at the end.
+    ///
+    /// # Errors
+    ///
+    /// Why the run ends early. Results up to there are kept.
+    pub fn play_all(&mut self) -> Result<(), StopReason> {
+        for play in self.fleet.plan.plays.clone() {
+            self.play(&play)?;
+        }
+        self.record_final_state()
+    }
+
+    fn play(&mut self, play: &Play) -> Result<(), StopReason> {
+        let started_at = clock();
+        self.fleet.trackers.budgets.begin_play(started_at, &play.label);
+        let mut result = new_result(play, started_at - self.fleet.started_at());
+        let outcome = self
+            .perform(play, &mut result)
+            .and_then(|()| self.await_convergence(play, &mut result))
+            .and_then(|()| self.await_changes_applied(play));
+        result.seconds = clock() - started_at;
+        let membership_times = self.fleet.trackers.membership.take_times();
+        if self.fleet.plan.runs(Component::Membership) {
+            result.membership_times = membership_times;
+        }
+        let changes = self.fleet.trackers.changes.take_outcomes(clock());
+        result.changes = (changes != Default::default()).then_some(changes);
+        // What was measured is kept also when the play ended early.
+        self.results.push(result);
+        outcome
+    }
+
+    fn perform(&mut self, play: &Play, result: &mut PlayResult) -> Result<(), StopReason> {
+        if proposes_from_the_start(&play.action) {
+            self.propose_changes(play)?;
+        }
+        match play.action {
+            Action::Start { duration } => self.start_all(duration),
+            Action::SteadyState { duration } => self.measure_control_cost(duration, result),
+            Action::RollingRestart { gateways, duration } => self.restart_some(gateways, duration),
+            Action::RackFailure { gateways, downtime } => self.fail_rack(gateways, downtime, play, result),
+            Action::ZoneFailure { zone, downtime } => self.fail_zone(zone, downtime, play, result),
+            Action::Partition { regions, duration } => self.partition(regions, duration, play),
+            Action::EndpointUpdates { zone, revisions, duration } => {
+                self.replace_workers(zone, revisions, duration, result)
+            }
+            Action::ConfigChanges => Ok(()),
+            Action::LeaderFailure { downtime } => self.fail_leader(downtime, play, result),
+        }
+    }
+
+    /// Waits until all gateways that run know which others do, as long as the play allows.
+    fn await_convergence(&mut self, play: &Play, result: &mut PlayResult) -> Result<(), StopReason> {
+        let Some(timeout) = play.settle_timeout else { return Ok(()) };
+        // In these plays it is waited for changes to be applied instead.
+        let is_about_changes = matches!(play.action, Action::ConfigChanges | Action::LeaderFailure { .. });
+        if !self.fleet.plan.runs(Component::Membership) || is_about_changes {
+            return Ok(());
+        }
+        let began = clock();
+        let outcome = self.wait_for(began + timeout, Fleet::is_settled);
+        let is_settled = self.fleet.is_settled();
+        let waited = clock() - began;
+        // Had the wait not been broken off, it might still have settled.
+        if outcome.is_ok() || is_settled {
+            let membership = &self.fleet.trackers.membership;
+            result.convergence = Some(Convergence {
+                after: is_settled.then_some(waited),
+                waited,
+                agreed: membership.agreed_gateways(),
+                of: membership.running_count(),
+            });
+        }
+        outcome
+    }
+
+    /// Waits until a time, in seconds on the machine's monotonic clock.
+    pub(super) fn wait_until(&mut self, until: f64) -> Result<(), StopReason> {
+        self.wait_for(until, |_| false)
+    }
+
+    /// Waits until something is so, or until a time.
+    pub(super) fn wait_for(
+        &mut self,
+        until: f64,
+        is_done: impl Fn(&Fleet) -> bool,
+    ) -> Result<(), StopReason> {
+        loop {
+            let now = clock();
+            if now >= until || is_done(&self.fleet) {
+                return Ok(());
+            }
+            self.show_progress("");
+            self.fleet.process_messages(until.min(now + CHECK_INTERVAL))?;
+        }
+    }
+
+    /// Waits without a limit of its own until something is so.
+    pub(super) fn await_completion(&mut self, is_done: impl Fn(&Fleet) -> bool) -> Result<(), StopReason> {
+        while !is_done(&self.fleet) {
+            self.fleet.process_messages(clock() + COMPLETION_CHECK)?;
+        }
+        Ok(())
+    }
+
+    pub(super) fn show_progress(&self, detail: &str) {
+        let play = self.fleet.plan.plays.get(self.results.len());
+        self.progress.show(&self.fleet, play.map_or("", |play| play.label.as_str()), detail);
+    }
+
+    /// Removes the line that shows the progress.
+    pub fn clear_progress(&self) {
+        self.progress.clear();
+    }
+
+    /// Ends all processes of the fleet and gives what was found.
+    pub fn into_findings(mut self, machine: MachineUsage, calls: Option<CallCounts>) -> Findings {
+        let budgets = self.fleet.take_budget_totals();
+        drop(self.fleet);
+        let (plays, state) = (self.results, self.final_state);
+        Findings { plays, budgets: budgets.finish(), machine, calls, state }
+    }
+}
+
+/// Whether changes are proposed while the action goes on; with others they are proposed at a point of their own.
+fn proposes_from_the_start(action: &Action) -> bool {
+    matches!(action, Action::SteadyState { .. } | Action::RollingRestart { .. } | Action::ConfigChanges)
+}
+
+fn new_result(play: &Play, started_at: f64) -> PlayResult {
+    PlayResult {
+        label: play.label.clone(),
+        action: play.action.keyword(),
+        started_at,
+        seconds: 0.0,
+        convergence: None,
+        failure_known: None,
+        membership_times: ConvergenceTimes::default(),
+        control_cost: None,
+        endpoint_updates: None,
+        changes: None,
+        killed_control_machine: None,
+    }
+}
--- /dev/null
+++ b/crates/scale-test/src/run_files.rs
@@ -0,0 +1,62 @@
+//! The program that a run starts its processes from, and the folder of its files: configuration files, keys, state files
+//! and logs.
+
+use std::fs::File;
+use std::io;
+use std::path::PathBuf;
+
+/// The program and the folder of a run.
+#[derive(Clone, Debug)]
+pub struct RunFiles {
+    /// The program that gateways, hosts and control machines are started from.
+    pub program: PathBuf,
+    /// The folder of the run's files, which no other run uses.
+    pub folder: PathBuf,
+}
+
+impl RunFiles {
+    /// Creates a folder for this process's run.
+    ///
+    /// # Errors
+    ///
+    /// What the system says where the folder can't be created.
+    pub fn create(program: PathBuf) -> io::Result<Self> {
+        let folder = std::env::temp_dir().join(format!("milletpath-scale-{}", std::process::id()));
+        std::fs::create_dir_all(&folder)?;
+        Ok(Self { program, folder })
+    }
+
+    /// The configuration file of a real gateway.
+    pub fn gateway_config(&self, gateway: usize) -> PathBuf {
+        self.folder.join(format!("gateway-{gateway}.hcl"))
+    }
+
+    /// The configuration file of a control machine.
+    pub fn control_config(&self, machine: usize) -> PathBuf {
+        self.folder.join(format!("control-{machine}.hcl"))
+    }
+
+    /// Creates the log file of a host.
+    ///
+    /// # Errors
+    ///
+    /// What the system says where the file can't be created.
+    pub fn create_host_log(&self, host: usize) -> io::Result<File> {
+        File::create(self.folder.join(format!("host-{host}.log")))
+    }
+
+    /// Opens the log file of a control machine. A machine that is started again appends to it.
+    ///
+    /// # Errors
+    ///
+    /// What the system says where the file can't be opened.
+    pub fn open_control_log(&self, machine: usize) -> io::Result<File> {
+        let path = self.folder.join(format!("control-{machine}.told"));
+        File::options().create(true).append(true).open(path)
+    }
+
+    /// Removes the folder. What can't be removed stays.
+    pub fn remove(&self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
