--- a/crates/scale-test/src/emulated_workers.rs
+++ b/crates/scale-test/src/emulated_workers.rs
@@ -1,6 +1,6 @@
 //! The workers of the real gateways: emulated ones on loopback.
 
-use milletpath_emulator::small::{MAKE, hall};
+use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
 use milletpath_emulator::worker::Worker;
 use std::io;
 use std::net::SocketAddr;
@@ -73,10 +73,10 @@
         }
     };
     let work = async {
-        let context = hall(seed);
+        let context = context(seed);
         let mut running = Vec::new();
         for number in 0..workers {
-            match Worker::start(context.clone(), number, 0, MAKE, -MAKE.warm_up, 1).await {
+            match Worker::start(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, 1).await {
                 Ok(worker) => running.push(worker),
                 Err(e) => {
                     let _ = started.send(Err(e));
--- a/crates/scale-test/src/hollow_workers.rs
+++ b/crates/scale-test/src/hollow_workers.rs
@@ -1,7 +1,7 @@
 //! Hollow workers: entries of the endpoint list without a process behind them.
 
 use crate::plan::Plan;
-use milletpath_protocol::registry::{EndpointStatus, Entry};
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The zone of a hollow worker. They are spread over the zones as gateways are.
@@ -10,11 +10,11 @@
 }
 
 /// A hollow worker as an entry of the endpoint list. Its generation distinguishes processes that use one name.
-pub fn endpoint(plan: &Plan, worker: usize, generation: u32, status: EndpointStatus) -> Entry {
+pub fn endpoint(plan: &Plan, worker: usize, generation: u32, status: EndpointStatus) -> EndpointEntry {
     // In a network for benchmarks (RFC 2544), where nobody answers; hollow gateways have no connections to workers.
     let [_, a, b, c] = (worker as u32).to_be_bytes();
     let address = SocketAddr::from((Ipv4Addr::new(198, 18 + a, b, c), 9000));
-    Entry {
+    EndpointEntry {
         name: format!("worker-{worker}"),
         address,
         started: (generation > 0).then_some(f64::from(generation) + 1.0),
@@ -39,7 +39,7 @@
     }
 
     /// The complete endpoint list.
-    pub fn endpoints(&self, plan: &Plan) -> Vec<Entry> {
+    pub fn endpoints(&self, plan: &Plan) -> Vec<EndpointEntry> {
         let present = self.generations.iter().enumerate();
         present
             .filter_map(|(worker, generation)| {
@@ -49,7 +49,13 @@
     }
 
     /// Applies an update, and gives the entries that it changes. Workers beyond the number of all are ignored.
-    pub fn update(&mut self, plan: &Plan, workers: &[usize], generation: u32, present: bool) -> Vec<Entry> {
+    pub fn update(
+        &mut self,
+        plan: &Plan,
+        workers: &[usize],
+        generation: u32,
+        present: bool,
+    ) -> Vec<EndpointEntry> {
         let status = if present { EndpointStatus::Ready } else { EndpointStatus::Gone };
         let mut changed = Vec::new();
         for worker in workers {
--- a/crates/scale-test/src/host/gateway_factory.rs
+++ b/crates/scale-test/src/host/gateway_factory.rs
@@ -9,7 +9,7 @@
 use crate::plan::{self, Component, Plan};
 use milletpath_gateway::hollow_gateway::{AppliedCallback, HollowGateway, MembershipCallback, clock};
 use milletpath_membership::MembershipEvent;
-use milletpath_protocol::registry::Entry;
+use milletpath_protocol::registry::EndpointEntry;
 
 /// Why a hollow gateway can't be started.
 #[derive(Debug, thiserror::Error)]
@@ -63,7 +63,12 @@
     }
 
     /// Applies an update of the endpoint list, and gives the entries that it changes.
-    pub fn update_workers(&mut self, workers: &[usize], generation: u32, present: bool) -> Vec<Entry> {
+    pub fn update_workers(
+        &mut self,
+        workers: &[usize],
+        generation: u32,
+        present: bool,
+    ) -> Vec<EndpointEntry> {
         self.workers.update(&self.plan, workers, generation, present)
     }
 }
