--- a/crates/milletpath/src/scale.rs
+++ b/crates/milletpath/src/scale.rs
@@ -2,7 +2,7 @@
 //! them.
 
 use milletpath_process_environment::signals::{SIGINT, SIGTERM, SignalReceiver};
-use milletpath_scale_test::run::Asked;
+use milletpath_scale_test::run::{RunError, RunOptions};
 use milletpath_scale_test::{host, plan, run};
 use std::io;
 use std::path::Path;
@@ -28,7 +28,10 @@
     plan.seed = seed.unwrap_or(plan.seed);
     let stop = Arc::new(AtomicBool::new(false));
     let program = hear(stop.clone()).and_then(|()| std::env::current_exe());
-    match program.and_then(|program| run::run(&plan, Asked { text: &text, program, stop })) {
+    let report = program
+        .map_err(RunError::from)
+        .and_then(|program| run::run(&plan, RunOptions { plan_text: &text, program, stop }));
+    match report {
         Ok(report) => {
             print!("{report}");
             if json {
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -26,9 +26,9 @@
 use std::sync::atomic::AtomicBool;
 
 /// How a plan is to be played.
-pub struct Asked<'a> {
+pub struct RunOptions<'a> {
     /// The plan's text, which hosts read themselves.
-    pub text: &'a str,
+    pub plan_text: &'a str,
     /// The program that hosts, real gateways and control machines are started from.
     pub program: PathBuf,
     /// Set from elsewhere, it ends the run.
@@ -57,10 +57,10 @@
 /// # Errors
 ///
 /// The fleet can't be started.
-pub fn run(plan: &Plan, asked: Asked<'_>) -> Result<Report, RunError> {
+pub fn run(plan: &Plan, options: RunOptions<'_>) -> Result<Report, RunError> {
     raise_descriptor_limit(needed_descriptors(plan))?;
-    let files = RunFiles::create(asked.program)?;
-    let report = run_with_files(plan, asked.text, asked.stop, files.clone());
+    let files = RunFiles::create(options.program)?;
+    let report = run_with_files(plan, options.plan_text, options.stop, files.clone());
     match &report {
         Ok(report) if report.broken.is_empty() => files.remove(),
         _ => eprintln!("configuration files and logs of the run are in {}", files.folder.display()),
