--- /dev/null
+++ b/crates/scale-test/src/plan/checks.rs
@@ -0,0 +1,83 @@
+//! What must hold between the figures of a plan. Each check reports its error at the key that should change.
+
+use super::action::Action;
+use super::model::{Component, MembershipParameters, Play};
+use super::region::Zone;
+use milletpath_config::document::Section;
+
+/// Control machines that one zone may have: the loss of a zone then takes less than half of them.
+const CONTROL_MACHINES_PER_ZONE: usize = 2;
+
+/// Periods that a lease must last at least.
+const PERIODS_PER_LEASE: f64 = 4.0;
+
+/// Some gateway must be hollow.
+pub fn leaves_hollow_gateways(root: &Section<'_>, real_gateways: usize, gateways: usize) {
+    if real_gateways >= gateways {
+        let problem = format!("real of {real_gateways} leaves no hollow gateway among {gateways}");
+        root.report(root.offset_of("real"), problem, "make real less than gateways");
+    }
+}
+
+/// No zone may be without gateways.
+pub fn has_gateway_for_each_zone(root: &Section<'_>, zones: usize, gateways: usize) {
+    if zones > gateways {
+        let problem = format!("{zones} zones, but {gateways} gateways only");
+        root.report(root.offset_of("gateways"), problem, "have a gateway in each zone, or fewer zones");
+    }
+}
+
+/// Names of zones must differ over all regions.
+pub fn is_new_zone(region: &Section<'_>, name: &str, zones: &[Zone]) {
+    if zones.iter().any(|zone| zone.name == name) {
+        let problem = format!("a zone {name} stands here for the second time");
+        region.report(region.offset_of("zones"), problem, "give each its own name");
+    }
+}
+
+/// Something must run, and budgets are shared among the gateways that membership knows.
+pub fn has_components(control: &Section<'_>, components: &[Component], example: &str) {
+    let offset = control.offset_of("runs");
+    if components.is_empty() {
+        control.report(offset, "no core runs", format!("write runs = {example}"));
+    }
+    if components.contains(&Component::Budgets) && !components.contains(&Component::Membership) {
+        let problem = "budgets are shared by those who know of each other, and there is no membership";
+        control.report(offset, problem, format!("write runs = {example}, or leave budgets out"));
+    }
+}
+
+/// A lease must outlast several rounds of health checks.
+pub fn lease_is_long_enough(peers: &Section<'_>, parameters: &MembershipParameters) {
+    let shortest = PERIODS_PER_LEASE * parameters.period;
+    if parameters.lease < shortest {
+        let problem = format!("lease of peers is shorter than four periods of {}", parameters.period);
+        peers.report(peers.offset_of("lease"), problem, format!("make it {shortest} or more"));
+    }
+}
+
+/// No zone may have so many control machines that its loss takes half of them.
+pub fn zones_have_room_for_control_machines(changes: &Section<'_>, machines: usize, zones: usize) {
+    let most = CONTROL_MACHINES_PER_ZONE * zones;
+    if machines > most {
+        let problem =
+            format!("control machines of changes are more than {CONTROL_MACHINES_PER_ZONE} for each zone");
+        changes.report(changes.offset_of("control"), problem, format!("write {most} or less"));
+    }
+}
+
+/// Nothing can happen to a fleet that is not started.
+pub fn first_play_starts_the_fleet(section: &Section<'_>, play: &Play) {
+    if !matches!(play.action, Action::Start { .. }) {
+        let problem = format!("{} comes before any start", section.title);
+        section.report(section.offset, problem, "let the first play be one that does = \"start\"");
+    }
+}
+
+/// Changes can only be proposed where the gateways follow them.
+pub fn changes_are_followed(section: &Section<'_>, changes: usize, components: &[Component]) {
+    if changes > 0 && !components.contains(&Component::ConfigChanges) {
+        let problem = format!("{} makes changes, and nothing carries them", section.title);
+        section.report(section.offset, problem, "add \"changes\" to runs of control");
+    }
+}
--- a/crates/scale-test/src/relay.rs
+++ b/crates/scale-test/src/relay.rs
@@ -3,6 +3,7 @@
 //! part of the sockets, an epoll and letters under way in the order in which they are due. What passed is
 //! counted here and nowhere else.
 
+use crate::plan::RegionPair;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use oorandom::Rand64;
 use std::cmp::Reverse;
@@ -146,7 +147,7 @@
     }
 
     /// Cuts two regions from each other, or lets them hear each other again.
-    pub fn set_partitioned(&self, (a, b): (usize, usize), cut: bool) {
+    pub fn set_partitioned(&self, RegionPair { first: a, second: b }: RegionPair, cut: bool) {
         let regions = self.shared.ways.latency.len();
         for pair in [a * regions + b, b * regions + a] {
             self.shared.cut[pair].store(cut, Ordering::Release);
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -6,7 +6,7 @@
 use crate::distribution::{ConvergenceSamples, ConvergenceSummary, Distribution};
 use crate::machine_load::SATURATION_THRESHOLD;
 use crate::membership_tracker::ConvergenceTimes;
-use crate::plan::{ACTION_KEYWORDS, Component, Plan};
+use crate::plan::{ActionKind, Component, Plan};
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
@@ -169,10 +169,11 @@
     ) -> Self {
         let whole = plays.len() - usize::from(over.is_some() && !plays.is_empty());
         let mut unplayed: Vec<String> = (plan.plays[whole..].iter())
-            .map(|p| format!("{} ({}): the run ended before its end", p.label, p.action.keyword()))
+            .map(|p| format!("{} ({}): the run ended before its end", p.label, p.action.kind().keyword()))
             .collect();
-        let absent = ACTION_KEYWORDS.iter().filter(|w| !plan.plays.iter().any(|p| p.action.keyword() == **w));
-        unplayed.extend(absent.map(|word| format!("{word}: not in the plan")));
+        let is_absent = |kind: &ActionKind| plan.plays.iter().all(|play| play.action.kind() != *kind);
+        let absent = ActionKind::ALL.into_iter().filter(is_absent);
+        unplayed.extend(absent.map(|kind| format!("{}: not in the plan", kind.keyword())));
         let measuring = plays.iter().filter_map(|p| p.control_cost.as_ref()?.busy).max_by(f64::total_cmp);
         let machine = MachineUsage { utilization_while_measuring: measuring, ..machine };
         let mut report = Self {
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -7,7 +7,7 @@
 use crate::host_protocol::Reading;
 use crate::machine_load::{self, CpuTime};
 use crate::membership_tracker::ConvergenceTimes;
-use crate::plan::{Action, Component, Plan, Play};
+use crate::plan::{Action, Component, Plan, Play, RegionPair};
 use crate::report::{Convergence, FinalState, Findings, PlayResult, Report};
 use milletpath_gateway::hollow_gateway::clock;
 use oorandom::Rand64;
@@ -211,14 +211,11 @@
         self.one_by_one(some, 0.0, |fleet, gateway| fleet.begin(gateway))
     }
 
-    fn cut(&mut self, regions: (usize, usize), seconds: f64, play: &Play) -> Result<(), StopReason> {
+    fn cut(&mut self, regions: RegionPair, seconds: f64, play: &Play) -> Result<(), StopReason> {
         let of: Vec<usize> = (0..self.fleet.plan.gateways).map(|g| self.fleet.plan.region_of(g)).collect();
         let began = clock();
         self.fleet.relay.set_partitioned(regions, true);
-        self.fleet.book.begin_partition(move |a, b| {
-            let pair = (of[a], of[b]);
-            pair == regions || pair == (regions.1, regions.0)
-        });
+        self.fleet.book.begin_partition(move |a, b| regions.joins(of[a], of[b]));
         let done = self.propose(play).and_then(|()| self.wait(began + seconds, |_| false));
         self.fleet.relay.set_partitioned(regions, false);
         self.fleet.book.end_partition(clock());
@@ -377,7 +374,7 @@
     fn new(play: &crate::plan::Play, at: f64) -> Self {
         Self {
             label: play.label.clone(),
-            action: play.action.keyword(),
+            action: play.action.kind().keyword(),
             started_at: at,
             seconds: 0.0,
             convergence: None,
--- a/crates/scale-test/tests/output_fixtures.rs
+++ b/crates/scale-test/tests/output_fixtures.rs
@@ -6,7 +6,7 @@
 use milletpath_scale_test::change_propagation::ChangeOutcomes;
 use milletpath_scale_test::distribution::{ConvergenceSamples, Distribution};
 use milletpath_scale_test::membership_tracker::ConvergenceTimes;
-use milletpath_scale_test::plan::{Action, Component, Plan, Play, read};
+use milletpath_scale_test::plan::{Action, Component, Plan, Play, RegionPair, read};
 use milletpath_scale_test::report::{
     CallCounts, ControlCost, ControlMachineCost, Convergence, EndpointUpdateCost, FinalState, Findings,
     FollowerCost, MachineUsage, PlayResult, Report, StopReason,
@@ -94,7 +94,7 @@
 fn result_of(play: &Play, at: f64, took: f64) -> PlayResult {
     PlayResult {
         label: play.label.clone(),
-        action: play.action.keyword(),
+        action: play.action.kind().keyword(),
         started_at: at,
         seconds: took,
         convergence: None,
@@ -283,7 +283,7 @@
 }
 
 fn describe(action: &Action) -> String {
-    let keyword = action.keyword();
+    let keyword = action.kind().keyword();
     match action {
         Action::Start { duration } => format!("{keyword}: over {duration} s"),
         Action::SteadyState { duration } => format!("{keyword}: {duration} s"),
@@ -294,7 +294,9 @@
             format!("{keyword}: {gateways} gateways for {downtime} s")
         }
         Action::ZoneFailure { zone, downtime } => format!("{keyword}: {zone} for {downtime} s"),
-        Action::Partition { regions: (a, b), duration } => format!("{keyword}: {a} and {b} for {duration} s"),
+        Action::Partition { regions: RegionPair { first, second }, duration } => {
+            format!("{keyword}: {first} and {second} for {duration} s")
+        }
         Action::EndpointUpdates { zone, revisions, duration } => {
             format!("{keyword}: {zone} in {revisions} over {duration} s")
         }
--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans as people write them: what a sound one says, and what is told of one that is not.
 
-use milletpath_scale_test::plan::{Action, Component, Plan, read};
+use milletpath_scale_test::plan::{Action, Component, Plan, RegionPair, read};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -43,7 +43,7 @@
     assert_eq!((plan.gateways, plan.regions.len(), plan.zones.len()), (gateways, regions, zones));
     let all = [Component::Membership, Component::Budgets, Component::EndpointList, Component::ConfigChanges];
     assert!(all.into_iter().all(|core| plan.runs(core)), "{:?}", plan.components);
-    let words: Vec<_> = plan.plays.iter().map(|p| p.action.keyword()).collect();
+    let words: Vec<_> = plan.plays.iter().map(|p| p.action.kind().keyword()).collect();
     assert_eq!(words, ["start", "settled", "changes", "restarts", "rack", "zone", "cut", "list", "control"]);
 }
 
@@ -54,7 +54,7 @@
         (plan.gateways, plan.components.clone()),
         (1100, vec![Component::ConfigChanges, Component::EndpointList])
     );
-    let words: Vec<_> = plan.plays.iter().map(|p| (p.action.keyword(), p.changes)).collect();
+    let words: Vec<_> = plan.plays.iter().map(|p| (p.action.kind().keyword(), p.changes)).collect();
     let wanted =
         [("settled", 0), ("settled", 15), ("changes", 20), ("zone", 20), ("control", 20), ("cut", 20)];
     assert!(wanted.iter().all(|w| words.contains(w)), "{words:?}");
@@ -84,7 +84,8 @@
     let plan = sound(&file("size.hcl"), Some(30));
     assert_eq!(plan.gateways, 30);
     // Not more than all but one can be restarted.
-    let restarts = plan.plays.iter().find(|p| p.action.keyword() == "restarts").map(|p| p.action.clone());
+    let restarts =
+        plan.plays.iter().find(|p| p.action.kind().keyword() == "restarts").map(|p| p.action.clone());
     assert_eq!(restarts, Some(Action::RollingRestart { gateways: 29, duration: 10.0 }));
 }
 
@@ -139,7 +140,10 @@
         let text = format!("{SMALL}play \"cut\" {{\n  does = \"cut\"\n  regions = {regions}\n}}\n");
         read(&text, None).map(|p| p.plays[1].action.clone()).map_err(|m| m[0].to_string())
     };
-    assert_eq!(cut("[\"a\", \"b\"]"), Ok(Action::Partition { regions: (0, 1), duration: 10.0 }));
+    assert_eq!(
+        cut("[\"a\", \"b\"]"),
+        Ok(Action::Partition { regions: RegionPair { first: 0, second: 1 }, duration: 10.0 })
+    );
     let wrong = cut("[\"a\", \"a\"]").unwrap_err();
     assert!(wrong.starts_with("17:3: regions of play \"cut\" are not two"), "{wrong}");
 }
--- a/crates/scale-test/tests/relay.rs
+++ b/crates/scale-test/tests/relay.rs
@@ -1,5 +1,6 @@
 //! The links of a run, on real sockets: who gets what, what is counted, what a cut keeps back.
 
+use milletpath_scale_test::plan::RegionPair;
 use milletpath_scale_test::relay::{LinkDelays, LinkTraffic, Relay};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -75,13 +76,13 @@
 #[test]
 fn a_cut_keeps_back_what_goes_across_and_nothing_else() {
     let town = Town::new(0.001, 0.0);
-    town.relay.set_partitioned((0, 1), true);
+    town.relay.set_partitioned(RegionPair { first: 0, second: 1 }, true);
     town.send(0, 2, b"lost");
     town.send(2, 0, b"lost");
     town.wait("both are lost", |r| r.lost() == 2);
     town.send(1, 0, b"near");
     assert_eq!(town.next(0), (b"near".to_vec(), 1));
-    town.relay.set_partitioned((0, 1), false);
+    town.relay.set_partitioned(RegionPair { first: 0, second: 1 }, false);
     town.send(0, 2, b"again");
     assert_eq!(town.next(2), (b"again".to_vec(), 0));
 }
