--- a/crates/scale-test/src/budgets.rs
+++ b/crates/scale-test/src/budgets.rs
@@ -1,121 +1,179 @@
-//! What all gateways together might use of a budget at the same time, against what there is of it. Of each
-//! second the lowest figure of each gateway is added up: at some moment of it all had at least that. So a sum
-//! over the bound is a broken bound, and one under it proves nothing of moments shorter than a second.
+//! What all gateways together may use of a shared budget at one moment, against what there is of it. For each second the
+//! lowest level of each gateway is added up: at some moment of that second all of them had at least this. A sum over the
+//! bound is therefore a broken bound, and a sum under it proves nothing about moments shorter than a second.
 
 use crate::host_protocol::Minimum;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part of what is shared that goes by the count alone, as a budget of its own.
+/// The name under which the fractions by the number of gateways alone are added up, as a budget of their own.
 const SHARE: &str = "share";
 
-/// Part by which sums of many figures may be over for want of digits.
-const HAIR: f64 = 1e-6;
+/// Relative rounding error that the sum of many levels may have.
+const TOLERANCE: f64 = 1e-6;
 
-/// Seconds for which readings of a second may still come.
-const OPEN: u64 = 20;
+/// Seconds for which levels of a past second may still arrive.
+const LATE_SECONDS: u64 = 20;
 
-/// A budget at its worst.
+/// The worst total of one budget.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WorstTotal {
-    /// What all together might use, where that was most as a part of the bound.
+    /// What all gateways together might use, in the second in which that was most relative to the bound.
     pub sum: f64,
+    /// What there was in that second.
     pub bound: f64,
-    /// Seconds that were added up, and gateways in them at the least and the most.
+    /// Seconds that were added up.
     pub seconds: u64,
-    pub gateways: (usize, usize),
-    /// Seconds in which the sum was over the bound, and the play that was on in the first.
-    pub broken: u64,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub during: Option<String>,
+    /// How many gateways were added up in a second.
+    pub gateways: CountRange,
+    /// Seconds in which the sum was over the bound.
+    #[serde(rename = "broken")]
+    pub broken_seconds: u64,
+    /// The play in the first of these seconds.
+    #[serde(rename = "during", skip_serializing_if = "Option::is_none")]
+    pub first_broken_in: Option<String>,
 }
 
+/// The fewest and the most of several counts. In JSON it is an array of both.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(into = "[usize; 2]")]
+pub struct CountRange {
+    /// The lowest count.
+    pub fewest: usize,
+    /// The highest count.
+    pub most: usize,
+}
+
+impl CountRange {
+    fn only(count: usize) -> Self {
+        Self { fewest: count, most: count }
+    }
+
+    fn including(self, count: usize) -> Self {
+        Self { fewest: self.fewest.min(count), most: self.most.max(count) }
+    }
+}
+
+impl From<CountRange> for [usize; 2] {
+    fn from(range: CountRange) -> Self {
+        [range.fewest, range.most]
+    }
+}
+
+/// What was added up of one budget in one second.
+#[derive(Clone, Copy, Default)]
+struct Total {
+    sum: f64,
+    bound: f64,
+}
+
+impl Total {
+    fn is_over_bound(self) -> bool {
+        self.sum > self.bound * (1.0 + TOLERANCE)
+    }
+}
+
+/// One second that is still open.
 #[derive(Default)]
 struct Second {
-    seen: BTreeSet<usize>,
-    /// Sum, and what there is.
-    sums: BTreeMap<String, (f64, f64)>,
+    gateways: BTreeSet<usize>,
+    totals: BTreeMap<String, Total>,
 }
 
+/// A play, by the second in which it began.
+struct PlayStart {
+    second: u64,
+    label: String,
+}
+
+/// Adds up the budget levels of all gateways, second by second.
 pub struct BudgetTotals {
-    /// Gateways that there may be.
-    most: f64,
-    open: BTreeMap<u64, Second>,
-    /// Seconds up to which all were added up.
-    done: u64,
+    max_gateways: f64,
+    open_seconds: BTreeMap<u64, Second>,
+    /// The latest second that is closed.
+    closed_until: u64,
     worst: BTreeMap<String, WorstTotal>,
-    /// Plays by the second in which they began.
-    plays: Vec<(u64, String)>,
+    plays: Vec<PlayStart>,
 }
 
 impl BudgetTotals {
-    pub fn new(most: usize) -> Self {
-        let (open, worst) = (BTreeMap::new(), BTreeMap::new());
-        Self { most: most as f64, open, done: 0, worst, plays: Vec::new() }
+    /// No levels yet, of at most this many gateways.
+    #[must_use]
+    pub fn new(max_gateways: usize) -> Self {
+        Self {
+            max_gateways: max_gateways as f64,
+            open_seconds: BTreeMap::new(),
+            closed_until: 0,
+            worst: BTreeMap::new(),
+            plays: Vec::new(),
+        }
     }
 
-    /// A play begins.
+    /// A play begins, at a time in seconds.
     pub fn begin_play(&mut self, now: f64, label: &str) {
-        self.plays.push((now as u64, label.to_owned()));
+        self.plays.push(PlayStart { second: now as u64, label: label.to_owned() });
     }
 
-    /// The least that a gateway could use in a second.
-    pub fn record_minimum(&mut self, gateway: usize, low: &Minimum) {
-        if low.second <= self.done {
+    /// Adds the lowest level of a gateway in a second. One of a closed second is ignored.
+    pub fn record_minimum(&mut self, gateway: usize, minimum: &Minimum) {
+        if minimum.second <= self.closed_until {
             return;
         }
-        let second = self.open.entry(low.second).or_default();
-        // Of two processes of one name in one second the first alone counts: they were not there together.
-        if !second.seen.insert(gateway) {
+        let second = self.open_seconds.entry(minimum.second).or_default();
+        // Of two processes of one gateway in one second the first alone counts: they did not run at the same time.
+        if !second.gateways.insert(gateway) {
             return;
         }
-        let share = (SHARE, (1.0, low.fraction));
-        let budgets = low.budgets.iter().map(|(name, figures)| (name.as_str(), *figures));
-        for (name, (part, allowed)) in budgets.chain([share]) {
-            let sum = second.sums.entry(name.to_owned()).or_insert((0.0, 0.0));
-            *sum = (sum.0 + allowed, sum.1.max(part * self.most));
-        }
+        let mut add = |budget: &str, quota: f64, allowed: f64| {
+            let total = second.totals.entry(budget.to_owned()).or_default();
+            total.sum += allowed;
+            total.bound = total.bound.max(quota * self.max_gateways);
+        };
+        minimum.budgets.iter().for_each(|(budget, (quota, allowed))| add(budget, *quota, *allowed));
+        add(SHARE, 1.0, minimum.fraction);
     }
 
-    /// Adds up the seconds of which no more readings come.
+    /// Closes the seconds for which no more levels arrive.
     pub fn close_seconds(&mut self, now: f64) {
-        let until = (now as u64).saturating_sub(OPEN);
-        while let Some(entry) = self.open.first_entry().filter(|e| *e.key() < until) {
-            self.done = *entry.key();
-            let second = entry.remove();
-            self.close(second);
+        let end = (now as u64).saturating_sub(LATE_SECONDS);
+        while let Some(entry) = self.open_seconds.first_entry().filter(|entry| *entry.key() < end) {
+            let (at, second) = entry.remove_entry();
+            self.close(at, second);
         }
     }
 
-    fn close(&mut self, second: Second) {
-        let gateways = second.seen.len();
-        for (name, (sum, bound)) in second.sums {
-            let worst = self.worst.entry(name).or_insert_with(|| WorstTotal {
-                sum,
-                bound,
+    fn close(&mut self, at: u64, second: Second) {
+        self.closed_until = at;
+        let gateways = second.gateways.len();
+        for (budget, total) in second.totals {
+            let worst = self.worst.entry(budget).or_insert_with(|| WorstTotal {
+                sum: total.sum,
+                bound: total.bound,
                 seconds: 0,
-                gateways: (gateways, gateways),
-                broken: 0,
-                during: None,
+                gateways: CountRange::only(gateways),
+                broken_seconds: 0,
+                first_broken_in: None,
             });
-            if sum / bound > worst.sum / worst.bound {
-                (worst.sum, worst.bound) = (sum, bound);
+            if total.sum / total.bound > worst.sum / worst.bound {
+                (worst.sum, worst.bound) = (total.sum, total.bound);
             }
             worst.seconds += 1;
-            worst.gateways = (worst.gateways.0.min(gateways), worst.gateways.1.max(gateways));
-            if sum > bound * (1.0 + HAIR) {
-                worst.broken += 1;
-                let play = self.plays.iter().rev().find(|(from, _)| *from <= self.done);
-                worst.during = worst.during.take().or(play.map(|(_, label)| label.clone()));
+            worst.gateways = worst.gateways.including(gateways);
+            if total.is_over_bound() {
+                worst.broken_seconds += 1;
+                if worst.first_broken_in.is_none() {
+                    let play = self.plays.iter().rfind(|play| play.second <= at);
+                    worst.first_broken_in = play.map(|play| play.label.clone());
+                }
             }
         }
     }
 
-    /// All budgets at their worst.
+    /// Closes all seconds, and gives the worst total of each budget by its name.
+    #[must_use]
     pub fn finish(mut self) -> BTreeMap<String, WorstTotal> {
-        for (at, second) in std::mem::take(&mut self.open) {
-            self.done = at;
-            self.close(second);
+        for (at, second) in std::mem::take(&mut self.open_seconds) {
+            self.close(at, second);
         }
         self.worst
     }
--- a/crates/scale-test/src/change_propagation.rs
+++ b/crates/scale-test/src/change_propagation.rs
@@ -1,173 +1,266 @@
-//! Which changes were made, and since when each gateway has them in force: told of proposals, what became of
-//! them and what gateways say, it knows how long each took. Free of I/O; times are seconds on one clock.
+//! Which configuration changes were committed, and since when each gateway has applied them. It is notified of proposals,
+//! of their outcomes and of what gateways report, and measures how long each change took. It does no I/O; times are
+//! seconds on one clock.
 
 use crate::distribution::ConvergenceSamples;
+use crate::proposal::ProposalError;
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// What a play's changes came to.
+/// A change, or several, that are not known to be committed. Its text is part of the report's JSON.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Uncommitted {
+    /// One change, and why.
+    Change {
+        /// Its number among all changes of the run.
+        change: usize,
+        /// Why it is not.
+        error: ProposalError,
+    },
+    /// Changes whose authors had no answer when the play ended.
+    Open {
+        /// How many there are.
+        changes: usize,
+    },
+}
+
+impl fmt::Display for Uncommitted {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Change { change, error } => write!(f, "change {change}: {error}"),
+            Self::Open { changes } => write!(f, "{changes} are not answered at the end of the play"),
+        }
+    }
+}
+
+/// What came of the changes of a play.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangeOutcomes {
+    /// Changes that were proposed.
     pub proposed: usize,
-    /// Their numbers in the log are known.
+    /// Changes that are known to be committed.
     pub committed_count: usize,
-    /// Of those that were not made, or are not known to have been, which and why.
-    pub uncommitted: Vec<String>,
-    /// From a proposal until its author knew that it is made.
+    /// Changes that are not known to be committed.
+    pub uncommitted: Vec<Uncommitted>,
+    /// Seconds from a proposal until its author knew that it is committed.
     pub commit_times: ConvergenceSamples,
-    /// From a proposal until it was in force at a gateway that ran all the while, of all pairs.
+    /// Seconds from a proposal until it was applied, for each pair of a change and a gateway that ran all the while.
     pub propagation_times: ConvergenceSamples,
-    /// Gateways that never had one of them in force, though they ran.
+    /// Gateways that never applied one of the changes, though they ran.
     pub gateways_without: usize,
-    /// From a gateway's beginning until it had in force all that was made before.
+    /// Seconds from the start of a gateway until it had applied all that was committed before.
     pub catch_up_times: ConvergenceSamples,
 }
 
-#[derive(Clone, Debug)]
-struct Proposal {
+/// A change that is known to be committed.
+#[derive(Clone, Copy, Debug)]
+struct CommittedChange {
+    proposed_at: f64,
+    number: u64,
+}
+
+/// A gateway applied all changes up to a number.
+#[derive(Clone, Copy, Debug)]
+struct Application {
+    number: u64,
     at: f64,
-    number: Option<u64>,
 }
 
-/// The book of one run.
+/// What is known of one gateway.
+#[derive(Clone, Debug, Default)]
+struct GatewayProgress {
+    /// When its process started, if it runs.
+    started_at: Option<f64>,
+    /// What it has applied; numbers and times rise.
+    applied: Vec<Application>,
+}
+
+impl GatewayProgress {
+    fn applied_number(&self) -> u64 {
+        self.applied.last().map_or(0, |application| application.number)
+    }
+
+    /// When it had first applied all changes up to a number.
+    fn applied_at(&self, number: u64) -> Option<f64> {
+        self.applied.iter().find(|application| application.number >= number).map(|application| application.at)
+    }
+}
+
+/// Follows the configuration changes of one run.
 pub struct ChangePropagation {
-    /// Since when each runs.
-    began: Vec<Option<f64>>,
-    /// Of each the numbers up to which all was in force, with when that was first so, both rising.
-    held: Vec<Vec<(u64, f64)>>,
-    /// Proposals of this play by who they are; those not yet answered.
-    proposals: BTreeMap<usize, Proposal>,
-    open: usize,
-    /// All that were made before this play: when proposed, and numbers.
-    former: Vec<(f64, u64)>,
-    since: f64,
-    made: ChangeOutcomes,
+    gateways: Vec<GatewayProgress>,
+    /// Changes of this play that are committed, by their numbers among all of the run.
+    committed: BTreeMap<usize, CommittedChange>,
+    /// Proposals of this play whose outcome is not known.
+    open_proposals: usize,
+    /// Changes of the plays before.
+    committed_before: Vec<CommittedChange>,
+    /// When this play began.
+    play_started_at: f64,
+    outcomes: ChangeOutcomes,
 }
 
 impl ChangePropagation {
+    /// A fleet of that size of which no gateway runs.
+    #[must_use]
     pub fn new(gateways: usize, now: f64) -> Self {
         Self {
-            began: vec![None; gateways],
-            held: vec![Vec::new(); gateways],
-            proposals: BTreeMap::new(),
-            open: 0,
-            former: Vec::new(),
-            since: now,
-            made: ChangeOutcomes::default(),
+            gateways: vec![GatewayProgress::default(); gateways],
+            committed: BTreeMap::new(),
+            open_proposals: 0,
+            committed_before: Vec::new(),
+            play_started_at: now,
+            outcomes: ChangeOutcomes::default(),
         }
     }
 
+    /// A gateway started.
     pub fn record_start(&mut self, gateway: usize, at: f64) {
-        self.began[gateway] = Some(at);
-        self.held[gateway].clear();
+        self.gateways[gateway] = GatewayProgress { started_at: Some(at), applied: Vec::new() };
     }
 
+    /// A gateway stopped.
     pub fn record_stop(&mut self, gateway: usize) {
-        self.began[gateway] = None;
-        self.held[gateway].clear();
+        self.gateways[gateway] = GatewayProgress::default();
     }
 
-    /// A gateway's desk has taken all up to that number.
+    /// A gateway's dispatcher has applied all changes up to a number.
     pub fn record_applied(&mut self, gateway: usize, number: u64, at: f64) {
-        // What its former process still said is nobody's word now.
-        if self.began.get(gateway).copied().flatten().is_none_or(|began| at < began) {
-            return;
-        }
-        let held = &mut self.held[gateway];
-        if held.last().is_none_or(|(last, _)| *last < number) {
-            held.push((number, at));
+        let Some(progress) = self.gateways.get_mut(gateway) else { return };
+        // A report of an earlier process of this gateway may arrive late.
+        let is_of_this_process = progress.started_at.is_some_and(|started_at| at >= started_at);
+        let is_news = progress.applied.last().is_none_or(|last| last.number < number);
+        if is_of_this_process && is_news {
+            progress.applied.push(Application { number, at });
         }
     }
 
-    /// So many are going to be proposed.
+    /// More changes are going to be proposed.
     pub fn expect_proposals(&mut self, changes: usize) {
-        self.open += changes;
-        self.made.proposed += changes;
+        self.open_proposals += changes;
+        self.outcomes.proposed += changes;
     }
 
-    /// What became of one: its number in the log, or why it has none that is known.
-    pub fn record_outcome(&mut self, change: usize, at: f64, answered: f64, outcome: Result<u64, String>) {
-        self.open = self.open.saturating_sub(1);
+    /// The author of a change knows its outcome: its number in the log, or why it has none that is known.
+    pub fn record_outcome(
+        &mut self,
+        change: usize,
+        proposed_at: f64,
+        finished_at: f64,
+        outcome: Result<u64, ProposalError>,
+    ) {
+        self.open_proposals = self.open_proposals.saturating_sub(1);
         match outcome {
             Ok(number) => {
-                self.proposals.insert(change, Proposal { at, number: Some(number) });
-                self.made.committed_count += 1;
-                self.made.commit_times.seconds.push((answered - at) as f32);
+                self.committed.insert(change, CommittedChange { proposed_at, number });
+                self.outcomes.committed_count += 1;
+                self.outcomes.commit_times.seconds.push((finished_at - proposed_at) as f32);
             }
-            Err(why) => {
-                self.proposals.insert(change, Proposal { at, number: None });
-                self.made.commit_times.never += 1;
-                self.made.uncommitted.push(format!("change {change}: {why}"));
+            Err(error) => {
+                self.outcomes.commit_times.never += 1;
+                self.outcomes.uncommitted.push(Uncommitted::Change { change, error });
             }
         }
     }
 
-    /// Proposals whose end is not known yet.
+    /// Proposals whose outcome is not known yet.
+    #[must_use]
     pub fn open_proposals(&self) -> usize {
-        self.open
+        self.open_proposals
     }
 
-    /// The highest number that was made.
+    /// The highest number that is known to be committed; 0 where there is none.
+    #[must_use]
     pub fn latest_committed(&self) -> u64 {
-        let now = self.proposals.values().filter_map(|p| p.number);
-        self.former.iter().map(|(_, number)| *number).chain(now).max().unwrap_or(0)
+        let all = self.committed_before.iter().chain(self.committed.values());
+        all.map(|change| change.number).max().unwrap_or(0)
     }
 
+    /// Gateways that run.
+    #[must_use]
     pub fn running_count(&self) -> usize {
-        self.began.iter().flatten().count()
+        self.gateways.iter().filter(|gateway| gateway.started_at.is_some()).count()
     }
 
-    /// How many of those that run have in force all that was made.
+    /// Gateways that run and have applied all that is known to be committed.
+    #[must_use]
     pub fn up_to_date_count(&self) -> usize {
         let latest = self.latest_committed();
-        let current = |(began, held): (&Option<f64>, &Vec<(u64, f64)>)| {
-            began.is_some() && held.last().map_or(0, |(number, _)| *number) >= latest
-        };
-        self.began.iter().zip(&self.held).filter(|pair| current(*pair)).count()
+        let is_up_to_date =
+            |gateway: &&GatewayProgress| gateway.started_at.is_some() && gateway.applied_number() >= latest;
+        self.gateways.iter().filter(is_up_to_date).count()
     }
 
-    /// Whether nothing is open and all that run are current.
+    /// Whether all outcomes are known, and all that run have applied all changes.
+    #[must_use]
     pub fn is_converged(&self) -> bool {
-        self.open == 0 && self.up_to_date_count() == self.running_count()
+        self.open_proposals == 0 && self.up_to_date_count() == self.running_count()
     }
 
-    /// What came of this play, which ends.
+    /// Ends a play, and gives what came of its changes.
     pub fn take_outcomes(&mut self, now: f64) -> ChangeOutcomes {
-        let mut made = std::mem::take(&mut self.made);
-        // Told of none by the end, an author is as one who does not know.
-        if self.open > 0 {
-            made.uncommitted.push(format!("{} are not answered at the end of the play", self.open));
-            made.commit_times.never += std::mem::take(&mut self.open);
+        let mut outcomes = std::mem::take(&mut self.outcomes);
+        // An author without an answer by the end is as one that does not know.
+        let open = std::mem::take(&mut self.open_proposals);
+        if open > 0 {
+            outcomes.uncommitted.push(Uncommitted::Open { changes: open });
+            outcomes.commit_times.never += open;
         }
-        let proposals = std::mem::take(&mut self.proposals);
-        let made_now: Vec<(f64, u64)> = proposals.values().filter_map(|p| Some((p.at, p.number?))).collect();
-        for (began, held) in self.began.iter().zip(&self.held) {
-            let Some(began) = *began else { continue };
-            let since = |number: u64| held.iter().find(|(n, _)| *n >= number).map(|(_, at)| *at);
-            let mut lacks = false;
-            for (at, number) in made_now.iter().filter(|(at, _)| *at >= began) {
-                match since(*number) {
-                    Some(held) => made.propagation_times.seconds.push((held - at) as f32),
-                    None => {
-                        made.propagation_times.never += 1;
-                        lacks = true;
-                    }
-                }
-            }
-            made.gateways_without += usize::from(lacks);
-            let before = self.former.iter().chain(&made_now).filter(|(at, _)| *at < began);
-            let target = before.map(|(_, number)| *number).max();
-            if let Some(target) = target.filter(|_| began >= self.since) {
-                match since(target) {
-                    Some(held) => made.catch_up_times.seconds.push((held - began).max(0.0) as f32),
-                    None => made.catch_up_times.never += 1,
-                }
+        let committed: Vec<CommittedChange> = std::mem::take(&mut self.committed).into_values().collect();
+        for gateway in &self.gateways {
+            let Some(started_at) = gateway.started_at else { continue };
+            add_propagation(&mut outcomes, gateway, started_at, &committed);
+            if started_at >= self.play_started_at {
+                let all = self.committed_before.iter().chain(&committed);
+                add_catch_up(&mut outcomes.catch_up_times, gateway, started_at, all);
             }
         }
-        for held in &mut self.held {
-            held.drain(..held.len().saturating_sub(1));
+        self.committed_before.extend(committed);
+        self.play_started_at = now;
+        self.forget_superseded_applications();
+        outcomes
+    }
+
+    /// Of each gateway the latest application is enough once the play's times are taken.
+    fn forget_superseded_applications(&mut self) {
+        for gateway in &mut self.gateways {
+            let superseded = gateway.applied.len().saturating_sub(1);
+            gateway.applied.drain(..superseded);
         }
-        self.former.extend(made_now);
-        self.since = now;
-        made
+    }
+}
+
+/// Adds how long each change took that was proposed while a gateway ran.
+fn add_propagation(
+    outcomes: &mut ChangeOutcomes,
+    gateway: &GatewayProgress,
+    started_at: f64,
+    committed: &[CommittedChange],
+) {
+    let mut lacks_one = false;
+    for change in committed.iter().filter(|change| change.proposed_at >= started_at) {
+        match gateway.applied_at(change.number) {
+            Some(at) => outcomes.propagation_times.seconds.push((at - change.proposed_at) as f32),
+            None => {
+                outcomes.propagation_times.never += 1;
+                lacks_one = true;
+            }
+        }
+    }
+    outcomes.gateways_without += usize::from(lacks_one);
+}
+
+/// Adds how long a gateway took from its start until it had applied all changes that were proposed before.
+fn add_catch_up<'a>(
+    times: &mut ConvergenceSamples,
+    gateway: &GatewayProgress,
+    started_at: f64,
+    committed: impl Iterator<Item = &'a CommittedChange>,
+) {
+    let before_start = committed.filter(|change| change.proposed_at < started_at);
+    let Some(target) = before_start.map(|change| change.number).max() else { return };
+    match gateway.applied_at(target) {
+        Some(at) => times.seconds.push((at - started_at).max(0.0) as f32),
+        None => times.never += 1,
     }
 }
--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -4,6 +4,7 @@
 use crate::gateway_config;
 use crate::host_protocol::{HostCommand, Minimum, StatusMessage};
 use crate::membership_tracker::ReportedState;
+use crate::proposal::ProposalError;
 use milletpath_gateway::hollow_gateway::clock;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -41,7 +42,7 @@
         change: usize,
         at: f64,
         answered: f64,
-        outcome: Result<u64, String>,
+        outcome: Result<u64, ProposalError>,
     },
     /// A real gateway has ended after it was told to.
     RealEnded {
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -2,9 +2,11 @@
 //! changes; and authors, who propose some as `milletpath change` does. Links of both pass the relay as those
 //! of gateways do; who looks after the run asks directly.
 
+use crate::applied_state::AppliedState;
 use crate::children::ChildMessage;
 use crate::gateway_config;
 use crate::host_protocol::AddressMap;
+use crate::proposal::ProposalError;
 use milletpath_config_log::{Change, Outcome, ReplicaView};
 use milletpath_gateway::ConfigStatus;
 use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
@@ -111,14 +113,14 @@
 }
 
 /// Number and digest of what is in force at real gateways, asked where they hear changes.
-pub fn states(places: &AddressMap, at: &[SocketAddr]) -> io::Result<Vec<Option<(u64, u64)>>> {
+pub fn states(places: &AddressMap, at: &[SocketAddr]) -> io::Result<Vec<Option<AppliedState>>> {
     if at.is_empty() {
         return Ok(Vec::new());
     }
     let told = client(places, &places.control)?.status_texts(at).into_iter();
     let read = |text: Option<Vec<u8>>| {
         let followed: ConfigStatus = serde_json::from_slice(&text?).ok()?;
-        Some((followed.view.number, followed.view.digest))
+        Some(AppliedState { number: followed.view.number, digest: followed.view.digest })
     };
     Ok(told.map(read).collect())
 }
@@ -153,14 +155,14 @@
     }
 
     /// One change, as `milletpath change` has it made; with when it was proposed.
-    fn one(&self, number: usize, due: f64) -> (f64, Result<u64, String>) {
+    fn one(&self, number: usize, due: f64) -> (f64, Result<u64, ProposalError>) {
         let key = format!("function scale-{}", number % FUNCTIONS);
         // All are different, so that none is so already.
         let (lanes, memory) = (1 + number % 4, 64 + number % 1_000);
         let name = number % FUNCTIONS;
         let text = Some(format!("function \"scale-{name}\" {{\n  lanes = {lanes}\n  memory = {memory}\n}}"));
         let Some(before) = self.client.get(&key) else {
-            return (clock(), Err("no control machine answers".into()));
+            return (clock(), Err(ProposalError::NoAnswer));
         };
         std::thread::sleep(Duration::from_secs_f64((due - clock()).max(0.0)));
         let change =
@@ -171,11 +173,11 @@
             // Of two askings for one proposal the later can find the earlier in force.
             ProposalOutcome::Decided(Outcome::Superseded(by)) => match self.client.get(&key) {
                 Some(now) if now.text == text => Ok(now.number),
-                _ => Err(format!("superseded by number {by}")),
+                _ => Err(ProposalError::Superseded { by }),
             },
-            ProposalOutcome::Decided(other) => Err(format!("{other:?}")),
-            ProposalOutcome::Denied(why) => Err(format!("refused: {why}")),
-            ProposalOutcome::Unanswered => Err("the control machines fell silent".into()),
+            ProposalOutcome::Decided(other) => Err(ProposalError::NotCommitted(other)),
+            ProposalOutcome::Denied(reason) => Err(ProposalError::Denied { reason }),
+            ProposalOutcome::Unanswered => Err(ProposalError::Unanswered),
         };
         (at, outcome)
     }
--- a/crates/scale-test/src/fleet/changes.rs
+++ b/crates/scale-test/src/fleet/changes.rs
@@ -1,6 +1,7 @@
 //! What a fleet has of changes: authors who propose some, control machines that come and go, what is in force.
 
 use super::{Fleet, StopReason};
+use crate::applied_state::AppliedState;
 use crate::control::{self, AUTHORS, Author, Machine};
 use crate::gateway_config;
 use crate::machine_load;
@@ -44,13 +45,13 @@
     }
 
     /// Number and digest of what is in force at each gateway that runs; none for one that does not say.
-    pub fn states(&mut self) -> Result<BTreeMap<usize, Option<(u64, u64)>>, StopReason> {
+    pub fn states(&mut self) -> Result<BTreeMap<usize, Option<AppliedState>>, StopReason> {
         self.read_now()?;
         let failed = |e: io::Error| StopReason::Failed(format!("gateways can't be asked: {e}"));
         let mut states = BTreeMap::new();
         for gateway in (self.plan.real_gateways..self.plan.gateways).filter(|g| self.book.is_running(*g)) {
             let changes = self.readings.get(&gateway).and_then(|r| r.changes);
-            states.insert(gateway, changes.map(|c| (c.number, c.digest)));
+            states.insert(gateway, changes.map(|c| AppliedState { number: c.number, digest: c.digest }));
         }
         let (who, at): (Vec<usize>, Vec<SocketAddr>) =
             self.reals.iter().filter_map(|(g, r)| Some((*g, r.feed?))).unzip();
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -5,6 +5,7 @@
 //! [`plan`] reads what is asked for, [`run`] plays it, [`report`] says what it came to. [`host`] is the
 //! process that hollow gateways share, [`relay`] the links between all.
 
+pub mod applied_state;
 pub mod budgets;
 pub mod change_propagation;
 pub mod children;
@@ -14,6 +15,7 @@
 pub mod machine_load;
 pub mod membership_tracker;
 pub mod plan;
+pub mod proposal;
 pub mod relay;
 pub mod report;
 pub mod run;
--- a/crates/scale-test/src/membership_tracker.rs
+++ b/crates/scale-test/src/membership_tracker.rs
@@ -1,220 +1,265 @@
-//! Who runs, and who believes it of whom: told of beginnings, ends and what gateways say, it knows whether
-//! all believe what is so, and how long each took to learn it. Free of I/O; times are seconds on one clock.
+//! Which gateways run, and which of them each gateway takes for alive. It is notified of starts, stops and of what
+//! gateways report of each other, and measures how long each took to learn it. It does no I/O; times are seconds on one
+//! clock.
+
+mod pair_matrix;
 
 use crate::distribution::ConvergenceSamples;
+use pair_matrix::{Pair, PairMatrix};
 use serde::{Deserialize, Serialize};
 
-/// What a gateway says of another.
+/// What a gateway reports of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReportedState {
+    /// It joined, or returned.
     #[serde(rename = "Here")]
     Alive,
-    /// Under suspicion: there, also where it had counted as gone before.
+    /// It is suspected: it is there, even where it was dead before.
     #[serde(rename = "Doubted")]
     Suspected,
-    /// Dead, or that it left.
+    /// It is dead, or left.
     #[serde(rename = "Gone")]
     Dead,
 }
 
-/// How long things took to be known, and what was said wrongly.
+/// How long changes of the membership took to be known, and what was reported wrongly.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConvergenceTimes {
+    /// That a gateway stopped.
     pub death: ConvergenceSamples,
+    /// That a gateway started.
     pub join: ConvergenceSamples,
-    /// That those are there after all who had been taken for gone behind a cut.
+    /// After a partition, that gateways that were taken for dead are alive.
     pub healing: ConvergenceSamples,
-    /// Times that one was said to be gone which ran and could be heard.
+    /// Reports that a gateway is dead which ran and was not partitioned from the observer.
     pub false_deaths: usize,
 }
 
-/// Nothing is waited for.
-const NONE: f32 = f32::INFINITY;
+/// Whether datagrams between two gateways are cut off.
+type IsPartitioned = Box<dyn Fn(usize, usize) -> bool + Send>;
+
+/// When an observer should have learnt something, in seconds since the tracker began; infinite where there is nothing to
+/// learn. In f32 to keep a full fleet's matrix small.
+type PendingSince = f32;
+
+const NOTHING_PENDING: PendingSince = f32::INFINITY;
+
+const NEVER_REPORTED: f32 = f32::NEG_INFINITY;
 
+/// Compares what gateways report of each other with what is so.
 pub struct MembershipTracker {
     size: usize,
-    /// Since when each runs.
-    began: Vec<Option<f64>>,
-    /// Of each observer and other how many processes of that name it believes in.
-    believes: Vec<u8>,
-    /// Since when each observer should learn a death, a join or a healing of another.
-    death: Vec<f32>,
-    join: Vec<f32>,
-    healing: Vec<f32>,
-    /// When each observer last said that another is there, and that it is gone: what was said may be heard before that it
-    /// was so, as they come by different ways.
-    here: Vec<f32>,
-    gone: Vec<f32>,
-    /// Those that can't hear each other now.
-    apart: Box<dyn Fn(usize, usize) -> bool + Send>,
-    cut: bool,
-    /// The clock's time that counts as 0: sums of seconds stay small enough for f32.
-    zero: f64,
-    learnt: ConvergenceTimes,
+    /// When each gateway's process started, if it runs.
+    started_at: Vec<Option<f64>>,
+    /// How many processes of the subject's name the observer takes for alive.
+    believed_alive: PairMatrix<u8>,
+    pending_death: PairMatrix<PendingSince>,
+    pending_join: PairMatrix<PendingSince>,
+    pending_healing: PairMatrix<PendingSince>,
+    /// When the observer last reported the subject alive, and dead. A report may arrive before the notice of what it is
+    /// about, as they come by different ways.
+    reported_alive_at: PairMatrix<f32>,
+    reported_dead_at: PairMatrix<f32>,
+    /// The partition, while there is one.
+    partition: Option<IsPartitioned>,
+    /// The time on the clock that counts as 0, so that times fit in f32.
+    origin: f64,
+    times: ConvergenceTimes,
 }
 
 impl MembershipTracker {
+    /// A fleet of that size of which no gateway runs.
+    #[must_use]
     pub fn new(size: usize, now: f64) -> Self {
-        let pairs = size * size;
         Self {
             size,
-            began: vec![None; size],
-            believes: vec![0; pairs],
-            death: vec![NONE; pairs],
-            join: vec![NONE; pairs],
-            healing: vec![NONE; pairs],
-            here: vec![f32::NEG_INFINITY; pairs],
-            gone: vec![f32::NEG_INFINITY; pairs],
-            apart: Box::new(|_, _| false),
-            cut: false,
-            zero: now,
-            learnt: ConvergenceTimes::default(),
+            started_at: vec![None; size],
+            believed_alive: PairMatrix::new(size, 0),
+            pending_death: PairMatrix::new(size, NOTHING_PENDING),
+            pending_join: PairMatrix::new(size, NOTHING_PENDING),
+            pending_healing: PairMatrix::new(size, NOTHING_PENDING),
+            reported_alive_at: PairMatrix::new(size, NEVER_REPORTED),
+            reported_dead_at: PairMatrix::new(size, NEVER_REPORTED),
+            partition: None,
+            origin: now,
+            times: ConvergenceTimes::default(),
         }
     }
 
+    /// Whether a gateway runs.
+    #[must_use]
     pub fn is_running(&self, gateway: usize) -> bool {
-        self.began[gateway].is_some()
+        self.started_at[gateway].is_some()
     }
 
+    /// Gateways that run.
+    #[must_use]
     pub fn running_count(&self) -> usize {
-        self.began.iter().flatten().count()
+        self.started_at.iter().flatten().count()
     }
 
-    fn others(&self, gateway: usize) -> impl Iterator<Item = usize> + use<> {
-        let there: Vec<usize> = (0..self.size).filter(|o| *o != gateway && self.is_running(*o)).collect();
-        there.into_iter()
+    /// The gateways that run, but for one.
+    fn running_others(&self, gateway: usize) -> Vec<usize> {
+        (0..self.size).filter(|other| *other != gateway && self.is_running(*other)).collect()
     }
 
-    /// A process of this name began.
+    fn since_origin(&self, at: f64) -> f32 {
+        (at - self.origin) as f32
+    }
+
+    /// A gateway's process started. The others have to learn that it joined, and it has to learn of the others.
     pub fn record_start(&mut self, gateway: usize, at: f64) {
-        let since = (at - self.zero) as f32;
-        for other in self.others(gateway) {
-            let pair = other * self.size + gateway;
-            if self.here[pair] >= since {
-                self.learnt.join.seconds.push(self.here[pair] - since);
+        let since = self.since_origin(at);
+        for other in self.running_others(gateway) {
+            let pair = Pair { observer: other, subject: gateway };
+            let reported = self.reported_alive_at[pair];
+            if reported >= since {
+                self.times.join.seconds.push(reported - since);
             } else {
-                self.join[pair] = since;
+                self.pending_join[pair] = since;
             }
-            self.join[gateway * self.size + other] = since;
+            self.pending_join[pair.reversed()] = since;
         }
-        self.began[gateway] = Some(at);
+        self.started_at[gateway] = Some(at);
     }
 
-    /// It ended. Whoever believed in it has to learn that; what it had to learn itself is nobody's any more.
+    /// A gateway's process stopped. Whoever took it for alive has to learn that; it has nothing to learn any more.
     pub fn record_stop(&mut self, gateway: usize, at: f64) {
-        let since = (at - self.zero) as f32;
-        self.began[gateway] = None;
-        for other in self.others(gateway) {
-            let pair = other * self.size + gateway;
-            (self.join[pair], self.healing[pair]) = (NONE, NONE);
-            if self.gone[pair] >= since {
-                // Heard before, it was taken for wrong.
-                self.learnt.false_deaths = self.learnt.false_deaths.saturating_sub(1);
-                self.learnt.death.seconds.push(self.gone[pair] - since);
-            } else if self.believes[pair] > 0 {
-                self.death[pair] = since;
+        let since = self.since_origin(at);
+        self.started_at[gateway] = None;
+        for other in self.running_others(gateway) {
+            let pair = Pair { observer: other, subject: gateway };
+            self.pending_join[pair] = NOTHING_PENDING;
+            self.pending_healing[pair] = NOTHING_PENDING;
+            let reported = self.reported_dead_at[pair];
+            if reported >= since {
+                // The report arrived before this notice, and was counted as a false one.
+                self.times.false_deaths = self.times.false_deaths.saturating_sub(1);
+                self.times.death.seconds.push(reported - since);
+            } else if self.believed_alive[pair] > 0 {
+                self.pending_death[pair] = since;
             }
         }
-        let row = gateway * self.size..(gateway + 1) * self.size;
-        self.believes[row.clone()].fill(0);
-        for waits in [&mut self.death, &mut self.join, &mut self.healing] {
-            waits[row.clone()].fill(NONE);
+        self.forget_observer(gateway);
+    }
+
+    /// Clears all that a gateway observed and has to learn.
+    fn forget_observer(&mut self, observer: usize) {
+        self.believed_alive.fill_row(observer, 0);
+        for pending in [&mut self.pending_death, &mut self.pending_join, &mut self.pending_healing] {
+            pending.fill_row(observer, NOTHING_PENDING);
         }
-        self.here[row.clone()].fill(f32::NEG_INFINITY);
-        self.gone[row].fill(f32::NEG_INFINITY);
+        self.reported_alive_at.fill_row(observer, NEVER_REPORTED);
+        self.reported_dead_at.fill_row(observer, NEVER_REPORTED);
     }
 
-    /// From now on these do not hear each other.
-    pub fn begin_partition(&mut self, apart: impl Fn(usize, usize) -> bool + Send + 'static) {
-        (self.apart, self.cut) = (Box::new(apart), true);
+    /// From now on no datagrams pass between the pairs of gateways for which this is true.
+    pub fn begin_partition(&mut self, is_partitioned: impl Fn(usize, usize) -> bool + Send + 'static) {
+        self.partition = Some(Box::new(is_partitioned));
     }
 
-    /// They do again: whoever was taken for gone is to be known again.
+    /// The partition is over: gateways that were taken for dead because of it are to be taken for alive again.
     pub fn end_partition(&mut self, at: f64) {
-        let since = (at - self.zero) as f32;
+        let Some(is_partitioned) = self.partition.take() else { return };
+        let since = self.since_origin(at);
         for observer in 0..self.size {
-            for about in 0..self.size {
-                let pair = observer * self.size + about;
-                let both = observer != about && self.is_running(observer) && self.is_running(about);
-                if both && (self.apart)(observer, about) && self.believes[pair] == 0 {
-                    self.healing[pair] = since;
+            for subject in 0..self.size {
+                let pair = Pair { observer, subject };
+                let both_run = observer != subject && self.is_running(observer) && self.is_running(subject);
+                if both_run && is_partitioned(observer, subject) && self.believed_alive[pair] == 0 {
+                    self.pending_healing[pair] = since;
                 }
             }
         }
-        (self.apart, self.cut) = (Box::new(|_, _| false), false);
     }
 
-    /// One gateway says something of another.
-    pub fn record_report(&mut self, observer: usize, about: usize, says: ReportedState, at: f64) {
-        if observer >= self.size || about >= self.size || observer == about {
+    /// A gateway reports something of another. Reports of gateways that are not of this fleet are ignored.
+    pub fn record_report(&mut self, observer: usize, subject: usize, state: ReportedState, at: f64) {
+        if observer >= self.size || subject >= self.size || observer == subject {
             return;
         }
-        // What its former process still said is nobody's word now.
-        if self.began[observer].is_none_or(|began| at < began) {
+        // A report of an earlier process of the observer may arrive late.
+        if self.started_at[observer].is_none_or(|started_at| at < started_at) {
             return;
         }
-        let (at, pair) = ((at - self.zero) as f32, observer * self.size + about);
-        let take = |waits: &mut Vec<f32>, times: &mut ConvergenceSamples| {
-            let since = waits[pair];
-            let learnt = since <= at;
-            if learnt {
-                waits[pair] = NONE;
-                times.seconds.push(at - since);
-            }
-            learnt
-        };
-        match says {
-            ReportedState::Suspected if self.believes[pair] > 0 => {}
-            ReportedState::Alive | ReportedState::Suspected => {
-                self.here[pair] = at;
-                self.believes[pair] = self.believes[pair].saturating_add(1);
-                if !take(&mut self.join, &mut self.learnt.join) {
-                    take(&mut self.healing, &mut self.learnt.healing);
-                }
-            }
-            ReportedState::Dead => {
-                self.gone[pair] = at;
-                self.believes[pair] = self.believes[pair].saturating_sub(1);
-                let meant = take(&mut self.death, &mut self.learnt.death);
-                let heard = self.is_running(about) && !(self.cut && (self.apart)(observer, about));
-                self.learnt.false_deaths += usize::from(!meant && heard && self.believes[pair] == 0);
-            }
+        let pair = Pair { observer, subject };
+        let at = self.since_origin(at);
+        match state {
+            ReportedState::Suspected if self.believed_alive[pair] > 0 => {}
+            ReportedState::Alive | ReportedState::Suspected => self.record_alive(pair, at),
+            ReportedState::Dead => self.record_dead(pair, at),
         }
     }
 
-    /// How many of those that run believe of all others what is so, and of no former process that it is still there.
+    fn record_alive(&mut self, pair: Pair, at: f32) {
+        self.reported_alive_at[pair] = at;
+        self.believed_alive[pair] = self.believed_alive[pair].saturating_add(1);
+        if !learn(&mut self.pending_join[pair], at, &mut self.times.join) {
+            learn(&mut self.pending_healing[pair], at, &mut self.times.healing);
+        }
+    }
+
+    fn record_dead(&mut self, pair: Pair, at: f32) {
+        self.reported_dead_at[pair] = at;
+        self.believed_alive[pair] = self.believed_alive[pair].saturating_sub(1);
+        let was_expected = learn(&mut self.pending_death[pair], at, &mut self.times.death);
+        let is_reachable = self.is_running(pair.subject) && !self.is_partitioned(pair);
+        if !was_expected && is_reachable && self.believed_alive[pair] == 0 {
+            self.times.false_deaths += 1;
+        }
+    }
+
+    fn is_partitioned(&self, pair: Pair) -> bool {
+        self.partition.as_ref().is_some_and(|is_partitioned| is_partitioned(pair.observer, pair.subject))
+    }
+
+    /// How many of the gateways that run have the correct view of all others, and take no earlier process for alive.
+    #[must_use]
     pub fn converged_observers(&self) -> usize {
-        let right = |observer: usize| {
-            (0..self.size).filter(|about| *about != observer).all(|about| {
-                let pair = observer * self.size + about;
-                (self.believes[pair] > 0) == self.is_running(about) && self.death[pair] == NONE
+        let has_correct_view = |observer: usize| {
+            (0..self.size).filter(|subject| *subject != observer).all(|subject| {
+                let pair = Pair { observer, subject };
+                let is_believed = self.believed_alive[pair] > 0;
+                is_believed == self.is_running(subject) && self.pending_death[pair] == NOTHING_PENDING
             })
         };
-        (0..self.size).filter(|o| self.is_running(*o) && right(*o)).count()
+        (0..self.size).filter(|gateway| self.is_running(*gateway) && has_correct_view(*gateway)).count()
     }
 
-    /// Of how many there is nobody who believes otherwise: those that run are believed by all, the others by
-    /// none.
+    /// Of how many gateways that run all others know that they do.
+    #[must_use]
     pub fn agreed_gateways(&self) -> usize {
-        let wrong = |about: usize| {
-            let observers = (0..self.size).filter(|o| *o != about && self.is_running(*o));
-            let mut believed = observers.map(|o| self.believes[o * self.size + about] > 0);
-            believed.any(|b| b != self.is_running(about))
+        let is_known_by_all = |subject: usize| {
+            let observers = (0..self.size).filter(|other| *other != subject && self.is_running(*other));
+            observers.into_iter().all(|observer| self.believed_alive[Pair { observer, subject }] > 0)
         };
-        (0..self.size).filter(|g| self.is_running(*g) && !wrong(*g)).count()
+        (0..self.size).filter(|gateway| self.is_running(*gateway) && is_known_by_all(*gateway)).count()
     }
 
-    /// What was learnt since it was last taken. What is still to be learnt counts as never where a play ends
-    /// with it.
+    /// Ends a play, and gives what was learnt in it. What is still to be learnt counts as never.
     pub fn take_times(&mut self) -> ConvergenceTimes {
-        let mut learnt = std::mem::take(&mut self.learnt);
-        let never = |waits: &mut Vec<f32>, times: &mut ConvergenceSamples| {
-            times.never = waits.iter().filter(|since| **since != NONE).count();
-            waits.fill(NONE);
-        };
-        never(&mut self.death, &mut learnt.death);
-        never(&mut self.join, &mut learnt.join);
-        never(&mut self.healing, &mut learnt.healing);
-        learnt
+        let mut times = std::mem::take(&mut self.times);
+        times.death.never = give_up(&mut self.pending_death);
+        times.join.never = give_up(&mut self.pending_join);
+        times.healing.never = give_up(&mut self.pending_healing);
+        times
+    }
+}
+
+/// An observer reports something: whether that was to be learnt by then, in which case the time that it took is added.
+fn learn(pending: &mut PendingSince, at: f32, samples: &mut ConvergenceSamples) -> bool {
+    let since = *pending;
+    let is_learnt = since <= at;
+    if is_learnt {
+        *pending = NOTHING_PENDING;
+        samples.seconds.push(at - since);
     }
+    is_learnt
+}
+
+/// Forgets what is still to be learnt, and gives how much that was.
+fn give_up(pending: &mut PairMatrix<PendingSince>) -> usize {
+    let count = pending.iter().filter(|since| **since != NOTHING_PENDING).count();
+    pending.fill(NOTHING_PENDING);
+    count
 }
--- /dev/null
+++ b/crates/scale-test/src/report/json.rs
@@ -0,0 +1,194 @@
+//! A report as one JSON object. Its fields are described in `docs/operators/scale.md`.
+
+use super::control_cost::ControlCost;
+use super::figures::distributions_json;
+use super::final_state::FinalState;
+use super::machine_usage::MachineUsage;
+use super::play_result::{Convergence, EndpointUpdateCost, FailureDetection, PlayResult};
+use super::{CallCounts, NamedSummary, Report};
+use crate::change_propagation::ChangeOutcomes;
+use crate::machine_load::SATURATION_THRESHOLD;
+use crate::plan::Component;
+use serde::Serialize;
+use serde_json::{Map, Value, json};
+
+impl Report {
+    /// The report as one JSON object.
+    #[must_use]
+    pub fn json(&self) -> Value {
+        let components: Vec<_> = self.components.iter().copied().map(Component::keyword).collect();
+        let mut report = json!({
+            "plan": self.name,
+            "runs": components,
+            "gateways": self.gateways,
+            "real": self.real_gateways,
+            "seed": self.seed,
+            "seconds": self.seconds,
+            "broken": texts(&self.broken),
+            "not_played": texts(&self.not_played),
+            "plays": self.plays.iter().map(play_json).collect::<Vec<_>>(),
+            "machine": machine_json(&self.machine),
+        });
+        if let Some(cost) = self.control_cost() {
+            insert_measured(&mut report, "control", distributions_json(&cost.distributions()));
+            insert_breakdowns(&mut report, cost);
+        }
+        insert(&mut report, "per_change", self.cost_per_change());
+        insert(&mut report, "state", self.state.as_ref().map(state_json));
+        insert_measured(&mut report, "known", summaries_json(&self.convergence_summaries()));
+        if !self.budgets.is_empty() {
+            report["budgets"] = json!(self.budgets);
+        }
+        insert(&mut report, "calls", self.calls.map(calls_json));
+        report
+    }
+}
+
+/// Texts of bounds and plays.
+fn texts(all: &[impl ToString]) -> Vec<String> {
+    all.iter().map(ToString::to_string).collect()
+}
+
+/// Sets a field where there is a value for it.
+fn insert(object: &mut Value, key: &str, value: Option<impl Serialize>) {
+    if let Some(value) = value {
+        object[key] = json!(value);
+    }
+}
+
+/// Sets a field where anything of it was measured.
+fn insert_measured(object: &mut Value, key: &str, measured: Map<String, Value>) {
+    if !measured.is_empty() {
+        object[key] = Value::Object(measured);
+    }
+}
+
+fn insert_breakdowns(object: &mut Value, cost: &ControlCost) {
+    for breakdown in cost.breakdowns() {
+        insert_measured(object, breakdown.key, distributions_json(&breakdown.distributions));
+    }
+}
+
+fn summaries_json(summaries: &[NamedSummary]) -> Map<String, Value> {
+    let known = |named: &NamedSummary| Some((named.name.to_owned(), json!(named.summary?)));
+    summaries.iter().filter_map(known).collect()
+}
+
+fn play_json(result: &PlayResult) -> Value {
+    let mut play = json!({
+        "label": result.label,
+        "does": result.action.keyword(),
+        "at": result.started_at,
+        "seconds": result.seconds,
+        "false_deaths": result.membership_times.false_deaths,
+    });
+    insert(&mut play, "settled", result.convergence.map(convergence_json));
+    insert(&mut play, "gone_known", result.failure_known.map(failure_json));
+    insert_measured(&mut play, "known", summaries_json(&result.convergence_summaries()));
+    if let Some(cost) = &result.control_cost {
+        play["control"] = Value::Object(distributions_json(&cost.distributions()));
+        play["measured"] = measurement_json(cost);
+        insert_breakdowns(&mut play, cost);
+    }
+    let proposed = result.changes.as_ref().filter(|changes| changes.proposed > 0);
+    insert(&mut play, "changes", proposed.map(changes_json));
+    insert(&mut play, "killed_control", result.killed_control_machine);
+    insert(&mut play, "list", result.endpoint_updates.as_ref().map(endpoint_updates_json));
+    play
+}
+
+impl PlayResult {
+    fn convergence_summaries(&self) -> [NamedSummary; 5] {
+        let times = &self.membership_times;
+        let changes = self.changes.as_ref();
+        [
+            NamedSummary { name: "death", summary: times.death.summary() },
+            NamedSummary { name: "join", summary: times.join.summary() },
+            NamedSummary { name: "healing", summary: times.healing.summary() },
+            NamedSummary {
+                name: "change",
+                summary: changes.and_then(|changes| changes.propagation_times.summary()),
+            },
+            NamedSummary {
+                name: "catch_up",
+                summary: changes.and_then(|changes| changes.catch_up_times.summary()),
+            },
+        ]
+    }
+}
+
+fn convergence_json(Convergence { after, waited, agreed, of }: Convergence) -> Value {
+    match after {
+        Some(after) => json!({"after": after, "believed_by_all": agreed, "of": of}),
+        None => json!({"waited": waited, "believed_by_all": agreed, "of": of}),
+    }
+}
+
+fn failure_json(FailureDetection { detected_by, of }: FailureDetection) -> Value {
+    json!({"by": detected_by, "of": of})
+}
+
+fn measurement_json(cost: &ControlCost) -> Value {
+    let mut measured = json!({
+        "seconds": cost.seconds,
+        "fleet_settled": cost.converged,
+        "unread": cost.unread_gateways,
+    });
+    insert(&mut measured, "busy", cost.utilization);
+    insert(&mut measured, "saturated", cost.utilization.map(|used| used > SATURATION_THRESHOLD));
+    measured
+}
+
+fn changes_json(outcomes: &ChangeOutcomes) -> Value {
+    let mut changes = json!({
+        "proposed": outcomes.proposed,
+        "made": outcomes.committed_count,
+        "unmade": texts(&outcomes.uncommitted),
+        "gateways_without": outcomes.gateways_without,
+    });
+    insert(&mut changes, "committed", outcomes.commit_times.summary());
+    changes
+}
+
+fn endpoint_updates_json(updates: &EndpointUpdateCost) -> Value {
+    let mut list = json!({
+        "workers": updates.workers,
+        "editions": updates.revisions,
+        "seconds": updates.seconds,
+        "slowest_gone": updates.slowest_removal,
+        "slowest": updates.slowest_addition,
+    });
+    insert(&mut list, "desk", updates.dispatcher_cpu);
+    list
+}
+
+fn state_json(state: &FinalState) -> Value {
+    json!({
+        "number": state.number,
+        "digest": format!("{:016x}", state.digest),
+        "equal": state.gateways.equal,
+        "gateways": state.gateways.of,
+        "control_equal": state.control_machines.equal,
+        "control": state.control_machines.of,
+    })
+}
+
+fn calls_json(CallCounts { sent, succeeded }: CallCounts) -> Value {
+    json!({"sent": sent, "handled": succeeded})
+}
+
+fn machine_json(usage: &MachineUsage) -> Value {
+    let mut machine = json!({
+        "cores": usage.cores,
+        "own": usage.own_utilization,
+        "saturated": usage.is_saturated(),
+        "memory_gb": usage.memory_gb,
+        "letters_dropped": usage.dropped_datagrams,
+        "letters_crowded": usage.overflowed_datagrams,
+        "letters_lost_by_plan": usage.lost_datagrams,
+    });
+    insert(&mut machine, "busy", usage.utilization);
+    insert(&mut machine, "busy_measuring", usage.utilization_while_measuring);
+    insert(&mut machine, "busy_highest", usage.highest_utilization);
+    machine
+}
--- /dev/null
+++ b/crates/scale-test/src/report/per_change.rs
@@ -0,0 +1,54 @@
+//! What one configuration change costs a gateway.
+
+use super::Report;
+use super::control_cost::{ControlCost, FollowerCost};
+use super::figures::MemberFigures;
+use super::play_result::PlayResult;
+use serde::Serialize;
+
+/// What one configuration change costs the median gateway.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+pub(super) struct CostPerChange {
+    /// Seconds of processor time.
+    cpu: f64,
+    /// Bytes received.
+    bytes_in: f64,
+    /// Bytes sent.
+    bytes_out: f64,
+}
+
+/// A play in which the cost of control was measured.
+struct MeasuredPlay<'a> {
+    cost: &'a ControlCost,
+    committed_changes: usize,
+}
+
+impl<'a> MeasuredPlay<'a> {
+    fn of(play: &'a PlayResult) -> Option<Self> {
+        let committed_changes = play.changes.as_ref().map_or(0, |outcomes| outcomes.committed_count);
+        Some(Self { cost: play.control_cost.as_ref()?, committed_changes })
+    }
+}
+
+impl Report {
+    /// The slope from the last measurement without changes to the last one with some, by the median gateway. None where
+    /// one of the two was not taken.
+    pub(super) fn cost_per_change(&self) -> Option<CostPerChange> {
+        let last = |with_changes: bool| {
+            let mut measured = self.plays.iter().rev().filter_map(MeasuredPlay::of);
+            measured.find(|play| (play.committed_changes > 0) == with_changes)
+        };
+        let (with, without) = (last(true)?, last(false)?);
+        let changes_per_second = with.committed_changes as f64 / with.cost.seconds;
+        let slope = |figures: fn(&FollowerCost) -> &MemberFigures| {
+            let increase =
+                figures(&with.cost.follower).median()? - figures(&without.cost.follower).median()?;
+            Some(increase / changes_per_second)
+        };
+        Some(CostPerChange {
+            cpu: slope(|cost| &cost.cpu)?,
+            bytes_in: slope(|cost| &cost.bytes_in)?,
+            bytes_out: slope(|cost| &cost.bytes_out)?,
+        })
+    }
+}
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -1,128 +1,154 @@
 //! A report as a table for people.
 
-use super::{ControlCost, Convergence, Report, short};
+use super::control_cost::ControlCost;
+use super::figures::{NamedDistribution, short};
+use super::machine_usage::MachineUsage;
+use super::play_result::{Convergence, FailureDetection, PlayResult};
+use super::{CallCounts, FinalState, NamedSummary, Report};
+use crate::budgets::WorstTotal;
+use crate::change_propagation::ChangeOutcomes;
 use crate::distribution::ConvergenceSummary;
-use crate::emulated_workers::CallCounts;
-use std::fmt;
+use std::fmt::{self, Display, Formatter};
 
-impl fmt::Display for Report {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { name, gateways, real, seed, took, .. } = self;
-        writeln!(f, "{name}: {gateways} gateways, {real} of them real, seed {seed}, {took:.0} s")?;
-        if let Some(cost) = self.cost() {
-            let state = if cost.settled { "settled" } else { "NOT settled" };
-            writeln!(f, "control of one gateway, over {:.0} s, fleet {state}", cost.seconds)?;
-            writeln!(f, "  {:<22} {:>12} {:>12} {:>12}", "", "p50", "p99", "worst")?;
-            for (name, s) in cost.spreads() {
-                let unit = match name {
-                    "cpu" => "cpu, of a core",
-                    "cpu_desk" => "  of it in the desk",
-                    "memory_mb" => "memory, MB",
-                    "bytes_in" => "bytes in a second",
-                    "bytes_out" => "bytes out a second",
-                    "letters_in" => "letters in a second",
-                    _ => "letters out a second",
-                };
-                let (p50, p99, worst) = (short(s.p50), short(s.p99), short(s.worst));
-                writeln!(f, "  {unit:<22} {p50:>12} {p99:>12} {worst:>12}")?;
-            }
-        }
-        for (name, apart) in self.cost().into_iter().flat_map(ControlCost::apart) {
-            let title =
-                if name == "control_machines" { "of one control machine" } else { "of it following changes" };
-            writeln!(f, "{title}")?;
-            for (figure, spread) in apart {
-                let of = |which: &str| short(spread[which].as_f64().unwrap_or(f64::NAN));
-                writeln!(f, "  {figure:<22} {:>12} {:>12} {:>12}", of("p50"), of("p99"), of("worst"))?;
-            }
+impl Display for Report {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let Self { name, gateways, real_gateways, seed, seconds, .. } = self;
+        writeln!(
+            f,
+            "{name}: {gateways} gateways, {real_gateways} of them real, seed {seed}, {seconds:.0} s"
+        )?;
+        if let Some(cost) = self.control_cost() {
+            write_control_cost(f, cost)?;
         }
         writeln!(f, "plays")?;
-        for play in &self.plays {
-            write!(
-                f,
-                "  {:<12} {:<9} from {:>6.1} s, {:>6.1} s",
-                play.label, play.action, play.started_at, play.seconds
-            )?;
-            match play.convergence {
-                Some(Convergence { after: Some(after), of, .. }) => {
-                    write!(f, "; all {of} agree after {after:.1} s")?;
-                }
-                Some(Convergence { waited, agreed, of, .. }) => {
-                    write!(f, "; NEVER SETTLED, {agreed} of {of} believed by all after {waited:.1} s")?;
-                }
-                None => {}
-            }
-            if let Some((knew, of)) = play.failure_known {
-                write!(f, "; {knew} of {of} knew who was gone")?;
-            }
-            if let Some(made) = play.changes.as_ref().filter(|m| m.proposed > 0) {
-                write!(f, "; {} of {} changes made", made.committed_count, made.proposed)?;
-                if let Some(s) = made.propagation_times.summary().and_then(|k| k.distribution) {
-                    write!(f, ", in force after {:.2} s, {:.2} s at the latest", s.p50, s.worst)?;
-                }
-            }
-            if play.membership_times.false_deaths > 0 {
-                write!(f, "; {} times one was wrongly said to be gone", play.membership_times.false_deaths)?;
-            }
-            if let Some(l) = &play.endpoint_updates {
-                let (workers, editions, ms) = (l.workers, l.revisions, 1e3 * l.slowest_addition);
-                write!(f, "; {workers} workers in {editions} editions, the slowest {ms:.1} ms in one desk")?;
-            }
-            writeln!(f)?;
-        }
-        for (what, known) in self.convergence_summaries() {
-            let Some(ConvergenceSummary { distribution, learnt, never }) = known else { continue };
-            let times = distribution.map_or_else(String::new, |s| {
-                format!("p50 {:.2} s, p99 {:.2} s, worst {:.2} s; ", s.p50, s.p99, s.worst)
-            });
-            writeln!(f, "{what} known: {times}{learnt} learnt it, {never} never")?;
-        }
+        self.plays.iter().try_for_each(|play| write_play(f, play))?;
+        self.convergence_summaries().iter().try_for_each(|named| write_summary(f, named))?;
         if let Some(state) = &self.state {
-            let ((equal, of), (agree, machines)) = (state.gateways, state.control);
-            writeln!(
-                f,
-                "in force: number {}, digest {:016x}, at {equal} of {of} gateways and {agree} of {machines} control machines",
-                state.number, state.digest
-            )?;
-        }
-        for (name, w) in &self.budgets {
-            let (sum, bound, (least, most)) = (short(w.sum), short(w.bound), w.gateways);
-            let seconds = w.seconds;
-            writeln!(
-                f,
-                "budget {name}: {sum} of {bound} at worst, in {seconds} seconds of {least} to {most} gateways"
-            )?;
+            write_state(f, state)?;
         }
+        self.budgets.iter().try_for_each(|(name, worst)| write_budget(f, name, worst))?;
         if let Some(CallCounts { sent, succeeded }) = self.calls {
             writeln!(f, "calls to real gateways: {sent}, handled {succeeded}")?;
         }
-        let m = &self.machine;
-        let busy = m.utilization.map_or("unknown".into(), |b| format!("{:.0}%", 100.0 * b));
-        let (own, memory) = (100.0 * m.own_utilization, m.memory_gb);
-        writeln!(f, "machine: {busy} of {} cores in use, {own:.0}% by this run; {memory:.1} GB", m.cores)?;
-        if m.is_saturated() {
-            let measuring = m
-                .utilization_while_measuring
-                .map_or(String::new(), |b| format!(" ({:.0}% while control was measured)", 100.0 * b));
-            writeln!(
-                f,
-                "THE MACHINE WAS SATURATED{measuring}: what is late may be so for want of processors, \
-                 and cpu is what there was of them, not what was wanted"
-            )?;
-        }
-        if m.dropped_datagrams + m.overflowed_datagrams > 0 {
-            writeln!(
-                f,
-                "letters dropped for want of room: {} by the system, {} by the relay",
-                m.dropped_datagrams, m.overflowed_datagrams
-            )?;
+        write_machine(f, &self.machine)?;
+        self.not_played.iter().try_for_each(|not_played| writeln!(f, "not played: {not_played}"))?;
+        if self.broken.is_empty() {
+            return writeln!(f, "bounds: all kept");
         }
-        for unplayed in &self.unplayed {
-            writeln!(f, "not played: {unplayed}")?;
+        self.broken.iter().try_for_each(|broken| writeln!(f, "BROKEN {broken}"))
+    }
+}
+
+fn write_control_cost(f: &mut Formatter<'_>, cost: &ControlCost) -> fmt::Result {
+    let state = if cost.converged { "settled" } else { "NOT settled" };
+    writeln!(f, "control of one gateway, over {:.0} s, fleet {state}", cost.seconds)?;
+    write_row(f, "", ["p50", "p99", "worst"])?;
+    write_distributions(f, &cost.distributions())?;
+    for breakdown in cost.breakdowns() {
+        writeln!(f, "{}", breakdown.title)?;
+        write_distributions(f, &breakdown.distributions)?;
+    }
+    Ok(())
+}
+
+fn write_distributions(f: &mut Formatter<'_>, rows: &[NamedDistribution]) -> fmt::Result {
+    rows.iter().try_for_each(|NamedDistribution { label, distribution, .. }| {
+        write_row(f, label, [distribution.p50, distribution.p99, distribution.worst].map(short))
+    })
+}
+
+/// One row of the table of costs: a label and three figures.
+fn write_row(f: &mut Formatter<'_>, label: &str, cells: [impl Display; 3]) -> fmt::Result {
+    let [p50, p99, worst] = cells;
+    writeln!(f, "  {label:<22} {p50:>12} {p99:>12} {worst:>12}")
+}
+
+/// One line of a play: its times, then what came of it.
+fn write_play(f: &mut Formatter<'_>, play: &PlayResult) -> fmt::Result {
+    let (label, action) = (&play.label, play.action.keyword());
+    write!(f, "  {label:<12} {action:<9} from {:>6.1} s, {:>6.1} s", play.started_at, play.seconds)?;
+    if let Some(convergence) = play.convergence {
+        write_convergence(f, convergence)?;
+    }
+    if let Some(FailureDetection { detected_by, of }) = play.failure_known {
+        write!(f, "; {detected_by} of {of} knew who was gone")?;
+    }
+    if let Some(changes) = play.changes.as_ref().filter(|changes| changes.proposed > 0) {
+        write_changes(f, changes)?;
+    }
+    if play.membership_times.false_deaths > 0 {
+        write!(f, "; {} times one was wrongly said to be gone", play.membership_times.false_deaths)?;
+    }
+    if let Some(updates) = &play.endpoint_updates {
+        let (workers, revisions) = (updates.workers, updates.revisions);
+        let slowest_ms = 1e3 * updates.slowest_addition;
+        write!(f, "; {workers} workers in {revisions} editions, the slowest {slowest_ms:.1} ms in one desk")?;
+    }
+    writeln!(f)
+}
+
+fn write_convergence(f: &mut Formatter<'_>, convergence: Convergence) -> fmt::Result {
+    match convergence {
+        Convergence { after: Some(after), of, .. } => write!(f, "; all {of} agree after {after:.1} s"),
+        Convergence { after: None, waited, agreed, of } => {
+            write!(f, "; NEVER SETTLED, {agreed} of {of} believed by all after {waited:.1} s")
         }
-        match self.broken.len() {
-            0 => writeln!(f, "bounds: all kept"),
-            _ => self.broken.iter().try_for_each(|b| writeln!(f, "BROKEN {b}")),
+    }
+}
+
+fn write_changes(f: &mut Formatter<'_>, changes: &ChangeOutcomes) -> fmt::Result {
+    write!(f, "; {} of {} changes made", changes.committed_count, changes.proposed)?;
+    let propagation = changes.propagation_times.summary().and_then(|summary| summary.distribution);
+    match propagation {
+        Some(seconds) => {
+            write!(f, ", in force after {:.2} s, {:.2} s at the latest", seconds.p50, seconds.worst)
         }
+        None => Ok(()),
+    }
+}
+
+fn write_summary(f: &mut Formatter<'_>, named: &NamedSummary) -> fmt::Result {
+    let Some(ConvergenceSummary { distribution, converged, never }) = named.summary else { return Ok(()) };
+    write!(f, "{} known: ", named.name)?;
+    if let Some(seconds) = distribution {
+        write!(f, "p50 {:.2} s, p99 {:.2} s, worst {:.2} s; ", seconds.p50, seconds.p99, seconds.worst)?;
+    }
+    writeln!(f, "{converged} learnt it, {never} never")
+}
+
+fn write_state(f: &mut Formatter<'_>, state: &FinalState) -> fmt::Result {
+    let FinalState { number, digest, gateways, control_machines, .. } = state;
+    write!(f, "in force: number {number}, digest {digest:016x}, ")?;
+    write!(f, "at {} of {} gateways ", gateways.equal, gateways.of)?;
+    writeln!(f, "and {} of {} control machines", control_machines.equal, control_machines.of)
+}
+
+fn write_budget(f: &mut Formatter<'_>, name: &str, worst: &WorstTotal) -> fmt::Result {
+    let (sum, bound) = (short(worst.sum), short(worst.bound));
+    let (seconds, gateways) = (worst.seconds, worst.gateways);
+    write!(f, "budget {name}: {sum} of {bound} at worst, ")?;
+    writeln!(f, "in {seconds} seconds of {} to {} gateways", gateways.fewest, gateways.most)
+}
+
+fn write_machine(f: &mut Formatter<'_>, usage: &MachineUsage) -> fmt::Result {
+    let percent = |fraction: f64| format!("{:.0}%", 100.0 * fraction);
+    let all = usage.utilization.map_or_else(|| "unknown".to_owned(), percent);
+    let own = percent(usage.own_utilization);
+    write!(f, "machine: {all} of {} cores in use, {own} by this run; ", usage.cores)?;
+    writeln!(f, "{:.1} GB", usage.memory_gb)?;
+    if usage.is_saturated() {
+        let measuring = usage.utilization_while_measuring.map(percent);
+        let measuring = measuring.map(|used| format!(" ({used} while control was measured)"));
+        writeln!(
+            f,
+            "THE MACHINE WAS SATURATED{}: what is late may be so for want of processors, \
+             and cpu is what there was of them, not what was wanted",
+            measuring.unwrap_or_default()
+        )?;
+    }
+    let (dropped, overflowed) = (usage.dropped_datagrams, usage.overflowed_datagrams);
+    if dropped + overflowed > 0 {
+        writeln!(f, "letters dropped for want of room: {dropped} by the system, {overflowed} by the relay")?;
     }
+    Ok(())
 }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -6,9 +6,8 @@
 use crate::fleet::{Fleet, RunFiles, StopReason, folder};
 use crate::host_protocol::Reading;
 use crate::machine_load::{self, CpuTime};
-use crate::membership_tracker::ConvergenceTimes;
 use crate::plan::{Action, Component, Plan, Play, RegionPair};
-use crate::report::{Convergence, FinalState, Findings, PlayResult, Report};
+use crate::report::{Convergence, FailureDetection, FinalState, Findings, PlayResult, Report};
 use milletpath_gateway::hollow_gateway::clock;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -204,8 +203,10 @@
         };
         self.wait(began + away, enough)?;
         if known {
-            played.failure_known =
-                Some((self.fleet.book.converged_observers(), self.fleet.book.running_count()));
+            played.failure_known = Some(FailureDetection {
+                detected_by: self.fleet.book.converged_observers(),
+                of: self.fleet.book.running_count(),
+            });
         }
         self.fleet.begin_control()?;
         self.one_by_one(some, 0.0, |fleet, gateway| fleet.begin(gateway))
@@ -369,21 +370,3 @@
 fn desks(readings: &BTreeMap<usize, Reading>) -> BTreeMap<usize, f64> {
     readings.iter().map(|(g, r)| (*g, r.desk)).collect()
 }
-
-impl PlayResult {
-    fn new(play: &crate::plan::Play, at: f64) -> Self {
-        Self {
-            label: play.label.clone(),
-            action: play.action.kind().keyword(),
-            started_at: at,
-            seconds: 0.0,
-            convergence: None,
-            failure_known: None,
-            membership_times: ConvergenceTimes::default(),
-            control_cost: None,
-            endpoint_updates: None,
-            changes: None,
-            killed_control_machine: None,
-        }
-    }
-}
--- a/crates/scale-test/src/run/changes.rs
+++ b/crates/scale-test/src/run/changes.rs
@@ -1,6 +1,7 @@
 //! Changes in a run: when authors propose them, and what is in force at the end.
 
 use super::Playing;
+use crate::applied_state::AppliedState;
 use crate::control::{AUTHOR_TRIES, LOOK};
 use crate::fleet::StopReason;
 use crate::plan::{Action, Component, Play};
@@ -62,11 +63,13 @@
         }
         let until = clock() + WAIT;
         loop {
-            let gateways = self.fleet.states()?.into_values().collect();
+            let gateways = self.fleet.states()?.into_values().collect::<Vec<_>>();
             let control = self.fleet.control_views()?.into_values();
-            let control = control.map(|v| v.map(|v| (v.number, v.digest))).collect();
-            let state = FinalState::of(gateways, control, self.fleet.changed.latest_committed());
-            let done = state.wrong().is_none() || clock() >= until;
+            let control = control
+                .map(|v| v.map(|v| AppliedState { number: v.number, digest: v.digest }))
+                .collect::<Vec<_>>();
+            let state = FinalState::of(&gateways, &control, self.fleet.changed.latest_committed());
+            let done = state.broken_bound().is_none() || clock() >= until;
             self.state = Some(state);
             if done {
                 return Ok(());
--- a/crates/scale-test/src/run/measuring.rs
+++ b/crates/scale-test/src/run/measuring.rs
@@ -36,8 +36,8 @@
                 _ => None,
             };
             cost.follower.cpu.extend(changes.map(|changes| (*gateway, changes)));
-            cost.cpu.push((*gateway, control + desk + changes.unwrap_or(0.0)));
-            cost.dispatcher_cpu.push((*gateway, desk));
+            cost.cpu.record(*gateway, control + desk + changes.unwrap_or(0.0));
+            cost.dispatcher_cpu.record(*gateway, desk);
         }
         for (gateway, _) in after.lives.iter().filter(|(g, life)| before.lives.get(g) == Some(life)) {
             let used = |now: &BTreeMap<usize, f64>, then: &BTreeMap<usize, f64>| {
@@ -47,7 +47,7 @@
                 (used(&after.control, &before.control), used(&after.changes, &before.changes));
             cost.follower.cpu.extend(changes.map(|changes| (*gateway, changes)));
             if let Some(all) = control.into_iter().chain(changes).reduce(|a, b| a + b) {
-                cost.cpu.push((*gateway, all));
+                cost.cpu.record(*gateway, all);
             }
         }
         let passed: Vec<Rates> =
@@ -57,30 +57,30 @@
         for gateway in running {
             let mut all = passed[gateway];
             if let Some(changes) = self.fleet.lines.feed(gateway).map(|line| passed[line]) {
-                cost.follower.bytes_in.push((gateway, changes.bytes_in));
-                cost.follower.bytes_out.push((gateway, changes.bytes_out));
+                cost.follower.bytes_in.record(gateway, changes.bytes_in);
+                cost.follower.bytes_out.record(gateway, changes.bytes_out);
                 all = all.and(changes);
             }
-            cost.bytes_in.push((gateway, all.bytes_in));
-            cost.bytes_out.push((gateway, all.bytes_out));
-            cost.datagrams_in.push((gateway, all.datagrams_in));
-            cost.datagrams_out.push((gateway, all.datagrams_out));
+            cost.bytes_in.record(gateway, all.bytes_in);
+            cost.bytes_out.record(gateway, all.bytes_out);
+            cost.datagrams_in.record(gateway, all.datagrams_in);
+            cost.datagrams_out.record(gateway, all.datagrams_out);
         }
         for (number, (process, used, memory)) in &after.machines {
             let Some((_, then, _)) = before.machines.get(number).filter(|(p, ..)| p == process) else {
                 continue;
             };
             let rates = passed[self.fleet.lines.machine(*number)];
-            cost.control_machines.cpu.push((*number, (used - then) / took));
+            cost.control_machines.cpu.record(*number, (used - then) / took);
             cost.control_machines.memory_mb.extend(memory.map(|memory| (*number, memory)));
-            cost.control_machines.bytes_in.push((*number, rates.bytes_in));
-            cost.control_machines.bytes_out.push((*number, rates.bytes_out));
+            cost.control_machines.bytes_in.record(*number, rates.bytes_in);
+            cost.control_machines.bytes_out.record(*number, rates.bytes_out);
         }
-        cost.follower.state_bytes = self.fleet.state_bytes();
+        cost.follower.state_bytes = self.fleet.state_bytes().into_iter().collect();
         cost.memory_mb = self.fleet.memory().into_iter().collect();
-        cost.settled = self.fleet.settled();
+        cost.converged = self.fleet.settled();
         if let (Some(then), Some(now)) = (began.1, CpuTime::read()) {
-            cost.busy = Some(now.utilization_since(then));
+            cost.utilization = Some(now.utilization_since(then));
         }
         played.control_cost = Some(cost);
         Ok(())
--- a/crates/scale-test/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! Sums of budgets over gateways: what counts as used together, and when that is more than there is.
 
 use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker};
-use milletpath_scale_test::budgets::BudgetTotals;
+use milletpath_scale_test::budgets::{BudgetTotals, CountRange};
 use milletpath_scale_test::host_protocol::Minimum;
 use std::collections::BTreeMap;
 
@@ -19,7 +19,10 @@
     }
     let worst = sums.finish();
     let quota = &worst["quota all"];
-    assert_eq!((quota.sum, quota.bound, quota.broken, quota.gateways), (6.0, 6.0, 0, (3, 3)));
+    assert_eq!(
+        (quota.sum, quota.bound, quota.broken_seconds, quota.gateways),
+        (6.0, 6.0, 0, CountRange { fewest: 3, most: 3 })
+    );
     assert_eq!((worst["share"].sum, worst["share"].bound), (3.0, 3.0));
 }
 
@@ -34,9 +37,9 @@
     sums.close_seconds(400.0);
     let worst = sums.finish();
     let share = &worst["share"];
-    assert_eq!((share.sum, share.bound, share.broken, share.seconds), (4.5, 3.0, 1, 2));
-    assert_eq!(share.during.as_deref(), Some("apart"));
-    assert_eq!((worst["quota all"].broken, worst["quota all"].during.clone()), (0, None));
+    assert_eq!((share.sum, share.bound, share.broken_seconds, share.seconds), (4.5, 3.0, 1, 2));
+    assert_eq!(share.first_broken_in.as_deref(), Some("apart"));
+    assert_eq!((worst["quota all"].broken_seconds, worst["quota all"].first_broken_in.clone()), (0, None));
 }
 
 #[test]
@@ -45,7 +48,7 @@
     sums.record_minimum(0, &low(10, 2.0, 4.0));
     sums.record_minimum(0, &low(10, 2.0, 4.0));
     let worst = sums.finish();
-    assert_eq!((worst["share"].sum, worst["share"].broken), (2.0, 0));
+    assert_eq!((worst["share"].sum, worst["share"].broken_seconds), (2.0, 0));
 }
 
 #[test]
--- a/crates/scale-test/tests/change_propagation.rs
+++ b/crates/scale-test/tests/change_propagation.rs
@@ -1,7 +1,10 @@
 //! The book of changes: how long each took to be in force where, and who never had it.
 
+use milletpath_config_log::Outcome;
+use milletpath_scale_test::applied_state::AppliedState;
 use milletpath_scale_test::change_propagation::ChangePropagation;
 use milletpath_scale_test::distribution::ConvergenceSamples;
+use milletpath_scale_test::proposal::ProposalError;
 use milletpath_scale_test::report::FinalState;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -100,31 +103,36 @@
     let mut book = three();
     book.expect_proposals(3);
     book.record_outcome(0, 10.0, 10.1, Ok(1));
-    book.record_outcome(1, 10.0, 22.0, Err("Unknown".into()));
+    book.record_outcome(1, 10.0, 22.0, Err(ProposalError::NotCommitted(Outcome::Unknown)));
     assert_eq!(book.open_proposals(), 1);
     let made = book.take_outcomes(30.0);
     assert_eq!((made.proposed, made.committed_count, made.commit_times.never), (3, 1, 2));
-    assert_eq!(made.uncommitted, ["change 1: Unknown", "1 are not answered at the end of the play"]);
+    let uncommitted: Vec<String> = made.uncommitted.iter().map(ToString::to_string).collect();
+    assert_eq!(uncommitted, ["change 1: Unknown", "1 are not answered at the end of the play"]);
     assert_eq!(book.open_proposals(), 0);
 }
 
-const SAME: Option<(u64, u64)> = Some((5, 77));
+const fn state(number: u64, digest: u64) -> Option<AppliedState> {
+    Some(AppliedState { number, digest })
+}
+
+const SAME: Option<AppliedState> = state(5, 77);
 
 #[test_case([SAME, SAME, SAME], [SAME, SAME], 5, None; "all are alike")]
-#[test_case([SAME, Some((5, 78)), SAME], [SAME, SAME], 5,
+#[test_case([SAME, state(5, 78), SAME], [SAME, SAME], 5,
     Some("2 of 3 gateways and 2 of 2 control machines are at number 5 with digest 000000000000004d");
     "another digest at one gateway")]
 #[test_case([SAME, SAME, None], [SAME, SAME], 5, Some("2 of 3 gateways"); "one does not say")]
-#[test_case([SAME, SAME, SAME], [SAME, Some((6, 1))], 5, Some("1 of 2 control machines");
+#[test_case([SAME, SAME, SAME], [SAME, state(6, 1)], 5, Some("1 of 2 control machines");
     "a control machine is further on")]
 #[test_case([SAME, SAME, SAME], [SAME, SAME], 6, Some("all are at number 5, and 6 was made"); "one is lost")]
 fn a_state_that_is_not_the_same_everywhere_is_wrong(
-    gateways: [Option<(u64, u64)>; 3],
-    control: [Option<(u64, u64)>; 2],
+    gateways: [Option<AppliedState>; 3],
+    control: [Option<AppliedState>; 2],
     latest: u64,
     wanted: Option<&str>,
 ) {
-    let wrong = FinalState::of(gateways.into(), control.into(), latest).wrong();
+    let wrong = FinalState::of(&gateways, &control, latest).broken_bound().map(|broken| broken.to_string());
     match (wrong, wanted) {
         (None, None) => {}
         (Some(wrong), Some(wanted)) => assert!(wrong.contains(wanted), "{wrong}"),
--- a/crates/scale-test/tests/machine_load.rs
+++ b/crates/scale-test/tests/machine_load.rs
@@ -10,7 +10,7 @@
 fn cores_are_in_use_when_they_neither_idle_nor_wait() {
     let then = CpuTime::parse("cpu  100 0 100 700 100 0 0 0 0 0\ncpu0 1 1 1 1\n").expect("read");
     let now = CpuTime::parse("cpu  250 0 150 800 100 0 0 0 50 0\n").expect("read");
-    assert_eq!((then.busy, then.all), (2.0, 10.0));
+    assert_eq!((then.busy_seconds, then.total_seconds), (2.0, 10.0));
     assert!((now.utilization_since(then) - 200.0 / 300.0).abs() < 1e-9);
     assert_eq!(CpuTime::parse("intr 1 2 3"), None);
 }
@@ -34,7 +34,7 @@
 fn what_nobody_had_to_learn_is_not_told() {
     assert_eq!(ConvergenceSamples::default().summary(), None);
     let known = ConvergenceSamples { seconds: Vec::new(), never: 2 }.summary().expect("told");
-    assert_eq!((known.distribution, known.learnt, known.never), (None, 0, 2));
+    assert_eq!((known.distribution, known.converged, known.never), (None, 0, 2));
 }
 
 #[test_case("a gateway joined", "gateway-7", Some((7, ReportedState::Alive)))]
--- a/crates/scale-test/tests/output_fixtures.rs
+++ b/crates/scale-test/tests/output_fixtures.rs
@@ -2,14 +2,17 @@
 //! from fixed findings, and the figures that the plans of the repository are read to. The files in `fixtures/` were
 //! written from the text as it landed in December 2026; `UPDATE_FIXTURES=1` writes them anew.
 
-use milletpath_scale_test::budgets::WorstTotal;
-use milletpath_scale_test::change_propagation::ChangeOutcomes;
+use milletpath_config_log::Outcome;
+use milletpath_scale_test::budgets::{CountRange, WorstTotal};
+use milletpath_scale_test::change_propagation::{ChangeOutcomes, Uncommitted};
 use milletpath_scale_test::distribution::{ConvergenceSamples, Distribution};
 use milletpath_scale_test::membership_tracker::ConvergenceTimes;
 use milletpath_scale_test::plan::{Action, Component, Plan, Play, RegionPair, read};
+use milletpath_scale_test::proposal::ProposalError;
 use milletpath_scale_test::report::{
-    CallCounts, ControlCost, ControlMachineCost, Convergence, EndpointUpdateCost, FinalState, Findings,
-    FollowerCost, MachineUsage, PlayResult, Report, StopReason,
+    Agreement, CallCounts, ControlCost, ControlMachineCost, Convergence, EndpointUpdateCost,
+    FailureDetection, FinalState, Findings, FollowerCost, MachineUsage, MemberFigures, PlayResult, Report,
+    StopReason,
 };
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -87,24 +90,12 @@
 }
 
 /// A figure of each gateway from 0 on.
-fn of_gateways(figures: &[f64]) -> Vec<(usize, f64)> {
+fn of_gateways(figures: &[f64]) -> MemberFigures {
     figures.iter().copied().enumerate().collect()
 }
 
-fn result_of(play: &Play, at: f64, took: f64) -> PlayResult {
-    PlayResult {
-        label: play.label.clone(),
-        action: play.action.kind().keyword(),
-        started_at: at,
-        seconds: took,
-        convergence: None,
-        failure_known: None,
-        membership_times: ConvergenceTimes::default(),
-        control_cost: None,
-        endpoint_updates: None,
-        changes: None,
-        killed_control_machine: None,
-    }
+fn result_of(play: &Play, started_at: f64, seconds: f64) -> PlayResult {
+    PlayResult { seconds, ..PlayResult::new(play, started_at) }
 }
 
 /// A cost of control of three gateways and two control machines, larger by a factor.
@@ -112,8 +103,8 @@
     let figures = |values: [f64; 3]| of_gateways(&values.map(|value| factor * value));
     ControlCost {
         seconds: 14.75,
-        settled: factor < 2.0,
-        busy: Some(0.46 * factor),
+        converged: factor < 2.0,
+        utilization: Some(0.46 * factor),
         unread_gateways: 1,
         cpu: figures([0.004, 0.0062, 0.005_123_4]),
         dispatcher_cpu: figures([0.001, 0.002, 0.0015]),
@@ -137,8 +128,10 @@
     }
 }
 
-fn worst(sum: f64, bound: f64, broken: u64, during: Option<&str>) -> WorstTotal {
-    WorstTotal { sum, bound, seconds: 77, gateways: (3, 12), broken, during: during.map(str::to_owned) }
+fn worst(sum: f64, bound: f64, broken_seconds: u64, first_broken_in: Option<&str>) -> WorstTotal {
+    let gateways = CountRange { fewest: 3, most: 12 };
+    let first_broken_in = first_broken_in.map(str::to_owned);
+    WorstTotal { sum, bound, seconds: 77, gateways, broken_seconds, first_broken_in }
 }
 
 /// Results of all plays of the limited plan, with every figure that a play can have in one of them.
@@ -153,7 +146,10 @@
     results[2].changes = Some(ChangeOutcomes {
         proposed: 15,
         committed_count: 13,
-        uncommitted: vec!["change 3: superseded by number 9".into(), "change 4: Unknown".into()],
+        uncommitted: vec![
+            Uncommitted::Change { change: 3, error: ProposalError::Superseded { by: 9 } },
+            Uncommitted::Change { change: 4, error: ProposalError::NotCommitted(Outcome::Unknown) },
+        ],
         commit_times: times(&[0.25, 0.5], 2),
         propagation_times: times(&[0.5, 0.625, 1.5, 0.875], 3),
         gateways_without: 2,
@@ -162,7 +158,7 @@
     results[3].convergence = Some(Convergence { after: None, waited: 30.5, agreed: 11, of: 12 });
     results[3].changes =
         Some(ChangeOutcomes { catch_up_times: times(&[0.125, 2.5], 1), ..ChangeOutcomes::default() });
-    results[4].failure_known = Some((9, 10));
+    results[4].failure_known = Some(FailureDetection { detected_by: 9, of: 10 });
     results[4].membership_times = ConvergenceTimes {
         death: times(&[4.5, 3.25], 2),
         join: times(&[1.0], 0),
@@ -190,6 +186,17 @@
     results
 }
 
+/// A state on which all five control machines agree, and some of twelve gateways.
+fn final_state(latest_committed: u64, number: u64, digest: u64, agreeing_gateways: usize) -> FinalState {
+    FinalState {
+        latest_committed,
+        number,
+        digest,
+        gateways: Agreement { equal: agreeing_gateways, of: 12 },
+        control_machines: Agreement { equal: 5, of: 5 },
+    }
+}
+
 fn findings_with_everything(plan: &Plan) -> Findings {
     let budgets = [
         ("quota all".to_owned(), worst(12.5, 10.0, 4, Some("apart"))),
@@ -211,13 +218,7 @@
             lost_datagrams: 1_234,
         },
         calls: Some(CallCounts { sent: 400, succeeded: 399 }),
-        state: Some(FinalState {
-            latest: 33,
-            number: 33,
-            digest: 0xdead_beef,
-            gateways: (11, 12),
-            control: (5, 5),
-        }),
+        state: Some(final_state(33, 33, 0xdead_beef, 11)),
     }
 }
 
@@ -252,8 +253,7 @@
         control_machines: ControlMachineCost::default(),
         ..cost(0.5)
     });
-    findings.state =
-        Some(FinalState { latest: 5, number: 5, digest: 77, gateways: (12, 12), control: (5, 5) });
+    findings.state = Some(final_state(5, 5, 77, 12));
     findings.machine.utilization = Some(0.25);
     let report = Report::new(&plan, findings, None, 20.0);
     assert!(report.broken.is_empty(), "{:?}", report.broken);
@@ -264,8 +264,7 @@
 fn a_report_of_a_state_that_lags_behind() {
     let plan = limited_plan();
     let mut findings = bare_findings(&plan, plan.plays.len());
-    findings.state =
-        Some(FinalState { latest: 6, number: 5, digest: 77, gateways: (12, 12), control: (5, 5) });
+    findings.state = Some(final_state(6, 5, 77, 12));
     assert_report_matches("report-lagging", &Report::new(&plan, findings, None, 20.0));
 }
 
