--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -13,8 +13,8 @@
 mod play_result;
 mod table;
 
-pub use crate::emulated_workers::CallCounts;
-pub use crate::fleet::StopReason;
+pub use crate::client_calls::CallCounts;
+pub use crate::stop_reason::StopReason;
 pub use broken_bound::BrokenBound;
 pub use control_cost::{ControlCost, ControlMachineCost, FollowerCost};
 pub use figures::{MemberFigure, MemberFigures};
--- a/crates/scale-test/src/report/bounds.rs
+++ b/crates/scale-test/src/report/bounds.rs
@@ -26,7 +26,7 @@
         StopReason::MemoryLimit { gigabytes } => {
             BrokenBound::MemoryLimit { gigabytes: *gigabytes, limit_gb: plan.memory_limit_gb }
         }
-        StopReason::Failed(reason) => BrokenBound::ProcessFailed { reason: reason.clone() },
+        StopReason::Failed(reason) => BrokenBound::ProcessFailed { reason: reason.to_string() },
     }
 }
 
