--- a/crates/scale-test/src/fleet/links.rs
+++ b/crates/scale-test/src/fleet/links.rs
@@ -3,7 +3,7 @@
 
 use super::link_index::LinkIndex;
 use crate::host_protocol::AddressMap;
-use crate::plan::Plan;
+use crate::plan::{Plan, RegionPair};
 use crate::relay::{LinkDelays, LinkTraffic, Relay};
 use std::collections::BTreeSet;
 use std::io;
@@ -85,12 +85,12 @@
     }
 
     /// Lets nothing pass between two regions.
-    pub fn cut_regions(&self, regions: (usize, usize)) {
+    pub fn cut_regions(&self, regions: RegionPair) {
         self.relay.set_partitioned(regions, true);
     }
 
     /// Lets datagrams pass between two regions again.
-    pub fn reconnect_regions(&self, regions: (usize, usize)) {
+    pub fn reconnect_regions(&self, regions: RegionPair) {
         self.relay.set_partitioned(regions, false);
     }
 
@@ -113,9 +113,8 @@
 /// Seconds from region to region.
 fn latencies(plan: &Plan) -> Vec<Vec<f64>> {
     let regions = 0..plan.regions.len();
-    let latency =
-        |a: usize, b: usize| if a == b { plan.links.within_region } else { plan.links.between_regions[a][b] };
-    regions.clone().map(|a| regions.clone().map(|b| latency(a, b)).collect()).collect()
+    let from = |from| regions.clone().map(|to| plan.latency_between_regions(from, to)).collect();
+    regions.clone().map(from).collect()
 }
 
 /// Datagrams and bytes that passed each link since the start.
--- a/crates/scale-test/src/fleet/messages.rs
+++ b/crates/scale-test/src/fleet/messages.rs
@@ -73,7 +73,6 @@
                 }
             }
             ChildMessage::ProposalFinished { change, proposed_at, finished_at, outcome } => {
-                let outcome = outcome.map_err(|e| e.to_string());
                 self.trackers.changes.record_outcome(change, proposed_at, finished_at, outcome);
             }
             ChildMessage::GatewayStopped { gateway, at } => return self.gateway_stopped(gateway, at),
--- a/crates/scale-test/src/run/config_changes.rs
+++ b/crates/scale-test/src/run/config_changes.rs
@@ -7,6 +7,7 @@
 use crate::plan::{Action, Component, Play};
 use crate::report::FinalState;
 use crate::stop_reason::StopReason;
+use milletpath_config_log::ReplicaView;
 use milletpath_gateway::hollow_gateway::clock;
 
 /// How long changes may take until all have applied them where a play does not say, in seconds.
@@ -51,7 +52,7 @@
         let until = clock() + FINAL_STATE_TIMEOUT;
         loop {
             let state = query_state(&mut self.fleet)?;
-            let is_final = state.wrong().is_none() || clock() >= until;
+            let is_final = state.broken_bound().is_none() || clock() >= until;
             self.final_state = Some(state);
             if is_final {
                 return Ok(());
@@ -62,9 +63,9 @@
 }
 
 fn query_state(fleet: &mut Fleet) -> Result<FinalState, StopReason> {
-    let pair = |state: AppliedState| (state.number, state.digest);
-    let gateways = fleet.gateway_states()?.into_values().map(|state| state.map(pair)).collect();
+    let gateways: Vec<_> = fleet.gateway_states()?.into_values().collect();
+    let applied = |view: ReplicaView| AppliedState { number: view.number, digest: view.digest };
     let machines = fleet.control_machine_views()?.into_values();
-    let machines = machines.map(|view| view.map(|view| (view.number, view.digest))).collect();
-    Ok(FinalState::of(gateways, machines, fleet.trackers.changes.latest_committed()))
+    let machines: Vec<_> = machines.map(|view| view.map(applied)).collect();
+    Ok(FinalState::of(&gateways, &machines, fleet.trackers.changes.latest_committed()))
 }
--- a/crates/scale-test/src/run/control_cost.rs
+++ b/crates/scale-test/src/run/control_cost.rs
@@ -31,8 +31,8 @@
         let mut cost = Measurement { seconds: after.at - before.at, before, after }.cost(&self.fleet);
         cost.follower.state_bytes = self.fleet.state_file_bytes().into_iter().collect();
         cost.memory_mb = self.fleet.gateway_memory().into_iter().collect();
-        cost.settled = self.fleet.is_settled();
-        cost.busy = cores_before.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
+        cost.converged = self.fleet.is_settled();
+        cost.utilization = cores_before.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
         result.control_cost = Some(cost);
         Ok(())
     }
@@ -92,8 +92,8 @@
                 continue;
             };
             cost.follower.cpu.extend(cpu.follower.map(|follower| (*gateway, follower)));
-            cost.cpu.push((*gateway, cpu.membership + cpu.dispatcher + cpu.follower.unwrap_or(0.0)));
-            cost.dispatcher_cpu.push((*gateway, cpu.dispatcher));
+            cost.cpu.record(*gateway, cpu.membership + cpu.dispatcher + cpu.follower.unwrap_or(0.0));
+            cost.dispatcher_cpu.record(*gateway, cpu.dispatcher);
         }
     }
 
@@ -106,7 +106,7 @@
             let follower = self.rate_of(*gateway, &self.before.follower_cpu, &self.after.follower_cpu);
             cost.follower.cpu.extend(follower.map(|follower| (*gateway, follower)));
             if let Some(total) = membership.into_iter().chain(follower).reduce(|a, b| a + b) {
-                cost.cpu.push((*gateway, total));
+                cost.cpu.record(*gateway, total);
             }
         }
     }
@@ -129,14 +129,14 @@
                 Rates::between(before.membership(gateway), after.membership(gateway), self.seconds);
             if let Some((then, now)) = before.follower(gateway).zip(after.follower(gateway)) {
                 let follower = Rates::between(then, now, self.seconds);
-                cost.follower.bytes_in.push((gateway, follower.bytes_in));
-                cost.follower.bytes_out.push((gateway, follower.bytes_out));
+                cost.follower.bytes_in.record(gateway, follower.bytes_in);
+                cost.follower.bytes_out.record(gateway, follower.bytes_out);
                 total = total.plus(follower);
             }
-            cost.bytes_in.push((gateway, total.bytes_in));
-            cost.bytes_out.push((gateway, total.bytes_out));
-            cost.datagrams_in.push((gateway, total.datagrams_in));
-            cost.datagrams_out.push((gateway, total.datagrams_out));
+            cost.bytes_in.record(gateway, total.bytes_in);
+            cost.bytes_out.record(gateway, total.bytes_out);
+            cost.datagrams_in.record(gateway, total.datagrams_in);
+            cost.datagrams_out.record(gateway, total.datagrams_out);
         }
     }
 
@@ -149,10 +149,10 @@
             let rates =
                 Rates::between(before.control_machine(*number), after.control_machine(*number), self.seconds);
             let machines = &mut cost.control_machines;
-            machines.cpu.push((*number, (now.cpu_seconds - then.cpu_seconds) / self.seconds));
+            machines.cpu.record(*number, (now.cpu_seconds - then.cpu_seconds) / self.seconds);
             machines.memory_mb.extend(now.memory_mb.map(|memory| (*number, memory)));
-            machines.bytes_in.push((*number, rates.bytes_in));
-            machines.bytes_out.push((*number, rates.bytes_out));
+            machines.bytes_in.record(*number, rates.bytes_in);
+            machines.bytes_out.record(*number, rates.bytes_out);
         }
     }
 }
--- a/crates/scale-test/src/run/failures.rs
+++ b/crates/scale-test/src/run/failures.rs
@@ -3,8 +3,8 @@
 use super::player::Player;
 use crate::control::LOOKUP_SECONDS;
 use crate::fleet::Fleet;
-use crate::plan::{Component, Play};
-use crate::report::PlayResult;
+use crate::plan::{Component, Play, RegionPair};
+use crate::report::{FailureDetection, PlayResult};
 use crate::stop_reason::{ProcessFailure, StopReason};
 use milletpath_gateway::hollow_gateway::clock;
 
@@ -62,7 +62,10 @@
         })?;
         if has_membership {
             let membership = &self.fleet.trackers.membership;
-            result.failure_known = Some((membership.converged_observers(), membership.running_count()));
+            result.failure_known = Some(FailureDetection {
+                detected_by: membership.converged_observers(),
+                of: membership.running_count(),
+            });
         }
         self.fleet.restart_control_machines()?;
         self.for_each(gateways, 0.0, Fleet::start_gateway)
@@ -71,7 +74,7 @@
     /// Cuts two regions from each other for `duration` seconds.
     pub(super) fn partition(
         &mut self,
-        regions: (usize, usize),
+        regions: RegionPair,
         duration: f64,
         play: &Play,
     ) -> Result<(), StopReason> {
@@ -79,10 +82,7 @@
         let region_of: Vec<usize> = (0..plan.gateways).map(|gateway| plan.region_of(gateway)).collect();
         let began = clock();
         self.fleet.links.cut_regions(regions);
-        self.fleet.trackers.membership.begin_partition(move |a, b| {
-            let pair = (region_of[a], region_of[b]);
-            pair == regions || pair == (regions.1, regions.0)
-        });
+        self.fleet.trackers.membership.begin_partition(move |a, b| regions.joins(region_of[a], region_of[b]));
         let outcome = self.propose_changes(play).and_then(|()| self.wait_until(began + duration));
         self.fleet.links.reconnect_regions(regions);
         self.fleet.trackers.membership.end_partition(clock());
--- a/crates/scale-test/src/run/player.rs
+++ b/crates/scale-test/src/run/player.rs
@@ -3,7 +3,6 @@
 use super::progress_line::ProgressLine;
 use crate::client_calls::CallCounts;
 use crate::fleet::Fleet;
-use crate::membership_tracker::ConvergenceTimes;
 use crate::plan::{Action, Component, Play};
 use crate::report::{Convergence, FinalState, Findings, MachineUsage, PlayResult};
 use crate::stop_reason::StopReason;
@@ -63,7 +62,7 @@
     fn play(&mut self, play: &Play) -> Result<(), StopReason> {
         let started_at = clock();
         self.fleet.trackers.budgets.begin_play(started_at, &play.label);
-        let mut result = new_result(play, started_at - self.fleet.started_at());
+        let mut result = PlayResult::new(play, started_at - self.fleet.started_at());
         let outcome = self
             .perform(play, &mut result)
             .and_then(|()| self.await_convergence(play, &mut result))
@@ -176,19 +175,3 @@
 fn proposes_from_the_start(action: &Action) -> bool {
     matches!(action, Action::SteadyState { .. } | Action::RollingRestart { .. } | Action::ConfigChanges)
 }
-
-fn new_result(play: &Play, started_at: f64) -> PlayResult {
-    PlayResult {
-        label: play.label.clone(),
-        action: play.action.keyword(),
-        started_at,
-        seconds: 0.0,
-        convergence: None,
-        failure_known: None,
-        membership_times: ConvergenceTimes::default(),
-        control_cost: None,
-        endpoint_updates: None,
-        changes: None,
-        killed_control_machine: None,
-    }
-}
