--- a/crates/scale-test/src/child_message.rs
+++ b/crates/scale-test/src/child_message.rs
@@ -25,7 +25,7 @@
         subject: usize,
         /// What the gateway takes the subject for from then on.
         state: ReportedState,
-        /// When its log said so.
+        /// When its log reported it.
         at: f64,
     },
     /// A real gateway applied all configuration changes up to a number.
@@ -36,7 +36,7 @@
         incarnation: u64,
         /// The number in the configuration log.
         number: u64,
-        /// When its log said so.
+        /// When its log reported it.
         at: f64,
     },
     /// A real gateway stopped, as it was asked to.
--- a/crates/scale-test/src/child_process.rs
+++ b/crates/scale-test/src/child_process.rs
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where the signal can't be sent.
+    /// The signal can't be sent.
     pub fn terminate(&self) -> io::Result<()> {
         kill(Pid::from_raw(self.0.id() as i32), Signal::SIGTERM)?;
         Ok(())
@@ -54,7 +54,7 @@
     }
 
     fn kill(&mut self) {
-        // An error says that it has ended and was reaped.
+        // An error means that it has ended and was reaped.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/scale-test/src/children/gateway_process.rs
+++ b/crates/scale-test/src/children/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A real gateway: a process of `milletpath serve`, whose log says what it knows of the others.
+//! A real gateway: a process of `milletpath serve`, whose log reports what it knows of the others.
 
 use super::gateway_log::{applied_number, membership_observation};
 use crate::child_message::ChildMessage;
@@ -40,7 +40,7 @@
 }
 
 impl GatewayProcess {
-    /// Starts a gateway and waits until it reports where it listens. What its log says of other gateways and of
+    /// Starts a gateway and waits until it reports where it listens. What its log reports of other gateways and of
     /// configuration changes goes to `messages`.
     ///
     /// # Errors
--- a/crates/scale-test/src/control/author.rs
+++ b/crates/scale-test/src/control/author.rs
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where it does not know the address.
+    /// The system does not give the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.client.address()
     }
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -234,7 +234,7 @@
         std::mem::replace(&mut self.trackers.budgets, BudgetTotals::new(self.plan.gateways))
     }
 
-    /// Whether all gateways that were told to start or to stop have.
+    /// Whether all gateways that were asked to start or to stop have done so.
     pub fn is_steady(&self) -> bool {
         self.transitions.is_empty()
     }
--- a/crates/scale-test/src/fleet/budget_poller.rs
+++ b/crates/scale-test/src/fleet/budget_poller.rs
@@ -12,7 +12,7 @@
 /// Between two queries: several fall into each second, of which the lowest answer counts.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Starts a thread that queries the gateway with this configuration until `is_there` says that it stopped.
+/// Starts a thread that queries the gateway with this configuration until `is_there` is false.
 pub fn start(
     gateway: usize,
     config: GatewayConfig,
--- a/crates/scale-test/src/fleet/control_machines.rs
+++ b/crates/scale-test/src/fleet/control_machines.rs
@@ -24,7 +24,7 @@
     pub process_id: u32,
     /// Its processor time, in seconds.
     pub cpu_seconds: f64,
-    /// Its resident memory in MB, if the system tells it.
+    /// Its resident memory in MB, if the system reports it.
     pub memory_mb: Option<f64>,
 }
 
@@ -84,7 +84,7 @@
         Ok(running.into_keys().zip(views).collect())
     }
 
-    /// The one that leads: of those that say so, the one with the highest ballot.
+    /// The one that leads: of those that report to lead, the one with the highest ballot.
     pub fn leader(&self, addresses: &AddressMap) -> Result<Option<usize>, ProcessFailure> {
         let views = self.views(addresses)?.into_iter();
         let leading = views.filter_map(|(number, view)| {
--- a/crates/scale-test/src/fleet/hosts.rs
+++ b/crates/scale-test/src/fleet/hosts.rs
@@ -59,12 +59,12 @@
         (gateway - self.first_hollow) % self.processes.len()
     }
 
-    /// Tells a hollow gateway to start.
+    /// Asks the host of a hollow gateway to start it.
     pub fn start_gateway(&self, gateway: usize) {
         self.processes[self.host_of(gateway)].send(HostCommand::StartGateway { gateway });
     }
 
-    /// Tells hollow gateways to stop, each host all of its own at once.
+    /// Asks the hosts of hollow gateways to stop them, each host all of its own at once.
     pub fn stop_gateways(&self, gateways: &[usize], killed: bool) {
         for (host, gateways) in self.by_host(gateways) {
             self.processes[host].send(HostCommand::StopGateways { gateways, killed });
--- a/crates/scale-test/src/fleet/links.rs
+++ b/crates/scale-test/src/fleet/links.rs
@@ -24,7 +24,7 @@
 pub struct LostDatagrams {
     /// Dropped by the relay, as its queues were full.
     pub crowded: u64,
-    /// Lost as the plan says: at random, or between regions that are cut from each other.
+    /// Lost by the plan: at random, or between regions that are cut from each other.
     pub by_plan: u64,
 }
 
--- a/crates/scale-test/src/fleet/transitions.rs
+++ b/crates/scale-test/src/fleet/transitions.rs
@@ -1,4 +1,4 @@
-//! Gateways that were told to start or to stop and have not reported that they did.
+//! Gateways that were asked to start or to stop and have not reported that they did.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,12 @@
 }
 
 impl Transitions {
-    /// A gateway is told to start or to stop.
+    /// A gateway is asked to start or to stop.
     pub fn begin(&mut self, gateway: usize) {
         self.pending.insert(gateway);
     }
 
-    /// A gateway is told to stop, and is to start again then.
+    /// A gateway is asked to stop, and is to start again then.
     pub fn begin_restart(&mut self, gateway: usize) {
         self.pending.insert(gateway);
         self.to_restart.insert(gateway);
--- a/crates/scale-test/src/gateway_config.rs
+++ b/crates/scale-test/src/gateway_config.rs
@@ -148,7 +148,7 @@
 ///
 /// # Errors
 ///
-/// What the system says where a file can't be written.
+/// A file can't be written.
 pub fn write_keys(addresses: &AddressMap, seed: u64) -> io::Result<()> {
     let secret = format!("the secret of a scale run on loopback, with the seed {seed}");
     std::fs::write(peers_key(addresses), &secret)?;
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -58,7 +58,7 @@
     while !state.stopping.load(Ordering::Acquire) {
         std::thread::sleep(TICK_INTERVAL);
         lock(&state.gateways).values().for_each(HollowGateway::tick);
-        // An error says that the run is gone; the input ends then too.
+        // An error means that the run is gone; the input ends then too.
         let _ = state.output.lock().write_observations();
     }
 }
--- a/crates/scale-test/src/host_protocol.rs
+++ b/crates/scale-test/src/host_protocol.rs
@@ -87,7 +87,7 @@
         /// The address of its configuration follower, if it has one.
         #[serde(rename = "feed")]
         config_log_address: Option<SocketAddr>,
-        /// When it was told to start.
+        /// When it was asked to start.
         at: f64,
     },
     /// A gateway could not start, or its control thread ended by itself.
@@ -99,12 +99,12 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A gateway stopped, as it was told to.
+    /// A gateway stopped, as it was asked to.
     #[serde(rename = "Ended")]
     GatewayStopped {
         /// Its number.
         gateway: usize,
-        /// When it was told to stop.
+        /// When it was asked to stop.
         at: f64,
     },
     /// What gateways observed of each other, in order.
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,8 +1,8 @@
 //! The scale test: hollow gateways, which run the real control code in many threads of a few processes, beside some real
-//! `milletpath serve` processes that can't tell them apart; regions and zones with delays between them; plays in order;
+//! `milletpath serve` processes that can't distinguish them; regions and zones with delays between them; plays in order;
 //! and a report of what was measured at the sockets and by the threads' own clocks.
 //!
-//! [`plan`] reads what is to be played, [`run`] plays it, [`report`] says what came of it. [`host`] is the process that
+//! [`plan`] reads what is to be played, [`run`] plays it, [`report`] is the result. [`host`] is the process that
 //! hollow gateways share, [`relay`] passes the datagrams between all.
 
 pub mod applied_state;
--- a/crates/scale-test/src/proposal.rs
+++ b/crates/scale-test/src/proposal.rs
@@ -29,7 +29,7 @@
     /// The control machines' configuration does not allow it.
     #[error("refused: {reason}")]
     Denied {
-        /// What they say.
+        /// The reason that they give.
         reason: String,
     },
     /// No control machine answered the proposal. It may still be committed.
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -52,7 +52,7 @@
     Fleet(#[from] StartFleetError),
 }
 
-/// Plays a plan. A run that ends early, or breaks a bound, gives a report that says so; its files are kept then.
+/// Plays a plan. A run that ends early, or breaks a bound, gives a report of that; its files are kept then.
 ///
 /// # Errors
 ///
--- a/crates/scale-test/src/run/config_changes.rs
+++ b/crates/scale-test/src/run/config_changes.rs
@@ -10,7 +10,7 @@
 use milletpath_config_log::ReplicaView;
 use milletpath_gateway::hollow_gateway::clock;
 
-/// How long changes may take until all have applied them where a play does not say, in seconds.
+/// How long changes may take until all have applied them where a play states no time, in seconds.
 const DEFAULT_APPLY_TIMEOUT: f64 = 10.0;
 
 /// How long gateways that started lately may take to catch up at the end of a run, in seconds.
--- a/crates/scale-test/src/run/player.rs
+++ b/crates/scale-test/src/run/player.rs
@@ -15,7 +15,7 @@
 /// How often it is checked whether what is waited for is so, in seconds.
 const CHECK_INTERVAL: f64 = 0.2;
 
-/// How often it is checked whether all processes have carried out what they were told, in seconds.
+/// How often it is checked whether all processes have carried out their commands, in seconds.
 const COMPLETION_CHECK: f64 = 0.05;
 
 /// A run in progress.
--- a/crates/scale-test/src/run_files.rs
+++ b/crates/scale-test/src/run_files.rs
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where the folder can't be created.
+    /// The folder can't be created.
     pub fn create(program: PathBuf) -> io::Result<Self> {
         let folder = std::env::temp_dir().join(format!("milletpath-scale-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where the file can't be created.
+    /// The file can't be created.
     pub fn create_host_log(&self, host: usize) -> io::Result<File> {
         File::create(self.folder.join(format!("host-{host}.log")))
     }
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where the file can't be opened.
+    /// The file can't be opened.
     pub fn open_control_log(&self, machine: usize) -> io::Result<File> {
         let path = self.folder.join(format!("control-{machine}.told"));
         File::options().create(true).append(true).open(path)
--- a/crates/scale-test/src/stop_reason.rs
+++ b/crates/scale-test/src/stop_reason.rs
@@ -41,7 +41,7 @@
     StopGateway {
         /// Its number.
         gateway: usize,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// A hollow gateway could not start, or ended by itself.
