--- a/crates/scale-test/src/budgets.rs
+++ b/crates/scale-test/src/budgets.rs
@@ -129,7 +129,7 @@
             total.sum += allowed;
             total.bound = total.bound.max(quota * self.max_gateways);
         };
-        minimum.budgets.iter().for_each(|(budget, (quota, allowed))| add(budget, *quota, *allowed));
+        minimum.budgets.iter().for_each(|(budget, level)| add(budget, level.quota, level.allowed));
         add(SHARE, 1.0, minimum.fraction);
     }
 
--- a/crates/scale-test/src/host_protocol.rs
+++ b/crates/scale-test/src/host_protocol.rs
@@ -228,8 +228,36 @@
     /// Its fraction of what all gateways share by their number alone.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// By the name of a budget: its quota by the number of gateways alone, and what it was allowed with leases.
-    pub budgets: BTreeMap<String, (f64, f64)>,
+    /// What it was allowed of each budget, by the budget's name.
+    pub budgets: BTreeMap<String, BudgetLevel>,
+}
+
+/// What a gateway may use of one budget.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct BudgetLevel {
+    /// Its part by the number of gateways alone.
+    pub quota: f64,
+    /// What it is allowed with the leases that it granted and holds.
+    pub allowed: f64,
+}
+
+impl From<(f64, f64)> for BudgetLevel {
+    fn from((quota, allowed): (f64, f64)) -> Self {
+        Self { quota, allowed }
+    }
+}
+
+impl From<BudgetLevel> for (f64, f64) {
+    fn from(level: BudgetLevel) -> Self {
+        (level.quota, level.allowed)
+    }
+}
+
+impl From<hollow_gateway::BudgetLevel> for BudgetLevel {
+    fn from(level: hollow_gateway::BudgetLevel) -> Self {
+        Self { quota: level.quota, allowed: level.allowed }
+    }
 }
 
 impl From<hollow_gateway::SecondMinimum> for Minimum {
@@ -238,7 +266,7 @@
         Self {
             second: minimum.second,
             fraction: minimum.fraction,
-            budgets: budgets.map(|(name, level)| (name, (level.quota, level.allowed))).collect(),
+            budgets: budgets.map(|(name, level)| (name, level.into())).collect(),
         }
     }
 }
--- a/crates/scale-test/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -2,11 +2,12 @@
 
 use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker};
 use milletpath_scale_test::budgets::{BudgetTotals, CountRange};
-use milletpath_scale_test::host_protocol::Minimum;
+use milletpath_scale_test::host_protocol::{self, Minimum};
 use std::collections::BTreeMap;
 
 fn low(second: u64, fraction: f64, allowed: f64) -> Minimum {
-    Minimum { second, fraction, budgets: BTreeMap::from([("quota all".to_owned(), (2.0, allowed))]) }
+    let level = host_protocol::BudgetLevel { quota: 2.0, allowed };
+    Minimum { second, fraction, budgets: BTreeMap::from([("quota all".to_owned(), level)]) }
 }
 
 #[test]
--- a/crates/scale-test/tests/host_protocol.rs
+++ b/crates/scale-test/tests/host_protocol.rs
@@ -2,8 +2,8 @@
 //! of the earlier ones.
 
 use milletpath_scale_test::host_protocol::{
-    AddressMap, AppliedChange, ConfigLogReading, GatewayReading, HostCommand, MembershipObservation, Minimum,
-    StatusMessage,
+    AddressMap, AppliedChange, BudgetLevel, ConfigLogReading, GatewayReading, HostCommand,
+    MembershipObservation, Minimum, StatusMessage,
 };
 use milletpath_scale_test::membership_tracker::ReportedState;
 use serde::Serialize;
@@ -95,7 +95,7 @@
     let minimum = Minimum {
         second: 4,
         fraction: 0.25,
-        budgets: BTreeMap::from([("quota all".to_owned(), (0.25, 15.0))]),
+        budgets: BTreeMap::from([("quota all".to_owned(), BudgetLevel { quota: 0.25, allowed: 15.0 })]),
     };
     let follower = ConfigLogReading { at: 3.5, cpu_seconds: 0.125, number: 12, digest: 99 };
     let reading = GatewayReading {
