--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans as people write them: what a sound one says, and what is told of one that is not.
+//! Plans as people write them: what a valid one is read to, and which errors an invalid one gives.
 
 use milletpath_scale_test::plan::{Action, Component, Plan, RegionPair, read};
 use proptest::prelude::*;
@@ -25,53 +25,56 @@
 play "begin" { does = "start" }
 "#;
 
-/// What is told of the small plan with one line written otherwise.
-fn told(line: &str, instead: &str) -> Vec<String> {
+/// The errors of the small plan with one line replaced.
+fn errors(line: &str, replacement: &str) -> Vec<String> {
     assert!(SMALL.contains(line), "{line}");
-    let text = SMALL.replace(line, instead);
-    read(&text, None).expect_err("a mistake").iter().map(ToString::to_string).collect()
+    let text = SMALL.replace(line, replacement);
+    read(&text, None).expect_err("an error").iter().map(ToString::to_string).collect()
 }
 
-fn sound(text: &str, gateways: Option<usize>) -> Plan {
-    read(text, gateways).unwrap_or_else(|mistakes| panic!("{mistakes:?}"))
+fn valid(text: &str, gateways: Option<usize>) -> Plan {
+    read(text, gateways).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
 #[test_case("size.hcl", 1100, 4, 10)]
 #[test_case("size-small.hcl", 60, 3, 6)]
-fn the_plans_that_come_along_are_sound(name: &str, gateways: usize, regions: usize, zones: usize) {
-    let plan = sound(&file(name), None);
+fn the_plans_of_the_repository_are_valid(name: &str, gateways: usize, regions: usize, zones: usize) {
+    let plan = valid(&file(name), None);
     assert_eq!((plan.gateways, plan.regions.len(), plan.zones.len()), (gateways, regions, zones));
     let all = [Component::Membership, Component::Budgets, Component::EndpointList, Component::ConfigChanges];
     assert!(all.into_iter().all(|core| plan.runs(core)), "{:?}", plan.components);
-    let words: Vec<_> = plan.plays.iter().map(|p| p.action.kind().keyword()).collect();
-    assert_eq!(words, ["start", "settled", "changes", "restarts", "rack", "zone", "cut", "list", "control"]);
+    let keywords: Vec<_> = plan.plays.iter().map(|p| p.action.kind().keyword()).collect();
+    assert_eq!(
+        keywords,
+        ["start", "settled", "changes", "restarts", "rack", "zone", "cut", "list", "control"]
+    );
 }
 
 #[test]
-fn changes_are_played_at_full_size_by_themselves() {
-    let plan = sound(&file("size-changes.hcl"), None);
+fn changes_alone_are_played_at_full_size() {
+    let plan = valid(&file("size-changes.hcl"), None);
     assert_eq!(
         (plan.gateways, plan.components.clone()),
         (1100, vec![Component::ConfigChanges, Component::EndpointList])
     );
-    let words: Vec<_> = plan.plays.iter().map(|p| (p.action.kind().keyword(), p.changes)).collect();
-    let wanted =
+    let keywords: Vec<_> = plan.plays.iter().map(|p| (p.action.kind().keyword(), p.changes)).collect();
+    let expected =
         [("settled", 0), ("settled", 15), ("changes", 20), ("zone", 20), ("control", 20), ("cut", 20)];
-    assert!(wanted.iter().all(|w| words.contains(w)), "{words:?}");
+    assert!(expected.iter().all(|keyword| keywords.contains(keyword)), "{keywords:?}");
 }
 
 #[test]
-fn control_machines_stand_in_all_regions_and_no_two_in_a_zone_while_there_are_others() {
-    let plan = sound(&file("size-changes.hcl"), None);
+fn control_machines_are_in_all_regions_and_no_two_in_a_zone_while_there_are_others() {
+    let plan = valid(&file("size-changes.hcl"), None);
     let zones: Vec<usize> = (0..plan.control_machines).map(|m| plan.zone_of_control_machine(m)).collect();
     let names: Vec<&str> = zones.iter().map(|z| plan.zones[*z].name.as_str()).collect();
     assert_eq!(names, ["north-1", "south-1", "east-1", "west-1", "north-2", "south-2", "east-2"]);
 }
 
 #[test]
-fn links_take_as_long_as_they_say_both_ways() {
-    let plan = sound(&file("size.hcl"), None);
-    // Neighbours by number stand in different zones: 0 in north-1, 3 in south-1, 6 in east-1, 10 in north-1
+fn links_have_the_stated_latency_in_both_directions() {
+    let plan = valid(&file("size.hcl"), None);
+    // Neighbours by number are in different zones: 0 in north-1, 3 in south-1, 6 in east-1, 10 in north-1
     // again.
     assert_eq!(plan.latency(0, 10), 0.001);
     assert_eq!((plan.latency(0, 3), plan.latency(3, 0)), (0.03, 0.03));
@@ -80,8 +83,8 @@
 }
 
 #[test]
-fn another_number_of_gateways_is_played_by_the_same_plan() {
-    let plan = sound(&file("size.hcl"), Some(30));
+fn a_plan_can_be_read_for_another_number_of_gateways() {
+    let plan = valid(&file("size.hcl"), Some(30));
     assert_eq!(plan.gateways, 30);
     // Not more than all but one can be restarted.
     let restarts =
@@ -129,36 +132,36 @@
 )]
 #[test_case("workers { hollow = 10 }", "", "the plan has no workers; add workers { hollow = 600, real = 3 }")]
 #[test_case("across = 50", "across = 50 +", "no HCL here")]
-fn a_mistake_is_told_with_its_place_and_remedy(line: &str, instead: &str, wanted: &str) {
-    let told = told(line, instead);
-    assert!(told.iter().any(|m| m.contains(wanted)), "{told:#?}");
+fn an_error_has_its_place_and_a_remedy(line: &str, replacement: &str, expected: &str) {
+    let errors = errors(line, replacement);
+    assert!(errors.iter().any(|error| error.contains(expected)), "{errors:#?}");
 }
 
 #[test]
-fn a_cut_is_between_two_regions() {
-    let cut = |regions: &str| {
+fn a_partition_is_between_two_regions() {
+    let read_partition = |regions: &str| {
         let text = format!("{SMALL}play \"cut\" {{\n  does = \"cut\"\n  regions = {regions}\n}}\n");
-        read(&text, None).map(|p| p.plays[1].action.clone()).map_err(|m| m[0].to_string())
+        read(&text, None).map(|p| p.plays[1].action.clone()).map_err(|errors| errors[0].to_string())
     };
     assert_eq!(
-        cut("[\"a\", \"b\"]"),
+        read_partition("[\"a\", \"b\"]"),
         Ok(Action::Partition { regions: RegionPair { first: 0, second: 1 }, duration: 10.0 })
     );
-    let wrong = cut("[\"a\", \"a\"]").unwrap_err();
-    assert!(wrong.starts_with("17:3: regions of play \"cut\" are not two"), "{wrong}");
+    let error = read_partition("[\"a\", \"a\"]").unwrap_err();
+    assert!(error.starts_with("17:3: regions of play \"cut\" are not two"), "{error}");
 }
 
 proptest! {
-    /// Whatever stands in a plan, it is read or refused.
+    /// Any text is either read or refused with an error.
     #[test]
-    fn no_text_breaks_the_reader(
+    fn no_text_panics_the_reader(
         at in 0..SMALL.len(),
         text in "[ -~\n]{0,20}",
         gateways in proptest::option::of(2usize..50),
     ) {
         let broken = format!("{}{text}{}", &SMALL[..at], &SMALL[at..]);
-        if let Err(mistakes) = read(&broken, gateways) {
-            prop_assert!(!mistakes.is_empty());
+        if let Err(errors) = read(&broken, gateways) {
+            prop_assert!(!errors.is_empty());
         }
     }
 }
