--- a/crates/scale-test/src/distribution.rs
+++ b/crates/scale-test/src/distribution.rs
@@ -36,7 +36,7 @@
     pub never: usize,
 }
 
-/// What a report says of such times.
+/// A summary of such times for reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ConvergenceSummary {
     /// Seconds, of those that learnt it; none where nobody did.
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -5,6 +5,8 @@
 //! [`plan`] reads what is to be played, [`run`] plays it, [`report`] says what came of it. [`host`] is the process that
 //! hollow gateways share, [`relay`] passes the datagrams between all.
 
+#![warn(missing_docs, clippy::too_many_lines)]
+
 pub mod applied_state;
 pub mod budgets;
 pub mod change_propagation;
--- a/crates/scale-test/src/machine_load.rs
+++ b/crates/scale-test/src/machine_load.rs
@@ -20,7 +20,7 @@
 }
 
 impl CpuTime {
-    /// The processor time so far; none where the system does not tell it.
+    /// The processor time so far; none where `/proc/stat` can't be read.
     #[must_use]
     pub fn read() -> Option<Self> {
         Self::parse(&fs::read_to_string("/proc/stat").ok()?)
--- a/crates/scale-test/src/plan/action.rs
+++ b/crates/scale-test/src/plan/action.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Seconds over which changes are proposed during it, where the plan does not say otherwise.
+    /// Seconds over which changes are proposed during it, where the plan states no others.
     pub(super) fn default_proposal_period(&self) -> f64 {
         match self {
             Self::SteadyState { duration }
--- a/crates/scale-test/src/plan/model.rs
+++ b/crates/scale-test/src/plan/model.rs
@@ -40,7 +40,7 @@
     pub limits: ResourceLimits,
     /// The plays, in their order.
     pub plays: Vec<Play>,
-    /// Seconds for the whole run; plays that do not end within them are reported as not played.
+    /// Seconds that the run may take; plays that do not end within them are reported as not played.
     pub time_limit: f64,
     /// Resident memory that all processes of the run may have together, in GB.
     pub memory_limit_gb: f64,
--- a/crates/scale-test/src/plan/reader/plays.rs
+++ b/crates/scale-test/src/plan/reader/plays.rs
@@ -14,10 +14,10 @@
 /// Revisions of the endpoint list that one play may have.
 const MAX_REVISIONS: u32 = 100_000;
 
-/// Seconds of an action, where the plan does not say.
+/// Seconds of an action, where the plan states none.
 const DEFAULT_SECONDS: f64 = 10.0;
 
-/// Changes of a play that is about them, where the plan does not say.
+/// Changes of a play that is about them, where the plan states none.
 const DEFAULT_CHANGES: usize = 20;
 
 /// What plays refer to.
--- a/crates/scale-test/src/relay.rs
+++ b/crates/scale-test/src/relay.rs
@@ -1,6 +1,6 @@
 //! The links between gateways, control machines and authors. Each of them has a socket here at which the others reach
-//! it, so every datagram between two of them passes the relay, takes as long as the plan says, and is lost where the
-//! plan says so. Several threads forward datagrams, each for its part of the sockets. Traffic is counted here and
+//! it, so every datagram between two of them passes the relay, takes the latency of the plan, and is lost with its
+//! probability. Several threads forward datagrams, each for its part of the sockets. Traffic is counted here and
 //! nowhere else.
 
 mod forwarder;
@@ -105,7 +105,7 @@
         self.shared.overflowed.load(Ordering::Relaxed)
     }
 
-    /// Datagrams so far that were lost as the plan says: at random, or between partitioned regions.
+    /// Datagrams so far that were lost at random, or between partitioned regions.
     #[must_use]
     pub fn lost(&self) -> u64 {
         self.shared.lost.load(Ordering::Relaxed)
@@ -124,7 +124,7 @@
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
-            // A thread that panicked has said so on standard error.
+            // A panic of the thread was printed when it happened.
             let _ = thread.join();
         }
     }
--- a/crates/scale-test/src/relay/shared.rs
+++ b/crates/scale-test/src/relay/shared.rs
@@ -74,7 +74,7 @@
     partitioned: Vec<AtomicBool>,
     /// Datagrams that there was no room for.
     pub overflowed: AtomicU64,
-    /// Datagrams that were lost as the plan says.
+    /// Datagrams that were lost at random or to a partition.
     pub lost: AtomicU64,
     /// Ends the threads.
     pub stop: AtomicBool,
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -83,7 +83,7 @@
 }
 
 impl Report {
-    /// The report of a run that took some seconds; `stop_reason` says why it ended before its plan did.
+    /// The report of a run that took some seconds; `stop_reason` is why it ended before its plan did, if it did.
     #[must_use]
     pub fn new(plan: &Plan, findings: Findings, stop_reason: Option<StopReason>, seconds: f64) -> Self {
         let Findings { plays, budgets, machine, calls, state } = findings;
--- a/crates/scale-test/src/report/control_cost.rs
+++ b/crates/scale-test/src/report/control_cost.rs
@@ -9,7 +9,7 @@
     pub seconds: f64,
     /// Whether the fleet had converged at the end of it.
     pub converged: bool,
-    /// Fraction of all cores that was in use, by whatever process.
+    /// Fraction of all cores that was in use, by all processes of the machine.
     pub utilization: Option<f64>,
     /// Hollow gateways whose control thread was not read in time.
     pub unread_gateways: usize,
--- a/crates/scale-test/src/report/machine_usage.rs
+++ b/crates/scale-test/src/report/machine_usage.rs
@@ -7,7 +7,7 @@
 pub struct MachineUsage {
     /// Cores of the machine.
     pub cores: usize,
-    /// Over the whole run, by whatever process.
+    /// Over the entire run, by all processes of the machine.
     pub utilization: Option<f64>,
     /// While the cost of control was measured, at the worst.
     pub utilization_while_measuring: Option<f64>,
@@ -21,12 +21,12 @@
     pub dropped_datagrams: u64,
     /// Datagrams that the relay had no room for.
     pub overflowed_datagrams: u64,
-    /// Datagrams that were lost as the plan says.
+    /// Datagrams that were lost at random or to a partition, as planned.
     pub lost_datagrams: u64,
 }
 
 impl MachineUsage {
-    /// Whether the machine had no processors to spare, in the whole run or while the cost of control was measured. Times
+    /// Whether the machine had no processors to spare, in the entire run or while the cost of control was measured. Times
     /// and costs that were measured are then also those of the load.
     #[must_use]
     pub fn is_saturated(&self) -> bool {
