--- a/crates/milletpath/src/scale_test.rs
+++ b/crates/milletpath/src/scale_test.rs
@@ -8,7 +8,7 @@
 use clap::Args;
 use milletpath_config::ConfigError;
 use milletpath_scale_test::plan::{self, Plan};
-use milletpath_scale_test::run::{self, Asked};
+use milletpath_scale_test::run::{self, RunError, RunOptions};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     Invalid { path: PathBuf, errors: Vec<ConfigError> },
     /// The run could not begin or go on.
     #[error("{}: can't be played: {source}", path.display())]
-    Run { path: PathBuf, source: io::Error },
+    Run { path: PathBuf, source: RunError },
 }
 
 impl CommandError for ScaleTestError {
@@ -84,11 +84,11 @@
 }
 
 /// Plays the plan to its end, or until a signal.
-fn play(plan: &Plan, text: &str) -> io::Result<milletpath_scale_test::report::Report> {
+fn play(plan: &Plan, text: &str) -> Result<milletpath_scale_test::report::Report, RunError> {
     let stop = Arc::new(AtomicBool::new(false));
     stop_on_signals(stop.clone())?;
     let program = std::env::current_exe()?;
-    run::run(plan, Asked { text, program, stop })
+    run::run(plan, RunOptions { plan_text: text, program, stop })
 }
 
 /// From when this returns, SIGINT and SIGTERM end the run, and with it all processes that it started.
