--- a/crates/capacity-model/benches/slopes/axes.rs
+++ b/crates/capacity-model/benches/slopes/axes.rs
@@ -3,7 +3,7 @@
 
 use crate::desk::{BYTES, CALL, Play, USUAL, at, of, play, sizes};
 use crate::measure::{Asked, Slope, size};
-use milletpath_capacity_model::run::Size;
+use milletpath_capacity_model::run::Measurement;
 
 /// As one of 1,100 gateways, among fewer workers.
 const FEWER: Play = Play { workers: 1_000, ..USUAL };
@@ -25,13 +25,19 @@
     };
     memory.write(asked, None, of(&all, |c| c.megabytes.clone()));
     // What a function that is known holds: by those known and the workers, over two axes.
-    let mut known: Vec<Size> = all
+    let mut known: Vec<Measurement> = all
         .iter()
-        .map(|(_, c)| Size { and: Some(3_000.0), ..size(at(&c.functions, 0.5), c.megabytes.clone()) })
+        .map(|(_, c)| Measurement {
+            second_size: Some(3_000.0),
+            ..size(at(&c.functions, 0.5), c.megabytes.clone())
+        })
         .collect();
     for workers in [300usize, 1_000, 9_100] {
         let came = play(Play { workers, functions: 3_300, ..usual }, asked.seed);
-        known.push(Size { and: Some(workers as f64), ..size(at(&came.functions, 0.5), came.megabytes) });
+        known.push(Measurement {
+            second_size: Some(workers as f64),
+            ..size(at(&came.functions, 0.5), came.megabytes)
+        });
     }
     let fixed = &[("gateways", 1_100.0), ("calls a second", 145.0), ("zipf", 1.1)];
     Slope { name: "memory-known", axis: "functions known", fixed, ..memory }.write(
--- a/crates/capacity-model/benches/slopes/desk.rs
+++ b/crates/capacity-model/benches/slopes/desk.rs
@@ -5,7 +5,7 @@
 
 use crate::list::{desk, entries};
 use crate::measure::{Asked, Slope, allocated, look, size, spent};
-use milletpath_capacity_model::run::Size;
+use milletpath_capacity_model::run::Measurement;
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::{InstanceState, LoadReport, Outcome};
 use rand::{Rng, SeedableRng};
@@ -293,7 +293,7 @@
     sizes
 }
 
-pub fn of(sizes: &Sizes, values: impl Fn(&Came) -> Vec<f64>) -> Vec<Size> {
+pub fn of(sizes: &Sizes, values: impl Fn(&Came) -> Vec<f64>) -> Vec<Measurement> {
     sizes.iter().map(|(at, came)| size(*at, values(came))).collect()
 }
 
--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -2,7 +2,7 @@
 //! that a slope is written to.
 
 use cap::Cap;
-use milletpath_capacity_model::run::{Run, Size};
+use milletpath_capacity_model::run::{Measurement, Run};
 use milletpath_process_environment::wall_clock::unix_time;
 use nix::time::{ClockId, clock_gettime};
 use std::alloc::System;
@@ -37,10 +37,17 @@
 }
 
 /// The median of repeats at a size (of an even number the upper one), with the least and the most of them.
-pub fn size(at: f64, mut values: Vec<f64>) -> Size {
+pub fn size(at: f64, mut values: Vec<f64>) -> Measurement {
     values.sort_by(f64::total_cmp);
     let (last, middle) = (values.len() - 1, values.len() / 2);
-    Size { at, and: None, value: values[middle], low: values[0], high: values[last], repeats: values.len() }
+    Measurement {
+        size: at,
+        second_size: None,
+        median: values[middle],
+        min: values[0],
+        max: values[last],
+        repeats: values.len(),
+    }
 }
 
 /// What is asked of the bench: which groups, the seed, and where runs are written.
@@ -64,12 +71,12 @@
 
 impl Slope {
     /// Writes the run to its file, and a line a size to standard output.
-    pub fn write(&self, asked: &Asked, second_axis: Option<&str>, sizes: Vec<Size>) {
+    pub fn write(&self, asked: &Asked, second_axis: Option<&str>, sizes: Vec<Measurement>) {
         for s in &sizes {
-            let and = s.and.map_or(String::new(), |and| format!(" and {and}"));
+            let and = s.second_size.map_or(String::new(), |and| format!(" and {and}"));
             println!(
                 "{}: {}{and} {}: {:.4} ({:.4} to {:.4}) {}",
-                self.name, s.at, self.axis, s.value, s.low, s.high, self.unit
+                self.name, s.size, self.axis, s.median, s.min, s.max, self.unit
             );
         }
         let command = format!(
@@ -81,7 +88,7 @@
         let run = Run {
             name: self.name.into(),
             mechanism: self.mechanism.into(),
-            figure: self.figure.into(),
+            quantity: self.figure.into(),
             unit: self.unit.into(),
             axis: self.axis.into(),
             second_axis: second_axis.map(str::to_owned),
@@ -91,7 +98,7 @@
             seed: asked.seed,
             date: today(),
             cores: std::thread::available_parallelism().map_or(1, |n| n.get()),
-            sizes,
+            measurements: sizes,
         };
         let path = asked.folder.join(format!("{}.json", self.name));
         let text = serde_json::to_string_pretty(&run).expect("a run is JSON") + "\n";
--- a/crates/capacity-model/benches/slopes/peers.rs
+++ b/crates/capacity-model/benches/slopes/peers.rs
@@ -5,7 +5,7 @@
 mod simulated_network;
 
 use crate::measure::{Asked, Slope, allocated, size, spent};
-use milletpath_capacity_model::run::Size;
+use milletpath_capacity_model::run::Measurement;
 use milletpath_membership::datagram::{self, Assertion, Datagram, Identity, Key, kind};
 use milletpath_membership::{Membership, MembershipConfig};
 use rand::{Rng, SeedableRng};
@@ -217,7 +217,7 @@
     const SETTLED: f64 = 50.0;
     const LOOK: f64 = 5.0;
     let all = spent();
-    let mut figures: [Vec<Size>; 7] = Default::default();
+    let mut figures: [Vec<Measurement>; 7] = Default::default();
     let mut last = 0.0;
     for gateways in SIZES {
         // As the cube of the gateways, by the size before.
@@ -234,7 +234,7 @@
         net.start_all();
         let at = gateways as f64;
         let first: Vec<While> = (0..2).map(|_| passes(&mut net, LOOK)).collect();
-        let put = |to: &mut Vec<Size>, from: &[While], what: &dyn Fn(&While) -> f64| {
+        let put = |to: &mut Vec<Measurement>, from: &[While], what: &dyn Fn(&While) -> f64| {
             to.push(size(at, from.iter().map(what).collect()));
         };
         put(&mut figures[0], &first, &|w| w.cpu);
--- a/crates/capacity-model/benches/slopes/shares.rs
+++ b/crates/capacity-model/benches/slopes/shares.rs
@@ -3,7 +3,7 @@
 
 use crate::list::{WORKERS, desk, entries, entry};
 use crate::measure::{Asked, Slope, size, spent};
-use milletpath_capacity_model::run::Size;
+use milletpath_capacity_model::run::Measurement;
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_gateway::budget_sharing::BudgetSharing;
 use milletpath_membership::QuotaFraction;
@@ -169,7 +169,7 @@
 
 /// Of how many functions a gateway hears, of those that all keep busy; and what of the notes is held back.
 pub fn functions(asked: &Asked) {
-    let sizes = |gateways: usize, functions: &[usize]| -> (Vec<Size>, Vec<Size>) {
+    let sizes = |gateways: usize, functions: &[usize]| -> (Vec<Measurement>, Vec<Measurement>) {
         let of = |n: &usize| {
             let came: Vec<Came> =
                 (0..SEEDS).map(|seed| reports(gateways, *n, asked.seed + 1_000 * seed)).collect();
--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -1,46 +1,72 @@
-//! The form in which a figure grows, by least squares over what was measured. Of each form a constant and a slope are
-//! fitted, neither below zero; deviations count as parts of the figure, so that small sizes say as much as large
-//! ones. The form whose residual is least is taken; of those that are as good, the one that grows most slowly. What
-//! no single term fits may have two, where these fit far better.
-
-use crate::run::{Run, Size};
+//! The form in which a measured quantity grows, fitted by least squares.
+//!
+//! Each form has a constant and a slope, neither negative. Deviations are relative to the measured value, so that small
+//! sizes count as much as large ones. The form with the least residual is taken; among those about as good, the one
+//! that grows most slowly. Where no single term fits, a form with two terms is taken if it fits far better.
+
+use crate::least_squares::solve_non_negative;
+use crate::run::{Measurement, Run};
 use std::fmt;
 
-/// How a figure grows with `n`, its first axis, or with `m`, its second.
+/// How a quantity grows with `n`, its first axis, or with `m`, its second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
+    /// Constant.
     Flat,
+    /// With log(1 + n).
     Log,
+    /// With n.
     Linear,
+    /// With n · log(1 + n).
     LinearLog,
+    /// With n².
     Square,
+    /// With n³.
     Cube,
-    /// A part that grows with n, and one that overtakes it.
+    /// With n, and with n² beside it.
     LinearAndSquare,
+    /// With n, and with n³ beside it.
     LinearAndCube,
-    /// With the second axis alone, and with both multiplied.
+    /// With m alone.
     Second,
+    /// With n · m.
     Product,
 }
 
+/// Forms of a run with one axis, from the slowest growth.
 const ONE_AXIS: [Form; 6] = [Form::Flat, Form::Log, Form::Linear, Form::LinearLog, Form::Square, Form::Cube];
+
+/// Forms of a run with one axis that have two terms.
 const TWO_TERMS: [Form; 2] = [Form::LinearAndSquare, Form::LinearAndCube];
+
+/// Forms of a run with two axes, from the slowest growth.
 const TWO_AXES: [Form; 4] = [Form::Flat, Form::Linear, Form::Second, Form::Product];
 
-/// Part by which a residual may be above the least and still count as good, and a residual below which every form is as
-/// good as another: repeats differ by more.
-const AS_GOOD: f64 = 1.1;
+/// A residual up to this multiple of the least one counts as equally good.
+const EQUALLY_GOOD: f64 = 1.1;
+
+/// Residuals below this are not compared: the repeats differ by more.
 const NOISE: f64 = 0.01;
 
-/// The residual past which a single term does not fit; the part of it that two terms must come down to; and the sizes
-/// that it takes to tell them apart.
-const MISFIT: f64 = 0.1;
-const BETTER: f64 = 0.6;
-const MANY: usize = 5;
+/// A residual above this means that a single term does not fit.
+const POOR_FIT: f64 = 0.1;
+
+/// Two terms are taken if they leave at most this fraction of the single term's residual.
+const MUCH_BETTER: f64 = 0.6;
+
+/// Measured sizes needed to fit two terms.
+const MIN_SIZES_FOR_TWO_TERMS: usize = 5;
+
+/// A form is plausible if its residual is at most this multiple of the best one's.
+const PLAUSIBLE: f64 = 2.0;
+
+/// Measured values below the largest divided by this are weighted as if they were that large: a value of zero would
+/// weigh infinitely.
+const WEIGHT_RANGE: f64 = 100.0;
 
 impl Form {
-    /// What the slope is multiplied by.
-    fn of(self, n: f64, m: f64) -> f64 {
+    /// The term that the slope is multiplied by.
+    fn term(self, n: f64, m: f64) -> f64 {
         match self {
             Self::Flat => 0.0,
             Self::Log => n.ln_1p(),
@@ -53,7 +79,8 @@
         }
     }
 
-    fn word(self) -> &'static str {
+    /// The term as the page prints it.
+    fn symbol(self) -> &'static str {
         match self {
             Self::Flat => "flat",
             Self::Log => "log n",
@@ -66,142 +93,120 @@
         }
     }
 
-    fn has_linear(self) -> bool {
-        matches!(self, Self::LinearAndSquare | Self::LinearAndCube)
+    fn has_two_terms(self) -> bool {
+        TWO_TERMS.contains(&self)
+    }
+
+    /// The terms of this form, the constant first.
+    fn terms(self) -> Vec<Term> {
+        let constant: Term = Box::new(|_| 1.0);
+        match self {
+            Self::Flat => vec![constant],
+            _ if self.has_two_terms() => {
+                vec![constant, Box::new(|m| m.size), Box::new(move |m| self.term(m.size, 0.0))]
+            }
+            _ => vec![constant, Box::new(move |m| self.term(m.size, m.second_size.unwrap_or(0.0)))],
+        }
     }
 }
 
-/// A form with its figures.
+/// What one coefficient is multiplied by, at a measured size.
+type Term = Box<dyn Fn(&Measurement) -> f64>;
+
+/// A form with its coefficients, in the unit of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
+    /// The form of growth.
     pub form: Form,
+    /// The value at size 0.
     pub constant: f64,
-    /// Of the part that grows with n beside another; else 0.
+    /// Coefficient of n in a form with two terms; otherwise 0.
     pub linear: f64,
+    /// Coefficient of the form's own term.
     pub slope: f64,
-    /// Root of the mean square of deviations, as parts of the figure, for each degree of freedom.
+    /// Root mean square of the relative deviations, per degree of freedom.
     pub residual: f64,
 }
 
 impl Fit {
-    pub fn at(&self, n: f64, m: f64) -> f64 {
-        self.constant + self.linear * n + self.slope * self.form.of(n, m)
+    /// The fitted value at a place on both axes.
+    pub fn value_at(&self, n: f64, m: f64) -> f64 {
+        self.constant + self.linear * n + self.slope * self.form.term(n, m)
     }
 }
 
 impl fmt::Display for Fit {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (residual, word) = (100.0 * self.residual, self.form.word());
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (constant, linear, slope) = (self.constant, self.linear, self.slope);
+        let (percent, symbol) = (100.0 * self.residual, self.form.symbol());
         match self.form {
-            Form::Flat => write!(f, "flat: {constant:.3}; {residual:.1}%"),
-            form if form.has_linear() => {
-                write!(
-                    f,
-                    "n and {word}: {constant:.3} + {linear:.3e} × n + {slope:.3e} × {word}; {residual:.1}%"
-                )
-            }
-            _ => write!(f, "{word}: {constant:.3} + {slope:.3e} × {word}; {residual:.1}%"),
+            Form::Flat => write!(formatter, "flat: {constant:.3}; {percent:.1}%"),
+            form if form.has_two_terms() => write!(
+                formatter,
+                "n and {symbol}: {constant:.3} + {linear:.3e} × n + {slope:.3e} × {symbol}; {percent:.1}%"
+            ),
+            _ => write!(formatter, "{symbol}: {constant:.3} + {slope:.3e} × {symbol}; {percent:.1}%"),
         }
     }
 }
 
-/// The best form for a run's sizes.
+/// The best form for the measurements of a run.
 pub fn fit(run: &Run) -> Fit {
-    let forms: &[Form] = if run.second_axis.is_some() { &TWO_AXES } else { &ONE_AXIS };
-    let best = best_of(forms, &run.sizes);
-    if best.residual <= MISFIT || run.second_axis.is_some() || run.sizes.len() < MANY {
+    let best = best_fit(single_term_forms(run), &run.measurements);
+    if best.residual <= POOR_FIT || !can_have_two_terms(run) {
         return best;
     }
-    let two = best_of(&TWO_TERMS, &run.sizes);
-    if two.residual <= BETTER * best.residual { two } else { best }
+    let two_terms = best_fit(&TWO_TERMS, &run.measurements);
+    if two_terms.residual <= MUCH_BETTER * best.residual { two_terms } else { best }
 }
 
-/// All forms that fit nearly as well as the best: past what was measured they may tell different things.
-pub fn near(run: &Run) -> Vec<Fit> {
-    /// Times the residual of the best.
-    const NEARLY: f64 = 2.0;
-    let best = fit(run);
-    let mut forms = if run.second_axis.is_some() { TWO_AXES.to_vec() } else { ONE_AXIS.to_vec() };
-    if run.second_axis.is_none() && run.sizes.len() >= MANY {
+/// All forms that fit nearly as well as the best one. Beyond the measured sizes they may differ widely.
+pub fn plausible_fits(run: &Run) -> Vec<Fit> {
+    let limit = (PLAUSIBLE * fit(run).residual).max(NOISE);
+    let mut forms = single_term_forms(run).to_vec();
+    if can_have_two_terms(run) {
         forms.extend(TWO_TERMS);
     }
-    let all = forms.into_iter().map(|form| fitted(form, &run.sizes));
-    all.filter(|f| f.residual <= (NEARLY * best.residual).max(NOISE)).collect()
+    let fits = forms.into_iter().map(|form| fit_form(form, &run.measurements));
+    fits.filter(|fit| fit.residual <= limit).collect()
 }
 
-fn best_of(forms: &[Form], sizes: &[Size]) -> Fit {
-    let fits: Vec<Fit> = forms.iter().map(|form| fitted(*form, sizes)).collect();
-    let least = fits.iter().map(|f| f.residual).fold(f64::INFINITY, f64::min);
-    let good = fits.iter().find(|f| f.residual <= (AS_GOOD * least).max(NOISE));
-    *good.unwrap_or(&fits[0])
+fn single_term_forms(run: &Run) -> &'static [Form] {
+    if run.second_axis.is_some() { &TWO_AXES } else { &ONE_AXIS }
 }
 
-/// What one figure of a form is multiplied by.
-type Term = Box<dyn Fn(&Size) -> f64>;
-
-/// The figures of one form: least squares, each size weighed by its own figure; of all ways to leave terms out, the best
-/// of those with no term below zero.
-fn fitted(form: Form, sizes: &[Size]) -> Fit {
-    let most = sizes.iter().map(|s| s.value).fold(0.0, f64::max);
-    // A figure of nothing would weigh endlessly.
-    let weight = |s: &Size| 1.0 / s.value.max(most / 100.0).max(f64::MIN_POSITIVE);
-    let terms: Vec<Term> = match form {
-        Form::Flat => vec![Box::new(|_| 1.0)],
-        _ if form.has_linear() => {
-            vec![Box::new(|_| 1.0), Box::new(|s| s.at), Box::new(move |s| form.of(s.at, 0.0))]
-        }
-        _ => vec![Box::new(|_| 1.0), Box::new(move |s| form.of(s.at, s.and.unwrap_or(0.0)))],
-    };
-    // Each term by its largest, so that no power of n drowns the others.
-    let scales: Vec<f64> =
-        terms.iter().map(|t| sizes.iter().map(t).fold(f64::MIN_POSITIVE, f64::max)).collect();
-    let rows: Vec<Vec<f64>> = sizes
-        .iter()
-        .map(|s| terms.iter().zip(&scales).map(|(t, scale)| weight(s) * t(s) / scale).collect())
-        .collect();
-    let wanted: Vec<f64> = sizes.iter().map(|s| weight(s) * s.value).collect();
-    let error = |figures: &[f64]| {
-        let of = |row: &Vec<f64>| row.iter().zip(figures).map(|(x, figure)| x * figure).sum::<f64>();
-        rows.iter().zip(&wanted).map(|(row, y)| (of(row) - y).powi(2)).sum::<f64>()
-    };
-    let ways = (1..1usize << terms.len()).filter_map(|chosen| solve(&rows, &wanted, chosen));
-    let ways = ways.filter(|figures| figures.iter().all(|f| *f >= 0.0));
-    let best = ways.min_by(|a, b| error(a).total_cmp(&error(b))).unwrap_or_else(|| vec![0.0; terms.len()]);
-    let degrees = (sizes.len() as f64 - terms.len() as f64).max(1.0);
-    let residual = (error(&best) / degrees).sqrt();
-    let figures: Vec<f64> = best.iter().zip(&scales).map(|(figure, scale)| figure / scale).collect();
-    let slope = if form == Form::Flat { 0.0 } else { figures[figures.len() - 1] };
-    let linear = if form.has_linear() { figures[1] } else { 0.0 };
-    Fit { form, constant: figures[0], linear, slope, residual }
+fn can_have_two_terms(run: &Run) -> bool {
+    run.second_axis.is_none() && run.measurements.len() >= MIN_SIZES_FOR_TWO_TERMS
 }
 
-/// Least squares over the chosen terms, a bit for each; the others are 0. None where the sizes can't tell them apart.
-fn solve(rows: &[Vec<f64>], wanted: &[f64], chosen: usize) -> Option<Vec<f64>> {
-    let terms: Vec<usize> = (0..rows.first()?.len()).filter(|t| chosen >> t & 1 == 1).collect();
-    // The normal equations, with what is wanted as their last column; then Gauss and Jordan.
-    let mut lines: Vec<Vec<f64>> = terms
-        .iter()
-        .map(|a| {
-            let both = terms.iter().map(|b| rows.iter().map(|row| row[*a] * row[*b]).sum::<f64>());
-            let last = rows.iter().zip(wanted).map(|(row, y)| row[*a] * y).sum::<f64>();
-            both.chain([last]).collect()
-        })
-        .collect();
-    for n in 0..lines.len() {
-        let pivot = (n..lines.len()).max_by(|a, b| lines[*a][n].abs().total_cmp(&lines[*b][n].abs()))?;
-        lines.swap(n, pivot);
-        if lines[n][n].abs() < 1e-12 {
-            return None;
-        }
-        let line: Vec<f64> = lines[n].iter().map(|x| x / lines[n][n]).collect();
-        for (_, row) in lines.iter_mut().enumerate().filter(|(other, _)| *other != n) {
-            let times = row[n];
-            row.iter_mut().zip(&line).for_each(|(x, y)| *x -= times * y);
-        }
-        lines[n] = line;
-    }
-    let mut figures = vec![0.0; rows[0].len()];
-    terms.iter().zip(&lines).for_each(|(term, line)| figures[*term] = line[line.len() - 1]);
-    Some(figures)
+/// The first of the forms whose residual counts as good as the least.
+fn best_fit(forms: &[Form], measurements: &[Measurement]) -> Fit {
+    let fits: Vec<Fit> = forms.iter().map(|form| fit_form(*form, measurements)).collect();
+    let least = fits.iter().map(|fit| fit.residual).fold(f64::INFINITY, f64::min);
+    let good = fits.iter().find(|fit| fit.residual <= (EQUALLY_GOOD * least).max(NOISE));
+    *good.unwrap_or(&fits[0])
+}
+
+/// The coefficients of one form.
+fn fit_form(form: Form, measurements: &[Measurement]) -> Fit {
+    let largest = measurements.iter().map(|m| m.median).fold(0.0, f64::max);
+    let weight = |m: &Measurement| 1.0 / m.median.max(largest / WEIGHT_RANGE).max(f64::MIN_POSITIVE);
+    let terms = form.terms();
+    // Each term is scaled by its largest value, so that no power of n drowns the others.
+    let scale = |term: &Term| measurements.iter().map(term).fold(f64::MIN_POSITIVE, f64::max);
+    let scales: Vec<f64> = terms.iter().map(scale).collect();
+    let row = |m: &Measurement| {
+        terms.iter().zip(&scales).map(|(term, scale)| weight(m) * term(m) / scale).collect()
+    };
+    let rows: Vec<Vec<f64>> = measurements.iter().map(row).collect();
+    let targets: Vec<f64> = measurements.iter().map(|m| weight(m) * m.median).collect();
+
+    let solution = solve_non_negative(&rows, &targets, terms.len());
+    let degrees_of_freedom = (measurements.len() as f64 - terms.len() as f64).max(1.0);
+    let residual = (solution.squared_error / degrees_of_freedom).sqrt();
+    let coefficients: Vec<f64> =
+        solution.coefficients.iter().zip(&scales).map(|(coefficient, scale)| coefficient / scale).collect();
+    let slope = if form == Form::Flat { 0.0 } else { coefficients[coefficients.len() - 1] };
+    let linear = if form.has_two_terms() { coefficients[1] } else { 0.0 };
+    Fit { form, constant: coefficients[0], linear, slope, residual }
 }
--- /dev/null
+++ b/crates/capacity-model/src/fleet_slopes.rs
@@ -0,0 +1,204 @@
+//! Slopes of quantities that only a whole fleet shows, derived from scale tests: those with configuration changes and
+//! without membership, at [`MIN_SIZES`] fleet sizes or more, one change a second while cost was measured.
+
+use crate::error::CapacityError;
+use crate::run::{MIN_SIZES, Measurement, Run};
+use crate::scale::{self, Distribution, ScaleRun};
+use std::collections::BTreeMap;
+use std::path::Path;
+
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+const KILOBYTES_PER_BYTE: f64 = 1e-3;
+const CONTROL_MACHINES: f64 = 7.0;
+
+const FOLLOWING: &str = "a log of changes that each gateway follows (`crates/config-log`)";
+const REPLICA: &str = "a replica of the log and its followers (`crates/config-log`)";
+
+/// The statistic of a distribution that is carried on to the target size.
+#[derive(Clone, Copy)]
+enum Statistic {
+    P99,
+    Worst,
+}
+
+impl Statistic {
+    fn of(self, values: &Percentiles) -> f64 {
+        match self {
+            Self::P99 => values.p99,
+            Self::Worst => values.worst,
+        }
+    }
+
+    /// As the derived run's method says it.
+    fn label(self) -> &'static str {
+        match self {
+            Self::P99 => "the 99th in 100",
+            Self::Worst => "the worst",
+        }
+    }
+}
+
+/// A distribution of which all was measured, in the unit of a derived slope.
+struct Percentiles {
+    p50: f64,
+    p99: f64,
+    worst: f64,
+}
+
+impl Percentiles {
+    fn scaled(distribution: Option<&Distribution>, factor: f64) -> Option<Self> {
+        let distribution = distribution?;
+        Some(Self {
+            p50: distribution.p50? * factor,
+            p99: distribution.p99? * factor,
+            worst: distribution.worst? * factor,
+        })
+    }
+
+    /// Bytes sent and received, in kB.
+    fn traffic(costs: &BTreeMap<String, Distribution>) -> Option<Self> {
+        let received = Self::scaled(costs.get("bytes_in"), KILOBYTES_PER_BYTE)?;
+        let sent = Self::scaled(costs.get("bytes_out"), KILOBYTES_PER_BYTE)?;
+        Some(Self {
+            p50: received.p50 + sent.p50,
+            p99: received.p99 + sent.p99,
+            worst: received.worst + sent.worst,
+        })
+    }
+
+    fn cpu_milliseconds(costs: &BTreeMap<String, Distribution>) -> Option<Self> {
+        Self::scaled(costs.get("cpu"), MILLISECONDS_PER_SECOND)
+    }
+}
+
+/// How a slope is derived. The texts are stored in the run's file.
+struct FleetSlope {
+    name: &'static str,
+    mechanism: &'static str,
+    quantity: &'static str,
+    unit: &'static str,
+    percentiles: fn(&ScaleRun) -> Option<Percentiles>,
+    statistic: Statistic,
+}
+
+const FLEET_SLOPES: [FleetSlope; 6] = [
+    FleetSlope {
+        name: "changes-cpu",
+        mechanism: FOLLOWING,
+        quantity: "CPU a second of one gateway that follows changes, one a second",
+        unit: "ms",
+        percentiles: |run| Percentiles::cpu_milliseconds(&run.control_changes),
+        statistic: Statistic::P99,
+    },
+    FleetSlope {
+        name: "changes-bytes",
+        mechanism: FOLLOWING,
+        quantity: "bytes a second of one gateway that follows changes, one a second, sent and heard",
+        unit: "kB",
+        percentiles: |run| Percentiles::traffic(&run.control_changes),
+        statistic: Statistic::P99,
+    },
+    FleetSlope {
+        name: "changes-known",
+        mechanism: FOLLOWING,
+        quantity: "time until a change is in force at a gateway, over all plays",
+        unit: "s",
+        percentiles: |run| Percentiles::scaled(run.change_propagation(), 1.0),
+        statistic: Statistic::Worst,
+    },
+    FleetSlope {
+        name: "control-cpu",
+        mechanism: REPLICA,
+        quantity: "CPU a second of one of 7 control machines, a change a second",
+        unit: "ms",
+        percentiles: |run| Percentiles::cpu_milliseconds(&run.control_machines),
+        statistic: Statistic::Worst,
+    },
+    FleetSlope {
+        name: "control-bytes",
+        mechanism: REPLICA,
+        quantity: "bytes a second of one of 7 control machines, a change a second, sent and heard",
+        unit: "kB",
+        percentiles: |run| Percentiles::traffic(&run.control_machines),
+        statistic: Statistic::Worst,
+    },
+    FleetSlope {
+        name: "control-memory",
+        mechanism: REPLICA,
+        quantity: "resident memory of one of 7 control machines, some 100 changes of 32 functions in all",
+        unit: "MB",
+        percentiles: |run| Percentiles::scaled(run.control_machines.get("memory_mb"), 1.0),
+        statistic: Statistic::Worst,
+    },
+];
+
+impl FleetSlope {
+    fn measurement(&self, scale_run: &ScaleRun) -> Option<Measurement> {
+        let values = (self.percentiles)(scale_run)?;
+        Some(Measurement {
+            size: scale_run.gateways as f64,
+            second_size: None,
+            median: self.statistic.of(&values),
+            min: values.p50,
+            max: values.worst,
+            repeats: scale_run.gateways as usize,
+        })
+    }
+
+    /// The run over all fleets; `None` if too few sizes were measured.
+    fn run(&self, scale_runs: &[&ScaleRun]) -> Option<Run> {
+        let measurements: Vec<Measurement> =
+            scale_runs.iter().filter_map(|scale_run| self.measurement(scale_run)).collect();
+        let first = scale_runs.first().filter(|_| measurements.len() >= MIN_SIZES)?;
+        let method = format!(
+            "from the scale runs of `plans/size-changes.hcl`, hollow gateways beside real ones; {}, in \
+             brackets median and worst",
+            self.statistic.label()
+        );
+        let command = "milletpath scale plans/size-changes.hcl --gateways N --json, then milletpath capacity \
+                       --derive";
+        Some(Run {
+            name: self.name.into(),
+            mechanism: self.mechanism.into(),
+            quantity: self.quantity.into(),
+            unit: self.unit.into(),
+            axis: "gateways".into(),
+            second_axis: None,
+            fixed: BTreeMap::from([
+                ("changes a second".into(), 1.0),
+                ("control machines".into(), CONTROL_MACHINES),
+            ]),
+            method,
+            command: command.into(),
+            seed: first.seed,
+            date: "as those".into(),
+            cores: first.machine.cores.unwrap_or(0),
+            measurements,
+        })
+    }
+}
+
+/// The slopes that the scale tests give. Results of a saturated machine are left out; a slope of fewer than
+/// [`MIN_SIZES`] fleet sizes is not made.
+pub fn fleet_slopes(scale_runs: &[ScaleRun]) -> Vec<Run> {
+    let is_suitable = |run: &&ScaleRun| {
+        run.ran("changes") && !run.ran("membership") && run.machine.saturated == Some(false)
+    };
+    let suitable: Vec<&ScaleRun> = scale_runs.iter().filter(is_suitable).collect();
+    FLEET_SLOPES.iter().filter_map(|slope| slope.run(&suitable)).collect()
+}
+
+/// Derives the slopes from the scale tests in a folder of runs, and writes them beside these.
+///
+/// # Errors
+/// A scale test cannot be read, or a run cannot be written.
+pub fn write_fleet_slopes(folder: &Path) -> Result<(), CapacityError> {
+    for run in fleet_slopes(&scale::read_all(folder)?) {
+        let path = folder.join(format!("{}.json", run.name));
+        let text = serde_json::to_string_pretty(&run)
+            .map_err(|source| CapacityError::Encode { path: path.clone(), source })?;
+        std::fs::write(&path, text + "\n")
+            .map_err(|source| CapacityError::WriteFile { path: path.clone(), source })?;
+    }
+    Ok(())
+}
--- a/crates/capacity-model/src/lib.rs
+++ b/crates/capacity-model/src/lib.rs
@@ -1,19 +1,25 @@
-//! The size that the fleet is built towards, worked out from slopes that were measured: runs in, forms of
-//! growth fitted to them, and out a page that tells for each role what it comes to, what it may be, and
-//! what fails first.
+//! The capacity model: projects the cost of each role to the size that the fleet is built towards, and finds what fails
+//! first on the way there.
 //!
-//! Read down [`page::tables`]: assumptions ([`assumed`]), runs ([`run`]) with their forms ([`fit`]), rows
-//! of each role ([`model`], [`roles`], [`gateway`]), and what whole fleets showed ([`scale`], [`derived`]).
+//! Measured runs go in, forms of growth are fitted to them, and the tables of `docs/CAPACITY.md` come out. Start at
+//! [`page::tables`]. The inputs are [`assumptions`], [`run`] with [`fit`], and [`scale`]; [`roles`] lists the
+//! [`quantity`] rows, [`projection`] evaluates them, [`shortfalls`] ranks what misses its limit.
 
-pub mod assumed;
-pub mod derived;
+#![warn(missing_docs, clippy::too_many_lines)]
+
+pub mod assumptions;
+mod breaking_point;
+pub mod error;
 pub mod fit;
-pub mod gateway;
-pub mod lacks;
-pub mod model;
+pub mod fleet_slopes;
+mod least_squares;
+pub mod number;
 pub mod page;
 pub mod popularity;
+pub mod projection;
+pub mod quantity;
 pub mod roles;
 pub mod run;
 pub mod scale;
-mod scale_tables;
+pub mod shortfalls;
+pub mod slopes;
--- /dev/null
+++ b/crates/capacity-model/src/page/assumption_table.rs
@@ -0,0 +1,183 @@
+//! The section on the assumptions, and how the result moves with each.
+
+use crate::assumptions::{Assumption, Assumptions};
+use crate::number::number;
+use crate::popularity::{Popularity, min_exponent};
+use crate::projection::Projection;
+use crate::roles::gateway::GatewayCalls;
+use crate::roles::projections;
+use crate::scale::ScaleRun;
+use crate::shortfalls::shortfalls;
+use crate::slopes::Slopes;
+
+const HEAD: &str = "| assumed | figure | why | half | double |\n| --- | --- | --- | --- | --- |\n";
+
+/// Relative changes below this are rounding errors.
+const NEGLIGIBLE: f64 = 1e-6;
+
+/// A function called less often than this, in calls per second, is rarely called: once a minute.
+const RARE_RATE: f64 = 1.0 / 60.0;
+
+/// The exponent that the dispatcher is measured with beside the assumed one.
+const FLAT_EXPONENT: f64 = 1.1;
+
+/// Workers in the measurement of known functions that the section quotes.
+const QUOTED_WORKERS: f64 = 9_100.0;
+
+pub(super) fn section(assumptions: &Assumptions, slopes: &Slopes, scale_runs: &[ScaleRun]) -> String {
+    let sensitivity = Sensitivity::new(assumptions, slopes, scale_runs);
+    let rows = assumptions.parameters.iter().map(|(key, assumption)| sensitivity.row(key, assumption));
+    let introduction = introduction(assumptions, &sensitivity);
+    [introduction, HEAD.into(), rows.collect(), popularity(assumptions, slopes)].concat()
+}
+
+fn introduction(assumptions: &Assumptions, sensitivity: &Sensitivity<'_>) -> String {
+    let target = &assumptions.target;
+    format!(
+        "## What is assumed\n\nAsked for: {} gateways, {} instances of {} functions, {} calls a second, {} \
+         regions with {} zones. The rest is assumed. Of {} bounds {} are missed. Half and double: how many \
+         would be, and the figure that moves most against its bound.\n\n",
+        number(target.gateways),
+        number(target.instances),
+        number(target.functions),
+        number(target.calls_per_second),
+        target.regions,
+        target.zones,
+        sensitivity.limits(),
+        sensitivity.missed(&sensitivity.projections, assumptions),
+    )
+}
+
+/// How the projections move with the assumptions.
+struct Sensitivity<'a> {
+    assumptions: &'a Assumptions,
+    slopes: &'a Slopes,
+    scale_runs: &'a [ScaleRun],
+    projections: Vec<Projection>,
+}
+
+impl<'a> Sensitivity<'a> {
+    fn new(assumptions: &'a Assumptions, slopes: &'a Slopes, scale_runs: &'a [ScaleRun]) -> Self {
+        Self { assumptions, slopes, scale_runs, projections: projections(assumptions, slopes) }
+    }
+
+    /// Limits in all, kept or missed.
+    fn limits(&self) -> usize {
+        let limited = self.projections.iter().filter(|projection| projection.limit.is_some()).count();
+        limited + shortfalls(self.assumptions, self.scale_runs).len()
+    }
+
+    /// Limits that are missed under other assumptions.
+    fn missed(&self, projections: &[Projection], assumptions: &Assumptions) -> usize {
+        let missed = projections.iter().filter(|projection| projection.misses()).count();
+        missed + shortfalls(assumptions, self.scale_runs).len()
+    }
+
+    fn row(&self, key: &str, assumption: &Assumption) -> String {
+        format!(
+            "| {} (`{key}`) | {} {} | {} | {} | {} |\n",
+            assumption.description,
+            number(assumption.value),
+            assumption.unit,
+            assumption.reason,
+            self.effect(key, 0.5),
+            self.effect(key, 2.0)
+        )
+    }
+
+    /// What changes if a parameter is multiplied by `factor`.
+    fn effect(&self, key: &str, factor: f64) -> String {
+        let assumptions = self.assumptions.with_scaled(key, factor);
+        let projections = projections(&assumptions, self.slopes);
+        let largest = largest_change(&self.projections, &projections);
+        format!(
+            "{} missed; {}",
+            self.missed(&projections, &assumptions),
+            largest.unwrap_or_else(|| "nothing moves".into())
+        )
+    }
+}
+
+/// A projection before and after a change of one parameter.
+struct Change<'a> {
+    before: &'a Projection,
+    after: &'a Projection,
+    /// Absolute logarithm of the ratio of value to limit, after and before.
+    magnitude: f64,
+}
+
+impl<'a> Change<'a> {
+    /// `None` if the projection does not move.
+    fn new(before: &'a Projection, after: &'a Projection) -> Option<Self> {
+        let against_limit = |projection: &Projection| projection.value / projection.limit.unwrap_or(1.0);
+        let ratio = against_limit(after) / against_limit(before);
+        // A limit that falls to zero or below counts as the largest change of all.
+        let magnitude = if ratio <= 0.0 { f64::MAX } else { ratio.ln().abs() };
+        let moves = magnitude.is_finite() && magnitude > NEGLIGIBLE;
+        moves.then_some(Self { before, after, magnitude })
+    }
+
+    fn has_limit(&self) -> bool {
+        self.before.limit.is_some()
+    }
+
+    fn describe(&self) -> String {
+        let (before, after) = (self.before, self.after);
+        let (description, unit) = (&before.description, before.unit);
+        if (before.value - after.value).abs() > before.value * NEGLIGIBLE {
+            return format!("{description}: {} to {} {unit}", number(before.value), number(after.value));
+        }
+        let limit = |projection: &Projection| projection.limit.map_or(String::new(), number);
+        format!("{description}: may be {} {unit} where it might be {}", limit(after), limit(before))
+    }
+}
+
+/// The projection that moves most against its limit; if none does, the one without a limit that moves most.
+fn largest_change(before: &[Projection], after: &[Projection]) -> Option<String> {
+    let changes = before.iter().zip(after).filter_map(|(before, after)| Change::new(before, after));
+    let by_magnitude = |a: &Change<'_>, b: &Change<'_>| {
+        a.has_limit().cmp(&b.has_limit()).then(a.magnitude.total_cmp(&b.magnitude))
+    };
+    changes.max_by(by_magnitude).map(|change| change.describe())
+}
+
+/// The paragraph on the distribution of calls over functions.
+fn popularity(assumptions: &Assumptions, slopes: &Slopes) -> String {
+    let target = &assumptions.target;
+    let assumed = GatewayCalls::at_target(assumptions);
+    let flat = GatewayCalls { zipf_exponent: FLAT_EXPONENT, ..assumed };
+    let zipf = assumed.zipf_exponent;
+    let distribution = |exponent: f64| Popularity::new(target.functions, exponent);
+    let rarely_called = |exponent: f64| {
+        let often = distribution(exponent).functions_above(RARE_RATE / target.calls_per_second);
+        number(target.functions - often as f64)
+    };
+    let first_percent = |exponent: f64| 100.0 * distribution(exponent).fraction(1.0);
+    format!(
+        "\nPopularity: of Zipf's laws those from an exponent of {:.2} on have most of the functions \
+         called less than once a minute. \
+         With {zipf} that is {} of {}; the first function has {:.0}% of all calls. With 1.1, which the \
+         desk is measured with as well, it is \
+         {}; the first has {:.0}%. A gateway then knows {} functions at a time with {zipf}, and {} with \
+         1.1 ({}).\n",
+        min_exponent(target.functions, target.calls_per_second, RARE_RATE),
+        rarely_called(zipf),
+        number(target.functions),
+        first_percent(zipf),
+        rarely_called(FLAT_EXPONENT),
+        first_percent(FLAT_EXPONENT),
+        number(assumed.known_functions()),
+        number(flat.known_functions()),
+        measured_known_functions(slopes),
+    )
+}
+
+/// The measured number of known functions, to compare the calculated one with.
+fn measured_known_functions(slopes: &Slopes) -> String {
+    let measured = slopes.get("functions-known-flat").and_then(|fitted| {
+        fitted.run.measurements.iter().find(|measurement| measurement.size == QUOTED_WORKERS)
+    });
+    measured.map_or("not measured".into(), |measurement| {
+        format!("measured at 145 calls a second and 60 s: {}", number(measurement.median))
+    })
+}
--- /dev/null
+++ b/crates/capacity-model/src/page/scale_tables.rs
@@ -0,0 +1,151 @@
+//! Tables of the scale tests: each run, and configuration changes before and after there was a mechanism that carries
+//! them.
+
+use crate::assumptions::Target;
+use crate::number::number;
+use crate::scale::{Distribution, MachineLoad, ScaleRun};
+
+const KILOBYTES_PER_BYTE: f64 = 1e-3;
+const PERCENT: f64 = 100.0;
+
+const MISSES: &str = "**MISSES**";
+
+const SCALE_RUNS_TITLE: &str = "## Scale run\n\n";
+
+const SCALE_RUNS_HEAD: &str = "`milletpath scale FILE --seed N --json`: p50, p99, worst over the gateways.\n\n\
+    | run | gateways | seed | cores that ran | CPU, % of a core | MB | kB/s in | kB/s out | death known, s | \
+    join known, s | change known, s | bounds broken | not played | machine |\n\
+    | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
+
+const CONFIG_CHANGES_HEAD: &str = "| gateways | | change known, s | | CPU, % of a core | kB/s in | kB/s out | run |\n\
+                                   | --- | --- | --- | --- | --- | --- | --- | --- |\n";
+
+/// A distribution, each value multiplied by `factor`.
+fn distribution(distribution: Option<&Distribution>, factor: f64) -> String {
+    let Some(distribution) = distribution else { return "not measured".into() };
+    let value = |value: Option<f64>| value.map_or("-".into(), |value| number(value * factor));
+    let never = distribution.never.filter(|never| *never > 0);
+    let never = never.map_or(String::new(), |never| format!("; never: {never}"));
+    let (p50, p99, worst) = (distribution.p50, distribution.p99, distribution.worst);
+    format!("{}, {}, {}{never}", value(p50), value(p99), value(worst))
+}
+
+/// The section with a row for each scale test.
+pub(super) fn scale_runs(target: &Target, scale_runs: &[ScaleRun]) -> String {
+    if scale_runs.is_empty() {
+        return format!("{SCALE_RUNS_TITLE}Not run: no `scale-*.json` is among the runs.\n");
+    }
+    let rows: String = scale_runs.iter().map(|run| scale_run_row(target, run)).collect();
+    [SCALE_RUNS_TITLE, SCALE_RUNS_HEAD, &rows].concat()
+}
+
+fn scale_run_row(target: &Target, run: &ScaleRun) -> String {
+    let control = |key: &str, factor: f64| distribution(run.control.get(key), factor);
+    let with_verdict = |key: &str, factor: f64, limit: f64| {
+        let p99 = run.control.get(key).and_then(|distribution| distribution.p99);
+        let misses = p99.is_some_and(|p99| p99 * factor > limit);
+        control(key, factor) + &miss_suffix(misses)
+    };
+    let known = |event: &str| distribution(run.known.get(event), 1.0);
+    let cells = [
+        file_link(run),
+        number(run.gateways as f64),
+        run.seed.to_string(),
+        run.runs.as_ref().map_or("not told".into(), |runs| runs.join(", ")),
+        with_verdict("cpu", PERCENT, target.cpu_percent),
+        with_verdict("memory_mb", 1.0, target.memory_megabytes),
+        control("bytes_in", KILOBYTES_PER_BYTE),
+        control("bytes_out", KILOBYTES_PER_BYTE) + &miss_suffix(exceeds_traffic(target, run)),
+        known("death"),
+        known("join"),
+        known("change"),
+        violations(run),
+        if run.not_played.is_empty() { "none told".into() } else { run.not_played.join("; ") },
+        machine_load(&run.machine),
+    ];
+    format!("| {} |\n", cells.join(" | "))
+}
+
+fn file_link(run: &ScaleRun) -> String {
+    format!("[{}](capacity/{})", run.file_stem(), run.file)
+}
+
+fn miss_suffix(misses: bool) -> String {
+    if misses { format!(" {MISSES}") } else { String::new() }
+}
+
+/// Whether the 99th percentiles of sent and received bytes exceed the limit together.
+fn exceeds_traffic(target: &Target, run: &ScaleRun) -> bool {
+    let p99 = |key: &&str| run.control.get(*key)?.p99;
+    let bytes = ["bytes_in", "bytes_out"].iter().filter_map(p99).sum::<f64>();
+    bytes * KILOBYTES_PER_BYTE > target.kilobytes_per_second
+}
+
+fn violations(run: &ScaleRun) -> String {
+    if run.broken.is_empty() {
+        return "none".into();
+    }
+    let text = |value: &serde_json::Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
+    run.broken.iter().map(text).collect::<Vec<_>>().join("; ")
+}
+
+fn machine_load(machine: &MachineLoad) -> String {
+    match machine {
+        MachineLoad { saturated: Some(true), .. } => "saturated: figures are of a crowd too".into(),
+        MachineLoad { busy: Some(busy), .. } => format!("{} % busy", number(PERCENT * busy)),
+        _ => "not told".into(),
+    }
+}
+
+/// The section on what carrying configuration changes costs and how soon they are in force, beside fleets of the same
+/// size without it.
+pub(super) fn config_changes(target: &Target, scale_runs: &[ScaleRun]) -> String {
+    let introduction = config_changes_introduction(target);
+    let with_changes: Vec<&ScaleRun> =
+        scale_runs.iter().filter(|run| run.change_propagation().is_some()).collect();
+    if with_changes.is_empty() {
+        return introduction + "After: not run.\n";
+    }
+    // A fleet without changes is compared with one of the same size.
+    let is_compared = |run: &&ScaleRun| {
+        run.change_propagation().is_some() || with_changes.iter().any(|other| other.gateways == run.gateways)
+    };
+    let rows = scale_runs.iter().filter(is_compared).map(|run| config_change_row(target, run));
+    introduction + CONFIG_CHANGES_HEAD + &rows.collect::<String>()
+}
+
+fn config_changes_introduction(target: &Target) -> String {
+    format!(
+        "## Changes of configuration, before and after\n\n{} a day, in force at all within {} s. Before: \
+         nothing carries a change; `serve` reads its charter at start; what such fleets spend is \
+         membership's and budgets'.\n\nWithout a mechanism it stands first on the list below, at one \
+         gateway: {}.\n\n",
+        number(target.config_changes_per_day),
+        target.config_propagation_seconds,
+        number(1.0 / target.gateways),
+    )
+}
+
+fn config_change_row(target: &Target, run: &ScaleRun) -> String {
+    let propagation = run.change_propagation();
+    let verdict = match propagation {
+        Some(propagation) if propagation.is_within(target.config_propagation_seconds) => "holds".into(),
+        Some(_) => MISSES.into(),
+        None if run.ran("changes") && run.is_saturated() => format!("{MISSES}, on a full machine"),
+        None if run.ran("changes") => MISSES.into(),
+        None => String::new(),
+    };
+    let has_mechanism = propagation.is_some() || run.ran("changes");
+    let control = |key: &str, factor: f64| distribution(run.control.get(key), factor);
+    let cells = [
+        number(run.gateways as f64),
+        if has_mechanism { "after" } else { "before" }.into(),
+        propagation.map_or("never".into(), |_| distribution(propagation, 1.0)),
+        verdict,
+        control("cpu", PERCENT),
+        control("bytes_in", KILOBYTES_PER_BYTE),
+        control("bytes_out", KILOBYTES_PER_BYTE),
+        file_link(run),
+    ];
+    format!("| {} |\n", cells.join(" | "))
+}
--- /dev/null
+++ b/crates/capacity-model/src/page/slope_table.rs
@@ -0,0 +1,39 @@
+//! The table of all slopes: what was measured, and the fitted form.
+
+use crate::number::number;
+use crate::run::Measurement;
+use crate::slopes::{FittedRun, Slopes};
+
+const HEAD: &str = "## The slopes\n\nEach by its run: sizes with the median (of two the larger) and, in brackets, least \
+                    and most of the repeats; the form with its constant, its slope and the residual as a part of \
+                    the figure.\n\n| run | figure | axis: figures | form; residual | what was the same | how, date, \
+                    cores | command |\n| --- | --- | --- | --- | --- | --- | --- |\n";
+
+pub(super) fn section(slopes: &Slopes) -> String {
+    HEAD.to_owned() + &slopes.iter().map(row).collect::<String>()
+}
+
+fn row(fitted: &FittedRun) -> String {
+    let (run, fit) = (&fitted.run, &fitted.fit);
+    let measurements = run.measurements.iter().map(measurement).collect::<Vec<_>>().join("; ");
+    let axis = match &run.second_axis {
+        Some(second) => format!("{} n and {second} m", run.axis),
+        None => run.axis.clone(),
+    };
+    let fixed = run.fixed.iter().map(|(name, value)| format!("{name} {}", number(*value)));
+    let fixed = fixed.collect::<Vec<_>>().join(", ");
+    format!(
+        "| [{}](capacity/{}.json) | {}, {} | {axis}: {measurements} | {fit} | {fixed} | {}; {}; {} cores | `{}` |\n",
+        run.name, run.name, run.quantity, run.unit, run.method, run.date, run.cores, run.command
+    )
+}
+
+fn measurement(measurement: &Measurement) -> String {
+    let second_size = measurement.second_size.map_or(String::new(), |size| format!(" and {}", number(size)));
+    let range = if measurement.repeats > 1 {
+        format!(" ({} to {})", number(measurement.min), number(measurement.max))
+    } else {
+        String::new()
+    };
+    format!("{}{second_size}: {}{range}", number(measurement.size), number(measurement.median))
+}
--- a/crates/capacity-model/src/popularity.rs
+++ b/crates/capacity-model/src/popularity.rs
@@ -1,63 +1,74 @@
-//! How calls fall on functions, by Zipf's law: what follows from an exponent, by calculation.
+//! The distribution of calls over functions by Zipf's law.
 
-/// Functions that are looked at one by one; the many after them in blocks, each a hundredth of its number
-/// wide.
-const SINGLE: usize = 1_000;
-const BLOCK: usize = 100;
+/// Functions that are summed one by one; those of higher rank are summed in blocks.
+const SINGLE_RANKS: usize = 1_000;
 
-/// A popularity of so many functions; the first is the most called.
+/// A block's width is its first rank divided by this.
+const RANKS_PER_BLOCK_STEP: usize = 100;
+
+/// A Zipf distribution over functions, ranked from the most called.
 pub struct Popularity {
     exponent: f64,
     functions: usize,
-    whole: f64,
+    /// Sum of the unnormalized weights of all ranks.
+    total_weight: f64,
 }
 
 impl Popularity {
+    /// A distribution over `functions` ranks, at least one, with the given exponent.
     pub fn new(functions: f64, exponent: f64) -> Self {
-        let mut popularity = Self { exponent, functions: functions.max(1.0) as usize, whole: 1.0 };
-        popularity.whole = popularity.sum(|part| part);
+        let mut popularity = Self { exponent, functions: functions.max(1.0) as usize, total_weight: 1.0 };
+        popularity.total_weight = popularity.sum(|fraction| fraction);
         popularity
     }
 
-    /// The sum of something over the parts of all functions.
-    fn sum(&self, of: impl Fn(f64) -> f64) -> f64 {
-        let single: f64 = (1..=self.functions.min(SINGLE)).map(|n| of(self.part(n as f64))).sum();
-        let (mut from, mut blocks) = (SINGLE + 1, 0.0);
-        while from <= self.functions {
-            let width = (from / BLOCK).min(self.functions + 1 - from);
-            let middle = from as f64 + (width as f64 - 1.0) / 2.0;
-            blocks += width as f64 * of(self.part(middle));
-            from += width;
+    /// The sum of `term` over the fractions of all functions. Blocks of ranks count by the rank in their middle.
+    fn sum(&self, term: impl Fn(f64) -> f64) -> f64 {
+        let last_single = self.functions.min(SINGLE_RANKS);
+        let single: f64 = (1..=last_single).map(|rank| term(self.fraction(rank as f64))).sum();
+        let (mut first, mut blocks) = (SINGLE_RANKS + 1, 0.0);
+        while first <= self.functions {
+            let width = (first / RANKS_PER_BLOCK_STEP).min(self.functions + 1 - first);
+            let middle = first as f64 + (width as f64 - 1.0) / 2.0;
+            blocks += width as f64 * term(self.fraction(middle));
+            first += width;
         }
         single + blocks
     }
 
-    /// The part of all calls that is for the n-th function.
-    pub fn part(&self, n: f64) -> f64 {
-        n.powf(-self.exponent) / self.whole
+    /// The fraction of all calls that the function of a rank receives; ranks count from 1.
+    pub fn fraction(&self, rank: f64) -> f64 {
+        rank.powf(-self.exponent) / self.total_weight
     }
 
-    /// Functions that get at least such a part of the calls.
-    pub fn over(&self, part: f64) -> usize {
-        let last = (part * self.whole).powf(-1.0 / self.exponent);
-        if last.is_finite() { (last as usize).min(self.functions) } else { self.functions }
+    /// The number of functions that receive at least the given fraction of all calls.
+    pub fn functions_above(&self, fraction: f64) -> usize {
+        let last_rank = (fraction * self.total_weight).powf(-1.0 / self.exponent);
+        if last_rank.is_finite() { (last_rank as usize).min(self.functions) } else { self.functions }
     }
 
-    /// Functions that were called at least once among so many calls.
-    pub fn called(&self, calls: f64) -> f64 {
-        self.sum(|part| -(-calls * part).exp_m1())
+    /// The expected number of distinct functions among so many calls.
+    pub fn distinct_functions(&self, calls: f64) -> f64 {
+        self.sum(|fraction| -(-calls * fraction).exp_m1())
     }
 }
 
-/// The least exponent by which more than half of the functions are called less often than that, where all
-/// are called so often a second together.
-pub fn least_exponent(functions: f64, calls: f64, rate: f64) -> f64 {
-    let middle = functions / 2.0;
-    let (mut low, mut high) = (0.0, 8.0);
-    for _ in 0..40 {
+/// The smallest exponent by which more than half of the functions are called less often than `rate`, where all
+/// functions together receive `calls`; both are calls per second.
+pub fn min_exponent(functions: f64, calls: f64, rate: f64) -> f64 {
+    /// Above any exponent of interest.
+    const MAX_EXPONENT: f64 = 8.0;
+    const BISECTIONS: usize = 40;
+    let median_rank = functions / 2.0;
+    let (mut low, mut high) = (0.0, MAX_EXPONENT);
+    for _ in 0..BISECTIONS {
         let exponent = (low + high) / 2.0;
-        let rare = Popularity::new(functions, exponent).part(middle) * calls < rate;
-        if rare { high = exponent } else { low = exponent }
+        let is_rare = Popularity::new(functions, exponent).fraction(median_rank) * calls < rate;
+        if is_rare {
+            high = exponent;
+        } else {
+            low = exponent;
+        }
     }
     high
 }
--- /dev/null
+++ b/crates/capacity-model/src/projection.rs
@@ -0,0 +1,279 @@
+//! Projects a quantity to the target size, and finds the fraction of that size at which it exceeds its limit.
+
+pub use crate::breaking_point::MAX_SIZE;
+use crate::breaking_point::breaking_point;
+use crate::fit::plausible_fits;
+use crate::number::number;
+use crate::quantity::{Quantity, Resource, Role, RunInput};
+use crate::run::Run;
+use crate::slopes::{FittedRun, Slopes};
+use std::fmt;
+
+/// A size within this fraction of the target counts as measured at the target.
+const SAME_SIZE: f64 = 1.0 / 50.0;
+
+/// A range narrower than this fraction of its upper end is not worth printing.
+const NEGLIGIBLE_RANGE: f64 = 0.01;
+
+/// Where a projected value comes from.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Source {
+    /// All runs were measured at the target size.
+    Measured,
+    /// By the fitted form. The number is the size divided by the largest one measured: above 1 it is extrapolated.
+    Fitted(f64),
+    /// By calculation, without a run.
+    Calculated,
+    /// These runs are missing.
+    NotRun(Vec<&'static str>),
+}
+
+impl fmt::Display for Source {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Measured => formatter.write_str("measured at this size"),
+            Self::Fitted(ratio) if *ratio <= 1.0 => {
+                formatter.write_str("by the form, within what was measured")
+            }
+            Self::Fitted(ratio) => write!(formatter, "EXTRAPOLATED, {ratio:.2} times past what was measured"),
+            Self::Calculated => formatter.write_str("by calculation"),
+            Self::NotRun(runs) => write!(formatter, "not run: {}", runs.join(", ")),
+        }
+    }
+}
+
+/// The least and the greatest value by all plausible forms, in the unit of the projection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ValueRange {
+    /// Least value.
+    pub low: f64,
+    /// Greatest value.
+    pub high: f64,
+}
+
+/// A quantity at the target size: one row of a table.
+#[derive(Clone, Debug)]
+pub struct Projection {
+    /// Who bears the cost.
+    pub role: Role,
+    /// What is spent.
+    pub resource: Resource,
+    /// What the page calls it.
+    pub description: String,
+    /// The mechanism that causes it.
+    pub mechanism: String,
+    /// The value at the target size, in [`Projection::unit`]; NaN if a run is missing.
+    pub value: f64,
+    /// Unit of value, limit and range.
+    pub unit: &'static str,
+    /// The largest value that meets the target, if there is a limit.
+    pub limit: Option<f64>,
+    /// Where the value comes from.
+    pub source: Source,
+    /// The runs that it is computed from.
+    pub runs: Vec<&'static str>,
+    /// The fraction of the target size at which the limit is exceeded; `None` if it is not up to [`MAX_SIZE`].
+    pub breaking_point: Option<f64>,
+    /// Whether the breaking point lies below the smallest measured size: the form is extrapolated downwards.
+    pub breaks_below_measured: bool,
+    /// For an extrapolated value: what other plausible forms give.
+    pub range: Option<ValueRange>,
+}
+
+impl Projection {
+    /// Whether the value exceeds its limit.
+    pub fn misses(&self) -> bool {
+        self.limit.is_some_and(|limit| self.value > limit)
+    }
+
+    /// Whether some plausible forms keep the limit and others exceed it.
+    pub fn is_uncertain(&self) -> bool {
+        let straddles = |(range, limit): (ValueRange, f64)| range.low <= limit && limit < range.high;
+        self.range.zip(self.limit).is_some_and(straddles)
+    }
+
+    /// Where the value comes from and what other plausible forms give, as the page prints it.
+    pub fn provenance(&self) -> String {
+        let is_wide = |range: &ValueRange| range.high - range.low > NEGLIGIBLE_RANGE * range.high;
+        let Some(range) = self.range.filter(is_wide) else { return self.source.to_string() };
+        let (low, high) = (number(range.low), number(range.high));
+        format!("{}; {low} to {high} by forms that fit nearly as well", self.source)
+    }
+
+    /// Whether a run that the value needs is missing.
+    pub fn is_not_run(&self) -> bool {
+        matches!(self.source, Source::NotRun(_))
+    }
+}
+
+/// Projects a quantity to the target size.
+pub fn project(quantity: &Quantity, slopes: &Slopes) -> Projection {
+    let runs: Vec<&'static str> = quantity.inputs.iter().map(|input| input.run).collect();
+    let missing: Vec<&'static str> = runs.iter().copied().filter(|run| slopes.get(run).is_none()).collect();
+    let projection = Projection {
+        role: quantity.role,
+        resource: quantity.resource,
+        description: quantity.description.clone(),
+        mechanism: mechanism(quantity, slopes),
+        value: f64::NAN,
+        unit: quantity.unit,
+        limit: quantity.limit,
+        source: Source::Calculated,
+        runs,
+        breaking_point: None,
+        breaks_below_measured: false,
+        range: None,
+    };
+    if missing.is_empty() {
+        Evaluation::new(quantity, slopes).complete(projection)
+    } else {
+        Projection { source: Source::NotRun(missing), ..projection }
+    }
+}
+
+/// The quantity's own mechanism, else that of its first run.
+fn mechanism(quantity: &Quantity, slopes: &Slopes) -> String {
+    let of_first_run = || {
+        let fitted = quantity.inputs.first().and_then(|input| slopes.get(input.run))?;
+        Some(fitted.run.mechanism.clone())
+    };
+    quantity.mechanism.clone().or_else(of_first_run).unwrap_or_default()
+}
+
+/// A run at the place that corresponds to the target size.
+struct EvaluatedInput<'a> {
+    run: &'a FittedRun,
+    place: RunInput,
+    /// The median, if it was measured at that very place.
+    measured: Option<f64>,
+}
+
+impl<'a> EvaluatedInput<'a> {
+    fn new(run: &'a FittedRun, place: RunInput) -> Self {
+        Self { run, place, measured: measured_at(&run.run, &place) }
+    }
+
+    /// By the fitted form, at a fraction of the target size.
+    fn fitted_value(&self, size: f64) -> f64 {
+        self.run.fit.value_at(self.place.size * size, self.place.second_size * size)
+    }
+
+    /// At the target size: as measured, else by the fitted form.
+    fn target_value(&self) -> f64 {
+        self.measured.unwrap_or(self.run.fit.value_at(self.place.size, self.place.second_size))
+    }
+
+    /// Between the measured sizes by interpolation, beyond them by the fitted form.
+    fn interpolated_value(&self, size: f64) -> f64 {
+        let run = &self.run.run;
+        let place = self.place.size * size;
+        if run.second_axis.is_none() && place <= run.max_size() {
+            run.interpolate(place)
+        } else {
+            self.fitted_value(size)
+        }
+    }
+
+    /// The least or greatest value at the target size by all plausible forms, as `pick` chooses.
+    fn extreme_value(&self, pick: fn(f64, f64) -> f64) -> f64 {
+        if let Some(measured) = self.measured {
+            return measured;
+        }
+        let values = plausible_fits(&self.run.run)
+            .into_iter()
+            .map(|fit| fit.value_at(self.place.size, self.place.second_size));
+        values.fold(self.target_value(), pick)
+    }
+
+    /// How far beyond the largest measured size the target lies; `None` if it was measured.
+    fn extrapolation(&self) -> Option<f64> {
+        match self.measured {
+            Some(_) => None,
+            None => Some(self.place.size / self.run.run.max_size()),
+        }
+    }
+}
+
+/// The median of the measurement at a place, if there is one.
+fn measured_at(run: &Run, place: &RunInput) -> Option<f64> {
+    let is_near = |measured: f64, target: f64| (measured - target).abs() <= target * SAME_SIZE;
+    let measurement = run.measurements.iter().find(|m| {
+        is_near(m.size, place.size) && m.second_size.is_none_or(|size| is_near(size, place.second_size))
+    });
+    measurement.map(|m| m.median)
+}
+
+/// A quantity with all of its runs.
+struct Evaluation<'a> {
+    quantity: &'a Quantity,
+    inputs: Vec<EvaluatedInput<'a>>,
+}
+
+impl<'a> Evaluation<'a> {
+    fn new(quantity: &'a Quantity, slopes: &'a Slopes) -> Self {
+        let evaluated = |input: &RunInput| Some(EvaluatedInput::new(slopes.get(input.run)?, *input));
+        Self { quantity, inputs: quantity.inputs.iter().filter_map(evaluated).collect() }
+    }
+
+    fn complete(&self, projection: Projection) -> Projection {
+        let projection = Projection {
+            value: self.evaluate(1.0, EvaluatedInput::target_value),
+            source: self.source(),
+            range: self.range(),
+            ..projection
+        };
+        let breaking_point = self.breaking_point(projection.misses());
+        Projection {
+            breaking_point,
+            breaks_below_measured: breaking_point.is_some_and(|size| self.is_below_measured(size)),
+            ..projection
+        }
+    }
+
+    /// The quantity at a fraction of the target size, with the value of each input.
+    fn evaluate(&self, size: f64, value: impl Fn(&EvaluatedInput<'a>) -> f64) -> f64 {
+        let values: Vec<f64> = self.inputs.iter().map(value).collect();
+        (self.quantity.formula)(size, &values)
+    }
+
+    fn source(&self) -> Source {
+        let extrapolation = self.inputs.iter().filter_map(EvaluatedInput::extrapolation).reduce(f64::max);
+        match extrapolation {
+            _ if self.inputs.is_empty() => Source::Calculated,
+            None => Source::Measured,
+            Some(extrapolation) => Source::Fitted(extrapolation),
+        }
+    }
+
+    /// The range of an extrapolated value.
+    fn range(&self) -> Option<ValueRange> {
+        let is_extrapolated = matches!(self.source(), Source::Fitted(extrapolation) if extrapolation > 1.0);
+        is_extrapolated.then(|| ValueRange {
+            low: self.evaluate(1.0, |input| input.extreme_value(f64::min)),
+            high: self.evaluate(1.0, |input| input.extreme_value(f64::max)),
+        })
+    }
+
+    /// The fraction of the target size at which the limit is exceeded. Where the fitted form contradicts what was
+    /// measured at the target itself, the measurement wins: the form is replaced by interpolation.
+    fn breaking_point(&self, misses: bool) -> Option<f64> {
+        let limit = self.quantity.limit?;
+        let fitted = |size: f64| self.evaluate(size, |input| input.fitted_value(size));
+        let by_form = breaking_point(&fitted, limit);
+        let form_keeps_limit = by_form.is_none_or(|size| size >= 1.0);
+        if misses != form_keeps_limit {
+            return by_form;
+        }
+        let interpolated = |size: f64| self.evaluate(size, |input| input.interpolated_value(size));
+        let by_measurement = breaking_point(&interpolated, limit);
+        if misses {
+            Some(by_measurement.unwrap_or(1.0).min(1.0))
+        } else {
+            by_measurement.map(|size| size.max(1.0))
+        }
+    }
+
+    fn is_below_measured(&self, size: f64) -> bool {
+        self.inputs.iter().any(|input| input.place.size * size < input.run.run.min_size())
+    }
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/endpoint_list.rs
@@ -0,0 +1,36 @@
+//! The service that sends the endpoint list of all workers to the gateways.
+
+use super::KILOBYTES_PER_SECOND;
+use crate::assumptions::Assumptions;
+use crate::quantity::{Quantity, Resource, Role, RunInput};
+
+/// The longest endpoint list that a gateway reads, in kB: as in `milletpath_protocol::registry`.
+const MAX_LIST_KILOBYTES: f64 = 8_388.608;
+
+pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
+    let (workers, gateways) = (assumptions.workers(), assumptions.target.gateways);
+    let measured = |resource, description: &str, run, unit| {
+        let input = RunInput::new(run, workers);
+        Quantity::from_run(Role::EndpointList, resource, description, input, unit)
+    };
+    let updates = |description: &str, updates_per_second: f64| {
+        measured(Resource::Messages, description, "list-entry", KILOBYTES_PER_SECOND)
+            .with_formula(move |size, values| values[0] * updates_per_second * size * gateways * size / 1e3)
+    };
+    vec![
+        measured(Resource::State, "the whole list", "list-whole", "kB").with_limit(MAX_LIST_KILOBYTES),
+        updates("changes to all gateways, an ordinary day", assumptions.list_updates_per_second()),
+        updates(
+            "changes to all gateways while a zone's workers come back",
+            assumptions.list_updates_per_second_in_zone_recovery(),
+        ),
+        measured(
+            Resource::Messages,
+            "the whole list to all gateways, when they all ask anew",
+            "list-whole",
+            "MB",
+        )
+        .with_formula(move |size, values| values[0] * gateways * size / 1e3),
+        measured(Resource::Cpu, "the whole list is read, once at each gateway", "list-read", "ms"),
+    ]
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/gateway/cpu.rs
@@ -0,0 +1,117 @@
+//! CPU of a gateway for control, and of the decisions on its calls, in percent of one core.
+
+use super::{IDLE_PROOF_CHECKS_PER_SECOND, measured};
+use crate::assumptions::{Assumptions, Parameter};
+use crate::quantity::{Quantity, Resource, RunInput};
+use crate::roles::{PERCENT_OF_CORE, PERCENT_PER_MILLISECOND};
+use crate::slopes::Slopes;
+
+/// Checks of the quorum proof per second in the measured fleet.
+const MEASURED_PROOF_CHECKS_PER_SECOND: f64 = 10.0;
+
+/// Bytes of a membership datagram in a large fleet, which carries the assertions of thirty other gateways.
+const DATAGRAM_BYTES: f64 = 700.0;
+
+pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+    let mut quantities = control(assumptions, slopes);
+    quantities.extend(decisions(assumptions));
+    quantities.extend(storms(assumptions));
+    quantities
+}
+
+/// A run that measured milliseconds of CPU per second.
+fn from_milliseconds(description: &str, run: &'static str, size: f64) -> Quantity {
+    percent(description, run, size).scaled(PERCENT_PER_MILLISECOND)
+}
+
+fn percent(description: &str, run: &'static str, size: f64) -> Quantity {
+    measured(Resource::Cpu, description, run, size, PERCENT_OF_CORE)
+}
+
+/// Control in a settled fleet, each mechanism and their sum.
+fn control(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+    let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
+    let membership = from_milliseconds("letters and proof, settled", "peers-cpu", gateways);
+    let opening = datagram_opening(gateways, slopes);
+    let proof_checks = proof_checks(gateways);
+    let usage_reports = from_milliseconds("reports of usage", "counts-cpu", gateways);
+    let worker_budgets = from_milliseconds(
+        "budgets of shots at workers (only where `in_flight` is stated)",
+        "budgets-cpu",
+        workers,
+    );
+    let updates =
+        list_updates("changes of the list, an ordinary day", workers, assumptions.list_updates_per_second());
+    let config_changes =
+        from_milliseconds("changes of configuration followed, one a second", "changes-cpu", gateways);
+    let total = Quantity::sum(
+        "CPU for control, in all",
+        "those above without budgets of workers, which few state",
+        &[&membership, &opening, &proof_checks, &usage_reports, &updates, &config_changes],
+    );
+    let all =
+        [membership, opening, proof_checks, usage_reports, worker_budgets, updates, config_changes, total];
+    all.into_iter().map(|quantity| quantity.with_limit(assumptions.target.cpu_percent)).collect()
+}
+
+/// Authenticating and decoding the datagrams that arrive. Their size does not depend on that of the fleet.
+fn datagram_opening(gateways: f64, slopes: &Slopes) -> Quantity {
+    let microseconds = slopes.value_or_zero("letter-open", DATAGRAM_BYTES);
+    percent("letters that come are opened", "letter-open", DATAGRAM_BYTES)
+        .with_inputs(vec![
+            RunInput::new("peers-letters", gateways),
+            RunInput::new("letter-open", DATAGRAM_BYTES),
+        ])
+        .with_formula(move |_, values| values[0] * microseconds / 1e3 * PERCENT_PER_MILLISECOND)
+}
+
+/// Checks of the quorum proof after each datagram and each 50 ms, beyond those of the measured fleet.
+fn proof_checks(gateways: f64) -> Quantity {
+    percent(
+        "proof looked at after each letter and each 50 ms, beyond what was measured",
+        "peers-proof",
+        gateways,
+    )
+    .with_inputs(vec![RunInput::new("peers-proof", gateways), RunInput::new("peers-letters", gateways)])
+    .with_formula(|_, values| {
+        let checks = values[1] + IDLE_PROOF_CHECKS_PER_SECOND - MEASURED_PROOF_CHECKS_PER_SECOND;
+        values[0] * checks.max(0.0) * PERCENT_PER_MILLISECOND
+    })
+}
+
+/// Updates of the endpoint list at a rate that grows with the fleet.
+fn list_updates(description: &str, workers: f64, updates_per_second: f64) -> Quantity {
+    percent(description, "list-join", workers)
+        .with_formula(move |size, values| values[0] * updates_per_second * size * PERCENT_PER_MILLISECOND)
+}
+
+/// Routing decisions on the gateway's calls, by two distributions of calls over functions.
+fn decisions(assumptions: &Assumptions) -> Vec<Quantity> {
+    let limit = assumptions.value(Parameter::DecisionCpuPercent);
+    let calls = assumptions.calls_per_second_at_gateway();
+    let of_run = |description: &str, run| {
+        percent(description, run, assumptions.workers())
+            .scaled(calls * PERCENT_PER_MILLISECOND / 1e3)
+            .with_limit(limit)
+    };
+    vec![
+        of_run("decisions on its calls, popularity 1.6", "call-workers"),
+        of_run("decisions on its calls, popularity 1.1", "call-workers-flat"),
+    ]
+}
+
+/// Control while the fleet starts, and while the workers of a zone return.
+fn storms(assumptions: &Assumptions) -> Vec<Quantity> {
+    let limit = assumptions.value(Parameter::StormCpuPercent);
+    let starting = from_milliseconds(
+        "letters and proof, first 10 s after all began",
+        "peers-cpu-starting",
+        assumptions.target.gateways,
+    );
+    let zone_recovery = list_updates(
+        "changes of the list while a zone's workers come back within a minute",
+        assumptions.workers(),
+        assumptions.list_updates_per_second_in_zone_recovery(),
+    );
+    vec![starting.with_limit(limit), zone_recovery.with_limit(limit)]
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/gateway/latency.rs
@@ -0,0 +1,82 @@
+//! How late a gateway learns and decides, and for how long one event blocks all others.
+
+use super::{IDLE_PROOF_CHECKS_PER_SECOND, measured};
+use crate::assumptions::{Assumptions, Parameter};
+use crate::quantity::{Quantity, Resource};
+use crate::slopes::Slopes;
+
+/// Round trip to the farthest region in which workers run, in milliseconds.
+const FARTHEST_ROUND_TRIP_MS: f64 = 150.0;
+
+/// All but the cold start.
+pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+    let mut quantities = vec![config_propagation(assumptions)];
+    quantities.extend(stalls(assumptions));
+    quantities.push(slowest_proof_check(assumptions, slopes));
+    quantities.extend(ages(assumptions));
+    quantities
+}
+
+fn seconds(description: &str, run: &'static str, size: f64) -> Quantity {
+    measured(Resource::Time, description, run, size, "s")
+}
+
+fn milliseconds(description: &str, run: &'static str, size: f64) -> Quantity {
+    measured(Resource::Time, description, run, size, "ms")
+}
+
+fn config_propagation(assumptions: &Assumptions) -> Quantity {
+    let target = &assumptions.target;
+    seconds("until a change is in force at the last gateway", "changes-known", target.gateways)
+        .with_limit(target.config_propagation_seconds)
+}
+
+/// Events that block a core, which decides nothing else meanwhile.
+fn stalls(assumptions: &Assumptions) -> Vec<Quantity> {
+    let limit = assumptions.value(Parameter::StallMilliseconds);
+    let stall =
+        |description: &str, run| milliseconds(description, run, assumptions.workers()).with_limit(limit);
+    vec![
+        stall("one worker joins: nothing else is decided for", "list-join"),
+        stall(
+            "one worker joins, its budgets: nothing else is decided for (only where `in_flight` is stated)",
+            "budgets-join",
+        ),
+        stall("a whole list is read on a core that carries calls", "list-read"),
+    ]
+}
+
+/// A check of the quorum proof where all gateways assert different views. The membership link falls behind where it
+/// takes longer than the time between two checks.
+fn slowest_proof_check(assumptions: &Assumptions, slopes: &Slopes) -> Quantity {
+    let gateways = assumptions.target.gateways;
+    let checks_per_second = slopes.value_or_zero("peers-letters", gateways) + IDLE_PROOF_CHECKS_PER_SECOND;
+    milliseconds(
+        "a look at what is proven, no two words alike: as at a start, at worst",
+        "proof-starting",
+        gateways,
+    )
+    .with_limit(1e3 / checks_per_second)
+}
+
+/// Ages of what a gateway knows of the others.
+fn ages(assumptions: &Assumptions) -> Vec<Quantity> {
+    let gateways = assumptions.target.gateways;
+    vec![
+        seconds("age of a word, p99, where the lease is the proof", "peers-age", gateways)
+            .with_limit(assumptions.value(Parameter::LeaseSeconds)),
+        seconds("reports of usage come every", "counts-period", gateways)
+            .with_limit(assumptions.value(Parameter::UsageAgeSeconds)),
+    ]
+}
+
+/// What a gateway adds to a cold start. Its limit is what load time and network leave of the target.
+pub(super) fn cold_start(assumptions: &Assumptions) -> Vec<Quantity> {
+    let workers = assumptions.workers();
+    let bound = assumptions.target.cold_start_seconds - assumptions.value(Parameter::LoadSeconds);
+    vec![
+        milliseconds("cold start, the gateway's own part, p99", "cold-start-p99", workers)
+            .with_limit(bound * 1e3 - FARTHEST_ROUND_TRIP_MS),
+        milliseconds("cold start, the gateway's own part, p50", "cold-start-p50", workers),
+    ]
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/gateway/memory.rs
@@ -0,0 +1,43 @@
+//! Memory of a gateway's control state, and of its dispatcher as a whole.
+
+use super::{GatewayCalls, measured};
+use crate::assumptions::Assumptions;
+use crate::quantity::{Quantity, Resource, RunInput};
+
+pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
+    let limit = assumptions.target.memory_megabytes;
+    let workers = assumptions.workers();
+    let members =
+        megabytes("view of all gateways", RunInput::new("peers-memory", assumptions.target.gateways));
+    let workers_known =
+        megabytes("list, ring and figures of the fleet", RunInput::new("list-memory", workers));
+    let functions_known = megabytes("functions known, each with its walk", known_functions(assumptions));
+    let total = Quantity::sum(
+        "memory for control, in all",
+        "the three above",
+        &[&members, &workers_known, &functions_known],
+    );
+    let dispatcher =
+        |description: &str, run| megabytes(description, RunInput::new(run, workers)).with_limit(limit);
+    vec![
+        members,
+        workers_known,
+        functions_known,
+        total.with_limit(limit),
+        dispatcher("desk as measured, popularity 1.6", "memory-workers"),
+        dispatcher("desk as measured, popularity 1.1", "memory-workers-flat"),
+    ]
+}
+
+fn megabytes(description: &str, input: RunInput) -> Quantity {
+    measured(Resource::Memory, description, input.run, input.size, "MB").with_inputs(vec![input])
+}
+
+/// State of the known functions, which grows with their number and with that of the workers.
+fn known_functions(assumptions: &Assumptions) -> RunInput {
+    RunInput {
+        run: "memory-known",
+        size: GatewayCalls::at_target(assumptions).known_functions(),
+        second_size: assumptions.workers(),
+    }
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/gateway/messages.rs
@@ -0,0 +1,57 @@
+//! Control traffic of a gateway, sent and received, in kB per second.
+
+use super::measured;
+use crate::assumptions::Assumptions;
+use crate::quantity::{Quantity, Resource};
+use crate::roles::KILOBYTES_PER_SECOND;
+
+/// A run measured what a gateway sends; it receives as much.
+const SENT_AND_RECEIVED: f64 = 2.0;
+
+pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
+    let limit = assumptions.target.kilobytes_per_second;
+    let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
+    let membership =
+        kilobytes("letters, settled, sent and heard", "peers-bytes", gateways).scaled(SENT_AND_RECEIVED);
+    let usage_reports =
+        kilobytes("reports of usage, sent and heard", "counts-bytes", gateways).scaled(SENT_AND_RECEIVED);
+    let updates =
+        list_updates("changes of the list, an ordinary day", workers, assumptions.list_updates_per_second());
+    let config_changes = kilobytes(
+        "changes of configuration followed, one a second, sent and heard",
+        "changes-bytes",
+        gateways,
+    );
+    let total = Quantity::sum(
+        "messages for control, in all",
+        "the four above",
+        &[&membership, &usage_reports, &updates, &config_changes],
+    );
+    let starting =
+        kilobytes("letters, first 10 s after all began, sent and heard", "peers-bytes-starting", gateways)
+            .scaled(SENT_AND_RECEIVED);
+    let zone_recovery = list_updates(
+        "changes of the list while a zone's workers come back",
+        workers,
+        assumptions.list_updates_per_second_in_zone_recovery(),
+    );
+    vec![
+        membership,
+        usage_reports,
+        updates,
+        config_changes,
+        total.with_limit(limit),
+        starting.with_limit(limit),
+        zone_recovery.with_limit(limit),
+    ]
+}
+
+fn kilobytes(description: &str, run: &'static str, size: f64) -> Quantity {
+    measured(Resource::Messages, description, run, size, KILOBYTES_PER_SECOND)
+}
+
+/// Updates of the endpoint list, one entry each, at a rate that grows with the fleet.
+fn list_updates(description: &str, workers: f64, updates_per_second: f64) -> Quantity {
+    kilobytes(description, "list-entry", workers)
+        .with_formula(move |size, values| values[0] * updates_per_second * size / 1e3)
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/gateway/state.rs
@@ -0,0 +1,40 @@
+//! Entries that a gateway keeps.
+
+use super::GatewayCalls;
+use crate::assumptions::Assumptions;
+use crate::quantity::{Quantity, Resource, Role};
+
+/// Workers that a gateway can hold at a time: the capacity of its worker table.
+const MAX_WORKERS: f64 = 65_536.0;
+
+pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
+    let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
+    let known_functions = GatewayCalls::at_target(assumptions).known_functions();
+    vec![
+        Quantity::calculated(
+            Role::Gateway,
+            Resource::State,
+            "functions known at a time",
+            "forgotten once idle (`Router::sweep`)",
+            "functions",
+            move |_| known_functions,
+        ),
+        Quantity::calculated(
+            Role::Gateway,
+            Resource::State,
+            "gateways known",
+            "full view (`peers::member`)",
+            "members",
+            move |size| gateways * size,
+        ),
+        Quantity::calculated(
+            Role::Gateway,
+            Resource::State,
+            "workers known",
+            "`gateway::roll`, all workers of all regions",
+            "workers",
+            move |size| workers * size,
+        )
+        .with_limit(MAX_WORKERS),
+    ]
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/gateway/usage_reports.rs
@@ -0,0 +1,93 @@
+//! Limits of the usage reports by which gateways learn the concurrency of a function in the whole fleet.
+
+use super::measured;
+use crate::assumptions::{Assumptions, Parameter};
+use crate::popularity::Popularity;
+use crate::quantity::{Quantity, Resource, Role};
+use crate::roles::KILOBYTES_PER_SECOND;
+use crate::slopes::Slopes;
+
+/// Mean execution time of a call at its worker, in seconds.
+const MEAN_CALL_SECONDS: f64 = 0.06;
+
+/// As in `milletpath_shared_budgets::usage_counts`: buckets of functions, each summed by one gateway.
+const BUCKETS: f64 = 16.0;
+
+/// The period of reports in a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`], in seconds; it grows with larger fleets.
+const BASE_PERIOD_SECONDS: f64 = 0.8;
+const GATEWAYS_PER_BASE_PERIOD: f64 = 48.0;
+
+/// Concurrency of a function at one gateway below which it is not reported.
+const MIN_REPORTED_CONCURRENCY: f64 = 0.02;
+
+/// As in `milletpath_shared_budgets::message`: bytes around a message, bytes of an entry, and entries at most.
+const MESSAGE_OVERHEAD_BYTES: f64 = 150.0;
+const ENTRY_BYTES: f64 = 20.0;
+const MAX_ENTRIES: f64 = 48.0;
+
+/// As in `milletpath_shared_budgets::outbox`: the limit on a gateway's messages, in kB per second.
+const MAX_KILOBYTES_PER_SECOND: f64 = 10.0;
+
+pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+    vec![
+        smallest_reported(assumptions),
+        functions_received(assumptions, slopes),
+        answers_of_summing_gateway(assumptions),
+    ]
+}
+
+/// The concurrency that a function needs in the whole fleet to be reported, against that at which it needs more than
+/// one worker.
+fn smallest_reported(assumptions: &Assumptions) -> Quantity {
+    let gateways = assumptions.target.gateways;
+    Quantity::calculated(
+        Role::Gateway,
+        Resource::State,
+        "lanes busy in the whole fleet below which a function is not reported",
+        "0.02 lanes at a gateway (`shares::counts`)",
+        "lanes",
+        move |size| MIN_REPORTED_CONCURRENCY * gateways * size,
+    )
+    .with_limit(assumptions.value(Parameter::ConcurrentCallsPerInstance))
+}
+
+/// Functions that keep more than one instance busy in the whole fleet, at a fraction of the target size.
+fn functions_on_several_instances(assumptions: &Assumptions) -> impl Fn(f64) -> f64 + 'static {
+    let (functions, calls) = (assumptions.target.functions, assumptions.target.calls_per_second);
+    let zipf = assumptions.value(Parameter::ZipfExponent);
+    let concurrency = assumptions.value(Parameter::ConcurrentCallsPerInstance);
+    move |size| {
+        let fraction = concurrency / (calls * size * MEAN_CALL_SECONDS);
+        Popularity::new(functions * size, zipf).functions_above(fraction) as f64
+    }
+}
+
+/// Of those functions, how many a gateway receives the concurrency of.
+fn functions_received(assumptions: &Assumptions, slopes: &Slopes) -> Quantity {
+    const RUN: &str = "counts-functions";
+    let needed = functions_on_several_instances(assumptions)(1.0);
+    let received = slopes.get(RUN).map_or(f64::NAN, |fitted| fitted.run.interpolate(needed));
+    let description = format!("functions heard of, of {needed} that keep more than one instance busy");
+    measured(Resource::State, description, RUN, needed, "functions").with_formula(move |_, _| received)
+}
+
+/// What a gateway that sums one bucket answers to all reports of it, against the limit on its messages.
+fn answers_of_summing_gateway(assumptions: &Assumptions) -> Quantity {
+    let gateways = assumptions.target.gateways;
+    let functions = functions_on_several_instances(assumptions);
+    let kilobytes_per_second = move |size: f64| {
+        let reports_per_second = (gateways * size).min(GATEWAYS_PER_BASE_PERIOD) / BASE_PERIOD_SECONDS;
+        let entries = (functions(size) / BUCKETS).min(MAX_ENTRIES);
+        reports_per_second * (MESSAGE_OVERHEAD_BYTES + ENTRY_BYTES * entries) / 1e3
+    };
+    Quantity::calculated(
+        Role::Gateway,
+        Resource::Messages,
+        "answers of a gateway that adds up one bucket",
+        "reports of usage to one gateway a bucket, within the bound on its notes (`shares::counts`, \
+         `Shares::send`); see counts-functions for what comes of it",
+        KILOBYTES_PER_SECOND,
+        kilobytes_per_second,
+    )
+    .with_limit(MAX_KILOBYTES_PER_SECOND)
+}
--- /dev/null
+++ b/crates/capacity-model/src/roles/mod.rs
@@ -0,0 +1,32 @@
+//! The quantities of each role: which runs they follow, at which place on the axes, and their limits.
+
+mod control_machine;
+mod endpoint_list;
+pub mod gateway;
+mod store;
+mod worker;
+
+use crate::assumptions::Assumptions;
+use crate::projection::{Projection, project};
+use crate::quantity::Quantity;
+use crate::slopes::Slopes;
+
+/// Percent of one core that a millisecond of CPU a second is.
+const PERCENT_PER_MILLISECOND: f64 = 0.1;
+
+const PERCENT_OF_CORE: &str = "% of a core";
+
+const KILOBYTES_PER_SECOND: &str = "kB/s";
+
+/// All quantities projected to the target size, in the order of the page.
+pub fn projections(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Projection> {
+    let quantities: Vec<Quantity> = [
+        gateway::quantities(assumptions, slopes),
+        worker::quantities(assumptions),
+        control_machine::quantities(assumptions),
+        endpoint_list::quantities(assumptions),
+        store::quantities(assumptions),
+    ]
+    .concat();
+    quantities.iter().map(|quantity| project(quantity, slopes)).collect()
+}
--- a/crates/capacity-model/src/run.rs
+++ b/crates/capacity-model/src/run.rs
@@ -1,115 +1,161 @@
-//! One slope as it was measured: a figure of one mechanism at several sizes, with the command and the seed
-//! that give it again. The bench `slopes` writes them, one file each; pages are made of nothing else.
+//! One slope as it was measured: a quantity of one mechanism at several sizes, with the command and the seed that
+//! reproduce it. The bench `slopes` writes one JSON file a run; the page is made of nothing else.
 
+use crate::error::{CapacityError, RunError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Sizes that a slope has at the least: no line is drawn through fewer.
-pub const LEAST_SIZES: usize = 4;
+/// Sizes that a run needs at least: no form of growth is fitted to fewer.
+pub const MIN_SIZES: usize = 4;
 
-/// One measured size.
+/// File name, without extension, of the assumptions beside the runs.
+const ASSUMPTIONS_STEM: &str = "assumptions";
+
+/// Prefix of the files that hold results of scale tests.
+const SCALE_PREFIX: &str = "scale-";
+
+/// The repeats at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Size {
-    pub at: f64,
-    /// Along the second axis, where there is one.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub and: Option<f64>,
-    /// The median of the repeats (of two the larger), the least and the most.
-    pub value: f64,
-    pub low: f64,
-    pub high: f64,
+pub struct Measurement {
+    /// Position on the first axis, in the unit that [`Run::axis`] names.
+    #[serde(rename = "at")]
+    pub size: f64,
+    /// Position on the second axis, if the run has one.
+    #[serde(rename = "and", default, skip_serializing_if = "Option::is_none")]
+    pub second_size: Option<f64>,
+    /// Median of the repeats (the upper one of an even number), in [`Run::unit`].
+    #[serde(rename = "value")]
+    pub median: f64,
+    /// Smallest of the repeats.
+    #[serde(rename = "low")]
+    pub min: f64,
+    /// Largest of the repeats.
+    #[serde(rename = "high")]
+    pub max: f64,
+    /// Number of repeats.
     pub repeats: usize,
 }
 
-/// One slope.
+impl Measurement {
+    fn is_valid(&self) -> bool {
+        let values = [self.size, self.median, self.min, self.max, self.second_size.unwrap_or(1.0)];
+        let finite = values.iter().all(|value| value.is_finite() && *value >= 0.0);
+        finite && self.size > 0.0 && self.repeats > 0
+    }
+}
+
+/// One measured slope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Also the name of its file.
+    /// Unique name; also the stem of its file.
     pub name: String,
+    /// The mechanism that causes the cost.
     pub mechanism: String,
-    pub figure: String,
+    /// The measured quantity.
+    #[serde(rename = "figure")]
+    pub quantity: String,
+    /// Unit of the quantity.
     pub unit: String,
+    /// What the first axis counts.
     pub axis: String,
+    /// What the second axis counts, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub second_axis: Option<String>,
-    /// What was the same at all sizes.
+    /// Parameters that were equal at all sizes.
     pub fixed: BTreeMap<String, f64>,
-    /// How it was measured, and what is in it beside the mechanism.
+    /// How it was measured, and what is included beside the mechanism.
     pub method: String,
+    /// The command that reproduces the run.
     pub command: String,
+    /// Seed of the run's random numbers.
     pub seed: u64,
+    /// Day of the measurement in UTC, as `2026-12-02`.
     pub date: String,
     /// Cores of the machine.
     pub cores: usize,
-    pub sizes: Vec<Size>,
+    /// The measurements, one for each size.
+    #[serde(rename = "sizes")]
+    pub measurements: Vec<Measurement>,
 }
 
 impl Run {
-    /// What is wrong with it, if anything.
-    fn check(&self) -> Result<(), String> {
-        if self.sizes.len() < LEAST_SIZES {
-            return Err(format!("has {} sizes; measure {LEAST_SIZES} or more", self.sizes.len()));
+    fn validate(&self) -> Result<(), RunError> {
+        let found = self.measurements.len();
+        if found < MIN_SIZES {
+            return Err(RunError::TooFewSizes { found, required: MIN_SIZES });
         }
-        let sound = |s: &Size| {
-            let figures = [s.at, s.value, s.low, s.high, s.and.unwrap_or(1.0)];
-            figures.iter().all(|x| x.is_finite() && *x >= 0.0) && s.at > 0.0 && s.repeats > 0
-        };
-        match self.sizes.iter().position(|s| !sound(s)) {
-            Some(n) => Err(format!(
-                "sizes[{n}] has a figure that is none, or an axis of 0; measure it \
-             anew"
-            )),
-            None if self.sizes.iter().any(|s| s.and.is_some() != self.second_axis.is_some()) => {
-                Err("a size has no place on the second axis; give `and` for all sizes or none".into())
-            }
-            None => Ok(()),
+        if let Some(index) = self.measurements.iter().position(|measurement| !measurement.is_valid()) {
+            return Err(RunError::InvalidMeasurement { index });
         }
+        let has_second_axis = self.second_axis.is_some();
+        if self.measurements.iter().any(|m| m.second_size.is_some() != has_second_axis) {
+            return Err(RunError::SecondAxisMismatch);
+        }
+        Ok(())
     }
 
-    /// The largest measured place on the first axis.
-    pub fn largest(&self) -> f64 {
-        self.sizes.iter().map(|s| s.at).fold(0.0, f64::max)
+    /// The smallest measured size on the first axis.
+    pub fn min_size(&self) -> f64 {
+        self.measurements.iter().map(|m| m.size).fold(f64::INFINITY, f64::min)
+    }
+
+    /// The largest measured size on the first axis.
+    pub fn max_size(&self) -> f64 {
+        self.measurements.iter().map(|m| m.size).fold(0.0, f64::max)
+    }
+
+    /// The median at a size between two measured ones, by linear interpolation: from the origin up to the smallest
+    /// size, and constant beyond the largest.
+    pub fn interpolate(&self, size: f64) -> f64 {
+        let mut points: Vec<(f64, f64)> = self.measurements.iter().map(|m| (m.size, m.median)).collect();
+        points.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let Some(next) = points.iter().position(|point| point.0 >= size) else {
+            return points.last().map_or(0.0, |point| point.1);
+        };
+        let (from, to) = (if next == 0 { (0.0, 0.0) } else { points[next - 1] }, points[next]);
+        from.1 + (to.1 - from.1) * (size - from.0) / (to.0 - from.0)
     }
 }
 
-/// Reads one run; the error names the file and what to do.
-pub fn read(path: &Path) -> Result<Run, String> {
-    let place = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{place}: can't be read: {e}"))?;
-    let run: Run =
-        serde_json::from_str(&text).map_err(|e| format!("{place}: {e}; write it by the bench slopes"))?;
-    run.check().map_err(|wrong| format!("{place}: {wrong}"))?;
+/// Reads and validates one run.
+///
+/// # Errors
+/// The file cannot be read, is not a run, or holds too few or invalid measurements.
+pub fn read(path: &Path) -> Result<Run, CapacityError> {
+    let text = std::fs::read_to_string(path).map_err(|source| CapacityError::read_file(path, source))?;
+    let run: Run = serde_json::from_str(&text)
+        .map_err(|source| CapacityError::InvalidRunFormat { path: path.into(), source })?;
+    run.validate().map_err(|source| CapacityError::InvalidRun { path: path.into(), source })?;
     Ok(run)
 }
 
-/// Reads all runs of a folder, by name: every JSON file but the assumptions and those of the scale run.
-pub fn read_all(folder: &Path) -> Result<BTreeMap<String, Run>, String> {
-    let place = folder.display();
-    let files = std::fs::read_dir(folder)
-        .map_err(|e| format!("{place}: can't be read: {e}; name a folder of runs"))?;
+/// Reads all runs of a folder by name: every JSON file but the assumptions and the results of scale tests.
+///
+/// # Errors
+/// The folder cannot be listed, a run cannot be read, or its name is not that of its file.
+pub fn read_all(folder: &Path) -> Result<BTreeMap<String, Run>, CapacityError> {
+    let entries = std::fs::read_dir(folder).map_err(|source| CapacityError::read_folder(folder, source))?;
     let mut runs = BTreeMap::new();
-    for file in files {
-        let path = file.map_err(|e| format!("{place}: can't be read: {e}"))?.path();
-        let stem = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
-        let is_run = path.extension().is_some_and(|e| e == "json")
-            && stem != "assumptions"
-            && !stem.starts_with("scale-");
-        if !is_run {
-            continue;
-        }
+    for entry in entries {
+        let path = entry.map_err(|source| CapacityError::read_file(folder, source))?.path();
+        let Some(stem) = run_stem(&path) else { continue };
         let run = read(&path)?;
         if run.name != stem {
-            return Err(format!(
-                "{}: its name is {}; name the file {}.json",
-                path.display(),
-                run.name,
-                run.name
-            ));
+            return Err(CapacityError::RunNameMismatch { path, name: run.name });
         }
         runs.insert(stem, run);
     }
     Ok(runs)
 }
+
+/// The stem of a file that holds a run; `None` for any other file.
+fn run_stem(path: &Path) -> Option<String> {
+    if path.extension()? != "json" {
+        return None;
+    }
+    let stem = path.file_stem()?.to_string_lossy().into_owned();
+    (stem != ASSUMPTIONS_STEM && !stem.starts_with(SCALE_PREFIX)).then_some(stem)
+}
--- /dev/null
+++ b/crates/capacity-model/src/shortfalls.rs
@@ -0,0 +1,148 @@
+//! Where the fleet falls short of its target: missing mechanisms, mechanisms that fail by design or in a scale test, and
+//! projections that exceed their limit.
+
+use crate::assumptions::Assumptions;
+use crate::number::number;
+use crate::projection::Projection;
+use crate::scale::{Distribution, ScaleRun};
+
+/// How the scale test reports that membership never converged.
+const NEVER_CONVERGED: &str = "never settled";
+
+/// A requirement that is not met at the target size.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Shortfall {
+    /// The requirement.
+    pub description: String,
+    /// Why it is not met.
+    pub reason: String,
+    /// The fraction of the target size from which on it is not met.
+    pub breaking_point: f64,
+    /// See [`Projection::breaks_below_measured`].
+    pub breaks_below_measured: bool,
+}
+
+impl Shortfall {
+    /// A shortfall whose breaking point was observed or calculated.
+    fn observed(description: impl Into<String>, reason: String, breaking_point: f64) -> Self {
+        Self { description: description.into(), reason, breaking_point, breaks_below_measured: false }
+    }
+
+    /// A projection that exceeds its limit.
+    fn projected(projection: &Projection) -> Self {
+        let reason = format!(
+            "{}: {} {} where it may be {}; {}",
+            projection.mechanism,
+            number(projection.value),
+            projection.unit,
+            projection.limit.map_or(String::new(), number),
+            projection.provenance(),
+        );
+        Self {
+            description: projection.description.clone(),
+            reason,
+            breaking_point: projection.breaking_point.unwrap_or(1.0),
+            breaks_below_measured: projection.breaks_below_measured,
+        }
+    }
+}
+
+/// The projections that exceed their limit together with other shortfalls, by ascending breaking point.
+pub fn rank(projections: &[Projection], others: &[Shortfall]) -> Vec<Shortfall> {
+    let missed = projections.iter().filter(|projection| projection.misses());
+    let mut ranked: Vec<Shortfall> = others.iter().cloned().chain(missed.map(Shortfall::projected)).collect();
+    ranked.sort_by(|a, b| a.breaking_point.total_cmp(&b.breaking_point));
+    ranked
+}
+
+/// Shortfalls that do not follow from a slope: a missing mechanism, failures in scale tests, and the loss of quorum when
+/// regions are partitioned. A scale test in which changes reach all gateways in time removes the first.
+pub fn shortfalls(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Vec<Shortfall> {
+    let found = [
+        config_propagation(assumptions, scale_runs),
+        control_cpu(assumptions, scale_runs),
+        membership_convergence(assumptions, scale_runs),
+        quorum_across_regions(assumptions),
+    ];
+    found.into_iter().flatten().collect()
+}
+
+/// Propagation of configuration changes: missing, not shown at the target size, or too slow.
+fn config_propagation(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
+    let target = &assumptions.target;
+    let (gateways, bound) = (target.gateways, target.config_propagation_seconds);
+    let with_gateways = |run: &ScaleRun| Some((run.gateways as f64, *run.change_propagation()?));
+    let shown: Vec<(f64, Distribution)> = scale_runs.iter().filter_map(with_gateways).collect();
+    let largest = shown.iter().map(|(size, _)| *size).fold(0.0, f64::max);
+    let late = shown.iter().filter(|(_, propagation)| !propagation.is_within(bound));
+    let (reason, breaking_point) = match late.min_by(|a, b| a.0.total_cmp(&b.0)) {
+        _ if shown.is_empty() => {
+            ("there is no mechanism: `serve` reads its charter at start only".into(), 1.0 / gateways)
+        }
+        Some((size, propagation)) => (late_propagation(*size, propagation), size / gateways),
+        None if largest < gateways => {
+            (format!("not shown among more than {largest} gateways in a scale run"), largest / gateways)
+        }
+        None => return None,
+    };
+    let description = format!("a change of configuration gets into every running gateway within {bound} s");
+    Some(Shortfall::observed(description, reason, breaking_point.min(1.0)))
+}
+
+fn late_propagation(gateways: f64, propagation: &Distribution) -> String {
+    let worst = propagation.worst.or(propagation.p99);
+    let worst = worst.map_or("no time was measured".into(), |seconds| format!("{seconds} s"));
+    let never = propagation.never.unwrap_or(0);
+    format!("among {gateways} gateways in a scale run, at worst: {worst}; never learnt: {never}")
+}
+
+/// The smallest fleet of real threads and sockets in which half of the gateways spent more CPU on control than is
+/// granted.
+fn control_cpu(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
+    let target = &assumptions.target;
+    let median_percent = |run: &ScaleRun| run.control.get("cpu")?.p50.map(|cpu| 100.0 * cpu);
+    let exceeds = |run: &&ScaleRun| median_percent(run).is_some_and(|cpu| cpu > target.cpu_percent);
+    let smallest = scale_runs.iter().filter(exceeds).min_by_key(|run| run.gateways)?;
+    let saturated = if smallest.is_saturated() { ", on a machine that was full" } else { "" };
+    let reason = format!(
+        "{} % (p50) among {} gateways where it may be {} ([{file}](capacity/{file})){saturated}; it is the \
+         least of the runs that miss",
+        number(median_percent(smallest)?),
+        smallest.gateways,
+        target.cpu_percent,
+        file = smallest.file,
+    );
+    let description = "control's part of a core in the scale run, half of the gateways";
+    Some(Shortfall::observed(description, reason, smallest.gateways as f64 / target.gateways))
+}
+
+/// The smallest fleet whose membership did not converge in some step of the scale test.
+fn membership_convergence(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
+    let violation = |run: &ScaleRun| {
+        let descriptions = run.broken.iter().filter_map(|broken| broken.as_str());
+        descriptions.map(str::to_owned).find(|description| description.starts_with(NEVER_CONVERGED))
+    };
+    let failed = scale_runs.iter().filter_map(|run| Some((run, violation(run)?)));
+    let (smallest, violation) = failed.min_by_key(|(run, _)| run.gateways)?;
+    let reason = format!(
+        "{violation} ([{file}](capacity/{file})); it is the least of the runs that miss",
+        file = smallest.file
+    );
+    let breaking_point = smallest.gateways as f64 / assumptions.target.gateways;
+    Some(Shortfall::observed("all know who is there, in the scale run", reason, breaking_point))
+}
+
+/// Equal regions that are partitioned from each other: none has a quorum as soon as there are two.
+fn quorum_across_regions(assumptions: &Assumptions) -> Option<Shortfall> {
+    let target = &assumptions.target;
+    let lacks_quorum = |regions: &usize| target.gateways / *regions as f64 <= target.gateways / 2.0;
+    let regions = (1..=target.regions as usize).find(lacks_quorum)?;
+    let reason = format!(
+        "by calculation from `peers::backing`: standing needs words of more than half of all \
+         gateways, so of {regions} equal \
+         regions apart none has it, nor of {}; each gateway then has its floor for as long",
+        target.regions
+    );
+    let description = "regions that lose each other keep standing for budgets";
+    Some(Shortfall::observed(description, reason, regions as f64 / target.regions))
+}
--- /dev/null
+++ b/crates/capacity-model/tests/projection.rs
@@ -0,0 +1,122 @@
+//! Projections follow the measurements, and shortfalls are ranked by the size at which a limit is exceeded.
+
+mod rig;
+
+use milletpath_capacity_model::assumptions::Assumptions;
+use milletpath_capacity_model::projection::{Projection, project};
+use milletpath_capacity_model::quantity::{Quantity, Resource, Role, RunInput};
+use milletpath_capacity_model::roles::projections;
+use milletpath_capacity_model::run::Run;
+use milletpath_capacity_model::shortfalls::{Shortfall, rank, shortfalls};
+use milletpath_capacity_model::slopes::Slopes;
+use rig::committed;
+use std::collections::BTreeMap;
+
+/// The shortfalls that such runs give, in order.
+fn ranked(assumptions: &Assumptions, runs: BTreeMap<String, Run>) -> Vec<Shortfall> {
+    rank(&projections(assumptions, &Slopes::new(runs)), &shortfalls(assumptions, &[]))
+}
+
+/// Memory by the run `list-memory`, at a size and with a limit.
+fn list_memory(runs: &BTreeMap<String, Run>, size: f64, limit: f64) -> Projection {
+    let input = RunInput::new("list-memory", size);
+    let quantity = Quantity::from_run(Role::Gateway, Resource::Memory, "memory", input, "MB");
+    project(&quantity.with_limit(limit), &Slopes::new(runs.clone()))
+}
+
+#[test]
+fn no_projection_lacks_its_run() {
+    let (assumptions, runs) = committed();
+    for projection in projections(&assumptions, &Slopes::new(runs)) {
+        assert!(projection.value.is_finite(), "{}: {:?}", projection.description, projection.source);
+    }
+}
+
+#[test]
+fn a_changed_measurement_moves_the_shortfalls() {
+    let (assumptions, runs) = committed();
+    let before = ranked(&assumptions, runs.clone());
+    let description = "one worker joins: nothing else is decided for";
+    let position = |ranked: &[Shortfall]| ranked.iter().position(|s| s.description == description);
+    // With a thousandth of the time the limit holds; with a thousandfold it is exceeded at a smaller size than before.
+    let multiplied = |factor: f64| {
+        let mut runs = runs.clone();
+        for measurement in &mut runs.get_mut("list-join").unwrap().measurements {
+            measurement.median *= factor;
+            measurement.min *= factor;
+            measurement.max *= factor;
+        }
+        ranked(&assumptions, runs)
+    };
+    assert_eq!(position(&multiplied(1e-3)), None);
+    let (before_index, after) = (position(&before).expect("it fails today"), multiplied(1e3));
+    let after_index = position(&after).unwrap();
+    assert!(after[after_index].breaking_point < before[before_index].breaking_point);
+}
+
+#[test]
+fn shortfalls_are_ranked_with_the_missing_mechanism_first() {
+    let (assumptions, runs) = committed();
+    let ranked = ranked(&assumptions, runs);
+    assert!(ranked.windows(2).all(|pair| pair[0].breaking_point <= pair[1].breaking_point));
+    assert!(
+        ranked.iter().all(|s| s.breaking_point <= 1.0),
+        "what fails beyond the target size does not miss it"
+    );
+    let change = ranked
+        .iter()
+        .find(|s| s.description.starts_with("a change of configuration"))
+        .expect("it is lacking");
+    assert!((change.breaking_point - 1.0 / 1_100.0).abs() < 1e-9);
+}
+
+#[test]
+fn the_breaking_point_of_a_kept_limit_lies_beyond_the_target() {
+    let (assumptions, runs) = committed();
+    let projections = projections(&assumptions, &Slopes::new(runs));
+    let workers = projections.iter().find(|p| p.description == "workers known").unwrap();
+    assert!(!workers.misses());
+    let breaking_point = workers.breaking_point;
+    assert!((breaking_point.unwrap() - 65_536.0 / 9_100.0).abs() < 0.01, "{breaking_point:?}");
+}
+
+/// Where the form keeps a limit that the measurement at the target exceeds, the breaking point lies between measured
+/// neighbours; a limit that the measurement keeps is not exceeded before the target.
+#[test]
+fn a_measurement_at_the_target_overrides_the_form() {
+    let (assumptions, mut runs) = committed();
+    // 0.001 for each worker, but for a bump at the target.
+    for measurement in &mut runs.get_mut("list-memory").unwrap().measurements {
+        measurement.median = measurement.size * if measurement.size == 9_100.0 { 0.0015 } else { 0.001 };
+    }
+    let exceeded = list_memory(&runs, assumptions.workers(), 12.5);
+    assert!(exceeded.misses());
+    let (from, to) = ((3_000.0, 3.0), (9_100.0, 13.65));
+    let workers = from.0 + (to.0 - from.0) * (12.5 - from.1) / (to.1 - from.1);
+    let breaking_point = exceeded.breaking_point;
+    assert!((breaking_point.unwrap() - workers / 9_100.0).abs() < 1e-3, "{breaking_point:?}");
+    // And a dip.
+    for measurement in &mut runs.get_mut("list-memory").unwrap().measurements {
+        measurement.median = measurement.size * if measurement.size == 9_100.0 { 0.0005 } else { 0.001 };
+    }
+    let kept = list_memory(&runs, assumptions.workers(), 5.0);
+    assert!(!kept.misses() && kept.breaking_point.unwrap() >= 1.0, "{:?}", kept.breaking_point);
+}
+
+/// An extrapolated value gives the range of all plausible forms, and whether these change the verdict.
+#[test]
+fn a_verdict_that_depends_on_the_form_is_uncertain() {
+    let (_, mut runs) = committed();
+    let run = runs.get_mut("list-memory").unwrap();
+    // Between a square and a cube.
+    let sizes = [10.0, 20.0, 40.0, 80.0, 160.0];
+    run.measurements.truncate(sizes.len());
+    for (measurement, n) in run.measurements.iter_mut().zip(sizes) {
+        (measurement.size, measurement.median) = (n, n * n + 0.004 * n * n * n);
+    }
+    let with_limit = |limit: f64| list_memory(&runs, 1_600.0, limit);
+    let range = with_limit(1.0).range.unwrap();
+    assert!(range.low < range.high, "{range:?}");
+    assert!(with_limit((range.low + range.high) / 2.0).is_uncertain());
+    assert!(!with_limit(range.high * 1.01).is_uncertain() && !with_limit(range.low * 0.99).is_uncertain());
+}
--- /dev/null
+++ b/crates/capacity-model/tests/scale_runs.rs
@@ -0,0 +1,120 @@
+//! Results of scale tests appear in the tables, add shortfalls or remove them, and give slopes.
+
+mod rig;
+
+use milletpath_capacity_model::fleet_slopes::fleet_slopes;
+use milletpath_capacity_model::page::tables;
+use milletpath_capacity_model::roles::projections;
+use milletpath_capacity_model::run;
+use milletpath_capacity_model::scale;
+use milletpath_capacity_model::shortfalls::{rank, shortfalls};
+use milletpath_capacity_model::slopes::Slopes;
+use rig::{RunFolder, committed, docs};
+use test_case::test_case;
+
+const SCALE_RUN: &str = r#"{"gateways": 1100, "seed": 3, "broken": [], "runs": ["peers", "changes"],
+ "control": {"cpu": {"p50": 0.004, "p99": 0.02, "worst": 0.05}, "bytes_in": {"p50": 7000, "p99": 9000, "worst": 11000}},
+ "known": {"change": {"p50": 0.2, "p99": 0.9, "worst": WORST, "never": NEVER}},
+ "not_played": ["changes: none"], "machine": {"saturated": true}}"#;
+
+/// A result in which the last gateway learned of a change after `worst` seconds, and `never` of them never did.
+fn scale_run(worst: &str, never: u32) -> String {
+    SCALE_RUN.replace('\n', "").replace("WORST", worst).replace("NEVER", &never.to_string())
+}
+
+/// A result in which changes reach all gateways in time removes the shortfall, and appears in both tables; what it did
+/// not measure is reported so.
+#[test_case("1.4", 0, true; "in time")]
+#[test_case("3.2", 0, false; "too late")]
+#[test_case("1.4", 2, false; "never at two")]
+fn a_scale_run_appears_in_the_tables(worst: &str, never: u32, holds: bool) {
+    let folder = RunFolder::new(&format!("scale-{worst}-{never}"));
+    assert!(tables(&folder.0).unwrap().contains("Not run: no `scale-*.json`"));
+    let after = scale_run(worst, never);
+    let before = after.replace("\"changes\"", "\"shares\"").replace("\"change\"", "\"death\"");
+    std::fs::write(folder.0.join("scale-after.json"), format!("{{\"progress\": 0.5}}\n{after}\n")).unwrap();
+    std::fs::write(folder.0.join("scale-before.json"), format!("{before}\n")).unwrap();
+    let made = tables(&folder.0).unwrap();
+    assert!(made.contains("| 0.4, 2, 5 **MISSES** | not measured | 7, 9, 11 |"), "{made}");
+    assert!(made.contains("| changes: none | saturated: figures are of a crowd too |"), "{made}");
+    assert!(made.contains("| before | never |"));
+    let late = if never > 0 { format!("{worst}; never: {never}") } else { worst.to_owned() };
+    let row = format!("| after | 0.2, 0.9, {late} | {}", if holds { "holds" } else { "**MISSES**" });
+    assert!(made.contains(&row), "{row}");
+    assert_eq!(made.contains("| a change of configuration"), !holds);
+    let scale_runs = scale::read_all(&folder.0).unwrap();
+    assert!(
+        scale_runs.iter().any(|run| run.ran("changes")) && scale_runs.iter().any(|run| !run.ran("changes"))
+    );
+}
+
+/// The committed slopes of whole fleets are those that the committed scale tests give, and no others.
+#[test]
+fn fleet_slopes_are_derived_from_the_scale_runs() {
+    let folder = docs().join("capacity");
+    let scale_runs = scale::read_all(&folder).unwrap();
+    let derived = fleet_slopes(&scale_runs);
+    assert_eq!(derived.len(), 6);
+    for run in derived {
+        let committed = run::read(&folder.join(format!("{}.json", run.name))).unwrap();
+        assert!(committed == run, "{} is another: milletpath capacity --derive", run.name);
+    }
+    assert_eq!(fleet_slopes(&scale_runs[..3]), [], "fewer than four sizes give no slope");
+}
+
+/// Of fleets that spent more CPU than is granted, or whose membership did not converge, the smallest is a shortfall.
+#[test]
+fn the_smallest_fleet_that_misses_is_a_shortfall() {
+    let folder = RunFolder::new("scale-least");
+    let converged = scale_run("0.9", 0);
+    let write = |gateways: &str, cpu: &str, broken: &str| {
+        let broken = format!("\"broken\": [{broken}]");
+        let line = converged.replace("1100", gateways).replace("\"p50\": 0.004", &format!("\"p50\": {cpu}"));
+        let path = folder.0.join(format!("scale-{gateways}.json"));
+        std::fs::write(path, line.replace("\"broken\": []", &broken)).unwrap();
+    };
+    write("55", "0.012", "\"control.bytes_in in quiet\"");
+    write("110", "0.0121", "\"other\", \"never settled in roll: 93 of 110\"");
+    write("220", "0.04", "\"never settled in begin: 0 of 220\"");
+    let (assumptions, runs) = committed();
+    let scale_runs = scale::read_all(&folder.0).unwrap();
+    let ranked = rank(&projections(&assumptions, &Slopes::new(runs)), &shortfalls(&assumptions, &scale_runs));
+    let find = |text: &str| ranked.iter().find(|s| s.description.contains(text)).unwrap().clone();
+    let cpu = find("control's part of a core in the scale run");
+    assert!((cpu.breaking_point - 0.1).abs() < 1e-9 && cpu.reason.contains("1.21 % (p50) among 110"));
+    let convergence = find("all know who is there");
+    assert!((convergence.breaking_point - 0.1).abs() < 1e-9);
+    assert!(convergence.reason.starts_with("never settled in roll"));
+}
+
+/// A fleet that could carry changes and made none is not shown as one without the mechanism.
+#[test]
+fn a_fleet_that_made_no_change_is_shown_as_after() {
+    let folder = RunFolder::new("scale-none");
+    let line = scale_run("0.9", 0);
+    std::fs::write(folder.0.join("scale-after.json"), &line).unwrap();
+    let none = line.replace("\"change\"", "\"death\"");
+    std::fs::write(folder.0.join("scale-none.json"), none).unwrap();
+    let made = tables(&folder.0).unwrap();
+    assert!(made.contains("| after | never | **MISSES**, on a full machine |"), "{made}");
+    assert!(!made.contains("| before |"), "{made}");
+}
+
+#[test]
+fn a_change_shown_only_in_a_small_fleet_remains_a_shortfall() {
+    let folder = RunFolder::new("scale-small");
+    let line = scale_run("0.9", 0).replace("1100", "60");
+    std::fs::write(folder.0.join("scale-small.json"), line).unwrap();
+    let made = tables(&folder.0).unwrap();
+    assert!(made.contains("not shown among more than 60 gateways"), "{made}");
+}
+
+#[test_case("{\"gateways\": 3}\n", "no line of it is a scale run's last"; "no last line")]
+#[test_case("gateways\n", ":1:"; "no JSON")]
+#[test_case("{\"gateways\": -3, \"seed\": 1, \"control\": {}}\n", ":1:"; "fewer than none")]
+fn a_bad_scale_run_is_reported_with_its_place(text: &str, wrong: &str) {
+    let folder = RunFolder::new(&format!("bad-{}", text.len()));
+    std::fs::write(folder.0.join("scale-bad.json"), text).unwrap();
+    let message = tables(&folder.0).unwrap_err().to_string();
+    assert!(message.contains("scale-bad.json") && message.contains(wrong), "{message}");
+}
--- a/crates/milletpath/src/capacity.rs
+++ b/crates/milletpath/src/capacity.rs
@@ -1,22 +1,11 @@
 //! `milletpath capacity`: the tables of docs/CAPACITY.md, printed or written into the page.
 
-use milletpath_capacity_model::{derived, page, scale};
+use milletpath_capacity_model::{fleet_slopes, page};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Writes the slopes that scale runs give beside them.
-fn derive(runs: &Path) -> Result<(), String> {
-    for run in derived::derived(&scale::read_all(runs)?) {
-        let path = runs.join(format!("{}.json", run.name));
-        let text = serde_json::to_string_pretty(&run).map_err(|e| e.to_string())?;
-        std::fs::write(&path, text + "\n")
-            .map_err(|e| format!("{}: can't be written: {e}", path.display()))?;
-    }
-    Ok(())
-}
-
 pub fn capacity(runs: &Path, page: Option<&Path>, derives: bool) -> ExitCode {
-    if derives && let Err(e) = derive(runs) {
+    if derives && let Err(e) = fleet_slopes::write_fleet_slopes(runs) {
         eprintln!("{e}");
         return ExitCode::from(2);
     }
