--- a/crates/capacity-model/src/projection.rs
+++ b/crates/capacity-model/src/projection.rs
@@ -143,32 +143,32 @@
 /// A run at the place that corresponds to the target size.
 struct EvaluatedInput<'a> {
     run: &'a FittedRun,
-    place: RunInput,
+    position: RunInput,
     /// The median, if it was measured at that very place.
     measured: Option<f64>,
 }
 
 impl<'a> EvaluatedInput<'a> {
-    fn new(run: &'a FittedRun, place: RunInput) -> Self {
-        Self { run, place, measured: measured_at(&run.run, &place) }
+    fn new(run: &'a FittedRun, position: RunInput) -> Self {
+        Self { run, position, measured: measured_at(&run.run, &position) }
     }
 
     /// By the fitted form, at a fraction of the target size.
     fn fitted_value(&self, size: f64) -> f64 {
-        self.run.fit.value_at(self.place.size * size, self.place.second_size * size)
+        self.run.fit.value_at(self.position.size * size, self.position.second_size * size)
     }
 
     /// At the target size: as measured, else by the fitted form.
     fn target_value(&self) -> f64 {
-        self.measured.unwrap_or(self.run.fit.value_at(self.place.size, self.place.second_size))
+        self.measured.unwrap_or(self.run.fit.value_at(self.position.size, self.position.second_size))
     }
 
     /// Between the measured sizes by interpolation, beyond them by the fitted form.
     fn interpolated_value(&self, size: f64) -> f64 {
         let run = &self.run.run;
-        let place = self.place.size * size;
-        if run.second_axis.is_none() && place <= run.max_size() {
-            run.interpolate(place)
+        let position = self.position.size * size;
+        if run.second_axis.is_none() && position <= run.max_size() {
+            run.interpolate(position)
         } else {
             self.fitted_value(size)
         }
@@ -181,7 +181,7 @@
         }
         let values = plausible_fits(&self.run.run)
             .into_iter()
-            .map(|fit| fit.value_at(self.place.size, self.place.second_size));
+            .map(|fit| fit.value_at(self.position.size, self.position.second_size));
         values.fold(self.target_value(), pick)
     }
 
@@ -189,16 +189,16 @@
     fn extrapolation(&self) -> Option<f64> {
         match self.measured {
             Some(_) => None,
-            None => Some(self.place.size / self.run.run.max_size()),
+            None => Some(self.position.size / self.run.run.max_size()),
         }
     }
 }
 
 /// The median of the measurement at a place, if there is one.
-fn measured_at(run: &Run, place: &RunInput) -> Option<f64> {
+fn measured_at(run: &Run, position: &RunInput) -> Option<f64> {
     let is_near = |measured: f64, target: f64| (measured - target).abs() <= target * SAME_SIZE;
     let measurement = run.measurements.iter().find(|m| {
-        is_near(m.size, place.size) && m.second_size.is_none_or(|size| is_near(size, place.second_size))
+        is_near(m.size, position.size) && m.second_size.is_none_or(|size| is_near(size, position.second_size))
     });
     measurement.map(|m| m.median)
 }
@@ -274,6 +274,6 @@
     }
 
     fn is_below_measured(&self, size: f64) -> bool {
-        self.inputs.iter().any(|input| input.place.size * size < input.run.run.min_size())
+        self.inputs.iter().any(|input| input.position.size * size < input.run.run.min_size())
     }
 }
--- /dev/null
+++ b/crates/simulator-adapter/src/event.rs
@@ -0,0 +1,364 @@
+//! Decodes the events that concern one instance. Offsets are from the start of the record.
+
+use crate::error::WireError;
+use crate::record::Record;
+use milletpath_platform_settings as platform_settings;
+use milletpath_policy::{
+    AttemptCompletion, EndpointState, EndpointUpdate, InstanceState, LoadReport, Outcome,
+};
+
+/// Bytes of an entry of a worker list.
+pub const ENTRY_BYTES: usize = 21;
+
+/// Codes of the events.
+pub mod code {
+    pub const START: u8 = 10;
+    pub const LIST_UPDATED: u8 = 20;
+    pub const REQUEST_ARRIVED: u8 = 30;
+    pub const STREAM_STARTED: u8 = 40;
+    pub const ATTEMPT_ENDED: u8 = 50;
+    pub const CLIENT_GONE: u8 = 60;
+    pub const TIMER_FIRED: u8 = 70;
+    pub const HEALTH_CHECK_ENDED: u8 = 80;
+    pub const PEER_MESSAGE: u8 = 90;
+    pub const STOP: u8 = 100;
+    pub const LOAD_REQUEST_ENDED: u8 = 110;
+    pub const WORKER_LIST: u8 = 120;
+}
+
+/// Values in a load report at most.
+const MAX_REPORT_VALUES: usize = 4;
+
+/// Bytes of a value in a load report.
+const REPORT_VALUE_BYTES: usize = 4;
+
+/// The code of an event.
+pub fn code_of(record: Record<'_>) -> u8 {
+    record.u8(0)
+}
+
+/// The instance that an event concerns. Worker lists concern none.
+pub fn instance_of(record: Record<'_>) -> u16 {
+    record.u16(1)
+}
+
+/// Whether a code is one of those that [`Event::decode`] knows.
+pub fn is_instance_event(code: u8) -> bool {
+    matches!(
+        code,
+        code::REQUEST_ARRIVED
+            | code::STREAM_STARTED
+            | code::ATTEMPT_ENDED
+            | code::CLIENT_GONE
+            | code::TIMER_FIRED
+            | code::HEALTH_CHECK_ENDED
+            | code::PEER_MESSAGE
+            | code::STOP
+            | code::LOAD_REQUEST_ENDED
+    )
+}
+
+/// An instance starts.
+pub struct Start {
+    /// Seed of its random numbers.
+    pub seed: u64,
+    /// Place of its settings in the tail.
+    pub settings_offset: u32,
+    /// Length of its settings in bytes.
+    pub settings_length: usize,
+}
+
+impl Start {
+    /// Decodes the event.
+    pub fn decode(record: Record<'_>) -> Self {
+        Self {
+            seed: record.u64(3),
+            settings_offset: record.u32(11),
+            settings_length: record.u32(15) as usize,
+        }
+    }
+}
+
+/// A numbered worker list, which list updates refer to.
+pub struct WorkerList {
+    /// Number of the list; one that is in use is replaced.
+    pub number: u32,
+    /// Place of its entries in the tail.
+    pub offset: u32,
+    /// Length of all entries in bytes.
+    pub length: usize,
+}
+
+impl WorkerList {
+    /// Decodes the event.
+    pub fn decode(record: Record<'_>) -> Result<Self, WireError> {
+        let entries = record.u32(9) as usize;
+        let length = entries.checked_mul(ENTRY_BYTES).ok_or(WireError::ListTooLong)?;
+        Ok(Self { number: record.u32(1), offset: record.u32(5), length })
+    }
+}
+
+/// How a list update relates to the list that the instance holds.
+#[derive(Clone, Copy)]
+pub enum ListMode {
+    /// Changed entries only.
+    Delta,
+    /// The complete list, current or as last held.
+    Full,
+    /// A subscription or a poll failed; the previous list stays in force.
+    Failed,
+}
+
+/// An instance's worker list changes.
+pub struct ListUpdated {
+    /// Code of the mode; see [`ListUpdated::mode`].
+    mode: u8,
+    /// Number of the list with the entries; void for [`ListMode::Failed`].
+    pub list: u32,
+}
+
+impl ListUpdated {
+    /// Decodes the event but for its mode.
+    pub fn decode(record: Record<'_>) -> Self {
+        Self { mode: record.u8(3), list: record.u32(12) }
+    }
+
+    /// Whether the update only says that a subscription or a poll failed.
+    pub fn has_failed(&self) -> bool {
+        matches!(self.mode(), Ok(ListMode::Failed))
+    }
+
+    /// Decodes the mode, which matters only to an instance that runs.
+    pub fn mode(&self) -> Result<ListMode, WireError> {
+        match self.mode {
+            0 => Ok(ListMode::Delta),
+            1 | 2 => Ok(ListMode::Full),
+            3 => Ok(ListMode::Failed),
+            other => Err(WireError::UnknownListMode(other)),
+        }
+    }
+}
+
+/// A request arrives.
+pub struct RequestArrived {
+    /// Id of the request.
+    pub request: u64,
+    /// Id of the function.
+    pub function: u64,
+    /// Index of its class.
+    pub profile: usize,
+    /// Index of the tenant.
+    pub client: usize,
+    /// Seconds until the client gives up.
+    pub timeout: f64,
+    /// The client marked it as a retry.
+    pub is_retry: bool,
+    /// Requests that one instance of the function runs at a time.
+    pub concurrency: f64,
+    /// Memory of one instance of the function, in MB.
+    pub memory: f64,
+    /// Usual load time of the function in seconds, if the site tells it.
+    pub load_time: Option<f64>,
+}
+
+impl RequestArrived {
+    const RETRY_FLAG: u8 = 2;
+    const MILLISECONDS: f64 = 1e3;
+
+    fn decode(record: Record<'_>) -> Self {
+        let load_time = record.f32(30) / Self::MILLISECONDS;
+        Self {
+            request: record.u64(3),
+            function: record.u64(34),
+            profile: record.u16(19).into(),
+            client: record.u32(21) as usize,
+            timeout: record.seconds(15),
+            is_retry: record.u8(29) & Self::RETRY_FLAG != 0,
+            concurrency: record.f32(25),
+            memory: record.f32(11),
+            load_time: (load_time > 0.0).then_some(load_time),
+        }
+    }
+}
+
+/// An event of an instance that runs.
+pub enum Event {
+    /// A request arrives.
+    RequestArrived(RequestArrived),
+    /// An attempt's response begins: the attempt now belongs to the client.
+    StreamStarted {
+        /// Id of the request.
+        request: u64,
+        /// Index of the attempt.
+        attempt: usize,
+    },
+    /// An attempt ended.
+    AttemptEnded {
+        /// Id of the request.
+        request: u64,
+        /// How it ended.
+        completion: AttemptCompletion,
+    },
+    /// The client of a request left.
+    ClientGone {
+        /// Id of the request.
+        request: u64,
+    },
+    /// A timer fired.
+    TimerFired,
+    /// A health check ended.
+    HealthCheckEnded {
+        /// Id of the worker.
+        worker: u32,
+        /// How it ended.
+        outcome: Outcome,
+        /// The load report that came with it.
+        report: Option<LoadReport>,
+    },
+    /// Another instance sent a message. No router here sends any.
+    PeerMessage,
+    /// A load request ended.
+    LoadRequestEnded {
+        /// Id of the worker.
+        worker: u32,
+        /// Id of the function.
+        function: u64,
+        /// How it ended.
+        outcome: Outcome,
+        /// Instances that are loaded now.
+        instances: u8,
+    },
+}
+
+impl Event {
+    /// Decodes an event other than [`Start`], [`ListUpdated`] and a stop. `report_values` are the names of the values in
+    /// a load report.
+    pub fn decode(record: Record<'_>, report_values: &[String]) -> Result<Self, WireError> {
+        Ok(match code_of(record) {
+            code::REQUEST_ARRIVED => Self::RequestArrived(RequestArrived::decode(record)),
+            code::STREAM_STARTED => {
+                Self::StreamStarted { request: record.u64(3), attempt: record.u16(19).into() }
+            }
+            code::ATTEMPT_ENDED => Self::AttemptEnded {
+                request: record.u64(3),
+                completion: attempt_completion(record, report_values)?,
+            },
+            code::CLIENT_GONE => Self::ClientGone { request: record.u64(3) },
+            code::TIMER_FIRED => Self::TimerFired,
+            code::HEALTH_CHECK_ENDED => Self::HealthCheckEnded {
+                worker: record.u32(5),
+                outcome: outcome(record.u16(3))?,
+                report: load_report(record, 13, report_values)?,
+            },
+            code::PEER_MESSAGE => Self::PeerMessage,
+            code::LOAD_REQUEST_ENDED => Self::LoadRequestEnded {
+                worker: record.u32(5),
+                function: record.u64(14),
+                outcome: outcome(record.u16(3))?,
+                instances: record.u8(13),
+            },
+            other => return Err(WireError::UnknownEvent(other)),
+        })
+    }
+}
+
+fn attempt_completion(record: Record<'_>, report_values: &[String]) -> Result<AttemptCompletion, WireError> {
+    /// The note holds the state of the instance in its low bits, and in those above the function's requests in flight.
+    const STATE_BITS: u32 = 3;
+    let note = record.u8(16);
+    Ok(AttemptCompletion {
+        attempt: record.u16(23).into(),
+        outcome: outcome(record.u16(21))?,
+        is_final: record.u8(15) != 0,
+        latency: record.seconds(17),
+        instance_state: match note & ((1 << STATE_BITS) - 1) {
+            1 => Some(InstanceState::Loaded),
+            2 => Some(InstanceState::LoadStarted),
+            3 => Some(InstanceState::LoadAwaited),
+            4 => Some(InstanceState::LoadFailed),
+            _ => None,
+        },
+        in_flight_of_function: f64::from(note >> STATE_BITS),
+        report: load_report(record, 25, report_values)?,
+    })
+}
+
+fn outcome(code: u16) -> Result<Outcome, WireError> {
+    Ok(match code {
+        200 => Outcome::Succeeded,
+        502 => Outcome::Failed,
+        429 => Outcome::Rejected,
+        408 => Outcome::TimedOut,
+        521 => Outcome::Unreachable,
+        520 => Outcome::ConnectionLost,
+        444 => Outcome::Cancelled,
+        409 => Outcome::NotSent,
+        204 => Outcome::NotLoaded,
+        other => return Err(WireError::UnknownOutcome(other)),
+    })
+}
+
+/// The load report at an offset; `None` if it holds no values.
+fn load_report(
+    record: Record<'_>,
+    offset: usize,
+    report_values: &[String],
+) -> Result<Option<LoadReport>, WireError> {
+    let count = usize::from(record.u8(offset));
+    if count > MAX_REPORT_VALUES {
+        return Err(WireError::ReportTooLong(count));
+    }
+    let mut report = LoadReport::default();
+    for (index, name) in report_values.iter().take(count).enumerate() {
+        let value = record.f32(offset + 1 + REPORT_VALUE_BYTES * index);
+        platform_settings::set_report_value(&mut report, name, value);
+    }
+    Ok((count > 0).then_some(report))
+}
+
+/// An entry of a worker list.
+pub struct Entry {
+    /// Id of the worker.
+    pub worker: u32,
+    /// When its process started, in microseconds of the wire's clock; `None` means long ago.
+    pub started: Option<u64>,
+    cell: usize,
+    size: f64,
+    kind: usize,
+    state: EndpointState,
+    zone: usize,
+}
+
+impl Entry {
+    /// Decodes an entry.
+    pub fn decode(record: Record<'_>) -> Result<Self, WireError> {
+        Ok(Self {
+            worker: record.u32(0),
+            started: Some(record.u64(4)).filter(|started| *started > 0),
+            cell: record.u16(12).into(),
+            size: record.f32(14),
+            kind: record.u8(18).into(),
+            state: match record.u8(19) {
+                0 => EndpointState::Gone,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
+                other => return Err(WireError::UnknownWorkerState(other)),
+            },
+            zone: record.u8(20).into(),
+        })
+    }
+
+    /// The entry as the decisions have it: the worker under its index, its start in seconds of the router's clock.
+    pub fn to_update(&self, worker: usize, started_at: Option<f64>) -> EndpointUpdate {
+        EndpointUpdate {
+            worker,
+            name: self.worker.into(),
+            started_at,
+            cell: self.cell,
+            size: self.size,
+            kind: self.kind,
+            state: self.state,
+            zone: self.zone,
+        }
+    }
+}
