--- a/crates/milletpath/src/capacity.rs
+++ b/crates/milletpath/src/capacity.rs
@@ -2,8 +2,8 @@
 
 use crate::exit_status::{CommandError, ExitStatus};
 use clap::Args;
-use milletpath_capacity_model::{derived, page, scale};
-use std::error::Error;
+use milletpath_capacity_model::error::CapacityError as ModelError;
+use milletpath_capacity_model::{fleet_slopes, page};
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -25,20 +25,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
     /// The runs or the assumptions can't be read, or don't suffice.
-    #[error("{0}")]
-    Runs(Box<dyn Error>),
-    /// A derived run can't be written as JSON.
-    #[error("the derived run {name} can't be written as JSON: {source}")]
-    Json { name: String, source: serde_json::Error },
-    /// A derived run can't be stored beside the runs.
-    #[error("{}: can't be written: {source}", path.display())]
-    WriteRun { path: PathBuf, source: io::Error },
+    #[error(transparent)]
+    Runs(ModelError),
     /// The page can't be read.
     #[error("{}: can't be read: {source}; name a page", path.display())]
     ReadPage { path: PathBuf, source: io::Error },
     /// The page has no marks between which the tables belong.
     #[error("{}: {source}", path.display())]
-    Page { path: PathBuf, source: Box<dyn Error> },
+    Page { path: PathBuf, source: ModelError },
     /// The page can't be written.
     #[error("{}: can't be written: {source}", path.display())]
     WritePage { path: PathBuf, source: io::Error },
@@ -60,9 +54,9 @@
 /// The runs can't be read, or the page can't be read or written.
 pub fn run(options: &Options) -> Result<ExitStatus, CapacityError> {
     if options.derive {
-        write_derived_runs(&options.runs)?;
+        fleet_slopes::write_fleet_slopes(&options.runs).map_err(CapacityError::Runs)?;
     }
-    let tables = page::tables(&options.runs).map_err(|error| CapacityError::Runs(error.into()))?;
+    let tables = page::tables(&options.runs).map_err(CapacityError::Runs)?;
     match &options.page {
         Some(path) => write_into_page(path, &tables)?,
         None => println!("{tables}"),
@@ -70,24 +64,11 @@
     Ok(ExitStatus::Success)
 }
 
-/// Writes the slopes that scale test runs give beside them.
-fn write_derived_runs(folder: &Path) -> Result<(), CapacityError> {
-    let fleets = scale::read_all(folder).map_err(|error| CapacityError::Runs(error.into()))?;
-    for run in derived::derived(&fleets) {
-        let text = serde_json::to_string_pretty(&run)
-            .map_err(|source| CapacityError::Json { name: run.name.clone(), source })?;
-        let path = folder.join(format!("{}.json", run.name));
-        std::fs::write(&path, text + "\n")
-            .map_err(|source| CapacityError::WriteRun { path: path.clone(), source })?;
-    }
-    Ok(())
-}
-
 /// Writes the tables between the marks of a page.
 fn write_into_page(path: &Path, tables: &str) -> Result<(), CapacityError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| CapacityError::ReadPage { path: path.to_owned(), source })?;
     let text = page::rewrite(&text, tables)
-        .map_err(|error| CapacityError::Page { path: path.to_owned(), source: error.into() })?;
+        .map_err(|source| CapacityError::Page { path: path.to_owned(), source })?;
     std::fs::write(path, text).map_err(|source| CapacityError::WritePage { path: path.to_owned(), source })
 }
