--- a/docs/operators/example.hcl
+++ b/docs/operators/example.hcl
@@ -1,4 +1,5 @@
-# A configuration file with all sections. Required are only due and effect of a profile, memory of a receipted one, and the workers.
+# A configuration file with all sections but peers and changes. Required are only due and effect of a profile, memory of a
+# receipted one, and the workers.
 listen   = "127.0.0.1:8080"
 gateways = 2 # that share the workers, this one included
 
