--- a/crates/milletpath/tests/runbook.rs
+++ b/crates/milletpath/tests/runbook.rs
@@ -13,7 +13,8 @@
 /// The levels of which every line needs an entry: the macro's name, and how the page writes it.
 const LEVELS: [(&str, &str); 2] = [("warn!(", "WARN"), ("error!(", "ERROR")];
 
-/// A log line: its text, with `{}` for each value.
+/// A log line: its text, with `{}` for each value. A text of values alone could stand for any line, so the name of the
+/// file that writes it is added.
 type Message = String;
 
 /// Levels at which a line is written, and the files that write it.
@@ -62,7 +63,7 @@
     let mut lines: BTreeMap<Message, LogLine> = BTreeMap::new();
     for package in std::fs::read_dir(workspace().join("crates")).expect("the folder of packages") {
         let package = package.expect("a folder").path();
-        let name = package.file_name().expect("a name").to_string_lossy().into_owned();
+        let name = file_name(&package);
         if TEST_TOOLS.contains(&name.as_str()) || !package.join("Cargo.toml").is_file() {
             continue;
         }
@@ -70,7 +71,7 @@
             let text = code(&std::fs::read_to_string(&file).expect("a source"));
             for (macro_name, level) in LEVELS {
                 for message in messages(&text, macro_name) {
-                    let line = lines.entry(message).or_default();
+                    let line = lines.entry(identified(message, &file_name(&file))).or_default();
                     line.levels.insert(level);
                     line.files.insert(file.display().to_string());
                 }
@@ -80,6 +81,15 @@
     lines
 }
 
+fn file_name(path: &Path) -> String {
+    path.file_name().expect("a name").to_string_lossy().into_owned()
+}
+
+/// The text, with the file's name where it has no word of its own.
+fn identified(text: String, file_name: &str) -> Message {
+    if text.contains(char::is_alphabetic) { text } else { format!("{text} in {file_name}") }
+}
+
 /// The texts of all calls of a macro in a source.
 fn messages(text: &str, macro_name: &str) -> Vec<Message> {
     let is_other_macro = |before: &str| before.ends_with(|c: char| c.is_alphanumeric() || c == '_');
@@ -157,14 +167,30 @@
         let text = heading.strip_prefix('`').and_then(|heading| heading.strip_suffix('`'));
         let text =
             text.unwrap_or_else(|| panic!("{heading}: an entry's heading is a log line in backquotes"));
-        let message = with_empty_placeholders(text);
-        let body = lines.take_while(|line| !line.starts_with('#')).map(str::to_owned).collect();
-        let former = entries.insert(message, Entry { heading: heading.clone(), body });
-        assert!(former.is_none(), "{heading}: two entries");
+        let body: Vec<_> = lines.take_while(|line| !line.starts_with('#')).map(str::to_owned).collect();
+        for message in messages_of_entry(&with_empty_placeholders(text), &body) {
+            let former = entries.insert(message, Entry { heading: heading.clone(), body: body.clone() });
+            assert!(former.is_none(), "{heading}: two entries");
+        }
     }
     entries
 }
 
+/// The lines that an entry stands for: one, or for a text of values alone one in each file that the entry names.
+fn messages_of_entry(text: &str, body: &[String]) -> Vec<Message> {
+    if text.contains(char::is_alphabetic) {
+        return vec![text.to_owned()];
+    }
+    let quoted = body.iter().flat_map(|line| line.split('`'));
+    let files = quoted.filter(|word| word.ends_with(".rs") && !word.contains('/'));
+    let messages: Vec<_> = files.map(|file| identified(text.to_owned(), file)).collect();
+    assert!(
+        !messages.is_empty(),
+        "{text}: an entry for a text of values alone names the files that write it"
+    );
+    messages
+}
+
 /// Log lines without an entry, each with the files that write it.
 fn missing<'l>(
     lines: &'l BTreeMap<Message, LogLine>,
@@ -206,23 +232,6 @@
     }
 }
 
-/// A text of values alone could stand for any line: its entry names each file that writes it.
-#[test]
-fn an_entry_for_a_text_without_words_names_the_files_that_write_it() {
-    let entries = entries(&runbook());
-    for (message, line) in log_lines() {
-        if message.contains(char::is_alphabetic) {
-            continue;
-        }
-        let Some(entry) = entries.get(&message) else { continue };
-        for file in &line.files {
-            let name = Path::new(file).file_name().expect("a name").to_string_lossy();
-            let is_named = entry.body.iter().any(|text| text.contains(&*name));
-            assert!(is_named, "{}: the entry does not name {file}", entry.heading);
-        }
-    }
-}
-
 #[test]
 fn a_line_whose_entry_is_removed_is_found_missing() {
     let (lines, mut entries) = (log_lines(), entries(&runbook()));
