--- a/crates/config/src/model/limits.rs
+++ b/crates/config/src/model/limits.rs
@@ -29,7 +29,7 @@
     /// Seconds after which an unused connection to a worker is closed.
     pub idle_timeout: f64,
     /// Seconds for a health check to be answered.
-    pub probe_timeout: f64,
+    pub health_check_timeout: f64,
     /// Seconds for which a draining worker may still be sent requests.
     pub drain_grace: f64,
 }
--- a/crates/config/src/reader/policy.rs
+++ b/crates/config/src/reader/policy.rs
@@ -5,7 +5,7 @@
 use super::optional_section::OptionalSection;
 use crate::document::Section;
 use crate::model::WorkerSource;
-use milletpath_policy::{PolicyConfig, Profile};
+use milletpath_policy::{PolicyConfig, Profile, RequestBudget};
 
 /// Seconds between two turns of the gateway's clock: what a loop on a busy core keeps.
 const TICK: f64 = 0.004;
@@ -39,7 +39,7 @@
             retry_budget: self
                 .limits
                 .and_then(|limits| rate_limit(limits, "retries"))
-                .map(|(window, free, fraction)| (window, free / self.gateways as f64, fraction)),
+                .map(|budget| RequestBudget { free: budget.free / self.gateways as f64, ..budget }),
             max_in_flight: self
                 .limits
                 .and_then(|limits| in_flight(limits, self.gateways))
@@ -51,7 +51,7 @@
             reports_missing_functions: workers.flag("misses", false),
             // The registry streams to whoever asks, and is asked again when the stream breaks.
             watches_on_request: matches!(source, WorkerSource::Registry(_)),
-            can_probe: workers.flag("probes", true),
+            can_check_health: workers.flag("probes", true),
             max_retry_after: Some(limits.number("come_back", "seconds", 0.0..=MAX_SECONDS, 1.0))
                 .filter(|seconds| *seconds > 0.0),
             keep_alive: seconds("keep", 0.0, 10.0),
@@ -68,7 +68,7 @@
 }
 
 /// A rate limit as the policy has it: seconds of its window, how many are free in each, and for each request accepted.
-fn rate_limit(limits: &Section<'_>, key: &'static str) -> Option<(f64, f64, f64)> {
+fn rate_limit(limits: &Section<'_>, key: &'static str) -> Option<RequestBudget> {
     let section = limits.block(key)?;
     let window = section.number("window", "seconds", 0.001..=MAX_SECONDS);
     if !section.has("window") {
@@ -76,8 +76,8 @@
     }
     let free = section.number("free", "", 0.0..=1e9).unwrap_or(0.0);
     // Asked for also where the window is missing: a key that nobody asked for would be reported as unknown.
-    let fraction = section.number("share", "", 0.0..=1e3).unwrap_or(0.0);
-    Some((window?, free, fraction))
+    let earned_per_request = section.number("share", "", 0.0..=1e3).unwrap_or(0.0);
+    Some(RequestBudget { window: window?, free, earned_per_request })
 }
 
 /// Attempts in flight at one worker, over all gateways. Each gateway needs a whole one, for when it reaches no other.
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -5,7 +5,7 @@
 
 use expect::assert_has_error;
 use milletpath_config::{WorkerSource, read};
-use milletpath_policy::{Idempotency, KeyScope};
+use milletpath_policy::{Idempotency, KeyScope, RequestBudget};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -68,11 +68,17 @@
         config.policy.profiles[1].idempotency,
         Idempotency::IdempotentWithKey { group: KeyScope::Zone, memory: 60.0 }
     );
-    assert_eq!(config.policy.load_budget, Some((10.0, 2.0, 0.1)));
+    assert_eq!(
+        config.policy.load_budget,
+        Some(RequestBudget { window: 10.0, free: 2.0, earned_per_request: 0.1 })
+    );
     assert_eq!((config.policy.quotas[0], config.clients[0].as_str()), (44.0, "clinic"));
     assert_eq!((config.policy.rate_limits[0], config.policy.max_in_flight), (60.0, 40.0));
     // Free ones are the fleet's: each gateway has its part.
-    assert_eq!(config.policy.retry_budget, Some((5.0, 4.0, 0.2)));
+    assert_eq!(
+        config.policy.retry_budget,
+        Some(RequestBudget { window: 5.0, free: 4.0, earned_per_request: 0.2 })
+    );
     assert_eq!(
         (config.functions.resolve("packs-a").lanes, config.functions.resolve("packs-a").load),
         (2.0, Some(0.7))
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -59,7 +59,7 @@
         // By then every attempt, load request and health check to a worker that is gone has ended.
         let longest =
             config.profiles.iter().map(|p| p.deadline).fold(config.policy.load_request_timeout, f64::max);
-        let forget_after = 2.0 * (longest + config.limits.probe_timeout);
+        let forget_after = 2.0 * (longest + config.limits.health_check_timeout);
         let start_times = StartTimes::new(unix_time);
         let worker_table =
             WorkerTable::new(&config.worker_kinds, config.policy.seed, start_times, 0, forget_after);
--- a/crates/dispatcher/src/dispatcher/effects.rs
+++ b/crates/dispatcher/src/dispatcher/effects.rs
@@ -70,10 +70,10 @@
         self.actions.push_back(Action::UnloadFunction { worker, function });
     }
 
-    fn probe(&mut self, worker: usize) {
+    fn check_health(&mut self, worker: usize) {
         let serial = self.next_serial();
         self.counters.health_checks += 1;
-        let deadline = self.now + self.limits.probe_timeout;
+        let deadline = self.now + self.limits.health_check_timeout;
         let deadline_timer = self.timers.set(deadline, Timer::HealthCheckDeadline { worker, serial });
         if self.health_checks.len() <= worker {
             self.health_checks.resize_with(worker + 1, || None);
--- a/crates/dispatcher/src/load_rate_limit.rs
+++ b/crates/dispatcher/src/load_rate_limit.rs
@@ -2,7 +2,7 @@
 //! on a load request; until that is sent, a connection may have to be made, and load requests that were decided on ten
 //! seconds apart may be sent closer together.
 
-use milletpath_policy::RateLimiter as PolicyRateLimit;
+use milletpath_policy::{RateLimiter as PolicyRateLimit, RequestBudget};
 
 /// Seconds by which load requests may come closer together, or further from the requests they count on, between a
 /// write here and its reading on a busy machine.
@@ -35,11 +35,10 @@
 }
 
 impl LoadRateLimit {
-    /// `config` is the policy's setting: seconds of the window, load requests that are free in any window, and the part
-    /// of a load request that each client request within it adds.
-    pub(crate) fn new(config: (f64, f64, f64)) -> Self {
+    /// A limit by the policy's budget of load requests.
+    pub(crate) fn new(budget: RequestBudget) -> Self {
         Self {
-            limit: PolicyRateLimit::new(config, TRANSIT_SECONDS),
+            limit: PolicyRateLimit::new(budget, TRANSIT_SECONDS),
             fraction: ExpiringValue::constant(1.0),
             adjustment: ExpiringValue::constant(0.0),
         }
@@ -59,15 +58,15 @@
 
     /// Counts a request of a client.
     pub(crate) fn request_arrived(&mut self, now: f64) {
-        self.limit.take(now);
+        self.limit.request_arrived(now);
     }
 
     /// Whether a load request may be sent now; counts it if so.
     pub(crate) fn try_send(&mut self, now: f64) -> bool {
         let free = (self.limit.free * self.fraction.at(now) + self.adjustment.at(now)).max(0.0);
-        let allowed = self.limit.may(now, free);
+        let allowed = self.limit.allows(now, free);
         if allowed {
-            self.limit.done(now);
+            self.limit.action_done(now);
         }
         allowed
     }
--- a/crates/dispatcher/src/load_rate_limit/tests.rs
+++ b/crates/dispatcher/src/load_rate_limit/tests.rs
@@ -2,7 +2,7 @@
 
 /// Two free load requests in any window of ten seconds.
 fn two_in_ten_seconds() -> LoadRateLimit {
-    LoadRateLimit::new((10.0, 2.0, 0.0))
+    LoadRateLimit::new(RequestBudget { window: 10.0, free: 2.0, earned_per_request: 0.0 })
 }
 
 /// A fraction holds until its time and not a moment longer, whoever looks.
--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -5,7 +5,7 @@
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Dispatcher, EndpointRevision};
 use milletpath_membership::QuotaFraction;
-use milletpath_policy::Budget;
+use milletpath_policy::{Budget, RequestBudget};
 use milletpath_shared_budgets::{
     BudgetKind, BudgetView, Counters, Entitlement, FunctionConcurrency, OutgoingMessage, SharedBudgets,
     SlotAdjustment,
@@ -82,10 +82,10 @@
                 policy.rate_limits[client] / gateways,
             );
         }
-        if let Some((window, free, _)) = policy.load_budget {
+        if let Some(RequestBudget { window, free, .. }) = policy.load_budget {
             add(Budget::LoadRequests, "orders".into(), BudgetKind::Window(window), free);
         }
-        if let Some((window, free, _)) = policy.retry_budget {
+        if let Some(RequestBudget { window, free, .. }) = policy.retry_budget {
             add(Budget::Retries, "retries".into(), BudgetKind::Window(window), free);
         }
         let longest = config.profiles.iter().map(|p| p.deadline).fold(0.0, f64::max);
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -145,7 +145,7 @@
 
 fn membership_config(config: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
     // Quotas are counted by the second, load requests within their window.
-    let window = config.policy.load_budget.map_or(1.0, |(window, ..)| window.max(1.0));
+    let window = config.policy.load_budget.map_or(1.0, |budget| budget.window.max(1.0));
     MembershipConfig {
         period: settings.period,
         lease: settings.lease,
--- a/crates/gateway/src/worker_commands.rs
+++ b/crates/gateway/src/worker_commands.rs
@@ -75,14 +75,14 @@
 /// Has a worker unload idle instances. Nothing depends on the response.
 pub async fn unload_function(context: Rc<CoreContext>, target: WorkerTarget, function: Arc<str>) {
     let command = Command { method: Method::POST, path: wire::unload_path(&function), instances: None };
-    let timeout = Duration::from_secs_f64(context.limits().probe_timeout);
+    let timeout = Duration::from_secs_f64(context.limits().health_check_timeout);
     let _ = tokio::time::timeout(timeout, send(&context, target, command, || true)).await;
 }
 
 /// Asks a worker whether it is ready, and reports the answer.
 pub async fn health_check(context: Rc<CoreContext>, target: WorkerTarget, serial: u64) {
     let command = Command { method: Method::GET, path: wire::HEALTH_PATH.to_owned(), instances: None };
-    let timeout = Duration::from_secs_f64(context.limits().probe_timeout);
+    let timeout = Duration::from_secs_f64(context.limits().health_check_timeout);
     let response = tokio::time::timeout(timeout, send(&context, target, command, || true));
     // The dispatcher ends the check at the same time.
     let Ok(response) = response.await else { return };
--- a/crates/platform-protocol/src/bootstrap/read.rs
+++ b/crates/platform-protocol/src/bootstrap/read.rs
@@ -125,7 +125,7 @@
         connect_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
         idle_timeout: platform_settings::time_limit(settings, "Keepalive")?,
         // A probe that takes longer than a connection may is as good as lost.
-        probe_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
+        health_check_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
         drain_grace: platform_settings::drain_grace(settings)?,
     })
 }
--- a/crates/platform-protocol/tests/bootstrap.rs
+++ b/crates/platform-protocol/tests/bootstrap.rs
@@ -45,7 +45,10 @@
     assert_eq!((profile.name.as_str(), profile.deadline, profile.importance), ("p", 1.5, 4.0));
     assert_eq!((config.clients, config.worker_kinds), (vec!["acme".into()], vec!["small".into()]));
     let limits = config.limits;
-    assert_eq!((limits.connect_timeout, limits.probe_timeout, limits.idle_timeout), (0.25, 0.25, 30.0));
+    assert_eq!(
+        (limits.connect_timeout, limits.health_check_timeout, limits.idle_timeout),
+        (0.25, 0.25, 30.0)
+    );
     // Past 20,000 open requests memory would be exhausted, whatever the settings say.
     assert_eq!((limits.drain_grace, limits.max_open_requests, limits.cores), (0.5, 20_000, 1));
 }
--- a/crates/platform-settings/src/policy.rs
+++ b/crates/platform-settings/src/policy.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsError;
 use crate::lookup::{non_negative, optional_seconds, positive, seconds, value_at};
-use milletpath_policy::{Idempotency, KeyScope, PolicyConfig, Profile};
+use milletpath_policy::{Idempotency, KeyScope, PolicyConfig, Profile, RequestBudget};
 use serde_json::Value;
 
 /// The configuration of the routing decisions; the error names a setting that is missing or out of bounds. `seed` makes
@@ -27,7 +27,7 @@
         can_request_loads: flag("/FamilyInfo/PlacementCalls"),
         reports_missing_functions: value_at::<&str>(settings, "/FamilyInfo/MissMode") == Some("miss"),
         watches_on_request: value_at::<&str>(settings, "/RegistryMode") == Some("subscribe"),
-        can_probe: flag("/Limits/Probing") && reports_load,
+        can_check_health: flag("/Limits/Probing") && reports_load,
         max_retry_after: optional_seconds(settings, "/Limits/MaxRetryAfter")
             .filter(|_| flag("/Limits/RetryAfter")),
         keep_alive: optional_seconds(settings, "/FamilyInfo/KeepAlive").unwrap_or(0.0),
@@ -48,13 +48,12 @@
     tenants.iter().map(|tenant| value_at(tenant, "/QuotaPerS").unwrap_or(f64::INFINITY)).collect()
 }
 
-/// The rate limit of load requests as the policy has it: seconds of its window, how many are free in each, and for each
-/// request accepted.
-fn load_rate_limit(settings: &Value) -> Option<(f64, f64, f64)> {
+/// The budget of load requests; none where the settings do not limit them.
+fn load_rate_limit(settings: &Value) -> Option<RequestBudget> {
     let window = optional_seconds(settings, "/FamilyInfo/LoadPeriod")?;
     let free = value_at(settings, "/FamilyInfo/FreeLoads").unwrap_or(0.0);
-    let fraction = value_at(settings, "/FamilyInfo/LoadShare").unwrap_or(0.0);
-    Some((window, free, fraction))
+    let earned_per_request = value_at(settings, "/FamilyInfo/LoadShare").unwrap_or(0.0);
+    Some(RequestBudget { window, free, earned_per_request })
 }
 
 /// One class of the settings as a profile, by its index among them.
--- a/crates/platform-settings/tests/settings.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings: a valid object gives its values, and what is missing or out of bounds is named by its path.
 
 use milletpath_platform_settings::{self as platform_settings, ProfileSettings};
-use milletpath_policy::{Idempotency, KeyScope, LoadReport};
+use milletpath_policy::{Idempotency, KeyScope, LoadReport, RequestBudget};
 use serde_json::Value;
 use test_case::test_case;
 
@@ -53,7 +53,10 @@
         (Idempotency::NonIdempotent, 0.5)
     );
     assert_eq!(config.quotas, [44.0, f64::INFINITY]);
-    assert_eq!((config.load_budget, config.retry_budget), (Some((10.0, 2.0, 0.1)), None));
+    assert_eq!(
+        (config.load_budget, config.retry_budget),
+        (Some(RequestBudget { window: 10.0, free: 2.0, earned_per_request: 0.1 }), None)
+    );
     assert_eq!(
         (config.max_retry_after, config.keep_alive, config.load_request_timeout),
         (Some(2.0), 10.0, f64::INFINITY)
@@ -64,7 +67,7 @@
             && config.can_request_loads
             && config.reports_missing_functions
             && config.watches_on_request
-            && config.can_probe
+            && config.can_check_health
     );
 }
 
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -13,24 +13,24 @@
 /// A token bucket: the tokens left, as of a time in seconds.
 #[derive(Clone, Copy)]
 struct Bucket {
-    left: f64,
-    at: f64,
+    tokens: f64,
+    filled_at: f64,
 }
 
 impl Bucket {
-    fn fill(&mut self, now: f64, rate: f64, most: f64) {
-        self.left = (self.left + (now - self.at) * rate).min(most);
-        self.at = now;
+    fn fill(&mut self, now: f64, rate: f64, capacity: f64) {
+        self.tokens = (self.tokens + (now - self.filled_at) * rate).min(capacity);
+        self.filled_at = now;
     }
 }
 
 pub(crate) struct Admission {
     /// Requests a second of this router's part: within each client group's quota, and under its rate limit.
     quotas: Vec<f64>,
-    ceilings: Vec<f64>,
+    rate_limits: Vec<f64>,
     /// The bucket of each client group for its quota, and for its rate limit.
-    within_quota: Vec<Bucket>,
-    under_ceiling: Vec<Bucket>,
+    quota_buckets: Vec<Bucket>,
+    rate_limit_buckets: Vec<Bucket>,
     /// Requests over their quota are shed first.
     sheds_over_quota: bool,
     /// The longest Retry-After in seconds that clients follow; none where they are not given one.
@@ -41,15 +41,15 @@
     pub(crate) fn new(
         now: f64,
         quotas: Vec<f64>,
-        ceilings: Vec<f64>,
+        rate_limits: Vec<f64>,
         sheds_over_quota: bool,
         max_retry_after: Option<f64>,
     ) -> Self {
         Self {
-            within_quota: vec![Bucket { left: 0.0, at: now - 1.0 }; quotas.len()],
-            under_ceiling: vec![Bucket { left: 0.0, at: now }; ceilings.len()],
+            quota_buckets: vec![Bucket { tokens: 0.0, filled_at: now - 1.0 }; quotas.len()],
+            rate_limit_buckets: vec![Bucket { tokens: 0.0, filled_at: now }; rate_limits.len()],
             quotas,
-            ceilings,
+            rate_limits,
             sheds_over_quota,
             max_retry_after,
         }
@@ -61,11 +61,11 @@
         // The burst is one second of the quota.
         let own_rate = self.quotas.get(client).copied().unwrap_or(0.0);
         let quota = budgets.allowed(now, Budget::Quota(client), own_rate);
-        let Some(bucket) = self.within_quota.get_mut(client) else { return false };
+        let Some(bucket) = self.quota_buckets.get_mut(client) else { return false };
         bucket.fill(now, quota, quota.max(1.0));
-        let within = bucket.left >= 1.0;
+        let within = bucket.tokens >= 1.0;
         if within {
-            bucket.left -= 1.0;
+            bucket.tokens -= 1.0;
         }
         self.sheds_over_quota && !within
     }
@@ -79,20 +79,20 @@
         random: &mut Random,
     ) -> bool {
         /// The burst, in seconds of the rate limit.
-        const AT_ONCE: f64 = 0.5;
-        let Some(&own_rate) = self.ceilings.get(request.client).filter(|c| c.is_finite()) else {
+        const BURST_SECONDS: f64 = 0.5;
+        let Some(&own_rate) = self.rate_limits.get(request.client).filter(|c| c.is_finite()) else {
             return true;
         };
         if now - request.admitted_at < ADMITTED_FOR {
             return true;
         }
         let rate = budgets.allowed(now, Budget::RateLimit(request.client), own_rate);
-        let bucket = &mut self.under_ceiling[request.client];
-        bucket.fill(now, rate, (rate * AT_ONCE).max(1.0));
+        let bucket = &mut self.rate_limit_buckets[request.client];
+        bucket.fill(now, rate, (rate * BURST_SECONDS).max(1.0));
         let jitter = random.uniform();
-        let within = bucket.left >= 1.0;
+        let within = bucket.tokens >= 1.0;
         // When there are tokens again, with jitter.
-        let retry_after = (1.0 - bucket.left) / rate.max(1e-3) * (1.0 + jitter);
+        let retry_after = (1.0 - bucket.tokens) / rate.max(1e-3) * (1.0 + jitter);
         request.retry_after = (!within).then_some(retry_after);
         if !within {
             budgets.note_exhausted(Budget::RateLimit(request.client));
@@ -102,33 +102,42 @@
 
     /// An attempt of a request is sent: it takes a token, unless one of a moment ago did.
     pub(crate) fn attempt_sent(&mut self, now: f64, request: &mut Request) {
-        if let Some(bucket) =
-            self.under_ceiling.get_mut(request.client).filter(|_| now - request.admitted_at >= ADMITTED_FOR)
+        if let Some(bucket) = self
+            .rate_limit_buckets
+            .get_mut(request.client)
+            .filter(|_| now - request.admitted_at >= ADMITTED_FOR)
         {
-            bucket.left -= 1.0;
+            bucket.tokens -= 1.0;
             request.admitted_at = now;
         }
     }
 
     /// Whether a request was admitted under its rate limit too long ago to be sent now.
     pub(crate) fn lapsed(&self, now: f64, request: &Request) -> bool {
-        self.ceilings.get(request.client).is_some_and(|c| c.is_finite())
+        self.rate_limits.get(request.client).is_some_and(|c| c.is_finite())
             && now - request.admitted_at >= ADMITTED_FOR
     }
 
-    /// The Retry-After in seconds of a rejected request, where clients follow it; `due` is its latency
+    /// The Retry-After in seconds of a rejected request, where clients follow it; `latency_objective` is its latency
     /// objective.
-    pub(crate) fn retry_after(&self, request: &Request, due: f64) -> Option<f64> {
+    pub(crate) fn retry_after(&self, request: &Request, latency_objective: f64) -> Option<f64> {
         /// Part of the latency objective after which to retry: not in the same burst, and still in time.
         const RETRY_AFTER_SHARE: f64 = 0.08;
-        self.max_retry_after.map(|most| most.min(request.retry_after.unwrap_or(RETRY_AFTER_SHARE * due)))
+        self.max_retry_after
+            .map(|most| most.min(request.retry_after.unwrap_or(RETRY_AFTER_SHARE * latency_objective)))
     }
 }
 
-/// Whether a request has been queued for so long that an answer could hardly be in time. `due` is its latency
+/// Whether a request has been queued for so long that an answer could hardly be in time. `latency_objective` is its latency
 /// objective, `loaded` whether an instance of its function is anywhere, `latency` the mean of answers; in
 /// seconds.
-pub(crate) fn has_waited_too_long(now: f64, request: &Request, due: f64, loaded: bool, latency: f64) -> bool {
+pub(crate) fn has_waited_too_long(
+    now: f64,
+    request: &Request,
+    latency_objective: f64,
+    loaded: bool,
+    latency: f64,
+) -> bool {
     /// Part of the latency objective that may pass before the first attempt.
     const WAIT_SHARE: f64 = 0.15;
     /// The same of its client's own time, which may be shorter: the rest has to suffice for a retry
@@ -136,6 +145,6 @@
     const CLIENT_TIME_SHARE: f64 = 0.4;
     // Rejected while a retry can still be in time; a request that waits for a load would wait elsewhere as
     // well.
-    let wait = if loaded { WAIT_SHARE * due } else { due - latency };
+    let wait = if loaded { WAIT_SHARE * latency_objective } else { latency_objective - latency };
     now - request.arrived_at > wait.min(CLIENT_TIME_SHARE * (request.deadline - request.arrived_at))
 }
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -36,6 +36,17 @@
     pub idempotency: Idempotency,
 }
 
+/// A budget of actions, over all routers, that grows with the requests that arrive.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RequestBudget {
+    /// Seconds of the sliding window in which actions and requests count.
+    pub window: f64,
+    /// Actions that are free in the window.
+    pub free: f64,
+    /// Actions that each request earns.
+    pub earned_per_request: f64,
+}
+
 /// Configuration of a router.
 #[derive(Clone, Debug)]
 pub struct PolicyConfig {
@@ -50,9 +61,8 @@
     /// Requests a second, over all routers, that may be sent at all for each client group; infinite where it
     /// is not limited.
     pub rate_limits: Vec<f64>,
-    /// Retry budget: the window in seconds, the retries that are free in it, and those earned by each
-    /// request; unlimited where there is none.
-    pub retry_budget: Option<(f64, f64, f64)>,
+    /// Retry budget; unlimited where there is none.
+    pub retry_budget: Option<RequestBudget>,
     /// Attempts in flight at one worker, over all routers; infinite where they are not limited.
     pub max_in_flight: f64,
     /// The weight of a request beyond its client group's share, 0 to 1.
@@ -68,14 +78,13 @@
     /// Changes of the endpoint list come only on request.
     pub watches_on_request: bool,
     /// Workers answer health checks, and report their load when they do.
-    pub can_probe: bool,
+    pub can_check_health: bool,
     /// The longest Retry-After in seconds that clients follow; none where they are not given one.
     pub max_retry_after: Option<f64>,
     /// Seconds that an idle instance is kept at least.
     pub keep_alive: f64,
-    /// Budget of load requests: the window in seconds, the requests that are free in it, and those earned by
-    /// each request that arrives; unlimited where there is none.
-    pub load_budget: Option<(f64, f64, f64)>,
+    /// Budget of load requests; unlimited where there is none.
+    pub load_budget: Option<RequestBudget>,
     /// Seconds after which a load request counts as unanswered.
     pub load_request_timeout: f64,
     /// Slow start: the part of its capacity that a worker has at its start, or more, 0 to 1.
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -86,7 +86,7 @@
         });
         worker_state.in_flight += 1;
         worker_state.in_flight_loaded += f64::from(u8::from(warm));
-        worker_state.turn.left -= 1.0;
+        worker_state.turn.attempts_left -= 1.0;
         host.send_attempt(id, worker, request.deadline);
     }
 
--- a/crates/policy/src/effects.rs
+++ b/crates/policy/src/effects.rs
@@ -18,7 +18,7 @@
     /// Requests that the idle instances of the function on the worker be unloaded.
     fn unload(&mut self, worker: usize, function: usize);
     /// Sends a health check, which a load report answers.
-    fn probe(&mut self, worker: usize);
+    fn check_health(&mut self, worker: usize);
     /// Asks for a call of [`woken`](crate::router::Router::timer_fired) after so many seconds.
     fn wake_after(&mut self, after: f64);
     /// Asks the registry to send changes of the endpoint list from now on.
--- a/crates/policy/src/function_state.rs
+++ b/crates/policy/src/function_state.rs
@@ -65,7 +65,7 @@
     /// Its key on the hash ring.
     pub(crate) name: u64,
     /// Requests that one instance runs at a time.
-    pub(crate) lanes: f64,
+    pub(crate) instance_concurrency: f64,
     /// Memory of one instance, in MB.
     pub(crate) memory: f64,
     /// Its arrivals of late.
@@ -172,7 +172,7 @@
         self.functions.resize_with(self.functions.len().max(arrival.function + 1), || None);
         let function = self.functions[arrival.function].get_or_insert_with(|| Function::new(now, arrival));
         function.open_requests += 1;
-        function.lanes = if arrival.concurrency >= 1.0 { arrival.concurrency } else { 1.0 };
+        function.instance_concurrency = if arrival.concurrency >= 1.0 { arrival.concurrency } else { 1.0 };
         if !arrival.is_retry {
             function.arrivals.add(now);
         }
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -9,10 +9,10 @@
 
 impl Worker {
     /// Requests of other routers there by its last report, where that is recent.
-    pub(crate) fn recent_foreign_load(&self, now: f64) -> Option<f64> {
+    pub(crate) fn recent_other_routers_load(&self, now: f64) -> Option<f64> {
         /// Times as long for which a report is still better than an average.
         const MAX_AGE: f64 = 4.0;
-        self.foreign_load.filter(|_| now - self.reported_at < MAX_AGE * REPORT_AGE)
+        self.other_routers_load.filter(|_| now - self.reported_at < MAX_AGE * REPORT_AGE)
     }
 
     /// Whether its last report is too old to judge its queue by.
@@ -21,28 +21,28 @@
     }
 
     /// Sends a health check, unless one is still unanswered.
-    pub(crate) fn probe(&mut self, now: f64, index: usize, host: &mut dyn Effects) {
-        if self.probed_at == f64::NEG_INFINITY {
-            self.probed_at = now;
-            host.probe(index);
+    pub(crate) fn check_health(&mut self, now: f64, index: usize, host: &mut dyn Effects) {
+        if self.health_check_sent_at == f64::NEG_INFINITY {
+            self.health_check_sent_at = now;
+            host.check_health(index);
         }
     }
 
     /// A health check was answered, or was not.
-    pub(crate) fn probe_ended(&mut self) {
-        self.probed_at = f64::NEG_INFINITY;
+    pub(crate) fn health_check_ended(&mut self) {
+        self.health_check_sent_at = f64::NEG_INFINITY;
     }
 
     /// Records a load report; `routers` share the worker.
     pub(crate) fn record_report(&mut self, now: f64, report: Option<LoadReport>, routers: f64) {
         let Some(report) = report else { return };
         let own_load = self.in_flight as f64;
-        let foreign_load = match (report.in_flight, report.queued) {
+        let other_routers_load = match (report.in_flight, report.queued) {
             (Some(held), _) => (held - own_load).max(0.0),
             (None, Some(waiting)) => waiting * (routers - 1.0) / routers,
             _ => return,
         };
-        self.foreign_load = Some(foreign_load);
+        self.other_routers_load = Some(other_routers_load);
         self.reported_at = now;
         self.utilization = report.utilization.unwrap_or(1.0);
         self.counts_running = report.in_flight.is_some();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -44,7 +44,7 @@
 mod worker_set;
 mod worker_state;
 
-pub use config::{Idempotency, KeyScope, PolicyConfig, Profile};
+pub use config::{Idempotency, KeyScope, PolicyConfig, Profile, RequestBudget};
 pub use decay::DecayingSum;
 pub use effects::{Budget, Effects};
 pub use events::{
--- a/crates/policy/src/load_requests.rs
+++ b/crates/policy/src/load_requests.rs
@@ -7,14 +7,14 @@
 use crate::rate_limiter::RateLimiter;
 use crate::worker_state::WorkerTable;
 
-/// A request that a worker load a function until it has so many instances; `ahead` of need only as far as
+/// A request that a worker load a function until it has so many instances; `preload` of need only as far as
 /// loads under way and memory allow.
 #[derive(Clone, Copy)]
 pub(crate) struct LoadRequest {
     pub(crate) worker: usize,
     pub(crate) function: usize,
     pub(crate) instances: u8,
-    pub(crate) ahead: bool,
+    pub(crate) preload: bool,
 }
 
 /// How long this router starts no load after one that failed, and until when.
@@ -48,7 +48,7 @@
 
     /// A request arrived, which earns a part of a load request.
     pub(crate) fn arrived(&mut self, now: f64) {
-        self.limit.iter_mut().for_each(|limit| limit.take(now));
+        self.limit.iter_mut().for_each(|limit| limit.request_arrived(now));
     }
 
     /// Whether no load is started now, as one failed.
@@ -71,8 +71,8 @@
     }
 
     /// Whether loads under way and the worker's memory allow a load ahead of need, where this router may have
-    /// `most` loads under way.
-    pub(crate) fn may_load_ahead(
+    /// `most` loads in progress.
+    pub(crate) fn may_preload(
         &self,
         now: f64,
         request: LoadRequest,
@@ -90,7 +90,7 @@
     }
 
     /// Loads ahead of need that this router may have under way, at so many ready workers.
-    pub(crate) fn most_ahead(&self, ready: f64, quota_fraction: f64) -> f64 {
+    pub(crate) fn max_preloads(&self, ready: f64, quota_fraction: f64) -> f64 {
         /// Loads that all routers may have under way for each ready worker.
         const LOADS_PER_WORKER: f64 = 0.25;
         ready * LOADS_PER_WORKER / self.routers * quota_fraction
@@ -98,9 +98,9 @@
 
     /// Whether the budget allows one more load request.
     pub(crate) fn within_limit(&mut self, now: f64, budgets: &mut FleetBudgets) -> bool {
-        let own_part = self.limit.as_ref().map_or(0.0, |limit| limit.free);
-        let free = budgets.allowed(now, Budget::LoadRequests, own_part);
-        let within = self.limit.as_mut().is_none_or(|limit| limit.may(now, free));
+        let own_fraction = self.limit.as_ref().map_or(0.0, |limit| limit.free);
+        let free = budgets.allowed(now, Budget::LoadRequests, own_fraction);
+        let within = self.limit.as_mut().is_none_or(|limit| limit.allows(now, free));
         if !within {
             budgets.note_exhausted(Budget::LoadRequests);
         }
@@ -115,7 +115,7 @@
         functions: &mut Functions,
         host: &mut dyn Effects,
     ) {
-        self.limit.iter_mut().for_each(|limit| limit.done(now));
+        self.limit.iter_mut().for_each(|limit| limit.action_done(now));
         if let Some(f) = functions.get_mut(request.function) {
             f.placement(request.worker).loading_until = now + self.timeout;
         }
--- a/crates/policy/src/overload.rs
+++ b/crates/policy/src/overload.rs
@@ -18,9 +18,10 @@
 /// The times of a request that bound what its worker may have in flight, in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct TimeBounds {
-    /// Its latency objective, and the time that its client has left.
-    pub(crate) due: f64,
-    pub(crate) left: f64,
+    /// Its latency objective.
+    pub(crate) latency_objective: f64,
+    /// The time until its client gives up.
+    pub(crate) time_left: f64,
     /// The latency of its function, over the mean of all.
     pub(crate) relative_latency: f64,
 }
@@ -35,21 +36,23 @@
         const CLIENT_TIME: f64 = 0.7;
         /// With a lower utilization of its cores a worker has no queue.
         const BUSY: f64 = 0.9;
-        let TimeBounds { due, left, relative_latency } = times;
+        let TimeBounds { latency_objective, time_left, relative_latency } = times;
         let time_share = TIME_SHARE + TIME_SHARE_ALONE / self.routers.sqrt();
-        let (time, worker_state) = ((time_share * due).min(CLIENT_TIME * left), &self.workers[worker]);
+        let (time, worker_state) =
+            ((time_share * latency_objective).min(CLIENT_TIME * time_left), &self.workers[worker]);
         let rate = self.throughput.peak(now) * self.routers * worker_state.size;
         let running = if worker_state.counts_running { self.latency.min(time) } else { 0.0 };
         let quick = time / (self.latency * relative_latency).max(1e-3);
         let (growth, floor) = (quick.clamp(1.0, GROWTH), (worker_state.size * quick.min(1.0)).max(FLOOR));
         let own_overload =
             warm && worker_state.in_flight_loaded + 1.0 > (rate * time / self.routers + FLOOR) * growth;
-        let reported = worker_state.recent_foreign_load(now).filter(|_| worker_state.utilization > BUSY);
+        let reported =
+            worker_state.recent_other_routers_load(now).filter(|_| worker_state.utilization > BUSY);
         let (in_flight, bound) = (worker_state.in_flight as f64, (rate * (time + running) + floor) * growth);
         own_overload
             || self.routers > 1.0
-                && reported.is_some_and(|foreign_load| {
-                    in_flight + foreign_load > bound * (0.5 + self.random.uniform())
+                && reported.is_some_and(|other_routers_load| {
+                    in_flight + other_routers_load > bound * (0.5 + self.random.uniform())
                 })
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -21,10 +21,12 @@
     id: usize,
     function_index: usize,
     over_quota: bool,
-    /// Since it arrived; until its client gives up; and its latency objective.
-    waited: f64,
-    left: f64,
-    due: f64,
+    /// Time since it arrived.
+    age: f64,
+    /// Time until its client gives up.
+    time_left: f64,
+    /// Within which it should be answered; half of that for one over its quota.
+    latency_objective: f64,
     /// Concurrency of its function over all routers.
     concurrency: f64,
     /// Weight of the concurrency that other routers reported, 0 to 1.
@@ -39,8 +41,8 @@
     mean_size: f64,
     /// Fair load: where all members are above it, workers past the set are taken.
     fair: f64,
-    /// Requests that an instance is counted on to run at a time.
-    lanes: f64,
+    /// Requests that an instance is expected to run at a time.
+    instance_concurrency: f64,
     /// Ready workers with an instance, or with one that is being loaded.
     live: usize,
 }
@@ -61,10 +63,11 @@
 /// What was found in ring order so far.
 #[derive(Default)]
 struct Search {
-    /// Concurrent requests that the members so far can run, their number, and how many of them the
-    /// concurrency needs.
+    /// Concurrent requests that the members so far can run.
     capacity: f64,
+    /// Number of members so far.
     members: usize,
+    /// How many of them the function's concurrency needs.
     needed: usize,
     /// Workers with an instance, or with one that is being loaded.
     with_instance: usize,
@@ -132,7 +135,7 @@
         {
             self.request_load(
                 now,
-                LoadRequest { worker, function: query.function_index, instances: 1, ahead: false },
+                LoadRequest { worker, function: query.function_index, instances: 1, preload: false },
                 host,
             );
             return Decision::Queue;
@@ -141,7 +144,7 @@
         if let Some(Candidate { worker, .. }) = choice.load_at {
             self.request_load(
                 now,
-                LoadRequest { worker, function: query.function_index, instances: 1, ahead: true },
+                LoadRequest { worker, function: query.function_index, instances: 1, preload: true },
                 host,
             );
         }
@@ -149,7 +152,7 @@
             function.resize_set(now, search.needed);
         }
         let Some(Candidate { worker, .. }) = choice.target else { return Decision::Queue };
-        if self.probes_first(now, &query, worker, host) {
+        if self.awaits_health_check(now, &query, worker, host) {
             return Decision::Queue;
         }
         self.request_missing_instances(now, &query, worker, host);
@@ -160,15 +163,24 @@
     fn query(&mut self, now: f64, id: usize) -> Option<Query> {
         let request = self.requests.get(id)?;
         let (function_index, profile, over_quota) = (request.function, request.profile, request.over_quota);
-        let (waited, left) = (now - request.arrived_at, request.deadline - now);
+        let (age, time_left) = (now - request.arrived_at, request.deadline - now);
         self.update_ring_order(function_index);
         let remote_weight = self.remote_weight(now);
         let concurrency = self
             .functions
             .get(function_index)
             .map_or(0.0, |f| f.concurrency(now, self.routers, self.latency, remote_weight));
-        let due = self.profiles[profile].latency_objective * if over_quota { 0.5 } else { 1.0 };
-        Some(Query { id, function_index, over_quota, waited, left, due, concurrency, remote_weight })
+        let latency_objective = self.profiles[profile].latency_objective * if over_quota { 0.5 } else { 1.0 };
+        Some(Query {
+            id,
+            function_index,
+            over_quota,
+            age,
+            time_left,
+            latency_objective,
+            concurrency,
+            remote_weight,
+        })
     }
 
     /// Brings a function's ring order up to the present ring.
@@ -191,25 +203,26 @@
         self.slow_start.rate(now, &self.workers, &mut self.throughput);
         let n = function.ring_order.len().max(1) as f64;
         // One pass: with thousands of workers this is most of what a request costs.
-        let (mut reports, mut foreign_load, mut sizes, mut in_flight) = (0, 0.0, 0.0, 0.0);
+        let (mut reports, mut other_routers_load, mut sizes, mut in_flight) = (0, 0.0, 0.0, 0.0);
         for worker in function.ring_order.iter().map(|&worker| &self.workers[worker]) {
-            if let Some(reported) = worker.recent_foreign_load(now) {
+            if let Some(reported) = worker.recent_other_routers_load(now) {
                 reports += 1;
-                foreign_load += reported;
+                other_routers_load += reported;
             }
             sizes += worker.size;
             in_flight += worker.in_flight as f64;
         }
-        let average = foreign_load / reports.max(1) as f64;
+        let average = other_routers_load / reports.max(1) as f64;
         let (mean_size, mean_in_flight) = (sizes / n, in_flight / n);
         let fair = (average + mean_in_flight) * SPREAD + SLACK;
         let live = function.placements.iter().filter(|s| s.is_loaded(now) || s.loading_until > now);
         let live = live.filter(|s| self.workers[s.worker].is_ready()).count();
         // Capacity is kept free for the variance of other routers' traffic, or a moment's burst would start
         // one more load. Sets that are sized by what all routers report need none.
-        let unseen = CHANCE * (1.0 - 1.0 / self.routers) * (1.0 - query.remote_weight);
-        let lanes = function.lanes + unseen / 2.0 - (unseen * (function.lanes + unseen / 4.0)).sqrt();
-        CommonLoad { average, mean_size, fair, lanes, live }
+        let unobserved_variance = CHANCE * (1.0 - 1.0 / self.routers) * (1.0 - query.remote_weight);
+        let instance_concurrency = function.instance_concurrency + unobserved_variance / 2.0
+            - (unobserved_variance * (function.instance_concurrency + unobserved_variance / 4.0)).sqrt();
+        CommonLoad { average, mean_size, fair, instance_concurrency, live }
     }
 
     /// Compares the workers in ring order, up to where no later one could be chosen.
@@ -237,10 +250,10 @@
     ) {
         /// Part of the latency objective that a request may be queued for a busy instance before one more is
         /// loaded.
-        const LANE_WAIT: f64 = 0.05;
+        const BUSY_INSTANCE_WAIT: f64 = 0.05;
         /// Seconds for which a worker that rejected an attempt gets none, apart for loads and for loaded
         /// instances.
-        const REST: f64 = 0.3;
+        const REJECTION_PAUSE: f64 = 0.3;
         let Comparison { query, function, common } = comparison;
         if !self.may_attempt(now, query.id, worker) || self.passes_over(now, worker) {
             return;
@@ -248,28 +261,32 @@
         let worker_state = &self.workers[worker];
         let size = worker_state.size / common.mean_size;
         let instances = function.instances(now, worker);
-        let in_flight_there =
-            worker_state.in_flight as f64 + worker_state.recent_foreign_load(now).unwrap_or(common.average);
+        let in_flight_there = worker_state.in_flight as f64
+            + worker_state.recent_other_routers_load(now).unwrap_or(common.average);
         let load = (in_flight_there + 1.0) / size + 1e-6 * self.random.uniform();
         search.needed += usize::from(search.capacity < query.concurrency);
         search.members += usize::from(member);
-        search.capacity += common.lanes * size;
+        search.capacity += common.instance_concurrency * size;
         let warm = instances.count > 0.0;
         search.with_instance += usize::from(warm || instances.loading);
         // Beyond its instances' concurrency a worker loads one more, at cost of others' memory. Of an
         // instance that is being loaded other routers want their part as well.
-        let counts_lanes = warm || query.remote_weight < 0.5;
-        let own = if counts_lanes { function.lanes * instances.count.max(1.0) } else { 1.0 };
-        if instances.in_flight >= own && (!warm || query.waited < LANE_WAIT * query.due) {
+        let counts_all_instances = warm || query.remote_weight < 0.5;
+        let own =
+            if counts_all_instances { function.instance_concurrency * instances.count.max(1.0) } else { 1.0 };
+        if instances.in_flight >= own && (!warm || query.age < BUSY_INSTANCE_WAIT * query.latency_objective) {
             return;
         }
         // An overloaded worker gets nothing: the search goes on past the set, or the request is queued here.
-        let rejected = now - self.workers[worker].rejected_at.last(warm) < REST;
+        let rejected = now - self.workers[worker].rejected_at.last(warm) < REJECTION_PAUSE;
         let missing =
             function.placements.iter().any(|s| s.worker == worker && now - s.missing_at < self.load_latency);
         let refused = rejected || missing && !instances.loading && self.load_requests.backs_off(now);
-        let times =
-            TimeBounds { due: query.due, left: query.left, relative_latency: function.relative_latency };
+        let times = TimeBounds {
+            latency_objective: query.latency_objective,
+            time_left: query.time_left,
+            relative_latency: function.relative_latency,
+        };
         if refused || self.is_overloaded(now, worker, times, warm || query.over_quota) {
             search.member_overloaded |= member;
             return;
@@ -320,14 +337,20 @@
 
     /// Whether the request waits for a health check of its worker. Other routers' requests are known from
     /// load reports alone, so a stale one is renewed before an unknown queue is joined; but not for long.
-    fn probes_first(&mut self, now: f64, query: &Query, worker: usize, host: &mut dyn Effects) -> bool {
+    fn awaits_health_check(
+        &mut self,
+        now: f64,
+        query: &Query,
+        worker: usize,
+        host: &mut dyn Effects,
+    ) -> bool {
         /// Part of the latency objective that health checks before an attempt may take.
-        const PROBE_SHARE: f64 = 0.03;
-        let waits = self.probes_enabled
+        const HEALTH_CHECK_SHARE: f64 = 0.03;
+        let waits = self.health_checks_enabled
             && self.workers[worker].report_is_stale(now)
-            && query.waited < PROBE_SHARE * query.due;
+            && query.age < HEALTH_CHECK_SHARE * query.latency_objective;
         if waits {
-            self.workers[worker].probe(now, worker, host);
+            self.workers[worker].check_health(now, worker, host);
         }
         waits
     }
@@ -341,17 +364,21 @@
         let Some(function) = self.functions.get(query.function_index) else { return };
         let instances = function.instances(now, worker);
         // Where instances are added only on request, busy ones would make further requests queue.
-        let needed = ((instances.in_flight + 1.0) / function.lanes).ceil().min(MAX_INSTANCES);
+        let needed = ((instances.in_flight + 1.0) / function.instance_concurrency).ceil().min(MAX_INSTANCES);
         if instances.count > 0.0 && needed > instances.count {
-            let request =
-                LoadRequest { worker, function: query.function_index, instances: needed as u8, ahead: true };
+            let request = LoadRequest {
+                worker,
+                function: query.function_index,
+                instances: needed as u8,
+                preload: true,
+            };
             self.request_load(now, request, host);
-        } else if instances.count == 0.0 && query.left < MIN_LOADS_LEFT * self.load_latency {
+        } else if instances.count == 0.0 && query.time_left < MIN_LOADS_LEFT * self.load_latency {
             // Workers drop a load that no request waits for; with impatient clients none would end unless it
             // is requested.
             self.request_load(
                 now,
-                LoadRequest { worker, function: query.function_index, instances: 1, ahead: false },
+                LoadRequest { worker, function: query.function_index, instances: 1, preload: false },
                 host,
             );
         }
--- a/crates/policy/src/rate_limiter/tests.rs
+++ b/crates/policy/src/rate_limiter/tests.rs
@@ -3,22 +3,24 @@
 /// Two actions ten seconds apart, the first of which was done late: the second waits for the window.
 #[test]
 fn an_action_counts_from_when_it_was_done() {
-    let mut limiter = RateLimiter::new((10.0, 1.0, 0.0), 0.05);
-    assert!(limiter.may(0.2, 1.0));
-    limiter.done(0.2);
-    assert!(!limiter.may(10.01, 1.0) && !limiter.may(10.24, 1.0) && limiter.may(10.26, 1.0));
+    let mut limiter =
+        RateLimiter::new(RequestBudget { window: 10.0, free: 1.0, earned_per_request: 0.0 }, 0.05);
+    assert!(limiter.allows(0.2, 1.0));
+    limiter.action_done(0.2);
+    assert!(!limiter.allows(10.01, 1.0) && !limiter.allows(10.24, 1.0) && limiter.allows(10.26, 1.0));
 }
 
 #[test]
 fn requests_earn_actions_for_one_window() {
-    let mut limiter = RateLimiter::new((10.0, 0.0, 0.5), 0.05);
-    assert!(!limiter.may(0.0, 0.0));
-    (0..4).for_each(|n| limiter.take(f64::from(n)));
+    let mut limiter =
+        RateLimiter::new(RequestBudget { window: 10.0, free: 0.0, earned_per_request: 0.5 }, 0.05);
+    assert!(!limiter.allows(0.0, 0.0));
+    (0..4).for_each(|n| limiter.request_arrived(f64::from(n)));
     for _ in 0..2 {
-        assert!(limiter.may(4.0, 0.0));
-        limiter.done(4.0);
+        assert!(limiter.allows(4.0, 0.0));
+        limiter.action_done(4.0);
     }
-    assert!(!limiter.may(4.0, 0.0) && limiter.used(4.0) == 0.0);
+    assert!(!limiter.allows(4.0, 0.0) && limiter.used(4.0) == 0.0);
     // The requests have left the window before the actions have.
-    assert!(!limiter.may(13.9, 0.0) && limiter.used(13.9) == 2.0);
+    assert!(!limiter.allows(13.9, 0.0) && limiter.used(13.9) == 2.0);
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -51,7 +51,7 @@
     pub(crate) fn within_retry_budget(&mut self, now: f64, first: bool, budgets: &mut FleetBudgets) -> bool {
         let own = self.budget.as_ref().map_or(0.0, |limit| limit.free);
         let free = budgets.allowed(now, Budget::Retries, own);
-        let may = first || self.budget.as_mut().is_none_or(|limit| limit.may(now, free));
+        let may = first || self.budget.as_mut().is_none_or(|limit| limit.allows(now, free));
         if !may {
             budgets.note_exhausted(Budget::Retries);
         }
@@ -61,7 +61,7 @@
     /// An attempt is sent; a retry unless it is the `first`.
     pub(crate) fn attempt_sent(&mut self, now: f64, first: bool) {
         if let Some(budget) = self.budget.as_mut().filter(|_| !first) {
-            budget.done(now);
+            budget.action_done(now);
         }
     }
 }
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -115,7 +115,7 @@
     pub fn request_arrived(&mut self, now: f64, id: usize, arrival: Arrival, host: &mut dyn Effects) {
         let state = &mut self.state;
         state.load_requests.arrived(now);
-        state.retry.budget.iter_mut().for_each(|r| r.take(now));
+        state.retry.budget.iter_mut().for_each(|r| r.request_arrived(now));
         state.functions.arrived(now, &arrival);
         let over_quota =
             !arrival.is_retry && state.admission.is_over_quota(now, arrival.client, &state.budgets);
@@ -168,12 +168,12 @@
             other => return other,
         }
         let Some(request) = state.requests.get(id) else { return Decision::GiveUp };
-        let due = state.profiles[request.profile].latency_objective;
+        let latency_objective = state.profiles[request.profile].latency_objective;
         let loaded = state
             .functions
             .get(request.function)
             .is_some_and(|f| f.placements.iter().any(|s| s.is_loaded(now)));
-        if admission::has_waited_too_long(now, request, due, loaded, state.latency) {
+        if admission::has_waited_too_long(now, request, latency_objective, loaded, state.latency) {
             Decision::GiveUp
         } else {
             Decision::Queue
@@ -310,7 +310,7 @@
         host: &mut dyn Effects,
     ) {
         let worker_state = &mut self.state.workers[worker];
-        worker_state.probe_ended();
+        worker_state.health_check_ended();
         worker_state.record_report(now, report, self.state.routers);
         if outcome == Outcome::Unreachable {
             worker_state.record_evidence(now, Evidence::UNREACHED);
--- a/crates/policy/src/router_state.rs
+++ b/crates/policy/src/router_state.rs
@@ -3,7 +3,7 @@
 //! events and their order are in `router`.
 
 use crate::admission::Admission;
-use crate::config::{Idempotency, PolicyConfig, Profile};
+use crate::config::{Idempotency, PolicyConfig, Profile, RequestBudget};
 use crate::effects::Effects;
 use crate::fleet_budgets::FleetBudgets;
 use crate::function_state::Functions;
@@ -41,7 +41,7 @@
     /// Changes of the endpoint list come only on request.
     pub(crate) watches_on_request: bool,
     /// Workers answer health checks.
-    pub(crate) probes_enabled: bool,
+    pub(crate) health_checks_enabled: bool,
     /// Seconds that an idle instance is kept at least.
     pub(crate) keep_alive: f64,
     /// Memory of each kind of worker, in MB.
@@ -66,9 +66,9 @@
         /// Seconds of rounding of clocks at a window's edge.
         const EDGE_TOLERANCE: f64 = 1e-5;
         let routers = config.routers.max(1) as f64;
-        let own_part = |all: Vec<f64>| all.into_iter().map(|figure| figure / routers).collect();
+        let own_fraction = |all: Vec<f64>| all.into_iter().map(|figure| figure / routers).collect();
         let sheds_over_quota = config.over_quota_weight < 1.0;
-        let limit = |budget: Option<(f64, f64, f64)>| budget.map(|r| RateLimiter::new(r, EDGE_TOLERANCE));
+        let limit = |budget: Option<RequestBudget>| budget.map(|r| RateLimiter::new(r, EDGE_TOLERANCE));
         Self {
             random: Random::new(config.seed),
             routers,
@@ -76,8 +76,8 @@
             profiles: if config.profiles.is_empty() { vec![UNSTATED] } else { config.profiles },
             admission: Admission::new(
                 now,
-                own_part(config.quotas),
-                own_part(config.rate_limits),
+                own_fraction(config.quotas),
+                own_fraction(config.rate_limits),
                 sheds_over_quota,
                 config.max_retry_after,
             ),
@@ -106,7 +106,7 @@
             reports_missing: config.reports_missing_functions,
             watches_on_request: config.watches_on_request,
             // One router alone knows what it sends, without health checks.
-            probes_enabled: config.can_probe && config.routers > 1,
+            health_checks_enabled: config.can_check_health && config.routers > 1,
             keep_alive: config.keep_alive,
             worker_memory: config.memory,
             max_in_flight: config.max_in_flight / routers,
@@ -127,9 +127,9 @@
         if !self.load_requests.is_wanted(now, request, &self.workers, &self.functions) {
             return;
         }
-        if request.ahead {
-            let most = self.load_requests.most_ahead(self.ring.workers(), self.budgets.quota_fraction(now));
-            if !self.load_requests.may_load_ahead(now, request, &self.workers, &self.functions, most) {
+        if request.preload {
+            let most = self.load_requests.max_preloads(self.ring.workers(), self.budgets.quota_fraction(now));
+            if !self.load_requests.may_preload(now, request, &self.workers, &self.functions, most) {
                 return;
             }
         }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -63,17 +63,17 @@
         if !self.is_cold(now, &workers[worker]) {
             return true;
         }
-        let SlowStartTurn { began, left } = workers[worker].turn;
-        if now - began < self.turn_seconds() {
-            return left >= 1.0;
+        let SlowStartTurn { began_at, attempts_left } = workers[worker].turn;
+        if now - began_at < self.turn_seconds() {
+            return attempts_left >= 1.0;
         }
         let full = self.rate(now, workers, throughput) * workers[worker].size;
         let age = now - workers[worker].started;
         let grown = if self.warm_up > 0.0 { (age / self.warm_up).clamp(0.0, 1.0) } else { 1.0 };
         let capacity = full * (self.initial_capacity + (1.0 - self.initial_capacity) * grown);
         let part = BUDGET_SHARE * self.overload_multiple * capacity * self.overload_window / TURNS;
-        let left = (part + random.uniform()).floor();
-        workers[worker].turn = SlowStartTurn { began: now, left };
-        left >= 1.0
+        let attempts_left = (part + random.uniform()).floor();
+        workers[worker].turn = SlowStartTurn { began_at: now, attempts_left };
+        attempts_left >= 1.0
     }
 }
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -28,12 +28,12 @@
 /// A turn of the slow-start window of a worker: when it began, and the attempts that may still be sent in it.
 #[derive(Clone, Copy)]
 pub(crate) struct SlowStartTurn {
-    pub(crate) began: f64,
-    pub(crate) left: f64,
+    pub(crate) began_at: f64,
+    pub(crate) attempts_left: f64,
 }
 
 impl SlowStartTurn {
-    const NONE: Self = Self { began: f64::NEG_INFINITY, left: 0.0 };
+    const NONE: Self = Self { began_at: f64::NEG_INFINITY, attempts_left: 0.0 };
 }
 
 /// A worker.
@@ -56,7 +56,7 @@
     pub(crate) answered_at: f64,
     pub(crate) rejected_at: RejectedAt,
     /// Requests of other routers there by its last report; none until it reports.
-    pub(crate) foreign_load: Option<f64>,
+    pub(crate) other_routers_load: Option<f64>,
     /// Utilization of its cores by that report, 0 to 1; 1 where it does not state it.
     pub(crate) utilization: f64,
     /// Whether that report counts running requests as well as queued ones.
@@ -64,7 +64,7 @@
     /// When the last report came.
     pub(crate) reported_at: f64,
     /// When a health check was sent that is not answered yet; minus infinity where there is none.
-    pub(crate) probed_at: f64,
+    pub(crate) health_check_sent_at: f64,
     /// Outlier score, 0 to 1.
     pub(crate) outlier_score: DecayingSum,
     /// The current turn of its slow-start window.
@@ -84,11 +84,11 @@
         in_flight_loaded: 0.0,
         answered_at: f64::NEG_INFINITY,
         rejected_at: RejectedAt { loading: f64::NEG_INFINITY, loaded: f64::NEG_INFINITY },
-        foreign_load: None,
+        other_routers_load: None,
         utilization: 1.0,
         counts_running: false,
         reported_at: f64::NEG_INFINITY,
-        probed_at: f64::NEG_INFINITY,
+        health_check_sent_at: f64::NEG_INFINITY,
         outlier_score: DecayingSum { sum: 0.0, at: 0.0 },
         turn: SlowStartTurn::NONE,
     };
@@ -109,7 +109,7 @@
             // one.
             self.started = started;
             self.outlier_score = DecayingSum::default();
-            self.foreign_load = None;
+            self.other_routers_load = None;
             self.turn = SlowStartTurn::NONE;
         }
         self.name = endpoint.name;
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{HostCall, TestRouter, config, endpoint, idempotent};
-use milletpath_policy::{Budget, EndpointState, Outcome, PolicyConfig};
+use milletpath_policy::{Budget, EndpointState, Outcome, PolicyConfig, RequestBudget};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -81,10 +81,10 @@
 }
 
 #[test_case(None, 3; "no bound")]
-#[test_case(Some((10.0, 1.0, 0.0)), 1; "one free")]
-#[test_case(Some((10.0, 0.0, 2.0)), 2; "two for each request")]
-#[test_case(Some((10.0, 0.0, 0.0)), 0; "none")]
-fn retries_stay_within_their_budget(retries: Option<(f64, f64, f64)>, expected: usize) {
+#[test_case(Some(RequestBudget { window: 10.0, free: 1.0, earned_per_request: 0.0 }), 1; "one free")]
+#[test_case(Some(RequestBudget { window: 10.0, free: 0.0, earned_per_request: 2.0 }), 2; "two for each request")]
+#[test_case(Some(RequestBudget { window: 10.0, free: 0.0, earned_per_request: 0.0 }), 0; "none")]
+fn retries_stay_within_their_budget(retries: Option<RequestBudget>, expected: usize) {
     let mut router = TestRouter::new(PolicyConfig { retry_budget: retries, ..config(idempotent()) }, 6);
     router.serve(0, 0.01);
     router.advance(10.0);
@@ -142,7 +142,7 @@
     };
     let ample = PolicyConfig {
         rate_limits: vec![f64::INFINITY],
-        retry_budget: Some((10.0, f64::INFINITY, 0.0)),
+        retry_budget: Some(RequestBudget { window: 10.0, free: f64::INFINITY, earned_per_request: 0.0 }),
         max_in_flight: 1e9,
         ..config(idempotent())
     };
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -12,7 +12,7 @@
     Fail { id: usize },
     RequestLoad { worker: usize, function: usize, copies: u8 },
     WatchEndpoints,
-    Probe { worker: usize },
+    CheckHealth { worker: usize },
 }
 
 #[derive(Default)]
@@ -47,8 +47,8 @@
         self.calls.push((self.now, HostCall::RequestLoad { worker, function, copies }));
     }
     fn unload(&mut self, _worker: usize, _function: usize) {}
-    fn probe(&mut self, worker: usize) {
-        self.calls.push((self.now, HostCall::Probe { worker }));
+    fn check_health(&mut self, worker: usize) {
+        self.calls.push((self.now, HostCall::CheckHealth { worker }));
     }
     fn wake_after(&mut self, after: f64) {
         self.wakes.push(self.now + after);
@@ -91,7 +91,7 @@
         can_request_loads: true,
         reports_missing_functions: false,
         watches_on_request: false,
-        can_probe: false,
+        can_check_health: false,
         max_retry_after: None,
         keep_alive: 10.0,
         load_budget: None,
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -198,10 +198,12 @@
 #[test_case(false; "not answered")]
 fn one_of_many_routers_probes_a_worker_before_it_joins_an_unknown_queue(answers: bool) {
     let mut router =
-        TestRouter::new(PolicyConfig { routers: 100, can_probe: true, ..config(idempotent()) }, 4);
+        TestRouter::new(PolicyConfig { routers: 100, can_check_health: true, ..config(idempotent()) }, 4);
     let id = router.arrive(0, 4.0);
     assert!(router.attempts(id).is_empty());
-    let Some((_, HostCall::Probe { worker })) = router.host.calls.last().cloned() else { panic!("no probe") };
+    let Some((_, HostCall::CheckHealth { worker })) = router.host.calls.last().cloned() else {
+        panic!("no probe")
+    };
     if answers {
         let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
         router.router.health_check_ended(0.004, worker, Outcome::Succeeded, report, &mut router.host);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{HostCall, TestRouter, config, endpoint, idempotent};
-use milletpath_policy::{EndpointState, Idempotency, KeyScope, Outcome, PolicyConfig, Profile};
+use milletpath_policy::{
+    EndpointState, Idempotency, KeyScope, Outcome, PolicyConfig, Profile, RequestBudget,
+};
 use test_case::test_case;
 
 const EFFECTFUL: Idempotency = Idempotency::NonIdempotent;
@@ -226,7 +228,7 @@
 #[test]
 fn load_requests_stay_within_their_budget() {
     let settings = PolicyConfig {
-        load_budget: Some((5.0, 2.0, 0.05)),
+        load_budget: Some(RequestBudget { window: 5.0, free: 2.0, earned_per_request: 0.05 }),
         reports_missing_functions: true,
         ..config(idempotent())
     };
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -91,7 +91,7 @@
         self.reply.unload(context.instance, function, worker);
     }
 
-    fn probe(&mut self, worker: usize) {
+    fn check_health(&mut self, worker: usize) {
         self.reply.health_check(self.context.instance, self.context.workers.id(worker));
     }
 
