--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -136,3 +136,6 @@
     let seconds = text.parse().ok().filter(|seconds| (0.0..=MAX_WAIT).contains(seconds));
     seconds.map(Duration::from_secs_f64).ok_or(InvalidWaitError)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/milletpath/src/change/commit.rs
+++ b/crates/milletpath/src/change/commit.rs
@@ -103,3 +103,6 @@
     };
     CommitError::Denied { position, reason: reason.to_owned() }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/milletpath/src/change/rollout.rs
+++ b/crates/milletpath/src/change/rollout.rs
@@ -134,3 +134,6 @@
         std::thread::sleep(POLL_INTERVAL);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/milletpath/src/scenario/json_report.rs
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -98,10 +98,10 @@
         .by_fault
         .iter()
         .map(|(index, counts)| FaultReport { fault: &scenario.faults[*index].name, counts: counts.into() });
-    let violations = played.violations.iter().map(|broken| RuleViolation {
-        rule: broken.rule,
-        at: broken.at,
-        what: &broken.what,
+    let violations = played.violations.iter().map(|violation| RuleViolation {
+        rule: violation.rule,
+        at: violation.at,
+        what: &violation.what,
     });
     let fleet =
         played.membership.as_ref().map(|membership| FleetReport { bounds: &played.bounds, membership });
