--- a/crates/capacity-model/benches/slopes/peers.rs
+++ b/crates/capacity-model/benches/slopes/peers.rs
@@ -1,16 +1,13 @@
 //! What knowing each other costs: the cores of a whole fleet in simulated time, settled and in the first
 //! seconds after all began; and the proof behind the count by itself, against members.
 
-#[path = "../../../membership/tests/simulated_network/mod.rs"]
-mod simulated_network;
-
 use crate::measure::{Asked, Slope, allocated, size, spent};
 use milletpath_capacity_model::run::Size;
 use milletpath_membership::datagram::{self, Assertion, Datagram, Identity, Key, kind};
 use milletpath_membership::{Membership, MembershipConfig};
+use milletpath_test_support::simulated_network::SimulatedNetwork;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use simulated_network::SimulatedNetwork;
 use std::hint::black_box;
 use std::net::SocketAddr;
 
--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -2,12 +2,9 @@
 //! datagrams sealed as in service. `cargo bench -p milletpath-membership --bench fleet`; `-- quick` for the small sizes
 //! alone.
 
-#[path = "../tests/simulated_network/mod.rs"]
-mod simulated_network;
-
 use milletpath_membership::{MembershipConfig, MembershipEvent};
-use simulated_network::delivery::{cut_where, lossy, reliable};
-use simulated_network::{Node, SimulatedNetwork};
+use milletpath_test_support::simulated_network::delivery::{cut_where, lossy, reliable};
+use milletpath_test_support::simulated_network::{Node, SimulatedNetwork};
 
 /// Clusters above this size get a longer lease and fewer, shorter runs.
 const LARGE: usize = 50;
--- a/crates/membership/tests/cluster_membership.rs
+++ b/crates/membership/tests/cluster_membership.rs
@@ -1,12 +1,10 @@
 //! Clusters without network faults in simulated time: discovery, death, restart, departure and wrong configuration.
 
-mod simulated_network;
-
 use milletpath_membership::datagram::Identity;
 use milletpath_membership::{MemberState, Membership, MembershipConfig, MembershipEvent, Reachability};
-use simulated_network::SimulatedNetwork;
-use simulated_network::scenario::{
-    assert_quota_respected, assert_used, assert_whole, converged_network, strict_config,
+use milletpath_test_support::simulated_network::SimulatedNetwork;
+use milletpath_test_support::simulated_network::scenario::{
+    assert_converged, assert_quota_respected, assert_used, converged_network, strict_config,
 };
 use test_case::test_case;
 
@@ -36,7 +34,7 @@
     assert_used(&network, 1.0 - reserved);
     (0..4).for_each(|n| network.start(n));
     network.run_until(killed_at + 30.0);
-    assert_whole(&network);
+    assert_converged(&network);
 }
 
 /// A process that is killed and restarted at once is a new member; it does not die with its predecessor.
--- a/crates/membership/tests/network_faults.rs
+++ b/crates/membership/tests/network_faults.rs
@@ -1,15 +1,15 @@
 //! Clusters under network faults and pauses in simulated time. Whatever happens, all gateways together never exceed the
 //! shared budgets, and once the faults end all of them know each other again.
 
-mod simulated_network;
-
 use milletpath_membership::{MembershipConfig, MembershipEvent, Reachability};
-use rand::Rng;
-use simulated_network::SimulatedNetwork;
-use simulated_network::delivery::{DeliveryRule, cut_where, delayed, lossy, reliable};
-use simulated_network::scenario::{
-    assert_quota_respected, assert_used, assert_whole, converged_network, strict_config,
+use milletpath_test_support::simulated_network::SimulatedNetwork;
+use milletpath_test_support::simulated_network::delivery::{
+    DeliveryRule, cut_where, delayed, lossy, reliable,
 };
+use milletpath_test_support::simulated_network::scenario::{
+    assert_converged, assert_quota_respected, assert_used, converged_network, strict_config,
+};
+use rand::Rng;
 use test_case::test_case;
 
 fn is_suspicion(event: &MembershipEvent) -> bool {
@@ -68,7 +68,7 @@
     };
     assert!((1..12).filter(suspected_by_others).count() <= 1);
     network.run_until(from + 20.0);
-    assert_whole(&network);
+    assert_converged(&network);
 }
 
 /// A process that is paused for five seconds counts as gone; when it resumes it blames nobody else.
@@ -112,7 +112,7 @@
     assert_eq!(deaths.sum::<usize>(), 0);
     network.delivery_rule = reliable();
     network.run_until(from + 60.0);
-    assert_whole(&network);
+    assert_converged(&network);
 }
 
 /// Loses datagrams with a probability, duplicates a fifth of them, and lets them overtake each other.
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,11 +1,9 @@
 //! Datagrams and the operators' view, byte for byte as gateways of earlier versions write and read them.
 
-mod simulated_network;
-
 use milletpath_membership::datagram::{self, Assertion, Datagram, GossipUpdate, Identity, Key, Page, kind};
 use milletpath_membership::{Membership, MembershipConfig};
-use simulated_network::SimulatedNetwork;
-use simulated_network::delivery::lossy;
+use milletpath_test_support::simulated_network::SimulatedNetwork;
+use milletpath_test_support::simulated_network::delivery::lossy;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
--- a/crates/milletpath/tests/architecture.rs
+++ b/crates/milletpath/tests/architecture.rs
@@ -13,7 +13,7 @@
     &["dispatcher", "platform-protocol"],
     &["gateway", "platform-router"],
     &["emulator"],
-    &["capacity-model", "scale-test", "simulator"],
+    &["capacity-model", "scale-test", "simulator", "test-support"],
 ];
 
 /// The binary: above all layers.
@@ -47,8 +47,8 @@
 }
 
 fn layer_of(package: &str) -> usize {
-    let found = LAYERS.iter().position(|layer| layer.contains(&package));
-    found.unwrap_or_else(|| panic!("{package} has no layer: add it to LAYERS"))
+    let layer = LAYERS.iter().position(|layer| layer.contains(&package));
+    layer.unwrap_or_else(|| panic!("{package} has no layer: add it to LAYERS"))
 }
 
 #[test]
--- /dev/null
+++ b/crates/milletpath/tests/changes/authors.rs
@@ -0,0 +1,112 @@
+//! Authors of changes: two at once, changes that are rejected, and wrong use of the commands.
+
+use crate::{ORDER, lanes, stderr};
+use milletpath_test_support::control_rig::{ConfigDifference, Installation, hold_back_first_proposal};
+use nix::sys::signal::Signal;
+use std::process::{Output, Stdio};
+use std::time::Duration;
+use test_case::test_case;
+
+/// Both have read that nothing is set; one is first, and the other learns that it was too late.
+#[test]
+fn the_later_of_two_concurrent_authors_is_rejected() {
+    let installation = Installation::running(3, 2);
+    let proposal = hold_back_first_proposal(&installation.control_address(0));
+    installation.configure_author(ConfigDifference::default(), &[proposal.address.to_string()], "");
+    let mut command = installation.change_command(&lanes(9), &[]);
+    let late = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
+    proposal.held.recv_timeout(Duration::from_secs(30)).expect("a proposal");
+    let control = installation.control_addresses();
+    installation.configure_author(ConfigDifference::default(), &control, "");
+    assert_eq!(installation.change_applied(&lanes(2), &[]), 1);
+    proposal.release.send(()).unwrap();
+    let output = late.wait_with_output().unwrap();
+    assert_eq!(output.status.code(), Some(1), "{output:?}");
+    assert!(stderr(&output).contains("another author was first, with number 1"), "{output:?}");
+    // Having read again it may.
+    let number = installation.change_applied(&lanes(9), &[]);
+    assert_eq!(installation.count_gateways(|g| g["number"] == number), 2);
+}
+
+/// Rejected before anything is proposed, with file, line, column and remedy.
+#[test_case("function \"packs\" {\n  profile = \"late\"\n}\n", ":2:3: ", "\"check\" or \"order\""; "an unknown profile")]
+#[test_case("function \"a\" {}\nfunction \"b\" {\n  lanes = 0\n}\n", ":3:3: ", "write lanes = NUMBER"; "a figure out of bounds")]
+#[test_case("client \"c\" { quota = 5 }\n", ":1:1: ", "can't set client"; "a quota")]
+fn a_change_that_the_author_s_configuration_rejects(text: &str, place: &str, remedy: &str) {
+    let mut installation = Installation::new(1, 0);
+    installation.start_control(0, &["--found"]);
+    let output = installation.change(text, &[]);
+    assert_eq!(output.status.code(), Some(2), "{output:?}");
+    assert!(stderr(&output).contains(place) && stderr(&output).contains(remedy), "{output:?}");
+    assert_eq!(installation.status()["head"], 0);
+}
+
+/// The author's configuration has a profile that the control machines' lacks: they reject it.
+#[test]
+fn a_change_that_the_control_machines_configuration_rejects() {
+    let mut installation = Installation::new(3, 0);
+    (0..3).for_each(|n| installation.start_control(n, &["--found"]));
+    let control = installation.control_addresses();
+    let profile = "profile \"late\" {\n  due = 9\n  effect = \"pure\"\n}\n";
+    installation.configure_author(ConfigDifference::default(), &control, profile);
+    let output = installation.change("\nfunction \"packs\" {\n  profile = \"late\"\n}\n", &[]);
+    assert_eq!(output.status.code(), Some(2), "{output:?}");
+    let message = stderr(&output);
+    assert!(
+        message.contains(".hcl:3:3: function packs: the control machine refuses it: profile"),
+        "{message}"
+    );
+    assert!(message.contains("write profile = \"check\" or \"order\""), "{message}");
+    assert_eq!(installation.status()["head"], 0);
+}
+
+/// The program ended with this exit code, and with this text on standard error.
+fn assert_failed(output: &Output, code: i32, text: &str) {
+    assert!(output.status.code() == Some(code) && stderr(output).contains(text), "{output:?}");
+}
+
+#[test]
+fn wrong_use_of_a_control_machine() {
+    let mut installation = Installation::new(1, 1);
+    let run = |installation: &Installation, n: usize, arguments: &[&str]| {
+        installation.control_command(n, arguments).output().unwrap()
+    };
+    assert_failed(&run(&installation, 1, &[]), 2, "write --number 0 to 0");
+    installation.start_control(0, &["--found"]);
+    assert_failed(&run(&installation, 0, &[]), 1, "can't be listened on");
+    installation.start_gateway(0);
+    installation.change_applied(ORDER, &[]);
+    installation.kill_control(0);
+    assert_failed(&run(&installation, 0, &["--found"]), 2, "holds a log already");
+    std::fs::remove_file(installation.file("changes.key")).unwrap();
+    assert_failed(&run(&installation, 0, &[]), 2, "key of changes");
+}
+
+#[test]
+fn wrong_use_of_change() {
+    let mut installation = Installation::new(1, 1);
+    installation.start_control(0, &["--found"]);
+    installation.start_gateway(0);
+    installation.change_applied(ORDER, &[]);
+    installation.kill_control(0);
+    assert_failed(&installation.change("", &[]), 2, "nothing to change");
+    assert_failed(&installation.change("", &["--remove", "no name"]), 2, "no statement goes by that");
+}
+
+/// A gateway whose address is not known can't be asked; one that doesn't run doesn't answer.
+#[test]
+fn wrong_use_of_changes() {
+    let mut installation = Installation::new(1, 1);
+    installation.start_control(0, &["--found"]);
+    installation.start_gateway(0);
+    let configuration = std::fs::read_to_string(installation.file("gateway-0.hcl")).unwrap();
+    let listen = configuration.lines().rfind(|line| line.contains("listen")).unwrap();
+    let any_port = configuration.replace(listen, "  listen = \"127.0.0.1:0\"");
+    std::fs::write(installation.file("any-port.hcl"), any_port).unwrap();
+    assert_failed(&installation.changes("any-port.hcl", &["--here"]), 2, "has port 0");
+    installation.end_gateway(0, Signal::SIGTERM);
+    assert_failed(&installation.changes("gateway-0.hcl", &["--here"]), 1, "does not answer");
+    let without = configuration.split("changes {").next().unwrap();
+    std::fs::write(installation.file("without.hcl"), without).unwrap();
+    assert_failed(&installation.changes("without.hcl", &[]), 2, "has no changes");
+}
--- a/crates/milletpath/tests/changes/storage.rs
+++ b/crates/milletpath/tests/changes/storage.rs
@@ -1,74 +1,88 @@
 //! Control machines and gateways as processes whose disk is full: a limit on the size of their files.
 
-use crate::control::authors::{proposed, proposed_at};
-use crate::control::{FileLimit, Site};
+use milletpath_test_support::control_rig::{FileLimit, Installation, propose_changes, propose_changes_at};
 use nix::sys::signal::Signal;
 
-/// A control machine, begun with such a limit, among two without.
-fn with_limit(limit: FileLimit) -> Site {
-    let mut site = Site::new(3, 1);
-    [0, 2].into_iter().for_each(|n| site.begin_control(n, &["--found"]));
-    site.begin_limited_control(1, limit, &["--found"]);
-    site.begin_gateway(0);
-    site.wait("the gateway is heard", |s| s.gateways_that(|g| g["state"] == "current") == 1);
-    site
+/// Three control machines, of which number 1 has such a limit, and a gateway.
+fn with_limit(limit: FileLimit) -> Installation {
+    let mut installation = Installation::new(3, 1);
+    [0, 2].into_iter().for_each(|n| installation.start_control(n, &["--found"]));
+    installation.start_limited_control(1, limit, &["--found"]);
+    installation.start_gateway(0);
+    installation.wait_until("the gateway is current", |i| i.count_gateways(|g| g["state"] == "current") == 1);
+    installation
 }
 
-/// Its log hits the limit again and again: each time it votes again once a fresh file, which is small, holds all. It
+/// Its log reaches the limit again and again: each time it votes again once a fresh file, which is small, holds all. It
 /// counts for a majority, and nothing is lost after a kill.
 #[test]
-fn a_log_that_can_t_grow_is_written_anew() {
-    let mut site = with_limit(FileLimit(64));
-    let number = proposed(&site, 60);
-    assert!(site.runs(1), "its process goes on");
-    site.wait("it has all, and votes", |s| s.view(1)["number"] == number && s.view(1)["votes"] == true);
-    assert!(site.said("control-1", "can't be written") > 0);
-    assert!(site.said("control-1", "it votes again") > 0);
-    site.kill_control(1);
-    site.begin_control(1, &[]);
-    site.kill_control(0);
-    assert_eq!(site.changed("function \"packs\" {\n  lanes = 2\n}\n", &["--wait", "30"]), number + 1);
-    assert_eq!(site.view(1)["digest"], site.view(2)["digest"]);
+fn a_log_that_can_not_grow_is_compacted() {
+    let mut installation = with_limit(FileLimit(64));
+    let number = propose_changes(&installation, 60);
+    assert!(installation.is_control_running(1), "its process goes on");
+    installation.wait_until("it has all, and votes", |i| {
+        i.control_status(1)["number"] == number && i.control_status(1)["votes"] == true
+    });
+    assert!(installation.count_log_lines("control-1", "can't be written") > 0);
+    assert!(installation.count_log_lines("control-1", "it votes again") > 0);
+    installation.kill_control(1);
+    installation.start_control(1, &[]);
+    installation.kill_control(0);
+    assert_eq!(
+        installation.change_applied("function \"packs\" {\n  lanes = 2\n}\n", &["--wait", "30"]),
+        number + 1
+    );
+    assert_eq!(installation.control_status(1)["digest"], installation.control_status(2)["digest"]);
 }
 
-/// There is no room for a fresh file either: it passes changes on and learns, and does not vote until there is room.
+/// There is no space for a fresh file either: it forwards changes and follows the log, and does not vote until there is
+/// space.
 #[test]
-fn without_room_a_control_machine_relays_and_does_not_vote() {
-    let mut site = with_limit(FileLimit(1));
-    let number = proposed(&site, 3);
-    site.wait("it has all", |s| s.view(1)["number"] == number);
-    assert_eq!(site.view(1)["votes"], false);
-    let number = proposed_at(&site, 1, 4..=5, number);
-    assert!(site.runs(1), "its process goes on");
-    assert!(site.view(1)["log_error"].is_string(), "{:#}", site.view(1));
-    assert_eq!(site.view(1)["votes"], false);
-    site.lift_limit(1);
-    site.wait("it votes again", |s| s.view(1)["votes"] == true);
-    site.kill_control(0);
-    assert_eq!(site.changed("function \"packs\" {\n  lanes = 3\n}\n", &["--wait", "30"]), number + 1);
-    site.kill_control(1);
-    site.begin_control(1, &[]);
-    site.wait("it has all again", |s| s.view(1)["number"] == number + 1 && s.view(1)["votes"] == true);
-    // Begun on a full disk it knows what it had, and binds nobody by it before it is in a fresh file.
-    site.kill_control(1);
-    site.begin_limited_control(1, FileLimit(1), &[]);
-    assert_eq!((&site.view(1)["number"], &site.view(1)["votes"]), (&(number + 1).into(), &false.into()));
-    site.lift_limit(1);
-    site.wait("it votes once more", |s| s.view(1)["votes"] == true);
+fn a_control_machine_with_a_full_disk_forwards_and_does_not_vote() {
+    let mut installation = with_limit(FileLimit(1));
+    let number = propose_changes(&installation, 3);
+    installation.wait_until("it has all", |i| i.control_status(1)["number"] == number);
+    assert_eq!(installation.control_status(1)["votes"], false);
+    let number = propose_changes_at(&installation, 1, 4..=5, number);
+    assert!(installation.is_control_running(1), "its process goes on");
+    assert!(installation.control_status(1)["log_error"].is_string(), "{:#}", installation.control_status(1));
+    assert_eq!(installation.control_status(1)["votes"], false);
+    installation.lift_limit(1);
+    installation.wait_until("it votes again", |i| i.control_status(1)["votes"] == true);
+    installation.kill_control(0);
+    assert_eq!(
+        installation.change_applied("function \"packs\" {\n  lanes = 3\n}\n", &["--wait", "30"]),
+        number + 1
+    );
+    installation.kill_control(1);
+    installation.start_control(1, &[]);
+    installation.wait_until("it has all again", |i| {
+        i.control_status(1)["number"] == number + 1 && i.control_status(1)["votes"] == true
+    });
+    // Started on a full disk it has what it had, and does not vote before that is in a fresh file.
+    installation.kill_control(1);
+    installation.start_limited_control(1, FileLimit(1), &[]);
+    assert_eq!(
+        (&installation.control_status(1)["number"], &installation.control_status(1)["votes"]),
+        (&(number + 1).into(), &false.into())
+    );
+    installation.lift_limit(1);
+    installation.wait_until("it votes once more", |i| i.control_status(1)["votes"] == true);
 }
 
-/// A gateway that can't keep its last known state serves on, with what is in force.
+/// A gateway that can't store its last known state serves on, with what is in force.
 #[test]
-fn a_gateway_whose_state_can_t_be_kept_serves_on() {
-    let mut site = Site::new(1, 1);
-    site.begin_control(0, &["--found"]);
-    proposed(&site, 1);
-    site.begin_limited_gateway(0, FileLimit(1));
-    site.wait("the state can't be kept", |s| s.here(0)["not_kept"].as_u64() > Some(0));
-    assert_eq!(site.call(0, "check"), 200);
-    assert_eq!(site.here(0)["number"], 1);
-    assert_eq!(site.here(0)["kept"], 0);
-    site.end_gateway(0, Signal::SIGTERM);
-    site.begin_gateway(0);
-    site.wait("with room it is kept", |s| s.here(0)["kept"] == 1);
+fn a_gateway_that_can_not_store_its_state_serves_on() {
+    let mut installation = Installation::new(1, 1);
+    installation.start_control(0, &["--found"]);
+    propose_changes(&installation, 1);
+    installation.start_limited_gateway(0, FileLimit(1));
+    installation
+        .wait_until("the state can't be stored", |i| i.gateway_status(0)["not_kept"].as_u64() > Some(0));
+    assert_eq!(installation.call(0, "check"), 200);
+    assert_eq!(installation.gateway_status(0)["number"], 1);
+    assert_eq!(installation.gateway_status(0)["kept"], 0);
+    installation.end_gateway(0, Signal::SIGTERM);
+    installation.start_gateway(0);
+    installation.wait_until("with space it is stored", |i| i.gateway_status(0)["kept"] == 1);
 }
--- a/crates/milletpath/tests/changes/stored_files.rs
+++ b/crates/milletpath/tests/changes/stored_files.rs
@@ -1,45 +1,49 @@
 //! Files that the release of 2026-12-02 stored (`tests/fixtures/config-log`) stay readable: three control machines'
-//! logs and one gateway's last known state, after two changes of "packs" and one of "plates" that was taken back.
+//! logs and one gateway's last known state, after two changes of "packs" and one of "plates" that was removed again.
 
-use super::control::Site;
-use std::path::Path;
+use milletpath_test_support::control_rig::Installation;
+use milletpath_test_support::program::repository_file;
 
 /// What that release's control machines and its gateway had agreed on.
 const HEAD: u64 = 4;
 const DIGEST: u64 = 0x726a_cf44_c20d_e6ad;
 
-/// A site whose processes have not begun, with the stored files in place.
-fn site_with_stored_files() -> Site {
-    let site = Site::new(3, 1);
-    let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/config-log");
+/// An installation whose processes have not started, with the stored files in place.
+fn with_stored_files() -> Installation {
+    let installation = Installation::new(3, 1);
+    let stored = repository_file("crates/milletpath/tests/fixtures/config-log");
     for name in ["control-0.log", "control-1.log", "control-2.log", "gateway-0.state"] {
-        std::fs::copy(stored.join(name), site.file(name)).expect("a fixture");
+        std::fs::copy(stored.join(name), installation.file(name)).expect("a fixture");
     }
-    site
+    installation
 }
 
 #[test]
-fn a_gateway_goes_by_the_stored_last_known_state_before_any_control_machine_runs() {
-    let mut site = site_with_stored_files();
-    site.begin_gateway(0);
-    let here = site.here(0);
-    assert_eq!((here["number"].as_u64(), here["digest"].as_u64()), (Some(HEAD), Some(DIGEST)), "{here:#}");
-    assert_eq!((site.call(0, "order"), site.call(0, "check")), (200, 400));
+fn a_gateway_applies_the_stored_state_before_any_control_machine_runs() {
+    let mut installation = with_stored_files();
+    installation.start_gateway(0);
+    let gateway = installation.gateway_status(0);
+    assert_eq!(
+        (gateway["number"].as_u64(), gateway["digest"].as_u64()),
+        (Some(HEAD), Some(DIGEST)),
+        "{gateway:#}"
+    );
+    assert_eq!(installation.call_as_order_and_check(0), (200, 400));
 }
 
 #[test]
 fn control_machines_read_the_stored_logs_and_take_the_next_change() {
-    let mut site = site_with_stored_files();
-    (0..3).for_each(|machine| site.begin_control(machine, &[]));
+    let mut installation = with_stored_files();
+    (0..3).for_each(|machine| installation.start_control(machine, &[]));
     for machine in 0..3 {
-        let view = site.view(machine);
+        let status = installation.control_status(machine);
         assert_eq!(
-            (view["number"].as_u64(), view["digest"].as_u64()),
+            (status["number"].as_u64(), status["digest"].as_u64()),
             (Some(HEAD), Some(DIGEST)),
-            "{view:#}"
+            "{status:#}"
         );
     }
-    site.begin_gateway(0);
-    assert!(site.changed("", &["--remove", "packs"]) > HEAD);
-    assert_eq!((site.call(0, "order"), site.call(0, "check")), (400, 200));
+    installation.start_gateway(0);
+    assert!(installation.change_applied("", &["--remove", "packs"]) > HEAD);
+    assert_eq!(installation.call_as_order_and_check(0), (400, 200));
 }
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -1,56 +1,48 @@
-//! Gateways that know each other, as processes: what befalls their links and themselves, and what they make of it.
+//! Membership among gateways as processes: faults on their links, of their processes and in their configurations.
 
-mod fleet;
-mod json_fields;
-
-use fleet::Fleet;
-use json_fields::field_paths;
 use milletpath_emulator::relay::Fault;
 use milletpath_membership::Reachability;
+use milletpath_test_support::fleet_rig::Fleet;
+use milletpath_test_support::json_fields::field_paths;
 use nix::sys::signal::Signal;
 use std::net::UdpSocket;
 use std::time::Duration;
 
-fn all(size: usize) -> Vec<usize> {
-    (0..size).collect()
-}
-
-fn hears(fleet: &Fleet, n: usize) -> Option<Reachability> {
-    fleet.view(n).map(|v| v.reachability)
+fn reachability(fleet: &Fleet, n: usize) -> Option<Reachability> {
+    fleet.view(n).map(|view| view.reachability)
 }
 
-/// Twenty-four begin at once and know one seed.
+/// Twenty-four start at once and know one seed.
 #[test]
 fn twenty_four_gateways_join_by_one_seed() {
     let mut fleet = Fleet::new(24);
-    (0..24).for_each(|n| fleet.begin(n));
-    let all = all(24);
-    fleet.wait("each of 24 knows the others", |f| all.iter().all(|n| f.knows(*n, &all)));
-    for n in all {
-        assert_eq!(fleet.said(n, "is declared dead"), 0, "{n} buried nobody on the way");
+    (0..24).for_each(|n| fleet.start(n));
+    fleet.wait_until("each of 24 knows the others", Fleet::all_see_all);
+    for n in 0..24 {
+        assert_eq!(fleet.count_log_lines(n, "is declared dead"), 0, "{n} declared nobody dead on the way");
     }
 }
 
 #[test]
 fn gateways_join_by_the_second_seed_while_the_first_is_down() {
     let mut fleet = Fleet::new(4);
-    fleet.stated.iter_mut().for_each(|s| s.seeds = vec![0, 1]);
-    (1..4).for_each(|n| fleet.begin(n));
-    fleet.wait("the three know each other", |f| (1..4).all(|n| f.knows(n, &[1, 2, 3])));
-    fleet.begin(0);
-    fleet.wait("all four do", |f| (0..4).all(|n| f.knows(n, &all(4))));
+    fleet.specs.iter_mut().for_each(|s| s.seeds = vec![0, 1]);
+    (1..4).for_each(|n| fleet.start(n));
+    fleet.wait_until("the three see each other", |f| (1..4).all(|n| f.sees_alive(n, &[1, 2, 3])));
+    fleet.start(0);
+    fleet.wait_until("all four do", Fleet::all_see_all);
 }
 
-/// Two of five are cut off from three, and come back: the small side falls to its floor, the large one goes on, and
-/// both know each other again.
+/// Two of five are partitioned from three, and the partition heals: the minority falls back to its floor, the majority
+/// goes on, and all see each other again.
 #[test]
 fn a_partition_leaves_the_minority_its_floor_and_heals() {
-    let fleet = Fleet::together(5);
+    let fleet = Fleet::converged(5);
     let cut = fleet.relay.put(Fault::Cut(vec![0, 1]));
-    fleet.wait("each side takes the other for gone", |f| {
-        (0..2).all(|n| f.knows(n, &[0, 1])) && (2..5).all(|n| f.knows(n, &[2, 3, 4]))
+    fleet.wait_until("each side takes the other for dead", |f| {
+        (0..2).all(|n| f.sees_alive(n, &[0, 1])) && (2..5).all(|n| f.sees_alive(n, &[2, 3, 4]))
     });
-    fleet.wait("the small side has its floor", |f| {
+    fleet.wait_until("the minority has its floor", |f| {
         f.view(0).is_some_and(|v| {
             (v.reachability, v.quorum_seconds, v.fraction) == (Reachability::Minority, 0.0, 0.5)
         })
@@ -58,165 +50,182 @@
     let large = fleet.view(4).unwrap();
     assert!(large.reachability == Reachability::Majority && large.quorum_seconds > 0.0, "{large:?}");
     fleet.relay.lift(cut);
-    fleet.wait("all are together again", |f| (0..5).all(|n| f.knows(n, &all(5))));
-    fleet.wait("all have standing", |f| (0..5).all(|n| f.view(n).is_some_and(|v| v.quorum_seconds > 0.0)));
+    fleet.wait_until("all see each other again", Fleet::all_see_all);
+    fleet.wait_until("all have a quorum", |f| {
+        (0..5).all(|n| f.view(n).is_some_and(|v| v.quorum_seconds > 0.0))
+    });
 }
 
-/// One hears nothing while all hear it: it shares nothing any more, and drags nobody down.
+/// A gateway receives nothing while all receive from it: it shares nothing any more, and the others are not affected.
 #[test]
 fn a_gateway_that_receives_nothing_falls_to_its_floor() {
-    let fleet = Fleet::together(5);
-    let deaf = fleet.relay.put(Fault::Deaf(vec![2]));
-    fleet.wait("it knows that it hears nothing", |f| hears(f, 2) == Some(Reachability::Nobody));
+    let fleet = Fleet::converged(5);
+    let receives_nothing = fleet.relay.put(Fault::Deaf(vec![2]));
+    fleet.wait_until("it knows that it receives nothing", |f| {
+        reachability(f, 2) == Some(Reachability::Nobody)
+    });
     let view = fleet.view(2).unwrap();
     assert_eq!((view.quorum_seconds, view.likely_gateways), (0.0, 5.0));
-    fleet.relay.lift(deaf);
-    fleet.wait("it hears them again", |f| (0..5).all(|n| f.knows(n, &all(5))));
-    // The others never took one another for gone.
+    fleet.relay.lift(receives_nothing);
+    fleet.wait_until("all see each other again", Fleet::all_see_all);
+    // The others never took one another for dead.
     for n in [0, 1, 3, 4] {
         for other in [0, 1, 3, 4] {
-            assert_eq!(fleet.said(n, &format!("is declared dead name=\"gateway-{other}\"")), 0);
+            assert_eq!(fleet.count_log_lines(n, &format!("is declared dead name=\"gateway-{other}\"")), 0);
         }
     }
 }
 
 #[test]
 fn a_lone_survivor_knows_that_it_is_alone_and_the_others_rejoin() {
-    let mut fleet = Fleet::together(5);
+    let mut fleet = Fleet::converged(5);
     (1..5).for_each(|n| fleet.kill(n));
-    fleet.wait("the last one is alone", |f| f.knows(0, &[0]));
-    fleet.wait("and knows that it is", |f| {
+    fleet.wait_until("the last one is alone", |f| f.sees_alive(0, &[0]));
+    fleet.wait_until("and knows that it is alone", |f| {
         f.view(0).is_some_and(|v| {
             (v.reachability, v.likely_gateways, v.quorum_seconds) == (Reachability::Nobody, 5.0, 0.0)
         })
     });
-    (1..5).for_each(|n| fleet.begin(n));
-    fleet.wait("all are there again", |f| (0..5).all(|n| f.knows(n, &all(5))));
+    (1..5).for_each(|n| fleet.start(n));
+    fleet.wait_until("all see each other again", Fleet::all_see_all);
 }
 
-/// A process killed and begun anew under its name is another one at once, whatever is said of the former.
+/// A process that is killed and started again under its name is another one at once, whatever gossip claims about its
+/// predecessor.
 #[test]
 fn a_restarted_process_is_distinguished_from_its_predecessor() {
-    let mut fleet = Fleet::together(3);
-    let former = fleet.view(1).unwrap().instance_id;
+    let mut fleet = Fleet::converged(3);
+    let predecessor = fleet.view(1).unwrap().instance_id;
     fleet.kill(1);
-    fleet.begin(1);
-    let life = fleet.view(1).unwrap().instance_id;
-    assert_ne!(life, former);
-    fleet.wait("the new one is known and the former gone", |f| {
+    fleet.start(1);
+    let successor = fleet.view(1).unwrap().instance_id;
+    assert_ne!(successor, predecessor);
+    fleet.wait_until("the successor is known and the predecessor gone", |f| {
         let members = f.view(0).map(|v| v.members).unwrap_or_default();
-        let state = |life: &str| members.iter().find(|m| m.instance_id == life).map(|m| m.state.clone());
-        state(&life).as_deref() == Some("alive") && state(&former).is_none_or(|s| s == "dead")
+        let state = |instance: &str| {
+            members.iter().find(|member| member.instance_id == instance).map(|member| member.state.clone())
+        };
+        state(&successor).as_deref() == Some("alive") && state(&predecessor).is_none_or(|s| s == "dead")
     });
-    fleet.wait("and stays", |f| (0..3).all(|n| f.knows(n, &all(3))));
-    assert_eq!(fleet.said(0, "two gateways have the same name"), 0);
+    fleet.wait_until("and stays alive", Fleet::all_see_all);
+    assert_eq!(fleet.count_log_lines(0, "two gateways have the same name"), 0);
 }
 
-/// Stopped for longer than it takes to be buried: it wakes, accuses nobody, and is taken back.
+/// Paused for longer than it takes to be declared dead: it resumes, suspects nobody, and rejoins.
 #[test]
-fn a_paused_gateway_accuses_nobody_when_it_resumes() {
-    let fleet = Fleet::together(5);
-    fleet.signal(3, Signal::SIGSTOP);
-    fleet.wait("the others take it for gone", |f| [0, 1, 2, 4].iter().all(|n| f.knows(*n, &[0, 1, 2, 4])));
+fn a_paused_gateway_suspects_nobody_when_it_resumes() {
+    let fleet = Fleet::converged(5);
+    fleet.process(3).signal(Signal::SIGSTOP);
+    fleet.wait_until("the others take it for dead", |f| {
+        [0, 1, 2, 4].iter().all(|n| f.sees_alive(*n, &[0, 1, 2, 4]))
+    });
     std::thread::sleep(Duration::from_secs(2));
-    let before = fleet.said(3, "does not answer");
-    fleet.signal(3, Signal::SIGCONT);
-    fleet.wait("it is taken back", |f| (0..5).all(|n| f.knows(n, &all(5))));
-    assert_eq!(fleet.said(3, "does not answer"), before);
-    assert!(fleet.said(3, "was paused") >= 1);
+    let before = fleet.count_log_lines(3, "does not answer");
+    fleet.process(3).signal(Signal::SIGCONT);
+    fleet.wait_until("it has rejoined", Fleet::all_see_all);
+    assert_eq!(fleet.count_log_lines(3, "does not answer"), before);
+    assert!(fleet.count_log_lines(3, "was paused") >= 1);
     for n in [0, 1, 2, 4] {
-        assert_eq!(fleet.said(n, "is declared dead"), 1, "{n} buried the one that stood, and nobody else");
+        assert_eq!(
+            fleet.count_log_lines(n, "is declared dead"),
+            1,
+            "{n} declared the paused one dead, and nobody else"
+        );
     }
 }
 
 #[test]
 fn losing_a_fifth_of_all_datagrams_declares_nobody_dead() {
-    let fleet = Fleet::together(6);
-    let lost = fleet.relay.put(Fault::Lost(fleet.relay.links(), 0.2));
+    let fleet = Fleet::converged(6);
+    let loss = fleet.relay.put(Fault::Lost(fleet.relay.links(), 0.2));
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
-        assert_eq!(fleet.said(n, "is declared dead"), 0, "{n}");
-        assert_eq!(hears(&fleet, n), Some(Reachability::Majority));
+        assert_eq!(fleet.count_log_lines(n, "is declared dead"), 0, "{n}");
+        assert_eq!(reachability(&fleet, n), Some(Reachability::Majority));
     }
-    fleet.relay.lift(lost);
+    fleet.relay.lift(loss);
 }
 
-/// Two by mistake under one name: told loudly by all, and both are served.
+/// Two by mistake under one name: all log it, and both are members.
 #[test]
 fn two_gateways_with_one_name_are_reported() {
     let mut fleet = Fleet::new(4);
-    fleet.stated[3].name = "gateway-2".into();
-    (0..4).for_each(|n| fleet.begin(n));
-    fleet.wait("all say so", |f| (0..4).all(|n| f.said(n, "two gateways have the same name") > 0));
+    fleet.specs[3].name = "gateway-2".into();
+    (0..4).for_each(|n| fleet.start(n));
+    fleet.wait_until("all log it", |f| {
+        (0..4).all(|n| f.count_log_lines(n, "two gateways have the same name") > 0)
+    });
     let twice = |n: usize| {
         let members = fleet.view(n).map(|v| v.members).unwrap_or_default();
         members.iter().filter(|m| m.duplicate_name && m.state == "alive").count()
     };
-    fleet.wait("and that both are there", |_| twice(0) == 2 && twice(1) == 2 && twice(2) == 1);
+    fleet.wait_until("and list both", |_| twice(0) == 2 && twice(1) == 2 && twice(2) == 1);
 }
 
-/// Charters that state other numbers of gateways: told loudly, and the larger holds for all.
+/// Configurations with different numbers of gateways: all log it, and the larger holds for all.
 #[test]
 fn configurations_with_different_gateway_counts_are_reported() {
     let mut fleet = Fleet::new(6);
-    (0..3).for_each(|n| fleet.stated[n].gateways = 3);
-    (0..6).for_each(|n| fleet.begin(n));
-    fleet.wait("all go by six", |f| {
+    (0..3).for_each(|n| fleet.specs[n].gateways = 3);
+    (0..6).for_each(|n| fleet.start(n));
+    fleet.wait_until("all go by six", |f| {
         (0..6).all(|n| {
             f.view(n).is_some_and(|v| v.max_gateways == 6 && v.quorum_seconds > 0.0 && v.members.len() == 5)
         })
     });
     for n in 0..6 {
-        assert!(fleet.said(n, "states another number of gateways") > 0, "{n}");
-        // Of three, one has what is a sixth of all.
-        let part = fleet.view(n).unwrap().fraction;
-        assert!(part <= if n < 3 { 0.5 } else { 1.0 } + 1e-9, "{n}: {part}");
+        assert!(fleet.count_log_lines(n, "states another number of gateways") > 0, "{n}");
+        // A third of the budgets would be too much: it may use a sixth.
+        let fraction = fleet.view(n).unwrap().fraction;
+        assert!(fraction <= if n < 3 { 0.5 } else { 1.0 } + 1e-9, "{n}: {fraction}");
     }
 }
 
-/// One with another key: nobody takes its letters, and it is told why.
+/// One with another key: its datagrams are rejected, and the reason is logged.
 #[test]
 fn datagrams_sealed_with_another_key_are_rejected() {
     let mut fleet = Fleet::new(4);
-    fleet.stated[3].key = "another secret of more than thirty-two bytes".into();
-    (0..4).for_each(|n| fleet.begin(n));
-    fleet.wait("the three know each other", |f| (0..3).all(|n| f.knows(n, &[0, 1, 2])));
-    fleet.wait("its letters are refused", |f| f.view(0).is_some_and(|v| v.counters.rejected_seal > 3));
-    assert!(fleet.said(0, "the seal does not match") > 0);
+    fleet.specs[3].key = "another secret of more than thirty-two bytes".into();
+    (0..4).for_each(|n| fleet.start(n));
+    fleet.wait_until("the three see each other", |f| (0..3).all(|n| f.sees_alive(n, &[0, 1, 2])));
+    fleet.wait_until("its datagrams are rejected", |f| {
+        f.view(0).is_some_and(|v| v.counters.rejected_seal > 3)
+    });
+    assert!(fleet.count_log_lines(0, "the seal does not match") > 0);
     let alone = fleet.view(3).unwrap();
     assert!(alone.reachability == Reachability::Nobody && alone.members.is_empty());
 }
 
-/// A flood of what is no letter: random bytes, letters cut off, changed, too large, and true ones played again.
+/// A flood of invalid datagrams: random bytes, datagrams cut short, changed, too large, and valid ones replayed.
 #[test]
 fn garbage_and_replayed_datagrams_change_nothing() {
-    let fleet = Fleet::together(3);
+    let fleet = Fleet::converged(3);
     let garbage = fleet.relay.put(Fault::Garbage(fleet.relay.links(), 0.3));
     let repeat = fleet.relay.put(Fault::Repeat(fleet.relay.links(), 0.5));
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let to = fleet.links[0].unwrap();
     let mut seed = 1u64;
     for n in 0..20_000usize {
         // A small generator of its own: what the bytes are does not matter.
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let bytes: Vec<u8> = (0..n % 2000).map(|k| (seed >> (k % 57)) as u8).collect();
-        let _ = socket.send_to(&bytes, to);
+        fleet.send_datagram(&socket, 0, &bytes);
         if n % 200 == 0 {
             std::thread::sleep(Duration::from_millis(10));
         }
     }
     let view = fleet.view(0).expect("it still answers");
-    let t = view.counters;
-    assert!(t.rejected_size > 100 && t.rejected_seal + t.rejected_version > 100, "{t:?}");
-    fleet.wait("what is played again is not taken twice", |f| {
+    let counters = view.counters;
+    assert!(counters.rejected_size > 100, "{counters:?}");
+    assert!(counters.rejected_seal + counters.rejected_version > 100, "{counters:?}");
+    fleet.wait_until("replayed datagrams are rejected", |f| {
         f.view(0).is_some_and(|v| v.counters.replayed > 0)
     });
     fleet.relay.lift(garbage);
     fleet.relay.lift(repeat);
-    fleet.wait("all is as before", |f| (0..3).all(|n| f.knows(n, &all(3))));
+    fleet.wait_until("all see each other as before", Fleet::all_see_all);
 }
 
-/// Scripts of operators read it: the fixture is the output of an earlier program.
+/// Scripts of operators read the JSON: the fixture is the output of an earlier program.
 #[test]
 fn peers_json_keeps_its_fields() {
     let fixture = include_str!("fixtures/status/peers.json");
@@ -224,7 +233,7 @@
         serde_json::from_str(fixture).expect("the fixture is read");
     assert_eq!(serde_json::to_string(&status).unwrap(), fixture);
     let fixture = serde_json::from_str(fixture).unwrap();
-    let fleet = Fleet::together(2);
+    let fleet = Fleet::converged(2);
     let output = fleet.peers_json(0).expect("the gateway answers");
     // A fleet of these tests shares no budget.
     let paths = field_paths(&fixture).into_iter().filter(|path| !path.starts_with(".budgets[]")).collect();
--- /dev/null
+++ b/crates/milletpath/tests/platform/idle_router.rs
@@ -0,0 +1,62 @@
+//! What a router does that has nothing to do.
+
+use milletpath_test_support::platform_rig::{
+    Client, DONE, DiscoveryStreams, Router, RouterConfiguration, Worker, answers,
+};
+use std::io::Write;
+use std::time::{Duration, Instant};
+
+/// A process's work so far, by the system's tables.
+struct ProcessWork {
+    /// How often it waited and was woken.
+    wakes: u64,
+    /// Its processor time, in hundredths of a second.
+    ticks: u64,
+}
+
+impl ProcessWork {
+    fn read(process: u32) -> Self {
+        let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap();
+        let status = read("status");
+        let wakes = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:")).unwrap();
+        let stat = read("stat");
+        let figures: Vec<_> = stat.rsplit(") ").next().unwrap().split_whitespace().collect();
+        let (user, system): (u64, u64) = (figures[11].parse().unwrap(), figures[12].parse().unwrap());
+        Self { wakes: wakes.trim().parse().unwrap(), ticks: user + system }
+    }
+}
+
+/// A router that was called and is not any more, with clients that stay connected and discovery that writes: it waits.
+/// It looks at idle connections five times a second, and its workers receive nothing from it.
+#[test]
+fn an_idle_router_waits_and_sends_nothing() {
+    const MAX_WAKES_PER_SECOND: f64 = 40.0;
+    const MAX_CORE_FRACTION: f64 = 0.2;
+    const TICKS_PER_SECOND: f64 = 100.0;
+    let worker = Worker::start(answers);
+    let discovery = DiscoveryStreams::start();
+    let router =
+        Router::with_configuration(&RouterConfiguration::new(&[worker.address], discovery.address, 256));
+    let mut clients: Vec<_> = (0..50).map(|_| Client::connect(&router)).collect();
+    for (client, id) in clients.iter_mut().zip(1..) {
+        assert!(client.call(1, id).contains(DONE));
+    }
+    let mut stream = discovery.next_stream();
+    let started = Instant::now();
+    let before = ProcessWork::read(router.process.id());
+    let frames = worker.received.count();
+    for _ in 0..3 {
+        stream.write_all(b"1\n").unwrap();
+        std::thread::sleep(Duration::from_millis(400));
+    }
+    let after = ProcessWork::read(router.process.id());
+    let seconds = started.elapsed().as_secs_f64();
+    let wakes = (after.wakes - before.wakes) as f64 / seconds;
+    let busy = (after.ticks - before.ticks) as f64 / TICKS_PER_SECOND / seconds;
+    assert!(
+        wakes < MAX_WAKES_PER_SECOND && busy < MAX_CORE_FRACTION,
+        "{wakes} wakes a second, {busy} of a core"
+    );
+    assert_eq!(worker.received.count(), frames);
+    assert!(clients.iter().all(|client| !client.has_received()), "none was closed");
+}
--- /dev/null
+++ b/crates/milletpath/tests/platform/persistent_client.rs
@@ -0,0 +1,134 @@
+//! A client that never stops calling, and what became of its calls.
+
+use milletpath_test_support::platform_rig::call_line;
+use std::collections::BTreeMap;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::{Duration, Instant};
+
+/// Time between two calls of one client.
+const INTERVAL: Duration = Duration::from_millis(30);
+/// Calls that a client may have open on one connection.
+const MAX_OPEN: usize = 32;
+/// A call written this shortly before the end of its connection crosses it, and is sent again by its client.
+const CROSSING: Duration = Duration::from_millis(50);
+
+/// What became of the calls of all clients.
+#[derive(Debug, Default)]
+pub struct Outcome {
+    pub written: usize,
+    pub answered: usize,
+    pub answered_twice: usize,
+    /// Calls without an answer that were written more than [`CROSSING`] before the end of their connection.
+    pub lost: usize,
+    /// By how long before the end of its connection the earliest lost call was written.
+    pub longest_unanswered: Duration,
+}
+
+impl Outcome {
+    /// Adds what became of another client's calls.
+    pub fn add(&mut self, other: &Self) {
+        self.written += other.written;
+        self.answered += other.answered;
+        self.answered_twice += other.answered_twice;
+        self.lost += other.lost;
+        self.longest_unanswered = self.longest_unanswered.max(other.longest_unanswered);
+    }
+}
+
+/// One connection of a client: sends a call at each interval and reads what comes between.
+struct Connection<'a> {
+    stream: TcpStream,
+    /// When each call without an answer was written, by its number.
+    open: BTreeMap<u64, Instant>,
+    last_number: u64,
+    unread: Vec<u8>,
+    deadline_ms: u64,
+    outcome: &'a mut Outcome,
+}
+
+impl<'a> Connection<'a> {
+    fn new(stream: TcpStream, deadline_ms: u64, outcome: &'a mut Outcome) -> Self {
+        stream.set_nodelay(true).expect("a socket");
+        Self { stream, open: BTreeMap::new(), last_number: 0, unread: Vec::new(), deadline_ms, outcome }
+    }
+
+    /// Sends until the connection ends, or until `stop` is set.
+    fn run(mut self, ids: &AtomicU64, stop: &AtomicBool) {
+        let mut next = Instant::now();
+        while !stop.load(Ordering::Relaxed) {
+            if self.open.len() < MAX_OPEN && self.send(ids.fetch_add(1, Ordering::Relaxed)).is_err() {
+                break;
+            }
+            next += INTERVAL;
+            if !self.read_until(next) {
+                break;
+            }
+        }
+        let end = Instant::now();
+        for written in self.open.values() {
+            let before = end - *written;
+            if before > CROSSING {
+                self.outcome.lost += 1;
+                self.outcome.longest_unanswered = self.outcome.longest_unanswered.max(before);
+            }
+        }
+    }
+
+    fn send(&mut self, id: u64) -> std::io::Result<()> {
+        self.last_number += 1;
+        let deadline = format!("\"d\":{}", self.deadline_ms);
+        let line = call_line(self.last_number, id).replace("\"d\":2500", &deadline);
+        self.stream.write_all(line.as_bytes())?;
+        self.open.insert(self.last_number, Instant::now());
+        self.outcome.written += 1;
+        Ok(())
+    }
+
+    /// Reads answers until that time; false where the connection ended.
+    fn read_until(&mut self, until: Instant) -> bool {
+        loop {
+            let left = until.saturating_duration_since(Instant::now());
+            self.stream.set_read_timeout(Some(left.max(Duration::from_micros(1)))).expect("a socket");
+            let mut bytes = [0; 4096];
+            match self.stream.read(&mut bytes) {
+                Ok(0) => return false,
+                Ok(n) => self.unread.extend_from_slice(&bytes[..n]),
+                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return true,
+                Err(_) => return false,
+            }
+            self.record_answers();
+        }
+    }
+
+    fn record_answers(&mut self) {
+        while let Some(end) = self.unread.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.unread.drain(..=end).collect();
+            let line = String::from_utf8(line).expect("text");
+            let number = line.split("\"id\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
+            let number = number.and_then(|n| n.trim().parse().ok()).unwrap_or_else(|| panic!("{line}"));
+            match self.open.remove(&number) {
+                Some(_) => self.outcome.answered += 1,
+                None => self.outcome.answered_twice += 1,
+            }
+        }
+    }
+}
+
+/// Calls until `stop` is set: where its connection ends it opens the next.
+pub fn call_until_stopped(
+    address: SocketAddr,
+    deadline_ms: u64,
+    ids: &AtomicU64,
+    stop: &AtomicBool,
+) -> Outcome {
+    let mut outcome = Outcome::default();
+    while !stop.load(Ordering::Relaxed) {
+        match TcpStream::connect(address) {
+            Ok(stream) => Connection::new(stream, deadline_ms, &mut outcome).run(ids, stop),
+            Err(_) => std::thread::sleep(INTERVAL),
+        }
+    }
+    outcome
+}
--- /dev/null
+++ b/crates/milletpath/tests/platform/process_lifecycle.rs
@@ -0,0 +1,158 @@
+//! The process of a router: how it starts, reads its configuration again, ends, and which sockets it holds.
+
+use milletpath_test_support::platform_rig::{
+    Client, DONE, Discovery, MAX_SOCKETS, REJECTED, Router, RouterConfiguration, Worker, answers, call_line,
+    health_check_line,
+};
+use milletpath_test_support::program::program;
+use milletpath_test_support::wait::{becomes_true, wait_for};
+use nix::sys::signal::Signal;
+use std::net::{Ipv4Addr, SocketAddr, TcpStream};
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+use test_case::test_case;
+
+/// A start that is impossible ends with one line with the reason, and exit code 2.
+#[test_case(None, "LB_CONFIG is not set"; "no file named")]
+#[test_case(Some("/nowhere/told"), "/nowhere/told"; "a file that is not there")]
+fn a_failed_start_reports_the_reason(file: Option<&str>, reason: &str) {
+    let mut command = program();
+    command.arg("platform").env_remove("LB_CONFIG").env_remove("LB_LISTEN");
+    command.envs(file.map(|file| ("LB_CONFIG", file)));
+    let output = command.output().unwrap();
+    assert_eq!(output.status.code(), Some(2));
+    assert!(String::from_utf8_lossy(&output.stderr).contains(reason));
+}
+
+/// SIGHUP with the file half-written, then complete: the new discovery is asked for what comes next, and calls go on.
+#[test]
+fn the_configuration_is_replaced_under_calls() {
+    let worker = Worker::start(answers);
+    let next = Discovery::silent();
+    let router = Router::start(&[worker.address], Discovery::silent().address, MAX_SOCKETS);
+    let mut client = Client::connect(&router);
+    let complete = RouterConfiguration::new(&[worker.address], next.address, MAX_SOCKETS);
+    std::fs::write(&router.configuration_file, &complete.text()[..complete.text().len() / 2]).unwrap();
+    router.process.signal(Signal::SIGHUP);
+    assert!(client.call(1, 1).contains(DONE));
+    std::fs::write(&router.configuration_file, complete.text()).unwrap();
+    assert!(wait_for(|| next.requests().first().cloned()).is_some_and(|request| request == "after 1"));
+    assert!(client.call(2, 2).contains(DONE));
+}
+
+fn answers_the_first_late(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
+    std::thread::sleep(Duration::from_millis(if earlier_attempts == 0 { 1500 } else { 1 }));
+    answers(earlier_attempts, id, connection);
+}
+
+/// SIGTERM: calls in flight are answered, and those that still come, and then the process exits with success.
+#[test]
+fn a_router_that_receives_sigterm_answers_before_it_exits() {
+    let worker = Worker::start(answers_the_first_late);
+    let mut router = Router::start(&[worker.address], Discovery::silent().address, MAX_SOCKETS);
+    let [mut first, mut second] = [(); 2].map(|()| Client::connect(&router));
+    first.send(&call_line(1, 1));
+    assert!(becomes_true(|| !worker.received.attempts().is_empty()));
+    router.process.signal(Signal::SIGTERM);
+    second.send(&health_check_line(1));
+    second.receive();
+    let late = Client::connect(&router).call(1, 2);
+    assert!(late.contains("\"id\":1,"), "{late}");
+    assert!(first.receive().contains(DONE));
+    assert!(router.process.exit_status().is_some_and(|status| status.success()));
+}
+
+/// SIGTERM that comes twice, together with SIGHUP, or before any endpoint list is known: the process exits once, with
+/// success.
+#[test_case(&[Signal::SIGTERM, Signal::SIGTERM], true; "twice")]
+#[test_case(&[Signal::SIGHUP, Signal::SIGTERM], true; "with SIGHUP before it")]
+#[test_case(&[Signal::SIGTERM, Signal::SIGHUP], true; "with SIGHUP behind it")]
+#[test_case(&[Signal::SIGTERM], false; "before an endpoint list is known")]
+fn signals_that_come_together(signals: &[Signal], has_endpoints: bool) {
+    let worker = Worker::start(answers);
+    let workers: &[_] = if has_endpoints { &[worker.address] } else { &[] };
+    let unreachable = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    let mut router = Router::with_configuration(&RouterConfiguration::new(workers, unreachable, MAX_SOCKETS));
+    router.process.while_paused(|| signals.iter().for_each(|signal| router.process.signal(*signal)));
+    let line = Client::connect(&router).call(1, 1);
+    assert!(line.contains(if has_endpoints { DONE } else { REJECTED }), "{line}");
+    assert!(router.process.exit_status().is_some_and(|status| status.success()));
+}
+
+/// The process that is asked to end closes connections first, and its successor can bind the address at once all the
+/// same.
+#[test]
+fn the_next_process_binds_the_address_at_once() {
+    let worker = Worker::start(answers);
+    let configuration = RouterConfiguration::new(&[worker.address], Discovery::silent().address, MAX_SOCKETS);
+    let configuration = configuration.with("listen", "\"127.0.0.78:0\"");
+    let mut router = Router::with_configuration(&configuration);
+    let mut clients: Vec<_> = (0..5).map(|_| Client::connect(&router)).collect();
+    assert!(clients.iter_mut().zip(1..).all(|(client, id)| client.call(1, id).contains(DONE)));
+    router.process.signal(Signal::SIGTERM);
+    assert!(clients.iter_mut().all(Client::is_closed_cleanly));
+    assert!(router.process.exit_status().is_some_and(|status| status.success()));
+    let same_address = format!("\"{}\"", router.address);
+    let next = Router::with_configuration(&configuration.with("listen", same_address));
+    assert_eq!(next.address, router.address);
+    assert!(Client::connect(&next).call(1, 9).contains(DONE));
+}
+
+/// The inodes of the sockets that a process holds.
+fn socket_inodes(process: &str) -> Vec<String> {
+    let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().flatten();
+    let links = descriptors.filter_map(|descriptor| std::fs::read_link(descriptor.path()).ok());
+    let inode =
+        |link: PathBuf| Some(link.to_str()?.strip_prefix("socket:[")?.trim_end_matches(']').to_owned());
+    links.filter_map(inode).collect()
+}
+
+/// Where the platform runs hundreds of routers there are TCP and UDP sockets and no others; signals came over a pair of
+/// Unix sockets.
+#[test]
+fn a_router_holds_no_unix_socket() {
+    let worker = Worker::start(answers);
+    let mut router = Router::start(&[worker.address], Discovery::silent().address, MAX_SOCKETS);
+    assert!(Client::connect(&router).call(1, 1).contains(DONE));
+    let of_this_test = socket_inodes("self");
+    let of_router = socket_inodes(&router.process.id().to_string());
+    let unix = std::fs::read_to_string("/proc/self/net/unix").unwrap();
+    let unix: Vec<_> = unix.lines().filter_map(|line| line.split_whitespace().nth(6)).collect();
+    assert!(of_router.len() >= 2, "a listener and a client at least: {of_router:?}");
+    let found: Vec<_> = of_router
+        .iter()
+        .filter(|inode| unix.contains(&inode.as_str()) && !of_this_test.contains(inode))
+        .collect();
+    assert!(found.is_empty(), "{found:?}");
+    router.process.signal(Signal::SIGTERM);
+    assert!(router.process.exit_status().is_some_and(|status| status.success()));
+}
+
+/// Ten processes start at once on a machine whose cores are all busy: nine of them are ready within 10 s.
+#[test]
+fn nine_in_ten_are_ready_in_time_on_a_busy_machine() {
+    const READY_WITHIN: Duration = Duration::from_secs(10);
+    let worker = Worker::start(answers);
+    let configuration = RouterConfiguration::new(&[worker.address], Discovery::silent().address, MAX_SOCKETS);
+    let done = AtomicBool::new(false);
+    let ready = std::thread::scope(|scope| {
+        for _ in 0..std::thread::available_parallelism().map_or(1, usize::from) {
+            scope.spawn(|| {
+                while !done.load(Ordering::Relaxed) {
+                    std::hint::spin_loop();
+                }
+            });
+        }
+        let start = || {
+            let started = Instant::now();
+            let router = Router::with_configuration(&configuration);
+            Client::connect(&router).is_router_ready(1) && started.elapsed() < READY_WITHIN
+        };
+        let starts: Vec<_> = (0..10).map(|_| scope.spawn(start)).collect();
+        let ready = starts.into_iter().filter_map(|start| start.join().ok()).filter(|ready| *ready).count();
+        done.store(true, Ordering::Relaxed);
+        ready
+    });
+    assert!(ready >= 9, "{ready} of 10");
+}
--- /dev/null
+++ b/crates/milletpath/tests/platform/resource_limits.rs
@@ -0,0 +1,153 @@
+//! Limits of the router: descriptors, open calls and memory. Calls that come once a limit is reached are answered all the
+//! same.
+
+use milletpath_test_support::platform_rig::{
+    Client, DONE, Discovery, MAX_SOCKETS, REJECTED, Router, RouterConfiguration, Worker, answers, call_line,
+    endpoint_event, health_check_line, never_answers,
+};
+use milletpath_test_support::wait::{becomes_true, wait_for};
+use std::io::Write;
+use std::net::TcpListener;
+
+/// Descriptors of a router that has enough for [`CLIENTS`].
+const DESCRIPTORS: usize = 64;
+/// Clients that a router with [`DESCRIPTORS`] holds.
+const CLIENTS: usize = 17;
+/// More than the router accepts beside these at a time.
+const NEWCOMERS: usize = 40;
+
+/// A router that has no room for further clients, as each of those that it holds waits for an answer.
+struct FullRouter {
+    router: Router,
+    worker: Worker,
+    waiting: Vec<Client>,
+}
+
+impl FullRouter {
+    fn start() -> Self {
+        let worker = Worker::start(never_answers);
+        let configuration =
+            RouterConfiguration::new(&[worker.address], Discovery::silent().address, DESCRIPTORS);
+        let router = Router::with_configuration(&configuration);
+        let mut waiting: Vec<_> = (0..CLIENTS).map(|_| Client::connect(&router)).collect();
+        for (client, id) in waiting.iter_mut().zip(1..) {
+            client.send(&call_line(1, id));
+        }
+        Self { router, worker, waiting }
+    }
+}
+
+/// Calls of every client that the router has room for are in flight at a worker that never answers; then others connect
+/// and call at once. They were closed unread.
+#[test]
+fn a_call_on_a_new_connection_is_answered_where_all_others_wait_for_answers() {
+    let FullRouter { router, worker, mut waiting } = FullRouter::start();
+    assert!(becomes_true(|| !worker.received.attempts().is_empty()));
+    let mut newcomers: Vec<_> = (0..NEWCOMERS).map(|_| Client::connect(&router)).collect();
+    for (client, id) in newcomers.iter_mut().zip(1000..) {
+        client.send(&call_line(1, id));
+    }
+    for client in &mut newcomers {
+        let line = client.receive();
+        assert!(line.contains(REJECTED) && line.contains("\"w\":1000"), "{line:?}");
+        // Its connection ends with a close and not with a reset.
+        assert!(client.is_closed_cleanly());
+    }
+    for client in &mut waiting {
+        let line = client.receive();
+        assert!(line.contains("\"id\":1,"), "{line:?}");
+    }
+}
+
+/// Newcomers that send nothing don't keep one away that calls.
+#[test]
+fn silent_newcomers_make_room_for_a_call() {
+    let FullRouter { router, worker: _, waiting } = FullRouter::start();
+    let silent: Vec<_> = (0..NEWCOMERS).map(|_| Client::connect(&router)).collect();
+    let line = Client::connect(&router).call(1, 1000);
+    assert!(line.contains(REJECTED), "{line:?}");
+    drop((waiting, silent));
+}
+
+/// More connections than there are descriptors: the idle ones are closed, and a client that calls is served.
+#[test]
+fn idle_connections_at_the_descriptor_limit_make_room_for_a_call() {
+    let worker = Worker::start(answers);
+    let router = Router::start(&[worker.address], Discovery::silent().address, 80);
+    let idle: Vec<_> = (0..200).map(|_| Client::connect(&router)).collect();
+    let line = wait_for(|| Some(Client::connect(&router).call(1, 9)).filter(|line| line.contains(DONE)));
+    assert!(line.is_some());
+    assert!(idle.into_iter().all(|mut client| client.receive().is_empty()));
+}
+
+/// The bound on open calls is reached: the next call is rejected at once, with a retry delay. It had none.
+#[test]
+fn a_call_past_the_bound_on_open_calls_gets_a_retry_delay() {
+    let worker = Worker::start(never_answers);
+    let configuration = RouterConfiguration::new(&[worker.address], Discovery::silent().address, MAX_SOCKETS);
+    let router = Router::with_configuration(&configuration.with("MaxAttempts", "4,\"OpenCap\":1"));
+    let mut client = Client::connect(&router);
+    client.send(&[call_line(1, 1), call_line(2, 2)].concat());
+    let line = client.receive();
+    assert!(line.contains("\"id\":2,") && line.contains(REJECTED) && line.contains("\"w\":1000"), "{line}");
+}
+
+/// The system grants fewer descriptors than the configuration states, discovery is down, and many clients connect and
+/// stay: a call is accepted and answered, and once discovery is there the router reaches it. By the configuration's
+/// figure the router accepted clients until no descriptor was left for anything.
+#[test]
+fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
+    let [old, new] = [(); 2].map(|()| Worker::start(answers));
+    let closed = TcpListener::bind("127.0.0.1:0").unwrap();
+    let discovery = closed.local_addr().unwrap();
+    drop(closed);
+    let configuration = RouterConfiguration::new(&[old.address], discovery, 1024);
+    let router = Router::with_descriptor_limit(64, &configuration);
+    let mut idle: Vec<_> = (0..200).map(|_| Client::connect(&router)).collect();
+    for client in &mut idle {
+        client.send(&health_check_line(1));
+    }
+    let mut client = Client::connect(&router);
+    for n in 1..20 {
+        let line = client.call(n, n);
+        assert!(line.contains(DONE), "{line}");
+    }
+    let listener = TcpListener::bind(discovery).unwrap();
+    let (mut stream, _) = listener.accept().unwrap();
+    let events =
+        [endpoint_event(2, "w0", old.address, "left"), endpoint_event(3, "w1", new.address, "active")];
+    stream.write_all(events.concat().as_bytes()).unwrap();
+    let mut number = 20;
+    let moved = becomes_true(|| {
+        number += 1;
+        client.call(number, number).contains(DONE) && new.received.count() > 0
+    });
+    assert!(moved);
+    drop(idle);
+}
+
+/// Calls with large bodies to workers that never answer, more than half of the memory holds: those past it are rejected
+/// at once with a retry delay, and when some have ended there is room again. There was no bound on the sum.
+#[test]
+fn calls_that_fill_the_memory_are_rejected_until_others_end() {
+    let worker = Worker::start(never_answers);
+    let configuration = RouterConfiguration::new(&[worker.address], Discovery::silent().address, MAX_SOCKETS);
+    let router = Router::with_configuration(&configuration.with("memory_mb", 1));
+    let body = "A".repeat(4 * (15 << 10) / 3);
+    let large_call = |number| call_line(number, 100 + number).replace("aGk=", &body);
+    let mut client = Client::connect(&router);
+    client.send(&(1..=20).map(|n| large_call(n).replace("2500", "1500")).collect::<String>());
+    let mut other = Client::connect(&router);
+    other.send(&(33..=64).map(large_call).collect::<String>());
+    let line = other.receive();
+    assert!(line.contains(REJECTED) && line.contains("\"w\":1000"), "{line}");
+    // Those with less time have not ended yet: the call was not rejected for want of time.
+    assert!(!client.has_received());
+    drop((client, other));
+    let has_room = becomes_true(|| {
+        let mut next = Client::connect(&router);
+        next.send(&call_line(1, 7));
+        worker.received.has_attempt(7)
+    });
+    assert!(has_room);
+}
--- /dev/null
+++ b/crates/milletpath/tests/platform/worker_connections.rs
@@ -0,0 +1,94 @@
+//! Connections to workers that end, come up late, or are reset, as attempts are about to go out on them.
+
+use milletpath_test_support::platform_rig::{
+    Client, DONE, Discovery, Router, RouterConfiguration, ScriptedWorker, call_line,
+};
+use milletpath_test_support::worker_frames::{request, response};
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+use test_case::test_case;
+
+/// A call comes, and then the worker closes the idle connection on which its attempt would go. The call is read first;
+/// the attempt was written into the closed connection, counted as one that may have run, and its call failed.
+#[test]
+fn an_idle_connection_is_closed_as_the_next_attempt_is_about_to_go() {
+    let worker = ScriptedWorker::start();
+    let configuration =
+        RouterConfiguration::non_idempotent(&[worker.address], Discovery::silent().address, 250_000);
+    let router = Router::with_configuration(&configuration);
+    let mut client = Client::connect(&router);
+    client.send(&call_line(1, 1));
+    let mut connection = worker.accept();
+    let first = connection.next_frame(request::ATTEMPT).expect("the first attempt");
+    connection.respond(response::DONE, first.id);
+    assert!(client.receive().contains(DONE));
+    router.process.while_paused(|| {
+        client.send(&call_line(2, 2));
+        drop(connection);
+    });
+    let mut next = worker.accept();
+    assert_eq!(next.next_frame(request::ATTEMPT).expect("the second attempt").id, 2);
+    next.respond(response::DONE, 2);
+    assert!(client.receive().contains(DONE));
+}
+
+/// Each connection to a worker is reset as soon as it stands: its calls fail at once, and not with one connection after
+/// the other for as long as they have time.
+#[test]
+fn a_worker_that_resets_each_connection_gets_few_attempts() {
+    const CALLS: u64 = 8;
+    /// Four attempts a call at most, each on a connection of its own, and as many health checks.
+    const MAX_CONNECTIONS: usize = 8 * 8;
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let accepted = Arc::new(AtomicUsize::new(0));
+    let count = accepted.clone();
+    std::thread::spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            count.fetch_add(1, Ordering::SeqCst);
+            // Closed without lingering, it is reset.
+            socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+        }
+    });
+    let configuration = RouterConfiguration::non_idempotent(&[address], Discovery::silent().address, 250_000);
+    let router = Router::with_configuration(&configuration);
+    let mut client = Client::connect(&router);
+    for n in 1..=CALLS {
+        let line = client.call(n, n);
+        assert!(line.contains("\"error\""), "{line}");
+    }
+    assert!(accepted.load(Ordering::SeqCst) <= MAX_CONNECTIONS);
+}
+
+/// A call with an idempotency key, cut off at its first worker, goes to the other with the same key while the key is
+/// remembered. Where the connection there comes up late it is not sent any more: whether the key is remembered was only
+/// checked when the attempt was decided.
+#[test_case(2_500_000, true; "while its key is remembered")]
+#[test_case(500_000, false; "no longer once it is forgotten")]
+fn a_retry_whose_connection_comes_up_late(deduplication_window: u64, is_remembered: bool) {
+    let first = ScriptedWorker::start();
+    let (second, filler) = ScriptedWorker::with_full_backlog();
+    let addresses = [first.address, second.address];
+    let configuration =
+        RouterConfiguration::non_idempotent(&addresses, Discovery::silent().address, 3_000_000);
+    let router = Router::with_configuration(&configuration.with_idempotency_keys(deduplication_window));
+    let mut client = Client::connect(&router);
+    client.send(&call_line(1, 1).replace("\"t\":", "\"k\":\"mark-of-it\",\"t\":"));
+    let mut connection = first.accept();
+    let attempt = connection.next_frame(request::ATTEMPT).expect("the first attempt");
+    assert!(attempt.fields.contains(",uniq=mark-of-it"), "{}", attempt.fields);
+    drop(connection);
+    let mut late = second.free_backlog(filler);
+    if is_remembered {
+        let retry = late.next_frame(request::ATTEMPT).expect("the retry");
+        assert_eq!((retry.id, retry.fields.contains(",uniq=mark-of-it")), (1, true));
+        late.respond(response::DONE, 1);
+        assert!(client.receive().contains(DONE));
+    } else {
+        assert!(client.receive().contains("\"error\""));
+        drop(router);
+        assert_eq!(late.next_frame(request::ATTEMPT), None);
+    }
+}
--- a/crates/milletpath/tests/scale.rs
+++ b/crates/milletpath/tests/scale.rs
@@ -1,19 +1,25 @@
-//! The scale run as its users start it: what it tells, by which code it exits, and that nothing of it is
-//! left. How fast anything is depends on the machine, so no verdict here does.
+//! `milletpath scale` as its users run it: its report, its exit codes, and that no process of it is left. How fast anything
+//! is depends on the machine, so no assertion here does.
 
+use milletpath_test_support::json_fields::field_paths;
+use milletpath_test_support::process::Process;
+use milletpath_test_support::program::{program, repository_file, scratch_path};
+use milletpath_test_support::wait::wait_at_most;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::Value;
 use std::collections::BTreeSet;
-use std::path::PathBuf;
-use std::process::{Child, Command, Output, Stdio};
-use std::time::{Duration, Instant};
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output, Stdio};
+use std::time::Duration;
 use test_case::test_case;
 
 /// Far longer than anything waited for here takes.
-const LONG: Duration = Duration::from_secs(120);
+const TIMEOUT: Duration = Duration::from_secs(120);
+/// Time between two looks at the processes.
+const INTERVAL: Duration = Duration::from_millis(20);
 
-/// A plan of eight gateways, one of them real; more is added by each test.
+/// A plan of eight gateways, one of them real; each test adds to it.
 const TINY: &str = r#"name = "tiny"
 gateways = 8
 real = 1
@@ -32,62 +38,78 @@
 control { runs = ["membership", "budgets", "list"] }
 "#;
 
-fn scale(plan: &PathBuf) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
+/// `milletpath scale`, not started.
+fn scale(plan: &Path) -> Command {
+    let mut command = program();
     command.arg("scale").arg(plan).arg("--json");
     command
 }
 
-/// The tiny plan and what is added, as a file.
-fn file(name: &str, more: &str) -> PathBuf {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("scale-{name}.hcl"));
-    std::fs::write(&path, format!("{TINY}{more}")).expect("a file");
+fn write_plan(text: &str) -> PathBuf {
+    let path = scratch_path("plan", ".hcl");
+    std::fs::write(&path, text).expect("a writable file");
     path
 }
 
-/// The JSON object of the last line, and what goes before it for people.
-fn told(output: &Output) -> (Value, String) {
+/// The tiny plan with more text, as a file.
+fn tiny_plan(more: &str) -> PathBuf {
+    write_plan(&format!("{TINY}{more}"))
+}
+
+/// What a run prints: the JSON object of the last line, and the table before it, for people.
+fn read_report(output: &Output) -> (Value, String) {
     let text = String::from_utf8_lossy(&output.stdout);
     let (table, last) = text.trim_end().rsplit_once('\n').unwrap_or_else(|| panic!("{output:?}"));
     (serde_json::from_str(last).unwrap_or_else(|e| panic!("{e}: {output:?}")), table.to_owned())
 }
 
-/// Three figures that were measured, in their order.
-fn spread(report: &Value, path: &str) -> [f64; 3] {
+/// Runs a plan to its end.
+fn run(plan: &Path) -> (Output, Value, String) {
+    let output = scale(plan).output().expect("it runs");
+    let (report, table) = read_report(&output);
+    (output, report, table)
+}
+
+/// The median, the 99th percentile and the largest of what was measured, which are in this order.
+fn distribution(report: &Value, path: &str) -> [f64; 3] {
     let at = report.pointer(path).unwrap_or_else(|| panic!("no {path}: {report:#}"));
     let figures = ["p50", "p99", "worst"].map(|f| at[f].as_f64().unwrap_or_else(|| panic!("{path}: {at}")));
     assert!(figures[0] <= figures[1] && figures[1] <= figures[2], "{path}: {figures:?}");
     figures
 }
 
-/// All plays of the small plan, at its whole size.
+/// All plays of the small plan, at its full size. The fixture is the report of an earlier program.
 #[test]
-fn the_small_plan_keeps_its_bounds_and_tells_what_it_measured() {
-    let plan = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../plans/size-small.hcl");
-    let output = scale(&plan).output().expect("it runs");
-    let (report, table) = told(&output);
+fn the_small_plan_keeps_its_bounds_and_reports_what_it_measured() {
+    let fixture = include_str!("fixtures/reports/scale.json");
+    let (output, report, table) = run(&repository_file("plans/size-small.hcl"));
+    assert_eq!(field_paths(&report), field_paths(&serde_json::from_str(fixture).expect("JSON")), "{table}");
     assert_eq!(report["broken"], serde_json::json!([]), "{table}");
     assert_eq!(output.status.code(), Some(0), "{table}");
     assert_eq!((&report["gateways"], &report["real"], &report["seed"]), (&60.into(), &2.into(), &1.into()));
     for figure in ["cpu", "cpu_desk", "memory_mb", "bytes_in", "bytes_out", "letters_in", "letters_out"] {
-        assert!(spread(&report, &format!("/control/{figure}"))[0] > 0.0, "{figure} is nothing: {table}");
+        assert!(
+            distribution(&report, &format!("/control/{figure}"))[0] > 0.0,
+            "{figure} is nothing: {table}"
+        );
     }
     for what in ["death", "join"] {
-        spread(&report, &format!("/known/{what}"));
+        distribution(&report, &format!("/known/{what}"));
         assert_eq!(report["known"][what]["never"], 0, "{table}");
     }
-    // Each of 60 learnt of 59 others when they began, at the least.
+    // Each of 60 learnt of 59 others when they started, at the least.
     assert!(report["known"]["join"]["learnt"].as_u64().is_some_and(|n| n >= 60 * 59), "{table}");
-    // All that was proposed in the four plays with changes is in force at all that ran, and all are alike.
-    let made: Vec<_> =
+    // All that was proposed in the four plays with changes is in force at all that ran, and all have the same state.
+    let changes: Vec<_> =
         report["plays"].as_array().expect("plays").iter().filter_map(|p| p.get("changes")).collect();
-    let figures = |of: &str| made.iter().map(|m| m[of].as_u64().expect("a figure")).collect::<Vec<_>>();
+    let figures =
+        |of: &str| changes.iter().map(|play| play[of].as_u64().expect("a figure")).collect::<Vec<_>>();
     assert_eq!(
         (figures("proposed"), figures("made")),
         (vec![20, 10, 10, 10], vec![20, 10, 10, 10]),
         "{table}"
     );
-    spread(&report, "/known/change");
+    distribution(&report, "/known/change");
     assert_eq!(report["known"]["change"]["never"], 0, "{table}");
     // 50 changes at 60 gateways, but for those of the zone that was gone for 10 of them.
     assert_eq!(report["known"]["change"]["learnt"], 50 * 60 - 10 * 10, "{table}");
@@ -96,7 +118,7 @@
     assert_eq!((&state["control_equal"], &state["control"]), (&5.into(), &5.into()), "{table}");
     assert!(state["number"].as_u64().is_some_and(|n| n >= 50), "{state}");
     for figure in ["control_changes/bytes_in", "control_changes/cpu", "control_machines/memory_mb"] {
-        assert!(spread(&report, &format!("/{figure}"))[0] > 0.0, "{figure} is nothing: {table}");
+        assert!(distribution(&report, &format!("/{figure}"))[0] > 0.0, "{figure} is nothing: {table}");
     }
     for budget in ["share", "quota all", "orders"] {
         let worst = &report["budgets"][budget];
@@ -114,17 +136,15 @@
     assert!(table.contains("bounds: all kept"), "{table}");
 }
 
-/// The tiny plan with changes and the list alone, and three control machines.
-fn changes_alone(name: &str, more: &str) -> PathBuf {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("scale-changes-{name}.hcl"));
-    let runs = "runs = [\"membership\", \"budgets\", \"list\"] }";
-    assert!(TINY.contains(runs));
-    let text = TINY.replace(runs, "runs = [\"changes\", \"list\"] }\nchanges { control = 3 }");
-    std::fs::write(&path, format!("{text}{more}")).expect("a file");
-    path
+/// The tiny plan with changes and the endpoint list alone, and three control machines.
+fn changes_plan(more: &str) -> PathBuf {
+    const RUNS: &str = "runs = [\"membership\", \"budgets\", \"list\"] }";
+    assert!(TINY.contains(RUNS));
+    let text = TINY.replace(RUNS, "runs = [\"changes\", \"list\"] }\nchanges { control = 3 }");
+    write_plan(&format!("{text}{more}"))
 }
 
-/// No membership: nothing of it is told, and changes are in force all the same, also at those that come back.
+/// Without membership nothing of it is reported, and changes are in force all the same, also at gateways that restart.
 #[test]
 fn changes_run_without_membership() {
     let plays = "links { across = 5 }\nplay \"begin\" {\n  does = \"start\"\n  over = 0\n}\n\
@@ -132,8 +152,7 @@
                  play \"zone-gone\" {\n  does = \"zone\"\n  zone = \"a1\"\n  away = 30\n  changes = 3\n}\n\
                  play \"leader-gone\" {\n  does = \"control\"\n  changes = 3\n  away = 2\n  settle = 60\n}\n\
                  play \"quiet\" {\n  does = \"settled\"\n  seconds = 3\n}\n";
-    let output = scale(&changes_alone("alone", plays)).output().expect("it runs");
-    let (report, table) = told(&output);
+    let (output, report, table) = run(&changes_plan(plays));
     assert_eq!((&report["broken"], output.status.code()), (&serde_json::json!([]), Some(0)), "{table}");
     assert_eq!(report["runs"], serde_json::json!(["changes", "list"]));
     let known: Vec<_> = report["known"].as_object().expect("known").keys().cloned().collect();
@@ -146,19 +165,18 @@
     for figure in
         ["control/cpu", "control_changes/cpu", "control_changes/bytes_out", "control_machines/bytes_in"]
     {
-        assert!(spread(&report, &format!("/{figure}"))[0] > 0.0, "{figure} is nothing: {table}");
+        assert!(distribution(&report, &format!("/{figure}"))[0] > 0.0, "{figure} is nothing: {table}");
     }
     assert_eq!(report.get("budgets"), None, "{table}");
 }
 
-/// A letter takes longer than is granted, wherever it goes.
+/// Datagrams take longer than is granted, wherever they go.
 #[test]
 fn changes_that_are_late_are_a_broken_bound() {
     let plays = "grant { change = 0.001 }\nlinks { across = 50 }\n\
                  play \"begin\" {\n  does = \"start\"\n  over = 0\n}\n\
                  play \"burst\" {\n  does = \"changes\"\n  changes = 4\n  settle = 60\n}\n";
-    let output = scale(&changes_alone("late", plays)).output().expect("it runs");
-    let (report, table) = told(&output);
+    let (output, report, table) = run(&changes_plan(plays));
     let broken = report["broken"][0].as_str().expect("a broken bound").to_owned();
     assert!(broken.starts_with("known.change in burst: "), "{table}");
     assert!(
@@ -168,14 +186,13 @@
     assert_eq!((report["broken"].as_array().map(Vec::len), output.status.code()), (Some(1), Some(1)));
 }
 
-/// Letters take longer than authors wait: nothing is made, and that is said.
+/// Datagrams take longer than authors wait: no change is made, and that is reported.
 #[test]
 fn changes_that_are_not_made_are_a_broken_bound() {
     let plays = "links {\n  within = 9000\n  across = 9000\n}\n\
                  play \"begin\" {\n  does = \"start\"\n  over = 0\n}\n\
                  play \"burst\" {\n  does = \"changes\"\n  changes = 2\n  settle = 5\n}\n";
-    let output = scale(&changes_alone("none", plays)).output().expect("it runs");
-    let (report, table) = told(&output);
+    let (output, report, table) = run(&changes_plan(plays));
     let broken = report["broken"][0].as_str().expect("a broken bound").to_owned();
     assert!(broken.starts_with("changes in burst: 0 of 2 are known to be made; change "), "{table}");
     assert!(broken.ends_with(": no control machine answers"), "{broken}");
@@ -183,31 +200,29 @@
     assert_eq!(report.get("known"), None, "{report:#}");
 }
 
-/// A grant that no gateway can keep: found out, with the figure and the place.
+/// A bound that no gateway can keep: reported with the figure and the place.
 #[test]
 fn a_bound_that_is_too_small_is_named() {
     let plays = "grant { bytes = 1 }\nlinks { within = 1 }\n\
                  play \"begin\" {\n  does = \"start\"\n  over = 1\n  settle = 100\n}\n\
                  play \"quiet\" {\n  does = \"settled\"\n  seconds = 3\n}\n";
-    let output = scale(&file("small-bound", plays)).output().expect("it runs");
-    let (report, table) = told(&output);
+    let (output, report, table) = run(&tiny_plan(plays));
     let broken: Vec<_> = report["broken"].as_array().expect("a list").iter().map(Value::to_string).collect();
     assert_eq!(broken.len(), 2, "{table}");
     assert!(broken[0].contains("control.bytes_in in quiet:") && broken[0].contains("over it at 8 of 8"));
     assert!(broken[1].contains("control.bytes_out in quiet:"), "{broken:?}");
     assert_eq!(output.status.code(), Some(1));
-    // Nobody died and nobody went, so nothing of that is told.
+    // No gateway died or left, so nothing of that is reported.
     assert_eq!(report["known"].get("death"), None);
     assert!(table.contains("not played: rack: not in the plan"), "{table}");
 }
 
-/// Letters between the regions take longer than the fleet is given.
+/// Datagrams between the regions take longer than the fleet is given.
 #[test]
 fn a_fleet_that_never_settles_is_a_broken_bound() {
     let plays =
         "links { across = 9000 }\nplay \"begin\" {\n  does = \"start\"\n  over = 0\n  settle = 2\n}\n";
-    let output = scale(&file("never-settles", plays)).output().expect("it runs");
-    let (report, table) = told(&output);
+    let (output, report, table) = run(&tiny_plan(plays));
     let broken = report["broken"][0].as_str().expect("a broken bound").to_owned();
     assert!(broken.starts_with("never settled in begin: 0 of 8 believed by all after 2"), "{table}");
     assert_eq!((report["broken"].as_array().map(Vec::len), output.status.code()), (Some(1), Some(1)));
@@ -216,12 +231,11 @@
 }
 
 #[test]
-fn a_run_that_takes_longer_than_its_limit_ends_and_says_what_is_left() {
+fn a_run_that_takes_longer_than_its_limit_ends_and_reports_what_is_left() {
     let plays = "limit = 3\nlinks { within = 1 }\nplay \"begin\" {\n  does = \"start\"\n  over = 0\n}\n\
                  play \"quiet\" {\n  does = \"settled\"\n  seconds = 3000\n}\n\
                  play \"roll\" { does = \"restarts\" }\n";
-    let output = scale(&file("limit", plays)).output().expect("it runs");
-    let (report, table) = told(&output);
+    let (output, report, table) = run(&tiny_plan(plays));
     assert_eq!(
         report["broken"],
         serde_json::json!(["the run was not over after its limit of 3 s"]),
@@ -235,17 +249,17 @@
 #[test_case("gatways = 9\n", ":17:1: unknown key gatways in the plan; did you mean gateways?"; "a slip")]
 #[test_case("links { within = 1 }\n", ": the plan plays nothing; add play"; "no plays")]
 #[test_case("play \"x\" { does = \"fly\" }\n", ":17:12: does of play \"x\" has the invalid value \"fly\""; "no such play")]
-fn a_bad_plan_is_told_with_place_and_remedy(more: &str, wanted: &str) {
-    let name = format!("bad-{}", more.len());
-    let output = scale(&file(&name, more)).output().expect("it runs");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains(wanted) && told.contains(&format!("scale-{name}.hcl:")), "{told}");
+fn an_invalid_plan_is_reported_with_place_and_remedy(more: &str, error: &str) {
+    let plan = tiny_plan(more);
+    let output = scale(&plan).output().expect("it runs");
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(message.contains(error) && message.contains(&format!("{}:", plan.display())), "{message}");
     assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0));
 }
 
 #[test]
 fn a_plan_that_is_not_there_is_wrong_use() {
-    let output = scale(&PathBuf::from("/nowhere/plan.hcl")).output().expect("it runs");
+    let output = scale(Path::new("/nowhere/plan.hcl")).output().expect("it runs");
     assert_eq!(output.status.code(), Some(2));
 }
 
@@ -261,57 +275,62 @@
     numbers.filter(mine).collect()
 }
 
-fn ends(child: &mut Child) -> Option<i32> {
-    let begun = Instant::now();
-    while begun.elapsed() < LONG {
-        if let Some(status) = child.try_wait().expect("a status") {
-            return status.code();
-        }
-        std::thread::sleep(Duration::from_millis(20));
+/// A run that was started, and the processes that it has started itself.
+struct StartedRun {
+    process: Process,
+    children: BTreeSet<i32>,
+}
+
+impl StartedRun {
+    /// Starts a plan and waits until it has so many processes.
+    fn start(plan: &Path, processes: usize) -> Self {
+        let child = scale(plan).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
+        let process = Process::new(child);
+        let all = || Some(children(process.id())).filter(|children| children.len() >= processes);
+        let children = wait_at_most(TIMEOUT, INTERVAL, all).expect("its processes start");
+        Self { process, children }
+    }
+
+    /// The exit code with which the run ends by itself.
+    fn exit_code(&mut self) -> Option<i32> {
+        let status = wait_at_most(TIMEOUT, INTERVAL, || self.process.try_exit_status());
+        status.expect("the run ends").code()
+    }
+
+    /// Number of its processes that still exist.
+    fn count_remaining(&self) -> usize {
+        let exists = |process: &&i32| PathBuf::from(format!("/proc/{process}")).exists();
+        self.children.iter().filter(exists).count()
     }
-    let _ = child.kill();
-    panic!("it does not end");
 }
 
-/// Told to stop in the midst, killed outright, or told to by its terminal, which tells all of its processes.
+/// Two processes of hollow gateways and a real gateway.
+const PROCESSES: usize = 3;
+
+/// Interrupted by a signal, or by its terminal, which sends the signal to all of its processes.
 #[test_case(Signal::SIGINT, false, Some(1); "by Ctrl-C alone")]
 #[test_case(Signal::SIGINT, true, Some(1); "by Ctrl-C on a terminal")]
 #[test_case(Signal::SIGTERM, false, Some(1); "by SIGTERM")]
-fn a_run_that_is_stopped_leaves_nothing_behind(signal: Signal, all: bool, code: Option<i32>) {
+fn a_run_that_is_stopped_leaves_nothing_behind(signal: Signal, is_sent_to_all: bool, code: Option<i32>) {
     let plays = "links { within = 1 }\nplay \"begin\" {\n  does = \"start\"\n  over = 0\n  settle = 100\n}\n\
                  play \"quiet\" {\n  does = \"settled\"\n  seconds = 100\n}\n";
-    let plan = file(&format!("stop-{signal}-{all}"), plays);
-    let mut run = scale(&plan).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
-    let begun = Instant::now();
-    // Two hosts and the real gateway.
-    while children(run.id()).len() < 3 {
-        assert!(begun.elapsed() < LONG, "its processes never came");
-        std::thread::sleep(Duration::from_millis(20));
+    let mut run = StartedRun::start(&tiny_plan(plays), PROCESSES);
+    if is_sent_to_all {
+        run.children.iter().for_each(|child| kill(Pid::from_raw(*child), signal).expect("it runs"));
     }
-    let started = children(run.id());
-    let told = started.iter().copied().filter(|_| all).chain([run.id() as i32]);
-    told.for_each(|process| kill(Pid::from_raw(process), signal).expect("it runs"));
-    assert_eq!(ends(&mut run), code);
-    let left = |process: &&i32| PathBuf::from(format!("/proc/{process}")).exists();
-    assert_eq!(started.iter().filter(left).count(), 0, "of {started:?}");
+    run.process.signal(signal);
+    assert_eq!(run.exit_code(), code);
+    assert_eq!(run.count_remaining(), 0, "of {:?}", run.children);
 }
 
 /// Control machines are processes as well.
 #[test]
 fn control_machines_end_with_their_run() {
-    let plays = "play \"begin\" {\n  does = \"start\"\n  over = 0\n}\n\
+    const CONTROL_MACHINES: usize = 3;
+    let plays = "links { within = 1 }\nplay \"begin\" {\n  does = \"start\"\n  over = 0\n}\n\
                  play \"quiet\" {\n  does = \"settled\"\n  seconds = 100\n}\n";
-    let plan = changes_alone("stop", &format!("links {{ within = 1 }}\n{plays}"));
-    let mut run = scale(&plan).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
-    let begun = Instant::now();
-    // Two hosts, the real gateway and three control machines.
-    while children(run.id()).len() < 6 {
-        assert!(begun.elapsed() < LONG, "its processes never came");
-        std::thread::sleep(Duration::from_millis(20));
-    }
-    let started = children(run.id());
-    kill(Pid::from_raw(run.id() as i32), Signal::SIGTERM).expect("it runs");
-    assert_eq!(ends(&mut run), Some(1));
-    let left = |process: &&i32| PathBuf::from(format!("/proc/{process}")).exists();
-    assert_eq!(started.iter().filter(left).count(), 0, "of {started:?}");
+    let mut run = StartedRun::start(&changes_plan(plays), PROCESSES + CONTROL_MACHINES);
+    run.process.signal(Signal::SIGTERM);
+    assert_eq!(run.exit_code(), Some(1));
+    assert_eq!(run.count_remaining(), 0, "of {:?}", run.children);
 }
--- /dev/null
+++ b/crates/milletpath/tests/serve_deadlines.rs
@@ -0,0 +1,55 @@
+//! The time left that `milletpath serve` states to a worker: at an attempt's first byte it is at most what the client has
+//! left, whatever the attempt waited for.
+
+use milletpath_test_support::serve_rig::{
+    Client, Gateway, GatewayOptions, Message, OK, UnacceptingWorker, call_request,
+};
+use std::io::{BufReader, Write};
+use std::net::TcpStream;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+/// Seconds that the client waits.
+const CLIENT_TIMEOUT: f64 = 2.5;
+/// Seconds by which the stated time may exceed what is left.
+const SLACK: f64 = 0.15;
+
+/// Time for which the worker's system accepts no connection.
+const BEFORE_ACCEPT: Duration = Duration::from_millis(600);
+
+/// The seconds that each attempt stated.
+type StatedTimes = Arc<Mutex<Vec<f64>>>;
+
+/// Answers the requests of one connection and records the time that each states.
+fn answer_requests(stream: TcpStream, stated: &StatedTimes) {
+    let mut stream = BufReader::new(stream);
+    while let Some(message) = Message::read(&mut stream) {
+        let field = message.fields.iter().find_map(|field| field.strip_prefix("milletpath-left: "));
+        let seconds = field.and_then(|seconds| seconds.parse().ok()).expect("the time left");
+        stated.lock().expect("no test thread panicked").push(seconds);
+        let _ = stream.get_mut().write_all(OK.as_bytes());
+    }
+}
+
+/// The worker's system accepts the connection a second late, so the attempt begins a second after its decision.
+#[test]
+fn an_attempt_whose_connection_comes_up_late_states_what_is_left() {
+    let worker = UnacceptingWorker::start();
+    let options = GatewayOptions { workers: "connect = 2.2", ..GatewayOptions::default() };
+    let gateway = Gateway::with_options(worker.address, &options);
+    let mut client = Client::connect(gateway.address).expect("it listens");
+    let sent = Instant::now();
+    let patience = format!("milletpath-patience: {CLIENT_TIMEOUT}\r\n");
+    client.write(&call_request(&patience, "hi")).expect("it reads");
+    std::thread::sleep(BEFORE_ACCEPT);
+    // No connection can be made before this moment, so no attempt's first byte went earlier.
+    let accepts_from = Instant::now();
+    let stated = StatedTimes::default();
+    let all = stated.clone();
+    let _filler = worker.accept(move |stream| answer_requests(stream, &all));
+    assert_eq!(client.response().map(|response| response.status()), Some(200));
+    let stated = stated.lock().expect("no test thread panicked");
+    let seconds = *stated.first().expect("an attempt");
+    let left = CLIENT_TIMEOUT - (accepts_from - sent).as_secs_f64();
+    assert!(seconds <= left + SLACK, "it stated {seconds:.3} s where {left:.3} s were left");
+}
--- a/crates/milletpath/tests/scarce_descriptors.rs
+++ b/crates/milletpath/tests/serve_descriptors.rs
@@ -1,31 +1,29 @@
-//! `milletpath serve` with too few descriptors: that it can make no connection says nothing of the worker.
+//! `milletpath serve` with too few descriptors: that it can make no connection does not count against the worker.
 
-mod served;
-
-use served::{Client, OK, Served, Setup, request};
+use milletpath_test_support::serve_rig::{Client, Gateway, GatewayOptions, OK, Worker, call_request};
 use std::time::Duration;
 
-/// Two calls at a time want two connections to the worker, and there is a descriptor for one.
+/// Two calls at a time need two connections to the worker, and there is a descriptor for one.
 #[test]
 fn descriptors_that_run_out_count_against_no_worker() {
     const GRANTED: usize = 40;
     const ROUNDS: usize = 5;
-    let (worker, _) = served::worker(OK, Duration::from_millis(30));
-    let served = Served::start_with(
-        worker,
-        &Setup {
+    let worker = Worker::start(OK, Duration::from_millis(30));
+    let gateway = Gateway::with_options(
+        worker.address,
+        &GatewayOptions {
             top: "cores = 1\nfunctions { lanes = 1000 }\n",
-            of_workers: "idle = 0.1",
+            workers: "idle = 0.1",
             descriptors: GRANTED,
-            ..Setup::default()
+            ..GatewayOptions::default()
         },
     );
-    let connect = || Client::connect(served.address).expect("it listens");
+    let connect = || Client::connect(gateway.address).expect("it listens");
     let mut callers: Vec<_> = (0..4).map(|_| connect()).collect();
     let mut call_at_once = |patience: f64| -> Vec<u16> {
-        let call = request(&format!("milletpath-patience: {patience}\r\n"), "");
+        let call = call_request(&format!("milletpath-patience: {patience}\r\n"), "");
         callers.iter_mut().for_each(|client| client.write(&call).expect("it reads"));
-        callers.iter_mut().map(|client| client.answer().expect("an answer").status()).collect()
+        callers.iter_mut().map(|client| client.response().expect("an answer").status()).collect()
     };
     // The first calls of all are few at a time.
     assert!((0..ROUNDS).any(|_| call_at_once(1.0) == [200; 4]), "it warms up");
@@ -34,7 +32,7 @@
     let idle: Vec<_> = (0..2 * GRANTED).map(|_| connect()).collect();
     std::thread::sleep(Duration::from_millis(100));
     let scarce: Vec<_> = (0..ROUNDS).flat_map(|_| call_at_once(0.2)).collect();
-    assert!(scarce.contains(&503), "the story needs connections that can't be made: {scarce:?}");
+    assert!(scarce.contains(&503), "the test needs connections that can't be made: {scarce:?}");
     drop(idle);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(call_at_once(1.0), [200; 4], "behind {scarce:?}");
--- /dev/null
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -0,0 +1,233 @@
+//! The HTTP heads that `milletpath serve` writes to a worker and to a client, byte for byte.
+//!
+//! The fixture was written by the release before 2026-12-02's renames, by this test with `MILLETPATH_PROGRAM` naming that
+//! release. Values that differ from run to run are masked by the name of their field.
+
+use milletpath_test_support::program::scratch_path;
+use milletpath_test_support::serve_rig::{
+    Client, FULL, Gateway, GatewayOptions, Message, OK, Worker, call_request,
+};
+use milletpath_test_support::wait::wait_for;
+use nix::sys::signal::Signal;
+use std::fmt::Write as _;
+use std::io::{BufReader, Write as _};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+const FIXTURE: &str = include_str!("fixtures/http/heads.txt");
+
+/// Fields whose values differ from run to run.
+const MASKED: [&str; 4] = ["date", "host", "milletpath-activation", "milletpath-left"];
+
+/// Answers of the worker, by the body of the call.
+const WITH_FIELDS: &str = "HTTP/1.1 200 OK\r\nX-Model: seven\r\nMilletpath-Found: loaded\r\n\
+    Milletpath-Company: 2\r\nEndpoint-Load-Metrics: TEXT cpu_utilization=0.3\r\nContent-Type: text/plain\r\n\
+    Connection: keep-alive\r\nContent-Length: 4\r\n\r\ndone";
+const NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nx-reason: unknown name\r\ncontent-length: 0\r\n\r\n";
+const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n";
+const LARGE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 60\r\n\r\n\
+    012345678901234567890123456789012345678901234567890123456789";
+const MISSING: &str = "HTTP/1.1 404 Missing\r\nmilletpath-refused: missing\r\ncontent-length: 0\r\n\r\n";
+const LOADED: &str = "HTTP/1.1 200 OK\r\nmilletpath-copies: 1\r\ncontent-length: 0\r\n\r\n";
+
+/// How long the worker takes for a call with the body "slow".
+const SLOW: Duration = Duration::from_millis(700);
+
+/// A profile whose calls are not idempotent, so that they are not retried, and small limits.
+const TOP: &str = "profile \"once\" {\ndue = 1\ncut_off = 2\neffect = \"effectful\"\n}\n\
+    limits {\nbody = 100\nanswer = 50\nstall = 0.3\n}\nfunction \"greet\" { profile = \"pure\" }\n";
+
+/// The requests that a worker has received.
+type Received = Arc<Mutex<Vec<Message>>>;
+
+/// A worker that answers each call by its body.
+struct RecordingWorker {
+    address: SocketAddr,
+    received: Received,
+}
+
+impl RecordingWorker {
+    fn start() -> Self {
+        let received = Received::default();
+        let all = received.clone();
+        let address = Worker::serve_with(move |stream| serve(stream, &all));
+        Self { address, received }
+    }
+
+    /// The heads that came since the last look, masked.
+    fn take_heads(&self) -> Vec<String> {
+        let received = std::mem::take(&mut *self.received.lock().expect("no test thread panicked"));
+        received.iter().map(|message| masked(&message.head)).collect()
+    }
+
+    /// The first request whose first line contains this text, masked.
+    fn wait_for_head(&self, text: &str) -> String {
+        let find = || {
+            let received = self.received.lock().expect("no test thread panicked");
+            received.iter().find(|message| message.start.contains(text)).map(|message| masked(&message.head))
+        };
+        wait_for(find).unwrap_or_else(|| panic!("no {text} in {:?}", self.received))
+    }
+}
+
+fn serve(stream: TcpStream, received: &Received) {
+    let mut stream = BufReader::new(stream);
+    let mut is_loaded = false;
+    while let Some(message) = Message::read(&mut stream) {
+        let is_load = message.start.contains("/load ");
+        is_loaded |= is_load;
+        let answer = match message.body.as_slice() {
+            _ if is_load => LOADED,
+            b"fields" => WITH_FIELDS,
+            b"unknown" => NOT_FOUND,
+            b"error" => ERROR,
+            b"large" => LARGE,
+            b"full" => FULL,
+            b"load" if !is_loaded => MISSING,
+            _ => OK,
+        };
+        let is_slow = message.body == b"slow";
+        received.lock().expect("no test thread panicked").push(message);
+        if is_slow {
+            std::thread::sleep(SLOW);
+        }
+        let _ = stream.get_mut().write_all(answer.as_bytes());
+    }
+}
+
+/// A head with its line ends visible, and the values that differ from run to run masked.
+fn masked(head: &str) -> String {
+    let mask = |line: &str| {
+        let name = line.split(':').next().unwrap_or_default();
+        let is_masked = MASKED.contains(&name.to_ascii_lowercase().as_str());
+        let line = if is_masked { format!("{name}: *\r\n") } else { line.to_owned() };
+        line.escape_default().to_string() + "\n"
+    };
+    head.split_inclusive('\n').map(mask).collect()
+}
+
+/// The heads of one exchange after the other, as the fixture has them.
+#[derive(Default)]
+struct Transcript(String);
+
+impl Transcript {
+    fn add(&mut self, case: &str, direction: &str, head: &str) {
+        writeln!(self.0, "== {case}, {direction}\n{head}").expect("a string takes all");
+    }
+
+    /// Plays one exchange on a connection of its own.
+    fn exchange(&mut self, case: &str, gateway: &Gateway, worker: &RecordingWorker, request: &str) {
+        let mut client = Client::connect(gateway.address).expect("it listens");
+        client.write(request).expect("it reads");
+        let response = client.response().unwrap_or_else(|| panic!("{case}: no response"));
+        // A call that is retried has as many attempts as there is time for.
+        if let Some(head) = worker.take_heads().first() {
+            self.add(case, "to the worker", head);
+        }
+        self.add(case, "to the client", &masked(&response.head));
+    }
+
+    fn assert_is(&self, fixture: &str) {
+        if self.0 != fixture {
+            let path = scratch_path("http-heads", ".txt");
+            std::fs::write(&path, &self.0).expect("a writable file");
+            panic!("heads differ from the fixture: compare it with {}\n{}", path.display(), self.0);
+        }
+    }
+}
+
+fn call_with(fields: &str, body: &str) -> String {
+    call_request(&format!("milletpath-patience: 0.5\r\n{fields}"), body)
+}
+
+/// Exchanges in which a worker answers.
+fn answered_calls(transcript: &mut Transcript, gateway: &Gateway, worker: &RecordingWorker) {
+    const FIELDS: &str = "X-Trace: 0af7\r\nIdempotency-Key: mark-1\r\nMilletpath-Repeat: 1\r\n\
+        Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nAccept: text/plain\r\n\
+        Content-Type: text/plain\r\n";
+    const ONCE: &str = "milletpath-profile: once\r\n";
+    let cases = [
+        ("a plain call", call_request("", "hello")),
+        ("a call with fields", call_with(FIELDS, "hello")),
+        ("an answer with fields", call_with("", "fields")),
+        ("a call that closes its connection", call_with("connection: close\r\n", "hello")),
+        ("a worker's 404", call_with("", "unknown")),
+        ("a call without a body", call_with("", "")),
+        ("a worker without capacity", call_with("", "full")),
+        ("a call that failed", call_with(ONCE, "error")),
+        ("a call that is late", call_with(ONCE, "slow")),
+        ("an answer that is too large", call_with("", "large")),
+    ];
+    for (case, request) in cases {
+        transcript.exchange(case, gateway, worker, &request);
+    }
+}
+
+/// Exchanges that reach no worker.
+fn rejected_requests(transcript: &mut Transcript, gateway: &Gateway, worker: &RecordingWorker) {
+    let post = |path: &str| format!("POST {path} HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n");
+    let get = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: g\r\n\r\n");
+    let incomplete = call_with("", "hello");
+    let cases = [
+        ("a field out of bounds", call_request("milletpath-patience: soon\r\n", "")),
+        ("an unknown profile", call_request("milletpath-profile: none\r\n", "")),
+        ("a name that is not valid", post("/v1/functions/a%20b/activations")),
+        ("an unknown path", post("/v1/nothing")),
+        ("a method that is not allowed", get("/v1/functions/greet/activations")),
+        ("a body that is too large", call_request("", &"x".repeat(101))),
+        ("a body that does not come", incomplete[..incomplete.len() - 1].to_owned()),
+        ("liveness", get("/health/live")),
+        ("readiness", get("/health/ready")),
+    ];
+    for (case, request) in cases {
+        transcript.exchange(case, gateway, worker, &request);
+    }
+}
+
+/// A call on a connection that was open when the gateway received SIGTERM.
+fn call_while_closing(transcript: &mut Transcript, gateway: &Gateway) {
+    let connect = || Client::connect(gateway.address).expect("it listens");
+    let (mut in_flight, mut late) = (connect(), connect());
+    late.write(&call_request("", "hello")).expect("it reads");
+    late.response().expect("a response");
+    in_flight.write(&call_request("", "slow")).expect("it reads");
+    std::thread::sleep(SLOW / 4);
+    gateway.process.signal(Signal::SIGTERM);
+    std::thread::sleep(SLOW / 4);
+    late.write(&call_request("", "hello")).expect("it reads");
+    let rejected = late.response().expect("a response");
+    transcript.add("a call after SIGTERM", "to the client", &masked(&rejected.head));
+    let last = in_flight.response().expect("a response");
+    transcript.add("a call in flight at SIGTERM", "to the client", &masked(&last.head));
+}
+
+#[test]
+fn heads_to_worker_and_client_are_as_before() {
+    let mut transcript = Transcript::default();
+    let worker = RecordingWorker::start();
+    let gateway = Gateway::start(worker.address, TOP);
+    answered_calls(&mut transcript, &gateway, &worker);
+    rejected_requests(&mut transcript, &gateway, &worker);
+    call_while_closing(&mut transcript, &gateway);
+    transcript.assert_is(FIXTURE);
+}
+
+/// What a gateway asks of a worker beside calls: an instance, and whether it is healthy.
+#[test]
+fn heads_of_load_requests_and_health_checks_are_as_before() {
+    let worker = RecordingWorker::start();
+    let options = GatewayOptions {
+        workers: "misses = true",
+        load_requests: true,
+        health_checks: true,
+        ..GatewayOptions::default()
+    };
+    let gateway = Gateway::with_options(worker.address, &options);
+    let mut transcript = Transcript::default();
+    transcript.add("a health check", "to the worker", &worker.wait_for_head("/v2/health/ready"));
+    let mut client = Client::connect(gateway.address).expect("it listens");
+    client.write(&call_request("", "load")).expect("it reads");
+    transcript.add("a load request", "to the worker", &worker.wait_for_head("/load "));
+    transcript.assert_is(include_str!("fixtures/http/worker-requests.txt"));
+}
--- /dev/null
+++ b/crates/milletpath/tests/serve_shutdown.rs
@@ -0,0 +1,170 @@
+//! `milletpath serve` that receives SIGTERM while clients go on: it exits by itself, and each call has its answer.
+
+use milletpath_test_support::serve_rig::{Client, Gateway, GatewayOptions, OK, Worker, call_request};
+use nix::sys::signal::Signal;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+use test_case::test_case;
+
+/// SIGKILL comes as early as the longest deadline and this time after SIGTERM.
+const KILLED_AFTER: Duration = Duration::from_millis(700);
+
+/// A call that was written so shortly before its connection ended may have crossed with the end.
+const CROSSING: Duration = Duration::from_millis(50);
+
+/// What became of a client's calls.
+#[derive(Default)]
+struct Calls {
+    succeeded: usize,
+    rejected: usize,
+    /// Without an answer, and written more than a moment before their connection ended.
+    lost: usize,
+    /// Answers that lack what they must have once the gateway is closing.
+    malformed: Vec<String>,
+}
+
+/// Calls over and over on its connection, and on a new one where that ends, until the gateway listens no more.
+fn call_until_closed(gateway: SocketAddr, is_closing: &AtomicBool) -> Calls {
+    const PAUSE: Duration = Duration::from_millis(30);
+    let mut calls = Calls::default();
+    while let Ok(mut client) = Client::connect(gateway) {
+        loop {
+            // Read before the call is written.
+            let closing = is_closing.load(Ordering::Acquire);
+            let written = Instant::now();
+            if client.write(&call_request("milletpath-patience: 3\r\n", "hello")).is_err() {
+                break;
+            }
+            let Some(answer) = client.response() else {
+                calls.lost += usize::from(written.elapsed() > CROSSING);
+                break;
+            };
+            let closes = answer.has("connection: close");
+            match answer.status() {
+                200 => calls.succeeded += 1,
+                503 if answer.has("retry-after: ") && (closes || !closing) => calls.rejected += 1,
+                _ => calls.malformed.push(format!("{answer:?}")),
+            }
+            if closes {
+                break;
+            }
+            std::thread::sleep(PAUSE);
+        }
+    }
+    calls
+}
+
+#[test_case(20, 20; "twenty clients, a worker of 20 ms")]
+#[test_case(20, 400; "twenty clients, a worker of 400 ms")]
+#[test_case(200, 20; "two hundred clients, a worker of 20 ms")]
+#[test_case(200, 400; "two hundred clients, a worker of 400 ms")]
+fn clients_that_go_on_are_all_answered(clients: usize, milliseconds: u64) {
+    let worker = Worker::start(OK, Duration::from_millis(milliseconds));
+    let mut gateway = Gateway::start(worker.address, "cores = 2\nfunctions { lanes = 1000 }\n");
+    let is_closing = Arc::new(AtomicBool::new(false));
+    let begin = || {
+        let (gateway, is_closing) = (gateway.address, is_closing.clone());
+        std::thread::spawn(move || call_until_closed(gateway, &is_closing))
+    };
+    let threads: Vec<_> = (0..clients).map(|_| begin()).collect();
+    std::thread::sleep(Duration::from_millis(600));
+    gateway.process.signal(Signal::SIGTERM);
+    let signalled = Instant::now();
+    // The signal takes a moment to arrive; calls that come first are accepted as ever.
+    std::thread::sleep(CROSSING);
+    is_closing.store(true, Ordering::Release);
+    assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
+    let exited_after = signalled.elapsed();
+    assert!(exited_after < Duration::from_secs(3) + KILLED_AFTER, "exited {exited_after:?} after SIGTERM");
+    let all: Vec<_> = threads.into_iter().map(|thread| thread.join().expect("a client")).collect();
+    let lost: usize = all.iter().map(|calls| calls.lost).sum();
+    let succeeded: usize = all.iter().map(|calls| calls.succeeded).sum();
+    assert_eq!(lost, 0, "without an answer; {succeeded} succeeded");
+    assert!(succeeded >= clients, "{succeeded} succeeded");
+    let malformed: Vec<_> = all.iter().flat_map(|calls| &calls.malformed).collect();
+    assert!(malformed.is_empty(), "{malformed:?}");
+}
+
+/// Calls that are unread when the signal comes, on idle connections, on such as are not accepted yet, and in two pieces
+/// of which one comes later: each is answered, with the announcement that the connection closes.
+#[test]
+fn calls_that_are_unread_at_the_signal_are_answered() {
+    const EACH: usize = 20;
+    let worker = Worker::start(OK, Duration::ZERO);
+    let mut gateway = Gateway::start(worker.address, "cores = 2\n");
+    let connect = || Client::connect(gateway.address).expect("it listens");
+    let mut idle: Vec<_> = (0..EACH).map(|_| connect()).collect();
+    let mut partial: Vec<_> = (0..EACH).map(|_| connect()).collect();
+    for client in idle.iter_mut().chain(&mut partial) {
+        client.write(&call_request("", "")).expect("it reads");
+        assert_eq!(client.response().expect("an answer").status(), 200);
+    }
+    let call = call_request("", "hello");
+    let (first, rest) = call.split_at(30);
+    partial.iter_mut().for_each(|client| client.write(first).expect("it reads"));
+    std::thread::sleep(CROSSING);
+    gateway.process.pause();
+    let mut unaccepted: Vec<_> = (0..EACH).map(|_| connect()).collect();
+    idle.iter_mut().chain(&mut unaccepted).for_each(|c| c.write(&call).expect("the kernel takes it"));
+    std::thread::sleep(2 * CROSSING);
+    gateway.process.signal(Signal::SIGTERM);
+    gateway.process.resume();
+    std::thread::sleep(4 * CROSSING);
+    partial.iter_mut().for_each(|client| client.write(rest).expect("it reads"));
+    let answered = |clients: Vec<Client>| {
+        let answers = clients.into_iter().filter_map(|mut client| client.response());
+        answers.filter(|a| a.status() == 200 || a.status() == 503 && a.has("connection: close")).count()
+    };
+    let answers = [answered(idle), answered(unaccepted), answered(partial)];
+    assert_eq!(answers, [EACH; 3], "of the idle, the unaccepted and the partial");
+    assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
+}
+
+/// A client still writes a large call when its answer comes: the connection is not reset, which would discard the answer.
+#[test]
+fn an_answer_outlives_what_its_client_still_sends() {
+    let worker = Worker::start(OK, Duration::from_millis(300));
+    let mut gateway = Gateway::start(worker.address, "limits { body = 33554432 }\n");
+    let mut first = Client::connect(gateway.address).expect("it listens");
+    let mut large = Client::connect(gateway.address).expect("it listens");
+    first.write(&call_request("", "")).expect("it reads");
+    let call = call_request("", &"x".repeat(32 << 20));
+    let (head, body) = call.split_at(40);
+    large.write(head).expect("it reads");
+    std::thread::sleep(CROSSING);
+    gateway.process.signal(Signal::SIGTERM);
+    std::thread::sleep(CROSSING);
+    assert!(large.write(body).is_ok(), "it reads to the end");
+    let answer = large.response().expect("an answer");
+    assert!(answer.status() == 503 && answer.has("retry-after: ") && answer.has("connection: close"));
+    assert_eq!(first.response().expect("an answer").status(), 200);
+    assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
+}
+
+/// A worker that never answers and clients that never complete their calls: the process exits before it would be killed,
+/// and the complete call has its answer.
+#[test]
+fn nothing_keeps_the_process_from_its_exit() {
+    let worker = Worker::start(OK, Duration::from_secs(60));
+    let options = GatewayOptions { top: "limits { head = 30 }\n", deadline: 1, ..GatewayOptions::default() };
+    let mut gateway = Gateway::with_options(worker.address, &options);
+    let connect = || Client::connect(gateway.address).expect("it listens");
+    let [mut waiting, mut without_body, mut without_head, _idle] = [(); 4].map(|()| connect());
+    waiting.write(&call_request("milletpath-patience: 3\r\n", "")).expect("it reads");
+    without_head.write("POST /v1/func").expect("it reads");
+    while worker.arrivals.lock().expect("no test thread panicked").is_empty() {
+        std::thread::sleep(Duration::from_millis(5));
+    }
+    let call = call_request("", "hello");
+    without_body.write(&call[..call.len() - 1]).expect("it reads");
+    std::thread::sleep(CROSSING);
+    gateway.process.signal(Signal::SIGTERM);
+    let signalled = Instant::now();
+    assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
+    let exited_after = signalled.elapsed();
+    assert!(exited_after < Duration::from_secs(1) + KILLED_AFTER, "exited {exited_after:?} after SIGTERM");
+    // The function is idempotent: that it may have run is no reason not to try again.
+    assert_eq!(waiting.response().expect("an answer").status(), 503);
+}
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -1,16 +1,14 @@
 //! Codecs of the platform: what is valid is read completely, what is not is refused by its field, and nothing is allocated
 //! for a length that is only claimed. Arbitrary bytes by the thousand never do more than that.
 
-mod worker_frames;
-
 use milletpath_platform_protocol::bootstrap;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use milletpath_platform_protocol::frames;
 use milletpath_platform_protocol::lines::{self, ClientMessage};
 use milletpath_policy::Outcome;
+use milletpath_test_support::worker_frames::frame;
 use proptest::prelude::*;
 use test_case::test_case;
-use worker_frames::frame;
 
 fn call(change: &str) -> String {
     let call = r#"{"jsonrpc":"2.0","id":7,"method":"p","params":{"i":"9b1f03aa5c7e2d41","d":1500,"t":"acme","r":1,"o":"7f3a9c21e0b4d655","info":"memory_mb:512;lanes:2;load_ms:640","content":"aGk="}}"#;
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -1,14 +1,12 @@
 //! Errors of system calls on connections to workers, put in place of the system's answers while calls go on: once, for
 //! 100 ms and for 2 s. Sockets, timers and the worker are real.
 
-#[path = "../../../platform-protocol/tests/worker_frames/mod.rs"]
-mod worker_frames;
-
 use super::*;
 use crate::platform_router::SharedRouter;
 use crate::platform_router::tests::{router_with_effect, run_local, submit_request};
 use crate::socket_errors::Operation;
 use milletpath_dispatcher::dispatcher::Counters;
+use milletpath_test_support::worker_frames::{FrameHead, HEAD_BYTES, frame, request, response};
 use nix::errno::Errno;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -109,19 +107,19 @@
 
 async fn serve(mut stream: TcpStream, received_ids: ReceivedIds) -> io::Result<()> {
     loop {
-        let mut head = [0; 16];
+        let mut head = [0; HEAD_BYTES];
         stream.read_exact(&mut head).await?;
-        let number = |bytes: &[u8]| bytes.iter().fold(0, |n, &b| n << 8 | u64::from(b));
-        let mut rest = vec![0; (number(&head[2..4]) + number(&head[4..8])) as usize + 4];
-        stream.read_exact(&mut rest).await?;
-        let (code, id) = (head[1], number(&head[8..]));
-        let answer = match code {
-            2 => {
-                received_ids.borrow_mut().push(id);
-                worker_frames::frame(200, id, "", b"done")
+        let head = FrameHead::parse(&head);
+        stream.read_exact(&mut vec![0; head.remaining_bytes()]).await?;
+        let answer = match head.code {
+            request::ATTEMPT => {
+                received_ids.borrow_mut().push(head.id);
+                frame(response::DONE, head.id, "", b"done")
+            }
+            request::HEALTH_CHECK | request::HEALTH_CHECK_WITH_LOAD => {
+                frame(response::HEALTHY, head.id, "", b"")
             }
-            4 | 5 => worker_frames::frame(206, id, "", b""),
-            6 => worker_frames::frame(200, id, "n=1", b""),
+            request::LOAD => frame(response::DONE, head.id, "n=1", b""),
             _ => continue,
         };
         stream.write_all(&answer).await?;
--- /dev/null
+++ b/crates/test-support/src/control_rig/installation.rs
@@ -0,0 +1,351 @@
+//! The installation: its files, its processes, and what its commands print.
+
+use super::processes::{FileLimit, ReadyProcess, start};
+use super::{KEY, OTHER_KEY};
+use crate::process::Process;
+use crate::program::{program, scratch_path};
+use crate::wait::wait_at_most;
+use nix::sys::signal::Signal;
+use serde_json::Value;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::path::PathBuf;
+use std::process::{Command, Output};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+
+/// Ports of installations begin here.
+const FIRST_PORT: usize = 20_000;
+
+/// Numbers of the configurations that no gateway goes by.
+const CONTROL_NUMBER: usize = 99;
+const AUTHOR_NUMBER: usize = 98;
+
+/// What a gateway prints in front of its address.
+const LISTENING: &str = "listening on http://";
+
+/// What differs in one gateway's configuration.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ConfigDifference {
+    /// It has no profile "order".
+    pub lacks_profile: bool,
+    /// It names another key.
+    pub other_key: bool,
+}
+
+/// A gateway that runs.
+struct RunningGateway {
+    process: Process,
+    /// Where it listens for clients.
+    address: String,
+}
+
+/// Control machines, gateways and one worker; all are killed when it is dropped.
+pub struct Installation {
+    folder: PathBuf,
+    port: usize,
+    control_machines: Vec<Option<Process>>,
+    gateways: Vec<Option<RunningGateway>>,
+    _worker: Process,
+}
+
+/// Address `127.A.B.n` with A and B from the id of this test process: no other is likely to use it.
+fn host(n: usize) -> String {
+    let pid = std::process::id();
+    format!("127.{}.{}.{n}", 16 + pid % 200, pid / 200 % 250)
+}
+
+/// The address of a control machine.
+fn control_address(machine: usize, port: usize) -> String {
+    format!("{}:{port}", host(machine + 1))
+}
+
+impl Installation {
+    /// Writes all configurations, and starts nothing but the worker.
+    pub fn new(control_machines: usize, gateways: usize) -> Self {
+        static COUNT: AtomicUsize = AtomicUsize::new(0);
+        let port = FIRST_PORT + COUNT.fetch_add(1, Ordering::Relaxed);
+        let folder = scratch_path("installation", "");
+        std::fs::create_dir_all(&folder).expect("a writable folder");
+        std::fs::write(folder.join("changes.key"), KEY).expect("a writable file");
+        std::fs::write(folder.join("other.key"), OTHER_KEY).expect("a writable file");
+        let control: Vec<_> = (0..control_machines).map(|n| control_address(n, port)).collect();
+        let numbers = (0..gateways).map(|n| (format!("gateway-{n}"), n));
+        let others = [("control".to_owned(), CONTROL_NUMBER), ("author".to_owned(), AUTHOR_NUMBER)];
+        for (name, number) in numbers.chain(others) {
+            let text = configuration(&control, port, number, ConfigDifference::default());
+            std::fs::write(folder.join(format!("{name}.hcl")), text).expect("a writable file");
+        }
+        let mut command = program();
+        command.arg("workers").arg("--charter").arg(folder.join("author.hcl"));
+        let worker = start(command, &folder.join("worker.log"), "worker w on").process;
+        Self {
+            folder,
+            port,
+            control_machines: (0..control_machines).map(|_| None).collect(),
+            gateways: (0..gateways).map(|_| None).collect(),
+            _worker: worker,
+        }
+    }
+
+    /// One in which all run, and the control machines receive from all gateways.
+    pub fn running(control_machines: usize, gateways: usize) -> Self {
+        let mut installation = Self::new(control_machines, gateways);
+        (0..control_machines).for_each(|n| installation.start_control(n, &["--found"]));
+        (0..gateways).for_each(|n| installation.start_gateway(n));
+        installation.wait_until("all gateways are current", |installation| {
+            installation.count_gateways(|gateway| gateway["state"] == "current") == gateways
+        });
+        installation
+    }
+
+    /// A file of the installation.
+    pub fn file(&self, name: &str) -> PathBuf {
+        self.folder.join(name)
+    }
+
+    /// Where a control machine listens.
+    pub fn control_address(&self, machine: usize) -> String {
+        control_address(machine, self.port)
+    }
+
+    /// Where all control machines listen.
+    pub fn control_addresses(&self) -> Vec<String> {
+        (0..self.control_machines.len()).map(|n| self.control_address(n)).collect()
+    }
+
+    /// Writes the configuration of a gateway anew.
+    pub fn configure_gateway(&self, n: usize, difference: ConfigDifference) {
+        let text = configuration(&self.control_addresses(), self.port, n, difference);
+        std::fs::write(self.file(&format!("gateway-{n}.hcl")), text).expect("a writable file");
+    }
+
+    /// Writes the author's configuration anew, with these addresses of control machines and more text at its end.
+    pub fn configure_author(&self, difference: ConfigDifference, control: &[String], more: &str) {
+        let text = configuration(control, self.port, AUTHOR_NUMBER, difference) + more;
+        std::fs::write(self.file("author.hcl"), text).expect("a writable file");
+    }
+
+    /// Starts a control machine.
+    pub fn start_control(&mut self, n: usize, arguments: &[&str]) {
+        self.start_control_by(n, self.control_command(n, arguments));
+    }
+
+    /// As [`start_control`](Self::start_control), with a limit on the size of each file that it writes: a full disk.
+    pub fn start_limited_control(&mut self, n: usize, limit: FileLimit, arguments: &[&str]) {
+        self.start_control_by(n, limit.apply(&self.control_command(n, arguments)));
+    }
+
+    fn start_control_by(&mut self, n: usize, command: Command) {
+        let log = self.file(&format!("control-{n}.err"));
+        self.control_machines[n] = Some(start(command, &log, &format!("control {n} on")).process);
+    }
+
+    /// `milletpath control`, not started.
+    pub fn control_command(&self, n: usize, arguments: &[&str]) -> Command {
+        let mut command = program();
+        command.arg("control").arg("--charter").arg(self.file("control.hcl"));
+        command.arg("--number").arg(n.to_string()).args(arguments);
+        command
+    }
+
+    /// Removes the limit on the files of a control machine.
+    pub fn lift_limit(&self, n: usize) {
+        let pid = self.control(n).id().to_string();
+        let lifted = Command::new("prlimit").args(["--pid", &pid, "--fsize=unlimited:unlimited"]).status();
+        assert!(lifted.expect("prlimit runs").success());
+    }
+
+    /// The process of a control machine that runs.
+    pub fn control(&self, n: usize) -> &Process {
+        self.control_machines[n].as_ref().expect("the control machine runs")
+    }
+
+    /// Whether a control machine was started and has not exited.
+    pub fn is_control_running(&mut self, n: usize) -> bool {
+        self.control_machines[n].as_mut().is_some_and(|process| process.try_exit_status().is_none())
+    }
+
+    /// Kills a control machine that runs.
+    pub fn kill_control(&mut self, n: usize) {
+        self.control_machines[n].take().expect("the control machine runs").end(Signal::SIGKILL);
+    }
+
+    /// Starts a gateway.
+    pub fn start_gateway(&mut self, n: usize) {
+        self.start_gateway_by(n, self.gateway_command(n));
+    }
+
+    /// As [`start_gateway`](Self::start_gateway), with a limit on the size of each file that it writes.
+    pub fn start_limited_gateway(&mut self, n: usize, limit: FileLimit) {
+        self.start_gateway_by(n, limit.apply(&self.gateway_command(n)));
+    }
+
+    fn gateway_command(&self, n: usize) -> Command {
+        let mut command = program();
+        command.arg("serve").arg("--charter").arg(self.file(&format!("gateway-{n}.hcl")));
+        command
+    }
+
+    fn start_gateway_by(&mut self, n: usize, command: Command) {
+        let log = self.file(&format!("gateway-{n}.err"));
+        let ReadyProcess { process, line } = start(command, &log, LISTENING);
+        let address = line.trim_start_matches(LISTENING).to_owned();
+        self.gateways[n] = Some(RunningGateway { process, address });
+    }
+
+    /// The process of a gateway that runs.
+    pub fn gateway(&self, n: usize) -> &Process {
+        &self.running_gateway(n).process
+    }
+
+    fn running_gateway(&self, n: usize) -> &RunningGateway {
+        self.gateways[n].as_ref().expect("the gateway runs")
+    }
+
+    /// Sends a gateway that runs a signal, and waits until it has exited.
+    pub fn end_gateway(&mut self, n: usize, signal: Signal) {
+        self.gateways[n].take().expect("the gateway runs").process.end(signal);
+    }
+
+    /// Number of lines in a process's log that contain this text; processes are `control-0`, `gateway-0` and so on.
+    pub fn count_log_lines(&self, process: &str, text: &str) -> usize {
+        let log = std::fs::read_to_string(self.file(&format!("{process}.err"))).expect("a log");
+        log.lines().filter(|line| line.contains(text)).count()
+    }
+
+    /// `milletpath change`, not started, with this text as its file; without a file where the text is empty.
+    pub fn change_command(&self, text: &str, arguments: &[&str]) -> Command {
+        static COUNT: AtomicUsize = AtomicUsize::new(0);
+        let name = format!("change-{}.hcl", COUNT.fetch_add(1, Ordering::Relaxed));
+        let mut command = program();
+        command.arg("change").arg("--charter").arg(self.file("author.hcl")).args(arguments);
+        if !text.is_empty() {
+            std::fs::write(self.file(&name), text).expect("a writable file");
+            command.arg(self.file(&name));
+        }
+        command
+    }
+
+    /// Runs `milletpath change`.
+    pub fn change(&self, text: &str, arguments: &[&str]) -> Output {
+        self.change_command(text, arguments).output().expect("the program runs")
+    }
+
+    /// Makes a change that must come into force at all gateways; returns its number.
+    pub fn change_applied(&self, text: &str, arguments: &[&str]) -> u64 {
+        let output = self.change(text, arguments);
+        let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+        assert!(output.status.success(), "{output:?}");
+        let number = printed.lines().find_map(|line| line.split(": number ").nth(1)?.parse().ok());
+        number.unwrap_or_else(|| panic!("{printed}"))
+    }
+
+    /// Runs `milletpath changes` with that configuration file.
+    pub fn changes(&self, configuration: &str, arguments: &[&str]) -> Output {
+        let mut command = program();
+        command.arg("changes").arg("--charter").arg(self.file(configuration)).args(arguments);
+        command.output().expect("the program runs")
+    }
+
+    fn changes_json(&self, configuration: &str, arguments: &[&str]) -> Value {
+        serde_json::from_slice(&self.changes(configuration, arguments).stdout).unwrap_or_default()
+    }
+
+    /// What the control machines know, by `milletpath changes`; null where none answers.
+    pub fn status(&self) -> Value {
+        self.changes_json("author.hcl", &["--json"])
+    }
+
+    /// What one control machine knows.
+    pub fn control_status(&self, machine: usize) -> Value {
+        self.status()["control"][machine]["view"].clone()
+    }
+
+    /// What a gateway knows itself.
+    pub fn gateway_status(&self, gateway: usize) -> Value {
+        self.changes_json(&format!("gateway-{gateway}.hcl"), &["--json", "--here"])
+    }
+
+    /// Number of gateways whose status, as the control machines know it, is such.
+    pub fn count_gateways(&self, matches: impl Fn(&Value) -> bool) -> usize {
+        self.status()["gateways"].as_array().map_or(0, |all| all.iter().filter(|one| matches(one)).count())
+    }
+
+    /// The control machine that proposes.
+    pub fn leader(&self) -> Option<usize> {
+        let status = self.status();
+        status["control"].as_array()?.iter().position(|machine| machine["view"]["leads"] == true)
+    }
+
+    /// The status of a call of "packs" at a gateway, under that profile.
+    pub fn call(&self, gateway: usize, profile: &str) -> u16 {
+        let mut stream = TcpStream::connect(&self.running_gateway(gateway).address).expect("it listens");
+        let head = "POST /v1/functions/packs/activations HTTP/1.1\r\nhost: g\r\nconnection: close\r\n";
+        write!(stream, "{head}milletpath-profile: {profile}\r\ncontent-length: 2\r\n\r\nhi")
+            .expect("it reads");
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("it answers");
+        let status = response.split(' ').nth(1).and_then(|status| status.parse().ok());
+        status.unwrap_or_else(|| panic!("{response}"))
+    }
+
+    /// The statuses of two calls of "packs" at a gateway, under the profiles "order" and "check".
+    pub fn call_as_order_and_check(&self, gateway: usize) -> (u16, u16) {
+        (self.call(gateway, "order"), self.call(gateway, "check"))
+    }
+
+    /// Waits until the condition holds; panics, with what the control machines know, where it does not within a minute.
+    pub fn wait_until(&self, condition: &str, holds: impl Fn(&Self) -> bool) {
+        const LIMIT: Duration = Duration::from_secs(60);
+        const INTERVAL: Duration = Duration::from_millis(50);
+        if wait_at_most(LIMIT, INTERVAL, || holds(self).then_some(())).is_none() {
+            panic!("{condition}: not within {LIMIT:?}; {:#}", self.status());
+        }
+    }
+}
+
+impl Drop for Installation {
+    fn drop(&mut self) {
+        self.gateways.clear();
+        self.control_machines.clear();
+        if !std::thread::panicking() {
+            let _ = std::fs::remove_dir_all(&self.folder);
+        }
+    }
+}
+
+/// The text of the configuration with this number.
+fn configuration(control: &[String], port: usize, n: usize, difference: ConfigDifference) -> String {
+    let (worker, own) = (host(90), host(100 + n));
+    let control: Vec<_> = control.iter().map(|address| format!("\"{address}\"")).collect();
+    let key = if difference.other_key { "other.key" } else { "changes.key" };
+    let order = "profile \"order\" {\n  due = 5\n  cut_off = 10\n  effect = \"pure\"\n}";
+    let order = if difference.lacks_profile { "" } else { order };
+    format!(
+        r#"
+listen = "127.0.0.1:0"
+cores  = 1
+profile "check" {{
+  due     = 5
+  cut_off = 10
+  effect  = "pure"
+}}
+{order}
+function "packs" {{
+  profile = "check"
+}}
+workers {{
+  worker "w" {{ address = "{worker}:{port}" }}
+}}
+changes {{
+  control = [{}]
+  key     = "{key}"
+  listen  = "{own}:{port}"
+  state   = "gateway-{n}.state"
+  name    = "gateway-{n}"
+}}
+"#,
+        control.join(", ")
+    )
+}
--- /dev/null
+++ b/crates/test-support/src/fleet_rig.rs
@@ -0,0 +1,215 @@
+//! Gateways with membership as processes, over links which a test can break. No calls: what a gateway knows is read
+//! as an operator would, by `milletpath peers`.
+
+use crate::process::Process;
+use crate::program::{program, scratch_path};
+use crate::wait::wait_at_most;
+use milletpath_emulator::relay::Relay;
+use milletpath_membership::MembershipView;
+use std::fs::OpenOptions;
+use std::io::{BufRead, BufReader};
+use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
+use std::path::PathBuf;
+use std::process::Stdio;
+use std::time::{Duration, Instant};
+
+/// The key that the gateways of a fleet share.
+pub const KEY: &str = "a secret of more than thirty-two bytes, for tests alone";
+
+/// What the gateway prints in front of the address at which it receives datagrams.
+const MEMBERSHIP_ADDRESS: &str = "peers on udp://";
+
+/// The configuration of one gateway.
+#[derive(Clone)]
+pub struct GatewaySpec {
+    /// Its name.
+    pub name: String,
+    /// The number of gateways in the fleet.
+    pub gateways: usize,
+    /// The shared key.
+    pub key: String,
+    /// Indices of the gateways that are its seeds.
+    pub seeds: Vec<usize>,
+}
+
+/// A fleet of gateways; they are killed when it is dropped.
+pub struct Fleet {
+    /// The links between the gateways, on which a test puts faults.
+    pub relay: Relay,
+    /// The configuration of each gateway, read when it is started.
+    pub specs: Vec<GatewaySpec>,
+    folder: PathBuf,
+    processes: Vec<Option<Process>>,
+    datagram_addresses: Vec<Option<SocketAddr>>,
+}
+
+impl Fleet {
+    /// A fleet of which no process runs yet; the first gateway is the seed.
+    pub fn new(size: usize) -> Self {
+        let folder = scratch_path("fleet", "");
+        std::fs::create_dir_all(&folder).expect("a writable folder");
+        let spec =
+            |n| GatewaySpec { name: format!("gateway-{n}"), gateways: size, key: KEY.into(), seeds: vec![0] };
+        Self {
+            relay: Relay::start(size, Instant::now(), 1).expect("links"),
+            specs: (0..size).map(spec).collect(),
+            folder,
+            processes: (0..size).map(|_| None).collect(),
+            datagram_addresses: vec![None; size],
+        }
+    }
+
+    /// A fleet in which all gateways run, take each other for alive and have a quorum.
+    pub fn converged(size: usize) -> Self {
+        let mut fleet = Self::new(size);
+        (0..size).for_each(|n| fleet.start(n));
+        let all: Vec<_> = (0..size).collect();
+        fleet.wait_until("all see each other and have a quorum", |fleet| {
+            all.iter().all(|n| {
+                fleet.sees_alive(*n, &all) && fleet.view(*n).is_some_and(|view| view.quorum_seconds > 0.0)
+            })
+        });
+        fleet
+    }
+
+    /// Number of its gateways, running or not.
+    pub fn size(&self) -> usize {
+        self.specs.len()
+    }
+
+    /// Starts a gateway, or starts it again.
+    pub fn start(&mut self, n: usize) {
+        self.write_configuration(n, (Ipv4Addr::LOCALHOST, 0).into());
+        let log = OpenOptions::new().create(true).append(true).open(self.log_file(n)).expect("a log");
+        let mut command = program();
+        command.arg("serve").arg("--charter").arg(self.configuration_file(n));
+        let mut child = command.stdout(Stdio::piped()).stderr(log).spawn().expect("the gateway starts");
+        let lines = BufReader::new(child.stdout.take().expect("a piped stream")).lines();
+        let process = Process::new(child);
+        let address = lines
+            .map_while(Result::ok)
+            .take_while(|line| !line.starts_with("listening"))
+            .find_map(|line| line.strip_prefix(MEMBERSHIP_ADDRESS)?.parse::<SocketAddr>().ok())
+            .expect("it prints where it receives datagrams");
+        // From here on `milletpath peers` finds the gateway by its configuration.
+        self.write_configuration(n, address);
+        self.relay.is_at(n, address);
+        self.datagram_addresses[n] = Some(address);
+        self.processes[n] = Some(process);
+    }
+
+    /// Kills a gateway, if it runs.
+    pub fn kill(&mut self, n: usize) {
+        self.processes[n] = None;
+    }
+
+    /// The process of a gateway that runs.
+    pub fn process(&self, n: usize) -> &Process {
+        self.processes[n].as_ref().expect("the gateway runs")
+    }
+
+    /// Sends bytes to a gateway's own address, past its link.
+    pub fn send_datagram(&self, socket: &UdpSocket, n: usize, bytes: &[u8]) {
+        let _ = socket.send_to(bytes, self.datagram_addresses[n].expect("the gateway was started"));
+    }
+
+    /// Number of lines in a gateway's log that contain this text.
+    pub fn count_log_lines(&self, n: usize, text: &str) -> usize {
+        let log = std::fs::read_to_string(self.log_file(n)).expect("a log");
+        log.lines().filter(|line| line.contains(text)).count()
+    }
+
+    /// What a gateway knows, by `milletpath peers`; `None` where it does not answer.
+    pub fn view(&self, n: usize) -> Option<MembershipView> {
+        serde_json::from_slice(&self.peers_output(n)?).ok()
+    }
+
+    /// The same as it is printed.
+    pub fn peers_json(&self, n: usize) -> Option<serde_json::Value> {
+        serde_json::from_slice(&self.peers_output(n)?).ok()
+    }
+
+    fn peers_output(&self, n: usize) -> Option<Vec<u8>> {
+        let mut command = program();
+        command.arg("peers").arg("--charter").arg(self.configuration_file(n)).arg("--json");
+        Some(command.output().ok()?.stdout)
+    }
+
+    /// Whether a gateway takes exactly these, beside itself, for alive.
+    pub fn sees_alive(&self, n: usize, gateways: &[usize]) -> bool {
+        let Some(view) = self.view(n) else { return false };
+        let alive = view.members.iter().filter(|member| member.state == "alive");
+        let mut alive: Vec<_> = alive.map(|member| member.name.clone()).collect();
+        let others = gateways.iter().filter(|other| **other != n);
+        let mut expected: Vec<_> = others.map(|other| self.specs[*other].name.clone()).collect();
+        alive.sort();
+        expected.sort();
+        alive == expected
+    }
+
+    /// Whether all gateways run and take each other for alive.
+    pub fn all_see_all(&self) -> bool {
+        let all: Vec<_> = (0..self.size()).collect();
+        all.iter().all(|n| self.sees_alive(*n, &all))
+    }
+
+    /// Waits until the condition holds; panics, with what each gateway knows, where it does not within a minute.
+    pub fn wait_until(&self, condition: &str, holds: impl Fn(&Self) -> bool) {
+        const LIMIT: Duration = Duration::from_secs(60);
+        const INTERVAL: Duration = Duration::from_millis(100);
+        if wait_at_most(LIMIT, INTERVAL, || holds(self).then_some(())).is_none() {
+            let views: Vec<_> = (0..self.size()).map(|n| self.view(n)).collect();
+            panic!("{condition}: not within {LIMIT:?}; {views:#?}");
+        }
+    }
+
+    fn configuration_file(&self, n: usize) -> PathBuf {
+        self.folder.join(format!("gateway-{n}.hcl"))
+    }
+
+    fn log_file(&self, n: usize) -> PathBuf {
+        self.folder.join(format!("gateway-{n}.log"))
+    }
+
+    fn write_configuration(&self, n: usize, listen: SocketAddr) {
+        let GatewaySpec { name, gateways, key, seeds } = &self.specs[n];
+        std::fs::write(self.folder.join(format!("{n}.key")), key).expect("a writable file");
+        let seeds: Vec<_> = seeds.iter().map(|seed| format!("\"{}\"", self.relay.address(*seed))).collect();
+        let text = format!(
+            r#"
+listen   = "127.0.0.1:0"
+gateways = {gateways}
+cores    = 1
+profile "check" {{
+  due    = 1
+  effect = "pure"
+}}
+workers {{
+  worker "w" {{ address = "127.0.0.1:9" }}
+}}
+peers {{
+  listen    = "{listen}"
+  advertise = "{}"
+  name      = "{name}"
+  seeds     = [{}]
+  key       = "{n}.key"
+  period    = 0.2
+  lease     = 1.2
+  floor     = 0.5
+}}
+"#,
+            self.relay.address(n),
+            seeds.join(", "),
+        );
+        std::fs::write(self.configuration_file(n), text).expect("a writable file");
+    }
+}
+
+impl Drop for Fleet {
+    fn drop(&mut self) {
+        self.processes.clear();
+        if !std::thread::panicking() {
+            let _ = std::fs::remove_dir_all(&self.folder);
+        }
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/lib.rs
@@ -0,0 +1,27 @@
+//! What the tests and benches of several packages share. Nothing here is part of the program.
+//!
+//! [`worker_frames`] and [`simulated_network`] need no processes. With the feature `process-rigs` there are rigs that
+//! run the program as processes on loopback: [`platform_rig`] for `milletpath platform`, [`serve_rig`] for
+//! `milletpath serve` in front of one worker, [`fleet_rig`] for gateways with membership, [`control_rig`] for
+//! control machines and the gateways that follow them.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
+
+#[cfg(feature = "process-rigs")]
+pub mod control_rig;
+#[cfg(feature = "process-rigs")]
+pub mod fleet_rig;
+#[cfg(feature = "process-rigs")]
+pub mod json_fields;
+#[cfg(feature = "process-rigs")]
+pub mod platform_rig;
+#[cfg(feature = "process-rigs")]
+pub mod process;
+#[cfg(feature = "process-rigs")]
+pub mod program;
+#[cfg(feature = "process-rigs")]
+pub mod serve_rig;
+pub mod simulated_network;
+pub mod wait;
+pub mod worker_frames;
--- /dev/null
+++ b/crates/test-support/src/platform_rig/mod.rs
@@ -0,0 +1,16 @@
+//! A small platform on loopback for `milletpath platform`: workers, discovery and clients that speak its protocol, each on
+//! threads that end with their sockets, and the router as a process between them.
+
+mod client;
+mod configuration;
+mod discovery;
+mod router;
+mod scripted_worker;
+mod worker;
+
+pub use client::{Client, DONE, Departure, REJECTED, call_line, health_check_line};
+pub use configuration::{MAX_SOCKETS, RouterConfiguration};
+pub use discovery::{Discovery, DiscoveryStreams, complete_list_event, endpoint_event};
+pub use router::Router;
+pub use scripted_worker::{ScriptedWorker, WorkerConnection};
+pub use worker::{ReceivedFrames, Worker, WorkerBehaviour, answers, answers_after, never_answers};
--- /dev/null
+++ b/crates/test-support/src/platform_rig/router.rs
@@ -0,0 +1,78 @@
+//! A router as a process.
+
+use super::configuration::RouterConfiguration;
+use crate::process::Process;
+use crate::program::{program, program_path, scratch_path};
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Command, Stdio};
+
+/// `milletpath platform`; it is killed, and its file removed, when it is dropped.
+pub struct Router {
+    /// Its process.
+    pub process: Process,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its configuration file.
+    pub configuration_file: PathBuf,
+}
+
+impl Router {
+    /// Starts one with the usual configuration.
+    pub fn start(workers: &[SocketAddr], discovery: SocketAddr, max_sockets: usize) -> Self {
+        Self::with_configuration(&RouterConfiguration::new(workers, discovery, max_sockets))
+    }
+
+    /// Starts one with this configuration.
+    pub fn with_configuration(configuration: &RouterConfiguration) -> Self {
+        let file = write_configuration(configuration);
+        let mut command = program();
+        command.arg("platform");
+        Self::run(&mut command, file)
+    }
+
+    /// Starts one to which the system grants fewer descriptors than its configuration states.
+    pub fn with_descriptor_limit(descriptors: usize, configuration: &RouterConfiguration) -> Self {
+        let file = write_configuration(configuration);
+        let mut shell = Command::new("sh");
+        let script = format!("ulimit -n {descriptors}; exec \"$0\" platform");
+        shell.arg("-c").arg(script).arg(program_path());
+        Self::run(&mut shell, file)
+    }
+
+    fn run(command: &mut Command, configuration_file: PathBuf) -> Self {
+        command.env("LB_CONFIG", &configuration_file).env_remove("LB_LISTEN").stderr(Stdio::piped());
+        let mut child = command.spawn().expect("the router starts");
+        let mut log = BufReader::new(child.stderr.take().expect("a piped stream"));
+        let process = Process::new(child);
+        let address = read_address(&mut log);
+        // Read to its end, so that the router never waits for room in the pipe.
+        std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
+        Self { process, address, configuration_file }
+    }
+}
+
+impl Drop for Router {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.configuration_file);
+    }
+}
+
+fn write_configuration(configuration: &RouterConfiguration) -> PathBuf {
+    let path = scratch_path("router", ".json");
+    std::fs::write(&path, configuration.text()).expect("a writable file");
+    path
+}
+
+/// The address in the first line of the log that names one.
+fn read_address(log: &mut impl BufRead) -> SocketAddr {
+    loop {
+        let mut line = String::new();
+        assert!(log.read_line(&mut line).expect("a readable log") > 0, "the router exited");
+        let address = line.split("address=").nth(1).and_then(|rest| rest.split_whitespace().next());
+        if let Some(address) = address.and_then(|address| address.parse().ok()) {
+            return address;
+        }
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/serve_rig/mod.rs
@@ -0,0 +1,11 @@
+//! A `milletpath serve` process on loopback, workers on threads of the test, and clients that see each byte.
+
+mod client;
+mod gateway;
+mod message;
+mod worker;
+
+pub use client::{Client, Departure, call_request};
+pub use gateway::{Gateway, GatewayOptions};
+pub use message::Message;
+pub use worker::{Arrival, Arrivals, FULL, OK, UnacceptingWorker, Worker, serve_connection};
--- a/crates/membership/tests/simulated_network/delivery.rs
+++ b/crates/test-support/src/simulated_network/delivery.rs
@@ -36,7 +36,7 @@
     Box::new(move |_, rng| if rng.random_bool(probability) { vec![] } else { arrives(rng) })
 }
 
-/// Datagrams are lost where `cuts` says so.
+/// Datagrams are lost where `cuts` is true.
 pub fn cut_where(cuts: impl Fn(Transmission) -> bool + 'static) -> DeliveryRule {
     Box::new(move |transmission, rng| if cuts(transmission) { vec![] } else { arrives(rng) })
 }
--- a/crates/membership/tests/simulated_network/mod.rs
+++ b/crates/test-support/src/simulated_network/mod.rs
@@ -1,8 +1,5 @@
 //! A cluster in simulated time, reproducible from a seed: the real membership state machines, clocks that drift, and a
-//! network that loses, delays, duplicates and cuts as a delivery rule says.
-
-// Each test and bench that includes this module uses a part of it.
-#![allow(dead_code)]
+//! network that loses, delays, duplicates and cuts by a delivery rule.
 
 pub mod delivery;
 pub mod scenario;
@@ -34,6 +31,7 @@
 pub struct Node {
     /// The process; `None` where it is not running.
     pub membership: Option<Membership>,
+    /// Where it receives datagrams.
     pub address: SocketAddr,
     /// Random id of the last process.
     pub instance_id: u64,
@@ -45,9 +43,12 @@
     /// Datagrams that arrived during the pause.
     delayed_inbox: Vec<Datagram>,
     next_tick_at: f64,
+    /// The quota that the process last read.
     pub quota: Option<QuotaFraction>,
     quota_read_at: f64,
+    /// Bytes that it has sent.
     pub bytes: u64,
+    /// Datagrams that it has sent.
     pub datagrams: u64,
     /// Events and when they happened.
     pub events: Vec<(f64, MembershipEvent)>,
@@ -104,25 +105,33 @@
 /// The most by which all gateways together exceeded the budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct Excess {
-    /// Fraction of the whole.
+    /// Fraction of all budgets.
     pub amount: f64,
+    /// When it was, in seconds of simulated time.
     pub at: f64,
 }
 
+/// The gateways of a cluster, and the network between them.
 pub struct SimulatedNetwork {
     /// Seconds of simulated time.
     pub now: f64,
+    /// The gateways, by index.
     pub nodes: Vec<Node>,
+    /// The configuration of all.
     pub config: MembershipConfig,
     schedule: Schedule,
+    /// The generator of all random numbers, seeded.
     pub rng: ChaCha8Rng,
+    /// What becomes of each datagram.
     pub delivery_rule: DeliveryRule,
     key: Key,
+    /// The most by which the budgets were exceeded, where it is checked.
     pub worst_excess: Excess,
     /// Whether the sum of all quota fractions is checked after every event.
     pub check_quota_sum: bool,
     /// Number of nodes that are seeds.
     seeds: usize,
+    /// Bytes that were sent, by the kind of datagram.
     pub bytes_by_kind: BTreeMap<u8, u64>,
     /// A hash over all datagrams that were sent, in their order.
     pub transcript: u64,
@@ -156,6 +165,7 @@
         self.start_as(n, &format!("gateway-{n}"), max_gateways);
     }
 
+    /// Starts or restarts a gateway under this name, with a limit on how many gateways it knows.
     pub fn start_as(&mut self, n: usize, name: &str, max_gateways: u32) {
         let instance_id = self.rng.random();
         let seeds = self.nodes[..self.seeds].iter().map(|node| node.address).collect();
@@ -173,6 +183,7 @@
         self.flush(n);
     }
 
+    /// Starts all gateways.
     pub fn start_all(&mut self) {
         (0..self.nodes.len()).for_each(|n| self.start(n));
     }
@@ -184,6 +195,7 @@
         missing.into_iter().for_each(|n| self.start(n));
     }
 
+    /// Ends a process without notice.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].membership = None;
         self.nodes[n].quota = None;
@@ -204,6 +216,7 @@
         self.nodes[n].paused_until = self.now + seconds;
     }
 
+    /// Random id of a gateway's last process.
     pub fn instance_id(&self, n: usize) -> u64 {
         self.nodes[n].instance_id
     }
@@ -213,6 +226,7 @@
         self.nodes[observer].membership.as_ref()?.state(self.nodes[other].instance_id)
     }
 
+    /// Indices of the gateways that run.
     pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.nodes[*n].membership.is_some()).collect()
     }
--- a/crates/membership/tests/simulated_network/scenario.rs
+++ b/crates/test-support/src/simulated_network/scenario.rs
@@ -1,4 +1,4 @@
-//! What the tests of whole clusters share: a cluster that has found itself, and the checks of its quotas.
+//! What the tests of clusters share: a converged cluster, and the checks of its quotas.
 
 use super::SimulatedNetwork;
 use milletpath_membership::MembershipConfig;
@@ -14,13 +14,13 @@
     MembershipConfig { budget_window: 0.0, floor: 0.5, ..MembershipConfig::default() }
 }
 
-/// A cluster in which all gateways know each other.
+/// A cluster in which all gateways take each other for alive.
 pub fn converged_network(size: usize, seed: u64) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(size, 1.max(size / 8), strict_config(), seed);
     network.check_quota_sum = size <= LARGEST_CHECKED;
     network.start_all();
     network.run_until(10.0);
-    assert!(network.all_agree(), "{size} gateways know each other within 10 s");
+    assert!(network.all_agree(), "{size} gateways agree within 10 s");
     network
 }
 
@@ -37,8 +37,8 @@
     assert!((used - fraction).abs() < TOLERANCE, "{used} is used, not {fraction}");
 }
 
-/// Checks that all running gateways know each other and that nothing of the budgets is left unused.
-pub fn assert_whole(network: &SimulatedNetwork) {
-    assert!(network.all_agree(), "all running gateways know each other");
+/// Checks that all running gateways agree on the members and that nothing of the budgets is left unused.
+pub fn assert_converged(network: &SimulatedNetwork) {
+    assert!(network.all_agree(), "all running gateways agree on the members");
     assert_used(network, 1.0);
 }
