--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Membership among gateways as processes: faults on their links, of their processes and in their configurations.
 
-use milletpath_emulator::relay::Fault;
+use milletpath_emulator::relay::LinkFault;
 use milletpath_membership::Reachability;
 use milletpath_test_support::fleet_rig::Fleet;
 use milletpath_test_support::json_fields::field_paths;
@@ -38,7 +38,7 @@
 #[test]
 fn a_partition_leaves_the_minority_its_floor_and_heals() {
     let fleet = Fleet::converged(5);
-    let cut = fleet.relay.put(Fault::Cut(vec![0, 1]));
+    let cut = fleet.relay.put(LinkFault::Cut(vec![0, 1]));
     fleet.wait_until("each side takes the other for dead", |f| {
         (0..2).all(|n| f.sees_alive(n, &[0, 1])) && (2..5).all(|n| f.sees_alive(n, &[2, 3, 4]))
     });
@@ -60,7 +60,7 @@
 #[test]
 fn a_gateway_that_receives_nothing_falls_to_its_floor() {
     let fleet = Fleet::converged(5);
-    let receives_nothing = fleet.relay.put(Fault::Deaf(vec![2]));
+    let receives_nothing = fleet.relay.put(LinkFault::Deaf(vec![2]));
     fleet.wait_until("it knows that it receives nothing", |f| {
         reachability(f, 2) == Some(Reachability::Nobody)
     });
@@ -137,7 +137,7 @@
 #[test]
 fn losing_a_fifth_of_all_datagrams_declares_nobody_dead() {
     let fleet = Fleet::converged(6);
-    let loss = fleet.relay.put(Fault::Lost(fleet.relay.links(), 0.2));
+    let loss = fleet.relay.put(LinkFault::Lost(fleet.relay.links(), 0.2));
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
         assert_eq!(fleet.count_log_lines(n, "is declared dead"), 0, "{n}");
@@ -200,8 +200,8 @@
 #[test]
 fn garbage_and_replayed_datagrams_change_nothing() {
     let fleet = Fleet::converged(3);
-    let garbage = fleet.relay.put(Fault::Garbage(fleet.relay.links(), 0.3));
-    let repeat = fleet.relay.put(Fault::Repeat(fleet.relay.links(), 0.5));
+    let garbage = fleet.relay.put(LinkFault::Garbage(fleet.relay.links(), 0.3));
+    let repeat = fleet.relay.put(LinkFault::Repeat(fleet.relay.links(), 0.5));
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut seed = 1u64;
     for n in 0..20_000usize {
