--- a/crates/milletpath/tests/serve_http_heads.rs
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -1,4 +1,4 @@
-//! The HTTP heads that `milletpath serve` writes to a worker and to a client, byte for byte.
+//! The HTTP heads that `milletpath serve` writes to a worker, and the responses that it writes to a client, byte for byte.
 //!
 //! The fixture was written by the release before 2026-12-02's renames, by this test with `MILLETPATH_PROGRAM` naming that
 //! release. Values that differ from run to run are masked by the name of their field.
@@ -36,7 +36,8 @@
 
 /// A profile whose calls are not idempotent, so that they are not retried, and small limits.
 const TOP: &str = "profile \"once\" {\ndue = 1\ncut_off = 2\neffect = \"effectful\"\n}\n\
-    limits {\nbody = 100\nanswer = 50\nstall = 0.3\n}\nfunction \"greet\" { profile = \"pure\" }\n";
+    limits {\nbody = 100\nanswer = 50\nstall = 0.3\n}\nfunction \"greet\" { profile = \"pure\" }\n\
+    function \"pay\" { profile = \"once\" }\n";
 
 /// The requests that a worker has received.
 type Received = Arc<Mutex<Vec<Message>>>;
@@ -107,6 +108,11 @@
     head.split_inclusive('\n').map(mask).collect()
 }
 
+/// A response as the fixture has it.
+fn written(response: &Message) -> String {
+    format!("{}{}\n", masked(&response.head), response.body.escape_ascii())
+}
+
 /// The heads of one exchange after the other, as the fixture has them.
 #[derive(Default)]
 struct Transcript(String);
@@ -125,7 +131,7 @@
         if let Some(head) = worker.take_heads().first() {
             self.add(case, "to the worker", head);
         }
-        self.add(case, "to the client", &masked(&response.head));
+        self.add(case, "to the client", &written(&response));
     }
 
     fn assert_is(&self, fixture: &str) {
@@ -146,7 +152,7 @@
     const FIELDS: &str = "X-Trace: 0af7\r\nIdempotency-Key: mark-1\r\nMilletpath-Repeat: 1\r\n\
         Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nAccept: text/plain\r\n\
         Content-Type: text/plain\r\n";
-    const ONCE: &str = "milletpath-profile: once\r\n";
+    let not_idempotent = |body| call_with("", body).replace("functions/greet", "functions/pay");
     let cases = [
         ("a plain call", call_request("", "hello")),
         ("a call with fields", call_with(FIELDS, "hello")),
@@ -155,8 +161,8 @@
         ("a worker's 404", call_with("", "unknown")),
         ("a call without a body", call_with("", "")),
         ("a worker without capacity", call_with("", "full")),
-        ("a call that failed", call_with(ONCE, "error")),
-        ("a call that is late", call_with(ONCE, "slow")),
+        ("a call that failed", not_idempotent("error")),
+        ("a call that is late", not_idempotent("slow")),
         ("an answer that is too large", call_with("", "large")),
     ];
     for (case, request) in cases {
@@ -171,6 +177,7 @@
     let incomplete = call_with("", "hello");
     let cases = [
         ("a field out of bounds", call_request("milletpath-patience: soon\r\n", "")),
+        ("a profile that is not the function's", call_request("milletpath-profile: once\r\n", "")),
         ("an unknown profile", call_request("milletpath-profile: none\r\n", "")),
         ("a name that is not valid", post("/v1/functions/a%20b/activations")),
         ("an unknown path", post("/v1/nothing")),
@@ -185,21 +192,22 @@
     }
 }
 
-/// A call on a connection that was open when the gateway received SIGTERM.
+/// Calls of which the gateway had a part, and all, when it received SIGTERM.
 fn call_while_closing(transcript: &mut Transcript, gateway: &Gateway) {
     let connect = || Client::connect(gateway.address).expect("it listens");
-    let (mut in_flight, mut late) = (connect(), connect());
-    late.write(&call_request("", "hello")).expect("it reads");
-    late.response().expect("a response");
+    let (mut in_flight, mut partial) = (connect(), connect());
+    let call = call_request("", "hello");
+    let (first_part, rest) = call.split_at(40);
     in_flight.write(&call_request("", "slow")).expect("it reads");
+    partial.write(first_part).expect("it reads");
     std::thread::sleep(SLOW / 4);
     gateway.process.signal(Signal::SIGTERM);
     std::thread::sleep(SLOW / 4);
-    late.write(&call_request("", "hello")).expect("it reads");
-    let rejected = late.response().expect("a response");
-    transcript.add("a call after SIGTERM", "to the client", &masked(&rejected.head));
+    partial.write(rest).expect("it reads");
+    let rejected = partial.response().expect("a response");
+    transcript.add("a call that is complete after SIGTERM", "to the client", &written(&rejected));
     let last = in_flight.response().expect("a response");
-    transcript.add("a call in flight at SIGTERM", "to the client", &masked(&last.head));
+    transcript.add("a call in flight at SIGTERM", "to the client", &written(&last));
 }
 
 #[test]
@@ -218,6 +226,8 @@
 fn heads_of_load_requests_and_health_checks_are_as_before() {
     let worker = RecordingWorker::start();
     let options = GatewayOptions {
+        // Among several gateways a worker's load is asked for before an attempt.
+        top: "gateways = 2",
         workers: "misses = true",
         load_requests: true,
         health_checks: true,
@@ -225,9 +235,10 @@
     };
     let gateway = Gateway::with_options(worker.address, &options);
     let mut transcript = Transcript::default();
-    transcript.add("a health check", "to the worker", &worker.wait_for_head("/v2/health/ready"));
     let mut client = Client::connect(gateway.address).expect("it listens");
     client.write(&call_request("", "load")).expect("it reads");
     transcript.add("a load request", "to the worker", &worker.wait_for_head("/load "));
+    client.response().expect("a response");
+    transcript.add("a health check", "to the worker", &worker.wait_for_head("/v2/health/ready"));
     transcript.assert_is(include_str!("fixtures/http/worker-requests.txt"));
 }
