--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -38,7 +38,7 @@
 #[test]
 fn a_partition_leaves_the_minority_its_floor_and_heals() {
     let fleet = Fleet::converged(5);
-    let cut = fleet.relay.put(LinkFault::Cut(vec![0, 1]));
+    let cut = fleet.relay.inject(LinkFault::Partition(vec![0, 1]));
     fleet.wait_until("each side takes the other for dead", |f| {
         (0..2).all(|n| f.sees_alive(n, &[0, 1])) && (2..5).all(|n| f.sees_alive(n, &[2, 3, 4]))
     });
@@ -49,7 +49,7 @@
     });
     let large = fleet.view(4).unwrap();
     assert!(large.reachability == Reachability::Majority && large.quorum_seconds > 0.0, "{large:?}");
-    fleet.relay.lift(cut);
+    fleet.relay.clear(cut);
     fleet.wait_until("all see each other again", Fleet::all_see_all);
     fleet.wait_until("all have a quorum", |f| {
         (0..5).all(|n| f.view(n).is_some_and(|v| v.quorum_seconds > 0.0))
@@ -60,13 +60,13 @@
 #[test]
 fn a_gateway_that_receives_nothing_falls_to_its_floor() {
     let fleet = Fleet::converged(5);
-    let receives_nothing = fleet.relay.put(LinkFault::Deaf(vec![2]));
+    let receives_nothing = fleet.relay.inject(LinkFault::InboundLoss(vec![2]));
     fleet.wait_until("it knows that it receives nothing", |f| {
         reachability(f, 2) == Some(Reachability::Nobody)
     });
     let view = fleet.view(2).unwrap();
     assert_eq!((view.quorum_seconds, view.likely_gateways), (0.0, 5.0));
-    fleet.relay.lift(receives_nothing);
+    fleet.relay.clear(receives_nothing);
     fleet.wait_until("all see each other again", Fleet::all_see_all);
     // The others never took one another for dead.
     for n in [0, 1, 3, 4] {
@@ -137,13 +137,13 @@
 #[test]
 fn losing_a_fifth_of_all_datagrams_declares_nobody_dead() {
     let fleet = Fleet::converged(6);
-    let loss = fleet.relay.put(LinkFault::Lost(fleet.relay.links(), 0.2));
+    let loss = fleet.relay.inject(LinkFault::Loss(fleet.relay.links(), 0.2));
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
         assert_eq!(fleet.count_log_lines(n, "is declared dead"), 0, "{n}");
         assert_eq!(reachability(&fleet, n), Some(Reachability::Majority));
     }
-    fleet.relay.lift(loss);
+    fleet.relay.clear(loss);
 }
 
 /// Two by mistake under one name: all log it, and both are members.
@@ -200,8 +200,8 @@
 #[test]
 fn garbage_and_replayed_datagrams_change_nothing() {
     let fleet = Fleet::converged(3);
-    let garbage = fleet.relay.put(LinkFault::Garbage(fleet.relay.links(), 0.3));
-    let repeat = fleet.relay.put(LinkFault::Repeat(fleet.relay.links(), 0.5));
+    let garbage = fleet.relay.inject(LinkFault::Corruption(fleet.relay.links(), 0.3));
+    let repeat = fleet.relay.inject(LinkFault::Duplication(fleet.relay.links(), 0.5));
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut seed = 1u64;
     for n in 0..20_000usize {
@@ -220,8 +220,8 @@
     fleet.wait_until("replayed datagrams are rejected", |f| {
         f.view(0).is_some_and(|v| v.counters.replayed > 0)
     });
-    fleet.relay.lift(garbage);
-    fleet.relay.lift(repeat);
+    fleet.relay.clear(garbage);
+    fleet.relay.clear(repeat);
     fleet.wait_until("all see each other as before", Fleet::all_see_all);
 }
 
--- a/crates/test-support/src/fleet_rig.rs
+++ b/crates/test-support/src/fleet_rig.rs
@@ -93,7 +93,7 @@
             .expect("it prints where it receives datagrams");
         // From here on `milletpath peers` finds the gateway by its configuration.
         self.write_configuration(n, address);
-        self.relay.is_at(n, address);
+        self.relay.set_address(n, address);
         self.datagram_addresses[n] = Some(address);
         self.processes[n] = Some(process);
     }
