--- /dev/null
+++ b/crates/history-checker/tests/same_verdicts.rs
@@ -0,0 +1,112 @@
+//! A recorded history with faults of every kind gives the verdicts that it gave before: violations with their texts, counts
+//! of service, bounds and what the gateways knew of each other, all in the form in which `milletpath day --json` prints
+//! them. The history itself is in the stored form of `milletpath day --records`.
+
+use milletpath_history_checker::{
+    Account, Bound, Counts, Record, Shared, Terms, bounds, check, count, known, latencies,
+};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+
+const HISTORY: &str = include_str!("fixtures/faulty_history.jsonl");
+const EXPECTED: &str = include_str!("fixtures/faulty_history.expected.json");
+const GATEWAYS: usize = 3;
+
+fn history() -> Vec<Record> {
+    HISTORY.lines().map(|line| serde_json::from_str(line).expect("a record")).collect()
+}
+
+fn terms() -> Terms {
+    Terms {
+        grace: 1.0,
+        cold_share: 0.2,
+        warm_up: 8.0,
+        tip_multiple: 2.5,
+        tip_window: 1.0,
+        ration: Some((4.0, 1.0, 0.02)),
+        lag: 0.01,
+    }
+}
+
+fn shared() -> Shared {
+    Shared {
+        gateways: GATEWAYS,
+        ration: Some((4.0, 1.0, 0.005)),
+        retries: Some((4.0, 6.0, 0.02)),
+        ceilings: vec![None, Some(4.0)],
+        in_flight: Some(12.0),
+        terms: terms(),
+        lag: 0.01,
+    }
+}
+
+fn counts_to_json(counts: &Counts) -> Value {
+    json!({
+        "calls": counts.calls, "handled": counts.handled, "late": counts.late, "bounced": counts.bounced,
+        "terminated": counts.terminated, "unanswered": counts.unanswered, "tries": counts.tries,
+        "asked": counts.asked, "earned": counts.earned, "service": counts.service(),
+    })
+}
+
+/// The times of the first places of each bound; the reports print them, the JSON leaves them out.
+fn times_of_places(bounds: &BTreeMap<&'static str, Bound>) -> Value {
+    let times = |bound: &Bound| bound.places.iter().map(|place| place.at).collect::<Vec<_>>();
+    json!(bounds.iter().map(|(name, bound)| (*name, times(bound))).collect::<BTreeMap<_, _>>())
+}
+
+fn verdicts(history: &[Record]) -> Value {
+    let violations: Vec<_> = check(history, &terms())
+        .iter()
+        .map(|violation| json!({"rule": violation.rule, "at": violation.at, "what": violation.what}))
+        .collect();
+    let account = Account { late: 0.25, quotas: vec![Some(10.0), None], over_share: 0.5 };
+    let (all, by_fault) = count(history, &account);
+    let by_fault: BTreeMap<_, _> =
+        by_fault.iter().map(|(fault, counts)| (fault.to_string(), counts_to_json(counts))).collect();
+    let bounds = bounds(history, &shared());
+    json!({
+        "violations": violations,
+        "counts": counts_to_json(&all),
+        "counts_by_fault": by_fault,
+        "latencies": latencies(history, [0.5, 0.99, 0.999]),
+        "bounds": bounds,
+        "times_of_places": times_of_places(&bounds),
+        "membership": known(history, GATEWAYS),
+    })
+}
+
+#[test]
+fn a_faulty_history_gives_the_same_verdicts() {
+    let expected: Value = serde_json::from_str(EXPECTED).expect("the expected verdicts");
+    let verdicts = verdicts(&history());
+    assert_eq!(verdicts, expected, "{verdicts:#}");
+}
+
+/// The fixture is worth something only if every rule and every bound is broken in it.
+#[test]
+fn the_faulty_history_breaks_every_rule_and_every_bound() {
+    let history = history();
+    let violations = check(&history, &terms());
+    for rule in 1..=5 {
+        assert!(violations.iter().any(|violation| violation.rule == rule), "rule {rule}");
+    }
+    for (name, bound) in bounds(&history, &shared()) {
+        assert!(bound.broken > 0, "{name}: {bound:?}");
+    }
+}
+
+/// Histories that users have stored stay readable, and are written as before.
+#[test]
+fn stored_records_are_read_and_written_alike() {
+    for (line, record) in HISTORY.lines().zip(history()) {
+        assert_eq!(serde_json::to_string(&record).expect("a line"), line);
+    }
+    let kinds: std::collections::BTreeSet<_> = HISTORY.lines().filter_map(kind_of).collect();
+    assert_eq!(kinds.len(), 17, "{kinds:?}");
+}
+
+/// The word by which a stored line names its kind of event.
+fn kind_of(line: &str) -> Option<&str> {
+    let after = line.split_once("\"saw\":")?.1;
+    after.trim_start_matches('{').split('"').nth(1)
+}
--- /dev/null
+++ b/crates/simulator/tests/same_history.rs
@@ -0,0 +1,127 @@
+//! Every scenario of `days/` in simulated time gives the history that it gave before: a change of structure or of names
+//! leaves each event, its order and its figures as they are. A change of behaviour changes the values, and its commit says
+//! why.
+
+mod same_history {
+    pub mod digest;
+    pub mod encoding;
+}
+
+use milletpath_emulator::script::{self, Day, Trouble, What};
+use milletpath_simulator::{Came, ClockStep, Machines, Variation, play, play_varied};
+use same_history::digest::Digest;
+use same_history::encoding::{encode_event, encode_report};
+use std::path::Path;
+use test_case::test_case;
+
+const SEED: u64 = 7;
+
+/// What is compared: how many events there were, the digest of all of them, and the digest of the report's figures.
+#[derive(Debug, PartialEq)]
+struct Fingerprint {
+    events: usize,
+    history: u64,
+    report: u64,
+}
+
+fn fingerprint(came: &Came) -> Fingerprint {
+    let mut history = Digest::new();
+    for record in &came.records {
+        encode_event(record, &mut history);
+    }
+    let mut report = Digest::new();
+    encode_report(came, &mut report);
+    Fingerprint { events: came.records.len(), history: history.value(), report: report.value() }
+}
+
+fn scenario(name: &str) -> Day {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../days/{name}.hcl"));
+    script::open(&file).expect("a sound scenario")
+}
+
+/// A scenario short enough for a debug build: its faults come in the same order, as much earlier as it is shorter, and
+/// its traffic is cut to a rate that a debug build plays within a second or two.
+fn shortened(name: &str) -> Day {
+    const LONGEST_SECONDS: f64 = 14.0;
+    const HIGHEST_RATE: f64 = 360.0;
+    let mut day = scenario(name);
+    let scale = (LONGEST_SECONDS / day.seconds).min(1.0);
+    day.seconds *= scale;
+    day.traffic.rate = day.traffic.rate.min(HIGHEST_RATE);
+    for fault in &mut day.troubles {
+        fault.at *= scale;
+        fault.lasts *= scale;
+    }
+    day
+}
+
+#[test_case("bad-cores", 26_926, 0x8075_68cd_cb7a_f339, 0x89b0_cdda_3c4a_8d7c; "bad-cores")]
+#[test_case("bad-day", 26_926, 0xc075_a02d_cee0_1ae9, 0x89b0_cdda_3c4a_8d7c; "bad-day")]
+#[test_case("cold-fleet", 28_288, 0x34b5_92f1_8439_5d6d, 0xc918_ede3_3600_aeef; "cold-fleet")]
+#[test_case("cold-worker", 16_762, 0xa717_b228_2b9b_8bf7, 0x3e14_ca6e_71d7_0fe2; "cold-worker")]
+#[test_case("cores-day", 8_630, 0x8661_151b_f968_5112, 0xd88a_6b30_3890_9534; "cores-day")]
+#[test_case("cut-day", 8_607, 0xe1f1_e043_2dcf_afeb, 0x9ce7_aaf6_1895_637c; "cut-day")]
+#[test_case("large-day", 25_428, 0x069f_87ce_4108_d091, 0x3831_0f72_536c_f65e; "large-day")]
+#[test_case("lend-day", 11_010, 0xfef3_f9ee_e99f_4d29, 0xacea_2c84_4e32_a375; "lend-day")]
+#[test_case("lists-day", 8_692, 0x818c_0776_d19d_f12d, 0xe22f_c7f0_09b3_41a3; "lists-day")]
+#[test_case("peers-day", 26_392, 0x2547_c8a2_b52e_cad5, 0x17d8_296f_65da_2345; "peers-day")]
+#[test_case("quiet-day", 25_645, 0xfc2b_185a_646a_30ff, 0x06d0_0fe0_0f1b_4f3c; "quiet-day")]
+#[test_case("short-day", 8_691, 0x9e66_4273_242b_f496, 0x5724_007b_56b9_bc05; "short-day")]
+#[test_case("town", 25_645, 0xfc2b_185a_646a_30ff, 0x06d0_0fe0_0f1b_4f3c; "town")]
+#[test_case("village", 8_596, 0xc8bc_146c_e8e7_634e, 0x13ad_4ef9_bd4c_fcb6; "village")]
+fn a_scenario_gives_the_same_history(name: &str, events: usize, history: u64, report: u64) {
+    let came = play(&shortened(name), SEED, None);
+    assert_eq!(fingerprint(&came), Fingerprint { events, history, report }, "{name}");
+}
+
+/// Every file of `days/` is among the cases above.
+#[test]
+fn every_scenario_is_played() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
+    let files = std::fs::read_dir(folder).expect("the folder of scenarios").count();
+    let cases = include_str!("same_history.rs").lines().filter(|line| line.starts_with("#[test_case(\""));
+    assert_eq!(cases.count(), files);
+}
+
+/// Faults of workers and of the store that no scenario file has before its end, one after the other, in a cluster that
+/// shares its budgets.
+#[test]
+fn faults_in_a_sharing_cluster_give_the_same_history() {
+    let mut day = scenario("village");
+    (day.gateways, day.sharing, day.seconds) = (5, true, 12.0);
+    let fault = |(number, what): (usize, What)| Trouble {
+        name: format!("fault-{number}"),
+        what,
+        at: 0.5 + number as f64,
+        lasts: 1.5,
+        part: 0.4,
+        size: 2.0,
+    };
+    let kinds = [
+        What::Release,
+        What::StoreSlow,
+        What::StoreRefuses,
+        What::Release,
+        What::StoreStops,
+        What::Drain,
+        What::Slowness,
+        What::Rolling,
+        What::Death,
+        What::Impatience,
+    ];
+    day.troubles = kinds.into_iter().enumerate().map(fault).collect();
+    let expected =
+        Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, report: 0x4007_3653_f278_52cf };
+    assert_eq!(fingerprint(&play(&day, SEED, None)), expected);
+}
+
+/// A step of the workers' wall clocks amid a rolling restart, with addresses that stay and with new ones.
+#[test_case(true, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "same address")]
+#[test_case(false, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "new address")]
+fn a_clock_step_gives_the_same_history(same_address: bool, events: usize, history: u64, report: u64) {
+    let mut day = shortened("cold-fleet");
+    (day.gateways, day.sharing) = (6, true);
+    let clock_step = Some(ClockStep { at: 6.0, by: -3600.0, machines: Machines::Workers });
+    let came = play_varied(&day, SEED, Variation { clock_step, same_address });
+    assert_eq!(fingerprint(&came), Fingerprint { events, history, report });
+}
