--- a/crates/history-checker/tests/same_verdicts.rs
+++ b/crates/history-checker/tests/same_verdicts.rs
@@ -3,7 +3,8 @@
 //! them. The history itself is in the stored form of `milletpath day --records`.
 
 use milletpath_history_checker::{
-    Account, Bound, Counts, Record, Shared, Terms, bounds, check, count, known, latencies,
+    BoundReport, HistoryRecord, RuleParameters, ServiceCounts, ServiceWeights, SharedBudgetBounds, bounds,
+    check, count_service, latencies, membership_observations,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -12,35 +13,35 @@
 const EXPECTED: &str = include_str!("fixtures/faulty_history.expected.json");
 const GATEWAYS: usize = 3;
 
-fn history() -> Vec<Record> {
+fn history() -> Vec<HistoryRecord> {
     HISTORY.lines().map(|line| serde_json::from_str(line).expect("a record")).collect()
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> RuleParameters {
+    RuleParameters {
         grace: 1.0,
-        cold_share: 0.2,
+        initial_capacity: 0.2,
         warm_up: 8.0,
-        tip_multiple: 2.5,
-        tip_window: 1.0,
-        ration: Some((4.0, 1.0, 0.02)),
+        overload_multiple: 2.5,
+        overload_window: 1.0,
+        load_rate_limit: Some((4.0, 1.0, 0.02)),
         lag: 0.01,
     }
 }
 
-fn shared() -> Shared {
-    Shared {
+fn shared() -> SharedBudgetBounds {
+    SharedBudgetBounds {
         gateways: GATEWAYS,
-        ration: Some((4.0, 1.0, 0.005)),
+        load_rate_limit: Some((4.0, 1.0, 0.005)),
         retries: Some((4.0, 6.0, 0.02)),
         ceilings: vec![None, Some(4.0)],
         in_flight: Some(12.0),
-        terms: terms(),
+        rules: terms(),
         lag: 0.01,
     }
 }
 
-fn counts_to_json(counts: &Counts) -> Value {
+fn counts_to_json(counts: &ServiceCounts) -> Value {
     json!({
         "calls": counts.calls, "handled": counts.handled, "late": counts.late, "bounced": counts.bounced,
         "terminated": counts.terminated, "unanswered": counts.unanswered, "tries": counts.tries,
@@ -49,18 +50,18 @@
 }
 
 /// The times of the first places of each bound; the reports print them, the JSON leaves them out.
-fn times_of_places(bounds: &BTreeMap<&'static str, Bound>) -> Value {
-    let times = |bound: &Bound| bound.places.iter().map(|place| place.at).collect::<Vec<_>>();
+fn times_of_places(bounds: &BTreeMap<&'static str, BoundReport>) -> Value {
+    let times = |bound: &BoundReport| bound.places.iter().map(|place| place.at).collect::<Vec<_>>();
     json!(bounds.iter().map(|(name, bound)| (*name, times(bound))).collect::<BTreeMap<_, _>>())
 }
 
-fn verdicts(history: &[Record]) -> Value {
+fn verdicts(history: &[HistoryRecord]) -> Value {
     let violations: Vec<_> = check(history, &terms())
         .iter()
         .map(|violation| json!({"rule": violation.rule, "at": violation.at, "what": violation.what}))
         .collect();
-    let account = Account { late: 0.25, quotas: vec![Some(10.0), None], over_share: 0.5 };
-    let (all, by_fault) = count(history, &account);
+    let account = ServiceWeights { late: 0.25, quotas: vec![Some(10.0), None], over_share: 0.5 };
+    let (all, by_fault) = count_service(history, &account);
     let by_fault: BTreeMap<_, _> =
         by_fault.iter().map(|(fault, counts)| (fault.to_string(), counts_to_json(counts))).collect();
     let bounds = bounds(history, &shared());
@@ -71,7 +72,7 @@
         "latencies": latencies(history, [0.5, 0.99, 0.999]),
         "bounds": bounds,
         "times_of_places": times_of_places(&bounds),
-        "membership": known(history, GATEWAYS),
+        "membership": membership_observations(history, GATEWAYS),
     })
 }
 
--- a/crates/simulator/tests/same_history.rs
+++ b/crates/simulator/tests/same_history.rs
@@ -7,8 +7,8 @@
     pub mod encoding;
 }
 
-use milletpath_emulator::script::{self, Day, Trouble, What};
-use milletpath_simulator::{Came, ClockStep, Machines, Variation, play, play_varied};
+use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
+use milletpath_simulator::{ClockStep, Machines, SimulationReport, Variation, play, play_varied};
 use same_history::digest::Digest;
 use same_history::encoding::{encode_event, encode_report};
 use std::path::Path;
@@ -24,7 +24,7 @@
     report: u64,
 }
 
-fn fingerprint(came: &Came) -> Fingerprint {
+fn fingerprint(came: &SimulationReport) -> Fingerprint {
     let mut history = Digest::new();
     for record in &came.records {
         encode_event(record, &mut history);
@@ -34,21 +34,21 @@
     Fingerprint { events: came.records.len(), history: history.value(), report: report.value() }
 }
 
-fn scenario(name: &str) -> Day {
+fn scenario(name: &str) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../days/{name}.hcl"));
-    script::open(&file).expect("a sound scenario")
+    scenario_file::open(&file).expect("a sound scenario")
 }
 
 /// A scenario short enough for a debug build: its faults come in the same order, as much earlier as it is shorter, and
 /// its traffic is cut to a rate that a debug build plays within a second or two.
-fn shortened(name: &str) -> Day {
+fn shortened(name: &str) -> Scenario {
     const LONGEST_SECONDS: f64 = 14.0;
     const HIGHEST_RATE: f64 = 360.0;
     let mut day = scenario(name);
     let scale = (LONGEST_SECONDS / day.seconds).min(1.0);
     day.seconds *= scale;
     day.traffic.rate = day.traffic.rate.min(HIGHEST_RATE);
-    for fault in &mut day.troubles {
+    for fault in &mut day.faults {
         fault.at *= scale;
         fault.lasts *= scale;
     }
@@ -89,7 +89,7 @@
 fn faults_in_a_sharing_cluster_give_the_same_history() {
     let mut day = scenario("village");
     (day.gateways, day.sharing, day.seconds) = (5, true, 12.0);
-    let fault = |(number, what): (usize, What)| Trouble {
+    let fault = |(number, what): (usize, FaultKind)| ScheduledFault {
         name: format!("fault-{number}"),
         what,
         at: 0.5 + number as f64,
@@ -98,18 +98,18 @@
         size: 2.0,
     };
     let kinds = [
-        What::Release,
-        What::StoreSlow,
-        What::StoreRefuses,
-        What::Release,
-        What::StoreStops,
-        What::Drain,
-        What::Slowness,
-        What::Rolling,
-        What::Death,
-        What::Impatience,
+        FaultKind::Release,
+        FaultKind::StoreSlow,
+        FaultKind::StoreRefuses,
+        FaultKind::Release,
+        FaultKind::StoreStops,
+        FaultKind::Drain,
+        FaultKind::Slowness,
+        FaultKind::Rolling,
+        FaultKind::Death,
+        FaultKind::Impatience,
     ];
-    day.troubles = kinds.into_iter().enumerate().map(fault).collect();
+    day.faults = kinds.into_iter().enumerate().map(fault).collect();
     let expected =
         Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, report: 0x4007_3653_f278_52cf };
     assert_eq!(fingerprint(&play(&day, SEED, None)), expected);
