--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -46,6 +46,21 @@
     Abandoned,
 }
 
+impl AttemptOutcome {
+    /// The word for the outcome in stored histories and in the texts of reports.
+    pub(crate) fn word(self) -> &'static str {
+        match self {
+            Self::Succeeded => "Handled",
+            Self::Rejected => "Bounced",
+            Self::Failed => "Terminated",
+            Self::Unreachable => "Unreached",
+            Self::ConnectionLost => "Broken",
+            Self::Unanswered => "Unanswered",
+            Self::Abandoned => "Left",
+        }
+    }
+}
+
 /// How harmful a repeat is, as the client knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Idempotency {
@@ -57,6 +72,17 @@
     NonIdempotent,
 }
 
+impl Idempotency {
+    /// The word for it in stored histories and in the texts of reports.
+    pub(crate) fn word(self) -> &'static str {
+        match self {
+            Self::Idempotent => "Pure",
+            Self::IdempotentWithKey => "Receipted",
+            Self::NonIdempotent => "Effectful",
+        }
+    }
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HistoryEvent {
     /// A client sent a try. `call` is the same for all tries of one call.
--- a/crates/history-checker/src/rules.rs
+++ b/crates/history-checker/src/rules.rs
@@ -83,7 +83,8 @@
                     continue;
                 };
                 if let Some((_, before)) = ended.replace((*at, how)) {
-                    let what = format!("call {call}.{attempt} ended as {before:?} and again as {how:?}");
+                    let (before, how) = (before.word(), how.word());
+                    let what = format!("call {call}.{attempt} ended as {before} and again as {how}");
                     broken.push(Violation { rule: 1, at: *at, what });
                 }
                 let fell = killed.get(&gateway).is_some_and(|k| *k >= *asked - terms.lag);
@@ -94,7 +95,8 @@
                     && !fell
                     && !stood
                 {
-                    let what = format!("call {call}.{attempt} at gateway {gateway} got no answer: {how:?}");
+                    let how = how.word();
+                    let what = format!("call {call}.{attempt} at gateway {gateway} got no answer: {how}");
                     broken.push(Violation { rule: 1, at: *at, what });
                 }
             }
@@ -105,9 +107,9 @@
                     _ => terms.lag,
                 };
                 if let Some((when, how)) = ended.filter(|(when, how)| at - when > slack(*how)) {
-                    let late = at - when;
+                    let (late, how) = (at - when, how.word());
                     let what = format!(
-                        "call {call}.{attempt} was {how:?}, and {late:.3} s later gateway {gateway} sent it to \
+                        "call {call}.{attempt} was {how}, and {late:.3} s later gateway {gateway} sent it to \
                          worker {worker}"
                     );
                     broken.push(Violation { rule: 1, at: *at, what });
@@ -144,8 +146,10 @@
                 let times = ran.entry(call).or_default();
                 *times += 1;
                 if effect != Idempotency::Idempotent && *times > 1 {
-                    let what =
-                        format!("{effect:?} call {call} ran for the {times}th time, on worker {worker}");
+                    let what = format!(
+                        "{} call {call} ran for the {times}th time, on worker {worker}",
+                        effect.word()
+                    );
                     broken.push(Violation { rule: 2, at: *at, what });
                 }
                 if effect == Idempotency::NonIdempotent
