--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -93,9 +93,16 @@
     /// One call with all its tries.
     async fn call(self: Rc<Self>, call: u64, planned: PlannedRequest) {
         let profile = &self.scenario.profiles[planned.profile];
-        let (due, effect, importance) = (profile.latency_objective, profile.effect, profile.importance);
-        let (group, fault) = (planned.group, planned.fault);
-        self.context.note(HistoryEvent::RequestIssued { call, group, importance, due, effect, fault });
+        let (latency_objective, idempotency) = (profile.latency_objective, profile.effect);
+        let (group, importance, fault) = (planned.group, profile.importance, planned.fault);
+        self.context.note(HistoryEvent::RequestIssued {
+            call,
+            group,
+            importance,
+            latency_objective,
+            idempotency,
+            fault,
+        });
         let began = self.context.now();
         for attempt in 0..=self.scenario.traffic.retries {
             let left = profile.deadline - (self.context.now() - began);
@@ -104,7 +111,7 @@
                 break;
             }
             let how = self.attempt(call, attempt, &planned, patience).await;
-            let again = match (how, effect) {
+            let again = match (how, idempotency) {
                 (AttemptOutcome::Succeeded | AttemptOutcome::Abandoned, _) => false,
                 (AttemptOutcome::Rejected | AttemptOutcome::Unreachable, _) => true,
                 // No promise was made: only what may run again is tried again.
@@ -126,7 +133,7 @@
         patience: f64,
     ) -> AttemptOutcome {
         let gateway = self.pick();
-        self.context.note(HistoryEvent::AttemptSent { call, attempt, gateway, patience });
+        self.context.note(HistoryEvent::AttemptSent { call, attempt, gateway, timeout: patience });
         let wait = planned.leaves.filter(|_| attempt == 0).unwrap_or(patience + self.lag);
         let asked = self.ask(gateway, call, attempt, planned, patience);
         let how = match tokio::time::timeout(Duration::from_secs_f64(wait), asked).await {
@@ -134,7 +141,7 @@
             Err(_) if planned.leaves.is_some() && attempt == 0 => AttemptOutcome::Abandoned,
             Err(_) => AttemptOutcome::Unanswered,
         };
-        self.context.note(HistoryEvent::AttemptEnded { call, attempt, gateway, how });
+        self.context.note(HistoryEvent::AttemptEnded { call, attempt, gateway, outcome: how });
         how
     }
 
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -215,7 +215,10 @@
         if self.lives.insert(decoded.sender.instance_id, from).is_none() {
             self.notes.push(HistoryRecord {
                 at,
-                event: HistoryEvent::IncarnationObserved { gateway: from, life: decoded.sender.instance_id },
+                event: HistoryEvent::IncarnationObserved {
+                    gateway: from,
+                    incarnation: decoded.sender.instance_id,
+                },
             });
         }
         for update in decoded.updates {
@@ -224,7 +227,7 @@
                 let event = HistoryEvent::MemberStateReported {
                     gateway: from,
                     about,
-                    life: update.instance_id,
+                    incarnation: update.instance_id,
                     state: update.state,
                 };
                 self.notes.push(HistoryRecord { at, event });
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -50,7 +50,7 @@
 impl ScenarioReport {
     /// Whether all rules and bounds were kept.
     pub fn kept(&self) -> bool {
-        self.broken.is_empty() && self.bounds.values().all(|b| b.broken == 0)
+        self.broken.is_empty() && self.bounds.values().all(|b| b.violations == 0)
     }
 }
 
@@ -207,13 +207,14 @@
     let shared = SharedBudgetBounds {
         gateways: scenario.gateways,
         load_rate_limit: scenario.rules.load_rate_limit,
-        retries: scenario.rules.retries,
-        ceilings: scenario.groups.iter().map(|g| g.ceiling).collect(),
+        retry_limit: scenario.rules.retries,
+        rate_ceilings: scenario.groups.iter().map(|g| g.ceiling).collect(),
         in_flight: scenario.rules.in_flight,
         rules: parameters,
-        lag: stage.lag,
+        tolerance: stage.lag,
     };
-    let (whole, by_fault) = witness::count_service(&records, &service_weights(scenario));
+    let witness::Service { all: whole, by_fault } =
+        witness::count_service(&records, &service_weights(scenario));
     let broken = witness::check(&records, &parameters);
     let (fetches, refusals) = (context.store.borrow().fetches, context.store.borrow().refusals);
     let (warm, done) = context.warm.get();
@@ -226,21 +227,21 @@
 /// What a day's rules are judged by, where the stand-ins may be so late.
 pub fn rule_parameters(scenario: &Scenario, lag: f64) -> witness::RuleParameters {
     witness::RuleParameters {
-        grace: scenario.rules.grace,
+        drain_grace: scenario.rules.grace,
         initial_capacity: scenario.worker_spec.initial_capacity,
         warm_up: scenario.worker_spec.warm_up,
         overload_multiple: scenario.worker_spec.overload_multiple,
         overload_window: scenario.worker_spec.overload_window,
         // Where gateways know each other the ration is the fleet's.
         load_rate_limit: scenario.rules.load_rate_limit.filter(|_| !scenario.sharing),
-        lag,
+        tolerance: lag,
     }
 }
 
 /// What a day's service is counted by.
 pub fn service_weights(scenario: &Scenario) -> ServiceWeights {
     let quotas = scenario.groups.iter().map(|g| g.quota).collect();
-    ServiceWeights { late: scenario.rules.late, quotas, over_share: scenario.rules.over_share }
+    ServiceWeights { late: scenario.rules.late, quotas, over_quota: scenario.rules.over_share }
 }
 
 /// Gateways that begin in the course of the day, by the trouble that is; one at least is there from the beginning.
@@ -343,8 +344,10 @@
     line(format!("limits {{\n  over_share = {}", rules.over_share));
     rules.in_flight.into_iter().for_each(|most| line(format!("  in_flight = {most}")));
     for (name, rationed) in [("ration", rules.load_rate_limit), ("retries", rules.retries)] {
-        if let Some((window, free, share)) = rationed {
-            line(format!("  {name} {{\n    window = {window}\n    free = {free}\n    share = {share}\n  }}"));
+        if let Some(witness::WindowLimit { window, free, per_request }) = rationed {
+            line(format!(
+                "  {name} {{\n    window = {window}\n    free = {free}\n    share = {per_request}\n  }}"
+            ));
         }
     }
     line("}".into());
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -6,7 +6,7 @@
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
 use milletpath_config::document::{ConfigError, Document, Section};
-use milletpath_history_checker::Idempotency;
+use milletpath_history_checker::{Idempotency, WindowLimit};
 use std::path::Path;
 
 #[derive(Clone, Debug)]
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug)]
 pub struct RuleSettings {
     pub grace: f64,
-    pub load_rate_limit: Option<(f64, f64, f64)>,
+    pub load_rate_limit: Option<WindowLimit>,
     /// Gateways' own further shots, over all gateways: window, free ones, share of one for each try.
-    pub retries: Option<(f64, f64, f64)>,
+    pub retries: Option<WindowLimit>,
     /// Shots at one worker, over all gateways.
     pub in_flight: Option<f64>,
     /// Seconds for which receipts are known.
@@ -324,11 +324,11 @@
     let rationed = |key| {
         rules.and_then(|r| r.block(key)).map(|r| {
             let r = Some(&r);
-            (
-                of(r, "window", "seconds", LONG, 10.0),
-                of(r, "free", "of them", 1e9, 10.0),
-                of(r, "share", "of one an activation", 1e3, 0.1),
-            )
+            WindowLimit {
+                window: of(r, "window", "seconds", LONG, 10.0),
+                free: of(r, "free", "of them", 1e9, 10.0),
+                per_request: of(r, "share", "of one an activation", 1e3, 0.1),
+            }
         })
     };
     let rule_settings = RuleSettings {
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -46,7 +46,8 @@
     assert_eq!((scenario.sharing, scenario.uneven), (true, 5.0));
     let profiles: Vec<_> = scenario.profiles.iter().map(|p| (p.name.as_str(), p.latency_objective)).collect();
     assert_eq!(profiles, [("check", 2.0), ("order", 1.0)]);
-    assert_eq!(scenario.rules.load_rate_limit, Some((3.0, 7.0, 0.1)));
+    let limit = milletpath_history_checker::WindowLimit { window: 3.0, free: 7.0, per_request: 0.1 };
+    assert_eq!(scenario.rules.load_rate_limit, Some(limit));
     let faults: Vec<_> = scenario.faults.iter().map(|t| (t.name.as_str(), t.at, t.part)).collect();
     assert_eq!(faults, [("death", 1.0, 0.5), ("link-cut", 2.0, 0.4)]);
 }
--- /dev/null
+++ b/crates/history-checker/src/bounds/bound_report.rs
@@ -0,0 +1,39 @@
+//! One bound and how a history kept it.
+
+use crate::violation::Violation;
+use serde::Serialize;
+
+/// The case of a history that came nearest to a bound or went furthest beyond it, and how often the bound was violated.
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
+pub struct BoundReport {
+    /// The highest value against its bound,
+    pub most: f64,
+    /// and the bound at that moment.
+    pub bound: f64,
+    /// How often the bound was violated.
+    #[serde(rename = "broken")]
+    pub violations: u64,
+    /// The first violations.
+    #[serde(skip)]
+    pub first_violations: Vec<Violation>,
+}
+
+impl BoundReport {
+    /// Violations that are kept.
+    const MAX_FIRST_VIOLATIONS: usize = 5;
+    /// The number that a violation of a bound has in place of a rule's.
+    const NO_RULE: u8 = 0;
+
+    /// Compares a value with the bound; `what` describes a violation.
+    pub(super) fn compare(&mut self, at: f64, value: f64, bound: f64, what: impl FnOnce() -> String) {
+        if self.bound == 0.0 || value - bound > self.most - self.bound {
+            (self.most, self.bound) = (value, bound);
+        }
+        if value > bound {
+            self.violations += 1;
+            if self.first_violations.len() < Self::MAX_FIRST_VIOLATIONS {
+                self.first_violations.push(Violation { rule: Self::NO_RULE, at, what: what() });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/history-checker/src/bounds/retries.rs
@@ -0,0 +1,35 @@
+//! Retries of the whole fleet within any window: attempts that workers received beyond the first for each attempt of a
+//! client.
+
+use super::shared_window::{SharedWindow, WindowUse};
+use super::{BoundReport, SharedBudgetBounds};
+use crate::event::{HistoryEvent, HistoryRecord};
+use crate::window_limit::WindowLimit;
+use std::collections::BTreeSet;
+
+/// The bound by the limit of the whole fleet.
+pub(super) fn bound(
+    records: &[HistoryRecord],
+    budgets: &SharedBudgetBounds,
+    limit: WindowLimit,
+) -> BoundReport {
+    let window = limit.window;
+    let part = limit.free / budgets.gateways as f64;
+    let mut shared = SharedWindow::new(limit, part, budgets.tolerance);
+    let mut received = BTreeSet::new();
+    let mut bound = BoundReport::default();
+    for HistoryRecord { at, event } in records {
+        match *event {
+            HistoryEvent::AttemptSent { .. } => shared.accepted(*at),
+            HistoryEvent::GatewayKilled { .. } => shared.killed(*at),
+            HistoryEvent::AttemptReceived { call, attempt, .. } if !received.insert((call, attempt)) => {
+                let WindowUse { count, most } = shared.used(*at);
+                bound.compare(*at, count, most, || {
+                    format!("{count} retries within {window} s, at most {most:.1} allowed")
+                });
+            }
+            _ => {}
+        }
+    }
+    bound
+}
--- /dev/null
+++ b/crates/history-checker/src/bounds/tests.rs
@@ -0,0 +1,107 @@
+use super::{SharedBudgetBounds, bounds};
+use crate::event::{HistoryEvent, HistoryRecord, Idempotency};
+use crate::rule_parameters::RuleParameters;
+use crate::window_limit::WindowLimit;
+use test_case::test_case;
+
+fn budgets() -> SharedBudgetBounds {
+    let rules = RuleParameters {
+        drain_grace: 1.0,
+        initial_capacity: 0.2,
+        warm_up: 8.0,
+        overload_multiple: 2.5,
+        overload_window: 1.0,
+        load_rate_limit: None,
+        tolerance: 0.0,
+    };
+    SharedBudgetBounds {
+        gateways: 2,
+        load_rate_limit: Some(WindowLimit { window: 10.0, free: 2.0, per_request: 0.0 }),
+        retry_limit: Some(WindowLimit { window: 10.0, free: 3.0, per_request: 0.0 }),
+        rate_ceilings: vec![Some(10.0)],
+        in_flight: Some(3.0),
+        rules,
+        tolerance: 0.0,
+    }
+}
+
+/// How often the bound of a name is violated.
+fn violations(name: &str, mut records: Vec<HistoryRecord>) -> u64 {
+    records.sort_by(|a, b| a.at.total_cmp(&b.at));
+    bounds(&records, &budgets())[name].violations
+}
+
+fn record(at: f64, event: HistoryEvent) -> HistoryRecord {
+    HistoryRecord { at, event }
+}
+
+fn load_requests(times: &[f64]) -> Vec<HistoryRecord> {
+    times.iter().map(|at| record(*at, HistoryEvent::LoadRequested { gateway: 0, worker: 0 })).collect()
+}
+
+/// One may use what the other leaves; together they have no more than their sum, and one part more for each process
+/// that restarts.
+#[test]
+fn load_requests_count_for_the_fleet() {
+    assert_eq!(violations("orders", load_requests(&[1.0, 2.0, 3.0, 4.0])), 0);
+    assert_eq!(violations("orders", load_requests(&[1.0, 2.0, 3.0, 4.0, 10.5])), 1);
+    assert_eq!(violations("orders", load_requests(&[1.0, 2.0, 3.0, 4.0, 11.5])), 0);
+    let mut records = load_requests(&[1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0]);
+    records.push(record(4.5, HistoryEvent::GatewayKilled { gateway: 0 }));
+    assert_eq!(violations("orders", records), 1);
+}
+
+/// A call, and so many attempts at a worker for its first attempt.
+fn call(call: u64, at: f64, attempts: usize) -> Vec<HistoryRecord> {
+    let (importance, latency_objective) = (1.0, 1.0);
+    let (idempotency, fault) = (Idempotency::Idempotent, None);
+    let began =
+        HistoryEvent::RequestIssued { call, group: 0, importance, latency_objective, idempotency, fault };
+    let received = HistoryEvent::AttemptReceived { call, attempt: 0, gateway: 0, worker: 0, work: 0.01 };
+    let mut records = vec![record(at, began)];
+    records.resize(1 + attempts, record(at, received));
+    records
+}
+
+#[test_case(5, 1, 0; "one attempt each")]
+#[test_case(3, 2, 0; "as many retries as there may be")]
+#[test_case(4, 2, 1; "one more")]
+fn retries_count_for_the_fleet(calls: u64, attempts: usize, expected: u64) {
+    let records = (0..calls).flat_map(|n| call(n, n as f64, attempts)).collect();
+    assert_eq!(violations("retries", records), expected);
+}
+
+/// Ten a second with half a second at once, and one call of each gateway.
+#[test_case(110, 0; "as many as there may be")]
+#[test_case(116, 2; "more")]
+fn calls_under_a_ceiling_count_for_the_fleet(calls: u64, expected: u64) {
+    let records = (0..calls).flat_map(|n| call(n, n as f64 / 20.0, 1)).collect();
+    assert_eq!(violations("ceiling", records), expected);
+}
+
+#[test]
+fn attempts_at_a_worker_count_until_they_are_over() {
+    let mut records: Vec<_> = (0..4).flat_map(|n| call(n, n as f64, 1)).collect();
+    assert_eq!(violations("in-flight", records.clone()), 1);
+    records.push(record(2.5, HistoryEvent::AttemptFinished { gateway: 0, worker: 0 }));
+    assert_eq!(violations("in-flight", records), 0);
+}
+
+/// Many light calls at a worker in slow start: within its bound by work, and past the one by number.
+#[test_case(1; "of one gateway")]
+#[test_case(24; "of two dozen gateways")]
+fn light_calls_at_a_warming_worker_count(gateways: usize) {
+    let received = |n: usize, worker: usize, work: f64| {
+        let gateway = n % gateways;
+        HistoryEvent::AttemptReceived { call: n as u64, attempt: 0, gateway, worker, work }
+    };
+    let started = |worker: usize, warm: bool| HistoryEvent::WorkerStarted { worker, capacity: 16.0, warm };
+    let mut records = vec![record(0.0, started(0, true)), record(1.0, started(1, false))];
+    // 0.2 of its capacity, two and a half times for a second: 8 s of work, or 80 calls of the mean; 99.9 with the bound.
+    records.extend((0..100_000).map(|n| record(0.5, received(n, 0, 0.1))));
+    records.extend((0..99).map(|n| record(1.0, received(n, 1, 0.01))));
+    assert_eq!(violations("cold-calls", records.clone()), 0);
+    records.extend((99..102).map(|n| record(1.0, received(n, 1, 0.01))));
+    assert_eq!(violations("cold", records.clone()), 0);
+    assert!(violations("cold-calls", records) > 0);
+}
--- /dev/null
+++ b/crates/history-checker/src/membership/timeline.rs
@@ -0,0 +1,130 @@
+//! When gateways' processes ran, and what each gateway stated of the others.
+
+use super::detection::Detection;
+use crate::event::{HistoryEvent, HistoryRecord};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The state of a member as datagrams state it.
+pub(super) const ALIVE: u8 = 0;
+const SUSPECT: u8 = 1;
+/// This one and those above it (3 is left) mean that the process is gone.
+pub(super) const DEAD: u8 = 2;
+
+/// One process of a gateway. Times are in seconds.
+pub(super) struct Process {
+    pub incarnation: u64,
+    pub gateway: usize,
+    pub started: f64,
+    /// Infinite while it runs.
+    pub ended: f64,
+}
+
+impl Process {
+    pub fn runs_at(&self, at: f64) -> bool {
+        self.started <= at && at < self.ended
+    }
+}
+
+/// A gateway states a process to be in a state.
+struct Statement {
+    at: f64,
+    state: u8,
+}
+
+#[derive(Default)]
+pub(super) struct Timeline {
+    pub processes: Vec<Process>,
+    /// What each gateway stated of each incarnation, in the order of time.
+    statements: BTreeMap<(usize, u64), Vec<Statement>>,
+    /// When partitions healed.
+    pub healed: Vec<f64>,
+    paused: BTreeSet<usize>,
+    pub datagrams: f64,
+    pub bytes: f64,
+    pub false_suspicions: usize,
+    pub false_deaths: usize,
+    end: f64,
+}
+
+impl Timeline {
+    pub fn read(records: &[HistoryRecord]) -> Self {
+        let mut timeline = Self { end: records.last().map_or(0.0, |record| record.at), ..Self::default() };
+        for HistoryRecord { at, event } in records {
+            timeline.observe(*at, event);
+        }
+        timeline
+    }
+
+    fn observe(&mut self, at: f64, event: &HistoryEvent) {
+        match *event {
+            HistoryEvent::IncarnationObserved { gateway, incarnation } => {
+                self.processes.push(Process { incarnation, gateway, started: at, ended: f64::INFINITY });
+            }
+            HistoryEvent::GatewayKilled { gateway } => self.end_processes(at, gateway),
+            HistoryEvent::GatewayPaused { gateway } => {
+                self.paused.insert(gateway);
+            }
+            HistoryEvent::GatewayResumed { gateway } => {
+                self.paused.remove(&gateway);
+            }
+            HistoryEvent::DatagramSent { bytes, .. } => {
+                self.datagrams += 1.0;
+                self.bytes += bytes as f64;
+            }
+            HistoryEvent::LinksHealed => self.healed.push(at),
+            HistoryEvent::MemberStateReported { gateway, about, incarnation, state } => {
+                if self.is_running(incarnation) && !self.paused.contains(&about) {
+                    self.false_suspicions += usize::from(state == SUSPECT);
+                    self.false_deaths += usize::from(state == DEAD);
+                }
+                self.statements.entry((gateway, incarnation)).or_default().push(Statement { at, state });
+            }
+            _ => {}
+        }
+    }
+
+    fn end_processes(&mut self, at: f64, gateway: usize) {
+        let running = |process: &&mut Process| process.gateway == gateway && process.ended.is_infinite();
+        self.processes.iter_mut().filter(running).for_each(|process| process.ended = at);
+    }
+
+    /// Whether a process runs at the point up to which the history was read.
+    fn is_running(&self, incarnation: u64) -> bool {
+        self.processes.iter().any(|process| process.incarnation == incarnation && process.ended.is_infinite())
+    }
+
+    /// Seconds for which processes ran, all together.
+    pub fn uptime(&self) -> f64 {
+        self.processes.iter().map(|process| process.ended.min(self.end) - process.started).sum()
+    }
+
+    /// When a gateway first stated a state of a process, counted from `from`. None where the gateway was not up then, or
+    /// was killed before it could.
+    pub fn detection(
+        &self,
+        gateway: usize,
+        incarnation: u64,
+        from: f64,
+        is_state: impl Fn(u8) -> bool,
+    ) -> Option<Detection> {
+        let observer =
+            self.processes.iter().find(|process| process.gateway == gateway && process.runs_at(from))?;
+        let mut stated = self.statements_of(gateway, incarnation);
+        let first = stated.find(|statement| statement.at >= from && is_state(statement.state));
+        match first.filter(|statement| statement.at <= observer.ended) {
+            Some(statement) => Some(Detection::After(statement.at - from)),
+            None if observer.ended.is_finite() => None,
+            None => Some(Detection::Never),
+        }
+    }
+
+    /// Whether a gateway's last statement of a process up to a time was that it is gone.
+    pub fn last_stated_dead(&self, gateway: usize, incarnation: u64, at: f64) -> bool {
+        let until = self.statements_of(gateway, incarnation).take_while(|statement| statement.at <= at);
+        until.last().is_some_and(|statement| statement.state >= DEAD)
+    }
+
+    fn statements_of(&self, gateway: usize, incarnation: u64) -> impl Iterator<Item = &Statement> {
+        self.statements.get(&(gateway, incarnation)).into_iter().flatten()
+    }
+}
--- a/crates/history-checker/tests/same_verdicts.rs
+++ b/crates/history-checker/tests/same_verdicts.rs
@@ -3,8 +3,8 @@
 //! them. The history itself is in the stored form of `milletpath day --records`.
 
 use milletpath_history_checker::{
-    BoundReport, HistoryRecord, RuleParameters, ServiceCounts, ServiceWeights, SharedBudgetBounds, bounds,
-    check, count_service, latencies, membership_observations,
+    BoundReport, HistoryRecord, RuleParameters, ServiceCounts, ServiceWeights, SharedBudgetBounds,
+    WindowLimit, bounds, check, count_service, latencies, membership_observations,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -17,57 +17,58 @@
     HISTORY.lines().map(|line| serde_json::from_str(line).expect("a record")).collect()
 }
 
-fn terms() -> RuleParameters {
+fn rules() -> RuleParameters {
     RuleParameters {
-        grace: 1.0,
+        drain_grace: 1.0,
         initial_capacity: 0.2,
         warm_up: 8.0,
         overload_multiple: 2.5,
         overload_window: 1.0,
-        load_rate_limit: Some((4.0, 1.0, 0.02)),
-        lag: 0.01,
+        load_rate_limit: Some(WindowLimit { window: 4.0, free: 1.0, per_request: 0.02 }),
+        tolerance: 0.01,
     }
 }
 
 fn shared() -> SharedBudgetBounds {
     SharedBudgetBounds {
         gateways: GATEWAYS,
-        load_rate_limit: Some((4.0, 1.0, 0.005)),
-        retries: Some((4.0, 6.0, 0.02)),
-        ceilings: vec![None, Some(4.0)],
+        load_rate_limit: Some(WindowLimit { window: 4.0, free: 1.0, per_request: 0.005 }),
+        retry_limit: Some(WindowLimit { window: 4.0, free: 6.0, per_request: 0.02 }),
+        rate_ceilings: vec![None, Some(4.0)],
         in_flight: Some(12.0),
-        rules: terms(),
-        lag: 0.01,
+        rules: rules(),
+        tolerance: 0.01,
     }
 }
 
 fn counts_to_json(counts: &ServiceCounts) -> Value {
     json!({
-        "calls": counts.calls, "handled": counts.handled, "late": counts.late, "bounced": counts.bounced,
-        "terminated": counts.terminated, "unanswered": counts.unanswered, "tries": counts.tries,
-        "asked": counts.asked, "earned": counts.earned, "service": counts.service(),
+        "calls": counts.calls, "handled": counts.succeeded, "late": counts.late, "bounced": counts.rejected,
+        "terminated": counts.failed, "unanswered": counts.unanswered, "tries": counts.attempts,
+        "asked": counts.importance, "earned": counts.earned, "service": counts.service(),
     })
 }
 
 /// The times of the first places of each bound; the reports print them, the JSON leaves them out.
 fn times_of_places(bounds: &BTreeMap<&'static str, BoundReport>) -> Value {
-    let times = |bound: &BoundReport| bound.places.iter().map(|place| place.at).collect::<Vec<_>>();
+    let times =
+        |bound: &BoundReport| bound.first_violations.iter().map(|violation| violation.at).collect::<Vec<_>>();
     json!(bounds.iter().map(|(name, bound)| (*name, times(bound))).collect::<BTreeMap<_, _>>())
 }
 
 fn verdicts(history: &[HistoryRecord]) -> Value {
-    let violations: Vec<_> = check(history, &terms())
+    let violations: Vec<_> = check(history, &rules())
         .iter()
         .map(|violation| json!({"rule": violation.rule, "at": violation.at, "what": violation.what}))
         .collect();
-    let account = ServiceWeights { late: 0.25, quotas: vec![Some(10.0), None], over_share: 0.5 };
-    let (all, by_fault) = count_service(history, &account);
+    let weights = ServiceWeights { late: 0.25, quotas: vec![Some(10.0), None], over_quota: 0.5 };
+    let service = count_service(history, &weights);
     let by_fault: BTreeMap<_, _> =
-        by_fault.iter().map(|(fault, counts)| (fault.to_string(), counts_to_json(counts))).collect();
+        service.by_fault.iter().map(|(fault, counts)| (fault.to_string(), counts_to_json(counts))).collect();
     let bounds = bounds(history, &shared());
     json!({
         "violations": violations,
-        "counts": counts_to_json(&all),
+        "counts": counts_to_json(&service.all),
         "counts_by_fault": by_fault,
         "latencies": latencies(history, [0.5, 0.99, 0.999]),
         "bounds": bounds,
@@ -87,12 +88,12 @@
 #[test]
 fn the_faulty_history_breaks_every_rule_and_every_bound() {
     let history = history();
-    let violations = check(&history, &terms());
+    let violations = check(&history, &rules());
     for rule in 1..=5 {
         assert!(violations.iter().any(|violation| violation.rule == rule), "rule {rule}");
     }
     for (name, bound) in bounds(&history, &shared()) {
-        assert!(bound.broken > 0, "{name}: {bound:?}");
+        assert!(bound.violations > 0, "{name}: {bound:?}");
     }
 }
 
--- a/crates/milletpath/src/day.rs
+++ b/crates/milletpath/src/day.rs
@@ -70,10 +70,10 @@
         "{name:<16} {:>7} {:>8.3} {:>8} {:>6} {:>8} {:>10} {:>10}",
         counts.calls,
         counts.service(),
-        counts.handled,
+        counts.succeeded,
         counts.late,
-        counts.bounced,
-        counts.terminated,
+        counts.rejected,
+        counts.failed,
         counts.unanswered
     )
 }
@@ -85,8 +85,8 @@
     if json {
         let counts = |c: &ServiceCounts| {
             serde_json::json!({
-                "calls": c.calls, "service": c.service(), "handled": c.handled, "late": c.late,
-                "bounced": c.bounced, "terminated": c.terminated, "unanswered": c.unanswered,
+                "calls": c.calls, "service": c.service(), "handled": c.succeeded, "late": c.late,
+                "bounced": c.rejected, "terminated": c.failed, "unanswered": c.unanswered,
             })
         };
         let faults: Vec<_> = played
@@ -112,7 +112,7 @@
     }
     println!(
         "day {} with seed {}: {} calls, {} tries",
-        scenario.name, scenario.seed, played.whole.calls, played.whole.tries
+        scenario.name, scenario.seed, played.whole.calls, played.whole.attempts
     );
     println!(
         "{:<16} {:>7} {:>8} {:>8} {:>6} {:>8} {:>10} {:>10}",
@@ -137,18 +137,18 @@
         println!("  rule {} at {:.3} s: {}", b.rule, b.at, b.what);
     }
     for (name, bound) in &played.bounds {
-        let BoundReport { most, bound, broken, places } = bound;
+        let BoundReport { most, bound, violations: broken, first_violations: places } = bound;
         println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {broken} times");
         places.iter().for_each(|b| println!("  at {:.3} s: {}", b.at, b.what));
     }
     if let Some(known) = &played.known {
         println!(
             "peers: {:.1} letters and {:.0} bytes a second of each gateway",
-            known.datagrams, known.bytes
+            known.datagrams_per_second, known.bytes_per_second
         );
         println!("  told wrongly: {} suspects, {} dead", known.false_suspicions, known.false_deaths);
         for (what, times) in [("death", &known.death), ("join", &known.join), ("healing", &known.healing)] {
-            let DetectionTimes { p50, p99, learnt, never } = times;
+            let DetectionTimes { p50, p99, detected: learnt, missed: never } = times;
             if let (Some(p50), Some(p99)) = (p50, p99) {
                 println!(
                     "  {what} known after: p50 {p50:.2} s, p99 {p99:.2} s ({learnt} times; {never} not)"
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -57,8 +57,8 @@
                 call: call as u64,
                 group,
                 importance,
-                due,
-                effect,
+                latency_objective: due,
+                idempotency: effect,
                 fault,
             });
         }
@@ -67,7 +67,7 @@
             return;
         }
         let gateway = self.pick();
-        self.note(HistoryEvent::AttemptSent { call: call as u64, attempt, gateway, patience });
+        self.note(HistoryEvent::AttemptSent { call: call as u64, attempt, gateway, timeout: patience });
         (self.calls[call].attempt, self.calls[call].ended) = (attempt, false);
         self.put(self.now + NETWORK_DELAY, Event::Arrive(call, attempt, gateway));
         match leaves.filter(|_| attempt == 0) {
@@ -86,7 +86,7 @@
             return;
         }
         let effect = self.scenario.profiles[known.planned.profile].effect;
-        self.note(HistoryEvent::AttemptEnded { call: call as u64, attempt, gateway, how });
+        self.note(HistoryEvent::AttemptEnded { call: call as u64, attempt, gateway, outcome: how });
         let again = match (how, effect) {
             (AttemptOutcome::Succeeded | AttemptOutcome::Abandoned, _) => false,
             (AttemptOutcome::Rejected | AttemptOutcome::Unreachable, _) => true,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -281,7 +281,7 @@
         }
         SimulationReport {
             broken: witness::check(&self.records, &scenario::rule_parameters(scenario, CHECKER_TOLERANCE)),
-            whole: witness::count_service(&self.records, &scenario::service_weights(scenario)).0,
+            whole: witness::count_service(&self.records, &scenario::service_weights(scenario)).all,
             fetches: self.store.fetches,
             refusals: self.store.refusals,
             warm: self.warm.0 as f64 / self.warm.1.max(1) as f64,
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -21,8 +21,8 @@
     witness::slow_start_windows(
         records,
         &scenario::rule_parameters(scenario, CHECKER_TOLERANCE),
-        |SlowStartWindow { shots, budget, .. }| {
-            let (calls, budget) = (shots as f64, budget / scenario.traffic.work);
+        |SlowStartWindow { attempts, budget, .. }| {
+            let (calls, budget) = (attempts as f64, budget / scenario.traffic.work);
             worst.calls += 1;
             worst.of_budget = worst.of_budget.max(calls / budget);
             worst.of_bound = worst.of_bound.max(calls / (budget + 2.0 * budget.sqrt() + 2.0));
--- a/crates/simulator/tests/same_history/encoding.rs
+++ b/crates/simulator/tests/same_history/encoding.rs
@@ -5,8 +5,8 @@
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency, Violation};
 use milletpath_simulator::SimulationReport;
 
-fn outcome_number(how: AttemptOutcome) -> u64 {
-    match how {
+fn outcome_number(outcome: AttemptOutcome) -> u64 {
+    match outcome {
         AttemptOutcome::Succeeded => 1,
         AttemptOutcome::Rejected => 2,
         AttemptOutcome::Failed => 3,
@@ -17,8 +17,8 @@
     }
 }
 
-fn effect_number(effect: Idempotency) -> u64 {
-    match effect {
+fn idempotency_number(idempotency: Idempotency) -> u64 {
+    match idempotency {
         Idempotency::Idempotent => 1,
         Idempotency::IdempotentWithKey => 2,
         Idempotency::NonIdempotent => 3,
@@ -34,28 +34,28 @@
 pub fn encode_event(record: &HistoryRecord, digest: &mut Digest) {
     digest.figure(record.at);
     match record.event {
-        HistoryEvent::AttemptSent { call, attempt, gateway, patience } => {
+        HistoryEvent::AttemptSent { call, attempt, gateway, timeout } => {
             numbers(digest, [1, call, u64::from(attempt), gateway as u64]);
-            digest.figure(patience);
+            digest.figure(timeout);
         }
-        HistoryEvent::RequestIssued { call, group, importance, due, effect, fault } => {
-            numbers(digest, [2, call, group as u64, effect_number(effect), optional(fault)]);
+        HistoryEvent::RequestIssued { call, group, importance, latency_objective, idempotency, fault } => {
+            numbers(digest, [2, call, group as u64, idempotency_number(idempotency), optional(fault)]);
             digest.figure(importance);
-            digest.figure(due);
+            digest.figure(latency_objective);
         }
-        HistoryEvent::AttemptEnded { call, attempt, gateway, how } => {
-            numbers(digest, [3, call, u64::from(attempt), gateway as u64, outcome_number(how)]);
+        HistoryEvent::AttemptEnded { call, attempt, gateway, outcome } => {
+            numbers(digest, [3, call, u64::from(attempt), gateway as u64, outcome_number(outcome)]);
         }
         HistoryEvent::AttemptReceived { call, attempt, gateway, worker, work } => {
             numbers(digest, [4, call, u64::from(attempt), gateway as u64, worker as u64]);
             digest.figure(work);
         }
         HistoryEvent::AttemptFinished { gateway, worker } => {
-            numbers(digest, [5, gateway as u64, worker as u64])
+            numbers(digest, [5, gateway as u64, worker as u64]);
         }
         HistoryEvent::RequestExecuted { call, worker } => numbers(digest, [6, call, worker as u64]),
         HistoryEvent::LoadRequested { gateway, worker } => {
-            numbers(digest, [7, gateway as u64, worker as u64])
+            numbers(digest, [7, gateway as u64, worker as u64]);
         }
         HistoryEvent::WorkerStarted { worker, capacity, warm } => {
             numbers(digest, [8, worker as u64, u64::from(warm)]);
@@ -69,9 +69,11 @@
         HistoryEvent::GatewayPaused { gateway } => numbers(digest, [12, gateway as u64]),
         HistoryEvent::GatewayResumed { gateway } => numbers(digest, [13, gateway as u64]),
         HistoryEvent::DatagramSent { gateway, bytes } => numbers(digest, [14, gateway as u64, bytes as u64]),
-        HistoryEvent::IncarnationObserved { gateway, life } => numbers(digest, [15, gateway as u64, life]),
-        HistoryEvent::MemberStateReported { gateway, about, life, state } => {
-            numbers(digest, [16, gateway as u64, about as u64, life, u64::from(state)]);
+        HistoryEvent::IncarnationObserved { gateway, incarnation } => {
+            numbers(digest, [15, gateway as u64, incarnation]);
+        }
+        HistoryEvent::MemberStateReported { gateway, about, incarnation, state } => {
+            numbers(digest, [16, gateway as u64, about as u64, incarnation, u64::from(state)]);
         }
         HistoryEvent::LinksHealed => numbers(digest, [17]),
     }
@@ -89,9 +91,9 @@
         what.bytes().for_each(|byte| digest.number(u64::from(byte)));
     }
     let counts = &report.whole;
-    numbers(digest, [counts.calls, counts.handled, counts.late, counts.bounced, counts.terminated]);
-    numbers(digest, [counts.unanswered, counts.tries]);
-    digest.figure(counts.asked);
+    numbers(digest, [counts.calls, counts.succeeded, counts.late, counts.rejected, counts.failed]);
+    numbers(digest, [counts.unanswered, counts.attempts]);
+    digest.figure(counts.importance);
     digest.figure(counts.earned);
     numbers(digest, [report.fetches, report.refusals]);
     digest.figure(report.warm);
