--- a/crates/capacity-model/benches/slopes/town.rs
+++ b/crates/capacity-model/benches/slopes/town.rs
@@ -50,9 +50,9 @@
         (0..SEEDS)
             .map(|n| {
                 let scenario = fleet(gateways, calls);
-                let came = play(&scenario, asked.seed + n, None);
-                let all = came.whole.calls.max(1) as f64;
-                eprintln!("{gateways} gateways, {calls} calls/s: service {:.3}", came.whole.service());
+                let came = play(&scenario, asked.seed + n);
+                let all = came.counts.calls.max(1) as f64;
+                eprintln!("{gateways} gateways, {calls} calls/s: service {:.3}", came.counts.service());
                 let (probes, orders) =
                     (came.counters.health_checks as f64 / all, came.counters.load_requests as f64 / all);
                 (probes, orders, connections(&came, scenario.workers), came.fetches as f64 / scenario.seconds)
--- a/crates/history-checker/src/bounds.rs
+++ b/crates/history-checker/src/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on what gateways that share budgets may do together, over the whole fleet. Each bound is the budget and a margin
+//! Bounds on what gateways that share budgets may do together. Each bound is the budget and a margin
 //! that follows from how gateways keep it (`docs/design/shares.md`).
 
 mod bound_report;
@@ -24,7 +24,7 @@
     pub gateways: usize,
     /// The limit on load requests of each gateway; that of the fleet is the sum. None where they are not limited.
     pub load_rate_limit: Option<WindowLimit>,
-    /// The limit on retries of the whole fleet.
+    /// The limit on retries of the fleet.
     pub retry_limit: Option<WindowLimit>,
     /// The calls a second that each client group may have executed, over all gateways.
     pub rate_ceilings: Vec<Option<f64>>,
--- a/crates/history-checker/src/bounds/load_requests.rs
+++ b/crates/history-checker/src/bounds/load_requests.rs
@@ -1,4 +1,4 @@
-//! Load requests of the whole fleet within any window.
+//! Load requests of all gateways together within any window.
 
 use super::shared_window::{SharedWindow, WindowUse};
 use super::{BoundReport, SharedBudgetBounds};
--- a/crates/history-checker/src/bounds/retries.rs
+++ b/crates/history-checker/src/bounds/retries.rs
@@ -1,4 +1,4 @@
-//! Retries of the whole fleet within any window: attempts that workers received beyond the first for each attempt of a
+//! Retries of all gateways together within any window: attempts that workers received beyond the first for each attempt of a
 //! client.
 
 use super::shared_window::{SharedWindow, WindowUse};
@@ -7,7 +7,7 @@
 use crate::window_limit::WindowLimit;
 use std::collections::BTreeSet;
 
-/// The bound by the limit of the whole fleet.
+/// The bound by the limit of the fleet.
 pub(super) fn bound(
     records: &[HistoryRecord],
     budgets: &SharedBudgetBounds,
--- a/crates/history-checker/src/bounds/shared_window.rs
+++ b/crates/history-checker/src/bounds/shared_window.rs
@@ -28,7 +28,7 @@
 }
 
 impl SharedWindow {
-    /// The limit of the whole fleet, and the part of one gateway.
+    /// Starts with the limit of the fleet and the part of one gateway.
     pub fn new(limit: WindowLimit, part: f64, tolerance: f64) -> Self {
         let [accepted, used, killed] = [(); 3].map(|()| SlidingWindow::default());
         Self { limit, part, tolerance, accepted, used, killed }
--- a/crates/history-checker/src/rule_parameters.rs
+++ b/crates/history-checker/src/rule_parameters.rs
@@ -9,7 +9,7 @@
     pub drain_grace: f64,
     /// Rule 4: the part of its capacity that a worker has at its start, from 0 to 1.
     pub initial_capacity: f64,
-    /// Rule 4: seconds until a worker has its whole capacity.
+    /// Rule 4: seconds until a worker has its full capacity.
     pub warm_up: f64,
     /// Rule 4: a warming worker fails when it is sent more than this multiple of its present capacity,
     pub overload_multiple: f64,
--- a/crates/milletpath/tests/architecture.rs
+++ b/crates/milletpath/tests/architecture.rs
@@ -20,7 +20,7 @@
 const BINARY: &str = "milletpath";
 
 /// Packages whose modules still depend on each other in a circle; issue *Readers, the rest* ends that.
-const CIRCULAR: [&str; 3] = ["capacity-model", "milletpath", "simulator"];
+const CIRCULAR: [&str; 2] = ["capacity-model", "milletpath"];
 
 type Graph = BTreeMap<String, BTreeSet<String>>;
 
--- a/crates/simulator/examples/fleet.rs
+++ b/crates/simulator/examples/fleet.rs
@@ -1,10 +1,11 @@
-//! Plays a day in simulated time with other numbers of gateways: service, fetches, refusals of the store, over seeds from 1.
-//! `cargo run --release -p milletpath-simulator --example fleet -- days/town.hcl 10 1 24`: a day, seeds, numbers of gateways. Each
-//! is played sharing nothing and, where there are several, sharing.
+//! Plays a scenario in simulated time with other numbers of gateways: service, fetches, and fetches that the store rejected,
+//! over the seeds. `cargo run --release -p milletpath-simulator --example fleet -- days/town.hcl 10 1 24`: a scenario, seeds,
+//! numbers of gateways. Each is played without shared budgets and, where there are several gateways, with them.
 
 mod options;
 
-use milletpath_simulator::play;
+use milletpath_emulator::scenario_file::Scenario;
+use milletpath_simulator::{SimulationReport, play};
 use options::Options;
 use std::process::ExitCode;
 
@@ -12,31 +13,32 @@
     let Some(Options { scenario, seeds, gateways }) = options::read() else { return ExitCode::from(2) };
     println!("gateways  sharing  service  fetches  refusals  warm    bytes/s  rules broken");
     let sizes = if gateways.is_empty() { vec![scenario.gateways] } else { gateways };
-    let both =
-        sizes.into_iter().flat_map(|n| if n > 1 { vec![(n, false), (n, true)] } else { vec![(n, false)] });
-    for (gateways, sharing) in both {
-        let came: Vec<_> = (1..=seeds)
-            .map(|seed| {
-                let mut scenario = scenario.clone();
-                (scenario.gateways, scenario.sharing) = (gateways, sharing);
-                play(&scenario, seed, None)
-            })
-            .collect();
-        let mean = |of: &dyn Fn(&milletpath_simulator::SimulationReport) -> f64| {
-            came.iter().map(of).sum::<f64>() / seeds as f64
-        };
-        println!(
-            "{gateways:>8} {sharing:>8} {:>8.4} {:>8.0} {:>9.0} {:>7.4} {:>8.0} {:>8}",
-            mean(&|c| c.whole.service()),
-            mean(&|c| c.fetches as f64),
-            mean(&|c| c.refusals as f64),
-            mean(&|c| c.warm),
-            mean(&|c| c.bytes),
-            came.iter().map(|c| c.broken.len()).sum::<usize>(),
-        );
-        for b in came.iter().flat_map(|c| &c.broken).take(3) {
-            println!("  rule {} at {:.3} s: {}", b.rule, b.at, b.what);
+    for gateways in sizes {
+        print_line(&Scenario { gateways, sharing: false, ..scenario.clone() }, seeds);
+        if gateways > 1 {
+            print_line(&Scenario { gateways, sharing: true, ..scenario.clone() }, seeds);
         }
     }
     ExitCode::SUCCESS
 }
+
+fn print_line(scenario: &Scenario, seeds: u64) {
+    /// Violations that are printed in full.
+    const MAX_PRINTED: usize = 3;
+    let reports: Vec<_> = (1..=seeds).map(|seed| play(scenario, seed)).collect();
+    let mean = |figure: fn(&SimulationReport) -> f64| reports.iter().map(figure).sum::<f64>() / seeds as f64;
+    println!(
+        "{:>8} {:>8} {:>8.4} {:>8.0} {:>9.0} {:>7.4} {:>8.0} {:>8}",
+        scenario.gateways,
+        scenario.sharing,
+        mean(|report| report.counts.service()),
+        mean(|report| report.fetches as f64),
+        mean(|report| report.rejected_fetches as f64),
+        mean(|report| report.warm_share),
+        mean(|report| report.bytes_per_second),
+        reports.iter().map(|report| report.violations.len()).sum::<usize>(),
+    );
+    for violation in reports.iter().flat_map(|report| &report.violations).take(MAX_PRINTED) {
+        println!("  rule {} at {:.3} s: {}", violation.rule, violation.at, violation.what);
+    }
+}
--- a/crates/simulator/examples/slow_start.rs
+++ b/crates/simulator/examples/slow_start.rs
@@ -1,9 +1,10 @@
-//! What all gateways together send cold workers, against what those can take: the largest sum of any window in each day,
-//! beyond the budget, in parts of what is put down to chance. `cargo run --release -p milletpath-simulator --example cold --
-//! days/cold-fleet.hcl 200 20 30`: a day, seeds, numbers of gateways.
+//! What all gateways together send warming workers, against what those can take: the fullest window of each run, over the
+//! seeds. `cargo run --release -p milletpath-simulator --example slow_start -- days/cold-fleet.hcl 200 20 30`: a scenario,
+//! seeds, numbers of gateways.
 
 mod options;
 
+use milletpath_emulator::scenario_file::Scenario;
 use milletpath_simulator::{SlowStartReport, play, slow_start_report};
 use options::Options;
 use std::process::ExitCode;
@@ -14,33 +15,33 @@
         "gateways  service  part of the budget: median  9 in 10  most  of the bound: median  9 in 10  most  past it"
     );
     for gateways in gateways {
-        let mut scenario = scenario.clone();
-        scenario.gateways = gateways;
-        let mut service = 0.0;
-        let mut worst: Vec<SlowStartReport> = Vec::new();
-        for seed in 1..=seeds {
-            let came = play(&scenario, seed, None);
-            service += came.whole.service();
-            worst.push(slow_start_report(&scenario, &came.records));
-        }
-        let sorted = |of: &dyn Fn(&SlowStartReport) -> f64| {
-            let mut all: Vec<f64> = worst.iter().map(of).collect();
-            all.sort_by(f64::total_cmp);
-            let at = |part: f64| all[(part * (all.len() - 1) as f64) as usize];
-            [at(0.5), at(0.9), at(1.0)]
-        };
-        let (budget, bound) = (sorted(&|c| c.of_budget), sorted(&|c| c.of_bound));
-        let past = worst.iter().filter(|c| c.of_bound > 1.0).count();
-        println!(
-            "{gateways:>8} {:>8.4} {:>27.3} {:>8.3} {:>5.3} {:>21.3} {:>8.3} {:>5.3} {past:>8}",
-            service / seeds as f64,
-            budget[0],
-            budget[1],
-            budget[2],
-            bound[0],
-            bound[1],
-            bound[2],
-        );
+        let scenario = Scenario { gateways, ..scenario.clone() };
+        print_line(&scenario, seeds);
     }
     ExitCode::SUCCESS
 }
+
+fn print_line(scenario: &Scenario, seeds: u64) {
+    let mut service = 0.0;
+    let mut loads: Vec<SlowStartReport> = Vec::new();
+    for seed in 1..=seeds {
+        let report = play(scenario, seed);
+        service += report.counts.service();
+        loads.push(slow_start_report(scenario, &report.records));
+    }
+    let [budget_median, budget_p90, budget_most] = quantiles(loads.iter().map(|load| load.of_budget));
+    let [bound_median, bound_p90, bound_most] = quantiles(loads.iter().map(|load| load.of_bound));
+    let past_bound = loads.iter().filter(|load| load.of_bound > 1.0).count();
+    let (gateways, service) = (scenario.gateways, service / seeds as f64);
+    println!(
+        "{gateways:>8} {service:>8.4} {budget_median:>27.3} {budget_p90:>8.3} {budget_most:>5.3} \
+         {bound_median:>21.3} {bound_p90:>8.3} {bound_most:>5.3} {past_bound:>8}",
+    );
+}
+
+/// The median, the value that nine in ten do not exceed, and the greatest.
+fn quantiles(values: impl Iterator<Item = f64>) -> [f64; 3] {
+    let mut values: Vec<f64> = values.collect();
+    values.sort_by(f64::total_cmp);
+    [0.5, 0.9, 1.0].map(|quantile| values[(quantile * (values.len() - 1) as f64) as usize])
+}
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -1,111 +1,150 @@
-//! Clients in simulated time, with the manners of those on sockets: open loop, patient for so long, and with tries of
-//! their own where that does no harm.
+//! Clients in simulated time, which behave as those on sockets do: they do not wait for one call before the next, each
+//! attempt has a timeout, and they retry where a second execution does no harm.
 
-use crate::simulation::{Event, NETWORK_DELAY, Simulation};
-use milletpath_emulator::traffic::PlannedRequest;
+use crate::context::Context;
+use crate::event::{ClientAttempt, ClientInput, Event, GatewayInput};
+use milletpath_emulator::clients::weights;
+use milletpath_emulator::traffic::{self, PlannedRequest};
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, Idempotency};
 use rand::Rng;
 
-/// One call, and the try that is under way.
-pub(crate) struct Call {
-    pub planned: PlannedRequest,
+/// One call, and its attempt that is open.
+struct Call {
+    planned: PlannedRequest,
     attempt: u32,
     ended: bool,
-    /// A worker ran it.
-    ran: bool,
-    receipted: bool,
 }
 
-impl Call {
-    pub fn new(planned: PlannedRequest, receipted: bool) -> Self {
-        Self { planned, attempt: 0, ended: true, ran: false, receipted }
+pub(crate) struct Clients {
+    calls: Vec<Call>,
+    /// The part of the attempts that the front layer gives each gateway.
+    gateway_weights: Vec<f64>,
+}
+
+impl Clients {
+    /// Plans all calls of the scenario and schedules their first attempts.
+    pub fn new(context: &mut Context, seed: u64) -> Self {
+        let planned = traffic::plan(&context.scenario, seed);
+        for (call, planned) in planned.iter().enumerate() {
+            let attempt = ClientAttempt { call, number: 0 };
+            context.schedule(planned.at, Event::Client(ClientInput::SendAttempt(attempt)));
+        }
+        let call = |planned| Call { planned, attempt: 0, ended: true };
+        Self {
+            calls: planned.into_iter().map(call).collect(),
+            gateway_weights: weights(context.scenario.gateways, context.scenario.uneven),
+        }
     }
 
-    /// Whether a worker that begins it has an effect, and no repeat that it knows.
-    pub fn runs(&mut self) -> bool {
-        !(std::mem::replace(&mut self.ran, true) && self.receipted)
+    pub fn planned(&self, call: usize) -> &PlannedRequest {
+        &self.calls[call].planned
     }
-}
 
-impl Simulation<'_> {
-    /// Seconds that the client waits for a try that begins now.
-    pub(crate) fn patience(&self, call: usize, attempt: u32) -> f64 {
-        let planned = &self.calls[call].planned;
-        let left = self.scenario.profiles[planned.profile].deadline - (self.now - planned.at);
-        if attempt == 0 { planned.timeout } else { planned.timeout.min(left) }
+    /// Whether the current attempt of a call has not ended.
+    pub fn is_open(&self, call: usize) -> bool {
+        !self.calls[call].ended
     }
 
-    /// A gateway by the front layer's weights.
-    fn pick(&mut self) -> usize {
-        let mut left = self.chance.random_range(0.0..self.weights.iter().sum::<f64>());
-        let found = self.weights.iter().position(|w| {
-            left -= w;
-            left < 0.0
-        });
-        found.unwrap_or(0)
+    /// Seconds that the client waits for an attempt that begins now.
+    pub fn timeout(&self, context: &Context, attempt: ClientAttempt) -> f64 {
+        let planned = self.planned(attempt.call);
+        if attempt.number == 0 {
+            return planned.timeout;
+        }
+        let deadline = context.scenario.profiles[planned.profile].deadline;
+        planned.timeout.min(deadline - (context.now - planned.at))
     }
 
-    pub(crate) fn ask(&mut self, call: usize, attempt: u32) {
-        /// Seconds past its patience after which a client goes.
-        const CHECKER_TOLERANCE: f64 = 0.05;
-        let planned = &self.calls[call].planned;
-        let profile = &self.scenario.profiles[planned.profile];
-        let (due, effect, importance) = (profile.latency_objective, profile.effect, profile.importance);
-        let (group, fault, leaves) = (planned.group, planned.fault, planned.leaves);
-        if attempt == 0 {
-            self.note(HistoryEvent::RequestIssued {
-                call: call as u64,
-                group,
-                importance,
-                latency_objective: due,
-                idempotency: effect,
-                fault,
-            });
+    /// Sends an attempt, unless no time is left for it.
+    pub fn send_attempt(&mut self, context: &mut Context, attempt: ClientAttempt) {
+        let ClientAttempt { call, number } = attempt;
+        if number == 0 {
+            self.record_call(context, call);
         }
-        let patience = self.patience(call, attempt);
-        if patience <= 0.0 {
+        let timeout = self.timeout(context, attempt);
+        if timeout <= 0.0 {
             return;
         }
-        let gateway = self.pick();
-        self.note(HistoryEvent::AttemptSent { call: call as u64, attempt, gateway, timeout: patience });
-        (self.calls[call].attempt, self.calls[call].ended) = (attempt, false);
-        self.put(self.now + NETWORK_DELAY, Event::Arrive(call, attempt, gateway));
-        match leaves.filter(|_| attempt == 0) {
-            Some(after) => self.put(self.now + after, Event::Leaves(call, attempt, gateway)),
+        let gateway = self.choose_gateway(context);
+        context.record(HistoryEvent::AttemptSent { call: call as u64, attempt: number, gateway, timeout });
+        let state = &mut self.calls[call];
+        (state.attempt, state.ended) = (number, false);
+        let input = GatewayInput::RequestArrives(attempt);
+        context.send(Event::Gateway { gateway, input });
+        self.schedule_end(context, attempt, gateway, timeout);
+    }
+
+    fn record_call(&self, context: &mut Context, call: usize) {
+        let planned = self.planned(call);
+        let profile = &context.scenario.profiles[planned.profile];
+        let event = HistoryEvent::RequestIssued {
+            call: call as u64,
+            group: planned.group,
+            importance: profile.importance,
+            latency_objective: profile.latency_objective,
+            idempotency: profile.effect,
+            fault: planned.fault,
+        };
+        context.record(event);
+    }
+
+    /// A gateway at random, by the front layer's weights.
+    fn choose_gateway(&self, context: &mut Context) -> usize {
+        let mut left = context.rng.random_range(0.0..self.gateway_weights.iter().sum::<f64>());
+        let found = self.gateway_weights.iter().position(|weight| {
+            left -= weight;
+            left < 0.0
+        });
+        found.unwrap_or(0)
+    }
+
+    /// Schedules the end of an attempt to which nobody answers: the client cancels it or gives up.
+    fn schedule_end(&self, context: &mut Context, attempt: ClientAttempt, gateway: usize, timeout: f64) {
+        /// Seconds past its timeout after which a client gives up.
+        const TIMEOUT_MARGIN: f64 = 0.05;
+        match self.planned(attempt.call).leaves.filter(|_| attempt.number == 0) {
+            Some(after) => {
+                context.schedule_in(after, Event::Client(ClientInput::Cancel { attempt, gateway }));
+            }
             None => {
-                let end = self.now + patience + CHECKER_TOLERANCE;
-                self.put(end, Event::Answered(call, attempt, gateway, AttemptOutcome::Unanswered));
+                let input =
+                    ClientInput::AttemptEnded { attempt, gateway, outcome: AttemptOutcome::Unanswered };
+                let end = context.now + timeout + TIMEOUT_MARGIN;
+                context.schedule(end, Event::Client(input));
             }
         }
     }
 
-    /// A try ended; the first end counts.
-    pub(crate) fn answered(&mut self, call: usize, attempt: u32, gateway: usize, how: AttemptOutcome) {
-        let known = &mut self.calls[call];
-        if known.attempt != attempt || std::mem::replace(&mut known.ended, true) {
+    /// An attempt ended; its first end counts.
+    pub fn attempt_ended(
+        &mut self,
+        context: &mut Context,
+        attempt: ClientAttempt,
+        gateway: usize,
+        outcome: AttemptOutcome,
+    ) {
+        let ClientAttempt { call, number } = attempt;
+        let state = &mut self.calls[call];
+        if state.attempt != number || std::mem::replace(&mut state.ended, true) {
             return;
         }
-        let effect = self.scenario.profiles[known.planned.profile].effect;
-        self.note(HistoryEvent::AttemptEnded { call: call as u64, attempt, gateway, outcome: how });
-        let again = match (how, effect) {
-            (AttemptOutcome::Succeeded | AttemptOutcome::Abandoned, _) => false,
-            (AttemptOutcome::Rejected | AttemptOutcome::Unreachable, _) => true,
-            (_, Idempotency::Idempotent | Idempotency::IdempotentWithKey) => true,
-            (_, Idempotency::NonIdempotent) => false,
-        };
-        if again && attempt < self.scenario.traffic.retries {
-            self.put(self.now + self.scenario.traffic.backoff, Event::Try(call, attempt + 1));
+        context.record(HistoryEvent::AttemptEnded { call: call as u64, attempt: number, gateway, outcome });
+        let effect = context.scenario.profiles[state.planned.profile].effect;
+        if may_retry(outcome, effect) && number < context.scenario.traffic.retries {
+            let next = ClientAttempt { call, number: number + 1 };
+            let backoff = context.scenario.traffic.backoff;
+            context.schedule_in(backoff, Event::Client(ClientInput::SendAttempt(next)));
         }
     }
+}
 
-    pub(crate) fn leaves(&mut self, call: usize, attempt: u32, gateway: usize) {
-        if self.calls[call].ended {
-            return;
-        }
-        let tags = self.dispatchers[gateway].requests(|kept| *kept == (call, attempt));
-        for tag in tags {
-            self.at_dispatcher(gateway, |dispatcher, now| dispatcher.client_gone(now, tag));
+/// Whether a client may send a call again after an attempt that ended so.
+fn may_retry(outcome: AttemptOutcome, effect: Idempotency) -> bool {
+    match outcome {
+        AttemptOutcome::Succeeded | AttemptOutcome::Abandoned => false,
+        AttemptOutcome::Rejected | AttemptOutcome::Unreachable => true,
+        AttemptOutcome::Failed | AttemptOutcome::ConnectionLost | AttemptOutcome::Unanswered => {
+            effect != Idempotency::NonIdempotent
         }
-        self.answered(call, attempt, gateway, AttemptOutcome::Abandoned);
     }
 }
--- a/crates/simulator/src/clocks.rs
+++ b/crates/simulator/src/clocks.rs
@@ -1,42 +1,48 @@
-//! Wall clocks of a day: all are right until one step, and the monotonic clock, which is the day's, runs on.
+//! Wall clocks of the simulated machines: all are right until one step. The monotonic clock is the simulation's own.
 
-/// Which machines' wall clocks a step moves.
+/// The machines whose wall clocks a step moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Machines {
+    /// Those of the gateways.
     Gateways,
+    /// Those of the workers.
     Workers,
-    /// One clock of both.
+    /// All, as on one machine.
     All,
 }
 
-/// A step of wall clocks by so many seconds.
+/// A step of wall clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockStep {
+    /// When, in seconds since the scenario's start.
     pub at: f64,
+    /// Seconds by which the clocks move; below 0 they go back.
     pub by: f64,
+    /// Whose clocks move.
     pub machines: Machines,
 }
 
-/// What a day may have beside its script.
+/// What a simulation may have beside its scenario.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Variation {
+    /// A step of wall clocks.
     pub clock_step: Option<ClockStep>,
-    /// A process that begins anew has the address of the one before it.
+    /// A worker's new process has the address of the former one.
     pub same_address: bool,
 }
 
 impl Variation {
-    /// The wall clock of a gateway.
+    /// The wall clock of a gateway at a time of the simulation, in seconds.
     pub(crate) fn gateway_time(&self, now: f64) -> f64 {
         self.unix_time(now, Machines::Workers)
     }
 
-    /// The wall clock of a worker.
+    /// The wall clock of a worker at a time of the simulation, in seconds.
     pub(crate) fn worker_time(&self, now: f64) -> f64 {
         self.unix_time(now, Machines::Gateways)
     }
 
-    /// A wall clock that a step of the others' alone leaves as it is.
+    /// A wall clock that a step of `others` alone leaves as it is.
     fn unix_time(&self, now: f64, others: Machines) -> f64 {
         let step = self.clock_step.filter(|step| step.machines != others && now >= step.at);
         now + step.map_or(0.0, |step| step.by)
--- /dev/null
+++ b/crates/simulator/src/context.rs
@@ -0,0 +1,62 @@
+//! What all parts of a simulation need: the scenario, the clock and the queue of events, the history, random numbers.
+
+use crate::clocks::Variation;
+use crate::event::Event;
+use crate::event_queue::EventQueue;
+use milletpath_emulator::scenario_file::Scenario;
+use milletpath_history_checker::{HistoryEvent, HistoryRecord};
+use rand::SeedableRng;
+use rand::seq::SliceRandom;
+use rand_chacha::ChaCha8Rng;
+
+/// Seconds that a message takes from one process to another: what loopback and a busy machine add.
+const NETWORK_DELAY: f64 = 0.0003;
+
+pub(crate) struct Context {
+    pub scenario: Scenario,
+    pub variation: Variation,
+    /// Seconds since the scenario's start.
+    pub now: f64,
+    pub events: EventQueue,
+    pub records: Vec<HistoryRecord>,
+    pub rng: ChaCha8Rng,
+}
+
+impl Context {
+    pub fn new(scenario: &Scenario, seed: u64, variation: Variation) -> Self {
+        const STREAM: u64 = 0x7011;
+        Self {
+            scenario: scenario.clone(),
+            variation,
+            now: 0.0,
+            events: EventQueue::default(),
+            records: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ STREAM),
+        }
+    }
+
+    pub fn record(&mut self, event: HistoryEvent) {
+        self.records.push(HistoryRecord { at: self.now, event });
+    }
+
+    pub fn schedule(&mut self, at: f64, event: Event) {
+        self.events.schedule(at, event);
+    }
+
+    pub fn schedule_in(&mut self, seconds: f64, event: Event) {
+        self.schedule(self.now + seconds, event);
+    }
+
+    /// Sends a message from one process to another: the event that it is there comes after the network's delay.
+    pub fn send(&mut self, event: Event) {
+        self.schedule_in(NETWORK_DELAY, event);
+    }
+
+    /// Chooses a part of `count` things at random, one at least.
+    pub fn choose(&mut self, count: usize, part: f64) -> Vec<usize> {
+        let mut numbers: Vec<_> = (0..count).collect();
+        numbers.shuffle(&mut self.rng);
+        numbers.truncate(((count as f64 * part).round() as usize).max(1));
+        numbers
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/endpoint_list.rs
@@ -0,0 +1,60 @@
+//! The registry's endpoint list: its entries, and the changes of which it notifies all gateways.
+
+use crate::context::Context;
+use crate::event::{Event, WorkerProcess};
+use milletpath_emulator::scenario;
+use milletpath_history_checker::HistoryEvent;
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
+use std::net::SocketAddr;
+
+pub(crate) struct EndpointList {
+    /// By worker.
+    entries: Vec<EndpointEntry>,
+}
+
+impl EndpointList {
+    /// The endpoints of workers that started long ago.
+    pub fn new(workers: usize) -> Self {
+        let entry = |worker| entry(WorkerProcess { worker, number: 0 }, None);
+        Self { entries: (0..workers).map(entry).collect() }
+    }
+
+    pub fn entries(&self) -> &[EndpointEntry] {
+        &self.entries
+    }
+
+    /// Sets the state of some workers.
+    pub fn set_status(&mut self, context: &mut Context, workers: &[usize], status: EndpointStatus) {
+        workers.iter().for_each(|worker| self.entries[*worker].state = status);
+        self.announce(context, workers);
+    }
+
+    /// A worker's new process registers: ready, and at an address of its own unless the variation keeps the former one.
+    pub fn register(&mut self, context: &mut Context, process: WorkerProcess) {
+        let started = context.variation.worker_time(context.now);
+        let number = if context.variation.same_address { 0 } else { process.number };
+        self.entries[process.worker] = entry(WorkerProcess { number, ..process }, Some(started));
+        self.announce(context, &[process.worker]);
+    }
+
+    /// Notifies all gateways of the entries of some workers.
+    fn announce(&self, context: &mut Context, workers: &[usize]) {
+        for gateway in 0..context.scenario.gateways {
+            for &worker in workers {
+                let ready = self.entries[worker].state == EndpointStatus::Ready;
+                context.record(HistoryEvent::EndpointNotified { gateway, worker, ready });
+            }
+        }
+        let entries = workers.iter().map(|worker| self.entries[*worker].clone()).collect();
+        context.send(Event::EndpointsChanged(entries));
+    }
+}
+
+fn entry(process: WorkerProcess, started: Option<f64>) -> EndpointEntry {
+    EndpointEntry { address: address(process), ..scenario::entry(process.worker, started) }
+}
+
+/// The address of a worker's process: another process has another one.
+fn address(WorkerProcess { worker, number }: WorkerProcess) -> SocketAddr {
+    SocketAddr::from(([10, (number % 250) as u8, (worker / 250) as u8, (worker % 250) as u8], 80))
+}
--- /dev/null
+++ b/crates/simulator/src/event.rs
@@ -0,0 +1,127 @@
+//! What happens at a time, by the part of the simulation that it happens at.
+
+use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
+use milletpath_history_checker::AttemptOutcome;
+use milletpath_policy::{LoadReport, Outcome};
+use milletpath_protocol::registry::EndpointEntry;
+
+/// An attempt of a client: its call, and its number within the call, from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ClientAttempt {
+    pub call: usize,
+    pub number: u32,
+}
+
+/// An attempt of a gateway at a worker: the gateway's request, and the number of the attempt within it.
+#[derive(Clone, Copy)]
+pub(crate) struct GatewayAttempt {
+    pub gateway: usize,
+    pub request: RequestId,
+    pub number: usize,
+}
+
+/// A load request of a gateway.
+#[derive(Clone, Copy)]
+pub(crate) struct LoadRequest {
+    pub gateway: usize,
+    pub id: RequestId,
+}
+
+/// A process of a worker. What was sent to a former process reaches nobody.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) struct WorkerProcess {
+    pub worker: usize,
+    /// Counts the worker's processes from 0.
+    pub number: u64,
+}
+
+pub(crate) enum Event {
+    Client(ClientInput),
+    Gateway {
+        gateway: usize,
+        input: GatewayInput,
+    },
+    Worker {
+        process: WorkerProcess,
+        input: WorkerInput,
+    },
+    Fault(FaultEvent),
+    /// Changes of the endpoint list reach all gateways.
+    EndpointsChanged(Vec<EndpointEntry>),
+    /// The registry confirms to all gateways that the endpoint list is as it was.
+    EndpointsConfirmed,
+}
+
+pub(crate) enum ClientInput {
+    SendAttempt(ClientAttempt),
+    /// An answer arrives, or the timeout passes.
+    AttemptEnded {
+        attempt: ClientAttempt,
+        gateway: usize,
+        outcome: AttemptOutcome,
+    },
+    /// The client closes its connection.
+    Cancel {
+        attempt: ClientAttempt,
+        gateway: usize,
+    },
+}
+
+pub(crate) enum GatewayInput {
+    RequestArrives(ClientAttempt),
+    /// A timer of the dispatcher is due.
+    Timer,
+    AttemptEnded {
+        attempt: GatewayAttempt,
+        result: AttemptResult,
+    },
+    LoadRequestEnded {
+        id: RequestId,
+        outcome: Outcome,
+        instances: u8,
+    },
+    HealthCheckEnded {
+        worker: usize,
+        serial: u64,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    },
+    /// A timer of the budgets that gateways share is due.
+    BudgetTimer,
+    /// A message about shared budgets arrives from the process of another gateway.
+    BudgetMessage {
+        sender: u64,
+        bytes: Vec<u8>,
+    },
+}
+
+pub(crate) enum WorkerInput {
+    /// A timer of the worker's model is due.
+    Timer,
+    /// The store has answered a fetch.
+    FetchEnded {
+        load: u64,
+        succeeded: bool,
+    },
+    AttemptArrives(GatewayAttempt),
+    LoadRequestArrives {
+        request: LoadRequest,
+        function: u32,
+        instances: u8,
+    },
+    HealthCheckArrives {
+        gateway: usize,
+        serial: u64,
+    },
+}
+
+/// Events of a fault, by its number in the scenario.
+pub(crate) enum FaultEvent {
+    Begins(usize),
+    /// The next step of a fault that takes several.
+    Step {
+        fault: usize,
+        step: usize,
+    },
+    Ends(usize),
+}
--- /dev/null
+++ b/crates/simulator/src/gateways.rs
@@ -0,0 +1,235 @@
+//! Gateways in simulated time: a dispatcher each, whose actions become messages.
+
+use crate::clients::Clients;
+use crate::context::Context;
+use crate::event::{
+    ClientAttempt, ClientInput, Event, GatewayAttempt, GatewayInput, LoadRequest, WorkerInput,
+};
+use crate::workers::Workers;
+use milletpath_config::GatewayConfig;
+use milletpath_dispatcher::dispatcher::{
+    Action, AttemptResult, Counters, Dispatcher, IncomingRequest, RequestId,
+};
+use milletpath_history_checker::AttemptOutcome;
+use milletpath_protocol::registry::EndpointEntry;
+
+/// A dispatcher that knows each request by its client's attempt.
+pub(crate) type SimulatedDispatcher = Dispatcher<ClientAttempt>;
+
+struct Gateway {
+    dispatcher: SimulatedDispatcher,
+    /// When its timer is due; infinite where none is set.
+    timer: f64,
+}
+
+pub(crate) struct Gateways(Vec<Gateway>);
+
+impl Gateways {
+    pub fn new(configs: &[GatewayConfig]) -> Self {
+        let gateway = |config| Gateway { dispatcher: Dispatcher::new(config, 0.0), timer: f64::INFINITY };
+        Self(configs.iter().map(gateway).collect())
+    }
+
+    pub fn count(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Attempts, load requests and health checks of all gateways.
+    pub fn counters(&self) -> Counters {
+        let mut sum = Counters::default();
+        for counters in self.0.iter().map(|gateway| gateway.dispatcher.counters()) {
+            sum.attempts += counters.attempts;
+            sum.load_requests += counters.load_requests;
+            sum.health_checks += counters.health_checks;
+        }
+        sum
+    }
+
+    /// Gives a gateway the complete endpoint list as it starts.
+    pub fn start(
+        &mut self,
+        context: &mut Context,
+        workers: &mut Workers,
+        gateway: usize,
+        entries: &[EndpointEntry],
+    ) {
+        self.0[gateway].dispatcher.update_endpoints(0.0, true, entries);
+        self.carry_out(context, workers, gateway);
+    }
+
+    /// Gives a gateway's dispatcher an input, after all that is due there, and carries out what it decides.
+    pub fn input<R>(
+        &mut self,
+        context: &mut Context,
+        workers: &mut Workers,
+        gateway: usize,
+        input: impl FnOnce(&mut SimulatedDispatcher, f64) -> R,
+    ) -> R {
+        let now = context.now;
+        let dispatcher = &mut self.0[gateway].dispatcher;
+        if dispatcher.next_deadline().is_some_and(|deadline| deadline <= now) {
+            dispatcher.advance(now);
+        }
+        let result = input(dispatcher, now);
+        self.carry_out(context, workers, gateway);
+        result
+    }
+
+    /// The client's attempt that a request stands for, as long as it is open.
+    pub fn client_attempt(&mut self, gateway: usize, request: RequestId) -> Option<ClientAttempt> {
+        self.0[gateway].dispatcher.context(request).copied()
+    }
+
+    /// The timer of a gateway's dispatcher is due, unless it was set to another time since.
+    pub fn timer_due(&mut self, context: &mut Context, workers: &mut Workers, gateway: usize) {
+        if self.0[gateway].timer <= context.now {
+            self.0[gateway].timer = f64::INFINITY;
+            self.input(context, workers, gateway, |_, _| ());
+        }
+    }
+
+    /// A client's attempt arrives.
+    pub fn request_arrives(
+        &mut self,
+        context: &mut Context,
+        workers: &mut Workers,
+        clients: &Clients,
+        gateway: usize,
+        attempt: ClientAttempt,
+    ) {
+        let planned = clients.planned(attempt.call);
+        let incoming = IncomingRequest {
+            function: &planned.function,
+            profile: planned.profile,
+            client: planned.group,
+            timeout: clients.timeout(context, attempt),
+            is_retry: attempt.number > 0,
+            resources: None,
+        };
+        let submit = |dispatcher: &mut SimulatedDispatcher, now| dispatcher.submit(now, incoming, attempt);
+        if self.input(context, workers, gateway, submit).is_none() {
+            answer(context, gateway, attempt, AttemptOutcome::Rejected);
+        }
+    }
+
+    /// A client has closed the connection of its attempt.
+    pub fn client_gone(
+        &mut self,
+        context: &mut Context,
+        workers: &mut Workers,
+        gateway: usize,
+        attempt: ClientAttempt,
+    ) {
+        for request in self.0[gateway].dispatcher.requests(|other| *other == attempt) {
+            self.input(context, workers, gateway, |dispatcher, now| dispatcher.client_gone(now, request));
+        }
+    }
+
+    /// An attempt at a worker has ended; its answer goes to the client where the request is open.
+    pub fn attempt_ended(
+        &mut self,
+        context: &mut Context,
+        workers: &mut Workers,
+        attempt: GatewayAttempt,
+        result: AttemptResult,
+    ) {
+        let GatewayAttempt { gateway, request, number } = attempt;
+        let client_attempt = self.client_attempt(gateway, request);
+        let end = |dispatcher: &mut SimulatedDispatcher, now| {
+            dispatcher.attempt_ended(now, request, number, result)
+        };
+        let is_final = self.input(context, workers, gateway, end);
+        if let Some(client_attempt) = client_attempt.filter(|_| is_final) {
+            answer(context, gateway, client_attempt, AttemptOutcome::Succeeded);
+        }
+    }
+
+    /// Changes of the endpoint list reach all gateways.
+    pub fn endpoints_changed(
+        &mut self,
+        context: &mut Context,
+        workers: &mut Workers,
+        entries: &[EndpointEntry],
+    ) {
+        let unix_time = context.variation.gateway_time(context.now);
+        for gateway in 0..self.count() {
+            self.input(context, workers, gateway, |dispatcher, now| {
+                dispatcher.wall_clock_read(now, unix_time);
+                dispatcher.update_endpoints(now, false, entries);
+            });
+        }
+    }
+
+    /// The registry confirms the endpoint list to all gateways.
+    pub fn endpoints_confirmed(&mut self, now: f64) {
+        self.0.iter_mut().for_each(|gateway| gateway.dispatcher.endpoint_list_confirmed(now));
+    }
+
+    /// Carries out what a dispatcher has decided, and sets its timer.
+    fn carry_out(&mut self, context: &mut Context, workers: &mut Workers, gateway: usize) {
+        while let Some(action) = self.0[gateway].dispatcher.next_action() {
+            self.carry_out_one(context, workers, gateway, action);
+        }
+        let Gateway { dispatcher, timer } = &mut self.0[gateway];
+        if let Some(deadline) = dispatcher.next_deadline().filter(|deadline| *deadline < *timer) {
+            *timer = deadline;
+            let event = Event::Gateway { gateway, input: GatewayInput::Timer };
+            context.schedule(deadline.max(context.now), event);
+        }
+    }
+
+    fn carry_out_one(
+        &mut self,
+        context: &mut Context,
+        workers: &mut Workers,
+        gateway: usize,
+        action: Action,
+    ) {
+        let dispatcher = &mut self.0[gateway].dispatcher;
+        match action {
+            Action::SendAttempt { request, attempt: number, worker } => {
+                if dispatcher.begin_attempt(context.now, request, number) {
+                    let input = WorkerInput::AttemptArrives(GatewayAttempt { gateway, request, number });
+                    context.send(Event::Worker { process: workers.process(worker), input });
+                }
+            }
+            Action::Reject { request, .. } => {
+                self.answer_request(context, gateway, request, AttemptOutcome::Rejected);
+            }
+            Action::Fail { request, .. } => {
+                self.answer_request(context, gateway, request, AttemptOutcome::Failed);
+            }
+            Action::LoadFunction { load_request: id, worker, function, instances } => {
+                let function = workers.function_id(&function);
+                if dispatcher.begin_load_request(context.now, id) {
+                    let request = LoadRequest { gateway, id };
+                    let input = WorkerInput::LoadRequestArrives { request, function, instances };
+                    context.send(Event::Worker { process: workers.process(worker), input });
+                }
+            }
+            Action::HealthCheck { worker, serial } => {
+                let input = WorkerInput::HealthCheckArrives { gateway, serial };
+                context.send(Event::Worker { process: workers.process(worker), input });
+            }
+            // Workers unload by themselves, a cancelled attempt runs to its end, and the endpoint list is sent unasked.
+            Action::UnloadFunction { .. } | Action::CancelAttempt { .. } | Action::WatchEndpoints => {}
+        }
+    }
+
+    /// Sends a client the gateway's own answer.
+    fn answer_request(
+        &mut self,
+        context: &mut Context,
+        gateway: usize,
+        request: RequestId,
+        outcome: AttemptOutcome,
+    ) {
+        if let Some(attempt) = self.client_attempt(gateway, request) {
+            answer(context, gateway, attempt, outcome);
+        }
+    }
+}
+
+fn answer(context: &mut Context, gateway: usize, attempt: ClientAttempt, outcome: AttemptOutcome) {
+    context.send(Event::Client(ClientInput::AttemptEnded { attempt, gateway, outcome }));
+}
--- /dev/null
+++ b/crates/simulator/src/report.rs
@@ -0,0 +1,59 @@
+//! What came of a scenario in simulated time.
+
+use crate::budget_links::BudgetLinks;
+use crate::context::Context;
+use crate::gateways::Gateways;
+use crate::workers::Workers;
+use milletpath_dispatcher::dispatcher::Counters;
+use milletpath_emulator::scenario;
+use milletpath_history_checker::{self as history_checker, HistoryRecord, ServiceCounts, Violation};
+
+/// Seconds by which the rules take an observation to be late: longer than any message is on its way.
+pub(crate) const CHECKER_TOLERANCE: f64 = 0.01;
+
+/// What came of a scenario.
+pub struct SimulationReport {
+    /// The history, in the order of time.
+    pub records: Vec<HistoryRecord>,
+    /// Violations of the rules.
+    pub violations: Vec<Violation>,
+    /// Service of all calls.
+    pub counts: ServiceCounts,
+    /// Fetches that the store accepted,
+    pub fetches: u64,
+    /// and those that it rejected.
+    pub rejected_fetches: u64,
+    /// The part of the jobs done that found an instance loaded.
+    pub warm_share: f64,
+    /// Attempts, load requests and health checks of all gateways.
+    pub counters: Counters,
+    /// Bytes a second that a gateway sent to others about shared budgets.
+    pub bytes_per_second: f64,
+}
+
+impl SimulationReport {
+    /// Checks the history of a simulation that lasted for so many seconds.
+    pub(crate) fn new(
+        context: Context,
+        gateways: &Gateways,
+        workers: &Workers,
+        links: Option<&BudgetLinks>,
+        seconds: f64,
+    ) -> Self {
+        let Context { scenario, records, .. } = context;
+        let bytes = links.map_or(0.0, BudgetLinks::bytes_sent);
+        Self {
+            violations: history_checker::check(
+                &records,
+                &scenario::rule_parameters(&scenario, CHECKER_TOLERANCE),
+            ),
+            counts: history_checker::count_service(&records, &scenario::service_weights(&scenario)).all,
+            fetches: workers.store.fetches,
+            rejected_fetches: workers.store.refusals,
+            warm_share: workers.warm_share(),
+            counters: gateways.counters(),
+            bytes_per_second: bytes / seconds / scenario.gateways as f64,
+            records,
+        }
+    }
+}
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -1,378 +1,313 @@
-//! Workers in simulated time: the stand-ins' engines, and the troubles that befall them.
+//! Workers in simulated time: the emulator's models of a worker and of the store that all workers share.
 
-use crate::simulation::{Event, NETWORK_DELAY, Simulation, place};
-use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
-use milletpath_emulator::scenario;
-use milletpath_emulator::scenario_file::FaultKind;
-use milletpath_emulator::worker_model::{Job, LoadFigures, WorkerEvent, WorkerModel, WorkerSpec};
-use milletpath_history_checker::HistoryEvent;
-use milletpath_policy::{InstanceState, LoadReport, Outcome};
-use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
-use milletpath_protocol::worker as wire;
+use crate::context::Context;
+use crate::event::{
+    ClientAttempt, Event, GatewayAttempt, GatewayInput, LoadRequest, WorkerInput, WorkerProcess,
+};
+use crate::worker::{AcceptedAttempt, Worker, instance_state};
+use milletpath_dispatcher::dispatcher::AttemptResult;
+use milletpath_emulator::store::Store;
+use milletpath_emulator::traffic::PlannedRequest;
+use milletpath_emulator::worker_model::{Job, WorkerEvent, WorkerModel};
+use milletpath_history_checker::{HistoryEvent, Idempotency};
+use milletpath_policy::{InstanceState, Outcome};
+use milletpath_protocol::worker::{InstanceState as WireInstanceState, Rejection};
 use rand::Rng;
-use rand::seq::SliceRandom;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A shot as its worker knows it.
-#[derive(Clone, Copy)]
-struct Held {
-    gateway: usize,
-    tag: RequestId,
-    shot: usize,
-    call: usize,
+/// Jobs that were completed, and those of them that found an instance loaded.
+#[derive(Default)]
+struct CompletedJobs {
+    all: u64,
+    found_loaded: u64,
 }
 
-pub(crate) struct Worker {
-    pub engine: WorkerModel,
-    /// Counts its processes: what was sent to a former one reaches nobody.
-    pub process: u64,
-    alive: bool,
-    jobs: BTreeMap<u64, Held>,
-    orders: BTreeMap<u64, (usize, RequestId)>,
-    /// Part of its shots that it fails at once.
-    fails: f64,
-    pub armed: f64,
+pub(crate) struct Workers {
+    workers: Vec<Worker>,
+    pub store: Store,
+    /// The models' numbers of functions, in the order in which functions were first seen.
+    functions: BTreeMap<String, u32>,
+    /// Calls with an idempotency key that were executed: all workers recognise a repetition.
+    executed_with_key: BTreeSet<usize>,
+    completed: CompletedJobs,
 }
 
-impl Worker {
-    /// One that started long ago.
-    pub fn warm(worker_spec: WorkerSpec) -> Self {
-        Self::new(worker_spec, -worker_spec.warm_up - 1.0, 0)
+impl Workers {
+    /// Workers that started long ago.
+    pub fn new(context: &mut Context) -> Self {
+        let (spec, count) = (context.scenario.worker_spec, context.scenario.workers);
+        let long_ago = -spec.warm_up - 1.0;
+        for worker in 0..count {
+            context.record(HistoryEvent::WorkerStarted {
+                worker,
+                capacity: WorkerModel::capacity(&spec),
+                warm: true,
+            });
+        }
+        Self {
+            workers: (0..count).map(|_| Worker::new(spec, long_ago, 0)).collect(),
+            store: Store::new(context.scenario.store_spec),
+            functions: BTreeMap::new(),
+            executed_with_key: BTreeSet::new(),
+            completed: CompletedJobs::default(),
+        }
     }
 
-    fn new(worker_spec: WorkerSpec, born: f64, process: u64) -> Self {
-        let engine = WorkerModel::new(worker_spec, born);
-        let (jobs, orders) = (BTreeMap::new(), BTreeMap::new());
-        Self { engine, process, alive: true, jobs, orders, fails: 0.0, armed: f64::INFINITY }
+    pub fn count(&self) -> usize {
+        self.workers.len()
     }
-}
 
-fn report(figures: LoadFigures) -> LoadReport {
-    LoadReport {
-        in_flight: Some(figures.held),
-        queued: Some(figures.waiting),
-        utilization: Some(figures.busy),
-        memory: Some(figures.memory),
-        loading: Some(figures.loading),
+    pub fn get_mut(&mut self, worker: usize) -> &mut Worker {
+        &mut self.workers[worker]
     }
-}
 
-fn instance_state(word: wire::InstanceState) -> InstanceState {
-    match word {
-        wire::InstanceState::Loaded => InstanceState::Loaded,
-        wire::InstanceState::LoadStarted => InstanceState::LoadStarted,
-        wire::InstanceState::LoadAwaited => InstanceState::LoadAwaited,
-        wire::InstanceState::LoadFailed => InstanceState::LoadFailed,
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
+        self.workers.iter_mut()
+    }
+
+    /// Functions that were seen.
+    pub fn function_count(&self) -> usize {
+        self.functions.len()
+    }
+
+    /// The models' number of a function.
+    pub fn function_id(&mut self, name: &str) -> u32 {
+        let next = self.functions.len() as u32;
+        *self.functions.entry(name.to_owned()).or_insert(next)
+    }
+
+    /// The process that runs at a worker, or that ran there last.
+    pub fn process(&self, worker: usize) -> WorkerProcess {
+        WorkerProcess { worker, number: self.workers[worker].process }
     }
-}
 
-impl Simulation<'_> {
-    /// Whether a process is there to be reached.
-    fn reached(&self, worker: usize, process: u64) -> bool {
-        self.workers[worker].alive && self.workers[worker].process == process
+    /// The part of the completed jobs that found an instance loaded.
+    pub fn warm_share(&self) -> f64 {
+        self.completed.found_loaded as f64 / self.completed.all.max(1) as f64
     }
 
-    fn back(&mut self, gateway: usize, tag: RequestId, shot: usize, end: AttemptResult) {
-        self.put(self.now + NETWORK_DELAY, Event::Ended { gateway, tag, shot, end });
+    fn is_reachable(&self, process: WorkerProcess) -> bool {
+        self.workers[process.worker].alive && self.process(process.worker) == process
     }
 
-    pub(crate) fn shot(&mut self, gateway: usize, tag: RequestId, shot: usize, worker: usize, process: u64) {
-        let Some((call, attempt)) = self.dispatchers[gateway].context(tag).copied() else { return };
-        if !self.reached(worker, process) {
-            return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Unreachable));
+    /// An attempt of a gateway arrives, for a call as its client planned it.
+    pub fn attempt_arrives(
+        &mut self,
+        context: &mut Context,
+        process: WorkerProcess,
+        attempt: GatewayAttempt,
+        client_attempt: ClientAttempt,
+        planned: &PlannedRequest,
+    ) {
+        if !self.is_reachable(process) {
+            return send_result(context, attempt, AttemptResult::from_outcome(Outcome::Unreachable));
         }
-        let planned = self.calls[call].planned.clone();
-        self.note(HistoryEvent::AttemptReceived {
+        let (worker, gateway) = (process.worker, attempt.gateway);
+        let ClientAttempt { call, number } = client_attempt;
+        let work = planned.work;
+        context.record(HistoryEvent::AttemptReceived {
             call: call as u64,
-            attempt,
+            attempt: number,
             gateway,
             worker,
-            work: planned.work,
+            work,
         });
-        let fails = self.workers[worker].fails;
-        if fails > 0.0 && self.chance.random_bool(fails) {
-            return self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::Failed));
+        let failing = self.workers[worker].failing;
+        if failing > 0.0 && context.rng.random_bool(failing) {
+            return send_result(context, attempt, AttemptResult::from_outcome(Outcome::Failed));
         }
-        let function = self.function(&planned.function);
-        let job = Job {
-            function,
-            function_model: self.scenario.function_model,
-            work: planned.work,
-            io: planned.io,
-        };
-        let id = self.workers[worker].engine.arrive(self.now, job);
-        self.workers[worker].jobs.insert(id, Held { gateway, tag, shot, call });
-        self.listen(worker);
+        let function = self.function_id(&planned.function);
+        let job = Job { function, function_model: context.scenario.function_model, work, io: planned.io };
+        let has_key = context.scenario.profiles[planned.profile].effect == Idempotency::IdempotentWithKey;
+        let state = &mut self.workers[worker];
+        let id = state.model.arrive(context.now, job);
+        state.jobs.insert(id, AcceptedAttempt { attempt, call, has_key });
+        self.carry_out(context, worker);
     }
 
-    pub(crate) fn order(
+    /// A load request arrives; one for no instances only asks how many there are.
+    pub fn load_request_arrives(
         &mut self,
-        gateway: usize,
-        order: RequestId,
-        worker: usize,
-        process: u64,
+        context: &mut Context,
+        process: WorkerProcess,
+        request: LoadRequest,
         function: u32,
-        copies: u8,
+        instances: u8,
     ) {
-        if !self.reached(worker, process) {
-            let next = Event::LoadRequestEnded { gateway, order, outcome: Outcome::Unreachable, copies: 0 };
-            return self.put(self.now + NETWORK_DELAY, next);
+        if !self.is_reachable(process) {
+            return send_load_result(context, request, Outcome::Unreachable, 0);
         }
-        if copies > 0 {
-            self.note(HistoryEvent::LoadRequested { gateway, worker });
+        let worker = process.worker;
+        if instances > 0 {
+            context.record(HistoryEvent::LoadRequested { gateway: request.gateway, worker });
         }
-        let function_model = self.scenario.function_model;
-        let id = self.workers[worker].engine.order(self.now, function, function_model, u32::from(copies));
-        self.workers[worker].orders.insert(id, (gateway, order));
-        self.listen(worker);
+        let state = &mut self.workers[worker];
+        let id =
+            state.model.order(context.now, function, context.scenario.function_model, u32::from(instances));
+        state.load_requests.insert(id, request);
+        self.carry_out(context, worker);
     }
 
-    pub(crate) fn probe(&mut self, gateway: usize, worker: usize, process: u64, serial: u64) {
-        let (outcome, report) = if self.reached(worker, process) {
-            (Outcome::Succeeded, Some(report(self.workers[worker].engine.figures())))
+    /// A health check arrives.
+    pub fn health_check_arrives(
+        &self,
+        context: &mut Context,
+        process: WorkerProcess,
+        gateway: usize,
+        serial: u64,
+    ) {
+        let worker = process.worker;
+        let (outcome, report) = if self.is_reachable(process) {
+            (Outcome::Succeeded, Some(self.workers[worker].load_report()))
         } else {
             (Outcome::Unreachable, None)
         };
-        self.put(
-            self.now + NETWORK_DELAY,
-            Event::HealthCheckEnded { gateway, worker, serial, outcome, report },
-        );
+        let input = GatewayInput::HealthCheckEnded { worker, serial, outcome, report };
+        context.send(Event::Gateway { gateway, input });
     }
 
-    /// Tells an engine something, where that process still runs.
-    pub(crate) fn at_engine(
-        &mut self,
-        worker: usize,
-        process: u64,
-        what: impl FnOnce(&mut WorkerModel, f64),
-    ) {
-        if self.reached(worker, process) {
-            if self.workers[worker].armed <= self.now {
-                self.workers[worker].armed = f64::INFINITY;
-            }
-            what(&mut self.workers[worker].engine, self.now);
-            self.listen(worker);
+    /// The timer of a worker's model is due, unless it was set to another time since.
+    pub fn timer_due(&mut self, context: &mut Context, process: WorkerProcess) {
+        if self.workers[process.worker].timer <= context.now {
+            self.advance(context, process, WorkerModel::turn);
         }
     }
 
-    /// Does what an engine says, and sets its clock.
-    fn listen(&mut self, worker: usize) {
-        let now = self.now;
-        while let Some(say) = self.workers[worker].engine.next_event() {
-            match say {
-                WorkerEvent::Ran { job } => {
-                    let held = self.workers[worker].jobs.get(&job).copied();
-                    // A receipted call's repeat is known to all workers.
-                    if let Some(held) = held.filter(|h| self.calls[h.call].runs()) {
-                        self.note(HistoryEvent::RequestExecuted { call: held.call as u64, worker });
-                    }
-                }
-                WorkerEvent::Done { job, found: word, concurrent_requests } => {
-                    self.warm.0 += u64::from(word == wire::InstanceState::Loaded);
-                    self.warm.1 += 1;
-                    let end = AttemptResult {
-                        instance_state: Some(instance_state(word)),
-                        concurrent_requests: concurrent_requests.into(),
-                        ..AttemptResult::from_outcome(Outcome::Succeeded)
-                    };
-                    self.says(worker, job, end);
-                }
-                WorkerEvent::Refused { job, why, failed_load } => {
-                    let outcome = if why == wire::Rejection::NotLoaded {
-                        Outcome::NotLoaded
-                    } else {
-                        Outcome::Rejected
-                    };
-                    let end = AttemptResult {
-                        instance_state: failed_load.then_some(InstanceState::LoadFailed),
-                        ..AttemptResult::from_outcome(outcome)
-                    };
-                    self.says(worker, job, end);
-                }
-                WorkerEvent::Fetch { load, seconds, .. } => {
-                    /// What is turned away is told in a moment, as over a network.
-                    const MOMENT: f64 = 0.002;
-                    let takes = self.store.fetch(now, seconds);
-                    let process = self.workers[worker].process;
-                    let next = Event::Fetched(worker, process, load, takes.is_some());
-                    self.put(now + takes.unwrap_or(MOMENT), next);
-                }
-                WorkerEvent::Stands { order, copies, failed } => {
-                    if let Some((gateway, order)) = self.workers[worker].orders.remove(&order) {
-                        let outcome = if failed { Outcome::Failed } else { Outcome::Succeeded };
-                        let copies = copies.min(255) as u8;
-                        self.put(
-                            now + NETWORK_DELAY,
-                            Event::LoadRequestEnded { gateway, order, outcome, copies },
-                        );
-                    }
-                }
-                WorkerEvent::Fell => self.dies(worker),
-            }
-        }
-        let w = &mut self.workers[worker];
-        if let Some(next) = w.engine.next().filter(|next| w.alive && *next < w.armed) {
-            w.armed = next;
-            let process = w.process;
-            self.put(next.max(now), Event::WorkerModel(worker, process));
+    /// The store has answered a fetch.
+    pub fn fetch_ended(&mut self, context: &mut Context, process: WorkerProcess, load: u64, succeeded: bool) {
+        if succeeded {
+            self.store.fetched();
         }
+        self.advance(context, process, |model, now| model.fetched(now, load, succeeded));
     }
 
-    /// A shot's answer goes out, with the worker's report.
-    fn says(&mut self, worker: usize, job: u64, end: AttemptResult) {
-        let Some(Held { gateway, tag, shot, .. }) = self.workers[worker].jobs.remove(&job) else { return };
-        let end = AttemptResult { report: Some(report(self.workers[worker].engine.figures())), ..end };
-        self.back(gateway, tag, shot, end);
-    }
-
-    /// A process ends at once: whoever waits for it finds the connection broken.
-    fn dies(&mut self, worker: usize) {
-        self.workers[worker].alive = false;
-        let jobs = std::mem::take(&mut self.workers[worker].jobs);
-        for Held { gateway, tag, shot, .. } in jobs.into_values() {
-            self.back(gateway, tag, shot, AttemptResult::from_outcome(Outcome::ConnectionLost));
+    /// Gives the model of a process an input, where that process still runs.
+    fn advance(
+        &mut self,
+        context: &mut Context,
+        process: WorkerProcess,
+        input: impl FnOnce(&mut WorkerModel, f64),
+    ) {
+        if !self.is_reachable(process) {
+            return;
         }
-        let orders = std::mem::take(&mut self.workers[worker].orders);
-        for (gateway, order) in orders.into_values() {
-            let next =
-                Event::LoadRequestEnded { gateway, order, outcome: Outcome::ConnectionLost, copies: 0 };
-            self.put(self.now + NETWORK_DELAY, next);
+        let state = &mut self.workers[process.worker];
+        if state.timer <= context.now {
+            state.timer = f64::INFINITY;
         }
+        input(&mut state.model, context.now);
+        self.carry_out(context, process.worker);
     }
 
-    /// A new process takes its place: cold, empty, at another address.
-    fn comes_back(&mut self, worker: usize) {
-        let process = self.workers[worker].process + 1;
-        self.workers[worker] = Worker::new(self.scenario.worker_spec, self.now, process);
-        let capacity = WorkerModel::capacity(&self.scenario.worker_spec);
-        self.note(HistoryEvent::WorkerStarted { worker, capacity, warm: false });
-        let stamp = self.variation.worker_time(self.now);
-        let address = place(worker, if self.variation.same_address { 0 } else { process });
-        let entry = EndpointEntry { address, ..scenario::entry(worker, Some(stamp)) };
-        self.entries[worker] = entry.clone();
-        self.told(vec![entry]);
+    /// Carries out what a worker's model has decided, and sets its timer.
+    fn carry_out(&mut self, context: &mut Context, worker: usize) {
+        while let Some(event) = self.workers[worker].model.next_event() {
+            self.carry_out_one(context, worker, event);
+        }
+        let process = self.process(worker);
+        let state = &mut self.workers[worker];
+        if let Some(next) = state.model.next().filter(|next| state.alive && *next < state.timer) {
+            state.timer = next;
+            let event = Event::Worker { process, input: WorkerInput::Timer };
+            context.schedule(next.max(context.now), event);
+        }
     }
 
-    fn told(&mut self, entries: Vec<EndpointEntry>) {
-        for gateway in 0..self.dispatchers.len() {
-            for entry in &entries {
-                let worker = entry.name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-                self.note(HistoryEvent::EndpointNotified {
-                    gateway,
-                    worker,
-                    ready: entry.state == EndpointStatus::Ready,
-                });
+    fn carry_out_one(&mut self, context: &mut Context, worker: usize, event: WorkerEvent) {
+        match event {
+            WorkerEvent::Ran { job } => self.job_started(context, worker, job),
+            WorkerEvent::Done { job, found, concurrent_requests } => {
+                self.completed.found_loaded += u64::from(found == WireInstanceState::Loaded);
+                self.completed.all += 1;
+                let result = AttemptResult {
+                    instance_state: Some(instance_state(found)),
+                    concurrent_requests: concurrent_requests.into(),
+                    ..AttemptResult::from_outcome(Outcome::Succeeded)
+                };
+                self.answer(context, worker, job, result);
+            }
+            WorkerEvent::Refused { job, why, failed_load } => {
+                let outcome =
+                    if why == Rejection::NotLoaded { Outcome::NotLoaded } else { Outcome::Rejected };
+                let result = AttemptResult {
+                    instance_state: failed_load.then_some(InstanceState::LoadFailed),
+                    ..AttemptResult::from_outcome(outcome)
+                };
+                self.answer(context, worker, job, result);
             }
+            WorkerEvent::Fetch { load, seconds, .. } => self.fetch(context, worker, load, seconds),
+            WorkerEvent::Stands { order, copies, failed } => {
+                if let Some(request) = self.workers[worker].load_requests.remove(&order) {
+                    let outcome = if failed { Outcome::Failed } else { Outcome::Succeeded };
+                    send_load_result(context, request, outcome, copies.min(255) as u8);
+                }
+            }
+            WorkerEvent::Fell => self.kill(context, worker),
         }
-        self.put(self.now + NETWORK_DELAY, Event::List(entries));
     }
 
-    fn stands(&mut self, workers: &[usize], state: EndpointStatus) {
-        workers.iter().for_each(|w| self.entries[*w].state = state);
-        let entries = workers.iter().map(|w| self.entries[*w].clone()).collect();
-        self.told(entries);
+    /// A job begins to execute; a repetition that its idempotency key shows has no effect.
+    fn job_started(&mut self, context: &mut Context, worker: usize, job: u64) {
+        let Some(&AcceptedAttempt { call, has_key, .. }) = self.workers[worker].jobs.get(&job) else {
+            return;
+        };
+        let is_repetition = has_key && !self.executed_with_key.insert(call);
+        if !is_repetition {
+            context.record(HistoryEvent::RequestExecuted { call: call as u64, worker });
+        }
     }
 
-    fn some(&mut self, all: usize, part: f64) -> Vec<usize> {
-        let mut numbers: Vec<_> = (0..all).collect();
-        numbers.shuffle(&mut self.chance);
-        numbers.truncate(((all as f64 * part).round() as usize).max(1));
-        numbers
+    /// Answers an attempt, with the worker's load report.
+    fn answer(&mut self, context: &mut Context, worker: usize, job: u64, result: AttemptResult) {
+        let state = &mut self.workers[worker];
+        let Some(AcceptedAttempt { attempt, .. }) = state.jobs.remove(&job) else { return };
+        let report = Some(state.load_report());
+        send_result(context, attempt, AttemptResult { report, ..result });
     }
 
-    pub(crate) fn begins(&mut self, number: usize) {
-        let fault = self.scenario.faults[number].clone();
-        let end = self.now + fault.lasts;
-        let struck = match fault.what {
-            FaultKind::Death
-            | FaultKind::Rolling
-            | FaultKind::Failures
-            | FaultKind::Slowness
-            | FaultKind::Drain => self.some(self.workers.len(), fault.part),
-            _ => Vec::new(),
-        };
-        self.struck.insert(number, struck.clone());
-        match fault.what {
-            FaultKind::Death => {
-                struck.iter().for_each(|w| self.dies(*w));
-                let notice = self.scenario.rules.notification_delay.min(fault.lasts);
-                self.put(self.now + notice, Event::Step(number, 0));
-                self.put(end, Event::Ends(number));
-            }
-            FaultKind::Rolling => {
-                let turn = fault.lasts / struck.len() as f64;
-                for n in 0..struck.len() {
-                    self.put(self.now + turn * n as f64, Event::Step(number, 3 * n));
-                }
-            }
-            FaultKind::Drain => {
-                self.stands(&struck, EndpointStatus::Draining);
-                self.put(end, Event::Ends(number));
-            }
-            FaultKind::Failures => {
-                struck.iter().for_each(|w| self.workers[*w].fails = fault.size);
-                self.put(end, Event::Ends(number));
-            }
-            FaultKind::Slowness => {
-                struck.iter().for_each(|w| self.workers[*w].engine.slowness = fault.size);
-                self.put(end, Event::Ends(number));
-            }
-            FaultKind::Release => {
-                let functions = self.some(self.functions.len().max(1), fault.part);
-                for worker in &mut self.workers {
-                    functions.iter().for_each(|f| worker.engine.release(*f as u32));
-                }
-            }
-            FaultKind::StoreSlow => {
-                self.store.slowness = fault.size;
-                self.put(end, Event::Ends(number));
-            }
-            FaultKind::StoreRefuses => {
-                self.store.refuses = true;
-                self.put(end, Event::Ends(number));
-            }
-            FaultKind::StoreStops => self.store.stop(self.now, fault.lasts),
-            // In the plan of the clients' calls, or of processes and links.
-            _ => {}
-        }
+    /// Fetches a function from the store.
+    fn fetch(&mut self, context: &mut Context, worker: usize, load: u64, seconds: f64) {
+        /// Seconds in which the store rejects a fetch, as over a network.
+        const REJECTION_SECONDS: f64 = 0.002;
+        let takes = self.store.fetch(context.now, seconds);
+        let input = WorkerInput::FetchEnded { load, succeeded: takes.is_some() };
+        let process = self.process(worker);
+        context.schedule_in(takes.unwrap_or(REJECTION_SECONDS), Event::Worker { process, input });
     }
 
-    /// The next step of a trouble that takes several.
-    pub(crate) fn step(&mut self, number: usize, step: usize) {
-        let fault = self.scenario.faults[number].clone();
-        let struck = self.struck[&number].clone();
-        if fault.what == FaultKind::Death {
-            return self.stands(&struck, EndpointStatus::Gone);
+    /// A worker's process ends at once: the connections of all that wait for it break.
+    pub fn kill(&mut self, context: &mut Context, worker: usize) {
+        let state = &mut self.workers[worker];
+        state.alive = false;
+        let jobs = std::mem::take(&mut state.jobs);
+        let load_requests = std::mem::take(&mut state.load_requests);
+        for AcceptedAttempt { attempt, .. } in jobs.into_values() {
+            send_result(context, attempt, AttemptResult::from_outcome(Outcome::ConnectionLost));
         }
-        let worker = struck[step / 3];
-        match step % 3 {
-            0 => {
-                self.stands(&[worker], EndpointStatus::Draining);
-                let wait = self.scenario.rules.grace + self.scenario.rules.notification_delay;
-                self.put(self.now + wait, Event::Step(number, step + 1));
-            }
-            1 => {
-                self.workers[worker].engine.draining = true;
-                self.put(self.now + 0.5, Event::Step(number, step + 1));
-            }
-            _ => {
-                self.dies(worker);
-                self.comes_back(worker);
-            }
+        for request in load_requests.into_values() {
+            send_load_result(context, request, Outcome::ConnectionLost, 0);
         }
     }
 
-    pub(crate) fn ends(&mut self, number: usize) {
-        let fault = self.scenario.faults[number].clone();
-        let struck = self.struck[&number].clone();
-        match fault.what {
-            FaultKind::Death => struck.into_iter().for_each(|w| self.comes_back(w)),
-            FaultKind::Drain => self.stands(&struck, EndpointStatus::Ready),
-            FaultKind::Failures => struck.iter().for_each(|w| self.workers[*w].fails = 0.0),
-            FaultKind::Slowness => struck.iter().for_each(|w| self.workers[*w].engine.slowness = 1.0),
-            FaultKind::StoreSlow => self.store.slowness = 1.0,
-            FaultKind::StoreRefuses => self.store.refuses = false,
-            _ => {}
-        }
+    /// A new process takes a worker's place: warming up, and without instances.
+    pub fn restart(&mut self, context: &mut Context, worker: usize) {
+        let spec = context.scenario.worker_spec;
+        let process = self.workers[worker].process + 1;
+        self.workers[worker] = Worker::new(spec, context.now, process);
+        context.record(HistoryEvent::WorkerStarted {
+            worker,
+            capacity: WorkerModel::capacity(&spec),
+            warm: false,
+        });
     }
 }
+
+fn send_result(context: &mut Context, attempt: GatewayAttempt, result: AttemptResult) {
+    let input = GatewayInput::AttemptEnded { attempt, result };
+    context.send(Event::Gateway { gateway: attempt.gateway, input });
+}
+
+fn send_load_result(context: &mut Context, request: LoadRequest, outcome: Outcome, instances: u8) {
+    let input = GatewayInput::LoadRequestEnded { id: request.id, outcome, instances };
+    context.send(Event::Gateway { gateway: request.gateway, input });
+}
--- a/crates/simulator/tests/clocks.rs
+++ b/crates/simulator/tests/clocks.rs
@@ -1,5 +1,5 @@
-//! Wall clocks are stepped while calls, retries, drains and slow starts are under way, and while gateways hold leases on
-//! each other's parts: what comes of the day is what comes of it without the step.
+//! Wall clocks are stepped while calls, retries, drains and slow starts are under way and gateways hold leases on shared
+//! budgets: the scenario goes as it does without the step.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::{
@@ -8,13 +8,13 @@
 use std::path::Path;
 use test_case::test_case;
 
-/// Amid the replacing of workers, which begins at 10 s and lasts for 7 s.
+/// During the rolling restart of workers, which begins at 10 s and lasts for 7 s.
 const STEP_AT: f64 = 13.0;
 
-/// Workers are drained and replaced one by one under a full load, while some fail calls, which are retried.
-fn rolling_day() -> Scenario {
+/// Workers are drained and replaced one by one under a full load, while some fail attempts, which are retried.
+fn rolling_restart() -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
-    let mut scenario = scenario_file::open(&file).expect("a sound day");
+    let mut scenario = scenario_file::open(&file).expect("a valid scenario");
     (scenario.gateways, scenario.seconds, scenario.sharing) = (6, 20.0, true);
     let (name, what) = ("failures".into(), FaultKind::Failures);
     scenario.faults.push(ScheduledFault { name, what, at: 11.0, lasts: 5.0, part: 0.2, size: 0.3 });
@@ -22,10 +22,10 @@
 }
 
 fn play(seed: u64, clock_step: Option<ClockStep>, same_address: bool) -> (SimulationReport, SlowStartReport) {
-    let scenario = rolling_day();
-    let came = play_varied(&scenario, seed, Variation { clock_step, same_address });
-    let cold = slow_start_report(&scenario, &came.records);
-    (came, cold)
+    let scenario = rolling_restart();
+    let report = play_varied(&scenario, seed, Variation { clock_step, same_address });
+    let load = slow_start_report(&scenario, &report.records);
+    (report, load)
 }
 
 #[test_case(3.0; "three seconds forward")]
@@ -33,20 +33,20 @@
 #[test_case(3600.0; "an hour forward")]
 #[test_case(-3600.0; "an hour back")]
 fn a_step_of_wall_clocks_changes_nothing(by: f64) {
-    /// Parts of all calls by which days of other chance differ.
-    const CHANCE: f64 = 0.02;
+    /// Service by which runs with other random numbers differ.
+    const RANDOM_VARIATION: f64 = 0.02;
     for seed in 1..=2 {
-        let (without, cold) = play(seed, None, true);
-        assert_eq!(without.broken, vec![], "seed {seed}, without a step");
-        assert!(cold.of_bound <= 1.0 && cold.calls > 100, "seed {seed}, without a step: {cold:?}");
-        let expected = without.whole.service();
+        let (without, load) = play(seed, None, true);
+        assert_eq!(without.violations, vec![], "seed {seed}, without a step");
+        assert!(load.of_bound <= 1.0 && load.attempts > 100, "seed {seed}, without a step: {load:?}");
+        let expected = without.counts.service();
         for machines in [Machines::Gateways, Machines::Workers, Machines::All] {
-            let (stepped, cold) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
-            assert_eq!(stepped.broken, vec![], "seed {seed}, {machines:?}");
-            assert!(cold.of_bound <= 1.0 && cold.calls > 100, "seed {seed}, {machines:?}: {cold:?}");
-            let service = stepped.whole.service();
+            let (stepped, load) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
+            assert_eq!(stepped.violations, vec![], "seed {seed}, {machines:?}");
+            assert!(load.of_bound <= 1.0 && load.attempts > 100, "seed {seed}, {machines:?}: {load:?}");
+            let service = stepped.counts.service();
             assert!(
-                (service - expected).abs() <= CHANCE,
+                (service - expected).abs() <= RANDOM_VARIATION,
                 "seed {seed}, {machines:?}: {service:.3}, {expected:.3}"
             );
         }
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,13 +1,13 @@
-//! Days in simulated time: the same seed is the same history, and the rules hold in it as they do on sockets.
+//! Scenarios in simulated time: the same seed gives the same history, and the rules hold in it as they do on sockets.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::play;
 use std::path::Path;
 use test_case::test_case;
 
-fn village(gateways: usize, faults: &[(FaultKind, f64, f64, f64)]) -> Scenario {
+fn small_cluster(gateways: usize, faults: &[(FaultKind, f64, f64, f64)]) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/village.hcl");
-    let mut scenario = scenario_file::open(&file).expect("a sound day");
+    let mut scenario = scenario_file::open(&file).expect("a valid scenario");
     scenario.gateways = gateways;
     let fault = |&(what, at, part, size): &(FaultKind, f64, f64, f64)| ScheduledFault {
         name: format!("{what:?}"),
@@ -21,7 +21,7 @@
     scenario
 }
 
-const BAD: [(FaultKind, f64, f64, f64); 5] = [
+const FAULTS: [(FaultKind, f64, f64, f64); 5] = [
     (FaultKind::Release, 3.0, 0.8, 1.0),
     (FaultKind::Failures, 5.0, 0.3, 0.6),
     (FaultKind::Slowness, 7.0, 0.3, 4.0),
@@ -30,9 +30,9 @@
 ];
 
 #[test]
-fn the_same_seed_is_the_same_history() {
-    let scenario = village(4, &BAD);
-    let [one, other, another] = [7, 7, 8].map(|seed| play(&scenario, seed, None));
+fn the_same_seed_gives_the_same_history() {
+    let scenario = small_cluster(4, &FAULTS);
+    let [one, other, another] = [7, 7, 8].map(|seed| play(&scenario, seed));
     assert_eq!(one.records, other.records);
     assert!(one.records.len() > 5_000 && one.records != another.records);
 }
@@ -41,16 +41,16 @@
 #[test_case(6)]
 fn the_rules_hold(gateways: usize) {
     for seed in 1..=4 {
-        let came = play(&village(gateways, &BAD), seed, None);
-        assert_eq!(came.broken, vec![], "seed {seed}");
-        assert!(came.whole.calls > 1_000 && came.whole.service() > 0.9, "{:?}", came.whole);
+        let report = play(&small_cluster(gateways, &FAULTS), seed);
+        assert_eq!(report.violations, vec![], "seed {seed}");
+        assert!(report.counts.calls > 1_000 && report.counts.service() > 0.9, "{:?}", report.counts);
     }
 }
 
-/// What gateways that share nothing cost: more of them fetch more.
+/// Without shared budgets more gateways fetch more from the store.
 #[test]
-fn gateways_that_share_nothing_fetch_more() {
+fn without_shared_budgets_more_gateways_fetch_more() {
     let fetches =
-        |gateways| (1..=4).map(|seed| play(&village(gateways, &[]), seed, None).fetches).sum::<u64>();
+        |gateways| (1..=4).map(|seed| play(&small_cluster(gateways, &[]), seed).fetches).sum::<u64>();
     assert!(fetches(8) as f64 > 1.2 * fetches(1) as f64, "{} {}", fetches(8), fetches(1));
 }
--- a/crates/simulator/tests/same_history.rs
+++ b/crates/simulator/tests/same_history.rs
@@ -1,6 +1,6 @@
 //! Every scenario of `days/` in simulated time gives the history that it gave before: a change of structure or of names
-//! leaves each event, its order and its figures as they are. A change of behaviour changes the values, and its commit says
-//! why.
+//! leaves each event, its order and its figures as they are. A change of behaviour changes the values, and its commit
+//! explains why.
 
 mod same_history {
     pub mod digest;
@@ -21,22 +21,22 @@
 struct Fingerprint {
     events: usize,
     history: u64,
-    report: u64,
+    figures: u64,
 }
 
-fn fingerprint(came: &SimulationReport) -> Fingerprint {
+fn fingerprint(report: &SimulationReport) -> Fingerprint {
     let mut history = Digest::new();
-    for record in &came.records {
+    for record in &report.records {
         encode_event(record, &mut history);
     }
-    let mut report = Digest::new();
-    encode_report(came, &mut report);
-    Fingerprint { events: came.records.len(), history: history.value(), report: report.value() }
+    let mut figures = Digest::new();
+    encode_report(report, &mut figures);
+    Fingerprint { events: report.records.len(), history: history.value(), figures: figures.value() }
 }
 
 fn scenario(name: &str) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../days/{name}.hcl"));
-    scenario_file::open(&file).expect("a sound scenario")
+    scenario_file::open(&file).expect("a valid scenario")
 }
 
 /// A scenario short enough for a debug build: its faults come in the same order, as much earlier as it is shorter, and
@@ -44,15 +44,15 @@
 fn shortened(name: &str) -> Scenario {
     const LONGEST_SECONDS: f64 = 14.0;
     const HIGHEST_RATE: f64 = 360.0;
-    let mut day = scenario(name);
-    let scale = (LONGEST_SECONDS / day.seconds).min(1.0);
-    day.seconds *= scale;
-    day.traffic.rate = day.traffic.rate.min(HIGHEST_RATE);
-    for fault in &mut day.faults {
+    let mut scenario = scenario(name);
+    let scale = (LONGEST_SECONDS / scenario.seconds).min(1.0);
+    scenario.seconds *= scale;
+    scenario.traffic.rate = scenario.traffic.rate.min(HIGHEST_RATE);
+    for fault in &mut scenario.faults {
         fault.at *= scale;
         fault.lasts *= scale;
     }
-    day
+    scenario
 }
 
 #[test_case("bad-cores", 26_926, 0x8075_68cd_cb7a_f339, 0x89b0_cdda_3c4a_8d7c; "bad-cores")]
@@ -69,9 +69,9 @@
 #[test_case("short-day", 8_691, 0x9e66_4273_242b_f496, 0x5724_007b_56b9_bc05; "short-day")]
 #[test_case("town", 25_645, 0xfc2b_185a_646a_30ff, 0x06d0_0fe0_0f1b_4f3c; "town")]
 #[test_case("village", 8_596, 0xc8bc_146c_e8e7_634e, 0x13ad_4ef9_bd4c_fcb6; "village")]
-fn a_scenario_gives_the_same_history(name: &str, events: usize, history: u64, report: u64) {
-    let came = play(&shortened(name), SEED, None);
-    assert_eq!(fingerprint(&came), Fingerprint { events, history, report }, "{name}");
+fn a_scenario_gives_the_same_history(name: &str, events: usize, history: u64, figures: u64) {
+    let report = play(&shortened(name), SEED);
+    assert_eq!(fingerprint(&report), Fingerprint { events, history, figures }, "{name}");
 }
 
 /// Every file of `days/` is among the cases above.
@@ -87,8 +87,8 @@
 /// shares its budgets.
 #[test]
 fn faults_in_a_sharing_cluster_give_the_same_history() {
-    let mut day = scenario("village");
-    (day.gateways, day.sharing, day.seconds) = (5, true, 12.0);
+    let mut scenario = scenario("village");
+    (scenario.gateways, scenario.sharing, scenario.seconds) = (5, true, 12.0);
     let fault = |(number, what): (usize, FaultKind)| ScheduledFault {
         name: format!("fault-{number}"),
         what,
@@ -109,19 +109,19 @@
         FaultKind::Death,
         FaultKind::Impatience,
     ];
-    day.faults = kinds.into_iter().enumerate().map(fault).collect();
+    scenario.faults = kinds.into_iter().enumerate().map(fault).collect();
     let expected =
-        Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, report: 0x4007_3653_f278_52cf };
-    assert_eq!(fingerprint(&play(&day, SEED, None)), expected);
+        Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, figures: 0x4007_3653_f278_52cf };
+    assert_eq!(fingerprint(&play(&scenario, SEED)), expected);
 }
 
 /// A step of the workers' wall clocks amid a rolling restart, with addresses that stay and with new ones.
 #[test_case(true, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "same address")]
 #[test_case(false, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "new address")]
-fn a_clock_step_gives_the_same_history(same_address: bool, events: usize, history: u64, report: u64) {
-    let mut day = shortened("cold-fleet");
-    (day.gateways, day.sharing) = (6, true);
+fn a_clock_step_gives_the_same_history(same_address: bool, events: usize, history: u64, figures: u64) {
+    let mut scenario = shortened("cold-fleet");
+    (scenario.gateways, scenario.sharing) = (6, true);
     let clock_step = Some(ClockStep { at: 6.0, by: -3600.0, machines: Machines::Workers });
-    let came = play_varied(&day, SEED, Variation { clock_step, same_address });
-    assert_eq!(fingerprint(&came), Fingerprint { events, history, report });
+    let report = play_varied(&scenario, SEED, Variation { clock_step, same_address });
+    assert_eq!(fingerprint(&report), Fingerprint { events, history, figures });
 }
--- a/crates/simulator/tests/same_history/encoding.rs
+++ b/crates/simulator/tests/same_history/encoding.rs
@@ -85,18 +85,18 @@
 
 /// Adds the figures of a report, without its history.
 pub fn encode_report(report: &SimulationReport, digest: &mut Digest) {
-    for Violation { rule, at, what } in &report.broken {
+    for Violation { rule, at, what } in &report.violations {
         digest.number(u64::from(*rule));
         digest.figure(*at);
         what.bytes().for_each(|byte| digest.number(u64::from(byte)));
     }
-    let counts = &report.whole;
+    let counts = &report.counts;
     numbers(digest, [counts.calls, counts.succeeded, counts.late, counts.rejected, counts.failed]);
     numbers(digest, [counts.unanswered, counts.attempts]);
     digest.figure(counts.importance);
     digest.figure(counts.earned);
-    numbers(digest, [report.fetches, report.refusals]);
-    digest.figure(report.warm);
+    numbers(digest, [report.fetches, report.rejected_fetches]);
+    digest.figure(report.warm_share);
     numbers(digest, [report.counters.attempts, report.counters.load_requests, report.counters.health_checks]);
-    digest.figure(report.bytes);
+    digest.figure(report.bytes_per_second);
 }
--- a/crates/simulator/tests/slow_start.rs
+++ b/crates/simulator/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start under any number of gateways: what all of them together send a worker that started lately stays under
-//! N + 2 x root of N + 2 calls of mean work in any window, N being what the settings allow it then. The distribution over
-//! 200 seeds: `docs/design.md`, example `cold`.
+//! Slow start with any number of gateways: what all of them together send a warming worker stays under N + 2 √N + 2 requests
+//! of mean work in any window, N being what the settings allow it then. The distribution over 200 seeds: `docs/design.md`,
+//! example `slow_start`.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::{SlowStartReport, play, slow_start_report};
@@ -9,32 +9,32 @@
 
 fn cold_fleet() -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
-    scenario_file::open(&file).expect("a sound day")
+    scenario_file::open(&file).expect("a valid scenario")
 }
 
-/// Plays a day under some seeds: each has calls to cold workers, and none of their windows is over the bound.
+/// Plays a scenario with some seeds: in each run warming workers receive attempts, in no window more than the bound.
 fn assert_within_bound(scenario: &Scenario, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
-        let SlowStartReport { of_bound, calls, .. } =
-            slow_start_report(scenario, &play(scenario, seed, None).records);
-        assert!(calls > 100, "seed {seed}: {calls} calls to cold workers");
-        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a cold worker may be sent");
+        let SlowStartReport { of_bound, attempts, .. } =
+            slow_start_report(scenario, &play(scenario, seed).records);
+        assert!(attempts > 100, "seed {seed}: {attempts} attempts at warming workers");
+        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a warming worker may be sent");
     }
 }
 
-/// Most workers are replaced at once. What the rest and those that left had handled was put down to the few that are
-/// left: each gateway took them for several times as quick, and the cold ones got twice their budget and more.
+/// Most workers are replaced at once. Gateways once attributed the throughput of all workers, those that had left among
+/// them, to the few that remained: they took these for several times as fast, and warming ones got twice their budget.
 #[test_case(0.6, 360.0; "six in ten")]
 #[test_case(0.9, 460.0; "nine in ten at a full load")]
-fn a_ramp_holds_for_the_whole_fleet(part: f64, rate: f64) {
+fn slow_start_binds_when_most_workers_are_replaced(part: f64, rate: f64) {
     let mut scenario = cold_fleet();
     (scenario.faults[0].part, scenario.traffic.rate) = (part, rate);
-    // Those that are replaced and what they are sent at first, where the sum is largest.
+    // Long enough for the replacements and what they are sent at first, when the sum is largest.
     scenario.seconds = 20.0;
     assert_within_bound(&scenario, 1..=4);
 }
 
-/// Seeds that are played: one where hundreds of routers make a day long.
+/// Seeds that are played: one where hundreds of routers make a run long.
 fn seeds(routers: usize) -> u64 {
     if routers < 100 { 2 } else { 1 }
 }
@@ -56,13 +56,13 @@
     assert_within_bound(&scenario, 1..=seeds(routers));
 }
 
-/// Six in ten workers die and begin anew under the same names, with a second death while the first ones are cold.
+/// Six in ten workers die and restart under the same names, and again while those that restarted first are warming up.
 #[test_case(1, 1.0; "one router")]
 #[test_case(3, 3.0; "three routers, uneven traffic")]
 #[test_case(12, 1.0; "twelve routers")]
 #[test_case(24, 8.0; "two dozen routers, uneven traffic")]
 #[test_case(300, 8.0; "three hundred routers, uneven traffic")]
-fn slow_start_binds_for_workers_that_begin_anew(routers: usize, uneven: f64) {
+fn slow_start_binds_for_workers_that_restart(routers: usize, uneven: f64) {
     let mut scenario = cold_fleet();
     (scenario.gateways, scenario.uneven, scenario.seconds, scenario.traffic.rate) =
         (routers, uneven, 20.0, 400.0);
