--- a/crates/history-checker/src/bounds.rs
+++ b/crates/history-checker/src/bounds.rs
@@ -1,5 +1,5 @@
 //! Bounds on what gateways that share budgets may do together. Each bound is the budget and a margin
-//! that follows from how gateways keep it (`docs/design/shares.md`).
+//! that follows from how gateways keep it (`docs/design/shared-budgets.md`).
 
 mod bound_report;
 mod datagrams;
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -3,7 +3,7 @@
 
 use crate::context::Context;
 use crate::event::{ClientAttempt, ClientInput, Event, GatewayInput};
-use milletpath_emulator::clients::weights;
+use milletpath_emulator::clients::gateway_weights;
 use milletpath_emulator::traffic::{self, PlannedRequest};
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, Idempotency};
 use rand::Rng;
@@ -32,7 +32,7 @@
         let call = |planned| Call { planned, attempt: 0, ended: true };
         Self {
             calls: planned.into_iter().map(call).collect(),
-            gateway_weights: weights(context.scenario.gateways, context.scenario.uneven),
+            gateway_weights: gateway_weights(context.scenario.gateways, context.scenario.uneven),
         }
     }
 
@@ -82,7 +82,7 @@
             group: planned.group,
             importance: profile.importance,
             latency_objective: profile.latency_objective,
-            idempotency: profile.effect,
+            idempotency: profile.idempotency,
             fault: planned.fault,
         };
         context.record(event);
@@ -102,7 +102,7 @@
     fn schedule_end(&self, context: &mut Context, attempt: ClientAttempt, gateway: usize, timeout: f64) {
         /// Seconds past its timeout after which a client gives up.
         const TIMEOUT_MARGIN: f64 = 0.05;
-        match self.planned(attempt.call).leaves.filter(|_| attempt.number == 0) {
+        match self.planned(attempt.call).abandoned_after.filter(|_| attempt.number == 0) {
             Some(after) => {
                 context.schedule_in(after, Event::Client(ClientInput::Cancel { attempt, gateway }));
             }
@@ -129,7 +129,7 @@
             return;
         }
         context.record(HistoryEvent::AttemptEnded { call: call as u64, attempt: number, gateway, outcome });
-        let effect = context.scenario.profiles[state.planned.profile].effect;
+        let effect = context.scenario.profiles[state.planned.profile].idempotency;
         if may_retry(outcome, effect) && number < context.scenario.traffic.retries {
             let next = ClientAttempt { call, number: number + 1 };
             let backoff = context.scenario.traffic.backoff;
--- a/crates/simulator/src/endpoint_list.rs
+++ b/crates/simulator/src/endpoint_list.rs
@@ -51,7 +51,7 @@
 }
 
 fn entry(process: WorkerProcess, started: Option<f64>) -> EndpointEntry {
-    EndpointEntry { address: address(process), ..scenario::entry(process.worker, started) }
+    EndpointEntry { address: address(process), ..scenario::worker_entry(process.worker, started) }
 }
 
 /// The address of a worker's process: another process has another one.
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -52,32 +52,34 @@
         let fault = context.scenario.faults[number].clone();
         let affected = choose_workers(context, workers, &fault);
         self.affected.insert(number, affected.clone());
-        match fault.what {
-            FaultKind::Death => {
+        match fault.kind {
+            FaultKind::WorkerCrash => {
                 affected.iter().for_each(|worker| workers.kill(context, *worker));
-                let notification_delay = context.scenario.rules.notification_delay.min(fault.lasts);
+                let notification_delay = context.scenario.rules.notification_delay.min(fault.duration);
                 context.schedule_in(
                     notification_delay,
                     Event::Fault(FaultEvent::Step { fault: number, step: 0 }),
                 );
             }
-            FaultKind::Rolling => schedule_rolling_restart(context, number, &fault, affected.len()),
+            FaultKind::RollingReplacement => {
+                schedule_rolling_restart(context, number, &fault, affected.len())
+            }
             FaultKind::Drain => endpoints.set_status(context, &affected, EndpointStatus::Draining),
-            FaultKind::Failures => set_failing(workers, &affected, fault.size),
-            FaultKind::Slowness => set_slowness(workers, &affected, fault.size),
-            FaultKind::Release => {
-                let functions = context.choose(workers.function_count().max(1), fault.part);
+            FaultKind::RequestFailures => set_failing(workers, &affected, fault.magnitude),
+            FaultKind::Slowness => set_slowness(workers, &affected, fault.magnitude),
+            FaultKind::FunctionRelease => {
+                let functions = context.choose(workers.function_count().max(1), fault.fraction);
                 for worker in workers.iter_mut() {
-                    functions.iter().for_each(|function| worker.model.release(*function as u32));
+                    functions.iter().for_each(|function| worker.model.release_version(*function as u32));
                 }
             }
-            FaultKind::StoreSlow => workers.store.slowness = fault.size,
-            FaultKind::StoreRefuses => workers.store.refuses = true,
-            FaultKind::StoreStops => workers.store.stop(context.now, fault.lasts),
+            FaultKind::StoreSlowness => workers.store.slowness = fault.magnitude,
+            FaultKind::StoreRejections => workers.store.rejecting = true,
+            FaultKind::StoreOutage => workers.store.begin_outage(context.now, fault.duration),
             _ => {}
         }
-        if has_end(fault.what) {
-            context.schedule_in(fault.lasts, Event::Fault(FaultEvent::Ends(number)));
+        if has_end(fault.kind) {
+            context.schedule_in(fault.duration, Event::Fault(FaultEvent::Ends(number)));
         }
     }
 
@@ -92,7 +94,7 @@
         /// Seconds for which a worker drains before it restarts.
         const DRAIN_SECONDS: f64 = 0.5;
         let affected = &self.affected[&fault];
-        if context.scenario.faults[fault].what == FaultKind::Death {
+        if context.scenario.faults[fault].kind == FaultKind::WorkerCrash {
             return endpoints.set_status(context, affected, EndpointStatus::Gone);
         }
         let worker = affected[step / RESTART_STEPS];
@@ -122,15 +124,15 @@
         fault: usize,
     ) {
         let affected = &self.affected[&fault];
-        match context.scenario.faults[fault].what {
-            FaultKind::Death => {
+        match context.scenario.faults[fault].kind {
+            FaultKind::WorkerCrash => {
                 affected.iter().for_each(|worker| restart(context, workers, endpoints, *worker));
             }
             FaultKind::Drain => endpoints.set_status(context, affected, EndpointStatus::Ready),
-            FaultKind::Failures => set_failing(workers, affected, 0.0),
+            FaultKind::RequestFailures => set_failing(workers, affected, 0.0),
             FaultKind::Slowness => set_slowness(workers, affected, 1.0),
-            FaultKind::StoreSlow => workers.store.slowness = 1.0,
-            FaultKind::StoreRefuses => workers.store.refuses = false,
+            FaultKind::StoreSlowness => workers.store.slowness = 1.0,
+            FaultKind::StoreRejections => workers.store.rejecting = false,
             _ => {}
         }
     }
@@ -138,12 +140,12 @@
 
 /// The workers that a fault affects; none where it is not one of workers.
 fn choose_workers(context: &mut Context, workers: &Workers, fault: &ScheduledFault) -> Vec<usize> {
-    match fault.what {
-        FaultKind::Death
-        | FaultKind::Rolling
-        | FaultKind::Failures
+    match fault.kind {
+        FaultKind::WorkerCrash
+        | FaultKind::RollingReplacement
+        | FaultKind::RequestFailures
         | FaultKind::Slowness
-        | FaultKind::Drain => context.choose(workers.count(), fault.part),
+        | FaultKind::Drain => context.choose(workers.count(), fault.fraction),
         _ => Vec::new(),
     }
 }
@@ -152,18 +154,18 @@
 fn has_end(kind: FaultKind) -> bool {
     matches!(
         kind,
-        FaultKind::Death
+        FaultKind::WorkerCrash
             | FaultKind::Drain
-            | FaultKind::Failures
+            | FaultKind::RequestFailures
             | FaultKind::Slowness
-            | FaultKind::StoreSlow
-            | FaultKind::StoreRefuses
+            | FaultKind::StoreSlowness
+            | FaultKind::StoreRejections
     )
 }
 
 /// Schedules the first step of each worker's restart, evenly over the duration of the fault.
 fn schedule_rolling_restart(context: &mut Context, number: usize, fault: &ScheduledFault, workers: usize) {
-    let interval = fault.lasts / workers as f64;
+    let interval = fault.duration / workers as f64;
     for turn in 0..workers {
         let event = FaultEvent::Step { fault: number, step: RESTART_STEPS * turn };
         context.schedule_in(interval * turn as f64, Event::Fault(event));
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -49,7 +49,7 @@
             ),
             counts: history_checker::count_service(&records, &scenario::service_weights(&scenario)).all,
             fetches: workers.store.fetches,
-            rejected_fetches: workers.store.refusals,
+            rejected_fetches: workers.store.rejected_fetches,
             warm_share: workers.warm_share(),
             counters: gateways.counters(),
             bytes_per_second: bytes / seconds / scenario.gateways as f64,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -174,7 +174,7 @@
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let registry = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let config = |gateway| {
-        let text = scenario::charter(scenario, gateway, listen, registry, None, seed);
+        let text = scenario::gateway_config(scenario, gateway, listen, registry, None, seed);
         milletpath_config::read(&text).unwrap_or_else(|errors| {
             panic!("the configuration of gateway {gateway} is not valid: {errors:?}")
         })
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -47,11 +47,11 @@
 
     /// The load that the worker reports to gateways.
     pub fn load_report(&self) -> LoadReport {
-        let LoadFigures { held, waiting, busy, memory, loading } = self.model.figures();
+        let LoadFigures { in_flight, queued, utilization, memory, loading } = self.model.load_figures();
         LoadReport {
-            in_flight: Some(held),
-            queued: Some(waiting),
-            utilization: Some(busy),
+            in_flight: Some(in_flight),
+            queued: Some(queued),
+            utilization: Some(utilization),
             memory: Some(memory),
             loading: Some(loading),
         }
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -38,11 +38,7 @@
         let (spec, count) = (context.scenario.worker_spec, context.scenario.workers);
         let long_ago = -spec.warm_up - 1.0;
         for worker in 0..count {
-            context.record(HistoryEvent::WorkerStarted {
-                worker,
-                capacity: WorkerModel::capacity(&spec),
-                warm: true,
-            });
+            context.record(HistoryEvent::WorkerStarted { worker, capacity: spec.capacity(), warm: true });
         }
         Self {
             workers: (0..count).map(|_| Worker::new(spec, long_ago, 0)).collect(),
@@ -118,9 +114,10 @@
         }
         let function = self.function_id(&planned.function);
         let job = Job { function, function_model: context.scenario.function_model, work, io: planned.io };
-        let has_key = context.scenario.profiles[planned.profile].effect == Idempotency::IdempotentWithKey;
+        let has_key =
+            context.scenario.profiles[planned.profile].idempotency == Idempotency::IdempotentWithKey;
         let state = &mut self.workers[worker];
-        let id = state.model.arrive(context.now, job);
+        let id = state.model.submit(context.now, job);
         state.jobs.insert(id, AcceptedAttempt { attempt, call, has_key });
         self.carry_out(context, worker);
     }
@@ -142,8 +139,12 @@
             context.record(HistoryEvent::LoadRequested { gateway: request.gateway, worker });
         }
         let state = &mut self.workers[worker];
-        let id =
-            state.model.order(context.now, function, context.scenario.function_model, u32::from(instances));
+        let id = state.model.request_load(
+            context.now,
+            function,
+            context.scenario.function_model,
+            u32::from(instances),
+        );
         state.load_requests.insert(id, request);
         self.carry_out(context, worker);
     }
@@ -169,16 +170,16 @@
     /// The timer of a worker's model is due, unless it was set to another time since.
     pub fn timer_due(&mut self, context: &mut Context, process: WorkerProcess) {
         if self.workers[process.worker].timer <= context.now {
-            self.advance(context, process, WorkerModel::turn);
+            self.advance(context, process, WorkerModel::advance);
         }
     }
 
     /// The store has answered a fetch.
     pub fn fetch_ended(&mut self, context: &mut Context, process: WorkerProcess, load: u64, succeeded: bool) {
         if succeeded {
-            self.store.fetched();
+            self.store.fetch_ended();
         }
-        self.advance(context, process, |model, now| model.fetched(now, load, succeeded));
+        self.advance(context, process, |model, now| model.fetch_ended(now, load, succeeded));
     }
 
     /// Gives the model of a process an input, where that process still runs.
@@ -206,7 +207,7 @@
         }
         let process = self.process(worker);
         let state = &mut self.workers[worker];
-        if let Some(next) = state.model.next().filter(|next| state.alive && *next < state.timer) {
+        if let Some(next) = state.model.next_deadline().filter(|next| state.alive && *next < state.timer) {
             state.timer = next;
             let event = Event::Worker { process, input: WorkerInput::Timer };
             context.schedule(next.max(context.now), event);
@@ -215,8 +216,8 @@
 
     fn carry_out_one(&mut self, context: &mut Context, worker: usize, event: WorkerEvent) {
         match event {
-            WorkerEvent::Ran { job } => self.job_started(context, worker, job),
-            WorkerEvent::Done { job, found, concurrent_requests } => {
+            WorkerEvent::JobStarted { job } => self.job_started(context, worker, job),
+            WorkerEvent::JobCompleted { job, instance_state: found, concurrent_requests } => {
                 self.completed.found_loaded += u64::from(found == WireInstanceState::Loaded);
                 self.completed.all += 1;
                 let result = AttemptResult {
@@ -226,23 +227,23 @@
                 };
                 self.answer(context, worker, job, result);
             }
-            WorkerEvent::Refused { job, why, failed_load } => {
+            WorkerEvent::JobRejected { job, reason, load_failed } => {
                 let outcome =
-                    if why == Rejection::NotLoaded { Outcome::NotLoaded } else { Outcome::Rejected };
+                    if reason == Rejection::NotLoaded { Outcome::NotLoaded } else { Outcome::Rejected };
                 let result = AttemptResult {
-                    instance_state: failed_load.then_some(InstanceState::LoadFailed),
+                    instance_state: load_failed.then_some(InstanceState::LoadFailed),
                     ..AttemptResult::from_outcome(outcome)
                 };
                 self.answer(context, worker, job, result);
             }
-            WorkerEvent::Fetch { load, seconds, .. } => self.fetch(context, worker, load, seconds),
-            WorkerEvent::Stands { order, copies, failed } => {
-                if let Some(request) = self.workers[worker].load_requests.remove(&order) {
+            WorkerEvent::FetchStarted { load, seconds, .. } => self.fetch(context, worker, load, seconds),
+            WorkerEvent::LoadRequestCompleted { load_request, instances, failed } => {
+                if let Some(request) = self.workers[worker].load_requests.remove(&load_request) {
                     let outcome = if failed { Outcome::Failed } else { Outcome::Succeeded };
-                    send_load_result(context, request, outcome, copies.min(255) as u8);
+                    send_load_result(context, request, outcome, instances.min(255) as u8);
                 }
             }
-            WorkerEvent::Fell => self.kill(context, worker),
+            WorkerEvent::Overloaded => self.kill(context, worker),
         }
     }
 
@@ -269,7 +270,7 @@
     fn fetch(&mut self, context: &mut Context, worker: usize, load: u64, seconds: f64) {
         /// Seconds in which the store rejects a fetch, as over a network.
         const REJECTION_SECONDS: f64 = 0.002;
-        let takes = self.store.fetch(context.now, seconds);
+        let takes = self.store.begin_fetch(context.now, seconds);
         let input = WorkerInput::FetchEnded { load, succeeded: takes.is_some() };
         let process = self.process(worker);
         context.schedule_in(takes.unwrap_or(REJECTION_SECONDS), Event::Worker { process, input });
@@ -294,11 +295,7 @@
         let spec = context.scenario.worker_spec;
         let process = self.workers[worker].process + 1;
         self.workers[worker] = Worker::new(spec, context.now, process);
-        context.record(HistoryEvent::WorkerStarted {
-            worker,
-            capacity: WorkerModel::capacity(&spec),
-            warm: false,
-        });
+        context.record(HistoryEvent::WorkerStarted { worker, capacity: spec.capacity(), warm: false });
     }
 }
 
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -9,24 +9,24 @@
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/village.hcl");
     let mut scenario = scenario_file::open(&file).expect("a valid scenario");
     scenario.gateways = gateways;
-    let fault = |&(what, at, part, size): &(FaultKind, f64, f64, f64)| ScheduledFault {
-        name: format!("{what:?}"),
-        what,
+    let fault = |&(kind, at, fraction, magnitude): &(FaultKind, f64, f64, f64)| ScheduledFault {
+        name: format!("{kind:?}"),
+        kind,
         at,
-        lasts: 2.0,
-        part,
-        size,
+        duration: 2.0,
+        fraction,
+        magnitude,
     };
     scenario.faults = faults.iter().map(fault).collect();
     scenario
 }
 
 const FAULTS: [(FaultKind, f64, f64, f64); 5] = [
-    (FaultKind::Release, 3.0, 0.8, 1.0),
-    (FaultKind::Failures, 5.0, 0.3, 0.6),
+    (FaultKind::FunctionRelease, 3.0, 0.8, 1.0),
+    (FaultKind::RequestFailures, 5.0, 0.3, 0.6),
     (FaultKind::Slowness, 7.0, 0.3, 4.0),
-    (FaultKind::Rolling, 8.0, 0.5, 1.0),
-    (FaultKind::Death, 9.0, 0.2, 1.0),
+    (FaultKind::RollingReplacement, 8.0, 0.5, 1.0),
+    (FaultKind::WorkerCrash, 9.0, 0.2, 1.0),
 ];
 
 #[test]
--- a/crates/simulator/tests/same_history.rs
+++ b/crates/simulator/tests/same_history.rs
@@ -50,7 +50,7 @@
     scenario.traffic.rate = scenario.traffic.rate.min(HIGHEST_RATE);
     for fault in &mut scenario.faults {
         fault.at *= scale;
-        fault.lasts *= scale;
+        fault.duration *= scale;
     }
     scenario
 }
@@ -89,25 +89,25 @@
 fn faults_in_a_sharing_cluster_give_the_same_history() {
     let mut scenario = scenario("village");
     (scenario.gateways, scenario.sharing, scenario.seconds) = (5, true, 12.0);
-    let fault = |(number, what): (usize, FaultKind)| ScheduledFault {
+    let fault = |(number, kind): (usize, FaultKind)| ScheduledFault {
         name: format!("fault-{number}"),
-        what,
+        kind,
         at: 0.5 + number as f64,
-        lasts: 1.5,
-        part: 0.4,
-        size: 2.0,
+        duration: 1.5,
+        fraction: 0.4,
+        magnitude: 2.0,
     };
     let kinds = [
-        FaultKind::Release,
-        FaultKind::StoreSlow,
-        FaultKind::StoreRefuses,
-        FaultKind::Release,
-        FaultKind::StoreStops,
+        FaultKind::FunctionRelease,
+        FaultKind::StoreSlowness,
+        FaultKind::StoreRejections,
+        FaultKind::FunctionRelease,
+        FaultKind::StoreOutage,
         FaultKind::Drain,
         FaultKind::Slowness,
-        FaultKind::Rolling,
-        FaultKind::Death,
-        FaultKind::Impatience,
+        FaultKind::RollingReplacement,
+        FaultKind::WorkerCrash,
+        FaultKind::ImpatientClients,
     ];
     scenario.faults = kinds.into_iter().enumerate().map(fault).collect();
     let expected =
