--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -62,7 +62,7 @@
                 );
             }
             FaultKind::RollingReplacement => {
-                schedule_rolling_restart(context, number, &fault, affected.len())
+                schedule_rolling_restart(context, number, &fault, affected.len());
             }
             FaultKind::Drain => endpoints.set_status(context, &affected, EndpointStatus::Draining),
             FaultKind::RequestFailures => set_failing(workers, &affected, fault.magnitude),
