--- /dev/null
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -0,0 +1,124 @@
+//! The report of a scenario as JSON. Its field names are older than those of the types behind it, and stay.
+
+use milletpath_emulator::scenario::ScenarioReport;
+use milletpath_emulator::scenario_file::Scenario;
+use milletpath_history_checker::{BoundReport, MembershipObservations, ServiceCounts};
+use serde::Serialize;
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+/// The percentiles of the latencies that are reported.
+pub const PERCENTILES: [f64; 3] = [0.5, 0.99, 0.999];
+
+/// The report.
+#[derive(Serialize)]
+struct JsonReport<'a> {
+    #[serde(rename = "day")]
+    /// Its name.
+    scenario: &'a str,
+    seed: u64,
+    /// Of all requests.
+    #[serde(rename = "whole")]
+    total: RequestCounts,
+    #[serde(rename = "troubles")]
+    faults: Vec<FaultReport<'a>>,
+    /// Fetches from the store.
+    fetches: u64,
+    /// The fraction of requests that found an instance.
+    #[serde(rename = "warm")]
+    warm_fraction: f64,
+    /// Fetches that the store rejected.
+    #[serde(rename = "refusals")]
+    rejected_fetches: u64,
+    #[serde(rename = "broken")]
+    violations: Vec<RuleViolation<'a>>,
+    /// Seconds of successful attempts, at [`PERCENTILES`].
+    latencies: Option<[f64; PERCENTILES.len()]>,
+    #[serde(flatten)]
+    fleet: Option<FleetReport<'a>>,
+}
+
+/// What members of one fleet reported; absent where gateways run apart.
+#[derive(Serialize)]
+struct FleetReport<'a> {
+    bounds: &'a BTreeMap<&'static str, BoundReport>,
+    #[serde(rename = "peers")]
+    membership: &'a MembershipObservations,
+}
+
+/// How requests ended.
+#[derive(Serialize)]
+struct RequestCounts {
+    calls: u64,
+    service: f64,
+    #[serde(rename = "handled")]
+    succeeded: u64,
+    late: u64,
+    #[serde(rename = "bounced")]
+    rejected: u64,
+    #[serde(rename = "terminated")]
+    failed: u64,
+    unanswered: u64,
+}
+
+/// How requests ended that were sent during a fault.
+#[derive(Serialize)]
+struct FaultReport<'a> {
+    #[serde(rename = "trouble")]
+    fault: &'a str,
+    counts: RequestCounts,
+}
+
+/// A place where a rule was broken.
+#[derive(Serialize)]
+struct RuleViolation<'a> {
+    rule: u8,
+    /// Seconds since the start of the scenario.
+    at: f64,
+    what: &'a str,
+}
+
+impl From<&ServiceCounts> for RequestCounts {
+    fn from(counts: &ServiceCounts) -> Self {
+        Self {
+            calls: counts.calls,
+            service: counts.service(),
+            succeeded: counts.succeeded,
+            late: counts.late,
+            rejected: counts.rejected,
+            failed: counts.failed,
+            unanswered: counts.unanswered,
+        }
+    }
+}
+
+/// The report of a scenario that was played.
+pub fn to_json(scenario: &Scenario, played: &ScenarioReport) -> Value {
+    let faults = played
+        .by_fault
+        .iter()
+        .map(|(index, counts)| FaultReport { fault: &scenario.faults[*index].name, counts: counts.into() });
+    let violations = played.violations.iter().map(|broken| RuleViolation {
+        rule: broken.rule,
+        at: broken.at,
+        what: &broken.what,
+    });
+    let fleet =
+        played.membership.as_ref().map(|membership| FleetReport { bounds: &played.bounds, membership });
+    let report = JsonReport {
+        scenario: &scenario.name,
+        seed: scenario.seed,
+        total: (&played.counts).into(),
+        faults: faults.collect(),
+        fetches: played.fetches,
+        warm_fraction: played.warm_fraction,
+        rejected_fetches: played.rejected_fetches,
+        violations: violations.collect(),
+        latencies: milletpath_history_checker::latencies(&played.records, PERCENTILES),
+        fleet,
+    };
+    serde_json::json!(report)
+}
+
+#[cfg(test)]
+mod tests;
