--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -5,6 +5,7 @@
 use milletpath_emulator::scenario::{gateway_config, rule_parameters, service_weights};
 use milletpath_emulator::scenario_file::{Scenario, open};
 use milletpath_emulator::traffic;
+use milletpath_history_checker::WindowLimit;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use test_case::test_case;
@@ -75,17 +76,18 @@
 
 fn add_rules(digest: &mut Digest, scenario: &Scenario) {
     let rules = &scenario.rules;
-    for (window, free, share) in [rules.load_rate_limit, rules.retries].into_iter().flatten() {
-        digest.figure(window).figure(free).figure(share);
+    let limits = [rules.load_rate_limit, rules.retries].into_iter().flatten();
+    for WindowLimit { window, free, per_request } in limits {
+        digest.figure(window).figure(free).figure(per_request);
     }
     digest.figure(rules.grace).optional(rules.in_flight).figure(rules.idempotency_window);
     digest.figure(rules.late).figure(rules.over_share).figure(rules.notification_delay);
     let checked = rule_parameters(scenario, 0.25);
-    digest.figure(checked.grace).figure(checked.initial_capacity).figure(checked.warm_up);
-    digest.figure(checked.overload_multiple).figure(checked.overload_window).figure(checked.lag);
+    digest.figure(checked.drain_grace).figure(checked.initial_capacity).figure(checked.warm_up);
+    digest.figure(checked.overload_multiple).figure(checked.overload_window).figure(checked.tolerance);
     digest.count(u64::from(checked.load_rate_limit.is_some()));
     let counted = service_weights(scenario);
-    digest.figure(counted.late).figure(counted.over_share);
+    digest.figure(counted.late).figure(counted.over_quota);
     counted.quotas.iter().for_each(|quota| _ = digest.optional(*quota));
 }
 
--- a/crates/milletpath/src/scenario/json_report.rs
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -83,10 +83,10 @@
         Self {
             calls: counts.calls,
             service: counts.service(),
-            succeeded: counts.handled,
+            succeeded: counts.succeeded,
             late: counts.late,
-            rejected: counts.bounced,
-            failed: counts.terminated,
+            rejected: counts.rejected,
+            failed: counts.failed,
             unanswered: counts.unanswered,
         }
     }
