--- a/crates/scale-test/src/plan/reader.rs
+++ b/crates/scale-test/src/plan/reader.rs
@@ -11,7 +11,7 @@
 use milletpath_config::document::{ConfigError, Document, Section};
 use milletpath_protocol::is_name;
 use plays::{PlayContext, read_plays};
-use regions::{read_links, read_regions};
+use regions::{Regions, read_links, read_regions};
 
 /// Gateways that a run may have: more have no room in one machine's ports and memory.
 pub(super) const MAX_GATEWAYS: u32 = 4_000;
@@ -52,11 +52,11 @@
     let gateways = read_gateways(root, gateways_override);
     let real_gateways = root.count("real", "gateways", 0..=MAX_REAL).unwrap_or(0);
     checks::leaves_hollow_gateways(root, real_gateways, gateways);
-    let (regions, zones) = read_regions(root);
+    let Regions { names: regions, zones } = read_regions(root);
     checks::has_gateway_for_each_zone(root, zones.len(), gateways);
     let links = read_links(root, &regions);
     let components = read_components(root);
-    let (calls_per_second, functions) = read_functions(root);
+    let calls = read_calls(root);
     let context = PlayContext { gateways, zones: &zones, regions: &regions, components: &components };
     let plays = read_plays(root, &context);
     Plan {
@@ -69,8 +69,8 @@
         budgets: read_budgets(root, &components),
         control_machines: read_control_machines(root, zones.len(), &components),
         workers: read_workers(root),
-        calls_per_second,
-        functions,
+        calls_per_second: calls.per_second,
+        functions: calls.functions,
         limits: read_limits(root),
         plays,
         time_limit: root.number("limit", "seconds", 1.0..=MAX_SECONDS).unwrap_or(300.0),
@@ -107,12 +107,18 @@
     WorkerCounts { hollow: count("hollow", 60_000, 600), real: count("real", MAX_REAL, 3) }
 }
 
-/// Calls a second at all real gateways together, and the number of functions that are called.
-fn read_functions(root: &Section<'_>) -> (f64, usize) {
-    let Some(section) = root.block("functions") else { return (0.0, 1) };
-    let calls_per_second = section.number("calls", "calls a second", 0.0..=1_000.0).unwrap_or(0.0);
-    let functions = section.count("names", "functions", 1..=1_000_000).unwrap_or(1);
-    (calls_per_second, functions)
+/// Calls to the real gateways.
+struct Calls {
+    per_second: f64,
+    functions: usize,
+}
+
+fn read_calls(root: &Section<'_>) -> Calls {
+    let section = root.block("functions");
+    let section = section.as_ref();
+    let per_second = section.and_then(|calls| calls.number("calls", "calls a second", 0.0..=1_000.0));
+    let functions = section.and_then(|calls| calls.count("names", "functions", 1..=1_000_000));
+    Calls { per_second: per_second.unwrap_or(0.0), functions: functions.unwrap_or(1) }
 }
 
 fn read_limits(root: &Section<'_>) -> ResourceLimits {
--- a/crates/scale-test/src/plan/reader/regions.rs
+++ b/crates/scale-test/src/plan/reader/regions.rs
@@ -15,20 +15,34 @@
 
 const MS_PER_SECOND: f64 = 1e3;
 
-/// Reads the names of the regions, and the zones of all of them.
-pub fn read_regions(root: &Section<'_>) -> (Vec<String>, Vec<Zone>) {
-    let mut regions = Vec::new();
-    let mut zones = Vec::new();
+/// Regions and the zones of all of them.
+#[derive(Default)]
+pub struct Regions {
+    /// Names of the regions.
+    pub names: Vec<String>,
+    /// Zones of all regions.
+    pub zones: Vec<Zone>,
+}
+
+impl Regions {
+    /// One region with one zone: for a plan without any, whose other errors are still reported.
+    fn fallback() -> Self {
+        Self { names: vec!["all".into()], zones: vec![Zone { name: "all".into(), region: 0 }] }
+    }
+}
+
+/// Reads the regions and their zones.
+pub fn read_regions(root: &Section<'_>) -> Regions {
+    let mut regions = Regions::default();
     for section in root.blocks("region", true) {
-        read_zones(&section, regions.len(), &mut zones);
-        regions.push(section.label.clone());
+        read_zones(&section, regions.names.len(), &mut regions.zones);
+        regions.names.push(section.label.clone());
     }
-    if zones.is_empty() {
+    if regions.zones.is_empty() {
         root.report(0, "the plan has no region", "add region \"north\" { zones = [\"north-1\"] }");
-        regions = vec!["all".into()];
-        zones = vec![Zone { name: "all".into(), region: 0 }];
+        return Regions::fallback();
     }
-    (regions, zones)
+    regions
 }
 
 /// Adds the zones of one region to those of the regions before it.
--- /dev/null
+++ b/crates/scale-test/tests/output_fixtures/fixture.rs
@@ -0,0 +1,13 @@
+//! Files that an output is compared with.
+
+use std::path::PathBuf;
+
+/// Compares a text with the fixture of that name byte for byte.
+pub fn assert_matches_fixture(name: &str, text: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    if std::env::var_os("UPDATE_FIXTURES").is_some() {
+        std::fs::write(&path, text).expect("the fixture can be written");
+    }
+    let fixture = std::fs::read_to_string(&path).expect("the fixture can be read");
+    assert!(fixture == text, "{name} differs from its fixture, which is\n{fixture}\nand this is\n{text}");
+}
