--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -241,9 +241,9 @@
 
     /// Whether all gateways that run know which others do, if the plan has membership; else whether all have started and
     /// applied all changes.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_converged(&self) -> bool {
         match self.plan.runs(Component::Membership) {
-            true => self.trackers.is_membership_settled(),
+            true => self.trackers.is_membership_converged(),
             false => self.is_steady() && self.trackers.changes.is_converged(),
         }
     }
--- a/crates/scale-test/src/fleet/links.rs
+++ b/crates/scale-test/src/fleet/links.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LostDatagrams {
     /// Dropped by the relay, as its queues were full.
-    pub crowded: u64,
+    pub overflowed: u64,
     /// Lost by the plan: at random, or between regions that are cut from each other.
     pub by_plan: u64,
 }
@@ -101,7 +101,7 @@
 
     /// Datagrams that did not arrive since the start.
     pub fn lost_datagrams(&self) -> LostDatagrams {
-        LostDatagrams { crowded: self.relay.overflowed(), by_plan: self.relay.lost() }
+        LostDatagrams { overflowed: self.relay.overflowed(), by_plan: self.relay.lost() }
     }
 
     /// The ports of all sockets of the relay, and of those that use it.
--- a/crates/scale-test/src/fleet/load_monitor.rs
+++ b/crates/scale-test/src/fleet/load_monitor.rs
@@ -9,10 +9,10 @@
 pub struct LoadMonitor {
     sampled_at: f64,
     cores: Option<CpuTime>,
-    /// The fraction of all cores that was in use in the latest second.
-    pub latest_busy: Option<f64>,
-    /// The highest such fraction.
-    pub highest_busy: Option<f64>,
+    /// Utilization of all cores in the latest second, from 0 to 1.
+    pub latest_utilization: Option<f64>,
+    /// The highest utilization of a second.
+    pub highest_utilization: Option<f64>,
     /// The highest resident memory of all processes of the run together, in GB.
     pub highest_memory_gb: f64,
 }
@@ -23,8 +23,8 @@
         Self {
             sampled_at: now,
             cores: CpuTime::read(),
-            latest_busy: None,
-            highest_busy: None,
+            latest_utilization: None,
+            highest_utilization: None,
             highest_memory_gb: 0.0,
         }
     }
@@ -39,9 +39,10 @@
         self.sampled_at = now;
         let cores = CpuTime::read();
         if let (Some(cores), Some(before)) = (cores, self.cores) {
-            let busy = cores.utilization_since(before);
-            self.latest_busy = Some(busy);
-            self.highest_busy = Some(self.highest_busy.map_or(busy, |highest| highest.max(busy)));
+            let utilization = cores.utilization_since(before);
+            self.latest_utilization = Some(utilization);
+            self.highest_utilization =
+                Some(self.highest_utilization.map_or(utilization, |highest| highest.max(utilization)));
         }
         self.cores = cores;
         let megabytes: f64 = processes.iter().copied().filter_map(machine_load::process_memory_mb).sum();
--- a/crates/scale-test/src/fleet/trackers.rs
+++ b/crates/scale-test/src/fleet/trackers.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether all gateways that run know which others do.
-    pub fn is_membership_settled(&self) -> bool {
+    pub fn is_membership_converged(&self) -> bool {
         self.membership.converged_observers() == self.membership.running_count()
     }
 }
--- a/crates/scale-test/src/run/control_cost.rs
+++ b/crates/scale-test/src/run/control_cost.rs
@@ -31,7 +31,7 @@
         let mut cost = Measurement { seconds: after.at - before.at, before, after }.cost(&self.fleet);
         cost.follower.state_bytes = self.fleet.state_file_bytes().into_iter().collect();
         cost.memory_mb = self.fleet.gateway_memory().into_iter().collect();
-        cost.converged = self.fleet.is_settled();
+        cost.converged = self.fleet.is_converged();
         cost.utilization = cores_before.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
         result.control_cost = Some(cost);
         Ok(())
--- a/crates/scale-test/src/run/failures.rs
+++ b/crates/scale-test/src/run/failures.rs
@@ -57,7 +57,8 @@
         let has_membership = self.fleet.plan.runs(Component::Membership);
         let has_changes = play.changes > 0;
         self.wait_for(began + downtime, |fleet| {
-            let is_known = if has_membership { fleet.trackers.is_membership_settled() } else { has_changes };
+            let is_known =
+                if has_membership { fleet.trackers.is_membership_converged() } else { has_changes };
             is_known && fleet.trackers.changes.is_converged()
         })?;
         if has_membership {
--- a/crates/scale-test/src/run/machine_usage.rs
+++ b/crates/scale-test/src/run/machine_usage.rs
@@ -30,11 +30,11 @@
             cores,
             utilization,
             utilization_while_measuring: None,
-            highest_utilization: fleet.load.highest_busy,
+            highest_utilization: fleet.load.highest_utilization,
             own_utilization: cpu_seconds / seconds.max(1e-9) / cores as f64,
             memory_gb: fleet.load.highest_memory_gb,
             dropped_datagrams: machine_load::dropped_datagrams(&fleet.links.ports()),
-            overflowed_datagrams: lost.crowded,
+            overflowed_datagrams: lost.overflowed,
             lost_datagrams: lost.by_plan,
         }
     }
--- a/crates/scale-test/src/run/player.rs
+++ b/crates/scale-test/src/run/player.rs
@@ -107,14 +107,14 @@
             return Ok(());
         }
         let began = clock();
-        let outcome = self.wait_for(began + timeout, Fleet::is_settled);
-        let is_settled = self.fleet.is_settled();
+        let outcome = self.wait_for(began + timeout, Fleet::is_converged);
+        let is_converged = self.fleet.is_converged();
         let waited = clock() - began;
         // Had the wait not been broken off, it might still have settled.
-        if outcome.is_ok() || is_settled {
+        if outcome.is_ok() || is_converged {
             let membership = &self.fleet.trackers.membership;
             result.convergence = Some(Convergence {
-                after: is_settled.then_some(waited),
+                after: is_converged.then_some(waited),
                 waited,
                 agreed: membership.agreed_gateways(),
                 of: membership.running_count(),
