--- a/crates/scale-test/src/children/gateway_process.rs
+++ b/crates/scale-test/src/children/gateway_process.rs
@@ -128,3 +128,6 @@
     }
     None
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale-test/src/fleet/link_index.rs
+++ b/crates/scale-test/src/fleet/link_index.rs
@@ -48,3 +48,6 @@
         gateways.clone().chain(machines).chain(gateways).chain(authors).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale-test/src/fleet/proposals.rs
+++ b/crates/scale-test/src/fleet/proposals.rs
@@ -27,3 +27,6 @@
         by_author.into_iter().enumerate().filter(|(_, scheduled)| !scheduled.is_empty()).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale-test/src/fleet/stop_conditions.rs
+++ b/crates/scale-test/src/fleet/stop_conditions.rs
@@ -42,3 +42,6 @@
         if gigabytes > self.memory_limit_gb { Err(StopReason::MemoryLimit { gigabytes }) } else { Ok(()) }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale-test/src/fleet/transitions.rs
+++ b/crates/scale-test/src/fleet/transitions.rs
@@ -38,3 +38,6 @@
         self.pending.is_empty()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale-test/src/gateway_config.rs
+++ b/crates/scale-test/src/gateway_config.rs
@@ -174,3 +174,6 @@
     let first_of = |region| (0..plan.gateways).find(|gateway| plan.region_of(*gateway) == region);
     (0..plan.regions.len()).filter_map(first_of).take(MAX_SEEDS).collect()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale-test/src/hollow_workers.rs
+++ b/crates/scale-test/src/hollow_workers.rs
@@ -66,3 +66,6 @@
         changed
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale-test/src/run/control_cost.rs
+++ b/crates/scale-test/src/run/control_cost.rs
@@ -222,3 +222,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
