--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -1,5 +1,5 @@
 //! Plans of scale runs, in HCL: how many gateways in which regions, the limits that their control has to keep, and
-//! what happens to them in which order. Each key, its unit and its bounds are in `docs/operators/scale.md`.
+//! what happens to them in which order. Each key, its unit and its bounds are in `docs/operators/scale-test.md`.
 //!
 //! [`read`] turns the text into a [`Plan`], and reports every error in it.
 
