--- a/crates/scale-test/src/report/json.rs
+++ b/crates/scale-test/src/report/json.rs
@@ -1,4 +1,4 @@
-//! A report as one JSON object. Its fields are described in `docs/operators/scale.md`.
+//! A report as one JSON object. Its fields are described in `docs/operators/scale-test.md`.
 
 use super::control_cost::ControlCost;
 use super::figures::distributions_json;
