--- a/plans/size-small.hcl
+++ b/plans/size-small.hcl
@@ -1,5 +1,5 @@
 # A small fleet with all subsystems, in some two minutes on any machine. All bounds must be kept.
-#     cargo run --release -- scale plans/size-small.hcl
+#     cargo run --release -- scale-test plans/size-small.hcl
 name      = "size-small"
 seed      = 1
 gateways  = 60
