--- a/crates/milletpath/tests/command_line.rs
+++ b/crates/milletpath/tests/command_line.rs
@@ -1,9 +1,7 @@
 //! The command line as users hold it: which sub-commands and flags are accepted, and which exit code each use has. The
 //! fixtures `*-as-landed.txt` were written by the program before its sub-commands were split into modules.
 
-mod json_fields;
-
-use json_fields::field_paths;
+use milletpath_test_support::json_fields::field_paths;
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
