--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -466,16 +466,16 @@
                 self.stirred();
             }
             FaultKind::RegistryDelay => {
-                self.mislead(lasts, RegistryFault { late: size, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { late: size, ..RegistryFault::default() }).await;
             }
             FaultKind::RegistryStall => {
-                self.mislead(lasts, RegistryFault { stalled: true, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { stalled: true, ..RegistryFault::default() }).await;
             }
             FaultKind::RegistryLoss => {
-                self.mislead(lasts, RegistryFault { loses: true, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { loses: true, ..RegistryFault::default() }).await;
             }
             FaultKind::RegistryDuplication => {
-                self.mislead(lasts, RegistryFault { repeats: true, ..RegistryFault::default() }).await
+                self.mislead(lasts, RegistryFault { repeats: true, ..RegistryFault::default() }).await;
             }
             FaultKind::RegistryEmptied => {
                 self.registry.empty(true);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -166,7 +166,7 @@
                     self.end(job, Ended::Done(found, concurrent_requests));
                 }
                 WorkerEvent::JobRejected { job, reason: why, load_failed: failed_load } => {
-                    self.end(job, Ended::Refused(why, failed_load))
+                    self.end(job, Ended::Refused(why, failed_load));
                 }
                 WorkerEvent::FetchStarted { load, seconds, .. } => {
                     let takes = self.context.store.borrow_mut().begin_fetch(self.context.now(), seconds);
