--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,13 +1,17 @@
 //! Plays a day: gateways as processes of their own, workers, store and registry in this thread, clients in another,
 //! troubles by the script. Traffic stays on loopback and ends with the day.
 
+mod gateway_config;
+
+pub use gateway_config::{GatewayConfigFile, KEY_FILE};
+
 use crate::clients::{self, Front};
 use crate::context::{EmulatorContext, ReportedFields};
 use crate::corrupting_stream::Corruption;
 use crate::gateway_process::GatewayProcess;
 use crate::registry::{Registry, RegistryFault};
 use crate::relay::{LinkFault, Relay};
-use crate::scenario_file::{FaultKind, Scenario, ScheduledFault};
+use crate::scenario_file::{FaultKind, Scenario, ScheduledFault, WindowLimit};
 use crate::traffic;
 use crate::worker::{Worker, WorkerFault};
 use milletpath_history_checker::{
@@ -125,7 +129,7 @@
     let relay = scenario.sharing.then(|| Relay::start(scenario.gateways, began, stage.seed)).transpose()?;
     if relay.is_some() {
         let secret = format!("the secret of a day on loopback, with the seed {}", stage.seed);
-        std::fs::write(stage.folder.join("peers.key"), secret)?;
+        std::fs::write(stage.folder.join(KEY_FILE), secret)?;
     }
     let mut dice = ChaCha8Rng::seed_from_u64(stage.seed ^ 0x10_7a7e);
     let late = late(scenario, &mut dice);
@@ -135,9 +139,9 @@
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let write = |listen| {
             let links = relay.as_ref().map(Relay::addresses);
-            let text =
-                gateway_config(scenario, gateway, listen, registry.address(gateway), links, stage.seed);
-            std::fs::write(&charter, text)
+            let registry = registry.address(gateway);
+            let config = GatewayConfigFile { scenario, gateway, listen, registry, links, seed: stage.seed };
+            std::fs::write(&charter, config.to_string())
         };
         write(any)?;
         let mut running = start(stage.program, &charter, stage.injected_fault).await?;
@@ -208,8 +212,8 @@
     let parameters = rule_parameters(scenario, stage.tolerance);
     let shared = SharedBudgetBounds {
         gateways: scenario.gateways,
-        load_rate_limit: scenario.rules.load_rate_limit,
-        retries: scenario.rules.retries,
+        load_rate_limit: scenario.rules.load_rate_limit.map(window_tuple),
+        retries: scenario.rules.retries.map(window_tuple),
         ceilings: scenario.groups.iter().map(|g| g.ceiling).collect(),
         in_flight: scenario.rules.in_flight,
         rules: parameters,
@@ -235,16 +239,21 @@
     })
 }
 
+/// A limit as the history checker takes it.
+fn window_tuple(limit: WindowLimit) -> (f64, f64, f64) {
+    (limit.window, limit.free, limit.per_request)
+}
+
 /// What a day's rules are judged by, where the stand-ins may be so late.
 pub fn rule_parameters(scenario: &Scenario, lag: f64) -> witness::RuleParameters {
     witness::RuleParameters {
-        grace: scenario.rules.grace,
+        grace: scenario.rules.drain_grace,
         initial_capacity: scenario.worker_spec.initial_capacity,
         warm_up: scenario.worker_spec.warm_up,
         overload_multiple: scenario.worker_spec.overload_multiple,
         overload_window: scenario.worker_spec.overload_window,
         // Where gateways know each other the ration is the fleet's.
-        load_rate_limit: scenario.rules.load_rate_limit.filter(|_| !scenario.sharing),
+        load_rate_limit: scenario.rules.load_rate_limit.map(window_tuple).filter(|_| !scenario.sharing),
         lag,
     }
 }
@@ -252,7 +261,7 @@
 /// What a day's service is counted by.
 pub fn service_weights(scenario: &Scenario) -> ServiceWeights {
     let quotas = scenario.groups.iter().map(|g| g.quota).collect();
-    ServiceWeights { late: scenario.rules.late, quotas, over_share: scenario.rules.over_share }
+    ServiceWeights { late: scenario.rules.late_weight, quotas, over_share: scenario.rules.over_quota_weight }
 }
 
 /// Gateways that begin in the course of the day, by the trouble that is; one at least is there from the beginning.
@@ -287,89 +296,6 @@
     }
 }
 
-/// The charter that a gateway of the day goes by; `links` is where others reach each of them.
-pub fn gateway_config(
-    scenario: &Scenario,
-    gateway: usize,
-    listen: SocketAddr,
-    registry: SocketAddr,
-    links: Option<&[SocketAddr]>,
-    seed: u64,
-) -> String {
-    /// One in so many gateways is named as a place where others may be found.
-    const SEEDS: usize = 4;
-    use std::fmt::Write;
-    let mut text = String::new();
-    let mut line = |l: String| {
-        let _ = writeln!(text, "{l}");
-    };
-    line(format!(
-        "listen   = \"{listen}\"\ngateways = {}\nseed     = {}",
-        scenario.gateways,
-        seed + gateway as u64
-    ));
-    if let Some(cores) = scenario.cores {
-        line(format!("cores = {cores}"));
-    }
-    for p in &scenario.profiles {
-        line(format!(
-            "profile \"{}\" {{\n  due = {}\n  cut_off = {}",
-            p.name, p.latency_objective, p.deadline
-        ));
-        line(format!("  importance = {}", p.importance));
-        line(match p.idempotency {
-            witness::Idempotency::Idempotent => "  effect = \"pure\"\n}".into(),
-            witness::Idempotency::NonIdempotent => "  effect = \"effectful\"\n}".into(),
-            witness::Idempotency::IdempotentWithKey => {
-                format!(
-                    "  effect = \"receipted\"\n  group = \"all\"\n  memory = {}\n}}",
-                    scenario.rules.idempotency_window
-                )
-            }
-        });
-    }
-    for group in &scenario.groups {
-        let quota = group.quota.map_or(String::new(), |q| format!("  quota = {q}\n"));
-        let ceiling = group.ceiling.map_or(String::new(), |c| format!("  ceiling = {c}\n"));
-        line(format!("client \"{}\" {{\n{quota}{ceiling}}}", group.name));
-    }
-    let Scenario { function_model, worker_spec, rules, .. } = scenario;
-    let load = function_model.fetch + function_model.start;
-    line(format!(
-        "functions {{\n  lanes = {}\n  memory = {}\n  load = {load}\n}}",
-        function_model.concurrency, function_model.memory
-    ));
-    line(format!(
-        "workers {{\n  registry = \"{registry}\"\n  kind \"std\" {{ memory = {} }}",
-        worker_spec.memory
-    ));
-    line(format!(
-        "  misses = {}\n  keep = {}\n  drain_grace = {}",
-        worker_spec.rejects_unloaded, worker_spec.idle_timeout, rules.grace
-    ));
-    line(format!("  cold_share = {}\n  warm_up = {}", worker_spec.initial_capacity, worker_spec.warm_up));
-    line(format!(
-        "  tip_multiple = {}\n  tip_window = {}\n}}",
-        worker_spec.overload_multiple, worker_spec.overload_window
-    ));
-    line(format!("limits {{\n  over_share = {}", rules.over_share));
-    rules.in_flight.into_iter().for_each(|most| line(format!("  in_flight = {most}")));
-    for (name, rationed) in [("ration", rules.load_rate_limit), ("retries", rules.retries)] {
-        if let Some((window, free, share)) = rationed {
-            line(format!("  {name} {{\n    window = {window}\n    free = {free}\n    share = {share}\n  }}"));
-        }
-    }
-    line("}".into());
-    if let Some(links) = links {
-        let seeds: Vec<_> =
-            links.iter().take(links.len().div_ceil(SEEDS).max(2)).map(|at| format!("\"{at}\"")).collect();
-        line(format!("peers {{\n  listen = \"127.0.0.1:0\"\n  advertise = \"{}\"", links[gateway]));
-        line(format!("  name = \"gateway-{gateway}\"\n  seeds = [{}]", seeds.join(", ")));
-        line("  key = \"peers.key\"\n}".into());
-    }
-    text
-}
-
 /// Starts a gateway process; comes back once it tells where it listens.
 async fn start(program: &Path, charter: &Path, injected_fault: Option<&str>) -> io::Result<GatewayProcess> {
     let path = charter.with_extension("log");
@@ -554,7 +480,7 @@
             let town = self.clone();
             turns.push(spawn_local(async move {
                 town.registry.stand(worker.number, EndpointStatus::Draining);
-                sleep(town.scenario.rules.grace + town.scenario.rules.notification_delay).await;
+                sleep(town.scenario.rules.drain_grace + town.scenario.rules.notification_delay).await;
                 worker.tell(|engine, _| engine.draining = true);
                 sleep(0.5).await;
                 worker.kill();
--- /dev/null
+++ b/crates/emulator/src/scenario_file/faults.rs
@@ -0,0 +1,171 @@
+//! Faults as a scenario schedules them, and the words for them in scenario files.
+
+/// A fault at its time.
+#[derive(Clone, Debug)]
+pub struct ScheduledFault {
+    /// Its label in the scenario.
+    pub name: String,
+    /// What happens.
+    pub kind: FaultKind,
+    /// Seconds after the scenario's first moment at which it begins.
+    pub at: f64,
+    /// Seconds until it ends.
+    pub duration: f64,
+    /// The fraction of the workers, functions, clients, gateways or links that it affects.
+    pub fraction: f64,
+    /// How severe it is; the unit depends on the kind.
+    pub magnitude: f64,
+}
+
+impl ScheduledFault {
+    /// Whether it is in force at that second of the scenario.
+    #[must_use]
+    pub fn is_active(&self, at: f64) -> bool {
+        (self.at..self.at + self.duration).contains(&at)
+    }
+}
+
+/// What happens in a fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FaultKind {
+    /// Workers' processes end at once; new ones follow, which warm up at another address.
+    WorkerCrash,
+    /// Workers are drained, stopped and replaced one after the other.
+    RollingReplacement,
+    /// Workers are listed as draining, and as ready afterwards.
+    Drain,
+    /// Workers quickly fail a fraction (magnitude) of their requests.
+    RequestFailures,
+    /// Workers take requests and respond to none.
+    Unresponsiveness,
+    /// A fraction (magnitude) of the responses is lost after the work is done.
+    LostResponses,
+    /// Workers are slower by a factor (magnitude).
+    Slowness,
+    /// Workers reject one client group, though they have room.
+    FalseRejections,
+    /// New versions of functions are released: their instances take no more requests.
+    FunctionRelease,
+    /// There are more requests by a factor (magnitude).
+    TrafficBurst,
+    /// A fraction of the requests is for functions that are requested once.
+    OneTimeFunctions,
+    /// A fraction of the requests is for a few functions (magnitude) not seen before.
+    HotFunctions,
+    /// A fraction of the requests takes more work by a factor (magnitude).
+    HeavyRequests,
+    /// A fraction of the clients waits only for a fraction (magnitude) of the latency objective.
+    ImpatientClients,
+    /// Fetches from the store take longer by a factor (magnitude).
+    StoreSlowness,
+    /// The store rejects all fetches.
+    StoreRejections,
+    /// The store has an outage.
+    StoreOutage,
+    /// A fraction (magnitude) of the responses is cut in half.
+    TruncatedResponses,
+    /// A fraction (magnitude) of the responses is garbage.
+    GarbageResponses,
+    /// A fraction (magnitude) of the responses ends with a reset of the connection.
+    ConnectionResets,
+    /// Gateways' processes are paused for some seconds (magnitude), again and again.
+    GatewayPause,
+    /// Gateways' processes are killed and started again.
+    GatewayCrash,
+    /// A core of each gateway is paused for some seconds (magnitude), again and again.
+    CorePause,
+    /// A core of each gateway panics.
+    CorePanic,
+    /// The decisions of each gateway panic.
+    DispatcherPanic,
+    /// Updates of the endpoint list are late by some seconds (magnitude).
+    RegistryDelay,
+    /// No update of the endpoint list is sent; they follow afterwards.
+    RegistryStall,
+    /// Every other revision of the endpoint list is lost.
+    RegistryLoss,
+    /// Every update of the endpoint list is sent twice.
+    RegistryDuplication,
+    /// The endpoint list is shown without endpoints.
+    RegistryEmptied,
+    /// A fraction (magnitude) of the datagrams between gateways is lost, on a fraction of the links.
+    LinkLoss,
+    /// Some gateways are cut off from the others, in both directions.
+    LinkPartition,
+    /// Some gateways receive no datagrams, and send them as ever.
+    LinkInboundLoss,
+    /// Datagrams are late by some seconds (magnitude) on average, and overtake each other.
+    LinkDelay,
+    /// A fraction (magnitude) of the datagrams is sent again later.
+    LinkDuplication,
+    /// A fraction (magnitude) of the datagrams is garbage: truncated, changed, forged, too long, or sent long ago.
+    LinkCorruption,
+    /// Some gateways start only now.
+    LateGatewayStart,
+}
+
+/// A kind by its word in scenario files, with what holds if a file does not say so.
+pub(super) struct FaultWord {
+    /// The word.
+    pub(super) word: &'static str,
+    /// What it means.
+    pub(super) kind: FaultKind,
+    /// The default of [`ScheduledFault::fraction`].
+    pub(super) fraction: f64,
+    /// The default of [`ScheduledFault::magnitude`].
+    pub(super) magnitude: f64,
+}
+
+const fn word(word: &'static str, kind: FaultKind, fraction: f64, magnitude: f64) -> FaultWord {
+    FaultWord { word, kind, fraction, magnitude }
+}
+
+/// All words, in the order in which messages list them.
+pub(super) const FAULT_WORDS: [FaultWord; 37] = [
+    word("death", FaultKind::WorkerCrash, 0.2, 1.0),
+    word("rolling", FaultKind::RollingReplacement, 0.5, 1.0),
+    word("drain", FaultKind::Drain, 0.2, 1.0),
+    word("failures", FaultKind::RequestFailures, 0.2, 0.6),
+    word("silence", FaultKind::Unresponsiveness, 0.15, 1.0),
+    word("lost-answers", FaultKind::LostResponses, 0.2, 0.5),
+    word("slowness", FaultKind::Slowness, 0.2, 5.0),
+    word("wrong-full", FaultKind::FalseRejections, 0.3, 0.9),
+    word("release", FaultKind::FunctionRelease, 0.8, 1.0),
+    word("burst", FaultKind::TrafficBurst, 1.0, 2.0),
+    word("one-offs", FaultKind::OneTimeFunctions, 0.1, 1.0),
+    word("hot", FaultKind::HotFunctions, 0.2, 3.0),
+    word("heavy", FaultKind::HeavyRequests, 0.01, 12.0),
+    word("impatience", FaultKind::ImpatientClients, 0.6, 0.4),
+    word("store-slow", FaultKind::StoreSlowness, 1.0, 4.0),
+    word("store-refuses", FaultKind::StoreRejections, 1.0, 1.0),
+    word("store-stops", FaultKind::StoreOutage, 1.0, 1.0),
+    word("half-answers", FaultKind::TruncatedResponses, 0.2, 0.3),
+    word("garbage", FaultKind::GarbageResponses, 0.2, 0.3),
+    word("resets", FaultKind::ConnectionResets, 0.2, 0.3),
+    word("gateway-stall", FaultKind::GatewayPause, 0.5, 0.5),
+    word("gateway-kill", FaultKind::GatewayCrash, 0.5, 1.0),
+    word("core-stall", FaultKind::CorePause, 1.0, 0.5),
+    word("core-panic", FaultKind::CorePanic, 1.0, 1.0),
+    word("desk-break", FaultKind::DispatcherPanic, 1.0, 1.0),
+    word("list-late", FaultKind::RegistryDelay, 1.0, 3.0),
+    word("list-stalled", FaultKind::RegistryStall, 1.0, 1.0),
+    word("list-lost", FaultKind::RegistryLoss, 1.0, 1.0),
+    word("list-repeated", FaultKind::RegistryDuplication, 1.0, 1.0),
+    word("list-emptied", FaultKind::RegistryEmptied, 1.0, 1.0),
+    word("link-lost", FaultKind::LinkLoss, 1.0, 0.2),
+    word("link-cut", FaultKind::LinkPartition, 0.4, 1.0),
+    word("link-deaf", FaultKind::LinkInboundLoss, 0.1, 1.0),
+    word("link-late", FaultKind::LinkDelay, 1.0, 0.5),
+    word("link-repeat", FaultKind::LinkDuplication, 1.0, 0.3),
+    word("link-garbage", FaultKind::LinkCorruption, 1.0, 0.3),
+    word("gateway-join", FaultKind::LateGatewayStart, 0.3, 1.0),
+];
+
+/// The word that a label begins with: `death` is one, and `death-at-night` is another fault of the same kind.
+pub(super) fn word_of(label: &str) -> Option<&'static FaultWord> {
+    let names = |fault: &&FaultWord| {
+        let rest = label.strip_prefix(fault.word);
+        rest.is_some_and(|rest| rest.is_empty() || rest.starts_with("-at-"))
+    };
+    FAULT_WORDS.iter().find(names)
+}
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,110 +1,180 @@
-//! What clients will ask for on a day, worked out ahead from its seed: the same day, the same calls.
+//! The clients' requests, planned ahead from the scenario and its seed: the same ones give the same requests.
 
 use crate::scenario_file::{FaultKind, Scenario, ScheduledFault};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
 
-/// One call as its client means it.
+/// Below this, a rate, a sum of shares or a mean counts as this much.
+const SMALLEST_AMOUNT: f64 = 1e-9;
+const SMALLEST_EXPONENT: f64 = 0.01;
+
+/// A client that cancels does so before this fraction of its timeout.
+const ABANDONED_BEFORE: f64 = 0.5;
+
+/// One call as its client plans it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
+    /// Seconds after the first moment of the scenario.
     pub at: f64,
+    /// The function's name.
     pub function: String,
+    /// The number of its profile.
     pub profile: usize,
+    /// The number of its client group.
     pub group: usize,
+    /// Seconds of work on a core of speed 1.
     pub work: f64,
+    /// Seconds of waiting on others after the work.
     pub io: f64,
-    /// Seconds until the client gives up its first try.
+    /// Seconds until the client gives up its first attempt.
     pub timeout: f64,
-    /// Seconds after which the client leaves, where it does.
+    /// Seconds after which the client cancels, if it does.
     pub abandoned_after: Option<f64>,
-    /// The trouble under which it is asked for: the last that began.
+    /// The number of the fault that it is counted under: the last that began.
     pub fault: Option<usize>,
 }
 
-/// All calls of a day, in order.
+/// All requests of a scenario, in order of time.
+#[must_use]
 pub fn plan(scenario: &Scenario, seed: u64) -> Vec<PlannedRequest> {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    let mut calls = Vec::new();
-    // Bounds were checked when the day was read; a day without sense has no calls.
-    let (Ok(zipf), Ok(gap), Ok(work)) = (
-        Zipf::new(scenario.functions as f64, scenario.zipf.max(0.01)),
-        Exp::new(1.0f64),
-        Exp::new(1.0 / scenario.traffic.work.max(1e-9)),
-    ) else {
-        return calls;
-    };
-    let mut at = 0.0;
-    let mut once = 0;
-    loop {
-        let faults = |what| {
-            scenario.faults.iter().filter(move |t: &&ScheduledFault| t.kind == what && t.is_active(at))
-        };
-        let rate =
-            scenario.traffic.rate * faults(FaultKind::TrafficBurst).map(|t| t.magnitude).product::<f64>();
-        at += gap.sample(&mut chance) / rate.max(1e-9);
-        if at >= scenario.seconds {
-            return calls;
-        }
-        let faults = |what| {
-            scenario.faults.iter().filter(move |t: &&ScheduledFault| t.kind == what && t.is_active(at))
-        };
-        let profile = pick(&mut chance, scenario.profiles.iter().map(|p| p.share));
-        let group = pick(&mut chance, scenario.groups.iter().map(|g| g.share));
-        let mut function = format!("pack-{}", zipf.sample(&mut chance) as usize);
-        for fault in faults(FaultKind::HotFunctions) {
-            if chance.random_bool(fault.fraction) {
-                function = format!("hot-{}", chance.random_range(0..fault.magnitude.max(1.0) as u32));
+    let rng = ChaCha8Rng::seed_from_u64(seed);
+    // The reader has checked the bounds; figures without sense give no requests.
+    TrafficPlanner::new(scenario, rng).map(Iterator::collect).unwrap_or_default()
+}
+
+/// Draws one request after the other.
+struct TrafficPlanner<'s> {
+    scenario: &'s Scenario,
+    rng: ChaCha8Rng,
+    popularity: Zipf<f64>,
+    /// The gap between two requests at a rate of one a second.
+    gap: Exp<f64>,
+    work: Exp<f64>,
+    /// When the request before was sent.
+    at: f64,
+    /// Functions so far that are requested once.
+    one_time_functions: u64,
+}
+
+impl<'s> TrafficPlanner<'s> {
+    fn new(scenario: &'s Scenario, rng: ChaCha8Rng) -> Option<Self> {
+        let exponent = scenario.zipf.max(SMALLEST_EXPONENT);
+        Some(Self {
+            scenario,
+            rng,
+            popularity: Zipf::new(scenario.functions as f64, exponent).ok()?,
+            gap: Exp::new(1.0).ok()?,
+            work: Exp::new(1.0 / scenario.traffic.work.max(SMALLEST_AMOUNT)).ok()?,
+            at: 0.0,
+            one_time_functions: 0,
+        })
+    }
+
+    /// Faults of a kind that are in force now.
+    fn active(&self, kind: FaultKind) -> impl Iterator<Item = &'s ScheduledFault> + use<'s> {
+        let at = self.at;
+        self.scenario.faults.iter().filter(move |fault| fault.kind == kind && fault.is_active(at))
+    }
+
+    fn gap(&mut self) -> f64 {
+        let bursts: f64 = self.active(FaultKind::TrafficBurst).map(|fault| fault.magnitude).product();
+        let rate = self.scenario.traffic.rate * bursts;
+        self.gap.sample(&mut self.rng) / rate.max(SMALLEST_AMOUNT)
+    }
+
+    fn function(&mut self) -> String {
+        let mut function = format!("pack-{}", self.popularity.sample(&mut self.rng) as usize);
+        for fault in self.active(FaultKind::HotFunctions) {
+            if self.rng.random_bool(fault.fraction) {
+                let functions = fault.magnitude.max(1.0) as u32;
+                function = format!("hot-{}", self.rng.random_range(0..functions));
             }
         }
-        for fault in faults(FaultKind::OneTimeFunctions) {
-            if chance.random_bool(fault.fraction) {
-                once += 1;
-                function = format!("once-{once}");
+        for fault in self.active(FaultKind::OneTimeFunctions) {
+            if self.rng.random_bool(fault.fraction) {
+                self.one_time_functions += 1;
+                function = format!("once-{}", self.one_time_functions);
             }
         }
-        let mut takes = work.sample(&mut chance);
-        for fault in faults(FaultKind::HeavyRequests) {
-            if chance.random_bool(fault.fraction) {
-                takes *= fault.magnitude;
+        function
+    }
+
+    fn work(&mut self) -> f64 {
+        let mut work = self.work.sample(&mut self.rng);
+        for fault in self.active(FaultKind::HeavyRequests) {
+            if self.rng.random_bool(fault.fraction) {
+                work *= fault.magnitude;
             }
         }
-        let p = &scenario.profiles[profile];
-        let mut timeout = p.deadline * chance.random_range(scenario.traffic.timeout..=1.0);
-        for fault in faults(FaultKind::ImpatientClients) {
-            if chance.random_bool(fault.fraction) {
-                timeout = p.latency_objective * fault.magnitude;
+        work
+    }
+
+    fn timeout(&mut self, profile: usize) -> f64 {
+        let profile = &self.scenario.profiles[profile];
+        let fraction = self.rng.random_range(self.scenario.traffic.shortest_timeout..=1.0);
+        let mut timeout = profile.deadline * fraction;
+        for fault in self.active(FaultKind::ImpatientClients) {
+            if self.rng.random_bool(fault.fraction) {
+                timeout = profile.latency_objective * fault.magnitude;
             }
         }
-        let leaves =
-            chance.random_bool(scenario.traffic.abandonment).then(|| timeout * chance.random_range(0.0..0.5));
-        let fault = scenario.faults.iter().enumerate().filter(|(_, t)| t.is_active(at));
-        let fault = fault.max_by(|(_, a), (_, b)| a.at.total_cmp(&b.at)).map(|(n, _)| n);
-        let io = scenario.traffic.io;
-        calls.push(PlannedRequest {
-            at,
+        timeout
+    }
+
+    fn abandoned_after(&mut self, timeout: f64) -> Option<f64> {
+        let is_cancelled = self.rng.random_bool(self.scenario.traffic.abandonment);
+        is_cancelled.then(|| timeout * self.rng.random_range(0.0..ABANDONED_BEFORE))
+    }
+
+    /// The number of the fault in force that began last.
+    fn latest_fault(&self) -> Option<usize> {
+        let faults = self.scenario.faults.iter().enumerate();
+        let active = faults.filter(|(_, fault)| fault.is_active(self.at));
+        active.max_by(|(_, a), (_, b)| a.at.total_cmp(&b.at)).map(|(number, _)| number)
+    }
+}
+
+impl Iterator for TrafficPlanner<'_> {
+    type Item = PlannedRequest;
+
+    /// Draws in a fixed order, on which the meaning of a seed depends.
+    fn next(&mut self) -> Option<PlannedRequest> {
+        self.at += self.gap();
+        if self.at >= self.scenario.seconds {
+            return None;
+        }
+        let profile = pick(&mut self.rng, self.scenario.profiles.iter().map(|profile| profile.share));
+        let group = pick(&mut self.rng, self.scenario.groups.iter().map(|client| client.share));
+        let function = self.function();
+        let work = self.work();
+        let timeout = self.timeout(profile);
+        let abandoned_after = self.abandoned_after(timeout);
+        Some(PlannedRequest {
+            at: self.at,
             function,
             profile,
             group,
-            work: takes,
-            io,
+            work,
+            io: self.scenario.traffic.io,
             timeout,
-            abandoned_after: leaves,
-            fault,
-        });
+            abandoned_after,
+            fault: self.latest_fault(),
+        })
     }
 }
 
-/// One of several, by their shares.
-fn pick(chance: &mut ChaCha8Rng, shares: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut left = chance.random_range(0.0..shares.clone().sum::<f64>().max(1e-9));
+/// The number of one of several, by their shares.
+fn pick(rng: &mut ChaCha8Rng, shares: impl Iterator<Item = f64> + Clone) -> usize {
+    let sum = shares.clone().sum::<f64>().max(SMALLEST_AMOUNT);
+    let mut rest = rng.random_range(0.0..sum);
     let mut last = 0;
-    for (n, share) in shares.enumerate() {
-        last = n;
-        if left < share {
+    for (number, share) in shares.enumerate() {
+        last = number;
+        if rest < share {
             break;
         }
-        left -= share;
+        rest -= share;
     }
     last
 }
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -2,7 +2,7 @@
 //! did when these values were taken; so do the messages about invalid files.
 
 use crate::digest::Digest;
-use milletpath_emulator::scenario::{gateway_config, rule_parameters, service_weights};
+use milletpath_emulator::scenario::{GatewayConfigFile, rule_parameters, service_weights};
 use milletpath_emulator::scenario_file::{Scenario, open};
 use milletpath_emulator::traffic;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -55,7 +55,7 @@
     digest.figure(function.fetch).figure(function.start);
     let traffic = &scenario.traffic;
     digest.figure(traffic.rate).figure(traffic.work).figure(traffic.io).count(traffic.body as u64);
-    digest.figure(traffic.timeout).count(u64::from(traffic.retries));
+    digest.figure(traffic.shortest_timeout).count(u64::from(traffic.retries));
     digest.figure(traffic.backoff).figure(traffic.abandonment);
 }
 
@@ -75,11 +75,11 @@
 
 fn add_rules(digest: &mut Digest, scenario: &Scenario) {
     let rules = &scenario.rules;
-    for (window, free, share) in [rules.load_rate_limit, rules.retries].into_iter().flatten() {
-        digest.figure(window).figure(free).figure(share);
+    for limit in [rules.load_rate_limit, rules.retries].into_iter().flatten() {
+        digest.figure(limit.window).figure(limit.free).figure(limit.per_request);
     }
-    digest.figure(rules.grace).optional(rules.in_flight).figure(rules.idempotency_window);
-    digest.figure(rules.late).figure(rules.over_share).figure(rules.notification_delay);
+    digest.figure(rules.drain_grace).optional(rules.in_flight).figure(rules.idempotency_window);
+    digest.figure(rules.late_weight).figure(rules.over_quota_weight).figure(rules.notification_delay);
     let checked = rule_parameters(scenario, 0.25);
     digest.figure(checked.grace).figure(checked.initial_capacity).figure(checked.warm_up);
     digest.figure(checked.overload_multiple).figure(checked.overload_window).figure(checked.lag);
@@ -96,7 +96,9 @@
     let mut digest = Digest::new();
     for gateway in 0..scenario.gateways {
         for links in [None, Some(links.as_slice())] {
-            digest.text(&gateway_config(scenario, gateway, address(1000), address(2000), links, 49));
+            let (listen, registry) = (address(1000), address(2000));
+            let config = GatewayConfigFile { scenario, gateway, listen, registry, links, seed: 49 };
+            digest.text(&config.to_string());
         }
     }
     digest.value()
@@ -180,7 +182,7 @@
     let file = written(name, text);
     let folder = file.parent().expect("a folder").display().to_string();
     let lines = open(&file).expect_err("an invalid scenario");
-    lines.iter().map(|line| line.replace(&folder, "FOLDER")).collect()
+    lines.iter().map(|line| line.to_string().replace(&folder, "FOLDER")).collect()
 }
 
 #[test_case("unreadable", "upon = \"absent.hcl\"", &[
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -10,7 +10,7 @@
     Action, AttemptResult, Counters, Dispatcher, IncomingRequest, RequestId,
 };
 use milletpath_emulator::clients::gateway_weights;
-use milletpath_emulator::scenario;
+use milletpath_emulator::scenario::{self, GatewayConfigFile};
 use milletpath_emulator::scenario_file::Scenario;
 use milletpath_emulator::store::Store;
 use milletpath_emulator::traffic;
@@ -184,15 +184,9 @@
     fn new(scenario: &Scenario, seed: u64) -> Self {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let house = |gateway: usize| -> GatewayConfig {
-            let text = scenario::gateway_config(
-                scenario,
-                gateway,
-                any,
-                SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
-                None,
-                seed,
-            );
-            milletpath_config::read(&text).unwrap_or_else(|m| panic!("a day's charter: {m:?}"))
+            let registry = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+            let file = GatewayConfigFile { scenario, gateway, listen: any, registry, links: None, seed };
+            milletpath_config::read(&file.to_string()).unwrap_or_else(|m| panic!("a day's charter: {m:?}"))
         };
         let houses: Vec<GatewayConfig> = (0..scenario.gateways).map(house).collect();
         let dispatchers: Vec<Dispatcher<Kept>> =
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -349,7 +349,7 @@
         match step % 3 {
             0 => {
                 self.stands(&[worker], EndpointStatus::Draining);
-                let wait = self.scenario.rules.grace + self.scenario.rules.notification_delay;
+                let wait = self.scenario.rules.drain_grace + self.scenario.rules.notification_delay;
                 self.put(self.now + wait, Event::Step(number, step + 1));
             }
             1 => {
