--- /dev/null
+++ b/crates/emulator/src/clients/front_layer.rs
@@ -0,0 +1,56 @@
+//! The load balancer in front of the gateways, as clients see it: it picks one of the gateways that it takes for alive.
+
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+/// Steps of the search for an exponent: enough for the precision of a double.
+const SEARCH_STEPS: usize = 60;
+const MAX_EXPONENT: f64 = 64.0;
+
+/// The gateways as the load balancer knows them.
+pub struct FrontLayer {
+    /// Where each listens.
+    pub gateways: Vec<SocketAddr>,
+    /// Which it takes for alive.
+    pub alive: Vec<AtomicBool>,
+    /// The share of the clients' attempts that each gets, relative to the others.
+    pub weights: Vec<f64>,
+}
+
+impl FrontLayer {
+    /// Sets whether a gateway is taken for alive.
+    pub fn set_alive(&self, gateway: usize, alive: bool) {
+        self.alive[gateway].store(alive, Ordering::Relaxed);
+    }
+
+    /// The gateway for the next attempt, by weight; any if none seems alive.
+    pub(super) fn pick(&self, rng: &mut ChaCha8Rng) -> usize {
+        let all = 0..self.alive.len();
+        let alive: Vec<_> = all.clone().filter(|&g| self.alive[g].load(Ordering::Relaxed)).collect();
+        let candidates = if alive.is_empty() { all.collect() } else { alive };
+        let sum: f64 = candidates.iter().map(|&gateway| self.weights[gateway]).sum();
+        let mut rest = rng.random_range(0.0..sum);
+        let found = candidates.iter().find(|&&gateway| {
+            rest -= self.weights[gateway];
+            rest < 0.0
+        });
+        *found.unwrap_or(&candidates[candidates.len() - 1])
+    }
+}
+
+/// Weights by which the busiest of the gateways gets so many times the mean. The others follow by rank, the n-th as a power of
+/// n, as cities do by size.
+#[must_use]
+pub fn gateway_weights(gateways: usize, busiest: f64) -> Vec<f64> {
+    let by_rank = |exponent: f64| (1..=gateways).map(move |rank| (rank as f64).powf(-exponent));
+    let busiest_of = |exponent: f64| gateways as f64 / by_rank(exponent).sum::<f64>();
+    let wanted = busiest.clamp(1.0, gateways as f64);
+    let (mut low, mut high) = (0.0, MAX_EXPONENT);
+    for _ in 0..SEARCH_STEPS {
+        let middle = 0.5 * (low + high);
+        if busiest_of(middle) < wanted { low = middle } else { high = middle }
+    }
+    by_rank(0.5 * (low + high)).collect()
+}
--- a/crates/emulator/src/context.rs
+++ b/crates/emulator/src/context.rs
@@ -1,8 +1,10 @@
-//! What all stand-ins of one place share: the clock, the notebook, the store, the functions, the receipts, chance.
+//! What all emulated parts of one place share: the clock, the history, the store, the functions, the idempotency keys and
+//! the random numbers.
 
 use crate::store::{Store, StoreSpec};
 use crate::worker_model::FunctionModel;
 use milletpath_history_checker::{HistoryEvent, HistoryRecord};
+use milletpath_protocol::worker::InstanceState;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
@@ -10,107 +12,169 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// What workers tell of themselves.
+/// Which optional fields workers report with a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedFields {
-    /// Whether an instance stood, on answers.
-    pub found: bool,
-    /// Activations of the same function, on answers.
+    /// Whether an instance was loaded.
+    pub instance_state: bool,
+    /// Requests of the same function at the same time.
     pub concurrent_requests: bool,
-    /// Load reports on answers, beside those on probes.
+    /// A load report, beside those of health checks.
     pub load: bool,
 }
 
+impl ReportedFields {
+    /// All of them.
+    pub const ALL: Self = Self { instance_state: true, concurrent_requests: true, load: true };
+}
+
+/// What a context begins with.
+#[derive(Clone, Copy, Debug)]
+pub struct ContextOptions {
+    /// The seed of the random numbers.
+    pub seed: u64,
+    /// The store that all workers load from.
+    pub store: StoreSpec,
+    /// The figures of every function.
+    pub function_model: FunctionModel,
+    /// What workers report.
+    pub reported_fields: ReportedFields,
+    /// Seconds for which an idempotency key is known.
+    pub idempotency_window: f64,
+}
+
+/// How many completed requests found an instance that was loaded already.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct WarmRequests {
+    warm: u64,
+    completed: u64,
+}
+
+impl WarmRequests {
+    /// Counts a completed request.
+    pub fn record(&mut self, instance_state: InstanceState) {
+        self.warm += u64::from(instance_state == InstanceState::Loaded);
+        self.completed += 1;
+    }
+
+    /// The fraction that found one, 0 if none was completed.
+    #[must_use]
+    pub fn fraction(&self) -> f64 {
+        self.warm as f64 / self.completed.max(1) as f64
+    }
+}
+
+/// A function by its number.
+#[derive(Clone, Copy, Debug)]
+pub struct KnownFunction {
+    /// The number by which worker models know it.
+    pub number: u32,
+    /// Its figures.
+    pub model: FunctionModel,
+}
+
+/// An idempotency key, as a group of workers shares it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct IdempotencyKey {
+    group: u32,
+    key: String,
+}
+
+/// Shared by the emulated workers and the registry of one thread.
 pub struct EmulatorContext {
-    began: Instant,
-    notes: RefCell<Vec<HistoryRecord>>,
+    started: Instant,
+    history: RefCell<Vec<HistoryRecord>>,
+    /// The store that all workers load from.
     pub store: RefCell<Store>,
-    /// Calls done by an instance that stood there when they came, and all that were done.
-    pub warm: Cell<(u64, u64)>,
-    packs: RefCell<BTreeMap<String, (u32, FunctionModel)>>,
-    usual: FunctionModel,
-    pub tells: ReportedFields,
-    /// Receipts by group of workers and mark, with when they were noted.
-    receipts: RefCell<BTreeMap<(u32, String), f64>>,
-    /// Seconds for which a receipt is known.
-    memory: f64,
-    chance: RefCell<ChaCha8Rng>,
+    /// Completed requests.
+    pub warm_requests: Cell<WarmRequests>,
+    functions: RefCell<BTreeMap<String, KnownFunction>>,
+    function_model: FunctionModel,
+    /// What workers report.
+    pub reported_fields: ReportedFields,
+    /// When each key was used first.
+    executed_keys: RefCell<BTreeMap<IdempotencyKey, f64>>,
+    idempotency_window: f64,
+    rng: RefCell<ChaCha8Rng>,
 }
 
 impl EmulatorContext {
-    pub fn new(
-        began: Instant,
-        seed: u64,
-        store_spec: StoreSpec,
-        usual: FunctionModel,
-        tells: ReportedFields,
-        memory: f64,
-    ) -> Rc<Self> {
+    /// A context whose clock is at 0 at `started`.
+    #[must_use]
+    pub fn new(started: Instant, options: ContextOptions) -> Rc<Self> {
         Rc::new(Self {
-            began,
-            notes: RefCell::default(),
-            store: RefCell::new(Store::new(store_spec)),
-            warm: Cell::default(),
-            packs: RefCell::default(),
-            usual,
-            tells,
-            receipts: RefCell::default(),
-            memory,
-            chance: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
+            started,
+            history: RefCell::default(),
+            store: RefCell::new(Store::new(options.store)),
+            warm_requests: Cell::default(),
+            functions: RefCell::default(),
+            function_model: options.function_model,
+            reported_fields: options.reported_fields,
+            executed_keys: RefCell::default(),
+            idempotency_window: options.idempotency_window,
+            rng: RefCell::new(ChaCha8Rng::seed_from_u64(options.seed)),
         })
     }
 
+    /// Seconds since the start.
+    #[must_use]
     pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started.elapsed().as_secs_f64()
     }
 
-    /// Notes what passed just now.
-    pub fn note(&self, event: HistoryEvent) {
+    /// Adds what happened just now to the history.
+    pub fn record(&self, event: HistoryEvent) {
         let at = self.now();
-        self.notes.borrow_mut().push(HistoryRecord { at, event });
+        self.history.borrow_mut().push(HistoryRecord { at, event });
     }
 
-    pub fn notes(&self) -> Vec<HistoryRecord> {
-        std::mem::take(&mut self.notes.borrow_mut())
+    /// Takes the history so far.
+    #[must_use]
+    pub fn take_history(&self) -> Vec<HistoryRecord> {
+        self.history.take()
     }
 
-    /// States the figures of a function; others have the usual ones.
-    pub fn state(&self, function: &str, function_model: FunctionModel) {
-        let (number, _) = self.function_model(function);
-        self.packs.borrow_mut().insert(function.to_owned(), (number, function_model));
+    /// Counts a completed request by what it found.
+    pub fn count_completed(&self, instance_state: InstanceState) {
+        let mut warm_requests = self.warm_requests.get();
+        warm_requests.record(instance_state);
+        self.warm_requests.set(warm_requests);
     }
 
-    /// The number and figures of a function.
-    pub fn function_model(&self, function: &str) -> (u32, FunctionModel) {
-        let mut packs = self.packs.borrow_mut();
-        if let Some(known) = packs.get(function) {
+    /// A function by its name; a new name gets the next number.
+    #[must_use]
+    pub fn function(&self, name: &str) -> KnownFunction {
+        let mut functions = self.functions.borrow_mut();
+        if let Some(known) = functions.get(name) {
             return *known;
         }
-        let known = (packs.len() as u32, self.usual);
-        packs.insert(function.to_owned(), known);
-        known
+        let new = KnownFunction { number: functions.len() as u32, model: self.function_model };
+        functions.insert(name.to_owned(), new);
+        new
     }
 
     /// Functions that were named so far.
-    pub fn functions(&self) -> usize {
-        self.packs.borrow().len()
+    #[must_use]
+    pub fn function_count(&self) -> usize {
+        self.functions.borrow().len()
     }
 
-    /// Whether a mark is known to a group as of now; it is from now on.
-    pub fn known(&self, group: u32, mark: &str) -> bool {
+    /// Whether an idempotency key is new to a group of workers; it is known from now on.
+    #[must_use]
+    pub fn is_first_use(&self, group: u32, key: &str) -> bool {
         let now = self.now();
-        let mut receipts = self.receipts.borrow_mut();
-        let before = receipts.insert((group, mark.to_owned()), now);
-        if let Some(at) = before.filter(|at| now - at < self.memory) {
-            // Known since the first time.
-            receipts.insert((group, mark.to_owned()), at);
-            return true;
+        let key = IdempotencyKey { group, key: key.to_owned() };
+        let mut executed_keys = self.executed_keys.borrow_mut();
+        if executed_keys.get(&key).is_some_and(|first_use| now - first_use < self.idempotency_window) {
+            return false;
         }
-        false
+        executed_keys.insert(key, now);
+        true
     }
 
-    /// Whether something that happens with such a chance happens now.
-    pub fn happens(&self, chance: f64) -> bool {
-        chance > 0.0 && self.chance.borrow_mut().random_bool(chance.min(1.0))
+    /// Whether something of this probability happens now.
+    #[must_use]
+    pub fn happens(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.borrow_mut().random_bool(probability.min(1.0))
     }
 }
--- a/crates/emulator/src/corrupting_stream.rs
+++ b/crates/emulator/src/corrupting_stream.rs
@@ -1,4 +1,5 @@
-//! A worker's connection that can spoil what is written on it: half an answer, garbage, a reset in mid-body.
+//! A worker's connection on which a fault can corrupt what is written: half of a response, garbage, or a reset within the
+//! body.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -10,30 +11,53 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
+/// What happens to the next bytes that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Corruption {
+    /// They are written as they are.
     #[default]
-    Nothing,
-    /// Half of what is written, then the end.
-    Half,
-    /// Bytes that are no HTTP.
+    None,
+    /// Half of them is written, then the connection is closed.
+    Truncation,
+    /// Bytes that are no HTTP are written instead, and nothing after them.
     Garbage,
-    /// Half of it, then a reset.
+    /// Half of them is written, then the connection is reset.
     Reset,
-    /// Closed without a byte.
-    Silence,
 }
 
+/// Bytes that are no HTTP.
+const GARBAGE: [u8; 8] = [0x13, 0x37, b'\r', b'\n', 0, 0xff, b' ', b'\n'];
+const GARBAGE_REPEATS: usize = 8;
+
+/// A stream that corrupts what is written on request.
 pub struct CorruptingStream {
     stream: TokioIo<TcpStream>,
-    /// What becomes of the next write; set by whoever answers on this connection.
-    next: Rc<Cell<Corruption>>,
-    dead: bool,
+    /// Set by whoever writes the response on this connection.
+    corruption: Rc<Cell<Corruption>>,
+    closed: bool,
 }
 
 impl CorruptingStream {
-    pub fn new(stream: TcpStream, next: Rc<Cell<Corruption>>) -> Self {
-        Self { stream: TokioIo::new(stream), next, dead: false }
+    /// Wraps a connection.
+    #[must_use]
+    pub fn new(stream: TcpStream, corruption: Rc<Cell<Corruption>>) -> Self {
+        Self { stream: TokioIo::new(stream), corruption, closed: false }
+    }
+
+    fn write_garbage(&mut self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        let garbage = GARBAGE.repeat(GARBAGE_REPEATS);
+        ready!(Pin::new(&mut self.stream).poll_write(cx, &garbage))?;
+        self.closed = true;
+        Poll::Ready(Ok(bytes.len()))
+    }
+
+    fn write_half(&mut self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        ready!(Pin::new(&mut self.stream).poll_write(cx, &bytes[..bytes.len() / 2]))?;
+        self.closed = true;
+        if self.corruption.get() == Corruption::Reset {
+            socket2::SockRef::from(self.stream.inner()).set_linger(Some(Duration::ZERO))?;
+        }
+        Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()))
     }
 }
 
@@ -49,27 +73,13 @@
 
 impl Write for CorruptingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let spoil = self.next.get();
-        if self.dead || spoil == Corruption::Silence {
+        if self.closed {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        match spoil {
-            Corruption::Nothing => Pin::new(&mut self.stream).poll_write(cx, buf),
-            Corruption::Garbage => {
-                let junk = [0x13, 0x37, b'\r', b'\n', 0, 0xff, b' ', b'\n'].repeat(8);
-                ready!(Pin::new(&mut self.stream).poll_write(cx, &junk))?;
-                self.dead = true;
-                Poll::Ready(Ok(buf.len()))
-            }
-            Corruption::Half | Corruption::Reset | Corruption::Silence => {
-                ready!(Pin::new(&mut self.stream).poll_write(cx, &buf[..buf.len() / 2]))?;
-                self.dead = true;
-                if spoil == Corruption::Reset {
-                    let socket = socket2::SockRef::from(self.stream.inner());
-                    socket.set_linger(Some(Duration::ZERO))?;
-                }
-                Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()))
-            }
+        match self.corruption.get() {
+            Corruption::None => Pin::new(&mut self.stream).poll_write(cx, buf),
+            Corruption::Garbage => self.write_garbage(cx, buf),
+            Corruption::Truncation | Corruption::Reset => self.write_half(cx, buf),
         }
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,15 @@
-//! Stand-ins on loopback for what a gateway meets: workers, the shared store, the registry, clients. Models are
-//! free of I/O ([`engine`], [`store`], [`traffic`]); shells put them on sockets and note what passes there for the
-//! witness. Faults come by script ([`scenario`]).
+//! Emulates on loopback what a gateway works with: workers, the store that they load from, the registry, clients, and the
+//! links to other gateways; and injects faults into them.
+//!
+//! - [`worker_model`], [`store`] and [`traffic`] are models without I/O, which the simulator uses too.
+//! - [`worker`], [`registry`], [`clients`], [`relay`] and [`gateway_process`] put them on sockets, and record what passes
+//!   for the history checker.
+//! - [`scenario_file`] reads a scenario's file, and [`scenario`] plays it.
+//!
+//! All times are seconds, as `f64`, by the clock of a [`context::EmulatorContext`] or of the simulation.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod clients;
 pub mod context;
--- a/crates/emulator/src/registry.rs
+++ b/crates/emulator/src/registry.rs
@@ -1,80 +1,100 @@
-//! The stand-in registry: it streams editions of the worker list to each gateway on a socket of that gateway's own,
-//! late, stalled, with losses and repeats where the script says so.
+//! The emulated registry: it streams revisions of the endpoint list to each gateway, on a socket for each, and does so late,
+//! not at all, with losses or with duplicates while a fault is injected.
+
+mod update_stream;
 
 use crate::context::EmulatorContext;
-use bytes::Bytes;
 use http::{Request, Response};
-use http_body::{Body, Frame};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use milletpath_history_checker::HistoryEvent;
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus, write};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
+use update_stream::{AnnouncedEndpoint, Update, UpdateStream};
 
-/// How the registry behaves at present.
+/// What is wrong with the registry at present.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RegistryFault {
-    /// Seconds by which lines come late.
-    pub late: f64,
-    /// Nothing is sent at all; what was held back comes when it ends.
+    /// Seconds by which updates are late.
+    pub delay: f64,
+    /// Whether nothing is sent; updates made meanwhile follow when the fault ends.
     pub stalled: bool,
-    /// Every other edition is lost.
-    pub loses: bool,
-    /// Every line comes twice.
-    pub repeats: bool,
+    /// Whether every other revision is lost.
+    pub loses_revisions: bool,
+    /// Whether every update is sent twice.
+    pub duplicates: bool,
 }
 
-/// One line on its way, and what a gateway is told by it.
-struct Line {
-    bytes: Bytes,
-    told: Vec<(usize, bool)>,
+/// A worker as the registry lists it.
+#[derive(Clone, Debug)]
+pub struct ListedWorker {
+    /// The worker's number.
+    pub number: usize,
+    /// Its entry; the address is that of the gateway to which it is sent.
+    pub entry: EndpointEntry,
+    /// The address for each gateway.
+    pub addresses: Vec<SocketAddr>,
 }
 
-struct Gate {
+/// One gateway's stream.
+struct Subscription {
     address: SocketAddr,
-    sender: RefCell<Option<mpsc::UnboundedSender<Rc<Line>>>>,
-    held_back: RefCell<Vec<Rc<Line>>>,
+    sender: RefCell<Option<mpsc::UnboundedSender<Rc<Update>>>>,
+    /// Updates made while the registry is stalled.
+    stalled_updates: RefCell<Vec<Rc<Update>>>,
+}
+
+impl Subscription {
+    fn send(&self, update: Rc<Update>) {
+        if let Some(sender) = &*self.sender.borrow() {
+            // A gateway that is not connected gets the complete list when it connects.
+            let _ = sender.send(update);
+        }
+    }
 }
 
+/// The registry.
 pub struct Registry {
     context: Rc<EmulatorContext>,
-    gates: Vec<Gate>,
-    /// Workers by number, with an address for each gateway.
-    list: RefCell<BTreeMap<usize, (EndpointEntry, Vec<SocketAddr>)>>,
-    edition: Cell<u64>,
-    manner: Cell<RegistryFault>,
-    /// A list that shows nobody: a trouble.
+    /// One for each gateway.
+    subscriptions: Vec<Subscription>,
+    workers: RefCell<BTreeMap<usize, ListedWorker>>,
+    revision: Cell<u64>,
+    fault: Cell<RegistryFault>,
+    /// Whether updates show no workers, by a fault.
     emptied: Cell<bool>,
 }
 
 impl Registry {
+    /// Starts a registry without workers.
+    ///
+    /// # Errors
+    /// It can't listen on loopback.
     pub async fn start(context: Rc<EmulatorContext>, gateways: usize) -> io::Result<Rc<Self>> {
-        let (mut gates, mut listeners) = (Vec::new(), Vec::new());
+        let (mut subscriptions, mut listeners) = (Vec::new(), Vec::new());
         for _ in 0..gateways {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
             let address = listener.local_addr()?;
-            gates.push(Gate { address, sender: RefCell::default(), held_back: RefCell::default() });
+            let (sender, stalled_updates) = (RefCell::default(), RefCell::default());
+            subscriptions.push(Subscription { address, sender, stalled_updates });
             listeners.push(listener);
         }
         let registry = Rc::new(Self {
             context,
-            gates,
-            list: RefCell::default(),
-            edition: Cell::new(0),
-            manner: Cell::default(),
+            subscriptions,
+            workers: RefCell::default(),
+            revision: Cell::new(0),
+            fault: Cell::default(),
             emptied: Cell::new(false),
         });
         for (gateway, listener) in listeners.into_iter().enumerate() {
@@ -83,151 +103,126 @@
         Ok(registry)
     }
 
-    /// Where a gateway follows it.
+    /// Where a gateway connects to it.
+    #[must_use]
     pub fn address(&self, gateway: usize) -> SocketAddr {
-        self.gates[gateway].address
+        self.subscriptions[gateway].address
     }
 
-    pub fn manner(self: &Rc<Self>, manner: RegistryFault) {
-        self.manner.set(manner);
-        if !manner.stalled {
-            for gate in &self.gates {
-                gate.held_back.take().into_iter().for_each(|line| self.send(gate, line));
+    /// Injects a fault in place of the one before; the default is none.
+    pub fn set_fault(&self, fault: RegistryFault) {
+        self.fault.set(fault);
+        if !fault.stalled {
+            for subscription in &self.subscriptions {
+                subscription.stalled_updates.take().into_iter().for_each(|update| subscription.send(update));
             }
         }
     }
 
-    /// Lists a worker, or changes what is listed of it, and tells all gateways.
-    pub fn put(self: &Rc<Self>, number: usize, entry: EndpointEntry, addresses: Vec<SocketAddr>) {
-        self.list.borrow_mut().insert(number, (entry, addresses));
-        self.publish(&[number]);
-    }
-
-    /// Lists several at once.
-    pub fn put_all(self: &Rc<Self>, workers: Vec<(usize, EndpointEntry, Vec<SocketAddr>)>) {
-        let numbers: Vec<_> = workers.iter().map(|(number, ..)| *number).collect();
-        self.list.borrow_mut().extend(workers.into_iter().map(|(number, entry, at)| (number, (entry, at))));
+    /// Lists workers, or replaces what is listed of them, as one revision.
+    pub fn list(self: &Rc<Self>, workers: Vec<ListedWorker>) {
+        let numbers: Vec<_> = workers.iter().map(|worker| worker.number).collect();
+        self.workers.borrow_mut().extend(workers.into_iter().map(|worker| (worker.number, worker)));
         self.publish(&numbers);
     }
 
-    /// Changes how a worker stands.
-    pub fn stand(self: &Rc<Self>, number: usize, state: EndpointStatus) {
-        if let Some((entry, _)) = self.list.borrow_mut().get_mut(&number) {
-            entry.state = state;
+    /// Changes a worker's status.
+    pub fn set_status(self: &Rc<Self>, number: usize, status: EndpointStatus) {
+        if let Some(worker) = self.workers.borrow_mut().get_mut(&number) {
+            worker.entry.state = status;
         }
         self.publish(&[number]);
     }
 
     /// Shows an empty list, or the true one again.
-    pub fn empty(self: &Rc<Self>, emptied: bool) {
+    pub fn set_emptied(self: &Rc<Self>, emptied: bool) {
         self.emptied.set(emptied);
-        self.edition.set(self.edition.get() + 1);
-        for gateway in 0..self.gates.len() {
-            let line = self.line(gateway, None);
-            self.pass(gateway, line);
+        self.next_revision();
+        for gateway in 0..self.subscriptions.len() {
+            let update = self.update(gateway, None);
+            self.send_later(gateway, update);
         }
     }
 
+    fn next_revision(&self) -> u64 {
+        self.revision.set(self.revision.get() + 1);
+        self.revision.get()
+    }
+
+    /// Sends changes of some workers to all gateways.
     fn publish(self: &Rc<Self>, numbers: &[usize]) {
-        self.edition.set(self.edition.get() + 1);
-        if self.manner.get().loses && self.edition.get().is_multiple_of(2) || self.emptied.get() {
+        let revision = self.next_revision();
+        let is_lost = self.fault.get().loses_revisions && revision.is_multiple_of(2);
+        if is_lost || self.emptied.get() {
             return;
         }
-        for gateway in 0..self.gates.len() {
-            let line = self.line(gateway, Some(numbers));
-            self.pass(gateway, line);
+        for gateway in 0..self.subscriptions.len() {
+            let update = self.update(gateway, Some(numbers));
+            self.send_later(gateway, update);
         }
     }
 
-    /// The whole list for a gateway, or changes of some workers.
-    fn line(&self, gateway: usize, numbers: Option<&[usize]>) -> Rc<Line> {
-        let list = self.list.borrow();
-        let shown = |n: &&usize| !self.emptied.get() && numbers.is_none_or(|only| only.contains(n));
-        let numbers_shown: Vec<usize> = list.keys().filter(shown).copied().collect();
-        let entries: Vec<EndpointEntry> = numbers_shown
-            .iter()
-            .map(|n| EndpointEntry { address: list[n].1[gateway], ..list[n].0.clone() })
-            .filter(|e| numbers.is_some() || e.state != EndpointStatus::Gone)
-            .collect();
-        let told = list
-            .iter()
-            .filter(|(n, _)| numbers.is_none_or(|only| only.contains(n)))
-            .map(|(n, (entry, _))| (*n, !self.emptied.get() && entry.state == EndpointStatus::Ready))
+    /// The complete list for a gateway, or changes of some workers.
+    fn update(&self, gateway: usize, only: Option<&[usize]>) -> Rc<Update> {
+        let workers = self.workers.borrow();
+        let is_meant = |worker: &&ListedWorker| only.is_none_or(|only| only.contains(&worker.number));
+        let emptied = self.emptied.get();
+        let entry_for = |worker: &ListedWorker| EndpointEntry {
+            address: worker.addresses[gateway],
+            ..worker.entry.clone()
+        };
+        let entries: Vec<EndpointEntry> = workers
+            .values()
+            .filter(|worker| !emptied && is_meant(worker))
+            .filter(|worker| only.is_some() || worker.entry.state != EndpointStatus::Gone)
+            .map(entry_for)
             .collect();
-        let bytes = write(self.edition.get(), numbers.is_none(), &entries).into();
-        Rc::new(Line { bytes, told })
+        let announced = |worker: &ListedWorker| AnnouncedEndpoint {
+            worker: worker.number,
+            ready: !emptied && worker.entry.state == EndpointStatus::Ready,
+        };
+        let endpoints = workers.values().filter(is_meant).map(announced).collect();
+        let bytes = write(self.revision.get(), only.is_none(), &entries).into();
+        Rc::new(Update { bytes, endpoints })
     }
 
-    fn pass(self: &Rc<Self>, gateway: usize, line: Rc<Line>) {
-        let RegistryFault { late, stalled, repeats, .. } = self.manner.get();
+    /// Sends an update as the present fault has it.
+    fn send_later(self: &Rc<Self>, gateway: usize, update: Rc<Update>) {
+        let RegistryFault { delay, stalled, duplicates, .. } = self.fault.get();
         let registry = self.clone();
         spawn_local(async move {
-            tokio::time::sleep(Duration::from_secs_f64(late)).await;
-            let gate = &registry.gates[gateway];
+            tokio::time::sleep(Duration::from_secs_f64(delay)).await;
+            let subscription = &registry.subscriptions[gateway];
             if stalled {
-                gate.held_back.borrow_mut().push(line);
+                subscription.stalled_updates.borrow_mut().push(update);
                 return;
             }
-            registry.send(gate, line.clone());
-            if repeats {
-                registry.send(gate, line);
+            subscription.send(update.clone());
+            if duplicates {
+                subscription.send(update);
             }
         });
     }
 
-    fn send(&self, gate: &Gate, line: Rc<Line>) {
-        if let Some(sender) = &*gate.sender.borrow() {
-            // A gateway that is gone is told everything when it is back.
-            let _ = sender.send(line);
-        }
-    }
-
     async fn accept(self: Rc<Self>, gateway: usize, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let registry = self.clone();
             spawn_local(async move {
                 let service = service_fn(move |_: Request<Incoming>| {
-                    let stream = registry.clone().subscribe(gateway);
-                    async move { Ok::<_, Infallible>(Response::new(stream)) }
+                    let updates = registry.subscribe(gateway);
+                    async move { Ok::<_, Infallible>(Response::new(updates)) }
                 });
+                // How the connection ends is the gateway's affair.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     }
 
-    fn subscribe(self: Rc<Self>, gateway: usize) -> Stream {
-        let (sender, lines) = mpsc::unbounded_channel();
-        let _ = sender.send(self.line(gateway, None));
-        self.gates[gateway].sender.replace(Some(sender));
-        Stream { registry: self, gateway, lines }
-    }
-}
-
-/// The lines to one gateway, as a body without end.
-struct Stream {
-    registry: Rc<Registry>,
-    gateway: usize,
-    lines: mpsc::UnboundedReceiver<Rc<Line>>,
-}
-
-impl Body for Stream {
-    type Data = Bytes;
-    type Error = Infallible;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.lines.poll_recv(cx).map(|line| {
-            let line = line?;
-            for &(worker, ready) in &line.told {
-                self.registry.context.note(HistoryEvent::EndpointNotified {
-                    gateway: self.gateway,
-                    worker,
-                    ready,
-                });
-            }
-            Some(Ok(Frame::data(line.bytes.clone())))
-        })
+    /// A new stream to a gateway, in place of the one before; it begins with the complete list.
+    fn subscribe(&self, gateway: usize) -> UpdateStream {
+        let (sender, updates) = mpsc::unbounded_channel();
+        let _ = sender.send(self.update(gateway, None));
+        self.subscriptions[gateway].sender.replace(Some(sender));
+        UpdateStream::new(self.context.clone(), gateway, updates)
     }
 }
--- /dev/null
+++ b/crates/emulator/src/relay/faults.rs
@@ -0,0 +1,149 @@
+//! What faults do to a datagram.
+
+use milletpath_membership::datagram::{self, Key, MAX_DATAGRAM_BYTES};
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use std::collections::VecDeque;
+
+/// Seconds within which a duplicate follows.
+const DUPLICATE_WITHIN: f64 = 5.0;
+
+/// Earlier datagrams that are kept for replays.
+const KEPT_DATAGRAMS: usize = 64;
+
+/// A directed link between two gateways.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Link {
+    /// The sender.
+    pub from: usize,
+    /// The receiver.
+    pub to: usize,
+}
+
+/// What is wrong with links.
+#[derive(Clone, Debug, PartialEq)]
+pub enum LinkFault {
+    /// This fraction of the datagrams on these links is lost.
+    Loss(Vec<Link>, f64),
+    /// These gateways are cut off from the others, in both directions.
+    Partition(Vec<usize>),
+    /// These gateways receive nothing.
+    InboundLoss(Vec<usize>),
+    /// Datagrams on these links are late by so many seconds on average, from none to twice that.
+    Delay(Vec<Link>, f64),
+    /// This fraction of the datagrams on these links is sent again within some seconds.
+    Duplication(Vec<Link>, f64),
+    /// This fraction of the datagrams on these links is replaced by garbage.
+    Corruption(Vec<Link>, f64),
+}
+
+/// One datagram to be delivered.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Delivery {
+    /// Seconds by which it is late.
+    pub(super) delay: f64,
+    /// The datagram.
+    pub(super) bytes: Vec<u8>,
+}
+
+/// Applies faults to the datagrams to one gateway.
+pub(super) struct FaultInjector {
+    rng: ChaCha8Rng,
+    earlier_datagrams: VecDeque<Vec<u8>>,
+}
+
+impl FaultInjector {
+    /// One with the given random numbers.
+    pub(super) fn new(rng: ChaCha8Rng) -> Self {
+        Self { rng, earlier_datagrams: VecDeque::new() }
+    }
+
+    /// What is delivered in place of a datagram.
+    pub(super) fn apply<'f>(
+        &mut self,
+        faults: impl IntoIterator<Item = &'f LinkFault>,
+        link: Link,
+        datagram: Vec<u8>,
+    ) -> Vec<Delivery> {
+        let mut deliveries = vec![Delivery { delay: 0.0, bytes: datagram.clone() }];
+        for fault in faults {
+            if !self.apply_one(fault, link, &datagram, &mut deliveries) {
+                deliveries.clear();
+                break;
+            }
+        }
+        if self.earlier_datagrams.len() == KEPT_DATAGRAMS {
+            self.earlier_datagrams.pop_front();
+        }
+        self.earlier_datagrams.push_back(datagram);
+        deliveries
+    }
+
+    /// Whether the link is still open after this fault.
+    fn apply_one(
+        &mut self,
+        fault: &LinkFault,
+        link: Link,
+        datagram: &[u8],
+        deliveries: &mut Vec<Delivery>,
+    ) -> bool {
+        match fault {
+            LinkFault::Partition(separated) => separated.contains(&link.from) == separated.contains(&link.to),
+            LinkFault::InboundLoss(gateways) => !gateways.contains(&link.to),
+            LinkFault::Loss(links, fraction) if links.contains(&link) => {
+                deliveries.retain(|_| !self.rng.random_bool(*fraction));
+                true
+            }
+            LinkFault::Delay(links, mean) if links.contains(&link) => {
+                deliveries.iter_mut().for_each(|d| d.delay += self.rng.random_range(0.0..=2.0 * mean));
+                true
+            }
+            LinkFault::Duplication(links, fraction)
+                if links.contains(&link) && self.rng.random_bool(*fraction) =>
+            {
+                let delay = self.rng.random_range(0.0..DUPLICATE_WITHIN);
+                deliveries.push(Delivery { delay, bytes: datagram.to_vec() });
+                true
+            }
+            LinkFault::Corruption(links, fraction)
+                if links.contains(&link) && self.rng.random_bool(*fraction) =>
+            {
+                *deliveries = vec![Delivery { delay: 0.0, bytes: self.garbage(datagram) }];
+                true
+            }
+            _ => true,
+        }
+    }
+
+    /// Bytes that are no valid datagram, or not this one.
+    fn garbage(&mut self, datagram: &[u8]) -> Vec<u8> {
+        let mut bytes = datagram.to_vec();
+        let length = bytes.len().max(1);
+        match self.rng.random_range(0..6) {
+            0 => bytes.truncate(self.rng.random_range(0..length)),
+            1 => {
+                let position = self.rng.random_range(0..length);
+                bytes[position] ^= 1 << self.rng.random_range(0..8);
+            }
+            2 => {
+                bytes = vec![0; self.rng.random_range(0..MAX_DATAGRAM_BYTES)];
+                self.rng.fill(&mut bytes[..]);
+            }
+            3 => bytes.resize(self.rng.random_range(MAX_DATAGRAM_BYTES + 1..3 * MAX_DATAGRAM_BYTES), 0),
+            4 => bytes = forge(datagram).unwrap_or(bytes),
+            _ => {
+                let earlier = self.rng.random_range(0..self.earlier_datagrams.len().max(1));
+                if let Some(earlier) = self.earlier_datagrams.get(earlier) {
+                    bytes.clone_from(earlier);
+                }
+            }
+        }
+        bytes
+    }
+}
+
+/// The same content sealed by someone who does not have the key.
+fn forge(datagram: &[u8]) -> Option<Vec<u8>> {
+    let key = Key::new(b"another secret, of thirty-two bytes");
+    datagram::seal(&key, &datagram::decode_unverified(datagram)?).ok()
+}
--- a/crates/emulator/src/relay/tests.rs
+++ b/crates/emulator/src/relay/tests.rs
@@ -1,4 +1,7 @@
+use super::faults::{Delivery, FaultInjector};
 use super::*;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
 
 const GATEWAYS: usize = 4;
 const DATAGRAMS: usize = 4_000;
@@ -10,7 +13,7 @@
     }
 }
 
-fn random_fault(links: &[(usize, usize)], rng: &mut ChaCha8Rng) -> LinkFault {
+fn random_fault(links: &[Link], rng: &mut ChaCha8Rng) -> LinkFault {
     let chosen: Vec<_> = links.iter().copied().filter(|_| rng.random_bool(0.5)).collect();
     let gateways: Vec<_> = (0..GATEWAYS).filter(|_| rng.random_bool(0.2)).collect();
     match rng.random_range(0..12) {
@@ -26,24 +29,20 @@
 /// Random datagrams on random links under random faults come out as they did when this value was taken.
 #[test]
 fn faults_act_on_datagrams_as_recorded() {
-    let (mut rng, chance) = (ChaCha8Rng::seed_from_u64(1), ChaCha8Rng::seed_from_u64(2));
-    let all = (0..GATEWAYS).flat_map(|from| (0..GATEWAYS).map(move |to| (from, to)));
-    let links: Vec<_> = all.filter(|(from, to)| from != to).collect();
-    let (mut chance, mut old) = (chance, VecDeque::new());
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    let mut injector = FaultInjector::new(ChaCha8Rng::seed_from_u64(2));
+    let all = (0..GATEWAYS).flat_map(|from| (0..GATEWAYS).map(move |to| Link { from, to }));
+    let links: Vec<_> = all.filter(|link| link.from != link.to).collect();
     let mut digest = 0xcbf2_9ce4_8422_2325;
     for _ in 0..DATAGRAMS {
         let faults: Vec<_> = (0..rng.random_range(0..4)).map(|_| random_fault(&links, &mut rng)).collect();
-        let (from, to) = links[rng.random_range(0..links.len())];
+        let link = links[rng.random_range(0..links.len())];
         let mut datagram = vec![0; rng.random_range(1..200)];
         rng.fill(&mut datagram[..]);
-        for (late, bytes) in strike(&faults, from, to, &datagram, &old, &mut chance) {
-            add(&mut digest, &((late * 1e9).round() as u64).to_le_bytes());
+        for Delivery { delay, bytes } in injector.apply(&faults, link, datagram) {
+            add(&mut digest, &((delay * 1e9).round() as u64).to_le_bytes());
             add(&mut digest, &bytes);
         }
-        if old.len() == 64 {
-            old.pop_front();
-        }
-        old.push_back(datagram);
     }
     assert_eq!(digest, 0x3abf_010d_5b5f_39c1, "{digest:#018x}");
 }
--- /dev/null
+++ b/crates/emulator/src/scenario/client_thread.rs
@@ -0,0 +1,56 @@
+//! The clients in a thread of their own, so that a busy worker does not delay them.
+
+use super::{RunError, RunOptions};
+use crate::clients::{self, ClientOptions, FrontLayer};
+use crate::context::{ContextOptions, EmulatorContext};
+use crate::scenario_file::Scenario;
+use crate::traffic::{self, PlannedRequest};
+use milletpath_history_checker::HistoryRecord;
+use std::io;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Instant;
+use tokio::task::LocalSet;
+
+/// The thread; it gives the history as the clients saw it.
+pub(super) struct ClientThread(JoinHandle<io::Result<Vec<HistoryRecord>>>);
+
+impl ClientThread {
+    /// Starts it; the clients' first moment is now, and their clock is at 0 at `started`.
+    pub(super) fn start(
+        scenario: &Scenario,
+        options: &RunOptions<'_>,
+        started: Instant,
+        front: Arc<FrontLayer>,
+    ) -> io::Result<Self> {
+        let plan = traffic::plan(scenario, options.seed);
+        let context_options = ContextOptions::of_scenario(scenario, options.seed);
+        let (seed, tolerance) = (options.seed, options.tolerance);
+        let client_options = ClientOptions { scenario: scenario.clone(), front, seed, tolerance };
+        let play = move || play(started, context_options, client_options, plan);
+        std::thread::Builder::new().name("clients".into()).spawn(play).map(Self)
+    }
+
+    /// Whether the last call has ended.
+    pub(super) fn is_finished(&self) -> bool {
+        self.0.is_finished()
+    }
+
+    /// Waits for the end.
+    pub(super) fn join(self) -> Result<Vec<HistoryRecord>, RunError> {
+        Ok(self.0.join().map_err(|_| RunError::ClientsPanicked)??)
+    }
+}
+
+fn play(
+    started: Instant,
+    context_options: ContextOptions,
+    client_options: ClientOptions,
+    plan: Vec<PlannedRequest>,
+) -> io::Result<Vec<HistoryRecord>> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let context = EmulatorContext::new(started, context_options);
+    let play = clients::play(context.clone(), client_options, plan);
+    runtime.block_on(LocalSet::new().run_until(play));
+    Ok(context.take_history())
+}
--- a/crates/emulator/src/scenario/gateway_config.rs
+++ b/crates/emulator/src/scenario/gateway_config.rs
@@ -23,7 +23,7 @@
     pub listen: SocketAddr,
     /// The registry that it follows.
     pub registry: SocketAddr,
-    /// Where the others reach each gateway; none where gateways do not know each other.
+    /// Where the others reach each gateway; none without membership.
     pub links: Option<&'s [SocketAddr]>,
     /// The scenario's seed.
     pub seed: u64,
--- /dev/null
+++ b/crates/emulator/src/scenario/gateway_faults.rs
@@ -0,0 +1,87 @@
+//! Faults on gateways' processes: they are paused, killed and started.
+
+use super::fleet::ScenarioRun;
+use super::gateway::LaunchError;
+use super::sleep;
+use crate::scenario_file::ScheduledFault;
+use milletpath_history_checker::HistoryEvent;
+use nix::sys::signal::Signal;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+/// Between two pauses gateways run so many times as long as they are paused.
+const RUN_BETWEEN_PAUSES: f64 = 2.0;
+
+impl ScenarioRun {
+    /// Pauses some gateways again and again.
+    pub(super) async fn pause_gateways(&self, fault: &ScheduledFault) {
+        let affected = self.pick(self.gateways.len(), fault.fraction);
+        let end = self.context.now() + fault.duration;
+        while self.context.now() < end {
+            for &gateway in &affected {
+                self.signal(gateway, Signal::SIGSTOP);
+                self.context.record(HistoryEvent::GatewayPaused { gateway });
+            }
+            sleep(fault.magnitude).await;
+            for &gateway in &affected {
+                self.signal(gateway, Signal::SIGCONT);
+                self.context.record(HistoryEvent::GatewayResumed { gateway });
+            }
+            sleep(RUN_BETWEEN_PAUSES * fault.magnitude).await;
+        }
+    }
+
+    fn signal(&self, gateway: usize, signal: Signal) {
+        if let Err(error) = self.gateways[gateway].signal(signal) {
+            tracing::error!(gateway, %signal, %error, "a gateway can't be signalled");
+        }
+    }
+
+    /// Kills some gateways, and starts them again when the fault ends.
+    pub(super) async fn crash_gateways(self: &Rc<Self>, fault: &ScheduledFault) {
+        let affected = self.pick(self.gateways.len(), fault.fraction);
+        for &gateway in &affected {
+            self.context.record(HistoryEvent::GatewayKilled { gateway });
+            self.gateways[gateway].kill();
+        }
+        // The clients' load balancer goes on sending there until it notices.
+        let notification_delay = self.scenario.rules.notification_delay.min(fault.duration);
+        sleep(notification_delay).await;
+        affected.iter().for_each(|gateway| self.front.set_alive(*gateway, false));
+        sleep(fault.duration - notification_delay).await;
+        self.start_gateways(affected).await;
+    }
+
+    /// Starts the gateways that join in this fault.
+    pub(super) async fn start_late_joiners(self: &Rc<Self>, fault: &ScheduledFault) {
+        self.start_gateways(self.late_joiners.in_fault(&fault.name)).await;
+    }
+
+    /// Starts several at the same time.
+    async fn start_gateways(self: &Rc<Self>, gateways: Vec<usize>) {
+        let start = |gateway| {
+            let run = self.clone();
+            spawn_local(async move {
+                if let Err(error) = run.start_gateway(gateway).await {
+                    tracing::error!(gateway, %error, "a gateway can't be started");
+                }
+            })
+        };
+        let starting: Vec<_> = gateways.into_iter().map(start).collect();
+        for started in starting {
+            let _ = started.await;
+        }
+    }
+
+    async fn start_gateway(&self, number: usize) -> Result<(), LaunchError> {
+        let gateway = &self.gateways[number];
+        let process = self.launcher.launch(&gateway.config).await?;
+        if let (Some(relay), Some(address)) = (&self.relay, process.membership_address) {
+            relay.set_address(number, address);
+        }
+        gateway.set_process(process);
+        self.context.record(HistoryEvent::GatewayRestarted { gateway: number });
+        self.front.set_alive(number, true);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/scenario/late_joiners.rs
@@ -0,0 +1,41 @@
+//! Gateways that start in the course of the scenario.
+
+use crate::scenario_file::{FaultKind, Scenario};
+use rand::SeedableRng;
+use rand::seq::SliceRandom;
+use rand_chacha::ChaCha8Rng;
+use std::collections::BTreeMap;
+
+/// Distinguishes the choice from other random numbers of the same seed.
+const SEED_MASK: u64 = 0x10_7a7e;
+
+/// Which gateways start late, by the name of the fault in which they do.
+pub(super) struct LateJoiners(BTreeMap<String, Vec<usize>>);
+
+impl LateJoiners {
+    /// Chooses them at random; one gateway at least is there from the beginning.
+    pub(super) fn choose(scenario: &Scenario, seed: u64) -> Self {
+        let mut present: Vec<usize> = (0..scenario.gateways).collect();
+        present.shuffle(&mut ChaCha8Rng::seed_from_u64(seed ^ SEED_MASK));
+        let mut late = BTreeMap::new();
+        for fault in scenario.faults.iter().filter(|fault| fault.kind == FaultKind::LateGatewayStart) {
+            let wanted = ((scenario.gateways as f64 * fault.fraction).round() as usize).max(1);
+            let chosen = present.split_off(present.len() - wanted.min(present.len() - 1));
+            late.insert(fault.name.clone(), chosen);
+        }
+        Self(late)
+    }
+
+    /// Those that start in a fault.
+    pub(super) fn in_fault(&self, name: &str) -> Vec<usize> {
+        self.0.get(name).cloned().unwrap_or_default()
+    }
+
+    /// Whether a gateway starts late.
+    pub(super) fn contains(&self, gateway: usize) -> bool {
+        self.0.values().flatten().any(|late| *late == gateway)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/emulator/src/scenario/registry_faults.rs
@@ -0,0 +1,32 @@
+//! Faults of the registry.
+
+use super::fleet::ScenarioRun;
+use super::sleep;
+use crate::registry::RegistryFault;
+use crate::scenario_file::{FaultKind, ScheduledFault};
+
+impl ScenarioRun {
+    /// The registry sends late, wrongly or not at all while a fault lasts.
+    pub(super) async fn disturb_registry(&self, fault: &ScheduledFault) {
+        if fault.kind == FaultKind::RegistryEmptied {
+            self.registry.set_emptied(true);
+            sleep(fault.duration).await;
+            self.registry.set_emptied(false);
+            return;
+        }
+        self.registry.set_fault(registry_fault(fault));
+        sleep(fault.duration).await;
+        self.registry.set_fault(RegistryFault::default());
+    }
+}
+
+fn registry_fault(fault: &ScheduledFault) -> RegistryFault {
+    let none = RegistryFault::default();
+    match fault.kind {
+        FaultKind::RegistryDelay => RegistryFault { delay: fault.magnitude, ..none },
+        FaultKind::RegistryStall => RegistryFault { stalled: true, ..none },
+        FaultKind::RegistryLoss => RegistryFault { loses_revisions: true, ..none },
+        FaultKind::RegistryDuplication => RegistryFault { duplicates: true, ..none },
+        _ => none,
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/scenario/rules.rs
@@ -0,0 +1,49 @@
+//! What a scenario's history is checked against, and how its service is counted.
+
+use crate::scenario_file::{Scenario, WindowLimit};
+use milletpath_history_checker::{RuleParameters, ServiceWeights, SharedBudgetBounds};
+
+/// The parameters of the rules, where emulated parts may be late by so many seconds.
+#[must_use]
+pub fn rule_parameters(scenario: &Scenario, tolerance: f64) -> RuleParameters {
+    let Scenario { rules, worker_spec: worker, .. } = scenario;
+    RuleParameters {
+        grace: rules.drain_grace,
+        initial_capacity: worker.initial_capacity,
+        warm_up: worker.warm_up,
+        overload_multiple: worker.overload_multiple,
+        overload_window: worker.overload_window,
+        // With membership, this limit is the fleet's and among the bounds.
+        load_rate_limit: rules.load_rate_limit.map(as_tuple).filter(|_| !scenario.sharing),
+        lag: tolerance,
+    }
+}
+
+/// What calls count for service.
+#[must_use]
+pub fn service_weights(scenario: &Scenario) -> ServiceWeights {
+    ServiceWeights {
+        late: scenario.rules.late_weight,
+        quotas: scenario.groups.iter().map(|group| group.quota).collect(),
+        over_share: scenario.rules.over_quota_weight,
+    }
+}
+
+/// The bounds on budgets that gateways share.
+#[must_use]
+pub fn shared_budget_bounds(scenario: &Scenario, tolerance: f64) -> SharedBudgetBounds {
+    SharedBudgetBounds {
+        gateways: scenario.gateways,
+        load_rate_limit: scenario.rules.load_rate_limit.map(as_tuple),
+        retries: scenario.rules.retries.map(as_tuple),
+        ceilings: scenario.groups.iter().map(|group| group.ceiling).collect(),
+        in_flight: scenario.rules.in_flight,
+        rules: rule_parameters(scenario, tolerance),
+        lag: tolerance,
+    }
+}
+
+/// A limit as the history checker takes it.
+fn as_tuple(limit: WindowLimit) -> (f64, f64, f64) {
+    (limit.window, limit.free, limit.per_request)
+}
--- a/crates/emulator/src/scenario_file/blocks.rs
+++ b/crates/emulator/src/scenario_file/blocks.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// A whole scenario.
+/// A scenario from the top level of its file.
 pub(super) fn scenario(name: &str, top: &Section<'_>) -> Scenario {
     // Known here; it was read when the layers were.
     let _ = top.text("upon");
@@ -50,7 +50,7 @@
     let fleet = OptionalBlock(fleet.as_ref());
     let functions = top.block("functions");
     let functions = OptionalBlock(functions.as_ref());
-    let whole = OptionalBlock(Some(top));
+    let root = OptionalBlock(Some(top));
     Scenario {
         name: name.to_owned(),
         worker_spec: worker_spec(fleet),
@@ -59,11 +59,11 @@
         traffic: traffic(top),
         uneven: uneven(top),
         rules: rules(top),
-        seed: whole.number("seed", "chance", MAX_SEED, 1.0) as u64,
-        seconds: whole.seconds("seconds", 30.0),
-        gateways: whole.count("gateways", 2),
+        seed: root.number("seed", "chance", MAX_SEED, 1.0) as u64,
+        seconds: root.seconds("seconds", 30.0),
+        gateways: root.count("gateways", 2),
         cores: top.count("cores", "cores", 1..=MAX_CORES),
-        sharing: whole.flag("sharing", false),
+        sharing: root.flag("sharing", false),
         workers: fleet.count("workers", 10),
         functions: functions.count("count", 40),
         zipf: functions.number("zipf", "exponent", 10.0, 1.1),
@@ -168,7 +168,7 @@
 }
 
 fn profile(section: &Section<'_>) -> Profile {
-    /// Words of the file.
+    /// The values of `effect`.
     const EFFECTS: [(&str, Idempotency); 3] = [
         ("pure", Idempotency::Idempotent),
         ("receipted", Idempotency::IdempotentWithKey),
--- a/crates/emulator/src/scenario_file/faults.rs
+++ b/crates/emulator/src/scenario_file/faults.rs
@@ -104,7 +104,7 @@
     LateGatewayStart,
 }
 
-/// A kind by its word in scenario files, with what holds if a file does not say so.
+/// A kind by its word in scenario files, with its defaults.
 pub(super) struct FaultWord {
     /// The word.
     pub(super) word: &'static str,
--- a/crates/emulator/src/scenario_file/model.rs
+++ b/crates/emulator/src/scenario_file/model.rs
@@ -1,4 +1,4 @@
-//! What a scenario says.
+//! The values of a scenario.
 
 use super::faults::ScheduledFault;
 use crate::store::StoreSpec;
@@ -18,7 +18,7 @@
     pub gateways: usize,
     /// Cores of each gateway; none for as many as the machine has.
     pub cores: Option<usize>,
-    /// Whether the gateways know each other, over links on which faults can be injected, and share their budgets.
+    /// Whether the gateways are members of one cluster, over links on which faults can be injected, and share their budgets.
     pub sharing: bool,
     /// The busiest gateway gets so many times the mean of the clients' attempts.
     pub uneven: f64,
--- a/crates/emulator/src/small_fleet.rs
+++ b/crates/emulator/src/small_fleet.rs
@@ -1,13 +1,15 @@
-//! Small workers that play without effort: what a newcomer's machine and a scale run's real gateways have.
+//! Workers that take little of the machine and have room for all that they are sent: for a first run of a gateway and for
+//! the real gateways of a scale test.
 
-use crate::context::{EmulatorContext, ReportedFields};
+use crate::context::{ContextOptions, EmulatorContext, ReportedFields};
 use crate::store::StoreSpec;
+use crate::worker::WorkerOptions;
 use crate::worker_model::{FunctionModel, WorkerSpec};
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A worker that has room for all that it is asked there.
-pub const WORKER_SPEC: WorkerSpec = WorkerSpec {
+/// Such a worker.
+const WORKER_SPEC: WorkerSpec = WorkerSpec {
     cores: 4,
     speed: 1.0,
     memory: 4096.0,
@@ -22,13 +24,34 @@
     overload_window: 1.0,
 };
 
-/// Functions that load in a moment, so that the first call shows a load without making one wait.
-const PACK: FunctionModel = FunctionModel { concurrency: 4, memory: 128.0, fetch: 0.1, start: 0.1 };
+/// Functions that load quickly, so that the first request shows a load and does not wait long for it.
+const FUNCTION: FunctionModel = FunctionModel { concurrency: 4, memory: 128.0, fetch: 0.1, start: 0.1 };
 
-/// What such workers stand in.
+const STORE: StoreSpec =
+    StoreSpec { unslowed_fetches: 16.0, max_fetches: 64, overload_rate: None, outage_seconds: 1.0 };
+
+/// Seconds for which an idempotency key is known.
+const KEY_LIFETIME: f64 = 60.0;
+
+/// The group in which all of them share their idempotency keys.
+const KEY_GROUP: u32 = 0;
+
+/// What such a worker is started with: it is warm from the beginning.
+#[must_use]
+pub fn worker_options(number: usize) -> WorkerOptions {
+    let started = -WORKER_SPEC.warm_up;
+    WorkerOptions { number, key_group: KEY_GROUP, spec: WORKER_SPEC, started }
+}
+
+/// The context of such workers.
+#[must_use]
 pub fn context(seed: u64) -> Rc<EmulatorContext> {
-    let store_spec =
-        StoreSpec { unslowed_fetches: 16.0, max_fetches: 64, overload_rate: None, outage_seconds: 1.0 };
-    let tells = ReportedFields { found: true, concurrent_requests: true, load: true };
-    EmulatorContext::new(Instant::now(), seed, store_spec, PACK, tells, 60.0)
+    let options = ContextOptions {
+        seed,
+        store: STORE,
+        function_model: FUNCTION,
+        reported_fields: ReportedFields::ALL,
+        idempotency_window: KEY_LIFETIME,
+    };
+    EmulatorContext::new(Instant::now(), options)
 }
--- /dev/null
+++ b/crates/emulator/src/worker/headers.rs
@@ -0,0 +1,34 @@
+//! Header fields by which emulated clients describe a request to emulated workers. Gateways pass them on unread.
+
+use http::{HeaderMap, HeaderName};
+use milletpath_protocol::field;
+
+/// The call and the client's attempt, as `17.0`.
+pub static CALL: HeaderName = HeaderName::from_static("standin-call");
+/// Seconds of work on a core of speed 1.
+pub static WORK: HeaderName = HeaderName::from_static("standin-work");
+/// Seconds of waiting on others after the work.
+pub static IO: HeaderName = HeaderName::from_static("standin-io");
+/// The number of the client's group.
+pub static GROUP: HeaderName = HeaderName::from_static("standin-group");
+/// Bytes that the response has.
+pub static ANSWER: HeaderName = HeaderName::from_static("standin-answer");
+
+/// A request's field as text.
+pub(super) fn text<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
+    field(headers, name).ok().flatten()
+}
+
+/// A request's field as a number.
+pub(super) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<f64> {
+    text(headers, name)?.parse().ok()
+}
+
+/// The call and the attempt; a number that no call has where the field is missing.
+pub(super) fn call_and_attempt(headers: &HeaderMap) -> (u64, u32) {
+    let parse = |text: &str| {
+        let (call, attempt) = text.split_once('.')?;
+        Some((call.parse().ok()?, attempt.parse().ok()?))
+    };
+    text(headers, &CALL).and_then(parse).unwrap_or((u64::MAX, 0))
+}
--- a/crates/emulator/src/worker_model/timers.rs
+++ b/crates/emulator/src/worker_model/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of a worker model, in microseconds, in the order in which they were set where two are due together.
+//! The timers of a worker model, in microseconds; timers with the same deadline keep the order in which they were set.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     },
 }
 
-/// Timers by due time.
+/// Timers in the order of their deadlines.
 #[derive(Default)]
 pub(super) struct TimerQueue(BTreeMap<(u64, u64), Timer>);
 
--- a/crates/milletpath/src/day.rs
+++ b/crates/milletpath/src/day.rs
@@ -62,7 +62,7 @@
         Ok(p) if p.rules_kept() => std::fs::remove_dir_all(&folder)?,
         _ => eprintln!("the gateways' charters and logs are in {}", folder.display()),
     }
-    played
+    played.map_err(std::io::Error::other)
 }
 
 fn line(name: &str, counts: &ServiceCounts) -> String {
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -1,7 +1,7 @@
 //! Stand-in workers: alone by a charter's list, or inside a gateway that was given no charter.
 
 use milletpath_config::{GatewayConfig, WorkerSource};
-use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
+use milletpath_emulator::small_fleet::{context, worker_options};
 use milletpath_emulator::worker::Worker;
 use std::path::Path;
 use std::process::ExitCode;
@@ -20,9 +20,9 @@
     crate::local(async move {
         let context = context(1);
         for (number, entry) in list.iter().enumerate() {
-            let started = TcpListener::bind(entry.address).await.and_then(|l| {
-                Worker::on(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, vec![l])
-            });
+            let started = TcpListener::bind(entry.address)
+                .await
+                .and_then(|l| Worker::serve(context.clone(), worker_options(number), vec![l]));
             if let Err(e) = started {
                 eprintln!("worker {} can't listen on {}: {e}", entry.name, entry.address);
                 return ExitCode::FAILURE;
@@ -41,12 +41,10 @@
     let mut text = include_str!("inside.hcl").to_owned();
     text.push_str("workers {\n");
     for number in 0..WORKERS {
-        let worker = Worker::start(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, 1)
-            .await
-            .map_err(|e| {
-                eprintln!("a stand-in worker can't start: {e}");
-                ExitCode::FAILURE
-            })?;
+        let worker = Worker::start(context.clone(), worker_options(number), 1).await.map_err(|e| {
+            eprintln!("a stand-in worker can't start: {e}");
+            ExitCode::FAILURE
+        })?;
         text.push_str(&format!("  worker \"inside-{number}\" {{ address = \"{}\" }}\n", worker.addresses[0]));
     }
     text.push_str("}\n");
--- a/crates/scale-test/src/standins.rs
+++ b/crates/scale-test/src/standins.rs
@@ -2,7 +2,7 @@
 //! budgets which all gateways share are wanted where some are real.
 
 use crate::plan::Plan;
-use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
+use milletpath_emulator::small_fleet::{context, worker_options};
 use milletpath_emulator::worker::Worker;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -32,9 +32,7 @@
                 let context = context(seed);
                 let mut all = Vec::new();
                 for number in 0..workers {
-                    all.push(
-                        Worker::start(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, 1).await,
-                    );
+                    all.push(Worker::start(context.clone(), worker_options(number), 1).await);
                 }
                 let all: io::Result<Vec<_>> = all.into_iter().collect();
                 let _ = tell.send(
