--- a/crates/emulator/src/clients/front_layer.rs
+++ b/crates/emulator/src/clients/front_layer.rs
@@ -1,6 +1,6 @@
 //! The load balancer in front of the gateways, as clients see it: it picks one of the gateways that it takes for alive.
 
-use rand::Rng;
+use crate::weighted_choice::weighted_choice;
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -29,14 +29,8 @@
     pub(super) fn pick(&self, rng: &mut ChaCha8Rng) -> usize {
         let all = 0..self.alive.len();
         let alive: Vec<_> = all.clone().filter(|&g| self.alive[g].load(Ordering::Relaxed)).collect();
-        let candidates = if alive.is_empty() { all.collect() } else { alive };
-        let sum: f64 = candidates.iter().map(|&gateway| self.weights[gateway]).sum();
-        let mut rest = rng.random_range(0.0..sum);
-        let found = candidates.iter().find(|&&gateway| {
-            rest -= self.weights[gateway];
-            rest < 0.0
-        });
-        *found.unwrap_or(&candidates[candidates.len() - 1])
+        let candidates: Vec<_> = if alive.is_empty() { all.collect() } else { alive };
+        candidates[weighted_choice(rng, candidates.iter().map(|&gateway| self.weights[gateway]))]
     }
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -22,5 +22,6 @@
 pub mod small_fleet;
 pub mod store;
 pub mod traffic;
+pub mod weighted_choice;
 pub mod worker;
 pub mod worker_model;
--- a/crates/emulator/src/scenario/worker_faults.rs
+++ b/crates/emulator/src/scenario/worker_faults.rs
@@ -13,7 +13,21 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The processes that a fault affects, by worker: those that ran when it began.
-type AffectedWorkers = BTreeMap<usize, Rc<Worker>>;
+struct AffectedWorkers(BTreeMap<usize, Rc<Worker>>);
+
+impl AffectedWorkers {
+    fn new(workers: Vec<Rc<Worker>>) -> Self {
+        Self(workers.into_iter().map(|worker| (worker.number, worker)).collect())
+    }
+
+    fn get(&self, number: usize) -> &Rc<Worker> {
+        &self.0[&number]
+    }
+
+    fn for_each(&self, numbers: &[usize], change: impl Fn(&Rc<Worker>)) {
+        numbers.iter().for_each(|number| change(self.get(*number)));
+    }
+}
 
 impl ScenarioRun {
     /// Some of `count` things by number.
@@ -30,7 +44,7 @@
     pub(super) async fn carry_out_steps(&self, fault: &ScheduledFault) {
         let picked = if affects_workers(fault.kind) { self.pick_workers(fault.fraction) } else { Vec::new() };
         let numbers: Vec<_> = picked.iter().map(|worker| worker.number).collect();
-        let affected: AffectedWorkers = picked.into_iter().map(|worker| (worker.number, worker)).collect();
+        let affected = AffectedWorkers::new(picked);
         for timed in worker_steps(fault, self.context.now(), &numbers, &self.scenario.rules) {
             sleep(timed.at - self.context.now()).await;
             self.carry_out(timed.step, &affected).await;
@@ -38,30 +52,27 @@
     }
 
     async fn carry_out(&self, step: FaultStep, affected: &AffectedWorkers) {
-        let for_each = |numbers: &[usize], change: &dyn Fn(&Rc<Worker>)| {
-            numbers.iter().for_each(|number| change(&affected[number]));
-        };
         match step {
-            FaultStep::Kill(numbers) => for_each(&numbers, &|worker| worker.kill()),
+            FaultStep::Kill(numbers) => affected.for_each(&numbers, |worker| worker.kill()),
             FaultStep::SetStatus(numbers, status) => {
                 numbers.into_iter().for_each(|number| self.registry.set_status(number, status));
             }
             FaultStep::StopAdmission(number) => {
-                affected[&number].with_model(|model, _| model.draining = true);
+                affected.get(number).with_model(|model, _| model.draining = true);
             }
             FaultStep::Replace(numbers) => {
                 for number in numbers {
-                    affected[&number].kill();
+                    affected.get(number).kill();
                     self.replace_worker(number).await;
                 }
             }
-            FaultStep::FailRequests(numbers, failed_fraction) => for_each(&numbers, &|worker| {
+            FaultStep::FailRequests(numbers, failed_fraction) => affected.for_each(&numbers, |worker| {
                 worker.set_fault(WorkerFault { failed_fraction, ..worker.fault() });
             }),
             FaultStep::ClearResponseFaults(numbers) => {
-                for_each(&numbers, &|worker| worker.set_fault(WorkerFault::default()));
+                affected.for_each(&numbers, |worker| worker.set_fault(WorkerFault::default()));
             }
-            FaultStep::SetSlowness(numbers, slowness) => for_each(&numbers, &|worker| {
+            FaultStep::SetSlowness(numbers, slowness) => affected.for_each(&numbers, |worker| {
                 worker.with_model(|model, _| model.slowness = slowness);
             }),
             FaultStep::SetStoreSlowness(slowness) => self.context.store.borrow_mut().slowness = slowness,
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,11 +1,12 @@
 //! The clients' requests, planned ahead from the scenario and its seed: the same ones give the same requests.
 
 use crate::scenario_file::{FaultKind, Scenario, ScheduledFault};
+use crate::weighted_choice::weighted_choice;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
 
-/// Below this, a rate, a sum of shares or a mean counts as this much.
+/// Below this, a rate or a mean counts as this much.
 const SMALLEST_AMOUNT: f64 = 1e-9;
 const SMALLEST_EXPONENT: f64 = 0.01;
 
@@ -144,8 +145,9 @@
         if self.at >= self.scenario.seconds {
             return None;
         }
-        let profile = pick(&mut self.rng, self.scenario.profiles.iter().map(|profile| profile.share));
-        let group = pick(&mut self.rng, self.scenario.groups.iter().map(|client| client.share));
+        let profile =
+            weighted_choice(&mut self.rng, self.scenario.profiles.iter().map(|profile| profile.share));
+        let group = weighted_choice(&mut self.rng, self.scenario.groups.iter().map(|client| client.share));
         let function = self.function();
         let work = self.work();
         let timeout = self.timeout(profile);
@@ -163,18 +165,3 @@
         })
     }
 }
-
-/// The number of one of several, by their shares.
-fn pick(rng: &mut ChaCha8Rng, shares: impl Iterator<Item = f64> + Clone) -> usize {
-    let sum = shares.clone().sum::<f64>().max(SMALLEST_AMOUNT);
-    let mut rest = rng.random_range(0.0..sum);
-    let mut last = 0;
-    for (number, share) in shares.enumerate() {
-        last = number;
-        if rest < share {
-            break;
-        }
-        rest -= share;
-    }
-    last
-}
