--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -43,6 +43,20 @@
     },
 }
 
+/// Everything that is wrong with a scenario file, in its order. Its text has a line for each error.
+#[derive(Debug, thiserror::Error)]
+#[error("{}", errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
+pub struct InvalidScenario {
+    /// The errors; one at least.
+    pub errors: Vec<ScenarioFileError>,
+}
+
+impl From<ScenarioFileError> for InvalidScenario {
+    fn from(error: ScenarioFileError) -> Self {
+        Self { errors: vec![error] }
+    }
+}
+
 /// A file's text, and its syntax tree.
 struct Layer {
     text: String,
@@ -53,12 +67,12 @@
 ///
 /// # Errors
 /// Everything that is wrong with the file, in its order, or what is wrong with the files that it builds on.
-pub fn open(file: &Path) -> Result<Scenario, Vec<ScenarioFileError>> {
+pub fn open(file: &Path) -> Result<Scenario, InvalidScenario> {
     open_layer(file, 0)
 }
 
 /// Reads a file on which `above` others build.
-fn open_layer(file: &Path, above: usize) -> Result<Scenario, Vec<ScenarioFileError>> {
+fn open_layer(file: &Path, above: usize) -> Result<Scenario, InvalidScenario> {
     let layers = read_layers(file, above)?;
     let name = file.file_stem().map_or("day".into(), |name| name.to_string_lossy().into_owned());
     let document = Document::new(&layers[0].text);
@@ -69,12 +83,12 @@
 }
 
 /// The file, then those that it builds on, down to one that builds on none.
-fn read_layers(file: &Path, above: usize) -> Result<Vec<Layer>, Vec<ScenarioFileError>> {
+fn read_layers(file: &Path, above: usize) -> Result<Vec<Layer>, InvalidScenario> {
     let mut layers = vec![read_layer(file)?];
     let mut file = file.to_owned();
     while let Some(base) = base_of(&layers[layers.len() - 1].body) {
         if layers.len() + above > MAX_LAYERS {
-            return Err(vec![ScenarioFileError::Circle { file }]);
+            return Err(ScenarioFileError::Circle { file }.into());
         }
         file = file.parent().unwrap_or(Path::new("")).join(base);
         if layers.len() == 1 {
@@ -86,10 +100,10 @@
     Ok(layers)
 }
 
-fn read_layer(file: &Path) -> Result<Layer, Vec<ScenarioFileError>> {
+fn read_layer(file: &Path) -> Result<Layer, ScenarioFileError> {
     let text = std::fs::read_to_string(file)
-        .map_err(|source| vec![ScenarioFileError::Unreadable { file: file.to_owned(), source }])?;
-    let body = parse(&text).map_err(|error| invalid(file, vec![error]))?;
+        .map_err(|source| ScenarioFileError::Unreadable { file: file.to_owned(), source })?;
+    let body = parse(&text).map_err(|error| ScenarioFileError::Invalid { file: file.to_owned(), error })?;
     Ok(Layer { text, body })
 }
 
@@ -106,7 +120,7 @@
     body.get_attribute("upon").and_then(|attribute| attribute.value.as_str()).map(str::to_owned)
 }
 
-fn invalid(file: &Path, errors: Vec<ConfigError>) -> Vec<ScenarioFileError> {
+fn invalid(file: &Path, errors: Vec<ConfigError>) -> InvalidScenario {
     let invalid = |error| ScenarioFileError::Invalid { file: file.to_owned(), error };
-    errors.into_iter().map(invalid).collect()
+    InvalidScenario { errors: errors.into_iter().map(invalid).collect() }
 }
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -181,8 +181,8 @@
 fn messages(name: &str, text: &str) -> Vec<String> {
     let file = written(name, text);
     let folder = file.parent().expect("a folder").display().to_string();
-    let lines = open(&file).expect_err("an invalid scenario");
-    lines.iter().map(|line| line.to_string().replace(&folder, "FOLDER")).collect()
+    let text = open(&file).expect_err("an invalid scenario").to_string();
+    text.lines().map(|line| line.replace(&folder, "FOLDER")).collect()
 }
 
 #[test_case("unreadable", "upon = \"absent.hcl\"", &[
--- a/crates/emulator/tests/scenario_files.rs
+++ b/crates/emulator/tests/scenario_files.rs
@@ -1,6 +1,6 @@
 //! Scenario files, of which one may build on another.
 
-use milletpath_emulator::scenario_file::{Scenario, ScenarioFileError, open};
+use milletpath_emulator::scenario_file::{InvalidScenario, Scenario, open};
 use std::path::PathBuf;
 
 const BASE: &str = r#"
@@ -18,7 +18,7 @@
 "#;
 
 /// Reads a scenario that builds on the base, each in a file of its own.
-fn open_on_base(name: &str, text: &str) -> Result<Scenario, Vec<ScenarioFileError>> {
+fn open_on_base(name: &str, text: &str) -> Result<Scenario, InvalidScenario> {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("base.hcl"), BASE).unwrap();
@@ -52,8 +52,8 @@
     assert_eq!(faults, [("death", 1.0, 0.5), ("link-cut", 2.0, 0.4)]);
 }
 
-fn messages(errors: Vec<ScenarioFileError>) -> Vec<String> {
-    errors.iter().map(ScenarioFileError::to_string).collect()
+fn messages(invalid: InvalidScenario) -> Vec<String> {
+    invalid.errors.iter().map(ToString::to_string).collect()
 }
 
 #[test]
--- a/crates/simulator/examples/options/mod.rs
+++ b/crates/simulator/examples/options/mod.rs
@@ -21,7 +21,7 @@
             Some(Options { scenario, seeds, gateways: asked.filter_map(|n| n.parse().ok()).collect() })
         }
         Err(mistakes) => {
-            mistakes.iter().for_each(|mistake| eprintln!("{mistake}"));
+            eprintln!("{mistakes}");
             None
         }
     }
