--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -98,8 +98,8 @@
             call,
             group: planned.group,
             importance: profile.importance,
-            due: profile.latency_objective,
-            effect: profile.idempotency,
+            latency_objective: profile.latency_objective,
+            idempotency: profile.idempotency,
             fault: planned.fault,
         });
         let began = self.context.now();
@@ -120,7 +120,7 @@
     async fn attempt(&self, attempt: Attempt<'_>) -> AttemptOutcome {
         let Attempt { call, number, planned, timeout } = attempt;
         let gateway = self.options.front.pick(&mut self.rng.borrow_mut());
-        self.context.record(HistoryEvent::AttemptSent { call, attempt: number, gateway, patience: timeout });
+        self.context.record(HistoryEvent::AttemptSent { call, attempt: number, gateway, timeout });
         let abandoned_after = planned.abandoned_after.filter(|_| number == 0);
         let wait = abandoned_after.unwrap_or(timeout + self.options.tolerance);
         let response = self.send(gateway, attempt);
@@ -129,7 +129,7 @@
             Err(_) if abandoned_after.is_some() => AttemptOutcome::Abandoned,
             Err(_) => AttemptOutcome::Unanswered,
         };
-        self.context.record(HistoryEvent::AttemptEnded { call, attempt: number, gateway, how: outcome });
+        self.context.record(HistoryEvent::AttemptEnded { call, attempt: number, gateway, outcome });
         outcome
     }
 
--- a/crates/emulator/src/relay/observations.rs
+++ b/crates/emulator/src/relay/observations.rs
@@ -31,7 +31,7 @@
         let Some(datagram) = datagram::decode_unverified(bytes) else { return };
         let incarnation = datagram.sender.instance_id;
         if self.incarnations.insert(incarnation, gateway).is_none() {
-            self.record(at, HistoryEvent::IncarnationObserved { gateway, life: incarnation });
+            self.record(at, HistoryEvent::IncarnationObserved { gateway, incarnation });
         }
         for update in datagram.updates {
             let incarnation = update.instance_id;
@@ -39,10 +39,7 @@
             let before = self.reported_states.insert((gateway, incarnation), update.state);
             if before != Some(update.state) {
                 let state = update.state;
-                self.record(
-                    at,
-                    HistoryEvent::MemberStateReported { gateway, about, life: incarnation, state },
-                );
+                self.record(at, HistoryEvent::MemberStateReported { gateway, about, incarnation, state });
             }
         }
     }
--- a/crates/emulator/src/scenario/gateway_config.rs
+++ b/crates/emulator/src/scenario/gateway_config.rs
@@ -1,7 +1,7 @@
 //! The configuration file of a scenario's gateways.
 
-use crate::scenario_file::{Profile, Scenario, WindowLimit};
-use milletpath_history_checker::Idempotency;
+use crate::scenario_file::{Profile, Scenario};
+use milletpath_history_checker::{Idempotency, WindowLimit};
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
 
--- a/crates/emulator/src/scenario/report.rs
+++ b/crates/emulator/src/scenario/report.rs
@@ -39,7 +39,7 @@
         context: &EmulatorContext,
         records: Vec<HistoryRecord>,
     ) -> Self {
-        let (counts, by_fault) = history_checker::count_service(&records, &service_weights(scenario));
+        let service = history_checker::count_service(&records, &service_weights(scenario));
         let violations = history_checker::check(&records, &rule_parameters(scenario, options.tolerance));
         let (mut bounds, mut membership) = (BTreeMap::new(), None);
         if scenario.sharing {
@@ -50,8 +50,8 @@
         let store = context.store.borrow();
         Self {
             violations,
-            counts,
-            by_fault,
+            counts: service.all,
+            by_fault: service.by_fault,
             fetches: store.fetches,
             rejected_fetches: store.rejected_fetches,
             warm_fraction: context.warm_requests.get().fraction(),
@@ -64,6 +64,6 @@
     /// Whether no rule and no bound was broken.
     #[must_use]
     pub fn rules_kept(&self) -> bool {
-        self.violations.is_empty() && self.bounds.values().all(|bound| bound.broken == 0)
+        self.violations.is_empty() && self.bounds.values().all(|bound| bound.violations == 0)
     }
 }
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -6,7 +6,7 @@
 mod model;
 
 pub use faults::{FaultKind, ScheduledFault};
-pub use model::{Group, Profile, RuleSettings, Scenario, Traffic, WindowLimit};
+pub use model::{Group, Profile, RuleSettings, Scenario, Traffic};
 
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
--- a/crates/emulator/src/scenario_file/blocks.rs
+++ b/crates/emulator/src/scenario_file/blocks.rs
@@ -1,11 +1,11 @@
 //! The blocks of a scenario file, with their bounds and defaults; a function for each block.
 
 use super::faults::{FAULT_WORDS, ScheduledFault, word_of};
-use super::model::{Group, Profile, RuleSettings, Scenario, Traffic, WindowLimit};
+use super::model::{Group, Profile, RuleSettings, Scenario, Traffic};
 use crate::store::StoreSpec;
 use crate::worker_model::{FunctionModel, WorkerSpec};
 use milletpath_config::document::Section;
-use milletpath_history_checker::Idempotency;
+use milletpath_history_checker::{Idempotency, WindowLimit};
 
 /// The longest span, in seconds: a day.
 const MAX_SECONDS: f64 = 86_400.0;
--- a/crates/emulator/src/scenario_file/model.rs
+++ b/crates/emulator/src/scenario_file/model.rs
@@ -3,7 +3,7 @@
 use super::faults::ScheduledFault;
 use crate::store::StoreSpec;
 use crate::worker_model::{FunctionModel, WorkerSpec};
-use milletpath_history_checker::Idempotency;
+use milletpath_history_checker::{Idempotency, WindowLimit};
 
 /// A fleet, its traffic, its rules, and the faults that are injected.
 #[derive(Clone, Debug)]
@@ -117,14 +117,3 @@
     /// Seconds until the registry and the clients notice that a process is gone.
     pub notification_delay: f64,
 }
-
-/// A limit on what happens within a window of time, which grows with the requests.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WindowLimit {
-    /// Seconds of the window.
-    pub window: f64,
-    /// How many are allowed at any rate.
-    pub free: f64,
-    /// How many more each request of the window allows.
-    pub per_request: f64,
-}
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -81,11 +81,11 @@
     digest.figure(rules.drain_grace).optional(rules.in_flight).figure(rules.idempotency_window);
     digest.figure(rules.late_weight).figure(rules.over_quota_weight).figure(rules.notification_delay);
     let checked = rule_parameters(scenario, 0.25);
-    digest.figure(checked.grace).figure(checked.initial_capacity).figure(checked.warm_up);
-    digest.figure(checked.overload_multiple).figure(checked.overload_window).figure(checked.lag);
+    digest.figure(checked.drain_grace).figure(checked.initial_capacity).figure(checked.warm_up);
+    digest.figure(checked.overload_multiple).figure(checked.overload_window).figure(checked.tolerance);
     digest.count(u64::from(checked.load_rate_limit.is_some()));
     let counted = service_weights(scenario);
-    digest.figure(counted.late).figure(counted.over_share);
+    digest.figure(counted.late).figure(counted.over_quota);
     counted.quotas.iter().for_each(|quota| _ = digest.optional(*quota));
 }
 
