--- a/crates/milletpath/src/built_in_fleet.rs
+++ b/crates/milletpath/src/built_in_fleet.rs
@@ -1,7 +1,7 @@
 //! The built-in configuration of `milletpath serve`, with emulated workers that run in this process.
 
 use milletpath_config::{ConfigError, GatewayConfig};
-use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
+use milletpath_emulator::small_fleet::{context, worker_options};
 use milletpath_emulator::worker::Worker;
 use std::fmt::Write;
 use std::io;
@@ -36,7 +36,7 @@
     let context = context(SEED);
     let mut workers = String::new();
     for number in 0..WORKERS {
-        let worker = Worker::start(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, 1).await;
+        let worker = Worker::start(context.clone(), worker_options(number), 1).await;
         let address = worker.map_err(BuiltInFleetError::Worker)?.addresses[0];
         let _ = writeln!(workers, "  worker \"inside-{number}\" {{ address = \"{address}\" }}");
     }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -102,7 +102,7 @@
         match step % RESTART_STEPS {
             0 => {
                 endpoints.set_status(context, &[worker], EndpointStatus::Draining);
-                let wait = context.scenario.rules.grace + context.scenario.rules.notification_delay;
+                let wait = context.scenario.rules.drain_grace + context.scenario.rules.notification_delay;
                 context.schedule_in(wait, next);
             }
             1 => {
