--- a/crates/history-checker/src/bounds/retries.rs
+++ b/crates/history-checker/src/bounds/retries.rs
@@ -14,8 +14,8 @@
     limit: WindowLimit,
 ) -> BoundReport {
     let window = limit.window;
-    let part = limit.free / budgets.gateways as f64;
-    let mut shared = SharedWindow::new(limit, part, budgets.tolerance);
+    let process_quota = limit.free / budgets.gateways as f64;
+    let mut shared = SharedWindow::new(limit, process_quota, budgets.tolerance);
     let mut received = BTreeSet::new();
     let mut bound = BoundReport::default();
     for HistoryRecord { at, event } in records {
--- a/crates/history-checker/src/bounds/shared_window.rs
+++ b/crates/history-checker/src/bounds/shared_window.rs
@@ -9,12 +9,12 @@
 /// A limit within a window, over all gateways.
 ///
 /// A gateway counts the requests that it accepted when it does something that the limit binds; at another moment as many of
-/// them may have left the window as are in the one before it. For each process that was killed there is once more the part
+/// them may have left the window as are in the one before it. For each process that was killed there is once more the quota
 /// of the one that takes its place, whose count begins empty, until the leases of the former have ended as well.
 pub(super) struct SharedWindow {
     limit: WindowLimit,
     /// How many are free for one gateway's process.
-    part: f64,
+    process_quota: f64,
     tolerance: f64,
     accepted: SlidingWindow,
     used: SlidingWindow,
@@ -28,10 +28,10 @@
 }
 
 impl SharedWindow {
-    /// Starts with the limit of the fleet and the part of one gateway.
-    pub fn new(limit: WindowLimit, part: f64, tolerance: f64) -> Self {
+    /// Starts with the limit of the fleet and the quota of one gateway.
+    pub fn new(limit: WindowLimit, process_quota: f64, tolerance: f64) -> Self {
         let [accepted, used, killed] = [(); 3].map(|()| SlidingWindow::default());
-        Self { limit, part, tolerance, accepted, used, killed }
+        Self { limit, process_quota, tolerance, accepted, used, killed }
     }
 
     /// A gateway accepted an attempt.
@@ -53,6 +53,6 @@
         let earning_window = if per_request > 0.0 { 2.0 * window + self.tolerance } else { 0.0 };
         let earned = per_request * self.accepted.count_within(at, earning_window);
         let killed = self.killed.count_within(at, window + LONGEST_LEASE + self.tolerance);
-        WindowUse { count, most: free + earned + self.part * killed }
+        WindowUse { count, most: free + earned + self.process_quota * killed }
     }
 }
--- a/crates/simulator/examples/fleet.rs
+++ b/crates/simulator/examples/fleet.rs
@@ -34,7 +34,7 @@
         mean(|report| report.counts.service()),
         mean(|report| report.fetches as f64),
         mean(|report| report.rejected_fetches as f64),
-        mean(|report| report.warm_share),
+        mean(|report| report.warm_fraction),
         mean(|report| report.bytes_per_second),
         reports.iter().map(|report| report.violations.len()).sum::<usize>(),
     );
--- a/crates/simulator/src/budget_links.rs
+++ b/crates/simulator/src/budget_links.rs
@@ -60,17 +60,17 @@
         gateway: usize,
     ) {
         let count = self.links.len();
+        let Link { sharing, timer } = &mut self.links[gateway];
+        if *timer > context.now {
+            return;
+        }
+        let others = (0..count).filter(|other| *other != gateway).map(instance_id).collect();
         let fraction = QuotaFraction {
             likely_gateways: count as f64,
             fraction: 1.0,
             floor: 1.0,
             valid_until: f64::INFINITY,
         };
-        let others = (0..count).filter(|other| *other != gateway).map(instance_id).collect();
-        let Link { sharing, timer } = &mut self.links[gateway];
-        if *timer > context.now {
-            return;
-        }
         *timer = f64::INFINITY;
         gateways.input(context, workers, gateway, |dispatcher, now| {
             sharing.tick(dispatcher, now, &fraction, others);
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -17,7 +17,7 @@
 
 pub(crate) struct Clients {
     calls: Vec<Call>,
-    /// The part of the attempts that the front layer gives each gateway.
+    /// How many attempts the front layer gives each gateway, relative to the others.
     gateway_weights: Vec<f64>,
 }
 
@@ -129,8 +129,8 @@
             return;
         }
         context.record(HistoryEvent::AttemptEnded { call: call as u64, attempt: number, gateway, outcome });
-        let effect = context.scenario.profiles[state.planned.profile].idempotency;
-        if may_retry(outcome, effect) && number < context.scenario.traffic.retries {
+        let idempotency = context.scenario.profiles[state.planned.profile].idempotency;
+        if may_retry(outcome, idempotency) && number < context.scenario.traffic.retries {
             let next = ClientAttempt { call, number: number + 1 };
             let backoff = context.scenario.traffic.backoff;
             context.schedule_in(backoff, Event::Client(ClientInput::SendAttempt(next)));
@@ -139,12 +139,12 @@
 }
 
 /// Whether a client may send a call again after an attempt that ended so.
-fn may_retry(outcome: AttemptOutcome, effect: Idempotency) -> bool {
+fn may_retry(outcome: AttemptOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         AttemptOutcome::Succeeded | AttemptOutcome::Abandoned => false,
         AttemptOutcome::Rejected | AttemptOutcome::Unreachable => true,
         AttemptOutcome::Failed | AttemptOutcome::ConnectionLost | AttemptOutcome::Unanswered => {
-            effect != Idempotency::NonIdempotent
+            idempotency != Idempotency::NonIdempotent
         }
     }
 }
--- a/crates/simulator/src/context.rs
+++ b/crates/simulator/src/context.rs
@@ -1,4 +1,5 @@
-//! What all parts of a simulation need: the scenario, the clock and the queue of events, the history, random numbers.
+//! What every module of the simulation needs: the scenario, the clock and the queue of events, the history, random
+//! numbers.
 
 use crate::clocks::Variation;
 use crate::event::Event;
@@ -52,11 +53,11 @@
         self.schedule_in(NETWORK_DELAY, event);
     }
 
-    /// Chooses a part of `count` things at random, one at least.
-    pub fn choose(&mut self, count: usize, part: f64) -> Vec<usize> {
+    /// Chooses a fraction of `count` things at random, one at least.
+    pub fn choose(&mut self, count: usize, fraction: f64) -> Vec<usize> {
         let mut numbers: Vec<_> = (0..count).collect();
         numbers.shuffle(&mut self.rng);
-        numbers.truncate(((count as f64 * part).round() as usize).max(1));
+        numbers.truncate(((count as f64 * fraction).round() as usize).max(1));
         numbers
     }
 }
--- a/crates/simulator/src/event.rs
+++ b/crates/simulator/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a time, by the part of the simulation that it happens at.
+//! What happens at a time, by the module that handles it.
 
 use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
 use milletpath_history_checker::AttemptOutcome;
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -172,8 +172,8 @@
     }
 }
 
-fn set_failing(workers: &mut Workers, affected: &[usize], part: f64) {
-    affected.iter().for_each(|worker| workers.get_mut(*worker).failing = part);
+fn set_failing(workers: &mut Workers, affected: &[usize], fraction: f64) {
+    affected.iter().for_each(|worker| workers.get_mut(*worker).failing = fraction);
 }
 
 fn set_slowness(workers: &mut Workers, affected: &[usize], slowness: f64) {
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -2,8 +2,8 @@
 //! store, and clients, under one clock and from one seed. There are no sockets: what takes a minute with processes takes a
 //! second here, and the same seed gives the same history.
 //!
-//! [`play`] is the entry point. `simulation.rs` takes the next event from the queue and gives it to the part that it
-//! is for: `clients.rs`, `gateways.rs` with `budget_links.rs`, `workers.rs`, `endpoint_list.rs` or `faults.rs`. Each part
+//! [`play`] is the entry point. `simulation.rs` takes the next event from the queue and gives it to the module that
+//! handles it: `clients.rs`, `gateways.rs` with `budget_links.rs`, `workers.rs`, `endpoint_list.rs` or `faults.rs`. Each module
 //! owns its state; what all of them need (clock, queue, history, random numbers) is in `context.rs`.
 
 #![warn(missing_docs, clippy::too_many_lines)]
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a scenario in simulated time.
+//! The report of a scenario in simulated time.
 
 use crate::budget_links::BudgetLinks;
 use crate::context::Context;
@@ -11,7 +11,7 @@
 /// Seconds by which the rules take an observation to be late: longer than any message is on its way.
 pub(crate) const CHECKER_TOLERANCE: f64 = 0.01;
 
-/// What came of a scenario.
+/// The history of a scenario in simulated time, what the checker found in it, and what it cost.
 pub struct SimulationReport {
     /// The history, in the order of time.
     pub records: Vec<HistoryRecord>,
@@ -23,8 +23,8 @@
     pub fetches: u64,
     /// and those that it rejected.
     pub rejected_fetches: u64,
-    /// The part of the jobs done that found an instance loaded.
-    pub warm_share: f64,
+    /// The fraction of the completed jobs that found an instance loaded.
+    pub warm_fraction: f64,
     /// Attempts, load requests and health checks of all gateways.
     pub counters: Counters,
     /// Bytes a second that a gateway sent to others about shared budgets.
@@ -50,7 +50,7 @@
             counts: history_checker::count_service(&records, &scenario::service_weights(&scenario)).all,
             fetches: workers.store.fetches,
             rejected_fetches: workers.store.rejected_fetches,
-            warm_share: workers.warm_share(),
+            warm_fraction: workers.warm_fraction(),
             counters: gateways.counters(),
             bytes_per_second: bytes / seconds / scenario.gateways as f64,
             records,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: takes event after event from the queue and gives each to the part that it is for.
+//! Plays a scenario: takes event after event from the queue and gives each to the module that handles it.
 
 use crate::budget_links::BudgetLinks;
 use crate::clients::Clients;
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -25,7 +25,7 @@
     pub jobs: BTreeMap<u64, AcceptedAttempt>,
     /// By the model's number of the load request.
     pub load_requests: BTreeMap<u64, LoadRequest>,
-    /// The part of its attempts that it fails at once.
+    /// The fraction of its attempts that it fails at once.
     pub failing: f64,
     /// When its timer is due; infinite where none is set.
     pub timer: f64,
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -77,8 +77,8 @@
         WorkerProcess { worker, number: self.workers[worker].process }
     }
 
-    /// The part of the completed jobs that found an instance loaded.
-    pub fn warm_share(&self) -> f64 {
+    /// The fraction of the completed jobs that found an instance loaded.
+    pub fn warm_fraction(&self) -> f64 {
         self.completed.found_loaded as f64 / self.completed.all.max(1) as f64
     }
 
--- a/crates/simulator/tests/same_history/encoding.rs
+++ b/crates/simulator/tests/same_history/encoding.rs
@@ -96,7 +96,7 @@
     digest.figure(counts.importance);
     digest.figure(counts.earned);
     numbers(digest, [report.fetches, report.rejected_fetches]);
-    digest.figure(report.warm_share);
+    digest.figure(report.warm_fraction);
     numbers(digest, [report.counters.attempts, report.counters.load_requests, report.counters.health_checks]);
     digest.figure(report.bytes_per_second);
 }
