--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 use milletpath_config::WorkerSource;
 use milletpath_emulator::context::EmulatorContext;
-use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
+use milletpath_emulator::small_fleet::{context, worker_options};
 use milletpath_emulator::worker::Worker;
 use std::io;
 use std::net::SocketAddr;
@@ -81,6 +81,6 @@
 /// Starts one worker.
 async fn start(context: &Rc<EmulatorContext>, number: usize, address: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
-    Worker::on(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, vec![listener])?;
+    Worker::serve(context.clone(), worker_options(number), vec![listener])?;
     Ok(())
 }
--- a/crates/scale-test/src/emulated_workers.rs
+++ b/crates/scale-test/src/emulated_workers.rs
@@ -1,6 +1,6 @@
 //! The workers of the real gateways: emulated ones on loopback.
 
-use milletpath_emulator::small_fleet::{WORKER_SPEC, context};
+use milletpath_emulator::small_fleet::{context, worker_options};
 use milletpath_emulator::worker::Worker;
 use std::io;
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
         let context = context(seed);
         let mut running = Vec::new();
         for number in 0..workers {
-            match Worker::start(context.clone(), number, 0, WORKER_SPEC, -WORKER_SPEC.warm_up, 1).await {
+            match Worker::start(context.clone(), worker_options(number), 1).await {
                 Ok(worker) => running.push(worker),
                 Err(e) => {
                     let _ = started.send(Err(e));
--- a/crates/simulator/examples/options/mod.rs
+++ b/crates/simulator/examples/options/mod.rs
@@ -26,7 +26,7 @@
     match scenario_file::open(Path::new(&file)) {
         Ok(scenario) => Some(Options { scenario, seeds, gateways }),
         Err(errors) => {
-            errors.iter().for_each(|error| eprintln!("{error}"));
+            eprintln!("{errors}");
             None
         }
     }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -12,7 +12,7 @@
 use crate::report::SimulationReport;
 use crate::workers::Workers;
 use milletpath_config::GatewayConfig;
-use milletpath_emulator::scenario;
+use milletpath_emulator::scenario::GatewayConfigFile;
 use milletpath_emulator::scenario_file::Scenario;
 use milletpath_history_checker::AttemptOutcome;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -174,7 +174,8 @@
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let registry = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let config = |gateway| {
-        let text = scenario::gateway_config(scenario, gateway, listen, registry, None, seed);
+        let file = GatewayConfigFile { scenario, gateway, listen, registry, links: None, seed };
+        let text = file.to_string();
         milletpath_config::read(&text).unwrap_or_else(|errors| {
             panic!("the configuration of gateway {gateway} is not valid: {errors:?}")
         })
