--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -103,6 +103,7 @@
     // Before the log file is touched, so that a second process with the same number ends here.
     let socket =
         UdpSocket::bind(address).map_err(|source| ControlError::Listen { address, number, source })?;
+    ignore_file_size_signal();
     let log_path = options.config_file.with_file_name(format!("control-{number}.log"));
     let replica = open_replica(&log_path, options, &config_log.control)?;
     let head = replica.replica().state().head();
@@ -114,15 +115,19 @@
     ))
 }
 
+/// Makes a write beyond a limit on file sizes an error as of a full disk; by default it would end the process.
+fn ignore_file_size_signal() {
+    if let Err(error) = survive_file_size_limit() {
+        tracing::warn!(%error, "SIGXFSZ can't be ignored: a limit on file sizes will end this process");
+    }
+}
+
 /// A replica with the records of its log file.
 fn open_replica(
     log_path: &Path,
     options: &Options,
     control: &[SocketAddr],
 ) -> Result<machine::StoredReplica, ControlError> {
-    if let Err(error) = survive_file_size_limit() {
-        tracing::warn!(%error, "SIGXFSZ can't be ignored: a limit on file sizes will end this process");
-    }
     let stored = log_file::open(log_path, options.initialize)
         .map_err(|source| ControlError::LogFile { path: log_path.to_owned(), source })?;
     let config = ReplicaConfig {
