--- a/crates/milletpath/tests/command_line.rs
+++ b/crates/milletpath/tests/command_line.rs
@@ -1,9 +1,7 @@
 //! The command line as users hold it: which sub-commands and flags are accepted, and which exit code each use has. The
 //! fixtures `*-as-landed.txt` were written by the program before its sub-commands were split into modules.
 
-mod json_fields;
-
-use json_fields::field_paths;
+use milletpath_test_support::json_fields::field_paths;
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
@@ -96,7 +94,7 @@
 #[test]
 fn each_flag_is_still_accepted() {
     let flags = landed_flags();
-    assert_eq!(flags.len(), 38, "the fixture is read whole");
+    assert_eq!(flags.len(), 38, "the fixture is read to its end");
     for LandedFlag { sub_command, flag, value } in &flags {
         let sub_command = Some(sub_command.as_str()).filter(|name| !name.is_empty());
         let arguments = sub_command.into_iter().chain([flag.as_str()]).chain(*value).chain(["--help"]);
