--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -5,8 +5,8 @@
 
 use crate::exit_status::{CommandError, ExitStatus};
 use clap::Args;
-use milletpath_emulator::scenario::{RunOptions, ScenarioReport, play};
-use milletpath_emulator::scenario_file::{self, Scenario};
+use milletpath_emulator::scenario::{RunError, RunOptions, ScenarioReport, play};
+use milletpath_emulator::scenario_file::{self, InvalidScenario, Scenario};
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -40,11 +40,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The scenario can't be read or is wrong; a line for each error.
-    #[error("{}", .0.join("\n"))]
-    Invalid(Vec<String>),
+    #[error(transparent)]
+    Invalid(#[from] InvalidScenario),
     /// The scenario could not be played.
     #[error("{}: can't be played: {source}", path.display())]
-    Play { path: PathBuf, source: io::Error },
+    Play { path: PathBuf, source: RunError },
 }
 
 impl CommandError for ScenarioError {
@@ -75,14 +75,14 @@
 
 /// Reads the scenario, with what the command line sets instead.
 fn read(options: &Options) -> Result<Scenario, ScenarioError> {
-    let mut scenario = scenario_file::open(&options.file).map_err(ScenarioError::Invalid)?;
+    let mut scenario = scenario_file::open(&options.file)?;
     scenario.seed = options.seed.unwrap_or(scenario.seed);
     scenario.cores = options.cores.map(usize::from).or(scenario.cores);
     Ok(scenario)
 }
 
 /// Plays the scenario in a folder of its own, which is kept where a rule was broken.
-fn play_in_folder(scenario: &Scenario, options: &Options) -> io::Result<ScenarioReport> {
+fn play_in_folder(scenario: &Scenario, options: &Options) -> Result<ScenarioReport, RunError> {
     let folder = std::env::temp_dir().join(format!("milletpath-day-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let program = std::env::current_exe()?;
