--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -5,6 +5,6 @@
 mod gateway_process;
 mod host_process;
 
-pub use gateway_log::{applied_number, membership_observation};
+pub use gateway_log::{LoggedObservation, applied_number, membership_observation};
 pub use gateway_process::{GatewayProcess, GatewayProcessError};
 pub use host_process::HostProcess;
--- a/crates/scale-test/src/children/gateway_log.rs
+++ b/crates/scale-test/src/children/gateway_log.rs
@@ -14,8 +14,17 @@
     line["fields"]["number"].as_u64()
 }
 
-/// The gateway that a line of the log is about, by its number, and what it is taken for from then on.
-pub fn membership_observation(line: &str) -> Option<(usize, ReportedState)> {
+/// What a line of a gateway's log reports of another gateway.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LoggedObservation {
+    /// The number of the other gateway.
+    pub subject: usize,
+    /// What it is taken for from then on.
+    pub state: ReportedState,
+}
+
+/// What a line of the log reports of another gateway of the fleet, if it does.
+pub fn membership_observation(line: &str) -> Option<LoggedObservation> {
     if !line.contains("\"a gateway ") {
         return None;
     }
@@ -27,5 +36,6 @@
         "a gateway is declared dead" | "a gateway left" => ReportedState::Dead,
         _ => return None,
     };
-    Some((gateway_config::gateway_number(fields["name"].as_str()?)?, state))
+    let subject = gateway_config::gateway_number(fields["name"].as_str()?)?;
+    Some(LoggedObservation { subject, state })
 }
--- a/crates/scale-test/src/children/gateway_process.rs
+++ b/crates/scale-test/src/children/gateway_process.rs
@@ -1,6 +1,6 @@
 //! A real gateway: a process of `milletpath serve`, whose log reports what it knows of the others.
 
-use super::gateway_log::{applied_number, membership_observation};
+use super::gateway_log::{LoggedObservation, applied_number, membership_observation};
 use crate::child_message::ChildMessage;
 use crate::child_process::ChildProcess;
 use crate::reachable_gateways::GatewayAddresses;
@@ -96,7 +96,7 @@
 fn read_log(log: impl Read, gateway: usize, incarnation: u64, messages: &SyncSender<ChildMessage>) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         // Once the run is over nobody receives; the log is still read, so that the gateway can go on writing.
-        if let Some((subject, state)) = membership_observation(&line) {
+        if let Some(LoggedObservation { subject, state }) = membership_observation(&line) {
             let at = clock();
             let _ = messages.send(ChildMessage::Observed { gateway, incarnation, subject, state, at });
         } else if let Some(number) = applied_number(&line) {
--- a/crates/scale-test/src/fleet/config_changes.rs
+++ b/crates/scale-test/src/fleet/config_changes.rs
@@ -18,11 +18,11 @@
     /// An author can't be started.
     pub fn propose_changes(&mut self, changes: usize, start: f64, duration: f64) -> Result<(), StopReason> {
         self.trackers.changes.expect_proposals(changes);
-        for (number, scheduled) in self.proposals.schedule(changes, start, duration) {
+        for schedule in self.proposals.schedule(changes, start, duration) {
             let author = Author::new(&self.addresses).map_err(ProcessFailure::StartAuthor)?;
             let failed = |e| ProcessFailure::StartAuthor(ControlError::System(e));
-            self.links.connect_author(number, author.address().map_err(failed)?);
-            author.start(scheduled, self.sender.clone()).map_err(failed)?;
+            self.links.connect_author(schedule.author, author.address().map_err(failed)?);
+            author.start(schedule.changes, self.sender.clone()).map_err(failed)?;
         }
         Ok(())
     }
--- a/crates/scale-test/src/fleet/link_index.rs
+++ b/crates/scale-test/src/fleet/link_index.rs
@@ -12,6 +12,7 @@
 }
 
 impl LinkIndex {
+    /// The links that the plan needs.
     pub fn new(plan: &Plan) -> Self {
         Self { gateways: plan.gateways, control_machines: plan.control_machines }
     }
--- a/crates/scale-test/src/fleet/real_gateways.rs
+++ b/crates/scale-test/src/fleet/real_gateways.rs
@@ -106,30 +106,28 @@
 
     /// The gateways that follow configuration changes, and where they receive them.
     pub fn config_log_addresses(&self) -> BTreeMap<usize, SocketAddr> {
-        let address =
-            |(gateway, process): (&usize, &GatewayProcess)| Some((*gateway, process.config_log_address?));
-        self.processes.iter().filter_map(address).collect()
+        self.map_processes(|process| process.config_log_address)
     }
 
     /// Resident memory of each, in MB.
     pub fn memory(&self) -> BTreeMap<usize, f64> {
-        let memory = |(gateway, process): (&usize, &GatewayProcess)| {
-            Some((*gateway, machine_load::process_memory_mb(process.process_id())?))
-        };
-        self.processes.iter().filter_map(memory).collect()
+        self.map_processes(|process| machine_load::process_memory_mb(process.process_id()))
     }
 
     /// Processor time of each one's thread of that name, in seconds.
     pub fn thread_cpu(&self, thread: &str) -> BTreeMap<usize, f64> {
-        let cpu = |(gateway, process): (&usize, &GatewayProcess)| {
-            Some((*gateway, machine_load::thread_cpu_seconds(process.process_id(), thread)?))
-        };
-        self.processes.iter().filter_map(cpu).collect()
+        self.map_processes(|process| machine_load::thread_cpu_seconds(process.process_id(), thread))
     }
 
     /// The incarnation of each, by which two samples are known to be of one process.
     pub fn incarnations(&self) -> BTreeMap<usize, u64> {
-        self.processes.iter().map(|(gateway, process)| (*gateway, process.incarnation)).collect()
+        self.map_processes(|process| Some(process.incarnation))
+    }
+
+    /// A value of each process that has one.
+    fn map_processes<T>(&self, value: impl Fn(&GatewayProcess) -> Option<T>) -> BTreeMap<usize, T> {
+        let processes = self.processes.iter();
+        processes.filter_map(|(gateway, process)| Some((*gateway, value(process)?))).collect()
     }
 
     /// The process ids of all.
--- a/crates/scale-test/src/run/player.rs
+++ b/crates/scale-test/src/run/player.rs
@@ -152,6 +152,7 @@
         Ok(())
     }
 
+    /// Writes how far the play is, if a terminal shows it.
     pub(super) fn show_progress(&self, detail: &str) {
         let play = self.fleet.plan.plays.get(self.results.len());
         self.progress.show(&self.fleet, play.map_or("", |play| play.label.as_str()), detail);
