--- a/crates/scale-test/src/relay/in_flight.rs
+++ b/crates/scale-test/src/relay/in_flight.rs
@@ -76,3 +76,6 @@
         self.heap.pop()
     }
 }
+
+#[cfg(test)]
+mod tests;
