--- a/crates/scale-test/src/plan/checks.rs
+++ b/crates/scale-test/src/plan/checks.rs
@@ -22,16 +22,16 @@
 /// No zone may be without gateways.
 pub fn has_gateway_for_each_zone(root: &Section<'_>, zones: usize, gateways: usize) {
     if zones > gateways {
-        let problem = format!("{zones} zones, but {gateways} gateways only");
-        root.report(root.offset_of("gateways"), problem, "have a gateway in each zone, or fewer zones");
+        let problem = format!("{zones} zones need as many gateways, and there are {gateways}");
+        root.report(root.offset_of("gateways"), problem, "state more gateways or fewer zones");
     }
 }
 
 /// Names of zones must differ over all regions.
 pub fn is_new_zone(region: &Section<'_>, name: &str, zones: &[Zone]) {
     if zones.iter().any(|zone| zone.name == name) {
-        let problem = format!("a zone {name} stands here for the second time");
-        region.report(region.offset_of("zones"), problem, "give each its own name");
+        let problem = format!("zone {name} is stated more than once");
+        region.report(region.offset_of("zones"), problem, "give each zone its own name");
     }
 }
 
@@ -39,10 +39,10 @@
 pub fn has_components(control: &Section<'_>, components: &[Component], example: &str) {
     let offset = control.offset_of("runs");
     if components.is_empty() {
-        control.report(offset, "no core runs", format!("write runs = {example}"));
+        control.report(offset, "runs of control has no component", format!("write runs = {example}"));
     }
     if components.contains(&Component::Budgets) && !components.contains(&Component::Membership) {
-        let problem = "budgets are shared by those who know of each other, and there is no membership";
+        let problem = "budgets need membership, which is not in runs";
         control.report(offset, problem, format!("write runs = {example}, or leave budgets out"));
     }
 }
@@ -69,7 +69,7 @@
 /// Nothing can happen to a fleet that is not started.
 pub fn first_play_starts_the_fleet(section: &Section<'_>, play: &Play) {
     if !matches!(play.action, Action::Start { .. }) {
-        let problem = format!("{} comes before any start", section.title);
+        let problem = format!("{} comes before the gateways are started", section.title);
         section.report(section.offset, problem, "let the first play be one that does = \"start\"");
     }
 }
@@ -77,7 +77,7 @@
 /// Changes can only be proposed where the gateways follow them.
 pub fn changes_are_followed(section: &Section<'_>, changes: usize, components: &[Component]) {
     if changes > 0 && !components.contains(&Component::ConfigChanges) {
-        let problem = format!("{} makes changes, and nothing carries them", section.title);
+        let problem = format!("{} proposes changes, which no gateway follows", section.title);
         section.report(section.offset, problem, "add \"changes\" to runs of control");
     }
 }
--- a/crates/scale-test/src/plan/reader.rs
+++ b/crates/scale-test/src/plan/reader.rs
@@ -42,8 +42,8 @@
     ConfigError {
         line: error.location().line(),
         column: error.location().column(),
-        problem: format!("no HCL here: {}", error.message()),
-        remedy: "mend the line and start again".into(),
+        problem: format!("invalid HCL: {}", error.message()),
+        remedy: "correct the line and start again".into(),
     }
 }
 
@@ -61,7 +61,7 @@
     let plays = read_plays(root, &context);
     Plan {
         name,
-        seed: root.number("seed", "chance", 0.0..=9e15).map_or(1, |seed| seed as u64),
+        seed: root.number("seed", "", 0.0..=9e15).map_or(1, |seed| seed as u64),
         gateways,
         real_gateways,
         host_processes: root.count("processes", "processes", 1..=16).unwrap_or(8),
--- a/crates/scale-test/src/plan/reader/components.rs
+++ b/crates/scale-test/src/plan/reader/components.rs
@@ -31,7 +31,7 @@
     let parameters = MembershipParameters {
         period: number("period", "seconds", 0.05..=60.0, 0.4),
         lease: number("lease", "seconds", 0.1..=600.0, 12.0),
-        floor: number("floor", "of its part", 0.0..=1.0, 0.5),
+        floor: number("floor", "of its share", 0.0..=1.0, 0.5),
     };
     if let Some(section) = &section {
         checks::lease_is_long_enough(section, &parameters);
