--- /dev/null
+++ b/crates/capacity-model/benches/slopes/dispatcher.rs
@@ -0,0 +1,152 @@
+//! The dispatcher against the number of workers: a call's cost, memory, health checks, load requests and cold starts.
+
+use crate::dispatcher_simulation::{Report, simulate};
+use crate::fleet_load::{FleetLoad, TARGET};
+use crate::measure::{Options, Slope, cpu_seconds, measurement};
+use milletpath_capacity_model::run::Measurement;
+
+/// Numbers of workers that are measured; from few on, as a call's cost passes its limit early.
+const WORKERS: [usize; 7] = [30, 100, 300, 1_000, 3_000, 9_100, 30_000];
+
+/// Those among which cold starts are measured.
+const WORKERS_FOR_COLD_STARTS: [usize; 4] = [300, 1_000, 3_000, 9_100];
+
+/// A distribution of calls by which more functions are known at a time.
+pub const FLAT_EXPONENT: f64 = 1.1;
+
+/// CPU of a call against the number of workers; other slopes take its texts.
+pub const CALL: Slope = Slope {
+    name: "call-workers",
+    mechanism: "decision on a call: passes over the function's whole walk and its set (`Router::place`)",
+    quantity: "CPU a call, all its events together",
+    unit: "us",
+    axis: "workers",
+    method: "thread clock around the desk; five windows of 5 simulated seconds, from 20 s past the time that an \
+             instance is kept on; popularity by Zipf",
+    fixed: &[("gateways", 1_100.0), ("functions", 33_000.0), ("calls a second", 145.0), ("zipf", 1.6)],
+    group: "desk",
+};
+
+/// Memory of the dispatcher against the number of workers; other slopes take its texts.
+pub const MEMORY: Slope = Slope {
+    name: "memory-workers",
+    mechanism: "each function known keeps its walk over all workers (`Function::walk`)",
+    quantity: "memory of the desk, steady",
+    unit: "MB",
+    method: "bytes by a counting allocator around the desk, once it is steady; five looks 5 simulated seconds \
+             apart",
+    ..CALL
+};
+
+/// Fixed parameters with the flat distribution.
+const FIXED_FLAT: &[(&str, f64)] =
+    &[("gateways", 1_100.0), ("functions", 33_000.0), ("calls a second", 145.0), ("zipf", 1.1)];
+
+/// A simulation at one place on an axis.
+pub struct SizedReport {
+    pub size: f64,
+    pub report: Report,
+}
+
+/// Simulates each size.
+pub fn simulate_sizes(
+    options: &Options,
+    loads: impl IntoIterator<Item = (f64, FleetLoad)>,
+) -> Vec<SizedReport> {
+    let simulate_size = |(size, load)| {
+        let start = cpu_seconds();
+        let report = simulate(load, options.seed);
+        eprintln!(
+            "{size}: {:.3} succeeded, {} cold starts, {:.0} s of CPU",
+            report.success_ratio,
+            report.cold_start_millis.len(),
+            cpu_seconds() - start
+        );
+        SizedReport { size, report }
+    };
+    loads.into_iter().map(simulate_size).collect()
+}
+
+/// One quantity of all reports.
+pub fn measurements(reports: &[SizedReport], values: impl Fn(&Report) -> Vec<f64>) -> Vec<Measurement> {
+    reports.iter().map(|sized| measurement(sized.size, values(&sized.report))).collect()
+}
+
+/// The value below which a fraction of all values lies: 0.5 is the median. 0 without values.
+pub fn quantile(values: &[f64], fraction: f64) -> f64 {
+    let mut sorted = values.to_vec();
+    sorted.sort_by(f64::total_cmp);
+    let index = (fraction * sorted.len().saturating_sub(1) as f64).round() as usize;
+    sorted.get(index).copied().unwrap_or(0.0)
+}
+
+fn by_workers<const N: usize>(workers: [usize; N], load: FleetLoad) -> [(f64, FleetLoad); N] {
+    workers.map(|workers| (workers as f64, FleetLoad { workers, ..load }))
+}
+
+pub fn workers(options: &Options) {
+    let reports = simulate_sizes(options, by_workers(WORKERS, TARGET));
+    CALL.write(options, measurements(&reports, |report| report.cpu_micros.clone()));
+    Slope {
+        name: "probes-workers",
+        mechanism: "probe before a shot where nothing was heard for 1 s (`Router::place`)",
+        quantity: "probes a call",
+        unit: "probes",
+        method: "counted",
+        ..CALL
+    }
+    .write(options, measurements(&reports, |report| report.health_checks.clone()));
+    Slope {
+        name: "orders-workers",
+        mechanism: "orders to load (`Router::order`)",
+        quantity: "orders a call",
+        unit: "orders",
+        method: "counted",
+        ..CALL
+    }
+    .write(options, measurements(&reports, |report| report.load_requests.clone()));
+    MEMORY.write(options, measurements(&reports, |report| report.megabytes.clone()));
+}
+
+/// The same with the flat distribution.
+pub fn workers_flat(options: &Options) {
+    let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET };
+    let reports = simulate_sizes(options, by_workers(WORKERS, flat));
+    let (fixed, group) = (FIXED_FLAT, "desk-flat");
+    let call = Slope { name: "call-workers-flat", fixed, group, ..CALL };
+    call.write(options, measurements(&reports, |report| report.cpu_micros.clone()));
+    let memory = Slope { name: "memory-workers-flat", fixed, group, ..MEMORY };
+    memory.write(options, measurements(&reports, |report| report.megabytes.clone()));
+    Slope {
+        name: "functions-known-flat",
+        quantity: "functions known at a time",
+        unit: "functions",
+        method: "counted",
+        ..memory
+    }
+    .write(options, measurements(&reports, |report| report.functions.clone()));
+}
+
+/// The gateway's part of a cold start, with the flat distribution, so that there are hundreds of them.
+pub fn cold_starts(options: &Options) {
+    let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET };
+    let reports = simulate_sizes(options, by_workers(WORKERS_FOR_COLD_STARTS, flat));
+    let p99 = Slope {
+        name: "cold-start-p99",
+        mechanism: "probe before the first shot, for up to 0.03 of the due time (`Router::place`)",
+        quantity: "cold start, the gateway's own part, p99: from arrival to the first shot",
+        unit: "ms",
+        method: "simulated time, of some 750 calls whose function stands nowhere that the gateway knows \
+                 of; workers 1, 30, 80 and 150 ms away, a quarter each; once",
+        fixed: FIXED_FLAT,
+        group: "desk-cold",
+        ..CALL
+    };
+    p99.write(options, measurements(&reports, |report| vec![quantile(&report.cold_start_millis, 0.99)]));
+    Slope {
+        name: "cold-start-p50",
+        quantity: "cold start, the gateway's own part, p50: from arrival to the first shot",
+        ..p99
+    }
+    .write(options, measurements(&reports, |report| vec![quantile(&report.cold_start_millis, 0.5)]));
+}
--- /dev/null
+++ b/crates/capacity-model/benches/slopes/endpoint_list.rs
@@ -0,0 +1,87 @@
+//! One update of the endpoint list inside the dispatcher: for how long nothing else is decided, and what the hash ring
+//! and the state of the workers hold.
+
+use crate::measure::{BYTES_PER_MEGABYTE, MILLISECONDS, Options, Slope, allocated_bytes, measurement, timed};
+use milletpath_capacity_model::run::Measurement;
+use milletpath_dispatcher::dispatcher::Dispatcher;
+use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// Numbers of workers that are measured.
+pub const WORKERS: [usize; 5] = [300, 1_000, 3_000, 9_100, 30_000];
+
+/// Gateways of the fleet, and seconds of the idle timeout, where neither is the axis.
+pub const GATEWAYS: usize = 1_100;
+pub const IDLE_TIMEOUT: f64 = 60.0;
+
+const ZONES: usize = 10;
+const FIRST_ADDRESS: u32 = 0x0a00_0000;
+
+/// A ready worker, which differs from others by its number.
+pub fn endpoint(number: usize) -> EndpointEntry {
+    EndpointEntry {
+        name: format!("worker-{number:05}"),
+        address: SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + number as u32), 9_000)),
+        started: None,
+        size: 1.0,
+        kind: String::new(),
+        zone: format!("zone-{}", number % ZONES),
+        cell: String::new(),
+        state: EndpointStatus::Ready,
+    }
+}
+
+pub fn endpoints(workers: usize) -> Vec<EndpointEntry> {
+    (0..workers).map(endpoint).collect()
+}
+
+/// The dispatcher of one of so many gateways, with the idle timeout in seconds and further lines of configuration.
+pub fn dispatcher<T>(gateways: usize, idle_timeout: f64, further: &str) -> Dispatcher<T> {
+    let profile = "profile \"p\" {\n  due = 1.1\n  cut_off = 3.3\n  effect = \"pure\"\n}\n";
+    let functions = "functions {\n  lanes = 2\n  load = 0.4\n}\n";
+    let workers = format!("workers {{\n  registry = \"127.0.0.1:1\"\n  keep = {idle_timeout}\n}}\n");
+    let text = format!("seed = 7\ngateways = {gateways}\n{profile}{functions}{workers}{further}");
+    let config = milletpath_config::read(&text).unwrap_or_else(|errors| panic!("configuration: {errors:?}"));
+    Dispatcher::new(&config, 0.0)
+}
+
+pub fn measure(options: &Options) {
+    let (memory, joins) = WORKERS.into_iter().map(measure_size).unzip();
+    let slope = Slope {
+        name: "list-join",
+        mechanism: "ring made anew at each change of the list (`Desk::list`, `Router::list_complete`)",
+        quantity: "one worker joins: time inside the desk",
+        unit: "ms",
+        axis: "workers",
+        method: "thread clock; one entry, nine times in a row",
+        fixed: &[("gateways", 1_100.0)],
+        group: "list",
+    };
+    slope.write(options, joins);
+    Slope {
+        name: "list-memory",
+        quantity: "list, ring and figures of the fleet",
+        unit: "MB",
+        method: "bytes by a counting allocator, after one whole list; once, as it does not vary",
+        ..slope
+    }
+    .write(options, memory);
+}
+
+/// Memory of a full list in MB, and the time in ms that one more worker takes.
+fn measure_size(workers: usize) -> (Measurement, Measurement) {
+    const REPEATS: usize = 9;
+    let list = endpoints(workers);
+    let before = allocated_bytes();
+    let mut dispatcher: Dispatcher<()> = dispatcher(GATEWAYS, IDLE_TIMEOUT, "");
+    dispatcher.update_endpoints(0.0, true, &list);
+    while dispatcher.next_action().is_some() {}
+    let megabytes = (allocated_bytes() - before) / BYTES_PER_MEGABYTE;
+    let join = |n: usize| {
+        let joined = [endpoint(workers + n)];
+        let (seconds, ()) = timed(|| dispatcher.update_endpoints(1.0 + n as f64, false, &joined));
+        seconds * MILLISECONDS
+    };
+    let joins = (0..REPEATS).map(join).collect();
+    (measurement(workers as f64, vec![megabytes]), measurement(workers as f64, joins))
+}
--- /dev/null
+++ b/crates/capacity-model/benches/slopes/endpoint_list_codec.rs
@@ -0,0 +1,50 @@
+//! The endpoint list on the wire: bytes of one entry and of all, and the time that reading all takes.
+
+use crate::endpoint_list::{WORKERS, endpoints};
+use crate::measure::{BYTES_PER_KILOBYTE, MILLISECONDS, Options, Slope, measurement, timed};
+use milletpath_protocol::registry;
+
+pub fn measure(options: &Options) {
+    let (mut complete, mut single, mut reading) = (Vec::new(), Vec::new(), Vec::new());
+    for workers in WORKERS {
+        let size = workers as f64;
+        let list = endpoints(workers);
+        let encoded = registry::write(1, true, &list);
+        complete.push(measurement(size, vec![encoded.len() as f64 / BYTES_PER_KILOBYTE]));
+        let change = registry::write(2, false, &list[workers - 1..]);
+        single.push(measurement(size, vec![change.len() as f64]));
+        reading.push(measurement(size, reading_times(&encoded[..encoded.len() - 1], workers)));
+    }
+    let slope = Slope {
+        name: "list-whole",
+        mechanism: "list of workers as a stream of editions (`protocol::registry`)",
+        quantity: "the whole list, once",
+        unit: "kB",
+        axis: "workers",
+        method: "bytes written; once, as it does not vary",
+        fixed: &[],
+        group: "registry",
+    };
+    slope.write(options, complete);
+    Slope { name: "list-entry", quantity: "one entry that changes", unit: "bytes", ..slope }
+        .write(options, single);
+    Slope {
+        name: "list-read",
+        quantity: "the whole list is read",
+        unit: "ms",
+        method: "thread clock",
+        ..slope
+    }
+    .write(options, reading);
+}
+
+/// Milliseconds that each of several readings of an encoded list takes.
+fn reading_times(encoded: &[u8], workers: usize) -> Vec<f64> {
+    const REPEATS: usize = 7;
+    let read = |_| {
+        let (seconds, revision) = timed(|| registry::read(encoded).expect("a line of the list"));
+        assert_eq!(revision.endpoints.len(), workers);
+        seconds * MILLISECONDS
+    };
+    (0..REPEATS).map(read).collect()
+}
--- /dev/null
+++ b/crates/capacity-model/benches/slopes/event_queue.rs
@@ -0,0 +1,37 @@
+//! Events in simulated time. Those of the same microsecond come in the order in which they were added.
+
+use std::collections::BTreeMap;
+
+const TICKS_PER_SECOND: f64 = 1e6;
+
+/// When an event happens.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Due {
+    tick: u64,
+    serial: u64,
+}
+
+/// Events by time.
+pub struct EventQueue<E> {
+    events: BTreeMap<Due, E>,
+    next_serial: u64,
+}
+
+impl<E> EventQueue<E> {
+    pub fn new() -> Self {
+        Self { events: BTreeMap::new(), next_serial: 1 }
+    }
+
+    /// Adds an event at a time in seconds.
+    pub fn push(&mut self, time: f64, event: E) {
+        let due = Due { tick: (time * TICKS_PER_SECOND) as u64, serial: self.next_serial };
+        self.next_serial += 1;
+        self.events.insert(due, event);
+    }
+
+    /// The earliest event with its time in seconds.
+    pub fn pop(&mut self) -> Option<(f64, E)> {
+        let (due, event) = self.events.pop_first()?;
+        Some((due.tick as f64 / TICKS_PER_SECOND, event))
+    }
+}
--- a/crates/capacity-model/benches/slopes/main.rs
+++ b/crates/capacity-model/benches/slopes/main.rs
@@ -1,69 +1,85 @@
-//! Measures the slopes of docs/CAPACITY.md, by the thread's own clock and on one thread: the cores as they
-//! are, in simulated time. `cargo bench -p milletpath-capacity-model --bench slopes -- GROUP... [--seed N] [--out
-//! FOLDER]` writes a JSON file for each slope, to docs/capacity where nothing is said; without a group it
-//! names them.
+//! Measures the slopes of docs/CAPACITY.md on one thread, by the thread's CPU clock and in simulated time.
+//!
+//! `cargo bench -p milletpath-capacity-model --bench slopes -- GROUP... [--seed N] [--out FOLDER]` writes one JSON file a
+//! slope, by default to docs/capacity. Without a group it lists the groups.
 
-mod axes;
-mod desk;
-mod list;
+#![warn(clippy::too_many_lines)]
+
+mod dispatcher;
+mod dispatcher_axes;
+mod dispatcher_simulation;
+mod endpoint_list;
+mod endpoint_list_codec;
+mod event_queue;
+mod fleet_load;
 mod measure;
-mod peers;
-mod registry;
-mod shares;
-mod town;
+mod membership;
+mod membership_proof;
+mod shared_budgets;
+mod simulated_cluster;
+mod simulated_workers;
+mod usage_reports;
 
-use measure::Asked;
+use measure::Options;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Measures a group and writes its slopes.
-type Group = fn(&Asked);
+/// Slopes that are measured together.
+struct Group {
+    /// As the command line and the recorded commands name it.
+    name: &'static str,
+    /// Measures the slopes and writes their files.
+    measure: fn(&Options),
+}
 
-const GROUPS: [(&str, Group); 16] = [
-    ("list", list::measure),
-    ("registry", registry::measure),
-    ("desk", desk::workers),
-    ("desk-flat", desk::workers_flat),
-    ("desk-cold", desk::cold),
-    ("desk-functions", axes::functions),
-    ("desk-calls", axes::calls),
-    ("desk-gateways", axes::gateways),
-    ("desk-instances", axes::instances),
-    ("desk-changes", axes::changes),
-    ("proof", peers::proof),
-    ("peers", peers::fleet),
-    ("counts", shares::counts),
-    ("counts-functions", shares::functions),
-    ("budgets", shares::budgets),
-    ("town", town::measure),
+const GROUPS: [Group; 16] = [
+    Group { name: "list", measure: endpoint_list::measure },
+    Group { name: "registry", measure: endpoint_list_codec::measure },
+    Group { name: "desk", measure: dispatcher::workers },
+    Group { name: "desk-flat", measure: dispatcher::workers_flat },
+    Group { name: "desk-cold", measure: dispatcher::cold_starts },
+    Group { name: "desk-functions", measure: dispatcher_axes::functions },
+    Group { name: "desk-calls", measure: dispatcher_axes::calls },
+    Group { name: "desk-gateways", measure: dispatcher_axes::gateways },
+    Group { name: "desk-instances", measure: dispatcher_axes::instances },
+    Group { name: "desk-changes", measure: dispatcher_axes::list_updates },
+    Group { name: "proof", measure: membership_proof::measure },
+    Group { name: "peers", measure: membership::measure },
+    Group { name: "counts", measure: usage_reports::reports },
+    Group { name: "counts-functions", measure: usage_reports::functions },
+    Group { name: "budgets", measure: shared_budgets::measure },
+    Group { name: "town", measure: simulated_cluster::measure },
 ];
 
 fn main() -> ExitCode {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/capacity");
-    let mut asked = Asked { groups: Vec::new(), seed: 1, folder };
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        match word.as_str() {
-            "--seed" => asked.seed = words.next().and_then(|n| n.parse().ok()).unwrap_or(asked.seed),
-            "--out" => asked.folder = words.next().map_or(asked.folder, Into::into),
-            // Cargo's own.
+    let mut options = Options { groups: Vec::new(), seed: 1, folder };
+    let mut arguments = std::env::args().skip(1);
+    while let Some(argument) = arguments.next() {
+        match argument.as_str() {
+            "--seed" => {
+                options.seed = arguments.next().and_then(|n| n.parse().ok()).unwrap_or(options.seed);
+            }
+            "--out" => options.folder = arguments.next().map_or(options.folder, Into::into),
+            // Cargo passes this one.
             "--bench" => {}
-            _ => asked.groups.push(word),
+            _ => options.groups.push(argument),
         }
     }
-    let names = GROUPS.map(|(name, _)| name).join(", ");
-    let unknown = asked.groups.iter().find(|g| GROUPS.iter().all(|(name, _)| name != g));
-    if let Some(group) = unknown {
-        eprintln!("{group} is no group; name some of {names}");
+    run(&options)
+}
+
+fn run(options: &Options) -> ExitCode {
+    let names = GROUPS.map(|group| group.name);
+    if let Some(unknown) = options.groups.iter().find(|name| !names.contains(&name.as_str())) {
+        eprintln!("{unknown} is not a group; use some of {}", names.join(", "));
         return ExitCode::from(2);
     }
-    if asked.groups.is_empty() {
-        println!("name some of {names}");
+    if options.groups.is_empty() {
+        println!("name some of {}", names.join(", "));
     }
-    for (name, measure) in GROUPS {
-        if asked.groups.iter().any(|g| g == name) {
-            measure(&asked);
-        }
+    for group in GROUPS.iter().filter(|group| options.groups.iter().any(|name| name == group.name)) {
+        (group.measure)(options);
     }
     ExitCode::SUCCESS
 }
--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -1,5 +1,5 @@
-//! What the slopes are measured with: the thread's own clock, the bytes that are allocated, and the file
-//! that a slope is written to.
+//! What the slopes are measured with: the thread's CPU clock, a counting allocator, and the file that a slope is written
+//! to.
 
 use cap::Cap;
 use milletpath_capacity_model::run::{Measurement, Run};
@@ -9,59 +9,74 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Counts all that the bench allocates.
+pub const MILLISECONDS: f64 = 1e3;
+pub const MICROSECONDS: f64 = 1e6;
+pub const BYTES_PER_MEGABYTE: f64 = 1e6;
+pub const BYTES_PER_KILOBYTE: f64 = 1e3;
+
+const SECONDS_PER_DAY: i64 = 86_400;
+
+/// Counts all bytes that the bench allocates.
 #[global_allocator]
 static ALLOCATED: Cap<System> = Cap::new(System, usize::MAX);
 
 /// Bytes that are allocated now.
-pub fn allocated() -> f64 {
+pub fn allocated_bytes() -> f64 {
     ALLOCATED.allocated() as f64
 }
 
 /// Seconds that this thread has spent on a processor.
 #[expect(clippy::disallowed_methods, reason = "the thread's own clock, which no step moves")]
-pub fn spent() -> f64 {
-    let at = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect(
-        "the system has a clock for each \
-     thread",
-    );
-    at.tv_sec() as f64 + at.tv_nsec() as f64 / 1e9
+pub fn cpu_seconds() -> f64 {
+    let time =
+        clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("the system has a clock for each thread");
+    time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9
 }
 
-/// Seconds that one look at that clock takes: subtracted where it is looked at around small things.
-pub fn look() -> f64 {
-    const LOOKS: usize = 10_000;
-    let began = spent();
-    (0..LOOKS).for_each(|_| _ = std::hint::black_box(spent()));
-    (spent() - began) / LOOKS as f64
+/// Seconds of CPU that one reading of that clock takes: subtracted where it is read around short operations.
+pub fn clock_overhead() -> f64 {
+    const READINGS: usize = 10_000;
+    let start = cpu_seconds();
+    (0..READINGS).for_each(|_| _ = std::hint::black_box(cpu_seconds()));
+    (cpu_seconds() - start) / READINGS as f64
 }
 
-/// The median of repeats at a size (of an even number the upper one), with the least and the most of them.
-pub fn size(at: f64, mut values: Vec<f64>) -> Measurement {
-    values.sort_by(f64::total_cmp);
-    let (last, middle) = (values.len() - 1, values.len() / 2);
+/// Seconds of CPU that an operation takes, with its result.
+pub fn timed<T>(operation: impl FnOnce() -> T) -> (f64, T) {
+    let start = cpu_seconds();
+    let result = operation();
+    (cpu_seconds() - start, result)
+}
+
+/// The median of the repeats at a size (the upper one of an even number), with their least and greatest.
+pub fn measurement(size: f64, mut repeats: Vec<f64>) -> Measurement {
+    repeats.sort_by(f64::total_cmp);
     Measurement {
-        size: at,
+        size,
         second_size: None,
-        median: values[middle],
-        min: values[0],
-        max: values[last],
-        repeats: values.len(),
+        median: repeats[repeats.len() / 2],
+        min: repeats[0],
+        max: repeats[repeats.len() - 1],
+        repeats: repeats.len(),
     }
 }
 
-/// What is asked of the bench: which groups, the seed, and where runs are written.
-pub struct Asked {
+/// What the command line asks for.
+pub struct Options {
+    /// Names of the groups to measure.
     pub groups: Vec<String>,
+    /// Seed of all random numbers.
     pub seed: u64,
+    /// Where the runs are written.
     pub folder: PathBuf,
 }
 
-/// A slope that is being measured: all of its words but the sizes.
+/// The description of a slope. All of it but the group's name is stored in the run's file and printed on the page.
+#[derive(Clone, Copy)]
 pub struct Slope {
     pub name: &'static str,
     pub mechanism: &'static str,
-    pub figure: &'static str,
+    pub quantity: &'static str,
     pub unit: &'static str,
     pub axis: &'static str,
     pub method: &'static str,
@@ -70,52 +85,75 @@
 }
 
 impl Slope {
-    /// Writes the run to its file, and a line a size to standard output.
-    pub fn write(&self, asked: &Asked, second_axis: Option<&str>, sizes: Vec<Measurement>) {
-        for s in &sizes {
-            let and = s.second_size.map_or(String::new(), |and| format!(" and {and}"));
-            println!(
-                "{}: {}{and} {}: {:.4} ({:.4} to {:.4}) {}",
-                self.name, s.size, self.axis, s.median, s.min, s.max, self.unit
-            );
-        }
+    /// Writes the run to its file, and one line a size to standard output.
+    pub fn write(&self, options: &Options, measurements: Vec<Measurement>) {
+        self.write_run(options, None, measurements);
+    }
+
+    /// The same with a second axis.
+    pub fn write_two_axes(&self, options: &Options, second_axis: &str, measurements: Vec<Measurement>) {
+        self.write_run(options, Some(second_axis), measurements);
+    }
+
+    fn write_run(&self, options: &Options, second_axis: Option<&str>, measurements: Vec<Measurement>) {
+        measurements.iter().for_each(|measurement| self.print(measurement));
+        let run = self.run(options, second_axis, measurements);
+        let path = options.folder.join(format!("{}.json", self.name));
+        let text = serde_json::to_string_pretty(&run).expect("a run is JSON") + "\n";
+        std::fs::write(&path, text).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    }
+
+    fn print(&self, measurement: &Measurement) {
+        let second_size = measurement.second_size.map_or(String::new(), |size| format!(" and {size}"));
+        let Measurement { size, median, min, max, .. } = measurement;
+        let (name, axis, unit) = (self.name, self.axis, self.unit);
+        println!("{name}: {size}{second_size} {axis}: {median:.4} ({min:.4} to {max:.4}) {unit}");
+    }
+
+    fn run(&self, options: &Options, second_axis: Option<&str>, measurements: Vec<Measurement>) -> Run {
         let command = format!(
             "cargo bench -p milletpath-capacity-model --bench slopes -- {} --seed {}",
-            self.group, asked.seed
+            self.group, options.seed
         );
         let fixed: BTreeMap<String, f64> =
-            self.fixed.iter().map(|(key, value)| ((*key).to_owned(), *value)).collect();
-        let run = Run {
+            self.fixed.iter().map(|(name, value)| ((*name).to_owned(), *value)).collect();
+        Run {
             name: self.name.into(),
             mechanism: self.mechanism.into(),
-            quantity: self.figure.into(),
+            quantity: self.quantity.into(),
             unit: self.unit.into(),
             axis: self.axis.into(),
             second_axis: second_axis.map(str::to_owned),
             fixed,
             method: self.method.into(),
             command,
-            seed: asked.seed,
+            seed: options.seed,
             date: today(),
             cores: std::thread::available_parallelism().map_or(1, |n| n.get()),
-            measurements: sizes,
-        };
-        let path = asked.folder.join(format!("{}.json", self.name));
-        let text = serde_json::to_string_pretty(&run).expect("a run is JSON") + "\n";
-        std::fs::write(&path, text).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+            measurements,
+        }
     }
 }
 
 /// The day in UTC, as 2026-12-02.
 fn today() -> String {
-    // Days of the civil calendar, counted in years that begin in March.
-    let days = unix_time() as i64 / 86_400 + 719_468;
-    let era = days.div_euclid(146_097);
-    let of_era = days.rem_euclid(146_097);
-    let year = (of_era - of_era / 1_460 + of_era / 36_524 - of_era / 146_096) / 365;
-    let of_year = of_era - (365 * year + year / 4 - year / 100);
-    let month = (5 * of_year + 2) / 153;
-    let day = of_year - (153 * month + 2) / 5 + 1;
-    let month = if month < 10 { month + 3 } else { month - 9 };
-    format!("{:04}-{month:02}-{day:02}", year + era * 400 + i64::from(month <= 2))
+    civil_date(unix_time() as i64 / SECONDS_PER_DAY)
+}
+
+/// The date of a day since 1970-01-01, in the Gregorian calendar: days are counted in years that begin in March, and in
+/// eras of 400 years.
+fn civil_date(days_since_epoch: i64) -> String {
+    const DAYS_FROM_MARCH_OF_YEAR_0: i64 = 719_468;
+    const DAYS_PER_ERA: i64 = 146_097;
+    let days = days_since_epoch + DAYS_FROM_MARCH_OF_YEAR_0;
+    let era = days.div_euclid(DAYS_PER_ERA);
+    let day_of_era = days.rem_euclid(DAYS_PER_ERA);
+    let leap_days = day_of_era / 1_460 - day_of_era / 36_524 + day_of_era / 146_096;
+    let year_of_era = (day_of_era - leap_days) / 365;
+    let day_of_year = day_of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
+    let month_from_march = (5 * day_of_year + 2) / 153;
+    let day = day_of_year - (153 * month_from_march + 2) / 5 + 1;
+    let month = if month_from_march < 10 { month_from_march + 3 } else { month_from_march - 9 };
+    let year = year_of_era + era * 400 + i64::from(month <= 2);
+    format!("{year:04}-{month:02}-{day:02}")
 }
--- /dev/null
+++ b/crates/capacity-model/benches/slopes/membership_proof.rs
@@ -0,0 +1,205 @@
+//! The quorum proof of one gateway against the number of members, the memory of its members, and the opening of a datagram.
+
+use crate::measure::{
+    BYTES_PER_MEGABYTE, MICROSECONDS, MILLISECONDS, Options, Slope, allocated_bytes, measurement, timed,
+};
+use milletpath_membership::datagram::{self, Assertion, Datagram, Identity, Key, kind};
+use milletpath_membership::{Membership, MembershipConfig};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::hint::black_box;
+use std::net::SocketAddr;
+
+/// The configuration of a large fleet; times in seconds.
+pub const CONFIG: MembershipConfig =
+    MembershipConfig { period: 0.4, lease: 12.0, floor: 0.5, budget_window: 10.0 };
+
+/// Seconds by which time advances until the gateway probes another.
+const TICK: f64 = 0.05;
+
+fn identity(index: usize, max_gateways: usize) -> Identity {
+    let (high, low) = ((index / 250) as u8, (index % 250) as u8 + 1);
+    Identity {
+        instance_id: index as u64 + 1,
+        name: format!("gateway-{index}"),
+        address: SocketAddr::from(([10, 1, high, low], 7_400)),
+        incarnation: 0,
+        max_gateways: max_gateways as u32,
+    }
+}
+
+/// What the members assert of whom they know.
+#[derive(Clone, Copy)]
+enum Assertions {
+    /// The same as the gateway itself.
+    Equal,
+    /// Each something else.
+    Different,
+}
+
+/// A probe that the gateway sent and that is not answered yet.
+struct Probe {
+    /// Index of the member that is probed.
+    member: usize,
+    request_id: u64,
+    now: f64,
+}
+
+/// A gateway that knows so many members and has a fresh assertion of each.
+fn informed_member(members: usize, assertions: Assertions, seed: u64) -> Membership {
+    let mut membership = Membership::new(identity(0, members), CONFIG, Vec::new(), seed, 0.0);
+    for index in 1..members {
+        let mut announcement = Datagram::new(identity(index, members), 1, kind::ANNOUNCE, 0);
+        announcement.sequence = 1;
+        membership.receive(0.001, announcement);
+    }
+    let own = own_assertion(&mut membership, members);
+    let probe = next_probe(&mut membership);
+    let answer = answer(members, assertions, &own, &probe, seed);
+    membership.receive(probe.now + 0.001, answer);
+    while membership.next_outgoing().is_some() {}
+    membership
+}
+
+/// The gateway's own assertion, as it answers a ping.
+fn own_assertion(membership: &mut Membership, members: usize) -> Assertion {
+    let mut ping = Datagram::new(identity(1, members), 1, kind::PING, 1);
+    ping.sequence = 2;
+    membership.receive(0.002, ping);
+    let own = std::iter::from_fn(|| membership.next_outgoing())
+        .find_map(|sent| sent.datagram.assertions.first().cloned());
+    own.expect("an answer with its own assertion")
+}
+
+/// Lets time pass until the gateway probes a member.
+fn next_probe(membership: &mut Membership) -> Probe {
+    let mut now = 0.002;
+    loop {
+        now += TICK;
+        membership.tick(now);
+        let ping =
+            std::iter::from_fn(|| membership.next_outgoing()).find(|sent| sent.datagram.kind == kind::PING);
+        if let Some(sent) = ping {
+            let member = sent.datagram.recipient as usize - 1;
+            return Probe { member, request_id: sent.datagram.request_id, now };
+        }
+    }
+}
+
+/// The answer to a probe, which carries the assertions of all members.
+fn answer(members: usize, assertions: Assertions, own: &Assertion, probe: &Probe, seed: u64) -> Datagram {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let different: Vec<(u64, u64)> = match assertions {
+        Assertions::Equal => Vec::new(),
+        Assertions::Different => (0..members).map(|_| (rng.random(), rng.random())).collect(),
+    };
+    let assertion = |index: usize, age| {
+        let hashes = different.get(index).filter(|_| index != probe.member);
+        let (endorsed, listed) = hashes.map_or((own.endorsed, own.listed), |(e, l)| (Some(*e), Some(*l)));
+        Assertion { instance_id: index as u64 + 1, age, endorsed, listed }
+    };
+    let mut answer = Datagram::new(identity(probe.member, members), 1, kind::ACK, probe.request_id);
+    answer.sequence = 3;
+    answer.assertions.push(assertion(probe.member, 0));
+    let others = (1..members).filter(|index| *index != probe.member);
+    answer.assertions.extend(others.map(|index| assertion(index, 1)));
+    answer
+}
+
+/// Milliseconds of each check of the quorum proof, as the membership link makes one after each datagram.
+pub fn proof_times(membership: &Membership, repeats: usize) -> Vec<f64> {
+    let mut membership = membership.clone();
+    // The clock does not advance: all assertions stay as fresh as they are.
+    let _ = membership.quota_fraction(0.0);
+    let check = |_| timed(|| _ = black_box(membership.quota_fraction(0.0))).0 * MILLISECONDS;
+    (0..repeats).map(check).collect()
+}
+
+pub fn measure(options: &Options) {
+    proofs(options);
+    datagram_opening(options);
+}
+
+fn proofs(options: &Options) {
+    const MEMBERS: [usize; 7] = [50, 100, 200, 300, 500, 800, 1_100];
+    let (mut settled, mut starting, mut memory) = (Vec::new(), Vec::new(), Vec::new());
+    for members in MEMBERS {
+        let size = members as f64;
+        let before = allocated_bytes();
+        let membership = informed_member(members, Assertions::Equal, options.seed);
+        let megabytes = (allocated_bytes() - before) / BYTES_PER_MEGABYTE;
+        memory.push(measurement(size, vec![megabytes]));
+        assert_eq!(membership.fresh_instances().len(), members - 1, "a fresh assertion of each");
+        settled.push(measurement(size, proof_times(&membership, 15)));
+        drop(membership);
+        let membership = informed_member(members, Assertions::Different, options.seed);
+        starting.push(measurement(size, proof_times(&membership, 3)));
+    }
+    let slope = Slope {
+        name: "proof-settled",
+        mechanism: "proof by a majority of all (`peers::backing`)",
+        quantity: "one look at what is proven, all words alike",
+        unit: "ms",
+        axis: "gateways",
+        method: "thread clock; members and their words brought by letters; 15 looks",
+        fixed: &[("lease", 12.0)],
+        group: "proof",
+    };
+    slope.write(options, settled);
+    Slope {
+        name: "proof-starting",
+        quantity: "one look at what is proven, no two words alike (`differs`)",
+        method: "thread clock; members and their words brought by letters; 3 looks",
+        ..slope
+    }
+    .write(options, starting);
+    Slope {
+        name: "peers-memory",
+        mechanism: "a full view of all gateways (`peers::member`)",
+        quantity: "view of all, settled",
+        unit: "MB",
+        method: "bytes by a counting allocator; once, as it does not vary",
+        ..slope
+    }
+    .write(options, memory);
+}
+
+/// Authenticating and decoding a datagram: the simulated network passes datagrams on without it.
+fn datagram_opening(options: &Options) {
+    const ASSERTIONS: [usize; 5] = [1, 10, 20, 40, 70];
+    const REPEATS: usize = 5;
+    const DATAGRAMS: usize = 2_000;
+    let key = Key::new(b"a key of chance for all gateways");
+    let measure_size = |assertions| {
+        let sealed = datagram::seal(&key, &datagram_with(assertions)).expect("it fits");
+        let open = || (0..DATAGRAMS).for_each(|_| _ = black_box(datagram::open(&key, black_box(&sealed))));
+        let times = (0..REPEATS).map(|_| timed(open).0 * MICROSECONDS / DATAGRAMS as f64);
+        measurement(sealed.len() as f64, times.collect())
+    };
+    Slope {
+        name: "letter-open",
+        mechanism: "seal of a letter (`peers::letter`)",
+        quantity: "a letter is opened and read",
+        unit: "us",
+        axis: "bytes of a letter",
+        method: "thread clock; 2,000 letters, five times",
+        fixed: &[],
+        group: "proof",
+    }
+    .write(options, ASSERTIONS.map(measure_size).to_vec());
+}
+
+/// A datagram of a fleet of 1,100 with so many assertions.
+fn datagram_with(assertions: usize) -> Datagram {
+    /// Makes ids that are as long as those in service.
+    const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    let assertion = |n: u64| Assertion {
+        instance_id: n.wrapping_mul(MULTIPLIER),
+        age: 900,
+        endorsed: None,
+        listed: None,
+    };
+    let mut datagram = Datagram::new(identity(1, 1_100), 1, kind::ACK, 7);
+    datagram.assertions = (1..=assertions as u64).map(assertion).collect();
+    datagram
+}
--- /dev/null
+++ b/crates/capacity-model/benches/slopes/simulated_cluster.rs
@@ -0,0 +1,175 @@
+//! The workers' side of control, and the store, in the simulator: a fleet scaled down as a whole, so that a gateway has as
+//! many calls and as many workers to choose among as at the target size.
+
+use crate::measure::{Options, Slope, measurement};
+use milletpath_capacity_model::run::Measurement;
+use milletpath_emulator::scenario_file::{self, Scenario};
+use milletpath_history_checker::HistoryEvent;
+use milletpath_simulator::{SimulationReport, play};
+use std::collections::BTreeSet;
+use std::path::Path;
+
+const SEEDS: u64 = 3;
+
+/// Calls per second, workers and functions for each gateway: as at the target size.
+const CALLS_PER_GATEWAY: f64 = 145.0;
+const WORKERS_PER_GATEWAY: usize = 8;
+const FUNCTIONS_PER_GATEWAY: usize = 30;
+
+const SIMULATED_SECONDS: f64 = 30.0;
+const ZIPF_EXPONENT: f64 = 1.1;
+
+/// Gateways in the scenario that is scaled up.
+const GATEWAYS_OF_SCENARIO: f64 = 2.0;
+
+/// Numbers of gateways of fleets whose calls grow with them.
+const GATEWAYS: [usize; 5] = [2, 5, 10, 20, 40];
+
+/// Calls per second of a fleet of [`GATEWAYS_OF_CONSTANT_FLEET`].
+const CALLS: [f64; 5] = [145.0, 290.0, 580.0, 1_160.0, 1_740.0];
+const GATEWAYS_OF_CONSTANT_FLEET: usize = 10;
+
+/// A fleet of so many gateways with so many calls per second.
+fn scenario(gateways: usize, calls_per_second: f64) -> Scenario {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
+    let mut scenario = scenario_file::open(&file).unwrap_or_else(|errors| panic!("{errors:?}"));
+    scenario.seconds = SIMULATED_SECONDS;
+    scenario.gateways = gateways;
+    scenario.workers = WORKERS_PER_GATEWAY * gateways;
+    scenario.functions = FUNCTIONS_PER_GATEWAY * gateways;
+    scenario.zipf = ZIPF_EXPONENT;
+    scenario.traffic.rate = calls_per_second;
+    scale_store(&mut scenario, gateways as f64 / GATEWAYS_OF_SCENARIO);
+    scenario.groups.iter_mut().for_each(|group| group.quota = None);
+    scenario.rules.load_rate_limit = None;
+    scenario
+}
+
+/// Gives the store the capacity that a larger fleet needs.
+fn scale_store(scenario: &mut Scenario, factor: f64) {
+    let store = &mut scenario.store_spec;
+    store.unslowed_fetches *= factor;
+    store.max_fetches = (store.max_fetches as f64 * factor) as usize;
+    store.overload_rate = store.overload_rate.map(|rate| rate * factor);
+}
+
+/// What one simulation showed.
+struct ClusterReport {
+    health_checks_per_call: f64,
+    load_requests_per_call: f64,
+    connections_per_worker: f64,
+    fetches_per_second: f64,
+}
+
+impl ClusterReport {
+    fn new(scenario: &Scenario, report: &SimulationReport) -> Self {
+        let calls = report.whole.calls.max(1) as f64;
+        Self {
+            health_checks_per_call: report.counters.health_checks as f64 / calls,
+            load_requests_per_call: report.counters.load_requests as f64 / calls,
+            connections_per_worker: connections_per_worker(report, scenario.workers),
+            fetches_per_second: report.fetches as f64 / scenario.seconds,
+        }
+    }
+}
+
+/// Gateways that sent a worker something within the 30 s for which an idle connection is kept, on average.
+fn connections_per_worker(report: &SimulationReport, workers: usize) -> f64 {
+    let events = report.records.iter().map(|record| &record.event);
+    let connections: BTreeSet<(usize, usize)> = events
+        .filter_map(|event| match event {
+            HistoryEvent::AttemptReceived { gateway, worker, .. }
+            | HistoryEvent::LoadRequested { gateway, worker } => Some((*gateway, *worker)),
+            _ => None,
+        })
+        .collect();
+    connections.len() as f64 / workers as f64
+}
+
+/// Simulates one size with several seeds.
+fn simulate(options: &Options, gateways: usize, calls_per_second: f64) -> Vec<ClusterReport> {
+    let simulate_seed = |n| {
+        let scenario = scenario(gateways, calls_per_second);
+        let report = play(&scenario, options.seed + n, None);
+        eprintln!("{gateways} gateways, {calls_per_second} calls/s: service {:.3}", report.whole.service());
+        ClusterReport::new(&scenario, &report)
+    };
+    (0..SEEDS).map(simulate_seed).collect()
+}
+
+fn measured(size: f64, reports: &[ClusterReport], value: fn(&ClusterReport) -> f64) -> Measurement {
+    measurement(size, reports.iter().map(value).collect())
+}
+
+pub fn measure(options: &Options) {
+    growing_fleet(options);
+    constant_fleet(options);
+}
+
+const HEALTH_CHECKS: Slope = Slope {
+    name: "worker-probes",
+    mechanism: "probe before a shot where nothing was heard for 1 s (`Router::place`)",
+    quantity: "probes a call",
+    unit: "probes",
+    axis: "gateways",
+    method: "laboratory, 30 simulated seconds from an empty fleet, three seeds",
+    fixed: &[
+        ("calls a second for a gateway", CALLS_PER_GATEWAY),
+        ("workers for a gateway", 8.0),
+        ("functions for a gateway", 30.0),
+        ("zipf", ZIPF_EXPONENT),
+    ],
+    group: "town",
+};
+
+const FETCHES: Slope = Slope {
+    name: "store-loads",
+    mechanism: "loads that shots and orders begin (`Router::order`, `Router::shoot`)",
+    quantity: "fetches from the store a second",
+    unit: "fetches",
+    axis: "calls a second",
+    fixed: &[("gateways", 10.0), ("workers", 80.0), ("functions", 300.0), ("zipf", ZIPF_EXPONENT)],
+    ..HEALTH_CHECKS
+};
+
+/// Fleets whose calls, workers and functions grow with the gateways.
+fn growing_fleet(options: &Options) {
+    let (mut health_checks, mut load_requests) = (Vec::new(), Vec::new());
+    let (mut connections, mut fetches) = (Vec::new(), Vec::new());
+    for gateways in GATEWAYS {
+        let size = gateways as f64;
+        let calls = CALLS_PER_GATEWAY * size;
+        let reports = simulate(options, gateways, calls);
+        health_checks.push(measured(size, &reports, |report| report.health_checks_per_call));
+        load_requests.push(measured(size, &reports, |report| report.load_requests_per_call));
+        connections.push(measured(size, &reports, |report| report.connections_per_worker));
+        fetches.push(measured(calls, &reports, |report| report.fetches_per_second));
+    }
+    HEALTH_CHECKS.write(options, health_checks);
+    Slope {
+        name: "worker-orders",
+        mechanism: "orders to load (`Router::order`)",
+        quantity: "orders a call",
+        unit: "orders",
+        ..HEALTH_CHECKS
+    }
+    .write(options, load_requests);
+    Slope {
+        name: "worker-connections",
+        mechanism: "a connection of each gateway that sent something in the last 30 s (`gateway::pool`)",
+        quantity: "connections at a worker",
+        unit: "connections",
+        ..HEALTH_CHECKS
+    }
+    .write(options, connections);
+    Slope { name: "store-loads-fleet", fixed: HEALTH_CHECKS.fixed, ..FETCHES }.write(options, fetches);
+}
+
+/// More calls for a fleet of constant size.
+fn constant_fleet(options: &Options) {
+    let measure_calls = |calls| {
+        let reports = simulate(options, GATEWAYS_OF_CONSTANT_FLEET, calls);
+        measured(calls, &reports, |report| report.fetches_per_second)
+    };
+    FETCHES.write(options, CALLS.map(measure_calls).to_vec());
+}
--- /dev/null
+++ b/crates/capacity-model/benches/slopes/simulated_workers.rs
@@ -0,0 +1,105 @@
+//! The workers of a fleet as one gateway meets them: far or near, shared with other gateways, which load functions there
+//! too.
+
+use crate::fleet_load::FleetLoad;
+use milletpath_policy::LoadReport;
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use rand_distr::{Distribution, Exp};
+use std::collections::HashMap;
+use std::ops::Range;
+
+/// Round trip to a worker in seconds, by region.
+const ROUND_TRIPS: [f64; 4] = [0.001, 0.030, 0.080, 0.150];
+
+/// Calls per second of the whole fleet.
+const FLEET_CALLS_PER_SECOND: f64 = 160_000.0;
+
+/// Calls of other gateways that a worker runs on average.
+const OTHERS_IN_FLIGHT: f64 = 1.0;
+
+/// Calls that a worker runs at full utilization.
+const FULL_LOAD: f64 = 8.0;
+
+/// Load time of a function in seconds.
+const LOAD_TIME: Range<f64> = 0.2..0.6;
+
+/// Round trip to a worker, in seconds.
+pub fn round_trip(worker: usize) -> f64 {
+    ROUND_TRIPS[worker % ROUND_TRIPS.len()]
+}
+
+/// What one gateway can see of the workers.
+pub struct SimulatedWorkers {
+    zipf_exponent: f64,
+    idle_timeout: f64,
+    /// Sum of the unnormalized weights of all functions.
+    total_weight: f64,
+    /// Until when an instance of a function is loaded on a worker, in seconds.
+    loaded_until: HashMap<(usize, usize), f64>,
+    /// The same on any worker.
+    loaded_anywhere_until: HashMap<usize, f64>,
+    /// The gateway's own calls, by worker.
+    in_flight: Vec<f64>,
+}
+
+impl SimulatedWorkers {
+    pub fn new(load: &FleetLoad) -> Self {
+        Self {
+            zipf_exponent: load.zipf_exponent,
+            idle_timeout: load.idle_timeout,
+            total_weight: (1..=load.functions).map(|rank| (rank as f64).powf(-load.zipf_exponent)).sum(),
+            loaded_until: HashMap::new(),
+            loaded_anywhere_until: HashMap::new(),
+            in_flight: vec![0.0; load.workers],
+        }
+    }
+
+    pub fn begin_call(&mut self, worker: usize) {
+        self.in_flight[worker] += 1.0;
+    }
+
+    pub fn end_call(&mut self, worker: usize) {
+        self.in_flight[worker] -= 1.0;
+    }
+
+    /// A load report, which counts calls of other gateways too.
+    pub fn report(&self, worker: usize, rng: &mut ChaCha8Rng) -> LoadReport {
+        let others = Exp::new(1.0 / OTHERS_IN_FLIGHT).expect("a mean").sample(rng).round();
+        let in_flight = self.in_flight[worker] + others;
+        LoadReport {
+            in_flight: Some(in_flight),
+            utilization: Some((in_flight / FULL_LOAD).min(1.0)),
+            ..LoadReport::default()
+        }
+    }
+
+    /// Uses a function on a worker, which loads it if needed. Returns whether it was loaded: by this gateway, or by others
+    /// that share the worker.
+    pub fn use_function(&mut self, now: f64, function: usize, worker: usize, rng: &mut ChaCha8Rng) -> bool {
+        let weight = (function as f64).powf(-self.zipf_exponent);
+        let calls_per_second = FLEET_CALLS_PER_SECOND * weight / self.total_weight;
+        let by_itself = self.loaded_until.get(&(function, worker)).is_some_and(|until| now < *until);
+        let used_by_others = 1.0 - (-calls_per_second * self.idle_timeout).exp();
+        let by_others = !by_itself && rng.random::<f64>() < used_by_others;
+        let until = now + self.idle_timeout;
+        self.loaded_until.insert((function, worker), until);
+        self.loaded_anywhere_until.insert(function, until);
+        by_itself || by_others
+    }
+
+    /// Seconds that a load takes; none if the function is loaded.
+    pub fn load_time(is_loaded: bool, rng: &mut ChaCha8Rng) -> f64 {
+        if is_loaded { 0.0 } else { rng.random_range(LOAD_TIME) }
+    }
+
+    /// Whether the gateway knows of no worker that holds the function.
+    pub fn is_loaded_nowhere(&self, now: f64, function: usize) -> bool {
+        self.loaded_anywhere_until.get(&function).is_none_or(|until| now >= *until)
+    }
+
+    /// Instances that the gateway used and that are still loaded.
+    pub fn loaded_instances(&self, now: f64) -> usize {
+        self.loaded_until.values().filter(|until| now < **until).count()
+    }
+}
