--- a/crates/capacity-model/src/page/assumption_table.rs
+++ b/crates/capacity-model/src/page/assumption_table.rs
@@ -10,7 +10,7 @@
 use crate::shortfalls::shortfalls;
 use crate::slopes::Slopes;
 
-const HEAD: &str = "| assumed | figure | why | half | double |\n| --- | --- | --- | --- | --- |\n";
+const HEAD: &str = "| parameter | value | reason | half | double |\n| --- | --- | --- | --- | --- |\n";
 
 /// Relative changes below this are rounding errors.
 const NEGLIGIBLE: f64 = 1e-6;
@@ -34,9 +34,9 @@
 fn introduction(assumptions: &Assumptions, sensitivity: &Sensitivity<'_>) -> String {
     let target = &assumptions.target;
     format!(
-        "## What is assumed\n\nAsked for: {} gateways, {} instances of {} functions, {} calls a second, {} \
-         regions with {} zones. The rest is assumed. Of {} bounds {} are missed. Half and double: how many \
-         would be, and the figure that moves most against its bound.\n\n",
+        "## Assumptions\n\nTarget: {} gateways, {} instances of {} functions, {} calls per second, {} regions with \
+         {} zones. All else is assumed. Of {} limits {} are exceeded. The last two columns halve and double a \
+         parameter: how many limits would be exceeded, and the quantity that moves most against its limit.\n\n",
         number(target.gateways),
         number(target.instances),
         number(target.functions),
@@ -91,9 +91,9 @@
         let projections = projections(&assumptions, self.slopes);
         let largest = largest_change(&self.projections, &projections);
         format!(
-            "{} missed; {}",
+            "{} exceeded; {}",
             self.missed(&projections, &assumptions),
-            largest.unwrap_or_else(|| "nothing moves".into())
+            largest.unwrap_or_else(|| "nothing changes".into())
         )
     }
 }
@@ -128,7 +128,7 @@
             return format!("{description}: {} to {} {unit}", number(before.value), number(after.value));
         }
         let limit = |projection: &Projection| projection.limit.map_or(String::new(), number);
-        format!("{description}: may be {} {unit} where it might be {}", limit(after), limit(before))
+        format!("{description}: limit {} {unit} instead of {}", limit(after), limit(before))
     }
 }
 
@@ -154,12 +154,10 @@
     };
     let first_percent = |exponent: f64| 100.0 * distribution(exponent).fraction(1.0);
     format!(
-        "\nPopularity: of Zipf's laws those from an exponent of {:.2} on have most of the functions \
-         called less than once a minute. \
-         With {zipf} that is {} of {}; the first function has {:.0}% of all calls. With 1.1, which the \
-         desk is measured with as well, it is \
-         {}; the first has {:.0}%. A gateway then knows {} functions at a time with {zipf}, and {} with \
-         1.1 ({}).\n",
+        "\nPopularity: with a Zipf exponent of {:.2} or more, most functions are called less than once a \
+         minute. With {zipf} these are {} of {}, and the most popular function receives {:.0}% of all calls. \
+         With 1.1, which the dispatcher is measured with as well, these are {}, and the most popular receives \
+         {:.0}%. A gateway then holds state of {} functions at a time with {zipf}, and of {} with 1.1 ({}).\n",
         min_exponent(target.functions, target.calls_per_second, RARE_RATE),
         rarely_called(zipf),
         number(target.functions),
--- a/crates/capacity-model/src/page/cold_start.rs
+++ b/crates/capacity-model/src/page/cold_start.rs
@@ -12,16 +12,13 @@
     };
     let (Some(p50), Some(p99)) = (percentile("p50"), percentile("p99")) else { return String::new() };
     format!(
-        "## The cold start\n\nAsked: {} s for 99 in 100. Less {} s for the load and 150 ms to the \
-         farthest region and back, the gateway's own part may be \
-         {} ms. It is {} ms (p50) and {} ms (p99), from the arrival of a call whose function stands \
-         nowhere that the gateway knows of to its \
-         first shot, which begins the load. What makes it up: a worker of which nothing was heard for 1 \
-         s is probed first, and with so many \
-         workers to a gateway most are such; the call waits for that answer, at most for \
-         0.03 of its due time, and is looked at again \
-         5 ms later at the latest. Workers 1, 30, 80 and 150 ms away, a quarter each: the ring knows no \
-         regions.\n",
+        "## Cold start\n\nTarget: {} s at the 99th percentile. Without {} s for the load and 150 ms for the round \
+         trip to the farthest region, {} ms are left for the gateway. It takes {} ms (p50) and {} ms (p99), from \
+         the arrival of a call whose function is not known to be loaded anywhere to its first attempt, which \
+         starts the load. The cause: a worker that has not reported for 1 s gets a health check first, and with \
+         so many workers per gateway most have not; the call waits for the answer, for up to 0.03 of its latency \
+         objective, and is placed at most 5 ms later. Workers are 1, 30, 80 and 150 ms away, a quarter each: the \
+         hash ring does not consider regions.\n",
         assumptions.target.cold_start_seconds,
         assumptions.value(Parameter::LoadSeconds),
         p99.limit.map_or(String::new(), number),
--- a/crates/capacity-model/src/page/mod.rs
+++ b/crates/capacity-model/src/page/mod.rs
@@ -64,7 +64,9 @@
 /// A breaking point as the page prints it.
 fn breaking_point_text(breaking_point: Option<f64>, below_measured: bool) -> String {
     match breaking_point {
-        Some(size) if below_measured && size > 0.0 => format!("{} (below the least measured)", number(size)),
+        Some(size) if below_measured && size > 0.0 => {
+            format!("{} (below the smallest measured size)", number(size))
+        }
         Some(0.0) => "any size".into(),
         Some(size) => number(size),
         None => format!("over {MAX_SIZE}"),
--- a/crates/capacity-model/src/page/role_tables.rs
+++ b/crates/capacity-model/src/page/role_tables.rs
@@ -5,7 +5,7 @@
 use crate::projection::Projection;
 use crate::quantity::Role;
 
-const HEAD: &str = "| | what | at the size | may be | | fails at | mechanism | figure is | runs |\n\
+const HEAD: &str = "| resource | quantity | at the target size | limit | verdict | exceeded at | mechanism | source | runs |\n\
                     | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
 /// Title and introduction of a role's section.
@@ -24,21 +24,21 @@
     Section {
         role: Role::Worker,
         title: "Worker's side of control",
-        introduction: "What one worker sees of all gateways. The laboratory's small fleets (runs `worker-...`) \
-                       are not carried on to the size: what they show levels off.",
+        introduction: "What one worker receives from all gateways. The runs `worker-...` of the simulator's small \
+                       fleets are not extrapolated: their values level off.",
     },
     Section {
         role: Role::ControlMachine,
         title: "The 7 control machines",
-        introduction: "They hold the log of changes of configuration; each gateway follows three of them. \
-                       Nothing is granted for one but their number.",
+        introduction: "They hold the log of configuration changes; each gateway follows three of them. Only their \
+                       number is given: the cost of one has no limit.",
     },
     Section {
         role: Role::EndpointList,
-        title: "List of workers",
-        introduction: "What whoever tells the list sends.",
+        title: "Endpoint list",
+        introduction: "What the service that sends the endpoint list bears.",
     },
-    Section { role: Role::Store, title: "Store", introduction: "Nothing was granted or bounded." },
+    Section { role: Role::Store, title: "Store", introduction: "There is no limit." },
 ];
 
 pub(super) fn sections(projections: &[Projection]) -> String {
@@ -63,7 +63,7 @@
         projection.description,
         number(projection.value),
         projection.unit,
-        projection.limit.map_or("not stated".into(), number),
+        projection.limit.map_or("none".into(), number),
         verdict(projection),
         projection.mechanism,
         projection.provenance(),
--- a/crates/capacity-model/src/page/scale_tables.rs
+++ b/crates/capacity-model/src/page/scale_tables.rs
@@ -10,14 +10,14 @@
 
 const MISSES: &str = "**MISSES**";
 
-const SCALE_RUNS_TITLE: &str = "## Scale run\n\n";
+const SCALE_RUNS_TITLE: &str = "## Scale tests\n\n";
 
-const SCALE_RUNS_HEAD: &str = "`milletpath scale FILE --seed N --json`: p50, p99, worst over the gateways.\n\n\
-    | run | gateways | seed | cores that ran | CPU, % of a core | MB | kB/s in | kB/s out | death known, s | \
-    join known, s | change known, s | bounds broken | not played | machine |\n\
+const SCALE_RUNS_HEAD: &str = "`milletpath scale FILE --seed N --json`: p50, p99 and largest value over the gateways.\n\n\
+    | run | gateways | seed | mechanisms | CPU, % of a core | MB | kB/s received | kB/s sent | death known, s | \
+    join known, s | change known, s | violated bounds | steps left out | machine |\n\
     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-const CONFIG_CHANGES_HEAD: &str = "| gateways | | change known, s | | CPU, % of a core | kB/s in | kB/s out | run |\n\
+const CONFIG_CHANGES_HEAD: &str = "| gateways | mechanism | change known, s | verdict | CPU, % of a core | kB/s received | kB/s sent | run |\n\
                                    | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
 /// A distribution, each value multiplied by `factor`.
@@ -51,7 +51,7 @@
         file_link(run),
         number(run.gateways as f64),
         run.seed.to_string(),
-        run.runs.as_ref().map_or("not told".into(), |runs| runs.join(", ")),
+        run.runs.as_ref().map_or("not reported".into(), |runs| runs.join(", ")),
         with_verdict("cpu", PERCENT, target.cpu_percent),
         with_verdict("memory_mb", 1.0, target.memory_megabytes),
         control("bytes_in", KILOBYTES_PER_BYTE),
@@ -60,7 +60,7 @@
         known("join"),
         known("change"),
         violations(run),
-        if run.not_played.is_empty() { "none told".into() } else { run.not_played.join("; ") },
+        if run.not_played.is_empty() { "none reported".into() } else { run.not_played.join("; ") },
         machine_load(&run.machine),
     ];
     format!("| {} |\n", cells.join(" | "))
@@ -91,9 +91,9 @@
 
 fn machine_load(machine: &MachineLoad) -> String {
     match machine {
-        MachineLoad { saturated: Some(true), .. } => "saturated: figures are of a crowd too".into(),
+        MachineLoad { saturated: Some(true), .. } => "saturated: contention is part of the values".into(),
         MachineLoad { busy: Some(busy), .. } => format!("{} % busy", number(PERCENT * busy)),
-        _ => "not told".into(),
+        _ => "not reported".into(),
     }
 }
 
@@ -116,10 +116,10 @@
 
 fn config_changes_introduction(target: &Target) -> String {
     format!(
-        "## Changes of configuration, before and after\n\n{} a day, in force at all within {} s. Before: \
-         nothing carries a change; `serve` reads its charter at start; what such fleets spend is \
-         membership's and budgets'.\n\nWithout a mechanism it stands first on the list below, at one \
-         gateway: {}.\n\n",
+        "## Configuration changes, before and after\n\nTarget: {} per day, each in force at all gateways within \
+         {} s. Before: no mechanism carries a change; `serve` reads its configuration at start, and such fleets \
+         spend on membership and budgets only.\n\nWithout a mechanism this limit is the first one that is \
+         exceeded, at one gateway: {}.\n\n",
         number(target.config_changes_per_day),
         target.config_propagation_seconds,
         number(1.0 / target.gateways),
@@ -131,7 +131,7 @@
     let verdict = match propagation {
         Some(propagation) if propagation.is_within(target.config_propagation_seconds) => "holds".into(),
         Some(_) => MISSES.into(),
-        None if run.ran("changes") && run.is_saturated() => format!("{MISSES}, on a full machine"),
+        None if run.ran("changes") && run.is_saturated() => format!("{MISSES}, on a saturated machine"),
         None if run.ran("changes") => MISSES.into(),
         None => String::new(),
     };
--- a/crates/capacity-model/src/page/shortfall_tables.rs
+++ b/crates/capacity-model/src/page/shortfall_tables.rs
@@ -4,11 +4,11 @@
 use crate::projection::Projection;
 use crate::shortfalls::Shortfall;
 
-const FAILS_HEAD: &str = "## What fails, by the size at which it does\n\nParts of the size asked for, all axes of a \
-                          figure scaled together: where the form passes the bound. The first is what comes \
-                          next.\n\n| | fails at | what | why |\n| --- | --- | --- | --- |\n";
+const FAILS_HEAD: &str = "## Limits that are exceeded, by size\n\nSizes are fractions of the target, with all axes of a quantity \
+                          scaled together: where the fitted form exceeds the limit. The first one is what to work \
+                          on next.\n\n| | exceeded at | requirement | reason |\n| --- | --- | --- | --- |\n";
 
-const HOLDS_HEAD: &str = "\nWhat holds, and up to which part of the size:\n\n| up to | what | figure is |\n\
+const HOLDS_HEAD: &str = "\nLimits that are kept, and up to which fraction of the target:\n\n| up to | quantity | source |\n\
                           | --- | --- | --- |\n";
 
 const NOT_RUN_HEAD: &str = "\nNot known, as it was not run:\n\n";
--- a/crates/capacity-model/src/page/slope_table.rs
+++ b/crates/capacity-model/src/page/slope_table.rs
@@ -4,10 +4,10 @@
 use crate::run::Measurement;
 use crate::slopes::{FittedRun, Slopes};
 
-const HEAD: &str = "## The slopes\n\nEach by its run: sizes with the median (of two the larger) and, in brackets, least \
-                    and most of the repeats; the form with its constant, its slope and the residual as a part of \
-                    the figure.\n\n| run | figure | axis: figures | form; residual | what was the same | how, date, \
-                    cores | command |\n| --- | --- | --- | --- | --- | --- | --- |\n";
+const HEAD: &str = "## Slopes\n\nFor each run: sizes with the median of the repeats (the upper one of an even number) and, in \
+                    brackets, the least and the greatest; the fitted form with constant, slope and relative \
+                    residual.\n\n| run | quantity | axis: values | form; residual | fixed | method, date, cores | \
+                    command |\n| --- | --- | --- | --- | --- | --- | --- |\n";
 
 pub(super) fn section(slopes: &Slopes) -> String {
     HEAD.to_owned() + &slopes.iter().map(row).collect::<String>()
--- a/crates/capacity-model/src/projection.rs
+++ b/crates/capacity-model/src/projection.rs
@@ -32,11 +32,11 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Measured => formatter.write_str("measured at this size"),
-            Self::Fitted(ratio) if *ratio <= 1.0 => {
-                formatter.write_str("by the form, within what was measured")
+            Self::Fitted(ratio) if *ratio <= 1.0 => formatter.write_str("fitted, within the measured sizes"),
+            Self::Fitted(ratio) => {
+                write!(formatter, "EXTRAPOLATED to {ratio:.2} times the largest measured size")
             }
-            Self::Fitted(ratio) => write!(formatter, "EXTRAPOLATED, {ratio:.2} times past what was measured"),
-            Self::Calculated => formatter.write_str("by calculation"),
+            Self::Calculated => formatter.write_str("calculated"),
             Self::NotRun(runs) => write!(formatter, "not run: {}", runs.join(", ")),
         }
     }
@@ -97,7 +97,7 @@
         let is_wide = |range: &ValueRange| range.high - range.low > NEGLIGIBLE_RANGE * range.high;
         let Some(range) = self.range.filter(is_wide) else { return self.source.to_string() };
         let (low, high) = (number(range.low), number(range.high));
-        format!("{}; {low} to {high} by forms that fit nearly as well", self.source)
+        format!("{}; {low} to {high} by other forms that fit nearly as well", self.source)
     }
 
     /// Whether a run that the value needs is missing.
--- a/crates/capacity-model/src/roles/control_machine.rs
+++ b/crates/capacity-model/src/roles/control_machine.rs
@@ -19,11 +19,11 @@
         bytes_per_change(assumptions),
         measured(
             Resource::Messages,
-            "sent and heard, a change a second",
+            "sent and received, one change per second",
             "control-bytes",
             KILOBYTES_PER_SECOND,
         ),
-        measured(Resource::Cpu, "all of it, a change a second", "control-cpu", PERCENT_OF_CORE)
+        measured(Resource::Cpu, "all of its work, one change per second", "control-cpu", PERCENT_OF_CORE)
             .scaled(PERCENT_PER_MILLISECOND),
         measured(Resource::Memory, "of its process, few functions changed", "control-memory", "MB"),
     ]
@@ -34,7 +34,7 @@
     Quantity::calculated(
         Role::ControlMachine,
         Resource::State,
-        "gateways that follow one, three machines to a gateway",
+        "gateways that follow one; each follows three",
         MECHANISM,
         "gateways",
         move |size| MACHINES_PER_GATEWAY * gateways * size / machines,
@@ -47,7 +47,7 @@
     Quantity::calculated(
         Role::ControlMachine,
         Resource::Messages,
-        "a change pushed to all of them",
+        "one change sent to all of them",
         MECHANISM,
         "kB",
         move |size| MACHINES_PER_GATEWAY * gateways * size / machines * bytes / 1e3,
--- a/crates/capacity-model/src/roles/endpoint_list.rs
+++ b/crates/capacity-model/src/roles/endpoint_list.rs
@@ -18,19 +18,19 @@
             .with_formula(move |size, values| values[0] * updates_per_second * size * gateways * size / 1e3)
     };
     vec![
-        measured(Resource::State, "the whole list", "list-whole", "kB").with_limit(MAX_LIST_KILOBYTES),
-        updates("changes to all gateways, an ordinary day", assumptions.list_updates_per_second()),
+        measured(Resource::State, "the complete list", "list-whole", "kB").with_limit(MAX_LIST_KILOBYTES),
+        updates("updates to all gateways, an ordinary day", assumptions.list_updates_per_second()),
         updates(
-            "changes to all gateways while a zone's workers come back",
+            "updates to all gateways while a zone's workers return",
             assumptions.list_updates_per_second_in_zone_recovery(),
         ),
         measured(
             Resource::Messages,
-            "the whole list to all gateways, when they all ask anew",
+            "the complete list to all gateways, when all reconnect",
             "list-whole",
             "MB",
         )
         .with_formula(move |size, values| values[0] * gateways * size / 1e3),
-        measured(Resource::Cpu, "the whole list is read, once at each gateway", "list-read", "ms"),
+        measured(Resource::Cpu, "the complete list is decoded, once at each gateway", "list-read", "ms"),
     ]
 }
--- a/crates/capacity-model/src/roles/gateway/cpu.rs
+++ b/crates/capacity-model/src/roles/gateway/cpu.rs
@@ -31,22 +31,26 @@
 /// Control in a settled fleet, each mechanism and their sum.
 fn control(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
     let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
-    let membership = from_milliseconds("letters and proof, settled", "peers-cpu", gateways);
+    let membership =
+        from_milliseconds("membership datagrams and quorum proof, settled", "peers-cpu", gateways);
     let opening = datagram_opening(gateways, slopes);
     let proof_checks = proof_checks(gateways);
-    let usage_reports = from_milliseconds("reports of usage", "counts-cpu", gateways);
+    let usage_reports = from_milliseconds("usage reports", "counts-cpu", gateways);
     let worker_budgets = from_milliseconds(
-        "budgets of shots at workers (only where `in_flight` is stated)",
+        "budgets of attempts at workers (only where `in_flight` is set)",
         "budgets-cpu",
         workers,
     );
-    let updates =
-        list_updates("changes of the list, an ordinary day", workers, assumptions.list_updates_per_second());
+    let updates = list_updates(
+        "endpoint list updates, an ordinary day",
+        workers,
+        assumptions.list_updates_per_second(),
+    );
     let config_changes =
-        from_milliseconds("changes of configuration followed, one a second", "changes-cpu", gateways);
+        from_milliseconds("configuration changes followed, one per second", "changes-cpu", gateways);
     let total = Quantity::sum(
-        "CPU for control, in all",
-        "those above without budgets of workers, which few state",
+        "CPU for control, total",
+        "those above without budgets of attempts, which few configurations set",
         &[&membership, &opening, &proof_checks, &usage_reports, &updates, &config_changes],
     );
     let all =
@@ -57,7 +61,7 @@
 /// Authenticating and decoding the datagrams that arrive. Their size does not depend on that of the fleet.
 fn datagram_opening(gateways: f64, slopes: &Slopes) -> Quantity {
     let microseconds = slopes.value_or_zero("letter-open", DATAGRAM_BYTES);
-    percent("letters that come are opened", "letter-open", DATAGRAM_BYTES)
+    percent("membership datagrams received: authenticated and decoded", "letter-open", DATAGRAM_BYTES)
         .with_inputs(vec![
             RunInput::new("peers-letters", gateways),
             RunInput::new("letter-open", DATAGRAM_BYTES),
@@ -68,7 +72,7 @@
 /// Checks of the quorum proof after each datagram and each 50 ms, beyond those of the measured fleet.
 fn proof_checks(gateways: f64) -> Quantity {
     percent(
-        "proof looked at after each letter and each 50 ms, beyond what was measured",
+        "quorum proof checked after each datagram and each 50 ms, beyond what was measured",
         "peers-proof",
         gateways,
     )
@@ -95,8 +99,8 @@
             .with_limit(limit)
     };
     vec![
-        of_run("decisions on its calls, popularity 1.6", "call-workers"),
-        of_run("decisions on its calls, popularity 1.1", "call-workers-flat"),
+        of_run("routing decisions on its calls, Zipf exponent 1.6", "call-workers"),
+        of_run("routing decisions on its calls, Zipf exponent 1.1", "call-workers-flat"),
     ]
 }
 
@@ -104,12 +108,12 @@
 fn storms(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.value(Parameter::StormCpuPercent);
     let starting = from_milliseconds(
-        "letters and proof, first 10 s after all began",
+        "membership datagrams and quorum proof, first 10 s after all gateways started",
         "peers-cpu-starting",
         assumptions.target.gateways,
     );
     let zone_recovery = list_updates(
-        "changes of the list while a zone's workers come back within a minute",
+        "endpoint list updates while a zone's workers return within a minute",
         assumptions.workers(),
         assumptions.list_updates_per_second_in_zone_recovery(),
     );
--- a/crates/capacity-model/src/roles/gateway/latency.rs
+++ b/crates/capacity-model/src/roles/gateway/latency.rs
@@ -27,7 +27,7 @@
 
 fn config_propagation(assumptions: &Assumptions) -> Quantity {
     let target = &assumptions.target;
-    seconds("until a change is in force at the last gateway", "changes-known", target.gateways)
+    seconds("until a configuration change is in force at the last gateway", "changes-known", target.gateways)
         .with_limit(target.config_propagation_seconds)
 }
 
@@ -37,12 +37,12 @@
     let stall =
         |description: &str, run| milliseconds(description, run, assumptions.workers()).with_limit(limit);
     vec![
-        stall("one worker joins: nothing else is decided for", "list-join"),
+        stall("one worker joins: the core is blocked for", "list-join"),
         stall(
-            "one worker joins, its budgets: nothing else is decided for (only where `in_flight` is stated)",
+            "one worker joins, its budgets: the core is blocked for (only where `in_flight` is set)",
             "budgets-join",
         ),
-        stall("a whole list is read on a core that carries calls", "list-read"),
+        stall("a complete endpoint list is decoded on a core that forwards calls", "list-read"),
     ]
 }
 
@@ -52,7 +52,7 @@
     let gateways = assumptions.target.gateways;
     let checks_per_second = slopes.value_or_zero("peers-letters", gateways) + IDLE_PROOF_CHECKS_PER_SECOND;
     milliseconds(
-        "a look at what is proven, no two words alike: as at a start, at worst",
+        "one check of the quorum proof where all assertions differ: the worst case of a start",
         "proof-starting",
         gateways,
     )
@@ -63,9 +63,9 @@
 fn ages(assumptions: &Assumptions) -> Vec<Quantity> {
     let gateways = assumptions.target.gateways;
     vec![
-        seconds("age of a word, p99, where the lease is the proof", "peers-age", gateways)
+        seconds("age of an assertion, p99, against the lease", "peers-age", gateways)
             .with_limit(assumptions.value(Parameter::LeaseSeconds)),
-        seconds("reports of usage come every", "counts-period", gateways)
+        seconds("usage reports arrive every", "counts-period", gateways)
             .with_limit(assumptions.value(Parameter::UsageAgeSeconds)),
     ]
 }
--- a/crates/capacity-model/src/roles/gateway/memory.rs
+++ b/crates/capacity-model/src/roles/gateway/memory.rs
@@ -7,13 +7,13 @@
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.target.memory_megabytes;
     let workers = assumptions.workers();
-    let members =
-        megabytes("view of all gateways", RunInput::new("peers-memory", assumptions.target.gateways));
+    let members = megabytes("membership view", RunInput::new("peers-memory", assumptions.target.gateways));
     let workers_known =
-        megabytes("list, ring and figures of the fleet", RunInput::new("list-memory", workers));
-    let functions_known = megabytes("functions known, each with its walk", known_functions(assumptions));
+        megabytes("worker table, hash ring and state of the workers", RunInput::new("list-memory", workers));
+    let functions_known =
+        megabytes("functions known, each with its ring order", known_functions(assumptions));
     let total = Quantity::sum(
-        "memory for control, in all",
+        "memory for control, total",
         "the three above",
         &[&members, &workers_known, &functions_known],
     );
@@ -24,8 +24,8 @@
         workers_known,
         functions_known,
         total.with_limit(limit),
-        dispatcher("desk as measured, popularity 1.6", "memory-workers"),
-        dispatcher("desk as measured, popularity 1.1", "memory-workers-flat"),
+        dispatcher("dispatcher as measured, Zipf exponent 1.6", "memory-workers"),
+        dispatcher("dispatcher as measured, Zipf exponent 1.1", "memory-workers-flat"),
     ]
 }
 
--- a/crates/capacity-model/src/roles/gateway/messages.rs
+++ b/crates/capacity-model/src/roles/gateway/messages.rs
@@ -11,27 +11,33 @@
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.target.kilobytes_per_second;
     let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
-    let membership =
-        kilobytes("letters, settled, sent and heard", "peers-bytes", gateways).scaled(SENT_AND_RECEIVED);
+    let membership = kilobytes("membership datagrams, settled, sent and received", "peers-bytes", gateways)
+        .scaled(SENT_AND_RECEIVED);
     let usage_reports =
-        kilobytes("reports of usage, sent and heard", "counts-bytes", gateways).scaled(SENT_AND_RECEIVED);
-    let updates =
-        list_updates("changes of the list, an ordinary day", workers, assumptions.list_updates_per_second());
+        kilobytes("usage reports, sent and received", "counts-bytes", gateways).scaled(SENT_AND_RECEIVED);
+    let updates = list_updates(
+        "endpoint list updates, an ordinary day",
+        workers,
+        assumptions.list_updates_per_second(),
+    );
     let config_changes = kilobytes(
-        "changes of configuration followed, one a second, sent and heard",
+        "configuration changes followed, one per second, sent and received",
         "changes-bytes",
         gateways,
     );
     let total = Quantity::sum(
-        "messages for control, in all",
+        "messages for control, total",
         "the four above",
         &[&membership, &usage_reports, &updates, &config_changes],
     );
-    let starting =
-        kilobytes("letters, first 10 s after all began, sent and heard", "peers-bytes-starting", gateways)
-            .scaled(SENT_AND_RECEIVED);
+    let starting = kilobytes(
+        "membership datagrams, first 10 s after all gateways started, sent and received",
+        "peers-bytes-starting",
+        gateways,
+    )
+    .scaled(SENT_AND_RECEIVED);
     let zone_recovery = list_updates(
-        "changes of the list while a zone's workers come back",
+        "endpoint list updates while a zone's workers return",
         workers,
         assumptions.list_updates_per_second_in_zone_recovery(),
     );
--- a/crates/capacity-model/src/roles/gateway/usage_reports.rs
+++ b/crates/capacity-model/src/roles/gateway/usage_reports.rs
@@ -43,9 +43,9 @@
     Quantity::calculated(
         Role::Gateway,
         Resource::State,
-        "lanes busy in the whole fleet below which a function is not reported",
-        "0.02 lanes at a gateway (`shares::counts`)",
-        "lanes",
+        "concurrency in the fleet below which a function is not reported",
+        "0.02 calls at a gateway (`shared_budgets::usage_counts`)",
+        "calls",
         move |size| MIN_REPORTED_CONCURRENCY * gateways * size,
     )
     .with_limit(assumptions.value(Parameter::ConcurrentCallsPerInstance))
@@ -67,7 +67,8 @@
     const RUN: &str = "counts-functions";
     let needed = functions_on_several_instances(assumptions)(1.0);
     let received = slopes.get(RUN).map_or(f64::NAN, |fitted| fitted.run.interpolate(needed));
-    let description = format!("functions heard of, of {needed} that keep more than one instance busy");
+    let description =
+        format!("functions whose usage is received, of {needed} that keep more than one instance busy");
     measured(Resource::State, description, RUN, needed, "functions").with_formula(move |_, _| received)
 }
 
@@ -83,9 +84,9 @@
     Quantity::calculated(
         Role::Gateway,
         Resource::Messages,
-        "answers of a gateway that adds up one bucket",
-        "reports of usage to one gateway a bucket, within the bound on its notes (`shares::counts`, \
-         `Shares::send`); see counts-functions for what comes of it",
+        "answers of a gateway that sums one bucket",
+        "usage reports to one gateway per bucket, within the limit on its messages \
+         (`shared_budgets::usage_counts`, `shared_budgets::outbox`); see counts-functions for the effect",
         KILOBYTES_PER_SECOND,
         kilobytes_per_second,
     )
--- a/crates/capacity-model/src/roles/store.rs
+++ b/crates/capacity-model/src/roles/store.rs
@@ -7,7 +7,7 @@
     vec![Quantity::from_run(
         Role::Store,
         Resource::Messages,
-        "fetches, as the laboratory's small fleets have them",
+        "fetches, as in the simulator's small fleets",
         RunInput::new("store-loads-fleet", assumptions.target.calls_per_second),
         "a second",
     )]
--- a/crates/capacity-model/src/roles/worker.rs
+++ b/crates/capacity-model/src/roles/worker.rs
@@ -17,8 +17,8 @@
     vec![
         average_connections(assumptions),
         connections_of_popular_worker(assumptions),
-        per_call("probes", "probes-workers"),
-        per_call("orders to load", "orders-workers"),
+        per_call("health checks", "probes-workers"),
+        per_call("load requests", "orders-workers"),
     ]
 }
 
@@ -34,7 +34,7 @@
         Role::Worker,
         Resource::State,
         "connections, calls spread evenly",
-        "kept for 30 s (`gateway::pool`)",
+        "kept for 30 s (`gateway::connection_pool`)",
         "connections",
         open,
     )
@@ -48,7 +48,7 @@
         Role::Worker,
         Resource::State,
         "connections at a worker that all gateways use",
-        "one for each gateway at the least (`gateway::pool`)",
+        "at least one per gateway (`gateway::connection_pool`)",
         "connections",
         move |size| gateways * size,
     )
--- a/crates/capacity-model/src/shortfalls.rs
+++ b/crates/capacity-model/src/shortfalls.rs
@@ -31,7 +31,7 @@
     /// A projection that exceeds its limit.
     fn projected(projection: &Projection) -> Self {
         let reason = format!(
-            "{}: {} {} where it may be {}; {}",
+            "{}: {} {}, limit {}; {}",
             projection.mechanism,
             number(projection.value),
             projection.unit,
@@ -77,15 +77,15 @@
     let late = shown.iter().filter(|(_, propagation)| !propagation.is_within(bound));
     let (reason, breaking_point) = match late.min_by(|a, b| a.0.total_cmp(&b.0)) {
         _ if shown.is_empty() => {
-            ("there is no mechanism: `serve` reads its charter at start only".into(), 1.0 / gateways)
+            ("there is no mechanism: `serve` reads its configuration at start only".into(), 1.0 / gateways)
         }
         Some((size, propagation)) => (late_propagation(*size, propagation), size / gateways),
         None if largest < gateways => {
-            (format!("not shown among more than {largest} gateways in a scale run"), largest / gateways)
+            (format!("not shown among more than {largest} gateways in a scale test"), largest / gateways)
         }
         None => return None,
     };
-    let description = format!("a change of configuration gets into every running gateway within {bound} s");
+    let description = format!("a configuration change is in force at every gateway within {bound} s");
     Some(Shortfall::observed(description, reason, breaking_point.min(1.0)))
 }
 
@@ -93,7 +93,9 @@
     let worst = propagation.worst.or(propagation.p99);
     let worst = worst.map_or("no time was measured".into(), |seconds| format!("{seconds} s"));
     let never = propagation.never.unwrap_or(0);
-    format!("among {gateways} gateways in a scale run, at worst: {worst}; never learnt: {never}")
+    format!(
+        "among {gateways} gateways in a scale test, worst case: {worst}; gateways that never learned of it: {never}"
+    )
 }
 
 /// The smallest fleet of real threads and sockets in which half of the gateways spent more CPU on control than is
@@ -103,16 +105,16 @@
     let median_percent = |run: &ScaleRun| run.control.get("cpu")?.p50.map(|cpu| 100.0 * cpu);
     let exceeds = |run: &&ScaleRun| median_percent(run).is_some_and(|cpu| cpu > target.cpu_percent);
     let smallest = scale_runs.iter().filter(exceeds).min_by_key(|run| run.gateways)?;
-    let saturated = if smallest.is_saturated() { ", on a machine that was full" } else { "" };
+    let saturated = if smallest.is_saturated() { ", on a saturated machine" } else { "" };
     let reason = format!(
-        "{} % (p50) among {} gateways where it may be {} ([{file}](capacity/{file})){saturated}; it is the \
-         least of the runs that miss",
+        "{} % (p50) among {} gateways, limit {} ([{file}](capacity/{file})){saturated}; the smallest fleet that \
+         misses",
         number(median_percent(smallest)?),
         smallest.gateways,
         target.cpu_percent,
         file = smallest.file,
     );
-    let description = "control's part of a core in the scale run, half of the gateways";
+    let description = "CPU for control in the scale test, median of the gateways";
     Some(Shortfall::observed(description, reason, smallest.gateways as f64 / target.gateways))
 }
 
@@ -125,11 +127,11 @@
     let failed = scale_runs.iter().filter_map(|run| Some((run, violation(run)?)));
     let (smallest, violation) = failed.min_by_key(|(run, _)| run.gateways)?;
     let reason = format!(
-        "{violation} ([{file}](capacity/{file})); it is the least of the runs that miss",
+        "{violation} ([{file}](capacity/{file})); the smallest fleet that misses",
         file = smallest.file
     );
     let breaking_point = smallest.gateways as f64 / assumptions.target.gateways;
-    Some(Shortfall::observed("all know who is there, in the scale run", reason, breaking_point))
+    Some(Shortfall::observed("membership converges, in the scale test", reason, breaking_point))
 }
 
 /// Equal regions that are partitioned from each other: none has a quorum as soon as there are two.
@@ -138,11 +140,11 @@
     let lacks_quorum = |regions: &usize| target.gateways / *regions as f64 <= target.gateways / 2.0;
     let regions = (1..=target.regions as usize).find(lacks_quorum)?;
     let reason = format!(
-        "by calculation from `peers::backing`: standing needs words of more than half of all \
-         gateways, so of {regions} equal \
-         regions apart none has it, nor of {}; each gateway then has its floor for as long",
+        "calculated from `membership::quorum`: a quorum needs assertions of more than half of all gateways, so \
+         of {regions} equal regions that are partitioned none has one, nor of {}; each gateway uses its floor \
+         meanwhile",
         target.regions
     );
-    let description = "regions that lose each other keep standing for budgets";
+    let description = "partitioned regions keep a quorum for shared budgets";
     Some(Shortfall::observed(description, reason, regions as f64 / target.regions))
 }
--- a/crates/capacity-model/tests/projection.rs
+++ b/crates/capacity-model/tests/projection.rs
@@ -36,7 +36,7 @@
 fn a_changed_measurement_moves_the_shortfalls() {
     let (assumptions, runs) = committed();
     let before = ranked(&assumptions, runs.clone());
-    let description = "one worker joins: nothing else is decided for";
+    let description = "one worker joins: the core is blocked for";
     let position = |ranked: &[Shortfall]| ranked.iter().position(|s| s.description == description);
     // With a thousandth of the time the limit holds; with a thousandfold it is exceeded at a smaller size than before.
     let multiplied = |factor: f64| {
@@ -63,10 +63,8 @@
         ranked.iter().all(|s| s.breaking_point <= 1.0),
         "what fails beyond the target size does not miss it"
     );
-    let change = ranked
-        .iter()
-        .find(|s| s.description.starts_with("a change of configuration"))
-        .expect("it is lacking");
+    let change =
+        ranked.iter().find(|s| s.description.starts_with("a configuration change")).expect("it is lacking");
     assert!((change.breaking_point - 1.0 / 1_100.0).abs() < 1e-9);
 }
 
--- a/crates/capacity-model/tests/scale_runs.rs
+++ b/crates/capacity-model/tests/scale_runs.rs
@@ -36,12 +36,12 @@
     std::fs::write(folder.0.join("scale-before.json"), format!("{before}\n")).unwrap();
     let made = tables(&folder.0).unwrap();
     assert!(made.contains("| 0.4, 2, 5 **MISSES** | not measured | 7, 9, 11 |"), "{made}");
-    assert!(made.contains("| changes: none | saturated: figures are of a crowd too |"), "{made}");
+    assert!(made.contains("| changes: none | saturated: contention is part of the values |"), "{made}");
     assert!(made.contains("| before | never |"));
     let late = if never > 0 { format!("{worst}; never: {never}") } else { worst.to_owned() };
     let row = format!("| after | 0.2, 0.9, {late} | {}", if holds { "holds" } else { "**MISSES**" });
     assert!(made.contains(&row), "{row}");
-    assert_eq!(made.contains("| a change of configuration"), !holds);
+    assert_eq!(made.contains("| a configuration change"), !holds);
     let scale_runs = scale::read_all(&folder.0).unwrap();
     assert!(
         scale_runs.iter().any(|run| run.ran("changes")) && scale_runs.iter().any(|run| !run.ran("changes"))
@@ -80,9 +80,9 @@
     let scale_runs = scale::read_all(&folder.0).unwrap();
     let ranked = rank(&projections(&assumptions, &Slopes::new(runs)), &shortfalls(&assumptions, &scale_runs));
     let find = |text: &str| ranked.iter().find(|s| s.description.contains(text)).unwrap().clone();
-    let cpu = find("control's part of a core in the scale run");
+    let cpu = find("CPU for control in the scale test");
     assert!((cpu.breaking_point - 0.1).abs() < 1e-9 && cpu.reason.contains("1.21 % (p50) among 110"));
-    let convergence = find("all know who is there");
+    let convergence = find("membership converges");
     assert!((convergence.breaking_point - 0.1).abs() < 1e-9);
     assert!(convergence.reason.starts_with("never settled in roll"));
 }
@@ -96,7 +96,7 @@
     let none = line.replace("\"change\"", "\"death\"");
     std::fs::write(folder.0.join("scale-none.json"), none).unwrap();
     let made = tables(&folder.0).unwrap();
-    assert!(made.contains("| after | never | **MISSES**, on a full machine |"), "{made}");
+    assert!(made.contains("| after | never | **MISSES**, on a saturated machine |"), "{made}");
     assert!(!made.contains("| before |"), "{made}");
 }
 
