--- a/crates/capacity-model/benches/slopes/fleet_load.rs
+++ b/crates/capacity-model/benches/slopes/fleet_load.rs
@@ -3,9 +3,13 @@
 /// The fleet and the calls that the dispatcher sees.
 #[derive(Clone, Copy)]
 pub struct FleetLoad {
+    /// Gateways of the fleet.
     pub gateways: usize,
+    /// Workers of the fleet.
     pub workers: usize,
+    /// Distinct functions.
     pub functions: usize,
+    /// Exponent of the Zipf distribution of calls over functions.
     pub zipf_exponent: f64,
     /// Calls per second at this gateway.
     pub calls_per_second: f64,
--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -74,13 +74,21 @@
 /// The description of a slope. All of it but the group's name is stored in the run's file and printed on the page.
 #[derive(Clone, Copy)]
 pub struct Slope {
+    /// Name of the run and of its file.
     pub name: &'static str,
+    /// The mechanism that causes the cost.
     pub mechanism: &'static str,
+    /// The measured quantity.
     pub quantity: &'static str,
+    /// Unit of the quantity.
     pub unit: &'static str,
+    /// What the axis counts.
     pub axis: &'static str,
+    /// How it is measured, and what is included beside the mechanism.
     pub method: &'static str,
+    /// Names and values of the parameters that are equal at all sizes.
     pub fixed: &'static [(&'static str, f64)],
+    /// Name of the group that measures the slope.
     pub group: &'static str,
 }
 
--- a/crates/capacity-model/src/fleet_slopes.rs
+++ b/crates/capacity-model/src/fleet_slopes.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// As the derived run's method says it.
+    /// As the method of the derived run names it.
     fn label(self) -> &'static str {
         match self {
             Self::P99 => "the 99th in 100",
--- a/crates/capacity-model/tests/fit.rs
+++ b/crates/capacity-model/tests/fit.rs
@@ -104,7 +104,7 @@
     let found =
         fit(&run(false, [1.0, 10.0, 100.0, 1_000.0].map(|n| measurement(n, None, 5.0 - n.log10())).to_vec()));
     assert_eq!(found.form, Form::Flat);
-    assert!(found.residual > 0.3, "and its residual says that it does not fit: {found}");
+    assert!(found.residual > 0.3, "the residual shows that it does not fit: {found}");
 }
 
 /// The error of reading a file with this content.
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -81,7 +81,7 @@
 
 /// A numbered worker list, which list updates refer to.
 pub struct WorkerList {
-    /// Number of the list; one that is in use is replaced.
+    /// Number of the list. A new list replaces the one of the same number.
     pub number: u32,
     /// Place of its entries in the tail.
     pub offset: u32,
@@ -98,7 +98,7 @@
     }
 }
 
-/// How a list update relates to the list that the instance holds.
+/// What a list update contains, relative to the worker list of the instance.
 #[derive(Clone, Copy)]
 pub enum ListMode {
     /// Changed entries only.
@@ -113,7 +113,7 @@
 pub struct ListUpdated {
     /// Code of the mode; see [`ListUpdated::mode`].
     mode: u8,
-    /// Number of the list with the entries; void for [`ListMode::Failed`].
+    /// Number of the worker list with the entries; void for [`ListMode::Failed`].
     pub list: u32,
 }
 
@@ -123,7 +123,7 @@
         Self { mode: record.u8(3), list: record.u32(12) }
     }
 
-    /// Whether the update only says that a subscription or a poll failed.
+    /// Whether the update reports a failed subscription or poll, and has no entries.
     pub fn has_failed(&self) -> bool {
         matches!(self.mode(), Ok(ListMode::Failed))
     }
@@ -157,7 +157,7 @@
     pub concurrency: f64,
     /// Memory of one instance of the function, in MB.
     pub memory: f64,
-    /// Usual load time of the function in seconds, if the site tells it.
+    /// Usual load time of the function in seconds, if the site reports it.
     pub load_time: Option<f64>,
 }
 
@@ -263,7 +263,8 @@
 }
 
 fn attempt_completion(record: Record<'_>, report_values: &[String]) -> Result<AttemptCompletion, WireError> {
-    /// The note holds the state of the instance in its low bits, and in those above the function's requests in flight.
+    /// The wire's `Note` holds the state of the instance in its low bits, and above them the requests of the same
+    /// function that the worker had in flight.
     const STATE_BITS: u32 = 3;
     let note = record.u8(16);
     Ok(AttemptCompletion {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Session {
     instances: HashMap<u16, Instance>,
-    /// Encoded entries of worker lists, by the number of the list.
+    /// Encoded entries of worker lists, by list number.
     lists: HashMap<u32, Vec<u8>>,
 }
 
@@ -91,8 +91,8 @@
     }
 }
 
-/// Moves the worker lists and their updates before the other events. All events of a batch happen at one time, so what
-/// the lists say is known before anything is decided by them. Starts and stops stay where they are.
+/// Moves worker lists and their updates before the other events. All events of a batch happen at one time, so every decision
+/// of the batch uses the updated lists. Starts and stops keep their position.
 fn lists_first(events: &mut [Record<'_>]) {
     let is_boundary = |event: &Record<'_>| matches!(code_of(*event), code::START | code::STOP);
     let is_list = |event: &Record<'_>| matches!(code_of(*event), code::LIST_UPDATED | code::WORKER_LIST);
--- a/crates/simulator-adapter/tests/wire_rig/mod.rs
+++ b/crates/simulator-adapter/tests/wire_rig/mod.rs
@@ -127,7 +127,7 @@
     Fields::new(event::STOP, instance).bytes()
 }
 
-/// The list with that number: so many entries from an offset of the tail.
+/// A numbered worker list: so many entries from an offset of the tail.
 pub fn worker_list(number: u32, offset: usize, entries: usize) -> Vec<u8> {
     Fields::of_process(event::WORKER_LIST).u32(number).span(offset, entries).bytes()
 }
@@ -169,7 +169,7 @@
         .expect("the adapter starts")
 }
 
-/// Runs the adapter on the whole input.
+/// Runs the adapter on a complete input.
 pub fn run(input: &[u8]) -> Output {
     let mut child = adapter();
     child.stdin.take().expect("it was piped").write_all(input).expect("the adapter reads");
@@ -192,7 +192,7 @@
         let mut reply = vec![0; REPLY_HEADER_BYTES];
         output.read_exact(&mut reply).expect("a reply");
         reply.resize(number(&reply, 4), 0);
-        output.read_exact(&mut reply[REPLY_HEADER_BYTES..]).expect("a whole reply");
+        output.read_exact(&mut reply[REPLY_HEADER_BYTES..]).expect("a complete reply");
         reply
     }
 
