--- a/crates/milletpath/src/scenario/table.rs
+++ b/crates/milletpath/src/scenario/table.rs
@@ -27,7 +27,7 @@
 fn print_requests(scenario: &Scenario, report: &ScenarioReport) {
     println!(
         "scenario {} with seed {}: {} requests, {} attempts",
-        scenario.name, scenario.seed, report.counts.calls, report.counts.tries
+        scenario.name, scenario.seed, report.counts.calls, report.counts.attempts
     );
     println!(
         "{:<16} {:>8} {:>8} {:>9} {:>6} {:>8} {:>8} {:>10}",
@@ -48,10 +48,10 @@
         "{name:<16} {:>8} {:>8.3} {:>9} {:>6} {:>8} {:>8} {:>10}",
         counts.calls,
         counts.service(),
-        counts.handled,
+        counts.succeeded,
         counts.late,
-        counts.bounced,
-        counts.terminated,
+        counts.rejected,
+        counts.failed,
         counts.unanswered
     );
 }
@@ -76,10 +76,10 @@
 }
 
 /// Prints a bound that members of one fleet must keep together.
-fn print_bound(name: &str, BoundReport { most, bound, broken, places }: &BoundReport) {
-    println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {broken} times");
-    for place in places {
-        println!("  at {:.3} s: {}", place.at, place.what);
+fn print_bound(name: &str, BoundReport { most, bound, violations, first_violations }: &BoundReport) {
+    println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {violations} times");
+    for violation in first_violations {
+        println!("  at {:.3} s: {}", violation.at, violation.what);
     }
 }
 
@@ -87,7 +87,7 @@
 fn print_membership(membership: &MembershipObservations) {
     println!(
         "membership: {:.1} datagrams and {:.0} bytes a second of each gateway",
-        membership.datagrams, membership.bytes
+        membership.datagrams_per_second, membership.bytes_per_second
     );
     println!("  false reports: {} suspects, {} dead", membership.false_suspicions, membership.false_deaths);
     print_times("death", &membership.death);
@@ -96,8 +96,8 @@
 }
 
 /// Prints how soon an event was known, if there was one.
-fn print_times(event: &str, DetectionTimes { p50, p99, learnt, never }: &DetectionTimes) {
+fn print_times(event: &str, DetectionTimes { p50, p99, detected, missed }: &DetectionTimes) {
     if let (Some(p50), Some(p99)) = (p50, p99) {
-        println!("  {event} known after: p50 {p50:.2} s, p99 {p99:.2} s ({learnt} times; {never} not)");
+        println!("  {event} known after: p50 {p50:.2} s, p99 {p99:.2} s ({detected} times; {missed} not)");
     }
 }
