--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -5,6 +5,7 @@
 mod bounds;
 mod broken_bound;
 mod control_cost;
+mod convergence_summaries;
 mod figures;
 mod final_state;
 mod json;
@@ -23,9 +24,6 @@
 pub use play_result::{Convergence, EndpointUpdateCost, FailureDetection, NotPlayed, PlayResult};
 
 use crate::budgets::WorstTotal;
-use crate::change_propagation::ChangeOutcomes;
-use crate::distribution::{ConvergenceSamples, ConvergenceSummary};
-use crate::membership_tracker::ConvergenceTimes;
 use crate::plan::{ActionKind, Component, Plan};
 use std::collections::BTreeMap;
 
@@ -75,13 +73,6 @@
     pub stop_reason: Option<StopReason>,
 }
 
-/// How long something took to be known everywhere, over all plays.
-struct NamedSummary {
-    /// Its name in reports.
-    name: &'static str,
-    summary: Option<ConvergenceSummary>,
-}
-
 impl Report {
     /// The report of a run that took some seconds; `stop_reason` is why it ended before its plan did, if it did.
     #[must_use]
@@ -115,25 +106,6 @@
     fn control_cost(&self) -> Option<&ControlCost> {
         self.plays.iter().rev().find_map(|play| play.control_cost.as_ref())
     }
-
-    /// How long things took to be known, over all plays.
-    fn convergence_summaries(&self) -> [NamedSummary; 5] {
-        let membership = |samples: fn(&ConvergenceTimes) -> &ConvergenceSamples| {
-            ConvergenceSamples::merged(self.plays.iter().map(|play| samples(&play.membership_times)))
-                .summary()
-        };
-        let outcomes = || self.plays.iter().filter_map(|play| play.changes.as_ref());
-        let changes = |samples: fn(&ChangeOutcomes) -> &ConvergenceSamples| {
-            ConvergenceSamples::merged(outcomes().map(samples)).summary()
-        };
-        [
-            NamedSummary { name: "death", summary: membership(|times| &times.death) },
-            NamedSummary { name: "join", summary: membership(|times| &times.join) },
-            NamedSummary { name: "healing", summary: membership(|times| &times.healing) },
-            NamedSummary { name: "change", summary: changes(|outcomes| &outcomes.propagation_times) },
-            NamedSummary { name: "catch_up", summary: changes(|outcomes| &outcomes.catch_up_times) },
-        ]
-    }
 }
 
 /// The plays that the run did not come to or did not end, and the actions that the plan does not have. Of `begun` plays
--- a/crates/scale-test/src/report/json.rs
+++ b/crates/scale-test/src/report/json.rs
@@ -1,11 +1,12 @@
 //! A report as one JSON object. Its fields are described in `docs/operators/scale-test.md`.
 
 use super::control_cost::ControlCost;
+use super::convergence_summaries::convergence_summaries;
 use super::figures::distributions_json;
 use super::final_state::FinalState;
 use super::machine_usage::MachineUsage;
 use super::play_result::{Convergence, EndpointUpdateCost, FailureDetection, PlayResult};
-use super::{CallCounts, NamedSummary, Report};
+use super::{CallCounts, Report};
 use crate::change_propagation::ChangeOutcomes;
 use crate::machine_load::SATURATION_THRESHOLD;
 use crate::plan::Component;
@@ -35,7 +36,7 @@
         }
         insert(&mut report, "per_change", self.cost_per_change());
         insert(&mut report, "state", self.state.as_ref().map(state_json));
-        insert_measured(&mut report, "known", summaries_json(&self.convergence_summaries()));
+        insert_measured(&mut report, "known", summaries_json(&self.plays));
         if !self.budgets.is_empty() {
             report["budgets"] = json!(self.budgets);
         }
@@ -69,9 +70,10 @@
     }
 }
 
-fn summaries_json(summaries: &[NamedSummary]) -> Map<String, Value> {
-    let known = |named: &NamedSummary| Some((named.name.to_owned(), json!(named.summary?)));
-    summaries.iter().filter_map(known).collect()
+/// How long things took to be known in some plays, by name.
+fn summaries_json(plays: &[PlayResult]) -> Map<String, Value> {
+    let summaries = convergence_summaries(plays).into_iter();
+    summaries.map(|named| (named.name.to_owned(), json!(named.summary))).collect()
 }
 
 fn play_json(result: &PlayResult) -> Value {
@@ -84,7 +86,7 @@
     });
     insert(&mut play, "settled", result.convergence.map(convergence_json));
     insert(&mut play, "gone_known", result.failure_known.map(failure_json));
-    insert_measured(&mut play, "known", summaries_json(&result.convergence_summaries()));
+    insert_measured(&mut play, "known", summaries_json(std::slice::from_ref(result)));
     if let Some(cost) = &result.control_cost {
         play["control"] = Value::Object(distributions_json(&cost.distributions()));
         play["measured"] = measurement_json(cost);
@@ -97,26 +99,6 @@
     play
 }
 
-impl PlayResult {
-    fn convergence_summaries(&self) -> [NamedSummary; 5] {
-        let times = &self.membership_times;
-        let changes = self.changes.as_ref();
-        [
-            NamedSummary { name: "death", summary: times.death.summary() },
-            NamedSummary { name: "join", summary: times.join.summary() },
-            NamedSummary { name: "healing", summary: times.healing.summary() },
-            NamedSummary {
-                name: "change",
-                summary: changes.and_then(|changes| changes.propagation_times.summary()),
-            },
-            NamedSummary {
-                name: "catch_up",
-                summary: changes.and_then(|changes| changes.catch_up_times.summary()),
-            },
-        ]
-    }
-}
-
 fn convergence_json(Convergence { after, waited, agreed, of }: Convergence) -> Value {
     match after {
         Some(after) => json!({"after": after, "believed_by_all": agreed, "of": of}),
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -1,10 +1,11 @@
 //! A report as a table for people.
 
 use super::control_cost::ControlCost;
+use super::convergence_summaries::{NamedSummary, convergence_summaries};
 use super::figures::{NamedDistribution, short};
 use super::machine_usage::MachineUsage;
 use super::play_result::{Convergence, FailureDetection, PlayResult};
-use super::{CallCounts, FinalState, NamedSummary, Report};
+use super::{CallCounts, FinalState, Report};
 use crate::budgets::WorstTotal;
 use crate::change_propagation::ChangeOutcomes;
 use crate::distribution::ConvergenceSummary;
@@ -22,7 +23,7 @@
         }
         writeln!(f, "plays")?;
         self.plays.iter().try_for_each(|play| write_play(f, play))?;
-        self.convergence_summaries().iter().try_for_each(|named| write_summary(f, named))?;
+        convergence_summaries(&self.plays).iter().try_for_each(|named| write_summary(f, named))?;
         if let Some(state) = &self.state {
             write_state(f, state)?;
         }
@@ -108,7 +109,7 @@
 }
 
 fn write_summary(f: &mut Formatter<'_>, named: &NamedSummary) -> fmt::Result {
-    let Some(ConvergenceSummary { distribution, converged, never }) = named.summary else { return Ok(()) };
+    let ConvergenceSummary { distribution, converged, never } = named.summary;
     write!(f, "{} known: ", named.name)?;
     if let Some(seconds) = distribution {
         write!(f, "p50 {:.2} s, p99 {:.2} s, worst {:.2} s; ", seconds.p50, seconds.p99, seconds.worst)?;
