--- a/crates/capacity-model/benches/slopes/membership.rs
+++ b/crates/capacity-model/benches/slopes/membership.rs
@@ -1,12 +1,10 @@
 //! Membership of a whole fleet in simulated time: settled, and in the first seconds after all gateways started.
 
-#[path = "../../../membership/tests/simulated_network/mod.rs"]
-mod simulated_network;
 
 use crate::measure::{BYTES_PER_KILOBYTE, MILLISECONDS, Options, Slope, cpu_seconds, measurement};
 use crate::membership_proof::{CONFIG, proof_times};
 use milletpath_capacity_model::run::Measurement;
-use simulated_network::SimulatedNetwork;
+use milletpath_test_support::simulated_network::SimulatedNetwork;
 
 const GATEWAYS: [usize; 7] = [24, 50, 100, 150, 200, 300, 400];
 
