--- a/crates/milletpath/tests/changes/authors.rs
+++ b/crates/milletpath/tests/changes/authors.rs
@@ -34,7 +34,7 @@
 #[test_case("client \"c\" { quota = 5 }\n", ":1:1: ", "can't set client"; "a quota")]
 fn a_change_that_the_author_s_configuration_rejects(text: &str, place: &str, remedy: &str) {
     let mut installation = Installation::new(1, 0);
-    installation.start_control(0, &["--found"]);
+    installation.start_control(0, &["--initialize"]);
     let output = installation.change(text, &[]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     assert!(stderr(&output).contains(place) && stderr(&output).contains(remedy), "{output:?}");
@@ -45,7 +45,7 @@
 #[test]
 fn a_change_that_the_control_machines_configuration_rejects() {
     let mut installation = Installation::new(3, 0);
-    (0..3).for_each(|n| installation.start_control(n, &["--found"]));
+    (0..3).for_each(|n| installation.start_control(n, &["--initialize"]));
     let control = installation.control_addresses();
     let profile = "profile \"late\" {\n  due = 9\n  effect = \"pure\"\n}\n";
     installation.configure_author(ConfigDifference::default(), &control, profile);
@@ -72,12 +72,12 @@
         installation.control_command(n, arguments).output().unwrap()
     };
     assert_failed(&run(&installation, 1, &[]), 2, "write --number 0 to 0");
-    installation.start_control(0, &["--found"]);
+    installation.start_control(0, &["--initialize"]);
     assert_failed(&run(&installation, 0, &[]), 1, "can't be listened on");
     installation.start_gateway(0);
     installation.change_applied(ORDER, &[]);
     installation.kill_control(0);
-    assert_failed(&run(&installation, 0, &["--found"]), 2, "holds a log already");
+    assert_failed(&run(&installation, 0, &["--initialize"]), 2, "holds a log already");
     std::fs::remove_file(installation.file("changes.key")).unwrap();
     assert_failed(&run(&installation, 0, &[]), 2, "key of changes");
 }
@@ -85,7 +85,7 @@
 #[test]
 fn wrong_use_of_change() {
     let mut installation = Installation::new(1, 1);
-    installation.start_control(0, &["--found"]);
+    installation.start_control(0, &["--initialize"]);
     installation.start_gateway(0);
     installation.change_applied(ORDER, &[]);
     installation.kill_control(0);
@@ -97,7 +97,7 @@
 #[test]
 fn wrong_use_of_changes() {
     let mut installation = Installation::new(1, 1);
-    installation.start_control(0, &["--found"]);
+    installation.start_control(0, &["--initialize"]);
     installation.start_gateway(0);
     let configuration = std::fs::read_to_string(installation.file("gateway-0.hcl")).unwrap();
     let listen = configuration.lines().rfind(|line| line.contains("listen")).unwrap();
--- a/crates/milletpath/tests/changes/storage.rs
+++ b/crates/milletpath/tests/changes/storage.rs
@@ -6,8 +6,8 @@
 /// Three control machines, of which number 1 has such a limit, and a gateway.
 fn with_limit(limit: FileLimit) -> Installation {
     let mut installation = Installation::new(3, 1);
-    [0, 2].into_iter().for_each(|n| installation.start_control(n, &["--found"]));
-    installation.start_limited_control(1, limit, &["--found"]);
+    [0, 2].into_iter().for_each(|n| installation.start_control(n, &["--initialize"]));
+    installation.start_limited_control(1, limit, &["--initialize"]);
     installation.start_gateway(0);
     installation.wait_until("the gateway is current", |i| i.count_gateways(|g| g["state"] == "current") == 1);
     installation
@@ -74,7 +74,7 @@
 #[test]
 fn a_gateway_that_can_not_store_its_state_serves_on() {
     let mut installation = Installation::new(1, 1);
-    installation.start_control(0, &["--found"]);
+    installation.start_control(0, &["--initialize"]);
     propose_changes(&installation, 1);
     installation.start_limited_gateway(0, FileLimit(1));
     installation
--- a/crates/milletpath/tests/command_line.rs
+++ b/crates/milletpath/tests/command_line.rs
@@ -1,16 +1,15 @@
 //! The command line as users hold it: which sub-commands and flags are accepted, and which exit code each use has. The
 //! fixtures `*-as-landed.txt` were written by the program before its sub-commands were split into modules.
 
-mod json_fields;
-
-use json_fields::field_paths;
+use milletpath_test_support::json_fields::field_paths;
+use milletpath_test_support::program::{program, repository_file};
 use serde_json::Value;
 use std::path::PathBuf;
-use std::process::{Command, Output, Stdio};
+use std::process::{Output, Stdio};
 use test_case::test_case;
 
 fn fixtures() -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/command_line")
+    repository_file("crates/milletpath/tests/fixtures/command_line")
 }
 
 fn fixture(name: &str) -> String {
@@ -19,7 +18,7 @@
 
 /// Runs the program in the folder of the fixtures, without standard input and without the platform's variables.
 fn run(arguments: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_milletpath"));
+    let mut command = program();
     command.args(arguments).current_dir(fixtures()).stdin(Stdio::null());
     command.env_remove("LB_CONFIG").env_remove("LB_LISTEN").env_remove("LB_NAME");
     command.output().expect("the program runs")
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/membership.rs
@@ -227,14 +227,14 @@
 
 /// Scripts of operators read the JSON: the fixture is the output of an earlier program.
 #[test]
-fn peers_json_keeps_its_fields() {
+fn members_json_keeps_its_fields() {
     let fixture = include_str!("fixtures/status/peers.json");
     let status: milletpath_gateway::MembershipStatus =
         serde_json::from_str(fixture).expect("the fixture is read");
     assert_eq!(serde_json::to_string(&status).unwrap(), fixture);
     let fixture = serde_json::from_str(fixture).unwrap();
     let fleet = Fleet::converged(2);
-    let output = fleet.peers_json(0).expect("the gateway answers");
+    let output = fleet.members_json(0).expect("the gateway answers");
     // A fleet of these tests shares no budget.
     let paths = field_paths(&fixture).into_iter().filter(|path| !path.starts_with(".budgets[]")).collect();
     assert_eq!(field_paths(&output), paths);
--- a/crates/milletpath/tests/program.rs
+++ b/crates/milletpath/tests/program.rs
@@ -22,8 +22,12 @@
 #[test_case("days/lists-day.hcl", 2300, None; "endpoint lists late, lost, stalled and emptied")]
 #[test_case("days/cut-day.hcl", 1300, None; "six gateways with membership, over links that fail")]
 fn a_scenario_keeps_the_rules(scenario: &str, min_calls: u64, earlier_report: Option<&str>) {
-    let output =
-        program().arg("day").arg(repository_file(scenario)).args(["--json", "--lag", "2"]).output().unwrap();
+    let output = program()
+        .arg("scenario")
+        .arg(repository_file(scenario))
+        .args(["--json", "--lag", "2"])
+        .output()
+        .unwrap();
     let text = String::from_utf8_lossy(&output.stdout);
     let report: serde_json::Value = serde_json::from_str(&text).unwrap_or_else(|e| panic!("{e}: {output:?}"));
     assert_eq!(report["broken"], serde_json::json!([]), "{report:#}");
@@ -44,7 +48,7 @@
 fn an_injected_fault_in_the_budgets_is_detected() {
     let scenario = repository_file("days/cut-day.hcl");
     let mut command = program();
-    command.arg("day").arg(scenario).args(["--json", "--lag", "0.5", "--plant", "likely-count"]);
+    command.arg("scenario").arg(scenario).args(["--json", "--lag", "0.5", "--inject-fault", "likely-count"]);
     let output = command.output().unwrap();
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert!(report["bounds"]["orders"]["broken"].as_u64().unwrap() > 0, "{report:#}");
@@ -95,8 +99,8 @@
     assert!(message.contains(":2:1: profile \"p\" has no effect"), "{message}");
 }
 
-#[test_case(&["serve", "--charter", "/nowhere/charter.hcl"]; "no such configuration file")]
-#[test_case(&["day", "/nowhere/day.hcl"]; "no such scenario")]
+#[test_case(&["serve", "--config", "/nowhere/config.hcl"]; "no such configuration file")]
+#[test_case(&["scenario", "/nowhere/scenario.hcl"]; "no such scenario")]
 #[test_case(&["fly"]; "no such command")]
 fn wrong_use_exits_with_2(args: &[&str]) {
     assert_eq!(run(args).status.code(), Some(2));
--- a/crates/milletpath/tests/scale.rs
+++ b/crates/milletpath/tests/scale_test.rs
@@ -1,4 +1,4 @@
-//! `milletpath scale` as its users run it: its report, its exit codes, and that no process of it is left. How fast anything
+//! `milletpath scale-test` as its users run it: its report, its exit codes, and that no process of it is left. How fast anything
 //! is depends on the machine, so no assertion here does.
 
 use milletpath_test_support::json_fields::field_paths;
@@ -38,10 +38,10 @@
 control { runs = ["membership", "budgets", "list"] }
 "#;
 
-/// `milletpath scale`, not started.
+/// `milletpath scale-test`, not started.
 fn scale(plan: &Path) -> Command {
     let mut command = program();
-    command.arg("scale").arg(plan).arg("--json");
+    command.arg("scale-test").arg(plan).arg("--json");
     command
 }
 
--- a/crates/milletpath/tests/serve_http_heads.rs
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -1,7 +1,7 @@
 //! The HTTP heads that `milletpath serve` writes to a worker, and the responses that it writes to a client, byte for byte.
 //!
-//! The fixture was written by the release before 2026-12-02's renames, by this test with `MILLETPATH_PROGRAM` naming that
-//! release. Values that differ from run to run are masked by the name of their field.
+//! The fixture was written by the release of 2026-12-02: this test was run on it, while the rig still used its flags.
+//! Values that differ from run to run are masked by the name of their field.
 
 use milletpath_test_support::program::scratch_path;
 use milletpath_test_support::serve_rig::{
--- a/crates/test-support/src/control_rig/installation.rs
+++ b/crates/test-support/src/control_rig/installation.rs
@@ -77,7 +77,7 @@
             std::fs::write(folder.join(format!("{name}.hcl")), text).expect("a writable file");
         }
         let mut command = program();
-        command.arg("workers").arg("--charter").arg(folder.join("author.hcl"));
+        command.arg("workers").arg("--config").arg(folder.join("author.hcl"));
         let worker = start(command, &folder.join("worker.log"), "worker w on").process;
         Self {
             folder,
@@ -91,7 +91,7 @@
     /// One in which all run, and the control machines receive from all gateways.
     pub fn running(control_machines: usize, gateways: usize) -> Self {
         let mut installation = Self::new(control_machines, gateways);
-        (0..control_machines).for_each(|n| installation.start_control(n, &["--found"]));
+        (0..control_machines).for_each(|n| installation.start_control(n, &["--initialize"]));
         (0..gateways).for_each(|n| installation.start_gateway(n));
         installation.wait_until("all gateways are current", |installation| {
             installation.count_gateways(|gateway| gateway["state"] == "current") == gateways
@@ -144,7 +144,7 @@
     /// `milletpath control`, not started.
     pub fn control_command(&self, n: usize, arguments: &[&str]) -> Command {
         let mut command = program();
-        command.arg("control").arg("--charter").arg(self.file("control.hcl"));
+        command.arg("control").arg("--config").arg(self.file("control.hcl"));
         command.arg("--number").arg(n.to_string()).args(arguments);
         command
     }
@@ -183,7 +183,7 @@
 
     fn gateway_command(&self, n: usize) -> Command {
         let mut command = program();
-        command.arg("serve").arg("--charter").arg(self.file(&format!("gateway-{n}.hcl")));
+        command.arg("serve").arg("--config").arg(self.file(&format!("gateway-{n}.hcl")));
         command
     }
 
@@ -219,7 +219,7 @@
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let name = format!("change-{}.hcl", COUNT.fetch_add(1, Ordering::Relaxed));
         let mut command = program();
-        command.arg("change").arg("--charter").arg(self.file("author.hcl")).args(arguments);
+        command.arg("change").arg("--config").arg(self.file("author.hcl")).args(arguments);
         if !text.is_empty() {
             std::fs::write(self.file(&name), text).expect("a writable file");
             command.arg(self.file(&name));
@@ -244,7 +244,7 @@
     /// Runs `milletpath changes` with that configuration file.
     pub fn changes(&self, configuration: &str, arguments: &[&str]) -> Output {
         let mut command = program();
-        command.arg("changes").arg("--charter").arg(self.file(configuration)).args(arguments);
+        command.arg("changes").arg("--config").arg(self.file(configuration)).args(arguments);
         command.output().expect("the program runs")
     }
 
--- a/crates/test-support/src/fleet_rig.rs
+++ b/crates/test-support/src/fleet_rig.rs
@@ -1,5 +1,5 @@
 //! Gateways with membership as processes, over links which a test can break. No calls: what a gateway knows is read
-//! as an operator would, by `milletpath peers`.
+//! as an operator would, by `milletpath members`.
 
 use crate::process::Process;
 use crate::program::{program, scratch_path};
@@ -82,7 +82,7 @@
         self.write_configuration(n, (Ipv4Addr::LOCALHOST, 0).into());
         let log = OpenOptions::new().create(true).append(true).open(self.log_file(n)).expect("a log");
         let mut command = program();
-        command.arg("serve").arg("--charter").arg(self.configuration_file(n));
+        command.arg("serve").arg("--config").arg(self.configuration_file(n));
         let mut child = command.stdout(Stdio::piped()).stderr(log).spawn().expect("the gateway starts");
         let lines = BufReader::new(child.stdout.take().expect("a piped stream")).lines();
         let process = Process::new(child);
@@ -91,7 +91,7 @@
             .take_while(|line| !line.starts_with("listening"))
             .find_map(|line| line.strip_prefix(MEMBERSHIP_ADDRESS)?.parse::<SocketAddr>().ok())
             .expect("it prints where it receives datagrams");
-        // From here on `milletpath peers` finds the gateway by its configuration.
+        // From here on `milletpath members` finds the gateway by its configuration.
         self.write_configuration(n, address);
         self.relay.set_address(n, address);
         self.datagram_addresses[n] = Some(address);
@@ -119,19 +119,19 @@
         log.lines().filter(|line| line.contains(text)).count()
     }
 
-    /// What a gateway knows, by `milletpath peers`; `None` where it does not answer.
+    /// What a gateway knows, by `milletpath members`; `None` where it does not answer.
     pub fn view(&self, n: usize) -> Option<MembershipView> {
-        serde_json::from_slice(&self.peers_output(n)?).ok()
+        serde_json::from_slice(&self.members_output(n)?).ok()
     }
 
     /// The same as it is printed.
-    pub fn peers_json(&self, n: usize) -> Option<serde_json::Value> {
-        serde_json::from_slice(&self.peers_output(n)?).ok()
+    pub fn members_json(&self, n: usize) -> Option<serde_json::Value> {
+        serde_json::from_slice(&self.members_output(n)?).ok()
     }
 
-    fn peers_output(&self, n: usize) -> Option<Vec<u8>> {
+    fn members_output(&self, n: usize) -> Option<Vec<u8>> {
         let mut command = program();
-        command.arg("peers").arg("--charter").arg(self.configuration_file(n)).arg("--json");
+        command.arg("members").arg("--config").arg(self.configuration_file(n)).arg("--json");
         Some(command.output().ok()?.stdout)
     }
 
--- a/crates/test-support/src/serve_rig/gateway.rs
+++ b/crates/test-support/src/serve_rig/gateway.rs
@@ -58,7 +58,7 @@
     pub fn with_options(worker: SocketAddr, options: &GatewayOptions) -> Self {
         let configuration_file = scratch_path("gateway", ".hcl");
         std::fs::write(&configuration_file, configuration(worker, options)).expect("a writable file");
-        let script = format!("ulimit -n {}; exec \"$0\" serve --charter \"$1\"", options.descriptors);
+        let script = format!("ulimit -n {}; exec \"$0\" serve --config \"$1\"", options.descriptors);
         let mut shell = Command::new("sh");
         shell.arg("-c").arg(script).arg(program_path()).arg(&configuration_file);
         let mut child = shell.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().expect("it starts");
