--- a/crates/milletpath/tests/command_line.rs
+++ b/crates/milletpath/tests/command_line.rs
@@ -81,7 +81,7 @@
 #[test]
 fn each_flag_is_still_accepted() {
     let flags = landed_flags();
-    assert_eq!(flags.len(), 38, "the fixture is read whole");
+    assert_eq!(flags.len(), 38, "the fixture is read to its end");
     for LandedFlag { sub_command, flag, value } in &flags {
         let sub_command = Some(sub_command.as_str()).filter(|name| !name.is_empty());
         let arguments = sub_command.into_iter().chain([flag.as_str()]).chain(*value).chain(["--help"]);
--- a/crates/milletpath/tests/platform/killed_processes.rs
+++ b/crates/milletpath/tests/platform/killed_processes.rs
@@ -19,8 +19,8 @@
     wait_for(accept).expect("a connection")
 }
 
-/// A worker accepts a connection and is killed before it reads the call that was written on it. Nobody can tell that
-/// from one that ran the call: what is idempotent goes to the other worker, the rest fails and is never sent again.
+/// A worker accepts a connection and is killed before it reads the call that was written on it. It can't be distinguished
+/// from a worker that ran the call: what is idempotent goes to the other worker, the rest fails and is never sent again.
 #[test_case("\"free\"", true; "idempotent")]
 #[test_case("\"guarded\",\"KeyScope\":\"all\",\"DedupWindow\":2500000", true; "idempotent with a key")]
 #[test_case("\"single_shot\"", false; "not idempotent")]
