--- a/crates/capacity-model/benches/slopes/membership.rs
+++ b/crates/capacity-model/benches/slopes/membership.rs
@@ -1,6 +1,5 @@
 //! Membership of a whole fleet in simulated time: settled, and in the first seconds after all gateways started.
 
-
 use crate::measure::{BYTES_PER_KILOBYTE, MILLISECONDS, Options, Slope, cpu_seconds, measurement};
 use crate::membership_proof::{CONFIG, proof_times};
 use milletpath_capacity_model::run::Measurement;
