--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -5,8 +5,8 @@
 use crate::event::{ClientAttempt, ClientInput, Event, GatewayInput};
 use milletpath_emulator::clients::gateway_weights;
 use milletpath_emulator::traffic::{self, PlannedRequest};
+use milletpath_emulator::weighted_choice::weighted_choice;
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, Idempotency};
-use rand::Rng;
 
 /// One call, and its attempt that is open.
 struct Call {
@@ -90,12 +90,7 @@
 
     /// A gateway at random, by the front layer's weights.
     fn choose_gateway(&self, context: &mut Context) -> usize {
-        let mut left = context.rng.random_range(0.0..self.gateway_weights.iter().sum::<f64>());
-        let found = self.gateway_weights.iter().position(|weight| {
-            left -= weight;
-            left < 0.0
-        });
-        found.unwrap_or(0)
+        weighted_choice(&mut context.rng, self.gateway_weights.iter().copied())
     }
 
     /// Schedules the end of an attempt to which nobody answers: the client cancels it or gives up.
--- a/crates/simulator/src/context.rs
+++ b/crates/simulator/src/context.rs
@@ -7,7 +7,6 @@
 use milletpath_emulator::scenario_file::Scenario;
 use milletpath_history_checker::{HistoryEvent, HistoryRecord};
 use rand::SeedableRng;
-use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
 /// Seconds that a message takes from one process to another: what loopback and a busy machine add.
@@ -52,12 +51,4 @@
     pub fn send(&mut self, event: Event) {
         self.schedule_in(NETWORK_DELAY, event);
     }
-
-    /// Chooses a fraction of `count` things at random, one at least.
-    pub fn choose(&mut self, count: usize, fraction: f64) -> Vec<usize> {
-        let mut numbers: Vec<_> = (0..count).collect();
-        numbers.shuffle(&mut self.rng);
-        numbers.truncate(((count as f64 * fraction).round() as usize).max(1));
-        numbers
-    }
 }
--- a/crates/simulator/src/event.rs
+++ b/crates/simulator/src/event.rs
@@ -1,9 +1,12 @@
 //! What happens at a time, by the module that handles it.
 
 use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
+use milletpath_emulator::scenario::TimedStep;
+use milletpath_emulator::scenario_file::FaultKind;
 use milletpath_history_checker::AttemptOutcome;
 use milletpath_policy::{LoadReport, Outcome};
 use milletpath_protocol::registry::EndpointEntry;
+use std::collections::VecDeque;
 
 /// An attempt of a client: its call, and its number within the call, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,13 +118,9 @@
     },
 }
 
-/// Events of a fault, by its number in the scenario.
 pub(crate) enum FaultEvent {
+    /// The fault of this number in the scenario begins.
     Begins(usize),
-    /// The next step of a fault that takes several.
-    Step {
-        fault: usize,
-        step: usize,
-    },
-    Ends(usize),
+    /// The next step of a fault that has begun is due: the first of those that are left.
+    Continues { kind: FaultKind, steps: VecDeque<TimedStep> },
 }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -5,9 +5,9 @@
 use crate::clocks::Variation;
 use crate::context::Context;
 use crate::endpoint_list::EndpointList;
-use crate::event::{ClientInput, Event, GatewayInput, WorkerInput, WorkerProcess};
+use crate::event::{ClientInput, Event, FaultEvent, GatewayInput, WorkerInput, WorkerProcess};
 use crate::event_queue::ScheduledEvent;
-use crate::faults::Faults;
+use crate::faults;
 use crate::gateways::Gateways;
 use crate::report::SimulationReport;
 use crate::workers::Workers;
@@ -43,7 +43,6 @@
     budget_links: Option<BudgetLinks>,
     workers: Workers,
     endpoints: EndpointList,
-    faults: Faults,
 }
 
 impl Simulation {
@@ -57,10 +56,10 @@
             gateways.start(&mut context, &mut workers, gateway, endpoints.entries());
         }
         let clients = Clients::new(&mut context, seed);
-        let faults = Faults::new(&mut context);
+        faults::schedule_all(&mut context);
         let budget_links = scenario.sharing.then(|| BudgetLinks::new(&mut context, &configs));
         context.schedule(0.0, Event::EndpointsConfirmed);
-        Self { context, clients, gateways, budget_links, workers, endpoints, faults }
+        Self { context, clients, gateways, budget_links, workers, endpoints }
     }
 
     fn run(mut self) -> SimulationReport {
@@ -83,9 +82,7 @@
             Event::Client(input) => self.handle_client_input(input),
             Event::Gateway { gateway, input } => self.handle_gateway_input(gateway, input),
             Event::Worker { process, input } => self.handle_worker_input(process, input),
-            Event::Fault(event) => {
-                self.faults.handle(&mut self.context, &mut self.workers, &mut self.endpoints, &event);
-            }
+            Event::Fault(event) => self.handle_fault_event(event),
             Event::EndpointsChanged(entries) => {
                 self.gateways.endpoints_changed(&mut self.context, &mut self.workers, &entries);
             }
@@ -96,6 +93,16 @@
         }
     }
 
+    fn handle_fault_event(&mut self, event: FaultEvent) {
+        let Self { context, workers, endpoints, .. } = self;
+        match event {
+            FaultEvent::Begins(number) => faults::begin(context, workers, endpoints, number),
+            FaultEvent::Continues { kind, steps } => {
+                faults::carry_out_due(context, workers, endpoints, kind, steps);
+            }
+        }
+    }
+
     fn handle_client_input(&mut self, input: ClientInput) {
         let context = &mut self.context;
         match input {
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -6,22 +6,16 @@
 };
 use crate::worker::{AcceptedAttempt, Worker, instance_state};
 use milletpath_dispatcher::dispatcher::AttemptResult;
+use milletpath_emulator::context::WarmRequests;
 use milletpath_emulator::store::Store;
 use milletpath_emulator::traffic::PlannedRequest;
 use milletpath_emulator::worker_model::{Job, WorkerEvent, WorkerModel};
 use milletpath_history_checker::{HistoryEvent, Idempotency};
 use milletpath_policy::{InstanceState, Outcome};
-use milletpath_protocol::worker::{InstanceState as WireInstanceState, Rejection};
+use milletpath_protocol::worker::Rejection;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs that were completed, and those of them that found an instance loaded.
-#[derive(Default)]
-struct CompletedJobs {
-    all: u64,
-    found_loaded: u64,
-}
-
 pub(crate) struct Workers {
     workers: Vec<Worker>,
     pub store: Store,
@@ -29,7 +23,7 @@
     functions: BTreeMap<String, u32>,
     /// Calls with an idempotency key that were executed: all workers recognise a repetition.
     executed_with_key: BTreeSet<usize>,
-    completed: CompletedJobs,
+    warm_requests: WarmRequests,
 }
 
 impl Workers {
@@ -45,7 +39,7 @@
             store: Store::new(context.scenario.store_spec),
             functions: BTreeMap::new(),
             executed_with_key: BTreeSet::new(),
-            completed: CompletedJobs::default(),
+            warm_requests: WarmRequests::default(),
         }
     }
 
@@ -79,7 +73,7 @@
 
     /// The fraction of the completed jobs that found an instance loaded.
     pub fn warm_fraction(&self) -> f64 {
-        self.completed.found_loaded as f64 / self.completed.all.max(1) as f64
+        self.warm_requests.fraction()
     }
 
     fn is_reachable(&self, process: WorkerProcess) -> bool {
@@ -218,8 +212,7 @@
         match event {
             WorkerEvent::JobStarted { job } => self.job_started(context, worker, job),
             WorkerEvent::JobCompleted { job, instance_state: found, concurrent_requests } => {
-                self.completed.found_loaded += u64::from(found == WireInstanceState::Loaded);
-                self.completed.all += 1;
+                self.warm_requests.record(found);
                 let result = AttemptResult {
                     instance_state: Some(instance_state(found)),
                     concurrent_requests: concurrent_requests.into(),
