--- a/crates/emulator/src/clients/front_layer.rs
+++ b/crates/emulator/src/clients/front_layer.rs
@@ -40,11 +40,11 @@
 pub fn gateway_weights(gateways: usize, busiest: f64) -> Vec<f64> {
     let by_rank = |exponent: f64| (1..=gateways).map(move |rank| (rank as f64).powf(-exponent));
     let busiest_of = |exponent: f64| gateways as f64 / by_rank(exponent).sum::<f64>();
-    let wanted = busiest.clamp(1.0, gateways as f64);
+    let target = busiest.clamp(1.0, gateways as f64);
     let (mut low, mut high) = (0.0, MAX_EXPONENT);
     for _ in 0..SEARCH_STEPS {
         let middle = 0.5 * (low + high);
-        if busiest_of(middle) < wanted { low = middle } else { high = middle }
+        if busiest_of(middle) < target { low = middle } else { high = middle }
     }
     by_rank(0.5 * (low + high)).collect()
 }
--- a/crates/emulator/src/clients/tests.rs
+++ b/crates/emulator/src/clients/tests.rs
@@ -5,8 +5,8 @@
     for (gateways, busiest) in [(12, 1.0), (12, 5.0), (12, 12.0), (2, 1.5), (1, 5.0), (24, 5.0)] {
         let weights = gateway_weights(gateways, busiest);
         let mean = weights.iter().sum::<f64>() / gateways as f64;
-        let wanted = f64::min(busiest, gateways as f64);
-        assert!((weights[0] / mean - wanted).abs() < 1e-6, "{weights:?}");
+        let expected = f64::min(busiest, gateways as f64);
+        assert!((weights[0] / mean - expected).abs() < 1e-6, "{weights:?}");
         assert!(weights.is_sorted_by(|a, b| a >= b));
     }
 }
--- a/crates/emulator/src/scenario/late_joiners.rs
+++ b/crates/emulator/src/scenario/late_joiners.rs
@@ -19,8 +19,8 @@
         present.shuffle(&mut ChaCha8Rng::seed_from_u64(seed ^ SEED_MASK));
         let mut late = BTreeMap::new();
         for fault in scenario.faults.iter().filter(|fault| fault.kind == FaultKind::LateGatewayStart) {
-            let wanted = ((scenario.gateways as f64 * fault.fraction).round() as usize).max(1);
-            let chosen = present.split_off(present.len() - wanted.min(present.len() - 1));
+            let count = ((scenario.gateways as f64 * fault.fraction).round() as usize).max(1);
+            let chosen = present.split_off(present.len() - count.min(present.len() - 1));
             late.insert(fault.name.clone(), chosen);
         }
         Self(late)
