--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -233,6 +233,7 @@
 impl Event {
     /// Decodes an event other than [`Start`], [`ListUpdated`] and a stop. `report_values` are the names of the values in
     /// a load report.
+    #[inline]
     pub fn decode(record: Record<'_>, report_values: &[String]) -> Result<Self, WireError> {
         Ok(match code_of(record) {
             code::REQUEST_ARRIVED => Self::RequestArrived(RequestArrived::decode(record)),
@@ -262,6 +263,7 @@
     }
 }
 
+#[inline]
 fn attempt_completion(record: Record<'_>, report_values: &[String]) -> Result<AttemptCompletion, WireError> {
     /// The wire's `Note` holds the state of the instance in its low bits, and above them the requests of the same
     /// function that the worker had in flight.
