--- a/crates/capacity-model/benches/slopes/simulated_cluster.rs
+++ b/crates/capacity-model/benches/slopes/simulated_cluster.rs
@@ -63,7 +63,7 @@
 
 impl ClusterReport {
     fn new(scenario: &Scenario, report: &SimulationReport) -> Self {
-        let calls = report.whole.calls.max(1) as f64;
+        let calls = report.counts.calls.max(1) as f64;
         Self {
             health_checks_per_call: report.counters.health_checks as f64 / calls,
             load_requests_per_call: report.counters.load_requests as f64 / calls,
@@ -90,8 +90,8 @@
 fn simulate(options: &Options, gateways: usize, calls_per_second: f64) -> Vec<ClusterReport> {
     let simulate_seed = |n| {
         let scenario = scenario(gateways, calls_per_second);
-        let report = play(&scenario, options.seed + n, None);
-        eprintln!("{gateways} gateways, {calls_per_second} calls/s: service {:.3}", report.whole.service());
+        let report = play(&scenario, options.seed + n);
+        eprintln!("{gateways} gateways, {calls_per_second} calls/s: service {:.3}", report.counts.service());
         ClusterReport::new(&scenario, &report)
     };
     (0..SEEDS).map(simulate_seed).collect()
