--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -71,7 +71,7 @@
     /// must be passed to it again.
     ///
     /// Gives the requests that were open.
-    #[must_use = "the client of each open request is owed an answer"]
+    #[must_use = "the client of each open request still waits for a response"]
     pub fn restart(&mut self, config: &GatewayConfig, now: f64) -> Vec<InterruptedRequest<T>> {
         let worker_table = self.state.worker_table.successor(config.policy.seed);
         // Past any number that was given out in the event that broke off.
--- a/crates/dispatcher/src/dispatcher/action.rs
+++ b/crates/dispatcher/src/dispatcher/action.rs
@@ -9,7 +9,7 @@
 pub struct RequestId {
     /// Position in the dispatcher's table; it is used again once the request is over.
     pub index: usize,
-    /// Serial number, which is never used again: it tells a request from a later one at the same position.
+    /// Serial number, which is never used again: it distinguishes a  from a later one at the same position.
     pub serial: u64,
 }
 
@@ -33,14 +33,14 @@
         /// Number of the attempt within its request.
         attempt: usize,
     },
-    /// Tell the client that its request was not executed and may be sent again.
+    /// Respond to the client that its request was not executed and may be sent again.
     Reject {
         /// The request that is rejected.
         request: RequestId,
         /// Seconds after which the client should retry, where they are known.
         retry_after: Option<f64>,
     },
-    /// Tell the client that its request failed; parts of it may have been executed.
+    /// Respond to the client that its request failed; parts of it may have been executed.
     Fail {
         /// The request that failed.
         request: RequestId,
--- a/crates/dispatcher/src/dispatcher/endpoints.rs
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -1,5 +1,5 @@
 //! The endpoint list: which workers there are, by the registry. The caller follows the registry and passes on what it
-//! says; the worker table keeps it, and the router hears of each endpoint.
+//! states; the worker table keeps it, and the router is notified of each endpoint.
 
 use super::Dispatcher;
 use crate::worker_table::{EndpointRevision, WorkerProcess};
--- a/crates/dispatcher/src/dispatcher/messages.rs
+++ b/crates/dispatcher/src/dispatcher/messages.rs
@@ -1,4 +1,4 @@
-//! What the caller tells the dispatcher, and what it is told in return: requests, results of attempts, its fraction of
+//! What the caller passes to the dispatcher, and what it gets in return: requests, results of attempts, its fraction of
 //! shared quotas, and requests that a restart interrupted.
 
 use milletpath_policy::{InstanceState, LoadReport, Outcome};
@@ -36,7 +36,7 @@
 pub struct AttemptResult {
     /// The result itself.
     pub outcome: Outcome,
-    /// Whether the worker had the function loaded, where it said so.
+    /// Whether the worker had the function loaded, where it reported that.
     pub instance_state: Option<InstanceState>,
     /// Other requests that the worker executed at the same time.
     pub concurrent_requests: f64,
@@ -66,11 +66,11 @@
     pub valid_until: f64,
 }
 
-/// A request that was open when the dispatcher was restarted. Its client is owed an answer.
+/// A request that was open when the dispatcher was restarted. Its client still waits for a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InterruptedRequest<T> {
     /// What the caller stored with the request.
     pub context: T,
-    /// Whether parts of it may have been executed, so that the client can't be told to retry safely.
+    /// Whether parts of it may have been executed, so that the client may not retry without harm.
     pub may_have_run: bool,
 }
--- a/crates/dispatcher/src/dispatcher/request_table.rs
+++ b/crates/dispatcher/src/dispatcher/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that the dispatcher has accepted, with their attempts. The table knows which requests are still owed an
+//! The requests that the dispatcher has accepted, with their attempts. The table knows which requests still await an
 //! answer; what the answer is, the rest of the dispatcher decides.
 
 use super::action::RequestId;
@@ -75,12 +75,12 @@
         Self { requests: SlotTable::new(), released: Vec::new(), open: 0 }
     }
 
-    /// Number of requests that are owed an answer.
+    /// Number of requests whose clients wait for a response.
     pub(super) fn open(&self) -> usize {
         self.open
     }
 
-    /// Adds a request that is owed an answer.
+    /// Adds a request whose client waits for a response.
     pub(super) fn insert(&mut self, serial: u64, request: Request<T>) -> RequestId {
         self.open += 1;
         self.requests.insert(serial, request)
@@ -100,7 +100,7 @@
         attempt.filter(|attempt| attempt.stage != AttemptStage::Ended)
     }
 
-    /// Closes a request that is owed an answer, for whoever gives that answer; none if it was closed before.
+    /// Closes a request whose client waits for a response, for whoever gives that answer; none if it was closed before.
     pub(super) fn close(&mut self, id: RequestId) -> Option<&Request<T>> {
         let request = self.requests.get_mut(id).filter(|request| request.awaiting_answer)?;
         request.awaiting_answer = false;
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Number of requests that are owed an answer.
+    /// Number of requests whose clients wait for a response.
     pub fn open_requests(&self) -> usize {
         self.state.requests.open()
     }
@@ -75,7 +75,7 @@
         Some(self.state.functions.name(function))
     }
 
-    /// The client is gone: the request's attempts are cancelled, and no answer is owed any more. Gives whether parts of
+    /// The client is gone: the request's attempts are cancelled, and no response is pending any more. Gives whether parts of
     /// the request may have been executed.
     pub fn client_gone(&mut self, now: f64, request: RequestId) -> bool {
         self.state.now = now;
--- a/crates/dispatcher/src/dispatcher/slot_table.rs
+++ b/crates/dispatcher/src/dispatcher/slot_table.rs
@@ -1,4 +1,4 @@
-//! A table of records at dense indices that are used again. A serial number with each record tells it from others that
+//! A table of records at dense indices that are used again. A serial number with each record distinguishes it from others that
 //! had its index before; request table and load requests keep their records in it.
 
 use super::action::RequestId;
--- a/crates/dispatcher/src/dispatcher/state.rs
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -59,7 +59,7 @@
     pub(super) now: f64,
     /// What the caller is to do. Bounded by the requests and workers, as the caller takes all after each event.
     pub(super) actions: VecDeque<Action>,
-    /// Attempts that the router cancelled during the current event. It is told of their ends after its own decision;
+    /// Attempts that the router cancelled during the current event. It is notified of their ends after its own decision;
     /// empty between events.
     pub(super) cancelled_attempts: VecDeque<CancelledAttempt>,
     pub(super) requests: RequestTable<T>,
--- a/crates/dispatcher/src/load_rate_limit/tests.rs
+++ b/crates/dispatcher/src/load_rate_limit/tests.rs
@@ -15,7 +15,7 @@
     assert!(limit.try_send(20.0) && !limit.try_send(20.0));
 }
 
-/// What was borrowed ends with its time; what was lent is missing from then on.
+/// A lease that is held ends with its term; one that was granted reduces the limit from then on.
 #[test]
 fn adjustment_expires_by_itself() {
     let mut limit = two_in_ten_seconds();
--- a/crates/dispatcher/src/timer_wheel.rs
+++ b/crates/dispatcher/src/timer_wheel.rs
@@ -32,7 +32,7 @@
     list: usize,
     previous: u32,
     next: u32,
-    /// How often the node was used; tells a key of an earlier use from that of the current one.
+    /// How often the node was used; distinguishes a key of an earlier use from that of the current one.
     generation: u32,
 }
 
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -154,7 +154,7 @@
         self.workers.get(worker).and_then(|worker| worker.start.at)
     }
 
-    /// Takes one revision of the list, `complete` or only the entries that changed, and passes on what each entry says.
+    /// Takes one revision of the list, `complete` or only the entries that changed, and passes on what each entry states.
     pub(crate) fn update(
         &mut self,
         now: f64,
@@ -232,7 +232,7 @@
         worker.address = entry.address;
         let stamp = entry.started.filter(|_| another);
         let at = stamp.map_or(now, |stamp| self.start_times.started(now, stamp, before.at));
-        // The router tells processes apart by their start times.
+        // The router distinguishes processes by their start times.
         let at = before.at.map_or(at, |before| at.max(before.next_up()));
         worker.start = Start { stamp: entry.started, at: Some(at) };
     }
@@ -250,7 +250,7 @@
         }
     }
 
-    /// What the router is told of a worker.
+    /// What the router is notified of about a worker.
     fn listing(&mut self, worker: usize, entry: &EndpointEntry) -> EndpointUpdate {
         // Workers without a zone or cell share none: nobody else knows the idempotency keys that they remember.
         let alone = usize::MAX - worker;
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -105,7 +105,7 @@
         for complete in [true, false] {
             assert_eq!(update(&mut table, 30.0, complete, entry("w", stamp)), started);
             assert_eq!(update(&mut table, 31.0, complete, entry("w", stamp.map(|at| at + 0.0005))), started);
-            // An entry without a stamp says nothing of the process.
+            // An entry without a timestamp proves nothing about the process.
             assert_eq!(update(&mut table, 32.0, complete, entry("w", None)), started);
         }
         assert_eq!(table.process(0).process, process);
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -14,7 +14,7 @@
     /// The socket took no byte of it after all.
     NotWritten,
     Answer,
-    /// A second copy of the answer, or that of another attempt.
+    /// A duplicate of the answer, or that of another attempt.
     SecondAnswer,
     ConnectionLost,
     ClientGone,
--- a/crates/dispatcher/tests/dispatcher/random_histories.rs
+++ b/crates/dispatcher/tests/dispatcher/random_histories.rs
@@ -73,7 +73,7 @@
     dispatcher: Dispatcher<u32>,
     effect: Effect,
     now: f64,
-    /// Requests that are owed an answer, by serial number.
+    /// Requests whose clients wait for a response, by serial number.
     open: BTreeMap<u64, Open>,
     /// Attempts by the request's serial number and their own.
     in_flight: BTreeMap<(u64, usize), InFlight>,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -92,7 +92,7 @@
     context.with_dispatcher(|dispatcher, now| dispatcher.attempt_ended(now, id.request, id.attempt, result))
 }
 
-/// Reports the result of an attempt, and responds to the client where the dispatcher says so.
+/// Reports the result of an attempt, and responds to the client where the dispatcher decides so.
 fn finish(context: &Rc<CoreContext>, id: AttemptId, result: AttemptResult, response: FinalResponse) {
     if report(context, id, result) {
         context.respond_to(id.request, id.request_slot, response);
--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -17,7 +17,7 @@
     budget: Budget,
     /// Its index in the shared budgets.
     slot: usize,
-    /// False for a worker's budget once the worker left the endpoint list: it is closed when nothing of it is lent.
+    /// False for a worker's budget once the worker left the endpoint list: it is closed when no lease on it is granted.
     listed: bool,
 }
 
@@ -32,7 +32,7 @@
 
 /// The shared budgets of one gateway as an operator sees them.
 pub struct BudgetSharingView {
-    /// The budgets of which most is wanted, lent or borrowed, those first.
+    /// The budgets with the highest demand or the largest leases, those first.
     pub budgets: Vec<BudgetView>,
     /// Messages, requests and grants since the start.
     pub counters: Counters,
@@ -217,7 +217,7 @@
         self.shared_budgets.next_message()
     }
 
-    /// The budgets for operators: those of which most is wanted, lent or borrowed, 48 at most.
+    /// The budgets for operators: those with the highest demand or the largest leases, 48 at most.
     pub fn view(&mut self, now: f64) -> BudgetSharingView {
         /// Keeps a status within some datagrams; with many workers there are thousands of budgets.
         const MAX_VIEWED: usize = 48;
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where it does not know the socket's address.
+    /// The error of the operating system where it does not know the socket's address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where it does not know the socket's address.
+    /// The error of the operating system where it does not know the socket's address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -140,14 +140,14 @@
         answers.into_values().max_by_key(|state| (state.head, state.number))
     }
 
-    /// Proposes a change to the control machine `first`, and to the next ones where it does not answer or can't tell the
+    /// Proposes a change to the control machine `first`, and to the next ones where it does not answer or does not know the
     /// outcome. Takes 12 s at most; asking several is harmless, as a change with one id is applied once.
     pub fn propose(&self, change: &Change, first: SocketAddr) -> ProposalOutcome {
         /// For one control machine before the next is asked too: a commit and its answer take longer only over the
         /// farthest links. With 1.5 s an author who asked a machine that had just been killed, and lost one more datagram,
         /// waited past the 3 s in which a change is to be applied.
         const REPLICA_TIMEOUT: Duration = Duration::from_millis(600);
-        /// For all together: two of them may take long until they report that they can't tell.
+        /// For all together: two of them may take long until they report that they do not know.
         const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(12);
         let begin = self.control.iter().position(|to| *to == first).unwrap_or(0);
         let mut order = self.control.iter().cycle().skip(begin).take(2 * self.control.len());
--- a/crates/gateway/src/control_thread.rs
+++ b/crates/gateway/src/control_thread.rs
@@ -22,7 +22,7 @@
     Bind {
         /// The address that the configuration states.
         address: SocketAddr,
-        /// What the system says of it.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The socket's own address can't be read.
@@ -68,7 +68,7 @@
     fn act(&mut self, now: f64);
     /// Whether the thread is to end as if its process had been killed, without [`finish`](Self::finish).
     fn is_killed(&self) -> bool;
-    /// Does what an orderly end owes to others and to the next process.
+    /// Does what a graceful shutdown requires for others and for the next process.
     fn finish(self);
 }
 
--- a/crates/gateway/src/core_context.rs
+++ b/crates/gateway/src/core_context.rs
@@ -220,7 +220,7 @@
         *self.stopping.borrow()
     }
 
-    /// Tells when the gateway shuts down.
+    /// Notifies when the gateway shuts down.
     pub fn stopping(&self) -> watch::Receiver<bool> {
         self.stopping.subscribe()
     }
--- a/crates/gateway/src/core_thread.rs
+++ b/crates/gateway/src/core_thread.rs
@@ -34,7 +34,7 @@
         core_thread
     }
 
-    /// Starts a thread where there is none; a failure is logged, and the watchdog says when to try again.
+    /// Starts a thread where there is none; a failure is logged, and the watchdog decides when to retry.
     pub fn restart(&mut self, shared_runtime: &Arc<SharedRuntime>, core: usize, accepting: &Arc<AtomicBool>) {
         let now = shared_runtime.now();
         // Counts as a heartbeat, so that the thread has time for its first one.
--- a/crates/gateway/src/datagram_receiver.rs
+++ b/crates/gateway/src/datagram_receiver.rs
@@ -46,7 +46,7 @@
         None
     }
 
-    /// Whether the timers are to run now, which were due at `due`; the count of datagrams then begins anew.
+    /// Whether the timers are to run now, which were due at `due`; the count of datagrams then restarts.
     pub fn is_tick_due(&mut self, now: f64, due: f64) -> bool {
         let due_now = self.received >= MAX_DATAGRAMS_IN_A_ROW || now >= due + STOP_CHECK_INTERVAL;
         if due_now {
--- a/crates/gateway/src/endpoint_watch.rs
+++ b/crates/gateway/src/endpoint_watch.rs
@@ -85,7 +85,7 @@
             // The stream was open since the revision before, so endpoints that it did not mention are unchanged.
             self.context.with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_confirmed(now));
         }
-        // Applied also after a gap: what it says of its endpoints is true, for example that one is draining.
+        // Applied also after a gap: what it states about its endpoints is true, for example that one is draining.
         self.context.shared_runtime.update_endpoints(Some(self.context.core), complete, &endpoints);
         self.context.process_messages();
         if is_gap && !self.gap_reported {
--- a/crates/gateway/src/http_service.rs
+++ b/crates/gateway/src/http_service.rs
@@ -33,7 +33,7 @@
     context.slot().requests.fetch_add(1, Ordering::Relaxed);
     let rate = channel.record_request(context.now());
     if !channel.claim.expect_response() {
-        // Another core has closed this connection; its response says that the request was not run.
+        // Another core has closed this connection; its response states that the request was not run.
         return rejected("bounced", "This connection is closed", None);
     }
     let mut guard = ResponseGuard::new(context.clone(), channel);
@@ -104,7 +104,7 @@
     health_response(true, "ready\n")
 }
 
-/// Removes the header fields that are not passed on. The idempotency key stays, whatever `Connection` says.
+/// Removes the header fields that are not passed on. The idempotency key stays, whatever `Connection` names.
 fn remove_headers(headers: &mut HeaderMap) {
     let key = headers.remove(&invoke::IDEMPOTENCY_KEY);
     remove_hop_by_hop_headers(headers);
--- a/crates/gateway/src/io_fault/tests.rs
+++ b/crates/gateway/src/io_fault/tests.rs
@@ -55,7 +55,7 @@
     assert_eq!(ConnectFault::of(&error(errno)), fault);
 }
 
-/// An error that no system call gave says nothing of this machine.
+/// An error that no system call returned proves nothing about this machine.
 #[test]
 fn errors_without_an_errno_are_classified() {
     let error = io::Error::other("the handshake failed");
--- a/crates/gateway/src/key_file.rs
+++ b/crates/gateway/src/key_file.rs
@@ -17,7 +17,7 @@
     Read {
         /// The file as the configuration names it.
         path: PathBuf,
-        /// What the system says of it.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The secret in the file could be guessed.
--- a/crates/gateway/src/key_file/tests.rs
+++ b/crates/gateway/src/key_file/tests.rs
@@ -1,4 +1,4 @@
-//! Key files that can be used, and what is said of others.
+//! Key files that can be used, and the errors of others.
 
 use super::*;
 
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// What the system says where it does not know the socket's address.
+    /// The error of the operating system where it does not know the socket's address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -125,7 +125,7 @@
         second_began: 0.0,
         observer,
     };
-    // Before the first request is accepted: quota that a former process of this name may have lent must not be used.
+    // Before the first request is accepted: quota on which a former process of this name may have granted leases must not be used.
     thread.publish_quota();
     control_thread::spawn(thread, shared_runtime)
 }
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -25,7 +25,7 @@
     /// The other gateways as this one knows them.
     #[serde(flatten)]
     pub view: MembershipView,
-    /// Budgets that it shares with the others; those of which most is wanted or lent come first.
+    /// Budgets that it shares with the others; those with the highest demand or the largest leases come first.
     pub budgets: Vec<BudgetView>,
     /// Messages on budgets, requests and grants since the process began.
     pub sharing: Counters,
--- a/crates/gateway/src/request_reader.rs
+++ b/crates/gateway/src/request_reader.rs
@@ -13,7 +13,7 @@
 use milletpath_protocol::{InputError, invoke};
 use std::time::Duration;
 
-/// What the header fields of a request say to the dispatcher.
+/// What the header fields of a request state for the dispatcher.
 pub struct RequestParameters {
     /// Index of the profile in the configuration.
     pub profile: usize,
@@ -21,7 +21,7 @@
     pub client: usize,
     /// Seconds from arrival until the request times out.
     pub timeout: f64,
-    /// Whether the client says that it tries again.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
 }
 
--- a/crates/gateway/src/response_guard.rs
+++ b/crates/gateway/src/response_guard.rs
@@ -42,7 +42,7 @@
         response
     }
 
-    /// Tells the dispatcher that nobody waits for this request any more.
+    /// Notifies the dispatcher that nobody waits for this request any more.
     fn interrupt(&self) -> LocalResponse {
         let shared_runtime = &self.context.shared_runtime;
         let client_gone = |request| {
--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -236,7 +236,7 @@
     }
 }
 
-/// The supervisor's task, which is started anew where it panics; dropping it ends it.
+/// The supervisor's task, which is restarted where it panics; dropping it ends it.
 pub struct SupervisorTask {
     supervisor: Rc<Supervisor>,
     task: JoinHandle<()>,
--- a/crates/gateway/src/worker_exchange.rs
+++ b/crates/gateway/src/worker_exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with a worker, on a pooled connection or a new one. Errors say what is known: that the worker never
+//! One HTTP exchange with a worker, on a pooled connection or a new one. Errors state what is known: that the worker never
 //! got the request is certain only where nothing of it was written.
 
 use crate::body_buffer::BodyBuffer;
--- a/crates/gateway/src/worker_response.rs
+++ b/crates/gateway/src/worker_response.rs
@@ -1,4 +1,4 @@
-//! What the header fields of a worker's response say: the outcome of an attempt, the worker's load report, and which
+//! What the header fields of a worker's response state: the outcome of an attempt, the worker's load report, and which
 //! fields are passed on.
 
 use http::header::{self, HeaderMap, HeaderName};
@@ -67,7 +67,7 @@
     let outcome = match refused {
         Some(wire::Rejection::Full | wire::Rejection::Draining) => Outcome::Rejected,
         Some(wire::Rejection::NotLoaded) => Outcome::NotLoaded,
-        // Also where it says that the client's input was wrong.
+        // Also where it states that the client's input was wrong.
         None if head.status.as_u16() < 500 => Outcome::Succeeded,
         None => Outcome::Failed,
     };
@@ -90,7 +90,7 @@
 }
 
 /// The outcome of a load request by the head of its response, and the instances that the worker now has; `requested` is
-/// assumed where a success does not say.
+/// assumed where a success does not state it.
 pub fn load_result(head: &Parts, requested: u8) -> (Outcome, u8) {
     if head.status.is_success() {
         let instances = wire::count_field(&head.headers, &wire::INSTANCES).ok().flatten();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -193,7 +193,7 @@
     .into_bytes()
 }
 
-/// Sends bytes and reads until the other side closes.
+/// Sends bytes and reads until the peer closes.
 pub async fn send_bytes(address: SocketAddr, bytes: &[u8]) -> String {
     send_bytes_on(TcpStream::connect(address).await.unwrap(), bytes).await
 }
--- a/crates/platform-protocol/src/bootstrap/differences.rs
+++ b/crates/platform-protocol/src/bootstrap/differences.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Differences that are listed at most; more would tell a reader no more.
+/// Differences that are listed at most; more would not help a reader.
 const MAX_DIFFERENCES: usize = 16;
 
 /// The paths at which two values differ, their keys separated by dots, each as deep as both are objects.
--- a/crates/platform-protocol/src/bootstrap/read.rs
+++ b/crates/platform-protocol/src/bootstrap/read.rs
@@ -124,7 +124,7 @@
         stall_timeout: f64::INFINITY,
         connect_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
         idle_timeout: platform_settings::time_limit(settings, "Keepalive")?,
-        // A probe that takes longer than a connection may is as good as lost.
+        // A health check that takes longer than a connection may is as good as lost.
         health_check_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
         drain_grace: platform_settings::drain_grace(settings)?,
     })
--- a/crates/platform-protocol/src/bootstrap/reread.rs
+++ b/crates/platform-protocol/src/bootstrap/reread.rs
@@ -1,4 +1,4 @@
-//! The file read again while the router runs: of all that it says, only the address of the discovery service is taken.
+//! The file read again while the router runs: of all that it holds, only the address of the discovery service is taken.
 
 use super::address::address;
 use super::differences::differences;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Keys that are new with each file, and tell a running router nothing.
+/// Keys that are new with each file, and mean nothing to a running router.
 const ALWAYS_NEW: [&str; 3] = ["bulletin", "known", "seed"];
 
 /// What a router takes from the file when it is read again.
--- a/crates/platform-protocol/src/frames/read.rs
+++ b/crates/platform-protocol/src/frames/read.rs
@@ -1,4 +1,4 @@
-//! Frames of a worker: its responses to attempts, load requests and probes.
+//! Frames of a worker: its responses to attempts, load requests and health checks.
 
 use super::layout::{CHECKSUM_BYTES, FROM_WORKER, HEADER_BYTES};
 use milletpath_platform_settings::set_report_value;
@@ -18,9 +18,9 @@
 pub struct WorkerResponse<'b> {
     /// The id of the frame that is answered.
     pub id: u64,
-    /// How an attempt or a load request ended; for a probe, whether the worker is healthy.
+    /// How an attempt or a load request ended; for a health check, whether the worker is healthy.
     pub outcome: Outcome,
-    /// Whether a probe is answered.
+    /// Whether a health check is answered.
     pub probe: bool,
     /// Calls that ran on the same instance at the same time.
     pub concurrent_calls: f64,
--- a/crates/platform-protocol/src/lines/call.rs
+++ b/crates/platform-protocol/src/lines/call.rs
@@ -7,7 +7,7 @@
 
 /// Bytes of the body of a request, as the platform states it.
 pub const MAX_REQUEST_BODY: usize = 16 << 10;
-/// Milliseconds that a client may say it waits: an hour. Nobody waits longer, and sums of times stay finite.
+/// Milliseconds that a client may state as its timeout: an hour. Nobody waits longer, and sums of times stay finite.
 const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
 /// The largest value of a function's setting that makes sense, in MB, calls or ms.
 const MAX_FUNCTION_SETTING: f64 = 1e7;
@@ -43,7 +43,7 @@
     pub body: Vec<u8>,
 }
 
-/// What a client says of the function that it calls.
+/// What a client states about the function that it calls.
 struct FunctionSettings {
     memory: f64,
     lanes: f64,
--- a/crates/platform-protocol/src/lines/message.rs
+++ b/crates/platform-protocol/src/lines/message.rs
@@ -1,4 +1,4 @@
-//! One line of a client as a message: a call, a cancellation or a probe.
+//! One line of a client as a message: a call, a cancellation or a health check (`probe`).
 
 use super::call::{self, Call, MAX_REQUEST_BODY};
 use crate::hex_id::parse_hex_id;
@@ -8,7 +8,7 @@
 
 /// Bytes of a line: the largest body in base64, and room for its fields.
 pub const MAX_LINE: usize = MAX_REQUEST_BODY.div_ceil(3) * 4 + (2 << 10);
-/// Whole numbers that every reader of JSON keeps exactly.
+/// Integers that every reader of JSON keeps exactly.
 const LINE_NUMBERS: RangeInclusive<u64> = 1..=1 << 53;
 
 /// What a client sends.
--- a/crates/platform-protocol/src/lines/write.rs
+++ b/crates/platform-protocol/src/lines/write.rs
@@ -42,7 +42,7 @@
     write_error(out, &number, INVALID_REQUEST, message.trim_matches('"'), "");
 }
 
-/// The answer to a probe: whether the router accepts requests.
+/// The answer to a health check (`probe`): whether the router accepts requests.
 pub fn write_health(out: &mut Vec<u8>, number: u64, is_healthy: bool) {
     let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{number},\"result\":{{\"fit\":{is_healthy}}}}}\n");
     out.extend_from_slice(line.as_bytes());
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -144,7 +144,7 @@
     assert_eq!(events::read(&captured("events-heartbeat")), Ok(DiscoveryLine::Last(41)));
 }
 
-/// Each row holds a line that is invalid, its number or `-`, and what its sender is told.
+/// Each row holds a line that is invalid, its number or `-`, and the error that its sender gets.
 #[test]
 fn invalid_client_lines_get_the_captured_faults() {
     for row in include_str!("wire/faults.txt").lines() {
--- a/crates/platform-router/src/actions.rs
+++ b/crates/platform-router/src/actions.rs
@@ -6,7 +6,7 @@
 
 impl PlatformRouter {
     /// Carries out the dispatcher's actions until there are none, and sets the timer for what is due next. Called after
-    /// each event that the dispatcher was told of.
+    /// each event that the dispatcher was notified of.
     pub fn run_actions(&mut self) {
         loop {
             self.run_queued_actions();
--- a/crates/platform-router/src/client_connections/close.rs
+++ b/crates/platform-router/src/client_connections/close.rs
@@ -30,7 +30,7 @@
     /// Too many bytes wait for it.
     #[error("the client reads its responses too slowly")]
     ReadsTooSlowly,
-    /// It was told of an invalid line.
+    /// It was sent an error about an invalid line.
     #[error("the client sent an invalid line")]
     InvalidLine,
     /// It was idle, and another connection needs its place.
--- a/crates/platform-router/src/client_connections/read.rs
+++ b/crates/platform-router/src/client_connections/read.rs
@@ -65,7 +65,7 @@
         self.read_buffer = read_buffer;
     }
 
-    /// Whether an attempt may begin as far as its client goes. After a standstill the connection to the worker may be
+    /// Whether an attempt may begin as far as its client goes. After a pause the connection to the worker may be
     /// ready before the client's socket was read, which may hold a cancel or the end of the connection. False where
     /// the socket has unread bytes: they are read first, and the worker's connection is flushed then.
     pub fn may_begin_attempt(&mut self, request: RequestId, worker_connection: usize, now: f64) -> bool {
--- a/crates/platform-router/src/client_connections/requests.rs
+++ b/crates/platform-router/src/client_connections/requests.rs
@@ -7,8 +7,8 @@
 /// Seconds by which a final response leaves before its client's time is up: what a busy machine takes from the client's
 /// write to the router's read, and back.
 pub(crate) const RESPONSE_MARGIN: f64 = 0.015;
-/// Seconds by which a call may have been unread for longer than is counted: the deadline that is sent on may be 0.15 s
-/// over what the client has left. A call that came at the end of a standstill, or in a pause that only looks like one on
+/// Seconds by which a call may have been unread for longer than is counted: the deadline that is forwarded may be 0.15 s
+/// over what the client has left. A call that came at the end of a pause, or in a pause that only looks like one on
 /// a busy machine, loses the less.
 const UNREAD_SLACK: f64 = 0.1;
 
@@ -105,7 +105,7 @@
         self.cancel_requests(cancelled);
     }
 
-    /// Tells the dispatcher that nobody waits for these calls any more.
+    /// Notifies the dispatcher that nobody waits for these calls any more.
     pub(super) fn cancel_requests(&mut self, calls: Vec<OpenCall>) {
         let now = self.now();
         for OpenCall { request, .. } in calls {
--- a/crates/platform-router/src/client_connections/validate.rs
+++ b/crates/platform-router/src/client_connections/validate.rs
@@ -13,7 +13,7 @@
     ///
     /// # Errors
     ///
-    /// Why the line is invalid; the client is told.
+    /// Why the line is invalid; the client gets it as the error.
     pub(super) fn check_line(
         &mut self,
         slot: usize,
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Notes a number as used on its connection; an error where it was used before.
+    /// Records a number as used on its connection; an error where it was used before.
     fn use_number(&mut self, slot: usize, number: u64) -> Result<(), InputError> {
         let Some(client) = self.clients.get_mut(slot) else { return Ok(()) };
         let is_new = client.request_ids_seen.insert(number);
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -68,7 +68,7 @@
         stream.read_exact(&mut subscription).await.unwrap();
         assert_eq!(&subscription, b"after 1\n");
         stream.writable().await.unwrap();
-        // Nothing waits between the two: the router hears of both in one turn.
+        // Nothing waits between the two: the router learns of both in one turn.
         stream.try_write(event(2, "left").as_bytes()).unwrap();
         discovery_address.send(new.local_addr().unwrap()).unwrap();
         let (mut stream, _) = new.accept().await.unwrap();
--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -1,6 +1,6 @@
 //! The router on the platform: one thread, which owns all sockets and one
 //! [`Dispatcher`](milletpath_dispatcher::dispatcher::Dispatcher). Every routing decision is the dispatcher's; this
-//! package tells it what happens on the sockets and carries out its actions.
+//! package notifies it of what happens on the sockets and carries out its actions.
 //!
 //! The modules, from what is decided without I/O to what waits for sockets:
 //!
@@ -22,7 +22,7 @@
 //!    chooses a connection to the worker and queues the attempt there.
 //! 3. `worker_connections/write.rs` writes queued frames. A frame is made in `worker_connections/frame.rs`, and only
 //!    when the socket has taken the one before: until then the attempt can be cancelled without a trace.
-//! 4. `worker_connections/read.rs` reads the worker's response and reports it to the dispatcher, which says whether it
+//! 4. `worker_connections/read.rs` reads the worker's response and reports it to the dispatcher, which decides whether it
 //!    is the final one.
 //! 5. `client_connections/requests.rs` writes the final response to the client's connection.
 
--- a/crates/platform-router/src/platform_router.rs
+++ b/crates/platform-router/src/platform_router.rs
@@ -65,13 +65,13 @@
     pub memory_budget: Rc<MemoryBudget>,
     /// The schedule of a graceful shutdown, once it has begun.
     pub shutdown: Shutdown,
-    /// When this process ran last: it tells a standstill.
+    /// When this process ran last: by it a pause of the process is detected.
     pub liveness: Liveness,
     /// Seconds that a connection to a worker may take to be made.
     pub connect_timeout: f64,
     /// Whether health checks ask workers for their load.
     pub load_reports: bool,
-    /// Whether workers are told of requests that are no longer wanted.
+    /// Whether workers are notified of requests that are no longer wanted.
     pub sends_cancels: bool,
     /// The longest Retry-After in seconds, for what the dispatcher has no room for.
     pub retry_after: Option<f64>,
--- a/crates/platform-router/src/platform_router/client_connection.rs
+++ b/crates/platform-router/src/platform_router/client_connection.rs
@@ -20,7 +20,7 @@
 
 /// The connection of a client. Times are in seconds on the router's clock.
 pub(crate) struct ClientConnection {
-    /// Tells it from others that have, or had, its slot.
+    /// Distinguishes it from others that have, or had, its slot.
     pub serial: u64,
     /// The socket.
     pub stream: Rc<TcpStream>,
--- a/crates/platform-router/src/platform_router/request_context.rs
+++ b/crates/platform-router/src/platform_router/request_context.rs
@@ -7,7 +7,7 @@
 pub(crate) struct ClientKey {
     /// Position among the connections; it is used again once the connection is closed.
     pub slot: usize,
-    /// Serial number, which is never used again: it tells a connection from a later one in the same slot.
+    /// Serial number, which is never used again: it distinguishes a  from a later one in the same slot.
     pub serial: u64,
 }
 
--- a/crates/platform-router/src/platform_router/worker_connection.rs
+++ b/crates/platform-router/src/platform_router/worker_connection.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Ids that are remembered on a connection after their end: a second copy of a response comes soon or not at all.
+/// Ids that are remembered on a connection after their end: a duplicate response comes soon or not at all.
 pub(crate) const RECENT_IDS: usize = 64;
 
 /// What waits until the first byte of its frame can be written.
@@ -43,7 +43,7 @@
         /// Its number at the dispatcher.
         serial: u64,
     },
-    /// Tells a worker that a request is no longer wanted; no response comes.
+    /// Notifies a worker that a request is no longer wanted; no response comes.
     Cancel {
         /// The request's id on the wire.
         id: u64,
--- a/crates/platform-router/src/run/timer.rs
+++ b/crates/platform-router/src/run/timer.rs
@@ -7,7 +7,7 @@
 const CLEANUP_INTERVAL: Duration = Duration::from_millis(200);
 
 impl PlatformRouter {
-    /// Tells the dispatcher that time has passed.
+    /// Notifies the dispatcher that time has passed.
     fn on_timer(&mut self) {
         let now = self.now();
         self.dispatcher.advance(now);
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -14,7 +14,7 @@
 /// The most seconds that a deadline counts for there.
 const LONGEST_COUNTED: f64 = 3.0;
 /// Seconds that must be left for answers where a call is still admitted past that: one that came in time and was read
-/// late, after a standstill.
+/// late, after a pause.
 const LATE_ADMISSION: f64 = 0.5;
 /// Seconds before the earliest SIGKILL at which every call has its final answer: what a busy machine takes to write
 /// them and to close the connections of all clients.
@@ -22,9 +22,10 @@
 /// Seconds before the earliest SIGKILL at which the process exits whatever its clients do.
 const EXIT_MARGIN: f64 = 0.03;
 
-/// Seconds without a sign of life that tell a standstill: an idle process looks at its connections five times a second.
-const STANDSTILL: f64 = 0.25;
-/// Seconds after a standstill in which a signal may be one that came amid it.
+/// Seconds without activity after which a pause of the process is assumed; an idle process checks its connections five
+/// times a second.
+const PAUSE_THRESHOLD: f64 = 0.25;
+/// Seconds after a pause in which a signal may be one that came during it.
 const RECENT: f64 = 0.1;
 
 /// What happens until when, in seconds on the router's clock.
@@ -104,43 +105,43 @@
 
 /// A time in which the process did not run.
 #[derive(Clone, Copy, Debug)]
-struct Standstill {
+struct ProcessPause {
     from: f64,
     until: f64,
 }
 
-/// When the process ran last, and when it last stood still.
+/// When the process ran last, and when it was last paused.
 #[derive(Debug, Default)]
 pub(crate) struct Liveness {
     last: Cell<f64>,
-    standstill: Cell<Option<Standstill>>,
+    pause: Cell<Option<ProcessPause>>,
 }
 
 impl Liveness {
     /// The process runs at this time.
     pub fn note(&self, now: f64) {
         let last = self.last.replace(now);
-        if now - last > STANDSTILL {
+        if now - last > PAUSE_THRESHOLD {
             // Where it had hardly moved on from another, both are one: what came amid the first may still be unread.
-            let previous = self.standstill.get().filter(|previous| last - previous.until <= RECENT);
+            let previous = self.pause.get().filter(|previous| last - previous.until <= RECENT);
             let from = previous.map_or(last, |previous| previous.from);
-            self.standstill.set(Some(Standstill { from, until: now }));
+            self.pause.set(Some(ProcessPause { from, until: now }));
         }
     }
 
     /// The earliest time at which a signal may have come that is read at `now`.
     pub fn earliest(&self, now: f64) -> f64 {
-        match self.standstill.get() {
-            Some(Standstill { from, until }) if now - until <= RECENT => from,
+        match self.pause.get() {
+            Some(ProcessPause { from, until }) if now - until <= RECENT => from,
             _ => now,
         }
     }
 
     /// The earliest time at which bytes may have come that are read at `now` from a socket that was empty at
-    /// `emptied_at`. All that came amid a standstill is read before the process would count as standing still again.
+    /// `emptied_at`. All that came during a pause is read before the process would count as standing still again.
     pub fn earliest_arrival(&self, now: f64, emptied_at: f64) -> f64 {
-        match self.standstill.get() {
-            Some(Standstill { from, until }) if emptied_at < until && now - until <= STANDSTILL => {
+        match self.pause.get() {
+            Some(ProcessPause { from, until }) if emptied_at < until && now - until <= PAUSE_THRESHOLD => {
                 from.max(emptied_at)
             }
             _ => now,
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -44,7 +44,7 @@
     assert!(shutdown.rejects(10.8) && shutdown.admission_closed());
 }
 
-/// SIGTERM came amid a standstill: the kill may come by its beginning, and clients by its end.
+/// SIGTERM came during a pause: the kill may come by its beginning, and clients by its end.
 #[test]
 fn kill_time_counts_from_the_start_of_a_process_stall() {
     let liveness = Liveness::default();
@@ -57,7 +57,7 @@
     assert!(!shutdown.answers_due(1.44) && shutdown.admission_over(1.46) && shutdown.exit_due(1.58));
 }
 
-/// Bytes that are read right after a standstill may have come at its beginning, where nothing was read since; those that
+/// Bytes that are read right after a pause may have come at its beginning, where nothing was read since; those that
 /// are read later, or from a socket that was emptied since, came just now.
 #[test]
 fn bytes_that_are_read_after_a_standstill() {
@@ -70,7 +70,7 @@
     assert_eq!(liveness.earliest_arrival(1.05, 1.0), 1.05);
     assert_eq!(liveness.earliest_arrival(1.2, 0.1), 0.4);
     assert_eq!(liveness.earliest_arrival(1.3, 0.1), 1.3);
-    // It stands still again as soon as it has moved on.
+    // It is paused again as soon as it has resumed.
     for now in [1.02, 1.5] {
         liveness.note(now);
     }
--- a/crates/platform-router/src/socket_errors.rs
+++ b/crates/platform-router/src/socket_errors.rs
@@ -19,7 +19,7 @@
 /// Whose fault an error is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultOrigin {
-    /// This process or its host lacks something: it says nothing about the worker.
+    /// This process or its host lacks something: it proves nothing about the worker.
     Local,
     /// The worker or the way to it.
     Remote,
--- a/crates/platform-router/src/sockets.rs
+++ b/crates/platform-router/src/sockets.rs
@@ -61,7 +61,7 @@
     match SockRef::from(stream).peek(&mut one) {
         Ok(0) => SocketState::Closed,
         Ok(_) => SocketState::Readable,
-        // What fails for a local reason says nothing about the other end.
+        // What fails for a local reason proves nothing about the peer.
         Err(e) if socket_errors::classify(Operation::Read, &e).recovery != Recovery::Close => {
             SocketState::Empty
         }
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// For a connection to be made: long against the standstills of a busy machine.
+/// For a connection to be made: long against the pauses of a busy machine.
 const CONNECT_MICROSECONDS: u64 = 1_000_000;
 
 /// For how long an operation fails.
@@ -281,7 +281,7 @@
     Errno::EPIPE,
 ];
 
-/// Those that say nothing about the worker.
+/// Those that prove nothing about the worker.
 const LOCAL: &[Errno] = &[
     Errno::ECONNABORTED,
     Errno::ENFILE,
--- a/crates/platform-router/src/worker_connections/close.rs
+++ b/crates/platform-router/src/worker_connections/close.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Tells the dispatcher that no response comes any more, and by `outcome` what that proves.
+    /// Notifies the dispatcher that no response comes any more, and by `outcome` what that proves.
     pub(super) fn report_no_response(&mut self, worker: usize, awaited: AwaitedResponse, outcome: Outcome) {
         let now = self.now();
         match awaited {
--- a/crates/platform-router/src/worker_connections/frame.rs
+++ b/crates/platform-router/src/worker_connections/frame.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The frame says how much time the client has left as its first byte goes.
+    /// The frame states how much time the client has left as its first byte goes.
     fn write_attempt(
         &mut self,
         out: &mut Vec<u8>,
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -79,7 +79,7 @@
         Ok(bytes)
     }
 
-    /// One valid response. An unknown id is passed over: it is a second copy, or the response to what was cancelled.
+    /// One valid response. An unknown id is passed over: it is a duplicate, or the response to what was cancelled.
     fn on_response(
         &mut self,
         slot: usize,
--- a/crates/platform-router/src/worker_connections/send.rs
+++ b/crates/platform-router/src/worker_connections/send.rs
@@ -45,7 +45,7 @@
     }
 
     /// Cancels an attempt that the dispatcher counts as ended: it is taken off the queue if nothing of it was written,
-    /// and its worker is told otherwise.
+    /// and its worker is notified otherwise.
     pub fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
         let Some(slot) = self
             .dispatcher
@@ -95,7 +95,7 @@
     }
 
     /// Connections to this process of a worker on which a frame with this id may go: two attempts of a request bear the
-    /// same id, by which their responses could not be told apart.
+    /// same id, by which their responses could not be distinguished.
     fn usable_connections(&self, worker: usize, process: u64, id: Option<u64>) -> Vec<usize> {
         let known = self.connections_by_worker.get(&worker).into_iter().flatten().copied();
         let is_usable = |slot: &usize| {
--- a/crates/platform-router/src/worker_connections/task.rs
+++ b/crates/platform-router/src/worker_connections/task.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// Notes that a connection can't be made for a local reason; where that has lasted too long, what waits for it is
+/// Records that a connection can't be made for a local reason; where that has lasted too long, what waits for it is
 /// given back. Returns whether something still, or again, waits for it.
 fn is_still_needed(router: &SharedRouter, handle: &ConnectionHandle, exhausted: bool) -> bool {
     let mut router = router.borrow_mut();
--- a/crates/platform-router/src/worker_connections/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 use tokio::net::TcpStream;
 
-/// A worker rejected an attempt twice; the second copy would have ended the next attempt with the same id.
+/// A worker rejected an attempt twice; the duplicate would have ended the next attempt with the same id.
 #[test]
 fn recent_frame_ids_are_not_reused() {
     let mut connection = WorkerConnection::new(0, 1, MemoryBudget::new(1).reserve(0), 0.0, 0.25);
--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -3,7 +3,7 @@
 /// What is wrong with the settings. The platform is shown this text.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is not JSON; the source says where.
+    /// The text is not JSON; the source names the place.
     #[error("the settings are no JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// A required setting is absent, of another type or out of bounds.
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -20,7 +20,7 @@
 
 use serde_json::Value;
 
-/// Parses the settings as they come over a wire; the error says where they are not JSON.
+/// Parses the settings as they come over a wire; the error names where they are not JSON.
 pub fn parse(text: &[u8]) -> Result<Value, SettingsError> {
     serde_json::from_slice(text).map_err(SettingsError::NotJson)
 }
--- a/crates/policy/src/fleet_budgets.rs
+++ b/crates/policy/src/fleet_budgets.rs
@@ -51,7 +51,7 @@
         (own * self.quota_fraction(now) + lease).max(0.0)
     }
 
-    /// Notes that a budget was exhausted.
+    /// Records that a budget was exhausted.
     pub(crate) fn note_exhausted(&mut self, budget: Budget) {
         self.exhausted.push(budget);
     }
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -24,7 +24,7 @@
     /// When it arrived, and when its client gives up, in seconds.
     pub(crate) arrived_at: f64,
     pub(crate) deadline: f64,
-    /// The final answer is owed.
+    /// The final response is pending.
     pub(crate) is_open: bool,
     /// It arrived over the quota of its client group.
     pub(crate) over_quota: bool,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -256,7 +256,7 @@
 
     /// Places queued requests again.
     fn retry_queued(&mut self, now: f64, host: &mut dyn Effects) {
-        // One that stays queued speaks for those behind it that want the same function.
+        // One that stays queued stands for those behind it that want the same function.
         let mut blocked = Vec::new();
         for id in std::mem::take(&mut self.queued) {
             let Some(request) = self.state.requests.get(id) else { continue };
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -42,7 +42,7 @@
     let rejected = rejected(&mut router, 10.0);
     assert!(rejected.abs_diff(expected) <= 8, "{rejected}");
     assert_eq!(router.host.exhausted.contains(&Budget::RateLimit(0)), rejected > 0);
-    // Retry-After says when there are tokens again: a tenth of a second for each request at ten a second, with jitter.
+    // Retry-After states when there are tokens again: a tenth of a second for each request at ten a second, with jitter.
     assert!(
         router.host.retry_after.iter().all(|a| a.is_some_and(|a| a > 0.0 && a <= 0.2)),
         "{:?}",
