--- a/crates/emulator/src/relay/faults.rs
+++ b/crates/emulator/src/relay/faults.rs
@@ -23,18 +23,38 @@
 /// What is wrong with links.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkFault {
-    /// This fraction of the datagrams on these links is lost.
-    Loss(Vec<Link>, f64),
+    /// A fraction of the datagrams is lost.
+    Loss {
+        /// The links.
+        links: Vec<Link>,
+        /// From 0 to 1.
+        fraction: f64,
+    },
     /// These gateways are cut off from the others, in both directions.
     Partition(Vec<usize>),
     /// These gateways receive nothing.
     InboundLoss(Vec<usize>),
-    /// Datagrams on these links are late by so many seconds on average, from none to twice that.
-    Delay(Vec<Link>, f64),
-    /// This fraction of the datagrams on these links is sent again within some seconds.
-    Duplication(Vec<Link>, f64),
-    /// This fraction of the datagrams on these links is replaced by garbage.
-    Corruption(Vec<Link>, f64),
+    /// Datagrams are late, by none to twice the mean.
+    Delay {
+        /// The links.
+        links: Vec<Link>,
+        /// Mean delay in seconds.
+        mean_seconds: f64,
+    },
+    /// A fraction of the datagrams is sent again within some seconds.
+    Duplication {
+        /// The links.
+        links: Vec<Link>,
+        /// From 0 to 1.
+        fraction: f64,
+    },
+    /// A fraction of the datagrams is replaced by garbage.
+    Corruption {
+        /// The links.
+        links: Vec<Link>,
+        /// From 0 to 1.
+        fraction: f64,
+    },
 }
 
 /// One datagram to be delivered.
@@ -90,22 +110,24 @@
         match fault {
             LinkFault::Partition(separated) => separated.contains(&link.from) == separated.contains(&link.to),
             LinkFault::InboundLoss(gateways) => !gateways.contains(&link.to),
-            LinkFault::Loss(links, fraction) if links.contains(&link) => {
+            LinkFault::Loss { links, fraction } if links.contains(&link) => {
                 deliveries.retain(|_| !self.rng.random_bool(*fraction));
                 true
             }
-            LinkFault::Delay(links, mean) if links.contains(&link) => {
-                deliveries.iter_mut().for_each(|d| d.delay += self.rng.random_range(0.0..=2.0 * mean));
+            LinkFault::Delay { links, mean_seconds } if links.contains(&link) => {
+                deliveries
+                    .iter_mut()
+                    .for_each(|d| d.delay += self.rng.random_range(0.0..=2.0 * mean_seconds));
                 true
             }
-            LinkFault::Duplication(links, fraction)
+            LinkFault::Duplication { links, fraction }
                 if links.contains(&link) && self.rng.random_bool(*fraction) =>
             {
                 let delay = self.rng.random_range(0.0..DUPLICATE_WITHIN);
                 deliveries.push(Delivery { delay, bytes: datagram.to_vec() });
                 true
             }
-            LinkFault::Corruption(links, fraction)
+            LinkFault::Corruption { links, fraction }
                 if links.contains(&link) && self.rng.random_bool(*fraction) =>
             {
                 *deliveries = vec![Delivery { delay: 0.0, bytes: self.garbage(datagram) }];
--- a/crates/emulator/src/relay/tests.rs
+++ b/crates/emulator/src/relay/tests.rs
@@ -19,10 +19,10 @@
     match rng.random_range(0..12) {
         0 => LinkFault::Partition(gateways),
         1 => LinkFault::InboundLoss(gateways),
-        2 | 3 => LinkFault::Loss(chosen, 0.3),
-        4 | 5 => LinkFault::Delay(chosen, 0.4),
-        6..9 => LinkFault::Duplication(chosen, 0.5),
-        _ => LinkFault::Corruption(chosen, 0.5),
+        2 | 3 => LinkFault::Loss { links: chosen, fraction: 0.3 },
+        4 | 5 => LinkFault::Delay { links: chosen, mean_seconds: 0.4 },
+        6..9 => LinkFault::Duplication { links: chosen, fraction: 0.5 },
+        _ => LinkFault::Corruption { links: chosen, fraction: 0.5 },
     }
 }
 
--- a/crates/emulator/src/scenario/link_faults.rs
+++ b/crates/emulator/src/scenario/link_faults.rs
@@ -22,14 +22,14 @@
             let all = relay.links();
             self.pick(all.len(), fault.fraction).into_iter().map(|number| all[number]).collect()
         };
-        let datagrams = fault.magnitude.min(1.0);
+        let fraction = fault.magnitude.min(1.0);
         Some(match fault.kind {
             FaultKind::LinkPartition => LinkFault::Partition(gateways()),
             FaultKind::LinkInboundLoss => LinkFault::InboundLoss(gateways()),
-            FaultKind::LinkLoss => LinkFault::Loss(links(), datagrams),
-            FaultKind::LinkDelay => LinkFault::Delay(links(), fault.magnitude),
-            FaultKind::LinkDuplication => LinkFault::Duplication(links(), datagrams),
-            FaultKind::LinkCorruption => LinkFault::Corruption(links(), datagrams),
+            FaultKind::LinkLoss => LinkFault::Loss { links: links(), fraction },
+            FaultKind::LinkDelay => LinkFault::Delay { links: links(), mean_seconds: fault.magnitude },
+            FaultKind::LinkDuplication => LinkFault::Duplication { links: links(), fraction },
+            FaultKind::LinkCorruption => LinkFault::Corruption { links: links(), fraction },
             _ => return None,
         })
     }
--- a/crates/milletpath/tests/peers.rs
+++ b/crates/milletpath/tests/peers.rs
@@ -137,7 +137,7 @@
 #[test]
 fn losing_a_fifth_of_all_datagrams_declares_nobody_dead() {
     let fleet = Fleet::converged(6);
-    let loss = fleet.relay.inject(LinkFault::Loss(fleet.relay.links(), 0.2));
+    let loss = fleet.relay.inject(LinkFault::Loss { links: fleet.relay.links(), fraction: 0.2 });
     std::thread::sleep(Duration::from_secs(8));
     for n in 0..6 {
         assert_eq!(fleet.count_log_lines(n, "is declared dead"), 0, "{n}");
@@ -200,8 +200,8 @@
 #[test]
 fn garbage_and_replayed_datagrams_change_nothing() {
     let fleet = Fleet::converged(3);
-    let garbage = fleet.relay.inject(LinkFault::Corruption(fleet.relay.links(), 0.3));
-    let repeat = fleet.relay.inject(LinkFault::Duplication(fleet.relay.links(), 0.5));
+    let garbage = fleet.relay.inject(LinkFault::Corruption { links: fleet.relay.links(), fraction: 0.3 });
+    let repeat = fleet.relay.inject(LinkFault::Duplication { links: fleet.relay.links(), fraction: 0.5 });
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut seed = 1u64;
     for n in 0..20_000usize {
