--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -5,8 +5,8 @@
 use crate::event::{ClientAttempt, ClientInput, Event, GatewayInput};
 use milletpath_emulator::clients::gateway_weights;
 use milletpath_emulator::traffic::{self, PlannedRequest};
+use milletpath_emulator::weighted_choice::weighted_choice;
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, Idempotency};
-use rand::Rng;
 
 /// One call, and its attempt that is open.
 struct Call {
@@ -17,7 +17,7 @@
 
 pub(crate) struct Clients {
     calls: Vec<Call>,
-    /// The part of the attempts that the front layer gives each gateway.
+    /// How many attempts the front layer gives each gateway, relative to the others.
     gateway_weights: Vec<f64>,
 }
 
@@ -90,12 +90,7 @@
 
     /// A gateway at random, by the front layer's weights.
     fn choose_gateway(&self, context: &mut Context) -> usize {
-        let mut left = context.rng.random_range(0.0..self.gateway_weights.iter().sum::<f64>());
-        let found = self.gateway_weights.iter().position(|weight| {
-            left -= weight;
-            left < 0.0
-        });
-        found.unwrap_or(0)
+        weighted_choice(&mut context.rng, self.gateway_weights.iter().copied())
     }
 
     /// Schedules the end of an attempt to which nobody answers: the client cancels it or gives up.
@@ -129,8 +124,8 @@
             return;
         }
         context.record(HistoryEvent::AttemptEnded { call: call as u64, attempt: number, gateway, outcome });
-        let effect = context.scenario.profiles[state.planned.profile].idempotency;
-        if may_retry(outcome, effect) && number < context.scenario.traffic.retries {
+        let idempotency = context.scenario.profiles[state.planned.profile].idempotency;
+        if may_retry(outcome, idempotency) && number < context.scenario.traffic.retries {
             let next = ClientAttempt { call, number: number + 1 };
             let backoff = context.scenario.traffic.backoff;
             context.schedule_in(backoff, Event::Client(ClientInput::SendAttempt(next)));
@@ -139,12 +134,12 @@
 }
 
 /// Whether a client may send a call again after an attempt that ended so.
-fn may_retry(outcome: AttemptOutcome, effect: Idempotency) -> bool {
+fn may_retry(outcome: AttemptOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         AttemptOutcome::Succeeded | AttemptOutcome::Abandoned => false,
         AttemptOutcome::Rejected | AttemptOutcome::Unreachable => true,
         AttemptOutcome::Failed | AttemptOutcome::ConnectionLost | AttemptOutcome::Unanswered => {
-            effect != Idempotency::NonIdempotent
+            idempotency != Idempotency::NonIdempotent
         }
     }
 }
--- a/crates/simulator/src/context.rs
+++ b/crates/simulator/src/context.rs
@@ -1,4 +1,5 @@
-//! What all parts of a simulation need: the scenario, the clock and the queue of events, the history, random numbers.
+//! What every module of the simulation needs: the scenario, the clock and the queue of events, the history, random
+//! numbers.
 
 use crate::clocks::Variation;
 use crate::event::Event;
@@ -6,7 +7,6 @@
 use milletpath_emulator::scenario_file::Scenario;
 use milletpath_history_checker::{HistoryEvent, HistoryRecord};
 use rand::SeedableRng;
-use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
 /// Seconds that a message takes from one process to another: what loopback and a busy machine add.
@@ -51,12 +51,4 @@
     pub fn send(&mut self, event: Event) {
         self.schedule_in(NETWORK_DELAY, event);
     }
-
-    /// Chooses a part of `count` things at random, one at least.
-    pub fn choose(&mut self, count: usize, part: f64) -> Vec<usize> {
-        let mut numbers: Vec<_> = (0..count).collect();
-        numbers.shuffle(&mut self.rng);
-        numbers.truncate(((count as f64 * part).round() as usize).max(1));
-        numbers
-    }
 }
