--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// What the decisions are told of the state in which a request found its function.
+/// The state in which a request found its function, as the decisions know it.
 pub(crate) fn instance_state(found: WireInstanceState) -> InstanceState {
     match found {
         WireInstanceState::Loaded => InstanceState::Loaded,
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -5,43 +5,41 @@
 use std::path::Path;
 use test_case::test_case;
 
-fn small_cluster(gateways: usize, faults: &[(FaultKind, f64, f64, f64)]) -> Scenario {
+fn small_cluster(gateways: usize, faults: Vec<ScheduledFault>) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/village.hcl");
     let mut scenario = scenario_file::open(&file).expect("a valid scenario");
-    scenario.gateways = gateways;
-    let fault = |&(kind, at, fraction, magnitude): &(FaultKind, f64, f64, f64)| ScheduledFault {
-        name: format!("{kind:?}"),
-        kind,
-        at,
-        duration: 2.0,
-        fraction,
-        magnitude,
-    };
-    scenario.faults = faults.iter().map(fault).collect();
+    (scenario.gateways, scenario.faults) = (gateways, faults);
     scenario
 }
 
-const FAULTS: [(FaultKind, f64, f64, f64); 5] = [
-    (FaultKind::FunctionRelease, 3.0, 0.8, 1.0),
-    (FaultKind::RequestFailures, 5.0, 0.3, 0.6),
-    (FaultKind::Slowness, 7.0, 0.3, 4.0),
-    (FaultKind::RollingReplacement, 8.0, 0.5, 1.0),
-    (FaultKind::WorkerCrash, 9.0, 0.2, 1.0),
-];
+/// A fault of two seconds.
+fn fault(kind: FaultKind, at: f64, fraction: f64, magnitude: f64) -> ScheduledFault {
+    ScheduledFault { name: format!("{kind:?}"), kind, at, duration: 2.0, fraction, magnitude }
+}
+
+fn overlapping_faults() -> Vec<ScheduledFault> {
+    vec![
+        fault(FaultKind::FunctionRelease, 3.0, 0.8, 1.0),
+        fault(FaultKind::RequestFailures, 5.0, 0.3, 0.6),
+        fault(FaultKind::Slowness, 7.0, 0.3, 4.0),
+        fault(FaultKind::RollingReplacement, 8.0, 0.5, 1.0),
+        fault(FaultKind::WorkerCrash, 9.0, 0.2, 1.0),
+    ]
+}
 
 #[test]
 fn the_same_seed_gives_the_same_history() {
-    let scenario = small_cluster(4, &FAULTS);
+    let scenario = small_cluster(4, overlapping_faults());
     let [one, other, another] = [7, 7, 8].map(|seed| play(&scenario, seed));
     assert_eq!(one.records, other.records);
     assert!(one.records.len() > 5_000 && one.records != another.records);
 }
 
-#[test_case(1)]
-#[test_case(6)]
+#[test_case(1; "one gateway")]
+#[test_case(6; "six gateways")]
 fn the_rules_hold(gateways: usize) {
     for seed in 1..=4 {
-        let report = play(&small_cluster(gateways, &FAULTS), seed);
+        let report = play(&small_cluster(gateways, overlapping_faults()), seed);
         assert_eq!(report.violations, vec![], "seed {seed}");
         assert!(report.counts.calls > 1_000 && report.counts.service() > 0.9, "{:?}", report.counts);
     }
@@ -51,6 +49,6 @@
 #[test]
 fn without_shared_budgets_more_gateways_fetch_more() {
     let fetches =
-        |gateways| (1..=4).map(|seed| play(&small_cluster(gateways, &[]), seed).fetches).sum::<u64>();
+        |gateways| (1..=4).map(|seed| play(&small_cluster(gateways, vec![]), seed).fetches).sum::<u64>();
     assert!(fetches(8) as f64 > 1.2 * fetches(1) as f64, "{} {}", fetches(8), fetches(1));
 }
