--- a/crates/emulator/src/scenario/rules.rs
+++ b/crates/emulator/src/scenario/rules.rs
@@ -39,6 +39,5 @@
         rate_ceilings: scenario.groups.iter().map(|group| group.ceiling).collect(),
         in_flight: scenario.rules.in_flight,
         rules: rule_parameters(scenario, tolerance),
-        tolerance,
     }
 }
--- a/crates/history-checker/src/bounds.rs
+++ b/crates/history-checker/src/bounds.rs
@@ -10,7 +10,7 @@
 mod shared_window;
 mod slow_start;
 
-pub use bound_report::BoundReport;
+pub use bound_report::{BoundReport, BoundViolation};
 
 use crate::event::HistoryRecord;
 use crate::rule_parameters::RuleParameters;
@@ -30,10 +30,8 @@
     pub rate_ceilings: Vec<Option<f64>>,
     /// Attempts that may be in flight at one worker.
     pub in_flight: Option<f64>,
-    /// What a warming worker may be sent.
+    /// What a warming worker may be sent, and how late observations may be.
     pub rules: RuleParameters,
-    /// Seconds by which an observation may be later than what it observes.
-    pub tolerance: f64,
 }
 
 /// All bounds by the names that reports give them. Records are in the order of time.
@@ -53,7 +51,7 @@
         bounds.insert("retries", retries::bound(records, budgets, limit));
     }
     if let Some(most) = budgets.in_flight {
-        bounds.insert("in-flight", in_flight::bound(records, most, budgets.tolerance));
+        bounds.insert("in-flight", in_flight::bound(records, most, budgets.rules.tolerance));
     }
     if budgets.rate_ceilings.iter().any(Option::is_some) {
         bounds.insert("ceiling", rate_ceiling::bound(records, budgets));
--- a/crates/history-checker/src/bounds/bound_report.rs
+++ b/crates/history-checker/src/bounds/bound_report.rs
@@ -1,6 +1,5 @@
 //! One bound and how a history kept it.
 
-use crate::violation::Violation;
 use serde::Serialize;
 
 /// The case of a history that came nearest to a bound or went furthest beyond it, and how often the bound was violated.
@@ -15,14 +14,21 @@
     pub violations: u64,
     /// The first violations.
     #[serde(skip)]
-    pub first_violations: Vec<Violation>,
+    pub first_violations: Vec<BoundViolation>,
+}
+
+/// One place of a history where a bound is violated.
+#[derive(Clone, Debug, PartialEq)]
+pub struct BoundViolation {
+    /// When, in seconds of the history's clock.
+    pub at: f64,
+    /// What happened.
+    pub what: String,
 }
 
 impl BoundReport {
     /// Violations that are kept.
     const MAX_FIRST_VIOLATIONS: usize = 5;
-    /// The number that a violation of a bound has in place of a rule's.
-    const NO_RULE: u8 = 0;
 
     /// Compares a value with the bound; `what` describes a violation.
     pub(super) fn compare(&mut self, at: f64, value: f64, bound: f64, what: impl FnOnce() -> String) {
@@ -32,7 +38,7 @@
         if value > bound {
             self.violations += 1;
             if self.first_violations.len() < Self::MAX_FIRST_VIOLATIONS {
-                self.first_violations.push(Violation { rule: Self::NO_RULE, at, what: what() });
+                self.first_violations.push(BoundViolation { at, what: what() });
             }
         }
     }
--- a/crates/history-checker/src/bounds/load_requests.rs
+++ b/crates/history-checker/src/bounds/load_requests.rs
@@ -13,7 +13,7 @@
 ) -> BoundReport {
     let window = limit.window;
     let fleet_limit = WindowLimit { free: limit.free * budgets.gateways as f64, ..limit };
-    let mut shared = SharedWindow::new(fleet_limit, limit.free, budgets.tolerance);
+    let mut shared = SharedWindow::new(fleet_limit, limit.free, budgets.rules.tolerance);
     let mut bound = BoundReport::default();
     for HistoryRecord { at, event } in records {
         match event {
--- a/crates/history-checker/src/bounds/rate_ceiling.rs
+++ b/crates/history-checker/src/bounds/rate_ceiling.rs
@@ -15,7 +15,7 @@
 
 /// The bound by the ceilings of the client groups.
 pub(super) fn bound(records: &[HistoryRecord], budgets: &SharedBudgetBounds) -> BoundReport {
-    let seconds = WINDOW + BURST + SENT_WITHIN + 2.0 * budgets.tolerance;
+    let seconds = WINDOW + BURST + SENT_WITHIN + 2.0 * budgets.rules.tolerance;
     let mut bound = BoundReport::default();
     let mut groups: BTreeMap<u64, usize> = BTreeMap::new();
     let mut received = BTreeSet::new();
--- a/crates/history-checker/src/bounds/retries.rs
+++ b/crates/history-checker/src/bounds/retries.rs
@@ -15,7 +15,7 @@
 ) -> BoundReport {
     let window = limit.window;
     let process_quota = limit.free / budgets.gateways as f64;
-    let mut shared = SharedWindow::new(limit, process_quota, budgets.tolerance);
+    let mut shared = SharedWindow::new(limit, process_quota, budgets.rules.tolerance);
     let mut received = BTreeSet::new();
     let mut bound = BoundReport::default();
     for HistoryRecord { at, event } in records {
--- a/crates/history-checker/src/bounds/tests.rs
+++ b/crates/history-checker/src/bounds/tests.rs
@@ -21,7 +21,6 @@
         rate_ceilings: vec![Some(10.0)],
         in_flight: Some(3.0),
         rules,
-        tolerance: 0.0,
     }
 }
 
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -22,7 +22,7 @@
 mod violation;
 mod window_limit;
 
-pub use bounds::{BoundReport, SharedBudgetBounds, bounds};
+pub use bounds::{BoundReport, BoundViolation, SharedBudgetBounds, bounds};
 pub use event::{AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency};
 pub use membership::{DetectionTimes, MembershipObservations, membership_observations};
 pub use rule_parameters::RuleParameters;
--- a/crates/history-checker/tests/same_verdicts.rs
+++ b/crates/history-checker/tests/same_verdicts.rs
@@ -37,7 +37,6 @@
         rate_ceilings: vec![None, Some(4.0)],
         in_flight: Some(12.0),
         rules: rules(),
-        tolerance: 0.01,
     }
 }
 
