--- a/crates/scale-test/src/plan/reader/plays.rs
+++ b/crates/scale-test/src/plan/reader/plays.rs
@@ -44,7 +44,7 @@
         plays.push(play);
     }
     if plays.is_empty() {
-        root.report(0, "the plan has no play", "add play \"begin\" { does = \"start\" }");
+        root.report(0, "the plan plays nothing", "add play \"begin\" { does = \"start\" }");
     }
     plays
 }
