--- a/crates/capacity-model/benches/slopes/main.rs
+++ b/crates/capacity-model/benches/slopes/main.rs
@@ -3,8 +3,6 @@
 //! `cargo bench -p milletpath-capacity-model --bench slopes -- GROUP... [--seed N] [--out FOLDER]` writes one JSON file a
 //! slope, by default to docs/capacity. Without a group it lists the groups.
 
-#![warn(clippy::too_many_lines)]
-
 mod dispatcher;
 mod dispatcher_axes;
 mod dispatcher_simulation;
--- a/crates/capacity-model/src/lib.rs
+++ b/crates/capacity-model/src/lib.rs
@@ -5,8 +5,6 @@
 //! [`page::tables`]. The inputs are [`assumptions`], [`run`] with [`fit`], and [`scale`]; [`roles`] lists the
 //! [`quantity`] rows, [`projection`] evaluates them, [`shortfalls`] ranks what misses its limit.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 pub mod assumptions;
 mod breaking_point;
 pub mod error;
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -12,9 +12,6 @@
 //!
 //! All times are seconds of the caller's clock, as `f64`; it may start anywhere and may be stepped back.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 pub mod entry;
 pub mod message;
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,9 +3,6 @@
 //! [`read`] gives a [`GatewayConfig`], or every [`ConfigError`] of the text with line, column and remedy. What a setting
 //! means, its unit and bounds are in `docs/operators/configuration.md`. [`change`] holds changes made while gateways run.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 pub mod change;
 pub mod document;
 mod model;
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -5,9 +5,6 @@
 //!
 //! [`dispatcher::Dispatcher`] is the whole interface; [`timer_wheel::TimerWheel`] is public for its benchmark.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 pub mod dispatcher;
 pub mod timer_wheel;
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -8,9 +8,6 @@
 //!
 //! All times are seconds, as `f64`, by the clock of a [`context::EmulatorContext`] or of the simulation.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 pub mod clients;
 pub mod context;
 pub mod corrupting_stream;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,9 +7,6 @@
 //! with `action_router.rs` (dispatch), `attempt.rs` with `worker_exchange.rs` and `connection_pool.rs` (worker), and
 //! back through `open_requests.rs`, `http_service.rs` and `response_channel.rs` (response).
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 pub mod budget_sharing;
 pub mod control_client;
 pub mod hollow_gateway;
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -9,8 +9,6 @@
 //! - [`membership_observations`] measures how soon gateways learn of each other's start and end.
 //! - [`count_service`] counts service: the importance of requests answered in time.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 mod bounds;
 mod event;
 mod membership;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,9 +11,6 @@
 //! bound on the gateways that may use more than the floor of the shared budgets falls only by proof (`quorum/proof.rs`);
 //! [`Membership::quota_fraction`] follows that bound.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 pub mod datagram;
 
 mod clock;
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -5,9 +5,6 @@
 //! What sub-commands share: `config_file.rs` reads the configuration, `async_runtime.rs` runs futures,
 //! `shutdown_signal.rs` waits for SIGTERM, `control_overview.rs` and `control_status.rs` are what control machines report.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 mod async_runtime;
 mod built_in_fleet;
 mod capacity;
--- a/crates/multicore/src/lib.rs
+++ b/crates/multicore/src/lib.rs
@@ -8,8 +8,6 @@
 //! Decisions about cores, which have no state in common: [`connection_balancer`] chooses the core for a client connection;
 //! [`watchdog`] detects a stalled core and chooses what to do about it. The gateway's supervisor carries them out.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 pub mod budget;
 pub mod connection_balancer;
 pub mod heartbeat;
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -2,9 +2,6 @@
 //! ([`lines`]), between a router and workers ([`frames`]), what the discovery service sends ([`events`]), and the file
 //! that a router starts from ([`bootstrap`]). Names and numbers of the wire end here.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 pub mod bootstrap;
 pub mod events;
 pub mod frames;
--- a/crates/platform-router/src/lib.rs
+++ b/crates/platform-router/src/lib.rs
@@ -26,9 +26,6 @@
 //!    is the final one.
 //! 5. `client_connections/requests.rs` writes the final response to the client's connection.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 mod actions;
 mod backoff;
 mod client_connections;
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -2,9 +2,6 @@
 //! holds it: one reader for both. It gives the configuration of the routing decisions, and what a router on sockets
 //! needs beside it. The names of the settings are the platform's, and end here.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 mod error;
 mod load_report;
 mod lookup;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -15,9 +15,6 @@
 //! | `retry`, `load_requests`, `fleet_budgets`, `rate_limiter` | what may be repeated or loaded, and the budgets of both |
 //! | `worker_state`, `function_state`, `request_state`, `decay`, `random` | data |
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 mod admission;
 mod attempt_result;
 mod config;
--- a/crates/process-environment/src/lib.rs
+++ b/crates/process-environment/src/lib.rs
@@ -1,8 +1,6 @@
 //! What a process takes from the operating system and both routers need: signals as futures, the wall clock, and
 //! listening sockets with a long accept queue. It knows nothing of requests or workers.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 pub mod listener;
 pub mod signals;
 pub mod wall_clock;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,8 +4,6 @@
 //! load reports ([`worker`], [`orca`]), and the registry streams the endpoint list as lines of JSON ([`registry`]). Requests
 //! and responses are those of the `http` crate: the functions here read and name their parts.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 pub mod invoke;
 pub mod orca;
 pub mod problem;
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -5,8 +5,6 @@
 //! [`plan`] reads what is to be played, [`run`] plays it, [`report`] is the result. [`host`] is the process that
 //! hollow gateways share, [`relay`] passes the datagrams between all.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 pub mod applied_state;
 pub mod budgets;
 pub mod change_propagation;
--- a/crates/sealed-datagram/src/lib.rs
+++ b/crates/sealed-datagram/src/lib.rs
@@ -6,8 +6,6 @@
 //! BLAKE3's keyed hash (*BLAKE3: one function, fast everywhere*, section 2.3) over the version and the body. A datagram
 //! that is replayed is accepted again: whoever reads the body must expect that.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 use std::fmt;
 use thiserror::Error;
 
--- a/crates/shared-budgets/src/lib.rs
+++ b/crates/shared-budgets/src/lib.rs
@@ -5,8 +5,6 @@
 //! leases what it does not need to those that request it, and requests what it lacks ([`SharedBudgets`]). Whatever is
 //! lost, late, repeated or silent, all gateways together never use more than there is.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 mod adjustment;
 mod budget;
 mod budget_kind;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,6 @@
 //! Connects the routing decisions to the simulator: frames of events come on standard input, one reply of actions goes
 //! to standard output for each. It decodes, encodes and maps ids; every decision is made by `milletpath_policy`.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 mod error;
 mod event;
 mod event_batch;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -6,8 +6,6 @@
 //! handles it: `clients.rs`, `gateways.rs` with `budget_links.rs`, `workers.rs`, `endpoint_list.rs` or `faults.rs`. Each module
 //! owns its state; what all of them need (clock, queue, history, random numbers) is in `context.rs`.
 
-#![warn(missing_docs, clippy::too_many_lines)]
-
 mod budget_links;
 mod clients;
 mod clocks;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -7,9 +7,6 @@
 //! file after a failed sync is undefined (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC
 //! 2020).
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 mod backoff;
 mod disk;
 mod folder;
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -5,9 +5,6 @@
 //! `milletpath serve` in front of one worker, [`fleet_rig`] for gateways with membership, [`control_rig`] for
 //! control machines and the gateways that follow them.
 
-#![warn(missing_docs)]
-#![warn(clippy::too_many_lines)]
-
 #[cfg(feature = "process-rigs")]
 pub mod control_rig;
 #[cfg(feature = "process-rigs")]
