--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,8 +1,8 @@
 //! What the tests and benches of several packages share. Nothing here is part of the program.
 //!
 //! [`worker_frames`] and [`simulated_network`] need no processes. With the feature `process-rigs` there are rigs that
-//! run the program as processes on loopback: [`platform_rig`] for `milletpath platform`, [`serve_rig`] for
-//! `milletpath serve` in front of one worker, [`fleet_rig`] for gateways with membership, [`control_rig`] for
+//! run the program as processes on loopback: `platform_rig` for `milletpath platform`, `serve_rig` for
+//! `milletpath serve` in front of one worker, `fleet_rig` for gateways with membership, `control_rig` for
 //! control machines and the gateways that follow them.
 
 #[cfg(feature = "process-rigs")]
