--- a/crates/milletpath/src/change/commit.rs
+++ b/crates/milletpath/src/change/commit.rs
@@ -67,7 +67,7 @@
 pub fn commit(client: &Client, proposed: &ProposedChange) -> Result<u64, CommitError> {
     let current = client.get(&proposed.key).ok_or(CommitError::NoControlMachine)?;
     if current.text == proposed.text {
-        println!("{}: so already", proposed.key);
+        println!("{}: already in force", proposed.key);
         return Ok(current.number);
     }
     let (key, text) = (proposed.key.clone(), proposed.text.clone());
--- a/crates/milletpath/src/change/proposal.rs
+++ b/crates/milletpath/src/change/proposal.rs
@@ -28,7 +28,7 @@
     Invalid { path: PathBuf, errors: Vec<ConfigError> },
     /// There is no statement of that name to remove.
     #[error(
-        "--remove {0}: no statement goes by that; write the function's name, or functions for what is stated of all"
+        "--remove {0}: there is no such statement; write the function's name, or functions for what is stated of all"
     )]
     UnknownStatement(String),
     /// Neither a file nor a statement to remove is named.
--- a/crates/milletpath/tests/changes/agreement.rs
+++ b/crates/milletpath/tests/changes/agreement.rs
@@ -35,7 +35,7 @@
     }
     // Proposed again it is in force already, and costs no entry of the log.
     let again = installation.change(ORDER, &[]);
-    assert!(String::from_utf8_lossy(&again.stdout).contains("so already"), "{again:?}");
+    assert!(String::from_utf8_lossy(&again.stdout).contains("already in force"), "{again:?}");
     assert_eq!(installation.change_applied("", &["--remove", "packs"]), 2);
     for n in 0..5 {
         assert_eq!(installation.call_as_order_and_check(n), (400, 200), "{n}");
--- a/crates/milletpath/tests/changes/authors.rs
+++ b/crates/milletpath/tests/changes/authors.rs
@@ -90,7 +90,7 @@
     installation.change_applied(ORDER, &[]);
     installation.kill_control(0);
     assert_failed(&installation.change("", &[]), 2, "nothing to change");
-    assert_failed(&installation.change("", &["--remove", "no name"]), 2, "no statement goes by that");
+    assert_failed(&installation.change("", &["--remove", "no name"]), 2, "there is no such statement");
 }
 
 /// A gateway whose address is not known can't be asked; one that doesn't run doesn't answer.
