--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -1,5 +1,5 @@
 //! The processes of gateways: hosts of hollow ones, and real ones. What they report arrives on one channel as
-//! [`ChildMessage`](crate::child_message::ChildMessage)s. A process ends when its handle is dropped, however the run went.
+//! messages (`ChildMessage`). A process ends when its handle is dropped, however the run went.
 
 mod gateway_log;
 mod gateway_process;
