--- a/crates/capacity-model/benches/slopes/membership.rs
+++ b/crates/capacity-model/benches/slopes/membership.rs
@@ -78,7 +78,7 @@
 
 /// The fraction of the gateways that have a quorum.
 fn quorum_fraction(network: &SimulatedNetwork) -> f64 {
-    let has_quorum = |quota: &milletpath_membership::QuotaFraction| quota.fraction > quota.floor;
+    let has_quorum = |quota: &milletpath_membership::QuotaFraction| quota.fraction > quota.floor_fraction;
     let with_quorum = network.nodes.iter().filter(|node| node.quota.as_ref().is_some_and(has_quorum));
     with_quorum.count() as f64 / network.nodes.len() as f64
 }
--- a/crates/capacity-model/benches/slopes/shared_budgets.rs
+++ b/crates/capacity-model/benches/slopes/shared_budgets.rs
@@ -21,8 +21,12 @@
 const LIMITS: &str = "limits {\n  in_flight = 2200\n}\n";
 
 /// A quorum of the whole fleet, which does not expire.
-const QUOTA: QuotaFraction =
-    QuotaFraction { likely_gateways: 1_100.0, fraction: 1.0, floor: 0.5, valid_until: f64::INFINITY };
+const QUOTA: QuotaFraction = QuotaFraction {
+    likely_gateways: 1_100.0,
+    fraction: 1.0,
+    floor_fraction: 0.5,
+    valid_until: f64::INFINITY,
+};
 
 /// One gateway's dispatcher and its part in the shared budgets.
 struct Gateway {
--- a/crates/config-log/src/follower/agreement.rs
+++ b/crates/config-log/src/follower/agreement.rs
@@ -57,7 +57,7 @@
     }
 
     /// The highest head that enough replicas report.
-    pub fn known(&self) -> u64 {
+    pub fn known_head(&self) -> u64 {
         let mut heads: Vec<u64> = self.all.iter().map(|source| source.head).collect();
         heads.sort_by(|a, b| b.cmp(a));
         heads.get(self.required - 1).copied().unwrap_or(0)
--- a/crates/config-log/src/follower/snapshot_fetch.rs
+++ b/crates/config-log/src/follower/snapshot_fetch.rs
@@ -51,10 +51,10 @@
     /// Starts a fetch from one of the followed replicas; from another one after each failure.
     fn start_snapshot_fetch(&mut self, is_rebuild: bool) {
         let now = self.clock.now;
-        let known = self.sources.known();
+        let known_head = self.sources.known_head();
         let can_serve = |replica: &usize| {
             let source = &self.sources.all[*replica];
-            source.head >= known && source.last_received_at.is_some()
+            source.head >= known_head && source.last_received_at.is_some()
         };
         let candidates: Vec<_> = self.sources.followed(now).into_iter().filter(can_serve).collect();
         let Some(&source) = candidates.get(self.failed_fetches % candidates.len().max(1)) else { return };
@@ -79,12 +79,12 @@
 
     /// If entries are missing, polls soon, and fetches a snapshot if they are many or no longer kept one by one.
     pub(super) fn catch_up(&mut self) {
-        let (known, head) = (self.sources.known(), self.state.head());
-        if known <= head {
+        let (known_head, head) = (self.sources.known_head(), self.state.head());
+        if known_head <= head {
             return;
         }
         let gaps = self.sources.all.iter().filter(|source| source.has_gap).count();
-        let needs_snapshot = known - head > SNAPSHOT_DISTANCE || gaps >= self.sources.required;
+        let needs_snapshot = known_head - head > SNAPSHOT_DISTANCE || gaps >= self.sources.required;
         if self.snapshot_fetch.is_none() && needs_snapshot {
             self.start_snapshot_fetch(false);
         }
--- a/crates/config-log/src/follower/status.rs
+++ b/crates/config-log/src/follower/status.rs
@@ -12,7 +12,7 @@
         clock.advance_to(now);
         let now = clock.now;
         let head = self.state.head();
-        let known = self.sources.known();
+        let known = self.sources.known_head();
         let replica_status = |(replica, source): (usize, &Source)| ReplicaStatus {
             replica,
             seconds_since_contact: source.last_received_at.map(|at| now - at),
--- a/crates/config-log/src/replica/election.rs
+++ b/crates/config-log/src/replica/election.rs
@@ -150,7 +150,7 @@
         for number in self.head() + 1..=last {
             let change = highest.get(&number).map_or_else(Change::no_op, |vote| vote.change.clone());
             let own = self.proposer.pending.iter_mut().filter(|pending| pending.change.id == change.id);
-            own.for_each(|pending| pending.number = Some(number));
+            own.for_each(|pending| pending.proposed_number = Some(number));
             self.propose_at(number, ballot, change);
         }
     }
--- a/crates/config-log/src/replica/pending.rs
+++ b/crates/config-log/src/replica/pending.rs
@@ -12,11 +12,11 @@
     /// Who is told the outcome; `None` if another replica forwarded the change.
     pub author: Option<SocketAddr>,
     /// When it was received.
-    pub since: f64,
+    pub received_at: f64,
     /// When it was last proposed or forwarded.
     pub sent_at: Option<f64>,
     /// The number at which this replica proposed it.
-    pub number: Option<u64>,
+    pub proposed_number: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -38,7 +38,13 @@
     }
 
     pub fn add(&mut self, change: Change, author: Option<SocketAddr>, now: f64) {
-        self.changes.push(PendingChange { change, author, since: now, sent_at: None, number: None });
+        self.changes.push(PendingChange {
+            change,
+            author,
+            received_at: now,
+            sent_at: None,
+            proposed_number: None,
+        });
     }
 
     /// Removes the changes for which `is_resolved` holds, and returns them in order.
@@ -48,12 +54,13 @@
 
     /// Makes changes ready to be proposed again that were proposed at numbers for which `is_decided` holds.
     pub fn reopen(&mut self, is_decided: impl Fn(u64) -> bool) {
-        let displaced = self.changes.iter_mut().filter(|pending| pending.number.is_some_and(&is_decided));
-        displaced.for_each(|pending| pending.number = None);
+        let displaced =
+            self.changes.iter_mut().filter(|pending| pending.proposed_number.is_some_and(&is_decided));
+        displaced.for_each(|pending| pending.proposed_number = None);
     }
 
     /// Forgets all proposals and forwards.
     pub fn reset(&mut self) {
-        self.changes.iter_mut().for_each(|pending| (pending.number, pending.sent_at) = (None, None));
+        self.changes.iter_mut().for_each(|pending| (pending.proposed_number, pending.sent_at) = (None, None));
     }
 }
--- a/crates/config-log/src/replica/proposals.rs
+++ b/crates/config-log/src/replica/proposals.rs
@@ -112,7 +112,7 @@
     /// Tells authors of changes that were pending for too long that the outcome is unknown.
     pub(super) fn expire_pending(&mut self) {
         let (now, timeout) = (self.clock.now, self.timing.proposal_timeout);
-        let expired = self.resolve(|pending| pending.since + timeout <= now, Outcome::Unknown);
+        let expired = self.resolve(|pending| pending.received_at + timeout <= now, Outcome::Unknown);
         self.counters.expired_proposals += expired as u64;
     }
 }
--- a/crates/config-log/src/replica/proposing.rs
+++ b/crates/config-log/src/replica/proposing.rs
@@ -63,7 +63,7 @@
 
     /// Since when there has been something to propose; `None` if there is nothing.
     fn oldest_work_at(&self) -> Option<f64> {
-        let pending = self.proposer.pending.iter().map(|pending| pending.since).reduce(f64::min);
+        let pending = self.proposer.pending.iter().map(|pending| pending.received_at).reduce(f64::min);
         let stalled = self.proposer.stall.map(|stall| stall.since + TAKEOVER_DELAY);
         let stalled = stalled.filter(|since| *since <= self.clock.now);
         pending.into_iter().chain(stalled).reduce(f64::min)
@@ -101,12 +101,13 @@
         while let Role::Leading { ballot, next_number } = &mut self.proposer.role {
             let head = self.log.state.head();
             let number = (*next_number).max(head + 1);
-            let unproposed = self.proposer.pending.iter_mut().find(|pending| pending.number.is_none());
+            let unproposed =
+                self.proposer.pending.iter_mut().find(|pending| pending.proposed_number.is_none());
             let Some(pending) = unproposed else { break };
             if number > head + MAX_OPEN_NUMBERS {
                 break;
             }
-            pending.number = Some(number);
+            pending.proposed_number = Some(number);
             pending.sent_at = Some(self.clock.now);
             *next_number = number + 1;
             let (ballot, change) = (*ballot, pending.change.clone());
@@ -148,7 +149,8 @@
     /// When something is due here.
     pub(super) fn proposer_deadline(&self) -> f64 {
         let proposer = &self.proposer;
-        let expiry = proposer.pending.iter().map(|pending| pending.since + self.timing.proposal_timeout);
+        let expiry =
+            proposer.pending.iter().map(|pending| pending.received_at + self.timing.proposal_timeout);
         let takeover = proposer.stall.map(|stall| stall.since + TAKEOVER_DELAY);
         let takeover = takeover.filter(|at| *at > self.clock.now);
         let role = match &proposer.role {
--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -36,11 +36,11 @@
 pub fn read(top: &Section<'_>) -> Profiles {
     let mut profiles = Profiles::default();
     for section in top.blocks("profile", true) {
-        let due = latency_objective(&section);
-        let deadline = deadline(&section, due);
+        let objective = latency_objective(&section);
+        let deadline = deadline(&section, objective);
         let effect = effect(&section);
         let importance = section.number("importance", "", 0.0..=1e9).unwrap_or(1.0);
-        profiles.policy.push(Profile { latency_objective: due, idempotency: effect });
+        profiles.policy.push(Profile { latency_objective: objective, idempotency: effect });
         profiles.config.push(ProfileConfig { name: section.label.clone(), deadline, importance });
     }
     if profiles.policy.is_empty() {
@@ -51,19 +51,19 @@
 }
 
 fn latency_objective(section: &Section<'_>) -> f64 {
-    let due = section.number("due", "seconds", 0.001..=MAX_SECONDS);
+    let stated = section.number("due", "seconds", 0.001..=MAX_SECONDS);
     if !section.has("due") {
         section.report_missing("due", "1.0");
     }
-    due.unwrap_or(1.0)
+    stated.unwrap_or(1.0)
 }
 
-fn deadline(section: &Section<'_>, due: f64) -> f64 {
+fn deadline(section: &Section<'_>, latency_objective: f64) -> f64 {
     let stated = section.number("cut_off", "seconds", 0.001..=MAX_SECONDS);
-    let deadline = stated.unwrap_or(DEFAULT_DEADLINE * due);
-    if deadline < due {
+    let deadline = stated.unwrap_or(DEFAULT_DEADLINE * latency_objective);
+    if deadline < latency_objective {
         let problem = format!("cut_off of {} is shorter than its due time", section.title);
-        section.report(section.offset_of("cut_off"), problem, format!("make it {due} or more"));
+        section.report(section.offset_of("cut_off"), problem, format!("make it {latency_objective} or more"));
     }
     deadline
 }
--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -155,10 +155,10 @@
         others: Vec<u64>,
     ) {
         self.update_worker_budgets(dispatcher, now);
-        let QuotaFraction { fraction, floor, valid_until, .. } = *quota;
+        let QuotaFraction { fraction, floor_fraction, valid_until, .. } = *quota;
         self.shared_budgets.set_entitlement(
             now,
-            Entitlement { fraction, floor_fraction: floor, valid_until },
+            Entitlement { fraction, floor_fraction, valid_until },
             others,
         );
         self.record_usage(dispatcher, now);
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -316,7 +316,7 @@
             None => DispatcherQuota {
                 likely_gateways,
                 fraction: quota.fraction,
-                fraction_after_expiry: quota.floor,
+                fraction_after_expiry: quota.floor_fraction,
                 valid_until: quota.valid_until,
             },
             Some(InjectedFault::LikelyCount) => {
--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -129,7 +129,7 @@
     while network.now < from + seconds {
         network.run_until(network.now + 0.5);
         samples += size;
-        let at_floor = |node: &&Node| node.quota.is_some_and(|quota| quota.fraction <= quota.floor);
+        let at_floor = |node: &&Node| node.quota.is_some_and(|quota| quota.fraction <= quota.floor_fraction);
         without_quorum += network.nodes.iter().filter(at_floor).count();
     }
     let per_gateway_hour = |matches: fn(&MembershipEvent) -> bool| {
--- a/crates/membership/src/datagram/sealing.rs
+++ b/crates/membership/src/datagram/sealing.rs
@@ -15,16 +15,16 @@
     #[error(
         "its size is not that of a datagram between gateways, which has at most {MAX_DATAGRAM_BYTES} bytes"
     )]
-    Size,
+    InvalidSize,
     /// A version that this program does not read.
     #[error("version {0} is not supported: run gateways of compatible releases")]
-    Version(u8),
+    UnsupportedVersion(u8),
     /// Sealed with another key, or changed in transit.
     #[error("the seal does not match: give all gateways of the cluster the same key")]
-    Seal,
+    InvalidTag,
     /// Authentic, but the body is malformed.
     #[error("the body is malformed")]
-    Body,
+    InvalidBody,
 }
 
 /// Why a datagram cannot be sealed.
@@ -41,9 +41,9 @@
 impl From<sealed_datagram::OpenError> for OpenError {
     fn from(error: sealed_datagram::OpenError) -> Self {
         match error {
-            sealed_datagram::OpenError::InvalidSize => Self::Size,
-            sealed_datagram::OpenError::UnsupportedVersion(version) => Self::Version(version),
-            sealed_datagram::OpenError::InvalidTag => Self::Seal,
+            sealed_datagram::OpenError::InvalidSize => Self::InvalidSize,
+            sealed_datagram::OpenError::UnsupportedVersion(version) => Self::UnsupportedVersion(version),
+            sealed_datagram::OpenError::InvalidTag => Self::InvalidTag,
         }
     }
 }
@@ -86,8 +86,8 @@
 }
 
 fn decode(body: &[u8]) -> Result<Datagram, OpenError> {
-    let datagram: Datagram = minicbor::decode(body).map_err(|_| OpenError::Body)?;
+    let datagram: Datagram = minicbor::decode(body).map_err(|_| OpenError::InvalidBody)?;
     let valid = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     let updates_valid = datagram.updates.iter().all(|update| update.name.as_deref().is_none_or(valid));
-    if valid(&datagram.sender.name) && updates_valid { Ok(datagram) } else { Err(OpenError::Body) }
+    if valid(&datagram.sender.name) && updates_valid { Ok(datagram) } else { Err(OpenError::InvalidBody) }
 }
--- a/crates/membership/src/failure_detection/probing.rs
+++ b/crates/membership/src/failure_detection/probing.rs
@@ -9,9 +9,9 @@
 /// Fraction of the period after which a ping is repeated.
 const RETRY_AFTER: f64 = 0.22;
 
-/// Pings in one probe. With 30 % of all datagrams lost, four tries and six helpers leave one probe in a hundred
+/// Pings in one probe. With 30 % of all datagrams lost, four pings and six helpers leave one probe in a hundred
 /// unanswered.
-const MAX_TRIES: u32 = 4;
+const MAX_PINGS: u32 = 4;
 
 /// Helpers asked at each try but the first and the last.
 const HELPERS: usize = 3;
@@ -34,12 +34,12 @@
     fn retry_probe(&mut self) {
         let (now, retry_after) = (self.now, RETRY_AFTER * self.config.period);
         let Some(probe) = self.probe.as_mut().filter(|p| !p.answered && now >= p.retry_at) else { return };
-        probe.tries += 1;
-        probe.retry_at = if probe.tries < MAX_TRIES { now + retry_after } else { f64::INFINITY };
-        let (target, tries) = (probe.instance_id, probe.tries);
+        probe.pings_sent += 1;
+        probe.retry_at = if probe.pings_sent < MAX_PINGS { now + retry_after } else { f64::INFINITY };
+        let (target, pings_sent) = (probe.instance_id, probe.pings_sent);
         let Some(address) = self.address_of(target) else { return };
         self.send_request(target, address, kind::PING, 0);
-        if !(2..MAX_TRIES).contains(&tries) {
+        if !(2..MAX_PINGS).contains(&pings_sent) {
             return;
         }
         let can_help = |id: u64, member: &Member| id != target && member.state == MemberState::Alive;
@@ -74,8 +74,13 @@
         self.counters.probes += 1;
         self.send_request(target, address, kind::PING, 0);
         let retry_at = self.now + RETRY_AFTER * self.config.period;
-        self.probe =
-            Some(Probe { instance_id: target, started_at: self.now, tries: 1, retry_at, answered: false });
+        self.probe = Some(Probe {
+            instance_id: target,
+            started_at: self.now,
+            pings_sent: 1,
+            retry_at,
+            answered: false,
+        });
     }
 
     /// Pings a member on behalf of another that does not hear it.
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -11,7 +11,7 @@
     /// What this gateway may use until `valid_until`.
     pub fraction: f64,
     /// What it may use from then on, unless the fraction is renewed.
-    pub floor: f64,
+    pub floor_fraction: f64,
     /// End of the fraction's validity, in seconds on the caller's clock.
     pub valid_until: f64,
 }
@@ -43,7 +43,7 @@
         QuotaFraction {
             likely_gateways: self.likely_gateways(),
             fraction: lowest * own_max_gateways,
-            floor: floor * own_max_gateways,
+            floor_fraction: floor * own_max_gateways,
             valid_until: valid_until - self.clock_offset,
         }
     }
--- a/crates/membership/src/state/counters.rs
+++ b/crates/membership/src/state/counters.rs
@@ -61,10 +61,10 @@
     /// Counts a received datagram that could not be opened.
     pub fn record_rejected(&mut self, error: OpenError) {
         *match error {
-            OpenError::Size => &mut self.rejected_size,
-            OpenError::Version(_) => &mut self.rejected_version,
-            OpenError::Seal => &mut self.rejected_seal,
-            OpenError::Body => &mut self.rejected_body,
+            OpenError::InvalidSize => &mut self.rejected_size,
+            OpenError::UnsupportedVersion(_) => &mut self.rejected_version,
+            OpenError::InvalidTag => &mut self.rejected_seal,
+            OpenError::InvalidBody => &mut self.rejected_body,
         } += 1;
     }
 }
--- a/crates/membership/src/state/probe.rs
+++ b/crates/membership/src/state/probe.rs
@@ -20,7 +20,7 @@
 pub(crate) struct Probe {
     pub instance_id: u64,
     pub started_at: f64,
-    pub tries: u32,
+    pub pings_sent: u32,
     /// When the next try is due; infinite after the last one or an answer.
     pub retry_at: f64,
     pub answered: bool,
--- a/crates/membership/tests/network_faults.rs
+++ b/crates/membership/tests/network_faults.rs
@@ -60,7 +60,7 @@
     assert_eq!(deaf.reachability(), Reachability::Nobody);
     assert_eq!(deaf.likely_gateways(), 12.0);
     let quota = network.nodes[0].quota.expect("it was read");
-    assert_eq!(quota.fraction, quota.floor);
+    assert_eq!(quota.fraction, quota.floor_fraction);
     let suspected_by_others = |other: &usize| {
         let suspect = format!("gateway-{other}");
         let matches = |event: &MembershipEvent| matches!(event, MembershipEvent::Suspected { name } if *name == suspect);
--- a/crates/membership/tests/rejected_datagrams.rs
+++ b/crates/membership/tests/rejected_datagrams.rs
@@ -28,14 +28,14 @@
 #[test_case(&[1; 17]; "nothing but version and seal")]
 #[test_case(&[1; MAX_DATAGRAM_BYTES + 1]; "too large")]
 fn a_datagram_of_a_wrong_size_is_rejected(sealed: &[u8]) {
-    assert_eq!(datagram::open(&key(), sealed), Err(OpenError::Size));
+    assert_eq!(datagram::open(&key(), sealed), Err(OpenError::InvalidSize));
 }
 
 #[test]
 fn a_datagram_of_version_zero_is_rejected() {
     let mut sealed = sealed_ping();
     sealed[0] = 0;
-    assert_eq!(datagram::open(&key(), &sealed), Err(OpenError::Version(0)));
+    assert_eq!(datagram::open(&key(), &sealed), Err(OpenError::UnsupportedVersion(0)));
 }
 
 #[test]
@@ -44,9 +44,9 @@
     for index in 1..sealed.len() {
         let mut changed = sealed.clone();
         changed[index] ^= 1;
-        assert_eq!(datagram::open(&key(), &changed), Err(OpenError::Seal), "byte {index}");
+        assert_eq!(datagram::open(&key(), &changed), Err(OpenError::InvalidTag), "byte {index}");
     }
-    assert_eq!(datagram::open(&Key::new(b"another secret"), &sealed), Err(OpenError::Seal));
+    assert_eq!(datagram::open(&Key::new(b"another secret"), &sealed), Err(OpenError::InvalidTag));
 }
 
 #[test_case(String::new(); "without a name")]
@@ -54,7 +54,7 @@
 fn an_authentic_datagram_is_rejected(name: String) {
     let sender = Identity { name, ..identity(2) };
     let sealed = datagram::seal(&key(), &Datagram::new(sender, 1, kind::PING, 1)).expect("it fits");
-    assert_eq!(datagram::open(&key(), &sealed), Err(OpenError::Body));
+    assert_eq!(datagram::open(&key(), &sealed), Err(OpenError::InvalidBody));
     assert_eq!(datagram::decode_unverified(&sealed), None);
 }
 
@@ -68,7 +68,13 @@
 #[test]
 fn rejections_are_counted_by_cause() {
     let mut counters = Counters::default();
-    for error in [OpenError::Size, OpenError::Version(0), OpenError::Seal, OpenError::Seal, OpenError::Body] {
+    for error in [
+        OpenError::InvalidSize,
+        OpenError::UnsupportedVersion(0),
+        OpenError::InvalidTag,
+        OpenError::InvalidTag,
+        OpenError::InvalidBody,
+    ] {
         counters.record_rejected(error);
     }
     assert_eq!((counters.rejected_size, counters.rejected_version), (1, 1));
--- a/crates/shared-budgets/src/budget.rs
+++ b/crates/shared-budgets/src/budget.rs
@@ -84,8 +84,8 @@
         self.previous_use = use_now;
         if self.unsuccessful_rounds >= MAX_UNSUCCESSFUL_ROUNDS || has_used_unit {
             self.unsuccessful_rounds = 0;
-            let hold = if has_used_unit { self.ledger.kind().hold() } else { 0.0 };
-            self.paused_until = now + (hold + MEAN_PAUSE * 2.0 * rng.rand_float());
+            let last_use = if has_used_unit { self.ledger.kind().max_unit_use() } else { 0.0 };
+            self.paused_until = now + (last_use + MEAN_PAUSE * 2.0 * rng.rand_float());
         }
     }
 
--- a/crates/shared-budgets/src/budget_kind.rs
+++ b/crates/shared-budgets/src/budget_kind.rs
@@ -17,10 +17,10 @@
 impl BudgetKind {
     /// Seconds for which a unit is in use at most once it was used; 0 for a rate.
     #[must_use]
-    pub fn hold(self) -> f64 {
+    pub fn max_unit_use(self) -> f64 {
         match self {
             Self::Rate => 0.0,
-            Self::Window(hold) | Self::InFlight(hold) => hold,
+            Self::Window(seconds) | Self::InFlight(seconds) => seconds,
         }
     }
 
--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -5,7 +5,7 @@
 //!   counts from when it sent its request, the lender from when it granted it, and longer by what clocks may drift apart.
 //! - A request states how much its sender holds of the lender's at most from then on. So what is not needed any more is
 //!   returned at once, and a grant that arrives late is worth what the requests since then leave of it.
-//! - Units that were used are in use for a while ([`BudgetKind::hold`]). They are not leased meanwhile, and leased units
+//! - Units that were used are in use for a while ([`BudgetKind::max_unit_use`]). They are not leased meanwhile, and leased units
 //!   return only once all that was used of them has ended, or when the borrower states that it uses no more than it holds.
 //!
 //! So at every moment what all gateways may use is at most the sum of what they are entitled to, whatever is lost, late or
@@ -75,7 +75,7 @@
         };
         if let Some(reserved) = reserved {
             let started_at = if faults.starts_with_whole_quota { f64::NEG_INFINITY } else { now };
-            let end = started_at + lease_duration * CLOCK_MARGIN + kind.hold();
+            let end = started_at + lease_duration * CLOCK_MARGIN + kind.max_unit_use();
             granted.assume_granted_by_predecessor(end, quota - reserved);
         }
         let held = HeldLeases::default();
@@ -228,7 +228,7 @@
         if self.faults.grant_ends_with_lease {
             self.lease_duration
         } else {
-            self.lease_duration * CLOCK_MARGIN + self.kind.hold()
+            self.lease_duration * CLOCK_MARGIN + self.kind.max_unit_use()
         }
     }
 
@@ -250,7 +250,7 @@
     /// Units that do not return within a lease are granted by halves of what is free: others may request some at the same
     /// time.
     fn growth_limit(&self, lendable: f64, current: f64, free: f64) -> f64 {
-        if self.kind.hold() > 0.0 && lendable >= 1.0 {
+        if self.kind.max_unit_use() > 0.0 && lendable >= 1.0 {
             current + 0.5 * (free - current).max(0.0)
         } else {
             free
--- a/crates/shared-budgets/tests/fleet/mod.rs
+++ b/crates/shared-budgets/tests/fleet/mod.rs
@@ -172,9 +172,9 @@
 
     /// Units of a gateway in use now.
     fn in_use(&self, n: usize) -> f64 {
-        let (clock, hold) = (self.clock(n), self.kind.hold());
+        let (clock, max_use) = (self.clock(n), self.kind.max_unit_use());
         let used = self.gateways[n].iter().flat_map(|gateway| &gateway.used_at);
-        used.filter(|at| clock - **at <= hold).count() as f64
+        used.filter(|at| clock - **at <= max_use).count() as f64
     }
 
     fn meter(&mut self, n: usize) -> UsageMeter {
--- a/crates/simulator/src/budget_links.rs
+++ b/crates/simulator/src/budget_links.rs
@@ -68,7 +68,7 @@
         let fraction = QuotaFraction {
             likely_gateways: count as f64,
             fraction: 1.0,
-            floor: 1.0,
+            floor_fraction: 1.0,
             valid_until: f64::INFINITY,
         };
         *timer = f64::INFINITY;
--- a/crates/test-support/src/simulated_network/mod.rs
+++ b/crates/test-support/src/simulated_network/mod.rs
@@ -85,7 +85,7 @@
     /// Fraction of the budgets that it may use by its own clock, as a multiple of the even quota.
     fn used_fraction(&self, now: f64) -> Option<f64> {
         let quota = self.quota?;
-        Some(if self.clock(now) < quota.valid_until { quota.fraction } else { quota.floor })
+        Some(if self.clock(now) < quota.valid_until { quota.fraction } else { quota.floor_fraction })
     }
 
     /// Whether the work was meant for a former process, or replaced by an earlier tick.
