--- a/crates/config-log/src/follower/agreement.rs
+++ b/crates/config-log/src/follower/agreement.rs
@@ -1,4 +1,5 @@
-//! What enough replicas report alike, so that a single faulty one has no influence.
+//! What enough replicas report alike (`required`, two where there are that many), so that a single faulty one has no
+//! influence.
 
 use super::source::Source;
 use super::sources::Sources;
@@ -49,8 +50,8 @@
         self.confirmed(self.all.iter().filter_map(|source| source.digests.get(&number))).copied()
     }
 
-    /// Distrusts the replicas whose reports contradict what is known to be true. Their reports are forgotten, so that each
-    /// contradiction counts once.
+    /// Passes over, for a while, the replicas whose reports contradict what is known to be true. Their reports are
+    /// discarded, so that each contradiction counts once.
     pub fn distrust_contradicting(&mut self, now: f64, known: Reported) {
         let contradicting = self.all.iter_mut().filter(|source| known.is_contradicted_by(source));
         contradicting.for_each(|source| source.distrust(now));
--- a/crates/config-log/src/follower/applying.rs
+++ b/crates/config-log/src/follower/applying.rs
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Replaces the whole state. The gateway is given all entries again, and removals of keys that are not in the new one.
+    /// Replaces the complete state. The gateway is given all entries again, and removals of keys that are not in the new
+    /// one.
     pub(super) fn replace_state(&mut self, state: State) {
         let disappeared =
             self.state.iter().filter(|(_, change)| state.get(&change.key).is_none() && change.text.is_some());
--- a/crates/config-log/src/follower/snapshot_fetch.rs
+++ b/crates/config-log/src/follower/snapshot_fetch.rs
@@ -34,7 +34,7 @@
 const REBUILD_INTERVAL: f64 = 30.0;
 
 impl Follower {
-    /// The state is not one of the log: fetches a whole one.
+    /// The state is not one of the log: fetches a complete snapshot.
     pub(super) fn start_rebuild(&mut self) {
         let is_rebuilding = self.snapshot_fetch.as_ref().is_some_and(|fetch| fetch.is_rebuild);
         if self.clock.now < self.rebuild_allowed_at || is_rebuilding {
--- a/crates/config-log/src/follower/state.rs
+++ b/crates/config-log/src/follower/state.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct SnapshotFetch {
     pub source: usize,
-    /// Whether it replaces the whole state, and not only extends it.
+    /// Whether it replaces the complete state; otherwise it extends it.
     pub is_rebuild: bool,
     pub assembly: SnapshotAssembly,
     /// When it is given up.
@@ -108,7 +108,7 @@
         saved_state::encode(&self.state)
     }
 
-    /// Reports that the gateway could not apply an entry; the replicas are told with each poll. The latest report is kept
+    /// Reports that the gateway could not apply an entry; each poll reports it to the replicas. The latest report is kept
     /// until another entry is in force under its key.
     pub fn report_apply_error(&mut self, number: u64, reason: String) {
         self.apply_error = Some(ApplyError { number, reason: truncated(reason, MAX_APPLY_ERROR_BYTES) });
--- a/crates/config-log/src/replica/acceptor.rs
+++ b/crates/config-log/src/replica/acceptor.rs
@@ -1,5 +1,5 @@
 //! The acceptor's state. What it promises and accepts binds it forever, also after a restart, so every change of it is
-//! stored before anything that tells of it is sent.
+//! stored before any message that depends on it is sent.
 
 use crate::entry::Change;
 use crate::message::{Ballot, Vote};
--- a/crates/config-log/src/replica/catching_up.rs
+++ b/crates/config-log/src/replica/catching_up.rs
@@ -18,16 +18,16 @@
 const SOURCE_TIMEOUT: f64 = 1.0;
 
 impl Replica {
-    fn heard_recently(&self, replica: usize) -> bool {
+    fn has_recent_contact(&self, replica: usize) -> bool {
         let last = self.peers[replica].last_received_at;
         last.is_some_and(|at| self.clock.now - at < SOURCE_TIMEOUT)
     }
 
-    /// The replica with the highest head beyond the own one; one heard from recently comes first.
+    /// The replica with the highest head beyond the own one; one that sent something recently comes first.
     fn most_advanced_replica(&self) -> Option<usize> {
         let head_of = |replica: usize| self.peers[replica].progress.head;
         let advanced = (0..self.peers.len()).filter(|replica| head_of(*replica) > self.head());
-        advanced.max_by_key(|replica| (self.heard_recently(*replica), head_of(*replica)))
+        advanced.max_by_key(|replica| (self.has_recent_contact(*replica), head_of(*replica)))
     }
 
     /// Asks for what is missing, if anything is and a fetch is due.
@@ -40,7 +40,7 @@
             return;
         }
         self.catch_up.fetch_at = self.clock.now + self.timing.retransmit_interval;
-        if self.catch_up.snapshot.as_ref().is_some_and(|fetch| !self.heard_recently(fetch.source)) {
+        if self.catch_up.snapshot.as_ref().is_some_and(|fetch| !self.has_recent_contact(fetch.source)) {
             self.catch_up.snapshot = None;
         }
         let (source, after, snapshot) = match &self.catch_up.snapshot {
--- a/crates/config-log/src/replica/election.rs
+++ b/crates/config-log/src/replica/election.rs
@@ -127,9 +127,9 @@
         let complete: Vec<_> = attempt.promises.values().filter(|promise| promise.complete).collect();
         let voters: Vec<_> = complete.iter().filter(|promise| promise.votes).collect();
         let has_quorum = voters.len() + 1 >= self.quorum;
-        // A replica that forgot what it said may vote again once all others have answered: whatever it helped to choose,
-        // or may still help to choose by what it said before, one of them knows that also voted for it and has not
-        // forgotten. That holds while fewer than a quorum have forgotten.
+        // A replica that lost its promises and votes may vote again once all others have answered. Whatever its former
+        // votes chose, or may still choose, one of the others voted for too and still knows: that holds while fewer
+        // than a quorum have lost theirs.
         let forgetful = complete.len() - voters.len() + 1;
         let may_be_readmitted = complete.len() + 1 == self.replicas.len() && forgetful < self.quorum;
         let is_successful = if self.is_voter { has_quorum } else { may_be_readmitted };
--- a/crates/config-log/src/replica/pending.rs
+++ b/crates/config-log/src/replica/pending.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct PendingChange {
     pub change: Change,
-    /// Who is told the outcome; `None` if another replica forwarded the change.
+    /// Who is sent the outcome; `None` if another replica forwarded the change.
     pub author: Option<SocketAddr>,
     /// When it was received.
     pub received_at: f64,
--- a/crates/config-log/src/replica/proposals.rs
+++ b/crates/config-log/src/replica/proposals.rs
@@ -1,4 +1,4 @@
-//! Changes of authors: taken, forwarded to the leader, and answered with their outcome.
+//! Changes of authors: received, forwarded to the leader, and answered with their outcome.
 
 use super::pending::PendingChange;
 use super::state::Replica;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Ends pending changes and tells their authors.
+    /// Ends pending changes and sends the outcome to their authors; returns how many they are.
     fn resolve(&mut self, is_resolved: impl Fn(&PendingChange) -> bool, outcome: Outcome) -> usize {
         let resolved = self.proposer.pending.take(is_resolved);
         for pending in &resolved {
@@ -109,7 +109,7 @@
         changes.into_iter().for_each(|change| self.send_to(leader, Message::Propose { change }));
     }
 
-    /// Tells authors of changes that were pending for too long that the outcome is unknown.
+    /// Ends changes that were pending for too long; their authors learn that the outcome is unknown.
     pub(super) fn expire_pending(&mut self) {
         let (now, timeout) = (self.clock.now, self.timing.proposal_timeout);
         let expired = self.resolve(|pending| pending.received_at + timeout <= now, Outcome::Unknown);
--- a/crates/config-log/src/replica/proposer.rs
+++ b/crates/config-log/src/replica/proposer.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub ballot: Ballot,
-    /// Random id that tells the answers to this attempt from those to a former process.
+    /// Random id that distinguishes the answers to this attempt from those to a former process.
     pub id: u64,
     /// By index of the replica.
     pub promises: BTreeMap<usize, ReceivedPromise>,
--- a/crates/config-log/src/replica/proposing.rs
+++ b/crates/config-log/src/replica/proposing.rs
@@ -70,7 +70,7 @@
     }
 
     /// Another replica that should propose: the owner of the highest ballot or, if that one is silent, the first replica
-    /// that votes and is heard from, so that not all try at once.
+    /// that votes and sent something lately, so that not all prepare at once.
     fn leader(&self) -> Option<usize> {
         let since = self.oldest_work_at()?;
         let owner = Some(self.observed.owner())
@@ -87,8 +87,8 @@
             return self.may_vote();
         }
         let peer = &self.peers[replica];
-        let is_heard = peer.last_received_at.is_some_and(|at| self.clock.now < at + LEADER_TIMEOUT);
-        is_heard && peer.progress.votes
+        let has_recent_contact = peer.last_received_at.is_some_and(|at| self.clock.now < at + LEADER_TIMEOUT);
+        has_recent_contact && peer.progress.votes
     }
 
     fn lead(&mut self) {
--- a/crates/config-log/src/replica/voting.rs
+++ b/crates/config-log/src/replica/voting.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Phase 2 of Paxos: accepts a proposal, and tells all replicas.
+    /// Phase 2 of Paxos: accepts a proposal, and reports that to all replicas.
     pub(super) fn on_accept(&mut self, from: usize, vote: Vote) {
         let (head, number, ballot) = (self.head(), vote.number, vote.ballot);
         self.observed = self.observed.max(ballot);
--- a/crates/config-log/src/state.rs
+++ b/crates/config-log/src/state.rs
@@ -48,7 +48,7 @@
     hasher.update(&change.id.to_le_bytes());
     hasher.update(&(change.key.len() as u64).to_le_bytes());
     hasher.update(change.key.as_bytes());
-    // Tells a removed text from an empty one.
+    // Distinguishes a removed text from an empty one.
     hasher.update(&[u8::from(change.text.is_some())]);
     hasher.update(change.text.as_deref().unwrap_or("").as_bytes());
     hasher.digest()
--- a/crates/config-log/src/view.rs
+++ b/crates/config-log/src/view.rs
@@ -43,7 +43,7 @@
     /// Seconds since a majority knew of nothing beyond `number`; `None` if that never was so.
     #[serde(rename = "sure_as_of")]
     pub confirmed_age: Option<f64>,
-    /// Indexes of the replicas heard from within 2 s, its own included.
+    /// Indexes of the replicas that sent something within 2 s, its own included.
     #[serde(rename = "heard")]
     pub reachable: Vec<usize>,
     /// The followers that poll it.
@@ -125,7 +125,7 @@
     pub preempted: u64,
     /// Changes taken from authors or other replicas.
     pub proposals: u64,
-    /// Changes whose authors were told that the outcome is unknown.
+    /// Changes that ended with an unknown outcome ([`Outcome::Unknown`](crate::Outcome::Unknown)).
     #[serde(rename = "unknown")]
     pub expired_proposals: u64,
     /// Replicas only: times that another replica reported another digest at the same number.
--- a/crates/config-log/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -10,7 +10,7 @@
 /// Seconds simulated after the last change.
 pub const SECONDS: f64 = 6.0;
 
-/// Seconds after which an author tries the next replica.
+/// Seconds after which an author sends its change to the next replica.
 const AGAIN: f64 = 0.4;
 
 /// CPU seconds, bytes in and bytes out.
--- a/crates/config-log/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -79,8 +79,8 @@
     cluster.assert_agreement();
 }
 
-/// A replica helped to choose a change and told its author, lost its disk, and crashes again right after its readmission:
-/// what it learned then binds it, although it has sent nothing since.
+/// A replica voted for a change that was chosen and reported the outcome to its author, lost its disk, and crashes again
+/// right after its readmission: the votes that it learned then bind it, although it has sent nothing since.
 #[test]
 fn votes_learned_at_readmission_bind_the_replica_after_another_crash() {
     let mut cluster = SimulatedCluster::new(3, 0, 17);
@@ -88,7 +88,7 @@
     cluster.commit(0, change(1, "early", "lanes = 1", 0));
     cluster.run_until(cluster.now + 1.0);
     cluster.stop_replica(2);
-    // Nothing of what 1 says comes to 0, which leads: 1 alone knows that the change is chosen.
+    // No message of 1 reaches 0, which leads: 1 alone knows that the change is chosen.
     cluster.delivery_rule = Box::new(|_, from, to, _| match (from, to) {
         (NodeId::Replica(1), NodeId::Replica(0)) => vec![],
         _ => vec![0.001],
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -51,7 +51,7 @@
     for seed in 0..5 {
         let mut cluster = settled(5, 20, seed);
         cluster.delivery_rule = lossy(lost);
-        // Authors ask again, each time another machine, until they are told.
+        // Authors ask again, each time another machine, until they get the outcome.
         for again in 0..12 {
             for id in (1..=20).filter(|id| cluster.outcome(0, *id).is_none()).collect::<Vec<_>>() {
                 let key = format!("key {}", id % 9);
@@ -238,7 +238,7 @@
     }
 }
 
-/// The saved state is authentic, but of another log. It stays in force until the whole right one is there; then keys that
+/// The saved state is authentic, but of another log. It stays in force until the right one is complete; then keys that
 /// should never have been in force are removed.
 #[test_case(3; "as far as the right one")]
 #[test_case(2; "not so far")]
--- a/crates/config-log/tests/replicas.rs
+++ b/crates/config-log/tests/replicas.rs
@@ -87,7 +87,7 @@
     assert_eq!(cluster.commit(0, change(2, "late", "lanes = 2", 0)), 3);
 }
 
-/// The side with the leader and one more of five replicas commits nothing and reports it, the other side goes on;
+/// The side with the leader and one more of five replicas commits nothing and reports it, the majority goes on;
 /// afterwards all agree.
 #[test]
 fn a_minority_commits_nothing_and_reports_unknown_outcomes() {
@@ -151,7 +151,7 @@
 fn concurrent_proposers_back_off_and_all_changes_are_committed() {
     for seed in 0..20 {
         let mut cluster = SimulatedCluster::new(3, 0, seed);
-        // Authors are near, and machines have not heard each other yet.
+        // Authors are near, and machines have not received anything from each other yet.
         cluster.delivery_rule = Box::new(|_, from, to, rng| match (from, to) {
             (NodeId::Replica(_), NodeId::Replica(_)) => vec![rng.random_range(0.03..0.15)],
             _ => vec![0.001],
@@ -325,7 +325,8 @@
         }
     }
     let text: Vec<u8> = pages.into_values().flatten().collect();
-    let view: milletpath_config_log::ReplicaView = serde_json::from_slice(&text).expect("it is whole");
+    let view: milletpath_config_log::ReplicaView =
+        serde_json::from_slice(&text).expect("the pages are complete");
     assert_eq!((view.number, view.followers.len(), view.majority), (2, 40, true));
     assert!(view.followers.iter().all(|f| f.number == 2), "{:?}", view.followers);
 }
--- a/crates/config-log/tests/search/model.rs
+++ b/crates/config-log/tests/search/model.rs
@@ -219,7 +219,7 @@
                 if let Outcome::Committed(number) = outcome
                     && self.chosen.get(number).is_none_or(|c| c.id != *id)
                 {
-                    self.record_fault(format!("{id} is said to be at {number}"));
+                    self.record_fault(format!("{id} is reported at {number}"));
                 }
                 if let (Some(Outcome::Superseded(_)), Outcome::Committed(_))
                 | (Some(Outcome::Committed(_)), Outcome::Superseded(_)) = (self.outcomes.get(id), outcome)
@@ -403,7 +403,7 @@
 
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        // What a replica is, is all that it tells of itself.
+        // A replica's state is what its debug output shows.
         format!("{:?}{:?}{:?}", self.nodes, self.follower, self.messages).hash(&mut hasher);
         self.disks.hash(&mut hasher);
         self.failing.hash(&mut hasher);
--- a/crates/config-log/tests/storage.rs
+++ b/crates/config-log/tests/storage.rs
@@ -70,7 +70,7 @@
     cluster.commit(FAULTY);
     let at = cluster.operations().len();
     cluster.disk.fails(at..usize::MAX, Fault::Fails(Errno::ENOSPC));
-    // What it can't store it does not say; the others commit it all the same, and it learns of it.
+    // It reports nothing that it can't store; the others commit it all the same, and it learns of it.
     let number = cluster.commit(0);
     cluster.run_for(1.0);
     assert!(!cluster.votes(FAULTY) && cluster.votes(0));
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,7 +1,7 @@
-//! Changes of configuration made while gateways run: settings of functions, in the words of the configuration file.
+//! Changes of configuration made while gateways run: settings of functions, in the syntax of the configuration file.
 //!
-//! The text of a change is one block as it would stand in the file; its key says what it is about. A block takes the
-//! place of the file's block of the same key as a whole; when it is removed, the file's own holds again.
+//! The text of a change is one block as it would stand in the file; its key names the function, or all functions. A block
+//! replaces the file's block of the same key entirely; when it is removed, the file's block is in force again.
 
 mod apply;
 mod parser;
--- a/crates/config/src/change/apply.rs
+++ b/crates/config/src/change/apply.rs
@@ -1,4 +1,4 @@
-//! A change put into force on the settings of functions, and taken back.
+//! Applies a change to the settings of functions, or reverts it to those of the configuration file.
 
 use super::subject::Subject;
 use crate::model::{FunctionConfigs, FunctionOverrides};
@@ -8,7 +8,7 @@
 pub struct ConfigChange {
     /// What it is about.
     pub subject: Subject,
-    /// The settings in force from here on; none to let those of the configuration file hold again.
+    /// The settings in force from here on; none to revert to those of the configuration file.
     pub overrides: Option<FunctionOverrides>,
 }
 
--- a/crates/config/src/change/parser.rs
+++ b/crates/config/src/change/parser.rs
@@ -6,11 +6,11 @@
 use crate::model::{FunctionOverrides, GatewayConfig};
 use crate::reader::{functions, syntax};
 
-/// What gateways share or hold connections by. To change it while they run would need a rule for the moment at which
-/// some go by the old value and some by the new one.
+/// Keys of settings that gateways share or whose connections depend on them. Changing them while gateways run would need a
+/// rule for the time in which some use the old value and some the new one.
 const FLEET_WIDE_KEYS: [&str; 7] = ["client", "gateways", "limits", "peers", "profile", "seed", "workers"];
 
-/// What belongs to one gateway.
+/// Keys of settings that belong to one gateway.
 const PER_GATEWAY_KEYS: [&str; 4] = ["changes", "cores", "listen", "pin"];
 
 /// One block of a file of changes.
@@ -38,8 +38,10 @@
         if errors.is_empty() { Ok(changes) } else { Err(errors) }
     }
 
-    /// What the change of a key does here; without a text, the file's own settings hold again. The error says why this
-    /// gateway can't take it.
+    /// Parses the change of a key; without a text, the file's own settings are in force again.
+    ///
+    /// # Errors
+    /// Every reason why this gateway can't apply it.
     pub fn parse_change(&self, key: &str, text: Option<&str>) -> Result<ConfigChange, Vec<ConfigError>> {
         let Some(subject) = Subject::from_key(key) else {
             let remedy = "write functions or function NAME, or run a program that knows it";
--- a/crates/config/src/document/section.rs
+++ b/crates/config/src/document/section.rs
@@ -42,7 +42,7 @@
 }
 
 impl<'p> Section<'p> {
-    /// The whole of a configuration file.
+    /// The top level of a configuration file.
     #[must_use]
     pub fn root(document: &'p Document<'p>, body: &'p Body) -> Self {
         Self::layered(document, vec![body])
--- a/crates/config/src/document/values.rs
+++ b/crates/config/src/document/values.rs
@@ -18,7 +18,7 @@
 }
 
 impl<'p> Section<'p> {
-    /// A number within bounds; `unit` says what it counts, and is empty where that goes without saying.
+    /// A number within bounds; `unit` is what it counts, for the error; empty where that is plain.
     #[must_use]
     pub fn number(&self, key: &'static str, unit: &str, within: RangeInclusive<f64>) -> Option<f64> {
         let (offset, value) = self.value(key)?;
@@ -35,7 +35,7 @@
         number
     }
 
-    /// A whole number within bounds; `unit` says what it counts.
+    /// An integer within bounds; `unit` is what it counts, for the error.
     #[must_use]
     pub fn count(&self, key: &'static str, unit: &str, within: RangeInclusive<u32>) -> Option<usize> {
         let number = self.number(key, unit, f64::from(*within.start())..=f64::from(*within.end()))?;
--- a/crates/config/src/model/replication.rs
+++ b/crates/config/src/model/replication.rs
@@ -9,7 +9,7 @@
 pub struct MembershipConfig {
     /// Where it receives datagrams.
     pub listen: SocketAddr,
-    /// Where others are told to send them.
+    /// The address that it announces to the others for datagrams.
     pub advertise: SocketAddr,
     /// As the other gateways know this one.
     pub name: String,
@@ -19,7 +19,7 @@
     pub key_file: PathBuf,
     /// Seconds between two probes.
     pub period: f64,
-    /// Seconds for which an acknowledgement counts as proof of reachability.
+    /// Seconds for which another gateway's assertion counts towards the quorum.
     pub lease: f64,
     /// The fraction of its quota that a gateway keeps while it can't reach a majority, from 0 to 1.
     pub floor: f64,
--- a/crates/config/src/reader/config_log.rs
+++ b/crates/config/src/reader/config_log.rs
@@ -23,7 +23,7 @@
     let listen = listen(section, &control);
     let state_file = PathBuf::from(section.text("state").unwrap_or(DEFAULT_STATE_FILE));
     let name = gateway_name(section, milletpath_config_log::message::MAX_FOLLOWER_NAME_BYTES);
-    // The address tells gateways apart only where it is one of its own.
+    // The address identifies a gateway only where it is neither a wildcard address nor of port 0.
     let address = Some(client_listen).filter(is_reachable).map(name_of_address);
     let name = name.or(membership.map(|membership| membership.name.clone())).or(address);
     if name.is_none() && !section.has("name") {
--- a/crates/config/src/reader/gateway.rs
+++ b/crates/config/src/reader/gateway.rs
@@ -1,4 +1,4 @@
-//! The whole file: its parts in their order, and what one part needs of another.
+//! The complete file: its sections in order, and what one section needs of another.
 
 use super::address::parse_address;
 use super::policy::PolicySources;
--- a/crates/config/src/reader/optional_section.rs
+++ b/crates/config/src/reader/optional_section.rs
@@ -8,12 +8,12 @@
 pub struct OptionalSection<'s, 'p>(pub Option<&'s Section<'p>>);
 
 impl OptionalSection<'_, '_> {
-    /// A number within bounds; `unit` says what it counts.
+    /// A number within bounds; `unit` is what it counts, for the error.
     pub fn number(self, key: &'static str, unit: &str, within: RangeInclusive<f64>, default: f64) -> f64 {
         self.0.and_then(|section| section.number(key, unit, within)).unwrap_or(default)
     }
 
-    /// A whole number within bounds; `unit` says what it counts.
+    /// An integer within bounds; `unit` is what it counts, for the error.
     pub fn count(self, key: &'static str, unit: &str, within: RangeInclusive<u32>, default: usize) -> usize {
         self.0.and_then(|section| section.count(key, unit, within)).unwrap_or(default)
     }
--- a/crates/config/src/reader/policy.rs
+++ b/crates/config/src/reader/policy.rs
@@ -25,7 +25,7 @@
 }
 
 impl PolicySources<'_, '_> {
-    /// Reads the policy's configuration. `source` tells whether changes of the worker list have to be asked for.
+    /// Reads the policy's configuration. `source` decides whether the gateway subscribes to changes of the worker list.
     pub fn read(self, source: &WorkerSource) -> PolicyConfig {
         let (limits, workers) = (OptionalSection(self.limits), OptionalSection(self.workers));
         let seconds = |key, least, default| workers.number(key, "seconds", least..=MAX_SECONDS, default);
@@ -80,7 +80,7 @@
     Some(RequestBudget { window: window?, free, earned_per_request })
 }
 
-/// Attempts in flight at one worker, over all gateways. Each gateway needs a whole one, for when it reaches no other.
+/// Attempts in flight at one worker, over all gateways. Each gateway needs one at least, for when it reaches no other.
 fn in_flight(limits: &Section<'_>, gateways: usize) -> Option<f64> {
     let most = limits.number("in_flight", "attempts at one worker", 1.0..=1e9)?;
     if most < gateways as f64 {
--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -12,7 +12,7 @@
     pub config: Vec<ProfileConfig>,
 }
 
-/// The words of the file for effects.
+/// The values of the key `effect`; see [`EFFECTS`] for their names in the file.
 #[derive(Clone, Copy)]
 enum EffectKind {
     Idempotent,
--- a/crates/config/src/reader/workers.rs
+++ b/crates/config/src/reader/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: their kinds, and the list of them or the registry that has it.
+//! Workers: their kinds, and either their endpoints or the registry that lists them.
 
 use super::address::parse_address;
 use crate::document::Section;
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// One edit of a valid file, and the line, column and words of the error that it makes.
+/// One edit of a valid file, and the line, column and text of the error that it makes.
 #[test_case("lanes   = 4", "lanes = 0", 3, 3, "from 1 to 10000"; "no concurrent call")]
 #[test_case("lanes   = 4", "lines = 4", 3, 3, "did you mean lanes?"; "a misspelt key")]
 #[test_case("\"order\"", "\"late\"", 4, 3, "\"check\" or \"order\""; "an unknown profile")]
@@ -82,7 +82,7 @@
     functions.resolve(name)
 }
 
-/// A change takes the place of the file's block as a whole; when it is removed, the file's own holds again.
+/// A change replaces the file's block entirely; when it is removed, the file's block is in force again.
 #[test]
 fn a_change_holds_until_it_is_removed() {
     let config = config();
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -89,7 +89,7 @@
     assert_eq!((list[0].kind.as_str(), list[1].kind.as_str()), ("std", ""));
 }
 
-/// One edit of a valid text, and the line, column and words of the error that it makes.
+/// One edit of a valid text, and the line, column and text of the error that it makes.
 #[test_case("shots     = 3", "shotz = 3", 37, 3, "did you mean shots?"; "a misspelt key")]
 #[test_case("shots     = 3", "shots = 3.5", 37, 3, "must be a whole number"; "half an attempt")]
 #[test_case("in_flight = 40", "in_flight = 1", 38, 3, "less than one attempt for each of 2"; "less than an attempt for each gateway")]
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -15,7 +15,7 @@
     pub period: f64,
     /// Seconds for which an assertion counts as proof.
     pub lease: f64,
-    /// Share of its even quota, from 0 to 1, that a gateway without a quorum may use.
+    /// Fraction of its even quota, from 0 to 1, that a gateway without a quorum may use.
     pub floor: f64,
     /// Longest window, in seconds, over which shared budgets are counted.
     pub budget_window: f64,
--- a/crates/membership/src/failure_detection.rs
+++ b/crates/membership/src/failure_detection.rs
@@ -1,5 +1,5 @@
 //! Failure detection: probes of members, the requests and answers that they consist of, and the suspicion of members
-//! that nobody hears.
+//! that do not answer.
 
 mod probing;
 mod requests;
--- a/crates/membership/src/failure_detection/probing.rs
+++ b/crates/membership/src/failure_detection/probing.rs
@@ -13,7 +13,7 @@
 /// unanswered.
 const MAX_PINGS: u32 = 4;
 
-/// Helpers asked at each try but the first and the last.
+/// Helpers asked to ping the member too, at each ping but the first and the last.
 const HELPERS: usize = 3;
 
 impl Membership {
@@ -23,7 +23,7 @@
         if self.now < self.period_ends_at {
             return;
         }
-        // After a late call the next period still has its whole length.
+        // After a late call the next period still has its full length.
         self.period_ends_at = self.now + self.config.period;
         self.conclude_probe();
         if let Some(target) = self.next_probe_target() {
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Pings a member on behalf of another that does not hear it.
+    /// Pings a member on behalf of another that got no answer from it.
     pub(crate) fn probe_on_behalf(&mut self, requester: u64, request_id: u64, subject: u64) {
         let Some(address) = self.address_of(subject) else { return };
         let own_request_id = self.send_request(subject, address, kind::PING, 0);
@@ -130,7 +130,7 @@
             probe.answered = true;
             probe.retry_at = f64::INFINITY;
         }
-        // A suspect that answers a request sent after the suspicion began gets the whole time to refute once more.
+        // A suspect that answers a request sent after the suspicion began gets the full time to refute once more.
         let extended = self.now + self.suspicion_timeout();
         if let Some(member) = self.members.get_mut(&subject)
             && member.state == MemberState::Suspect
--- a/crates/membership/src/failure_detection/suspicion.rs
+++ b/crates/membership/src/failure_detection/suspicion.rs
@@ -1,5 +1,6 @@
-//! Suspicion: a member that nobody hears becomes suspect, and dead unless it refutes that in time (SWIM, section 4.2).
-//! A gateway that hears nobody at all takes the fault for its own and suspects more slowly.
+//! Suspicion: a member that answers neither directly nor through helpers becomes suspect, and dead unless it refutes that
+//! in time (SWIM, section 4.2). A gateway that receives nothing at all assumes that it is itself cut off, and takes longer
+//! to declare others dead.
 
 use crate::state::Membership;
 use crate::state::event::MembershipEvent;
@@ -32,12 +33,12 @@
         self.last_received_at < self.now - ISOLATION_PERIODS * self.config.period
     }
 
-    /// Suspects an alive member that nobody has heard since `silent_since`.
+    /// Suspects an alive member that has answered nobody since `silent_since`.
     pub(crate) fn suspect(&mut self, instance_id: u64, silent_since: f64) {
         let now = self.now;
         let factor = if self.is_isolated() { ISOLATED_FACTOR } else { 1.0 };
         let ends_at = now + self.suspicion_timeout() * factor;
-        // Where nothing at all was received meanwhile the fault may be here, and the others are not told.
+        // Where nothing at all was received since, this gateway may be cut off: it does not spread the suspicion.
         let transmissions = if self.last_received_at < silent_since { 0 } else { self.retransmit_limit() };
         let Some(member) = self.members.get_mut(&instance_id) else { return };
         if member.state != MemberState::Alive {
--- a/crates/membership/src/gossip/received_updates.rs
+++ b/crates/membership/src/gossip/received_updates.rs
@@ -13,7 +13,7 @@
 pub(crate) enum UpdateSource {
     /// It travelled with another datagram.
     Gossip,
-    /// It is part of another gateway's whole table.
+    /// It is part of another gateway's member table.
     MemberTable,
 }
 
@@ -32,11 +32,11 @@
         let suspicion_ends_at = self.now + self.suspicion_timeout();
         let (now, lease) = (self.now, self.config.lease);
         let Some(member) = self.members.get_mut(&update.instance_id) else { return };
-        // A member that was heard lately gets time to refute its death: two sides of a partition that heals each take
-        // the other for dead.
-        let last_heard_at = member.last_assertion_at().max(member.last_received_at);
-        let heard_lately = member.state == MemberState::Alive && now - last_heard_at < lease;
-        let refutable = source == UpdateSource::MemberTable || heard_lately;
+        // A member from which something was received lately gets time to refute its death: when a partition heals, each
+        // side has declared the other dead.
+        let last_contact_at = member.last_assertion_at().max(member.last_received_at);
+        let had_recent_contact = member.state == MemberState::Alive && now - last_contact_at < lease;
+        let refutable = source == UpdateSource::MemberTable || had_recent_contact;
         let state = match state {
             MemberState::Dead if refutable && member.state.is_present() => MemberState::Suspect,
             state => state,
@@ -72,8 +72,8 @@
     fn follow_up_state_change(&mut self, instance_id: u64, former: MemberState, state: MemberState) {
         let Some(member) = self.members.get(&instance_id) else { return };
         let (name, address) = (member.name.clone(), member.address);
-        // Some of the gateways that learn of a suspicion probe the suspect themselves, and the ping tells it: without
-        // them a suspect that nobody contacts would die for lack of a chance to refute.
+        // Some of the gateways that learn of a suspicion probe the suspect themselves, and the ping informs it: without
+        // these probes a suspect that nobody contacts would die for lack of a chance to refute.
         if state == MemberState::Suspect
             && self.rng.rand_float() * (self.members.len() as f64) < EXPECTED_DIRECT_PROBES
         {
--- a/crates/membership/src/gossip/refutation.rs
+++ b/crates/membership/src/gossip/refutation.rs
@@ -1,5 +1,5 @@
-//! Refutation of false updates: this process denies its own death with a higher incarnation, and tells others what they
-//! may want to deny.
+//! Refutation of false updates: this process refutes its own death with a higher incarnation, and informs others of false
+//! updates that they may want to refute.
 
 use crate::datagram::kind;
 use crate::state::Membership;
@@ -15,7 +15,8 @@
         }
     }
 
-    /// Informs a member that was just heard and is not taken for alive, at most once in a period, so that it can refute.
+    /// Informs a member that just sent a datagram, but counts as suspect or gone, at most once in a period, so that it can
+    /// refute that.
     pub(crate) fn correct_sender(&mut self, instance_id: u64) {
         let (now, period) = (self.now, self.config.period);
         let Some(member) = self.members.get_mut(&instance_id) else { return };
--- a/crates/membership/src/gossip/synchronization.rs
+++ b/crates/membership/src/gossip/synchronization.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: now and then a gateway compares its whole member table with that of a random member, and with a dead
+//! Anti-entropy: now and then a gateway compares its complete member table with that of a random member, and with a dead
 //! member or a seed so that a healed partition closes.
 
 use crate::datagram::{GossipUpdate, kind};
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! [`Membership`] is given each received datagram and the current time, and yields the datagrams to send. Gateways find
 //! each other through seeds, probe each other directly and through helpers, and suspect a silent gateway before they
-//! declare it dead. A random instance id tells a process from its predecessor under the same name.
+//! declare it dead. A random instance id distinguishes a process from its predecessor under the same name.
 //!
 //! Two counts follow from this. [`Membership::likely_gateways`] is the number that is believed to be present. The upper
 //! bound on the gateways that may use more than the floor of the shared budgets falls only by proof (`quorum/proof.rs`);
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -97,7 +97,8 @@
             self.counters.echoes += 1;
             return false;
         }
-        // A datagram for a predecessor of this process says nothing about this one: its sender is told who is here now.
+        // A datagram for a predecessor of this process proves nothing about this one; its sender is informed of the
+        // present instance id.
         if datagram.recipient != 0 && datagram.recipient != self.identity.instance_id {
             self.counters.misaddressed += 1;
             if datagram.kind != kind::ANNOUNCE {
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -3,7 +3,7 @@
 use crate::state::Membership;
 
 /// What a gateway may use of the shared budgets. Fractions are multiples of the even quota, which is the budget divided
-/// by the gateway's own `max_gateways`.
+/// by the gateway's own `max_gateways`. `milletpath-shared-budgets` takes them as its `Entitlement`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaFraction {
     /// Number of gateways that are likely present.
@@ -18,10 +18,10 @@
 
 impl Membership {
     /// What this gateway may use now. To be called whenever time passed: the fraction is the lowest of the last
-    /// `budget_window` seconds, so that no counted window holds more than its share.
+    /// `budget_window` seconds, so that no window over which a budget is counted exceeds it.
     ///
-    /// With a quorum the fraction is `floor / max_gateways + (1 - floor) / max_with_quorum` of the whole, without one
-    /// `floor / max_gateways`. All gateways together hence use at most the whole.
+    /// With a quorum the fraction is `floor / max_gateways + (1 - floor) / max_with_quorum` of the budget, without
+    /// one `floor / max_gateways`. All gateways together hence use at most the budget.
     #[must_use]
     pub fn quota_fraction(&mut self, now: f64) -> QuotaFraction {
         self.advance_clock(now);
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -1,4 +1,4 @@
-//! How much of the cluster this gateway hears, by assertions that are fresh.
+//! How much of the cluster this gateway reaches, by assertions that are fresh.
 
 use crate::state::Membership;
 use crate::state::member::Member;
@@ -31,19 +31,19 @@
         fresh.map(|(id, _)| *id).collect()
     }
 
-    /// How much of the cluster this gateway hears.
+    /// How much of the cluster this gateway reaches.
     #[must_use]
     pub fn reachability(&self) -> Reachability {
-        // Whatever their state: one that is taken for dead but heard counts here.
-        let heard = self.count_names(|member| self.now - member.last_assertion_at() < self.config.lease);
-        match heard {
+        // Whatever their state: a member declared dead whose assertion is fresh counts here.
+        let reachable = self.count_names(|member| self.now - member.last_assertion_at() < self.config.lease);
+        match reachable {
             n if n > self.max_gateways() / 2 => Reachability::Majority,
             1 => Reachability::Nobody,
             _ => Reachability::Minority,
         }
     }
 
-    /// The likely number of gateways. A gateway that hears nobody knows nothing, and assumes the largest number.
+    /// The likely number of gateways. A gateway that reaches nobody can't know, and assumes the largest number.
     #[must_use]
     pub fn likely_gateways(&self) -> f64 {
         match self.reachability() {
--- a/crates/membership/src/state/counters.rs
+++ b/crates/membership/src/state/counters.rs
@@ -25,7 +25,7 @@
     /// Authentic datagrams whose body is malformed.
     #[serde(rename = "bodies")]
     pub rejected_body: u64,
-    /// Datagrams whose sequence number was received before, or is too old to tell.
+    /// Datagrams whose sequence number was received before, or is too old to be checked.
     #[serde(rename = "repeated")]
     pub replayed: u64,
     /// Datagrams for a predecessor of this process.
@@ -40,7 +40,7 @@
     pub unsent: u64,
     /// Probes begun.
     pub probes: u64,
-    /// Probes that nobody answered in time.
+    /// Probes that were not answered in time, neither directly nor through helpers.
     #[serde(rename = "missed")]
     pub probes_unanswered: u64,
     /// Times that this process refuted a false update about itself.
--- a/crates/membership/src/state/member.rs
+++ b/crates/membership/src/state/member.rs
@@ -7,7 +7,7 @@
 /// State of a member. The order decides between updates of one incarnation: the later state prevails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers, or nothing else was heard of it.
+    /// It answers, or nothing to the contrary was reported.
     Alive,
     /// It did not answer; it has some time to refute the suspicion.
     Suspect,
@@ -68,7 +68,7 @@
     pub state_since: f64,
     /// When a suspicion turns into death; infinite where it is not suspect.
     pub suspicion_ends_at: f64,
-    /// How often the update about it is still to be passed on.
+    /// How many more times the update about it is sent along with datagrams (gossip).
     pub transmissions_left: u32,
     /// When the last datagram came from itself.
     pub last_received_at: f64,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -47,7 +47,7 @@
     pub instance_id: String,
     /// SWIM incarnation number of this process.
     pub incarnation: u32,
-    /// How much of the cluster it hears.
+    /// How much of the cluster it reaches.
     #[serde(rename = "hears")]
     pub reachability: Reachability,
     /// Largest number of gateways that there may be.
--- a/crates/membership/tests/cluster_membership.rs
+++ b/crates/membership/tests/cluster_membership.rs
@@ -29,7 +29,7 @@
     network.run_until(killed_at + 6.0);
     assert!(network.all_agree());
     network.run_until(killed_at + 12.0);
-    // The floors of the four stay reserved: a dead gateway cannot be told from one that is cut off.
+    // The floors of the four stay reserved: a dead gateway cannot be distinguished from one that is cut off.
     let reserved = 4.0 * network.config.floor / 12.0;
     assert_used(&network, 1.0 - reserved);
     (0..4).for_each(|n| network.start(n));
--- a/crates/membership/tests/interleavings.rs
+++ b/crates/membership/tests/interleavings.rs
@@ -52,7 +52,7 @@
 /// A rule that was broken, and what led there.
 #[derive(Debug)]
 enum Violation {
-    /// All gateways together may use more than the whole of the shared budgets.
+    /// All gateways together may use more than the shared budgets.
     QuotaExceeded { seed: u64, at: f64, used: f64, steps: Vec<Step> },
     /// Without faults, some running gateway is still not taken for alive.
     NoAgreement { seed: u64, at: f64 },
@@ -245,7 +245,7 @@
         pairs.into_iter().all(|(observer, other)| takes_for_alive(observer, other))
     }
 
-    /// A hash over the whole state, by its debug output.
+    /// A hash of the complete state, by its debug output.
     fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         let in_flight: Vec<_> = self.in_flight.iter().map(|f| (f.to, &f.datagram)).collect();
--- a/crates/membership/tests/network_faults.rs
+++ b/crates/membership/tests/network_faults.rs
@@ -1,5 +1,5 @@
 //! Clusters under network faults and pauses in simulated time. Whatever happens, all gateways together never exceed the
-//! shared budgets, and once the faults end all of them know each other again.
+//! shared budgets, and once the faults end each lists all others as alive again.
 
 use milletpath_membership::{MembershipConfig, MembershipEvent, Reachability};
 use milletpath_test_support::simulated_network::SimulatedNetwork;
@@ -20,7 +20,7 @@
     matches!(event, MembershipEvent::Died { .. })
 }
 
-/// Each side of a partition notices the loss of the other; after it heals both know each other within seconds.
+/// Each side of a partition notices the loss of the other; after it heals each side lists the other as alive within seconds.
 #[test_case(12, 5, 10.0; "5 to 7")]
 #[test_case(12, 6, 10.0; "in the middle")]
 #[test_case(12, 1, 20.0; "one alone")]
@@ -176,7 +176,10 @@
         network.start_missing();
         network.delivery_rule = reliable();
         network.run_until(network.now + 40.0);
-        assert!(network.all_agree(), "seed {seed}: all know each other after the faults");
+        assert!(
+            network.all_agree(),
+            "seed {seed}: after the faults not every gateway lists all others as alive"
+        );
         assert_used(&network, 1.0);
     }
 }
--- a/crates/shared-budgets/src/adjustment.rs
+++ b/crates/shared-budgets/src/adjustment.rs
@@ -1,6 +1,7 @@
-//! What whoever spends a budget is told of it: by how much the quota is raised or lowered, and until when.
+//! Adjustments of quotas, published to the code that spends a budget: by how much a quota is raised or lowered, and until
+//! when.
 
-/// By how much what a gateway may use of a budget differs from its quota.
+/// The difference between what a gateway may use of a budget and its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaAdjustment {
     /// Units, or units a second, that are added to the quota until `valid_until`; negative where more is leased to others
@@ -15,15 +16,15 @@
 /// Seconds for which an adjustment that counts on held leases is valid at most; it is renewed after half of them.
 const VALIDITY: f64 = 0.3;
 
-/// What is added to held units, as levels in messages are rounded down: whole units must stay whole. Units, and so the
-/// budget, are whole numbers: fewer than a thousand gateways together gain no unit by it.
+/// Added to units held on lease. Levels in messages are rounded down, so the fractions that add up to one unit may lack a
+/// little of it. The budget is an integer number of units: fewer than a thousand gateways together gain no unit by this.
 pub(crate) const UNIT_EPSILON: f64 = 1e-3;
 
 impl QuotaAdjustment {
-    /// What holds before any lease.
+    /// No adjustment: there are no leases.
     pub(crate) const NONE: Self = Self { amount: 0.0, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
 
-    /// Differs from every adjustment, also from itself.
+    /// Stands for an adjustment that the receiver has lost. It differs from every adjustment, also from itself (NaN).
     pub(crate) const UNKNOWN: Self =
         Self { amount: f64::NAN, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
 
@@ -47,7 +48,7 @@
         self.valid_until - VALIDITY / 2.0
     }
 
-    /// Whether this one, which was published before, says the same as a new one for long enough.
+    /// Whether this adjustment, published before, has the amounts of `new` and need not be renewed yet.
     pub(crate) fn is_as_good_as(&self, new: &Self, now: f64) -> bool {
         let has_same_amounts =
             self.amount == new.amount && self.amount_after_expiry == new.amount_after_expiry;
--- a/crates/shared-budgets/src/budget.rs
+++ b/crates/shared-budgets/src/budget.rs
@@ -1,4 +1,5 @@
-//! One budget of a gateway: its ledger and demand, what was published of it, and pauses between fruitless requests.
+//! One budget of a gateway: its ledger, its demand, the adjustment published last, and the backoff after unsuccessful
+//! requests.
 
 use crate::adjustment::{QuotaAdjustment, UNIT_EPSILON};
 use crate::demand::{DemandEstimate, UsageMeter};
@@ -24,9 +25,9 @@
     pub ledger: Ledger,
     name: String,
     demand: DemandEstimate,
-    /// What was published last; none before the first.
+    /// The adjustment that was published last; none before the first.
     published: Option<QuotaAdjustment>,
-    /// Rounds in a row in which units were requested and no whole one was had.
+    /// Consecutive rounds in which units were requested and less than one unit was obtained.
     unsuccessful_rounds: u32,
     paused_until: f64,
     /// [`Ledger::fractional_use`] in the round before.
@@ -70,9 +71,9 @@
         plan_requests(&self.ledger, peers, now, desired.max(required))
     }
 
-    /// Pauses requests for a random time where they can't succeed. Units are of use only when whole; where several
-    /// gateways request them at once, fractions could lie at each of them for ever. So a gateway that could not complete a
-    /// unit returns what it holds and pauses. One that has used the only unit pauses too, in favour of the others.
+    /// Pauses requests for a random time where they can't succeed. A fraction of a unit can't be used; where several
+    /// gateways request units at once, each could hold a fraction for ever (livelock). So a gateway that could not
+    /// complete a unit returns what it holds and pauses. One that has used the only unit pauses too, so that others get it.
     fn update_pause(&mut self, entitlement: &Entitlement, now: f64, rng: &mut Rand64) {
         let holds_something = self.ledger.held(now) > 0.0;
         let holds_fraction = self.ledger.kind().is_units()
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Publishes by how much the quota is adjusted now; none where what was published last is as good.
+    /// Publishes the present adjustment of the quota; none where the last published one still applies.
     pub(crate) fn publish_adjustment(&mut self, granted: f64, now: f64) -> Option<QuotaAdjustment> {
         let until = QuotaAdjustment::validity_from(now);
         let held = self.ledger.held(until);
@@ -102,12 +103,12 @@
         Some(new)
     }
 
-    /// Forgets what was published: the next adjustment is published whatever it is.
+    /// Forgets the published adjustment, so that the next one is published even if it is the same.
     pub(crate) fn forget_published(&mut self) {
         self.published = Some(QuotaAdjustment::UNKNOWN);
     }
 
-    /// When what was published is to be renewed; infinite where nothing was.
+    /// When the published adjustment is to be renewed; infinite where none was published.
     pub(crate) fn renew_at(&self) -> f64 {
         self.published.map_or(f64::INFINITY, |published| published.renew_at())
     }
--- a/crates/shared-budgets/src/budget_kind.rs
+++ b/crates/shared-budgets/src/budget_kind.rs
@@ -8,14 +8,14 @@
     /// Units a second.
     Rate,
     /// Units within a sliding window of this length: a unit is in use for that long once it was used, and then free
-    /// again. Each process counts its window anew, so a process that starts has its whole quota.
+    /// again. A process that starts begins with an empty window, so it has its full quota.
     Window(f64),
     /// Units in use at the same time, each for at most this long; they end with the process that uses them.
     InFlight(f64),
 }
 
 impl BudgetKind {
-    /// Seconds for which a unit is in use at most once it was used; 0 for a rate.
+    /// Seconds for which a unit that is taken stays in use at most; 0 for a rate.
     #[must_use]
     pub fn max_unit_use(self) -> f64 {
         match self {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whether the budget consists of whole units: a fraction of one is of no use by itself.
+    /// Whether the budget is counted in indivisible units: a fraction of one can't be used by itself.
     #[must_use]
     pub fn is_units(self) -> bool {
         !matches!(self, Self::Rate)
--- a/crates/shared-budgets/src/demand.rs
+++ b/crates/shared-budgets/src/demand.rs
@@ -28,8 +28,8 @@
 /// Half-life of the average while the rate rises, in seconds: a jump is known within half a second.
 const RISE_HALF_LIFE: f64 = 0.25;
 
-/// Half-life of the average while the rate falls, in seconds. A fall to a tenth is known within two seconds, which leaves
-/// the duration of a lease for the whole fleet to follow within five.
+/// Half-life of the average while the rate falls, in seconds. A fall to a tenth is known within two seconds; leases of
+/// at most two seconds then end in time for all gateways to follow within five.
 const FALL_HALF_LIFE: f64 = 0.5;
 
 /// Seconds in which denied units come to count half.
--- a/crates/shared-budgets/src/fault_injection.rs
+++ b/crates/shared-budgets/src/fault_injection.rs
@@ -7,8 +7,8 @@
     pub grants_not_subtracted: bool,
     /// A lease ends at the lender at the same time as at the borrower.
     pub grant_ends_with_lease: bool,
-    /// A process that starts has its whole quota at once.
+    /// A process that starts has its full quota at once, without waiting for its predecessor's grants to end.
     pub starts_with_whole_quota: bool,
-    /// Whatever is not held any more is reported as not in use.
+    /// Requests state that units are released although they may still be in use.
     pub releases_units_in_use: bool,
 }
--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -70,7 +70,7 @@
         let reserved = match kind {
             BudgetKind::Rate => Some(RESERVED_FRACTION * quota),
             BudgetKind::InFlight(_) => Some((RESERVED_FRACTION * quota).max(quota.min(1.0))),
-            // Each process counts its window anew.
+            // A process starts with an empty window.
             BudgetKind::Window(_) => None,
         };
         if let Some(reserved) = reserved {
@@ -196,7 +196,7 @@
         self.granted.next_end()
     }
 
-    /// Forgets leases that have ended, and whoever has not been heard of for long.
+    /// Forgets leases that have ended, and borrowers and lenders that sent nothing for [`FORGET_AFTER`].
     pub(crate) fn forget_expired(&mut self, now: f64) {
         self.granted.forget_expired(now, FORGET_AFTER);
         self.held.forget_expired(now, FORGET_AFTER);
@@ -237,7 +237,7 @@
         let entitled = self.entitled_throughout(entitlement, now, until);
         let reserved = match self.kind {
             _ if self.has_fractional_quota() => 0.0,
-            // A fraction of a unit in flight is of no use: the last whole unit stays here.
+            // A fraction of a unit in flight can't be used: one complete unit stays here.
             BudgetKind::InFlight(_) => (RESERVED_FRACTION * self.quota).max(1.0),
             BudgetKind::Rate | BudgetKind::Window(_) => RESERVED_FRACTION * self.quota,
         };
--- a/crates/shared-budgets/src/lib.rs
+++ b/crates/shared-budgets/src/lib.rs
@@ -1,9 +1,9 @@
-//! Budgets that a whole fleet of gateways shares, in leases whose sum never exceeds them, and the concurrency of functions
-//! over all gateways. A core without sockets and clocks.
+//! Budgets shared by all gateways of a fleet, in leases whose sum never exceeds them, and the concurrency of functions over
+//! all gateways. A state machine without sockets and clocks.
 //!
 //! Each gateway has a quota of every budget, and is entitled to the fraction of it that `milletpath-membership` proves. It
-//! leases what it does not need to those that request it, and requests what it lacks ([`SharedBudgets`]). Whatever is
-//! lost, late, repeated or silent, all gateways together never use more than there is.
+//! leases what it does not need to those that request it, and requests what it lacks ([`SharedBudgets`]). Whatever messages
+//! are lost, late or repeated, and whichever gateways are silent, all of them together never use more than the budget.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -2,8 +2,8 @@
 //! leased to them.
 //!
 //! The caller keeps one order: what [`SharedBudgets::receive`] or [`SharedBudgets::tick`] changes is passed to whoever
-//! spends the budgets ([`SharedBudgets::take_adjustments`]) before any message goes out
-//! ([`SharedBudgets::next_message`]). Otherwise what is leased could still be spent here.
+//! spends the budgets ([`SharedBudgets::take_adjustments`]) before any message is sent
+//! ([`SharedBudgets::next_message`]). Otherwise units leased to others could still be spent here.
 
 use crate::adjustment::QuotaAdjustment;
 use crate::budget::Budget;
@@ -35,8 +35,8 @@
 /// request and one in seven not in time.
 const MAX_LEASE_ROUNDS: f64 = 5.0;
 
-/// How many times a lease goes into the lifetime of a proof: shorter than that, so that most can be granted out of what is
-/// proven.
+/// The lifetime of a proof of the entitlement, as a multiple of the duration of a lease. A lease is shorter than a proof, so
+/// that most leases can be granted from an entitlement that is proven until they end.
 const PROOF_TO_LEASE: f64 = 1.5;
 
 /// Seconds for which a lease holds at least.
@@ -141,8 +141,8 @@
         self.peers = peers;
     }
 
-    /// Opens a budget and returns its slot. Name and kind together tell budgets apart; the same ones must be used at all
-    /// gateways. `quota` is this gateway's part among all gateways of the configuration. Opened again, a budget keeps its
+    /// Opens a budget and returns its slot. Name and kind together identify it; the same ones must be used at all
+    /// gateways. `quota` is this gateway's quota among all gateways of the configuration. Opened again, a budget keeps its
     /// slot and leases and gets the new quota.
     pub fn open(&mut self, now: f64, name: &str, kind: BudgetKind, quota: f64) -> usize {
         let now = self.clock.advance(now);
@@ -178,8 +178,8 @@
         Ok(())
     }
 
-    /// Whoever spends the budgets has forgotten their adjustments: [`take_adjustments`](Self::take_adjustments) returns
-    /// all of them the next time.
+    /// To be called when the code that spends the budgets has lost their adjustments:
+    /// [`take_adjustments`](Self::take_adjustments) returns all of them the next time.
     pub fn resend_adjustments(&mut self) {
         self.budgets.iter_mut().flatten().for_each(Budget::forget_published);
     }
@@ -246,7 +246,7 @@
         self.usage.elsewhere(now)
     }
 
-    /// Does what is due: a round of requests, and forgetting leases that have ended.
+    /// Does what is due: forgets leases that have ended, and sends a round of requests.
     pub fn tick(&mut self, now: f64) {
         let now = self.clock.advance(now);
         let is_early_round = self.was_denied && now >= self.earliest_round_at();
@@ -355,7 +355,7 @@
     }
 
     fn receive_grants(&mut self, now: f64, lender: ProcessId, message: &Message) {
-        // A lender that states a longer duration than this gateway's is not believed: the configuration is one.
+        // A longer duration than this gateway's own is not accepted: all gateways are configured alike.
         let duration = (f64::from(message.duration_ms) / 1e3).min(self.lease_duration);
         for grant in &message.grants {
             let Some(budget) = self.budget_by_key(grant.budget_key) else { continue };
@@ -376,7 +376,7 @@
         let mut grants = Vec::new();
         for request in &message.requests {
             let Some(&slot) = self.slots.get(&request.budget_key) else { continue };
-            // As of this moment: units that are in use by now are not leased.
+            // The meter is read now, so that units taken since the last reading are not leased.
             if let Some(meter) = read_meter(slot) {
                 self.observe(now, slot, meter);
             }
@@ -424,7 +424,8 @@
         requests
     }
 
-    /// Sends requests, beginning with a random lender: where the bytes don't suffice for all, each has its turn.
+    /// Sends requests, beginning with a random lender, so that the bound on bytes a second does not always leave out the
+    /// same ones.
     fn send_requests(&mut self, now: f64, requests: &BTreeMap<ProcessId, Vec<LeaseRequest>>) {
         let lenders: Vec<ProcessId> = requests.keys().copied().collect();
         let first = self.rng.rand_range(0..lenders.len() as u64 + 1) as usize;
--- a/crates/shared-budgets/tests/exhaustive_search.rs
+++ b/crates/shared-budgets/tests/exhaustive_search.rs
@@ -88,7 +88,7 @@
     fleet.messages.truncate(MAX_IN_TRANSIT);
 }
 
-/// Tells states apart, so that none is searched twice.
+/// A key of the state, so that no state is searched twice.
 fn fingerprint(fleet: &SimulatedFleet) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{:?}{:?}", fleet.gateways, fleet.messages).hash(&mut hasher);
--- a/crates/shared-budgets/tests/fleet/mod.rs
+++ b/crates/shared-budgets/tests/fleet/mod.rs
@@ -134,14 +134,14 @@
         self.deliver_adjustments(n);
     }
 
-    /// Kills the process of a gateway: it says nothing any more.
+    /// Kills the process of a gateway: it sends nothing any more.
     pub fn kill(&mut self, n: usize) {
         if let Some(gateway) = self.gateways[n].take() {
             self.past_use.extend(gateway.used_at.iter().map(|at| at / gateway.clock_rate));
         }
     }
 
-    /// Tells all processes which others there are, as membership would.
+    /// Informs all processes of the others, as membership would.
     fn announce_peers(&mut self) {
         let ids: Vec<u64> = self.gateways.iter().flatten().map(|n| n.id).collect();
         for n in 0..self.gateways.len() {
--- a/crates/shared-budgets/tests/scenarios.rs
+++ b/crates/shared-budgets/tests/scenarios.rs
@@ -26,7 +26,7 @@
     fleet
 }
 
-/// Mean fraction of the whole budget that one gateway may use over some seconds.
+/// Mean fraction of the budget that one gateway may use over some seconds.
 fn mean_fraction(
     fleet: &mut SimulatedFleet,
     n: usize,
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The file operations that durable state needs, and the replacement of a whole file, which needs nothing else.
+//! The file operations that durable state needs, and the atomic replacement of a file, built on them alone.
 
 use nix::errno::Errno;
 use std::io::{self, Write};
@@ -10,7 +10,7 @@
     /// A file of this folder that is being written.
     type File: FolderFile;
 
-    /// Reads a whole file.
+    /// Reads a file to its end.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
     /// Creates an empty file; fails if the name is taken.
@@ -74,12 +74,12 @@
     }
 }
 
-/// Replaces a file as a whole. After a crash at any time either the old or the new file is there, and the new one once this
+/// Replaces a file atomically. After a crash at any time either the old or the new file is there, and the new one once this
 /// function has returned it. The new file has `temporary_name` until it is complete, and can be appended to.
 ///
 /// # Errors
 ///
-/// A [`ReplaceError`], which tells whether the old file is certainly still there.
+/// A [`ReplaceError`], by which the caller knows whether the old file is certainly still there.
 pub fn replace_file<F: Folder>(
     folder: &F,
     name: &str,
--- a/crates/storage/src/framing.rs
+++ b/crates/storage/src/framing.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Parses a whole file.
+/// Parses the contents of a log file.
 pub fn parse(bytes: &[u8]) -> Result<Parsed, FormatError> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         // New, or cut short before its first record.
@@ -75,7 +75,7 @@
 }
 
 fn parse_record(bytes: &[u8]) -> ParsedRecord<'_> {
-    /// Zeros at the end of a record which tell that its last bytes did not reach the disk.
+    /// Zeros at the end of a record by which it counts as torn: its last bytes did not reach the disk.
     const TORN_ZEROS: usize = 8;
     let zeros = |part: &[u8]| part.iter().all(|b| *b == 0);
     let Some((frame, following)) = bytes.split_at_checked(FRAME_BYTES) else { return ParsedRecord::Torn };
--- a/crates/storage/tests/record_log.rs
+++ b/crates/storage/tests/record_log.rs
@@ -62,7 +62,7 @@
     assert_eq!(start(&folder).1.records.len(), 4);
 }
 
-/// Cut anywhere: the whole records before the cut are there, and the next one goes where the torn one stood.
+/// Cut anywhere: the complete records before the cut are there, and the next one goes where the torn one stood.
 #[test]
 fn a_file_cut_at_any_byte_keeps_its_whole_records() {
     let whole = bytes_of_three();
