--- a/crates/config-log/src/replica/catching_up.rs
+++ b/crates/config-log/src/replica/catching_up.rs
@@ -110,7 +110,7 @@
         }
         let entries: Vec<_> = entries.into_iter().map(|(number, change)| Entry { number, change }).collect();
         entries.iter().for_each(|entry| self.store(Record::SnapshotEntry(entry.clone())));
-        self.store(Record::SnapshotHead(checkpoint.head, checkpoint.digest));
+        self.store(Record::SnapshotHead { head: checkpoint.head, digest: checkpoint.digest });
         self.log.install(entries, checkpoint.head);
         self.discard_through(checkpoint.head);
         self.resolve_through_head();
--- a/crates/config-log/src/replica/durability.rs
+++ b/crates/config-log/src/replica/durability.rs
@@ -64,7 +64,7 @@
             .into_iter()
             .chain([Record::Promised(self.acceptor.promised)])
             .chain(snapshot)
-            .chain([Record::SnapshotHead(state.head(), state.digest())])
+            .chain([Record::SnapshotHead { head: state.head(), digest: state.digest() }])
             .chain(self.acceptor.votes.values().cloned().map(Record::Accepted))
             .collect()
     }
--- a/crates/config-log/src/replica/record.rs
+++ b/crates/config-log/src/replica/record.rs
@@ -24,12 +24,19 @@
     /// The entry is chosen, and all before it are applied.
     #[n(4)]
     Chosen(#[n(0)] Entry),
-    /// An entry of the snapshot that the next [`SnapshotHead`](Self::SnapshotHead) completes; void without it.
+    /// An entry of the snapshot that the next [`SnapshotHead`](Self::SnapshotHead) completes; without effect if none follows.
     #[n(5)]
     SnapshotEntry(#[n(0)] Entry),
-    /// Completes a snapshot: all snapshot entries since the last one, with the head and the digest of the state.
+    /// Completes a snapshot: it consists of all snapshot entries since the last snapshot head.
     #[n(6)]
-    SnapshotHead(#[n(0)] u64, #[n(1)] u64),
+    SnapshotHead {
+        /// Number of the last entry that the snapshot covers.
+        #[n(0)]
+        head: u64,
+        /// Digest of the state at that number.
+        #[n(1)]
+        digest: u64,
+    },
 }
 
 /// What to do next. Actions are carried out in order, and a record must be durable before any later message is sent.
--- a/crates/config-log/src/replica/state.rs
+++ b/crates/config-log/src/replica/state.rs
@@ -131,10 +131,10 @@
                     self.log.append(entry, self.clock.now);
                 }
                 Record::SnapshotEntry(entry) => snapshot.push(entry),
-                Record::SnapshotHead(head, _) if head >= self.head() => {
+                Record::SnapshotHead { head, .. } if head >= self.head() => {
                     self.log.install(snapshot.drain(..), head);
                 }
-                Record::SnapshotHead(..) => snapshot.clear(),
+                Record::SnapshotHead { .. } => snapshot.clear(),
             }
         }
         self.acceptor.discard_through(self.head());
--- a/crates/config-log/tests/cluster/mod.rs
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -268,7 +268,7 @@
                     if let Record::Chosen(entry) = &record {
                         self.log.committed(self.now, entry);
                     }
-                    if let Record::SnapshotHead(head, digest) = &record {
+                    if let Record::SnapshotHead { head, digest } = &record {
                         assert_eq!(self.log.digest(*head), Some(*digest), "a state that never was at {head}");
                     }
                     let crashes = matches!(self.crash_point, Some((who, CrashPoint::AfterStore(such))) if who == n && such(&record));
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -77,7 +77,7 @@
     records.iter().any(|record| match record {
         Record::Accepted(vote) => vote.number == number && vote.ballot >= ballot,
         Record::Chosen(entry) => entry.number >= number,
-        Record::SnapshotHead(head, _) => *head >= number,
+        Record::SnapshotHead { head, .. } => *head >= number,
         _ => false,
     })
 }
--- a/crates/config-log/tests/wire_forms.rs
+++ b/crates/config-log/tests/wire_forms.rs
@@ -117,7 +117,7 @@
         Record::Accepted(vote()),
         Record::Chosen(entry()),
         Record::SnapshotEntry(entry()),
-        Record::SnapshotHead(5, 11),
+        Record::SnapshotHead { head: 5, digest: 11 },
     ]
 }
 
--- a/crates/membership/src/quorum/endorsement.rs
+++ b/crates/membership/src/quorum/endorsement.rs
@@ -18,7 +18,7 @@
 use crate::config::CLOCK_MARGIN;
 use crate::state::Membership;
 use crate::state::member::MemberState;
-use crate::state::own_sets::OwnSets;
+use crate::state::own_sets::{OwnSets, ProcessInSets};
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -90,19 +90,19 @@
         let settings = [self.max_gateways() as f64, self.config.lease, self.config.floor];
         let domain = xxh3_64_with_seed(&settings.map(f64::to_le_bytes).concat(), 0);
         let mut sets = OwnSets { endorses_self: !self.abstains(), ..OwnSets::default() };
-        let own = (self.identity.instance_id, sets.endorses_self, !self.departing);
-        let others =
-            self.members.iter().map(|(id, member)| (*id, member.endorsed, member.listed_since.is_finite()));
-        for (instance_id, endorsed, listed) in std::iter::once(own).chain(others) {
-            let hash = xxh3_64_with_seed(&instance_id.to_le_bytes(), domain);
-            sets.members_by_hash.insert(hash, instance_id);
-            if endorsed {
-                sets.endorsed = sets.endorsed.wrapping_add(hash);
-            }
-            if listed {
-                sets.listed = sets.listed.wrapping_add(hash);
-                sets.listed_ids.insert(instance_id);
-            }
+        let own = ProcessInSets {
+            instance_id: self.identity.instance_id,
+            endorsed: sets.endorses_self,
+            listed: !self.departing,
+        };
+        let others = self.members.iter().map(|(id, member)| ProcessInSets {
+            instance_id: *id,
+            endorsed: member.endorsed,
+            listed: member.listed_since.is_finite(),
+        });
+        for process in std::iter::once(own).chain(others) {
+            let hash = xxh3_64_with_seed(&process.instance_id.to_le_bytes(), domain);
+            sets.add(process, hash);
         }
         sets
     }
--- a/crates/membership/src/quorum/proof.rs
+++ b/crates/membership/src/quorum/proof.rs
@@ -16,6 +16,14 @@
     pub bound_until: f64,
 }
 
+impl QuorumProof {
+    /// Until when a fraction derived from the proof at `now` holds. A bound that is not proven is the largest number of
+    /// gateways, which does not expire.
+    pub(crate) fn valid_until(&self, now: f64) -> f64 {
+        if now < self.bound_until { self.quorum_until.min(self.bound_until) } else { self.quorum_until }
+    }
+}
+
 /// Assertions that are fresh and readable, by the name of the gateway that made them.
 struct Evidence<'m> {
     /// When each gateway last asserted that it endorses this one.
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -29,14 +29,11 @@
         let max_gateways = self.max_gateways() as f64;
         let floor = self.config.floor / max_gateways;
         let has_quorum = now < proof.quorum_until && !self.departing;
-        let valid_until = match has_quorum {
-            true if now < proof.bound_until => proof.quorum_until.min(proof.bound_until),
-            true => proof.quorum_until,
-            false => f64::INFINITY,
-        };
-        let current = match has_quorum {
-            true => floor + (1.0 - self.config.floor) / proof.max_with_quorum as f64,
-            false => floor,
+        let (current, valid_until) = if has_quorum {
+            let above_floor = (1.0 - self.config.floor) / proof.max_with_quorum as f64;
+            (floor + above_floor, proof.valid_until(now))
+        } else {
+            (floor, f64::INFINITY)
         };
         let lowest = self.trailing_minimum.update(now, current, floor, valid_until);
         let own_max_gateways = f64::from(self.identity.max_gateways.max(1));
--- a/crates/membership/src/state/own_sets.rs
+++ b/crates/membership/src/state/own_sets.rs
@@ -16,3 +16,25 @@
     /// Whether this gateway endorses itself.
     pub endorses_self: bool,
 }
+
+/// A process, and which of the sets it belongs to.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ProcessInSets {
+    pub instance_id: u64,
+    pub endorsed: bool,
+    pub listed: bool,
+}
+
+impl OwnSets {
+    /// Adds a process with its hash.
+    pub(crate) fn add(&mut self, process: ProcessInSets, hash: u64) {
+        self.members_by_hash.insert(hash, process.instance_id);
+        if process.endorsed {
+            self.endorsed = self.endorsed.wrapping_add(hash);
+        }
+        if process.listed {
+            self.listed = self.listed.wrapping_add(hash);
+            self.listed_ids.insert(process.instance_id);
+        }
+    }
+}
--- a/crates/storage/src/framing.rs
+++ b/crates/storage/src/framing.rs
@@ -56,7 +56,7 @@
     let mut records = Vec::new();
     while !rest.is_empty() {
         match parse_record(rest) {
-            ParsedRecord::Record(record, following) => {
+            ParsedRecord::Complete { record, rest: following } => {
                 records.push(record.to_vec());
                 rest = following;
             }
@@ -67,10 +67,16 @@
     Ok(Parsed { records, torn_bytes: rest.len() as u64 })
 }
 
+/// What the bytes at the position of a record hold.
 enum ParsedRecord<'a> {
-    /// A record, and the bytes that follow it.
-    Record(&'a [u8], &'a [u8]),
+    Complete {
+        record: &'a [u8],
+        /// The bytes that follow it.
+        rest: &'a [u8],
+    },
+    /// Its end did not reach the disk.
     Torn,
+    /// It was changed after it had been written.
     Corrupt,
 }
 
@@ -87,7 +93,7 @@
     }
     let Some((record, after)) = following.split_at_checked(size) else { return ParsedRecord::Torn };
     if record_checksum == xxh3_64(record).to_le_bytes() {
-        return ParsedRecord::Record(record, after);
+        return ParsedRecord::Complete { record, rest: after };
     }
     let end = &record[size.saturating_sub(TORN_ZEROS)..];
     if size > 0 && zeros(end) && zeros(after) { ParsedRecord::Torn } else { ParsedRecord::Corrupt }
