--- a/crates/membership/src/state/counters.rs
+++ b/crates/membership/src/state/counters.rs
@@ -25,7 +25,7 @@
     /// Authentic datagrams whose body is malformed.
     #[serde(rename = "bodies")]
     pub rejected_body: u64,
-    /// Datagrams whose sequence number was received before, or is too old to tell.
+    /// Datagrams whose sequence number was received before, or is too old to be checked.
     #[serde(rename = "repeated")]
     pub replayed: u64,
     /// Datagrams for a predecessor of this process.
@@ -40,7 +40,7 @@
     pub unsent: u64,
     /// Probes begun.
     pub probes: u64,
-    /// Probes that nobody answered in time.
+    /// Probes that were not answered in time, neither directly nor through helpers.
     #[serde(rename = "missed")]
     pub probes_unanswered: u64,
     /// Times that this process refuted a false update about itself.
@@ -61,10 +61,10 @@
     /// Counts a received datagram that could not be opened.
     pub fn record_rejected(&mut self, error: OpenError) {
         *match error {
-            OpenError::Size => &mut self.rejected_size,
-            OpenError::Version(_) => &mut self.rejected_version,
-            OpenError::Seal => &mut self.rejected_seal,
-            OpenError::Body => &mut self.rejected_body,
+            OpenError::InvalidSize => &mut self.rejected_size,
+            OpenError::UnsupportedVersion(_) => &mut self.rejected_version,
+            OpenError::InvalidTag => &mut self.rejected_seal,
+            OpenError::InvalidBody => &mut self.rejected_body,
         } += 1;
     }
 }
--- a/crates/storage/src/framing.rs
+++ b/crates/storage/src/framing.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Parses a whole file.
+/// Parses the contents of a log file.
 pub fn parse(bytes: &[u8]) -> Result<Parsed, FormatError> {
     if bytes.len() < HEADER.len() && HEADER.starts_with(bytes) {
         // New, or cut short before its first record.
@@ -56,7 +56,7 @@
     let mut records = Vec::new();
     while !rest.is_empty() {
         match parse_record(rest) {
-            ParsedRecord::Record(record, following) => {
+            ParsedRecord::Complete { record, rest: following } => {
                 records.push(record.to_vec());
                 rest = following;
             }
@@ -67,15 +67,21 @@
     Ok(Parsed { records, torn_bytes: rest.len() as u64 })
 }
 
+/// What the bytes at the position of a record hold.
 enum ParsedRecord<'a> {
-    /// A record, and the bytes that follow it.
-    Record(&'a [u8], &'a [u8]),
+    Complete {
+        record: &'a [u8],
+        /// The bytes that follow it.
+        rest: &'a [u8],
+    },
+    /// Its end did not reach the disk.
     Torn,
+    /// It was changed after it had been written.
     Corrupt,
 }
 
 fn parse_record(bytes: &[u8]) -> ParsedRecord<'_> {
-    /// Zeros at the end of a record which tell that its last bytes did not reach the disk.
+    /// Zeros at the end of a record by which it counts as torn: its last bytes did not reach the disk.
     const TORN_ZEROS: usize = 8;
     let zeros = |part: &[u8]| part.iter().all(|b| *b == 0);
     let Some((frame, following)) = bytes.split_at_checked(FRAME_BYTES) else { return ParsedRecord::Torn };
@@ -87,7 +93,7 @@
     }
     let Some((record, after)) = following.split_at_checked(size) else { return ParsedRecord::Torn };
     if record_checksum == xxh3_64(record).to_le_bytes() {
-        return ParsedRecord::Record(record, after);
+        return ParsedRecord::Complete { record, rest: after };
     }
     let end = &record[size.saturating_sub(TORN_ZEROS)..];
     if size > 0 && zeros(end) && zeros(after) { ParsedRecord::Torn } else { ParsedRecord::Corrupt }
