--- a/crates/config/src/change/parser.rs
+++ b/crates/config/src/change/parser.rs
@@ -74,7 +74,7 @@
             changes.push((section.offset, ParsedChange { subject, overrides, text, line, column }));
         }
         if changes.is_empty() {
-            let remedy = "add function \"name\" { lanes = 2 } or functions { ... }";
+            let remedy = "add function \"name\" { concurrency = 2 } or functions { ... }";
             top.report(0, "the text holds no change", remedy);
         }
         changes.sort_by_key(|(offset, _)| *offset);
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -2,6 +2,7 @@
 //! that make sense, and a key that nobody asked for is an error too. Reading goes on after an error, so that all of
 //! them are reported at once.
 
+mod aliases;
 mod blocks;
 mod error;
 mod section;
@@ -9,6 +10,7 @@
 mod unknown_keys;
 mod values;
 
+pub use aliases::{KEY_ALIASES, KeyAlias, VALUE_ALIASES, ValueAlias, attribute};
 pub use error::ConfigError;
 pub use section::Section;
 pub use text::{Document, Position};
--- /dev/null
+++ b/crates/config/src/document/aliases.rs
@@ -0,0 +1,101 @@
+//! Former names of keys, blocks and values. A file may use either name, and not both in one block. Readers ask for the
+//! standard name; messages use the one that the file has.
+
+use hcl_edit::structure::{Attribute, Body};
+
+/// A key or block that had another name before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KeyAlias {
+    /// The name that readers ask for.
+    pub standard: &'static str,
+    /// The name in files that were written before.
+    pub former: &'static str,
+}
+
+/// A value of a key that had another name before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ValueAlias {
+    /// The standard name of the key.
+    pub key: &'static str,
+    /// The value that readers list.
+    pub standard: &'static str,
+    /// The value in files that were written before.
+    pub former: &'static str,
+}
+
+const fn key(standard: &'static str, former: &'static str) -> KeyAlias {
+    KeyAlias { standard, former }
+}
+
+const fn idempotency(standard: &'static str, former: &'static str) -> ValueAlias {
+    ValueAlias { key: "idempotency", standard, former }
+}
+
+/// All keys and blocks with a former name, whichever file they belong to.
+pub const KEY_ALIASES: [KeyAlias; 24] = [
+    // Profiles.
+    key("latency_objective", "due"),
+    key("deadline", "cut_off"),
+    key("idempotency", "effect"),
+    // Functions.
+    key("concurrency", "lanes"),
+    // Workers.
+    key("rejects_unloaded", "misses"),
+    key("idle_timeout", "keep"),
+    key("initial_capacity", "cold_share"),
+    key("overload_multiple", "tip_multiple"),
+    key("overload_window", "tip_window"),
+    key("health_checks", "probes"),
+    key("health_check_timeout", "probe_wait"),
+    key("load_requests", "orders"),
+    // Limits.
+    key("load_rate_limit", "ration"),
+    key("over_quota", "over_share"),
+    // Scenarios.
+    key("extends", "upon"),
+    key("loads_ahead", "eager"),
+    key("abandonment", "leave"),
+    key("timeout", "patience"),
+    key("idempotency_window", "receipts"),
+    key("notification_delay", "notice"),
+    // Faults of scenarios.
+    key("fault", "trouble"),
+    key("fraction", "part"),
+    key("duration", "lasts"),
+    key("magnitude", "size"),
+];
+
+/// All values with a former name.
+pub const VALUE_ALIASES: [ValueAlias; 3] = [
+    idempotency("idempotent", "pure"),
+    idempotency("idempotent_with_key", "receipted"),
+    idempotency("non_idempotent", "effectful"),
+];
+
+/// The former name of a key; none where it always had this one.
+pub(super) fn former_key(standard: &str) -> Option<&'static str> {
+    KEY_ALIASES.iter().find(|alias| alias.standard == standard).map(|alias| alias.former)
+}
+
+/// The former name of a value; none where it always had this one.
+pub(super) fn former_value(key: &str, standard: &str) -> Option<&'static str> {
+    let is_alias = |alias: &&ValueAlias| alias.key == key && alias.standard == standard;
+    VALUE_ALIASES.iter().find(is_alias).map(|alias| alias.former)
+}
+
+/// Whether a body has an attribute or a block of exactly that name.
+pub(super) fn has_name(body: &Body, name: &str) -> bool {
+    body.has_attribute(name) || body.has_blocks(name)
+}
+
+/// The name by which a body states a key: the standard one or the former one; none where it does not state it.
+pub(super) fn stated_name<'k>(body: &Body, standard: &'k str) -> Option<&'k str> {
+    let names = [Some(standard), former_key(standard)];
+    names.into_iter().flatten().find(|name| has_name(body, name))
+}
+
+/// The attribute of a key, by its standard name or its former one.
+#[must_use]
+pub fn attribute<'b>(body: &'b Body, standard: &str) -> Option<&'b Attribute> {
+    body.get_attribute(stated_name(body, standard)?)
+}
--- a/crates/config/src/document/blocks.rs
+++ b/crates/config/src/document/blocks.rs
@@ -1,6 +1,7 @@
 //! Blocks within a section, merged over the texts that a document builds on: a block of the document adds to that of the
 //! same label below it, whose values hold where it gives none.
 
+use super::aliases::stated_name;
 use super::section::Section;
 use hcl_edit::Span;
 use hcl_edit::structure::Block;
@@ -21,8 +22,10 @@
         // From the ground up: the texts built on come first, and keep their order.
         for (layer, body) in self.bodies.iter().enumerate().rev() {
             let in_document = layer == 0 && self.in_document;
-            for block in body.get_blocks(key) {
-                self.add_block(&mut sections, key, block, in_document, labelled);
+            // One that stands under both names is reported with the unknown keys.
+            let Some(name) = stated_name(body, key) else { continue };
+            for block in body.get_blocks(name) {
+                self.add_block(&mut sections, name, block, in_document, labelled);
             }
         }
         sections
@@ -52,6 +55,7 @@
             Some(below) if in_document && !below.in_document => {
                 below.bodies.insert(0, &block.body);
                 (below.offset, below.end, below.in_document) = (span.start, span.end, true);
+                below.title = title;
             }
             Some(below) if !in_document => below.bodies.insert(0, &block.body),
             duplicate => {
--- a/crates/config/src/document/section.rs
+++ b/crates/config/src/document/section.rs
@@ -1,5 +1,6 @@
 //! One block of a document: its attributes by name, its source text, and the keys that were asked for.
 
+use super::aliases::{self, former_value, stated_name};
 use super::text::Document;
 use hcl_edit::Span;
 use hcl_edit::expr::Expression;
@@ -109,6 +110,19 @@
         self.report(self.offset, problem, format!("add {key} = {example}"));
     }
 
+    /// The name by which this section states a key or block: the standard one or the former one. Where it states neither,
+    /// the standard one.
+    #[must_use]
+    pub fn spelling<'k>(&self, key: &'k str) -> &'k str {
+        self.bodies.iter().find_map(|body| stated_name(body, key)).unwrap_or(key)
+    }
+
+    /// A value of a key in the same vocabulary as the key: its former name where the section has the former key.
+    #[must_use]
+    pub fn value_spelling<'k>(&self, key: &str, value: &'k str) -> &'k str {
+        if self.spelling(key) == key { value } else { former_value(key, value).unwrap_or(value) }
+    }
+
     /// The byte at which an attribute begins; where it is not stated, that of the section.
     #[must_use]
     pub fn offset_of(&self, key: &str) -> usize {
@@ -130,7 +144,7 @@
     /// An attribute with its offset; one of another text gets the offset of this section.
     fn attribute(&self, key: &str) -> Option<(usize, &'p Attribute)> {
         self.bodies.iter().enumerate().find_map(|(layer, body)| {
-            let attribute = body.get_attribute(key)?;
+            let attribute = aliases::attribute(body, key)?;
             let is_own = layer == 0 && self.in_document;
             let offset = if is_own { start_of(attribute.span()) } else { self.offset };
             Some((offset, attribute))
--- a/crates/config/src/document/unknown_keys.rs
+++ b/crates/config/src/document/unknown_keys.rs
@@ -1,5 +1,7 @@
-//! Keys that nobody asked for: reported as unknown when the section is dropped, with the closest known key.
+//! Keys that nobody asked for, and keys under two names: reported when the section is dropped; an unknown one with the
+//! closest known key.
 
+use super::aliases::{KEY_ALIASES, former_key, has_name};
 use super::section::{Section, name_and_offset};
 
 /// Keys at least this similar, by the Jaro-Winkler measure from 0 to 1, are taken for a slip.
@@ -12,6 +14,25 @@
     closest.copied().filter(|key| similarity(key) >= MIN_SIMILARITY)
 }
 
+impl Section<'_> {
+    /// Reports each key that its own body has under its standard and its former name, where the second one begins.
+    fn report_keys_under_two_names(&self, known_keys: &[&str]) {
+        for alias in KEY_ALIASES.iter().filter(|alias| known_keys.contains(&alias.standard)) {
+            if !has_name(self.bodies[0], alias.standard) || !has_name(self.bodies[0], alias.former) {
+                continue;
+            }
+            let offset_of = |wanted: &str| {
+                let mut structures = self.bodies[0].iter().map(name_and_offset);
+                structures.find(|(name, _)| *name == wanted).map_or(self.offset, |(_, offset)| offset)
+            };
+            let offset = offset_of(alias.standard).max(offset_of(alias.former));
+            let problem =
+                format!("{} has both {} and {}, its former name", self.title, alias.standard, alias.former);
+            self.report(offset, problem, format!("keep {}, and remove {}", alias.standard, alias.former));
+        }
+    }
+}
+
 impl Drop for Section<'_> {
     fn drop(&mut self) {
         // The keys of another text were checked when that text was read.
@@ -19,12 +40,15 @@
             return;
         }
         let (known_keys, refused_keys) = (self.known_keys.borrow(), self.refused_keys.borrow());
+        self.report_keys_under_two_names(&known_keys);
+        let former_keys = known_keys.iter().filter_map(|key| former_key(key));
+        let accepted_keys: Vec<&str> = known_keys.iter().copied().chain(former_keys).collect();
         for structure in self.bodies[0] {
             let (name, offset) = name_and_offset(structure);
-            if known_keys.contains(&name) || refused_keys.contains(&name) {
+            if accepted_keys.contains(&name) || refused_keys.contains(&name) {
                 continue;
             }
-            let remedy = match closest_key(&known_keys, name) {
+            let remedy = match closest_key(&accepted_keys, name) {
                 Some(closest) => format!("did you mean {closest}?"),
                 None => format!("remove it; known keys: {}", known_keys.join(", ")),
             };
--- a/crates/config/src/document/values.rs
+++ b/crates/config/src/document/values.rs
@@ -1,6 +1,7 @@
 //! Typed values of attributes, each checked against the bounds that make sense. What is out of bounds is reported, and
 //! the value is none, so that reading goes on with a default.
 
+use super::aliases::former_value;
 use super::section::Section;
 use hcl_edit::expr::Expression;
 use std::ops::RangeInclusive;
@@ -24,6 +25,7 @@
         let (offset, value) = self.value(key)?;
         let number = as_number(value).filter(|x| within.contains(x));
         if number.is_none() {
+            let key = self.spelling(key);
             let bounds = match (within.start(), within.end()) {
                 (low, high) if high.is_infinite() => format!("{low} or more"),
                 (low, high) => format!("{low} to {high}"),
@@ -40,8 +42,9 @@
     pub fn count(&self, key: &'static str, unit: &str, within: RangeInclusive<u32>) -> Option<usize> {
         let number = self.number(key, unit, f64::from(*within.start())..=f64::from(*within.end()))?;
         if number.fract() != 0.0 {
+            let (offset, key) = (self.offset_of(key), self.spelling(key));
             let problem = format!("{key} of {} must be a whole number", self.title);
-            self.report(self.offset_of(key), problem, format!("write {key} = {}", number.round()));
+            self.report(offset, problem, format!("write {key} = {}", number.round()));
         }
         Some(number as usize)
     }
@@ -53,6 +56,7 @@
         if let Expression::Bool(flag) = value {
             return Some(*flag.value());
         }
+        let key = self.spelling(key);
         let problem = format!("{key} of {} must be true or false", self.title);
         self.report(offset, problem, format!("write {key} = true or {key} = false"));
         None
@@ -65,6 +69,7 @@
         if let Expression::String(text) = value {
             return Some(text.value());
         }
+        let key = self.spelling(key);
         self.report(
             offset,
             format!("{key} of {} must be a string", self.title),
@@ -84,8 +89,9 @@
         let text = self.text(key)?;
         let value = parse(text);
         if value.is_none() {
+            let (offset, key) = (self.offset_of(key), self.spelling(key));
             let problem = format!("{key} of {} has the invalid value \"{text}\"", self.title);
-            self.report(self.offset_of(key), problem, format!("write {key} = {example}"));
+            self.report(offset, problem, format!("write {key} = {example}"));
         }
         value
     }
@@ -99,6 +105,7 @@
         parse: impl Fn(&str) -> Option<T>,
     ) -> Option<Vec<T>> {
         let (offset, value) = self.value(key)?;
+        let key = self.spelling(key);
         let remedy = format!("write {key} = {example}");
         let Expression::Array(items) = value else {
             self.report(offset, format!("{key} of {} must be a list", self.title), remedy);
@@ -115,11 +122,14 @@
         values
     }
 
-    /// One of a few words, each with the value that it stands for.
+    /// One of a few words, each with the value that it stands for; the former name of a word stands for the same.
     #[must_use]
     pub fn one_of<T: Copy>(&self, key: &'static str, choices: &[(&str, T)]) -> Option<T> {
-        let quoted: Vec<_> = choices.iter().map(|(word, _)| format!("\"{word}\"")).collect();
-        let parse = |text: &str| choices.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
+        let quote = |(word, _): &(&str, T)| format!("\"{}\"", self.value_spelling(key, word));
+        let quoted: Vec<_> = choices.iter().map(quote).collect();
+        let is_word = |word: &str, text: &str| word == text || former_value(key, word) == Some(text);
+        let parse =
+            |text: &str| choices.iter().find(|(word, _)| is_word(word, text)).map(|(_, value)| *value);
         self.parsed(key, &quoted.join(" or "), parse)
     }
 }
--- a/crates/config/src/reader/limits.rs
+++ b/crates/config/src/reader/limits.rs
@@ -25,7 +25,7 @@
         stall_timeout: optional.number("stall", "seconds", 0.01..=MAX_SECONDS, 10.0),
         connect_timeout: workers.number("connect", "seconds", 0.001..=MAX_SECONDS, 0.25),
         idle_timeout: workers.number("idle", "seconds", 0.01..=MAX_SECONDS, 30.0),
-        health_check_timeout: workers.number("probe_wait", "seconds", 0.001..=MAX_SECONDS, 0.25),
+        health_check_timeout: workers.number("health_check_timeout", "seconds", 0.001..=MAX_SECONDS, 0.25),
         drain_grace: workers.number("drain_grace", "seconds", 0.0..=MAX_SECONDS, 1.0),
     };
     if let Some(section) = section {
--- a/crates/config/src/reader/policy.rs
+++ b/crates/config/src/reader/policy.rs
@@ -44,23 +44,23 @@
                 .limits
                 .and_then(|limits| in_flight(limits, self.gateways))
                 .unwrap_or(f64::INFINITY),
-            over_quota_weight: limits.number("over_share", "", 0.0..=1.0, 1.0),
+            over_quota_weight: limits.number("over_quota", "", 0.0..=1.0, 1.0),
             max_attempts: limits.count("shots", "attempts", 1..=16, 4),
             can_cancel: workers.flag("cancels", true),
-            can_request_loads: workers.flag("orders", true),
-            reports_missing_functions: workers.flag("misses", false),
+            can_request_loads: workers.flag("load_requests", true),
+            reports_missing_functions: workers.flag("rejects_unloaded", false),
             // The registry streams to whoever asks, and is asked again when the stream breaks.
             watches_on_request: matches!(source, WorkerSource::Registry(_)),
-            can_check_health: workers.flag("probes", true),
+            can_check_health: workers.flag("health_checks", true),
             max_retry_after: Some(limits.number("come_back", "seconds", 0.0..=MAX_SECONDS, 1.0))
                 .filter(|seconds| *seconds > 0.0),
-            keep_alive: seconds("keep", 0.0, 10.0),
-            load_budget: self.limits.and_then(|limits| rate_limit(limits, "ration")),
+            keep_alive: seconds("idle_timeout", 0.0, 10.0),
+            load_budget: self.limits.and_then(|limits| rate_limit(limits, "load_rate_limit")),
             load_request_timeout: seconds("order_wait", 0.01, 30.0),
-            initial_capacity: workers.number("cold_share", "capacity", 0.0..=1.0, 0.2),
+            initial_capacity: workers.number("initial_capacity", "capacity", 0.0..=1.0, 0.2),
             warm_up: seconds("warm_up", 0.0, 15.0),
-            overload_multiple: workers.number("tip_multiple", "capacities", 0.0..=1000.0, 2.5),
-            overload_window: seconds("tip_window", 0.0, 1.0),
+            overload_multiple: workers.number("overload_multiple", "capacities", 0.0..=1000.0, 2.5),
+            overload_window: seconds("overload_window", 0.0, 1.0),
             memory: self.memory,
             clock_resolution: TICK,
         }
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -1,5 +1,5 @@
 //! Reads scenario files. They are in HCL, and read like a gateway's configuration, so that errors are reported the same way.
-//! A file may build on another (`upon`), whose values hold where it gives none.
+//! A file may build on another (`extends`), whose values hold where it gives none.
 
 mod blocks;
 mod faults;
@@ -10,7 +10,7 @@
 
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
-use milletpath_config::document::{ConfigError, Document, Section};
+use milletpath_config::document::{ConfigError, Document, Section, attribute};
 use std::path::{Path, PathBuf};
 
 /// Files that build on each other, at most; more are taken for a circle.
@@ -28,10 +28,12 @@
         source: std::io::Error,
     },
     /// The file builds on itself, by way of others.
-    #[error("{}: builds on itself; write a day that ends at one without upon", file.display())]
+    #[error("{}: builds on itself; write a day that ends at one without {key}", file.display())]
     Circle {
         /// The file that is one too many.
         file: PathBuf,
+        /// The key that names the next one, as the first file has it.
+        key: String,
     },
     /// Something in the file is invalid.
     #[error("{}:{error}", file.display())]
@@ -88,7 +90,9 @@
     let mut file = file.to_owned();
     while let Some(base) = base_of(&layers[layers.len() - 1].body) {
         if layers.len() + above > MAX_LAYERS {
-            return Err(ScenarioFileError::Circle { file }.into());
+            let key =
+                attribute(&layers[0].body, "extends").map_or("extends", |attribute| attribute.key.as_str());
+            return Err(ScenarioFileError::Circle { file, key: key.to_owned() }.into());
         }
         file = file.parent().unwrap_or(Path::new("")).join(base);
         if layers.len() == 1 {
@@ -117,7 +121,7 @@
 
 /// The file that a file builds on.
 fn base_of(body: &Body) -> Option<String> {
-    body.get_attribute("upon").and_then(|attribute| attribute.value.as_str()).map(str::to_owned)
+    attribute(body, "extends").and_then(|attribute| attribute.value.as_str()).map(str::to_owned)
 }
 
 fn invalid(file: &Path, errors: Vec<ConfigError>) -> InvalidScenario {
--- a/crates/emulator/src/scenario_file/blocks.rs
+++ b/crates/emulator/src/scenario_file/blocks.rs
@@ -45,7 +45,7 @@
 /// A scenario from the top level of its file.
 pub(super) fn scenario(name: &str, top: &Section<'_>) -> Scenario {
     // Known here; it was read when the layers were.
-    let _ = top.text("upon");
+    let _ = top.text("extends");
     let fleet = top.block("fleet");
     let fleet = OptionalBlock(fleet.as_ref());
     let functions = top.block("functions");
@@ -80,13 +80,13 @@
         memory: fleet.number("memory", "MB", 1e9, 8192.0),
         concurrent_loads: fleet.count("loads_at_once", 4),
         queue: fleet.count("queue", 64),
-        idle_timeout: fleet.seconds("keep", 12.0),
-        rejects_unloaded: fleet.flag("misses", false),
-        loads_ahead: fleet.flag("eager", true),
-        initial_capacity: fleet.number("cold_share", "capacity", 1.0, 0.2),
+        idle_timeout: fleet.seconds("idle_timeout", 12.0),
+        rejects_unloaded: fleet.flag("rejects_unloaded", false),
+        loads_ahead: fleet.flag("loads_ahead", true),
+        initial_capacity: fleet.number("initial_capacity", "capacity", 1.0, 0.2),
         warm_up: fleet.seconds("warm_up", 8.0),
-        overload_multiple: fleet.number("tip_multiple", "capacities", 1000.0, 2.5),
-        overload_window: fleet.seconds("tip_window", 1.0),
+        overload_multiple: fleet.number("overload_multiple", "capacities", 1000.0, 2.5),
+        overload_window: fleet.seconds("overload_window", 1.0),
     }
 }
 
@@ -103,7 +103,7 @@
 
 fn function_model(functions: OptionalBlock<'_, '_>) -> FunctionModel {
     FunctionModel {
-        concurrency: functions.count("lanes", 2) as u32,
+        concurrency: functions.count("concurrency", 2) as u32,
         memory: functions.number("memory", "MB", 1e9, 300.0),
         fetch: functions.seconds("fetch", 0.25),
         start: functions.seconds("start", 0.15),
@@ -121,10 +121,10 @@
         work: block.seconds("work", 0.04),
         io: block.seconds("io", 0.0),
         body: body.unwrap_or(200),
-        shortest_timeout: block.number("patience", "of the cut-off", 1.0, 0.5),
+        shortest_timeout: block.number("timeout", "of the deadline", 1.0, 0.5),
         retries: retries.unwrap_or(2) as u32,
         backoff: block.seconds("backoff", 0.1),
-        abandonment: block.number("leave", "of the clients", 1.0, 0.002),
+        abandonment: block.number("abandonment", "of the clients", 1.0, 0.002),
     }
 }
 
@@ -139,13 +139,13 @@
     let block = OptionalBlock(section);
     RuleSettings {
         drain_grace: block.seconds("drain_grace", 1.0),
-        load_rate_limit: window_limit(section, "ration"),
+        load_rate_limit: window_limit(section, "load_rate_limit"),
         retries: window_limit(section, "retries"),
         in_flight: block.optional_number("in_flight", "shots at one worker", 1.0, 1e9),
-        idempotency_window: block.seconds("receipts", 30.0),
+        idempotency_window: block.seconds("idempotency_window", 30.0),
         late_weight: block.number("late", "importance", 1.0, 0.1),
-        over_quota_weight: block.number("over_share", "importance", 1.0, 0.05),
-        notification_delay: block.seconds("notice", 1.5),
+        over_quota_weight: block.number("over_quota", "importance", 1.0, 0.05),
+        notification_delay: block.seconds("notification_delay", 1.5),
     }
 }
 
@@ -162,28 +162,28 @@
 fn profiles(top: &Section<'_>) -> Vec<Profile> {
     let profiles: Vec<_> = top.blocks("profile", true).iter().map(profile).collect();
     if profiles.is_empty() {
-        top.report(0, "the day has no profile", "add profile \"usual\" { due = 1.0 }");
+        top.report(0, "the day has no profile", "add profile \"usual\" { latency_objective = 1.0 }");
     }
     profiles
 }
 
 fn profile(section: &Section<'_>) -> Profile {
-    /// The values of `effect`.
-    const EFFECTS: [(&str, Idempotency); 3] = [
-        ("pure", Idempotency::Idempotent),
-        ("receipted", Idempotency::IdempotentWithKey),
-        ("effectful", Idempotency::NonIdempotent),
+    /// The values of `idempotency`.
+    const IDEMPOTENCIES: [(&str, Idempotency); 3] = [
+        ("idempotent", Idempotency::Idempotent),
+        ("idempotent_with_key", Idempotency::IdempotentWithKey),
+        ("non_idempotent", Idempotency::NonIdempotent),
     ];
     /// The deadline where none is given, as a multiple of the latency objective.
     const DEADLINE_MULTIPLE: f64 = 3.0;
     let seconds = |key| section.number(key, "seconds", MIN_SECONDS..=MAX_SECONDS);
-    let latency_objective = seconds("due").unwrap_or(1.0);
+    let latency_objective = seconds("latency_objective").unwrap_or(1.0);
     Profile {
         name: section.label.clone(),
         share: section.number("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
         latency_objective,
-        deadline: seconds("cut_off").unwrap_or(DEADLINE_MULTIPLE * latency_objective),
-        idempotency: section.one_of("effect", &EFFECTS).unwrap_or(Idempotency::Idempotent),
+        deadline: seconds("deadline").unwrap_or(DEADLINE_MULTIPLE * latency_objective),
+        idempotency: section.one_of("idempotency", &IDEMPOTENCIES).unwrap_or(Idempotency::Idempotent),
         importance: section.number("importance", "importance", 0.0..=1e9).unwrap_or(1.0),
     }
 }
@@ -203,22 +203,24 @@
 }
 
 fn faults(top: &Section<'_>) -> Vec<ScheduledFault> {
-    top.blocks("trouble", true).iter().filter_map(fault).collect()
+    let block_name = top.spelling("fault");
+    top.blocks("fault", true).iter().filter_map(|section| fault(section, block_name)).collect()
 }
 
-fn fault(section: &Section<'_>) -> Option<ScheduledFault> {
+/// A fault from its block; `block_name` is what the file calls such blocks.
+fn fault(section: &Section<'_>, block_name: &str) -> Option<ScheduledFault> {
     let Some(word) = word_of(&section.label) else {
         let known: Vec<_> = FAULT_WORDS.iter().map(|known| known.word).collect();
         let remedy = format!("one of {}; `death-at-night` names a second death", known.join(", "));
-        section.report(section.offset, format!("there is no trouble called {}", section.label), remedy);
+        section.report(section.offset, format!("there is no {block_name} called {}", section.label), remedy);
         return None;
     };
     Some(ScheduledFault {
         name: section.label.clone(),
         kind: word.kind,
         at: section.number("at", "seconds", 0.0..=MAX_SECONDS).unwrap_or(0.0),
-        duration: section.number("lasts", "seconds", 0.0..=MAX_SECONDS).unwrap_or(5.0),
-        fraction: section.number("part", "of what it strikes", 0.0..=1.0).unwrap_or(word.fraction),
-        magnitude: section.number("size", "", 0.0..=1e6).unwrap_or(word.magnitude),
+        duration: section.number("duration", "seconds", 0.0..=MAX_SECONDS).unwrap_or(5.0),
+        fraction: section.number("fraction", "of what it strikes", 0.0..=1.0).unwrap_or(word.fraction),
+        magnitude: section.number("magnitude", "", 0.0..=1e6).unwrap_or(word.magnitude),
     })
 }
--- /dev/null
+++ b/crates/emulator/tests/former_keys.rs
@@ -0,0 +1,101 @@
+//! Keys and values of scenario files by their standard and their former names: both read to equal scenarios, also where
+//! a file with the one builds on a file with the other, and both at once are an error.
+
+use milletpath_config::document::KEY_ALIASES;
+use milletpath_emulator::scenario_file::{Scenario, open};
+use std::path::{Path, PathBuf};
+
+const ALL_KEYS: &str = include_str!("fixtures/standard_keys/all-keys.hcl");
+
+/// Keys of configuration files alone; the tests of that crate read them.
+const CONFIG_KEYS: [&str; 3] = ["health_checks", "health_check_timeout", "load_requests"];
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn values(file: &Path) -> String {
+    let scenario: Scenario = open(file).unwrap_or_else(|error| panic!("{error}"));
+    format!("{scenario:#?}")
+}
+
+/// The file with all keys, changed, beside a base with former keys.
+fn written(name: &str, text: &str) -> PathBuf {
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("former_keys").join(name);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::copy(fixture("former_keys/town.hcl"), folder.join("town.hcl")).expect("a copy");
+    let file = folder.join("all-keys.hcl");
+    let text = text.replace("../../../../../days/town.hcl", "town.hcl");
+    std::fs::write(&file, text).expect("a file");
+    file
+}
+
+/// The line that states a key, with its number from 0; the first one for keys of several blocks.
+fn line_of(key: &str) -> (usize, &'static str) {
+    let states = |line: &str| line.split_whitespace().next() == Some(key);
+    let found = ALL_KEYS.lines().enumerate().find(|(_, line)| states(line));
+    found.unwrap_or_else(|| panic!("{key} is not in the file"))
+}
+
+fn with_line(number: usize, replacement: &str) -> String {
+    let mut lines: Vec<_> = ALL_KEYS.lines().collect();
+    lines[number] = replacement;
+    lines.join("\n")
+}
+
+#[test]
+fn scenarios_read_as_they_did_with_their_former_keys() {
+    let town = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
+    assert_eq!(values(&town), values(&fixture("former_keys/town.hcl")));
+    assert_eq!(values(&fixture("standard_keys/all-keys.hcl")), values(&fixture("former_keys/all-keys.hcl")));
+}
+
+#[test]
+fn each_key_reads_alike_under_both_names_over_a_base_with_former_ones() {
+    let expected = values(&written("standard", ALL_KEYS));
+    assert_eq!(expected, values(&fixture("former_keys/all-keys.hcl")));
+    for alias in KEY_ALIASES.iter().filter(|alias| !CONFIG_KEYS.contains(&alias.standard)) {
+        let (number, line) = line_of(alias.standard);
+        let former = with_line(number, &line.replacen(alias.standard, alias.former, 1));
+        let file = written(&format!("former-{}", alias.former), &former);
+        assert_eq!(values(&file), expected, "{}", alias.former);
+    }
+}
+
+#[test]
+fn former_keys_build_on_a_base_with_standard_ones() {
+    let former = include_str!("fixtures/former_keys/all-keys.hcl");
+    let file = written("former-on-standard", former);
+    let base = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
+    std::fs::copy(base, file.with_file_name("town.hcl")).expect("a copy");
+    assert_eq!(values(&file), values(&fixture("former_keys/all-keys.hcl")));
+}
+
+#[test]
+fn each_key_under_both_names_is_one_error() {
+    for alias in KEY_ALIASES.iter().filter(|alias| !CONFIG_KEYS.contains(&alias.standard)) {
+        let (number, line) = line_of(alias.standard);
+        let mut former = line.replacen(alias.standard, alias.former, 1);
+        if line.ends_with('{') {
+            former.push('}');
+        }
+        let file =
+            written(&format!("both-{}", alias.former), &with_line(number, &format!("{former}\n{line}")));
+        let message = open(&file).expect_err("an invalid scenario").to_string();
+        assert_eq!(message.lines().count(), 1, "{message}");
+        let column = line.len() - line.trim_start().len() + 1;
+        assert!(message.contains(&format!("all-keys.hcl:{}:{column}: ", number + 2)), "{message}");
+        let names = format!("has both {} and {}, its former name", alias.standard, alias.former);
+        assert!(message.contains(&names), "{message}");
+    }
+}
+
+#[test]
+fn a_fault_is_named_as_the_file_names_it() {
+    for block in ["fault", "trouble"] {
+        let file =
+            written(&format!("unknown-{block}"), &format!("profile \"p\" {{}}\n{block} \"quake\" {{}}\n"));
+        let message = open(&file).expect_err("an invalid scenario").to_string();
+        assert!(message.contains(&format!("there is no {block} called quake")), "{message}");
+    }
+}
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -203,7 +203,7 @@
      list-late, list-stalled, list-lost, list-repeated, list-emptied, link-lost, link-cut, link-deaf, link-late, \
      link-repeat, link-garbage, gateway-join; `death-at-night` names a second death",
 ])]
-#[test_case("profiles", "", &["FOLDER/day.hcl:1:1: the day has no profile; add profile \"usual\" { due = 1.0 }"])]
+#[test_case("profiles", "", &["FOLDER/day.hcl:1:1: the day has no profile; add profile \"usual\" { latency_objective = 1.0 }"])]
 #[test_case("circle", "upon = \"day.hcl\"\n", &[
     "FOLDER/day.hcl: builds on itself; write a day that ends at one without upon",
 ])]
--- a/crates/milletpath/src/built_in.hcl
+++ b/crates/milletpath/src/built_in.hcl
@@ -2,20 +2,20 @@
 listen = "127.0.0.1:8080"
 
 profile "usual" {
-  due     = 1.0
-  cut_off = 10.0
-  effect  = "pure"
+  latency_objective = 1.0
+  deadline          = 10.0
+  idempotency       = "idempotent"
 }
 
 profile "once" {
-  due     = 1.0
-  cut_off = 10.0
-  effect  = "effectful"
+  latency_objective = 1.0
+  deadline          = 10.0
+  idempotency       = "non_idempotent"
 }
 
 functions {
-  lanes  = 4
-  memory = 128
-  load   = 0.2
+  concurrency = 4
+  memory      = 128
+  load        = 0.2
 }
 
--- a/crates/milletpath/tests/program.rs
+++ b/crates/milletpath/tests/program.rs
@@ -96,7 +96,7 @@
         message.contains(":1:1: unknown key listn in the configuration; did you mean listen?"),
         "{message}"
     );
-    assert!(message.contains(":2:1: profile \"p\" has no effect"), "{message}");
+    assert!(message.contains(":2:1: profile \"p\" has no idempotency"), "{message}");
 }
 
 #[test_case(&["serve", "--config", "/nowhere/config.hcl"]; "no such configuration file")]
--- a/days/bad-day.hcl
+++ b/days/bad-day.hcl
@@ -1,106 +1,106 @@
 # The scenario to begin with: 30 emulated workers, 2 gateway processes, 760 requests a second, 16 faults in a minute, one
 # after the other and some at once. All rules must be kept; docs/figures.md has the service that was measured.
-upon = "town.hcl"
+extends = "town.hcl"
 
-trouble "death" {
-  at    = 4
-  lasts = 6
-  part  = 0.2
+fault "death" {
+  at       = 4
+  duration = 6
+  fraction = 0.2
 }
 
-trouble "burst" {
-  at    = 6
-  lasts = 4
-  size  = 1.6
+fault "burst" {
+  at        = 6
+  duration  = 4
+  magnitude = 1.6
 }
 
-trouble "release" {
-  at    = 12
-  lasts = 4
-  part  = 0.8
+fault "release" {
+  at       = 12
+  duration = 4
+  fraction = 0.8
 }
 
-trouble "failures" {
-  at    = 15
-  lasts = 6
-  part  = 0.15
-  size  = 0.7
+fault "failures" {
+  at        = 15
+  duration  = 6
+  fraction  = 0.15
+  magnitude = 0.7
 }
 
-trouble "silence" {
-  at    = 19
-  lasts = 6
-  part  = 0.15
+fault "silence" {
+  at       = 19
+  duration = 6
+  fraction = 0.15
 }
 
-trouble "drain" {
-  at    = 22
-  lasts = 5
-  part  = 0.2
+fault "drain" {
+  at       = 22
+  duration = 5
+  fraction = 0.2
 }
 
-trouble "store-slow" {
-  at    = 26
-  lasts = 5
-  size  = 4
+fault "store-slow" {
+  at        = 26
+  duration  = 5
+  magnitude = 4
 }
 
-trouble "one-offs" {
-  at    = 28
-  lasts = 5
-  part  = 0.1
+fault "one-offs" {
+  at       = 28
+  duration = 5
+  fraction = 0.1
 }
 
-trouble "gateway-stall" {
-  at    = 33
-  lasts = 4
-  part  = 0.5
-  size  = 0.6
+fault "gateway-stall" {
+  at        = 33
+  duration  = 4
+  fraction  = 0.5
+  magnitude = 0.6
 }
 
-trouble "resets" {
-  at    = 36
-  lasts = 4
-  part  = 0.2
-  size  = 0.3
+fault "resets" {
+  at        = 36
+  duration  = 4
+  fraction  = 0.2
+  magnitude = 0.3
 }
 
-trouble "half-answers" {
-  at    = 38
-  lasts = 3
-  part  = 0.2
-  size  = 0.3
+fault "half-answers" {
+  at        = 38
+  duration  = 3
+  fraction  = 0.2
+  magnitude = 0.3
 }
 
-trouble "gateway-kill" {
-  at    = 42
-  lasts = 4
-  part  = 0.5
+fault "gateway-kill" {
+  at       = 42
+  duration = 4
+  fraction = 0.5
 }
 
-trouble "heavy" {
-  at    = 45
-  lasts = 5
-  part  = 0.01
-  size  = 12
+fault "heavy" {
+  at        = 45
+  duration  = 5
+  fraction  = 0.01
+  magnitude = 12
 }
 
-trouble "slowness" {
-  at    = 48
-  lasts = 6
-  part  = 0.2
-  size  = 5
+fault "slowness" {
+  at        = 48
+  duration  = 6
+  fraction  = 0.2
+  magnitude = 5
 }
 
-trouble "impatience" {
-  at    = 51
-  lasts = 5
-  part  = 0.6
-  size  = 0.4
+fault "impatience" {
+  at        = 51
+  duration  = 5
+  fraction  = 0.6
+  magnitude = 0.4
 }
 
-trouble "rolling" {
-  at    = 53
-  lasts = 6
-  part  = 0.3
+fault "rolling" {
+  at       = 53
+  duration = 6
+  fraction = 0.3
 }
--- a/days/cold-fleet.hcl
+++ b/days/cold-fleet.hcl
@@ -9,16 +9,16 @@
 }
 
 fleet {
-  workers       = 24
-  cores         = 2
-  memory        = 4000
-  queue         = 24
-  loads_at_once = 4
-  keep          = 10
-  cold_share    = 0.2
-  warm_up       = 10
-  tip_multiple  = 2.5
-  tip_window    = 1
+  workers           = 24
+  cores             = 2
+  memory            = 4000
+  queue             = 24
+  loads_at_once     = 4
+  idle_timeout      = 10
+  initial_capacity  = 0.2
+  warm_up           = 10
+  overload_multiple = 2.5
+  overload_window   = 1
 }
 
 store {
@@ -27,36 +27,36 @@
 }
 
 functions {
-  count  = 40
-  zipf   = 1.1
-  lanes  = 2
-  memory = 300
-  fetch  = 0.2
-  start  = 0.1
+  count       = 40
+  zipf        = 1.1
+  concurrency = 2
+  memory      = 300
+  fetch       = 0.2
+  start       = 0.1
 }
 
 traffic {
-  rate     = 360
-  work     = 0.1
-  io       = 0.02
-  patience = 0.8
-  retries  = 1
-  backoff  = 0.2
+  rate    = 360
+  work    = 0.1
+  io      = 0.02
+  timeout = 0.8
+  retries = 1
+  backoff = 0.2
 }
 
 profile "check" {
-  due     = 1.0
-  cut_off = 3.0
-  effect  = "pure"
+  latency_objective = 1.0
+  deadline          = 3.0
+  idempotency       = "idempotent"
 }
 
 rules {
-  drain_grace = 1.0
-  notice      = 0.5
+  drain_grace        = 1.0
+  notification_delay = 0.5
 }
 
-trouble "rolling" {
-  at    = 10
-  lasts = 7
-  part  = 0.6
+fault "rolling" {
+  at       = 10
+  duration = 7
+  fraction = 0.6
 }
--- a/days/cold-worker.hcl
+++ b/days/cold-worker.hcl
@@ -4,19 +4,19 @@
 gateways = 4
 
 fleet {
-  workers      = 6
-  cores        = 4
-  memory       = 4000
-  keep         = 6
-  cold_share   = 0.2
-  warm_up      = 6
-  tip_multiple = 2
-  tip_window   = 1
+  workers           = 6
+  cores             = 4
+  memory            = 4000
+  idle_timeout      = 6
+  initial_capacity  = 0.2
+  warm_up           = 6
+  overload_multiple = 2
+  overload_window   = 1
 }
 
 functions {
-  count = 12
-  lanes = 4
+  count       = 12
+  concurrency = 4
 }
 
 traffic {
@@ -25,28 +25,28 @@
 }
 
 profile "check" {
-  due    = 1.0
-  effect = "pure"
+  latency_objective = 1.0
+  idempotency       = "idempotent"
 }
 
 rules {
-  notice = 0.3
+  notification_delay = 0.3
 }
 
-trouble "death" {
-  at    = 2
-  lasts = 1
-  part  = 0.5
+fault "death" {
+  at       = 2
+  duration = 1
+  fraction = 0.5
 }
 
-trouble "death-at-noon" {
-  at    = 6
-  lasts = 1
-  part  = 0.5
+fault "death-at-noon" {
+  at       = 6
+  duration = 1
+  fraction = 0.5
 }
 
-trouble "burst" {
-  at    = 7
-  lasts = 3
-  size  = 2
+fault "burst" {
+  at        = 7
+  duration  = 3
+  magnitude = 2
 }
--- a/days/cut-day.hcl
+++ b/days/cut-day.hcl
@@ -1,7 +1,7 @@
 # Six gateways with membership: a partition in the middle while functions are released, one gateway that starts late, one
 # that is killed, datagrams that are lost, repeated, late and garbage. Few free load requests and none earned: a gateway
 # that took the others for gone would send too many. All bounds must be kept.
-upon     = "village.hcl"
+extends  = "village.hcl"
 seed     = 6
 seconds  = 16
 gateways = 6
@@ -13,57 +13,57 @@
 }
 
 rules {
-  ration {
+  load_rate_limit {
     window = 4
     free   = 2
     share  = 0
   }
 }
 
-trouble "gateway-join" {
-  at   = 1
-  part = 0.17
+fault "gateway-join" {
+  at       = 1
+  fraction = 0.17
 }
 
-trouble "link-cut" {
-  at    = 3
-  lasts = 7
-  part  = 0.5
+fault "link-cut" {
+  at       = 3
+  duration = 7
+  fraction = 0.5
 }
 
-trouble "release" {
-  at   = 7
-  part = 1
+fault "release" {
+  at       = 7
+  fraction = 1
 }
 
-trouble "release-at-noon" {
-  at   = 8
-  part = 1
+fault "release-at-noon" {
+  at       = 8
+  fraction = 1
 }
 
-trouble "link-garbage" {
-  at    = 9
-  lasts = 4
+fault "link-garbage" {
+  at       = 9
+  duration = 4
 }
 
-trouble "link-repeat" {
-  at    = 9
-  lasts = 4
+fault "link-repeat" {
+  at       = 9
+  duration = 4
 }
 
-trouble "link-lost" {
-  at    = 10
-  lasts = 4
+fault "link-lost" {
+  at       = 10
+  duration = 4
 }
 
-trouble "link-late" {
-  at    = 10
-  lasts = 3
-  size  = 0.1
+fault "link-late" {
+  at        = 10
+  duration  = 3
+  magnitude = 0.1
 }
 
-trouble "gateway-kill" {
-  at    = 12
-  lasts = 2
-  part  = 0.17
+fault "gateway-kill" {
+  at       = 12
+  duration = 2
+  fraction = 0.17
 }
--- a/days/large-day.hcl
+++ b/days/large-day.hcl
@@ -1,6 +1,6 @@
 # 300 workers and 10,000 functions under 760 requests a second, through two gateways; a release and deaths. For the
 # cost of a request at that size. All rules must be kept.
-upon    = "town.hcl"
+extends = "town.hcl"
 seconds = 30
 
 fleet {
@@ -18,19 +18,19 @@
 }
 
 rules {
-  ration {
+  load_rate_limit {
     free = 400
   }
 }
 
-trouble "release" {
-  at    = 12
-  lasts = 5
-  part  = 0.5
+fault "release" {
+  at       = 12
+  duration = 5
+  fraction = 0.5
 }
 
-trouble "death" {
-  at    = 18
-  lasts = 6
-  part  = 0.1
+fault "death" {
+  at       = 18
+  duration = 6
+  fraction = 0.1
 }
--- a/days/lend-day.hcl
+++ b/days/lend-day.hcl
@@ -1,7 +1,7 @@
 # Six gateways, of which one has two thirds of the requests, that share every budget: a group's ceiling, retries, attempts
 # at one worker, load requests. Links fail, one gateway is killed and comes back, one is paused, workers fail and restart.
 # All bounds must be kept.
-upon     = "village.hcl"
+extends  = "village.hcl"
 seed     = 7
 seconds  = 16
 gateways = 6
@@ -24,7 +24,7 @@
 rules {
   in_flight = 24
 
-  ration {
+  load_rate_limit {
     window = 4
     free   = 2
     share  = 0
@@ -37,61 +37,61 @@
   }
 }
 
-trouble "failures" {
-  at    = 2
-  lasts = 5
-  part  = 0.3
-  size  = 0.7
+fault "failures" {
+  at        = 2
+  duration  = 5
+  fraction  = 0.3
+  magnitude = 0.7
 }
 
-trouble "release" {
-  at   = 3
-  part = 1
+fault "release" {
+  at       = 3
+  fraction = 1
 }
 
-trouble "link-cut" {
-  at    = 4
-  lasts = 4
-  part  = 0.5
+fault "link-cut" {
+  at       = 4
+  duration = 4
+  fraction = 0.5
 }
 
-trouble "death" {
-  at    = 5
-  lasts = 2
-  part  = 0.3
+fault "death" {
+  at       = 5
+  duration = 2
+  fraction = 0.3
 }
 
-trouble "gateway-stall" {
-  at    = 6
-  lasts = 2
-  part  = 0.17
-  size  = 2.5
+fault "gateway-stall" {
+  at        = 6
+  duration  = 2
+  fraction  = 0.17
+  magnitude = 2.5
 }
 
-trouble "release-at-noon" {
-  at   = 8
-  part = 1
+fault "release-at-noon" {
+  at       = 8
+  fraction = 1
 }
 
-trouble "link-lost" {
-  at    = 8
-  lasts = 5
-  size  = 0.3
+fault "link-lost" {
+  at        = 8
+  duration  = 5
+  magnitude = 0.3
 }
 
-trouble "link-repeat" {
-  at    = 8
-  lasts = 5
+fault "link-repeat" {
+  at       = 8
+  duration = 5
 }
 
-trouble "link-late" {
-  at    = 9
-  lasts = 3
-  size  = 0.1
+fault "link-late" {
+  at        = 9
+  duration  = 3
+  magnitude = 0.1
 }
 
-trouble "gateway-kill" {
-  at    = 10
-  lasts = 1
-  part  = 0.34
+fault "gateway-kill" {
+  at       = 10
+  duration = 1
+  fraction = 0.34
 }
--- a/days/peers-day.hcl
+++ b/days/peers-day.hcl
@@ -1,6 +1,6 @@
 # Twelve gateways with membership, and all faults of their links and processes, alone and at once, while functions are
 # released and workers die, restart and are replaced. All rules and bounds must be kept.
-upon     = "town.hcl"
+extends  = "town.hcl"
 seconds  = 72
 gateways = 12
 cores    = 1
@@ -10,104 +10,104 @@
   uneven = 3
 }
 
-trouble "gateway-join" {
-  at   = 3
-  part = 0.25
+fault "gateway-join" {
+  at       = 3
+  fraction = 0.25
 }
 
-trouble "link-lost" {
-  at    = 6
-  lasts = 7
-  size  = 0.2
+fault "link-lost" {
+  at        = 6
+  duration  = 7
+  magnitude = 0.2
 }
 
-trouble "release" {
-  at    = 10
-  lasts = 3
-  part  = 0.5
+fault "release" {
+  at       = 10
+  duration = 3
+  fraction = 0.5
 }
 
-trouble "link-cut" {
-  at    = 14
-  lasts = 10
-  part  = 0.42
+fault "link-cut" {
+  at       = 14
+  duration = 10
+  fraction = 0.42
 }
 
-trouble "death" {
-  at    = 15
-  lasts = 4
-  part  = 0.2
+fault "death" {
+  at       = 15
+  duration = 4
+  fraction = 0.2
 }
 
-trouble "link-deaf" {
-  at    = 28
-  lasts = 8
-  part  = 0.1
+fault "link-deaf" {
+  at       = 28
+  duration = 8
+  fraction = 0.1
 }
 
-trouble "gateway-stall" {
-  at    = 29
-  lasts = 5
-  part  = 0.17
-  size  = 5
+fault "gateway-stall" {
+  at        = 29
+  duration  = 5
+  fraction  = 0.17
+  magnitude = 5
 }
 
-trouble "link-late" {
-  at    = 37
-  lasts = 8
-  size  = 0.5
+fault "link-late" {
+  at        = 37
+  duration  = 8
+  magnitude = 0.5
 }
 
-trouble "link-repeat" {
-  at    = 39
-  lasts = 8
+fault "link-repeat" {
+  at       = 39
+  duration = 8
 }
 
-trouble "gateway-kill" {
-  at    = 42
-  lasts = 6
-  part  = 0.33
+fault "gateway-kill" {
+  at       = 42
+  duration = 6
+  fraction = 0.33
 }
 
-trouble "link-garbage" {
-  at    = 47
-  lasts = 7
+fault "link-garbage" {
+  at       = 47
+  duration = 7
 }
 
-trouble "link-cut-at-noon" {
-  at    = 54
-  lasts = 6
-  part  = 0.5
+fault "link-cut-at-noon" {
+  at       = 54
+  duration = 6
+  fraction = 0.5
 }
 
-trouble "release-at-noon" {
-  at    = 55
-  lasts = 3
-  part  = 0.5
+fault "release-at-noon" {
+  at       = 55
+  duration = 3
+  fraction = 0.5
 }
 
-trouble "rolling" {
-  at    = 56
-  lasts = 6
-  part  = 0.3
+fault "rolling" {
+  at       = 56
+  duration = 6
+  fraction = 0.3
 }
 
-trouble "link-lost-at-night" {
-  at    = 60
-  lasts = 7
-  part  = 0.5
-  size  = 0.3
+fault "link-lost-at-night" {
+  at        = 60
+  duration  = 7
+  fraction  = 0.5
+  magnitude = 0.3
 }
 
-trouble "link-late-at-night" {
-  at    = 60
-  lasts = 7
-  part  = 0.5
-  size  = 0.2
+fault "link-late-at-night" {
+  at        = 60
+  duration  = 7
+  fraction  = 0.5
+  magnitude = 0.2
 }
 
-trouble "gateway-kill-at-night" {
-  at    = 62
-  lasts = 4
-  part  = 0.17
+fault "gateway-kill-at-night" {
+  at       = 62
+  duration = 4
+  fraction = 0.17
 }
--- a/days/quiet-day.hcl
+++ b/days/quiet-day.hcl
@@ -1,2 +1,2 @@
 # No faults, at the size of bad-day.hcl: the service without them, to compare with.
-upon = "town.hcl"
+extends = "town.hcl"
--- a/days/town.hcl
+++ b/days/town.hcl
@@ -4,17 +4,17 @@
 gateways = 2
 
 fleet {
-  workers       = 30
-  cores         = 4
-  speed         = 1.0
-  memory        = 6000
-  queue         = 48
-  loads_at_once = 4
-  keep          = 12
-  cold_share    = 0.2
-  warm_up       = 8
-  tip_multiple  = 2.5
-  tip_window    = 1
+  workers           = 30
+  cores             = 4
+  speed             = 1.0
+  memory            = 6000
+  queue             = 48
+  loads_at_once     = 4
+  idle_timeout      = 12
+  initial_capacity  = 0.2
+  warm_up           = 8
+  overload_multiple = 2.5
+  overload_window   = 1
 }
 
 store {
@@ -25,45 +25,45 @@
 }
 
 functions {
-  count  = 60
-  zipf   = 1.1
-  lanes  = 2
-  memory = 400
-  fetch  = 0.25
-  start  = 0.15
+  count       = 60
+  zipf        = 1.1
+  concurrency = 2
+  memory      = 400
+  fetch       = 0.25
+  start       = 0.15
 }
 
 traffic {
-  rate     = 760
-  work     = 0.05
-  io       = 0.01
-  body     = 300
-  patience = 0.5
-  retries  = 2
-  backoff  = 0.1
-  leave    = 0.002
+  rate        = 760
+  work        = 0.05
+  io          = 0.01
+  body        = 300
+  timeout     = 0.5
+  retries     = 2
+  backoff     = 0.1
+  abandonment = 0.002
 }
 
 profile "refill-check" {
-  share   = 0.8
-  due     = 1.0
-  cut_off = 3.0
-  effect  = "pure"
+  share             = 0.8
+  latency_objective = 1.0
+  deadline          = 3.0
+  idempotency       = "idempotent"
 }
 
 profile "refill-order" {
-  share   = 0.15
-  due     = 1.0
-  cut_off = 3.0
-  effect  = "receipted"
+  share             = 0.15
+  latency_objective = 1.0
+  deadline          = 3.0
+  idempotency       = "idempotent_with_key"
 }
 
 profile "dispense" {
-  share      = 0.05
-  due        = 1.0
-  cut_off    = 3.0
-  effect     = "effectful"
-  importance = 2
+  share             = 0.05
+  latency_objective = 1.0
+  deadline          = 3.0
+  idempotency       = "non_idempotent"
+  importance        = 2
 }
 
 client "counter" {
@@ -77,11 +77,11 @@
 }
 
 rules {
-  drain_grace = 1.0
-  receipts    = 30
-  notice      = 1.5
+  drain_grace        = 1.0
+  idempotency_window = 30
+  notification_delay = 1.5
 
-  ration {
+  load_rate_limit {
     window = 10
     free   = 40
     share  = 0.05
--- a/days/village.hcl
+++ b/days/village.hcl
@@ -4,14 +4,14 @@
 gateways = 2
 
 fleet {
-  workers      = 10
-  cores        = 4
-  memory       = 4000
-  queue        = 32
-  keep         = 6
-  warm_up      = 5
-  tip_multiple = 2.5
-  tip_window   = 1
+  workers           = 10
+  cores             = 4
+  memory            = 4000
+  queue             = 32
+  idle_timeout      = 6
+  warm_up           = 5
+  overload_multiple = 2.5
+  overload_window   = 1
 }
 
 store {
@@ -20,8 +20,8 @@
 }
 
 functions {
-  count = 24
-  lanes = 2
+  count       = 24
+  concurrency = 2
 }
 
 traffic {
@@ -31,28 +31,28 @@
 }
 
 profile "check" {
-  share  = 0.7
-  due    = 1.0
-  effect = "pure"
+  share             = 0.7
+  latency_objective = 1.0
+  idempotency       = "idempotent"
 }
 
 profile "order" {
-  share  = 0.2
-  due    = 1.0
-  effect = "receipted"
+  share             = 0.2
+  latency_objective = 1.0
+  idempotency       = "idempotent_with_key"
 }
 
 profile "dispense" {
-  share  = 0.1
-  due    = 1.0
-  effect = "effectful"
+  share             = 0.1
+  latency_objective = 1.0
+  idempotency       = "non_idempotent"
 }
 
 rules {
-  drain_grace = 0.5
-  notice      = 0.5
+  drain_grace        = 0.5
+  notification_delay = 0.5
 
-  ration {
+  load_rate_limit {
     window = 5
     free   = 20
     share  = 0.1
--- a/docs/operators/example.hcl
+++ b/docs/operators/example.hcl
@@ -1,43 +1,43 @@
-# A configuration file with all sections but peers and changes. Required are only due and effect of a profile, memory of a
-# receipted one, and the workers.
+# A configuration file with all sections but peers and changes. Required are only latency_objective and idempotency of a
+# profile, memory of one that is idempotent_with_key, and the workers.
 listen   = "127.0.0.1:8080"
 gateways = 2 # that share the workers, this one included
 
 profile "refill-check" {
-  due        = 1.0 # seconds
-  cut_off    = 3.0
-  effect     = "pure"
-  importance = 1
+  latency_objective = 1.0 # seconds
+  deadline          = 3.0
+  idempotency       = "idempotent"
+  importance        = 1
 }
 
 profile "refill-order" {
-  due     = 1.0
-  cut_off = 3.0
-  effect  = "receipted"
-  group   = "zone"
-  memory  = 60 # seconds for which workers of the group know a repeat
+  latency_objective = 1.0
+  deadline          = 3.0
+  idempotency       = "idempotent_with_key"
+  group             = "zone"
+  memory            = 60 # seconds for which workers of the group know a repeat
 }
 
 client "counter" { quota = 44 } # calls a second, over all gateways
 
 functions {
-  lanes  = 2
-  memory = 400 # MB
-  load   = 0.6 # seconds
+  concurrency = 2
+  memory      = 400 # MB
+  load        = 0.6 # seconds
 }
 
 function "packs-a" {
-  lanes   = 4
-  profile = "refill-check"
+  concurrency = 4
+  profile     = "refill-check"
 }
 
 workers {
-  drain_grace  = 1.0
-  keep         = 11
-  cold_share   = 0.17
-  warm_up      = 16
-  tip_multiple = 2.5
-  tip_window   = 1
+  drain_grace       = 1.0
+  idle_timeout      = 11
+  initial_capacity  = 0.17
+  warm_up           = 16
+  overload_multiple = 2.5
+  overload_window   = 1
 
   kind "std" { memory = 9856 }
 
@@ -61,7 +61,7 @@
   body   = 1048576
   answer = 8388608
 
-  ration {
+  load_rate_limit {
     window = 10
     free   = 20
     share  = 0.05
