--- a/crates/config-log/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -9,7 +9,7 @@
 #[path = "../tests/cluster/mod.rs"]
 mod cluster;
 
-use burst::{Burst, Cost, cost_between, cost_so_far};
+use burst::{Burst, Cost, NodeCosts, cost_between, cost_so_far};
 use cluster::network::regions;
 use cluster::{NodeId, SimulatedCluster};
 use milletpath_config_log::{Entry, State};
@@ -57,10 +57,15 @@
 /// A zone without a replica, and that of the leader.
 const ZONES: [usize; 2] = [9, 0];
 
-fn figures((follower, replica): (Cost, Cost)) -> serde_json::Value {
+fn figures(costs: NodeCosts) -> serde_json::Value {
+    let NodeCosts { follower, replica } = costs;
     serde_json::json!({
-        "follower_cpu": follower[0], "follower_bytes_in": follower[1], "follower_bytes_out": follower[2],
-        "replica_cpu": replica[0], "replica_bytes_in": replica[1], "replica_bytes_out": replica[2],
+        "follower_cpu": follower.cpu_seconds,
+        "follower_bytes_in": follower.bytes_in,
+        "follower_bytes_out": follower.bytes_out,
+        "replica_cpu": replica.cpu_seconds,
+        "replica_bytes_in": replica.bytes_in,
+        "replica_bytes_out": replica.bytes_out,
     })
 }
 
@@ -89,16 +94,17 @@
             let latencies = |k: &Latencies| serde_json::json!({ "p50": k.p50, "p99": k.p99, "worst": k.worst, "missed": k.missed });
             let mut line = figures(rest);
             line["size"] = size.into();
-            line["burst"] = figures(burst.cost_so_far);
+            line["burst"] = figures(burst.cost);
             line["known"] = latencies(&follower_zone_isolated);
             line["known_leader_gone"] = latencies(&leader_zone_isolated);
             println!("{line}");
             continue;
         }
-        for (what, (follower, replica)) in [("at rest", rest), ("20 changes", burst.cost_so_far)] {
-            let ([cpu, b_in, b_out], [m_cpu, m_in, m_out]) = (follower, replica);
-            print!("{size:>4} {what:<10} {:>6.3} {b_in:>9.0} {b_out:>10.0} ", cpu * 1e3);
-            println!("{:>11.3} {m_in:>9.0} {m_out:>10.0}", m_cpu * 1e3);
+        for (what, NodeCosts { follower, replica }) in [("at rest", rest), ("20 changes", burst.cost)] {
+            let Cost { cpu_seconds, bytes_in, bytes_out } = follower;
+            print!("{size:>4} {what:<10} {:>6.3} {bytes_in:>9.0} {bytes_out:>10.0} ", cpu_seconds * 1e3);
+            let Cost { cpu_seconds, bytes_in, bytes_out } = replica;
+            println!("{:>11.3} {bytes_in:>9.0} {bytes_out:>10.0}", cpu_seconds * 1e3);
         }
         for (what, k) in [("a zone", follower_zone_isolated), ("the leader's zone", leader_zone_isolated)] {
             println!(
--- a/crates/config-log/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -11,29 +11,90 @@
 pub const SECONDS: f64 = 6.0;
 
 /// Seconds after which an author sends its change to the next replica.
-const AGAIN: f64 = 0.4;
+const RETRY_AFTER: f64 = 0.4;
 
-/// CPU seconds, bytes in and bytes out.
-pub type Cost = [f64; 3];
+/// What a node used, in all or a second.
+#[derive(Clone, Copy, Default)]
+pub struct Cost {
+    pub cpu_seconds: f64,
+    pub bytes_in: f64,
+    pub bytes_out: f64,
+}
 
-/// What a follower and a replica have used so far, on average over those that are not isolated.
-pub fn cost_so_far(cluster: &SimulatedCluster) -> (Cost, Cost) {
-    fn sum<'a, T: 'a>(nodes: impl Iterator<Item = &'a Node<T>>) -> Cost {
-        let (sum, count) = nodes.fold(([0.0; 3], 0.0), |([cpu, bytes_in, bytes_out], count), n| {
-            ([cpu + n.busy, bytes_in + n.bytes_in as f64, bytes_out + n.bytes_out as f64], count + 1.0)
-        });
-        sum.map(|all| all / count)
+impl Cost {
+    /// The mean over nodes.
+    fn mean<'a, T: 'a>(nodes: impl Iterator<Item = &'a Node<T>>) -> Self {
+        let (mut sum, mut count) = (Self::default(), 0.0);
+        for node in nodes {
+            sum.cpu_seconds += node.busy;
+            sum.bytes_in += node.bytes_in as f64;
+            sum.bytes_out += node.bytes_out as f64;
+            count += 1.0;
+        }
+        sum.map(|total| total / count)
+    }
+
+    /// What was used a second between two measurements.
+    fn per_second_between(before: Self, after: Self, seconds: f64) -> Self {
+        Self {
+            cpu_seconds: after.cpu_seconds - before.cpu_seconds,
+            bytes_in: after.bytes_in - before.bytes_in,
+            bytes_out: after.bytes_out - before.bytes_out,
+        }
+        .map(|used| used / seconds)
+    }
+
+    fn map(self, change: impl Fn(f64) -> f64) -> Self {
+        Self {
+            cpu_seconds: change(self.cpu_seconds),
+            bytes_in: change(self.bytes_in),
+            bytes_out: change(self.bytes_out),
+        }
     }
+}
+
+/// What a follower and a replica use on average.
+#[derive(Clone, Copy, Default)]
+pub struct NodeCosts {
+    pub follower: Cost,
+    pub replica: Cost,
+}
+
+/// What a follower and a replica have used so far, on average over those that are not isolated.
+pub fn cost_so_far(cluster: &SimulatedCluster) -> NodeCosts {
     let is_reachable = |network: NodeId| !cluster.isolated_zones.contains(&network.zone());
     let followers = cluster.followers.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Follower(*n)));
     let replicas = cluster.replicas.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Replica(*n)));
-    (sum(followers.map(|(_, node)| node)), sum(replicas.map(|(_, node)| node)))
+    NodeCosts {
+        follower: Cost::mean(followers.map(|(_, node)| node)),
+        replica: Cost::mean(replicas.map(|(_, node)| node)),
+    }
 }
 
 /// What each used a second between two measurements.
-pub fn cost_between(before: (Cost, Cost), after: (Cost, Cost), seconds: f64) -> (Cost, Cost) {
-    let each = |a: Cost, b: Cost| std::array::from_fn(|n| (b[n] - a[n]) / seconds);
-    (each(before.0, after.0), each(before.1, after.1))
+pub fn cost_between(before: NodeCosts, after: NodeCosts, seconds: f64) -> NodeCosts {
+    NodeCosts {
+        follower: Cost::per_second_between(before.follower, after.follower, seconds),
+        replica: Cost::per_second_between(before.replica, after.replica, seconds),
+    }
+}
+
+/// A change whose author has no final outcome yet.
+struct OpenChange {
+    id: u64,
+    author: usize,
+    /// When it was proposed first.
+    proposed_at: f64,
+    /// When it was proposed last, and to which replica.
+    last_proposed_at: f64,
+    replica: usize,
+}
+
+/// A change whose author received that it was committed.
+struct CommittedChange {
+    number: u64,
+    proposed_at: f64,
+    acknowledged_at: f64,
 }
 
 pub struct Burst {
@@ -42,7 +103,7 @@
     /// Seconds from the proposal until the author received the outcome.
     pub acknowledgement_delays: Vec<f64>,
     /// What a follower and a replica used during the second of the burst.
-    pub cost_so_far: (Cost, Cost),
+    pub cost: NodeCosts,
 }
 
 impl Burst {
@@ -52,9 +113,8 @@
         let base = 1_000_000 + cluster.log.state.head() * 1_000;
         let reachable_zones: Vec<usize> =
             (0..10).filter(|zone| !cluster.isolated_zones.contains(zone)).collect();
-        // id, author, when it was proposed first and last, at which machine.
-        let mut open: Vec<(u64, usize, f64, f64, usize)> = Vec::new();
-        let mut done = Vec::new();
+        let mut open: Vec<OpenChange> = Vec::new();
+        let mut committed = Vec::new();
         let until = began + 1.0 + SECONDS;
         let (before, mut after) = (cost_so_far(cluster), None);
         let mut next = 0;
@@ -64,23 +124,28 @@
                 let replica = cluster.rng.random_range(0..cluster.replicas.len());
                 let id = base + next;
                 cluster.propose(author, replica, usual_change(id));
-                open.push((id, author, cluster.now, cluster.now, replica));
+                let now = cluster.now;
+                open.push(OpenChange { id, author, proposed_at: now, last_proposed_at: now, replica });
                 next += 1;
             }
             cluster.run_until(cluster.now + 0.01);
             if cluster.now >= began + 1.0 && after.is_none() {
                 after = Some(cost_between(before, cost_so_far(cluster), cluster.now - began));
             }
-            for (id, author, since, last_proposed_at, replica) in std::mem::take(&mut open) {
-                match cluster.outcome(author, id) {
-                    Some(Outcome::Committed(number)) => done.push((number, since, cluster.now)),
-                    Some(Outcome::Unknown) | None if cluster.now - last_proposed_at >= AGAIN => {
-                        let replica = (replica + 1) % cluster.replicas.len();
-                        cluster.propose(author, replica, usual_change(id));
-                        open.push((id, author, since, cluster.now, replica));
-                    }
+            for mut pending in std::mem::take(&mut open) {
+                match cluster.outcome(pending.author, pending.id) {
+                    Some(Outcome::Committed(number)) => committed.push(CommittedChange {
+                        number,
+                        proposed_at: pending.proposed_at,
+                        acknowledged_at: cluster.now,
+                    }),
                     Some(Outcome::Unknown) | None => {
-                        open.push((id, author, since, last_proposed_at, replica));
+                        if cluster.now - pending.last_proposed_at >= RETRY_AFTER {
+                            pending.replica = (pending.replica + 1) % cluster.replicas.len();
+                            pending.last_proposed_at = cluster.now;
+                            cluster.propose(pending.author, pending.replica, usual_change(pending.id));
+                        }
+                        open.push(pending);
                     }
                     other => panic!("{other:?} of a change under a key of its own"),
                 }
@@ -89,16 +154,15 @@
         assert!(open.is_empty(), "{} changes have no outcome", open.len());
         let is_reachable = |n: &usize| !cluster.isolated_zones.contains(&NodeId::Follower(*n).zone());
         let followers: Vec<usize> = (0..cluster.followers.len()).filter(is_reachable).collect();
-        let delays = done
-            .iter()
-            .flat_map(|(number, since, _)| {
-                followers.iter().filter_map(|n| cluster.delay(*n, *number, *since))
-            })
-            .collect();
+        let delays_of = |change: &CommittedChange| -> Vec<f64> {
+            let delay_at = |n: &usize| cluster.delay(*n, change.number, change.proposed_at);
+            followers.iter().filter_map(delay_at).collect()
+        };
+        let acknowledgement_delay = |change: &CommittedChange| change.acknowledged_at - change.proposed_at;
         Self {
-            delays,
-            acknowledgement_delays: done.iter().map(|(_, since, at)| at - since).collect(),
-            cost_so_far: after.unwrap_or_default(),
+            delays: committed.iter().flat_map(delays_of).collect(),
+            acknowledgement_delays: committed.iter().map(acknowledgement_delay).collect(),
+            cost: after.unwrap_or_default(),
         }
     }
 
