--- /dev/null
+++ b/crates/milletpath/tests/documentation.rs
@@ -0,0 +1,94 @@
+//! The pages hold together: each link to a file of the repository leads to one, and each package is in the readme's table
+//! and in the drawing of the architecture.
+
+use milletpath_test_support::program::repository_file;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+/// Folders with pages, and pages at the root.
+const PAGES: [&str; 5] = ["docs", "deploy", "README.md", "CONTRIBUTING.md", "CHANGELOG.md"];
+
+/// A link of a page to a file.
+struct Link {
+    page: PathBuf,
+    line: usize,
+    target: String,
+}
+
+/// All pages below a path.
+fn pages(path: &Path) -> Vec<PathBuf> {
+    if path.is_file() {
+        return if path.extension().is_some_and(|e| e == "md") { vec![path.to_owned()] } else { Vec::new() };
+    }
+    let entries = std::fs::read_dir(path).expect("a folder of pages");
+    entries.flat_map(|entry| pages(&entry.expect("a page").path())).collect()
+}
+
+/// The links of one line: `[text](target)`.
+fn targets(line: &str) -> impl Iterator<Item = &str> {
+    line.split("](").skip(1).filter_map(|rest| rest.split(')').next())
+}
+
+/// The links of a page to files; those within the page itself and to other hosts are left out.
+fn links(page: &Path) -> Vec<Link> {
+    let text = std::fs::read_to_string(page).expect("a page");
+    let mut links = Vec::new();
+    let mut is_fenced = false;
+    for (index, line) in text.lines().enumerate() {
+        is_fenced ^= line.trim_start().starts_with("```");
+        for target in targets(line).filter(|_| !is_fenced) {
+            if !target.starts_with('#') && !target.contains("://") {
+                links.push(Link { page: page.to_owned(), line: index + 1, target: target.to_owned() });
+            }
+        }
+    }
+    links
+}
+
+impl Link {
+    /// Where it is, and where it leads.
+    fn description(&self) -> String {
+        format!("{}:{}: {}", self.page.display(), self.line, self.target)
+    }
+
+    fn leads_to_a_file(&self) -> bool {
+        let file = self.target.split('#').next().unwrap_or_default();
+        self.page.parent().is_some_and(|folder| folder.join(file).exists())
+    }
+}
+
+#[test]
+fn each_link_leads_to_a_file() {
+    let pages = PAGES.iter().flat_map(|path| pages(&repository_file(path)));
+    let links: Vec<_> = pages.flat_map(|page| links(&page)).collect();
+    assert!(links.len() > 100, "only {} links were found", links.len());
+    let dead = links.iter().filter(|link| !link.leads_to_a_file());
+    let dead: Vec<_> = dead.map(Link::description).collect();
+    assert!(dead.is_empty(), "links to files that do not exist: {dead:#?}");
+}
+
+#[test]
+fn a_dead_link_is_found() {
+    let page = repository_file("README.md");
+    let link = |target: &str| Link { page: page.clone(), line: 1, target: target.to_owned() };
+    assert!(link("docs/ARCHITECTURE.md#threads").leads_to_a_file());
+    assert!(!link("docs/no-such-page.md").leads_to_a_file());
+    assert_eq!(targets("[a](b.md) and [c](d/e.md#f)").collect::<Vec<_>>(), ["b.md", "d/e.md#f"]);
+}
+
+fn packages() -> BTreeSet<String> {
+    let folders = std::fs::read_dir(repository_file("crates")).expect("the folder of packages");
+    let folders = folders.map(|folder| folder.expect("a folder").path());
+    let packages = folders.filter(|folder| folder.join("Cargo.toml").is_file());
+    packages.filter_map(|folder| Some(folder.file_name()?.to_string_lossy().into_owned())).collect()
+}
+
+#[test]
+fn each_package_is_in_the_table_and_in_the_drawing() {
+    let readme = std::fs::read_to_string(repository_file("README.md")).expect("the readme");
+    let drawing = std::fs::read_to_string(repository_file("docs/architecture.svg")).expect("the drawing");
+    for package in packages() {
+        assert!(readme.contains(&format!("| `crates/{package}` |")), "README.md has no row for {package}");
+        assert!(drawing.contains(&format!(">{package}<")), "docs/architecture.svg lacks {package}");
+    }
+}
