--- a/crates/gateway/tests/multiple_cores.rs
+++ b/crates/gateway/tests/multiple_cores.rs
@@ -246,13 +246,16 @@
     });
 }
 
+/// A profile whose requests may take a minute: how busy the machine is decides nothing about them.
+const UNHURRIED: &str = "profile \"pure\" {\ndue = 60\ncut_off = 60\neffect = \"pure\"\n}\n";
+
 /// Cores are pinned, and there are more of them than processors.
 #[test]
 fn more_pinned_cores_than_processors_serve() {
     run(async {
         let (worker, _heads) = support::start_worker(OK).await;
         let (gateway_address, stop, served, _faults) =
-            start_with_faults(config_for(&[worker], "cores = 63\npin = true\n")).await;
+            start_with_faults(config_for(&[worker], &format!("cores = 63\npin = true\n{UNHURRIED}"))).await;
         let clients: Vec<_> = (0..70).map(|_| spawn_local(send_requests(gateway_address, 2))).collect();
         for client in clients {
             assert_eq!(client.await.unwrap().0, ["handled", "handled"]);
