--- a/crates/config-log/src/message/kinds.rs
+++ b/crates/config-log/src/message/kinds.rs
@@ -276,7 +276,7 @@
 
 impl Message {
     /// Whether all fields are within their bounds. The change of [`Propose`](Self::Propose) may exceed them: its author
-    /// gets [`Outcome::TooLarge`](super::Outcome::TooLarge).
+    /// gets [`Outcome::TooLarge`].
     #[must_use]
     pub fn fits(&self) -> bool {
         match self {
