--- a/crates/emulator/tests/former_keys.rs
+++ b/crates/emulator/tests/former_keys.rs
@@ -45,8 +45,8 @@
 
 #[test]
 fn scenarios_read_as_they_did_with_their_former_keys() {
-    let town = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
-    assert_eq!(values(&town), values(&fixture("former_keys/town.hcl")));
+    let base = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
+    assert_eq!(values(&base), values(&fixture("former_keys/town.hcl")));
     assert_eq!(values(&fixture("standard_keys/all-keys.hcl")), values(&fixture("former_keys/all-keys.hcl")));
 }
 
