--- a/crates/milletpath/tests/platform/resource_limits.rs
+++ b/crates/milletpath/tests/platform/resource_limits.rs
@@ -38,15 +38,18 @@
 }
 
 /// Calls of every client that the router has room for are in flight at a worker that never answers; then others connect
-/// and call at once. They were closed unread.
+/// and call at once: the router finds their calls together with their connections. They were closed unread.
 #[test]
 fn a_call_on_a_new_connection_is_answered_where_all_others_wait_for_answers() {
     let FullRouter { router, worker, mut waiting } = FullRouter::start();
-    assert!(becomes_true(|| !worker.received.attempts().is_empty()));
-    let mut newcomers: Vec<_> = (0..NEWCOMERS).map(|_| Client::connect(&router)).collect();
-    for (client, id) in newcomers.iter_mut().zip(1000..) {
-        client.send(&call_line(1, id));
-    }
+    assert!(becomes_true(|| worker.received.attempts().len() == CLIENTS));
+    let mut newcomers = Vec::new();
+    router.process.while_paused(|| {
+        newcomers = (0..NEWCOMERS).map(|_| Client::connect(&router)).collect();
+        for (client, id) in newcomers.iter_mut().zip(1000..) {
+            client.send(&call_line(1, id));
+        }
+    });
     for client in &mut newcomers {
         let line = client.receive();
         assert!(line.contains(REJECTED) && line.contains("\"w\":1000"), "{line:?}");
