--- a/crates/milletpath/tests/serve_shutdown.rs
+++ b/crates/milletpath/tests/serve_shutdown.rs
@@ -1,7 +1,11 @@
 //! `milletpath serve` that receives SIGTERM while clients go on: it exits by itself, and each call has its answer.
 
-use milletpath_test_support::serve_rig::{Client, Gateway, GatewayOptions, OK, Worker, call_request};
+use milletpath_test_support::serve_rig::{
+    Arrivals, Client, Gateway, GatewayOptions, OK, Worker, call_request,
+};
+use milletpath_test_support::wait::becomes_true;
 use nix::sys::signal::Signal;
+use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -25,8 +29,20 @@
     malformed: Vec<String>,
 }
 
+/// The body of a client's call, by which the worker's arrivals tell after how many successes it was written.
+fn call_body(client: usize, succeeded_before: usize) -> String {
+    format!("client {client} after {succeeded_before}")
+}
+
+/// Whether each client has had a success, and a later call of it has reached the worker.
+fn each_has_called_again(arrivals: &Arrivals, clients: usize) -> bool {
+    let arrivals = arrivals.lock().expect("no test thread panicked");
+    let bodies: HashSet<_> = arrivals.iter().map(|arrival| arrival.body.as_str()).collect();
+    (0..clients).all(|client| bodies.contains(call_body(client, 1).as_str()))
+}
+
 /// Calls over and over on its connection, and on a new one where that ends, until the gateway listens no more.
-fn call_until_closed(gateway: SocketAddr, is_closing: &AtomicBool) -> Calls {
+fn call_until_closed(gateway: SocketAddr, client_number: usize, is_closing: &AtomicBool) -> Calls {
     const PAUSE: Duration = Duration::from_millis(30);
     let mut calls = Calls::default();
     while let Ok(mut client) = Client::connect(gateway) {
@@ -34,7 +50,8 @@
             // Read before the call is written.
             let closing = is_closing.load(Ordering::Acquire);
             let written = Instant::now();
-            if client.write(&call_request("milletpath-patience: 3\r\n", "hello")).is_err() {
+            let body = call_body(client_number, calls.succeeded);
+            if client.write(&call_request("milletpath-patience: 3\r\n", &body)).is_err() {
                 break;
             }
             let Some(answer) = client.response() else {
@@ -64,12 +81,12 @@
     let worker = Worker::start(OK, Duration::from_millis(milliseconds));
     let mut gateway = Gateway::start(worker.address, "cores = 2\nfunctions { lanes = 1000 }\n");
     let is_closing = Arc::new(AtomicBool::new(false));
-    let begin = || {
+    let begin = |client| {
         let (gateway, is_closing) = (gateway.address, is_closing.clone());
-        std::thread::spawn(move || call_until_closed(gateway, &is_closing))
+        std::thread::spawn(move || call_until_closed(gateway, client, &is_closing))
     };
-    let threads: Vec<_> = (0..clients).map(|_| begin()).collect();
-    std::thread::sleep(Duration::from_millis(600));
+    let threads: Vec<_> = (0..clients).map(begin).collect();
+    assert!(becomes_true(|| each_has_called_again(&worker.arrivals, clients)));
     gateway.process.signal(Signal::SIGTERM);
     let signalled = Instant::now();
     // The signal takes a moment to arrive; calls that come first are accepted as ever.
