--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -91,8 +91,8 @@
                 section.report_missing("memory", "60 (seconds for which workers know a repeat)");
             }
             Idempotency::IdempotentWithKey {
-                group: group.unwrap_or(KeyScope::All),
-                memory: memory.unwrap_or(0.0),
+                scope: group.unwrap_or(KeyScope::All),
+                retention: memory.unwrap_or(0.0),
             }
         }
         Some(IdempotencyKind::Idempotent) => {
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -66,7 +66,7 @@
     assert_eq!((config.policy.routers, config.policy.max_attempts, config.policy.seed), (2, 3, 5));
     assert_eq!(
         config.policy.profiles[1].idempotency,
-        Idempotency::IdempotentWithKey { group: KeyScope::Zone, memory: 60.0 }
+        Idempotency::IdempotentWithKey { scope: KeyScope::Zone, retention: 60.0 }
     );
     assert_eq!(
         config.policy.load_budget,
--- a/crates/platform-settings/src/policy.rs
+++ b/crates/platform-settings/src/policy.rs
@@ -76,8 +76,8 @@
         Some("free") => Ok(Idempotency::Idempotent),
         Some("single_shot") => Ok(Idempotency::NonIdempotent),
         Some("guarded") => {
-            let group = key_scope(class).ok_or_else(|| SettingsError::invalid("KeyScope"))?;
-            Ok(Idempotency::IdempotentWithKey { group, memory: seconds(class, "/DedupWindow")? })
+            let scope = key_scope(class).ok_or_else(|| SettingsError::invalid("KeyScope"))?;
+            Ok(Idempotency::IdempotentWithKey { scope, retention: seconds(class, "/DedupWindow")? })
         }
         _ => Err(SettingsError::invalid("Effect")),
     }
--- a/crates/platform-settings/tests/settings.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -46,7 +46,7 @@
     assert_eq!(config.profiles[0].idempotency, Idempotency::Idempotent);
     assert_eq!(
         config.profiles[1].idempotency,
-        Idempotency::IdempotentWithKey { group: KeyScope::Zone, memory: 60.0 }
+        Idempotency::IdempotentWithKey { scope: KeyScope::Zone, retention: 60.0 }
     );
     assert_eq!(
         (config.profiles[2].idempotency, config.profiles[2].latency_objective),
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -8,9 +8,9 @@
     /// Idempotent by its key: the workers of one group recognise a repeat.
     IdempotentWithKey {
         /// The workers among which the key is known.
-        group: KeyScope,
+        scope: KeyScope,
         /// Seconds for which it is known there.
-        memory: f64,
+        retention: f64,
     },
     /// Not idempotent: it must never run twice.
     NonIdempotent,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -68,21 +68,21 @@
 
 /// Whether an attempt that ended may have run so long ago that its idempotency key is no longer known.
 pub(crate) fn key_expired(now: f64, request: &Request, effect: Idempotency) -> bool {
-    let Idempotency::IdempotentWithKey { memory, .. } = effect else { return false };
+    let Idempotency::IdempotentWithKey { retention, .. } = effect else { return false };
     request
         .attempts
         .iter()
-        .any(|attempt| !attempt.in_flight && !attempt.never_ran && now - attempt.sent_at >= memory)
+        .any(|attempt| !attempt.in_flight && !attempt.never_ran && now - attempt.sent_at >= retention)
 }
 
 /// Whether a request may have an attempt at a worker after those that it had: the worker knows the
 /// idempotency key of each that may have run, and may not have failed one itself.
 pub(crate) fn may_run_on(request: &Request, effect: Idempotency, index: usize, worker: &Worker) -> bool {
     let known = |attempt: &Attempt| match effect {
-        Idempotency::IdempotentWithKey { group: KeyScope::Zone, .. } => {
+        Idempotency::IdempotentWithKey { scope: KeyScope::Zone, .. } => {
             attempt.never_ran || attempt.zone == worker.zone
         }
-        Idempotency::IdempotentWithKey { group: KeyScope::Cell, .. } => {
+        Idempotency::IdempotentWithKey { scope: KeyScope::Cell, .. } => {
             attempt.never_ran || attempt.cell == worker.cell
         }
         _ => true,
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -287,7 +287,7 @@
         let profile = self.state.profiles[request.profile];
         let harmless = matches!(
             profile.idempotency,
-            Idempotency::Idempotent | Idempotency::IdempotentWithKey { group: KeyScope::All, .. }
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. }
         );
         if harmless || request.attempts.iter().all(|s| s.never_ran) {
             host.reject(id, self.state.admission.retry_after(request, profile.latency_objective));
--- a/crates/policy/tests/random_events.rs
+++ b/crates/policy/tests/random_events.rs
@@ -133,8 +133,8 @@
 
 #[test_case(1, Idempotency::Idempotent; "idempotent")]
 #[test_case(2, Idempotency::NonIdempotent; "not idempotent")]
-#[test_case(3, Idempotency::IdempotentWithKey { group: KeyScope::Cell, memory: 1.0 }; "with a key that is known in a cell")]
-#[test_case(4, Idempotency::IdempotentWithKey { group: KeyScope::All, memory: 1.0 }; "with a key that is known everywhere")]
+#[test_case(3, Idempotency::IdempotentWithKey { scope: KeyScope::Cell, retention: 1.0 }; "with a key that is known in a cell")]
+#[test_case(4, Idempotency::IdempotentWithKey { scope: KeyScope::All, retention: 1.0 }; "with a key that is known everywhere")]
 fn any_order_of_events_keeps_the_rules(seed: u64, effect: Idempotency) {
     let mut history = History::new(seed, effect);
     (0..4000).for_each(|_| history.event());
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -10,8 +10,8 @@
 
 const EFFECTFUL: Idempotency = Idempotency::NonIdempotent;
 
-fn receipted(group: KeyScope) -> Idempotency {
-    Idempotency::IdempotentWithKey { group, memory: 2.0 }
+fn receipted(scope: KeyScope) -> Idempotency {
+    Idempotency::IdempotentWithKey { scope, retention: 2.0 }
 }
 
 fn profile_with(effect: Idempotency) -> Profile {
@@ -70,15 +70,15 @@
 
 #[test_case(KeyScope::Zone; "zone")]
 #[test_case(KeyScope::Cell; "cell")]
-fn a_retry_with_an_idempotency_key_stays_where_the_key_is_known(group: KeyScope) {
+fn a_retry_with_an_idempotency_key_stays_where_the_key_is_known(scope: KeyScope) {
     for function in 0..12 {
-        let mut router = TestRouter::new(config(profile_with(receipted(group))), 8);
+        let mut router = TestRouter::new(config(profile_with(receipted(scope))), 8);
         let id = router.arrive(function, 4.0);
         router.answer(id, 0, Outcome::ConnectionLost, 0.1);
         let at: Vec<_> = router
             .attempts(id)
             .iter()
-            .map(|&w| if group == KeyScope::Zone { w % 2 } else { w / 2 })
+            .map(|&w| if scope == KeyScope::Zone { w % 2 } else { w / 2 })
             .collect();
         assert_eq!(at.len(), 2);
         assert_eq!(at[0], at[1]);
