--- a/crates/policy/src/acceptance.rs
+++ b/crates/policy/src/acceptance.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether the last it stated is that it takes new work.
-    pub(crate) fn holds(&self) -> bool {
+    pub(crate) fn accepts_work(&self) -> bool {
         self.accepted_at > self.declined_at
     }
 
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -12,15 +12,15 @@
 
 /// A token bucket: the tokens left, as of a time in seconds.
 #[derive(Clone, Copy)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    filled_at: f64,
+    refilled_at: f64,
 }
 
-impl Bucket {
-    fn fill(&mut self, now: f64, rate: f64, capacity: f64) {
-        self.tokens = (self.tokens + (now - self.filled_at) * rate).min(capacity);
-        self.filled_at = now;
+impl TokenBucket {
+    fn refill(&mut self, now: f64, rate: f64, capacity: f64) {
+        self.tokens = (self.tokens + (now - self.refilled_at) * rate).min(capacity);
+        self.refilled_at = now;
     }
 }
 
@@ -29,8 +29,8 @@
     quotas: Vec<f64>,
     rate_limits: Vec<f64>,
     /// The bucket of each client group for its quota, and for its rate limit.
-    quota_buckets: Vec<Bucket>,
-    rate_limit_buckets: Vec<Bucket>,
+    quota_buckets: Vec<TokenBucket>,
+    rate_limit_buckets: Vec<TokenBucket>,
     /// Requests over their quota are shed first.
     sheds_over_quota: bool,
     /// The longest Retry-After in seconds that clients follow; none where they are not given one.
@@ -46,8 +46,8 @@
         max_retry_after: Option<f64>,
     ) -> Self {
         Self {
-            quota_buckets: vec![Bucket { tokens: 0.0, filled_at: now - 1.0 }; quotas.len()],
-            rate_limit_buckets: vec![Bucket { tokens: 0.0, filled_at: now }; rate_limits.len()],
+            quota_buckets: vec![TokenBucket { tokens: 0.0, refilled_at: now - 1.0 }; quotas.len()],
+            rate_limit_buckets: vec![TokenBucket { tokens: 0.0, refilled_at: now }; rate_limits.len()],
             quotas,
             rate_limits,
             sheds_over_quota,
@@ -62,7 +62,7 @@
         let own_rate = self.quotas.get(client).copied().unwrap_or(0.0);
         let quota = budgets.allowed(now, Budget::Quota(client), own_rate);
         let Some(bucket) = self.quota_buckets.get_mut(client) else { return false };
-        bucket.fill(now, quota, quota.max(1.0));
+        bucket.refill(now, quota, quota.max(1.0));
         let within = bucket.tokens >= 1.0;
         if within {
             bucket.tokens -= 1.0;
@@ -88,14 +88,14 @@
         }
         let rate = budgets.allowed(now, Budget::RateLimit(request.client), own_rate);
         let bucket = &mut self.rate_limit_buckets[request.client];
-        bucket.fill(now, rate, (rate * BURST_SECONDS).max(1.0));
+        bucket.refill(now, rate, (rate * BURST_SECONDS).max(1.0));
         let jitter = random.uniform();
         let within = bucket.tokens >= 1.0;
         // When there are tokens again, with jitter.
         let retry_after = (1.0 - bucket.tokens) / rate.max(1e-3) * (1.0 + jitter);
         request.retry_after = (!within).then_some(retry_after);
         if !within {
-            budgets.note_exhausted(Budget::RateLimit(request.client));
+            budgets.record_exhausted(Budget::RateLimit(request.client));
         }
         within
     }
@@ -113,7 +113,7 @@
     }
 
     /// Whether a request was admitted under its rate limit too long ago to be sent now.
-    pub(crate) fn lapsed(&self, now: f64, request: &Request) -> bool {
+    pub(crate) fn has_lapsed(&self, now: f64, request: &Request) -> bool {
         self.rate_limits.get(request.client).is_some_and(|c| c.is_finite())
             && now - request.admitted_at >= ADMITTED_FOR
     }
@@ -124,7 +124,7 @@
         /// Part of the latency objective after which to retry: not in the same burst, and still in time.
         const RETRY_AFTER_SHARE: f64 = 0.08;
         self.max_retry_after
-            .map(|most| most.min(request.retry_after.unwrap_or(RETRY_AFTER_SHARE * latency_objective)))
+            .map(|max| max.min(request.retry_after.unwrap_or(RETRY_AFTER_SHARE * latency_objective)))
     }
 }
 
--- a/crates/policy/src/attempt_result.rs
+++ b/crates/policy/src/attempt_result.rs
@@ -1,6 +1,6 @@
 //! The result of an attempt, recorded on its worker, on its function's instances, and in the mean latencies.
 
-use crate::decay::RATE_HALF;
+use crate::decay::RATE_HALF_LIFE;
 use crate::events::{AttemptCompletion, InstanceState, Outcome};
 use crate::function_state::Function;
 use crate::outlier_detection::Evidence;
@@ -13,12 +13,12 @@
     pub(crate) fn attempt_ended(
         &mut self,
         id: usize,
-        answer: &AttemptCompletion,
+        completion: &AttemptCompletion,
     ) -> Option<(usize, Attempt)> {
         let request = self.requests.get_mut(id)?;
-        let attempt = request.attempts.get_mut(answer.attempt).filter(|attempt| attempt.in_flight)?;
+        let attempt = request.attempts.get_mut(completion.attempt).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
-        attempt.never_ran = answer.outcome.never_ran();
+        attempt.never_ran = completion.outcome.never_ran();
         Some((request.function, *attempt))
     }
 
@@ -28,25 +28,26 @@
         now: f64,
         function: usize,
         attempt: &Attempt,
-        answer: &AttemptCompletion,
+        completion: &AttemptCompletion,
     ) {
         let has_succeeded = self.functions.has_succeeded(function);
         let worker = &mut self.workers[attempt.worker];
         worker.in_flight_loaded -= f64::from(u8::from(attempt.warm));
         worker.in_flight = worker.in_flight.saturating_sub(1);
-        worker.record_report(now, answer.report, self.routers);
-        if let Some(evidence) = Evidence::of(answer, attempt, worker.answered_at, has_succeeded, self.latency)
+        worker.record_report(now, completion.report, self.routers);
+        if let Some(evidence) =
+            Evidence::from_completion(completion, attempt, worker.answered_at, has_succeeded, self.latency)
         {
             worker.record_evidence(now, evidence);
         }
-        match answer.outcome {
+        match completion.outcome {
             Outcome::Succeeded => {
                 worker.answered_at = now;
-                if self.served_is_proof {
+                if self.served_requests_prove_acceptance {
                     worker.acceptance.request_served(attempt.sent_at);
                 }
-                let warm = self.slow_start.is_warm(now, self.staleness.started(now, worker));
-                self.throughput.handled(now, warm);
+                let warm = self.slow_start.is_warm(now, self.staleness.started_at(now, worker));
+                self.throughput.record_answer(now, warm);
             }
             Outcome::Rejected => {
                 worker.answered_at = now;
@@ -57,13 +58,13 @@
     }
 
     /// Records whether a load that the attempt started succeeded.
-    pub(crate) fn record_load(&mut self, now: f64, answer: &AttemptCompletion) {
-        if answer.outcome == Outcome::NotLoaded && !self.reports_missing
-            || answer.instance_state == Some(InstanceState::LoadFailed)
+    pub(crate) fn record_load(&mut self, now: f64, completion: &AttemptCompletion) {
+        if completion.outcome == Outcome::NotLoaded && !self.reports_missing_functions
+            || completion.instance_state == Some(InstanceState::LoadFailed)
         {
             self.load_requests.load_ended(now, false, &mut self.random);
-        } else if answer.instance_state == Some(InstanceState::LoadStarted)
-            && answer.outcome == Outcome::Succeeded
+        } else if completion.instance_state == Some(InstanceState::LoadStarted)
+            && completion.outcome == Outcome::Succeeded
         {
             self.load_requests.load_ended(now, true, &mut self.random);
         }
@@ -75,7 +76,7 @@
         now: f64,
         function: usize,
         attempt: &Attempt,
-        answer: &AttemptCompletion,
+        completion: &AttemptCompletion,
     ) {
         /// Weight of one answer in the mean of one function, which has few.
         const FUNCTION_WEIGHT: f64 = 0.2;
@@ -84,35 +85,42 @@
         const MAX_RATIO: f64 = 3.0;
         let Some(state) = self.functions.get_mut(function) else { return };
         // Also attempts that are never answered, as when requests queue for the function's instances.
-        if matches!(answer.outcome, Outcome::Succeeded | Outcome::Cancelled | Outcome::TimedOut) {
+        if matches!(completion.outcome, Outcome::Succeeded | Outcome::Cancelled | Outcome::TimedOut) {
             state.relative_latency += FUNCTION_WEIGHT
-                * ((answer.latency / self.latency.max(1e-3)).min(MAX_RATIO) - state.relative_latency);
+                * ((completion.latency / self.latency.max(1e-3)).min(MAX_RATIO) - state.relative_latency);
         }
-        state.has_succeeded |= answer.outcome == Outcome::Succeeded;
+        state.has_succeeded |= completion.outcome == Outcome::Succeeded;
         state.placement(attempt.worker).in_flight -= 1.0;
-        state.attempt_ended(now, attempt, answer, self.load_latency, self.keep_alive);
-        if answer.outcome == Outcome::Succeeded {
-            self.record_latency(now, function, attempt, answer);
+        state.attempt_ended(now, attempt, completion, self.load_latency, self.keep_alive);
+        if completion.outcome == Outcome::Succeeded {
+            self.record_latency(now, function, attempt, completion);
         }
     }
 
     /// Updates the mean latencies, exponentially weighted.
-    fn record_latency(&mut self, now: f64, function: usize, attempt: &Attempt, answer: &AttemptCompletion) {
+    fn record_latency(
+        &mut self,
+        now: f64,
+        function: usize,
+        attempt: &Attempt,
+        completion: &AttemptCompletion,
+    ) {
         /// Weight of one answer in the mean of loads: a dozen answers, about a second of a busy worker.
         const LOAD_WEIGHT: f64 = 0.1;
         /// The same in the mean of answers of loaded instances.
         const WEIGHT: f64 = 0.02;
-        let cold =
-            matches!(answer.instance_state, Some(InstanceState::LoadStarted | InstanceState::LoadAwaited))
-                || answer.instance_state.is_none() && !attempt.warm;
+        let cold = matches!(
+            completion.instance_state,
+            Some(InstanceState::LoadStarted | InstanceState::LoadAwaited)
+        ) || completion.instance_state.is_none() && !attempt.warm;
         if !attempt.warm {
-            self.load_latency += LOAD_WEIGHT * (answer.latency - self.load_latency);
+            self.load_latency += LOAD_WEIGHT * (completion.latency - self.load_latency);
         }
         if !cold {
             if let Some(state) = self.functions.get_mut(function) {
-                state.busy_time.add(now, RATE_HALF, answer.latency);
+                state.busy_time.add(now, RATE_HALF_LIFE, completion.latency);
             }
-            self.latency += WEIGHT * (answer.latency - self.latency);
+            self.latency += WEIGHT * (completion.latency - self.latency);
         }
     }
 }
@@ -124,13 +132,13 @@
         &mut self,
         now: f64,
         attempt: &Attempt,
-        answer: &AttemptCompletion,
+        completion: &AttemptCompletion,
         load_latency: f64,
         keep_alive: f64,
     ) {
         let placement = self.placement(attempt.worker);
-        let outlasted = !attempt.warm && answer.latency > load_latency;
-        match answer.outcome {
+        let outlasted = !attempt.warm && completion.latency > load_latency;
+        match completion.outcome {
             Outcome::NotLoaded => {
                 (placement.instances, placement.loading_until, placement.missing_at) = (0.0, 0.0, now);
             }
@@ -145,7 +153,7 @@
                 let instances = if placement.expires_at > now { placement.instances } else { 0.0 };
                 placement.instances = instances.max(1.0);
                 (placement.expires_at, placement.loading_until) = (now + keep_alive, 0.0);
-                if attempt.warm && answer.instance_state == Some(InstanceState::LoadStarted) {
+                if attempt.warm && completion.instance_state == Some(InstanceState::LoadStarted) {
                     // A new version was released: instances on other workers are out of date as well.
                     let others = self.placements.iter_mut().filter(|other| other.worker != attempt.worker);
                     others.for_each(|other| other.instances = 0.0);
--- a/crates/policy/src/candidate_search.rs
+++ b/crates/policy/src/candidate_search.rs
@@ -26,7 +26,7 @@
 
 /// Means over all ready workers, and bounds that follow from them.
 #[derive(Clone, Copy)]
-pub(crate) struct CommonLoad {
+pub(crate) struct FleetLoad {
     /// Mean of other routers' requests at a worker; assumed for one without a recent report.
     pub(crate) average: f64,
     pub(crate) mean_size: f64,
@@ -35,14 +35,14 @@
     /// Requests that an instance is expected to run at a time.
     pub(crate) instance_concurrency: f64,
     /// Ready workers with an instance, or with one that is being loaded.
-    pub(crate) live: usize,
+    pub(crate) workers_with_instance: usize,
 }
 
 /// The state of a comparison of workers that does not change from one to the next.
 pub(crate) struct Comparison<'a> {
     pub(crate) query: Query,
     pub(crate) function: &'a Function,
-    pub(crate) common: CommonLoad,
+    pub(crate) fleet: FleetLoad,
     pub(crate) scope: Scope,
 }
 
@@ -52,7 +52,7 @@
     /// Those that have proved recently that they take new work.
     Proven,
     /// Those as well that can be asked for the proof.
-    Askable,
+    Checkable,
 }
 
 #[derive(Clone, Copy)]
@@ -88,11 +88,8 @@
 
 impl Search {
     /// Whether a worker with an instance was found that is not above the fair load.
-    pub(crate) fn has_warm_within(&self, common: &CommonLoad) -> bool {
-        [self.least_loaded_warm, self.past_set_warm]
-            .into_iter()
-            .flatten()
-            .any(|warm| warm.load <= common.fair)
+    pub(crate) fn has_warm_within(&self, fleet: &FleetLoad) -> bool {
+        [self.least_loaded_warm, self.past_set_warm].into_iter().flatten().any(|warm| warm.load <= fleet.fair)
     }
 
     pub(crate) fn is_member(&self, query: &Query, function: &Function) -> bool {
@@ -100,16 +97,16 @@
     }
 
     /// Whether no later worker could be chosen.
-    fn is_over(&self, common: &CommonLoad, member: bool) -> bool {
-        let fits = self.least_loaded.is_some_and(|any| any.load <= common.fair) || self.past_set.is_some();
+    fn is_complete(&self, fleet: &FleetLoad, member: bool) -> bool {
+        let fits = self.least_loaded.is_some_and(|any| any.load <= fleet.fair) || self.past_set.is_some();
         !member
             && fits
             && (self.least_loaded_warm.is_some() && self.past_set.is_none()
-                || self.with_instance == common.live)
+                || self.with_instance == fleet.workers_with_instance)
     }
 
     /// Takes a candidate: in the set the least loaded, past it the first.
-    fn offer(&mut self, candidate: Candidate, member: bool, warm: bool) {
+    fn add_candidate(&mut self, candidate: Candidate, member: bool, warm: bool) {
         let (any, loaded) = if member {
             (&mut self.least_loaded, &mut self.least_loaded_warm)
         } else {
@@ -133,13 +130,13 @@
 
 impl RouterState {
     /// Means over all workers of the ring.
-    pub(crate) fn common_load(&mut self, now: f64, query: &Query, function: &Function) -> CommonLoad {
+    pub(crate) fn fleet_load(&mut self, now: f64, query: &Query, function: &Function) -> FleetLoad {
         /// Times the mean load, and requests beyond that: with less spread the home of several busy functions
         /// would be overloaded beside idle workers.
-        const SPREAD: f64 = 1.25;
-        const SLACK: f64 = 3.0;
+        const MEAN_LOAD_MULTIPLE: f64 = 1.25;
+        const LOAD_SLACK: f64 = 3.0;
         /// Squared standard deviations of unknown traffic for which an instance keeps capacity free.
-        const CHANCE: f64 = 1.0;
+        const VARIANCE_HEADROOM: f64 = 1.0;
         self.slow_start.rate(now, &self.workers, &self.staleness, &mut self.throughput);
         let n = function.ring_order.len().max(1) as f64;
         // One pass: with thousands of workers this is most of what a request costs.
@@ -154,42 +151,49 @@
         }
         let average = other_routers_load / reports.max(1) as f64;
         let (mean_size, mean_in_flight) = (sizes / n, in_flight / n);
-        let fair = (average + mean_in_flight) * SPREAD + SLACK;
-        let live = function.placements.iter().filter(|s| s.is_loaded(now) || s.loading_until > now);
-        let live = live.filter(|s| self.workers[s.worker].is_ready()).count();
+        let fair = (average + mean_in_flight) * MEAN_LOAD_MULTIPLE + LOAD_SLACK;
+        let workers_with_instance =
+            function.placements.iter().filter(|s| s.is_loaded(now) || s.loading_until > now);
+        let workers_with_instance =
+            workers_with_instance.filter(|s| self.workers[s.worker].is_ready()).count();
         // Capacity is kept free for the variance of other routers' traffic, or a moment's burst would start
         // one more load. Sets that are sized by what all routers report need none.
-        let unobserved_variance = CHANCE * (1.0 - 1.0 / self.routers) * (1.0 - query.remote_weight);
+        let unobserved_variance =
+            VARIANCE_HEADROOM * (1.0 - 1.0 / self.routers) * (1.0 - query.remote_weight);
         let instance_concurrency = function.instance_concurrency + unobserved_variance / 2.0
             - (unobserved_variance * (function.instance_concurrency + unobserved_variance / 4.0)).sqrt();
-        CommonLoad { average, mean_size, fair, instance_concurrency, live }
+        FleetLoad { average, mean_size, fair, instance_concurrency, workers_with_instance }
     }
 
     /// Whether a worker is compared, by what it has proved or can be asked to prove while the list is stale.
     fn is_in_scope(&self, now: f64, comparison: &Comparison, worker: usize) -> bool {
         let state = &self.workers[worker];
         self.staleness.allows(now, state)
-            || comparison.scope == Scope::Askable
+            || comparison.scope == Scope::Checkable
                 && self.can_check_health
-                && self.staleness.may_ask(now, state, HEALTH_CHECK_SHARE * comparison.query.latency_objective)
+                && self.staleness.may_check_health(
+                    now,
+                    state,
+                    HEALTH_CHECK_SHARE * comparison.query.latency_objective,
+                )
     }
 
     /// Compares the workers in ring order, up to where no later one could be chosen.
     pub(crate) fn search(&mut self, now: f64, comparison: &Comparison) -> Search {
-        let Comparison { query, function, common, .. } = comparison;
+        let Comparison { query, function, fleet, .. } = comparison;
         let mut search = Search::default();
         for &worker in &function.ring_order {
             let member = search.is_member(query, function);
-            if search.is_over(common, member) {
+            if search.is_complete(fleet, member) {
                 break;
             }
-            self.consider(now, comparison, &mut search, worker, member);
+            self.evaluate(now, comparison, &mut search, worker, member);
         }
         search
     }
 
     /// Compares one worker with those before it.
-    fn consider(
+    fn evaluate(
         &mut self,
         now: f64,
         comparison: &Comparison,
@@ -203,37 +207,39 @@
         /// Seconds for which a worker that rejected an attempt gets none, apart for loads and for loaded
         /// instances.
         const REJECTION_PAUSE: f64 = 0.3;
-        let Comparison { query, function, common, .. } = comparison;
+        let Comparison { query, function, fleet, .. } = comparison;
         if !self.is_in_scope(now, comparison, worker)
             || !self.may_attempt(now, query.id, worker)
-            || self.passes_over(now, worker)
+            || self.skips_outlier(now, worker)
         {
             return;
         }
         let worker_state = &self.workers[worker];
-        let size = worker_state.size / common.mean_size;
+        let size = worker_state.size / fleet.mean_size;
         let instances = function.instances(now, worker);
         let in_flight_there = worker_state.in_flight as f64
-            + worker_state.recent_other_routers_load(now).unwrap_or(common.average);
+            + worker_state.recent_other_routers_load(now).unwrap_or(fleet.average);
         let load = (in_flight_there + 1.0) / size + 1e-6 * self.random.uniform();
         search.needed += usize::from(search.capacity < query.concurrency);
         search.members += usize::from(member);
-        search.capacity += common.instance_concurrency * size;
+        search.capacity += fleet.instance_concurrency * size;
         let warm = instances.count > 0.0;
         search.with_instance += usize::from(warm || instances.loading);
         // Beyond its instances' concurrency a worker loads one more, at cost of others' memory. Of an
         // instance that is being loaded other routers want their part as well.
         let counts_all_instances = warm || query.remote_weight < 0.5;
-        let own =
+        let own_concurrency =
             if counts_all_instances { function.instance_concurrency * instances.count.max(1.0) } else { 1.0 };
-        if instances.in_flight >= own && (!warm || query.age < BUSY_INSTANCE_WAIT * query.latency_objective) {
+        if instances.in_flight >= own_concurrency
+            && (!warm || query.age < BUSY_INSTANCE_WAIT * query.latency_objective)
+        {
             return;
         }
         // An overloaded worker gets nothing: the search goes on past the set, or the request is queued here.
         let rejected = now - self.workers[worker].rejected_at.last(warm) < REJECTION_PAUSE;
         let missing =
             function.placements.iter().any(|s| s.worker == worker && now - s.missing_at < self.load_latency);
-        let refused = rejected || missing && !instances.loading && self.load_requests.backs_off(now);
+        let refused = rejected || missing && !instances.loading && self.load_requests.is_backing_off(now);
         let times = TimeBounds {
             latency_objective: query.latency_objective,
             time_left: query.time_left,
@@ -245,7 +251,7 @@
         }
         // Where workers load only on request, one that lacks the function is sent nothing until an instance
         // is there.
-        if self.reports_missing && !warm && (instances.loading || missing) {
+        if self.reports_missing_functions && !warm && (instances.loading || missing) {
             search.without_function = search.without_function.or(Some(worker));
             return;
         }
@@ -254,36 +260,41 @@
             search.loading = search.loading.or(Some(candidate));
         }
         // Past the set only workers that are not above the fair load themselves.
-        if member || load <= common.fair {
-            search.offer(candidate, member, warm);
+        if member || load <= fleet.fair {
+            search.add_candidate(candidate, member, warm);
         }
     }
 
     /// Whether a worker is passed over: the more often the higher its outlier score.
-    fn passes_over(&mut self, now: f64, worker: usize) -> bool {
-        let trust = 1.0 - self.workers[worker].ejection_probability(now);
-        trust < 1.0 && self.random.uniform() > trust.powi(3)
+    fn skips_outlier(&mut self, now: f64, worker: usize) -> bool {
+        let trust_score = 1.0 - self.workers[worker].ejection_probability(now);
+        trust_score < 1.0 && self.random.uniform() > trust_score.powi(3)
     }
 
     /// Chooses among what was found.
-    pub(crate) fn choose(&self, common: &CommonLoad, search: &Search) -> Choice {
+    pub(crate) fn choose(&self, fleet: &FleetLoad, search: &Search) -> Choice {
         let &Search { least_loaded: any, past_set: past, member_overloaded, with_instance, loading, .. } =
             search;
-        let above = any.map_or(member_overloaded, |any| any.load > common.fair);
-        let to_load = if above { past.or(any) } else { any };
+        let above = any.map_or(member_overloaded, |any| any.load > fleet.fair);
+        let load_candidate = if above { past.or(any) } else { any };
         let warm_past = search.past_set_warm.filter(|_| above);
         let warm = if above { warm_past.or(search.least_loaded_warm) } else { search.least_loaded_warm };
         // A request starts a load only in the set, and where no instance is or is being loaded: rejected by a
         // full home, it would start loads at one worker after the other.
-        let orders = self.load_requests.is_supported();
+        let can_request_loads = self.load_requests.is_supported();
         let target = match warm.or(warm_past) {
             // An instance past the set, as after it shrank, is used while the home loads one.
-            None if with_instance > 0 && orders => loading.or(search.past_set_warm),
+            None if with_instance > 0 && can_request_loads => loading.or(search.past_set_warm),
             None => any,
-            found if orders => found,
+            found if can_request_loads => found,
             found => any.or(found),
         };
-        let same = |to_load: &Candidate| target.is_some_and(|target| target.worker == to_load.worker);
-        Choice { target, load_at: to_load.filter(|to_load| !same(to_load) && warm_past.is_none()) }
+        let is_target =
+            |load_candidate: &Candidate| target.is_some_and(|target| target.worker == load_candidate.worker);
+        Choice {
+            target,
+            load_at: load_candidate
+                .filter(|load_candidate| !is_target(load_candidate) && warm_past.is_none()),
+        }
     }
 }
--- a/crates/policy/src/decay.rs
+++ b/crates/policy/src/decay.rs
@@ -1,7 +1,7 @@
 //! Sums that decay exponentially as time passes.
 
 /// Half life in seconds of the counts behind rates: a sudden load shows within a second or two.
-pub(crate) const RATE_HALF: f64 = 3.0;
+pub(crate) const RATE_HALF_LIFE: f64 = 3.0;
 
 /// A sum that decays exponentially: each addition loses half its weight in one half life, which every call
 /// states.
@@ -15,19 +15,19 @@
 
 impl DecayingSum {
     /// The sum now, at a half life in seconds.
-    pub fn now(&self, now: f64, half: f64) -> f64 {
-        self.sum * (-(now - self.at).max(0.0) / half).exp2()
+    pub fn value(&self, now: f64, half_life: f64) -> f64 {
+        self.sum * (-(now - self.at).max(0.0) / half_life).exp2()
     }
 
     /// Adds to the sum.
-    pub fn add(&mut self, now: f64, half: f64, x: f64) {
-        self.sum = self.now(now, half) + x;
+    pub fn add(&mut self, now: f64, half_life: f64, amount: f64) {
+        self.sum = self.value(now, half_life) + amount;
         self.at = now;
     }
 
     /// Events a second when 1 is added at each; `age` in seconds corrects for a count that is still young.
-    pub fn rate(&self, now: f64, half: f64, age: f64) -> f64 {
-        let full = half / std::f64::consts::LN_2;
-        self.now(now, half) / (full * (1.0 - (-age.max(0.5) / full).exp()))
+    pub fn rate(&self, now: f64, half_life: f64, age: f64) -> f64 {
+        let mean_lifetime = half_life / std::f64::consts::LN_2;
+        self.value(now, half_life) / (mean_lifetime * (1.0 - (-age.max(0.5) / mean_lifetime).exp()))
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -42,8 +42,13 @@
     /// Whether a request may have one more attempt, on some worker.
     pub(crate) fn may_attempt_again(&self, now: f64, id: usize) -> bool {
         self.requests.get(id).is_some_and(|request| {
-            let effect = self.profiles[request.profile].idempotency;
-            self.retry.may_attempt_again(now, request, effect, self.functions.has_succeeded(request.function))
+            let idempotency = self.profiles[request.profile].idempotency;
+            self.retry.may_attempt_again(
+                now,
+                request,
+                idempotency,
+                self.functions.has_succeeded(request.function),
+            )
         })
     }
 
@@ -63,10 +68,10 @@
     /// start, in-flight limit. What the worker has to prove while the list is stale is left to the caller.
     pub(crate) fn may_attempt(&mut self, now: f64, id: usize, worker: usize) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
-        let effect = self.profiles[request.profile].idempotency;
+        let idempotency = self.profiles[request.profile].idempotency;
         let allowed = self.may_attempt_again(now, id)
             && self.workers[worker].is_ready()
-            && retry::may_run_on(request, effect, worker, &self.workers[worker])
+            && retry::may_run_on(request, idempotency, worker, &self.workers[worker])
             && self.slow_start.has_capacity(
                 now,
                 worker,
@@ -78,7 +83,7 @@
         let over_limit =
             allowed && !self.within_in_flight_limit(now, worker, self.workers[worker].in_flight + 1);
         if over_limit {
-            self.budgets.note_exhausted(Budget::InFlight(worker));
+            self.budgets.record_exhausted(Budget::InFlight(worker));
         }
         allowed && !over_limit
     }
@@ -86,7 +91,7 @@
     /// Sends an attempt, where that is allowed.
     pub(crate) fn send_attempt(&mut self, now: f64, id: usize, worker: usize, host: &mut dyn Effects) {
         /// Times its mean that a load may take before it is taken to have failed.
-        const MAX_LOADS: f64 = 4.0;
+        const MAX_LOAD_MULTIPLE: f64 = 4.0;
         if !self.may_attempt(now, id, worker) || self.may_get_work(now, worker).is_err() {
             return;
         }
@@ -96,7 +101,8 @@
         let placement = function.placement(worker);
         placement.in_flight += 1.0;
         if !warm {
-            placement.loading_until = placement.loading_until.max(now + MAX_LOADS * self.load_latency);
+            placement.loading_until =
+                placement.loading_until.max(now + MAX_LOAD_MULTIPLE * self.load_latency);
         }
         self.retry.attempt_sent(now, request.attempts.is_empty());
         self.admission.attempt_sent(now, request);
@@ -113,7 +119,7 @@
         });
         worker_state.in_flight += 1;
         worker_state.in_flight_loaded += f64::from(u8::from(warm));
-        worker_state.turn.attempts_left -= 1.0;
+        worker_state.slow_start_slot.attempts_left -= 1.0;
         host.send_attempt(id, worker, request.deadline);
     }
 
@@ -123,13 +129,13 @@
     pub(crate) fn may_begin(&self, now: f64, id: usize, worker: usize) -> Result<(), SendRefusal> {
         self.may_get_work(now, worker)?;
         if let Some(request) = self.requests.get(id) {
-            if self.admission.lapsed(now, request) {
+            if self.admission.has_lapsed(now, request) {
                 return Err(SendRefusal::AdmissionLapsed);
             }
             if retry::key_expired(now, request, self.profiles[request.profile].idempotency) {
                 return Err(SendRefusal::KeyExpired);
             }
-            if self.is_late_for_slow_start(now, request, worker) {
+            if self.is_too_late_for_slow_start(now, request, worker) {
                 return Err(SendRefusal::SlowStart);
             }
         }
@@ -141,13 +147,13 @@
     }
 
     /// Whether an attempt waited for its connection for longer than a turn of its worker's slow start.
-    fn is_late_for_slow_start(&self, now: f64, request: &Request, worker: usize) -> bool {
-        let is_old = |attempt: &Attempt| {
+    fn is_too_late_for_slow_start(&self, now: f64, request: &Request, worker: usize) -> bool {
+        let is_late = |attempt: &Attempt| {
             attempt.in_flight
                 && attempt.worker == worker
-                && now - attempt.sent_at > self.slow_start.turn_seconds()
+                && now - attempt.sent_at > self.slow_start.slot_seconds()
         };
-        request.attempts.iter().any(is_old)
-            && self.slow_start.is_cold(now, self.staleness.started(now, &self.workers[worker]))
+        request.attempts.iter().any(is_late)
+            && self.slow_start.is_cold(now, self.staleness.started_at(now, &self.workers[worker]))
     }
 }
--- a/crates/policy/src/fleet_budgets.rs
+++ b/crates/policy/src/fleet_budgets.rs
@@ -52,7 +52,7 @@
     }
 
     /// Records that a budget was exhausted.
-    pub(crate) fn note_exhausted(&mut self, budget: Budget) {
+    pub(crate) fn record_exhausted(&mut self, budget: Budget) {
         self.exhausted.push(budget);
     }
 
--- a/crates/policy/src/function_state.rs
+++ b/crates/policy/src/function_state.rs
@@ -1,14 +1,14 @@
 //! What is known of each function: its arrival rate, the latency of its requests, and where its instances
 //! are.
 
-use crate::decay::{DecayingSum, RATE_HALF};
+use crate::decay::{DecayingSum, RATE_HALF_LIFE};
 use crate::effects::Effects;
 use crate::events::Arrival;
 use std::collections::BTreeMap;
 
 /// Half lives in seconds of the counts of arrivals: the long one is for functions that one of many routers
 /// sees seldom.
-const SHORT_HALF_LIFE: f64 = RATE_HALF;
+const SHORT_HALF_LIFE: f64 = RATE_HALF_LIFE;
 const LONG_HALF_LIFE: f64 = 15.0;
 
 /// Decaying counts of arrivals.
@@ -25,14 +25,14 @@
     }
 
     /// The larger of a rate of the two counts, which `rate` gives for a count and its half life.
-    pub(crate) fn larger(&self, rate: impl Fn(&DecayingSum, f64) -> f64) -> f64 {
+    pub(crate) fn max_rate(&self, rate: impl Fn(&DecayingSum, f64) -> f64) -> f64 {
         rate(&self.short, SHORT_HALF_LIFE).max(0.0).max(rate(&self.long, LONG_HALF_LIFE))
     }
 }
 
 /// A function on one worker, as far as this router knows. Times are in seconds.
 #[derive(Default)]
-pub(crate) struct FunctionOnWorker {
+pub(crate) struct FunctionPlacement {
     pub(crate) worker: usize,
     /// Instances there, and when they are unloaded unless they are used again.
     pub(crate) instances: f64,
@@ -45,7 +45,7 @@
     pub(crate) missing_at: f64,
 }
 
-impl FunctionOnWorker {
+impl FunctionPlacement {
     /// Whether it is loaded there now.
     pub(crate) fn is_loaded(&self, now: f64) -> bool {
         self.instances > 0.0 && self.expires_at > now
@@ -71,7 +71,7 @@
     /// Its arrivals of late.
     pub(crate) arrivals: ArrivalCounts,
     /// When it first arrived.
-    pub(crate) since: f64,
+    pub(crate) first_arrival_at: f64,
     /// Mean latency of its attempts, over that of all functions.
     pub(crate) relative_latency: f64,
     /// Sum of the latencies of answers of loaded instances, in seconds.
@@ -87,8 +87,8 @@
     pub(crate) open_requests: usize,
     /// Workers in ring order from its key on, and the revision of the ring that this is of.
     pub(crate) ring_order: Vec<usize>,
-    pub(crate) revision: u64,
-    pub(crate) placements: Vec<FunctionOnWorker>,
+    pub(crate) ring_revision: u64,
+    pub(crate) placements: Vec<FunctionPlacement>,
 }
 
 impl Function {
@@ -96,7 +96,7 @@
         Self {
             name: arrival.name,
             memory: arrival.memory.max(0.0),
-            since: now,
+            first_arrival_at: now,
             relative_latency: 1.0,
             set_size: 1,
             shrinkable_since: now,
@@ -105,17 +105,17 @@
     }
 
     /// Its state on a worker, a new one where nothing is known.
-    pub(crate) fn placement(&mut self, worker: usize) -> &mut FunctionOnWorker {
-        let at =
+    pub(crate) fn placement(&mut self, worker: usize) -> &mut FunctionPlacement {
+        let index =
             self.placements.iter().position(|placement| placement.worker == worker).unwrap_or_else(|| {
-                self.placements.push(FunctionOnWorker {
+                self.placements.push(FunctionPlacement {
                     worker,
                     missing_at: f64::NEG_INFINITY,
-                    ..FunctionOnWorker::default()
+                    ..FunctionPlacement::default()
                 });
                 self.placements.len() - 1
             });
-        &mut self.placements[at]
+        &mut self.placements[index]
     }
 
     /// Its instances on a worker now.
@@ -136,12 +136,12 @@
 
     /// Arrivals a second, by the larger of the two counts.
     pub(crate) fn arrival_rate(&self, now: f64) -> f64 {
-        self.arrivals.larger(|count, half_life| count.rate(now, half_life, now - self.since))
+        self.arrivals.max_rate(|count, half_life| count.rate(now, half_life, now - self.first_arrival_at))
     }
 
     /// Concurrency at this router.
     pub(crate) fn local_concurrency(&self, now: f64) -> f64 {
-        self.busy_time.rate(now, RATE_HALF, now - self.since)
+        self.busy_time.rate(now, RATE_HALF_LIFE, now - self.first_arrival_at)
     }
 
     /// Whether it has no request, no instance and hardly an arrival of late.
@@ -149,10 +149,10 @@
         /// In the long count: a function that is called once is released within 15 s, a busy one after
         /// minutes.
         const MIN_ARRIVALS: f64 = 0.5;
-        let expired = |placement: &FunctionOnWorker| {
+        let expired = |placement: &FunctionPlacement| {
             placement.in_flight == 0.0 && now > placement.expires_at && now > placement.loading_until
         };
-        let is_unused = self.arrivals.long.now(now, LONG_HALF_LIFE) < MIN_ARRIVALS;
+        let is_unused = self.arrivals.long.value(now, LONG_HALF_LIFE) < MIN_ARRIVALS;
         self.open_requests == 0 && is_unused && self.placements.iter().all(expired)
     }
 }
@@ -168,7 +168,7 @@
 impl Functions {
     /// A request of a function arrived. A client's retry is no new demand: counted, it would grow sets onto
     /// workers without instances.
-    pub(crate) fn arrived(&mut self, now: f64, arrival: &Arrival) {
+    pub(crate) fn request_arrived(&mut self, now: f64, arrival: &Arrival) {
         self.functions.resize_with(self.functions.len().max(arrival.function + 1), || None);
         let function = self.functions[arrival.function].get_or_insert_with(|| Function::new(now, arrival));
         function.open_requests += 1;
@@ -182,8 +182,8 @@
     /// accumulate.
     pub(crate) fn sweep(&mut self, now: f64, host: &mut dyn Effects) {
         /// Above 1, so that all are checked faster than arrivals can add to them.
-        const FUNCTIONS_EACH: usize = 2;
-        for _ in 0..FUNCTIONS_EACH.min(self.functions.len()) {
+        const FUNCTIONS_PER_ARRIVAL: usize = 2;
+        for _ in 0..FUNCTIONS_PER_ARRIVAL.min(self.functions.len()) {
             self.sweep_position = (self.sweep_position + 1) % self.functions.len();
             if self.functions[self.sweep_position].as_ref().is_some_and(|f| f.is_unused(now)) {
                 self.functions[self.sweep_position] = None;
--- a/crates/policy/src/hash_ring.rs
+++ b/crates/policy/src/hash_ring.rs
@@ -6,7 +6,7 @@
 
 /// Points of a worker on the ring: enough for even shares, and for a lost worker's functions to go to
 /// several.
-const POINTS: u64 = 32;
+const POINTS_PER_WORKER: u64 = 32;
 
 struct Point {
     hash: u64,
@@ -25,8 +25,10 @@
     pub(crate) fn build(&mut self, workers: impl Iterator<Item = usize>, name: impl Fn(usize) -> u64) {
         let point =
             |worker: usize, n| Point { hash: xxh3_64_with_seed(&name(worker).to_le_bytes(), n), worker };
-        self.points =
-            workers.flat_map(|w| (0..POINTS).map(move |n| (w, n))).map(|(w, n)| point(w, n)).collect();
+        self.points = workers
+            .flat_map(|w| (0..POINTS_PER_WORKER).map(move |n| (w, n)))
+            .map(|(w, n)| point(w, n))
+            .collect();
         self.points
             .sort_unstable_by(|a, b| a.hash.cmp(&b.hash).then_with(|| name(a.worker).cmp(&name(b.worker))));
         self.revision += 1;
@@ -34,7 +36,7 @@
 
     /// Workers on the ring.
     pub(crate) fn workers(&self) -> f64 {
-        self.points.len() as f64 / POINTS as f64
+        self.points.len() as f64 / POINTS_PER_WORKER as f64
     }
 
     pub(crate) fn revision(&self) -> u64 {
@@ -43,12 +45,12 @@
 
     /// Fills `order` with the workers in the order in which they follow the hash of a key. `known` is above
     /// any worker's index.
-    pub(crate) fn successors(&self, key: u64, known: usize, order: &mut Vec<usize>) {
+    pub(crate) fn successors(&self, key: u64, worker_count: usize, order: &mut Vec<usize>) {
         order.clear();
         let home = xxh3_64_with_seed(&key.to_le_bytes(), 0);
-        let from = self.points.partition_point(|point| point.hash < home);
-        let mut visited = vec![false; known];
-        for point in self.points[from..].iter().chain(&self.points[..from]) {
+        let start = self.points.partition_point(|point| point.hash < home);
+        let mut visited = vec![false; worker_count];
+        for point in self.points[start..].iter().chain(&self.points[..start]) {
             if !std::mem::replace(&mut visited[point.worker], true) {
                 order.push(point.worker);
             }
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -8,19 +8,19 @@
 pub(crate) const HEALTH_CHECK_SHARE: f64 = 0.03;
 
 /// Seconds for which a load report is fresh: about as long as a queue takes to change.
-const REPORT_AGE: f64 = 1.0;
+const REPORT_FRESH_FOR: f64 = 1.0;
 
 impl Worker {
     /// Requests of other routers there by its last report, where that is recent.
     pub(crate) fn recent_other_routers_load(&self, now: f64) -> Option<f64> {
         /// Times as long for which a report is still better than an average.
-        const MAX_AGE: f64 = 4.0;
-        self.other_routers_load.filter(|_| now - self.reported_at < MAX_AGE * REPORT_AGE)
+        const MAX_AGE_MULTIPLE: f64 = 4.0;
+        self.other_routers_load.filter(|_| now - self.reported_at < MAX_AGE_MULTIPLE * REPORT_FRESH_FOR)
     }
 
     /// Whether its last report is too old to judge its queue by.
     pub(crate) fn report_is_stale(&self, now: f64) -> bool {
-        now - self.reported_at > REPORT_AGE
+        now - self.reported_at > REPORT_FRESH_FOR
     }
 
     /// Sends a health check, unless one is still unanswered.
@@ -42,8 +42,8 @@
         let Some(report) = report else { return };
         let own_load = self.in_flight as f64;
         let other_routers_load = match (report.in_flight, report.queued) {
-            (Some(held), _) => (held - own_load).max(0.0),
-            (None, Some(waiting)) => waiting * (routers - 1.0) / routers,
+            (Some(in_flight), _) => (in_flight - own_load).max(0.0),
+            (None, Some(queued)) => queued * (routers - 1.0) / routers,
             _ => return,
         };
         self.other_routers_load = Some(other_routers_load);
--- a/crates/policy/src/list_staleness.rs
+++ b/crates/policy/src/list_staleness.rs
@@ -18,7 +18,7 @@
     /// When the list was known to be current; minus infinity before the first confirmation.
     confirmed_at: f64,
     /// When a worker was last asked that no request waited for.
-    asked_in_background_at: f64,
+    background_check_sent_at: f64,
 }
 
 impl ListStaleness {
@@ -27,7 +27,7 @@
             list_valid_for,
             acceptance_valid_for,
             confirmed_at: f64::NEG_INFINITY,
-            asked_in_background_at: f64::NEG_INFINITY,
+            background_check_sent_at: f64::NEG_INFINITY,
         }
     }
 
@@ -53,33 +53,33 @@
 
     /// The proof ages from when the worker was asked: it may have begun to drain right after that.
     fn is_proven(&self, now: f64, acceptance: &Acceptance) -> bool {
-        acceptance.holds() && now - acceptance.accepted_at < self.acceptance_valid_for
+        acceptance.accepts_work() && now - acceptance.accepted_at < self.acceptance_valid_for
     }
 
     /// Whether it is of use to check a worker's health for a proof: it has not declined for as long as a proof would
-    /// hold, and no check has been unanswered for longer than `patience` seconds.
-    pub(crate) fn may_ask(&self, now: f64, worker: &Worker, patience: f64) -> bool {
+    /// hold, and no check has been unanswered for longer than `max_wait` seconds.
+    pub(crate) fn may_check_health(&self, now: f64, worker: &Worker, max_wait: f64) -> bool {
         let declined = now - worker.acceptance.declined_at < self.acceptance_valid_for;
         let sent_at = worker.health_check_sent_at;
-        !declined && (sent_at == f64::NEG_INFINITY || now - sent_at < patience)
+        !declined && (sent_at == f64::NEG_INFINITY || now - sent_at < max_wait)
     }
 
     /// Whether a worker may be asked that no request waits for: one in the time for which a proof holds, so that the checks
     /// of many routers stay few.
-    pub(crate) fn may_ask_in_background(&self, now: f64) -> bool {
-        now - self.asked_in_background_at >= self.acceptance_valid_for
+    pub(crate) fn may_check_in_background(&self, now: f64) -> bool {
+        now - self.background_check_sent_at >= self.acceptance_valid_for
     }
 
     /// A worker is asked that no request waits for.
-    pub(crate) fn asked_in_background(&mut self, now: f64) {
-        self.asked_in_background_at = now;
+    pub(crate) fn background_check_sent(&mut self, now: f64) {
+        self.background_check_sent_at = now;
     }
 
     /// When a worker's process started, as far as that is certain now. A router that has never had a current list knows
     /// no process from before.
-    pub(crate) fn started(&self, now: f64, worker: &Worker) -> f64 {
+    pub(crate) fn started_at(&self, now: f64, worker: &Worker) -> f64 {
         let alive_since = worker.acceptance.alive_since;
         let may_be_new = self.confirmed_at.is_finite() && alive_since > self.confirmed_at;
-        if may_be_new && self.is_stale(now) { worker.started.max(alive_since) } else { worker.started }
+        if may_be_new && self.is_stale(now) { worker.started_at.max(alive_since) } else { worker.started_at }
     }
 }
--- a/crates/policy/src/load_requests.rs
+++ b/crates/policy/src/load_requests.rs
@@ -47,12 +47,12 @@
     }
 
     /// A request arrived, which earns a part of a load request.
-    pub(crate) fn arrived(&mut self, now: f64) {
+    pub(crate) fn request_arrived(&mut self, now: f64) {
         self.limit.iter_mut().for_each(|limit| limit.request_arrived(now));
     }
 
     /// Whether no load is started now, as one failed.
-    pub(crate) fn backs_off(&self, now: f64) -> bool {
+    pub(crate) fn is_backing_off(&self, now: f64) -> bool {
         now < self.backoff.until
     }
 
@@ -66,8 +66,8 @@
     ) -> bool {
         let Some(f) = functions.get(request.function) else { return false };
         let instances = f.instances(now, request.worker);
-        let able = self.supported && workers[request.worker].is_ready() && !self.backs_off(now);
-        able && !instances.loading && instances.count < f64::from(request.instances)
+        let is_possible = self.supported && workers[request.worker].is_ready() && !self.is_backing_off(now);
+        is_possible && !instances.loading && instances.count < f64::from(request.instances)
     }
 
     /// Whether loads under way and the worker's memory allow a load ahead of need, where this router may have
@@ -78,7 +78,7 @@
         request: LoadRequest,
         workers: &WorkerTable,
         functions: &Functions,
-        most: f64,
+        max_pending: f64,
     ) -> bool {
         /// Part of a worker's memory that instances may fill: beyond it they evict each other.
         const MEMORY_SHARE: f64 = 0.6;
@@ -86,7 +86,7 @@
         let filled = functions.memory_on(now, request.worker);
         let full =
             filled + memory * f64::from(request.instances) > MEMORY_SHARE * workers[request.worker].memory;
-        !full && self.pending <= most
+        !full && self.pending <= max_pending
     }
 
     /// Loads ahead of need that this router may have under way, at so many ready workers.
@@ -98,11 +98,11 @@
 
     /// Whether the budget allows one more load request.
     pub(crate) fn within_limit(&mut self, now: f64, budgets: &mut FleetBudgets) -> bool {
-        let own_fraction = self.limit.as_ref().map_or(0.0, |limit| limit.free);
-        let free = budgets.allowed(now, Budget::LoadRequests, own_fraction);
+        let own = self.limit.as_ref().map_or(0.0, |limit| limit.free);
+        let free = budgets.allowed(now, Budget::LoadRequests, own);
         let within = self.limit.as_mut().is_none_or(|limit| limit.allows(now, free));
         if !within {
-            budgets.note_exhausted(Budget::LoadRequests);
+            budgets.record_exhausted(Budget::LoadRequests);
         }
         within
     }
@@ -124,7 +124,7 @@
     }
 
     /// A load request was answered.
-    pub(crate) fn ended(&mut self) {
+    pub(crate) fn load_request_ended(&mut self) {
         self.pending -= 1.0;
     }
 
@@ -136,7 +136,7 @@
         const MAX_BACKOFF: f64 = 2.0;
         if succeeded {
             self.backoff.seconds /= 2.0;
-        } else if !self.backs_off(now) {
+        } else if !self.is_backing_off(now) {
             let seconds = (2.0 * self.backoff.seconds).clamp(MIN_BACKOFF, MAX_BACKOFF);
             self.backoff = Backoff { seconds, until: now + seconds * (0.5 + random.uniform()) };
         }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -19,36 +19,38 @@
 }
 
 impl Evidence {
-    const HANDLED: Self = Self { fault: 0.0, weight: 0.2 };
-    const FAILED: Self = Self { fault: 1.0, weight: 0.3 };
-    const SILENT: Self = Self { fault: 1.0, weight: 0.5 };
-    const CUT: Self = Self { fault: 1.0, weight: 0.1 };
-    pub(crate) const UNREACHED: Self = Self { fault: 1.0, weight: 0.7 };
+    const SUCCESS: Self = Self { fault: 0.0, weight: 0.2 };
+    const FAILURE: Self = Self { fault: 1.0, weight: 0.3 };
+    const NO_RESPONSE: Self = Self { fault: 1.0, weight: 0.5 };
+    const CONNECTION_LOST: Self = Self { fault: 1.0, weight: 0.1 };
+    pub(crate) const UNREACHABLE: Self = Self { fault: 1.0, weight: 0.7 };
 
     /// The evidence of a result, if any. `answered_at` is when the worker last answered, `has_succeeded`
     /// whether any request of the function did, and `latency` the mean of answers, in seconds.
-    pub(crate) fn of(
-        answer: &AttemptCompletion,
+    pub(crate) fn from_completion(
+        completion: &AttemptCompletion,
         attempt: &Attempt,
         answered_at: f64,
         has_succeeded: bool,
         latency: f64,
     ) -> Option<Self> {
         /// Mean latencies after which silence is more than a slow request.
-        const SILENCE: f64 = 4.0;
-        match answer.outcome {
-            Outcome::Succeeded => Some(Self::HANDLED),
+        const NO_RESPONSE_MULTIPLE: f64 = 4.0;
+        match completion.outcome {
+            Outcome::Succeeded => Some(Self::SUCCESS),
             // A function that no worker knows fails on all of them: by its failures all would be outliers.
-            Outcome::Failed if has_succeeded => Some(Self::FAILED),
+            Outcome::Failed if has_succeeded => Some(Self::FAILURE),
             // A timeout while a load is awaited is the store's; among answers, that of a long request; and
             // after a short time, that of a client that left early.
             Outcome::TimedOut | Outcome::Cancelled
-                if attempt.warm && answered_at < attempt.sent_at && answer.latency > SILENCE * latency =>
+                if attempt.warm
+                    && answered_at < attempt.sent_at
+                    && completion.latency > NO_RESPONSE_MULTIPLE * latency =>
             {
-                Some(Self::SILENT)
+                Some(Self::NO_RESPONSE)
             }
-            Outcome::ConnectionLost => Some(Self::CUT),
-            Outcome::Unreachable => Some(Self::UNREACHED),
+            Outcome::ConnectionLost => Some(Self::CONNECTION_LOST),
+            Outcome::Unreachable => Some(Self::UNREACHABLE),
             Outcome::Failed
             | Outcome::TimedOut
             | Outcome::Cancelled
@@ -63,14 +65,14 @@
     /// The outlier score now; 0 where it is within the noise of single failures.
     pub(crate) fn ejection_probability(&self, now: f64) -> f64 {
         /// Scores under it count as none.
-        const NOISE: f64 = 0.25;
-        let outlier_score = self.outlier_score.now(now, SCORE_HALF_LIFE);
-        if outlier_score < NOISE { 0.0 } else { outlier_score }
+        const MIN_SCORE: f64 = 0.25;
+        let outlier_score = self.outlier_score.value(now, SCORE_HALF_LIFE);
+        if outlier_score < MIN_SCORE { 0.0 } else { outlier_score }
     }
 
     /// Moves the outlier score, a weighted mean, towards the evidence.
     pub(crate) fn record_evidence(&mut self, now: f64, Evidence { fault, weight }: Evidence) {
-        let outlier_score = self.outlier_score.now(now, SCORE_HALF_LIFE);
+        let outlier_score = self.outlier_score.value(now, SCORE_HALF_LIFE);
         self.outlier_score = DecayingSum { sum: outlier_score + weight * (fault - outlier_score), at: now };
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -2,7 +2,7 @@
 //! is asked to load one and joins once it is there; where all members are above the fair load, workers past
 //! the set in ring order are taken.
 
-use crate::candidate_search::{Candidate, CommonLoad, Comparison, Query, Scope, Search};
+use crate::candidate_search::{Candidate, Comparison, FleetLoad, Query, Scope, Search};
 use crate::effects::Effects;
 use crate::function_state::Function;
 use crate::health_check::HEALTH_CHECK_SHARE;
@@ -21,8 +21,8 @@
     pub(crate) fn place(&mut self, now: f64, id: usize, host: &mut dyn Effects) -> Decision {
         let Some(query) = self.query(now, id) else { return Decision::GiveUp };
         let Some(function) = self.functions.take(query.function_index) else { return Decision::GiveUp };
-        let common = self.common_load(now, &query, &function);
-        let search = self.search_by_proof(now, query, &function, common, host);
+        let fleet = self.fleet_load(now, &query, &function);
+        let search = self.search_proven_first(now, query, &function, fleet, host);
         self.functions.put_back(query.function_index, function);
         if let Some(worker) =
             search.without_function.filter(|_| search.least_loaded_warm.or(search.past_set_warm).is_none())
@@ -34,7 +34,7 @@
             );
             return Decision::Queue;
         }
-        let choice = self.choose(&common, &search);
+        let choice = self.choose(&fleet, &search);
         if let Some(Candidate { worker, .. }) = choice.load_at {
             self.request_load(
                 now,
@@ -47,7 +47,7 @@
         }
         let Some(Candidate { worker, .. }) = choice.target else { return Decision::Queue };
         if !self.staleness.allows(now, &self.workers[worker]) {
-            self.ask_for_proof(now, worker, host);
+            self.check_acceptance(now, worker, host);
             return Decision::Queue;
         }
         if self.awaits_health_check(now, &query, worker, host) {
@@ -84,46 +84,46 @@
     /// Brings a function's ring order up to the present ring.
     fn update_ring_order(&mut self, function_index: usize) {
         let Some(f) = self.functions.get_mut(function_index) else { return };
-        if f.revision != self.ring.revision() {
-            f.revision = self.ring.revision();
+        if f.ring_revision != self.ring.revision() {
+            f.ring_revision = self.ring.revision();
             self.ring.successors(f.name, self.workers.len(), &mut f.ring_order);
         }
     }
 
     /// Compares the workers that may get new work. While the list is stale proven ones come first, as a check of another
     /// costs a round trip, and a worker can answer only so many of all routers.
-    fn search_by_proof(
+    fn search_proven_first(
         &mut self,
         now: f64,
         query: Query,
         function: &Function,
-        common: CommonLoad,
+        fleet: FleetLoad,
         host: &mut dyn Effects,
     ) -> Search {
-        let among = |scope| Comparison { query, function, common, scope };
+        let among = |scope| Comparison { query, function, fleet, scope };
         if !self.staleness.is_stale(now) {
-            return self.search(now, &among(Scope::Askable));
+            return self.search(now, &among(Scope::Checkable));
         }
         let proven = self.search(now, &among(Scope::Proven));
-        if !proven.has_warm_within(&common) {
-            return self.search(now, &among(Scope::Askable));
+        if !proven.has_warm_within(&fleet) {
+            return self.search(now, &among(Scope::Checkable));
         }
-        if self.staleness.may_ask_in_background(now) {
-            self.ask_in_background(now, &among(Scope::Askable), host);
+        if self.staleness.may_check_in_background(now) {
+            self.check_in_background(now, &among(Scope::Checkable), host);
         }
         proven
     }
 
     /// Checks the health of the worker that the request would go to if it could wait for a proof: without this, a worker
     /// that takes new work again would stay unused.
-    fn ask_in_background(&mut self, now: f64, comparison: &Comparison, host: &mut dyn Effects) {
+    fn check_in_background(&mut self, now: f64, comparison: &Comparison, host: &mut dyn Effects) {
         let search = self.search(now, comparison);
-        let target = self.choose(&comparison.common, &search).target;
+        let target = self.choose(&comparison.fleet, &search).target;
         if let Some(Candidate { worker, .. }) = target
             && !self.staleness.allows(now, &self.workers[worker])
         {
-            self.staleness.asked_in_background(now);
-            self.ask_for_proof(now, worker, host);
+            self.staleness.background_check_sent(now);
+            self.check_acceptance(now, worker, host);
         }
     }
 
@@ -136,7 +136,7 @@
         worker: usize,
         host: &mut dyn Effects,
     ) -> bool {
-        let waits = self.checks_load
+        let waits = self.refreshes_load_reports
             && self.workers[worker].report_is_stale(now)
             && query.age < HEALTH_CHECK_SHARE * query.latency_objective;
         if waits {
--- a/crates/policy/src/rate_limiter.rs
+++ b/crates/policy/src/rate_limiter.rs
@@ -14,7 +14,7 @@
     earned_per_request: f64,
     /// Seconds at the window's edge in which actions still count and requests no more: how sharply it can be
     /// measured.
-    edge: f64,
+    edge_tolerance: f64,
     /// Times of requests and of actions within the window.
     requests: VecDeque<f64>,
     actions: VecDeque<f64>,
@@ -22,9 +22,16 @@
 
 impl RateLimiter {
     /// A limiter of a budget; `edge` in seconds is how sharply the window's edge can be measured.
-    pub fn new(budget: RequestBudget, edge: f64) -> Self {
+    pub fn new(budget: RequestBudget, edge_tolerance: f64) -> Self {
         let RequestBudget { window, free, earned_per_request } = budget;
-        Self { window, free, earned_per_request, edge, requests: VecDeque::new(), actions: VecDeque::new() }
+        Self {
+            window,
+            free,
+            earned_per_request,
+            edge_tolerance,
+            requests: VecDeque::new(),
+            actions: VecDeque::new(),
+        }
     }
 
     /// A request arrived.
@@ -52,15 +59,16 @@
 
     fn earned(&self, now: f64) -> f64 {
         // Most are well within the window: only those at its edge are looked at.
-        let late = self.requests.iter().take_while(|t| now - **t >= self.window - self.edge).count();
-        self.earned_per_request * (self.requests.len() - late) as f64
+        let expired =
+            self.requests.iter().take_while(|t| now - **t >= self.window - self.edge_tolerance).count();
+        self.earned_per_request * (self.requests.len() - expired) as f64
     }
 
     fn discard_expired(&mut self, now: f64) {
         while self.requests.front().is_some_and(|t| now - t >= self.window) {
             self.requests.pop_front();
         }
-        while self.actions.front().is_some_and(|t| now - t > self.window + self.edge) {
+        while self.actions.front().is_some_and(|t| now - t > self.window + self.edge_tolerance) {
             self.actions.pop_front();
         }
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -22,40 +22,40 @@
         &self,
         now: f64,
         request: &Request,
-        effect: Idempotency,
+        idempotency: Idempotency,
         has_succeeded: bool,
     ) -> bool {
         /// Attempts that may have run of a function that never succeeded: then the function itself is taken
         /// to be at fault.
-        const MAX_UNPROVEN: usize = 2;
+        const MAX_ATTEMPTS_BEFORE_SUCCESS: usize = 2;
         let mut may_have_run = request.attempts.iter().filter(|attempt| !attempt.never_ran);
-        let repeatable = match effect {
+        let repeatable = match idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => may_have_run.next().is_none(),
-            Idempotency::IdempotentWithKey { .. } => !key_expired(now, request, effect),
+            Idempotency::IdempotentWithKey { .. } => !key_expired(now, request, idempotency),
         };
-        let unproven =
+        let limit_reached =
             request.attempts.iter().filter(|attempt| !attempt.in_flight && !attempt.never_ran).count()
-                >= MAX_UNPROVEN;
-        let repeatable = repeatable && (has_succeeded || !unproven);
+                >= MAX_ATTEMPTS_BEFORE_SUCCESS;
+        let repeatable = repeatable && (has_succeeded || !limit_reached);
         // No hedged requests: they cost other requests more than they save.
-        let alone = !request.has_attempt_in_flight();
+        let is_idle = !request.has_attempt_in_flight();
         request.is_open
             && request.attempts.len() < self.max_attempts
             && now < request.deadline
             && repeatable
-            && alone
+            && is_idle
     }
 
     /// Whether the retry budget allows an attempt, which is no retry where it is the `first`.
     pub(crate) fn within_retry_budget(&mut self, now: f64, first: bool, budgets: &mut FleetBudgets) -> bool {
         let own = self.budget.as_ref().map_or(0.0, |limit| limit.free);
         let free = budgets.allowed(now, Budget::Retries, own);
-        let may = first || self.budget.as_mut().is_none_or(|limit| limit.allows(now, free));
-        if !may {
-            budgets.note_exhausted(Budget::Retries);
+        let within = first || self.budget.as_mut().is_none_or(|limit| limit.allows(now, free));
+        if !within {
+            budgets.record_exhausted(Budget::Retries);
         }
-        may
+        within
     }
 
     /// An attempt is sent; a retry unless it is the `first`.
@@ -67,8 +67,8 @@
 }
 
 /// Whether an attempt that ended may have run so long ago that its idempotency key is no longer known.
-pub(crate) fn key_expired(now: f64, request: &Request, effect: Idempotency) -> bool {
-    let Idempotency::IdempotentWithKey { retention, .. } = effect else { return false };
+pub(crate) fn key_expired(now: f64, request: &Request, idempotency: Idempotency) -> bool {
+    let Idempotency::IdempotentWithKey { retention, .. } = idempotency else { return false };
     request
         .attempts
         .iter()
@@ -77,8 +77,8 @@
 
 /// Whether a request may have an attempt at a worker after those that it had: the worker knows the
 /// idempotency key of each that may have run, and may not have failed one itself.
-pub(crate) fn may_run_on(request: &Request, effect: Idempotency, index: usize, worker: &Worker) -> bool {
-    let known = |attempt: &Attempt| match effect {
+pub(crate) fn may_run_on(request: &Request, idempotency: Idempotency, index: usize, worker: &Worker) -> bool {
+    let key_is_known = |attempt: &Attempt| match idempotency {
         Idempotency::IdempotentWithKey { scope: KeyScope::Zone, .. } => {
             attempt.never_ran || attempt.zone == worker.zone
         }
@@ -87,6 +87,6 @@
         }
         _ => true,
     };
-    let fresh = |attempt: &Attempt| attempt.worker != index || attempt.never_ran;
-    request.attempts.iter().all(|attempt| known(attempt) && fresh(attempt))
+    let did_not_run_here = |attempt: &Attempt| attempt.worker != index || attempt.never_ran;
+    request.attempts.iter().all(|attempt| key_is_known(attempt) && did_not_run_here(attempt))
 }
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -29,7 +29,7 @@
     /// When the host was asked to wake the router next.
     wake_at: f64,
     /// When the endpoint list is requested again, after that failed.
-    watch_again_at: f64,
+    next_watch_at: f64,
 }
 
 impl Router {
@@ -43,7 +43,7 @@
             open: Vec::new(),
             queued: Vec::new(),
             wake_at: f64::INFINITY,
-            watch_again_at: f64::INFINITY,
+            next_watch_at: f64::INFINITY,
         }
     }
 
@@ -86,14 +86,14 @@
     /// An endpoint of the list, new or changed. [`end_list`](Self::end_list) ends a list.
     pub fn update_endpoint(&mut self, endpoint: EndpointUpdate) {
         let memory = self.state.worker_memory.get(endpoint.kind).copied().unwrap_or(f64::INFINITY);
-        if self.state.workers.listed(&endpoint, memory) {
+        if self.state.workers.update(&endpoint, memory) {
             self.state.functions.iter_mut().for_each(|f| f.worker_restarted(endpoint.worker));
         }
     }
 
     /// A complete list begins: endpoints that are not in it are gone.
     pub fn begin_full_list(&mut self) {
-        self.state.workers.renewed();
+        self.state.workers.begin_full_list();
     }
 
     /// All endpoints of a list, or of a change of it, have been given.
@@ -107,17 +107,17 @@
     /// The registry did not answer, or ended the watch of its list: it is requested again after a moment.
     pub fn watch_failed(&mut self, now: f64, host: &mut dyn Effects) {
         if self.state.watches_on_request {
-            self.watch_again_at = now + 0.5 + self.state.random.uniform();
-            self.wake_by(now, self.watch_again_at, host);
+            self.next_watch_at = now + 0.5 + self.state.random.uniform();
+            self.wake_by(now, self.next_watch_at, host);
         }
     }
 
     /// A request arrived, with an index that no other unreleased request has.
     pub fn request_arrived(&mut self, now: f64, id: usize, arrival: Arrival, host: &mut dyn Effects) {
         let state = &mut self.state;
-        state.load_requests.arrived(now);
+        state.load_requests.request_arrived(now);
         state.retry.budget.iter_mut().for_each(|r| r.request_arrived(now));
-        state.functions.arrived(now, &arrival);
+        state.functions.request_arrived(now, &arrival);
         let over_quota =
             !arrival.is_retry && state.admission.is_over_quota(now, arrival.client, &state.budgets);
         let request = Request {
@@ -135,11 +135,11 @@
         state.requests.insert(id, request);
         self.open.push(id);
         state.functions.sweep(now, host);
-        let margin = state.margin;
-        if arrival.timeout <= margin {
+        let response_margin = state.response_margin;
+        if arrival.timeout <= response_margin {
             return self.reject_or_fail(id, host);
         }
-        self.wake_by(now, now + (arrival.timeout - margin).min(margin), host);
+        self.wake_by(now, now + (arrival.timeout - response_margin).min(response_margin), host);
         self.advance(now, id, false, host);
     }
 
@@ -229,12 +229,18 @@
     }
 
     /// An attempt ended: it is recorded, and its request ends or is placed again.
-    pub fn attempt_ended(&mut self, now: f64, id: usize, answer: AttemptCompletion, host: &mut dyn Effects) {
-        let Some((function, attempt)) = self.state.attempt_ended(id, &answer) else { return };
-        self.state.record_on_worker(now, function, &attempt, &answer);
-        self.state.record_load(now, &answer);
-        self.state.record_on_function(now, function, &attempt, &answer);
-        if answer.is_final {
+    pub fn attempt_ended(
+        &mut self,
+        now: f64,
+        id: usize,
+        completion: AttemptCompletion,
+        host: &mut dyn Effects,
+    ) {
+        let Some((function, attempt)) = self.state.attempt_ended(id, &completion) else { return };
+        self.state.record_on_worker(now, function, &attempt, &completion);
+        self.state.record_load(now, &completion);
+        self.state.record_on_function(now, function, &attempt, &completion);
+        if completion.is_final {
             self.close_request(id, None, host);
         }
         self.release_if_done(id, host);
@@ -285,11 +291,11 @@
     fn reject_or_fail(&mut self, id: usize, host: &mut dyn Effects) {
         let Some(request) = self.state.requests.get(id).filter(|request| request.is_open) else { return };
         let profile = self.state.profiles[request.profile];
-        let harmless = matches!(
+        let is_repeatable = matches!(
             profile.idempotency,
             Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. }
         );
-        if harmless || request.attempts.iter().all(|s| s.never_ran) {
+        if is_repeatable || request.attempts.iter().all(|s| s.never_ran) {
             host.reject(id, self.state.admission.retry_after(request, profile.latency_objective));
         } else {
             host.fail(id);
@@ -327,14 +333,14 @@
         if let Some(f) = state.functions.get_mut(function) {
             let placement = f.placement(worker);
             placement.loading_until = 0.0;
-            state.load_requests.ended();
+            state.load_requests.load_request_ended();
             if instances > 0 {
                 placement.instances = instances.into();
                 placement.expires_at = now + state.keep_alive;
             }
         }
         match outcome {
-            Outcome::Unreachable => state.workers[worker].record_evidence(now, Evidence::UNREACHED),
+            Outcome::Unreachable => state.workers[worker].record_evidence(now, Evidence::UNREACHABLE),
             // It has no room, or drains: asked again at once it would reject as often as it can be asked.
             Outcome::Rejected => state.workers[worker].rejected_at.set(now, false),
             Outcome::Failed | Outcome::Succeeded => {
@@ -358,7 +364,7 @@
         worker_state.health_check_ended(outcome);
         worker_state.record_report(now, report, self.state.routers);
         if outcome == Outcome::Unreachable {
-            worker_state.record_evidence(now, Evidence::UNREACHED);
+            worker_state.record_evidence(now, Evidence::UNREACHABLE);
         }
         self.retry_queued(now, host);
     }
@@ -380,21 +386,23 @@
             return;
         }
         self.wake_at = f64::INFINITY;
-        if now >= self.watch_again_at {
-            self.watch_again_at = f64::INFINITY;
+        if now >= self.next_watch_at {
+            self.next_watch_at = f64::INFINITY;
             host.watch_endpoints();
         }
         for id in self.open.clone() {
             let request = self.state.requests.get(id);
-            if request.is_some_and(|request| request.is_open && now >= request.deadline - self.state.margin) {
+            if request.is_some_and(|request| {
+                request.is_open && now >= request.deadline - self.state.response_margin
+            }) {
                 self.reject_or_fail(id, host);
             }
         }
         self.retry_queued(now, host);
         if !self.open.is_empty() {
             self.wake_by(now, now + INTERVAL, host);
-        } else if self.watch_again_at.is_finite() {
-            self.wake_by(now, self.watch_again_at, host);
+        } else if self.next_watch_at.is_finite() {
+            self.wake_by(now, self.next_watch_at, host);
         }
     }
 }
--- a/crates/policy/src/router_state.rs
+++ b/crates/policy/src/router_state.rs
@@ -39,16 +39,16 @@
     /// Attempts in flight can be cancelled.
     pub(crate) can_cancel: bool,
     /// A worker without the function answers that it is missing, rather than load it unasked.
-    pub(crate) reports_missing: bool,
+    pub(crate) reports_missing_functions: bool,
     /// Changes of the endpoint list come only on request.
     pub(crate) watches_on_request: bool,
     /// Workers answer health checks.
     pub(crate) can_check_health: bool,
     /// A request that a worker served proves that it takes new work. Where draining workers serve on that is known by
     /// health checks alone, but without them nothing else is.
-    pub(crate) served_is_proof: bool,
+    pub(crate) served_requests_prove_acceptance: bool,
     /// Health checks tell what other routers send.
-    pub(crate) checks_load: bool,
+    pub(crate) refreshes_load_reports: bool,
     /// Seconds that an idle instance is kept at least.
     pub(crate) keep_alive: f64,
     /// Memory of each kind of worker, in MB.
@@ -57,7 +57,7 @@
     pub(crate) max_in_flight: f64,
     /// A request gets its final answer so many seconds before its client gives up: two ticks of the host's
     /// timer.
-    pub(crate) margin: f64,
+    pub(crate) response_margin: f64,
     /// When other routers' concurrency was last reported.
     pub(crate) remote_reported_at: f64,
     /// Mean seconds of answers of loaded instances, and of answers that waited for a load.
@@ -69,22 +69,23 @@
     /// The state at the start, from the configuration.
     pub(crate) fn new(config: PolicyConfig, now: f64) -> Self {
         /// The profile of a request that states none: not idempotent.
-        const UNSTATED: Profile = Profile { latency_objective: 1.0, idempotency: Idempotency::NonIdempotent };
+        const DEFAULT_PROFILE: Profile =
+            Profile { latency_objective: 1.0, idempotency: Idempotency::NonIdempotent };
         /// Seconds of rounding of clocks at a window's edge.
         const EDGE_TOLERANCE: f64 = 1e-5;
         let routers = config.routers.max(1) as f64;
-        let own_fraction = |all: Vec<f64>| all.into_iter().map(|figure| figure / routers).collect();
+        let own_share = |all: Vec<f64>| all.into_iter().map(|total| total / routers).collect();
         let sheds_over_quota = config.over_quota_weight < 1.0;
         let limit = |budget: Option<RequestBudget>| budget.map(|r| RateLimiter::new(r, EDGE_TOLERANCE));
         Self {
             random: Random::new(config.seed),
             routers,
             budgets: FleetBudgets::new(),
-            profiles: if config.profiles.is_empty() { vec![UNSTATED] } else { config.profiles },
+            profiles: if config.profiles.is_empty() { vec![DEFAULT_PROFILE] } else { config.profiles },
             admission: Admission::new(
                 now,
-                own_fraction(config.quotas),
-                own_fraction(config.rate_limits),
+                own_share(config.quotas),
+                own_share(config.rate_limits),
                 sheds_over_quota,
                 config.max_retry_after,
             ),
@@ -111,16 +112,18 @@
             functions: Functions::default(),
             requests: Requests::default(),
             can_cancel: config.can_cancel,
-            reports_missing: config.reports_missing_functions,
+            reports_missing_functions: config.reports_missing_functions,
             watches_on_request: config.watches_on_request,
             // One router alone knows what it sends, without health checks.
-            checks_load: config.can_check_health && config.health_checks_report_load && config.routers > 1,
+            refreshes_load_reports: config.can_check_health
+                && config.health_checks_report_load
+                && config.routers > 1,
             can_check_health: config.can_check_health,
-            served_is_proof: config.draining_workers_reject || !config.can_check_health,
+            served_requests_prove_acceptance: config.draining_workers_reject || !config.can_check_health,
             keep_alive: config.keep_alive,
             worker_memory: config.memory,
             max_in_flight: config.max_in_flight / routers,
-            margin: 2.0 * config.clock_resolution.max(0.001),
+            response_margin: 2.0 * config.clock_resolution.max(0.001),
             remote_reported_at: f64::NEG_INFINITY,
             latency: 0.3,
             load_latency: 1.0,
@@ -133,7 +136,7 @@
     }
 
     /// Checks the health of a worker that may get no new work before it has proved that it takes some.
-    pub(crate) fn ask_for_proof(&mut self, now: f64, worker: usize, host: &mut dyn Effects) {
+    pub(crate) fn check_acceptance(&mut self, now: f64, worker: usize, host: &mut dyn Effects) {
         if self.can_check_health {
             self.workers[worker].check_health(now, worker, host);
         }
@@ -145,11 +148,12 @@
             return;
         }
         if !self.staleness.allows(now, &self.workers[request.worker]) {
-            return self.ask_for_proof(now, request.worker, host);
+            return self.check_acceptance(now, request.worker, host);
         }
         if request.preload {
-            let most = self.load_requests.max_preloads(self.ring.workers(), self.budgets.quota_fraction(now));
-            if !self.load_requests.may_preload(now, request, &self.workers, &self.functions, most) {
+            let max_pending =
+                self.load_requests.max_preloads(self.ring.workers(), self.budgets.quota_fraction(now));
+            if !self.load_requests.may_preload(now, request, &self.workers, &self.functions, max_pending) {
                 return;
             }
         }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -10,11 +10,11 @@
 use crate::list_staleness::ListStaleness;
 use crate::random::Random;
 use crate::throughput::Throughput;
-use crate::worker_state::{SlowStartTurn, WorkerTable};
+use crate::worker_state::{SlowStartSlot, WorkerTable};
 
 /// Turns of the window, each with its part of the budget; an attempt begins at most one turn after its
 /// decision.
-const TURNS: f64 = 4.0;
+const SLOTS_PER_WINDOW: f64 = 4.0;
 
 /// The configuration of slow start.
 pub(crate) struct SlowStart {
@@ -29,19 +29,19 @@
 
 impl SlowStart {
     /// Whether a worker that started then has its full capacity.
-    pub(crate) fn is_warm(&self, now: f64, started: f64) -> bool {
-        now - started >= self.warm_up
+    pub(crate) fn is_warm(&self, now: f64, started_at: f64) -> bool {
+        now - started_at >= self.warm_up
     }
 
     /// Whether a worker that started then may still fail from overload in slow start: until a window after it is
     /// warm.
-    pub(crate) fn is_cold(&self, now: f64, started: f64) -> bool {
-        now - started < self.warm_up + self.overload_window
+    pub(crate) fn is_cold(&self, now: f64, started_at: f64) -> bool {
+        now - started_at < self.warm_up + self.overload_window
     }
 
     /// Seconds of a turn.
-    pub(crate) fn turn_seconds(&self) -> f64 {
-        self.overload_window / TURNS
+    pub(crate) fn slot_seconds(&self) -> f64 {
+        self.overload_window / SLOTS_PER_WINDOW
     }
 
     /// The throughput of warm workers, in requests a second for a unit of size.
@@ -52,7 +52,7 @@
         staleness: &ListStaleness,
         throughput: &mut Throughput,
     ) -> f64 {
-        throughput.rate(now, workers, |worker| self.is_warm(now, staleness.started(now, worker)))
+        throughput.rate(now, workers, |worker| self.is_warm(now, staleness.started_at(now, worker)))
     }
 
     /// Whether a worker can take one more attempt of this router. In each turn of the window the router sends
@@ -69,21 +69,23 @@
     ) -> bool {
         /// Part of the limit that is used: work differs from its mean, and measurements lag.
         const BUDGET_SHARE: f64 = 0.6;
-        let started = staleness.started(now, &workers[worker]);
-        if !self.is_cold(now, started) {
+        let started_at = staleness.started_at(now, &workers[worker]);
+        if !self.is_cold(now, started_at) {
             return true;
         }
-        let SlowStartTurn { began_at, attempts_left } = workers[worker].turn;
-        if now - began_at < self.turn_seconds() {
+        let SlowStartSlot { began_at, attempts_left } = workers[worker].slow_start_slot;
+        if now - began_at < self.slot_seconds() {
             return attempts_left >= 1.0;
         }
-        let full = self.rate(now, workers, staleness, throughput) * workers[worker].size;
-        let age = now - started;
-        let grown = if self.warm_up > 0.0 { (age / self.warm_up).clamp(0.0, 1.0) } else { 1.0 };
-        let capacity = full * (self.initial_capacity + (1.0 - self.initial_capacity) * grown);
-        let part = BUDGET_SHARE * self.overload_multiple * capacity * self.overload_window / TURNS;
-        let attempts_left = (part + random.uniform()).floor();
-        workers[worker].turn = SlowStartTurn { began_at: now, attempts_left };
+        let full_capacity = self.rate(now, workers, staleness, throughput) * workers[worker].size;
+        let age = now - started_at;
+        let warm_up_progress = if self.warm_up > 0.0 { (age / self.warm_up).clamp(0.0, 1.0) } else { 1.0 };
+        let capacity =
+            full_capacity * (self.initial_capacity + (1.0 - self.initial_capacity) * warm_up_progress);
+        let slot_budget =
+            BUDGET_SHARE * self.overload_multiple * capacity * self.overload_window / SLOTS_PER_WINDOW;
+        let attempts_left = (slot_budget + random.uniform()).floor();
+        workers[worker].slow_start_slot = SlowStartSlot { began_at: now, attempts_left };
         attempts_left >= 1.0
     }
 }
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -1,7 +1,7 @@
 //! The throughput of warm workers for their size, as far as this router measures it: a lower bound of their
 //! capacity.
 
-use crate::decay::{DecayingSum, RATE_HALF};
+use crate::decay::{DecayingSum, RATE_HALF_LIFE};
 use crate::worker_state::{Worker, WorkerTable};
 
 /// Half life in seconds of the peak rate: a quiet time or a slow one does not lower the bounds that follow
@@ -15,15 +15,15 @@
     answers: DecayingSum,
     size_time: DecayingSum,
     /// When the rate was last calculated, the rate, and its decaying peak.
-    counted_at: f64,
+    calculated_at: f64,
     rate: f64,
     peak: DecayingSum,
 }
 
 impl Throughput {
     /// A worker answered a request.
-    pub(crate) fn handled(&mut self, now: f64, warm: bool) {
-        self.answers.add(now, RATE_HALF, f64::from(u8::from(warm)));
+    pub(crate) fn record_answer(&mut self, now: f64, warm: bool) {
+        self.answers.add(now, RATE_HALF_LIFE, f64::from(u8::from(warm)));
     }
 
     /// Requests a second for each unit of a worker's size, calculated anew ten times a second.
@@ -32,28 +32,28 @@
         const MIN_AGE: f64 = 0.5;
         /// Seconds between two calculations.
         const INTERVAL: f64 = 0.1;
-        if now - self.counted_at < INTERVAL {
+        if now - self.calculated_at < INTERVAL {
             return self.rate;
         }
         let size: f64 = workers.iter().filter(|w| w.is_ready() && is_warm(w)).map(|w| w.size).sum();
         // Over the size of the workers that gave the answers: where half of them are replaced, the rest have
         // no more capacity.
-        let since = if self.counted_at == 0.0 { MIN_AGE } else { now - self.counted_at };
-        self.size_time.add(now, RATE_HALF, size * since);
+        let since = if self.calculated_at == 0.0 { MIN_AGE } else { now - self.calculated_at };
+        self.size_time.add(now, RATE_HALF_LIFE, size * since);
         let rate = if self.size_time.sum > 0.0 {
-            self.answers.now(now, RATE_HALF) / self.size_time.sum
+            self.answers.value(now, RATE_HALF_LIFE) / self.size_time.sum
         } else {
             0.0
         };
         if rate > self.peak(now) {
             self.peak = DecayingSum { sum: rate, at: now };
         }
-        (self.counted_at, self.rate) = (now, rate);
+        (self.calculated_at, self.rate) = (now, rate);
         rate
     }
 
     /// The decaying peak of the rate.
     pub(crate) fn peak(&self, now: f64) -> f64 {
-        self.peak.now(now, PEAK_HALF_LIFE)
+        self.peak.value(now, PEAK_HALF_LIFE)
     }
 }
--- a/crates/policy/src/worker_set.rs
+++ b/crates/policy/src/worker_set.rs
@@ -7,9 +7,9 @@
 /// estimate.
 pub(crate) fn remote_weight(now: f64, reported_at: f64) -> f64 {
     /// Seconds for which a report has its full weight, and the half life of that afterwards.
-    const FRESH: f64 = 2.0;
+    const FULL_WEIGHT_FOR: f64 = 2.0;
     const HALF_LIFE: f64 = 2.0;
-    (-(now - reported_at - FRESH).max(0.0) / HALF_LIFE).exp2()
+    (-(now - reported_at - FULL_WEIGHT_FOR).max(0.0) / HALF_LIFE).exp2()
 }
 
 impl Function {
@@ -18,12 +18,12 @@
     pub(crate) fn concurrency(&self, now: f64, routers: f64, latency: f64, remote_weight: f64) -> f64 {
         /// Standard deviations of a count that are taken off it: of many routers' counts some are always past
         /// the first.
-        const DEVIATIONS: f64 = 1.25;
+        const DEDUCTED_DEVIATIONS: f64 = 1.25;
         // One arrival at one of many routers would else read as hundreds a second and grow the set over all
         // workers.
-        let rate = self.arrivals.larger(|count, half_life| {
-            let n = count.now(now, half_life).max(DEVIATIONS * DEVIATIONS);
-            count.rate(now, half_life, now - self.since) * (1.0 - DEVIATIONS / n.sqrt())
+        let rate = self.arrivals.max_rate(|count, half_life| {
+            let n = count.value(now, half_life).max(DEDUCTED_DEVIATIONS * DEDUCTED_DEVIATIONS);
+            count.rate(now, half_life, now - self.first_arrival_at) * (1.0 - DEDUCTED_DEVIATIONS / n.sqrt())
         });
         let estimate = rate * routers * latency * self.relative_latency;
         if remote_weight == 0.0 {
@@ -40,8 +40,8 @@
     /// paper's minimum interval.
     pub(crate) fn resize_set(&mut self, now: f64, needed: usize) {
         /// Seconds between reductions.
-        const LEAST_INTERVAL: f64 = 30.0;
-        if needed >= self.set_size || now - self.shrinkable_since >= LEAST_INTERVAL {
+        const MIN_SHRINK_INTERVAL: f64 = 30.0;
+        if needed >= self.set_size || now - self.shrinkable_since >= MIN_SHRINK_INTERVAL {
             self.set_size = needed.max(1);
             self.shrinkable_since = now;
         }
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -28,12 +28,12 @@
 
 /// A turn of the slow-start window of a worker: when it began, and the attempts that may still be sent in it.
 #[derive(Clone, Copy)]
-pub(crate) struct SlowStartTurn {
+pub(crate) struct SlowStartSlot {
     pub(crate) began_at: f64,
     pub(crate) attempts_left: f64,
 }
 
-impl SlowStartTurn {
+impl SlowStartSlot {
     const NONE: Self = Self { began_at: f64::NEG_INFINITY, attempts_left: 0.0 };
 }
 
@@ -44,7 +44,7 @@
     pub(crate) name: u64,
     pub(crate) state: EndpointState,
     /// When its process started; minus infinity means long ago.
-    pub(crate) started: f64,
+    pub(crate) started_at: f64,
     pub(crate) size: f64,
     /// In MB; infinite where it is not known.
     pub(crate) memory: f64,
@@ -71,14 +71,14 @@
     /// Outlier score, 0 to 1.
     pub(crate) outlier_score: DecayingSum,
     /// The current turn of its slow-start window.
-    pub(crate) turn: SlowStartTurn,
+    pub(crate) slow_start_slot: SlowStartSlot,
 }
 
 impl Worker {
     const UNKNOWN: Self = Self {
         name: 0,
         state: EndpointState::Gone,
-        started: f64::NEG_INFINITY,
+        started_at: f64::NEG_INFINITY,
         size: 1.0,
         memory: f64::INFINITY,
         zone: 0,
@@ -94,7 +94,7 @@
         health_check_sent_at: f64::NEG_INFINITY,
         acceptance: Acceptance::UNKNOWN,
         outlier_score: DecayingSum { sum: 0.0, at: 0.0 },
-        turn: SlowStartTurn::NONE,
+        slow_start_slot: SlowStartSlot::NONE,
     };
 
     pub(crate) fn is_ready(&self) -> bool {
@@ -103,19 +103,19 @@
 
     /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
     /// before.
-    fn listed(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
-        let started = endpoint.started_at.unwrap_or(f64::NEG_INFINITY);
+    fn update(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
+        let started_at = endpoint.started_at.unwrap_or(f64::NEG_INFINITY);
         // The index was another worker's: nothing of that one holds for this.
-        let other = self.name != endpoint.name;
-        let anew = other || started > self.started;
-        if anew {
+        let is_other_worker = self.name != endpoint.name;
+        let is_new_process = is_other_worker || started_at > self.started_at;
+        if is_new_process {
             // A new process: without instances, in slow start, and not responsible for the faults of the old
             // one.
-            self.started = started;
+            self.started_at = started_at;
             self.outlier_score = DecayingSum::default();
             self.other_routers_load = None;
             self.acceptance = Acceptance::UNKNOWN;
-            self.turn = SlowStartTurn::NONE;
+            self.slow_start_slot = SlowStartSlot::NONE;
         }
         self.name = endpoint.name;
         self.state = endpoint.state;
@@ -123,7 +123,7 @@
         self.memory = memory;
         self.zone = endpoint.zone;
         self.cell = endpoint.cell;
-        anew
+        is_new_process
     }
 }
 
@@ -136,15 +136,15 @@
 impl WorkerTable {
     /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
     /// before.
-    pub(crate) fn listed(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
+    pub(crate) fn update(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
         if endpoint.worker >= self.workers.len() {
             self.workers.resize(endpoint.worker + 1, Worker::UNKNOWN);
         }
-        self.workers[endpoint.worker].listed(endpoint, memory)
+        self.workers[endpoint.worker].update(endpoint, memory)
     }
 
     /// A complete list begins: endpoints that are not in it are gone.
-    pub(crate) fn renewed(&mut self) {
+    pub(crate) fn begin_full_list(&mut self) {
         self.workers.iter_mut().for_each(|w| w.state = EndpointState::Gone);
     }
 
