--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -22,9 +22,9 @@
     ids.into_iter().filter(|id| router.has_called(&HostCall::Reject { id: *id })).count()
 }
 
-fn limited_to(ceiling: f64, routers: usize) -> TestRouter {
+fn router_with_rate_limit(rate_limit: f64, routers: usize) -> TestRouter {
     let settings = PolicyConfig {
-        rate_limits: vec![ceiling],
+        rate_limits: vec![rate_limit],
         max_retry_after: Some(5.0),
         routers,
         ..config(idempotent())
@@ -37,8 +37,8 @@
 #[test_case(40.0, 1, 0; "more than asked for")]
 #[test_case(10.0, 1, 95; "half of it")]
 #[test_case(40.0, 4, 95; "one of four routers")]
-fn a_client_group_is_limited_to_its_rate(ceiling: f64, routers: usize, expected: usize) {
-    let mut router = limited_to(ceiling, routers);
+fn a_client_group_is_limited_to_its_rate(rate_limit: f64, routers: usize, expected: usize) {
+    let mut router = router_with_rate_limit(rate_limit, routers);
     let rejected = rejected(&mut router, 10.0);
     assert!(rejected.abs_diff(expected) <= 8, "{rejected}");
     assert_eq!(router.host.exhausted.contains(&Budget::RateLimit(0)), rejected > 0);
@@ -53,7 +53,7 @@
 /// A lease counts until its time, and not a moment longer.
 #[test]
 fn a_lease_expires_by_itself() {
-    let mut router = limited_to(10.0, 1);
+    let mut router = router_with_rate_limit(10.0, 1);
     let end = router.host.now + 5.0;
     router.router.set_lease(Budget::RateLimit(0), [10.0, -8.0], end);
     assert!(rejected(&mut router, 5.0) <= 10);
@@ -64,7 +64,7 @@
 /// A burst after a quiet time has half a second of the rate limit, however long that time was.
 #[test]
 fn an_idle_client_group_accumulates_at_most_half_a_second_of_its_rate() {
-    let mut router = limited_to(20.0, 1);
+    let mut router = router_with_rate_limit(20.0, 1);
     router.advance(60.0);
     let ids: Vec<_> = (0..40).map(|n| router.arrive(n, 4.0)).collect();
     assert_eq!(ids.iter().filter(|id| !router.attempts(**id).is_empty()).count(), 10);
@@ -73,7 +73,7 @@
 /// A process was stopped between deciding an attempt and sending it: by then the rate limit has to admit it anew.
 #[test]
 fn an_attempt_admitted_too_long_ago_is_not_sent() {
-    let mut router = limited_to(20.0, 1);
+    let mut router = router_with_rate_limit(20.0, 1);
     let id = router.arrive(0, 4.0);
     let worker = router.attempts(id)[0];
     assert_eq!(router.router.may_send(router.host.now + 0.3, id, worker), Ok(()));
@@ -108,11 +108,11 @@
         PolicyConfig { max_in_flight: 8.0, routers: 4, can_request_loads: false, ..config(idempotent()) };
     let mut router = TestRouter::new(settings, 1);
     router.serve(0, 0.1);
-    let out = |router: &TestRouter, ids: &[usize]| {
+    let sent_count = |router: &TestRouter, ids: &[usize]| {
         ids.iter().filter(|id| !router.attempts(**id).is_empty()).count()
     };
     let ids: Vec<_> = (0..6).map(|_| router.arrive(0, 4.0)).collect();
-    assert_eq!(out(&router, &ids), 2);
+    assert_eq!(sent_count(&router, &ids), 2);
     assert!(router.host.exhausted.contains(&Budget::InFlight(0)));
     assert_eq!(router.router.in_use(router.host.now, Budget::InFlight(0)), 2.0);
     router.router.set_lease(Budget::InFlight(0), [-1.0, -1.0], f64::INFINITY);
@@ -124,8 +124,8 @@
 
 /// Budgets that are never exhausted change nothing.
 #[test]
-fn an_ample_budget_decides_as_none_at_all() {
-    let played = |settings: PolicyConfig| {
+fn a_budget_that_is_never_exhausted_changes_no_decision() {
+    let calls_with = |settings: PolicyConfig| {
         let mut router = TestRouter::new(settings, 6);
         for round in 0..200 {
             let ids: Vec<_> = (0..3).map(|n| router.arrive((round + n) % 5, 4.0)).collect();
@@ -146,10 +146,10 @@
         max_in_flight: 1e9,
         ..config(idempotent())
     };
-    assert_eq!(played(config(idempotent())), played(ample));
+    assert_eq!(calls_with(config(idempotent())), calls_with(ample));
 }
 
-fn members(router: &mut TestRouter, rate: usize, busy: Option<f64>) -> usize {
+fn workers_used(router: &mut TestRouter, rate: usize, remote_concurrency: Option<f64>) -> usize {
     for _ in 0..100 {
         let ids: Vec<_> = (0..rate).map(|_| router.arrive(0, 4.0)).collect();
         router.advance(0.1);
@@ -167,12 +167,14 @@
                 &mut router.host,
             );
         }
-        if let Some(busy) = busy {
-            router.router.set_remote_concurrency(router.host.now, &BTreeMap::from([(1000, busy)]));
+        if let Some(remote_concurrency) = remote_concurrency {
+            router
+                .router
+                .set_remote_concurrency(router.host.now, &BTreeMap::from([(1000, remote_concurrency)]));
         }
     }
     let last = router.host.now - 3.0;
-    let used = router.host.calls.iter().filter_map(|(at, calls)| match calls {
+    let used = router.host.calls.iter().filter_map(|(at, call)| match call {
         HostCall::Send { worker, .. } if *at > last => Some(*worker),
         _ => None,
     });
@@ -184,19 +186,22 @@
 fn a_worker_set_is_sized_by_the_concurrency_of_all_routers() {
     let routers = PolicyConfig { routers: 12, ..config(idempotent()) };
     // A router without reports takes one request at a time for twelve.
-    let guessed = members(&mut TestRouter::new(routers.clone(), 12), 1, None);
-    let reported = members(&mut TestRouter::new(routers.clone(), 12), 1, Some(0.5));
-    let busy = members(&mut TestRouter::new(routers, 12), 1, Some(11.0));
-    assert!(reported <= 2 && reported < guessed && busy >= 4, "{reported} {guessed} {busy}");
+    let guessed = workers_used(&mut TestRouter::new(routers.clone(), 12), 1, None);
+    let reported = workers_used(&mut TestRouter::new(routers.clone(), 12), 1, Some(0.5));
+    let with_remote_load = workers_used(&mut TestRouter::new(routers, 12), 1, Some(11.0));
+    assert!(
+        reported <= 2 && reported < guessed && with_remote_load >= 4,
+        "{reported} {guessed} {with_remote_load}"
+    );
 }
 
 /// Reports of other routers decay: after some seconds the router's own estimate counts again.
 #[test]
 fn the_concurrency_that_other_routers_reported_decays() {
     let mut router = TestRouter::new(PolicyConfig { routers: 12, ..config(idempotent()) }, 12);
-    let reported = members(&mut router, 1, Some(0.5));
+    let reported = workers_used(&mut router, 1, Some(0.5));
     router.advance(30.0);
     router.list((0..12).map(|w| endpoint(w, EndpointState::Ready, None)).collect());
-    let guessed = members(&mut router, 1, None);
+    let guessed = workers_used(&mut router, 1, None);
     assert!(guessed > reported, "{guessed} {reported}");
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -10,7 +10,7 @@
     Cancel { id: usize, attempt: usize },
     Reject { id: usize },
     Fail { id: usize },
-    RequestLoad { worker: usize, function: usize, copies: u8 },
+    RequestLoad { worker: usize, function: usize, instances: u8 },
     WatchEndpoints,
     CheckHealth { worker: usize },
 }
@@ -20,8 +20,8 @@
     pub now: f64,
     pub calls: Vec<(f64, HostCall)>,
     pub wakes: Vec<f64>,
-    pub forgotten: Vec<usize>,
-    pub forgotten_functions: Vec<usize>,
+    pub released_requests: Vec<usize>,
+    pub released_functions: Vec<usize>,
     pub exhausted: Vec<Budget>,
     pub retry_after: Vec<Option<f64>>,
 }
@@ -33,8 +33,8 @@
     fn cancel_attempt(&mut self, id: usize, attempt: usize) {
         self.calls.push((self.now, HostCall::Cancel { id, attempt }));
     }
-    fn budget_exhausted(&mut self, what: Budget) {
-        self.exhausted.push(what);
+    fn budget_exhausted(&mut self, budget: Budget) {
+        self.exhausted.push(budget);
     }
     fn reject(&mut self, id: usize, retry_after: Option<f64>) {
         self.retry_after.push(retry_after);
@@ -43,8 +43,8 @@
     fn fail(&mut self, id: usize) {
         self.calls.push((self.now, HostCall::Fail { id }));
     }
-    fn request_load(&mut self, worker: usize, function: usize, copies: u8) {
-        self.calls.push((self.now, HostCall::RequestLoad { worker, function, copies }));
+    fn request_load(&mut self, worker: usize, function: usize, instances: u8) {
+        self.calls.push((self.now, HostCall::RequestLoad { worker, function, instances }));
     }
     fn unload(&mut self, _worker: usize, _function: usize) {}
     fn check_health(&mut self, worker: usize) {
@@ -57,10 +57,10 @@
         self.calls.push((self.now, HostCall::WatchEndpoints));
     }
     fn release_request(&mut self, id: usize) {
-        self.forgotten.push(id);
+        self.released_requests.push(id);
     }
     fn release_function(&mut self, function: usize) {
-        self.forgotten_functions.push(function);
+        self.released_functions.push(function);
     }
 }
 
@@ -68,7 +68,7 @@
 pub struct TestRouter {
     pub host: RecordingHost,
     pub router: Router,
-    next: usize,
+    next_request: usize,
 }
 
 pub fn idempotent() -> Profile {
@@ -114,13 +114,13 @@
     pub fn new(config: PolicyConfig, workers: usize) -> Self {
         let mut host = RecordingHost::default();
         let router = Router::new(config, 0.0, &mut host);
-        let mut router = Self { host, router, next: 0 };
+        let mut router = Self { host, router, next_request: 0 };
         router.list((0..workers).map(|w| endpoint(w, EndpointState::Ready, None)).collect());
         router
     }
 
-    pub fn list(&mut self, lines: Vec<EndpointUpdate>) {
-        lines.into_iter().for_each(|l| self.router.update_endpoint(l));
+    pub fn list(&mut self, endpoints: Vec<EndpointUpdate>) {
+        endpoints.into_iter().for_each(|l| self.router.update_endpoint(l));
         self.router.end_list(self.host.now, &mut self.host);
     }
 
@@ -137,8 +137,8 @@
 
     /// A request of the function arrives; returns its index.
     pub fn arrive(&mut self, function: usize, patience: f64) -> usize {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_request;
+        self.next_request += 1;
         let arrival = Arrival {
             function,
             name: 1000 + function as u64,
@@ -155,11 +155,11 @@
     }
 
     pub fn answer(&mut self, id: usize, attempt: usize, outcome: Outcome, latency: f64) {
-        let settled = outcome == Outcome::Succeeded;
+        let succeeded = outcome == Outcome::Succeeded;
         let answer = AttemptCompletion {
             attempt,
             outcome,
-            is_final: settled,
+            is_final: succeeded,
             latency,
             instance_state: None,
             in_flight_of_function: 0.0,
@@ -170,7 +170,7 @@
 
     /// The workers of a request's attempts, in order.
     pub fn attempts(&self, id: usize) -> Vec<usize> {
-        let sends = self.host.calls.iter().filter_map(|(_, d)| match d {
+        let sends = self.host.calls.iter().filter_map(|(_, call)| match call {
             HostCall::Send { id: other, worker } if *other == id => Some(*worker),
             _ => None,
         });
@@ -187,15 +187,15 @@
     }
 
     pub fn load_requests(&self) -> Vec<(f64, usize)> {
-        let load_requests = self.host.calls.iter().filter_map(|(t, d)| match d {
-            HostCall::RequestLoad { worker, copies: 1.., .. } => Some((*t, *worker)),
+        let load_requests = self.host.calls.iter().filter_map(|(at, call)| match call {
+            HostCall::RequestLoad { worker, instances: 1.., .. } => Some((*at, *worker)),
             _ => None,
         });
         load_requests.collect()
     }
 
-    pub fn has_called(&self, what: &HostCall) -> bool {
-        self.host.calls.iter().any(|(_, d)| d == what)
+    pub fn has_called(&self, expected: &HostCall) -> bool {
+        self.host.calls.iter().any(|(_, call)| call == expected)
     }
 }
 
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -98,9 +98,9 @@
     (0..30).for_each(|_| _ = router.serve(0, 0.1));
     // Its requests end unanswered, after a time that is more than a slow request.
     router.advance(0.1);
-    let held: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
+    let unanswered: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
     router.advance(1.5);
-    held.iter().for_each(|&id| router.answer(id, 0, Outcome::Cancelled, 1.5));
+    unanswered.iter().for_each(|&id| router.answer(id, 0, Outcome::Cancelled, 1.5));
     let next: Vec<_> = (0..10).map(|_| router.arrive(0, 4.0)).collect();
     assert!(next.iter().filter(|&&id| router.attempts(id).contains(&home)).count() <= 1);
 }
@@ -114,10 +114,10 @@
         let id = router.arrive(0, 4.0);
         for attempt in 0..4 {
             let Some(&worker) = router.attempts(id).get(attempt) else { break };
-            let bad = worker == home;
-            sent_to_failing += usize::from(bad);
+            let fails = worker == home;
+            sent_to_failing += usize::from(fails);
             router.advance(0.01);
-            router.answer(id, attempt, if bad { Outcome::Failed } else { Outcome::Succeeded }, 0.01);
+            router.answer(id, attempt, if fails { Outcome::Failed } else { Outcome::Succeeded }, 0.01);
         }
     }
     assert!(sent_to_failing <= 10, "{sent_to_failing} of 40");
@@ -145,7 +145,7 @@
     let id = router.arrive(0, 4.0);
     let home = router.attempts(id)[0];
     router.answer(id, 0, Outcome::NotLoaded, 0.0);
-    assert!(router.has_called(&HostCall::RequestLoad { worker: home, function: 0, copies: 1 }));
+    assert!(router.has_called(&HostCall::RequestLoad { worker: home, function: 0, instances: 1 }));
     assert_eq!(router.attempts(id), [home]);
     router.advance(0.5);
     router.router.load_request_ended(router.host.now, home, 0, Outcome::Succeeded, 1, &mut router.host);
@@ -170,7 +170,7 @@
     let mut router = TestRouter::new(PolicyConfig { watches_on_request: true, ..config(idempotent()) }, 2);
     router.router.watch_failed(router.host.now, &mut router.host);
     router.advance(3.0);
-    assert_eq!(router.host.calls.iter().filter(|(_, d)| *d == HostCall::WatchEndpoints).count(), 2);
+    assert_eq!(router.host.calls.iter().filter(|(_, call)| *call == HostCall::WatchEndpoints).count(), 2);
 }
 
 #[test]
@@ -191,18 +191,18 @@
     router.answer(id + 7, 3, Outcome::ConnectionLost, f64::NAN);
     router.router.close_request(id + 9, None, &mut router.host);
     router.router.load_request_ended(router.host.now, 1, 99, Outcome::TimedOut, 0, &mut router.host);
-    assert_eq!(router.host.forgotten, [id]);
+    assert_eq!(router.host.released_requests, [id]);
 }
 
 #[test_case(true; "answered")]
 #[test_case(false; "not answered")]
-fn one_of_many_routers_probes_a_worker_before_it_joins_an_unknown_queue(answers: bool) {
+fn one_of_many_routers_checks_a_worker_before_it_joins_an_unknown_queue(answers: bool) {
     let mut router =
         TestRouter::new(PolicyConfig { routers: 100, can_check_health: true, ..config(idempotent()) }, 4);
     let id = router.arrive(0, 4.0);
     assert!(router.attempts(id).is_empty());
     let Some((_, HostCall::CheckHealth { worker })) = router.host.calls.last().cloned() else {
-        panic!("no probe")
+        panic!("no health check")
     };
     if answers {
         let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
@@ -215,20 +215,21 @@
 
 #[test_case(0.99, false; "busy cores")]
 #[test_case(0.3, true; "cores to spare")]
-fn a_worker_that_reports_overload_gets_nothing_from_one_of_many_routers(busy: f64, gets: bool) {
+fn a_worker_that_reports_overload_gets_nothing_from_one_of_many_routers(utilization: f64, is_used: bool) {
     let mut router = TestRouter::new(PolicyConfig { routers: 100, ..config(idempotent()) }, 4);
     let home = router.serve(0, 0.1);
-    let report = Some(LoadReport { in_flight: Some(50.0), utilization: Some(busy), ..LoadReport::default() });
+    let report =
+        Some(LoadReport { in_flight: Some(50.0), utilization: Some(utilization), ..LoadReport::default() });
     router.router.health_check_ended(0.1, home, Outcome::Succeeded, report, &mut router.host);
     let id = router.arrive(0, 4.0);
-    assert_eq!(router.attempts(id).contains(&home), gets);
+    assert_eq!(router.attempts(id).contains(&home), is_used);
 }
 
 /// Two requests are queued at a worker, and a request takes less than the time that may pass there. A worker of one core
 /// is overloaded; one of five runs them at once. It was taken for overloaded, too, while its throughput was not known.
 #[test_case(1.0, false; "a small worker")]
 #[test_case(5.0, true; "a large one")]
-fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, gets: bool) {
+fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, is_used: bool) {
     for seed in 0..20 {
         let mut router = TestRouter::new(PolicyConfig { seed, routers: 100, ..config(idempotent()) }, 4);
         router.list(
@@ -239,7 +240,7 @@
             router.router.health_check_ended(0.0, w, Outcome::Succeeded, report, &mut router.host);
         }
         let id = router.arrive(0, 4.0);
-        assert_eq!(!router.attempts(id).is_empty(), gets, "seed {seed}");
+        assert_eq!(!router.attempts(id).is_empty(), is_used, "seed {seed}");
     }
 }
 
@@ -264,25 +265,25 @@
     // The store was overloaded by loads that every router started again at once.
     let mut router =
         TestRouter::new(PolicyConfig { reports_missing_functions: true, ..config(idempotent()) }, 4);
-    let miss = |router: &mut TestRouter, function| {
+    let report_missing = |router: &mut TestRouter, function| {
         let id = router.arrive(function, 4.0);
         router.answer(id, 0, Outcome::NotLoaded, 0.0);
         (router.attempts(id)[0], router.load_requests().len())
     };
-    let (home, orders) = miss(&mut router, 0);
+    let (home, load_requests_before) = report_missing(&mut router, 0);
     router.router.load_request_ended(router.host.now, home, 0, Outcome::Failed, 0, &mut router.host);
-    assert_eq!(miss(&mut router, 1).1, orders, "at once");
+    assert_eq!(report_missing(&mut router, 1).1, load_requests_before, "at once");
     router.advance(1.0);
-    assert!(router.load_requests().len() > orders, "later");
+    assert!(router.load_requests().len() > load_requests_before, "later");
 }
 
 #[test_case(0.5, true; "little time")]
 #[test_case(4.0, false; "time enough")]
-fn a_load_is_requested_where_its_client_may_not_wait_for_it(patience: f64, ordered: bool) {
+fn a_load_is_requested_where_its_client_may_not_wait_for_it(client_timeout: f64, requested: bool) {
     let mut router = TestRouter::new(config(idempotent()), 4);
-    let id = router.arrive(0, patience);
+    let id = router.arrive(0, client_timeout);
     let worker = router.attempts(id)[0];
-    assert_eq!(router.has_called(&HostCall::RequestLoad { worker, function: 0, copies: 1 }), ordered);
+    assert_eq!(router.has_called(&HostCall::RequestLoad { worker, function: 0, instances: 1 }), requested);
 }
 
 /// Functions that are called once would accumulate for as long as a router runs.
@@ -293,10 +294,10 @@
         router.serve(0, 0.05);
         router.serve(1 + one_off, 0.05);
     }
-    let forgotten = &router.host.forgotten_functions;
+    let released = &router.host.released_functions;
     // Those of the last 15 s or so, and of the time that a sweep takes, are still known.
-    assert!((150..400).contains(&forgotten.len()), "{} forgotten", forgotten.len());
-    assert!(!forgotten.contains(&0));
+    assert!((150..400).contains(&released.len()), "{} forgotten", released.len());
+    assert!(!released.contains(&0));
     // A function that was released is served as a new one.
     router.serve(1, 0.05);
 }
@@ -308,32 +309,32 @@
         PolicyConfig { reports_missing_functions: true, load_request_timeout: 60.0, ..config(idempotent()) },
         2,
     );
-    let forgotten_after = |router: &mut TestRouter, seconds: usize| {
+    let released_after = |router: &mut TestRouter, seconds: usize| {
         for _ in 0..seconds {
             router.arrive(3, 0.4);
             router.advance(1.0);
         }
-        router.host.forgotten_functions.contains(&2)
+        router.host.released_functions.contains(&2)
     };
     let id = router.arrive(2, 0.5);
     (0..4).for_each(|attempt| router.answer(id, attempt, Outcome::NotLoaded, 0.01));
     assert!(!router.load_requests().is_empty());
-    assert!(!forgotten_after(&mut router, 50));
-    assert!(forgotten_after(&mut router, 50));
+    assert!(!released_after(&mut router, 50));
+    assert!(released_after(&mut router, 50));
 }
 
 /// A client group that waited 0.25 s for an attempt retried at once after each rejection, four times what it had to ask,
 /// while the workers answered in half that time.
 #[test_case(4.0; "a patient client")]
 #[test_case(0.3; "an impatient one, that answers still reach")]
-fn a_worker_that_answers_within_its_client_s_time_gets_the_request(patience: f64) {
+fn a_worker_that_answers_within_the_client_timeout_gets_the_request(client_timeout: f64) {
     let mut router = TestRouter::new(config(idempotent()), 1);
     for n in 0..120 {
         router.serve(n % 10, 0.05);
     }
     let before: Vec<_> = (0..4).map(|function| router.arrive(function, 4.0)).collect();
     assert!(before.iter().all(|&id| router.attempts(id).len() == 1));
-    let id = router.arrive(5, patience);
+    let id = router.arrive(5, client_timeout);
     assert_eq!(router.attempts(id).len(), 1);
 }
 
--- a/crates/policy/tests/random_events.rs
+++ b/crates/policy/tests/random_events.rs
@@ -30,7 +30,7 @@
 
 struct History {
     random: Rand32,
-    effect: Idempotency,
+    idempotency: Idempotency,
     router: TestRouter,
     ready: [bool; WORKERS],
     requests: Vec<Request>,
@@ -41,15 +41,15 @@
 }
 
 impl History {
-    fn new(seed: u64, effect: Idempotency) -> Self {
-        let misses = seed.is_multiple_of(2);
+    fn new(seed: u64, idempotency: Idempotency) -> Self {
+        let reports_missing = seed.is_multiple_of(2);
         let settings = PolicyConfig {
-            reports_missing_functions: misses,
-            ..config(Profile { idempotency: effect, ..idempotent() })
+            reports_missing_functions: reports_missing,
+            ..config(Profile { idempotency, ..idempotent() })
         };
         Self {
             random: Rand32::new(seed),
-            effect,
+            idempotency,
             router: TestRouter::new(settings, WORKERS),
             ready: [true; WORKERS],
             requests: Vec::new(),
@@ -73,9 +73,9 @@
     }
 
     fn request_arrives(&mut self) {
-        let patience = f64::from(self.random.rand_range(1..2000)) / 1000.0;
-        self.router.arrive(self.random.rand_range(0..9) as usize, patience);
-        let deadline = self.router.host.now + patience;
+        let client_timeout = f64::from(self.random.rand_range(1..2000)) / 1000.0;
+        self.router.arrive(self.random.rand_range(0..9) as usize, client_timeout);
+        let deadline = self.router.host.now + client_timeout;
         self.requests.push(Request { deadline, final_answers: 0, never_ran: Vec::new() });
     }
 
@@ -97,7 +97,7 @@
     }
 
     fn check_calls(&mut self) {
-        let not_idempotent = self.effect == Idempotency::NonIdempotent;
+        let not_idempotent = self.idempotency == Idempotency::NonIdempotent;
         for (at, call) in &self.router.host.calls[self.checked..] {
             match *call {
                 HostCall::Send { id, worker } => {
@@ -135,8 +135,8 @@
 #[test_case(2, Idempotency::NonIdempotent; "not idempotent")]
 #[test_case(3, Idempotency::IdempotentWithKey { scope: KeyScope::Cell, retention: 1.0 }; "with a key that is known in a cell")]
 #[test_case(4, Idempotency::IdempotentWithKey { scope: KeyScope::All, retention: 1.0 }; "with a key that is known everywhere")]
-fn any_order_of_events_keeps_the_rules(seed: u64, effect: Idempotency) {
-    let mut history = History::new(seed, effect);
+fn the_invariants_hold_for_any_order_of_events(seed: u64, idempotency: Idempotency) {
+    let mut history = History::new(seed, idempotency);
     (0..4000).for_each(|_| history.event());
     history.end();
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -8,34 +8,34 @@
 };
 use test_case::test_case;
 
-const EFFECTFUL: Idempotency = Idempotency::NonIdempotent;
+const NON_IDEMPOTENT: Idempotency = Idempotency::NonIdempotent;
 
-fn receipted(scope: KeyScope) -> Idempotency {
+fn idempotent_with_key(scope: KeyScope) -> Idempotency {
     Idempotency::IdempotentWithKey { scope, retention: 2.0 }
 }
 
-fn profile_with(effect: Idempotency) -> Profile {
-    Profile { idempotency: effect, ..idempotent() }
+fn profile_with(idempotency: Idempotency) -> Profile {
+    Profile { idempotency, ..idempotent() }
 }
 
 #[test_case(Idempotency::Idempotent, true; "idempotent is rejected")]
-#[test_case(receipted(KeyScope::All), true; "with a key that is known everywhere is rejected")]
-#[test_case(receipted(KeyScope::Zone), false; "with a key that is known in a zone fails")]
-#[test_case(EFFECTFUL, false; "not idempotent fails")]
-fn an_unanswered_attempt_gets_one_final_answer_in_time(effect: Idempotency, rejected: bool) {
-    let mut router = TestRouter::new(config(profile_with(effect)), 3);
+#[test_case(idempotent_with_key(KeyScope::All), true; "with a key that is known everywhere is rejected")]
+#[test_case(idempotent_with_key(KeyScope::Zone), false; "with a key that is known in a zone fails")]
+#[test_case(NON_IDEMPOTENT, false; "not idempotent fails")]
+fn an_unanswered_attempt_gets_one_final_answer_in_time(idempotency: Idempotency, rejected: bool) {
+    let mut router = TestRouter::new(config(profile_with(idempotency)), 3);
     let id = router.arrive(0, 2.0);
     router.advance(2.0);
-    let finals: Vec<_> = router
+    let final_answers: Vec<_> = router
         .host
         .calls
         .iter()
-        .filter(|(_, d)| matches!(d, HostCall::Reject { .. } | HostCall::Fail { .. }))
+        .filter(|(_, call)| matches!(call, HostCall::Reject { .. } | HostCall::Fail { .. }))
         .collect();
     let expected = if rejected { HostCall::Reject { id } } else { HostCall::Fail { id } };
-    assert_eq!(finals.len(), 1);
-    assert_eq!(finals[0].1, expected);
-    assert!(finals[0].0 < 2.0);
+    assert_eq!(final_answers.len(), 1);
+    assert_eq!(final_answers[0].1, expected);
+    assert!(final_answers[0].0 < 2.0);
 }
 
 #[test_case(0; "no worker at all")]
@@ -50,29 +50,29 @@
 }
 
 #[test_case(Idempotency::Idempotent, Outcome::Failed, true; "idempotent is retried after an error")]
-#[test_case(EFFECTFUL, Outcome::Failed, false; "not idempotent may have run")]
-#[test_case(EFFECTFUL, Outcome::ConnectionLost, false; "not idempotent, connection lost")]
-#[test_case(EFFECTFUL, Outcome::Rejected, true; "not idempotent, never ran")]
-#[test_case(EFFECTFUL, Outcome::Unreachable, true; "not idempotent, never arrived")]
-#[test_case(receipted(KeyScope::All), Outcome::Failed, true; "with a key that is known everywhere is retried")]
+#[test_case(NON_IDEMPOTENT, Outcome::Failed, false; "not idempotent may have run")]
+#[test_case(NON_IDEMPOTENT, Outcome::ConnectionLost, false; "not idempotent, connection lost")]
+#[test_case(NON_IDEMPOTENT, Outcome::Rejected, true; "not idempotent, never ran")]
+#[test_case(NON_IDEMPOTENT, Outcome::Unreachable, true; "not idempotent, never arrived")]
+#[test_case(idempotent_with_key(KeyScope::All), Outcome::Failed, true; "with a key that is known everywhere is retried")]
 fn a_failed_attempt_is_retried_only_where_that_is_harmless(
-    effect: Idempotency,
+    idempotency: Idempotency,
     outcome: Outcome,
-    again: bool,
+    is_retried: bool,
 ) {
-    let mut router = TestRouter::new(config(profile_with(effect)), 3);
+    let mut router = TestRouter::new(config(profile_with(idempotency)), 3);
     let id = router.arrive(0, 4.0);
     router.advance(0.1);
     router.answer(id, 0, outcome, 0.1);
-    assert_eq!(router.attempts(id).len(), if again { 2 } else { 1 });
-    assert_eq!(router.has_called(&HostCall::Fail { id }), !again, "what cannot go on ends at once");
+    assert_eq!(router.attempts(id).len(), if is_retried { 2 } else { 1 });
+    assert_eq!(router.has_called(&HostCall::Fail { id }), !is_retried, "what cannot go on ends at once");
 }
 
 #[test_case(KeyScope::Zone; "zone")]
 #[test_case(KeyScope::Cell; "cell")]
 fn a_retry_with_an_idempotency_key_stays_where_the_key_is_known(scope: KeyScope) {
     for function in 0..12 {
-        let mut router = TestRouter::new(config(profile_with(receipted(scope))), 8);
+        let mut router = TestRouter::new(config(profile_with(idempotent_with_key(scope))), 8);
         let id = router.arrive(function, 4.0);
         router.answer(id, 0, Outcome::ConnectionLost, 0.1);
         let at: Vec<_> = router
@@ -87,7 +87,7 @@
 
 #[test]
 fn no_retry_after_the_idempotency_key_has_expired() {
-    let mut router = TestRouter::new(config(profile_with(receipted(KeyScope::All))), 4);
+    let mut router = TestRouter::new(config(profile_with(idempotent_with_key(KeyScope::All))), 4);
     let id = router.arrive(0, 9.0);
     router.advance(2.5);
     let before = router.attempts(id).len();
@@ -115,31 +115,32 @@
         router.advance(0.02);
     }
     assert!(router.host.calls.len() > from);
-    assert!(router.host.calls[from..].iter().all(|(_, d)| !matches!(d,
-        HostCall::Send { worker, .. } | HostCall::RequestLoad { worker, copies: 1.., .. } if *worker == home)));
+    assert!(router.host.calls[from..].iter().all(|(_, call)| !matches!(call,
+        HostCall::Send { worker, .. } | HostCall::RequestLoad { worker, instances: 1.., .. } if *worker == home)));
 }
 
 #[test_case(1, 1.0; "one router")]
 #[test_case(4, 1.0; "four routers")]
-#[test_case(1, 0.25; "a slow day")]
-fn a_worker_in_slow_start_is_not_sent_more_than_its_budget(routers: usize, pace: f64) {
+#[test_case(1, 0.25; "a quarter of the rate")]
+fn a_worker_in_slow_start_is_not_sent_more_than_its_budget(routers: usize, rate_factor: f64) {
     let settings = PolicyConfig { routers, can_request_loads: false, ..config(idempotent()) };
     let budget =
         settings.overload_multiple * settings.initial_capacity * settings.overload_window / routers as f64;
     let mut router = TestRouter::new(settings, 2);
     for n in 0..200 {
-        router.serve(n % 60, 0.05 / pace);
+        router.serve(n % 60, 0.05 / rate_factor);
     }
     // A warm worker serves about ten a second times the pace, and an equal one starts.
-    let rate = 10.0 * pace * routers as f64;
+    let rate = 10.0 * rate_factor * routers as f64;
     let start = router.host.now;
     router.list(vec![endpoint(9, EndpointState::Ready, Some(start))]);
     for n in 0..180 {
         router.arrive(n % 60, 4.0);
         router.advance(0.01);
     }
-    let to = router.host.calls.iter().filter(|(_, d)| matches!(d, HostCall::Send { worker: 9, .. })).count();
-    assert!(to as f64 <= budget * rate * 1.4, "{to} shots against {}", budget * rate);
+    let sent =
+        router.host.calls.iter().filter(|(_, call)| matches!(call, HostCall::Send { worker: 9, .. })).count();
+    assert!(sent as f64 <= budget * rate * 1.4, "{sent} attempts for a limit of {}", budget * rate);
 }
 
 /// Connections to a worker in slow start that come up late, all at once: attempts that were decided before do not begin
@@ -175,7 +176,7 @@
     /// Seconds between arrivals at the other.
     const STEP: f64 = 0.0005;
     const FUNCTIONS: usize = 400;
-    const COLD: usize = 9;
+    const COLD_WORKER: usize = 9;
 
     fn new(settings: PolicyConfig) -> Self {
         let mut router = TestRouter::new(settings, 1);
@@ -185,7 +186,7 @@
         let started = Some(router.host.now);
         router.list(vec![
             endpoint(0, EndpointState::Draining, None),
-            endpoint(Self::COLD, EndpointState::Ready, started),
+            endpoint(Self::COLD_WORKER, EndpointState::Ready, started),
         ]);
         Self { router, waiting: Vec::new(), begun: Vec::new() }
     }
@@ -198,7 +199,7 @@
             self.router.arrive(self.router.host.calls.len() % Self::FUNCTIONS, 0.9);
             self.router.advance(Self::STEP);
             for (decided, call) in &self.router.host.calls[checked..] {
-                if let HostCall::Send { id, worker: Self::COLD } = call {
+                if let HostCall::Send { id, worker: Self::COLD_WORKER } = call {
                     self.waiting.push((*decided, *id));
                 }
             }
@@ -214,7 +215,7 @@
         let now = self.router.host.now;
         for (decided, id) in std::mem::take(&mut self.waiting) {
             let attempt = self.router.attempts(id).len() - 1;
-            if now - decided <= late && self.router.router.may_send(now, id, Self::COLD).is_ok() {
+            if now - decided <= late && self.router.router.may_send(now, id, Self::COLD_WORKER).is_ok() {
                 self.begun.push(now);
                 self.router.answer(id, attempt, Outcome::Succeeded, 0.01);
             } else {
@@ -233,9 +234,9 @@
         ..config(idempotent())
     };
     let mut router = TestRouter::new(settings, 6);
-    let mut taken = Vec::new();
+    let mut arrivals = Vec::new();
     for n in 0..300 {
-        taken.push(router.host.now);
+        arrivals.push(router.host.now);
         let id = router.arrive(n % 60, 4.0);
         if !router.attempts(id).is_empty() {
             router.answer(id, 0, Outcome::NotLoaded, 0.0);
@@ -246,8 +247,9 @@
     assert!(load_requests.len() > 3);
     for &(at, _) in &load_requests {
         // An arrival just at the window's edge is out, however its time was rounded.
-        let orders = load_requests.iter().filter(|&&(t, _)| t <= at && at - t < 5.0 + 1e-6).count() as f64;
-        let share = taken.iter().filter(|&&t| t <= at && at - t < 5.0 - 1e-6).count() as f64;
-        assert!(orders <= 2.0 + 0.05 * share);
+        let load_request_count =
+            load_requests.iter().filter(|&&(t, _)| t <= at && at - t < 5.0 + 1e-6).count() as f64;
+        let arrival_count = arrivals.iter().filter(|&&t| t <= at && at - t < 5.0 - 1e-6).count() as f64;
+        assert!(load_request_count <= 2.0 + 0.05 * arrival_count);
     }
 }
--- a/crates/policy/tests/stale_list.rs
+++ b/crates/policy/tests/stale_list.rs
@@ -10,7 +10,7 @@
 /// Seconds for which the list is believed in these tests.
 const LIST_VALID_FOR: f64 = 2.5;
 /// Seconds for which a worker's word is.
-const GRACE: f64 = 0.5;
+const ACCEPTANCE_VALID_FOR: f64 = 0.5;
 /// Seconds that a health check takes here.
 const ROUND_TRIP: f64 = 0.001;
 
@@ -18,7 +18,7 @@
     PolicyConfig {
         can_check_health: true,
         list_valid_for: LIST_VALID_FOR,
-        acceptance_valid_for: GRACE,
+        acceptance_valid_for: ACCEPTANCE_VALID_FOR,
         ..config(idempotent())
     }
 }
@@ -36,7 +36,7 @@
 }
 
 /// The workers whose health was checked, in order.
-fn checked(router: &TestRouter) -> Vec<usize> {
+fn health_checks(router: &TestRouter) -> Vec<usize> {
     let checks = router.host.calls.iter().filter_map(|(_, call)| match call {
         HostCall::CheckHealth { worker } => Some(*worker),
         _ => None,
@@ -46,7 +46,7 @@
 
 /// The check that is out is answered a round trip after it was sent.
 fn answer_check(router: &mut TestRouter, outcome: Outcome) -> usize {
-    let worker = *checked(router).last().expect("a health check");
+    let worker = *health_checks(router).last().expect("a health check");
     router.advance(ROUND_TRIP);
     router.router.health_check_ended(router.host.now, worker, outcome, None, &mut router.host);
     worker
@@ -58,14 +58,14 @@
     router.router.list_confirmed(0.0);
     router.advance(LIST_VALID_FOR - 0.01);
     let id = router.arrive(0, 4.0);
-    assert_eq!((router.attempts(id).len(), checked(&router)), (1, vec![]));
+    assert_eq!((router.attempts(id).len(), health_checks(&router)), (1, vec![]));
 }
 
 #[test]
 fn a_list_that_was_never_confirmed_is_stale() {
     let mut router = TestRouter::new(stale_config(), 4);
     let id = router.arrive(0, 4.0);
-    assert_eq!((router.attempts(id).len(), checked(&router).len()), (0, 1));
+    assert_eq!((router.attempts(id).len(), health_checks(&router).len()), (0, 1));
 }
 
 #[test]
@@ -75,14 +75,14 @@
     assert!(router.attempts(id).is_empty());
     let worker = answer_check(&mut router, Outcome::Succeeded);
     assert_eq!(router.attempts(id), [worker]);
-    assert_eq!(checked(&router).len(), 1);
+    assert_eq!(health_checks(&router).len(), 1);
 }
 
 #[test_case(Outcome::Failed; "it drains")]
 #[test_case(Outcome::TimedOut; "it does not answer")]
 #[test_case(Outcome::Unreachable; "it can't be reached")]
 #[test_case(Outcome::ConnectionLost; "it resets the connection")]
-fn a_worker_that_does_not_pass_gets_nothing_and_another_is_asked(outcome: Outcome) {
+fn a_worker_that_fails_its_health_check_gets_nothing_and_another_is_checked(outcome: Outcome) {
     let mut router = stale_router(stale_config(), 4);
     let id = router.arrive(0, 4.0);
     let first = answer_check(&mut router, outcome);
@@ -93,30 +93,30 @@
 }
 
 #[test]
-fn a_worker_that_drained_is_asked_again_once_a_proof_would_be_over() {
+fn a_worker_that_declined_is_checked_again_after_the_acceptance_period() {
     let mut router = stale_router(stale_config(), 4);
     let id = router.arrive(0, 4.0);
     let first = answer_check(&mut router, Outcome::Failed);
     answer_check(&mut router, Outcome::Succeeded);
     router.answer(id, 0, Outcome::Succeeded, ROUND_TRIP);
-    router.advance(GRACE);
+    router.advance(ACCEPTANCE_VALID_FOR);
     let id = router.arrive(0, 4.0);
     assert_eq!(answer_check(&mut router, Outcome::Succeeded), first);
     assert_eq!(router.attempts(id), [first], "it takes work again");
 }
 
 #[test]
-fn a_check_without_an_answer_holds_a_request_up_for_a_moment_only() {
+fn an_unanswered_health_check_delays_a_request_only_briefly() {
     let mut router = stale_router(stale_config(), 4);
     let id = router.arrive(0, 4.0);
     router.advance(0.05);
-    assert_eq!(checked(&router).len(), 2, "one is out, and another is asked");
+    assert_eq!(health_checks(&router).len(), 2, "one is out, and another is asked");
     let worker = answer_check(&mut router, Outcome::Succeeded);
     assert_eq!(router.attempts(id), [worker]);
 }
 
 #[test]
-fn requests_that_are_served_prove_it_as_well() {
+fn served_requests_prove_acceptance() {
     let mut router = stale_router(stale_config(), 4);
     let id = router.arrive(0, 4.0);
     let worker = answer_check(&mut router, Outcome::Succeeded);
@@ -124,61 +124,64 @@
     router.answer(id, 0, Outcome::Succeeded, 0.02);
     // Each is sent while the one before it still counts.
     for _ in 0..20 {
-        router.advance(0.4 * GRACE);
+        router.advance(0.4 * ACCEPTANCE_VALID_FOR);
         assert_eq!(router.serve(0, 0.02), worker);
     }
-    assert_eq!(checked(&router), [worker], "20 requests, one check");
+    assert_eq!(health_checks(&router), [worker], "20 requests, one check");
 }
 
 #[test]
-fn what_draining_workers_serve_on_proves_nothing() {
+fn requests_served_while_draining_prove_nothing() {
     let config = PolicyConfig { draining_workers_reject: false, ..stale_config() };
     let mut router = stale_router(config, 1);
     let id = router.arrive(0, 4.0);
     let worker = answer_check(&mut router, Outcome::Succeeded);
-    router.advance(GRACE - 0.1);
-    router.answer(id, 0, Outcome::Succeeded, GRACE - 0.1);
+    router.advance(ACCEPTANCE_VALID_FOR - 0.1);
+    router.answer(id, 0, Outcome::Succeeded, ACCEPTANCE_VALID_FOR - 0.1);
     assert_eq!(router.serve(0, 0.02), worker, "by the health check");
     router.advance(0.1);
     let id = router.arrive(0, 4.0);
-    assert_eq!((router.attempts(id).len(), checked(&router).len()), (0, 2));
+    assert_eq!((router.attempts(id).len(), health_checks(&router).len()), (0, 2));
 }
 
 #[test]
-fn a_proof_ages_from_when_it_was_asked() {
+fn acceptance_ages_from_when_the_health_check_was_sent() {
     let mut router = stale_router(stale_config(), 4);
-    let asked_at = router.host.now;
+    let checked_at = router.host.now;
     let id = router.arrive(0, 4.0);
-    let worker = *checked(&router).last().expect("a health check");
+    let worker = *health_checks(&router).last().expect("a health check");
     // It is answered late, and the connection for the attempt comes up later still.
     router.advance(0.02);
     router.router.health_check_ended(router.host.now, worker, Outcome::Succeeded, None, &mut router.host);
     assert_eq!(router.attempts(id), [worker]);
     assert_eq!(router.router.may_send(router.host.now, id, worker), Ok(()));
-    assert_eq!(router.router.may_send(asked_at + GRACE, id, worker), Err(SendRefusal::Unproven));
+    assert_eq!(
+        router.router.may_send(checked_at + ACCEPTANCE_VALID_FOR, id, worker),
+        Err(SendRefusal::Unproven)
+    );
 }
 
 #[test]
-fn a_load_request_waits_for_proof_as_well() {
+fn a_load_request_requires_proof_as_well() {
     let config = PolicyConfig { reports_missing_functions: true, ..stale_config() };
     let mut router = stale_router(config, 1);
     let id = router.arrive(7, 10.0);
     let worker = answer_check(&mut router, Outcome::Succeeded);
     assert_eq!(router.attempts(id), [worker]);
     // Without the function it would be asked to load it, but by now it may drain.
-    router.advance(GRACE);
-    router.answer(id, 0, Outcome::NotLoaded, GRACE);
+    router.advance(ACCEPTANCE_VALID_FOR);
+    router.answer(id, 0, Outcome::NotLoaded, ACCEPTANCE_VALID_FOR);
     assert_eq!(router.load_requests(), []);
     answer_check(&mut router, Outcome::Succeeded);
     let asked: Vec<_> = router.load_requests().into_iter().map(|(_, worker)| worker).collect();
     assert_eq!(asked, [worker]);
     assert_eq!(router.router.may_request_load(router.host.now, worker), Ok(()));
-    let late = router.host.now + GRACE;
+    let late = router.host.now + ACCEPTANCE_VALID_FOR;
     assert_eq!(router.router.may_request_load(late, worker), Err(SendRefusal::Unproven));
 }
 
 #[test]
-fn a_worker_that_stopped_taking_work_loses_the_proof_it_had() {
+fn a_failed_health_check_revokes_an_earlier_proof() {
     let mut router = stale_router(stale_config(), 1);
     let id = router.arrive(0, 4.0);
     let worker = answer_check(&mut router, Outcome::Succeeded);
@@ -186,7 +189,7 @@
     // The answer comes late to a check that was sent after the proof.
     let list = vec![endpoint(worker, EndpointState::Ready, None)];
     router.list(list);
-    router.advance(GRACE);
+    router.advance(ACCEPTANCE_VALID_FOR);
     router.answer(id, 0, Outcome::Rejected, 0.1);
     assert_eq!(answer_check(&mut router, Outcome::Failed), worker);
     assert_eq!(router.router.may_request_load(router.host.now, worker), Err(SendRefusal::Unproven));
@@ -194,7 +197,7 @@
 
 /// Where health checks are not allowed, only workers that go on serving can prove it.
 #[test]
-fn without_health_checks_what_is_served_is_the_only_proof() {
+fn without_health_checks_only_served_requests_prove_acceptance() {
     let mut router = TestRouter::new(PolicyConfig { can_check_health: false, ..stale_config() }, 4);
     router.router.list_confirmed(0.0);
     let mut worker = router.serve(0, 0.02);
@@ -206,23 +209,23 @@
         router.advance(0.2);
         assert_eq!(router.serve(0, 0.02), worker);
     }
-    router.advance(GRACE);
+    router.advance(ACCEPTANCE_VALID_FOR);
     let id = router.arrive(0, 4.0);
-    assert_eq!((router.attempts(id).len(), checked(&router)), (0, vec![]));
+    assert_eq!((router.attempts(id).len(), health_checks(&router)), (0, vec![]));
 }
 
 #[test]
-fn a_confirmation_ends_it_at_once() {
+fn a_confirmed_list_is_current_at_once() {
     let mut router = stale_router(stale_config(), 4);
     router.router.list_confirmed(router.host.now);
     assert!(!router.router.list_is_stale(router.host.now));
     let id = router.arrive(0, 4.0);
-    assert_eq!((router.attempts(id).len(), checked(&router)), (1, vec![]));
+    assert_eq!((router.attempts(id).len(), health_checks(&router)), (1, vec![]));
 }
 
 /// Requests that a router sends in 0.2 s of 1,000 a second to four workers while its list is stale. `reconnects` where
 /// every connection to each of them is younger than the last confirmation of the list.
-fn sent_in_a_rush(reconnects: bool) -> usize {
+fn requests_sent_while_stale(reconnects: bool) -> usize {
     const REQUESTS: usize = 200;
     let config = PolicyConfig { routers: 12, health_checks_report_load: false, ..stale_config() };
     let mut router = TestRouter::new(config, 4);
@@ -254,7 +257,7 @@
 /// cold worker while the list is stale.
 #[test]
 fn a_worker_that_may_have_restarted_is_in_slow_start() {
-    let (known, restarted) = (sent_in_a_rush(false), sent_in_a_rush(true));
+    let (known, restarted) = (requests_sent_while_stale(false), requests_sent_while_stale(true));
     assert!(known > 190 && restarted < known / 2, "{restarted} where {known} are sent");
 }
 
@@ -272,7 +275,7 @@
     for _ in 0..100 {
         router.host.calls.clear();
         served_by_home += usize::from(router.serve(0, 0.02) == home);
-        for worker in checked(&router) {
+        for worker in health_checks(&router) {
             asked += usize::from(worker == home);
             router.router.health_check_ended(
                 router.host.now,
@@ -284,7 +287,7 @@
         }
     }
     assert!(
-        asked >= 1 && f64::from(asked as u32) <= 100.0 * 0.02 / GRACE + 1.0,
+        asked >= 1 && f64::from(asked as u32) <= 100.0 * 0.02 / ACCEPTANCE_VALID_FOR + 1.0,
         "asked {asked} times in 2 s"
     );
     assert!(served_by_home > 50, "{served_by_home} of 100");
