--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,16 +1,16 @@
-//! Admission: quotas and rate limits of client groups (token buckets), the time that a request may be queued,
-//! and the Retry-After of one that is rejected.
+//! Admission: quotas and rate limits of client groups (token buckets), the maximum queueing time of a request, and
+//! the Retry-After of rejected requests.
 
 use crate::effects::Budget;
 use crate::fleet_budgets::FleetBudgets;
 use crate::random::Random;
 use crate::request_state::Request;
 
-/// Seconds for which an admission under the rate limit is valid: a process that was stopped for longer asks
-/// again.
+/// Seconds for which an admission under the rate limit is valid. If the process was suspended for longer, the request
+/// must be admitted again.
 const ADMITTED_FOR: f64 = 0.5;
 
-/// A token bucket: the tokens left, as of a time in seconds.
+/// A token bucket: the tokens left at `refilled_at`, a time in seconds.
 #[derive(Clone, Copy)]
 struct TokenBucket {
     tokens: f64,
@@ -25,15 +25,15 @@
 }
 
 pub(crate) struct Admission {
-    /// Requests a second of this router's part: within each client group's quota, and under its rate limit.
+    /// This router's shares of each client group's quota and rate limit, in requests per second.
     quotas: Vec<f64>,
     rate_limits: Vec<f64>,
-    /// The bucket of each client group for its quota, and for its rate limit.
+    /// One bucket per client group for its quota, and one for its rate limit.
     quota_buckets: Vec<TokenBucket>,
     rate_limit_buckets: Vec<TokenBucket>,
     /// Requests over their quota are shed first.
     sheds_over_quota: bool,
-    /// The longest Retry-After in seconds that clients follow; none where they are not given one.
+    /// The longest Retry-After in seconds that clients follow; `None` if they are not sent one.
     max_retry_after: Option<f64>,
 }
 
@@ -55,8 +55,7 @@
         }
     }
 
-    /// Counts a request against its client group's quota; returns whether it is over it and may be shed
-    /// first.
+    /// Counts a request against its client group's quota; returns whether it is over the quota and may be shed first.
     pub(crate) fn is_over_quota(&mut self, now: f64, client: usize, budgets: &FleetBudgets) -> bool {
         // The burst is one second of the quota.
         let own_rate = self.quotas.get(client).copied().unwrap_or(0.0);
@@ -91,7 +90,7 @@
         bucket.refill(now, rate, (rate * BURST_SECONDS).max(1.0));
         let jitter = random.uniform();
         let within = bucket.tokens >= 1.0;
-        // When there are tokens again, with jitter.
+        // The time until a token is available, with jitter.
         let retry_after = (1.0 - bucket.tokens) / rate.max(1e-3) * (1.0 + jitter);
         request.retry_after = (!within).then_some(retry_after);
         if !within {
@@ -100,7 +99,7 @@
         within
     }
 
-    /// An attempt of a request is sent: it takes a token, unless one of a moment ago did.
+    /// Takes a token for an attempt that is sent, unless a recent attempt of the request took one.
     pub(crate) fn attempt_sent(&mut self, now: f64, request: &mut Request) {
         if let Some(bucket) = self
             .rate_limit_buckets
@@ -112,25 +111,24 @@
         }
     }
 
-    /// Whether a request was admitted under its rate limit too long ago to be sent now.
+    /// Whether the request's admission under the rate limit has expired.
     pub(crate) fn has_lapsed(&self, now: f64, request: &Request) -> bool {
         self.rate_limits.get(request.client).is_some_and(|c| c.is_finite())
             && now - request.admitted_at >= ADMITTED_FOR
     }
 
-    /// The Retry-After in seconds of a rejected request, where clients follow it; `latency_objective` is its latency
-    /// objective.
+    /// The Retry-After in seconds of a rejected request, if clients follow it.
     pub(crate) fn retry_after(&self, request: &Request, latency_objective: f64) -> Option<f64> {
-        /// Part of the latency objective after which to retry: not in the same burst, and still in time.
+        /// Fraction of the latency objective after which to retry: late enough to leave the burst, early enough to be
+        /// in time.
         const RETRY_AFTER_SHARE: f64 = 0.08;
         self.max_retry_after
             .map(|max| max.min(request.retry_after.unwrap_or(RETRY_AFTER_SHARE * latency_objective)))
     }
 }
 
-/// Whether a request has been queued for so long that an answer could hardly be in time. `latency_objective` is its latency
-/// objective, `loaded` whether an instance of its function is anywhere, `latency` the mean of answers; in
-/// seconds.
+/// Whether a request has been queued for so long that a timely answer is unlikely. `loaded` states whether any worker
+/// has an instance of its function; `latency` is the mean latency of answers. Times are in seconds.
 pub(crate) fn has_waited_too_long(
     now: f64,
     request: &Request,
@@ -138,13 +136,12 @@
     loaded: bool,
     latency: f64,
 ) -> bool {
-    /// Part of the latency objective that may pass before the first attempt.
+    /// Fraction of the latency objective that may pass before the first attempt.
     const WAIT_SHARE: f64 = 0.15;
-    /// The same of its client's own time, which may be shorter: the rest has to suffice for a retry
-    /// elsewhere.
+    /// Fraction of the client's timeout that may pass, as the timeout may be shorter than the objective. The rest
+    /// must suffice for a retry elsewhere.
     const CLIENT_TIME_SHARE: f64 = 0.4;
-    // Rejected while a retry can still be in time; a request that waits for a load would wait elsewhere as
-    // well.
+    // Rejected while a retry can still be in time. A request that waits for a load would wait as long elsewhere.
     let wait = if loaded { WAIT_SHARE * latency_objective } else { latency_objective - latency };
     now - request.arrived_at > wait.min(CLIENT_TIME_SHARE * (request.deadline - request.arrived_at))
 }
--- a/crates/policy/src/attempt_result.rs
+++ b/crates/policy/src/attempt_result.rs
@@ -1,4 +1,4 @@
-//! The result of an attempt, recorded on its worker, on its function's instances, and in the mean latencies.
+//! Records the result of an attempt on its worker, on its function's instances and in the mean latencies.
 
 use crate::decay::RATE_HALF_LIFE;
 use crate::events::{AttemptCompletion, InstanceState, Outcome};
@@ -8,8 +8,8 @@
 use crate::router_state::RouterState;
 
 impl RouterState {
-    /// Marks an attempt as ended; none where it is not known, or had ended before. Returns its function's
-    /// index and it.
+    /// Marks an attempt as ended and returns it with its function's index; `None` if it is unknown or had already
+    /// ended.
     pub(crate) fn attempt_ended(
         &mut self,
         id: usize,
@@ -78,13 +78,12 @@
         attempt: &Attempt,
         completion: &AttemptCompletion,
     ) {
-        /// Weight of one answer in the mean of one function, which has few.
+        /// Weight of one answer in a function's mean latency; a single function has few answers.
         const FUNCTION_WEIGHT: f64 = 0.2;
-        /// The most that one answer counts for, over the mean of all: a slow store is not the function's
-        /// latency.
+        /// Upper bound on one answer's ratio to the overall mean: a slow store does not make the function slow.
         const MAX_RATIO: f64 = 3.0;
         let Some(state) = self.functions.get_mut(function) else { return };
-        // Also attempts that are never answered, as when requests queue for the function's instances.
+        // Includes attempts that are never answered, for example when requests queue for the function's instances.
         if matches!(completion.outcome, Outcome::Succeeded | Outcome::Cancelled | Outcome::TimedOut) {
             state.relative_latency += FUNCTION_WEIGHT
                 * ((completion.latency / self.latency.max(1e-3)).min(MAX_RATIO) - state.relative_latency);
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Updates the mean latencies, exponentially weighted.
+    /// Updates the exponentially weighted mean latencies.
     fn record_latency(
         &mut self,
         now: f64,
@@ -105,9 +104,9 @@
         attempt: &Attempt,
         completion: &AttemptCompletion,
     ) {
-        /// Weight of one answer in the mean of loads: a dozen answers, about a second of a busy worker.
+        /// Weight of one answer in the mean load time: about a dozen answers, or one second of a busy worker.
         const LOAD_WEIGHT: f64 = 0.1;
-        /// The same in the mean of answers of loaded instances.
+        /// Weight of one answer in the mean latency of loaded instances.
         const WEIGHT: f64 = 0.02;
         let cold = matches!(
             completion.instance_state,
@@ -126,8 +125,8 @@
 }
 
 impl Function {
-    /// Updates the instances on the attempt's worker. `load_latency` is the mean time of a load and
-    /// `keep_alive` the time that an idle instance is kept, in seconds.
+    /// Updates the instances on the attempt's worker. `load_latency` is the mean load time and `keep_alive` the time
+    /// for which an idle instance is kept, in seconds.
     fn attempt_ended(
         &mut self,
         now: f64,
@@ -143,7 +142,8 @@
                 (placement.instances, placement.loading_until, placement.missing_at) = (0.0, 0.0, now);
             }
             Outcome::Cancelled | Outcome::TimedOut if outlasted => {
-                // The load goes on when no request waits for it; started again elsewhere it would never end.
+                // The load continues although no request waits for it. Starting it again on another worker each time
+                // would never finish.
                 placement.instances = placement.instances.max(1.0);
                 placement.expires_at = now + keep_alive;
             }
@@ -154,7 +154,7 @@
                 placement.instances = instances.max(1.0);
                 (placement.expires_at, placement.loading_until) = (now + keep_alive, 0.0);
                 if attempt.warm && completion.instance_state == Some(InstanceState::LoadStarted) {
-                    // A new version was released: instances on other workers are out of date as well.
+                    // A new version of the function was released: instances on other workers are outdated as well.
                     let others = self.placements.iter_mut().filter(|other| other.worker != attempt.worker);
                     others.for_each(|other| other.instances = 0.0);
                 }
--- a/crates/policy/src/candidate_search.rs
+++ b/crates/policy/src/candidate_search.rs
@@ -1,22 +1,22 @@
-//! The search for a request's worker: the workers in ring order, compared by load, instances and what they may be sent, and
-//! the choice among what was found. Placement decides what becomes of the request by it.
+//! Search for a request's worker: compares the workers in ring order by load, instances and what they may be sent,
+//! and chooses among the candidates. Placement acts on the result.
 
 use crate::function_state::Function;
 use crate::health_check::HEALTH_CHECK_SHARE;
 use crate::overload::TimeBounds;
 use crate::router_state::RouterState;
 
-/// The request that is placed. Times are in seconds.
+/// The request to place. Times are in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct Query {
     pub(crate) id: usize,
     pub(crate) function_index: usize,
     pub(crate) over_quota: bool,
-    /// Time since it arrived.
+    /// Time since the request arrived.
     pub(crate) age: f64,
     /// Time until its client gives up.
     pub(crate) time_left: f64,
-    /// Within which it should be answered; half of that for one over its quota.
+    /// Target latency of the request; halved if it is over its quota.
     pub(crate) latency_objective: f64,
     /// Concurrency of its function over all routers.
     pub(crate) concurrency: f64,
@@ -24,21 +24,21 @@
     pub(crate) remote_weight: f64,
 }
 
-/// Means over all ready workers, and bounds that follow from them.
+/// Means over all ready workers, and the limits derived from them.
 #[derive(Clone, Copy)]
 pub(crate) struct FleetLoad {
-    /// Mean of other routers' requests at a worker; assumed for one without a recent report.
+    /// Mean of other routers' requests per worker; assumed for a worker without a recent report.
     pub(crate) average: f64,
     pub(crate) mean_size: f64,
-    /// Fair load: where all members are above it, workers past the set are taken.
+    /// Fair load of a worker. When all members of the set exceed it, workers past the set are used.
     pub(crate) fair: f64,
-    /// Requests that an instance is expected to run at a time.
+    /// Requests that one instance is expected to run concurrently.
     pub(crate) instance_concurrency: f64,
-    /// Ready workers with an instance, or with one that is being loaded.
+    /// Ready workers with an instance that is loaded or loading.
     pub(crate) workers_with_instance: usize,
 }
 
-/// The state of a comparison of workers that does not change from one to the next.
+/// What stays the same while workers are compared.
 pub(crate) struct Comparison<'a> {
     pub(crate) query: Query,
     pub(crate) function: &'a Function,
@@ -46,12 +46,12 @@
     pub(crate) scope: Scope,
 }
 
-/// Which workers are compared while the endpoint list is stale; otherwise both are the same.
+/// Which workers are compared while the endpoint list is stale; both scopes are the same while it is current.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Scope {
-    /// Those that have proved recently that they take new work.
+    /// Workers that have recently proved that they take new work.
     Proven,
-    /// Those as well that can be asked for the proof.
+    /// Also workers that may be sent a health check to prove it.
     Checkable,
 }
 
@@ -61,33 +61,33 @@
     pub(crate) worker: usize,
 }
 
-/// What was found in ring order so far.
+/// What the search has found in ring order so far.
 #[derive(Default)]
 pub(crate) struct Search {
-    /// Concurrent requests that the members so far can run.
+    /// Concurrent requests that the members found so far can run.
     pub(crate) capacity: f64,
-    /// Number of members so far.
+    /// Number of members found so far.
     pub(crate) members: usize,
-    /// How many of them the function's concurrency needs.
+    /// Number of members that the function's concurrency needs.
     pub(crate) needed: usize,
-    /// Workers with an instance, or with one that is being loaded.
+    /// Number of workers with an instance that is loaded or loading.
     pub(crate) with_instance: usize,
     /// A member was overloaded.
     pub(crate) member_overloaded: bool,
-    /// The first that lacks the function and loads only on request.
+    /// The first worker that lacks the function and loads it only on request.
     pub(crate) without_function: Option<usize>,
-    /// The first where an instance is being loaded.
+    /// The first worker where an instance is loading.
     pub(crate) loading: Option<Candidate>,
-    /// The least loaded member, and the least loaded one with an instance.
+    /// The least loaded member, and the least loaded member with an instance.
     pub(crate) least_loaded: Option<Candidate>,
     pub(crate) least_loaded_warm: Option<Candidate>,
-    /// The first past the set, and the first of those with an instance.
+    /// The first worker past the set, and the first one there with an instance.
     pub(crate) past_set: Option<Candidate>,
     pub(crate) past_set_warm: Option<Candidate>,
 }
 
 impl Search {
-    /// Whether a worker with an instance was found that is not above the fair load.
+    /// Whether a worker with an instance was found whose load does not exceed the fair load.
     pub(crate) fn has_warm_within(&self, fleet: &FleetLoad) -> bool {
         [self.least_loaded_warm, self.past_set_warm].into_iter().flatten().any(|warm| warm.load <= fleet.fair)
     }
@@ -105,7 +105,7 @@
                 || self.with_instance == fleet.workers_with_instance)
     }
 
-    /// Takes a candidate: in the set the least loaded, past it the first.
+    /// Adds a candidate: inside the set the least loaded one is kept, past the set the first.
     fn add_candidate(&mut self, candidate: Candidate, member: bool, warm: bool) {
         let (any, loaded) = if member {
             (&mut self.least_loaded, &mut self.least_loaded_warm)
@@ -122,24 +122,24 @@
     }
 }
 
-/// The worker of a request, and the worker that is to load one more instance.
+/// The worker for a request, and the worker that should load one more instance.
 pub(crate) struct Choice {
     pub(crate) target: Option<Candidate>,
     pub(crate) load_at: Option<Candidate>,
 }
 
 impl RouterState {
-    /// Means over all workers of the ring.
+    /// Computes the means over all workers on the ring.
     pub(crate) fn fleet_load(&mut self, now: f64, query: &Query, function: &Function) -> FleetLoad {
-        /// Times the mean load, and requests beyond that: with less spread the home of several busy functions
-        /// would be overloaded beside idle workers.
+        /// The fair load is this multiple of the mean load, plus `LOAD_SLACK` requests. With a tighter limit the home
+        /// worker of several busy functions would be overloaded while others are idle.
         const MEAN_LOAD_MULTIPLE: f64 = 1.25;
         const LOAD_SLACK: f64 = 3.0;
-        /// Squared standard deviations of unknown traffic for which an instance keeps capacity free.
+        /// Capacity that an instance reserves for unobserved traffic, in squared standard deviations.
         const VARIANCE_HEADROOM: f64 = 1.0;
         self.slow_start.rate(now, &self.workers, &self.staleness, &mut self.throughput);
         let n = function.ring_order.len().max(1) as f64;
-        // One pass: with thousands of workers this is most of what a request costs.
+        // A single pass: with thousands of workers this is most of the cost of a request.
         let (mut reports, mut other_routers_load, mut sizes, mut in_flight) = (0, 0.0, 0.0, 0.0);
         for worker in function.ring_order.iter().map(|&worker| &self.workers[worker]) {
             if let Some(reported) = worker.recent_other_routers_load(now) {
@@ -156,8 +156,8 @@
             function.placements.iter().filter(|s| s.is_loaded(now) || s.loading_until > now);
         let workers_with_instance =
             workers_with_instance.filter(|s| self.workers[s.worker].is_ready()).count();
-        // Capacity is kept free for the variance of other routers' traffic, or a moment's burst would start
-        // one more load. Sets that are sized by what all routers report need none.
+        // Reserves capacity for the variance of other routers' traffic; otherwise a short burst would start another
+        // load. Sets that are sized by the concurrency reported by all routers need no reserve.
         let unobserved_variance =
             VARIANCE_HEADROOM * (1.0 - 1.0 / self.routers) * (1.0 - query.remote_weight);
         let instance_concurrency = function.instance_concurrency + unobserved_variance / 2.0
@@ -165,7 +165,7 @@
         FleetLoad { average, mean_size, fair, instance_concurrency, workers_with_instance }
     }
 
-    /// Whether a worker is compared, by what it has proved or can be asked to prove while the list is stale.
+    /// Whether a worker is compared while the list is stale: it has proved that it takes new work, or may be checked.
     fn is_in_scope(&self, now: f64, comparison: &Comparison, worker: usize) -> bool {
         let state = &self.workers[worker];
         self.staleness.allows(now, state)
@@ -178,7 +178,7 @@
                 )
     }
 
-    /// Compares the workers in ring order, up to where no later one could be chosen.
+    /// Compares the workers in ring order until no later one could be chosen.
     pub(crate) fn search(&mut self, now: f64, comparison: &Comparison) -> Search {
         let Comparison { query, function, fleet, .. } = comparison;
         let mut search = Search::default();
@@ -192,7 +192,7 @@
         search
     }
 
-    /// Compares one worker with those before it.
+    /// Compares one worker with those found before it.
     fn evaluate(
         &mut self,
         now: f64,
@@ -201,11 +201,11 @@
         worker: usize,
         member: bool,
     ) {
-        /// Part of the latency objective that a request may be queued for a busy instance before one more is
+        /// Fraction of the latency objective for which a request may queue for a busy instance before another is
         /// loaded.
         const BUSY_INSTANCE_WAIT: f64 = 0.05;
-        /// Seconds for which a worker that rejected an attempt gets none, apart for loads and for loaded
-        /// instances.
+        /// Seconds for which a worker gets no attempts after it rejected one, tracked separately for attempts that
+        /// need a load and for loaded instances.
         const REJECTION_PAUSE: f64 = 0.3;
         let Comparison { query, function, fleet, .. } = comparison;
         if !self.is_in_scope(now, comparison, worker)
@@ -225,8 +225,9 @@
         search.capacity += fleet.instance_concurrency * size;
         let warm = instances.count > 0.0;
         search.with_instance += usize::from(warm || instances.loading);
-        // Beyond its instances' concurrency a worker loads one more, at cost of others' memory. Of an
-        // instance that is being loaded other routers want their part as well.
+        // A worker whose instances are at their concurrency limit loads another one, at the cost of other functions'
+        // memory. An instance that is still loading is shared with other routers, so this router counts only one
+        // request on it when their concurrency is known.
         let counts_all_instances = warm || query.remote_weight < 0.5;
         let own_concurrency =
             if counts_all_instances { function.instance_concurrency * instances.count.max(1.0) } else { 1.0 };
@@ -235,7 +236,8 @@
         {
             return;
         }
-        // An overloaded worker gets nothing: the search goes on past the set, or the request is queued here.
+        // An overloaded worker gets nothing: the search continues past the set, or the request is queued in the
+        // router.
         let rejected = now - self.workers[worker].rejected_at.last(warm) < REJECTION_PAUSE;
         let missing =
             function.placements.iter().any(|s| s.worker == worker && now - s.missing_at < self.load_latency);
@@ -249,8 +251,8 @@
             search.member_overloaded |= member;
             return;
         }
-        // Where workers load only on request, one that lacks the function is sent nothing until an instance
-        // is there.
+        // Workers that load only on request get no attempts for a function that they lack until an instance is
+        // loaded.
         if self.reports_missing_functions && !warm && (instances.loading || missing) {
             search.without_function = search.without_function.or(Some(worker));
             return;
@@ -259,19 +261,19 @@
         if instances.loading && !warm {
             search.loading = search.loading.or(Some(candidate));
         }
-        // Past the set only workers that are not above the fair load themselves.
+        // Past the set, only workers at or below the fair load are candidates.
         if member || load <= fleet.fair {
             search.add_candidate(candidate, member, warm);
         }
     }
 
-    /// Whether a worker is passed over: the more often the higher its outlier score.
+    /// Whether to skip a worker; the probability increases with its outlier score.
     fn skips_outlier(&mut self, now: f64, worker: usize) -> bool {
         let trust_score = 1.0 - self.workers[worker].ejection_probability(now);
         trust_score < 1.0 && self.random.uniform() > trust_score.powi(3)
     }
 
-    /// Chooses among what was found.
+    /// Chooses the target and the worker to load at from the search result.
     pub(crate) fn choose(&self, fleet: &FleetLoad, search: &Search) -> Choice {
         let &Search { least_loaded: any, past_set: past, member_overloaded, with_instance, loading, .. } =
             search;
@@ -279,11 +281,11 @@
         let load_candidate = if above { past.or(any) } else { any };
         let warm_past = search.past_set_warm.filter(|_| above);
         let warm = if above { warm_past.or(search.least_loaded_warm) } else { search.least_loaded_warm };
-        // A request starts a load only in the set, and where no instance is or is being loaded: rejected by a
-        // full home, it would start loads at one worker after the other.
+        // A request starts a load only inside the set, and only if no instance is loaded or loading. Otherwise a
+        // request that a full home worker rejects would start loads on one worker after another.
         let can_request_loads = self.load_requests.is_supported();
         let target = match warm.or(warm_past) {
-            // An instance past the set, as after it shrank, is used while the home loads one.
+            // An instance past the set, left over after the set shrank, is used while the home worker loads one.
             None if with_instance > 0 && can_request_loads => loading.or(search.past_set_warm),
             None => any,
             found if can_request_loads => found,
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,113 +1,112 @@
-//! Configuration: what a deployment states when a router starts. Times are seconds, memory is in MB.
+//! Configuration of a router, given at its start. Times are in seconds, memory is in MB.
 
-/// How harmful it is to run a request twice.
+/// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Idempotent: it may run again.
+    /// May run again at any time.
     Idempotent,
-    /// Idempotent by its key: the workers of one group recognise a repeat.
+    /// May run again with the same idempotency key: the workers of the key's scope recognize the repeat.
     IdempotentWithKey {
-        /// The workers among which the key is known.
+        /// The workers that recognize the key.
         scope: KeyScope,
-        /// Seconds for which it is known there.
+        /// Seconds for which those workers remember a key.
         retention: f64,
     },
-    /// Not idempotent: it must never run twice.
+    /// Must never run twice.
     NonIdempotent,
 }
 
-/// The workers among which an idempotency key is known.
+/// The workers that recognize an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum KeyScope {
     /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
-/// A kind of request.
+/// A class of requests with the same objective and idempotency.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// Latency objective: seconds within which an answer is wanted.
+    /// Latency objective, in seconds.
     pub latency_objective: f64,
-    /// How harmful a repeat is.
+    /// Whether requests may be repeated.
     pub idempotency: Idempotency,
 }
 
-/// A budget of actions, over all routers, that grows with the requests that arrive.
+/// A budget of actions, shared by all routers, that grows with the requests that arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestBudget {
-    /// Seconds of the sliding window in which actions and requests count.
+    /// Length in seconds of the sliding window in which actions and requests are counted.
     pub window: f64,
-    /// Actions that are free in the window.
+    /// Actions in the window that need no requests.
     pub free: f64,
-    /// Actions that each request earns.
+    /// Further actions that each request in the window allows.
     pub earned_per_request: f64,
 }
 
 /// Configuration of a router.
 #[derive(Clone, Debug)]
 pub struct PolicyConfig {
-    /// Seed of the router's random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Routers that share the workers, this one included.
+    /// Number of routers that share the workers, including this one.
     pub routers: usize,
-    /// Kinds of requests, by index.
+    /// Request profiles, by index.
     pub profiles: Vec<Profile>,
-    /// Requests a second, over all routers, within the share of each client group.
+    /// Quota of each client group over all routers, in requests per second.
     pub quotas: Vec<f64>,
-    /// Requests a second, over all routers, that may be sent at all for each client group; infinite where it
-    /// is not limited.
+    /// Rate limit of each client group over all routers, in requests per second; infinite if unlimited.
     pub rate_limits: Vec<f64>,
-    /// Retry budget; unlimited where there is none.
+    /// Retry budget; `None` is unlimited.
     pub retry_budget: Option<RequestBudget>,
-    /// Attempts in flight at one worker, over all routers; infinite where they are not limited.
+    /// Maximum attempts in flight at one worker over all routers; infinite if unlimited.
     pub max_in_flight: f64,
-    /// The weight of a request beyond its client group's share, 0 to 1.
+    /// Weight of a request over its client group's quota, 0 to 1. Below 1 such requests are shed first.
     pub over_quota_weight: f64,
-    /// Attempts that a request may have.
+    /// Maximum attempts per request.
     pub max_attempts: usize,
-    /// An attempt in flight can be cancelled.
+    /// Attempts in flight can be cancelled.
     pub can_cancel: bool,
-    /// Load and unload requests are possible.
+    /// Workers accept load and unload requests.
     pub can_request_loads: bool,
-    /// A worker without the function answers that it is missing, rather than load it unasked.
+    /// A worker without the function reports that it is missing instead of loading it by itself.
     pub reports_missing_functions: bool,
-    /// Changes of the endpoint list come only on request.
+    /// Changes of the endpoint list are sent only after a watch request.
     pub watches_on_request: bool,
     /// Workers answer health checks.
     pub can_check_health: bool,
-    /// Workers report their load when they answer health checks.
+    /// Answers to health checks contain a load report.
     pub health_checks_report_load: bool,
-    /// Seconds for which the endpoint list is believed after its source was last heard of; infinite where the host hears
-    /// of each change of it.
+    /// Seconds for which the endpoint list is valid after its source was last heard from; infinite if the host learns
+    /// of every change.
     pub list_valid_for: f64,
-    /// A draining worker rejects what is new: a request that it served proves that it does not drain.
+    /// Draining workers reject new requests, so a served request proves that its worker is not draining.
     pub draining_workers_reject: bool,
-    /// Seconds for which a worker's own word that it takes new work is believed once the list is not any more, from when
-    /// it was asked.
+    /// Seconds for which a worker's statement that it takes new work is valid while the list is stale, counted from
+    /// when it was asked.
     pub acceptance_valid_for: f64,
-    /// The longest Retry-After in seconds that clients follow; none where they are not given one.
+    /// The longest Retry-After in seconds that clients follow; `None` if they are not sent one.
     pub max_retry_after: Option<f64>,
-    /// Seconds that an idle instance is kept at least.
+    /// Minimum seconds for which an idle instance is kept.
     pub keep_alive: f64,
-    /// Budget of load requests; unlimited where there is none.
+    /// Budget of load requests; `None` is unlimited.
     pub load_budget: Option<RequestBudget>,
     /// Seconds after which a load request counts as unanswered.
     pub load_request_timeout: f64,
-    /// Slow start: the part of its capacity that a worker has at its start, or more, 0 to 1.
+    /// Slow start: minimum fraction of its capacity that a worker has when it starts, 0 to 1.
     pub initial_capacity: f64,
-    /// Slow start: seconds until it has all of it.
+    /// Slow start: seconds until a worker reaches its full capacity.
     pub warm_up: f64,
-    /// Slow start: a worker that is sent more than this multiple of its present capacity for
-    /// [`overload_window`](Self::overload_window) fails from overload.
+    /// Slow start: a worker fails from overload if it is sent more than this multiple of its current capacity within
+    /// [`overload_window`](Self::overload_window).
     pub overload_multiple: f64,
-    /// Slow start: the window, in seconds, in which what it is sent is counted.
+    /// Slow start: length in seconds of the window in which requests to a worker are counted.
     pub overload_window: f64,
-    /// Memory of each kind of worker, in MB; empty where it is not known.
+    /// Memory of each kind of worker, in MB; empty if unknown.
     pub memory: Vec<f64>,
-    /// The resolution in seconds of the host's timer.
+    /// Resolution of the host's timer, in seconds.
     pub clock_resolution: f64,
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,29 +1,30 @@
-//! Dispatch: the rules that every attempt keeps, and the one place where attempts are sent.
+//! Dispatch: the conditions that every attempt must meet, and the only place where attempts are sent.
 
 use crate::effects::{Budget, Effects};
 use crate::request_state::{Attempt, Request};
 use crate::retry;
 use crate::router_state::RouterState;
 
-/// Why an attempt or a load request that was decided on may not begin.
+/// Why an attempt or a load request may no longer begin after it was decided on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendRefusal {
-    /// The worker drains or is gone by the endpoint list.
+    /// The endpoint list has the worker as draining or gone.
     NotReady,
     /// The endpoint list is stale, and the worker has not proved recently that it takes new work.
     Unproven,
-    /// The rate limit of its client group admitted the request too long ago.
+    /// The request's admission under its client group's rate limit has expired.
     AdmissionLapsed,
-    /// An attempt may have run so long ago that its idempotency key is no longer known.
+    /// An earlier attempt may have run so long ago that workers no longer know its idempotency key.
     KeyExpired,
-    /// It was decided on too long ago for a worker in slow start.
+    /// The decision is too old for a worker in slow start.
     SlowStart,
     /// Too many attempts are in flight at the worker.
     InFlightLimit,
 }
 
 impl RouterState {
-    /// Whether a worker may get new work now: it is ready by the list, and where the list is stale by its own word.
+    /// Whether a worker may get new work now: the endpoint list has it as ready, and if the list is stale, the worker
+    /// has proved that it takes new work.
     pub(crate) fn may_get_work(&self, now: f64, worker: usize) -> Result<(), SendRefusal> {
         match self.workers.get(worker) {
             Some(worker) if worker.is_ready() && self.staleness.allows(now, worker) => Ok(()),
@@ -32,14 +33,13 @@
         }
     }
 
-    /// Whether so many attempts of this router may be in flight at a worker, by its part of the limit on all
-    /// routers.
+    /// Whether this router may have `in_flight` attempts at a worker, by its share of the limit for all routers.
     fn within_in_flight_limit(&self, now: f64, worker: usize, in_flight: usize) -> bool {
         self.max_in_flight.is_infinite()
             || in_flight as f64 <= self.budgets.allowed(now, Budget::InFlight(worker), self.max_in_flight)
     }
 
-    /// Whether a request may have one more attempt, on some worker.
+    /// Whether a request may have another attempt on any worker.
     pub(crate) fn may_attempt_again(&self, now: f64, id: usize) -> bool {
         self.requests.get(id).is_some_and(|request| {
             let idempotency = self.profiles[request.profile].idempotency;
@@ -58,14 +58,14 @@
         self.admission.within_rate_limit(now, request, &mut self.budgets, &mut self.random)
     }
 
-    /// Whether a request may have one more attempt by the retry budget.
+    /// Whether the retry budget allows another attempt of a request.
     pub(crate) fn within_retry_budget(&mut self, now: f64, id: usize) -> bool {
         let first = self.requests.get(id).is_none_or(|request| request.attempts.is_empty());
         self.retry.within_retry_budget(now, first, &mut self.budgets)
     }
 
-    /// Whether a request may have an attempt at a worker: number, time, idempotency, endpoint state, slow
-    /// start, in-flight limit. What the worker has to prove while the list is stale is left to the caller.
+    /// Whether a request may have an attempt at a worker, by number of attempts, time, idempotency, endpoint state,
+    /// slow start and in-flight limit. Callers check the proof that is required while the list is stale.
     pub(crate) fn may_attempt(&mut self, now: f64, id: usize, worker: usize) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let idempotency = self.profiles[request.profile].idempotency;
@@ -88,9 +88,9 @@
         allowed && !over_limit
     }
 
-    /// Sends an attempt, where that is allowed.
+    /// Sends an attempt if it is allowed.
     pub(crate) fn send_attempt(&mut self, now: f64, id: usize, worker: usize, host: &mut dyn Effects) {
-        /// Times its mean that a load may take before it is taken to have failed.
+        /// Multiple of the mean load time after which a load is assumed to have failed.
         const MAX_LOAD_MULTIPLE: f64 = 4.0;
         if !self.may_attempt(now, id, worker) || self.may_get_work(now, worker).is_err() {
             return;
@@ -123,9 +123,9 @@
         host.send_attempt(id, worker, request.deadline);
     }
 
-    /// Whether an attempt that was decided before may begin now: by its worker's state, its rate limit, its
-    /// idempotency key, the in-flight limit, and at a worker in slow start by the time since, as decisions of a longer
-    /// time would all count in one window there.
+    /// Whether an attempt that was decided on earlier may begin now, by its worker's state, its admission, its
+    /// idempotency key and the in-flight limit. At a worker in slow start the decision must also be recent: delayed
+    /// attempts of several slots would otherwise all fall into one window.
     pub(crate) fn may_begin(&self, now: f64, id: usize, worker: usize) -> Result<(), SendRefusal> {
         self.may_get_work(now, worker)?;
         if let Some(request) = self.requests.get(id) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Whether an attempt waited for its connection for longer than a turn of its worker's slow start.
+    /// Whether an attempt has waited for its connection for longer than one slot of its worker's slow start.
     fn is_too_late_for_slow_start(&self, now: f64, request: &Request, worker: usize) -> bool {
         let is_late = |attempt: &Attempt| {
             attempt.in_flight
--- a/crates/policy/src/effects.rs
+++ b/crates/policy/src/effects.rs
@@ -1,42 +1,43 @@
-//! What the decisions ask for: the calls that a router makes on its host. Times are seconds; workers,
-//! functions and requests are small indices that the host hands out.
+//! The calls that a router makes on its host. Times are in seconds; workers, functions and requests are small indices
+//! that the host assigns.
 
-/// The effects of a router on its surroundings. None of these calls returns a result; results come back as
-/// events of the [`Router`](crate::router::Router).
+/// The actions that a router requests from its host. No call returns a result; results are reported as events of the
+/// [`Router`](crate::router::Router).
 pub trait Effects {
-    /// Sends one more attempt of a request; it is abandoned at `until`, a time of the router's clock.
+    /// Sends another attempt of a request; it is abandoned at `until`, a time of the router's clock.
     fn send_attempt(&mut self, request: usize, worker: usize, until: f64);
-    /// Cancels an attempt that is in flight, by its index among those of the request.
+    /// Cancels an attempt in flight, given by its index within the request.
     fn cancel_attempt(&mut self, request: usize, attempt: usize);
-    /// Final answer: rejected, and nothing has run. `retry_after` is the Retry-After in seconds.
+    /// Sends the final response: the request is rejected and had no effect. `retry_after` is the Retry-After in
+    /// seconds.
     fn reject(&mut self, request: usize, retry_after: Option<f64>);
-    /// Final answer: failed, with no promise about effects.
+    /// Sends the final response: the request failed and may have had an effect.
     fn fail(&mut self, request: usize);
-    /// Requests that at least `instances` instances of the function be loaded on the worker; 0 only asks how
-    /// many there are.
+    /// Asks a worker to load the function until it has at least `instances` instances; 0 only queries how many it
+    /// has.
     fn request_load(&mut self, worker: usize, function: usize, instances: u8);
-    /// Requests that the idle instances of the function on the worker be unloaded.
+    /// Asks a worker to unload its idle instances of the function.
     fn unload(&mut self, worker: usize, function: usize);
-    /// Sends a health check, which a load report answers.
+    /// Sends a health check; a load report may come with the answer.
     fn check_health(&mut self, worker: usize);
-    /// Asks for a call of [`woken`](crate::router::Router::timer_fired) after so many seconds.
+    /// Schedules a call of [`timer_fired`](crate::router::Router::timer_fired) after `after` seconds.
     fn wake_after(&mut self, after: f64);
     /// Asks the registry to send changes of the endpoint list from now on.
     fn watch_endpoints(&mut self);
-    /// The router will not name this request again; its index may be given to another.
+    /// The router no longer refers to this request; the host may reuse its index.
     fn release_request(&mut self, request: usize);
-    /// The router knows nothing of this function any more; its index may be given to another.
+    /// The router no longer keeps state of this function; the host may reuse its index.
     fn release_function(&mut self, function: usize);
-    /// Something was not done for want of a budget that all routers share.
+    /// An action was not taken because a budget shared by all routers is exhausted.
     fn budget_exhausted(&mut self, _budget: Budget) {}
 }
 
-/// A budget that all routers share, of which each has a part.
+/// A budget shared by all routers, of which each router has a share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
-    /// Requests a second of a client group within its share, by the group's index.
+    /// Requests per second within a client group's quota, by the group's index.
     Quota(usize),
-    /// Requests a second of a client group that may be sent at all, by the group's index.
+    /// Requests per second within a client group's rate limit, by the group's index.
     RateLimit(usize),
     /// Load requests that are free within their window.
     LoadRequests,
