--- a/crates/policy/src/effects.rs
+++ b/crates/policy/src/effects.rs
@@ -8,8 +8,8 @@
     fn send_attempt(&mut self, request: usize, worker: usize, until: f64);
     /// Cancels an attempt in flight, given by its index within the request.
     fn cancel_attempt(&mut self, request: usize, attempt: usize);
-    /// Sends the final response: the request is rejected, and repeating it is harmless. `retry_after` is the Retry-After
-    /// in seconds.
+    /// Sends the final response: the request is rejected, and repeating it is harmless. `retry_after` is the
+    /// Retry-After in seconds.
     fn reject(&mut self, request: usize, retry_after: Option<f64>);
     /// Sends the final response: the request failed and may have had an effect.
     fn fail(&mut self, request: usize);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,7 +13,7 @@
 //! | `hash_ring`, `worker_set`, `overload` | which workers serve a function, and how much load each takes |
 //! | `slow_start`, `throughput`, `outlier_detection`, `health_check` | capacity and health of workers |
 //! | `list_staleness`, `acceptance` | which workers get new work while the endpoint list is stale |
-//! | `retry`, `load_requests`, `fleet_budgets`, `rate_limiter` | limits on retries and load requests, and shared budgets |
+//! | `retry`, `load_requests`, `fleet_budgets`, `rate_limiter` | limits on retries and load requests, shared budgets |
 //! | `worker_state`, `function_state`, `request_state`, `decay`, `random` | data |
 
 mod acceptance;
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,11 +1,11 @@
-//! The events that a router is notified of, and the order of the stages. A host (see [`Effects`]) calls the
-//! router as things happen: `update_endpoint` and `end_list` for the endpoint list, `request_arrived`,
-//! `attempt_ended` and `close_request` for requests, `load_request_ended` and `health_check_ended` for what
-//! it asked of workers, and `timer_fired` for time. The router acts through the `Effects` passed in.
+//! The events that a router receives, and the order of the stages. A host (see [`Effects`]) calls the router as
+//! events happen: `update_endpoint` and `end_list` for the endpoint list, `request_arrived`, `attempt_ended` and
+//! `close_request` for requests, `load_request_ended` and `health_check_ended` for answers of workers, and
+//! `timer_fired` for time. The router acts through the `Effects` that are passed in.
 //!
-//! A request passes the stages admission, placement and dispatch; each passes it on, queues it or ends it.
-//! The result of an attempt is recorded on its worker and its function, and ends the request or sends it
-//! through the stages again.
+//! A request goes through the stages admission, placement and dispatch; each passes it on, queues it or ends it. The
+//! result of an attempt is recorded on its worker and its function, and ends the request or sends it through the
+//! stages again.
 
 use crate::admission;
 use crate::config::{Idempotency, KeyScope, PolicyConfig};
@@ -19,21 +19,21 @@
 use crate::router_state::RouterState;
 use std::collections::BTreeMap;
 
-/// The decisions of one router: a core without I/O, clock or threads. Times are seconds of one monotonic
-/// clock of the host's.
+/// The decisions of one router, without I/O, clock or threads. Times are in seconds of one monotonic clock of the
+/// host.
 pub struct Router {
     state: RouterState,
-    /// Requests that are not released yet, in order of arrival, and those of them that wait for a worker.
+    /// Requests that are not released yet, in order of arrival, and those of them that are queued for a worker.
     open: Vec<usize>,
     queued: Vec<usize>,
-    /// When the host was asked to wake the router next.
+    /// When the router has asked to be woken next.
     wake_at: f64,
-    /// When the endpoint list is requested again, after that failed.
+    /// When to request the endpoint list again after its watch failed.
     next_watch_at: f64,
 }
 
 impl Router {
-    /// A router at its start.
+    /// Creates a router at its start.
     pub fn new(config: PolicyConfig, now: f64, host: &mut dyn Effects) -> Self {
         if config.watches_on_request {
             host.watch_endpoints();
@@ -47,29 +47,29 @@
         }
     }
 
-    /// Sets how many routers there likely are, and the fraction of its configured part of budgets that this
-    /// one may use: the first until a time, and the second from then on. Until it is called the configured
-    /// number of routers holds.
+    /// Sets the estimated number of routers, and the fraction of its configured share of each budget that this router
+    /// may use: the first value before `until`, the second from then on. Until the first call, the configured number
+    /// of routers applies.
     pub fn set_quota_fraction(&mut self, routers: f64, quota_fraction: [f64; 2], until: f64) {
         self.state.routers = routers.max(1.0);
         let [before, after] = quota_fraction;
         self.state.budgets.set_quota_fraction(Step { before, after, until });
     }
 
-    /// Sets what this router may use of a budget beside its own part, in the budget's units: the first until
-    /// a time, and the second from then on. Either may be negative.
+    /// Sets what this router may use of a budget beyond its own share, in the budget's units: the first value before
+    /// `until`, the second from then on. Either may be negative.
     pub fn set_lease(&mut self, budget: Budget, lease: [f64; 2], until: f64) {
         let [before, after] = lease;
         self.state.budgets.set_lease(budget, Step { before, after, until });
     }
 
-    /// Sets the concurrency of functions at other routers, by name; functions that are not named have none.
+    /// Sets the concurrency of functions at other routers, by name hash; functions that are missing have none.
     pub fn set_remote_concurrency(&mut self, now: f64, concurrency: &BTreeMap<u64, f64>) {
         self.state.remote_reported_at = now;
         self.state.functions.set_remote_concurrency(concurrency);
     }
 
-    /// The concurrency of functions at this router, by name.
+    /// The concurrency of functions at this router, by name hash.
     pub fn local_concurrency(&self, now: f64) -> impl Iterator<Item = (u64, f64)> {
         self.state.functions.iter().map(move |f| (f.name, f.local_concurrency(now)))
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// An endpoint of the list, new or changed. [`end_list`](Self::end_list) ends a list.
+    /// Adds or changes an endpoint of the list. Call [`end_list`](Self::end_list) after the last one.
     pub fn update_endpoint(&mut self, endpoint: EndpointUpdate) {
         let memory = self.state.worker_memory.get(endpoint.kind).copied().unwrap_or(f64::INFINITY);
         if self.state.workers.update(&endpoint, memory) {
@@ -91,12 +91,12 @@
         }
     }
 
-    /// A complete list begins: endpoints that are not in it are gone.
+    /// Begins a complete list: endpoints that are not in it are gone.
     pub fn begin_full_list(&mut self) {
         self.state.workers.begin_full_list();
     }
 
-    /// All endpoints of a list, or of a change of it, have been given.
+    /// Ends a list, or a change of it, after all its endpoints were passed.
     pub fn end_list(&mut self, now: f64, host: &mut dyn Effects) {
         let workers = &self.state.workers;
         let ready = (0..workers.len()).filter(|&w| workers[w].is_ready());
@@ -104,7 +104,8 @@
         self.retry_queued(now, host);
     }
 
-    /// The registry did not answer, or ended the watch of its list: it is requested again after a moment.
+    /// The registry did not answer or ended the watch of the endpoint list: the list is requested again after a
+    /// delay.
     pub fn watch_failed(&mut self, now: f64, host: &mut dyn Effects) {
         if self.state.watches_on_request {
             self.next_watch_at = now + 0.5 + self.state.random.uniform();
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A request arrived, with an index that no other unreleased request has.
+    /// A request arrived. Its index must differ from those of all requests that are not released.
     pub fn request_arrived(&mut self, now: f64, id: usize, arrival: Arrival, host: &mut dyn Effects) {
         let state = &mut self.state;
         state.load_requests.request_arrived(now);
@@ -154,8 +155,8 @@
         self.queued.last() != Some(&id)
     }
 
-    /// Admission, then placement: a request for which no worker has capacity is queued while an answer can
-    /// still be in time.
+    /// Admission, then placement. A request for which no worker has capacity is queued while an answer can still be
+    /// in time.
     fn admit(&mut self, now: f64, id: usize, blocked: bool, host: &mut dyn Effects) -> Decision {
         let state = &mut self.state;
         if !state.may_attempt_again(now, id)
@@ -181,54 +182,57 @@
         }
     }
 
-    /// Whether an attempt that [`Effects::send_attempt`] asked for before may begin now, when its connection is up.
+    /// Whether an attempt requested earlier by [`Effects::send_attempt`] may begin now that its connection is
+    /// established.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// Returns why the attempt may not begin.
     pub fn may_send(&self, now: f64, id: usize, worker: usize) -> Result<(), SendRefusal> {
         self.state.may_begin(now, id, worker)
     }
 
-    /// Whether a load request that [`Effects::request_load`] asked for before may begin now.
+    /// Whether a load request issued earlier by [`Effects::request_load`] may begin now.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// Returns why the load request may not begin.
     pub fn may_request_load(&self, now: f64, worker: usize) -> Result<(), SendRefusal> {
         self.state.may_get_work(now, worker)
     }
 
-    /// The endpoint list was current at a time, now or past: its source was heard of after all that it had reported.
+    /// The endpoint list was current at `at`, now or in the past: its source was heard from after everything it had
+    /// reported.
     pub fn list_confirmed(&mut self, at: f64) {
         self.state.staleness.confirmed(at);
     }
 
-    /// Whether workers may have changed without the endpoint list, as its source has been silent for too long.
+    /// Whether workers may have changed without an update of the endpoint list, because its source has been silent
+    /// too long.
     pub fn list_is_stale(&self, now: f64) -> bool {
         self.state.staleness.is_stale(now)
     }
 
-    /// Seconds since the endpoint list was known to be current; infinite before it first was.
+    /// Seconds since the endpoint list was known to be current; infinite before the first confirmation.
     pub fn list_age(&self, now: f64) -> f64 {
         self.state.staleness.age(now)
     }
 
-    /// Ready workers by the list that get no new work now, as the list is stale and they have not proved that they take
-    /// any.
+    /// Number of workers that are listed as ready but get no new work now, because the list is stale and they have
+    /// not proved that they take any.
     pub fn unproven_workers(&self, now: f64) -> usize {
         let state = &self.state;
         state.workers.iter().filter(|w| w.is_ready() && !state.staleness.allows(now, w)).count()
     }
 
-    /// A worker answered on a connection that was made then, whatever it answered.
+    /// A worker answered anything on a connection that was made at `connected_at`.
     pub fn worker_answered(&mut self, now: f64, worker: usize, connected_at: f64) {
         if worker < self.state.workers.len() {
             self.state.workers[worker].acceptance.answered(now, connected_at);
         }
     }
 
-    /// An attempt ended: it is recorded, and its request ends or is placed again.
+    /// An attempt ended: its result is recorded, and its request ends or is placed again.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -255,7 +259,7 @@
         self.retry_queued(now, host);
     }
 
-    /// The client has gone, has its answer, or gets it streamed by the attempt `streaming`: other attempts are
+    /// The client left, has its response, or receives it as a stream from the attempt `streaming`: other attempts are
     /// cancelled.
     pub fn close_request(&mut self, id: usize, streaming: Option<usize>, host: &mut dyn Effects) {
         let Some(request) = self.state.requests.get_mut(id) else { return };
@@ -269,7 +273,7 @@
         self.release_if_done(id, host);
     }
 
-    /// Releases a request that has its answer, once no attempt of it is in flight.
+    /// Releases a closed request once none of its attempts is in flight.
     fn release_if_done(&mut self, id: usize, host: &mut dyn Effects) {
         if self
             .state
@@ -286,7 +290,7 @@
         }
     }
 
-    /// Gives the final answer of a request that cannot be served: rejected where a repeat is harmless, else
+    /// Sends the final response of a request that cannot be served: rejected if a repeat is harmless, otherwise
     /// failed.
     fn reject_or_fail(&mut self, id: usize, host: &mut dyn Effects) {
         let Some(request) = self.state.requests.get(id).filter(|request| request.is_open) else { return };
@@ -305,7 +309,8 @@
 
     /// Places queued requests again.
     fn retry_queued(&mut self, now: f64, host: &mut dyn Effects) {
-        // One that stays queued stands for those behind it that want the same function.
+        // If a request stays queued, later ones of the same function and quota state stay queued without being
+        // placed.
         let mut blocked = Vec::new();
         for id in std::mem::take(&mut self.queued) {
             let Some(request) = self.state.requests.get(id) else { continue };
@@ -319,7 +324,7 @@
         }
     }
 
-    /// A load request was answered, by a worker with so many instances of the function.
+    /// A load request was answered or failed; `instances` is the worker's number of instances of the function.
     pub fn load_request_ended(
         &mut self,
         now: f64,
@@ -341,7 +346,7 @@
         }
         match outcome {
             Outcome::Unreachable => state.workers[worker].record_evidence(now, Evidence::UNREACHABLE),
-            // It has no room, or drains: asked again at once it would reject as often as it can be asked.
+            // The worker has no room or drains. Asked again at once, it would reject as often as it is asked.
             Outcome::Rejected => state.workers[worker].rejected_at.set(now, false),
             Outcome::Failed | Outcome::Succeeded => {
                 state.load_requests.load_ended(now, outcome == Outcome::Succeeded, &mut state.random);
@@ -351,7 +356,7 @@
         self.retry_queued(now, host);
     }
 
-    /// A health check was answered, or was not.
+    /// A health check was answered or failed.
     pub fn health_check_ended(
         &mut self,
         now: f64,
@@ -369,7 +374,7 @@
         self.retry_queued(now, host);
     }
 
-    /// Asks to be woken at a time, unless the host does so before.
+    /// Asks to be woken at `at`, unless the router will be woken earlier.
     fn wake_by(&mut self, now: f64, at: f64, host: &mut dyn Effects) {
         if at < self.wake_at {
             self.wake_at = at;
@@ -377,10 +382,10 @@
         }
     }
 
-    /// The time that [`Effects::wake_after`] asked for has come.
+    /// The time requested by [`Effects::wake_after`] has come.
     pub fn timer_fired(&mut self, now: f64, host: &mut dyn Effects) {
-        /// Seconds between two checks of open requests: short against latency objectives, long against the
-        /// work of one.
+        /// Seconds between checks of open requests: short compared with latency objectives, long compared with the
+        /// cost of a check.
         const INTERVAL: f64 = 0.005;
         if now < self.wake_at - 1e-6 {
             return;
--- a/crates/policy/src/router_state.rs
+++ b/crates/policy/src/router_state.rs
@@ -1,6 +1,6 @@
-//! The state of a router: the workers, functions and requests that it knows, and the components that decide
-//! by them. The stages of a request are methods of it in `placement`, `dispatch` and `attempt_result`; the
-//! events and their order are in `router`.
+//! State of a router: the workers, functions and requests that it knows, and the components that decide by them. Its
+//! methods in `placement`, `dispatch` and `attempt_result` are the stages of a request; `router` has the events and
+//! their order.
 
 use crate::admission::Admission;
 use crate::config::{Idempotency, PolicyConfig, Profile, RequestBudget};
@@ -22,7 +22,7 @@
 /// The state of a router.
 pub(crate) struct RouterState {
     pub(crate) random: Random,
-    /// Routers that share the workers.
+    /// Number of routers that share the workers.
     pub(crate) routers: f64,
     pub(crate) budgets: FleetBudgets,
     pub(crate) profiles: Vec<Profile>,
@@ -38,40 +38,39 @@
     pub(crate) requests: Requests,
     /// Attempts in flight can be cancelled.
     pub(crate) can_cancel: bool,
-    /// A worker without the function answers that it is missing, rather than load it unasked.
+    /// A worker without the function reports that it is missing instead of loading it by itself.
     pub(crate) reports_missing_functions: bool,
-    /// Changes of the endpoint list come only on request.
+    /// Changes of the endpoint list are sent only after a watch request.
     pub(crate) watches_on_request: bool,
     /// Workers answer health checks.
     pub(crate) can_check_health: bool,
-    /// A request that a worker served proves that it takes new work. Where draining workers serve on that is known by
-    /// health checks alone, but without them nothing else is.
+    /// A served request proves that its worker takes new work. If draining workers still serve requests, only health
+    /// checks prove it; without health checks served requests have to count.
     pub(crate) served_requests_prove_acceptance: bool,
-    /// Health checks tell what other routers send.
+    /// Health checks are sent to learn the load of other routers.
     pub(crate) refreshes_load_reports: bool,
-    /// Seconds that an idle instance is kept at least.
+    /// Minimum seconds for which an idle instance is kept.
     pub(crate) keep_alive: f64,
     /// Memory of each kind of worker, in MB.
     pub(crate) worker_memory: Vec<f64>,
-    /// Attempts in flight at a worker that are this router's part of the limit.
+    /// This router's share of the limit on attempts in flight at a worker.
     pub(crate) max_in_flight: f64,
-    /// A request gets its final answer so many seconds before its client gives up: two ticks of the host's
-    /// timer.
+    /// Seconds before the client's timeout by which a request gets its final response: two ticks of the host's timer.
     pub(crate) response_margin: f64,
     /// When other routers' concurrency was last reported.
     pub(crate) remote_reported_at: f64,
-    /// Mean seconds of answers of loaded instances, and of answers that waited for a load.
+    /// Mean latency of answers from loaded instances, and of answers that waited for a load, in seconds.
     pub(crate) latency: f64,
     pub(crate) load_latency: f64,
 }
 
 impl RouterState {
-    /// The state at the start, from the configuration.
+    /// Creates the initial state from the configuration.
     pub(crate) fn new(config: PolicyConfig, now: f64) -> Self {
-        /// The profile of a request that states none: not idempotent.
+        /// The profile of requests if none is configured: not idempotent.
         const DEFAULT_PROFILE: Profile =
             Profile { latency_objective: 1.0, idempotency: Idempotency::NonIdempotent };
-        /// Seconds of rounding of clocks at a window's edge.
+        /// Seconds of clock rounding at the end of a window.
         const EDGE_TOLERANCE: f64 = 1e-5;
         let routers = config.routers.max(1) as f64;
         let own_share = |all: Vec<f64>| all.into_iter().map(|total| total / routers).collect();
@@ -114,7 +113,7 @@
             can_cancel: config.can_cancel,
             reports_missing_functions: config.reports_missing_functions,
             watches_on_request: config.watches_on_request,
-            // One router alone knows what it sends, without health checks.
+            // A single router knows its own load without health checks.
             refreshes_load_reports: config.can_check_health
                 && config.health_checks_report_load
                 && config.routers > 1,
@@ -135,14 +134,14 @@
         worker_set::remote_weight(now, self.remote_reported_at)
     }
 
-    /// Checks the health of a worker that may get no new work before it has proved that it takes some.
+    /// Checks the health of a worker that gets no new work before it has proved that it takes some.
     pub(crate) fn check_acceptance(&mut self, now: f64, worker: usize, host: &mut dyn Effects) {
         if self.can_check_health {
             self.workers[worker].check_health(now, worker, host);
         }
     }
 
-    /// Sends a load request, where that is allowed.
+    /// Sends a load request if it is allowed.
     pub(crate) fn request_load(&mut self, now: f64, request: LoadRequest, host: &mut dyn Effects) {
         if !self.load_requests.is_wanted(now, request, &self.workers, &self.functions) {
             return;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,50 +1,48 @@
-//! Slow start: the requests that a warming worker gets from all routers stay under what it can take in the
-//! configured window. Each router sends its own part, in proportion to the throughput that it measures
-//! itself, so that no router has to know the others.
+//! Slow start: limits the requests that a warming worker gets from all routers to what it can take in the configured
+//! window. Each router sends its own share, in proportion to the throughput that it measures itself, so that no
+//! router needs to know the others.
 //!
-//! Where the settings allow a worker N requests of mean work in the window, it fails from overload at more
-//! than N + 2 √N + 2 (under 30 at N + 3 √N + 3). In the mean all routers together send 0.6 N in four turns,
-//! and 0.75 N at most in a window, which five turns may touch; with connections that come up a turn late 0.9
-//! N.
+//! If the settings allow a worker N requests of mean work in the window, it fails from overload at more than
+//! N + 2 √N + 2 requests (for N below 30, at N + 3 √N + 3). All routers together send 0.6 N on average in four slots,
+//! and at most 0.75 N in a window, which may overlap five slots; with connections that come up one slot late, 0.9 N.
 
 use crate::list_staleness::ListStaleness;
 use crate::random::Random;
 use crate::throughput::Throughput;
 use crate::worker_state::{SlowStartSlot, WorkerTable};
 
-/// Turns of the window, each with its part of the budget; an attempt begins at most one turn after its
-/// decision.
+/// Slots per window, each with its share of the budget. An attempt begins at most one slot after its decision.
 const SLOTS_PER_WINDOW: f64 = 4.0;
 
 /// The configuration of slow start.
 pub(crate) struct SlowStart {
-    /// A worker starts at this part of its capacity or more, and has all of it after so many seconds.
+    /// Minimum fraction of its capacity that a worker starts with, and seconds until it has all of it.
     pub(crate) initial_capacity: f64,
     pub(crate) warm_up: f64,
-    /// Sent more than this multiple of its present capacity for so many seconds, a worker fails from
-    /// overload.
+    /// A worker fails from overload if it is sent more than this multiple of its current capacity within
+    /// `overload_window` seconds.
     pub(crate) overload_multiple: f64,
     pub(crate) overload_window: f64,
 }
 
 impl SlowStart {
-    /// Whether a worker that started then has its full capacity.
+    /// Whether a worker that started at `started_at` has its full capacity.
     pub(crate) fn is_warm(&self, now: f64, started_at: f64) -> bool {
         now - started_at >= self.warm_up
     }
 
-    /// Whether a worker that started then may still fail from overload in slow start: until a window after it is
-    /// warm.
+    /// Whether a worker that started at `started_at` may still fail from overload in slow start, which ends one
+    /// window after it is warm.
     pub(crate) fn is_cold(&self, now: f64, started_at: f64) -> bool {
         now - started_at < self.warm_up + self.overload_window
     }
 
-    /// Seconds of a turn.
+    /// Length of a slot in seconds.
     pub(crate) fn slot_seconds(&self) -> f64 {
         self.overload_window / SLOTS_PER_WINDOW
     }
 
-    /// The throughput of warm workers, in requests a second for a unit of size.
+    /// The throughput of warm workers, in requests per second and unit of size.
     pub(crate) fn rate(
         &self,
         now: f64,
@@ -55,9 +53,9 @@
         throughput.rate(now, workers, |worker| self.is_warm(now, staleness.started_at(now, worker)))
     }
 
-    /// Whether a worker can take one more attempt of this router. In each turn of the window the router sends
-    /// its part of what the worker can take, rounded at random, so that the parts of many routers add up to
-    /// the same as that of one; what is not used in a turn is lost, so that none saves up for a burst.
+    /// Whether a worker can take another attempt of this router. In each slot of the window the router sends its
+    /// share of what the worker can take, rounded at random so that the shares of many routers add up to that of a
+    /// single one. Unused shares expire with their slot, so that they cannot accumulate to a burst.
     pub(crate) fn has_capacity(
         &self,
         now: f64,
@@ -67,7 +65,7 @@
         throughput: &mut Throughput,
         random: &mut Random,
     ) -> bool {
-        /// Part of the limit that is used: work differs from its mean, and measurements lag.
+        /// Fraction of the limit that is used, because work differs from its mean and measurements lag.
         const BUDGET_SHARE: f64 = 0.6;
         let started_at = staleness.started_at(now, &workers[worker]);
         if !self.is_cold(now, started_at) {
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -1,34 +1,32 @@
-//! The throughput of warm workers for their size, as far as this router measures it: a lower bound of their
-//! capacity.
+//! The throughput of warm workers per unit of size, as measured by this router: a lower bound of their capacity.
 
 use crate::decay::{DecayingSum, RATE_HALF_LIFE};
 use crate::worker_state::{Worker, WorkerTable};
 
-/// Half life in seconds of the peak rate: a quiet time or a slow one does not lower the bounds that follow
-/// from it for good.
+/// Half life in seconds of the peak rate. A quiet or slow period does not lower the limits derived from it for good.
 const PEAK_HALF_LIFE: f64 = 30.0;
 
 /// Counts the answers of warm workers.
 #[derive(Default)]
 pub(crate) struct Throughput {
-    /// Answers of warm workers, and the sum of their size times seconds.
+    /// Decaying count of answers from warm workers, and decaying sum of their size times seconds.
     answers: DecayingSum,
     size_time: DecayingSum,
-    /// When the rate was last calculated, the rate, and its decaying peak.
+    /// When the rate was last calculated, that rate, and its decaying peak.
     calculated_at: f64,
     rate: f64,
     peak: DecayingSum,
 }
 
 impl Throughput {
-    /// A worker answered a request.
+    /// Records an answer of a worker.
     pub(crate) fn record_answer(&mut self, now: f64, warm: bool) {
         self.answers.add(now, RATE_HALF_LIFE, f64::from(u8::from(warm)));
     }
 
-    /// Requests a second for each unit of a worker's size, calculated anew ten times a second.
+    /// Requests per second and unit of worker size, recalculated ten times a second.
     pub(crate) fn rate(&mut self, now: f64, workers: &WorkerTable, is_warm: impl Fn(&Worker) -> bool) -> f64 {
-        /// Seconds of the first measurement at the least: the first answers give no rate.
+        /// Minimum seconds of the first measurement: the first answers give no rate.
         const MIN_AGE: f64 = 0.5;
         /// Seconds between two calculations.
         const INTERVAL: f64 = 0.1;
@@ -36,8 +34,8 @@
             return self.rate;
         }
         let size: f64 = workers.iter().filter(|w| w.is_ready() && is_warm(w)).map(|w| w.size).sum();
-        // Over the size of the workers that gave the answers: where half of them are replaced, the rest have
-        // no more capacity.
+        // Uses the size of the workers that gave the answers: if half of the workers are replaced, the rest have no
+        // more capacity than before.
         let since = if self.calculated_at == 0.0 { MIN_AGE } else { now - self.calculated_at };
         self.size_time.add(now, RATE_HALF_LIFE, size * since);
         let rate = if self.size_time.sum > 0.0 {
--- a/crates/policy/src/worker_state.rs
+++ b/crates/policy/src/worker_state.rs
@@ -1,13 +1,11 @@
-//! What is known of each worker: its endpoint, this router's attempts there, and their results. Times are in
-//! seconds.
+//! State of each worker: its endpoint, this router's attempts there, and their results. Times are in seconds.
 
 use crate::acceptance::Acceptance;
 use crate::decay::DecayingSum;
 use crate::events::{EndpointState, EndpointUpdate};
 use std::ops::{Index, IndexMut};
 
-/// When a worker last rejected attempts, apart for those that needed a load and those that met a loaded
-/// instance.
+/// When a worker last rejected attempts, separately for those that needed a load and those to a loaded instance.
 #[derive(Clone, Copy)]
 pub(crate) struct RejectedAt {
     pub(crate) loading: f64,
@@ -15,18 +13,18 @@
 }
 
 impl RejectedAt {
-    /// When it last rejected one of the kind.
+    /// When it last rejected an attempt of this kind.
     pub(crate) fn last(self, warm: bool) -> f64 {
         if warm { self.loaded } else { self.loading }
     }
 
-    /// It rejects one of the kind now.
+    /// Records that it rejects an attempt of this kind now.
     pub(crate) fn set(&mut self, now: f64, warm: bool) {
         *(if warm { &mut self.loaded } else { &mut self.loading }) = now;
     }
 }
 
-/// A turn of the slow-start window of a worker: when it began, and the attempts that may still be sent in it.
+/// A slot of a worker's slow-start window: when it began, and the attempts that may still be sent in it.
 #[derive(Clone, Copy)]
 pub(crate) struct SlowStartSlot {
     pub(crate) began_at: f64,
@@ -37,40 +35,40 @@
     const NONE: Self = Self { began_at: f64::NEG_INFINITY, attempts_left: 0.0 };
 }
 
-/// A worker.
+/// A worker, as far as this router knows it.
 #[derive(Clone)]
 pub(crate) struct Worker {
-    /// A hash of its name that is the same on every router: its place on the hash ring.
+    /// Hash of the worker's name, the same on every router: determines its points on the hash ring.
     pub(crate) name: u64,
     pub(crate) state: EndpointState,
     /// When its process started; minus infinity means long ago.
     pub(crate) started_at: f64,
     pub(crate) size: f64,
-    /// In MB; infinite where it is not known.
+    /// In MB; infinite if unknown.
     pub(crate) memory: f64,
     pub(crate) zone: usize,
     pub(crate) cell: usize,
-    /// This router's attempts in flight there, and those of them that met a loaded instance.
+    /// This router's attempts in flight there, and those of them that were sent to a loaded instance.
     pub(crate) in_flight: usize,
     pub(crate) in_flight_loaded: f64,
-    /// When it last answered anything.
+    /// When it last answered an attempt.
     pub(crate) answered_at: f64,
     pub(crate) rejected_at: RejectedAt,
-    /// Requests of other routers there by its last report; none until it reports.
+    /// Requests of other routers there by its last report; `None` until it reports.
     pub(crate) other_routers_load: Option<f64>,
-    /// Utilization of its cores by that report, 0 to 1; 1 where it does not state it.
+    /// CPU utilization by that report, 0 to 1; 1 if the report does not contain it.
     pub(crate) utilization: f64,
     /// Whether that report counts running requests as well as queued ones.
     pub(crate) counts_running: bool,
-    /// When the last report came.
+    /// When the last report arrived.
     pub(crate) reported_at: f64,
-    /// When a health check was sent that is not answered yet; minus infinity where there is none.
+    /// When the unanswered health check was sent; minus infinity if there is none.
     pub(crate) health_check_sent_at: f64,
-    /// What it stated itself of taking new work.
+    /// Its own statements on whether it takes new work.
     pub(crate) acceptance: Acceptance,
     /// Outlier score, 0 to 1.
     pub(crate) outlier_score: DecayingSum,
-    /// The current turn of its slow-start window.
+    /// The current slot of its slow-start window.
     pub(crate) slow_start_slot: SlowStartSlot,
 }
 
@@ -101,16 +99,15 @@
         self.state == EndpointState::Ready
     }
 
-    /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
-    /// before.
+    /// Updates the worker from an endpoint of the list and the memory of its kind; returns whether it is a new
+    /// process.
     fn update(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
         let started_at = endpoint.started_at.unwrap_or(f64::NEG_INFINITY);
-        // The index was another worker's: nothing of that one holds for this.
+        // The index belonged to another worker, whose state does not apply to this one.
         let is_other_worker = self.name != endpoint.name;
         let is_new_process = is_other_worker || started_at > self.started_at;
         if is_new_process {
-            // A new process: without instances, in slow start, and not responsible for the faults of the old
-            // one.
+            // A new process has no instances, is in slow start, and is not responsible for the faults of the old one.
             self.started_at = started_at;
             self.outlier_score = DecayingSum::default();
             self.other_routers_load = None;
@@ -134,8 +131,7 @@
 }
 
 impl WorkerTable {
-    /// Takes an endpoint of the list, with the memory of its kind; returns whether it is another process than
-    /// before.
+    /// Updates a worker from an endpoint of the list and the memory of its kind; returns whether it is a new process.
     pub(crate) fn update(&mut self, endpoint: &EndpointUpdate, memory: f64) -> bool {
         if endpoint.worker >= self.workers.len() {
             self.workers.resize(endpoint.worker + 1, Worker::UNKNOWN);
@@ -143,7 +139,7 @@
         self.workers[endpoint.worker].update(endpoint, memory)
     }
 
-    /// A complete list begins: endpoints that are not in it are gone.
+    /// Begins a complete list: endpoints that are not in it are gone.
     pub(crate) fn begin_full_list(&mut self) {
         self.workers.iter_mut().for_each(|w| w.state = EndpointState::Gone);
     }
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets that all routers share: what this one may use of them, by its quota fraction and by its leases.
+//! Budgets shared by all routers: what one router may use of them, by its quota fraction and its leases.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-/// Requests that are rejected within so many seconds of a steady stream of twenty a second.
+/// Number of requests rejected during so many seconds of a steady 20 requests per second.
 fn rejected(router: &mut TestRouter, seconds: f64) -> usize {
     let ids: Vec<_> = (0..(20.0 * seconds) as usize)
         .map(|_| {
@@ -42,7 +42,7 @@
     let rejected = rejected(&mut router, 10.0);
     assert!(rejected.abs_diff(expected) <= 8, "{rejected}");
     assert_eq!(router.host.exhausted.contains(&Budget::RateLimit(0)), rejected > 0);
-    // Retry-After states when there are tokens again: a tenth of a second for each request at ten a second, with jitter.
+    // Retry-After gives the time until a token is available: 0.1 s per request at ten per second, with jitter.
     assert!(
         router.host.retry_after.iter().all(|a| a.is_some_and(|a| a > 0.0 && a <= 0.2)),
         "{:?}",
@@ -50,7 +50,7 @@
     );
 }
 
-/// A lease counts until its time, and not a moment longer.
+/// A lease counts until its end and no longer.
 #[test]
 fn a_lease_expires_by_itself() {
     let mut router = router_with_rate_limit(10.0, 1);
@@ -61,7 +61,7 @@
     assert!(after >= 175, "{after} of 200 at two a second");
 }
 
-/// A burst after a quiet time has half a second of the rate limit, however long that time was.
+/// After any idle time, the burst is half a second of the rate limit.
 #[test]
 fn an_idle_client_group_accumulates_at_most_half_a_second_of_its_rate() {
     let mut router = router_with_rate_limit(20.0, 1);
@@ -70,7 +70,8 @@
     assert_eq!(ids.iter().filter(|id| !router.attempts(**id).is_empty()).count(), 10);
 }
 
-/// A process was stopped between deciding an attempt and sending it: by then the rate limit has to admit it anew.
+/// If the process is suspended between deciding on an attempt and sending it, the rate limit must admit the request
+/// again.
 #[test]
 fn an_attempt_admitted_too_long_ago_is_not_sent() {
     let mut router = router_with_rate_limit(20.0, 1);
@@ -97,11 +98,11 @@
     }
     assert_eq!(router.attempts(id).len() - 1, expected);
     assert_eq!(router.router.in_use(router.host.now, Budget::Retries), if expected == 1 { 1.0 } else { 0.0 });
-    // Ended at once rather than queued until its time is over.
+    // Ended at once instead of queued until its deadline.
     assert!(router.has_called(&HostCall::Reject { id }), "{:?}", router.host.calls);
 }
 
-/// Attempts in flight at a worker over all routers: this one has its part, and its lease.
+/// The limit on attempts in flight at a worker applies to all routers: this one has its share and its lease.
 #[test]
 fn attempts_in_flight_at_a_worker_are_limited() {
     let settings =
@@ -116,13 +117,13 @@
     assert!(router.host.exhausted.contains(&Budget::InFlight(0)));
     assert_eq!(router.router.in_use(router.host.now, Budget::InFlight(0)), 2.0);
     router.router.set_lease(Budget::InFlight(0), [-1.0, -1.0], f64::INFINITY);
-    // Sent before, and too many by now: an attempt that has not begun does not begin.
+    // Sent before the lease reduced the limit: an attempt that has not begun yet may no longer begin.
     assert_eq!(router.router.may_send(router.host.now, ids[0], 0), Err(SendRefusal::InFlightLimit));
     router.answer(ids[0], 0, Outcome::NotSent, 0.0);
     assert_eq!(router.router.may_send(router.host.now, ids[1], 0), Ok(()));
 }
 
-/// Budgets that are never exhausted change nothing.
+/// Budgets that are never exhausted change no decision.
 #[test]
 fn a_budget_that_is_never_exhausted_changes_no_decision() {
     let calls_with = |settings: PolicyConfig| {
@@ -181,11 +182,11 @@
     used.collect::<std::collections::BTreeSet<_>>().len()
 }
 
-/// A set is sized by the concurrency that other routers report, rather than by the local one times their number.
+/// A set is sized by the concurrency that other routers report instead of the local one times the number of routers.
 #[test]
 fn a_worker_set_is_sized_by_the_concurrency_of_all_routers() {
     let routers = PolicyConfig { routers: 12, ..config(idempotent()) };
-    // A router without reports takes one request at a time for twelve.
+    // Without reports, a router multiplies its own load by the number of routers.
     let guessed = workers_used(&mut TestRouter::new(routers.clone(), 12), 1, None);
     let reported = workers_used(&mut TestRouter::new(routers.clone(), 12), 1, Some(0.5));
     let with_remote_load = workers_used(&mut TestRouter::new(routers, 12), 1, Some(11.0));
@@ -195,7 +196,7 @@
     );
 }
 
-/// Reports of other routers decay: after some seconds the router's own estimate counts again.
+/// Reports of other routers decay: after some seconds the router's own estimate applies again.
 #[test]
 fn the_concurrency_that_other_routers_reported_decays() {
     let mut router = TestRouter::new(PolicyConfig { routers: 12, ..config(idempotent()) }, 12);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -75,7 +75,7 @@
     Profile { latency_objective: 1.0, idempotency: Idempotency::Idempotent }
 }
 
-/// A plain configuration: one router, one profile, load requests possible, no budgets.
+/// A minimal configuration: one router, one profile, load requests enabled, no budgets.
 pub fn config(profile: Profile) -> PolicyConfig {
     PolicyConfig {
         seed: 7,
@@ -110,7 +110,7 @@
 }
 
 impl TestRouter {
-    /// A router with so many warm workers.
+    /// A router with the given number of warm workers.
     pub fn new(config: PolicyConfig, workers: usize) -> Self {
         let mut host = RecordingHost::default();
         let router = Router::new(config, 0.0, &mut host);
@@ -124,7 +124,7 @@
         self.router.end_list(self.host.now, &mut self.host);
     }
 
-    /// Advances the clock and wakes the router when it asked for it.
+    /// Advances the clock and wakes the router whenever it asked for it.
     pub fn advance(&mut self, seconds: f64) {
         let end = self.host.now + seconds;
         while let Some(&at) = self.host.wakes.iter().min_by(|a, b| a.total_cmp(b)).filter(|&&t| t <= end) {
@@ -177,7 +177,7 @@
         sends.collect()
     }
 
-    /// A request arrives and is answered after so many seconds; returns the worker.
+    /// A request arrives and is answered after `latency` seconds; returns the worker.
     pub fn serve(&mut self, function: usize, latency: f64) -> usize {
         let id = self.arrive(function, 4.0);
         self.advance(latency);
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! One test for each decision, and for each failure that was met in service or on the bench.
+//! One test for each decision, and for each failure found in operation or in benchmarks.
 
 mod common;
 
@@ -54,7 +54,8 @@
 
 #[test]
 fn a_load_that_outlives_its_attempt_is_not_started_on_another_worker() {
-    // Loads that cancelled attempts had started were not remembered, and each next one started on another worker.
+    // Loads started by attempts that were then cancelled were forgotten, and each next attempt started one on another
+    // worker.
     let mut router = TestRouter::new(config(idempotent()), 8);
     let id = router.arrive(0, 1.5);
     router.advance(1.5);
@@ -96,7 +97,7 @@
     let mut router = TestRouter::new(config(idempotent()), 6);
     let home = router.serve(0, 0.1);
     (0..30).for_each(|_| _ = router.serve(0, 0.1));
-    // Its requests end unanswered, after a time that is more than a slow request.
+    // Its requests end unanswered, after longer than a slow request takes.
     router.advance(0.1);
     let unanswered: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
     router.advance(1.5);
@@ -127,7 +128,7 @@
 
 #[test]
 fn an_instance_outside_a_set_that_shrank_is_still_used() {
-    // The set shrank under its only instance, and all requests were rejected as no member had one.
+    // The set shrank and left its only instance outside; all requests were rejected because no member had one.
     let mut router = TestRouter::new(config(idempotent()), 6);
     (0..30).for_each(|_| _ = router.serve(0, 0.01));
     let home = router.attempts(0)[0];
@@ -225,8 +226,9 @@
     assert_eq!(router.attempts(id).contains(&home), is_used);
 }
 
-/// Two requests are queued at a worker, and a request takes less than the time that may pass there. A worker of one core
-/// is overloaded; one of five runs them at once. It was taken for overloaded, too, while its throughput was not known.
+/// Two requests are queued on a worker, and one request takes less than the time that may pass there. A worker of one
+/// core is overloaded, one of five runs them at once. The large one was also treated as overloaded while its
+/// throughput was not known.
 #[test_case(1.0, false; "a small worker")]
 #[test_case(5.0, true; "a large one")]
 fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, is_used: bool) {
@@ -244,8 +246,8 @@
     }
 }
 
-/// Two requests of a function arrive together at one of three hundred routers, as they do at some of them all the time.
-/// Read as hundreds a second they grew its set over a dozen workers, each of which loads it.
+/// Two requests of a function arrive together at one of 300 routers, as constantly happens at some of them. Taken for
+/// hundreds per second, they grew the set over a dozen workers, each of which loaded the function.
 #[test]
 fn a_few_concurrent_arrivals_do_not_grow_the_worker_set() {
     let mut used = std::collections::BTreeSet::new();
@@ -262,7 +264,7 @@
 
 #[test]
 fn load_requests_back_off_after_a_failed_load() {
-    // The store was overloaded by loads that every router started again at once.
+    // The store was overloaded by failed loads that every router restarted at once.
     let mut router =
         TestRouter::new(PolicyConfig { reports_missing_functions: true, ..config(idempotent()) }, 4);
     let report_missing = |router: &mut TestRouter, function| {
@@ -295,14 +297,14 @@
         router.serve(1 + one_off, 0.05);
     }
     let released = &router.host.released_functions;
-    // Those of the last 15 s or so, and of the time that a sweep takes, are still known.
+    // Functions of about the last 15 s, plus the time of a sweep, are still known.
     assert!((150..400).contains(&released.len()), "{} forgotten", released.len());
     assert!(!released.contains(&0));
-    // A function that was released is served as a new one.
+    // A released function is served as a new one.
     router.serve(1, 0.05);
 }
 
-/// The answer to a load request that comes after its function was released would be recorded on another one.
+/// Otherwise the answer to a load request could be recorded on another function that reuses the released index.
 #[test]
 fn a_function_with_a_pending_load_request_is_not_released() {
     let mut router = TestRouter::new(
@@ -323,8 +325,8 @@
     assert!(released_after(&mut router, 50));
 }
 
-/// A client group that waited 0.25 s for an attempt retried at once after each rejection, four times what it had to ask,
-/// while the workers answered in half that time.
+/// Requests of a client group that waits 0.25 s for an attempt were rejected although the workers answered in half that
+/// time. The clients retried at once after each rejection and sent four times as many requests.
 #[test_case(4.0; "a patient client")]
 #[test_case(0.3; "an impatient one, that answers still reach")]
 fn a_worker_that_answers_within_the_client_timeout_gets_the_request(client_timeout: f64) {
@@ -338,7 +340,8 @@
     assert_eq!(router.attempts(id).len(), 1);
 }
 
-/// Queued to the end of its client's own time, which was shorter than the latency objective, it came too late for a retry.
+/// A request that was queued until its client's timeout, which was shorter than the latency objective, was rejected
+/// too late for a retry.
 #[test]
 fn no_request_is_queued_past_half_of_its_own_time_without_an_attempt() {
     let mut router = TestRouter::new(config(idempotent()), 0);
@@ -347,7 +350,7 @@
     assert!(router.has_called(&HostCall::Reject { id }));
 }
 
-/// Bad clients called functions that no worker knows: each failed at four workers, and soon all were outliers.
+/// Clients called functions that no worker knows: each request failed at four workers, and soon all were outliers.
 #[test]
 fn a_function_that_fails_everywhere_does_not_make_workers_outliers() {
     let mut router = TestRouter::new(config(idempotent()), 6);
@@ -364,8 +367,8 @@
     assert!((0..20).all(|_| router.serve(0, 0.1) == home));
 }
 
-/// With a sixth of the workers in slow start, three routers rejected a third of the requests although queues had capacity:
-/// the bound was set for a hundred routers, which see little of what the others send.
+/// With a sixth of the workers in slow start, three routers rejected a third of the requests although queues had
+/// capacity. The limit was set for a hundred routers, each of which sees little of what the others send.
 #[test]
 fn each_of_few_routers_sends_a_worker_more_than_each_of_many() {
     let taken = |routers| {
@@ -380,8 +383,8 @@
     assert!(few > many && many > 0, "{few} and {many}");
 }
 
-/// A worker without room rejects a load request: asked again at once it rejected as often as it was asked, some
-/// thousands of times a second, for as long as a request waited.
+/// A worker without room rejects a load request. When asked again at once, it rejected thousands of load requests per
+/// second for as long as a request waited.
 #[test]
 fn a_rejected_load_request_is_not_repeated_at_once() {
     let mut router =
--- a/crates/policy/tests/random_events.rs
+++ b/crates/policy/tests/random_events.rs
@@ -1,5 +1,5 @@
-//! Any legal order of events: each request has one final answer in its time, nothing is sent after it, and nothing to
-//! endpoints that are draining.
+//! Invariants for any legal order of events: each request has one final response in time, and nothing is sent after
+//! it or to draining endpoints.
 
 mod common;
 
@@ -20,11 +20,11 @@
     Outcome::Cancelled,
 ];
 
-/// What a request has had so far.
+/// What has happened to a request so far.
 struct Request {
     deadline: f64,
     final_answers: usize,
-    /// For each attempt whether it is certain that it never ran.
+    /// For each attempt, whether it certainly did not run.
     never_ran: Vec<bool>,
 }
 
@@ -34,9 +34,9 @@
     router: TestRouter,
     ready: [bool; WORKERS],
     requests: Vec<Request>,
-    /// Attempts by request and index.
+    /// Attempts in flight, by request and index.
     in_flight: Vec<(usize, usize)>,
-    /// Calls of the router that were checked.
+    /// Number of calls of the router that were checked.
     checked: usize,
 }
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -130,7 +130,7 @@
     for n in 0..200 {
         router.serve(n % 60, 0.05 / rate_factor);
     }
-    // A warm worker serves about ten a second times the pace, and an equal one starts.
+    // A warm worker serves about ten requests per second times the rate factor, and an equal worker starts.
     let rate = 10.0 * rate_factor * routers as f64;
     let start = router.host.now;
     router.list(vec![endpoint(9, EndpointState::Ready, Some(start))]);
@@ -143,8 +143,8 @@
     assert!(sent as f64 <= budget * rate * 1.4, "{sent} attempts for a limit of {}", budget * rate);
 }
 
-/// Connections to a worker in slow start that come up late, all at once: attempts that were decided before do not begin
-/// together with those that are decided then.
+/// If connections to a worker in slow start come up late and all at once, attempts that were decided on earlier must
+/// not begin together with those that are decided on then.
 #[test_case(0.25; "a quarter of the window")]
 #[test_case(0.5; "half of the window")]
 #[test_case(1.0; "all of the window")]
@@ -161,19 +161,19 @@
     assert!(most <= limit, "{most} in a window, for {limit:.1} at most");
 }
 
-/// One warm worker that is replaced by one in slow start, whose connections come up late.
+/// A warm worker is replaced by one in slow start whose connections come up late.
 struct LateConnections {
     router: TestRouter,
-    /// When attempts were decided whose connections are not up yet, and their requests.
+    /// Decision time and request of each attempt whose connection is not up yet.
     waiting: Vec<(f64, usize)>,
     /// When attempts began.
     begun: Vec<f64>,
 }
 
 impl LateConnections {
-    /// Requests a second of the warm worker.
+    /// Requests per second of the warm worker.
     const RATE: f64 = 800.0;
-    /// Seconds between arrivals at the other.
+    /// Seconds between arrivals at the cold worker.
     const STEP: f64 = 0.0005;
     const FUNCTIONS: usize = 400;
     const COLD_WORKER: usize = 9;
@@ -191,7 +191,7 @@
         Self { router, waiting: Vec::new(), begun: Vec::new() }
     }
 
-    /// Two windows: in the last `late` seconds of the first no connection comes up, and then all are up.
+    /// Runs for two windows: no connection comes up in the last `late` seconds of the first, and then all are up.
     fn run(mut self, window: f64, late: f64) -> Vec<f64> {
         let up = self.router.host.now + window;
         let mut checked = self.router.host.calls.len();
@@ -246,7 +246,7 @@
     let load_requests = router.load_requests();
     assert!(load_requests.len() > 3);
     for &(at, _) in &load_requests {
-        // An arrival just at the window's edge is out, however its time was rounded.
+        // Arrivals exactly at the end of the window do not count, however their times were rounded.
         let load_request_count =
             load_requests.iter().filter(|&&(t, _)| t <= at && at - t < 5.0 + 1e-6).count() as f64;
         let arrival_count = arrivals.iter().filter(|&&t| t <= at && at - t < 5.0 - 1e-6).count() as f64;
--- a/crates/policy/tests/stale_list.rs
+++ b/crates/policy/tests/stale_list.rs
@@ -1,5 +1,5 @@
-//! What a router sends while the endpoint list is stale: new work goes only to workers that have proved, recently enough,
-//! that they take some.
+//! What a router sends while the endpoint list is stale: new work goes only to workers with recent proof that they
+//! take it.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use milletpath_policy::{EndpointState, Outcome, PolicyConfig, SendRefusal};
 use test_case::test_case;
 
-/// Seconds for which the list is believed in these tests.
+/// Seconds for which the list is valid in these tests.
 const LIST_VALID_FOR: f64 = 2.5;
-/// Seconds for which a worker's word is.
+/// Seconds for which a worker's proof is valid.
 const ACCEPTANCE_VALID_FOR: f64 = 0.5;
-/// Seconds that a health check takes here.
+/// Seconds that a health check takes.
 const ROUND_TRIP: f64 = 0.001;
 
 fn stale_config() -> PolicyConfig {
@@ -23,11 +23,11 @@
     }
 }
 
-/// A router whose list was confirmed at its start, and became stale since.
+/// A router whose list was confirmed at the start and has become stale since.
 fn stale_router(config: PolicyConfig, workers: usize) -> TestRouter {
     let mut router = TestRouter::new(config, workers);
     router.router.list_confirmed(0.0);
-    // So that the mean time of an answer is known.
+    // Makes the mean latency known.
     router.serve(0, 0.02);
     router.advance(LIST_VALID_FOR);
     assert!(router.router.list_is_stale(router.host.now));
@@ -44,7 +44,7 @@
     checks.collect()
 }
 
-/// The check that is out is answered a round trip after it was sent.
+/// Answers the pending health check after a round trip; returns its worker.
 fn answer_check(router: &mut TestRouter, outcome: Outcome) -> usize {
     let worker = *health_checks(router).last().expect("a health check");
     router.advance(ROUND_TRIP);
@@ -122,7 +122,7 @@
     let worker = answer_check(&mut router, Outcome::Succeeded);
     router.advance(0.02);
     router.answer(id, 0, Outcome::Succeeded, 0.02);
-    // Each is sent while the one before it still counts.
+    // Each request is sent while the proof of the previous one is valid.
     for _ in 0..20 {
         router.advance(0.4 * ACCEPTANCE_VALID_FOR);
         assert_eq!(router.serve(0, 0.02), worker);
@@ -150,7 +150,7 @@
     let checked_at = router.host.now;
     let id = router.arrive(0, 4.0);
     let worker = *health_checks(&router).last().expect("a health check");
-    // It is answered late, and the connection for the attempt comes up later still.
+    // It is answered late, and the connection for the attempt comes up even later.
     router.advance(0.02);
     router.router.health_check_ended(router.host.now, worker, Outcome::Succeeded, None, &mut router.host);
     assert_eq!(router.attempts(id), [worker]);
@@ -168,7 +168,7 @@
     let id = router.arrive(7, 10.0);
     let worker = answer_check(&mut router, Outcome::Succeeded);
     assert_eq!(router.attempts(id), [worker]);
-    // Without the function it would be asked to load it, but by now it may drain.
+    // The worker lacks the function and would be asked to load it, but by now it may be draining.
     router.advance(ACCEPTANCE_VALID_FOR);
     router.answer(id, 0, Outcome::NotLoaded, ACCEPTANCE_VALID_FOR);
     assert_eq!(router.load_requests(), []);
@@ -181,12 +181,12 @@
 }
 
 #[test]
-fn a_failed_health_check_revokes_an_earlier_proof() {
+fn a_worker_whose_health_check_fails_gets_no_load_request() {
     let mut router = stale_router(stale_config(), 1);
     let id = router.arrive(0, 4.0);
     let worker = answer_check(&mut router, Outcome::Succeeded);
     router.advance(0.1);
-    // The answer comes late to a check that was sent after the proof.
+    // The list is updated and the proof expires; then the request is rejected and the next health check fails.
     let list = vec![endpoint(worker, EndpointState::Ready, None)];
     router.list(list);
     router.advance(ACCEPTANCE_VALID_FOR);
@@ -195,7 +195,7 @@
     assert_eq!(router.router.may_request_load(router.host.now, worker), Err(SendRefusal::Unproven));
 }
 
-/// Where health checks are not allowed, only workers that go on serving can prove it.
+/// If health checks are not allowed, only workers that continue to serve requests can prove that they take new work.
 #[test]
 fn without_health_checks_only_served_requests_prove_acceptance() {
     let mut router = TestRouter::new(PolicyConfig { can_check_health: false, ..stale_config() }, 4);
@@ -223,8 +223,8 @@
     assert_eq!((router.attempts(id).len(), health_checks(&router)), (1, vec![]));
 }
 
-/// Requests that a router sends in 0.2 s of 1,000 a second to four workers while its list is stale. `reconnects` where
-/// every connection to each of them is younger than the last confirmation of the list.
+/// Number of requests that a router sends to four workers in 0.2 s, out of 1,000 per second, while its list is stale.
+/// With `reconnects`, every connection to the workers is newer than the last confirmation of the list.
 fn requests_sent_while_stale(reconnects: bool) -> usize {
     const REQUESTS: usize = 200;
     let config = PolicyConfig { routers: 12, health_checks_report_load: false, ..stale_config() };
@@ -253,16 +253,16 @@
     sent
 }
 
-/// Every connection to a worker is younger than the last confirmation: it may have restarted, and gets the budget of a
-/// cold worker while the list is stale.
+/// Every connection to a worker is newer than the last confirmation of the list: the worker may have restarted, and
+/// gets the budget of a cold worker while the list is stale.
 #[test]
 fn a_worker_that_may_have_restarted_is_in_slow_start() {
     let (known, restarted) = (requests_sent_while_stale(false), requests_sent_while_stale(true));
     assert!(known > 190 && restarted < known / 2, "{restarted} where {known} are sent");
 }
 
-/// A worker that was declined once takes new work again, while another serves all that comes: it is asked in the
-/// background, no more than once in the time for which a proof holds, and used again.
+/// A worker that declined once takes new work again while another one serves all requests. It is checked in the
+/// background, at most once per validity period of a proof, and used again.
 #[test]
 fn a_worker_that_takes_work_again_is_found_while_another_serves() {
     let mut router = stale_router(stale_config(), 2);
