--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -34,8 +34,8 @@
     router
 }
 
-#[test_case(40.0, 1, 0; "more than asked for")]
-#[test_case(10.0, 1, 95; "half of it")]
+#[test_case(40.0, 1, 0; "above the offered rate")]
+#[test_case(10.0, 1, 95; "half of the offered rate")]
 #[test_case(40.0, 4, 95; "one of four routers")]
 fn a_client_group_is_limited_to_its_rate(rate_limit: f64, routers: usize, expected: usize) {
     let mut router = router_with_rate_limit(rate_limit, routers);
@@ -58,7 +58,7 @@
     router.router.set_lease(Budget::RateLimit(0), [10.0, -8.0], end);
     assert!(rejected(&mut router, 5.0) <= 10);
     let after = rejected(&mut router, 10.0);
-    assert!(after >= 175, "{after} of 200 at two a second");
+    assert!(after >= 175, "{after} of 200 at two per second");
 }
 
 /// After any idle time, the burst is half a second of the rate limit.
@@ -81,9 +81,9 @@
     assert_eq!(router.router.may_send(router.host.now + 0.6, id, worker), Err(SendRefusal::AdmissionLapsed));
 }
 
-#[test_case(None, 3; "no bound")]
+#[test_case(None, 3; "unlimited")]
 #[test_case(Some(RequestBudget { window: 10.0, free: 1.0, earned_per_request: 0.0 }), 1; "one free")]
-#[test_case(Some(RequestBudget { window: 10.0, free: 0.0, earned_per_request: 2.0 }), 2; "two for each request")]
+#[test_case(Some(RequestBudget { window: 10.0, free: 0.0, earned_per_request: 2.0 }), 2; "two per request")]
 #[test_case(Some(RequestBudget { window: 10.0, free: 0.0, earned_per_request: 0.0 }), 0; "none")]
 fn retries_stay_within_their_budget(retries: Option<RequestBudget>, expected: usize) {
     let mut router = TestRouter::new(PolicyConfig { retry_budget: retries, ..config(idempotent()) }, 6);
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -7,7 +7,7 @@
 use test_case::test_case;
 
 #[test_case(2; "few routers")]
-#[test_case(300; "many, of which each sees one arrival")]
+#[test_case(300; "many routers with one arrival each")]
 fn routers_agree_on_the_home_worker_of_a_function(routers: usize) {
     let mut one = TestRouter::new(config(idempotent()), 8);
     let mut other = TestRouter::new(PolicyConfig { seed: 99, routers, ..config(idempotent()) }, 8);
@@ -75,7 +75,7 @@
     assert_eq!(router.attempts(ids[2]), router.attempts(ids[0]));
 }
 
-#[test_case(false; "memory not known")]
+#[test_case(false; "memory unknown")]
 #[test_case(true; "memory full")]
 fn no_instance_is_preloaded_where_memory_is_full(filled: bool) {
     let memory = if filled { vec![120.0] } else { vec![] };
@@ -180,7 +180,7 @@
     let home = router.serve(0, 0.1);
     router.list(vec![endpoint(home, EndpointState::Ready, Some(router.host.now))]);
     let next = router.serve(0, 0.1);
-    assert_ne!(next, home, "it has no capacity yet that is known");
+    assert_ne!(next, home, "the restarted worker has no known capacity yet");
 }
 
 #[test]
@@ -215,7 +215,7 @@
 }
 
 #[test_case(0.99, false; "busy cores")]
-#[test_case(0.3, true; "cores to spare")]
+#[test_case(0.3, true; "idle cores")]
 fn a_worker_that_reports_overload_gets_nothing_from_one_of_many_routers(utilization: f64, is_used: bool) {
     let mut router = TestRouter::new(PolicyConfig { routers: 100, ..config(idempotent()) }, 4);
     let home = router.serve(0, 0.1);
@@ -230,7 +230,7 @@
 /// core is overloaded, one of five runs them at once. The large one was also treated as overloaded while its
 /// throughput was not known.
 #[test_case(1.0, false; "a small worker")]
-#[test_case(5.0, true; "a large one")]
+#[test_case(5.0, true; "a large worker")]
 fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, is_used: bool) {
     for seed in 0..20 {
         let mut router = TestRouter::new(PolicyConfig { seed, routers: 100, ..config(idempotent()) }, 4);
@@ -274,13 +274,13 @@
     };
     let (home, load_requests_before) = report_missing(&mut router, 0);
     router.router.load_request_ended(router.host.now, home, 0, Outcome::Failed, 0, &mut router.host);
-    assert_eq!(report_missing(&mut router, 1).1, load_requests_before, "at once");
+    assert_eq!(report_missing(&mut router, 1).1, load_requests_before, "none at once");
     router.advance(1.0);
-    assert!(router.load_requests().len() > load_requests_before, "later");
+    assert!(router.load_requests().len() > load_requests_before, "one after the backoff");
 }
 
-#[test_case(0.5, true; "little time")]
-#[test_case(4.0, false; "time enough")]
+#[test_case(0.5, true; "short timeout")]
+#[test_case(4.0, false; "long timeout")]
 fn a_load_is_requested_where_its_client_may_not_wait_for_it(client_timeout: f64, requested: bool) {
     let mut router = TestRouter::new(config(idempotent()), 4);
     let id = router.arrive(0, client_timeout);
@@ -298,7 +298,7 @@
     }
     let released = &router.host.released_functions;
     // Functions of about the last 15 s, plus the time of a sweep, are still known.
-    assert!((150..400).contains(&released.len()), "{} forgotten", released.len());
+    assert!((150..400).contains(&released.len()), "{} released", released.len());
     assert!(!released.contains(&0));
     // A released function is served as a new one.
     router.serve(1, 0.05);
@@ -327,8 +327,8 @@
 
 /// Requests of a client group that waits 0.25 s for an attempt were rejected although the workers answered in half that
 /// time. The clients retried at once after each rejection and sent four times as many requests.
-#[test_case(4.0; "a patient client")]
-#[test_case(0.3; "an impatient one, that answers still reach")]
+#[test_case(4.0; "a client with a long timeout")]
+#[test_case(0.3; "a client with a short timeout that answers still meet")]
 fn a_worker_that_answers_within_the_client_timeout_gets_the_request(client_timeout: f64) {
     let mut router = TestRouter::new(config(idempotent()), 1);
     for n in 0..120 {
@@ -399,5 +399,5 @@
     assert_eq!(router.load_requests().len(), 1, "none within 20 ms");
     router.advance(0.5);
     router.arrive(0, 4.0);
-    assert_eq!(router.load_requests().len(), 2, "and again after a while");
+    assert_eq!(router.load_requests().len(), 2, "one more after the pause");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -65,7 +65,11 @@
     router.advance(0.1);
     router.answer(id, 0, outcome, 0.1);
     assert_eq!(router.attempts(id).len(), if is_retried { 2 } else { 1 });
-    assert_eq!(router.has_called(&HostCall::Fail { id }), !is_retried, "what cannot go on ends at once");
+    assert_eq!(
+        router.has_called(&HostCall::Fail { id }),
+        !is_retried,
+        "a request that cannot be retried ends at once"
+    );
 }
 
 #[test_case(KeyScope::Zone; "zone")]
@@ -158,7 +162,7 @@
     let most = begun.iter().map(in_window).max().unwrap_or(0) as f64;
     let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
     assert!(most > 0.4 * allowed, "{most} of {allowed}");
-    assert!(most <= limit, "{most} in a window, for {limit:.1} at most");
+    assert!(most <= limit, "{most} in a window, above the limit of {limit:.1}");
 }
 
 /// A warm worker is replaced by one in slow start whose connections come up late.
--- a/crates/policy/tests/stale_list.rs
+++ b/crates/policy/tests/stale_list.rs
@@ -80,7 +80,7 @@
 
 #[test_case(Outcome::Failed; "it drains")]
 #[test_case(Outcome::TimedOut; "it does not answer")]
-#[test_case(Outcome::Unreachable; "it can't be reached")]
+#[test_case(Outcome::Unreachable; "it is unreachable")]
 #[test_case(Outcome::ConnectionLost; "it resets the connection")]
 fn a_worker_that_fails_its_health_check_gets_nothing_and_another_is_checked(outcome: Outcome) {
     let mut router = stale_router(stale_config(), 4);
@@ -110,7 +110,7 @@
     let mut router = stale_router(stale_config(), 4);
     let id = router.arrive(0, 4.0);
     router.advance(0.05);
-    assert_eq!(health_checks(&router).len(), 2, "one is out, and another is asked");
+    assert_eq!(health_checks(&router).len(), 2, "one is pending, another worker is checked");
     let worker = answer_check(&mut router, Outcome::Succeeded);
     assert_eq!(router.attempts(id), [worker]);
 }
@@ -173,8 +173,8 @@
     router.answer(id, 0, Outcome::NotLoaded, ACCEPTANCE_VALID_FOR);
     assert_eq!(router.load_requests(), []);
     answer_check(&mut router, Outcome::Succeeded);
-    let asked: Vec<_> = router.load_requests().into_iter().map(|(_, worker)| worker).collect();
-    assert_eq!(asked, [worker]);
+    let load_workers: Vec<_> = router.load_requests().into_iter().map(|(_, worker)| worker).collect();
+    assert_eq!(load_workers, [worker]);
     assert_eq!(router.router.may_request_load(router.host.now, worker), Ok(()));
     let late = router.host.now + ACCEPTANCE_VALID_FOR;
     assert_eq!(router.router.may_request_load(late, worker), Err(SendRefusal::Unproven));
@@ -258,7 +258,7 @@
 #[test]
 fn a_worker_that_may_have_restarted_is_in_slow_start() {
     let (known, restarted) = (requests_sent_while_stale(false), requests_sent_while_stale(true));
-    assert!(known > 190 && restarted < known / 2, "{restarted} where {known} are sent");
+    assert!(known > 190 && restarted < known / 2, "{restarted} sent after reconnects, {known} without");
 }
 
 /// A worker that declined once takes new work again while another one serves all requests. It is checked in the
@@ -271,12 +271,12 @@
     answer_check(&mut router, Outcome::Succeeded);
     router.advance(0.02);
     router.answer(id, 0, Outcome::Succeeded, 0.02);
-    let (mut asked, mut served_by_home) = (0, 0);
+    let (mut checks, mut served_by_home) = (0, 0);
     for _ in 0..100 {
         router.host.calls.clear();
         served_by_home += usize::from(router.serve(0, 0.02) == home);
         for worker in health_checks(&router) {
-            asked += usize::from(worker == home);
+            checks += usize::from(worker == home);
             router.router.health_check_ended(
                 router.host.now,
                 worker,
@@ -287,8 +287,8 @@
         }
     }
     assert!(
-        asked >= 1 && f64::from(asked as u32) <= 100.0 * 0.02 / ACCEPTANCE_VALID_FOR + 1.0,
-        "asked {asked} times in 2 s"
+        checks >= 1 && f64::from(checks as u32) <= 100.0 * 0.02 / ACCEPTANCE_VALID_FOR + 1.0,
+        "{checks} checks in 2 s"
     );
     assert!(served_by_home > 50, "{served_by_home} of 100");
 }
