--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! One test for each decision, and for each failure that was met in service or on the bench.
+//! One test for each decision, and for each failure found in operation or in benchmarks.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use test_case::test_case;
 
 #[test_case(2; "few routers")]
-#[test_case(300; "many, of which each sees one arrival")]
+#[test_case(300; "many routers with one arrival each")]
 fn routers_agree_on_the_home_worker_of_a_function(routers: usize) {
     let mut one = TestRouter::new(config(idempotent()), 8);
     let mut other = TestRouter::new(PolicyConfig { seed: 99, routers, ..config(idempotent()) }, 8);
@@ -54,7 +54,8 @@
 
 #[test]
 fn a_load_that_outlives_its_attempt_is_not_started_on_another_worker() {
-    // Loads that cancelled attempts had started were not remembered, and each next one started on another worker.
+    // Loads started by attempts that were then cancelled were forgotten, and each next attempt started one on another
+    // worker.
     let mut router = TestRouter::new(config(idempotent()), 8);
     let id = router.arrive(0, 1.5);
     router.advance(1.5);
@@ -74,7 +75,7 @@
     assert_eq!(router.attempts(ids[2]), router.attempts(ids[0]));
 }
 
-#[test_case(false; "memory not known")]
+#[test_case(false; "memory unknown")]
 #[test_case(true; "memory full")]
 fn no_instance_is_preloaded_where_memory_is_full(filled: bool) {
     let memory = if filled { vec![120.0] } else { vec![] };
@@ -96,11 +97,11 @@
     let mut router = TestRouter::new(config(idempotent()), 6);
     let home = router.serve(0, 0.1);
     (0..30).for_each(|_| _ = router.serve(0, 0.1));
-    // Its requests end unanswered, after a time that is more than a slow request.
+    // Its requests end unanswered, after longer than a slow request takes.
     router.advance(0.1);
-    let held: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
+    let unanswered: Vec<_> = (0..2).map(|_| router.arrive(0, 1.5)).collect();
     router.advance(1.5);
-    held.iter().for_each(|&id| router.answer(id, 0, Outcome::Cancelled, 1.5));
+    unanswered.iter().for_each(|&id| router.answer(id, 0, Outcome::Cancelled, 1.5));
     let next: Vec<_> = (0..10).map(|_| router.arrive(0, 4.0)).collect();
     assert!(next.iter().filter(|&&id| router.attempts(id).contains(&home)).count() <= 1);
 }
@@ -114,10 +115,10 @@
         let id = router.arrive(0, 4.0);
         for attempt in 0..4 {
             let Some(&worker) = router.attempts(id).get(attempt) else { break };
-            let bad = worker == home;
-            sent_to_failing += usize::from(bad);
+            let fails = worker == home;
+            sent_to_failing += usize::from(fails);
             router.advance(0.01);
-            router.answer(id, attempt, if bad { Outcome::Failed } else { Outcome::Succeeded }, 0.01);
+            router.answer(id, attempt, if fails { Outcome::Failed } else { Outcome::Succeeded }, 0.01);
         }
     }
     assert!(sent_to_failing <= 10, "{sent_to_failing} of 40");
@@ -127,7 +128,7 @@
 
 #[test]
 fn an_instance_outside_a_set_that_shrank_is_still_used() {
-    // The set shrank under its only instance, and all requests were rejected as no member had one.
+    // The set shrank and left its only instance outside; all requests were rejected because no member had one.
     let mut router = TestRouter::new(config(idempotent()), 6);
     (0..30).for_each(|_| _ = router.serve(0, 0.01));
     let home = router.attempts(0)[0];
@@ -145,7 +146,7 @@
     let id = router.arrive(0, 4.0);
     let home = router.attempts(id)[0];
     router.answer(id, 0, Outcome::NotLoaded, 0.0);
-    assert!(router.has_called(&HostCall::RequestLoad { worker: home, function: 0, copies: 1 }));
+    assert!(router.has_called(&HostCall::RequestLoad { worker: home, function: 0, instances: 1 }));
     assert_eq!(router.attempts(id), [home]);
     router.advance(0.5);
     router.router.load_request_ended(router.host.now, home, 0, Outcome::Succeeded, 1, &mut router.host);
@@ -170,7 +171,7 @@
     let mut router = TestRouter::new(PolicyConfig { watches_on_request: true, ..config(idempotent()) }, 2);
     router.router.watch_failed(router.host.now, &mut router.host);
     router.advance(3.0);
-    assert_eq!(router.host.calls.iter().filter(|(_, d)| *d == HostCall::WatchEndpoints).count(), 2);
+    assert_eq!(router.host.calls.iter().filter(|(_, call)| *call == HostCall::WatchEndpoints).count(), 2);
 }
 
 #[test]
@@ -179,7 +180,7 @@
     let home = router.serve(0, 0.1);
     router.list(vec![endpoint(home, EndpointState::Ready, Some(router.host.now))]);
     let next = router.serve(0, 0.1);
-    assert_ne!(next, home, "it has no capacity yet that is known");
+    assert_ne!(next, home, "the restarted worker has no known capacity yet");
 }
 
 #[test]
@@ -191,18 +192,18 @@
     router.answer(id + 7, 3, Outcome::ConnectionLost, f64::NAN);
     router.router.close_request(id + 9, None, &mut router.host);
     router.router.load_request_ended(router.host.now, 1, 99, Outcome::TimedOut, 0, &mut router.host);
-    assert_eq!(router.host.forgotten, [id]);
+    assert_eq!(router.host.released_requests, [id]);
 }
 
 #[test_case(true; "answered")]
 #[test_case(false; "not answered")]
-fn one_of_many_routers_probes_a_worker_before_it_joins_an_unknown_queue(answers: bool) {
+fn one_of_many_routers_checks_a_worker_before_it_joins_an_unknown_queue(answers: bool) {
     let mut router =
         TestRouter::new(PolicyConfig { routers: 100, can_check_health: true, ..config(idempotent()) }, 4);
     let id = router.arrive(0, 4.0);
     assert!(router.attempts(id).is_empty());
     let Some((_, HostCall::CheckHealth { worker })) = router.host.calls.last().cloned() else {
-        panic!("no probe")
+        panic!("no health check")
     };
     if answers {
         let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
@@ -214,21 +215,23 @@
 }
 
 #[test_case(0.99, false; "busy cores")]
-#[test_case(0.3, true; "cores to spare")]
-fn a_worker_that_reports_overload_gets_nothing_from_one_of_many_routers(busy: f64, gets: bool) {
+#[test_case(0.3, true; "idle cores")]
+fn a_worker_that_reports_overload_gets_nothing_from_one_of_many_routers(utilization: f64, is_used: bool) {
     let mut router = TestRouter::new(PolicyConfig { routers: 100, ..config(idempotent()) }, 4);
     let home = router.serve(0, 0.1);
-    let report = Some(LoadReport { in_flight: Some(50.0), utilization: Some(busy), ..LoadReport::default() });
+    let report =
+        Some(LoadReport { in_flight: Some(50.0), utilization: Some(utilization), ..LoadReport::default() });
     router.router.health_check_ended(0.1, home, Outcome::Succeeded, report, &mut router.host);
     let id = router.arrive(0, 4.0);
-    assert_eq!(router.attempts(id).contains(&home), gets);
+    assert_eq!(router.attempts(id).contains(&home), is_used);
 }
 
-/// Two requests are queued at a worker, and a request takes less than the time that may pass there. A worker of one core
-/// is overloaded; one of five runs them at once. It was taken for overloaded, too, while its throughput was not known.
+/// Two requests are queued on a worker, and one request takes less than the time that may pass there. A worker of one
+/// core is overloaded, one of five runs them at once. The large one was also treated as overloaded while its
+/// throughput was not known.
 #[test_case(1.0, false; "a small worker")]
-#[test_case(5.0, true; "a large one")]
-fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, gets: bool) {
+#[test_case(5.0, true; "a large worker")]
+fn a_large_worker_is_not_overloaded_by_two_queued_requests(size: f64, is_used: bool) {
     for seed in 0..20 {
         let mut router = TestRouter::new(PolicyConfig { seed, routers: 100, ..config(idempotent()) }, 4);
         router.list(
@@ -239,12 +242,12 @@
             router.router.health_check_ended(0.0, w, Outcome::Succeeded, report, &mut router.host);
         }
         let id = router.arrive(0, 4.0);
-        assert_eq!(!router.attempts(id).is_empty(), gets, "seed {seed}");
+        assert_eq!(!router.attempts(id).is_empty(), is_used, "seed {seed}");
     }
 }
 
-/// Two requests of a function arrive together at one of three hundred routers, as they do at some of them all the time.
-/// Read as hundreds a second they grew its set over a dozen workers, each of which loads it.
+/// Two requests of a function arrive together at one of 300 routers, as constantly happens at some of them. Taken for
+/// hundreds per second, they grew the set over a dozen workers, each of which loaded the function.
 #[test]
 fn a_few_concurrent_arrivals_do_not_grow_the_worker_set() {
     let mut used = std::collections::BTreeSet::new();
@@ -261,28 +264,28 @@
 
 #[test]
 fn load_requests_back_off_after_a_failed_load() {
-    // The store was overloaded by loads that every router started again at once.
+    // The store was overloaded by failed loads that every router restarted at once.
     let mut router =
         TestRouter::new(PolicyConfig { reports_missing_functions: true, ..config(idempotent()) }, 4);
-    let miss = |router: &mut TestRouter, function| {
+    let report_missing = |router: &mut TestRouter, function| {
         let id = router.arrive(function, 4.0);
         router.answer(id, 0, Outcome::NotLoaded, 0.0);
         (router.attempts(id)[0], router.load_requests().len())
     };
-    let (home, orders) = miss(&mut router, 0);
+    let (home, load_requests_before) = report_missing(&mut router, 0);
     router.router.load_request_ended(router.host.now, home, 0, Outcome::Failed, 0, &mut router.host);
-    assert_eq!(miss(&mut router, 1).1, orders, "at once");
+    assert_eq!(report_missing(&mut router, 1).1, load_requests_before, "none at once");
     router.advance(1.0);
-    assert!(router.load_requests().len() > orders, "later");
+    assert!(router.load_requests().len() > load_requests_before, "one after the backoff");
 }
 
-#[test_case(0.5, true; "little time")]
-#[test_case(4.0, false; "time enough")]
-fn a_load_is_requested_where_its_client_may_not_wait_for_it(patience: f64, ordered: bool) {
+#[test_case(0.5, true; "short timeout")]
+#[test_case(4.0, false; "long timeout")]
+fn a_load_is_requested_where_its_client_may_not_wait_for_it(client_timeout: f64, requested: bool) {
     let mut router = TestRouter::new(config(idempotent()), 4);
-    let id = router.arrive(0, patience);
+    let id = router.arrive(0, client_timeout);
     let worker = router.attempts(id)[0];
-    assert_eq!(router.has_called(&HostCall::RequestLoad { worker, function: 0, copies: 1 }), ordered);
+    assert_eq!(router.has_called(&HostCall::RequestLoad { worker, function: 0, instances: 1 }), requested);
 }
 
 /// Functions that are called once would accumulate for as long as a router runs.
@@ -293,51 +296,52 @@
         router.serve(0, 0.05);
         router.serve(1 + one_off, 0.05);
     }
-    let forgotten = &router.host.forgotten_functions;
-    // Those of the last 15 s or so, and of the time that a sweep takes, are still known.
-    assert!((150..400).contains(&forgotten.len()), "{} forgotten", forgotten.len());
-    assert!(!forgotten.contains(&0));
-    // A function that was released is served as a new one.
+    let released = &router.host.released_functions;
+    // Functions of about the last 15 s, plus the time of a sweep, are still known.
+    assert!((150..400).contains(&released.len()), "{} released", released.len());
+    assert!(!released.contains(&0));
+    // A released function is served as a new one.
     router.serve(1, 0.05);
 }
 
-/// The answer to a load request that comes after its function was released would be recorded on another one.
+/// Otherwise the answer to a load request could be recorded on another function that reuses the released index.
 #[test]
 fn a_function_with_a_pending_load_request_is_not_released() {
     let mut router = TestRouter::new(
         PolicyConfig { reports_missing_functions: true, load_request_timeout: 60.0, ..config(idempotent()) },
         2,
     );
-    let forgotten_after = |router: &mut TestRouter, seconds: usize| {
+    let released_after = |router: &mut TestRouter, seconds: usize| {
         for _ in 0..seconds {
             router.arrive(3, 0.4);
             router.advance(1.0);
         }
-        router.host.forgotten_functions.contains(&2)
+        router.host.released_functions.contains(&2)
     };
     let id = router.arrive(2, 0.5);
     (0..4).for_each(|attempt| router.answer(id, attempt, Outcome::NotLoaded, 0.01));
     assert!(!router.load_requests().is_empty());
-    assert!(!forgotten_after(&mut router, 50));
-    assert!(forgotten_after(&mut router, 50));
+    assert!(!released_after(&mut router, 50));
+    assert!(released_after(&mut router, 50));
 }
 
-/// A client group that waited 0.25 s for an attempt retried at once after each rejection, four times what it had to ask,
-/// while the workers answered in half that time.
-#[test_case(4.0; "a patient client")]
-#[test_case(0.3; "an impatient one, that answers still reach")]
-fn a_worker_that_answers_within_its_client_s_time_gets_the_request(patience: f64) {
+/// Requests of a client group that waits 0.25 s for an attempt were rejected although the workers answered in half that
+/// time. The clients retried at once after each rejection and sent four times as many requests.
+#[test_case(4.0; "a client with a long timeout")]
+#[test_case(0.3; "a client with a short timeout that answers still meet")]
+fn a_worker_that_answers_within_the_client_timeout_gets_the_request(client_timeout: f64) {
     let mut router = TestRouter::new(config(idempotent()), 1);
     for n in 0..120 {
         router.serve(n % 10, 0.05);
     }
     let before: Vec<_> = (0..4).map(|function| router.arrive(function, 4.0)).collect();
     assert!(before.iter().all(|&id| router.attempts(id).len() == 1));
-    let id = router.arrive(5, patience);
+    let id = router.arrive(5, client_timeout);
     assert_eq!(router.attempts(id).len(), 1);
 }
 
-/// Queued to the end of its client's own time, which was shorter than the latency objective, it came too late for a retry.
+/// A request that was queued until its client's timeout, which was shorter than the latency objective, was rejected
+/// too late for a retry.
 #[test]
 fn no_request_is_queued_past_half_of_its_own_time_without_an_attempt() {
     let mut router = TestRouter::new(config(idempotent()), 0);
@@ -346,7 +350,7 @@
     assert!(router.has_called(&HostCall::Reject { id }));
 }
 
-/// Bad clients called functions that no worker knows: each failed at four workers, and soon all were outliers.
+/// Clients called functions that no worker knows: each request failed at four workers, and soon all were outliers.
 #[test]
 fn a_function_that_fails_everywhere_does_not_make_workers_outliers() {
     let mut router = TestRouter::new(config(idempotent()), 6);
@@ -363,8 +367,8 @@
     assert!((0..20).all(|_| router.serve(0, 0.1) == home));
 }
 
-/// With a sixth of the workers in slow start, three routers rejected a third of the requests although queues had capacity:
-/// the bound was set for a hundred routers, which see little of what the others send.
+/// With a sixth of the workers in slow start, three routers rejected a third of the requests although queues had
+/// capacity. The limit was set for a hundred routers, each of which sees little of what the others send.
 #[test]
 fn each_of_few_routers_sends_a_worker_more_than_each_of_many() {
     let taken = |routers| {
@@ -379,8 +383,8 @@
     assert!(few > many && many > 0, "{few} and {many}");
 }
 
-/// A worker without room rejects a load request: asked again at once it rejected as often as it was asked, some
-/// thousands of times a second, for as long as a request waited.
+/// A worker without room rejects a load request. When asked again at once, it rejected thousands of load requests per
+/// second for as long as a request waited.
 #[test]
 fn a_rejected_load_request_is_not_repeated_at_once() {
     let mut router =
@@ -395,5 +399,5 @@
     assert_eq!(router.load_requests().len(), 1, "none within 20 ms");
     router.advance(0.5);
     router.arrive(0, 4.0);
-    assert_eq!(router.load_requests().len(), 2, "and again after a while");
+    assert_eq!(router.load_requests().len(), 2, "one more after the pause");
 }
