--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -19,8 +19,8 @@
 const WARM_UP_SECONDS: f64 = 5.0;
 
 /// Seconds that a worker takes at least, and what is added to them on average.
-const MIN_WORK: f64 = 0.01;
-const MEAN_WORK: f64 = 0.05;
+const MIN_SERVICE_TIME: f64 = 0.01;
+const MEAN_EXTRA_SERVICE_TIME: f64 = 0.05;
 
 #[derive(Clone, Copy)]
 struct Workload {
@@ -48,7 +48,7 @@
     random: ChaCha8Rng,
     popularity: Zipf<f64>,
     interval: Exp<f64>,
-    work: Exp<f64>,
+    service_time: Exp<f64>,
     functions: Vec<String>,
     /// Events by microsecond and serial number.
     queue: BTreeMap<(u64, u64), Event>,
@@ -74,7 +74,7 @@
             random: ChaCha8Rng::seed_from_u64(1),
             popularity: Zipf::new(functions as f64, 1.1).expect("a valid distribution"),
             interval: Exp::new(requests_per_second).expect("a valid distribution"),
-            work: Exp::new(1.0 / MEAN_WORK).expect("a valid distribution"),
+            service_time: Exp::new(1.0 / MEAN_EXTRA_SERVICE_TIME).expect("a valid distribution"),
             functions: (0..=functions).map(|n| format!("pack-{n}")).collect(),
             queue: BTreeMap::new(),
             next_serial: 0,
@@ -108,7 +108,7 @@
                 self.schedule(now + interval, Event::Submit);
             }
             for action in actions {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
         }
         let counters = self.dispatcher.counters();
@@ -170,12 +170,12 @@
         LoadReport { in_flight: Some(in_flight), utilization: Some(in_flight / 8.0), ..LoadReport::default() }
     }
 
-    fn carry_out(&mut self, now: f64, action: Action) {
+    fn execute(&mut self, now: f64, action: Action) {
         match action {
             Action::SendAttempt { request, attempt, worker } => {
                 self.in_flight[worker] += 1;
-                let work = MIN_WORK + self.work.sample(&mut self.random);
-                self.schedule(now + work, Event::AttemptEnded { request, attempt, worker });
+                let service_time = MIN_SERVICE_TIME + self.service_time.sample(&mut self.random);
+                self.schedule(now + service_time, Event::AttemptEnded { request, attempt, worker });
             }
             Action::LoadFunction { load_request, instances, .. } => {
                 let load_time = self.random.random_range(0.2..0.6);
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -57,12 +57,12 @@
     /// clock begins; see [`wall_clock_read`](Self::wall_clock_read) for later readings.
     pub fn new(config: &GatewayConfig, unix_time: f64) -> Self {
         // By then every attempt, load request and health check to a worker that is gone has ended.
-        let longest =
+        let max_deadline =
             config.profiles.iter().map(|p| p.deadline).fold(config.policy.load_request_timeout, f64::max);
-        let forget_after = 2.0 * (longest + config.limits.health_check_timeout);
+        let evict_after = 2.0 * (max_deadline + config.limits.health_check_timeout);
         let start_times = StartTimes::new(unix_time);
         let worker_table =
-            WorkerTable::new(&config.worker_kinds, config.policy.seed, start_times, 0, forget_after);
+            WorkerTable::new(&config.worker_kinds, config.policy.seed, start_times, 0, evict_after);
         Self::with_worker_table(config, worker_table, 0.0, 0)
     }
 
@@ -73,12 +73,12 @@
     /// Gives the requests that were open.
     #[must_use = "the client of each open request still waits for a response"]
     pub fn restart(&mut self, config: &GatewayConfig, now: f64) -> Vec<InterruptedRequest<T>> {
-        let worker_table = self.state.worker_table.successor(config.policy.seed);
+        let worker_table = self.state.worker_table.next_generation(config.policy.seed);
         // Past any number that was given out in the event that broke off.
         let serial = self.state.last_serial() + 1;
-        let fresh = Self::with_worker_table(config, worker_table, now, serial);
-        let former = std::mem::replace(self, fresh);
-        let Self { state, quota_fraction, adjustments, worker_adjustments, functions, .. } = former;
+        let replacement = Self::with_worker_table(config, worker_table, now, serial);
+        let previous = std::mem::replace(self, replacement);
+        let Self { state, quota_fraction, adjustments, worker_adjustments, functions, .. } = previous;
         let DispatcherState { requests, counters, load_rate_limit, usage_meters, .. } = state;
         // With the changes that are in force.
         self.functions = functions;
@@ -86,8 +86,8 @@
         self.state.load_rate_limit = load_rate_limit;
         self.state.usage_meters = usage_meters;
         self.state.counters = counters;
-        self.apply_former_quotas(quota_fraction, adjustments);
-        let interrupted: Vec<_> = requests.into_open().map(Request::into_interrupted).collect();
+        self.restore_quotas(quota_fraction, adjustments);
+        let interrupted: Vec<_> = requests.into_open_requests().map(Request::into_interrupted).collect();
         let failed = interrupted.iter().filter(|request| request.may_have_run).count() as u64;
         self.state.counters.failed += failed;
         self.state.counters.rejected += interrupted.len() as u64 - failed;
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -120,16 +120,16 @@
         request: RequestId,
         attempt: usize,
         latency: f64,
-        settled: bool,
+        is_final: bool,
         result: AttemptResult,
     ) {
         let record = self.state.requests.get_mut(request);
-        let settled = settled || record.is_some_and(|record| !record.awaiting_answer);
+        let is_final = is_final || record.is_some_and(|record| !record.awaiting_answer);
         let AttemptResult { outcome, instance_state, concurrent_requests, report, .. } = result;
         let answer = AttemptCompletion {
             attempt,
             outcome,
-            is_final: settled,
+            is_final,
             latency,
             instance_state,
             in_flight_of_function: concurrent_requests,
--- a/crates/dispatcher/src/dispatcher/effects.rs
+++ b/crates/dispatcher/src/dispatcher/effects.rs
@@ -58,7 +58,7 @@
         self.counters.load_requests += 1;
         self.count_demand(Budget::LoadRequests, 1, 0);
         let load_request = self.load_requests.next_id(serial);
-        let deadline = self.now + self.load_timeout;
+        let deadline = self.now + self.load_request_timeout;
         let deadline_timer = self.timers.set(deadline, Timer::LoadRequestDeadline(load_request));
         self.load_requests.insert(serial, LoadRequest { worker, function, deadline_timer });
         let function = self.functions.name(function);
@@ -101,7 +101,7 @@
 
     fn budget_exhausted(&mut self, budget: Budget) {
         // Demand for quotas and concurrency limits is counted where requests come in.
-        let counted_before = matches!(budget, Budget::Quota(_) | Budget::RateLimit(_));
-        self.count_demand(budget, u64::from(!counted_before), 1);
+        let already_counted = matches!(budget, Budget::Quota(_) | Budget::RateLimit(_));
+        self.count_demand(budget, u64::from(!already_counted), 1);
     }
 }
--- a/crates/dispatcher/src/dispatcher/endpoints.rs
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -19,7 +19,7 @@
         }
         self.state
             .worker_table
-            .update(now, complete, entries, |listing| self.router.update_endpoint(listing));
+            .update(now, complete, entries, |endpoint_update| self.router.update_endpoint(endpoint_update));
         self.apply_worker_adjustments();
         self.router.end_list(now, &mut self.state);
         self.report_cancelled_attempts();
--- a/crates/dispatcher/src/dispatcher/quota.rs
+++ b/crates/dispatcher/src/dispatcher/quota.rs
@@ -37,7 +37,7 @@
     }
 
     /// Applies what held before a restart. Adjustments of workers' budgets follow by name, once a list is known again.
-    pub(super) fn apply_former_quotas(
+    pub(super) fn restore_quotas(
         &mut self,
         fraction: Option<QuotaFraction>,
         adjustments: BTreeMap<Budget, QuotaAdjustment>,
--- a/crates/dispatcher/src/dispatcher/request_table.rs
+++ b/crates/dispatcher/src/dispatcher/request_table.rs
@@ -124,7 +124,7 @@
         self.requests.iter().filter(|(_, request)| request.awaiting_answer)
     }
 
-    pub(super) fn into_open(self) -> impl Iterator<Item = Request<T>> {
+    pub(super) fn into_open_requests(self) -> impl Iterator<Item = Request<T>> {
         self.requests.into_records().filter(|request| request.awaiting_answer)
     }
 }
--- a/crates/dispatcher/src/dispatcher/state.rs
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -76,7 +76,7 @@
     serial: u64,
     pub(super) limits: Limits,
     /// Seconds that a load request may take.
-    pub(super) load_timeout: f64,
+    pub(super) load_request_timeout: f64,
     pub(super) load_rate_limit: Option<LoadRateLimit>,
     /// Demand for each budget, counted only once gateways share budgets. Bounded by the budgets of the configuration
     /// and the worker indices.
@@ -99,7 +99,7 @@
             timers: TimerWheel::default(),
             serial,
             limits: config.limits.clone(),
-            load_timeout: config.policy.load_request_timeout,
+            load_request_timeout: config.policy.load_request_timeout,
             load_rate_limit: config.policy.load_budget.map(LoadRateLimit::new),
             usage_meters: None,
             counters: Counters::default(),
--- a/crates/dispatcher/src/dispatcher/timers.rs
+++ b/crates/dispatcher/src/dispatcher/timers.rs
@@ -14,11 +14,11 @@
     pub fn advance(&mut self, now: f64) {
         self.state.now = now;
         while let Some(timer) = self.state.timers.fire(now) {
-            self.timer_fired(now, timer);
+            self.handle_timer(now, timer);
         }
     }
 
-    fn timer_fired(&mut self, now: f64, timer: Timer) {
+    fn handle_timer(&mut self, now: f64, timer: Timer) {
         match timer {
             Timer::Wake => {
                 self.router.timer_fired(now, &mut self.state);
--- a/crates/dispatcher/src/load_rate_limit.rs
+++ b/crates/dispatcher/src/load_rate_limit.rs
@@ -2,11 +2,11 @@
 //! on a load request; until that is sent, a connection may have to be made, and load requests that were decided on ten
 //! seconds apart may be sent closer together.
 
-use milletpath_policy::{RateLimiter as PolicyRateLimit, RequestBudget};
+use milletpath_policy::{RateLimiter, RequestBudget};
 
 /// Seconds by which load requests may come closer together, or further from the requests they count on, between a
 /// write here and its reading on a busy machine.
-const TRANSIT_SECONDS: f64 = 0.05;
+const TIMING_TOLERANCE: f64 = 0.05;
 
 /// A value that changes once, at a known time.
 #[derive(Clone, Copy)]
@@ -27,7 +27,7 @@
 }
 
 pub(crate) struct LoadRateLimit {
-    limit: PolicyRateLimit,
+    limiter: RateLimiter,
     /// This gateway's multiple of the load requests that are free in a window.
     fraction: ExpiringValue,
     /// Load requests that are added to them, or taken from them.
@@ -38,7 +38,7 @@
     /// A limit by the policy's budget of load requests.
     pub(crate) fn new(budget: RequestBudget) -> Self {
         Self {
-            limit: PolicyRateLimit::new(budget, TRANSIT_SECONDS),
+            limiter: RateLimiter::new(budget, TIMING_TOLERANCE),
             fraction: ExpiringValue::constant(1.0),
             adjustment: ExpiringValue::constant(0.0),
         }
@@ -58,22 +58,22 @@
 
     /// Counts a request of a client.
     pub(crate) fn request_arrived(&mut self, now: f64) {
-        self.limit.request_arrived(now);
+        self.limiter.request_arrived(now);
     }
 
     /// Whether a load request may be sent now; counts it if so.
     pub(crate) fn try_send(&mut self, now: f64) -> bool {
-        let free = (self.limit.free * self.fraction.at(now) + self.adjustment.at(now)).max(0.0);
-        let allowed = self.limit.allows(now, free);
+        let free = (self.limiter.free * self.fraction.at(now) + self.adjustment.at(now)).max(0.0);
+        let allowed = self.limiter.allows(now, free);
         if allowed {
-            self.limit.action_done(now);
+            self.limiter.action_done(now);
         }
         allowed
     }
 
     /// Free load requests in use.
     pub(crate) fn in_use(&mut self, now: f64) -> f64 {
-        self.limit.used(now)
+        self.limiter.used(now)
     }
 }
 
--- a/crates/dispatcher/src/timer_wheel.rs
+++ b/crates/dispatcher/src/timer_wheel.rs
@@ -27,7 +27,7 @@
 
 /// A timer, linked into the list of its slot; or a free node, linked by `next` alone.
 struct Node<T> {
-    at_ms: u64,
+    due_ms: u64,
     payload: Option<T>,
     list: usize,
     previous: u32,
@@ -51,7 +51,7 @@
 struct NextSlot {
     level: usize,
     slot: usize,
-    begins_at_ms: u64,
+    starts_at_ms: u64,
 }
 
 /// Timers that each carry a payload. As many nodes are kept as there were timers at a time; whoever sets timers has to
@@ -88,8 +88,8 @@
 
     /// Sets a timer for a time in seconds; one in the past is due at once.
     pub fn set(&mut self, at: f64, payload: T) -> TimerKey {
-        let at_ms = (at.max(0.0) * MS_PER_SECOND - ROUNDING_MS).ceil().min(LATEST_TICK as f64) as u64;
-        let node = self.allocate_node(at_ms, payload);
+        let due_ms = (at.max(0.0) * MS_PER_SECOND - ROUNDING_MS).ceil().min(LATEST_TICK as f64) as u64;
+        let node = self.allocate_node(due_ms, payload);
         self.len += 1;
         self.link(node);
         TimerKey { node, generation: self.nodes[node as usize].generation }
@@ -110,7 +110,7 @@
         if self.lists[DUE_LIST].first != NO_NODE {
             return Some(self.elapsed_ms as f64 / MS_PER_SECOND);
         }
-        self.next_slot().map(|next| next.begins_at_ms as f64 / MS_PER_SECOND)
+        self.next_slot().map(|next| next.starts_at_ms as f64 / MS_PER_SECOND)
     }
 
     /// The payload of one timer that is due by `now`, in seconds; the earliest first.
@@ -122,17 +122,17 @@
                 self.unlink(first);
                 return self.free_node(first);
             }
-            let Some(next) = self.next_slot().filter(|next| next.begins_at_ms <= now_ms) else {
+            let Some(next) = self.next_slot().filter(|next| next.starts_at_ms <= now_ms) else {
                 self.elapsed_ms = self.elapsed_ms.max(now_ms);
                 return None;
             };
-            self.elapsed_ms = self.elapsed_ms.max(next.begins_at_ms);
-            self.empty_slot(next.level, next.slot);
+            self.elapsed_ms = self.elapsed_ms.max(next.starts_at_ms);
+            self.cascade_slot(next.level, next.slot);
         }
     }
 
     /// Moves the timers of a slot whose time has come to lower levels, or to the list of those that are due.
-    fn empty_slot(&mut self, level: usize, slot: usize) {
+    fn cascade_slot(&mut self, level: usize, slot: usize) {
         let list = level * SLOTS_PER_LEVEL as usize + slot;
         let mut node = std::mem::replace(&mut self.lists[list], List::EMPTY).first;
         self.occupied[level] &= !(1 << slot);
@@ -151,21 +151,21 @@
             }
             let shift = SLOT_BITS * level as u32;
             let current = (self.elapsed_ms >> shift) & (SLOTS_PER_LEVEL - 1);
-            let ahead = u64::from(occupied.rotate_right(current as u32).trailing_zeros());
-            let slot = (current + ahead) % SLOTS_PER_LEVEL;
+            let distance = u64::from(occupied.rotate_right(current as u32).trailing_zeros());
+            let slot = (current + distance) % SLOTS_PER_LEVEL;
             let begin = ((self.elapsed_ms >> shift) - current + slot) << shift;
             // A slot behind the current one belongs to the next round of its level.
             let round = if slot < current { SLOTS_PER_LEVEL << shift } else { 0 };
-            Some(NextSlot { level, slot: slot as usize, begins_at_ms: begin + round })
+            Some(NextSlot { level, slot: slot as usize, starts_at_ms: begin + round })
         })
     }
 
     /// Puts a node at the end of the list for its time.
     fn link(&mut self, node: u32) {
-        let list = self.list_for(self.nodes[node as usize].at_ms);
+        let list = self.list_for_time(self.nodes[node as usize].due_ms);
         let last = self.lists[list].last;
-        let linked = &mut self.nodes[node as usize];
-        (linked.list, linked.previous, linked.next) = (list, last, NO_NODE);
+        let linked_node = &mut self.nodes[node as usize];
+        (linked_node.list, linked_node.previous, linked_node.next) = (list, last, NO_NODE);
         self.lists[list].last = node;
         match last {
             NO_NODE => self.lists[list].first = node,
@@ -175,13 +175,13 @@
 
     /// The list for a time; its slot counts as occupied from here on. The level is that of the highest bits in which
     /// the time differs from now.
-    fn list_for(&mut self, at_ms: u64) -> usize {
-        if at_ms <= self.elapsed_ms {
+    fn list_for_time(&mut self, due_ms: u64) -> usize {
+        if due_ms <= self.elapsed_ms {
             return DUE_LIST;
         }
-        let differing = (self.elapsed_ms ^ at_ms) | (SLOTS_PER_LEVEL - 1);
+        let differing = (self.elapsed_ms ^ due_ms) | (SLOTS_PER_LEVEL - 1);
         let level = ((63 - differing.leading_zeros()) / SLOT_BITS) as usize;
-        let slot = ((at_ms >> (SLOT_BITS * level as u32)) & (SLOTS_PER_LEVEL - 1)) as usize;
+        let slot = ((due_ms >> (SLOT_BITS * level as u32)) & (SLOTS_PER_LEVEL - 1)) as usize;
         self.occupied[level] |= 1 << slot;
         level * SLOTS_PER_LEVEL as usize + slot
     }
@@ -201,26 +201,26 @@
         }
     }
 
-    fn allocate_node(&mut self, at_ms: u64, payload: T) -> u32 {
+    fn allocate_node(&mut self, due_ms: u64, payload: T) -> u32 {
         if self.free == NO_NODE {
             let (previous, next) = (NO_NODE, NO_NODE);
             let payload = Some(payload);
-            self.nodes.push(Node { at_ms, payload, list: DUE_LIST, previous, next, generation: 0 });
+            self.nodes.push(Node { due_ms, payload, list: DUE_LIST, previous, next, generation: 0 });
             return (self.nodes.len() - 1) as u32;
         }
         let node = self.free;
-        let reused = &mut self.nodes[node as usize];
-        self.free = reused.next;
-        (reused.at_ms, reused.payload) = (at_ms, Some(payload));
+        let reused_node = &mut self.nodes[node as usize];
+        self.free = reused_node.next;
+        (reused_node.due_ms, reused_node.payload) = (due_ms, Some(payload));
         node
     }
 
     fn free_node(&mut self, node: u32) -> Option<T> {
-        let freed = &mut self.nodes[node as usize];
-        freed.generation = freed.generation.wrapping_add(1);
-        freed.next = self.free;
+        let freed_node = &mut self.nodes[node as usize];
+        freed_node.generation = freed_node.generation.wrapping_add(1);
+        freed_node.next = self.free;
         self.free = node;
         self.len -= 1;
-        freed.payload.take()
+        freed_node.payload.take()
     }
 }
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -3,7 +3,7 @@
 //! a worker's state means for placement, the router decides.
 
 use crate::interner::Interner;
-use crate::start_times::{StartTimes, is_another_process};
+use crate::start_times::{StartTimes, is_different_process};
 use milletpath_policy::{EndpointState, EndpointUpdate};
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::collections::BTreeMap;
@@ -16,13 +16,13 @@
 
 /// Start times that are kept of workers whose names were forgotten. Past so many all are dropped, at the price of a
 /// slow start for those that come back.
-const MAX_FORMER_STARTS: usize = 16_384;
+const MAX_SAVED_STARTS: usize = 16_384;
 
 /// When a process started.
 #[derive(Clone, Copy, Default)]
-struct Start {
+struct ProcessStart {
     /// Unix time as the endpoint list states it.
-    stamp: Option<f64>,
+    timestamp: Option<f64>,
     /// Seconds on the monotonic clock; none means long ago.
     at: Option<f64>,
 }
@@ -33,14 +33,14 @@
     Listed,
     GoneSince(f64),
     /// Its name is forgotten, and its index may be given to another worker.
-    Forgotten,
+    Evicted,
 }
 
 struct Worker {
     address: SocketAddr,
     /// Changes with every process that has the index.
     process: u64,
-    start: Start,
+    start: ProcessStart,
     state: EndpointState,
     presence: Presence,
 }
@@ -74,11 +74,11 @@
     workers: Vec<Worker>,
     /// Seconds after which nothing that was sent to a worker that is gone can be in flight any more: its index may be
     /// given to another.
-    forget_after: f64,
+    evict_after: f64,
     pub(crate) start_times: StartTimes,
     /// Start times by name, of workers that were forgotten or that the table before this one knew: a process that is
     /// listed again is not a new one. Bounded by [`MAX_FORMER_STARTS`] and the workers of one table.
-    former_starts: BTreeMap<Arc<str>, Start>,
+    saved_starts: BTreeMap<Arc<str>, ProcessStart>,
     revision: u64,
     /// Number of tables before this one. It is part of each process's number, so that no connection made for a worker
     /// of one table is taken for that of another.
@@ -92,7 +92,7 @@
         seed: u64,
         start_times: StartTimes,
         generation: u64,
-        forget_after: f64,
+        evict_after: f64,
     ) -> Self {
         Self {
             names: Interner::new(seed),
@@ -100,9 +100,9 @@
             cells: Interner::new(seed),
             kinds: kinds.to_vec(),
             workers: Vec::new(),
-            forget_after,
+            evict_after,
             start_times,
-            former_starts: BTreeMap::new(),
+            saved_starts: BTreeMap::new(),
             revision: 0,
             generation,
         }
@@ -110,13 +110,13 @@
 
     /// An empty table that takes this one's place. It keeps when processes started, because their stamps would be
     /// judged anew by a clock that may have been stepped since.
-    pub(crate) fn successor(&self, seed: u64) -> Self {
-        let mut former_starts = self.former_starts.clone();
-        former_starts
+    pub(crate) fn next_generation(&self, seed: u64) -> Self {
+        let mut saved_starts = self.saved_starts.clone();
+        saved_starts
             .extend(self.workers().into_iter().map(|(worker, name)| (name, self.workers[worker].start)));
         let start_times = self.start_times.clone();
         let generation = self.generation + 1;
-        Self { former_starts, ..Self::new(&self.kinds, seed, start_times, generation, self.forget_after) }
+        Self { saved_starts, ..Self::new(&self.kinds, seed, start_times, generation, self.evict_after) }
     }
 
     /// The state of the list that is known; its revision is 0 where none is.
@@ -155,7 +155,7 @@
         now: f64,
         complete: bool,
         entries: &[EndpointEntry],
-        mut notify: impl FnMut(EndpointUpdate),
+        mut on_update: impl FnMut(EndpointUpdate),
     ) {
         self.revision += 1;
         if complete {
@@ -163,10 +163,10 @@
                 worker.set_state(now, EndpointState::Gone);
             }
         }
-        self.forget_gone(now);
+        self.evict_gone(now);
         for entry in entries {
             if let Some(worker) = self.update_worker(now, entry) {
-                notify(self.listing(worker, entry));
+                on_update(self.endpoint_update(worker, entry));
             }
         }
     }
@@ -199,17 +199,17 @@
     /// Adds a worker whose name was not known, at an index that is new or was forgotten.
     fn add_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
         // What had the index before is another process, with which this one shares nothing.
-        let former = self.workers.get(worker);
-        let process = former.map_or(self.generation << 32 | 1, |former| former.process + 1);
+        let previous = self.workers.get(worker);
+        let process = previous.map_or(self.generation << 32 | 1, |previous| previous.process + 1);
         let added = Worker {
             address: entry.address,
             process,
-            start: self.first_start(now, entry),
+            start: self.initial_start(now, entry),
             state: EndpointState::Gone,
             presence: Presence::Listed,
         };
         match self.workers.get_mut(worker) {
-            Some(former) => *former = added,
+            Some(previous) => *previous = added,
             None => self.workers.push(added),
         }
     }
@@ -219,38 +219,39 @@
     fn update_known_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
         let worker = &mut self.workers[worker];
         let before = worker.start;
-        let another = is_another_process(entry.started, before.stamp);
-        if !another && worker.address == entry.address {
+        let is_different = is_different_process(entry.started, before.timestamp);
+        if !is_different && worker.address == entry.address {
             return;
         }
         worker.process += 1;
         worker.address = entry.address;
-        let stamp = entry.started.filter(|_| another);
-        let at = stamp.map_or(now, |stamp| self.start_times.started(now, stamp, before.at));
+        let timestamp = entry.started.filter(|_| is_different);
+        let at = timestamp.map_or(now, |timestamp| self.start_times.start_time(now, timestamp, before.at));
         // The router distinguishes processes by their start times.
         let at = before.at.map_or(at, |before| at.max(before.next_up()));
-        worker.start = Start { stamp: entry.started, at: Some(at) };
+        worker.start = ProcessStart { timestamp: entry.started, at: Some(at) };
     }
 
     /// The start of a worker whose name was not known.
-    fn first_start(&mut self, now: f64, entry: &EndpointEntry) -> Start {
-        let former = self.former_starts.remove(entry.name.as_str());
-        match former {
-            Some(start) if !is_another_process(entry.started, start.stamp) => start,
+    fn initial_start(&mut self, now: f64, entry: &EndpointEntry) -> ProcessStart {
+        let previous = self.saved_starts.remove(entry.name.as_str());
+        match previous {
+            Some(start) if !is_different_process(entry.started, start.timestamp) => start,
             _ => {
-                let predecessor = former.and_then(|start| start.at);
-                let at = entry.started.map(|stamp| self.start_times.started(now, stamp, predecessor));
-                Start { stamp: entry.started, at }
+                let predecessor = previous.and_then(|start| start.at);
+                let at =
+                    entry.started.map(|timestamp| self.start_times.start_time(now, timestamp, predecessor));
+                ProcessStart { timestamp: entry.started, at }
             }
         }
     }
 
     /// What the router is notified of about a worker.
-    fn listing(&mut self, worker: usize, entry: &EndpointEntry) -> EndpointUpdate {
+    fn endpoint_update(&mut self, worker: usize, entry: &EndpointEntry) -> EndpointUpdate {
         // Workers without a zone or cell share none: nobody else knows the idempotency keys that they remember.
-        let alone = usize::MAX - worker;
-        let group = |groups: &mut Interner, name: &str| {
-            if name.is_empty() { alone } else { groups.intern(name) }
+        let unshared = usize::MAX - worker;
+        let intern_group = |groups: &mut Interner, name: &str| {
+            if name.is_empty() { unshared } else { groups.intern(name) }
         };
         EndpointUpdate {
             worker,
@@ -258,35 +259,35 @@
             started_at: self.workers[worker].start.at,
             size: entry.size,
             kind: self.kinds.iter().position(|kind| *kind == entry.kind).unwrap_or(usize::MAX),
-            zone: group(&mut self.zones, &entry.zone),
-            cell: group(&mut self.cells, &entry.cell),
+            zone: intern_group(&mut self.zones, &entry.zone),
+            cell: intern_group(&mut self.cells, &entry.cell),
             state: self.workers[worker].state,
         }
     }
 
     /// Forgets the names of workers that are long gone: where workers are replaced by others all day, they would pile
     /// up.
-    fn forget_gone(&mut self, now: f64) {
+    fn evict_gone(&mut self, now: f64) {
         for worker in 0..self.workers.len() {
             let Presence::GoneSince(since) = self.workers[worker].presence else { continue };
-            if now - since >= self.forget_after {
-                self.remember_start(worker);
+            if now - since >= self.evict_after {
+                self.save_start(worker);
                 self.names.release(worker);
-                self.workers[worker].presence = Presence::Forgotten;
+                self.workers[worker].presence = Presence::Evicted;
             }
         }
     }
 
     /// Keeps the start of a worker whose name is forgotten; one that started long ago needs none.
-    fn remember_start(&mut self, worker: usize) {
+    fn save_start(&mut self, worker: usize) {
         let start = self.workers[worker].start;
         if start.at.is_none() {
             return;
         }
-        if self.former_starts.len() >= MAX_FORMER_STARTS {
-            self.former_starts.clear();
+        if self.saved_starts.len() >= MAX_SAVED_STARTS {
+            self.saved_starts.clear();
         }
-        self.former_starts.insert(self.names.name(worker), start);
+        self.saved_starts.insert(self.names.name(worker), start);
     }
 }
 
--- a/crates/dispatcher/src/worker_table/tests.rs
+++ b/crates/dispatcher/src/worker_table/tests.rs
@@ -39,7 +39,7 @@
 /// Takes a list of one entry; gives the start time that the router is told.
 fn update(table: &mut WorkerTable, now: f64, complete: bool, entry: EndpointEntry) -> Option<f64> {
     let mut listings = Vec::new();
-    table.update(now, complete, &[entry], |listing| listings.push(listing));
+    table.update(now, complete, &[entry], |endpoint_update| listings.push(endpoint_update));
     listings[0].started_at
 }
 
@@ -58,8 +58,8 @@
         let gateway_step = if stepped == Stepped::Worker { 0.0 } else { step };
         let worker_step = if stepped == Stepped::Gateway { 0.0 } else { step };
         table.start_times.wall_clock_read(now, UNIX_TIME + now + gateway_step);
-        let stamp = UNIX_TIME + now - REPORT_DELAY + worker_step;
-        let started = update(&mut table, now, false, entry("joins", Some(stamp))).expect("a start");
+        let timestamp = UNIX_TIME + now - REPORT_DELAY + worker_step;
+        let started = update(&mut table, now, false, entry("joins", Some(timestamp))).expect("a start");
         assert!(
             (now - 0.6..=now).contains(&started),
             "step {step}: started at {started:.1}, reported at {now}"
@@ -83,8 +83,8 @@
         let gateway_step = if stepped == Stepped::Worker { 0.0 } else { step };
         let worker_step = if stepped == Stepped::Gateway { 0.0 } else { step };
         table.start_times.wall_clock_read(now, UNIX_TIME + now + gateway_step);
-        let stamp = UNIX_TIME + now - REPORT_DELAY + worker_step;
-        let started = update(&mut table, now, false, entry("w", Some(stamp))).expect("a start");
+        let timestamp = UNIX_TIME + now - REPORT_DELAY + worker_step;
+        let started = update(&mut table, now, false, entry("w", Some(timestamp))).expect("a start");
         assert!(table.process(0).process > process, "step {step}: taken for its predecessor");
         assert!(
             started > before && (now - 0.6..=now).contains(&started),
@@ -98,13 +98,16 @@
 fn repeated_start_stamp_is_the_same_process() {
     for step in STEPS {
         let mut table = table();
-        let stamp = Some(UNIX_TIME + 9.9);
-        let started = update(&mut table, 10.0, true, entry("w", stamp));
+        let timestamp = Some(UNIX_TIME + 9.9);
+        let started = update(&mut table, 10.0, true, entry("w", timestamp));
         let process = table.process(0).process;
         table.start_times.wall_clock_read(30.0, UNIX_TIME + 30.0 + step);
         for complete in [true, false] {
-            assert_eq!(update(&mut table, 30.0, complete, entry("w", stamp)), started);
-            assert_eq!(update(&mut table, 31.0, complete, entry("w", stamp.map(|at| at + 0.0005))), started);
+            assert_eq!(update(&mut table, 30.0, complete, entry("w", timestamp)), started);
+            assert_eq!(
+                update(&mut table, 31.0, complete, entry("w", timestamp.map(|at| at + 0.0005))),
+                started
+            );
             // An entry without a timestamp proves nothing about the process.
             assert_eq!(update(&mut table, 32.0, complete, entry("w", None)), started);
         }
@@ -152,26 +155,26 @@
     let mut table = table();
     update(&mut table, 0.0, true, entry("early", None));
     table.start_times.list_confirmed(20.0);
-    let stamp = Some(UNIX_TIME + 20.4 + step);
-    let started = update(&mut table, 20.5, false, entry("joins", stamp));
+    let timestamp = Some(UNIX_TIME + 20.4 + step);
+    let started = update(&mut table, 20.5, false, entry("joins", timestamp));
     table.start_times.wall_clock_read(25.0, UNIX_TIME + 25.0 + step);
-    let mut successor = table.successor(5);
-    assert_eq!(update(&mut successor, 25.0, true, entry("joins", stamp)), started);
-    assert!(successor.process(0).process > table.process(0).process);
+    let mut next_generation = table.next_generation(5);
+    assert_eq!(update(&mut next_generation, 25.0, true, entry("joins", timestamp)), started);
+    assert!(next_generation.process(0).process > table.process(0).process);
 }
 
 /// A worker is off the list for so long that its name is forgotten, as in a long outage of discovery: the same stamp is the
 /// same process, another stamp is another. Otherwise a whole fleet that came back would be in slow start.
 #[test]
 fn forgotten_worker_keeps_its_start_time() {
-    for (stamp, same) in [(UNIX_TIME + 9.9, true), (UNIX_TIME + 9.9 - 3600.0, false)] {
+    for (timestamp, same) in [(UNIX_TIME + 9.9, true), (UNIX_TIME + 9.9 - 3600.0, false)] {
         let mut table = table();
         let started = update(&mut table, 10.0, true, entry("w", Some(UNIX_TIME + 9.9)));
         update(&mut table, 20.0, true, entry("other", None));
         update(&mut table, 40.0, true, entry("other", None));
         assert!(table.names.get("w").is_none());
         table.start_times.list_confirmed(59.5);
-        let again = update(&mut table, 60.0, false, entry("w", Some(stamp)));
+        let again = update(&mut table, 60.0, false, entry("w", Some(timestamp)));
         assert_eq!(again, if same { started } else { Some(60.0) });
     }
 }
--- a/crates/dispatcher/tests/dispatcher/attempts.rs
+++ b/crates/dispatcher/tests/dispatcher/attempts.rs
@@ -53,7 +53,7 @@
     let request = submit(&mut dispatcher, 1.0, 2.9);
     let first = take_attempts(&mut dispatcher)[0];
     assert!(dispatcher.begin_attempt(1.0, request, first.attempt));
-    end(&mut dispatcher, 1.5, first, Outcome::ConnectionLost);
+    end_attempt(&mut dispatcher, 1.5, first, Outcome::ConnectionLost);
     let retry = take_attempts(&mut dispatcher)[0];
     assert_eq!(dispatcher.begin_attempt(connected_at, request, retry.attempt), begins);
     // Only some of the workers know the key, so what may have run is not sent to another one: the request ends.
@@ -75,7 +75,7 @@
     let other_zone = ["b", "a"][first.worker];
     assert!(dispatcher.begin_attempt(10.0, request, first.attempt));
     dispatcher.update_endpoints(10.1, false, &[in_zone(first.worker as u16, other_zone)]);
-    end(&mut dispatcher, 10.2, first, Outcome::ConnectionLost);
+    end_attempt(&mut dispatcher, 10.2, first, Outcome::ConnectionLost);
     assert_eq!(take_attempts(&mut dispatcher), []);
 }
 
@@ -100,7 +100,7 @@
     let request = submit(&mut dispatcher, 1.0, 1.0);
     let sent = take_attempts(&mut dispatcher)[0];
     assert!(dispatcher.begin_attempt(1.0, request, sent.attempt));
-    assert!(!end(&mut dispatcher, 5.0, sent, Outcome::Succeeded));
+    assert!(!end_attempt(&mut dispatcher, 5.0, sent, Outcome::Succeeded));
     assert!(take_actions(&mut dispatcher).iter().any(is_reject));
     assert_eq!(dispatcher.open_requests(), 0);
 }
--- a/crates/dispatcher/tests/dispatcher/endpoints.rs
+++ b/crates/dispatcher/tests/dispatcher/endpoints.rs
@@ -21,7 +21,7 @@
         assert!(sent.worker < 8, "index {} at {now}", sent.worker);
         assert_eq!(dispatcher.worker_process(sent.worker).address, added.address);
         assert!(dispatcher.begin_attempt(now, request, sent.attempt));
-        assert!(end(&mut dispatcher, now + 0.1, sent, Outcome::Succeeded));
+        assert!(end_attempt(&mut dispatcher, now + 0.1, sent, Outcome::Succeeded));
         take_actions(&mut dispatcher);
     }
 }
--- a/crates/dispatcher/tests/dispatcher/functions.rs
+++ b/crates/dispatcher/tests/dispatcher/functions.rs
@@ -12,7 +12,7 @@
     let request = submit(&mut dispatcher, 1.0, 1.0);
     let sent = take_attempts(&mut dispatcher)[0];
     dispatcher.begin_attempt(1.0, request, sent.attempt);
-    end(&mut dispatcher, 1.01, sent, Outcome::NotLoaded);
+    end_attempt(&mut dispatcher, 1.01, sent, Outcome::NotLoaded);
     let load_request = take_actions(&mut dispatcher).into_iter().find_map(|action| match action {
         Action::LoadFunction { load_request, .. } => Some(load_request),
         _ => None,
@@ -37,7 +37,7 @@
         let request = dispatcher.submit(now, incoming(&function, 1.0), 0).unwrap();
         for sent in take_attempts(&mut dispatcher) {
             dispatcher.begin_attempt(now, sent.request, sent.attempt);
-            end(&mut dispatcher, now + 0.001, sent, Outcome::Succeeded);
+            end_attempt(&mut dispatcher, now + 0.001, sent, Outcome::Succeeded);
         }
         take_actions(&mut dispatcher);
         assert!(dispatcher.context(request).is_none());
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -70,7 +70,7 @@
             may_have_run: 0,
             draining_worker: None,
         };
-        run.carry_out_actions(Event::Connected);
+        run.process_actions(Event::Connected);
         run
     }
 
@@ -87,7 +87,7 @@
         self.in_flight.first_key_value().map(|(attempt, in_flight)| (*attempt, *in_flight))
     }
 
-    fn carry_out_actions(&mut self, event: Event) {
+    fn process_actions(&mut self, event: Event) {
         let actions = take_actions(&mut self.dispatcher);
         for SentAttempt { attempt, worker, .. } in sent_attempts(&actions) {
             assert!(!self.is_over(), "an attempt after the end, at {event:?}");
@@ -123,7 +123,7 @@
             Event::WorkerDrained => self.drain_worker(),
             Event::Timer => self.advance_to(self.now + 0.3),
         }
-        self.carry_out_actions(event);
+        self.process_actions(event);
     }
 
     fn connect(&mut self) {
@@ -151,7 +151,7 @@
         self.in_flight.remove(&attempt);
         let outcome = if begun { outcome } else { Outcome::Unreachable };
         let sent = SentAttempt { request: self.request, attempt, worker };
-        if end(&mut self.dispatcher, self.now, sent, outcome) {
+        if end_attempt(&mut self.dispatcher, self.now, sent, outcome) {
             assert!(!self.is_over(), "an answer after the end");
             self.answers += 1;
         }
@@ -176,7 +176,7 @@
         while let Some(at) = self.dispatcher.next_deadline().filter(|at| *at <= until) {
             self.now = self.now.max(at) + 0.0001;
             self.dispatcher.advance(self.now);
-            self.carry_out_actions(Event::Timer);
+            self.process_actions(Event::Timer);
         }
         self.now = self.now.max(until);
     }
--- a/crates/dispatcher/tests/dispatcher/random_histories.rs
+++ b/crates/dispatcher/tests/dispatcher/random_histories.rs
@@ -63,7 +63,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenRequest {
     request: RequestId,
     deadline: f64,
 }
@@ -74,7 +74,7 @@
     effect: Effect,
     now: f64,
     /// Requests whose clients wait for a response, by serial number.
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenRequest>,
     /// Attempts by the request's serial number and their own.
     in_flight: BTreeMap<(u64, usize), InFlight>,
     may_have_run: BTreeSet<u64>,
@@ -111,7 +111,7 @@
                 self.dispatcher.advance(self.now);
             }
         }
-        self.carry_out_actions();
+        self.process_actions();
     }
 
     fn nth_in_flight(&self, n: usize) -> Option<InFlight> {
@@ -125,7 +125,7 @@
 
     fn submit(&mut self, timeout: f64) {
         let request = submit(&mut self.dispatcher, self.now, timeout);
-        self.open.insert(request.serial, Open { request, deadline: self.now + timeout });
+        self.open.insert(request.serial, OpenRequest { request, deadline: self.now + timeout });
     }
 
     fn begin_attempt(&mut self, n: usize) {
@@ -154,33 +154,33 @@
             self.may_have_run.remove(&serial);
         }
         self.in_flight.remove(&(serial, sent.attempt));
-        if end(&mut self.dispatcher, self.now, sent, outcome) {
+        if end_attempt(&mut self.dispatcher, self.now, sent, outcome) {
             assert!(self.now < self.open[&serial].deadline, "an answer after the client gave up");
-            self.answer(sent.request);
+            self.record_answer(sent.request);
         }
     }
 
     fn disconnect_client(&mut self, n: usize) {
-        let Some(Open { request, .. }) = self.open.values().nth(n).copied() else { return };
+        let Some(OpenRequest { request, .. }) = self.open.values().nth(n).copied() else { return };
         self.dispatcher.client_gone(self.now, request);
         self.open.remove(&request.serial);
     }
 
     fn advance(&mut self, seconds: f64) {
-        let end = self.now + seconds;
-        while let Some(at) = self.dispatcher.next_deadline().filter(|at| *at <= end) {
+        let until = self.now + seconds;
+        while let Some(at) = self.dispatcher.next_deadline().filter(|at| *at <= until) {
             self.advance_to(at);
-            for Open { request, deadline } in self.open.values() {
+            for OpenRequest { request, deadline } in self.open.values() {
                 assert!(self.now <= deadline + TOLERANCE, "{request:?} is overdue at {}", self.now);
             }
         }
-        self.now = self.now.max(end);
+        self.now = self.now.max(until);
     }
 
     fn advance_to(&mut self, at: f64) {
         self.now = at.max(self.now) + 0.0001;
         self.dispatcher.advance(self.now);
-        self.carry_out_actions();
+        self.process_actions();
     }
 
     /// Lets what is still in flight end or time out.
@@ -199,7 +199,7 @@
         self.effect == Effect::NonIdempotent && self.may_have_run.contains(&request.serial)
     }
 
-    fn carry_out_actions(&mut self) {
+    fn process_actions(&mut self) {
         while let Some(action) = self.dispatcher.next_action() {
             match action {
                 Action::SendAttempt { request, attempt, worker } => {
@@ -214,9 +214,9 @@
                 }
                 Action::Reject { request, .. } => {
                     assert!(!self.must_not_run_again(request), "a rejection of what may have run");
-                    self.answer(request);
+                    self.record_answer(request);
                 }
-                Action::Fail { request, .. } => self.answer(request),
+                Action::Fail { request, .. } => self.record_answer(request),
                 _ => {}
             }
         }
@@ -230,7 +230,7 @@
         assert_ne!(self.worker_states.get(&number), Some(&EndpointStatus::Gone));
     }
 
-    fn answer(&mut self, request: RequestId) {
+    fn record_answer(&mut self, request: RequestId) {
         assert!(self.open.remove(&request.serial).is_some(), "a second answer for {request:?}");
     }
 }
--- a/crates/dispatcher/tests/dispatcher/support.rs
+++ b/crates/dispatcher/tests/dispatcher/support.rs
@@ -116,7 +116,7 @@
 }
 
 /// Reports the end of an attempt; gives whether its result is the client's answer.
-pub fn end(dispatcher: &mut Dispatcher<u32>, now: f64, sent: SentAttempt, outcome: Outcome) -> bool {
+pub fn end_attempt(dispatcher: &mut Dispatcher<u32>, now: f64, sent: SentAttempt, outcome: Outcome) -> bool {
     dispatcher.attempt_ended(now, sent.request, sent.attempt, AttemptResult::from_outcome(outcome))
 }
 
