--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The dispatcher: requests, attempts, load requests, health checks and workers around the routing decisions of
-//! `milletpath-policy`. The gateway, the platform router and the simulator report events to it with the time at which
-//! they happened, then take [`Action`]s with [`Dispatcher::next_action`] until there are none, and carry them out with
-//! their own I/O. Which worker gets what, the router of the policy decides.
+//! `milletpath-policy`. The caller (gateway, platform router or simulator) reports each event with the time at which
+//! it happened, then drains the resulting [`Action`]s with [`Dispatcher::next_action`] and performs them with its own
+//! I/O. The policy's router chooses the worker for each request.
 
 mod action;
 mod attempts;
@@ -34,29 +34,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The state machine of a router. `T` is what the caller stores with each request.
+/// The state machine of a router. `T` is the caller's context, stored with each request.
 ///
-/// Times are in seconds on the caller's monotonic clock, which begins at 0 when the dispatcher is made, and must not
-/// decrease from one call to the next. An event for a request, attempt, load request or health check that is over
-/// already is ignored.
+/// Times are in seconds on the caller's monotonic clock, which is 0 when the dispatcher is created, and must not
+/// decrease from one call to the next. Events for a request, attempt, load request or health check that has already
+/// ended are ignored.
 pub struct Dispatcher<T> {
     router: Router,
     state: DispatcherState<T>,
     functions: FunctionConfigs,
     profiles: Vec<ProfileConfig>,
     quota_fraction: Option<QuotaFraction>,
-    /// The adjustments that hold beside the fraction. Bounded by the budgets of the configuration and the worker
+    /// Adjustments to this gateway's fraction of each budget. Bounded by the configured budgets and the worker
     /// indices.
     adjustments: BTreeMap<Budget, QuotaAdjustment>,
-    /// Those of workers' budgets by the worker's name, which outlives its index.
+    /// Adjustments to workers' budgets by worker name, since a worker can get another index.
     worker_adjustments: BTreeMap<Arc<str>, QuotaAdjustment>,
 }
 
 impl<T> Dispatcher<T> {
-    /// A dispatcher without workers. `unix_time` is the reading of the wall clock, in seconds, when the dispatcher's
-    /// clock begins; see [`wall_clock_read`](Self::wall_clock_read) for later readings.
+    /// Creates a dispatcher without workers. `unix_time` is the wall clock's reading, in seconds, at time 0 of the
+    /// dispatcher's clock; report later readings to [`wall_clock_read`](Self::wall_clock_read).
     pub fn new(config: &GatewayConfig, unix_time: f64) -> Self {
-        // By then every attempt, load request and health check to a worker that is gone has ended.
+        // After this time, every attempt, load request and health check sent to a worker that is gone has ended.
         let max_deadline =
             config.profiles.iter().map(|p| p.deadline).fold(config.policy.load_request_timeout, f64::max);
         let evict_after = 2.0 * (max_deadline + config.limits.health_check_timeout);
@@ -66,21 +66,21 @@
         Self::with_worker_table(config, worker_table, 0.0, 0)
     }
 
-    /// Replaces the dispatcher by an empty one after a panic in it. Its counters, configuration changes, quotas and the
-    /// record of load requests that count against their rate limit are kept, and the clock goes on; the endpoint list
-    /// must be passed to it again.
+    /// Resets the dispatcher after a panic in it. Counters, configuration changes, quotas and the load requests
+    /// counted by the rate limiter are kept, and the clock continues; the endpoint list must be passed in again.
     ///
-    /// Gives the requests that were open.
+    /// Returns the requests that were open.
     #[must_use = "the client of each open request still waits for a response"]
     pub fn restart(&mut self, config: &GatewayConfig, now: f64) -> Vec<InterruptedRequest<T>> {
         let worker_table = self.state.worker_table.next_generation(config.policy.seed);
-        // Past any number that was given out in the event that broke off.
+        // Serial numbers continue after the last one assigned, even if the event that panicked assigned it; none is
+        // reused.
         let serial = self.state.last_serial() + 1;
         let replacement = Self::with_worker_table(config, worker_table, now, serial);
         let previous = std::mem::replace(self, replacement);
         let Self { state, quota_fraction, adjustments, worker_adjustments, functions, .. } = previous;
         let DispatcherState { requests, counters, load_rate_limit, usage_meters, .. } = state;
-        // With the changes that are in force.
+        // Keeps the configuration changes that were applied at runtime.
         self.functions = functions;
         self.worker_adjustments = worker_adjustments;
         self.state.load_rate_limit = load_rate_limit;
@@ -107,18 +107,19 @@
         }
     }
 
-    /// Applies a change of functions' configuration to requests that arrive from here on. `initial` is what holds where
-    /// no change does.
+    /// Applies a configuration change of functions to requests that arrive from now on. `initial` supplies the values
+    /// where no change applies.
     pub fn apply_config_change(&mut self, change: &ConfigChange, initial: &FunctionConfigs) {
         self.functions.apply(change, initial);
     }
 
-    /// The configuration of a function that is in force.
+    /// The effective configuration of a function.
     pub fn function_config(&self, function: &str) -> FunctionConfig {
         self.functions.resolve(function)
     }
 
-    /// What the caller is to do next; it must take actions until there are none after each event.
+    /// Returns the next action for the caller. After each event, the caller must take actions until there are none
+    /// left.
     pub fn next_action(&mut self) -> Option<Action> {
         let action = self.state.actions.pop_front();
         if action.is_none() {
@@ -127,22 +128,23 @@
         action
     }
 
-    /// Counts since the start.
+    /// Counts since the dispatcher was created, including those before a restart.
     pub fn counters(&self) -> Counters {
         self.state.counters
     }
 
-    /// Number of functions that are known now.
+    /// Number of functions that are currently known.
     pub fn function_count(&self) -> usize {
         self.state.functions.len()
     }
 
-    /// Concurrency of functions at this gateway, in lanes, by the hash of the function's name.
+    /// Concurrency of each function at this gateway, in lanes, by the hash of the function's name.
     pub fn local_concurrency(&self, now: f64) -> Vec<(u64, f64)> {
         self.router.local_concurrency(now).collect()
     }
 
-    /// Sets the concurrency of functions at all other gateways, in lanes, by the hash of the function's name.
+    /// Sets the total concurrency of each function at all other gateways, in lanes, by the hash of the function's
+    /// name.
     pub fn set_remote_concurrency(&mut self, now: f64, concurrency: &BTreeMap<u64, f64>) {
         self.router.set_remote_concurrency(now, concurrency);
     }
--- a/crates/dispatcher/src/dispatcher/action.rs
+++ b/crates/dispatcher/src/dispatcher/action.rs
@@ -1,65 +1,65 @@
-//! What the dispatcher asks its caller to do. The caller takes actions with
-//! [`Dispatcher::next_action`](super::Dispatcher::next_action), carries them out with its own I/O and reports what came
-//! of them by the dispatcher's other methods.
+//! Actions that the dispatcher requests from its caller. The caller takes them with
+//! [`Dispatcher::next_action`](super::Dispatcher::next_action), performs them with its own I/O and reports the
+//! results through the dispatcher's other methods.
 
 use std::sync::Arc;
 
-/// Identifies a request of a client, or a load request to a worker.
+/// Identifies a client's request or a load request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestId {
-    /// Position in the dispatcher's table; it is used again once the request is over.
+    /// Position in the dispatcher's table; it is reused after the request has ended.
     pub index: usize,
-    /// Serial number, which is never used again: it distinguishes a  from a later one at the same position.
+    /// Serial number, never reused. It distinguishes this request from others that had the same index before.
     pub serial: u64,
 }
 
-/// What is to be done next.
+/// An action for the caller to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Get a connection to the worker, then ask [`Dispatcher::begin_attempt`](super::Dispatcher::begin_attempt) whether
-    /// the attempt may still be sent, and send it.
+    /// Get a connection to the worker, then call [`Dispatcher::begin_attempt`](super::Dispatcher::begin_attempt) and
+    /// send the attempt if that still allows it.
     SendAttempt {
-        /// The request that is attempted.
+        /// The request to send.
         request: RequestId,
-        /// Number of the attempt within its request, from 0.
+        /// Index of the attempt within its request, from 0.
         attempt: usize,
         /// Index of the worker.
         worker: usize,
     },
-    /// Close the attempt's connection; nobody waits for its result, and its end is already recorded.
+    /// Close the attempt's connection. The attempt is already recorded as ended, and its result is not awaited.
     CancelAttempt {
-        /// The request that was attempted.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt within its request.
+        /// Index of the attempt within its request.
         attempt: usize,
     },
-    /// Respond to the client that its request was not executed and may be sent again.
+    /// Respond to the client that its request was not executed and may be retried.
     Reject {
-        /// The request that is rejected.
+        /// The rejected request.
         request: RequestId,
-        /// Seconds after which the client should retry, where they are known.
+        /// Seconds after which the client should retry, if known.
         retry_after: Option<f64>,
     },
-    /// Respond to the client that its request failed; parts of it may have been executed.
+    /// Respond to the client that its request failed; it may have been executed in part.
     Fail {
-        /// The request that failed.
+        /// The failed request.
         request: RequestId,
-        /// Whether time ran out, rather than that a worker failed.
+        /// Whether the request timed out; otherwise a worker failed.
         timed_out: bool,
     },
-    /// Send a load request to the worker, once
+    /// Send a load request to the worker, if
     /// [`Dispatcher::begin_load_request`](super::Dispatcher::begin_load_request) allows it.
     LoadFunction {
-        /// Identifies the load request.
+        /// Id of the load request.
         load_request: RequestId,
         /// Index of the worker.
         worker: usize,
         /// Name of the function.
         function: Arc<str>,
-        /// Instances to load; 0 asks only how many are loaded.
+        /// Number of instances to load; 0 only queries how many are loaded.
         instances: u8,
     },
-    /// Ask the worker to unload the function; no answer is awaited.
+    /// Tell the worker to unload the function. No response is expected.
     UnloadFunction {
         /// Index of the worker.
         worker: usize,
@@ -71,9 +71,9 @@
     HealthCheck {
         /// Index of the worker.
         worker: usize,
-        /// Number of the health check, to be given back with its result.
+        /// Serial number of the health check, to be passed back with its result.
         serial: u64,
     },
-    /// Ask the registry for the endpoint list and its changes.
+    /// Subscribe to the registry's endpoint list and its changes.
     WatchEndpoints,
 }
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts to have a request executed by a worker: whether one may be sent, and what its end means for the request.
-//! What is done next, another attempt or a final answer, the router decides.
+//! Attempts: whether one may be sent, and how its end affects the request. The router decides what follows, another
+//! attempt or a final response.
 
 use super::Dispatcher;
 use super::action::{Action, RequestId};
@@ -9,13 +9,14 @@
 use milletpath_policy::{AttemptCompletion, Outcome};
 
 impl<T> Dispatcher<T> {
-    /// Seconds until an attempt times out; negative where it is overdue.
+    /// Seconds until an attempt times out, negative if it is overdue; `None` if the attempt has ended.
     pub fn time_left(&mut self, now: f64, request: RequestId, attempt: usize) -> Option<f64> {
         self.state.requests.attempt_mut(request, attempt).map(|record| record.deadline - now)
     }
 
-    /// Whether an attempt whose connection is made may be sent now: the client still waits, there is time, and the
-    /// endpoint list says at this moment that the worker takes requests. If not, the attempt ends here as unsent.
+    /// Whether an attempt may be sent now that its connection is established: the client still waits, the deadline
+    /// has not passed, and the router still allows it, for example because the endpoint list reports the worker as
+    /// ready. Otherwise, the attempt ends here as not sent.
     pub fn begin_attempt(&mut self, now: f64, request: RequestId, attempt: usize) -> bool {
         self.state.now = now;
         let record = self.state.requests.get_mut(request);
@@ -25,7 +26,7 @@
         let (worker, connect_timer) = (record.worker, record.connect_timer);
         let refusal = self.router.may_send(now, request.index, worker).err();
         if let Some(reason) = refusal {
-            tracing::debug!(worker, ?reason, "an attempt was not sent");
+            tracing::debug!(worker, ?reason, "attempt not sent");
         }
         if !(open && refusal.is_none() && in_time) {
             self.state.counters.suppressed += u64::from(refusal.is_some());
@@ -40,8 +41,8 @@
         true
     }
 
-    /// No byte of an attempt that [`begin_attempt`](Self::begin_attempt) allowed could be written. It counts as one
-    /// whose connection is not made yet, and has to be allowed again.
+    /// Reports that no byte of an attempt allowed by [`begin_attempt`](Self::begin_attempt) could be written. The
+    /// attempt returns to the connecting stage, and must be allowed again before it is sent.
     pub fn attempt_not_written(&mut self, now: f64, request: RequestId, attempt: usize) {
         self.state.now = now;
         let connect_deadline = now + self.state.limits.connect_timeout;
@@ -54,7 +55,8 @@
             self.state.timers.set(connect_deadline, Timer::ConnectDeadline { request, attempt });
     }
 
-    /// An attempt ended. Gives whether its result is the client's final answer, which the caller then has to deliver.
+    /// Reports the end of an attempt. Returns whether its result is the final response, which the caller must then
+    /// send to the client.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -65,7 +67,7 @@
         self.state.now = now;
         let Some(record) = self.state.requests.get_mut(request) else { return false };
         let in_time = record.awaiting_answer && now < record.deadline;
-        // A client that gave up gets no answer, even where its own end was not noticed yet.
+        // After its deadline the client gets no response, even if its disconnect has not been noticed yet.
         let outcome = match result.outcome {
             Outcome::Succeeded if record.awaiting_answer && !in_time => Outcome::TimedOut,
             other => other,
@@ -84,7 +86,7 @@
         answers_client
     }
 
-    /// The connection of an attempt was not made in time.
+    /// Ends an attempt whose connection was not established in time.
     pub(super) fn connect_timed_out(&mut self, request: RequestId, attempt: usize) {
         let record = self.state.requests.attempt_mut(request, attempt);
         if record.is_some_and(|record| record.stage == AttemptStage::Connecting) {
@@ -92,10 +94,10 @@
         }
     }
 
-    /// Ends an attempt that took too long, for the router and for the caller.
+    /// Ends an attempt that timed out: notifies the router and tells the caller to cancel it.
     pub(super) fn attempt_timed_out(&mut self, request: RequestId, attempt: usize) {
         let Some(record) = self.state.requests.attempt_mut(request, attempt) else { return };
-        // Without a connection nothing can have run, whatever time limit ended it.
+        // Without a connection nothing can have been executed, whichever timeout ended the attempt.
         let connecting = record.stage == AttemptStage::Connecting;
         let outcome = if connecting { Outcome::Unreachable } else { Outcome::TimedOut };
         let Some(latency) = self.state.end_attempt(request, attempt, outcome) else { return };
@@ -104,7 +106,8 @@
         self.report_cancelled_attempts();
     }
 
-    /// Reports to the router how the attempts that it cancelled ended, until it cancels no more.
+    /// Reports to the router the ends of the attempts that it cancelled. The router may cancel more attempts in
+    /// response; they are reported too.
     pub(super) fn report_cancelled_attempts(&mut self) {
         while let Some(cancelled) = self.state.cancelled_attempts.pop_front() {
             let CancelledAttempt { request, attempt, outcome } = cancelled;
--- a/crates/dispatcher/src/dispatcher/counters.rs
+++ b/crates/dispatcher/src/dispatcher/counters.rs
@@ -1,25 +1,25 @@
-//! Counts of what a dispatcher did, for the operator and for tests.
+//! Event counts of a dispatcher, for operators and tests.
 
-/// Counts since the start, over restarts; they only grow.
+/// Counts since the dispatcher was created. They only increase and survive a restart of the dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Requests that were accepted.
+    /// Accepted requests.
     pub accepted: u64,
-    /// Requests that were answered by a worker.
+    /// Requests answered successfully by a worker.
     pub succeeded: u64,
-    /// Requests that were not executed and may be retried.
+    /// Requests rejected before execution; the client may retry them.
     pub rejected: u64,
-    /// Requests that failed, parts of which may have been executed.
+    /// Requests that failed and may have been executed in part.
     pub failed: u64,
-    /// Requests whose client went away before the answer.
+    /// Requests whose client disconnected before the response.
     pub client_gone: u64,
-    /// Attempts that were decided on, sent or not.
+    /// Attempts started by the router, whether they were sent or not.
     pub attempts: u64,
-    /// Load requests that were decided on, sent or not.
+    /// Load requests started by the router, whether they were sent or not.
     pub load_requests: u64,
-    /// Health checks.
+    /// Health checks started by the router.
     pub health_checks: u64,
-    /// Attempts and load requests that were not sent after all, because the endpoint list or a limit had changed by
-    /// the time their connection was made.
+    /// Attempts and load requests that were not sent because the endpoint list or a limit did not allow it any more
+    /// when their connection was established.
     pub suppressed: u64,
 }
--- a/crates/dispatcher/src/dispatcher/effects.rs
+++ b/crates/dispatcher/src/dispatcher/effects.rs
@@ -1,5 +1,5 @@
-//! The router's output: what its decisions ask for becomes records, timers and actions. The router calls these methods
-//! during an event; none of them calls the router back.
+//! Implements the router's output interface: its decisions become records, timers and actions. The router calls these
+//! methods while it handles an event; none of them calls the router.
 
 use super::action::Action;
 use super::request_table::{Attempt, AttemptStage};
@@ -29,7 +29,7 @@
     fn cancel_attempt(&mut self, request: usize, attempt: usize) {
         let request = self.requests.id_at(request);
         let Some(record) = self.requests.attempt_mut(request, attempt) else { return };
-        // What has no connection yet never ran.
+        // An attempt without a connection cannot have been executed.
         let sent = record.stage == AttemptStage::Sent;
         let outcome = if sent { Outcome::Cancelled } else { Outcome::NotSent };
         self.actions.push_back(Action::CancelAttempt { request, attempt });
@@ -91,7 +91,7 @@
     }
 
     fn release_request(&mut self, request: usize) {
-        // An action that was not taken yet may still name it.
+        // An action still in the queue may refer to the request, so it is only marked here.
         self.requests.release(request);
     }
 
@@ -100,7 +100,7 @@
     }
 
     fn budget_exhausted(&mut self, budget: Budget) {
-        // Demand for quotas and concurrency limits is counted where requests come in.
+        // Demand for quotas and rate limits is counted when requests arrive.
         let already_counted = matches!(budget, Budget::Quota(_) | Budget::RateLimit(_));
         self.count_demand(budget, u64::from(!already_counted), 1);
     }
--- a/crates/dispatcher/src/dispatcher/endpoints.rs
+++ b/crates/dispatcher/src/dispatcher/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: which workers there are, by the registry. The caller follows the registry and passes on what it
-//! states; the worker table keeps it, and the router is notified of each endpoint.
+//! The endpoint list: which workers exist according to the registry. The caller follows the registry and passes on
+//! its updates; the worker table stores them, and the router is notified of each endpoint.
 
 use super::Dispatcher;
 use crate::worker_table::{EndpointRevision, WorkerProcess};
@@ -7,11 +7,12 @@
 use milletpath_protocol::registry::EndpointEntry;
 use std::sync::Arc;
 
-/// Adjustments of workers' budgets that are kept at least, before those of workers that are not listed are dropped.
+/// Minimum number of adjustments to workers' budgets that are kept before those of workers that are no longer listed
+/// are dropped.
 const MIN_WORKER_ADJUSTMENTS: usize = 64;
 
 impl<T> Dispatcher<T> {
-    /// Takes one revision of the endpoint list, `complete` or only the entries that changed.
+    /// Applies one update of the endpoint list: the `complete` list, or only the entries that changed.
     pub fn update_endpoints(&mut self, now: f64, complete: bool, entries: &[EndpointEntry]) {
         self.state.now = now;
         if complete {
@@ -25,7 +26,8 @@
         self.report_cancelled_attempts();
     }
 
-    /// Applies to each listed worker's index what was adjusted for its name, before a restart or at another index.
+    /// Applies the adjustments stored by worker name to the current index of each listed worker; the index may have
+    /// changed, for example in a restart.
     fn apply_worker_adjustments(&mut self) {
         let listed = self.state.worker_table.workers();
         if self.worker_adjustments.len() > 2 * listed.len() + MIN_WORKER_ADJUSTMENTS {
@@ -38,55 +40,55 @@
         }
     }
 
-    /// The registry did not answer, or closed the stream of changes.
+    /// Reports that the registry did not answer or closed the stream of changes.
     pub fn endpoint_list_failed(&mut self, now: f64) {
         self.state.now = now;
         self.router.watch_failed(now, &mut self.state);
         self.report_cancelled_attempts();
     }
 
-    /// Every change of the endpoint list until now has been passed on: a worker that is reported later was not listed
-    /// before. The source of the list stated so at `stated_at` or later.
+    /// Reports that all changes of the endpoint list up to `now` have been passed on, so a worker that is first
+    /// reported later was not listed before. The source of the list stated so at `stated_at` or later.
     pub fn endpoint_list_confirmed(&mut self, now: f64, stated_at: f64) {
         self.state.worker_table.start_times.list_confirmed(now);
         self.router.list_confirmed(stated_at);
     }
 
-    /// Whether the source of the endpoint list has been silent for so long that workers have to prove that they take
-    /// new work.
+    /// Whether the source of the endpoint list has been silent for so long that the list is stale. Workers then get
+    /// new work only after they have proved that they accept it.
     pub fn endpoint_list_is_stale(&self, now: f64) -> bool {
         self.router.list_is_stale(now)
     }
 
-    /// Seconds since the endpoint list was known to be current; infinite before it first was.
+    /// Seconds since the endpoint list was last known to be current; infinite if it never was.
     pub fn endpoint_list_age(&self, now: f64) -> f64 {
         self.router.list_age(now)
     }
 
-    /// Number of workers that are listed as ready and get no new work now, as the list is stale and they have not
-    /// proved that they take any.
+    /// Number of workers that are listed as ready but get no new work, because the list is stale and they have not
+    /// proved that they accept any.
     pub fn unproven_workers(&self, now: f64) -> usize {
         self.router.unproven_workers(now)
     }
 
-    /// A worker answered on a connection that was made then, whatever it answered: by that it is known for how long it
-    /// has been one process.
+    /// Reports that a worker answered, with any response, on a connection established at `connected_at`. This proves
+    /// that it has been the same process since then.
     pub fn worker_answered(&mut self, now: f64, worker: usize, connected_at: f64) {
         self.router.worker_answered(now, worker, connected_at);
     }
 
-    /// The wall clock was read, in seconds since the Unix epoch. It may have been stepped since the last reading; it
-    /// counts only for the start times of processes that are first reported from here on.
+    /// Reports a reading of the wall clock, in seconds since the Unix epoch. The clock may have been stepped since
+    /// the last reading; a reading only affects the start times of processes that are first reported after it.
     pub fn wall_clock_read(&mut self, now: f64, unix_time: f64) {
         self.state.worker_table.start_times.wall_clock_read(now, unix_time);
     }
 
-    /// Changes with every update of the endpoint list and every restart of the dispatcher.
+    /// Revision of the endpoint list; it changes with every update of the list and every restart of the dispatcher.
     pub fn endpoint_revision(&self) -> EndpointRevision {
         self.state.worker_table.revision()
     }
 
-    /// Whether an endpoint list is known.
+    /// Whether an endpoint list has been received since the dispatcher was created or restarted.
     pub fn has_endpoints(&self) -> bool {
         self.state.worker_table.revision().revision > 0
     }
@@ -96,12 +98,13 @@
         self.state.worker_table.workers()
     }
 
-    /// The address of a worker, and which process has its name; an address that can't be reached for an unknown index.
+    /// The address of a worker and the number of its process. For an unknown index, an address that cannot be
+    /// reached.
     pub fn worker_process(&self, worker: usize) -> WorkerProcess {
         self.state.worker_table.process(worker)
     }
 
-    /// When the process of a worker started, in seconds on the dispatcher's clock; none means long ago.
+    /// When a worker's process started, in seconds on the dispatcher's clock; `None` means long ago.
     pub fn started(&self, worker: usize) -> Option<f64> {
         self.state.worker_table.started(worker)
     }
--- a/crates/dispatcher/src/dispatcher/health_checks.rs
+++ b/crates/dispatcher/src/dispatcher/health_checks.rs
@@ -1,12 +1,12 @@
-//! Health checks of workers. The router decides when a worker is checked and what the result means; here each result is
-//! matched to the check that is out.
+//! Health checks of workers. The router decides when to check a worker and what the result means; this module matches
+//! each result to the pending check.
 
 use super::Dispatcher;
 use milletpath_policy::{LoadReport, Outcome};
 
 impl<T> Dispatcher<T> {
-    /// A health check was answered or failed. `serial` is the number that came with its action, and `report` the load
-    /// that the worker stated.
+    /// Reports that a health check was answered or failed. `serial` is the number from its action, and `report` is
+    /// the load reported by the worker.
     pub fn health_check_ended(
         &mut self,
         now: f64,
--- a/crates/dispatcher/src/dispatcher/load_requests.rs
+++ b/crates/dispatcher/src/dispatcher/load_requests.rs
@@ -1,5 +1,5 @@
-//! Load requests: orders to a worker to load instances of a function before requests for it arrive. The router decides
-//! on them; here they are held to the rate limit at the moment of sending, and their results passed on.
+//! Load requests, which make a worker load instances of a function before requests for it arrive. The router decides
+//! on them; this module applies the rate limit when they are sent, and passes their results to the router.
 
 use super::Dispatcher;
 use super::action::RequestId;
@@ -7,8 +7,8 @@
 use milletpath_policy::Outcome;
 
 impl<T> Dispatcher<T> {
-    /// Whether a load request may be sent now, by what the endpoint list and the rate limit say at this moment. If not,
-    /// it ends here as unsent.
+    /// Whether a load request may be sent now, according to the current endpoint list and the rate limit. Otherwise,
+    /// it ends here as not sent.
     pub fn begin_load_request(&mut self, now: f64, load_request: RequestId) -> bool {
         self.state.now = now;
         let Some(worker) = self.state.load_requests.get(load_request).map(|record| record.worker) else {
@@ -16,7 +16,7 @@
         };
         let refusal = self.router.may_request_load(now, worker).err();
         if let Some(reason) = refusal {
-            tracing::debug!(worker, ?reason, "a load request was not sent");
+            tracing::debug!(worker, ?reason, "load request not sent");
         }
         let limit = self.state.load_rate_limit.as_mut();
         let allowed = refusal.is_none() && limit.is_none_or(|limit| limit.try_send(now));
@@ -27,7 +27,8 @@
         allowed
     }
 
-    /// A load request was answered or failed; `instances` are those that the worker has loaded.
+    /// Reports that a load request was answered or failed. `instances` is the number of instances that the worker has
+    /// loaded.
     pub fn load_request_ended(&mut self, now: f64, load_request: RequestId, outcome: Outcome, instances: u8) {
         self.state.now = now;
         let Some(record) = self.state.load_requests.remove(load_request) else { return };
--- a/crates/dispatcher/src/dispatcher/quota.rs
+++ b/crates/dispatcher/src/dispatcher/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas that gateways share: this gateway's fraction of them, leased adjustments, and the demand that is reported to
-//! whoever leases. How quotas are divided among gateways, `milletpath-shared-budgets` decides.
+//! Quotas shared by gateways: this gateway's fraction of them, adjustments by leases, and the demand reported to the
+//! lease protocol. `milletpath-shared-budgets` decides how quotas are divided among gateways.
 
 use super::Dispatcher;
 use super::messages::QuotaFraction;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl<T> Dispatcher<T> {
-    /// Sets this gateway's fraction of shared quotas, until it is set again.
+    /// Sets this gateway's fraction of shared quotas. It stays in effect until it is set again.
     pub fn set_quota_fraction(&mut self, quota_fraction: QuotaFraction) {
         let QuotaFraction { likely_gateways, fraction, fraction_after_expiry, valid_until } = quota_fraction;
         self.quota_fraction = Some(quota_fraction);
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Sets what is added to this gateway's fraction of a budget, or taken from it, until it is set again.
+    /// Sets the amount that is added to this gateway's fraction of a budget, or subtracted from it. It stays in
+    /// effect until it is set again.
     pub fn grant_quota(&mut self, budget: Budget, adjustment: QuotaAdjustment) {
         self.adjustments.insert(budget, adjustment);
         if let Budget::InFlight(worker) = budget {
@@ -36,7 +37,8 @@
         self.router.set_lease(budget, [amount, amount_after_expiry], valid_until);
     }
 
-    /// Applies what held before a restart. Adjustments of workers' budgets follow by name, once a list is known again.
+    /// Reapplies the quotas that were in effect before a restart. Adjustments to workers' budgets are applied by name
+    /// once an endpoint list is received.
     pub(super) fn restore_quotas(
         &mut self,
         fraction: Option<QuotaFraction>,
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Units of a budget that were requested, denied and are in use. Demand is counted from the first call on, as only
-    /// gateways that share budgets need it.
+    /// Units of a budget that were requested, denied and are in use. Demand is counted only from the first call of
+    /// this method on, as only gateways that share budgets need it.
     pub fn usage(&mut self, now: f64, budget: Budget) -> UsageMeter {
         let usage_meters = self.state.usage_meters.get_or_insert_default();
         let meter = usage_meters.get(&budget).copied().unwrap_or_default();
--- a/crates/dispatcher/src/dispatcher/request_table.rs
+++ b/crates/dispatcher/src/dispatcher/request_table.rs
@@ -1,5 +1,5 @@
-//! The requests that the dispatcher has accepted, with their attempts. The table knows which requests still await an
-//! answer; what the answer is, the rest of the dispatcher decides.
+//! Accepted requests and their attempts. The table tracks which requests still await a response; the rest of the
+//! dispatcher decides what the response is.
 
 use super::action::RequestId;
 use super::messages::InterruptedRequest;
@@ -8,9 +8,9 @@
 
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AttemptStage {
-    /// Its connection is not made yet, so nothing of it can have been executed.
+    /// The connection is not established yet, so nothing can have been executed.
     Connecting,
-    /// Its first byte may have been sent.
+    /// The first byte may have been sent.
     Sent,
     Ended,
 }
@@ -26,16 +26,16 @@
 
 pub(super) struct Request<T> {
     pub(super) function: usize,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(super) deadline: f64,
     pub(super) awaiting_answer: bool,
-    /// Bounded by the attempts a request that the configuration allows.
+    /// Bounded by the configured number of attempts per request.
     pub(super) attempts: Vec<Attempt>,
-    /// An attempt ended because time ran out.
+    /// Whether an attempt timed out.
     pub(super) timed_out: bool,
-    /// An attempt was sent: parts of the request may have been executed.
+    /// Whether an attempt was sent, so that the request may have been executed in part.
     pub(super) may_have_run: bool,
-    /// What the caller stored with the request.
+    /// The caller's context.
     pub(super) context: T,
 }
 
@@ -61,11 +61,12 @@
     }
 }
 
-/// The requests by id. Open ones are bounded by the configured limit, which the caller of [`insert`](Self::insert)
-/// checks; the others are those whose attempts have not ended, and those released since the actions were last taken.
+/// Requests by id. The number of open requests is limited by the configuration; the caller of
+/// [`insert`](Self::insert) checks it. The table also holds closed requests whose attempts have not ended, and
+/// released requests until all queued actions have been taken.
 pub(super) struct RequestTable<T> {
     requests: SlotTable<Request<T>>,
-    /// Requests that the router has forgotten, kept until no action that is still to be taken can name them.
+    /// Requests that the router will not refer to again, kept until no queued action can refer to them either.
     released: Vec<RequestId>,
     open: usize,
 }
@@ -94,13 +95,13 @@
         self.requests.get_mut(id)
     }
 
-    /// An attempt that has not ended.
+    /// Returns an attempt if it has not ended.
     pub(super) fn attempt_mut(&mut self, id: RequestId, attempt: usize) -> Option<&mut Attempt> {
         let attempt = self.requests.get_mut(id)?.attempts.get_mut(attempt);
         attempt.filter(|attempt| attempt.stage != AttemptStage::Ended)
     }
 
-    /// Closes a request whose client waits for a response, for whoever gives that answer; none if it was closed before.
+    /// Closes an open request, on behalf of the code that sends the response. Returns `None` if it was closed before.
     pub(super) fn close(&mut self, id: RequestId) -> Option<&Request<T>> {
         let request = self.requests.get_mut(id).filter(|request| request.awaiting_answer)?;
         request.awaiting_answer = false;
@@ -108,12 +109,12 @@
         Some(request)
     }
 
-    /// Marks a request as one that nothing but actions still to be taken can name.
+    /// Marks a request that only queued actions can still refer to.
     pub(super) fn release(&mut self, index: usize) {
         self.released.push(self.requests.id_at(index));
     }
 
-    /// Frees the released requests, once no action names them any more.
+    /// Removes the released requests; no action may refer to them any more.
     pub(super) fn free_released(&mut self) {
         while let Some(id) = self.released.pop() {
             self.requests.remove(id);
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -1,5 +1,4 @@
-//! Requests of clients: they are submitted, looked up by whoever carries them, and end early where the client goes
-//! away.
+//! Client requests: submission, lookup, and cancellation when the client disconnects.
 
 use super::Dispatcher;
 use super::action::RequestId;
@@ -10,8 +9,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 impl<T> Dispatcher<T> {
-    /// Accepts a request. `context` is what the caller stores with it; none where as many requests are open as the
-    /// configuration allows, and the caller has to reject the request itself.
+    /// Accepts a request and stores the caller's `context` with it. Returns `None` if the configured number of open
+    /// requests is reached; the caller must then reject the request itself.
     pub fn submit(&mut self, now: f64, incoming: IncomingRequest<'_>, context: T) -> Option<RequestId> {
         let state = &mut self.state;
         if state.requests.open() >= state.limits.max_open_requests {
@@ -34,7 +33,7 @@
         Some(request)
     }
 
-    /// The request as the router sees it.
+    /// Converts a request to the router's representation.
     fn arrival(&self, incoming: IncomingRequest<'_>, function: usize, timeout: f64) -> Arrival {
         let resources = incoming.resources.unwrap_or_else(|| {
             let config = self.functions.resolve(incoming.function);
@@ -58,25 +57,25 @@
         self.state.requests.open()
     }
 
-    /// The open requests whose context fulfils a condition.
+    /// Ids of the open requests whose context meets a condition.
     pub fn requests(&self, condition: impl Fn(&T) -> bool) -> Vec<RequestId> {
         let open = self.state.requests.iter_open();
         open.filter(|(_, request)| condition(&request.context)).map(|(id, _)| id).collect()
     }
 
-    /// What the caller stored with a request, until the request is over and all actions are taken.
+    /// The caller's context of a request, available until the request has ended and all actions are taken.
     pub fn context(&mut self, request: RequestId) -> Option<&mut T> {
         self.state.requests.get_mut(request).map(|record| &mut record.context)
     }
 
-    /// The name of a request's function.
+    /// Name of a request's function.
     pub fn function(&mut self, request: RequestId) -> Option<Arc<str>> {
         let function = self.state.requests.get_mut(request)?.function;
         Some(self.state.functions.name(function))
     }
 
-    /// The client is gone: the request's attempts are cancelled, and no response is pending any more. Gives whether parts of
-    /// the request may have been executed.
+    /// Reports that the client disconnected: the request's attempts are cancelled and no response is due any more.
+    /// Returns whether the request may have been executed in part.
     pub fn client_gone(&mut self, now: f64, request: RequestId) -> bool {
         self.state.now = now;
         let Some(record) = self.state.requests.get_mut(request) else { return false };
--- a/crates/dispatcher/src/dispatcher/slot_table.rs
+++ b/crates/dispatcher/src/dispatcher/slot_table.rs
@@ -1,5 +1,5 @@
-//! A table of records at dense indices that are used again. A serial number with each record distinguishes it from others that
-//! had its index before; request table and load requests keep their records in it.
+//! A table of records at dense indices that are reused. Each record has a serial number that distinguishes it from
+//! earlier records at the same index. It stores requests and load requests.
 
 use super::action::RequestId;
 
@@ -8,8 +8,8 @@
     record: R,
 }
 
-/// Records by [`RequestId`]. Its length is the largest number of records that were in it at once, which whoever inserts
-/// has to bound.
+/// Records by [`RequestId`]. Its length is the largest number of records held at once, which the code that inserts
+/// records must bound.
 pub(super) struct SlotTable<R> {
     slots: Vec<Option<Slot<R>>>,
     free: Vec<usize>,
@@ -20,7 +20,7 @@
         Self { slots: Vec::new(), free: Vec::new() }
     }
 
-    /// The id that [`insert`](Self::insert) gives to the next record.
+    /// The id that [`insert`](Self::insert) will assign to the next record.
     pub(super) fn next_id(&self, serial: u64) -> RequestId {
         RequestId { index: self.free.last().copied().unwrap_or(self.slots.len()), serial }
     }
@@ -46,13 +46,13 @@
         slot.filter(|slot| slot.serial == id.serial).map(|slot| &mut slot.record)
     }
 
-    /// The id of the record at an index; an id of no record where there is none.
+    /// The id of the record at an index; if there is none, an id that matches no record.
     pub(super) fn id_at(&self, index: usize) -> RequestId {
         let slot = self.slots.get(index).and_then(Option::as_ref);
         RequestId { index, serial: slot.map_or(0, |slot| slot.serial) }
     }
 
-    /// Takes a record out; its index is free again.
+    /// Removes a record and frees its index.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<R> {
         let slot = self.slots.get_mut(id.index)?.take_if(|slot| slot.serial == id.serial)?;
         self.free.push(id.index);
--- a/crates/dispatcher/src/dispatcher/state.rs
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -1,6 +1,6 @@
-//! What the dispatcher knows beside the router's decisions: tables of requests, load requests, health checks and
-//! workers, timers, limits and counters. The router's output goes into it by `effects.rs`; the dispatcher's methods
-//! read it and record in it what the caller reports.
+//! State of the dispatcher outside the router: tables of requests, load requests, health checks and workers, timers,
+//! limits and counters. The router's output is applied to it in `effects.rs`; the dispatcher's methods read it and
+//! record what the caller reports.
 
 use super::action::{Action, RequestId};
 use super::counters::Counters;
@@ -15,29 +15,29 @@
 use milletpath_shared_budgets::UsageMeter;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A load request that was not answered yet.
+/// A load request that has not been answered yet.
 pub(super) struct LoadRequest {
     pub(super) worker: usize,
     pub(super) function: usize,
     pub(super) deadline_timer: TimerKey,
 }
 
-/// A health check that was not answered yet.
+/// A health check that has not been answered yet.
 pub(super) struct HealthCheck {
     pub(super) serial: u64,
     pub(super) deadline_timer: TimerKey,
 }
 
-/// An attempt that the router cancelled, and how it ended by that.
+/// An attempt that the router cancelled, and the resulting outcome.
 pub(super) struct CancelledAttempt {
     pub(super) request: RequestId,
     pub(super) attempt: usize,
     pub(super) outcome: Outcome,
 }
 
-/// What is due when a timer fires.
+/// What to do when a timer fires.
 pub(super) enum Timer {
-    /// The router asked to be woken.
+    /// The router asked to be called at this time.
     Wake,
     AttemptDeadline {
         request: RequestId,
@@ -55,37 +55,39 @@
 }
 
 pub(super) struct DispatcherState<T> {
-    /// Seconds on the dispatcher's clock at the last event.
+    /// Time of the current or last event, in seconds on the dispatcher's clock.
     pub(super) now: f64,
-    /// What the caller is to do. Bounded by the requests and workers, as the caller takes all after each event.
+    /// Queued actions for the caller. Bounded by the numbers of requests and workers, as the caller takes all actions
+    /// after each event.
     pub(super) actions: VecDeque<Action>,
-    /// Attempts that the router cancelled during the current event. It is notified of their ends after its own decision;
-    /// empty between events.
+    /// Attempts that the router cancelled during the current event. Their ends are reported to it after the event is
+    /// processed; empty between events.
     pub(super) cancelled_attempts: VecDeque<CancelledAttempt>,
     pub(super) requests: RequestTable<T>,
-    /// Bounded by the rate at which the router decides on them and the timeout of each.
+    /// Bounded by the rate at which the router sends load requests and by their timeout.
     pub(super) load_requests: SlotTable<LoadRequest>,
-    /// The health check that is out to each worker, by the worker's index.
+    /// The pending health check of each worker, by worker index.
     pub(super) health_checks: Vec<Option<HealthCheck>>,
-    /// Bounded by the router, which forgets functions that nobody calls any more.
+    /// Bounded by the router, which releases functions that are no longer called.
     pub(super) functions: Interner,
     pub(super) worker_table: WorkerTable,
-    /// Bounded by attempts, load requests and health checks, and one for each time that the router asked to be woken.
+    /// Bounded by the numbers of attempts, load requests and health checks, and one timer for each time the router
+    /// asked to be called.
     pub(super) timers: TimerWheel<Timer>,
-    /// The last serial number that was given out.
+    /// The last serial number assigned.
     serial: u64,
     pub(super) limits: Limits,
-    /// Seconds that a load request may take.
+    /// Timeout of a load request, in seconds.
     pub(super) load_request_timeout: f64,
     pub(super) load_rate_limit: Option<LoadRateLimit>,
-    /// Demand for each budget, counted only once gateways share budgets. Bounded by the budgets of the configuration
-    /// and the worker indices.
+    /// Demand for each budget, counted only if gateways share budgets. Bounded by the configured budgets and the
+    /// worker indices.
     pub(super) usage_meters: Option<BTreeMap<Budget, UsageMeter>>,
     pub(super) counters: Counters,
 }
 
 impl<T> DispatcherState<T> {
-    /// An empty state whose serial numbers begin after `serial`.
+    /// Creates an empty state. Serial numbers continue after `serial`.
     pub(super) fn new(config: &GatewayConfig, worker_table: WorkerTable, now: f64, serial: u64) -> Self {
         Self {
             now,
@@ -115,7 +117,7 @@
         self.serial
     }
 
-    /// Counts units of a budget that were requested, and those that were denied.
+    /// Counts requested and denied units of a budget.
     pub(super) fn count_demand(&mut self, budget: Budget, requested: u64, denied: u64) {
         if let Some(usage_meters) = &mut self.usage_meters {
             let meter = usage_meters.entry(budget).or_default();
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Records the end of an attempt. Gives the seconds since it was dispatched, or none if it had ended before.
+    /// Records the end of an attempt. Returns the seconds since it was dispatched, or `None` if it had already ended.
     pub(super) fn end_attempt(
         &mut self,
         request: RequestId,
--- a/crates/dispatcher/src/dispatcher/timers.rs
+++ b/crates/dispatcher/src/dispatcher/timers.rs
@@ -1,16 +1,17 @@
-//! Time: when the caller has to call next, and what is due by then.
+//! Timers: when the caller must call next, and what is due by then.
 
 use super::Dispatcher;
 use super::state::Timer;
 use milletpath_policy::Outcome;
 
 impl<T> Dispatcher<T> {
-    /// When [`advance`](Self::advance) has to be called next, in seconds on the dispatcher's clock.
+    /// When [`advance`](Self::advance) must be called next, in seconds on the dispatcher's clock; `None` if no timer
+    /// is set.
     pub fn next_deadline(&self) -> Option<f64> {
         self.state.timers.next_due()
     }
 
-    /// Does what is due by now.
+    /// Fires all timers that are due by `now`.
     pub fn advance(&mut self, now: f64) {
         self.state.now = now;
         while let Some(timer) = self.state.timers.fire(now) {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,9 +1,9 @@
-//! The dispatcher: all that a router knows of requests, attempts, workers and timers around the routing decisions of
-//! `milletpath-policy`. It is a state machine without sockets and without a clock: events and the time come in as
-//! method calls, actions go out as values. The HTTP gateway, the platform router and the simulator each put their own
-//! I/O around it.
+//! The dispatcher of a router: a state machine that tracks requests, attempts, workers and timers, and applies the
+//! routing decisions of `milletpath-policy`. It does no I/O and reads no clock: events and the current time come in
+//! as method calls, and actions are returned as values. The HTTP gateway, the platform router and the simulator each
+//! run it with their own I/O.
 //!
-//! [`dispatcher::Dispatcher`] is the whole interface; [`timer_wheel::TimerWheel`] is public for its benchmark.
+//! [`dispatcher::Dispatcher`] is the whole interface; [`timer_wheel::TimerWheel`] is public only for its benchmark.
 
 pub mod dispatcher;
 pub mod timer_wheel;
