--- a/crates/dispatcher/src/interner.rs
+++ b/crates/dispatcher/src/interner.rs
@@ -1,12 +1,13 @@
-//! Names from outside under small dense indices, which are used again once released. The dispatcher keeps its functions
-//! in one and the worker table its workers, zones and cells; whoever interns names has to bound them.
+//! Maps names from outside to small dense indices, which are reused after they are released. The dispatcher interns
+//! function names, and the worker table interns workers, zones and cells; the code that interns names must bound
+//! their number.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3Builder;
 
-/// The map's hash is seeded by the gateway's own seed: the same events give the same indices, and who sends names
-/// can't choose ones that collide.
+/// Interned names. The hash map is seeded with the gateway's configured seed: the same events produce the same
+/// indices, and senders of names cannot choose names that collide.
 pub(crate) struct Interner {
     index: HashMap<Arc<str>, usize, Xxh3Builder>,
     names: Vec<Arc<str>>,
@@ -23,7 +24,7 @@
         self.index.get(name).copied()
     }
 
-    /// The index of a name, a new one where it has none yet.
+    /// Returns the index of a name, assigning a free one if the name is new.
     pub(crate) fn intern(&mut self, name: &str) -> usize {
         if let Some(index) = self.get(name) {
             return index;
@@ -39,7 +40,7 @@
         index
     }
 
-    /// Forgets the name at an index, which is free again; nothing where it has none.
+    /// Removes the name at an index and frees the index; does nothing if the index has no name.
     pub(crate) fn release(&mut self, index: usize) {
         let known = self.names.get(index).filter(|name| self.index.get(&***name) == Some(&index));
         if let Some(name) = known.cloned() {
@@ -49,12 +50,12 @@
         }
     }
 
-    /// The name at an index that was given out; empty where it was released.
+    /// The name at an index that was assigned; empty if it was released.
     pub(crate) fn name(&self, index: usize) -> Arc<str> {
         self.names[index].clone()
     }
 
-    /// Number of names that have an index now.
+    /// Number of names that currently have an index.
     pub(crate) fn len(&self) -> usize {
         self.index.len()
     }
--- a/crates/dispatcher/src/load_rate_limit.rs
+++ b/crates/dispatcher/src/load_rate_limit.rs
@@ -1,11 +1,11 @@
-//! The rate limit of load requests, applied at the moment of sending. The router applies the same limit when it decides
-//! on a load request; until that is sent, a connection may have to be made, and load requests that were decided on ten
-//! seconds apart may be sent closer together.
+//! Rate limit of load requests, applied when they are sent. The router applies the same limit when it decides on a
+//! load request, but a connection may have to be established first, so load requests decided on ten seconds apart may
+//! be sent closer together.
 
 use milletpath_policy::{RateLimiter, RequestBudget};
 
-/// Seconds by which load requests may come closer together, or further from the requests they count on, between a
-/// write here and its reading on a busy machine.
+/// Seconds by which the delay between a write here and its read on a busy machine can vary. Load requests may arrive
+/// that much closer together, or further from the requests that earned them.
 const TIMING_TOLERANCE: f64 = 0.05;
 
 /// A value that changes once, at a known time.
@@ -28,14 +28,14 @@
 
 pub(crate) struct LoadRateLimit {
     limiter: RateLimiter,
-    /// This gateway's multiple of the load requests that are free in a window.
+    /// Factor applied to the load requests that are free in a window.
     fraction: ExpiringValue,
-    /// Load requests that are added to them, or taken from them.
+    /// Load requests added to the free ones, or subtracted if negative.
     adjustment: ExpiringValue,
 }
 
 impl LoadRateLimit {
-    /// A limit by the policy's budget of load requests.
+    /// Creates a limiter from the policy's budget of load requests.
     pub(crate) fn new(budget: RequestBudget) -> Self {
         Self {
             limiter: RateLimiter::new(budget, TIMING_TOLERANCE),
@@ -44,19 +44,19 @@
         }
     }
 
-    /// Sets the multiple that holds before `valid_until`, and the one that holds from then on.
+    /// Sets the factor that applies before `valid_until`, and the one that applies from then on.
     pub(crate) fn set_quota_fraction(&mut self, fraction: f64, fraction_after_expiry: f64, valid_until: f64) {
         self.fraction =
             ExpiringValue { value: fraction, value_after_expiry: fraction_after_expiry, valid_until };
     }
 
-    /// Sets the adjustment that holds before `valid_until`, and the one that holds from then on.
+    /// Sets the adjustment that applies before `valid_until`, and the one that applies from then on.
     pub(crate) fn set_adjustment(&mut self, amount: f64, amount_after_expiry: f64, valid_until: f64) {
         self.adjustment =
             ExpiringValue { value: amount, value_after_expiry: amount_after_expiry, valid_until };
     }
 
-    /// Counts a request of a client.
+    /// Counts a client's request, which may earn load requests.
     pub(crate) fn request_arrived(&mut self, now: f64) {
         self.limiter.request_arrived(now);
     }
@@ -71,7 +71,7 @@
         allowed
     }
 
-    /// Free load requests in use.
+    /// Number of free load requests in use.
     pub(crate) fn in_use(&mut self, now: f64) -> f64 {
         self.limiter.used(now)
     }
--- a/crates/dispatcher/src/start_times.rs
+++ b/crates/dispatcher/src/start_times.rs
@@ -1,46 +1,47 @@
-//! When the processes of workers started, on the monotonic clock.
+//! Start times of worker processes on the monotonic clock.
 //!
-//! The endpoint list states it as Unix time, by the wall clock of another machine. That clock and this machine's own may
-//! be stepped at any moment, so a stamp counts only as far as the monotonic clock bears it out: a process that was first
-//! reported while the list was followed can't be older than the last confirmation of the list without it, and none
-//! started in the future. A stamp that claims otherwise is ignored; its process counts as started when it was first
-//! reported.
+//! The endpoint list states start times as Unix timestamps from another machine's wall clock. Both that clock and the
+//! local wall clock can be stepped at any moment, so each timestamp is checked against the monotonic clock: a process
+//! first reported while the list was being followed cannot have started before the list was last confirmed without
+//! it, and no process started in the future. An implausible timestamp is ignored, and the process counts as started
+//! when it was first reported.
 
-/// Seconds that may pass between a change of the list and its reading here on a busy machine.
+/// Maximum delay between a change of the list and its processing here on a busy machine, in seconds.
 const MAX_REPORT_DELAY: f64 = 0.05;
 
-/// Seconds by which two renderings of one stamp may differ.
+/// Maximum difference between two representations of the same timestamp, in seconds.
 const TIMESTAMP_TOLERANCE: f64 = 0.002;
 
-/// Places start stamps on the monotonic clock.
+/// Converts start timestamps to the monotonic clock.
 #[derive(Clone, Debug)]
 pub(crate) struct StartTimes {
-    /// Unix time less monotonic time: the least of all readings. After a step forward stamps are placed as before it;
-    /// after a step back they look later than they are, and their processes younger, never older.
+    /// Unix time minus monotonic time, the minimum of all readings. After a step forward, timestamps are converted as
+    /// before it. After a step back, they convert to later times, so processes look younger than they are, never
+    /// older.
     unix_offset: f64,
-    /// When the list, as it is known here, was last known to be current.
+    /// When the local copy of the list was last known to be current.
     confirmed_at: Option<f64>,
 }
 
 impl StartTimes {
-    /// `offset` is the Unix time at which the monotonic clock began.
+    /// `unix_offset` is the Unix time at time 0 of the monotonic clock.
     pub(crate) fn new(unix_offset: f64) -> Self {
         Self { unix_offset, confirmed_at: None }
     }
 
-    /// Takes a reading of the wall clock.
+    /// Records a reading of the wall clock.
     pub(crate) fn wall_clock_read(&mut self, now: f64, unix_time: f64) {
         self.unix_offset = self.unix_offset.min(unix_time - now);
     }
 
-    /// All changes of the list until now have been taken: a process that is reported from here on was not listed
-    /// before.
+    /// Records that all changes of the list up to `now` have been processed: a process first reported later was not
+    /// listed before.
     pub(crate) fn list_confirmed(&mut self, now: f64) {
         self.confirmed_at = Some(now);
     }
 
-    /// When a process that is first reported now started, by its stamp; `predecessor` is when the process before it
-    /// under the same name did.
+    /// Start time of a process that is first reported now, based on its timestamp. `predecessor` is the start time of
+    /// the previous process with the same name.
     pub(crate) fn start_time(&self, now: f64, timestamp: f64, predecessor: Option<f64>) -> f64 {
         let reported_start = timestamp - self.unix_offset;
         let earliest_start = self.confirmed_at.map_or(f64::NEG_INFINITY, |at| at - MAX_REPORT_DELAY);
@@ -50,8 +51,8 @@
     }
 }
 
-/// Whether a stamp is that of another process than the one before it. An earlier stamp is as well as a later one, as the
-/// clock that made it may have been stepped back; a missing stamp is not.
+/// Whether a timestamp belongs to a different process than the one before it. An earlier timestamp does too, as the
+/// clock that produced it may have been stepped back; a missing timestamp does not.
 pub(crate) fn is_different_process(timestamp: Option<f64>, before: Option<f64>) -> bool {
     match (timestamp, before) {
         (Some(timestamp), Some(before)) => (timestamp - before).abs() > TIMESTAMP_TOLERANCE,
--- a/crates/dispatcher/src/timer_wheel.rs
+++ b/crates/dispatcher/src/timer_wheel.rs
@@ -1,38 +1,41 @@
-//! Timers in a hierarchical timing wheel (Varghese and Lauck, SOSP 1987): seven levels of 64 slots, the lowest of a
-//! millisecond each. Setting and cancelling cost the same however many timers there are; `benches/timers.rs` compares
-//! it with a binary heap. A timer never fires early and at most a millisecond late; those of one millisecond fire in
-//! the order in which they were set, but for those that come down from a higher level.
+//! Hierarchical timing wheel (Varghese and Lauck, SOSP 1987) with seven levels of 64 slots; the slots of the lowest
+//! level are one millisecond each. Setting and cancelling a timer take constant time regardless of the number of
+//! timers; `benches/timers.rs` compares the wheel with a binary heap. A timer never fires early and at most a
+//! millisecond late. Timers of the same millisecond fire in the order in which they were set, except for those that
+//! cascade from a higher level.
 
-/// Slots of a level, as a power of two: the occupied ones of a level fit one word.
+/// Slots per level, as a power of two: the occupancy bits of a level fit in one word.
 const SLOT_BITS: u32 = 6;
 const SLOTS_PER_LEVEL: u64 = 1 << SLOT_BITS;
-/// All levels together reach 2^42 ms, over a hundred years.
+/// All levels together cover 2^42 ms, over a hundred years.
 const LEVELS: usize = 7;
 const LATEST_TICK: u64 = (1 << (SLOT_BITS * LEVELS as u32)) - 1;
 const MS_PER_SECOND: f64 = 1e3;
-/// Part of a millisecond that rounding may take off a time in seconds: 1.001 s is 1000.9999999999999 ms. Without it
-/// a timer would be due at a time at which it does not fire, and whoever waits for that time would wait for ever.
+/// Tolerance, in milliseconds, for rounding errors of times in seconds: 1.001 s converts to 1000.9999999999999 ms.
+/// Without it a timer could be due at a time at which it does not fire, and a caller that waits for that time would
+/// never make progress.
 const ROUNDING_MS: f64 = 1e-6;
-/// Stands for no node in a link.
+/// Marks the absence of a node in a link.
 const NO_NODE: u32 = u32::MAX;
-/// The list of timers that are due, after those of the slots.
+/// Index of the list of timers that are due; it follows the lists of the slots.
 const DUE_LIST: usize = LEVELS * SLOTS_PER_LEVEL as usize;
 
-/// Identifies a timer that was set, until it fires or is cancelled.
+/// Identifies a timer until it fires or is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerKey {
     node: u32,
     generation: u32,
 }
 
-/// A timer, linked into the list of its slot; or a free node, linked by `next` alone.
+/// A timer, linked into the list of its slot, or a free node, linked only by `next`.
 struct Node<T> {
     due_ms: u64,
     payload: Option<T>,
     list: usize,
     previous: u32,
     next: u32,
-    /// How often the node was used; distinguishes a key of an earlier use from that of the current one.
+    /// Number of times that the node has been freed; distinguishes keys of earlier timers in the node from the
+    /// current one.
     generation: u32,
 }
 
@@ -47,23 +50,23 @@
     const EMPTY: Self = Self { first: NO_NODE, last: NO_NODE };
 }
 
-/// The slot whose timers come next.
+/// The next slot whose timers have to be processed.
 struct NextSlot {
     level: usize,
     slot: usize,
     starts_at_ms: u64,
 }
 
-/// Timers that each carry a payload. As many nodes are kept as there were timers at a time; whoever sets timers has to
-/// bound them.
+/// A set of timers that each carry a payload. Nodes are reused but never deallocated, so memory is proportional to
+/// the largest number of timers set at once; the code that sets timers must bound it.
 pub struct TimerWheel<T> {
     nodes: Vec<Node<T>>,
     /// The first free node.
     free: u32,
     lists: Vec<List>,
-    /// A bit for each slot of a level that has timers.
+    /// For each level, a bit for each slot that contains timers.
     occupied: [u64; LEVELS],
-    /// Milliseconds up to which all timers have fired.
+    /// Time in milliseconds up to which all timers have fired.
     elapsed_ms: u64,
     len: usize,
 }
@@ -76,7 +79,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// Number of timers that were set and neither fired nor were cancelled.
+    /// Number of timers that have neither fired nor been cancelled.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -86,7 +89,7 @@
         self.len == 0
     }
 
-    /// Sets a timer for a time in seconds; one in the past is due at once.
+    /// Sets a timer for a time in seconds; a time in the past is due immediately.
     pub fn set(&mut self, at: f64, payload: T) -> TimerKey {
         let due_ms = (at.max(0.0) * MS_PER_SECOND - ROUNDING_MS).ceil().min(LATEST_TICK as f64) as u64;
         let node = self.allocate_node(due_ms, payload);
@@ -95,7 +98,7 @@
         TimerKey { node, generation: self.nodes[node as usize].generation }
     }
 
-    /// Cancels a timer and gives back its payload; none if it fired or was cancelled before.
+    /// Cancels a timer and returns its payload, or `None` if it has already fired or been cancelled.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let node = self.nodes.get(key.node as usize)?;
         if node.generation != key.generation || node.payload.is_none() {
@@ -105,7 +108,7 @@
         self.free_node(key.node)
     }
 
-    /// The earliest time at which [`fire`](Self::fire) may give a timer, in seconds.
+    /// The earliest time, in seconds, at which [`fire`](Self::fire) may return a timer.
     pub fn next_due(&self) -> Option<f64> {
         if self.lists[DUE_LIST].first != NO_NODE {
             return Some(self.elapsed_ms as f64 / MS_PER_SECOND);
@@ -113,7 +116,7 @@
         self.next_slot().map(|next| next.starts_at_ms as f64 / MS_PER_SECOND)
     }
 
-    /// The payload of one timer that is due by `now`, in seconds; the earliest first.
+    /// Fires one timer that is due by `now`, in seconds, the earliest first, and returns its payload.
     pub fn fire(&mut self, now: f64) -> Option<T> {
         let now_ms = (now.max(0.0) * MS_PER_SECOND + ROUNDING_MS).floor().min(LATEST_TICK as f64) as u64;
         loop {
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Moves the timers of a slot whose time has come to lower levels, or to the list of those that are due.
+    /// Cascades the timers of a slot that has been reached to lower levels or to the due list.
     fn cascade_slot(&mut self, level: usize, slot: usize) {
         let list = level * SLOTS_PER_LEVEL as usize + slot;
         let mut node = std::mem::replace(&mut self.lists[list], List::EMPTY).first;
@@ -154,13 +157,13 @@
             let distance = u64::from(occupied.rotate_right(current as u32).trailing_zeros());
             let slot = (current + distance) % SLOTS_PER_LEVEL;
             let begin = ((self.elapsed_ms >> shift) - current + slot) << shift;
-            // A slot behind the current one belongs to the next round of its level.
+            // A slot behind the current one belongs to the next rotation of its level.
             let round = if slot < current { SLOTS_PER_LEVEL << shift } else { 0 };
             Some(NextSlot { level, slot: slot as usize, starts_at_ms: begin + round })
         })
     }
 
-    /// Puts a node at the end of the list for its time.
+    /// Appends a node to the list for its due time.
     fn link(&mut self, node: u32) {
         let list = self.list_for_time(self.nodes[node as usize].due_ms);
         let last = self.lists[list].last;
@@ -173,8 +176,8 @@
         }
     }
 
-    /// The list for a time; its slot counts as occupied from here on. The level is that of the highest bits in which
-    /// the time differs from now.
+    /// Returns the list for a time and marks its slot as occupied. The level is that of the highest bit in which the
+    /// time differs from the current time.
     fn list_for_time(&mut self, due_ms: u64) -> usize {
         if due_ms <= self.elapsed_ms {
             return DUE_LIST;
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -1,6 +1,6 @@
-//! The workers of the endpoint list, under the dispatcher's dense indices: addresses, processes, states and start times.
-//! The dispatcher passes each revision of the list to it, and asks it what must be known at the moment of sending; what
-//! a worker's state means for placement, the router decides.
+//! Workers of the endpoint list, by the dispatcher's dense indices: addresses, processes, states and start times. The
+//! dispatcher passes each update of the list to it and queries it when sending; the router decides what a worker's
+//! state means for placement.
 
 use crate::interner::Interner;
 use crate::start_times::{StartTimes, is_different_process};
@@ -11,19 +11,19 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Workers that may be known at a time; of a list that names more, the rest is ignored.
+/// Maximum number of known workers; further workers in a list are ignored.
 const MAX_WORKERS: usize = 65_536;
 
-/// Start times that are kept of workers whose names were forgotten. Past so many all are dropped, at the price of a
-/// slow start for those that come back.
+/// Maximum number of saved start times of evicted workers. When it is reached, all are dropped; workers that return
+/// then go through slow start again.
 const MAX_SAVED_STARTS: usize = 16_384;
 
 /// When a process started.
 #[derive(Clone, Copy, Default)]
 struct ProcessStart {
-    /// Unix time as the endpoint list states it.
+    /// Unix timestamp from the endpoint list.
     timestamp: Option<f64>,
-    /// Seconds on the monotonic clock; none means long ago.
+    /// Seconds on the monotonic clock; `None` means long ago.
     at: Option<f64>,
 }
 
@@ -32,61 +32,62 @@
 enum Presence {
     Listed,
     GoneSince(f64),
-    /// Its name is forgotten, and its index may be given to another worker.
+    /// Its name was released, and its index may be reused for another worker.
     Evicted,
 }
 
 struct Worker {
     address: SocketAddr,
-    /// Changes with every process that has the index.
+    /// Changes with every new process at this index.
     process: u64,
     start: ProcessStart,
     state: EndpointState,
     presence: Presence,
 }
 
-/// Where a worker is reached, and which process that is.
+/// The address of a worker and the number of the process there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerProcess {
-    /// The address that the endpoint list states.
+    /// Address from the endpoint list.
     pub address: SocketAddr,
-    /// A number that changes when another process takes the worker's name or index.
+    /// Number that changes when another process takes over the worker's name or index.
     pub process: u64,
 }
 
-/// Identifies a state of the endpoint list.
+/// Identifies a version of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointRevision {
-    /// Number of restarts of the dispatcher: after one, indices of workers are given out anew.
+    /// Number of restarts of the dispatcher; worker indices are reassigned after each.
     pub generation: u64,
-    /// Number of updates since the restart.
+    /// Number of updates since the last restart.
     pub revision: u64,
 }
 
 pub(crate) struct WorkerTable {
     /// Bounded by [`MAX_WORKERS`].
     names: Interner,
-    /// Zones and cells that were ever listed; these names are not forgotten.
+    /// All zones and cells that were ever listed; their names are never released.
     zones: Interner,
     cells: Interner,
     kinds: Vec<String>,
-    /// By index; as long as the largest number of names that were known at a time.
+    /// By index. Its length is the largest number of workers known at once.
     workers: Vec<Worker>,
-    /// Seconds after which nothing that was sent to a worker that is gone can be in flight any more: its index may be
-    /// given to another.
+    /// Seconds after which nothing sent to a worker that is gone can still be in flight, so that its index may be
+    /// reused.
     evict_after: f64,
     pub(crate) start_times: StartTimes,
-    /// Start times by name, of workers that were forgotten or that the table before this one knew: a process that is
-    /// listed again is not a new one. Bounded by [`MAX_FORMER_STARTS`] and the workers of one table.
+    /// Start times, by name, of evicted workers and of workers known before the last restart, so that a process that
+    /// is listed again is not taken for a new one. Bounded by [`MAX_SAVED_STARTS`] plus the workers of one table.
     saved_starts: BTreeMap<Arc<str>, ProcessStart>,
     revision: u64,
-    /// Number of tables before this one. It is part of each process's number, so that no connection made for a worker
-    /// of one table is taken for that of another.
+    /// Number of tables before this one. It is part of every process number, so that a connection to a worker of an
+    /// earlier table is never taken for one to a worker of this table.
     generation: u64,
 }
 
 impl WorkerTable {
-    /// An empty table; `kinds` are the configured kinds of workers, in the order of the router's configuration.
+    /// Creates an empty table. `kinds` are the configured kinds of workers, in the order of the router's
+    /// configuration.
     pub(crate) fn new(
         kinds: &[String],
         seed: u64,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// An empty table that takes this one's place. It keeps when processes started, because their stamps would be
-    /// judged anew by a clock that may have been stepped since.
+    /// Creates the empty table that replaces this one after a restart. It keeps the start times of processes; if it
+    /// converted their timestamps again, a wall clock stepped in the meantime could change them.
     pub(crate) fn next_generation(&self, seed: u64) -> Self {
         let mut saved_starts = self.saved_starts.clone();
         saved_starts
@@ -119,7 +120,7 @@
         Self { saved_starts, ..Self::new(&self.kinds, seed, start_times, generation, self.evict_after) }
     }
 
-    /// The state of the list that is known; its revision is 0 where none is.
+    /// The version of the list; its revision is 0 if no list has been received.
     pub(crate) fn revision(&self) -> EndpointRevision {
         EndpointRevision { generation: self.generation, revision: self.revision }
     }
@@ -135,7 +136,7 @@
         self.names.name(worker)
     }
 
-    /// The process of a worker; an address that can't be reached for an index that was never given out.
+    /// The process of a worker. For an index that was never assigned, it has an address that cannot be reached.
     pub(crate) fn process(&self, worker: usize) -> WorkerProcess {
         let unknown = WorkerProcess { address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)), process: 0 };
         self.workers.get(worker).map_or(unknown, |worker| {
@@ -144,12 +145,13 @@
         })
     }
 
-    /// When a worker's process started, in seconds on the monotonic clock; none means long ago.
+    /// When a worker's process started, in seconds on the monotonic clock; `None` means long ago.
     pub(crate) fn started(&self, worker: usize) -> Option<f64> {
         self.workers.get(worker).and_then(|worker| worker.start.at)
     }
 
-    /// Takes one revision of the list, `complete` or only the entries that changed, and passes on what each entry states.
+    /// Applies one update of the list: the `complete` list, or only the entries that changed. Reports each entry to
+    /// `on_update`.
     pub(crate) fn update(
         &mut self,
         now: f64,
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Takes one entry. Gives the worker's index, or none where too many workers are named.
+    /// Applies one entry. Returns the worker's index, or `None` if too many workers are known.
     fn update_worker(&mut self, now: f64, entry: &EndpointEntry) -> Option<usize> {
         let is_new = self.names.get(&entry.name).is_none();
         if is_new && self.names.len() >= MAX_WORKERS {
@@ -196,9 +198,9 @@
         Some(worker)
     }
 
-    /// Adds a worker whose name was not known, at an index that is new or was forgotten.
+    /// Adds a worker with an unknown name at an index that is new or was released.
     fn add_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
-        // What had the index before is another process, with which this one shares nothing.
+        // A previous worker at this index was another process, with which this one shares nothing.
         let previous = self.workers.get(worker);
         let process = previous.map_or(self.generation << 32 | 1, |previous| previous.process + 1);
         let added = Worker {
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Updates a worker whose name is known. Another address or another stamp is another process, in which nothing is
-    /// loaded; one whose start time nobody states started now at the latest.
+    /// Updates a worker with a known name. A different address or timestamp means a new process, in which nothing is
+    /// loaded; without a new timestamp, the process counts as started now.
     fn update_known_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
         let worker = &mut self.workers[worker];
         let before = worker.start;
@@ -227,12 +229,13 @@
         worker.address = entry.address;
         let timestamp = entry.started.filter(|_| is_different);
         let at = timestamp.map_or(now, |timestamp| self.start_times.start_time(now, timestamp, before.at));
-        // The router distinguishes processes by their start times.
+        // The router distinguishes processes by their start times, so a new process must start later than its
+        // predecessor.
         let at = before.at.map_or(at, |before| at.max(before.next_up()));
         worker.start = ProcessStart { timestamp: entry.started, at: Some(at) };
     }
 
-    /// The start of a worker whose name was not known.
+    /// Start of a worker with an unknown name.
     fn initial_start(&mut self, now: f64, entry: &EndpointEntry) -> ProcessStart {
         let previous = self.saved_starts.remove(entry.name.as_str());
         match previous {
@@ -246,9 +249,10 @@
         }
     }
 
-    /// What the router is notified of about a worker.
+    /// Converts an entry to an update for the router.
     fn endpoint_update(&mut self, worker: usize, entry: &EndpointEntry) -> EndpointUpdate {
-        // Workers without a zone or cell share none: nobody else knows the idempotency keys that they remember.
+        // A worker without a zone or cell is alone in its group: no other worker knows the idempotency keys that it
+        // remembers.
         let unshared = usize::MAX - worker;
         let intern_group = |groups: &mut Interner, name: &str| {
             if name.is_empty() { unshared } else { groups.intern(name) }
@@ -265,8 +269,8 @@
         }
     }
 
-    /// Forgets the names of workers that are long gone: where workers are replaced by others all day, they would pile
-    /// up.
+    /// Evicts workers that have been gone for long. Otherwise the table would keep growing where workers are replaced
+    /// by others with new names.
     fn evict_gone(&mut self, now: f64) {
         for worker in 0..self.workers.len() {
             let Presence::GoneSince(since) = self.workers[worker].presence else { continue };
@@ -278,7 +282,7 @@
         }
     }
 
-    /// Keeps the start of a worker whose name is forgotten; one that started long ago needs none.
+    /// Saves the start of a worker that is being evicted, unless it started long ago.
     fn save_start(&mut self, worker: usize) {
         let start = self.workers[worker].start;
         if start.at.is_none() {
