--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -1,8 +1,9 @@
-//! What the dispatcher costs in the gateway, alone, without sockets, in simulated time. 30 workers and 60 functions, then
-//! 300 workers and 10,000 functions whose popularity is by Zipf; 760 and 7,600 requests a second; one gateway alone, or
-//! one of 60 that share the workers.
+//! CPU time of the dispatcher alone in the gateway, without sockets, in simulated time. Workloads: 30 workers and 60
+//! functions, or 300 workers and 10,000 functions with Zipf-distributed popularity; 760 or 7,600 requests per second;
+//! a single gateway, or one of 60 that share the workers.
 //!
-//! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds a request, all its events together.
+//! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds per request, for all its events
+//! together.
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::{LoadReport, Outcome};
@@ -14,11 +15,12 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-/// Seconds of a simulated run; the first part, in which instances get known, is not measured.
+/// Simulated duration in seconds, including the warm-up. The warm-up, in which the dispatcher learns of the
+/// instances, is not measured.
 const SECONDS: f64 = 20.0;
 const WARM_UP_SECONDS: f64 = 5.0;
 
-/// Seconds that a worker takes at least, and what is added to them on average.
+/// Service time of a worker in seconds: the minimum, and the mean of the exponentially distributed addition.
 const MIN_SERVICE_TIME: f64 = 0.01;
 const MEAN_EXTRA_SERVICE_TIME: f64 = 0.05;
 
@@ -50,7 +52,7 @@
     interval: Exp<f64>,
     service_time: Exp<f64>,
     functions: Vec<String>,
-    /// Events by microsecond and serial number.
+    /// Events by time in microseconds and serial number.
     queue: BTreeMap<(u64, u64), Event>,
     next_serial: u64,
     /// Attempts in flight at each worker.
@@ -65,7 +67,7 @@
              load = 0.4\n}}\nworkers {{ registry = \"127.0.0.1:1\" }}\n"
         );
         let mut config = milletpath_config::read(&text).expect("a valid configuration");
-        // Nothing confirms the list here, and it changes only by what is passed on.
+        // The list is never confirmed here, so it must not become stale.
         config.policy.list_valid_for = f64::INFINITY;
         let mut dispatcher = Dispatcher::new(&config, 0.0);
         dispatcher.update_endpoints(0.0, true, &(0..workers).map(entry).collect::<Vec<_>>());
@@ -118,7 +120,7 @@
         }
     }
 
-    /// What is measured: all calls of the dispatcher for one event.
+    /// Performs all calls to the dispatcher for one event; this is what is measured.
     fn dispatch(&mut self, now: f64, event: Event) -> Vec<Action> {
         while self.dispatcher.next_deadline().is_some_and(|at| at <= now) {
             self.dispatcher.advance(now);
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The load that a worker reports.
+    /// Load report of a worker.
     fn load(&self, worker: usize) -> LoadReport {
         let in_flight = self.in_flight[worker] as f64;
         LoadReport { in_flight: Some(in_flight), utilization: Some(in_flight / 8.0), ..LoadReport::default() }
--- a/crates/dispatcher/benches/timers.rs
+++ b/crates/dispatcher/benches/timers.rs
@@ -1,7 +1,7 @@
-//! Timers as the gateway uses them, 100,000 set at a time: each round sets some, cancels most, lets some fire. The wheel
-//! against a binary heap that skips what was cancelled, interleaved in one run.
+//! Timers as used by the gateway, 100,000 set at a time: each round sets some, cancels most and lets some fire.
+//! Compares the wheel with a binary heap that skips cancelled timers, alternating between them in one run.
 //!
-//! `cargo bench -p milletpath-dispatcher --bench timers` prints nanoseconds a round.
+//! `cargo bench -p milletpath-dispatcher --bench timers` prints nanoseconds per round.
 
 use milletpath_dispatcher::timer_wheel::TimerWheel;
 use std::cmp::Reverse;
@@ -11,10 +11,10 @@
 
 const SET: usize = 100_000;
 const ROUNDS: usize = 2_000_000;
-/// Timers that are cancelled: nearly all requests end before their deadline.
+/// Percentage of rounds that cancel a timer: nearly all requests end before their deadline.
 const CANCELLED_PERCENT: u64 = 95;
 
-/// A pseudo-random sequence (xorshift), the same for both.
+/// Next value of a pseudo-random sequence (xorshift), which is the same for both implementations.
 fn random(state: &mut u64) -> u64 {
     *state ^= *state << 13;
     *state ^= *state >> 7;
@@ -22,7 +22,7 @@
     *state
 }
 
-/// A timeout of up to three seconds.
+/// A random timeout of up to three seconds.
 fn timeout(seed: &mut u64) -> f64 {
     (random(seed) % 3000) as f64 / 1e3
 }
@@ -79,7 +79,7 @@
 }
 
 fn main() {
-    // Cargo runs benches as tests too: nothing is measured there.
+    // Cargo also runs benches as tests; nothing is measured then.
     let rounds = if std::env::args().any(|a| a == "--bench") { 5 } else { 0 };
     let mut ratios = Vec::new();
     for _ in 0..rounds {
--- a/crates/dispatcher/src/load_rate_limit/tests.rs
+++ b/crates/dispatcher/src/load_rate_limit/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Two free load requests in any window of ten seconds.
+/// A limit of two free load requests in any window of ten seconds.
 fn two_in_ten_seconds() -> LoadRateLimit {
     LoadRateLimit::new(RequestBudget { window: 10.0, free: 2.0, earned_per_request: 0.0 })
 }
 
-/// A fraction holds until its time and not a moment longer, whoever looks.
+/// The fraction changes exactly at its expiry, without another call to set it.
 #[test]
 fn quota_fraction_expires_by_itself() {
     let mut limit = two_in_ten_seconds();
@@ -15,7 +15,8 @@
     assert!(limit.try_send(20.0) && !limit.try_send(20.0));
 }
 
-/// A lease that is held ends with its term; one that was granted reduces the limit from then on.
+/// The adjustment changes exactly at its expiry: what was held on lease ends, while what was leased to others still
+/// reduces the limit.
 #[test]
 fn adjustment_expires_by_itself() {
     let mut limit = two_in_ten_seconds();
--- a/crates/dispatcher/tests/dispatcher.rs
+++ b/crates/dispatcher/tests/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher in simulated time, without sockets and without a clock: single stories by concern, then every order
-//! of the events around one request, then thousands of random histories.
+//! Tests of the dispatcher in simulated time, without sockets or a clock: scenarios by topic, then every order of the
+//! events around one request, then random histories.
 
 #[path = "dispatcher/attempts.rs"]
 mod attempts;
--- a/crates/dispatcher/tests/dispatcher/attempts.rs
+++ b/crates/dispatcher/tests/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: when one may still be sent, and what its end proves.
+//! Attempts: when one may still be sent, and what its end implies.
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
@@ -6,8 +6,8 @@
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use test_case::test_case;
 
-/// The endpoint list reports a drain while an attempt waits for its connection: the attempt ends as unsent, which proves
-/// that nothing ran, and goes to another worker.
+/// The endpoint list reports a worker as draining or gone while an attempt's connection is being established. The
+/// attempt ends as not sent, so nothing has run, and the request moves to another worker.
 #[test_case(EndpointStatus::Draining; "draining")]
 #[test_case(EndpointStatus::Gone; "gone")]
 fn attempt_that_still_connects_is_not_sent_to_a_draining_worker(state: EndpointStatus) {
@@ -22,11 +22,11 @@
     assert_eq!(dispatcher.counters().suppressed, 1);
 }
 
-/// A worker's socket takes no byte of an attempt that was allowed: the attempt waits as if its connection were not made,
-/// ends as never run if that lasts, and has to be allowed again if it can be written after all.
-#[test_case(EndpointStatus::Ready, true; "it is written after all")]
+/// No byte of an allowed attempt can be written to the worker's socket. The attempt counts as connecting again: it is
+/// not run if it times out, and must be allowed again before it is written.
+#[test_case(EndpointStatus::Ready, true; "written on the second try")]
 #[test_case(EndpointStatus::Draining, false; "the worker drains first")]
-fn unwritten_attempt_is_begun_again_or_moved(state: EndpointStatus, begins_again: bool) {
+fn unwritten_attempt_is_allowed_again_or_moves_to_another_worker(state: EndpointStatus, begins_again: bool) {
     let mut dispatcher = dispatcher(Effect::NonIdempotent, 2);
     let request = submit(&mut dispatcher, 1.0, 2.0);
     let SentAttempt { attempt, worker, .. } = take_attempts(&mut dispatcher)[0];
@@ -44,8 +44,8 @@
     }
 }
 
-/// Workers remember the key of a first attempt for a second from when it was sent. A retry that is decided on within
-/// that second, but whose connection is made after it, is not sent.
+/// Workers remember the idempotency key for one second after the first attempt was sent. A retry decided on within
+/// that second, but connected after it, is not sent.
 #[test_case(1.9, true; "within")]
 #[test_case(2.1, false; "after")]
 fn retry_is_begun_only_while_its_idempotency_key_is_remembered(connected_at: f64, begins: bool) {
@@ -56,13 +56,13 @@
     end_attempt(&mut dispatcher, 1.5, first, Outcome::ConnectionLost);
     let retry = take_attempts(&mut dispatcher)[0];
     assert_eq!(dispatcher.begin_attempt(connected_at, request, retry.attempt), begins);
-    // Only some of the workers know the key, so what may have run is not sent to another one: the request ends.
+    // Only some workers know the key, so a request that may have run is not sent to another one; it ends.
     let is_final = |action: &Action| matches!(action, Action::Fail { .. } | Action::Reject { .. });
     assert_eq!(take_actions(&mut dispatcher).iter().any(is_final), !begins);
 }
 
-/// A worker with an attempt in flight comes back under its name in another zone. The workers that remember the key are
-/// those of the zone where it was, so a retry in the new zone might run it twice.
+/// A worker with an attempt in flight is listed again in another zone. Only the workers of its previous zone remember
+/// the key, so a retry in the new zone could execute the request twice.
 #[test]
 fn idempotency_key_stays_in_the_zone_of_its_attempt() {
     let zoned = Effect::IdempotentWithKey.setting().replace("memory = 1", "memory = 2\ngroup = \"zone\"");
@@ -79,7 +79,7 @@
     assert_eq!(take_attempts(&mut dispatcher), []);
 }
 
-/// A connection that is not made in time proves that nothing ran, whatever the profile.
+/// A connection that is not established in time proves that nothing ran, whatever the profile.
 #[test]
 fn connect_timeout_moves_the_attempt_to_another_worker() {
     let mut dispatcher = dispatcher(Effect::NonIdempotent, 2);
@@ -88,12 +88,12 @@
     let actions = actions_until(&mut dispatcher, 1.3);
     assert!(actions.contains(&Action::CancelAttempt { request, attempt }));
     assert_eq!(sent_attempts(&actions)[0].worker, 1 - worker);
-    // The first connection, if it is made after all, carries nothing.
+    // The first connection must not be used even if it is established later.
     assert!(!dispatcher.begin_attempt(1.4, request, attempt));
 }
 
-/// The clock jumps, as when the process was stopped: what is overdue is answered at once, and an answer that was waiting
-/// in the socket comes too late.
+/// The clock jumps, for example because the process was suspended. Overdue requests are answered at once, and a
+/// response that was waiting in the socket is too late.
 #[test]
 fn answer_after_the_deadline_is_discarded() {
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
--- a/crates/dispatcher/tests/dispatcher/config_changes.rs
+++ b/crates/dispatcher/tests/dispatcher/config_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of functions' configuration while the dispatcher runs.
+//! Changes of function configuration at runtime.
 
 use super::support::*;
 use milletpath_config::{FunctionConfig, GatewayConfig};
@@ -15,12 +15,13 @@
     dispatcher.apply_config_change(&change, &config.functions);
 }
 
-/// An instance executes as many requests at a time as it has lanes by the configuration in force: two initially.
+/// An instance executes as many requests concurrently as it has lanes in the effective configuration; the initial
+/// configuration has two.
 #[test_case(&[], 2; "initially")]
-#[test_case(&[("function f", Some("function \"f\" { lanes = 3 }"))], 3; "by a change")]
-#[test_case(&[("functions", Some("functions { lanes = 1 }"))], 1; "by a change of all functions")]
-#[test_case(&[("functions", Some("functions { lanes = 4 }")), ("function f", Some("function \"f\" {}"))], 4; "of all functions where its own says nothing")]
-#[test_case(&[("function f", Some("function \"f\" { lanes = 3 }")), ("function f", None)], 2; "after its removal")]
+#[test_case(&[("function f", Some("function \"f\" { lanes = 3 }"))], 3; "changed for the function")]
+#[test_case(&[("functions", Some("functions { lanes = 1 }"))], 1; "changed for all functions")]
+#[test_case(&[("functions", Some("functions { lanes = 4 }")), ("function f", Some("function \"f\" {}"))], 4; "changed for all functions and not set for the function")]
+#[test_case(&[("function f", Some("function \"f\" { lanes = 3 }")), ("function f", None)], 2; "change removed")]
 fn attempts_in_flight_follow_the_lanes_in_force(changes: &[(&str, Option<&str>)], lanes: usize) {
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
     for (key, text) in changes {
@@ -32,7 +33,7 @@
     assert_eq!(take_attempts(&mut dispatcher).len(), lanes);
 }
 
-/// A request in flight keeps the configuration it came with; the next one goes by what is in force by then.
+/// A request in flight keeps the configuration with which it arrived; later requests use the new one.
 #[test]
 fn config_change_applies_to_later_requests() {
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
@@ -41,13 +42,13 @@
     submit(&mut dispatcher, 1.0, 2.0);
     assert_eq!(take_attempts(&mut dispatcher).len(), 1);
     apply_change(&mut dispatcher, "function f", Some("function \"f\" { lanes = 3 }"));
-    assert_eq!(take_actions(&mut dispatcher), [], "a change alone sends nothing");
+    assert_eq!(take_actions(&mut dispatcher), [], "a configuration change alone must send nothing");
     submit(&mut dispatcher, 1.001, 2.0);
     let sent = take_attempts(&mut dispatcher).len();
     assert!((1..=2).contains(&sent), "{sent}");
 }
 
-/// What changes said is in force after a restart as it was before.
+/// Configuration changes stay in effect after a restart.
 #[test]
 fn config_changes_survive_a_restart() {
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
--- a/crates/dispatcher/tests/dispatcher/endpoints.rs
+++ b/crates/dispatcher/tests/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: workers are replaced, move to other addresses, or vanish all at once.
+//! The endpoint list: workers are replaced, change their address, or disappear all at once.
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
@@ -6,8 +6,8 @@
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A worker is replaced by another, with a name never seen, all day long: the tables stay as small as the fleet, and
-/// nothing that was known of the one before holds for the one that has its index.
+/// Workers are continually replaced by others with new names. The tables must stay as small as the fleet, and nothing
+/// known about a worker may carry over to the next one with its index.
 #[test]
 fn worker_indices_are_reused_when_the_fleet_is_replaced() {
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
@@ -17,8 +17,8 @@
         dispatcher.update_endpoints(now, false, &[entry(number - 1, EndpointStatus::Gone), added.clone()]);
         let request = submit(&mut dispatcher, now, 2.0);
         let attempts = take_attempts(&mut dispatcher);
-        let &[sent] = &attempts[..] else { panic!("one attempt at {now}: {attempts:?}") };
-        assert!(sent.worker < 8, "index {} at {now}", sent.worker);
+        let &[sent] = &attempts[..] else { panic!("expected one attempt at {now}: {attempts:?}") };
+        assert!(sent.worker < 8, "worker index {} at {now}", sent.worker);
         assert_eq!(dispatcher.worker_process(sent.worker).address, added.address);
         assert!(dispatcher.begin_attempt(now, request, sent.attempt));
         assert!(end_attempt(&mut dispatcher, now + 0.1, sent, Outcome::Succeeded));
@@ -26,7 +26,7 @@
     }
 }
 
-/// The same name at another address is another process, which connections to the old address do not reach.
+/// The same name at another address is a new process, which connections to the old address do not reach.
 #[test]
 fn worker_at_a_new_address_is_a_new_process() {
     let mut dispatcher = dispatcher(Effect::Idempotent, 1);
@@ -37,12 +37,12 @@
     let after = dispatcher.worker_process(0);
     assert_eq!(after.address, address);
     assert!(after.process > before.process);
-    // The same entry again changes nothing.
+    // Repeating the entry changes nothing.
     dispatcher.update_endpoints(3.0, false, &[moved]);
     assert_eq!(dispatcher.worker_process(0), after);
 }
 
-/// A list without workers: nothing is sent, and requests are rejected while a retry can still be in time.
+/// With an empty list nothing is sent, and requests are rejected early enough for a retry to succeed in time.
 #[test]
 fn empty_endpoint_list_rejects_requests() {
     let mut dispatcher = dispatcher(Effect::Idempotent, 3);
@@ -60,8 +60,8 @@
     assert_eq!(take_attempts(&mut dispatcher).len(), 1);
 }
 
-/// The list becomes stale while an attempt waits for its connection, and its worker has proved nothing: the attempt ends as
-/// unsent, and no worker gets one before it has passed a health check.
+/// The list becomes stale while an attempt's connection is being established, and its worker has not proved that it
+/// accepts work. The attempt ends as not sent, and a worker gets no attempt before it has passed a health check.
 #[test]
 fn attempt_is_not_begun_once_the_list_is_stale() {
     const VALID_FOR: f64 = 2.5;
--- a/crates/dispatcher/tests/dispatcher/functions.rs
+++ b/crates/dispatcher/tests/dispatcher/functions.rs
@@ -1,10 +1,10 @@
-//! Functions: load requests for them, and how long they are known.
+//! Functions: load requests for them, and when they are released.
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::Action;
 use milletpath_policy::Outcome;
 
-/// A load request that is never answered ends when its time is over, and a late answer to it is ignored.
+/// A load request that is never answered times out, and a late response to it is ignored.
 #[test]
 fn unanswered_load_request_times_out() {
     let config = gateway_config(Effect::Idempotent.setting(), "probes = false\nmisses = true");
@@ -23,9 +23,9 @@
     dispatcher.load_request_ended(3.3, load_request, Outcome::Succeeded, 1);
 }
 
-/// Of many functions that are called once, only those of recent seconds are known.
+/// Of many functions that are called only once, only recent ones stay in memory.
 #[test]
-fn one_off_functions_are_forgotten() {
+fn one_off_functions_are_released() {
     let config = gateway_config(Effect::Idempotent.setting(), &format!("{ATTEMPTS_ONLY}\nkeep = 5"));
     let mut dispatcher = dispatcher_with(&config, &ready_entries(8));
     let mut most_known = 0;
@@ -43,6 +43,6 @@
         assert!(dispatcher.context(request).is_none());
         most_known = most_known.max(dispatcher.function_count());
     }
-    // 200 a second, known for the 15 s in which their demand decays, and until the next sweep.
+    // 200 functions per second, kept for the 15 s in which their demand decays and until the next sweep.
     assert!(most_known < 15_000, "{most_known}");
 }
--- a/crates/dispatcher/tests/dispatcher/interleavings.rs
+++ b/crates/dispatcher/tests/dispatcher/interleavings.rs
@@ -1,4 +1,4 @@
-//! Every order of the events that can cross around one request, each played to its end.
+//! Tests every order of the events that can occur around one request, each run to completion.
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
@@ -9,12 +9,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    /// The connection of an attempt is made, and its first byte is sent.
+    /// An attempt's connection is established, and its first byte is sent.
     Connected,
-    /// The socket took no byte of it after all.
+    /// No byte of the attempt could be written to the socket.
     NotWritten,
     Answer,
-    /// A duplicate of the answer, or that of another attempt.
+    /// A duplicate of the answer, or the answer to another attempt.
     SecondAnswer,
     ConnectionLost,
     ClientGone,
@@ -40,7 +40,7 @@
     begun: bool,
 }
 
-/// A dispatcher with one request, what its caller knows of it, and what must hold of it.
+/// A dispatcher with one request, and the caller's view of it, on which the invariants are checked.
 struct Run {
     dispatcher: Dispatcher<u32>,
     effect: Effect,
@@ -78,7 +78,7 @@
         self.answers > 0 || self.client_gone
     }
 
-    /// Whether another execution of the request would be a second effect.
+    /// Whether executing the request again could repeat its effect.
     fn must_not_run_again(&self) -> bool {
         self.effect == Effect::NonIdempotent && self.may_have_run > 0
     }
@@ -90,9 +90,13 @@
     fn process_actions(&mut self, event: Event) {
         let actions = take_actions(&mut self.dispatcher);
         for SentAttempt { attempt, worker, .. } in sent_attempts(&actions) {
-            assert!(!self.is_over(), "an attempt after the end, at {event:?}");
-            assert_ne!(self.draining_worker, Some(worker), "an attempt at a draining worker, at {event:?}");
-            assert!(!self.must_not_run_again(), "an effect that may happen twice, at {event:?}");
+            assert!(!self.is_over(), "an attempt after the request ended, at {event:?}");
+            assert_ne!(
+                self.draining_worker,
+                Some(worker),
+                "an attempt sent to a draining worker, at {event:?}"
+            );
+            assert!(!self.must_not_run_again(), "the effect may be repeated, at {event:?}");
             self.in_flight.insert(attempt, InFlight { worker, begun: false });
         }
         for action in actions {
@@ -101,15 +105,21 @@
                     self.in_flight.remove(&attempt);
                 }
                 Action::Reject { .. } => {
-                    assert!(!self.must_not_run_again(), "a rejection of what may have run, at {event:?}");
+                    assert!(
+                        !self.must_not_run_again(),
+                        "a request that may have run was rejected, at {event:?}"
+                    );
                     self.answers += 1;
                 }
                 Action::Fail { .. } => self.answers += 1,
                 _ => {}
             }
         }
-        assert!(self.answers <= 1, "a second answer, at {event:?}");
-        assert!(!self.client_gone || self.answers == 0, "an answer to nobody, at {event:?}");
+        assert!(self.answers <= 1, "a second response, at {event:?}");
+        assert!(
+            !self.client_gone || self.answers == 0,
+            "a response after the client disconnected, at {event:?}"
+        );
     }
 
     fn apply(&mut self, event: Event) {
@@ -133,8 +143,8 @@
             self.in_flight.remove(&attempt);
             return;
         }
-        assert!(!self.is_over(), "an attempt begun after the end");
-        assert_ne!(self.draining_worker, Some(worker), "an attempt begun at a draining worker");
+        assert!(!self.is_over(), "an attempt begun after the request ended");
+        assert_ne!(self.draining_worker, Some(worker), "an attempt begun on a draining worker");
         self.may_have_run += 1;
         self.in_flight.insert(attempt, InFlight { worker, begun });
     }
@@ -152,7 +162,7 @@
         let outcome = if begun { outcome } else { Outcome::Unreachable };
         let sent = SentAttempt { request: self.request, attempt, worker };
         if end_attempt(&mut self.dispatcher, self.now, sent, outcome) {
-            assert!(!self.is_over(), "an answer after the end");
+            assert!(!self.is_over(), "a response after the request ended");
             self.answers += 1;
         }
     }
@@ -182,7 +192,7 @@
     }
 }
 
-/// Calls `visit` with every order of the events from a position on.
+/// Calls `visit` with every permutation of the events from index `from` on.
 fn for_each_permutation(events: &mut [Event], from: usize, visit: &mut impl FnMut(&[Event])) {
     if from == events.len() {
         return visit(events);
@@ -203,9 +213,12 @@
         let mut run = Run::new(effect);
         events.iter().for_each(|event| run.apply(*event));
         run.advance_to(8.0);
-        assert!(run.is_over(), "no end in {events:?}");
-        assert_eq!(run.dispatcher.open_requests(), 0, "a request is left in {events:?}");
-        assert!(run.dispatcher.context(run.request).is_none(), "its record is not freed in {events:?}");
+        assert!(run.is_over(), "the request never ended in {events:?}");
+        assert_eq!(run.dispatcher.open_requests(), 0, "a request is still open after {events:?}");
+        assert!(
+            run.dispatcher.context(run.request).is_none(),
+            "the request's record was not freed after {events:?}"
+        );
         count += 1;
     });
     assert_eq!(count, (1..=ALL_EVENTS.len()).product::<usize>());
--- a/crates/dispatcher/tests/dispatcher/random_histories.rs
+++ b/crates/dispatcher/tests/dispatcher/random_histories.rs
@@ -1,4 +1,4 @@
-//! Random histories of many requests, checked against a model of what the caller knows.
+//! Random histories of many requests, checked against a model of the caller's view.
 
 use super::support::*;
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId};
@@ -7,10 +7,10 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds by which an answer may be late, as timers fire a millisecond late.
+/// Tolerance for late answers in seconds, as timers may fire a millisecond late.
 const TOLERANCE: f64 = 0.002;
 
-/// Seconds after which the longest history has ended.
+/// Time in seconds by which the longest history has ended.
 const END_OF_HISTORY: f64 = 40.0;
 
 #[derive(Clone, Debug)]
@@ -68,14 +68,14 @@
     deadline: f64,
 }
 
-/// A dispatcher, and what its caller knows: the invariants are checked on it.
+/// A dispatcher and the caller's view of it, on which the invariants are checked.
 struct Model {
     dispatcher: Dispatcher<u32>,
     effect: Effect,
     now: f64,
     /// Requests whose clients wait for a response, by serial number.
     open: BTreeMap<u64, OpenRequest>,
-    /// Attempts by the request's serial number and their own.
+    /// Attempts in flight, by the request's serial number and the attempt's index.
     in_flight: BTreeMap<(u64, usize), InFlight>,
     may_have_run: BTreeSet<u64>,
     worker_states: BTreeMap<u16, EndpointStatus>,
@@ -147,7 +147,7 @@
 
     fn end_attempt(&mut self, n: usize, outcome: Outcome) {
         let Some(InFlight { sent, begun }) = self.nth_in_flight(n) else { return };
-        // Before it was written only one end is possible.
+        // Before the attempt is written, this is the only possible outcome.
         let outcome = if begun { outcome } else { Outcome::Unreachable };
         let serial = sent.request.serial;
         if outcome.never_ran() {
@@ -155,7 +155,7 @@
         }
         self.in_flight.remove(&(serial, sent.attempt));
         if end_attempt(&mut self.dispatcher, self.now, sent, outcome) {
-            assert!(self.now < self.open[&serial].deadline, "an answer after the client gave up");
+            assert!(self.now < self.open[&serial].deadline, "a response after the client's deadline");
             self.record_answer(sent.request);
         }
     }
@@ -183,7 +183,7 @@
         self.process_actions();
     }
 
-    /// Lets what is still in flight end or time out.
+    /// Lets everything still in flight end or time out.
     fn finish(&mut self) {
         for _ in 0..2000 {
             let Some(at) = self.dispatcher.next_deadline() else { break };
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Whether another execution of the request would be a second effect.
+    /// Whether executing the request again could repeat its effect.
     fn must_not_run_again(&self, request: RequestId) -> bool {
         self.effect == Effect::NonIdempotent && self.may_have_run.contains(&request.serial)
     }
@@ -213,7 +213,7 @@
                     self.in_flight.remove(&(request.serial, attempt));
                 }
                 Action::Reject { request, .. } => {
-                    assert!(!self.must_not_run_again(request), "a rejection of what may have run");
+                    assert!(!self.must_not_run_again(request), "a request that may have run was rejected");
                     self.record_answer(request);
                 }
                 Action::Fail { request, .. } => self.record_answer(request),
@@ -223,23 +223,24 @@
     }
 
     fn check_attempt(&self, request: RequestId, worker: usize) {
-        assert!(self.open.contains_key(&request.serial), "an attempt for what is over");
-        assert!(!self.must_not_run_again(request), "a second effect");
-        // An index may have passed to another worker; its address tells which.
+        assert!(self.open.contains_key(&request.serial), "an attempt for a closed request");
+        assert!(!self.must_not_run_again(request), "the effect may be repeated");
+        // The index may have been reused for another worker, so the worker is identified by its address.
         let number = self.dispatcher.worker_process(worker).address.port() - FIRST_PORT;
         assert_ne!(self.worker_states.get(&number), Some(&EndpointStatus::Gone));
     }
 
     fn record_answer(&mut self, request: RequestId) {
-        assert!(self.open.remove(&request.serial).is_some(), "a second answer for {request:?}");
+        assert!(self.open.remove(&request.serial).is_some(), "a second response for {request:?}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// Whatever happens, in whatever order: one final answer for each request in the client's time, nothing after it,
-    /// no effect twice, nothing to a worker that is gone; and at the end the dispatcher is empty.
+    /// For any events in any order: each request gets exactly one final answer within the client's timeout, nothing
+    /// is sent after it, no effect is repeated, and nothing is sent to a worker that is gone. At the end no request
+    /// is open.
     #[test]
     fn random_histories_keep_the_invariants(steps in steps(), effect in 0..3usize) {
         let mut model = Model::new(Effect::ALL[effect]);
@@ -247,7 +248,7 @@
             model.apply(step);
         }
         model.finish();
-        prop_assert!(model.open.is_empty(), "{:?} never ended", model.open);
+        prop_assert!(model.open.is_empty(), "requests never ended: {:?}", model.open);
         prop_assert_eq!(model.dispatcher.open_requests(), 0);
     }
 }
--- a/crates/dispatcher/tests/dispatcher/support.rs
+++ b/crates/dispatcher/tests/dispatcher/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: configurations, endpoints, and short ways to play the caller of a dispatcher.
+//! Shared test support: configurations, endpoints, and helpers that act as the dispatcher's caller.
 
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
@@ -6,23 +6,23 @@
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The Unix time at which the dispatcher's clock begins.
+/// The Unix time at time 0 of the dispatcher's clock.
 const UNIX_TIME: f64 = 1000.0;
 
-/// The port of worker 0; the others follow.
+/// Port of worker 0; the other workers use the ports after it.
 pub const FIRST_PORT: u16 = 9000;
 
-/// Seconds by which a caller wakes late for a timer.
+/// Delay in seconds with which the caller reacts to a timer.
 const WAKE_DELAY: f64 = 0.0005;
 
-/// Settings under which the dispatcher neither checks workers nor sends load requests.
+/// Worker settings with which the dispatcher sends neither health checks nor load requests.
 pub const ATTEMPTS_ONLY: &str = "probes = false\norders = false";
 
-/// Whether a request may be executed twice.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     Idempotent,
-    /// Workers remember its key for a second.
+    /// Workers remember the idempotency key for one second.
     IdempotentWithKey,
     NonIdempotent,
 }
@@ -30,7 +30,7 @@
 impl Effect {
     pub const ALL: [Self; 3] = [Self::Idempotent, Self::IdempotentWithKey, Self::NonIdempotent];
 
-    /// As the configuration states it.
+    /// The corresponding settings in the configuration.
     pub fn setting(self) -> &'static str {
         match self {
             Self::Idempotent => "effect = \"pure\"",
@@ -40,14 +40,14 @@
     }
 }
 
-/// A configuration of one profile with that setting of its effect, and more settings of workers.
+/// A configuration with one profile, given its effect settings and additional worker settings.
 pub fn gateway_config(effect: &str, worker_settings: &str) -> GatewayConfig {
     let text = format!(
         "seed = 5\nprofile \"p\" {{\ndue = 1\ncut_off = 3\n{effect}\n}}\nfunctions {{ lanes = 2 }}\nlimits {{ shots = 3 }}\n\
          workers {{\nregistry = \"127.0.0.1:1\"\nconnect = 0.25\norder_wait = 2\n{worker_settings}\n}}\n"
     );
     let mut config = milletpath_config::read(&text).unwrap_or_else(|errors| panic!("{errors:#?}"));
-    // Nothing confirms the list here, and it changes only by what is passed on.
+    // The list is never confirmed here, so it must not become stale.
     config.policy.list_valid_for = f64::INFINITY;
     config
 }
@@ -69,7 +69,7 @@
     (0..workers).map(|number| entry(number, EndpointStatus::Ready)).collect()
 }
 
-/// A dispatcher with the given endpoints at time 0, its first actions taken.
+/// Creates a dispatcher, passes it the endpoints at time 0 and discards its first actions.
 pub fn dispatcher_with(config: &GatewayConfig, endpoints: &[EndpointEntry]) -> Dispatcher<u32> {
     let mut dispatcher = Dispatcher::new(config, UNIX_TIME);
     dispatcher.update_endpoints(0.0, true, endpoints);
@@ -77,7 +77,7 @@
     dispatcher
 }
 
-/// A dispatcher that only sends attempts, to so many workers.
+/// Creates a dispatcher that only sends attempts, with the given number of workers.
 pub fn dispatcher(effect: Effect, workers: u16) -> Dispatcher<u32> {
     dispatcher_with(&gateway_config(effect.setting(), ATTEMPTS_ONLY), &ready_entries(workers))
 }
@@ -94,7 +94,7 @@
     dispatcher.submit(now, incoming("f", timeout), 0).expect("fewer requests open than the limit")
 }
 
-/// An attempt that the dispatcher wants sent.
+/// An attempt that the dispatcher requested to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentAttempt {
     pub request: RequestId,
@@ -110,12 +110,12 @@
     actions.iter().filter_map(sent).collect()
 }
 
-/// Takes the actions and gives the attempts among them.
+/// Takes all actions and returns the attempts among them.
 pub fn take_attempts(dispatcher: &mut Dispatcher<u32>) -> Vec<SentAttempt> {
     sent_attempts(&take_actions(dispatcher))
 }
 
-/// Reports the end of an attempt; gives whether its result is the client's answer.
+/// Reports the end of an attempt. Returns whether its result is the final answer to the client.
 pub fn end_attempt(dispatcher: &mut Dispatcher<u32>, now: f64, sent: SentAttempt, outcome: Outcome) -> bool {
     dispatcher.attempt_ended(now, sent.request, sent.attempt, AttemptResult::from_outcome(outcome))
 }
@@ -124,7 +124,7 @@
     matches!(action, Action::Reject { .. })
 }
 
-/// Lets the dispatcher's timers fire up to a time; gives what it wanted done, and when.
+/// Lets the dispatcher's timers fire up to a time. Returns the actions with the times at which they were requested.
 pub fn advance_to(dispatcher: &mut Dispatcher<u32>, until: f64) -> Vec<(f64, Action)> {
     let mut timed_actions = Vec::new();
     while let Some(at) = dispatcher.next_deadline().filter(|at| *at <= until) {
@@ -134,7 +134,7 @@
     timed_actions
 }
 
-/// The same without the times.
+/// Like [`advance_to`], without the times.
 pub fn actions_until(dispatcher: &mut Dispatcher<u32>, until: f64) -> Vec<Action> {
     advance_to(dispatcher, until).into_iter().map(|(_, action)| action).collect()
 }
--- a/crates/dispatcher/tests/timer_wheel.rs
+++ b/crates/dispatcher/tests/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! The timer wheel against a plain sorted list.
+//! Tests the timer wheel against a plain sorted list.
 
 use milletpath_dispatcher::timer_wheel::{TimerKey, TimerWheel};
 use proptest::prelude::*;
@@ -21,11 +21,11 @@
 }
 
 proptest! {
-    /// Every timer fires once, never early, in order, within a millisecond of its time, unless cancelled.
+    /// Every timer that is not cancelled fires once, in order, never early and within a millisecond of its time.
     #[test]
     fn timers_fire_as_in_a_sorted_list(steps in steps()) {
         let mut wheel = TimerWheel::default();
-        // Tick and number of each timer that is set.
+        // Due time in milliseconds and id of each timer that is set.
         let mut sorted: Vec<(u64, usize)> = Vec::new();
         let mut keys: Vec<TimerKey> = Vec::new();
         let mut now = 0.0f64;
@@ -67,7 +67,7 @@
     }
 }
 
-/// A key that is kept after its timer fired does not cancel the timer that uses its node next.
+/// A key kept after its timer fired does not cancel the next timer that reuses its node.
 #[test]
 fn stale_key_cancels_nothing() {
     let mut wheel = TimerWheel::default();
@@ -78,7 +78,7 @@
     assert_eq!(wheel.fire(4.0), Some('b'));
 }
 
-/// Firing at the very time that `next_due` gives makes progress, however that time is rounded.
+/// Firing at exactly the time returned by `next_due` makes progress, whichever way that time is rounded.
 #[test]
 fn advancing_to_the_next_due_time_makes_progress() {
     let mut wheel = TimerWheel::default();
@@ -91,7 +91,7 @@
         while wheel.fire(at).is_some() {
             fired += 1;
         }
-        assert!(fired > fired_before || wheel.next_due().is_none_or(|next| next > at), "stuck at {at}");
+        assert!(fired > fired_before || wheel.next_due().is_none_or(|next| next > at), "no progress at {at}");
     }
     assert_eq!(fired, 200_000);
 }
