--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -92,17 +92,17 @@
     }
 
     fn run(mut self) -> Measurement {
-        let (mut spent, mut requests) = (0.0, 0u64);
+        let (mut elapsed, mut requests) = (0.0, 0u64);
         while let Some(((at, _), event)) = self.queue.pop_first() {
             let now = at as f64 / 1e6;
             if now > SECONDS {
                 break;
             }
             let is_request = matches!(event, Event::Submit);
-            let started = Instant::now();
+            let started_at = Instant::now();
             let actions = self.dispatch(now, event);
             if now > WARM_UP_SECONDS {
-                spent += started.elapsed().as_secs_f64();
+                elapsed += started_at.elapsed().as_secs_f64();
                 requests += u64::from(is_request);
             }
             if is_request {
@@ -115,7 +115,7 @@
         }
         let counters = self.dispatcher.counters();
         Measurement {
-            micros_per_request: spent * 1e6 / requests.max(1) as f64,
+            micros_per_request: elapsed * 1e6 / requests.max(1) as f64,
             succeeded: counters.succeeded as f64 / counters.accepted.max(1) as f64,
         }
     }
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -57,9 +57,9 @@
     /// dispatcher's clock; report later readings to [`wall_clock_read`](Self::wall_clock_read).
     pub fn new(config: &GatewayConfig, unix_time: f64) -> Self {
         // After this time, every attempt, load request and health check sent to a worker that is gone has ended.
-        let max_deadline =
+        let max_timeout =
             config.profiles.iter().map(|p| p.deadline).fold(config.policy.load_request_timeout, f64::max);
-        let evict_after = 2.0 * (max_deadline + config.limits.health_check_timeout);
+        let evict_after = 2.0 * (max_timeout + config.limits.health_check_timeout);
         let start_times = StartTimes::new(unix_time);
         let worker_table =
             WorkerTable::new(&config.worker_kinds, config.policy.seed, start_times, 0, evict_after);
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -129,7 +129,7 @@
         let record = self.state.requests.get_mut(request);
         let is_final = is_final || record.is_some_and(|record| !record.awaiting_answer);
         let AttemptResult { outcome, instance_state, concurrent_requests, report, .. } = result;
-        let answer = AttemptCompletion {
+        let completion = AttemptCompletion {
             attempt,
             outcome,
             is_final,
@@ -139,7 +139,7 @@
             report,
         };
         let now = self.state.now;
-        self.router.attempt_ended(now, request.index, answer, &mut self.state);
+        self.router.attempt_ended(now, request.index, completion, &mut self.state);
     }
 
     fn set_attempt_stage(&mut self, request: RequestId, attempt: usize, stage: AttemptStage) {
--- a/crates/dispatcher/src/start_times.rs
+++ b/crates/dispatcher/src/start_times.rs
@@ -45,17 +45,17 @@
     pub(crate) fn start_time(&self, now: f64, timestamp: f64, predecessor: Option<f64>) -> f64 {
         let reported_start = timestamp - self.unix_offset;
         let earliest_start = self.confirmed_at.map_or(f64::NEG_INFINITY, |at| at - MAX_REPORT_DELAY);
-        let after_predecessor = predecessor.is_none_or(|before| reported_start > before);
+        let after_predecessor = predecessor.is_none_or(|previous| reported_start > previous);
         let plausible = reported_start <= now && reported_start >= earliest_start && after_predecessor;
         if plausible { reported_start } else { now }
     }
 }
 
-/// Whether a timestamp belongs to a different process than the one before it. An earlier timestamp does too, as the
+/// Whether a timestamp belongs to a different process than the previous one. An earlier timestamp does too, as the
 /// clock that produced it may have been stepped back; a missing timestamp does not.
-pub(crate) fn is_different_process(timestamp: Option<f64>, before: Option<f64>) -> bool {
-    match (timestamp, before) {
-        (Some(timestamp), Some(before)) => (timestamp - before).abs() > TIMESTAMP_TOLERANCE,
+pub(crate) fn is_different_process(timestamp: Option<f64>, previous: Option<f64>) -> bool {
+    match (timestamp, previous) {
+        (Some(timestamp), Some(previous)) => (timestamp - previous).abs() > TIMESTAMP_TOLERANCE,
         (Some(_), None) => true,
         (None, _) => false,
     }
--- a/crates/dispatcher/tests/dispatcher/attempts.rs
+++ b/crates/dispatcher/tests/dispatcher/attempts.rs
@@ -22,9 +22,9 @@
     assert_eq!(dispatcher.counters().suppressed, 1);
 }
 
-/// No byte of an allowed attempt can be written to the worker's socket. The attempt counts as connecting again: it is
-/// not run if it times out, and must be allowed again before it is written.
-#[test_case(EndpointStatus::Ready, true; "written on the second try")]
+/// No byte of an allowed attempt can be written to the worker's socket. The attempt counts as connecting again: it
+/// must be allowed again before it is written, and if it times out, it counts as never run.
+#[test_case(EndpointStatus::Ready, true; "the worker stays ready")]
 #[test_case(EndpointStatus::Draining, false; "the worker drains first")]
 fn unwritten_attempt_is_allowed_again_or_moves_to_another_worker(state: EndpointStatus, begins_again: bool) {
     let mut dispatcher = dispatcher(Effect::NonIdempotent, 2);
