--- a/crates/dispatcher/src/timer_wheel.rs
+++ b/crates/dispatcher/src/timer_wheel.rs
@@ -158,8 +158,8 @@
             let slot = (current + distance) % SLOTS_PER_LEVEL;
             let begin = ((self.elapsed_ms >> shift) - current + slot) << shift;
             // A slot behind the current one belongs to the next rotation of its level.
-            let round = if slot < current { SLOTS_PER_LEVEL << shift } else { 0 };
-            Some(NextSlot { level, slot: slot as usize, starts_at_ms: begin + round })
+            let rotation = if slot < current { SLOTS_PER_LEVEL << shift } else { 0 };
+            Some(NextSlot { level, slot: slot as usize, starts_at_ms: begin + rotation })
         })
     }
 
