--- a/crates/dispatcher/benches/dispatcher.rs
+++ b/crates/dispatcher/benches/dispatcher.rs
@@ -1,8 +1,9 @@
-//! What the dispatcher costs in the gateway, alone, without sockets, in simulated time. 30 workers and 60 functions, then
-//! 300 workers and 10,000 functions whose popularity is by Zipf; 760 and 7,600 requests a second; one gateway alone, or
-//! one of 60 that share the workers.
+//! CPU time of the dispatcher alone in the gateway, without sockets, in simulated time. Workloads: 30 workers and 60
+//! functions, or 300 workers and 10,000 functions with Zipf-distributed popularity; 760 or 7,600 requests per second;
+//! a single gateway, or one of 60 that share the workers.
 //!
-//! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds a request, all its events together.
+//! `cargo bench -p milletpath-dispatcher --bench dispatcher` prints microseconds per request, for all its events
+//! together.
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
 use milletpath_policy::{LoadReport, Outcome};
@@ -14,13 +15,14 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-/// Seconds of a simulated run; the first part, in which instances get known, is not measured.
+/// Simulated duration in seconds, including the warm-up. The warm-up, in which the dispatcher learns of the
+/// instances, is not measured.
 const SECONDS: f64 = 20.0;
 const WARM_UP_SECONDS: f64 = 5.0;
 
-/// Seconds that a worker takes at least, and what is added to them on average.
-const MIN_WORK: f64 = 0.01;
-const MEAN_WORK: f64 = 0.05;
+/// Service time of a worker in seconds: the minimum, and the mean of the exponentially distributed addition.
+const MIN_SERVICE_TIME: f64 = 0.01;
+const MEAN_EXTRA_SERVICE_TIME: f64 = 0.05;
 
 #[derive(Clone, Copy)]
 struct Workload {
@@ -48,9 +50,9 @@
     random: ChaCha8Rng,
     popularity: Zipf<f64>,
     interval: Exp<f64>,
-    work: Exp<f64>,
+    service_time: Exp<f64>,
     functions: Vec<String>,
-    /// Events by microsecond and serial number.
+    /// Events by time in microseconds and serial number.
     queue: BTreeMap<(u64, u64), Event>,
     next_serial: u64,
     /// Attempts in flight at each worker.
@@ -65,7 +67,7 @@
              load = 0.4\n}}\nworkers {{ registry = \"127.0.0.1:1\" }}\n"
         );
         let mut config = milletpath_config::read(&text).expect("a valid configuration");
-        // Nothing confirms the list here, and it changes only by what is passed on.
+        // The list is never confirmed here, so it must not become stale.
         config.policy.list_valid_for = f64::INFINITY;
         let mut dispatcher = Dispatcher::new(&config, 0.0);
         dispatcher.update_endpoints(0.0, true, &(0..workers).map(entry).collect::<Vec<_>>());
@@ -74,7 +76,7 @@
             random: ChaCha8Rng::seed_from_u64(1),
             popularity: Zipf::new(functions as f64, 1.1).expect("a valid distribution"),
             interval: Exp::new(requests_per_second).expect("a valid distribution"),
-            work: Exp::new(1.0 / MEAN_WORK).expect("a valid distribution"),
+            service_time: Exp::new(1.0 / MEAN_EXTRA_SERVICE_TIME).expect("a valid distribution"),
             functions: (0..=functions).map(|n| format!("pack-{n}")).collect(),
             queue: BTreeMap::new(),
             next_serial: 0,
@@ -90,17 +92,17 @@
     }
 
     fn run(mut self) -> Measurement {
-        let (mut spent, mut requests) = (0.0, 0u64);
+        let (mut elapsed, mut requests) = (0.0, 0u64);
         while let Some(((at, _), event)) = self.queue.pop_first() {
             let now = at as f64 / 1e6;
             if now > SECONDS {
                 break;
             }
             let is_request = matches!(event, Event::Submit);
-            let started = Instant::now();
+            let started_at = Instant::now();
             let actions = self.dispatch(now, event);
             if now > WARM_UP_SECONDS {
-                spent += started.elapsed().as_secs_f64();
+                elapsed += started_at.elapsed().as_secs_f64();
                 requests += u64::from(is_request);
             }
             if is_request {
@@ -108,17 +110,17 @@
                 self.schedule(now + interval, Event::Submit);
             }
             for action in actions {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
         }
         let counters = self.dispatcher.counters();
         Measurement {
-            micros_per_request: spent * 1e6 / requests.max(1) as f64,
+            micros_per_request: elapsed * 1e6 / requests.max(1) as f64,
             succeeded: counters.succeeded as f64 / counters.accepted.max(1) as f64,
         }
     }
 
-    /// What is measured: all calls of the dispatcher for one event.
+    /// Performs all calls to the dispatcher for one event; this is what is measured.
     fn dispatch(&mut self, now: f64, event: Event) -> Vec<Action> {
         while self.dispatcher.next_deadline().is_some_and(|at| at <= now) {
             self.dispatcher.advance(now);
@@ -164,18 +166,18 @@
         }
     }
 
-    /// The load that a worker reports.
+    /// Load report of a worker.
     fn load(&self, worker: usize) -> LoadReport {
         let in_flight = self.in_flight[worker] as f64;
         LoadReport { in_flight: Some(in_flight), utilization: Some(in_flight / 8.0), ..LoadReport::default() }
     }
 
-    fn carry_out(&mut self, now: f64, action: Action) {
+    fn execute(&mut self, now: f64, action: Action) {
         match action {
             Action::SendAttempt { request, attempt, worker } => {
                 self.in_flight[worker] += 1;
-                let work = MIN_WORK + self.work.sample(&mut self.random);
-                self.schedule(now + work, Event::AttemptEnded { request, attempt, worker });
+                let service_time = MIN_SERVICE_TIME + self.service_time.sample(&mut self.random);
+                self.schedule(now + service_time, Event::AttemptEnded { request, attempt, worker });
             }
             Action::LoadFunction { load_request, instances, .. } => {
                 let load_time = self.random.random_range(0.2..0.6);
--- a/crates/dispatcher/src/dispatcher/effects.rs
+++ b/crates/dispatcher/src/dispatcher/effects.rs
@@ -1,5 +1,5 @@
-//! The router's output: what its decisions ask for becomes records, timers and actions. The router calls these methods
-//! during an event; none of them calls the router back.
+//! Implements the router's output interface: its decisions become records, timers and actions. The router calls these
+//! methods while it handles an event; none of them calls the router.
 
 use super::action::Action;
 use super::request_table::{Attempt, AttemptStage};
@@ -29,7 +29,7 @@
     fn cancel_attempt(&mut self, request: usize, attempt: usize) {
         let request = self.requests.id_at(request);
         let Some(record) = self.requests.attempt_mut(request, attempt) else { return };
-        // What has no connection yet never ran.
+        // An attempt without a connection cannot have been executed.
         let sent = record.stage == AttemptStage::Sent;
         let outcome = if sent { Outcome::Cancelled } else { Outcome::NotSent };
         self.actions.push_back(Action::CancelAttempt { request, attempt });
@@ -58,7 +58,7 @@
         self.counters.load_requests += 1;
         self.count_demand(Budget::LoadRequests, 1, 0);
         let load_request = self.load_requests.next_id(serial);
-        let deadline = self.now + self.load_timeout;
+        let deadline = self.now + self.load_request_timeout;
         let deadline_timer = self.timers.set(deadline, Timer::LoadRequestDeadline(load_request));
         self.load_requests.insert(serial, LoadRequest { worker, function, deadline_timer });
         let function = self.functions.name(function);
@@ -91,7 +91,7 @@
     }
 
     fn release_request(&mut self, request: usize) {
-        // An action that was not taken yet may still name it.
+        // An action still in the queue may refer to the request, so it is only marked here.
         self.requests.release(request);
     }
 
@@ -100,8 +100,8 @@
     }
 
     fn budget_exhausted(&mut self, budget: Budget) {
-        // Demand for quotas and concurrency limits is counted where requests come in.
-        let counted_before = matches!(budget, Budget::Quota(_) | Budget::RateLimit(_));
-        self.count_demand(budget, u64::from(!counted_before), 1);
+        // Demand for quotas and rate limits is counted when requests arrive.
+        let already_counted = matches!(budget, Budget::Quota(_) | Budget::RateLimit(_));
+        self.count_demand(budget, u64::from(!already_counted), 1);
     }
 }
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -1,9 +1,9 @@
-//! The workers of the endpoint list, under the dispatcher's dense indices: addresses, processes, states and start times.
-//! The dispatcher passes each revision of the list to it, and asks it what must be known at the moment of sending; what
-//! a worker's state means for placement, the router decides.
+//! Workers of the endpoint list, by the dispatcher's dense indices: addresses, processes, states and start times. The
+//! dispatcher passes each update of the list to it and queries it when sending; the router decides what a worker's
+//! state means for placement.
 
 use crate::interner::Interner;
-use crate::start_times::{StartTimes, is_another_process};
+use crate::start_times::{StartTimes, is_different_process};
 use milletpath_policy::{EndpointState, EndpointUpdate};
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::collections::BTreeMap;
@@ -11,19 +11,19 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Workers that may be known at a time; of a list that names more, the rest is ignored.
+/// Maximum number of known workers; further workers in a list are ignored.
 const MAX_WORKERS: usize = 65_536;
 
-/// Start times that are kept of workers whose names were forgotten. Past so many all are dropped, at the price of a
-/// slow start for those that come back.
-const MAX_FORMER_STARTS: usize = 16_384;
+/// Maximum number of saved start times of evicted workers. When it is reached, all are dropped; workers that return
+/// then go through slow start again.
+const MAX_SAVED_STARTS: usize = 16_384;
 
 /// When a process started.
 #[derive(Clone, Copy, Default)]
-struct Start {
-    /// Unix time as the endpoint list states it.
-    stamp: Option<f64>,
-    /// Seconds on the monotonic clock; none means long ago.
+struct ProcessStart {
+    /// Unix timestamp from the endpoint list.
+    timestamp: Option<f64>,
+    /// Seconds on the monotonic clock; `None` means long ago.
     at: Option<f64>,
 }
 
@@ -32,67 +32,68 @@
 enum Presence {
     Listed,
     GoneSince(f64),
-    /// Its name is forgotten, and its index may be given to another worker.
-    Forgotten,
+    /// Its name was released, and its index may be reused for another worker.
+    Evicted,
 }
 
 struct Worker {
     address: SocketAddr,
-    /// Changes with every process that has the index.
+    /// Changes with every new process at this index.
     process: u64,
-    start: Start,
+    start: ProcessStart,
     state: EndpointState,
     presence: Presence,
 }
 
-/// Where a worker is reached, and which process that is.
+/// The address of a worker and the number of the process there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerProcess {
-    /// The address that the endpoint list states.
+    /// Address from the endpoint list.
     pub address: SocketAddr,
-    /// A number that changes when another process takes the worker's name or index.
+    /// Number that changes when another process takes over the worker's name or index.
     pub process: u64,
 }
 
-/// Identifies a state of the endpoint list.
+/// Identifies a version of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointRevision {
-    /// Number of restarts of the dispatcher: after one, indices of workers are given out anew.
+    /// Number of restarts of the dispatcher; worker indices are reassigned after each.
     pub generation: u64,
-    /// Number of updates since the restart.
+    /// Number of updates since the last restart.
     pub revision: u64,
 }
 
 pub(crate) struct WorkerTable {
     /// Bounded by [`MAX_WORKERS`].
     names: Interner,
-    /// Zones and cells that were ever listed; these names are not forgotten.
+    /// All zones and cells that were ever listed; their names are never released.
     zones: Interner,
     cells: Interner,
     kinds: Vec<String>,
-    /// By index; as long as the largest number of names that were known at a time.
+    /// By index. Its length is the largest number of workers known at once.
     workers: Vec<Worker>,
-    /// Seconds after which nothing that was sent to a worker that is gone can be in flight any more: its index may be
-    /// given to another.
-    forget_after: f64,
+    /// Seconds after which nothing sent to a worker that is gone can still be in flight, so that its index may be
+    /// reused.
+    evict_after: f64,
     pub(crate) start_times: StartTimes,
-    /// Start times by name, of workers that were forgotten or that the table before this one knew: a process that is
-    /// listed again is not a new one. Bounded by [`MAX_FORMER_STARTS`] and the workers of one table.
-    former_starts: BTreeMap<Arc<str>, Start>,
+    /// Start times, by name, of evicted workers and of workers known before the last restart, so that a process that
+    /// is listed again is not taken for a new one. Bounded by [`MAX_SAVED_STARTS`] plus the workers of one table.
+    saved_starts: BTreeMap<Arc<str>, ProcessStart>,
     revision: u64,
-    /// Number of tables before this one. It is part of each process's number, so that no connection made for a worker
-    /// of one table is taken for that of another.
+    /// Number of tables before this one. It is part of every process number, so that a connection to a worker of an
+    /// earlier table is never taken for one to a worker of this table.
     generation: u64,
 }
 
 impl WorkerTable {
-    /// An empty table; `kinds` are the configured kinds of workers, in the order of the router's configuration.
+    /// Creates an empty table. `kinds` are the configured kinds of workers, in the order of the router's
+    /// configuration.
     pub(crate) fn new(
         kinds: &[String],
         seed: u64,
         start_times: StartTimes,
         generation: u64,
-        forget_after: f64,
+        evict_after: f64,
     ) -> Self {
         Self {
             names: Interner::new(seed),
@@ -100,26 +101,26 @@
             cells: Interner::new(seed),
             kinds: kinds.to_vec(),
             workers: Vec::new(),
-            forget_after,
+            evict_after,
             start_times,
-            former_starts: BTreeMap::new(),
+            saved_starts: BTreeMap::new(),
             revision: 0,
             generation,
         }
     }
 
-    /// An empty table that takes this one's place. It keeps when processes started, because their stamps would be
-    /// judged anew by a clock that may have been stepped since.
-    pub(crate) fn successor(&self, seed: u64) -> Self {
-        let mut former_starts = self.former_starts.clone();
-        former_starts
+    /// Creates the empty table that replaces this one after a restart. It keeps the start times of processes; if it
+    /// converted their timestamps again, a wall clock stepped in the meantime could change them.
+    pub(crate) fn next_generation(&self, seed: u64) -> Self {
+        let mut saved_starts = self.saved_starts.clone();
+        saved_starts
             .extend(self.workers().into_iter().map(|(worker, name)| (name, self.workers[worker].start)));
         let start_times = self.start_times.clone();
         let generation = self.generation + 1;
-        Self { former_starts, ..Self::new(&self.kinds, seed, start_times, generation, self.forget_after) }
+        Self { saved_starts, ..Self::new(&self.kinds, seed, start_times, generation, self.evict_after) }
     }
 
-    /// The state of the list that is known; its revision is 0 where none is.
+    /// The version of the list; its revision is 0 if no list has been received.
     pub(crate) fn revision(&self) -> EndpointRevision {
         EndpointRevision { generation: self.generation, revision: self.revision }
     }
@@ -135,7 +136,7 @@
         self.names.name(worker)
     }
 
-    /// The process of a worker; an address that can't be reached for an index that was never given out.
+    /// The process of a worker. For an index that was never assigned, it has an address that cannot be reached.
     pub(crate) fn process(&self, worker: usize) -> WorkerProcess {
         let unknown = WorkerProcess { address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)), process: 0 };
         self.workers.get(worker).map_or(unknown, |worker| {
@@ -144,18 +145,19 @@
         })
     }
 
-    /// When a worker's process started, in seconds on the monotonic clock; none means long ago.
+    /// When a worker's process started, in seconds on the monotonic clock; `None` means long ago.
     pub(crate) fn started(&self, worker: usize) -> Option<f64> {
         self.workers.get(worker).and_then(|worker| worker.start.at)
     }
 
-    /// Takes one revision of the list, `complete` or only the entries that changed, and passes on what each entry states.
+    /// Applies one update of the list: the `complete` list, or only the entries that changed. Reports each entry to
+    /// `on_update`.
     pub(crate) fn update(
         &mut self,
         now: f64,
         complete: bool,
         entries: &[EndpointEntry],
-        mut notify: impl FnMut(EndpointUpdate),
+        mut on_update: impl FnMut(EndpointUpdate),
     ) {
         self.revision += 1;
         if complete {
@@ -163,15 +165,15 @@
                 worker.set_state(now, EndpointState::Gone);
             }
         }
-        self.forget_gone(now);
+        self.evict_gone(now);
         for entry in entries {
             if let Some(worker) = self.update_worker(now, entry) {
-                notify(self.listing(worker, entry));
+                on_update(self.endpoint_update(worker, entry));
             }
         }
     }
 
-    /// Takes one entry. Gives the worker's index, or none where too many workers are named.
+    /// Applies one entry. Returns the worker's index, or `None` if too many workers are known.
     fn update_worker(&mut self, now: f64, entry: &EndpointEntry) -> Option<usize> {
         let is_new = self.names.get(&entry.name).is_none();
         if is_new && self.names.len() >= MAX_WORKERS {
@@ -196,61 +198,64 @@
         Some(worker)
     }
 
-    /// Adds a worker whose name was not known, at an index that is new or was forgotten.
+    /// Adds a worker with an unknown name at an index that is new or was released.
     fn add_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
-        // What had the index before is another process, with which this one shares nothing.
-        let former = self.workers.get(worker);
-        let process = former.map_or(self.generation << 32 | 1, |former| former.process + 1);
+        // A previous worker at this index was another process, with which this one shares nothing.
+        let previous = self.workers.get(worker);
+        let process = previous.map_or(self.generation << 32 | 1, |previous| previous.process + 1);
         let added = Worker {
             address: entry.address,
             process,
-            start: self.first_start(now, entry),
+            start: self.initial_start(now, entry),
             state: EndpointState::Gone,
             presence: Presence::Listed,
         };
         match self.workers.get_mut(worker) {
-            Some(former) => *former = added,
+            Some(previous) => *previous = added,
             None => self.workers.push(added),
         }
     }
 
-    /// Updates a worker whose name is known. Another address or another stamp is another process, in which nothing is
-    /// loaded; one whose start time nobody states started now at the latest.
+    /// Updates a worker with a known name. A different address or timestamp means a new process, in which nothing is
+    /// loaded; without a new timestamp, the process counts as started now.
     fn update_known_worker(&mut self, now: f64, worker: usize, entry: &EndpointEntry) {
         let worker = &mut self.workers[worker];
         let before = worker.start;
-        let another = is_another_process(entry.started, before.stamp);
-        if !another && worker.address == entry.address {
+        let is_different = is_different_process(entry.started, before.timestamp);
+        if !is_different && worker.address == entry.address {
             return;
         }
         worker.process += 1;
         worker.address = entry.address;
-        let stamp = entry.started.filter(|_| another);
-        let at = stamp.map_or(now, |stamp| self.start_times.started(now, stamp, before.at));
-        // The router distinguishes processes by their start times.
+        let timestamp = entry.started.filter(|_| is_different);
+        let at = timestamp.map_or(now, |timestamp| self.start_times.start_time(now, timestamp, before.at));
+        // The router distinguishes processes by their start times, so a new process must start later than its
+        // predecessor.
         let at = before.at.map_or(at, |before| at.max(before.next_up()));
-        worker.start = Start { stamp: entry.started, at: Some(at) };
+        worker.start = ProcessStart { timestamp: entry.started, at: Some(at) };
     }
 
-    /// The start of a worker whose name was not known.
-    fn first_start(&mut self, now: f64, entry: &EndpointEntry) -> Start {
-        let former = self.former_starts.remove(entry.name.as_str());
-        match former {
-            Some(start) if !is_another_process(entry.started, start.stamp) => start,
+    /// Start of a worker with an unknown name.
+    fn initial_start(&mut self, now: f64, entry: &EndpointEntry) -> ProcessStart {
+        let previous = self.saved_starts.remove(entry.name.as_str());
+        match previous {
+            Some(start) if !is_different_process(entry.started, start.timestamp) => start,
             _ => {
-                let predecessor = former.and_then(|start| start.at);
-                let at = entry.started.map(|stamp| self.start_times.started(now, stamp, predecessor));
-                Start { stamp: entry.started, at }
+                let predecessor = previous.and_then(|start| start.at);
+                let at =
+                    entry.started.map(|timestamp| self.start_times.start_time(now, timestamp, predecessor));
+                ProcessStart { timestamp: entry.started, at }
             }
         }
     }
 
-    /// What the router is notified of about a worker.
-    fn listing(&mut self, worker: usize, entry: &EndpointEntry) -> EndpointUpdate {
-        // Workers without a zone or cell share none: nobody else knows the idempotency keys that they remember.
-        let alone = usize::MAX - worker;
-        let group = |groups: &mut Interner, name: &str| {
-            if name.is_empty() { alone } else { groups.intern(name) }
+    /// Converts an entry to an update for the router.
+    fn endpoint_update(&mut self, worker: usize, entry: &EndpointEntry) -> EndpointUpdate {
+        // A worker without a zone or cell is alone in its group: no other worker knows the idempotency keys that it
+        // remembers.
+        let unshared = usize::MAX - worker;
+        let intern_group = |groups: &mut Interner, name: &str| {
+            if name.is_empty() { unshared } else { groups.intern(name) }
         };
         EndpointUpdate {
             worker,
@@ -258,35 +263,35 @@
             started_at: self.workers[worker].start.at,
             size: entry.size,
             kind: self.kinds.iter().position(|kind| *kind == entry.kind).unwrap_or(usize::MAX),
-            zone: group(&mut self.zones, &entry.zone),
-            cell: group(&mut self.cells, &entry.cell),
+            zone: intern_group(&mut self.zones, &entry.zone),
+            cell: intern_group(&mut self.cells, &entry.cell),
             state: self.workers[worker].state,
         }
     }
 
-    /// Forgets the names of workers that are long gone: where workers are replaced by others all day, they would pile
-    /// up.
-    fn forget_gone(&mut self, now: f64) {
+    /// Evicts workers that have been gone for long. Otherwise the table would keep growing where workers are replaced
+    /// by others with new names.
+    fn evict_gone(&mut self, now: f64) {
         for worker in 0..self.workers.len() {
             let Presence::GoneSince(since) = self.workers[worker].presence else { continue };
-            if now - since >= self.forget_after {
-                self.remember_start(worker);
+            if now - since >= self.evict_after {
+                self.save_start(worker);
                 self.names.release(worker);
-                self.workers[worker].presence = Presence::Forgotten;
+                self.workers[worker].presence = Presence::Evicted;
             }
         }
     }
 
-    /// Keeps the start of a worker whose name is forgotten; one that started long ago needs none.
-    fn remember_start(&mut self, worker: usize) {
+    /// Saves the start of a worker that is being evicted, unless it started long ago.
+    fn save_start(&mut self, worker: usize) {
         let start = self.workers[worker].start;
         if start.at.is_none() {
             return;
         }
-        if self.former_starts.len() >= MAX_FORMER_STARTS {
-            self.former_starts.clear();
+        if self.saved_starts.len() >= MAX_SAVED_STARTS {
+            self.saved_starts.clear();
         }
-        self.former_starts.insert(self.names.name(worker), start);
+        self.saved_starts.insert(self.names.name(worker), start);
     }
 }
 
