--- a/crates/sealed-datagram/src/lib.rs
+++ b/crates/sealed-datagram/src/lib.rs
@@ -84,7 +84,7 @@
         if version == 0 {
             return Err(OpenError::UnsupportedVersion(version));
         }
-        if !is_equal_in_constant_time(tag, &self.tag(version, body)) {
+        if !constant_time_eq(tag, &self.tag(version, body)) {
             return Err(OpenError::InvalidTag);
         }
         Ok(body)
@@ -99,7 +99,7 @@
 }
 
 /// Compares tags in a time that does not depend on their bytes: otherwise a sender could find a valid tag byte by byte.
-fn is_equal_in_constant_time(a: &[u8], b: &[u8; TAG_LEN]) -> bool {
+fn constant_time_eq(a: &[u8], b: &[u8; TAG_LEN]) -> bool {
     a.iter().zip(b).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
 }
 
--- a/crates/sealed-datagram/tests/wire_format.rs
+++ b/crates/sealed-datagram/tests/wire_format.rs
@@ -33,11 +33,11 @@
 #[test]
 fn a_change_of_any_byte_is_refused() {
     let key = Key::new(CONTEXT, SECRET);
-    for at in 0..datagram().len() {
+    for index in 0..datagram().len() {
         let mut changed = datagram();
-        changed[at] ^= 1;
-        let why = if at == 0 { OpenError::UnsupportedVersion(0) } else { OpenError::InvalidTag };
-        assert_eq!(key.open(&changed), Err(why), "byte {at}");
+        changed[index] ^= 1;
+        let expected = if index == 0 { OpenError::UnsupportedVersion(0) } else { OpenError::InvalidTag };
+        assert_eq!(key.open(&changed), Err(expected), "byte {index}");
     }
 }
 
--- a/crates/shared-budgets/src/adjustment.rs
+++ b/crates/shared-budgets/src/adjustment.rs
@@ -14,7 +14,7 @@
 }
 
 /// Seconds for which an adjustment that counts on held leases is valid at most; it is renewed after half of them.
-const VALIDITY: f64 = 0.3;
+const MAX_VALIDITY: f64 = 0.3;
 
 /// Added to units held on lease. Levels in messages are rounded down, so the fractions that add up to one unit may lack a
 /// little of it. The budget is an integer number of units: fewer than a thousand gateways together gain no unit by this.
@@ -29,13 +29,13 @@
         Self { amount: f64::NAN, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
 
     /// Until when the next adjustment would be valid.
-    pub(crate) fn validity_from(now: f64) -> f64 {
-        now + VALIDITY
+    pub(crate) fn valid_until_from(now: f64) -> f64 {
+        now + MAX_VALIDITY
     }
 
     /// An adjustment by what is granted, and by what is held until `until` at least.
-    pub(crate) fn from_leases(granted: f64, held: f64, is_units: bool, until: f64) -> Self {
-        let held = if held > 0.0 && is_units { held + UNIT_EPSILON } else { held };
+    pub(crate) fn from_leases(granted: f64, held: f64, has_indivisible_units: bool, until: f64) -> Self {
+        let held = if held > 0.0 && has_indivisible_units { held + UNIT_EPSILON } else { held };
         Self {
             amount: held - granted,
             amount_after_expiry: -granted,
@@ -45,11 +45,11 @@
 
     /// When an adjustment is to be renewed.
     pub(crate) fn renew_at(&self) -> f64 {
-        self.valid_until - VALIDITY / 2.0
+        self.valid_until - MAX_VALIDITY / 2.0
     }
 
     /// Whether this adjustment, published before, has the amounts of `new` and need not be renewed yet.
-    pub(crate) fn is_as_good_as(&self, new: &Self, now: f64) -> bool {
+    pub(crate) fn still_covers(&self, new: &Self, now: f64) -> bool {
         let has_same_amounts =
             self.amount == new.amount && self.amount_after_expiry == new.amount_after_expiry;
         has_same_amounts && (self.valid_until == new.valid_until || self.renew_at() > now)
--- a/crates/shared-budgets/src/budget.rs
+++ b/crates/shared-budgets/src/budget.rs
@@ -4,7 +4,7 @@
 use crate::adjustment::{QuotaAdjustment, UNIT_EPSILON};
 use crate::demand::{DemandEstimate, UsageMeter};
 use crate::entitlement::Entitlement;
-use crate::lease::LevelAt;
+use crate::lease::GatewayLevel;
 use crate::ledger::{Ledger, LedgerConfig};
 use crate::process_id::ProcessId;
 use crate::request_plan::plan_requests;
@@ -62,8 +62,8 @@
         peers: &[ProcessId],
         now: f64,
         rng: &mut Rand64,
-    ) -> Vec<LevelAt> {
-        self.ledger.forget_expired(now);
+    ) -> Vec<GatewayLevel> {
+        self.ledger.remove_expired(now);
         self.update_pause(entitlement, now, rng);
         let is_paused = now < self.paused_until;
         let desired = if is_paused { 0.0 } else { self.ledger.desired_borrowing(entitlement, now) };
@@ -76,7 +76,7 @@
     /// complete a unit returns what it holds and pauses. One that has used the only unit pauses too, so that others get it.
     fn update_pause(&mut self, entitlement: &Entitlement, now: f64, rng: &mut Rand64) {
         let holds_something = self.ledger.held(now) > 0.0;
-        let holds_fraction = self.ledger.kind().is_units()
+        let holds_fraction = self.ledger.kind().has_indivisible_units()
             && holds_something
             && self.ledger.allowed(entitlement, now) + UNIT_EPSILON < 1.0;
         self.unsuccessful_rounds = if holds_fraction { self.unsuccessful_rounds + 1 } else { 0 };
@@ -85,18 +85,19 @@
         self.previous_use = use_now;
         if self.unsuccessful_rounds >= MAX_UNSUCCESSFUL_ROUNDS || has_used_unit {
             self.unsuccessful_rounds = 0;
-            let last_use = if has_used_unit { self.ledger.kind().max_unit_use() } else { 0.0 };
+            let last_use = if has_used_unit { self.ledger.kind().max_use_duration() } else { 0.0 };
             self.paused_until = now + (last_use + MEAN_PAUSE * 2.0 * rng.rand_float());
         }
     }
 
     /// Publishes the present adjustment of the quota; none where the last published one still applies.
     pub(crate) fn publish_adjustment(&mut self, granted: f64, now: f64) -> Option<QuotaAdjustment> {
-        let until = QuotaAdjustment::validity_from(now);
+        let until = QuotaAdjustment::valid_until_from(now);
         let held = self.ledger.held(until);
-        let new = QuotaAdjustment::from_leases(granted, held, self.ledger.kind().is_units(), until);
+        let new =
+            QuotaAdjustment::from_leases(granted, held, self.ledger.kind().has_indivisible_units(), until);
         let last = self.published.unwrap_or(QuotaAdjustment::NONE);
-        if last.is_as_good_as(&new, now) {
+        if last.still_covers(&new, now) {
             return None;
         }
         self.published = Some(new);
@@ -104,7 +105,7 @@
     }
 
     /// Forgets the published adjustment, so that the next one is published even if it is the same.
-    pub(crate) fn forget_published(&mut self) {
+    pub(crate) fn invalidate_published(&mut self) {
         self.published = Some(QuotaAdjustment::UNKNOWN);
     }
 
--- a/crates/shared-budgets/src/budget_kind.rs
+++ b/crates/shared-budgets/src/budget_kind.rs
@@ -17,7 +17,7 @@
 impl BudgetKind {
     /// Seconds for which a unit that is taken stays in use at most; 0 for a rate.
     #[must_use]
-    pub fn max_unit_use(self) -> f64 {
+    pub fn max_use_duration(self) -> f64 {
         match self {
             Self::Rate => 0.0,
             Self::Window(seconds) | Self::InFlight(seconds) => seconds,
@@ -26,7 +26,7 @@
 
     /// Whether the budget is counted in indivisible units: a fraction of one can't be used by itself.
     #[must_use]
-    pub fn is_units(self) -> bool {
+    pub fn has_indivisible_units(self) -> bool {
         !matches!(self, Self::Rate)
     }
 
--- a/crates/shared-budgets/src/clock.rs
+++ b/crates/shared-budgets/src/clock.rs
@@ -19,10 +19,10 @@
     }
 
     /// Sets the clock by the caller's clock; returns the time on this one.
-    pub(crate) fn advance(&mut self, callers_now: f64) -> f64 {
-        let adjusted = callers_now + self.offset;
+    pub(crate) fn advance(&mut self, caller_now: f64) -> f64 {
+        let adjusted = caller_now + self.offset;
         if adjusted < self.now {
-            self.offset = self.now - callers_now;
+            self.offset = self.now - caller_now;
         } else {
             self.now = adjusted;
         }
@@ -30,12 +30,12 @@
     }
 
     /// A time of the caller's clock on this one.
-    pub(crate) fn own_time(&self, when: f64) -> f64 {
+    pub(crate) fn monotonic_time(&self, when: f64) -> f64 {
         when + self.offset
     }
 
     /// A time of this clock on the caller's.
-    pub(crate) fn callers_time(&self, when: f64) -> f64 {
+    pub(crate) fn caller_time(&self, when: f64) -> f64 {
         when - self.offset
     }
 }
--- a/crates/shared-budgets/src/entitlement.rs
+++ b/crates/shared-budgets/src/entitlement.rs
@@ -14,7 +14,8 @@
 
 impl Entitlement {
     /// Exactly the quota, for ever: what a gateway has before anything is proven.
-    pub(crate) const QUOTA: Self = Self { fraction: 1.0, floor_fraction: 1.0, valid_until: f64::INFINITY };
+    pub(crate) const FULL_QUOTA: Self =
+        Self { fraction: 1.0, floor_fraction: 1.0, valid_until: f64::INFINITY };
 
     /// The fraction that holds at a time.
     pub(crate) fn fraction_at(&self, when: f64) -> f64 {
--- a/crates/shared-budgets/src/fault_injection.rs
+++ b/crates/shared-budgets/src/fault_injection.rs
@@ -8,7 +8,7 @@
     /// A lease ends at the lender at the same time as at the borrower.
     pub grant_ends_with_lease: bool,
     /// A process that starts has its full quota at once, without waiting for its predecessor's grants to end.
-    pub starts_with_whole_quota: bool,
+    pub starts_with_full_quota: bool,
     /// Requests state that units are released although they may still be in use.
     pub releases_units_in_use: bool,
 }
--- a/crates/shared-budgets/src/lease.rs
+++ b/crates/shared-budgets/src/lease.rs
@@ -25,12 +25,12 @@
 
 /// A level of a budget at one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct LevelAt {
+pub(crate) struct GatewayLevel {
     pub gateway: ProcessId,
     pub level: f64,
 }
 
 /// Sorts levels, the highest first; equal ones by the gateways' ids.
-pub(crate) fn sort_by_level(levels: &mut [LevelAt]) {
+pub(crate) fn sort_by_level(levels: &mut [GatewayLevel]) {
     levels.sort_by(|a, b| b.level.total_cmp(&a.level).then(a.gateway.cmp(&b.gateway)));
 }
--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -5,7 +5,7 @@
 //!   counts from when it sent its request, the lender from when it granted it, and longer by what clocks may drift apart.
 //! - A request states how much its sender holds of the lender's at most from then on. So what is not needed any more is
 //!   returned at once, and a grant that arrives late is worth what the requests since then leave of it.
-//! - Units that were used are in use for a while ([`BudgetKind::max_unit_use`]). They are not leased meanwhile, and leased units
+//! - Units that were used are in use for a while ([`BudgetKind::max_use_duration`]). They are not leased meanwhile, and leased units
 //!   return only once all that was used of them has ended, or when the borrower states that it uses no more than it holds.
 //!
 //! So at every moment what all gateways may use is at most the sum of what they are entitled to, whatever is lost, late or
@@ -17,7 +17,7 @@
 use crate::budget_kind::BudgetKind;
 use crate::entitlement::Entitlement;
 use crate::fault_injection::InjectedFaults;
-use crate::lease::{GrantTerms, IncomingRequest, LevelAt};
+use crate::lease::{GatewayLevel, GrantTerms, IncomingRequest};
 use crate::message::round_level_down;
 use crate::process_id::ProcessId;
 use granted::GrantedLeases;
@@ -32,7 +32,7 @@
 const RESERVED_FRACTION: f64 = 0.05;
 
 /// Seconds after which a borrower that requests nothing, or a lender that grants nothing, is forgotten.
-const FORGET_AFTER: f64 = 60.0;
+const IDLE_TIMEOUT: f64 = 60.0;
 
 /// What a ledger is created from.
 pub(crate) struct LedgerConfig {
@@ -74,8 +74,8 @@
             BudgetKind::Window(_) => None,
         };
         if let Some(reserved) = reserved {
-            let started_at = if faults.starts_with_whole_quota { f64::NEG_INFINITY } else { now };
-            let end = started_at + lease_duration * CLOCK_MARGIN + kind.max_unit_use();
+            let started_at = if faults.starts_with_full_quota { f64::NEG_INFINITY } else { now };
+            let end = started_at + lease_duration * CLOCK_MARGIN + kind.max_use_duration();
             granted.assume_granted_by_predecessor(end, quota - reserved);
         }
         let held = HeldLeases::default();
@@ -135,10 +135,10 @@
         let borrower = request.borrower;
         let others = self.granted.total_of_others(now, borrower);
         let current = self.granted.level_of(now, borrower);
-        let free = (lendable - others).max(0.0);
-        let limit = self.growth_limit(lendable, current, free);
+        let available = (lendable - others).max(0.0);
+        let limit = self.growth_limit(lendable, current, available);
         let fair_share = self.fair_share(now, lendable, borrower);
-        let level = round_level_down(request.level.min(fair_share).min(limit).min(free));
+        let level = round_level_down(request.level.min(fair_share).min(limit).min(available));
         self.granted.grant(borrower, until, level);
         let current = self.granted.level_of(now, borrower);
         Some(GrantTerms { level, spare: round_level_down((lendable - others - current).max(0.0)) })
@@ -162,7 +162,7 @@
     }
 
     /// Lenders from which something is held, and how much: most first.
-    pub(crate) fn lenders(&self, now: f64) -> Vec<LevelAt> {
+    pub(crate) fn lenders(&self, now: f64) -> Vec<GatewayLevel> {
         self.held.lenders(now)
     }
 
@@ -174,19 +174,24 @@
     /// What this gateway should hold on lease, by its demand.
     pub(crate) fn desired_borrowing(&self, entitlement: &Entitlement, now: f64) -> f64 {
         let entitled = self.entitled_throughout(entitlement, now, now + self.lease_duration);
-        let own = entitled - self.granted(now);
-        let desired = if self.demand > 0.0 { self.desired() } else { self.in_use };
-        (desired - own.max(0.0)).max(0.0)
+        let own_share = entitled - self.granted(now);
+        let desired = if self.demand > 0.0 { self.desired_allowance() } else { self.in_use };
+        (desired - own_share.max(0.0)).max(0.0)
     }
 
     /// What this gateway must hold on lease at least, for the units in use.
     pub(crate) fn required_borrowing(&self, entitlement: &Entitlement, now: f64) -> f64 {
-        let own = self.entitled(entitlement, now) - self.granted(now);
-        (self.in_use - own.max(0.0)).max(0.0)
+        let own_share = self.entitled(entitlement, now) - self.granted(now);
+        (self.in_use - own_share.max(0.0)).max(0.0)
     }
 
     /// Whether what is in use is within what is held once these requests are sent.
-    pub(crate) fn covers_use_after(&self, entitlement: &Entitlement, now: f64, requests: &[LevelAt]) -> bool {
+    pub(crate) fn covers_use_after(
+        &self,
+        entitlement: &Entitlement,
+        now: f64,
+        requests: &[GatewayLevel],
+    ) -> bool {
         let held = self.held.total_after(now, requests);
         self.in_use <= (self.entitled(entitlement, now) - self.granted(now) + held).max(0.0)
     }
@@ -196,14 +201,14 @@
         self.granted.next_end()
     }
 
-    /// Forgets leases that have ended, and borrowers and lenders that sent nothing for [`FORGET_AFTER`].
-    pub(crate) fn forget_expired(&mut self, now: f64) {
-        self.granted.forget_expired(now, FORGET_AFTER);
-        self.held.forget_expired(now, FORGET_AFTER);
+    /// Forgets leases that have ended, and borrowers and lenders that sent nothing for [`IDLE_TIMEOUT`].
+    pub(crate) fn remove_expired(&mut self, now: f64) {
+        self.granted.remove_expired(now, IDLE_TIMEOUT);
+        self.held.remove_expired(now, IDLE_TIMEOUT);
     }
 
     fn has_fractional_quota(&self) -> bool {
-        self.kind.is_units() && self.quota < 1.0
+        self.kind.has_indivisible_units() && self.quota < 1.0
     }
 
     /// What this gateway is entitled to at a time, before leases.
@@ -217,10 +222,10 @@
     }
 
     /// What this gateway wants for itself, with room to grow.
-    fn desired(&self) -> f64 {
+    fn desired_allowance(&self) -> f64 {
         /// Covers the variance of the demand, and its growth while a request is under way.
-        const HEADROOM: f64 = 1.25;
-        (HEADROOM * self.demand).max(self.in_use)
+        const HEADROOM_FACTOR: f64 = 1.25;
+        (HEADROOM_FACTOR * self.demand).max(self.in_use)
     }
 
     /// Seconds for which a grant counts as leased here: until after the last unit that the borrower used of it.
@@ -228,7 +233,7 @@
         if self.faults.grant_ends_with_lease {
             self.lease_duration
         } else {
-            self.lease_duration * CLOCK_MARGIN + self.kind.max_unit_use()
+            self.lease_duration * CLOCK_MARGIN + self.kind.max_use_duration()
         }
     }
 
@@ -242,24 +247,24 @@
             BudgetKind::Rate | BudgetKind::Window(_) => RESERVED_FRACTION * self.quota,
         };
         // For a fraction of a unit this gateway is one requester among others: see `fair_share`.
-        let desired = if self.has_fractional_quota() { self.in_use } else { self.desired() };
+        let desired = if self.has_fractional_quota() { self.in_use } else { self.desired_allowance() };
         (entitled - desired.max(reserved)).max(0.0)
     }
 
     /// What one borrower may have in all, by how fast a lease may grow. It keeps what it has, as that may be in use there.
     /// Units that do not return within a lease are granted by halves of what is free: others may request some at the same
     /// time.
-    fn growth_limit(&self, lendable: f64, current: f64, free: f64) -> f64 {
-        if self.kind.max_unit_use() > 0.0 && lendable >= 1.0 {
-            current + 0.5 * (free - current).max(0.0)
+    fn growth_limit(&self, lendable: f64, current: f64, available: f64) -> f64 {
+        if self.kind.max_use_duration() > 0.0 && lendable >= 1.0 {
+            current + 0.5 * (available - current).max(0.0)
         } else {
-            free
+            available
         }
     }
 
     /// What one borrower may have beside the others that request something.
     fn fair_share(&self, now: f64, lendable: f64, borrower: ProcessId) -> f64 {
-        if self.kind.is_units() && lendable < 1.0 {
+        if self.kind.has_indivisible_units() && lendable < 1.0 {
             return self.share_of_one_unit(now, lendable, borrower);
         }
         self.granted.max_min_fair_share(now, self.lease_duration, lendable, borrower)
--- a/crates/shared-budgets/src/ledger/granted.rs
+++ b/crates/shared-budgets/src/ledger/granted.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// A borrower that is no process of this fleet: stands for what a predecessor of this process may have granted.
-const PREDECESSOR: ProcessId = 0;
+const PREDECESSOR_ID: ProcessId = 0;
 
 /// What is known of one borrower.
 #[derive(Clone, Debug, Default)]
@@ -26,14 +26,14 @@
 }
 
 /// Leases that a gateway has granted, by borrower. The gateways of the fleet bound their number, together with
-/// [`forget_expired`](Self::forget_expired).
+/// [`remove_expired`](Self::forget_expired).
 #[derive(Clone, Debug, Default)]
 pub(super) struct GrantedLeases(BTreeMap<ProcessId, Borrower>);
 
 impl GrantedLeases {
     /// Counts a level as granted until `end`: what a predecessor of this process may have leased.
     pub(super) fn assume_granted_by_predecessor(&mut self, end: f64, level: f64) {
-        self.grant(PREDECESSOR, end, level);
+        self.grant(PREDECESSOR_ID, end, level);
     }
 
     /// Records a request; returns whether it is newer than all before it.
@@ -112,8 +112,8 @@
     }
 
     /// Forgets leases that have ended, and borrowers that hold nothing and made no request within `seconds`.
-    pub(super) fn forget_expired(&mut self, now: f64, seconds: f64) {
-        self.0.values_mut().for_each(|borrower| borrower.levels.forget_expired(now));
+    pub(super) fn remove_expired(&mut self, now: f64, seconds: f64) {
+        self.0.values_mut().for_each(|borrower| borrower.levels.remove_expired(now));
         self.0.retain(|_, borrower| {
             borrower.levels.last_end().is_some() || borrower.requested_within(seconds, now)
         });
--- a/crates/shared-budgets/src/ledger/held.rs
+++ b/crates/shared-budgets/src/ledger/held.rs
@@ -1,6 +1,6 @@
 //! The borrower's side of leases: what is held from whom, and which requests may still be answered.
 
-use crate::lease::{GrantTerms, LevelAt, sort_by_level};
+use crate::lease::{GatewayLevel, GrantTerms, sort_by_level};
 use crate::process_id::ProcessId;
 use crate::step_function::StepFunction;
 use std::collections::{BTreeMap, VecDeque};
@@ -30,7 +30,7 @@
 }
 
 /// Leases that a gateway holds, by lender. The gateways of the fleet bound their number, together with
-/// [`forget_expired`](Self::forget_expired).
+/// [`remove_expired`](Self::forget_expired).
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldLeases(BTreeMap<ProcessId, Lender>);
 
@@ -76,7 +76,7 @@
     }
 
     /// What is held now, in all, once these requests are sent.
-    pub(super) fn total_after(&self, now: f64, requests: &[LevelAt]) -> f64 {
+    pub(super) fn total_after(&self, now: f64, requests: &[GatewayLevel]) -> f64 {
         let cap = |lender: ProcessId| {
             let request = requests.iter().find(|request| request.gateway == lender);
             request.map_or(f64::INFINITY, |request| request.level)
@@ -85,9 +85,9 @@
     }
 
     /// Lenders from which something is held, and how much: most first.
-    pub(super) fn lenders(&self, now: f64) -> Vec<LevelAt> {
+    pub(super) fn lenders(&self, now: f64) -> Vec<GatewayLevel> {
         let levels = self.0.iter().map(|(id, lender)| (*id, lender.levels.level_at(now)));
-        let mut lenders: Vec<_> = levels.map(|(gateway, level)| LevelAt { gateway, level }).collect();
+        let mut lenders: Vec<_> = levels.map(|(gateway, level)| GatewayLevel { gateway, level }).collect();
         lenders.retain(|lender| lender.level > 0.0);
         sort_by_level(&mut lenders);
         lenders
@@ -99,8 +99,8 @@
     }
 
     /// Forgets leases that have ended, and lenders of which nothing is held and nothing was requested within `seconds`.
-    pub(super) fn forget_expired(&mut self, now: f64, seconds: f64) {
-        self.0.values_mut().for_each(|lender| lender.levels.forget_expired(now));
+    pub(super) fn remove_expired(&mut self, now: f64, seconds: f64) {
+        self.0.values_mut().for_each(|lender| lender.levels.remove_expired(now));
         self.0.retain(|_, lender| {
             let requested_at = lender.pending.back().map(|request| request.sent_at);
             lender.levels.last_end().is_some() || requested_at.is_some_and(|at| now - at < seconds)
--- a/crates/shared-budgets/src/outbox/tests.rs
+++ b/crates/shared-budgets/src/outbox/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Messages without entries that fit into one second's bytes.
-const MESSAGES_A_SECOND: usize = (MAX_BYTES_PER_SECOND / ENVELOPE_BYTES) as usize;
+const MESSAGES_PER_SECOND: usize = (MAX_BYTES_PER_SECOND / ENVELOPE_BYTES) as usize;
 
 fn push_all(outbox: &mut Outbox, now: f64) -> usize {
     std::iter::repeat_with(|| outbox.try_push(now, 1, Message::default()))
@@ -12,9 +12,9 @@
 #[test]
 fn messages_beyond_the_bytes_a_second_are_refused_until_time_passes() {
     let mut outbox = Outbox::new(0.0);
-    assert_eq!(push_all(&mut outbox, 0.0), MESSAGES_A_SECOND, "66 of 150 bytes");
+    assert_eq!(push_all(&mut outbox, 0.0), MESSAGES_PER_SECOND, "66 of 150 bytes");
     assert_eq!(push_all(&mut outbox, 0.5), 34, "5,000 bytes, and 100 that were left");
-    assert_eq!(push_all(&mut outbox, 100.0), MESSAGES_A_SECOND);
+    assert_eq!(push_all(&mut outbox, 100.0), MESSAGES_PER_SECOND);
 }
 
 #[test]
--- a/crates/shared-budgets/src/request_plan.rs
+++ b/crates/shared-budgets/src/request_plan.rs
@@ -1,6 +1,6 @@
 //! Which gateways are asked for how much of a budget.
 
-use crate::lease::{LevelAt, sort_by_level};
+use crate::lease::{GatewayLevel, sort_by_level};
 use crate::ledger::Ledger;
 use crate::process_id::ProcessId;
 
@@ -13,7 +13,12 @@
 
 /// The levels to request, so that `desired` is held in all: from lenders what is held already, the rest from gateways that
 /// may have something to spare.
-pub(crate) fn plan_requests(ledger: &Ledger, peers: &[ProcessId], now: f64, desired: f64) -> Vec<LevelAt> {
+pub(crate) fn plan_requests(
+    ledger: &Ledger,
+    peers: &[ProcessId],
+    now: f64,
+    desired: f64,
+) -> Vec<GatewayLevel> {
     let mut plan = ledger.lenders(now);
     let total_held: f64 = plan.iter().map(|request| request.level).sum();
     if total_held > RELEASE_FACTOR * desired {
@@ -30,7 +35,7 @@
 }
 
 /// Lowers the levels by a surplus. The smallest go first: fewer lenders to ask next time.
-fn return_surplus(plan: &mut [LevelAt], mut surplus: f64) {
+fn return_surplus(plan: &mut [GatewayLevel], mut surplus: f64) {
     for request in plan.iter_mut().rev() {
         let returned = request.level.min(surplus);
         request.level -= returned;
@@ -40,7 +45,7 @@
 
 /// Requests what is missing from those that stated what they could grant, most first; returns what is still missing.
 fn request_known_spare(
-    plan: &mut Vec<LevelAt>,
+    plan: &mut Vec<GatewayLevel>,
     ledger: &Ledger,
     peers: &[ProcessId],
     now: f64,
@@ -48,14 +53,14 @@
 ) -> f64 {
     let spare_of = |peer: &ProcessId| {
         let level = ledger.reported_spare(now, *peer)?;
-        Some(LevelAt { gateway: *peer, level })
+        Some(GatewayLevel { gateway: *peer, level })
     };
-    let mut spare: Vec<LevelAt> = peers.iter().filter_map(spare_of).collect();
+    let mut spare: Vec<GatewayLevel> = peers.iter().filter_map(spare_of).collect();
     spare.retain(|peer| peer.level > 0.0);
     sort_by_level(&mut spare);
     for peer in spare {
         let level = peer.level.min(missing);
-        raise(plan, peer.gateway, level);
+        increase_request(plan, peer.gateway, level);
         missing -= level;
         if missing <= 0.0 {
             break;
@@ -65,19 +70,19 @@
 }
 
 /// Requests a part of what is missing from each of those of which it is not known what they could grant.
-fn probe_peers(plan: &mut Vec<LevelAt>, ledger: &Ledger, peers: &[ProcessId], now: f64, missing: f64) {
+fn probe_peers(plan: &mut Vec<GatewayLevel>, ledger: &Ledger, peers: &[ProcessId], now: f64, missing: f64) {
     let unknown: Vec<ProcessId> =
         peers.iter().copied().filter(|peer| ledger.reported_spare(now, *peer).is_none()).collect();
     let per_peer = (PROBE_FACTOR * missing / unknown.len().max(1) as f64).min(missing);
     for peer in unknown {
-        raise(plan, peer, per_peer);
+        increase_request(plan, peer, per_peer);
     }
 }
 
 /// Raises the level that is requested from a gateway.
-fn raise(plan: &mut Vec<LevelAt>, gateway: ProcessId, by: f64) {
+fn increase_request(plan: &mut Vec<GatewayLevel>, gateway: ProcessId, by: f64) {
     match plan.iter_mut().find(|request| request.gateway == gateway) {
         Some(request) => request.level += by,
-        None => plan.push(LevelAt { gateway, level: by }),
+        None => plan.push(GatewayLevel { gateway, level: by }),
     }
 }
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -37,7 +37,7 @@
 
 /// The lifetime of a proof of the entitlement, as a multiple of the duration of a lease. A lease is shorter than a proof, so
 /// that most leases can be granted from an entitlement that is proven until they end.
-const PROOF_TO_LEASE: f64 = 1.5;
+const PROOF_TO_LEASE_RATIO: f64 = 1.5;
 
 /// Seconds for which a lease holds at least.
 const MIN_LEASE_DURATION: f64 = 0.2;
@@ -96,9 +96,10 @@
         let max_lease_duration = MAX_LEASE_ROUNDS * REQUEST_INTERVAL;
         Self {
             own_id,
-            lease_duration: (proof_lifetime / PROOF_TO_LEASE).clamp(MIN_LEASE_DURATION, max_lease_duration),
+            lease_duration: (proof_lifetime / PROOF_TO_LEASE_RATIO)
+                .clamp(MIN_LEASE_DURATION, max_lease_duration),
             clock: MonotonicClock::new(now),
-            entitlement: Entitlement::QUOTA,
+            entitlement: Entitlement::FULL_QUOTA,
             budgets: Vec::new(),
             slots: BTreeMap::new(),
             peers: Vec::new(),
@@ -135,7 +136,7 @@
     /// Sets what fraction of its quotas this gateway is entitled to, and which other gateways there are.
     pub fn set_entitlement(&mut self, now: f64, entitlement: Entitlement, peers: Vec<ProcessId>) {
         self.clock.advance(now);
-        let valid_until = self.clock.own_time(entitlement.valid_until);
+        let valid_until = self.clock.monotonic_time(entitlement.valid_until);
         self.entitlement = Entitlement { valid_until, ..entitlement };
         self.usage.set_peers(&peers);
         self.peers = peers;
@@ -181,7 +182,7 @@
     /// To be called when the code that spends the budgets has lost their adjustments:
     /// [`take_adjustments`](Self::take_adjustments) returns all of them the next time.
     pub fn resend_adjustments(&mut self) {
-        self.budgets.iter_mut().flatten().for_each(Budget::forget_published);
+        self.budgets.iter_mut().flatten().for_each(Budget::invalidate_published);
     }
 
     /// Records what the meter of a budget shows now.
@@ -194,7 +195,7 @@
     #[must_use]
     pub fn next_tick(&self) -> f64 {
         let early = if self.was_denied { self.earliest_round_at() } else { f64::INFINITY };
-        self.clock.callers_time(self.next_round_at.min(early).min(self.next_renewal_at))
+        self.clock.caller_time(self.next_round_at.min(early).min(self.next_renewal_at))
     }
 
     /// Takes a message of another gateway. `read_meter` reads the meter of a slot at this moment; none for a budget that
@@ -226,10 +227,10 @@
 
     /// Reports the concurrency of functions to the other gateways, where that is due. `busy` gives that of the functions
     /// that are in use here.
-    pub fn report_usage(&mut self, now: f64, busy: impl FnOnce() -> Vec<FunctionConcurrency>) {
+    pub fn report_usage(&mut self, now: f64, read_concurrency: impl FnOnce() -> Vec<FunctionConcurrency>) {
         let now = self.clock.advance(now);
         let jitter = self.rng.rand_float();
-        for (recipient, message) in self.usage.tick(now, jitter, busy) {
+        for (recipient, message) in self.usage.tick(now, jitter, read_concurrency) {
             self.enqueue(recipient, message);
         }
     }
@@ -237,13 +238,13 @@
     /// When [`report_usage`](Self::report_usage) is due next.
     #[must_use]
     pub fn next_usage_report(&self) -> f64 {
-        self.clock.callers_time(self.usage.next_report_at())
+        self.clock.caller_time(self.usage.next_report_at())
     }
 
     /// The concurrency of functions at all other gateways, by the hash of their names; none while that is not known.
     pub fn usage_elsewhere(&mut self, now: f64) -> Option<BTreeMap<u64, f64>> {
         let now = self.clock.advance(now);
-        self.usage.elsewhere(now)
+        self.usage.remote_concurrency(now)
     }
 
     /// Does what is due: forgets leases that have ended, and sends a round of requests.
@@ -269,7 +270,7 @@
             let Some(budget) = budget else { continue };
             let granted = if self.faults.grants_not_subtracted { 0.0 } else { budget.ledger.granted(now) };
             if let Some(adjustment) = budget.publish_adjustment(granted, now) {
-                let valid_until = self.clock.callers_time(adjustment.valid_until);
+                let valid_until = self.clock.caller_time(adjustment.valid_until);
                 let adjustment = QuotaAdjustment { valid_until, ..adjustment };
                 adjustments.push(SlotAdjustment { slot, adjustment });
             }
@@ -291,7 +292,7 @@
     #[must_use]
     pub fn next_grant_end(&self) -> Option<f64> {
         let ends = self.budgets.iter().flatten().filter_map(|budget| budget.ledger.next_grant_end());
-        ends.min_by(f64::total_cmp).map(|end| self.clock.callers_time(end))
+        ends.min_by(f64::total_cmp).map(|end| self.clock.caller_time(end))
     }
 
     /// All open budgets as an operator sees them.
--- a/crates/shared-budgets/src/step_function.rs
+++ b/crates/shared-budgets/src/step_function.rs
@@ -52,7 +52,7 @@
     }
 
     /// Drops the steps that have ended.
-    pub(crate) fn forget_expired(&mut self, now: f64) {
+    pub(crate) fn remove_expired(&mut self, now: f64) {
         self.0.retain(|step| step.end > now);
     }
 
--- a/crates/shared-budgets/src/usage_counts.rs
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -113,28 +113,28 @@
         &mut self,
         now: f64,
         jitter: f64,
-        busy: impl FnOnce() -> Vec<FunctionConcurrency>,
+        read_concurrency: impl FnOnce() -> Vec<FunctionConcurrency>,
     ) -> Vec<(ProcessId, Message)> {
         if now < self.next_report_at {
             return Vec::new();
         }
         self.next_report_at = now + self.interval * (0.9 + 0.2 * jitter);
-        self.forget_expired(now);
+        self.remove_expired(now);
         if self.aggregators.peer_count() == 0 {
             self.totals.clear();
             return Vec::new();
         }
-        self.own_usage = busy();
+        self.own_usage = read_concurrency();
         self.own_usage.retain(|own| own.concurrency >= MIN_CONCURRENCY);
         (0..BUCKETS).filter_map(|bucket| self.report(now, bucket)).collect()
     }
 
-    fn forget_expired(&mut self, now: f64) {
+    fn remove_expired(&mut self, now: f64) {
         let (report_lifetime, total_lifetime) =
             (REPORT_LIFETIME * self.interval, TOTAL_LIFETIME * self.interval);
         self.reports.retain(|_, report| now - report.received_at < report_lifetime);
         self.totals.retain(|_, total| now - total.received_at < total_lifetime);
-        self.aggregators.forget_expired(now);
+        self.aggregators.remove_expired(now);
     }
 
     /// The report on a bucket, and its aggregator; none where this gateway is the aggregator.
@@ -201,9 +201,9 @@
         /// Reports are kept of this many times the gateways that are there ...
         const REPORTERS_PER_PEER: usize = 2;
         /// ... and some more, for the time before they are known.
-        const MORE_REPORTERS: usize = 16;
+        const EXTRA_REPORTERS: usize = 16;
         let capacity =
-            (REPORTERS_PER_PEER * self.aggregators.peer_count() + MORE_REPORTERS) * usize::from(BUCKETS);
+            (REPORTERS_PER_PEER * self.aggregators.peer_count() + EXTRA_REPORTERS) * usize::from(BUCKETS);
         let is_known = self.reports.contains_key(&(bucket, reporter));
         if bucket >= BUCKETS || self.reports.len() >= capacity && !is_known {
             return None;
@@ -229,7 +229,7 @@
 
     /// The concurrency of functions at all other gateways, by the hash of their names; none while that is not known of
     /// each bucket, or where there is no other gateway.
-    pub(crate) fn elsewhere(&self, now: f64) -> Option<BTreeMap<u64, f64>> {
+    pub(crate) fn remote_concurrency(&self, now: f64) -> Option<BTreeMap<u64, f64>> {
         let lifetime = TOTAL_LIFETIME * self.interval;
         let is_fresh = |total: &BucketTotal| now - total.received_at < lifetime && total.reporters > 0;
         let is_known = (0..BUCKETS).all(|bucket| self.totals.get(&bucket).is_some_and(is_fresh));
--- a/crates/shared-budgets/src/usage_counts/aggregators.rs
+++ b/crates/shared-budgets/src/usage_counts/aggregators.rs
@@ -41,7 +41,7 @@
     }
 
     /// Forgets gateways that need not be avoided any more.
-    pub(super) fn forget_expired(&mut self, now: f64) {
+    pub(super) fn remove_expired(&mut self, now: f64) {
         self.avoided.retain(|_, until| now < *until);
     }
 
--- a/crates/shared-budgets/src/usage_counts/tests.rs
+++ b/crates/shared-budgets/src/usage_counts/tests.rs
@@ -37,8 +37,8 @@
 
     fn tick(&mut self, id: u64, is_delivered: &impl Fn(u64, u64) -> bool) -> usize {
         let now = self.now;
-        let function_here = |function| FunctionConcurrency { function, concurrency: id as f64 };
-        let reports = self.gateway(id).tick(now, 0.5, || (0..FUNCTIONS).map(function_here).collect());
+        let own_concurrency = |function| FunctionConcurrency { function, concurrency: id as f64 };
+        let reports = self.gateway(id).tick(now, 0.5, || (0..FUNCTIONS).map(own_concurrency).collect());
         let mut sent_count = reports.len();
         for (to, report) in reports.into_iter().filter(|(to, _)| is_delivered(id, *to)) {
             let bucket = report.bucket.expect("a report has a bucket");
@@ -52,9 +52,9 @@
     }
 
     /// What a gateway knows of the others' concurrency, which is the same of each function.
-    fn elsewhere(&mut self, id: u64) -> Option<f64> {
+    fn remote_concurrency(&mut self, id: u64) -> Option<f64> {
         let now = self.now;
-        let known = self.gateway(id).elsewhere(now)?;
+        let known = self.gateway(id).remote_concurrency(now)?;
         assert!(known.len() <= 10 && known.values().all(|v| *v == known[&0]), "{known:?}");
         Some(known[&0])
     }
@@ -65,7 +65,7 @@
     let mut fleet = Fleet::new(12);
     let sent_count = fleet.run(8.0, |_, _| true);
     for n in 1..=12 {
-        assert_eq!(fleet.elsewhere(n), Some(78.0 - n as f64), "{n}");
+        assert_eq!(fleet.remote_concurrency(n), Some(78.0 - n as f64), "{n}");
     }
     assert!(sent_count <= 12 * 2 * usize::from(BUCKETS) * 10, "{sent_count}");
 }
@@ -76,26 +76,31 @@
     let mut fleet = Fleet::new(12);
     fleet.run(4.0, |_, _| true);
     fleet.run(5.0, |from, to| from != 3 && to != 3);
-    assert_eq!(fleet.elsewhere(1), Some(78.0 - 1.0 - 3.0));
-    assert_eq!(fleet.elsewhere(3), None);
+    assert_eq!(fleet.remote_concurrency(1), Some(78.0 - 1.0 - 3.0));
+    assert_eq!(fleet.remote_concurrency(3), None);
 }
 
 #[test]
 fn a_gateway_without_peers_knows_no_usage() {
     let mut fleet = Fleet::new(3);
     fleet.run(3.0, |_, _| true);
-    assert!(fleet.elsewhere(1).is_some());
+    assert!(fleet.remote_concurrency(1).is_some());
     fleet.gateway(1).set_peers(&[]);
     fleet.run(1.0, |_, _| true);
-    assert_eq!(fleet.elsewhere(1), None);
+    assert_eq!(fleet.remote_concurrency(1), None);
 }
 
 /// An aggregator receives as many messages a second, however large the fleet is.
 #[test]
 fn large_fleets_report_less_often() {
-    let mut few = UsageCounts::new(1, 0.0);
-    let mut many = few.clone();
-    few.set_peers(&(2..=40).collect::<Vec<_>>());
-    many.set_peers(&(2..=480).collect::<Vec<_>>());
-    assert!((many.interval / few.interval - 10.0).abs() < 0.1, "{} {}", few.interval, many.interval);
+    let mut small_fleet = UsageCounts::new(1, 0.0);
+    let mut large_fleet = small_fleet.clone();
+    small_fleet.set_peers(&(2..=40).collect::<Vec<_>>());
+    large_fleet.set_peers(&(2..=480).collect::<Vec<_>>());
+    assert!(
+        (large_fleet.interval / small_fleet.interval - 10.0).abs() < 0.1,
+        "{} {}",
+        small_fleet.interval,
+        large_fleet.interval
+    );
 }
--- a/crates/shared-budgets/tests/exhaustive_search.rs
+++ b/crates/shared-budgets/tests/exhaustive_search.rs
@@ -97,7 +97,7 @@
 }
 
 /// Fails where all gateways together use more than there is.
-fn check(fleet: &SimulatedFleet) -> Result<(), String> {
+fn check_budget(fleet: &SimulatedFleet) -> Result<(), String> {
     let excess = fleet.excess();
     if excess > 1e-6 { Err(format!("at {:.3} s exceeded by {excess}", fleet.now)) } else { Ok(()) }
 }
@@ -113,9 +113,10 @@
             continue;
         }
         states += 1;
-        check(&next).map_err(|fault| format!("{event:?}: {fault}"))?;
+        check_budget(&next).map_err(|violation| format!("{event:?}: {violation}"))?;
         if depth > 1 {
-            states += search(&next, depth - 1, visited).map_err(|fault| format!("{event:?}, {fault}"))?;
+            states +=
+                search(&next, depth - 1, visited).map_err(|violation| format!("{event:?}, {violation}"))?;
         }
     }
     Ok(states)
@@ -123,7 +124,11 @@
 
 /// Runs the fleet for some seconds; `up` states which links deliver, by sender and recipient. Units are used as soon as
 /// they may be.
-fn advance(fleet: &mut SimulatedFleet, up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), String> {
+fn advance(
+    fleet: &mut SimulatedFleet,
+    is_link_up: &[[bool; SIZE]; SIZE],
+    seconds: f64,
+) -> Result<(), String> {
     let until = fleet.now + seconds;
     loop {
         for n in 0..SIZE {
@@ -131,10 +136,10 @@
                 while fleet.try_use_one(n) {}
             }
         }
-        check(fleet)?;
+        check_budget(fleet)?;
         if !fleet.messages.is_empty() {
             let sent = fleet.messages.remove(0);
-            if fleet.gateway_of(sent.sender).is_some_and(|from| up[from][sent.recipient]) {
+            if fleet.gateway_of(sent.sender).is_some_and(|from| is_link_up[from][sent.recipient]) {
                 fleet.deliver(sent);
             }
             continue;
@@ -159,11 +164,11 @@
             None if rng.random_bool(0.7) => fleet.start(n),
             _ => apply(fleet, Event::ToggleDemand(n)),
         }
-        let mut up = [[true; SIZE]; SIZE];
+        let mut is_link_up = [[true; SIZE]; SIZE];
         if rng.random_bool(0.4) {
-            up.iter_mut().flatten().for_each(|up| *up = rng.random_bool(0.6));
+            is_link_up.iter_mut().flatten().for_each(|is_link_up| *is_link_up = rng.random_bool(0.6));
         }
-        advance(fleet, &up, rng.random_range(0.1..3.0))?;
+        advance(fleet, &is_link_up, rng.random_range(0.1..3.0))?;
     }
     Ok(())
 }
@@ -180,13 +185,13 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut fleet = SimulatedFleet::new(SIZE, kind, 4.0, faults);
         for _ in 0..4 {
-            run_random(&mut fleet, &mut rng).map_err(|fault| format!("seed {seed}: {fault}"))?;
+            run_random(&mut fleet, &mut rng).map_err(|violation| format!("seed {seed}: {violation}"))?;
             for _ in 0..10 {
                 let events = events(&fleet);
                 apply(&mut fleet, events[rng.random_range(0..events.len())]);
-                check(&fleet).map_err(|fault| format!("seed {seed}: {fault}"))?;
+                check_budget(&fleet).map_err(|violation| format!("seed {seed}: {violation}"))?;
             }
-            let in_context = |fault| format!("seed {seed} at {:.3} s: {fault}", fleet.now);
+            let in_context = |violation| format!("seed {seed} at {:.3} s: {violation}", fleet.now);
             states += search(&fleet, depth, &mut HashSet::new()).map_err(in_context)?;
         }
     }
@@ -199,7 +204,7 @@
 const NO_FAULTS: InjectedFaults = InjectedFaults {
     grants_not_subtracted: false,
     grant_ends_with_lease: false,
-    starts_with_whole_quota: false,
+    starts_with_full_quota: false,
     releases_units_in_use: false,
 };
 
@@ -207,7 +212,7 @@
 #[test_case(WINDOW; "units within a window")]
 #[test_case(IN_FLIGHT; "units in flight")]
 fn no_order_of_events_exceeds_the_budget(kind: BudgetKind) {
-    let states = explore(0..24, 2, kind, NO_FAULTS).unwrap_or_else(|fault| panic!("{fault}"));
+    let states = explore(0..24, 2, kind, NO_FAULTS).unwrap_or_else(|violation| panic!("{violation}"));
     assert!(states > 5_000, "{states}");
 }
 
@@ -217,7 +222,10 @@
 #[ignore = "takes minutes; run by hand, with the depth in the variable DEPTH"]
 fn no_order_of_events_exceeds_the_budget_at_greater_depth(kind: BudgetKind) {
     let depth = std::env::var("DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
-    println!("{} states", explore(0..24, depth, kind, NO_FAULTS).unwrap_or_else(|fault| panic!("{fault}")));
+    println!(
+        "{} states",
+        explore(0..24, depth, kind, NO_FAULTS).unwrap_or_else(|violation| panic!("{violation}"))
+    );
 }
 
 /// The same search finds each step of the protocol that is left out.
@@ -226,11 +234,11 @@
 #[test_case(WINDOW, InjectedFaults { grant_ends_with_lease: true, ..NO_FAULTS }; "units of a window that return while in use")]
 #[test_case(IN_FLIGHT, InjectedFaults { grant_ends_with_lease: true, ..NO_FAULTS }; "units in flight that return while in use")]
 #[test_case(WINDOW, InjectedFaults { releases_units_in_use: true, ..NO_FAULTS }; "units released while in use")]
-#[test_case(RATE, InjectedFaults { starts_with_whole_quota: true, ..NO_FAULTS }; "a process that starts with its whole rate")]
-#[test_case(IN_FLIGHT, InjectedFaults { starts_with_whole_quota: true, ..NO_FAULTS }; "a process that starts with all its units")]
+#[test_case(RATE, InjectedFaults { starts_with_full_quota: true, ..NO_FAULTS }; "a process that starts with its whole rate")]
+#[test_case(IN_FLIGHT, InjectedFaults { starts_with_full_quota: true, ..NO_FAULTS }; "a process that starts with all its units")]
 fn each_injected_fault_is_detected(kind: BudgetKind, faults: InjectedFaults) {
     let found = explore(0..200, 2, kind, faults);
-    assert!(found.as_ref().is_err_and(|fault| fault.contains("exceeded by")), "{found:?}");
+    assert!(found.as_ref().is_err_and(|violation| violation.contains("exceeded by")), "{found:?}");
 }
 
 /// A gateway with a fast clock leases to one with a slow clock, and then no message arrives any more. Checked each
@@ -251,18 +259,23 @@
                 fleet.deliver(sent);
             }
         }
-        assert!(fleet.level(0) > 11.0 && fleet.level(2) < 0.5, "{} {}", fleet.level(0), fleet.level(2));
+        assert!(
+            fleet.allowed(0) > 11.0 && fleet.allowed(2) < 0.5,
+            "{} {}",
+            fleet.allowed(0),
+            fleet.allowed(2)
+        );
         let end =
             fleet.gateways[2].as_ref().and_then(|n| n.next_grant_end()).expect("it has granted a lease");
         for _ in 0..3000 {
             fleet.now += 0.001;
             // The borrower is paused shortly before, with its last adjustment.
-            let is_stopped = fleet.now > end - 0.28;
-            (0..SIZE).filter(|n| *n != 0 || !is_stopped).for_each(|n| fleet.tick(n));
+            let is_paused = fleet.now > end - 0.28;
+            (0..SIZE).filter(|n| *n != 0 || !is_paused).for_each(|n| fleet.tick(n));
             fleet.messages.clear();
             max_excess = max_excess.max(fleet.excess());
         }
-        assert_eq!(fleet.level(2), 4.0);
+        assert_eq!(fleet.allowed(2), 4.0);
     }
     assert_eq!(max_excess > 1e-6, expect_excess, "{max_excess}");
 }
--- a/crates/shared-budgets/tests/fleet/mod.rs
+++ b/crates/shared-budgets/tests/fleet/mod.rs
@@ -55,7 +55,7 @@
     pub faults: InjectedFaults,
     starts: u64,
     /// When units were used by processes that are gone, in true time.
-    pub past_use: Vec<f64>,
+    pub past_uses: Vec<f64>,
     /// When processes were started again, in true time.
     pub restarts: Vec<f64>,
     /// Bytes of all messages so far, datagrams around them included.
@@ -78,7 +78,7 @@
 impl SimulatedFleet {
     pub fn new(size: usize, kind: BudgetKind, quota: f64, faults: InjectedFaults) -> Self {
         let gateways = (0..size).map(|_| None).collect();
-        let (messages, past_use, restarts) = (Vec::new(), Vec::new(), Vec::new());
+        let (messages, past_uses, restarts) = (Vec::new(), Vec::new(), Vec::new());
         let mut fleet = Self {
             now: 0.0,
             gateways,
@@ -87,7 +87,7 @@
             quota,
             faults,
             starts: 0,
-            past_use,
+            past_uses,
             restarts,
             bytes: 0,
         };
@@ -137,7 +137,7 @@
     /// Kills the process of a gateway: it sends nothing any more.
     pub fn kill(&mut self, n: usize) {
         if let Some(gateway) = self.gateways[n].take() {
-            self.past_use.extend(gateway.used_at.iter().map(|at| at / gateway.clock_rate));
+            self.past_uses.extend(gateway.used_at.iter().map(|at| at / gateway.clock_rate));
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// What a gateway may use at this moment, by its last adjustment.
-    pub fn level(&self, n: usize) -> f64 {
+    pub fn allowed(&self, n: usize) -> f64 {
         let clock = self.clock(n);
         let Some(gateway) = &self.gateways[n] else { return 0.0 };
         let adjustment = if clock < gateway.adjustment.valid_until {
@@ -172,7 +172,7 @@
 
     /// Units of a gateway in use now.
     fn in_use(&self, n: usize) -> f64 {
-        let (clock, max_use) = (self.clock(n), self.kind.max_unit_use());
+        let (clock, max_use) = (self.clock(n), self.kind.max_use_duration());
         let used = self.gateways[n].iter().flat_map(|gateway| &gateway.used_at);
         used.filter(|at| clock - **at <= max_use).count() as f64
     }
@@ -225,7 +225,7 @@
 
     /// Uses one unit at a gateway if it may; returns whether it did.
     pub fn try_use_one(&mut self, n: usize) -> bool {
-        let is_allowed = self.in_use(n) + 1.0 <= self.level(n) + 1e-9;
+        let is_allowed = self.in_use(n) + 1.0 <= self.allowed(n) + 1e-9;
         let clock = self.clock(n);
         if let Some(gateway) = self.gateways[n].as_mut() {
             gateway.requested += 1.0;
@@ -243,14 +243,14 @@
     pub fn excess(&self) -> f64 {
         match self.kind {
             BudgetKind::Rate => {
-                (0..self.gateways.len()).map(|n| self.level(n)).sum::<f64>() - self.total_quota()
+                (0..self.gateways.len()).map(|n| self.allowed(n)).sum::<f64>() - self.total_quota()
             }
-            BudgetKind::Window(hold) => {
+            BudgetKind::Window(window) => {
                 // A window as the fastest clock has it.
-                let since = self.now - hold / 1.01;
+                let since = self.now - window / 1.01;
                 let live =
                     self.gateways.iter().flatten().flat_map(|n| n.used_at.iter().map(|at| at / n.clock_rate));
-                let used = live.chain(self.past_use.iter().copied()).filter(|at| *at > since).count() as f64;
+                let used = live.chain(self.past_uses.iter().copied()).filter(|at| *at > since).count() as f64;
                 let restarts = self.restarts.iter().filter(|at| **at > since - PROOF_LIFETIME).count() as f64;
                 used - self.total_quota() - self.quota * restarts
             }
--- a/crates/shared-budgets/tests/scenarios.rs
+++ b/crates/shared-budgets/tests/scenarios.rs
@@ -38,7 +38,7 @@
     let (mut sum, samples) = (0.0, (seconds / SAMPLE_INTERVAL) as usize);
     for _ in 0..samples {
         fleet.run(SAMPLE_INTERVAL, delivery);
-        sum += fleet.level(n);
+        sum += fleet.allowed(n);
     }
     sum / samples as f64 / fleet.total_quota()
 }
@@ -63,7 +63,7 @@
     (0..6).for_each(|n| fleet.set_demand(n, 100.0));
     fleet.run(5.0, &mut lossy(0.0, 1));
     let fraction_of = |fleet: &SimulatedFleet, half: std::ops::Range<usize>| {
-        half.map(|n| fleet.level(n)).sum::<f64>() / fleet.total_quota()
+        half.map(|n| fleet.allowed(n)).sum::<f64>() / fleet.total_quota()
     };
     assert!(fraction_of(&fleet, 0..6) >= 0.9, "{}", fraction_of(&fleet, 0..6));
     (0..6).for_each(|n| fleet.set_demand(n, 0.0));
@@ -94,14 +94,14 @@
     (1..4).for_each(|n| fleet.set_demand(n, 20.0));
     fleet.run(6.0, &mut lossy(0.0, 1));
     for n in 1..4 {
-        let level = fleet.level(n);
-        assert!(level >= 20.0, "gateway {n}: {level}");
+        let allowed = fleet.allowed(n);
+        assert!(allowed >= 20.0, "gateway {n}: {allowed}");
     }
     (4..12).for_each(|n| fleet.set_demand(n, 7.0));
     fleet.run(6.0, &mut lossy(0.0, 1));
     for n in 4..12 {
-        let level = fleet.level(n);
-        assert!(level >= 7.0, "gateway {n}: {level}");
+        let allowed = fleet.allowed(n);
+        assert!(allowed >= 7.0, "gateway {n}: {allowed}");
     }
 }
 
@@ -112,15 +112,15 @@
     let mut fleet = warmed_up_fleet(RATE, 10.0);
     fleet.set_demand(0, 1e6);
     fleet.run(5.0, &mut lossy(0.0, 1));
-    assert!(fleet.level(7) < 1.0);
+    assert!(fleet.allowed(7) < 1.0);
     fleet.set_demand(7, 50.0);
     let mut isolated =
         |_: f64, from: usize, to: usize| if from == 7 || to == 7 { vec![] } else { vec![0.001] };
     for _ in 0..22 {
         fleet.run(0.1, &mut isolated);
-        assert!(fleet.level(7) >= 0.5 - 1e-9, "{}", fleet.level(7));
+        assert!(fleet.allowed(7) >= 0.5 - 1e-9, "{}", fleet.allowed(7));
     }
-    assert!(fleet.level(7) >= 10.0 - 1e-9, "{}", fleet.level(7));
+    assert!(fleet.allowed(7) >= 10.0 - 1e-9, "{}", fleet.allowed(7));
 }
 
 /// Each of twelve gateways has a quota of a twelfth of the unit; first one requests it, then two.
@@ -184,15 +184,15 @@
                 None => fleet.start(n),
             }
             let partition = rng.random_range(0..24);
-            let mut links = ChaCha8Rng::seed_from_u64(rng.random());
+            let mut link_rng = ChaCha8Rng::seed_from_u64(rng.random());
             let mut delivery = move |_: f64, a: usize, b: usize| {
                 let cut = (a < partition) != (b < partition);
-                if cut || links.random_bool(loss) {
+                if cut || link_rng.random_bool(loss) {
                     return vec![];
                 }
-                let mut delays = vec![links.random_range(0.0..=2.0 * mean_delay)];
-                if links.random_bool(0.2) {
-                    delays.push(links.random_range(0.0..3.0));
+                let mut delays = vec![link_rng.random_range(0.0..=2.0 * mean_delay)];
+                if link_rng.random_bool(0.2) {
+                    delays.push(link_rng.random_range(0.0..3.0));
                 }
                 delays
             };
--- a/crates/shared-budgets/tests/wire_format.rs
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -57,7 +57,7 @@
     assert_eq!(sent(&mut lender), [grant]);
 }
 
-fn busy() -> Vec<FunctionConcurrency> {
+fn example_concurrency() -> Vec<FunctionConcurrency> {
     let functions = [(7, 1.5), (8, 0.25), (1 << 40, 12.0)];
     functions.map(|(function, concurrency)| FunctionConcurrency { function, concurrency }).to_vec()
 }
@@ -65,7 +65,7 @@
 #[test]
 fn usage_reports_keep_their_bytes() {
     let (mut shared_budgets, _) = gateway(REQUESTER, LENDER);
-    shared_budgets.report_usage(10.0, busy);
+    shared_budgets.report_usage(10.0, example_concurrency);
     let reports = [
         "2 a800000180028003000402058006800700",
         "2 a800000180028003000403058006800700",
@@ -85,8 +85,8 @@
 fn usage_sums_keep_their_bytes() {
     let (mut reporter, _) = gateway(REQUESTER, LENDER);
     let (mut aggregator, _) = gateway(LENDER, REQUESTER);
-    aggregator.report_usage(10.0, busy);
-    reporter.report_usage(10.0, busy);
+    aggregator.report_usage(10.0, example_concurrency);
+    reporter.report_usage(10.0, example_concurrency);
     // The aggregator's own reports go out first; what follows are its answers.
     while aggregator.next_message().is_some() {}
     while let Some(report) = reporter.next_message() {
