--- a/crates/sealed-datagram/src/lib.rs
+++ b/crates/sealed-datagram/src/lib.rs
@@ -1,64 +1,64 @@
-//! Datagrams that are authenticated with a secret which a fleet shares: a version, a tag of 16 bytes (a keyed hash over
-//! the rest) and a body. They are not encrypted. What the body holds is its owner's business: each protocol between
-//! gateways or control machines has a [`Key`] of its own, so that a datagram of one is refused by another.
+//! Datagrams authenticated, but not encrypted, with a secret shared by a fleet. The content of the body is defined by the
+//! protocol that uses it. Each protocol between gateways or control machines has its own [`Key`], so that a datagram of one
+//! protocol is rejected by another.
 //!
-//! The layout, byte by byte: 0 the version, 1 to 16 the tag, from 17 on the body. The tag is the first 16 bytes of
-//! BLAKE3's keyed hash (*BLAKE3: one function, fast everywhere*, section 2.3) over the version and the body. A datagram
-//! that is replayed is accepted again: whoever reads the body must expect that.
+//! Layout: byte 0 is the version, bytes 1 to 16 are the tag, and the body starts at byte 17. The tag is the first 16 bytes
+//! of BLAKE3's keyed hash (*BLAKE3: one function, fast everywhere*, section 2.3) over the version and the body. There is no
+//! replay protection: the protocol must tolerate replayed datagrams.
 
 use std::fmt;
 use thiserror::Error;
 
-/// Bytes of a datagram at most: what passes any common link unfragmented.
+/// Maximum size of a datagram in bytes. Datagrams up to this size pass common links without fragmentation.
 pub const MAX_DATAGRAM_LEN: usize = 1400;
 
-/// Bytes of the tag.
+/// Size of the tag in bytes.
 const TAG_LEN: usize = 16;
 
-/// Bytes before the body.
+/// Size of the header, which precedes the body, in bytes.
 const HEADER_LEN: usize = 1 + TAG_LEN;
 
-/// Why a datagram is not made.
+/// Error returned when a datagram cannot be created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SealError {
-    /// The body does not fit: split it, or send less.
+    /// The body does not fit into one datagram; it must be split or shortened.
     #[error("a body of {len} bytes does not fit into a datagram of {MAX_DATAGRAM_LEN} bytes")]
     BodyTooLarge {
-        /// Bytes of the body.
+        /// Size of the body in bytes.
         len: usize,
     },
 }
 
-/// Why a datagram is not accepted.
+/// Error returned when a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OpenError {
-    /// Larger than [`MAX_DATAGRAM_LEN`], or too small for a tag and a body.
+    /// The datagram is larger than [`MAX_DATAGRAM_LEN`] or too small for a header and a body.
     #[error("a datagram of this size is not valid")]
     InvalidSize,
-    /// Of a version that no program writes.
+    /// The version is not supported: 0 is never written.
     #[error("version {0} of the datagram is not known")]
     UnsupportedVersion(u8),
-    /// Made with another key, or changed on its way.
+    /// The datagram was created with another key or modified in transit.
     #[error("the tag does not match: the datagram was made with another key, or changed on its way")]
     InvalidTag,
 }
 
-/// A key for one protocol, derived from a secret.
+/// The key of one protocol, derived from a secret.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Derives a key. `context` names the protocol that it is for and must be unique to it; `secret` should have 32 random
-    /// bytes or more.
+    /// Derives a key. `context` identifies the protocol and must be unique to it; `secret` should consist of at least 32
+    /// random bytes.
     #[must_use]
     pub fn new(context: &str, secret: &[u8]) -> Self {
         Self(blake3::derive_key(context, secret))
     }
 
-    /// Makes a datagram of a body.
+    /// Creates an authenticated datagram with the given body.
     ///
     /// # Errors
-    /// [`SealError::BodyTooLarge`] where the datagram would be larger than [`MAX_DATAGRAM_LEN`].
+    /// [`SealError::BodyTooLarge`] if the datagram would be larger than [`MAX_DATAGRAM_LEN`].
     pub fn seal(&self, version: u8, body: &[u8]) -> Result<Vec<u8>, SealError> {
         if HEADER_LEN + body.len() > MAX_DATAGRAM_LEN {
             return Err(SealError::BodyTooLarge { len: body.len() });
@@ -70,11 +70,11 @@
         Ok(datagram)
     }
 
-    /// The body of a datagram that was made with the same key. All versions from 1 on are accepted: what a version means
-    /// is up to whoever reads the body.
+    /// Verifies a datagram and returns its body. All versions from 1 on are accepted; their meaning is defined by the
+    /// protocol.
     ///
     /// # Errors
-    /// See [`OpenError`]; a datagram that is not accepted should be counted and dropped.
+    /// See [`OpenError`]. Rejected datagrams should be counted and dropped.
     pub fn open<'d>(&self, datagram: &'d [u8]) -> Result<&'d [u8], OpenError> {
         if datagram.len() <= HEADER_LEN || datagram.len() > MAX_DATAGRAM_LEN {
             return Err(OpenError::InvalidSize);
@@ -98,20 +98,20 @@
     }
 }
 
-/// Compares tags in a time that does not depend on their bytes: otherwise a sender could find a valid tag byte by byte.
+/// Compares tags in constant time, as a timing difference would let a sender guess a valid tag byte by byte.
 fn constant_time_eq(a: &[u8], b: &[u8; TAG_LEN]) -> bool {
     a.iter().zip(b).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
 }
 
 impl fmt::Debug for Key {
-    /// Hides the key: it must not get into a log.
+    /// Omits the key, so that it cannot leak into logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(..)")
     }
 }
 
-/// The body of a datagram, whoever made it; none where it is too short for one. For a relay or a checker that has no key:
-/// what it reads may be forged.
+/// Returns the body of a datagram without verifying it, or `None` if the datagram is shorter than the header. For relays
+/// and checkers without the key; the body may be forged.
 #[must_use]
 pub fn body_unverified(datagram: &[u8]) -> Option<&[u8]> {
     datagram.get(HEADER_LEN..)
--- a/crates/sealed-datagram/tests/wire_format.rs
+++ b/crates/sealed-datagram/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! Datagrams byte for byte, and what is not taken.
+//! The byte layout of datagrams, and the rejection of invalid ones.
 
 use milletpath_sealed_datagram::{Key, MAX_DATAGRAM_LEN, OpenError, SealError, body_unverified};
 
--- a/crates/shared-budgets/src/budget.rs
+++ b/crates/shared-budgets/src/budget.rs
@@ -1,5 +1,5 @@
-//! One budget of a gateway: its ledger, its demand, the adjustment published last, and the backoff after unsuccessful
-//! requests.
+//! One budget of a gateway: its ledger, its demand estimate, the last published quota adjustment, and the backoff after
+//! unsuccessful requests.
 
 use crate::adjustment::{QuotaAdjustment, UNIT_EPSILON};
 use crate::demand::{DemandEstimate, UsageMeter};
@@ -11,26 +11,26 @@
 use crate::view::BudgetView;
 use oorandom::Rand64;
 
-/// Rounds after which requests for units that could not be completed are paused.
+/// Number of consecutive rounds with leases for only a fraction of a unit, after which requests are paused.
 const MAX_UNSUCCESSFUL_ROUNDS: u32 = 3;
 
-/// Mean length of such a pause, in seconds.
+/// Mean of the random part of a pause, in seconds.
 const MEAN_PAUSE: f64 = 1.0;
 
 /// One budget of a gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct Budget {
-    /// Names the budget in messages.
+    /// Identifies the budget in messages.
     pub key: u64,
     pub ledger: Ledger,
     name: String,
     demand: DemandEstimate,
-    /// The adjustment that was published last; none before the first.
+    /// The last published adjustment; `None` before the first.
     published: Option<QuotaAdjustment>,
-    /// Consecutive rounds in which units were requested and less than one unit was obtained.
+    /// Consecutive rounds in which the leases held did not add up to one usable unit.
     unsuccessful_rounds: u32,
     paused_until: f64,
-    /// [`Ledger::fractional_use`] in the round before.
+    /// [`Ledger::fractional_use`] in the previous round.
     previous_use: f64,
 }
 
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Takes a reading of the meter; returns whether units were denied since the last sample.
+    /// Updates the demand estimate from a meter reading. Returns whether units were denied since the last sample.
     pub(crate) fn record_usage(&mut self, now: f64, meter: UsageMeter) -> bool {
         let was_denied = self.demand.observe(now, meter);
         self.ledger.set_demand(self.demand.estimate(), meter.in_use);
         was_denied
     }
 
-    /// Begins a round of requests; returns what to request from whom.
+    /// Starts a round of requests. Returns the level to request from each lender.
     pub(crate) fn next_requests(
         &mut self,
         entitlement: &Entitlement,
@@ -71,9 +71,10 @@
         plan_requests(&self.ledger, peers, now, desired.max(required))
     }
 
-    /// Pauses requests for a random time where they can't succeed. A fraction of a unit can't be used; where several
-    /// gateways request units at once, each could hold a fraction for ever (livelock). So a gateway that could not
-    /// complete a unit returns what it holds and pauses. One that has used the only unit pauses too, so that others get it.
+    /// Pauses requests that cannot succeed for a random time. A fraction of a unit cannot be used, and gateways that
+    /// request units concurrently could each hold a fraction forever (livelock). A gateway that fails to obtain a whole
+    /// unit therefore returns its leases and pauses. With a quota below one unit, a gateway also pauses after it has used
+    /// a unit, so that other gateways get the unit next.
     fn update_pause(&mut self, entitlement: &Entitlement, now: f64, rng: &mut Rand64) {
         let holds_something = self.ledger.held(now) > 0.0;
         let holds_fraction = self.ledger.kind().has_indivisible_units()
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Publishes the present adjustment of the quota; none where the last published one still applies.
+    /// Returns the current quota adjustment and marks it as published, or `None` if the last published one still applies.
     pub(crate) fn publish_adjustment(&mut self, granted: f64, now: f64) -> Option<QuotaAdjustment> {
         let until = QuotaAdjustment::valid_until_from(now);
         let held = self.ledger.held(until);
@@ -104,17 +105,17 @@
         Some(new)
     }
 
-    /// Forgets the published adjustment, so that the next one is published even if it is the same.
+    /// Invalidates the published adjustment, so that the next one is published even if it is the same.
     pub(crate) fn invalidate_published(&mut self) {
         self.published = Some(QuotaAdjustment::UNKNOWN);
     }
 
-    /// When the published adjustment is to be renewed; infinite where none was published.
+    /// When the published adjustment is due for renewal; infinite if none was published.
     pub(crate) fn renew_at(&self) -> f64 {
         self.published.map_or(f64::INFINITY, |published| published.renew_at())
     }
 
-    /// The budget as an operator sees it.
+    /// The state of the budget as shown to operators.
     pub(crate) fn view(&self, entitlement: &Entitlement, now: f64) -> BudgetView {
         BudgetView {
             name: self.name.clone(),
--- a/crates/shared-budgets/src/budget_kind.rs
+++ b/crates/shared-budgets/src/budget_kind.rs
@@ -1,21 +1,21 @@
-//! How a budget is counted, and the key by which gateways name it to each other.
+//! The kinds of budgets, and the key that identifies a budget in messages between gateways.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// In what a budget is counted. All times are in seconds.
+/// How the use of a budget is counted. All times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetKind {
-    /// Units a second.
+    /// Units per second.
     Rate,
-    /// Units within a sliding window of this length: a unit is in use for that long once it was used, and then free
-    /// again. A process that starts begins with an empty window, so it has its full quota.
+    /// Units within a sliding window of this length: a unit counts as in use for this long after it was taken. A new
+    /// process starts with an empty window, so its full quota is available.
     Window(f64),
-    /// Units in use at the same time, each for at most this long; they end with the process that uses them.
+    /// Concurrently used units, each used for at most this long. They are released when the process that uses them exits.
     InFlight(f64),
 }
 
 impl BudgetKind {
-    /// Seconds for which a unit that is taken stays in use at most; 0 for a rate.
+    /// Maximum time that a unit stays in use after it was taken, in seconds; 0 for a rate.
     #[must_use]
     pub fn max_use_duration(self) -> f64 {
         match self {
@@ -24,18 +24,18 @@
         }
     }
 
-    /// Whether the budget is counted in indivisible units: a fraction of one can't be used by itself.
+    /// Whether the budget is counted in indivisible units, so that a fraction of a unit cannot be used.
     #[must_use]
     pub fn has_indivisible_units(self) -> bool {
         !matches!(self, Self::Rate)
     }
 
-    /// The key of a budget of this kind and name in messages: a hash of both, the same at all gateways.
+    /// The key of a budget of this kind and name in messages: a hash of both, identical on all gateways.
     pub(crate) fn budget_key(self, name: &str) -> u64 {
         let kind = match self {
             Self::Rate => "rate".to_owned(),
             Self::Window(seconds) => format!("window {seconds}"),
-            // On the wire since the first version, when this kind had another name.
+            // The prefix "hand" is this kind's original name; the hash is on the wire, so it cannot change.
             Self::InFlight(seconds) => format!("hand {seconds}"),
         };
         xxh3_64(format!("{kind}/{name}").as_bytes())
--- a/crates/shared-budgets/src/clock.rs
+++ b/crates/shared-budgets/src/clock.rs
@@ -1,10 +1,10 @@
-//! A clock that never goes back, whatever its caller's clock does.
+//! A clock that never goes backwards, even if the caller's clock does.
 
-/// Time in seconds that never goes back. It differs from the caller's clock by what that has gone back so far.
+/// A monotonic clock in seconds. It is ahead of the caller's clock by the sum of all backward steps of that clock so far.
 #[derive(Clone, Debug)]
 pub(crate) struct MonotonicClock {
     now: f64,
-    /// What this clock is ahead of the caller's.
+    /// How far this clock is ahead of the caller's clock.
     offset: f64,
 }
 
@@ -18,7 +18,7 @@
         self.now
     }
 
-    /// Sets the clock by the caller's clock; returns the time on this one.
+    /// Advances the clock to the time on the caller's clock. Returns the time on this clock.
     pub(crate) fn advance(&mut self, caller_now: f64) -> f64 {
         let adjusted = caller_now + self.offset;
         if adjusted < self.now {
@@ -29,12 +29,12 @@
         self.now
     }
 
-    /// A time of the caller's clock on this one.
+    /// Converts a time on the caller's clock to this clock.
     pub(crate) fn monotonic_time(&self, when: f64) -> f64 {
         when + self.offset
     }
 
-    /// A time of this clock on the caller's.
+    /// Converts a time on this clock to the caller's clock.
     pub(crate) fn caller_time(&self, when: f64) -> f64 {
         when - self.offset
     }
--- a/crates/shared-budgets/src/demand.rs
+++ b/crates/shared-budgets/src/demand.rs
@@ -1,38 +1,38 @@
-//! How much of a budget a gateway needs, estimated from its use of late: quick to rise, slower to fall.
+//! Estimates a gateway's demand for a budget from its recent use. The estimate rises faster than it falls.
 
 use crate::budget_kind::BudgetKind;
 
-/// Use of a budget, as metered by whoever spends it.
+/// Use of a budget, as metered by the code that spends it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UsageMeter {
-    /// Units that were requested since the start; only grows.
+    /// Units requested since the start; monotonically increasing.
     pub requested: u64,
-    /// Of the requested units, those that were denied because the budget was spent; only grows.
+    /// Requested units that were denied because the budget was exhausted; monotonically increasing.
     pub denied: u64,
-    /// Units in use now; 0 for a rate.
+    /// Units currently in use; 0 for a rate.
     pub in_use: f64,
 }
 
-/// An estimate of how much a gateway needs of one budget.
+/// An estimate of a gateway's demand for one budget.
 #[derive(Clone, Debug)]
 pub(crate) struct DemandEstimate {
     kind: BudgetKind,
     sampled_at: f64,
     last_meter: UsageMeter,
-    /// Units requested a second: an exponentially weighted moving average.
+    /// Exponentially weighted moving average of the units requested per second.
     rate: f64,
-    /// Units denied, fading by [`DENIAL_HALF_LIFE`].
+    /// Denied units, decayed exponentially with [`DENIAL_HALF_LIFE`].
     denied: f64,
 }
 
-/// Half-life of the average while the rate rises, in seconds: a jump is known within half a second.
+/// Half-life of the average while the rate rises, in seconds. A jump is reflected within half a second.
 const RISE_HALF_LIFE: f64 = 0.25;
 
-/// Half-life of the average while the rate falls, in seconds. A fall to a tenth is known within two seconds; leases of
-/// at most two seconds then end in time for all gateways to follow within five.
+/// Half-life of the average while the rate falls, in seconds. A drop to a tenth is reflected within two seconds. As leases
+/// last at most two seconds, all gateways then adapt within five seconds.
 const FALL_HALF_LIFE: f64 = 0.5;
 
-/// Seconds in which denied units come to count half.
+/// Half-life of denied units in the estimate, in seconds.
 const DENIAL_HALF_LIFE: f64 = 1.0;
 
 impl DemandEstimate {
@@ -40,9 +40,9 @@
         Self { kind, sampled_at: now, last_meter: UsageMeter::default(), rate: 0.0, denied: 0.0 }
     }
 
-    /// Takes a reading of the meter; returns whether units were denied since the last sample.
+    /// Updates the estimate from a meter reading. Returns whether units were denied since the last sample.
     pub(crate) fn observe(&mut self, now: f64, meter: UsageMeter) -> bool {
-        /// Seconds between two samples at least: over less than that a rate is mostly noise.
+        /// Minimum time between two samples, in seconds. Over a shorter interval the rate is mostly noise.
         const MIN_SAMPLE_INTERVAL: f64 = 0.05;
         let elapsed = now - self.sampled_at;
         if elapsed < MIN_SAMPLE_INTERVAL {
@@ -60,12 +60,12 @@
         denied > 0.0
     }
 
-    /// Units a second for a rate; units at the same time otherwise.
+    /// The estimated demand: units per second for a rate, concurrent units otherwise.
     pub(crate) fn estimate(&self) -> f64 {
         match self.kind {
             BudgetKind::Rate => self.rate,
             BudgetKind::Window(_) | BudgetKind::InFlight(_) => {
-                // Where units were denied, one more is likely to be requested before a grant arrives.
+                // After denials, another unit is likely to be requested before a grant arrives.
                 let growth = if self.denied > 0.5 { 1.0 } else { 0.0 };
                 self.last_meter.in_use + self.denied + growth
             }
--- a/crates/shared-budgets/src/error.rs
+++ b/crates/shared-budgets/src/error.rs
@@ -1,26 +1,27 @@
-//! Errors of the package.
+//! Error types.
 
+use crate::message::MAX_ENTRIES;
 use thiserror::Error;
 
-/// Why a budget is not closed.
+/// Error returned when a budget cannot be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum CloseError {
-    /// Some of it is leased to other gateways. That must stay subtracted until it has ended, whoever opens the budget
-    /// again.
+    /// Part of the budget is leased to other gateways. It must stay subtracted until the leases have ended, even if the
+    /// budget is closed and opened again.
     #[error("{granted} of the budget is leased to other gateways; close it again once the leases have ended")]
     Leased {
-        /// How much is leased, in units or units a second.
+        /// The leased amount, in units or units per second.
         granted: f64,
     },
 }
 
-/// Why bytes are not a message.
+/// Error returned when bytes cannot be decoded as a message.
 #[derive(Debug, Error)]
 pub(crate) enum DecodeError {
-    /// They are not CBOR of the expected shape.
-    #[error("not a message about shared budgets")]
+    /// The bytes are not CBOR with the expected structure.
+    #[error("not a valid shared-budgets message")]
     Cbor(#[from] minicbor::decode::Error),
-    /// A list is longer than any gateway sends.
-    #[error("a list has {length} entries, more than are allowed")]
+    /// A list is longer than any that a gateway sends.
+    #[error("a list has {length} entries, more than the maximum of {MAX_ENTRIES}")]
     TooManyEntries { length: usize },
 }
--- a/crates/shared-budgets/src/lease.rs
+++ b/crates/shared-budgets/src/lease.rs
@@ -1,36 +1,36 @@
-//! Values that the parts of the lease protocol pass to each other, in units of the budget.
+//! Types passed between the modules of the lease protocol. Levels are in units of the budget.
 
 use crate::process_id::ProcessId;
 
-/// A request for a lease, as it arrived.
+/// A received request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct IncomingRequest {
     pub borrower: ProcessId,
-    /// Grows from request to request of a borrower.
+    /// Increases with each request of a borrower.
     pub number: u64,
-    /// What the borrower wants to hold; it holds no more from now on.
+    /// The level that the borrower wants to hold; from this request on it holds no more.
     pub level: f64,
-    /// Nor does it use more: what was granted beyond is free at once.
+    /// Whether the borrower also uses no more than `level`, so that anything granted above it is available immediately.
     pub releases: bool,
 }
 
-/// What a lender grants to a borrower.
+/// The terms of a lease that a lender grants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GrantTerms {
-    /// What the borrower may hold.
+    /// The level that the borrower may hold.
     pub level: f64,
-    /// What the lender could grant beside.
+    /// How much more the lender could grant.
     pub spare: f64,
 }
 
-/// A level of a budget at one gateway.
+/// A level to request, held from, or available at one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GatewayLevel {
     pub gateway: ProcessId,
     pub level: f64,
 }
 
-/// Sorts levels, the highest first; equal ones by the gateways' ids.
+/// Sorts by level in descending order, and by gateway id where levels are equal.
 pub(crate) fn sort_by_level(levels: &mut [GatewayLevel]) {
     levels.sort_by(|a, b| b.level.total_cmp(&a.level).then(a.gateway.cmp(&b.gateway)));
 }
--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -1,15 +1,17 @@
-//! One budget of the fleet as one gateway accounts for it: its quota, what it has leased to others, and what it holds on
-//! lease from others.
+//! A gateway's accounting of one budget: its quota, the leases it has granted to other gateways, and the leases it holds
+//! from them.
 //!
-//! - What is leased is subtracted before the borrower learns of it, and until after the lease has ended there: the borrower
-//!   counts from when it sent its request, the lender from when it granted it, and longer by what clocks may drift apart.
-//! - A request states how much its sender holds of the lender's at most from then on. So what is not needed any more is
-//!   returned at once, and a grant that arrives late is worth what the requests since then leave of it.
-//! - Units that were used are in use for a while ([`BudgetKind::max_use_duration`]). They are not leased meanwhile, and leased units
-//!   return only once all that was used of them has ended, or when the borrower states that it uses no more than it holds.
+//! - The lender subtracts a lease before the borrower learns of it, and until after it has ended at the borrower. The
+//!   borrower measures the duration from when it sent the request; the lender measures it from when it granted the lease,
+//!   extended by a margin for clock drift.
+//! - A request states an upper bound on what its sender holds of the lender's budget from then on. Budget that is no longer
+//!   needed is thus returned immediately, and a delayed grant is capped by all requests sent since the one it answers.
+//! - Units stay in use for up to [`BudgetKind::max_use_duration`] after they were taken. Meanwhile they are not leased.
+//!   Leased units return to the lender only once every use of them has ended, or when the borrower states that it uses no
+//!   more than it holds.
 //!
-//! So at every moment what all gateways may use is at most the sum of what they are entitled to, whatever is lost, late or
-//! repeated, and whoever is paused or killed. That sum is proven elsewhere (`QuotaFraction` of `milletpath-membership`).
+//! At any time, the gateways together may therefore use at most the sum of their entitlements, even if messages are lost,
+//! delayed or duplicated, or processes are paused or killed. `QuotaFraction` in `milletpath-membership` bounds that sum.
 
 mod granted;
 mod held;
@@ -24,29 +26,31 @@
 use held::HeldLeases;
 use milletpath_membership::MAX_CLOCK_DRIFT;
 
-/// The factor by which the lender's wait is longer, so that it outlasts the borrower's on a clock that runs slower.
+/// Factor by which the lender extends the duration of a lease, so that it outlasts the lease of a borrower whose clock
+/// runs slower.
 const CLOCK_MARGIN: f64 = 1.0 + 3.0 * MAX_CLOCK_DRIFT;
 
-/// The fraction of its quota that a gateway never leases: what a process has that starts while leases of its predecessor
-/// still run, and what it always has at once. Small, as what nobody needs of it is lost to the others.
+/// Fraction of its quota that a gateway never leases. It is always available without a request, and is all that a new
+/// process has while leases granted by its predecessor may still be running. It is small because other gateways cannot
+/// use any of it that this gateway does not need.
 const RESERVED_FRACTION: f64 = 0.05;
 
-/// Seconds after which a borrower that requests nothing, or a lender that grants nothing, is forgotten.
+/// Seconds without a request after which a borrower or lender without leases is removed.
 const IDLE_TIMEOUT: f64 = 60.0;
 
-/// What a ledger is created from.
+/// Parameters of a new [`Ledger`].
 pub(crate) struct LedgerConfig {
     /// The id of this process.
     pub own_id: ProcessId,
     pub kind: BudgetKind,
-    /// This gateway's quota among all gateways of the configuration.
+    /// This gateway's quota if all configured gateways are running.
     pub quota: f64,
-    /// Seconds for which leases hold.
+    /// Duration of a lease, in seconds.
     pub lease_duration: f64,
     pub faults: InjectedFaults,
 }
 
-/// One budget as one gateway accounts for it.
+/// A gateway's accounting of one budget.
 #[derive(Clone, Debug)]
 pub(crate) struct Ledger {
     own_id: ProcessId,
@@ -54,23 +58,23 @@
     quota: f64,
     lease_duration: f64,
     faults: InjectedFaults,
-    /// What this gateway needs itself, as estimated.
+    /// This gateway's estimated demand.
     demand: f64,
-    /// Units in use at this gateway.
+    /// Units in use on this gateway.
     in_use: f64,
     granted: GrantedLeases,
     held: HeldLeases,
 }
 
 impl Ledger {
-    /// A ledger from whose quota all that a predecessor of this process may have leased counts as leased.
+    /// Creates a ledger that counts as leased whatever this process's predecessor may have leased.
     pub(crate) fn new(config: LedgerConfig, now: f64) -> Self {
         let LedgerConfig { own_id, kind, quota, lease_duration, faults } = config;
         let mut granted = GrantedLeases::default();
         let reserved = match kind {
             BudgetKind::Rate => Some(RESERVED_FRACTION * quota),
             BudgetKind::InFlight(_) => Some((RESERVED_FRACTION * quota).max(quota.min(1.0))),
-            // A process starts with an empty window.
+            // A new process starts with an empty window and may use its full quota.
             BudgetKind::Window(_) => None,
         };
         if let Some(reserved) = reserved {
@@ -94,33 +98,34 @@
         self.quota = quota;
     }
 
-    /// Sets what this gateway needs and what is in use here.
+    /// Sets this gateway's estimated demand and the units in use.
     pub(crate) fn set_demand(&mut self, demand: f64, in_use: f64) {
         self.demand = demand;
         self.in_use = in_use;
     }
 
-    /// What is leased to others now.
+    /// The total currently leased to other gateways.
     pub(crate) fn granted(&self, now: f64) -> f64 {
         self.granted.total(now)
     }
 
-    /// What is held on lease from others until a time at least.
+    /// The total held on leases that last until at least the given time.
     pub(crate) fn held(&self, until: f64) -> f64 {
         self.held.total(until)
     }
 
-    /// What this gateway may use now.
+    /// How much this gateway may use now.
     pub(crate) fn allowed(&self, entitlement: &Entitlement, now: f64) -> f64 {
         (self.entitled(entitlement, now) - self.granted(now) + self.held(now)).max(0.0)
     }
 
-    /// Units in use where the quota is less than one unit; otherwise 0.
+    /// Units in use if the quota is less than one unit, 0 otherwise.
     pub(crate) fn fractional_use(&self) -> f64 {
         if self.has_fractional_quota() { self.in_use } else { 0.0 }
     }
 
-    /// Handles a request for a lease; none where a later request of the same borrower came before.
+    /// Handles a request for a lease. Returns `None` if a request of this borrower with the same or a higher number has
+    /// already arrived.
     pub(crate) fn handle_request(
         &mut self,
         entitlement: &Entitlement,
@@ -144,12 +149,12 @@
         Some(GrantTerms { level, spare: round_level_down((lendable - others - current).max(0.0)) })
     }
 
-    /// Records a request that is sent to a lender: from now on at most `level` of the lender's is held.
+    /// Records a request sent to a lender: from now on at most `level` is held from that lender.
     pub(crate) fn record_request(&mut self, now: f64, lender: ProcessId, request_number: u64, level: f64) {
         self.held.record_request(now, lender, request_number, level);
     }
 
-    /// Records a grant, in answer to the request of that number, which holds for `duration` seconds from the request.
+    /// Records a grant that answers the given request. The lease lasts `duration` seconds from when the request was sent.
     pub(crate) fn record_grant(
         &mut self,
         now: f64,
@@ -161,17 +166,17 @@
         self.held.record_grant(now, lender, request_number, terms, duration);
     }
 
-    /// Lenders from which something is held, and how much: most first.
+    /// The lenders from which leases are held, with the levels held, in descending order of level.
     pub(crate) fn lenders(&self, now: f64) -> Vec<GatewayLevel> {
         self.held.lenders(now)
     }
 
-    /// What a lender last stated that it could grant beside; none where that is older than half a lease.
+    /// How much more a lender last reported it could grant; `None` if that is older than half a lease duration.
     pub(crate) fn reported_spare(&self, now: f64, lender: ProcessId) -> Option<f64> {
         self.held.reported_spare(now, lender, self.lease_duration / 2.0)
     }
 
-    /// What this gateway should hold on lease, by its demand.
+    /// How much this gateway should hold on lease to meet its demand.
     pub(crate) fn desired_borrowing(&self, entitlement: &Entitlement, now: f64) -> f64 {
         let entitled = self.entitled_throughout(entitlement, now, now + self.lease_duration);
         let own_share = entitled - self.granted(now);
@@ -179,13 +184,13 @@
         (desired - own_share.max(0.0)).max(0.0)
     }
 
-    /// What this gateway must hold on lease at least, for the units in use.
+    /// The minimum that this gateway must hold on lease to cover the units in use.
     pub(crate) fn required_borrowing(&self, entitlement: &Entitlement, now: f64) -> f64 {
         let own_share = self.entitled(entitlement, now) - self.granted(now);
         (self.in_use - own_share.max(0.0)).max(0.0)
     }
 
-    /// Whether what is in use is within what is held once these requests are sent.
+    /// Whether the units in use stay within what this gateway may use once these requests have been sent.
     pub(crate) fn covers_use_after(
         &self,
         entitlement: &Entitlement,
@@ -196,12 +201,13 @@
         self.in_use <= (self.entitled(entitlement, now) - self.granted(now) + held).max(0.0)
     }
 
-    /// When the next lease that was granted ends here; none where nothing is leased.
+    /// The earliest time at which all leases to some borrower have ended; `None` if nothing is leased.
     pub(crate) fn next_grant_end(&self) -> Option<f64> {
         self.granted.next_end()
     }
 
-    /// Forgets leases that have ended, and borrowers and lenders that sent nothing for [`IDLE_TIMEOUT`].
+    /// Removes leases that have ended, and borrowers and lenders without leases and without a request for
+    /// [`IDLE_TIMEOUT`].
     pub(crate) fn remove_expired(&mut self, now: f64) {
         self.granted.remove_expired(now, IDLE_TIMEOUT);
         self.held.remove_expired(now, IDLE_TIMEOUT);
@@ -211,24 +217,24 @@
         self.kind.has_indivisible_units() && self.quota < 1.0
     }
 
-    /// What this gateway is entitled to at a time, before leases.
+    /// What this gateway is entitled to at the given time, before leases.
     fn entitled(&self, entitlement: &Entitlement, when: f64) -> f64 {
         self.quota * entitlement.fraction_at(when)
     }
 
-    /// What this gateway is entitled to both now and until a time.
+    /// What this gateway is entitled to throughout the period from `now` to `until`.
     fn entitled_throughout(&self, entitlement: &Entitlement, now: f64, until: f64) -> f64 {
         self.entitled(entitlement, now).min(self.entitled(entitlement, until))
     }
 
-    /// What this gateway wants for itself, with room to grow.
+    /// How much this gateway wants to be allowed to use, including headroom.
     fn desired_allowance(&self) -> f64 {
-        /// Covers the variance of the demand, and its growth while a request is under way.
+        /// Covers the variance of the demand and its growth while a request is in transit.
         const HEADROOM_FACTOR: f64 = 1.25;
         (HEADROOM_FACTOR * self.demand).max(self.in_use)
     }
 
-    /// Seconds for which a grant counts as leased here: until after the last unit that the borrower used of it.
+    /// Seconds for which the lender counts a grant as leased. This covers the last use of a leased unit by the borrower.
     fn grant_duration(&self) -> f64 {
         if self.faults.grant_ends_with_lease {
             self.lease_duration
@@ -237,23 +243,23 @@
         }
     }
 
-    /// What could be leased in all until a time.
+    /// The total that may be leased until the given time.
     fn lendable(&self, entitlement: &Entitlement, now: f64, until: f64) -> f64 {
         let entitled = self.entitled_throughout(entitlement, now, until);
         let reserved = match self.kind {
             _ if self.has_fractional_quota() => 0.0,
-            // A fraction of a unit in flight can't be used: one complete unit stays here.
+            // A fraction of an in-flight unit cannot be used, so one whole unit is kept.
             BudgetKind::InFlight(_) => (RESERVED_FRACTION * self.quota).max(1.0),
             BudgetKind::Rate | BudgetKind::Window(_) => RESERVED_FRACTION * self.quota,
         };
-        // For a fraction of a unit this gateway is one requester among others: see `fair_share`.
+        // A gateway with less than one unit competes for it like any other requester: see `fair_share`.
         let desired = if self.has_fractional_quota() { self.in_use } else { self.desired_allowance() };
         (entitled - desired.max(reserved)).max(0.0)
     }
 
-    /// What one borrower may have in all, by how fast a lease may grow. It keeps what it has, as that may be in use there.
-    /// Units that do not return within a lease are granted by halves of what is free: others may request some at the same
-    /// time.
+    /// Limits how fast a lease grows: the maximum level for a borrower that currently has `current`. The borrower keeps
+    /// its current level, which may be in use. Units with a use duration outlast the lease, so each grant adds only half
+    /// of what is available: other gateways may request some at the same time.
     fn growth_limit(&self, lendable: f64, current: f64, available: f64) -> f64 {
         if self.kind.max_use_duration() > 0.0 && lendable >= 1.0 {
             current + 0.5 * (available - current).max(0.0)
@@ -262,7 +268,7 @@
         }
     }
 
-    /// What one borrower may have beside the others that request something.
+    /// A borrower's share, given the requests of the other borrowers.
     fn fair_share(&self, now: f64, lendable: f64, borrower: ProcessId) -> f64 {
         if self.kind.has_indivisible_units() && lendable < 1.0 {
             return self.share_of_one_unit(now, lendable, borrower);
@@ -270,8 +276,8 @@
         self.granted.max_min_fair_share(now, self.lease_duration, lendable, borrower)
     }
 
-    /// Less than a unit is of use only together with others' fractions. So it is not divided, but goes to the first
-    /// requester by an order that is the same at all lenders: that of the ids.
+    /// A fraction of a unit is only usable together with fractions from other lenders. It is therefore not divided, but
+    /// granted to the requester with the lowest id, an order on which all lenders agree.
     fn share_of_one_unit(&self, now: f64, lendable: f64, borrower: ProcessId) -> f64 {
         let precedes_this_gateway = self.demand == 0.0 || borrower < self.own_id;
         let is_first = self.granted.first_requester(now, self.lease_duration) == Some(borrower);
--- a/crates/shared-budgets/src/ledger/granted.rs
+++ b/crates/shared-budgets/src/ledger/granted.rs
@@ -1,21 +1,24 @@
-//! The lender's side of leases: what was granted to whom, and who requests how much.
+//! The lender's side of leases: the levels granted to and requested by each borrower.
 
 use crate::lease::IncomingRequest;
 use crate::process_id::ProcessId;
 use crate::step_function::StepFunction;
 use std::collections::BTreeMap;
 
-/// A borrower that is no process of this fleet: stands for what a predecessor of this process may have granted.
+/// Pseudo-borrower to which everything that this process's predecessor may have granted is attributed. No process has
+/// this id.
 const PREDECESSOR_ID: ProcessId = 0;
 
-/// What is known of one borrower.
+/// The state of one borrower.
 #[derive(Clone, Debug, Default)]
 struct Borrower {
-    /// The latest request: its number, its level, and when it arrived.
+    /// Number of the latest request.
     request_number: u64,
+    /// Level of the latest request.
     requested: f64,
+    /// When the latest request arrived.
     requested_at: f64,
-    /// What was granted, until when.
+    /// The levels granted, by expiry.
     levels: StepFunction,
 }
 
@@ -25,18 +28,18 @@
     }
 }
 
-/// Leases that a gateway has granted, by borrower. The gateways of the fleet bound their number, together with
-/// [`remove_expired`](Self::forget_expired).
+/// Leases that a gateway has granted, by borrower. Their number is bounded by the size of the fleet, as
+/// [`remove_expired`](Self::remove_expired) removes idle borrowers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GrantedLeases(BTreeMap<ProcessId, Borrower>);
 
 impl GrantedLeases {
-    /// Counts a level as granted until `end`: what a predecessor of this process may have leased.
+    /// Counts a level that this process's predecessor may have leased as granted until `end`.
     pub(super) fn assume_granted_by_predecessor(&mut self, end: f64, level: f64) {
         self.grant(PREDECESSOR_ID, end, level);
     }
 
-    /// Records a request; returns whether it is newer than all before it.
+    /// Records a request. Returns whether it is newer than all previous requests of the borrower.
     pub(super) fn record_request(&mut self, now: f64, request: IncomingRequest) -> bool {
         let borrower = self.0.entry(request.borrower).or_default();
         if request.number <= borrower.request_number {
@@ -51,37 +54,37 @@
         true
     }
 
-    /// Grants a level until `end`.
+    /// Records a grant of a level until `end`.
     pub(super) fn grant(&mut self, borrower: ProcessId, end: f64, level: f64) {
         self.0.entry(borrower).or_default().levels.add_granted(end, level);
     }
 
-    /// What is granted now in all.
+    /// The total currently granted.
     pub(super) fn total(&self, now: f64) -> f64 {
         self.0.values().map(|borrower| borrower.levels.level_at(now)).sum()
     }
 
-    /// What is granted now to all but one borrower.
+    /// The total currently granted to all borrowers except one.
     pub(super) fn total_of_others(&self, now: f64, borrower: ProcessId) -> f64 {
         let others = self.0.iter().filter(|(id, _)| **id != borrower);
         others.map(|(_, other)| other.levels.level_at(now)).sum()
     }
 
-    /// What is granted now to one borrower.
+    /// The level currently granted to one borrower.
     pub(super) fn level_of(&self, now: f64, borrower: ProcessId) -> f64 {
         self.0.get(&borrower).map_or(0.0, |borrower| borrower.levels.level_at(now))
     }
 
-    /// The first borrower, by its id, that has requested something within `seconds`.
+    /// The borrower with the lowest id that has requested a nonzero level within the last `seconds`.
     pub(super) fn first_requester(&self, now: f64, seconds: f64) -> Option<ProcessId> {
         let mut requesters =
             self.0.iter().filter(|(_, b)| b.requested_within(seconds, now) && b.requested > 0.0);
         requesters.next().map(|(id, _)| *id)
     }
 
-    /// The max-min fair share of one borrower among those that made a request within `seconds`: each gets what it
-    /// requests up to a common level. So whoever requests little gets it, and nobody gets everything. This is the
-    /// progressive filling of Bertsekas and Gallager, *Data Networks*, 6.5.2, with one link.
+    /// The max-min fair share of one borrower among those that made a request within the last `seconds`. Each borrower
+    /// gets what it requests, up to a common level: small requests are met in full, and no borrower can take everything
+    /// from the others. This is progressive filling (Bertsekas and Gallager, *Data Networks*, 6.5.2) with a single link.
     pub(super) fn max_min_fair_share(
         &self,
         now: f64,
@@ -106,12 +109,12 @@
         requested_by_borrower
     }
 
-    /// When the next of the leases ends; none where nothing is granted.
+    /// The earliest time at which all leases to some borrower have ended; `None` if nothing is granted.
     pub(super) fn next_end(&self) -> Option<f64> {
         self.0.values().filter_map(|borrower| borrower.levels.last_end()).min_by(f64::total_cmp)
     }
 
-    /// Forgets leases that have ended, and borrowers that hold nothing and made no request within `seconds`.
+    /// Removes leases that have ended, and borrowers without leases that made no request within the last `seconds`.
     pub(super) fn remove_expired(&mut self, now: f64, seconds: f64) {
         self.0.values_mut().for_each(|borrower| borrower.levels.remove_expired(now));
         self.0.retain(|_, borrower| {
--- a/crates/shared-budgets/src/ledger/held.rs
+++ b/crates/shared-budgets/src/ledger/held.rs
@@ -1,11 +1,12 @@
-//! The borrower's side of leases: what is held from whom, and which requests may still be answered.
+//! The borrower's side of leases: the levels held from each lender, and the requests that may still be answered.
 
 use crate::lease::{GatewayLevel, GrantTerms, sort_by_level};
 use crate::process_id::ProcessId;
 use crate::step_function::StepFunction;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests to one lender whose answer is still of use: no more are under way within the duration of a lease.
+/// Number of latest requests kept for each lender; a grant that answers an older one is ignored. At the regular interval,
+/// fewer requests are sent within the duration of a lease, and an answer after that time is of no use.
 const MAX_PENDING_REQUESTS: usize = 12;
 
 /// A request that may still be answered.
@@ -13,29 +14,30 @@
 struct PendingRequest {
     number: u64,
     sent_at: f64,
-    /// The most that is held of the lender's from this request on.
+    /// Upper bound on what is held from the lender from this request on.
     level: f64,
 }
 
-/// What is known of one lender.
+/// The state of one lender.
 #[derive(Clone, Debug, Default)]
 struct Lender {
     /// Oldest first; at most [`MAX_PENDING_REQUESTS`].
     pending: VecDeque<PendingRequest>,
-    /// What is held, until when.
+    /// The levels held, by expiry.
     levels: StepFunction,
-    /// What the lender stated that it could grant beside, in answer to a request that was sent at `spare_as_of`.
+    /// How much more the lender reported it could grant.
     spare: f64,
+    /// When the request was sent that `spare` answers.
     spare_as_of: f64,
 }
 
-/// Leases that a gateway holds, by lender. The gateways of the fleet bound their number, together with
-/// [`remove_expired`](Self::forget_expired).
+/// Leases that a gateway holds, by lender. Their number is bounded by the size of the fleet, as
+/// [`remove_expired`](Self::remove_expired) removes idle lenders.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldLeases(BTreeMap<ProcessId, Lender>);
 
 impl HeldLeases {
-    /// Records a request that is sent: from now on at most `level` of the lender's is held.
+    /// Records a sent request: from now on at most `level` is held from the lender.
     pub(super) fn record_request(&mut self, now: f64, lender: ProcessId, number: u64, level: f64) {
         let lender = self.0.entry(lender).or_default();
         lender.levels.cap(level);
@@ -45,8 +47,8 @@
         lender.pending.push_back(PendingRequest { number, sent_at: now, level });
     }
 
-    /// Records a grant that holds for `duration` seconds from when it was requested. Later requests cap its level; one in
-    /// answer to no known request is ignored.
+    /// Records a grant that lasts `duration` seconds from when its request was sent. The levels of later requests cap it.
+    /// A grant that answers no pending request is ignored.
     pub(super) fn record_grant(
         &mut self,
         now: f64,
@@ -70,12 +72,12 @@
         }
     }
 
-    /// What is held until a time at least, in all.
+    /// The total of the levels held until at least the given time.
     pub(super) fn total(&self, until: f64) -> f64 {
         self.0.values().map(|lender| lender.levels.level_at(until)).sum()
     }
 
-    /// What is held now, in all, once these requests are sent.
+    /// The total held now if these requests were sent.
     pub(super) fn total_after(&self, now: f64, requests: &[GatewayLevel]) -> f64 {
         let cap = |lender: ProcessId| {
             let request = requests.iter().find(|request| request.gateway == lender);
@@ -84,7 +86,7 @@
         self.0.iter().map(|(id, lender)| lender.levels.level_at(now).min(cap(*id))).sum()
     }
 
-    /// Lenders from which something is held, and how much: most first.
+    /// The lenders from which leases are held, with the levels held, in descending order of level.
     pub(super) fn lenders(&self, now: f64) -> Vec<GatewayLevel> {
         let levels = self.0.iter().map(|(id, lender)| (*id, lender.levels.level_at(now)));
         let mut lenders: Vec<_> = levels.map(|(gateway, level)| GatewayLevel { gateway, level }).collect();
@@ -93,12 +95,12 @@
         lenders
     }
 
-    /// What a lender stated that it could grant beside, if it was asked less than `age` seconds ago.
+    /// How much more a lender reported it could grant, if the request was sent less than `age` seconds ago.
     pub(super) fn reported_spare(&self, now: f64, lender: ProcessId, age: f64) -> Option<f64> {
         self.0.get(&lender).filter(|lender| now - lender.spare_as_of < age).map(|lender| lender.spare)
     }
 
-    /// Forgets leases that have ended, and lenders of which nothing is held and nothing was requested within `seconds`.
+    /// Removes leases that have ended, and lenders without leases to which no request was sent within the last `seconds`.
     pub(super) fn remove_expired(&mut self, now: f64, seconds: f64) {
         self.0.values_mut().for_each(|lender| lender.levels.remove_expired(now));
         self.0.retain(|_, lender| {
--- a/crates/shared-budgets/src/lib.rs
+++ b/crates/shared-budgets/src/lib.rs
@@ -1,9 +1,10 @@
-//! Budgets shared by all gateways of a fleet, in leases whose sum never exceeds them, and the concurrency of functions over
-//! all gateways. A state machine without sockets and clocks.
+//! Budgets shared by all gateways of a fleet, and the concurrency of functions across the fleet. The package is a state
+//! machine without sockets or clocks.
 //!
-//! Each gateway has a quota of every budget, and is entitled to the fraction of it that `milletpath-membership` proves. It
-//! leases what it does not need to those that request it, and requests what it lacks ([`SharedBudgets`]). Whatever messages
-//! are lost, late or repeated, and whichever gateways are silent, all of them together never use more than the budget.
+//! Each gateway has a quota of every budget and is entitled to the fraction of that quota that `milletpath-membership`
+//! proves. [`SharedBudgets`] leases unneeded budget to gateways that request it, and requests leases from other gateways
+//! when the local quota is insufficient. The gateways together never use more than the budget, even if messages are lost,
+//! delayed or duplicated, or gateways stop responding.
 
 mod adjustment;
 mod budget;
--- a/crates/shared-budgets/src/message/tests.rs
+++ b/crates/shared-budgets/src/message/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A later version may add fields: this one skips them.
+/// Later versions may add fields, which this version must skip.
 #[test]
 fn an_unknown_field_is_skipped() {
     let known = Message { request_number: 7, ..Message::default() };
--- a/crates/shared-budgets/src/outbox.rs
+++ b/crates/shared-budgets/src/outbox.rs
@@ -1,21 +1,21 @@
-//! Messages that wait to be sent, within a bound on their bytes a second.
+//! The queue of outgoing messages, with a limit on the bytes sent per second.
 
 use crate::message::{ENTRY_BYTES, ENVELOPE_BYTES, Message};
 use crate::process_id::ProcessId;
 use std::collections::VecDeque;
 
-/// Bytes a second of all messages of a gateway, datagrams around them included, at most: half of what a gateway may send
-/// to others in all. A token bucket that holds one second's worth.
+/// Maximum rate of a gateway's messages in bytes per second, including datagram overhead: half of what a gateway may send
+/// to other gateways in total. Enforced by a token bucket with a capacity of one second.
 const MAX_BYTES_PER_SECOND: f64 = 10_000.0;
 
-/// Messages that wait at most.
+/// Maximum number of queued messages.
 const MAX_QUEUED_MESSAGES: usize = 512;
 
-/// Messages that wait to be sent, with their recipients.
+/// Queued outgoing messages with their recipients.
 #[derive(Clone, Debug)]
 pub(crate) struct Outbox {
     queue: VecDeque<(ProcessId, Message)>,
-    /// Bytes that may be sent, as of `refilled_at`.
+    /// Tokens in the bucket, in bytes, as of `refilled_at`.
     available_bytes: f64,
     refilled_at: f64,
 }
@@ -25,7 +25,7 @@
         Self { queue: VecDeque::new(), available_bytes: MAX_BYTES_PER_SECOND, refilled_at: now }
     }
 
-    /// Queues a message; returns whether it was within the bounds.
+    /// Queues a message. Returns `false` and drops it if the byte rate or the queue length would exceed its limit.
     pub(crate) fn try_push(&mut self, now: f64, recipient: ProcessId, message: Message) -> bool {
         let refill = MAX_BYTES_PER_SECOND * (now - self.refilled_at).max(0.0);
         self.available_bytes = (self.available_bytes + refill).min(MAX_BYTES_PER_SECOND);
@@ -39,7 +39,7 @@
         true
     }
 
-    /// The message that has waited longest, and its recipient.
+    /// Removes and returns the oldest message and its recipient.
     pub(crate) fn pop(&mut self) -> Option<(ProcessId, Message)> {
         self.queue.pop_front()
     }
--- a/crates/shared-budgets/src/outbox/tests.rs
+++ b/crates/shared-budgets/src/outbox/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Messages without entries that fit into one second's bytes.
+/// Number of messages without entries that the byte limit permits in one second.
 const MESSAGES_PER_SECOND: usize = (MAX_BYTES_PER_SECOND / ENVELOPE_BYTES) as usize;
 
 fn push_all(outbox: &mut Outbox, now: f64) -> usize {
--- a/crates/shared-budgets/src/request_plan.rs
+++ b/crates/shared-budgets/src/request_plan.rs
@@ -1,18 +1,17 @@
-//! Which gateways are asked for how much of a budget.
+//! Plans how much of a budget to request from each gateway.
 
 use crate::lease::{GatewayLevel, sort_by_level};
 use crate::ledger::Ledger;
 use crate::process_id::ProcessId;
 
-/// How many times what is desired may be held before some of it is returned.
+/// Leases are returned once the level held exceeds the desired level by this factor.
 const RELEASE_FACTOR: f64 = 1.2;
 
-/// How many times what is missing is requested from the gateways of which it is not known what they could grant, all
-/// together.
+/// Total requested from gateways whose spare level is unknown, as a multiple of the missing level.
 const PROBE_FACTOR: f64 = 2.0;
 
-/// The levels to request, so that `desired` is held in all: from lenders what is held already, the rest from gateways that
-/// may have something to spare.
+/// The levels to request so that `desired` is held in total: the levels already held from current lenders, and the rest
+/// from gateways that may have budget to spare.
 pub(crate) fn plan_requests(
     ledger: &Ledger,
     peers: &[ProcessId],
@@ -34,7 +33,7 @@
     plan
 }
 
-/// Lowers the levels by a surplus. The smallest go first: fewer lenders to ask next time.
+/// Lowers the levels by a total of `surplus`, the smallest first, to reduce the number of lenders.
 fn return_surplus(plan: &mut [GatewayLevel], mut surplus: f64) {
     for request in plan.iter_mut().rev() {
         let returned = request.level.min(surplus);
@@ -43,7 +42,7 @@
     }
 }
 
-/// Requests what is missing from those that stated what they could grant, most first; returns what is still missing.
+/// Requests the missing level from gateways with a known spare level, the largest first. Returns what is still missing.
 fn request_known_spare(
     plan: &mut Vec<GatewayLevel>,
     ledger: &Ledger,
@@ -69,7 +68,7 @@
     missing
 }
 
-/// Requests a part of what is missing from each of those of which it is not known what they could grant.
+/// Requests part of the missing level from each gateway whose spare level is unknown.
 fn probe_peers(plan: &mut Vec<GatewayLevel>, ledger: &Ledger, peers: &[ProcessId], now: f64, missing: f64) {
     let unknown: Vec<ProcessId> =
         peers.iter().copied().filter(|peer| ledger.reported_spare(now, *peer).is_none()).collect();
@@ -79,7 +78,7 @@
     }
 }
 
-/// Raises the level that is requested from a gateway.
+/// Increases the level to request from a gateway.
 fn increase_request(plan: &mut Vec<GatewayLevel>, gateway: ProcessId, by: f64) {
     match plan.iter_mut().find(|request| request.gateway == gateway) {
         Some(request) => request.level += by,
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -1,9 +1,9 @@
-//! All shared budgets of one gateway: use is metered, what is missing is requested from others, what can be spared is
-//! leased to them.
+//! All shared budgets of one gateway: meters their use, requests missing budget from other gateways, and leases spare
+//! budget to them.
 //!
-//! The caller keeps one order: what [`SharedBudgets::receive`] or [`SharedBudgets::tick`] changes is passed to whoever
-//! spends the budgets ([`SharedBudgets::take_adjustments`]) before any message is sent
-//! ([`SharedBudgets::next_message`]). Otherwise units leased to others could still be spent here.
+//! The caller must pass the adjustments that result from [`SharedBudgets::receive`] or [`SharedBudgets::tick`]
+//! ([`SharedBudgets::take_adjustments`]) to the code that spends the budgets before it sends any message
+//! ([`SharedBudgets::next_message`]). Otherwise units leased to other gateways could still be spent locally.
 
 use crate::adjustment::QuotaAdjustment;
 use crate::budget::Budget;
@@ -25,60 +25,62 @@
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// Mean seconds between two rounds of requests.
+/// Mean time between two rounds of requests, in seconds.
 const REQUEST_INTERVAL: f64 = 0.4;
 
-/// Seconds after a round in which the next begins at the earliest, where units were denied.
+/// Minimum time between two rounds of requests after units were denied, in seconds and subject to the jitter of the round
+/// interval.
 const MIN_REQUEST_INTERVAL: f64 = 0.05;
 
-/// Rounds for which a lease holds at most. With 30% of the messages lost, one lease in four is renewed at the first
-/// request and one in seven not in time.
+/// Maximum duration of a lease, in rounds of requests. With 30% of the messages lost, one lease in four is renewed at the
+/// first request and one in seven not in time.
 const MAX_LEASE_ROUNDS: f64 = 5.0;
 
-/// The lifetime of a proof of the entitlement, as a multiple of the duration of a lease. A lease is shorter than a proof, so
-/// that most leases can be granted from an entitlement that is proven until they end.
+/// Ratio of the lifetime of an entitlement proof to the duration of a lease. Leases are shorter than proofs, so that most
+/// leases can be granted from an entitlement that is proved until the lease ends.
 const PROOF_TO_LEASE_RATIO: f64 = 1.5;
 
-/// Seconds for which a lease holds at least.
+/// Minimum duration of a lease, in seconds.
 const MIN_LEASE_DURATION: f64 = 0.2;
 
 /// A message to another gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// The process that it is for; a restarted one of the same gateway must not get it.
+    /// The receiving process. The message must not be delivered to a restarted process of the same gateway.
     pub recipient: ProcessId,
-    /// What [`SharedBudgets::receive`] takes there.
+    /// The encoded message, to be passed to the recipient's [`SharedBudgets::receive`].
     pub bytes: Vec<u8>,
 }
 
-/// The adjustment of the quota of one budget.
+/// A quota adjustment for one budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlotAdjustment {
-    /// The slot that [`SharedBudgets::open`] returned.
+    /// The budget's slot, as returned by [`SharedBudgets::open`].
     pub slot: usize,
-    /// What applies from now on.
+    /// The adjustment in effect from now on.
     pub adjustment: QuotaAdjustment,
 }
 
-/// All shared budgets of one gateway. Times are in seconds on the caller's clock, which need not start at any point but
-/// should not go back.
+/// All shared budgets of one gateway. Times are in seconds on the caller's clock, which may start at any value but should
+/// not go backwards.
 #[derive(Clone, Debug)]
 pub struct SharedBudgets {
     own_id: ProcessId,
-    /// Seconds for which a lease holds.
+    /// Duration of a lease, in seconds.
     lease_duration: f64,
     clock: MonotonicClock,
     entitlement: Entitlement,
-    /// By slot; those of closed budgets are empty until they are used again. As many as the caller has open at once.
+    /// Budgets by slot. Slots of closed budgets are empty until reused, so that the length is the largest number of budgets
+    /// open at the same time.
     budgets: Vec<Option<Budget>>,
     /// Slots by budget key.
     slots: BTreeMap<u64, usize>,
-    /// Other gateways, which can be asked for leases.
+    /// The other gateways, from which leases can be requested.
     peers: Vec<ProcessId>,
     last_request_number: u64,
     outbox: Outbox,
     next_round_at: f64,
-    /// When an adjustment is to be renewed.
+    /// When the next adjustment is due for renewal.
     next_renewal_at: f64,
     /// Whether units were denied since the last round of requests.
     was_denied: bool,
@@ -89,8 +91,8 @@
 }
 
 impl SharedBudgets {
-    /// Creates the budgets of a process, none of them open. `proof_lifetime` is for how many seconds proofs of an
-    /// entitlement hold; leases are shorter. `seed` is for the random numbers that spread requests.
+    /// Creates an instance without open budgets. `proof_lifetime` is the lifetime of entitlement proofs in seconds, from
+    /// which the shorter duration of leases is derived. `seed` initializes the random jitter of requests.
     #[must_use]
     pub fn new(own_id: ProcessId, proof_lifetime: f64, seed: u64, now: f64) -> Self {
         let max_lease_duration = MAX_LEASE_ROUNDS * REQUEST_INTERVAL;
@@ -115,25 +117,25 @@
         }
     }
 
-    /// Injects faults into what is opened and done from now on.
+    /// Injects faults into subsequent operations and into budgets opened from now on.
     #[doc(hidden)]
     pub fn inject_faults(&mut self, faults: InjectedFaults) {
         self.faults = faults;
     }
 
-    /// Seconds for which a lease holds.
+    /// Duration of a lease, in seconds.
     #[must_use]
     pub fn lease_duration(&self) -> f64 {
         self.lease_duration
     }
 
-    /// Counts since the start.
+    /// Event counts since the start.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Sets what fraction of its quotas this gateway is entitled to, and which other gateways there are.
+    /// Sets the fraction of its quotas to which this gateway is entitled, and the other gateways.
     pub fn set_entitlement(&mut self, now: f64, entitlement: Entitlement, peers: Vec<ProcessId>) {
         self.clock.advance(now);
         let valid_until = self.clock.monotonic_time(entitlement.valid_until);
@@ -142,9 +144,9 @@
         self.peers = peers;
     }
 
-    /// Opens a budget and returns its slot. Name and kind together identify it; the same ones must be used at all
-    /// gateways. `quota` is this gateway's quota among all gateways of the configuration. Opened again, a budget keeps its
-    /// slot and leases and gets the new quota.
+    /// Opens a budget and returns its slot. Name and kind together identify the budget and must be the same on all
+    /// gateways. `quota` is this gateway's quota if all configured gateways are running. Reopening an open budget keeps its
+    /// slot and leases and sets the new quota.
     pub fn open(&mut self, now: f64, name: &str, kind: BudgetKind, quota: f64) -> usize {
         let now = self.clock.advance(now);
         let key = kind.budget_key(name);
@@ -163,10 +165,10 @@
         slot
     }
 
-    /// Closes a budget that is not used here any more; an empty slot stays empty.
+    /// Closes a budget that this gateway no longer uses. Closing an empty slot has no effect.
     ///
     /// # Errors
-    /// [`CloseError::Leased`] while something of it is leased to others: the budget stays open.
+    /// [`CloseError::Leased`] while part of the budget is leased to other gateways; the budget then stays open.
     pub fn close(&mut self, now: f64, slot: usize) -> Result<(), CloseError> {
         let now = self.clock.advance(now);
         let granted = self.budget_mut(slot).map_or(0.0, |budget| budget.ledger.granted(now));
@@ -179,27 +181,27 @@
         Ok(())
     }
 
-    /// To be called when the code that spends the budgets has lost their adjustments:
-    /// [`take_adjustments`](Self::take_adjustments) returns all of them the next time.
+    /// Makes the next call of [`take_adjustments`](Self::take_adjustments) return the adjustments of all budgets. To be
+    /// called when the code that spends the budgets has lost them.
     pub fn resend_adjustments(&mut self) {
         self.budgets.iter_mut().flatten().for_each(Budget::invalidate_published);
     }
 
-    /// Records what the meter of a budget shows now.
+    /// Records a meter reading of a budget.
     pub fn record_usage(&mut self, now: f64, slot: usize, meter: UsageMeter) {
         let now = self.clock.advance(now);
         self.observe(now, slot, meter);
     }
 
-    /// When [`tick`](Self::tick) and then [`take_adjustments`](Self::take_adjustments) are due next.
+    /// When [`tick`](Self::tick), followed by [`take_adjustments`](Self::take_adjustments), is due next.
     #[must_use]
     pub fn next_tick(&self) -> f64 {
         let early = if self.was_denied { self.earliest_round_at() } else { f64::INFINITY };
         self.clock.caller_time(self.next_round_at.min(early).min(self.next_renewal_at))
     }
 
-    /// Takes a message of another gateway. `read_meter` reads the meter of a slot at this moment; none for a budget that
-    /// is not used here any more.
+    /// Handles a message from another gateway. `read_meter` returns the current meter reading of a slot, or `None` for a
+    /// budget that this gateway no longer uses.
     pub fn receive(
         &mut self,
         now: f64,
@@ -217,7 +219,7 @@
         self.answer_requests(now, sender, &message, read_meter);
     }
 
-    /// The next message to send; none where nothing waits.
+    /// Removes and returns the next message to send, if any.
     #[must_use]
     pub fn next_message(&mut self) -> Option<OutgoingMessage> {
         let (recipient, message) = self.outbox.pop()?;
@@ -225,8 +227,8 @@
         message.to_bytes().map(|bytes| OutgoingMessage { recipient, bytes })
     }
 
-    /// Reports the concurrency of functions to the other gateways, where that is due. `busy` gives that of the functions
-    /// that are in use here.
+    /// Reports the concurrency of functions to the other gateways if a report is due. `read_concurrency` returns the
+    /// concurrency of the functions in use on this gateway.
     pub fn report_usage(&mut self, now: f64, read_concurrency: impl FnOnce() -> Vec<FunctionConcurrency>) {
         let now = self.clock.advance(now);
         let jitter = self.rng.rand_float();
@@ -241,13 +243,13 @@
         self.clock.caller_time(self.usage.next_report_at())
     }
 
-    /// The concurrency of functions at all other gateways, by the hash of their names; none while that is not known.
+    /// The total concurrency of functions on all other gateways, by the hash of the function name; `None` while unknown.
     pub fn usage_elsewhere(&mut self, now: f64) -> Option<BTreeMap<u64, f64>> {
         let now = self.clock.advance(now);
         self.usage.remote_concurrency(now)
     }
 
-    /// Does what is due: forgets leases that have ended, and sends a round of requests.
+    /// Starts a round of requests if one is due: removes leases that have ended, and sends requests to lenders.
     pub fn tick(&mut self, now: f64) {
         let now = self.clock.advance(now);
         let is_early_round = self.was_denied && now >= self.earliest_round_at();
@@ -260,7 +262,7 @@
         self.send_requests(now, &requests);
     }
 
-    /// Adjustments of quotas that differ from what was returned before, or renew what ends soon, by slot.
+    /// Returns the quota adjustments that have changed since the last call or are due for renewal.
     #[must_use]
     pub fn take_adjustments(&mut self, now: f64) -> Vec<SlotAdjustment> {
         let now = self.clock.advance(now);
@@ -279,7 +281,7 @@
         adjustments
     }
 
-    /// What this gateway may use of a budget now; 0 for an empty slot.
+    /// How much of a budget this gateway may use now; 0 for an empty slot.
     #[must_use]
     pub fn allowed(&mut self, now: f64, slot: usize) -> f64 {
         let now = self.clock.advance(now);
@@ -287,7 +289,8 @@
         self.budget_mut(slot).map_or(0.0, |budget| budget.ledger.allowed(&entitlement, now))
     }
 
-    /// When the next lease ends here that was granted to another: for tests that look just then.
+    /// The earliest time at which this gateway's leases to some borrower have all ended. For tests that check the state at
+    /// that time.
     #[doc(hidden)]
     #[must_use]
     pub fn next_grant_end(&self) -> Option<f64> {
@@ -295,7 +298,7 @@
         ends.min_by(f64::total_cmp).map(|end| self.clock.caller_time(end))
     }
 
-    /// All open budgets as an operator sees them.
+    /// The state of all open budgets as shown to operators.
     #[must_use]
     pub fn view(&mut self, now: f64) -> Vec<BudgetView> {
         let now = self.clock.advance(now);
@@ -311,7 +314,7 @@
         self.budget_mut(slot)
     }
 
-    /// The first empty slot; a new one where there is none.
+    /// The first empty slot; appends one if there is none.
     fn free_slot(&mut self) -> usize {
         let slot = self.budgets.iter().position(Option::is_none).unwrap_or(self.budgets.len());
         if slot == self.budgets.len() {
@@ -320,7 +323,8 @@
         slot
     }
 
-    /// When a round may begin at the earliest after the last one.
+    /// The earliest time at which the next round may begin if units were denied. Based on the jittered time of the next
+    /// regular round.
     fn earliest_round_at(&self) -> f64 {
         (self.next_round_at - REQUEST_INTERVAL) + MIN_REQUEST_INTERVAL
     }
@@ -332,7 +336,7 @@
         }
     }
 
-    /// Queues a message; returns whether it was within the bounds.
+    /// Queues a message. Returns `false` and counts it as suppressed if it exceeds the limits of the outbox.
     fn enqueue(&mut self, recipient: ProcessId, message: Message) -> bool {
         let is_queued = self.outbox.try_push(self.clock.now(), recipient, message);
         if !is_queued {
@@ -341,7 +345,7 @@
         is_queued
     }
 
-    /// Takes a report of another gateway, or the answer to one of this gateway.
+    /// Handles a usage report from another gateway, or the answer to a report from this gateway.
     fn receive_usage(&mut self, now: f64, sender: ProcessId, message: &mut Message) {
         let Some(bucket) = message.bucket else { return };
         if message.reporters > 0 {
@@ -356,7 +360,7 @@
     }
 
     fn receive_grants(&mut self, now: f64, lender: ProcessId, message: &Message) {
-        // A longer duration than this gateway's own is not accepted: all gateways are configured alike.
+        // All gateways are configured alike, so a longer duration than this gateway's own is not accepted.
         let duration = (f64::from(message.duration_ms) / 1e3).min(self.lease_duration);
         for grant in &message.grants {
             let Some(budget) = self.budget_by_key(grant.budget_key) else { continue };
@@ -377,7 +381,7 @@
         let mut grants = Vec::new();
         for request in &message.requests {
             let Some(&slot) = self.slots.get(&request.budget_key) else { continue };
-            // The meter is read now, so that units taken since the last reading are not leased.
+            // Reads the meter before granting, so that units taken since the last reading are not leased.
             if let Some(meter) = read_meter(slot) {
                 self.observe(now, slot, meter);
             }
@@ -409,7 +413,7 @@
         })
     }
 
-    /// What to request in this round, by lender.
+    /// The requests of this round, by lender.
     fn collect_requests(&mut self, now: f64) -> BTreeMap<ProcessId, Vec<LeaseRequest>> {
         let mut requests: BTreeMap<ProcessId, Vec<LeaseRequest>> = BTreeMap::new();
         for budget in self.budgets.iter_mut().flatten() {
@@ -425,8 +429,8 @@
         requests
     }
 
-    /// Sends requests, beginning with a random lender, so that the bound on bytes a second does not always leave out the
-    /// same ones.
+    /// Queues requests, starting with a random lender, so that the byte limit does not always suppress requests to the same
+    /// lenders.
     fn send_requests(&mut self, now: f64, requests: &BTreeMap<ProcessId, Vec<LeaseRequest>>) {
         let lenders: Vec<ProcessId> = requests.keys().copied().collect();
         let first = self.rng.rand_range(0..lenders.len() as u64 + 1) as usize;
--- a/crates/shared-budgets/src/step_function/tests.rs
+++ b/crates/shared-budgets/src/step_function/tests.rs
@@ -14,7 +14,7 @@
 }
 
 proptest! {
-    /// However many leases there are, in whatever order.
+    /// Holds for any number of leases in any order.
     #[test]
     fn granted_is_never_understated_and_held_never_overstated(
         leases in prop::collection::vec((0.0..10.0f64, 0.0..10.0f64), 0..40),
@@ -25,7 +25,7 @@
         leases.iter().for_each(|(end, level)| held.add_held(*end, *level));
         let highest = leases.iter().filter(|(end, _)| *end > time).map(|(_, level)| *level).fold(0.0, f64::max);
         prop_assert!(granted.level_at(time) >= highest && held.level_at(time) <= highest);
-        // Exactly, while there are few enough of them for a step each.
+        // The level is exact as long as each lease can have a step of its own.
         if leases.len() <= MAX_STEPS {
             prop_assert_eq!((granted.level_at(time), held.level_at(time)), (highest, highest));
         }
--- a/crates/shared-budgets/src/usage_counts.rs
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -1,9 +1,10 @@
-//! The concurrency of functions over all gateways: each gateway reports its own and learns that of all others.
+//! The concurrency of functions across the fleet: each gateway reports its own concurrency and receives the total of all
+//! other gateways.
 //!
-//! Functions fall into [`BUCKETS`] by a hash of their names. For each bucket one gateway adds up what all report, chosen
-//! by rendezvous hashing; so no gateway receives everything from everybody, and what one sends does not grow with the size
-//! of the fleet. An aggregator that does not answer is avoided for a while. A report counts until the next of its sender,
-//! or for a few intervals.
+//! Functions are divided into [`BUCKETS`] by a hash of their names. One gateway aggregates the reports for each bucket,
+//! chosen by rendezvous hashing. Thus no gateway receives every report, and the traffic sent by a gateway does not grow with
+//! the size of the fleet. An aggregator that does not answer is avoided for a while. A report is valid until the next one
+//! from the same sender, or for [`REPORT_LIFETIME`] intervals.
 
 mod aggregators;
 
@@ -13,67 +14,68 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Few enough that a message carries several functions, enough that the work is spread.
+/// Number of buckets: small enough that a message carries several functions, large enough to distribute the work.
 const BUCKETS: u8 = 16;
 
-/// Seconds between two reports of a gateway in a fleet of up to [`GATEWAYS_AT_FULL_RATE`].
+/// Mean time between two reports of a gateway, in seconds, in a fleet of up to [`GATEWAYS_AT_FULL_RATE`] gateways.
 const REPORT_INTERVAL: f64 = 0.8;
 
-/// Larger fleets report less often, so that an aggregator receives no more messages a second.
+/// Fleet size above which gateways report less often, so that the rate of messages to an aggregator stays constant.
 const GATEWAYS_AT_FULL_RATE: f64 = 48.0;
 
-/// Concurrency below which a function is not reported.
+/// Minimum concurrency at which a function is reported.
 const MIN_CONCURRENCY: f64 = 0.02;
 
-/// Concurrency is sent in thousandths.
+/// Resolution of concurrency in messages.
 const CONCURRENCY_RESOLUTION: f64 = 1e-3;
 
-/// Intervals for which a report counts.
+/// Validity of a report, in report intervals.
 const REPORT_LIFETIME: f64 = 3.5;
 
-/// Intervals for which a total counts.
+/// Validity of a total, in report intervals.
 const TOTAL_LIFETIME: f64 = 2.5;
 
-/// Intervals without an answer after which another aggregator is chosen.
+/// Report intervals without an answer after which another aggregator is chosen.
 const ANSWER_TIMEOUT: f64 = 1.8;
 
-/// The concurrency of one function at one gateway.
+/// The concurrency of one function on one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionConcurrency {
-    /// A hash of the function's name, the same at all gateways.
+    /// A hash of the function's name, identical on all gateways.
     pub function: u64,
-    /// Mean number of its invocations that run at the same time.
+    /// Mean number of concurrent invocations.
     pub concurrency: f64,
 }
 
-/// What one gateway reported of a bucket.
+/// A gateway's latest report for a bucket.
 #[derive(Clone, Debug)]
 struct Report {
     received_at: f64,
     usage: Vec<FunctionUsage>,
 }
 
-/// What functions of a bucket use at all gateways but one.
+/// The total concurrency of a bucket's functions on all gateways except one.
 #[derive(Clone, Debug)]
 struct BucketTotal {
     received_at: f64,
-    /// How many gateways' reports it adds up.
+    /// Number of gateways whose usage is included.
     reporters: u16,
     usage: Vec<FunctionUsage>,
 }
 
-/// The concurrency of functions here and at all other gateways.
+/// The concurrency of functions on this gateway and on all other gateways.
 #[derive(Clone, Debug)]
 pub(crate) struct UsageCounts {
     own_id: ProcessId,
-    /// What runs here.
+    /// The concurrency on this gateway as of the last report.
     own_usage: Vec<FunctionConcurrency>,
     next_report_at: f64,
-    /// Seconds between two reports.
+    /// Mean time between two reports, in seconds.
     interval: f64,
-    /// Reports by bucket and sender, for buckets that are added up here; see [`Self::record_report`] for their number.
+    /// Reports by bucket and sender, for the buckets that this gateway aggregates. [`Self::record_report`] bounds their
+    /// number.
     reports: BTreeMap<(u8, ProcessId), Report>,
-    /// By bucket, of all other gateways.
+    /// Totals of all other gateways, by bucket.
     totals: BTreeMap<u8, BucketTotal>,
     aggregators: Aggregators,
 }
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Sets which other gateways there are.
+    /// Sets the other gateways.
     pub(crate) fn set_peers(&mut self, peers: &[ProcessId]) {
         self.aggregators.set_peers(peers);
         self.interval = REPORT_INTERVAL * ((peers.len() + 1) as f64 / GATEWAYS_AT_FULL_RATE).max(1.0);
@@ -107,8 +109,8 @@
         self.next_report_at
     }
 
-    /// The reports to send now, with their recipients; none before they are due. `jitter` is a random number from 0 to 1;
-    /// `busy` gives what runs here.
+    /// The reports to send now, with their recipients; empty before they are due. `jitter` is a random number from 0 to 1;
+    /// `read_concurrency` returns the concurrency of functions on this gateway.
     pub(crate) fn tick(
         &mut self,
         now: f64,
@@ -137,7 +139,7 @@
         self.aggregators.remove_expired(now);
     }
 
-    /// The report on a bucket, and its aggregator; none where this gateway is the aggregator.
+    /// The report for a bucket and the aggregator that receives it; `None` if this gateway is the aggregator.
     fn report(&mut self, now: f64, bucket: u8) -> Option<(ProcessId, Message)> {
         let aggregator = self.aggregators.choose(now, bucket, ANSWER_TIMEOUT * self.interval);
         if aggregator == self.own_id {
@@ -151,7 +153,7 @@
         Some((aggregator, Message { bucket: Some(bucket), usage, ..Message::default() }))
     }
 
-    /// The busiest functions of a bucket here.
+    /// The functions of a bucket with the highest concurrency on this gateway.
     fn own_usage_of(&self, bucket: u8) -> Vec<FunctionUsage> {
         let mut busiest: Vec<_> =
             self.own_usage.iter().filter(|own| bucket_of(own.function) == bucket).collect();
@@ -164,7 +166,8 @@
         busiest.into_iter().map(to_wire).collect()
     }
 
-    /// The busiest functions of a bucket at all gateways that reported but one.
+    /// The functions of a bucket with the highest total concurrency over this gateway and all that reported, without the
+    /// excluded one.
     fn total_without(&self, now: f64, bucket: u8, excluded: ProcessId) -> BucketTotal {
         let mut sums: BTreeMap<u64, u32> = BTreeMap::new();
         let mut reporters = 0;
@@ -189,8 +192,8 @@
         BucketTotal { received_at: now, reporters, usage }
     }
 
-    /// Records another gateway's report; returns the answer to it, which is the total of all gateways but that one. None
-    /// for a bucket that there is not, or where there are reports of more gateways than the fleet can have.
+    /// Records another gateway's report. Returns the answer, which holds the total of all gateways except that one, or
+    /// `None` if the bucket does not exist or there are reports from more gateways than the fleet can have.
     pub(crate) fn record_report(
         &mut self,
         now: f64,
@@ -198,9 +201,9 @@
         bucket: u8,
         usage: Vec<FunctionUsage>,
     ) -> Option<Message> {
-        /// Reports are kept of this many times the gateways that are there ...
+        /// Reporters kept per known peer.
         const REPORTERS_PER_PEER: usize = 2;
-        /// ... and some more, for the time before they are known.
+        /// Reporters kept in addition, for the time before the peers are known.
         const EXTRA_REPORTERS: usize = 16;
         let capacity =
             (REPORTERS_PER_PEER * self.aggregators.peer_count() + EXTRA_REPORTERS) * usize::from(BUCKETS);
@@ -213,7 +216,7 @@
         Some(Message { bucket: Some(bucket), totals, reporters, ..Message::default() })
     }
 
-    /// Records a total, if it answers a report of this gateway.
+    /// Records a total if it answers a report from this gateway.
     pub(crate) fn record_total(
         &mut self,
         now: f64,
@@ -227,8 +230,8 @@
         }
     }
 
-    /// The concurrency of functions at all other gateways, by the hash of their names; none while that is not known of
-    /// each bucket, or where there is no other gateway.
+    /// The total concurrency of functions on all other gateways, by the hash of the function name. `None` unless there is
+    /// a valid total for every bucket, or if there is no other gateway.
     pub(crate) fn remote_concurrency(&self, now: f64) -> Option<BTreeMap<u64, f64>> {
         let lifetime = TOTAL_LIFETIME * self.interval;
         let is_fresh = |total: &BucketTotal| now - total.received_at < lifetime && total.reporters > 0;
--- a/crates/shared-budgets/src/usage_counts/tests.rs
+++ b/crates/shared-budgets/src/usage_counts/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Gateways 1 to `size`, each with ten functions in use. Messages arrive at once.
+/// Gateways 1 to `size`, each with ten functions in use. Messages are delivered without delay.
 struct Fleet {
     gateways: Vec<UsageCounts>,
     now: f64,
@@ -22,8 +22,8 @@
         &mut self.gateways[id as usize - 1]
     }
 
-    /// Runs the fleet for some seconds. At gateway n each function has a concurrency of n. `is_delivered` states whether a
-    /// message from a gateway to a gateway arrives. Returns the number of messages.
+    /// Runs the fleet for the given number of seconds. Each function has a concurrency of n on gateway n.
+    /// `is_delivered(from, to)` decides whether a message arrives. Returns the number of messages.
     fn run(&mut self, seconds: f64, is_delivered: impl Fn(u64, u64) -> bool) -> usize {
         let (mut sent_count, until) = (0, self.now + seconds);
         while self.now < until {
@@ -51,7 +51,7 @@
         sent_count
     }
 
-    /// What a gateway knows of the others' concurrency, which is the same of each function.
+    /// The total concurrency on all other gateways as known to a gateway. It is the same for all functions.
     fn remote_concurrency(&mut self, id: u64) -> Option<f64> {
         let now = self.now;
         let known = self.gateway(id).remote_concurrency(now)?;
@@ -70,7 +70,7 @@
     assert!(sent_count <= 12 * 2 * usize::from(BUCKETS) * 10, "{sent_count}");
 }
 
-/// Gateway 3 neither receives nor is received: another one adds up its buckets.
+/// Gateway 3 is cut off in both directions, so that another gateway must aggregate its buckets.
 #[test]
 fn an_unresponsive_aggregator_is_replaced() {
     let mut fleet = Fleet::new(12);
@@ -90,7 +90,7 @@
     assert_eq!(fleet.remote_concurrency(1), None);
 }
 
-/// An aggregator receives as many messages a second, however large the fleet is.
+/// The rate of messages to an aggregator must not grow with the size of the fleet.
 #[test]
 fn large_fleets_report_less_often() {
     let mut small_fleet = UsageCounts::new(1, 0.0);
--- a/crates/shared-budgets/src/view.rs
+++ b/crates/shared-budgets/src/view.rs
@@ -1,43 +1,44 @@
-//! What operators see of shared budgets. Field names in JSON are those of the first version: operators' scripts read them.
+//! The state of shared budgets as shown to operators. The JSON keeps its original field names, which operators' scripts
+//! read.
 
 use serde::{Deserialize, Serialize};
 
-/// One budget as an operator sees it. Amounts are in units, or in units a second for a rate.
+/// The state of one budget as shown to operators. Amounts are in units, or in units per second for a rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetView {
     /// The name under which the budget was opened.
     pub name: String,
-    /// This gateway's quota among all gateways of the configuration.
+    /// This gateway's quota if all configured gateways are running.
     #[serde(rename = "part")]
     pub quota: f64,
-    /// What this gateway may use now.
+    /// How much this gateway may use now.
     pub allowed: f64,
-    /// What this gateway needs, estimated from its use of late.
+    /// This gateway's demand, estimated from its recent use.
     #[serde(rename = "need")]
     pub demand: f64,
-    /// What it has leased to others.
+    /// The total leased to other gateways.
     #[serde(rename = "lent")]
     pub granted: f64,
-    /// What it holds on lease from others.
+    /// The total held on lease from other gateways.
     #[serde(rename = "borrowed")]
     pub held: f64,
 }
 
-/// Counts since the start; they only grow.
+/// Event counts since the start; monotonically increasing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Requests for leases that were sent.
+    /// Lease requests sent.
     #[serde(rename = "asks")]
     pub requests: u64,
-    /// Grants that were received.
+    /// Grants received.
     pub grants: u64,
-    /// Messages that were sent.
+    /// Messages sent.
     #[serde(rename = "notes")]
     pub messages: u64,
-    /// Messages that were not sent, as the bytes a second and the queue are bounded.
+    /// Messages not sent because of the byte limit or the queue limit.
     #[serde(rename = "held_back")]
     pub suppressed: u64,
-    /// Messages that were received and can't be read.
+    /// Received messages that could not be decoded.
     #[serde(rename = "unread")]
     pub unreadable: u64,
 }
--- a/crates/shared-budgets/tests/exhaustive_search.rs
+++ b/crates/shared-budgets/tests/exhaustive_search.rs
@@ -1,6 +1,6 @@
-//! A bounded exhaustive search: three gateways, and every order in which messages are delivered, repeated or lost, units
-//! are used, processes are killed and restarted, and time passes for one or for all. To a stated depth, from many states
-//! that random runs reach.
+//! Bounded exhaustive search over a fleet of three gateways. From many states reached by random runs, it explores to a
+//! given depth every order of message deliveries, duplicates and losses, unit use, kills and restarts of processes, and
+//! the passage of time with one gateway or none acting.
 
 mod fleet;
 
@@ -14,32 +14,32 @@
 
 const SIZE: usize = 3;
 
-/// Messages in transit at most; any more are lost.
+/// Maximum number of messages in transit; further ones are lost.
 const MAX_IN_TRANSIT: usize = 5;
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A message in transit is delivered; with `duplicate` it stays in transit as well.
+    /// A message in transit is delivered; with `duplicate` it also remains in transit.
     Deliver { message: usize, duplicate: bool },
     /// A message in transit is lost.
     Lose { message: usize },
     /// The process of a gateway is killed.
     Kill(usize),
-    /// A gateway without a process gets one.
+    /// A process is started for a gateway that has none.
     Start(usize),
-    /// Time passes until this gateway is due; the others may be late.
+    /// Time advances until this gateway is due, and it ticks; others may be overdue.
     Tick(usize),
-    /// Time passes, and nobody does anything.
+    /// Time advances without any gateway acting.
     Pause,
-    /// Time passes until just after a lease ends that this gateway granted, and it ticks.
+    /// Time advances to just after the next end of leases granted by this gateway, and it ticks.
     LeaseEnd(usize),
-    /// This gateway uses all that it may.
+    /// This gateway uses as many units as it may.
     Use(usize),
-    /// The clients of this gateway begin or cease to request units.
+    /// The clients of this gateway start or stop requesting units.
     ToggleDemand(usize),
 }
 
-/// All events that can happen next.
+/// All events that are possible in the current state.
 fn events(fleet: &SimulatedFleet) -> Vec<Event> {
     let messages = (0..fleet.messages.len()).flat_map(|message| {
         let deliver = |duplicate| Event::Deliver { message, duplicate };
@@ -88,7 +88,7 @@
     fleet.messages.truncate(MAX_IN_TRANSIT);
 }
 
-/// A key of the state, so that no state is searched twice.
+/// A hash of the state, used to avoid searching a state twice.
 fn fingerprint(fleet: &SimulatedFleet) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{:?}{:?}", fleet.gateways, fleet.messages).hash(&mut hasher);
@@ -96,14 +96,14 @@
     hasher.finish()
 }
 
-/// Fails where all gateways together use more than there is.
+/// Returns an error if the gateways together use more than the budget.
 fn check_budget(fleet: &SimulatedFleet) -> Result<(), String> {
     let excess = fleet.excess();
     if excess > 1e-6 { Err(format!("at {:.3} s exceeded by {excess}", fleet.now)) } else { Ok(()) }
 }
 
-/// Searches all orders of `depth` events from a state; returns the number of states, or the first violation and the
-/// events that led to it.
+/// Searches all sequences of up to `depth` events from a state. Returns the number of states visited, or the first
+/// violation and the events that led to it.
 fn search(fleet: &SimulatedFleet, depth: usize, visited: &mut HashSet<u64>) -> Result<usize, String> {
     let mut states = 0;
     for event in events(fleet) {
@@ -122,8 +122,8 @@
     Ok(states)
 }
 
-/// Runs the fleet for some seconds; `up` states which links deliver, by sender and recipient. Units are used as soon as
-/// they may be.
+/// Runs the fleet for the given number of seconds. `is_link_up[sender][recipient]` tells whether messages on that link are
+/// delivered. Units are used as soon as possible.
 fn advance(
     fleet: &mut SimulatedFleet,
     is_link_up: &[[bool; SIZE]; SIZE],
@@ -155,7 +155,7 @@
     }
 }
 
-/// Runs the fleet for a random time with random kills, restarts, demand and links.
+/// Runs the fleet for a random time with random kills, restarts, demand and link failures.
 fn run_random(fleet: &mut SimulatedFleet, rng: &mut ChaCha8Rng) -> Result<(), String> {
     for _ in 0..6 {
         let n = rng.random_range(0..SIZE);
@@ -173,7 +173,8 @@
     Ok(())
 }
 
-/// Searches from states of random runs with these seeds; returns the number of states, or the first violation.
+/// Searches from states reached by random runs with these seeds. Returns the number of states visited, or the first
+/// violation.
 fn explore(
     seeds: std::ops::Range<u64>,
     depth: usize,
@@ -228,7 +229,7 @@
     );
 }
 
-/// The same search finds each step of the protocol that is left out.
+/// Verifies that the search detects each omitted step of the protocol.
 #[test_case(RATE, InjectedFaults { grants_not_subtracted: true, ..NO_FAULTS }; "a granted rate that is not subtracted")]
 #[test_case(WINDOW, InjectedFaults { grants_not_subtracted: true, ..NO_FAULTS }; "granted units that are not subtracted")]
 #[test_case(WINDOW, InjectedFaults { grant_ends_with_lease: true, ..NO_FAULTS }; "units of a window that return while in use")]
@@ -241,8 +242,9 @@
     assert!(found.as_ref().is_err_and(|violation| violation.contains("exceeded by")), "{found:?}");
 }
 
-/// A gateway with a fast clock leases to one with a slow clock, and then no message arrives any more. Checked each
-/// millisecond: the lender uses the rate again only once the borrower does not, whenever the borrower last ticked.
+/// Guards against a lender reusing a leased rate while the borrower still uses it. A gateway with a fast clock leases to
+/// one with a slow clock, after which no more messages arrive and the borrower is paused. The sum is checked every
+/// millisecond, for different times of the borrower's last tick.
 #[test_case(NO_FAULTS, false; "without a fault")]
 #[test_case(InjectedFaults { grant_ends_with_lease: true, ..NO_FAULTS }, true; "a lease that ends for both at the same time")]
 fn a_lease_ends_for_its_borrower_before_its_lender(faults: InjectedFaults, expect_excess: bool) {
@@ -269,7 +271,7 @@
             fleet.gateways[2].as_ref().and_then(|n| n.next_grant_end()).expect("it has granted a lease");
         for _ in 0..3000 {
             fleet.now += 0.001;
-            // The borrower is paused shortly before, with its last adjustment.
+            // The borrower is paused shortly before the end of the lease and keeps its last adjustment.
             let is_paused = fleet.now > end - 0.28;
             (0..SIZE).filter(|n| *n != 0 || !is_paused).for_each(|n| fleet.tick(n));
             fleet.messages.clear();
--- a/crates/shared-budgets/tests/fleet/mod.rs
+++ b/crates/shared-budgets/tests/fleet/mod.rs
@@ -1,52 +1,53 @@
-//! A simulated fleet of gateways that share one budget. Each spends by the adjustments that it was last given and shows a
-//! meter; their clocks drift apart, and messages are in transit between them. A test decides what arrives, what is lost
-//! and which process is killed.
+//! A simulated fleet of gateways that share one budget. Each gateway spends according to the last adjustment it received
+//! and meters its use. Their clocks run at different rates. The test decides which messages are delivered or lost and which
+//! processes are killed.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only part of this module")]
 
 use milletpath_shared_budgets::{
     BudgetKind, Entitlement, InjectedFaults, OutgoingMessage, ProcessId, QuotaAdjustment, SharedBudgets,
     UsageMeter,
 };
 
-/// Seconds for which proofs of an entitlement hold.
+/// Lifetime of entitlement proofs, in seconds.
 pub const PROOF_LIFETIME: f64 = 3.0;
 
 /// A message in transit.
 #[derive(Clone, Debug)]
 pub struct SentMessage {
     pub sender: ProcessId,
-    /// Index of the gateway; whatever process it has then receives the message.
+    /// Index of the gateway. The message goes to whichever process it is running at delivery.
     pub recipient: usize,
     pub bytes: Vec<u8>,
 }
 
-/// The running process of a gateway.
+/// A running gateway process.
 #[derive(Clone, Debug)]
 pub struct Gateway {
     pub shared_budgets: SharedBudgets,
     pub id: ProcessId,
     pub slot: usize,
-    /// The last adjustment that it was given.
+    /// The last adjustment received.
     adjustment: QuotaAdjustment,
-    /// Units a second that its clients request.
+    /// Units per second that its clients request.
     pub demand: f64,
-    /// Units that were requested and denied so far; fractions add up.
+    /// Units requested so far; fractions accumulate.
     requested: f64,
+    /// Units denied so far.
     denied: u64,
     last_metered_at: f64,
-    /// When units were used, on its own clock.
+    /// When units were taken, on the gateway's own clock.
     pub used_at: Vec<f64>,
-    /// Seconds of its clock in a second of true time.
+    /// Rate of the gateway's clock relative to true time.
     clock_rate: f64,
 }
 
-/// Gateways with one budget, and the messages between them.
+/// Gateways that share one budget, and the messages in transit between them.
 #[derive(Clone, Debug)]
 pub struct SimulatedFleet {
     /// True time, in seconds.
     pub now: f64,
-    /// Empty where the process was killed.
+    /// By gateway index; `None` while the gateway has no process.
     pub gateways: Vec<Option<Gateway>>,
     pub messages: Vec<SentMessage>,
     pub kind: BudgetKind,
@@ -54,11 +55,11 @@
     pub quota: f64,
     pub faults: InjectedFaults,
     starts: u64,
-    /// When units were used by processes that are gone, in true time.
+    /// When units were taken by processes that have since been killed, in true time.
     pub past_uses: Vec<f64>,
-    /// When processes were started again, in true time.
+    /// When processes were restarted, in true time.
     pub restarts: Vec<f64>,
-    /// Bytes of all messages so far, datagrams around them included.
+    /// Total size of all messages sent so far, including datagram overhead.
     pub bytes: u64,
 }
 
@@ -69,7 +70,7 @@
     QuotaAdjustment { amount: 0.0, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
 
 impl Gateway {
-    /// When the next lease that it granted ends here, in true time.
+    /// The earliest time at which this gateway's leases to some borrower have all ended, in true time.
     pub fn next_grant_end(&self) -> Option<f64> {
         self.shared_budgets.next_grant_end().map(|at| at / self.clock_rate)
     }
@@ -96,12 +97,12 @@
         fleet
     }
 
-    /// What all gateways together may use.
+    /// The whole budget: the sum of all quotas.
     pub fn total_quota(&self) -> f64 {
         self.quota * self.gateways.len() as f64
     }
 
-    /// What the clock of a gateway shows.
+    /// The current time on the clock of a gateway.
     pub fn clock(&self, n: usize) -> f64 {
         self.gateways[n].as_ref().map_or(self.now, |gateway| self.now * gateway.clock_rate)
     }
@@ -110,7 +111,7 @@
     pub fn start(&mut self, n: usize) {
         self.starts += 1;
         let id = self.starts * 100 + n as u64;
-        // From the slowest to the fastest clock that the fleet allows for.
+        // Clock rates range from the slowest to the fastest that the protocol tolerates.
         let clock_rate = 0.99 + 0.02 * n as f64 / (self.gateways.len() - 1).max(1) as f64;
         let clock = self.now * clock_rate;
         let mut shared_budgets = SharedBudgets::new(id, PROOF_LIFETIME, id, clock);
@@ -134,14 +135,14 @@
         self.deliver_adjustments(n);
     }
 
-    /// Kills the process of a gateway: it sends nothing any more.
+    /// Kills the process of a gateway.
     pub fn kill(&mut self, n: usize) {
         if let Some(gateway) = self.gateways[n].take() {
             self.past_uses.extend(gateway.used_at.iter().map(|at| at / gateway.clock_rate));
         }
     }
 
-    /// Informs all processes of the others, as membership would.
+    /// Tells every process which other processes there are, as membership does.
     fn announce_peers(&mut self) {
         let ids: Vec<u64> = self.gateways.iter().flatten().map(|n| n.id).collect();
         for n in 0..self.gateways.len() {
@@ -153,12 +154,12 @@
         }
     }
 
-    /// The gateway that a process runs for; none where it is gone.
+    /// The index of the gateway that runs the process; `None` if the process no longer exists.
     pub fn gateway_of(&self, id: ProcessId) -> Option<usize> {
         self.gateways.iter().position(|n| n.as_ref().is_some_and(|n| n.id == id))
     }
 
-    /// What a gateway may use at this moment, by its last adjustment.
+    /// How much a gateway may use now according to its last adjustment.
     pub fn allowed(&self, n: usize) -> f64 {
         let clock = self.clock(n);
         let Some(gateway) = &self.gateways[n] else { return 0.0 };
@@ -170,7 +171,7 @@
         (self.quota + adjustment).max(0.0)
     }
 
-    /// Units of a gateway in use now.
+    /// Units currently in use at a gateway.
     fn in_use(&self, n: usize) -> f64 {
         let (clock, max_use) = (self.clock(n), self.kind.max_use_duration());
         let used = self.gateways[n].iter().flat_map(|gateway| &gateway.used_at);
@@ -185,7 +186,7 @@
         UsageMeter { requested: gateway.requested as u64, denied: gateway.denied, in_use }
     }
 
-    /// Passes adjustments on, and only then messages.
+    /// Applies adjustments before sending messages, as [`SharedBudgets`] requires.
     fn deliver_adjustments(&mut self, n: usize) {
         let clock = self.clock(n);
         let Some(gateway) = self.gateways[n].as_mut() else { return };
@@ -202,7 +203,7 @@
         }
     }
 
-    /// What a gateway does when its budgets are due.
+    /// Performs the periodic work of a gateway.
     pub fn tick(&mut self, n: usize) {
         let (clock, meter) = (self.clock(n), self.meter(n));
         if let Some(gateway) = self.gateways[n].as_mut() {
@@ -212,7 +213,7 @@
         self.deliver_adjustments(n);
     }
 
-    /// Delivers a message to the process that its recipient has now.
+    /// Delivers a message to the current process of its recipient.
     pub fn deliver(&mut self, message: SentMessage) {
         let SentMessage { sender, recipient, bytes } = message;
         let (clock, meter) = (self.clock(recipient), self.meter(recipient));
@@ -223,7 +224,7 @@
         self.deliver_adjustments(recipient);
     }
 
-    /// Uses one unit at a gateway if it may; returns whether it did.
+    /// Uses one unit at a gateway if allowed. Returns whether it was.
     pub fn try_use_one(&mut self, n: usize) -> bool {
         let is_allowed = self.in_use(n) + 1.0 <= self.allowed(n) + 1e-9;
         let clock = self.clock(n);
@@ -238,15 +239,15 @@
         is_allowed
     }
 
-    /// By how much all gateways together use more than there is. Each restart allows for one more quota in a window, as
-    /// processes count their windows anew.
+    /// By how much the gateways together exceed the budget. In a window, each restart allows one additional quota, as a new
+    /// process starts with an empty window.
     pub fn excess(&self) -> f64 {
         match self.kind {
             BudgetKind::Rate => {
                 (0..self.gateways.len()).map(|n| self.allowed(n)).sum::<f64>() - self.total_quota()
             }
             BudgetKind::Window(window) => {
-                // A window as the fastest clock has it.
+                // The length of the window on the fastest clock, in true time.
                 let since = self.now - window / 1.01;
                 let live =
                     self.gateways.iter().flatten().flat_map(|n| n.used_at.iter().map(|at| at / n.clock_rate));
@@ -254,29 +255,29 @@
                 let restarts = self.restarts.iter().filter(|at| **at > since - PROOF_LIFETIME).count() as f64;
                 used - self.total_quota() - self.quota * restarts
             }
-            // What was sent ends by itself, and ends with its process.
+            // Units in flight are released after their maximum duration, or when their process exits.
             BudgetKind::InFlight(_) => {
                 (0..self.gateways.len()).map(|n| self.in_use(n)).sum::<f64>() - self.total_quota()
             }
         }
     }
 
-    /// When a gateway is due next, in true time.
+    /// When the next tick of a gateway is due, in true time.
     pub fn next_tick(&self, n: usize) -> f64 {
-        // A little later: a tick that rounding makes too early does nothing.
+        // Adds a small delay, as a tick that is early because of rounding would do nothing.
         self.gateways[n]
             .as_ref()
             .map_or(f64::INFINITY, |gateway| gateway.shared_budgets.next_tick() / gateway.clock_rate + 1e-6)
     }
 }
 
-/// What happens to a message that is sent at a time (the first argument) from a gateway to a gateway: the delays after
-/// which it arrives, several where it is repeated, none where it is lost.
+/// Decides what happens to a message, given its send time, sender and recipient. Returns the delays after which it arrives:
+/// several if it is duplicated, none if it is lost.
 pub type DeliveryRule<'r> = &'r mut dyn FnMut(f64, usize, usize) -> Vec<f64>;
 
 impl SimulatedFleet {
-    /// Runs the fleet for some seconds; units are used as soon as they may be. Panics where all together use more than
-    /// there is.
+    /// Runs the fleet for the given number of seconds. Units are used as soon as possible. Panics if the gateways together
+    /// exceed the budget.
     pub fn run(&mut self, seconds: f64, delivery: DeliveryRule<'_>) {
         let until = self.now + seconds;
         let mut in_transit: Vec<(f64, SentMessage)> = Vec::new();
@@ -320,7 +321,7 @@
         }
     }
 
-    /// Sets how many units a second the clients of a gateway request.
+    /// Sets how many units per second the clients of a gateway request.
     pub fn set_demand(&mut self, n: usize, demand: f64) {
         self.gateways[n].iter_mut().for_each(|gateway| gateway.demand = demand);
     }
--- a/crates/shared-budgets/tests/lifecycle.rs
+++ b/crates/shared-budgets/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Opening and closing budgets, and what is published of them.
+//! Opening and closing budgets, and publishing their adjustments.
 
 use milletpath_shared_budgets::{
     BudgetKind, CloseError, Entitlement, QuotaAdjustment, SharedBudgets, SlotAdjustment, UsageMeter,
@@ -9,7 +9,7 @@
 const ENTITLEMENT: Entitlement =
     Entitlement { fraction: 1.0, floor_fraction: 1.0, valid_until: f64::INFINITY };
 
-/// A gateway with one budget, a rate of which its quota is 10.
+/// A gateway with one budget, a rate with a quota of 10.
 fn gateway(own_id: u64, peer: u64) -> (SharedBudgets, usize) {
     let mut budgets = SharedBudgets::new(own_id, 3.0, own_id, 0.0);
     budgets.set_entitlement(0.0, ENTITLEMENT, vec![peer]);
@@ -17,7 +17,7 @@
     (budgets, slot)
 }
 
-/// A lender that has granted a lease at second 10, long after its start.
+/// A lender that granted a lease at 10 s, after any leases of its predecessor have ended.
 fn lender() -> (SharedBudgets, usize) {
     let (mut borrower, slot) = gateway(BORROWER, LENDER);
     borrower.record_usage(10.0, slot, UsageMeter { requested: 500, denied: 100, in_use: 0.0 });
@@ -26,7 +26,7 @@
     let (mut lender, slot) = gateway(LENDER, BORROWER);
     lender.receive(10.0, BORROWER, &request.bytes, &mut |_| None);
     assert!(lender.next_message().is_some(), "it grants a lease");
-    // What a predecessor may have granted has ended and is forgotten.
+    // Removes the ended leases that its predecessor may have granted.
     lender.tick(10.0);
     (lender, slot)
 }
--- a/crates/shared-budgets/tests/scenarios.rs
+++ b/crates/shared-budgets/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Scenarios of larger fleets in simulated time: what a gateway gets that needs more than its quota, and what the others
-//! keep.
+//! Scenarios with larger fleets in simulated time: how much budget a gateway obtains beyond its quota, and how much the
+//! other gateways keep.
 
 mod fleet;
 
@@ -13,27 +13,27 @@
 const RATE: BudgetKind = BudgetKind::Rate;
 const WINDOW: BudgetKind = BudgetKind::Window(10.0);
 
-/// Delivers messages within two milliseconds; loses a fraction of them.
+/// Delivers messages within two milliseconds and loses a fraction of them.
 fn lossy(loss: f64, seed: u64) -> impl FnMut(f64, usize, usize) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     move |_, _, _| if rng.random_bool(loss) { vec![] } else { vec![rng.random_range(0.0002..0.002)] }
 }
 
-/// Twelve gateways that have run for a while, so that no quota is reserved for a predecessor any more.
+/// Twelve gateways that have run long enough that no quota is withheld for leases of a predecessor.
 fn warmed_up_fleet(kind: BudgetKind, quota: f64) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(12, kind, quota, InjectedFaults::default());
     fleet.run(3.0, &mut lossy(0.0, 1));
     fleet
 }
 
-/// Mean fraction of the budget that one gateway may use over some seconds.
+/// Mean fraction of the whole budget that a gateway may use over the given number of seconds.
 fn mean_fraction(
     fleet: &mut SimulatedFleet,
     n: usize,
     seconds: f64,
     delivery: fleet::DeliveryRule<'_>,
 ) -> f64 {
-    /// Seconds between two samples.
+    /// Time between two samples, in seconds.
     const SAMPLE_INTERVAL: f64 = 0.05;
     let (mut sum, samples) = (0.0, (seconds / SAMPLE_INTERVAL) as usize);
     for _ in 0..samples {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Traffic moves from one half of the fleet to the other at once.
+/// Traffic moves instantly from one half of the fleet to the other.
 #[test]
 fn budget_follows_traffic_to_other_gateways_within_five_seconds() {
     let mut fleet = warmed_up_fleet(RATE, 10.0);
@@ -72,7 +72,7 @@
     assert!(fraction_of(&fleet, 6..12) >= 0.9, "{}", fraction_of(&fleet, 6..12));
 }
 
-/// Units of a window return after use, and are leased to the same gateway over and over.
+/// Units of a window return to their lenders after use and must be leased to the same gateway repeatedly.
 #[test]
 fn nearly_all_units_of_a_window_go_to_the_gateway_with_the_demand() {
     let mut fleet = warmed_up_fleet(WINDOW, 10.0);
@@ -85,7 +85,7 @@
     assert!(rate >= 0.9 * fleet.total_quota() / 10.0, "{rate} a second");
 }
 
-/// It gets what the others don't need, and no more.
+/// A gateway with excessive demand must get only what the others do not need.
 #[test]
 fn a_gateway_that_requests_everything_does_not_starve_the_others() {
     let mut fleet = warmed_up_fleet(RATE, 10.0);
@@ -105,8 +105,8 @@
     }
 }
 
-/// Cut off while nearly all of its quota is leased, a gateway has all of it again once the leases have ended, and never
-/// less than what it reserves.
+/// A gateway is isolated while nearly all of its quota is leased. It must regain the full quota once the leases have ended
+/// and keep its reserved fraction until then.
 #[test]
 fn an_isolated_lender_regains_its_quota_within_a_lease() {
     let mut fleet = warmed_up_fleet(RATE, 10.0);
@@ -123,7 +123,7 @@
     assert!(fleet.allowed(7) >= 10.0 - 1e-9, "{}", fleet.allowed(7));
 }
 
-/// Each of twelve gateways has a quota of a twelfth of the unit; first one requests it, then two.
+/// Each of twelve gateways has a quota of one twelfth of the unit. One gateway requests the unit, later two.
 #[test]
 fn a_budget_of_one_unit_is_used_by_each_requester_in_turn() {
     let mut fleet = warmed_up_fleet(BudgetKind::Window(2.0), 1.0 / 12.0);
@@ -138,8 +138,8 @@
     assert!(both >= 20, "{both} times in a minute");
 }
 
-/// A borrower and lenders are killed and restarted while leases run, and each message is delivered three times. The check
-/// is in [`SimulatedFleet::run`].
+/// A borrower and several lenders are killed and restarted while leases are running, and each message is delivered three
+/// times. [`SimulatedFleet::run`] checks the budget.
 #[test]
 fn kills_and_restarts_with_replayed_messages_never_exceed_the_budget() {
     for kind in [RATE, WINDOW, BudgetKind::InFlight(1.0)] {
@@ -166,7 +166,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Kills, restarts, partitions, loss, delay and jumps of demand in random order.
+    /// Kills, restarts, partitions, message loss, delays and demand changes occur in random order.
     #[test]
     fn random_faults_among_24_gateways_never_exceed_the_budget(
         seed in any::<u64>(),
--- a/crates/shared-budgets/tests/wire_format.rs
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Messages and operators' views byte for byte, as the version of 2026-12-02 wrote them: gateways of two versions run side
-//! by side during an upgrade, and operators' scripts read the JSON.
+//! Verifies that messages and operators' views stay byte for byte as the version of 2026-12-02 wrote them. Gateways of two
+//! versions run side by side during an upgrade, and operators' scripts read the JSON.
 
 use milletpath_shared_budgets::{BudgetKind, Entitlement, FunctionConcurrency, SharedBudgets, UsageMeter};
 
@@ -24,7 +24,7 @@
     (shared_budgets, slots)
 }
 
-/// A gateway that needs more than its quota of three budgets, ten seconds after its start.
+/// A gateway whose demand exceeds its quota of three budgets, ten seconds after its start.
 fn requester() -> SharedBudgets {
     let (mut shared_budgets, [rate, window, in_flight]) = gateway(REQUESTER, LENDER);
     shared_budgets.record_usage(10.0, rate, UsageMeter { requested: 500, denied: 100, in_use: 0.0 });
@@ -87,7 +87,7 @@
     let (mut aggregator, _) = gateway(LENDER, REQUESTER);
     aggregator.report_usage(10.0, example_concurrency);
     reporter.report_usage(10.0, example_concurrency);
-    // The aggregator's own reports go out first; what follows are its answers.
+    // Discards the aggregator's own reports, so that only its answers remain.
     while aggregator.next_message().is_some() {}
     while let Some(report) = reporter.next_message() {
         aggregator.receive(10.0, REQUESTER, &report.bytes, &mut |_| None);
