--- a/crates/sealed-datagram/tests/wire_format.rs
+++ b/crates/sealed-datagram/tests/wire_format.rs
@@ -17,21 +17,21 @@
 }
 
 #[test]
-fn the_body_is_read_with_the_key_and_seen_without_it() {
+fn the_body_can_be_read_with_and_without_the_key() {
     assert_eq!(Key::new(CONTEXT, SECRET).open(&datagram()), Ok(BODY));
     assert_eq!(body_unverified(&datagram()), Some(BODY));
     assert_eq!(body_unverified(&datagram()[..16]), None);
 }
 
 #[test]
-fn another_secret_or_context_is_refused() {
+fn another_secret_or_context_is_rejected() {
     for key in [Key::new(CONTEXT, b"another"), Key::new("another", SECRET)] {
         assert_eq!(key.open(&datagram()), Err(OpenError::InvalidTag));
     }
 }
 
 #[test]
-fn a_change_of_any_byte_is_refused() {
+fn a_change_of_any_byte_is_rejected() {
     let key = Key::new(CONTEXT, SECRET);
     for index in 0..datagram().len() {
         let mut changed = datagram();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn sizes_out_of_bounds_are_refused() {
+fn invalid_sizes_are_rejected() {
     let key = Key::new(CONTEXT, SECRET);
     let largest_body = MAX_DATAGRAM_LEN - (datagram().len() - BODY.len());
     assert_eq!(key.seal(1, &vec![0; largest_body]).map(|d| d.len()), Ok(MAX_DATAGRAM_LEN));
@@ -55,6 +55,6 @@
 }
 
 #[test]
-fn a_key_is_not_printed() {
+fn debug_output_hides_the_key() {
     assert_eq!(format!("{:?}", Key::new(CONTEXT, SECRET)), "Key(..)");
 }
--- a/crates/shared-budgets/src/budget.rs
+++ b/crates/shared-budgets/src/budget.rs
@@ -81,13 +81,13 @@
             && holds_something
             && self.ledger.allowed(entitlement, now) + UNIT_EPSILON < 1.0;
         self.unsuccessful_rounds = if holds_fraction { self.unsuccessful_rounds + 1 } else { 0 };
-        let use_now = self.ledger.fractional_use();
-        let has_used_unit = self.previous_use < use_now;
-        self.previous_use = use_now;
+        let current_use = self.ledger.fractional_use();
+        let has_used_unit = self.previous_use < current_use;
+        self.previous_use = current_use;
         if self.unsuccessful_rounds >= MAX_UNSUCCESSFUL_ROUNDS || has_used_unit {
             self.unsuccessful_rounds = 0;
-            let last_use = if has_used_unit { self.ledger.kind().max_use_duration() } else { 0.0 };
-            self.paused_until = now + (last_use + MEAN_PAUSE * 2.0 * rng.rand_float());
+            let use_duration = if has_used_unit { self.ledger.kind().max_use_duration() } else { 0.0 };
+            self.paused_until = now + (use_duration + MEAN_PAUSE * 2.0 * rng.rand_float());
         }
     }
 
--- a/crates/shared-budgets/src/budget_kind.rs
+++ b/crates/shared-budgets/src/budget_kind.rs
@@ -32,12 +32,12 @@
 
     /// The key of a budget of this kind and name in messages: a hash of both, identical on all gateways.
     pub(crate) fn budget_key(self, name: &str) -> u64 {
-        let kind = match self {
+        let kind_prefix = match self {
             Self::Rate => "rate".to_owned(),
             Self::Window(seconds) => format!("window {seconds}"),
             // The prefix "hand" is this kind's original name; the hash is on the wire, so it cannot change.
             Self::InFlight(seconds) => format!("hand {seconds}"),
         };
-        xxh3_64(format!("{kind}/{name}").as_bytes())
+        xxh3_64(format!("{kind_prefix}/{name}").as_bytes())
     }
 }
--- a/crates/shared-budgets/src/clock/tests.rs
+++ b/crates/shared-budgets/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_callers_clock_that_goes_back_does_not_turn_time_back() {
+fn time_does_not_go_backwards_with_the_callers_clock() {
     let mut clock = MonotonicClock::new(100.0);
     assert_eq!(clock.advance(110.0), 110.0);
     assert_eq!(clock.advance(50.0), 110.0);
--- a/crates/shared-budgets/src/ledger/granted.rs
+++ b/crates/shared-budgets/src/ledger/granted.rs
@@ -77,8 +77,10 @@
 
     /// The borrower with the lowest id that has requested a nonzero level within the last `seconds`.
     pub(super) fn first_requester(&self, now: f64, seconds: f64) -> Option<ProcessId> {
-        let mut requesters =
-            self.0.iter().filter(|(_, b)| b.requested_within(seconds, now) && b.requested > 0.0);
+        let mut requesters = self
+            .0
+            .iter()
+            .filter(|(_, borrower)| borrower.requested_within(seconds, now) && borrower.requested > 0.0);
         requesters.next().map(|(id, _)| *id)
     }
 
@@ -97,14 +99,14 @@
         let mut requested: Vec<f64> = recent.map(|borrower| borrower.requested).collect();
         requested.sort_by(f64::total_cmp);
         let mut remaining = capacity;
-        let mut claimants = requested.len() as f64;
+        let mut remaining_borrowers = requested.len() as f64;
         for requested in requested {
-            let common_level = remaining / claimants;
+            let common_level = remaining / remaining_borrowers;
             if requested >= common_level {
                 return common_level.min(requested_by_borrower);
             }
             remaining -= requested;
-            claimants -= 1.0;
+            remaining_borrowers -= 1.0;
         }
         requested_by_borrower
     }
--- a/crates/shared-budgets/src/ledger/held.rs
+++ b/crates/shared-budgets/src/ledger/held.rs
@@ -60,8 +60,8 @@
         let Some(lender) = self.0.get_mut(&lender) else { return };
         let Some(index) = lender.pending.iter().position(|request| request.number == number) else { return };
         let sent_at = lender.pending[index].sent_at;
-        let since = lender.pending.iter().skip(index);
-        let level = since.map(|request| request.level).fold(terms.level, f64::min);
+        let requests_since = lender.pending.iter().skip(index);
+        let level = requests_since.map(|request| request.level).fold(terms.level, f64::min);
         let end = sent_at + duration;
         if end > now {
             lender.levels.add_held(end, level);
--- a/crates/shared-budgets/src/outbox/tests.rs
+++ b/crates/shared-budgets/src/outbox/tests.rs
@@ -10,10 +10,10 @@
 }
 
 #[test]
-fn messages_beyond_the_bytes_a_second_are_refused_until_time_passes() {
+fn messages_beyond_the_byte_rate_are_refused_until_time_passes() {
     let mut outbox = Outbox::new(0.0);
-    assert_eq!(push_all(&mut outbox, 0.0), MESSAGES_PER_SECOND, "66 of 150 bytes");
-    assert_eq!(push_all(&mut outbox, 0.5), 34, "5,000 bytes, and 100 that were left");
+    assert_eq!(push_all(&mut outbox, 0.0), MESSAGES_PER_SECOND, "66 messages of 150 bytes");
+    assert_eq!(push_all(&mut outbox, 0.5), 34, "5,000 bytes refilled and 100 bytes left over");
     assert_eq!(push_all(&mut outbox, 100.0), MESSAGES_PER_SECOND);
 }
 
--- a/crates/shared-budgets/src/request_plan.rs
+++ b/crates/shared-budgets/src/request_plan.rs
@@ -72,9 +72,9 @@
 fn probe_peers(plan: &mut Vec<GatewayLevel>, ledger: &Ledger, peers: &[ProcessId], now: f64, missing: f64) {
     let unknown: Vec<ProcessId> =
         peers.iter().copied().filter(|peer| ledger.reported_spare(now, *peer).is_none()).collect();
-    let per_peer = (PROBE_FACTOR * missing / unknown.len().max(1) as f64).min(missing);
+    let level_per_peer = (PROBE_FACTOR * missing / unknown.len().max(1) as f64).min(missing);
     for peer in unknown {
-        increase_request(plan, peer, per_peer);
+        increase_request(plan, peer, level_per_peer);
     }
 }
 
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -196,8 +196,8 @@
     /// When [`tick`](Self::tick), followed by [`take_adjustments`](Self::take_adjustments), is due next.
     #[must_use]
     pub fn next_tick(&self) -> f64 {
-        let early = if self.was_denied { self.earliest_round_at() } else { f64::INFINITY };
-        self.clock.caller_time(self.next_round_at.min(early).min(self.next_renewal_at))
+        let early_round_at = if self.was_denied { self.earliest_round_at() } else { f64::INFINITY };
+        self.clock.caller_time(self.next_round_at.min(early_round_at).min(self.next_renewal_at))
     }
 
     /// Handles a message from another gateway. `read_meter` returns the current meter reading of a slot, or `None` for a
@@ -422,8 +422,8 @@
                 || budget.ledger.covers_use_after(&self.entitlement, now, &planned);
             for request in planned {
                 let level = level_to_wire_rounded_up(request.level);
-                let request_on_wire = LeaseRequest { budget_key: budget.key, level, releases };
-                requests.entry(request.gateway).or_default().push(request_on_wire);
+                let lease_request = LeaseRequest { budget_key: budget.key, level, releases };
+                requests.entry(request.gateway).or_default().push(lease_request);
             }
         }
         requests
--- a/crates/shared-budgets/src/usage_counts.rs
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -178,8 +178,8 @@
                 *sum = sum.saturating_add(entry.concurrency);
             }
         };
-        let of_bucket = self.reports.range((bucket, 0)..=(bucket, ProcessId::MAX));
-        for (_, report) in of_bucket.filter(|((_, reporter), _)| *reporter != excluded) {
+        let bucket_reports = self.reports.range((bucket, 0)..=(bucket, ProcessId::MAX));
+        for (_, report) in bucket_reports.filter(|((_, reporter), _)| *reporter != excluded) {
             add(&report.usage);
         }
         if excluded != self.own_id {
--- a/crates/shared-budgets/src/usage_counts/tests.rs
+++ b/crates/shared-budgets/src/usage_counts/tests.rs
@@ -55,7 +55,10 @@
     fn remote_concurrency(&mut self, id: u64) -> Option<f64> {
         let now = self.now;
         let known = self.gateway(id).remote_concurrency(now)?;
-        assert!(known.len() <= 10 && known.values().all(|v| *v == known[&0]), "{known:?}");
+        assert!(
+            known.len() <= 10 && known.values().all(|concurrency| *concurrency == known[&0]),
+            "{known:?}"
+        );
         Some(known[&0])
     }
 }
--- a/crates/shared-budgets/tests/exhaustive_search.rs
+++ b/crates/shared-budgets/tests/exhaustive_search.rs
@@ -144,8 +144,9 @@
             }
             continue;
         }
-        let earliest =
-            (0..SIZE).min_by(|a, b| fleet.next_tick(*a).total_cmp(&fleet.next_tick(*b))).expect("three");
+        let earliest = (0..SIZE)
+            .min_by(|a, b| fleet.next_tick(*a).total_cmp(&fleet.next_tick(*b)))
+            .expect("the fleet has gateways");
         if fleet.next_tick(earliest) > until {
             fleet.now = until;
             return Ok(());
@@ -267,8 +268,10 @@
             fleet.allowed(0),
             fleet.allowed(2)
         );
-        let end =
-            fleet.gateways[2].as_ref().and_then(|n| n.next_grant_end()).expect("it has granted a lease");
+        let end = fleet.gateways[2]
+            .as_ref()
+            .and_then(|gateway| gateway.next_grant_end())
+            .expect("it has granted a lease");
         for _ in 0..3000 {
             fleet.now += 0.001;
             // The borrower is paused shortly before the end of the lease and keeps its last adjustment.
--- a/crates/shared-budgets/tests/fleet/mod.rs
+++ b/crates/shared-budgets/tests/fleet/mod.rs
@@ -54,7 +54,7 @@
     /// Each gateway's quota.
     pub quota: f64,
     pub faults: InjectedFaults,
-    starts: u64,
+    start_count: u64,
     /// When units were taken by processes that have since been killed, in true time.
     pub past_uses: Vec<f64>,
     /// When processes were restarted, in true time.
@@ -87,7 +87,7 @@
             kind,
             quota,
             faults,
-            starts: 0,
+            start_count: 0,
             past_uses,
             restarts,
             bytes: 0,
@@ -109,8 +109,8 @@
 
     /// Starts a process for a gateway that has none.
     pub fn start(&mut self, n: usize) {
-        self.starts += 1;
-        let id = self.starts * 100 + n as u64;
+        self.start_count += 1;
+        let id = self.start_count * 100 + n as u64;
         // Clock rates range from the slowest to the fastest that the protocol tolerates.
         let clock_rate = 0.99 + 0.02 * n as f64 / (self.gateways.len() - 1).max(1) as f64;
         let clock = self.now * clock_rate;
@@ -144,7 +144,7 @@
 
     /// Tells every process which other processes there are, as membership does.
     fn announce_peers(&mut self) {
-        let ids: Vec<u64> = self.gateways.iter().flatten().map(|n| n.id).collect();
+        let ids: Vec<u64> = self.gateways.iter().flatten().map(|gateway| gateway.id).collect();
         for n in 0..self.gateways.len() {
             let clock = self.clock(n);
             if let Some(gateway) = self.gateways[n].as_mut() {
@@ -156,7 +156,7 @@
 
     /// The index of the gateway that runs the process; `None` if the process no longer exists.
     pub fn gateway_of(&self, id: ProcessId) -> Option<usize> {
-        self.gateways.iter().position(|n| n.as_ref().is_some_and(|n| n.id == id))
+        self.gateways.iter().position(|gateway| gateway.as_ref().is_some_and(|gateway| gateway.id == id))
     }
 
     /// How much a gateway may use now according to its last adjustment.
@@ -194,8 +194,8 @@
             gateway.adjustment = published.adjustment;
         }
         let sender = gateway.id;
-        let out: Vec<_> = std::iter::from_fn(|| gateway.shared_budgets.next_message()).collect();
-        for OutgoingMessage { recipient, bytes } in out {
+        let outgoing: Vec<_> = std::iter::from_fn(|| gateway.shared_budgets.next_message()).collect();
+        for OutgoingMessage { recipient, bytes } in outgoing {
             self.bytes += bytes.len() as u64 + 120;
             if let Some(recipient) = self.gateway_of(recipient) {
                 self.messages.push(SentMessage { sender, recipient, bytes });
@@ -249,8 +249,11 @@
             BudgetKind::Window(window) => {
                 // The length of the window on the fastest clock, in true time.
                 let since = self.now - window / 1.01;
-                let live =
-                    self.gateways.iter().flatten().flat_map(|n| n.used_at.iter().map(|at| at / n.clock_rate));
+                let live = self
+                    .gateways
+                    .iter()
+                    .flatten()
+                    .flat_map(|gateway| gateway.used_at.iter().map(|at| at / gateway.clock_rate));
                 let used = live.chain(self.past_uses.iter().copied()).filter(|at| *at > since).count() as f64;
                 let restarts = self.restarts.iter().filter(|at| **at > since - PROOF_LIFETIME).count() as f64;
                 used - self.total_quota() - self.quota * restarts
@@ -285,25 +288,25 @@
             for sent in std::mem::take(&mut self.messages) {
                 if let Some(from) = self.gateway_of(sent.sender) {
                     let delays = delivery(self.now, from, sent.recipient);
-                    in_transit.extend(delays.into_iter().map(|d| (self.now + d, sent.clone())));
+                    in_transit.extend(delays.into_iter().map(|delay| (self.now + delay, sent.clone())));
                 }
             }
             let excess = self.excess();
             assert!(excess < 1e-6, "exceeded by {excess} at {:.3} s", self.now);
             let next_delivery =
                 (0..in_transit.len()).min_by(|a, b| in_transit[*a].0.total_cmp(&in_transit[*b].0));
-            let next_ticking =
+            let next_gateway =
                 (0..self.gateways.len()).min_by(|a, b| self.next_tick(*a).total_cmp(&self.next_tick(*b)));
             let (delivery_at, tick_at) = (
-                next_delivery.map_or(f64::INFINITY, |c| in_transit[c].0),
-                next_ticking.map_or(f64::INFINITY, |n| self.next_tick(n)),
+                next_delivery.map_or(f64::INFINITY, |message| in_transit[message].0),
+                next_gateway.map_or(f64::INFINITY, |n| self.next_tick(n)),
             );
             if delivery_at.min(tick_at) > until {
                 self.now = until;
                 return;
             }
             self.now = self.now.max(delivery_at.min(tick_at));
-            match (next_delivery, next_ticking) {
+            match (next_delivery, next_gateway) {
                 (Some(message), _) if delivery_at <= tick_at => {
                     let (_, sent) = in_transit.swap_remove(message);
                     self.deliver(sent);
--- a/crates/shared-budgets/tests/lifecycle.rs
+++ b/crates/shared-budgets/tests/lifecycle.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn name_and_kind_together_tell_budgets_apart() {
+fn name_and_kind_together_identify_a_budget() {
     let (mut budgets, slot) = gateway(BORROWER, LENDER);
     assert_ne!(budgets.open(0.0, "rate", BudgetKind::Window(1.0), 10.0), slot);
     assert_ne!(budgets.open(0.0, "another", BudgetKind::Rate, 10.0), slot);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_adjustment_is_returned_once_and_again_on_demand() {
+fn an_adjustment_is_returned_once_and_again_after_a_resend() {
     let (mut lender, slot) = lender();
     let adjustment = QuotaAdjustment { amount: -9.5, amount_after_expiry: -9.5, valid_until: f64::INFINITY };
     assert_eq!(lender.take_adjustments(10.0), [SlotAdjustment { slot, adjustment }]);
--- a/crates/shared-budgets/tests/scenarios.rs
+++ b/crates/shared-budgets/tests/scenarios.rs
@@ -45,14 +45,14 @@
 
 #[test_case(0.0, 0.9; "without message loss")]
 #[test_case(0.3, 0.8; "with 30 percent message loss")]
-fn one_gateway_with_all_the_traffic_gets_nearly_the_whole_budget(loss: f64, least: f64) {
+fn one_gateway_with_all_the_traffic_gets_nearly_the_whole_budget(loss: f64, min_fraction: f64) {
     for seed in 1..=5 {
         let mut fleet = warmed_up_fleet(RATE, 10.0);
         fleet.set_demand(3, 1000.0);
         let mut delivery = lossy(loss, seed);
         fleet.run(3.0, &mut delivery);
         let fraction = mean_fraction(&mut fleet, 3, 10.0, &mut delivery);
-        assert!(fraction >= least, "seed {seed}: {fraction}");
+        assert!(fraction >= min_fraction, "seed {seed}: {fraction}");
     }
 }
 
@@ -78,11 +78,12 @@
     let mut fleet = warmed_up_fleet(WINDOW, 10.0);
     fleet.set_demand(5, 50.0);
     fleet.run(12.0, &mut lossy(0.0, 1));
-    let units_used = |fleet: &SimulatedFleet| fleet.gateways[5].as_ref().map_or(0, |n| n.used_at.len());
+    let units_used =
+        |fleet: &SimulatedFleet| fleet.gateways[5].as_ref().map_or(0, |gateway| gateway.used_at.len());
     let before = units_used(&fleet);
     fleet.run(20.0, &mut lossy(0.0, 1));
     let rate = (units_used(&fleet) - before) as f64 / 20.0;
-    assert!(rate >= 0.9 * fleet.total_quota() / 10.0, "{rate} a second");
+    assert!(rate >= 0.9 * fleet.total_quota() / 10.0, "{rate} units per second");
 }
 
 /// A gateway with excessive demand must get only what the others do not need.
@@ -129,13 +130,14 @@
     let mut fleet = warmed_up_fleet(BudgetKind::Window(2.0), 1.0 / 12.0);
     fleet.set_demand(2, 5.0);
     fleet.run(10.0, &mut lossy(0.0, 1));
-    let units_used =
-        |fleet: &SimulatedFleet, n: usize| fleet.gateways[n].as_ref().map_or(0, |n| n.used_at.len());
+    let units_used = |fleet: &SimulatedFleet, n: usize| {
+        fleet.gateways[n].as_ref().map_or(0, |gateway| gateway.used_at.len())
+    };
     assert!(units_used(&fleet, 2) >= 3, "{}", units_used(&fleet, 2));
     fleet.set_demand(9, 5.0);
     fleet.run(60.0, &mut lossy(0.0, 1));
     let both = units_used(&fleet, 2) + units_used(&fleet, 9);
-    assert!(both >= 20, "{both} times in a minute");
+    assert!(both >= 20, "{both} units in one minute");
 }
 
 /// A borrower and several lenders are killed and restarted while leases are running, and each message is delivered three
@@ -185,8 +187,8 @@
             }
             let partition = rng.random_range(0..24);
             let mut link_rng = ChaCha8Rng::seed_from_u64(rng.random());
-            let mut delivery = move |_: f64, a: usize, b: usize| {
-                let cut = (a < partition) != (b < partition);
+            let mut delivery = move |_: f64, from: usize, to: usize| {
+                let cut = (from < partition) != (to < partition);
                 if cut || link_rng.random_bool(loss) {
                     return vec![];
                 }
--- a/crates/shared-budgets/tests/wire_format.rs
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn usage_sums_keep_their_bytes() {
+fn usage_totals_keep_their_bytes() {
     let (mut reporter, _) = gateway(REQUESTER, LENDER);
     let (mut aggregator, _) = gateway(LENDER, REQUESTER);
     aggregator.report_usage(10.0, example_concurrency);
@@ -92,7 +92,7 @@
     while let Some(report) = reporter.next_message() {
         aggregator.receive(10.0, REQUESTER, &report.bytes, &mut |_| None);
     }
-    let sums = [
+    let totals = [
         "1 a800000180028003000402058006800701",
         "1 a800000180028003000403058006800701",
         "1 a800000180028003000405058006800701",
@@ -104,7 +104,7 @@
         "1 a80000018002800300040e05800681820818fa0701",
         "1 a80000018002800300040f0580068182071905dc0701",
     ];
-    assert_eq!(sent(&mut aggregator), sums);
+    assert_eq!(sent(&mut aggregator), totals);
 }
 
 #[test]
