--- a/crates/sealed-datagram/src/lib.rs
+++ b/crates/sealed-datagram/src/lib.rs
@@ -1,10 +1,10 @@
-//! Datagrams authenticated, but not encrypted, with a secret shared by a fleet. The content of the body is defined by the
-//! protocol that uses it. Each protocol between gateways or control machines has its own [`Key`], so that a datagram of one
-//! protocol is rejected by another.
+//! Datagrams authenticated, but not encrypted, with a secret shared by a fleet. The content of the body is defined by
+//! the protocol that uses it. Each protocol between gateways or control machines has its own [`Key`], so that a
+//! datagram of one protocol is rejected by another.
 //!
-//! Layout: byte 0 is the version, bytes 1 to 16 are the tag, and the body starts at byte 17. The tag is the first 16 bytes
-//! of BLAKE3's keyed hash (*BLAKE3: one function, fast everywhere*, section 2.3) over the version and the body. There is no
-//! replay protection: the protocol must tolerate replayed datagrams.
+//! Layout: byte 0 is the version, bytes 1 to 16 are the tag, and the body starts at byte 17. The tag is the first 16
+//! bytes of BLAKE3's keyed hash (*BLAKE3: one function, fast everywhere*, section 2.3) over the version and the body.
+//! There is no replay protection: the protocol must tolerate replayed datagrams.
 
 use std::fmt;
 use thiserror::Error;
@@ -48,8 +48,8 @@
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Derives a key. `context` identifies the protocol and must be unique to it; `secret` should consist of at least 32
-    /// random bytes.
+    /// Derives a key. `context` identifies the protocol and must be unique to it; `secret` should consist of at least
+    /// 32 random bytes.
     #[must_use]
     pub fn new(context: &str, secret: &[u8]) -> Self {
         Self(blake3::derive_key(context, secret))
@@ -110,8 +110,8 @@
     }
 }
 
-/// Returns the body of a datagram without verifying it, or `None` if the datagram is shorter than the header. For relays
-/// and checkers without the key; the body may be forged.
+/// Returns the body of a datagram without verifying it, or `None` if the datagram is shorter than the header. For
+/// relays and checkers without the key; the body may be forged.
 #[must_use]
 pub fn body_unverified(datagram: &[u8]) -> Option<&[u8]> {
     datagram.get(HEADER_LEN..)
--- a/crates/shared-budgets/src/adjustment.rs
+++ b/crates/shared-budgets/src/adjustment.rs
@@ -16,16 +16,17 @@
 /// Maximum validity of an adjustment that includes held leases, in seconds. It is renewed after half this time.
 const MAX_VALIDITY: f64 = 0.3;
 
-/// Added to units held on lease. Levels in messages are rounded down, so fractions that should add up to one unit may fall
-/// slightly short. A budget is an integer number of units, so fewer than 1000 gateways cannot gain a whole unit from this.
+/// Added to units held on lease. Levels in messages are rounded down, so fractions that should add up to one unit may
+/// fall slightly short. A budget is an integer number of units, so fewer than 1000 gateways cannot gain a whole unit
+/// from this.
 pub(crate) const UNIT_EPSILON: f64 = 1e-3;
 
 impl QuotaAdjustment {
     /// The adjustment of a budget without leases.
     pub(crate) const NONE: Self = Self { amount: 0.0, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
 
-    /// Placeholder for an adjustment that the receiver has lost. The NaN amount differs from every adjustment, including
-    /// itself.
+    /// Placeholder for an adjustment that the receiver has lost. The NaN amount differs from every adjustment,
+    /// including itself.
     pub(crate) const UNKNOWN: Self =
         Self { amount: f64::NAN, amount_after_expiry: 0.0, valid_until: f64::INFINITY };
 
@@ -34,7 +35,8 @@
         now + MAX_VALIDITY
     }
 
-    /// The adjustment for leases of `granted` to others and leases of `held` from others that last until at least `until`.
+    /// The adjustment for leases of `granted` to others and leases of `held` from others that last until at least
+    /// `until`.
     pub(crate) fn from_leases(granted: f64, held: f64, has_indivisible_units: bool, until: f64) -> Self {
         let held = if held > 0.0 && has_indivisible_units { held + UNIT_EPSILON } else { held };
         Self {
@@ -49,8 +51,8 @@
         self.valid_until - MAX_VALIDITY / 2.0
     }
 
-    /// Whether this published adjustment has the same amounts as `new` and is not due for renewal, so that `new` need not
-    /// be published.
+    /// Whether this published adjustment has the same amounts as `new` and is not due for renewal, so that `new` need
+    /// not be published.
     pub(crate) fn still_covers(&self, new: &Self, now: f64) -> bool {
         let has_same_amounts =
             self.amount == new.amount && self.amount_after_expiry == new.amount_after_expiry;
--- a/crates/shared-budgets/src/budget.rs
+++ b/crates/shared-budgets/src/budget.rs
@@ -72,9 +72,9 @@
     }
 
     /// Pauses requests that cannot succeed for a random time. A fraction of a unit cannot be used, and gateways that
-    /// request units concurrently could each hold a fraction forever (livelock). A gateway that fails to obtain a whole
-    /// unit therefore returns its leases and pauses. With a quota below one unit, a gateway also pauses after it has used
-    /// a unit, so that other gateways get the unit next.
+    /// request units concurrently could each hold a fraction forever (livelock). A gateway that fails to obtain a
+    /// whole unit therefore returns its leases and pauses. With a quota below one unit, a gateway also pauses after
+    /// it has used a unit, so that other gateways get the unit next.
     fn update_pause(&mut self, entitlement: &Entitlement, now: f64, rng: &mut Rand64) {
         let holds_something = self.ledger.held(now) > 0.0;
         let holds_fraction = self.ledger.kind().has_indivisible_units()
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Returns the current quota adjustment and marks it as published, or `None` if the last published one still applies.
+    /// Returns the current quota adjustment and marks it as published, or `None` if the last published one still
+    /// applies.
     pub(crate) fn publish_adjustment(&mut self, granted: f64, now: f64) -> Option<QuotaAdjustment> {
         let until = QuotaAdjustment::valid_until_from(now);
         let held = self.ledger.held(until);
--- a/crates/shared-budgets/src/budget_kind.rs
+++ b/crates/shared-budgets/src/budget_kind.rs
@@ -10,7 +10,8 @@
     /// Units within a sliding window of this length: a unit counts as in use for this long after it was taken. A new
     /// process starts with an empty window, so its full quota is available.
     Window(f64),
-    /// Concurrently used units, each used for at most this long. They are released when the process that uses them exits.
+    /// Concurrently used units, each used for at most this long. They are released when the process that uses them
+    /// exits.
     InFlight(f64),
 }
 
--- a/crates/shared-budgets/src/clock.rs
+++ b/crates/shared-budgets/src/clock.rs
@@ -1,6 +1,7 @@
 //! A clock that never goes backwards, even if the caller's clock does.
 
-/// A monotonic clock in seconds. It is ahead of the caller's clock by the sum of all backward steps of that clock so far.
+/// A monotonic clock in seconds. It is ahead of the caller's clock by the sum of all backward steps of that clock so
+/// far.
 #[derive(Clone, Debug)]
 pub(crate) struct MonotonicClock {
     now: f64,
--- a/crates/shared-budgets/src/demand.rs
+++ b/crates/shared-budgets/src/demand.rs
@@ -28,8 +28,8 @@
 /// Half-life of the average while the rate rises, in seconds. A jump is reflected within half a second.
 const RISE_HALF_LIFE: f64 = 0.25;
 
-/// Half-life of the average while the rate falls, in seconds. A drop to a tenth is reflected within two seconds. As leases
-/// last at most two seconds, all gateways then adapt within five seconds.
+/// Half-life of the average while the rate falls, in seconds. A drop to a tenth is reflected within two seconds. As
+/// leases last at most two seconds, all gateways then adapt within five seconds.
 const FALL_HALF_LIFE: f64 = 0.5;
 
 /// Half-life of denied units in the estimate, in seconds.
--- a/crates/shared-budgets/src/ledger.rs
+++ b/crates/shared-budgets/src/ledger.rs
@@ -1,17 +1,19 @@
-//! A gateway's accounting of one budget: its quota, the leases it has granted to other gateways, and the leases it holds
-//! from them.
+//! A gateway's accounting of one budget: its quota, the leases it has granted to other gateways, and the leases it
+//! holds from them.
 //!
 //! - The lender subtracts a lease before the borrower learns of it, and until after it has ended at the borrower. The
-//!   borrower measures the duration from when it sent the request; the lender measures it from when it granted the lease,
-//!   extended by a margin for clock drift.
-//! - A request states an upper bound on what its sender holds of the lender's budget from then on. Budget that is no longer
-//!   needed is thus returned immediately, and a delayed grant is capped by all requests sent since the one it answers.
-//! - Units stay in use for up to [`BudgetKind::max_use_duration`] after they were taken. Meanwhile they are not leased.
-//!   Leased units return to the lender only once every use of them has ended, or when the borrower states that it uses no
-//!   more than it holds.
+//!   borrower measures the duration from when it sent the request; the lender measures it from when it granted the
+//!   lease, extended by a margin for clock drift.
+//! - A request states an upper bound on what its sender holds of the lender's budget from then on. Budget that is no
+//!   longer needed is thus returned immediately, and a delayed grant is capped by all requests sent since the one it
+//!   answers.
+//! - Units stay in use for up to [`BudgetKind::max_use_duration`] after they were taken. Meanwhile they are not
+//!   leased. Leased units return to the lender only once every use of them has ended, or when the borrower states
+//!   that it uses no more than it holds.
 //!
-//! At any time, the gateways together may therefore use at most the sum of their entitlements, even if messages are lost,
-//! delayed or duplicated, or processes are paused or killed. `QuotaFraction` in `milletpath-membership` bounds that sum.
+//! At any time, the gateways together may therefore use at most the sum of their entitlements, even if messages are
+//! lost, delayed or duplicated, or processes are paused or killed. `QuotaFraction` in `milletpath-membership` bounds
+//! that sum.
 
 mod granted;
 mod held;
@@ -154,7 +156,8 @@
         self.held.record_request(now, lender, request_number, level);
     }
 
-    /// Records a grant that answers the given request. The lease lasts `duration` seconds from when the request was sent.
+    /// Records a grant that answers the given request. The lease lasts `duration` seconds from when the request was
+    /// sent.
     pub(crate) fn record_grant(
         &mut self,
         now: f64,
@@ -234,7 +237,8 @@
         (HEADROOM_FACTOR * self.demand).max(self.in_use)
     }
 
-    /// Seconds for which the lender counts a grant as leased. This covers the last use of a leased unit by the borrower.
+    /// Seconds for which the lender counts a grant as leased. This covers the last use of a leased unit by the
+    /// borrower.
     fn grant_duration(&self) -> f64 {
         if self.faults.grant_ends_with_lease {
             self.lease_duration
@@ -257,9 +261,9 @@
         (entitled - desired.max(reserved)).max(0.0)
     }
 
-    /// Limits how fast a lease grows: the maximum level for a borrower that currently has `current`. The borrower keeps
-    /// its current level, which may be in use. Units with a use duration outlast the lease, so each grant adds only half
-    /// of what is available: other gateways may request some at the same time.
+    /// Limits how fast a lease grows: the maximum level for a borrower that currently has `current`. The borrower
+    /// keeps its current level, which may be in use. Units with a use duration outlast the lease, so each grant adds
+    /// only half of what is available: other gateways may request some at the same time.
     fn growth_limit(&self, lendable: f64, current: f64, available: f64) -> f64 {
         if self.kind.max_use_duration() > 0.0 && lendable >= 1.0 {
             current + 0.5 * (available - current).max(0.0)
--- a/crates/shared-budgets/src/ledger/granted.rs
+++ b/crates/shared-budgets/src/ledger/granted.rs
@@ -84,9 +84,10 @@
         requesters.next().map(|(id, _)| *id)
     }
 
-    /// The max-min fair share of one borrower among those that made a request within the last `seconds`. Each borrower
-    /// gets what it requests, up to a common level: small requests are met in full, and no borrower can take everything
-    /// from the others. This is progressive filling (Bertsekas and Gallager, *Data Networks*, 6.5.2) with a single link.
+    /// The max-min fair share of one borrower among those that made a request within the last `seconds`. Each
+    /// borrower gets what it requests, up to a common level: small requests are met in full, and no borrower can take
+    /// everything from the others. This is progressive filling (Bertsekas and Gallager, *Data Networks*, 6.5.2) with
+    /// a single link.
     pub(super) fn max_min_fair_share(
         &self,
         now: f64,
--- a/crates/shared-budgets/src/ledger/held.rs
+++ b/crates/shared-budgets/src/ledger/held.rs
@@ -5,8 +5,8 @@
 use crate::step_function::StepFunction;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of latest requests kept for each lender; a grant that answers an older one is ignored. At the regular interval,
-/// fewer requests are sent within the duration of a lease, and an answer after that time is of no use.
+/// Number of latest requests kept for each lender; a grant that answers an older one is ignored. At the regular
+/// interval, fewer requests are sent within the duration of a lease, and an answer after that time is of no use.
 const MAX_PENDING_REQUESTS: usize = 12;
 
 /// A request that may still be answered.
@@ -47,8 +47,8 @@
         lender.pending.push_back(PendingRequest { number, sent_at: now, level });
     }
 
-    /// Records a grant that lasts `duration` seconds from when its request was sent. The levels of later requests cap it.
-    /// A grant that answers no pending request is ignored.
+    /// Records a grant that lasts `duration` seconds from when its request was sent. The levels of later requests cap
+    /// it. A grant that answers no pending request is ignored.
     pub(super) fn record_grant(
         &mut self,
         now: f64,
@@ -100,7 +100,8 @@
         self.0.get(&lender).filter(|lender| now - lender.spare_as_of < age).map(|lender| lender.spare)
     }
 
-    /// Removes leases that have ended, and lenders without leases to which no request was sent within the last `seconds`.
+    /// Removes leases that have ended, and lenders without leases to which no request was sent within the last
+    /// `seconds`.
     pub(super) fn remove_expired(&mut self, now: f64, seconds: f64) {
         self.0.values_mut().for_each(|lender| lender.levels.remove_expired(now));
         self.0.retain(|_, lender| {
--- a/crates/shared-budgets/src/lib.rs
+++ b/crates/shared-budgets/src/lib.rs
@@ -1,10 +1,10 @@
 //! Budgets shared by all gateways of a fleet, and the concurrency of functions across the fleet. The package is a state
 //! machine without sockets or clocks.
 //!
-//! Each gateway has a quota of every budget and is entitled to the fraction of that quota that `milletpath-membership`
-//! proves. [`SharedBudgets`] leases unneeded budget to gateways that request it, and requests leases from other gateways
-//! when the local quota is insufficient. The gateways together never use more than the budget, even if messages are lost,
-//! delayed or duplicated, or gateways stop responding.
+//! Each gateway has a quota of every budget and is entitled to the fraction of that quota that
+//! `milletpath-membership` proves. [`SharedBudgets`] leases unneeded budget to gateways that request it, and requests
+//! leases from other gateways when the local quota is insufficient. The gateways together never use more than the
+//! budget, even if messages are lost, delayed or duplicated, or gateways stop responding.
 
 mod adjustment;
 mod budget;
--- a/crates/shared-budgets/src/message.rs
+++ b/crates/shared-budgets/src/message.rs
@@ -1,5 +1,5 @@
-//! The CBOR messages that gateways exchange about shared budgets. Fields are numbered: unknown fields are skipped, and the
-//! meaning of a number never changes.
+//! The CBOR messages that gateways exchange about shared budgets. Fields are numbered: unknown fields are skipped,
+//! and the meaning of a number never changes.
 
 use crate::error::DecodeError;
 use minicbor::{Decode, Encode};
@@ -21,7 +21,8 @@
     level as f64 * LEVEL_RESOLUTION
 }
 
-/// Converts a level in units to its form in a message, rounded to nearest. For levels that [`round_level_down`] returned.
+/// Converts a level in units to its form in a message, rounded to nearest. For levels that [`round_level_down`]
+/// returned.
 pub(crate) fn level_to_wire(level: f64) -> u64 {
     (level / LEVEL_RESOLUTION).round() as u64
 }
@@ -31,8 +32,8 @@
     (level / LEVEL_RESOLUTION).ceil() as u64
 }
 
-/// Rounds a level in units down to one that a message can represent, so that the grant sent is not larger than the level
-/// that the ledger subtracts.
+/// Rounds a level in units down to one that a message can represent, so that the grant sent is not larger than the
+/// level that the ledger subtracts.
 pub(crate) fn round_level_down(level: f64) -> f64 {
     (level / LEVEL_RESOLUTION).floor() * LEVEL_RESOLUTION
 }
--- a/crates/shared-budgets/src/outbox.rs
+++ b/crates/shared-budgets/src/outbox.rs
@@ -4,8 +4,8 @@
 use crate::process_id::ProcessId;
 use std::collections::VecDeque;
 
-/// Maximum rate of a gateway's messages in bytes per second, including datagram overhead: half of what a gateway may send
-/// to other gateways in total. Enforced by a token bucket with a capacity of one second.
+/// Maximum rate of a gateway's messages in bytes per second, including datagram overhead: half of what a gateway may
+/// send to other gateways in total. Enforced by a token bucket with a capacity of one second.
 const MAX_BYTES_PER_SECOND: f64 = 10_000.0;
 
 /// Maximum number of queued messages.
--- a/crates/shared-budgets/src/shared_budgets.rs
+++ b/crates/shared-budgets/src/shared_budgets.rs
@@ -28,16 +28,16 @@
 /// Mean time between two rounds of requests, in seconds.
 const REQUEST_INTERVAL: f64 = 0.4;
 
-/// Minimum time between two rounds of requests after units were denied, in seconds and subject to the jitter of the round
-/// interval.
+/// Minimum time between two rounds of requests after units were denied, in seconds and subject to the jitter of the
+/// round interval.
 const MIN_REQUEST_INTERVAL: f64 = 0.05;
 
-/// Maximum duration of a lease, in rounds of requests. With 30% of the messages lost, one lease in four is renewed at the
-/// first request and one in seven not in time.
+/// Maximum duration of a lease, in rounds of requests. With 30% of the messages lost, one lease in four is renewed at
+/// the first request and one in seven not in time.
 const MAX_LEASE_ROUNDS: f64 = 5.0;
 
-/// Ratio of the lifetime of an entitlement proof to the duration of a lease. Leases are shorter than proofs, so that most
-/// leases can be granted from an entitlement that is proved until the lease ends.
+/// Ratio of the lifetime of an entitlement proof to the duration of a lease. Leases are shorter than proofs, so that
+/// most leases can be granted from an entitlement that is proved until the lease ends.
 const PROOF_TO_LEASE_RATIO: f64 = 1.5;
 
 /// Minimum duration of a lease, in seconds.
@@ -61,8 +61,8 @@
     pub adjustment: QuotaAdjustment,
 }
 
-/// All shared budgets of one gateway. Times are in seconds on the caller's clock, which may start at any value but should
-/// not go backwards.
+/// All shared budgets of one gateway. Times are in seconds on the caller's clock, which may start at any value but
+/// should not go backwards.
 #[derive(Clone, Debug)]
 pub struct SharedBudgets {
     own_id: ProcessId,
@@ -70,8 +70,8 @@
     lease_duration: f64,
     clock: MonotonicClock,
     entitlement: Entitlement,
-    /// Budgets by slot. Slots of closed budgets are empty until reused, so that the length is the largest number of budgets
-    /// open at the same time.
+    /// Budgets by slot. Slots of closed budgets are empty until reused, so that the length is the largest number of
+    /// budgets open at the same time.
     budgets: Vec<Option<Budget>>,
     /// Slots by budget key.
     slots: BTreeMap<u64, usize>,
@@ -91,8 +91,8 @@
 }
 
 impl SharedBudgets {
-    /// Creates an instance without open budgets. `proof_lifetime` is the lifetime of entitlement proofs in seconds, from
-    /// which the shorter duration of leases is derived. `seed` initializes the random jitter of requests.
+    /// Creates an instance without open budgets. `proof_lifetime` is the lifetime of entitlement proofs in seconds,
+    /// from which the shorter duration of leases is derived. `seed` initializes the random jitter of requests.
     #[must_use]
     pub fn new(own_id: ProcessId, proof_lifetime: f64, seed: u64, now: f64) -> Self {
         let max_lease_duration = MAX_LEASE_ROUNDS * REQUEST_INTERVAL;
@@ -145,8 +145,8 @@
     }
 
     /// Opens a budget and returns its slot. Name and kind together identify the budget and must be the same on all
-    /// gateways. `quota` is this gateway's quota if all configured gateways are running. Reopening an open budget keeps its
-    /// slot and leases and sets the new quota.
+    /// gateways. `quota` is this gateway's quota if all configured gateways are running. Reopening an open budget
+    /// keeps its slot and leases and sets the new quota.
     pub fn open(&mut self, now: f64, name: &str, kind: BudgetKind, quota: f64) -> usize {
         let now = self.clock.advance(now);
         let key = kind.budget_key(name);
@@ -200,8 +200,8 @@
         self.clock.caller_time(self.next_round_at.min(early_round_at).min(self.next_renewal_at))
     }
 
-    /// Handles a message from another gateway. `read_meter` returns the current meter reading of a slot, or `None` for a
-    /// budget that this gateway no longer uses.
+    /// Handles a message from another gateway. `read_meter` returns the current meter reading of a slot, or `None`
+    /// for a budget that this gateway no longer uses.
     pub fn receive(
         &mut self,
         now: f64,
@@ -243,7 +243,8 @@
         self.clock.caller_time(self.usage.next_report_at())
     }
 
-    /// The total concurrency of functions on all other gateways, by the hash of the function name; `None` while unknown.
+    /// The total concurrency of functions on all other gateways, by the hash of the function name; `None` while
+    /// unknown.
     pub fn usage_elsewhere(&mut self, now: f64) -> Option<BTreeMap<u64, f64>> {
         let now = self.clock.advance(now);
         self.usage.remote_concurrency(now)
@@ -289,8 +290,8 @@
         self.budget_mut(slot).map_or(0.0, |budget| budget.ledger.allowed(&entitlement, now))
     }
 
-    /// The earliest time at which this gateway's leases to some borrower have all ended. For tests that check the state at
-    /// that time.
+    /// The earliest time at which this gateway's leases to some borrower have all ended. For tests that check the
+    /// state at that time.
     #[doc(hidden)]
     #[must_use]
     pub fn next_grant_end(&self) -> Option<f64> {
@@ -429,8 +430,8 @@
         requests
     }
 
-    /// Queues requests, starting with a random lender, so that the byte limit does not always suppress requests to the same
-    /// lenders.
+    /// Queues requests, starting with a random lender, so that the byte limit does not always suppress requests to
+    /// the same lenders.
     fn send_requests(&mut self, now: f64, requests: &BTreeMap<ProcessId, Vec<LeaseRequest>>) {
         let lenders: Vec<ProcessId> = requests.keys().copied().collect();
         let first = self.rng.rand_range(0..lenders.len() as u64 + 1) as usize;
--- a/crates/shared-budgets/src/step_function.rs
+++ b/crates/shared-budgets/src/step_function.rs
@@ -1,4 +1,5 @@
-//! A non-increasing step function of time: the upper envelope of several leases, each of a constant level until its end.
+//! A non-increasing step function of time: the upper envelope of several leases, each of a constant level until its
+//! end.
 
 /// A constant level until `end`.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,8 +16,8 @@
 const MAX_STEPS: usize = 8;
 
 impl StepFunction {
-    /// Adds a granted lease. If there are too many steps, the last two are merged into one with the higher level and the
-    /// later end, so that the granted level is never underestimated.
+    /// Adds a granted lease. If there are too many steps, the last two are merged into one with the higher level and
+    /// the later end, so that the granted level is never underestimated.
     pub(crate) fn add_granted(&mut self, end: f64, level: f64) {
         self.insert_step(Step { end, level });
         while self.0.len() > MAX_STEPS {
@@ -27,7 +28,8 @@
         }
     }
 
-    /// Adds a held lease. If there are too many steps, the last is dropped, so that the held level is never overestimated.
+    /// Adds a held lease. If there are too many steps, the last is dropped, so that the held level is never
+    /// overestimated.
     pub(crate) fn add_held(&mut self, end: f64, level: f64) {
         self.insert_step(Step { end, level });
         self.0.truncate(MAX_STEPS);
--- a/crates/shared-budgets/src/usage_counts.rs
+++ b/crates/shared-budgets/src/usage_counts.rs
@@ -1,10 +1,10 @@
-//! The concurrency of functions across the fleet: each gateway reports its own concurrency and receives the total of all
-//! other gateways.
+//! The concurrency of functions across the fleet: each gateway reports its own concurrency and receives the total of
+//! all other gateways.
 //!
-//! Functions are divided into [`BUCKETS`] by a hash of their names. One gateway aggregates the reports for each bucket,
-//! chosen by rendezvous hashing. Thus no gateway receives every report, and the traffic sent by a gateway does not grow with
-//! the size of the fleet. An aggregator that does not answer is avoided for a while. A report is valid until the next one
-//! from the same sender, or for [`REPORT_LIFETIME`] intervals.
+//! Functions are divided into [`BUCKETS`] by a hash of their names. One gateway aggregates the reports for each
+//! bucket, chosen by rendezvous hashing. Thus no gateway receives every report, and the traffic sent by a gateway
+//! does not grow with the size of the fleet. An aggregator that does not answer is avoided for a while. A report is
+//! valid until the next one from the same sender, or for [`REPORT_LIFETIME`] intervals.
 
 mod aggregators;
 
@@ -109,8 +109,8 @@
         self.next_report_at
     }
 
-    /// The reports to send now, with their recipients; empty before they are due. `jitter` is a random number from 0 to 1;
-    /// `read_concurrency` returns the concurrency of functions on this gateway.
+    /// The reports to send now, with their recipients; empty before they are due. `jitter` is a random number from 0
+    /// to 1; `read_concurrency` returns the concurrency of functions on this gateway.
     pub(crate) fn tick(
         &mut self,
         now: f64,
@@ -166,8 +166,8 @@
         busiest.into_iter().map(to_wire).collect()
     }
 
-    /// The functions of a bucket with the highest total concurrency over this gateway and all that reported, without the
-    /// excluded one.
+    /// The functions of a bucket with the highest total concurrency over this gateway and all that reported, without
+    /// the excluded one.
     fn total_without(&self, now: f64, bucket: u8, excluded: ProcessId) -> BucketTotal {
         let mut sums: BTreeMap<u64, u32> = BTreeMap::new();
         let mut reporters = 0;
@@ -230,8 +230,8 @@
         }
     }
 
-    /// The total concurrency of functions on all other gateways, by the hash of the function name. `None` unless there is
-    /// a valid total for every bucket, or if there is no other gateway.
+    /// The total concurrency of functions on all other gateways, by the hash of the function name. `None` unless
+    /// there is a valid total for every bucket, or if there is no other gateway.
     pub(crate) fn remote_concurrency(&self, now: f64) -> Option<BTreeMap<u64, f64>> {
         let lifetime = TOTAL_LIFETIME * self.interval;
         let is_fresh = |total: &BucketTotal| now - total.received_at < lifetime && total.reporters > 0;
--- a/crates/shared-budgets/tests/exhaustive_search.rs
+++ b/crates/shared-budgets/tests/exhaustive_search.rs
@@ -122,8 +122,8 @@
     Ok(states)
 }
 
-/// Runs the fleet for the given number of seconds. `is_link_up[sender][recipient]` tells whether messages on that link are
-/// delivered. Units are used as soon as possible.
+/// Runs the fleet for the given number of seconds. `is_link_up[sender][recipient]` tells whether messages on that
+/// link are delivered. Units are used as soon as possible.
 fn advance(
     fleet: &mut SimulatedFleet,
     is_link_up: &[[bool; SIZE]; SIZE],
@@ -243,8 +243,8 @@
     assert!(found.as_ref().is_err_and(|violation| violation.contains("exceeded by")), "{found:?}");
 }
 
-/// Guards against a lender reusing a leased rate while the borrower still uses it. A gateway with a fast clock leases to
-/// one with a slow clock, after which no more messages arrive and the borrower is paused. The sum is checked every
+/// Guards against a lender reusing a leased rate while the borrower still uses it. A gateway with a fast clock leases
+/// to one with a slow clock, after which no more messages arrive and the borrower is paused. The sum is checked every
 /// millisecond, for different times of the borrower's last tick.
 #[test_case(NO_FAULTS, false; "without a fault")]
 #[test_case(InjectedFaults { grant_ends_with_lease: true, ..NO_FAULTS }, true; "a lease that ends for both at the same time")]
--- a/crates/shared-budgets/tests/fleet/mod.rs
+++ b/crates/shared-budgets/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated fleet of gateways that share one budget. Each gateway spends according to the last adjustment it received
-//! and meters its use. Their clocks run at different rates. The test decides which messages are delivered or lost and which
-//! processes are killed.
+//! A simulated fleet of gateways that share one budget. Each gateway spends according to the last adjustment it
+//! received and meters its use. Their clocks run at different rates. The test decides which messages are delivered or
+//! lost and which processes are killed.
 
 #![allow(dead_code, reason = "each test file uses only part of this module")]
 
@@ -239,8 +239,8 @@
         is_allowed
     }
 
-    /// By how much the gateways together exceed the budget. In a window, each restart allows one additional quota, as a new
-    /// process starts with an empty window.
+    /// By how much the gateways together exceed the budget. In a window, each restart allows one additional quota, as
+    /// a new process starts with an empty window.
     pub fn excess(&self) -> f64 {
         match self.kind {
             BudgetKind::Rate => {
@@ -274,13 +274,13 @@
     }
 }
 
-/// Decides what happens to a message, given its send time, sender and recipient. Returns the delays after which it arrives:
-/// several if it is duplicated, none if it is lost.
+/// Decides what happens to a message, given its send time, sender and recipient. Returns the delays after which it
+/// arrives: several if it is duplicated, none if it is lost.
 pub type DeliveryRule<'r> = &'r mut dyn FnMut(f64, usize, usize) -> Vec<f64>;
 
 impl SimulatedFleet {
-    /// Runs the fleet for the given number of seconds. Units are used as soon as possible. Panics if the gateways together
-    /// exceed the budget.
+    /// Runs the fleet for the given number of seconds. Units are used as soon as possible. Panics if the gateways
+    /// together exceed the budget.
     pub fn run(&mut self, seconds: f64, delivery: DeliveryRule<'_>) {
         let until = self.now + seconds;
         let mut in_transit: Vec<(f64, SentMessage)> = Vec::new();
--- a/crates/shared-budgets/tests/scenarios.rs
+++ b/crates/shared-budgets/tests/scenarios.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// A gateway is isolated while nearly all of its quota is leased. It must regain the full quota once the leases have ended
-/// and keep its reserved fraction until then.
+/// A gateway is isolated while nearly all of its quota is leased. It must regain the full quota once the leases have
+/// ended and keep its reserved fraction until then.
 #[test]
 fn an_isolated_lender_regains_its_quota_within_a_lease() {
     let mut fleet = warmed_up_fleet(RATE, 10.0);
@@ -140,8 +140,8 @@
     assert!(both >= 20, "{both} units in one minute");
 }
 
-/// A borrower and several lenders are killed and restarted while leases are running, and each message is delivered three
-/// times. [`SimulatedFleet::run`] checks the budget.
+/// A borrower and several lenders are killed and restarted while leases are running, and each message is delivered
+/// three times. [`SimulatedFleet::run`] checks the budget.
 #[test]
 fn kills_and_restarts_with_replayed_messages_never_exceed_the_budget() {
     for kind in [RATE, WINDOW, BudgetKind::InFlight(1.0)] {
--- a/crates/shared-budgets/tests/wire_format.rs
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Verifies that messages and operators' views stay byte for byte as the version of 2026-12-02 wrote them. Gateways of two
-//! versions run side by side during an upgrade, and operators' scripts read the JSON.
+//! Verifies that messages and operators' views stay byte for byte as the version of 2026-12-02 wrote them. Gateways
+//! of two versions run side by side during an upgrade, and operators' scripts read the JSON.
 
 use milletpath_shared_budgets::{BudgetKind, Entitlement, FunctionConcurrency, SharedBudgets, UsageMeter};
 
