--- a/crates/shared-budgets/tests/scenarios.rs
+++ b/crates/shared-budgets/tests/scenarios.rs
@@ -130,9 +130,8 @@
     let mut fleet = warmed_up_fleet(BudgetKind::Window(2.0), 1.0 / 12.0);
     fleet.set_demand(2, 5.0);
     fleet.run(10.0, &mut lossy(0.0, 1));
-    let units_used = |fleet: &SimulatedFleet, n: usize| {
-        fleet.gateways[n].as_ref().map_or(0, |gateway| gateway.used_at.len())
-    };
+    let units_used =
+        |fleet: &SimulatedFleet, n: usize| fleet.gateways[n].as_ref().map_or(0, |n| n.used_at.len());
     assert!(units_used(&fleet, 2) >= 3, "{}", units_used(&fleet, 2));
     fleet.set_demand(9, 5.0);
     fleet.run(60.0, &mut lossy(0.0, 1));
