--- a/crates/shared-budgets/tests/wire_format.rs
+++ b/crates/shared-budgets/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Messages and operators' views byte for byte, as the version of 2026-12-02 wrote them: gateways of two versions run side
-//! by side during an upgrade, and operators' scripts read the JSON.
+//! Verifies that messages and operators' views stay byte for byte as the version of 2026-12-02 wrote them. Gateways
+//! of two versions run side by side during an upgrade, and operators' scripts read the JSON.
 
 use milletpath_shared_budgets::{BudgetKind, Entitlement, FunctionConcurrency, SharedBudgets, UsageMeter};
 
@@ -24,7 +24,7 @@
     (shared_budgets, slots)
 }
 
-/// A gateway that needs more than its quota of three budgets, ten seconds after its start.
+/// A gateway whose demand exceeds its quota of three budgets, ten seconds after its start.
 fn requester() -> SharedBudgets {
     let (mut shared_budgets, [rate, window, in_flight]) = gateway(REQUESTER, LENDER);
     shared_budgets.record_usage(10.0, rate, UsageMeter { requested: 500, denied: 100, in_use: 0.0 });
@@ -57,7 +57,7 @@
     assert_eq!(sent(&mut lender), [grant]);
 }
 
-fn busy() -> Vec<FunctionConcurrency> {
+fn example_concurrency() -> Vec<FunctionConcurrency> {
     let functions = [(7, 1.5), (8, 0.25), (1 << 40, 12.0)];
     functions.map(|(function, concurrency)| FunctionConcurrency { function, concurrency }).to_vec()
 }
@@ -65,7 +65,7 @@
 #[test]
 fn usage_reports_keep_their_bytes() {
     let (mut shared_budgets, _) = gateway(REQUESTER, LENDER);
-    shared_budgets.report_usage(10.0, busy);
+    shared_budgets.report_usage(10.0, example_concurrency);
     let reports = [
         "2 a800000180028003000402058006800700",
         "2 a800000180028003000403058006800700",
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn usage_sums_keep_their_bytes() {
+fn usage_totals_keep_their_bytes() {
     let (mut reporter, _) = gateway(REQUESTER, LENDER);
     let (mut aggregator, _) = gateway(LENDER, REQUESTER);
-    aggregator.report_usage(10.0, busy);
-    reporter.report_usage(10.0, busy);
-    // The aggregator's own reports go out first; what follows are its answers.
+    aggregator.report_usage(10.0, example_concurrency);
+    reporter.report_usage(10.0, example_concurrency);
+    // Discards the aggregator's own reports, so that only its answers remain.
     while aggregator.next_message().is_some() {}
     while let Some(report) = reporter.next_message() {
         aggregator.receive(10.0, REQUESTER, &report.bytes, &mut |_| None);
     }
-    let sums = [
+    let totals = [
         "1 a800000180028003000402058006800701",
         "1 a800000180028003000403058006800701",
         "1 a800000180028003000405058006800701",
@@ -104,7 +104,7 @@
         "1 a80000018002800300040e05800681820818fa0701",
         "1 a80000018002800300040f0580068182071905dc0701",
     ];
-    assert_eq!(sent(&mut aggregator), sums);
+    assert_eq!(sent(&mut aggregator), totals);
 }
 
 #[test]
