--- a/crates/membership/src/clock.rs
+++ b/crates/membership/src/clock.rs
@@ -19,7 +19,7 @@
                 self.record_pause(gap);
             }
         }
-        self.review_endorsements();
+        self.refresh_endorsements();
     }
 
     fn record_pause(&mut self, seconds: f64) {
--- a/crates/membership/src/failure_detection/probing.rs
+++ b/crates/membership/src/failure_detection/probing.rs
@@ -4,7 +4,7 @@
 use crate::datagram::{Datagram, kind};
 use crate::state::Membership;
 use crate::state::member::{Member, MemberState, TimedAssertion};
-use crate::state::probe::{MAX_PROBE_TASKS, Probe, ProbeTask, SlowestAnswer};
+use crate::state::probe::{IndirectProbe, MAX_INDIRECT_PROBES, Probe, SlowestRoundTrip};
 
 /// Fraction of the period after which a ping is repeated.
 const RETRY_AFTER: f64 = 0.22;
@@ -14,7 +14,7 @@
 const MAX_PINGS: u32 = 4;
 
 /// Helpers asked to ping the member too, at each ping but the first and the last.
-const HELPERS: usize = 3;
+const PING_REQUEST_FANOUT: usize = 3;
 
 impl Membership {
     /// Continues the probe of this period, and starts the next where the period is over.
@@ -25,7 +25,7 @@
         }
         // After a late call the next period still has its full length.
         self.period_ends_at = self.now + self.config.period;
-        self.conclude_probe();
+        self.finish_probe();
         if let Some(target) = self.next_probe_target() {
             self.start_probe(target);
         }
@@ -42,14 +42,14 @@
         if !(2..MAX_PINGS).contains(&pings_sent) {
             return;
         }
-        let can_help = |id: u64, member: &Member| id != target && member.state == MemberState::Alive;
-        for helper in self.sample_members(HELPERS, can_help) {
-            self.send_request(helper.instance_id, helper.address, kind::PING_REQUEST, target);
+        let is_intermediary = |id: u64, member: &Member| id != target && member.state == MemberState::Alive;
+        for intermediary in self.sample_members(PING_REQUEST_FANOUT, is_intermediary) {
+            self.send_request(intermediary.instance_id, intermediary.address, kind::PING_REQUEST, target);
         }
     }
 
     /// Suspects the member that did not answer the last probe.
-    fn conclude_probe(&mut self) {
+    fn finish_probe(&mut self) {
         let Some(probe) = self.probe.take() else { return };
         if !probe.answered {
             self.counters.probes_unanswered += 1;
@@ -84,34 +84,34 @@
     }
 
     /// Pings a member on behalf of another that got no answer from it.
-    pub(crate) fn probe_on_behalf(&mut self, requester: u64, request_id: u64, subject: u64) {
+    pub(crate) fn handle_ping_request(&mut self, requester: u64, request_id: u64, subject: u64) {
         let Some(address) = self.address_of(subject) else { return };
         let own_request_id = self.send_request(subject, address, kind::PING, 0);
-        if self.probe_tasks.len() == MAX_PROBE_TASKS {
-            self.probe_tasks.pop_front();
+        if self.indirect_probes.len() == MAX_INDIRECT_PROBES {
+            self.indirect_probes.pop_front();
         }
-        self.probe_tasks.push_back(ProbeTask { request_id, own_request_id, requester });
+        self.indirect_probes.push_back(IndirectProbe { request_id, own_request_id, requester });
     }
 
     /// Handles an answer from `sender`, which shows that the member `subject` is present.
-    pub(crate) fn handle_answer(&mut self, sender: u64, subject: u64, answer: &Datagram) {
-        let Some(sent_at) = self.request_sent_at(sender, answer.request_id) else { return };
+    pub(crate) fn handle_ack(&mut self, sender: u64, subject: u64, ack: &Datagram) {
+        let Some(sent_at) = self.request_sent_at(sender, ack.request_id) else { return };
         let round_trip = self.now - sent_at;
-        if round_trip >= self.slowest_recent_answer() {
-            self.slowest_answer = SlowestAnswer { round_trip, received_at: self.now };
+        if round_trip >= self.recent_slowest_round_trip() {
+            self.slowest_round_trip = SlowestRoundTrip { round_trip, received_at: self.now };
         }
-        self.record_assertions(answer, sent_at);
+        self.record_assertions(ack, sent_at);
         self.confirm_presence(subject, sent_at);
-        self.report_to_requesters(subject, answer.request_id);
+        self.send_indirect_acks(subject, ack.request_id);
     }
 
     /// Takes the assertions of an answer whose request was sent at `sent_at`: none was made later than that minus its
     /// stated age.
-    fn record_assertions(&mut self, answer: &Datagram, sent_at: f64) {
-        let Some(senders_own) = answer.assertions.first() else { return };
+    fn record_assertions(&mut self, ack: &Datagram, sent_at: f64) {
+        let Some(senders_own) = ack.assertions.first() else { return };
         let default_endorsed = senders_own.endorsed.unwrap_or(0);
         let default_listed = senders_own.listed.unwrap_or(0);
-        for received in &answer.assertions {
+        for received in &ack.assertions {
             let assertion = TimedAssertion {
                 issued_at: sent_at - f64::from(received.age) / 1e3,
                 endorsed: received.endorsed.unwrap_or(default_endorsed),
@@ -141,14 +141,16 @@
     }
 
     /// Reports an answer to the members that this gateway probes for.
-    fn report_to_requesters(&mut self, subject: u64, own_request_id: u64) {
-        while let Some(n) = self.probe_tasks.iter().position(|task| task.own_request_id == own_request_id) {
-            let Some(task) = self.probe_tasks.remove(n) else { break };
-            let Some(address) = self.address_of(task.requester) else { continue };
-            let mut indirect_ack = self.new_datagram(task.requester, kind::INDIRECT_ACK, task.request_id);
+    fn send_indirect_acks(&mut self, subject: u64, own_request_id: u64) {
+        while let Some(n) =
+            self.indirect_probes.iter().position(|probe| probe.own_request_id == own_request_id)
+        {
+            let Some(probe) = self.indirect_probes.remove(n) else { break };
+            let Some(address) = self.address_of(probe.requester) else { continue };
+            let mut indirect_ack = self.new_datagram(probe.requester, kind::INDIRECT_ACK, probe.request_id);
             indirect_ack.subject = subject;
-            indirect_ack.updates = self.updates_for(task.requester);
-            indirect_ack.assertions = self.assertions_for(task.requester);
+            indirect_ack.updates = self.updates_for(probe.requester);
+            indirect_ack.assertions = self.assertions_for(probe.requester);
             self.enqueue(address, indirect_ack);
         }
     }
--- a/crates/membership/src/failure_detection/requests.rs
+++ b/crates/membership/src/failure_detection/requests.rs
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 
 /// Seconds after which the slowest answer counts half.
-const SLOWEST_ANSWER_HALF_LIFE: f64 = 10.0;
+const ROUND_TRIP_HALF_LIFE: f64 = 10.0;
 
 impl Membership {
     /// Sends a request with gossip updates, and returns its id.
     pub(crate) fn send_request(&mut self, receiver: u64, address: SocketAddr, kind: u8, subject: u64) -> u64 {
-        let request_id = self.remember_request(receiver);
+        let request_id = self.record_request(receiver);
         let mut datagram = self.new_datagram(receiver, kind, request_id);
         datagram.subject = subject;
         datagram.updates = self.updates_for(receiver);
@@ -20,7 +20,7 @@
     }
 
     /// Remembers that a request is sent to a member now, and returns its id.
-    fn remember_request(&mut self, receiver: u64) -> u64 {
+    fn record_request(&mut self, receiver: u64) -> u64 {
         self.last_request_id += 1;
         if self.pending_requests.len() == MAX_PENDING_REQUESTS {
             self.pending_requests.pop_front();
@@ -35,9 +35,9 @@
     }
 
     /// Answers a ping. The ack is a request in its turn, so that both sides learn the age of the other's assertions.
-    pub(crate) fn acknowledge(&mut self, receiver: u64, request_id: u64) {
+    pub(crate) fn send_ack(&mut self, receiver: u64, request_id: u64) {
         let Some(address) = self.address_of(receiver) else { return };
-        let own_request_id = self.remember_request(receiver);
+        let own_request_id = self.record_request(receiver);
         let mut ack = self.new_datagram(receiver, kind::ACK, request_id);
         ack.subject = own_request_id;
         ack.updates = self.updates_for(receiver);
@@ -46,7 +46,7 @@
     }
 
     /// Answers the request that an ack carries.
-    pub(crate) fn acknowledge_ack(&mut self, receiver: u64, request_id: u64) {
+    pub(crate) fn send_final_ack(&mut self, receiver: u64, request_id: u64) {
         let Some(address) = self.address_of(receiver) else { return };
         let mut ack = self.new_datagram(receiver, kind::FINAL_ACK, request_id);
         ack.assertions = self.assertions_for(receiver);
@@ -61,8 +61,8 @@
     }
 
     /// Seconds that the slowest answer of late took, decaying with its age.
-    pub(crate) fn slowest_recent_answer(&self) -> f64 {
-        let age = self.now - self.slowest_answer.received_at;
-        self.slowest_answer.round_trip * (-age / SLOWEST_ANSWER_HALF_LIFE).exp2()
+    pub(crate) fn recent_slowest_round_trip(&self) -> f64 {
+        let age = self.now - self.slowest_round_trip.received_at;
+        self.slowest_round_trip.round_trip * (-age / ROUND_TRIP_HALF_LIFE).exp2()
     }
 }
--- a/crates/membership/src/failure_detection/suspicion.rs
+++ b/crates/membership/src/failure_detection/suspicion.rs
@@ -25,7 +25,8 @@
     /// Seconds that a suspect has to refute: for the suspicion to spread and for answers as slow as the recent ones.
     pub(crate) fn suspicion_timeout(&self) -> f64 {
         let scale = (self.members.len() as f64 + 2.0).log10().max(1.0);
-        SUSPICION_PERIODS * self.config.period * scale + SUSPICION_ROUND_TRIPS * self.slowest_recent_answer()
+        SUSPICION_PERIODS * self.config.period * scale
+            + SUSPICION_ROUND_TRIPS * self.recent_slowest_round_trip()
     }
 
     /// Whether so little was received lately that this gateway itself may be cut off.
@@ -46,7 +47,7 @@
         }
         member.enter_suspicion(now, ends_at, transmissions);
         let name = member.name.clone();
-        self.needs_review = true;
+        self.endorsements_outdated = true;
         self.record_event(MembershipEvent::Suspected { name });
     }
 
@@ -62,7 +63,7 @@
             let Some(member) = self.members.get_mut(&instance_id) else { continue };
             member.enter(MemberState::Dead, now, transmissions);
             let name = member.name.clone();
-            self.needs_review = true;
+            self.endorsements_outdated = true;
             self.record_event(MembershipEvent::Died { name });
         }
         self.members.retain(|_, member| {
--- a/crates/membership/src/gossip/member_table.rs
+++ b/crates/membership/src/gossip/member_table.rs
@@ -9,7 +9,7 @@
 const SPARE_CAPACITY: usize = 16;
 
 /// Largest `max_gateways` that is accepted from another gateway.
-const MAX_BELIEVED_GATEWAYS: u32 = 100_000;
+const MAX_REPORTED_GATEWAYS: u32 = 100_000;
 
 impl Membership {
     /// Records a datagram's sender, and returns whether it is in the table: a full table has no place for a new one.
@@ -30,7 +30,7 @@
             let returned = !member.state.is_present();
             member.enter(MemberState::Alive, now, transmissions);
             (member.incarnation, member.address) = (sender.incarnation, sender.address);
-            self.needs_review = true;
+            self.endorsements_outdated = true;
             if returned {
                 self.record_event(MembershipEvent::Returned { name: sender.name.clone() });
             }
@@ -41,14 +41,14 @@
 
     fn record_max_gateways(&mut self, sender: &Identity) {
         let Some(member) = self.members.get_mut(&sender.instance_id) else { return };
-        let stated = sender.max_gateways.min(MAX_BELIEVED_GATEWAYS);
-        if std::mem::replace(&mut member.max_gateways, stated) == stated {
+        let reported = sender.max_gateways.min(MAX_REPORTED_GATEWAYS);
+        if std::mem::replace(&mut member.max_gateways, reported) == reported {
             return;
         }
-        self.needs_review = true;
-        if stated != self.identity.max_gateways {
+        self.endorsements_outdated = true;
+        if reported != self.identity.max_gateways {
             let name = sender.name.clone();
-            self.record_event(MembershipEvent::MaxGatewaysMismatch { name, max_gateways: stated });
+            self.record_event(MembershipEvent::MaxGatewaysMismatch { name, max_gateways: reported });
         }
     }
 
@@ -89,7 +89,7 @@
             self.probe_round.push(predecessor);
         }
         self.members.insert(instance_id, new);
-        self.needs_review = true;
+        self.endorsements_outdated = true;
         // At a random position of the round under way, so that gateways do not all probe it at the same time.
         let position = self.rng.rand_range(0..self.probe_round.len() as u64 + 1) as usize;
         self.probe_round.insert(position, instance_id);
@@ -105,7 +105,7 @@
         }
         member.enter(MemberState::Left, now, transmissions);
         let name = member.name.clone();
-        self.needs_review = true;
+        self.endorsements_outdated = true;
         self.record_event(MembershipEvent::Left { name });
     }
 }
--- a/crates/membership/src/gossip/received_updates.rs
+++ b/crates/membership/src/gossip/received_updates.rs
@@ -53,8 +53,8 @@
         if let Some(address) = update.address.filter(|_| state == MemberState::Alive) {
             member.address = address;
         }
-        self.needs_review = true;
-        self.follow_up_state_change(update.instance_id, former, state);
+        self.endorsements_outdated = true;
+        self.handle_state_change(update.instance_id, former, state);
     }
 
     /// Adds a member that a gossip update reports, and returns whether it did: nothing is kept of an unknown process
@@ -69,7 +69,7 @@
         true
     }
 
-    fn follow_up_state_change(&mut self, instance_id: u64, former: MemberState, state: MemberState) {
+    fn handle_state_change(&mut self, instance_id: u64, former: MemberState, state: MemberState) {
         let Some(member) = self.members.get(&instance_id) else { return };
         let (name, address) = (member.name.clone(), member.address);
         // Some of the gateways that learn of a suspicion probe the suspect themselves, and the ping informs it: without
--- a/crates/membership/src/gossip/refutation.rs
+++ b/crates/membership/src/gossip/refutation.rs
@@ -17,13 +17,13 @@
 
     /// Informs a member that just sent a datagram, but counts as suspect or gone, at most once in a period, so that it can
     /// refute that.
-    pub(crate) fn correct_sender(&mut self, instance_id: u64) {
+    pub(crate) fn notify_sender_of_its_state(&mut self, instance_id: u64) {
         let (now, period) = (self.now, self.config.period);
         let Some(member) = self.members.get_mut(&instance_id) else { return };
-        if member.state == MemberState::Alive || now - member.last_corrected_at < period {
+        if member.state == MemberState::Alive || now - member.last_notified_at < period {
             return;
         }
-        member.last_corrected_at = now;
+        member.last_notified_at = now;
         let (address, update) = (member.address, member.gossip_update(instance_id));
         let mut announcement = self.new_datagram(instance_id, kind::ANNOUNCE, 0);
         announcement.updates.push(update);
--- a/crates/membership/src/gossip/synchronization.rs
+++ b/crates/membership/src/gossip/synchronization.rs
@@ -18,7 +18,7 @@
 const SYNC_PERIODS: f64 = 2.5;
 
 /// Synchronizations in a period while no other gateway is known.
-const SYNCS_PER_PERIOD_ALONE: f64 = 4.0;
+const SYNCS_PER_PERIOD_WITHOUT_PEERS: f64 = 4.0;
 
 impl Membership {
     /// Sum of hashes over all processes that are believed present; independent of their order.
@@ -34,14 +34,15 @@
         if self.now < self.next_sync_at {
             return;
         }
-        let alone = !self.members.values().any(|member| member.state.is_present());
-        let wait = self.config.period * if alone { 1.0 / SYNCS_PER_PERIOD_ALONE } else { SYNC_PERIODS };
+        let without_peers = !self.members.values().any(|member| member.state.is_present());
+        let wait = self.config.period
+            * if without_peers { 1.0 / SYNCS_PER_PERIOD_WITHOUT_PEERS } else { SYNC_PERIODS };
         // Jitter keeps gateways from synchronizing in step.
         self.next_sync_at = self.now + wait * (0.75 + 0.5 * self.rng.rand_float());
-        let lost = self.lost_contacts();
+        let candidates = self.reconnect_candidates();
         let mut receivers = self.sample_members(1, |_, member| member.state.is_present());
-        if !lost.is_empty() {
-            receivers.push(lost[self.rng.rand_range(0..lost.len() as u64) as usize]);
+        if !candidates.is_empty() {
+            receivers.push(candidates[self.rng.rand_range(0..candidates.len() as u64) as usize]);
         }
         for receiver in receivers {
             let mut datagram = self.new_datagram(receiver.instance_id, kind::DIGEST, 0);
@@ -52,7 +53,7 @@
     }
 
     /// Dead members whose name no present member has, and seeds at whose address no member is known.
-    fn lost_contacts(&self) -> Vec<Contact> {
+    fn reconnect_candidates(&self) -> Vec<Contact> {
         let replaced =
             |name: &str| self.members.values().any(|member| member.state.is_present() && member.name == name);
         let dead = (self.members.iter())
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -55,7 +55,7 @@
         }
         let suspicions = self.members.values().map(|member| member.suspicion_ends_at);
         let retry_at = self.probe.as_ref().map_or(f64::INFINITY, |probe| probe.retry_at);
-        let deadlines = [self.period_ends_at, self.next_sync_at, self.next_review_at, retry_at];
+        let deadlines = [self.period_ends_at, self.next_sync_at, self.next_refresh_at, retry_at];
         suspicions.chain(deadlines).fold(f64::INFINITY, f64::min) - self.clock_offset
     }
 
@@ -67,7 +67,7 @@
             self.expire_suspicions();
             self.synchronize();
         }
-        self.review_endorsements();
+        self.refresh_endorsements();
     }
 
     /// Handles a received datagram whose seal was checked. `now` is in seconds on the caller's clock.
@@ -86,8 +86,8 @@
         datagram.updates.iter().for_each(|update| self.apply_update(update, source));
         let sender = datagram.sender.instance_id;
         self.handle(sender, datagram);
-        self.correct_sender(sender);
-        self.review_endorsements();
+        self.notify_sender_of_its_state(sender);
+        self.refresh_endorsements();
     }
 
     /// Whether a datagram is meant for this process and was not received before.
@@ -120,14 +120,14 @@
     fn handle(&mut self, sender: u64, datagram: Datagram) {
         let request_id = datagram.request_id;
         match datagram.kind {
-            kind::PING => self.acknowledge(sender, request_id),
+            kind::PING => self.send_ack(sender, request_id),
             kind::ACK => {
-                self.handle_answer(sender, sender, &datagram);
-                self.acknowledge_ack(sender, datagram.subject);
+                self.handle_ack(sender, sender, &datagram);
+                self.send_final_ack(sender, datagram.subject);
             }
-            kind::FINAL_ACK => self.handle_answer(sender, sender, &datagram),
-            kind::PING_REQUEST => self.probe_on_behalf(sender, request_id, datagram.subject),
-            kind::INDIRECT_ACK => self.handle_answer(sender, datagram.subject, &datagram),
+            kind::FINAL_ACK => self.handle_ack(sender, sender, &datagram),
+            kind::PING_REQUEST => self.handle_ping_request(sender, request_id, datagram.subject),
+            kind::INDIRECT_ACK => self.handle_ack(sender, datagram.subject, &datagram),
             kind::DIGEST => self.handle_digest(sender, request_id, datagram.digest),
             kind::DEPARTURE => self.record_departure(sender),
             kind::PAYLOAD if self.payloads.len() < MAX_PENDING_PAYLOADS => {
@@ -142,13 +142,13 @@
     /// Announces the departure of this process to some members. From here on it uses nothing of the shared budgets.
     pub fn announce_departure(&mut self, now: f64) {
         self.advance_clock(now);
-        (self.departing, self.needs_review) = (true, true);
+        (self.departing, self.endorsements_outdated) = (true, true);
         self.probe = None;
         for contact in self.sample_members(DEPARTURE_NOTICES, |_, member| member.state.is_present()) {
             let departure = self.new_datagram(contact.instance_id, kind::DEPARTURE, 0);
             self.enqueue(contact.address, departure);
         }
-        self.review_endorsements();
+        self.refresh_endorsements();
     }
 
     /// The random id of this process.
--- a/crates/membership/src/quorum/endorsement.rs
+++ b/crates/membership/src/quorum/endorsement.rs
@@ -18,84 +18,84 @@
 use crate::config::CLOCK_MARGIN;
 use crate::state::Membership;
 use crate::state::member::MemberState;
-use crate::state::own_sets::{OwnSets, ProcessInSets};
+use crate::state::own_sets::{OwnSets, OwnSetsEntry};
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Seconds between two reviews at most, since duplicate names appear and vanish by the mere passing of time.
-const REVIEW_INTERVAL: f64 = 0.5;
+const REFRESH_INTERVAL: f64 = 0.5;
 
 impl Membership {
     /// Makes this gateway keep no promise from here on: a fault that tests must find.
     #[doc(hidden)]
-    pub fn break_promises(&mut self) {
-        self.breaks_promises = true;
+    pub fn ignore_listing_period(&mut self) {
+        self.ignores_listing_period = true;
     }
 
     /// Seconds on the local clock for which a promise is kept.
-    fn promise_seconds(&self) -> f64 {
-        if self.breaks_promises { 0.0 } else { self.config.lease * CLOCK_MARGIN }
+    fn listing_period(&self) -> f64 {
+        if self.ignores_listing_period { 0.0 } else { self.config.lease * CLOCK_MARGIN }
     }
 
     /// Whether this gateway endorses nobody, because it departs or shares its name with another process.
     fn abstains(&self) -> bool {
-        self.departing || self.now < self.name_conflict_at + self.promise_seconds()
+        self.departing || self.now < self.name_conflict_at + self.listing_period()
     }
 
     /// Brings endorsements and list up to the present. To be called whenever time passed or a datagram came; it returns
     /// at once where nothing can have changed.
-    pub(crate) fn review_endorsements(&mut self) {
-        if !std::mem::take(&mut self.needs_review) && self.now < self.next_review_at {
+    pub(crate) fn refresh_endorsements(&mut self) {
+        if !std::mem::take(&mut self.endorsements_outdated) && self.now < self.next_refresh_at {
             return;
         }
         let duplicates = self.duplicate_names();
         self.report_duplicate_names(&duplicates);
-        self.next_review_at = self.update_endorsements(&duplicates);
-        self.own_sets = self.summarize_sets();
+        self.next_refresh_at = self.update_endorsements(&duplicates);
+        self.own_sets = self.compute_own_sets();
     }
 
     /// Applies the rules to every member, and returns when they may next have another result.
     fn update_endorsements(&mut self, duplicates: &BTreeSet<String>) -> f64 {
-        let (now, promise, abstains) = (self.now, self.promise_seconds(), self.abstains());
-        let mut next_review_at = now + REVIEW_INTERVAL;
-        let mut review_at = |time: f64| {
+        let (now, listing_period, abstains) = (self.now, self.listing_period(), self.abstains());
+        let mut next_refresh_at = now + REFRESH_INTERVAL;
+        let mut refresh_at = |time: f64| {
             if time > now {
-                next_review_at = next_review_at.min(time);
+                next_refresh_at = next_refresh_at.min(time);
             }
         };
-        review_at(self.name_conflict_at + promise);
+        refresh_at(self.name_conflict_at + listing_period);
         for member in self.members.values_mut() {
             let present = member.state.is_present();
             let endorsed = present
                 && !abstains
-                && now >= member.listed_since + promise
+                && now >= member.listed_since + listing_period
                 && !duplicates.contains(&member.name);
             if member.endorsed && !endorsed {
                 member.last_endorsed_at = now;
             }
             member.endorsed = endorsed;
             // A gateway that left uses nothing more, by its own announcement.
-            let dead_but_promised =
-                member.state == MemberState::Dead && now < member.last_endorsed_at + promise;
-            let listed = present || dead_but_promised;
+            let dead_but_retained =
+                member.state == MemberState::Dead && now < member.last_endorsed_at + listing_period;
+            let listed = present || dead_but_retained;
             member.listed_since = if listed { member.listed_since.min(now) } else { f64::INFINITY };
-            review_at(member.listed_since + promise);
-            review_at(member.last_endorsed_at + promise);
+            refresh_at(member.listed_since + listing_period);
+            refresh_at(member.last_endorsed_at + listing_period);
         }
-        next_review_at
+        next_refresh_at
     }
 
-    fn summarize_sets(&self) -> OwnSets {
+    fn compute_own_sets(&self) -> OwnSets {
         // The hashes depend on the settings: gateways with other settings cannot read each other's assertions.
         let settings = [self.max_gateways() as f64, self.config.lease, self.config.floor];
         let domain = xxh3_64_with_seed(&settings.map(f64::to_le_bytes).concat(), 0);
         let mut sets = OwnSets { endorses_self: !self.abstains(), ..OwnSets::default() };
-        let own = ProcessInSets {
+        let own = OwnSetsEntry {
             instance_id: self.identity.instance_id,
             endorsed: sets.endorses_self,
             listed: !self.departing,
         };
-        let others = self.members.iter().map(|(id, member)| ProcessInSets {
+        let others = self.members.iter().map(|(id, member)| OwnSetsEntry {
             instance_id: *id,
             endorsed: member.endorsed,
             listed: member.listed_since.is_finite(),
--- a/crates/membership/src/quorum/proof.rs
+++ b/crates/membership/src/quorum/proof.rs
@@ -64,11 +64,11 @@
         for member in self.members.values().filter(|member| !duplicates.contains(&member.name)) {
             let fresh = member.assertion.filter(|a| self.now - a.issued_at < self.config.lease);
             let Some(assertion) = fresh else { continue };
-            let endorses_me = |difference: SetDifference| {
+            let endorses_this_gateway = |difference: SetDifference| {
                 difference.added.contains(&own_id)
                     || sets.endorses_self && !difference.removed.contains(&own_id)
             };
-            if endorsed_sets.difference(assertion.endorsed).is_some_and(endorses_me) {
+            if endorsed_sets.difference(assertion.endorsed).is_some_and(endorses_this_gateway) {
                 keep_latest(&mut evidence.endorsed_at, &member.name, assertion.issued_at);
             }
             if let Some(difference) = listed_sets.difference(assertion.listed) {
--- a/crates/membership/src/quorum/set_difference.rs
+++ b/crates/membership/src/quorum/set_difference.rs
@@ -27,18 +27,18 @@
 pub(super) struct SetComparisons<'m> {
     members_by_hash: &'m BTreeMap<u64, u64>,
     own_sum: u64,
-    known: BTreeMap<u64, Option<SetDifference>>,
+    cache: BTreeMap<u64, Option<SetDifference>>,
 }
 
 impl<'m> SetComparisons<'m> {
     pub(super) fn new(members_by_hash: &'m BTreeMap<u64, u64>, own_sum: u64) -> Self {
-        Self { members_by_hash, own_sum, known: BTreeMap::new() }
+        Self { members_by_hash, own_sum, cache: BTreeMap::new() }
     }
 
     /// How the set with this sum differs from the own one; `None` where that cannot be found out.
     pub(super) fn difference(&mut self, other_sum: u64) -> Option<SetDifference> {
         let (members_by_hash, own_sum) = (self.members_by_hash, self.own_sum);
-        *self.known.entry(other_sum).or_insert_with(|| difference(members_by_hash, own_sum, other_sum))
+        *self.cache.entry(other_sum).or_insert_with(|| difference(members_by_hash, own_sum, other_sum))
     }
 }
 
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -48,7 +48,7 @@
     pub fn likely_gateways(&self) -> f64 {
         match self.reachability() {
             Reachability::Nobody => self.max_gateways() as f64,
-            _ => self.present_names() as f64,
+            _ => self.present_name_count() as f64,
         }
     }
 }
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -16,7 +16,7 @@
 use crate::state::event::{MAX_PENDING_EVENTS, MembershipEvent};
 use crate::state::member::{Member, MemberState};
 use crate::state::own_sets::OwnSets;
-use crate::state::probe::{PendingRequest, Probe, ProbeTask, SlowestAnswer};
+use crate::state::probe::{IndirectProbe, PendingRequest, Probe, SlowestRoundTrip};
 use crate::state::trailing_minimum::TrailingMinimum;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -78,11 +78,11 @@
     pub(crate) probe: Option<Probe>,
     /// Members that are still to be probed in this round.
     pub(crate) probe_round: Vec<u64>,
-    /// Bounded by `MAX_PROBE_TASKS`.
-    pub(crate) probe_tasks: VecDeque<ProbeTask>,
+    /// Bounded by `MAX_INDIRECT_PROBES`.
+    pub(crate) indirect_probes: VecDeque<IndirectProbe>,
     pub(crate) period_ends_at: f64,
     pub(crate) next_sync_at: f64,
-    pub(crate) slowest_answer: SlowestAnswer,
+    pub(crate) slowest_round_trip: SlowestRoundTrip,
     /// When any datagram of another process was last accepted.
     pub(crate) last_received_at: f64,
     pub(crate) departing: bool,
@@ -92,11 +92,11 @@
     pub(crate) reported_name_conflicts: BTreeMap<String, f64>,
     pub(crate) own_sets: OwnSets,
     /// When the endorsements are to be reviewed next.
-    pub(crate) next_review_at: f64,
+    pub(crate) next_refresh_at: f64,
     /// Whether something changed that the endorsements depend on.
-    pub(crate) needs_review: bool,
+    pub(crate) endorsements_outdated: bool,
     /// Fault injection for tests.
-    pub(crate) breaks_promises: bool,
+    pub(crate) ignores_listing_period: bool,
     pub(crate) trailing_minimum: TrailingMinimum,
     /// Bounded by `MAX_PENDING_EVENTS`.
     pub(crate) events: VecDeque<MembershipEvent>,
@@ -131,18 +131,18 @@
             pending_requests: VecDeque::new(),
             probe: None,
             probe_round: Vec::new(),
-            probe_tasks: VecDeque::new(),
+            indirect_probes: VecDeque::new(),
             period_ends_at: now + config.period,
             next_sync_at: now,
-            slowest_answer: SlowestAnswer { round_trip: 0.0, received_at: now },
+            slowest_round_trip: SlowestRoundTrip { round_trip: 0.0, received_at: now },
             last_received_at: f64::NEG_INFINITY,
             departing: false,
             name_conflict_at: f64::NEG_INFINITY,
             reported_name_conflicts: BTreeMap::new(),
             own_sets: OwnSets::default(),
-            next_review_at: now,
-            needs_review: true,
-            breaks_promises: false,
+            next_refresh_at: now,
+            endorsements_outdated: true,
+            ignores_listing_period: false,
             trailing_minimum: TrailingMinimum::new(config.budget_window, now),
             events: VecDeque::new(),
             counters: Counters::default(),
@@ -202,11 +202,11 @@
     pub(crate) fn max_gateways(&self) -> usize {
         let present = self.members.values().filter(|member| member.state.is_present());
         let stated = present.map(|member| member.max_gateways).fold(self.identity.max_gateways, u32::max);
-        (stated as usize).max(self.present_names())
+        (stated as usize).max(self.present_name_count())
     }
 
     /// Number of names under which a gateway is believed present, this one among them.
-    pub(crate) fn present_names(&self) -> usize {
+    pub(crate) fn present_name_count(&self) -> usize {
         self.count_names(|member| member.state.is_present())
     }
 
--- a/crates/membership/src/state/member.rs
+++ b/crates/membership/src/state/member.rs
@@ -84,7 +84,7 @@
     /// When this gateway last endorsed it.
     pub last_endorsed_at: f64,
     /// When it was last informed of a false update about itself.
-    pub last_corrected_at: f64,
+    pub last_notified_at: f64,
 }
 
 impl Member {
@@ -106,7 +106,7 @@
             listed_since: f64::INFINITY,
             endorsed: false,
             last_endorsed_at: f64::NEG_INFINITY,
-            last_corrected_at: f64::NEG_INFINITY,
+            last_notified_at: f64::NEG_INFINITY,
         }
     }
 
--- a/crates/membership/src/state/own_sets.rs
+++ b/crates/membership/src/state/own_sets.rs
@@ -19,7 +19,7 @@
 
 /// A process, and which of the sets it belongs to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ProcessInSets {
+pub(crate) struct OwnSetsEntry {
     pub instance_id: u64,
     pub endorsed: bool,
     pub listed: bool,
@@ -27,7 +27,7 @@
 
 impl OwnSets {
     /// Adds a process with its hash.
-    pub(crate) fn add(&mut self, process: ProcessInSets, hash: u64) {
+    pub(crate) fn add(&mut self, process: OwnSetsEntry, hash: u64) {
         self.members_by_hash.insert(hash, process.instance_id);
         if process.endorsed {
             self.endorsed = self.endorsed.wrapping_add(hash);
--- a/crates/membership/src/state/probe.rs
+++ b/crates/membership/src/state/probe.rs
@@ -4,7 +4,7 @@
 pub(crate) const MAX_PENDING_REQUESTS: usize = 512;
 
 /// Probes on behalf of others at a time; beyond that the oldest is dropped.
-pub(crate) const MAX_PROBE_TASKS: usize = 64;
+pub(crate) const MAX_INDIRECT_PROBES: usize = 64;
 
 /// A request that was sent.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +28,7 @@
 
 /// A probe on behalf of another member.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ProbeTask {
+pub(crate) struct IndirectProbe {
     /// Request id that the requester chose.
     pub request_id: u64,
     /// Request id of the ping that this process sent for it.
@@ -38,7 +38,7 @@
 
 /// The slowest answer of late.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SlowestAnswer {
+pub(crate) struct SlowestRoundTrip {
     /// Seconds from request to answer.
     pub round_trip: f64,
     /// When the answer came.
--- a/crates/membership/tests/interleavings.rs
+++ b/crates/membership/tests/interleavings.rs
@@ -72,7 +72,7 @@
 }
 
 /// A sum of quota fractions above one, and the steps of the search that led to it.
-struct Excess {
+struct QuotaExcess {
     used: f64,
     steps: Vec<Step>,
 }
@@ -89,7 +89,7 @@
     nodes: [Option<Membership>; SIZE],
     started_processes: u64,
     in_flight: Vec<InFlight>,
-    breaks_promises: bool,
+    ignores_listing_period: bool,
 }
 
 fn address(node: usize) -> SocketAddr {
@@ -97,13 +97,13 @@
 }
 
 impl Cluster {
-    fn new(breaks_promises: bool) -> Self {
+    fn new(ignores_listing_period: bool) -> Self {
         let mut cluster = Self {
             now: 0.0,
             nodes: [None, None, None],
             started_processes: 0,
             in_flight: Vec::new(),
-            breaks_promises,
+            ignores_listing_period,
         };
         (0..SIZE).for_each(|node| cluster.start(node));
         cluster
@@ -121,8 +121,8 @@
         };
         let seeds = vec![address(0), address(1)];
         let mut membership = Membership::new(identity, CONFIG, seeds, instance_id, self.now);
-        if self.breaks_promises {
-            membership.break_promises();
+        if self.ignores_listing_period {
+            membership.ignore_listing_period();
         }
         self.nodes[node] = Some(membership);
         self.collect_outgoing(node);
@@ -215,13 +215,13 @@
 
     /// Runs with timers in time, and with datagrams that arrive at once on the links that are up and are lost on the
     /// others. The quota is checked after every step.
-    fn run_on_links(&mut self, up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), f64> {
+    fn run_with_links(&mut self, link_up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), f64> {
         let until = self.now + seconds;
         loop {
             self.check_used_fraction()?;
             if let Some(InFlight { to, datagram }) = self.in_flight.first() {
                 let from = (0..SIZE).find(|node| datagram.sender.name == format!("g{node}"));
-                let link_up = up[from.expect("one of the three")][*to];
+                let link_up = link_up[from.expect("one of the three")][*to];
                 self.apply(if link_up { Step::Deliver { index: 0 } } else { Step::Lose { index: 0 } });
                 continue;
             }
@@ -236,13 +236,13 @@
 
     /// Whether each takes the other two for alive.
     fn all_agree(&self) -> bool {
-        let takes_for_alive = |observer: usize, other: usize| {
+        let sees_alive = |observer: usize, other: usize| {
             let pair = self.nodes[observer].as_ref().zip(self.nodes[other].as_ref());
             let state = pair.and_then(|(observer, other)| observer.state(other.instance_id()));
             state == Some(MemberState::Alive)
         };
         let pairs = (0..SIZE).flat_map(|a| (0..SIZE).map(move |b| (a, b))).filter(|(a, b)| a != b);
-        pairs.into_iter().all(|(observer, other)| takes_for_alive(observer, other))
+        pairs.into_iter().all(|(observer, other)| sees_alive(observer, other))
     }
 
     /// A hash of the complete state, by its debug output.
@@ -256,7 +256,7 @@
 }
 
 /// Applies all sequences of steps up to a depth. Returns the number of distinct states, or the first excess.
-fn search(cluster: &Cluster, depth: usize, seen: &mut HashSet<u64>) -> Result<usize, Excess> {
+fn search(cluster: &Cluster, depth: usize, seen: &mut HashSet<u64>) -> Result<usize, QuotaExcess> {
     let mut states = 0;
     for step in cluster.possible_steps() {
         let mut next = cluster.clone();
@@ -265,7 +265,7 @@
             continue;
         }
         states += 1;
-        next.check_used_fraction().map_err(|used| Excess { used, steps: vec![step] })?;
+        next.check_used_fraction().map_err(|used| QuotaExcess { used, steps: vec![step] })?;
         if depth > 1 {
             states += search(&next, depth - 1, seen).map_err(|mut excess| {
                 excess.steps.insert(0, step);
@@ -277,29 +277,29 @@
 }
 
 /// Some stretches of time, each with its own links that are down and processes that do not run.
-fn random_walk(cluster: &mut Cluster, stretches: usize, rng: &mut ChaCha8Rng) -> Result<(), f64> {
-    for _ in 0..stretches {
+fn random_walk(cluster: &mut Cluster, phases: usize, rng: &mut ChaCha8Rng) -> Result<(), f64> {
+    for _ in 0..phases {
         let node = rng.random_range(0..SIZE);
         match cluster.nodes[node] {
             Some(_) if rng.random_bool(0.3) => cluster.apply(Step::Kill { node }),
             None if rng.random_bool(0.6) => cluster.apply(Step::Start { node }),
             _ => {}
         }
-        let mut up = [[true; SIZE]; SIZE];
+        let mut link_up = [[true; SIZE]; SIZE];
         if rng.random_bool(0.6) {
-            up.iter_mut().flatten().for_each(|up| *up = rng.random_bool(0.6));
+            link_up.iter_mut().flatten().for_each(|link_up| *link_up = rng.random_bool(0.6));
         }
-        cluster.run_on_links(&up, rng.random_range(0.2..12.0))?;
+        cluster.run_with_links(&link_up, rng.random_range(0.2..12.0))?;
     }
     Ok(())
 }
 
 /// Searches from four states of each seed's random walk. Returns the number of states, or the first violation.
-fn explore(seeds: Range<u64>, depth: usize, breaks_promises: bool) -> Result<usize, Violation> {
+fn explore(seeds: Range<u64>, depth: usize, ignores_listing_period: bool) -> Result<usize, Violation> {
     let mut states = 0;
     for seed in seeds {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut cluster = Cluster::new(breaks_promises);
+        let mut cluster = Cluster::new(ignores_listing_period);
         for _ in 0..4 {
             let walk = random_walk(&mut cluster, 5, &mut rng);
             let at = cluster.now;
--- a/crates/membership/tests/module_dependencies.rs
+++ b/crates/membership/tests/module_dependencies.rs
@@ -8,12 +8,12 @@
 fn modules() -> BTreeMap<String, String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut modules = BTreeMap::new();
-    let mut folders = vec![root.clone()];
-    while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(folder).expect("the folder can be read") {
+    let mut directories = vec![root.clone()];
+    while let Some(directory) = directories.pop() {
+        for entry in std::fs::read_dir(directory).expect("the directory can be read") {
             let path = entry.expect("the entry can be read").path();
             if path.is_dir() {
-                folders.push(path);
+                directories.push(path);
                 continue;
             }
             let module = path.strip_prefix(&root).expect("below the root").with_extension("");
@@ -46,13 +46,13 @@
     let mut named = BTreeSet::new();
     for path in code.split("crate::").skip(1) {
         let mut longest = None;
-        let mut so_far = String::new();
+        let mut prefix = String::new();
         for segment in path.split("::").map(identifier).take_while(|segment| !segment.is_empty()) {
-            so_far = if so_far.is_empty() { segment.into() } else { format!("{so_far}::{segment}") };
-            if !modules.contains_key(&so_far) {
+            prefix = if prefix.is_empty() { segment.into() } else { format!("{prefix}::{segment}") };
+            if !modules.contains_key(&prefix) {
                 break;
             }
-            longest = Some(so_far.clone());
+            longest = Some(prefix.clone());
         }
         named.extend(longest);
     }
@@ -84,7 +84,7 @@
 fn dependencies() -> BTreeMap<String, BTreeSet<String>> {
     let modules = modules();
     let methods = methods(&modules);
-    let of = |module: &String, text: &String| {
+    let dependencies_of = |module: &String, text: &String| {
         let code = without_comments(text);
         let mut named = named_by_path(module, &code, &modules);
         if code.contains("impl Membership {") {
@@ -93,7 +93,7 @@
         named.remove(module);
         named
     };
-    modules.iter().map(|(module, text)| (module.clone(), of(module, text))).collect()
+    modules.iter().map(|(module, text)| (module.clone(), dependencies_of(module, text))).collect()
 }
 
 #[test]
--- a/crates/membership/tests/network_faults.rs
+++ b/crates/membership/tests/network_faults.rs
@@ -36,10 +36,10 @@
         });
         network.run_until(until);
         let reachability = |n: usize| network.nodes[n].running().reachability();
-        let of_minority = if minority == 1 { Reachability::Nobody } else { Reachability::Minority };
-        assert_eq!(reachability(0), of_minority);
-        let of_rest = if 2 * minority < size { Reachability::Majority } else { Reachability::Minority };
-        assert_eq!(reachability(size - 1), of_rest);
+        let expected_minority = if minority == 1 { Reachability::Nobody } else { Reachability::Minority };
+        assert_eq!(reachability(0), expected_minority);
+        let expected_rest = if 2 * minority < size { Reachability::Majority } else { Reachability::Minority };
+        assert_eq!(reachability(size - 1), expected_rest);
         network.run_until(until + 5.0);
         assert!(network.all_agree(), "seed {seed}: healed within 5 s");
         network.run_until(until + 12.0);
@@ -56,9 +56,9 @@
     network.delivery_rule =
         cut_where(move |transmission| transmission.to == 0 && transmission.sent_at < from + 10.0);
     network.run_until(from + 10.0);
-    let deaf = network.nodes[0].running();
-    assert_eq!(deaf.reachability(), Reachability::Nobody);
-    assert_eq!(deaf.likely_gateways(), 12.0);
+    let isolated = network.nodes[0].running();
+    assert_eq!(isolated.reachability(), Reachability::Nobody);
+    assert_eq!(isolated.likely_gateways(), 12.0);
     let quota = network.nodes[0].quota.expect("it was read");
     assert_eq!(quota.fraction, quota.floor_fraction);
     let suspected_by_others = |other: &usize| {
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -55,33 +55,39 @@
             Assertion { instance_id: 7, age: 1234, endorsed: None, listed: Some(33) },
         ]
     };
-    let of = |kind: u8, number: u64, fill: &dyn Fn(&mut Datagram)| {
-        let mut datagram = Datagram::new(identity(1), 2, kind, number);
+    let datagram = |kind: u8, request_id: u64, fill: &dyn Fn(&mut Datagram)| {
+        let mut datagram = Datagram::new(identity(1), 2, kind, request_id);
         datagram.sequence = 40 + u64::from(kind);
         fill(&mut datagram);
         datagram
     };
     vec![
-        ("ping", of(kind::PING, 9, &|d| d.updates = updates())),
-        ("ack", of(kind::ACK, 9, &|d| (d.subject, d.updates, d.assertions) = (10, updates(), assertions()))),
-        ("ping request", of(kind::PING_REQUEST, 11, &|d| d.subject = 7)),
-        ("indirect ack", of(kind::INDIRECT_ACK, 11, &|d| (d.subject, d.assertions) = (7, assertions()))),
-        ("digest", of(kind::DIGEST, 1, &|d| d.digest = u64::MAX - 1)),
-        ("member table", of(kind::MEMBER_TABLE, 0, &|d| d.updates = updates())),
-        ("departure", of(kind::DEPARTURE, 0, &|_| {})),
-        ("announce", of(kind::ANNOUNCE, 0, &|d| d.updates = updates())),
-        ("status query", of(kind::STATUS_QUERY, 2, &|_| {})),
+        ("ping", datagram(kind::PING, 9, &|d| d.updates = updates())),
+        (
+            "ack",
+            datagram(kind::ACK, 9, &|d| (d.subject, d.updates, d.assertions) = (10, updates(), assertions())),
+        ),
+        ("ping request", datagram(kind::PING_REQUEST, 11, &|d| d.subject = 7)),
+        (
+            "indirect ack",
+            datagram(kind::INDIRECT_ACK, 11, &|d| (d.subject, d.assertions) = (7, assertions())),
+        ),
+        ("digest", datagram(kind::DIGEST, 1, &|d| d.digest = u64::MAX - 1)),
+        ("member table", datagram(kind::MEMBER_TABLE, 0, &|d| d.updates = updates())),
+        ("departure", datagram(kind::DEPARTURE, 0, &|_| {})),
+        ("announce", datagram(kind::ANNOUNCE, 0, &|d| d.updates = updates())),
+        ("status query", datagram(kind::STATUS_QUERY, 2, &|_| {})),
         (
             "status reply",
-            of(kind::STATUS_REPLY, 2, &|d| {
+            datagram(kind::STATUS_REPLY, 2, &|d| {
                 d.page = Some(Page { index: 1, total: 3, bytes: vec![0, 1, 255] });
             }),
         ),
-        ("final ack", of(kind::FINAL_ACK, 10, &|d| d.assertions = assertions())),
-        ("payload", of(kind::PAYLOAD, 0, &|d| d.payload = Some(vec![1, 2, 3]))),
+        ("final ack", datagram(kind::FINAL_ACK, 10, &|d| d.assertions = assertions())),
+        ("payload", datagram(kind::PAYLOAD, 0, &|d| d.payload = Some(vec![1, 2, 3]))),
         (
             "every field",
-            of(200, 5, &|d| {
+            datagram(200, 5, &|d| {
                 (d.subject, d.digest, d.updates, d.assertions) = (6, 7, updates(), assertions());
                 d.page = Some(Page { index: 0, total: 1, bytes: vec![9] });
                 d.payload = Some(vec![]);
