--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -1,6 +1,6 @@
-//! What membership costs and how soon changes are known, by cluster size and by datagrams lost, in simulated time with
-//! datagrams sealed as in service. `cargo bench -p milletpath-membership --bench fleet`; `-- quick` for the small sizes
-//! alone.
+//! Measures the network traffic of the membership protocol and how quickly it detects changes, by cluster size and
+//! datagram loss. It runs in simulated time, with datagrams sealed as in production. Run it with
+//! `cargo bench -p milletpath-membership --bench fleet`; append `-- quick` for the small sizes only.
 
 use milletpath_membership::{MembershipConfig, MembershipEvent};
 use milletpath_test_support::simulated_network::delivery::{cut_where, lossy, reliable};
@@ -9,7 +9,7 @@
 /// Clusters above this size get a longer lease and fewer, shorter runs.
 const LARGE: usize = 50;
 
-/// The value below which this fraction of the values lies; NaN where there are none.
+/// The quantile at `fraction`; NaN if there are no values.
 fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let index = (fraction * values.len().saturating_sub(1) as f64).round() as usize;
@@ -17,7 +17,7 @@
 }
 
 fn converged_network(size: usize, seed: u64) -> SimulatedNetwork {
-    // In a larger cluster assertions take longer to reach all: the lease that an operator would choose.
+    // Assertions take longer to reach all gateways of a larger cluster, so an operator would choose a longer lease.
     let lease = if size > LARGE { 12.0 } else { 3.0 };
     let config = MembershipConfig { lease, floor: 0.5, ..MembershipConfig::default() };
     let mut network = SimulatedNetwork::new(size, 1.max(size / 8), config, seed);
@@ -26,7 +26,8 @@
     network
 }
 
-/// Seconds until all agree, checked ten times a second.
+/// Runs until all gateways agree on the members, but at most `limit` seconds, and returns the seconds that it took.
+/// Checked every 0.1 s.
 fn seconds_to_agreement(network: &mut SimulatedNetwork, limit: f64) -> f64 {
     let from = network.now;
     while !network.all_agree() && network.now < from + limit {
@@ -35,10 +36,10 @@
     network.now - from
 }
 
-/// What was measured of clusters of one size. Times and ages are in seconds.
+/// Measurements of clusters of one size. Times and ages are in seconds.
 #[derive(Default)]
 struct Measurements {
-    /// Gateway-seconds of the settled clusters.
+    /// Total gateway-seconds over which the traffic was measured.
     gateway_seconds: f64,
     bytes: u64,
     datagrams: u64,
@@ -49,7 +50,7 @@
 }
 
 impl Measurements {
-    /// Traffic and ages of assertions while nothing happens.
+    /// Measures traffic and assertion ages in a cluster without changes.
     fn measure_settled(&mut self, network: &mut SimulatedNetwork) {
         const SECONDS: f64 = 20.0;
         let sum = |network: &SimulatedNetwork, count: fn(&Node) -> u64| {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Kills and restarts some gateways, one after the other.
+    /// Measures death detection and joining by killing and restarting some gateways one after the other.
     fn measure_restarts(&mut self, network: &mut SimulatedNetwork) {
         for n in 0..5.min(network.nodes.len() - 1) {
             network.kill(n);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Cuts off two fifths of the cluster for a while.
+    /// Measures healing after two fifths of the cluster were cut off for 15 s.
     fn measure_partition(&mut self, network: &mut SimulatedNetwork) {
         let minority = network.nodes.len() * 2 / 5;
         network.delivery_rule = cut_where(move |t| (t.from < minority) != (t.to < minority));
@@ -119,7 +120,8 @@
     measurements.print(size);
 }
 
-/// False suspicions and deaths, and the time without a quorum, while datagrams are lost with a probability.
+/// Measures false suspicions, false deaths and the time without a quorum while datagrams are lost with this
+/// probability.
 fn measure_loss(size: usize, probability: f64) {
     let mut network = converged_network(size, 1);
     network.delivery_rule = lossy(probability);
@@ -152,7 +154,7 @@
     );
     sizes.iter().for_each(|size| measure_size(*size));
     println!(
-        "\nsize  lost   false suspicions, false deaths an hour and gateway; fraction of time without a quorum"
+        "\nsize  lost   false suspicions, false deaths per gateway-hour; fraction of time without a quorum"
     );
     for size in sizes {
         for probability in [0.01, 0.05, 0.2, 0.3] {
--- a/crates/membership/src/clock.rs
+++ b/crates/membership/src/clock.rs
@@ -1,13 +1,14 @@
-//! The internal clock: it never goes back, and it notices when the process did not run for a while.
+//! The internal clock, which is monotonic and detects pauses of the process.
 
 use crate::state::Membership;
 use crate::state::event::MembershipEvent;
 
-/// Periods without a call after which the process counts as paused. It then grants others the time that it lost itself.
+/// Number of periods without a call after which the process is considered to have been paused. The suspicion timeouts
+/// of other members are then extended by the length of the pause.
 const PAUSE_PERIODS: f64 = 2.0;
 
 impl Membership {
-    /// Advances the internal clock to the caller's time, which may be set back or far ahead.
+    /// Advances the internal clock to the caller's time, which may jump backward or far forward.
     pub(crate) fn advance_clock(&mut self, now: f64) {
         let advanced = now + self.clock_offset;
         if advanced < self.now {
--- a/crates/membership/src/datagram/address_codec.rs
+++ b/crates/membership/src/datagram/address_codec.rs
@@ -1,4 +1,5 @@
-//! Encodes a socket address as 6 (IPv4) or 18 (IPv6) bytes: the address, then the port in big-endian order.
+//! CBOR codec of socket addresses: a byte string of 6 (IPv4) or 18 (IPv6) bytes, the IP address followed by the port
+//! in big-endian order.
 
 use minicbor::decode::{Decoder, Error as DecodeError};
 use minicbor::encode::{Encoder, Error as EncodeError, Write};
--- a/crates/membership/src/datagram/optional_address_codec.rs
+++ b/crates/membership/src/datagram/optional_address_codec.rs
@@ -1,4 +1,4 @@
-//! Encodes an optional socket address: null, or the bytes of `address_codec.rs`.
+//! CBOR codec of optional socket addresses: null, or the encoding of `address_codec.rs`.
 
 use super::address_codec;
 use minicbor::data::Type;
--- a/crates/membership/src/failure_detection.rs
+++ b/crates/membership/src/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Failure detection: probes of members, the requests and answers that they consist of, and the suspicion of members
-//! that do not answer.
+//! Failure detection: probing of members, the requests and acks that a probe consists of, and suspicion of members
+//! that do not respond.
 
 mod probing;
 mod requests;
--- a/crates/membership/src/failure_detection/probing.rs
+++ b/crates/membership/src/failure_detection/probing.rs
@@ -1,29 +1,29 @@
-//! Probes: in each period one member is pinged, in rounds of a random order (SWIM, section 4.3). Unanswered pings are
-//! repeated within the period, and helpers are asked to ping the member too.
+//! Probing: one member is pinged per period, in rounds of random order (SWIM, section 4.3). An unanswered ping is
+//! repeated within the period, and other members are asked to ping the target as well (indirect probes).
 
 use crate::datagram::{Datagram, kind};
 use crate::state::Membership;
 use crate::state::member::{Member, MemberState, TimedAssertion};
 use crate::state::probe::{IndirectProbe, MAX_INDIRECT_PROBES, Probe, SlowestRoundTrip};
 
-/// Fraction of the period after which a ping is repeated.
+/// Fraction of the period after which an unanswered ping is repeated.
 const RETRY_AFTER: f64 = 0.22;
 
-/// Pings in one probe. With 30 % of all datagrams lost, four pings and six helpers leave one probe in a hundred
+/// Direct pings per probe. At 30 % datagram loss, four pings and six ping requests leave about 1 % of the probes
 /// unanswered.
 const MAX_PINGS: u32 = 4;
 
-/// Helpers asked to ping the member too, at each ping but the first and the last.
+/// Members that receive a ping request along with each ping of a probe except the first and the last.
 const PING_REQUEST_FANOUT: usize = 3;
 
 impl Membership {
-    /// Continues the probe of this period, and starts the next where the period is over.
+    /// Retries the current probe, and starts the next one if the period has ended.
     pub(crate) fn run_probe(&mut self) {
         self.retry_probe();
         if self.now < self.period_ends_at {
             return;
         }
-        // After a late call the next period still has its full length.
+        // Counted from now, so that the next period has its full length even if this call is late.
         self.period_ends_at = self.now + self.config.period;
         self.finish_probe();
         if let Some(target) = self.next_probe_target() {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Suspects the member that did not answer the last probe.
+    /// Ends the current probe, and suspects its target if it was not answered.
     fn finish_probe(&mut self) {
         let Some(probe) = self.probe.take() else { return };
         if !probe.answered {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The next present member of the round; a new round begins where this one is over.
+    /// Returns the next present member of the round, and starts a new round if the current one is complete.
     fn next_probe_target(&mut self) -> Option<u64> {
         while let Some(candidate) = self.probe_round.pop() {
             if self.members.get(&candidate).is_some_and(|member| member.state.is_present()) {
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Pings a member on behalf of another that got no answer from it.
+    /// Pings `subject` on behalf of `requester`, which received no ack from it.
     pub(crate) fn handle_ping_request(&mut self, requester: u64, request_id: u64, subject: u64) {
         let Some(address) = self.address_of(subject) else { return };
         let own_request_id = self.send_request(subject, address, kind::PING, 0);
@@ -93,7 +93,7 @@
         self.indirect_probes.push_back(IndirectProbe { request_id, own_request_id, requester });
     }
 
-    /// Handles an answer from `sender`, which shows that the member `subject` is present.
+    /// Handles an ack from `sender`, which shows that the member `subject` is present.
     pub(crate) fn handle_ack(&mut self, sender: u64, subject: u64, ack: &Datagram) {
         let Some(sent_at) = self.request_sent_at(sender, ack.request_id) else { return };
         let round_trip = self.now - sent_at;
@@ -105,8 +105,8 @@
         self.send_indirect_acks(subject, ack.request_id);
     }
 
-    /// Takes the assertions of an answer whose request was sent at `sent_at`: none was made later than that minus its
-    /// stated age.
+    /// Records the assertions in the ack of a request sent at `sent_at`. `issued_at` is `sent_at` minus the
+    /// assertion's age: an ack is sent after its request, so the assertion cannot have been made earlier.
     fn record_assertions(&mut self, ack: &Datagram, sent_at: f64) {
         let Some(senders_own) = ack.assertions.first() else { return };
         let default_endorsed = senders_own.endorsed.unwrap_or(0);
@@ -130,7 +130,7 @@
             probe.answered = true;
             probe.retry_at = f64::INFINITY;
         }
-        // A suspect that answers a request sent after the suspicion began gets the full time to refute once more.
+        // A suspect that answers a request sent after it became suspect gets the full suspicion timeout again.
         let extended = self.now + self.suspicion_timeout();
         if let Some(member) = self.members.get_mut(&subject)
             && member.state == MemberState::Suspect
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Reports an answer to the members that this gateway probes for.
+    /// Sends indirect acks to the members that requested the probe of `subject` with this ping.
     fn send_indirect_acks(&mut self, subject: u64, own_request_id: u64) {
         while let Some(n) =
             self.indirect_probes.iter().position(|probe| probe.own_request_id == own_request_id)
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Dissemination: gossip updates that travel with other datagrams, the member table that they maintain, and the
-//! periodic synchronization of complete member tables.
+//! Dissemination: gossip updates piggybacked on other datagrams, the member table that they maintain, and the periodic
+//! synchronization of complete member tables.
 
 mod dissemination;
 mod member_table;
--- a/crates/membership/src/gossip/dissemination.rs
+++ b/crates/membership/src/gossip/dissemination.rs
@@ -1,23 +1,24 @@
-//! Choice of the gossip updates that travel with a datagram.
+//! Selection of the gossip updates that are piggybacked on a datagram.
 
 use crate::datagram::GossipUpdate;
 use crate::state::Membership;
 use crate::state::member::MemberState;
 
-/// Bytes of updates in one datagram, which leave room for assertions.
+/// Maximum size of the updates in one datagram, which leaves room for assertions.
 const MAX_UPDATE_BYTES: usize = 500;
 
-/// Bytes of an encoded update beside the name.
+/// Size of an encoded update without the name.
 pub(super) const UPDATE_OVERHEAD_BYTES: usize = 40;
 
 impl Membership {
-    /// How often an update is passed on: `4 log10(n)`, enough to reach nearly all of n gateways (SWIM, section 4.1). The
-    /// synchronization of tables reaches the others.
+    /// How many times an update is transmitted: `4 log10(n)`, enough to reach nearly all of n gateways (SWIM, section
+    /// 4.1). The remaining ones are reached by table synchronization.
     pub(crate) fn retransmit_limit(&self) -> u32 {
         (4.0 * (self.members.len() as f64 + 2.0).log10()).ceil() as u32
     }
 
-    /// Updates for one receiver: first a false one about itself, so that it can refute it, then those passed on least.
+    /// Selects the updates for one receiver: first the update about the receiver if it is not considered alive, so
+    /// that it can refute it, then those transmitted least often.
     pub(crate) fn updates_for(&mut self, receiver: u64) -> Vec<GossipUpdate> {
         let own_state = self.members.get(&receiver).filter(|member| member.state != MemberState::Alive);
         let mut updates: Vec<_> =
--- a/crates/membership/src/gossip/member_table.rs
+++ b/crates/membership/src/gossip/member_table.rs
@@ -1,18 +1,18 @@
-//! The table of members: who enters it, who is evicted, and what a datagram's sender states about itself.
+//! The member table: insertion, eviction, and what the sender of a datagram reports about itself.
 
 use crate::datagram::Identity;
 use crate::state::Membership;
 use crate::state::event::MembershipEvent;
 use crate::state::member::{Member, MemberState};
 
-/// Table capacity beyond twice the possible gateways.
+/// Table capacity in addition to twice the largest number of gateways.
 const SPARE_CAPACITY: usize = 16;
 
-/// Largest `max_gateways` that is accepted from another gateway.
+/// Limit to which the `max_gateways` reported by another gateway is clamped.
 const MAX_REPORTED_GATEWAYS: u32 = 100_000;
 
 impl Membership {
-    /// Records a datagram's sender, and returns whether it is in the table: a full table has no place for a new one.
+    /// Records the sender of a datagram. Returns `false` if the sender is new and the table is full.
     #[must_use]
     pub(crate) fn record_sender(&mut self, sender: &Identity, sequence: u64) -> bool {
         let (now, transmissions) = (self.now, self.retransmit_limit());
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Largest number of members in the table.
+    /// Maximum number of members in the table.
     fn member_capacity(&self) -> usize {
         2 * self.max_gateways() + SPARE_CAPACITY
     }
 
-    /// Makes room for one more member, if need be by evicting the longest dead that is not listed. Returns whether
-    /// there is room.
+    /// Makes room for one more member if the table is full, by evicting the unlisted member that has been gone for the
+    /// longest time. Returns whether there is room.
     pub(super) fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.member_capacity() {
             return true;
@@ -75,11 +75,11 @@
         self.members.remove(&oldest).is_some()
     }
 
-    /// Adds a process that was not known before.
+    /// Adds a newly discovered process.
     pub(super) fn add_member(&mut self, instance_id: u64, mut new: Member) {
         new.transmissions_left = self.retransmit_limit();
         let (name, address) = (new.name.clone(), new.address);
-        // It has most often replaced a process of the same name, which is therefore suspected and probed at once.
+        // It usually replaces an earlier process of the same name, which is therefore suspected and probed next.
         let predecessors: Vec<u64> = (self.members.iter())
             .filter(|(_, member)| member.name == name && member.state == MemberState::Alive)
             .map(|(id, _)| *id)
@@ -90,13 +90,13 @@
         }
         self.members.insert(instance_id, new);
         self.endorsements_outdated = true;
-        // At a random position of the round under way, so that gateways do not all probe it at the same time.
+        // Inserted at a random position of the current round, so that not all gateways probe it at the same time.
         let position = self.rng.rand_range(0..self.probe_round.len() as u64 + 1) as usize;
         self.probe_round.insert(position, instance_id);
         self.record_event(MembershipEvent::Joined { name, address });
     }
 
-    /// Records that a member announced its departure.
+    /// Marks a member that announced its departure as left.
     pub(crate) fn record_departure(&mut self, instance_id: u64) {
         let (now, transmissions) = (self.now, self.retransmit_limit());
         let Some(member) = self.members.get_mut(&instance_id) else { return };
--- a/crates/membership/src/gossip/received_updates.rs
+++ b/crates/membership/src/gossip/received_updates.rs
@@ -1,24 +1,24 @@
-//! Received gossip updates, and what they change in the table of members.
+//! Application of received gossip updates to the member table.
 
 use crate::datagram::{GossipUpdate, kind};
 use crate::state::Membership;
 use crate::state::event::MembershipEvent;
 use crate::state::member::{Member, MemberState};
 
-/// Expected number of gateways, of however many, that probe a suspect as soon as they learn of the suspicion.
+/// Expected number of gateways that probe a suspect as soon as they learn of the suspicion, whatever the cluster size.
 const EXPECTED_DIRECT_PROBES: f64 = 4.0;
 
-/// Where a gossip update came from.
+/// How a gossip update was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateSource {
-    /// It travelled with another datagram.
+    /// Piggybacked on another datagram.
     Gossip,
-    /// It is part of another gateway's member table.
+    /// As part of another gateway's member table.
     MemberTable,
 }
 
 impl Membership {
-    /// Applies a gossip update about this process or another.
+    /// Applies a gossip update about this or another process.
     pub(crate) fn apply_update(&mut self, update: &GossipUpdate, source: UpdateSource) {
         let Some(state) = MemberState::from_wire(update.state) else { return };
         if update.instance_id == self.identity.instance_id {
@@ -32,8 +32,8 @@
         let suspicion_ends_at = self.now + self.suspicion_timeout();
         let (now, lease) = (self.now, self.config.lease);
         let Some(member) = self.members.get_mut(&update.instance_id) else { return };
-        // A member from which something was received lately gets time to refute its death: when a partition heals, each
-        // side has declared the other dead.
+        // A death reported by a member table, or of a member that was heard from recently, counts as a suspicion
+        // first, so that the member can refute it: when a partition heals, each side has declared the other dead.
         let last_contact_at = member.last_assertion_at().max(member.last_received_at);
         let had_recent_contact = member.state == MemberState::Alive && now - last_contact_at < lease;
         let refutable = source == UpdateSource::MemberTable || had_recent_contact;
@@ -57,8 +57,8 @@
         self.handle_state_change(update.instance_id, former, state);
     }
 
-    /// Adds a member that a gossip update reports, and returns whether it did: nothing is kept of an unknown process
-    /// that is gone.
+    /// Adds an unknown member reported by a gossip update. Returns `false` if it is not added, because it is gone or
+    /// the table is full.
     fn add_reported_member(&mut self, update: &GossipUpdate, state: MemberState) -> bool {
         let (Some(name), Some(address)) = (&update.name, update.address) else { return false };
         if !state.is_present() || !self.ensure_capacity() {
@@ -72,8 +72,9 @@
     fn handle_state_change(&mut self, instance_id: u64, former: MemberState, state: MemberState) {
         let Some(member) = self.members.get(&instance_id) else { return };
         let (name, address) = (member.name.clone(), member.address);
-        // Some of the gateways that learn of a suspicion probe the suspect themselves, and the ping informs it: without
-        // these probes a suspect that nobody contacts would die for lack of a chance to refute.
+        // Some of the gateways that learn of a suspicion ping the suspect, and the ping informs it of the suspicion.
+        // Without this, a suspect that nobody happens to contact could not refute the suspicion and would be declared
+        // dead.
         if state == MemberState::Suspect
             && self.rng.rand_float() * (self.members.len() as f64) < EXPECTED_DIRECT_PROBES
         {
--- a/crates/membership/src/gossip/refutation.rs
+++ b/crates/membership/src/gossip/refutation.rs
@@ -1,12 +1,13 @@
-//! Refutation of false updates: this process refutes its own death with a higher incarnation, and informs others of false
-//! updates that they may want to refute.
+//! Refutation of false updates: this process refutes updates about itself with a higher incarnation, and notifies
+//! other members of updates about them that they may need to refute.
 
 use crate::datagram::kind;
 use crate::state::Membership;
 use crate::state::member::MemberState;
 
 impl Membership {
-    /// Refutes an update that calls this process suspect, dead or gone, by a higher incarnation (SWIM, section 4.2).
+    /// Refutes an update that reports this process as suspect, dead or left, by increasing its incarnation (SWIM,
+    /// section 4.2).
     pub(crate) fn refute(&mut self, state: MemberState, incarnation: u32) {
         let false_update = state != MemberState::Alive && incarnation >= self.identity.incarnation;
         if false_update && !self.departing {
@@ -15,8 +16,8 @@
         }
     }
 
-    /// Informs a member that just sent a datagram, but counts as suspect or gone, at most once in a period, so that it can
-    /// refute that.
+    /// Notifies a member that sent a datagram but is recorded as suspect, dead or left, so that it can refute that. At
+    /// most one notification is sent per period.
     pub(crate) fn notify_sender_of_its_state(&mut self, instance_id: u64) {
         let (now, period) = (self.now, self.config.period);
         let Some(member) = self.members.get_mut(&instance_id) else { return };
--- a/crates/membership/src/gossip/synchronization.rs
+++ b/crates/membership/src/gossip/synchronization.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: now and then a gateway compares its complete member table with that of a random member, and with a dead
-//! member or a seed so that a healed partition closes.
+//! Anti-entropy: a gateway periodically compares its complete member table with that of a random member, and also
+//! contacts a dead member or a seed, so that the sides of a healed partition find each other again.
 
 use crate::datagram::{GossipUpdate, kind};
 use crate::gossip::dissemination::UPDATE_OVERHEAD_BYTES;
@@ -8,20 +8,20 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of updates in one page of a member table.
+/// Maximum size of the updates in one page of a member table.
 const MAX_PAGE_BYTES: usize = 1100;
 
-/// Pages of a member table that are sent at a time.
+/// Maximum number of member table pages sent in response to one digest.
 const MAX_PAGES: usize = 5;
 
-/// Periods between two synchronizations.
+/// Average interval between synchronizations, in periods.
 const SYNC_PERIODS: f64 = 2.5;
 
-/// Synchronizations in a period while no other gateway is known.
+/// Average number of synchronizations per period while no other gateway is known to be present.
 const SYNCS_PER_PERIOD_WITHOUT_PEERS: f64 = 4.0;
 
 impl Membership {
-    /// Sum of hashes over all processes that are believed present; independent of their order.
+    /// Order-independent digest of all processes believed present, including this one: the sum of their hashes.
     fn presence_digest(&self) -> u64 {
         let present = self.members.iter().filter(|(_, member)| member.state.is_present());
         std::iter::once(self.identity.instance_id)
@@ -29,7 +29,7 @@
             .fold(0, |sum: u64, id| sum.wrapping_add(xxh3_64(&id.to_le_bytes())))
     }
 
-    /// Starts a synchronization where one is due.
+    /// Starts a synchronization if one is due.
     pub(crate) fn synchronize(&mut self) {
         if self.now < self.next_sync_at {
             return;
@@ -37,7 +37,7 @@
         let without_peers = !self.members.values().any(|member| member.state.is_present());
         let wait = self.config.period
             * if without_peers { 1.0 / SYNCS_PER_PERIOD_WITHOUT_PEERS } else { SYNC_PERIODS };
-        // Jitter keeps gateways from synchronizing in step.
+        // Jitter prevents gateways from synchronizing in lockstep.
         self.next_sync_at = self.now + wait * (0.75 + 0.5 * self.rng.rand_float());
         let candidates = self.reconnect_candidates();
         let mut receivers = self.sample_members(1, |_, member| member.state.is_present());
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Dead members whose name no present member has, and seeds at whose address no member is known.
+    /// Contacts through which a healed partition can be detected: dead members whose name no present member has, and
+    /// seeds at whose address no member is known.
     fn reconnect_candidates(&self) -> Vec<Contact> {
         let replaced =
             |name: &str| self.members.values().any(|member| member.state.is_present() && member.name == name);
@@ -64,7 +65,8 @@
         dead.chain(seeds.map(|address| Contact { instance_id: 0, address: *address })).collect()
     }
 
-    /// Answers the digest of another gateway: where it differs, with the own table and, once, with the own digest.
+    /// Handles the digest of another gateway. If it differs, sends the local table, and also the local digest unless
+    /// the received one is itself a response.
     pub(crate) fn handle_digest(&mut self, sender: u64, request_id: u64, digest: u64) {
         let Some(address) = self.address_of(sender) else { return };
         if digest == self.presence_digest() {
@@ -82,8 +84,8 @@
         }
     }
 
-    /// The member table in pages, without the receiver itself. It begins at a random member, so that a table that is
-    /// too long for one time arrives in several.
+    /// Splits the member table, without the receiver itself, into at most [`MAX_PAGES`] pages. It starts at a random
+    /// member, so that a larger table is transferred completely over several synchronizations.
     fn table_pages(&mut self, receiver: u64) -> Vec<Vec<GossipUpdate>> {
         let ids: Vec<u64> = self.members.keys().copied().filter(|id| *id != receiver).collect();
         let start = self.rng.rand_range(0..ids.len() as u64 + 1) as usize;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,16 @@
-//! Membership of the gateways of one cluster: which processes there are, the state of each, and how old that knowledge
-//! is. The package is a state machine without sockets, threads or clocks; it follows SWIM (Das, Gupta and Motivala,
+//! Cluster membership of gateways: which processes exist, the state of each, and how recent that information is. The
+//! crate is a state machine without I/O, threads or access to a clock. It implements SWIM (Das, Gupta and Motivala,
 //! "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002) with the suspicion
 //! extension.
 //!
-//! [`Membership`] is given each received datagram and the current time, and yields the datagrams to send. Gateways find
-//! each other through seeds, probe each other directly and through helpers, and suspect a silent gateway before they
-//! declare it dead. A random instance id distinguishes a process from its predecessor under the same name.
+//! The caller passes each received datagram and the current time to [`Membership`], and takes from it the datagrams to
+//! send. Gateways discover each other through seeds, probe each other directly and indirectly, and suspect an
+//! unresponsive gateway before they declare it dead. A random instance id distinguishes a process from an earlier
+//! process of the same name.
 //!
-//! Two counts follow from this. [`Membership::likely_gateways`] is the number that is believed to be present. The upper
-//! bound on the gateways that may use more than the floor of the shared budgets falls only by proof (`quorum/proof.rs`);
-//! [`Membership::quota_fraction`] follows that bound.
+//! Two numbers are derived from the membership. [`Membership::likely_gateways`] is the number of gateways believed to
+//! be present. The upper bound on the number of gateways that may use more than the floor of the shared budgets is
+//! lowered only by a quorum proof (`quorum/proof.rs`); [`Membership::quota_fraction`] is computed from that bound.
 
 pub mod datagram;
 
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The entry points of the protocol: received datagrams and the passing of time go in; datagrams to send, payloads for the
-//! application and events for the log come out.
+//! The entry points of the protocol. The inputs are received datagrams and the current time; the outputs are datagrams
+//! to send, payloads for the application, and events to log.
 
 use crate::datagram::{Datagram, kind};
 use crate::gossip::UpdateSource;
@@ -9,37 +9,38 @@
 use crate::state::{Membership, OutgoingDatagram, ReceivedPayload};
 use std::collections::VecDeque;
 
-/// Received payloads waiting for the application; those beyond are dropped.
+/// Capacity of the queue of received payloads; payloads that arrive while it is full are dropped.
 const MAX_PENDING_PAYLOADS: usize = 256;
 
-/// Members that a departing gateway informs itself; the others learn it from them.
+/// Number of members that a departing gateway notifies directly; the others learn of the departure by gossip.
 const DEPARTURE_NOTICES: usize = 8;
 
 impl Membership {
-    /// The counters, for the owner of the socket to add to.
+    /// The counters, so that the owner of the socket can update those of sent and rejected datagrams.
     pub fn counters_mut(&mut self) -> &mut Counters {
         &mut self.counters
     }
 
-    /// Takes the next datagram to send.
+    /// Removes and returns the next datagram to send.
     #[must_use]
     pub fn next_outgoing(&mut self) -> Option<OutgoingDatagram> {
         self.outgoing.pop_front()
     }
 
-    /// Takes the next received payload.
+    /// Removes and returns the next received payload.
     #[must_use]
     pub fn next_payload(&mut self) -> Option<ReceivedPayload> {
         self.payloads.pop_front()
     }
 
-    /// Takes the events since the last call.
+    /// Removes and returns the events since the last call.
     #[must_use]
     pub fn take_events(&mut self) -> VecDeque<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Sends a payload to a process. Delivery is not guaranteed; nothing is sent to an unknown process or one that left.
+    /// Sends a payload to a process. Delivery is not guaranteed, and nothing is sent if the process is unknown or has
+    /// left.
     pub fn send_payload(&mut self, instance_id: u64, payload: Vec<u8>) {
         let Some(address) = self.address_of(instance_id) else { return };
         let mut datagram = self.new_datagram(instance_id, kind::PAYLOAD, 0);
@@ -47,7 +48,7 @@
         self.enqueue(address, datagram);
     }
 
-    /// When [`tick`](Self::tick) is due next, in seconds on the caller's clock; infinite after the departure.
+    /// Returns when [`tick`](Self::tick) is due next, in seconds on the caller's clock; infinity after the departure.
     #[must_use]
     pub fn next_deadline(&self) -> f64 {
         if self.departing {
@@ -59,7 +60,8 @@
         suspicions.chain(deadlines).fold(f64::INFINITY, f64::min) - self.clock_offset
     }
 
-    /// Does what is due. `now` is in seconds on the caller's clock.
+    /// Runs the probes, suspicion timeouts and synchronizations that are due. `now` is in seconds on the caller's
+    /// clock.
     pub fn tick(&mut self, now: f64) {
         self.advance_clock(now);
         if !self.departing {
@@ -70,7 +72,7 @@
         self.refresh_endorsements();
     }
 
-    /// Handles a received datagram whose seal was checked. `now` is in seconds on the caller's clock.
+    /// Handles a received datagram, which must have been authenticated. `now` is in seconds on the caller's clock.
     pub fn receive(&mut self, now: f64, datagram: Datagram) {
         self.advance_clock(now);
         if !self.admit(&datagram) {
@@ -90,15 +92,15 @@
         self.refresh_endorsements();
     }
 
-    /// Whether a datagram is meant for this process and was not received before.
+    /// Returns whether a datagram is addressed to this process and was not received before.
     fn admit(&mut self, datagram: &Datagram) -> bool {
         let sender = &datagram.sender;
         if sender.instance_id == self.identity.instance_id {
             self.counters.echoes += 1;
             return false;
         }
-        // A datagram for a predecessor of this process proves nothing about this one; its sender is informed of the
-        // present instance id.
+        // A datagram addressed to an earlier process proves nothing about this one. The sender is told the current
+        // instance id.
         if datagram.recipient != 0 && datagram.recipient != self.identity.instance_id {
             self.counters.misaddressed += 1;
             if datagram.kind != kind::ANNOUNCE {
@@ -134,12 +136,13 @@
                 let received = datagram.payload.map(|payload| ReceivedPayload { sender, payload });
                 self.payloads.extend(received);
             }
-            // Either of a later version, or its identity and updates were all.
+            // The kind is unknown to this version or carries only the identity and updates that were handled already,
+            // or the payload queue is full.
             _ => {}
         }
     }
 
-    /// Announces the departure of this process to some members. From here on it uses nothing of the shared budgets.
+    /// Announces the departure of this process to some members. From now on it must not use the shared budgets.
     pub fn announce_departure(&mut self, now: f64) {
         self.advance_clock(now);
         (self.departing, self.endorsements_outdated) = (true, true);
@@ -151,19 +154,19 @@
         self.refresh_endorsements();
     }
 
-    /// The random id of this process.
+    /// The random instance id of this process.
     #[must_use]
     pub fn instance_id(&self) -> u64 {
         self.identity.instance_id
     }
 
-    /// State of the process with this instance id; `None` where it is unknown.
+    /// State of the process with this instance id; `None` if it is unknown.
     #[must_use]
     pub fn state(&self, instance_id: u64) -> Option<MemberState> {
         self.members.get(&instance_id).map(|member| member.state)
     }
 
-    /// Upper bound on the age, in seconds, of the last assertion of a process; `None` where there is none.
+    /// Upper bound on the age, in seconds, of the last assertion of a process; `None` if there is none.
     #[must_use]
     pub fn assertion_age(&self, instance_id: u64) -> Option<f64> {
         self.members.get(&instance_id)?.assertion.map(|assertion| self.now - assertion.issued_at)
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -1,6 +1,6 @@
-//! Quorum proofs: an upper bound, proven and not merely believed, on the gateways that may use more than the floor of the
-//! shared budgets. `endorsement.rs` states the rules, `assertions.rs` sends what follows from them, and `proof.rs` draws
-//! the conclusion from what others assert.
+//! Quorum proofs: a proven upper bound on the number of gateways that may use more than the floor of the shared
+//! budgets. `endorsement.rs` defines and applies the endorsement rule, `assertions.rs` selects the assertions to send,
+//! and `proof.rs` derives the bound from the assertions of other members.
 
 mod assertions;
 mod duplicate_names;
--- a/crates/membership/src/quorum/assertions.rs
+++ b/crates/membership/src/quorum/assertions.rs
@@ -1,21 +1,22 @@
-//! Choice of the assertions that travel with an answer.
+//! Selection of the assertions that are sent with an ack.
 
 use crate::config::MAX_CLOCK_DRIFT;
 use crate::datagram::Assertion;
 use crate::state::Membership;
 use crate::state::member::TimedAssertion;
 
-/// Bytes of assertions in one datagram: what remains beside gossip updates.
+/// Maximum size of the assertions in one datagram, which leaves room for gossip updates.
 const MAX_ASSERTION_BYTES: usize = 620;
 
-/// Bytes of an assertion whose sums equal the sender's own and are left out.
+/// Size of an encoded assertion whose sums equal the sender's own and are omitted.
 const SHORT_ASSERTION_BYTES: usize = 16;
 
-/// Bytes of an assertion with sums.
+/// Size of an encoded assertion that includes its sums.
 const LONG_ASSERTION_BYTES: usize = 34;
 
 impl Membership {
-    /// The own assertion, then those of other members that fit, the most recent first.
+    /// Returns this gateway's own assertion, followed by as many fresh assertions of other members as fit, the most
+    /// recent first.
     pub(crate) fn assertions_for(&self, receiver: u64) -> Vec<Assertion> {
         let sets = &self.own_sets;
         let own = Assertion {
@@ -47,8 +48,8 @@
         std::iter::once(own).chain(relayed).collect()
     }
 
-    /// Upper bound on an assertion's age: rounded up, and lengthened for a local clock that runs slow. An assertion may
-    /// pass for older than it is, never for younger.
+    /// Upper bound on the age of an assertion, rounded up and lengthened in case the local clock runs slow. The age
+    /// may be overstated but never understated.
     fn age_in_milliseconds(&self, assertion: &TimedAssertion) -> u32 {
         let age = (self.now - assertion.issued_at) * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
         (age * 1e3).ceil() as u32 + 1
--- a/crates/membership/src/quorum/duplicate_names.rs
+++ b/crates/membership/src/quorum/duplicate_names.rs
@@ -1,13 +1,14 @@
-//! Detection of two processes that run under one name, by mistake or because a predecessor is still active.
+//! Detection of two active processes with the same name, due to a configuration error or because an earlier process
+//! has not ended.
 
 use crate::state::Membership;
 use crate::state::event::MembershipEvent;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds between two reports of the same name.
+/// Minimum interval, in seconds, between two reports of the same name.
 const REPORT_INTERVAL: f64 = 30.0;
 
-/// When a process is known to have been active.
+/// The interval within which a process is known to have been active.
 #[derive(Clone, Copy)]
 struct Activity {
     first_known_at: f64,
@@ -15,7 +16,8 @@
 }
 
 impl Membership {
-    /// Names under which two processes are active: the older one still makes assertions after the newer one started.
+    /// Returns the names used by two active processes, which means that the older one made an assertion after the
+    /// newer one was discovered.
     pub(crate) fn duplicate_names(&self) -> BTreeSet<String> {
         let own = Activity { first_known_at: self.started_at, last_active_at: self.now };
         let mut newest: BTreeMap<&str, Activity> = BTreeMap::from([(self.identity.name.as_str(), own)]);
@@ -39,7 +41,7 @@
         duplicates
     }
 
-    /// Reports names that two processes use, repeatedly while they do.
+    /// Reports names used by two processes, and repeats the reports while the conflict lasts.
     pub(crate) fn report_duplicate_names(&mut self, duplicates: &BTreeSet<String>) {
         if duplicates.contains(&self.identity.name) {
             self.name_conflict_at = self.now;
--- a/crates/membership/src/quorum/endorsement.rs
+++ b/crates/membership/src/quorum/endorsement.rs
@@ -1,19 +1,21 @@
-//! Endorsement, the rule behind the quorum proof. Every gateway asserts now and then which processes it *endorses* and
-//! which it *lists*:
+//! The endorsement rule, on which the quorum proof is based. Every gateway regularly asserts which processes it
+//! *endorses* and which processes it *lists*:
 //!
-//! - A process that a majority of `max_gateways` endorses, by assertions at most `lease` seconds old, *has a quorum*. It
-//!   may use more than the floor of the shared budgets.
-//! - A gateway endorses only a process that it has listed for longer than `lease`, and lists a process that it endorsed
-//!   for `lease` longer. So a process that is not on its list benefits from its endorsement neither now nor within the
-//!   next `lease`.
-//! - Hence a process that is on none of the lists of a majority, as asserted at most `lease` ago, has no quorum. The
-//!   union of those lists bounds the number of gateways that have one.
+//! - A process *has a quorum* if a majority of `max_gateways` endorses it, by assertions at most `lease` seconds old.
+//!   Only then may it use more than the floor of the shared budgets.
+//! - A gateway endorses a process only after it has listed it for longer than `lease` (the listing period), and keeps a
+//!   dead process on its list for the listing period after it last endorsed it. Therefore a process that is not on its
+//!   list benefits from its endorsement neither now nor within the next `lease` seconds.
+//! - It follows that a process has no quorum if it is on none of the lists that a majority has asserted within the
+//!   last `lease` seconds. The union of those lists bounds the number of gateways that have a quorum.
 //!
-//! Assertions carry their age: each relay adds the time that it kept them, and an answer is no older than its request.
-//! Clocks may drift by [`MAX_CLOCK_DRIFT`](crate::MAX_CLOCK_DRIFT). A process that has just started has listed nobody
-//! for longer than it runs: by the time it endorses another, the promises of its predecessor have ended.
+//! Assertions carry their age: each gateway that relays an assertion adds the time for which it held it, and an ack is
+//! sent after its request. Clocks may drift by [`MAX_CLOCK_DRIFT`](crate::MAX_CLOCK_DRIFT). A process that has just
+//! started has listed no other process for longer than it has been running, so by the time it endorses one, the
+//! listing periods of the endorsements made by its predecessor have ended.
 //!
-//! A set of processes is sent as the sum of its members' hashes, whatever its size (see `set_difference.rs`).
+//! A set of processes is sent as the sum of the hashes of its members, so its encoding has a fixed size (see
+//! `set_difference.rs`).
 
 use crate::config::CLOCK_MARGIN;
 use crate::state::Membership;
@@ -22,28 +24,30 @@
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Seconds between two reviews at most, since duplicate names appear and vanish by the mere passing of time.
+/// Maximum interval, in seconds, between two refreshes of the endorsements. Duplicate names can appear and disappear
+/// merely because time passes.
 const REFRESH_INTERVAL: f64 = 0.5;
 
 impl Membership {
-    /// Makes this gateway keep no promise from here on: a fault that tests must find.
+    /// Makes this gateway violate the endorsement rule by reducing the listing period to zero, a fault that tests
+    /// inject to verify that they detect it.
     #[doc(hidden)]
     pub fn ignore_listing_period(&mut self) {
         self.ignores_listing_period = true;
     }
 
-    /// Seconds on the local clock for which a promise is kept.
+    /// Listing period in seconds on the local clock: the lease, lengthened to allow for clock drift.
     fn listing_period(&self) -> f64 {
         if self.ignores_listing_period { 0.0 } else { self.config.lease * CLOCK_MARGIN }
     }
 
-    /// Whether this gateway endorses nobody, because it departs or shares its name with another process.
+    /// Whether this gateway endorses no process, because it is departing or shares its name with another process.
     fn abstains(&self) -> bool {
         self.departing || self.now < self.name_conflict_at + self.listing_period()
     }
 
-    /// Brings endorsements and list up to the present. To be called whenever time passed or a datagram came; it returns
-    /// at once where nothing can have changed.
+    /// Recomputes which processes are endorsed and listed. Must be called whenever time has passed or a datagram was
+    /// received; returns immediately if nothing can have changed.
     pub(crate) fn refresh_endorsements(&mut self) {
         if !std::mem::take(&mut self.endorsements_outdated) && self.now < self.next_refresh_at {
             return;
@@ -54,7 +58,7 @@
         self.own_sets = self.compute_own_sets();
     }
 
-    /// Applies the rules to every member, and returns when they may next have another result.
+    /// Applies the endorsement rule to every member, and returns the earliest time at which the result may change.
     fn update_endorsements(&mut self, duplicates: &BTreeSet<String>) -> f64 {
         let (now, listing_period, abstains) = (self.now, self.listing_period(), self.abstains());
         let mut next_refresh_at = now + REFRESH_INTERVAL;
@@ -74,7 +78,7 @@
                 member.last_endorsed_at = now;
             }
             member.endorsed = endorsed;
-            // A gateway that left uses nothing more, by its own announcement.
+            // A gateway that has left announced that it no longer uses the budgets, so it need not stay listed.
             let dead_but_retained =
                 member.state == MemberState::Dead && now < member.last_endorsed_at + listing_period;
             let listed = present || dead_but_retained;
@@ -86,7 +90,8 @@
     }
 
     fn compute_own_sets(&self) -> OwnSets {
-        // The hashes depend on the settings: gateways with other settings cannot read each other's assertions.
+        // The settings are part of the hashes, so gateways with different settings cannot interpret each other's
+        // assertions.
         let settings = [self.max_gateways() as f64, self.config.lease, self.config.floor];
         let domain = xxh3_64_with_seed(&settings.map(f64::to_le_bytes).concat(), 0);
         let mut sets = OwnSets { endorses_self: !self.abstains(), ..OwnSets::default() };
--- a/crates/membership/src/quorum/proof.rs
+++ b/crates/membership/src/quorum/proof.rs
@@ -1,41 +1,41 @@
-//! The conclusion from the assertions of others: until when this gateway has a quorum, and how many gateways can have
-//! one. The rules that make it sound are in `endorsement.rs`.
+//! Evaluation of the assertions of other members: until when this gateway has a quorum, and how many gateways can have
+//! one. The rule that makes the proof sound is described in `endorsement.rs`.
 
 use crate::quorum::set_difference::{SetComparisons, SetDifference};
 use crate::state::Membership;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is proven at a moment. Times are seconds on the local clock.
+/// The facts proven at one point in time. Times are seconds on the local clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QuorumProof {
-    /// Until when a majority endorses this gateway.
+    /// Time until which a majority endorses this gateway.
     pub quorum_until: f64,
     /// Largest number of gateways that can have a quorum.
     pub max_with_quorum: usize,
-    /// Until when that number is proven.
+    /// Time until which `max_with_quorum` is proven.
     pub bound_until: f64,
 }
 
 impl QuorumProof {
-    /// Until when a fraction derived from the proof at `now` holds. A bound that is not proven is the largest number of
-    /// gateways, which does not expire.
+    /// Time until which a fraction derived from the proof at `now` is valid. If no bound is proven, `max_with_quorum`
+    /// is `max_gateways`, which does not expire.
     pub(crate) fn valid_until(&self, now: f64) -> f64 {
         if now < self.bound_until { self.quorum_until.min(self.bound_until) } else { self.quorum_until }
     }
 }
 
-/// Assertions that are fresh and readable, by the name of the gateway that made them.
+/// The fresh assertions whose sets can be determined, by the name of the gateway that made them.
 struct Evidence<'m> {
     /// When each gateway last asserted that it endorses this one.
     endorsed_at: BTreeMap<&'m str, f64>,
-    /// When each gateway last asserted a readable list.
+    /// When each gateway last asserted a list that can be determined.
     listed_at: BTreeMap<&'m str, f64>,
-    /// Instance ids on any of those lists or on the own one.
+    /// Instance ids on any of those lists or on this gateway's own list.
     listed_ids: BTreeSet<u64>,
 }
 
 impl Membership {
-    /// What is proven now.
+    /// Returns what the current assertions prove.
     pub(crate) fn quorum_proof(&self) -> QuorumProof {
         let max_gateways = self.max_gateways();
         let evidence = self.collect_evidence();
@@ -60,7 +60,7 @@
             listed_at: BTreeMap::new(),
             listed_ids: sets.listed_ids.clone(),
         };
-        // Neither of two processes under one name counts.
+        // Processes that share a name are not counted.
         for member in self.members.values().filter(|member| !duplicates.contains(&member.name)) {
             let fresh = member.assertion.filter(|a| self.now - a.issued_at < self.config.lease);
             let Some(assertion) = fresh else { continue };
@@ -79,7 +79,8 @@
         evidence
     }
 
-    /// Until when assertions of a majority are fresh. This gateway's own, which always is, completes the majority.
+    /// Time until which the assertions of a majority are fresh. The majority includes this gateway, whose own
+    /// assertion is always fresh.
     fn majority_until(&self, max_gateways: usize, asserted_at: BTreeMap<&str, f64>) -> f64 {
         let others_needed = max_gateways / 2;
         if others_needed == 0 {
--- a/crates/membership/src/quorum/set_difference.rs
+++ b/crates/membership/src/quorum/set_difference.rs
@@ -1,15 +1,15 @@
-//! Comparison of sets that are known only by the sum of their members' hashes. The difference from the own set is found
-//! where it consists of at most two members; a set that differs by more proves nothing until both gateways have the
-//! same members again.
+//! Comparison of sets of which only the sum of their members' hashes is known. The difference from the local set can
+//! be determined if it consists of at most two members. A set that differs by more cannot be used in a proof until the
+//! member tables of both gateways agree again.
 
 use std::collections::BTreeMap;
 
-/// How another gateway's set differs from the own one.
+/// Difference between another gateway's set and the local set.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct SetDifference {
-    /// Instance ids of members in the other set alone.
+    /// Instance ids of members that are only in the other set.
     pub added: [Option<u64>; 2],
-    /// Instance ids of members in the own set alone.
+    /// Instance ids of members that are only in the local set.
     pub removed: [Option<u64>; 2],
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Compares sets with one own set, and remembers the results: most gateways assert one of a few sums.
+/// Compares sets with one local set and caches the results, since most gateways assert one of a few sums.
 pub(super) struct SetComparisons<'m> {
     members_by_hash: &'m BTreeMap<u64, u64>,
     own_sum: u64,
@@ -35,14 +35,14 @@
         Self { members_by_hash, own_sum, cache: BTreeMap::new() }
     }
 
-    /// How the set with this sum differs from the own one; `None` where that cannot be found out.
+    /// Difference between the set with this sum and the local set; `None` if it cannot be determined.
     pub(super) fn difference(&mut self, other_sum: u64) -> Option<SetDifference> {
         let (members_by_hash, own_sum) = (self.members_by_hash, self.own_sum);
         *self.cache.entry(other_sum).or_insert_with(|| difference(members_by_hash, own_sum, other_sum))
     }
 }
 
-/// The difference of two sets of known members, by their sums.
+/// Determines the difference of two sets of known members from their sums.
 fn difference(members_by_hash: &BTreeMap<u64, u64>, own_sum: u64, other_sum: u64) -> Option<SetDifference> {
     if own_sum == other_sum {
         return Some(SetDifference::default());
@@ -60,12 +60,12 @@
         .or_else(two_removed)
 }
 
-/// The member with this hash.
+/// Finds the member with this hash.
 fn member_of(members_by_hash: &BTreeMap<u64, u64>, hash: u64) -> Option<u64> {
     members_by_hash.get(&hash).copied()
 }
 
-/// Two members whose hashes have this sum.
+/// Finds two members whose hashes add up to this sum.
 fn pair_of(members_by_hash: &BTreeMap<u64, u64>, sum: u64) -> Option<[Option<u64>; 2]> {
     members_by_hash.iter().find_map(|(hash, member)| {
         let other = member_of(members_by_hash, sum.wrapping_sub(*hash)).filter(|other| other != member)?;
@@ -73,7 +73,7 @@
     })
 }
 
-/// A member that took the place of another, by the increase of the sum.
+/// Finds a pair of members of which one replaced the other, from the increase of the sum.
 fn replacement(members_by_hash: &BTreeMap<u64, u64>, increase: u64) -> Option<SetDifference> {
     members_by_hash.iter().find_map(|(hash, removed)| {
         let added =
--- a/crates/membership/src/quorum/set_difference/tests.rs
+++ b/crates/membership/src/quorum/set_difference/tests.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The members 1 to 6 by hash, and the sum of some of the hashes.
+/// Returns the members 1 to 6 by hash, and the sum of the hashes of `instance_ids`.
 fn members_and_sum(instance_ids: &[u64]) -> (BTreeMap<u64, u64>, u64) {
     let member_hash = |instance_id: u64| xxh3_64_with_seed(&instance_id.to_le_bytes(), 7);
     let members_by_hash = (1..=6).map(|instance_id| (member_hash(instance_id), instance_id)).collect();
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -1,27 +1,29 @@
-//! The fraction of the shared budgets that this gateway may use.
+//! Computation of the fraction of the shared budgets that this gateway may use.
 
 use crate::state::Membership;
 
-/// What a gateway may use of the shared budgets. Fractions are multiples of the even quota, which is the budget divided
-/// by the gateway's own `max_gateways`. `milletpath-shared-budgets` takes them as its `Entitlement`.
+/// The fraction of the shared budgets that a gateway may use. Fractions are multiples of the even quota, which is the
+/// budget divided by the gateway's own `max_gateways` setting. `milletpath-shared-budgets` uses them as its
+/// `Entitlement`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaFraction {
-    /// Number of gateways that are likely present.
+    /// Likely number of gateways.
     pub likely_gateways: f64,
-    /// What this gateway may use until `valid_until`.
+    /// Fraction that this gateway may use until `valid_until`.
     pub fraction: f64,
-    /// What it may use from then on, unless the fraction is renewed.
+    /// Fraction that it may use after `valid_until` if `fraction` is not renewed.
     pub floor_fraction: f64,
-    /// End of the fraction's validity, in seconds on the caller's clock.
+    /// Time at which `fraction` expires, in seconds on the caller's clock.
     pub valid_until: f64,
 }
 
 impl Membership {
-    /// What this gateway may use now. To be called whenever time passed: the fraction is the lowest of the last
-    /// `budget_window` seconds, so that no window over which a budget is counted exceeds it.
+    /// Returns the fraction that this gateway may use now. Must be called whenever time has passed: the result is the
+    /// minimum over the last `budget_window` seconds, so that a budget is not exceeded in any window over which its
+    /// use is measured.
     ///
-    /// With a quorum the fraction is `floor / max_gateways + (1 - floor) / max_with_quorum` of the budget, without
-    /// one `floor / max_gateways`. All gateways together hence use at most the budget.
+    /// The fraction of the budget is `floor / max_gateways + (1 - floor) / max_with_quorum` with a quorum, and
+    /// `floor / max_gateways` without one. Therefore all gateways together never use more than the budget.
     #[must_use]
     pub fn quota_fraction(&mut self, now: f64) -> QuotaFraction {
         self.advance_clock(now);
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -1,16 +1,17 @@
-//! How much of the cluster this gateway reaches, by assertions that are fresh.
+//! Reachability: how many gateways of the cluster this gateway has fresh assertions from.
 
 use crate::state::Membership;
 use crate::state::member::Member;
 use serde::{Deserialize, Serialize};
 
-/// How many gateways have a fresh assertion, this one among them. The names in JSON are older than these.
+/// The share of gateways with a fresh assertion, including this one. Some variants have another name in JSON, for
+/// compatibility with earlier versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reachability {
-    /// More than half of the largest number of gateways that there may be.
+    /// More than half of the largest possible number of gateways.
     Majority,
-    /// Some others, but no majority.
+    /// At least one other gateway, but no majority.
     #[serde(rename = "some")]
     Minority,
     /// No other gateway.
@@ -19,12 +20,13 @@
 }
 
 impl Membership {
-    /// Whether a present member made an assertion at most `lease` ago.
+    /// Whether the member is present and made an assertion within the last `lease` seconds.
     pub(crate) fn has_fresh_assertion(&self, member: &Member) -> bool {
         member.state.is_present() && self.now - member.last_assertion_at() < self.config.lease
     }
 
-    /// Instance ids of the processes with which budgets can be shared: those present with a fresh assertion.
+    /// Instance ids of the processes with which budgets can be shared: those that are present and have a fresh
+    /// assertion.
     #[must_use]
     pub fn fresh_instances(&self) -> Vec<u64> {
         let fresh = self.members.iter().filter(|(_, member)| self.has_fresh_assertion(member));
@@ -34,7 +36,7 @@
     /// How much of the cluster this gateway reaches.
     #[must_use]
     pub fn reachability(&self) -> Reachability {
-        // Whatever their state: a member declared dead whose assertion is fresh counts here.
+        // Regardless of state: a member that was declared dead is counted while its last assertion is fresh.
         let reachable = self.count_names(|member| self.now - member.last_assertion_at() < self.config.lease);
         match reachable {
             n if n > self.max_gateways() / 2 => Reachability::Majority,
@@ -43,7 +45,8 @@
         }
     }
 
-    /// The likely number of gateways. A gateway that reaches nobody can't know, and assumes the largest number.
+    /// The likely number of gateways. A gateway that reaches no other one assumes the largest possible number, because
+    /// the others may be running but unreachable.
     #[must_use]
     pub fn likely_gateways(&self) -> f64 {
         match self.reachability() {
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,5 +1,5 @@
-//! The state of the membership protocol and the operations that all of its parts share: the queue of outgoing
-//! datagrams, random choice among members, and the population counts. The rules of the protocol are in `gossip`,
+//! The state of the membership protocol and the operations shared by all of its modules: the queue of outgoing
+//! datagrams, random selection of members, and gateway counts. The protocol itself is implemented in `gossip`,
 //! `failure_detection` and `quorum`.
 
 pub(crate) mod counters;
@@ -22,39 +22,39 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Datagrams waiting to be sent; those beyond are dropped and counted, as if lost in transit.
+/// Capacity of the queue of outgoing datagrams. Further datagrams are counted and dropped, as if lost in transit.
 const MAX_OUTGOING: usize = 1024;
 
-/// A datagram to be sealed and sent.
+/// A datagram to seal and send.
 #[derive(Clone, Debug)]
 pub struct OutgoingDatagram {
     /// Address of the receiver.
     pub to: SocketAddr,
-    /// What to send.
+    /// The datagram to send.
     pub datagram: Datagram,
 }
 
-/// A payload for the application.
+/// A received payload for the application.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedPayload {
     /// Instance id of the process that sent it.
     pub sender: u64,
-    /// Its bytes.
+    /// The payload bytes.
     pub payload: Vec<u8>,
 }
 
-/// A member to send to.
+/// A destination for datagrams: a member or a seed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Contact {
-    /// Its instance id; 0 for a seed whose id is unknown.
+    /// The instance id; 0 for a seed, whose id is unknown.
     pub instance_id: u64,
     pub address: SocketAddr,
 }
 
-/// The membership protocol as one gateway process runs it.
+/// The state machine of the membership protocol in one gateway process.
 ///
-/// Times are seconds on the caller's clock, which may be set back; internally they are seconds on a clock that never
-/// goes back.
+/// Times in the public interface are seconds on the caller's clock, which may be set back. Internal times are seconds
+/// on a monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(crate) config: MembershipConfig,
@@ -62,7 +62,7 @@
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) started_at: f64,
     pub(crate) now: f64,
-    /// Seconds by which the internal clock is ahead of the caller's, which may have been set back.
+    /// Seconds by which the internal clock is ahead of the caller's clock, which may have been set back.
     pub(crate) clock_offset: f64,
     pub(crate) rng: Rand64,
     /// All other known processes, by instance id. Bounded by `member_capacity`.
@@ -76,26 +76,26 @@
     /// Bounded by `MAX_PENDING_REQUESTS`.
     pub(crate) pending_requests: VecDeque<PendingRequest>,
     pub(crate) probe: Option<Probe>,
-    /// Members that are still to be probed in this round.
+    /// Members that have not been probed yet in the current round.
     pub(crate) probe_round: Vec<u64>,
     /// Bounded by `MAX_INDIRECT_PROBES`.
     pub(crate) indirect_probes: VecDeque<IndirectProbe>,
     pub(crate) period_ends_at: f64,
     pub(crate) next_sync_at: f64,
     pub(crate) slowest_round_trip: SlowestRoundTrip,
-    /// When any datagram of another process was last accepted.
+    /// When a datagram from any other process was last accepted.
     pub(crate) last_received_at: f64,
     pub(crate) departing: bool,
-    /// When another process was last active under this name.
+    /// When another active process with this gateway's name was last detected.
     pub(crate) name_conflict_at: f64,
-    /// Names that two processes use, and when that was last reported.
+    /// Names used by two processes, and when each was last reported.
     pub(crate) reported_name_conflicts: BTreeMap<String, f64>,
     pub(crate) own_sets: OwnSets,
-    /// When the endorsements are to be reviewed next.
+    /// When the endorsements must be refreshed next, even if nothing else changes.
     pub(crate) next_refresh_at: f64,
-    /// Whether something changed that the endorsements depend on.
+    /// Whether something that the endorsements depend on has changed since the last refresh.
     pub(crate) endorsements_outdated: bool,
-    /// Fault injection for tests.
+    /// Fault injection for tests; see `ignore_listing_period`.
     pub(crate) ignores_listing_period: bool,
     pub(crate) trailing_minimum: TrailingMinimum,
     /// Bounded by `MAX_PENDING_EVENTS`.
@@ -104,8 +104,8 @@
 }
 
 impl Membership {
-    /// A process that has just started. The `instance_id` of `identity` must be random; `seeds` are addresses at which
-    /// other gateways may be found; `seed` is that of the protocol's random choices.
+    /// Creates the state of a newly started process. The `instance_id` of `identity` must be random. `seeds` are the
+    /// addresses of gateways to contact for discovery, and `seed` initializes the random number generator.
     #[must_use]
     pub fn new(
         identity: Identity,
@@ -149,12 +149,12 @@
         }
     }
 
-    /// A datagram from this process without optional fields.
+    /// Creates a datagram from this process with empty optional fields.
     pub(crate) fn new_datagram(&self, recipient: u64, kind: u8, request_id: u64) -> Datagram {
         Datagram::new(self.identity.clone(), recipient, kind, request_id)
     }
 
-    /// Numbers a datagram and queues it for sending.
+    /// Assigns the next sequence number to a datagram and queues it for sending.
     pub(crate) fn enqueue(&mut self, to: SocketAddr, mut datagram: Datagram) {
         if self.outgoing.len() >= MAX_OUTGOING {
             self.counters.unsent += 1;
@@ -165,7 +165,7 @@
         self.outgoing.push_back(OutgoingDatagram { to, datagram });
     }
 
-    /// Up to `limit` random members of those that `accepts` selects, by a partial Fisher-Yates shuffle.
+    /// Selects up to `limit` random members among those that satisfy `accepts`, by a partial Fisher-Yates shuffle.
     pub(crate) fn sample_members(
         &mut self,
         limit: usize,
@@ -183,13 +183,13 @@
         contacts
     }
 
-    /// Address of a member that has not announced its departure.
+    /// Address of a member; `None` if it is unknown or has announced its departure.
     pub(crate) fn address_of(&self, instance_id: u64) -> Option<SocketAddr> {
         let member = self.members.get(&instance_id)?;
         (member.state != MemberState::Left).then_some(member.address)
     }
 
-    /// Keeps an event for the caller; the oldest one is dropped where there are too many.
+    /// Queues an event for the caller, dropping the oldest one if the queue is full.
     pub(crate) fn record_event(&mut self, event: MembershipEvent) {
         if self.events.len() == MAX_PENDING_EVENTS {
             self.events.pop_front();
@@ -197,20 +197,20 @@
         self.events.push_back(event);
     }
 
-    /// The largest number of gateways that there may be: the largest that any present gateway's configuration states,
-    /// or the number of present gateways where that is larger.
+    /// The largest possible number of gateways: the highest `max_gateways` setting of any present gateway, or the
+    /// number of present gateways if that is higher.
     pub(crate) fn max_gateways(&self) -> usize {
         let present = self.members.values().filter(|member| member.state.is_present());
         let stated = present.map(|member| member.max_gateways).fold(self.identity.max_gateways, u32::max);
         (stated as usize).max(self.present_name_count())
     }
 
-    /// Number of names under which a gateway is believed present, this one among them.
+    /// Number of distinct names of gateways believed present, including this one.
     pub(crate) fn present_name_count(&self) -> usize {
         self.count_names(|member| member.state.is_present())
     }
 
-    /// Number of distinct names of the selected members and of this gateway.
+    /// Number of distinct names among this gateway and the members that satisfy `selects`.
     pub(crate) fn count_names(&self, selects: impl Fn(&Member) -> bool) -> usize {
         let selected = self.members.values().filter(|member| selects(member));
         let mut names: BTreeSet<&str> = selected.map(|member| member.name.as_str()).collect();
--- a/crates/membership/src/state/counters.rs
+++ b/crates/membership/src/state/counters.rs
@@ -1,9 +1,10 @@
-//! Counters of the membership protocol, as operators see them.
+//! Counters of the membership protocol, which are part of the operators' view.
 
 use crate::datagram::OpenError;
 use serde::{Deserialize, Serialize};
 
-/// Counts since the start of the process; they only grow. The names in JSON are older than the fields' names.
+/// Monotonic counters since the start of the process. Some fields have another name in JSON, for compatibility with
+/// earlier versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     /// Datagrams sent; counted by the owner of the socket.
@@ -13,46 +14,46 @@
     /// Datagrams accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Datagrams rejected for their size.
+    /// Datagrams rejected because of their size.
     #[serde(rename = "sizes")]
     pub rejected_size: u64,
-    /// Datagrams rejected for their version.
+    /// Datagrams rejected because of their version.
     #[serde(rename = "versions")]
     pub rejected_version: u64,
-    /// Datagrams rejected for their seal.
+    /// Datagrams rejected because the authentication tag does not match.
     #[serde(rename = "seals")]
     pub rejected_seal: u64,
     /// Authentic datagrams whose body is malformed.
     #[serde(rename = "bodies")]
     pub rejected_body: u64,
-    /// Datagrams whose sequence number was received before, or is too old to be checked.
+    /// Datagrams whose sequence number was received before, or is too old for the replay window.
     #[serde(rename = "repeated")]
     pub replayed: u64,
-    /// Datagrams for a predecessor of this process.
+    /// Datagrams addressed to another instance id, usually that of an earlier process at this address.
     #[serde(rename = "misled")]
     pub misaddressed: u64,
     /// Datagrams that this process sent itself.
     pub echoes: u64,
-    /// Members that the full table had no place for.
+    /// Members that could not be added because the table was full.
     #[serde(rename = "crowded")]
     pub no_capacity: u64,
-    /// Datagrams dropped before they were sent: the queue was full, they were too large, or the socket failed.
+    /// Datagrams that were not sent because the queue was full, they were too large, or the socket failed.
     pub unsent: u64,
-    /// Probes begun.
+    /// Probes started.
     pub probes: u64,
-    /// Probes that were not answered in time, neither directly nor through helpers.
+    /// Probes that received neither a direct nor an indirect ack in time.
     #[serde(rename = "missed")]
     pub probes_unanswered: u64,
-    /// Times that this process refuted a false update about itself.
+    /// Number of times that this process refuted a false update about itself.
     #[serde(rename = "objections")]
     pub refutations: u64,
-    /// Times that this process noticed that it had not run for a while.
+    /// Number of times that this process detected that it had been paused.
     #[serde(rename = "stood")]
     pub pauses: u64,
 }
 
 impl Counters {
-    /// Number of datagrams that could not be opened, for whatever reason.
+    /// Total number of datagrams that could not be opened.
     #[must_use]
     pub fn rejected(&self) -> u64 {
         self.rejected_size + self.rejected_version + self.rejected_seal + self.rejected_body
--- a/crates/membership/src/state/event.rs
+++ b/crates/membership/src/state/event.rs
@@ -1,55 +1,55 @@
-//! Membership events that a gateway logs.
+//! Membership events, which gateways log.
 
 use std::net::SocketAddr;
 
-/// Events kept until the caller takes them; the oldest are dropped beyond that.
+/// Capacity of the queue of events for the caller; the oldest event is dropped if it is full.
 pub(crate) const MAX_PENDING_EVENTS: usize = 256;
 
-/// Something that is worth a line in the log.
+/// A change or problem in the cluster that should be logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
     /// A gateway was discovered.
     Joined {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
-        /// Address at which it receives datagrams.
+        /// Address on which it receives datagrams.
         address: SocketAddr,
     },
-    /// A gateway does not answer.
+    /// A gateway is suspected to be dead.
     Suspected {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
     },
-    /// A suspicion was not refuted in time.
+    /// A gateway was declared dead because the suspicion was not refuted in time.
     Died {
-        /// The gateway's name.
+        /// Name of the gateway.
         name: String,
     },
     /// A gateway announced its departure.
     Left {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
     },
-    /// A gateway that counted as gone is present again.
+    /// A gateway that was considered dead or left is present again.
     Returned {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
     },
-    /// Two processes use one name. Repeated while they do.
+    /// Two active processes use the same name. Repeated while the conflict lasts.
     DuplicateName {
-        /// The name.
+        /// The name in use twice.
         name: String,
     },
-    /// The configuration of another gateway allows for another number of gateways.
+    /// The `max_gateways` setting of another gateway differs from that of this one.
     MaxGatewaysMismatch {
-        /// The other gateway's name.
+        /// Name of the other gateway.
         name: String,
-        /// The number in its configuration.
+        /// The setting of the other gateway.
         max_gateways: u32,
     },
-    /// This process did not run for a while.
+    /// This process was paused.
     ProcessPaused {
-        /// Length of the pause.
+        /// Length of the pause in seconds.
         seconds: f64,
     },
 }
--- a/crates/membership/src/state/member.rs
+++ b/crates/membership/src/state/member.rs
@@ -1,40 +1,40 @@
-//! What is known of one other gateway process.
+//! The member table's record of another gateway process.
 
 use crate::datagram::GossipUpdate;
 use crate::state::replay_window::ReplayWindow;
 use std::net::SocketAddr;
 
-/// State of a member. The order decides between updates of one incarnation: the later state prevails.
+/// State of a member. Among updates of the same incarnation, the greater state in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers, or nothing to the contrary was reported.
+    /// Responds to probes, or has not been reported otherwise.
     Alive,
-    /// It did not answer; it has some time to refute the suspicion.
+    /// Did not respond to a probe, and can still refute the suspicion.
     Suspect,
-    /// The suspicion ran out.
+    /// Did not refute the suspicion in time.
     Dead,
-    /// It announced its departure.
+    /// Announced its departure.
     Left,
 }
 
 impl MemberState {
-    /// The state of a number on the wire; `None` for a number of a later version.
+    /// Decodes a state number from the wire; `None` for a number defined by a later version.
     pub(crate) fn from_wire(number: u8) -> Option<Self> {
         [Self::Alive, Self::Suspect, Self::Dead, Self::Left].get(usize::from(number)).copied()
     }
 
-    /// The state's number on the wire.
+    /// The number that encodes the state on the wire.
     pub(crate) fn to_wire(self) -> u8 {
         self as u8
     }
 
-    /// Whether a member in this state counts as present.
+    /// Whether a member in this state is considered present.
     #[must_use]
     pub fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// Name of the state in operators' views.
+    /// Name of the state in the operators' view.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -45,10 +45,10 @@
     }
 }
 
-/// A member's own statement of whom it endorses and lists, as sums of hashes.
+/// A member's assertion of which processes it endorses and lists, as sums of hashes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimedAssertion {
-    /// Earliest time at which it can have been made, in seconds on the local clock.
+    /// Earliest time at which the assertion can have been made, in seconds on the local clock.
     pub issued_at: f64,
     /// Sum of the hashes of the processes that it endorses.
     pub endorsed: u64,
@@ -64,31 +64,31 @@
     pub incarnation: u32,
     pub state: MemberState,
     pub first_known_at: f64,
-    /// When it entered its state.
+    /// When it entered its current state.
     pub state_since: f64,
-    /// When a suspicion turns into death; infinite where it is not suspect.
+    /// When it is declared dead unless it refutes the suspicion; infinite if it is not suspect.
     pub suspicion_ends_at: f64,
-    /// How many more times the update about it is sent along with datagrams (gossip).
+    /// How many more times the update about it is piggybacked on datagrams.
     pub transmissions_left: u32,
-    /// When the last datagram came from itself.
+    /// When the last datagram from it was received.
     pub last_received_at: f64,
     pub replay_window: ReplayWindow,
-    /// Its most recent assertion, received directly or through others.
+    /// Its most recent assertion, received directly or relayed.
     pub assertion: Option<TimedAssertion>,
-    /// Largest number of gateways that its configuration allows for; 0 while unknown.
+    /// The `max_gateways` setting of its configuration; 0 while unknown.
     pub max_gateways: u32,
-    /// Since when it is on the local list without a break; infinite where it is not listed.
+    /// Since when this gateway has listed it without interruption; infinite if it is not listed.
     pub listed_since: f64,
     /// Whether this gateway endorses it.
     pub endorsed: bool,
-    /// When this gateway last endorsed it.
+    /// When this gateway last stopped endorsing it.
     pub last_endorsed_at: f64,
-    /// When it was last informed of a false update about itself.
+    /// When it was last notified that it is not recorded as alive.
     pub last_notified_at: f64,
 }
 
 impl Member {
-    /// A member that was just discovered, alive.
+    /// Creates the record of a newly discovered member, in state alive.
     pub(crate) fn new(name: String, address: SocketAddr, incarnation: u32, now: f64) -> Self {
         Self {
             name,
@@ -110,30 +110,30 @@
         }
     }
 
-    /// Earliest time at which its last assertion can have been made; negative infinity where there is none.
+    /// Earliest time at which its last assertion can have been made; negative infinity if there is none.
     pub(crate) fn last_assertion_at(&self) -> f64 {
         self.assertion.map_or(f64::NEG_INFINITY, |assertion| assertion.issued_at)
     }
 
-    /// Whether an update with this incarnation and state prevails over what is known.
+    /// Whether an update with this incarnation and state supersedes the recorded one.
     pub(crate) fn is_superseded_by(&self, incarnation: u32, state: MemberState) -> bool {
         (incarnation, state) > (self.incarnation, self.state)
     }
 
-    /// Enters a state in which it is not suspect; the change is passed on `transmissions` times.
+    /// Sets a state other than suspect; the change is gossiped `transmissions` times.
     pub(crate) fn enter(&mut self, state: MemberState, now: f64, transmissions: u32) {
         (self.state, self.state_since) = (state, now);
         self.suspicion_ends_at = f64::INFINITY;
         self.transmissions_left = transmissions;
     }
 
-    /// Becomes suspect until `ends_at`; the suspicion is passed on `transmissions` times.
+    /// Marks the member as suspect until `ends_at`; the suspicion is gossiped `transmissions` times.
     pub(crate) fn enter_suspicion(&mut self, now: f64, ends_at: f64, transmissions: u32) {
         self.enter(MemberState::Suspect, now, transmissions);
         self.suspicion_ends_at = ends_at;
     }
 
-    /// What is known of it, to be passed on.
+    /// Creates a gossip update with the recorded state.
     pub(crate) fn gossip_update(&self, instance_id: u64) -> GossipUpdate {
         let present = self.state.is_present();
         GossipUpdate {
--- a/crates/membership/src/state/own_sets.rs
+++ b/crates/membership/src/state/own_sets.rs
@@ -1,8 +1,8 @@
-//! The sets of processes that this gateway endorses and lists, as they stand.
+//! The current sets of processes that this gateway endorses and lists.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sets of processes. On the wire a set is the wrapping sum of its members' hashes.
+/// The endorsed and the listed processes. On the wire a set is the wrapping sum of its members' hashes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnSets {
     /// Instance ids of all known processes, by hash.
@@ -17,7 +17,7 @@
     pub endorses_self: bool,
 }
 
-/// A process, and which of the sets it belongs to.
+/// A process and the sets that it belongs to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnSetsEntry {
     pub instance_id: u64,
@@ -26,7 +26,7 @@
 }
 
 impl OwnSets {
-    /// Adds a process with its hash.
+    /// Adds a process to the sets that it belongs to.
     pub(crate) fn add(&mut self, process: OwnSetsEntry, hash: u64) {
         self.members_by_hash.insert(hash, process.instance_id);
         if process.endorsed {
--- a/crates/membership/src/state/replay_window.rs
+++ b/crates/membership/src/state/replay_window.rs
@@ -1,14 +1,14 @@
-//! Protection against replayed datagrams: a sliding window over the sequence numbers of one sender, as in IPsec
-//! (RFC 4303, section 3.4.3).
+//! Replay protection: a sliding window over the sequence numbers of one sender, as in IPsec (RFC 4303, section 3.4.3).
 
 /// Width of the window in sequence numbers.
 const WINDOW_BITS: u64 = 128;
 
-/// Sequence numbers received from one process. Each is accepted once; one too old for the window is rejected.
+/// The sequence numbers received from one process. Each number is accepted once; numbers older than the window are
+/// rejected.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReplayWindow {
     highest: u64,
-    /// Bit n is set where `highest - n` was received.
+    /// Bit n is set if `highest - n` was received.
     received: u128,
 }
 
--- a/crates/membership/src/state/replay_window/tests.rs
+++ b/crates/membership/src/state/replay_window/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Numbers that arrive out of order are accepted once each; those older than the window are not.
+/// Numbers may arrive out of order and are accepted once each; numbers older than the window are rejected.
 #[test]
 fn a_sequence_number_is_accepted_once() {
     let mut window = ReplayWindow::default();
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,5 @@
-//! What a gateway knows of the others, as operators see it. The names in JSON are older than the fields' names.
+//! The operators' view of a gateway's membership state. Some fields have another name in JSON, for compatibility with
+//! earlier versions.
 
 use crate::reachability::Reachability;
 use crate::state::Membership;
@@ -8,15 +9,15 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Another gateway process.
+/// Another gateway process, as this gateway knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberView {
     /// Name of the gateway.
     pub name: String,
-    /// Address at which it receives datagrams.
+    /// Address on which it receives datagrams.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// Random id of the process, in hexadecimal.
+    /// Random instance id of the process, in hexadecimal.
     #[serde(rename = "life")]
     pub instance_id: String,
     /// `alive`, `suspect`, `dead` or `left`.
@@ -26,31 +27,31 @@
     pub seconds_in_state: f64,
     /// SWIM incarnation number.
     pub incarnation: u32,
-    /// Upper bound on the age of its last assertion, in seconds; `None` where there is none.
+    /// Upper bound on the age of its last assertion, in seconds; `None` if there is none.
     #[serde(rename = "age")]
     pub assertion_age: Option<f64>,
-    /// Whether two processes use its name.
+    /// Whether two active processes use its name.
     #[serde(rename = "twice")]
     pub duplicate_name: bool,
-    /// Largest number of gateways that its configuration allows for; 0 while unknown.
+    /// The `max_gateways` setting of its configuration; 0 while unknown.
     #[serde(rename = "most")]
     pub max_gateways: u32,
 }
 
-/// What a gateway knows of the cluster.
+/// The state of the cluster as one gateway knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembershipView {
     /// Name of this gateway.
     pub name: String,
-    /// Random id of this process, in hexadecimal.
+    /// Random instance id of this process, in hexadecimal.
     #[serde(rename = "life")]
     pub instance_id: String,
     /// SWIM incarnation number of this process.
     pub incarnation: u32,
-    /// How much of the cluster it reaches.
+    /// How much of the cluster this gateway reaches.
     #[serde(rename = "hears")]
     pub reachability: Reachability,
-    /// Largest number of gateways that there may be.
+    /// Largest possible number of gateways.
     #[serde(rename = "most")]
     pub max_gateways: usize,
     /// Likely number of gateways.
@@ -59,21 +60,21 @@
     /// Largest number of gateways that can have a quorum.
     #[serde(rename = "highest")]
     pub max_with_quorum: usize,
-    /// Seconds for which a majority still endorses this gateway; 0 where none does.
+    /// Seconds for which the endorsements of a majority remain valid; 0 if there is no quorum.
     #[serde(rename = "stands")]
     pub quorum_seconds: f64,
-    /// What it may use of the shared budgets, as a multiple of the even quota.
+    /// The fraction of the shared budgets that it may use, as a multiple of the even quota.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// The other processes, by name and instance id.
+    /// The other processes, ordered by name and instance id.
     pub members: Vec<MemberView>,
-    /// Counts since the start of the process.
+    /// Counters since the start of the process.
     #[serde(rename = "tally")]
     pub counters: Counters,
 }
 
 impl Membership {
-    /// What this gateway knows at `now`, in seconds on the caller's clock.
+    /// Returns the view at `now`, in seconds on the caller's clock.
     #[must_use]
     pub fn view(&mut self, now: f64) -> MembershipView {
         let quota = self.quota_fraction(now);
--- a/crates/membership/tests/cluster_membership.rs
+++ b/crates/membership/tests/cluster_membership.rs
@@ -1,4 +1,4 @@
-//! Clusters without network faults in simulated time: discovery, death, restart, departure and wrong configuration.
+//! Clusters without network faults in simulated time: discovery, death, restart, departure and misconfiguration.
 
 use milletpath_membership::datagram::Identity;
 use milletpath_membership::{MemberState, Membership, MembershipConfig, MembershipEvent, Reachability};
@@ -16,7 +16,7 @@
     for node in &network.nodes {
         assert_eq!(node.running().reachability(), Reachability::Majority);
     }
-    // Nothing is left unused, and nobody has more than its share.
+    // The quotas of all gateways add up to exactly the budgets.
     assert_used(&network, 1.0);
 }
 
@@ -29,7 +29,7 @@
     network.run_until(killed_at + 6.0);
     assert!(network.all_agree());
     network.run_until(killed_at + 12.0);
-    // The floors of the four stay reserved: a dead gateway cannot be distinguished from one that is cut off.
+    // The floors of the four remain reserved, because a dead gateway cannot be distinguished from one that is cut off.
     let reserved = 4.0 * network.config.floor / 12.0;
     assert_used(&network, 1.0 - reserved);
     (0..4).for_each(|n| network.start(n));
@@ -37,7 +37,8 @@
     assert_converged(&network);
 }
 
-/// A process that is killed and restarted at once is a new member; it does not die with its predecessor.
+/// A process that is killed and restarted immediately is a new member, and is not declared dead along with its
+/// predecessor.
 #[test]
 fn a_restarted_process_is_not_taken_for_its_dead_predecessor() {
     let mut network = converged_network(12, 6);
@@ -46,8 +47,8 @@
     network.start(7);
     network.run_until(from + 1.0);
     let others = || (0..12).filter(|n| *n != 7);
-    let informed = others().filter(|n| network.state_of(*n, 7) == Some(MemberState::Alive)).count();
-    assert_eq!(informed, 11);
+    let observers = others().filter(|n| network.state_of(*n, 7) == Some(MemberState::Alive)).count();
+    assert_eq!(observers, 11);
     network.run_until(from + 10.0);
     assert!(network.all_agree());
     for n in others() {
@@ -69,7 +70,8 @@
     assert!(network.first_event_times(from, suspected).is_empty());
 }
 
-/// All gateways report the duplicate name, neither process is declared dead, and neither counts in a quorum.
+/// All gateways report the duplicate name, neither process is declared dead, and neither counts toward a quorum, so
+/// the quota is not exceeded.
 #[test]
 fn two_processes_under_one_name_are_reported_and_both_stay_alive() {
     let mut network = SimulatedNetwork::new(12, 2, strict_config(), 8);
@@ -80,7 +82,7 @@
     let duplicate = |event: &MembershipEvent| matches!(event, MembershipEvent::DuplicateName { name } if name == "gateway-4");
     for n in 0..12 {
         let reports = network.nodes[n].count_events(0.0, duplicate);
-        assert!(reports > 0, "gateway {n} reports that two processes use the name");
+        assert!(reports > 0, "gateway {n} must report the duplicate name");
         for other in [4, 11].into_iter().filter(|other| *other != n) {
             assert_eq!(network.state_of(n, other), Some(MemberState::Alive));
         }
@@ -88,7 +90,7 @@
     assert_quota_respected(&network);
 }
 
-/// Half of the configurations allow for half, or for twice, the right number of gateways.
+/// Half of the gateways are configured with half or twice the correct `max_gateways`.
 #[test_case(6; "too low")]
 #[test_case(24; "too high")]
 fn a_mismatched_max_gateways_is_reported_and_never_exceeds_the_quota(wrong: u32) {
@@ -96,7 +98,7 @@
     let own_max_gateways = |n: usize| if n < 6 { wrong } else { 12 };
     (0..12).for_each(|n| network.start_as(n, &format!("gateway-{n}"), own_max_gateways(n)));
     network.run_until(15.0);
-    let fraction = |n: usize| network.nodes[n].quota.expect("it was read").fraction;
+    let fraction = |n: usize| network.nodes[n].quota.expect("the quota has been read").fraction;
     let used: f64 = (0..12).map(|n| fraction(n) / f64::from(own_max_gateways(n))).sum();
     let largest = f64::from(wrong.max(12));
     assert!(used <= 1.0 + 1e-9 && used >= 12.0 / largest * network.config.floor, "{used}");
--- a/crates/membership/tests/interleavings.rs
+++ b/crates/membership/tests/interleavings.rs
@@ -1,5 +1,6 @@
-//! Three gateways and every order of events up to a stated depth: datagrams arrive, arrive twice or are lost, processes
-//! are killed and restarted, and timers fire. The search starts from many states along random walks.
+//! Exhaustive search of event orders in a cluster of three gateways, up to a given depth. Datagrams are delivered,
+//! duplicated or lost, processes are killed and restarted, and timers fire. The search starts from many states along
+//! random walks.
 
 use milletpath_membership::datagram::{Datagram, Identity};
 use milletpath_membership::{MemberState, Membership, MembershipConfig};
@@ -13,23 +14,24 @@
 
 const SIZE: usize = 3;
 
-/// A lease that is long for the period: a gateway can count as dead while assertions that endorse it still hold.
+/// The lease is long compared to the period, so a gateway can be declared dead while assertions that endorse it are
+/// still fresh.
 const CONFIG: MembershipConfig = MembershipConfig { period: 1.0, lease: 8.0, floor: 0.5, budget_window: 0.0 };
 
-/// Datagrams in flight at most; those beyond are lost.
+/// Maximum number of datagrams in flight; further ones are lost.
 const MAX_IN_FLIGHT: usize = 6;
 
-/// Rounding error that the sum of all quota fractions may have.
+/// Tolerated rounding error of the sum of all quota fractions.
 const TOLERANCE: f64 = 1e-9;
 
-/// Something that can happen next.
+/// An event that can happen next.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A datagram in flight arrives.
+    /// A datagram in flight is delivered.
     Deliver {
         index: usize,
     },
-    /// A datagram in flight arrives, and will arrive again.
+    /// A datagram in flight is delivered, and a copy of it stays in flight.
     DeliverCopy {
         index: usize,
     },
@@ -43,18 +45,18 @@
     Start {
         node: usize,
     },
-    /// Time advances to the deadline of this node; the others may be late for theirs.
+    /// Time advances to this node's deadline, even if other nodes have missed theirs.
     Tick {
         node: usize,
     },
 }
 
-/// A rule that was broken, and what led there.
+/// A violated invariant, with what is needed to reproduce it.
 #[derive(Debug)]
 enum Violation {
-    /// All gateways together may use more than the shared budgets.
+    /// The quotas of all gateways together exceed the shared budgets.
     QuotaExceeded { seed: u64, at: f64, used: f64, steps: Vec<Step> },
-    /// Without faults, some running gateway is still not taken for alive.
+    /// A minute after all faults ended, some running gateway is still not considered alive by another.
     NoAgreement { seed: u64, at: f64 },
 }
 
@@ -62,16 +64,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::QuotaExceeded { seed, at, used, steps } => {
-                write!(f, "seed {seed} at {at:.3} s: {used} of the budgets is used after {steps:?}")
+                write!(
+                    f,
+                    "seed {seed} at {at:.3} s: the quotas add up to {used} of the budgets after {steps:?}"
+                )
             }
             Self::NoAgreement { seed, at } => {
-                write!(f, "seed {seed} at {at:.3} s: a running gateway is not taken for alive any more")
+                write!(
+                    f,
+                    "seed {seed} at {at:.3} s: a running gateway is not considered alive after recovery"
+                )
             }
         }
     }
 }
 
-/// A sum of quota fractions above one, and the steps of the search that led to it.
+/// A sum of quota fractions above 1, and the steps of the search that led to it.
 struct QuotaExcess {
     used: f64,
     steps: Vec<Step>,
@@ -132,7 +140,7 @@
         let Some(membership) = self.nodes[node].as_mut() else { return };
         let outgoing: Vec<_> = std::iter::from_fn(|| membership.next_outgoing()).collect();
         for sent in outgoing {
-            let to = (0..SIZE).find(|node| address(*node) == sent.to).expect("an address of the three");
+            let to = (0..SIZE).find(|node| address(*node) == sent.to).expect("the address belongs to a node");
             if self.in_flight.len() < MAX_IN_FLIGHT {
                 self.in_flight.push(InFlight { to, datagram: sent.datagram });
             }
@@ -180,7 +188,7 @@
         self.collect_outgoing(node);
     }
 
-    /// The sum of all quota fractions; an error where it exceeds one.
+    /// Checks that the sum of all quota fractions is at most 1; returns the sum as the error if it is not.
     fn check_used_fraction(&mut self) -> Result<(), f64> {
         let now = self.now;
         let nodes = self.nodes.iter_mut().flatten();
@@ -188,7 +196,7 @@
         if used > 1.0 + TOLERANCE { Err(used) } else { Ok(()) }
     }
 
-    /// The node with the earliest deadline, and that deadline.
+    /// Returns the node with the earliest deadline, and that deadline.
     fn next_tick(&self) -> (usize, f64) {
         let deadline =
             |node: &usize| self.nodes[*node].as_ref().map_or(f64::INFINITY, Membership::next_deadline);
@@ -196,7 +204,7 @@
         (first, deadline(&first))
     }
 
-    /// Runs without faults: all processes run, and datagrams arrive at once.
+    /// Starts the processes that are not running, then runs without faults: datagrams are delivered immediately.
     fn run_without_faults(&mut self, seconds: f64) {
         let missing: Vec<usize> = (0..SIZE).filter(|node| self.nodes[*node].is_none()).collect();
         missing.into_iter().for_each(|node| self.start(node));
@@ -213,15 +221,15 @@
         }
     }
 
-    /// Runs with timers in time, and with datagrams that arrive at once on the links that are up and are lost on the
-    /// others. The quota is checked after every step.
+    /// Runs with timers that fire on time. Datagrams are delivered immediately on links that are up, and lost on the
+    /// others. Checks the quota sum after every step.
     fn run_with_links(&mut self, link_up: &[[bool; SIZE]; SIZE], seconds: f64) -> Result<(), f64> {
         let until = self.now + seconds;
         loop {
             self.check_used_fraction()?;
             if let Some(InFlight { to, datagram }) = self.in_flight.first() {
                 let from = (0..SIZE).find(|node| datagram.sender.name == format!("g{node}"));
-                let link_up = link_up[from.expect("one of the three")][*to];
+                let link_up = link_up[from.expect("the sender is a node")][*to];
                 self.apply(if link_up { Step::Deliver { index: 0 } } else { Step::Lose { index: 0 } });
                 continue;
             }
@@ -234,7 +242,7 @@
         }
     }
 
-    /// Whether each takes the other two for alive.
+    /// Whether each node considers the other two alive.
     fn all_agree(&self) -> bool {
         let sees_alive = |observer: usize, other: usize| {
             let pair = self.nodes[observer].as_ref().zip(self.nodes[other].as_ref());
@@ -245,7 +253,7 @@
         pairs.into_iter().all(|(observer, other)| sees_alive(observer, other))
     }
 
-    /// A hash of the complete state, by its debug output.
+    /// Hash of the complete state, computed from its debug output.
     fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         let in_flight: Vec<_> = self.in_flight.iter().map(|f| (f.to, &f.datagram)).collect();
@@ -255,7 +263,7 @@
     }
 }
 
-/// Applies all sequences of steps up to a depth. Returns the number of distinct states, or the first excess.
+/// Applies all sequences of up to `depth` steps. Returns the number of distinct states, or the first quota excess.
 fn search(cluster: &Cluster, depth: usize, seen: &mut HashSet<u64>) -> Result<usize, QuotaExcess> {
     let mut states = 0;
     for step in cluster.possible_steps() {
@@ -276,7 +284,7 @@
     Ok(states)
 }
 
-/// Some stretches of time, each with its own links that are down and processes that do not run.
+/// Runs the cluster through phases of random length, each of which may start or kill a process and take links down.
 fn random_walk(cluster: &mut Cluster, phases: usize, rng: &mut ChaCha8Rng) -> Result<(), f64> {
     for _ in 0..phases {
         let node = rng.random_range(0..SIZE);
@@ -294,7 +302,7 @@
     Ok(())
 }
 
-/// Searches from four states of each seed's random walk. Returns the number of states, or the first violation.
+/// Searches from four states of the random walk of each seed. Returns the number of states, or the first violation.
 fn explore(seeds: Range<u64>, depth: usize, ignores_listing_period: bool) -> Result<usize, Violation> {
     let mut states = 0;
     for seed in seeds {
@@ -304,7 +312,7 @@
             let walk = random_walk(&mut cluster, 5, &mut rng);
             let at = cluster.now;
             walk.map_err(|used| Violation::QuotaExceeded { seed, at, used, steps: Vec::new() })?;
-            // Into the middle of an exchange, with datagrams in flight.
+            // Random steps lead to a state in the middle of an exchange, with datagrams in flight.
             for _ in 0..12 {
                 let steps = cluster.possible_steps();
                 cluster.apply(steps[rng.random_range(0..steps.len())]);
@@ -323,7 +331,7 @@
     Ok(states)
 }
 
-/// Every order of events to depth two from 320 states; deeper by hand: `DEPTH=4 cargo test --release -- --ignored`.
+/// All event orders to depth 2 from 320 states. For greater depths run `DEPTH=4 cargo test --release -- --ignored`.
 #[test]
 fn no_interleaving_exceeds_the_quota() {
     let states = explore(0..80, 2, false).unwrap_or_else(|violation| panic!("{violation}"));
@@ -331,16 +339,16 @@
 }
 
 #[test]
-#[ignore = "takes minutes; the depth is asked for by hand"]
+#[ignore = "takes minutes; set DEPTH and run it manually"]
 fn no_interleaving_exceeds_the_quota_at_greater_depth() {
     let depth = std::env::var("DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(3);
     let states = explore(0..40, depth, false).unwrap_or_else(|violation| panic!("{violation}"));
     println!("{states} states");
 }
 
-/// The same search finds the fault of gateways that do not keep their promises.
+/// Verifies the search itself: it detects the injected fault of gateways that ignore the listing period.
 #[test]
-fn the_search_finds_gateways_that_break_their_endorsement_promises() {
+fn the_search_finds_gateways_that_ignore_the_listing_period() {
     let found = explore(0..40, 2, true);
     assert!(matches!(found, Err(Violation::QuotaExceeded { .. })), "{found:?}");
 }
--- a/crates/membership/tests/module_dependencies.rs
+++ b/crates/membership/tests/module_dependencies.rs
@@ -1,10 +1,10 @@
-//! The modules of this package depend on each other in one direction only. Dependencies are read from the source: paths
-//! that begin with `crate` or `super`, and calls of methods that another module adds to `Membership`.
+//! Checks that the module dependencies of this package are acyclic. Dependencies are read from the source text: paths
+//! that begin with `crate` or `super`, and calls of `Membership` methods that are defined in another module.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Source text by module path, such as `quorum::proof`.
+/// Returns the source text of each module by its path, such as `quorum::proof`.
 fn modules() -> BTreeMap<String, String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut modules = BTreeMap::new();
@@ -16,9 +16,9 @@
                 directories.push(path);
                 continue;
             }
-            let module = path.strip_prefix(&root).expect("below the root").with_extension("");
+            let module = path.strip_prefix(&root).expect("the path is below the root").with_extension("");
             let module = module.to_string_lossy().replace('/', "::");
-            // The crate's root only re-exports; test modules come with what they test.
+            // The crate root only re-exports items, and test modules belong to the modules that they test.
             if module != "lib" && !module.ends_with("::tests") {
                 modules.insert(module, std::fs::read_to_string(&path).expect("the file can be read"));
             }
@@ -27,18 +27,18 @@
     modules
 }
 
-/// The code without comments, in which a path may stand as a link.
+/// Removes comments, which may contain paths as links.
 fn without_comments(text: &str) -> String {
     text.lines().map(|line| line.split("//").next().unwrap_or_default()).collect::<Vec<_>>().join("\n")
 }
 
-/// The identifier at the beginning of a text.
+/// Returns the identifier at the start of `text`.
 fn identifier(text: &str) -> &str {
     let end = text.find(|c: char| !c.is_alphanumeric() && c != '_').unwrap_or(text.len());
     &text[..end]
 }
 
-/// Modules that the code names by paths from the crate's root: of each path the longest that is a module.
+/// Returns the modules that `code` refers to by paths: of each path, the longest prefix that is a module.
 fn named_by_path(module: &str, code: &str, modules: &BTreeMap<String, String>) -> BTreeSet<String> {
     let parent = module.rsplit_once("::").map_or("", |(parent, _)| parent);
     let code = code.replace("super::", &format!("crate::{parent}::"));
@@ -59,7 +59,7 @@
     named
 }
 
-/// Methods of `Membership`, each with the module that defines it.
+/// Returns the methods of `Membership`, each with the module that defines it.
 fn methods(modules: &BTreeMap<String, String>) -> BTreeMap<String, String> {
     let mut methods = BTreeMap::new();
     for (module, text) in modules {
@@ -72,7 +72,7 @@
     methods
 }
 
-/// Modules whose methods of `Membership` the code calls.
+/// Returns the modules whose `Membership` methods `code` calls.
 fn named_by_call(code: &str, methods: &BTreeMap<String, String>) -> BTreeSet<String> {
     let calls = code.split("self.").skip(1).filter_map(|call| {
         let name = identifier(call);
@@ -99,13 +99,13 @@
 #[test]
 fn modules_have_no_circular_dependencies() {
     let mut dependencies = dependencies();
-    // The test sees both kinds of dependency.
+    // Verify that both kinds of dependencies are detected.
     assert!(dependencies["quorum::proof"].contains("quorum::set_difference"), "{dependencies:?}");
     assert!(
         dependencies["gossip::member_table"].contains("failure_detection::suspicion"),
         "{dependencies:?}"
     );
-    // Modules without dependencies are removed until none is left, or a circle.
+    // Remove modules without dependencies until no module is left, or only cycles and what depends on them.
     loop {
         let independent: BTreeSet<_> =
             dependencies.iter().filter(|(_, on)| on.is_empty()).map(|(module, _)| module.clone()).collect();
--- a/crates/membership/tests/network_faults.rs
+++ b/crates/membership/tests/network_faults.rs
@@ -1,5 +1,5 @@
-//! Clusters under network faults and pauses in simulated time. Whatever happens, all gateways together never exceed the
-//! shared budgets, and once the faults end each lists all others as alive again.
+//! Clusters with network faults and paused processes in simulated time. In all cases the gateways together never
+//! exceed the shared budgets, and every gateway considers all others alive again after the faults end.
 
 use milletpath_membership::{MembershipConfig, MembershipEvent, Reachability};
 use milletpath_test_support::simulated_network::SimulatedNetwork;
@@ -20,7 +20,8 @@
     matches!(event, MembershipEvent::Died { .. })
 }
 
-/// Each side of a partition notices the loss of the other; after it heals each side lists the other as alive within seconds.
+/// Each side of a partition detects the loss of the other. After the partition heals, each side considers the other
+/// alive within seconds.
 #[test_case(12, 5, 10.0; "5 to 7")]
 #[test_case(12, 6, 10.0; "in the middle")]
 #[test_case(12, 1, 20.0; "one alone")]
@@ -41,14 +42,14 @@
         let expected_rest = if 2 * minority < size { Reachability::Majority } else { Reachability::Minority };
         assert_eq!(reachability(size - 1), expected_rest);
         network.run_until(until + 5.0);
-        assert!(network.all_agree(), "seed {seed}: healed within 5 s");
+        assert!(network.all_agree(), "seed {seed}: must heal within 5 s");
         network.run_until(until + 12.0);
         assert_used(&network, 1.0);
     }
 }
 
-/// A gateway that receives nothing, while all receive from it, falls back to its floor. It spreads no suspicions but
-/// for the member whose answer was the first to be missing.
+/// A gateway that receives nothing, while all others receive its datagrams, falls back to its floor. It gossips a
+/// suspicion of at most one member: the one whose probe was the first to remain unanswered.
 #[test]
 fn a_gateway_that_receives_nothing_suspects_at_most_one_other() {
     let mut network = converged_network(12, 4);
@@ -59,7 +60,7 @@
     let isolated = network.nodes[0].running();
     assert_eq!(isolated.reachability(), Reachability::Nobody);
     assert_eq!(isolated.likely_gateways(), 12.0);
-    let quota = network.nodes[0].quota.expect("it was read");
+    let quota = network.nodes[0].quota.expect("the quota has been read");
     assert_eq!(quota.fraction, quota.floor_fraction);
     let suspected_by_others = |other: &usize| {
         let suspect = format!("gateway-{other}");
@@ -71,7 +72,7 @@
     assert_converged(&network);
 }
 
-/// A process that is paused for five seconds counts as gone; when it resumes it blames nobody else.
+/// A process that is paused for five seconds is declared dead by the others. When it resumes it must not suspect them.
 #[test]
 fn a_paused_process_suspects_nobody_when_it_resumes() {
     let mut network = converged_network(12, 5);
@@ -99,8 +100,8 @@
     }
 }
 
-/// Datagrams that are delayed by up to 1.5 s and overtake each other: the first late answers come as a surprise, after
-/// that the suspicions wait for them.
+/// Datagrams are delayed by up to 1.5 s and reordered. The first late acks may cause false deaths; after that the
+/// suspicion timeout has adapted to the longer round trips.
 #[test]
 fn delayed_datagrams_lengthen_the_suspicion_timeout() {
     let mut network = converged_network(12, 12);
@@ -115,7 +116,7 @@
     assert_converged(&network);
 }
 
-/// Loses datagrams with a probability, duplicates a fifth of them, and lets them overtake each other.
+/// Loses datagrams with a probability, adds a copy with a probability of 20 %, and reorders them.
 fn lossy_with_duplicates(probability: f64) -> DeliveryRule {
     Box::new(move |_, rng| {
         let copies = usize::from(!rng.random_bool(probability)) + usize::from(rng.random_bool(0.2));
@@ -128,7 +129,7 @@
     network.start(n);
 }
 
-/// Applies one random fault, or ends those of the network.
+/// Injects one random fault, or ends the network faults.
 fn inject_random_fault(network: &mut SimulatedNetwork) {
     let size = network.nodes.len();
     let n = network.rng.random_range(0..size);
@@ -158,7 +159,7 @@
 #[test]
 fn random_faults_never_make_the_quota_fractions_exceed_one() {
     const SIZES: [usize; 5] = [3, 4, 5, 7, 12];
-    /// Shorter than a suspicion lasts, and longer.
+    /// Shorter and longer than the suspicion timeout.
     const LEASES: [f64; 2] = [1.5, 8.0];
     for seed in 1..=40 {
         let size = SIZES[seed as usize % SIZES.len()];
@@ -178,7 +179,7 @@
         network.run_until(network.now + 40.0);
         assert!(
             network.all_agree(),
-            "seed {seed}: after the faults not every gateway lists all others as alive"
+            "seed {seed}: not every gateway considers all others alive after the faults ended"
         );
         assert_used(&network, 1.0);
     }
--- a/crates/membership/tests/rejected_datagrams.rs
+++ b/crates/membership/tests/rejected_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are rejected when they are opened, and those that the protocol ignores.
+//! Datagrams that are rejected on opening, and datagrams that the protocol ignores.
 
 use milletpath_membership::datagram::{
     self, Datagram, Identity, Key, MAX_DATAGRAM_BYTES, OpenError, SealError, kind,
@@ -21,7 +21,7 @@
 }
 
 fn sealed_ping() -> Vec<u8> {
-    datagram::seal(&key(), &Datagram::new(identity(2), 1, kind::PING, 1)).expect("it fits")
+    datagram::seal(&key(), &Datagram::new(identity(2), 1, kind::PING, 1)).expect("the datagram fits")
 }
 
 #[test_case(&[]; "empty")]
@@ -53,7 +53,7 @@
 #[test_case("n".repeat(65); "with a name that is too long")]
 fn an_authentic_datagram_is_rejected(name: String) {
     let sender = Identity { name, ..identity(2) };
-    let sealed = datagram::seal(&key(), &Datagram::new(sender, 1, kind::PING, 1)).expect("it fits");
+    let sealed = datagram::seal(&key(), &Datagram::new(sender, 1, kind::PING, 1)).expect("the datagram fits");
     assert_eq!(datagram::open(&key(), &sealed), Err(OpenError::InvalidBody));
     assert_eq!(datagram::decode_unverified(&sealed), None);
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,4 +1,5 @@
-//! Datagrams and the operators' view, byte for byte as gateways of earlier versions write and read them.
+//! Wire compatibility: the encodings of datagrams and of the operators' view must equal, byte for byte, those of
+//! earlier versions.
 
 use milletpath_membership::datagram::{self, Assertion, Datagram, GossipUpdate, Identity, Key, Page, kind};
 use milletpath_membership::{Membership, MembershipConfig};
@@ -28,7 +29,7 @@
     Key::new(b"thirty-two bytes of a test's key")
 }
 
-/// One datagram of each kind, with the fields that the kind uses, and one with every field.
+/// One datagram of each kind, with the fields used by that kind, and one datagram with every field.
 fn examples() -> Vec<(&'static str, Datagram)> {
     let updates = || {
         vec![
@@ -55,39 +56,33 @@
             Assertion { instance_id: 7, age: 1234, endorsed: None, listed: Some(33) },
         ]
     };
-    let datagram = |kind: u8, request_id: u64, fill: &dyn Fn(&mut Datagram)| {
+    let of = |kind: u8, request_id: u64, fill: &dyn Fn(&mut Datagram)| {
         let mut datagram = Datagram::new(identity(1), 2, kind, request_id);
         datagram.sequence = 40 + u64::from(kind);
         fill(&mut datagram);
         datagram
     };
     vec![
-        ("ping", datagram(kind::PING, 9, &|d| d.updates = updates())),
-        (
-            "ack",
-            datagram(kind::ACK, 9, &|d| (d.subject, d.updates, d.assertions) = (10, updates(), assertions())),
-        ),
-        ("ping request", datagram(kind::PING_REQUEST, 11, &|d| d.subject = 7)),
-        (
-            "indirect ack",
-            datagram(kind::INDIRECT_ACK, 11, &|d| (d.subject, d.assertions) = (7, assertions())),
-        ),
-        ("digest", datagram(kind::DIGEST, 1, &|d| d.digest = u64::MAX - 1)),
-        ("member table", datagram(kind::MEMBER_TABLE, 0, &|d| d.updates = updates())),
-        ("departure", datagram(kind::DEPARTURE, 0, &|_| {})),
-        ("announce", datagram(kind::ANNOUNCE, 0, &|d| d.updates = updates())),
-        ("status query", datagram(kind::STATUS_QUERY, 2, &|_| {})),
+        ("ping", of(kind::PING, 9, &|d| d.updates = updates())),
+        ("ack", of(kind::ACK, 9, &|d| (d.subject, d.updates, d.assertions) = (10, updates(), assertions()))),
+        ("ping request", of(kind::PING_REQUEST, 11, &|d| d.subject = 7)),
+        ("indirect ack", of(kind::INDIRECT_ACK, 11, &|d| (d.subject, d.assertions) = (7, assertions()))),
+        ("digest", of(kind::DIGEST, 1, &|d| d.digest = u64::MAX - 1)),
+        ("member table", of(kind::MEMBER_TABLE, 0, &|d| d.updates = updates())),
+        ("departure", of(kind::DEPARTURE, 0, &|_| {})),
+        ("announce", of(kind::ANNOUNCE, 0, &|d| d.updates = updates())),
+        ("status query", of(kind::STATUS_QUERY, 2, &|_| {})),
         (
             "status reply",
-            datagram(kind::STATUS_REPLY, 2, &|d| {
+            of(kind::STATUS_REPLY, 2, &|d| {
                 d.page = Some(Page { index: 1, total: 3, bytes: vec![0, 1, 255] });
             }),
         ),
-        ("final ack", datagram(kind::FINAL_ACK, 10, &|d| d.assertions = assertions())),
-        ("payload", datagram(kind::PAYLOAD, 0, &|d| d.payload = Some(vec![1, 2, 3]))),
+        ("final ack", of(kind::FINAL_ACK, 10, &|d| d.assertions = assertions())),
+        ("payload", of(kind::PAYLOAD, 0, &|d| d.payload = Some(vec![1, 2, 3]))),
         (
             "every field",
-            datagram(200, 5, &|d| {
+            of(200, 5, &|d| {
                 (d.subject, d.digest, d.updates, d.assertions) = (6, 7, updates(), assertions());
                 d.page = Some(Page { index: 0, total: 1, bytes: vec![9] });
                 d.payload = Some(vec![]);
@@ -98,24 +93,24 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes all");
+        write!(text, "{byte:02x}").expect("writing to a string cannot fail");
         text
     })
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).expect("hex")).collect()
+    (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).expect("valid hex")).collect()
 }
 
 fn fixture(name: &str) -> &'static str {
     let line = FIXTURE.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
-    line.unwrap_or_else(|| panic!("no line of {name} in the fixture"))
+    line.unwrap_or_else(|| panic!("the fixture has no line for {name}"))
 }
 
 #[test]
 fn each_kind_of_datagram_is_encoded_byte_for_byte_as_before() {
     for (name, datagram) in examples() {
-        let sealed = datagram::seal(&key(), &datagram).expect("it fits");
+        let sealed = datagram::seal(&key(), &datagram).expect("the datagram fits");
         assert_eq!(hex(&sealed), fixture(name), "{name}: {}", hex(&sealed));
     }
 }
@@ -127,7 +122,7 @@
     }
 }
 
-/// A cluster with lost datagrams, killed and restarted processes: every datagram that any of them sends.
+/// Compares a hash of every datagram sent in a cluster with lost datagrams and killed and restarted processes.
 #[test]
 fn a_simulated_cluster_sends_the_same_datagrams_as_before() {
     let mut network =
@@ -160,6 +155,6 @@
             membership.receive(100.75, final_ack);
         }
     }
-    let view = serde_json::to_string(&membership.view(101.0)).expect("a view is JSON");
+    let view = serde_json::to_string(&membership.view(101.0)).expect("the view can be serialized");
     assert_eq!(view, VIEW.trim_end());
 }
