--- a/crates/membership/src/failure_detection/probing.rs
+++ b/crates/membership/src/failure_detection/probing.rs
@@ -13,7 +13,7 @@
 /// unanswered.
 const MAX_PINGS: u32 = 4;
 
-/// Members that receive a ping request along with each ping of a probe except the first and the last.
+/// Number of members that receive a ping request along with each ping of a probe except the first and the last.
 const PING_REQUEST_FANOUT: usize = 3;
 
 impl Membership {
--- a/crates/membership/src/quorum/endorsement.rs
+++ b/crates/membership/src/quorum/endorsement.rs
@@ -14,7 +14,7 @@
 //! started has listed no other process for longer than it has been running, so by the time it endorses one, the
 //! listing periods of the endorsements made by its predecessor have ended.
 //!
-//! A set of processes is sent as the sum of the hashes of its members, so its encoding has a fixed size (see
+//! A set of processes is sent as the sum of the hashes of its members, so its encoding does not grow with the set (see
 //! `set_difference.rs`).
 
 use crate::config::CLOCK_MARGIN;
--- a/crates/membership/src/state/counters.rs
+++ b/crates/membership/src/state/counters.rs
@@ -32,7 +32,7 @@
     /// Datagrams addressed to another instance id, usually that of an earlier process at this address.
     #[serde(rename = "misled")]
     pub misaddressed: u64,
-    /// Datagrams that this process sent itself.
+    /// Received datagrams that this process sent itself.
     pub echoes: u64,
     /// Members that could not be added because the table was full.
     #[serde(rename = "crowded")]
--- a/crates/membership/tests/rejected_datagrams.rs
+++ b/crates/membership/tests/rejected_datagrams.rs
@@ -25,7 +25,7 @@
 }
 
 #[test_case(&[]; "empty")]
-#[test_case(&[1; 17]; "nothing but version and seal")]
+#[test_case(&[1; 17]; "nothing but version and tag")]
 #[test_case(&[1; MAX_DATAGRAM_BYTES + 1]; "too large")]
 fn a_datagram_of_a_wrong_size_is_rejected(sealed: &[u8]) {
     assert_eq!(datagram::open(&key(), sealed), Err(OpenError::InvalidSize));
