--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,4 +1,5 @@
-//! Datagrams and the operators' view, byte for byte as gateways of earlier versions write and read them.
+//! Wire compatibility: the encodings of datagrams and of the operators' view must equal, byte for byte, those of
+//! earlier versions.
 
 use milletpath_membership::datagram::{self, Assertion, Datagram, GossipUpdate, Identity, Key, Page, kind};
 use milletpath_membership::{Membership, MembershipConfig};
@@ -28,7 +29,7 @@
     Key::new(b"thirty-two bytes of a test's key")
 }
 
-/// One datagram of each kind, with the fields that the kind uses, and one with every field.
+/// One datagram of each kind, with the fields used by that kind, and one datagram with every field.
 fn examples() -> Vec<(&'static str, Datagram)> {
     let updates = || {
         vec![
@@ -55,8 +56,8 @@
             Assertion { instance_id: 7, age: 1234, endorsed: None, listed: Some(33) },
         ]
     };
-    let of = |kind: u8, number: u64, fill: &dyn Fn(&mut Datagram)| {
-        let mut datagram = Datagram::new(identity(1), 2, kind, number);
+    let of = |kind: u8, request_id: u64, fill: &dyn Fn(&mut Datagram)| {
+        let mut datagram = Datagram::new(identity(1), 2, kind, request_id);
         datagram.sequence = 40 + u64::from(kind);
         fill(&mut datagram);
         datagram
@@ -92,24 +93,24 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes all");
+        write!(text, "{byte:02x}").expect("writing to a string cannot fail");
         text
     })
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).expect("hex")).collect()
+    (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).expect("valid hex")).collect()
 }
 
 fn fixture(name: &str) -> &'static str {
     let line = FIXTURE.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
-    line.unwrap_or_else(|| panic!("no line of {name} in the fixture"))
+    line.unwrap_or_else(|| panic!("the fixture has no line for {name}"))
 }
 
 #[test]
 fn each_kind_of_datagram_is_encoded_byte_for_byte_as_before() {
     for (name, datagram) in examples() {
-        let sealed = datagram::seal(&key(), &datagram).expect("it fits");
+        let sealed = datagram::seal(&key(), &datagram).expect("the datagram fits");
         assert_eq!(hex(&sealed), fixture(name), "{name}: {}", hex(&sealed));
     }
 }
@@ -121,7 +122,7 @@
     }
 }
 
-/// A cluster with lost datagrams, killed and restarted processes: every datagram that any of them sends.
+/// Compares a hash of every datagram sent in a cluster with lost datagrams and killed and restarted processes.
 #[test]
 fn a_simulated_cluster_sends_the_same_datagrams_as_before() {
     let mut network =
@@ -154,6 +155,6 @@
             membership.receive(100.75, final_ack);
         }
     }
-    let view = serde_json::to_string(&membership.view(101.0)).expect("a view is JSON");
+    let view = serde_json::to_string(&membership.view(101.0)).expect("the view can be serialized");
     assert_eq!(view, VIEW.trim_end());
 }
