--- a/crates/platform-router/src/client_connections/accept.rs
+++ b/crates/platform-router/src/client_connections/accept.rs
@@ -13,17 +13,17 @@
 use tokio::task::spawn_local;
 
 /// Connections that are taken from the queue of the listener at a time.
-const MAX_QUEUED: usize = 1024;
+const MAX_ACCEPTS: usize = 1024;
 /// Pause before the next attempt where a connection can't be accepted yet: without descriptors it would fail again at
 /// once.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Connections beyond the limit, where all others wait for responses: they take their descriptors from the reserve.
-const MAX_OVERFLOW: usize = 8;
+const MAX_OVERFLOW_CLIENTS: usize = 8;
 /// Seconds for which a connection that has sent nothing yet is not closed for another: its first call may be on its way.
 /// Short, as a flood of silent connections delays all others for as long.
-const FIRST_CALL: f64 = 0.01;
+const FIRST_CALL_SECONDS: f64 = 0.01;
 /// Pause before a connection that waits for a place is tried again.
-const ADMISSION_PAUSE: Duration = Duration::from_millis(2);
+const ADMISSION_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// Transient failures in a row after which there is a pause as well: an error that stays must not spin.
 const MAX_TRANSIENT_FAILURES: u32 = 16;
 
@@ -82,7 +82,7 @@
                 failures = 0;
                 router.borrow_mut().pending_connection = Some(stream);
                 while !router.borrow_mut().admit_pending() {
-                    tokio::time::sleep(ADMISSION_PAUSE).await;
+                    tokio::time::sleep(ADMISSION_RETRY_PAUSE).await;
                 }
                 router.borrow_mut().run_actions();
                 // The connection that was closed for it frees its descriptor before another is accepted.
@@ -94,7 +94,7 @@
                 if AcceptFailure::of(&e) == AcceptFailure::Transient && failures < MAX_TRANSIENT_FAILURES {
                     tokio::task::yield_now().await;
                 } else {
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
@@ -114,7 +114,7 @@
     /// Finds a place for one more connection, where need be by closing another that waits for no response, has nothing
     /// unread and was not accepted just now. None where there is none: the connection waits, with what is sent on it
     /// unread.
-    fn find_place(&mut self) -> Option<Admission> {
+    fn make_room(&mut self) -> Option<Admission> {
         if self.clients.len() < self.connection_limits.clients {
             return Some(Admission::Regular);
         }
@@ -123,7 +123,7 @@
             self.close_client(slot, &CloseReason::Evicted);
             return Some(Admission::Regular);
         }
-        if self.clients.len() < self.connection_limits.clients + MAX_OVERFLOW {
+        if self.clients.len() < self.connection_limits.clients + MAX_OVERFLOW_CLIENTS {
             return Some(Admission::Overflow);
         }
         let slot = self.idle_overflow_client(now)?;
@@ -141,7 +141,7 @@
             idle_seconds: now - client.last_used(),
         });
         let mut order = self.connection_limits.eviction_order(candidates);
-        order.find(|slot| self.clients[*slot].nothing_unread())
+        order.find(|slot| self.clients[*slot].has_no_unread_bytes())
     }
 
     /// The client beyond the limit that makes room first: the longest idle that was shut down, or has sent nothing.
@@ -150,7 +150,7 @@
             may_be_evicted(client, now)
                 && !client.has_sent_message
                 && client.partial_line.is_empty()
-                && client.nothing_unread()
+                && client.has_no_unread_bytes()
         };
         let candidates = self
             .clients
@@ -163,7 +163,7 @@
     /// Admits the connection that waits for a place; false where it goes on waiting.
     fn admit_pending(&mut self) -> bool {
         let Some(stream) = self.pending_connection.take() else { return true };
-        let admission = self.find_place();
+        let admission = self.make_room();
         match admission {
             Some(admission) => self.accept_client(stream, admission),
             None => self.pending_connection = Some(stream),
@@ -198,7 +198,7 @@
         if !self.admit_pending() {
             return QueueResult { accepted, empty: false };
         }
-        for _ in 0..MAX_QUEUED {
+        for _ in 0..MAX_ACCEPTS {
             let stream = next().and_then(|socket| {
                 socket.set_nonblocking(true)?;
                 TcpStream::from_std(socket.into())
@@ -222,7 +222,8 @@
 
 /// Whether a connection waits for no response, and was not accepted just now.
 fn may_be_evicted(client: &ClientConnection, now: f64) -> bool {
-    client.open_calls.is_empty() && (client.has_sent_message || now - client.last_used() >= FIRST_CALL)
+    client.open_calls.is_empty()
+        && (client.has_sent_message || now - client.last_used() >= FIRST_CALL_SECONDS)
 }
 
 #[cfg(test)]
--- a/crates/platform-router/src/client_connections/accept/tests.rs
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -56,7 +56,7 @@
             attempts += 1;
             accept_error(Errno::ECONNABORTED)
         });
-        assert_eq!((result, attempts), (QueueResult { accepted: 0, empty: false }, MAX_QUEUED));
+        assert_eq!((result, attempts), (QueueResult { accepted: 0, empty: false }, MAX_ACCEPTS));
     });
 }
 
--- a/crates/platform-router/src/client_connections/close.rs
+++ b/crates/platform-router/src/client_connections/close.rs
@@ -11,9 +11,9 @@
 use std::net::Shutdown;
 
 /// Seconds for which a connection that was shut down is read on, for a client that does not close it.
-const LINGER: f64 = 0.1;
+const LINGER_SECONDS: f64 = 0.1;
 /// Seconds that a connection has for its first call when a router that shuts down closes it.
-const FIRST_CALL: f64 = 0.1;
+const FIRST_CALL_SECONDS: f64 = 0.1;
 
 /// Why a client's connection is closed.
 #[derive(Debug, thiserror::Error)]
@@ -100,17 +100,17 @@
             )
         };
         // After an invalid line nothing more is read, so unread bytes do not count then.
-        late && client.open_calls.is_empty() && (client.closing || client.nothing_unread())
+        late && client.open_calls.is_empty() && (client.closing || client.has_no_unread_bytes())
     }
 
     /// Shuts the sending direction of a connection down if it is idle and its first call has come, or had the time to.
     pub(super) fn shut_down_if_idle(&mut self, slot: usize, now: f64) {
         let admission_closed = self.shutdown.admission_closed();
         let Some(client) = self.clients.get_mut(slot) else { return };
-        let had_its_time =
-            client.has_sent_message || admission_closed && now - client.last_progress >= FIRST_CALL;
+        let had_time_for_first_call =
+            client.has_sent_message || admission_closed && now - client.last_progress >= FIRST_CALL_SECONDS;
         let is_open = client.write_closed_at.is_none() && !client.closing;
-        if !is_open || !had_its_time || !client.is_idle() || !client.nothing_unread() {
+        if !is_open || !had_time_for_first_call || !client.is_idle() || !client.has_no_unread_bytes() {
             return;
         }
         client.write_closed_at = Some(now);
@@ -120,22 +120,23 @@
     }
 
     /// The same for all connections that `applies` is true of.
-    pub(super) fn shut_down_idle(&mut self, now: f64, applies: impl Fn(&ClientConnection) -> bool) {
-        for slot in self.clients_where(|_, client| applies(client)) {
+    pub(super) fn shut_down_idle(&mut self, now: f64, predicate: impl Fn(&ClientConnection) -> bool) {
+        for slot in self.clients_where(|_, client| predicate(client)) {
             self.shut_down_if_idle(slot, now);
         }
     }
 
     /// Closes the connections that were shut down and whose clients had the time to close them.
     pub(super) fn close_shut_down(&mut self, now: f64) {
-        let is_over = |client: &ClientConnection| client.write_closed_at.is_some_and(|at| now - at >= LINGER);
-        for slot in self.clients_where(|_, client| is_over(client)) {
+        let linger_expired =
+            |client: &ClientConnection| client.write_closed_at.is_some_and(|at| now - at >= LINGER_SECONDS);
+        for slot in self.clients_where(|_, client| linger_expired(client)) {
             self.close_client(slot, &CloseReason::Graceful);
         }
     }
 
     /// Slots of the clients that `applies` is true of.
-    pub(super) fn clients_where(&self, applies: impl Fn(&Self, &ClientConnection) -> bool) -> Vec<usize> {
-        self.clients.iter().filter(|(_, client)| applies(self, client)).map(|(slot, _)| slot).collect()
+    pub(super) fn clients_where(&self, predicate: impl Fn(&Self, &ClientConnection) -> bool) -> Vec<usize> {
+        self.clients.iter().filter(|(_, client)| predicate(self, client)).map(|(slot, _)| slot).collect()
     }
 }
--- a/crates/platform-router/src/client_connections/graceful_shutdown.rs
+++ b/crates/platform-router/src/client_connections/graceful_shutdown.rs
@@ -68,7 +68,7 @@
     /// Reads what lies unread in the sockets of clients.
     fn read_unread_clients(&mut self) {
         let unread = self.clients_where(|_, client| {
-            !client.closing && client.write_closed_at.is_none() && !client.nothing_unread()
+            !client.closing && client.write_closed_at.is_none() && !client.has_no_unread_bytes()
         });
         for slot in unread {
             self.on_client_readable(slot);
--- a/crates/platform-router/src/client_connections/requests.rs
+++ b/crates/platform-router/src/client_connections/requests.rs
@@ -65,9 +65,9 @@
         if self.shutdown.rejects(now) {
             return false;
         }
-        let crowded = self.clients.len() > self.connection_limits.clients;
+        let over_limit = self.clients.len() > self.connection_limits.clients;
         match self.clients.get_mut(slot) {
-            Some(client) if client.overflow && crowded => false,
+            Some(client) if client.overflow && over_limit => false,
             Some(client) => {
                 client.overflow = false;
                 true
--- a/crates/platform-router/src/connection_limits.rs
+++ b/crates/platform-router/src/connection_limits.rs
@@ -9,13 +9,13 @@
 const CLIENT_FRACTION: f64 = 0.55;
 /// Attempts on one connection from which on another is opened: a connection that breaks takes all on it along, and each
 /// costs the worker a handshake.
-const PREFERRED_ATTEMPTS: usize = 4;
+const PREFERRED_MAX_ATTEMPTS: usize = 4;
 /// Seconds that a client may be connected without a whole line: the platform wants such closed within 3 s.
-const SILENT_SECONDS: f64 = 2.0;
+const SILENCE_TIMEOUT: f64 = 2.0;
 /// Seconds that the first line of a client may take: with a look each 0.2 s it is still closed within those 3 s.
-const FIRST_LINE_SECONDS: f64 = 2.5;
+const FIRST_LINE_TIMEOUT: f64 = 2.5;
 /// Seconds after which a client that has sent nothing counts as silent, where its place is needed.
-const NEWCOMER_SECONDS: f64 = 0.3;
+const NEW_CLIENT_SECONDS: f64 = 0.3;
 /// Fraction of the stated idle time after which a connection to a worker is closed: before the worker does.
 const IDLE_FRACTION: f64 = 0.8;
 
@@ -76,7 +76,7 @@
             streams_per_connection: settings.streams_per_connection.max(1),
             idle_seconds: settings.idle_timeout * IDLE_FRACTION,
             connect_timeout: settings.connect_timeout,
-            longest_deadline: settings.longest_deadline.max(FIRST_LINE_SECONDS),
+            longest_deadline: settings.longest_deadline.max(FIRST_LINE_TIMEOUT),
         }
     }
 
@@ -95,7 +95,7 @@
         let ranked =
             connections.enumerate().map(|(at, usage)| (is_silent(usage.silent_since), usage.attempts, at));
         let (is_silent, attempts, at) = ranked.min()?;
-        let has_capacity = !is_silent && attempts < PREFERRED_ATTEMPTS.min(self.streams_per_connection);
+        let has_capacity = !is_silent && attempts < PREFERRED_MAX_ATTEMPTS.min(self.streams_per_connection);
         (has_capacity || open >= self.worker_connections).then_some(at)
     }
 
@@ -106,7 +106,7 @@
         clients: impl Iterator<Item = EvictionCandidate>,
     ) -> impl Iterator<Item = usize> {
         let rank = |client: &EvictionCandidate| match client {
-            EvictionCandidate { idle_seconds, .. } if *idle_seconds < NEWCOMER_SECONDS => 2,
+            EvictionCandidate { idle_seconds, .. } if *idle_seconds < NEW_CLIENT_SECONDS => 2,
             EvictionCandidate { has_sent_message: true, .. } => 1,
             EvictionCandidate { has_sent_message: false, .. } => 0,
         };
@@ -117,7 +117,7 @@
 
     /// Whether a client has sent no whole line, or not read what it was sent, for too long since `last_progress`.
     pub fn is_silent(&self, now: f64, last_progress: f64) -> bool {
-        now - last_progress >= SILENT_SECONDS
+        now - last_progress >= SILENCE_TIMEOUT
     }
 
     /// Whether the rest of a line is waited for no longer: its pieces, the last of them at `last_received`, stopped
@@ -129,7 +129,7 @@
         last_received: f64,
         has_sent_message: bool,
     ) -> bool {
-        let limit = if has_sent_message { self.longest_deadline } else { FIRST_LINE_SECONDS };
+        let limit = if has_sent_message { self.longest_deadline } else { FIRST_LINE_TIMEOUT };
         self.is_silent(now, last_received) || now - line_started >= limit
     }
 
--- a/crates/platform-router/src/connection_limits/tests.rs
+++ b/crates/platform-router/src/connection_limits/tests.rs
@@ -13,7 +13,7 @@
 
 /// A client had connected a moment ago and its first call was on the way, when it was closed for another.
 #[test]
-fn newcomers_are_evicted_last() {
+fn new_connections_are_evicted_last() {
     let clients = [(7, false, 0.01), (3, true, 5.0), (4, true, 9.0), (5, false, 1.0), (6, true, 0.1)];
     let clients = clients.map(|(slot, has_sent_message, idle_seconds)| EvictionCandidate {
         slot,
--- a/crates/platform-router/src/discovery_feed.rs
+++ b/crates/platform-router/src/discovery_feed.rs
@@ -11,17 +11,17 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StreamEnd {
     #[error("could not connect: {0}")]
-    Connect(#[source] io::Error),
+    ConnectFailed(#[source] io::Error),
     #[error("no connection in time")]
     ConnectTimeout,
     #[error("could not subscribe: {0}")]
-    Subscribe(#[source] io::Error),
+    SubscribeFailed(#[source] io::Error),
     #[error("could not subscribe in time")]
     SubscribeTimeout,
     #[error("the stream was closed")]
     Closed,
     #[error("the stream broke: {0}")]
-    Broken(#[source] io::Error),
+    ReadFailed(#[source] io::Error),
     #[error("no line came in time")]
     Silent,
     #[error("events after {after} are missing")]
@@ -49,7 +49,7 @@
     /// Why the stream is of no more use, found outside its task.
     pub end: Option<StreamEnd>,
     /// Wakes the stream's task after lines were read outside it.
-    pub read_elsewhere: Rc<Notify>,
+    pub read_outside_task: Rc<Notify>,
 }
 
 impl DiscoveryFeed {
@@ -62,7 +62,7 @@
             last_line_at: Instant::now(),
             emptied_at: 0.0,
             end: None,
-            read_elsewhere: Rc::new(Notify::new()),
+            read_outside_task: Rc::new(Notify::new()),
         }
     }
 
--- a/crates/platform-router/src/discovery_watch/receive.rs
+++ b/crates/platform-router/src/discovery_watch/receive.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Seconds for which a look at the socket is believed before something is sent: short against any grace.
-const LOOK_SECONDS: f64 = 0.02;
+const PEEK_VALID_SECONDS: f64 = 0.02;
 /// Reads of the socket before something is sent; what is left after them waits for the next look.
 const MAX_READS: usize = 16;
 
@@ -57,7 +57,7 @@
     }
 
     /// Looks at the socket without reading. True where nothing is unread, as far as the system knows.
-    pub(crate) fn look_at_discovery(&mut self) -> bool {
+    pub(crate) fn peek_discovery(&mut self) -> bool {
         // The time before the look: the process may be paused right after it.
         let now = self.now();
         let state = self.discovery.socket.as_deref().map_or(SocketState::Empty, peek_socket);
@@ -70,8 +70,8 @@
 
     /// Whether all that discovery has sent was read, so that new work may go to a worker. Otherwise
     /// [`read_discovery`](Self::read_discovery) comes first.
-    pub(crate) fn is_discovery_read(&mut self, now: f64) -> bool {
-        now - self.discovery.emptied_at < LOOK_SECONDS || self.look_at_discovery()
+    pub(crate) fn is_discovery_drained(&mut self, now: f64) -> bool {
+        now - self.discovery.emptied_at < PEEK_VALID_SECONDS || self.peek_discovery()
     }
 
     /// Reads and applies what is unread. What the dispatcher decides upon it is left to be carried out.
@@ -89,6 +89,6 @@
         }
         self.read_buffer = read_buffer;
         self.discovery.emptied_at = now;
-        self.discovery.read_elsewhere.notify_one();
+        self.discovery.read_outside_task.notify_one();
     }
 }
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -2,7 +2,7 @@
 use crate::platform_router::tests::{router_with_workers, run_local};
 use crate::socket_errors::Operation;
 use crate::sockets::tests::{
-    CONNECT as CONNECT_ERRORS, FaultDuration, FaultySockets, LONG_FAULT, SHORT_FAULT, TRANSFER,
+    CONNECT_ERRORS, FaultDuration, FaultySockets, LONG_FAULT, SHORT_FAULT, TRANSFER_ERRORS,
 };
 use milletpath_process_environment::wall_clock::unix_time;
 use nix::errno::Errno;
@@ -46,11 +46,11 @@
         }
         assert!(!reader.is_finished());
         theirs.write_all(rest.as_bytes()).await.unwrap();
-        let stops = Instant::now();
-        let (reason, heard, at) = reader.await.unwrap();
+        let silent_from = Instant::now();
+        let (reason, last_event, at) = reader.await.unwrap();
         assert!(matches!(reason, StreamEnd::Silent), "{reason}");
-        assert_eq!(heard, last);
-        assert!(at - stops <= SILENCE_TIMEOUT);
+        assert_eq!(last_event, last);
+        assert!(at - silent_from <= SILENCE_TIMEOUT);
     });
 }
 
@@ -130,7 +130,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
     router.borrow_mut().sockets = sockets.clone();
-    let (_moved, address) = watch::channel(listener.local_addr().unwrap());
+    let (_address_sender, address) = watch::channel(listener.local_addr().unwrap());
     spawn_local(watch_discovery(router.clone(), address));
     let (mut stream, _) = listener.accept().await.unwrap();
     stream.write_all(event(2, "left").as_bytes()).await.unwrap();
@@ -186,14 +186,14 @@
 #[test]
 fn complete_events_survive_a_failed_read_or_write() {
     run_local(async {
-        for &errno in TRANSFER {
+        for &errno in TRANSFER_ERRORS {
             let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
             let (ours, mut theirs) = tokio::io::duplex(4 << 10);
             let sent = event(2, "left") + &event(3, "active")[..30];
             theirs.write_all(sent.as_bytes()).await.unwrap();
             let reads = FailingStream { stream: ours, operation: Operation::Read, errno, written: false };
             let Err(reason) = read_events(&router, reads).await;
-            let StreamEnd::Broken(error) = reason else { panic!("{errno:?}: {reason}") };
+            let StreamEnd::ReadFailed(error) = reason else { panic!("{errno:?}: {reason}") };
             assert_eq!(error.raw_os_error(), Some(errno as i32));
             assert_eq!(router.borrow().discovery.last_event, 2, "{errno:?}");
             assert_eq!(router.borrow().dispatcher.workers().len(), 0, "{errno:?}");
@@ -205,7 +205,7 @@
             // Written again after an interruption.
             match reason {
                 StreamEnd::Closed if errno == Errno::EINTR => {}
-                StreamEnd::Subscribe(error) if errno != Errno::EINTR => {
+                StreamEnd::SubscribeFailed(error) if errno != Errno::EINTR => {
                     assert_eq!(error.raw_os_error(), Some(errno as i32));
                 }
                 other => panic!("{errno:?}: {other}"),
--- a/crates/platform-router/src/list_report.rs
+++ b/crates/platform-router/src/list_report.rs
@@ -29,7 +29,7 @@
 
     /// The state now. A list that was never confirmed is stale only once a router that has just started had time to hear
     /// of discovery.
-    pub fn state_now(&self, now: f64, is_stale: bool) -> ListState {
+    pub fn current_state(&self, now: f64, is_stale: bool) -> ListState {
         match (is_stale, self.state) {
             (false, _) => ListState::Current,
             (true, ListState::Unconfirmed) if now < self.valid_for => ListState::Unconfirmed,
@@ -38,7 +38,7 @@
     }
 
     /// Another state was logged.
-    pub fn logged(&mut self, now: f64, state: ListState, health_checks: u64) {
+    pub fn record(&mut self, now: f64, state: ListState, health_checks: u64) {
         self.state = state;
         self.since = now;
         self.health_checks_before = health_checks;
--- a/crates/platform-router/src/platform_router.rs
+++ b/crates/platform-router/src/platform_router.rs
@@ -157,7 +157,7 @@
     /// Seconds since the router started, by the monotonic clock. Each look counts as a sign of life of the process.
     pub fn now(&self) -> f64 {
         let now = self.started_at.elapsed().as_secs_f64();
-        self.liveness.note(now);
+        self.liveness.record_activity(now);
         now
     }
 
--- a/crates/platform-router/src/platform_router/client_connection.rs
+++ b/crates/platform-router/src/platform_router/client_connection.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether its socket has no unread bytes: a call among them would be lost with the connection.
-    pub fn nothing_unread(&self) -> bool {
+    pub fn has_no_unread_bytes(&self) -> bool {
         peek_socket(&self.stream) != SocketState::Readable
     }
 
--- a/crates/platform-router/src/platform_router/worker_connection.rs
+++ b/crates/platform-router/src/platform_router/worker_connection.rs
@@ -102,7 +102,7 @@
     /// Bytes of this connection up to the frame's end: once so many were written, the frame was written whole.
     pub end_offset: u64,
     /// When it was made.
-    pub made_at: f64,
+    pub encoded_at: f64,
 }
 
 /// A connection to a worker. Times are in seconds on the router's clock.
@@ -122,7 +122,7 @@
     /// The bytes of `partial_frame` in the memory budget.
     pub reservation: MemoryReservation,
     /// Bytes of all frames that were made so far.
-    pub bytes_made: u64,
+    pub bytes_encoded: u64,
     /// Bytes that the socket has taken so far.
     pub bytes_written: u64,
     /// What waits to be written. The dispatcher bounds it: by its open requests and its load requests.
@@ -164,7 +164,7 @@
             partial_frame: Vec::new(),
             write_buffer: WriteBuffer::default(),
             reservation,
-            bytes_made: 0,
+            bytes_encoded: 0,
             bytes_written: 0,
             queue: VecDeque::new(),
             frame_source: None,
@@ -186,7 +186,7 @@
 
     /// Since when a response has been awaited with nothing coming from the worker; none where none is awaited.
     fn silent_since(&self) -> Option<f64> {
-        let oldest = self.outstanding.iter().map(|frame| frame.made_at).min_by(f64::total_cmp)?;
+        let oldest = self.outstanding.iter().map(|frame| frame.encoded_at).min_by(f64::total_cmp)?;
         Some(oldest.max(self.last_received))
     }
 
--- a/crates/platform-router/src/run.rs
+++ b/crates/platform-router/src/run.rs
@@ -110,13 +110,13 @@
     spawn_local(watch_discovery(router.clone(), followed_address));
     spawn_local(timer::run_timer(router.clone()));
     spawn_local(timer::run_cleanup(router.clone()));
-    let reloads = Reloads { file: file.to_owned(), text, discovery_address };
-    serve(router, listener, signals, &reloads).await;
+    let reload_context = ReloadContext { file: file.to_owned(), text, discovery_address };
+    serve(router, listener, signals, &reload_context).await;
     Ok(())
 }
 
 /// What a reload of the file needs.
-struct Reloads {
+struct ReloadContext {
     file: PathBuf,
     /// The file as it was at the start.
     text: Rc<[u8]>,
@@ -125,13 +125,18 @@
 }
 
 /// Accepts clients and acts upon signals until the shutdown is over.
-async fn serve(router: SharedRouter, listener: TcpListener, mut signals: Signals, reloads: &Reloads) {
+async fn serve(
+    router: SharedRouter,
+    listener: TcpListener,
+    mut signals: Signals,
+    reload_context: &ReloadContext,
+) {
     let mut acceptor = Some(Acceptor::open(router.clone(), listener));
     loop {
         let shutting_down = router.borrow().shutdown.begun();
         tokio::select! {
             () = signals.hangup.next() => {
-                let Reloads { file, text, discovery_address } = reloads;
+                let ReloadContext { file, text, discovery_address } = reload_context;
                 spawn_local(reload_bootstrap(file.clone(), text.clone(), discovery_address.clone()));
             }
             () = signals.terminate.next() => begin_shutdown(&router),
--- a/crates/platform-router/src/run/list_state.rs
+++ b/crates/platform-router/src/run/list_state.rs
@@ -7,7 +7,7 @@
     /// Logs a change of the list's state.
     pub(super) fn report_list_state(&mut self, now: f64) {
         let is_stale = self.dispatcher.endpoint_list_is_stale(now);
-        let state = self.list_report.state_now(now, is_stale);
+        let state = self.list_report.current_state(now, is_stale);
         if state == self.list_report.state {
             return;
         }
@@ -28,6 +28,6 @@
                 "the endpoint list is current"
             );
         }
-        self.list_report.logged(now, state, health_checks);
+        self.list_report.record(now, state, health_checks);
     }
 }
--- a/crates/platform-router/src/run/reload.rs
+++ b/crates/platform-router/src/run/reload.rs
@@ -13,9 +13,9 @@
 /// the new discovery address says counts as known 4 s after the signal.
 const MAX_ATTEMPTS: u32 = 60;
 /// Pause between the first attempts: a third of them, for a file that is being replaced.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_PAUSE: Duration = Duration::from_millis(50);
 /// The longest pause after that, to which it is doubled.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// Why the file was not read.
 #[derive(Debug, thiserror::Error)]
@@ -30,12 +30,12 @@
 /// start: other changes to it are logged and ignored.
 pub(super) async fn reload_bootstrap(
     file: PathBuf,
-    first: Rc<[u8]>,
+    initial_text: Rc<[u8]>,
     discovery_address: watch::Sender<SocketAddr>,
 ) {
-    let mut pause = SHORTEST_PAUSE;
+    let mut pause = INITIAL_PAUSE;
     for attempt in 0..MAX_ATTEMPTS {
-        match reread(&file, &first) {
+        match reread(&file, &initial_text) {
             Ok(reread) => return apply(reread, &discovery_address),
             Err(error) => tracing::warn!(
                 file = %file.display(),
@@ -45,13 +45,13 @@
         }
         tokio::time::sleep(pause).await;
         if attempt >= MAX_ATTEMPTS / 3 {
-            pause = (2 * pause).min(LONGEST_PAUSE);
+            pause = (2 * pause).min(MAX_PAUSE);
         }
     }
 }
 
-fn reread(file: &Path, first: &[u8]) -> Result<Reread, ReloadError> {
-    Ok(bootstrap::reread(&std::fs::read(file)?, first)?)
+fn reread(file: &Path, initial_text: &[u8]) -> Result<Reread, ReloadError> {
+    Ok(bootstrap::reread(&std::fs::read(file)?, initial_text)?)
 }
 
 fn apply(reread: Reread, discovery_address: &watch::Sender<SocketAddr>) {
--- a/crates/platform-router/src/run/timer.rs
+++ b/crates/platform-router/src/run/timer.rs
@@ -18,7 +18,7 @@
     fn clean_up(&mut self) {
         let now = self.now();
         // Often enough that a heartbeat confirms the list for about the time at which it was written.
-        self.look_at_discovery();
+        self.peek_discovery();
         self.report_list_state(now);
         self.close_stale_clients(now);
         self.close_idle_worker_connections(now);
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -8,14 +8,14 @@
 
 /// Seconds for which clients may still come after SIGTERM: the platform sends no more after 0.6 s, and a busy machine
 /// delivers and reads them a little late.
-const ADMISSION: f64 = 0.75;
+const ADMISSION_SECONDS: f64 = 0.75;
 /// SIGKILL comes no sooner than this many seconds past the longest deadline after SIGTERM.
 const KILL_DELAY: f64 = 0.7;
 /// The most seconds that a deadline counts for there.
-const LONGEST_COUNTED: f64 = 3.0;
+const MAX_COUNTED_DEADLINE: f64 = 3.0;
 /// Seconds that must be left for answers where a call is still admitted past that: one that came in time and was read
 /// late, after a pause.
-const LATE_ADMISSION: f64 = 0.5;
+const MIN_TIME_FOR_LATE_CALL: f64 = 0.5;
 /// Seconds before the earliest SIGKILL at which every call has its final answer: what a busy machine takes to write
 /// them and to close the connections of all clients.
 const ANSWER_MARGIN: f64 = 0.15;
@@ -26,7 +26,7 @@
 /// times a second.
 const PAUSE_THRESHOLD: f64 = 0.25;
 /// Seconds after a pause in which a signal may be one that came during it.
-const RECENT: f64 = 0.1;
+const RECENT_PAUSE_SECONDS: f64 = 0.1;
 
 /// What happens until when, in seconds on the router's clock.
 #[derive(Clone, Copy, Debug)]
@@ -52,10 +52,10 @@
 
     /// SIGTERM was read at `now` and may have come as early as `earliest`. Another one changes nothing.
     pub fn begin(&mut self, now: f64, earliest: f64) {
-        let kill = earliest + self.longest_deadline.min(LONGEST_COUNTED) + KILL_DELAY;
+        let kill = earliest + self.longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
         let answer_by = kill - ANSWER_MARGIN;
         self.schedule.get_or_insert(Schedule {
-            admit_until: (now + ADMISSION).min(answer_by),
+            admit_until: (now + ADMISSION_SECONDS).min(answer_by),
             answer_by,
             exit_by: kill - EXIT_MARGIN,
         });
@@ -84,7 +84,7 @@
 
     /// Whether a call that is read now is rejected.
     pub fn rejects(&self, now: f64) -> bool {
-        self.admission_closed || self.admission_over(now) && self.time_to_answer(now) < LATE_ADMISSION
+        self.admission_closed || self.admission_over(now) && self.time_to_answer(now) < MIN_TIME_FOR_LATE_CALL
     }
 
     /// Whether everything in flight has to be answered now.
@@ -119,11 +119,11 @@
 
 impl Liveness {
     /// The process runs at this time.
-    pub fn note(&self, now: f64) {
+    pub fn record_activity(&self, now: f64) {
         let last = self.last.replace(now);
         if now - last > PAUSE_THRESHOLD {
             // Where it had hardly moved on from another, both are one: what came amid the first may still be unread.
-            let previous = self.pause.get().filter(|previous| last - previous.until <= RECENT);
+            let previous = self.pause.get().filter(|previous| last - previous.until <= RECENT_PAUSE_SECONDS);
             let from = previous.map_or(last, |previous| previous.from);
             self.pause.set(Some(ProcessPause { from, until: now }));
         }
@@ -132,7 +132,7 @@
     /// The earliest time at which a signal may have come that is read at `now`.
     pub fn earliest(&self, now: f64) -> f64 {
         match self.pause.get() {
-            Some(ProcessPause { from, until }) if now - until <= RECENT => from,
+            Some(ProcessPause { from, until }) if now - until <= RECENT_PAUSE_SECONDS => from,
             _ => now,
         }
     }
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -14,11 +14,11 @@
     assert!(shutdown.time_to_answer(5.0).is_infinite());
     shutdown.begin(10.0, 10.0);
     shutdown.begin(10.5, 10.5);
-    let just = 0.001;
+    let epsilon = 0.001;
     let at = |seconds: f64| 10.0 + seconds;
-    assert!(!shutdown.admission_over(at(admits - just)) && shutdown.admission_over(at(admits + just)));
-    assert!(!shutdown.answers_due(at(answers - just)) && shutdown.answers_due(at(answers + just)));
-    assert!(!shutdown.rejects(at(admits - just)) && shutdown.rejects(at(answers + just)));
+    assert!(!shutdown.admission_over(at(admits - epsilon)) && shutdown.admission_over(at(admits + epsilon)));
+    assert!(!shutdown.answers_due(at(answers - epsilon)) && shutdown.answers_due(at(answers + epsilon)));
+    assert!(!shutdown.rejects(at(admits - epsilon)) && shutdown.rejects(at(answers + epsilon)));
     assert!(!shutdown.exit_due(at(answers + 0.11)) && shutdown.exit_due(at(answers + 0.13)));
     assert!((shutdown.time_to_answer(at(answers - 0.2)) - 0.2).abs() < 1e-9);
     assert_eq!(shutdown.time_to_answer(at(answers + 1.0)), 0.0);
@@ -46,10 +46,10 @@
 
 /// SIGTERM came during a pause: the kill may come by its beginning, and clients by its end.
 #[test]
-fn kill_time_counts_from_the_start_of_a_process_stall() {
+fn kill_time_counts_from_the_start_of_a_process_pause() {
     let liveness = Liveness::default();
     for now in [0.2, 0.4, 1.0] {
-        liveness.note(now);
+        liveness.record_activity(now);
     }
     assert_eq!((liveness.earliest(1.05), liveness.earliest(1.2)), (0.4, 1.2));
     let mut shutdown = Shutdown::new(0.5);
@@ -60,10 +60,10 @@
 /// Bytes that are read right after a pause may have come at its beginning, where nothing was read since; those that
 /// are read later, or from a socket that was emptied since, came just now.
 #[test]
-fn bytes_that_are_read_after_a_standstill() {
+fn bytes_read_after_a_process_pause_may_have_come_at_its_start() {
     let liveness = Liveness::default();
     for now in [0.2, 0.4, 1.0] {
-        liveness.note(now);
+        liveness.record_activity(now);
     }
     assert_eq!(liveness.earliest_arrival(1.05, 0.1), 0.4);
     assert_eq!(liveness.earliest_arrival(1.05, f64::NEG_INFINITY), 0.4);
@@ -72,7 +72,7 @@
     assert_eq!(liveness.earliest_arrival(1.3, 0.1), 1.3);
     // It is paused again as soon as it has resumed.
     for now in [1.02, 1.5] {
-        liveness.note(now);
+        liveness.record_activity(now);
     }
     assert_eq!((liveness.earliest_arrival(1.5, 0.1), liveness.earliest_arrival(1.5, 1.01)), (0.4, 1.01));
 }
--- a/crates/platform-router/src/socket_errors/tests.rs
+++ b/crates/platform-router/src/socket_errors/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 /// The page that states what every error proves.
-const PAGE: &str = include_str!("../../../../docs/design/system-calls.md");
+const DESIGN_PAGE: &str = include_str!("../../../../docs/design/system-calls.md");
 
 /// The errors that `read`, `write`, `socket` and `connect` are tested with.
-const NAMED: [Errno; 15] = [
+const TESTED_ERRNOS: [Errno; 15] = [
     Errno::ECONNABORTED,
     Errno::ENFILE,
     Errno::EMFILE,
@@ -32,7 +32,7 @@
 
 /// The rows of the page's table of connections to workers.
 fn rows() -> Vec<Row> {
-    let lines = PAGE.lines().filter(|line| line.starts_with("| `"));
+    let lines = DESIGN_PAGE.lines().filter(|line| line.starts_with("| `"));
     lines.map(|line| row(line).unwrap_or_else(|| panic!("not understood: {line}"))).collect()
 }
 
@@ -67,7 +67,7 @@
 fn design_page_matches_the_classification_of_every_error() {
     let rows = rows();
     for operation in [Operation::Connect, Operation::Read, Operation::Write] {
-        for errno in NAMED {
+        for errno in TESTED_ERRNOS {
             let name = format!("{errno:?}");
             let row = rows.iter().find(|row| row.operation == operation && row.errno == name);
             let row = row.unwrap_or_else(|| panic!("no line for {operation:?} {name}"));
@@ -84,7 +84,7 @@
             assert_eq!(never_ran, row.never_ran, "{operation:?} {name}");
         }
     }
-    assert_eq!(rows.len(), 3 * NAMED.len(), "a line that no error stands for");
+    assert_eq!(rows.len(), 3 * TESTED_ERRNOS.len(), "a line that no error stands for");
 }
 
 /// What failed for a local reason ends with an outcome that the policy holds against no worker.
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// For a connection to be made: long against the pauses of a busy machine.
-const CONNECT_MICROSECONDS: u64 = 1_000_000;
+const CONNECT_TIMEOUT_MICROSECONDS: u64 = 1_000_000;
 
 /// For how long an operation fails.
 #[derive(Clone, Copy)]
@@ -33,18 +33,23 @@
     errno: Errno,
     duration: FaultDuration,
     /// When it failed first, set by the first call after `armed`.
-    first: Cell<Option<Instant>>,
+    first_failure: Cell<Option<Instant>>,
     pub armed: Cell<bool>,
     /// How often it failed.
     pub failures: Cell<usize>,
     /// Bytes that one read or write takes at most.
-    at_a_time: usize,
+    max_bytes_per_call: usize,
 }
 
 impl FaultySockets {
-    pub fn new(operation: Operation, errno: Errno, duration: FaultDuration, at_a_time: usize) -> Rc<Self> {
-        let (first, armed, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
-        Rc::new(Self { operation, errno, duration, first, armed, failures, at_a_time })
+    pub fn new(
+        operation: Operation,
+        errno: Errno,
+        duration: FaultDuration,
+        max_bytes_per_call: usize,
+    ) -> Rc<Self> {
+        let (first_failure, armed, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
+        Rc::new(Self { operation, errno, duration, first_failure, armed, failures, max_bytes_per_call })
     }
 
     fn duration(&self) -> Duration {
@@ -55,15 +60,15 @@
         if operation != self.operation || !self.armed.get() {
             return Ok(());
         }
-        let fails = match (self.first.get(), self.duration) {
+        let fails = match (self.first_failure.get(), self.duration) {
             (None, _) => true,
             (Some(_), FaultDuration::Once) => false,
-            (Some(first), FaultDuration::For(duration)) => first.elapsed() < duration,
+            (Some(first_failure), FaultDuration::For(duration)) => first_failure.elapsed() < duration,
         };
         if !fails {
             return Ok(());
         }
-        self.first.set(self.first.get().or(Some(Instant::now())));
+        self.first_failure.set(self.first_failure.get().or(Some(Instant::now())));
         self.failures.set(self.failures.get() + 1);
         Err(io::Error::from_raw_os_error(self.errno as i32))
     }
@@ -79,13 +84,13 @@
 
     fn read(&self, stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
         self.fails(Operation::Read)?;
-        let most = into.len().min(self.at_a_time);
-        SystemSockets.read(stream, &mut into[..most])
+        let limit = into.len().min(self.max_bytes_per_call);
+        SystemSockets.read(stream, &mut into[..limit])
     }
 
     fn write(&self, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
         self.fails(Operation::Write)?;
-        SystemSockets.write(stream, &bytes[..bytes.len().min(self.at_a_time)])
+        SystemSockets.write(stream, &bytes[..bytes.len().min(self.max_bytes_per_call)])
     }
 }
 
@@ -157,7 +162,7 @@
     async fn new(sockets: Rc<FaultySockets>, connected: bool) -> Self {
         let case = format!("{:?} {:?}, connected before: {connected}", sockets.operation, sockets.errno);
         let (address, received_ids) = worker().await;
-        let router = router_with_effect("single_shot", CONNECT_MICROSECONDS, &[address]);
+        let router = router_with_effect("single_shot", CONNECT_TIMEOUT_MICROSECONDS, &[address]);
         router.borrow_mut().sockets = sockets.clone();
         Self { case, sockets, router, received_ids, calls: 0 }
     }
@@ -185,18 +190,18 @@
 
     /// What failed is over: calls succeed again, at once where it counted against no worker.
     async fn check_recovery(&mut self) {
-        let during = self.counters();
-        let most = if LOCAL.contains(&self.sockets.errno) { 1 } else { 500 };
-        for _ in 0..most {
+        let during_fault = self.counters();
+        let limit = if LOCAL_ERRORS.contains(&self.sockets.errno) { 1 } else { 500 };
+        for _ in 0..limit {
             self.call();
             wait_until_answered(&self.router).await;
-            if self.counters().succeeded > during.succeeded {
+            if self.counters().succeeded > during_fault.succeeded {
                 break;
             }
             tokio::time::sleep(CALL_INTERVAL).await;
         }
         let counters = self.counters();
-        assert_eq!(counters.succeeded, during.succeeded + 1, "{}: {counters:?}", self.case);
+        assert_eq!(counters.succeeded, during_fault.succeeded + 1, "{}: {counters:?}", self.case);
     }
 
     /// Each call has one final response, and none was sent to the worker twice.
@@ -205,10 +210,10 @@
         let responses = counters.succeeded + counters.rejected + counters.failed;
         assert_eq!(counters.accepted, responses, "{case}: {counters:?}");
         let received = self.received_ids.borrow();
-        let mut once = received.clone();
-        once.sort_unstable();
-        once.dedup();
-        assert_eq!(once.len(), received.len(), "{case}: a call that may run once was sent twice");
+        let mut distinct = received.clone();
+        distinct.sort_unstable();
+        distinct.dedup();
+        assert_eq!(distinct.len(), received.len(), "{case}: a call that may run once was sent twice");
         // A call that was rejected never ran; one that reached the worker succeeded or failed.
         let may_have_run = counters.succeeded + counters.failed;
         assert!(received.len() as u64 <= may_have_run, "{case}: {counters:?}, {}", received.len());
@@ -218,8 +223,8 @@
     fn check_cost(&self) {
         let (case, counters, duration) = (&self.case, self.counters(), self.sockets.duration());
         let FaultySockets { operation, errno, .. } = *self.sockets;
-        let waited_out =
-            operation == Operation::Connect && LOCAL.contains(&errno) || TRANSIENT.contains(&errno);
+        let waited_out = operation == Operation::Connect && LOCAL_ERRORS.contains(&errno)
+            || TRANSIENT_ERRORS.contains(&errno);
         if waited_out && duration < Duration::from_millis(500) {
             let attempts = counters.attempts;
             assert_eq!(
@@ -229,9 +234,9 @@
         }
         // Pauses grow to 32 ms; what ends a connection costs each call four attempts at the most.
         let attempts = if waited_out { 0 } else { 4 * counters.accepted as usize };
-        let most = 32 + duration.as_millis() as usize / 32 + attempts;
+        let limit = 32 + duration.as_millis() as usize / 32 + attempts;
         let failures = self.sockets.failures.get();
-        assert!(failures <= most, "{case}: failed {failures} times");
+        assert!(failures <= limit, "{case}: failed {failures} times");
         assert!(failures > 0, "{case}");
     }
 }
@@ -252,7 +257,7 @@
     }
 }
 
-pub const CONNECT: &[Errno] = &[
+pub const CONNECT_ERRORS: &[Errno] = &[
     Errno::ECONNABORTED,
     Errno::ENFILE,
     Errno::EMFILE,
@@ -269,7 +274,7 @@
 ];
 
 /// EAGAIN of these is an ordinary full or empty socket, which other tests play with real ones.
-pub const TRANSFER: &[Errno] = &[
+pub const TRANSFER_ERRORS: &[Errno] = &[
     Errno::EINTR,
     Errno::ENOBUFS,
     Errno::ENOMEM,
@@ -282,7 +287,7 @@
 ];
 
 /// Those that prove nothing about the worker.
-const LOCAL: &[Errno] = &[
+const LOCAL_ERRORS: &[Errno] = &[
     Errno::ECONNABORTED,
     Errno::ENFILE,
     Errno::EMFILE,
@@ -295,22 +300,22 @@
 ];
 
 /// Those that leave a connection as it was.
-const TRANSIENT: &[Errno] = &[Errno::EINTR, Errno::ENOBUFS, Errno::ENOMEM];
+const TRANSIENT_ERRORS: &[Errno] = &[Errno::EINTR, Errno::ENOBUFS, Errno::ENOMEM];
 
 pub const SHORT_FAULT: FaultDuration = FaultDuration::For(Duration::from_millis(100));
 pub const LONG_FAULT: FaultDuration = FaultDuration::For(Duration::from_secs(2));
 
-#[test_case(Operation::Connect, CONNECT, FaultDuration::Once, false; "connect, once")]
-#[test_case(Operation::Connect, CONNECT, SHORT_FAULT, false; "connect, for 100 ms")]
-#[test_case(Operation::Connect, CONNECT, LONG_FAULT, false; "connect, for 2 s")]
-#[test_case(Operation::Read, TRANSFER, FaultDuration::Once, true; "read, once")]
-#[test_case(Operation::Read, TRANSFER, SHORT_FAULT, true; "read, for 100 ms")]
-#[test_case(Operation::Read, TRANSFER, LONG_FAULT, true; "read, for 2 s")]
-#[test_case(Operation::Read, TRANSFER, SHORT_FAULT, false; "first read, for 100 ms")]
-#[test_case(Operation::Write, TRANSFER, FaultDuration::Once, true; "write, once")]
-#[test_case(Operation::Write, TRANSFER, SHORT_FAULT, true; "write, for 100 ms")]
-#[test_case(Operation::Write, TRANSFER, LONG_FAULT, true; "write, for 2 s")]
-#[test_case(Operation::Write, TRANSFER, SHORT_FAULT, false; "first write, for 100 ms")]
+#[test_case(Operation::Connect, CONNECT_ERRORS, FaultDuration::Once, false; "connect, once")]
+#[test_case(Operation::Connect, CONNECT_ERRORS, SHORT_FAULT, false; "connect, for 100 ms")]
+#[test_case(Operation::Connect, CONNECT_ERRORS, LONG_FAULT, false; "connect, for 2 s")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, FaultDuration::Once, true; "read, once")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, SHORT_FAULT, true; "read, for 100 ms")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, LONG_FAULT, true; "read, for 2 s")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, SHORT_FAULT, false; "first read, for 100 ms")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, FaultDuration::Once, true; "write, once")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, SHORT_FAULT, true; "write, for 100 ms")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, LONG_FAULT, true; "write, for 2 s")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, SHORT_FAULT, false; "first write, for 100 ms")]
 fn requests_survive_a_failing_system_call(
     operation: Operation,
     errors: &'static [Errno],
@@ -318,12 +323,12 @@
     connected: bool,
 ) {
     run_local(async move {
-        let stories = errors.iter().map(|&errno| {
+        let scenarios = errors.iter().map(|&errno| {
             let sockets = FaultySockets::new(operation, errno, duration, usize::MAX);
             spawn_local(run_scenario(sockets, connected))
         });
-        for run_scenario in stories.collect::<Vec<_>>() {
-            run_scenario.await.unwrap();
+        for scenario in scenarios.collect::<Vec<_>>() {
+            scenario.await.unwrap();
         }
     });
 }
@@ -331,12 +336,15 @@
 /// Reads and writes take a byte or a few at a time, and fail once as well amid them.
 #[test_case(1; "a byte at a time")]
 #[test_case(7; "seven bytes at a time")]
-fn requests_survive_short_reads_and_writes(at_a_time: usize) {
+fn requests_survive_short_reads_and_writes(max_bytes_per_call: usize) {
     run_local(async move {
         for operation in [Operation::Read, Operation::Write] {
             for errno in [Errno::EINTR, Errno::ENOBUFS] {
-                run_scenario(FaultySockets::new(operation, errno, FaultDuration::Once, at_a_time), true)
-                    .await;
+                run_scenario(
+                    FaultySockets::new(operation, errno, FaultDuration::Once, max_bytes_per_call),
+                    true,
+                )
+                .await;
             }
         }
     });
--- a/crates/platform-router/src/worker_connections/close.rs
+++ b/crates/platform-router/src/worker_connections/close.rs
@@ -21,7 +21,7 @@
     }
 
     /// A connection was not made, or broke before it took a byte: nothing that waited for it ran.
-    pub(super) fn connection_not_made(&mut self, slot: usize, error: &WorkerConnectionError) {
+    pub(super) fn on_connect_failed(&mut self, slot: usize, error: &WorkerConnectionError) {
         let Some(connection) = self.remove_worker_connection(slot) else { return };
         tracing::debug!(worker = connection.worker, %error, "could not connect to a worker");
         let outcome = socket_errors::outcome(error.origin(), false);
@@ -33,9 +33,9 @@
 
     /// A connection broke or is of no more use. What was written whole may have run, and the rest did not. What is
     /// queued goes on another connection, unless this one broke before it took a byte: the next would as well.
-    pub(super) fn connection_broken(&mut self, slot: usize, error: &WorkerConnectionError) {
+    pub(super) fn on_connection_lost(&mut self, slot: usize, error: &WorkerConnectionError) {
         if self.worker_connections.get(slot).is_some_and(|connection| connection.bytes_written == 0) {
-            return self.connection_not_made(slot, error);
+            return self.on_connect_failed(slot, error);
         }
         let Some(connection) = self.remove_worker_connection(slot) else { return };
         let WorkerConnection { worker, bytes_written, outstanding, queue, .. } = connection;
@@ -45,12 +45,12 @@
             self.report_no_response(worker, frame.awaited, outcome);
         }
         for frame in queue {
-            self.send_again(worker, frame);
+            self.requeue_on_another_connection(worker, frame);
         }
     }
 
     /// Queues a frame on another connection to its worker.
-    fn send_again(&mut self, worker: usize, frame: QueuedFrame) {
+    fn requeue_on_another_connection(&mut self, worker: usize, frame: QueuedFrame) {
         match frame {
             QueuedFrame::Attempt { request, attempt } => self.send_attempt(request, attempt, worker),
             QueuedFrame::LoadRequest { load_request, function, instances } => {
--- a/crates/platform-router/src/worker_connections/frame.rs
+++ b/crates/platform-router/src/worker_connections/frame.rs
@@ -19,14 +19,14 @@
 }
 
 /// The id of a frame that was made, and the response that it awaits.
-struct AwaitedId {
+struct EncodedFrame {
     id: u64,
     awaited: AwaitedResponse,
 }
 
 impl PlatformRouter {
     /// Makes the frame of what is next in a connection's queue, in its empty write buffer, if it may still go.
-    pub(super) fn make_frame(&mut self, slot: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
+    pub(super) fn encode_next_frame(&mut self, slot: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
         let connection = &mut self.worker_connections[slot];
         let (worker, process) = (connection.worker, connection.process);
         if let Some(awaited) = frame.awaited_response()
@@ -36,7 +36,7 @@
             self.report_no_response(worker, awaited, Outcome::NotSent);
             return FrameStatus::Done;
         }
-        if frame.is_new_work() && !self.is_discovery_read(now) {
+        if frame.is_new_work() && !self.is_discovery_drained(now) {
             // An event among what is unread may take the worker off the list.
             let unread = UnreadSocket::Discovery;
             self.deferred_flushes.push(DeferredFlush { unread, worker_connection: slot });
@@ -50,35 +50,38 @@
             return FrameStatus::Deferred;
         }
         let mut out = std::mem::take(&mut self.worker_connections[slot].write_buffer.bytes);
-        let awaited = self.write_frame(slot, &frame, &mut out, now);
+        let awaited = self.encode_frame(slot, &frame, &mut out, now);
         let Some(connection) = self.worker_connections.get_mut(slot) else { return FrameStatus::Deferred };
-        connection.bytes_made += out.len() as u64;
+        connection.bytes_encoded += out.len() as u64;
         connection.frame_source = (!out.is_empty()).then_some(frame);
         connection.write_buffer.bytes = out;
-        if let Some(AwaitedId { id, awaited }) = awaited {
-            let end_offset = connection.bytes_made;
-            connection.outstanding.push(OutstandingFrame { id, awaited, end_offset, made_at: now });
+        if let Some(EncodedFrame { id, awaited }) = awaited {
+            let end_offset = connection.bytes_encoded;
+            connection.outstanding.push(OutstandingFrame { id, awaited, end_offset, encoded_at: now });
         }
         FrameStatus::Done
     }
 
     /// Appends a frame to `out`: nothing where the dispatcher no longer wants it. Returns the response that it awaits.
-    fn write_frame(
+    fn encode_frame(
         &mut self,
         slot: usize,
         frame: &QueuedFrame,
         out: &mut Vec<u8>,
         now: f64,
-    ) -> Option<AwaitedId> {
+    ) -> Option<EncodedFrame> {
         match frame {
-            QueuedFrame::Attempt { request, attempt } => self.write_attempt(out, *request, *attempt, now),
+            QueuedFrame::Attempt { request, attempt } => self.encode_attempt(out, *request, *attempt, now),
             QueuedFrame::LoadRequest { load_request, function, instances } => {
                 if !self.dispatcher.begin_load_request(now, *load_request) {
                     return None;
                 }
                 let id = self.new_frame_id(slot);
                 frames::write_load_request(out, id, function, *instances);
-                Some(AwaitedId { id, awaited: AwaitedResponse::LoadRequest { load_request: *load_request } })
+                Some(EncodedFrame {
+                    id,
+                    awaited: AwaitedResponse::LoadRequest { load_request: *load_request },
+                })
             }
             QueuedFrame::Unload { function } => {
                 if let Some(id) = parse_hex_id(function) {
@@ -89,7 +92,7 @@
             QueuedFrame::HealthCheck { serial } => {
                 let id = self.new_frame_id(slot);
                 frames::write_probe(out, id, self.load_reports);
-                Some(AwaitedId { id, awaited: AwaitedResponse::HealthCheck { serial: *serial } })
+                Some(EncodedFrame { id, awaited: AwaitedResponse::HealthCheck { serial: *serial } })
             }
             QueuedFrame::Cancel { id } => {
                 frames::write_cancel(out, *id);
@@ -99,13 +102,13 @@
     }
 
     /// The frame states how much time the client has left as its first byte goes.
-    fn write_attempt(
+    fn encode_attempt(
         &mut self,
         out: &mut Vec<u8>,
         request: RequestId,
         attempt: usize,
         now: f64,
-    ) -> Option<AwaitedId> {
+    ) -> Option<EncodedFrame> {
         let remaining = self.dispatcher.time_left(now, request, attempt)?;
         if !self.dispatcher.begin_attempt(now, request, attempt) {
             return None;
@@ -117,7 +120,7 @@
         let profile = &self.profiles[*profile];
         let frame = frames::Attempt { id: *id, profile, function: &function, idempotency_key, body };
         frames::write_attempt(out, &frame, remaining);
-        Some(AwaitedId { id: *id, awaited: AwaitedResponse::Attempt { request, attempt } })
+        Some(EncodedFrame { id: *id, awaited: AwaitedResponse::Attempt { request, attempt } })
     }
 
     /// An id for a frame of the router's own, which no client is likely to have chosen, and none has open here.
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -16,7 +16,7 @@
         let Some(stream) = connection.and_then(|connection| connection.stream.clone()) else { return };
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         match self.sockets.read(&stream, &mut read_buffer) {
-            Ok(0) => self.connection_broken(slot, &WorkerConnectionError::ClosedByWorker),
+            Ok(0) => self.on_connection_lost(slot, &WorkerConnectionError::ClosedByWorker),
             Ok(length) => self.receive_frames(slot, &read_buffer[..length]),
             Err(error) => self.read_failed(slot, error),
         }
@@ -35,7 +35,7 @@
             }
             Recovery::Close => {
                 let error = WorkerConnectionError::Io { operation: Operation::Read, source };
-                self.connection_broken(slot, &error);
+                self.on_connection_lost(slot, &error);
             }
         }
     }
@@ -52,7 +52,7 @@
         };
         let partial_frame = match self.read_frames(slot, bytes, now) {
             Ok(rest) => rest.to_vec(),
-            Err(error) => return self.connection_broken(slot, &error),
+            Err(error) => return self.on_connection_lost(slot, &error),
         };
         let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         connection.last_used = now;
@@ -61,7 +61,7 @@
         connection.partial_frame = partial_frame;
         connection.reservation.resize(connection.partial_frame.capacity());
         if connection.partial_frame.len() > RETAINED_CAPACITY && self.memory_budget.is_full() {
-            self.connection_broken(slot, &WorkerConnectionError::NoMemory);
+            self.on_connection_lost(slot, &WorkerConnectionError::NoMemory);
         }
     }
 
--- a/crates/platform-router/src/worker_connections/task.rs
+++ b/crates/platform-router/src/worker_connections/task.rs
@@ -47,7 +47,7 @@
     };
     let stream = match result {
         Ok(stream) => Rc::new(stream),
-        Err(error) => return connect_failed(&router, &handle, error),
+        Err(error) => return report_connect_failure(&router, &handle, error),
     };
     if !connected(&router, &handle, &stream) {
         return;
@@ -140,11 +140,11 @@
     handle.get(&router).is_some_and(is_awaited)
 }
 
-fn connect_failed(router: &SharedRouter, handle: &ConnectionHandle, source: io::Error) {
+fn report_connect_failure(router: &SharedRouter, handle: &ConnectionHandle, source: io::Error) {
     let mut router = router.borrow_mut();
     if handle.get(&router).is_some() {
         let error = WorkerConnectionError::Io { operation: Operation::Connect, source };
-        router.connection_not_made(handle.slot, &error);
+        router.on_connect_failed(handle.slot, &error);
         router.run_actions();
     }
 }
--- a/crates/platform-router/src/worker_connections/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -17,7 +17,7 @@
             id,
             awaited: AwaitedResponse::HealthCheck { serial: id },
             end_offset: 0,
-            made_at: 0.0,
+            encoded_at: 0.0,
         });
         assert!(connection.uses_id(id));
         connection.finish(0);
@@ -50,7 +50,7 @@
             connection.stream = Some(stream.clone());
             let slot = state.worker_connections.insert(connection);
             state.connections_by_worker.entry(0).or_default().push(slot);
-            let tags = [5, 6].map(|id| submit_request(&mut state, id));
+            let requests = [5, 6].map(|id| submit_request(&mut state, id));
             state.run_actions();
             let connection = &state.worker_connections[slot];
             assert_eq!(
@@ -58,12 +58,12 @@
                     connection.queue.len(),
                     connection.outstanding.len(),
                     connection.write_buffer.remaining(),
-                    connection.bytes_made
+                    connection.bytes_encoded
                 ),
                 (2, 0, 0, 0)
             );
             let now = state.now();
-            state.dispatcher.client_gone(now, tags[0]);
+            state.dispatcher.client_gone(now, requests[0]);
             state.run_actions();
             slot
         };
@@ -77,7 +77,7 @@
         let state = router.borrow();
         let connection = &state.worker_connections[slot];
         assert_eq!((connection.queue.len(), connection.outstanding.len()), (0, 1));
-        assert_eq!(connection.bytes_made, connection.bytes_written);
+        assert_eq!(connection.bytes_encoded, connection.bytes_written);
     });
 }
 
@@ -90,9 +90,9 @@
 #[test_case(Errno::EAGAIN, true; "no entry free")]
 #[test_case(Errno::ECONNREFUSED, false; "refused")]
 #[test_case(Errno::EHOSTUNREACH, false; "no way there")]
-fn local_connect_error_does_not_blame_the_worker(errno: Errno, own: bool) {
+fn local_connect_error_is_not_attributed_to_the_worker(errno: Errno, is_local: bool) {
     let fault = socket_errors::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
-    assert_eq!(fault.origin == FaultOrigin::Local, own);
+    assert_eq!(fault.origin == FaultOrigin::Local, is_local);
 }
 
 /// A socket takes nothing for a second with calls queued for it: each frame states the time that its client has left as
--- a/crates/platform-router/src/worker_connections/write.rs
+++ b/crates/platform-router/src/worker_connections/write.rs
@@ -33,10 +33,10 @@
             }
             // Written into a connection that its worker has closed, an attempt would count as one that may have run.
             if connection.is_closed_by_worker() {
-                return self.connection_broken(slot, &WorkerConnectionError::ClosedByWorker);
+                return self.on_connection_lost(slot, &WorkerConnectionError::ClosedByWorker);
             }
             if let Some(frame) = connection.queue.pop_front()
-                && self.make_frame(slot, frame, now) == FrameStatus::Deferred
+                && self.encode_next_frame(slot, frame, now) == FrameStatus::Deferred
             {
                 return;
             }
@@ -74,7 +74,7 @@
     fn write_failed(&mut self, slot: usize, source: io::Error, now: f64) {
         if socket_errors::classify(Operation::Write, &source).recovery == Recovery::Close {
             let error = WorkerConnectionError::Io { operation: Operation::Write, source };
-            return self.connection_broken(slot, &error);
+            return self.on_connection_lost(slot, &error);
         }
         self.requeue_unsent(slot, now);
         let Some(connection) = self.worker_connections.get_mut(slot) else { return };
@@ -107,7 +107,7 @@
         let Some(frame) = connection.frame_source.take() else { return };
         let length = connection.write_buffer.remaining() as u64;
         connection.write_buffer.bytes.clear();
-        connection.bytes_made -= length;
+        connection.bytes_encoded -= length;
         if frame.awaited_response().is_some() {
             // The last one that was made.
             connection.outstanding.pop();
--- a/crates/platform-router/src/write_buffer.rs
+++ b/crates/platform-router/src/write_buffer.rs
@@ -12,18 +12,18 @@
 pub(crate) struct WriteBuffer {
     /// What was appended since the socket last took everything.
     pub bytes: Vec<u8>,
-    sent: usize,
+    written: usize,
 }
 
 impl WriteBuffer {
     /// Bytes that the socket has not taken yet.
     pub fn remaining(&self) -> usize {
-        self.bytes.len() - self.sent
+        self.bytes.len() - self.written
     }
 
     /// Whether the socket has taken a first part of the bytes.
     pub fn is_partially_written(&self) -> bool {
-        self.sent > 0
+        self.written > 0
     }
 
     /// Writes as far as the socket takes it; returns how many bytes that were.
@@ -41,16 +41,16 @@
     ///
     /// That of the system call; the bytes before it count as written.
     pub fn write_with(&mut self, sockets: &dyn Sockets, stream: &TcpStream) -> io::Result<usize> {
-        let before = self.sent;
+        let before = self.written;
         while self.remaining() > 0 {
-            match sockets.write(stream, &self.bytes[self.sent..]) {
-                Ok(n) => self.sent += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(self.sent - before),
+            match sockets.write(stream, &self.bytes[self.written..]) {
+                Ok(n) => self.written += n,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(self.written - before),
                 Err(e) => return Err(e),
             }
         }
-        let wrote = self.sent - before;
-        self.sent = 0;
+        let wrote = self.written - before;
+        self.written = 0;
         self.bytes.clear();
         if self.bytes.capacity() > RETAINED_CAPACITY {
             self.bytes = Vec::new();
