--- a/crates/platform-router/src/actions.rs
+++ b/crates/platform-router/src/actions.rs
@@ -1,12 +1,12 @@
-//! Carries out what the dispatcher decides.
+//! Executes the actions that the dispatcher returns.
 
 use crate::platform_router::{DeferredFlush, PlatformRouter, UnreadSocket};
 use milletpath_dispatcher::dispatcher::Action;
 use milletpath_platform_protocol::lines;
 
 impl PlatformRouter {
-    /// Carries out the dispatcher's actions until there are none, and sets the timer for what is due next. Called after
-    /// each event that the dispatcher was notified of.
+    /// Executes queued dispatcher actions until none are left, then wakes the timer task if the next deadline has
+    /// moved forward. Called after every event reported to the dispatcher.
     pub fn run_actions(&mut self) {
         loop {
             self.run_queued_actions();
@@ -46,7 +46,7 @@
             }
             Action::UnloadFunction { worker, function } => self.send_unload(worker, function),
             Action::HealthCheck { worker, serial } => self.send_health_check(worker, serial),
-            // The discovery address is followed in any case.
+            // The router always watches the discovery address, so there is nothing to start.
             Action::WatchEndpoints => {}
         }
     }
--- a/crates/platform-router/src/backoff/tests.rs
+++ b/crates/platform-router/src/backoff/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use test_case::test_case;
 
-/// A call that fails for two seconds is made a bounded number of times, and what waits is given back before the time
-/// that a connection may take is over.
+/// The number of retries during a two-second failure is bounded, and the backoff is exhausted before the connect
+/// timeout.
 #[test_case(0.02; "a short time to connect")]
 #[test_case(0.25; "a usual one")]
 #[test_case(3.0; "a long one")]
--- a/crates/platform-router/src/client_connections.rs
+++ b/crates/platform-router/src/client_connections.rs
@@ -1,9 +1,10 @@
-//! Connections of clients. Lines are read within their bound, and all that came at once are checked before the first
-//! is acted on; responses are written whole. A client that sends an invalid line gets an error and is closed.
+//! Client connections. The length of a line is limited, all lines received in one read are validated before the first
+//! one is processed, and responses are written whole. A client that sends an invalid line receives an error and its
+//! connection is closed.
 //!
-//! `accept` takes connections in and `task` waits for their sockets. `read` splits bytes into lines, `validate` checks
-//! them, `requests` passes calls to the dispatcher and final responses back, `write` flushes. `close` ends one
-//! connection, `graceful_shutdown` all of them after SIGTERM.
+//! `accept` accepts connections and `task` waits for socket readiness. `read` splits the bytes into lines, `validate`
+//! checks them, `requests` submits calls to the dispatcher and returns final responses, and `write` flushes the write
+//! buffer. `close` closes a single connection, `graceful_shutdown` closes all of them after SIGTERM.
 
 mod accept;
 mod close;
--- a/crates/platform-router/src/client_connections/accept.rs
+++ b/crates/platform-router/src/client_connections/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients, within the limit on them and past transient failures of `accept`.
+//! Accepts client connections within the connection limit and retries after transient `accept` errors.
 
 use super::close::CloseReason;
 use super::task::serve_client;
@@ -12,29 +12,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Connections that are taken from the queue of the listener at a time.
+/// Maximum number of `accept` calls in one pass over the listen queue.
 const MAX_ACCEPTS: usize = 1024;
-/// Pause before the next attempt where a connection can't be accepted yet: without descriptors it would fail again at
-/// once.
+/// Pause before retrying after an `accept` error that persists: without free descriptors an immediate retry would
+/// fail again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Connections beyond the limit, where all others wait for responses: they take their descriptors from the reserve.
+/// Connections allowed beyond the limit while all others wait for responses. They use reserved file descriptors.
 const MAX_OVERFLOW_CLIENTS: usize = 8;
-/// Seconds for which a connection that has sent nothing yet is not closed for another: its first call may be on its way.
-/// Short, as a flood of silent connections delays all others for as long.
+/// Seconds during which a new connection that has sent nothing is not evicted, because its first call may be in
+/// transit. Kept short: a flood of silent connections delays every other connection by this long.
 const FIRST_CALL_SECONDS: f64 = 0.01;
-/// Pause before a connection that waits for a place is tried again.
+/// Pause before retrying to admit a pending connection.
 const ADMISSION_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// Transient failures in a row after which there is a pause as well: an error that stays must not spin.
+/// Consecutive transient failures after which the accept loop pauses as well, so that a persistent error does not
+/// cause a busy loop.
 const MAX_TRANSIENT_FAILURES: u32 = 16;
 
-/// Why a connection was not accepted.
+/// Why `accept` returned no connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AcceptFailure {
-    /// No connection waits.
+    /// The listen queue is empty.
     QueueEmpty,
-    /// The connection ended before it was accepted, or the call was interrupted: others may wait behind it.
+    /// The connection was aborted before it was accepted, or the call was interrupted. Others may be queued behind
+    /// it.
     Transient,
-    /// The system lacks resources for it, and it still waits.
+    /// The system lacks resources; the connection remains queued.
     NoResources,
 }
 
@@ -42,7 +44,7 @@
     fn of(error: &io::Error) -> Self {
         match error.raw_os_error().map(Errno::from_raw) {
             Some(Errno::EAGAIN) => Self::QueueEmpty,
-            // Linux passes errors that are pending on the new connection on as those of `accept`.
+            // Linux returns errors already pending on the new connection as errors of `accept`.
             Some(
                 Errno::EINTR
                 | Errno::ECONNABORTED
@@ -63,17 +65,17 @@
     }
 }
 
-/// What came of accepting the queue of the listener.
+/// Result of one pass over the listen queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[must_use]
 pub(super) struct QueueResult {
-    /// Connections that were accepted.
+    /// Number of accepted connections.
     pub accepted: usize,
-    /// Whether none is left there.
+    /// Whether the listen queue is empty.
     pub empty: bool,
 }
 
-/// Accepts connections for as long as the router runs.
+/// Accepts connections for the lifetime of the router.
 pub(super) async fn accept_connections(router: SharedRouter, listener: Rc<TcpListener>) {
     let mut failures = 0;
     loop {
@@ -85,7 +87,7 @@
                     tokio::time::sleep(ADMISSION_RETRY_PAUSE).await;
                 }
                 router.borrow_mut().run_actions();
-                // The connection that was closed for it frees its descriptor before another is accepted.
+                // Lets the task of an evicted connection run and release its file descriptor before the next accept.
                 tokio::task::yield_now().await;
             }
             Err(e) => {
@@ -101,19 +103,20 @@
     }
 }
 
-/// The place of a new connection.
+/// How a new connection counts against the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Admission {
     /// Within the limit.
     Regular,
-    /// Beyond it, where all others wait for responses: its calls are rejected until there is a place.
+    /// Beyond the limit, while all other connections wait for responses. Its calls are rejected until the number of
+    /// connections is within the limit again.
     Overflow,
 }
 
 impl PlatformRouter {
-    /// Finds a place for one more connection, where need be by closing another that waits for no response, has nothing
-    /// unread and was not accepted just now. None where there is none: the connection waits, with what is sent on it
-    /// unread.
+    /// Makes room for one more connection, evicting another one if necessary. Only a connection that has no open calls
+    /// and no unread bytes, and is past the grace period for its first call, is evicted. Returns `None` if there is
+    /// none: the new connection stays pending, with its bytes unread.
     fn make_room(&mut self) -> Option<Admission> {
         if self.clients.len() < self.connection_limits.clients {
             return Some(Admission::Regular);
@@ -131,7 +134,7 @@
         Some(Admission::Overflow)
     }
 
-    /// The client within the limit that makes room first.
+    /// The connection within the limit that is evicted first.
     fn idle_client(&self, now: f64) -> Option<usize> {
         let regular =
             self.clients.iter().filter(|(_, client)| !client.overflow && may_be_evicted(client, now));
@@ -144,7 +147,7 @@
         order.find(|slot| self.clients[*slot].has_no_unread_bytes())
     }
 
-    /// The client beyond the limit that makes room first: the longest idle that was shut down, or has sent nothing.
+    /// The overflow connection that is evicted first: the longest idle one that was shut down or has sent nothing.
     fn idle_overflow_client(&self, now: f64) -> Option<usize> {
         let is_silent = |client: &ClientConnection| {
             may_be_evicted(client, now)
@@ -160,7 +163,7 @@
         longest_idle.map(|(slot, _)| slot)
     }
 
-    /// Admits the connection that waits for a place; false where it goes on waiting.
+    /// Admits the pending connection; returns false if it has to stay pending.
     fn admit_pending(&mut self) -> bool {
         let Some(stream) = self.pending_connection.take() else { return true };
         let admission = self.make_room();
@@ -171,14 +174,14 @@
         admission.is_some()
     }
 
-    /// Admits a connection that was accepted; false where it waits for a place.
+    /// Admits an accepted connection; returns false if it becomes the pending connection.
     pub(super) fn admit(&mut self, stream: TcpStream) -> bool {
         self.pending_connection = Some(stream);
         self.admit_pending()
     }
 
     fn accept_client(&mut self, stream: TcpStream, admission: Admission) {
-        // Without it answers may be delayed, which is no reason to refuse the connection.
+        // Without TCP_NODELAY responses may be delayed, which is no reason to refuse the connection.
         let _ = stream.set_nodelay(true);
         self.serial += 1;
         let stream = Rc::new(stream);
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Accepts what is queued at the listener, without waiting: no more than may be queued there at once.
+    /// Accepts queued connections without blocking, making at most `MAX_ACCEPTS` calls of `next`.
     pub(super) fn accept_queued(&mut self, mut next: impl FnMut() -> io::Result<Socket>) -> QueueResult {
         let mut accepted = 0;
         if !self.admit_pending() {
@@ -220,7 +223,7 @@
     }
 }
 
-/// Whether a connection waits for no response, and was not accepted just now.
+/// Whether a connection has no open calls and is past the grace period for its first call.
 fn may_be_evicted(client: &ClientConnection, now: f64) -> bool {
     client.open_calls.is_empty()
         && (client.has_sent_message || now - client.last_used() >= FIRST_CALL_SECONDS)
--- a/crates/platform-router/src/client_connections/accept/tests.rs
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use test_case::test_case;
 
-/// A connection of a client, as `accept` gives it.
+/// Returns a connected client and the socket that `accept` returned for it.
 fn connection() -> (std::net::TcpStream, Socket) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -15,7 +15,8 @@
     Err(io::Error::from_raw_os_error(errno as i32))
 }
 
-/// A connection was aborted in the queue, and the one behind it was left unread at the exit.
+/// Guards against treating an aborted connection as the end of the queue: at shutdown, the connection queued behind
+/// it was never read.
 #[test_case(Errno::ECONNABORTED)]
 #[test_case(Errno::EINTR)]
 #[test_case(Errno::EPROTO)]
@@ -33,7 +34,7 @@
     });
 }
 
-/// Where the system lacks resources for a connection it stays queued: the queue does not count as empty.
+/// A connection that can't be accepted for lack of resources stays queued, so the queue must not count as empty.
 #[test_case(Errno::EMFILE)]
 #[test_case(Errno::ENFILE)]
 #[test_case(Errno::ENOBUFS)]
@@ -46,7 +47,7 @@
     });
 }
 
-/// An error that never passes ends the attempt within a bound.
+/// A persistent error ends the pass after `MAX_ACCEPTS` calls.
 #[test]
 fn persistent_accept_errors_are_given_up_after_a_bound() {
     run_local(async {
@@ -60,8 +61,8 @@
     });
 }
 
-/// A connection that was just accepted was closed for the next one, with its first call a moment away. It keeps its
-/// place until it had the time to send something.
+/// Guards against evicting a newly accepted connection in favor of the next one while its first call is in transit.
+/// It can be evicted only after the grace period.
 #[test_case(5, [true, true]; "at once")]
 #[test_case(100, [false, true]; "after 100 ms")]
 fn new_connection_is_not_evicted_before_its_first_call(later_ms: u64, expected: [bool; 2]) {
@@ -84,7 +85,8 @@
     });
 }
 
-/// A client beyond the limit whose rejection could not be written at once is closed once it was: it kept its place.
+/// An overflow connection whose rejection could not be written immediately is shut down once the rejection is
+/// written. It used to keep its slot.
 #[test]
 fn overflow_connection_is_closed_after_its_rejection() {
     run_local(async {
@@ -96,7 +98,7 @@
         {
             let mut state = router.borrow_mut();
             let slot = state.clients.iter().next().unwrap().0;
-            // As after a call that was rejected while the socket took nothing.
+            // As after a rejected call whose response was written only later because the socket was full.
             state.clients[slot].has_sent_message = true;
             let now = state.now();
             state.close_stale_clients(now);
--- a/crates/platform-router/src/client_connections/close.rs
+++ b/crates/platform-router/src/client_connections/close.rs
@@ -1,6 +1,6 @@
-//! Closes connections of clients: at once, with an error, or gracefully. Gracefully means that the sending direction
-//! is shut down once nothing is open or unread, and that what still comes is read and dropped until the client closes
-//! as well. A close with bytes unread would reset the connection, and responses on their way could be lost with it.
+//! Closes client connections: immediately, with an error, or gracefully. A graceful close shuts down the write side
+//! once no call is open and no byte is unread, then reads and discards input until the client closes its side too.
+//! Closing a socket with unread bytes would reset the connection, and responses in transit could be lost.
 
 use super::validate::calls;
 use crate::platform_router::{ClientConnection, PlatformRouter};
@@ -10,42 +10,42 @@
 use std::io;
 use std::net::Shutdown;
 
-/// Seconds for which a connection that was shut down is read on, for a client that does not close it.
+/// Seconds for which a connection whose write side is shut down is kept open for a client that does not close it.
 const LINGER_SECONDS: f64 = 0.1;
-/// Seconds that a connection has for its first call when a router that shuts down closes it.
+/// Seconds that a connection is given to send its first call before a router that is shutting down closes it.
 const FIRST_CALL_SECONDS: f64 = 0.1;
 
-/// Why a client's connection is closed.
+/// Why a client connection is closed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloseReason {
-    /// The client closed its end, or half of it.
+    /// The client closed the connection or its write side.
     #[error("the client closed the connection")]
     ClosedByClient,
-    /// A read, a write or a shutdown of the socket failed.
+    /// A read, write or shutdown of the socket failed.
     #[error("the connection broke: {0}")]
     Io(#[from] io::Error),
-    /// No valid line came in time, or a line did not end in time.
+    /// No valid line was received in time, or a line was not completed in time.
     #[error("the client was silent for too long")]
     Silent,
-    /// Too many bytes wait for it.
+    /// Too many unwritten bytes are buffered for the client.
     #[error("the client reads its responses too slowly")]
     ReadsTooSlowly,
-    /// It was sent an error about an invalid line.
+    /// The client was sent an error for an invalid line.
     #[error("the client sent an invalid line")]
     InvalidLine,
-    /// It was idle, and another connection needs its place.
+    /// The connection was idle and its slot was needed for another one.
     #[error("idle while another connection needs its place")]
     Evicted,
-    /// The same, among those beyond the limit.
+    /// The connection was an idle overflow connection and its slot was needed for another one.
     #[error("idle beyond the limit while another connection needs its place")]
     EvictedOverflow,
-    /// Its sending direction was shut down, and its client had the time to close it.
+    /// The write side was shut down and the linger time has passed.
     #[error("the connection was closed gracefully")]
     Graceful,
 }
 
 impl PlatformRouter {
-    /// Closes a connection at once. Its open calls are cancelled.
+    /// Closes a connection immediately and cancels its open calls.
     pub(super) fn close_client(&mut self, slot: usize, reason: &CloseReason) {
         let Some(client) = self.clients.try_remove(slot) else { return };
         tracing::debug!(
@@ -59,8 +59,8 @@
         self.cancel_requests(client.open_calls);
     }
 
-    /// A client sent an invalid line: each of its calls, those that came with the line included, is answered with an
-    /// error, and the connection is closed once that is written.
+    /// Handles an invalid line: every open call of the connection, including those received with the invalid line,
+    /// gets an error response, and the connection is closed once the responses are written.
     pub(super) fn close_invalid(&mut self, slot: usize, messages: &[ClientMessage], invalid: &InvalidLine) {
         tracing::debug!(slot, fault = %invalid.fault, "received an invalid line from a client");
         let Some(client) = self.clients.get_mut(slot) else { return };
@@ -77,7 +77,7 @@
         self.flush_client(slot);
     }
 
-    /// Closes connections that have been silent, or have not ended a line, for too long.
+    /// Closes connections that have been silent for too long or have not completed a line in time.
     pub fn close_stale_clients(&mut self, now: f64) {
         for slot in self.clients_where(|router, client| router.is_stale(client, now)) {
             self.close_client(slot, &CloseReason::Silent);
@@ -99,11 +99,11 @@
                 client.has_sent_message,
             )
         };
-        // After an invalid line nothing more is read, so unread bytes do not count then.
+        // Nothing is read after an invalid line, so unread bytes don't keep the connection open then.
         late && client.open_calls.is_empty() && (client.closing || client.has_no_unread_bytes())
     }
 
-    /// Shuts the sending direction of a connection down if it is idle and its first call has come, or had the time to.
+    /// Shuts down the write side of a connection that is idle, provided that it has sent a call or had the time to.
     pub(super) fn shut_down_if_idle(&mut self, slot: usize, now: f64) {
         let admission_closed = self.shutdown.admission_closed();
         let Some(client) = self.clients.get_mut(slot) else { return };
@@ -119,14 +119,14 @@
         }
     }
 
-    /// The same for all connections that `applies` is true of.
+    /// Does the same for all connections that match `predicate`.
     pub(super) fn shut_down_idle(&mut self, now: f64, predicate: impl Fn(&ClientConnection) -> bool) {
         for slot in self.clients_where(|_, client| predicate(client)) {
             self.shut_down_if_idle(slot, now);
         }
     }
 
-    /// Closes the connections that were shut down and whose clients had the time to close them.
+    /// Closes the connections whose write side was shut down and whose linger time has passed.
     pub(super) fn close_shut_down(&mut self, now: f64) {
         let linger_expired =
             |client: &ClientConnection| client.write_closed_at.is_some_and(|at| now - at >= LINGER_SECONDS);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Slots of the clients that `applies` is true of.
+    /// Slots of the clients that match `predicate`.
     pub(super) fn clients_where(&self, predicate: impl Fn(&Self, &ClientConnection) -> bool) -> Vec<usize> {
         self.clients.iter().filter(|(_, client)| predicate(self, client)).map(|(slot, _)| slot).collect()
     }
--- a/crates/platform-router/src/client_connections/graceful_shutdown.rs
+++ b/crates/platform-router/src/client_connections/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown step by step: the listener is closed with nothing left in its queue, every call that is read is
+//! The steps of a graceful shutdown: the listener is closed once its queue is empty, every call that was read is
 //! answered, and each connection is closed once it is idle.
 
 use super::accept::accept_connections;
@@ -9,14 +9,14 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The listener, and the task that accepts connections from it.
+/// The listener and the task that accepts connections from it.
 pub(crate) struct Acceptor {
     listener: Rc<TcpListener>,
     accept_task: JoinHandle<()>,
 }
 
 impl Acceptor {
-    /// Accepts connections from now on, in a task of its own.
+    /// Starts a task that accepts connections.
     pub fn open(router: SharedRouter, listener: TcpListener) -> Self {
         let listener = Rc::new(listener);
         let accept_task = tokio::task::spawn_local(accept_connections(router, listener.clone()));
@@ -25,8 +25,8 @@
 }
 
 impl PlatformRouter {
-    /// Takes the next step of a shutdown that has begun; true where the process may exit. `acceptor` is taken away, and
-    /// the listener closed with it, once nothing is left in its queue.
+    /// Performs the next step of a shutdown in progress; returns true if the process may exit. Sets `acceptor` to
+    /// `None`, which closes the listener, once its queue is empty.
     pub fn step_shutdown(&mut self, acceptor: &mut Option<Acceptor>) -> bool {
         let now = self.now();
         if !self.shutdown.admission_over(now) || !self.close_acceptor(acceptor, now) {
@@ -48,12 +48,12 @@
         acceptor.is_none() && open_requests == 0 && connections == 0
     }
 
-    /// Ends the task that accepts, then accepts what is queued, then closes the listener. False where the shutdown goes
-    /// on in the next step only.
+    /// Stops the accept task, accepts what is still queued, then closes the listener. Returns false if the shutdown
+    /// can only continue in the next step.
     fn close_acceptor(&mut self, acceptor: &mut Option<Acceptor>, now: f64) -> bool {
         let Some(Acceptor { listener, accept_task }) = acceptor else { return true };
         if !accept_task.is_finished() {
-            // It holds the listener until it has ended, before the next step.
+            // The aborted task holds the listener until it has ended, which is before the next step.
             accept_task.abort();
             return false;
         }
@@ -61,11 +61,11 @@
         if result.empty || self.shutdown.exit_due(now) {
             *acceptor = None;
         }
-        // The new sockets are known to be readable only in the next step.
+        // The readiness of newly accepted sockets is known only in the next step.
         result.accepted == 0 || self.shutdown.answers_due(now)
     }
 
-    /// Reads what lies unread in the sockets of clients.
+    /// Reads the sockets of clients that have unread bytes.
     fn read_unread_clients(&mut self) {
         let unread = self.clients_where(|_, client| {
             !client.closing && client.write_closed_at.is_none() && !client.has_no_unread_bytes()
@@ -75,8 +75,7 @@
         }
     }
 
-    /// Gives every open call its final response, by what is known of it: one that may have run has failed, one that
-    /// has not begun is rejected.
+    /// Sends every open call its final response: failed if it may have run, rejected if it has not started.
     fn answer_open_calls(&mut self, now: f64) {
         let calls_of = |(slot, client): (usize, &ClientConnection)| {
             client.open_calls.iter().map(|call| (slot, *call)).collect::<Vec<_>>()
--- a/crates/platform-router/src/client_connections/read.rs
+++ b/crates/platform-router/src/client_connections/read.rs
@@ -1,4 +1,4 @@
-//! Reads the sockets of clients and splits what comes into lines.
+//! Reads client sockets and splits the received bytes into lines.
 
 use super::close::CloseReason;
 use crate::platform_router::{DeferredFlush, PlatformRouter, READ_SIZE, UnreadSocket};
@@ -10,21 +10,21 @@
 use std::io::ErrorKind;
 use tokio::net::TcpStream;
 
-/// Seconds for which a look at a client's socket is believed before an attempt of its request begins: a fifth of the
-/// 0.1 s after which nothing may begin for a client that has gone.
+/// Seconds for which the last check of a client's socket is considered valid before an attempt is started: a fifth of
+/// the 0.1 s after which no attempt may start for a client that has disconnected.
 const CLIENT_CHECK_SECONDS: f64 = 0.02;
-/// Reads of a client's socket before an attempt of its request begins, to find whether it gave the call up: more than
-/// the calls that it may have open can fill.
+/// Maximum number of reads of a client's socket before an attempt is started, to find a cancel or the end of the
+/// connection. More than the maximum number of open calls can fill.
 const MAX_READS_BEFORE_CHECK: usize = 16;
 
 impl PlatformRouter {
-    /// The socket of a client is readable.
+    /// Handles read readiness of a client's socket.
     pub fn on_client_readable(&mut self, slot: usize) {
         self.read_client(slot);
         self.run_actions();
     }
 
-    /// Reads from a client's socket once. What the dispatcher decides upon it is left to be carried out.
+    /// Reads from a client's socket once. The caller runs the resulting dispatcher actions.
     pub fn read_client(&mut self, slot: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(slot) else { return };
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Reads once and passes on the bytes, or why there will be no more; nothing where none are there. The read buffer
-    /// is put back on every way out of here.
+    /// Reads once and passes on the bytes, or the reason why no more will follow; does nothing if there is nothing to
+    /// read. The read buffer is restored on every path.
     fn read_stream(
         &mut self,
         stream: &TcpStream,
@@ -65,9 +65,10 @@
         self.read_buffer = read_buffer;
     }
 
-    /// Whether an attempt may begin as far as its client goes. After a pause the connection to the worker may be
-    /// ready before the client's socket was read, which may hold a cancel or the end of the connection. False where
-    /// the socket has unread bytes: they are read first, and the worker's connection is flushed then.
+    /// Whether an attempt may start as far as its client is concerned. After a process pause the worker's socket may
+    /// become ready before the client's socket was read, which may hold a cancel or the end of the connection.
+    /// Returns false if the client's socket has unread bytes; they are read first, and the worker connection is
+    /// flushed afterwards.
     pub fn may_begin_attempt(&mut self, request: RequestId, worker_connection: usize, now: f64) -> bool {
         let Some(key) = self.dispatcher.context(request).map(|context| context.client) else { return true };
         let Some(client) = self.client_by_key(key) else { return true };
@@ -75,7 +76,7 @@
             return true;
         }
         match peek_socket(&client.stream) {
-            // All calls on the connection end with it, this one too.
+            // Closing the connection cancels all of its calls, including this one.
             SocketState::Closed => self.close_client(key.slot, &CloseReason::ClosedByClient),
             SocketState::Readable if client.reads_before_check < MAX_READS_BEFORE_CHECK => {
                 client.reads_before_check += 1;
@@ -91,13 +92,14 @@
         true
     }
 
-    /// Takes bytes of a client. All lines among them are checked before the first is acted on: what comes with an
-    /// invalid line is not acted on either.
+    /// Processes bytes received from a client. All complete lines are validated before the first one is processed; if
+    /// one is invalid, none of them is processed.
     fn receive_bytes(&mut self, slot: usize, bytes: &[u8]) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(slot) else { return };
         let mut partial_line = std::mem::take(&mut client.partial_line);
-        // Before a first valid line only the first bytes count: empty lines would hold the connection open for good.
+        // Until a first valid line only the first bytes count as progress: empty lines would otherwise keep the
+        // connection open forever.
         if partial_line.is_empty() && (client.has_sent_message || client.last_received == f64::NEG_INFINITY) {
             client.last_progress = now;
         }
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Splits bytes into lines and checks each. The first continues `partial_line`, which is left with the beginning
-    /// of the line after the last one.
+    /// Splits bytes into lines and validates each one. The first line continues `partial_line`, which holds the
+    /// incomplete last line afterwards.
     fn read_lines(
         &mut self,
         slot: usize,
@@ -136,7 +138,7 @@
             if partial_line.is_empty() {
                 self.check_line(slot, line, messages)?;
             } else {
-                // One byte past the limit is enough for the line to be found too long.
+                // One byte beyond the limit is enough to detect a line that is too long.
                 let space = (lines::MAX_LINE + 1).saturating_sub(partial_line.len());
                 partial_line.extend_from_slice(&line[..line.len().min(space)]);
                 self.check_line(slot, partial_line, messages)?;
--- a/crates/platform-router/src/client_connections/requests.rs
+++ b/crates/platform-router/src/client_connections/requests.rs
@@ -1,19 +1,19 @@
-//! Passes the calls of clients to the dispatcher, and its final responses to clients.
+//! Submits the calls of clients to the dispatcher and returns its final responses to the clients.
 
 use crate::platform_router::{ClientKey, OpenCall, PlatformRouter, RequestContext};
 use milletpath_dispatcher::dispatcher::{FunctionResources, IncomingRequest, RequestId};
 use milletpath_platform_protocol::lines::{self, Call};
 
-/// Seconds by which a final response leaves before its client's time is up: what a busy machine takes from the client's
-/// write to the router's read, and back.
+/// Seconds before the client's deadline at which the final response is sent. Covers the delay on a busy host from the
+/// client's write to the router's read, and back.
 pub(crate) const RESPONSE_MARGIN: f64 = 0.015;
-/// Seconds by which a call may have been unread for longer than is counted: the deadline that is forwarded may be 0.15 s
-/// over what the client has left. A call that came at the end of a pause, or in a pause that only looks like one on
-/// a busy machine, loses the less.
+/// Seconds deducted from the estimated time that a call was unread. The deadline that is forwarded may exceed the
+/// client's remaining time by 0.15 s. The deduction limits the error for a call that arrived at the end of a process
+/// pause, or in an apparent pause on a busy host.
 const UNREAD_SLACK: f64 = 0.1;
 
 impl PlatformRouter {
-    /// Submits a call to the dispatcher, or rejects it at once.
+    /// Submits a call to the dispatcher, or rejects it immediately.
     pub(super) fn submit_call(&mut self, slot: usize, call: Call) {
         if !self.admits_call(slot) {
             return self.reject_call(slot, call.number);
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Whether calls on a connection are taken now. One beyond the limit is an ordinary one as soon as there is room.
+    /// Whether calls on a connection are admitted now. An overflow connection becomes a regular one once there is
+    /// room.
     fn admits_call(&mut self, slot: usize) -> bool {
         let now = self.now();
         if self.shutdown.rejects(now) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Rejects a call that was not taken.
+    /// Rejects a call that was not admitted.
     fn reject_call(&mut self, slot: usize, number: u64) {
         if let Some(client) = self.clients.get_mut(slot) {
             lines::write_rejected(&mut client.write_buffer.bytes, number, self.retry_after);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Cancels the calls of a client with this request id or, where it gave none, with this number.
+    /// Cancels the calls of a client that have this request id or, if no id is given, this number.
     pub(super) fn cancel_calls(&mut self, slot: usize, id: Option<u64>, number: Option<u64>) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         let dispatcher = &mut self.dispatcher;
@@ -105,7 +106,7 @@
         self.cancel_requests(cancelled);
     }
 
-    /// Notifies the dispatcher that nobody waits for these calls any more.
+    /// Notifies the dispatcher that the client no longer waits for these calls.
     pub(super) fn cancel_requests(&mut self, calls: Vec<OpenCall>) {
         let now = self.now();
         for OpenCall { request, .. } in calls {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Frees the id of a request that ends; whether the dispatcher still had the request.
+    /// Releases the id of a request that has ended; returns whether the dispatcher still knew the request.
     pub(super) fn forget_request_id(&mut self, request: RequestId) -> bool {
         let id = self.dispatcher.context(request).map(|context| context.id);
         if let Some(id) = id {
@@ -124,8 +125,8 @@
         id.is_some()
     }
 
-    /// Gives a client the final response to its call: `write` appends it to the bytes, under the call's number. Nothing
-    /// is written where the client has gone.
+    /// Sends a client the final response to its call; `write` appends the response with the call's number to the
+    /// write buffer. Does nothing if the client has disconnected.
     pub fn send_final_response(&mut self, request: RequestId, write: impl FnOnce(&mut Vec<u8>, u64)) {
         let Some(context) = self.dispatcher.context(request) else { return };
         let (key, number, id) = (context.client, context.number, context.id);
@@ -137,7 +138,7 @@
     }
 }
 
-/// Position of a name; past the end of any list where it is not among them.
+/// Index of a name in a list, or `usize::MAX` if it is not in the list.
 fn index_of(names: &[String], name: &str) -> usize {
     names.iter().position(|other| other == name).unwrap_or(usize::MAX)
 }
--- a/crates/platform-router/src/client_connections/task.rs
+++ b/crates/platform-router/src/client_connections/task.rs
@@ -1,4 +1,4 @@
-//! The task of a client's connection: it waits for the socket.
+//! The task of a client connection, which waits for socket readiness.
 
 use crate::platform_router::SharedRouter;
 use std::rc::Rc;
--- a/crates/platform-router/src/client_connections/tests.rs
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -6,7 +6,7 @@
 use test_case::test_case;
 use tokio::net::TcpListener;
 
-/// A client that was accepted, and its slot.
+/// Connects a client and returns it with its slot.
 async fn connect_client(router: &SharedRouter) -> (std::net::TcpStream, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -19,7 +19,7 @@
     (client, slot)
 }
 
-/// Sends bytes now, and waits until the router has read them.
+/// Sends bytes and waits until the router has read them.
 async fn send_and_wait_until_read(
     router: &SharedRouter,
     (client, slot): &mut (std::net::TcpStream, usize),
@@ -33,8 +33,8 @@
     }
 }
 
-/// Sends a text a byte at a time, evenly over some seconds. Where the connection was closed before the end: after how
-/// many seconds.
+/// Sends a text one byte at a time, evenly over a number of seconds. If the connection is closed before the end,
+/// returns after how many seconds.
 async fn send_byte_by_byte(
     router: &SharedRouter,
     to: &mut (std::net::TcpStream, usize),
@@ -61,8 +61,8 @@
     r#""d":1500,"o":"7f3a9c21e0b4d655"}}"#
 );
 
-/// A call comes a byte at a time, over as long as its client would wait for a response: it is accepted, and its time
-/// counts from its last byte. The connection used to be closed after 2 s.
+/// A call that arrives one byte at a time, over as long as its client would wait for a response, is accepted, and its
+/// deadline counts from its last byte. The connection used to be closed after 2 s.
 #[test_case(true, 2.9; "from a known client")]
 #[test_case(false, 2.4; "as the first of its client")]
 fn call_received_byte_by_byte_is_accepted(known: bool, seconds: f64) {
@@ -87,8 +87,8 @@
     });
 }
 
-/// A connection on which a line never ends is closed in time, however the bytes come: within 3 s where no valid line
-/// ever came. Empty lines used to hold a connection open for good.
+/// A connection with a line that is never completed is closed in time, no matter how the bytes arrive: within 3 s if
+/// it has sent no valid line. Empty lines used to keep a connection open forever.
 #[test_case(false, &CALL.repeat(3), 2.5; "the first line")]
 #[test_case(true, &CALL.repeat(3), 3.0; "a later line")]
 #[test_case(false, &"\n".repeat(99), 2.0; "empty lines")]
@@ -107,8 +107,8 @@
     });
 }
 
-/// A place is needed: a client amid a call stays, and one is closed that has been idle for less time than that call
-/// takes.
+/// At the connection limit, a client that has sent part of a call stays, and one that is idle is evicted even though
+/// it has been idle for less time than the call takes to arrive.
 #[test]
 fn client_with_a_partial_call_is_not_evicted() {
     run_local(async {
@@ -133,8 +133,8 @@
     });
 }
 
-/// After an invalid line a client goes on sending and reads nothing: it is closed in time. While bytes of it lay unread,
-/// which are not read any more, it was taken for one about to call, and kept for good.
+/// A client that keeps sending after an invalid line and reads nothing is closed in time. Its unread bytes used to
+/// count as a pending call, although they are no longer read, which kept the connection open forever.
 #[test]
 fn invalid_client_is_closed_however_much_it_sends() {
     run_local(async {
--- a/crates/platform-router/src/client_connections/validate.rs
+++ b/crates/platform-router/src/client_connections/validate.rs
@@ -1,19 +1,19 @@
-//! Checks a line of a client against what is known of its connection and of all others.
+//! Validates a line of a client against the state of its connection and of all other connections.
 
 use crate::platform_router::PlatformRouter;
 use milletpath_platform_protocol::lines::{self, Call, ClientMessage, InvalidLine};
 use milletpath_protocol::InputError;
 
-/// Calls that may be open on one connection.
+/// Maximum number of open calls on one connection.
 const MAX_OPEN_CALLS: usize = 32;
 
 impl PlatformRouter {
-    /// Reads one line, checks it and adds it to the messages that came with it. An empty line is none. A cancel takes
-    /// its call off the messages before it, so that the call never reaches the dispatcher.
+    /// Parses and validates one line and appends it to the messages received with it. Empty lines are ignored. A
+    /// cancel removes its call from the preceding messages, so that the call never reaches the dispatcher.
     ///
     /// # Errors
     ///
-    /// Why the line is invalid; the client gets it as the error.
+    /// Why the line is invalid, which is also sent to the client.
     pub(super) fn check_line(
         &mut self,
         slot: usize,
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Checks a call against those that are open, on its connection or any other, and those that came with it.
+    /// Validates a call against the open calls on all connections and against the calls received with it.
     fn check_call(&mut self, slot: usize, call: &Call, messages: &[ClientMessage]) -> Result<(), InputError> {
         self.use_number(slot, call.number)?;
         let open_calls = self.clients.get(slot).map_or(0, |client| client.open_calls.len());
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Records a number as used on its connection; an error where it was used before.
+    /// Records a number as used on its connection; an error if it was used before.
     fn use_number(&mut self, slot: usize, number: u64) -> Result<(), InputError> {
         let Some(client) = self.clients.get_mut(slot) else { return Ok(()) };
         let is_new = client.request_ids_seen.insert(number);
@@ -71,7 +71,7 @@
     }
 }
 
-/// The calls among messages.
+/// The calls among the messages.
 pub(super) fn calls(messages: &[ClientMessage]) -> impl Iterator<Item = &Call> {
     messages.iter().filter_map(|message| match message {
         ClientMessage::Call(call) => Some(&**call),
--- a/crates/platform-router/src/client_connections/write.rs
+++ b/crates/platform-router/src/client_connections/write.rs
@@ -4,12 +4,12 @@
 use crate::platform_router::PlatformRouter;
 use crate::write_buffer::RETAINED_CAPACITY;
 
-/// Bytes of responses that may wait for a slow reader: some of the usual size, and small against the least memory that
-/// a router is granted.
+/// Maximum number of response bytes buffered for a slow reader: several responses of the usual size, and small
+/// compared with the smallest memory that a router is granted.
 const MAX_UNWRITTEN: usize = 128 << 10;
 
 impl PlatformRouter {
-    /// Writes what there is for a client, as far as its socket takes it, and closes a client that reads too slowly.
+    /// Writes buffered responses as far as the socket accepts them, and closes a client that reads too slowly.
     pub fn flush_client(&mut self, slot: usize) {
         let now = self.now();
         let Some(client) = self.clients.get_mut(slot) else { return };
--- a/crates/platform-router/src/connection_limits.rs
+++ b/crates/platform-router/src/connection_limits.rs
@@ -1,63 +1,66 @@
-//! How many connections a router opens and keeps, which it closes first and when, within the descriptors that it may
-//! hold. Free of I/O. Times are in seconds.
+//! Limits on connections: how many the router opens and keeps within its file descriptor limit, which ones it closes
+//! first, and when. Performs no I/O. Times are in seconds.
 
-/// Descriptors for what is neither client nor worker: standard streams, the runtime's own, the listener, the discovery
-/// connection and its successor, the file, and connections that are being closed.
+/// File descriptors reserved for everything but client and worker connections: standard streams, the async runtime,
+/// the listener, the current and the next discovery connection, the configuration file, and connections being closed.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Fraction of the rest for clients: the platform's own hold a third of all at most, and the others need a place to be
-/// answered on.
+/// Fraction of the remaining descriptors for clients. The platform's own connections take at most a third of all, and
+/// the other clients need a connection to be answered on.
 const CLIENT_FRACTION: f64 = 0.55;
-/// Attempts on one connection from which on another is opened: a connection that breaks takes all on it along, and each
-/// costs the worker a handshake.
+/// Attempts on one connection from which on another connection is opened. A connection that fails takes all of its
+/// attempts with it, but every new connection costs the worker a handshake.
 const PREFERRED_MAX_ATTEMPTS: usize = 4;
-/// Seconds that a client may be connected without a whole line: the platform wants such closed within 3 s.
+/// Seconds that a client may stay connected without sending a complete line. The platform requires such connections
+/// to be closed within 3 s.
 const SILENCE_TIMEOUT: f64 = 2.0;
-/// Seconds that the first line of a client may take: with a look each 0.2 s it is still closed within those 3 s.
+/// Seconds that the first line of a client may take. With a check every 0.2 s the connection is still closed within
+/// those 3 s.
 const FIRST_LINE_TIMEOUT: f64 = 2.5;
-/// Seconds after which a client that has sent nothing counts as silent, where its place is needed.
+/// Idle time in seconds below which a client is evicted only after all others: it may have just connected.
 const NEW_CLIENT_SECONDS: f64 = 0.3;
-/// Fraction of the stated idle time after which a connection to a worker is closed: before the worker does.
+/// Fraction of the configured idle timeout after which a connection to a worker is closed, so that the router closes
+/// it before the worker does.
 const IDLE_FRACTION: f64 = 0.8;
 
-/// What the limits are derived from.
+/// The settings from which the limits are derived.
 pub(crate) struct ConnectionSettings {
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may open.
     pub descriptors: usize,
-    /// Attempts that a worker takes on one connection at a time.
+    /// Concurrent attempts that a worker accepts on one connection.
     pub streams_per_connection: usize,
     /// Seconds after which a worker may close an idle connection.
     pub idle_timeout: f64,
-    /// Seconds that a connection to a worker may take to be made.
+    /// Connect timeout for workers, in seconds.
     pub connect_timeout: f64,
-    /// The longest time in seconds that a client waits for a response.
+    /// The longest time that a client waits for a response, in seconds.
     pub longest_deadline: f64,
 }
 
-/// The use of one connection to a worker.
+/// The current load of one connection to a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionUse {
-    /// Attempts on it, queued ones included.
+    /// Attempts on the connection, including queued ones.
     pub attempts: usize,
-    /// Since when a response has been awaited with nothing coming; none where none is awaited.
+    /// Time since which a response has been outstanding with nothing received; `None` if no response is outstanding.
     pub silent_since: Option<f64>,
 }
 
-/// A client's connection that may be closed for another.
+/// A client connection that may be evicted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EvictionCandidate {
-    /// Position of the connection.
+    /// Slot of the connection.
     pub slot: usize,
-    /// Whether a whole valid line ever came.
+    /// Whether a complete valid line was ever received.
     pub has_sent_message: bool,
-    /// Seconds since it was last of use.
+    /// Seconds since the connection was last used.
     pub idle_seconds: f64,
 }
 
 /// The limits on connections.
 pub(crate) struct ConnectionLimits {
-    /// Connections of clients, but for a few beyond the limit while all others wait for responses.
+    /// Maximum number of client connections. It is exceeded by a few while all of them wait for responses.
     pub clients: usize,
-    /// Connections to workers.
+    /// Maximum number of connections to workers.
     pub worker_connections: usize,
     streams_per_connection: usize,
     idle_seconds: f64,
@@ -66,7 +69,7 @@
 }
 
 impl ConnectionLimits {
-    /// Divides the descriptors among clients and workers; each side gets one at least.
+    /// Divides the descriptors between clients and workers; each side gets at least one.
     pub fn new(settings: &ConnectionSettings) -> Self {
         let available = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2);
         let clients = ((available as f64 * CLIENT_FRACTION) as usize).max(1);
@@ -80,11 +83,11 @@
         }
     }
 
-    /// Which of a worker's connections takes one more attempt, by position; none for a new one. `open` is the number of
-    /// connections to all workers.
+    /// Index of the worker's connection that takes one more attempt; `None` for a new connection. `open` is the
+    /// number of connections to all workers.
     ///
-    /// Where nothing came for as long as a connection may take to be made, a new one tells a slow worker from a machine
-    /// that is gone: to that one it never comes up, and no more attempts gather on the silent one.
+    /// If nothing was received on a connection for the connect timeout, a new one distinguishes a slow worker from an
+    /// unreachable host: the connect fails for the latter, and no further attempts queue up on the silent connection.
     pub fn choose_connection(
         &self,
         now: f64,
@@ -99,8 +102,8 @@
         (has_capacity || open >= self.worker_connections).then_some(at)
     }
 
-    /// The order in which clients are closed for another: those that keep silent, then the longest idle. The last are
-    /// those that have only just come and are about to send something: closed, their call would be lost.
+    /// The order in which clients are evicted: silent clients first, then by idle time, longest first. Clients that
+    /// have just connected come last, because they are about to send a call that would be lost.
     pub fn eviction_order(
         &self,
         clients: impl Iterator<Item = EvictionCandidate>,
@@ -115,13 +118,13 @@
         order.into_iter().map(|client| client.slot)
     }
 
-    /// Whether a client has sent no whole line, or not read what it was sent, for too long since `last_progress`.
+    /// Whether a client has sent no complete line, or not read its responses, for too long since `last_progress`.
     pub fn is_silent(&self, now: f64, last_progress: f64) -> bool {
         now - last_progress >= SILENCE_TIMEOUT
     }
 
-    /// Whether the rest of a line is waited for no longer: its pieces, the last of them at `last_received`, stopped
-    /// coming, or it takes longer than any client waits for a response. A client's first line gets less time.
+    /// Whether an incomplete line has timed out: either its bytes stopped arriving, the last ones at `last_received`,
+    /// or it takes longer than any client waits for a response. The first line of a client gets less time.
     pub fn line_timed_out(
         &self,
         now: f64,
@@ -133,7 +136,8 @@
         self.is_silent(now, last_received) || now - line_started >= limit
     }
 
-    /// Whether a connection to a worker is closed that has been unused since `last_used`.
+    /// Whether a connection to a worker that was last used at `last_used` has been idle for so long that it is
+    /// closed.
     pub fn is_idle(&self, now: f64, last_used: f64) -> bool {
         now - last_used >= self.idle_seconds
     }
--- a/crates/platform-router/src/connection_limits/tests.rs
+++ b/crates/platform-router/src/connection_limits/tests.rs
@@ -11,7 +11,7 @@
     })
 }
 
-/// A client had connected a moment ago and its first call was on the way, when it was closed for another.
+/// Guards against evicting a client that has just connected while its first call is in transit.
 #[test]
 fn new_connections_are_evicted_last() {
     let clients = [(7, false, 0.01), (3, true, 5.0), (4, true, 9.0), (5, false, 1.0), (6, true, 0.1)];
@@ -23,7 +23,7 @@
     assert_eq!(limits().eviction_order(clients.into_iter()).collect::<Vec<_>>(), [5, 4, 3, 6, 7]);
 }
 
-/// Chooses at 1.0 s among connections with so many attempts, each silent since a time.
+/// Chooses at 1.0 s among connections given as their number of attempts and the time since which they are silent.
 fn choose(connections: &[(usize, Option<f64>)], open: usize) -> Option<usize> {
     let usage = connections.iter().map(|&(attempts, silent_since)| ConnectionUse { attempts, silent_since });
     limits().choose_connection(1.0, usage, open)
@@ -38,7 +38,8 @@
     assert!(limits.clients + limits.worker_connections + RESERVED_DESCRIPTORS <= 256);
 }
 
-/// A machine vanished without a sign, and each new attempt went to the connection that had the fewest.
+/// Guards against sending new attempts to an unreachable host: its silent connection used to be chosen because it had
+/// the fewest attempts.
 #[test]
 fn silent_connection_gets_no_more_attempts_within_the_limit() {
     let one_silent = [(1, Some(0.7)), (3, Some(0.8))];
@@ -48,7 +49,7 @@
     assert_eq!(choose(&[(0, None)], 9), Some(0));
 }
 
-/// A line of a known client that came in pieces for longer than 2 s was given up, with its call.
+/// Guards against dropping a call of an established client whose line takes more than 2 s to arrive in pieces.
 #[test_case(2.9, 0.1, true, false; "pieces of a known client")]
 #[test_case(3.0, 0.1, true, true; "for longer than anyone waits")]
 #[test_case(2.1, 2.0, true, true; "half of one, and no more")]
--- a/crates/platform-router/src/discovery_feed.rs
+++ b/crates/platform-router/src/discovery_feed.rs
@@ -1,4 +1,4 @@
-//! What was read from discovery so far, over all connections to it. The discovery watch fills it.
+//! State of the discovery feed across all connections to the discovery address. Updated by the discovery watch.
 
 use milletpath_protocol::InputError;
 use std::io;
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Why a stream of events ended.
+/// Why an event stream ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StreamEnd {
     #[error("could not connect: {0}")]
@@ -34,26 +34,26 @@
     AddressChanged,
 }
 
-/// The state of the stream of events, over all connections to discovery.
+/// State of the event stream across all connections to the discovery address.
 pub(crate) struct DiscoveryFeed {
-    /// The number of the last event that was applied.
+    /// Number of the last event that was applied.
     pub last_event: u64,
-    /// The socket of the stream, while there is one.
+    /// Socket of the current stream, if any.
     pub socket: Option<Rc<TcpStream>>,
-    /// The beginning of a line; bounded by the protocol's longest line.
+    /// Incomplete last line, limited by the protocol's maximum line length.
     pub partial_line: Vec<u8>,
-    /// When the last line ended.
+    /// Time at which the last line was completed.
     pub last_line_at: Instant,
-    /// When the socket was last known to be empty, on the router's clock.
+    /// Time at which the socket was last known to be empty, on the router's clock.
     pub emptied_at: f64,
-    /// Why the stream is of no more use, found outside its task.
+    /// Why the stream has to be replaced, if this was found outside its task.
     pub end: Option<StreamEnd>,
     /// Wakes the stream's task after lines were read outside it.
     pub read_outside_task: Rc<Notify>,
 }
 
 impl DiscoveryFeed {
-    /// A feed after this event, without a stream.
+    /// Creates a feed that continues after this event and has no stream yet.
     pub fn new(last_event: u64) -> Self {
         Self {
             last_event,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A stream is about to be subscribed to; all that comes on it is written later than this.
+    /// Resets the state before a subscription. Everything received on the new stream was written after `now`.
     pub fn open(&mut self, now: f64) {
         self.partial_line = Vec::new();
         self.last_line_at = Instant::now();
@@ -74,17 +74,17 @@
         self.end = None;
     }
 
-    /// The socket that can be read before something is sent.
+    /// Sets the socket, which others may then read before they send something.
     pub fn attach(&mut self, socket: Rc<TcpStream>) {
         self.socket = Some(socket);
     }
 
-    /// The stream is over.
+    /// Clears the socket of a stream that has ended.
     pub fn close(&mut self) {
         self.socket = None;
     }
 
-    /// Why the stream is of no more use, where that was found outside its task.
+    /// Why the stream has to be replaced, if this was found outside its task.
     pub fn take_end(&mut self) -> Option<StreamEnd> {
         self.end.take()
     }
--- a/crates/platform-router/src/discovery_watch.rs
+++ b/crates/platform-router/src/discovery_watch.rs
@@ -1,5 +1,6 @@
-//! Follows the platform's list of workers: each event once and in order, whatever breaks. A gap, an invalid line, a
-//! broken connection or a silence longer than the heartbeat explains leads to a new subscription after the last event.
+//! Watches the platform's list of workers and applies each event exactly once and in order. A gap, an invalid line, a
+//! broken connection or a silence that exceeds the heartbeat interval leads to a new subscription after the last
+//! applied event.
 
 mod receive;
 mod shared_stream;
@@ -16,26 +17,26 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::watch;
 
-/// The platform ends a line every second; past this the stream has fallen silent, whatever pieces of a line come. Well
-/// within the 4 s after which an event counts as known to the router.
+/// Time without a complete line after which the stream counts as silent, even if parts of a line arrive. The platform
+/// completes a line every second. Well below the 4 s after which the router is expected to know an event.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Bytes that are read at a time.
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 8 << 10;
-/// Time for a connection to be made, and for the subscription to be written on it.
+/// Timeout for connecting, and for writing the subscription.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before an interrupted write is repeated; doubled each time, so that it is repeated nine times at most within the
-/// time for the subscription.
+/// Pause before an interrupted write is retried. It is doubled each time, so that there are at most nine retries
+/// before the subscription times out.
 const INITIAL_INTERRUPT_PAUSE: Duration = Duration::from_millis(1);
-/// Pause before the second attempt, doubled from one to the next.
+/// Pause before the second attempt to subscribe; doubled after each further one.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause between two attempts.
+/// Upper bound of the pause between two attempts.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Time to read what the last address has sent already, when the file names another: a drain among it must not wait
-/// until the next address answers.
+/// Time to read what the previous address has already sent when the file names a different one. A drain event must
+/// not wait until the new address answers.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Follows the list for as long as the router runs, from the event after the last one that is known. `address` changes
-/// when the file names another.
+/// Watches the list for the lifetime of the router, starting after the last known event. `address` changes when a
+/// reload of the file changes the discovery address.
 pub(crate) async fn watch_discovery(router: SharedRouter, mut address: watch::Receiver<SocketAddr>) {
     let mut pause = MIN_RETRY_PAUSE;
     loop {
@@ -66,7 +67,7 @@
     }
 }
 
-/// Connects and follows one stream until it ends.
+/// Connects and reads one stream until it ends.
 async fn follow_stream(router: &SharedRouter, address: SocketAddr) -> Result<Infallible, StreamEnd> {
     let sockets = router.borrow().sockets.clone();
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, sockets.connect(address)).await;
@@ -76,7 +77,7 @@
     read_events(router, SharedStream(stream)).await
 }
 
-/// Writes all bytes. Interrupted writes are repeated after pauses: the runtime's own `write_all` repeats them at once, for
+/// Writes all bytes, retrying interrupted writes after pauses. Tokio's `write_all` would retry them immediately for
 /// as long as they are interrupted.
 async fn write_all_with_backoff(stream: &mut (impl AsyncWrite + Unpin), mut bytes: &[u8]) -> io::Result<()> {
     let mut pause = INITIAL_INTERRUPT_PAUSE;
@@ -94,7 +95,7 @@
     Ok(())
 }
 
-/// Subscribes to the events after the last one that is known, and applies them until the stream ends.
+/// Subscribes to the events after the last known one and applies them until the stream ends.
 async fn read_events(
     router: &SharedRouter,
     mut stream: impl AsyncRead + AsyncWrite + Unpin,
--- a/crates/platform-router/src/discovery_watch/receive.rs
+++ b/crates/platform-router/src/discovery_watch/receive.rs
@@ -1,9 +1,9 @@
-//! Takes in the lines of the stream, whoever reads them: the task that waits for the socket, or a send that looks at the
-//! socket first. A process that was paused, or that is busy, may find an event and a request at once: the event is
-//! applied before the request is sent on.
+//! Applies the lines of the discovery stream. They are read either by the task that waits for the socket, or before
+//! work is sent to a worker, when the socket is checked first. A process that was paused or is busy may find an event
+//! and a request at the same time; the event is then applied before the request is sent.
 //!
-//! A heartbeat states that the list was current when it was written. All that is known of that time is that the socket
-//! was empty at the last look before it, so the list counts as confirmed then.
+//! A heartbeat states that the list was current when the heartbeat was written. That time is not known, only that the
+//! socket was empty at the last check before, so the list counts as confirmed at the time of that check.
 
 use crate::discovery_feed::StreamEnd;
 use crate::platform_router::PlatformRouter;
@@ -14,13 +14,14 @@
 use std::io::Read;
 use tokio::time::Instant;
 
-/// Seconds for which a look at the socket is believed before something is sent: short against any grace.
+/// Seconds for which a check of the socket is considered valid before something is sent. Short compared with any
+/// grace period.
 const PEEK_VALID_SECONDS: f64 = 0.02;
-/// Reads of the socket before something is sent; what is left after them waits for the next look.
+/// Maximum number of reads before something is sent; the rest is left for the next check.
 const MAX_READS: usize = 16;
 
 impl PlatformRouter {
-    /// Takes bytes of the stream and applies the lines that end in them.
+    /// Appends received bytes and applies all complete lines.
     pub(super) fn receive_from_discovery(&mut self, bytes: &[u8]) -> Result<(), StreamEnd> {
         self.discovery.partial_line.extend_from_slice(bytes);
         while let Some(end) = self.discovery.partial_line.iter().position(|&byte| byte == b'\n') {
@@ -39,7 +40,7 @@
         let last = self.discovery.last_event;
         let now = self.now();
         match events::read(line)? {
-            // Applied before.
+            // Already applied.
             DiscoveryLine::Event { number, .. } if number <= last => {}
             DiscoveryLine::Event { number, complete, entries } if complete || number == last + 1 => {
                 self.discovery.last_event = number;
@@ -49,16 +50,16 @@
             DiscoveryLine::Last(number) if number == last => {
                 self.dispatcher.endpoint_list_confirmed(now, self.discovery.emptied_at);
             }
-            // From a source that is behind the one that was followed before.
+            // From a source that lags behind the previous one.
             DiscoveryLine::Last(number) if number < last => {}
             _ => return Err(StreamEnd::MissingEvents { after: last }),
         }
         Ok(())
     }
 
-    /// Looks at the socket without reading. True where nothing is unread, as far as the system knows.
+    /// Checks the socket without reading from it. Returns true if it has no unread bytes, as far as the kernel knows.
     pub(crate) fn peek_discovery(&mut self) -> bool {
-        // The time before the look: the process may be paused right after it.
+        // Taken before the check, as the process may be paused right after it.
         let now = self.now();
         let state = self.discovery.socket.as_deref().map_or(SocketState::Empty, peek_socket);
         if state == SocketState::Readable {
@@ -68,19 +69,19 @@
         true
     }
 
-    /// Whether all that discovery has sent was read, so that new work may go to a worker. Otherwise
-    /// [`read_discovery`](Self::read_discovery) comes first.
+    /// Whether everything that discovery has sent was read, so that new work may be sent to a worker. If not, call
+    /// [`read_discovery`](Self::read_discovery) first.
     pub(crate) fn is_discovery_drained(&mut self, now: f64) -> bool {
         now - self.discovery.emptied_at < PEEK_VALID_SECONDS || self.peek_discovery()
     }
 
-    /// Reads and applies what is unread. What the dispatcher decides upon it is left to be carried out.
+    /// Reads and applies unread lines. The caller runs the resulting dispatcher actions.
     pub(crate) fn read_discovery(&mut self) {
         let Some(socket) = self.discovery.socket.clone() else { return };
         let now = self.now();
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         for _ in 0..MAX_READS {
-            // The end of the stream and errors are found by its task as well.
+            // The stream's task detects the end of the stream and read errors itself.
             let Ok(length @ 1..) = (&*SockRef::from(&*socket)).read(&mut read_buffer) else { break };
             if let Err(end) = self.receive_from_discovery(&read_buffer[..length]) {
                 self.discovery.end = Some(end);
--- a/crates/platform-router/src/discovery_watch/shared_stream.rs
+++ b/crates/platform-router/src/discovery_watch/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A socket that one task reads and writes while others may look at it.
+//! A socket that one task reads and writes while other code may check or read it.
 
 use std::io;
 use std::pin::Pin;
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The task's side of a shared socket.
+/// The task's handle of a shared socket.
 pub(super) struct SharedStream(pub Rc<TcpStream>);
 
 impl AsyncRead for SharedStream {
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -22,8 +22,8 @@
     format!(r#"{{"no":{number},"roster":{{"complete":false,"members":[{worker}]}}}}"#) + "\n"
 }
 
-/// A stream has lasted for hours, with a heartbeat a second and an event every ten minutes, when it falls silent: it is
-/// given up as soon as a new one would be, with all its events applied.
+/// A stream that falls silent after hours of heartbeats and events is closed as soon as a new stream would be, and
+/// all of its events are applied.
 #[test_case(""; "between two lines")]
 #[test_case("{\"no\":"; "amid a line")]
 fn silent_discovery_stream_is_given_up_after_hours_of_heartbeats(rest: &'static str) {
@@ -54,8 +54,9 @@
     });
 }
 
-/// An event of the old address lies unread when the file names another, which does not answer yet: it is applied first.
-/// It used to be dropped with its stream, and a worker that was gone got attempts until the new address answered.
+/// When the discovery address changes, unread events of the previous address are applied before the new address
+/// answers. They used to be dropped with the stream, and a worker that had left got attempts until the new address
+/// answered.
 #[test]
 fn unread_events_are_applied_before_the_discovery_address_changes() {
     run_local(async {
@@ -69,7 +70,7 @@
         stream.read_exact(&mut subscription).await.unwrap();
         assert_eq!(&subscription, b"after 1\n");
         stream.writable().await.unwrap();
-        // Nothing waits between the two: the router learns of both in one turn.
+        // There is no await in between, so the router sees both at the same time.
         stream.try_write(event(2, "left").as_bytes()).unwrap();
         discovery_address.send(new.local_addr().unwrap()).unwrap();
         let (mut stream, _) = new.accept().await.unwrap();
@@ -79,8 +80,8 @@
     });
 }
 
-/// A worker joins after ten heartbeats without it, by a clock that was stepped: it is as old as its event at most. With
-/// a clock an hour behind it got no slow start, with one an hour ahead an hour of it.
+/// A worker that joins after ten heartbeats without it counts as no older than its event, even if its clock was
+/// stepped. A clock that was an hour behind used to disable slow start, and one an hour ahead extended it by an hour.
 #[test_case(-3600.0; "an hour behind")]
 #[test_case(-3.0; "three seconds behind")]
 #[test_case(3.0; "three seconds ahead")]
@@ -109,8 +110,8 @@
         );
     });
 }
-/// No connection to the discovery address can be made, for a local reason or another: it is tried again, with pauses,
-/// and events are applied once it can.
+/// If the connection to the discovery address fails, for a local or a remote reason, it is retried with pauses, and
+/// events are applied once it succeeds.
 #[test_case(FaultDuration::Once; "once")]
 #[test_case(SHORT_FAULT; "for 100 ms")]
 #[test_case(LONG_FAULT; "for 2 s")]
@@ -137,12 +138,12 @@
     while !router.borrow().dispatcher.workers().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    // Pauses of 50, 100, 200 and then 400 ms.
+    // Retries after 50, 100, 200 and then every 400 ms.
     let failures = sockets.failures.get();
     assert!((1..=8).contains(&failures), "{errno:?}: {failures}");
 }
 
-/// A stream of which the first write fails, or the read after all that was sent.
+/// A stream whose first write fails, or whose reads fail once all data was read.
 struct FailingStream {
     stream: DuplexStream,
     operation: Operation,
@@ -181,8 +182,8 @@
     }
 }
 
-/// A read fails after an event and half of another, or the subscription can't be written: the stream is given up with
-/// whole events applied, so that the half event is subscribed to again.
+/// After a failed read or write the stream is closed with only complete events applied, so that an incomplete event
+/// is subscribed to again.
 #[test]
 fn complete_events_survive_a_failed_read_or_write() {
     run_local(async {
@@ -202,7 +203,7 @@
             theirs.shutdown().await.unwrap();
             let writes = FailingStream { stream: ours, operation: Operation::Write, errno, written: false };
             let Err(reason) = read_events(&router, writes).await;
-            // Written again after an interruption.
+            // An interrupted write is retried.
             match reason {
                 StreamEnd::Closed if errno == Errno::EINTR => {}
                 StreamEnd::SubscribeFailed(error) if errno != Errno::EINTR => {
@@ -215,7 +216,7 @@
     });
 }
 
-/// A stream of which every write is interrupted.
+/// A stream on which every write is interrupted.
 struct InterruptedStream {
     stream: DuplexStream,
     writes: Rc<Cell<usize>>,
@@ -247,8 +248,8 @@
     }
 }
 
-/// Each write of the subscription is interrupted: it is repeated with pauses, a bounded number of times, and the
-/// connection given up. It was repeated at once and without end, and nothing else ran meanwhile.
+/// A subscription whose writes are all interrupted is retried with pauses, a bounded number of times, and then fails.
+/// It used to be retried immediately and without limit, which blocked all other tasks.
 #[test]
 fn subscription_that_is_always_interrupted_is_given_up() {
     run_local(async {
--- a/crates/platform-router/src/list_report.rs
+++ b/crates/platform-router/src/list_report.rs
@@ -1,19 +1,19 @@
-//! What operators were told of the endpoint list: one line when it becomes stale, and one when it is current.
+//! Tracks the logged state of the endpoint list, so that each change to stale or current is logged once.
 
-/// What is known of the endpoint list.
+/// State of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListState {
-    /// Discovery was not heard of since the start.
+    /// Not confirmed by discovery since the start.
     Unconfirmed,
-    /// Discovery has vouched for it recently.
+    /// Confirmed by discovery recently.
     Current,
-    /// Discovery has been silent for too long.
+    /// Not confirmed by discovery for too long.
     Stale,
 }
 
-/// What was last logged of the endpoint list.
+/// The last logged state of the endpoint list.
 pub(crate) struct ListReport {
-    /// Seconds for which the list is believed.
+    /// Seconds for which the list stays current after a confirmation.
     valid_for: f64,
     pub state: ListState,
     /// When that state was logged, and the number of health checks until then.
@@ -22,13 +22,13 @@
 }
 
 impl ListReport {
-    /// Nothing was logged yet.
+    /// Creates the report of a router that has logged no state yet.
     pub fn new(valid_for: f64) -> Self {
         Self { valid_for, state: ListState::Unconfirmed, since: 0.0, health_checks_before: 0 }
     }
 
-    /// The state now. A list that was never confirmed is stale only once a router that has just started had time to hear
-    /// of discovery.
+    /// The current state. A list that was never confirmed counts as stale only after the router has been running long
+    /// enough to hear from discovery.
     pub fn current_state(&self, now: f64, is_stale: bool) -> ListState {
         match (is_stale, self.state) {
             (false, _) => ListState::Current,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Another state was logged.
+    /// Records that a new state was logged.
     pub fn record(&mut self, now: f64, state: ListState, health_checks: u64) {
         self.state = state;
         self.since = now;
--- a/crates/platform-router/src/memory_budget.rs
+++ b/crates/platform-router/src/memory_budget.rs
@@ -1,30 +1,33 @@
-//! The bytes that a router holds in all its buffers together, against the memory that it is granted. Free of I/O: the
-//! holder of a buffer reserves its bytes, and what is refused for want of memory is decided where it comes in.
+//! Limits the total size of all buffers to a fraction of the memory granted to the router. Performs no I/O. The owner
+//! of a buffer reserves its bytes; whether input is refused for lack of memory is decided where the input is
+//! received.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Fraction of the memory that buffers may take; the rest is for the dispatcher's tables and what the system counts.
+/// Fraction of the memory for buffers. The rest is for the dispatcher's tables and for memory accounted by the
+/// kernel.
 const BUFFER_FRACTION: f64 = 0.5;
 
-/// The budget that all buffers share. It is not enforced at a reservation: who takes something in asks first.
+/// The memory budget shared by all buffers. A reservation never fails; callers check [`is_full`](Self::is_full)
+/// before they accept more data.
 pub(crate) struct MemoryBudget {
     limit: usize,
     reserved: Cell<usize>,
 }
 
 impl MemoryBudget {
-    /// The budget of a process that is granted so many bytes of memory.
+    /// Creates the budget of a process that is granted `memory_bytes` bytes.
     pub fn new(memory_bytes: usize) -> Rc<Self> {
         Rc::new(Self { limit: (memory_bytes as f64 * BUFFER_FRACTION) as usize, reserved: Cell::new(0) })
     }
 
-    /// Whether nothing more should be taken in.
+    /// Whether no more data should be accepted.
     pub fn is_full(&self) -> bool {
         self.reserved.get() >= self.limit
     }
 
-    /// Reserves bytes for as long as the reservation lives.
+    /// Reserves bytes for the lifetime of the reservation.
     #[must_use = "the bytes are released when the reservation is dropped"]
     pub fn reserve(self: &Rc<Self>, bytes: usize) -> MemoryReservation {
         let mut reservation = MemoryReservation { memory_budget: self.clone(), bytes: 0 };
@@ -33,14 +36,14 @@
     }
 }
 
-/// Bytes of the budget; they are released when it is dropped.
+/// Reserved bytes, released on drop.
 pub(crate) struct MemoryReservation {
     memory_budget: Rc<MemoryBudget>,
     bytes: usize,
 }
 
 impl MemoryReservation {
-    /// Changes how many bytes are reserved.
+    /// Changes the number of reserved bytes.
     pub fn resize(&mut self, bytes: usize) {
         let reserved = self.memory_budget.reserved.get() - self.bytes + bytes;
         self.memory_budget.reserved.set(reserved);
--- a/crates/platform-router/src/platform_router.rs
+++ b/crates/platform-router/src/platform_router.rs
@@ -1,5 +1,5 @@
-//! The state of the router on the platform. It is used by one thread, and never across a wait: the tasks around it
-//! wait until a socket or a time is ready, borrow it, and do all that can be done at once.
+//! The state of the platform router. It is used by a single thread and never borrowed across an await: tasks wait
+//! until a socket or a timer is ready, borrow the state, and do everything that can be done without blocking.
 
 mod client_connection;
 mod request_context;
@@ -26,87 +26,87 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Bytes that are read at a time from one socket, so that each has its fair turn.
+/// Maximum number of bytes per read, so that every socket is served in turn.
 pub(crate) const READ_SIZE: usize = 64 << 10;
 
-/// The router's state, as the tasks of its thread share it.
+/// The router's state, shared by the tasks of its thread.
 pub(crate) type SharedRouter = Rc<RefCell<PlatformRouter>>;
 
-/// A socket with unread bytes that may bear on what is to be sent.
+/// A socket whose unread bytes may affect what is about to be sent.
 pub(crate) enum UnreadSocket {
-    /// That of the client in this slot.
+    /// The socket of the client in this slot.
     Client(usize),
-    /// That of discovery.
+    /// The socket of the discovery stream.
     Discovery,
 }
 
-/// A flush of a worker's connection that waits until another socket was read.
+/// A flush of a worker connection that is deferred until another socket was read.
 pub(crate) struct DeferredFlush {
-    /// The socket.
+    /// The socket to read first.
     pub unread: UnreadSocket,
-    /// Slot of the worker's connection that is flushed after it was read.
+    /// Slot of the worker connection that is flushed afterwards.
     pub worker_connection: usize,
 }
 
-/// All that the router has: the dispatcher, the connections of clients and those to workers. Times are in seconds on
-/// the clock of [`now`](Self::now).
+/// The state of the router: the dispatcher, the client connections and the worker connections. Times are in seconds
+/// on the clock of [`now`](Self::now).
 pub(crate) struct PlatformRouter {
-    /// For the tasks that the router starts.
+    /// Reference to this state for the tasks that the router spawns.
     pub weak_self: Weak<RefCell<PlatformRouter>>,
     /// Decides where and when requests are sent.
     pub dispatcher: Dispatcher<RequestContext>,
-    /// What was read from discovery.
+    /// State of the discovery feed.
     pub discovery: DiscoveryFeed,
-    /// What was logged of the age of the endpoint list.
+    /// The last logged state of the endpoint list.
     pub list_report: ListReport,
     /// Names of the profiles, in the dispatcher's order.
     pub profiles: Vec<String>,
-    /// Names of the client groups, in the dispatcher's order; where there are none any name will do.
+    /// Names of the client groups, in the dispatcher's order. If empty, any name is accepted.
     pub groups: Vec<String>,
-    /// Connections of clients, bounded by `connection_limits`.
+    /// Client connections, limited by `connection_limits`.
     pub clients: Slab<ClientConnection>,
-    /// A connection that was accepted and waits for a place among `clients`.
+    /// An accepted connection that waits for a free slot in `clients`.
     pub pending_connection: Option<TcpStream>,
-    /// Connections to workers, bounded by `connection_limits`.
+    /// Connections to workers, limited by `connection_limits`.
     pub worker_connections: Slab<WorkerConnection>,
-    /// Slots in `worker_connections` by worker.
+    /// Slots in `worker_connections`, by worker.
     pub connections_by_worker: BTreeMap<usize, Vec<usize>>,
-    /// Ids of the requests that have no final response yet.
+    /// Ids of the requests without a final response.
     pub open_request_ids: BTreeSet<u64>,
-    /// How many connections there may be, and for how long.
+    /// Limits on the number and the lifetime of connections.
     pub connection_limits: ConnectionLimits,
-    /// Bytes that all buffers may hold together.
+    /// Limit on the total size of all buffers.
     pub memory_budget: Rc<MemoryBudget>,
-    /// The schedule of a graceful shutdown, once it has begun.
+    /// The schedule of a graceful shutdown, once one has begun.
     pub shutdown: Shutdown,
-    /// When this process ran last: by it a pause of the process is detected.
+    /// Detects pauses of this process.
     pub liveness: Liveness,
-    /// Seconds that a connection to a worker may take to be made.
+    /// Connect timeout for workers, in seconds.
     pub connect_timeout: f64,
-    /// Whether health checks ask workers for their load.
+    /// Whether health checks ask workers to report their load.
     pub load_reports: bool,
-    /// Whether workers are notified of requests that are no longer wanted.
+    /// Whether workers are notified when an attempt is cancelled.
     pub sends_cancels: bool,
-    /// The longest Retry-After in seconds, for what the dispatcher has no room for.
+    /// The longest Retry-After in seconds, sent with rejections for lack of room.
     pub retry_after: Option<f64>,
-    /// What a socket is read into; taken and given back within one read.
+    /// Shared read buffer, taken and restored within one read.
     pub read_buffer: Vec<u8>,
-    /// Flushes that are still to be made; bounded by the actions that the dispatcher gives in one turn.
+    /// Deferred flushes, bounded by the number of actions that the dispatcher returns at once.
     pub deferred_flushes: Vec<DeferredFlush>,
-    /// The last serial number of a client's connection or of a frame of the router's own.
+    /// The last serial number, used for client connections and for frames that are not attempts.
     pub serial: u64,
-    /// The system calls on connections to workers.
+    /// System calls on worker connections and on the discovery connection.
     pub sockets: Rc<dyn Sockets>,
-    /// The zero of the router's clock.
+    /// Start of the router's clock.
     pub started_at: Instant,
     /// The time for which the timer task is set.
     pub timer_set_for: f64,
-    /// Wakes the timer task where something is due sooner.
+    /// Wakes the timer task when a deadline is earlier than `timer_set_for`.
     pub timer_changed: Rc<Notify>,
 }
 
 impl PlatformRouter {
-    /// The router as the platform's file states it, with no connection yet.
+    /// Creates a router from the platform's bootstrap file, without any connection.
     pub fn new(bootstrap: &Bootstrap) -> SharedRouter {
         let started_at = Instant::now();
         let config = &bootstrap.config;
@@ -154,14 +154,14 @@
         })
     }
 
-    /// Seconds since the router started, by the monotonic clock. Each look counts as a sign of life of the process.
+    /// Seconds since the router started, on the monotonic clock. Each call also records that the process is running.
     pub fn now(&self) -> f64 {
         let now = self.started_at.elapsed().as_secs_f64();
         self.liveness.record_activity(now);
         now
     }
 
-    /// The connection of a client, unless it was closed; another one may have its slot by now.
+    /// The client connection with this key, unless it was closed; its slot may have been reused.
     pub fn client_by_key(&mut self, key: ClientKey) -> Option<&mut ClientConnection> {
         self.clients.get_mut(key.slot).filter(|client| client.serial == key.serial)
     }
--- a/crates/platform-router/src/platform_router/client_connection.rs
+++ b/crates/platform-router/src/platform_router/client_connection.rs
@@ -1,4 +1,4 @@
-//! The connection of one client.
+//! State of one client connection.
 
 use crate::memory_budget::MemoryReservation;
 use crate::request_ids_seen::RequestIdsSeen;
@@ -9,26 +9,25 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A call that has no final response yet.
+/// A call without a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OpenCall {
-    /// The number that the client gave it on its connection.
+    /// The number that the client assigned to the call on its connection.
     pub number: u64,
-    /// The request as the dispatcher knows it.
+    /// The dispatcher's id of the request.
     pub request: RequestId,
 }
 
-/// The connection of a client. Times are in seconds on the router's clock.
+/// A client connection. Times are in seconds on the router's clock.
 pub(crate) struct ClientConnection {
-    /// Distinguishes it from others that have, or had, its slot.
+    /// Distinguishes this connection from others that use the same slot at another time.
     pub serial: u64,
-    /// The socket.
     pub stream: Rc<TcpStream>,
-    /// Wakes its task where there is something to write, or the connection was closed.
+    /// Wakes the connection's task when there is something to write or the connection was closed.
     pub wake: Rc<Notify>,
-    /// The beginning of a line whose end has not come yet.
+    /// The incomplete last line.
     pub partial_line: Vec<u8>,
-    /// Responses that the socket has not taken yet.
+    /// Responses that the socket has not accepted yet.
     pub write_buffer: WriteBuffer,
     /// The bytes of both buffers in the memory budget.
     pub reservation: MemoryReservation,
@@ -36,28 +35,29 @@
     pub open_calls: Vec<OpenCall>,
     /// Numbers that the client has used.
     pub request_ids_seen: RequestIdsSeen,
-    /// Whether a whole valid line ever came.
+    /// Whether a complete valid line was ever received.
     pub has_sent_message: bool,
-    /// When bytes were last written to it, a valid line came or a line began.
+    /// Time of the last write, the last valid line or the start of the last line.
     pub last_progress: f64,
-    /// When bytes last came; negative infinity before the first.
+    /// Time at which bytes were last received; negative infinity before the first.
     pub last_received: f64,
-    /// When its socket was last found open with nothing unread.
+    /// Time at which the socket was last found open without unread bytes.
     pub checked_at: f64,
-    /// When a read last left nothing in its socket.
+    /// Time of the last read that emptied the socket.
     pub emptied_at: f64,
-    /// Reads since `checked_at` that were made to find its socket so.
+    /// Reads since `checked_at` that were made before an attempt to empty the socket.
     pub reads_before_check: usize,
-    /// An invalid line came: what is in the buffer is written, and the connection closed.
+    /// Whether an invalid line was received: the write buffer is flushed and the connection is closed.
     pub closing: bool,
-    /// It was accepted beyond the limit, where all others wait for responses: its calls are rejected while that holds.
+    /// Whether the connection was accepted beyond the limit, while all others waited for responses. Its calls are
+    /// rejected as long as the limit is exceeded.
     pub overflow: bool,
-    /// When its sending direction was shut down. From then on what comes is read and dropped.
+    /// Time at which the write side was shut down. Input received later is read and discarded.
     pub write_closed_at: Option<f64>,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Creates the state of a newly accepted connection.
     pub fn new(serial: u64, stream: Rc<TcpStream>, reservation: MemoryReservation, now: f64) -> Self {
         Self {
             serial,
@@ -80,22 +80,23 @@
         }
     }
 
-    /// Brings its part of the memory budget up to date with its buffers.
+    /// Updates the reserved bytes to the current size of the buffers.
     pub fn update_reservation(&mut self) {
         self.reservation.resize(self.partial_line.capacity() + self.write_buffer.bytes.capacity());
     }
 
-    /// When it was last of use. Until a whole valid line has come, pieces of one do not count.
+    /// Time at which the connection was last used. Until a complete valid line was received, parts of a line don't
+    /// count.
     pub fn last_used(&self) -> f64 {
         if self.has_sent_message { self.last_progress.max(self.last_received) } else { self.last_progress }
     }
 
-    /// Whether its socket has no unread bytes: a call among them would be lost with the connection.
+    /// Whether the socket has no unread bytes. A call among them would be lost if the connection were closed.
     pub fn has_no_unread_bytes(&self) -> bool {
         peek_socket(&self.stream) != SocketState::Readable
     }
 
-    /// Whether no call is open, no line has begun and no response waits to be written.
+    /// Whether there is no open call, no incomplete line and no unwritten response.
     pub fn is_idle(&self) -> bool {
         self.open_calls.is_empty() && self.partial_line.is_empty() && self.write_buffer.remaining() == 0
     }
--- a/crates/platform-router/src/platform_router/request_context.rs
+++ b/crates/platform-router/src/platform_router/request_context.rs
@@ -1,36 +1,36 @@
-//! What the router keeps of a request while the dispatcher has it.
+//! Data that the router keeps for a request while the dispatcher holds it.
 
 use crate::memory_budget::MemoryReservation;
 
-/// Identifies a client's connection.
+/// Identifies a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientKey {
-    /// Position among the connections; it is used again once the connection is closed.
+    /// Index in `clients`, which is reused after the connection is closed.
     pub slot: usize,
-    /// Serial number, which is never used again: it distinguishes a  from a later one in the same slot.
+    /// Serial number, which is never reused. It distinguishes the connection from a later one in the same slot.
     pub serial: u64,
 }
 
-/// Who sent a request, and what a worker is sent for it. Times are in seconds on the router's clock.
+/// The origin of a request and the data sent to a worker for it. Times are in seconds on the router's clock.
 pub(crate) struct RequestContext {
-    /// The connection that the request came on.
+    /// The client connection on which the request was received.
     pub client: ClientKey,
-    /// The number that the client gave the call on its connection; the final response repeats it.
+    /// The number that the client assigned to the call on its connection; repeated in the final response.
     pub number: u64,
-    /// The id of the request, the same in each of its attempts.
+    /// The request id, which all attempts share.
     pub id: u64,
-    /// Index of its profile.
+    /// Index of the request's profile.
     pub profile: usize,
-    /// Sent along with each attempt; empty where the client gave none.
+    /// Sent with each attempt; empty if the client gave none.
     pub idempotency_key: String,
-    /// The body, as the worker is sent it.
+    /// The body that is sent to a worker.
     pub body: Vec<u8>,
-    /// The bytes of key and body in the memory budget, for as long as this lives.
+    /// Reserves the bytes of the key and the body in the memory budget.
     pub _reservation: MemoryReservation,
-    /// When the request was read.
+    /// Time at which the request was read.
     pub received_at: f64,
-    /// When its last attempt was begun.
+    /// Time at which the last attempt began.
     pub last_attempt_at: f64,
-    /// Slot of the connection of each attempt, by the attempt's number.
+    /// Slot of the worker connection of each attempt, indexed by the attempt's number.
     pub worker_connections: Vec<usize>,
 }
--- a/crates/platform-router/src/platform_router/tests.rs
+++ b/crates/platform-router/src/platform_router/tests.rs
@@ -8,18 +8,18 @@
 use std::net::SocketAddr;
 use test_case::test_case;
 
-/// Runs a scenario on one thread, as the router does.
+/// Runs a scenario on a single thread, as the router does.
 pub fn run_local(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(tokio::task::LocalSet::new().run_until(scenario));
 }
 
-/// A router without tasks that knows these workers, none of them in slow start.
+/// Creates a router without tasks that knows these workers, none of which is in slow start.
 pub fn router_with_workers(workers: &[SocketAddr]) -> SharedRouter {
     router_with_effect("free", 250_000, workers)
 }
 
-/// The same, for calls with this effect, and with so many microseconds for a connection to be made.
+/// The same for calls with the given effect, and with a connect timeout of `connect` microseconds.
 pub fn router_with_effect(effect: &str, connect: u64, workers: &[SocketAddr]) -> SharedRouter {
     let member = |(n, at): (usize, &SocketAddr)| {
         format!(r#"{{"id":"w{n}","host_port":"{at}","locality":"z","flavor":"k","phase":"active","size":1}}"#)
@@ -35,13 +35,13 @@
         members.join(",")
     );
     let mut bootstrap = bootstrap::read(text.as_bytes()).expect("sound");
-    // Nothing feeds these routers a list, and theirs does not change.
+    // These routers have no discovery feed, so the list must not become stale.
     bootstrap.config.policy.list_valid_for = f64::INFINITY;
     PlatformRouter::new(&bootstrap)
 }
 
-/// A connection was closed in the same turn in which its socket became readable. The read buffer was lost with it, and
-/// every socket that was read after that looked closed.
+/// A connection that is closed while a read event for its socket is pending used to lose the shared read buffer, so
+/// that every socket read afterwards looked closed.
 #[test]
 fn closed_socket_keeps_the_read_buffer() {
     let router = router_with_workers(&[]);
@@ -51,7 +51,7 @@
     assert_eq!(router.read_buffer.len(), READ_SIZE);
 }
 
-/// Submits a call of a client that waits for two seconds and is no longer connected.
+/// Submits a call with a timeout of two seconds whose client is no longer connected.
 pub fn submit_request(state: &mut PlatformRouter, id: u64) -> RequestId {
     let incoming = IncomingRequest {
         function: "00000000000000ff",
@@ -78,9 +78,9 @@
     state.dispatcher.submit(now, incoming, context).expect("there is room")
 }
 
-/// A call is answered, or no worker ever answers: its client has the final response in time, and without open requests
-/// nothing is due any more. What wakes an idle router then is the look at its connections and the heartbeat of
-/// discovery.
+/// Whether a call is answered or no worker ever answers, the client gets its final response in time, and without open
+/// requests the dispatcher has no deadline. An idle router is then woken only by its periodic cleanup and by
+/// discovery heartbeats.
 #[test_case(true; "answered")]
 #[test_case(false; "by nobody")]
 fn idle_router_sets_no_timer(answered: bool) {
@@ -100,7 +100,7 @@
     let (mut wakeups, mut ended) = (0, begun);
     while let Some(next) = state.dispatcher.next_deadline() {
         wakeups += 1;
-        // Twice as often as it looks at what is open.
+        // Twice the rate at which the dispatcher checks open requests.
         assert!(wakeups < 1000, "still due at {next}");
         if state.dispatcher.open_requests() > 0 {
             ended = next;
@@ -111,6 +111,7 @@
         }
     }
     assert_eq!(state.dispatcher.open_requests(), 0);
-    // The margin is taken off the time that a client waits: for the dispatcher's look at open requests and the way back.
+    // The margin, which is deducted from the client's timeout, covers the dispatcher's check interval and the way
+    // back.
     assert!(ended - begun < 2.0 + RESPONSE_MARGIN, "{ended}");
 }
--- a/crates/platform-router/src/platform_router/worker_connection.rs
+++ b/crates/platform-router/src/platform_router/worker_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a worker, which carries many attempts, load requests and health checks at a time.
+//! State of one connection to a worker, which multiplexes attempts, load requests and health checks.
 
 use crate::backoff::Backoff;
 use crate::connection_limits::ConnectionUse;
@@ -12,68 +12,68 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Ids that are remembered on a connection after their end: a duplicate response comes soon or not at all.
+/// Number of finished ids that are remembered per connection. A duplicate response arrives soon or not at all.
 pub(crate) const RECENT_IDS: usize = 64;
 
-/// What waits until the first byte of its frame can be written.
+/// A frame that is queued until its first byte can be written.
 pub(crate) enum QueuedFrame {
     /// An attempt of a request.
     Attempt {
-        /// The request.
+        /// The dispatcher's id of the request.
         request: RequestId,
-        /// The attempt's number, from 0.
+        /// The attempt's number, starting at 0.
         attempt: usize,
     },
     /// Asks a worker to load a function.
     LoadRequest {
-        /// The load request as the dispatcher knows it.
+        /// The dispatcher's id of the load request.
         load_request: RequestId,
-        /// The function's id in hexadecimal digits.
+        /// The function id in hexadecimal digits.
         function: Arc<str>,
-        /// How many instances of it.
+        /// The number of instances to load.
         instances: u8,
     },
-    /// Asks a worker to unload a function; no response comes.
+    /// Asks a worker to unload a function; not answered.
     Unload {
-        /// The function's id in hexadecimal digits.
+        /// The function id in hexadecimal digits.
         function: Arc<str>,
     },
     /// A health check.
     HealthCheck {
-        /// Its number at the dispatcher.
+        /// The dispatcher's number of the health check.
         serial: u64,
     },
-    /// Notifies a worker that a request is no longer wanted; no response comes.
+    /// Notifies a worker that a request is cancelled; not answered.
     Cancel {
-        /// The request's id on the wire.
+        /// The request id on the wire.
         id: u64,
     },
 }
 
-/// What a response is awaited for.
+/// The frame to which a response is outstanding.
 #[derive(Clone, Copy)]
 pub(crate) enum AwaitedResponse {
     /// An attempt of a request.
     Attempt {
-        /// The request.
+        /// The dispatcher's id of the request.
         request: RequestId,
-        /// The attempt's number, from 0.
+        /// The attempt's number, starting at 0.
         attempt: usize,
     },
     /// A load request.
     LoadRequest {
-        /// The load request as the dispatcher knows it.
+        /// The dispatcher's id of the load request.
         load_request: RequestId,
     },
     /// A health check.
     HealthCheck {
-        /// Its number at the dispatcher.
+        /// The dispatcher's number of the health check.
         serial: u64,
     },
 }
 
 impl QueuedFrame {
-    /// What a response is awaited for once this was written; none where the worker sends none.
+    /// The response that is outstanding once the frame is written; `None` if the worker sends none.
     pub fn awaited_response(&self) -> Option<AwaitedResponse> {
         match *self {
             Self::Attempt { request, attempt } => Some(AwaitedResponse::Attempt { request, attempt }),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether it brings the worker something new to do.
+    /// Whether the frame gives the worker new work.
     pub fn is_new_work(&self) -> bool {
         matches!(self, Self::Attempt { .. } | Self::LoadRequest { .. })
     }
@@ -93,62 +93,64 @@
     }
 }
 
-/// A frame that was made and has no response yet.
+/// An encoded frame without a response.
 pub(crate) struct OutstandingFrame {
     /// Its id on the wire, which the response repeats.
     pub id: u64,
-    /// What the response is for.
+    /// What the response belongs to.
     pub awaited: AwaitedResponse,
-    /// Bytes of this connection up to the frame's end: once so many were written, the frame was written whole.
+    /// Offset of the frame's end in the bytes sent on the connection. The frame was written completely once
+    /// `bytes_written` has reached it.
     pub end_offset: u64,
-    /// When it was made.
+    /// Time at which the frame was encoded.
     pub encoded_at: f64,
 }
 
 /// A connection to a worker. Times are in seconds on the router's clock.
 pub(crate) struct WorkerConnection {
-    /// The worker's index at the dispatcher.
+    /// The dispatcher's index of the worker.
     pub worker: usize,
-    /// The process that the connection was made for: the list may name another under the worker's index by now.
+    /// The worker process for which the connection was opened. The endpoint list may since have assigned the worker's
+    /// index to another process.
     pub process: u64,
-    /// The socket, once it is connected.
+    /// The socket, once connected.
     pub stream: Option<Rc<TcpStream>>,
-    /// Wakes its task where there is something to write, or the connection was removed.
+    /// Wakes the connection's task when there is something to write or the connection was removed.
     pub wake: Rc<Notify>,
-    /// The beginning of a response whose end has not come yet.
+    /// The incomplete last response.
     pub partial_frame: Vec<u8>,
-    /// At most one frame, of which the socket has not taken every byte.
+    /// Holds at most one frame that the socket has not accepted completely.
     pub write_buffer: WriteBuffer,
-    /// The bytes of `partial_frame` in the memory budget.
+    /// Reserves the bytes of `partial_frame` in the memory budget.
     pub reservation: MemoryReservation,
-    /// Bytes of all frames that were made so far.
+    /// Total size of all frames encoded so far.
     pub bytes_encoded: u64,
-    /// Bytes that the socket has taken so far.
+    /// Total number of bytes accepted by the socket so far.
     pub bytes_written: u64,
-    /// What waits to be written. The dispatcher bounds it: by its open requests and its load requests.
+    /// Frames to be written, bounded by the dispatcher's open requests and load requests.
     pub queue: VecDeque<QueuedFrame>,
-    /// What the frame in the write buffer was made of.
+    /// The queued frame from which the frame in the write buffer was encoded.
     pub frame_source: Option<QueuedFrame>,
-    /// Frames without a response; bounded like the queue.
+    /// Frames without a response, bounded like the queue.
     pub outstanding: Vec<OutstandingFrame>,
-    /// Ids of the frames that ended last, [`RECENT_IDS`] at most.
+    /// Ids of the most recently finished frames, at most [`RECENT_IDS`].
     pub recent_ids: VecDeque<u64>,
-    /// When something was last queued, written or read.
+    /// Time at which a frame was last queued, written or read.
     pub last_used: f64,
-    /// When it was made; until then, when it was begun.
+    /// Time at which the connection was established; until then, the time at which it was opened.
     pub connected_at: f64,
-    /// When bytes last came from the worker.
+    /// Time at which bytes were last received from the worker.
     pub last_received: f64,
-    /// Pauses after reads that failed for a local reason.
+    /// Backoff after reads that failed for a local reason.
     pub read_backoff: Backoff,
-    /// Pauses after writes that failed for a local reason.
+    /// Backoff after writes that failed for a local reason.
     pub write_backoff: Backoff,
-    /// So far the connection could not be made, for a local reason.
+    /// Whether connecting has failed for a local reason and has not succeeded since.
     pub connect_failing: bool,
 }
 
 impl WorkerConnection {
-    /// A connection that is still to be made. It may take `connect_timeout` seconds.
+    /// Creates a connection that is not established yet, with a connect timeout of `connect_timeout` seconds.
     pub fn new(
         worker: usize,
         process: u64,
@@ -179,47 +181,49 @@
         }
     }
 
-    /// What decides whether one more attempt goes here.
+    /// The load by which a connection is chosen for one more attempt.
     pub fn usage(&self) -> ConnectionUse {
         ConnectionUse { attempts: self.attempts(), silent_since: self.silent_since() }
     }
 
-    /// Since when a response has been awaited with nothing coming from the worker; none where none is awaited.
+    /// Time since which a response has been outstanding with nothing received from the worker; `None` if no response
+    /// is outstanding.
     fn silent_since(&self) -> Option<f64> {
         let oldest = self.outstanding.iter().map(|frame| frame.encoded_at).min_by(f64::total_cmp)?;
         Some(oldest.max(self.last_received))
     }
 
-    /// Attempts that are queued or have no response yet.
+    /// Number of attempts that are queued or have no response yet.
     pub fn attempts(&self) -> usize {
         let is_attempt = |frame: &&OutstandingFrame| matches!(frame.awaited, AwaitedResponse::Attempt { .. });
         let queued = self.queue.iter().filter(|frame| matches!(frame, QueuedFrame::Attempt { .. })).count();
         queued + self.outstanding.iter().filter(is_attempt).count()
     }
 
-    /// Whether nothing is queued, and no response awaited.
+    /// Whether the queue is empty and no response is outstanding.
     pub fn is_unused(&self) -> bool {
         self.outstanding.is_empty() && self.queue.is_empty()
     }
 
-    /// Whether a response under this id may be another's: that of a frame without one yet, or a second copy.
+    /// Whether a response with this id could belong to another frame: one that is outstanding, or a recent one whose
+    /// response is duplicated.
     pub fn uses_id(&self, id: u64) -> bool {
         self.outstanding.iter().any(|frame| frame.id == id) || self.recent_ids.contains(&id)
     }
 
-    /// Whether the worker has closed it, as far as can be seen now.
+    /// Whether the worker has closed the connection, as far as the kernel knows.
     pub fn is_closed_by_worker(&self) -> bool {
         self.stream.as_ref().is_some_and(|stream| peek_socket(stream) == SocketState::Closed)
     }
 
-    /// Takes an attempt out of the queue; whether it was there.
+    /// Removes an attempt from the queue; returns whether it was queued.
     pub fn remove_queued_attempt(&mut self, request: RequestId, attempt: usize) -> bool {
         let queued = self.queue.len();
         self.queue.retain(|frame| !frame.is_attempt_of(request, attempt));
         self.queue.len() < queued
     }
 
-    /// Takes an attempt off the frames that wait for a response: its id on the wire, if it was among them.
+    /// Removes an attempt from the outstanding frames; returns its id on the wire if it was outstanding.
     pub fn finish_attempt(&mut self, wanted: RequestId, number: usize) -> Option<u64> {
         let at = self.outstanding.iter().position(|frame| {
             matches!(frame.awaited, AwaitedResponse::Attempt { request, attempt }
@@ -228,7 +232,7 @@
         at.map(|at| self.finish(at).id)
     }
 
-    /// Takes a frame off those that wait for a response, and remembers its id for a while.
+    /// Removes a frame from the outstanding frames and remembers its id for a while.
     pub fn finish(&mut self, at: usize) -> OutstandingFrame {
         let frame = self.outstanding.swap_remove(at);
         if self.recent_ids.len() >= RECENT_IDS {
--- a/crates/platform-router/src/request_ids_seen.rs
+++ b/crates/platform-router/src/request_ids_seen.rs
@@ -1,18 +1,18 @@
-//! Numbers that a client has used on its connection: each may be used once. They may come a little out of order.
+//! Tracks the numbers that a client has used on its connection. Each number may be used once, slightly out of order.
 
-/// How far below the highest number used ones are remembered; lower ones all count as used.
+/// Size of the window below the highest number in which used numbers are tracked. All lower numbers count as used.
 const WINDOW: u64 = 64;
 
 /// The numbers used on one connection, in constant space.
 #[derive(Default)]
 pub(crate) struct RequestIdsSeen {
     highest: u64,
-    /// Bit `n` says whether the number `n` below the highest was used.
+    /// Bit `n` is set if the number `highest - n` was used.
     window: u64,
 }
 
 impl RequestIdsSeen {
-    /// Marks a number as used; whether it was not before.
+    /// Marks a number as used; returns whether it was unused before.
     #[must_use = "a number that was used before is an error of the client"]
     pub fn insert(&mut self, number: u64) -> bool {
         if number > self.highest {
--- a/crates/platform-router/src/run.rs
+++ b/crates/platform-router/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the router, and runs it until SIGTERM and the shutdown after it.
+//! Starts the router and runs it until its graceful shutdown after SIGTERM has completed.
 
 mod list_state;
 mod reload;
@@ -21,50 +21,50 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Time between two steps of a shutdown.
+/// Interval between the steps of a shutdown.
 const SHUTDOWN_STEP: Duration = Duration::from_millis(20);
 
 /// Why the router could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A handler of SIGHUP or SIGTERM could not be installed.
+    /// A handler for SIGHUP or SIGTERM could not be installed.
     #[error("can't install the handlers of SIGHUP and SIGTERM: {0}")]
     Signals(#[source] io::Error),
-    /// The file could not be read.
+    /// The bootstrap file could not be read.
     #[error("can't read {}: {source}; LB_CONFIG must name the platform's file", path.display())]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is not what the platform gives a router.
+    /// The content of the file is not a valid bootstrap configuration.
     #[error("{} is invalid: {source}; LB_CONFIG must name the platform's file", path.display())]
     InvalidFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The field that is wrong, and why.
+        /// The invalid field and the reason.
         source: InputError,
     },
-    /// The address is not free, or not of this host.
+    /// The listen address is in use or does not belong to this host.
     #[error("can't listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The listen address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
 impl StartError {
-    /// Whether the file is at fault: another start with the same file fails alike.
+    /// Whether the file is at fault, so that another start with the same file would fail too.
     #[must_use]
     pub fn is_configuration(&self) -> bool {
         matches!(self, Self::ReadFile { .. } | Self::InvalidFile { .. })
     }
 }
 
-/// The signals that the router acts upon.
+/// The signals that the router handles.
 struct Signals {
     hangup: SignalReceiver,
     terminate: SignalReceiver,
@@ -77,15 +77,15 @@
     }
 }
 
-/// Runs the router until SIGTERM and the graceful shutdown after it; SIGHUP reads the file again. `file` is what the
-/// platform gives a router, and `address` where it listens instead of where the file says. Must run on a
+/// Runs the router until its graceful shutdown after SIGTERM has completed. SIGHUP reloads the file. `file` is the
+/// platform's bootstrap file; `address` overrides its listen address. Must run on a
 /// [`LocalSet`](tokio::task::LocalSet).
 ///
 /// # Errors
 ///
-/// Why the router could not start. Once it has, it only ends by its shutdown.
+/// Returns an error if the router could not start. After the start it only returns on shutdown.
 pub async fn run(file: &Path, address: Option<SocketAddr>) -> Result<(), StartError> {
-    // Before all else: a signal at any time after this ends nothing by itself.
+    // Installed first, so that no later signal terminates the process by its default action.
     let signals = Signals::install()?;
     let (mut bootstrap, text) = read_bootstrap(file)?;
     limit_descriptors(&mut bootstrap);
@@ -115,16 +115,16 @@
     Ok(())
 }
 
-/// What a reload of the file needs.
+/// Arguments for reloading the file.
 struct ReloadContext {
     file: PathBuf,
-    /// The file as it was at the start.
+    /// The content of the file at startup.
     text: Rc<[u8]>,
-    /// Where the discovery watch learns of another address.
+    /// Passes a new discovery address to the discovery watch.
     discovery_address: watch::Sender<SocketAddr>,
 }
 
-/// Accepts clients and acts upon signals until the shutdown is over.
+/// Accepts clients and handles signals until the shutdown has completed.
 async fn serve(
     router: SharedRouter,
     listener: TcpListener,
@@ -158,7 +158,7 @@
     router.shutdown.begin(now, earliest);
 }
 
-/// Reads the platform's file; returns its text as well, with which a later reload is compared.
+/// Reads and parses the bootstrap file. Also returns its content, with which later reloads are compared.
 fn read_bootstrap(file: &Path) -> Result<(Bootstrap, Rc<[u8]>), StartError> {
     let text =
         std::fs::read(file).map_err(|source| StartError::ReadFile { path: file.to_owned(), source })?;
@@ -167,7 +167,7 @@
     Ok((bootstrap, text.into()))
 }
 
-/// Takes the system's limit on descriptors where it is lower than what the file states.
+/// Lowers the descriptor limit to the one granted by the system if the file states more.
 fn limit_descriptors(bootstrap: &mut Bootstrap) {
     if let Ok((granted, _)) = getrlimit(Resource::RLIMIT_NOFILE)
         && granted < bootstrap.descriptors as u64
--- a/crates/platform-router/src/run/list_state.rs
+++ b/crates/platform-router/src/run/list_state.rs
@@ -4,7 +4,7 @@
 use crate::platform_router::PlatformRouter;
 
 impl PlatformRouter {
-    /// Logs a change of the list's state.
+    /// Logs the list's state if it has changed.
     pub(super) fn report_list_state(&mut self, now: f64) {
         let is_stale = self.dispatcher.endpoint_list_is_stale(now);
         let state = self.list_report.current_state(now, is_stale);
--- a/crates/platform-router/src/run/reload.rs
+++ b/crates/platform-router/src/run/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's file again, upon SIGHUP.
+//! Reloads the platform's bootstrap file on SIGHUP.
 
 use milletpath_platform_protocol::bootstrap::{self, Reread};
 use milletpath_protocol::InputError;
@@ -9,15 +9,16 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Attempts to read the file: it may be caught half-replaced, or descriptors or a disk may be wanting for a while. What
-/// the new discovery address says counts as known 4 s after the signal.
+/// Maximum number of attempts to read the file, which may be partially replaced, and descriptors or disk access may
+/// be unavailable for a while. The router is expected to know the list of a new discovery address 4 s after the
+/// signal.
 const MAX_ATTEMPTS: u32 = 60;
-/// Pause between the first attempts: a third of them, for a file that is being replaced.
+/// Pause between the attempts of the first third, for a file that is being replaced.
 const INITIAL_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause after that, to which it is doubled.
+/// Upper bound of the pause, which is doubled for the remaining attempts.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
-/// Why the file was not read.
+/// Why the file could not be reloaded.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error("can't be read: {0}")]
@@ -26,8 +27,8 @@
     Invalid(#[from] InputError),
 }
 
-/// Reads the file again, whole or not at all, and passes its discovery address on. `first` is the file's text at the
-/// start: other changes to it are logged and ignored.
+/// Reads the file again and passes on its discovery address; a file that is invalid has no effect at all.
+/// `initial_text` is the file's content at startup: other changes to it are logged and ignored.
 pub(super) async fn reload_bootstrap(
     file: PathBuf,
     initial_text: Rc<[u8]>,
@@ -63,6 +64,6 @@
             "ignored other changes to the platform's file; restart the router to apply them"
         );
     }
-    // A stream from the same address goes on.
+    // If the address is unchanged, the current stream is kept.
     discovery_address.send_if_modified(|current| std::mem::replace(current, discovery) != discovery);
 }
--- a/crates/platform-router/src/run/timer.rs
+++ b/crates/platform-router/src/run/timer.rs
@@ -1,23 +1,23 @@
-//! The tasks that wait for times: what the dispatcher has due, and a regular look at all connections.
+//! The timer tasks: one for the dispatcher's deadlines, one for periodic cleanup of connections.
 
 use crate::platform_router::{PlatformRouter, SharedRouter};
 use std::time::Duration;
 
-/// Time between two looks at the connections: short against the times after which they are closed.
+/// Interval of the cleanup, short compared with the timeouts after which connections are closed.
 const CLEANUP_INTERVAL: Duration = Duration::from_millis(200);
 
 impl PlatformRouter {
-    /// Notifies the dispatcher that time has passed.
+    /// Advances the dispatcher's clock.
     fn on_timer(&mut self) {
         let now = self.now();
         self.dispatcher.advance(now);
         self.run_actions();
     }
 
-    /// Closes connections that have been idle or silent for too long, and looks at what else changes with time.
+    /// Closes connections that have been idle or silent for too long, and updates other time-dependent state.
     fn clean_up(&mut self) {
         let now = self.now();
-        // Often enough that a heartbeat confirms the list for about the time at which it was written.
+        // Frequent checks of the socket let a heartbeat confirm the list for about the time at which it was written.
         self.peek_discovery();
         self.report_list_state(now);
         self.close_stale_clients(now);
@@ -26,7 +26,7 @@
     }
 }
 
-/// Wakes the dispatcher whenever something is due.
+/// Advances the dispatcher whenever a deadline is due.
 pub(super) async fn run_timer(router: SharedRouter) {
     loop {
         let (next, timer_changed) = {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Looks after all connections at regular intervals.
+/// Runs the cleanup periodically.
 pub(super) async fn run_cleanup(router: SharedRouter) {
     loop {
         tokio::time::sleep(CLEANUP_INTERVAL).await;
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -1,34 +1,34 @@
-//! The times of a graceful shutdown, by the earliest SIGKILL. Free of I/O.
+//! The schedule of a graceful shutdown, based on the earliest time of the SIGKILL. Performs no I/O.
 //!
-//! After SIGTERM the platform still opens connections and sends calls for a while: they are admitted. After that each
-//! call is rejected at once, each connection is closed when nothing is open on it, and what is still in flight shortly
-//! before the earliest SIGKILL is answered by what is known of it then.
+//! After SIGTERM the platform still opens connections and sends calls for a while, and these are admitted. Afterwards
+//! every call is rejected immediately and each connection is closed once no call is open on it. Shortly before the
+//! earliest SIGKILL, calls still in flight are answered: failed if they may have run, rejected otherwise.
 
 use std::cell::Cell;
 
-/// Seconds for which clients may still come after SIGTERM: the platform sends no more after 0.6 s, and a busy machine
-/// delivers and reads them a little late.
+/// Seconds after SIGTERM during which clients may still connect and send calls. The platform sends nothing after 0.6
+/// s; the rest covers late delivery and reading on a busy host.
 const ADMISSION_SECONDS: f64 = 0.75;
-/// SIGKILL comes no sooner than this many seconds past the longest deadline after SIGTERM.
+/// SIGKILL comes no sooner after SIGTERM than the longest deadline plus this many seconds.
 const KILL_DELAY: f64 = 0.7;
-/// The most seconds that a deadline counts for there.
+/// Upper bound in seconds of the longest deadline in that calculation.
 const MAX_COUNTED_DEADLINE: f64 = 3.0;
-/// Seconds that must be left for answers where a call is still admitted past that: one that came in time and was read
-/// late, after a pause.
+/// Seconds that must be left for answering a call that is admitted after that period. Such a call arrived in time but
+/// was read late, after a process pause.
 const MIN_TIME_FOR_LATE_CALL: f64 = 0.5;
-/// Seconds before the earliest SIGKILL at which every call has its final answer: what a busy machine takes to write
-/// them and to close the connections of all clients.
+/// Seconds before the earliest SIGKILL by which every call has its final response. Covers the time a busy host takes
+/// to write the responses and to close all client connections.
 const ANSWER_MARGIN: f64 = 0.15;
-/// Seconds before the earliest SIGKILL at which the process exits whatever its clients do.
+/// Seconds before the earliest SIGKILL at which the process exits even if clients are still connected.
 const EXIT_MARGIN: f64 = 0.03;
 
-/// Seconds without activity after which a pause of the process is assumed; an idle process checks its connections five
-/// times a second.
+/// Seconds without activity after which the process counts as paused. An idle process runs its cleanup five times a
+/// second.
 const PAUSE_THRESHOLD: f64 = 0.25;
-/// Seconds after a pause in which a signal may be one that came during it.
+/// Seconds after a pause during which a signal may have arrived within the pause.
 const RECENT_PAUSE_SECONDS: f64 = 0.1;
 
-/// What happens until when, in seconds on the router's clock.
+/// The deadlines of a shutdown, in seconds on the router's clock.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     admit_until: f64,
@@ -36,7 +36,7 @@
     exit_by: f64,
 }
 
-/// The progress of a process between SIGTERM and its exit.
+/// The state of the process between SIGTERM and its exit.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
     longest_deadline: f64,
@@ -45,12 +45,13 @@
 }
 
 impl Shutdown {
-    /// The schedule of a process whose calls have `longest_deadline` seconds at most.
+    /// Creates the state for calls with a deadline of at most `longest_deadline` seconds.
     pub fn new(longest_deadline: f64) -> Self {
         Self { longest_deadline, schedule: None, admission_closed: false }
     }
 
-    /// SIGTERM was read at `now` and may have come as early as `earliest`. Another one changes nothing.
+    /// Starts the shutdown when SIGTERM is read at `now`; the signal may have arrived as early as `earliest`. Further
+    /// calls have no effect.
     pub fn begin(&mut self, now: f64, earliest: f64) {
         let kill = earliest + self.longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
         let answer_by = kill - ANSWER_MARGIN;
@@ -66,13 +67,13 @@
         self.schedule.is_some()
     }
 
-    /// Whether the time is over in which clients may still come. What came in it and is not read yet is read and
+    /// Whether the admission period has ended. Calls that arrived within the period but are still unread are read and
     /// admitted before the admission is closed.
     pub fn admission_over(&self, now: f64) -> bool {
         self.schedule.is_some_and(|s| now >= s.admit_until)
     }
 
-    /// All that came in time was read: from now on every call is rejected.
+    /// Closes the admission after everything that arrived in time was read; from now on every call is rejected.
     pub fn close_admission(&mut self) {
         self.admission_closed = true;
     }
@@ -87,30 +88,30 @@
         self.admission_closed || self.admission_over(now) && self.time_to_answer(now) < MIN_TIME_FOR_LATE_CALL
     }
 
-    /// Whether everything in flight has to be answered now.
+    /// Whether all calls in flight must be answered now.
     pub fn answers_due(&self, now: f64) -> bool {
         self.schedule.is_some_and(|s| now >= s.answer_by)
     }
 
-    /// Whether the process has to exit now.
+    /// Whether the process must exit now.
     pub fn exit_due(&self, now: f64) -> bool {
         self.schedule.is_some_and(|s| now >= s.exit_by)
     }
 
-    /// Seconds that a call may take which is admitted now.
+    /// Seconds that a call admitted now may take.
     pub fn time_to_answer(&self, now: f64) -> f64 {
         self.schedule.map_or(f64::INFINITY, |s| (s.answer_by - now).max(0.0))
     }
 }
 
-/// A time in which the process did not run.
+/// A period during which the process did not run.
 #[derive(Clone, Copy, Debug)]
 struct ProcessPause {
     from: f64,
     until: f64,
 }
 
-/// When the process ran last, and when it was last paused.
+/// Tracks when the process last ran and when it was last paused.
 #[derive(Debug, Default)]
 pub(crate) struct Liveness {
     last: Cell<f64>,
@@ -118,18 +119,18 @@
 }
 
 impl Liveness {
-    /// The process runs at this time.
+    /// Records that the process is running at this time.
     pub fn record_activity(&self, now: f64) {
         let last = self.last.replace(now);
         if now - last > PAUSE_THRESHOLD {
-            // Where it had hardly moved on from another, both are one: what came amid the first may still be unread.
+            // Pauses in quick succession are merged, as input received during the first one may still be unread.
             let previous = self.pause.get().filter(|previous| last - previous.until <= RECENT_PAUSE_SECONDS);
             let from = previous.map_or(last, |previous| previous.from);
             self.pause.set(Some(ProcessPause { from, until: now }));
         }
     }
 
-    /// The earliest time at which a signal may have come that is read at `now`.
+    /// The earliest time at which a signal read at `now` may have arrived.
     pub fn earliest(&self, now: f64) -> f64 {
         match self.pause.get() {
             Some(ProcessPause { from, until }) if now - until <= RECENT_PAUSE_SECONDS => from,
@@ -137,8 +138,8 @@
         }
     }
 
-    /// The earliest time at which bytes may have come that are read at `now` from a socket that was empty at
-    /// `emptied_at`. All that came during a pause is read before the process would count as standing still again.
+    /// The earliest time at which bytes read at `now` may have arrived on a socket that was empty at `emptied_at`.
+    /// Everything received during a pause is read before the process could count as paused again.
     pub fn earliest_arrival(&self, now: f64, emptied_at: f64) -> f64 {
         match self.pause.get() {
             Some(ProcessPause { from, until }) if emptied_at < until && now - until <= PAUSE_THRESHOLD => {
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use test_case::test_case;
 
-/// The admission ends 0.75 s after SIGTERM, or where the kill comes soon with the time for answers.
+/// The admission period ends 0.75 s after SIGTERM, or earlier if the time for answers ends before that.
 #[test_case(0.05, 0.60, 0.60; "50 ms")]
 #[test_case(0.3, 0.75, 0.85; "300 ms")]
 #[test_case(0.5, 0.75, 1.05; "500 ms")]
@@ -24,7 +24,7 @@
     assert_eq!(shutdown.time_to_answer(at(answers + 1.0)), 0.0);
 }
 
-/// What came in time and is read late is admitted where there is time enough to serve it.
+/// A call that arrived in time but is read late is admitted if enough time is left to serve it.
 #[test_case(0.3, true)]
 #[test_case(0.5, true)]
 #[test_case(1.0, false)]
@@ -44,7 +44,8 @@
     assert!(shutdown.rejects(10.8) && shutdown.admission_closed());
 }
 
-/// SIGTERM came during a pause: the kill may come by its beginning, and clients by its end.
+/// If SIGTERM arrives during a process pause, the SIGKILL may be timed from the start of the pause, while clients may
+/// still connect as if it came at the end.
 #[test]
 fn kill_time_counts_from_the_start_of_a_process_pause() {
     let liveness = Liveness::default();
@@ -57,8 +58,8 @@
     assert!(!shutdown.answers_due(1.44) && shutdown.admission_over(1.46) && shutdown.exit_due(1.58));
 }
 
-/// Bytes that are read right after a pause may have come at its beginning, where nothing was read since; those that
-/// are read later, or from a socket that was emptied since, came just now.
+/// Bytes read right after a pause may have arrived at its start if the socket was not read since. Bytes that are read
+/// later, or from a socket that was emptied since, count as just received.
 #[test]
 fn bytes_read_after_a_process_pause_may_have_come_at_its_start() {
     let liveness = Liveness::default();
@@ -70,7 +71,7 @@
     assert_eq!(liveness.earliest_arrival(1.05, 1.0), 1.05);
     assert_eq!(liveness.earliest_arrival(1.2, 0.1), 0.4);
     assert_eq!(liveness.earliest_arrival(1.3, 0.1), 1.3);
-    // It is paused again as soon as it has resumed.
+    // The process is paused again right after it resumed.
     for now in [1.02, 1.5] {
         liveness.record_activity(now);
     }
--- a/crates/platform-router/src/socket_errors.rs
+++ b/crates/platform-router/src/socket_errors.rs
@@ -1,51 +1,51 @@
-//! Classifies errors of system calls on connections to workers. Free of I/O. The table of
-//! `docs/design/system-calls.md` states the same, and is tested against this line by line.
+//! Classifies errors of system calls on worker connections. Performs no I/O. The table in
+//! `docs/design/system-calls.md` documents the same classification, and a test compares the two line by line.
 
 use milletpath_policy::Outcome;
 use nix::errno::Errno;
 use std::io::{self, ErrorKind};
 
-/// The system call that failed.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Operation {
-    /// `socket` and `connect`, up to the moment at which the connection stands.
+    /// `socket` and `connect`, until the connection is established.
     Connect,
-    /// `read`, or a look without reading.
+    /// `read`, or a peek.
     Read,
     /// `write`.
     Write,
 }
 
-/// Whose fault an error is.
+/// Which side caused an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultOrigin {
-    /// This process or its host lacks something: it proves nothing about the worker.
+    /// This process or its host, for example by a lack of resources. Says nothing about the worker.
     Local,
-    /// The worker or the way to it.
+    /// The worker or the network path to it.
     Remote,
 }
 
-/// What to do after an error.
+/// How to proceed after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Recovery {
-    /// The socket is not ready: wait until it is.
+    /// The socket is not ready: wait for readiness.
     AwaitReadiness,
-    /// Nothing was lost: repeat the call after a pause.
+    /// No data was lost: retry after a pause.
     Retry,
-    /// The connection is over.
+    /// The connection is unusable.
     Close,
 }
 
-/// A classified error.
+/// The classification of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Fault {
-    /// Whose fault it is.
+    /// Which side caused the error.
     pub origin: FaultOrigin,
-    /// What to do.
+    /// How to proceed.
     pub recovery: Recovery,
 }
 
-/// Classifies the error of a system call.
+/// Classifies the error of an operation.
 pub(crate) fn classify(operation: Operation, error: &io::Error) -> Fault {
     let errno = errno(error);
     match operation {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The number of an error; what the runtime made itself has none, only a kind.
+/// The errno of an error. Errors created by the runtime have only a kind, which is mapped to an errno.
 fn errno(error: &io::Error) -> Errno {
     match (error.raw_os_error(), error.kind()) {
         (Some(raw), _) => Errno::from_raw(raw),
@@ -86,7 +86,7 @@
         EINTR | EMFILE | ENFILE | ENOBUFS | ENOMEM => {
             Fault { origin: FaultOrigin::Local, recovery: Recovery::Retry }
         }
-        // The connection itself is over, by a decision of this host.
+        // The connection was ended by this host.
         EADDRNOTAVAIL | ECONNABORTED | ENETDOWN | ENETUNREACH => {
             Fault { origin: FaultOrigin::Local, recovery: Recovery::Close }
         }
@@ -94,13 +94,13 @@
     }
 }
 
-/// How a request ends whose connection is over: one of which the socket did not take every byte never ran, any other
-/// may have.
+/// The outcome of an attempt whose connection has ended. If the socket did not accept all of its bytes, it never ran;
+/// otherwise it may have.
 pub(crate) fn outcome(origin: FaultOrigin, written_whole: bool) -> Outcome {
     match (origin, written_whole) {
         (FaultOrigin::Local, false) => Outcome::NotSent,
         (FaultOrigin::Remote, false) => Outcome::Unreachable,
-        // The one end that may have run and is not counted as a fault of the worker.
+        // The only outcome of an attempt that may have run that does not count against the worker.
         (FaultOrigin::Local, true) => Outcome::Cancelled,
         (FaultOrigin::Remote, true) => Outcome::ConnectionLost,
     }
--- a/crates/platform-router/src/socket_errors/tests.rs
+++ b/crates/platform-router/src/socket_errors/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The page that states what every error proves.
+/// The design page that documents the classification.
 const DESIGN_PAGE: &str = include_str!("../../../../docs/design/system-calls.md");
 
-/// The errors that `read`, `write`, `socket` and `connect` are tested with.
+/// The errors that the table lists for each operation.
 const TESTED_ERRNOS: [Errno; 15] = [
     Errno::ECONNABORTED,
     Errno::ENFILE,
@@ -30,7 +30,7 @@
     never_ran: String,
 }
 
-/// The rows of the page's table of connections to workers.
+/// Parses the rows of the page's table of worker connection errors.
 fn rows() -> Vec<Row> {
     let lines = DESIGN_PAGE.lines().filter(|line| line.starts_with("| `"));
     lines.map(|line| row(line).unwrap_or_else(|| panic!("not understood: {line}"))).collect()
@@ -62,7 +62,7 @@
     })
 }
 
-/// Every line of the page holds, and there is one for each system call with each error.
+/// Every row of the table matches the classification, and there is one row per operation and error.
 #[test]
 fn design_page_matches_the_classification_of_every_error() {
     let rows = rows();
@@ -87,7 +87,7 @@
     assert_eq!(rows.len(), 3 * TESTED_ERRNOS.len(), "a line that no error stands for");
 }
 
-/// What failed for a local reason ends with an outcome that the policy holds against no worker.
+/// Local errors result in outcomes that the policy does not count against the worker.
 #[test]
 fn local_fault_does_not_count_against_the_worker() {
     assert_eq!(outcome(FaultOrigin::Local, false), Outcome::NotSent);
@@ -96,7 +96,7 @@
     assert_eq!(outcome(FaultOrigin::Remote, true), Outcome::ConnectionLost);
 }
 
-/// Errors of the runtime's own have a kind and no number.
+/// Errors created by the runtime have a kind but no errno.
 #[test]
 fn errors_without_errno_are_classified_by_kind() {
     let of = |operation, kind: ErrorKind| classify(operation, &io::Error::from(kind));
--- a/crates/platform-router/src/sockets.rs
+++ b/crates/platform-router/src/sockets.rs
@@ -1,5 +1,5 @@
-//! The system calls on connections to workers, and `connect` to the discovery address, behind a trait: tests put errors,
-//! short reads and short writes in place of the system's. Beside it a look at any socket without reading.
+//! System calls on worker connections, and `connect` to the discovery address, behind a trait that lets tests inject
+//! errors, short reads and short writes. Also provides a peek for any socket.
 
 use crate::socket_errors::{self, Operation, Recovery};
 use socket2::SockRef;
@@ -9,21 +9,21 @@
 use std::pin::Pin;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// A connection that is being made.
+/// A connection attempt in progress.
 pub(crate) type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
-/// The calls that can fail. An implementation that gives [`io::ErrorKind::WouldBlock`] has cleared the readiness of the
-/// stream, as those of the runtime do.
+/// System calls that can fail. An implementation that returns [`io::ErrorKind::WouldBlock`] must have cleared the
+/// readiness of the stream, as Tokio's methods do.
 pub(crate) trait Sockets {
-    /// Makes a connection.
+    /// Opens a connection.
     fn connect(&self, address: SocketAddr) -> Connecting;
-    /// Reads what is there; 0 at the end of the stream.
+    /// Reads available bytes; returns 0 at the end of the stream.
     fn read(&self, stream: &TcpStream, into: &mut [u8]) -> io::Result<usize>;
-    /// Writes what the socket takes, and returns how many bytes that were.
+    /// Writes as many bytes as the socket accepts and returns their number.
     fn write(&self, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize>;
 }
 
-/// The calls of the operating system.
+/// The system calls of the operating system.
 pub(crate) struct SystemSockets;
 
 impl Sockets for SystemSockets {
@@ -44,24 +44,24 @@
     }
 }
 
-/// What can be read from a socket.
+/// What a peek found on a socket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SocketState {
-    /// Nothing now.
+    /// No unread bytes.
     Empty,
-    /// Bytes.
+    /// Unread bytes.
     Readable,
-    /// The other end has closed it, or it broke.
+    /// The peer has closed the connection, or it failed.
     Closed,
 }
 
-/// Looks at a socket without reading.
+/// Checks a socket without reading from it.
 pub(crate) fn peek_socket(stream: &TcpStream) -> SocketState {
     let mut one = [MaybeUninit::uninit()];
     match SockRef::from(stream).peek(&mut one) {
         Ok(0) => SocketState::Closed,
         Ok(_) => SocketState::Readable,
-        // What fails for a local reason proves nothing about the peer.
+        // A local error says nothing about the peer.
         Err(e) if socket_errors::classify(Operation::Read, &e).recovery != Recovery::Close => {
             SocketState::Empty
         }
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -1,5 +1,5 @@
-//! Errors of system calls on connections to workers, put in place of the system's answers while calls go on: once, for
-//! 100 ms and for 2 s. Sockets, timers and the worker are real.
+//! Injects errors into system calls on worker connections while calls are being made: once, for 100 ms and for 2 s.
+//! Sockets, timers and the worker are real.
 
 use super::*;
 use crate::platform_router::SharedRouter;
@@ -17,27 +17,27 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// For a connection to be made: long against the pauses of a busy machine.
+/// Connect timeout, long compared with scheduling delays on a busy host.
 const CONNECT_TIMEOUT_MICROSECONDS: u64 = 1_000_000;
 
-/// For how long an operation fails.
+/// How long an operation fails.
 #[derive(Clone, Copy)]
 pub enum FaultDuration {
     Once,
     For(Duration),
 }
 
-/// The system's calls, but that one of them fails for a while, and that reads and writes may be short.
+/// Real system calls, of which one operation fails for a while and reads and writes may be short.
 pub struct FaultySockets {
     operation: Operation,
     errno: Errno,
     duration: FaultDuration,
-    /// When it failed first, set by the first call after `armed`.
+    /// Time of the first failure, which is the first call after `armed` is set.
     first_failure: Cell<Option<Instant>>,
     pub armed: Cell<bool>,
-    /// How often it failed.
+    /// Number of failures.
     pub failures: Cell<usize>,
-    /// Bytes that one read or write takes at most.
+    /// Maximum number of bytes per read or write.
     max_bytes_per_call: usize,
 }
 
@@ -94,10 +94,10 @@
     }
 }
 
-/// The ids of the calls that a worker has received.
+/// Ids of the attempts that a worker has received.
 type ReceivedIds = Rc<RefCell<Vec<u64>>>;
 
-/// A worker that answers everything at once, and the calls that it received.
+/// Starts a worker that answers everything immediately; returns its address and the ids that it receives.
 async fn worker() -> (SocketAddr, ReceivedIds) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (address, received_ids) = (listener.local_addr().unwrap(), ReceivedIds::default());
@@ -131,12 +131,12 @@
     }
 }
 
-/// Between two calls.
+/// Interval between two calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A router whose system calls fail for a while, and a worker that is well.
+/// A router whose system calls fail for a while, and a healthy worker.
 struct Scenario {
-    /// What fails, for messages.
+    /// Description of the fault, for assertion messages.
     case: String,
     sockets: Rc<FaultySockets>,
     router: SharedRouter,
@@ -144,8 +144,8 @@
     calls: u64,
 }
 
-/// Plays calls, one each 20 ms, against a worker that is well. The fault begins with the first call of a router that
-/// has a connection, or none yet; it must hold what it promises whatever fails.
+/// Sends one call every 20 ms to a healthy worker. The fault starts with the first call of a router that is or is not
+/// connected yet. Checks that the guarantees on responses and retries hold under every fault.
 async fn run_scenario(sockets: Rc<FaultySockets>, connected: bool) {
     let mut scenario = Scenario::new(sockets, connected).await;
     if connected {
@@ -188,7 +188,7 @@
         wait_until_answered(&self.router).await;
     }
 
-    /// What failed is over: calls succeed again, at once where it counted against no worker.
+    /// After the fault, calls succeed again; the first one already if the fault did not count against the worker.
     async fn check_recovery(&mut self) {
         let during_fault = self.counters();
         let limit = if LOCAL_ERRORS.contains(&self.sockets.errno) { 1 } else { 500 };
@@ -204,7 +204,7 @@
         assert_eq!(counters.succeeded, during_fault.succeeded + 1, "{}: {counters:?}", self.case);
     }
 
-    /// Each call has one final response, and none was sent to the worker twice.
+    /// Each call gets exactly one final response and is sent to the worker at most once.
     fn check_final_responses(&self) {
         let (case, counters) = (&self.case, self.counters());
         let responses = counters.succeeded + counters.rejected + counters.failed;
@@ -214,12 +214,12 @@
         distinct.sort_unstable();
         distinct.dedup();
         assert_eq!(distinct.len(), received.len(), "{case}: a call that may run once was sent twice");
-        // A call that was rejected never ran; one that reached the worker succeeded or failed.
+        // A rejected call never ran; one that reached the worker succeeded or failed.
         let may_have_run = counters.succeeded + counters.failed;
         assert!(received.len() as u64 <= may_have_run, "{case}: {counters:?}, {}", received.len());
     }
 
-    /// A brief local fault costs no attempt, and a call that fails is repeated a bounded number of times.
+    /// A brief local fault costs no attempt, and a failing system call is retried a bounded number of times.
     fn check_cost(&self) {
         let (case, counters, duration) = (&self.case, self.counters(), self.sockets.duration());
         let FaultySockets { operation, errno, .. } = *self.sockets;
@@ -232,7 +232,7 @@
                 "{case}: a brief local fault cost an attempt: {counters:?}"
             );
         }
-        // Pauses grow to 32 ms; what ends a connection costs each call four attempts at the most.
+        // Pauses grow to 32 ms. An error that ends the connection costs each call at most four attempts.
         let attempts = if waited_out { 0 } else { 4 * counters.accepted as usize };
         let limit = 32 + duration.as_millis() as usize / 32 + attempts;
         let failures = self.sockets.failures.get();
@@ -241,15 +241,15 @@
     }
 }
 
-/// Waits until each call has its final response, in time.
+/// Waits until each call has its final response; panics if that takes too long.
 async fn wait_until_answered(router: &SharedRouter) {
-    /// The time that a client waits, and some more for a busy machine.
+    /// The client's timeout plus a margin for a busy host.
     const LONGEST: Duration = Duration::from_millis(4000);
     let begun = Instant::now();
     while router.borrow().dispatcher.open_requests() > 0 {
         assert!(begun.elapsed() < LONGEST, "{:?}", router.borrow().dispatcher.counters());
         tokio::time::sleep(Duration::from_millis(1)).await;
-        // The timer that the router runs beside its sockets.
+        // Stands in for the router's timer task.
         let mut state = router.borrow_mut();
         let now = state.now();
         state.dispatcher.advance(now);
@@ -273,7 +273,7 @@
     Errno::ECONNRESET,
 ];
 
-/// EAGAIN of these is an ordinary full or empty socket, which other tests play with real ones.
+/// EAGAIN of a read or write is ordinary back pressure, which other tests cover with real sockets.
 pub const TRANSFER_ERRORS: &[Errno] = &[
     Errno::EINTR,
     Errno::ENOBUFS,
@@ -286,7 +286,7 @@
     Errno::EPIPE,
 ];
 
-/// Those that prove nothing about the worker.
+/// Errors that say nothing about the worker.
 const LOCAL_ERRORS: &[Errno] = &[
     Errno::ECONNABORTED,
     Errno::ENFILE,
@@ -299,7 +299,7 @@
     Errno::EINTR,
 ];
 
-/// Those that leave a connection as it was.
+/// Errors that leave the connection usable.
 const TRANSIENT_ERRORS: &[Errno] = &[Errno::EINTR, Errno::ENOBUFS, Errno::ENOMEM];
 
 pub const SHORT_FAULT: FaultDuration = FaultDuration::For(Duration::from_millis(100));
@@ -333,7 +333,7 @@
     });
 }
 
-/// Reads and writes take a byte or a few at a time, and fail once as well amid them.
+/// Reads and writes are limited to one or a few bytes per call, and one of them fails.
 #[test_case(1; "a byte at a time")]
 #[test_case(7; "seven bytes at a time")]
 fn requests_survive_short_reads_and_writes(max_bytes_per_call: usize) {
--- a/crates/platform-router/src/worker_connections.rs
+++ b/crates/platform-router/src/worker_connections.rs
@@ -1,10 +1,10 @@
-//! Connections to workers. A frame is queued until its first byte can be written; only then the dispatcher is asked
-//! whether it may still go, so that what is cancelled before was never sent. A response that can't be read ends its
-//! connection and all that was outstanding on it.
+//! Connections to workers. A frame stays queued until its first byte can be written. Only then the dispatcher is
+//! asked whether it may still be sent, so that a request cancelled earlier is never sent. An unreadable response ends
+//! its connection and everything outstanding on it.
 //!
-//! `send` chooses a connection and queues a frame there, `task` makes the connection and waits for its socket. `write`
-//! writes queued frames, which `frame` makes, and `read` reads responses. `close` ends a connection and reports what
-//! became of the frames on it.
+//! `send` chooses a connection and queues a frame on it. `task` establishes the connection and waits for socket
+//! readiness. `write` writes queued frames, which `frame` encodes, and `read` reads responses. `close` ends a
+//! connection and reports the outcome of its frames.
 
 mod close;
 mod error;
--- a/crates/platform-router/src/worker_connections/close.rs
+++ b/crates/platform-router/src/worker_connections/close.rs
@@ -1,4 +1,4 @@
-//! Ends connections to workers, and reports what became of the frames on them.
+//! Ends connections to workers and reports the outcomes of their frames.
 
 use super::error::WorkerConnectionError;
 use crate::platform_router::{AwaitedResponse, PlatformRouter, QueuedFrame, WorkerConnection};
@@ -7,7 +7,7 @@
 use milletpath_policy::Outcome;
 
 impl PlatformRouter {
-    /// Takes a connection away; its task ends by itself.
+    /// Removes a connection; its task then ends.
     pub(super) fn remove_worker_connection(&mut self, slot: usize) -> Option<WorkerConnection> {
         let connection = self.worker_connections.try_remove(slot)?;
         connection.wake.notify_one();
@@ -20,7 +20,8 @@
         Some(connection)
     }
 
-    /// A connection was not made, or broke before it took a byte: nothing that waited for it ran.
+    /// Handles a connection that was not established, or failed before the socket accepted a byte: none of its frames
+    /// ran.
     pub(super) fn on_connect_failed(&mut self, slot: usize, error: &WorkerConnectionError) {
         let Some(connection) = self.remove_worker_connection(slot) else { return };
         tracing::debug!(worker = connection.worker, %error, "could not connect to a worker");
@@ -31,8 +32,9 @@
         }
     }
 
-    /// A connection broke or is of no more use. What was written whole may have run, and the rest did not. What is
-    /// queued goes on another connection, unless this one broke before it took a byte: the next would as well.
+    /// Handles a connection that failed or has become unusable. Frames that were written completely may have run, the
+    /// others did not. Queued frames move to another connection, unless this one failed before the socket accepted a
+    /// byte, as the next one would fail too.
     pub(super) fn on_connection_lost(&mut self, slot: usize, error: &WorkerConnectionError) {
         if self.worker_connections.get(slot).is_some_and(|connection| connection.bytes_written == 0) {
             return self.on_connect_failed(slot, error);
@@ -58,12 +60,12 @@
             }
             QueuedFrame::Unload { function } => self.send_unload(worker, function),
             QueuedFrame::HealthCheck { serial } => self.send_health_check(worker, serial),
-            // What it cancels broke off with the connection.
+            // The request that it cancels has ended with the connection.
             QueuedFrame::Cancel { .. } => {}
         }
     }
 
-    /// Notifies the dispatcher that no response comes any more, and by `outcome` what that proves.
+    /// Reports to the dispatcher that no response will arrive; `outcome` states whether the frame may have run.
     pub(super) fn report_no_response(&mut self, worker: usize, awaited: AwaitedResponse, outcome: Outcome) {
         let now = self.now();
         match awaited {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Closes connections to workers that have been unused for long.
+    /// Closes connections to workers that have been idle for too long.
     pub fn close_idle_worker_connections(&mut self, now: f64) {
         let is_idle = |connection: &WorkerConnection| {
             connection.is_unused() && self.connection_limits.is_idle(now, connection.last_used)
--- a/crates/platform-router/src/worker_connections/error.rs
+++ b/crates/platform-router/src/worker_connections/error.rs
@@ -1,36 +1,36 @@
-//! Why a connection to a worker is over.
+//! Errors that end a connection to a worker.
 
 use crate::socket_errors::{self, FaultOrigin, Operation};
 use milletpath_protocol::InputError;
 use std::io;
 
-/// Why a connection to a worker is over.
+/// Why a connection to a worker ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WorkerConnectionError {
-    /// The worker closed its end.
+    /// The worker closed the connection.
     #[error("the worker closed the connection")]
     ClosedByWorker,
-    /// A system call failed for good.
+    /// A system call failed and can't be retried.
     #[error("{operation:?} failed: {source}")]
     Io {
-        /// Which call.
+        /// The operation that failed.
         operation: Operation,
-        /// Its error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A frame can't be read.
+    /// A frame could not be decoded.
     #[error("the worker sent an invalid frame: {0}")]
     InvalidFrame(#[from] InputError),
-    /// A health check was answered like an attempt, or the reverse.
+    /// A health check got the response of an attempt or the other way around.
     #[error("the worker's response is of another kind than the frame it answers")]
     UnexpectedResponse,
-    /// The memory budget is used up.
+    /// The memory budget is exhausted.
     #[error("no memory is left for the worker's response")]
     NoMemory,
 }
 
 impl WorkerConnectionError {
-    /// Whether the worker or the way to it is at fault, or this process or its host.
+    /// Whether the error was caused by the worker or the network path to it, or by this process or its host.
     pub fn origin(&self) -> FaultOrigin {
         match self {
             Self::Io { operation, source } => socket_errors::classify(*operation, source).origin,
--- a/crates/platform-router/src/worker_connections/frame.rs
+++ b/crates/platform-router/src/worker_connections/frame.rs
@@ -1,4 +1,4 @@
-//! Makes the frame of what is queued, if it may still go.
+//! Encodes queued frames that may still be sent.
 
 use crate::platform_router::{
     AwaitedResponse, DeferredFlush, OutstandingFrame, PlatformRouter, QueuedFrame, RequestContext,
@@ -8,36 +8,36 @@
 use milletpath_platform_protocol::{frames, parse_hex_id};
 use milletpath_policy::Outcome;
 
-/// What became of a frame whose turn has come.
+/// Result of encoding the next queued frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(super) enum FrameStatus {
-    /// It was made, or dropped as no longer wanted: the next may follow.
+    /// The frame was encoded, or dropped because it is no longer needed. The next one may follow.
     Done,
-    /// It waits until another socket was read: its client's or that of discovery.
+    /// The frame stays queued until another socket was read: that of its client or that of discovery.
     Deferred,
 }
 
-/// The id of a frame that was made, and the response that it awaits.
+/// The id of an encoded frame and the response that it awaits.
 struct EncodedFrame {
     id: u64,
     awaited: AwaitedResponse,
 }
 
 impl PlatformRouter {
-    /// Makes the frame of what is next in a connection's queue, in its empty write buffer, if it may still go.
+    /// Encodes the next frame of a connection's queue into its empty write buffer, if it may still be sent.
     pub(super) fn encode_next_frame(&mut self, slot: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
         let connection = &mut self.worker_connections[slot];
         let (worker, process) = (connection.worker, connection.process);
         if let Some(awaited) = frame.awaited_response()
             && self.dispatcher.worker_process(worker).process != process
         {
-            // Another process has the worker's name by now; what was meant for the one before is not for it.
+            // The worker's name now belongs to another process, which must not get frames meant for the previous one.
             self.report_no_response(worker, awaited, Outcome::NotSent);
             return FrameStatus::Done;
         }
         if frame.is_new_work() && !self.is_discovery_drained(now) {
-            // An event among what is unread may take the worker off the list.
+            // An unread event may remove the worker from the list.
             let unread = UnreadSocket::Discovery;
             self.deferred_flushes.push(DeferredFlush { unread, worker_connection: slot });
             self.worker_connections[slot].queue.push_front(frame);
@@ -62,7 +62,8 @@
         FrameStatus::Done
     }
 
-    /// Appends a frame to `out`: nothing where the dispatcher no longer wants it. Returns the response that it awaits.
+    /// Appends a frame to `out`, or nothing if the dispatcher no longer needs it. Returns the response that it
+    /// awaits.
     fn encode_frame(
         &mut self,
         slot: usize,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The frame states how much time the client has left as its first byte goes.
+    /// Appends the frame of an attempt, with the time that the client has left as the first byte is written.
     fn encode_attempt(
         &mut self,
         out: &mut Vec<u8>,
@@ -123,9 +124,11 @@
         Some(EncodedFrame { id: *id, awaited: AwaitedResponse::Attempt { request, attempt } })
     }
 
-    /// An id for a frame of the router's own, which no client is likely to have chosen, and none has open here.
+    /// Returns an id for a load request or health check that clients are unlikely to choose and that is not in use on
+    /// this connection.
     fn new_frame_id(&mut self, slot: usize) -> u64 {
-        /// An odd multiplier spreads serial numbers over all ids, so that none follows from another by chance.
+        /// Multiplying by an odd constant spreads serial numbers over all ids, so that they are unlikely to collide
+        /// with others.
         const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
         loop {
             self.serial += 1;
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -1,4 +1,4 @@
-//! Reads responses of workers and reports them to the dispatcher.
+//! Reads the responses of workers and reports them to the dispatcher.
 
 use super::error::WorkerConnectionError;
 use crate::platform_router::{AwaitedResponse, PlatformRouter};
@@ -10,7 +10,7 @@
 use std::io;
 
 impl PlatformRouter {
-    /// The socket of a worker is readable.
+    /// Handles read readiness of a worker's socket.
     pub fn on_worker_readable(&mut self, slot: usize) {
         let connection = self.worker_connections.get(slot);
         let Some(stream) = connection.and_then(|connection| connection.stream.clone()) else { return };
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Handles all responses that came whole; returns the bytes after them.
+    /// Handles all complete responses and returns the bytes after them.
     fn read_frames<'b>(
         &mut self,
         slot: usize,
@@ -79,7 +79,8 @@
         Ok(bytes)
     }
 
-    /// One valid response. An unknown id is passed over: it is a duplicate, or the response to what was cancelled.
+    /// Handles a valid response. One with an unknown id is ignored: it is a duplicate, or belongs to a cancelled
+    /// request.
     fn on_response(
         &mut self,
         slot: usize,
@@ -112,7 +113,7 @@
         Ok(())
     }
 
-    /// Reports the response to an attempt; where it is the final one of its request, the client gets it.
+    /// Reports the response to an attempt and, if it is the final one of its request, sends it to the client.
     fn on_attempt_response(
         &mut self,
         request: RequestId,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Logs where the time of a request went, up to this response.
+    /// Logs how long a request has spent at the router and at the worker.
     fn log_response(&mut self, worker: usize, request: RequestId, response: &WorkerResponse<'_>, now: f64) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
--- a/crates/platform-router/src/worker_connections/send.rs
+++ b/crates/platform-router/src/worker_connections/send.rs
@@ -1,4 +1,4 @@
-//! Chooses the connection for a frame, and queues the frame there.
+//! Chooses the connection for a frame and queues the frame on it.
 
 use super::task;
 use crate::platform_router::{PlatformRouter, QueuedFrame, WorkerConnection};
@@ -44,8 +44,8 @@
         self.enqueue(slot, QueuedFrame::HealthCheck { serial });
     }
 
-    /// Cancels an attempt that the dispatcher counts as ended: it is taken off the queue if nothing of it was written,
-    /// and its worker is notified otherwise.
+    /// Cancels an attempt that the dispatcher has ended: removes it from the queue if nothing of it was written, and
+    /// otherwise notifies the worker.
     pub fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
         let Some(slot) = self
             .dispatcher
@@ -78,7 +78,8 @@
         self.flush_worker(slot);
     }
 
-    /// The connection on which one more frame for a worker goes, where need be a new one. `id` is that of a request.
+    /// Returns the connection for the next frame to a worker, opening one if necessary. `id` is the request id of an
+    /// attempt.
     fn connection_for(&mut self, worker: usize, id: Option<u64>) -> usize {
         let WorkerProcess { address, process } = self.dispatcher.worker_process(worker);
         let usable = self.usable_connections(worker, process, id);
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Connections to this process of a worker on which a frame with this id may go: two attempts of a request bear the
-    /// same id, by which their responses could not be distinguished.
+    /// Connections to this worker process on which a frame with this id may be sent. Two attempts of a request have
+    /// the same id, so their responses could not be told apart on one connection.
     fn usable_connections(&self, worker: usize, process: u64, id: Option<u64>) -> Vec<usize> {
         let known = self.connections_by_worker.get(&worker).into_iter().flatten().copied();
         let is_usable = |slot: &usize| {
@@ -105,15 +106,15 @@
         known.filter(is_usable).collect()
     }
 
-    /// While no connection to a worker can be made for a local reason, the least loaded one that is connected, or else
-    /// the one that is still tried: another would fail alike.
+    /// While connecting to a worker fails for a local reason, returns the least loaded established connection or else
+    /// the one still being retried, as opening another one would fail too.
     fn existing_while_connect_fails(&self, usable: &[usize]) -> Option<usize> {
         let failing = usable.iter().copied().find(|&slot| self.worker_connections[slot].connect_failing)?;
         let connected = usable.iter().copied().filter(|&slot| self.worker_connections[slot].stream.is_some());
         Some(connected.min_by_key(|&slot| self.worker_connections[slot].attempts()).unwrap_or(failing))
     }
 
-    /// Opens a connection; at the limit the longest idle one, of whatever worker, is closed for it.
+    /// Opens a connection. At the limit, the longest idle connection to any worker is closed to make room.
     fn open_connection(&mut self, worker: usize, process: u64, address: SocketAddr) -> usize {
         if self.worker_connections.len() >= self.connection_limits.worker_connections {
             let idle = self.worker_connections.iter().filter(|(_, connection)| connection.is_unused());
--- a/crates/platform-router/src/worker_connections/task.rs
+++ b/crates/platform-router/src/worker_connections/task.rs
@@ -1,4 +1,4 @@
-//! The task of a connection to a worker: it makes the connection, then waits until its socket is ready.
+//! The task of a worker connection, which establishes the connection and then waits for socket readiness.
 
 use super::error::WorkerConnectionError;
 use crate::backoff::Backoff;
@@ -11,15 +11,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// What a task waits for.
+/// The events for which a task waits.
 struct WaitConditions {
     reads: bool,
     writes: bool,
-    /// How long until a pause after a local fault is over.
+    /// Time until the pause after a local fault ends.
     pause: Option<Duration>,
 }
 
-/// Identifies the connection of a task: another one may have its slot once it was removed.
+/// Identifies the connection of a task, as its slot may be reused after it was removed.
 #[derive(Clone)]
 struct ConnectionHandle {
     slot: usize,
@@ -37,12 +37,12 @@
     }
 }
 
-/// Makes a connection and serves it until it is removed, upon which `wake` is notified.
+/// Establishes a connection and serves it until it is removed, of which `wake` notifies the task.
 pub(super) async fn run_connection(router: SharedRouter, slot: usize, address: SocketAddr, wake: Rc<Notify>) {
     let handle = ConnectionHandle { slot, wake };
     let result = tokio::select! {
         result = connect(&router, &handle, address) => result,
-        // Before it is connected it is woken only where it was removed: its descriptor is needed for another.
+        // Before the connection is established, it is woken only if it was removed to free its descriptor.
         () = handle.wake.notified() => return,
     };
     let stream = match result {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Takes a new socket into use and writes what is queued; false where the connection was removed meanwhile.
+/// Starts using a new socket and writes queued frames; returns false if the connection was removed in the meantime.
 fn connected(router: &SharedRouter, handle: &ConnectionHandle, stream: &Rc<TcpStream>) -> bool {
     let mut router = router.borrow_mut();
     let now = router.now();
@@ -79,7 +79,7 @@
     true
 }
 
-/// What the task waits for; none once its connection was removed.
+/// The events for which the task waits, or `None` if its connection was removed.
 fn wait_conditions(router: &SharedRouter, handle: &ConnectionHandle) -> Option<WaitConditions> {
     let router = router.borrow();
     let now = router.now();
@@ -95,7 +95,7 @@
     })
 }
 
-/// Makes a connection. After a local fault it is tried again for as long as something waits for the connection.
+/// Establishes a connection. After a local fault it is retried as long as queued frames need the connection.
 async fn connect(
     router: &SharedRouter,
     handle: &ConnectionHandle,
@@ -124,8 +124,8 @@
     }
 }
 
-/// Records that a connection can't be made for a local reason; where that has lasted too long, what waits for it is
-/// given back. Returns whether something still, or again, waits for it.
+/// Records that connecting failed for a local reason. If that has lasted too long, queued frames are returned as not
+/// sent. Returns whether any frame still needs the connection.
 fn is_still_needed(router: &SharedRouter, handle: &ConnectionHandle, exhausted: bool) -> bool {
     let mut router = router.borrow_mut();
     let Some(connection) = handle.get_mut(&mut router) else { return false };
--- a/crates/platform-router/src/worker_connections/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 use tokio::net::TcpStream;
 
-/// A worker rejected an attempt twice; the duplicate would have ended the next attempt with the same id.
+/// Guards against reusing the id of a recent frame: a duplicate rejection would end the next attempt with that id.
 #[test]
 fn recent_frame_ids_are_not_reused() {
     let mut connection = WorkerConnection::new(0, 1, MemoryBudget::new(1).reserve(0), 0.0, 0.25);
@@ -26,8 +26,8 @@
     assert!(!connection.uses_id(0) && connection.recent_ids.len() == RECENT_IDS);
 }
 
-/// The socket takes nothing: frames for it are queued unmade, and what is cancelled meanwhile is never sent. Up to
-/// 16 KiB of frames used to be made ahead, and were sent once the worker took them, whichever client had gone.
+/// While the socket accepts nothing, queued frames are not encoded, and those that are cancelled are never sent. Up
+/// to 16 KiB of frames used to be encoded ahead, and were sent later even if their clients had disconnected.
 #[test]
 fn attempt_cancelled_before_its_first_byte_is_not_sent() {
     run_local(async {
@@ -81,7 +81,8 @@
     });
 }
 
-/// Descriptors had run out here, and each worker that was connected to meanwhile was taken for unreachable.
+/// Guards against counting a local fault against the worker: when descriptors ran out, every worker that the router
+/// tried to connect to counted as unreachable.
 #[test_case(Errno::EMFILE, true; "no descriptor")]
 #[test_case(Errno::ENFILE, true; "none on the whole system")]
 #[test_case(Errno::EADDRNOTAVAIL, true; "no port")]
@@ -95,8 +96,8 @@
     assert_eq!(fault.origin == FaultOrigin::Local, is_local);
 }
 
-/// A socket takes nothing for a second with calls queued for it: each frame states the time that its client has left as
-/// its first byte is written, and not what was left when it was queued.
+/// With calls queued for a socket that accepts nothing for a second, each frame states the time that its client has
+/// left as the first byte is written, not what was left when the call was queued.
 #[test]
 fn queued_frame_states_the_time_left_when_written() {
     run_local(async {
--- a/crates/platform-router/src/worker_connections/write.rs
+++ b/crates/platform-router/src/worker_connections/write.rs
@@ -1,4 +1,4 @@
-//! Writes queued frames to workers, each no sooner than the socket has taken the one before.
+//! Writes queued frames to workers, each after the socket has accepted the previous one.
 
 use super::error::WorkerConnectionError;
 use super::frame::FrameStatus;
@@ -11,15 +11,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 enum WriteStatus {
-    /// The socket has taken all there was.
+    /// The socket has accepted everything so far.
     Ready,
-    /// It takes no more now, or the connection is over.
+    /// The socket accepts no more now, or the connection has ended.
     Stopped,
 }
 
 impl PlatformRouter {
-    /// Writes what is queued for a worker, as far as the socket takes it: frame by frame, so that what is cancelled
-    /// before its first byte was written is not sent, however long the worker takes nothing.
+    /// Writes queued frames to a worker as far as the socket accepts them. Frames are encoded one by one, so that a
+    /// frame cancelled before its first byte was written is not sent, no matter how long the worker reads nothing.
     pub fn flush_worker(&mut self, slot: usize) {
         loop {
             let now = self.now();
@@ -31,7 +31,8 @@
             if connection.queue.is_empty() {
                 return;
             }
-            // Written into a connection that its worker has closed, an attempt would count as one that may have run.
+            // If an attempt were written to a connection that the worker has closed, it would count as one that may
+            // have run.
             if connection.is_closed_by_worker() {
                 return self.on_connection_lost(slot, &WorkerConnectionError::ClosedByWorker);
             }
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Writes the frame that was made, as far as the socket takes it.
+    /// Writes the encoded frame as far as the socket accepts it.
     fn write_buffered(&mut self, slot: usize, now: f64) -> WriteStatus {
         let Some(connection) = self.worker_connections.get_mut(slot) else { return WriteStatus::Stopped };
         let Some(stream) = connection.stream.clone() else { return WriteStatus::Stopped };
@@ -52,7 +53,7 @@
         }
         let before = connection.write_buffer.remaining();
         let result = connection.write_buffer.write_with(&*self.sockets, &stream);
-        // What was written before an error counts as well.
+        // Bytes written before an error count as well.
         let written = before - connection.write_buffer.remaining();
         if written > 0 {
             connection.bytes_written += written as u64;
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Ends what is queued on a connection as never sent: for a local reason its turn does not come soon. What awaits
-    /// no response stays queued.
+    /// Ends the queued frames of a connection as not sent when a local fault delays them for too long. Frames that
+    /// await no response stay queued.
     pub(super) fn fail_queued_as_unsent(&mut self, slot: usize) {
         let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         let worker = connection.worker;
@@ -97,8 +98,8 @@
         }
     }
 
-    /// A frame of which no byte was written has not begun: it is queued again, and the dispatcher is asked about it
-    /// anew.
+    /// Puts an encoded frame of which no byte was written back into the queue, so that the dispatcher is asked again
+    /// before it is sent.
     fn requeue_unsent(&mut self, slot: usize, now: f64) {
         let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         if connection.write_buffer.is_partially_written() {
@@ -109,7 +110,7 @@
         connection.write_buffer.bytes.clear();
         connection.bytes_encoded -= length;
         if frame.awaited_response().is_some() {
-            // The last one that was made.
+            // The frame that was encoded last.
             connection.outstanding.pop();
         }
         match frame {
@@ -117,7 +118,8 @@
                 connection.queue.push_front(frame);
                 self.dispatcher.attempt_not_written(now, request, attempt);
             }
-            // The dispatcher has counted it against the load rate limit; begun again it would count twice.
+            // The dispatcher has already counted it against the load rate limit; beginning it again would count it
+            // twice.
             QueuedFrame::LoadRequest { load_request, .. } => {
                 self.dispatcher.load_request_ended(now, load_request, Outcome::NotSent, 0);
             }
--- a/crates/platform-router/src/write_buffer.rs
+++ b/crates/platform-router/src/write_buffer.rs
@@ -1,45 +1,45 @@
-//! Bytes on their way to a socket that takes them when it can, for clients and workers alike.
+//! Buffers output to a socket, for client and worker connections.
 
 use crate::sockets::{Sockets, SystemSockets};
 use std::io::{self, ErrorKind};
 use tokio::net::TcpStream;
 
-/// Bytes of a buffer that an idle connection keeps; a larger one is freed.
+/// Buffer capacity that an idle connection keeps; larger buffers are freed.
 pub(crate) const RETAINED_CAPACITY: usize = 4 << 10;
 
-/// Bytes that wait for a socket. Who appends to them bounds them.
+/// Bytes to be written to a socket. Callers that append to it limit its size.
 #[derive(Default)]
 pub(crate) struct WriteBuffer {
-    /// What was appended since the socket last took everything.
+    /// Bytes appended since the socket last accepted everything.
     pub bytes: Vec<u8>,
     written: usize,
 }
 
 impl WriteBuffer {
-    /// Bytes that the socket has not taken yet.
+    /// Number of bytes that the socket has not accepted yet.
     pub fn remaining(&self) -> usize {
         self.bytes.len() - self.written
     }
 
-    /// Whether the socket has taken a first part of the bytes.
+    /// Whether the socket has accepted some but not all of the bytes.
     pub fn is_partially_written(&self) -> bool {
         self.written > 0
     }
 
-    /// Writes as far as the socket takes it; returns how many bytes that were.
+    /// Writes as many bytes as the socket accepts and returns their number.
     ///
     /// # Errors
     ///
-    /// That of the system call; the bytes before it count as written.
+    /// Returns the error of the system call. Bytes accepted before it count as written.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.write_with(&SystemSockets, stream)
     }
 
-    /// The same by the system calls given.
+    /// Same as [`write`](Self::write), using the given system calls.
     ///
     /// # Errors
     ///
-    /// That of the system call; the bytes before it count as written.
+    /// Returns the error of the system call. Bytes accepted before it count as written.
     pub fn write_with(&mut self, sockets: &dyn Sockets, stream: &TcpStream) -> io::Result<usize> {
         let before = self.written;
         while self.remaining() > 0 {
--- a/crates/platform-router/tests/slow_start.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -1,13 +1,13 @@
-//! A few dozen routers and workers in slow start. Each router knows only what it sends itself: what all of them
-//! together send a worker in slow start has to stay under what it can take, however little each of them sends.
-//! Simulated with the dispatcher that the router runs.
+//! Slow start with dozens of routers. Each router knows only its own traffic, yet the total sent to a worker in slow
+//! start must stay within the worker's limit, however little each router sends. Simulated with the dispatcher that
+//! the router runs.
 
 use milletpath_emulator::scenario_file;
 use milletpath_simulator::{SlowStartReport, play, slow_start_report};
 use std::path::Path;
 use test_case::test_case;
 
-/// Nine in ten workers are replaced within seven seconds, under a full load.
+/// Nine out of ten workers are replaced within seven seconds under full load.
 #[test_case(24; "two dozen")]
 #[test_case(48; "four dozen")]
 fn slow_start_bound_holds_with_dozens_of_routers(routers: usize) {
