--- a/crates/platform-router/src/client_connections/accept/tests.rs
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -5,7 +5,7 @@
 use test_case::test_case;
 
 /// Returns a connected client and the socket that `accept` returned for it.
-fn connection() -> (std::net::TcpStream, Socket) {
+fn connect_and_accept() -> (std::net::TcpStream, Socket) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (client, listener.accept().unwrap().0.into())
@@ -26,7 +26,7 @@
 fn connections_behind_a_failed_accept_are_accepted(errno: Errno) {
     run_local(async move {
         let router = router_with_workers(&[]);
-        let (_client, socket) = connection();
+        let (_client, socket) = connect_and_accept();
         let mut results = VecDeque::from([accept_error(errno), Ok(socket), accept_error(errno)]);
         let next = || results.pop_front().unwrap_or_else(|| accept_error(Errno::EAGAIN));
         let result = router.borrow_mut().accept_queued(next);
@@ -49,7 +49,7 @@
 
 /// A persistent error ends the pass after `MAX_ACCEPTS` calls.
 #[test]
-fn persistent_accept_errors_are_given_up_after_a_bound() {
+fn persistent_accept_errors_end_the_pass_after_a_bound() {
     run_local(async {
         let router = router_with_workers(&[]);
         let mut attempts = 0;
@@ -65,19 +65,19 @@
 /// It can be evicted only after the grace period.
 #[test_case(5, [true, true]; "at once")]
 #[test_case(100, [false, true]; "after 100 ms")]
-fn new_connection_is_not_evicted_before_its_first_call(later_ms: u64, expected: [bool; 2]) {
+fn new_connection_is_not_evicted_before_its_first_call(interval_ms: u64, expected: [bool; 2]) {
     run_local(async move {
         tokio::time::pause();
         let router = router_with_workers(&[]);
         router.borrow_mut().connection_limits.clients = 1;
         let mut clients = Vec::new();
         for _ in 0..2 {
-            let (client, socket) = connection();
+            let (client, socket) = connect_and_accept();
             socket.set_nonblocking(true).unwrap();
             clients.push(client);
             let stream = TcpStream::from_std(socket.into()).unwrap();
             assert!(router.borrow_mut().admit(stream));
-            tokio::time::advance(Duration::from_millis(later_ms)).await;
+            tokio::time::advance(Duration::from_millis(interval_ms)).await;
         }
         let state = router.borrow();
         let is_open = |serial: u64| state.clients.iter().any(|(_, c)| c.serial == serial);
@@ -92,7 +92,7 @@
     run_local(async {
         let router = router_with_workers(&[]);
         router.borrow_mut().connection_limits.clients = 0;
-        let (client, socket) = connection();
+        let (client, socket) = connect_and_accept();
         socket.set_nonblocking(true).unwrap();
         assert!(router.borrow_mut().admit(TcpStream::from_std(socket.into()).unwrap()));
         {
--- a/crates/platform-router/src/client_connections/close.rs
+++ b/crates/platform-router/src/client_connections/close.rs
@@ -11,7 +11,7 @@
 use std::net::Shutdown;
 
 /// Seconds for which a connection whose write side is shut down is kept open for a client that does not close it.
-const LINGER_SECONDS: f64 = 0.1;
+const LINGER_TIMEOUT: f64 = 0.1;
 /// Seconds that a connection is given to send its first call before a router that is shutting down closes it.
 const FIRST_CALL_SECONDS: f64 = 0.1;
 
@@ -61,7 +61,12 @@
 
     /// Handles an invalid line: every open call of the connection, including those received with the invalid line,
     /// gets an error response, and the connection is closed once the responses are written.
-    pub(super) fn close_invalid(&mut self, slot: usize, messages: &[ClientMessage], invalid: &InvalidLine) {
+    pub(super) fn close_after_invalid_line(
+        &mut self,
+        slot: usize,
+        messages: &[ClientMessage],
+        invalid: &InvalidLine,
+    ) {
         tracing::debug!(slot, fault = %invalid.fault, "received an invalid line from a client");
         let Some(client) = self.clients.get_mut(slot) else { return };
         let open_calls = std::mem::take(&mut client.open_calls);
@@ -83,7 +88,7 @@
             self.close_client(slot, &CloseReason::Silent);
         }
         self.shut_down_idle(now, |client| client.overflow);
-        self.close_shut_down(now);
+        self.close_lingering(now);
     }
 
     fn is_stale(&self, client: &ClientConnection, now: f64) -> bool {
@@ -127,9 +132,9 @@
     }
 
     /// Closes the connections whose write side was shut down and whose linger time has passed.
-    pub(super) fn close_shut_down(&mut self, now: f64) {
+    pub(super) fn close_lingering(&mut self, now: f64) {
         let linger_expired =
-            |client: &ClientConnection| client.write_closed_at.is_some_and(|at| now - at >= LINGER_SECONDS);
+            |client: &ClientConnection| client.write_closed_at.is_some_and(|at| now - at >= LINGER_TIMEOUT);
         for slot in self.clients_where(|_, client| linger_expired(client)) {
             self.close_client(slot, &CloseReason::Graceful);
         }
--- a/crates/platform-router/src/client_connections/graceful_shutdown.rs
+++ b/crates/platform-router/src/client_connections/graceful_shutdown.rs
@@ -39,7 +39,7 @@
         }
         self.run_actions();
         self.shut_down_idle(now, |_| true);
-        self.close_shut_down(now);
+        self.close_lingering(now);
         let (open_requests, connections) = (self.dispatcher.open_requests(), self.clients.len());
         if self.shutdown.exit_due(now) {
             tracing::info!(open_requests, connections, "exiting: SIGKILL may come soon");
--- a/crates/platform-router/src/client_connections/read.rs
+++ b/crates/platform-router/src/client_connections/read.rs
@@ -106,7 +106,7 @@
         client.last_received = now;
         let mut messages = Vec::new();
         if let Err(invalid) = self.read_lines(slot, bytes, &mut partial_line, &mut messages) {
-            return self.close_invalid(slot, &messages, &invalid);
+            return self.close_after_invalid_line(slot, &messages, &invalid);
         }
         if partial_line.is_empty() && partial_line.capacity() > RETAINED_CAPACITY {
             partial_line = Vec::new();
--- a/crates/platform-router/src/client_connections/tests.rs
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -65,12 +65,12 @@
 /// deadline counts from its last byte. The connection used to be closed after 2 s.
 #[test_case(true, 2.9; "from a known client")]
 #[test_case(false, 2.4; "as the first of its client")]
-fn call_received_byte_by_byte_is_accepted(known: bool, seconds: f64) {
+fn call_received_byte_by_byte_is_accepted(established: bool, seconds: f64) {
     run_local(async move {
         tokio::time::pause();
         let router = router_with_workers(&[]);
         let mut client = connect_client(&router).await;
-        if known {
+        if established {
             send_and_wait_until_read(&router, &mut client, PROBE).await;
             tokio::time::advance(Duration::from_secs(60)).await;
         }
@@ -93,17 +93,21 @@
 #[test_case(true, &CALL.repeat(3), 3.0; "a later line")]
 #[test_case(false, &"\n".repeat(99), 2.0; "empty lines")]
 #[test_case(false, &" \n".repeat(99), 2.0; "lines of a space")]
-fn line_that_never_ends_is_closed_in_time(known: bool, text: &str, closed: f64) {
+fn connection_with_an_incomplete_line_is_closed_in_time(
+    established: bool,
+    text: &str,
+    expected_seconds: f64,
+) {
     let text = text.to_owned();
     run_local(async move {
         tokio::time::pause();
         let router = router_with_workers(&[]);
         let mut client = connect_client(&router).await;
-        if known {
+        if established {
             send_and_wait_until_read(&router, &mut client, PROBE).await;
         }
-        let after = send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("it is closed");
-        assert!(after >= closed && after < closed + 0.2, "{after}");
+        let seconds = send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("it is closed");
+        assert!(seconds >= expected_seconds && seconds < expected_seconds + 0.2, "{seconds}");
     });
 }
 
@@ -136,7 +140,7 @@
 /// A client that keeps sending after an invalid line and reads nothing is closed in time. Its unread bytes used to
 /// count as a pending call, although they are no longer read, which kept the connection open forever.
 #[test]
-fn invalid_client_is_closed_however_much_it_sends() {
+fn client_that_keeps_sending_after_an_invalid_line_is_closed() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut invalid_client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/crates/platform-router/src/client_connections/validate.rs
+++ b/crates/platform-router/src/client_connections/validate.rs
@@ -36,7 +36,7 @@
                     .retain(|message| !matches!(message, ClientMessage::Call(call) if is_cancelled(call)));
             }
             ClientMessage::Probe { number } => self
-                .use_number(slot, *number)
+                .mark_number_used(slot, *number)
                 .map_err(|fault| InvalidLine { number: Some(*number), fault })?,
         }
         messages.push(message);
@@ -45,7 +45,7 @@
 
     /// Validates a call against the open calls on all connections and against the calls received with it.
     fn check_call(&mut self, slot: usize, call: &Call, messages: &[ClientMessage]) -> Result<(), InputError> {
-        self.use_number(slot, call.number)?;
+        self.mark_number_used(slot, call.number)?;
         let open_calls = self.clients.get(slot).map_or(0, |client| client.open_calls.len());
         if open_calls + calls(messages).count() >= MAX_OPEN_CALLS {
             return Err(InputError::new("id", "is one open call too many"));
@@ -64,7 +64,7 @@
     }
 
     /// Records a number as used on its connection; an error if it was used before.
-    fn use_number(&mut self, slot: usize, number: u64) -> Result<(), InputError> {
+    fn mark_number_used(&mut self, slot: usize, number: u64) -> Result<(), InputError> {
         let Some(client) = self.clients.get_mut(slot) else { return Ok(()) };
         let is_new = client.request_ids_seen.insert(number);
         if is_new { Ok(()) } else { Err(InputError::new("id", "was used before on this connection")) }
--- a/crates/platform-router/src/connection_limits/tests.rs
+++ b/crates/platform-router/src/connection_limits/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn busy_connection_is_joined_by_another_within_the_limit() {
+fn busy_connection_gets_a_second_one_within_the_limit() {
     let limits = limits();
     assert_eq!(choose(&[(3, Some(0.9)), (2, Some(0.9))], 9), Some(1));
     assert_eq!(choose(&[(4, Some(0.9)), (4, Some(0.9))], 9), None);
@@ -55,7 +55,12 @@
 #[test_case(2.1, 2.0, true, true; "half of one, and no more")]
 #[test_case(2.4, 0.1, false, false; "pieces of the first")]
 #[test_case(2.5, 0.1, false, true; "the first in pieces without end")]
-fn partial_line_has_a_time_limit(started: f64, last_received: f64, has_sent_message: bool, over: bool) {
-    let (line_started, last_received) = (100.0 - started, 100.0 - last_received);
-    assert_eq!(limits().line_timed_out(100.0, line_started, last_received, has_sent_message), over);
+fn partial_line_has_a_time_limit(
+    seconds_since_start: f64,
+    last_received: f64,
+    has_sent_message: bool,
+    timed_out: bool,
+) {
+    let (line_started, last_received) = (100.0 - seconds_since_start, 100.0 - last_received);
+    assert_eq!(limits().line_timed_out(100.0, line_started, last_received, has_sent_message), timed_out);
 }
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -26,7 +26,7 @@
 /// all of its events are applied.
 #[test_case(""; "between two lines")]
 #[test_case("{\"no\":"; "amid a line")]
-fn silent_discovery_stream_is_given_up_after_hours_of_heartbeats(rest: &'static str) {
+fn silent_discovery_stream_is_closed_after_hours_of_heartbeats(rest: &'static str) {
     run_local(async move {
         tokio::time::pause();
         let router = router_with_workers(&[]);
@@ -117,15 +117,16 @@
 #[test_case(LONG_FAULT; "for 2 s")]
 fn discovery_connection_is_retried_until_it_succeeds(duration: FaultDuration) {
     run_local(async move {
-        let scenarios =
-            CONNECT_ERRORS.iter().map(|&errno| spawn_local(retries_until_discovery_answers(errno, duration)));
+        let scenarios = CONNECT_ERRORS
+            .iter()
+            .map(|&errno| spawn_local(check_retries_until_discovery_answers(errno, duration)));
         for scenario in scenarios.collect::<Vec<_>>() {
             scenario.await.unwrap();
         }
     });
 }
 
-async fn retries_until_discovery_answers(errno: Errno, duration: FaultDuration) {
+async fn check_retries_until_discovery_answers(errno: Errno, duration: FaultDuration) {
     let sockets = FaultySockets::new(Operation::Connect, errno, duration, usize::MAX);
     sockets.armed.set(true);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -251,7 +252,7 @@
 /// A subscription whose writes are all interrupted is retried with pauses, a bounded number of times, and then fails.
 /// It used to be retried immediately and without limit, which blocked all other tasks.
 #[test]
-fn subscription_that_is_always_interrupted_is_given_up() {
+fn subscription_that_is_always_interrupted_times_out() {
     run_local(async {
         tokio::time::pause();
         let router = router_with_workers(&[]);
--- a/crates/platform-router/src/platform_router/tests.rs
+++ b/crates/platform-router/src/platform_router/tests.rs
@@ -19,8 +19,8 @@
     router_with_effect("free", 250_000, workers)
 }
 
-/// The same for calls with the given effect, and with a connect timeout of `connect` microseconds.
-pub fn router_with_effect(effect: &str, connect: u64, workers: &[SocketAddr]) -> SharedRouter {
+/// The same for calls with the given effect, and with a connect timeout of `connect_us` microseconds.
+pub fn router_with_effect(effect: &str, connect_us: u64, workers: &[SocketAddr]) -> SharedRouter {
     let member = |(n, at): (usize, &SocketAddr)| {
         format!(r#"{{"id":"w{n}","host_port":"{at}","locality":"z","flavor":"k","phase":"active","size":1}}"#)
     };
@@ -29,7 +29,7 @@
         r#"{{"listen":"127.0.0.1:0","seed":"05","bulletin":"127.0.0.1:1",
         "known":{{"no":1,"items":[{{"no":1,"roster":{{"complete":true,"members":[{}]}}}}]}},
         "settings":{{"Balancers":1,"Classes":[{{"Name":"p","Effect":"{effect}","Objective":400000,"HardLimit":3000000}}],
-        "Limits":{{"MaxAttempts":4,"Cancelling":true,"ConnectTimeout":{connect},"Keepalive":30000000,"StreamsPerConn":32}},
+        "Limits":{{"MaxAttempts":4,"Cancelling":true,"ConnectTimeout":{connect_us},"Keepalive":30000000,"StreamsPerConn":32}},
         "FamilyInfo":{{"MissMode":"load","KeepAlive":5000000}},"Tick":1000,
         "Rules":{{"DrainGrace":1,"StartCapacity":0.2,"WarmUp":1,"TipMultiple":2.5,"OverloadFor":1}}}}}}"#,
         members.join(",")
@@ -86,18 +86,18 @@
 fn idle_router_sets_no_timer(answered: bool) {
     let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 9))]);
     let mut state = router.borrow_mut();
-    let begun = state.now();
+    let started_at = state.now();
     let request = submit_request(&mut state, 7);
-    assert!(state.dispatcher.begin_attempt(begun, request, 0));
+    assert!(state.dispatcher.begin_attempt(started_at, request, 0));
     if answered {
         assert!(state.dispatcher.attempt_ended(
-            begun + 0.1,
+            started_at + 0.1,
             request,
             0,
             AttemptResult::from_outcome(Outcome::Succeeded)
         ));
     }
-    let (mut wakeups, mut ended) = (0, begun);
+    let (mut wakeups, mut ended) = (0, started_at);
     while let Some(next) = state.dispatcher.next_deadline() {
         wakeups += 1;
         // Twice the rate at which the dispatcher checks open requests.
@@ -113,5 +113,5 @@
     assert_eq!(state.dispatcher.open_requests(), 0);
     // The margin, which is deducted from the client's timeout, covers the dispatcher's check interval and the way
     // back.
-    assert!(ended - begun < 2.0 + RESPONSE_MARGIN, "{ended}");
+    assert!(ended - started_at < 2.0 + RESPONSE_MARGIN, "{ended}");
 }
--- a/crates/platform-router/src/platform_router/worker_connection.rs
+++ b/crates/platform-router/src/platform_router/worker_connection.rs
@@ -229,11 +229,11 @@
             matches!(frame.awaited, AwaitedResponse::Attempt { request, attempt }
                 if request == wanted && attempt == number)
         });
-        at.map(|at| self.finish(at).id)
+        at.map(|at| self.finish_frame(at).id)
     }
 
     /// Removes a frame from the outstanding frames and remembers its id for a while.
-    pub fn finish(&mut self, at: usize) -> OutstandingFrame {
+    pub fn finish_frame(&mut self, at: usize) -> OutstandingFrame {
         let frame = self.outstanding.swap_remove(at);
         if self.recent_ids.len() >= RECENT_IDS {
             self.recent_ids.pop_front();
--- a/crates/platform-router/src/run.rs
+++ b/crates/platform-router/src/run.rs
@@ -154,8 +154,8 @@
     tracing::info!("received SIGTERM: admitting what was sent before, answering what was admitted");
     let mut router = router.borrow_mut();
     let now = router.now();
-    let earliest = router.liveness.earliest(now);
-    router.shutdown.begin(now, earliest);
+    let earliest_signal = router.liveness.earliest_signal(now);
+    router.shutdown.begin(now, earliest_signal);
 }
 
 /// Reads and parses the bootstrap file. Also returns its content, with which later reloads are compared.
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -52,8 +52,8 @@
 
     /// Starts the shutdown when SIGTERM is read at `now`; the signal may have arrived as early as `earliest`. Further
     /// calls have no effect.
-    pub fn begin(&mut self, now: f64, earliest: f64) {
-        let kill = earliest + self.longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
+    pub fn begin(&mut self, now: f64, earliest_signal: f64) {
+        let kill = earliest_signal + self.longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
         let answer_by = kill - ANSWER_MARGIN;
         self.schedule.get_or_insert(Schedule {
             admit_until: (now + ADMISSION_SECONDS).min(answer_by),
@@ -131,7 +131,7 @@
     }
 
     /// The earliest time at which a signal read at `now` may have arrived.
-    pub fn earliest(&self, now: f64) -> f64 {
+    pub fn earliest_signal(&self, now: f64) -> f64 {
         match self.pause.get() {
             Some(ProcessPause { from, until }) if now - until <= RECENT_PAUSE_SECONDS => from,
             _ => now,
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -52,9 +52,9 @@
     for now in [0.2, 0.4, 1.0] {
         liveness.record_activity(now);
     }
-    assert_eq!((liveness.earliest(1.05), liveness.earliest(1.2)), (0.4, 1.2));
+    assert_eq!((liveness.earliest_signal(1.05), liveness.earliest_signal(1.2)), (0.4, 1.2));
     let mut shutdown = Shutdown::new(0.5);
-    shutdown.begin(1.05, liveness.earliest(1.05));
+    shutdown.begin(1.05, liveness.earliest_signal(1.05));
     assert!(!shutdown.answers_due(1.44) && shutdown.admission_over(1.46) && shutdown.exit_due(1.58));
 }
 
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -56,7 +56,7 @@
         if let FaultDuration::For(duration) = self.duration { duration } else { Duration::ZERO }
     }
 
-    fn fails(&self, operation: Operation) -> io::Result<()> {
+    fn inject_fault(&self, operation: Operation) -> io::Result<()> {
         if operation != self.operation || !self.armed.get() {
             return Ok(());
         }
@@ -76,20 +76,20 @@
 
 impl Sockets for FaultySockets {
     fn connect(&self, address: SocketAddr) -> Connecting {
-        match self.fails(Operation::Connect) {
+        match self.inject_fault(Operation::Connect) {
             Ok(()) => SystemSockets.connect(address),
             Err(error) => Box::pin(std::future::ready(Err(error))),
         }
     }
 
     fn read(&self, stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
-        self.fails(Operation::Read)?;
+        self.inject_fault(Operation::Read)?;
         let limit = into.len().min(self.max_bytes_per_call);
         SystemSockets.read(stream, &mut into[..limit])
     }
 
     fn write(&self, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
-        self.fails(Operation::Write)?;
+        self.inject_fault(Operation::Write)?;
         SystemSockets.write(stream, &bytes[..bytes.len().min(self.max_bytes_per_call)])
     }
 }
@@ -98,19 +98,19 @@
 type ReceivedIds = Rc<RefCell<Vec<u64>>>;
 
 /// Starts a worker that answers everything immediately; returns its address and the ids that it receives.
-async fn worker() -> (SocketAddr, ReceivedIds) {
+async fn spawn_worker() -> (SocketAddr, ReceivedIds) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (address, received_ids) = (listener.local_addr().unwrap(), ReceivedIds::default());
     let all = received_ids.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(serve(stream, all.clone()));
+            spawn_local(serve_worker_connection(stream, all.clone()));
         }
     });
     (address, received_ids)
 }
 
-async fn serve(mut stream: TcpStream, received_ids: ReceivedIds) -> io::Result<()> {
+async fn serve_worker_connection(mut stream: TcpStream, received_ids: ReceivedIds) -> io::Result<()> {
     loop {
         let mut head = [0; HEAD_BYTES];
         stream.read_exact(&mut head).await?;
@@ -161,7 +161,7 @@
 impl Scenario {
     async fn new(sockets: Rc<FaultySockets>, connected: bool) -> Self {
         let case = format!("{:?} {:?}, connected before: {connected}", sockets.operation, sockets.errno);
-        let (address, received_ids) = worker().await;
+        let (address, received_ids) = spawn_worker().await;
         let router = router_with_effect("single_shot", CONNECT_TIMEOUT_MICROSECONDS, &[address]);
         router.borrow_mut().sockets = sockets.clone();
         Self { case, sockets, router, received_ids, calls: 0 }
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -96,7 +96,7 @@
             return Err(WorkerConnectionError::UnexpectedResponse);
         }
         let (worker, connected_at) = (connection.worker, connection.connected_at);
-        connection.finish(at);
+        connection.finish_frame(at);
         self.dispatcher.worker_answered(now, worker, connected_at);
         match awaited {
             AwaitedResponse::Attempt { request, attempt } => {
--- a/crates/platform-router/src/worker_connections/send.rs
+++ b/crates/platform-router/src/worker_connections/send.rs
@@ -11,7 +11,7 @@
     /// Sends an attempt of a request to a worker.
     pub fn send_attempt(&mut self, request: RequestId, attempt: usize, worker: usize) {
         let Some(id) = self.dispatcher.context(request).map(|context| context.id) else { return };
-        let slot = self.connection_for(worker, Some(id));
+        let slot = self.select_connection(worker, Some(id));
         if let Some(context) = self.dispatcher.context(request) {
             let attempts = context.worker_connections.len().max(attempt + 1);
             context.worker_connections.resize(attempts, usize::MAX);
@@ -28,19 +28,19 @@
         function: Arc<str>,
         instances: u8,
     ) {
-        let slot = self.connection_for(worker, None);
+        let slot = self.select_connection(worker, None);
         self.enqueue(slot, QueuedFrame::LoadRequest { load_request, function, instances });
     }
 
     /// Asks a worker to unload a function.
     pub fn send_unload(&mut self, worker: usize, function: Arc<str>) {
-        let slot = self.connection_for(worker, None);
+        let slot = self.select_connection(worker, None);
         self.enqueue(slot, QueuedFrame::Unload { function });
     }
 
     /// Sends a health check to a worker.
     pub fn send_health_check(&mut self, worker: usize, serial: u64) {
-        let slot = self.connection_for(worker, None);
+        let slot = self.select_connection(worker, None);
         self.enqueue(slot, QueuedFrame::HealthCheck { serial });
     }
 
@@ -80,10 +80,10 @@
 
     /// Returns the connection for the next frame to a worker, opening one if necessary. `id` is the request id of an
     /// attempt.
-    fn connection_for(&mut self, worker: usize, id: Option<u64>) -> usize {
+    fn select_connection(&mut self, worker: usize, id: Option<u64>) -> usize {
         let WorkerProcess { address, process } = self.dispatcher.worker_process(worker);
         let usable = self.usable_connections(worker, process, id);
-        if let Some(slot) = self.existing_while_connect_fails(&usable) {
+        if let Some(slot) = self.fallback_while_connect_fails(&usable) {
             return slot;
         }
         let now = self.now();
@@ -108,7 +108,7 @@
 
     /// While connecting to a worker fails for a local reason, returns the least loaded established connection or else
     /// the one still being retried, as opening another one would fail too.
-    fn existing_while_connect_fails(&self, usable: &[usize]) -> Option<usize> {
+    fn fallback_while_connect_fails(&self, usable: &[usize]) -> Option<usize> {
         let failing = usable.iter().copied().find(|&slot| self.worker_connections[slot].connect_failing)?;
         let connected = usable.iter().copied().filter(|&slot| self.worker_connections[slot].stream.is_some());
         Some(connected.min_by_key(|&slot| self.worker_connections[slot].attempts()).unwrap_or(failing))
--- a/crates/platform-router/src/worker_connections/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -20,7 +20,7 @@
             encoded_at: 0.0,
         });
         assert!(connection.uses_id(id));
-        connection.finish(0);
+        connection.finish_frame(0);
         assert!(connection.uses_id(id));
     }
     assert!(!connection.uses_id(0) && connection.recent_ids.len() == RECENT_IDS);
