--- a/crates/platform-router/src/backoff/tests.rs
+++ b/crates/platform-router/src/backoff/tests.rs
@@ -3,9 +3,9 @@
 
 /// The number of retries during a two-second failure is bounded, and the backoff is exhausted before the connect
 /// timeout.
-#[test_case(0.02; "a short time to connect")]
-#[test_case(0.25; "a usual one")]
-#[test_case(3.0; "a long one")]
+#[test_case(0.02; "short connect timeout")]
+#[test_case(0.25; "usual connect timeout")]
+#[test_case(3.0; "long connect timeout")]
 fn pauses_are_bounded_and_exhausted_before_the_connect_timeout(connect_timeout: f64) {
     let mut backoff = Backoff::new(connect_timeout);
     let (mut now, mut calls, mut exhausted_at) = (0.0, 0, None);
--- a/crates/platform-router/src/client_connections/accept/tests.rs
+++ b/crates/platform-router/src/client_connections/accept/tests.rs
@@ -63,7 +63,7 @@
 
 /// Guards against evicting a newly accepted connection in favor of the next one while its first call is in transit.
 /// It can be evicted only after the grace period.
-#[test_case(5, [true, true]; "at once")]
+#[test_case(5, [true, true]; "within the grace period")]
 #[test_case(100, [false, true]; "after 100 ms")]
 fn new_connection_is_not_evicted_before_its_first_call(interval_ms: u64, expected: [bool; 2]) {
     run_local(async move {
--- a/crates/platform-router/src/client_connections/tests.rs
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -63,8 +63,8 @@
 
 /// A call that arrives one byte at a time, over as long as its client would wait for a response, is accepted, and its
 /// deadline counts from its last byte. The connection used to be closed after 2 s.
-#[test_case(true, 2.9; "from a known client")]
-#[test_case(false, 2.4; "as the first of its client")]
+#[test_case(true, 2.9; "on an established connection")]
+#[test_case(false, 2.4; "as the first line of a connection")]
 fn call_received_byte_by_byte_is_accepted(established: bool, seconds: f64) {
     run_local(async move {
         tokio::time::pause();
@@ -80,7 +80,7 @@
         send_and_wait_until_read(&router, &mut client, b"\n").await;
         let mut state = router.borrow_mut();
         let [OpenCall { number: 2, request }] = state.clients[client.1].open_calls[..] else {
-            panic!("one open call")
+            panic!("expected one open call")
         };
         let now = state.now();
         assert_eq!(state.dispatcher.context(request).unwrap().received_at, now);
@@ -89,10 +89,10 @@
 
 /// A connection with a line that is never completed is closed in time, no matter how the bytes arrive: within 3 s if
 /// it has sent no valid line. Empty lines used to keep a connection open forever.
-#[test_case(false, &CALL.repeat(3), 2.5; "the first line")]
-#[test_case(true, &CALL.repeat(3), 3.0; "a later line")]
+#[test_case(false, &CALL.repeat(3), 2.5; "first line")]
+#[test_case(true, &CALL.repeat(3), 3.0; "later line")]
 #[test_case(false, &"\n".repeat(99), 2.0; "empty lines")]
-#[test_case(false, &" \n".repeat(99), 2.0; "lines of a space")]
+#[test_case(false, &" \n".repeat(99), 2.0; "lines of one space")]
 fn connection_with_an_incomplete_line_is_closed_in_time(
     established: bool,
     text: &str,
@@ -106,7 +106,8 @@
         if established {
             send_and_wait_until_read(&router, &mut client, PROBE).await;
         }
-        let seconds = send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("it is closed");
+        let seconds =
+            send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("the connection is closed");
         assert!(seconds >= expected_seconds && seconds < expected_seconds + 0.2, "{seconds}");
     });
 }
--- a/crates/platform-router/src/connection_limits/tests.rs
+++ b/crates/platform-router/src/connection_limits/tests.rs
@@ -50,11 +50,11 @@
 }
 
 /// Guards against dropping a call of an established client whose line takes more than 2 s to arrive in pieces.
-#[test_case(2.9, 0.1, true, false; "pieces of a known client")]
-#[test_case(3.0, 0.1, true, true; "for longer than anyone waits")]
-#[test_case(2.1, 2.0, true, true; "half of one, and no more")]
-#[test_case(2.4, 0.1, false, false; "pieces of the first")]
-#[test_case(2.5, 0.1, false, true; "the first in pieces without end")]
+#[test_case(2.9, 0.1, true, false; "later line in pieces")]
+#[test_case(3.0, 0.1, true, true; "later line for the longest deadline")]
+#[test_case(2.1, 2.0, true, true; "later line with a stalled rest")]
+#[test_case(2.4, 0.1, false, false; "first line in pieces")]
+#[test_case(2.5, 0.1, false, true; "first line for its time limit")]
 fn partial_line_has_a_time_limit(
     seconds_since_start: f64,
     last_received: f64,
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -25,7 +25,7 @@
 /// A stream that falls silent after hours of heartbeats and events is closed as soon as a new stream would be, and
 /// all of its events are applied.
 #[test_case(""; "between two lines")]
-#[test_case("{\"no\":"; "amid a line")]
+#[test_case("{\"no\":"; "within a line")]
 fn silent_discovery_stream_is_closed_after_hours_of_heartbeats(rest: &'static str) {
     run_local(async move {
         tokio::time::pause();
@@ -102,7 +102,7 @@
         theirs.write_all(event.as_bytes()).await.unwrap();
         tokio::time::sleep(Duration::from_millis(1)).await;
         let state = router.borrow();
-        let started = state.dispatcher.started(0).expect("a start");
+        let started = state.dispatcher.started(0).expect("the worker has a start time");
         assert!(
             (state.now() - 1.1..=state.now()).contains(&started),
             "started at {started:.1}, now it is {:.1}",
@@ -236,7 +236,7 @@
 impl AsyncWrite for InterruptedStream {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, _: &[u8]) -> Poll<io::Result<usize>> {
         self.writes.set(self.writes.get() + 1);
-        assert!(self.writes.get() < 1000, "it spins");
+        assert!(self.writes.get() < 1000, "interrupted writes are retried without a pause");
         Poll::Ready(Err(io::ErrorKind::Interrupted.into()))
     }
 
--- a/crates/platform-router/src/platform_router/tests.rs
+++ b/crates/platform-router/src/platform_router/tests.rs
@@ -10,7 +10,10 @@
 
 /// Runs a scenario on a single thread, as the router does.
 pub fn run_local(scenario: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("building the runtime failed");
     runtime.block_on(tokio::task::LocalSet::new().run_until(scenario));
 }
 
@@ -34,7 +37,7 @@
         "Rules":{{"DrainGrace":1,"StartCapacity":0.2,"WarmUp":1,"TipMultiple":2.5,"OverloadFor":1}}}}}}"#,
         members.join(",")
     );
-    let mut bootstrap = bootstrap::read(text.as_bytes()).expect("sound");
+    let mut bootstrap = bootstrap::read(text.as_bytes()).expect("the bootstrap file is valid");
     // These routers have no discovery feed, so the list must not become stale.
     bootstrap.config.policy.list_valid_for = f64::INFINITY;
     PlatformRouter::new(&bootstrap)
@@ -75,14 +78,14 @@
         last_attempt_at: now,
         worker_connections: Vec::new(),
     };
-    state.dispatcher.submit(now, incoming, context).expect("there is room")
+    state.dispatcher.submit(now, incoming, context).expect("the dispatcher has room")
 }
 
 /// Whether a call is answered or no worker ever answers, the client gets its final response in time, and without open
 /// requests the dispatcher has no deadline. An idle router is then woken only by its periodic cleanup and by
 /// discovery heartbeats.
 #[test_case(true; "answered")]
-#[test_case(false; "by nobody")]
+#[test_case(false; "unanswered")]
 fn idle_router_sets_no_timer(answered: bool) {
     let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 9))]);
     let mut state = router.borrow_mut();
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -7,7 +7,7 @@
 #[test_case(0.5, 0.75, 1.05; "500 ms")]
 #[test_case(1.0, 0.75, 1.55; "1 s")]
 #[test_case(3.0, 0.75, 3.55; "3 s")]
-#[test_case(10.0, 0.75, 3.55; "10 s, which count for 3")]
+#[test_case(10.0, 0.75, 3.55; "10 s, counted as 3 s")]
 fn shutdown_schedule_follows_the_longest_deadline(deadline: f64, admits: f64, answers: f64) {
     let mut shutdown = Shutdown::new(deadline);
     assert!(!shutdown.begun() && !shutdown.admission_over(99.0) && !shutdown.exit_due(99.0));
--- a/crates/platform-router/src/socket_errors/tests.rs
+++ b/crates/platform-router/src/socket_errors/tests.rs
@@ -33,7 +33,7 @@
 /// Parses the rows of the page's table of worker connection errors.
 fn rows() -> Vec<Row> {
     let lines = DESIGN_PAGE.lines().filter(|line| line.starts_with("| `"));
-    lines.map(|line| row(line).unwrap_or_else(|| panic!("not understood: {line}"))).collect()
+    lines.map(|line| row(line).unwrap_or_else(|| panic!("invalid row: {line}"))).collect()
 }
 
 fn row(line: &str) -> Option<Row> {
@@ -70,7 +70,7 @@
         for errno in TESTED_ERRNOS {
             let name = format!("{errno:?}");
             let row = rows.iter().find(|row| row.operation == operation && row.errno == name);
-            let row = row.unwrap_or_else(|| panic!("no line for {operation:?} {name}"));
+            let row = row.unwrap_or_else(|| panic!("no row for {operation:?} {name}"));
             let fault = classify(operation, &io::Error::from_raw_os_error(errno as i32));
             assert_eq!((fault.origin, fault.recovery), (row.origin, row.recovery), "{operation:?} {name}");
             let partial = outcome(fault.origin, false);
@@ -84,7 +84,7 @@
             assert_eq!(never_ran, row.never_ran, "{operation:?} {name}");
         }
     }
-    assert_eq!(rows.len(), 3 * TESTED_ERRNOS.len(), "a line that no error stands for");
+    assert_eq!(rows.len(), 3 * TESTED_ERRNOS.len(), "a row matches no tested error");
 }
 
 /// Local errors result in outcomes that the policy does not count against the worker.
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -213,7 +213,7 @@
         let mut distinct = received.clone();
         distinct.sort_unstable();
         distinct.dedup();
-        assert_eq!(distinct.len(), received.len(), "{case}: a call that may run once was sent twice");
+        assert_eq!(distinct.len(), received.len(), "{case}: a call that may run only once was sent twice");
         // A rejected call never ran; one that reached the worker succeeded or failed.
         let may_have_run = counters.succeeded + counters.failed;
         assert!(received.len() as u64 <= may_have_run, "{case}: {counters:?}, {}", received.len());
@@ -334,7 +334,7 @@
 }
 
 /// Reads and writes are limited to one or a few bytes per call, and one of them fails.
-#[test_case(1; "a byte at a time")]
+#[test_case(1; "one byte at a time")]
 #[test_case(7; "seven bytes at a time")]
 fn requests_survive_short_reads_and_writes(max_bytes_per_call: usize) {
     run_local(async move {
--- a/crates/platform-router/src/worker_connections/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -73,7 +73,7 @@
         router.borrow_mut().flush_worker(slot);
         let mut head = [0; 16];
         worker.read_exact(&mut head).unwrap();
-        assert_eq!((head[1], head[15]), (2, 6), "the one that was not cancelled");
+        assert_eq!((head[1], head[15]), (2, 6), "only the attempt that was not cancelled is sent");
         let state = router.borrow();
         let connection = &state.worker_connections[slot];
         assert_eq!((connection.queue.len(), connection.outstanding.len()), (0, 1));
@@ -83,14 +83,14 @@
 
 /// Guards against counting a local fault against the worker: when descriptors ran out, every worker that the router
 /// tried to connect to counted as unreachable.
-#[test_case(Errno::EMFILE, true; "no descriptor")]
-#[test_case(Errno::ENFILE, true; "none on the whole system")]
-#[test_case(Errno::EADDRNOTAVAIL, true; "no port")]
+#[test_case(Errno::EMFILE, true; "process limit on descriptors")]
+#[test_case(Errno::ENFILE, true; "system limit on descriptors")]
+#[test_case(Errno::EADDRNOTAVAIL, true; "no free port")]
 #[test_case(Errno::ENETUNREACH, true; "no route")]
-#[test_case(Errno::ECONNABORTED, true; "aborted here")]
-#[test_case(Errno::EAGAIN, true; "no entry free")]
+#[test_case(Errno::ECONNABORTED, true; "aborted by this host")]
+#[test_case(Errno::EAGAIN, true; "no free routing entry")]
 #[test_case(Errno::ECONNREFUSED, false; "refused")]
-#[test_case(Errno::EHOSTUNREACH, false; "no way there")]
+#[test_case(Errno::EHOSTUNREACH, false; "host unreachable")]
 fn local_connect_error_is_not_attributed_to_the_worker(errno: Errno, is_local: bool) {
     let fault = socket_errors::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
     assert_eq!(fault.origin == FaultOrigin::Local, is_local);
--- a/crates/platform-router/tests/slow_start.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -12,13 +12,13 @@
 #[test_case(48; "four dozen")]
 fn slow_start_bound_holds_with_dozens_of_routers(routers: usize) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
-    let mut scenario = scenario_file::open(&file).expect("a sound day");
+    let mut scenario = scenario_file::open(&file).expect("the scenario file is valid");
     (scenario.gateways, scenario.seconds) = (routers, 20.0);
     (scenario.faults[0].fraction, scenario.traffic.rate) = (0.9, 460.0);
     for seed in 1..=2 {
         let SlowStartReport { of_bound, attempts, .. } =
             slow_start_report(&scenario, &play(&scenario, seed).records);
-        assert!(attempts > 100, "seed {seed}: {attempts} attempts at workers in slow start");
-        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a worker in slow start may be sent");
+        assert!(attempts > 100, "seed {seed}: only {attempts} attempts to workers in slow start");
+        assert!(of_bound <= 1.0, "seed {seed}: a worker in slow start got {of_bound:.2} times its limit");
     }
 }
