--- a/crates/platform-router/src/client_connections/close.rs
+++ b/crates/platform-router/src/client_connections/close.rs
@@ -22,7 +22,7 @@
     #[error("the client closed the connection")]
     ClosedByClient,
     /// A read, write or shutdown of the socket failed.
-    #[error("the connection broke: {0}")]
+    #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
     /// No valid line was received in time, or a line was not completed in time.
     #[error("the client was silent for too long")]
@@ -34,10 +34,10 @@
     #[error("the client sent an invalid line")]
     InvalidLine,
     /// The connection was idle and its slot was needed for another one.
-    #[error("idle while another connection needs its place")]
+    #[error("evicted while idle, to make room for another connection")]
     Evicted,
     /// The connection was an idle overflow connection and its slot was needed for another one.
-    #[error("idle beyond the limit while another connection needs its place")]
+    #[error("evicted while idle beyond the limit, to make room for another connection")]
     EvictedOverflow,
     /// The write side was shut down and the linger time has passed.
     #[error("the connection was closed gracefully")]
@@ -53,7 +53,7 @@
             %reason,
             open_calls = client.open_calls.len(),
             has_sent_message = client.has_sent_message,
-            "closing the connection of a client"
+            "closing a client connection"
         );
         client.wake.notify_one();
         self.cancel_requests(client.open_calls);
--- a/crates/platform-router/src/client_connections/graceful_shutdown.rs
+++ b/crates/platform-router/src/client_connections/graceful_shutdown.rs
@@ -42,7 +42,7 @@
         self.close_lingering(now);
         let (open_requests, connections) = (self.dispatcher.open_requests(), self.clients.len());
         if self.shutdown.exit_due(now) {
-            tracing::info!(open_requests, connections, "exiting: SIGKILL may come soon");
+            tracing::info!(open_requests, connections, "exiting before the earliest SIGKILL");
             return true;
         }
         acceptor.is_none() && open_requests == 0 && connections == 0
--- a/crates/platform-router/src/discovery_feed.rs
+++ b/crates/platform-router/src/discovery_feed.rs
@@ -12,17 +12,17 @@
 pub(crate) enum StreamEnd {
     #[error("could not connect: {0}")]
     ConnectFailed(#[source] io::Error),
-    #[error("no connection in time")]
+    #[error("connecting timed out")]
     ConnectTimeout,
     #[error("could not subscribe: {0}")]
     SubscribeFailed(#[source] io::Error),
-    #[error("could not subscribe in time")]
+    #[error("subscribing timed out")]
     SubscribeTimeout,
     #[error("the stream was closed")]
     Closed,
-    #[error("the stream broke: {0}")]
+    #[error("could not read the stream: {0}")]
     ReadFailed(#[source] io::Error),
-    #[error("no line came in time")]
+    #[error("no line was received in time")]
     Silent,
     #[error("events after {after} are missing")]
     MissingEvents { after: u64 },
@@ -30,7 +30,7 @@
     InvalidLine(#[from] InputError),
     #[error("a line is too long")]
     LineTooLong,
-    #[error("the file names another address")]
+    #[error("the discovery address was changed")]
     AddressChanged,
 }
 
--- a/crates/platform-router/src/run.rs
+++ b/crates/platform-router/src/run.rs
@@ -104,7 +104,7 @@
         %address,
         descriptors = bootstrap.descriptors,
         last_event = bootstrap.last_event,
-        "the router listens"
+        "listening for clients"
     );
     let (discovery_address, followed_address) = watch::channel(bootstrap.discovery);
     spawn_local(watch_discovery(router.clone(), followed_address));
@@ -151,7 +151,7 @@
 }
 
 fn begin_shutdown(router: &SharedRouter) {
-    tracing::info!("received SIGTERM: admitting what was sent before, answering what was admitted");
+    tracing::info!("received SIGTERM: admitting calls already sent, then answering open calls");
     let mut router = router.borrow_mut();
     let now = router.now();
     let earliest_signal = router.liveness.earliest_signal(now);
--- a/crates/platform-router/src/worker_connections/close.rs
+++ b/crates/platform-router/src/worker_connections/close.rs
@@ -41,7 +41,7 @@
         }
         let Some(connection) = self.remove_worker_connection(slot) else { return };
         let WorkerConnection { worker, bytes_written, outstanding, queue, .. } = connection;
-        tracing::debug!(worker, %error, outstanding = outstanding.len(), "a connection to a worker broke");
+        tracing::debug!(worker, %error, outstanding = outstanding.len(), "lost a connection to a worker");
         for frame in outstanding {
             let outcome = socket_errors::outcome(error.origin(), bytes_written >= frame.end_offset);
             self.report_no_response(worker, frame.awaited, outcome);
--- a/crates/platform-router/src/worker_connections/error.rs
+++ b/crates/platform-router/src/worker_connections/error.rs
@@ -22,10 +22,10 @@
     #[error("the worker sent an invalid frame: {0}")]
     InvalidFrame(#[from] InputError),
     /// A health check got the response of an attempt or the other way around.
-    #[error("the worker's response is of another kind than the frame it answers")]
+    #[error("the type of the worker's response does not match the frame it answers")]
     UnexpectedResponse,
     /// The memory budget is exhausted.
-    #[error("no memory is left for the worker's response")]
+    #[error("the memory budget is exhausted, with part of a worker's response received")]
     NoMemory,
 }
 
