--- a/crates/platform-router/src/client_connections/requests.rs
+++ b/crates/platform-router/src/client_connections/requests.rs
@@ -7,9 +7,9 @@
 /// Seconds before the client's deadline at which the final response is sent. Covers the delay on a busy host from the
 /// client's write to the router's read, and back.
 pub(crate) const RESPONSE_MARGIN: f64 = 0.015;
-/// Seconds deducted from the estimated time that a call was unread. The deadline that is forwarded may exceed the
-/// client's remaining time by 0.15 s. The deduction limits the error for a call that arrived at the end of a process
-/// pause, or in an apparent pause on a busy host.
+/// Seconds deducted from the estimated time that a call was unread. The forwarded deadline is allowed to exceed the
+/// client's remaining time by 0.15 s. The deduction reduces the time lost by a call that arrived at the end of a
+/// process pause, or in an apparent pause on a busy host.
 const UNREAD_SLACK: f64 = 0.1;
 
 impl PlatformRouter {
--- a/crates/platform-router/src/connection_limits.rs
+++ b/crates/platform-router/src/connection_limits.rs
@@ -7,8 +7,8 @@
 /// Fraction of the remaining descriptors for clients. The platform's own connections take at most a third of all, and
 /// the other clients need a connection to be answered on.
 const CLIENT_FRACTION: f64 = 0.55;
-/// Attempts on one connection from which on another connection is opened. A connection that fails takes all of its
-/// attempts with it, but every new connection costs the worker a handshake.
+/// Number of attempts on one connection at which another connection is opened. A connection that fails takes all of
+/// its attempts with it, but every new connection costs the worker a handshake.
 const PREFERRED_MAX_ATTEMPTS: usize = 4;
 /// Seconds that a client may stay connected without sending a complete line. The platform requires such connections
 /// to be closed within 3 s.
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -80,8 +80,9 @@
     });
 }
 
-/// A worker that joins after ten heartbeats without it counts as no older than its event, even if its clock was
-/// stepped. A clock that was an hour behind used to disable slow start, and one an hour ahead extended it by an hour.
+/// A worker that joins after ten heartbeats without it counts as no older than its event, even if its start time was
+/// read from a stepped clock. A clock that was an hour behind used to disable slow start, and one an hour ahead
+/// extended it by an hour.
 #[test_case(-3600.0; "an hour behind")]
 #[test_case(-3.0; "three seconds behind")]
 #[test_case(3.0; "three seconds ahead")]
--- a/crates/platform-router/src/platform_router.rs
+++ b/crates/platform-router/src/platform_router.rs
@@ -87,7 +87,7 @@
     pub load_reports: bool,
     /// Whether workers are notified when an attempt is cancelled.
     pub sends_cancels: bool,
-    /// The longest Retry-After in seconds, sent with rejections for lack of room.
+    /// The longest Retry-After in seconds, sent with rejections that the dispatcher does not decide.
     pub retry_after: Option<f64>,
     /// Shared read buffer, taken and restored within one read.
     pub read_buffer: Vec<u8>,
--- a/crates/platform-router/src/shutdown.rs
+++ b/crates/platform-router/src/shutdown.rs
@@ -6,8 +6,8 @@
 
 use std::cell::Cell;
 
-/// Seconds after SIGTERM during which clients may still connect and send calls. The platform sends nothing after 0.6
-/// s; the rest covers late delivery and reading on a busy host.
+/// Seconds after SIGTERM during which clients may still connect and send calls. The platform sends nothing after
+/// 0.6 s; the rest covers late delivery and reading on a busy host.
 const ADMISSION_SECONDS: f64 = 0.75;
 /// SIGKILL comes no sooner after SIGTERM than the longest deadline plus this many seconds.
 const KILL_DELAY: f64 = 0.7;
