--- a/crates/platform-router/src/client_connections/tests.rs
+++ b/crates/platform-router/src/client_connections/tests.rs
@@ -6,7 +6,7 @@
 use test_case::test_case;
 use tokio::net::TcpListener;
 
-/// A client that was accepted, and its slot.
+/// Connects a client and returns it with its slot.
 async fn connect_client(router: &SharedRouter) -> (std::net::TcpStream, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -19,7 +19,7 @@
     (client, slot)
 }
 
-/// Sends bytes now, and waits until the router has read them.
+/// Sends bytes and waits until the router has read them.
 async fn send_and_wait_until_read(
     router: &SharedRouter,
     (client, slot): &mut (std::net::TcpStream, usize),
@@ -33,8 +33,8 @@
     }
 }
 
-/// Sends a text a byte at a time, evenly over some seconds. Where the connection was closed before the end: after how
-/// many seconds.
+/// Sends a text one byte at a time, evenly over a number of seconds. If the connection is closed before the end,
+/// returns after how many seconds.
 async fn send_byte_by_byte(
     router: &SharedRouter,
     to: &mut (std::net::TcpStream, usize),
@@ -61,16 +61,16 @@
     r#""d":1500,"o":"7f3a9c21e0b4d655"}}"#
 );
 
-/// A call comes a byte at a time, over as long as its client would wait for a response: it is accepted, and its time
-/// counts from its last byte. The connection used to be closed after 2 s.
-#[test_case(true, 2.9; "from a known client")]
-#[test_case(false, 2.4; "as the first of its client")]
-fn call_received_byte_by_byte_is_accepted(known: bool, seconds: f64) {
+/// A call that arrives one byte at a time, over as long as its client would wait for a response, is accepted, and its
+/// deadline counts from its last byte. The connection used to be closed after 2 s.
+#[test_case(true, 2.9; "on an established connection")]
+#[test_case(false, 2.4; "as the first line of a connection")]
+fn call_received_byte_by_byte_is_accepted(established: bool, seconds: f64) {
     run_local(async move {
         tokio::time::pause();
         let router = router_with_workers(&[]);
         let mut client = connect_client(&router).await;
-        if known {
+        if established {
             send_and_wait_until_read(&router, &mut client, PROBE).await;
             tokio::time::advance(Duration::from_secs(60)).await;
         }
@@ -80,35 +80,40 @@
         send_and_wait_until_read(&router, &mut client, b"\n").await;
         let mut state = router.borrow_mut();
         let [OpenCall { number: 2, request }] = state.clients[client.1].open_calls[..] else {
-            panic!("one open call")
+            panic!("expected one open call")
         };
         let now = state.now();
         assert_eq!(state.dispatcher.context(request).unwrap().received_at, now);
     });
 }
 
-/// A connection on which a line never ends is closed in time, however the bytes come: within 3 s where no valid line
-/// ever came. Empty lines used to hold a connection open for good.
-#[test_case(false, &CALL.repeat(3), 2.5; "the first line")]
-#[test_case(true, &CALL.repeat(3), 3.0; "a later line")]
+/// A connection with a line that is never completed is closed in time, no matter how the bytes arrive: within 3 s if
+/// it has sent no valid line. Empty lines used to keep a connection open forever.
+#[test_case(false, &CALL.repeat(3), 2.5; "first line")]
+#[test_case(true, &CALL.repeat(3), 3.0; "later line")]
 #[test_case(false, &"\n".repeat(99), 2.0; "empty lines")]
-#[test_case(false, &" \n".repeat(99), 2.0; "lines of a space")]
-fn line_that_never_ends_is_closed_in_time(known: bool, text: &str, closed: f64) {
+#[test_case(false, &" \n".repeat(99), 2.0; "lines of one space")]
+fn connection_with_an_incomplete_line_is_closed_in_time(
+    established: bool,
+    text: &str,
+    expected_seconds: f64,
+) {
     let text = text.to_owned();
     run_local(async move {
         tokio::time::pause();
         let router = router_with_workers(&[]);
         let mut client = connect_client(&router).await;
-        if known {
+        if established {
             send_and_wait_until_read(&router, &mut client, PROBE).await;
         }
-        let after = send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("it is closed");
-        assert!(after >= closed && after < closed + 0.2, "{after}");
+        let seconds =
+            send_byte_by_byte(&router, &mut client, &text, 9.0).await.expect("the connection is closed");
+        assert!(seconds >= expected_seconds && seconds < expected_seconds + 0.2, "{seconds}");
     });
 }
 
-/// A place is needed: a client amid a call stays, and one is closed that has been idle for less time than that call
-/// takes.
+/// At the connection limit, a client that has sent part of a call stays, and one that is idle is evicted even though
+/// it has been idle for less time than the call takes to arrive.
 #[test]
 fn client_with_a_partial_call_is_not_evicted() {
     run_local(async {
@@ -133,10 +138,10 @@
     });
 }
 
-/// After an invalid line a client goes on sending and reads nothing: it is closed in time. While bytes of it lay unread,
-/// which are not read any more, it was taken for one about to call, and kept for good.
+/// A client that keeps sending after an invalid line and reads nothing is closed in time. Its unread bytes used to
+/// count as a pending call, although they are no longer read, which kept the connection open forever.
 #[test]
-fn invalid_client_is_closed_however_much_it_sends() {
+fn client_that_keeps_sending_after_an_invalid_line_is_closed() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut invalid_client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/crates/platform-router/src/discovery_watch.rs
+++ b/crates/platform-router/src/discovery_watch.rs
@@ -1,5 +1,6 @@
-//! Follows the platform's list of workers: each event once and in order, whatever breaks. A gap, an invalid line, a
-//! broken connection or a silence longer than the heartbeat explains leads to a new subscription after the last event.
+//! Watches the platform's list of workers and applies each event exactly once and in order. A gap, an invalid line, a
+//! broken connection or a silence that exceeds the heartbeat interval leads to a new subscription after the last
+//! applied event.
 
 mod receive;
 mod shared_stream;
@@ -16,28 +17,28 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::watch;
 
-/// The platform ends a line every second; past this the stream has fallen silent, whatever pieces of a line come. Well
-/// within the 4 s after which an event counts as known to the router.
+/// Time without a complete line after which the stream counts as silent, even if parts of a line arrive. The platform
+/// completes a line every second. Well below the 4 s after which the router is expected to know an event.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Bytes that are read at a time.
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 8 << 10;
-/// Time for a connection to be made, and for the subscription to be written on it.
+/// Timeout for connecting, and for writing the subscription.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before an interrupted write is repeated; doubled each time, so that it is repeated nine times at most within the
-/// time for the subscription.
-const INTERRUPTION_PAUSE: Duration = Duration::from_millis(1);
-/// Pause before the second attempt, doubled from one to the next.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause between two attempts.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// Time to read what the last address has sent already, when the file names another: a drain among it must not wait
-/// until the next address answers.
-const FINAL_READ: Duration = Duration::from_millis(20);
+/// Pause before an interrupted write is retried. It is doubled each time, so that there are at most nine retries
+/// before the subscription times out.
+const INITIAL_INTERRUPT_PAUSE: Duration = Duration::from_millis(1);
+/// Pause before the second attempt to subscribe; doubled after each further one.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Upper bound of the pause between two attempts.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// Time to read what the previous address has already sent when the file names a different one. A drain event must
+/// not wait until the new address answers.
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Follows the list for as long as the router runs, from the event after the last one that is known. `address` changes
-/// when the file names another.
+/// Watches the list for the lifetime of the router, starting after the last known event. `address` changes when a
+/// reload of the file changes the discovery address.
 pub(crate) async fn watch_discovery(router: SharedRouter, mut address: watch::Receiver<SocketAddr>) {
-    let mut pause = SHORTEST_PAUSE;
+    let mut pause = MIN_RETRY_PAUSE;
     loop {
         let current = *address.borrow_and_update();
         let before = router.borrow().discovery.last_event;
@@ -45,7 +46,7 @@
         let end = tokio::select! {
             result = &mut stream => result,
             _ = address.changed() => {
-                let _ = tokio::time::timeout(FINAL_READ, &mut stream).await;
+                let _ = tokio::time::timeout(FINAL_READ_TIMEOUT, &mut stream).await;
                 Err(StreamEnd::AddressChanged)
             }
         };
@@ -55,10 +56,10 @@
         let last_event = router.borrow().discovery.last_event;
         tracing::info!(address = %current, last_event, %reason, "subscribing to discovery again");
         if matches!(reason, StreamEnd::AddressChanged) {
-            pause = SHORTEST_PAUSE;
+            pause = MIN_RETRY_PAUSE;
             continue;
         }
-        pause = if last_event > before { SHORTEST_PAUSE } else { (2 * pause).min(LONGEST_PAUSE) };
+        pause = if last_event > before { MIN_RETRY_PAUSE } else { (2 * pause).min(MAX_RETRY_PAUSE) };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             _ = address.changed() => {}
@@ -66,19 +67,20 @@
     }
 }
 
-/// Connects and follows one stream until it ends.
+/// Connects and reads one stream until it ends.
 async fn follow_stream(router: &SharedRouter, address: SocketAddr) -> Result<Infallible, StreamEnd> {
     let sockets = router.borrow().sockets.clone();
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, sockets.connect(address)).await;
-    let stream = Rc::new(connected.map_err(|_| StreamEnd::ConnectTimeout)?.map_err(StreamEnd::Connect)?);
+    let stream =
+        Rc::new(connected.map_err(|_| StreamEnd::ConnectTimeout)?.map_err(StreamEnd::ConnectFailed)?);
     router.borrow_mut().discovery.attach(stream.clone());
     read_events(router, SharedStream(stream)).await
 }
 
-/// Writes all bytes. Interrupted writes are repeated after pauses: the runtime's own `write_all` repeats them at once, for
+/// Writes all bytes, retrying interrupted writes after pauses. Tokio's `write_all` would retry them immediately for
 /// as long as they are interrupted.
-async fn write_patiently(stream: &mut (impl AsyncWrite + Unpin), mut bytes: &[u8]) -> io::Result<()> {
-    let mut pause = INTERRUPTION_PAUSE;
+async fn write_all_with_backoff(stream: &mut (impl AsyncWrite + Unpin), mut bytes: &[u8]) -> io::Result<()> {
+    let mut pause = INITIAL_INTERRUPT_PAUSE;
     while !bytes.is_empty() {
         match stream.write(bytes).await {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
@@ -93,35 +95,36 @@
     Ok(())
 }
 
-/// Subscribes to the events after the last one that is known, and applies them until the stream ends.
+/// Subscribes to the events after the last known one and applies them until the stream ends.
 async fn read_events(
     router: &SharedRouter,
     mut stream: impl AsyncRead + AsyncWrite + Unpin,
 ) -> Result<Infallible, StreamEnd> {
-    let (subscription, read_elsewhere) = {
+    let (subscription, read_outside_task) = {
         let mut router = router.borrow_mut();
         let now = router.now();
         router.discovery.open(now);
-        (events::subscribe_after(router.discovery.last_event), router.discovery.read_elsewhere.clone())
+        (events::subscribe_after(router.discovery.last_event), router.discovery.read_outside_task.clone())
     };
     let written =
-        tokio::time::timeout(CONNECT_TIMEOUT, write_patiently(&mut stream, subscription.as_bytes())).await;
-    written.map_err(|_| StreamEnd::SubscribeTimeout)?.map_err(StreamEnd::Subscribe)?;
+        tokio::time::timeout(CONNECT_TIMEOUT, write_all_with_backoff(&mut stream, subscription.as_bytes()))
+            .await;
+    written.map_err(|_| StreamEnd::SubscribeTimeout)?.map_err(StreamEnd::SubscribeFailed)?;
     let mut bytes = Vec::with_capacity(READ_SIZE);
     loop {
         let silent_at = router.borrow().discovery.last_line_at + SILENCE_TIMEOUT;
         bytes.clear();
         tokio::select! {
             read = tokio::time::timeout_at(silent_at, stream.read_buf(&mut bytes)) => {
-                if read.map_err(|_| StreamEnd::Silent)?.map_err(StreamEnd::Broken)? == 0 {
+                if read.map_err(|_| StreamEnd::Silent)?.map_err(StreamEnd::ReadFailed)? == 0 {
                     return Err(StreamEnd::Closed);
                 }
             }
-            () = read_elsewhere.notified() => {}
+            () = read_outside_task.notified() => {}
         }
         let mut router = router.borrow_mut();
         let received = router.receive_from_discovery(&bytes);
-        router.look_at_discovery();
+        router.peek_discovery();
         router.run_actions();
         received?;
         if let Some(end) = router.discovery.take_end() {
--- a/crates/platform-router/src/discovery_watch/tests.rs
+++ b/crates/platform-router/src/discovery_watch/tests.rs
@@ -2,7 +2,7 @@
 use crate::platform_router::tests::{router_with_workers, run_local};
 use crate::socket_errors::Operation;
 use crate::sockets::tests::{
-    CONNECT as CONNECT_ERRORS, FaultDuration, FaultySockets, LONG_FAULT, SHORT_FAULT, TRANSFER,
+    CONNECT_ERRORS, FaultDuration, FaultySockets, LONG_FAULT, SHORT_FAULT, TRANSFER_ERRORS,
 };
 use milletpath_process_environment::wall_clock::unix_time;
 use nix::errno::Errno;
@@ -22,11 +22,11 @@
     format!(r#"{{"no":{number},"roster":{{"complete":false,"members":[{worker}]}}}}"#) + "\n"
 }
 
-/// A stream has lasted for hours, with a heartbeat a second and an event every ten minutes, when it falls silent: it is
-/// given up as soon as a new one would be, with all its events applied.
+/// A stream that falls silent after hours of heartbeats and events is closed as soon as a new stream would be, and
+/// all of its events are applied.
 #[test_case(""; "between two lines")]
-#[test_case("{\"no\":"; "amid a line")]
-fn silent_discovery_stream_is_given_up_after_hours_of_heartbeats(rest: &'static str) {
+#[test_case("{\"no\":"; "within a line")]
+fn silent_discovery_stream_is_closed_after_hours_of_heartbeats(rest: &'static str) {
     run_local(async move {
         tokio::time::pause();
         let router = router_with_workers(&[]);
@@ -46,16 +46,17 @@
         }
         assert!(!reader.is_finished());
         theirs.write_all(rest.as_bytes()).await.unwrap();
-        let stops = Instant::now();
-        let (reason, heard, at) = reader.await.unwrap();
+        let silent_from = Instant::now();
+        let (reason, last_event, at) = reader.await.unwrap();
         assert!(matches!(reason, StreamEnd::Silent), "{reason}");
-        assert_eq!(heard, last);
-        assert!(at - stops <= SILENCE_TIMEOUT);
+        assert_eq!(last_event, last);
+        assert!(at - silent_from <= SILENCE_TIMEOUT);
     });
 }
 
-/// An event of the old address lies unread when the file names another, which does not answer yet: it is applied first.
-/// It used to be dropped with its stream, and a worker that was gone got attempts until the new address answered.
+/// When the discovery address changes, unread events of the previous address are applied before the new address
+/// answers. They used to be dropped with the stream, and a worker that had left got attempts until the new address
+/// answered.
 #[test]
 fn unread_events_are_applied_before_the_discovery_address_changes() {
     run_local(async {
@@ -69,7 +70,7 @@
         stream.read_exact(&mut subscription).await.unwrap();
         assert_eq!(&subscription, b"after 1\n");
         stream.writable().await.unwrap();
-        // Nothing waits between the two: the router learns of both in one turn.
+        // There is no await in between, so the router sees both at the same time.
         stream.try_write(event(2, "left").as_bytes()).unwrap();
         discovery_address.send(new.local_addr().unwrap()).unwrap();
         let (mut stream, _) = new.accept().await.unwrap();
@@ -79,8 +80,9 @@
     });
 }
 
-/// A worker joins after ten heartbeats without it, by a clock that was stepped: it is as old as its event at most. With
-/// a clock an hour behind it got no slow start, with one an hour ahead an hour of it.
+/// A worker that joins after ten heartbeats without it counts as no older than its event, even if its start time was
+/// read from a stepped clock. A clock that was an hour behind used to disable slow start, and one an hour ahead
+/// extended it by an hour.
 #[test_case(-3600.0; "an hour behind")]
 #[test_case(-3.0; "three seconds behind")]
 #[test_case(3.0; "three seconds ahead")]
@@ -101,7 +103,7 @@
         theirs.write_all(event.as_bytes()).await.unwrap();
         tokio::time::sleep(Duration::from_millis(1)).await;
         let state = router.borrow();
-        let started = state.dispatcher.started(0).expect("a start");
+        let started = state.dispatcher.started(0).expect("the worker has a start time");
         assert!(
             (state.now() - 1.1..=state.now()).contains(&started),
             "started at {started:.1}, now it is {:.1}",
@@ -109,40 +111,41 @@
         );
     });
 }
-/// No connection to the discovery address can be made, for a local reason or another: it is tried again, with pauses,
-/// and events are applied once it can.
+/// If the connection to the discovery address fails, for a local or a remote reason, it is retried with pauses, and
+/// events are applied once it succeeds.
 #[test_case(FaultDuration::Once; "once")]
 #[test_case(SHORT_FAULT; "for 100 ms")]
 #[test_case(LONG_FAULT; "for 2 s")]
 fn discovery_connection_is_retried_until_it_succeeds(duration: FaultDuration) {
     run_local(async move {
-        let scenarios =
-            CONNECT_ERRORS.iter().map(|&errno| spawn_local(retries_until_discovery_answers(errno, duration)));
+        let scenarios = CONNECT_ERRORS
+            .iter()
+            .map(|&errno| spawn_local(check_retries_until_discovery_answers(errno, duration)));
         for scenario in scenarios.collect::<Vec<_>>() {
             scenario.await.unwrap();
         }
     });
 }
 
-async fn retries_until_discovery_answers(errno: Errno, duration: FaultDuration) {
+async fn check_retries_until_discovery_answers(errno: Errno, duration: FaultDuration) {
     let sockets = FaultySockets::new(Operation::Connect, errno, duration, usize::MAX);
     sockets.armed.set(true);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
     router.borrow_mut().sockets = sockets.clone();
-    let (_moved, address) = watch::channel(listener.local_addr().unwrap());
+    let (_address_sender, address) = watch::channel(listener.local_addr().unwrap());
     spawn_local(watch_discovery(router.clone(), address));
     let (mut stream, _) = listener.accept().await.unwrap();
     stream.write_all(event(2, "left").as_bytes()).await.unwrap();
     while !router.borrow().dispatcher.workers().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    // Pauses of 50, 100, 200 and then 400 ms.
+    // Retries after 50, 100, 200 and then every 400 ms.
     let failures = sockets.failures.get();
     assert!((1..=8).contains(&failures), "{errno:?}: {failures}");
 }
 
-/// A stream of which the first write fails, or the read after all that was sent.
+/// A stream whose first write fails, or whose reads fail once all data was read.
 struct FailingStream {
     stream: DuplexStream,
     operation: Operation,
@@ -181,19 +184,19 @@
     }
 }
 
-/// A read fails after an event and half of another, or the subscription can't be written: the stream is given up with
-/// whole events applied, so that the half event is subscribed to again.
+/// After a failed read or write the stream is closed with only complete events applied, so that an incomplete event
+/// is subscribed to again.
 #[test]
 fn complete_events_survive_a_failed_read_or_write() {
     run_local(async {
-        for &errno in TRANSFER {
+        for &errno in TRANSFER_ERRORS {
             let router = router_with_workers(&[SocketAddr::from(([127, 0, 0, 1], 1))]);
             let (ours, mut theirs) = tokio::io::duplex(4 << 10);
             let sent = event(2, "left") + &event(3, "active")[..30];
             theirs.write_all(sent.as_bytes()).await.unwrap();
             let reads = FailingStream { stream: ours, operation: Operation::Read, errno, written: false };
             let Err(reason) = read_events(&router, reads).await;
-            let StreamEnd::Broken(error) = reason else { panic!("{errno:?}: {reason}") };
+            let StreamEnd::ReadFailed(error) = reason else { panic!("{errno:?}: {reason}") };
             assert_eq!(error.raw_os_error(), Some(errno as i32));
             assert_eq!(router.borrow().discovery.last_event, 2, "{errno:?}");
             assert_eq!(router.borrow().dispatcher.workers().len(), 0, "{errno:?}");
@@ -202,10 +205,10 @@
             theirs.shutdown().await.unwrap();
             let writes = FailingStream { stream: ours, operation: Operation::Write, errno, written: false };
             let Err(reason) = read_events(&router, writes).await;
-            // Written again after an interruption.
+            // An interrupted write is retried.
             match reason {
                 StreamEnd::Closed if errno == Errno::EINTR => {}
-                StreamEnd::Subscribe(error) if errno != Errno::EINTR => {
+                StreamEnd::SubscribeFailed(error) if errno != Errno::EINTR => {
                     assert_eq!(error.raw_os_error(), Some(errno as i32));
                 }
                 other => panic!("{errno:?}: {other}"),
@@ -215,7 +218,7 @@
     });
 }
 
-/// A stream of which every write is interrupted.
+/// A stream on which every write is interrupted.
 struct InterruptedStream {
     stream: DuplexStream,
     writes: Rc<Cell<usize>>,
@@ -234,7 +237,7 @@
 impl AsyncWrite for InterruptedStream {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, _: &[u8]) -> Poll<io::Result<usize>> {
         self.writes.set(self.writes.get() + 1);
-        assert!(self.writes.get() < 1000, "it spins");
+        assert!(self.writes.get() < 1000, "interrupted writes are retried without a pause");
         Poll::Ready(Err(io::ErrorKind::Interrupted.into()))
     }
 
@@ -247,10 +250,10 @@
     }
 }
 
-/// Each write of the subscription is interrupted: it is repeated with pauses, a bounded number of times, and the
-/// connection given up. It was repeated at once and without end, and nothing else ran meanwhile.
+/// A subscription whose writes are all interrupted is retried with pauses, a bounded number of times, and then fails.
+/// It used to be retried immediately and without limit, which blocked all other tasks.
 #[test]
-fn subscription_that_is_always_interrupted_is_given_up() {
+fn subscription_that_is_always_interrupted_times_out() {
     run_local(async {
         tokio::time::pause();
         let router = router_with_workers(&[]);
--- a/crates/platform-router/src/shutdown/tests.rs
+++ b/crates/platform-router/src/shutdown/tests.rs
@@ -1,30 +1,30 @@
 use super::*;
 use test_case::test_case;
 
-/// The admission ends 0.75 s after SIGTERM, or where the kill comes soon with the time for answers.
+/// The admission period ends 0.75 s after SIGTERM, or earlier if the time for answers ends before that.
 #[test_case(0.05, 0.60, 0.60; "50 ms")]
 #[test_case(0.3, 0.75, 0.85; "300 ms")]
 #[test_case(0.5, 0.75, 1.05; "500 ms")]
 #[test_case(1.0, 0.75, 1.55; "1 s")]
 #[test_case(3.0, 0.75, 3.55; "3 s")]
-#[test_case(10.0, 0.75, 3.55; "10 s, which count for 3")]
+#[test_case(10.0, 0.75, 3.55; "10 s, counted as 3 s")]
 fn shutdown_schedule_follows_the_longest_deadline(deadline: f64, admits: f64, answers: f64) {
     let mut shutdown = Shutdown::new(deadline);
     assert!(!shutdown.begun() && !shutdown.admission_over(99.0) && !shutdown.exit_due(99.0));
     assert!(shutdown.time_to_answer(5.0).is_infinite());
     shutdown.begin(10.0, 10.0);
     shutdown.begin(10.5, 10.5);
-    let just = 0.001;
+    let epsilon = 0.001;
     let at = |seconds: f64| 10.0 + seconds;
-    assert!(!shutdown.admission_over(at(admits - just)) && shutdown.admission_over(at(admits + just)));
-    assert!(!shutdown.answers_due(at(answers - just)) && shutdown.answers_due(at(answers + just)));
-    assert!(!shutdown.rejects(at(admits - just)) && shutdown.rejects(at(answers + just)));
+    assert!(!shutdown.admission_over(at(admits - epsilon)) && shutdown.admission_over(at(admits + epsilon)));
+    assert!(!shutdown.answers_due(at(answers - epsilon)) && shutdown.answers_due(at(answers + epsilon)));
+    assert!(!shutdown.rejects(at(admits - epsilon)) && shutdown.rejects(at(answers + epsilon)));
     assert!(!shutdown.exit_due(at(answers + 0.11)) && shutdown.exit_due(at(answers + 0.13)));
     assert!((shutdown.time_to_answer(at(answers - 0.2)) - 0.2).abs() < 1e-9);
     assert_eq!(shutdown.time_to_answer(at(answers + 1.0)), 0.0);
 }
 
-/// What came in time and is read late is admitted where there is time enough to serve it.
+/// A call that arrived in time but is read late is admitted if enough time is left to serve it.
 #[test_case(0.3, true)]
 #[test_case(0.5, true)]
 #[test_case(1.0, false)]
@@ -44,35 +44,36 @@
     assert!(shutdown.rejects(10.8) && shutdown.admission_closed());
 }
 
-/// SIGTERM came during a pause: the kill may come by its beginning, and clients by its end.
+/// If SIGTERM arrives during a process pause, the SIGKILL may be timed from the start of the pause, while clients may
+/// still connect as if it came at the end.
 #[test]
-fn kill_time_counts_from_the_start_of_a_process_stall() {
+fn kill_time_counts_from_the_start_of_a_process_pause() {
     let liveness = Liveness::default();
     for now in [0.2, 0.4, 1.0] {
-        liveness.note(now);
+        liveness.record_activity(now);
     }
-    assert_eq!((liveness.earliest(1.05), liveness.earliest(1.2)), (0.4, 1.2));
+    assert_eq!((liveness.earliest_signal(1.05), liveness.earliest_signal(1.2)), (0.4, 1.2));
     let mut shutdown = Shutdown::new(0.5);
-    shutdown.begin(1.05, liveness.earliest(1.05));
+    shutdown.begin(1.05, liveness.earliest_signal(1.05));
     assert!(!shutdown.answers_due(1.44) && shutdown.admission_over(1.46) && shutdown.exit_due(1.58));
 }
 
-/// Bytes that are read right after a pause may have come at its beginning, where nothing was read since; those that
-/// are read later, or from a socket that was emptied since, came just now.
+/// Bytes read right after a pause may have arrived at its start if the socket was not read since. Bytes that are read
+/// later, or from a socket that was emptied since, count as just received.
 #[test]
-fn bytes_that_are_read_after_a_standstill() {
+fn bytes_read_after_a_process_pause_may_have_come_at_its_start() {
     let liveness = Liveness::default();
     for now in [0.2, 0.4, 1.0] {
-        liveness.note(now);
+        liveness.record_activity(now);
     }
     assert_eq!(liveness.earliest_arrival(1.05, 0.1), 0.4);
     assert_eq!(liveness.earliest_arrival(1.05, f64::NEG_INFINITY), 0.4);
     assert_eq!(liveness.earliest_arrival(1.05, 1.0), 1.05);
     assert_eq!(liveness.earliest_arrival(1.2, 0.1), 0.4);
     assert_eq!(liveness.earliest_arrival(1.3, 0.1), 1.3);
-    // It is paused again as soon as it has resumed.
+    // The process is paused again right after it resumed.
     for now in [1.02, 1.5] {
-        liveness.note(now);
+        liveness.record_activity(now);
     }
     assert_eq!((liveness.earliest_arrival(1.5, 0.1), liveness.earliest_arrival(1.5, 1.01)), (0.4, 1.01));
 }
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -1,5 +1,5 @@
-//! Errors of system calls on connections to workers, put in place of the system's answers while calls go on: once, for
-//! 100 ms and for 2 s. Sockets, timers and the worker are real.
+//! Injects errors into system calls on worker connections while calls are being made: once, for 100 ms and for 2 s.
+//! Sockets, timers and the worker are real.
 
 use super::*;
 use crate::platform_router::SharedRouter;
@@ -17,53 +17,58 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// For a connection to be made: long against the pauses of a busy machine.
-const CONNECT_MICROSECONDS: u64 = 1_000_000;
+/// Connect timeout, long compared with scheduling delays on a busy host.
+const CONNECT_TIMEOUT_MICROSECONDS: u64 = 1_000_000;
 
-/// For how long an operation fails.
+/// How long an operation fails.
 #[derive(Clone, Copy)]
 pub enum FaultDuration {
     Once,
     For(Duration),
 }
 
-/// The system's calls, but that one of them fails for a while, and that reads and writes may be short.
+/// Real system calls, of which one operation fails for a while and reads and writes may be short.
 pub struct FaultySockets {
     operation: Operation,
     errno: Errno,
     duration: FaultDuration,
-    /// When it failed first, set by the first call after `armed`.
-    first: Cell<Option<Instant>>,
+    /// Time of the first failure, which is the first call after `armed` is set.
+    first_failure: Cell<Option<Instant>>,
     pub armed: Cell<bool>,
-    /// How often it failed.
+    /// Number of failures.
     pub failures: Cell<usize>,
-    /// Bytes that one read or write takes at most.
-    at_a_time: usize,
+    /// Maximum number of bytes per read or write.
+    max_bytes_per_call: usize,
 }
 
 impl FaultySockets {
-    pub fn new(operation: Operation, errno: Errno, duration: FaultDuration, at_a_time: usize) -> Rc<Self> {
-        let (first, armed, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
-        Rc::new(Self { operation, errno, duration, first, armed, failures, at_a_time })
+    pub fn new(
+        operation: Operation,
+        errno: Errno,
+        duration: FaultDuration,
+        max_bytes_per_call: usize,
+    ) -> Rc<Self> {
+        let (first_failure, armed, failures) = (Cell::new(None), Cell::new(false), Cell::new(0));
+        Rc::new(Self { operation, errno, duration, first_failure, armed, failures, max_bytes_per_call })
     }
 
     fn duration(&self) -> Duration {
         if let FaultDuration::For(duration) = self.duration { duration } else { Duration::ZERO }
     }
 
-    fn fails(&self, operation: Operation) -> io::Result<()> {
+    fn inject_fault(&self, operation: Operation) -> io::Result<()> {
         if operation != self.operation || !self.armed.get() {
             return Ok(());
         }
-        let fails = match (self.first.get(), self.duration) {
+        let fails = match (self.first_failure.get(), self.duration) {
             (None, _) => true,
             (Some(_), FaultDuration::Once) => false,
-            (Some(first), FaultDuration::For(duration)) => first.elapsed() < duration,
+            (Some(first_failure), FaultDuration::For(duration)) => first_failure.elapsed() < duration,
         };
         if !fails {
             return Ok(());
         }
-        self.first.set(self.first.get().or(Some(Instant::now())));
+        self.first_failure.set(self.first_failure.get().or(Some(Instant::now())));
         self.failures.set(self.failures.get() + 1);
         Err(io::Error::from_raw_os_error(self.errno as i32))
     }
@@ -71,41 +76,41 @@
 
 impl Sockets for FaultySockets {
     fn connect(&self, address: SocketAddr) -> Connecting {
-        match self.fails(Operation::Connect) {
+        match self.inject_fault(Operation::Connect) {
             Ok(()) => SystemSockets.connect(address),
             Err(error) => Box::pin(std::future::ready(Err(error))),
         }
     }
 
     fn read(&self, stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
-        self.fails(Operation::Read)?;
-        let most = into.len().min(self.at_a_time);
-        SystemSockets.read(stream, &mut into[..most])
+        self.inject_fault(Operation::Read)?;
+        let limit = into.len().min(self.max_bytes_per_call);
+        SystemSockets.read(stream, &mut into[..limit])
     }
 
     fn write(&self, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
-        self.fails(Operation::Write)?;
-        SystemSockets.write(stream, &bytes[..bytes.len().min(self.at_a_time)])
+        self.inject_fault(Operation::Write)?;
+        SystemSockets.write(stream, &bytes[..bytes.len().min(self.max_bytes_per_call)])
     }
 }
 
-/// The ids of the calls that a worker has received.
+/// Ids of the attempts that a worker has received.
 type ReceivedIds = Rc<RefCell<Vec<u64>>>;
 
-/// A worker that answers everything at once, and the calls that it received.
-async fn worker() -> (SocketAddr, ReceivedIds) {
+/// Starts a worker that answers everything immediately; returns its address and the ids that it receives.
+async fn spawn_worker() -> (SocketAddr, ReceivedIds) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (address, received_ids) = (listener.local_addr().unwrap(), ReceivedIds::default());
     let all = received_ids.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(serve(stream, all.clone()));
+            spawn_local(serve_worker_connection(stream, all.clone()));
         }
     });
     (address, received_ids)
 }
 
-async fn serve(mut stream: TcpStream, received_ids: ReceivedIds) -> io::Result<()> {
+async fn serve_worker_connection(mut stream: TcpStream, received_ids: ReceivedIds) -> io::Result<()> {
     loop {
         let mut head = [0; HEAD_BYTES];
         stream.read_exact(&mut head).await?;
@@ -126,12 +131,12 @@
     }
 }
 
-/// Between two calls.
+/// Interval between two calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A router whose system calls fail for a while, and a worker that is well.
+/// A router whose system calls fail for a while, and a healthy worker.
 struct Scenario {
-    /// What fails, for messages.
+    /// Description of the fault, for assertion messages.
     case: String,
     sockets: Rc<FaultySockets>,
     router: SharedRouter,
@@ -139,8 +144,8 @@
     calls: u64,
 }
 
-/// Plays calls, one each 20 ms, against a worker that is well. The fault begins with the first call of a router that
-/// has a connection, or none yet; it must hold what it promises whatever fails.
+/// Sends one call every 20 ms to a healthy worker. The fault starts with the first call of a router that is or is not
+/// connected yet. Checks that the guarantees on responses and retries hold under every fault.
 async fn run_scenario(sockets: Rc<FaultySockets>, connected: bool) {
     let mut scenario = Scenario::new(sockets, connected).await;
     if connected {
@@ -156,8 +161,8 @@
 impl Scenario {
     async fn new(sockets: Rc<FaultySockets>, connected: bool) -> Self {
         let case = format!("{:?} {:?}, connected before: {connected}", sockets.operation, sockets.errno);
-        let (address, received_ids) = worker().await;
-        let router = router_with_effect("single_shot", CONNECT_MICROSECONDS, &[address]);
+        let (address, received_ids) = spawn_worker().await;
+        let router = router_with_effect("single_shot", CONNECT_TIMEOUT_MICROSECONDS, &[address]);
         router.borrow_mut().sockets = sockets.clone();
         Self { case, sockets, router, received_ids, calls: 0 }
     }
@@ -183,43 +188,43 @@
         wait_until_answered(&self.router).await;
     }
 
-    /// What failed is over: calls succeed again, at once where it counted against no worker.
+    /// After the fault, calls succeed again; the first one already if the fault did not count against the worker.
     async fn check_recovery(&mut self) {
-        let during = self.counters();
-        let most = if LOCAL.contains(&self.sockets.errno) { 1 } else { 500 };
-        for _ in 0..most {
+        let during_fault = self.counters();
+        let limit = if LOCAL_ERRORS.contains(&self.sockets.errno) { 1 } else { 500 };
+        for _ in 0..limit {
             self.call();
             wait_until_answered(&self.router).await;
-            if self.counters().succeeded > during.succeeded {
+            if self.counters().succeeded > during_fault.succeeded {
                 break;
             }
             tokio::time::sleep(CALL_INTERVAL).await;
         }
         let counters = self.counters();
-        assert_eq!(counters.succeeded, during.succeeded + 1, "{}: {counters:?}", self.case);
+        assert_eq!(counters.succeeded, during_fault.succeeded + 1, "{}: {counters:?}", self.case);
     }
 
-    /// Each call has one final response, and none was sent to the worker twice.
+    /// Each call gets exactly one final response and is sent to the worker at most once.
     fn check_final_responses(&self) {
         let (case, counters) = (&self.case, self.counters());
         let responses = counters.succeeded + counters.rejected + counters.failed;
         assert_eq!(counters.accepted, responses, "{case}: {counters:?}");
         let received = self.received_ids.borrow();
-        let mut once = received.clone();
-        once.sort_unstable();
-        once.dedup();
-        assert_eq!(once.len(), received.len(), "{case}: a call that may run once was sent twice");
-        // A call that was rejected never ran; one that reached the worker succeeded or failed.
+        let mut distinct = received.clone();
+        distinct.sort_unstable();
+        distinct.dedup();
+        assert_eq!(distinct.len(), received.len(), "{case}: a call that may run only once was sent twice");
+        // A rejected call never ran; one that reached the worker succeeded or failed.
         let may_have_run = counters.succeeded + counters.failed;
         assert!(received.len() as u64 <= may_have_run, "{case}: {counters:?}, {}", received.len());
     }
 
-    /// A brief local fault costs no attempt, and a call that fails is repeated a bounded number of times.
+    /// A brief local fault costs no attempt, and a failing system call is retried a bounded number of times.
     fn check_cost(&self) {
         let (case, counters, duration) = (&self.case, self.counters(), self.sockets.duration());
         let FaultySockets { operation, errno, .. } = *self.sockets;
-        let waited_out =
-            operation == Operation::Connect && LOCAL.contains(&errno) || TRANSIENT.contains(&errno);
+        let waited_out = operation == Operation::Connect && LOCAL_ERRORS.contains(&errno)
+            || TRANSIENT_ERRORS.contains(&errno);
         if waited_out && duration < Duration::from_millis(500) {
             let attempts = counters.attempts;
             assert_eq!(
@@ -227,24 +232,24 @@
                 "{case}: a brief local fault cost an attempt: {counters:?}"
             );
         }
-        // Pauses grow to 32 ms; what ends a connection costs each call four attempts at the most.
+        // Pauses grow to 32 ms. An error that ends the connection costs each call at most four attempts.
         let attempts = if waited_out { 0 } else { 4 * counters.accepted as usize };
-        let most = 32 + duration.as_millis() as usize / 32 + attempts;
+        let limit = 32 + duration.as_millis() as usize / 32 + attempts;
         let failures = self.sockets.failures.get();
-        assert!(failures <= most, "{case}: failed {failures} times");
+        assert!(failures <= limit, "{case}: failed {failures} times");
         assert!(failures > 0, "{case}");
     }
 }
 
-/// Waits until each call has its final response, in time.
+/// Waits until each call has its final response; panics if that takes too long.
 async fn wait_until_answered(router: &SharedRouter) {
-    /// The time that a client waits, and some more for a busy machine.
+    /// The client's timeout plus a margin for a busy host.
     const LONGEST: Duration = Duration::from_millis(4000);
     let begun = Instant::now();
     while router.borrow().dispatcher.open_requests() > 0 {
         assert!(begun.elapsed() < LONGEST, "{:?}", router.borrow().dispatcher.counters());
         tokio::time::sleep(Duration::from_millis(1)).await;
-        // The timer that the router runs beside its sockets.
+        // Stands in for the router's timer task.
         let mut state = router.borrow_mut();
         let now = state.now();
         state.dispatcher.advance(now);
@@ -252,7 +257,7 @@
     }
 }
 
-pub const CONNECT: &[Errno] = &[
+pub const CONNECT_ERRORS: &[Errno] = &[
     Errno::ECONNABORTED,
     Errno::ENFILE,
     Errno::EMFILE,
@@ -268,8 +273,8 @@
     Errno::ECONNRESET,
 ];
 
-/// EAGAIN of these is an ordinary full or empty socket, which other tests play with real ones.
-pub const TRANSFER: &[Errno] = &[
+/// EAGAIN of a read or write is ordinary back pressure, which other tests cover with real sockets.
+pub const TRANSFER_ERRORS: &[Errno] = &[
     Errno::EINTR,
     Errno::ENOBUFS,
     Errno::ENOMEM,
@@ -281,8 +286,8 @@
     Errno::EPIPE,
 ];
 
-/// Those that prove nothing about the worker.
-const LOCAL: &[Errno] = &[
+/// Errors that say nothing about the worker.
+const LOCAL_ERRORS: &[Errno] = &[
     Errno::ECONNABORTED,
     Errno::ENFILE,
     Errno::EMFILE,
@@ -294,23 +299,23 @@
     Errno::EINTR,
 ];
 
-/// Those that leave a connection as it was.
-const TRANSIENT: &[Errno] = &[Errno::EINTR, Errno::ENOBUFS, Errno::ENOMEM];
+/// Errors that leave the connection usable.
+const TRANSIENT_ERRORS: &[Errno] = &[Errno::EINTR, Errno::ENOBUFS, Errno::ENOMEM];
 
 pub const SHORT_FAULT: FaultDuration = FaultDuration::For(Duration::from_millis(100));
 pub const LONG_FAULT: FaultDuration = FaultDuration::For(Duration::from_secs(2));
 
-#[test_case(Operation::Connect, CONNECT, FaultDuration::Once, false; "connect, once")]
-#[test_case(Operation::Connect, CONNECT, SHORT_FAULT, false; "connect, for 100 ms")]
-#[test_case(Operation::Connect, CONNECT, LONG_FAULT, false; "connect, for 2 s")]
-#[test_case(Operation::Read, TRANSFER, FaultDuration::Once, true; "read, once")]
-#[test_case(Operation::Read, TRANSFER, SHORT_FAULT, true; "read, for 100 ms")]
-#[test_case(Operation::Read, TRANSFER, LONG_FAULT, true; "read, for 2 s")]
-#[test_case(Operation::Read, TRANSFER, SHORT_FAULT, false; "first read, for 100 ms")]
-#[test_case(Operation::Write, TRANSFER, FaultDuration::Once, true; "write, once")]
-#[test_case(Operation::Write, TRANSFER, SHORT_FAULT, true; "write, for 100 ms")]
-#[test_case(Operation::Write, TRANSFER, LONG_FAULT, true; "write, for 2 s")]
-#[test_case(Operation::Write, TRANSFER, SHORT_FAULT, false; "first write, for 100 ms")]
+#[test_case(Operation::Connect, CONNECT_ERRORS, FaultDuration::Once, false; "connect, once")]
+#[test_case(Operation::Connect, CONNECT_ERRORS, SHORT_FAULT, false; "connect, for 100 ms")]
+#[test_case(Operation::Connect, CONNECT_ERRORS, LONG_FAULT, false; "connect, for 2 s")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, FaultDuration::Once, true; "read, once")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, SHORT_FAULT, true; "read, for 100 ms")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, LONG_FAULT, true; "read, for 2 s")]
+#[test_case(Operation::Read, TRANSFER_ERRORS, SHORT_FAULT, false; "first read, for 100 ms")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, FaultDuration::Once, true; "write, once")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, SHORT_FAULT, true; "write, for 100 ms")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, LONG_FAULT, true; "write, for 2 s")]
+#[test_case(Operation::Write, TRANSFER_ERRORS, SHORT_FAULT, false; "first write, for 100 ms")]
 fn requests_survive_a_failing_system_call(
     operation: Operation,
     errors: &'static [Errno],
@@ -318,25 +323,28 @@
     connected: bool,
 ) {
     run_local(async move {
-        let stories = errors.iter().map(|&errno| {
+        let scenarios = errors.iter().map(|&errno| {
             let sockets = FaultySockets::new(operation, errno, duration, usize::MAX);
             spawn_local(run_scenario(sockets, connected))
         });
-        for run_scenario in stories.collect::<Vec<_>>() {
-            run_scenario.await.unwrap();
+        for scenario in scenarios.collect::<Vec<_>>() {
+            scenario.await.unwrap();
         }
     });
 }
 
-/// Reads and writes take a byte or a few at a time, and fail once as well amid them.
-#[test_case(1; "a byte at a time")]
+/// Reads and writes are limited to one or a few bytes per call, and one of them fails.
+#[test_case(1; "one byte at a time")]
 #[test_case(7; "seven bytes at a time")]
-fn requests_survive_short_reads_and_writes(at_a_time: usize) {
+fn requests_survive_short_reads_and_writes(max_bytes_per_call: usize) {
     run_local(async move {
         for operation in [Operation::Read, Operation::Write] {
             for errno in [Errno::EINTR, Errno::ENOBUFS] {
-                run_scenario(FaultySockets::new(operation, errno, FaultDuration::Once, at_a_time), true)
-                    .await;
+                run_scenario(
+                    FaultySockets::new(operation, errno, FaultDuration::Once, max_bytes_per_call),
+                    true,
+                )
+                .await;
             }
         }
     });
--- a/crates/platform-router/src/worker_connections/frame.rs
+++ b/crates/platform-router/src/worker_connections/frame.rs
@@ -1,4 +1,4 @@
-//! Makes the frame of what is queued, if it may still go.
+//! Encodes queued frames that may still be sent.
 
 use crate::platform_router::{
     AwaitedResponse, DeferredFlush, OutstandingFrame, PlatformRouter, QueuedFrame, RequestContext,
@@ -8,36 +8,36 @@
 use milletpath_platform_protocol::{frames, parse_hex_id};
 use milletpath_policy::Outcome;
 
-/// What became of a frame whose turn has come.
+/// Result of encoding the next queued frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(super) enum FrameStatus {
-    /// It was made, or dropped as no longer wanted: the next may follow.
+    /// The frame was encoded, or dropped because it is no longer needed. The next one may follow.
     Done,
-    /// It waits until another socket was read: its client's or that of discovery.
+    /// The frame stays queued until another socket was read: that of its client or that of discovery.
     Deferred,
 }
 
-/// The id of a frame that was made, and the response that it awaits.
-struct AwaitedId {
+/// The id of an encoded frame and the response that it awaits.
+struct EncodedFrame {
     id: u64,
     awaited: AwaitedResponse,
 }
 
 impl PlatformRouter {
-    /// Makes the frame of what is next in a connection's queue, in its empty write buffer, if it may still go.
-    pub(super) fn make_frame(&mut self, slot: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
+    /// Encodes the next frame of a connection's queue into its empty write buffer, if it may still be sent.
+    pub(super) fn encode_next_frame(&mut self, slot: usize, frame: QueuedFrame, now: f64) -> FrameStatus {
         let connection = &mut self.worker_connections[slot];
         let (worker, process) = (connection.worker, connection.process);
         if let Some(awaited) = frame.awaited_response()
             && self.dispatcher.worker_process(worker).process != process
         {
-            // Another process has the worker's name by now; what was meant for the one before is not for it.
+            // The worker's name now belongs to another process, which must not get frames meant for the previous one.
             self.report_no_response(worker, awaited, Outcome::NotSent);
             return FrameStatus::Done;
         }
-        if frame.is_new_work() && !self.is_discovery_read(now) {
-            // An event among what is unread may take the worker off the list.
+        if frame.is_new_work() && !self.is_discovery_drained(now) {
+            // An unread event may remove the worker from the list.
             let unread = UnreadSocket::Discovery;
             self.deferred_flushes.push(DeferredFlush { unread, worker_connection: slot });
             self.worker_connections[slot].queue.push_front(frame);
@@ -50,35 +50,39 @@
             return FrameStatus::Deferred;
         }
         let mut out = std::mem::take(&mut self.worker_connections[slot].write_buffer.bytes);
-        let awaited = self.write_frame(slot, &frame, &mut out, now);
+        let awaited = self.encode_frame(slot, &frame, &mut out, now);
         let Some(connection) = self.worker_connections.get_mut(slot) else { return FrameStatus::Deferred };
-        connection.bytes_made += out.len() as u64;
+        connection.bytes_encoded += out.len() as u64;
         connection.frame_source = (!out.is_empty()).then_some(frame);
         connection.write_buffer.bytes = out;
-        if let Some(AwaitedId { id, awaited }) = awaited {
-            let end_offset = connection.bytes_made;
-            connection.outstanding.push(OutstandingFrame { id, awaited, end_offset, made_at: now });
+        if let Some(EncodedFrame { id, awaited }) = awaited {
+            let end_offset = connection.bytes_encoded;
+            connection.outstanding.push(OutstandingFrame { id, awaited, end_offset, encoded_at: now });
         }
         FrameStatus::Done
     }
 
-    /// Appends a frame to `out`: nothing where the dispatcher no longer wants it. Returns the response that it awaits.
-    fn write_frame(
+    /// Appends a frame to `out`, or nothing if the dispatcher no longer needs it. Returns the response that it
+    /// awaits.
+    fn encode_frame(
         &mut self,
         slot: usize,
         frame: &QueuedFrame,
         out: &mut Vec<u8>,
         now: f64,
-    ) -> Option<AwaitedId> {
+    ) -> Option<EncodedFrame> {
         match frame {
-            QueuedFrame::Attempt { request, attempt } => self.write_attempt(out, *request, *attempt, now),
+            QueuedFrame::Attempt { request, attempt } => self.encode_attempt(out, *request, *attempt, now),
             QueuedFrame::LoadRequest { load_request, function, instances } => {
                 if !self.dispatcher.begin_load_request(now, *load_request) {
                     return None;
                 }
                 let id = self.new_frame_id(slot);
                 frames::write_load_request(out, id, function, *instances);
-                Some(AwaitedId { id, awaited: AwaitedResponse::LoadRequest { load_request: *load_request } })
+                Some(EncodedFrame {
+                    id,
+                    awaited: AwaitedResponse::LoadRequest { load_request: *load_request },
+                })
             }
             QueuedFrame::Unload { function } => {
                 if let Some(id) = parse_hex_id(function) {
@@ -89,7 +93,7 @@
             QueuedFrame::HealthCheck { serial } => {
                 let id = self.new_frame_id(slot);
                 frames::write_probe(out, id, self.load_reports);
-                Some(AwaitedId { id, awaited: AwaitedResponse::HealthCheck { serial: *serial } })
+                Some(EncodedFrame { id, awaited: AwaitedResponse::HealthCheck { serial: *serial } })
             }
             QueuedFrame::Cancel { id } => {
                 frames::write_cancel(out, *id);
@@ -98,14 +102,14 @@
         }
     }
 
-    /// The frame states how much time the client has left as its first byte goes.
-    fn write_attempt(
+    /// Appends the frame of an attempt, with the time that the client has left as the first byte is written.
+    fn encode_attempt(
         &mut self,
         out: &mut Vec<u8>,
         request: RequestId,
         attempt: usize,
         now: f64,
-    ) -> Option<AwaitedId> {
+    ) -> Option<EncodedFrame> {
         let remaining = self.dispatcher.time_left(now, request, attempt)?;
         if !self.dispatcher.begin_attempt(now, request, attempt) {
             return None;
@@ -117,12 +121,14 @@
         let profile = &self.profiles[*profile];
         let frame = frames::Attempt { id: *id, profile, function: &function, idempotency_key, body };
         frames::write_attempt(out, &frame, remaining);
-        Some(AwaitedId { id: *id, awaited: AwaitedResponse::Attempt { request, attempt } })
+        Some(EncodedFrame { id: *id, awaited: AwaitedResponse::Attempt { request, attempt } })
     }
 
-    /// An id for a frame of the router's own, which no client is likely to have chosen, and none has open here.
+    /// Returns an id for a load request or health check that clients are unlikely to choose and that is not in use on
+    /// this connection.
     fn new_frame_id(&mut self, slot: usize) -> u64 {
-        /// An odd multiplier spreads serial numbers over all ids, so that none follows from another by chance.
+        /// Multiplying by an odd constant spreads serial numbers over all ids, so that they are unlikely to collide
+        /// with others.
         const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
         loop {
             self.serial += 1;
--- a/crates/platform-router/src/worker_connections/read.rs
+++ b/crates/platform-router/src/worker_connections/read.rs
@@ -1,4 +1,4 @@
-//! Reads responses of workers and reports them to the dispatcher.
+//! Reads the responses of workers and reports them to the dispatcher.
 
 use super::error::WorkerConnectionError;
 use crate::platform_router::{AwaitedResponse, PlatformRouter};
@@ -10,13 +10,13 @@
 use std::io;
 
 impl PlatformRouter {
-    /// The socket of a worker is readable.
+    /// Handles read readiness of a worker's socket.
     pub fn on_worker_readable(&mut self, slot: usize) {
         let connection = self.worker_connections.get(slot);
         let Some(stream) = connection.and_then(|connection| connection.stream.clone()) else { return };
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         match self.sockets.read(&stream, &mut read_buffer) {
-            Ok(0) => self.connection_broken(slot, &WorkerConnectionError::ClosedByWorker),
+            Ok(0) => self.on_connection_lost(slot, &WorkerConnectionError::ClosedByWorker),
             Ok(length) => self.receive_frames(slot, &read_buffer[..length]),
             Err(error) => self.read_failed(slot, error),
         }
@@ -35,7 +35,7 @@
             }
             Recovery::Close => {
                 let error = WorkerConnectionError::Io { operation: Operation::Read, source };
-                self.connection_broken(slot, &error);
+                self.on_connection_lost(slot, &error);
             }
         }
     }
@@ -52,7 +52,7 @@
         };
         let partial_frame = match self.read_frames(slot, bytes, now) {
             Ok(rest) => rest.to_vec(),
-            Err(error) => return self.connection_broken(slot, &error),
+            Err(error) => return self.on_connection_lost(slot, &error),
         };
         let Some(connection) = self.worker_connections.get_mut(slot) else { return };
         connection.last_used = now;
@@ -61,11 +61,11 @@
         connection.partial_frame = partial_frame;
         connection.reservation.resize(connection.partial_frame.capacity());
         if connection.partial_frame.len() > RETAINED_CAPACITY && self.memory_budget.is_full() {
-            self.connection_broken(slot, &WorkerConnectionError::NoMemory);
+            self.on_connection_lost(slot, &WorkerConnectionError::NoMemory);
         }
     }
 
-    /// Handles all responses that came whole; returns the bytes after them.
+    /// Handles all complete responses and returns the bytes after them.
     fn read_frames<'b>(
         &mut self,
         slot: usize,
@@ -79,7 +79,8 @@
         Ok(bytes)
     }
 
-    /// One valid response. An unknown id is passed over: it is a duplicate, or the response to what was cancelled.
+    /// Handles a valid response. One with an unknown id is ignored: it is a duplicate, or belongs to a cancelled
+    /// request.
     fn on_response(
         &mut self,
         slot: usize,
@@ -95,7 +96,7 @@
             return Err(WorkerConnectionError::UnexpectedResponse);
         }
         let (worker, connected_at) = (connection.worker, connection.connected_at);
-        connection.finish(at);
+        connection.finish_frame(at);
         self.dispatcher.worker_answered(now, worker, connected_at);
         match awaited {
             AwaitedResponse::Attempt { request, attempt } => {
@@ -112,7 +113,7 @@
         Ok(())
     }
 
-    /// Reports the response to an attempt; where it is the final one of its request, the client gets it.
+    /// Reports the response to an attempt and, if it is the final one of its request, sends it to the client.
     fn on_attempt_response(
         &mut self,
         request: RequestId,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Logs where the time of a request went, up to this response.
+    /// Logs how long a request has spent at the router and at the worker.
     fn log_response(&mut self, worker: usize, request: RequestId, response: &WorkerResponse<'_>, now: f64) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
--- a/crates/platform-router/src/worker_connections/tests.rs
+++ b/crates/platform-router/src/worker_connections/tests.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 use tokio::net::TcpStream;
 
-/// A worker rejected an attempt twice; the duplicate would have ended the next attempt with the same id.
+/// Guards against reusing the id of a recent frame: a duplicate rejection would end the next attempt with that id.
 #[test]
 fn recent_frame_ids_are_not_reused() {
     let mut connection = WorkerConnection::new(0, 1, MemoryBudget::new(1).reserve(0), 0.0, 0.25);
@@ -17,17 +17,17 @@
             id,
             awaited: AwaitedResponse::HealthCheck { serial: id },
             end_offset: 0,
-            made_at: 0.0,
+            encoded_at: 0.0,
         });
         assert!(connection.uses_id(id));
-        connection.finish(0);
+        connection.finish_frame(0);
         assert!(connection.uses_id(id));
     }
     assert!(!connection.uses_id(0) && connection.recent_ids.len() == RECENT_IDS);
 }
 
-/// The socket takes nothing: frames for it are queued unmade, and what is cancelled meanwhile is never sent. Up to
-/// 16 KiB of frames used to be made ahead, and were sent once the worker took them, whichever client had gone.
+/// While the socket accepts nothing, queued frames are not encoded, and those that are cancelled are never sent. Up
+/// to 16 KiB of frames used to be encoded ahead, and were sent later even if their clients had disconnected.
 #[test]
 fn attempt_cancelled_before_its_first_byte_is_not_sent() {
     run_local(async {
@@ -50,7 +50,7 @@
             connection.stream = Some(stream.clone());
             let slot = state.worker_connections.insert(connection);
             state.connections_by_worker.entry(0).or_default().push(slot);
-            let tags = [5, 6].map(|id| submit_request(&mut state, id));
+            let requests = [5, 6].map(|id| submit_request(&mut state, id));
             state.run_actions();
             let connection = &state.worker_connections[slot];
             assert_eq!(
@@ -58,12 +58,12 @@
                     connection.queue.len(),
                     connection.outstanding.len(),
                     connection.write_buffer.remaining(),
-                    connection.bytes_made
+                    connection.bytes_encoded
                 ),
                 (2, 0, 0, 0)
             );
             let now = state.now();
-            state.dispatcher.client_gone(now, tags[0]);
+            state.dispatcher.client_gone(now, requests[0]);
             state.run_actions();
             slot
         };
@@ -73,30 +73,31 @@
         router.borrow_mut().flush_worker(slot);
         let mut head = [0; 16];
         worker.read_exact(&mut head).unwrap();
-        assert_eq!((head[1], head[15]), (2, 6), "the one that was not cancelled");
+        assert_eq!((head[1], head[15]), (2, 6), "only the attempt that was not cancelled is sent");
         let state = router.borrow();
         let connection = &state.worker_connections[slot];
         assert_eq!((connection.queue.len(), connection.outstanding.len()), (0, 1));
-        assert_eq!(connection.bytes_made, connection.bytes_written);
+        assert_eq!(connection.bytes_encoded, connection.bytes_written);
     });
 }
 
-/// Descriptors had run out here, and each worker that was connected to meanwhile was taken for unreachable.
-#[test_case(Errno::EMFILE, true; "no descriptor")]
-#[test_case(Errno::ENFILE, true; "none on the whole system")]
-#[test_case(Errno::EADDRNOTAVAIL, true; "no port")]
+/// Guards against counting a local fault against the worker: when descriptors ran out, every worker that the router
+/// tried to connect to counted as unreachable.
+#[test_case(Errno::EMFILE, true; "process limit on descriptors")]
+#[test_case(Errno::ENFILE, true; "system limit on descriptors")]
+#[test_case(Errno::EADDRNOTAVAIL, true; "no free port")]
 #[test_case(Errno::ENETUNREACH, true; "no route")]
-#[test_case(Errno::ECONNABORTED, true; "aborted here")]
-#[test_case(Errno::EAGAIN, true; "no entry free")]
+#[test_case(Errno::ECONNABORTED, true; "aborted by this host")]
+#[test_case(Errno::EAGAIN, true; "no free routing entry")]
 #[test_case(Errno::ECONNREFUSED, false; "refused")]
-#[test_case(Errno::EHOSTUNREACH, false; "no way there")]
-fn local_connect_error_does_not_blame_the_worker(errno: Errno, own: bool) {
+#[test_case(Errno::EHOSTUNREACH, false; "host unreachable")]
+fn local_connect_error_is_not_attributed_to_the_worker(errno: Errno, is_local: bool) {
     let fault = socket_errors::classify(Operation::Connect, &std::io::Error::from_raw_os_error(errno as i32));
-    assert_eq!(fault.origin == FaultOrigin::Local, own);
+    assert_eq!(fault.origin == FaultOrigin::Local, is_local);
 }
 
-/// A socket takes nothing for a second with calls queued for it: each frame states the time that its client has left as
-/// its first byte is written, and not what was left when it was queued.
+/// With calls queued for a socket that accepts nothing for a second, each frame states the time that its client has
+/// left as the first byte is written, not what was left when the call was queued.
 #[test]
 fn queued_frame_states_the_time_left_when_written() {
     run_local(async {
--- a/crates/platform-router/src/write_buffer.rs
+++ b/crates/platform-router/src/write_buffer.rs
@@ -1,56 +1,56 @@
-//! Bytes on their way to a socket that takes them when it can, for clients and workers alike.
+//! Buffers output to a socket, for client and worker connections.
 
 use crate::sockets::{Sockets, SystemSockets};
 use std::io::{self, ErrorKind};
 use tokio::net::TcpStream;
 
-/// Bytes of a buffer that an idle connection keeps; a larger one is freed.
+/// Buffer capacity that an idle connection keeps; larger buffers are freed.
 pub(crate) const RETAINED_CAPACITY: usize = 4 << 10;
 
-/// Bytes that wait for a socket. Who appends to them bounds them.
+/// Bytes to be written to a socket. Callers that append to it limit its size.
 #[derive(Default)]
 pub(crate) struct WriteBuffer {
-    /// What was appended since the socket last took everything.
+    /// Bytes appended since the socket last accepted everything.
     pub bytes: Vec<u8>,
-    sent: usize,
+    written: usize,
 }
 
 impl WriteBuffer {
-    /// Bytes that the socket has not taken yet.
+    /// Number of bytes that the socket has not accepted yet.
     pub fn remaining(&self) -> usize {
-        self.bytes.len() - self.sent
+        self.bytes.len() - self.written
     }
 
-    /// Whether the socket has taken a first part of the bytes.
+    /// Whether the socket has accepted some but not all of the bytes.
     pub fn is_partially_written(&self) -> bool {
-        self.sent > 0
+        self.written > 0
     }
 
-    /// Writes as far as the socket takes it; returns how many bytes that were.
+    /// Writes as many bytes as the socket accepts and returns their number.
     ///
     /// # Errors
     ///
-    /// That of the system call; the bytes before it count as written.
+    /// Returns the error of the system call. Bytes accepted before it count as written.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.write_with(&SystemSockets, stream)
     }
 
-    /// The same by the system calls given.
+    /// Same as [`write`](Self::write), using the given system calls.
     ///
     /// # Errors
     ///
-    /// That of the system call; the bytes before it count as written.
+    /// Returns the error of the system call. Bytes accepted before it count as written.
     pub fn write_with(&mut self, sockets: &dyn Sockets, stream: &TcpStream) -> io::Result<usize> {
-        let before = self.sent;
+        let before = self.written;
         while self.remaining() > 0 {
-            match sockets.write(stream, &self.bytes[self.sent..]) {
-                Ok(n) => self.sent += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(self.sent - before),
+            match sockets.write(stream, &self.bytes[self.written..]) {
+                Ok(n) => self.written += n,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(self.written - before),
                 Err(e) => return Err(e),
             }
         }
-        let wrote = self.sent - before;
-        self.sent = 0;
+        let wrote = self.written - before;
+        self.written = 0;
         self.bytes.clear();
         if self.bytes.capacity() > RETAINED_CAPACITY {
             self.bytes = Vec::new();
