--- a/crates/shared-budgets/src/error.rs
+++ b/crates/shared-budgets/src/error.rs
@@ -1,6 +1,5 @@
 //! Error types.
 
-use crate::message::MAX_ENTRIES;
 use thiserror::Error;
 
 /// Error returned when a budget cannot be closed.
@@ -22,6 +21,6 @@
     #[error("not a valid shared-budgets message")]
     Cbor(#[from] minicbor::decode::Error),
     /// A list is longer than any that a gateway sends.
-    #[error("a list has {length} entries, more than the maximum of {MAX_ENTRIES}")]
+    #[error("a list has {length} entries, more than are allowed")]
     TooManyEntries { length: usize },
 }
