--- a/crates/platform-protocol/src/lines/call.rs
+++ b/crates/platform-protocol/src/lines/call.rs
@@ -30,7 +30,7 @@
     /// Seconds that the client waits.
     pub timeout: f64,
     /// Whether the client marks it as a repeat.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// The key by which workers know a repeat, passed on as it is; empty for none.
     pub idempotency_key: String,
     /// Memory of one instance of the function, in MB.
@@ -54,7 +54,7 @@
 pub fn read(number: u64, id: Option<u64>, method: &str, params: &Value) -> Result<Call, InputError> {
     let id = id.ok_or_else(|| InputError::new("i", "is not 16 hex digits"))?;
     let function = function(params)?;
-    let is_repeat = is_repeat(params)?;
+    let is_retry = is_retry(params)?;
     let body = body(params)?;
     let idempotency_key = idempotency_key(params)?;
     let client = optional_text(params, "t", "is no name")?;
@@ -68,7 +68,7 @@
         client: client.to_owned(),
         function: function.to_owned(),
         timeout,
-        is_repeat,
+        is_retry,
         idempotency_key: idempotency_key.to_owned(),
         memory,
         lanes,
@@ -83,7 +83,7 @@
     Ok(function)
 }
 
-fn is_repeat(params: &Value) -> Result<bool, InputError> {
+fn is_retry(params: &Value) -> Result<bool, InputError> {
     match &params["r"] {
         Value::Null => Ok(false),
         Value::Number(n) if n.as_u64().is_some_and(|n| n <= 1) => Ok(n.as_u64() == Some(1)),
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -21,7 +21,7 @@
     let Ok(ClientMessage::Call(call)) = lines::read(call("").as_bytes()) else { panic!("it is valid") };
     assert_eq!((call.number, call.id, call.profile.as_str()), (7, 0x9b1f_03aa_5c7e_2d41, "p"));
     assert_eq!((call.client.as_str(), call.function.as_str()), ("acme", "7f3a9c21e0b4d655"));
-    assert_eq!((call.timeout, call.is_repeat, &call.body[..]), (1.5, true, &b"hi"[..]));
+    assert_eq!((call.timeout, call.is_retry, &call.body[..]), (1.5, true, &b"hi"[..]));
     assert_eq!((call.memory, call.lanes, call.load), (512.0, 2.0, Some(0.64)));
 }
 
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -82,7 +82,7 @@
         client: "acme".into(),
         function: "7f3a9c21e0b4d655".into(),
         timeout: 1.5,
-        is_repeat: true,
+        is_retry: true,
         idempotency_key: "51c4".into(),
         memory: 512.0,
         lanes: 2.0,
--- a/crates/platform-router/src/client_connections/requests.rs
+++ b/crates/platform-router/src/client_connections/requests.rs
@@ -34,7 +34,7 @@
             profile,
             client: index_of(&self.groups, &call.client),
             timeout: time_left.min(self.shutdown.time_to_answer(now)),
-            is_retry: call.is_repeat,
+            is_retry: call.is_retry,
             resources: Some(FunctionResources {
                 lanes: call.lanes,
                 memory: call.memory,
