--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -26,7 +26,7 @@
         entries: Vec<EndpointEntry>,
     },
     /// A heartbeat, with the number of the last event.
-    Last(u64),
+    Heartbeat(u64),
 }
 
 /// The line that asks for all events after one.
@@ -43,7 +43,7 @@
     let value: Value =
         serde_json::from_slice(line).map_err(|error| InputError::new("line", error.to_string()))?;
     match value.as_u64() {
-        Some(last) => Ok(DiscoveryLine::Last(last)),
+        Some(last) => Ok(DiscoveryLine::Heartbeat(last)),
         None => event(&value),
     }
 }
@@ -54,7 +54,7 @@
     let roster = &value["roster"];
     // Taken for an event, a heartbeat ahead of the last event received would hide the one that is missing.
     if value.as_object().is_some_and(|object| object.len() == 1) {
-        return Ok(DiscoveryLine::Last(number));
+        return Ok(DiscoveryLine::Heartbeat(number));
     }
     if roster.is_null() {
         // An event of another matter: nothing in it concerns the list.
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -96,8 +96,8 @@
     );
 }
 
-#[test_case("17", Some(DiscoveryLine::Last(17)); "a number alone")]
-#[test_case(r#"{"no":17}"#, Some(DiscoveryLine::Last(17)); "a number in an object")]
+#[test_case("17", Some(DiscoveryLine::Heartbeat(17)); "a number alone")]
+#[test_case(r#"{"no":17}"#, Some(DiscoveryLine::Heartbeat(17)); "a number in an object")]
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"gone"}]}}"#, None; "an unknown state")]
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"active"}]}}"#, None; "no address")]
 #[test_case(r#"{"no":41,"roster":"#, None; "half an event")]
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -141,7 +141,7 @@
         ("north", "3", EndpointStatus::Ready)
     );
     assert_eq!((entries[1].name.as_str(), entries[1].state), ("w2", EndpointStatus::Gone));
-    assert_eq!(events::read(&captured("events-heartbeat")), Ok(DiscoveryLine::Last(41)));
+    assert_eq!(events::read(&captured("events-heartbeat")), Ok(DiscoveryLine::Heartbeat(41)));
 }
 
 /// Each row holds a line that is invalid, its number or `-`, and the error that its sender gets.
--- a/crates/platform-router/src/discovery_watch/receive.rs
+++ b/crates/platform-router/src/discovery_watch/receive.rs
@@ -46,11 +46,11 @@
                 self.dispatcher.wall_clock_read(now, unix_time());
                 self.dispatcher.update_endpoints(now, complete, &entries);
             }
-            DiscoveryLine::Last(number) if number == last => {
+            DiscoveryLine::Heartbeat(number) if number == last => {
                 self.dispatcher.endpoint_list_confirmed(now, self.discovery.emptied_at);
             }
             // From a source that is behind the one that was followed before.
-            DiscoveryLine::Last(number) if number < last => {}
+            DiscoveryLine::Heartbeat(number) if number < last => {}
             _ => return Err(StreamEnd::MissingEvents { after: last }),
         }
         Ok(())
