--- a/crates/platform-protocol/src/bootstrap.rs
+++ b/crates/platform-protocol/src/bootstrap.rs
@@ -5,7 +5,7 @@
 mod address;
 mod differences;
 mod read;
-mod reread;
+mod reload;
 
 pub use read::{Bootstrap, WorkerList, read};
-pub use reread::{Reread, reread};
+pub use reload::{ReloadedBootstrap, reload};
--- a/crates/platform-protocol/src/bootstrap/reread.rs
+++ b/crates/platform-protocol/src/bootstrap/reload.rs
@@ -11,7 +11,7 @@
 
 /// What a router takes from the file when it is read again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reread {
+pub struct ReloadedBootstrap {
     /// Where the discovery service is now.
     pub discovery: SocketAddr,
     /// Paths of what else differs from the file that the router started from; it takes effect at the next start.
@@ -19,7 +19,7 @@
 }
 
 /// Reads the file again; `first` is the text that the router started from.
-pub fn reread(text: &[u8], first: &[u8]) -> Result<Reread, InputError> {
+pub fn reload(text: &[u8], first: &[u8]) -> Result<ReloadedBootstrap, InputError> {
     let parse = |text| {
         serde_json::from_slice::<Value>(text).map_err(|error| InputError::new("file", error.to_string()))
     };
@@ -27,5 +27,5 @@
     let discovery = address(&file, "bulletin")?;
     let mut ignored_changes = differences(&first, &file);
     ignored_changes.retain(|path| !ALWAYS_NEW.contains(&path.split('.').next().unwrap_or_default()));
-    Ok(Reread { discovery, ignored_changes })
+    Ok(ReloadedBootstrap { discovery, ignored_changes })
 }
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -149,9 +149,9 @@
     let first = r#"{"listen":"127.0.0.1:1","seed":"5","bulletin":"127.0.0.1:2","known":{"no":1},"limits":{"memory_mb":64},
         "settings":{"Classes":[{"Name":"p","Effect":"free"}],"Tick":1000}}"#;
     let (from, to) = change.split_once("=>").unwrap_or(("", ""));
-    let reread = first.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
-    let bootstrap::Reread { discovery, ignored_changes: other } =
-        bootstrap::reread(reread.as_bytes(), first.as_bytes()).expect("valid");
+    let reload = first.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
+    let bootstrap::ReloadedBootstrap { discovery, ignored_changes: other } =
+        bootstrap::reload(reload.as_bytes(), first.as_bytes()).expect("valid");
     assert_eq!((discovery.port(), other.iter().map(String::as_str).collect::<Vec<_>>()), (3, paths.to_vec()));
-    assert!(bootstrap::reread(&reread.as_bytes()[..40], first.as_bytes()).is_err());
+    assert!(bootstrap::reload(&reload.as_bytes()[..40], first.as_bytes()).is_err());
 }
--- a/crates/platform-router/src/run/reload.rs
+++ b/crates/platform-router/src/run/reload.rs
@@ -1,6 +1,6 @@
 //! Reads the platform's file again, upon SIGHUP.
 
-use milletpath_platform_protocol::bootstrap::{self, Reread};
+use milletpath_platform_protocol::bootstrap::{self, ReloadedBootstrap};
 use milletpath_protocol::InputError;
 use std::io;
 use std::net::SocketAddr;
@@ -35,8 +35,8 @@
 ) {
     let mut pause = SHORTEST_PAUSE;
     for attempt in 0..MAX_ATTEMPTS {
-        match reread(&file, &first) {
-            Ok(reread) => return apply(reread, &discovery_address),
+        match reload(&file, &first) {
+            Ok(reload) => return apply(reload, &discovery_address),
             Err(error) => tracing::warn!(
                 file = %file.display(),
                 %error,
@@ -50,12 +50,12 @@
     }
 }
 
-fn reread(file: &Path, first: &[u8]) -> Result<Reread, ReloadError> {
-    Ok(bootstrap::reread(&std::fs::read(file)?, first)?)
+fn reload(file: &Path, first: &[u8]) -> Result<ReloadedBootstrap, ReloadError> {
+    Ok(bootstrap::reload(&std::fs::read(file)?, first)?)
 }
 
-fn apply(reread: Reread, discovery_address: &watch::Sender<SocketAddr>) {
-    let Reread { discovery, ignored_changes } = reread;
+fn apply(reload: ReloadedBootstrap, discovery_address: &watch::Sender<SocketAddr>) {
+    let ReloadedBootstrap { discovery, ignored_changes } = reload;
     tracing::info!(%discovery, "reloaded the platform's file");
     if !ignored_changes.is_empty() {
         tracing::warn!(
