--- a/crates/platform-protocol/src/bootstrap.rs
+++ b/crates/platform-protocol/src/bootstrap.rs
@@ -1,6 +1,6 @@
-//! The file that a router starts from, and reads again on a signal: its address and limits, the discovery service, the
-//! worker list so far, and the settings. What is read becomes a [`GatewayConfig`](milletpath_config::GatewayConfig) and
-//! the few values beside it.
+//! The bootstrap file, which a router reads at startup and again on a signal. It holds the listen address, the resource
+//! limits, the address of the discovery service, the known workers and the settings. Most of it becomes a
+//! [`GatewayConfig`](milletpath_config::GatewayConfig); [`Bootstrap`] holds that and the remaining values.
 
 mod address;
 mod differences;
--- a/crates/platform-protocol/src/bootstrap/read.rs
+++ b/crates/platform-protocol/src/bootstrap/read.rs
@@ -1,4 +1,4 @@
-//! The file as a router starts from it.
+//! Reads the bootstrap file at startup.
 
 use super::address::address;
 use crate::events::{self, DiscoveryLine};
@@ -11,57 +11,58 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Descriptors where none are stated: the least that the platform grants.
+/// File descriptors if the file states no limit: the minimum that the platform grants.
 const DEFAULT_DESCRIPTORS: u64 = 256;
-/// MB of memory where none are stated: the least that the platform grants.
+/// Memory in MB if the file states no limit: the minimum that the platform grants.
 const DEFAULT_MEMORY_MB: f64 = 32.0;
-/// Open requests at most: past these, memory would be exhausted before descriptors are.
+/// Upper limit on open requests: with more, memory would be exhausted before file descriptors.
 const MAX_OPEN_REQUESTS: usize = 20_000;
 
-/// What a router starts from.
+/// The content of the bootstrap file.
 #[derive(Debug)]
 pub struct Bootstrap {
-    /// Its configuration.
+    /// The router's configuration.
     pub config: GatewayConfig,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The number of the last event among the worker lists.
+    /// Number of the last discovery event that the file covers; the router subscribes to the events after it.
     pub last_event: u64,
-    /// The worker lists so far, in the order of their events.
+    /// The worker lists of the events so far, in the order of the events.
     pub worker_lists: Vec<WorkerList>,
-    /// Bytes of memory that the router may use.
+    /// Memory that the router may use, in bytes.
     pub memory_bytes: usize,
-    /// Descriptors that the router may have open.
+    /// File descriptors that the router may have open.
     pub descriptors: usize,
-    /// Attempts that one connection to a worker carries at a time.
+    /// Maximum number of concurrent attempts on one connection to a worker.
     pub streams_per_connection: usize,
-    /// Whether the settings promise load reports.
+    /// Whether the settings declare that workers send load reports.
     pub load_reports: bool,
 }
 
-/// The worker list of one event.
+/// The worker list of one discovery event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerList {
-    /// Whether the list is complete: a worker that it does not name is gone.
+    /// Whether the list is complete; a worker that a complete list omits is gone.
     pub complete: bool,
-    /// Workers that changed, or all of them where the list is complete.
+    /// All workers if the list is complete, otherwise those that changed.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// Reads the file; the error names what is missing or invalid.
+/// Parses the bootstrap file. The error names the first field found to be missing or invalid.
 pub fn read(text: &[u8]) -> Result<Bootstrap, InputError> {
     let file: Value =
         serde_json::from_slice(text).map_err(|error| InputError::new("file", error.to_string()))?;
     let settings = &file["settings"];
     let seed = file["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok());
     let seed = seed.ok_or_else(|| InputError::new("seed", "is missing or no hex digits"))?;
-    let policy = platform_settings::policy_config(settings, seed).map_err(settings_fault)?;
+    let policy = platform_settings::policy_config(settings, seed).map_err(settings_error)?;
     let last_event = file["known"]["no"].as_u64();
     let last_event = last_event.ok_or_else(|| InputError::new("known.no", "is no whole number"))?;
     let worker_lists = worker_lists(&file["known"]["items"])?;
-    let profiles = profiles(settings).map_err(settings_fault)?;
-    let limits = limits(settings).map_err(settings_fault)?;
-    // What discovery fails to tell may be a drain, which has to be kept a grace after it counts as told.
+    let profiles = profiles(settings).map_err(settings_error)?;
+    let limits = limits(settings).map_err(settings_error)?;
+    // An update lost in a broken discovery stream may say that a worker drains. It counts as delivered
+    // `NOTICE_AFTER_BREAK` after the break, and the worker accepts requests for the drain grace after that.
     let list_valid_for = events::NOTICE_AFTER_BREAK + limits.drain_grace;
     let policy = PolicyConfig { list_valid_for, ..policy };
     let memory_mb = file["limits"]["memory_mb"].as_f64().filter(|mb| *mb > 0.0);
@@ -82,14 +83,14 @@
             worker_kinds: platform_settings::worker_kinds(settings),
             source: WorkerSource::List(Vec::new()),
             limits,
-            // Routers of the platform share nothing, and are configured by this file alone.
+            // The platform's routers share no state and take their configuration from this file only.
             membership: None,
             config_log: None,
         },
     })
 }
 
-fn settings_fault(error: SettingsError) -> InputError {
+fn settings_error(error: SettingsError) -> InputError {
     InputError::new("settings", error.to_string())
 }
 
@@ -112,7 +113,7 @@
     Ok(platform_settings::profile_settings(settings)?.into_iter().map(config).collect())
 }
 
-/// The limits that the settings state. What the router's own memory budget bounds has no other bound here.
+/// Reads the limits from the settings. Whatever the router's memory budget already bounds is left unlimited here.
 fn limits(settings: &Value) -> Result<Limits, SettingsError> {
     let open_requests = platform_settings::count_limit(settings, "OpenCap", MAX_OPEN_REQUESTS);
     Ok(Limits {
@@ -128,7 +129,7 @@
         stall_timeout: f64::INFINITY,
         connect_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
         idle_timeout: platform_settings::time_limit(settings, "Keepalive")?,
-        // A health check that takes longer than a connection may is as good as lost.
+        // A health check that takes longer than a connection attempt may take is treated as lost.
         health_check_timeout: platform_settings::time_limit(settings, "ConnectTimeout")?,
         drain_grace: platform_settings::drain_grace(settings)?,
     })
--- a/crates/platform-protocol/src/bootstrap/reload.rs
+++ b/crates/platform-protocol/src/bootstrap/reload.rs
@@ -1,4 +1,4 @@
-//! The file read again while the router runs: of all that it holds, only the address of the discovery service is taken.
+//! Reloads the bootstrap file while the router runs. Only the address of the discovery service takes effect.
 
 use super::address::address;
 use super::differences::differences;
@@ -6,26 +6,26 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Keys that are new with each file, and mean nothing to a running router.
-const ALWAYS_NEW: [&str; 3] = ["bulletin", "known", "seed"];
+/// Keys that are expected to differ in every file and need no restart, so their changes are not reported as ignored.
+const VOLATILE_KEYS: [&str; 3] = ["bulletin", "known", "seed"];
 
-/// What a router takes from the file when it is read again.
+/// The result of reloading the bootstrap file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReloadedBootstrap {
-    /// Where the discovery service is now.
+    /// The current address of the discovery service.
     pub discovery: SocketAddr,
-    /// Paths of what else differs from the file that the router started from; it takes effect at the next start.
+    /// Paths of the other values that differ from the file at startup; they take effect at the next start.
     pub ignored_changes: Vec<String>,
 }
 
-/// Reads the file again; `first` is the text that the router started from.
-pub fn reload(text: &[u8], first: &[u8]) -> Result<ReloadedBootstrap, InputError> {
+/// Parses `text`, the file's new content, and compares it with `original`, its content at startup.
+pub fn reload(text: &[u8], original: &[u8]) -> Result<ReloadedBootstrap, InputError> {
     let parse = |text| {
         serde_json::from_slice::<Value>(text).map_err(|error| InputError::new("file", error.to_string()))
     };
-    let (file, first) = (parse(text)?, parse(first)?);
+    let (file, original) = (parse(text)?, parse(original)?);
     let discovery = address(&file, "bulletin")?;
-    let mut ignored_changes = differences(&first, &file);
-    ignored_changes.retain(|path| !ALWAYS_NEW.contains(&path.split('.').next().unwrap_or_default()));
+    let mut ignored_changes = differences(&original, &file);
+    ignored_changes.retain(|path| !VOLATILE_KEYS.contains(&path.split('.').next().unwrap_or_default()));
     Ok(ReloadedBootstrap { discovery, ignored_changes })
 }
--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -1,41 +1,41 @@
-//! The discovery service: numbered events with changes of the worker list, one a line as JSON, and heartbeats that hold
-//! only the last number.
+//! The stream of the discovery service: one JSON value per line, either a numbered event with changes to the worker
+//! list or a heartbeat with the number of the last event.
 
 use milletpath_protocol::InputError;
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Bytes that one line may have: thousands of workers.
+/// Maximum length of a line in bytes, enough for a list of thousands of workers.
 pub const MAX_LINE: usize = 2 << 20;
 
-/// Seconds after a break of discovery by which all that it would have told counts as told; after a mere silence it
-/// is later.
+/// Seconds after a break in the discovery stream by which the platform counts all missed updates as delivered. If the
+/// stream is only silent, they count as delivered later.
 pub const NOTICE_AFTER_BREAK: f64 = 2.0;
 
-/// One line of the discovery service.
+/// One line of the discovery stream.
 #[derive(Debug, PartialEq)]
 pub enum DiscoveryLine {
-    /// A change of the worker list.
+    /// A change to the worker list.
     Event {
-        /// Its number: one more than that of the event before.
+        /// The event number; numbers are consecutive.
         number: u64,
-        /// Whether the list is complete: a worker that it does not name is gone.
+        /// Whether the list is complete; a worker that a complete list omits is gone.
         complete: bool,
-        /// Workers that changed, or all of them where the list is complete.
+        /// All workers if the list is complete, otherwise those that changed.
         entries: Vec<EndpointEntry>,
     },
-    /// A heartbeat, with the number of the last event.
+    /// A heartbeat with the number of the last event.
     Heartbeat(u64),
 }
 
-/// The line that asks for all events after one.
+/// Returns the line that subscribes to all events after `number`.
 #[must_use]
 pub fn subscribe_after(number: u64) -> String {
     format!("after {number}\n")
 }
 
-/// Reads one line, without the character that ends it.
+/// Parses one line without its line terminator.
 pub fn read(line: &[u8]) -> Result<DiscoveryLine, InputError> {
     if line.len() > MAX_LINE {
         return Err(InputError::new("line", "is too long"));
@@ -48,16 +48,17 @@
     }
 }
 
-/// Reads an event that is JSON already, as in the file that a router starts from.
+/// Reads an event or a heartbeat from parsed JSON, such as an item of the bootstrap file.
 pub fn event(value: &Value) -> Result<DiscoveryLine, InputError> {
     let number = value["no"].as_u64().ok_or_else(|| InputError::new("no", "is no whole number"))?;
     let roster = &value["roster"];
-    // Taken for an event, a heartbeat ahead of the last event received would hide the one that is missing.
+    // An object with only a number is a heartbeat. If it were treated as an event, a heartbeat whose number is ahead of
+    // the last event received would hide that an event is missing.
     if value.as_object().is_some_and(|object| object.len() == 1) {
         return Ok(DiscoveryLine::Heartbeat(number));
     }
     if roster.is_null() {
-        // An event of another matter: nothing in it concerns the list.
+        // The event does not concern the worker list, but its number counts.
         return Ok(DiscoveryLine::Event { number, complete: false, entries: Vec::new() });
     }
     let complete = roster["complete"].as_bool().unwrap_or(false);
@@ -66,13 +67,13 @@
     Ok(DiscoveryLine::Event { number, complete, entries })
 }
 
-/// One worker, by its index in the list.
+/// Reads one worker; `index` is its position in the list, for error messages.
 fn entry((index, member): (usize, &Value)) -> Result<EndpointEntry, InputError> {
-    let fault = |key: &str| InputError::new(format!("members[{index}].{key}"), "is missing or senseless");
+    let invalid = |key: &str| InputError::new(format!("members[{index}].{key}"), "is missing or senseless");
     let text = |key: &str| member[key].as_str().unwrap_or_default().to_owned();
-    let name = Some(text("id")).filter(|name| !name.is_empty()).ok_or_else(|| fault("id"))?;
-    let state = worker_state(member).ok_or_else(|| fault("phase"))?;
-    let address = address(member, state).ok_or_else(|| fault("host_port"))?;
+    let name = Some(text("id")).filter(|name| !name.is_empty()).ok_or_else(|| invalid("id"))?;
+    let state = worker_state(member).ok_or_else(|| invalid("phase"))?;
+    let address = address(member, state).ok_or_else(|| invalid("host_port"))?;
     let started = member["up_since_ms"].as_f64().filter(|ms| *ms > 0.0).map(|ms| ms / 1e3);
     let cell = match &member["cell"] {
         Value::Null => String::new(),
@@ -101,9 +102,9 @@
     }
 }
 
-/// The address of a worker; one that has gone needs none.
+/// Reads the address of a worker, which may be absent only if the worker is gone.
 fn address(member: &Value, state: EndpointStatus) -> Option<SocketAddr> {
-    let stated = member["host_port"].as_str().and_then(|address| address.parse().ok());
+    let parsed = member["host_port"].as_str().and_then(|address| address.parse().ok());
     let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-    stated.or_else(|| (state == EndpointStatus::Gone).then_some(unspecified))
+    parsed.or_else(|| (state == EndpointStatus::Gone).then_some(unspecified))
 }
--- a/crates/platform-protocol/src/frames.rs
+++ b/crates/platform-protocol/src/frames.rs
@@ -1,5 +1,6 @@
-//! Worker frames: a header of 16 bytes, fields, body, and a checksum of both. A frame is accepted only where first byte,
-//! code, lengths and checksum are right; its lengths are bounded before anything is allocated for it.
+//! Binary frames between a router and workers: a 16-byte header, fields, a body, and a checksum of fields and body. A
+//! frame is accepted only if its first byte, code, lengths and checksum are valid. Lengths are checked against their
+//! limits before anything is allocated for the frame.
 
 mod layout;
 mod read;
--- a/crates/platform-protocol/src/frames/layout.rs
+++ b/crates/platform-protocol/src/frames/layout.rs
@@ -1,11 +1,12 @@
-//! The layout that frames of both directions share. All numbers are big-endian: one byte for the direction, one for the
-//! code, two for the length of the fields, four for that of the body, eight for the id.
+//! The frame layout, which is the same in both directions. The header consists of the direction (1 byte), the code
+//! (1 byte), the length of the fields (2 bytes), the length of the body (4 bytes) and the id (8 bytes). All integers
+//! are big-endian.
 
-/// Bytes of the header.
+/// Length of the header.
 pub const HEADER_BYTES: usize = 16;
-/// Bytes of the checksum: CRC-32 of fields and body.
+/// Length of the checksum, a CRC-32 of fields and body.
 pub const CHECKSUM_BYTES: usize = 4;
-/// The first byte of a router's frame.
+/// First byte of a frame from a router.
 pub const FROM_ROUTER: u8 = 126;
-/// The first byte of a worker's frame.
+/// First byte of a frame from a worker.
 pub const FROM_WORKER: u8 = 127;
--- a/crates/platform-protocol/src/frames/read.rs
+++ b/crates/platform-protocol/src/frames/read.rs
@@ -1,4 +1,4 @@
-//! Frames of a worker: its responses to attempts, load requests and health checks.
+//! Decodes frames from workers: responses to attempts, load requests and health checks.
 
 use super::layout::{CHECKSUM_BYTES, FROM_WORKER, HEADER_BYTES};
 use milletpath_platform_settings::set_report_value;
@@ -6,42 +6,42 @@
 use milletpath_protocol::InputError;
 use std::ops::RangeInclusive;
 
-/// Bytes of the fields of a response, at most: several times what is seen in practice.
+/// Maximum length of a response's fields in bytes, several times what occurs in practice.
 pub const MAX_FIELDS: usize = 4 << 10;
-/// Bytes of the body of a response, at most.
+/// Maximum length of a response body in bytes.
 pub const MAX_RESPONSE_BODY: usize = 256 << 10;
-/// Numbers that a worker of any size could report; others are left out.
+/// Range of numbers that a worker of any size could report; values outside it are ignored.
 const PLAUSIBLE_NUMBERS: RangeInclusive<f64> = 0.0..=1e9;
 
-/// What a worker responded. Fields that it did not send have the values that the platform documents for that case.
+/// A worker's response. Fields that the worker omitted have the defaults that the platform documents.
 #[derive(Debug)]
 pub struct WorkerResponse<'b> {
-    /// The id of the frame that is answered.
+    /// The id of the frame that this responds to.
     pub id: u64,
-    /// How an attempt or a load request ended; for a health check, whether the worker is healthy.
+    /// The outcome of an attempt or a load request. For a health check, it is `Succeeded` if the worker is healthy.
     pub outcome: Outcome,
-    /// Whether a health check is answered.
+    /// Whether this is a response to a health check.
     pub probe: bool,
-    /// Calls that ran on the same instance at the same time.
+    /// Number of calls that ran concurrently on the same instance.
     pub concurrent_calls: f64,
-    /// Instances of the function that are loaded.
+    /// Number of loaded instances of the function.
     pub instances: u8,
-    /// The worker's load, where it was reported.
+    /// The worker's load report, if it sent one.
     pub report: Option<LoadReport>,
-    /// The body of the response.
+    /// The response body.
     pub body: &'b [u8],
 }
 
-/// A response, and the bytes that it takes in the stream.
+/// A decoded frame and its length in the stream.
 #[derive(Debug)]
 pub struct Frame<'b> {
-    /// What it says.
+    /// The response that the frame contains.
     pub response: WorkerResponse<'b>,
-    /// Bytes of the whole frame.
+    /// Length of the whole frame in bytes, with header and checksum.
     pub length: usize,
 }
 
-/// The header of a frame.
+/// The decoded header of a frame.
 struct Header {
     outcome: Outcome,
     probe: bool,
@@ -50,8 +50,8 @@
     id: u64,
 }
 
-/// Reads the first frame in the bytes; none while it is not complete. Each part is checked as soon as it is there, so that
-/// nobody waits for the rest of a frame that can't be read.
+/// Decodes the first frame in `bytes`, or returns `None` if it is incomplete. Each part is validated as soon as it has
+/// arrived, so that the caller does not wait for the rest of an invalid frame.
 pub fn read(bytes: &[u8]) -> Result<Option<Frame<'_>>, InputError> {
     let Some(header) = read_header(bytes)? else { return Ok(None) };
     let Some(rest) = bytes.get(HEADER_BYTES..) else { return Ok(None) };
@@ -67,7 +67,7 @@
     Ok(Some(Frame { response, length: HEADER_BYTES + payload_bytes + CHECKSUM_BYTES }))
 }
 
-/// Reads the header; none while it is not complete.
+/// Decodes the header, or returns `None` if it is incomplete.
 fn read_header(bytes: &[u8]) -> Result<Option<Header>, InputError> {
     if bytes.first().is_some_and(|first| *first != FROM_WORKER) {
         return Err(InputError::new("mark", "is not a worker's"));
@@ -93,7 +93,7 @@
     Ok(Some(Header { outcome, probe, fields, body, id: u64::from_be_bytes(id) }))
 }
 
-/// Reads the fields, a list as `same=2,n=1,use=rif:3;busy:0.5`; unknown names are left out.
+/// Parses the fields, a list such as `same=2,n=1,use=rif:3;busy:0.5`. Unknown names are ignored.
 fn read_response<'b>(header: &Header, fields: &str, body: &'b [u8]) -> WorkerResponse<'b> {
     let Header { id, outcome, probe, .. } = *header;
     let mut response =
--- a/crates/platform-protocol/src/frames/write.rs
+++ b/crates/platform-protocol/src/frames/write.rs
@@ -1,8 +1,9 @@
-//! Frames of a router: each function adds one to a buffer. `id` is what the worker's response will carry.
+//! Encodes frames from a router. Each function appends one frame to a buffer; the worker's response carries the same
+//! `id`.
 
 use super::layout::FROM_ROUTER;
 
-/// Codes of a router's frames.
+/// Codes of frames from a router.
 mod code {
     pub const ATTEMPT: u8 = 2;
     pub const CANCEL: u8 = 3;
@@ -12,21 +13,21 @@
     pub const UNLOAD: u8 = 8;
 }
 
-/// An attempt at a request, as its client put it.
+/// An attempt to execute a client's request.
 pub struct Attempt<'s> {
-    /// The id of the request.
+    /// The request id.
     pub id: u64,
-    /// The name of its profile.
+    /// The name of the request's profile.
     pub profile: &'s str,
     /// The name of the function.
     pub function: &'s str,
-    /// The key by which workers know a repeat; empty for none.
+    /// The key by which workers recognize a retry; empty if there is none.
     pub idempotency_key: &'s str,
-    /// The body of the request.
+    /// The request body.
     pub body: &'s [u8],
 }
 
-/// Sends an attempt; `remaining` are the seconds until it is cancelled.
+/// Writes an attempt; `remaining` is the time in seconds until the router cancels it.
 pub fn write_attempt(out: &mut Vec<u8>, attempt: &Attempt<'_>, remaining: f64) {
     let Attempt { id, profile, function, idempotency_key, body } = *attempt;
     let budget_ms = (remaining * 1e3).max(1.0) as u64;
@@ -38,23 +39,23 @@
     write_frame(out, code::ATTEMPT, id, &fields, body);
 }
 
-/// Cancels an attempt; nothing answers.
+/// Writes the cancellation of an attempt. Workers do not respond to it.
 pub fn write_cancel(out: &mut Vec<u8>, id: u64) {
     write_frame(out, code::CANCEL, id, "", b"");
 }
 
-/// Asks whether the worker is healthy, and where `with_load` for its load report.
+/// Writes a health check, which also requests a load report if `with_load` is set.
 pub fn write_probe(out: &mut Vec<u8>, id: u64, with_load: bool) {
     let code = if with_load { code::PROBE_WITH_LOAD } else { code::PROBE };
     write_frame(out, code, id, "", b"");
 }
 
-/// Requests that at least so many instances of a function be loaded; 0 only asks how many there are.
+/// Writes a request to load a function until it has at least `instances` instances. 0 only queries their number.
 pub fn write_load_request(out: &mut Vec<u8>, id: u64, function: &str, instances: u8) {
     write_frame(out, code::LOAD, id, &format!("path={function},n={instances}"), b"");
 }
 
-/// Unloads the idle instances of a function; nothing answers.
+/// Writes a request to unload the idle instances of a function. Workers do not respond to it.
 pub fn write_unload(out: &mut Vec<u8>, function: u64) {
     write_frame(out, code::UNLOAD, function, "", b"");
 }
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! The platform's protocol as codecs, with no sockets and no state of its own: what passes between clients and a router
-//! ([`lines`]), between a router and workers ([`frames`]), what the discovery service sends ([`events`]), and the file
-//! that a router starts from ([`bootstrap`]). Names and numbers of the wire end here.
+//! Codecs for the platform's protocols, without sockets or state: the messages between clients and a router ([`lines`])
+//! and between a router and workers ([`frames`]), the events of the discovery service ([`events`]), and the bootstrap
+//! file of a router ([`bootstrap`]). The names and numeric codes of the wire formats stay inside this crate.
 
 pub mod bootstrap;
 pub mod events;
--- a/crates/platform-protocol/src/lines.rs
+++ b/crates/platform-protocol/src/lines.rs
@@ -1,5 +1,5 @@
-//! Client lines: JSON-RPC 2.0 without batches, one message a line. Everything is checked before it is acted on; what is
-//! wrong is reported as a [`InputError`](milletpath_protocol::InputError), with the line's number where that could be read.
+//! The protocol of clients: JSON-RPC 2.0 without batches, one message per line. A line is fully validated before it is
+//! processed. Errors are reported as [`InvalidLine`], with the line's number (its JSON-RPC `id`) if that is readable.
 
 mod call;
 mod message;
--- a/crates/platform-protocol/src/lines/call.rs
+++ b/crates/platform-protocol/src/lines/call.rs
@@ -1,56 +1,57 @@
-//! A call of a function: its parameters, each checked against its bounds.
+//! Parses and validates the parameters of a function call.
 
 use crate::hex_id::parse_hex_id;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use milletpath_protocol::InputError;
 use serde_json::Value;
 
-/// Bytes of the body of a request, as the platform states it.
+/// Maximum length of a request body in bytes, as specified by the platform.
 pub const MAX_REQUEST_BODY: usize = 16 << 10;
-/// Milliseconds that a client may state as its timeout: an hour. Nobody waits longer, and sums of times stay finite.
+/// Maximum timeout that a client may set, in milliseconds: one hour. No client waits longer, and the bound keeps sums
+/// of times finite.
 const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
-/// The largest value of a function's setting that makes sense, in MB, calls or ms.
+/// Largest plausible value of a function setting, in MB, calls or ms.
 const MAX_FUNCTION_SETTING: f64 = 1e7;
-/// Bytes of an idempotency key: twice what clients are seen to send.
+/// Maximum length of an idempotency key in bytes, twice the length of the keys that clients send.
 const MAX_IDEMPOTENCY_KEY: usize = 64;
 
-/// A call as its client sent it.
+/// A validated call from a client.
 #[derive(Debug, PartialEq)]
 pub struct Call {
-    /// The line's number on its connection, by which it is answered.
+    /// The line's number on its connection (the JSON-RPC `id`), which the response repeats.
     pub number: u64,
-    /// The id of the request, unique among all clients.
+    /// The request id, unique among all clients.
     pub id: u64,
-    /// The name of its profile.
+    /// The name of the request's profile.
     pub profile: String,
-    /// The name of its client group; empty for none.
+    /// The name of the client group; empty if there is none.
     pub client: String,
-    /// The name of the function: 16 hex digits.
+    /// The name of the function: 16 hexadecimal digits.
     pub function: String,
-    /// Seconds that the client waits.
+    /// How long the client waits for a response, in seconds.
     pub timeout: f64,
-    /// Whether the client marks it as a repeat.
+    /// Whether the client marks the call as a retry.
     pub is_retry: bool,
-    /// The key by which workers know a repeat, passed on as it is; empty for none.
+    /// The key by which workers recognize a retry, forwarded unchanged; empty if there is none.
     pub idempotency_key: String,
     /// Memory of one instance of the function, in MB.
     pub memory: f64,
-    /// Calls that one instance runs at a time.
+    /// Number of calls that one instance runs concurrently.
     pub lanes: f64,
-    /// Seconds that a load of the function usually takes, where stated.
+    /// Typical time to load the function, in seconds, if the client sent it.
     pub load: Option<f64>,
-    /// The body of the request.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
-/// What a client states about the function that it calls.
+/// Settings of the called function, as sent by the client.
 struct FunctionSettings {
     memory: f64,
     lanes: f64,
     load: Option<f64>,
 }
 
-/// Reads a call from the parameters of its line; `method` is the name of its profile.
+/// Reads a call from the parameters of its line. `method` is the name of the profile.
 pub fn read(number: u64, id: Option<u64>, method: &str, params: &Value) -> Result<Call, InputError> {
     let id = id.ok_or_else(|| InputError::new("i", "is not 16 hex digits"))?;
     let function = function(params)?;
@@ -102,7 +103,7 @@
 }
 
 fn idempotency_key(params: &Value) -> Result<&str, InputError> {
-    // It becomes the value of one field in a list of fields: a character that ends a value could begin another field.
+    // The key becomes a value in the comma-separated fields of a frame, so a comma in it could start another field.
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b",=".contains(&byte);
     match &params["k"] {
         Value::Null => Ok(""),
@@ -111,13 +112,13 @@
     }
 }
 
-/// The seconds that a client waits.
+/// Reads the client's timeout, in seconds.
 fn timeout(params: &Value) -> Result<f64, InputError> {
     let milliseconds = params["d"].as_f64().filter(|ms| (1.0..=MAX_TIMEOUT_MS).contains(ms));
     milliseconds.map(|ms| ms / 1e3).ok_or_else(|| InputError::new("d", "is no time to wait"))
 }
 
-/// A list as `memory_mb:512;lanes:2;load_ms:640`; unknown names are left out.
+/// Parses a list such as `memory_mb:512;lanes:2;load_ms:640`. Unknown names are ignored.
 fn function_settings(info: &str) -> Result<FunctionSettings, InputError> {
     let mut settings = FunctionSettings { memory: 0.0, lanes: 1.0, load: None };
     for (name, value) in info.split(';').filter_map(|setting| setting.split_once(':')) {
@@ -135,7 +136,7 @@
     Ok(settings)
 }
 
-/// A text that may be left out; empty then.
+/// Reads an optional string, which is empty if the key is absent.
 fn optional_text<'v>(params: &'v Value, key: &str, problem: &str) -> Result<&'v str, InputError> {
     match &params[key] {
         Value::Null => Ok(""),
--- a/crates/platform-protocol/src/lines/message.rs
+++ b/crates/platform-protocol/src/lines/message.rs
@@ -1,4 +1,4 @@
-//! One line of a client as a message: a call, a cancellation or a health check (`probe`).
+//! Parses a line from a client into a message: a call, a cancellation or a health check (`probe`).
 
 use super::call::{self, Call, MAX_REQUEST_BODY};
 use crate::hex_id::parse_hex_id;
@@ -6,42 +6,42 @@
 use serde_json::Value;
 use std::ops::RangeInclusive;
 
-/// Bytes of a line: the largest body in base64, and room for its fields.
+/// Maximum length of a line in bytes: the largest body in base64 plus 2 KiB for the other fields.
 pub const MAX_LINE: usize = MAX_REQUEST_BODY.div_ceil(3) * 4 + (2 << 10);
-/// Integers that every reader of JSON keeps exactly.
+/// Valid line numbers: positive integers that every JSON parser represents exactly.
 const LINE_NUMBERS: RangeInclusive<u64> = 1..=1 << 53;
 
-/// What a client sends.
+/// A message from a client.
 #[derive(Debug, PartialEq)]
 pub enum ClientMessage {
-    /// A call of a function.
+    /// A function call.
     Call(Box<Call>),
-    /// The client waits no longer for the request of that id or the line of that number.
+    /// The client no longer waits for the response to a request, which it identifies by request id or line number.
     Cancel {
-        /// The id of the request.
+        /// The request id.
         id: Option<u64>,
-        /// The number of its line.
+        /// The number of the request's line.
         number: Option<u64>,
     },
     /// A health check of the router.
     Probe {
-        /// The line's number, by which it is answered.
+        /// The line's number, which the response repeats.
         number: u64,
     },
 }
 
-/// A line that is no message.
+/// A line that is not a valid message.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{fault}")]
 pub struct InvalidLine {
-    /// The line's number, where that could be read: its sender is answered under it.
+    /// The line's number, if it could be read; the error response repeats it.
     pub number: Option<u64>,
-    /// What is wrong.
+    /// Why the line is invalid.
     #[source]
     pub fault: InputError,
 }
 
-/// Reads one line, without the character that ends it.
+/// Parses one line without its line terminator.
 pub fn read(line: &[u8]) -> Result<ClientMessage, InvalidLine> {
     if line.len() > MAX_LINE {
         return Err(InvalidLine { number: None, fault: InputError::new("line", "is too long") });
--- a/crates/platform-protocol/tests/bootstrap.rs
+++ b/crates/platform-protocol/tests/bootstrap.rs
@@ -1,4 +1,5 @@
-//! The file that a router starts from: a valid one gives the configuration, an invalid one is refused by its field.
+//! Tests for reading the bootstrap file: a valid file yields the configuration, and the error for an invalid one names
+//! the field.
 
 use milletpath_platform_protocol::bootstrap;
 use serde_json::{Value, json};
@@ -25,10 +26,10 @@
     })
 }
 
-/// The valid file with another value at a path; null stands for none.
+/// Returns the valid file with the value at `path` replaced.
 fn changed(path: &str, value: Value) -> Vec<u8> {
     let mut file = valid();
-    *file.pointer_mut(path).expect("a path of the file") = value;
+    *file.pointer_mut(path).expect("the path exists") = value;
     file.to_string().into_bytes()
 }
 
@@ -49,27 +50,27 @@
         (limits.connect_timeout, limits.health_check_timeout, limits.idle_timeout),
         (0.25, 0.25, 30.0)
     );
-    // Past 20,000 open requests memory would be exhausted, whatever the settings say.
+    // Capped at 20,000 whatever the settings say, because more open requests would exhaust memory.
     assert_eq!((limits.drain_grace, limits.max_open_requests, limits.cores), (0.5, 20_000, 1));
 }
 
 #[test]
-fn limits_that_are_not_stated_are_the_least_that_the_platform_grants() {
+fn missing_limits_default_to_the_minimum_that_the_platform_grants() {
     let read = bootstrap::read(&changed("/limits", Value::Null)).expect("valid");
     assert_eq!((read.memory_bytes, read.descriptors), (32_000_000, 256));
 }
 
 #[test_case("/listen", json!("localhost"), "listen: is missing or no address with a port"; "no port")]
 #[test_case("/bulletin", Value::Null, "bulletin: is missing or no address with a port"; "no discovery address")]
-#[test_case("/seed", json!("xyz"), "seed: is missing or no hex digits"; "a seed that is no number")]
+#[test_case("/seed", json!("xyz"), "seed: is missing or no hex digits"; "an invalid seed")]
 #[test_case("/known/no", json!(-1), "known.no: is no whole number"; "a negative event number")]
 #[test_case("/known/items/0/roster/members/1/phase", json!("gone"),
     "members[1].phase: is missing or senseless"; "an unknown state of a worker")]
 #[test_case("/settings/Classes/0/HardLimit", Value::Null,
     "settings: the setting HardLimit is missing or senseless"; "no deadline")]
 #[test_case("/settings/Rules/DrainGrace", json!("soon"),
-    "settings: the setting Rules.DrainGrace is missing or senseless"; "a time that is no number")]
-fn an_invalid_file_is_refused_with_its_field(path: &str, value: Value, fault: &str) {
-    let read = bootstrap::read(&changed(path, value)).expect_err("invalid");
-    assert_eq!(read.to_string(), fault);
+    "settings: the setting Rules.DrainGrace is missing or senseless"; "a time that is not a number")]
+fn an_invalid_file_is_rejected_with_its_field(path: &str, value: Value, message: &str) {
+    let error = bootstrap::read(&changed(path, value)).expect_err("invalid");
+    assert_eq!(error.to_string(), message);
 }
--- a/crates/platform-protocol/tests/codecs.rs
+++ b/crates/platform-protocol/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! Codecs of the platform: what is valid is read completely, what is not is refused by its field, and nothing is allocated
-//! for a length that is only claimed. Arbitrary bytes by the thousand never do more than that.
+//! Tests for the platform's codecs: valid input is read completely, the error for invalid input names the field,
+//! nothing is allocated for a length that a header merely claims, and arbitrary bytes never cause a panic.
 
 use milletpath_platform_protocol::bootstrap;
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
@@ -18,39 +18,41 @@
 
 #[test]
 fn a_call_is_read_with_all_its_fields() {
-    let Ok(ClientMessage::Call(call)) = lines::read(call("").as_bytes()) else { panic!("it is valid") };
+    let Ok(ClientMessage::Call(call)) = lines::read(call("").as_bytes()) else { panic!("should be valid") };
     assert_eq!((call.number, call.id, call.profile.as_str()), (7, 0x9b1f_03aa_5c7e_2d41, "p"));
     assert_eq!((call.client.as_str(), call.function.as_str()), ("acme", "7f3a9c21e0b4d655"));
     assert_eq!((call.timeout, call.is_retry, &call.body[..]), (1.5, true, &b"hi"[..]));
     assert_eq!((call.memory, call.lanes, call.load), (512.0, 2.0, Some(0.64)));
 }
 
-#[test_case(r#""id":7=>"id":0"#, "id"; "no number")]
-#[test_case(r#""id":7=>"id":"7""#, "id"; "a number as text")]
+#[test_case(r#""id":7=>"id":0"#, "id"; "a line number of 0")]
+#[test_case(r#""id":7=>"id":"7""#, "id"; "a line number that is a string")]
 #[test_case("9b1f=>9B1F", "i"; "an id in capitals")]
 #[test_case("9b1f=>9b1", "i"; "a short id")]
-#[test_case("7f3a=>zzzz", "o"; "a function that is no number")]
-#[test_case("1500=>-1", "d"; "a negative time")]
-#[test_case("1500=>1e300", "d"; "an endless time")]
-#[test_case("lanes:2=>lanes:NaN", "info.lanes"; "a number that is none")]
-#[test_case("512=>1e99", "info.memory_mb"; "a number out of bounds")]
-#[test_case("aGk==>a", "content"; "no base64")]
-#[test_case(r#""r":1=>"r":[]"#, "r"; "a repeat flag that is a list")]
-#[test_case(r#""r":1=>"k":7"#, "k"; "an idempotency key that is no text")]
-#[test_case(r#""r":1=>"k":"a,queue=q""#, "k"; "an idempotency key that would begin another field")]
-#[test_case(r#""r":1=>"k":"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef0""#, "k"; "an idempotency key past its bound")]
-#[test_case("2.0=>1.0", "jsonrpc"; "another protocol")]
-#[test_case("{=>", "line"; "no json")]
-fn an_invalid_call_is_refused_with_its_field(change: &str, field: &str) {
-    let Err(invalid) = lines::read(call(change).as_bytes()) else { panic!("it is invalid") };
+#[test_case("7f3a=>zzzz", "o"; "a function that is not hexadecimal")]
+#[test_case("1500=>-1", "d"; "a negative timeout")]
+#[test_case("1500=>1e300", "d"; "a timeout past its limit")]
+#[test_case("lanes:2=>lanes:NaN", "info.lanes"; "not a number")]
+#[test_case("512=>1e99", "info.memory_mb"; "a number out of range")]
+#[test_case("aGk==>a", "content"; "invalid base64")]
+#[test_case(r#""r":1=>"r":[]"#, "r"; "a retry flag that is an array")]
+#[test_case(r#""r":1=>"k":7"#, "k"; "an idempotency key that is not a string")]
+#[test_case(r#""r":1=>"k":"a,queue=q""#, "k"; "an idempotency key that would start another field")]
+#[test_case(r#""r":1=>"k":"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef0""#, "k"; "an idempotency key that is too long")]
+#[test_case("2.0=>1.0", "jsonrpc"; "an unsupported protocol version")]
+#[test_case("{=>", "line"; "invalid json")]
+fn an_invalid_call_is_rejected_with_its_field(change: &str, field: &str) {
+    let Err(invalid) = lines::read(call(change).as_bytes()) else { panic!("should be invalid") };
     assert_eq!(invalid.fault.location, field);
 }
 
-/// Without its idempotency key no worker knows a repeat. A past version left it out of every attempt.
+/// Regression test: attempts were once sent without the idempotency key, so workers could not recognize retries.
 #[test_case(r#""r":1=>"k":"51c47357e4320fd8""#, ",uniq=51c47357e4320fd8"; "with a key")]
 #[test_case("", ""; "without a key")]
 fn the_idempotency_key_is_passed_to_the_worker(change: &str, field: &str) {
-    let Ok(ClientMessage::Call(call)) = lines::read(call(change).as_bytes()) else { panic!("it is valid") };
+    let Ok(ClientMessage::Call(call)) = lines::read(call(change).as_bytes()) else {
+        panic!("should be valid")
+    };
     let lines::Call { id, profile, function, idempotency_key, body, .. } = &*call;
     let mut frame_bytes = Vec::new();
     frames::write_attempt(
@@ -63,35 +65,35 @@
     assert_eq!(std::str::from_utf8(&frame_bytes[16..16 + fields]), Ok(expected.as_str()));
 }
 
-#[test_case(lines::MAX_REQUEST_BODY, true; "at the bound")]
-#[test_case(lines::MAX_REQUEST_BODY + 1, false; "one past it")]
-fn request_bodies_are_bounded(length: usize, is_accepted: bool) {
+#[test_case(lines::MAX_REQUEST_BODY, true; "at the limit")]
+#[test_case(lines::MAX_REQUEST_BODY + 1, false; "one byte over the limit")]
+fn request_bodies_are_limited(length: usize, is_accepted: bool) {
     use base64::Engine;
     let body = base64::engine::general_purpose::STANDARD.encode(vec![b'x'; length]);
     assert_eq!(lines::read(call(&format!("aGk==>{body}")).as_bytes()).is_ok(), is_accepted);
 }
 
 #[test]
-fn deep_nesting_is_refused() {
+fn deep_nesting_is_rejected() {
     assert!(lines::read(&b"[".repeat(lines::MAX_LINE)).is_err());
 }
 
-/// A response that claims 3 GB and keeps coming is refused by its header.
+/// A response that claims 3 GB must be rejected by its header, before the receiver buffers any of it.
 #[test_case(&[127, 200, 0, 0, 0xc0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8]; "three gigabytes")]
 #[test_case(&[127, 200, 0xff, 0xff, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8]; "long fields")]
 #[test_case(&[126]; "a frame of a router")]
 #[test_case(&[127, 1]; "an unknown code")]
-fn an_invalid_header_is_refused_before_the_frame_is_complete(bytes: &[u8]) {
+fn an_invalid_header_is_rejected_before_the_frame_is_complete(bytes: &[u8]) {
     assert!(frames::read(bytes).is_err());
 }
 
 #[test]
-fn implausible_numbers_are_left_out() {
+fn implausible_numbers_are_ignored() {
     let bytes = frame(200, 5, "same=-3,use=q:NaN;x0:0.5;x1:-1,later=1", b"");
-    let answer = frames::read(&bytes).expect("valid").expect("complete").response;
-    let report = answer.report.expect("a report");
+    let response = frames::read(&bytes).expect("valid").expect("complete").response;
+    let report = response.report.expect("a report");
     assert_eq!(
-        (answer.concurrent_calls, report.queued, report.memory, report.loading),
+        (response.concurrent_calls, report.queued, report.memory, report.loading),
         (0.0, None, Some(0.5), None)
     );
 }
@@ -100,28 +102,31 @@
 #[test_case(r#"{"no":17}"#, Some(DiscoveryLine::Heartbeat(17)); "a number in an object")]
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"gone"}]}}"#, None; "an unknown state")]
 #[test_case(r#"{"no":41,"roster":{"members":[{"id":"a","phase":"active"}]}}"#, None; "no address")]
-#[test_case(r#"{"no":41,"roster":"#, None; "half an event")]
-fn discovery_lines_are_read_or_refused(line: &str, read: Option<DiscoveryLine>) {
-    assert_eq!(events::read(line.as_bytes()).ok(), read);
+#[test_case(r#"{"no":41,"roster":"#, None; "a truncated event")]
+fn discovery_lines_are_read_or_rejected(line: &str, expected: Option<DiscoveryLine>) {
+    assert_eq!(events::read(line.as_bytes()).ok(), expected);
 }
 
 proptest! {
     #[test]
     fn responses_are_read_complete_or_not_at_all(
-        id: u64, same in 0u8..30, body in prop::collection::vec(any::<u8>(), 0..200), flip: prop::sample::Index,
+        id: u64,
+        concurrent_calls in 0u8..30,
+        body in prop::collection::vec(any::<u8>(), 0..200),
+        corrupted_byte: prop::sample::Index,
     ) {
-        let bytes = frame(200, id, &format!("same={same}"), &body);
+        let bytes = frame(200, id, &format!("same={concurrent_calls}"), &body);
         for end in 0..bytes.len() {
             prop_assert!(matches!(frames::read(&bytes[..end]), Ok(None)));
         }
         let twice = [&bytes[..], &bytes[..]].concat();
-        let frames::Frame { response: answer, length } = frames::read(&twice).unwrap().unwrap();
-        prop_assert_eq!((answer.id, answer.outcome, answer.body, length), (id, Outcome::Succeeded, &body[..], bytes.len()));
-        prop_assert_eq!(answer.concurrent_calls, f64::from(same));
-        // What is corrupted past the header is never accepted.
-        let at = 16 + flip.index(bytes.len() - 16);
+        let frames::Frame { response, length } = frames::read(&twice).unwrap().unwrap();
+        prop_assert_eq!((response.id, response.outcome, response.body, length), (id, Outcome::Succeeded, &body[..], bytes.len()));
+        prop_assert_eq!(response.concurrent_calls, f64::from(concurrent_calls));
+        // A flipped bit after the header is always detected.
+        let position = 16 + corrupted_byte.index(bytes.len() - 16);
         let mut corrupted = bytes.clone();
-        corrupted[at] ^= 1;
+        corrupted[position] ^= 1;
         prop_assert!(frames::read(&corrupted).is_err());
     }
 
@@ -138,20 +143,23 @@
     }
 }
 
-/// Of a file read again the discovery address is taken, and what else differs is named; the list so far and the seed are
-/// new with every file.
-#[test_case("", &[]; "the same")]
-#[test_case(r#""no":1=>"no":9"#, &[]; "a longer list so far")]
-#[test_case(r#""memory_mb":64=>"memory_mb":32"#, &["limits.memory_mb"]; "another limit")]
-#[test_case(r#""Tick":1000=>"Tock":1000"#, &["settings.Tick", "settings.Tock"]; "a key for another")]
-#[test_case(r#""Effect":"free"=>"Effect":"single_shot""#, &["settings.Classes"]; "another effect")]
-fn a_file_read_again_reports_what_changed(change: &str, paths: &[&str]) {
-    let first = r#"{"listen":"127.0.0.1:1","seed":"5","bulletin":"127.0.0.1:2","known":{"no":1},"limits":{"memory_mb":64},
+/// Reloading the file takes over the discovery address and names all other changes, except for the known workers and the
+/// seed, which differ in every file.
+#[test_case("", &[]; "no other change")]
+#[test_case(r#""no":1=>"no":9"#, &[]; "more known events")]
+#[test_case(r#""memory_mb":64=>"memory_mb":32"#, &["limits.memory_mb"]; "a changed limit")]
+#[test_case(r#""Tick":1000=>"Tock":1000"#, &["settings.Tick", "settings.Tock"]; "a renamed key")]
+#[test_case(r#""Effect":"free"=>"Effect":"single_shot""#, &["settings.Classes"]; "a changed effect")]
+fn a_reloaded_file_reports_ignored_changes(change: &str, paths: &[&str]) {
+    let original = r#"{"listen":"127.0.0.1:1","seed":"5","bulletin":"127.0.0.1:2","known":{"no":1},"limits":{"memory_mb":64},
         "settings":{"Classes":[{"Name":"p","Effect":"free"}],"Tick":1000}}"#;
     let (from, to) = change.split_once("=>").unwrap_or(("", ""));
-    let reload = first.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
-    let bootstrap::ReloadedBootstrap { discovery, ignored_changes: other } =
-        bootstrap::reload(reload.as_bytes(), first.as_bytes()).expect("valid");
-    assert_eq!((discovery.port(), other.iter().map(String::as_str).collect::<Vec<_>>()), (3, paths.to_vec()));
-    assert!(bootstrap::reload(&reload.as_bytes()[..40], first.as_bytes()).is_err());
+    let changed = original.replacen(from, to, 1).replace("127.0.0.1:2", "127.0.0.1:3");
+    let bootstrap::ReloadedBootstrap { discovery, ignored_changes } =
+        bootstrap::reload(changed.as_bytes(), original.as_bytes()).expect("valid");
+    assert_eq!(
+        (discovery.port(), ignored_changes.iter().map(String::as_str).collect::<Vec<_>>()),
+        (3, paths.to_vec())
+    );
+    assert!(bootstrap::reload(&changed.as_bytes()[..40], original.as_bytes()).is_err());
 }
--- a/crates/platform-protocol/tests/wire.rs
+++ b/crates/platform-protocol/tests/wire.rs
@@ -1,5 +1,6 @@
-//! Bytes on the wire, captured before this package's names changed: what the codecs write equals the stored bytes, and
-//! the stored bytes of clients and workers read as they did then.
+//! Compatibility tests against recorded bytes: the codecs still write exactly the recorded bytes, and still read
+//! recorded input from clients, workers and the discovery service to the same values. The bytes were recorded before
+//! names in this crate changed, so a rename that changes the wire format fails here.
 
 use milletpath_platform_protocol::events::{self, DiscoveryLine};
 use milletpath_platform_protocol::lines::{self, Call, ClientMessage};
@@ -9,13 +10,13 @@
 use milletpath_protocol::registry::EndpointStatus;
 use std::fmt::Write as _;
 
-/// One capture a line: its name and the bytes as hex digits.
+/// One capture per line: its name and its bytes in hexadecimal.
 const CAPTURED: &str = include_str!("wire/captured.txt");
 
 fn captured(name: &str) -> Vec<u8> {
     let line = CAPTURED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let digits = line.unwrap_or_else(|| panic!("no capture of {name}"));
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    (0..digits.len()).step_by(2).map(|i| u8::from_str_radix(&digits[i..i + 2], 16).unwrap()).collect()
 }
 
 fn as_hex(bytes: &[u8]) -> String {
@@ -25,15 +26,15 @@
     })
 }
 
-/// The bytes that `write` adds to a buffer that holds some already.
+/// Returns the bytes that `write` appends to a non-empty buffer.
 fn written(write: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
     let mut bytes = b"before".to_vec();
     write(&mut bytes);
     bytes.split_off(b"before".len())
 }
 
-/// Everything that the codecs write, by the name of its capture.
-fn everything_written() -> Vec<(&'static str, Vec<u8>)> {
+/// Outputs of all write functions, each with the name of its capture.
+fn all_outputs() -> Vec<(&'static str, Vec<u8>)> {
     let attempt = |idempotency_key| frames::Attempt {
         id: 0x9b1f_03aa_5c7e_2d41,
         profile: "check",
@@ -41,34 +42,37 @@
         idempotency_key,
         body: b"hi",
     };
-    let fault = InputError::new("info.lanes", "is \"out\" of range\n");
+    let error = InputError::new("info.lanes", "is \"out\" of range\n");
     vec![
-        ("line-success", written(|to| lines::write_success(to, 7, b"\x00\xffhello"))),
-        ("line-success-empty", written(|to| lines::write_success(to, 1, b""))),
-        ("line-rejected", written(|to| lines::write_rejected(to, 8, None))),
-        ("line-rejected-retry-after", written(|to| lines::write_rejected(to, 9, Some(0.2504)))),
-        ("line-failed", written(|to| lines::write_failed(to, 10))),
-        ("line-invalid", written(|to| lines::write_invalid(to, Some(11), &fault))),
-        ("line-invalid-unnumbered", written(|to| lines::write_invalid(to, None, &fault))),
-        ("line-probe-healthy", written(|to| lines::write_health(to, 12, true))),
-        ("line-probe-unhealthy", written(|to| lines::write_health(to, 12, false))),
-        ("frame-attempt", written(|to| frames::write_attempt(to, &attempt(""), 1.5))),
-        ("frame-attempt-key", written(|to| frames::write_attempt(to, &attempt("51c47357e4320fd8"), 0.0001))),
-        ("frame-cancel", written(|to| frames::write_cancel(to, 5))),
-        ("frame-probe", written(|to| frames::write_probe(to, 6, false))),
-        ("frame-probe-load", written(|to| frames::write_probe(to, 6, true))),
-        ("frame-load", written(|to| frames::write_load_request(to, u64::MAX, "7f3a9c21e0b4d655", 3))),
+        ("line-success", written(|out| lines::write_success(out, 7, b"\x00\xffhello"))),
+        ("line-success-empty", written(|out| lines::write_success(out, 1, b""))),
+        ("line-rejected", written(|out| lines::write_rejected(out, 8, None))),
+        ("line-rejected-retry-after", written(|out| lines::write_rejected(out, 9, Some(0.2504)))),
+        ("line-failed", written(|out| lines::write_failed(out, 10))),
+        ("line-invalid", written(|out| lines::write_invalid(out, Some(11), &error))),
+        ("line-invalid-unnumbered", written(|out| lines::write_invalid(out, None, &error))),
+        ("line-probe-healthy", written(|out| lines::write_health(out, 12, true))),
+        ("line-probe-unhealthy", written(|out| lines::write_health(out, 12, false))),
+        ("frame-attempt", written(|out| frames::write_attempt(out, &attempt(""), 1.5))),
+        (
+            "frame-attempt-key",
+            written(|out| frames::write_attempt(out, &attempt("51c47357e4320fd8"), 0.0001)),
+        ),
+        ("frame-cancel", written(|out| frames::write_cancel(out, 5))),
+        ("frame-probe", written(|out| frames::write_probe(out, 6, false))),
+        ("frame-probe-load", written(|out| frames::write_probe(out, 6, true))),
+        ("frame-load", written(|out| frames::write_load_request(out, u64::MAX, "7f3a9c21e0b4d655", 3))),
         (
             "frame-unload",
-            written(|to| frames::write_unload(to, parse_hex_id("7f3a9c21e0b4d655").expect("hex"))),
+            written(|out| frames::write_unload(out, parse_hex_id("7f3a9c21e0b4d655").expect("hex"))),
         ),
         ("events-after", events::subscribe_after(41).into_bytes()),
     ]
 }
 
 #[test]
-fn what_is_written_equals_the_captured_bytes() {
-    for (name, bytes) in everything_written() {
+fn outputs_equal_the_captured_bytes() {
+    for (name, bytes) in all_outputs() {
         assert_eq!(as_hex(&bytes), as_hex(&captured(name)), "{name}");
     }
 }
@@ -90,9 +94,9 @@
         body: b"hi".to_vec(),
     };
     assert_eq!(lines::read(&captured("client-call")), Ok(ClientMessage::Call(Box::new(call))));
-    let write_cancel = |id, number| Ok(ClientMessage::Cancel { id, number });
-    assert_eq!(lines::read(&captured("client-cancel-id")), write_cancel(Some(0x9b1f_03aa_5c7e_2d41), None));
-    assert_eq!(lines::read(&captured("client-cancel-number")), write_cancel(None, Some(7)));
+    let cancel = |id, number| Ok(ClientMessage::Cancel { id, number });
+    assert_eq!(lines::read(&captured("client-cancel-id")), cancel(Some(0x9b1f_03aa_5c7e_2d41), None));
+    assert_eq!(lines::read(&captured("client-cancel-number")), cancel(None, Some(7)));
     assert_eq!(lines::read(&captured("client-probe")), Ok(ClientMessage::Probe { number: 3 }));
 }
 
@@ -116,15 +120,18 @@
     };
     for (name, outcome, probe) in codes {
         let bytes = captured(name);
-        let frames::Frame { response: answer, length } =
-            frames::read(&bytes).expect("valid").expect("complete");
+        let frames::Frame { response, length } = frames::read(&bytes).expect("valid").expect("complete");
         assert_eq!(
-            (answer.outcome, answer.probe, answer.id, length),
+            (response.outcome, response.probe, response.id, length),
             (outcome, probe, 77, bytes.len()),
             "{name}"
         );
-        assert_eq!((answer.concurrent_calls, answer.instances, answer.body), (4.0, 2, &b"hi"[..]), "{name}");
-        assert_eq!(format!("{:?}", answer.report), format!("{:?}", Some(report)), "{name}");
+        assert_eq!(
+            (response.concurrent_calls, response.instances, response.body),
+            (4.0, 2, &b"hi"[..]),
+            "{name}"
+        );
+        assert_eq!(format!("{:?}", response.report), format!("{:?}", Some(report)), "{name}");
     }
 }
 
@@ -144,13 +151,13 @@
     assert_eq!(events::read(&captured("events-heartbeat")), Ok(DiscoveryLine::Heartbeat(41)));
 }
 
-/// Each row holds a line that is invalid, its number or `-`, and the error that its sender gets.
+/// Each row consists of an invalid line, its number or `-`, and the error message that the client receives.
 #[test]
-fn invalid_client_lines_get_the_captured_faults() {
+fn invalid_client_lines_get_the_captured_errors() {
     for row in include_str!("wire/faults.txt").lines() {
-        let [line, number, fault] = row.split('\t').collect::<Vec<_>>()[..] else { panic!("{row}") };
+        let [line, number, message] = row.split('\t').collect::<Vec<_>>()[..] else { panic!("{row}") };
         let invalid = lines::read(line.as_bytes()).expect_err(line);
         assert_eq!(invalid.number.map_or("-".into(), |n| n.to_string()), number, "{line}");
-        assert_eq!(invalid.fault.to_string(), fault, "{line}");
+        assert_eq!(invalid.fault.to_string(), message, "{line}");
     }
 }
