--- a/crates/platform-protocol/src/bootstrap/read.rs
+++ b/crates/platform-protocol/src/bootstrap/read.rs
@@ -54,10 +54,11 @@
         serde_json::from_slice(text).map_err(|error| InputError::new("file", error.to_string()))?;
     let settings = &file["settings"];
     let seed = file["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok());
-    let seed = seed.ok_or_else(|| InputError::new("seed", "is missing or no hex digits"))?;
+    let seed = seed.ok_or_else(|| InputError::new("seed", "is missing or not a hexadecimal number"))?;
     let policy = platform_settings::policy_config(settings, seed).map_err(settings_error)?;
     let last_event = file["known"]["no"].as_u64();
-    let last_event = last_event.ok_or_else(|| InputError::new("known.no", "is no whole number"))?;
+    let last_event =
+        last_event.ok_or_else(|| InputError::new("known.no", "is not a non-negative integer"))?;
     let worker_lists = worker_lists(&file["known"]["items"])?;
     let profiles = profiles(settings).map_err(settings_error)?;
     let limits = limits(settings).map_err(settings_error)?;
--- a/crates/platform-protocol/src/events.rs
+++ b/crates/platform-protocol/src/events.rs
@@ -50,7 +50,8 @@
 
 /// Reads an event or a heartbeat from parsed JSON, such as an item of the bootstrap file.
 pub fn event(value: &Value) -> Result<DiscoveryLine, InputError> {
-    let number = value["no"].as_u64().ok_or_else(|| InputError::new("no", "is no whole number"))?;
+    let number =
+        value["no"].as_u64().ok_or_else(|| InputError::new("no", "is not a non-negative integer"))?;
     let roster = &value["roster"];
     // An object with only a number is a heartbeat. If it were treated as an event, a heartbeat whose number is ahead of
     // the last event received would hide that an event is missing.
@@ -62,14 +63,15 @@
         return Ok(DiscoveryLine::Event { number, complete: false, entries: Vec::new() });
     }
     let complete = roster["complete"].as_bool().unwrap_or(false);
-    let members = roster["members"].as_array().ok_or_else(|| InputError::new("members", "is no list"))?;
+    let members =
+        roster["members"].as_array().ok_or_else(|| InputError::new("members", "is not an array"))?;
     let entries = members.iter().enumerate().map(entry).collect::<Result<_, _>>()?;
     Ok(DiscoveryLine::Event { number, complete, entries })
 }
 
 /// Reads one worker; `index` is its position in the list, for error messages.
 fn entry((index, member): (usize, &Value)) -> Result<EndpointEntry, InputError> {
-    let invalid = |key: &str| InputError::new(format!("members[{index}].{key}"), "is missing or senseless");
+    let invalid = |key: &str| InputError::new(format!("members[{index}].{key}"), "is missing or invalid");
     let text = |key: &str| member[key].as_str().unwrap_or_default().to_owned();
     let name = Some(text("id")).filter(|name| !name.is_empty()).ok_or_else(|| invalid("id"))?;
     let state = worker_state(member).ok_or_else(|| invalid("phase"))?;
--- a/crates/platform-protocol/src/frames/read.rs
+++ b/crates/platform-protocol/src/frames/read.rs
@@ -62,7 +62,7 @@
         return Err(InputError::new("check", "does not match"));
     }
     let (fields, body) = payload.split_at(header.fields);
-    let fields = std::str::from_utf8(fields).map_err(|_| InputError::new("fields", "are no text"))?;
+    let fields = std::str::from_utf8(fields).map_err(|_| InputError::new("fields", "are not valid UTF-8"))?;
     let response = read_response(&header, fields, body);
     Ok(Some(Frame { response, length: HEADER_BYTES + payload_bytes + CHECKSUM_BYTES }))
 }
@@ -70,7 +70,7 @@
 /// Decodes the header, or returns `None` if it is incomplete.
 fn read_header(bytes: &[u8]) -> Result<Option<Header>, InputError> {
     if bytes.first().is_some_and(|first| *first != FROM_WORKER) {
-        return Err(InputError::new("mark", "is not a worker's"));
+        return Err(InputError::new("mark", "is not the first byte of a worker's frame"));
     }
     let Some(&code) = bytes.get(1) else { return Ok(None) };
     let (outcome, probe) = match code {
@@ -88,7 +88,7 @@
     let fields = usize::from(u16::from_be_bytes([f0, f1]));
     let body = u32::from_be_bytes([b0, b1, b2, b3]) as usize;
     if fields > MAX_FIELDS || body > MAX_RESPONSE_BODY {
-        return Err(InputError::new("length", "is past its bound"));
+        return Err(InputError::new("length", "exceeds its limit"));
     }
     Ok(Some(Header { outcome, probe, fields, body, id: u64::from_be_bytes(id) }))
 }
