--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -1,15 +1,15 @@
-//! Why a settings object can't be used.
+//! The error for an invalid settings object.
 
-/// What is wrong with the settings. The platform is shown this text.
+/// Why the settings are invalid. The platform is shown the text of the error.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is not JSON; the source names the place.
+    /// The text is not valid JSON; the source error gives line and column.
     #[error("the settings are no JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A required setting is absent, of another type or out of bounds.
+    /// A required setting is missing, has the wrong type or is out of range.
     #[error("the setting {setting} is missing or senseless")]
     Invalid {
-        /// The path of the setting, its keys separated by dots.
+        /// The path of the setting, with keys separated by dots.
         setting: String,
     },
 }
@@ -19,7 +19,7 @@
         Self::Invalid { setting: setting.into() }
     }
 
-    /// The same error with the path of the object in which the setting was looked for.
+    /// Prefixes the path of the setting with `path`, that of the object that should contain it.
     pub(crate) fn within(self, path: &str) -> Self {
         match self {
             Self::Invalid { setting } => Self::invalid(format!("{path}.{setting}")),
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Reads the platform's settings object, as the simulator's wire hands it to an instance and as the platform's file
-//! holds it: one reader for both. It gives the configuration of the routing decisions, and what a router on sockets
-//! needs beside it. The names of the settings are the platform's, and end here.
+//! Reads the platform's settings object, which an instance in the simulator receives over the simulator's protocol and a
+//! router on the platform reads from its bootstrap file. The result is the configuration of the routing policy, plus the
+//! names and limits that a router with real sockets needs. The platform's names of the settings stay inside this crate.
 
 mod error;
 mod load_report;
@@ -17,7 +17,7 @@
 
 use serde_json::Value;
 
-/// Parses the settings as they come over a wire; the error names where they are not JSON.
+/// Parses the JSON text of a settings object; the error gives the position of a syntax error.
 pub fn parse(text: &[u8]) -> Result<Value, SettingsError> {
     serde_json::from_slice(text).map_err(SettingsError::NotJson)
 }
--- a/crates/platform-settings/src/load_report.rs
+++ b/crates/platform-settings/src/load_report.rs
@@ -1,16 +1,17 @@
-//! Load reports of workers: which values they hold, and what each of them means.
+//! Load reports from workers: which values they contain and what each value means.
 
 use crate::lookup::value_at;
 use milletpath_policy::LoadReport;
 use serde_json::Value;
 
-/// The names of the values in a load report, in their order; empty where workers report nothing.
+/// Returns the names of the values in a load report, in order; empty if workers send no reports.
 #[must_use]
 pub fn load_report_names(settings: &Value) -> Vec<String> {
     value_at(settings, "/Telemetry/Names").unwrap_or_default()
 }
 
-/// Puts one value of a load report where it belongs. One that is not finite, or of an unknown name, is left out.
+/// Sets the field of `report` for the value called `name`. A value that is not finite clears the field; an unknown name
+/// is ignored.
 pub fn set_report_value(report: &mut LoadReport, name: &str, value: f64) {
     let value = Some(value).filter(|x| x.is_finite());
     match name {
--- a/crates/platform-settings/src/policy.rs
+++ b/crates/platform-settings/src/policy.rs
@@ -1,4 +1,4 @@
-//! The configuration of the routing decisions that the settings spell out.
+//! Builds the configuration of the routing policy from the settings.
 
 use crate::error::SettingsError;
 use crate::lookup::{non_negative, optional_seconds, positive, seconds, value_at};
@@ -6,8 +6,8 @@
 use milletpath_policy::{Idempotency, KeyScope, PolicyConfig, Profile, RequestBudget};
 use serde_json::Value;
 
-/// The configuration of the routing decisions; the error names a setting that is missing or out of bounds. `seed` makes
-/// the decisions of routers alike in all else differ.
+/// Builds the policy configuration; the error names a setting that is missing or out of range. `seed` makes otherwise
+/// identical routers decide differently.
 pub fn policy_config(settings: &Value, seed: u64) -> Result<PolicyConfig, SettingsError> {
     let classes: Vec<Value> =
         value_at(settings, "/Classes").ok_or_else(|| SettingsError::invalid("Classes"))?;
@@ -30,14 +30,15 @@
         watches_on_request: value_at::<&str>(settings, "/RegistryMode") == Some("subscribe"),
         can_check_health: flag("/Limits/Probing"),
         health_checks_report_load: reports_load,
-        // The simulator tells of each change of the list; a router on the platform has to hear of it.
+        // The simulator reports every change of the list. A router on the platform depends on its discovery stream and
+        // overrides this value.
         list_valid_for: f64::INFINITY,
         draining_workers_reject: true,
         acceptance_valid_for: drain_grace(settings)?,
         max_retry_after: optional_seconds(settings, "/Limits/MaxRetryAfter")
             .filter(|_| flag("/Limits/RetryAfter")),
         keep_alive: optional_seconds(settings, "/FamilyInfo/KeepAlive").unwrap_or(0.0),
-        load_budget: load_rate_limit(settings),
+        load_budget: load_budget(settings),
         load_request_timeout: optional_seconds(settings, "/FamilyInfo/LoadWait").unwrap_or(f64::INFINITY),
         initial_capacity: non_negative(settings, "/Rules/StartCapacity")?,
         warm_up: seconds(settings, "/Rules/WarmUp")?,
@@ -48,30 +49,30 @@
     })
 }
 
-/// Requests a second within the share of each client group; infinite where not stated.
+/// Reads the quota of each client group in requests per second; infinite if absent.
 fn quotas(settings: &Value) -> Vec<f64> {
     let tenants: Vec<Value> = value_at(settings, "/Tenants").unwrap_or_default();
     tenants.iter().map(|tenant| value_at(tenant, "/QuotaPerS").unwrap_or(f64::INFINITY)).collect()
 }
 
-/// The budget of load requests; none where the settings do not limit them.
-fn load_rate_limit(settings: &Value) -> Option<RequestBudget> {
+/// Reads the budget for load requests; `None` if the settings do not limit them.
+fn load_budget(settings: &Value) -> Option<RequestBudget> {
     let window = optional_seconds(settings, "/FamilyInfo/LoadPeriod")?;
     let free = value_at(settings, "/FamilyInfo/FreeLoads").unwrap_or(0.0);
     let earned_per_request = value_at(settings, "/FamilyInfo/LoadShare").unwrap_or(0.0);
     Some(RequestBudget { window, free, earned_per_request })
 }
 
-/// One class of the settings as a profile, by its index among them.
+/// Converts one of the settings' classes to a profile; `index` is its position in the list, for error messages.
 fn profile((index, class): (usize, &Value)) -> Result<Profile, SettingsError> {
     let read = || {
-        let effect = effect(class)?;
-        Ok(Profile { latency_objective: seconds(class, "/Objective")?, idempotency: effect })
+        let idempotency = idempotency(class)?;
+        Ok(Profile { latency_objective: seconds(class, "/Objective")?, idempotency })
     };
     read().map_err(|error: SettingsError| error.within(&format!("Classes[{index}]")))
 }
 
-fn effect(class: &Value) -> Result<Idempotency, SettingsError> {
+fn idempotency(class: &Value) -> Result<Idempotency, SettingsError> {
     match value_at::<&str>(class, "/Effect") {
         Some("free") => Ok(Idempotency::Idempotent),
         Some("single_shot") => Ok(Idempotency::NonIdempotent),
@@ -83,7 +84,7 @@
     }
 }
 
-/// The workers among which an idempotency key is known.
+/// Reads which workers share their knowledge of an idempotency key.
 fn key_scope(class: &Value) -> Option<KeyScope> {
     match value_at::<&str>(class, "/KeyScope") {
         Some("zone") => Some(KeyScope::Zone),
--- a/crates/platform-settings/tests/settings.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The platform's settings: a valid object gives its values, and what is missing or out of bounds is named by its path.
+//! Tests for the platform's settings: a valid object yields its values, and the error for a missing or invalid setting
+//! names its path.
 
 use milletpath_platform_settings::{self as platform_settings, ProfileSettings};
 use milletpath_policy::{Idempotency, KeyScope, LoadReport, RequestBudget};
@@ -24,14 +25,14 @@
 }"#;
 
 fn valid() -> Value {
-    platform_settings::parse(VALID.as_bytes()).expect("it is JSON")
+    platform_settings::parse(VALID.as_bytes()).expect("valid JSON")
 }
 
-/// The settings without the value at a path, or with another one there.
+/// Returns the valid settings with the value at `path` replaced, or removed if `value` is `None`.
 fn changed(path: &str, value: Option<&str>) -> Value {
     let mut settings = valid();
     let (object, key) = path.rsplit_once('/').expect("a path");
-    let object = settings.pointer_mut(object).and_then(Value::as_object_mut).expect("an object");
+    let object = settings.pointer_mut(object).and_then(Value::as_object_mut).expect("the object exists");
     match value {
         Some(value) => object.insert(key.into(), serde_json::from_str(value).expect("JSON")),
         None => object.remove(key),
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn valid_settings_give_the_policy_its_values() {
+fn valid_settings_yield_the_policy_configuration() {
     let config = platform_settings::policy_config(&valid(), 9).expect("valid");
     assert_eq!((config.seed, config.routers, config.max_attempts, config.clock_resolution), (9, 3, 4, 0.001));
     assert_eq!(config.profiles[0].idempotency, Idempotency::Idempotent);
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn valid_settings_give_a_router_on_sockets_its_names_and_limits() {
+fn valid_settings_yield_names_and_limits() {
     let settings = valid();
     let profiles = platform_settings::profile_settings(&settings).expect("valid");
     let check = ProfileSettings { name: "check".into(), deadline: 3.0, importance: 4.0 };
@@ -87,36 +88,36 @@
     assert_eq!(platform_settings::count_limit(&settings, "StreamsPerConn", 7), 7);
 }
 
-#[test_case("/Balancers", None, "Balancers"; "no number of routers")]
-#[test_case("/Balancers", Some("0"), "Balancers"; "no router")]
-#[test_case("/Classes", Some("7"), "Classes"; "classes that are no list")]
+#[test_case("/Balancers", None, "Balancers"; "a missing number of routers")]
+#[test_case("/Balancers", Some("0"), "Balancers"; "a router count of zero")]
+#[test_case("/Classes", Some("7"), "Classes"; "classes that are not a list")]
 #[test_case("/Classes/1/KeyScope", None, "Classes[1].KeyScope"; "a key without a scope")]
 #[test_case("/Classes/1/DedupWindow", Some("-1"), "Classes[1].DedupWindow"; "a negative window")]
 #[test_case("/Classes/2/Effect", Some("\"odd\""), "Classes[2].Effect"; "an unknown effect")]
-#[test_case("/Classes/0/Objective", Some("\"soon\""), "Classes[0].Objective"; "an objective that is no number")]
-#[test_case("/Limits/MaxAttempts", None, "Limits.MaxAttempts"; "no number of attempts")]
-#[test_case("/Rules/WarmUp", None, "Rules.WarmUp"; "no warm-up time")]
-fn an_invalid_setting_of_the_policy_is_named(path: &str, value: Option<&str>, setting: &str) {
+#[test_case("/Classes/0/Objective", Some("\"soon\""), "Classes[0].Objective"; "an objective that is not a number")]
+#[test_case("/Limits/MaxAttempts", None, "Limits.MaxAttempts"; "a missing number of attempts")]
+#[test_case("/Rules/WarmUp", None, "Rules.WarmUp"; "a missing warm-up time")]
+fn an_invalid_policy_setting_is_named(path: &str, value: Option<&str>, setting: &str) {
     let error = platform_settings::policy_config(&changed(path, value), 9).expect_err("invalid");
     assert_eq!(error.to_string(), format!("the setting {setting} is missing or senseless"));
 }
 
 #[test_case("/Classes/1/Name", "Classes[1].Name"; "a profile without a name")]
 #[test_case("/Classes/1/HardLimit", "HardLimit"; "a profile without a deadline")]
-fn an_invalid_setting_of_profiles_is_named(path: &str, setting: &str) {
+fn an_invalid_profile_setting_is_named(path: &str, setting: &str) {
     let error = platform_settings::profile_settings(&changed(path, None)).expect_err("invalid");
     assert_eq!(error.to_string(), format!("the setting {setting} is missing or senseless"));
 }
 
 #[test]
-fn text_that_is_no_json_is_refused_with_its_place() {
-    let error = platform_settings::parse(b"{\n  oops").expect_err("no JSON");
+fn invalid_json_is_rejected_with_its_position() {
+    let error = platform_settings::parse(b"{\n  oops").expect_err("invalid JSON");
     assert!(error.to_string().starts_with("the settings are no JSON: "), "{error}");
     assert!(error.to_string().contains("line 2 column 3"), "{error}");
 }
 
 #[test]
-fn unknown_and_infinite_values_of_a_load_report_are_left_out() {
+fn unknown_and_infinite_values_of_a_load_report_are_ignored() {
     let mut report = LoadReport::default();
     for (name, value) in [("rif", 2.0), ("q", f64::INFINITY), ("x0", 0.5), ("other", 9.0)] {
         platform_settings::set_report_value(&mut report, name, value);
