--- a/crates/multicore/benches/connection_balancer.rs
+++ b/crates/multicore/benches/connection_balancer.rs
@@ -1,8 +1,9 @@
-//! How evenly the requests of clients with unequal rates are spread over the cores by three ways to assign connections: at
-//! random, as the kernel's hash does; round-robin; and by expected request rate, where overloaded cores close connections.
-//! Simulated, without sockets: the figures are those of the assignment alone.
+//! Compares how evenly three ways of assigning connections spread the requests of clients with unequal rates over the
+//! cores: at random, as the kernel's hash does; round-robin; and by expected request rate, where overloaded cores close
+//! connections. This is a simulation without sockets, so the results show the effect of the assignment alone.
 //!
-//! `cargo bench -p milletpath-multicore --bench connection_balancer` prints the busiest core's requests over the mean.
+//! `cargo bench -p milletpath-multicore --bench connection_balancer` prints the ratio of the busiest core's requests to
+//! the mean.
 
 use milletpath_multicore::connection_balancer::{
     ConnectionBalancer, ConnectionShift, CoreLoad, REBALANCE_INTERVAL,
@@ -13,12 +14,12 @@
 
 const CORES: usize = 4;
 const ROUNDS: u64 = 50;
-/// Requests a second of all clients.
+/// Requests per second of all clients together.
 const TOTAL_RATE: f64 = 10_000.0;
-/// Seconds of a round, and those at its end that are measured.
-const SECONDS: f64 = 60.0;
+/// Duration of a round, and of the part at its end that is measured.
+const ROUND_SECONDS: f64 = 60.0;
 const MEASURED_SECONDS: f64 = 20.0;
-/// Mean seconds for which a client keeps a connection of its own accord.
+/// Mean time in seconds after which a client reconnects on its own.
 const CONNECTION_LIFETIME: f64 = 300.0;
 
 /// How connections are assigned to cores.
@@ -31,19 +32,19 @@
 
 /// The result of one round.
 struct RoundResult {
-    /// Busiest core's requests over the mean, on average over the measured seconds.
+    /// Ratio of the busiest core's requests to the mean, averaged over the measured seconds.
     imbalance: f64,
-    /// Connections that overloaded cores closed.
+    /// Number of connections that overloaded cores closed.
     closed: usize,
 }
 
-/// The clients of one round and the cores that have their connections.
+/// The state of one round: the clients and the core of each client's connection.
 struct Round {
     assignment: Assignment,
     rng: ChaCha8Rng,
     balancer: ConnectionBalancer,
     next_core: usize,
-    /// Requests a second of each client.
+    /// Requests per second of each client.
     rates: Vec<f64>,
     core_of: Vec<usize>,
     requests: [f64; CORES],
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Plays one interval; returns the busiest core's requests over the mean.
+    /// Simulates one interval; returns the ratio of the busiest core's requests to the mean.
     fn advance(&mut self, now: f64) -> f64 {
         let mut rate_of = [0.0; CORES];
         self.core_of.iter().zip(&self.rates).for_each(|(core, rate)| rate_of[*core] += rate);
@@ -96,7 +97,8 @@
         rate_of.iter().copied().fold(0.0, f64::max) * CORES as f64 / TOTAL_RATE
     }
 
-    /// The client whose next response comes first is asked first: usually the one that sends the most requests.
+    /// Closes the connections of the busiest eligible clients: a core closes connections after their next response,
+    /// which usually comes first for the clients that send the most requests.
     fn close(&mut self, shift: &ConnectionShift) {
         let may_close = |client: &usize| {
             self.core_of[*client] == shift.core && self.rates[*client] <= shift.max_request_rate
@@ -117,12 +119,12 @@
         }
     }
 
-    fn play(mut self) -> RoundResult {
+    fn run(mut self) -> RoundResult {
         let (mut now, mut sum, mut measured) = (0.0, 0.0, 0);
-        while now < SECONDS {
+        while now < ROUND_SECONDS {
             now += REBALANCE_INTERVAL;
             let imbalance = self.advance(now);
-            if now > SECONDS - MEASURED_SECONDS {
+            if now > ROUND_SECONDS - MEASURED_SECONDS {
                 sum += imbalance;
                 measured += 1;
             }
@@ -131,10 +133,9 @@
     }
 }
 
-/// One cell of the table: mean (worst) imbalance, and connections closed in a round.
-fn cell(assignment: Assignment, name: &str, clients: usize, skew: f64) -> String {
-    let results: Vec<_> =
-        (0..ROUNDS).map(|seed| Round::new(assignment, clients, skew, seed).play()).collect();
+/// Formats one cell of the table: mean (worst) imbalance, and connections closed per round.
+fn format_cell(assignment: Assignment, name: &str, clients: usize, skew: f64) -> String {
+    let results: Vec<_> = (0..ROUNDS).map(|seed| Round::new(assignment, clients, skew, seed).run()).collect();
     let mean = results.iter().map(|result| result.imbalance).sum::<f64>() / ROUNDS as f64;
     let worst = results.iter().map(|result| result.imbalance).fold(0.0, f64::max);
     let closed = results.iter().map(|result| result.closed).sum::<usize>() as f64 / ROUNDS as f64;
@@ -143,13 +144,13 @@
 }
 
 fn main() {
-    println!("busiest of {CORES} cores over the mean, mean (worst) of {ROUNDS} rounds of {SECONDS} s");
+    println!("busiest of {CORES} cores over the mean, mean (worst) of {ROUNDS} rounds of {ROUND_SECONDS} s");
     for (skew, name) in [(0.0, "equal rates"), (0.7, "unequal rates"), (1.1, "a few clients send most")] {
         for clients in [16, 64, 256] {
             let cells = [
-                cell(Assignment::Random, "random", clients, skew),
-                cell(Assignment::RoundRobin, "round-robin", clients, skew),
-                cell(Assignment::ByExpectedRate, "by expected rate", clients, skew),
+                format_cell(Assignment::Random, "random", clients, skew),
+                format_cell(Assignment::RoundRobin, "round-robin", clients, skew),
+                format_cell(Assignment::ByExpectedRate, "by expected rate", clients, skew),
             ];
             println!("{clients:>4} clients, {name}: {}", cells.join("  "));
         }
--- a/crates/multicore/src/connection_balancer.rs
+++ b/crates/multicore/src/connection_balancer.rs
@@ -1,77 +1,80 @@
-//! Chooses the core for each new client connection, and has overloaded cores close some of theirs.
+//! Chooses a core for each new client connection, and makes overloaded cores close some of their connections.
 //!
 //! Clients keep their connections, and some send a thousand times as many requests as others. If only the number of
-//! connections were balanced, one core could have most of the requests.
+//! connections were balanced, one core could receive most of the requests.
 
-/// A core's load as its supervisor reads it.
+/// A core's load, as read by the supervisor.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoreLoad {
-    /// Open client connections.
+    /// Number of open client connections.
     pub connections: usize,
-    /// Requests read since the core's thread started.
+    /// Number of requests read since the core's thread started.
     pub requests: u64,
-    /// The core is stalled or has no thread: it gets no connections.
+    /// Whether the core is stalled or has no thread. Such a core gets no connections while another core runs.
     pub stalled: bool,
 }
 
-/// Asks an overloaded core to close connections after their next response (`Connection: close`), so that their clients
-/// connect anew and reach another core.
+/// Tells an overloaded core to close connections after their next response (`Connection: close`), so that their clients
+/// reconnect and are assigned to another core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionShift {
     /// The overloaded core.
     pub core: usize,
-    /// How many connections it should close.
+    /// Number of connections to close.
     pub connections: usize,
-    /// Only connections with at most so many requests a second: a busier client would only overload the next core.
+    /// Highest request rate of a connection to close, per second: a busier client would overload its next core as well.
     pub max_request_rate: f64,
 }
 
-/// Seconds between two calls of [`ConnectionBalancer::rebalance`]: some hundreds of requests on a core that is worth
-/// balancing.
+/// Seconds between calls of [`ConnectionBalancer::rebalance`]. In this time, a core that is busy enough to be balanced
+/// receives some hundreds of requests.
 pub const REBALANCE_INTERVAL: f64 = 0.5;
 
-/// Half life of the request rates, in seconds: a client's pause is no reason to move others.
+/// Half-life of the request rates, in seconds: long enough that a client's pause does not move other connections.
 const RATE_HALF_LIFE: f64 = 1.0;
 
-/// A core is overloaded beyond this multiple of the mean rate. At [`MIN_REBALANCED_RATE`] random variation stays well below.
+/// A core is overloaded if its request rate exceeds this multiple of the mean. At [`MIN_REBALANCED_RATE`], random
+/// variation stays well below it.
 const OVERLOAD_RATIO: f64 = 1.25;
 
-/// Mean requests a second of a core below which none is busy enough to be balanced.
+/// Mean requests per second of a core below which connections are not rebalanced.
 const MIN_REBALANCED_RATE: f64 = 100.0;
 
-/// Consecutive rounds in which a core must be overloaded before it closes connections.
+/// Number of consecutive rounds in which a core must be overloaded before it closes connections.
 const OVERLOADED_ROUNDS: u32 = 4;
 
-/// Largest fraction of a core's connections that it closes in one round; the effect is measured before more are closed.
+/// Largest fraction of a core's connections that it closes in one round. The effect is measured before it closes more.
 const MAX_SHIFT_FRACTION: f64 = 0.125;
 
-/// Requests a second expected of a connection of which none came: more than 0, so that idle connections are spread evenly.
+/// Added to the expected request rate of a connection, per second. Because it is above 0, idle connections are spread
+/// evenly too.
 const MIN_CONNECTION_RATE: f64 = 1e-3;
 
-/// What the balancer knows of one core.
+/// The balancer's view of one core.
 #[derive(Clone, Debug, Default)]
 struct CoreState {
     load: CoreLoad,
-    /// Requests a second, as an exponentially decaying mean.
+    /// Requests per second, as an exponentially decaying mean.
     request_rate: f64,
-    /// The request rate, and that expected of the connections assigned since the last round.
+    /// The request rate plus the expected rate of connections assigned since the last round.
     expected_rate: f64,
-    /// Consecutive rounds in which the core was overloaded.
+    /// Number of consecutive rounds in which the core was overloaded.
     overloaded_rounds: u32,
 }
 
 impl CoreState {
-    /// Takes in the load at the end of a round of `elapsed` seconds.
+    /// Updates the rates with the load at the end of a round of `elapsed` seconds.
     fn update(&mut self, load: CoreLoad, elapsed: f64) {
         let retained = (-elapsed / RATE_HALF_LIFE).exp2();
-        // The count of a restarted core begins at 0 again.
+        // A restarted core counts from 0 again.
         let requests = load.requests.checked_sub(self.load.requests).unwrap_or(load.requests);
         self.request_rate = retained * self.request_rate + (1.0 - retained) * requests as f64 / elapsed;
         self.expected_rate = self.request_rate;
         self.load = load;
     }
 
-    /// Counts rounds of overload against the mean rate of all cores; whether connections should be closed now.
+    /// Updates the number of overloaded rounds and returns whether the core should close connections now. `mean_rate`
+    /// is the mean rate of all cores.
     fn should_shift(&mut self, mean_rate: f64) -> bool {
         let overloaded = self.request_rate > OVERLOAD_RATIO * mean_rate
             && mean_rate > MIN_REBALANCED_RATE
@@ -84,7 +87,7 @@
         true
     }
 
-    /// The shift that brings this core to the mean rate, as far as one round may.
+    /// Returns the shift that reduces this core's rate to the mean, limited to what one round may close.
     fn shift(&self, core: usize, mean_rate: f64) -> ConnectionShift {
         let excess = self.request_rate - mean_rate;
         let open = self.load.connections as f64;
@@ -94,20 +97,20 @@
     }
 }
 
-/// Balances client connections over the cores of one gateway by the requests that they send.
+/// Balances client connections between the cores of one gateway by their request rates.
 pub struct ConnectionBalancer {
     cores: Vec<CoreState>,
     rebalanced_at: f64,
 }
 
 impl ConnectionBalancer {
-    /// A balancer for so many cores, none of which has a connection yet.
+    /// Creates a balancer for `cores` cores without connections.
     pub fn new(cores: usize, now: f64) -> Self {
         Self { cores: vec![CoreState::default(); cores], rebalanced_at: now }
     }
 
-    /// Chooses the core for a new connection: of the cores that run, the one with the lowest expected request rate, and
-    /// of equal ones that with the fewest connections. Where all are stalled, the same order holds among them.
+    /// Chooses the core for a new connection: the running core with the lowest expected request rate, with ties broken
+    /// by the fewest connections. If all cores are stalled, the same order applies to them.
     pub fn pick_core(&mut self) -> usize {
         let rate = self.mean_connection_rate();
         let least_loaded = self.cores.iter_mut().enumerate().min_by(|(_, a), (_, b)| {
@@ -121,7 +124,7 @@
         core
     }
 
-    /// Requests a second to expect of a new connection.
+    /// Returns the expected requests per second of a new connection.
     fn mean_connection_rate(&self) -> f64 {
         let connections: usize = self.cores.iter().map(|core| core.load.connections).sum();
         self.total_rate() / connections.max(1) as f64 + MIN_CONNECTION_RATE
@@ -131,7 +134,7 @@
         self.cores.iter().map(|core| core.request_rate).sum()
     }
 
-    /// Ends a round: takes in the load of each core and returns the connections to be closed by overloaded ones.
+    /// Ends a round: records the load of each core and returns which overloaded cores should close connections.
     pub fn rebalance(&mut self, now: f64, loads: &[CoreLoad]) -> Vec<ConnectionShift> {
         let elapsed = now - self.rebalanced_at;
         if elapsed <= 0.0 {
--- a/crates/multicore/src/lib.rs
+++ b/crates/multicore/src/lib.rs
@@ -1,12 +1,13 @@
-//! What the cores (threads) of one gateway share, free of sockets and clocks.
+//! Coordination between the cores (threads) of one gateway, without sockets or clocks.
 //!
-//! Shared structures, safe under any interleaving: a [`mailbox::Mailbox`] for each core, a [`budget::Budget`] for each
-//! resource that all cores use, a [`response_claim::ResponseClaim`] for each client connection, and a
-//! [`heartbeat::Heartbeat`] by which others see that a core runs. `tests/interleavings.rs` checks them in all
-//! interleavings with loom, `tests/models.rs` against sequential models.
+//! Shared structures, correct under any interleaving: a [`mailbox::Mailbox`] per core, a [`budget::Budget`] per
+//! resource that the cores share, a [`response_claim::ResponseClaim`] per client connection, and a
+//! [`heartbeat::Heartbeat`] per core, by which other threads detect whether it runs. `tests/interleavings.rs` checks
+//! them under all interleavings with loom, `tests/models.rs` against sequential models.
 //!
-//! Decisions about cores, which have no state in common: [`connection_balancer`] chooses the core for a client connection;
-//! [`watchdog`] detects a stalled core and chooses what to do about it. The gateway's supervisor carries them out.
+//! Decisions about cores, which share no state between threads: [`connection_balancer`] chooses the core for a client
+//! connection; [`watchdog`] detects a stalled core and decides what to do about it. The gateway's supervisor carries
+//! out these decisions.
 
 pub mod budget;
 pub mod connection_balancer;
@@ -15,7 +16,7 @@
 pub mod response_claim;
 pub mod watchdog;
 
-/// Loom's types in its test, the standard library's everywhere else.
+/// Loom's types if the `loom` feature is enabled, the standard library's otherwise.
 mod sync {
     #[cfg(feature = "loom")]
     pub use loom::sync::{Mutex, MutexGuard, atomic};
--- a/crates/multicore/src/mailbox.rs
+++ b/crates/multicore/src/mailbox.rs
@@ -1,30 +1,34 @@
-//! A core's mailbox: the messages that other threads have for it, in the order in which they were pushed.
+//! A core's mailbox: messages from other threads, in the order in which they were pushed.
 
 use crate::sync::{Mutex, MutexGuard};
 use std::collections::VecDeque;
 use std::sync::PoisonError;
 
-/// A bounded queue of messages to one core.
+/// A bounded queue of messages to one core, the owner.
 ///
-/// The thread that pushes the first message into an empty mailbox must wake the owner; the others need not, as the owner
-/// takes all messages at once. So no message is left with a sleeping owner.
+/// The thread that pushes a message into an empty mailbox must wake the owner. Later pushes need not, because the owner
+/// takes all messages at once. This way no message stays in the mailbox of a sleeping owner.
 pub struct Mailbox<T> {
     messages: Mutex<VecDeque<T>>,
     capacity: usize,
 }
 
 impl<T> Mailbox<T> {
-    /// An empty mailbox for at most `capacity` messages.
+    /// Creates an empty mailbox for at most `capacity` messages.
     pub fn new(capacity: usize) -> Self {
         Self { messages: Mutex::new(VecDeque::new()), capacity }
     }
 
-    /// A panic of another thread leaves the messages as they are: each is pushed or taken as a unit.
+    /// Locks the queue. A poisoned lock is safe to use, because no operation leaves the queue in a partial state.
     fn lock(&self) -> MutexGuard<'_, VecDeque<T>> {
         self.messages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Appends a message; true where the caller must wake the owner. A full mailbox returns the message as the error.
+    /// Appends a message and returns whether the caller must wake the owner.
+    ///
+    /// # Errors
+    ///
+    /// Returns the message if the mailbox is full.
     pub fn push(&self, message: T) -> Result<bool, T> {
         let mut messages = self.lock();
         if messages.len() >= self.capacity {
@@ -39,12 +43,12 @@
         std::mem::take(&mut *self.lock())
     }
 
-    /// The number of messages.
+    /// Returns the number of messages.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether there is no message.
+    /// Returns whether the mailbox is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/multicore/tests/interleavings.rs
+++ b/crates/multicore/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! The shared structures under all interleavings of two threads, the mailbox under those of three: `cargo test -p
-//! milletpath-multicore --features loom --test interleavings`.
+//! Checks the shared structures under all interleavings of two threads, and the mailbox also with three. Run with
+//! `cargo test -p milletpath-multicore --features loom --test interleavings`.
 
 use loom::sync::atomic::{AtomicUsize, Ordering};
 use loom::sync::{Arc, Mutex};
@@ -9,8 +9,8 @@
 use milletpath_multicore::mailbox::Mailbox;
 use milletpath_multicore::response_claim::ResponseClaim;
 
-/// Two senders and an owner that sleeps unless woken: every message is taken, each sender's in order, and none is left
-/// with an owner that nobody woke.
+/// Two senders and an owner that sleeps until woken: every message is taken, the messages of each sender in order, and
+/// none stays in the mailbox of an owner that nobody woke.
 #[test]
 fn no_message_is_left_with_a_sleeping_owner() {
     loom::model(|| {
@@ -26,24 +26,25 @@
             })
         };
         let senders = [sender(0, 2), sender(1, 1)];
-        let mut got = Vec::new();
-        // The owner empties its mailbox once while they push, if it was woken.
+        let mut received = Vec::new();
+        // The owner empties its mailbox once while the senders push, if it was woken.
         if std::mem::take(&mut *woken.lock().unwrap()) {
-            got.extend(mailbox.take_all());
+            received.extend(mailbox.take_all());
         }
         senders.into_iter().for_each(|s| s.join().unwrap());
         if std::mem::take(&mut *woken.lock().unwrap()) {
-            got.extend(mailbox.take_all());
+            received.extend(mailbox.take_all());
         }
         assert!(mailbox.is_empty(), "left behind");
         for (from, sent) in [(0, 2), (1, 1)] {
-            let of: Vec<u8> = got.iter().filter(|(f, _)| *f == from).map(|(_, n)| *n).collect();
-            assert_eq!(of, (0..sent).collect::<Vec<u8>>());
+            let numbers: Vec<u8> = received.iter().filter(|(f, _)| *f == from).map(|(_, n)| *n).collect();
+            assert_eq!(numbers, (0..sent).collect::<Vec<u8>>());
         }
     });
 }
 
-/// The test above can fail: an owner that clears its wake-up flag after emptying the mailbox misses the second message.
+/// Shows that the test above can fail: an owner that clears its wake-up flag only after it emptied the mailbox misses
+/// the second message.
 #[test]
 #[should_panic = "left behind"]
 fn a_wake_up_flag_that_is_cleared_too_late_leaves_a_message_behind() {
@@ -72,76 +73,80 @@
 #[test]
 fn a_budget_is_never_exceeded_and_all_of_it_can_be_used() {
     loom::model(|| {
-        let (budget, got) = (Arc::new(Budget::new(2)), Arc::new(AtomicUsize::new(0)));
-        let takers = [0].map(|_| {
-            let (budget, got) = (budget.clone(), got.clone());
+        let (budget, acquired) = (Arc::new(Budget::new(2)), Arc::new(AtomicUsize::new(0)));
+        let threads = [0].map(|_| {
+            let (budget, acquired) = (budget.clone(), acquired.clone());
             thread::spawn(move || {
                 if budget.try_acquire(1) {
-                    got.fetch_add(1, Ordering::Relaxed);
+                    acquired.fetch_add(1, Ordering::Relaxed);
                     assert!(budget.used() <= 2);
                 }
             })
         });
-        let mine = usize::from(budget.try_acquire(1)) + usize::from(budget.try_acquire(1));
-        takers.into_iter().for_each(|t| t.join().unwrap());
-        assert_eq!(mine + got.load(Ordering::Relaxed), 2);
+        let acquired_here = usize::from(budget.try_acquire(1)) + usize::from(budget.try_acquire(1));
+        threads.into_iter().for_each(|t| t.join().unwrap());
+        assert_eq!(acquired_here + acquired.load(Ordering::Relaxed), 2);
         budget.release(1);
         assert!(budget.try_acquire(1) && !budget.try_acquire(1));
     });
 }
 
-/// A stalled core resumes just as another thread takes over its response: exactly one of them responds.
+/// A stalled core resumes while another thread takes over its response: exactly one of them responds.
 #[test]
 fn exactly_one_thread_sends_the_final_response() {
     loom::model(|| {
-        let (claim, answers) = (Arc::new(ResponseClaim::default()), Arc::new(AtomicUsize::new(0)));
+        let (claim, responses) = (Arc::new(ResponseClaim::default()), Arc::new(AtomicUsize::new(0)));
         assert!(claim.expect_response());
-        let (theirs, count) = (claim.clone(), answers.clone());
+        let (other_claim, count) = (claim.clone(), responses.clone());
         let other = thread::spawn(move || {
-            if theirs.take_over() {
+            if other_claim.take_over() {
                 count.fetch_add(1, Ordering::Relaxed);
             }
         });
         if claim.begin_response() {
-            answers.fetch_add(1, Ordering::Relaxed);
+            responses.fetch_add(1, Ordering::Relaxed);
             // The rest of the same response.
             assert!(claim.begin_response());
         }
         other.join().unwrap();
-        assert_eq!(answers.load(Ordering::Relaxed), 1);
+        assert_eq!(responses.load(Ordering::Relaxed), 1);
         assert!(claim.is_taken_over() != claim.begin_response());
     });
 }
 
-/// A lost core's connection is taken over just as that core reads a request: either the core may not process it, or the
-/// connection is not taken over.
+/// A lost core's connection is taken over while that core reads a request: either the core may process the request, or
+/// the connection is taken over, but not both.
 #[test]
 fn a_request_is_processed_or_its_connection_taken_over() {
     loom::model(|| {
         let claim = Arc::new(ResponseClaim::default());
-        let theirs = claim.clone();
-        let other = thread::spawn(move || theirs.take_over_idle());
-        let taken = claim.expect_response();
-        let closed = other.join().unwrap();
-        assert!(taken != closed);
-        assert!(!taken || (claim.begin_response() && !claim.take_over()));
+        let other_claim = claim.clone();
+        let other = thread::spawn(move || other_claim.take_over_idle());
+        let may_process = claim.expect_response();
+        let taken_over = other.join().unwrap();
+        assert!(may_process != taken_over);
+        assert!(!may_process || (claim.begin_response() && !claim.take_over()));
     });
 }
 
-/// A replaced core sends a heartbeat while two threads replace it: there is one next incarnation, and the old one is refused.
+/// A core sends a heartbeat while two threads replace it: exactly one replacement succeeds, and heartbeats of the old
+/// incarnation are rejected.
 #[test]
 fn an_incarnation_is_replaced_once() {
     loom::model(|| {
-        let (heartbeat, successors) = (Arc::new(Heartbeat::new(0.0)), Arc::new(AtomicUsize::new(0)));
-        let (theirs, count) = (heartbeat.clone(), successors.clone());
+        let (heartbeat, replacements) = (Arc::new(Heartbeat::new(0.0)), Arc::new(AtomicUsize::new(0)));
+        let (other_heartbeat, count) = (heartbeat.clone(), replacements.clone());
         let other = thread::spawn(move || {
-            count.fetch_add(usize::from(theirs.begin_next_incarnation(0, 1.0).is_some()), Ordering::Relaxed);
+            count.fetch_add(
+                usize::from(other_heartbeat.begin_next_incarnation(0, 1.0).is_some()),
+                Ordering::Relaxed,
+            );
         });
         heartbeat.beat(0, 2.0);
-        successors
+        replacements
             .fetch_add(usize::from(heartbeat.begin_next_incarnation(0, 1.0).is_some()), Ordering::Relaxed);
         other.join().unwrap();
-        assert_eq!((successors.load(Ordering::Relaxed), heartbeat.incarnation()), (1, 1));
+        assert_eq!((replacements.load(Ordering::Relaxed), heartbeat.incarnation()), (1, 1));
         assert!(!heartbeat.beat(0, 3.0) && heartbeat.beat(1, 3.0) && heartbeat.last_beat() == 3.0);
     });
 }
--- a/crates/multicore/tests/models.rs
+++ b/crates/multicore/tests/models.rs
@@ -1,4 +1,4 @@
-//! The shared structures against sequential models, and the decisions about cores.
+//! Tests the shared structures against sequential models, and the decisions about cores.
 
 use milletpath_multicore::budget::Budget;
 use milletpath_multicore::connection_balancer::{ConnectionBalancer, CoreLoad, REBALANCE_INTERVAL};
@@ -8,7 +8,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Any sequence of pushes and takes is that of a bounded queue which asks for a wake-up when it was empty.
+    /// Under any sequence of pushes and takes, a mailbox acts as a bounded queue that requests a wake-up for a push
+    /// into an empty queue.
     #[test]
     fn a_mailbox_is_a_bounded_queue(steps in proptest::collection::vec(any::<Option<u8>>(), 0..60)) {
         const CAPACITY: usize = 5;
@@ -41,12 +42,12 @@
         }
     }
 
-    /// In any order of calls: nothing is written after a take-over, and that succeeds only between a request and the first
-    /// byte of its response, or where no response is pending.
+    /// In any order of calls: nothing is written after a takeover, and a takeover succeeds only between a request and
+    /// the first byte of its response, or while no response is pending.
     #[test]
     fn a_claim_lets_one_thread_respond(steps in proptest::collection::vec(0u8..5, 0..40)) {
         #[derive(Clone, Copy, PartialEq)]
-        enum State { Idle, Pending, Answering, TakenOver }
+        enum State { Idle, Pending, Responding, TakenOver }
         let (claim, mut state) = (ResponseClaim::default(), State::Idle);
         for step in steps {
             match step {
@@ -56,11 +57,11 @@
                 }
                 1 => {
                     prop_assert_eq!(claim.begin_response(), state != State::TakenOver);
-                    state = if state == State::Pending { State::Answering } else { state };
+                    state = if state == State::Pending { State::Responding } else { state };
                 }
                 2 => {
                     claim.finish_response();
-                    state = if state == State::Answering { State::Idle } else { state };
+                    state = if state == State::Responding { State::Idle } else { state };
                 }
                 3 => {
                     prop_assert_eq!(claim.take_over(), state == State::Pending);
@@ -76,7 +77,7 @@
     }
 }
 
-/// Plays rounds with constant request rates; returns how many connections each core was to close.
+/// Runs `rounds` rounds with constant request rates; returns how many connections each core was told to close.
 fn rebalance_rounds(
     balancer: &mut ConnectionBalancer,
     rounds: usize,
@@ -105,7 +106,7 @@
     assert!(counts.iter().all(|c| (10..=11).contains(c)), "{counts:?}");
 }
 
-/// One core has nine tenths of the requests: new connections go to the others, and it closes some of its own.
+/// A core that receives 90% of the requests closes some of its connections, and new connections go to the other cores.
 #[test]
 fn a_core_with_most_requests_closes_connections() {
     let mut balancer = ConnectionBalancer::new(4, 0.0);
@@ -115,7 +116,8 @@
     assert!(!picked.contains(&0), "{picked:?}");
 }
 
-/// Loads that differ by random variation, low loads, and a core with a single busy client: nothing is closed.
+/// No connections are closed if loads differ only by random variation, if loads are low, or if a core has a single busy
+/// client.
 #[test]
 fn balanced_or_idle_cores_close_nothing() {
     for (rates, open) in
@@ -148,16 +150,18 @@
     assert_eq!(watchdog.check(10.0, 9.9 - REPLACE_THRESHOLD), CoreAction::Replace);
 }
 
-/// The watching thread itself was stalled, as when the process was stopped: the cores had no chance to run.
+/// When the watching thread itself was stalled, for example because the process was stopped, the cores had no chance to
+/// run either and must not count as stalled.
 #[test]
-fn no_core_is_blamed_for_a_stall_of_the_watching_thread() {
+fn a_stall_of_the_watching_thread_is_not_attributed_to_cores() {
     let mut watchdog = Watchdog::new(0.0);
     watchdog.resume(20.0);
     assert_eq!(watchdog.check(20.1, 10.0), CoreAction::Nothing);
     assert_eq!(watchdog.check(20.5, 10.0), CoreAction::SendDueResponses);
 }
 
-/// A core that ends at once each time is restarted with growing delays; one that was stable is restarted at once.
+/// A core that exits immediately after each start is restarted with growing delays; one that was stable is restarted
+/// without delay.
 #[test]
 fn restarts_of_a_failing_core_back_off() {
     let (mut watchdog, mut now, mut delays) = (Watchdog::new(0.0), 1.0, Vec::new());
