--- a/crates/protocol/src/invoke.rs
+++ b/crates/protocol/src/invoke.rs
@@ -1,30 +1,30 @@
-//! The invoke API, which clients use: `POST /v1/functions/{name}/activations` with a few header fields of its own. Paths and
-//! fields are read here; the gateway decides what follows from them.
+//! The invoke API for clients: `POST /v1/functions/{name}/activations` with a few header fields of its own. This module
+//! only parses paths and header fields; the gateway decides what to do with them.
 
 use crate::{InputError, field, is_name};
 use http::header::HeaderName;
 use http::{HeaderMap, HeaderValue, Method};
 
-/// How long the client waits for a response, in seconds with fractions.
+/// How long the client waits for a response: seconds, as a decimal number.
 pub static TIMEOUT: HeaderName = HeaderName::from_static("milletpath-patience");
 /// The profile of the request.
 pub static PROFILE: HeaderName = HeaderName::from_static("milletpath-profile");
-/// The client's group.
+/// The client group.
 pub static CLIENT_GROUP: HeaderName = HeaderName::from_static("milletpath-client");
-/// Marks a retry by the client itself.
+/// Marks a request as the client's own retry.
 pub static CLIENT_RETRY: HeaderName = HeaderName::from_static("milletpath-repeat");
-/// The outcome, on every response: `handled` (succeeded), `bounced` (rejected; a retry does no harm) or `terminated` (failed;
-/// it may have run).
+/// The outcome, on every response: `handled` (succeeded), `bounced` (rejected without running, so a retry is safe) or
+/// `terminated` (failed; the request may have run).
 pub static OUTCOME: HeaderName = HeaderName::from_static("milletpath-outcome");
-/// The gateway's id of the request, on every response.
+/// The id that the gateway assigned to the request, on every response.
 pub static REQUEST_ID: HeaderName = HeaderName::from_static("milletpath-activation");
 /// The idempotency key, by which workers recognize a retry (draft-ietf-httpapi-idempotency-key-header).
 pub static IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// What the method and path of a request ask for.
+/// The target of a request, by its method and path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route<'p> {
-    /// An invocation of the function with this name.
+    /// Invokes the function with this name.
     Invoke(&'p str),
     /// The liveness check.
     Live,
@@ -35,9 +35,9 @@
 /// Why a request can't be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// There is no such path: status 404.
+    /// The path does not exist: status 404.
     UnknownPath,
-    /// The path has this method only: status 405.
+    /// The path supports only this method: status 405.
     MethodNotAllowed(&'static str),
     /// The function's name is invalid: status 400.
     InvalidFunctionName,
@@ -62,17 +62,18 @@
     if *method == Method::POST { Ok(Route::Invoke(name)) } else { Err(RouteError::MethodNotAllowed("POST")) }
 }
 
-/// The path to which a function's requests are posted.
+/// Returns the path to which requests for a function are posted.
 pub fn request_path(function: &str) -> String {
     format!("/v1/functions/{function}/activations")
 }
 
-/// How long the client waits, in seconds above 0; none where the field is absent. More than a day counts as a day.
+/// Reads how long the client waits, in seconds greater than 0; `None` if the field is absent. Values above one day are
+/// reduced to one day.
 pub fn timeout(headers: &HeaderMap) -> Result<Option<f64>, InputError> {
     const DAY: f64 = 86_400.0;
     let Some(text) = field(headers, &TIMEOUT)? else { return Ok(None) };
-    let plain = text.bytes().all(|c| c.is_ascii_digit() || c == b'.');
-    let seconds = text.parse::<f64>().ok().filter(|s| plain && s.is_finite() && *s > 0.0);
+    let is_decimal = text.bytes().all(|c| c.is_ascii_digit() || c == b'.');
+    let seconds = text.parse::<f64>().ok().filter(|s| is_decimal && s.is_finite() && *s > 0.0);
     seconds.map(|s| Some(s.min(DAY))).ok_or_else(|| {
         InputError::new(
             TIMEOUT.as_str(),
@@ -81,18 +82,18 @@
     })
 }
 
-/// A field whose value is a name; none where it is absent.
-pub fn name_field<'h>(headers: &'h HeaderMap, which: &HeaderName) -> Result<Option<&'h str>, InputError> {
-    match field(headers, which)? {
+/// Reads a header field whose value must be a valid name; `None` if the field is absent.
+pub fn name_field<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Result<Option<&'h str>, InputError> {
+    match field(headers, name)? {
         Some(text) if !is_name(text) => Err(InputError::new(
-            which.as_str(),
+            name.as_str(),
             format!("`{}` is no name; use letters, digits and -._~:", truncated(text)),
         )),
         other => Ok(other),
     }
 }
 
-/// Whether the client marks this request as a retry of its own: `1`, `true` or the number of the retry.
+/// Returns whether the client marks this request as its own retry, with `true` or the number of the retry.
 pub fn is_client_retry(headers: &HeaderMap) -> Result<bool, InputError> {
     match field(headers, &CLIENT_RETRY)? {
         None | Some("0" | "false") => Ok(false),
@@ -105,7 +106,7 @@
     }
 }
 
-/// The idempotency key: a structured string or a bare token of at most 255 characters.
+/// Reads the idempotency key: a structured string or a bare token of at most 255 characters. `None` if it is absent.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<&HeaderValue>, InputError> {
     const MAX_CHARACTERS: usize = 255;
     match field(headers, &IDEMPOTENCY_KEY)? {
@@ -118,12 +119,12 @@
     }
 }
 
-/// The value of `Retry-After` (RFC 9110, 10.2.3): seconds, rounded up, 1 at least.
+/// Returns the value of `Retry-After` (RFC 9110, section 10.2.3): seconds rounded up, from 1 to one day.
 pub fn retry_after(seconds: f64) -> u64 {
     seconds.clamp(0.0, 86_400.0).ceil().max(1.0) as u64
 }
 
-/// The start of an invalid text, as far as an error message may quote it.
+/// Truncates an invalid value for quoting in an error message, at a character boundary.
 fn truncated(text: &str) -> &str {
     const MAX_QUOTED_BYTES: usize = 40;
     let end = (0..=text.len().min(MAX_QUOTED_BYTES)).rev().find(|&n| text.is_char_boundary(n));
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! Codecs of the gateway's own protocols; no sockets, no state, no decisions.
+//! Codecs for the gateway's protocols, without sockets, state or decisions.
 //!
-//! Clients use the invoke API ([`invoke`], errors as [`problem`] documents), workers the Open Inference Protocol with ORCA
-//! load reports ([`worker`], [`orca`]), and the registry streams the endpoint list as lines of JSON ([`registry`]). Requests
-//! and responses are those of the `http` crate: the functions here read and name their parts.
+//! Clients use the invoke API ([`invoke`], with errors as [`problem`] documents). Workers implement the Open Inference
+//! Protocol with ORCA load reports ([`worker`], [`orca`]). The registry streams the endpoint list as lines of JSON
+//! ([`registry`]). HTTP requests and responses are represented by the types of the `http` crate; this crate defines and
+//! parses their paths and header fields.
 
 pub mod invoke;
 pub mod orca;
@@ -10,17 +11,17 @@
 pub mod registry;
 pub mod worker;
 
-/// Why input from outside the process can't be used.
+/// An error in input from outside the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InputError {
-    /// The header field, or the part of the message, that is wrong.
+    /// The invalid header field or part of a message.
     pub location: String,
-    /// What is wrong with it and, where that is not obvious, what would be right.
+    /// Why it is invalid and, if that is not obvious, what a valid value looks like.
     pub problem: String,
 }
 
 impl InputError {
-    /// An error at a location.
+    /// Creates an error for a location.
     pub fn new(location: impl Into<String>, problem: impl Into<String>) -> Self {
         Self { location: location.into(), problem: problem.into() }
     }
@@ -34,16 +35,20 @@
 
 impl std::error::Error for InputError {}
 
-/// Whether a text may be the name of a function, profile, client group or worker: 1 to 128 unreserved characters of
-/// RFC 3986 and `:`, which need no escapes in a path, a header or a log line.
+/// Returns whether `text` is a valid name of a function, profile, client group or worker: 1 to 128 characters, each an
+/// unreserved character of RFC 3986 or `:`. These need no escaping in a path, a header or a log line. `.` and `..` are
+/// not valid, because they have a meaning in paths.
 pub fn is_name(text: &str) -> bool {
     const MAX_BYTES: usize = 128;
-    let fits = |c: u8| c.is_ascii_alphanumeric() || matches!(c, b'-' | b'.' | b'_' | b'~' | b':');
-    (1..=MAX_BYTES).contains(&text.len()) && text.bytes().all(fits) && text != "." && text != ".."
+    let is_allowed = |c: u8| c.is_ascii_alphanumeric() || matches!(c, b'-' | b'.' | b'_' | b'~' | b':');
+    (1..=MAX_BYTES).contains(&text.len()) && text.bytes().all(is_allowed) && text != "." && text != ".."
 }
 
-/// A header field's only value as text, without surrounding blanks; none where the field is absent. A field that occurs
-/// twice, or whose value is not visible ASCII, is an error.
+/// Returns the value of a header field as text without surrounding whitespace; `None` if the field is absent.
+///
+/// # Errors
+///
+/// The field occurs more than once, or its value is not visible ASCII.
 pub fn field<'h>(
     headers: &'h http::HeaderMap,
     name: &http::HeaderName,
--- a/crates/protocol/src/orca.rs
+++ b/crates/protocol/src/orca.rs
@@ -1,28 +1,28 @@
-//! Load reports as ORCA header fields: `endpoint-load-metrics: TEXT cpu_utilization=0.3, named_metrics.held=2`
-//! or `JSON {...}` (Envoy's ORCA load report, its header form). The binary form is not supported.
+//! Load reports in the header form of Envoy's ORCA load reports. The field `endpoint-load-metrics` holds either
+//! `TEXT cpu_utilization=0.3, named_metrics.held=2` or `JSON {...}`. The binary form is not supported.
 
 use crate::InputError;
 use http::header::HeaderName;
 
-/// The header field of a load report.
+/// The header field that contains a load report.
 pub static HEADER: HeaderName = HeaderName::from_static("endpoint-load-metrics");
-/// Utilization of the cores, 0 to 1.
+/// CPU utilization, from 0 to 1.
 pub const CPU_UTILIZATION: &str = "cpu_utilization";
-/// The fraction of memory that can't be freed.
+/// Fraction of memory that cannot be freed.
 pub const MEMORY_UTILIZATION: &str = "mem_utilization";
-/// Requests that the worker has accepted and not answered.
+/// Number of requests that the worker has accepted and not yet responded to.
 pub const IN_FLIGHT: &str = "named_metrics.held";
-/// Requests among them that wait in a queue.
+/// Number of in-flight requests that wait in a queue.
 pub const QUEUED: &str = "named_metrics.waiting";
-/// Loads of functions in progress or queued.
+/// Number of function loads in progress or queued.
 pub const LOADING: &str = "named_metrics.loading";
 
-/// Figures that one report may have; a report with more is invalid.
-const MAX_FIGURES: usize = 64;
+/// Maximum number of metrics in a report; a report with more is invalid.
+const MAX_METRICS: usize = 64;
 
-/// Passes each figure of a report to `take`, nested names joined by a point. Figures that are not finite, or negative, make
-/// the report invalid.
-pub fn read(text: &str, mut take: impl FnMut(&str, f64)) -> Result<(), InputError> {
+/// Parses a report and calls `on_metric` with the name and value of each metric. Nested names are joined with a dot. A
+/// value that is negative or not finite makes the report invalid; metrics before it have been passed on by then.
+pub fn read(text: &str, mut on_metric: impl FnMut(&str, f64)) -> Result<(), InputError> {
     let text = text.trim();
     let (form, rest) = text.split_once(' ').unwrap_or((text, ""));
     match form {
@@ -31,7 +31,7 @@
                 let (name, value) = pair
                     .split_once('=')
                     .ok_or_else(|| InputError::new(HEADER.as_str(), "a pair without ="))?;
-                figure(n, name.trim(), value.trim().parse().ok(), &mut take)?;
+                visit_metric(n, name.trim(), value.trim().parse().ok(), &mut on_metric)?;
             }
             Ok(())
         }
@@ -43,11 +43,11 @@
             for (name, value) in object {
                 if let Some(inner) = value.as_object() {
                     for (under, value) in inner {
-                        figure(n, &format!("{name}.{under}"), value.as_f64(), &mut take)?;
+                        visit_metric(n, &format!("{name}.{under}"), value.as_f64(), &mut on_metric)?;
                         n += 1;
                     }
                 } else {
-                    figure(n, name, value.as_f64(), &mut take)?;
+                    visit_metric(n, name, value.as_f64(), &mut on_metric)?;
                     n += 1;
                 }
             }
@@ -57,26 +57,26 @@
     }
 }
 
-fn figure(
+fn visit_metric(
     n: usize,
     name: &str,
     value: Option<f64>,
-    take: &mut impl FnMut(&str, f64),
+    on_metric: &mut impl FnMut(&str, f64),
 ) -> Result<(), InputError> {
-    if n >= MAX_FIGURES {
-        return Err(InputError::new(HEADER.as_str(), format!("over {MAX_FIGURES} figures")));
+    if n >= MAX_METRICS {
+        return Err(InputError::new(HEADER.as_str(), format!("over {MAX_METRICS} figures")));
     }
     match value.filter(|x| x.is_finite() && *x >= 0.0) {
-        Some(value) => take(name, value),
+        Some(value) => on_metric(name, value),
         None => return Err(InputError::new(HEADER.as_str(), "a figure that is none, or negative")),
     }
     Ok(())
 }
 
-/// Writes a report in its text form.
-pub fn write<'n>(figures: impl IntoIterator<Item = (&'n str, f64)>) -> String {
+/// Writes a report in its `TEXT` form.
+pub fn write<'n>(metrics: impl IntoIterator<Item = (&'n str, f64)>) -> String {
     let mut text = String::from("TEXT ");
-    for (n, (name, value)) in figures.into_iter().enumerate() {
+    for (n, (name, value)) in metrics.into_iter().enumerate() {
         if n > 0 {
             text.push_str(", ");
         }
--- a/crates/protocol/src/problem.rs
+++ b/crates/protocol/src/problem.rs
@@ -1,9 +1,10 @@
-//! Problem documents (RFC 9457), the form of every error that the gateway itself sends.
+//! Problem documents (RFC 9457), the format of all errors that originate in the gateway.
 
 /// The media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// One problem document as JSON. `kind` becomes the last part of its type, which `docs/operators/` explains.
+/// Writes a problem document as JSON. `kind` is the last part of the problem's type; `docs/operators/` explains each
+/// type.
 pub fn document(status: u16, kind: &str, title: &str, detail: &str) -> Vec<u8> {
     let document = serde_json::json!({
         "type": format!("urn:milletpath:problem:{kind}"),
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -1,47 +1,48 @@
-//! The endpoint list as the registry streams it: lines of JSON, each one revision, either the complete list or its changes:
+//! The registry's stream of the endpoint list. Each line is a JSON object with one revision, which holds either the
+//! complete list or the changed endpoints:
 //! `{"edition": 7, "whole": true, "workers": [{"name": "w1", "address": "127.0.0.1:9001", "state": "ready"}]}`.
-//! A line with any error in it is rejected as a whole.
+//! A line with an error is rejected as a whole.
 
 use crate::{InputError, is_name};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Longest line in bytes; room for several times 10,000 workers.
+/// Maximum length of a line in bytes, enough for several times 10,000 workers.
 pub const MAX_LINE_BYTES: usize = 8 << 20;
-/// Seconds after the end of its stream by which all that the registry would have stated counts as stated.
+/// Seconds after the end of the registry's stream by which all missed revisions count as delivered.
 pub const NOTICE_AFTER_END: f64 = 2.0;
-/// The path at which the registry streams revisions.
+/// The path of the stream on the registry.
 pub const PATH: &str = "/v1/workers";
 
-/// One worker process in the endpoint list.
+/// A worker process in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The worker's name, unique in the list.
     pub name: String,
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// When the process started, in seconds of the Unix clock; none means long ago.
+    /// When the process started, in seconds since the Unix epoch; `None` means long ago.
     pub started: Option<f64>,
-    /// Its capacity relative to a worker of size 1.
+    /// Capacity relative to a worker of size 1.
     pub size: f64,
-    /// The kind of worker; empty where it is not stated, like the zone and the cell.
+    /// The kind of worker. Like the zone and the cell, it is empty if unknown.
     pub kind: String,
-    /// The zone that it is in.
+    /// The zone in which it runs.
     pub zone: String,
-    /// The cell that it is in.
+    /// The cell in which it runs.
     pub cell: String,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: EndpointStatus,
 }
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has and takes no new requests.
+    /// It completes its requests and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// It was removed from the list.
     Gone,
 }
 
@@ -51,18 +52,18 @@
     ("gone", EndpointStatus::Gone),
 ];
 
-/// One revision of the endpoint list.
+/// A revision of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListUpdate {
-    /// The revision's number.
+    /// The revision number.
     pub revision: u64,
-    /// Whether the endpoints are the complete list; otherwise they are those that changed.
+    /// Whether `endpoints` is the complete list; otherwise it holds only those that changed.
     pub complete: bool,
-    /// The endpoints, each name once.
+    /// The endpoints; names are unique.
     pub endpoints: Vec<EndpointEntry>,
 }
 
-/// Reads one line, without its line end.
+/// Parses one line without its line terminator.
 pub fn read(line: &[u8]) -> Result<EndpointListUpdate, InputError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(InputError::new("list", format!("a line of over {MAX_LINE_BYTES} bytes")));
@@ -73,24 +74,24 @@
         value["edition"].as_u64().ok_or_else(|| InputError::new("edition", "is no whole number"))?;
     let complete =
         value["whole"].as_bool().ok_or_else(|| InputError::new("whole", "is neither true nor false"))?;
-    let lines = value["workers"].as_array().ok_or_else(|| InputError::new("workers", "is no list"))?;
-    let endpoints = lines.iter().enumerate().map(endpoint).collect::<Result<Vec<_>, _>>()?;
+    let workers = value["workers"].as_array().ok_or_else(|| InputError::new("workers", "is no list"))?;
+    let endpoints = workers.iter().enumerate().map(endpoint).collect::<Result<Vec<_>, _>>()?;
     let mut names: Vec<_> = endpoints.iter().map(|e| &e.name).collect();
     names.sort_unstable();
-    if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-        return Err(InputError::new("workers", format!("{} is listed twice", twice[0])));
+    if let Some(duplicate) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+        return Err(InputError::new("workers", format!("{} is listed twice", duplicate[0])));
     }
     Ok(EndpointListUpdate { revision, complete, endpoints })
 }
 
 fn endpoint((n, value): (usize, &Value)) -> Result<EndpointEntry, InputError> {
     let error = |key: &str, problem: &str| InputError::new(format!("workers[{n}].{key}"), problem);
-    let named = |key: &str| match &value[key] {
+    let optional_name = |key: &str| match &value[key] {
         Value::Null => Ok(String::new()),
         Value::String(text) if is_name(text) => Ok(text.clone()),
         _ => Err(error(key, "is no name")),
     };
-    let name = named("name")?;
+    let name = optional_name("name")?;
     if name.is_empty() {
         return Err(error("name", "is missing"));
     }
@@ -99,7 +100,7 @@
         Value::Null => Some(EndpointStatus::Ready),
         word => STATUS_WORDS.iter().find(|(w, _)| word.as_str() == Some(w)).map(|(_, s)| *s),
     };
-    let figure = |key: &str| match &value[key] {
+    let non_negative_number = |key: &str| match &value[key] {
         Value::Null => Ok(None),
         other => other
             .as_f64()
@@ -109,17 +110,17 @@
     };
     Ok(EndpointEntry {
         address: address.ok_or_else(|| error("address", "is no address with a port"))?,
-        started: figure("started")?,
-        size: figure("size")?.filter(|x| *x > 0.0).unwrap_or(1.0),
-        kind: named("kind")?,
-        zone: named("zone")?,
-        cell: named("cell")?,
+        started: non_negative_number("started")?,
+        size: non_negative_number("size")?.filter(|x| *x > 0.0).unwrap_or(1.0),
+        kind: optional_name("kind")?,
+        zone: optional_name("zone")?,
+        cell: optional_name("cell")?,
         state: state.ok_or_else(|| error("state", "is none of ready, draining, gone"))?,
         name,
     })
 }
 
-/// Writes one revision, with its line end.
+/// Writes one revision as a line, with its line terminator.
 pub fn write(revision: u64, complete: bool, endpoints: &[EndpointEntry]) -> Vec<u8> {
     let worker = |e: &EndpointEntry| {
         let state = STATUS_WORDS.iter().find(|(_, s)| *s == e.state).map_or("gone", |(word, _)| word);
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,33 +1,33 @@
-//! The protocol of workers: paths of the Open Inference Protocol (version 2 of KServe's REST API with its model repository
-//! extension), and header fields of its own for what that protocol does not define.
+//! The protocol between gateway and workers: the paths of the Open Inference Protocol (version 2 of KServe's REST API
+//! with its model repository extension), and additional header fields for what that protocol does not define.
 
 use crate::{InputError, field, is_name};
 use http::HeaderMap;
 use http::header::HeaderName;
 
-/// On a response: whether an instance was loaded, and otherwise the state of its load.
+/// On a response: whether an instance was loaded when the request arrived; if not, the state of its load.
 pub static INSTANCE_STATE: HeaderName = HeaderName::from_static("milletpath-found");
-/// On a response: requests of the same function that the worker had in flight when this one arrived.
+/// On a response: how many requests for the same function were in flight on the worker when this one arrived.
 pub static CONCURRENT_REQUESTS: HeaderName = HeaderName::from_static("milletpath-company");
-/// On a rejection: the worker's statement that it never ran the request.
+/// On a rejection: why the worker rejected the request, which also confirms that it did not run it.
 pub static REJECTION: HeaderName = HeaderName::from_static("milletpath-refused");
-/// On a load request: instances to load. On its response: instances that are loaded.
+/// On a load request: the number of instances to load. On its response: the number of loaded instances.
 pub static INSTANCES: HeaderName = HeaderName::from_static("milletpath-copies");
-/// On an attempt: seconds for which the gateway waits for the response.
+/// On an attempt: how many seconds the gateway waits for the response.
 pub static TIME_LEFT: HeaderName = HeaderName::from_static("milletpath-left");
-/// On an attempt: its number among the attempts of the request, from 0.
+/// On an attempt: its number among the attempts of the request, starting at 0.
 pub static ATTEMPT: HeaderName = HeaderName::from_static("milletpath-shot");
 /// The path of health checks.
 pub const HEALTH_PATH: &str = "/v2/health/ready";
 
-/// What the path of a request to a worker asks for.
+/// The operation that a request to a worker asks for, by its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route<'p> {
     /// Run the function with this name.
     Infer(&'p str),
-    /// Load it.
+    /// Load the function.
     Load(&'p str),
-    /// Unload it.
+    /// Unload the function.
     Unload(&'p str),
     /// Respond to a health check.
     Ready,
@@ -36,24 +36,24 @@
 /// The state of the function's instance on the worker when a request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
-    /// It was loaded.
+    /// An instance was loaded.
     Loaded,
-    /// The request started its load.
+    /// The request started a load.
     LoadStarted,
-    /// The request waited for a load that was in progress.
+    /// The request waited for a load in progress.
     LoadAwaited,
-    /// Its load failed.
+    /// The load failed.
     LoadFailed,
 }
 
 /// Why a worker rejected a request without running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Its queue or memory is full.
+    /// The worker's queue or memory is full.
     Full,
-    /// It drains before it stops.
+    /// The worker is draining before it stops.
     Draining,
-    /// The function is not loaded there, or its load failed.
+    /// The function is not loaded on the worker, or its load failed.
     NotLoaded,
 }
 
@@ -66,22 +66,22 @@
 const REJECTION_WORDS: [(&str, Rejection); 3] =
     [("full", Rejection::Full), ("draining", Rejection::Draining), ("missing", Rejection::NotLoaded)];
 
-/// The path at which a function runs.
+/// Returns the path for running a function.
 pub fn infer_path(function: &str) -> String {
     format!("/v2/models/{function}/infer")
 }
 
-/// The path of load requests for a function.
+/// Returns the path for loading a function.
 pub fn load_path(function: &str) -> String {
     format!("/v2/repository/models/{function}/load")
 }
 
-/// The path of unload requests for a function.
+/// Returns the path for unloading a function.
 pub fn unload_path(function: &str) -> String {
     format!("/v2/repository/models/{function}/unload")
 }
 
-/// Routes a request to a worker by its path; none where there is no such path.
+/// Routes a request to a worker by its path; returns `None` if there is no such path.
 pub fn route(path: &str) -> Option<Route<'_>> {
     if path == HEALTH_PATH {
         return Some(Route::Ready);
@@ -100,22 +100,23 @@
     is_name(name).then_some(route)
 }
 
-/// The instance's state as the worker reported it; none where the field is absent or its word is not known.
+/// Reads the instance state that the worker reported; `None` if the field is absent or its value is unknown.
 pub fn instance_state(headers: &HeaderMap) -> Option<InstanceState> {
     parse_word(headers, &INSTANCE_STATE, &INSTANCE_STATE_WORDS)
 }
 
-/// The worker's statement that nothing ran; none for anything but the exact words, as that proves nothing.
+/// Reads why the worker rejected the request. Returns `None` unless the value matches exactly, because only an exact
+/// value proves that the request did not run.
 pub fn rejection(headers: &HeaderMap) -> Option<Rejection> {
     parse_word(headers, &REJECTION, &REJECTION_WORDS)
 }
 
-/// The word of a state in the header field.
+/// Returns the value of the header field for an instance state.
 pub fn instance_state_word(state: InstanceState) -> &'static str {
-    INSTANCE_STATE_WORDS.iter().find(|(_, f)| *f == state).map_or("", |(word, _)| word)
+    INSTANCE_STATE_WORDS.iter().find(|(_, s)| *s == state).map_or("", |(word, _)| word)
 }
 
-/// The word of a rejection in the header field.
+/// Returns the value of the header field for a rejection.
 pub fn rejection_word(rejection: Rejection) -> &'static str {
     REJECTION_WORDS.iter().find(|(_, r)| *r == rejection).map_or("", |(word, _)| word)
 }
@@ -125,7 +126,7 @@
     words.iter().find(|(word, _)| *word == text).map(|(_, value)| *value)
 }
 
-/// A field that holds a count, up to a million; none where it is absent.
+/// Reads a header field with a count of up to one million; `None` if it is absent.
 pub fn count_field(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u32>, InputError> {
     const MAX_COUNT: u32 = 1_000_000;
     let Some(text) = field(headers, name)? else { return Ok(None) };
--- a/crates/protocol/tests/round_trips.rs
+++ b/crates/protocol/tests/round_trips.rs
@@ -1,4 +1,4 @@
-//! What is written is read back, and any bytes give a value or an error.
+//! Tests that the codecs read back what they write, and that arbitrary input yields a value or an error, never a panic.
 
 use http::{HeaderMap, HeaderValue, Method};
 use milletpath_protocol::registry::{EndpointEntry, EndpointListUpdate, EndpointStatus};
@@ -7,16 +7,16 @@
 use test_case::test_case;
 
 fn names() -> impl Strategy<Value = String> {
-    "[a-zA-Z0-9._~:-]{1,40}".prop_filter("no dots alone", |n| is_name(n))
+    "[a-zA-Z0-9._~:-]{1,40}".prop_filter("not only dots", |n| is_name(n))
 }
 
 fn entries() -> impl Strategy<Value = EndpointEntry> {
     let status =
         prop_oneof![Just(EndpointStatus::Ready), Just(EndpointStatus::Draining), Just(EndpointStatus::Gone)];
-    let place = (any::<[u8; 4]>(), any::<u16>());
-    let part = || prop_oneof![Just(String::new()), names()];
-    let parts = (part(), part(), part());
-    (names(), place, proptest::option::of(0.0..2e9), 0.01..100.0, parts, status).prop_map(
+    let address = (any::<[u8; 4]>(), any::<u16>());
+    let optional_name = || prop_oneof![Just(String::new()), names()];
+    let location = (optional_name(), optional_name(), optional_name());
+    (names(), address, proptest::option::of(0.0..2e9), 0.01..100.0, location, status).prop_map(
         |(name, (ip, port), started, size, (kind, zone, cell), state)| EndpointEntry {
             name,
             address: (ip, port).into(),
@@ -40,31 +40,31 @@
     }
 
     #[test]
-    fn a_truncated_list_is_rejected(endpoints in proptest::collection::vec(entries(), 1..4), part in 0.0..1.0) {
+    fn a_truncated_list_is_rejected(endpoints in proptest::collection::vec(entries(), 1..4), fraction in 0.0..1.0) {
         let line = registry::write(3, true, &endpoints);
-        let cut = ((line.len() - 1) as f64 * part) as usize;
+        let cut = ((line.len() - 1) as f64 * fraction) as usize;
         prop_assert!(registry::read(&line[..cut.min(line.len() - 2)]).is_err());
     }
 
     #[test]
-    fn reports_are_read_as_written(figures in proptest::collection::vec(("[a-z_.]{1,20}", 0.0..1e12), 0..30)) {
-        let text = orca::write(figures.iter().map(|(n, x)| (n.as_str(), *x)));
+    fn reports_are_read_as_written(metrics in proptest::collection::vec(("[a-z_.]{1,20}", 0.0..1e12), 0..30)) {
+        let text = orca::write(metrics.iter().map(|(n, x)| (n.as_str(), *x)));
         let mut read = Vec::new();
         orca::read(&text, |name, x| read.push((name.to_owned(), x))).unwrap();
-        prop_assert_eq!(read, figures);
+        prop_assert_eq!(read, metrics);
     }
 
     #[test]
     fn any_bytes_give_a_value_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..300), text in ".{0,200}") {
         let _ = registry::read(&bytes);
-        let mut figures = 0;
+        let mut metrics = 0;
         for form in ["", "TEXT ", "JSON "] {
             let _ = orca::read(&format!("{form}{text}"), |_, x| {
-                figures += 1;
+                metrics += 1;
                 assert!(x.is_finite() && x >= 0.0);
             });
         }
-        prop_assert!(figures <= 3 * 64);
+        prop_assert!(metrics <= 3 * 64);
         let _ = worker::route(&text);
         let _ = invoke::route(&Method::POST, &text);
         let mut headers = HeaderMap::new();
@@ -91,10 +91,10 @@
     }
 }
 
-#[test_case("0", None; "nothing left")]
+#[test_case("0", None; "zero")]
 #[test_case("-1", None; "negative")]
-#[test_case("inf", None; "without end")]
-#[test_case("1e3", None; "exponents are no plain figures")]
+#[test_case("inf", None; "infinity")]
+#[test_case("1e3", None; "an exponent")]
 #[test_case("0.2", Some(0.2); "a fraction")]
 #[test_case("999999", Some(86_400.0); "more than a day")]
 fn a_timeout_is_a_plain_number_of_seconds(text: &str, seconds: Option<f64>) {
@@ -103,7 +103,7 @@
     assert_eq!(invoke::timeout(&headers).ok().flatten(), seconds);
 }
 
-/// Two readers of a request could each take another of two values.
+/// If a field could occur twice, two components that parse the same request could each use a different value.
 #[test]
 fn a_field_that_occurs_twice_is_an_error() {
     let mut headers = HeaderMap::new();
@@ -112,22 +112,22 @@
     assert!(invoke::timeout(&headers).is_err());
 }
 
-/// Only the exact word proves that nothing ran.
+/// Only an exact value proves that the request did not run.
 #[test_case("full", Some(worker::Rejection::Full))]
-#[test_case("Full", None; "another case")]
-#[test_case("full, draining", None; "two words")]
-fn a_rejection_is_read_in_its_exact_words(text: &str, expected: Option<worker::Rejection>) {
+#[test_case("Full", None; "wrong case")]
+#[test_case("full, draining", None; "two values")]
+fn a_rejection_is_read_only_from_exact_values(text: &str, expected: Option<worker::Rejection>) {
     let mut headers = HeaderMap::new();
     headers.insert(&worker::REJECTION, HeaderValue::from_str(text).unwrap());
     assert_eq!(worker::rejection(&headers), expected);
 }
 
-#[test_case("/v1/functions//activations", Err(invoke::RouteError::InvalidFunctionName); "no name")]
-#[test_case("/v1/functions/a%2Fb/activations", Err(invoke::RouteError::InvalidFunctionName); "escapes")]
-#[test_case("/v1/functions/a/b/activations", Err(invoke::RouteError::InvalidFunctionName); "two parts")]
-#[test_case("/v1/functions/../activations", Err(invoke::RouteError::InvalidFunctionName); "dots")]
-#[test_case("/v2/functions/a/activations", Err(invoke::RouteError::UnknownPath); "another version")]
-#[test_case("/health/ready", Err(invoke::RouteError::MethodNotAllowed("GET")); "a health check posted")]
+#[test_case("/v1/functions//activations", Err(invoke::RouteError::InvalidFunctionName); "an empty name")]
+#[test_case("/v1/functions/a%2Fb/activations", Err(invoke::RouteError::InvalidFunctionName); "an escaped slash")]
+#[test_case("/v1/functions/a/b/activations", Err(invoke::RouteError::InvalidFunctionName); "two path segments")]
+#[test_case("/v1/functions/../activations", Err(invoke::RouteError::InvalidFunctionName); "a dot segment")]
+#[test_case("/v2/functions/a/activations", Err(invoke::RouteError::UnknownPath); "an unsupported version")]
+#[test_case("/health/ready", Err(invoke::RouteError::MethodNotAllowed("GET")); "a health check with POST")]
 fn other_paths_are_not_routed(path: &str, expected: Result<invoke::Route<'_>, invoke::RouteError>) {
     assert_eq!(invoke::route(&Method::POST, path), expected);
 }
