--- a/crates/protocol/src/orca.rs
+++ b/crates/protocol/src/orca.rs
@@ -30,15 +30,17 @@
             for (n, pair) in rest.split(',').map(str::trim).filter(|p| !p.is_empty()).enumerate() {
                 let (name, value) = pair
                     .split_once('=')
-                    .ok_or_else(|| InputError::new(HEADER.as_str(), "a pair without ="))?;
+                    .ok_or_else(|| InputError::new(HEADER.as_str(), "a pair has no `=`"))?;
                 visit_metric(n, name.trim(), value.trim().parse().ok(), &mut on_metric)?;
             }
             Ok(())
         }
         "JSON" => {
             let value: serde_json::Value = serde_json::from_str(rest)
-                .map_err(|e| InputError::new(HEADER.as_str(), format!("no JSON: {e}")))?;
-            let object = value.as_object().ok_or_else(|| InputError::new(HEADER.as_str(), "no object"))?;
+                .map_err(|e| InputError::new(HEADER.as_str(), format!("invalid JSON: {e}")))?;
+            let object = value
+                .as_object()
+                .ok_or_else(|| InputError::new(HEADER.as_str(), "the JSON value is not an object"))?;
             let mut n = 0;
             for (name, value) in object {
                 if let Some(inner) = value.as_object() {
@@ -53,7 +55,7 @@
             }
             Ok(())
         }
-        _ => Err(InputError::new(HEADER.as_str(), "neither TEXT nor JSON")),
+        _ => Err(InputError::new(HEADER.as_str(), "the form is neither TEXT nor JSON")),
     }
 }
 
@@ -64,11 +66,16 @@
     on_metric: &mut impl FnMut(&str, f64),
 ) -> Result<(), InputError> {
     if n >= MAX_METRICS {
-        return Err(InputError::new(HEADER.as_str(), format!("over {MAX_METRICS} figures")));
+        return Err(InputError::new(
+            HEADER.as_str(),
+            format!("the report has more than {MAX_METRICS} metrics"),
+        ));
     }
     match value.filter(|x| x.is_finite() && *x >= 0.0) {
         Some(value) => on_metric(name, value),
-        None => return Err(InputError::new(HEADER.as_str(), "a figure that is none, or negative")),
+        None => {
+            return Err(InputError::new(HEADER.as_str(), "a metric is not a finite number of at least 0"));
+        }
     }
     Ok(())
 }
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -66,15 +66,16 @@
 /// Parses one line without its line terminator.
 pub fn read(line: &[u8]) -> Result<EndpointListUpdate, InputError> {
     if line.len() > MAX_LINE_BYTES {
-        return Err(InputError::new("list", format!("a line of over {MAX_LINE_BYTES} bytes")));
+        return Err(InputError::new("list", format!("a line is longer than {MAX_LINE_BYTES} bytes")));
     }
     let value: Value =
-        serde_json::from_slice(line).map_err(|e| InputError::new("list", format!("no JSON: {e}")))?;
-    let revision =
-        value["edition"].as_u64().ok_or_else(|| InputError::new("edition", "is no whole number"))?;
+        serde_json::from_slice(line).map_err(|e| InputError::new("list", format!("invalid JSON: {e}")))?;
+    let revision = value["edition"]
+        .as_u64()
+        .ok_or_else(|| InputError::new("edition", "is not a non-negative integer"))?;
     let complete =
         value["whole"].as_bool().ok_or_else(|| InputError::new("whole", "is neither true nor false"))?;
-    let workers = value["workers"].as_array().ok_or_else(|| InputError::new("workers", "is no list"))?;
+    let workers = value["workers"].as_array().ok_or_else(|| InputError::new("workers", "is not an array"))?;
     let endpoints = workers.iter().enumerate().map(endpoint).collect::<Result<Vec<_>, _>>()?;
     let mut names: Vec<_> = endpoints.iter().map(|e| &e.name).collect();
     names.sort_unstable();
@@ -89,7 +90,7 @@
     let optional_name = |key: &str| match &value[key] {
         Value::Null => Ok(String::new()),
         Value::String(text) if is_name(text) => Ok(text.clone()),
-        _ => Err(error(key, "is no name")),
+        _ => Err(error(key, "is not a valid name")),
     };
     let name = optional_name("name")?;
     if name.is_empty() {
@@ -106,16 +107,16 @@
             .as_f64()
             .filter(|x| *x >= 0.0)
             .map(Some)
-            .ok_or_else(|| error(key, "is no figure of 0 or more")),
+            .ok_or_else(|| error(key, "is not a number of at least 0")),
     };
     Ok(EndpointEntry {
-        address: address.ok_or_else(|| error("address", "is no address with a port"))?,
+        address: address.ok_or_else(|| error("address", "is not an address with a port"))?,
         started: non_negative_number("started")?,
         size: non_negative_number("size")?.filter(|x| *x > 0.0).unwrap_or(1.0),
         kind: optional_name("kind")?,
         zone: optional_name("zone")?,
         cell: optional_name("cell")?,
-        state: state.ok_or_else(|| error("state", "is none of ready, draining, gone"))?,
+        state: state.ok_or_else(|| error("state", "is not one of ready, draining, gone"))?,
         name,
     })
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -132,6 +132,6 @@
     let Some(text) = field(headers, name)? else { return Ok(None) };
     match text.parse::<u32>() {
         Ok(n) if n <= MAX_COUNT => Ok(Some(n)),
-        _ => Err(InputError::new(name.as_str(), format!("is no number from 0 to {MAX_COUNT}"))),
+        _ => Err(InputError::new(name.as_str(), format!("is not an integer from 0 to {MAX_COUNT}"))),
     }
 }
