--- a/crates/process-environment/src/lib.rs
+++ b/crates/process-environment/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process takes from the operating system and both routers need: signals as futures, the wall clock, and
-//! listening sockets with a long accept queue. It knows nothing of requests or workers.
+//! Operating system facilities that both routers use: signals as futures, the wall clock, and listening sockets with a
+//! long accept queue. This crate does not depend on requests or workers.
 
 pub mod listener;
 pub mod signals;
--- a/crates/process-environment/src/signals.rs
+++ b/crates/process-environment/src/signals.rs
@@ -1,5 +1,6 @@
-//! Signals of the operating system as futures. Each arrives over a pipe of its own: Tokio's implementation opens a pair
-//! of Unix sockets in every process, and the platform's simulation of many routers has no descriptors left for them.
+//! Operating system signals as futures. Each receiver uses one pipe. Tokio's implementation is not used because it opens
+//! a pair of Unix sockets in every process, and the platform's simulation of many routers has no file descriptors left
+//! for them.
 
 use signal_hook::SigId;
 use signal_hook::low_level::{pipe::register, unregister};
@@ -9,25 +10,25 @@
 
 pub use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Receives one signal from its creation until it is dropped.
+/// Receives one kind of signal from its creation until it is dropped.
 pub struct SignalReceiver {
     pipe: Receiver,
     id: SigId,
 }
 
 impl SignalReceiver {
-    /// Replaces the signal's default action, such as ending the process.
+    /// Starts to receive `signal`, which replaces its default action, such as terminating the process.
     ///
     /// # Errors
     ///
-    /// No pipe could be opened, or the signal can't be caught.
+    /// Returns an error if no pipe could be opened or the signal cannot be caught.
     pub fn new(signal: i32) -> io::Result<Self> {
         let (read_end, write_end) = pipe()?;
         let pipe = Receiver::from_owned_fd(OwnedFd::from(read_end))?;
         Ok(Self { pipe, id: register(signal, write_end)? })
     }
 
-    /// Waits for the next signal; those that arrived together since the last one count once.
+    /// Waits for the next signal. Signals that arrived since the last call are reported as one.
     pub async fn next(&mut self) {
         if let Err(e) = self.read().await {
             tracing::error!("reading a signal's pipe failed: {e}; end the process with SIGKILL");
@@ -36,7 +37,8 @@
     }
 
     async fn read(&self) -> io::Result<()> {
-        /// More signals than arrive together: bytes left in the pipe would count as one more signal.
+        /// Bytes read at once, more than the signals that arrive together: any left in the pipe would be reported as
+        /// another signal.
         const MAX_SIGNALS: usize = 64;
         loop {
             self.pipe.readable().await?;
--- a/crates/process-environment/src/signals/tests.rs
+++ b/crates/process-environment/src/signals/tests.rs
@@ -2,7 +2,8 @@
 use nix::sys::signal::{Signal, raise};
 use tokio::time::{Duration, timeout};
 
-/// A signal that arrives before anybody waits is received, three at once count as one, and the next is received again.
+/// A signal that arrives before `next` is called is received, three at once are reported as one, and a later one is
+/// received again.
 #[test]
 fn signals_are_received_whenever_they_arrive() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
