--- a/crates/protocol/src/invoke.rs
+++ b/crates/protocol/src/invoke.rs
@@ -32,7 +32,7 @@
     Ready,
 }
 
-/// Why a request can't be routed.
+/// Why a request cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
     /// The path does not exist: status 404.
--- a/crates/protocol/src/orca.rs
+++ b/crates/protocol/src/orca.rs
@@ -73,9 +73,7 @@
     }
     match value.filter(|x| x.is_finite() && *x >= 0.0) {
         Some(value) => on_metric(name, value),
-        None => {
-            return Err(InputError::new(HEADER.as_str(), "a metric is not a finite number of at least 0"));
-        }
+        None => return Err(InputError::new(HEADER.as_str(), "a metric is not a finite number >= 0")),
     }
     Ok(())
 }
