--- a/crates/platform-router/src/run/reload.rs
+++ b/crates/platform-router/src/run/reload.rs
@@ -1,6 +1,6 @@
 //! Reloads the platform's bootstrap file on SIGHUP.
 
-use milletpath_platform_protocol::bootstrap::{self, Reread};
+use milletpath_platform_protocol::bootstrap::{self, ReloadedBootstrap};
 use milletpath_protocol::InputError;
 use std::io;
 use std::net::SocketAddr;
@@ -36,8 +36,8 @@
 ) {
     let mut pause = INITIAL_PAUSE;
     for attempt in 0..MAX_ATTEMPTS {
-        match reread(&file, &initial_text) {
-            Ok(reread) => return apply(reread, &discovery_address),
+        match reload(&file, &initial_text) {
+            Ok(reload) => return apply(reload, &discovery_address),
             Err(error) => tracing::warn!(
                 file = %file.display(),
                 %error,
@@ -51,12 +51,12 @@
     }
 }
 
-fn reread(file: &Path, initial_text: &[u8]) -> Result<Reread, ReloadError> {
-    Ok(bootstrap::reread(&std::fs::read(file)?, initial_text)?)
+fn reload(file: &Path, initial_text: &[u8]) -> Result<ReloadedBootstrap, ReloadError> {
+    Ok(bootstrap::reload(&std::fs::read(file)?, initial_text)?)
 }
 
-fn apply(reread: Reread, discovery_address: &watch::Sender<SocketAddr>) {
-    let Reread { discovery, ignored_changes } = reread;
+fn apply(reload: ReloadedBootstrap, discovery_address: &watch::Sender<SocketAddr>) {
+    let ReloadedBootstrap { discovery, ignored_changes } = reload;
     tracing::info!(%discovery, "reloaded the platform's file");
     if !ignored_changes.is_empty() {
         tracing::warn!(
