--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -26,9 +26,9 @@
 pub struct HollowGateway {
     shared_runtime: Arc<SharedRuntime>,
     /// The address of its membership link, if it has one.
-    pub link: Option<SocketAddr>,
+    pub membership_address: Option<SocketAddr>,
     /// The address of its configuration follower, if it has one.
-    pub feed: Option<SocketAddr>,
+    pub config_log_address: Option<SocketAddr>,
     threads: Vec<JoinHandle<()>>,
     reading: Arc<Mutex<Reading>>,
     following: Arc<Mutex<FollowerReading>>,
@@ -55,12 +55,12 @@
         let killed = Arc::new(AtomicBool::new(false));
         let mut hollow = Self {
             shared_runtime: SharedRuntime::new(config),
-            link: link
+            membership_address: link
                 .as_ref()
                 .map(MembershipLink::address)
                 .transpose()
                 .map_err(ControlThreadError::LocalAddress)?,
-            feed: feed
+            config_log_address: feed
                 .as_ref()
                 .map(ConfigFeed::address)
                 .transpose()
@@ -126,24 +126,24 @@
         let mut reading = lock(&self.reading);
         let minimums = std::mem::take(&mut reading.minimums);
         let mut reading = Reading { minimums, ..reading.clone() };
-        reading.dispatcher = self.dispatcher.load(Ordering::Relaxed) as f64 / 1e9;
+        reading.dispatcher_cpu = self.dispatcher.load(Ordering::Relaxed) as f64 / 1e9;
         let now = clock();
-        if self.link.is_none() {
+        if self.membership_address.is_none() {
             // Without a link there is no thread, and no cost.
             reading.at = now;
         } else if now - reading.at > MAX_AGE_SECONDS
             && let Some(used) = reading.thread.as_deref().and_then(cpu_seconds_of)
         {
-            (reading.at, reading.control_cpu) = (now, used);
+            (reading.at, reading.membership_cpu) = (now, used);
         }
-        if self.feed.is_some() {
+        if self.config_log_address.is_some() {
             let mut following = lock(&self.following).clone();
             if now - following.at > MAX_AGE_SECONDS
                 && let Some(used) = following.thread.as_deref().and_then(cpu_seconds_of)
             {
                 (following.at, following.cpu_seconds) = (now, used);
             }
-            reading.changes = Some(following);
+            reading.follower = Some(following);
         }
         reading
     }
--- a/crates/gateway/src/hollow_gateway/readings.rs
+++ b/crates/gateway/src/hollow_gateway/readings.rs
@@ -26,9 +26,9 @@
     /// When it was read, on [`clock`].
     pub at: f64,
     /// Processor time of the control thread, in seconds.
-    pub control_cpu: f64,
+    pub membership_cpu: f64,
     /// Processor time that other threads spent in its dispatcher, for endpoint lists and timers, in seconds.
-    pub dispatcher: f64,
+    pub dispatcher_cpu: f64,
     /// Counters of the membership.
     pub counters: Counters,
     /// The control thread, as the system names it: `PROCESS/task/THREAD`.
@@ -38,7 +38,7 @@
     /// The minimums of completed seconds, each given once.
     pub minimums: VecDeque<SecondMinimum>,
     /// The reading of the configuration follower's thread, if there is one.
-    pub changes: Option<FollowerReading>,
+    pub follower: Option<FollowerReading>,
 }
 
 /// A reading of the configuration follower's thread.
@@ -101,7 +101,7 @@
         self.next_reading = now + READING_INTERVAL;
         let (before, at) = (thread_cpu_seconds(), clock());
         let mut reading = lock(&self.reading);
-        (reading.at, reading.control_cpu, reading.likely_gateways) =
+        (reading.at, reading.membership_cpu, reading.likely_gateways) =
             (at, before - self.own_cpu, quota.likely_gateways);
         reading.counters = *membership.counters_mut();
         if reading.thread.is_none() {
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -96,7 +96,8 @@
     let at = clock();
     let report = match factory.start(gateway, &state.output) {
         Ok(hollow) => {
-            let (membership_address, config_log_address) = (hollow.link, hollow.feed);
+            let (membership_address, config_log_address) =
+                (hollow.membership_address, hollow.config_log_address);
             lock(&state.gateways).insert(gateway, hollow);
             StatusMessage::GatewayStarted { gateway, membership_address, config_log_address, at }
         }
@@ -152,7 +153,7 @@
 
 fn read_gateway(gateway: usize, hollow: &HollowGateway) -> GatewayReading {
     let reading = hollow.reading();
-    let config_log = reading.changes.map(|follower| ConfigLogReading {
+    let config_log = reading.follower.map(|follower| ConfigLogReading {
         at: follower.at,
         cpu_seconds: follower.cpu_seconds,
         number: follower.number,
@@ -161,8 +162,8 @@
     GatewayReading {
         gateway,
         at: reading.at,
-        membership_cpu: reading.control_cpu,
-        dispatcher_cpu: reading.dispatcher,
+        membership_cpu: reading.membership_cpu,
+        dispatcher_cpu: reading.dispatcher_cpu,
         likely_gateways: reading.likely_gateways,
         minimums: reading.minimums.into_iter().map(Minimum::from).collect(),
         config_log,
