--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -19,7 +19,7 @@
 
 const WORKERS: usize = 30;
 const FUNCTIONS: usize = 60;
-const SECONDS: f64 = 0.7;
+const ROUND_SECONDS: f64 = 0.7;
 const ROUNDS: usize = 2;
 
 fn dispatcher(gateways: usize) -> Dispatcher<()> {
@@ -57,7 +57,7 @@
 }
 
 /// What a call costs beside its decisions, in three parts as they lie between them.
-fn burn(micros: f64) {
+fn spin_for(micros: f64) {
     let began = Instant::now();
     while began.elapsed().as_secs_f64() * 1e6 < micros {
         spin_loop();
@@ -98,13 +98,13 @@
 
 /// A call on one thread, and the attempts of others that its events release; how many attempts were ended.
 fn call(n: usize, micros: f64, mut apply: impl FnMut(RequestStep) -> Vec<Action>) -> u64 {
-    burn(micros / 3.0);
+    spin_for(micros / 3.0);
     let (mut actions, mut ended) = (apply(RequestStep::Submit(n)), 0);
     while let Some(action) = actions.pop() {
         actions.extend(apply(RequestStep::Begin(action.clone())));
-        burn(micros / 3.0);
+        spin_for(micros / 3.0);
         actions.extend(apply(RequestStep::EndAttempt(action)));
-        burn(micros / 3.0);
+        spin_for(micros / 3.0);
         ended += 1;
     }
     ended
@@ -113,7 +113,7 @@
 /// Runs `threads` of a caller that each makes from its number; calls a second of all.
 fn run(threads: usize, make: impl Fn(usize) -> Box<dyn FnMut(usize) -> u64 + Send>) -> f64 {
     let (stop, calls) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-    let joins: Vec<_> = (0..threads)
+    let handles: Vec<_> = (0..threads)
         .map(|t| {
             let (mut caller, stop, calls) = (make(t), stop.clone(), calls.clone());
             std::thread::spawn(move || {
@@ -126,16 +126,16 @@
             })
         })
         .collect();
-    std::thread::sleep(Duration::from_secs_f64(SECONDS));
+    std::thread::sleep(Duration::from_secs_f64(ROUND_SECONDS));
     stop.store(true, Ordering::Relaxed);
-    joins.into_iter().for_each(|j| j.join().expect("a thread"));
-    calls.load(Ordering::Relaxed) as f64 / SECONDS
+    handles.into_iter().for_each(|j| j.join().expect("a thread"));
+    calls.load(Ordering::Relaxed) as f64 / ROUND_SECONDS
 }
 
 /// Shared figures of one worker, on a cache line of their own.
 #[repr(align(64))]
 #[derive(Default)]
-struct WorkerFacts {
+struct WorkerStats {
     in_flight: AtomicI64,
     events: AtomicU64,
 }
@@ -198,23 +198,23 @@
     }
 
     /// (c): a dispatcher on each core, with shared figures of the workers.
-    fn shared_worker_facts(&self, threads: usize, micros: f64) -> f64 {
-        let facts = Arc::new(Vec::from_iter((0..WORKERS).map(|_| WorkerFacts::default())));
+    fn shared_worker_stats(&self, threads: usize, micros: f64) -> f64 {
+        let stats = Arc::new(Vec::from_iter((0..WORKERS).map(|_| WorkerStats::default())));
         run(threads, |_| {
-            let (mut dispatcher, bench, facts) = (dispatcher(threads), self.clone(), facts.clone());
-            Box::new(move |n| call(n, micros, |step| bench.step_with_facts(&mut dispatcher, &facts, step)))
+            let (mut dispatcher, bench, stats) = (dispatcher(threads), self.clone(), stats.clone());
+            Box::new(move |n| call(n, micros, |step| bench.step_with_stats(&mut dispatcher, &stats, step)))
         })
     }
 
     /// Before a decision the figures of all workers are read; what was decided is written.
-    fn step_with_facts(
+    fn step_with_stats(
         &self,
         dispatcher: &mut Dispatcher<()>,
-        facts: &[WorkerFacts],
+        stats: &[WorkerStats],
         step: RequestStep,
     ) -> Vec<Action> {
         if matches!(step, RequestStep::Submit(_)) {
-            black_box(facts.iter().map(|worker| worker.in_flight.load(Ordering::Relaxed)).sum::<i64>());
+            black_box(stats.iter().map(|worker| worker.in_flight.load(Ordering::Relaxed)).sum::<i64>());
         }
         let (change, ended) = match &step {
             RequestStep::EndAttempt(action) => (-1, worker_of(action)),
@@ -223,8 +223,8 @@
         let actions = self.step(dispatcher, step);
         let begun = actions.iter().map(|action| worker_of(action).unwrap_or(0));
         for worker in ended.into_iter().chain(begun) {
-            facts[worker].in_flight.fetch_add(change, Ordering::AcqRel);
-            facts[worker].events.fetch_add(1, Ordering::AcqRel);
+            stats[worker].in_flight.fetch_add(change, Ordering::AcqRel);
+            stats[worker].events.fetch_add(1, Ordering::AcqRel);
         }
         actions
     }
@@ -259,7 +259,7 @@
                 let rates = [
                     self.dispatcher_per_core(threads, micros),
                     self.one_deciding_core(threads, micros),
-                    self.shared_worker_facts(threads, micros),
+                    self.shared_worker_stats(threads, micros),
                     self.locked(threads, micros),
                     self.spin_locked(threads, micros),
                 ];
@@ -302,7 +302,7 @@
 fn main() {
     let functions = Arc::new((0..FUNCTIONS).map(|n| format!("pack-{n}")).collect());
     let bench = Bench { functions, started: Instant::now() };
-    println!("calls a second (over one thread's), best of {ROUNDS} interleaved rounds of {SECONDS} s");
+    println!("calls a second (over one thread's), best of {ROUNDS} interleaved rounds of {ROUND_SECONDS} s");
     for micros in [0.0, 30.0] {
         bench.compare(micros);
     }
--- a/crates/gateway/benches/spread.rs
+++ b/crates/gateway/benches/spread.rs
@@ -21,7 +21,7 @@
 }
 
 /// The busiest core's share over the even one, when the kernel picks.
-fn shared(cores: usize, clients: usize) -> f64 {
+fn kernel_imbalance(cores: usize, clients: usize) -> f64 {
     let first = listener(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
     let at = first.local_addr().expect("an address");
     let mut listeners = vec![first];
@@ -50,12 +50,12 @@
     );
     for cores in [2, 4, 8] {
         for clients in [8, 32, 128, 1024] {
-            let shares: Vec<f64> = (0..ROUNDS).map(|_| shared(cores, clients)).collect();
+            let shares: Vec<f64> = (0..ROUNDS).map(|_| kernel_imbalance(cores, clients)).collect();
             let mean = shares.iter().sum::<f64>() / ROUNDS as f64;
             let worst = shares.iter().copied().fold(0.0, f64::max);
-            let dealt = clients.div_ceil(cores) as f64 * cores as f64 / clients as f64;
+            let in_turn = clients.div_ceil(cores) as f64 * cores as f64 / clients as f64;
             println!(
-                "{cores} cores, {clients:>4} clients: kernel {mean:.2} (worst {worst:.2}), in turn {dealt:.2}"
+                "{cores} cores, {clients:>4} clients: kernel {mean:.2} (worst {worst:.2}), in turn {in_turn:.2}"
             );
         }
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -38,8 +38,13 @@
 }
 
 /// Sends an attempt and reports its result.
-pub async fn send(context: Rc<CoreContext>, id: AttemptId, target: WorkerTarget, parts: AttemptRequest) {
-    let Some(request) = parts.into_http(id.attempt, target) else { return };
+pub async fn send(
+    context: Rc<CoreContext>,
+    id: AttemptId,
+    target: WorkerTarget,
+    attempt_request: AttemptRequest,
+) {
+    let Some(request) = attempt_request.into_http(id.attempt, target) else { return };
     let begin = |headers: &mut HeaderMap| begin(&context, id, headers);
     match exchange(&context, target, request, begin).await {
         Ok(pending) => receive(&context, id, target, pending).await,
--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -130,7 +130,7 @@
             );
             let budget = Budget::InFlight(worker);
             match self.open.iter_mut().find(|open| open.slot == slot) {
-                Some(known) => (known.budget, known.listed) = (budget, true),
+                Some(existing) => (existing.budget, existing.listed) = (budget, true),
                 None => self.open.push(OpenBudget { budget, slot, listed: true }),
             }
         }
@@ -223,9 +223,9 @@
         const MAX_VIEWED: usize = 48;
         let mut budgets = self.shared_budgets.view(now);
         budgets.sort_by(|a, b| {
-            let moved =
+            let activity =
                 |budget: &BudgetView| budget.demand / budget.quota.max(1e-9) + budget.granted + budget.held;
-            moved(b).total_cmp(&moved(a)).then(a.name.cmp(&b.name))
+            activity(b).total_cmp(&activity(a)).then(a.name.cmp(&b.name))
         });
         budgets.truncate(MAX_VIEWED);
         BudgetSharingView { budgets, counters: self.shared_budgets.counters() }
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -264,7 +264,7 @@
                             key = change.key,
                             "a configuration change can't be applied here: {why}"
                         );
-                        self.follower.report_apply_error(*number, shortened(why));
+                        self.follower.report_apply_error(*number, truncate_reason(why));
                     }
                 }
             }
@@ -321,7 +321,7 @@
 }
 
 /// Cuts a reason to the bytes that fit into a message.
-fn shortened(mut why: String) -> String {
+fn truncate_reason(mut why: String) -> String {
     let end =
         (0..=MAX_APPLY_ERROR_BYTES.min(why.len())).rev().find(|end| why.is_char_boundary(*end)).unwrap_or(0);
     why.truncate(end);
--- a/crates/gateway/src/config_follower/state_file.rs
+++ b/crates/gateway/src/config_follower/state_file.rs
@@ -7,7 +7,7 @@
 const MIN_INTERVAL_SECONDS: f64 = 1.0;
 
 /// A large state takes long to write: the pause before the next write is this many times the duration of the last one.
-const REST_FACTOR: f64 = 20.0;
+const PAUSE_FACTOR: f64 = 20.0;
 
 /// Identifies a state of the configuration log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// The state in the file.
     stored: StateId,
     /// When the file may be written next.
-    next: f64,
+    next_write: f64,
     backoff: Backoff,
     /// Successful writes.
     pub writes: u64,
@@ -47,13 +47,13 @@
             // One that can't be removed only takes up space.
             let _ = folder.remove(&other);
         }
-        Self { folder, name, stored, next: now, backoff: Backoff::default(), writes: 0, failures: 0 }
+        Self { folder, name, stored, next_write: now, backoff: Backoff::default(), writes: 0, failures: 0 }
     }
 
     /// Writes a state where it differs from the one in the file and the last write is long enough ago; `encode` gives its
     /// bytes.
     pub fn save(&mut self, state: StateId, now: f64, encode: impl FnOnce() -> Vec<u8>) {
-        if state != self.stored && now >= self.next {
+        if state != self.stored && now >= self.next_write {
             self.write(state, now, encode);
         }
     }
@@ -83,7 +83,7 @@
                 self.failures += 1;
             }
         }
-        self.next = now + wait.max(REST_FACTOR * began.elapsed().as_secs_f64());
+        self.next_write = now + wait.max(PAUSE_FACTOR * began.elapsed().as_secs_f64());
     }
 
     /// The temporary name is this process's own: another process of the same gateway may still write.
--- a/crates/gateway/src/config_follower/state_file/tests.rs
+++ b/crates/gateway/src/config_follower/state_file/tests.rs
@@ -1,4 +1,4 @@
-//! Each error and each kill at each operation on the file of the last known state: what is read after it is a whole
+//! Each error and each kill at each operation on the file of the last known state: case is read after it is a whole
 //! state, no older than the last that was kept.
 
 use super::*;
@@ -12,13 +12,13 @@
     (StateId { number, digest: number * 7 }, vec![number as u8; 20 + number as usize])
 }
 
-fn file(folder: &FaultyFolder) -> StateFile<FaultyFolder> {
+fn open_file(folder: &FaultyFolder) -> StateFile<FaultyFolder> {
     StateFile::new(folder.clone(), NAME.into(), StateId { number: 0, digest: 0 }, 0.0)
 }
 
 /// Six states, each tried for ten seconds; gives the number that was stored last.
-fn play(folder: &FaultyFolder) -> u64 {
-    let mut file = file(folder);
+fn write_states(folder: &FaultyFolder) -> u64 {
+    let mut file = open_file(folder);
     let mut stored = 0;
     for number in 1..=6 {
         for second in 0..10 {
@@ -34,25 +34,28 @@
 }
 
 /// What is read after a loss of power, whatever of it was not synced.
-fn holds(folder: &FaultyFolder, stored: u64, what: &str) {
+fn assert_recoverable(folder: &FaultyFolder, stored: u64, case: &str) {
     for (keeps_names, keeps_bytes) in [(false, 0), (true, 0), (false, 9), (true, 9), (true, usize::MAX)] {
         let left = folder.after(PowerLoss { keeps_names, keeps_bytes });
         let number = match left.read(NAME) {
             Ok(bytes) => {
-                let number = u64::from(*bytes.first().unwrap_or_else(|| panic!("{what}: it is empty")));
-                assert_eq!(bytes, state(number).1, "{what}: a state that never was");
+                let number = u64::from(*bytes.first().unwrap_or_else(|| panic!("{case}: it is empty")));
+                assert_eq!(bytes, state(number).1, "{case}: a state that was never saved");
                 number
             }
             Err(_) => 0,
         };
-        assert!((stored..=stored + 1).contains(&number), "{what}: {number} after {stored} was kept");
+        assert!(
+            (stored..=stored + 1).contains(&number),
+            "{case}: read {number} although {stored} was stored"
+        );
     }
 }
 
 #[test]
 fn the_file_survives_each_fault_at_each_operation() {
     let faultless = FaultyFolder::default();
-    assert_eq!(play(&faultless), 6);
+    assert_eq!(write_states(&faultless), 6);
     let operations = faultless.operations();
     for (at, operation) in operations.iter().enumerate() {
         let errors = [Errno::ENOSPC, Errno::EIO].into_iter();
@@ -60,20 +63,24 @@
         for (fault, length) in faults.flat_map(|fault| [1, 3].map(|length| (fault, length))) {
             let folder = FaultyFolder::default();
             folder.fails(at..at + length, fault);
-            let what = format!("{fault:?} at {at} ({operation:?}) for {length}");
-            assert_eq!(play(&folder), 6, "{what}: it does not recover");
-            holds(&folder, 6, &what);
-            assert_eq!(folder.names(), [NAME], "{what}");
+            let case = format!("{fault:?} at {at} ({operation:?}) for {length}");
+            assert_eq!(write_states(&folder), 6, "{case}: it does not recover");
+            assert_recoverable(&folder, 6, &case);
+            assert_eq!(folder.names(), [NAME], "{case}");
         }
         let prefixes = if *operation == Operation::Write { 30 } else { 0 };
         for after in 0..=prefixes {
             let folder = FaultyFolder::default();
             folder.fails(at..at + 1, Fault::Killed { after });
-            let stored = play(&folder);
-            holds(&folder, stored, &format!("killed at {at} ({operation:?}) after {after} bytes"));
+            let stored = write_states(&folder);
+            assert_recoverable(
+                &folder,
+                stored,
+                &format!("killed at {at} ({operation:?}) after {after} bytes"),
+            );
             folder.recovers();
-            assert_eq!(play(&folder), 6);
-            assert_eq!(folder.names(), [NAME], "what a kill left beside it goes");
+            assert_eq!(write_states(&folder), 6);
+            assert_eq!(folder.names(), [NAME], "case a kill left beside it goes");
         }
     }
 }
@@ -82,7 +89,7 @@
 #[test]
 fn a_disk_that_keeps_failing_is_retried_with_growing_pauses() {
     let folder = FaultyFolder::default();
-    let mut file = file(&folder);
+    let mut file = open_file(&folder);
     let (id, bytes) = state(1);
     file.save(id, 0.0, || bytes);
     folder.fails_at(Operation::SyncFile, Fault::Fails(Errno::EIO));
@@ -102,6 +109,6 @@
     for name in ["gateway.state", "gateway.state.17.new", "gateway.state.x.new", "other.state.17.new"] {
         folder.put(name, b"half");
     }
-    file(&folder);
+    open_file(&folder);
     assert_eq!(folder.names(), ["gateway.state", "gateway.state.x.new", "other.state.17.new"]);
 }
--- a/crates/gateway/src/config_follower/status_log.rs
+++ b/crates/gateway/src/config_follower/status_log.rs
@@ -43,15 +43,15 @@
         const INTERVAL_SECONDS: f64 = 1.0;
         /// Without confirmation for so long the state may not be the latest: several polls, and the choice of another
         /// control machine to follow.
-        const SILENCE_SECONDS: f64 = 5.0;
+        const STALE_AFTER_SECONDS: f64 = 5.0;
         if now < self.next_check {
             return;
         }
         self.next_check = now + INTERVAL_SECONDS;
         let view = follower.view(now);
         let freshness = match view.confirmed_age {
-            Some(age) if age < SILENCE_SECONDS => Freshness::Confirmed,
-            None if now < SILENCE_SECONDS => Freshness::Unknown,
+            Some(age) if age < STALE_AFTER_SECONDS => Freshness::Confirmed,
+            None if now < STALE_AFTER_SECONDS => Freshness::Unknown,
             _ => Freshness::Stale,
         };
         if freshness != self.freshness {
--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -172,7 +172,7 @@
     }
 
     /// Closes the connection that was idle for longest, so that another core can open one.
-    pub fn close_one(&mut self) {
+    pub fn close_oldest(&mut self) {
         if !self.idle.is_empty() {
             self.idle.remove(0);
         }
--- a/crates/gateway/src/core_context.rs
+++ b/crates/gateway/src/core_context.rs
@@ -28,10 +28,10 @@
 const CATCH_UP_RATE: f64 = 4.0;
 
 /// After a stall, the time in which everything that arrived meanwhile is read.
-const READ_AFTER_STALL: Duration = Duration::from_millis(5);
+const POST_STALL_READ_TIME: Duration = Duration::from_millis(5);
 
 /// How long another core may take to close an idle connection, and to be given a busy one's place.
-const WAIT_FOR_CONNECTION: Duration = Duration::from_millis(20);
+const CONNECTION_WAIT: Duration = Duration::from_millis(20);
 
 /// Handles a core's messages.
 pub type MessageHandler = fn(&Rc<CoreContext>, CoreMessage);
@@ -232,7 +232,7 @@
             tracing::warn!(seconds, core = self.core, "this thread was stalled");
             self.last_stall.set(Stall { began: self.last_heartbeat.get(), ended: self.now() });
             self.open_requests.drop_answered();
-            tokio::time::sleep(READ_AFTER_STALL).await;
+            tokio::time::sleep(POST_STALL_READ_TIME).await;
         }
         self.last_heartbeat.set(self.now());
         let is_current = self.slot().heartbeat.beat(self.incarnation, self.now());
@@ -263,7 +263,7 @@
             Some(permit) => permit,
             None => {
                 self.request_idle_connection(worker);
-                let _ = tokio::time::timeout(WAIT_FOR_CONNECTION, limit.wait_for_release()).await;
+                let _ = tokio::time::timeout(CONNECTION_WAIT, limit.wait_for_release()).await;
                 limit.reserve().ok_or(ConnectError::LimitReached)?
             }
         };
@@ -293,7 +293,7 @@
 
     /// Closes one idle connection to a worker, where there is one.
     pub fn close_one_idle(&self, worker: usize) {
-        self.with_pool(worker, ConnectionPool::close_one);
+        self.with_pool(worker, ConnectionPool::close_oldest);
     }
 
     /// Closes connections that have been idle for too long.
--- a/crates/gateway/src/header_timer.rs
+++ b/crates/gateway/src/header_timer.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Time in which the runtime learns of unread bytes.
-const RECHECK: Duration = Duration::from_millis(20);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Rechecks after which the limit holds in any case: a client that sends its fields bit by bit must not keep the
 /// connection for ever.
@@ -48,7 +48,7 @@
                 return Poll::Ready(());
             }
             self.rechecks += 1;
-            let again = tokio::time::Instant::now() + RECHECK;
+            let again = tokio::time::Instant::now() + RECHECK_INTERVAL;
             self.sleep.as_mut().reset(again);
         }
         Poll::Pending
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -31,10 +31,10 @@
     pub config_log_address: Option<SocketAddr>,
     threads: Vec<JoinHandle<()>>,
     reading: Arc<Mutex<Reading>>,
-    following: Arc<Mutex<FollowerReading>>,
+    follower_reading: Arc<Mutex<FollowerReading>>,
     killed: Arc<AtomicBool>,
     /// Nanoseconds of processor time that [`update_endpoints`](Self::update_endpoints) and [`tick`](Self::tick) took.
-    dispatcher: AtomicU64,
+    dispatcher_cpu_nanos: AtomicU64,
 }
 
 impl HollowGateway {
@@ -50,10 +50,11 @@
         on_membership_event: MembershipCallback,
         on_applied: AppliedCallback,
     ) -> Result<Self, ControlThreadError> {
-        let link = config.membership.as_ref().map(|stated| MembershipLink::open(stated, None)).transpose()?;
+        let link =
+            config.membership.as_ref().map(|settings| MembershipLink::open(settings, None)).transpose()?;
         let feed = config.config_log.as_ref().map(ConfigFeed::open).transpose()?;
         let killed = Arc::new(AtomicBool::new(false));
-        let mut hollow = Self {
+        let mut gateway = Self {
             shared_runtime: SharedRuntime::new(config),
             membership_address: link
                 .as_ref()
@@ -67,42 +68,45 @@
                 .map_err(ControlThreadError::LocalAddress)?,
             threads: Vec::new(),
             reading: Arc::new(Mutex::new(Reading { at: clock(), ..Reading::default() })),
-            following: Arc::new(Mutex::new(FollowerReading { at: clock(), ..FollowerReading::default() })),
+            follower_reading: Arc::new(Mutex::new(FollowerReading {
+                at: clock(),
+                ..FollowerReading::default()
+            })),
             killed: killed.clone(),
-            dispatcher: AtomicU64::new(0),
+            dispatcher_cpu_nanos: AtomicU64::new(0),
         };
-        hollow.update_endpoints(true, entries);
+        gateway.update_endpoints(true, entries);
         if let Some(feed) = feed {
-            let following = hollow.following.clone();
-            let monitor = FollowerMonitor::new(on_applied, following, killed.clone());
+            let follower_reading = gateway.follower_reading.clone();
+            let monitor = FollowerMonitor::new(on_applied, follower_reading, killed.clone());
             let monitor: Box<dyn config_follower::FollowerObserver> = Box::new(monitor);
-            hollow.threads.push(config_follower::start_observed(
-                hollow.shared_runtime.clone(),
+            gateway.threads.push(config_follower::start_observed(
+                gateway.shared_runtime.clone(),
                 feed,
                 Some(monitor),
             )?);
         }
         if let Some(link) = link {
-            let reading = hollow.reading.clone();
+            let reading = gateway.reading.clone();
             let monitor = MembershipMonitor::new(on_membership_event, reading, killed);
             let monitor: Box<dyn MembershipObserver> = Box::new(monitor);
-            hollow.threads.push(membership_link::start_observed(
-                hollow.shared_runtime.clone(),
+            gateway.threads.push(membership_link::start_observed(
+                gateway.shared_runtime.clone(),
                 link,
                 Some(monitor),
             )?);
         }
-        Ok(hollow)
+        Ok(gateway)
     }
 
     /// Applies an endpoint list, or changes to it where it is not `whole`. Gives the processor time taken, in seconds.
-    pub fn update_endpoints(&self, whole: bool, entries: &[EndpointEntry]) -> f64 {
-        self.timed(|shared_runtime| shared_runtime.update_endpoints(None, whole, entries))
+    pub fn update_endpoints(&self, complete: bool, entries: &[EndpointEntry]) -> f64 {
+        self.measure_cpu(|shared_runtime| shared_runtime.update_endpoints(None, complete, entries))
     }
 
     /// Runs the dispatcher's timers that are due. To be called often, as the supervisor of a real gateway does.
     pub fn tick(&self) {
-        self.timed(|shared_runtime| {
+        self.measure_cpu(|shared_runtime| {
             if shared_runtime.is_overdue(0.0) {
                 shared_runtime.with_dispatcher(None, |dispatcher, now| dispatcher.advance(now));
             }
@@ -110,12 +114,12 @@
     }
 
     /// Does some work of the dispatcher; gives the processor time that it took, in seconds.
-    fn timed(&self, work: impl FnOnce(&SharedRuntime)) -> f64 {
+    fn measure_cpu(&self, work: impl FnOnce(&SharedRuntime)) -> f64 {
         let before = thread_cpu_seconds();
         work(&self.shared_runtime);
-        let took = (thread_cpu_seconds() - before).max(0.0);
-        self.dispatcher.fetch_add((took * 1e9) as u64, Ordering::Relaxed);
-        took
+        let cpu_seconds = (thread_cpu_seconds() - before).max(0.0);
+        self.dispatcher_cpu_nanos.fetch_add((cpu_seconds * 1e9) as u64, Ordering::Relaxed);
+        cpu_seconds
     }
 
     /// The latest reading, with the minimums of all seconds that were completed since the last call. The processor time of
@@ -126,7 +130,7 @@
         let mut reading = lock(&self.reading);
         let minimums = std::mem::take(&mut reading.minimums);
         let mut reading = Reading { minimums, ..reading.clone() };
-        reading.dispatcher_cpu = self.dispatcher.load(Ordering::Relaxed) as f64 / 1e9;
+        reading.dispatcher_cpu = self.dispatcher_cpu_nanos.load(Ordering::Relaxed) as f64 / 1e9;
         let now = clock();
         if self.membership_address.is_none() {
             // Without a link there is no thread, and no cost.
@@ -137,13 +141,13 @@
             (reading.at, reading.membership_cpu) = (now, used);
         }
         if self.config_log_address.is_some() {
-            let mut following = lock(&self.following).clone();
-            if now - following.at > MAX_AGE_SECONDS
-                && let Some(used) = following.thread.as_deref().and_then(cpu_seconds_of)
+            let mut follower_reading = lock(&self.follower_reading).clone();
+            if now - follower_reading.at > MAX_AGE_SECONDS
+                && let Some(used) = follower_reading.thread.as_deref().and_then(cpu_seconds_of)
             {
-                (following.at, following.cpu_seconds) = (now, used);
+                (follower_reading.at, follower_reading.cpu_seconds) = (now, used);
             }
-            reading.follower = Some(following);
+            reading.follower = Some(follower_reading);
         }
         reading
     }
--- a/crates/gateway/src/hollow_gateway/readings.rs
+++ b/crates/gateway/src/hollow_gateway/readings.rs
@@ -68,7 +68,7 @@
     next_reading: f64,
     minimums: MinimumTracker,
     /// Processor time that the readings themselves took, in seconds.
-    own_cpu: f64,
+    monitor_cpu: f64,
 }
 
 impl MembershipMonitor {
@@ -79,7 +79,7 @@
         killed: Arc<AtomicBool>,
     ) -> Self {
         let (next_reading, minimums) = (f64::NEG_INFINITY, MinimumTracker::default());
-        Self { on_membership_event, reading, killed, next_reading, minimums, own_cpu: 0.0 }
+        Self { on_membership_event, reading, killed, next_reading, minimums, monitor_cpu: 0.0 }
     }
 }
 
@@ -102,7 +102,7 @@
         let (before, at) = (thread_cpu_seconds(), clock());
         let mut reading = lock(&self.reading);
         (reading.at, reading.membership_cpu, reading.likely_gateways) =
-            (at, before - self.own_cpu, quota.likely_gateways);
+            (at, before - self.monitor_cpu, quota.likely_gateways);
         reading.counters = *membership.counters_mut();
         if reading.thread.is_none() {
             reading.thread = std::fs::read_link("/proc/thread-self").ok();
@@ -119,7 +119,7 @@
             reading.minimums.push_back(minimum);
         }
         drop(reading);
-        self.own_cpu += thread_cpu_seconds() - before;
+        self.monitor_cpu += thread_cpu_seconds() - before;
     }
 
     fn is_killed(&self) -> bool {
@@ -133,20 +133,20 @@
 /// Takes readings in the thread of a configuration follower.
 pub struct FollowerMonitor {
     on_applied: AppliedCallback,
-    following: Arc<Mutex<FollowerReading>>,
+    reading: Arc<Mutex<FollowerReading>>,
     killed: Arc<AtomicBool>,
     next_reading: f64,
-    own_cpu: f64,
+    monitor_cpu: f64,
 }
 
 impl FollowerMonitor {
     /// A monitor that writes into `following` until `killed` is set.
     pub fn new(
         on_applied: AppliedCallback,
-        following: Arc<Mutex<FollowerReading>>,
+        reading: Arc<Mutex<FollowerReading>>,
         killed: Arc<AtomicBool>,
     ) -> Self {
-        Self { on_applied, following, killed, next_reading: f64::NEG_INFINITY, own_cpu: 0.0 }
+        Self { on_applied, reading, killed, next_reading: f64::NEG_INFINITY, monitor_cpu: 0.0 }
     }
 }
 
@@ -154,7 +154,7 @@
     fn applied(&mut self, number: u64) {
         let before = thread_cpu_seconds();
         (self.on_applied)(number);
-        self.own_cpu += thread_cpu_seconds() - before;
+        self.monitor_cpu += thread_cpu_seconds() - before;
     }
 
     fn after_turn(&mut self, follower: &Follower) {
@@ -164,14 +164,14 @@
         }
         self.next_reading = at + READING_INTERVAL;
         let before = thread_cpu_seconds();
-        let mut following = lock(&self.following);
-        (following.at, following.cpu_seconds) = (at, before - self.own_cpu);
-        (following.number, following.digest) = (follower.state().head(), follower.state().digest());
-        if following.thread.is_none() {
-            following.thread = std::fs::read_link("/proc/thread-self").ok();
+        let mut reading = lock(&self.reading);
+        (reading.at, reading.cpu_seconds) = (at, before - self.monitor_cpu);
+        (reading.number, reading.digest) = (follower.state().head(), follower.state().digest());
+        if reading.thread.is_none() {
+            reading.thread = std::fs::read_link("/proc/thread-self").ok();
         }
-        drop(following);
-        self.own_cpu += thread_cpu_seconds() - before;
+        drop(reading);
+        self.monitor_cpu += thread_cpu_seconds() - before;
     }
 
     fn is_killed(&self) -> bool {
--- a/crates/gateway/src/io_fault.rs
+++ b/crates/gateway/src/io_fault.rs
@@ -84,8 +84,8 @@
 }
 
 impl Backoff {
-    const FIRST: Duration = Duration::from_millis(5);
-    const LONGEST: Duration = Duration::from_millis(100);
+    const MIN_PAUSE: Duration = Duration::from_millis(5);
+    const MAX_PAUSE: Duration = Duration::from_millis(100);
     /// Failed connections in a row that are accepted without a pause: each leaves one fewer in the queue.
     const IMMEDIATE_RETRIES: u32 = 64;
 
@@ -108,7 +108,7 @@
     fn next_pause(&mut self, immediate_retries: u32) -> Duration {
         let doublings = self.failures.saturating_sub(immediate_retries).min(16);
         self.failures = self.failures.saturating_add(1);
-        Self::FIRST.saturating_mul(1 << doublings).min(Self::LONGEST)
+        Self::MIN_PAUSE.saturating_mul(1 << doublings).min(Self::MAX_PAUSE)
     }
 
     /// An attempt succeeded: pauses begin with the shortest again.
--- a/crates/gateway/src/io_fault/tests.rs
+++ b/crates/gateway/src/io_fault/tests.rs
@@ -70,9 +70,9 @@
     let pauses: Vec<_> = (0..100_000).map(|_| backoff.after_accept(fault)).collect();
     assert!(pauses[..immediate_retries].iter().all(Duration::is_zero));
     assert_eq!(pauses[immediate_retries..immediate_retries + 3], [5, 10, 20].map(Duration::from_millis));
-    assert!(pauses[immediate_retries + 5..].iter().all(|pause| *pause == Backoff::LONGEST));
+    assert!(pauses[immediate_retries + 5..].iter().all(|pause| *pause == Backoff::MAX_PAUSE));
     backoff.succeeded();
-    assert_eq!(backoff.after_accept(Resources), Backoff::FIRST);
+    assert_eq!(backoff.after_accept(Resources), Backoff::MIN_PAUSE);
 }
 
 /// Makes attempts of which the first ones fail so; the outcome, and the attempts that were made.
@@ -83,11 +83,11 @@
 ) -> (Result<usize, Option<i32>>, usize) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     let mut attempts = 0;
-    let made = runtime.block_on(connect(Duration::from_millis(max_wait), async || {
+    let result = runtime.block_on(connect(Duration::from_millis(max_wait), async || {
         attempts += 1;
         if attempts <= failures { Err(error(errno)) } else { Ok(attempts) }
     }));
-    (made.map_err(|e| e.raw_os_error()), attempts)
+    (result.map_err(|e| e.raw_os_error()), attempts)
 }
 
 #[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a local fault that passes")]
@@ -98,9 +98,9 @@
     errno: Errno,
     failures: usize,
     max_wait: u64,
-    made: Result<usize, Errno>,
+    result: Result<usize, Errno>,
     attempts: usize,
 ) {
-    let made = made.map_err(|errno| Some(errno as i32));
-    assert_eq!(connect_with_failures(errno, failures, max_wait), (made, attempts));
+    let result = result.map_err(|errno| Some(errno as i32));
+    assert_eq!(connect_with_failures(errno, failures, max_wait), (result, attempts));
 }
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Times that a gateway is asked.
-const ATTEMPTS: u64 = 4;
+const MAX_ATTEMPTS: u64 = 4;
 
 /// The time in which all pages of an answer must come.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -42,7 +42,7 @@
     Key(#[from] KeyFileError),
     /// The configured port is chosen by the system, so nobody can tell where the gateway listens.
     #[error("listen of peers has port 0: nobody can tell where the gateway is; give it a port")]
-    AnyPort,
+    PortNotFixed,
     /// A socket of this process failed.
     #[error("the query can't be sent: {0}")]
     Socket(#[from] io::Error),
@@ -71,10 +71,10 @@
         SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
     };
     let socket = UdpSocket::bind(local)?;
-    for request_id in 1..=ATTEMPTS {
-        let query = Datagram::new(operator(local), 0, kind::STATUS_QUERY, request_id);
+    for request_id in 1..=MAX_ATTEMPTS {
+        let query = Datagram::new(operator_identity(local), 0, kind::STATUS_QUERY, request_id);
         socket.send_to(&datagram::seal(&key, &query)?, target)?;
-        if let Some(text) = receive_text(&socket, &key, request_id)? {
+        if let Some(text) = receive_status(&socket, &key, request_id)? {
             return Ok(serde_json::from_slice(&text)?);
         }
     }
@@ -84,7 +84,7 @@
 /// Where a gateway with that `listen` address is reached from its own machine.
 fn query_target(listen: SocketAddr) -> Result<SocketAddr, MembershipQueryError> {
     if listen.port() == 0 {
-        return Err(MembershipQueryError::AnyPort);
+        return Err(MembershipQueryError::PortNotFixed);
     }
     let mut target = listen;
     if target.ip().is_unspecified() {
@@ -94,12 +94,12 @@
 }
 
 /// The sender of a query, which is no gateway.
-fn operator(address: SocketAddr) -> Identity {
+fn operator_identity(address: SocketAddr) -> Identity {
     Identity { instance_id: 0, name: "operator".into(), address, incarnation: 0, max_gateways: 0 }
 }
 
 /// Receives the pages of one answer; none where they were not complete within [`ATTEMPT_TIMEOUT`].
-fn receive_text(socket: &UdpSocket, key: &Key, request_id: u64) -> io::Result<Option<Vec<u8>>> {
+fn receive_status(socket: &UdpSocket, key: &Key, request_id: u64) -> io::Result<Option<Vec<u8>>> {
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     let mut pages = PageCollector::default();
     let end = Instant::now() + ATTEMPT_TIMEOUT;
--- a/crates/gateway/src/message_handler.rs
+++ b/crates/gateway/src/message_handler.rs
@@ -17,8 +17,8 @@
         CoreMessage::SendAttempt { id, target, function } => {
             context.with_open_request(id.request, id.request_slot, |open_request| {
                 let (headers, body) = (open_request.headers.clone(), open_request.body.clone());
-                let parts = AttemptRequest { function, headers, body };
-                let task = attempt::send(context.clone(), id, target, parts);
+                let attempt_request = AttemptRequest { function, headers, body };
+                let task = attempt::send(context.clone(), id, target, attempt_request);
                 open_request.attempts.push(spawn_local(task).abort_handle());
             });
         }
--- a/crates/gateway/src/request_reader.rs
+++ b/crates/gateway/src/request_reader.rs
@@ -52,9 +52,9 @@
 
 /// The profile that the request names or its function requires; where both do they must agree.
 fn profile(context: &CoreContext, function: &str, headers: &HeaderMap) -> Result<usize, RequestError> {
-    let stated = invoke::name_field(headers, &invoke::PROFILE).map_err(RequestError::InvalidHeader)?;
+    let requested = invoke::name_field(headers, &invoke::PROFILE).map_err(RequestError::InvalidHeader)?;
     let required = context.shared_runtime.function_config(function).profile;
-    let Some(name) = stated else { return Ok(required.unwrap_or(0)) };
+    let Some(name) = requested else { return Ok(required.unwrap_or(0)) };
     let known = context.config().profiles.iter().position(|profile| profile.name == name);
     let field = invoke::PROFILE.as_str();
     let profile = known.ok_or_else(|| invalid(field, format!("there is no profile {name}")))?;
--- a/crates/gateway/src/response_channel.rs
+++ b/crates/gateway/src/response_channel.rs
@@ -112,13 +112,13 @@
     /// bytes the kernel would reset the connection before the client has read the response.
     pub async fn linger(&self) {
         /// The longest pause.
-        const PAUSE: Duration = Duration::from_millis(200);
+        const MAX_PAUSE: Duration = Duration::from_millis(200);
         /// The longest time in all.
-        const LONGEST: Duration = Duration::from_secs(1);
+        const MAX_LINGER: Duration = Duration::from_secs(1);
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
         let mut chunk = [0; 8192];
         let drained = async {
-            while let Ok(Ok(())) = tokio::time::timeout(PAUSE, self.stream.readable()).await {
+            while let Ok(Ok(())) = tokio::time::timeout(MAX_PAUSE, self.stream.readable()).await {
                 match self.stream.try_read(&mut chunk) {
                     Ok(1..) => {}
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -126,7 +126,7 @@
                 }
             }
         };
-        let _ = tokio::time::timeout(LONGEST, drained).await;
+        let _ = tokio::time::timeout(MAX_LINGER, drained).await;
     }
 
     /// Closes the connection of a lost core, unless a request is open on it. A request that is unread gets this
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -25,7 +25,7 @@
 
 /// Seconds after the last deadline in which the last responses are written. Together with the time that the cores take
 /// to end it is below the 0.7 s after which the process may be killed.
-const FINAL_WRITES: f64 = 0.2;
+const FINAL_WRITE_SECONDS: f64 = 0.2;
 
 /// Runs a gateway on a listener until `stop` completes, and then finishes its open requests; the counts of requests.
 /// Must run within a `LocalSet`.
@@ -75,7 +75,7 @@
         "stopping"
     );
     let deadlines = shared_runtime.config.profiles.iter().map(|profile| profile.deadline);
-    let longest = deadlines.fold(0.0, f64::max) + FINAL_WRITES;
+    let longest = deadlines.fold(0.0, f64::max) + FINAL_WRITE_SECONDS;
     let _ = tokio::time::timeout(Duration::from_secs_f64(longest), async {
         tokio::select! {
             () = acceptor.drain() => {}
@@ -208,11 +208,11 @@
     fn start(shared_runtime: &Arc<SharedRuntime>, links: Links) -> Self {
         let changes = links.changes.and_then(|feed| {
             let thread = config_follower::start(shared_runtime.clone(), feed);
-            started(thread, "configuration changes don't arrive, the file's values stay in force")
+            log_start_failure(thread, "configuration changes don't arrive, the file's values stay in force")
         });
         let peers = links.peers.and_then(|link| {
             let thread = membership_link::start(shared_runtime.clone(), link);
-            started(thread, "this gateway shares no budgets with others")
+            log_start_failure(thread, "this gateway shares no budgets with others")
         });
         Self { changes, peers }
     }
@@ -229,6 +229,6 @@
 }
 
 /// The thread, or `None` with a log line that says what the gateway does without it.
-fn started<E: Display>(thread: Result<JoinHandle<()>, E>, without: &str) -> Option<JoinHandle<()>> {
+fn log_start_failure<E: Display>(thread: Result<JoinHandle<()>, E>, without: &str) -> Option<JoinHandle<()>> {
     thread.inspect_err(|error| tracing::error!(%error, "a control thread can't start; {without}")).ok()
 }
--- a/crates/gateway/src/stalled_core.rs
+++ b/crates/gateway/src/stalled_core.rs
@@ -48,17 +48,17 @@
     /// requests and health checks are sent from here.
     pub fn take_over_messages(&self) {
         // Bounded by the limit on client connections.
-        let mut silent_connections = Vec::new();
+        let mut idle_connections = Vec::new();
         loop {
             let messages = self.shared_runtime().core_slots[self.core].mailbox.take_all();
             if messages.is_empty() {
                 break;
             }
             for message in messages {
-                silent_connections.extend(self.take_over(message));
+                idle_connections.extend(self.take_over(message));
             }
         }
-        for connection in silent_connections {
+        for connection in idle_connections {
             self.shared_runtime().send(self.core, connection);
         }
     }
--- a/crates/gateway/src/status_pages.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -9,11 +9,11 @@
 pub const PAGE_BYTES: usize = 1100;
 
 /// Reports that are kept for requests of further pages.
-const MAX_ANSWERS: usize = 4;
+const MAX_REPORTS: usize = 4;
 
 /// A report of which further pages may be requested.
-struct Answer {
-    asked_by: SocketAddr,
+struct Report {
+    requested_by: SocketAddr,
     request_id: u64,
     text: Vec<u8>,
 }
@@ -21,7 +21,7 @@
 /// The reports that a process made lately, by the operator and the request.
 #[derive(Default)]
 pub struct StatusPages {
-    answers: VecDeque<Answer>,
+    reports: VecDeque<Report>,
 }
 
 impl StatusPages {
@@ -34,18 +34,20 @@
         page: u32,
         text: impl FnOnce() -> Option<Vec<u8>>,
     ) -> Option<Message> {
-        let index =
-            self.answers.iter().position(|answer| (answer.asked_by, answer.request_id) == (from, request_id));
+        let index = self
+            .reports
+            .iter()
+            .position(|report| (report.requested_by, report.request_id) == (from, request_id));
         let index = match index {
             Some(index) => index,
             None => {
                 let text = text()?;
-                self.answers.truncate(MAX_ANSWERS - 1);
-                self.answers.push_front(Answer { asked_by: from, request_id, text });
+                self.reports.truncate(MAX_REPORTS - 1);
+                self.reports.push_front(Report { requested_by: from, request_id, text });
                 0
             }
         };
-        let pages = self.answers[index].text.chunks(PAGE_BYTES);
+        let pages = self.reports[index].text.chunks(PAGE_BYTES);
         let total = pages.len() as u32;
         let bytes = { pages }.nth(page as usize)?.to_vec();
         Some(Message::StatusPage { query_id: request_id, page, page_count: total, bytes })
--- a/crates/gateway/src/status_pages/tests.rs
+++ b/crates/gateway/src/status_pages/tests.rs
@@ -20,11 +20,11 @@
 
 #[test]
 fn pages_in_reverse_order_and_repeated_give_the_whole_text() {
-    let mut reports = StatusPages::default();
+    let mut status_pages = StatusPages::default();
     let mut collector = PageCollector::default();
     for page in [2, 2, 1, 0] {
         assert!(!collector.is_complete());
-        let (index, total, bytes) = page_of(reports.page(operator(), 7, page, || Some(text())).unwrap());
+        let (index, total, bytes) = page_of(status_pages.page(operator(), 7, page, || Some(text())).unwrap());
         collector.insert(index as usize, total as usize, bytes);
     }
     assert!(collector.is_complete());
@@ -32,22 +32,22 @@
 }
 
 #[test]
-fn all_pages_of_a_request_are_of_one_moment_and_the_next_request_of_another() {
-    let mut reports = StatusPages::default();
-    assert_eq!(page_of(reports.page(operator(), 7, 0, || Some(vec![1])).unwrap()).2, [1]);
-    assert_eq!(page_of(reports.page(operator(), 7, 0, || Some(vec![2])).unwrap()).2, [1]);
-    assert_eq!(page_of(reports.page(operator(), 8, 0, || Some(vec![2])).unwrap()).2, [2]);
-    assert!(reports.page(operator(), 8, 1, || Some(vec![3])).is_none(), "it has one page");
+fn all_pages_of_a_request_come_from_one_report() {
+    let mut status_pages = StatusPages::default();
+    assert_eq!(page_of(status_pages.page(operator(), 7, 0, || Some(vec![1])).unwrap()).2, [1]);
+    assert_eq!(page_of(status_pages.page(operator(), 7, 0, || Some(vec![2])).unwrap()).2, [1]);
+    assert_eq!(page_of(status_pages.page(operator(), 8, 0, || Some(vec![2])).unwrap()).2, [2]);
+    assert!(status_pages.page(operator(), 8, 1, || Some(vec![3])).is_none(), "it has one page");
 }
 
 #[test]
 fn reports_are_displaced_by_later_requests() {
-    let mut reports = StatusPages::default();
-    for request_id in 0..=MAX_ANSWERS as u64 {
-        reports.page(operator(), request_id, 0, || Some(vec![1]));
+    let mut status_pages = StatusPages::default();
+    for request_id in 0..=MAX_REPORTS as u64 {
+        status_pages.page(operator(), request_id, 0, || Some(vec![1]));
     }
-    assert_eq!(reports.answers.len(), MAX_ANSWERS);
-    assert_eq!(page_of(reports.page(operator(), 0, 0, || Some(vec![2])).unwrap()).2, [2]);
+    assert_eq!(status_pages.reports.len(), MAX_REPORTS);
+    assert_eq!(page_of(status_pages.page(operator(), 0, 0, || Some(vec![2])).unwrap()).2, [2]);
 }
 
 #[test]
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_page_without_a_place_and_absurd_totals_are_borne() {
+fn out_of_range_pages_and_excessive_totals_are_tolerated() {
     let mut collector = PageCollector::default();
     collector.insert(5, 0, vec![1]);
     assert!(!collector.is_complete());
--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -21,10 +21,10 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Heartbeats within which a thread that runs has ended after it was asked to.
-const HEARTBEATS_TO_END: u32 = 10;
+const MAX_JOIN_HEARTBEATS: u32 = 10;
 
 /// Heartbeats after which cores that still have connections are ended.
-const HEARTBEATS_TO_FINISH: u32 = 2;
+const GRACE_HEARTBEATS: u32 = 2;
 
 /// Supervises the cores of one gateway.
 pub struct Supervisor {
@@ -210,7 +210,7 @@
         let mut threads: Vec<_> =
             self.core_threads.borrow_mut().iter_mut().filter_map(CoreThread::take_thread).collect();
         self.wake_all();
-        for heartbeat in 0..HEARTBEATS_TO_END {
+        for heartbeat in 0..MAX_JOIN_HEARTBEATS {
             for finished in threads.extract_if(.., |thread| thread.is_finished()) {
                 if finished.join().is_err() {
                     tracing::error!("a core thread panicked while the gateway stopped");
@@ -220,7 +220,7 @@
                 return;
             }
             let connections_left = heartbeat == 0 && self.shared_runtime.client_connections.open() > 0;
-            if heartbeat == HEARTBEATS_TO_FINISH || connections_left {
+            if heartbeat == GRACE_HEARTBEATS || connections_left {
                 self.end_incarnations();
             }
             tokio::time::sleep(Duration::from_secs_f64(HEARTBEAT_INTERVAL)).await;
--- a/crates/gateway/src/worker_commands.rs
+++ b/crates/gateway/src/worker_commands.rs
@@ -86,13 +86,13 @@
     let response = tokio::time::timeout(timeout, send(&context, target, command, || true));
     // The dispatcher ends the check at the same time.
     let Ok(response) = response.await else { return };
-    let (outcome, report) = health(response);
+    let (outcome, report) = health_check_result(response);
     context.with_dispatcher(|dispatcher, now| {
         dispatcher.health_check_ended(now, target.worker, serial, outcome, report);
     });
 }
 
-fn health(response: Result<Parts, ExchangeError>) -> (Outcome, Option<LoadReport>) {
+fn health_check_result(response: Result<Parts, ExchangeError>) -> (Outcome, Option<LoadReport>) {
     match response {
         Ok(head) if head.status.is_success() => (Outcome::Succeeded, load_report(&head.headers)),
         Ok(head) => (Outcome::Failed, load_report(&head.headers)),
--- a/crates/gateway/src/worker_response.rs
+++ b/crates/gateway/src/worker_response.rs
@@ -8,7 +8,7 @@
 use milletpath_protocol::{orca, worker as wire};
 
 /// Fields with this prefix are the gateway's own.
-const OWN_FIELDS: &str = "milletpath-";
+const GATEWAY_FIELD_PREFIX: &str = "milletpath-";
 
 /// Whether a field concerns one connection only (RFC 9110, 7.6.1), is made anew for each, or is set by the gateway
 /// alone.
@@ -26,7 +26,7 @@
             | header::TRANSFER_ENCODING
             | header::UPGRADE
     ) || matches!(name.as_str(), "keep-alive" | "proxy-connection" | "endpoint-load-metrics")
-        || name.as_str().starts_with(OWN_FIELDS)
+        || name.as_str().starts_with(GATEWAY_FIELD_PREFIX)
 }
 
 /// Removes the fields that must not be passed on, among them those that `Connection` names.
@@ -44,12 +44,12 @@
 pub fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(&orca::HEADER)?.to_str().ok()?;
     let mut report = LoadReport::default();
-    let parsed = orca::read(text, |name, figure| match name {
-        orca::CPU_UTILIZATION => report.utilization = Some(figure),
-        orca::MEMORY_UTILIZATION => report.memory = Some(figure),
-        orca::IN_FLIGHT => report.in_flight = Some(figure),
-        orca::QUEUED => report.queued = Some(figure),
-        orca::LOADING => report.loading = Some(figure),
+    let parsed = orca::read(text, |name, value| match name {
+        orca::CPU_UTILIZATION => report.utilization = Some(value),
+        orca::MEMORY_UTILIZATION => report.memory = Some(value),
+        orca::IN_FLIGHT => report.in_flight = Some(value),
+        orca::QUEUED => report.queued = Some(value),
+        orca::LOADING => report.loading = Some(value),
         _ => {}
     });
     if let Err(error) = parsed {
--- a/crates/gateway/src/write_timeout.rs
+++ b/crates/gateway/src/write_timeout.rs
@@ -11,7 +11,7 @@
 
 /// Time after the limit in which the runtime learns of the socket's state: a limit that passed while the process was
 /// suspended fires before the runtime knows that the peer has accepted bytes meanwhile.
-const RECHECK: Duration = Duration::from_millis(20);
+const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 /// Limits the time for which a write may be pending.
 pub struct WriteTimeout<S> {
@@ -24,21 +24,21 @@
 struct WriteLimit {
     sleep: Pin<Box<Sleep>>,
     /// Whether the limit is checked once more after it has passed.
-    rechecks: bool,
+    recheck_pending: bool,
 }
 
 impl WriteLimit {
     fn new(limit: Duration) -> Self {
-        Self { sleep: Box::pin(sleep_until(Instant::now() + limit)), rechecks: true }
+        Self { sleep: Box::pin(sleep_until(Instant::now() + limit)), recheck_pending: true }
     }
 
     /// Ready once the limit has passed, and the runtime has had time to learn of the socket since.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.sleep.as_mut().poll(cx).is_ready() {
-            if !std::mem::take(&mut self.rechecks) {
+            if !std::mem::take(&mut self.recheck_pending) {
                 return Poll::Ready(());
             }
-            self.sleep.as_mut().reset(Instant::now() + RECHECK);
+            self.sleep.as_mut().reset(Instant::now() + RECHECK_DELAY);
         }
         Poll::Pending
     }
--- a/crates/gateway/tests/multiple_cores.rs
+++ b/crates/gateway/tests/multiple_cores.rs
@@ -60,11 +60,11 @@
 
 /// Sends up to `most` requests on one connection, each after the response to the one before, until the gateway closes
 /// it; the outcomes, and whether it was closed.
-async fn send_requests(gateway_address: SocketAddr, most: usize) -> (Vec<String>, bool) {
+async fn send_requests(gateway_address: SocketAddr, max_requests: usize) -> (Vec<String>, bool) {
     let mut stream = TcpStream::connect(gateway_address).await.unwrap();
     let text = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
     let mut outcomes = Vec::new();
-    for _ in 0..most {
+    for _ in 0..max_requests {
         if stream.write_all(text.as_bytes()).await.is_err() {
             return (outcomes, true);
         }
@@ -96,9 +96,9 @@
 fn a_core_that_was_stalled_sends_nothing_to_a_drained_worker() {
     run(async {
         let (draining, mut heads) = support::start_worker(OK).await;
-        let (stays, _others) = support::start_worker(OK).await;
+        let (remaining, _others) = support::start_worker(OK).await;
         let (registry, revisions) = registry().await;
-        revisions.send(endpoint_list(1, &[(draining, "ready"), (stays, "ready")])).unwrap();
+        revisions.send(endpoint_list(1, &[(draining, "ready"), (remaining, "ready")])).unwrap();
         let (gateway_address, _stop, _served, faults) =
             start_with_faults(config_with_registry(4, registry)).await;
         pause(0.2).await;
@@ -107,7 +107,7 @@
         assert!(received_count(&mut heads) > 0, "the test needs requests at the worker that drains");
         faults.send((1, FaultInjection::Stall(3.0))).unwrap();
         pause(0.1).await;
-        revisions.send(endpoint_list(2, &[(draining, "draining"), (stays, "ready")])).unwrap();
+        revisions.send(endpoint_list(2, &[(draining, "draining"), (remaining, "ready")])).unwrap();
         pause(0.7).await;
         received_count(&mut heads);
         pause(3.2).await;
@@ -121,18 +121,21 @@
 fn the_last_of_many_endpoint_revisions_holds_for_all_cores() {
     run(async {
         let (flapping, mut heads) = support::start_worker(OK).await;
-        let (stays, _others) = support::start_worker(OK).await;
+        let (remaining, _others) = support::start_worker(OK).await;
         let (registry, revisions) = registry().await;
-        let both = |n: u64| {
-            endpoint_list(n, &[(flapping, if n % 2 == 1 { "ready" } else { "draining" }), (stays, "ready")])
+        let revision = |n: u64| {
+            endpoint_list(
+                n,
+                &[(flapping, if n % 2 == 1 { "ready" } else { "draining" }), (remaining, "ready")],
+            )
         };
-        revisions.send(both(1)).unwrap();
+        revisions.send(revision(1)).unwrap();
         let (gateway_address, _stop, _served, faults) =
             start_with_faults(config_with_registry(4, registry)).await;
         pause(0.2).await;
         let clients: Vec<_> = (0..8).map(|_| spawn_local(send_requests(gateway_address, 20_000))).collect();
         faults.send((2, FaultInjection::Stall(1.5))).unwrap();
-        (2..=2000).for_each(|n| revisions.send(both(n)).unwrap());
+        (2..=2000).for_each(|n| revisions.send(revision(n)).unwrap());
         pause(1.0).await;
         received_count(&mut heads);
         pause(1.5).await;
@@ -152,14 +155,14 @@
         let mut config = config_for(&workers, &extra_config);
         config.policy.can_request_loads = true;
         let (gateway_address, ..) = start_with_faults(config).await;
-        let ask = |n: usize| {
+        let send = |n: usize| {
             let text = format!(
                 "POST /v1/functions/f{n}/activations HTTP/1.1\r\nhost: g\r\nconnection: close\r\nmilletpath-patience: \
                  1\r\ncontent-length: 0\r\n\r\n"
             );
             spawn_local(async move { support::send_bytes(gateway_address, text.as_bytes()).await })
         };
-        let pending: Vec<_> = (0..40).map(ask).collect();
+        let pending: Vec<_> = (0..40).map(send).collect();
         for answer in pending {
             assert_ne!(outcome(&answer.await.unwrap()), "none");
         }
@@ -224,11 +227,11 @@
         pause(0.8).await;
         let pending: Vec<_> =
             (0..9).map(|_| spawn_local(async move { send_request(gateway_address, "", "").await })).collect();
-        let mut full = 0;
+        let mut rejected = 0;
         for answer in pending {
-            full += usize::from(answer.await.unwrap().contains("problem:full"));
+            rejected += usize::from(answer.await.unwrap().contains("problem:full"));
         }
-        assert_eq!(full, 3);
+        assert_eq!(rejected, 3);
     });
 }
 
@@ -247,7 +250,7 @@
 }
 
 /// A profile whose requests may take a minute: how busy the machine is decides nothing about them.
-const UNHURRIED: &str = "profile \"pure\" {\ndue = 60\ncut_off = 60\neffect = \"pure\"\n}\n";
+const LONG_DEADLINE: &str = "profile \"pure\" {\ndue = 60\ncut_off = 60\neffect = \"pure\"\n}\n";
 
 /// Cores are pinned, and there are more of them than processors.
 #[test]
@@ -255,7 +258,8 @@
     run(async {
         let (worker, _heads) = support::start_worker(OK).await;
         let (gateway_address, stop, served, _faults) =
-            start_with_faults(config_for(&[worker], &format!("cores = 63\npin = true\n{UNHURRIED}"))).await;
+            start_with_faults(config_for(&[worker], &format!("cores = 63\npin = true\n{LONG_DEADLINE}")))
+                .await;
         let clients: Vec<_> = (0..70).map(|_| spawn_local(send_requests(gateway_address, 2))).collect();
         for client in clients {
             assert_eq!(client.await.unwrap().0, ["handled", "handled"]);
@@ -430,9 +434,9 @@
         let counters = served.await.unwrap();
         let (mut handled, mut closed) = (0, 0);
         for client in clients {
-            let (outcomes, was) = client.await.unwrap();
+            let (outcomes, was_closed) = client.await.unwrap();
             handled += outcomes.iter().filter(|o| *o == "handled").count() as u64;
-            closed += usize::from(was);
+            closed += usize::from(was_closed);
             assert!(outcomes.iter().all(|o| o != "none"));
         }
         assert_eq!((closed, handled), (32, counters.succeeded));
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -87,8 +87,9 @@
 #[test]
 fn a_refused_connection_is_a_rejection() {
     run(async {
-        let nobody = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let (gateway_address, ..) = start_gateway(config_for(&[nobody], NON_IDEMPOTENT)).await;
+        let unused_address =
+            tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let (gateway_address, ..) = start_gateway(config_for(&[unused_address], NON_IDEMPOTENT)).await;
         let answer = send_request(gateway_address, "milletpath-patience: 0.5\r\n", "").await;
         assert_eq!((status(&answer), outcome(&answer)), (503, "bounced"));
         assert!(answer.contains("retry-after: "));
@@ -106,10 +107,10 @@
         let mut handled = 0;
         for n in 0..40 {
             let answer = send_request(gateway_address, "", &format!("call {n}.")).await;
-            let met =
+            let sent =
                 received_heads(&mut heads).iter().filter(|h| h.ends_with(&format!("call {n}."))).count();
-            assert!(met <= 1, "sent {met} times");
-            assert_eq!(met == 1 && outcome(&answer) == "handled", outcome(&answer) == "handled");
+            assert!(sent <= 1, "sent {sent} times");
+            assert_eq!(sent == 1 && outcome(&answer) == "handled", outcome(&answer) == "handled");
             handled += usize::from(outcome(&answer) == "handled");
         }
         assert_eq!(handled, 20);
@@ -179,12 +180,12 @@
         ))
         .await;
         let (gateway_address, stop, served) = start_gateway(config_for(&[worker], "")).await;
-        let taken = tokio::task::spawn_local(send_request(gateway_address, "", ""));
+        let pending = tokio::task::spawn_local(send_request(gateway_address, "", ""));
         assert!(heads.recv().await.is_some());
         stop.send(()).unwrap();
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert!(TcpStream::connect(gateway_address).await.is_err());
-        let answer = taken.await.unwrap();
+        let answer = pending.await.unwrap();
         assert_eq!(outcome(&answer), "handled", "{answer}");
         assert_eq!(served.await.unwrap().succeeded, 1);
     });
@@ -236,9 +237,10 @@
     run(async {
         let (worker, _heads) = support::start_worker(OK).await;
         let (gateway_address, ..) = start_gateway(config_for(&[worker], "")).await;
-        let one = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
+        let request = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
         let last = "GET /health/ready HTTP/1.1\r\nhost: g\r\nconnection: close\r\n\r\n";
-        let answer = support::send_bytes(gateway_address, format!("{one}{one}{last}").as_bytes()).await;
+        let answer =
+            support::send_bytes(gateway_address, format!("{request}{request}{last}").as_bytes()).await;
         assert_eq!(answer.matches("milletpath-outcome: handled").count(), 2);
         assert!(answer.ends_with("ready\n"));
     });
@@ -304,16 +306,18 @@
 #[test]
 fn ten_thousand_concurrent_requests_get_one_response_each() {
     run(async {
-        let (one, _h1) = support::start_worker(OK).await;
-        let (two, _h2) = support::start_worker(OK).await;
-        let (gateway_address, stop, served) = start_gateway(config_for(&[one, two], "")).await;
+        let (first_worker, _h1) = support::start_worker(OK).await;
+        let (second_worker, _h2) = support::start_worker(OK).await;
+        let (gateway_address, stop, served) =
+            start_gateway(config_for(&[first_worker, second_worker], "")).await;
         let mut clients = tokio::task::JoinSet::new();
         for _ in 0..100 {
             clients.spawn_local(async move {
-                let one =
+                let request =
                     "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
                 let close = "GET /health/live HTTP/1.1\r\nhost: g\r\nconnection: close\r\n\r\n";
-                support::send_bytes(gateway_address, format!("{}{close}", one.repeat(100)).as_bytes()).await
+                support::send_bytes(gateway_address, format!("{}{close}", request.repeat(100)).as_bytes())
+                    .await
             });
         }
         let mut answers = 0;
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -15,9 +15,9 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// Runs a test on one thread; it fails after half a minute.
-pub fn run(what: impl Future<Output = ()>) {
+pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded = async { tokio::time::timeout(Duration::from_secs(30), what).await };
+    let bounded = async { tokio::time::timeout(Duration::from_secs(30), test).await };
     runtime.block_on(LocalSet::new().run_until(bounded)).expect("the test took too long");
 }
 
@@ -126,19 +126,19 @@
         let (sender, script) = (sender.clone(), script.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(serve_one(stream, sender.clone(), script.clone()));
+                spawn_local(serve_connection(stream, sender.clone(), script.clone()));
             }
         });
     }
     (addresses, heads)
 }
 
-async fn serve_one(
+async fn serve_connection(
     mut stream: TcpStream,
     sender: UnboundedSender<String>,
     script: Rc<(Vec<Behavior>, Cell<usize>)>,
 ) {
-    while let Some(head) = request(&mut stream).await {
+    while let Some(head) = read_request(&mut stream).await {
         let _ = sender.send(head);
         let (behaviors, next) = &*script;
         let behavior = behaviors[next.get().min(behaviors.len() - 1)];
@@ -160,7 +160,7 @@
 }
 
 /// Reads one message with a stated length: its head, and its body behind it.
-async fn request(stream: &mut TcpStream) -> Option<String> {
+async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
