--- a/crates/gateway/benches/cores.rs
+++ b/crates/gateway/benches/cores.rs
@@ -1,11 +1,13 @@
-//! What it costs to let several cores decide: prototypes of the options weighed in `docs/design/multicore.md`,
-//! around the real dispatcher. Each thread carries calls that cost so many microseconds beside their decisions.
+//! Compares ways to make dispatch decisions on several cores, using prototypes of the options considered in
+//! `docs/design/multicore.md` around the real dispatcher. Each thread runs calls that spend a given number of
+//! microseconds outside of the dispatcher.
 //!
-//! a: a dispatcher on each core. b: one deciding core, reached by bounded channels. c: a dispatcher on each core, and
-//! figures of each worker in shared atomics that every call writes and reads. d: one dispatcher behind a lock on which
-//! threads sleep; e: the same, where they spin first.
+//! a: a dispatcher on each core. b: one deciding core, reached through bounded channels. c: a dispatcher on each core,
+//! with statistics of each worker in shared atomics that every call reads and writes. d: one dispatcher behind a
+//! blocking lock. e: like d, but threads spin before they block.
 //!
-//! `cargo bench -p milletpath-gateway --bench cores` prints calls a second, and for (b) the wait of a lone hand-over.
+//! `cargo bench -p milletpath-gateway --bench cores` prints calls per second, and for (b) the latency of a single
+//! handoff.
 
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest};
 use milletpath_policy::Outcome;
@@ -28,7 +30,7 @@
          \"127.0.0.1:1\"\n  orders = false\n  probes = false\n}}\n"
     );
     let mut config = milletpath_config::read(&text).expect("a valid configuration");
-    // Nothing confirms the list here, and it changes only by what is passed on.
+    // Nothing confirms the endpoint list here, so it must stay valid indefinitely.
     config.policy.list_valid_for = f64::INFINITY;
     let mut dispatcher = Dispatcher::new(&config, 0.0);
     let entry = |n: usize| EndpointEntry {
@@ -45,7 +47,7 @@
     dispatcher
 }
 
-/// Locks the dispatcher; spins first, for about as long as several events take.
+/// Locks the dispatcher, spinning first for about as long as several events take.
 fn lock_spinning(dispatcher: &Mutex<Dispatcher<()>>) -> MutexGuard<'_, Dispatcher<()>> {
     for _ in 0..2000 {
         if let Ok(free) = dispatcher.try_lock() {
@@ -56,7 +58,7 @@
     dispatcher.lock().expect("the dispatcher")
 }
 
-/// What a call costs beside its decisions, in three parts as they lie between them.
+/// Spins for a number of microseconds, to simulate the work of a call outside of the dispatcher.
 fn spin_for(micros: f64) {
     let began = Instant::now();
     while began.elapsed().as_secs_f64() * 1e6 < micros {
@@ -68,7 +70,7 @@
     IncomingRequest { function, profile: 0, client: 9, timeout: 3.0, is_retry: false, resources: None }
 }
 
-/// One event of a call.
+/// One event of a call that is passed to the dispatcher.
 enum RequestStep {
     Submit(usize),
     Begin(Action),
@@ -96,7 +98,8 @@
         .collect()
 }
 
-/// A call on one thread, and the attempts of others that its events release; how many attempts were ended.
+/// Runs a call on one thread, and the attempts of other calls that its events release. Returns the number of attempts
+/// ended.
 fn call(n: usize, micros: f64, mut apply: impl FnMut(RequestStep) -> Vec<Action>) -> u64 {
     spin_for(micros / 3.0);
     let (mut actions, mut ended) = (apply(RequestStep::Submit(n)), 0);
@@ -110,7 +113,8 @@
     ended
 }
 
-/// Runs `threads` of a caller that each makes from its number; calls a second of all.
+/// Runs the callers that `make` creates from a thread number on `threads` threads. Returns their total calls per
+/// second.
 fn run(threads: usize, make: impl Fn(usize) -> Box<dyn FnMut(usize) -> u64 + Send>) -> f64 {
     let (stop, calls) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let handles: Vec<_> = (0..threads)
@@ -132,7 +136,7 @@
     calls.load(Ordering::Relaxed) as f64 / ROUND_SECONDS
 }
 
-/// Shared figures of one worker, on a cache line of their own.
+/// Shared statistics of one worker, aligned to a separate cache line.
 #[repr(align(64))]
 #[derive(Default)]
 struct WorkerStats {
@@ -140,13 +144,13 @@
     events: AtomicU64,
 }
 
-/// A step for the deciding core of (b), and where the actions that follow are sent.
+/// A step for the deciding core of (b), and the channel for the resulting actions.
 struct StepRequest {
     step: RequestStep,
     actions: SyncSender<Vec<Action>>,
 }
 
-/// What all prototypes use.
+/// State used by all prototypes.
 #[derive(Clone)]
 struct Bench {
     functions: Arc<Vec<String>>,
@@ -170,7 +174,7 @@
         })
     }
 
-    /// The deciding core of (b).
+    /// Starts the deciding core of (b).
     fn deciding_core(&self) -> SyncSender<StepRequest> {
         let (sender, receiver): (SyncSender<StepRequest>, Receiver<StepRequest>) = sync_channel(1024);
         let bench = self.clone();
@@ -197,7 +201,7 @@
         })
     }
 
-    /// (c): a dispatcher on each core, with shared figures of the workers.
+    /// (c): a dispatcher on each core, with shared statistics of the workers.
     fn shared_worker_stats(&self, threads: usize, micros: f64) -> f64 {
         let stats = Arc::new(Vec::from_iter((0..WORKERS).map(|_| WorkerStats::default())));
         run(threads, |_| {
@@ -206,7 +210,7 @@
         })
     }
 
-    /// Before a decision the figures of all workers are read; what was decided is written.
+    /// Reads the statistics of all workers before a decision, and updates those of the workers affected by it.
     fn step_with_stats(
         &self,
         dispatcher: &mut Dispatcher<()>,
@@ -240,7 +244,7 @@
         })
     }
 
-    /// (e): as (d), but a thread that finds the lock taken spins for a while before it sleeps.
+    /// (e): like (d), but a thread that finds the lock taken spins for a while before it blocks.
     fn spin_locked(&self, threads: usize, micros: f64) -> f64 {
         let shared = Arc::new(Mutex::new(dispatcher(1)));
         run(threads, |_| {
@@ -249,7 +253,7 @@
         })
     }
 
-    /// Prints calls a second of all prototypes, and the gain over one thread.
+    /// Prints the calls per second of all prototypes, and their speedup over one thread.
     fn compare(&self, micros: f64) {
         println!("{micros} us a call beside its decisions");
         let mut best = [[0.0f64; 5]; 4];
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Prints the time of a lone hand-over of (b), as at a low rate: both sides sleep in between.
+    /// Prints the latency of a single handoff of (b) at a low rate, where both sides sleep in between.
     fn hand_over(&self) {
         let decider = self.deciding_core();
         let (actions, received) = sync_channel(1);
--- a/crates/gateway/benches/spread.rs
+++ b/crates/gateway/benches/spread.rs
@@ -1,6 +1,7 @@
-//! How evenly kept connections spread over cores: listeners that share a port (SO_REUSEPORT, the kernel picks by the
-//! connection's hash) against one acceptor that deals them out in turn. The figure is the busiest core's share over
-//! the even share, for a few and for many clients that keep their connections.
+//! Measures how evenly persistent connections are distributed over cores: by listeners that share a port (SO_REUSEPORT,
+//! where the kernel picks a listener by the connection's hash), compared to one acceptor that assigns them round-robin.
+//! The result is the ratio of the busiest core's share to an even share, for few and for many clients with persistent
+//! connections.
 //!
 //! `cargo bench -p milletpath-gateway --bench spread`
 
@@ -20,7 +21,7 @@
     listener
 }
 
-/// The busiest core's share over the even one, when the kernel picks.
+/// Returns the ratio of the busiest core's share to an even share if the kernel picks the listener.
 fn kernel_imbalance(cores: usize, clients: usize) -> f64 {
     let first = listener(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
     let at = first.local_addr().expect("an address");
--- a/crates/gateway/src/action_router.rs
+++ b/crates/gateway/src/action_router.rs
@@ -1,31 +1,32 @@
-//! Turns the dispatcher's actions into messages for cores. What concerns a request goes to the core that read it; load
-//! requests and health checks go to the core that called the dispatcher, or are spread by worker.
+//! Converts the dispatcher's actions into messages for cores. Messages about a request go to the core that read it.
+//! Load requests, unload requests and health checks go to the core that called the dispatcher, or are distributed over
+//! the cores by worker index.
 
 use crate::connection_pool::{Endpoint, WorkerTarget};
 use crate::core_message::{AttemptId, CoreMessage, RequestLocation};
 use crate::response::LocalResponse;
 use milletpath_dispatcher::dispatcher::{Action, Dispatcher, RequestId, WorkerProcess};
 
-/// A message and the core that gets it.
+/// A message and its destination core.
 pub struct RoutedMessage {
-    /// Index of the core.
+    /// Index of the destination core.
     pub core: usize,
-    /// What it is to do.
+    /// The message to post to it.
     pub message: CoreMessage,
 }
 
-/// Routes the actions that follow one call of the dispatcher.
+/// Routes the actions that result from one dispatcher call.
 pub struct ActionRouter {
-    /// The core that called the dispatcher, where one did.
+    /// The core that called the dispatcher; `None` if the caller is not a core.
     pub calling_core: Option<usize>,
-    /// Cores that serve clients; the slot behind them is the supervisor's.
+    /// Number of cores that serve clients; the slot at this index belongs to the supervisor.
     pub cores: usize,
-    /// Seconds since the start of the process.
+    /// Time of the dispatcher call, in seconds since the process started.
     pub now: f64,
 }
 
 impl ActionRouter {
-    /// The message for an action; `None` where its request is over already.
+    /// Returns the message for an action, or `None` if its request has already ended.
     pub fn route(
         &self,
         dispatcher: &mut Dispatcher<RequestLocation>,
@@ -69,7 +70,7 @@
         worker: usize,
     ) -> Option<RoutedMessage> {
         let target = target(dispatcher, worker);
-        // None where a later decision of the same call has cancelled it.
+        // `None` if a later decision of the same dispatcher call has cancelled the attempt.
         dispatcher.time_left(self.now, request, attempt)?;
         let function = dispatcher.function(request)?;
         let location = dispatcher.context(request)?;
@@ -78,7 +79,8 @@
         Some(RoutedMessage { core: location.core, message })
     }
 
-    /// For what no request is waiting for: the calling core if it serves clients, else one chosen by worker.
+    /// Routes a message that belongs to no request: to the calling core if it serves clients, otherwise to a core
+    /// chosen by worker index.
     fn for_worker(&self, worker: usize, message: CoreMessage) -> RoutedMessage {
         let calling_core = self.calling_core.filter(|core| *core < self.cores);
         RoutedMessage { core: calling_core.unwrap_or(worker % self.cores), message }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a request at a worker: sends it, reads the response, and reports the result to the dispatcher, which
-//! decides whether it is the client's response.
+//! Sends one attempt of a request to a worker, reads the response and reports the result to the dispatcher, which
+//! decides whether this response goes to the client.
 
 use crate::connection_pool::WorkerTarget;
 use crate::core_context::CoreContext;
@@ -17,18 +17,18 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What an attempt sends.
+/// The parts of a client's request that an attempt sends to a worker.
 pub struct AttemptRequest {
-    /// Name of the function.
+    /// Name of the requested function.
     pub function: Arc<str>,
-    /// The client's header fields that are passed on.
+    /// The client's header fields that are forwarded.
     pub headers: HeaderMap,
-    /// The client's body.
+    /// The client's request body.
     pub body: Bytes,
 }
 
 impl AttemptRequest {
-    /// The request for a worker; `None` where its path would be no URI.
+    /// Builds the HTTP request for a worker; `None` if its path is not a valid URI.
     fn into_http(self, attempt: usize, target: WorkerTarget) -> Option<Request<Full<Bytes>>> {
         let Self { function, mut headers, body } = self;
         headers.insert(header::HOST, host(target.endpoint));
@@ -56,8 +56,8 @@
     }
 }
 
-/// Begins an attempt that is about to be written, and states the seconds that it has from now on: its connection may have
-/// come up late. False where the dispatcher withholds it.
+/// Begins an attempt that is about to be written and sets the header field with the seconds left, which are computed
+/// only now because opening the connection may have taken time. Returns false if the dispatcher withholds the attempt.
 fn begin(context: &Rc<CoreContext>, id: AttemptId, headers: &mut HeaderMap) -> bool {
     let time_left = context.with_dispatcher(|dispatcher, now| {
         let begun = dispatcher.begin_attempt(now, id.request, id.attempt);
@@ -84,7 +84,7 @@
         Err(BodyError::Interrupted) => {
             report(context, id, AttemptResult { outcome: Outcome::ConnectionLost, ..result });
         }
-        // Another worker's response would be too large as well, so the client gets its response now.
+        // A retry would produce a response that is too large as well, so the client is answered now.
         Err(BodyError::TooLarge) => {
             let result = AttemptResult { outcome: Outcome::Failed, answers_client: true, ..result };
             finish(context, id, result, FinalResponse::TooLarge);
@@ -92,12 +92,12 @@
     }
 }
 
-/// Reports the result of an attempt; whether it is the client's response.
+/// Reports the result of an attempt. Returns whether its response goes to the client.
 fn report(context: &Rc<CoreContext>, id: AttemptId, result: AttemptResult) -> bool {
     context.with_dispatcher(|dispatcher, now| dispatcher.attempt_ended(now, id.request, id.attempt, result))
 }
 
-/// Reports the result of an attempt, and responds to the client where the dispatcher decides so.
+/// Reports the result of an attempt, and responds to the client if the dispatcher selects this response.
 fn finish(context: &Rc<CoreContext>, id: AttemptId, result: AttemptResult, response: FinalResponse) {
     if report(context, id, result) {
         context.respond_to(id.request, id.request_slot, response);
--- a/crates/gateway/src/body_buffer.rs
+++ b/crates/gateway/src/body_buffer.rs
@@ -1,22 +1,22 @@
-//! A message's body as it arrives, piece by piece. Most bodies have one piece, which is kept without a copy.
+//! Buffers the body of an HTTP message chunk by chunk. Most bodies arrive in one chunk, which is kept without copying.
 
 use bytes::{Bytes, BytesMut};
 
-/// The pieces of a body so far.
+/// The chunks of a body received so far.
 #[derive(Default)]
 pub struct BodyBuffer {
     first: Bytes,
-    /// The whole body, once there is more than one piece.
+    /// All chunks concatenated; empty until there is more than one.
     joined: BytesMut,
 }
 
 impl BodyBuffer {
-    /// Bytes so far.
+    /// Number of bytes received so far.
     pub fn len(&self) -> usize {
         if self.joined.is_empty() { self.first.len() } else { self.joined.len() }
     }
 
-    /// Adds a piece.
+    /// Appends a chunk.
     pub fn push(&mut self, piece: Bytes) {
         if self.first.is_empty() {
             self.first = piece;
@@ -28,7 +28,7 @@
         self.joined.extend_from_slice(&piece);
     }
 
-    /// The body.
+    /// Returns the complete body.
     pub fn into_bytes(self) -> Bytes {
         if self.joined.is_empty() { self.first } else { self.joined.freeze() }
     }
--- a/crates/gateway/src/budget_sharing.rs
+++ b/crates/gateway/src/budget_sharing.rs
@@ -1,6 +1,6 @@
-//! Connects the core of `milletpath-shared-budgets` with the dispatcher: which budgets there are, how much of each is used,
-//! and what the decisions are granted. Every method runs under the dispatcher's lock, so that a granted lease is subtracted
-//! from this gateway's own quota before the next decision and before the message of it is sent.
+//! Connects `milletpath-shared-budgets` to the dispatcher: opens the budgets, samples their usage, and applies leases
+//! to the dispatcher's quotas. Every method runs under the dispatcher's lock, so that a granted lease is subtracted
+//! from this gateway's own quota before the next decision and before the message that grants it is sent.
 
 use milletpath_config::GatewayConfig;
 use milletpath_dispatcher::dispatcher::{Dispatcher, EndpointRevision};
@@ -15,46 +15,48 @@
 /// One open budget.
 struct OpenBudget {
     budget: Budget,
-    /// Its index in the shared budgets.
+    /// Its index in [`SharedBudgets`].
     slot: usize,
-    /// False for a worker's budget once the worker left the endpoint list: it is closed when no lease on it is granted.
+    /// False for a worker's budget once the worker has left the endpoint list; it is then closed as soon as no lease on
+    /// it is granted.
     listed: bool,
 }
 
-/// This gateway's part of the requests that may be in flight at one worker.
+/// This gateway's share of the limit on requests in flight at one worker.
 #[derive(Clone, Copy)]
 struct InFlightLimit {
-    /// Requests in flight; not finite where the number is not limited.
+    /// Number of requests in flight; not finite if there is no limit.
     quota: f64,
-    /// Seconds after which an attempt has ended for certain.
+    /// Seconds after which an attempt has certainly ended.
     longest_attempt: f64,
 }
 
-/// The shared budgets of one gateway as an operator sees them.
+/// The shared budgets of one gateway as shown to operators.
 pub struct BudgetSharingView {
-    /// The budgets with the highest demand or the largest leases, those first.
+    /// The budgets with the highest demand or the largest leases, in descending order.
     pub budgets: Vec<BudgetView>,
-    /// Messages, requests and grants since the start.
+    /// Counts of messages, lease requests and grants since the start.
     pub counters: Counters,
 }
 
-/// The shared budgets of one gateway: its part of each, by number of gateways and by leases.
+/// The shared budgets of one gateway. Its share of each follows from the number of gateways and from leases.
 pub struct BudgetSharing {
     shared_budgets: SharedBudgets,
     open: Vec<OpenBudget>,
-    /// The endpoint list by which workers' budgets were last opened.
+    /// The endpoint list revision for which worker budgets were last opened.
     revision: EndpointRevision,
-    /// When the dispatcher was last given the functions' concurrency at other gateways, in seconds.
+    /// When the dispatcher was last updated with the functions' concurrency at other gateways, in seconds.
     remote_concurrency_set_at: f64,
     in_flight_limit: InFlightLimit,
 }
 
 impl BudgetSharing {
-    /// Opens all budgets that the configuration limits but those of workers, which come with the endpoint list.
+    /// Opens all limited budgets of the configuration except those of workers, which are opened with the endpoint list.
     ///
-    /// `lease` and `now` are in seconds, `now` on the gateway's clock; `instance_id` is that of this process.
+    /// `lease` is the duration of a lease in seconds, `now` is in seconds on the gateway's clock, and `instance_id`
+    /// identifies this process.
     pub fn new(config: &GatewayConfig, instance_id: u64, lease: f64, now: f64) -> Self {
-        /// Seconds past its deadline after which an attempt has ended for certain.
+        /// Seconds past its deadline after which an attempt has certainly ended.
         const END_MARGIN_SECONDS: f64 = 0.5;
         let mut shared_budgets = SharedBudgets::new(instance_id, lease, instance_id, now);
         let (policy, gateways) = (&config.policy, config.policy.routers.max(1) as f64);
@@ -101,12 +103,13 @@
         }
     }
 
-    /// When [`tick`](Self::tick) is due next, in seconds on the gateway's clock.
+    /// Returns when [`tick`](Self::tick) is due next, in seconds on the gateway's clock.
     pub fn next_deadline(&self) -> f64 {
         self.shared_budgets.next_tick().min(self.shared_budgets.next_usage_report())
     }
 
-    /// Opens budgets of workers that were added to the endpoint list, and marks those of removed workers for closing.
+    /// Opens the budgets of workers that were added to the endpoint list, and marks those of removed workers for
+    /// closing.
     fn update_worker_budgets<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
         let revision = dispatcher.endpoint_revision();
         if revision == self.revision {
@@ -136,17 +139,17 @@
         }
     }
 
-    /// Samples how much of each budget is used now.
+    /// Samples the current usage of each budget.
     fn record_usage<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
         for open in self.open.iter().filter(|open| open.listed) {
             self.shared_budgets.record_usage(now, open.slot, dispatcher.usage(now, open.budget));
         }
     }
 
-    /// Does what is due: samples usage, requests and returns leases, applies grants to the dispatcher.
+    /// Performs the work that is due: samples usage, requests and returns leases, and applies grants to the dispatcher.
     ///
-    /// `quota` is this gateway's fraction by the number of gateways; `others` are the processes that can be asked for a
-    /// lease.
+    /// `quota` is this gateway's fraction according to the number of gateways. `others` are the instance ids of the
+    /// processes that can be asked for a lease.
     pub fn tick<T>(
         &mut self,
         dispatcher: &mut Dispatcher<T>,
@@ -169,18 +172,18 @@
         self.apply_adjustments(dispatcher, now);
     }
 
-    /// Reports the functions' concurrency here to other gateways, and theirs to the dispatcher.
+    /// Reports the functions' concurrency at this gateway to the other gateways, and theirs to the dispatcher.
     fn exchange_concurrency<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
-        /// Seconds between two updates of the dispatcher.
+        /// Minimum time between two updates of the dispatcher.
         const INTERVAL_SECONDS: f64 = 0.5;
         let concurrency_of = |(function, concurrency)| FunctionConcurrency { function, concurrency };
         self.shared_budgets.report_usage(now, || {
             dispatcher.local_concurrency(now).into_iter().map(concurrency_of).collect()
         });
         if self.remote_concurrency_set_at == f64::NEG_INFINITY {
-            // A gateway that has just started has no estimate of its own; multiplied by the number of gateways it would
-            // spread every function over all workers. Until the first report comes, or none came in time, others count
-            // as needing nothing.
+            // A gateway that has just started has no estimate of its own concurrency; multiplied by the number of
+            // gateways it would spread every function over all workers. Until the first report arrives, or if none
+            // arrives in time, the other gateways are assumed to have no concurrency.
             dispatcher.set_remote_concurrency(now, &BTreeMap::new());
             self.remote_concurrency_set_at = now;
         }
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Handles a message of another process on shared budgets; one that can't be read is counted and dropped.
+    /// Handles a message about shared budgets from another process. A malformed message is counted and dropped.
     pub fn receive<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64, instance_id: u64, message: &[u8]) {
         let open = &self.open;
         self.shared_budgets.receive(now, instance_id, message, &mut |slot| {
@@ -203,7 +206,7 @@
         self.apply_adjustments(dispatcher, now);
     }
 
-    /// Grants the dispatcher what leases added to or took from its quotas.
+    /// Applies to the dispatcher's quotas what leases have added to or subtracted from them.
     fn apply_adjustments<T>(&mut self, dispatcher: &mut Dispatcher<T>, now: f64) {
         for SlotAdjustment { slot, adjustment } in self.shared_budgets.take_adjustments(now) {
             if let Some(open) = self.open.iter().find(|open| open.slot == slot && open.listed) {
@@ -212,14 +215,14 @@
         }
     }
 
-    /// The next message to send; none once all were taken.
+    /// Returns the next message to send, or `None` if there are no more.
     pub fn next_message(&mut self) -> Option<OutgoingMessage> {
         self.shared_budgets.next_message()
     }
 
-    /// The budgets for operators: those with the highest demand or the largest leases, 48 at most.
+    /// Returns the view for operators, with the up to 48 budgets that have the highest demand or the largest leases.
     pub fn view(&mut self, now: f64) -> BudgetSharingView {
-        /// Keeps a status within some datagrams; with many workers there are thousands of budgets.
+        /// Limits a status report to a few datagrams; with many workers there are thousands of budgets.
         const MAX_VIEWED: usize = 48;
         let mut budgets = self.shared_budgets.view(now);
         budgets.sort_by(|a, b| {
--- a/crates/gateway/src/client_connection.rs
+++ b/crates/gateway/src/client_connection.rs
@@ -1,5 +1,5 @@
-//! One client connection on its core, from the moment that it is assigned until it is closed. HTTP/1.1 is spoken by
-//! hyper; each request goes to the HTTP service.
+//! Serves one client connection on its core, from assignment until it is closed. hyper implements HTTP/1.1; each
+//! request is passed to the HTTP service.
 
 use crate::connection_limit::ConnectionPermit;
 use crate::core_context::CoreContext;
@@ -21,21 +21,21 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// Bytes of a request's header fields: several times what browsers and tools send.
+/// Maximum size of a request's head, several times what browsers and tools send.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Header fields of a request.
+/// Maximum number of header fields in a request.
 const MAX_HEADER_FIELDS: usize = 128;
 
-/// Between two looks whether a connection is idle, while the gateway shuts down.
+/// Interval between two checks whether a connection is idle while the gateway shuts down.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A client connection, counted in its core's slot for as long as it is open.
+/// A client connection, which is counted in its core's slot while it is open.
 struct ClientConnection {
     context: Rc<CoreContext>,
     id: u64,
     channel: Arc<ResponseChannel>,
-    /// Whether it was served to its end; otherwise it is dropped with its core.
+    /// Whether the connection was served to its end. If not, it is being dropped together with its core.
     ended: Cell<bool>,
     _permit: ConnectionPermit,
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Serves a connection that was assigned to this core. Must run within a `LocalSet`.
+/// Starts serving a connection that was assigned to this core. Must run within a `LocalSet`.
 pub fn accept(context: &Rc<CoreContext>, stream: std::net::TcpStream, permit: ConnectionPermit) {
     let stream = match TcpStream::from_std(stream) {
         Ok(stream) => stream,
@@ -72,7 +72,7 @@
     spawn_local(serve_connection(connection));
 }
 
-/// Serves a connection until either side closes it.
+/// Serves a connection until either side closes it or the gateway shuts down.
 async fn serve_connection(client: ClientConnection) {
     let (context, channel) = (client.context.clone(), client.channel.clone());
     let mut stopping = context.stopping();
@@ -94,7 +94,8 @@
     );
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        // The value that `wait_for` returns holds the watch's lock, for which `stop` would wait on this very thread.
+        // The guard that `wait_for` returns must be dropped: it holds the watch's lock, on which `stop` would deadlock,
+        // as it runs on this same thread.
         () = async { drop(stopping.wait_for(|stopping| *stopping).await) } => {
             drain(connection.as_mut(), &channel).await
         }
@@ -106,7 +107,7 @@
     }
 }
 
-/// Ends a connection at shutdown: once no request is open, begun or unread on it, or after its next response.
+/// Ends a connection at shutdown, once no request is open, partly read or unread on it, or after its next response.
 async fn drain(
     mut connection: Pin<
         &mut http1::Connection<
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -1,6 +1,6 @@
-//! Follows the replicated log of configuration changes: a thread with one UDP socket around the follower of
-//! `milletpath-config-log`. Committed changes reach the dispatcher a batch at a time, and no request ever waits for the
-//! network. The last known state is stored in a file and applied before the first request after a restart, also while no
+//! Follows the replicated log of configuration changes: runs the follower of `milletpath-config-log` on a thread with
+//! one UDP socket. Committed changes are applied to the dispatcher in batches, and no request ever waits for the
+//! network. The last known state is stored in a file and applied before the first request after a restart, even if no
 //! control machine answers.
 
 mod state_file;
@@ -26,74 +26,75 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// An open socket with its key, before its thread reads it.
+/// The socket and key of a configuration follower whose thread has not been started yet.
 pub struct ConfigFeed {
     socket: UdpSocket,
     key: Key,
 }
 
 impl ConfigFeed {
-    /// Opens the socket that the configuration states, and reads the control machines' key.
+    /// Opens the configured socket and reads the control machines' key.
     ///
     /// # Errors
     ///
-    /// The key file can't be used, or the address can't be listened on.
+    /// Fails if the key file can't be used or the address can't be bound.
     pub fn open(settings: &ConfigLogConfig) -> Result<Self, ControlThreadError> {
         let key = read_control_key(&settings.key_file)?;
         let socket = bind(settings.listen)?;
         Ok(Self { socket, key })
     }
 
-    /// The address on which datagrams are received.
+    /// Returns the address on which datagrams are received.
     ///
     /// # Errors
     ///
-    /// The error of the operating system where it does not know the socket's address.
+    /// Returns the error of the operating system if the socket's address is not available.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 }
 
-/// The status of a gateway's configuration follower, as `milletpath changes --here` shows it. Operators read its JSON: the
-/// serde names of its fields stay.
+/// The status of a gateway's configuration follower, as shown by `milletpath changes --here`. Operators read its JSON,
+/// so the serde names of its fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// What is applied here, and what is known of each replica.
+    /// The applied state, and what is known about each replica.
     #[serde(flatten)]
     pub view: FollowerView,
-    /// Processor time of the follower's thread since the start, in seconds.
+    /// CPU time of the follower's thread since the start, in seconds.
     #[serde(rename = "cpu")]
     pub cpu_seconds: f64,
-    /// Datagrams rejected since their seal was of another key, or they were altered.
+    /// Datagrams rejected because they were sealed with another key or altered.
     #[serde(rename = "seals")]
     pub rejected_seal: u64,
-    /// Datagrams rejected for all other reasons.
+    /// Datagrams rejected for any other reason.
     #[serde(rename = "unread")]
     pub rejected_other: u64,
-    /// Times that the last known state was written to its file.
+    /// Number of times that the last known state was written to its file.
     #[serde(rename = "kept")]
     pub saves: u64,
-    /// Times that it could not be written.
+    /// Number of times that writing it failed.
     #[serde(rename = "not_kept")]
     pub failed_saves: u64,
 }
 
-/// Observes the follower from within its thread.
+/// Observes the follower on its own thread.
 pub(crate) trait FollowerObserver: Send {
-    /// The dispatcher applied all changes up to this number of the log.
+    /// Called when the dispatcher has applied all changes up to this log entry number.
     fn applied(&mut self, number: u64);
-    /// Called after each turn of the thread.
+    /// Called after each iteration of the thread's loop.
     fn after_turn(&mut self, follower: &Follower);
-    /// Whether the thread is to end as if its process had been killed, without storing its state.
+    /// Whether the thread must end as if its process had been killed, without storing its state.
     fn is_killed(&self) -> bool;
 }
 
-/// Applies the stored last known state, then starts the thread of a feed. It ends once `shared_runtime` is stopping; the caller
-/// joins it.
+/// Applies the stored last known state, then starts the follower's thread. The thread ends once `shared_runtime` is
+/// stopping; the caller joins it.
 ///
 /// # Errors
 ///
-/// The configuration has no section `changes`, its state file has no file name, or the system gives no thread.
+/// Fails if the configuration has no section `changes`, the path of the state file has no file name, or the thread
+/// can't be started.
 pub fn start(
     shared_runtime: Arc<SharedRuntime>,
     feed: ConfigFeed,
@@ -101,7 +102,7 @@
     start_observed(shared_runtime, feed, None)
 }
 
-/// As [`start`], with an observer.
+/// Like [`start`], with an observer.
 pub(crate) fn start_observed(
     shared_runtime: Arc<SharedRuntime>,
     feed: ConfigFeed,
@@ -118,7 +119,7 @@
     }
     let (saved, now) = (read_saved_state(&settings.state_file), shared_runtime.now());
     let was_saved = saved.is_some();
-    // Random in each process: gateways that start together must not poll in step.
+    // Random for each process, so that gateways that start together do not poll at the same time.
     let seed = RandomState::new().hash_one(std::process::id());
     let config =
         FollowerConfig { name: settings.name, replicas: settings.control, timing: Timing::default(), seed };
@@ -140,7 +141,7 @@
     control_thread::spawn(thread, shared_runtime)
 }
 
-/// The last known state as the file holds it; none where there is no file or it can't be read.
+/// Reads the stored state; `None` if there is no file or it can't be read.
 fn read_saved_state(path: &Path) -> Option<Vec<u8>> {
     match std::fs::read(path) {
         Ok(saved) => Some(saved),
@@ -153,7 +154,7 @@
     }
 }
 
-/// Logs which state is applied before the first request; `number` is its number, 0 for none.
+/// Logs which state is applied before the first request. `number` is its entry number, 0 if there is no state.
 fn log_initial_state(path: &Path, was_saved: bool, number: u64) {
     let file = path.display();
     match (was_saved, number) {
@@ -244,15 +245,15 @@
 }
 
 impl FollowerThread {
-    /// Applies new changes to the dispatcher, each batch at once. A change that this gateway's configuration does not allow
-    /// is reported to the control machines, and the former value of its key stays.
+    /// Applies new changes to the dispatcher, one batch at a time. A change that is invalid for this gateway's
+    /// configuration is reported to the control machines, and the previous value of its key is kept.
     fn apply_changes(&mut self) {
         while let Some(batch) = self.follower.take_updates() {
             let config = &self.shared_runtime.config;
             let mut config_changes: Vec<ConfigChange> = Vec::with_capacity(batch.len());
             for Entry { number, change } in &batch {
                 if change.text.is_none() && Subject::from_key(&change.key).is_none() {
-                    // A removal under a key that this version does not know: nothing was applied under it.
+                    // The removal of a key unknown to this version, which never applied a value for it.
                     continue;
                 }
                 match config.parse_change(&change.key, change.text.as_deref()) {
@@ -279,11 +280,11 @@
         }
     }
 
-    /// Sends all messages that the follower has ready.
+    /// Sends all outgoing messages of the follower.
     fn send_outgoing(&mut self) {
         while let Some(OutgoingMessage { to, message }) = self.follower.next_outgoing() {
             if let Ok(datagram) = message::seal(&self.feed.key, &message) {
-                // As if it were lost on its way: the core repeats what matters.
+                // A send error is equivalent to a lost datagram; the follower resends what is needed.
                 let _ = self.feed.socket.send_to(&datagram, to);
             }
         }
@@ -303,24 +304,24 @@
         }
     }
 
-    /// Sends one page of the follower's status to an operator.
+    /// Answers an operator's query with one page of the follower's status.
     fn answer_query(&mut self, request_id: u64, page: u32, from: SocketAddr) {
         let mut status_pages = std::mem::take(&mut self.status_pages);
         let reply = status_pages.page(from, request_id, page, || serde_json::to_vec(&self.view()).ok());
         self.status_pages = status_pages;
         if let Some(datagram) = reply.and_then(|reply| message::seal(&self.feed.key, &reply).ok()) {
-            // A lost page makes the operator ask again.
+            // If the page is lost, the operator's client requests it again.
             let _ = self.feed.socket.send_to(&datagram, from);
         }
     }
 }
 
-/// Identifies the applied state.
+/// Returns the identity of the applied state.
 fn state_id(follower: &Follower) -> StateId {
     StateId { number: follower.state().head(), digest: follower.state().digest() }
 }
 
-/// Cuts a reason to the bytes that fit into a message.
+/// Truncates a reason to the length that fits into a message.
 fn truncate_reason(mut why: String) -> String {
     let end =
         (0..=MAX_APPLY_ERROR_BYTES.min(why.len())).rev().find(|end| why.is_char_boundary(*end)).unwrap_or(0);
--- a/crates/gateway/src/config_follower/state_file.rs
+++ b/crates/gateway/src/config_follower/state_file.rs
@@ -1,20 +1,21 @@
-//! The file of a gateway's last known configuration state. It is replaced as a whole, at a limited rate, and a failed write
-//! is retried with a backoff. All times are in seconds on the gateway's clock.
+//! The file with a gateway's last known configuration state. It is replaced atomically and at a limited rate, and
+//! failed writes are retried with backoff. All times are in seconds on the gateway's clock.
 
 use milletpath_storage::{Backoff, Folder, ReplaceError, replace_file};
 
-/// Seconds between two writes: a crash loses at most a second of changes, which the control machines still have.
+/// Minimum time between two writes. A crash loses at most a second of changes, which the control machines still have.
 const MIN_INTERVAL_SECONDS: f64 = 1.0;
 
-/// A large state takes long to write: the pause before the next write is this many times the duration of the last one.
+/// The pause before the next write is at least this many times the duration of the last one, which limits the load from
+/// large states.
 const PAUSE_FACTOR: f64 = 20.0;
 
-/// Identifies a state of the configuration log.
+/// Identifies one state of the configuration log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateId {
-    /// The number of its last entry.
+    /// The number of the last entry.
     pub number: u64,
-    /// The digest over all that is applied.
+    /// The digest of the applied state.
     pub digest: u64,
 }
 
@@ -22,19 +23,20 @@
 pub struct StateFile<F> {
     folder: F,
     name: String,
-    /// The state in the file.
+    /// The state currently in the file.
     stored: StateId,
-    /// When the file may be written next.
+    /// Earliest time of the next write.
     next_write: f64,
     backoff: Backoff,
-    /// Successful writes.
+    /// Number of successful writes.
     pub writes: u64,
-    /// Failed writes.
+    /// Number of failed writes.
     pub failures: u64,
 }
 
 impl<F: Folder> StateFile<F> {
-    /// A file that holds the state `stored`. Removes temporary files that killed processes left beside it.
+    /// Creates a writer for a file that contains the state `stored`, and removes temporary files left over by killed
+    /// processes.
     pub fn new(folder: F, name: String, stored: StateId, now: f64) -> Self {
         let prefix = format!("{name}.");
         let is_leftover = |other: &String| {
@@ -44,21 +46,20 @@
         let leftovers: Vec<String> =
             folder.names().unwrap_or_default().into_iter().filter(is_leftover).collect();
         for other in leftovers {
-            // One that can't be removed only takes up space.
+            // A leftover file that can't be removed only wastes space.
             let _ = folder.remove(&other);
         }
         Self { folder, name, stored, next_write: now, backoff: Backoff::default(), writes: 0, failures: 0 }
     }
 
-    /// Writes a state where it differs from the one in the file and the last write is long enough ago; `encode` gives its
-    /// bytes.
+    /// Writes a state if it differs from the one in the file and the next write is due. `encode` serializes it.
     pub fn save(&mut self, state: StateId, now: f64, encode: impl FnOnce() -> Vec<u8>) {
         if state != self.stored && now >= self.next_write {
             self.write(state, now, encode);
         }
     }
 
-    /// As [`save`](Self::save), however recent the last write is: the process is about to end.
+    /// Like [`save`](Self::save), but without waiting until the next write is due, because the process is about to end.
     pub fn save_last(&mut self, state: StateId, now: f64, encode: impl FnOnce() -> Vec<u8>) {
         if state != self.stored {
             self.write(state, now, encode);
@@ -86,7 +87,8 @@
         self.next_write = now + wait.max(PAUSE_FACTOR * began.elapsed().as_secs_f64());
     }
 
-    /// The temporary name is this process's own: another process of the same gateway may still write.
+    /// Replaces the file. The temporary name contains the process id, because another process of the same gateway may
+    /// still be writing.
     fn replace(&self, bytes: &[u8]) -> Result<(), ReplaceError> {
         let temporary = format!("{}.{}.new", self.name, std::process::id());
         replace_file(&self.folder, &self.name, &temporary, bytes).map(drop)
--- a/crates/gateway/src/config_follower/state_file/tests.rs
+++ b/crates/gateway/src/config_follower/state_file/tests.rs
@@ -1,5 +1,5 @@
-//! Each error and each kill at each operation on the file of the last known state: case is read after it is a whole
-//! state, no older than the last that was kept.
+//! Injects every error and a process kill at every operation on the state file. Afterwards the file must contain a
+//! complete state that is no older than the last one stored.
 
 use super::*;
 use milletpath_storage::testing::{Fault, FaultyFolder, Operation, PowerLoss};
@@ -7,7 +7,7 @@
 
 const NAME: &str = "gateway.state";
 
-/// A state of some bytes, none like another.
+/// A state whose bytes differ from those of every other state.
 fn state(number: u64) -> (StateId, Vec<u8>) {
     (StateId { number, digest: number * 7 }, vec![number as u8; 20 + number as usize])
 }
@@ -16,7 +16,7 @@
     StateFile::new(folder.clone(), NAME.into(), StateId { number: 0, digest: 0 }, 0.0)
 }
 
-/// Six states, each tried for ten seconds; gives the number that was stored last.
+/// Saves six states, attempting each for ten seconds. Returns the number of the last one stored.
 fn write_states(folder: &FaultyFolder) -> u64 {
     let mut file = open_file(folder);
     let mut stored = 0;
@@ -33,7 +33,7 @@
     stored
 }
 
-/// What is read after a loss of power, whatever of it was not synced.
+/// Asserts that a valid state, no older than `stored`, is read after a power loss, whichever unsynced data was lost.
 fn assert_recoverable(folder: &FaultyFolder, stored: u64, case: &str) {
     for (keeps_names, keeps_bytes) in [(false, 0), (true, 0), (false, 9), (true, 9), (true, usize::MAX)] {
         let left = folder.after(PowerLoss { keeps_names, keeps_bytes });
@@ -80,12 +80,12 @@
             );
             folder.recovers();
             assert_eq!(write_states(&folder), 6);
-            assert_eq!(folder.names(), [NAME], "case a kill left beside it goes");
+            assert_eq!(folder.names(), [NAME], "temporary files of the killed process are removed");
         }
     }
 }
 
-/// Some 10 to 30 attempts in 100 s, and the file keeps its former state.
+/// A disk that keeps failing is tried 10 to 30 times in 100 s, and the file keeps its previous state.
 #[test]
 fn a_disk_that_keeps_failing_is_retried_with_growing_pauses() {
     let folder = FaultyFolder::default();
@@ -102,7 +102,7 @@
     assert_eq!(folder.read(NAME).unwrap(), bytes);
 }
 
-/// What other processes left half written goes at the start; all else stays.
+/// Temporary files of other processes of this gateway are removed at the start, and all other files are kept.
 #[test]
 fn temporary_files_of_earlier_processes_are_removed() {
     let folder = FaultyFolder::default();
--- a/crates/gateway/src/config_follower/status_log.rs
+++ b/crates/gateway/src/config_follower/status_log.rs
@@ -1,48 +1,48 @@
-//! Log lines for what an operator should know of the follower without asking. The follower is looked at once a second, and
-//! a line is written when something changed.
+//! Logs state changes of the configuration follower that operators should notice. The follower is checked once a
+//! second, and a line is logged when something has changed.
 
 use milletpath_config_log::Follower;
 
-/// Whether the applied state is known to be the latest.
+/// Whether the applied state is confirmed to be the latest.
 #[derive(Clone, Copy, PartialEq)]
 enum Freshness {
-    /// The process has just started.
+    /// Not known yet because the process has just started.
     Unknown,
-    /// A majority of the control machines confirmed it lately.
+    /// Confirmed recently by a majority of the control machines.
     Confirmed,
-    /// No majority has confirmed it for a while.
+    /// Not confirmed by a majority for some time.
     Stale,
 }
 
-/// Counters whose growth is logged.
+/// Counters whose increases are logged.
 #[derive(Clone, Copy)]
 struct Counts {
-    /// Times that control machines contradicted each other.
+    /// Number of times that control machines contradicted each other.
     conflicts: u64,
-    /// Times that the state was collected again, as it was no state of the log.
+    /// Number of times that the state was fetched again because it did not match any state of the log.
     rebuilds: u64,
 }
 
-/// What was logged last.
+/// Remembers what was logged last, so that only changes are logged.
 pub struct StatusLog {
     logged: Counts,
     freshness: Freshness,
-    /// When the follower is looked at next, in seconds on the gateway's clock.
+    /// When the follower is checked next, in seconds on the gateway's clock.
     next_check: f64,
 }
 
 impl StatusLog {
-    /// Nothing is logged yet; the follower is first looked at from `now` on.
+    /// Starts with nothing logged; the first check is due at `now`.
     pub fn new(now: f64) -> Self {
         Self { logged: Counts { conflicts: 0, rebuilds: 0 }, freshness: Freshness::Unknown, next_check: now }
     }
 
-    /// Logs what changed since the last look, at most once a second.
+    /// Logs what has changed since the last check, at most once a second.
     pub fn update(&mut self, follower: &Follower, now: f64) {
-        /// Between two looks.
+        /// Time between two checks.
         const INTERVAL_SECONDS: f64 = 1.0;
-        /// Without confirmation for so long the state may not be the latest: several polls, and the choice of another
-        /// control machine to follow.
+        /// Age of the last confirmation from which the state counts as stale: long enough for several polls and for
+        /// switching to another control machine.
         const STALE_AFTER_SECONDS: f64 = 5.0;
         if now < self.next_check {
             return;
--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -1,5 +1,6 @@
-//! Connections of one core to one worker. The one used last is used again first, so that surplus ones stay idle and are
-//! closed. A connection carries one exchange at a time; cancelling an exchange closes it, as HTTP/1.1 has no other way.
+//! Pools the connections of one core to one worker. The most recently used connection is reused first, so that surplus
+//! ones stay idle and are closed. A connection carries one exchange at a time. Cancelling an exchange closes its
+//! connection, because HTTP/1.1 offers no other way.
 
 use crate::connection_limit::ConnectionPermit;
 use crate::io_fault;
@@ -19,29 +20,30 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// The body of a request to a worker.
+/// Body type of requests to workers.
 pub type Body = Full<Bytes>;
 
 /// The address of a worker's process.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Changes when another process takes the worker's name.
+    /// Identifies the process; changes when another process takes over the worker's name.
     pub process: u64,
 }
 
-/// A worker that is to be sent something.
+/// The worker that a message is sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTarget {
-    /// The worker's index at the dispatcher.
+    /// The worker's index in the dispatcher.
     pub worker: usize,
-    /// Its process at the time of the decision.
+    /// The worker's process when the dispatcher made the decision.
     pub endpoint: Endpoint,
 }
 
-/// Permission to write one request, which expires: a thread that was stalled since the decision to send must not write,
-/// as the decision may be outdated. Only requests are ever written to a worker.
+/// Permission to write one request, with an expiry: a thread that has stalled since the decision to send must not
+/// write, because the decision may be outdated. Writes are not restricted while no permission is pending. Nothing but
+/// requests is ever written to a worker.
 #[derive(Default)]
 pub struct WritePermit {
     until: Cell<Option<Instant>>,
@@ -49,12 +51,12 @@
 }
 
 impl WritePermit {
-    /// Permits one request from now on.
+    /// Permits writing one request, starting now.
     pub fn grant(&self) {
         self.until.set(Some(Instant::now() + Duration::from_secs_f64(STALL_THRESHOLD)));
     }
 
-    /// Called right before writing; the first write uses the permission up.
+    /// Consumes the permission with the first write; called before each write. Fails if the permission has expired.
     fn consume(&self) -> io::Result<()> {
         if self.until.take().is_some_and(|until| Instant::now() > until) {
             self.was_refused.set(true);
@@ -66,13 +68,13 @@
         Ok(())
     }
 
-    /// Whether a write was refused, so that nothing of the request was written.
+    /// Whether a write was refused, in which case no part of the request was written.
     pub fn was_refused(&self) -> bool {
         self.was_refused.get()
     }
 }
 
-/// A worker's stream on which nothing is written without permission.
+/// A stream to a worker that refuses to write on an expired permission.
 struct PermittedStream {
     stream: TokioIo<TcpStream>,
     write_permit: Rc<WritePermit>,
@@ -116,15 +118,15 @@
     }
 }
 
-/// One connection; dropping it closes it at once, also within an exchange.
+/// One connection to a worker. Dropping it closes it immediately, even during an exchange.
 pub struct Connection {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Body>,
-    /// Without its permission nothing is written.
+    /// Granted before a request is sent, so that a delayed write is refused.
     pub write_permit: Rc<WritePermit>,
-    /// Drives the connection.
+    /// The task that drives the connection.
     task: AbortHandle,
-    /// The worker's process that it leads to.
+    /// The worker process at the other end.
     process: u64,
     _permit: ConnectionPermit,
 }
@@ -135,21 +137,22 @@
     }
 }
 
-/// A connection that is not in use.
+/// A pooled connection that is not in use.
 struct IdleConnection {
-    /// When its last exchange ended, in seconds since the start.
+    /// When its last exchange ended, in seconds since the process started.
     since: f64,
     connection: Connection,
 }
 
-/// The idle connections of one core to one worker, the longest idle first.
+/// The idle connections of one core to one worker, longest idle first.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: Vec<IdleConnection>,
 }
 
 impl ConnectionPool {
-    /// An idle connection to this process, which is open as far as is known. Others that are found are closed.
+    /// Takes the most recently used idle connection to this process that is not known to be closed. Connections to
+    /// other processes and closed ones found on the way are dropped.
     pub fn take(&mut self, process: u64) -> Option<Connection> {
         while let Some(IdleConnection { connection, .. }) = self.idle.pop() {
             if connection.process == process && !connection.sender.is_closed() {
@@ -159,19 +162,19 @@
         None
     }
 
-    /// Keeps a connection whose exchange ended at `now`.
+    /// Returns a connection to the pool; its exchange ended at `now`.
     pub fn return_connection(&mut self, now: f64, connection: Connection) {
         if !connection.sender.is_closed() {
             self.idle.push(IdleConnection { since: now, connection });
         }
     }
 
-    /// Closes connections that were not used after `since`.
+    /// Closes connections that have been idle since before `since`.
     pub fn close_idle(&mut self, since: f64) {
         self.idle.retain(|idle| idle.since >= since && !idle.connection.sender.is_closed());
     }
 
-    /// Closes the connection that was idle for longest, so that another core can open one.
+    /// Closes the longest idle connection, so that another core can open one.
     pub fn close_oldest(&mut self) {
         if !self.idle.is_empty() {
             self.idle.remove(0);
@@ -179,14 +182,14 @@
     }
 }
 
-/// Bytes of a response's header fields; the body has a limit of its own.
+/// Maximum size of a response's head. The body has a separate limit.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Opens a connection; for `max_wait` it tries again where this machine lacks something. Must run within a `LocalSet`.
+/// Opens a connection. Failures caused by this machine are retried for up to `max_wait`. Must run within a `LocalSet`.
 ///
 /// # Errors
 ///
-/// Those of the last attempt to connect, and of the HTTP handshake.
+/// Returns the error of the last attempt to connect or of the HTTP handshake.
 pub async fn connect(
     permit: ConnectionPermit,
     endpoint: Endpoint,
@@ -199,7 +202,7 @@
     let handshake = Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake::<_, Body>(stream).await;
     let (sender, connection) = handshake.map_err(io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        // Its error is returned to whoever waits for a response on it.
+        // Its error is reported to the caller that waits for a response on this connection.
         let _ = connection.await;
     });
     Ok(Connection {
--- a/crates/gateway/src/connection_pool/tests.rs
+++ b/crates/gateway/src/connection_pool/tests.rs
@@ -3,8 +3,8 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// The thread is stalled between the decision to send a request and its first byte: nothing is written, and it is
-/// known that nothing was. Without a stall the request is written.
+/// If the thread stalls between the decision to send a request and its first byte, nothing is written and the permit
+/// records the refusal. Without a stall the request is written.
 #[test_case::test_case(2.0 * STALL_THRESHOLD, true; "stalled")]
 #[test_case::test_case(0.0, false; "not stalled")]
 fn a_request_decided_before_a_stall_is_not_written(stall: f64, refused: bool) {
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -1,6 +1,6 @@
-//! A client of the control machines, for authors of configuration changes and for operators. It sends each request to one
-//! or all of them over one UDP socket, and again until it is answered or its time is over. Of several answers the one that
-//! knows the latest entry counts, not the first.
+//! A client of the control machines, for authors of configuration changes and for operators. It sends each request to
+//! one or all of them over one UDP socket, and resends it until it is answered or times out. If several machines
+//! answer, the answer with the latest log entry is used, not the first one.
 
 use crate::key_file::{KeyFileError, read_control_key};
 use crate::status_pages::PageCollector;
@@ -14,22 +14,22 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Between two transmissions of a request: several round trips between regions.
+/// Interval between two transmissions of a request: several round trips between regions.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long the others may take once the first control machine answered a request to all.
+/// How long to wait for the other control machines once the first one has answered a request to all.
 const STRAGGLER_WAIT: Duration = Duration::from_millis(300);
 
-/// For all transmissions of one request together.
+/// Time limit for a request, including all retransmissions.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why control machines can't be asked.
+/// Why the control machines can't be queried.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlClientError {
-    /// The key that seals the datagrams can't be used.
+    /// The key for sealing the datagrams can't be used.
     #[error(transparent)]
     Key(#[from] KeyFileError),
-    /// The system gives no socket.
+    /// The socket can't be opened.
     #[error("no socket can be opened: {0}")]
     Socket(#[source] io::Error),
 }
@@ -38,45 +38,45 @@
 pub struct Client {
     socket: UdpSocket,
     key: Key,
-    /// The control machines' addresses, in the order of their numbers.
+    /// The control machines' addresses, ordered by machine number.
     pub control: Vec<SocketAddr>,
 }
 
-/// The value of a key, by the control machine that knows the latest entry.
+/// The value of a key according to one control machine.
 #[derive(Clone, Debug)]
 pub struct KeyState {
-    /// The number of the entry that set it, 0 for none.
+    /// The number of the entry that set it, 0 if there is none.
     pub number: u64,
-    /// The statement under the key; none where it was never set, or removed.
+    /// The text set for the key; `None` if it was never set or has been removed.
     pub text: Option<String>,
-    /// The latest entry that the control machine knows.
+    /// The number of the latest entry known to the control machine.
     head: u64,
     /// The control machine that answered.
     pub from: SocketAddr,
 }
 
-/// What became of a proposed change.
+/// The outcome of a proposed change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalOutcome {
     /// A control machine reported this outcome.
     Decided(Outcome),
-    /// The control machine's configuration does not allow the change, for this reason.
+    /// The control machine's configuration does not allow the change, for the given reason.
     Denied(String),
-    /// No control machine answered: the change may still be committed.
+    /// No control machine answered; the change may still be committed.
     Unanswered,
 }
 
-/// A random identifier, never 0.
+/// Returns a random identifier that is never 0.
 pub fn random_id() -> u64 {
     RandomState::new().hash_one(std::process::id()).max(1)
 }
 
 impl Client {
-    /// A client by the section `changes` of a configuration.
+    /// Creates a client from the section `changes` of a configuration.
     ///
     /// # Errors
     ///
-    /// The key file can't be used, or the system gives no socket.
+    /// Fails if the key file can't be used or the socket can't be opened.
     pub fn new(settings: &ConfigLogConfig) -> Result<Self, ControlClientError> {
         let key = read_control_key(&settings.key_file)?;
         let any: IpAddr = match settings.control.first() {
@@ -87,29 +87,29 @@
         Ok(Self { socket, key, control: settings.control.clone() })
     }
 
-    /// The address on which answers are received.
+    /// Returns the address on which answers are received.
     ///
     /// # Errors
     ///
-    /// The error of the operating system where it does not know the socket's address.
+    /// Returns the error of the operating system if the socket's address is not available.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     fn send(&self, to: SocketAddr, message: &Message) {
         if let Ok(datagram) = message::seal(&self.key, message) {
-            // As if it were lost on its way: it is sent again.
+            // A send error is equivalent to a lost datagram; the request is resent.
             let _ = self.socket.send_to(&datagram, to);
         }
     }
 
-    /// The next valid message, waited for until `until`.
+    /// Waits until `until` for the next valid message.
     fn receive(&self, until: Instant) -> Option<(SocketAddr, Message)> {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
             self.socket.set_read_timeout(Some(left)).ok()?;
-            // The timeout, or the report that an earlier datagram reached nobody.
+            // The receive timed out, or the system reports that an earlier datagram was not delivered.
             let Ok((size, from)) = self.socket.recv_from(&mut buffer) else { continue };
             if let Ok(message) = message::open(&self.key, &buffer[..size]) {
                 return Some((from, message));
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The value of a key; none where no control machine answers within 3 s.
+    /// Returns the value of a key, or `None` if no control machine answers within 3 s.
     pub fn get(&self, key: &str) -> Option<KeyState> {
         let mut answers: BTreeMap<SocketAddr, KeyState> = BTreeMap::new();
         let (began, mut end) = (Instant::now(), Instant::now() + REQUEST_TIMEOUT);
@@ -140,14 +140,15 @@
         answers.into_values().max_by_key(|state| (state.head, state.number))
     }
 
-    /// Proposes a change to the control machine `first`, and to the next ones where it does not answer or does not know the
-    /// outcome. Takes 12 s at most; asking several is harmless, as a change with one id is applied once.
+    /// Proposes a change to the control machine `first`, and to the following ones if it does not answer or does not
+    /// know the outcome. Takes at most 12 s. Proposing to several machines is safe, because a change is applied only
+    /// once per id.
     pub fn propose(&self, change: &Change, first: SocketAddr) -> ProposalOutcome {
-        /// For one control machine before the next is asked too: a commit and its answer take longer only over the
-        /// farthest links. With 1.5 s an author who asked a machine that had just been killed, and lost one more datagram,
-        /// waited past the 3 s in which a change is to be applied.
+        /// How long to wait for one control machine before the next is asked as well; only over the longest links do a
+        /// commit and its answer take longer. With 1.5 s, asking a machine that had just been killed and losing one
+        /// more datagram exceeded the 3 s within which a change has to be applied.
         const REPLICA_TIMEOUT: Duration = Duration::from_millis(600);
-        /// For all together: two of them may take long until they report that they do not know.
+        /// Time limit for all control machines together. Two of them may take long to report an unknown outcome.
         const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(12);
         let begin = self.control.iter().position(|to| *to == first).unwrap_or(0);
         let mut order = self.control.iter().cycle().skip(begin).take(2 * self.control.len());
@@ -178,7 +179,8 @@
         outcome_so_far
     }
 
-    /// The status texts (JSON) of processes, in the order of `targets`; none for one that does not answer completely.
+    /// Returns the status (JSON) of each process in the order of `targets`, `None` for those that do not answer
+    /// completely.
     pub fn status_texts(&self, targets: &[SocketAddr]) -> Vec<Option<Vec<u8>>> {
         let request_id = random_id();
         let mut pages = vec![PageCollector::default(); targets.len()];
@@ -199,23 +201,24 @@
                 self.request_pages(from, request_id, pages);
             }
             if std::mem::take(&mut is_first) || !pages.is_complete() {
-                // A process that sends page after page is waited for; those that sent none had their time.
+                // Extends the deadline for processes that are still sending pages; those that have sent none have had
+                // their time.
                 end = (Instant::now() + 2 * STRAGGLER_WAIT).max(end.min(Instant::now() + STRAGGLER_WAIT));
             }
         }
         pages.into_iter().map(PageCollector::into_text).collect()
     }
 
-    /// Requests missing pages, a few at a time.
+    /// Requests missing pages, a limited number at a time.
     fn request_pages(&self, to: SocketAddr, request_id: u64, pages: &PageCollector) {
-        /// Pages requested at once: their datagrams fit into the receive buffer of any socket.
+        /// Maximum number of pages requested at once; their datagrams fit into the receive buffer of any socket.
         const MAX_REQUESTS: usize = 64;
         let missing = pages.missing().take(MAX_REQUESTS);
         missing.for_each(|page| self.send(to, &Message::StatusRequest { query_id: request_id, page }));
     }
 
-    /// The status of each control machine, in the order of their numbers; none for one that does not answer or whose status
-    /// is not a `T`.
+    /// Returns the status of each control machine, ordered by machine number, `None` for those that do not answer or
+    /// whose status does not parse as `T`.
     pub fn control_status<T: DeserializeOwned>(&self) -> Vec<Option<T>> {
         let read = |text: Option<Vec<u8>>| serde_json::from_slice(&text?).ok();
         self.status_texts(&self.control).into_iter().map(read).collect()
--- a/crates/gateway/src/control_thread.rs
+++ b/crates/gateway/src/control_thread.rs
@@ -1,5 +1,6 @@
-//! What the control threads (membership link, configuration follower) do alike: each reads datagrams in batches from one
-//! UDP socket, lets time pass for its core once a batch is read, and acts on what follows, until the gateway stops.
+//! The event loop shared by the control threads (membership link, configuration follower). Each reads datagrams in
+//! batches from one UDP socket, advances its state machine's time once a batch has been read, and carries out the
+//! resulting actions, until the gateway stops.
 
 use crate::datagram_receiver::DatagramReceiver;
 use crate::key_file::KeyFileError;
@@ -14,27 +15,27 @@
 /// Why a control thread can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlThreadError {
-    /// The key that seals its datagrams can't be used.
+    /// The key for sealing its datagrams can't be used.
     #[error(transparent)]
     Key(#[from] KeyFileError),
-    /// The socket can't be opened on the configured address.
+    /// The socket can't be bound to the configured address.
     #[error("{address} can't be listened on: {source}")]
     Bind {
-        /// The address that the configuration states.
+        /// The configured address.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The socket's own address can't be read.
+    /// The socket's local address can't be read.
     #[error("the address of a socket can't be read: {0}")]
     LocalAddress(#[source] io::Error),
-    /// The configuration lacks the section of that name.
+    /// The configuration has no section of this name.
     #[error("the configuration has no section {0}")]
     NotConfigured(&'static str),
     /// The path of the state file does not end in a file name.
     #[error("{} is no file name; change state of changes in the configuration", .0.display())]
     StateFileName(PathBuf),
-    /// The system has no room for another thread.
+    /// The system can't start another thread.
     #[error("the thread can't be started: {0}")]
     Spawn(#[source] io::Error),
 }
@@ -44,35 +45,36 @@
     UdpSocket::bind(address).map_err(|source| ControlThreadError::Bind { address, source })
 }
 
-/// A core without I/O together with its socket, as [`spawn`] runs it. All times are seconds on the gateway's clock.
+/// A state machine without I/O together with its socket, to be run by [`spawn`]. All times are in seconds on the
+/// gateway's clock.
 pub trait ControlLoop: Send + 'static {
-    /// The name of the thread.
+    /// Name of the thread.
     const THREAD_NAME: &'static str;
-    /// The size of the largest datagram that is valid, in bytes.
+    /// Maximum size of a valid datagram, in bytes.
     const MAX_DATAGRAM_BYTES: usize;
-    /// The log line for a socket that can't be read.
+    /// The message that is logged if reading from the socket fails.
     const READ_FAILED: &'static str;
 
-    /// The socket whose datagrams are received.
+    /// The socket from which datagrams are received.
     fn socket(&self) -> &UdpSocket;
-    /// The time up to which the thread may wait for a datagram.
+    /// The time until which the thread may wait for a datagram.
     fn wait_until(&self) -> f64;
     /// The time at which [`tick`](Self::tick) is due.
     fn next_tick(&self) -> f64;
-    /// Handles one datagram as it came, whoever sent it.
+    /// Handles one received datagram, which may come from any sender.
     fn receive(&mut self, datagram: &[u8], from: SocketAddr);
-    /// Lets time pass for the core. All datagrams that came before were received, so that nobody counts as silent because
-    /// this thread was paused.
+    /// Advances the state machine's time. All datagrams that arrived before have been handled, so that no peer counts
+    /// as silent just because this thread was paused.
     fn tick(&mut self, now: f64);
-    /// Acts on what the core decided: after each datagram, and after each wait without one.
+    /// Carries out the state machine's output. Called after each datagram and after each wait without one.
     fn act(&mut self, now: f64);
-    /// Whether the thread is to end as if its process had been killed, without [`finish`](Self::finish).
+    /// Whether the thread must end as if its process had been killed, without calling [`finish`](Self::finish).
     fn is_killed(&self) -> bool;
-    /// Does what a graceful shutdown requires for others and for the next process.
+    /// Performs a graceful shutdown, for the benefit of the peers and of the next process.
     fn finish(self);
 }
 
-/// Starts the thread of a control loop; it ends once `shared_runtime` is stopping. The caller owns the thread and joins it.
+/// Starts the thread of a control loop, which ends once `shared_runtime` is stopping. The caller joins the thread.
 pub fn spawn<L: ControlLoop>(
     control_loop: L,
     shared_runtime: Arc<SharedRuntime>,
--- a/crates/gateway/src/core_context.rs
+++ b/crates/gateway/src/core_context.rs
@@ -1,5 +1,5 @@
-//! What the tasks of one core share: its open requests, its connections to workers, and its heartbeat. It belongs to one
-//! thread; other threads reach the core by its slot in the shared runtime.
+//! State shared by the tasks of one core: its open requests, its connections to workers and its heartbeat. It is
+//! confined to one thread; other threads access the core through its slot in the shared runtime.
 
 use crate::connection_pool::{self, Connection, ConnectionPool, Endpoint, WorkerTarget};
 use crate::core_message::{CoreMessage, RequestLocation};
@@ -21,22 +21,22 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::AbortHandle;
 
-/// Seconds between two heartbeats of a core.
+/// Interval between two heartbeats of a core, in seconds.
 pub const HEARTBEAT_INTERVAL: f64 = 0.05;
 
-/// How many times as fast as they arrived requests are read after a stall.
+/// After a stall, requests are assumed to be read this many times as fast as they arrived.
 const CATCH_UP_RATE: f64 = 4.0;
 
-/// After a stall, the time in which everything that arrived meanwhile is read.
+/// After a stall, the time allowed for reading everything that arrived meanwhile.
 const POST_STALL_READ_TIME: Duration = Duration::from_millis(5);
 
-/// How long another core may take to close an idle connection, and to be given a busy one's place.
+/// How long to wait for another connection to the worker to be closed when the limit is reached.
 const CONNECTION_WAIT: Duration = Duration::from_millis(20);
 
 /// Handles a core's messages.
 pub type MessageHandler = fn(&Rc<CoreContext>, CoreMessage);
 
-/// A time for which a thread did not run, in seconds since the start of the process.
+/// A period in which a thread did not run, in seconds since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Stall {
     /// The last heartbeat before it.
@@ -48,7 +48,7 @@
 /// Why a core has no connection to a worker.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The worker has as many connections as it may, and none is idle.
+    /// The limit on connections to the worker is reached, and none of them is idle.
     #[error("the limit on connections to the worker is reached")]
     LimitReached,
     /// The connection failed.
@@ -56,7 +56,7 @@
     Io(#[from] io::Error),
 }
 
-/// The state of one core, for the tasks on its thread.
+/// The state of one core, used by the tasks on its thread.
 pub struct CoreContext {
     /// The state that all cores share.
     pub shared_runtime: Arc<SharedRuntime>,
@@ -65,19 +65,19 @@
     incarnation: u32,
     handler: MessageHandler,
     open_requests: OpenRequests,
-    /// By worker; bounded by the workers that the dispatcher knows.
+    /// Indexed by worker; bounded by the number of workers known to the dispatcher.
     pools: RefCell<Vec<ConnectionPool>>,
     endpoint_watch: RefCell<Option<AbortHandle>>,
     last_heartbeat: Cell<f64>,
     last_stall: Cell<Stall>,
     /// Wakes tasks that wait for the end of a stall.
     resumed: Notify,
-    /// Seen by this core's client connections.
+    /// Observed by this core's client connections.
     stopping: watch::Sender<bool>,
 }
 
 impl CoreContext {
-    /// The context of a core's thread, which is the given incarnation of the core. Must run within a `LocalSet`.
+    /// Creates the context for a thread that runs the given incarnation of a core. Must run within a `LocalSet`.
     pub fn new(
         shared_runtime: Arc<SharedRuntime>,
         core: usize,
@@ -109,18 +109,18 @@
         &self.shared_runtime.config.limits
     }
 
-    /// This core's slot.
+    /// This core's slot in the shared runtime.
     pub fn slot(&self) -> &CoreSlot {
         &self.shared_runtime.core_slots[self.core]
     }
 
-    /// Seconds since the start, by the monotonic clock.
+    /// Seconds since the process started, on the monotonic clock.
     pub fn now(&self) -> f64 {
         self.shared_runtime.now()
     }
 
-    /// The earliest time at which a request that is read now may have arrived: now, unless this thread was stalled
-    /// lately.
+    /// Returns the earliest time at which a request that is read now may have arrived. This is the current time unless
+    /// this thread has stalled recently.
     pub fn earliest_arrival(&self) -> f64 {
         let now = self.now();
         if now - self.last_heartbeat.get() > STALL_THRESHOLD {
@@ -130,8 +130,8 @@
         now.min(began + CATCH_UP_RATE * (now - ended))
     }
 
-    /// Waits, after a stall of this thread or the supervisor, until what arrived meanwhile has been read: a worker may be
-    /// draining by now, and clients may have disconnected.
+    /// After a stall of this thread or the supervisor, waits until everything that arrived meanwhile has been read,
+    /// because a worker may be draining by now and clients may have disconnected.
     pub async fn wait_until_responsive(&self) {
         let is_stalled = |heartbeat: f64| self.now() - heartbeat > STALL_THRESHOLD;
         while is_stalled(self.last_heartbeat.get())
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Calls the dispatcher and handles the messages that follow for this core.
+    /// Calls the dispatcher and handles the resulting messages for this core.
     pub fn with_dispatcher<R>(
         self: &Rc<Self>,
         operation: impl FnOnce(&mut Dispatcher<RequestLocation>, f64) -> R,
@@ -151,7 +151,7 @@
         result
     }
 
-    /// Handles the messages in the core's mailbox, unless another thread has replaced this one.
+    /// Handles the messages in this core's mailbox, unless another thread has replaced this one.
     pub fn process_messages(self: &Rc<Self>) {
         if self.slot().heartbeat.incarnation() != self.incarnation {
             return;
@@ -166,17 +166,17 @@
         (self.handler)(self, message);
     }
 
-    /// Keeps what is needed to attempt a request and to respond to it.
+    /// Stores what is needed to attempt a request and to respond to it.
     pub fn open_request(&self, channel: Arc<ResponseChannel>, headers: HeaderMap, body: Bytes) -> NewRequest {
         self.open_requests.insert(channel, headers, body, self.config().policy.can_cancel)
     }
 
-    /// Forgets a request.
+    /// Removes a request from the table of open requests.
     pub fn close_request(&self, request_slot: usize) {
         self.open_requests.remove(request_slot);
     }
 
-    /// Calls `operation` with an open request; `None` where it is over, and with it its attempts.
+    /// Calls `operation` with an open request. Returns `None` if the request, and with it its attempts, has ended.
     pub fn with_open_request<R>(
         &self,
         request: RequestId,
@@ -186,31 +186,31 @@
         self.open_requests.with(request, request_slot, operation)
     }
 
-    /// Gives a client its response.
+    /// Passes a response to the task that serves the client.
     pub fn respond(&self, request_slot: usize, channel: &Arc<ResponseChannel>, response: FinalResponse) {
         self.open_requests.respond(request_slot, channel, response);
     }
 
-    /// Gives the client of a request its response, unless the request is over.
+    /// Passes a response to the task that serves the client of a request, unless the request has ended.
     pub fn respond_to(&self, request: RequestId, request_slot: usize, response: FinalResponse) {
         if let Some(channel) = self.open_requests.channel(request, request_slot) {
             self.respond(request_slot, &channel, response);
         }
     }
 
-    /// Counts bytes of a body as buffered; `None` where the limit on all of them is reached.
+    /// Reserves buffer space for the bytes of a body; `None` if the limit on all buffered bytes is reached.
     pub fn reserve_buffer(&self, bytes: usize) -> Option<BufferedBytes> {
         BufferedBytes::reserve(&self.shared_runtime.buffered_bytes, bytes)
     }
 
-    /// Makes this the task that watches the endpoints; the one before it is aborted.
+    /// Sets the task that watches the endpoints, and aborts the previous one.
     pub fn set_endpoint_watch(&self, task: AbortHandle) {
         if let Some(previous) = self.endpoint_watch.replace(Some(task)) {
             previous.abort();
         }
     }
 
-    /// Has this core's client connections end, each after its open request.
+    /// Tells this core's client connections to end after their open requests.
     pub fn stop(&self) {
         self.stopping.send_if_modified(|stopping| !std::mem::replace(stopping, true));
     }
@@ -220,12 +220,12 @@
         *self.stopping.borrow()
     }
 
-    /// Notifies when the gateway shuts down.
+    /// Returns a receiver that is notified when the gateway shuts down.
     pub fn stopping(&self) -> watch::Receiver<bool> {
         self.stopping.subscribe()
     }
 
-    /// Records that this thread runs; false where another thread has replaced it.
+    /// Records a heartbeat of this thread. Returns false if another thread has replaced it.
     pub async fn beat(&self) -> bool {
         let seconds = self.now() - self.last_heartbeat.get();
         if seconds > STALL_THRESHOLD {
@@ -240,22 +240,22 @@
         is_current
     }
 
-    /// When this thread last ran, in seconds since the start.
+    /// The time of this thread's last heartbeat, in seconds since the process started.
     pub fn last_heartbeat(&self) -> f64 {
         self.last_heartbeat.get()
     }
 
-    /// When this thread was last stalled.
+    /// The last stall of this thread.
     pub fn last_stall(&self) -> Stall {
         self.last_stall.get()
     }
 
-    /// An idle connection to a worker.
+    /// Takes an idle connection to a worker out of its pool, if there is one.
     pub fn idle_connection(&self, target: WorkerTarget) -> Option<Connection> {
         self.with_pool(target.worker, |pool| pool.take(target.endpoint.process))
     }
 
-    /// Opens a connection to a worker. Where the limit is reached, other cores are asked to close an idle one.
+    /// Opens a connection to a worker. If the limit is reached, other cores are asked to close an idle one.
     pub async fn connect(&self, target: WorkerTarget) -> Result<Connection, ConnectError> {
         let WorkerTarget { worker, endpoint } = target;
         let limit = self.shared_runtime.worker_connection_limit(endpoint.address);
@@ -267,12 +267,12 @@
                 limit.reserve().ok_or(ConnectError::LimitReached)?
             }
         };
-        // Ends well before the connection counts as one that the worker refused.
+        // Retries must end well before the connection attempt would count as refused by the worker.
         let max_wait = Duration::from_secs_f64(self.limits().connect_timeout / 2.0);
         Ok(connection_pool::connect(permit, endpoint, max_wait).await?)
     }
 
-    /// Opens a connection outside the pools; it counts against the limit of its address.
+    /// Opens a connection outside the pools. It counts against the connection limit of its address.
     pub async fn connect_unpooled(&self, endpoint: Endpoint) -> Result<Connection, ConnectError> {
         let limit = self.shared_runtime.worker_connection_limit(endpoint.address);
         let permit = limit.reserve().ok_or(ConnectError::LimitReached)?;
@@ -285,13 +285,13 @@
         }
     }
 
-    /// Puts a connection back once its exchange is over.
+    /// Returns a connection to its pool after its exchange has ended.
     pub fn return_connection(&self, worker: usize, connection: Connection) {
         let now = self.now();
         self.with_pool(worker, |pool| pool.return_connection(now, connection));
     }
 
-    /// Closes one idle connection to a worker, where there is one.
+    /// Closes the longest idle connection to a worker, if there is one.
     pub fn close_one_idle(&self, worker: usize) {
         self.with_pool(worker, ConnectionPool::close_oldest);
     }
--- a/crates/gateway/src/core_thread.rs
+++ b/crates/gateway/src/core_thread.rs
@@ -1,4 +1,5 @@
-//! The thread of one core: a runtime of its own, on which the core serves its client connections from accept to close.
+//! The thread of one core, with its own single-threaded runtime on which the core serves its client connections from
+//! accept to close.
 
 use crate::core_context::{CoreContext, HEARTBEAT_INTERVAL};
 use crate::message_handler;
@@ -13,20 +14,21 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Seconds between two closings of idle connections: short against the time for which they may be idle.
+/// Seconds between two rounds of closing idle connections; short compared to the idle timeout.
 const IDLE_CHECK_INTERVAL: f64 = 1.0;
 
-/// A core's thread as the supervisor sees it.
+/// The supervisor's handle to a core's thread.
 pub struct CoreThread {
     thread: Option<JoinHandle<()>>,
-    /// Which thread in the core's slot this is, from 0.
+    /// Number of this thread among those of the core's slot, starting at 0.
     pub incarnation: u32,
-    /// Judges the thread's heartbeat.
+    /// Evaluates the thread's heartbeat.
     pub watchdog: Watchdog,
 }
 
 impl CoreThread {
-    /// Starts the first thread of a core. It runs for as long as `accepting` is set or it has connections.
+    /// Starts the first thread of a core. It runs until the gateway is stopping, `accepting` is cleared and its last
+    /// connection has ended.
     pub fn start(shared_runtime: &Arc<SharedRuntime>, core: usize, accepting: &Arc<AtomicBool>) -> Self {
         let watchdog = Watchdog::new(shared_runtime.now());
         let mut core_thread = Self { thread: None, incarnation: 0, watchdog };
@@ -34,10 +36,10 @@
         core_thread
     }
 
-    /// Starts a thread where there is none; a failure is logged, and the watchdog decides when to retry.
+    /// Starts a thread for a core that has none. A failure is logged, and the watchdog decides when to retry.
     pub fn restart(&mut self, shared_runtime: &Arc<SharedRuntime>, core: usize, accepting: &Arc<AtomicBool>) {
         let now = shared_runtime.now();
-        // Counts as a heartbeat, so that the thread has time for its first one.
+        // Counts as a heartbeat, to give the thread time for its first one.
         shared_runtime.core_slots[core].heartbeat.beat(self.incarnation, now);
         match spawn(shared_runtime, core, self.incarnation, accepting) {
             Ok(thread) => {
@@ -51,23 +53,24 @@
         }
     }
 
-    /// Whether there is a thread, which may have ended.
+    /// Whether a thread was started; it may have ended since.
     pub fn is_started(&self) -> bool {
         self.thread.is_some()
     }
 
-    /// Joins the thread if it has ended; whether it panicked.
+    /// Joins the thread if it has ended. Returns whether it panicked, or `None` if there is no ended thread.
     pub fn take_finished(&mut self) -> Option<bool> {
         let thread = self.thread.take_if(|thread| thread.is_finished())?;
         Some(thread.join().is_err())
     }
 
-    /// Takes the thread out, to be joined elsewhere.
+    /// Takes the thread's handle, to be joined elsewhere.
     pub fn take_thread(&mut self) -> Option<JoinHandle<()>> {
         self.thread.take()
     }
 
-    /// Gives up a thread that is stalled. It can't be joined; it ends once it runs again and finds itself replaced.
+    /// Abandons a stalled thread. It can't be joined, but ends by itself once it runs again and finds that it was
+    /// replaced.
     pub fn abandon(&mut self) {
         self.thread = None;
     }
@@ -89,13 +92,13 @@
                 let core = run(shared_runtime, core, incarnation, accepting);
                 runtime.block_on(LocalSet::new().run_until(core));
             }
-            // The supervisor finds that the thread has ended, and starts another.
+            // The supervisor detects that the thread has ended and starts another.
             Err(error) => tracing::error!(core, %error, "a core's runtime can't start"),
         }
     })
 }
 
-/// Keeps this thread on one of the processors that the process may use.
+/// Pins this thread to one of the processors that the process may use.
 fn pin_to_processor(core: usize) {
     let this_thread = Pid::from_raw(0);
     let pinned = sched_getaffinity(this_thread).and_then(|allowed| {
@@ -109,7 +112,7 @@
     }
 }
 
-/// Serves until the gateway stops, or until another thread has this core's slot.
+/// Serves until the gateway stops or another thread has taken over this core's slot.
 async fn run(shared_runtime: Arc<SharedRuntime>, core: usize, incarnation: u32, accepting: Arc<AtomicBool>) {
     let slot = &shared_runtime.core_slots[core];
     let context = CoreContext::new(shared_runtime.clone(), core, incarnation, message_handler::handle);
@@ -122,7 +125,7 @@
                 tracing::warn!(core, "this core thread was replaced; it ends");
                 return;
             }
-            // The supervisor may be stalled itself; then the first core that notices runs the timers.
+            // If the supervisor itself has stalled, the first core that notices runs the timers.
             if shared_runtime.is_overdue(2.0 * HEARTBEAT_INTERVAL) {
                 context.with_dispatcher(|dispatcher, now| dispatcher.advance(now));
             }
--- a/crates/gateway/src/endpoint_watch.rs
+++ b/crates/gateway/src/endpoint_watch.rs
@@ -1,6 +1,6 @@
-//! Follows the registry's stream of worker endpoints. Each line is a revision, which is applied whole or not at all, and
-//! only if it is newer than the one before. Where changes are missing, the dispatcher asks for a new stream with the
-//! complete list, and the old one is read until that replaces it.
+//! Follows the registry's stream of worker endpoints. Each line is a revision, which is applied atomically and only if
+//! it is newer than the previous one. If changes are missing, the dispatcher requests a new stream with the complete
+//! list, and the old stream is read until the new one replaces it.
 
 use crate::connection_pool::{Connection, Endpoint};
 use crate::core_context::{ConnectError, CoreContext};
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between two looks at an open stream, by each of which the list counts as current.
+/// Interval at which the list is confirmed as current while its stream is open.
 const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why the stream ended.
+/// Why an endpoint stream ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("connecting failed: {0}")]
@@ -38,7 +38,7 @@
     Ended,
 }
 
-/// Follows a registry until its stream ends, and reports that to the dispatcher, which asks for another one later.
+/// Follows a registry until its stream ends, and reports the end to the dispatcher, which requests a new stream later.
 pub async fn watch(context: Rc<CoreContext>, registry: SocketAddr) {
     let read_until = context.now();
     let mut stream =
@@ -51,11 +51,12 @@
 
 struct EndpointStream {
     context: Rc<CoreContext>,
-    /// Known from the first complete list on; revisions count within one stream.
+    /// The last revision received; `None` before the first complete list. Revision numbers are specific to one stream.
     last_revision: Option<u64>,
-    /// Whether it was reported that changes are missing.
+    /// Whether missing changes have been reported.
     gap_reported: bool,
-    /// When nothing that the registry had stated was unread: before the stream was asked for, and at each look since.
+    /// A time by which everything that the registry had sent until then has been read. Set before the stream is
+    /// requested and at each confirmation.
     read_until: f64,
 }
 
@@ -71,7 +72,7 @@
                 biased;
                 frame = body.frame() => frame,
                 _ = confirmations.tick() => {
-                    // The process may have been paused since the last look.
+                    // Confirms only up to the previous tick, because the process may have been paused since.
                     self.confirm_list();
                     self.read_until = self.context.now();
                     continue;
@@ -90,7 +91,7 @@
         Err(WatchError::Ended)
     }
 
-    /// The stream is open, and the registry states each change on it at once.
+    /// Confirms that the list is current: the stream is open, and the registry sends each change on it immediately.
     fn confirm_list(&self) {
         if self.last_revision.is_some() && !self.gap_reported {
             let stated_at = self.read_until;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Applies one line.
+    /// Applies one line of the stream.
     fn apply(&mut self, line: &[u8]) -> Result<(), WatchError> {
         let update = registry::read(line).map_err(WatchError::Malformed)?;
         let EndpointListUpdate { revision, complete, endpoints } = update;
@@ -111,12 +112,12 @@
         };
         tracing::info!(revision, complete, endpoints = endpoints.len(), "endpoint list received");
         if self.last_revision.is_some() && !is_gap {
-            // The stream was open since the revision before, so endpoints that it did not mention are unchanged.
+            // The stream has been open since the previous revision, so endpoints that it did not mention are unchanged.
             let stated_at = self.read_until;
             self.context
                 .with_dispatcher(|dispatcher, now| dispatcher.endpoint_list_confirmed(now, stated_at));
         }
-        // Applied also after a gap: what it states about its endpoints is true, for example that one is draining.
+        // Applied even after a gap, because its entries are still valid, for example that an endpoint is draining.
         self.context.shared_runtime.update_endpoints(Some(self.context.core), complete, &endpoints);
         self.context.process_messages();
         if is_gap && !self.gap_reported {
--- a/crates/gateway/src/header_timer.rs
+++ b/crates/gateway/src/header_timer.rs
@@ -1,6 +1,7 @@
-//! The time limit on a client's header fields. It asks the socket before it expires: after the process was suspended
-//! (SIGSTOP) `epoll_wait` returns EINTR without events, and the runtime fires the timers that fell due before it knows
-//! which sockets are readable. A connection closed at that point would lose the request that it brought.
+//! The time limit for receiving a request's head. Before it expires, it checks the socket for unread bytes: after the
+//! process was suspended (SIGSTOP), `epoll_wait` returns EINTR without events, and the runtime fires expired timers
+//! before it knows which sockets are readable. Closing a connection at that point would lose a request that has already
+//! arrived.
 
 use crate::response_channel::ResponseChannel;
 use hyper::rt::{Sleep, Timer};
@@ -10,14 +11,14 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Time in which the runtime learns of unread bytes.
+/// Time given to the runtime to detect unread bytes.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Rechecks after which the limit holds in any case: a client that sends its fields bit by bit must not keep the
-/// connection for ever.
+/// Number of rechecks after which the limit applies in any case, because a client that sends its header byte by byte
+/// must not keep the connection open forever.
 const MAX_RECHECKS: u32 = 10;
 
-/// The timer that hyper uses for one client connection.
+/// The timer that hyper uses for the header timeout of one client connection.
 pub struct HeaderTimer(pub Arc<ResponseChannel>);
 
 impl Timer for HeaderTimer {
--- a/crates/gateway/src/hollow_gateway.rs
+++ b/crates/gateway/src/hollow_gateway.rs
@@ -1,6 +1,7 @@
-//! A hollow gateway: one without client and worker sockets, with the dispatcher, budgets, membership link and configuration
-//! follower of a real gateway in the same control threads, so that many run in one process. The caller hands in the
-//! endpoint list and advances the dispatcher's time; what the control threads cost is read from their own clocks.
+//! A hollow gateway has no client or worker sockets, but runs the dispatcher, budgets, membership link and
+//! configuration follower of a real gateway on the same control threads, so that many of them fit into one process. The
+//! caller supplies the endpoint list and runs the dispatcher's timers. The CPU time of the control threads is read from
+//! their own clocks.
 
 mod minimums;
 mod readings;
@@ -22,7 +23,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 
-/// A running hollow gateway. Dropping it stops its control threads and joins them.
+/// A running hollow gateway. Dropping it stops and joins its control threads.
 pub struct HollowGateway {
     shared_runtime: Arc<SharedRuntime>,
     /// The address of its membership link, if it has one.
@@ -33,17 +34,17 @@
     reading: Arc<Mutex<Reading>>,
     follower_reading: Arc<Mutex<FollowerReading>>,
     killed: Arc<AtomicBool>,
-    /// Nanoseconds of processor time that [`update_endpoints`](Self::update_endpoints) and [`tick`](Self::tick) took.
+    /// CPU time spent in [`update_endpoints`](Self::update_endpoints) and [`tick`](Self::tick), in nanoseconds.
     dispatcher_cpu_nanos: AtomicU64,
 }
 
 impl HollowGateway {
-    /// Starts with an endpoint list, as a real gateway does before its first request: with a membership link where the
-    /// configuration has a section `peers`, and a follower where it has `changes`.
+    /// Starts a gateway with an endpoint list. Like a real gateway, it runs a membership link if the configuration has
+    /// a section `peers`, and a configuration follower if it has a section `changes`.
     ///
     /// # Errors
     ///
-    /// A control thread can't start.
+    /// Fails if a control thread can't start.
     pub fn start(
         config: GatewayConfig,
         entries: &[EndpointEntry],
@@ -99,12 +100,13 @@
         Ok(gateway)
     }
 
-    /// Applies an endpoint list, or changes to it where it is not `whole`. Gives the processor time taken, in seconds.
+    /// Applies a complete endpoint list, or only changes to it if `complete` is false. Returns the CPU time spent, in
+    /// seconds.
     pub fn update_endpoints(&self, complete: bool, entries: &[EndpointEntry]) -> f64 {
         self.measure_cpu(|shared_runtime| shared_runtime.update_endpoints(None, complete, entries))
     }
 
-    /// Runs the dispatcher's timers that are due. To be called often, as the supervisor of a real gateway does.
+    /// Runs the dispatcher's timers that are due. Must be called frequently, as the supervisor of a real gateway does.
     pub fn tick(&self) {
         self.measure_cpu(|shared_runtime| {
             if shared_runtime.is_overdue(0.0) {
@@ -113,7 +115,7 @@
         });
     }
 
-    /// Does some work of the dispatcher; gives the processor time that it took, in seconds.
+    /// Runs `work` and adds its CPU time to that of the dispatcher. Returns the CPU time in seconds.
     fn measure_cpu(&self, work: impl FnOnce(&SharedRuntime)) -> f64 {
         let before = thread_cpu_seconds();
         work(&self.shared_runtime);
@@ -122,10 +124,10 @@
         cpu_seconds
     }
 
-    /// The latest reading, with the minimums of all seconds that were completed since the last call. The processor time of
-    /// a control thread that is too busy to take readings comes from the system.
+    /// Returns the latest reading, with the minimums of all seconds that were completed since the last call. The CPU
+    /// time of a control thread that is too busy to take readings is read from `/proc`.
     pub fn reading(&self) -> Reading {
-        /// Seconds after which a reading is outdated.
+        /// Age in seconds from which a reading is outdated.
         const MAX_AGE_SECONDS: f64 = 1.0;
         let mut reading = lock(&self.reading);
         let minimums = std::mem::take(&mut reading.minimums);
@@ -133,7 +135,7 @@
         reading.dispatcher_cpu = self.dispatcher_cpu_nanos.load(Ordering::Relaxed) as f64 / 1e9;
         let now = clock();
         if self.membership_address.is_none() {
-            // Without a link there is no thread, and no cost.
+            // Without a membership link there is no thread and no CPU time.
             reading.at = now;
         } else if now - reading.at > MAX_AGE_SECONDS
             && let Some(used) = reading.thread.as_deref().and_then(cpu_seconds_of)
@@ -152,12 +154,13 @@
         reading
     }
 
-    /// Whether all control threads still run.
+    /// Whether all control threads are still running.
     pub fn is_running(&self) -> bool {
         self.threads.iter().all(|thread| !thread.is_finished())
     }
 
-    /// Asks the control threads to end: in order, or as if the process had been `killed`. Does not wait; dropping does.
+    /// Tells the control threads to end, either gracefully or as if the process had been `killed`. Does not wait for
+    /// them; dropping the gateway does.
     pub fn stop(&self, killed: bool) {
         self.killed.store(killed, Ordering::Release);
         self.shared_runtime.stopping.store(true, Ordering::Release);
--- a/crates/gateway/src/hollow_gateway/minimums.rs
+++ b/crates/gateway/src/hollow_gateway/minimums.rs
@@ -1,30 +1,30 @@
-//! The minimum of each budget within each second, from single readings.
+//! Computes the minimum of each budget within each second from individual readings.
 
 use std::collections::BTreeMap;
 
-/// What one gateway may use of one budget, in units of that budget: requests a second, load requests in a window, or
-/// requests in flight.
+/// What one gateway may use of one budget, in the unit of that budget: requests per second, load requests per window,
+/// or requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLevel {
-    /// Its quota by the number of gateways alone.
+    /// Its quota according to the number of gateways, without leases.
     pub quota: f64,
-    /// What it might use, with leases granted and held.
+    /// What it may use, taking into account leases granted and held.
     pub allowed: f64,
 }
 
-/// The minimums of one second: at every moment of it the gateway could use at least so much.
+/// The minimums of one second: what the gateway could use at any moment within it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SecondMinimum {
-    /// The whole second, on [`clock`](crate::hollow_gateway::clock).
+    /// The second, as a whole number on [`clock`](crate::hollow_gateway::clock).
     pub second: u64,
-    /// Its quota fraction, as a multiple of one gateway's part among the configured number.
+    /// The gateway's quota fraction, as a multiple of one gateway's share among the configured number of gateways.
     pub fraction: f64,
-    /// The level of each budget by its name.
+    /// The level of each budget, by name.
     pub budgets: BTreeMap<String, BudgetLevel>,
 }
 
 impl SecondMinimum {
-    /// Lowers each figure to that of another reading. A budget that is not open in both is left out.
+    /// Lowers each value to that of another reading. Budgets that are not open in both are left out.
     fn lower_to(&mut self, other: &SecondMinimum) {
         self.fraction = self.fraction.min(other.fraction);
         self.budgets.retain(|name, _| other.budgets.contains_key(name));
@@ -36,31 +36,33 @@
     }
 }
 
-/// Computes minimums from single readings. A lender subtracts a lease before the borrower has it, and until after: so if a
-/// borrower had it at all its readings of a second, which lie this close, then the lender lacked it at one of its own.
-/// Seconds with fewer readings are left out, the first one among them.
+/// Computes minimums from individual readings. A lender subtracts a lease from before the borrower gets it until after
+/// the borrower has returned it. With readings this frequent, a lease that a borrower held at all its readings of a
+/// second was therefore subtracted at one or more of the lender's readings. Seconds with too few readings are left out,
+/// including the first one.
 #[derive(Clone, Debug, Default)]
 pub struct MinimumTracker {
     minimum: Option<SecondMinimum>,
-    /// Readings of that second so far.
+    /// Number of readings within that second so far.
     readings: u32,
-    /// When the last reading was, in seconds on [`clock`](crate::hollow_gateway::clock).
+    /// Time of the last reading, in seconds on [`clock`](crate::hollow_gateway::clock).
     last: f64,
-    /// The longest time between two readings of that second, in seconds.
+    /// The longest interval between two readings within that second, in seconds.
     gap: f64,
 }
 
 impl MinimumTracker {
-    /// Adds a reading at the time `at`, in seconds; gives the minimum of the second before it, once that is complete.
+    /// Adds a reading taken at `at`, in seconds. The first reading of a new second returns the minimum of the previous
+    /// one, if that has enough readings.
     pub fn record(
         &mut self,
         at: f64,
         fraction: f64,
         budgets: BTreeMap<String, BudgetLevel>,
     ) -> Option<SecondMinimum> {
-        /// Readings that a second must have.
+        /// Minimum number of readings within a second.
         const MIN_READINGS: u32 = 3;
-        /// Seconds between two of them at most.
+        /// Maximum interval between two of them, in seconds.
         const MAX_GAP_SECONDS: f64 = 0.45;
         let reading = SecondMinimum { second: at as u64, fraction, budgets };
         let finished = match &mut self.minimum {
--- a/crates/gateway/src/hollow_gateway/readings.rs
+++ b/crates/gateway/src/hollow_gateway/readings.rs
@@ -1,5 +1,5 @@
-//! Readings of the control threads of a hollow gateway: what they cost, and what they know. Each thread takes them of
-//! itself, through an observer that runs within it.
+//! Readings of the control threads of a hollow gateway: their CPU time and their state. They are taken by an observer
+//! that runs on the thread itself.
 
 use super::minimums::{BudgetLevel, MinimumTracker, SecondMinimum};
 use crate::budget_sharing::BudgetSharing;
@@ -13,29 +13,29 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Seconds between two readings: short enough to find the minimum of a budget within a second, long enough to cost little
-/// beside the thread's own work.
+/// Interval between two readings, in seconds: short enough to find the minimum of a budget within a second, and long
+/// enough to cost little compared to the thread's own work.
 const READING_INTERVAL: f64 = 0.25;
 
-/// Completed seconds whose minimums are kept until they are read; the oldest go first.
+/// Maximum number of completed seconds whose minimums are kept until they are read. The oldest are dropped first.
 const MAX_MINIMUMS: usize = 16;
 
-/// A reading of the membership link's thread; times and counts are since its start.
+/// A reading of the membership link's thread. CPU times and counts are since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    /// When it was read, on [`clock`].
+    /// When the reading was taken, on [`clock`].
     pub at: f64,
-    /// Processor time of the control thread, in seconds.
+    /// CPU time of the membership link's thread, in seconds.
     pub membership_cpu: f64,
-    /// Processor time that other threads spent in its dispatcher, for endpoint lists and timers, in seconds.
+    /// CPU time that other threads spent in the dispatcher for endpoint lists and timers, in seconds.
     pub dispatcher_cpu: f64,
     /// Counters of the membership.
     pub counters: Counters,
-    /// The control thread, as the system names it: `PROCESS/task/THREAD`.
+    /// The path of the membership link's thread below `/proc`: `PROCESS/task/THREAD`.
     pub(super) thread: Option<PathBuf>,
-    /// Its estimate of the number of gateways.
+    /// The membership's estimate of the number of gateways.
     pub likely_gateways: f64,
-    /// The minimums of completed seconds, each given once.
+    /// The minimums of completed seconds, each of which is returned once.
     pub minimums: VecDeque<SecondMinimum>,
     /// The reading of the configuration follower's thread, if there is one.
     pub follower: Option<FollowerReading>,
@@ -44,22 +44,22 @@
 /// A reading of the configuration follower's thread.
 #[derive(Clone, Debug, Default)]
 pub struct FollowerReading {
-    /// When it was read, on [`clock`].
+    /// When the reading was taken, on [`clock`].
     pub at: f64,
-    /// Processor time of the thread since its start, in seconds.
+    /// CPU time of the thread since its start, in seconds.
     pub cpu_seconds: f64,
-    /// The number of the applied state.
+    /// The entry number of the applied state.
     pub number: u64,
     /// The digest of the applied state.
     pub digest: u64,
-    /// The thread, as the system names it: `PROCESS/task/THREAD`.
+    /// The path of the thread below `/proc`: `PROCESS/task/THREAD`.
     pub(super) thread: Option<PathBuf>,
 }
 
-/// Called for each event of the membership, in the link's thread.
+/// Called for each membership event, on the link's thread.
 pub type MembershipCallback = Box<dyn FnMut(MembershipEvent) + Send>;
 
-/// Takes readings in the thread of a membership link.
+/// Takes readings on the thread of a membership link.
 pub struct MembershipMonitor {
     on_membership_event: MembershipCallback,
     reading: Arc<Mutex<Reading>>,
@@ -67,12 +67,13 @@
     /// When the next reading is due, in seconds on the gateway's clock.
     next_reading: f64,
     minimums: MinimumTracker,
-    /// Processor time that the readings themselves took, in seconds.
+    /// CPU time spent on taking the readings, in seconds.
     monitor_cpu: f64,
 }
 
 impl MembershipMonitor {
-    /// A monitor that writes into `reading` until `killed` is set.
+    /// Creates a monitor that stores its readings in `reading`. Setting `killed` makes the thread end as if its process
+    /// had been killed.
     pub fn new(
         on_membership_event: MembershipCallback,
         reading: Arc<Mutex<Reading>>,
@@ -127,10 +128,10 @@
     }
 }
 
-/// Called with the number up to which the dispatcher applied all changes, in the follower's thread.
+/// Called on the follower's thread with the number of the entry up to which the dispatcher has applied all changes.
 pub type AppliedCallback = Box<dyn FnMut(u64) + Send>;
 
-/// Takes readings in the thread of a configuration follower.
+/// Takes readings on the thread of a configuration follower.
 pub struct FollowerMonitor {
     on_applied: AppliedCallback,
     reading: Arc<Mutex<FollowerReading>>,
@@ -140,7 +141,8 @@
 }
 
 impl FollowerMonitor {
-    /// A monitor that writes into `following` until `killed` is set.
+    /// Creates a monitor that stores its readings in `reading`. Setting `killed` makes the thread end as if its process
+    /// had been killed.
     pub fn new(
         on_applied: AppliedCallback,
         reading: Arc<Mutex<FollowerReading>>,
@@ -179,12 +181,12 @@
     }
 }
 
-/// Locks a reading; one whose writer panicked is still good to read.
+/// Locks a reading. Ignores poisoning, because a reading remains valid if its writer panicked.
 pub fn lock<T>(reading: &Mutex<T>) -> MutexGuard<'_, T> {
     reading.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Processor time of another thread in seconds, by `/proc/PROCESS/task/THREAD/schedstat`.
+/// Returns the CPU time of another thread in seconds, from `/proc/PROCESS/task/THREAD/schedstat`.
 pub fn cpu_seconds_of(thread: &Path) -> Option<f64> {
     let text = std::fs::read_to_string(Path::new("/proc").join(thread).join("schedstat")).ok()?;
     text.split_whitespace().next()?.parse::<f64>().ok().map(|ns| ns / 1e9)
--- a/crates/gateway/src/http_service.rs
+++ b/crates/gateway/src/http_service.rs
@@ -1,5 +1,5 @@
-//! The HTTP service: one request on its core, from its head to its response. The steps are to find the function, check
-//! the header fields, read the body, submit the request to the dispatcher and wait for the response.
+//! The HTTP service, which handles one request on its core from its head to its response: it finds the function, checks
+//! the header fields, reads the body, submits the request to the dispatcher and waits for the response.
 
 use crate::core_context::CoreContext;
 use crate::core_message::RequestLocation;
@@ -23,8 +23,8 @@
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
 
-/// Handles one request. The connection ends behind the response where the gateway shuts down, or where this core is
-/// overloaded and was asked to close some.
+/// Handles one request. The connection is closed after the response if the gateway is shutting down, or if this core is
+/// overloaded and has been asked to close some connections.
 pub async fn handle_request(
     context: Rc<CoreContext>,
     channel: Arc<ResponseChannel>,
@@ -33,7 +33,7 @@
     context.slot().requests.fetch_add(1, Ordering::Relaxed);
     let rate = channel.record_request(context.now());
     if !channel.claim.expect_response() {
-        // Another core has closed this connection; its response states that the request was not run.
+        // Another core has closed this connection. Its response states that the request has not run.
         return rejected("bounced", "This connection is closed", None);
     }
     let mut guard = ResponseGuard::new(context.clone(), channel);
@@ -77,14 +77,14 @@
     let response = tokio::select! {
         biased;
         response = response => response,
-        // hyper watches for the client's end only while it has no bytes of a further request.
+        // hyper detects that the client has disconnected only while no bytes of a further request are buffered.
         () = guard.channel.wait_for_disconnect() => return Ok(guard.cancel()),
     };
     drop(reservations);
     Ok(final_response(context, request, response))
 }
 
-/// What a request asks for, by its method and path.
+/// Determines what a request addresses from its method and path.
 fn route<'a>(method: &Method, path: &'a str) -> Result<invoke::Route<'a>, RequestError> {
     invoke::route(method, path).map_err(|unknown| match unknown {
         invoke::RouteError::UnknownPath => RequestError::UnknownPath,
@@ -93,7 +93,7 @@
     })
 }
 
-/// Whether this gateway is ready for requests.
+/// The response to a readiness check.
 fn readiness(context: &CoreContext, is_stopping: bool) -> Response<ResponseBody> {
     if is_stopping {
         return health_response(false, "stopping\n");
@@ -104,7 +104,7 @@
     health_response(true, "ready\n")
 }
 
-/// Removes the header fields that are not passed on. The idempotency key stays, whatever `Connection` names.
+/// Removes the header fields that are not forwarded. The idempotency key is kept even if `Connection` lists it.
 fn remove_headers(headers: &mut HeaderMap) {
     let key = headers.remove(&invoke::IDEMPOTENCY_KEY);
     remove_hop_by_hop_headers(headers);
@@ -113,7 +113,7 @@
     }
 }
 
-/// Submits a request to the dispatcher; `None` where too many are open.
+/// Submits a request to the dispatcher; `None` if too many are open.
 fn submit(
     context: &Rc<CoreContext>,
     function: &str,
@@ -127,12 +127,12 @@
     context.with_dispatcher(|dispatcher, now| {
         let timeout = timeout - (now - arrived_at);
         let request = IncomingRequest { function, profile, client, timeout, is_retry, resources: None };
-        // Set before the messages that follow are handled: they look it up.
+        // Must be set before the resulting messages are handled, because they look it up.
         dispatcher.submit(now, request, location).inspect(|id| channel.set_current_request(*id))
     })
 }
 
-/// The response that the client gets.
+/// Builds the response that is sent to the client.
 fn final_response(
     context: &CoreContext,
     request: RequestId,
@@ -149,7 +149,7 @@
             let detail = "The worker's answer is larger than this gateway passes on; the call has run.";
             failed(StatusCode::BAD_GATEWAY, "answer-too-large", "The answer is too large", detail)
         }
-        // Another core has responded; this is not written any more.
+        // Another core has responded, so this response is never written.
         Err(_) => local_response(LocalResponse::Failed { timed_out: false }),
     };
     let id = format!("{:08x}-{:x}", context.shared_runtime.instance_id, request.serial);
--- a/crates/gateway/src/io_fault.rs
+++ b/crates/gateway/src/io_fault.rs
@@ -1,5 +1,5 @@
-//! Classifies errors of `accept` and `connect`, and sets the pauses between retries. An error that this machine caused
-//! counts against no worker.
+//! Classifies errors of `accept` and `connect`, and computes the pauses between retries. Errors caused by this machine
+//! are not attributed to a worker.
 
 use nix::errno::Errno;
 use std::io;
@@ -8,10 +8,10 @@
 /// Why a connection could not be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFault {
-    /// This one connection failed, or the call was interrupted; the next may succeed. Linux passes on network errors
-    /// that are pending on a new connection (accept(2), "Error handling").
+    /// Only this connection failed, or the system call was interrupted; the next accept may succeed. Linux passes on
+    /// network errors that are pending on a new connection (accept(2), "Error handling").
     Connection,
-    /// This machine or process lacks something.
+    /// This machine or process lacks resources.
     Resources,
 }
 
@@ -42,9 +42,9 @@
 /// Why a connection to a worker could not be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFault {
-    /// This machine or process lacks something; the worker had no part in it.
+    /// A fault of this machine or process that does not involve the worker, such as a lack of resources.
     Local,
-    /// The worker or the network refused it.
+    /// The worker or the network refused the connection.
     Worker,
 }
 
@@ -77,7 +77,7 @@
     error.raw_os_error().map(Errno::from_raw)
 }
 
-/// Growing pauses between attempts that fail in a row.
+/// Exponentially growing pauses between consecutive failures.
 #[derive(Debug, Default)]
 pub struct Backoff {
     failures: u32,
@@ -86,21 +86,22 @@
 impl Backoff {
     const MIN_PAUSE: Duration = Duration::from_millis(5);
     const MAX_PAUSE: Duration = Duration::from_millis(100);
-    /// Failed connections in a row that are accepted without a pause: each leaves one fewer in the queue.
+    /// Number of consecutive failed connections after which `accept` is retried without a pause; each of them removes
+    /// one connection from the accept queue.
     const IMMEDIATE_RETRIES: u32 = 64;
 
-    /// How long to wait before the next attempt to accept.
+    /// Returns how long to wait before the next `accept`.
     pub fn after_accept(&mut self, fault: AcceptFault) -> Duration {
         if fault == AcceptFault::Connection && self.failures < Self::IMMEDIATE_RETRIES {
             self.failures += 1;
             return Duration::ZERO;
         }
-        // Attempts that had no pause do not lengthen the first one.
+        // Retries without a pause do not lengthen the first pause.
         self.failures = self.failures.max(Self::IMMEDIATE_RETRIES);
         self.next_pause(Self::IMMEDIATE_RETRIES)
     }
 
-    /// How long to wait before the next attempt to connect.
+    /// Returns how long to wait before the next `connect`.
     pub fn after_connect(&mut self) -> Duration {
         self.next_pause(0)
     }
@@ -111,17 +112,17 @@
         Self::MIN_PAUSE.saturating_mul(1 << doublings).min(Self::MAX_PAUSE)
     }
 
-    /// An attempt succeeded: pauses begin with the shortest again.
+    /// Resets the pauses to the shortest one after a success.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 }
 
-/// Attempts to connect, and again after errors that this machine caused, with pauses of `max_wait` in all.
+/// Connects, and retries after errors caused by this machine. The pauses between retries add up to at most `max_wait`.
 ///
 /// # Errors
 ///
-/// That of the last attempt.
+/// Returns the error of the last attempt.
 pub async fn connect<T>(
     max_wait: Duration,
     mut attempt: impl AsyncFnMut() -> io::Result<T>,
--- a/crates/gateway/src/io_fault/tests.rs
+++ b/crates/gateway/src/io_fault/tests.rs
@@ -55,16 +55,16 @@
     assert_eq!(ConnectFault::of(&error(errno)), fault);
 }
 
-/// An error that no system call returned proves nothing about this machine.
+/// An error that was not returned by a system call says nothing about this machine.
 #[test]
 fn errors_without_an_errno_are_classified() {
     let error = io::Error::other("the handshake failed");
     assert_eq!((AcceptFault::of(&error), ConnectFault::of(&error)), (Resources, Worker));
 }
 
-/// Whatever fails and for however long, there is a pause before long, and none is longer than the bound.
-#[test_case(Connection, 64; "connections that are gone")]
-#[test_case(Resources, 0; "no resources")]
+/// However long failures persist, pauses start after a bounded number of retries and never exceed the maximum.
+#[test_case(Connection, 64; "failed connections")]
+#[test_case(Resources, 0; "lack of resources")]
 fn pauses_grow_up_to_a_bound(fault: AcceptFault, immediate_retries: usize) {
     let mut backoff = Backoff::default();
     let pauses: Vec<_> = (0..100_000).map(|_| backoff.after_accept(fault)).collect();
@@ -75,7 +75,7 @@
     assert_eq!(backoff.after_accept(Resources), Backoff::MIN_PAUSE);
 }
 
-/// Makes attempts of which the first ones fail so; the outcome, and the attempts that were made.
+/// Connects with the given number of initial failures. Returns the result and the number of attempts.
 fn connect_with_failures(
     errno: Errno,
     failures: usize,
@@ -90,10 +90,10 @@
     (result.map_err(|e| e.raw_os_error()), attempts)
 }
 
-#[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a local fault that passes")]
-#[test_case(EADDRNOTAVAIL, usize::MAX, 40, Err(EADDRNOTAVAIL), 4; "one that does not: 5, 10 and 20 ms, then no more")]
+#[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a temporary local fault")]
+#[test_case(EADDRNOTAVAIL, usize::MAX, 40, Err(EADDRNOTAVAIL), 4; "a permanent local fault: retried after 5, 10 and 20 ms")]
 #[test_case(ENETUNREACH, usize::MAX, 1, Err(ENETUNREACH), 1; "no time for a pause")]
-#[test_case(ECONNREFUSED, 1, 40, Err(ECONNREFUSED), 1; "a worker that refuses is not tried again")]
+#[test_case(ECONNREFUSED, 1, 40, Err(ECONNREFUSED), 1; "refused by the worker, not retried")]
 fn connecting_is_retried_for_a_bounded_time(
     errno: Errno,
     failures: usize,
--- a/crates/gateway/src/key_file.rs
+++ b/crates/gateway/src/key_file.rs
@@ -1,12 +1,12 @@
-//! Reads the files of the keys that seal datagrams: one key among gateways, and one among control machines, gateways and
-//! authors of configuration changes.
+//! Reads the files with the keys for sealing datagrams: one key shared by the gateways, and one shared by control
+//! machines, gateways and authors of configuration changes.
 
 use milletpath_config_log::message as config_log;
 use milletpath_membership::datagram;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Bytes below which a secret can be guessed.
+/// Minimum length of a secret; a shorter one could be guessed.
 const MIN_SECRET_BYTES: usize = 32;
 
 /// Why a key file can't be used.
@@ -15,27 +15,27 @@
     /// The file is missing or not readable by this process.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file as the configuration names it.
+        /// The path stated in the configuration.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The secret in the file could be guessed.
+    /// The secret in the file is too short and could be guessed.
     #[error("{} has {bytes} bytes; a key has {MIN_SECRET_BYTES} or more", path.display())]
     TooShort {
-        /// The file as the configuration names it.
+        /// The path stated in the configuration.
         path: PathBuf,
-        /// The length of the secret, without white space around it.
+        /// The length of the secret without surrounding whitespace.
         bytes: usize,
     },
 }
 
-/// Reads the key with which gateways seal their datagrams to each other.
+/// Reads the key with which gateways seal datagrams to each other.
 pub fn read_fleet_key(path: &Path) -> Result<datagram::Key, KeyFileError> {
     read_secret(path).map(|secret| datagram::Key::new(&secret))
 }
 
-/// Reads the key with which control machines, gateways and authors of changes seal their datagrams.
+/// Reads the key with which control machines, gateways and authors of configuration changes seal their datagrams.
 pub fn read_control_key(path: &Path) -> Result<config_log::Key, KeyFileError> {
     read_secret(path).map(|secret| config_log::Key::new(&secret))
 }
--- a/crates/gateway/src/key_file/tests.rs
+++ b/crates/gateway/src/key_file/tests.rs
@@ -1,4 +1,4 @@
-//! Key files that can be used, and the errors of others.
+//! Valid key files, and the errors reported for invalid ones.
 
 use super::*;
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,11 +1,12 @@
-//! The gateway: HTTP sockets, threads and timers around the dispatcher of `milletpath-dispatcher`, which decides which
-//! worker gets a request. `server.rs` accepts client connections and hands them to the cores, which share one dispatcher
-//! behind a lock (`shared_runtime.rs`); `supervisor.rs` runs its timers and watches the cores.
+//! The gateway: HTTP sockets, threads and timers around the dispatcher of `milletpath-dispatcher`, which chooses the
+//! worker for each request. `server.rs` accepts client connections and assigns them to cores, which share one
+//! dispatcher behind a lock (`shared_runtime.rs`). `supervisor.rs` runs the dispatcher's timers and monitors the cores.
 //!
-//! A request passes these files in order: `server.rs` (accept), `core_thread.rs` and `message_handler.rs` (on its core),
-//! `client_connection.rs` (HTTP/1.1), `http_service.rs` with `request_reader.rs` (head and body), `shared_runtime.rs`
-//! with `action_router.rs` (dispatch), `attempt.rs` with `worker_exchange.rs` and `connection_pool.rs` (worker), and
-//! back through `open_requests.rs`, `http_service.rs` and `response_channel.rs` (response).
+//! A request passes through these files in order: `server.rs` (accept), `core_thread.rs` and `message_handler.rs` (its
+//! core), `client_connection.rs` (HTTP/1.1), `http_service.rs` with `request_reader.rs` (head and body),
+//! `shared_runtime.rs` with `action_router.rs` (dispatch), `attempt.rs` with `worker_exchange.rs` and
+//! `connection_pool.rs` (worker), and back through `open_requests.rs`, `http_service.rs` and `response_channel.rs`
+//! (response).
 
 pub mod budget_sharing;
 pub mod control_client;
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -1,6 +1,6 @@
-//! The link to the other gateways: a thread with one UDP socket around the core of `milletpath-membership`. It gives the
-//! dispatcher this gateway's fraction of shared quotas, and no request ever waits for it. Each fraction has an expiry,
-//! which the dispatcher checks itself, so that a link that stops takes its fraction with it.
+//! The link to the other gateways: runs the membership protocol of `milletpath-membership` on a thread with one UDP
+//! socket. It provides the dispatcher with this gateway's fraction of shared quotas, and no request ever waits for it.
+//! Each fraction has an expiry, which the dispatcher checks itself, so that the fraction lapses if the link stops.
 
 mod event_log;
 mod status;
@@ -23,14 +23,14 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A fault that tests put into the program, to see that the checks of a run find it.
+/// A fault that tests inject to verify that the checks of a run detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// The quota fraction is computed from the likely number of gateways instead of the safe bound, and never expires.
+    /// Computes the quota fraction from the likely number of gateways instead of the safe bound, without an expiry.
     LikelyCount,
 }
 
-/// An open socket with its key, before its thread reads it.
+/// The socket and key of a membership link whose thread has not been started yet.
 pub struct MembershipLink {
     socket: UdpSocket,
     key: Key,
@@ -38,11 +38,11 @@
 }
 
 impl MembershipLink {
-    /// Opens the socket that the configuration states, and reads the fleet's key.
+    /// Opens the configured socket and reads the fleet's key.
     ///
     /// # Errors
     ///
-    /// The key file can't be used, or the address can't be listened on.
+    /// Fails if the key file can't be used or the address can't be bound.
     pub fn open(
         settings: &MembershipSettings,
         injected_fault: Option<InjectedFault>,
@@ -52,21 +52,21 @@
         Ok(Self { socket, key, injected_fault })
     }
 
-    /// The address on which datagrams are received.
+    /// Returns the address on which datagrams are received.
     ///
     /// # Errors
     ///
-    /// The error of the operating system where it does not know the socket's address.
+    /// Returns the error of the operating system if the socket's address is not available.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 }
 
-/// Observes a link from within its thread.
+/// Observes a link on its own thread.
 pub(crate) trait MembershipObserver: Send {
-    /// Receives an event of the membership, which is then not logged.
+    /// Receives a membership event. With an observer, events are not logged.
     fn event(&mut self, event: MembershipEvent);
-    /// Called after each turn of the thread; `now` is in seconds on the gateway's clock.
+    /// Called after each iteration of the thread's loop. `now` is in seconds on the gateway's clock.
     fn after_turn(
         &mut self,
         now: f64,
@@ -74,15 +74,16 @@
         sharing: &mut BudgetSharing,
         quota: &QuotaFraction,
     );
-    /// Whether the link is to end as if its process had been killed, without announcing its departure.
+    /// Whether the link must end as if its process had been killed, without announcing its departure.
     fn is_killed(&self) -> bool;
 }
 
-/// Starts the thread of a link. It ends once `shared_runtime` is stopping; the caller joins it.
+/// Starts the thread of a link. The thread ends once `shared_runtime` is stopping; the caller joins it.
 ///
 /// # Errors
 ///
-/// The configuration has no section `peers`, or the system gives no address or thread.
+/// Fails if the configuration has no section `peers`, the socket's address is not available, or the thread can't be
+/// started.
 pub fn start(
     shared_runtime: Arc<SharedRuntime>,
     link: MembershipLink,
@@ -90,7 +91,7 @@
     start_observed(shared_runtime, link, None)
 }
 
-/// As [`start`], with an observer.
+/// Like [`start`], with an observer.
 pub(crate) fn start_observed(
     shared_runtime: Arc<SharedRuntime>,
     link: MembershipLink,
@@ -121,18 +122,19 @@
         link,
         published: None,
         budgets_updated_at: f64::NEG_INFINITY,
-        queries_answered: 0,
+        queries_received: 0,
         second_began: 0.0,
         observer,
     };
-    // Before the first request is accepted: quota on which a former process of this name may have granted leases must not be used.
+    // Published before the first request is accepted, because quota on which an earlier process of this name may have
+    // granted leases must not be used.
     thread.publish_quota();
     control_thread::spawn(thread, shared_runtime)
 }
 
 fn identity(config: &GatewayConfig, settings: &MembershipSettings, address: SocketAddr) -> Identity {
-    // Random in each process, also where the configuration fixes the seed of the decisions: two processes under one name
-    // must differ.
+    // Random for each process even if the configuration sets the seed of the decisions, because two processes with the
+    // same name must differ.
     let instance_id = RandomState::new().hash_one(std::process::id()).max(1);
     Identity {
         instance_id,
@@ -144,7 +146,7 @@
 }
 
 fn membership_config(config: &GatewayConfig, settings: &MembershipSettings) -> MembershipConfig {
-    // Quotas are counted by the second, load requests within their window.
+    // Quotas are counted per second, load requests per window.
     let window = config.policy.load_budget.map_or(1.0, |budget| budget.window.max(1.0));
     MembershipConfig {
         period: settings.period,
@@ -154,17 +156,18 @@
     }
 }
 
-/// A quota fraction as the dispatcher was given it last.
+/// The quota fraction last published to the dispatcher.
 struct PublishedQuota {
-    /// When, in seconds on the gateway's clock.
+    /// When it was published, in seconds on the gateway's clock.
     at: f64,
     quota: DispatcherQuota,
 }
 
 impl PublishedQuota {
-    /// Whether `current` is to be published: it differs, or its validity was extended a while ago.
+    /// Whether `current` must be published: its fractions differ, its validity was shortened, or its validity was
+    /// extended and the last publication is not recent.
     fn is_outdated(&self, now: f64, current: &DispatcherQuota) -> bool {
-        /// Seconds after which a longer validity alone is published.
+        /// Seconds since the last publication after which a mere extension of the validity is published.
         const REPUBLISH_SECONDS: f64 = 0.2;
         let same_fractions =
             (self.quota.likely_gateways, self.quota.fraction, self.quota.fraction_after_expiry)
@@ -181,13 +184,13 @@
     sharing: BudgetSharing,
     shared_runtime: Arc<SharedRuntime>,
     link: MembershipLink,
-    /// The quota fraction that the dispatcher was given last.
+    /// The quota fraction last published to the dispatcher.
     published: Option<PublishedQuota>,
-    /// When shared budgets were last updated, in seconds on the gateway's clock.
+    /// When the shared budgets were last updated, in seconds on the gateway's clock.
     budgets_updated_at: f64,
-    /// Status queries answered since `second_began`.
-    queries_answered: u32,
-    /// In seconds on the gateway's clock.
+    /// Number of status queries received since `second_began`.
+    queries_received: u32,
+    /// Start of the period for limiting status queries, in seconds on the gateway's clock.
     second_began: f64,
     observer: Option<Box<dyn MembershipObserver>>,
 }
@@ -230,7 +233,7 @@
 
     fn act(&mut self, now: f64) {
         if now >= self.second_began + 1.0 {
-            (self.second_began, self.queries_answered) = (now, 0);
+            (self.second_began, self.queries_received) = (now, 0);
         }
         let quota = self.publish_quota();
         self.send_outgoing();
@@ -252,12 +255,13 @@
 }
 
 impl LinkThread {
-    /// Sends the membership's status to an operator, in as many datagrams as it takes.
+    /// Answers an operator's query with the membership's status, in as many datagrams as needed.
     fn answer_query(&mut self, query: &Datagram, from: SocketAddr) {
-        /// Bounds what an attacker gains by replaying an old query: each is answered with many datagrams.
+        /// Limits the amplification that an attacker gains by replaying an old query, as each is answered with many
+        /// datagrams.
         const MAX_QUERIES_PER_SECOND: u32 = 10;
-        self.queries_answered += 1;
-        if self.queries_answered > MAX_QUERIES_PER_SECOND {
+        self.queries_received += 1;
+        if self.queries_received > MAX_QUERIES_PER_SECOND {
             return;
         }
         let now = self.shared_runtime.now();
@@ -270,13 +274,13 @@
             reply.page =
                 Some(Page { index: index as u16, total: chunks.len() as u16, bytes: chunk.to_vec() });
             if let Ok(sealed) = datagram::seal(&self.link.key, &reply) {
-                // A lost page makes the operator ask again.
+                // If a page is lost, the operator's client queries again.
                 let _ = self.link.socket.send_to(&sealed, from);
             }
         }
     }
 
-    /// Sends all datagrams that the membership and shared budgets have ready.
+    /// Sends all outgoing datagrams of the membership and the shared budgets.
     fn send_outgoing(&mut self) {
         while let Some(message) = self.sharing.next_message() {
             self.membership.send_payload(message.recipient, message.bytes);
@@ -289,13 +293,13 @@
                     counters.sent += 1;
                     counters.bytes += bytes as u64;
                 }
-                // As if it were lost on its way: the core repeats what matters.
+                // Equivalent to a lost datagram; the protocol resends what is needed.
                 Ok(Err(_)) | Err(_) => counters.unsent += 1,
             }
         }
     }
 
-    /// Gives the dispatcher this gateway's quota fraction where it changed, or before the fraction given last expires.
+    /// Publishes this gateway's quota fraction to the dispatcher if it has changed or its validity was extended.
     fn publish_quota(&mut self) -> QuotaFraction {
         let now = self.shared_runtime.now();
         let quota = self.membership.quota_fraction(now);
@@ -309,7 +313,7 @@
         quota
     }
 
-    /// The quota as the dispatcher takes it, with the injected fault where a test asked for it.
+    /// Converts the quota fraction for the dispatcher, with the injected fault if there is one.
     fn dispatcher_quota(&self, quota: &QuotaFraction) -> DispatcherQuota {
         let likely_gateways = quota.likely_gateways;
         match self.link.injected_fault {
@@ -331,9 +335,10 @@
         }
     }
 
-    /// Passes messages of other gateways to the shared budgets and does what is due there, under the dispatcher's lock.
+    /// Passes messages of other gateways to the shared budgets and performs their due work, under the dispatcher's
+    /// lock.
     fn update_budgets(&mut self, quota: QuotaFraction) {
-        /// Seconds between two samples of usage: a budget that runs short is noticed within this time.
+        /// Interval between two samples of usage, in seconds. A budget that runs short is detected within this time.
         const UPDATE_SECONDS: f64 = 0.04;
         let others = self.membership.fresh_instances();
         let payloads: Vec<_> = std::iter::from_fn(|| self.membership.next_payload()).collect();
--- a/crates/gateway/src/membership_link/event_log.rs
+++ b/crates/gateway/src/membership_link/event_log.rs
@@ -1,8 +1,8 @@
-//! Log lines for the events of the membership: gateways that join, leave, die or are configured wrongly.
+//! Logs membership events: gateways that join, leave, die or are misconfigured.
 
 use milletpath_membership::MembershipEvent;
 
-/// Logs one event; `max_gateways_here` is the number of gateways that this one's configuration states.
+/// Logs one event. `max_gateways_here` is the number of gateways in this gateway's configuration.
 pub fn log_event(event: &MembershipEvent, max_gateways_here: usize) {
     match event {
         MembershipEvent::Joined { name, address } => tracing::info!(name, %address, "a gateway joined"),
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -1,5 +1,5 @@
-//! The status of a membership link as operators ask for it: its content, and the query that fetches it from a running
-//! gateway in pages.
+//! The status of a membership link for operators: its content, and the query that fetches it from a running gateway in
+//! pages.
 
 use crate::key_file::{KeyFileError, read_fleet_key};
 use crate::status_pages::PageCollector;
@@ -12,44 +12,44 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Times that a gateway is asked.
+/// Number of times that the query is sent.
 const MAX_ATTEMPTS: u64 = 4;
 
-/// The time in which all pages of an answer must come.
+/// Time within which all pages of an answer must arrive.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The status of one gateway's membership and shared budgets, as `milletpath peers` shows it. Operators read its JSON: the
-/// names of its fields stay.
+/// The status of one gateway's membership and shared budgets, as shown by `milletpath peers`. Operators read its JSON,
+/// so the names of its fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembershipStatus {
-    /// The other gateways as this one knows them.
+    /// The other gateways as known to this one.
     #[serde(flatten)]
     pub view: MembershipView,
-    /// Budgets that it shares with the others; those with the highest demand or the largest leases come first.
+    /// The budgets shared with the other gateways; those with the highest demand or the largest leases come first.
     pub budgets: Vec<BudgetView>,
-    /// Messages on budgets, requests and grants since the process began.
+    /// Counts of budget messages, lease requests and grants since the process started.
     pub sharing: Counters,
 }
 
-/// Why the status of a gateway's membership is not known.
+/// Why the status of a gateway's membership can't be obtained.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipQueryError {
     /// The configuration has no section `peers`.
     #[error("the configuration has no section peers")]
     NotConfigured,
-    /// The key of the fleet can't be used.
+    /// The fleet's key can't be used.
     #[error(transparent)]
     Key(#[from] KeyFileError),
-    /// The configured port is chosen by the system, so nobody can tell where the gateway listens.
+    /// The configured port is 0, so the system chooses it and the gateway's address is not known.
     #[error("listen of peers has port 0: nobody can tell where the gateway is; give it a port")]
     PortNotFixed,
-    /// A socket of this process failed.
+    /// An operation on the query's socket failed.
     #[error("the query can't be sent: {0}")]
     Socket(#[from] io::Error),
     /// The query can't be sealed.
     #[error("the query can't be sealed: {0}")]
     Seal(#[from] datagram::SealError),
-    /// The gateway answered something else than a status, as one of another version does.
+    /// The answer is not a status of the expected format, for example because the gateway runs another version.
     #[error("the answer can't be read: {0}; is the gateway of this version?")]
     Unreadable(#[from] serde_json::Error),
     /// The gateway did not answer in time.
@@ -57,11 +57,12 @@
     Unanswered(SocketAddr),
 }
 
-/// Asks the running gateway of a configuration for its status, in 4 attempts of a second each.
+/// Queries the status of the running gateway that uses this configuration, in 4 attempts of one second each.
 ///
 /// # Errors
 ///
-/// The configuration lacks what is needed to reach the gateway, the system fails, or no complete answer comes.
+/// Fails if the configuration lacks what is needed to reach the gateway, on system errors, or if no complete answer
+/// arrives.
 pub fn query_membership(config: &GatewayConfig) -> Result<MembershipStatus, MembershipQueryError> {
     let settings = config.membership.as_ref().ok_or(MembershipQueryError::NotConfigured)?;
     let key = read_fleet_key(&settings.key_file)?;
@@ -81,7 +82,7 @@
     Err(MembershipQueryError::Unanswered(target))
 }
 
-/// Where a gateway with that `listen` address is reached from its own machine.
+/// Returns the address at which a gateway with this `listen` address is reached from its own machine.
 fn query_target(listen: SocketAddr) -> Result<SocketAddr, MembershipQueryError> {
     if listen.port() == 0 {
         return Err(MembershipQueryError::PortNotFixed);
@@ -93,19 +94,19 @@
     Ok(target)
 }
 
-/// The sender of a query, which is no gateway.
+/// The identity of a query's sender, which is not a gateway.
 fn operator_identity(address: SocketAddr) -> Identity {
     Identity { instance_id: 0, name: "operator".into(), address, incarnation: 0, max_gateways: 0 }
 }
 
-/// Receives the pages of one answer; none where they were not complete within [`ATTEMPT_TIMEOUT`].
+/// Receives the pages of one answer. Returns `None` if they are not complete within [`ATTEMPT_TIMEOUT`].
 fn receive_status(socket: &UdpSocket, key: &Key, request_id: u64) -> io::Result<Option<Vec<u8>>> {
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     let mut pages = PageCollector::default();
     let end = Instant::now() + ATTEMPT_TIMEOUT;
     while let Some(left) = end.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
         socket.set_read_timeout(Some(left))?;
-        // Time is over, or a datagram reached nobody: the query is sent again.
+        // The receive timed out, or a datagram was not delivered; the query is sent again.
         let Ok((size, _)) = socket.recv_from(&mut buffer) else { return Ok(None) };
         let Ok(reply) = datagram::open(key, &buffer[..size]) else { continue };
         if reply.kind != kind::STATUS_REPLY || reply.request_id != request_id {
--- a/crates/gateway/src/message_handler.rs
+++ b/crates/gateway/src/message_handler.rs
@@ -1,4 +1,4 @@
-//! Carries out the messages of one core: each goes to the module that does the work.
+//! Handles the messages to one core by passing each to the responsible module.
 
 use crate::attempt::{self, AttemptRequest};
 use crate::core_context::CoreContext;
--- a/crates/gateway/src/open_requests.rs
+++ b/crates/gateway/src/open_requests.rs
@@ -1,5 +1,6 @@
-//! The requests that one core has open: for each its client's connection, what its attempts send, and who waits for its
-//! response. A slot is used again, so each access checks that the slot still holds the request that is meant.
+//! The table of a core's open requests. For each request it holds the client's connection, the data sent by its
+//! attempts, and the channel to the task that waits for its response. Slots are reused, so each access checks that the
+//! slot still holds the expected request.
 
 use crate::response::FinalResponse;
 use crate::response_channel::ResponseChannel;
@@ -16,13 +17,13 @@
 pub struct OpenRequest {
     response: Option<oneshot::Sender<FinalResponse>>,
     channel: Arc<ResponseChannel>,
-    /// The client's header fields that are passed on.
+    /// The client's header fields that are forwarded.
     pub headers: HeaderMap,
-    /// The client's body.
+    /// The client's request body.
     pub body: Bytes,
-    /// The tasks of its attempts, by number.
+    /// The tasks of its attempts, indexed by attempt number.
     pub attempts: Vec<AbortHandle>,
-    /// Whether attempts in flight are aborted once the request is over.
+    /// Whether attempts in flight are aborted when the request ends.
     cancels_attempts: bool,
 }
 
@@ -34,17 +35,17 @@
     }
 }
 
-/// The table of a core's open requests; the dispatcher bounds their number.
+/// The table of a core's open requests. Its size is bounded by the dispatcher's limit on open requests.
 #[derive(Default)]
 pub struct OpenRequests {
     slots: RefCell<Slab<OpenRequest>>,
 }
 
-/// A request's slot, and where its response will arrive.
+/// The slot of a new request, and the receiver of its response.
 pub struct NewRequest {
-    /// Position in the table.
+    /// Index in the table.
     pub request_slot: usize,
-    /// Receives the response; closed where another core has responded.
+    /// Receives the response; closed if another core has responded.
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
@@ -71,13 +72,14 @@
 
     /// Removes a request.
     pub fn remove(&self, request_slot: usize) {
-        // Borrowed only where a panic unwinds through the borrower; then the whole table is about to be dropped.
+        // Already borrowed only if a panic is unwinding through the borrower; the whole table is then about to be
+        // dropped.
         let removed = self.slots.try_borrow_mut().ok().and_then(|mut slots| slots.try_remove(request_slot));
-        // Dropped without the borrow: dropping it aborts tasks.
+        // Dropped after the borrow has ended, because dropping it aborts tasks.
         drop(removed);
     }
 
-    /// Calls `operation` with a request, unless it is over.
+    /// Calls `operation` with a request, unless it has ended.
     pub fn with<R>(
         &self,
         request: RequestId,
@@ -89,22 +91,22 @@
         open_request.channel.is_current_request(request).then(|| operation(open_request))
     }
 
-    /// The connection of a request's client, unless the request is over.
+    /// Returns the connection of a request's client, unless the request has ended.
     pub fn channel(&self, request: RequestId, request_slot: usize) -> Option<Arc<ResponseChannel>> {
         self.with(request, request_slot, |open_request| open_request.channel.clone())
     }
 
-    /// Hands the response to the task that waits for it; a slot that has gone to another client is left alone.
+    /// Sends the response to the task that waits for it. Does nothing if the slot has been reused for another client.
     pub fn respond(&self, request_slot: usize, channel: &Arc<ResponseChannel>, response: FinalResponse) {
         let mut slots = self.slots.borrow_mut();
         let open_request = slots.get_mut(request_slot).filter(|open| Arc::ptr_eq(&open.channel, channel));
         if let Some(sender) = open_request.and_then(|open_request| open_request.response.take()) {
-            // A client that disconnected at this moment has nobody left to take it.
+            // Fails if the client has just disconnected and nothing waits for the response any more.
             let _ = sender.send(response);
         }
     }
 
-    /// Closes the response channels of requests that another core has answered.
+    /// Closes the response channels of requests for which another core has responded.
     pub fn drop_answered(&self) {
         for (_, open_request) in self.slots.borrow_mut().iter_mut() {
             if open_request.channel.claim.is_taken_over() {
--- a/crates/gateway/src/request_error.rs
+++ b/crates/gateway/src/request_error.rs
@@ -1,23 +1,23 @@
-//! Why a request gets a response without reaching a worker, and that response.
+//! The reasons for which a request is answered without being dispatched, and the corresponding responses.
 
 use crate::response::{ResponseBody, client_error, rejected};
 use http::header::{self, HeaderValue};
 use http::{Response, StatusCode};
 use milletpath_protocol::InputError;
 
-/// A request that is not dispatched.
+/// Why a request is not dispatched.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// Nothing is served at this path.
     #[error("unknown path")]
     UnknownPath,
-    /// The path is served with another method.
+    /// The path is served only with another method.
     #[error("wrong method, {allowed} is allowed")]
     WrongMethod {
         /// The method that is served.
         allowed: &'static str,
     },
-    /// The path holds no valid function name.
+    /// The path does not contain a valid function name.
     #[error("invalid function name")]
     InvalidName,
     /// The gateway is shutting down.
@@ -29,7 +29,7 @@
     /// The body is larger than allowed.
     #[error("the body is larger than {limit} bytes")]
     BodyTooLarge {
-        /// Bytes that a body may have.
+        /// Maximum size of a body in bytes.
         limit: usize,
     },
     /// The body can't be read.
@@ -41,19 +41,19 @@
     /// The limit on buffered bytes is reached.
     #[error("too many bytes are buffered")]
     BuffersFull {
-        /// Seconds after which to try again.
+        /// Seconds after which the client may retry.
         retry_after: Option<f64>,
     },
     /// The limit on open requests is reached.
     #[error("too many requests are open")]
     TooManyRequests {
-        /// Seconds after which to try again.
+        /// Seconds after which the client may retry.
         retry_after: Option<f64>,
     },
 }
 
 impl RequestError {
-    /// The response for the client. Its texts are part of the protocol.
+    /// Builds the response for the client. Its texts are part of the protocol.
     pub fn into_response(self) -> Response<ResponseBody> {
         match self {
             Self::UnknownPath => {
--- a/crates/gateway/src/request_reader.rs
+++ b/crates/gateway/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a request: checks the header fields against the configuration and reads the body within its limits.
+//! Reads a request: checks the header fields against the configuration, and reads the body within its limits.
 
 use crate::body_buffer::BodyBuffer;
 use crate::core_context::CoreContext;
@@ -13,20 +13,20 @@
 use milletpath_protocol::{InputError, invoke};
 use std::time::Duration;
 
-/// What the header fields of a request state for the dispatcher.
+/// The parameters for the dispatcher from the header fields of a request.
 pub struct RequestParameters {
     /// Index of the profile in the configuration.
     pub profile: usize,
-    /// Index of the client in the configuration; `usize::MAX` for one that is not listed.
+    /// Index of the client in the configuration; `usize::MAX` if it is not listed.
     pub client: usize,
-    /// Seconds from arrival until the request times out.
+    /// Seconds from the request's arrival until it times out.
     pub timeout: f64,
-    /// Whether the client marks the request as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
 impl RequestParameters {
-    /// Checks the header fields of a request for a function.
+    /// Parses and checks the header fields of a request for a function.
     pub fn parse(context: &CoreContext, function: &str, headers: &HeaderMap) -> Result<Self, RequestError> {
         let config = context.config();
         let profile = profile(context, function, headers)?;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The profile that the request names or its function requires; where both do they must agree.
+/// Returns the profile that the request names or its function requires. If both name one, they must agree.
 fn profile(context: &CoreContext, function: &str, headers: &HeaderMap) -> Result<usize, RequestError> {
     let requested = invoke::name_field(headers, &invoke::PROFILE).map_err(RequestError::InvalidHeader)?;
     let required = context.shared_runtime.function_config(function).profile;
@@ -68,15 +68,16 @@
     RequestError::InvalidHeader(InputError::new(field, detail.into()))
 }
 
-/// A request's body in memory.
+/// A request's body, buffered in memory.
 pub struct RequestBody {
     /// The body.
     pub bytes: Bytes,
-    /// Its parts of the limit on buffered bytes.
+    /// Its reservations under the limit on buffered bytes.
     pub reservations: Vec<BufferedBytes>,
 }
 
-/// Reads a request's body, within the limits on its size and pace, until `deadline` in seconds since the start.
+/// Reads a request's body within the limits on its size and on stalls, until `deadline` in seconds since the process
+/// started.
 pub async fn read_body(
     context: &CoreContext,
     mut body: Incoming,
@@ -101,7 +102,7 @@
     Ok(RequestBody { bytes: buffer.into_bytes(), reservations })
 }
 
-/// The next piece of a body; `None` at its end.
+/// Reads the next frame of a body; `None` at its end.
 async fn next_frame(
     context: &CoreContext,
     body: &mut Incoming,
--- a/crates/gateway/src/response_channel.rs
+++ b/crates/gateway/src/response_channel.rs
@@ -1,5 +1,5 @@
-//! A client's connection, shared by all cores: its own core reads requests and writes responses; where that core is
-//! stalled or lost, another sends the final response. An atomic claim decides which of the two writes.
+//! A client connection that is shared by all cores. Its own core reads requests and writes responses; if that core is
+//! stalled or lost, another thread sends the final response. An atomic claim decides which of the two may write.
 
 use crate::response::ResponseBody;
 use bytes::Bytes;
@@ -20,34 +20,36 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Readiness that comes with the end of the stream but not with bytes; no client sends urgent data.
+/// Readiness that signals the end of the stream but not incoming bytes, as no client sends urgent data.
 const DISCONNECTED: Interest = Interest::PRIORITY;
 
-/// Whether bytes or the end of the stream are unread. Asks the socket, as the runtime's knowledge may be outdated.
+/// Whether bytes or the end of the stream are unread. Polls the socket itself, because the runtime's state may be
+/// outdated.
 pub fn has_unread(stream: &impl AsFd) -> bool {
     let mut descriptors = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
     poll(&mut descriptors, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct ResponseChannel {
     stream: TcpStream,
     /// Which thread may write the response.
     pub claim: ResponseClaim,
-    /// When it was assigned to its core, in seconds since the start.
+    /// When it was assigned to its core, in seconds since the process started.
     assigned_at: f64,
-    /// Requests since then.
+    /// Number of requests since then.
     requests: AtomicU64,
     /// Serial number of the open request; 0 for none.
     current_serial: AtomicU64,
-    /// Whether the response to the open request is being written or about to be.
+    /// Whether the response to the open request is being written or about to be written.
     response_ready: AtomicBool,
-    /// Whether bytes were read since the last response was written.
+    /// Whether bytes have been read since the last response was written.
     request_begun: AtomicBool,
 }
 
 impl ResponseChannel {
-    /// A connection that was assigned to a core at `assigned_at`, in seconds since the start.
+    /// Creates a channel for a connection that was assigned to a core at `assigned_at`, in seconds since the process
+    /// started.
     pub fn new(stream: TcpStream, assigned_at: f64) -> Self {
         Self {
             stream,
@@ -60,9 +62,9 @@
         }
     }
 
-    /// Counts a request; how many per second came on this connection.
+    /// Counts a request. Returns the requests per second on this connection so far.
     pub fn record_request(&self, now: f64) -> f64 {
-        /// A rate over a shorter time, in seconds, means little.
+        /// Minimum time over which the rate is computed, in seconds; over a shorter one it is not meaningful.
         const MIN_SECONDS: f64 = 1.0;
         let requests = self.requests.fetch_add(1, Ordering::Relaxed) + 1;
         requests as f64 / (now - self.assigned_at).max(MIN_SECONDS)
@@ -73,22 +75,22 @@
         self.current_serial.store(request.serial, Ordering::Relaxed);
     }
 
-    /// Whether this request is the open one. Only for the connection's own core.
+    /// Whether this request is the open one. Must be called only by the connection's own core.
     pub fn is_current_request(&self, request: RequestId) -> bool {
         self.current_serial.load(Ordering::Relaxed) == request.serial
     }
 
-    /// The response to the open request is ready: it is what is written from here on.
+    /// Marks the response to the open request as ready: all writes from now on belong to it.
     pub fn begin_response(&self) {
         self.response_ready.store(true, Ordering::Relaxed);
     }
 
-    /// Whether bytes or the end of the stream are unread, according to the socket.
+    /// Whether bytes or the end of the stream are unread, according to the socket itself.
     pub fn has_unread(&self) -> bool {
         has_unread(&self.stream)
     }
 
-    /// Whether the client has closed its side or reset the connection, as far as the runtime knows; also where unread
+    /// Whether the client has closed its side or reset the connection, as far as the runtime knows, even if unread
     /// bytes precede that.
     pub fn client_disconnected(&self) -> bool {
         self.stream.try_io(DISCONNECTED, || Ok(())).is_ok()
@@ -103,17 +105,17 @@
         }
     }
 
-    /// Whether no request is open, begun or unread, so that closing the connection loses none.
+    /// Whether no request is open, partly read or unread, so that closing the connection loses no request.
     pub fn is_idle(&self) -> bool {
         !self.request_begun.load(Ordering::Relaxed) && self.claim.is_idle() && !self.has_unread()
     }
 
-    /// Closes the sending side, and discards what the client still sends until it closes its own or pauses: with unread
-    /// bytes the kernel would reset the connection before the client has read the response.
+    /// Closes the sending side, and discards incoming bytes until the client closes its side or pauses. If bytes
+    /// remained unread, the kernel would reset the connection, possibly before the client has read the response.
     pub async fn linger(&self) {
-        /// The longest pause.
+        /// Maximum time without incoming bytes.
         const MAX_PAUSE: Duration = Duration::from_millis(200);
-        /// The longest time in all.
+        /// Maximum time in total.
         const MAX_LINGER: Duration = Duration::from_secs(1);
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
         let mut chunk = [0; 8192];
@@ -129,11 +131,11 @@
         let _ = tokio::time::timeout(MAX_LINGER, drained).await;
     }
 
-    /// Closes the connection of a lost core, unless a request is open on it. A request that is unread gets this
-    /// response, as no core will read it.
+    /// Closes the connection of a lost core, unless a request is open on it. An unread request is answered with this
+    /// response, because no core will read it.
     pub fn answer_unread_and_close(&self, response: Response<ResponseBody>) {
-        /// Bytes that are discarded at most: the rest makes the kernel reset the connection, perhaps before the response
-        /// is read.
+        /// Maximum number of bytes that are discarded. If more are left, the kernel resets the connection, possibly
+        /// before the response is read.
         const MAX_BYTES: usize = 1 << 20;
         if !self.claim.take_over_idle() {
             return;
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Sends the final response in place of the connection's own core, and closes the sending side; false where that
-    /// core has begun to respond or no request is open.
+    /// Sends the final response in place of the connection's own core, and closes the sending side. Returns false if
+    /// that core has begun to respond or no request is open.
     pub fn respond_from_other_core(&self, response: Response<ResponseBody>) -> bool {
         let claimed = self.claim.take_over();
         if claimed {
@@ -171,7 +173,8 @@
         }
         text.push_str("\r\n");
         let bytes = [text.as_bytes(), &Bytes::from(body)].concat();
-        // It fits into the socket's buffer, which is empty. A client that disconnected does not read it.
+        // The response fits into the socket's empty send buffer. Errors are ignored, as a client that has disconnected
+        // does not read the response.
         let _ = SockRef::from(&self.stream).send(&bytes);
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
     }
@@ -182,7 +185,7 @@
     }
 }
 
-/// The stream that the connection's own core reads and writes.
+/// The stream through which the connection's own core reads and writes.
 pub struct ChannelIo(pub Arc<ResponseChannel>);
 
 fn already_answered() -> io::Error {
@@ -195,7 +198,7 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        /// Bytes read at a time; most requests are shorter.
+        /// Maximum number of bytes per read; most requests are shorter.
         const MAX_READ_BYTES: usize = 8192;
         let mut chunk = [0; MAX_READ_BYTES];
         let max_bytes = MAX_READ_BYTES.min(buf.remaining());
@@ -226,7 +229,7 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             let ready = self.0.response_ready.load(Ordering::Relaxed);
-            // An interim response (100 Continue) is not the final one and needs no claim.
+            // An interim response (100 Continue) needs no claim, because it is not the final one.
             if if ready { !self.0.claim.begin_response() } else { self.0.claim.is_taken_over() } {
                 return Poll::Ready(Err(already_answered()));
             }
@@ -244,7 +247,7 @@
         self.write(cx, |stream| stream.try_write(buf))
     }
 
-    /// hyper calls this once everything is written.
+    /// Finishes the response; hyper flushes once everything is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.0.response_ready.swap(false, Ordering::Relaxed) {
             self.0.request_begun.store(false, Ordering::Relaxed);
--- a/crates/gateway/src/response_guard.rs
+++ b/crates/gateway/src/response_guard.rs
@@ -1,5 +1,5 @@
-//! Makes sure that each request ends: one that is dropped before its response is ready is cancelled, and its client gets
-//! a response where it can still be written.
+//! Ensures that each request ends. A request that is dropped before its response is ready is cancelled, and its client
+//! gets a response if one can still be written.
 
 use crate::core_context::CoreContext;
 use crate::response::{LocalResponse, ResponseBody, local_response};
@@ -10,39 +10,40 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A request from its head until its response is ready.
+/// Guards a request from the time its head is read until its response is ready.
 pub struct ResponseGuard {
     context: Rc<CoreContext>,
     /// The client's connection.
     pub channel: Arc<ResponseChannel>,
-    /// Its id, once the dispatcher has accepted it.
+    /// The id of the request, once the dispatcher has accepted it.
     pub request: Option<RequestId>,
-    /// Its position in the core's table, once it is open.
+    /// The request's index in the core's table, once it is open.
     pub request_slot: Option<usize>,
     is_ready: bool,
 }
 
 impl ResponseGuard {
-    /// Guards a request that was just read.
+    /// Creates a guard for a request whose head has just been read.
     pub fn new(context: Rc<CoreContext>, channel: Arc<ResponseChannel>) -> Self {
         Self { context, channel, request: None, request_slot: None, is_ready: false }
     }
 
-    /// The response is ready; from here on only its core writes it.
+    /// Marks the response as ready. From now on only the connection's own core writes it.
     pub fn set_ready(&mut self) {
         self.is_ready = true;
         self.channel.begin_response();
     }
 
-    /// Cancels the request of a client that has disconnected. The response is for a client that only closed its sending
-    /// side; it ends the connection, as later requests on it would not be read.
+    /// Cancels the request of a client that has disconnected. The returned response is for a client that has closed
+    /// only its sending side. It closes the connection, because no further requests would be read on it.
     pub fn cancel(&self) -> Response<ResponseBody> {
         let mut response = local_response(self.interrupt());
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         response
     }
 
-    /// Notifies the dispatcher that nobody waits for this request any more.
+    /// Notifies the dispatcher that no client waits for this request any more. Returns the response for an abandoned
+    /// request.
     fn interrupt(&self) -> LocalResponse {
         let shared_runtime = &self.context.shared_runtime;
         let client_gone = |request| {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,5 +1,5 @@
-//! Runs a gateway: accepts client connections until it is stopped, and then finishes the requests that it has.
-//! The calling thread accepts and supervises; each core has a thread of its own.
+//! Runs a gateway: accepts client connections until it is stopped, and then finishes the open requests. Accepting and
+//! supervision run on the calling thread; each core has a thread of its own.
 
 use crate::config_follower::{self, ConfigFeed};
 use crate::core_message::{CoreMessage, FaultInjection};
@@ -23,28 +23,28 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::Instant;
 
-/// Seconds after the last deadline in which the last responses are written. Together with the time that the cores take
-/// to end it is below the 0.7 s after which the process may be killed.
+/// Seconds after the last deadline for writing the last responses. Together with the time that the cores take to end,
+/// this is below the 0.7 s after which the process may be killed.
 const FINAL_WRITE_SECONDS: f64 = 0.2;
 
-/// Runs a gateway on a listener until `stop` completes, and then finishes its open requests; the counts of requests.
-/// Must run within a `LocalSet`.
+/// Runs a gateway on a listener until `stop` completes, and then finishes its open requests. Returns the request
+/// counters. Must run within a `LocalSet`.
 pub async fn serve(config: GatewayConfig, listener: TcpListener, stop: impl Future<Output = ()>) -> Counters {
     let (_, no_faults) = tokio::sync::mpsc::unbounded_channel();
     serve_with_faults(config, listener, Links::default(), stop, no_faults).await
 }
 
-/// What connects a gateway to others of its fleet.
+/// The sockets that connect a gateway to the rest of its fleet.
 #[derive(Default)]
 pub struct Links {
-    /// The socket for membership and shared budgets.
+    /// The socket for membership and shared budgets, if configured.
     pub peers: Option<MembershipLink>,
-    /// The socket for changes of the configuration.
+    /// The socket for configuration changes, if configured.
     pub changes: Option<ConfigFeed>,
 }
 
-/// As [`serve`], with links to other gateways, and with faults that tests inject: each names the core that it is for, the
-/// number behind the last core being the supervisor.
+/// Like [`serve`], with links to the fleet and with faults injected by tests. Each fault comes with the index of its
+/// core; the index after the last core addresses the supervisor.
 pub async fn serve_with_faults(
     config: GatewayConfig,
     listener: TcpListener,
@@ -65,7 +65,7 @@
     shared_runtime.counters()
 }
 
-/// Finishes the open requests, for as long as a client may wait, and ends the cores.
+/// Finishes the open requests within the longest deadline of any request, and ends the cores.
 async fn shut_down(acceptor: Acceptor, supervisor: &Rc<Supervisor>, mut supervisor_task: SupervisorTask) {
     let shared_runtime = supervisor.shared_runtime();
     supervisor.begin_shutdown();
@@ -92,7 +92,7 @@
     shared_runtime: Arc<SharedRuntime>,
     listener: TcpListener,
     backoff: Backoff,
-    /// After a failure, when to accept again.
+    /// The end of the pause after a failed accept.
     paused_until: Option<Instant>,
 }
 
@@ -102,7 +102,7 @@
         Self { supervisor, shared_runtime, listener, backoff: Backoff::default(), paused_until: None }
     }
 
-    /// Accepts until `stop` completes; passes on faults and keeps the supervisor's task running meanwhile.
+    /// Accepts connections until `stop` completes. Meanwhile forwards faults and keeps the supervisor's task running.
     async fn run(
         &mut self,
         mut stop: Pin<&mut impl Future<Output = ()>>,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Stops listening and waits until the last client connection has ended.
+    /// Stops listening, and waits until the last client connection has ended.
     async fn drain(mut self) {
         self.assign_waiting_connections().await;
         let Self { supervisor, shared_runtime, listener, .. } = self;
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Assigns the connections in the accept queue: closing the listener would reset them together with the requests
-    /// that they bring. Asks the socket itself, as the runtime may not know of them yet.
+    /// Assigns the connections in the accept queue, because closing the listener would reset them together with the
+    /// requests sent on them. Accepts from the socket directly, as the runtime may not know about them yet.
     async fn assign_waiting_connections(&mut self) {
         self.backoff = Backoff::default();
         for _ in 0..ACCEPT_QUEUE_LENGTH {
@@ -187,24 +187,24 @@
     }
 }
 
-/// How long to wait after an error of `accept`.
+/// Returns how long to wait after an error of `accept`.
 fn pause_after(backoff: &mut Backoff, error: &io::Error) -> Duration {
     let fault = AcceptFault::of(error);
     if fault == AcceptFault::Resources {
-        // Open connections go on, and those that close give back what is missing.
+        // Open connections continue to be served, and those that close release resources.
         tracing::error!(%error, "no connection can be accepted; raise the limit on open files");
     }
     backoff.after_accept(fault)
 }
 
-/// The threads that talk to the rest of the fleet.
+/// The threads that communicate with the rest of the fleet.
 struct ControlThreads {
     changes: Option<JoinHandle<()>>,
     peers: Option<JoinHandle<()>>,
 }
 
 impl ControlThreads {
-    /// Starts those whose links are given; the gateway serves also without one that can't start.
+    /// Starts the threads of the given links. The gateway continues without a thread that can't start.
     fn start(shared_runtime: &Arc<SharedRuntime>, links: Links) -> Self {
         let changes = links.changes.and_then(|feed| {
             let thread = config_follower::start(shared_runtime.clone(), feed);
@@ -217,7 +217,7 @@
         Self { changes, peers }
     }
 
-    /// Waits for their ends, which follow soon after the shutdown has begun.
+    /// Joins the threads, which end soon after the shutdown has begun.
     fn join(self) {
         if self.changes.is_some_and(|thread| thread.join().is_err()) {
             tracing::error!("the thread that follows configuration changes panicked");
@@ -228,7 +228,7 @@
     }
 }
 
-/// The thread, or `None` with a log line that says what the gateway does without it.
+/// Returns the thread. If it could not start, logs the error with the consequence `without`, and returns `None`.
 fn log_start_failure<E: Display>(thread: Result<JoinHandle<()>, E>, without: &str) -> Option<JoinHandle<()>> {
     thread.inspect_err(|error| tracing::error!(%error, "a control thread can't start; {without}")).ok()
 }
--- a/crates/gateway/src/shared_runtime.rs
+++ b/crates/gateway/src/shared_runtime.rs
@@ -1,6 +1,6 @@
-//! State that all cores share: the dispatcher behind a lock, a slot for each core, and the limits on all of them
-//! together. A core that calls the dispatcher passes it one event with the present time; the messages that follow are
-//! posted under the same lock, so that each mailbox has them in the dispatcher's order.
+//! State shared by all cores: the dispatcher behind a lock, a slot for each core, and the limits that apply to all
+//! cores together. Each dispatcher call passes one event and the current time. The resulting messages are posted under
+//! the same lock, so that each mailbox receives them in the dispatcher's order.
 
 use crate::action_router::{ActionRouter, RoutedMessage};
 use crate::connection_limit::ConnectionLimit;
@@ -21,70 +21,71 @@
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// Messages that a request has in a mailbox at most: its attempts, their cancellations and its response.
+/// Maximum number of messages of one request in a mailbox: its attempts, their cancellations and its response.
 const MESSAGES_PER_REQUEST: usize = 8;
 
-/// Messages in a mailbox that belong to no request: connections, load requests and health checks.
+/// Capacity of a mailbox for messages that belong to no request: connections, load requests and health checks.
 const OTHER_MESSAGES: usize = 1 << 16;
 
-/// Seconds above which one call of the dispatcher is logged.
+/// Duration in seconds above which a dispatcher call is logged.
 const SLOW_DISPATCHER_CALL: f64 = 0.02;
 
-/// What the lock protects.
+/// The state protected by the lock.
 struct DispatcherState {
     dispatcher: Dispatcher<RequestLocation>,
-    /// The endpoints as last reported, for a dispatcher that has to be restarted.
+    /// The endpoints as last reported, kept for restarting the dispatcher.
     endpoints: BTreeMap<String, EndpointEntry>,
     /// The time at which the supervisor wakes next.
     next_wakeup: f64,
 }
 
-/// Events that are counted for the log.
+/// Counters of faults, for the log.
 #[derive(Default)]
 pub struct FaultCounters {
-    /// Dispatchers that panicked and were restarted.
+    /// Number of times that the dispatcher panicked and was restarted.
     pub dispatcher_restarts: AtomicU64,
-    /// Core threads that ended or were given up.
+    /// Number of core threads that ended or were abandoned.
     pub cores_lost: AtomicU64,
-    /// Responses that the supervisor sent for stalled cores.
+    /// Number of responses that the supervisor sent for stalled cores.
     pub responses_for_stalled_cores: AtomicU64,
 }
 
-/// An open request of a core that was lost.
+/// A cancelled request of a core that was lost.
 pub struct CancelledRequest {
     /// The client's connection.
     pub channel: Arc<ResponseChannel>,
-    /// Whether a worker may have run it.
+    /// Whether a worker may have run the request.
     pub may_have_run: bool,
 }
 
-/// State that the threads of one gateway share.
+/// State shared by the threads of one gateway.
 pub struct SharedRuntime {
     started: Instant,
-    /// The configuration that the process was started with.
+    /// The configuration with which the process was started.
     pub config: GatewayConfig,
     state: Mutex<DispatcherState>,
-    /// A slot for each core, and behind them the supervisor's.
+    /// The slots of the cores, followed by the supervisor's slot.
     pub core_slots: Vec<CoreSlot>,
-    /// Counts of faults.
+    /// Counters of faults.
     pub faults: FaultCounters,
-    /// Wakes the supervisor: the dispatcher's next deadline has become an earlier one.
+    /// Wakes the supervisor when the dispatcher's next deadline has moved to an earlier time.
     pub deadline_moved: Notify,
-    /// Set once the gateway shuts down.
+    /// Set when the gateway shuts down.
     pub stopping: AtomicBool,
-    /// Bytes of bodies in memory.
+    /// The budget for bytes of bodies in memory.
     pub buffered_bytes: Arc<Budget>,
     /// The limit on client connections.
     pub client_connections: Arc<ConnectionLimit>,
     next_connection_id: AtomicU64,
-    /// By worker address; unused ones are removed by [`remove_unused_limits`](Self::remove_unused_limits).
+    /// Connection limits by worker address. Unused ones are removed by
+    /// [`remove_unused_limits`](Self::remove_unused_limits).
     worker_limits: Mutex<BTreeMap<SocketAddr, Arc<ConnectionLimit>>>,
-    /// Differs from that of other gateways and of earlier processes of this one.
+    /// A random id that distinguishes this process from other gateways and from earlier processes of this one.
     pub instance_id: u32,
 }
 
 impl SharedRuntime {
-    /// The state of a gateway before it serves.
+    /// Creates the state of a gateway that is not serving yet.
     pub fn new(config: GatewayConfig) -> Arc<Self> {
         let limits = &config.limits;
         let cores = limits.cores.clamp(1, MAX_CORES);
@@ -110,7 +111,7 @@
         })
     }
 
-    /// How many cores serve clients; also the index of the supervisor's slot.
+    /// Number of cores that serve clients, which is also the index of the supervisor's slot.
     pub fn cores(&self) -> usize {
         self.core_slots.len() - 1
     }
@@ -120,17 +121,17 @@
         &self.core_slots[self.cores()]
     }
 
-    /// Seconds since the start, by the monotonic clock.
+    /// Seconds since the process started, on the monotonic clock.
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    /// An id for a client connection.
+    /// Returns a new id for a client connection.
     pub fn new_connection_id(&self) -> u64 {
         self.next_connection_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Locks the dispatcher. One that panicked is restarted first.
+    /// Locks the dispatcher, restarting it first if it has panicked.
     fn lock(&self) -> MutexGuard<'_, DispatcherState> {
         self.state.lock().unwrap_or_else(|poisoned| {
             let mut state = poisoned.into_inner();
@@ -162,15 +163,15 @@
         self.deadline_moved.notify_one();
     }
 
-    /// Calls the dispatcher at the present time, posts the messages that follow, and wakes the cores that get them.
-    /// `calling_core` is not woken: it looks into its mailbox itself.
+    /// Calls the dispatcher with the current time, posts the resulting messages, and wakes the cores that receive them.
+    /// `calling_core` is not woken, because it checks its mailbox itself.
     pub fn with_dispatcher<R>(
         &self,
         calling_core: Option<usize>,
         operation: impl FnOnce(&mut Dispatcher<RequestLocation>, f64) -> R,
     ) -> R {
         let mut state = self.lock();
-        // Read under the lock, so that the dispatcher's time never goes back, whichever core is next.
+        // Read under the lock, so that the dispatcher's time never goes backwards between calls of different cores.
         let now = self.now();
         let result = operation(&mut state.dispatcher, now);
         let woken = self.post_actions(&mut state.dispatcher, calling_core, now);
@@ -193,7 +194,7 @@
         result
     }
 
-    /// Posts what the dispatcher has decided; the cores to wake, one bit each.
+    /// Posts the dispatcher's actions as messages. Returns the cores to wake, one bit each.
     fn post_actions(
         &self,
         dispatcher: &mut Dispatcher<RequestLocation>,
@@ -210,7 +211,7 @@
         woken
     }
 
-    /// Puts a message into a mailbox; true where its core must be woken.
+    /// Puts a message into a mailbox. Returns whether its core must be woken.
     fn post(&self, core: usize, message: CoreMessage) -> bool {
         self.core_slots[core].mailbox.push(message).unwrap_or_else(|_| {
             tracing::error!(core, "mailbox full; message dropped, time limits will end what it was about");
@@ -218,19 +219,20 @@
         })
     }
 
-    /// Sends a core a message that did not follow from an action.
+    /// Sends a core a message that does not result from a dispatcher action.
     pub fn send(&self, core: usize, message: CoreMessage) {
         if self.post(core, message) {
             self.core_slots[core].wake.notify_one();
         }
     }
 
-    /// Reads from the dispatcher.
+    /// Queries the dispatcher without posting messages.
     pub fn query_dispatcher<R>(&self, query: impl FnOnce(&mut Dispatcher<RequestLocation>) -> R) -> R {
         query(&mut self.lock().dispatcher)
     }
 
-    /// The configuration of a function as it is in force. Without a config log it can't change, and nothing is locked.
+    /// Returns the current configuration of a function. Without a configuration log it can't change, and the dispatcher
+    /// is not locked.
     pub fn function_config(&self, function: &str) -> FunctionConfig {
         match &self.config.config_log {
             None => self.config.functions.resolve(function),
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Passes one revision of the endpoint list to the dispatcher; `complete` says that it replaces all before it.
+    /// Passes one revision of the endpoint list to the dispatcher. If `complete`, it replaces the whole list.
     pub fn update_endpoints(&self, calling_core: Option<usize>, complete: bool, entries: &[EndpointEntry]) {
         self.store_endpoints(complete, entries);
         self.with_dispatcher(calling_core, |dispatcher, now| {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Cancels all open requests of a core that is lost.
+    /// Cancels all open requests of a lost core.
     pub fn cancel_requests_of_core(&self, core: usize) -> Vec<CancelledRequest> {
         self.with_dispatcher(None, |dispatcher, now| {
             let requests = dispatcher.requests(|location| location.core == core);
@@ -274,33 +276,34 @@
         })
     }
 
-    /// Sets when the supervisor wakes next, at `latest` or at the dispatcher's next deadline, and returns it.
+    /// Sets the supervisor's next wakeup to the dispatcher's next deadline, but not later than `latest`, and returns
+    /// it.
     pub fn schedule_wakeup(&self, latest: f64) -> f64 {
         let mut state = self.lock();
         state.next_wakeup = state.dispatcher.next_deadline().unwrap_or(f64::INFINITY).min(latest);
         state.next_wakeup
     }
 
-    /// Whether a deadline passed more than `seconds` ago, so that the supervisor must be stalled.
+    /// Whether a deadline passed more than `seconds` ago, in which case the supervisor must be stalled.
     pub fn is_overdue(&self, seconds: f64) -> bool {
         let now = self.now();
         let deadline = self.query_dispatcher(|dispatcher| dispatcher.next_deadline());
         deadline.is_some_and(|deadline| deadline < now - seconds)
     }
 
-    /// Counts of requests since the start.
+    /// Request counters since the start.
     pub fn counters(&self) -> Counters {
         self.query_dispatcher(|dispatcher| dispatcher.counters())
     }
 
-    /// The limit on connections to a worker, over all cores.
+    /// Returns the limit on connections to a worker, shared by all cores.
     pub fn worker_connection_limit(&self, address: SocketAddr) -> Arc<ConnectionLimit> {
         let max_connections = self.config.limits.max_connections_per_worker;
         let new_limit = || ConnectionLimit::new(max_connections);
         self.worker_limits().entry(address).or_insert_with(new_limit).clone()
     }
 
-    /// Forgets the limits of workers to which no connection is open.
+    /// Removes the limits of workers to which no connection is open.
     pub fn remove_unused_limits(&self) {
         self.worker_limits().retain(|_, limit| Arc::strong_count(limit) > 1);
     }
--- a/crates/gateway/src/stalled_core.rs
+++ b/crates/gateway/src/stalled_core.rs
@@ -1,5 +1,5 @@
-//! What the supervisor does in place of a core that is stalled or has no thread: it sends the responses that fall due
-//! and moves what another core can do as well.
+//! The supervisor's actions on behalf of a core that is stalled or has no thread: sending due responses, and moving
+//! work that does not depend on this core.
 
 use crate::connection_limit::ConnectionPermit;
 use crate::core_context::CoreContext;
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// A core that does not run, as the supervisor stands in for it.
+/// A core that is not running, on whose behalf the supervisor acts.
 pub struct StalledCore<'a> {
     /// Index of the core.
     pub core: usize,
@@ -31,21 +31,21 @@
         &self.context.shared_runtime
     }
 
-    /// Sends the final responses in the core's mailbox; all else stays there for the core.
+    /// Sends the final responses in the core's mailbox. All other messages stay there for the core.
     pub fn send_due_responses(&self) {
         for message in self.shared_runtime().core_slots[self.core].mailbox.take_all() {
             if let CoreMessage::Respond { response, channel, .. } = message {
                 self.respond(&channel, response);
             } else {
-                // It now lies behind later messages. An attempt whose request is over by then is not sent, as the
-                // dispatcher is asked right before.
+                // The message is now queued after later ones. An attempt whose request has ended by then is not sent,
+                // because the dispatcher is asked right before sending.
                 self.shared_runtime().send(self.core, message);
             }
         }
     }
 
-    /// Empties the core's mailbox: responses are sent, attempts count as not sent, connections go to other cores, load
-    /// requests and health checks are sent from here.
+    /// Empties the core's mailbox: sends responses, reports attempts as not sent, moves connections to other cores, and
+    /// sends load requests, unload requests and health checks from this thread.
     pub fn take_over_messages(&self) {
         // Bounded by the limit on client connections.
         let mut idle_connections = Vec::new();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Handles one message; gives it back where only the core itself can.
+    /// Handles one message. Returns it if only the core itself can handle it.
     fn take_over(&self, message: CoreMessage) -> Option<CoreMessage> {
         match message {
             CoreMessage::Respond { response, channel, .. } => self.respond(&channel, response),
@@ -72,7 +72,7 @@
             CoreMessage::LoadFunction { .. }
             | CoreMessage::UnloadFunction { .. }
             | CoreMessage::HealthCheck { .. } => self.context.handle_message(message),
-            // About the core's own tasks and idle connections, which no other thread can reach.
+            // These concern the core's own tasks and idle connections, which no other thread can access.
             CoreMessage::CancelAttempt(_)
             | CoreMessage::CloseIdleConnection { .. }
             | CoreMessage::WatchEndpoints
@@ -96,8 +96,8 @@
         });
     }
 
-    /// Moves a connection to another core. Where there is none, a request that was sent on it is rejected, and a
-    /// connection without one is given back to wait for the core.
+    /// Moves a connection to another core. If there is none, rejects the request that was sent on it, or returns a
+    /// connection without a request, to wait for the core.
     fn reassign(&self, stream: std::net::TcpStream, permit: ConnectionPermit) -> Option<CoreMessage> {
         let other = self.balancer.borrow_mut().pick_core();
         if other != self.core {
--- a/crates/gateway/src/status_pages.rs
+++ b/crates/gateway/src/status_pages.rs
@@ -1,32 +1,32 @@
-//! Status reports for operators, split into pages of one datagram each. All pages of one request show the same moment, as
-//! the report is kept until other requests displace it.
+//! Status reports for operators, split into pages of one datagram each. All pages of one request come from the same
+//! report, which is kept until later requests displace it.
 
 use milletpath_config_log::message::Message;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Bytes of text in a page, so that it fits into one datagram.
+/// Number of bytes of text in a page, chosen to fit into one datagram.
 pub const PAGE_BYTES: usize = 1100;
 
-/// Reports that are kept for requests of further pages.
+/// Number of reports kept for requests of further pages.
 const MAX_REPORTS: usize = 4;
 
-/// A report of which further pages may be requested.
+/// A report kept for requests of further pages.
 struct Report {
     requested_by: SocketAddr,
     request_id: u64,
     text: Vec<u8>,
 }
 
-/// The reports that a process made lately, by the operator and the request.
+/// The most recent reports of a process, identified by operator address and request id.
 #[derive(Default)]
 pub struct StatusPages {
     reports: VecDeque<Report>,
 }
 
 impl StatusPages {
-    /// One page of the report for a request; `text` makes the report when its first page is requested. None where `text`
-    /// gives none, or the report has no such page.
+    /// Returns one page of the report for a request. The first call for a request creates the report with `text`.
+    /// Returns `None` if `text` does, or if the report has no such page.
     pub fn page(
         &mut self,
         from: SocketAddr,
@@ -54,10 +54,10 @@
     }
 }
 
-/// Collects the pages of one report, which may come in any order and more than once.
+/// Collects the pages of one report, which may arrive in any order and more than once.
 #[derive(Clone)]
 pub struct PageCollector {
-    /// None for a missing page; a single one until the first page says how many there are.
+    /// `None` for a missing page. Has a single element until the first page to arrive states the number of pages.
     pages: Vec<Option<Vec<u8>>>,
 }
 
@@ -68,9 +68,9 @@
 }
 
 impl PageCollector {
-    /// Adds page `index` of `total`; gives whether there are more pages than was known.
+    /// Adds page `index` of `total`. Returns whether there are more pages than was known before.
     pub fn insert(&mut self, index: usize, total: usize, bytes: Vec<u8>) -> bool {
-        /// Far more than the status of a control machine with all gateways of a fleet takes.
+        /// Maximum number of pages: far more than a control machine's status with all gateways of a fleet needs.
         const MAX_PAGES: usize = 10_000;
         let known = self.pages.len();
         self.pages.resize(total.clamp(1, MAX_PAGES), None);
@@ -85,12 +85,12 @@
         self.pages.iter().all(Option::is_some)
     }
 
-    /// The indices of the pages that are missing, in order.
+    /// The indices of the missing pages, in ascending order.
     pub fn missing(&self) -> impl Iterator<Item = u32> {
         (0..).zip(&self.pages).filter(|(_, page)| page.is_none()).map(|(index, _)| index)
     }
 
-    /// The text of all pages; none while one is missing.
+    /// Returns the text of all pages, or `None` if one is missing.
     pub fn into_text(self) -> Option<Vec<u8>> {
         let pages: Option<Vec<_>> = self.pages.into_iter().collect();
         pages.map(|pages| pages.concat())
--- a/crates/gateway/src/status_pages/tests.rs
+++ b/crates/gateway/src/status_pages/tests.rs
@@ -1,4 +1,4 @@
-//! Reports split into pages and put together again.
+//! Splitting reports into pages and reassembling them.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     ([127, 0, 0, 1], 9).into()
 }
 
-/// A text of three pages, none like another.
+/// A text of three pages with different contents.
 fn text() -> Vec<u8> {
     (0..2 * PAGE_BYTES + 5).map(|n| (n / PAGE_BYTES) as u8).collect()
 }
