--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -1,6 +1,6 @@
-//! The supervisor: it runs the dispatcher's timers, balances client connections over the cores, and watches the cores'
-//! heartbeats. It serves no requests; for a stalled core it sends the responses that fall due, and a core that ended or
-//! stays stalled it replaces.
+//! The supervisor runs the dispatcher's timers, balances client connections over the cores, and monitors the cores'
+//! heartbeats. It serves no requests itself, but sends due responses on behalf of a stalled core, and replaces a core
+//! that has ended or stays stalled.
 
 use crate::core_context::{CoreContext, HEARTBEAT_INTERVAL};
 use crate::core_message::CoreMessage;
@@ -20,10 +20,10 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Heartbeats within which a thread that runs has ended after it was asked to.
+/// Number of heartbeat intervals to wait for core threads to end; within this time every running thread ends.
 const MAX_JOIN_HEARTBEATS: u32 = 10;
 
-/// Heartbeats after which cores that still have connections are ended.
+/// Number of heartbeat intervals after which cores are ended even if they still have connections.
 const GRACE_HEARTBEATS: u32 = 2;
 
 /// Supervises the cores of one gateway.
@@ -32,19 +32,19 @@
     context: Rc<CoreContext>,
     core_threads: RefCell<Vec<CoreThread>>,
     balancer: RefCell<ConnectionBalancer>,
-    /// Whether connections may still be assigned; until then the cores don't end.
+    /// Whether connections may still be assigned. The cores do not end while this is set.
     accepting: Arc<AtomicBool>,
 }
 
 impl Supervisor {
-    /// Starts the cores and the watch on endpoints. Must run within a `LocalSet`.
+    /// Starts the cores and the endpoint watch. Must run within a `LocalSet`.
     pub fn new(config: GatewayConfig) -> Self {
         let shared_runtime = SharedRuntime::new(config);
         let supervisor = shared_runtime.cores();
         let context = CoreContext::new(shared_runtime.clone(), supervisor, 0, message_handler::handle);
         match &shared_runtime.config.source {
             WorkerSource::List(entries) => shared_runtime.update_endpoints(Some(supervisor), true, entries),
-            // Posts the dispatcher's first action: to watch the endpoints.
+            // Posts the dispatcher's first action, which starts the endpoint watch.
             WorkerSource::Registry(_) => shared_runtime.with_dispatcher(Some(supervisor), |_, _| ()),
         }
         context.process_messages();
@@ -56,12 +56,12 @@
         Self { shared_runtime, context, core_threads, balancer, accepting }
     }
 
-    /// The state that all cores share.
+    /// The state shared by all cores.
     pub fn shared_runtime(&self) -> &Arc<SharedRuntime> {
         &self.shared_runtime
     }
 
-    /// Assigns a client connection to a core; closes it where the limit on connections is reached.
+    /// Assigns a client connection to a core, or closes it if the limit on connections is reached.
     pub fn assign(&self, stream: TcpStream) {
         if let Some(permit) = self.shared_runtime.client_connections.reserve() {
             let core = self.balancer.borrow_mut().pick_core();
@@ -69,13 +69,13 @@
         }
     }
 
-    /// From here on readiness checks fail and connections end after their open request.
+    /// Begins the shutdown: readiness checks fail from now on, and connections end after their open request.
     pub fn begin_shutdown(&self) {
         self.shared_runtime.stopping.store(true, Ordering::Release);
         self.wake_all();
     }
 
-    /// No connection is assigned any more: cores without connections may end.
+    /// Lets cores without connections end, because no connection is assigned any more.
     pub fn stop_accepting(&self) {
         self.accepting.store(false, Ordering::Release);
         self.wake_all();
@@ -85,14 +85,15 @@
         self.shared_runtime.core_slots.iter().for_each(|slot| slot.wake.notify_one());
     }
 
-    /// Runs the dispatcher's timers and watches the cores, for ever.
+    /// Runs the dispatcher's timers and monitors the cores, forever.
     async fn run(self: Rc<Self>) {
         let mut next_rebalance = 0.0;
         loop {
             self.wait_for_deadline().await;
             let stall_before = self.context.last_stall();
             self.context.beat().await;
-            // A stall after this point shows at the next heartbeat: no core is judged by a time from before it.
+            // A stall after this point is detected at the next heartbeat. Cores are evaluated at the time of the last
+            // heartbeat, so that such a stall is not attributed to them.
             let now = self.context.last_heartbeat();
             if self.context.last_stall() != stall_before {
                 self.core_threads.borrow_mut().iter_mut().for_each(|thread| thread.watchdog.resume(now));
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Has overloaded cores close some of their client connections.
+    /// Tells overloaded cores to close some of their client connections.
     fn rebalance(&self, now: f64) {
         let core_threads = self.core_threads.borrow();
         let slots = &self.shared_runtime.core_slots;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Checks each core's heartbeat; stands in for stalled cores and replaces lost ones.
+    /// Checks each core's heartbeat, acts on behalf of stalled cores and replaces lost ones.
     fn watch_cores(&self, now: f64) {
         for (core, thread) in self.core_threads.borrow_mut().iter_mut().enumerate() {
             if !self.shared_runtime.stopping.load(Ordering::Acquire)
@@ -170,7 +171,7 @@
         StalledCore { core, context: &self.context, balancer: &self.balancer }
     }
 
-    /// Ends a core's incarnation: its heartbeat is refused from here on, and its clients are answered.
+    /// Ends a core's incarnation: its heartbeats are refused from now on, and its clients are answered.
     fn release_slot(&self, core: usize, thread: &mut CoreThread, now: f64) {
         let slot = &self.shared_runtime.core_slots[core];
         thread.incarnation =
@@ -180,7 +181,8 @@
         }
         for channel in std::mem::take(&mut *slot.channels()).values() {
             channel.answer_unread_and_close(local_response(LocalResponse::interrupted(false)));
-            // A response that was sent from here is still to be read by the client. What is left was cut off within one.
+            // A response that was sent from this thread must still be read by the client. Any other connection was
+            // interrupted while its own core was writing a response.
             if !channel.claim.is_taken_over() {
                 channel.close();
             }
@@ -189,7 +191,7 @@
         self.shared_runtime.faults.cores_lost.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Logs what the cores did since the start.
+    /// Logs the totals of all cores since the start.
     pub fn log_totals(&self) {
         let value = |count: &AtomicU64| count.load(Ordering::Relaxed);
         let shared_runtime = &self.shared_runtime;
@@ -205,7 +207,7 @@
         );
     }
 
-    /// Waits until the cores' threads have ended, with their connections closed if need be.
+    /// Waits until the cores' threads have ended, and ends those that still have connections after a grace period.
     pub async fn join_cores(&self) {
         let mut threads: Vec<_> =
             self.core_threads.borrow_mut().iter_mut().filter_map(CoreThread::take_thread).collect();
@@ -228,7 +230,7 @@
         tracing::warn!(cores = threads.len(), "stopping with stalled core threads");
     }
 
-    /// Has all core threads end at their next heartbeat, whatever they have open.
+    /// Makes all core threads end at their next heartbeat, regardless of open connections.
     fn end_incarnations(&self) {
         for slot in &self.shared_runtime.core_slots[..self.shared_runtime.cores()] {
             slot.heartbeat.begin_next_incarnation(slot.heartbeat.incarnation(), self.shared_runtime.now());
@@ -236,7 +238,7 @@
     }
 }
 
-/// The supervisor's task, which is restarted where it panics; dropping it ends it.
+/// The supervisor's task, which is restarted if it panics. Dropping this aborts the task.
 pub struct SupervisorTask {
     supervisor: Rc<Supervisor>,
     task: JoinHandle<()>,
--- a/crates/gateway/src/worker_commands.rs
+++ b/crates/gateway/src/worker_commands.rs
@@ -1,4 +1,4 @@
-//! What the gateway asks of workers on its own account: to load or unload a function, and whether they are ready.
+//! Requests that the gateway sends to workers on its own behalf: to load or unload a function, and health checks.
 
 use crate::connection_pool::WorkerTarget;
 use crate::core_context::CoreContext;
@@ -15,15 +15,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request without a body.
+/// A request to a worker, without a body.
 struct Command {
     method: Method,
     path: String,
-    /// The instances that are asked for, in a load request.
+    /// The number of instances requested, for load requests.
     instances: Option<u8>,
 }
 
-/// Sends a command; the head of the response once its body is read.
+/// Sends a command. Returns the head of the response after its body has been read.
 async fn send(
     context: &CoreContext,
     target: WorkerTarget,
@@ -44,7 +44,7 @@
     Ok(head)
 }
 
-/// Has a worker load instances of a function, and reports what came of it.
+/// Requests a worker to load instances of a function, and reports the result to the dispatcher.
 pub async fn load_function(
     context: Rc<CoreContext>,
     load_request: RequestId,
@@ -58,7 +58,7 @@
         || context.with_dispatcher(|dispatcher, now| dispatcher.begin_load_request(now, load_request));
     let timeout = Duration::from_secs_f64(context.config().policy.load_request_timeout);
     let response = tokio::time::timeout(timeout, send(&context, target, command, may_send));
-    // The dispatcher ends the load request at the same time; here only the connection is closed.
+    // On a timeout the dispatcher ends the load request itself; only the connection is closed here.
     let Ok(response) = response.await else { return };
     let (outcome, loaded) = match response {
         Ok(head) => load_result(&head, instances),
@@ -72,19 +72,19 @@
     });
 }
 
-/// Has a worker unload idle instances. Nothing depends on the response.
+/// Requests a worker to unload idle instances. The response is ignored.
 pub async fn unload_function(context: Rc<CoreContext>, target: WorkerTarget, function: Arc<str>) {
     let command = Command { method: Method::POST, path: wire::unload_path(&function), instances: None };
     let timeout = Duration::from_secs_f64(context.limits().health_check_timeout);
     let _ = tokio::time::timeout(timeout, send(&context, target, command, || true)).await;
 }
 
-/// Asks a worker whether it is ready, and reports the answer.
+/// Checks whether a worker is ready, and reports the result to the dispatcher.
 pub async fn health_check(context: Rc<CoreContext>, target: WorkerTarget, serial: u64) {
     let command = Command { method: Method::GET, path: wire::HEALTH_PATH.to_owned(), instances: None };
     let timeout = Duration::from_secs_f64(context.limits().health_check_timeout);
     let response = tokio::time::timeout(timeout, send(&context, target, command, || true));
-    // The dispatcher ends the check at the same time.
+    // On a timeout the dispatcher ends the health check itself.
     let Ok(response) = response.await else { return };
     let (outcome, report) = health_check_result(response);
     context.with_dispatcher(|dispatcher, now| {
--- a/crates/gateway/src/worker_exchange.rs
+++ b/crates/gateway/src/worker_exchange.rs
@@ -1,5 +1,5 @@
-//! One HTTP exchange with a worker, on a pooled connection or a new one. Errors state what is known: that the worker never
-//! got the request is certain only where nothing of it was written.
+//! Performs one HTTP exchange with a worker, on a pooled or a new connection. Errors distinguish whether the worker may
+//! have received the request; only if no part of it was written is it certain that the worker has not.
 
 use crate::body_buffer::BodyBuffer;
 use crate::connection_pool::{Body, Connection, Endpoint, WorkerTarget};
@@ -14,16 +14,16 @@
 use hyper::body::Incoming;
 use milletpath_policy::Outcome;
 
-/// Why an exchange brought no response.
+/// Why an exchange yielded no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// The worker gave no connection, or closed it before anything was written.
+    /// The worker did not accept a connection, or closed it before anything was written.
     #[error("the worker can't be reached")]
     Unreachable,
     /// The worker's connections are all in use, or this machine can't open one.
     #[error("no connection is available")]
     NoConnection,
-    /// The dispatcher decided at the last moment not to send the request.
+    /// The dispatcher decided right before the write not to send the request.
     #[error("the request was withheld")]
     Withheld,
     /// The connection failed after part of the request was written, or the response was malformed.
@@ -32,7 +32,8 @@
 }
 
 impl ExchangeError {
-    /// The outcome of an attempt that failed so; `None` where the dispatcher has counted it already.
+    /// Returns the outcome of an attempt that failed with this error, or `None` if the dispatcher already knows that it
+    /// ended.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             Self::Unreachable => Some(Outcome::Unreachable),
@@ -53,16 +54,17 @@
     }
 }
 
-/// A response whose body has not been read, and the connection that it arrives on.
+/// A response whose body has not been read, and the connection on which it arrives.
 pub struct PendingResponse {
     /// The response.
     pub response: Response<Incoming>,
-    /// To be returned to its pool once the body is read.
+    /// Must be returned to its pool once the body has been read.
     pub connection: Connection,
 }
 
-/// Sends one request. `begin` is called right before it is written, with its header fields, and tells whether it may go. A pooled connection that was closed before
-/// anything was written proves that the worker did not get the request: another one is used.
+/// Sends one request. `begin` is called with its header fields right before it is written, and returns whether it may
+/// be sent. If a pooled connection was closed before anything was written, the worker has not received the request, and
+/// another connection is used.
 pub async fn exchange(
     context: &CoreContext,
     target: WorkerTarget,
@@ -88,10 +90,10 @@
         connection.write_permit.grant();
         match connection.sender.try_send_request(request).await {
             Ok(response) => return Ok(PendingResponse { response, connection }),
-            // This thread was stalled between the decision and the write.
+            // This thread stalled between the decision and the write.
             Err(_) if connection.write_permit.was_refused() => return Err(ExchangeError::NoConnection),
             Err(mut error) => match error.take_message() {
-                // Given back whole: nothing of it was written.
+                // hyper returns the request only if no part of it was written.
                 Some(unwritten) if !is_new => request = unwritten,
                 Some(_) => return Err(ExchangeError::Unreachable),
                 None => return Err(ExchangeError::Interrupted),
@@ -100,14 +102,14 @@
     }
 }
 
-/// Builds a request; `None` where the path is no URI.
+/// Builds a request; `None` if the path is not a valid URI.
 pub fn build_request(method: Method, path: String, headers: HeaderMap, body: Bytes) -> Option<Request<Body>> {
     let mut request = Request::builder().method(method).uri(path).body(Full::new(body)).ok()?;
     *request.headers_mut() = headers;
     Some(request)
 }
 
-/// The `Host` field for a worker.
+/// Returns the `Host` field for a worker.
 pub fn host(endpoint: Endpoint) -> HeaderValue {
     HeaderValue::from_str(&endpoint.address.to_string()).unwrap_or(HeaderValue::from_static("worker"))
 }
@@ -118,20 +120,20 @@
     /// The connection failed.
     #[error("the connection failed within the body")]
     Interrupted,
-    /// It is larger than allowed, by itself or with all other bodies in memory.
+    /// The body exceeds its own size limit, or the limit on all buffered bodies.
     #[error("the body is too large")]
     TooLarge,
 }
 
-/// A body that was read to its end.
+/// A body that has been read completely.
 pub struct BufferedBody {
     /// The body.
     pub bytes: Bytes,
-    /// Its part of the limit on buffered bytes.
+    /// Its reservation under the limit on buffered bytes.
     pub reservation: BufferedBytes,
 }
 
-/// Reads a response's body, within the limits on one body and on all bodies together.
+/// Reads a response's body within the limits on one body and on all buffered bodies.
 pub async fn read_body(context: &CoreContext, mut body: Incoming) -> Result<BufferedBody, BodyError> {
     let max_bytes = context.limits().max_response_body;
     if body.size_hint().lower() > max_bytes as u64 {
--- a/crates/gateway/src/worker_response.rs
+++ b/crates/gateway/src/worker_response.rs
@@ -1,5 +1,5 @@
-//! What the header fields of a worker's response state: the outcome of an attempt, the worker's load report, and which
-//! fields are passed on.
+//! Interprets the header fields of a worker's response: the outcome of an attempt, the worker's load report, and which
+//! fields are forwarded.
 
 use http::header::{self, HeaderMap, HeaderName};
 use http::response::Parts;
@@ -7,11 +7,11 @@
 use milletpath_policy::{InstanceState, LoadReport, Outcome};
 use milletpath_protocol::{orca, worker as wire};
 
-/// Fields with this prefix are the gateway's own.
+/// Prefix of the header fields that are reserved for the gateway and its workers.
 const GATEWAY_FIELD_PREFIX: &str = "milletpath-";
 
-/// Whether a field concerns one connection only (RFC 9110, 7.6.1), is made anew for each, or is set by the gateway
-/// alone.
+/// Whether a field applies to a single connection only (RFC 9110, 7.6.1), is generated for each connection, or is set
+/// by the gateway alone.
 fn is_connection_specific(name: &HeaderName) -> bool {
     matches!(
         *name,
@@ -29,7 +29,7 @@
         || name.as_str().starts_with(GATEWAY_FIELD_PREFIX)
 }
 
-/// Removes the fields that must not be passed on, among them those that `Connection` names.
+/// Removes the fields that must not be forwarded, including those listed in `Connection`.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let connection = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let named = connection.flat_map(|value| value.split(',')).filter_map(|name| name.trim().parse().ok());
@@ -40,7 +40,7 @@
     }
 }
 
-/// A worker's load report (ORCA); `None` where there is none or it is malformed.
+/// Parses a worker's load report (ORCA); `None` if there is none or it is malformed.
 pub fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(&orca::HEADER)?.to_str().ok()?;
     let mut report = LoadReport::default();
@@ -59,15 +59,15 @@
     Some(report)
 }
 
-/// The result of an attempt by the head of its response. A worker's word that it refused the request is believed; a bare
-/// server error may come from an intermediary, and the request may have run.
+/// Determines the result of an attempt from the head of its response. An explicit refusal by the worker is trusted. A
+/// server error without one may come from an intermediary, and the request may have run.
 pub fn attempt_result(head: &Parts) -> AttemptResult {
     let is_error = head.status.is_client_error() || head.status.is_server_error();
     let refused = wire::rejection(&head.headers).filter(|_| is_error);
     let outcome = match refused {
         Some(wire::Rejection::Full | wire::Rejection::Draining) => Outcome::Rejected,
         Some(wire::Rejection::NotLoaded) => Outcome::NotLoaded,
-        // Also where it states that the client's input was wrong.
+        // Includes client errors, which state that the client's input was wrong.
         None if head.status.as_u16() < 500 => Outcome::Succeeded,
         None => Outcome::Failed,
     };
@@ -89,8 +89,8 @@
     }
 }
 
-/// The outcome of a load request by the head of its response, and the instances that the worker now has; `requested` is
-/// assumed where a success does not state it.
+/// Determines the outcome of a load request from the head of its response, and the number of instances that the worker
+/// now has. If a successful response does not state the number, `requested` is assumed.
 pub fn load_result(head: &Parts, requested: u8) -> (Outcome, u8) {
     if head.status.is_success() {
         let instances = wire::count_field(&head.headers, &wire::INSTANCES).ok().flatten();
--- a/crates/gateway/src/write_timeout.rs
+++ b/crates/gateway/src/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A stream that fails where the peer accepts no bytes for too long, so that responses nobody reads don't stay in
+//! A stream that fails if the peer accepts no bytes for too long, so that responses that are never read do not stay in
 //! memory.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Time after the limit in which the runtime learns of the socket's state: a limit that passed while the process was
+/// Time given to the runtime after the limit to update the socket's state. A timer that expired while the process was
 /// suspended fires before the runtime knows that the peer has accepted bytes meanwhile.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
-/// Limits the time for which a write may be pending.
+/// Limits how long a write may be pending.
 pub struct WriteTimeout<S> {
     stream: S,
     limit: Duration,
@@ -23,7 +23,7 @@
 
 struct WriteLimit {
     sleep: Pin<Box<Sleep>>,
-    /// Whether the limit is checked once more after it has passed.
+    /// Whether the limit still has to be checked once more after it has passed.
     recheck_pending: bool,
 }
 
@@ -32,7 +32,7 @@
         Self { sleep: Box::pin(sleep_until(Instant::now() + limit)), recheck_pending: true }
     }
 
-    /// Ready once the limit has passed, and the runtime has had time to learn of the socket since.
+    /// Ready once the limit has passed and the runtime has had time to update the socket's state.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.sleep.as_mut().poll(cx).is_ready() {
             if !std::mem::take(&mut self.recheck_pending) {
@@ -45,12 +45,12 @@
 }
 
 impl<S> WriteTimeout<S> {
-    /// Limits writes on `stream`.
+    /// Wraps `stream` with a limit on the time for which a write may be pending.
     pub fn new(stream: S, limit: Duration) -> Self {
         Self { stream, limit, pending_write: None }
     }
 
-    /// Returns the result of a write; one that is pending for too long becomes an error.
+    /// Returns the result of a write, or an error if it has been pending for too long.
     fn apply<R>(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<R>>) -> Poll<io::Result<R>> {
         if result.is_ready() {
             self.pending_write = None;
--- a/crates/gateway/tests/multiple_cores.rs
+++ b/crates/gateway/tests/multiple_cores.rs
@@ -1,5 +1,5 @@
-//! Several cores: each test causes one of the cases in which they could disagree, and checks what clients and workers
-//! receive.
+//! Gateways with several cores. Each test causes a situation in which cores could act inconsistently, and checks what
+//! clients and workers receive.
 
 mod support;
 
@@ -25,7 +25,7 @@
     std::iter::from_fn(|| heads.try_recv().ok()).count()
 }
 
-/// A registry that sends the lines it is given.
+/// Starts a registry that sends the lines it receives through the returned channel.
 async fn registry() -> (SocketAddr, UnboundedSender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -58,8 +58,8 @@
     milletpath_config::read(&text).unwrap()
 }
 
-/// Sends up to `most` requests on one connection, each after the response to the one before, until the gateway closes
-/// it; the outcomes, and whether it was closed.
+/// Sends up to `max_requests` requests on one connection, each after the response to the previous one, until the
+/// gateway closes it. Returns the outcomes and whether the connection was closed.
 async fn send_requests(gateway_address: SocketAddr, max_requests: usize) -> (Vec<String>, bool) {
     let mut stream = TcpStream::connect(gateway_address).await.unwrap();
     let text = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
@@ -91,7 +91,8 @@
     (outcomes, false)
 }
 
-/// A worker drains while one core is stalled with requests in its sockets: no core sends it anything after the grace.
+/// A worker starts draining while one core is stalled with unread requests. After the grace period no core may send it
+/// anything.
 #[test]
 fn a_core_that_was_stalled_sends_nothing_to_a_drained_worker() {
     run(async {
@@ -116,7 +117,8 @@
     });
 }
 
-/// The endpoint list changes two thousand times in a moment while a core is stalled; its last revision holds for all.
+/// The endpoint list changes two thousand times in quick succession while a core is stalled. The last revision must
+/// apply to all cores.
 #[test]
 fn the_last_of_many_endpoint_revisions_holds_for_all_cores() {
     run(async {
@@ -144,7 +146,8 @@
     });
 }
 
-/// One load request is allowed in all: eight cores with requests for forty functions send one, and no more.
+/// The limit allows one load request in total. Requests for forty functions must cause exactly one, however many cores
+/// serve them.
 #[test_case(1)]
 #[test_case(8)]
 fn the_load_rate_limit_holds_over_all_cores(cores: usize) {
@@ -171,8 +174,9 @@
     });
 }
 
-/// All cores learn of a new worker at once: together they send it what one core would, whatever its wall clock says. One
-/// whose clock was an hour behind counted as warm, and was sent 112 requests in the first second.
+/// All cores learn of a new worker at the same time. Together they must send it as much as one core would, regardless
+/// of the worker's wall clock. A worker whose clock was an hour behind was once considered warm and received 112
+/// requests in the first second.
 #[test_case(1, 0.0; "one core")]
 #[test_case(8, 0.0; "eight cores")]
 #[test_case(8, -3600.0; "its clock an hour behind")]
@@ -197,21 +201,21 @@
         pause(2.0).await;
         let now = unix_time() + step;
         let list = endpoint_list(2, &[(warm, "ready"), (cold, "ready")]);
-        // It started this moment.
+        // The worker has just started.
         let started = format!("{{\"name\": \"w1\", \"started\": {now:.3},");
         revisions.send(list.replace("{\"name\": \"w1\",", &started)).unwrap();
         pause(1.0).await;
         let first = received_count(&mut heads);
-        // 16 clients at 20 ms send 800 requests per second at most. A worker in slow start is overloaded by two and a
-        // half times its share of them.
+        // 16 clients at 20 ms send at most 800 requests per second. Two and a half times its share of them would
+        // overload a worker in slow start.
         assert!((1..=400).contains(&first), "{first} in the first second");
-        // While it is in slow start: 52 to 56.
+        // During slow start the worker receives 52 to 56 requests.
         assert!(first <= 85, "{first} in the first second");
         clients.iter().for_each(|c| c.abort());
     });
 }
 
-/// One core can use the whole limit on open requests while the others are stalled, and no more.
+/// While the other cores are stalled, one core can use the whole limit on open requests, but not exceed it.
 #[test]
 fn the_limit_on_open_requests_can_be_used_by_one_core() {
     run(async {
@@ -223,7 +227,7 @@
         let config = config_for(&[worker], "cores = 4\nfunctions {\nlanes = 16\n}\nlimits {\nopen = 6\n}\n");
         let (gateway_address, _stop, _served, faults) = start_with_faults(config).await;
         (1..4).for_each(|core| faults.send((core, FaultInjection::Stall(2.0))).unwrap());
-        // Until the supervisor has noticed that they are stalled.
+        // Waits until the supervisor has detected the stalls.
         pause(0.8).await;
         let pending: Vec<_> =
             (0..9).map(|_| spawn_local(async move { send_request(gateway_address, "", "").await })).collect();
@@ -235,7 +239,8 @@
     });
 }
 
-/// A worker may have one connection, which one core keeps idle: it is closed for the other core, request after request.
+/// The limit allows one connection to the worker, which one core keeps idle. It must be closed whenever the other core
+/// needs it.
 #[test]
 fn an_idle_connection_is_closed_for_another_core() {
     run(async {
@@ -243,16 +248,16 @@
         let config = config_for(&[worker], "cores = 2\nlimits {\nper_worker = 1\n}\n");
         let (gateway_address, ..) = start_with_faults(config).await;
         for _ in 0..6 {
-            // Assigned in turn: each to the other core.
+            // Connections are assigned round-robin, so consecutive requests go to different cores.
             assert_eq!(send_requests(gateway_address, 1).await.0, ["handled"]);
         }
     });
 }
 
-/// A profile whose requests may take a minute: how busy the machine is decides nothing about them.
+/// A profile with a deadline of a minute, so that its requests do not time out on a busy machine.
 const LONG_DEADLINE: &str = "profile \"pure\" {\ndue = 60\ncut_off = 60\neffect = \"pure\"\n}\n";
 
-/// Cores are pinned, and there are more of them than processors.
+/// More pinned cores than processors must serve all requests.
 #[test]
 fn more_pinned_cores_than_processors_serve() {
     run(async {
@@ -269,7 +274,8 @@
     });
 }
 
-/// A core is stalled with an open request: its client gets one response meanwhile, and the connection ends.
+/// A core stalls with an open request. The client must get exactly one response during the stall, after which the
+/// connection ends.
 #[test_case(IDEMPOTENT, "bounced"; "idempotent")]
 #[test_case(NON_IDEMPOTENT, "terminated"; "not idempotent, and at a worker")]
 fn the_request_of_a_stalled_core_is_answered_once(profile: &str, expected: &str) {
@@ -293,13 +299,14 @@
         let answer = answer.unwrap();
         assert_eq!(outcome(&answer), expected, "{answer}");
         assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
-        // Once it moves again it serves as before.
+        // The core serves requests again after the stall.
         pause(2.0).await;
         assert_eq!(outcome(&send_request(gateway_address, "", "").await), "handled");
     });
 }
 
-/// A core is lost with an open request: its client gets a response, others notice nothing, and the core is replaced.
+/// A core is lost with an open request. Its client must get a response, other clients must not be affected, and the
+/// core must be replaced.
 #[test_case(FaultInjection::Panic, 1; "its thread")]
 #[test_case(FaultInjection::Stall(7.5), 1; "it does not come back for long")]
 fn a_lost_core_is_replaced_and_its_request_answered(fault: FaultInjection, lost: usize) {
@@ -309,7 +316,7 @@
         let extra_config = format!("cores = 2\n{NON_IDEMPOTENT}functions {{\nlanes = 8\n}}\n");
         let (gateway_address, _stop, _served, faults) =
             start_with_faults(config_for(&[worker], &extra_config)).await;
-        // Assigned in turn: one for each core.
+        // Connections are assigned round-robin, one to each core.
         let pending = [0, 1].map(|_| {
             spawn_local(async move { send_request(gateway_address, "milletpath-patience: 1\r\n", "").await })
         });
@@ -330,7 +337,7 @@
     });
 }
 
-/// A request is unread on an open connection when its core dies: it is rejected, not dropped.
+/// A request that is unread on an open connection when its core dies must be rejected, not dropped.
 #[test]
 fn an_unread_request_of_a_dead_core_is_rejected() {
     run(async {
@@ -353,7 +360,8 @@
     });
 }
 
-/// A core stays stalled, and its client would wait for longer: it gets a response when the core is replaced.
+/// A core stays stalled while its client would wait even longer. The client must get a response when the core is
+/// replaced.
 #[test]
 fn a_waiting_client_is_answered_when_its_core_is_replaced() {
     run(async {
@@ -371,7 +379,8 @@
     });
 }
 
-/// The dispatcher panics: open requests are answered at once, by whether they may have run, and the next is handled.
+/// After a panic of the dispatcher, open requests must be answered immediately, depending on whether they may have run,
+/// and the next request must be handled.
 #[test_case(IDEMPOTENT, 8, "terminated"; "all at a worker")]
 #[test_case(IDEMPOTENT, 1, "bounced"; "some waited")]
 fn a_panic_of_the_dispatcher_answers_all_open_requests(profile: &str, lanes: usize, expected: &str) {
@@ -397,7 +406,8 @@
     });
 }
 
-/// The supervisor panics, once by itself and once in the dispatcher: requests are served, and time limits hold.
+/// The supervisor panics, first in its own code and then in the dispatcher. Requests must still be served, and time
+/// limits enforced.
 #[test]
 fn a_panic_of_the_supervisor_loses_no_request() {
     run(async {
@@ -421,7 +431,8 @@
     });
 }
 
-/// The gateway stops during a burst on all cores: every accepted request gets one response, and the counts agree.
+/// The gateway stops during a burst on all cores. Every accepted request must get one response, and the counters must
+/// be consistent.
 #[test]
 fn a_stop_during_a_burst_answers_every_accepted_request() {
     run(async {
@@ -447,8 +458,8 @@
     });
 }
 
-/// All connections arrived while one of two cores was stalled. Once it runs, some clients of the overloaded core are
-/// asked to connect anew, a few at a time, and none loses a request by it.
+/// All connections arrive while one of two cores is stalled. After the stall, some clients of the overloaded core must
+/// be asked to reconnect, a few at a time, without losing a request.
 #[test]
 fn an_overloaded_core_moves_connections_to_others() {
     run(async {
@@ -472,8 +483,8 @@
     });
 }
 
-/// The only core is stalled: a request on a new connection is rejected by the supervisor, and a connection without one
-/// waits for the core.
+/// While the only core is stalled, the supervisor must reject a request on a new connection, and a connection without a
+/// request must wait for the core.
 #[test]
 fn new_connections_of_a_stalled_core_are_rejected_or_wait() {
     run(async {
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests through a gateway on loopback: each test causes one failure and checks what client and workers receive.
+//! Requests through a gateway on the loopback interface. Each test causes one failure, and checks what the client and
+//! the workers receive.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Request heads that a worker has received until now.
+/// Returns the requests that a worker has received since the last call.
 fn received_heads(heads: &mut support::RequestHeads) -> Vec<String> {
     std::iter::from_fn(|| heads.try_recv().ok()).collect()
 }
@@ -35,7 +36,7 @@
     });
 }
 
-/// With a moment left no attempt can be in time: the request is rejected at once, and nothing is sent.
+/// If too little time is left for any attempt, the request must be rejected immediately, without sending anything.
 #[test_case("0.001", "bounced", 0; "a millisecond")]
 #[test_case("0.2", "handled", 1; "200 ms")]
 fn a_request_with_too_little_time_is_rejected_unsent(patience: &str, expected: &str, attempts: usize) {
@@ -47,8 +48,8 @@
     });
 }
 
-/// A worker dies during a request: idempotent ones are retried elsewhere, others fail. An idempotency key is known for
-/// 0.4 s: a request that was in flight for longer is not sent again.
+/// If a worker dies during a request, idempotent requests must be retried elsewhere, and others must fail. Idempotency
+/// keys are remembered for 0.4 s, so a request that was in flight for longer must not be sent again.
 #[test_case(IDEMPOTENT, 0, "handled", 2; "idempotent")]
 #[test_case(IDEMPOTENT_WITH_KEY, 0, "handled", 2; "with a key")]
 #[test_case(IDEMPOTENT_WITH_KEY, 500, "bounced", 1; "with a key that is forgotten")]
@@ -70,9 +71,9 @@
     });
 }
 
-/// A bare 503 may come from an intermediary: only the worker's own refusal proves that nothing ran.
-#[test_case(BARE_503, "terminated"; "a bare error")]
-#[test_case(FULL, "bounced"; "its own refusal")]
+/// A plain 503 may come from an intermediary. Only the worker's explicit refusal proves that the request did not run.
+#[test_case(BARE_503, "terminated"; "a plain error")]
+#[test_case(FULL, "bounced"; "an explicit refusal")]
 fn only_a_refusal_by_the_worker_proves_that_a_request_did_not_run(behavior: Behavior, expected: &str) {
     run(async {
         let (worker, mut heads) = support::start_worker(behavior).await;
@@ -83,7 +84,8 @@
     });
 }
 
-/// Nobody listens: proof that the request did not run, also where it must not run twice.
+/// A refused connection proves that the request did not run, so it must be rejected as retryable even if it is not
+/// idempotent.
 #[test]
 fn a_refused_connection_is_a_rejection() {
     run(async {
@@ -96,8 +98,8 @@
     });
 }
 
-/// The worker closes a pooled connection just as the next attempt is written on it. A request that is not idempotent
-/// must not be sent again unless nothing of it was written.
+/// The worker closes a pooled connection just as the next attempt is written to it. A request that is not idempotent
+/// must not be sent again unless no part of it was written.
 #[test]
 fn a_pooled_connection_that_closes_during_an_attempt_runs_nothing_twice() {
     run(async {
@@ -117,7 +119,7 @@
     });
 }
 
-/// Responses that are cut off, malformed, or larger than is passed on.
+/// Truncated, malformed and oversized responses must not be forwarded.
 #[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"), "failed"; "half a response")]
 #[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf"), "failed"; "half a chunked one")]
 #[test_case(Behavior::RespondsAndCloses("\x13\x37 what\r\n\r\n"), "failed"; "garbage")]
@@ -134,8 +136,7 @@
     });
 }
 
-/// A response that arrives at the deadline or later is dropped: the client gets one response, and the connection to the
-/// worker is closed.
+/// A response that arrives at the deadline or later must be dropped. The client must get exactly one response.
 #[test]
 fn a_response_after_the_deadline_is_dropped() {
     run(async {
@@ -148,7 +149,8 @@
     });
 }
 
-/// The client disconnects: its attempt is cancelled by closing the connection, and nothing more is sent for it.
+/// If the client disconnects, its attempt must be cancelled (which closes the connection to the worker), and nothing
+/// more may be sent for the request.
 #[test]
 fn the_attempt_of_a_disconnected_client_is_cancelled() {
     run(async {
@@ -170,7 +172,7 @@
     });
 }
 
-/// Shutdown: open requests are finished, later ones on open connections are rejected, new connections are refused.
+/// At shutdown, open requests must be finished, and new connections must be refused.
 #[test]
 fn a_stopping_gateway_finishes_its_open_requests() {
     run(async {
@@ -191,7 +193,7 @@
     });
 }
 
-/// Whatever a client sends, it gets a clear response or none, and others are served.
+/// Whatever a client sends, it must get the matching error response, and other clients must still be served.
 #[test_case(b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400; "a handshake of another protocol")]
 #[test_case(b"GET / HTTP/9.9\r\n\r\n", 400; "an unknown version")]
 #[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: -3\r\n\r\n", 400; "a negative length")]
@@ -215,7 +217,7 @@
     });
 }
 
-/// Header fields that are too large, and ones that never end: the connection is closed within its limits.
+/// If a request's head is too large or never completes, the connection must be closed within its limits.
 #[test]
 fn oversized_and_slow_request_heads_end_the_connection() {
     run(async {
@@ -231,7 +233,7 @@
     });
 }
 
-/// Pipelined requests on one connection are answered in their order.
+/// Pipelined requests on one connection must be answered in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     run(async {
@@ -246,7 +248,7 @@
     });
 }
 
-/// A client reads nothing: its response is not kept for ever.
+/// The response to a client that reads nothing must not be kept in memory forever.
 #[test]
 fn a_client_that_reads_nothing_is_disconnected() {
     run(async {
@@ -257,7 +259,8 @@
         let head = b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
         client.write_all(head).await.unwrap();
         tokio::time::sleep(Duration::from_millis(900)).await;
-        // The gateway has closed: stopping waits for no connection, else it would for the cut-off and a second more.
+        // The gateway has closed the connection, so stopping does not wait for it. Otherwise it would wait for the
+        // deadline (`cut_off`) and a second more.
         stop.send(()).unwrap();
         let stopped = tokio::time::timeout(Duration::from_millis(2500), served).await;
         assert_eq!(stopped.unwrap().unwrap().succeeded, 1);
@@ -271,7 +274,7 @@
     format!("HTTP/1.1 200 OK\r\ncontent-length: 20000000\r\n\r\n{}", "x".repeat(20_000_000))
 });
 
-/// The limit on open requests is reached: further ones are rejected, with Retry-After.
+/// Requests beyond the limit on open requests must be rejected as retryable.
 #[test]
 fn requests_beyond_the_limit_are_rejected_with_retry_after() {
     run(async {
@@ -286,7 +289,7 @@
     });
 }
 
-/// Repetitions are recognized by the idempotency key alone, so a profile that promises that requires one.
+/// Repeated requests are recognized only by their idempotency key, so profiles that rely on this must require one.
 #[test]
 fn keyed_requests_need_an_idempotency_key_and_forward_it() {
     run(async {
@@ -302,7 +305,7 @@
     });
 }
 
-/// Ten thousand requests for one function at once: each gets one response.
+/// Of ten thousand concurrent requests for one function, each must get exactly one response.
 #[test]
 fn ten_thousand_concurrent_requests_get_one_response_each() {
     run(async {
@@ -334,7 +337,7 @@
     });
 }
 
-/// Bodies of requests and responses that arrive in chunks are passed on whole.
+/// Request and response bodies with chunked encoding must be forwarded completely.
 #[test]
 fn chunked_bodies_are_forwarded_whole() {
     run(async {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A gateway on loopback in the test's own thread, workers with scripted behavior, and clients that send plain bytes.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A gateway on the loopback interface that runs on the test's own thread, workers with scripted behavior, and clients
+//! that send raw bytes.
+#![allow(dead_code, reason = "each test file uses only a part of it")]
 
 use milletpath_config::GatewayConfig;
 use milletpath_gateway::{Links, serve};
@@ -14,14 +15,14 @@
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Runs a test on one thread; it fails after half a minute.
+/// Runs a test on one thread, with a time limit of half a minute.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let bounded = async { tokio::time::timeout(Duration::from_secs(30), test).await };
     runtime.block_on(LocalSet::new().run_until(bounded)).expect("the test took too long");
 }
 
-/// A configuration for workers at these addresses; `extra_config` goes in as it is.
+/// Returns a configuration for workers at these addresses, with `extra_config` inserted verbatim.
 pub fn config_for(workers: &[SocketAddr], extra_config: &str) -> GatewayConfig {
     let workers_text: String = workers
         .iter()
@@ -37,13 +38,14 @@
 
 pub const IDEMPOTENT: &str = "profile \"pure\" {\ndue = 1\ncut_off = 3\neffect = \"pure\"\n}\n";
 pub const NON_IDEMPOTENT: &str = "profile \"once\" {\ndue = 1\ncut_off = 3\neffect = \"effectful\"\n}\n";
-/// Workers here have no stated zone: an idempotency key is known only to the worker that saw it.
+/// Idempotency keys are known within a zone. Workers in these tests have no configured zone, so a key is known only to
+/// the worker that received it.
 pub const KEY_KNOWN_BY_ZONE: &str =
     "profile \"zoned\" {\ndue = 1\ncut_off = 3\neffect = \"receipted\"\ngroup = \"zone\"\nmemory = 60\n}\n";
 pub const IDEMPOTENT_WITH_KEY: &str =
     "profile \"marked\" {\ndue = 1\ncut_off = 3\neffect = \"receipted\"\nmemory = 0.4\n}\n";
 
-/// Starts a gateway; it stops when the sender is used.
+/// Starts a gateway. It stops when a value is sent on the returned sender.
 pub async fn start_gateway(
     config: GatewayConfig,
 ) -> (SocketAddr, oneshot::Sender<()>, tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Counters>) {
@@ -60,7 +62,7 @@
 
 pub type Served = tokio::task::JoinHandle<milletpath_dispatcher::dispatcher::Counters>;
 
-/// Starts a gateway whose cores can be made to fail.
+/// Starts a gateway with a channel for injecting faults into its cores.
 pub async fn start_with_faults(
     config: GatewayConfig,
 ) -> (SocketAddr, oneshot::Sender<()>, Served, UnboundedSender<(usize, milletpath_gateway::FaultInjection)>) {
@@ -87,18 +89,18 @@
     )
 }
 
-/// What a scripted worker does with one request.
+/// How a scripted worker handles one request.
 #[derive(Clone, Copy)]
 pub enum Behavior {
     /// Responds with these bytes.
     Responds(&'static str),
     /// Reads the request and never responds.
     NeverResponds,
-    /// Reads the request and closes.
+    /// Reads the request and closes the connection.
     Closes,
-    /// Responds with these bytes and closes.
+    /// Responds with these bytes and closes the connection.
     RespondsAndCloses(&'static str),
-    /// Responds after so many milliseconds.
+    /// Responds with these bytes after a delay in milliseconds.
     RespondsAfter(u64, &'static str),
 }
 
@@ -109,13 +111,13 @@
 
 pub type RequestHeads = tokio::sync::mpsc::UnboundedReceiver<String>;
 
-/// Starts a worker that does the same with each request; its address, and the heads that it reads.
+/// Starts a worker that handles each request in the same way. Returns its address and the requests that it reads.
 pub async fn start_worker(behavior: Behavior) -> (SocketAddr, RequestHeads) {
     let (addresses, heads) = start_workers(1, vec![behavior]).await;
     (addresses[0], heads)
 }
 
-/// Starts workers that go through one script together, request by request, and repeat its last behavior.
+/// Starts workers that share one script. Each request consumes one behavior of the script; the last one is repeated.
 pub async fn start_workers(workers: usize, script: Vec<Behavior>) -> (Vec<SocketAddr>, RequestHeads) {
     let (sender, heads) = tokio::sync::mpsc::unbounded_channel();
     let script = Rc::new((script, Cell::new(0)));
@@ -159,7 +161,7 @@
     }
 }
 
-/// Reads one message with a stated length: its head, and its body behind it.
+/// Reads one request, whose body length is given by `Content-Length`. Returns its head followed by its body.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
@@ -178,12 +180,12 @@
     }
 }
 
-/// Sends one request on a connection of its own; the whole response as text.
+/// Sends one request on a new connection, and returns the whole response as text.
 pub async fn send_request(address: SocketAddr, fields: &str, body: &str) -> String {
     send_bytes(address, &request_bytes(fields, body)).await
 }
 
-/// A request after which the connection is closed.
+/// Builds a request that asks for the connection to be closed afterwards.
 pub fn request_bytes(fields: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
@@ -193,12 +195,12 @@
     .into_bytes()
 }
 
-/// Sends bytes and reads until the peer closes.
+/// Sends bytes on a new connection, and reads until the peer closes it.
 pub async fn send_bytes(address: SocketAddr, bytes: &[u8]) -> String {
     send_bytes_on(TcpStream::connect(address).await.unwrap(), bytes).await
 }
 
-/// The same on an open connection.
+/// Sends bytes on an open connection, and reads until the peer closes it.
 pub async fn send_bytes_on(mut stream: TcpStream, bytes: &[u8]) -> String {
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
