--- a/crates/gateway/src/config_follower/state_file/tests.rs
+++ b/crates/gateway/src/config_follower/state_file/tests.rs
@@ -39,7 +39,7 @@
         let left = folder.after(PowerLoss { keeps_names, keeps_bytes });
         let number = match left.read(NAME) {
             Ok(bytes) => {
-                let number = u64::from(*bytes.first().unwrap_or_else(|| panic!("{case}: it is empty")));
+                let number = u64::from(*bytes.first().unwrap_or_else(|| panic!("{case}: the file is empty")));
                 assert_eq!(bytes, state(number).1, "{case}: a state that was never saved");
                 number
             }
@@ -64,7 +64,7 @@
             let folder = FaultyFolder::default();
             folder.fails(at..at + length, fault);
             let case = format!("{fault:?} at {at} ({operation:?}) for {length}");
-            assert_eq!(write_states(&folder), 6, "{case}: it does not recover");
+            assert_eq!(write_states(&folder), 6, "{case}: saving does not recover");
             assert_recoverable(&folder, 6, &case);
             assert_eq!(folder.names(), [NAME], "{case}");
         }
--- a/crates/gateway/src/control_thread.rs
+++ b/crates/gateway/src/control_thread.rs
@@ -33,7 +33,7 @@
     #[error("the configuration has no section {0}")]
     NotConfigured(&'static str),
     /// The path of the state file does not end in a file name.
-    #[error("{} is no file name; change state of changes in the configuration", .0.display())]
+    #[error("{} does not end in a file name; change `state` in the section `changes` of the configuration", .0.display())]
     StateFileName(PathBuf),
     /// The system can't start another thread.
     #[error("the thread can't be started: {0}")]
--- a/crates/gateway/src/message_handler.rs
+++ b/crates/gateway/src/message_handler.rs
@@ -58,11 +58,11 @@
 fn inject_fault(context: &Rc<CoreContext>, fault: FaultInjection) {
     match fault {
         FaultInjection::Stall(seconds) => std::thread::sleep(Duration::from_secs_f64(seconds)),
-        FaultInjection::Panic => panic!("a test asked for this panic"),
+        FaultInjection::Panic => panic!("panic injected by a test"),
         FaultInjection::DispatcherPanic => {
             let shared_runtime = context.shared_runtime.clone();
             let operation = async move {
-                shared_runtime.with_dispatcher(None, |_, _| panic!("a test asked for this panic"));
+                shared_runtime.with_dispatcher(None, |_, _| panic!("panic injected by a test"));
             };
             spawn_local(operation);
         }
--- a/crates/gateway/src/status_pages/tests.rs
+++ b/crates/gateway/src/status_pages/tests.rs
@@ -37,7 +37,7 @@
     assert_eq!(page_of(status_pages.page(operator(), 7, 0, || Some(vec![1])).unwrap()).2, [1]);
     assert_eq!(page_of(status_pages.page(operator(), 7, 0, || Some(vec![2])).unwrap()).2, [1]);
     assert_eq!(page_of(status_pages.page(operator(), 8, 0, || Some(vec![2])).unwrap()).2, [2]);
-    assert!(status_pages.page(operator(), 8, 1, || Some(vec![3])).is_none(), "it has one page");
+    assert!(status_pages.page(operator(), 8, 1, || Some(vec![3])).is_none(), "the report has one page");
 }
 
 #[test]
@@ -54,7 +54,7 @@
 fn missing_pages_are_known_from_the_first_page_on() {
     let mut collector = PageCollector::default();
     assert_eq!(collector.missing().collect::<Vec<_>>(), [0]);
-    assert!(collector.insert(1, 3, vec![1]), "there are more than one");
+    assert!(collector.insert(1, 3, vec![1]), "the first page states more pages than known");
     assert_eq!(collector.missing().collect::<Vec<_>>(), [0, 2]);
     assert!(!collector.insert(0, 3, vec![0]));
     assert_eq!(collector.into_text(), None);
--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -133,7 +133,7 @@
         let loads: Vec<_> = loads.collect();
         for overload in self.balancer.borrow_mut().rebalance(now, &loads) {
             let (core, connections) = (overload.core, overload.connections);
-            tracing::info!(core, connections, "core overloaded; asking clients to connect anew");
+            tracing::info!(core, connections, "core overloaded; asking clients to reconnect");
             slots[core].request_closing(connections, overload.max_request_rate);
         }
     }
--- a/crates/gateway/tests/multiple_cores.rs
+++ b/crates/gateway/tests/multiple_cores.rs
@@ -105,14 +105,14 @@
         pause(0.2).await;
         let clients: Vec<_> = (0..8).map(|_| spawn_local(send_requests(gateway_address, 20_000))).collect();
         pause(0.3).await;
-        assert!(received_count(&mut heads) > 0, "the test needs requests at the worker that drains");
+        assert!(received_count(&mut heads) > 0, "the draining worker must have received requests before");
         faults.send((1, FaultInjection::Stall(3.0))).unwrap();
         pause(0.1).await;
         revisions.send(endpoint_list(2, &[(draining, "draining"), (remaining, "ready")])).unwrap();
         pause(0.7).await;
         received_count(&mut heads);
         pause(3.2).await;
-        assert_eq!(received_count(&mut heads), 0, "sent after the grace");
+        assert_eq!(received_count(&mut heads), 0, "sent after the grace period");
         clients.iter().for_each(|c| c.abort());
     });
 }
@@ -141,7 +141,7 @@
         pause(1.0).await;
         received_count(&mut heads);
         pause(1.5).await;
-        assert_eq!(received_count(&mut heads), 0, "the last revision says that it drains");
+        assert_eq!(received_count(&mut heads), 0, "sent although the last revision is draining");
         clients.iter().for_each(|c| c.abort());
     });
 }
@@ -179,8 +179,8 @@
 /// requests in the first second.
 #[test_case(1, 0.0; "one core")]
 #[test_case(8, 0.0; "eight cores")]
-#[test_case(8, -3600.0; "its clock an hour behind")]
-#[test_case(8, 3600.0; "its clock an hour ahead")]
+#[test_case(8, -3600.0; "worker clock an hour behind")]
+#[test_case(8, 3600.0; "worker clock an hour ahead")]
 fn all_cores_together_slow_start_a_new_worker(cores: usize, step: f64) {
     run(async {
         let (warm, _others) = support::start_worker(Behavior::RespondsAfter(
@@ -277,7 +277,7 @@
 /// A core stalls with an open request. The client must get exactly one response during the stall, after which the
 /// connection ends.
 #[test_case(IDEMPOTENT, "bounced"; "idempotent")]
-#[test_case(NON_IDEMPOTENT, "terminated"; "not idempotent, and at a worker")]
+#[test_case(NON_IDEMPOTENT, "terminated"; "not idempotent, in flight at a worker")]
 fn the_request_of_a_stalled_core_is_answered_once(profile: &str, expected: &str) {
     run(async {
         let (worker, mut heads) = support::start_worker(Behavior::RespondsAfter(
@@ -307,8 +307,8 @@
 
 /// A core is lost with an open request. Its client must get a response, other clients must not be affected, and the
 /// core must be replaced.
-#[test_case(FaultInjection::Panic, 1; "its thread")]
-#[test_case(FaultInjection::Stall(7.5), 1; "it does not come back for long")]
+#[test_case(FaultInjection::Panic, 1; "thread panic")]
+#[test_case(FaultInjection::Stall(7.5), 1; "long stall")]
 fn a_lost_core_is_replaced_and_its_request_answered(fault: FaultInjection, lost: usize) {
     run(async {
         let late = Behavior::RespondsAfter(200, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
@@ -382,7 +382,7 @@
 /// After a panic of the dispatcher, open requests must be answered immediately, depending on whether they may have run,
 /// and the next request must be handled.
 #[test_case(IDEMPOTENT, 8, "terminated"; "all at a worker")]
-#[test_case(IDEMPOTENT, 1, "bounced"; "some waited")]
+#[test_case(IDEMPOTENT, 1, "bounced"; "some queued")]
 fn a_panic_of_the_dispatcher_answers_all_open_requests(profile: &str, lanes: usize, expected: &str) {
     run(async {
         let late = Behavior::RespondsAfter(400, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
@@ -475,7 +475,7 @@
         for client in &clients {
             closed += usize::from(client.is_finished());
         }
-        assert!((1..count / 2 + 1).contains(&closed), "{closed} of {count} were sent away");
+        assert!((1..count / 2 + 1).contains(&closed), "{closed} of {count} were closed");
         for client in clients.into_iter().filter(|c| c.is_finished()) {
             let (outcomes, _) = client.await.unwrap();
             assert!(outcomes.iter().all(|o| o == "handled"));
