--- a/crates/gateway/src/config_follower/status_log.rs
+++ b/crates/gateway/src/config_follower/status_log.rs
@@ -74,7 +74,9 @@
             tracing::warn!(?conflicts, "a control machine contradicts the others");
         }
         if counts.rebuilds > self.logged.rebuilds {
-            tracing::warn!("the applied configuration state was no state of the log; it was collected again");
+            tracing::warn!(
+                "the applied configuration state did not match any state of the log; it was fetched again"
+            );
         }
         self.logged = counts;
     }
--- a/crates/gateway/src/shared_runtime.rs
+++ b/crates/gateway/src/shared_runtime.rs
@@ -214,7 +214,7 @@
     /// Puts a message into a mailbox. Returns whether its core must be woken.
     fn post(&self, core: usize, message: CoreMessage) -> bool {
         self.core_slots[core].mailbox.push(message).unwrap_or_else(|_| {
-            tracing::error!(core, "mailbox full; message dropped, time limits will end what it was about");
+            tracing::error!(core, "mailbox full; message dropped, the affected operation will time out");
             false
         })
     }
