--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -5,7 +5,9 @@
 use crate::core_context::CoreContext;
 use crate::core_message::AttemptId;
 use crate::response::FinalResponse;
-use crate::worker_exchange::{self, BodyError, BufferedBody, PendingResponse, build_request, exchange, host};
+use crate::worker_exchange::{
+    self, BodyError, BufferedBody, PendingResponse, build_request, exchange, host_header,
+};
 use crate::worker_response::{attempt_result, remove_hop_by_hop_headers};
 use bytes::Bytes;
 use http::header::{self, HeaderMap, HeaderValue};
@@ -31,7 +33,7 @@
     /// Builds the HTTP request for a worker; `None` if its path is not a valid URI.
     fn into_http(self, attempt: usize, target: WorkerTarget) -> Option<Request<Full<Bytes>>> {
         let Self { function, mut headers, body } = self;
-        headers.insert(header::HOST, host(target.endpoint));
+        headers.insert(header::HOST, host_header(target.endpoint));
         headers.insert(&wire::ATTEMPT, HeaderValue::from(attempt as u64));
         build_request(Method::POST, wire::infer_path(&function), headers, body)
     }
--- a/crates/gateway/src/client_connection.rs
+++ b/crates/gateway/src/client_connection.rs
@@ -47,7 +47,7 @@
         if !self.ended.get() {
             self.channel.answer_unread_and_close(local_response(LocalResponse::interrupted(false)));
         }
-        let was_last = slot.open.fetch_sub(1, Ordering::AcqRel) == 1;
+        let was_last = slot.open_connections.fetch_sub(1, Ordering::AcqRel) == 1;
         if was_last && self.context.shared_runtime.stopping.load(Ordering::Acquire) {
             slot.wake.notify_one();
         }
@@ -66,7 +66,7 @@
     let channel = Arc::new(ResponseChannel::new(stream, context.now()));
     let id = context.shared_runtime.new_connection_id();
     let (ended, context) = (Cell::new(false), context.clone());
-    context.slot().open.fetch_add(1, Ordering::AcqRel);
+    context.slot().open_connections.fetch_add(1, Ordering::AcqRel);
     context.slot().channels().insert(id, channel.clone());
     let connection = ClientConnection { context, id, channel, ended, _permit: permit };
     spawn_local(serve_connection(connection));
--- a/crates/gateway/src/config_follower.rs
+++ b/crates/gateway/src/config_follower.rs
@@ -198,7 +198,7 @@
 
     fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         match message::open(&self.feed.key, datagram) {
-            Ok(Message::StatusRequest { query_id: ask, page }) => self.answer_query(ask, page, from),
+            Ok(Message::StatusRequest { query_id, page }) => self.answer_query(query_id, page, from),
             Ok(message) => self.follower.receive(self.shared_runtime.now(), from, message),
             Err(why) => {
                 let wrong_seal = matches!(why, message::OpenError::InvalidTag);
@@ -216,7 +216,7 @@
         self.follower.tick(now);
     }
 
-    fn act(&mut self, now: f64) {
+    fn process_output(&mut self, now: f64) {
         self.apply_changes();
         self.send_outgoing();
         self.state_file.save(state_id(&self.follower), now, || self.follower.save());
--- a/crates/gateway/src/connection_limit.rs
+++ b/crates/gateway/src/connection_limit.rs
@@ -23,7 +23,7 @@
     }
 
     /// Number of permits in use.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.used()
     }
 
--- a/crates/gateway/src/control_client.rs
+++ b/crates/gateway/src/control_client.rs
@@ -125,12 +125,12 @@
         while Instant::now() < end && answers.len() < self.control.len() {
             if Instant::now() >= resend_at {
                 resend_at = Instant::now() + RESEND_INTERVAL;
-                let silent = self.control.iter().filter(|to| !answers.contains_key(to));
-                silent.for_each(|to| self.send(*to, &Message::Get { key: key.to_owned() }));
+                let unanswered = self.control.iter().filter(|to| !answers.contains_key(to));
+                unanswered.for_each(|to| self.send(*to, &Message::Get { key: key.to_owned() }));
             }
             let Some((from, message)) = self.receive(resend_at.min(end)) else { continue };
-            let Message::GetReply { key: about, number, text, head, .. } = message else { continue };
-            if about == key && self.control.contains(&from) {
+            let Message::GetReply { key: reply_key, number, text, head, .. } = message else { continue };
+            if reply_key == key && self.control.contains(&from) {
                 if answers.is_empty() {
                     end = end.min(Instant::now() + STRAGGLER_WAIT);
                 }
@@ -192,10 +192,10 @@
                 pages.iter().zip(targets).for_each(|(pages, to)| self.request_pages(*to, request_id, pages));
             }
             let Some((from, message)) = self.receive(resend_at.min(end)) else { continue };
-            let Message::StatusPage { query_id: about, page, page_count: total, bytes } = message else {
+            let Message::StatusPage { query_id: reply_id, page, page_count: total, bytes } = message else {
                 continue;
             };
-            let target = targets.iter().position(|to| *to == from).filter(|_| about == request_id);
+            let target = targets.iter().position(|to| *to == from).filter(|_| reply_id == request_id);
             let Some(pages) = target.and_then(|target| pages.get_mut(target)) else { continue };
             if pages.insert(page as usize, total as usize, bytes) {
                 self.request_pages(from, request_id, pages);
--- a/crates/gateway/src/control_thread.rs
+++ b/crates/gateway/src/control_thread.rs
@@ -33,7 +33,7 @@
     #[error("the configuration has no section {0}")]
     NotConfigured(&'static str),
     /// The path of the state file does not end in a file name.
-    #[error("{} does not end in a file name; change `state` in the section `changes` of the configuration", .0.display())]
+    #[error("{} does not end in a file name; change `state` in section `changes`", .0.display())]
     StateFileName(PathBuf),
     /// The system can't start another thread.
     #[error("the thread can't be started: {0}")]
@@ -67,7 +67,7 @@
     /// as silent just because this thread was paused.
     fn tick(&mut self, now: f64);
     /// Carries out the state machine's output. Called after each datagram and after each wait without one.
-    fn act(&mut self, now: f64);
+    fn process_output(&mut self, now: f64);
     /// Whether the thread must end as if its process had been killed, without calling [`finish`](Self::finish).
     fn is_killed(&self) -> bool;
     /// Performs a graceful shutdown, for the benefit of the peers and of the next process.
@@ -98,7 +98,7 @@
         if datagram_receiver.is_tick_due(now, control_loop.next_tick()) {
             control_loop.tick(now);
         }
-        control_loop.act(now);
+        control_loop.process_output(now);
     }
     if !control_loop.is_killed() {
         control_loop.finish();
--- a/crates/gateway/src/core_slot.rs
+++ b/crates/gateway/src/core_slot.rs
@@ -24,7 +24,7 @@
     /// The last heartbeat of the core's thread, and its incarnation.
     pub heartbeat: Heartbeat,
     /// Number of open client connections.
-    pub open: AtomicUsize,
+    pub open_connections: AtomicUsize,
     /// Number of requests read since the start.
     pub requests: AtomicU64,
     channels: Mutex<BTreeMap<u64, Arc<ResponseChannel>>>,
@@ -40,7 +40,7 @@
             mailbox: Mailbox::new(mailbox_capacity),
             wake: Notify::new(),
             heartbeat: Heartbeat::new(0.0),
-            open: AtomicUsize::new(0),
+            open_connections: AtomicUsize::new(0),
             requests: AtomicU64::new(0),
             channels: Mutex::default(),
             connections_to_close: AtomicUsize::new(0),
--- a/crates/gateway/src/core_thread.rs
+++ b/crates/gateway/src/core_thread.rs
@@ -138,7 +138,7 @@
         if shared_runtime.stopping.load(Ordering::Acquire) {
             context.stop();
             let accepting = accepting.load(Ordering::Acquire);
-            if !accepting && slot.open.load(Ordering::Acquire) == 0 && slot.mailbox.is_empty() {
+            if !accepting && slot.open_connections.load(Ordering::Acquire) == 0 && slot.mailbox.is_empty() {
                 return;
             }
         }
--- a/crates/gateway/src/endpoint_watch.rs
+++ b/crates/gateway/src/endpoint_watch.rs
@@ -55,8 +55,8 @@
     last_revision: Option<u64>,
     /// Whether missing changes have been reported.
     gap_reported: bool,
-    /// A time by which everything that the registry had sent until then has been read. Set before the stream is
-    /// requested and at each confirmation.
+    /// The latest known time at which nothing sent by the registry was unread. Set before the stream is requested and
+    /// at each confirmation.
     read_until: f64,
 }
 
--- a/crates/gateway/src/io_fault.rs
+++ b/crates/gateway/src/io_fault.rs
@@ -86,8 +86,8 @@
 impl Backoff {
     const MIN_PAUSE: Duration = Duration::from_millis(5);
     const MAX_PAUSE: Duration = Duration::from_millis(100);
-    /// Number of consecutive failed connections after which `accept` is retried without a pause; each of them removes
-    /// one connection from the accept queue.
+    /// Number of consecutive failed connections for which `accept` is retried without a pause. Each of them removes one
+    /// connection from the accept queue.
     const IMMEDIATE_RETRIES: u32 = 64;
 
     /// Returns how long to wait before the next `accept`.
--- a/crates/gateway/src/io_fault/tests.rs
+++ b/crates/gateway/src/io_fault/tests.rs
@@ -91,7 +91,7 @@
 }
 
 #[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a temporary local fault")]
-#[test_case(EADDRNOTAVAIL, usize::MAX, 40, Err(EADDRNOTAVAIL), 4; "a permanent local fault: retried after 5, 10 and 20 ms")]
+#[test_case(EADDRNOTAVAIL, usize::MAX, 40, Err(EADDRNOTAVAIL), 4; "a lasting fault: waits 5, 10 and 20 ms")]
 #[test_case(ENETUNREACH, usize::MAX, 1, Err(ENETUNREACH), 1; "no time for a pause")]
 #[test_case(ECONNREFUSED, 1, 40, Err(ECONNREFUSED), 1; "refused by the worker, not retried")]
 fn connecting_is_retried_for_a_bounded_time(
--- a/crates/gateway/src/membership_link.rs
+++ b/crates/gateway/src/membership_link.rs
@@ -231,7 +231,7 @@
         self.membership.tick(now);
     }
 
-    fn act(&mut self, now: f64) {
+    fn process_output(&mut self, now: f64) {
         if now >= self.second_began + 1.0 {
             (self.second_began, self.queries_received) = (now, 0);
         }
--- a/crates/gateway/src/membership_link/status.rs
+++ b/crates/gateway/src/membership_link/status.rs
@@ -41,9 +41,7 @@
     #[error(transparent)]
     Key(#[from] KeyFileError),
     /// The configured port is 0, so the system chooses it and the gateway's address is not known.
-    #[error(
-        "`listen` in the section `peers` has port 0, so the gateway's port is not known; configure a fixed port"
-    )]
+    #[error("`listen` in section `peers` has port 0, so the gateway's port is unknown; set a fixed port")]
     PortNotFixed,
     /// An operation on the query's socket failed.
     #[error("the query can't be sent: {0}")]
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -71,7 +71,7 @@
     supervisor.begin_shutdown();
     tracing::info!(
         open = shared_runtime.query_dispatcher(|dispatcher| dispatcher.open_requests()),
-        connections = shared_runtime.client_connections.open(),
+        connections = shared_runtime.client_connections.open_count(),
         "stopping"
     );
     let deadlines = shared_runtime.config.profiles.iter().map(|profile| profile.deadline);
@@ -155,7 +155,7 @@
         let Self { supervisor, shared_runtime, listener, .. } = self;
         drop(listener);
         supervisor.stop_accepting();
-        while shared_runtime.client_connections.open() > 0 {
+        while shared_runtime.client_connections.open_count() > 0 {
             shared_runtime.client_connections.wait_for_release().await;
         }
     }
--- a/crates/gateway/src/supervisor.rs
+++ b/crates/gateway/src/supervisor.rs
@@ -125,7 +125,7 @@
         let core_threads = self.core_threads.borrow();
         let slots = &self.shared_runtime.core_slots;
         let loads = slots.iter().zip(core_threads.iter()).map(|(slot, thread)| CoreLoad {
-            connections: slot.open.load(Ordering::Relaxed),
+            connections: slot.open_connections.load(Ordering::Relaxed),
             requests: slot.requests.load(Ordering::Relaxed),
             stalled: !thread.is_started()
                 || thread.watchdog.check(now, slot.heartbeat.last_beat()) != CoreAction::Nothing,
@@ -221,7 +221,7 @@
             if threads.is_empty() {
                 return;
             }
-            let connections_left = heartbeat == 0 && self.shared_runtime.client_connections.open() > 0;
+            let connections_left = heartbeat == 0 && self.shared_runtime.client_connections.open_count() > 0;
             if heartbeat == GRACE_HEARTBEATS || connections_left {
                 self.end_incarnations();
             }
--- a/crates/gateway/src/worker_commands.rs
+++ b/crates/gateway/src/worker_commands.rs
@@ -2,7 +2,9 @@
 
 use crate::connection_pool::WorkerTarget;
 use crate::core_context::CoreContext;
-use crate::worker_exchange::{ExchangeError, PendingResponse, build_request, exchange, host, read_body};
+use crate::worker_exchange::{
+    ExchangeError, PendingResponse, build_request, exchange, host_header, read_body,
+};
 use crate::worker_response::{load_report, load_result};
 use bytes::Bytes;
 use http::Method;
@@ -32,7 +34,7 @@
 ) -> Result<Parts, ExchangeError> {
     let Command { method, path, instances } = command;
     let mut headers = HeaderMap::new();
-    headers.insert(header::HOST, host(target.endpoint));
+    headers.insert(header::HOST, host_header(target.endpoint));
     if let Some(instances) = instances {
         headers.insert(&wire::INSTANCES, HeaderValue::from(u16::from(instances)));
     }
--- a/crates/gateway/src/worker_exchange.rs
+++ b/crates/gateway/src/worker_exchange.rs
@@ -110,7 +110,7 @@
 }
 
 /// Returns the `Host` field for a worker.
-pub fn host(endpoint: Endpoint) -> HeaderValue {
+pub fn host_header(endpoint: Endpoint) -> HeaderValue {
     HeaderValue::from_str(&endpoint.address.to_string()).unwrap_or(HeaderValue::from_static("worker"))
 }
 
