--- a/crates/gateway/benches/spread.rs
+++ b/crates/gateway/benches/spread.rs
@@ -1,6 +1,7 @@
-//! How evenly kept connections spread over cores: listeners that share a port (SO_REUSEPORT, the kernel picks by the
-//! connection's hash) against one acceptor that deals them out in turn. The figure is the busiest core's share over
-//! the even share, for a few and for many clients that keep their connections.
+//! Measures how evenly persistent connections are distributed over cores: by listeners that share a port (SO_REUSEPORT,
+//! where the kernel picks a listener by the connection's hash), compared to one acceptor that assigns them round-robin.
+//! The result is the ratio of the busiest core's share to an even share, for few and for many clients with persistent
+//! connections.
 //!
 //! `cargo bench -p milletpath-gateway --bench spread`
 
@@ -20,8 +21,8 @@
     listener
 }
 
-/// The busiest core's share over the even one, when the kernel picks.
-fn shared(cores: usize, clients: usize) -> f64 {
+/// Returns the ratio of the busiest core's share to an even share if the kernel picks the listener.
+fn kernel_imbalance(cores: usize, clients: usize) -> f64 {
     let first = listener(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
     let at = first.local_addr().expect("an address");
     let mut listeners = vec![first];
@@ -50,12 +51,12 @@
     );
     for cores in [2, 4, 8] {
         for clients in [8, 32, 128, 1024] {
-            let shares: Vec<f64> = (0..ROUNDS).map(|_| shared(cores, clients)).collect();
+            let shares: Vec<f64> = (0..ROUNDS).map(|_| kernel_imbalance(cores, clients)).collect();
             let mean = shares.iter().sum::<f64>() / ROUNDS as f64;
             let worst = shares.iter().copied().fold(0.0, f64::max);
-            let dealt = clients.div_ceil(cores) as f64 * cores as f64 / clients as f64;
+            let in_turn = clients.div_ceil(cores) as f64 * cores as f64 / clients as f64;
             println!(
-                "{cores} cores, {clients:>4} clients: kernel {mean:.2} (worst {worst:.2}), in turn {dealt:.2}"
+                "{cores} cores, {clients:>4} clients: kernel {mean:.2} (worst {worst:.2}), in turn {in_turn:.2}"
             );
         }
     }
--- a/crates/gateway/src/io_fault/tests.rs
+++ b/crates/gateway/src/io_fault/tests.rs
@@ -55,27 +55,27 @@
     assert_eq!(ConnectFault::of(&error(errno)), fault);
 }
 
-/// An error that no system call returned proves nothing about this machine.
+/// An error that was not returned by a system call says nothing about this machine.
 #[test]
 fn errors_without_an_errno_are_classified() {
     let error = io::Error::other("the handshake failed");
     assert_eq!((AcceptFault::of(&error), ConnectFault::of(&error)), (Resources, Worker));
 }
 
-/// Whatever fails and for however long, there is a pause before long, and none is longer than the bound.
-#[test_case(Connection, 64; "connections that are gone")]
-#[test_case(Resources, 0; "no resources")]
+/// However long failures persist, pauses start after a bounded number of retries and never exceed the maximum.
+#[test_case(Connection, 64; "failed connections")]
+#[test_case(Resources, 0; "lack of resources")]
 fn pauses_grow_up_to_a_bound(fault: AcceptFault, immediate_retries: usize) {
     let mut backoff = Backoff::default();
     let pauses: Vec<_> = (0..100_000).map(|_| backoff.after_accept(fault)).collect();
     assert!(pauses[..immediate_retries].iter().all(Duration::is_zero));
     assert_eq!(pauses[immediate_retries..immediate_retries + 3], [5, 10, 20].map(Duration::from_millis));
-    assert!(pauses[immediate_retries + 5..].iter().all(|pause| *pause == Backoff::LONGEST));
+    assert!(pauses[immediate_retries + 5..].iter().all(|pause| *pause == Backoff::MAX_PAUSE));
     backoff.succeeded();
-    assert_eq!(backoff.after_accept(Resources), Backoff::FIRST);
+    assert_eq!(backoff.after_accept(Resources), Backoff::MIN_PAUSE);
 }
 
-/// Makes attempts of which the first ones fail so; the outcome, and the attempts that were made.
+/// Connects with the given number of initial failures. Returns the result and the number of attempts.
 fn connect_with_failures(
     errno: Errno,
     failures: usize,
@@ -83,24 +83,24 @@
 ) -> (Result<usize, Option<i32>>, usize) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     let mut attempts = 0;
-    let made = runtime.block_on(connect(Duration::from_millis(max_wait), async || {
+    let result = runtime.block_on(connect(Duration::from_millis(max_wait), async || {
         attempts += 1;
         if attempts <= failures { Err(error(errno)) } else { Ok(attempts) }
     }));
-    (made.map_err(|e| e.raw_os_error()), attempts)
+    (result.map_err(|e| e.raw_os_error()), attempts)
 }
 
-#[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a local fault that passes")]
-#[test_case(EADDRNOTAVAIL, usize::MAX, 40, Err(EADDRNOTAVAIL), 4; "one that does not: 5, 10 and 20 ms, then no more")]
+#[test_case(EADDRNOTAVAIL, 2, 40, Ok(3), 3; "a temporary local fault")]
+#[test_case(EADDRNOTAVAIL, usize::MAX, 40, Err(EADDRNOTAVAIL), 4; "a lasting fault: waits 5, 10 and 20 ms")]
 #[test_case(ENETUNREACH, usize::MAX, 1, Err(ENETUNREACH), 1; "no time for a pause")]
-#[test_case(ECONNREFUSED, 1, 40, Err(ECONNREFUSED), 1; "a worker that refuses is not tried again")]
+#[test_case(ECONNREFUSED, 1, 40, Err(ECONNREFUSED), 1; "refused by the worker, not retried")]
 fn connecting_is_retried_for_a_bounded_time(
     errno: Errno,
     failures: usize,
     max_wait: u64,
-    made: Result<usize, Errno>,
+    result: Result<usize, Errno>,
     attempts: usize,
 ) {
-    let made = made.map_err(|errno| Some(errno as i32));
-    assert_eq!(connect_with_failures(errno, failures, max_wait), (made, attempts));
+    let result = result.map_err(|errno| Some(errno as i32));
+    assert_eq!(connect_with_failures(errno, failures, max_wait), (result, attempts));
 }
--- a/crates/gateway/src/message_handler.rs
+++ b/crates/gateway/src/message_handler.rs
@@ -1,4 +1,4 @@
-//! Carries out the messages of one core: each goes to the module that does the work.
+//! Handles the messages to one core by passing each to the responsible module.
 
 use crate::attempt::{self, AttemptRequest};
 use crate::core_context::CoreContext;
@@ -17,8 +17,8 @@
         CoreMessage::SendAttempt { id, target, function } => {
             context.with_open_request(id.request, id.request_slot, |open_request| {
                 let (headers, body) = (open_request.headers.clone(), open_request.body.clone());
-                let parts = AttemptRequest { function, headers, body };
-                let task = attempt::send(context.clone(), id, target, parts);
+                let attempt_request = AttemptRequest { function, headers, body };
+                let task = attempt::send(context.clone(), id, target, attempt_request);
                 open_request.attempts.push(spawn_local(task).abort_handle());
             });
         }
@@ -58,11 +58,11 @@
 fn inject_fault(context: &Rc<CoreContext>, fault: FaultInjection) {
     match fault {
         FaultInjection::Stall(seconds) => std::thread::sleep(Duration::from_secs_f64(seconds)),
-        FaultInjection::Panic => panic!("a test asked for this panic"),
+        FaultInjection::Panic => panic!("panic injected by a test"),
         FaultInjection::DispatcherPanic => {
             let shared_runtime = context.shared_runtime.clone();
             let operation = async move {
-                shared_runtime.with_dispatcher(None, |_, _| panic!("a test asked for this panic"));
+                shared_runtime.with_dispatcher(None, |_, _| panic!("panic injected by a test"));
             };
             spawn_local(operation);
         }
--- a/crates/gateway/tests/multiple_cores.rs
+++ b/crates/gateway/tests/multiple_cores.rs
@@ -1,5 +1,5 @@
-//! Several cores: each test causes one of the cases in which they could disagree, and checks what clients and workers
-//! receive.
+//! Gateways with several cores. Each test causes a situation in which cores could act inconsistently, and checks what
+//! clients and workers receive.
 
 mod support;
 
@@ -25,7 +25,7 @@
     std::iter::from_fn(|| heads.try_recv().ok()).count()
 }
 
-/// A registry that sends the lines it is given.
+/// Starts a registry that sends the lines it receives through the returned channel.
 async fn registry() -> (SocketAddr, UnboundedSender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -58,13 +58,13 @@
     milletpath_config::read(&text).unwrap()
 }
 
-/// Sends up to `most` requests on one connection, each after the response to the one before, until the gateway closes
-/// it; the outcomes, and whether it was closed.
-async fn send_requests(gateway_address: SocketAddr, most: usize) -> (Vec<String>, bool) {
+/// Sends up to `max_requests` requests on one connection, each after the response to the previous one, until the
+/// gateway closes it. Returns the outcomes and whether the connection was closed.
+async fn send_requests(gateway_address: SocketAddr, max_requests: usize) -> (Vec<String>, bool) {
     let mut stream = TcpStream::connect(gateway_address).await.unwrap();
     let text = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
     let mut outcomes = Vec::new();
-    for _ in 0..most {
+    for _ in 0..max_requests {
         if stream.write_all(text.as_bytes()).await.is_err() {
             return (outcomes, true);
         }
@@ -91,57 +91,63 @@
     (outcomes, false)
 }
 
-/// A worker drains while one core is stalled with requests in its sockets: no core sends it anything after the grace.
+/// A worker starts draining while one core is stalled with unread requests. After the grace period no core may send it
+/// anything.
 #[test]
 fn a_core_that_was_stalled_sends_nothing_to_a_drained_worker() {
     run(async {
         let (draining, mut heads) = support::start_worker(OK).await;
-        let (stays, _others) = support::start_worker(OK).await;
+        let (remaining, _others) = support::start_worker(OK).await;
         let (registry, revisions) = registry().await;
-        revisions.send(endpoint_list(1, &[(draining, "ready"), (stays, "ready")])).unwrap();
+        revisions.send(endpoint_list(1, &[(draining, "ready"), (remaining, "ready")])).unwrap();
         let (gateway_address, _stop, _served, faults) =
             start_with_faults(config_with_registry(4, registry)).await;
         pause(0.2).await;
         let clients: Vec<_> = (0..8).map(|_| spawn_local(send_requests(gateway_address, 20_000))).collect();
         pause(0.3).await;
-        assert!(received_count(&mut heads) > 0, "the test needs requests at the worker that drains");
+        assert!(received_count(&mut heads) > 0, "the draining worker must have received requests before");
         faults.send((1, FaultInjection::Stall(3.0))).unwrap();
         pause(0.1).await;
-        revisions.send(endpoint_list(2, &[(draining, "draining"), (stays, "ready")])).unwrap();
+        revisions.send(endpoint_list(2, &[(draining, "draining"), (remaining, "ready")])).unwrap();
         pause(0.7).await;
         received_count(&mut heads);
         pause(3.2).await;
-        assert_eq!(received_count(&mut heads), 0, "sent after the grace");
+        assert_eq!(received_count(&mut heads), 0, "sent after the grace period");
         clients.iter().for_each(|c| c.abort());
     });
 }
 
-/// The endpoint list changes two thousand times in a moment while a core is stalled; its last revision holds for all.
+/// The endpoint list changes two thousand times in quick succession while a core is stalled. The last revision must
+/// apply to all cores.
 #[test]
 fn the_last_of_many_endpoint_revisions_holds_for_all_cores() {
     run(async {
         let (flapping, mut heads) = support::start_worker(OK).await;
-        let (stays, _others) = support::start_worker(OK).await;
+        let (remaining, _others) = support::start_worker(OK).await;
         let (registry, revisions) = registry().await;
-        let both = |n: u64| {
-            endpoint_list(n, &[(flapping, if n % 2 == 1 { "ready" } else { "draining" }), (stays, "ready")])
+        let revision = |n: u64| {
+            endpoint_list(
+                n,
+                &[(flapping, if n % 2 == 1 { "ready" } else { "draining" }), (remaining, "ready")],
+            )
         };
-        revisions.send(both(1)).unwrap();
+        revisions.send(revision(1)).unwrap();
         let (gateway_address, _stop, _served, faults) =
             start_with_faults(config_with_registry(4, registry)).await;
         pause(0.2).await;
         let clients: Vec<_> = (0..8).map(|_| spawn_local(send_requests(gateway_address, 20_000))).collect();
         faults.send((2, FaultInjection::Stall(1.5))).unwrap();
-        (2..=2000).for_each(|n| revisions.send(both(n)).unwrap());
+        (2..=2000).for_each(|n| revisions.send(revision(n)).unwrap());
         pause(1.0).await;
         received_count(&mut heads);
         pause(1.5).await;
-        assert_eq!(received_count(&mut heads), 0, "the last revision says that it drains");
+        assert_eq!(received_count(&mut heads), 0, "sent although the last revision is draining");
         clients.iter().for_each(|c| c.abort());
     });
 }
 
-/// One load request is allowed in all: eight cores with requests for forty functions send one, and no more.
+/// The limit allows one load request in total. Requests for forty functions must cause exactly one, however many cores
+/// serve them.
 #[test_case(1)]
 #[test_case(8)]
 fn the_load_rate_limit_holds_over_all_cores(cores: usize) {
@@ -152,14 +158,14 @@
         let mut config = config_for(&workers, &extra_config);
         config.policy.can_request_loads = true;
         let (gateway_address, ..) = start_with_faults(config).await;
-        let ask = |n: usize| {
+        let send = |n: usize| {
             let text = format!(
                 "POST /v1/functions/f{n}/activations HTTP/1.1\r\nhost: g\r\nconnection: close\r\nmilletpath-patience: \
                  1\r\ncontent-length: 0\r\n\r\n"
             );
             spawn_local(async move { support::send_bytes(gateway_address, text.as_bytes()).await })
         };
-        let pending: Vec<_> = (0..40).map(ask).collect();
+        let pending: Vec<_> = (0..40).map(send).collect();
         for answer in pending {
             assert_ne!(outcome(&answer.await.unwrap()), "none");
         }
@@ -168,12 +174,13 @@
     });
 }
 
-/// All cores learn of a new worker at once: together they send it what one core would, whatever its wall clock says. One
-/// whose clock was an hour behind counted as warm, and was sent 112 requests in the first second.
+/// All cores learn of a new worker at the same time. Together they must send it as much as one core would, regardless
+/// of the worker's wall clock. A worker whose clock was an hour behind was once considered warm and received 112
+/// requests in the first second.
 #[test_case(1, 0.0; "one core")]
 #[test_case(8, 0.0; "eight cores")]
-#[test_case(8, -3600.0; "its clock an hour behind")]
-#[test_case(8, 3600.0; "its clock an hour ahead")]
+#[test_case(8, -3600.0; "worker clock an hour behind")]
+#[test_case(8, 3600.0; "worker clock an hour ahead")]
 fn all_cores_together_slow_start_a_new_worker(cores: usize, step: f64) {
     run(async {
         let (warm, _others) = support::start_worker(Behavior::RespondsAfter(
@@ -194,21 +201,21 @@
         pause(2.0).await;
         let now = unix_time() + step;
         let list = endpoint_list(2, &[(warm, "ready"), (cold, "ready")]);
-        // It started this moment.
+        // The worker has just started.
         let started = format!("{{\"name\": \"w1\", \"started\": {now:.3},");
         revisions.send(list.replace("{\"name\": \"w1\",", &started)).unwrap();
         pause(1.0).await;
         let first = received_count(&mut heads);
-        // 16 clients at 20 ms send 800 requests per second at most. A worker in slow start is overloaded by two and a
-        // half times its share of them.
+        // 16 clients at 20 ms send at most 800 requests per second. Two and a half times its share of them would
+        // overload a worker in slow start.
         assert!((1..=400).contains(&first), "{first} in the first second");
-        // While it is in slow start: 52 to 56.
+        // During slow start the worker receives 52 to 56 requests.
         assert!(first <= 85, "{first} in the first second");
         clients.iter().for_each(|c| c.abort());
     });
 }
 
-/// One core can use the whole limit on open requests while the others are stalled, and no more.
+/// While the other cores are stalled, one core can use the whole limit on open requests, but not exceed it.
 #[test]
 fn the_limit_on_open_requests_can_be_used_by_one_core() {
     run(async {
@@ -220,19 +227,20 @@
         let config = config_for(&[worker], "cores = 4\nfunctions {\nlanes = 16\n}\nlimits {\nopen = 6\n}\n");
         let (gateway_address, _stop, _served, faults) = start_with_faults(config).await;
         (1..4).for_each(|core| faults.send((core, FaultInjection::Stall(2.0))).unwrap());
-        // Until the supervisor has noticed that they are stalled.
+        // Waits until the supervisor has detected the stalls.
         pause(0.8).await;
         let pending: Vec<_> =
             (0..9).map(|_| spawn_local(async move { send_request(gateway_address, "", "").await })).collect();
-        let mut full = 0;
+        let mut rejected = 0;
         for answer in pending {
-            full += usize::from(answer.await.unwrap().contains("problem:full"));
+            rejected += usize::from(answer.await.unwrap().contains("problem:full"));
         }
-        assert_eq!(full, 3);
+        assert_eq!(rejected, 3);
     });
 }
 
-/// A worker may have one connection, which one core keeps idle: it is closed for the other core, request after request.
+/// The limit allows one connection to the worker, which one core keeps idle. It must be closed whenever the other core
+/// needs it.
 #[test]
 fn an_idle_connection_is_closed_for_another_core() {
     run(async {
@@ -240,22 +248,23 @@
         let config = config_for(&[worker], "cores = 2\nlimits {\nper_worker = 1\n}\n");
         let (gateway_address, ..) = start_with_faults(config).await;
         for _ in 0..6 {
-            // Assigned in turn: each to the other core.
+            // Connections are assigned round-robin, so consecutive requests go to different cores.
             assert_eq!(send_requests(gateway_address, 1).await.0, ["handled"]);
         }
     });
 }
 
-/// A profile whose requests may take a minute: how busy the machine is decides nothing about them.
-const UNHURRIED: &str = "profile \"pure\" {\ndue = 60\ncut_off = 60\neffect = \"pure\"\n}\n";
+/// A profile with a deadline of a minute, so that its requests do not time out on a busy machine.
+const LONG_DEADLINE: &str = "profile \"pure\" {\ndue = 60\ncut_off = 60\neffect = \"pure\"\n}\n";
 
-/// Cores are pinned, and there are more of them than processors.
+/// More pinned cores than processors must serve all requests.
 #[test]
 fn more_pinned_cores_than_processors_serve() {
     run(async {
         let (worker, _heads) = support::start_worker(OK).await;
         let (gateway_address, stop, served, _faults) =
-            start_with_faults(config_for(&[worker], &format!("cores = 63\npin = true\n{UNHURRIED}"))).await;
+            start_with_faults(config_for(&[worker], &format!("cores = 63\npin = true\n{LONG_DEADLINE}")))
+                .await;
         let clients: Vec<_> = (0..70).map(|_| spawn_local(send_requests(gateway_address, 2))).collect();
         for client in clients {
             assert_eq!(client.await.unwrap().0, ["handled", "handled"]);
@@ -265,9 +274,10 @@
     });
 }
 
-/// A core is stalled with an open request: its client gets one response meanwhile, and the connection ends.
+/// A core stalls with an open request. The client must get exactly one response during the stall, after which the
+/// connection ends.
 #[test_case(IDEMPOTENT, "bounced"; "idempotent")]
-#[test_case(NON_IDEMPOTENT, "terminated"; "not idempotent, and at a worker")]
+#[test_case(NON_IDEMPOTENT, "terminated"; "not idempotent, in flight at a worker")]
 fn the_request_of_a_stalled_core_is_answered_once(profile: &str, expected: &str) {
     run(async {
         let (worker, mut heads) = support::start_worker(Behavior::RespondsAfter(
@@ -289,15 +299,16 @@
         let answer = answer.unwrap();
         assert_eq!(outcome(&answer), expected, "{answer}");
         assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
-        // Once it moves again it serves as before.
+        // The core serves requests again after the stall.
         pause(2.0).await;
         assert_eq!(outcome(&send_request(gateway_address, "", "").await), "handled");
     });
 }
 
-/// A core is lost with an open request: its client gets a response, others notice nothing, and the core is replaced.
-#[test_case(FaultInjection::Panic, 1; "its thread")]
-#[test_case(FaultInjection::Stall(7.5), 1; "it does not come back for long")]
+/// A core is lost with an open request. Its client must get a response, other clients must not be affected, and the
+/// core must be replaced.
+#[test_case(FaultInjection::Panic, 1; "thread panic")]
+#[test_case(FaultInjection::Stall(7.5), 1; "long stall")]
 fn a_lost_core_is_replaced_and_its_request_answered(fault: FaultInjection, lost: usize) {
     run(async {
         let late = Behavior::RespondsAfter(200, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
@@ -305,7 +316,7 @@
         let extra_config = format!("cores = 2\n{NON_IDEMPOTENT}functions {{\nlanes = 8\n}}\n");
         let (gateway_address, _stop, _served, faults) =
             start_with_faults(config_for(&[worker], &extra_config)).await;
-        // Assigned in turn: one for each core.
+        // Connections are assigned round-robin, one to each core.
         let pending = [0, 1].map(|_| {
             spawn_local(async move { send_request(gateway_address, "milletpath-patience: 1\r\n", "").await })
         });
@@ -326,7 +337,7 @@
     });
 }
 
-/// A request is unread on an open connection when its core dies: it is rejected, not dropped.
+/// A request that is unread on an open connection when its core dies must be rejected, not dropped.
 #[test]
 fn an_unread_request_of_a_dead_core_is_rejected() {
     run(async {
@@ -349,7 +360,8 @@
     });
 }
 
-/// A core stays stalled, and its client would wait for longer: it gets a response when the core is replaced.
+/// A core stays stalled while its client would wait even longer. The client must get a response when the core is
+/// replaced.
 #[test]
 fn a_waiting_client_is_answered_when_its_core_is_replaced() {
     run(async {
@@ -367,9 +379,10 @@
     });
 }
 
-/// The dispatcher panics: open requests are answered at once, by whether they may have run, and the next is handled.
+/// After a panic of the dispatcher, open requests must be answered immediately, depending on whether they may have run,
+/// and the next request must be handled.
 #[test_case(IDEMPOTENT, 8, "terminated"; "all at a worker")]
-#[test_case(IDEMPOTENT, 1, "bounced"; "some waited")]
+#[test_case(IDEMPOTENT, 1, "bounced"; "some queued")]
 fn a_panic_of_the_dispatcher_answers_all_open_requests(profile: &str, lanes: usize, expected: &str) {
     run(async {
         let late = Behavior::RespondsAfter(400, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
@@ -393,7 +406,8 @@
     });
 }
 
-/// The supervisor panics, once by itself and once in the dispatcher: requests are served, and time limits hold.
+/// The supervisor panics, first in its own code and then in the dispatcher. Requests must still be served, and time
+/// limits enforced.
 #[test]
 fn a_panic_of_the_supervisor_loses_no_request() {
     run(async {
@@ -417,7 +431,8 @@
     });
 }
 
-/// The gateway stops during a burst on all cores: every accepted request gets one response, and the counts agree.
+/// The gateway stops during a burst on all cores. Every accepted request must get one response, and the counters must
+/// be consistent.
 #[test]
 fn a_stop_during_a_burst_answers_every_accepted_request() {
     run(async {
@@ -430,9 +445,9 @@
         let counters = served.await.unwrap();
         let (mut handled, mut closed) = (0, 0);
         for client in clients {
-            let (outcomes, was) = client.await.unwrap();
+            let (outcomes, was_closed) = client.await.unwrap();
             handled += outcomes.iter().filter(|o| *o == "handled").count() as u64;
-            closed += usize::from(was);
+            closed += usize::from(was_closed);
             assert!(outcomes.iter().all(|o| o != "none"));
         }
         assert_eq!((closed, handled), (32, counters.succeeded));
@@ -443,8 +458,8 @@
     });
 }
 
-/// All connections arrived while one of two cores was stalled. Once it runs, some clients of the overloaded core are
-/// asked to connect anew, a few at a time, and none loses a request by it.
+/// All connections arrive while one of two cores is stalled. After the stall, some clients of the overloaded core must
+/// be asked to reconnect, a few at a time, without losing a request.
 #[test]
 fn an_overloaded_core_moves_connections_to_others() {
     run(async {
@@ -460,7 +475,7 @@
         for client in &clients {
             closed += usize::from(client.is_finished());
         }
-        assert!((1..count / 2 + 1).contains(&closed), "{closed} of {count} were sent away");
+        assert!((1..count / 2 + 1).contains(&closed), "{closed} of {count} were closed");
         for client in clients.into_iter().filter(|c| c.is_finished()) {
             let (outcomes, _) = client.await.unwrap();
             assert!(outcomes.iter().all(|o| o == "handled"));
@@ -468,8 +483,8 @@
     });
 }
 
-/// The only core is stalled: a request on a new connection is rejected by the supervisor, and a connection without one
-/// waits for the core.
+/// While the only core is stalled, the supervisor must reject a request on a new connection, and a connection without a
+/// request must wait for the core.
 #[test]
 fn new_connections_of_a_stalled_core_are_rejected_or_wait() {
     run(async {
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests through a gateway on loopback: each test causes one failure and checks what client and workers receive.
+//! Requests through a gateway on the loopback interface. Each test causes one failure, and checks what the client and
+//! the workers receive.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Request heads that a worker has received until now.
+/// Returns the requests that a worker has received since the last call.
 fn received_heads(heads: &mut support::RequestHeads) -> Vec<String> {
     std::iter::from_fn(|| heads.try_recv().ok()).collect()
 }
@@ -35,7 +36,7 @@
     });
 }
 
-/// With a moment left no attempt can be in time: the request is rejected at once, and nothing is sent.
+/// If too little time is left for any attempt, the request must be rejected immediately, without sending anything.
 #[test_case("0.001", "bounced", 0; "a millisecond")]
 #[test_case("0.2", "handled", 1; "200 ms")]
 fn a_request_with_too_little_time_is_rejected_unsent(patience: &str, expected: &str, attempts: usize) {
@@ -47,8 +48,8 @@
     });
 }
 
-/// A worker dies during a request: idempotent ones are retried elsewhere, others fail. An idempotency key is known for
-/// 0.4 s: a request that was in flight for longer is not sent again.
+/// If a worker dies during a request, idempotent requests must be retried elsewhere, and others must fail. Idempotency
+/// keys are remembered for 0.4 s, so a request that was in flight for longer must not be sent again.
 #[test_case(IDEMPOTENT, 0, "handled", 2; "idempotent")]
 #[test_case(IDEMPOTENT_WITH_KEY, 0, "handled", 2; "with a key")]
 #[test_case(IDEMPOTENT_WITH_KEY, 500, "bounced", 1; "with a key that is forgotten")]
@@ -70,9 +71,9 @@
     });
 }
 
-/// A bare 503 may come from an intermediary: only the worker's own refusal proves that nothing ran.
-#[test_case(BARE_503, "terminated"; "a bare error")]
-#[test_case(FULL, "bounced"; "its own refusal")]
+/// A plain 503 may come from an intermediary. Only the worker's explicit refusal proves that the request did not run.
+#[test_case(BARE_503, "terminated"; "a plain error")]
+#[test_case(FULL, "bounced"; "an explicit refusal")]
 fn only_a_refusal_by_the_worker_proves_that_a_request_did_not_run(behavior: Behavior, expected: &str) {
     run(async {
         let (worker, mut heads) = support::start_worker(behavior).await;
@@ -83,20 +84,22 @@
     });
 }
 
-/// Nobody listens: proof that the request did not run, also where it must not run twice.
+/// A refused connection proves that the request did not run, so it must be rejected as retryable even if it is not
+/// idempotent.
 #[test]
 fn a_refused_connection_is_a_rejection() {
     run(async {
-        let nobody = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let (gateway_address, ..) = start_gateway(config_for(&[nobody], NON_IDEMPOTENT)).await;
+        let unused_address =
+            tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let (gateway_address, ..) = start_gateway(config_for(&[unused_address], NON_IDEMPOTENT)).await;
         let answer = send_request(gateway_address, "milletpath-patience: 0.5\r\n", "").await;
         assert_eq!((status(&answer), outcome(&answer)), (503, "bounced"));
         assert!(answer.contains("retry-after: "));
     });
 }
 
-/// The worker closes a pooled connection just as the next attempt is written on it. A request that is not idempotent
-/// must not be sent again unless nothing of it was written.
+/// The worker closes a pooled connection just as the next attempt is written to it. A request that is not idempotent
+/// must not be sent again unless no part of it was written.
 #[test]
 fn a_pooled_connection_that_closes_during_an_attempt_runs_nothing_twice() {
     run(async {
@@ -106,17 +109,17 @@
         let mut handled = 0;
         for n in 0..40 {
             let answer = send_request(gateway_address, "", &format!("call {n}.")).await;
-            let met =
+            let sent =
                 received_heads(&mut heads).iter().filter(|h| h.ends_with(&format!("call {n}."))).count();
-            assert!(met <= 1, "sent {met} times");
-            assert_eq!(met == 1 && outcome(&answer) == "handled", outcome(&answer) == "handled");
+            assert!(sent <= 1, "sent {sent} times");
+            assert_eq!(sent == 1 && outcome(&answer) == "handled", outcome(&answer) == "handled");
             handled += usize::from(outcome(&answer) == "handled");
         }
         assert_eq!(handled, 20);
     });
 }
 
-/// Responses that are cut off, malformed, or larger than is passed on.
+/// Truncated, malformed and oversized responses must not be forwarded.
 #[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"), "failed"; "half a response")]
 #[test_case(Behavior::RespondsAndCloses("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf"), "failed"; "half a chunked one")]
 #[test_case(Behavior::RespondsAndCloses("\x13\x37 what\r\n\r\n"), "failed"; "garbage")]
@@ -133,8 +136,7 @@
     });
 }
 
-/// A response that arrives at the deadline or later is dropped: the client gets one response, and the connection to the
-/// worker is closed.
+/// A response that arrives at the deadline or later must be dropped. The client must get exactly one response.
 #[test]
 fn a_response_after_the_deadline_is_dropped() {
     run(async {
@@ -147,7 +149,8 @@
     });
 }
 
-/// The client disconnects: its attempt is cancelled by closing the connection, and nothing more is sent for it.
+/// If the client disconnects, its attempt must be cancelled (which closes the connection to the worker), and nothing
+/// more may be sent for the request.
 #[test]
 fn the_attempt_of_a_disconnected_client_is_cancelled() {
     run(async {
@@ -169,7 +172,7 @@
     });
 }
 
-/// Shutdown: open requests are finished, later ones on open connections are rejected, new connections are refused.
+/// At shutdown, open requests must be finished, and new connections must be refused.
 #[test]
 fn a_stopping_gateway_finishes_its_open_requests() {
     run(async {
@@ -179,18 +182,18 @@
         ))
         .await;
         let (gateway_address, stop, served) = start_gateway(config_for(&[worker], "")).await;
-        let taken = tokio::task::spawn_local(send_request(gateway_address, "", ""));
+        let pending = tokio::task::spawn_local(send_request(gateway_address, "", ""));
         assert!(heads.recv().await.is_some());
         stop.send(()).unwrap();
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert!(TcpStream::connect(gateway_address).await.is_err());
-        let answer = taken.await.unwrap();
+        let answer = pending.await.unwrap();
         assert_eq!(outcome(&answer), "handled", "{answer}");
         assert_eq!(served.await.unwrap().succeeded, 1);
     });
 }
 
-/// Whatever a client sends, it gets a clear response or none, and others are served.
+/// Whatever a client sends, it must get the matching error response, and other clients must still be served.
 #[test_case(b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400; "a handshake of another protocol")]
 #[test_case(b"GET / HTTP/9.9\r\n\r\n", 400; "an unknown version")]
 #[test_case(b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: -3\r\n\r\n", 400; "a negative length")]
@@ -214,7 +217,7 @@
     });
 }
 
-/// Header fields that are too large, and ones that never end: the connection is closed within its limits.
+/// If a request's head is too large or never completes, the connection must be closed within its limits.
 #[test]
 fn oversized_and_slow_request_heads_end_the_connection() {
     run(async {
@@ -230,21 +233,22 @@
     });
 }
 
-/// Pipelined requests on one connection are answered in their order.
+/// Pipelined requests on one connection must be answered in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     run(async {
         let (worker, _heads) = support::start_worker(OK).await;
         let (gateway_address, ..) = start_gateway(config_for(&[worker], "")).await;
-        let one = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
+        let request = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
         let last = "GET /health/ready HTTP/1.1\r\nhost: g\r\nconnection: close\r\n\r\n";
-        let answer = support::send_bytes(gateway_address, format!("{one}{one}{last}").as_bytes()).await;
+        let answer =
+            support::send_bytes(gateway_address, format!("{request}{request}{last}").as_bytes()).await;
         assert_eq!(answer.matches("milletpath-outcome: handled").count(), 2);
         assert!(answer.ends_with("ready\n"));
     });
 }
 
-/// A client reads nothing: its response is not kept for ever.
+/// The response to a client that reads nothing must not be kept in memory forever.
 #[test]
 fn a_client_that_reads_nothing_is_disconnected() {
     run(async {
@@ -255,7 +259,8 @@
         let head = b"POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
         client.write_all(head).await.unwrap();
         tokio::time::sleep(Duration::from_millis(900)).await;
-        // The gateway has closed: stopping waits for no connection, else it would for the cut-off and a second more.
+        // The gateway has closed the connection, so stopping does not wait for it. Otherwise it would wait for the
+        // deadline (`cut_off`) and a second more.
         stop.send(()).unwrap();
         let stopped = tokio::time::timeout(Duration::from_millis(2500), served).await;
         assert_eq!(stopped.unwrap().unwrap().succeeded, 1);
@@ -269,7 +274,7 @@
     format!("HTTP/1.1 200 OK\r\ncontent-length: 20000000\r\n\r\n{}", "x".repeat(20_000_000))
 });
 
-/// The limit on open requests is reached: further ones are rejected, with Retry-After.
+/// Requests beyond the limit on open requests must be rejected as retryable.
 #[test]
 fn requests_beyond_the_limit_are_rejected_with_retry_after() {
     run(async {
@@ -284,7 +289,7 @@
     });
 }
 
-/// Repetitions are recognized by the idempotency key alone, so a profile that promises that requires one.
+/// Repeated requests are recognized only by their idempotency key, so profiles that rely on this must require one.
 #[test]
 fn keyed_requests_need_an_idempotency_key_and_forward_it() {
     run(async {
@@ -300,20 +305,22 @@
     });
 }
 
-/// Ten thousand requests for one function at once: each gets one response.
+/// Of ten thousand concurrent requests for one function, each must get exactly one response.
 #[test]
 fn ten_thousand_concurrent_requests_get_one_response_each() {
     run(async {
-        let (one, _h1) = support::start_worker(OK).await;
-        let (two, _h2) = support::start_worker(OK).await;
-        let (gateway_address, stop, served) = start_gateway(config_for(&[one, two], "")).await;
+        let (first_worker, _h1) = support::start_worker(OK).await;
+        let (second_worker, _h2) = support::start_worker(OK).await;
+        let (gateway_address, stop, served) =
+            start_gateway(config_for(&[first_worker, second_worker], "")).await;
         let mut clients = tokio::task::JoinSet::new();
         for _ in 0..100 {
             clients.spawn_local(async move {
-                let one =
+                let request =
                     "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n";
                 let close = "GET /health/live HTTP/1.1\r\nhost: g\r\nconnection: close\r\n\r\n";
-                support::send_bytes(gateway_address, format!("{}{close}", one.repeat(100)).as_bytes()).await
+                support::send_bytes(gateway_address, format!("{}{close}", request.repeat(100)).as_bytes())
+                    .await
             });
         }
         let mut answers = 0;
@@ -330,7 +337,7 @@
     });
 }
 
-/// Bodies of requests and responses that arrive in chunks are passed on whole.
+/// Request and response bodies with chunked encoding must be forwarded completely.
 #[test]
 fn chunked_bodies_are_forwarded_whole() {
     run(async {
