--- a/crates/config/src/model/functions.rs
+++ b/crates/config/src/model/functions.rs
@@ -18,9 +18,9 @@
         let specific = self.by_name.get(name).copied().unwrap_or_default();
         let (defaults, built_in) = (self.defaults, FunctionConfig::default());
         FunctionConfig {
-            lanes: specific.lanes.or(defaults.lanes).unwrap_or(built_in.lanes),
+            concurrency: specific.concurrency.or(defaults.concurrency).unwrap_or(built_in.concurrency),
             memory: specific.memory.or(defaults.memory).unwrap_or(built_in.memory),
-            load: specific.load.or(defaults.load),
+            load_time: specific.load_time.or(defaults.load_time),
             profile: specific.profile.or(defaults.profile),
         }
     }
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FunctionOverrides {
     /// Requests that one instance runs at a time.
-    pub lanes: Option<f64>,
+    pub concurrency: Option<f64>,
     /// Memory of one instance, in MB.
     pub memory: Option<f64>,
     /// Seconds that a load usually takes.
-    pub load: Option<f64>,
+    pub load_time: Option<f64>,
     /// The only profile under which the function may be called, by its index.
     pub profile: Option<usize>,
 }
@@ -43,11 +43,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionConfig {
     /// Requests that one instance runs at a time.
-    pub lanes: f64,
+    pub concurrency: f64,
     /// Memory of one instance, in MB.
     pub memory: f64,
     /// Seconds that a load usually takes, where stated.
-    pub load: Option<f64>,
+    pub load_time: Option<f64>,
     /// The only profile under which the function may be called, by its index, where stated.
     pub profile: Option<usize>,
 }
@@ -55,6 +55,6 @@
 impl Default for FunctionConfig {
     fn default() -> Self {
         // A small function, one call at a time: the least that a worker can be expected to do.
-        Self { lanes: 1.0, memory: 128.0, load: None, profile: None }
+        Self { concurrency: 1.0, memory: 128.0, load_time: None, profile: None }
     }
 }
--- a/crates/config/src/reader/functions.rs
+++ b/crates/config/src/reader/functions.rs
@@ -16,9 +16,9 @@
 pub fn overrides(section: &Section<'_>, profiles: &[ProfileConfig]) -> FunctionOverrides {
     let choices: Vec<_> = profiles.iter().enumerate().map(|(n, p)| (p.name.as_str(), n)).collect();
     FunctionOverrides {
-        lanes: section.number("concurrency", "requests", 1.0..=10_000.0),
+        concurrency: section.number("concurrency", "requests", 1.0..=10_000.0),
         memory: section.number("memory", "MB", 0.0..=1e9),
-        load: section.number("load", "seconds", 0.0..=MAX_SECONDS),
+        load_time: section.number("load", "seconds", 0.0..=MAX_SECONDS),
         profile: section.one_of("profile", &choices),
     }
 }
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -91,12 +91,12 @@
         functions.apply(&config.parse_change(key, text).unwrap(), &config.functions);
     };
     apply(&mut functions, "function packs-a", Some("function \"packs-a\" { lanes = 4 }"));
-    let is = FunctionConfig { lanes: 4.0, memory: 400.0, load: None, profile: None };
+    let is = FunctionConfig { concurrency: 4.0, memory: 400.0, load_time: None, profile: None };
     assert_eq!(resolved(&functions, "packs-a"), is);
     // A setting that it leaves out is that of all functions, also when that changes.
     apply(&mut functions, "functions", Some("functions { memory = 300 }"));
     assert_eq!(resolved(&functions, "packs-a"), FunctionConfig { memory: 300.0, ..is });
-    assert_eq!(resolved(&functions, "b"), FunctionConfig { lanes: 1.0, memory: 300.0, ..is });
+    assert_eq!(resolved(&functions, "b"), FunctionConfig { concurrency: 1.0, memory: 300.0, ..is });
     apply(&mut functions, "function b", Some("function \"b\" { load = 2 }"));
     for key in ["function packs-a", "function b", "functions", "function never-stated"] {
         apply(&mut functions, key, None);
@@ -121,9 +121,9 @@
         let keys = ["functions", "function packs-a", "function b", "function c"];
         let mut functions = config.functions.clone();
         let mut last = [None; 4];
-        for (key, lanes) in expected_text {
+        for (key, concurrency) in expected_text {
             let subject = Subject::from_key(keys[key]).unwrap();
-            let overrides = lanes.map(|n| FunctionOverrides { lanes: Some(f64::from(n)), ..FunctionOverrides::default() });
+            let overrides = concurrency.map(|n| FunctionOverrides { concurrency: Some(f64::from(n)), ..FunctionOverrides::default() });
             functions.apply(&ConfigChange { subject, overrides }, &config.functions);
             last[key] = overrides;
         }
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -80,7 +80,7 @@
         Some(RequestBudget { window: 5.0, free: 4.0, earned_per_request: 0.2 })
     );
     assert_eq!(
-        (config.functions.resolve("packs-a").lanes, config.functions.resolve("packs-a").load),
+        (config.functions.resolve("packs-a").concurrency, config.functions.resolve("packs-a").load_time),
         (2.0, Some(0.7))
     );
     assert_eq!(config.functions.resolve("another").memory, 400.0);
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -38,7 +38,11 @@
     fn arrival(&self, incoming: IncomingRequest<'_>, function: usize, timeout: f64) -> Arrival {
         let resources = incoming.resources.unwrap_or_else(|| {
             let config = self.functions.resolve(incoming.function);
-            FunctionResources { lanes: config.lanes, memory: config.memory, load_time: config.load }
+            FunctionResources {
+                lanes: config.concurrency,
+                memory: config.memory,
+                load_time: config.load_time,
+            }
         });
         Arrival {
             function,
--- a/crates/dispatcher/tests/dispatcher/config_changes.rs
+++ b/crates/dispatcher/tests/dispatcher/config_changes.rs
@@ -54,9 +54,9 @@
     apply_change(&mut dispatcher, "function f", Some("function \"f\" { lanes = 3 }"));
     apply_change(&mut dispatcher, "functions", Some("functions { memory = 77 }"));
     assert_eq!(dispatcher.restart(&config(), 5.0), []);
-    let changed = FunctionConfig { lanes: 3.0, memory: 77.0, load: None, profile: None };
+    let changed = FunctionConfig { concurrency: 3.0, memory: 77.0, load_time: None, profile: None };
     assert_eq!(dispatcher.function_config("f"), changed);
-    assert_eq!(dispatcher.function_config("g"), FunctionConfig { lanes: 1.0, ..changed });
+    assert_eq!(dispatcher.function_config("g"), FunctionConfig { concurrency: 1.0, ..changed });
     dispatcher.update_endpoints(5.0, true, &ready_entries(1));
     take_actions(&mut dispatcher);
     for _ in 0..6 {
