--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -279,7 +279,7 @@
     /// there, also after a loss of power at all replicas at once.
     pub fn check(&mut self, what: &str) {
         for n in 0..SIZE {
-            self.disks[n].recovers();
+            self.disks[n].clear_faults();
             self.stopped[n] = false;
         }
         self.run_for(7.0);
--- a/crates/gateway/src/config_follower/state_file/tests.rs
+++ b/crates/gateway/src/config_follower/state_file/tests.rs
@@ -59,7 +59,7 @@
         let faults = errors.flat_map(|e| [Fault::Fails(e), Fault::FailsAfter(e)]).chain([Fault::ShortWrite]);
         for (fault, length) in faults.flat_map(|fault| [1, 3].map(|length| (fault, length))) {
             let folder = FaultyFolder::default();
-            folder.fails(at..at + length, fault);
+            folder.fail_operations(at..at + length, fault);
             let what = format!("{fault:?} at {at} ({operation:?}) for {length}");
             assert_eq!(play(&folder), 6, "{what}: it does not recover");
             holds(&folder, 6, &what);
@@ -68,10 +68,10 @@
         let prefixes = if *operation == Operation::Write { 30 } else { 0 };
         for after in 0..=prefixes {
             let folder = FaultyFolder::default();
-            folder.fails(at..at + 1, Fault::Killed { after });
+            folder.fail_operations(at..at + 1, Fault::Killed { after });
             let stored = play(&folder);
             holds(&folder, stored, &format!("killed at {at} ({operation:?}) after {after} bytes"));
-            folder.recovers();
+            folder.clear_faults();
             assert_eq!(play(&folder), 6);
             assert_eq!(folder.names(), [NAME], "what a kill left beside it goes");
         }
@@ -85,12 +85,12 @@
     let mut file = file(&folder);
     let (id, bytes) = state(1);
     file.save(id, 0.0, || bytes);
-    folder.fails_at(Operation::SyncFile, Fault::Fails(Errno::EIO));
+    folder.fail_kind(Operation::SyncFile, Fault::Fails(Errno::EIO));
     let (id, bytes) = state(2);
     (0..1000).for_each(|tenth| file.save(id, 2.0 + f64::from(tenth) / 10.0, || bytes.clone()));
     assert!((10..30).contains(&file.failures), "{} attempts in 100 s", file.failures);
     assert_eq!(folder.read(NAME).unwrap(), state(1).1);
-    folder.recovers();
+    folder.clear_faults();
     file.save_last(id, 103.0, || bytes.clone());
     assert_eq!(folder.read(NAME).unwrap(), bytes);
 }
--- a/crates/milletpath/src/control/log_file/tests.rs
+++ b/crates/milletpath/src/control/log_file/tests.rs
@@ -11,7 +11,7 @@
     let folder = FaultyFolder::default();
     StoredLog::load(folder.clone(), NAME).unwrap().renew(true).unwrap();
     let at = folder.operations().len();
-    folder.fails(at..at + reads, Fault::Fails(errno));
+    folder.fail_operations(at..at + reads, Fault::Fails(errno));
     let mut waits = Vec::new();
     let loaded = load(&folder, NAME, |wait| waits.push(wait.as_secs_f64()));
     (loaded.map(|stored| stored.is_empty()), waits)
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -123,17 +123,17 @@
 
 impl FaultyFolder {
     /// Makes the operations with these indexes, counted from 0, fail.
-    pub fn fails(&self, operations: Range<usize>, fault: Fault) {
+    pub fn fail_operations(&self, operations: Range<usize>, fault: Fault) {
         self.disk.borrow_mut().faults.push((operations, fault));
     }
 
     /// Makes all operations of this kind fail from now on.
-    pub fn fails_at(&self, operation: Operation, fault: Fault) {
+    pub fn fail_kind(&self, operation: Operation, fault: Fault) {
         self.disk.borrow_mut().failing_kinds.push((operation, fault));
     }
 
     /// Clears all faults; a process that was killed can use the folder again.
-    pub fn recovers(&self) {
+    pub fn clear_faults(&self) {
         let mut disk = self.disk.borrow_mut();
         disk.clear_faults();
     }
--- a/crates/storage/tests/record_log.rs
+++ b/crates/storage/tests/record_log.rs
@@ -207,7 +207,7 @@
         let faults = errors.flat_map(|e| [Fault::Fails(e), Fault::FailsAfter(e)]).chain([Fault::ShortWrite]);
         for (fault, length) in faults.flat_map(|fault| [1, 3, 1000].map(|length| (fault, length))) {
             let folder = FaultyFolder::default();
-            folder.fails(at..at + length, fault);
+            folder.fail_operations(at..at + length, fault);
             let history = play(&folder);
             let what = format!("{fault:?} at {at} ({:?}) for {length}", operations[at]);
             // The last steps leave it time to recover, and what could not be read is not begun.
@@ -219,7 +219,7 @@
         let prefixes = if operations[at] == Operation::Write { 300 } else { 0 };
         for after in 0..=prefixes {
             let folder = FaultyFolder::default();
-            folder.fails(at..at + 1, Fault::Killed { after });
+            folder.fail_operations(at..at + 1, Fault::Killed { after });
             let history = play(&folder);
             holds(&folder, &history, &format!("killed at {at} ({:?}) after {after} bytes", operations[at]));
             runs += 1;
@@ -239,7 +239,7 @@
         let folder = FaultyFolder::default();
         let (mut log, _) = start(&folder);
         let at = folder.operations().len() + usize::from(operation == Operation::SyncFile);
-        folder.fails(at..at + 1, fault);
+        folder.fail_operations(at..at + 1, fault);
         log.append(&three()).unwrap_err();
         assert!(!log.is_appendable());
         let before = folder.operations();
@@ -259,9 +259,9 @@
     let (mut log, _) = start(&folder);
     log.append(&three()).unwrap();
     let at = folder.operations().len();
-    folder.fails(at + 1..at + 3, Fault::FailsAfter(Errno::ENOSPC));
+    folder.fail_operations(at + 1..at + 3, Fault::FailsAfter(Errno::ENOSPC));
     log.rewrite(&three()).unwrap_err();
-    folder.recovers();
+    folder.clear_faults();
     log.append(&[b"next".to_vec()]).unwrap();
     assert_eq!(folder.names(), [NAME]);
     assert_eq!(start(&folder).1.records.len(), 4);
