--- a/crates/milletpath/tests/changes/logs.rs
+++ b/crates/milletpath/tests/changes/logs.rs
@@ -61,7 +61,7 @@
     let output = installation.control_command(1, &[]).output().unwrap();
     assert_eq!(output.status.code(), Some(1));
     let message = stderr(&output);
-    assert!(message.contains("is rotten") && message.contains("move the file away"), "{message}");
+    assert!(message.contains("is corrupt") && message.contains("move the file away"), "{message}");
     std::fs::remove_file(&log).unwrap();
     installation.start_control(1, &[]);
     installation.wait_until("it votes again", |i| {
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -58,10 +58,10 @@
 #[derive(Debug, Error)]
 pub enum ReplaceError {
     /// The new file could not be written; the old file is unchanged.
-    #[error("a fresh file can't be written: {0}")]
+    #[error("the new file can't be written: {0}")]
     NotReplaced(#[source] io::Error),
     /// The rename or the sync of the folder failed: after a crash, the name may refer to either the old or the new file.
-    #[error("a fresh file can't be put in the place of the old: {0}")]
+    #[error("the new file can't replace the old one: {0}")]
     MayBeReplaced(#[source] io::Error),
 }
 
--- a/crates/storage/src/record_log.rs
+++ b/crates/storage/src/record_log.rs
@@ -24,12 +24,12 @@
     #[error("it can't be read: {0}; mend the disk or its permissions")]
     Io(#[source] io::Error),
     /// The file does not begin with the file header of a record log.
-    #[error("it is no log of a control machine; move it away")]
+    #[error("it is not the log of a control machine; move it away")]
     NotALog,
     /// The record at this byte offset was altered after it was written.
     #[error(
-        "the record at byte {0} is rotten; while more than half of the control machines run, move the file away and \
-         begin this one again: it learns all from the others"
+        "the record at byte {0} is corrupt; while more than half of the control machines run, move the file away and \
+         restart this one: it learns all records from the others"
     )]
     CorruptAt(u64),
 }
