--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,7 +1,7 @@
-//! Changes of configuration made while gateways run: settings of functions, in the syntax of the configuration file.
+//! Configuration changes at run time: settings of functions, in the syntax of the configuration file.
 //!
-//! The text of a change is one block as it would stand in the file; its key names the function, or all functions. A block
-//! replaces the file's block of the same key entirely; when it is removed, the file's block is in force again.
+//! The text of a change is one block in the syntax of the file; its key names one function, or all functions. The block
+//! replaces the block of the same key in the file entirely. When the change is removed, the file's block applies again.
 
 mod apply;
 mod parser;
--- a/crates/config/src/change/apply.rs
+++ b/crates/config/src/change/apply.rs
@@ -1,19 +1,19 @@
-//! Applies a change to the settings of functions, or reverts it to those of the configuration file.
+//! Applies a change to the settings of functions, or reverts them to those of the configuration file.
 
 use super::subject::Subject;
 use crate::model::{FunctionConfigs, FunctionOverrides};
 
-/// What a change does to the settings of functions.
+/// A configuration change, parsed and ready to be applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigChange {
-    /// What it is about.
+    /// The functions whose settings change.
     pub subject: Subject,
-    /// The settings in force from here on; none to revert to those of the configuration file.
+    /// The new settings; `None` reverts to those of the configuration file.
     pub overrides: Option<FunctionOverrides>,
 }
 
 impl FunctionConfigs {
-    /// Puts a change into force; `baseline` holds the settings of the configuration file.
+    /// Applies a change. `baseline` holds the settings of the configuration file.
     pub fn apply(&mut self, change: &ConfigChange, baseline: &FunctionConfigs) {
         match &change.subject {
             Subject::AllFunctions => self.defaults = change.overrides.unwrap_or(baseline.defaults),
--- a/crates/config/src/change/parser.rs
+++ b/crates/config/src/change/parser.rs
@@ -1,4 +1,4 @@
-//! Texts of changes: a file of several, or the text of one under its key.
+//! Parses configuration changes: a file with several of them, or the text of a single change and its key.
 
 use super::apply::ConfigChange;
 use super::subject::Subject;
@@ -6,30 +6,33 @@
 use crate::model::{FunctionOverrides, GatewayConfig};
 use crate::reader::{functions, syntax};
 
-/// Keys of settings that gateways share or whose connections depend on them. Changing them while gateways run would need a
-/// rule for the time in which some use the old value and some the new one.
+/// Keys of settings that all gateways must agree on, or that their connections depend on. Changing them at run time would
+/// need a rule for the period in which some gateways use the old value and some the new one.
 const FLEET_WIDE_KEYS: [&str; 7] = ["client", "gateways", "limits", "peers", "profile", "seed", "workers"];
 
-/// Keys of settings that belong to one gateway.
+/// Keys of settings that are specific to one gateway.
 const PER_GATEWAY_KEYS: [&str; 4] = ["changes", "cores", "listen", "pin"];
 
-/// One block of a file of changes.
+/// One block of a change file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedChange {
-    /// What it is about.
+    /// The functions whose settings change.
     pub subject: Subject,
-    /// The settings that it states.
+    /// The settings in the block.
     pub overrides: FunctionOverrides,
-    /// The block as it is written.
+    /// The source text of the block.
     pub text: String,
-    /// The line at which the block begins, from 1.
+    /// The line of the start of the block, from 1.
     pub line: usize,
-    /// The column at which the block begins, in characters from 1.
+    /// The column of the start of the block, in characters from 1.
     pub column: usize,
 }
 
 impl GatewayConfig {
-    /// The blocks of a file of changes, in its order; the error holds every problem of the text.
+    /// Parses a change file into its blocks, in the order of the file.
+    ///
+    /// # Errors
+    /// All errors in the text, in its order, or the first syntax error.
     pub fn parse_changes(&self, text: &str) -> Result<Vec<ParsedChange>, Vec<ConfigError>> {
         let document = Document::new(text);
         let body = syntax::parse(text)?;
@@ -38,10 +41,10 @@
         if errors.is_empty() { Ok(changes) } else { Err(errors) }
     }
 
-    /// Parses the change of a key; without a text, the file's own settings are in force again.
+    /// Parses the change with this key. Without a text, the change reverts to the settings of the configuration file.
     ///
     /// # Errors
-    /// Every reason why this gateway can't apply it.
+    /// All reasons why this gateway can't apply the change.
     pub fn parse_change(&self, key: &str, text: Option<&str>) -> Result<ConfigChange, Vec<ConfigError>> {
         let Some(subject) = Subject::from_key(key) else {
             let remedy = "write functions or function NAME, or run a program that knows it";
@@ -61,7 +64,7 @@
     }
 
     fn read_changes(&self, document: &Document<'_>, top: &Section<'_>) -> Vec<ParsedChange> {
-        refuse_other_keys(top);
+        reject_forbidden_keys(top);
         let all = top.blocks("functions", false).into_iter().map(|s| (Subject::AllFunctions, s));
         let named = top.blocks("function", true).into_iter();
         let named = named.map(|s| (Subject::Function(s.label.clone()), s));
@@ -86,24 +89,24 @@
     vec![ConfigError { line: 1, column: 1, problem, remedy: remedy.into() }]
 }
 
-/// Reports the keys of a configuration file that no change may carry.
-fn refuse_other_keys(top: &Section<'_>) {
+/// Reports the keys of a configuration file that a change must not set.
+fn reject_forbidden_keys(top: &Section<'_>) {
     for key in FLEET_WIDE_KEYS {
         let problem = format!("a change can't set {key}, which must be the same on all gateways");
-        top.refuse(key, &problem, "set it in the configuration files and restart the gateways");
+        top.reject_key(key, &problem, "set it in the configuration files and restart the gateways");
     }
     for key in PER_GATEWAY_KEYS {
         let problem = format!("a change can't set {key}, which belongs to one gateway");
-        top.refuse(key, &problem, "set it in that gateway's configuration file");
+        top.reject_key(key, &problem, "set it in that gateway's configuration file");
     }
 }
 
-/// Key and text must fit into an entry of the log.
+/// Checks that the key and the text of a change fit into an entry of the configuration log.
 fn check_size(section: &Section<'_>, subject: &Subject) {
     if subject.to_string().len() > milletpath_config_log::MAX_KEY_BYTES {
-        let longest = milletpath_config_log::MAX_KEY_BYTES - "function ".len();
+        let max_name_bytes = milletpath_config_log::MAX_KEY_BYTES - "function ".len();
         let problem = format!("the name of {} is too long for a change", section.title);
-        section.report(section.offset, problem, format!("use a name of up to {longest} bytes"));
+        section.report(section.offset, problem, format!("use a name of up to {max_name_bytes} bytes"));
     }
     let bytes = section.source().len();
     if bytes > milletpath_config_log::MAX_TEXT_BYTES {
--- a/crates/config/src/change/subject.rs
+++ b/crates/config/src/change/subject.rs
@@ -1,18 +1,19 @@
-//! What a change is about, and so the key under which the log keeps it.
+//! The subject of a configuration change, which determines its key in the configuration log.
 
 use std::fmt;
 
-/// What a change is about. Its text is the key of the change: `functions` or `function NAME`.
+/// The functions that a change applies to. [`Display`](fmt::Display) gives the key of the change: `functions` or
+/// `function NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// All functions, where they state nothing of their own.
+    /// All functions, for settings that a function does not override.
     AllFunctions,
-    /// The function of this name.
+    /// The function with this name.
     Function(String),
 }
 
 impl Subject {
-    /// The subject of a key; none where no change goes by that key.
+    /// Parses the key of a change; `None` if it is not a valid key.
     #[must_use]
     pub fn from_key(key: &str) -> Option<Self> {
         match key.split_once(' ') {
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,6 +1,6 @@
-//! HCL text with its errors. A [`Section`] is one block; its values are asked for by name, each with the bounds
-//! that make sense, and a key that nobody asked for is an error too. Reading goes on after an error, so that all of
-//! them are reported at once.
+//! HCL documents with error reporting. A [`Section`] is one block. Readers request its values by key, with the valid range
+//! of each, and a key that no reader requested is reported as unknown. Reading continues after an error, so that all
+//! errors are reported at once.
 
 mod aliases;
 mod blocks;
--- a/crates/config/src/document/aliases.rs
+++ b/crates/config/src/document/aliases.rs
@@ -1,25 +1,25 @@
-//! Former names of keys, blocks and values. A file may use either name, and not both in one block. Readers ask for the
-//! standard name; messages use the one that the file has.
+//! Former names of keys, blocks and values, which are still accepted. A file may use either name, but not both in one
+//! block. Readers request the standard name; messages use the name in the file.
 
 use hcl_edit::structure::{Attribute, Body};
 
-/// A key or block that had another name before.
+/// A key or block that was renamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyAlias {
-    /// The name that readers ask for.
+    /// The name that readers request.
     pub standard: &'static str,
-    /// The name in files that were written before.
+    /// The name in files written before the renaming.
     pub former: &'static str,
 }
 
-/// A value of a key that had another name before.
+/// A value of a key that was renamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ValueAlias {
     /// The standard name of the key.
     pub key: &'static str,
-    /// The value that readers list.
+    /// The value that readers pass to [`Section::one_of`](super::Section::one_of).
     pub standard: &'static str,
-    /// The value in files that were written before.
+    /// The value in files written before the renaming.
     pub former: &'static str,
 }
 
@@ -31,7 +31,7 @@
     ValueAlias { key: "idempotency", standard, former }
 }
 
-/// All keys and blocks with a former name, whichever file they belong to.
+/// All keys and blocks with a former name, of all kinds of files.
 pub const KEY_ALIASES: [KeyAlias; 24] = [
     // Profiles.
     key("latency_objective", "due"),
@@ -72,29 +72,29 @@
     idempotency("non_idempotent", "effectful"),
 ];
 
-/// The former name of a key; none where it always had this one.
+/// The former name of a key; `None` if it was never renamed.
 pub(super) fn former_key(standard: &str) -> Option<&'static str> {
     KEY_ALIASES.iter().find(|alias| alias.standard == standard).map(|alias| alias.former)
 }
 
-/// The former name of a value; none where it always had this one.
+/// The former name of a value; `None` if it was never renamed.
 pub(super) fn former_value(key: &str, standard: &str) -> Option<&'static str> {
     let is_alias = |alias: &&ValueAlias| alias.key == key && alias.standard == standard;
     VALUE_ALIASES.iter().find(is_alias).map(|alias| alias.former)
 }
 
-/// Whether a body has an attribute or a block of exactly that name.
+/// Whether a body has an attribute or a block with exactly this name.
 pub(super) fn has_name(body: &Body, name: &str) -> bool {
     body.has_attribute(name) || body.has_blocks(name)
 }
 
-/// The name by which a body states a key: the standard one or the former one; none where it does not state it.
+/// The name under which a body has a key, standard or former; `None` if the body does not have the key.
 pub(super) fn stated_name<'k>(body: &Body, standard: &'k str) -> Option<&'k str> {
     let names = [Some(standard), former_key(standard)];
     names.into_iter().flatten().find(|name| has_name(body, name))
 }
 
-/// The attribute of a key, by its standard name or its former one.
+/// The attribute of a key, under its standard or its former name.
 #[must_use]
 pub fn attribute<'b>(body: &'b Body, standard: &str) -> Option<&'b Attribute> {
     body.get_attribute(stated_name(body, standard)?)
--- a/crates/config/src/document/blocks.rs
+++ b/crates/config/src/document/blocks.rs
@@ -1,5 +1,5 @@
-//! Blocks within a section, merged over the texts that a document builds on: a block of the document adds to that of the
-//! same label below it, whose values hold where it gives none.
+//! Blocks within a section, merged with those of the documents that this document extends: a block of this document
+//! overrides, attribute by attribute, the block with the same label in an extended document.
 
 use super::aliases::stated_name;
 use super::section::Section;
@@ -8,21 +8,22 @@
 use milletpath_protocol::is_name;
 
 impl<'p> Section<'p> {
-    /// The one block of that name.
+    /// The only block with this name.
     #[must_use]
     pub fn block(&self, key: &'static str) -> Option<Section<'p>> {
         self.blocks(key, false).into_iter().next()
     }
 
-    /// The blocks of that name; each with a label of its own where `labelled`, which must be a name.
+    /// The blocks with this name. If `labelled`, each must have a unique label that is a valid name; otherwise there is one
+    /// block without a label.
     #[must_use]
     pub fn blocks(&self, key: &'static str, labelled: bool) -> Vec<Section<'p>> {
         self.known_keys.borrow_mut().push(key);
         let mut sections: Vec<Section<'p>> = Vec::new();
-        // From the ground up: the texts built on come first, and keep their order.
+        // From the base upwards: the blocks of extended documents come first and keep their order.
         for (layer, body) in self.bodies.iter().enumerate().rev() {
             let in_document = layer == 0 && self.in_document;
-            // One that stands under both names is reported with the unknown keys.
+            // A block that is present under both names is reported along with the unknown keys.
             let Some(name) = stated_name(body, key) else { continue };
             for block in body.get_blocks(name) {
                 self.add_block(&mut sections, name, block, in_document, labelled);
@@ -31,7 +32,7 @@
         sections
     }
 
-    /// Adds a block as a section of its own, or as a layer of the section that has its label already.
+    /// Adds a block as a new section, or as a layer of the section that already has its label.
     fn add_block(
         &self,
         sections: &mut Vec<Section<'p>>,
@@ -52,12 +53,12 @@
             self.report(span.start, format!("{title} {problem}"), format!("write {example}"));
         }
         match sections.iter_mut().find(|section| section.label == label) {
-            Some(below) if in_document && !below.in_document => {
-                below.bodies.insert(0, &block.body);
-                (below.offset, below.end, below.in_document) = (span.start, span.end, true);
-                below.title = title;
+            Some(existing) if in_document && !existing.in_document => {
+                existing.bodies.insert(0, &block.body);
+                (existing.offset, existing.end, existing.in_document) = (span.start, span.end, true);
+                existing.title = title;
             }
-            Some(below) if !in_document => below.bodies.insert(0, &block.body),
+            Some(existing) if !in_document => existing.bodies.insert(0, &block.body),
             duplicate => {
                 if duplicate.is_some() {
                     let remedy = if labelled { "give each its own name" } else { "keep one" };
--- a/crates/config/src/document/error.rs
+++ b/crates/config/src/document/error.rs
@@ -1,6 +1,6 @@
-//! One error of a configuration text: what is wrong, where, and what to do about it.
+//! An error in a configuration text: the problem, its position and the remedy.
 
-/// One thing that is wrong with a text, where, and what to do.
+/// An error in a configuration text, with its position and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{line}:{column}: {problem}; {remedy}")]
 pub struct ConfigError {
--- a/crates/config/src/document/section.rs
+++ b/crates/config/src/document/section.rs
@@ -1,4 +1,4 @@
-//! One block of a document: its attributes by name, its source text, and the keys that were asked for.
+//! One block of a document: its attributes by name, its source text, and the keys that readers requested.
 
 use super::aliases::{self, former_value, stated_name};
 use super::text::Document;
@@ -8,29 +8,30 @@
 use std::cell::RefCell;
 use std::ops::Range;
 
-/// One block of a document: its name, its label and its body. A key that nobody has asked for by the time it is dropped
-/// is reported as unknown.
+/// One block of a document: its name, its label and its body. When the section is dropped, each key that no reader has
+/// requested is reported as unknown.
 pub struct Section<'p> {
     pub(super) document: &'p Document<'p>,
-    /// `workers` or `profile "refill-check"`, as messages name it.
+    /// The name of the section in messages, such as `workers` or `profile "refill-check"`.
     pub title: String,
-    /// The label, empty where there is none.
+    /// The label; empty if there is none.
     pub label: String,
-    /// The byte of the document at which it begins.
+    /// The byte offset in the document at which the section starts.
     pub offset: usize,
-    /// The byte after its last one.
+    /// The byte offset after its last byte.
     pub(super) end: usize,
-    /// Its body, and after it those of the texts that this document builds on, whose values hold where it gives none.
+    /// The body of the section, followed by those of the documents that this document extends. The first body that has an
+    /// attribute provides its value.
     pub(super) bodies: Vec<&'p Body>,
-    /// Whether the first body stands in this document.
+    /// Whether the first body is part of this document rather than of one that it extends.
     pub(super) in_document: bool,
-    /// Keys that were asked for.
+    /// Keys that readers requested.
     pub(super) known_keys: RefCell<Vec<&'static str>>,
-    /// Keys that were reported as not belonging here.
-    pub(super) refused_keys: RefCell<Vec<&'static str>>,
+    /// Keys that are not allowed here. Their uses were reported by [`Section::reject_key`], and not as unknown keys.
+    pub(super) rejected_keys: RefCell<Vec<&'static str>>,
 }
 
-/// The name of an attribute or block, and the byte at which it begins.
+/// The name of an attribute or block, and the byte offset at which it starts.
 pub(super) fn name_and_offset(structure: &Structure) -> (&str, usize) {
     match structure {
         Structure::Attribute(attribute) => (attribute.key.as_str(), start_of(attribute.span())),
@@ -43,19 +44,20 @@
 }
 
 impl<'p> Section<'p> {
-    /// The top level of a configuration file.
+    /// The top-level section of a configuration file.
     #[must_use]
     pub fn root(document: &'p Document<'p>, body: &'p Body) -> Self {
         Self::layered(document, vec![body])
     }
 
-    /// A file that builds on others: first its own body, then those of the others, which must be valid by themselves.
+    /// The top-level section of a file that extends others. `bodies` has the body of the file first, then those of the
+    /// extended files, which must be valid by themselves: their errors are not reported here.
     #[must_use]
     pub fn layered(document: &'p Document<'p>, bodies: Vec<&'p Body>) -> Self {
         Self::new(document, "the configuration".into(), String::new(), 0..document.text.len(), bodies, true)
     }
 
-    /// A text that is no configuration file, by the title that messages give it.
+    /// The top-level section of another kind of document, with its title for messages.
     #[must_use]
     pub fn titled(document: &'p Document<'p>, title: &str, body: &'p Body) -> Self {
         Self::new(document, title.into(), String::new(), 0..document.text.len(), vec![body], true)
@@ -78,19 +80,19 @@
             bodies,
             in_document,
             known_keys: RefCell::default(),
-            refused_keys: RefCell::default(),
+            rejected_keys: RefCell::default(),
         }
     }
 
-    /// The section as it is written.
+    /// The source text of the section.
     #[must_use]
     pub fn source(&self) -> &'p str {
         self.document.text.get(self.offset..self.end).unwrap_or_default()
     }
 
-    /// Reports each attribute and block of that name as one that does not belong here.
-    pub fn refuse(&self, key: &'static str, problem: &str, remedy: &str) {
-        self.refused_keys.borrow_mut().push(key);
+    /// Reports each attribute and block with this name as not allowed in this section.
+    pub fn reject_key(&self, key: &'static str, problem: &str, remedy: &str) {
+        self.rejected_keys.borrow_mut().push(key);
         for structure in self.bodies[0] {
             let (name, offset) = name_and_offset(structure);
             if name == key {
@@ -104,44 +106,45 @@
         self.document.report(offset, problem, remedy);
     }
 
-    /// Reports that a required attribute is not there.
+    /// Reports that a required attribute is missing.
     pub fn report_missing(&self, key: &str, example: &str) {
         let problem = format!("{} has no {key}", self.title);
         self.report(self.offset, problem, format!("add {key} = {example}"));
     }
 
-    /// The name by which this section states a key or block: the standard one or the former one. Where it states neither,
-    /// the standard one.
+    /// The name of a key or block as this section spells it: standard or former. If the section does not have it, the
+    /// standard name.
     #[must_use]
     pub fn spelling<'k>(&self, key: &'k str) -> &'k str {
         self.bodies.iter().find_map(|body| stated_name(body, key)).unwrap_or(key)
     }
 
-    /// A value of a key in the same vocabulary as the key: its former name where the section has the former key.
+    /// The name of a value of a key, to match the spelling of the key: the former name of the value if the section uses the
+    /// former name of the key.
     #[must_use]
     pub fn value_spelling<'k>(&self, key: &str, value: &'k str) -> &'k str {
         if self.spelling(key) == key { value } else { former_value(key, value).unwrap_or(value) }
     }
 
-    /// The byte at which an attribute begins; where it is not stated, that of the section.
+    /// The byte offset of an attribute, or of the section if the attribute is absent.
     #[must_use]
     pub fn offset_of(&self, key: &str) -> usize {
         self.attribute(key).map_or(self.offset, |(offset, _)| offset)
     }
 
-    /// Whether an attribute is stated, valid or not.
+    /// Whether an attribute is present, valid or not.
     #[must_use]
     pub fn has(&self, key: &str) -> bool {
         self.attribute(key).is_some()
     }
 
-    /// The value of an attribute with its offset; the key counts as known from here on.
+    /// The value of an attribute with its byte offset. Marks the key as known.
     pub(super) fn value(&self, key: &'static str) -> Option<(usize, &'p Expression)> {
         self.known_keys.borrow_mut().push(key);
         self.attribute(key).map(|(offset, attribute)| (offset, &attribute.value))
     }
 
-    /// An attribute with its offset; one of another text gets the offset of this section.
+    /// An attribute with its byte offset. An attribute of an extended document gets the offset of this section.
     fn attribute(&self, key: &str) -> Option<(usize, &'p Attribute)> {
         self.bodies.iter().enumerate().find_map(|(layer, body)| {
             let attribute = aliases::attribute(body, key)?;
--- a/crates/config/src/document/text.rs
+++ b/crates/config/src/document/text.rs
@@ -1,25 +1,25 @@
-//! The text of a document and the errors found in it so far, with byte offsets turned into lines and columns.
+//! The text of a document and the errors found in it so far. Converts byte offsets to lines and columns.
 
 use super::error::ConfigError;
 use std::cell::RefCell;
 
-/// Line and column of a character, both counted from 1.
+/// The line and column of a character, both counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     /// The line.
     pub line: usize,
-    /// The column, in characters rather than bytes.
+    /// The column, in characters, not bytes.
     pub column: usize,
 }
 
-/// A text and what is wrong with it so far.
+/// A text and the errors found in it so far.
 pub struct Document<'t> {
     pub(super) text: &'t str,
     errors: RefCell<Vec<ConfigError>>,
 }
 
 impl<'t> Document<'t> {
-    /// A document without errors.
+    /// Creates a document without errors.
     #[must_use]
     pub fn new(text: &'t str) -> Self {
         Self { text, errors: RefCell::default() }
@@ -32,17 +32,18 @@
         self.errors.borrow_mut().push(error);
     }
 
-    /// Where a byte of the text is; for an offset within a character or past the end, where the text before it ends.
+    /// The position of a byte offset. An offset within a character has the position of that character, and one past the end
+    /// has the position of the end.
     #[must_use]
     pub fn position(&self, offset: usize) -> Position {
-        let within = offset.min(self.text.len());
-        let start = (0..=within).rev().find(|&n| self.text.is_char_boundary(n)).unwrap_or(0);
+        let clamped = offset.min(self.text.len());
+        let start = (0..=clamped).rev().find(|&n| self.text.is_char_boundary(n)).unwrap_or(0);
         let before = &self.text[..start];
         let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
         Position { line: before.matches('\n').count() + 1, column }
     }
 
-    /// All errors, in the order of the text. Drop the sections first: a section reports its unknown keys as it is dropped.
+    /// All errors, in the order of the text. Drop all sections first: a section reports its unknown keys when dropped.
     #[must_use]
     pub fn into_errors(self) -> Vec<ConfigError> {
         let mut errors = self.errors.into_inner();
--- a/crates/config/src/document/unknown_keys.rs
+++ b/crates/config/src/document/unknown_keys.rs
@@ -1,13 +1,13 @@
-//! Keys that nobody asked for, and keys under two names: reported when the section is dropped; an unknown one with the
-//! closest known key.
+//! When a section is dropped, reports the keys that no reader requested, with the closest known key as a suggestion, and
+//! the keys that are present under two names.
 
 use super::aliases::{KEY_ALIASES, former_key, has_name};
 use super::section::{Section, name_and_offset};
 
-/// Keys at least this similar, by the Jaro-Winkler measure from 0 to 1, are taken for a slip.
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which an unknown key is considered a misspelling of a known one.
 const MIN_SIMILARITY: f64 = 0.75;
 
-/// The known key most like an unknown one; none where none is like it.
+/// The known key most similar to an unknown one; `None` if no known key is similar enough.
 fn closest_key<'k>(known_keys: &[&'k str], unknown: &str) -> Option<&'k str> {
     let similarity = |known: &str| strsim::jaro_winkler(known, unknown);
     let closest = known_keys.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
@@ -15,7 +15,8 @@
 }
 
 impl Section<'_> {
-    /// Reports each key that its own body has under its standard and its former name, where the second one begins.
+    /// Reports each key that the section's body in this document has under both its standard and its former name, at the
+    /// position of the later one.
     fn report_keys_under_two_names(&self, known_keys: &[&str]) {
         for alias in KEY_ALIASES.iter().filter(|alias| known_keys.contains(&alias.standard)) {
             if !has_name(self.bodies[0], alias.standard) || !has_name(self.bodies[0], alias.former) {
@@ -35,17 +36,17 @@
 
 impl Drop for Section<'_> {
     fn drop(&mut self) {
-        // The keys of another text were checked when that text was read.
+        // The keys of an extended document were checked when that document was read.
         if !self.in_document {
             return;
         }
-        let (known_keys, refused_keys) = (self.known_keys.borrow(), self.refused_keys.borrow());
+        let (known_keys, rejected_keys) = (self.known_keys.borrow(), self.rejected_keys.borrow());
         self.report_keys_under_two_names(&known_keys);
         let former_keys = known_keys.iter().filter_map(|key| former_key(key));
         let accepted_keys: Vec<&str> = known_keys.iter().copied().chain(former_keys).collect();
         for structure in self.bodies[0] {
             let (name, offset) = name_and_offset(structure);
-            if accepted_keys.contains(&name) || refused_keys.contains(&name) {
+            if accepted_keys.contains(&name) || rejected_keys.contains(&name) {
                 continue;
             }
             let remedy = match closest_key(&accepted_keys, name) {
--- a/crates/config/src/document/values.rs
+++ b/crates/config/src/document/values.rs
@@ -1,16 +1,16 @@
-//! Typed values of attributes, each checked against the bounds that make sense. What is out of bounds is reported, and
-//! the value is none, so that reading goes on with a default.
+//! Typed values of attributes, each checked against its valid range. An invalid value is reported and returned as `None`,
+//! so that reading continues with a default.
 
 use super::aliases::former_value;
 use super::section::Section;
 use hcl_edit::expr::Expression;
 use std::ops::RangeInclusive;
 
-/// A number, with its sign; none for any other expression.
+/// The value of a number, with its sign; `None` for any other expression.
 fn as_number(value: &Expression) -> Option<f64> {
     match value {
         Expression::Number(number) => number.value().as_f64(),
-        Expression::UnaryOp(negated) => match &negated.expr {
+        Expression::UnaryOp(unary) => match &unary.expr {
             Expression::Number(number) => number.value().as_f64().map(|x| -x),
             _ => None,
         },
@@ -19,28 +19,28 @@
 }
 
 impl<'p> Section<'p> {
-    /// A number within bounds; `unit` is what it counts, for the error; empty where that is plain.
+    /// A number in a range. `unit` names the unit in the error message; empty if the number has none.
     #[must_use]
-    pub fn number(&self, key: &'static str, unit: &str, within: RangeInclusive<f64>) -> Option<f64> {
+    pub fn number(&self, key: &'static str, unit: &str, range: RangeInclusive<f64>) -> Option<f64> {
         let (offset, value) = self.value(key)?;
-        let number = as_number(value).filter(|x| within.contains(x));
+        let number = as_number(value).filter(|x| range.contains(x));
         if number.is_none() {
             let key = self.spelling(key);
-            let bounds = match (within.start(), within.end()) {
+            let bounds = match (range.start(), range.end()) {
                 (low, high) if high.is_infinite() => format!("{low} or more"),
                 (low, high) => format!("{low} to {high}"),
             };
-            let of_unit = if unit.is_empty() { String::new() } else { format!(" of {unit}") };
-            let problem = format!("{key} of {} must be a number{of_unit} from {bounds}", self.title);
+            let unit_phrase = if unit.is_empty() { String::new() } else { format!(" of {unit}") };
+            let problem = format!("{key} of {} must be a number{unit_phrase} from {bounds}", self.title);
             self.report(offset, problem, format!("write {key} = NUMBER, {bounds}"));
         }
         number
     }
 
-    /// An integer within bounds; `unit` is what it counts, for the error.
+    /// An integer in a range. `unit` names the unit in the error message.
     #[must_use]
-    pub fn count(&self, key: &'static str, unit: &str, within: RangeInclusive<u32>) -> Option<usize> {
-        let number = self.number(key, unit, f64::from(*within.start())..=f64::from(*within.end()))?;
+    pub fn count(&self, key: &'static str, unit: &str, range: RangeInclusive<u32>) -> Option<usize> {
+        let number = self.number(key, unit, f64::from(*range.start())..=f64::from(*range.end()))?;
         if number.fract() != 0.0 {
             let (offset, key) = (self.offset_of(key), self.spelling(key));
             let problem = format!("{key} of {} must be a whole number", self.title);
@@ -49,7 +49,7 @@
         Some(number as usize)
     }
 
-    /// True or false.
+    /// A Boolean.
     #[must_use]
     pub fn flag(&self, key: &'static str) -> Option<bool> {
         let (offset, value) = self.value(key)?;
@@ -62,7 +62,7 @@
         None
     }
 
-    /// A text in quotes.
+    /// A string.
     #[must_use]
     pub fn text(&self, key: &'static str) -> Option<&'p str> {
         let (offset, value) = self.value(key)?;
@@ -78,7 +78,7 @@
         None
     }
 
-    /// A text that `parse` understands; `example` shows one.
+    /// A string that `parse` accepts. `example` is a valid value for the error message.
     #[must_use]
     pub fn parsed<T>(
         &self,
@@ -96,7 +96,7 @@
         value
     }
 
-    /// A list of texts that `parse` understands; `example` shows one.
+    /// A list of strings that `parse` accepts. `example` is a valid list for the error message.
     #[must_use]
     pub fn list<T>(
         &self,
@@ -122,14 +122,14 @@
         values
     }
 
-    /// One of a few words, each with the value that it stands for; the former name of a word stands for the same.
+    /// One of several names, each given with its value. The former name of a choice is accepted too.
     #[must_use]
     pub fn one_of<T: Copy>(&self, key: &'static str, choices: &[(&str, T)]) -> Option<T> {
-        let quote = |(word, _): &(&str, T)| format!("\"{}\"", self.value_spelling(key, word));
+        let quote = |(name, _): &(&str, T)| format!("\"{}\"", self.value_spelling(key, name));
         let quoted: Vec<_> = choices.iter().map(quote).collect();
-        let is_word = |word: &str, text: &str| word == text || former_value(key, word) == Some(text);
+        let matches_choice = |name: &str, text: &str| name == text || former_value(key, name) == Some(text);
         let parse =
-            |text: &str| choices.iter().find(|(word, _)| is_word(word, text)).map(|(_, value)| *value);
+            |text: &str| choices.iter().find(|(name, _)| matches_choice(name, text)).map(|(_, value)| *value);
         self.parsed(key, &quoted.join(" or "), parse)
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,8 @@
-//! The configuration of a gateway, read from HCL and checked, with the values that the gateway derives from it at start.
+//! The configuration of a gateway: read from HCL and validated, with the values that are derived from it at start.
 //!
-//! [`read`] gives a [`GatewayConfig`], or every [`ConfigError`] of the text with line, column and remedy. What a setting
-//! means, its unit and bounds are in `docs/operators/configuration.md`. [`change`] holds changes made while gateways run.
+//! [`read`] returns a [`GatewayConfig`], or every [`ConfigError`] in the text with line, column and remedy. The meaning,
+//! unit and bounds of each setting are documented in `docs/operators/configuration.md`. [`change`] handles configuration
+//! changes at run time.
 
 pub mod change;
 pub mod document;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,5 +1,5 @@
-//! What a gateway is configured with: plain data without behaviour, except that the settings of one function are
-//! resolved from those stated of it and of all.
+//! The configuration of a gateway as plain data. Its only logic resolves the settings of a function from those specific to
+//! it and those of all functions.
 
 mod functions;
 mod gateway;
--- a/crates/config/src/model/functions.rs
+++ b/crates/config/src/model/functions.rs
@@ -1,18 +1,19 @@
-//! Settings of functions: what is stated of all, what is stated of one, and what holds for one when both are merged.
+//! Settings of functions: defaults for all functions, overrides for one, and the merged result.
 
 use std::collections::BTreeMap;
 
-/// What is stated of functions: of those named, and of all others.
+/// The configured settings of all functions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FunctionConfigs {
-    /// What is stated of all functions.
+    /// Settings for all functions.
     pub defaults: FunctionOverrides,
-    /// What is stated of one function, by its name; it takes precedence.
+    /// Settings for single functions, by name. They take precedence over `defaults`.
     pub by_name: BTreeMap<String, FunctionOverrides>,
 }
 
 impl FunctionConfigs {
-    /// The settings of a function: its own where they are stated, else those of all functions, else the built-in ones.
+    /// The settings of a function. Each comes from the function's own block, else from the block for all functions, else
+    /// from the built-in defaults.
     #[must_use]
     pub fn resolve(&self, name: &str) -> FunctionConfig {
         let specific = self.by_name.get(name).copied().unwrap_or_default();
@@ -26,35 +27,35 @@
     }
 }
 
-/// The settings that one block of functions states; none where it leaves them to the defaults.
+/// The settings in one block, for one function or for all functions. `None` leaves a setting to the defaults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FunctionOverrides {
-    /// Requests that one instance runs at a time.
+    /// Maximum number of concurrent requests of one instance.
     pub concurrency: Option<f64>,
     /// Memory of one instance, in MB.
     pub memory: Option<f64>,
-    /// Seconds that a load usually takes.
+    /// Typical time to load the function, in seconds.
     pub load_time: Option<f64>,
-    /// The only profile under which the function may be called, by its index.
+    /// Index of the only profile under which the function may be called.
     pub profile: Option<usize>,
 }
 
-/// The settings of one function.
+/// The resolved settings of one function.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionConfig {
-    /// Requests that one instance runs at a time.
+    /// Maximum number of concurrent requests of one instance.
     pub concurrency: f64,
     /// Memory of one instance, in MB.
     pub memory: f64,
-    /// Seconds that a load usually takes, where stated.
+    /// Typical time to load the function, in seconds, if configured.
     pub load_time: Option<f64>,
-    /// The only profile under which the function may be called, by its index, where stated.
+    /// Index of the only profile under which the function may be called; `None` allows all profiles.
     pub profile: Option<usize>,
 }
 
 impl Default for FunctionConfig {
     fn default() -> Self {
-        // A small function, one call at a time: the least that a worker can be expected to do.
+        // A small function with one call at a time: the least that any worker can be expected to support.
         Self { concurrency: 1.0, memory: 128.0, load_time: None, profile: None }
     }
 }
--- a/crates/config/src/model/gateway.rs
+++ b/crates/config/src/model/gateway.rs
@@ -1,4 +1,4 @@
-//! All that one gateway goes by: its addresses, the policy's configuration, profiles, workers and limits.
+//! The complete configuration of one gateway: its addresses, the policy configuration, profiles, workers and limits.
 
 use super::functions::FunctionConfigs;
 use super::limits::Limits;
@@ -7,47 +7,47 @@
 use milletpath_protocol::registry::EndpointEntry;
 use std::net::SocketAddr;
 
-/// All that a gateway goes by.
+/// The complete configuration of one gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// Where clients connect.
+    /// The address on which the gateway accepts client connections.
     pub listen: SocketAddr,
-    /// What the routing decisions go by.
+    /// Configuration of the routing policy.
     pub policy: PolicyConfig,
-    /// Profiles of requests, in the order of the policy's.
+    /// Request profiles, in the same order as in `policy`.
     pub profiles: Vec<ProfileConfig>,
-    /// Client groups, in the order of the policy's quotas.
+    /// Names of client groups, in the order of the quotas in `policy`.
     pub clients: Vec<String>,
-    /// What is stated of functions.
+    /// Settings of functions.
     pub functions: FunctionConfigs,
-    /// Kinds of workers, in the order of the policy's memory.
+    /// Names of worker kinds, in the order of `policy.memory`.
     pub worker_kinds: Vec<String>,
-    /// Where the worker list comes from.
+    /// The source of the worker list.
     pub source: WorkerSource,
-    /// Bounds of the gateway's own queues, tables and waits.
+    /// Limits on the gateway's own queues, tables and waits.
     pub limits: Limits,
-    /// Membership among the gateways; none where they share nothing.
+    /// Membership of this gateway in a fleet; `None` if the gateways share no state.
     pub membership: Option<MembershipConfig>,
-    /// Where changes of configuration come from; none where only the configuration file holds.
+    /// The log of configuration changes; `None` if only the configuration file applies.
     pub config_log: Option<ConfigLogConfig>,
 }
 
-/// A profile as clients name it; its latency objective and its effect are the policy's.
+/// The part of a profile that concerns clients. The policy holds its latency objective and idempotency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProfileConfig {
     /// The name that clients send.
     pub name: String,
-    /// Seconds that a client waits at most.
+    /// Maximum time that a client waits for a response, in seconds.
     pub deadline: f64,
-    /// The worth of one request, relative to those of other profiles.
+    /// The importance of one request, relative to requests of other profiles.
     pub importance: f64,
 }
 
-/// Where the worker list comes from.
+/// The source of the worker list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerSource {
-    /// From the configuration file.
+    /// A fixed list in the configuration file.
     List(Vec<EndpointEntry>),
-    /// From the registry at this address.
+    /// The registry at this address.
     Registry(SocketAddr),
 }
--- a/crates/config/src/model/limits.rs
+++ b/crates/config/src/model/limits.rs
@@ -1,35 +1,35 @@
-//! Bounds of the gateway's own queues, tables and waits: what keeps its memory, sockets and time bounded whatever
+//! Limits on the gateway's own queues, tables and waits. They bound its memory, its sockets and its waiting times whatever
 //! clients and workers do.
 
-/// Bounds of the gateway's own queues, tables and waits. Times in seconds, sizes in bytes.
+/// Limits on the gateway's own queues, tables and waits. Times are in seconds, sizes in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Threads that carry requests.
+    /// Number of threads that process requests.
     pub cores: usize,
-    /// Whether each thread is pinned to a processor of its own.
+    /// Whether each of these threads is pinned to its own processor.
     pub pin: bool,
-    /// Requests open at once; those beyond are rejected on arrival.
+    /// Maximum number of open requests; further requests are rejected on arrival.
     pub max_open_requests: usize,
-    /// Bytes of all request and response bodies buffered together.
+    /// Maximum total size of all buffered request and response bodies.
     pub max_buffered_bytes: usize,
-    /// Bytes of the body of one request.
+    /// Maximum size of a request body.
     pub max_request_body: usize,
-    /// Bytes of the body of one response.
+    /// Maximum size of a response body.
     pub max_response_body: usize,
-    /// Client connections.
+    /// Maximum number of client connections.
     pub max_connections: usize,
-    /// Connections to one worker.
+    /// Maximum number of connections to one worker.
     pub max_connections_per_worker: usize,
-    /// Seconds for a client to send its header fields.
+    /// Time limit for a client to send the header of a request.
     pub header_timeout: f64,
-    /// Seconds for which a client may take or send nothing in the midst of a message.
+    /// Maximum time for which a client may neither send nor receive anything in the middle of a message.
     pub stall_timeout: f64,
-    /// Seconds for a connection to a worker to be established.
+    /// Time limit for establishing a connection to a worker.
     pub connect_timeout: f64,
-    /// Seconds after which an unused connection to a worker is closed.
+    /// Time after which an idle connection to a worker is closed.
     pub idle_timeout: f64,
-    /// Seconds for a health check to be answered.
+    /// Time limit for the response to a health check.
     pub health_check_timeout: f64,
-    /// Seconds for which a draining worker may still be sent requests.
+    /// Time for which a draining worker may still be sent requests.
     pub drain_grace: f64,
 }
--- a/crates/config/src/model/replication.rs
+++ b/crates/config/src/model/replication.rs
@@ -1,25 +1,25 @@
-//! How a gateway takes part in what is replicated: the membership of the gateways, and the log of configuration changes
-//! that the control machines keep.
+//! Configuration of the replicated state: the membership of the gateways, and the log of configuration changes that the
+//! control machines replicate.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How this gateway is known to the others, and how it finds them. Times in seconds.
+/// How this gateway identifies itself to the other gateways, and how it discovers them. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
-    /// Where it receives datagrams.
+    /// The address on which the gateway receives datagrams.
     pub listen: SocketAddr,
-    /// The address that it announces to the others for datagrams.
+    /// The address for datagrams that the gateway announces to the others.
     pub advertise: SocketAddr,
-    /// As the other gateways know this one.
+    /// The name of this gateway among the gateways.
     pub name: String,
-    /// Addresses at which other gateways may be found.
+    /// Addresses of gateways to contact for discovery.
     pub seeds: Vec<SocketAddr>,
     /// The file with the secret that the gateways share.
     pub key_file: PathBuf,
-    /// Seconds between two probes.
+    /// Interval between two probes.
     pub period: f64,
-    /// Seconds for which another gateway's assertion counts towards the quorum.
+    /// Time for which another gateway's assertion counts towards the quorum.
     pub lease: f64,
     /// The fraction of its quota that a gateway keeps while it can't reach a majority, from 0 to 1.
     pub floor: f64,
@@ -32,10 +32,10 @@
     pub control: Vec<SocketAddr>,
     /// The file with the secret that control machines, gateways and authors of changes share.
     pub key_file: PathBuf,
-    /// Where it receives datagrams.
+    /// The address on which the gateway receives datagrams.
     pub listen: SocketAddr,
-    /// The file in which the last known state outlives a restart.
+    /// The file that keeps the last known state across restarts.
     pub state_file: PathBuf,
-    /// As control machines and operators know this gateway.
+    /// The name of this gateway for control machines and operators.
     pub name: String,
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads a configuration file, one module a part of it. Each setting has its bounds and its default beside where it is
-//! read; the defaults are chosen for one gateway beside a handful of workers.
+//! Reads a configuration file, with one module for each part of it. The range and the default of a setting are specified
+//! where it is read. The defaults suit one gateway with a handful of workers.
 
 mod address;
 mod bounds;
--- a/crates/config/src/reader/address.rs
+++ b/crates/config/src/reader/address.rs
@@ -1,18 +1,18 @@
-//! IP addresses with a port, as settings and as names.
+//! IP addresses with a port, as settings and as names of gateways.
 
 use std::net::SocketAddr;
 
-/// An IP address with a port; none where the text is anything else.
+/// Parses an IP address with a port; `None` if the text is anything else.
 pub fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
-/// Whether others could reach an address: one of a machine, with a port.
+/// Whether other machines can use an address to reach this one: it is not a wildcard address, and its port is not 0.
 pub fn is_reachable(address: &SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
 
-/// An address as the name of a gateway, in which brackets may not stand.
+/// The name of a gateway that is derived from its address. Names must not contain the brackets of IPv6 addresses.
 pub fn name_of_address(address: SocketAddr) -> String {
     address.to_string().replace(['[', ']'], "")
 }
--- a/crates/config/src/reader/bounds.rs
+++ b/crates/config/src/reader/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that several parts of the file share.
+//! Bounds that several parts of the configuration file share.
 
-/// The longest time that a setting may give, in seconds: a day.
+/// The longest time that a setting may specify, in seconds: one day.
 pub const MAX_SECONDS: f64 = 86_400.0;
--- a/crates/config/src/reader/clients.rs
+++ b/crates/config/src/reader/clients.rs
@@ -1,18 +1,19 @@
-//! Client groups, with the rate that each may send within its quota and at all.
+//! Client groups, each with its quota and its rate limit.
 
 use crate::document::Section;
 
-/// Client groups in the order of the file, and their rates in requests a second over all gateways.
+/// Client groups in the order of the file. Rates are in requests per second over all gateways.
 #[derive(Default)]
 pub struct ClientGroups {
     pub names: Vec<String>,
-    /// Within its share; infinite where not stated.
+    /// The rate up to which a group is within its quota; infinite if not configured.
     pub quotas: Vec<f64>,
-    /// At all; infinite where not stated.
+    /// The maximum rate of a group; infinite if not configured.
     pub ceilings: Vec<f64>,
 }
 
-/// Reads the client groups. A client that names none, or another, is always within its quota and under no ceiling.
+/// Reads the client groups. A client without a group, or with an unknown one, is always within its quota and has no rate
+/// limit.
 pub fn read(top: &Section<'_>) -> ClientGroups {
     let mut groups = ClientGroups::default();
     for section in top.blocks("client", true) {
--- a/crates/config/src/reader/control_machines.rs
+++ b/crates/config/src/reader/control_machines.rs
@@ -1,4 +1,4 @@
-//! The addresses of the control machines, which must be able to reach each other and to form a majority.
+//! The addresses of the control machines. They must be able to reach each other and to form a majority.
 
 use super::address::{is_reachable, parse_address};
 use crate::document::Section;
@@ -6,23 +6,23 @@
 
 const EXAMPLE: &str = "[\"10.0.0.1:7500\", \"10.0.1.1:7500\", \"10.0.2.1:7500\"]";
 
-/// Control machines at most. With seven, three may fail; more would cost more messages, and be no safer against the loss
-/// of a zone.
+/// Maximum number of control machines. With seven, three may fail; more would send more messages without being safer
+/// against the loss of a zone.
 const MAX_CONTROL_MACHINES: usize = 7;
 
-/// Reads the addresses; empty where they are missing or invalid.
+/// Reads the addresses; empty if they are missing or one of them can't be parsed.
 pub fn read(section: &Section<'_>) -> Vec<SocketAddr> {
     let control = section.list("control", EXAMPLE, parse_address);
     if !section.has("control") {
         section.report_missing("control", EXAMPLE);
     }
     let control = control.unwrap_or_default();
-    check_number(section, &control);
+    check_count(section, &control);
     check_addresses(section, &control);
     control
 }
 
-fn check_number(section: &Section<'_>, control: &[SocketAddr]) {
+fn check_count(section: &Section<'_>, control: &[SocketAddr]) {
     if section.has("control") && !(1..=MAX_CONTROL_MACHINES).contains(&control.len()) {
         let problem = format!("changes has {} control machines", control.len());
         let remedy = format!("name 1 to {MAX_CONTROL_MACHINES}; an odd number, as more than half must agree");
--- a/crates/config/src/reader/functions.rs
+++ b/crates/config/src/reader/functions.rs
@@ -1,10 +1,10 @@
-//! Settings of functions: those of all, and those of one.
+//! Settings of functions: those for all functions, and those for single ones.
 
 use super::bounds::MAX_SECONDS;
 use crate::document::Section;
 use crate::model::{FunctionConfigs, FunctionOverrides, ProfileConfig};
 
-/// Reads what is stated of all functions and of each named one.
+/// Reads the settings for all functions and those for each named function.
 pub fn read(top: &Section<'_>, profiles: &[ProfileConfig]) -> FunctionConfigs {
     let defaults = top.block("functions").map(|section| overrides(&section, profiles)).unwrap_or_default();
     let named = top.blocks("function", true).into_iter();
--- a/crates/config/src/reader/gateway.rs
+++ b/crates/config/src/reader/gateway.rs
@@ -1,16 +1,20 @@
-//! The complete file: its sections in order, and what one section needs of another.
+//! Reads the complete configuration file, and passes to each section what it needs from others.
 
 use super::address::parse_address;
-use super::policy::PolicySources;
+use super::policy::PolicyInputs;
 use super::{clients, config_log, functions, limits, membership, profiles, syntax, workers};
 use crate::document::{ConfigError, Document, Section};
 use crate::model::{GatewayConfig, WorkerSource};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Where clients connect if nothing is stated.
+/// The address for client connections if none is configured.
 const DEFAULT_LISTEN: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 8080);
 
-/// Reads a configuration file; the error holds every problem of the text, in its order.
+/// Reads a configuration file.
+///
+/// # Errors
+///
+/// All errors in the text, in its order, or the first syntax error.
 pub fn read(text: &str) -> Result<GatewayConfig, Vec<ConfigError>> {
     let document = Document::new(text);
     let body = syntax::parse(text)?;
@@ -36,7 +40,7 @@
     let limits_section = top.block("limits");
     let gateways = top.count("gateways", "gateways", 1..=100_000).unwrap_or(1);
     let limits = limits::read(top, limits_section.as_ref(), workers);
-    let policy = PolicySources {
+    let policy = PolicyInputs {
         top,
         limits: limits_section.as_ref(),
         workers,
--- a/crates/config/src/reader/limits.rs
+++ b/crates/config/src/reader/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds of the gateway's own queues, tables and waits.
+//! Limits on the gateway's own queues, tables and waits.
 
 use super::bounds::MAX_SECONDS;
 use super::host::{MAX_CORES, available_cores};
@@ -6,10 +6,10 @@
 use crate::document::Section;
 use crate::model::Limits;
 
-/// The largest body that may be allowed, in bytes.
-const GIB: u32 = 1 << 30;
+/// Largest configurable limit on the size of a body, in bytes: 1 GiB.
+const MAX_BODY_BYTES: u32 = 1 << 30;
 
-/// Reads the limits: those of the process at the top, the others in their section and that of the workers.
+/// Reads the limits: those of the process from the top level, the others from the sections `limits` and `workers`.
 pub fn read(top: &Section<'_>, section: Option<&Section<'_>>, workers: Option<&Section<'_>>) -> Limits {
     let (optional, workers) = (OptionalSection(section), OptionalSection(workers));
     let limits = Limits {
@@ -17,8 +17,8 @@
         pin: top.flag("pin").unwrap_or(false),
         max_open_requests: optional.count("open", "requests", 1..=10_000_000, 20_000),
         max_buffered_bytes: optional.count("held", "bytes", 1024..=u32::MAX, 256 << 20),
-        max_request_body: optional.count("body", "bytes", 0..=GIB, 1 << 20),
-        max_response_body: optional.count("answer", "bytes", 0..=GIB, 8 << 20),
+        max_request_body: optional.count("body", "bytes", 0..=MAX_BODY_BYTES, 1 << 20),
+        max_response_body: optional.count("answer", "bytes", 0..=MAX_BODY_BYTES, 8 << 20),
         max_connections: optional.count("connections", "connections", 1..=10_000_000, 20_000),
         max_connections_per_worker: optional.count("per_worker", "connections", 1..=100_000, 512),
         header_timeout: optional.number("head", "seconds", 0.01..=MAX_SECONDS, 10.0),
@@ -34,7 +34,7 @@
     limits
 }
 
-/// One body must fit into the buffer that all share.
+/// Checks that a body of the maximum size fits into the buffer that all bodies share.
 fn check_buffer(section: &Section<'_>, limits: &Limits) {
     if limits.max_request_body.max(limits.max_response_body) > limits.max_buffered_bytes {
         let remedy = "raise held, or lower body and answer";
--- a/crates/config/src/reader/membership.rs
+++ b/crates/config/src/reader/membership.rs
@@ -1,15 +1,15 @@
-//! Membership among the gateways. Its settings should be the same in all files of a fleet: the defaults find a failed
-//! gateway within some seconds at some 2 kB a second, and serve dozens of gateways (`docs/design/membership.md`).
+//! Membership of the gateways. Its settings should be the same in all files of a fleet. The defaults detect a failed
+//! gateway within a few seconds at about 2 kB/s of traffic, and suit dozens of gateways (`docs/design/membership.md`).
 
 use super::address::{name_of_address, parse_address};
 use super::identity::{gateway_name, key_file};
 use crate::document::Section;
 use crate::model::MembershipConfig;
 
-/// A lease shorter than this many probe periods could end between two probes that both succeed.
+/// Minimum lease in probe periods. A shorter lease could expire between two successful probes.
 const MIN_LEASE_PERIODS: f64 = 4.0;
 
-/// Reads the membership; none where a setting that it can't do without is missing or invalid.
+/// Reads the settings of the membership; `None` if a required setting is missing or invalid.
 pub fn read(top: &Section<'_>, section: &Section<'_>, gateways: usize) -> Option<MembershipConfig> {
     let listen = section.parsed("listen", "\"10.0.0.3:7400\"", parse_address);
     if !section.has("listen") {
@@ -38,9 +38,9 @@
 }
 
 fn check_lease(section: &Section<'_>, period: f64, lease: f64) {
-    let least = MIN_LEASE_PERIODS * period;
-    if lease < least {
+    let min_lease = MIN_LEASE_PERIODS * period;
+    if lease < min_lease {
         let problem = format!("lease of peers is shorter than four periods of {period}");
-        section.report(section.offset_of("lease"), problem, format!("make it {least} or more"));
+        section.report(section.offset_of("lease"), problem, format!("make it {min_lease} or more"));
     }
 }
--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -1,18 +1,18 @@
-//! Profiles of requests: latency objective, deadline, idempotency and importance.
+//! Request profiles: latency objective, deadline, idempotency and importance.
 
 use super::bounds::MAX_SECONDS;
 use crate::document::Section;
 use crate::model::ProfileConfig;
 use milletpath_policy::{Idempotency, KeyScope, Profile};
 
-/// The profiles, as the policy and as clients know them, in one order.
+/// The profiles, split into the parts for the policy and for clients. Both lists have the same order.
 #[derive(Default)]
 pub struct Profiles {
     pub policy: Vec<Profile>,
     pub config: Vec<ProfileConfig>,
 }
 
-/// The values of the key `idempotency`; see [`IDEMPOTENCIES`] for their names in the file.
+/// The values of the key `idempotency`. [`IDEMPOTENCIES`] has their names in the file.
 #[derive(Clone, Copy)]
 enum IdempotencyKind {
     Idempotent,
@@ -26,13 +26,13 @@
     ("non_idempotent", IdempotencyKind::NonIdempotent),
 ];
 
-const GROUPS: [(&str, KeyScope); 3] =
+const KEY_SCOPES: [(&str, KeyScope); 3] =
     [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
 
-/// Deadlines that are not stated, as a multiple of the latency objective.
-const DEFAULT_DEADLINE: f64 = 3.0;
+/// The default deadline, as a multiple of the latency objective.
+const DEFAULT_DEADLINE_MULTIPLE: f64 = 3.0;
 
-/// Reads all profiles; there must be one.
+/// Reads all profiles. At least one is required.
 pub fn read(top: &Section<'_>) -> Profiles {
     let mut profiles = Profiles::default();
     for section in top.blocks("profile", true) {
@@ -60,7 +60,7 @@
 
 fn deadline(section: &Section<'_>, latency_objective: f64) -> f64 {
     let stated = section.number("deadline", "seconds", 0.001..=MAX_SECONDS);
-    let deadline = stated.unwrap_or(DEFAULT_DEADLINE * latency_objective);
+    let deadline = stated.unwrap_or(DEFAULT_DEADLINE_MULTIPLE * latency_objective);
     if deadline < latency_objective {
         let problem = format!(
             "{} of {} is shorter than its latency objective",
@@ -76,14 +76,15 @@
     deadline
 }
 
-/// The idempotency of a request. One that is not stated is taken for the most harmful to repeat.
+/// Reads the idempotency of a profile. If it is missing or invalid, requests are assumed to be non-idempotent, which is
+/// the safest assumption.
 fn idempotency(section: &Section<'_>) -> Idempotency {
     let kind = section.one_of("idempotency", &IDEMPOTENCIES);
     if !section.has("idempotency") {
         section
             .report_missing("idempotency", "\"idempotent\", \"idempotent_with_key\" or \"non_idempotent\"");
     }
-    let group = section.one_of("group", &GROUPS);
+    let group = section.one_of("group", &KEY_SCOPES);
     let memory = section.number("memory", "seconds", 0.0..=MAX_SECONDS);
     match kind {
         Some(IdempotencyKind::IdempotentWithKey) => {
@@ -96,18 +97,18 @@
             }
         }
         Some(IdempotencyKind::Idempotent) => {
-            refuse_key_settings(section);
+            reject_key_settings(section);
             Idempotency::Idempotent
         }
         Some(IdempotencyKind::NonIdempotent) | None => {
-            refuse_key_settings(section);
+            reject_key_settings(section);
             Idempotency::NonIdempotent
         }
     }
 }
 
-/// Reports the settings that only a profile with idempotency keys has.
-fn refuse_key_settings(section: &Section<'_>) {
+/// Reports settings that apply only to profiles with idempotency keys.
+fn reject_key_settings(section: &Section<'_>) {
     let (key_name, with_key) =
         (section.spelling("idempotency"), section.value_spelling("idempotency", "idempotent_with_key"));
     for key in ["group", "memory"].into_iter().filter(|key| section.has(key)) {
--- a/crates/config/src/reader/syntax.rs
+++ b/crates/config/src/reader/syntax.rs
@@ -1,10 +1,10 @@
-//! The grammar of HCL: text into a body of attributes and blocks.
+//! Parses HCL text into a body of attributes and blocks.
 
 use crate::document::ConfigError;
 use hcl_edit::parser::parse_body;
 use hcl_edit::structure::Body;
 
-/// Parses a text; the error holds the first violation of the grammar, at which the parser stops.
+/// Parses a text. The error holds only the first syntax error, at which the parser stops.
 pub fn parse(text: &str) -> Result<Body, Vec<ConfigError>> {
     parse_body(text).map_err(|error| {
         let (line, column) = (error.location().line(), error.location().column());
--- a/crates/config/src/reader/workers.rs
+++ b/crates/config/src/reader/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: their kinds, and either their endpoints or the registry that lists them.
+//! Workers: their kinds, and either a list of their endpoints or the registry that provides it.
 
 use super::address::parse_address;
 use crate::document::Section;
@@ -7,7 +7,7 @@
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Kinds of workers in the order of the file.
+/// The kinds of workers, in the order of the file.
 #[derive(Default)]
 pub struct WorkerKinds {
     pub names: Vec<String>,
@@ -28,7 +28,7 @@
     kinds
 }
 
-/// Reads where the worker list comes from: either the file or a registry.
+/// Reads the source of the worker list: either a list in the file or a registry.
 pub fn read_source(workers: &Section<'_>, kinds: &[String]) -> WorkerSource {
     let list = read_list(workers, kinds);
     match workers.parsed("registry", "\"127.0.0.1:9000\"", parse_address) {
--- a/crates/config/tests/former_keys.rs
+++ b/crates/config/tests/former_keys.rs
@@ -1,5 +1,5 @@
-//! Keys and values of configuration files by their standard and their former names: both read to equal settings, and
-//! both at once are an error.
+//! Keys and values of configuration files under their standard and their former names: both give equal settings, and a key
+//! under both names at once is an error.
 
 use milletpath_config::document::{KEY_ALIASES, VALUE_ALIASES};
 use milletpath_config::read;
@@ -8,7 +8,7 @@
 const FORMER_EXAMPLE: &str = include_str!("fixtures/former_keys/example.hcl");
 const EXAMPLE: &str = include_str!("../../../docs/operators/example.hcl");
 
-/// Every key of configuration files that has a former name, each on a line of its own.
+/// All keys of configuration files that have a former name, each on a line of its own.
 const ALL_KEYS: &str = r#"
 seed = 5
 cores = 1
@@ -39,7 +39,7 @@
 }
 "#;
 
-/// Keys of scenario files alone; the emulator's tests read them.
+/// Keys with a former name that only scenario files have. The tests of the emulator cover them.
 const SCENARIO_KEYS: [&str; 10] = [
     "extends",
     "loads_ahead",
@@ -53,13 +53,13 @@
     "magnitude",
 ];
 
-/// The settings of a text, to compare; the seed is given where it would be random.
+/// The settings of a text in a comparable form. Adds a fixed seed if the text has none, as the default is random.
 fn settings(text: &str) -> String {
     let text = if text.contains("seed") { text.to_owned() } else { format!("seed = 5\n{text}") };
     format!("{:#?}", read(&text).unwrap_or_else(|errors| panic!("{errors:#?}\n{text}")))
 }
 
-/// The messages about an invalid text.
+/// The error messages for a text; empty if it is valid.
 fn messages(text: &str) -> Vec<String> {
     match read(text) {
         Ok(_) => Vec::new(),
@@ -67,15 +67,15 @@
     }
 }
 
-/// The number of the one line that states a key, from 0.
+/// The number of the only line of [`ALL_KEYS`] with a key, from 0.
 fn line_of(key: &str) -> usize {
-    let states = |line: &str| line.split_whitespace().next() == Some(key);
-    let lines: Vec<_> = ALL_KEYS.lines().enumerate().filter(|(_, line)| states(line)).collect();
+    let has_key = |line: &str| line.split_whitespace().next() == Some(key);
+    let lines: Vec<_> = ALL_KEYS.lines().enumerate().filter(|(_, line)| has_key(line)).collect();
     assert_eq!(lines.len(), 1, "{key}");
     lines[0].0
 }
 
-/// The text with a line replaced by others.
+/// [`ALL_KEYS`] with one line replaced.
 fn with_line(number: usize, replacement: &str) -> String {
     let mut lines: Vec<_> = ALL_KEYS.lines().collect();
     lines[number] = replacement;
@@ -83,12 +83,12 @@
 }
 
 #[test]
-fn the_example_reads_as_it_did_with_its_former_keys() {
+fn the_example_reads_the_same_with_its_former_keys() {
     assert_eq!(settings(EXAMPLE), settings(FORMER_EXAMPLE));
 }
 
 #[test]
-fn each_key_reads_alike_under_both_names() {
+fn each_key_reads_the_same_under_both_names() {
     for alias in KEY_ALIASES.iter().filter(|alias| !SCENARIO_KEYS.contains(&alias.standard)) {
         let number = line_of(alias.standard);
         let line = ALL_KEYS.lines().nth(number).expect("a line");
@@ -111,27 +111,27 @@
         let indented = format!("{}{}", " ".repeat(column - 1), added.trim_start());
         let messages = messages(&with_line(number, &format!("{indented}\n{line}")));
         assert_eq!(messages.len(), 1, "{messages:#?}");
-        let place = format!("{}:{column}: ", number + 2);
+        let position = format!("{}:{column}: ", number + 2);
         let names = format!("has both {} and {}, its former name", alias.standard, alias.former);
         let remedy = format!("; keep {}, and remove {}", alias.standard, alias.former);
-        assert!(messages[0].starts_with(&place), "{messages:?} {place}");
+        assert!(messages[0].starts_with(&position), "{messages:?} {position}");
         assert!(messages[0].contains(&names) && messages[0].ends_with(&remedy), "{messages:?}");
     }
 }
 
 #[test]
-fn each_value_reads_alike_under_both_names() {
+fn each_value_reads_the_same_under_both_names() {
     for alias in VALUE_ALIASES {
         let line = line_of(alias.key);
         let memory = if alias.standard == "idempotent_with_key" { "memory = 60" } else { "" };
-        let with =
+        let settings_with =
             |value: &str| settings(&with_line(line, &format!("{} = \"{value}\"\n{memory}", alias.key)));
-        assert_eq!(with(alias.standard), with(alias.former), "{}", alias.former);
+        assert_eq!(settings_with(alias.standard), settings_with(alias.former), "{}", alias.former);
     }
 }
 
 #[test]
-fn names_of_the_table_are_distinct() {
+fn names_in_the_alias_tables_are_unique() {
     let names: Vec<_> = KEY_ALIASES.iter().flat_map(|alias| [alias.standard, alias.former]).collect();
     assert_eq!(names.iter().collect::<BTreeSet<_>>().len(), names.len());
     let values: Vec<_> = VALUE_ALIASES.iter().flat_map(|alias| [alias.standard, alias.former]).collect();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn messages_name_a_key_as_the_file_has_it() {
+fn messages_use_the_name_of_a_key_in_the_file() {
     let profile = |body: &str| {
         let text = format!("profile \"p\" {{\n{body}\n}}\nworkers {{ registry = \"127.0.0.1:9000\" }}\n");
         messages(&text).join("\n")
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn suggestions_know_both_names() {
+fn suggestions_include_both_names() {
     for (unknown, suggestion) in [("dedline = 1", "deadline"), ("cutoff = 1", "cut_off")] {
         let text = ALL_KEYS.replace("  deadline = 4.5", &format!("  {unknown}"));
         let messages = messages(&text);
--- a/crates/config/tests/support/expect.rs
+++ b/crates/config/tests/support/expect.rs
@@ -1,8 +1,8 @@
-//! What tests of errors expect.
+//! Assertions on configuration errors.
 
 use milletpath_config::ConfigError;
 
-/// Asserts that an error at this line and column has this text in its message.
+/// Asserts that there is an error at this line and column whose message contains this text.
 #[track_caller]
 pub fn assert_has_error(errors: &[ConfigError], line: usize, column: usize, expected_text: &str) {
     let at_position = |error: &&ConfigError| (error.line, error.column) == (line, column);
--- a/crates/config/tests/support/mod.rs
+++ b/crates/config/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A valid configuration file that several test files edit.
+//! A valid configuration file that several tests modify.
 
 use milletpath_config::{GatewayConfig, read};
 
@@ -30,5 +30,5 @@
 "#;
 
 pub fn config() -> GatewayConfig {
-    read(VALID).unwrap_or_else(|m| panic!("{m:#?}"))
+    read(VALID).unwrap_or_else(|errors| panic!("{errors:#?}"))
 }
