--- a/crates/config/src/reader/config_log.rs
+++ b/crates/config/src/reader/config_log.rs
@@ -27,7 +27,8 @@
     let address = Some(client_listen).filter(is_reachable).map(name_of_address);
     let name = name.or(membership.map(|membership| membership.name.clone())).or(address);
     if name.is_none() && !section.has("name") {
-        let example = "\"gateway-1\" (unique among the gateways, as listen is no address of one)";
+        let example =
+            "\"gateway-1\" (unique among the gateways, as listen is a wildcard address or has port 0)";
         section.report_missing("name", example);
     }
     Some(ConfigLogConfig { control, key_file: key_file?, listen, state_file, name: name? })
--- a/crates/config/src/reader/membership.rs
+++ b/crates/config/src/reader/membership.rs
@@ -28,7 +28,7 @@
     let floor = section.number("floor", "the quota", 0.0..=1.0).unwrap_or(defaults.floor);
     let seeds = section.list("seeds", "[\"10.0.0.1:7400\"]", parse_address).unwrap_or_default();
     if gateways < 2 {
-        let remedy = "add gateways = NUMBER, the most that there may be";
+        let remedy = "add gateways = NUMBER, the maximum number of gateways";
         top.report(section.offset, "peers is set, but gateways allows for one only", remedy);
     }
     let (listen, key_file) = (listen?, key_file?);
