--- a/crates/config/src/document/aliases.rs
+++ b/crates/config/src/document/aliases.rs
@@ -89,7 +89,7 @@
 }
 
 /// The name under which a body has a key, standard or former; `None` if the body does not have the key.
-pub(super) fn stated_name<'k>(body: &Body, standard: &'k str) -> Option<&'k str> {
+pub(super) fn name_in<'k>(body: &Body, standard: &'k str) -> Option<&'k str> {
     let names = [Some(standard), former_key(standard)];
     names.into_iter().flatten().find(|name| has_name(body, name))
 }
@@ -97,5 +97,5 @@
 /// The attribute of a key, under its standard or its former name.
 #[must_use]
 pub fn attribute<'b>(body: &'b Body, standard: &str) -> Option<&'b Attribute> {
-    body.get_attribute(stated_name(body, standard)?)
+    body.get_attribute(name_in(body, standard)?)
 }
--- a/crates/config/src/document/blocks.rs
+++ b/crates/config/src/document/blocks.rs
@@ -1,7 +1,7 @@
 //! Blocks within a section, merged with those of the documents that this document extends: a block of this document
 //! overrides, attribute by attribute, the block with the same label in an extended document.
 
-use super::aliases::stated_name;
+use super::aliases::name_in;
 use super::section::Section;
 use hcl_edit::Span;
 use hcl_edit::structure::Block;
@@ -24,7 +24,7 @@
         for (layer, body) in self.bodies.iter().enumerate().rev() {
             let in_document = layer == 0 && self.in_document;
             // A block that is present under both names is reported along with the unknown keys.
-            let Some(name) = stated_name(body, key) else { continue };
+            let Some(name) = name_in(body, key) else { continue };
             for block in body.get_blocks(name) {
                 self.add_block(&mut sections, name, block, in_document, labelled);
             }
--- a/crates/config/src/document/section.rs
+++ b/crates/config/src/document/section.rs
@@ -1,6 +1,6 @@
 //! One block of a document: its attributes by name, its source text, and the keys that readers requested.
 
-use super::aliases::{self, former_value, stated_name};
+use super::aliases::{self, former_value, name_in};
 use super::text::Document;
 use hcl_edit::Span;
 use hcl_edit::expr::Expression;
@@ -116,7 +116,7 @@
     /// standard name.
     #[must_use]
     pub fn spelling<'k>(&self, key: &'k str) -> &'k str {
-        self.bodies.iter().find_map(|body| stated_name(body, key)).unwrap_or(key)
+        self.bodies.iter().find_map(|body| name_in(body, key)).unwrap_or(key)
     }
 
     /// The name of a value of a key, to match the spelling of the key: the former name of the value if the section uses the
--- a/crates/config/src/reader/address.rs
+++ b/crates/config/src/reader/address.rs
@@ -7,7 +7,7 @@
     text.parse().ok()
 }
 
-/// Whether other machines can use an address to reach this one: it is not a wildcard address, and its port is not 0.
+/// Whether other machines could connect to an address: it is not a wildcard address, and its port is not 0.
 pub fn is_reachable(address: &SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
--- a/crates/config/src/reader/profiles.rs
+++ b/crates/config/src/reader/profiles.rs
@@ -51,16 +51,16 @@
 }
 
 fn latency_objective(section: &Section<'_>) -> f64 {
-    let stated = section.number("latency_objective", "seconds", 0.001..=MAX_SECONDS);
+    let configured = section.number("latency_objective", "seconds", 0.001..=MAX_SECONDS);
     if !section.has("latency_objective") {
         section.report_missing("latency_objective", "1.0");
     }
-    stated.unwrap_or(1.0)
+    configured.unwrap_or(1.0)
 }
 
 fn deadline(section: &Section<'_>, latency_objective: f64) -> f64 {
-    let stated = section.number("deadline", "seconds", 0.001..=MAX_SECONDS);
-    let deadline = stated.unwrap_or(DEFAULT_DEADLINE_MULTIPLE * latency_objective);
+    let configured = section.number("deadline", "seconds", 0.001..=MAX_SECONDS);
+    let deadline = configured.unwrap_or(DEFAULT_DEADLINE_MULTIPLE * latency_objective);
     if deadline < latency_objective {
         let problem = format!(
             "{} of {} is shorter than its latency objective",
