--- a/crates/config-log/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -14,7 +14,7 @@
 use cluster::{NodeId, SimulatedCluster};
 use milletpath_config_log::{Entry, State};
 
-fn value_at(values: &mut [f64], quantile: f64) -> f64 {
+fn quantile_of(values: &mut [f64], quantile: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     values
         .get((quantile * values.len().saturating_sub(1) as f64).round() as usize)
@@ -23,15 +23,15 @@
 }
 
 /// Estimated size of a state of that many entries of the usual size: its keys twice, its texts, and the nodes of two trees.
-fn memory(statements: u64) -> usize {
+fn estimated_state_bytes(entries: u64) -> usize {
     /// An entry in both trees with the headers of its three strings, where trees are two thirds full.
-    const AROUND: usize = (24 + 8 + 8 + 72) * 3 / 2;
+    const TREE_OVERHEAD_BYTES: usize = (24 + 8 + 8 + 72) * 3 / 2;
     let mut state = State::default();
-    for number in 1..=statements {
-        assert!(state.apply(Entry { number, change: burst::usual_change(number) }));
+    for number in 1..=entries {
+        assert!(state.apply(Entry { number, change: burst::typical_change(number) }));
     }
     let keys: usize = state.iter().map(|(_, change)| change.key.len()).sum();
-    state.total_bytes() + keys + state.iter().count() * AROUND
+    state.total_bytes() + keys + state.iter().count() * TREE_OVERHEAD_BYTES
 }
 
 /// Seconds until in force, and how often that took more than 6 s.
@@ -46,18 +46,19 @@
 fn latencies(cluster: &mut SimulatedCluster, isolated_zone: usize) -> (Latencies, Burst) {
     cluster.isolated_zones = vec![isolated_zone];
     let mut burst = Burst::run(cluster, 20);
-    let [p50, p99] = [0.5, 0.99].map(|quantile| value_at(&mut burst.delays, quantile));
-    let there = (0..cluster.followers.len()).filter(|n| NodeId::Follower(*n).zone() != isolated_zone).count();
-    let missed = 20 * there - burst.delays.len();
+    let [p50, p99] = [0.5, 0.99].map(|quantile| quantile_of(&mut burst.delays, quantile));
+    let reachable =
+        (0..cluster.followers.len()).filter(|n| NodeId::Follower(*n).zone() != isolated_zone).count();
+    let missed = 20 * reachable - burst.delays.len();
     cluster.isolated_zones.clear();
     cluster.run_until(cluster.now + 10.0);
     (Latencies { p50, p99, worst: burst.worst(), missed }, burst)
 }
 
 /// A zone without a replica, and that of the leader.
-const ZONES: [usize; 2] = [9, 0];
+const ISOLATED_ZONES: [usize; 2] = [9, 0];
 
-fn figures(costs: NodeCosts) -> serde_json::Value {
+fn costs_json(costs: NodeCosts) -> serde_json::Value {
     let NodeCosts { follower, replica } = costs;
     serde_json::json!({
         "follower_cpu": follower.cpu_seconds,
@@ -83,39 +84,41 @@
         cluster.run_until(4.0);
         cluster.commit(0, cluster::change(1, "first", "lanes = 1", 0));
         cluster.run_until(cluster.now + 2.0);
-        cluster.timed = true;
+        cluster.measures_cpu = true;
         let (before, from) = (cost_so_far(&cluster), cluster.now);
         cluster.run_until(from + 10.0);
-        let rest = cost_between(before, cost_so_far(&cluster), 10.0);
-        let (follower_zone_isolated, burst) = latencies(&mut cluster, ZONES[0]);
-        assert_eq!(cluster.leaders(), [ZONES[1]]);
-        let (leader_zone_isolated, _) = latencies(&mut cluster, ZONES[1]);
+        let idle_costs = cost_between(before, cost_so_far(&cluster), 10.0);
+        let (follower_zone_isolated, burst) = latencies(&mut cluster, ISOLATED_ZONES[0]);
+        assert_eq!(cluster.leaders(), [ISOLATED_ZONES[1]]);
+        let (leader_zone_isolated, _) = latencies(&mut cluster, ISOLATED_ZONES[1]);
         if has_argument("--json") {
-            let latencies = |k: &Latencies| serde_json::json!({ "p50": k.p50, "p99": k.p99, "worst": k.worst, "missed": k.missed });
-            let mut line = figures(rest);
+            let latencies_json = |l: &Latencies| serde_json::json!({ "p50": l.p50, "p99": l.p99, "worst": l.worst, "missed": l.missed });
+            let mut line = costs_json(idle_costs);
             line["size"] = size.into();
-            line["burst"] = figures(burst.cost);
-            line["known"] = latencies(&follower_zone_isolated);
-            line["known_leader_gone"] = latencies(&leader_zone_isolated);
+            line["burst"] = costs_json(burst.cost);
+            line["known"] = latencies_json(&follower_zone_isolated);
+            line["known_leader_gone"] = latencies_json(&leader_zone_isolated);
             println!("{line}");
             continue;
         }
-        for (what, NodeCosts { follower, replica }) in [("at rest", rest), ("20 changes", burst.cost)] {
+        for (load, NodeCosts { follower, replica }) in [("at rest", idle_costs), ("20 changes", burst.cost)] {
             let Cost { cpu_seconds, bytes_in, bytes_out } = follower;
-            print!("{size:>4} {what:<10} {:>6.3} {bytes_in:>9.0} {bytes_out:>10.0} ", cpu_seconds * 1e3);
+            print!("{size:>4} {load:<10} {:>6.3} {bytes_in:>9.0} {bytes_out:>10.0} ", cpu_seconds * 1e3);
             let Cost { cpu_seconds, bytes_in, bytes_out } = replica;
             println!("{:>11.3} {bytes_in:>9.0} {bytes_out:>10.0}", cpu_seconds * 1e3);
         }
-        for (what, k) in [("a zone", follower_zone_isolated), ("the leader's zone", leader_zone_isolated)] {
+        for (zone, measured) in
+            [("a zone", follower_zone_isolated), ("the leader's zone", leader_zone_isolated)]
+        {
             println!(
-                "     in force with {what} isolated_zone: p50 {:.2} s, p99 {:.2} s, worst {:.2} s; not after 6 s: {}",
-                k.p50, k.p99, k.worst, k.missed
+                "     in force with {zone} isolated: p50 {:.2} s, p99 {:.2} s, worst {:.2} s; not after 6 s: {}",
+                measured.p50, measured.p99, measured.worst, measured.missed
             );
         }
     }
     if !has_argument("--json") {
-        for statements in [1_000, 100_000] {
-            println!("state of {statements} statements: {} bytes by estimate", memory(statements));
+        for entries in [1_000, 100_000] {
+            println!("state of {entries} entries: {} bytes by estimate", estimated_state_bytes(entries));
         }
     }
 }
--- a/crates/config-log/src/durable/replica.rs
+++ b/crates/config-log/src/durable/replica.rs
@@ -11,7 +11,7 @@
 /// The log is rewritten when it has grown to this multiple of its size after the last rewrite, and
 const REWRITE_MULTIPLE: u64 = 4;
 /// is larger than this many bytes, which are some thousand changes.
-const REWRITE_ABOVE: u64 = 1 << 20;
+const REWRITE_MIN_BYTES: u64 = 1 << 20;
 
 /// When a log that has grown is rewritten.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 
 impl Default for RewritePolicy {
     fn default() -> Self {
-        Self { multiple: REWRITE_MULTIPLE, above: REWRITE_ABOVE }
+        Self { multiple: REWRITE_MULTIPLE, above: REWRITE_MIN_BYTES }
     }
 }
 
@@ -147,21 +147,21 @@
 
     /// Stores what has to be stored.
     pub fn flush(&mut self, now: f64) -> FlushOutput {
-        self.carry_out(now);
+        self.run_actions(now);
         if self.replica.is_suspended() && now >= self.storage.retry_at {
             self.recover(now);
-            self.carry_out(now);
+            self.run_actions(now);
         }
         let has_grown = self.log.has_grown(self.policy.multiple, self.policy.above);
         if has_grown && !self.replica.is_suspended() && now >= self.rewrite.retry_at {
-            self.rewrite_grown(now);
-            self.carry_out(now);
+            self.rewrite_log(now);
+            self.run_actions(now);
         }
         std::mem::take(&mut self.output)
     }
 
     /// Carries out the replica's actions until there are none left.
-    fn carry_out(&mut self, now: f64) {
+    fn run_actions(&mut self, now: f64) {
         loop {
             let (mut records, mut messages) = (Vec::new(), Vec::new());
             while let Some(action) = self.replica.next_action() {
@@ -197,7 +197,7 @@
         }
     }
 
-    fn rewrite_grown(&mut self, now: f64) {
+    fn rewrite_log(&mut self, now: f64) {
         let records = encode(&self.replica.compact());
         match self.log.rewrite(&records) {
             Ok(()) => {
--- a/crates/config-log/src/follower/agreement.rs
+++ b/crates/config-log/src/follower/agreement.rs
@@ -36,7 +36,7 @@
     fn confirmed<'a, T: PartialEq>(&self, reports: impl Iterator<Item = &'a T>) -> Option<&'a T> {
         let reports: Vec<_> = reports.collect();
         let is_confirmed =
-            |report: &&T| reports.iter().filter(|other| *other == report).count() >= self.required;
+            |report: &&T| reports.iter().filter(|other| *other == report).count() >= self.required_reports;
         reports.iter().copied().find(is_confirmed)
     }
 
@@ -61,14 +61,15 @@
     pub fn known_head(&self) -> u64 {
         let mut heads: Vec<u64> = self.all.iter().map(|source| source.head).collect();
         heads.sort_by(|a, b| b.cmp(a));
-        heads.get(self.required - 1).copied().unwrap_or(0)
+        heads.get(self.required_reports - 1).copied().unwrap_or(0)
     }
 
     /// Whether enough replicas state that after `since` the log had not reached `head` yet: the state is then of another
     /// log.
     pub fn never_reached(&self, head: u64, since: f64) -> bool {
         let confirmed = self.all.iter().filter_map(|source| source.confirmed);
-        confirmed.filter(|confirmed| confirmed.at > since && confirmed.head < head).count() >= self.required
+        confirmed.filter(|confirmed| confirmed.at > since && confirmed.head < head).count()
+            >= self.required_reports
     }
 
     /// As of when enough replicas state that nothing beyond `head` was committed.
@@ -77,6 +78,6 @@
         let mut times: Vec<f64> =
             confirmed.filter(|confirmed| confirmed.head <= head).map(|confirmed| confirmed.at).collect();
         times.sort_by(|a, b| b.total_cmp(a));
-        times.get(self.required - 1).copied()
+        times.get(self.required_reports - 1).copied()
     }
 }
--- a/crates/config-log/src/follower/snapshot_fetch.rs
+++ b/crates/config-log/src/follower/snapshot_fetch.rs
@@ -84,7 +84,7 @@
             return;
         }
         let gaps = self.sources.all.iter().filter(|source| source.has_gap).count();
-        let needs_snapshot = known_head - head > SNAPSHOT_DISTANCE || gaps >= self.sources.required;
+        let needs_snapshot = known_head - head > SNAPSHOT_DISTANCE || gaps >= self.sources.required_reports;
         if self.snapshot_fetch.is_none() && needs_snapshot {
             self.start_snapshot_fetch(false);
         }
--- a/crates/config-log/src/follower/sources.rs
+++ b/crates/config-log/src/follower/sources.rs
@@ -12,16 +12,16 @@
 const REQUIRED_REPORTS: usize = 2;
 
 /// Seconds between two polls of a silent replica that is passed over.
-const PASSED_OVER_POLL_INTERVAL: f64 = 5.0;
+const SILENT_PROBE_INTERVAL: f64 = 5.0;
 
 #[derive(Clone, Debug)]
 pub(super) struct Sources {
     /// By index of the replica.
     pub all: Vec<Source>,
     /// Indexes of the replicas in this follower's order of preference.
-    rank_order: Vec<usize>,
+    preference_order: Vec<usize>,
     /// Number of replicas that must report the same.
-    pub required: usize,
+    pub required_reports: usize,
 }
 
 impl Sources {
@@ -29,16 +29,16 @@
     /// falls silent spread evenly over the others.
     pub fn new(name: &str, replicas: Vec<SocketAddr>, now: f64) -> Self {
         let weight = |replica: &usize| xxh3_64(format!("{name} {}", replicas[*replica]).as_bytes());
-        let mut rank_order: Vec<usize> = (0..replicas.len()).collect();
-        rank_order.sort_by_key(|replica| Reverse(weight(replica)));
-        let required = replicas.len().min(REQUIRED_REPORTS);
+        let mut preference_order: Vec<usize> = (0..replicas.len()).collect();
+        preference_order.sort_by_key(|replica| Reverse(weight(replica)));
+        let required_reports = replicas.len().min(REQUIRED_REPORTS);
         let all = replicas.into_iter().map(|address| Source::new(address, now)).collect();
-        Self { all, rank_order, required }
+        Self { all, preference_order, required_reports }
     }
 
     /// The replicas to follow: by preference, first those that are neither silent nor distrusted, then the silent ones.
     pub fn followed(&self, now: f64) -> Vec<usize> {
-        let mut order = self.rank_order.clone();
+        let mut order = self.preference_order.clone();
         order.sort_by_key(|replica| {
             let source = &self.all[*replica];
             (source.is_distrusted(now), source.is_silent)
@@ -75,7 +75,7 @@
         if followed.contains(&replica) {
             source.poll_at
         } else if source.is_silent {
-            source.last_polled_at + PASSED_OVER_POLL_INTERVAL
+            source.last_polled_at + SILENT_PROBE_INTERVAL
         } else {
             f64::INFINITY
         }
--- a/crates/config-log/src/replica/catching_up.rs
+++ b/crates/config-log/src/replica/catching_up.rs
@@ -5,7 +5,7 @@
 use super::state::Replica;
 use crate::entry::{Entry, LoggedEntry};
 use crate::message::Message;
-use crate::snapshot::{PageUse, SnapshotAssembly, SnapshotPage};
+use crate::snapshot::{PageOutcome, SnapshotAssembly, SnapshotPage};
 use crate::state::Checkpoint;
 
 /// Pages that are asked for at a time.
@@ -86,8 +86,8 @@
             return;
         };
         match fetch.assembly.add(page) {
-            Ok(PageUse::Appended) => self.fetch_soon(),
-            Ok(PageUse::NotNext) => return,
+            Ok(PageOutcome::Appended) => self.fetch_soon(),
+            Ok(PageOutcome::NotNext) => return,
             Err(_) => {
                 self.counters.conflicts += 1;
                 self.catch_up.snapshot = None;
--- a/crates/config-log/src/replica/election.rs
+++ b/crates/config-log/src/replica/election.rs
@@ -38,7 +38,7 @@
 
     /// Another replica has a higher ballot: gives way for a random time that doubles with each loss in a row.
     pub(super) fn preempted_by(&mut self, ballot: Ballot) {
-        self.observed = self.observed.max(ballot);
+        self.observed_ballot = self.observed_ballot.max(ballot);
         if self.proposer.role.ballot().is_none_or(|own| own > ballot) {
             return;
         }
@@ -53,7 +53,7 @@
     /// Ends leadership or the present attempt. Changes of authors stay pending.
     pub(super) fn step_down(&mut self) {
         self.proposer.role = Role::Idle;
-        self.proposer.open.clear();
+        self.proposer.in_flight.clear();
         self.proposer.pending.reset();
     }
 
@@ -62,7 +62,7 @@
         let ballot = self.highest_ballot().above(self.own_index);
         let id = self.random.rand_u64();
         self.counters.prepares += 1;
-        self.observed = ballot;
+        self.observed_ballot = ballot;
         if self.is_voter {
             self.acceptor.prepare(ballot, id);
             self.store(Record::Promised(ballot));
@@ -110,7 +110,7 @@
     }
 
     /// Leads, or votes again, if the present attempt has the promises that it needs.
-    pub(super) fn establish(&mut self) {
+    pub(super) fn complete_attempt(&mut self) {
         let Some(attempt) = self.successful_attempt() else { return };
         if !self.is_voter {
             self.readmit(attempt.ballot, &attempt.votes);
@@ -130,8 +130,8 @@
         // A replica that lost its promises and votes may vote again once all others have answered. Whatever its former
         // votes chose, or may still choose, one of the others voted for too and still knows: that holds while fewer
         // than a quorum have lost theirs.
-        let forgetful = complete.len() - voters.len() + 1;
-        let may_be_readmitted = complete.len() + 1 == self.replicas.len() && forgetful < self.quorum;
+        let disk_losses = complete.len() - voters.len() + 1;
+        let may_be_readmitted = complete.len() + 1 == self.replicas.len() && disk_losses < self.quorum;
         let is_successful = if self.is_voter { has_quorum } else { may_be_readmitted };
         // Entries up to the highest head of the voters have to be fetched first.
         let highest_head = voters.iter().map(|promise| promise.head).max().unwrap_or(0);
--- a/crates/config-log/src/replica/followers.rs
+++ b/crates/config-log/src/replica/followers.rs
@@ -12,7 +12,7 @@
 const PUSH_TIMEOUT: f64 = 3.0;
 
 /// Seconds without a poll after which a follower is forgotten; until then operators see it as silent.
-const FORGET_AFTER: f64 = 600.0;
+const EXPIRY_TIMEOUT: f64 = 600.0;
 
 #[derive(Clone, Debug)]
 pub(super) struct KnownFollower {
@@ -54,7 +54,7 @@
 
     /// Forgets followers that are long gone, and returns the others for operators.
     pub fn statuses(&mut self, now: f64) -> Vec<FollowerStatus> {
-        self.by_name.retain(|_, known| now - known.last_polled_at < FORGET_AFTER);
+        self.by_name.retain(|_, known| now - known.last_polled_at < EXPIRY_TIMEOUT);
         let status = |(name, known): (&String, &KnownFollower)| FollowerStatus {
             name: name.clone(),
             number: known.number,
--- a/crates/config-log/src/replica/heartbeats.rs
+++ b/crates/config-log/src/replica/heartbeats.rs
@@ -27,7 +27,7 @@
     }
 
     fn record_progress(&mut self, from: usize, progress: Progress) {
-        self.observed = self.observed.max(progress.ballot);
+        self.observed_ballot = self.observed_ballot.max(progress.ballot);
         if progress.head == self.head() && progress.digest != self.state().digest() {
             self.counters.conflicts += 1;
         }
--- a/crates/config-log/src/replica/log.rs
+++ b/crates/config-log/src/replica/log.rs
@@ -99,8 +99,8 @@
         }
         // It can only have been in force between the entry that it replaces and the present one. It was not if the present
         // one replaced the same entry, nor if all entries since then are kept and it is not among them.
-        let was_passed_over = current.is_some_and(|(_, c)| c.replaces == change.replaces);
-        if was_passed_over || self.reaches_back_to(change.replaces) {
+        let lost_to_current = current.is_some_and(|(_, c)| c.replaces == change.replaces);
+        if lost_to_current || self.reaches_back_to(change.replaces) {
             Some(Outcome::Superseded(number))
         } else {
             Some(Outcome::Unknown)
@@ -108,7 +108,7 @@
     }
 
     /// The outcome of a change that was chosen at the head.
-    pub fn outcome_in_turn(&self, change: &Change) -> Outcome {
+    pub fn outcome_at_head(&self, change: &Change) -> Outcome {
         self.outcome(change).unwrap_or(match self.state.effect_of(change) {
             Effect::Full => Outcome::Full,
             _ => Outcome::Unknown,
--- a/crates/config-log/src/replica/pending.rs
+++ b/crates/config-log/src/replica/pending.rs
@@ -53,7 +53,7 @@
     }
 
     /// Makes changes ready to be proposed again that were proposed at numbers for which `is_decided` holds.
-    pub fn reopen(&mut self, is_decided: impl Fn(u64) -> bool) {
+    pub fn clear_proposed_numbers(&mut self, is_decided: impl Fn(u64) -> bool) {
         let displaced =
             self.changes.iter_mut().filter(|pending| pending.proposed_number.is_some_and(&is_decided));
         displaced.for_each(|pending| pending.proposed_number = None);
--- a/crates/config-log/src/replica/proposals.rs
+++ b/crates/config-log/src/replica/proposals.rs
@@ -73,20 +73,20 @@
 
     /// The change with that id was chosen and applied at `number`.
     pub(super) fn resolve_at(&mut self, number: u64, id: u64) {
-        self.proposer.open.remove(&number);
+        self.proposer.in_flight.remove(&number);
         self.proposer.preemptions = 0;
         let chosen = self.proposer.pending.iter().find(|pending| pending.change.id == id);
-        if let Some(outcome) = chosen.map(|pending| self.log.outcome_in_turn(&pending.change)) {
+        if let Some(outcome) = chosen.map(|pending| self.log.outcome_at_head(&pending.change)) {
             self.resolve(|pending| pending.change.id == id, outcome);
         }
         // If another change was chosen there, the own one has to be proposed again.
-        self.proposer.pending.reopen(|proposed_at| proposed_at == number);
+        self.proposer.pending.clear_proposed_numbers(|proposed_at| proposed_at == number);
     }
 
     /// A snapshot was installed: many entries were applied at once.
     pub(super) fn resolve_through_head(&mut self) {
         let head = self.head();
-        self.proposer.open = self.proposer.open.split_off(&(head + 1));
+        self.proposer.in_flight = self.proposer.in_flight.split_off(&(head + 1));
         let outcome_of = |pending: &PendingChange| {
             self.log.outcome(&pending.change).map(|outcome| (pending.change.id, outcome))
         };
@@ -94,7 +94,7 @@
         for (id, outcome) in decided {
             self.resolve(|pending| pending.change.id == id, outcome);
         }
-        self.proposer.pending.reopen(|proposed_at| proposed_at <= head);
+        self.proposer.pending.clear_proposed_numbers(|proposed_at| proposed_at <= head);
     }
 
     /// Forwards pending changes to the leader, and again until they are resolved.
--- a/crates/config-log/src/replica/proposer.rs
+++ b/crates/config-log/src/replica/proposer.rs
@@ -57,7 +57,7 @@
     pub role: Role,
     pub pending: PendingChanges,
     /// When the proposal at an open number is sent again.
-    pub open: BTreeMap<u64, f64>,
+    pub in_flight: BTreeMap<u64, f64>,
     /// Earliest time of the next attempt.
     pub next_attempt_at: f64,
     /// Consecutive ballots lost to a higher one.
@@ -70,7 +70,7 @@
         Self {
             role: Role::Idle,
             pending: PendingChanges::default(),
-            open: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_attempt_at: now,
             preemptions: 0,
             stall: None,
--- a/crates/config-log/src/replica/proposing.rs
+++ b/crates/config-log/src/replica/proposing.rs
@@ -7,7 +7,7 @@
 use crate::message::{Ballot, Message, Vote};
 
 /// Numbers that are open at a time: 20 changes a second take about 6 at a round trip of 0.3 s, and 14 if one is lost.
-const MAX_OPEN_NUMBERS: u64 = ACCEPT_WINDOW / 2;
+const MAX_IN_FLIGHT_PROPOSALS: u64 = ACCEPT_WINDOW / 2;
 
 /// Seconds without a message after which a replica does not count as leader: there is a heartbeat every 0.3 s.
 const LEADER_TIMEOUT: f64 = 0.7;
@@ -21,7 +21,7 @@
     pub(super) fn drive_proposer(&mut self) {
         self.expire_pending();
         self.update_stall();
-        self.establish();
+        self.complete_attempt();
         if !self.suspended {
             self.drive_role();
         }
@@ -52,7 +52,7 @@
             Role::Idle if self.leader().is_none() && self.oldest_work_at().is_some() => {
                 self.prepare();
                 // A single replica needs no answer but its own.
-                self.establish();
+                self.complete_attempt();
                 if self.leads() {
                     self.lead();
                 }
@@ -73,9 +73,9 @@
     /// that votes and sent something lately, so that not all prepare at once.
     fn leader(&self) -> Option<usize> {
         let since = self.oldest_work_at()?;
-        let owner = Some(self.observed.owner())
+        let owner = Some(self.observed_ballot.owner())
             .filter(|owner| *owner < self.peers.len() && self.can_lead(*owner))
-            .filter(|_| self.observed != Ballot::default());
+            .filter(|_| self.observed_ballot != Ballot::default());
         let leader = owner.or_else(|| (0..self.peers.len()).find(|replica| self.can_lead(*replica)))?;
         // A replica whose storage failed can't take over.
         let waits = self.suspended || self.clock.now < since + TAKEOVER_DELAY;
@@ -93,7 +93,7 @@
 
     fn lead(&mut self) {
         self.propose_pending();
-        self.retransmit_open();
+        self.retransmit_in_flight();
     }
 
     /// Proposes pending changes at the next numbers, as far as the window allows.
@@ -104,7 +104,7 @@
             let unproposed =
                 self.proposer.pending.iter_mut().find(|pending| pending.proposed_number.is_none());
             let Some(pending) = unproposed else { break };
-            if number > head + MAX_OPEN_NUMBERS {
+            if number > head + MAX_IN_FLIGHT_PROPOSALS {
                 break;
             }
             pending.proposed_number = Some(number);
@@ -120,23 +120,23 @@
         let vote = Vote { number, ballot, change };
         self.acceptor.accept(&vote);
         self.store_vote(vote.clone());
-        self.proposer.open.insert(number, self.clock.now + self.timing.retransmit_interval);
+        self.proposer.in_flight.insert(number, self.clock.now + self.timing.retransmit_interval);
         self.send_to_others(&Message::Accept { vote });
     }
 
     /// Sends proposals again to the replicas that have not accepted them in time.
-    fn retransmit_open(&mut self) {
+    fn retransmit_in_flight(&mut self) {
         let Role::Leading { ballot, .. } = self.proposer.role else { return };
         let now = self.clock.now;
         let due: Vec<u64> = self
             .proposer
-            .open
+            .in_flight
             .iter()
             .filter(|(_, retransmit_at)| now >= **retransmit_at)
             .map(|(number, _)| *number)
             .collect();
         for number in due {
-            self.proposer.open.insert(number, now + self.timing.retransmit_interval);
+            self.proposer.in_flight.insert(number, now + self.timing.retransmit_interval);
             let Some(vote) = self.acceptor.votes.get(&number).cloned() else { continue };
             for replica in 0..self.replicas.len() {
                 if !self.learner.has_accepted(replica, number, ballot) {
@@ -154,7 +154,7 @@
         let takeover = proposer.stall.map(|stall| stall.since + TAKEOVER_DELAY);
         let takeover = takeover.filter(|at| *at > self.clock.now);
         let role = match &proposer.role {
-            Role::Leading { .. } => proposer.open.values().copied().fold(f64::INFINITY, f64::min),
+            Role::Leading { .. } => proposer.in_flight.values().copied().fold(f64::INFINITY, f64::min),
             Role::Preparing(attempt) => attempt.retransmit_at,
             Role::Idle => self.idle_deadline(),
         };
--- a/crates/config-log/src/replica/state.rs
+++ b/crates/config-log/src/replica/state.rs
@@ -64,7 +64,7 @@
     /// All replicas by index, the own entry unused.
     pub(super) peers: Vec<Peer>,
     /// Highest ballot that it knows of.
-    pub(super) observed: Ballot,
+    pub(super) observed_ballot: Ballot,
     pub(super) heartbeats: Heartbeats,
     pub(super) actions: VecDeque<Action>,
     /// Messages among the actions.
@@ -106,7 +106,7 @@
             followers: Followers::default(),
             status_reports: StatusReports::default(),
             peers: vec![Peer::default(); replicas.len()],
-            observed: Ballot::default(),
+            observed_ballot: Ballot::default(),
             heartbeats: Heartbeats::new(first_request_id, now),
             actions: VecDeque::new(),
             queued_sends: 0,
@@ -138,7 +138,7 @@
             }
         }
         self.acceptor.discard_through(self.head());
-        self.observed = self.acceptor.promised;
+        self.observed_ballot = self.acceptor.promised;
     }
 
     /// The configuration in force at this replica.
@@ -165,7 +165,7 @@
 
     /// Highest ballot that it knows of, own promises included.
     pub(super) fn highest_ballot(&self) -> Ballot {
-        self.observed.max(self.acceptor.promised)
+        self.observed_ballot.max(self.acceptor.promised)
     }
 
     /// Indexes of the other replicas.
@@ -202,7 +202,7 @@
 
     /// Lowers the quorum, so that a test can show that the search finds what that breaks.
     #[doc(hidden)]
-    pub fn break_quorum(&mut self, quorum: usize) {
+    pub fn override_quorum(&mut self, quorum: usize) {
         self.quorum = quorum;
     }
 }
--- a/crates/config-log/src/replica/status.rs
+++ b/crates/config-log/src/replica/status.rs
@@ -19,7 +19,7 @@
     pub(super) fn on_status_request(&mut self, from: SocketAddr, query_id: u64, page: u32) {
         if self.status_reports.find(from, query_id).is_none() {
             let Ok(json) = serde_json::to_vec(&self.current_view()) else { return };
-            self.status_reports.add(StatusReport { reader: from, query_id, json });
+            self.status_reports.add(StatusReport { requester: from, query_id, json });
         }
         let Some(json) = self.status_reports.find(from, query_id) else { return };
         let page_count = json.len().div_ceil(STATUS_PAGE_BYTES) as u32;
--- a/crates/config-log/src/replica/voting.rs
+++ b/crates/config-log/src/replica/voting.rs
@@ -8,7 +8,7 @@
 impl Replica {
     /// Phase 1 of Paxos: promises the ballot, and reports what was accepted under lower ones.
     pub(super) fn on_prepare(&mut self, from: usize, ballot: Ballot, attempt: u64) {
-        self.observed = self.observed.max(ballot);
+        self.observed_ballot = self.observed_ballot.max(ballot);
         if self.suspended {
             // It can't promise, and has not forgotten what it promised: neither answer would be right.
             return;
@@ -60,9 +60,9 @@
     /// Phase 2 of Paxos: accepts a proposal, and reports that to all replicas.
     pub(super) fn on_accept(&mut self, from: usize, vote: Vote) {
         let (head, number, ballot) = (self.head(), vote.number, vote.ballot);
-        self.observed = self.observed.max(ballot);
+        self.observed_ballot = self.observed_ballot.max(ballot);
         if number <= head {
-            self.send_chosen_since(from, number);
+            self.send_chosen_from(from, number);
             return;
         }
         if !self.may_vote() || number > head + ACCEPT_WINDOW {
@@ -87,7 +87,7 @@
     }
 
     /// The proposer is behind: something was chosen at that number already.
-    fn send_chosen_since(&mut self, to: usize, number: u64) {
+    fn send_chosen_from(&mut self, to: usize, number: u64) {
         let entries = self.log.after(number.saturating_sub(1), MAX_ENTRIES_BYTES);
         if !entries.is_empty() {
             self.send_to(to, Message::LogEntries { entries });
--- a/crates/config-log/src/snapshot.rs
+++ b/crates/config-log/src/snapshot.rs
@@ -25,7 +25,7 @@
 
 /// What became of a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PageUse {
+pub(crate) enum PageOutcome {
     /// It was the next one; the assembly advanced.
     Appended,
     /// It is kept for later, or was appended before.
@@ -51,13 +51,13 @@
     }
 
     /// Adds a page, and the early pages that follow it.
-    pub fn add(&mut self, page: SnapshotPage) -> Result<PageUse, MalformedPage> {
+    pub fn add(&mut self, page: SnapshotPage) -> Result<PageOutcome, MalformedPage> {
         if page.after > self.cursor && self.early_pages.len() < MAX_EARLY_PAGES {
             self.early_pages.insert(page.after, page);
-            return Ok(PageUse::NotNext);
+            return Ok(PageOutcome::NotNext);
         }
         if page.after != self.cursor {
-            return Ok(PageUse::NotNext);
+            return Ok(PageOutcome::NotNext);
         }
         self.append(page)?;
         while let Some(page) = self.early_pages.remove(&self.cursor) {
@@ -65,7 +65,7 @@
         }
         // Early pages that the log has passed meanwhile are asked for again.
         self.early_pages = self.early_pages.split_off(&self.cursor);
-        Ok(PageUse::Appended)
+        Ok(PageOutcome::Appended)
     }
 
     fn append(&mut self, page: SnapshotPage) -> Result<(), MalformedPage> {
--- a/crates/config-log/src/state.rs
+++ b/crates/config-log/src/state.rs
@@ -42,7 +42,7 @@
 /// Upper bound on the encoded size of an entry beside its key and text, the digest included.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-fn hash(number: u64, change: &Change) -> u64 {
+fn entry_hash(number: u64, change: &Change) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(&number.to_le_bytes());
     hasher.update(&change.id.to_le_bytes());
@@ -87,14 +87,14 @@
     fn set(&mut self, entry: Entry) {
         let Entry { number, change } = entry;
         self.total_bytes += change.size();
-        self.digest = self.digest.wrapping_add(hash(number, &change));
+        self.digest = self.digest.wrapping_add(entry_hash(number, &change));
         let before = match self.keys.get_mut(&change.key) {
             Some(current) => Some(std::mem::replace(current, number)),
             None => self.keys.insert(change.key.clone(), number),
         };
         if let Some((number, old)) = before.and_then(|n| self.latest.remove(&n).map(|old| (n, old))) {
             self.total_bytes -= old.size();
-            self.digest = self.digest.wrapping_sub(hash(number, &old));
+            self.digest = self.digest.wrapping_sub(entry_hash(number, &old));
         }
         self.latest.insert(number, change);
     }
@@ -110,8 +110,8 @@
         let last: BTreeMap<&str, (u64, &Change)> =
             entries.iter().map(|(number, change)| (change.key.as_str(), (*number, change))).collect();
         last.into_iter().fold(self.digest, |digest, (key, (number, change))| {
-            let old = self.get(key).map_or(0, |(number, old)| hash(number, old));
-            digest.wrapping_sub(old).wrapping_add(hash(number, change))
+            let old = self.get(key).map_or(0, |(number, old)| entry_hash(number, old));
+            digest.wrapping_sub(old).wrapping_add(entry_hash(number, change))
         })
     }
 
@@ -119,8 +119,8 @@
     pub(crate) fn digest_after(&self, entry: &Entry) -> u64 {
         match self.effect_of(&entry.change) {
             Effect::Applies => {
-                let old = self.get(&entry.change.key).map_or(0, |(number, old)| hash(number, old));
-                self.digest.wrapping_sub(old).wrapping_add(hash(entry.number, &entry.change))
+                let old = self.get(&entry.change.key).map_or(0, |(number, old)| entry_hash(number, old));
+                self.digest.wrapping_sub(old).wrapping_add(entry_hash(entry.number, &entry.change))
             }
             _ => self.digest,
         }
--- a/crates/config-log/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -8,10 +8,10 @@
 use rand::Rng;
 
 /// Seconds simulated after the last change.
-pub const SECONDS: f64 = 6.0;
+pub const SETTLING_SECONDS: f64 = 6.0;
 
 /// Seconds after which an author sends its change to the next replica.
-const RETRY_AFTER: f64 = 0.4;
+const RETRY_DELAY: f64 = 0.4;
 
 /// What a node used, in all or a second.
 #[derive(Clone, Copy, Default)]
@@ -26,7 +26,7 @@
     fn mean<'a, T: 'a>(nodes: impl Iterator<Item = &'a Node<T>>) -> Self {
         let (mut sum, mut count) = (Self::default(), 0.0);
         for node in nodes {
-            sum.cpu_seconds += node.busy;
+            sum.cpu_seconds += node.cpu_seconds;
             sum.bytes_in += node.bytes_in as f64;
             sum.bytes_out += node.bytes_out as f64;
             count += 1.0;
@@ -62,7 +62,7 @@
 
 /// What a follower and a replica have used so far, on average over those that are not isolated.
 pub fn cost_so_far(cluster: &SimulatedCluster) -> NodeCosts {
-    let is_reachable = |network: NodeId| !cluster.isolated_zones.contains(&network.zone());
+    let is_reachable = |node: NodeId| !cluster.isolated_zones.contains(&node.zone());
     let followers = cluster.followers.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Follower(*n)));
     let replicas = cluster.replicas.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Replica(*n)));
     NodeCosts {
@@ -109,28 +109,28 @@
 impl Burst {
     /// Proposes that many changes within a second, from authors in reachable zones to random replicas.
     pub fn run(cluster: &mut SimulatedCluster, changes: u64) -> Self {
-        let began = cluster.now;
+        let started_at = cluster.now;
         let base = 1_000_000 + cluster.log.state.head() * 1_000;
         let reachable_zones: Vec<usize> =
             (0..10).filter(|zone| !cluster.isolated_zones.contains(zone)).collect();
         let mut open: Vec<OpenChange> = Vec::new();
         let mut committed = Vec::new();
-        let until = began + 1.0 + SECONDS;
+        let until = started_at + 1.0 + SETTLING_SECONDS;
         let (before, mut after) = (cost_so_far(cluster), None);
         let mut next = 0;
         while cluster.now < until {
-            while next < changes && cluster.now >= began + next as f64 / changes as f64 {
+            while next < changes && cluster.now >= started_at + next as f64 / changes as f64 {
                 let author = reachable_zones[cluster.rng.random_range(0..reachable_zones.len())];
                 let replica = cluster.rng.random_range(0..cluster.replicas.len());
                 let id = base + next;
-                cluster.propose(author, replica, usual_change(id));
+                cluster.propose(author, replica, typical_change(id));
                 let now = cluster.now;
                 open.push(OpenChange { id, author, proposed_at: now, last_proposed_at: now, replica });
                 next += 1;
             }
             cluster.run_until(cluster.now + 0.01);
-            if cluster.now >= began + 1.0 && after.is_none() {
-                after = Some(cost_between(before, cost_so_far(cluster), cluster.now - began));
+            if cluster.now >= started_at + 1.0 && after.is_none() {
+                after = Some(cost_between(before, cost_so_far(cluster), cluster.now - started_at));
             }
             for mut pending in std::mem::take(&mut open) {
                 match cluster.outcome(pending.author, pending.id) {
@@ -140,10 +140,10 @@
                         acknowledged_at: cluster.now,
                     }),
                     Some(Outcome::Unknown) | None => {
-                        if cluster.now - pending.last_proposed_at >= RETRY_AFTER {
+                        if cluster.now - pending.last_proposed_at >= RETRY_DELAY {
                             pending.replica = (pending.replica + 1) % cluster.replicas.len();
                             pending.last_proposed_at = cluster.now;
-                            cluster.propose(pending.author, pending.replica, usual_change(pending.id));
+                            cluster.propose(pending.author, pending.replica, typical_change(pending.id));
                         }
                         open.push(pending);
                     }
@@ -155,7 +155,7 @@
         let is_reachable = |n: &usize| !cluster.isolated_zones.contains(&NodeId::Follower(*n).zone());
         let followers: Vec<usize> = (0..cluster.followers.len()).filter(is_reachable).collect();
         let delays_of = |change: &CommittedChange| -> Vec<f64> {
-            let delay_at = |n: &usize| cluster.delay(*n, change.number, change.proposed_at);
+            let delay_at = |n: &usize| cluster.propagation_delay(*n, change.number, change.proposed_at);
             followers.iter().filter_map(delay_at).collect()
         };
         let acknowledgement_delay = |change: &CommittedChange| change.acknowledged_at - change.proposed_at;
@@ -172,7 +172,7 @@
 }
 
 /// A change of the usual size.
-pub fn usual_change(id: u64) -> milletpath_config_log::Change {
+pub fn typical_change(id: u64) -> milletpath_config_log::Change {
     let text =
         "function \"resize-thumbnails\" {\n  lanes = 2\n  memory = 400\n  profile = \"interactive\"\n}\n";
     change(id, &format!("function resize-thumbnails-{id}"), text, 0)
--- a/crates/config-log/tests/cluster/inspection.rs
+++ b/crates/config-log/tests/cluster/inspection.rs
@@ -10,22 +10,26 @@
 impl SimulatedCluster {
     /// The next action of a replica; when there is none left, all before it counts as durable.
     pub fn next_action(&mut self, n: usize) -> Option<Action> {
-        let core = self.replicas[n].core.as_mut()?;
-        core.next_action().or_else(|| {
-            core.confirm_stored();
-            core.next_action()
+        let process = self.replicas[n].process.as_mut()?;
+        process.next_action().or_else(|| {
+            process.confirm_stored();
+            process.next_action()
         })
     }
 
     /// All running replicas have the same state.
     pub fn assert_agreement(&self) {
-        let up: Vec<_> = self.replicas.iter().filter_map(|node| node.core.as_ref()).collect();
-        assert!(up.iter().all(|core| core.state() == up[0].state()), "heads {:?}", self.heads());
+        let up: Vec<_> = self.replicas.iter().filter_map(|node| node.process.as_ref()).collect();
+        assert!(up.iter().all(|process| process.state() == up[0].state()), "heads {:?}", self.heads());
     }
 
     /// The heads of the running replicas.
     pub fn heads(&self) -> Vec<u64> {
-        self.replicas.iter().filter_map(|node| node.core.as_ref()).map(|core| core.state().head()).collect()
+        self.replicas
+            .iter()
+            .filter_map(|node| node.process.as_ref())
+            .map(|process| process.state().head())
+            .collect()
     }
 
     /// The numbers at which a change is in the log.
@@ -35,6 +39,6 @@
 
     pub fn replica_view(&mut self, n: usize) -> ReplicaView {
         let clock = self.replicas[n].clock(self.now);
-        self.replicas[n].core.as_mut().expect("a running node").view(clock)
+        self.replicas[n].process.as_mut().expect("a running node").view(clock)
     }
 }
--- a/crates/config-log/tests/cluster/mod.rs
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -19,7 +19,7 @@
     Action, Change, Follower, FollowerConfig, Message, Outcome, OutgoingMessage, Record, Replica,
     ReplicaConfig, Timing,
 };
-use network::NodeId::{Author, Follower as Gateway, Replica as Machine};
+use network::NodeId::{Author, Follower as FollowerNode, Replica as ReplicaNode};
 use network::{DeliveryRule, Tamper, reliable};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -47,7 +47,7 @@
     /// What each follower gave its gateway to apply, by key.
     pub delivered: Vec<BTreeMap<String, (u64, Option<String>)>>,
     /// When each follower reached which number.
-    pub in_force: Vec<Vec<(u64, f64)>>,
+    pub head_history: Vec<Vec<(u64, f64)>>,
     pub saved: Vec<Option<Vec<u8>>>,
     /// Messages that authors received: time, author, message.
     pub author_inbox: Vec<(f64, usize, Message)>,
@@ -62,7 +62,7 @@
     pub crash_point: Option<(usize, CrashPoint)>,
     key: Key,
     /// Whether CPU time is measured, sealing and opening included.
-    pub timed: bool,
+    pub measures_cpu: bool,
 }
 
 impl SimulatedCluster {
@@ -76,7 +76,7 @@
             disks: vec![vec![Record::Initialized]; replicas],
             followers: (0..followers).map(|_| Node::new(&mut rng)).collect(),
             delivered: vec![BTreeMap::new(); followers],
-            in_force: vec![Vec::new(); followers],
+            head_history: vec![Vec::new(); followers],
             saved: vec![None; followers],
             author_inbox: Vec::new(),
             log: ReferenceLog::default(),
@@ -87,40 +87,40 @@
             isolated_zones: Vec::new(),
             crash_point: None,
             key: Key::new(b"a fleet"),
-            timed: false,
+            measures_cpu: false,
         };
         (0..replicas).for_each(|n| cluster.start_replica(n));
         cluster
     }
 
-    pub fn all_replicas(&self) -> Vec<SocketAddr> {
-        (0..self.replicas.len()).map(|n| Machine(n).at()).collect()
+    pub fn replica_addresses(&self) -> Vec<SocketAddr> {
+        (0..self.replicas.len()).map(|n| ReplicaNode(n).address()).collect()
     }
 
     /// Starts a replica from its disk.
     pub fn start_replica(&mut self, n: usize) {
-        let (replicas, seed) = (self.all_replicas(), self.rng.random());
+        let (replicas, seed) = (self.replica_addresses(), self.rng.random());
         let node = &mut self.replicas[n];
         let clock = node.clock(self.now);
         let config = ReplicaConfig { own_index: n, replicas, timing: self.timing, seed };
-        node.core = Some(Replica::new(config, clock, self.disks[n].clone()));
+        node.process = Some(Replica::new(config, clock, self.disks[n].clone()));
         (node.incarnation, node.paused_until, node.next_tick_at) = (node.incarnation + 1, 0.0, f64::INFINITY);
         node.inbox.clear();
-        self.carry_out(Machine(n));
+        self.run_actions(ReplicaNode(n));
     }
 
     /// Starts a follower from its saved state.
     pub fn start_follower(&mut self, n: usize) {
-        let (replicas, seed) = (self.all_replicas(), self.rng.random());
+        let (replicas, seed) = (self.replica_addresses(), self.rng.random());
         let node = &mut self.followers[n];
         let (clock, name) = (node.clock(self.now), format!("gateway-{n}"));
         let saved = self.saved[n].clone();
         let config = FollowerConfig { name, replicas, timing: self.timing, seed };
-        node.core = Some(Follower::new(config, clock, saved.as_deref()));
+        node.process = Some(Follower::new(config, clock, saved.as_deref()));
         (node.incarnation, node.paused_until, node.next_tick_at) = (node.incarnation + 1, 0.0, f64::INFINITY);
         node.inbox.clear();
         self.delivered[n].clear();
-        self.carry_out(Gateway(n));
+        self.run_actions(FollowerNode(n));
     }
 
     pub fn start_all_followers(&mut self) {
@@ -128,11 +128,11 @@
     }
 
     pub fn stop_replica(&mut self, n: usize) {
-        self.replicas[n].core = None;
+        self.replicas[n].process = None;
     }
 
     pub fn stop_follower(&mut self, n: usize) {
-        self.followers[n].core = None;
+        self.followers[n].process = None;
     }
 
     /// Pauses the process of a follower.
@@ -141,18 +141,18 @@
     }
 
     pub fn replica(&self, n: usize) -> &Replica {
-        self.replicas[n].core.as_ref().expect("a running node")
+        self.replicas[n].process.as_ref().expect("a running node")
     }
 
     pub fn follower(&self, n: usize) -> &Follower {
-        self.followers[n].core.as_ref().expect("a running node")
+        self.followers[n].process.as_ref().expect("a running node")
     }
 
     pub fn head(&self, n: usize) -> u64 {
         self.replica(n).state().head()
     }
 
-    pub fn number(&self, n: usize) -> u64 {
+    pub fn follower_head(&self, n: usize) -> u64 {
         self.follower(n).state().head()
     }
 
@@ -165,19 +165,19 @@
         let now = self.now;
         let view = |node: &mut Node<Replica>| {
             let clock = node.clock(now);
-            node.core.as_mut().is_some_and(|core| core.view(clock).leads)
+            node.process.as_mut().is_some_and(|process| process.view(clock).leads)
         };
         (0..self.replicas.len()).filter(|n| view(&mut self.replicas[*n])).collect()
     }
 
     /// An author proposes a change to a replica.
     pub fn propose(&mut self, author: usize, replica: usize, change: Change) {
-        self.send(Author(author), Machine(replica).at(), Message::Propose { change });
+        self.send(Author(author), ReplicaNode(replica).address(), Message::Propose { change });
     }
 
     /// The last outcome that an author received for a change.
     pub fn outcome(&self, author: usize, id: u64) -> Option<Outcome> {
-        let messages = self.author_inbox.iter().rev().filter(|(_, who, _)| *who == author);
+        let messages = self.author_inbox.iter().rev().filter(|(_, receiver, _)| *receiver == author);
         messages
             .filter_map(|(_, _, message)| match message {
                 Message::ProposalResult { id: proposed, outcome } if *proposed == id => Some(*outcome),
@@ -214,19 +214,19 @@
         if let Some(tamper) = &mut self.tamper {
             tamper(from, &mut message);
         }
-        let began = self.timed.then(Instant::now);
+        let started_at = self.measures_cpu.then(Instant::now);
         let datagram = message::seal(&self.key, &message).expect("no message is too large");
-        let busy = began.map_or(0.0, |began| began.elapsed().as_secs_f64());
+        let cpu_seconds = started_at.map_or(0.0, |started_at| started_at.elapsed().as_secs_f64());
         let bytes = datagram.len() as u64;
-        let to = NodeId::of(to);
+        let to = NodeId::from_address(to);
         match from {
-            Machine(n) => {
+            ReplicaNode(n) => {
                 self.replicas[n].bytes_out += bytes;
-                self.replicas[n].busy += busy;
+                self.replicas[n].cpu_seconds += cpu_seconds;
             }
-            Gateway(n) => {
+            FollowerNode(n) => {
                 self.followers[n].bytes_out += bytes;
-                self.followers[n].busy += busy;
+                self.followers[n].cpu_seconds += cpu_seconds;
             }
             Author(_) => {}
         }
@@ -234,44 +234,44 @@
             return;
         }
         for delay in (self.delivery_rule)(self.now, from, to, &mut self.rng) {
-            let began = self.timed.then(Instant::now);
+            let started_at = self.measures_cpu.then(Instant::now);
             let message = message::open(&self.key, &datagram).expect("it is as it was sealed");
-            let busy = began.map_or(0.0, |began| began.elapsed().as_secs_f64());
+            let cpu_seconds = started_at.map_or(0.0, |started_at| started_at.elapsed().as_secs_f64());
             match to {
-                Machine(n) => {
+                ReplicaNode(n) => {
                     self.replicas[n].bytes_in += bytes;
-                    self.replicas[n].busy += busy;
+                    self.replicas[n].cpu_seconds += cpu_seconds;
                 }
-                Gateway(n) => {
+                FollowerNode(n) => {
                     self.followers[n].bytes_in += bytes;
-                    self.followers[n].busy += busy;
+                    self.followers[n].cpu_seconds += cpu_seconds;
                 }
                 Author(_) => {}
             }
-            self.schedule.add(self.now + delay, Event::Deliver(to, from.at(), Box::new(message)));
+            self.schedule.add(self.now + delay, Event::Deliver(to, from.address(), Box::new(message)));
         }
     }
 
     /// Carries out what a node asks for, checks what it committed or applied, and schedules its next tick.
-    fn carry_out(&mut self, node: NodeId) {
+    fn run_actions(&mut self, node: NodeId) {
         match node {
-            Machine(n) => self.carry_out_replica(n),
-            Gateway(n) => self.carry_out_follower(n),
+            ReplicaNode(n) => self.run_replica_actions(n),
+            FollowerNode(n) => self.run_follower_actions(n),
             Author(_) => {}
         }
     }
 
-    fn carry_out_replica(&mut self, n: usize) {
+    fn run_replica_actions(&mut self, n: usize) {
         while let Some(action) = self.next_action(n) {
             match action {
                 Action::Store(record) => {
                     if let Record::Chosen(entry) = &record {
-                        self.log.committed(self.now, entry);
+                        self.log.record_committed(self.now, entry);
                     }
                     if let Record::SnapshotHead { head, digest } = &record {
                         assert_eq!(self.log.digest(*head), Some(*digest), "a state that never was at {head}");
                     }
-                    let crashes = matches!(self.crash_point, Some((who, CrashPoint::AfterStore(such))) if who == n && such(&record));
+                    let crashes = matches!(self.crash_point, Some((target, CrashPoint::AfterStore(is_trigger))) if target == n && is_trigger(&record));
                     self.disks[n].push(record);
                     if crashes {
                         self.crash_point = None;
@@ -279,8 +279,8 @@
                     }
                 }
                 Action::Send(OutgoingMessage { to, message }) => {
-                    let crashes = matches!(self.crash_point, Some((who, CrashPoint::AfterSend(such))) if who == n && such(&message));
-                    self.send(Machine(n), to, message);
+                    let crashes = matches!(self.crash_point, Some((target, CrashPoint::AfterSend(is_trigger))) if target == n && is_trigger(&message));
+                    self.send(ReplicaNode(n), to, message);
                     if crashes {
                         self.crash_point = None;
                         self.stop_replica(n);
@@ -289,46 +289,47 @@
             }
         }
         let node = &self.replicas[n];
-        let Some(core) = node.core.as_ref() else { return };
-        let (next, incarnation) = (node.when(core.next_deadline()).max(self.now + 1e-6), node.incarnation);
+        let Some(process) = node.process.as_ref() else { return };
+        let (next, incarnation) =
+            (node.to_simulated_time(process.next_deadline()).max(self.now + 1e-6), node.incarnation);
         if next < node.next_tick_at {
             self.replicas[n].next_tick_at = next;
-            self.schedule.add(next, Event::Tick(Machine(n), incarnation));
+            self.schedule.add(next, Event::Tick(ReplicaNode(n), incarnation));
         }
     }
 
-    fn carry_out_follower(&mut self, n: usize) {
-        let began = self.timed.then(Instant::now);
-        let Some(core) = self.followers[n].core.as_mut() else { return };
-        let out: Vec<_> = std::iter::from_fn(|| core.next_outgoing()).collect();
-        let take_updates = core.take_updates();
-        let (head, next) = (core.state().head(), core.next_deadline());
-        if let Some(began) = began {
-            self.followers[n].busy += began.elapsed().as_secs_f64();
+    fn run_follower_actions(&mut self, n: usize) {
+        let started_at = self.measures_cpu.then(Instant::now);
+        let Some(process) = self.followers[n].process.as_mut() else { return };
+        let outgoing: Vec<_> = std::iter::from_fn(|| process.next_outgoing()).collect();
+        let updates = process.take_updates();
+        let (head, next) = (process.state().head(), process.next_deadline());
+        if let Some(started_at) = started_at {
+            self.followers[n].cpu_seconds += started_at.elapsed().as_secs_f64();
         }
-        if let Some(take_updates) = take_updates {
+        if let Some(updates) = updates {
             let rebuilds = self.follower(n).view(0.0).rebuilds;
-            for entry in take_updates {
+            for entry in updates {
                 let before = self.delivered[n].get(&entry.change.key).map(|(number, _)| *number);
                 let later = before.is_none_or(|before| before < entry.number);
                 assert!(later || rebuilds > 0, "follower {n} delivered {} twice", entry.number);
                 self.delivered[n].insert(entry.change.key, (entry.number, entry.change.text));
             }
         }
-        if self.in_force[n].last().is_none_or(|(number, _)| *number != head) {
-            self.in_force[n].push((head, self.now));
+        if self.head_history[n].last().is_none_or(|(number, _)| *number != head) {
+            self.head_history[n].push((head, self.now));
         }
-        out.into_iter().for_each(|outgoing| self.send(Gateway(n), outgoing.to, outgoing.message));
+        outgoing.into_iter().for_each(|sent| self.send(FollowerNode(n), sent.to, sent.message));
         let node = &self.followers[n];
-        let (next, incarnation) = (node.when(next).max(self.now + 1e-6), node.incarnation);
+        let (next, incarnation) = (node.to_simulated_time(next).max(self.now + 1e-6), node.incarnation);
         if next < node.next_tick_at {
             self.followers[n].next_tick_at = next;
-            self.schedule.add(next, Event::Tick(Gateway(n), incarnation));
+            self.schedule.add(next, Event::Tick(FollowerNode(n), incarnation));
         }
     }
 
     /// The state of a follower is that of the reference log at its number, and its gateway was given just that.
-    pub fn check(&self, n: usize) {
+    pub fn check_follower(&self, n: usize) {
         let state = self.follower(n).state();
         let (head, digest) = (state.head(), state.digest());
         assert_eq!(self.log.digest(head), Some(digest), "gateway {n}: a state that never was at {head}");
@@ -347,27 +348,29 @@
         );
     }
 
-    pub fn check_all(&self) {
-        (0..self.followers.len()).filter(|n| self.followers[*n].core.is_some()).for_each(|n| self.check(n));
+    pub fn check_all_followers(&self) {
+        (0..self.followers.len())
+            .filter(|n| self.followers[*n].process.is_some())
+            .for_each(|n| self.check_follower(n));
     }
 
     /// Runs until that time, and checks followers after each of their events.
     pub fn run_until(&mut self, until: f64) {
-        while let Some(ScheduledEvent { at, event: what, .. }) = self.schedule.next_until(until) {
+        while let Some(ScheduledEvent { at, event: due, .. }) = self.schedule.next_until(until) {
             self.now = at;
-            match what {
+            match due {
                 Event::Deliver(Author(n), _, message) => self.author_inbox.push((at, n, *message)),
-                Event::Tick(Machine(n), incarnation) => {
+                Event::Tick(ReplicaNode(n), incarnation) => {
                     let node = &mut self.replicas[n];
                     if node.incarnation == incarnation && node.next_tick_at == at {
                         node.next_tick_at = f64::INFINITY;
-                        self.with_replica(n, |core, clock| core.tick(clock));
+                        self.with_replica(n, |process, clock| process.tick(clock));
                     }
                 }
-                Event::Deliver(Machine(n), from, message) => {
-                    self.with_replica(n, |core, clock| core.receive(clock, from, *message));
+                Event::Deliver(ReplicaNode(n), from, message) => {
+                    self.with_replica(n, |process, clock| process.receive(clock, from, *message));
                 }
-                Event::Tick(Gateway(n), incarnation) => {
+                Event::Tick(FollowerNode(n), incarnation) => {
                     let node = &mut self.followers[n];
                     if node.incarnation != incarnation || node.next_tick_at != at {
                         continue;
@@ -375,18 +378,18 @@
                     if node.paused_until > at {
                         node.next_tick_at = node.paused_until;
                         let paused_until = node.paused_until;
-                        self.schedule.add(paused_until, Event::Tick(Gateway(n), incarnation));
+                        self.schedule.add(paused_until, Event::Tick(FollowerNode(n), incarnation));
                         continue;
                     }
                     node.next_tick_at = f64::INFINITY;
-                    self.with_follower(n, |core, clock| core.tick(clock));
+                    self.with_follower(n, |process, clock| process.tick(clock));
                 }
-                Event::Deliver(Gateway(n), from, message) => {
+                Event::Deliver(FollowerNode(n), from, message) => {
                     if self.followers[n].paused_until > at {
                         self.followers[n].inbox.push((from, *message));
                         continue;
                     }
-                    self.with_follower(n, |core, clock| core.receive(clock, from, *message));
+                    self.with_follower(n, |process, clock| process.receive(clock, from, *message));
                 }
                 Event::Tick(Author(_), _) => {}
             }
@@ -397,37 +400,37 @@
     fn with_replica(&mut self, n: usize, event: impl FnOnce(&mut Replica, f64)) {
         let node = &mut self.replicas[n];
         let clock = node.clock(self.now);
-        let Some(core) = node.core.as_mut() else { return };
-        let began = self.timed.then(Instant::now);
-        event(core, clock);
-        if let Some(began) = began {
-            node.busy += began.elapsed().as_secs_f64();
+        let Some(process) = node.process.as_mut() else { return };
+        let started_at = self.measures_cpu.then(Instant::now);
+        event(process, clock);
+        if let Some(started_at) = started_at {
+            node.cpu_seconds += started_at.elapsed().as_secs_f64();
         }
-        self.carry_out_replica(n);
+        self.run_replica_actions(n);
     }
 
     fn with_follower(&mut self, n: usize, event: impl FnOnce(&mut Follower, f64)) {
         let node = &mut self.followers[n];
         let clock = node.clock(self.now);
-        let Some(core) = node.core.as_mut() else { return };
-        let before = core.state().head();
-        let began = self.timed.then(Instant::now);
+        let Some(process) = node.process.as_mut() else { return };
+        let before = process.state().head();
+        let started_at = self.measures_cpu.then(Instant::now);
         for (from, message) in node.inbox.drain(..) {
-            core.receive(clock, from, message);
+            process.receive(clock, from, message);
         }
-        event(core, clock);
-        if let Some(began) = began {
-            node.busy += began.elapsed().as_secs_f64();
+        event(process, clock);
+        if let Some(started_at) = started_at {
+            node.cpu_seconds += started_at.elapsed().as_secs_f64();
         }
-        let after = core.state().head();
-        self.carry_out_follower(n);
-        if after != before && !self.timed {
-            self.check(n);
+        let after = process.state().head();
+        self.run_follower_actions(n);
+        if after != before && !self.measures_cpu {
+            self.check_follower(n);
         }
     }
 
     /// Seconds from `since` until a number, or a later one, was in force at a follower.
-    pub fn delay(&self, n: usize, number: u64, since: f64) -> Option<f64> {
-        self.in_force[n].iter().find(|(head, _)| *head >= number).map(|(_, at)| at - since)
+    pub fn propagation_delay(&self, n: usize, number: u64, since: f64) -> Option<f64> {
+        self.head_history[n].iter().find(|(head, _)| *head >= number).map(|(_, at)| at - since)
     }
 }
--- a/crates/config-log/tests/cluster/network.rs
+++ b/crates/config-log/tests/cluster/network.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
 
-use NodeId::{Author, Follower as Gateway, Replica as Machine};
+use NodeId::{Author, Follower, Replica};
 
 /// A sender or receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,26 +24,26 @@
 pub type Tamper = Box<dyn FnMut(NodeId, &mut Message)>;
 
 impl NodeId {
-    pub fn at(self) -> SocketAddr {
-        let (cluster, n) = match self {
-            Machine(n) => (0, n),
-            Gateway(n) => (1, n),
+    pub fn address(self) -> SocketAddr {
+        let (subnet, n) = match self {
+            Replica(n) => (0, n),
+            Follower(n) => (1, n),
             Author(n) => (2, n),
         };
-        SocketAddr::from(([10, cluster, (n / 250) as u8, (n % 250) as u8 + 1], 7500))
+        SocketAddr::from(([10, subnet, (n / 250) as u8, (n % 250) as u8 + 1], 7500))
     }
 
-    pub fn of(at: SocketAddr) -> Self {
-        let SocketAddr::V4(at) = at else { panic!("{at}") };
-        let [_, cluster, high, low] = at.ip().octets();
+    pub fn from_address(address: SocketAddr) -> Self {
+        let SocketAddr::V4(v4) = address else { panic!("{address}") };
+        let [_, subnet, high, low] = v4.ip().octets();
         let n = usize::from(high) * 250 + usize::from(low) - 1;
-        [Machine(n), Gateway(n), Author(n)][usize::from(cluster)]
+        [Replica(n), Follower(n), Author(n)][usize::from(subnet)]
     }
 
     /// Ten zones in four regions; each replica has a zone of its own.
     pub fn zone(self) -> usize {
         match self {
-            Machine(n) | Gateway(n) | Author(n) => n % 10,
+            Replica(n) | Follower(n) | Author(n) => n % 10,
         }
     }
 
--- a/crates/config-log/tests/cluster/node.rs
+++ b/crates/config-log/tests/cluster/node.rs
@@ -7,9 +7,9 @@
 
 /// A replica or follower; without a `core` while its process is down.
 pub struct Node<T> {
-    pub core: Option<T>,
-    pub rate: f64,
-    pub skew: f64,
+    pub process: Option<T>,
+    pub clock_rate: f64,
+    pub clock_offset: f64,
     /// Added to its clock from now on; may be negative.
     pub clock_step: f64,
     pub paused_until: f64,
@@ -19,15 +19,15 @@
     pub bytes_in: u64,
     pub bytes_out: u64,
     /// CPU seconds used by this node, if they are measured.
-    pub busy: f64,
+    pub cpu_seconds: f64,
 }
 
 impl<T> Node<T> {
     pub fn new(rng: &mut ChaCha8Rng) -> Self {
         Self {
-            core: None,
-            rate: rng.random_range(0.999..1.001),
-            skew: rng.random_range(0.0..1e5),
+            process: None,
+            clock_rate: rng.random_range(0.999..1.001),
+            clock_offset: rng.random_range(0.0..1e5),
             clock_step: 0.0,
             paused_until: 0.0,
             next_tick_at: f64::INFINITY,
@@ -35,17 +35,17 @@
             inbox: Vec::new(),
             bytes_in: 0,
             bytes_out: 0,
-            busy: 0.0,
+            cpu_seconds: 0.0,
         }
     }
 
     /// What its clock shows.
     pub fn clock(&self, now: f64) -> f64 {
-        self.skew + self.clock_step + now * self.rate
+        self.clock_offset + self.clock_step + now * self.clock_rate
     }
 
     /// Converts a time of its clock to simulated time.
-    pub fn when(&self, clock: f64) -> f64 {
-        (clock - self.skew - self.clock_step) / self.rate
+    pub fn to_simulated_time(&self, clock: f64) -> f64 {
+        (clock - self.clock_offset - self.clock_step) / self.clock_rate
     }
 }
--- a/crates/config-log/tests/cluster/reference_log.rs
+++ b/crates/config-log/tests/cluster/reference_log.rs
@@ -14,7 +14,7 @@
 }
 
 impl ReferenceLog {
-    pub fn committed(&mut self, now: f64, entry: &Entry) {
+    pub fn record_committed(&mut self, now: f64, entry: &Entry) {
         if self.digests.is_empty() {
             self.digests.push(0);
             self.at.push(0.0);
--- a/crates/config-log/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -23,7 +23,7 @@
     cluster.crash_point = Some((1, CrashPoint::AfterStore(is_accepted)));
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 1.0);
-    assert!(cluster.replicas[1].core.is_none(), "the replica crashed");
+    assert!(cluster.replicas[1].process.is_none(), "the replica crashed");
     assert_eq!(cluster.log.state.head(), 1, "one of three is not enough");
     cluster.stop_replica(0);
     cluster.start_replica(1);
@@ -108,7 +108,7 @@
     cluster.start_replica(2);
     cluster.start_replica(1);
     cluster.run_until(cluster.now + 3.0);
-    assert!(cluster.replicas[1].core.is_none(), "the replica crashed");
+    assert!(cluster.replicas[1].process.is_none(), "the replica crashed");
     cluster.stop_replica(0);
     cluster.start_replica(1);
     cluster.commit(2, change(3, "other", "lanes = 3", 0));
@@ -129,20 +129,21 @@
         cluster.run_until(1.0);
         for step in 1..40 {
             let n = cluster.rng.random_range(0..5);
-            let bare = |disk: &Vec<Record>| {
+            let has_no_vote = |disk: &Vec<Record>| {
                 !disk.iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted))
             };
-            let without = (0..5).filter(|o| *o == n || bare(&cluster.disks[*o])).count();
+            let disks_lost =
+                (0..5).filter(|other| *other == n || has_no_vote(&cluster.disks[*other])).count();
             if cluster.rng.random_bool(0.6) {
                 cluster.stop_replica(n);
-                if without <= 2 && cluster.rng.random_bool(0.5) {
+                if disks_lost <= 2 && cluster.rng.random_bool(0.5) {
                     cluster.disks[n].clear();
                     lost += 1;
                 }
                 cluster.start_replica(n);
             }
-            let cut = cluster.rng.random_range(0..8);
-            cluster.delivery_rule = partitioned(move |node| usize::from(node == NodeId::Replica(cut)));
+            let isolated = cluster.rng.random_range(0..8);
+            cluster.delivery_rule = partitioned(move |node| usize::from(node == NodeId::Replica(isolated)));
             for id in [2 * step, 2 * step + 1] {
                 let replica = cluster.rng.random_range(0..5);
                 cluster.propose(0, replica, change(id, &format!("key {id}"), "lanes = 1", 0));
@@ -202,7 +203,7 @@
         Some((2, CrashPoint::AfterStore(|record| matches!(record, Record::SnapshotEntry(_)))));
     cluster.start_replica(2);
     cluster.run_until(cluster.now + 3.0);
-    assert!(cluster.replicas[2].core.is_none(), "the replica crashed");
+    assert!(cluster.replicas[2].process.is_none(), "the replica crashed");
     cluster.start_replica(2);
     assert_eq!(cluster.head(2), 0);
     cluster.run_until(cluster.now + 3.0);
--- a/crates/config-log/tests/fleet.rs
+++ b/crates/config-log/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod burst;
 mod cluster;
 
-use burst::{Burst, SECONDS};
+use burst::{Burst, SETTLING_SECONDS};
 use cluster::network::regions;
 use cluster::{NodeId, SimulatedCluster};
 
@@ -26,11 +26,15 @@
     for seed in 0..6 {
         let isolated_zone = [None, Some(0), Some(1), Some(3), Some(6), Some(9)][seed as usize];
         let (burst, cluster) = burst(seed, isolated_zone, 100);
-        let left = (0..100).filter(|n| Some(NodeId::Follower(*n).zone()) != isolated_zone).count();
-        assert_eq!(burst.delays.len(), 20 * left, "seed {seed}: not in force everywhere after {SECONDS} s");
+        let reachable = (0..100).filter(|n| Some(NodeId::Follower(*n).zone()) != isolated_zone).count();
+        assert_eq!(
+            burst.delays.len(),
+            20 * reachable,
+            "seed {seed}: not applied everywhere after {SETTLING_SECONDS} s"
+        );
         let worst = burst.worst();
         assert!(worst <= 3.0, "seed {seed}, zone {isolated_zone:?}: {worst:.3} s");
-        cluster.check_all();
+        cluster.check_all_followers();
     }
 }
 
@@ -63,8 +67,8 @@
         cluster.isolated_zones.clear();
         cluster.run_until(cluster.now + 6.0);
         let head = cluster.log.state.head();
-        assert!((0..40).all(|n| cluster.number(n) == head), "seed {seed}");
+        assert!((0..40).all(|n| cluster.follower_head(n) == head), "seed {seed}");
         assert!((0..7).all(|n| cluster.head(n) == head), "seed {seed}");
-        cluster.check_all();
+        cluster.check_all_followers();
     }
 }
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -18,10 +18,10 @@
 fn all_at_head(cluster: &SimulatedCluster) -> bool {
     let head = cluster.log.state.head();
     (0..cluster.followers.len())
-        .all(|n| cluster.number(n) == head && *cluster.follower(n).state() == cluster.log.state)
+        .all(|n| cluster.follower_head(n) == head && *cluster.follower(n).state() == cluster.log.state)
 }
 
-fn settled(replicas: usize, followers: usize, seed: u64) -> SimulatedCluster {
+fn started_cluster(replicas: usize, followers: usize, seed: u64) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(replicas, followers, seed);
     cluster.start_all_followers();
     cluster.run_until(2.0);
@@ -33,11 +33,11 @@
 #[test_case(3)]
 #[test_case(7)]
 fn every_follower_applies_a_change_and_confirms_that_it_is_the_latest(replicas: usize) {
-    let mut cluster = settled(replicas, 10, 1);
+    let mut cluster = started_cluster(replicas, 10, 1);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.run_until(cluster.now + 1.0);
     assert!(all_at_head(&cluster));
-    cluster.check_all();
+    cluster.check_all_followers();
     for n in 0..10 {
         let view = view(&cluster, n);
         assert_eq!((view.number, view.known, view.behind, view.conflicts), (1, 1, false, 0));
@@ -49,7 +49,7 @@
 #[test_case(0.2)]
 fn followers_catch_up_despite_message_loss(lost: f64) {
     for seed in 0..5 {
-        let mut cluster = settled(5, 20, seed);
+        let mut cluster = started_cluster(5, 20, seed);
         cluster.delivery_rule = lossy(lost);
         // Authors ask again, each time another machine, until they get the outcome.
         for again in 0..12 {
@@ -62,7 +62,7 @@
         cluster.run_until(cluster.now + if lost > 0.1 { 8.0 } else { 3.0 });
         assert!(cluster.log.state.head() >= 9, "seed {seed}");
         assert!(all_at_head(&cluster), "seed {seed}");
-        cluster.check_all();
+        cluster.check_all_followers();
     }
 }
 
@@ -126,7 +126,7 @@
 #[test_case(endless, true; "pages that never end")]
 fn a_byzantine_replica_neither_misleads_nor_delays_followers(tamper: fn(&mut Message), detectable: bool) {
     for seed in 0..4 {
-        let mut cluster = settled(7, 30, seed);
+        let mut cluster = started_cluster(7, 30, seed);
         cluster.commit_many(0, "function", 80);
         cluster.run_until(cluster.now + 1.0);
         cluster.tamper = Some(Box::new(move |from, message| {
@@ -138,11 +138,11 @@
             let since = cluster.now;
             let number = cluster.commit(id as usize % 3, change(id, &format!("key {id}"), "lanes = 1", 0));
             cluster.run_until(since + 3.0);
-            let late = (0..30).filter(|n| cluster.delay(*n, number, since).is_none()).count();
+            let late = (0..30).filter(|n| cluster.propagation_delay(*n, number, since).is_none()).count();
             assert_eq!(late, 0, "seed {seed}: gateways without {number} after 3 s");
         }
         assert!(all_at_head(&cluster));
-        cluster.check_all();
+        cluster.check_all_followers();
         let views: Vec<_> = (0..30).map(|n| view(&cluster, n)).collect();
         let head = cluster.log.state.head();
         let is_correct = |v: &FollowerView| !v.behind && v.known == head && v.rebuilds == 0;
@@ -167,21 +167,21 @@
 /// A follower is paused for a minute while more is committed than one poll brings: no entry is delivered twice.
 #[test]
 fn a_follower_paused_for_a_minute_catches_up_within_a_second() {
-    let mut cluster = settled(3, 2, 3);
+    let mut cluster = started_cluster(3, 2, 3);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.run_until(cluster.now + 1.0);
     cluster.pause_follower(0, 60.0);
     cluster.commit_many(0, "function", 30);
     cluster.run_until(cluster.now.max(3.0) + 60.0);
     cluster.run_until(cluster.now + 1.0);
-    assert!(all_at_head(&cluster), "{} of {}", cluster.number(0), cluster.log.state.head());
-    cluster.check_all();
+    assert!(all_at_head(&cluster), "{} of {}", cluster.follower_head(0), cluster.log.state.head());
+    cluster.check_all_followers();
     assert_eq!(view(&cluster, 0).conflicts, 0);
 }
 
 #[test]
 fn a_clock_stepped_back_delays_nothing() {
-    let mut cluster = settled(3, 2, 4);
+    let mut cluster = started_cluster(3, 2, 4);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.followers[0].clock_step = -5_000.0;
     cluster.replicas[1].clock_step = -5_000.0;
@@ -190,7 +190,7 @@
         let since = cluster.now;
         let number = cluster.commit(id as usize % 3, change(id, &format!("key {id}"), "lanes = 1", 0));
         cluster.run_until(since + 2.0);
-        assert!((0..2).all(|n| cluster.delay(n, number, since).is_some()));
+        assert!((0..2).all(|n| cluster.propagation_delay(n, number, since).is_some()));
     }
     assert!(view(&cluster, 0).confirmed_age.is_some_and(|age| (0.0..1.5).contains(&age)));
 }
@@ -198,7 +198,7 @@
 /// The saved state is in force before any message, also if none ever arrives.
 #[test]
 fn a_saved_state_is_in_force_at_once_without_any_replica() {
-    let mut cluster = settled(3, 2, 5);
+    let mut cluster = started_cluster(3, 2, 5);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.commit(0, change(2, "b", "lanes = 2", 0));
     cluster.run_until(cluster.now + 1.0);
@@ -207,19 +207,19 @@
     cluster.stop_follower(0);
     cluster.delivery_rule = Box::new(|_, _, _, _| vec![]);
     cluster.start_follower(0);
-    assert_eq!((cluster.number(0), cluster.delivered[0].len()), (2, 2));
+    assert_eq!((cluster.follower_head(0), cluster.delivered[0].len()), (2, 2));
     cluster.run_until(cluster.now + 30.0);
-    assert_eq!(cluster.number(0), 2);
+    assert_eq!(cluster.follower_head(0), 2);
     assert_eq!(view(&cluster, 0).confirmed_age, None, "it doesn't know how old that is");
     cluster.delivery_rule = reliable();
     cluster.run_until(cluster.now + 7.0);
     assert!(all_at_head(&cluster));
-    cluster.check_all();
+    cluster.check_all_followers();
 }
 
 #[test]
 fn a_corrupt_saved_state_is_ignored() {
-    let mut cluster = settled(3, 1, 6);
+    let mut cluster = started_cluster(3, 1, 6);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.run_until(cluster.now + 1.0);
     let save = cluster.follower(0).save();
@@ -227,7 +227,7 @@
         let mut broken = save.clone();
         broken[at] ^= 0x10;
         for broken in [broken, save[..at].to_vec()] {
-            let (replicas, timing) = (cluster.all_replicas(), Timing::default());
+            let (replicas, timing) = (cluster.replica_addresses(), Timing::default());
             let mut follower = Follower::new(
                 FollowerConfig { name: "g".into(), replicas, timing, seed: 1 },
                 0.0,
@@ -244,10 +244,10 @@
 #[test_case(2; "not so far")]
 #[test_case(9; "further")]
 fn a_saved_state_of_another_log_is_replaced_as_one(count: u64) {
-    let mut other = settled(3, 1, 7);
+    let mut other = started_cluster(3, 1, 7);
     other.commit_many(0, "wrong", count);
     other.run_until(other.now + 1.0);
-    let mut cluster = settled(3, 1, 8);
+    let mut cluster = started_cluster(3, 1, 8);
     cluster.commit_many(0, "right", 3);
     cluster.stop_follower(0);
     cluster.saved[0] = Some(other.follower(0).save());
@@ -257,7 +257,7 @@
     cluster.commit(0, change(1, "more", "lanes = 2", 0));
     cluster.run_until(cluster.now + 6.0);
     assert!(all_at_head(&cluster), "{:?}", view(&cluster, 0));
-    cluster.check(0);
+    cluster.check_follower(0);
     let wrong = cluster.delivered[0].iter().filter(|(key, _)| key.starts_with("wrong"));
     assert!(wrong.clone().all(|(_, (_, text))| text.is_none()));
     assert_eq!((wrong.count(), view(&cluster, 0).rebuilds), (count as usize, 1));
@@ -268,7 +268,7 @@
 #[test]
 fn catching_up_exposes_only_committed_states() {
     for seed in 0..3 {
-        let mut cluster = settled(3, 4, seed);
+        let mut cluster = started_cluster(3, 4, seed);
         (1..4).for_each(|n| cluster.stop_follower(n));
         for id in 1..=300 {
             cluster.propose(0, 0, change(id, &format!("function {id}"), &"x".repeat(200), 0));
@@ -301,8 +301,8 @@
         cluster.run_until(cluster.now + 10.0);
         assert_eq!(cluster.log.state.head(), 480, "seed {seed}");
         assert!(all_at_head(&cluster), "seed {seed}");
-        cluster.check_all();
-        let steps = cluster.in_force[1].len();
+        cluster.check_all_followers();
+        let steps = cluster.head_history[1].len();
         assert!(steps > 3, "seed {seed}: it went on in steps, {steps}");
     }
 }
@@ -310,15 +310,15 @@
 /// With two of five replicas isolated, the state stays in force, and a follower there knows since when it may be outdated.
 #[test]
 fn followers_of_a_minority_know_how_old_their_state_may_be() {
-    let mut cluster = settled(5, 8, 9);
+    let mut cluster = started_cluster(5, 8, 9);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.run_until(cluster.now + 2.0);
-    let small = |node: NodeId| match node {
+    let is_in_minority = |node: NodeId| match node {
         NodeId::Replica(n) => n < 2,
         NodeId::Follower(n) => n < 4,
         NodeId::Author(_) => false,
     };
-    cluster.delivery_rule = partitioned(move |node| usize::from(small(node)));
+    cluster.delivery_rule = partitioned(move |node| usize::from(is_in_minority(node)));
     cluster.commit(3, change(2, "a", "lanes = 2", 1));
     cluster.run_until(cluster.now + 10.0);
     for n in 0..8 {
@@ -338,14 +338,14 @@
 /// Two of the three followed replicas crash: the next ones replace them.
 #[test]
 fn silent_replicas_are_replaced_and_tried_again() {
-    let mut cluster = settled(7, 1, 10);
+    let mut cluster = started_cluster(7, 1, 10);
     let follows = view(&cluster, 0).follows;
     cluster.stop_replica(follows[0]);
     cluster.stop_replica(follows[1]);
     let since = cluster.now;
     let number = cluster.commit(follows[2], change(1, "a", "lanes = 1", 0));
     cluster.run_until(since + 3.0);
-    assert!(cluster.delay(0, number, since).is_some());
+    assert!(cluster.propagation_delay(0, number, since).is_some());
     assert!(!view(&cluster, 0).follows.contains(&follows[0]));
     cluster.start_replica(follows[0]);
     cluster.start_replica(follows[1]);
@@ -355,14 +355,14 @@
 
 #[test]
 fn an_apply_error_is_reported_to_the_replicas() {
-    let mut cluster = settled(3, 1, 11);
+    let mut cluster = started_cluster(3, 1, 11);
     let number = cluster.commit(0, change(1, "a", "lanes = -1", 0));
     cluster.run_until(cluster.now + 1.0);
     let reason = "no such figure ".repeat(40);
-    cluster.followers[0].core.as_mut().expect("a running node").report_apply_error(number, reason.clone());
+    cluster.followers[0].process.as_mut().expect("a running node").report_apply_error(number, reason.clone());
     cluster.run_until(cluster.now + 1.0);
     let clock = cluster.replicas[0].clock(cluster.now);
-    let followers = cluster.replicas[0].core.as_mut().expect("a running node").view(clock).followers;
+    let followers = cluster.replicas[0].process.as_mut().expect("a running node").view(clock).followers;
     let apply_error = followers[0].apply_error.clone().expect("a reported error");
     assert_eq!((followers[0].name.as_str(), apply_error.number), ("gateway-0", number));
     assert!(reason.starts_with(&apply_error.reason) && apply_error.reason.len() == 200);
@@ -374,7 +374,7 @@
 /// Whatever a faulty replica sends: nothing uncommitted is applied, and nothing panics.
 #[test]
 fn authenticated_garbage_does_no_harm() {
-    let mut cluster = settled(3, 3, 12);
+    let mut cluster = started_cluster(3, 3, 12);
     cluster.commit_many(0, "function", 3);
     cluster.tamper = Some(Box::new(|from, message| {
         if from == NodeId::Replica(1) {
@@ -404,5 +404,5 @@
     cluster.tamper = None;
     cluster.run_until(cluster.now + 70.0);
     assert!(all_at_head(&cluster));
-    cluster.check_all();
+    cluster.check_all_followers();
 }
--- a/crates/config-log/tests/replicas.rs
+++ b/crates/config-log/tests/replicas.rs
@@ -44,7 +44,7 @@
     let late = change(2, "late", "lanes = 2", 0);
     cluster.propose(0, 0, late.clone());
     cluster.run_until(cluster.now + 0.5);
-    assert!(cluster.replicas[0].core.is_none(), "the replica crashed");
+    assert!(cluster.replicas[0].process.is_none(), "the replica crashed");
     assert_eq!(cluster.outcome(0, 2), None);
     assert_eq!(cluster.commit(3, late), 2);
     cluster.start_replica(0);
@@ -63,7 +63,7 @@
     cluster.crash_point = Some((0, CrashPoint::AfterSend(is_accept)));
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 8.0);
-    assert!(cluster.replicas[0].core.is_none(), "the replica crashed");
+    assert!(cluster.replicas[0].process.is_none(), "the replica crashed");
     assert_eq!((cluster.numbers_of(2), cluster.heads()), (vec![2], vec![2, 2]));
 }
 
@@ -77,7 +77,7 @@
     cluster.crash_point = Some((0, CrashPoint::AfterStore(is_accepted)));
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 0.5);
-    assert!(cluster.replicas[0].core.is_none(), "the replica crashed");
+    assert!(cluster.replicas[0].process.is_none(), "the replica crashed");
     assert_eq!(cluster.commit(1, change(3, "other", "lanes = 3", 0)), 2);
     cluster.start_replica(0);
     cluster.run_until(cluster.now + 5.0);
@@ -211,8 +211,8 @@
         partitioned(|node| usize::from(node != NodeId::Replica(0) && !matches!(node, NodeId::Author(_))));
     (10..400).for_each(|id| cluster.propose(0, 0, change(id, &format!("k {id}"), "lanes = 1", 0)));
     cluster.run_until(cluster.now + 1.0);
-    let busy = (10..400).filter(|id| cluster.outcome(0, *id) == Some(Outcome::Busy)).count();
-    assert_eq!(busy, 390 - 256);
+    let cpu_seconds = (10..400).filter(|id| cluster.outcome(0, *id) == Some(Outcome::Busy)).count();
+    assert_eq!(cpu_seconds, 390 - 256);
 }
 
 /// The longest change passes, in every message that carries it.
@@ -226,7 +226,7 @@
     cluster.start_replica(2);
     cluster.run_until(cluster.now + 2.0);
     cluster.assert_agreement();
-    assert_eq!(cluster.number(0), 1);
+    assert_eq!(cluster.follower_head(0), 1);
 }
 
 /// Messages are duplicated, delayed by seconds and reordered, and a fifth is lost.
@@ -257,7 +257,7 @@
         cluster.run_until(cluster.now + 10.0);
         cluster.assert_agreement();
         assert!(cluster.log.state.head() >= 4, "seed {seed}: {}", cluster.log.state.head());
-        assert!((0..3).all(|n| cluster.number(n) == cluster.log.state.head()), "seed {seed}");
+        assert!((0..3).all(|n| cluster.follower_head(n) == cluster.log.state.head()), "seed {seed}");
     }
 }
 
@@ -278,7 +278,7 @@
         (NodeId::Replica(2), Message::Accept { vote }),
         (NodeId::Replica(2), Message::Prepare { ballot, attempt: 1 }),
     ] {
-        cluster.send(from, NodeId::Replica(1).at(), message);
+        cluster.send(from, NodeId::Replica(1).address(), message);
     }
     cluster.run_until(cluster.now + 0.1);
     assert_eq!(cluster.replica(1).compact(), before);
@@ -294,7 +294,7 @@
     let number = cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.commit(0, Change { id: 2, key: "a".into(), text: None, replaces: number });
     cluster.run_until(cluster.now + 1.0);
-    let to = NodeId::Replica(1).at();
+    let to = NodeId::Replica(1).address();
     cluster.send(NodeId::Author(7), to, Message::Get { key: "a".into() });
     cluster.send(NodeId::Author(7), to, Message::Get { key: "b".into() });
     cluster.send(NodeId::Author(7), to, Message::StatusRequest { query_id: 5, page: 0 });
--- a/crates/config-log/tests/search.rs
+++ b/crates/config-log/tests/search.rs
@@ -5,7 +5,7 @@
 #[path = "search/model.rs"]
 mod model;
 
-use model::{Defect, Event, FOLLOWER, Model, SIZE, deliver_promptly};
+use model::{Defect, Event, FOLLOWER, Model, REPLICA_COUNT, deliver_promptly};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
@@ -34,7 +34,7 @@
 /// down; changes are proposed, and for a moment messages are delivered in any order.
 fn random_walk(model: &mut Model, phases: usize, rng: &mut ChaCha8Rng) {
     for _ in 0..phases {
-        let n = rng.random_range(0..SIZE);
+        let n = rng.random_range(0..REPLICA_COUNT);
         match model.nodes[n] {
             Some(_) if rng.random_bool(0.15) && model.may_lose_disk(n) => model.apply(Event::LoseDisk(n)),
             Some(_) if rng.random_bool(0.3) => model.apply(Event::Crash(n)),
@@ -43,7 +43,7 @@
             }
             _ => {}
         }
-        for n in 0..SIZE {
+        for n in 0..REPLICA_COUNT {
             if model.failing[n].is_some() && rng.random_bool(0.4) {
                 model.apply(Event::Recover(n));
             }
@@ -51,17 +51,18 @@
                 model.apply(Event::Start(n));
             }
         }
-        let mut link_is_up = [[true; SIZE + 1]; SIZE + 1];
+        let mut link_is_up = [[true; REPLICA_COUNT + 1]; REPLICA_COUNT + 1];
         match rng.random_range(0..8) {
             0 | 1 => {}
-            2 => link_is_up.iter_mut().flatten().for_each(|link_is_up| *link_is_up = rng.random_bool(0.6)),
+            2 => link_is_up.iter_mut().flatten().for_each(|is_up| *is_up = rng.random_bool(0.6)),
             _ => {
-                let cut = rng.random_range(0..SIZE);
-                (0..=FOLLOWER).for_each(|n| (link_is_up[cut][n], link_is_up[n][cut]) = (false, false));
+                let isolated = rng.random_range(0..REPLICA_COUNT);
+                (0..=FOLLOWER)
+                    .for_each(|n| (link_is_up[isolated][n], link_is_up[n][isolated]) = (false, false));
             }
         }
         for _ in 0..rng.random_range(0..3) {
-            model.apply(Event::Propose(rng.random_range(0..SIZE)));
+            model.apply(Event::Propose(rng.random_range(0..REPLICA_COUNT)));
         }
         let seconds = if rng.random_bool(0.5) { 0.05..0.4 } else { 0.8..3.0 };
         deliver_promptly(model, &link_is_up, rng.random_range(seconds));
@@ -132,8 +133,9 @@
 #[test]
 #[ignore = "takes minutes; depth and seeds are asked for by hand"]
 fn no_order_of_events_breaks_the_log_in_depth() {
-    let from_environment =
-        |name: &str, usual| std::env::var(name).ok().and_then(|d| d.parse().ok()).unwrap_or(usual);
+    let from_environment = |name: &str, default| {
+        std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
+    };
     let (depth, seeds, walks) =
         (from_environment("DEPTH", 3), from_environment("SEEDS", 40), from_environment("WAYS", 20_000));
     let found = search_from_random_walks(0..seeds, depth as usize, Defect::None)
--- a/crates/config-log/tests/search/model.rs
+++ b/crates/config-log/tests/search/model.rs
@@ -8,7 +8,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-pub const SIZE: usize = 3;
+pub const REPLICA_COUNT: usize = 3;
 
 /// The follower's index among the nodes.
 pub const FOLLOWER: usize = 3;
@@ -65,34 +65,34 @@
 pub struct Model {
     pub now: f64,
     defect: Defect,
-    pub nodes: [Option<Replica>; SIZE],
-    disks: [Vec<Record>; SIZE],
+    pub nodes: [Option<Replica>; REPLICA_COUNT],
+    disks: [Vec<Record>; REPLICA_COUNT],
     /// Whose storage fails, and whether the failing record is on the disk nevertheless.
-    pub failing: [Option<bool>; SIZE],
+    pub failing: [Option<bool>; REPLICA_COUNT],
     /// Records of each that a crash would lose, if durability is not awaited.
-    volatile: [Vec<Record>; SIZE],
+    volatile: [Vec<Record>; REPLICA_COUNT],
     follower: Follower,
     saved: Vec<u8>,
-    seeds: u64,
+    last_seed: u64,
     messages: Vec<(usize, usize, Message)>,
     /// What any node reported as chosen, and the outcomes that authors received.
     pub chosen: BTreeMap<u64, Change>,
     outcomes: BTreeMap<u64, Outcome>,
-    ids: u64,
+    last_change_id: u64,
     pub fault: Option<String>,
 }
 
-fn at(n: usize) -> SocketAddr {
+fn node_address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n as u8 + 1], 7500))
 }
 
 fn follower(seed: u64, now: f64, saved: Option<&[u8]>) -> Follower {
-    let replicas = (0..SIZE).map(at).collect();
+    let replicas = (0..REPLICA_COUNT).map(node_address).collect();
     let config = FollowerConfig { name: "gateway".into(), replicas, timing: TIMING, seed };
     Follower::new(config, now, saved)
 }
 
-fn author() -> SocketAddr {
+fn author_address() -> SocketAddr {
     SocketAddr::from(([10, 2, 0, 1], 9000))
 }
 
@@ -103,36 +103,36 @@
             defect,
             nodes: [None, None, None],
             disks: std::array::from_fn(|_| vec![Record::Initialized]),
-            failing: [None; SIZE],
+            failing: [None; REPLICA_COUNT],
             volatile: Default::default(),
             follower: follower(0, 0.0, None),
             saved: Vec::new(),
-            seeds: 0,
+            last_seed: 0,
             messages: Vec::new(),
             chosen: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            ids: 0,
+            last_change_id: 0,
             fault: None,
         };
-        (0..SIZE).for_each(|n| model.start_replica(n));
+        (0..REPLICA_COUNT).for_each(|n| model.start_replica(n));
         model
     }
 
     fn start_replica(&mut self, n: usize) {
-        self.seeds += 1;
+        self.last_seed += 1;
         if self.disks[n].is_empty() && self.defect == Defect::LostDiskVotes {
             self.disks[n].push(Record::Initialized);
         }
         self.failing[n] = None;
         let stored = self.disks[n].clone();
-        let replicas = (0..SIZE).map(at).collect();
-        let config = ReplicaConfig { own_index: n, replicas, timing: TIMING, seed: self.seeds };
+        let replicas = (0..REPLICA_COUNT).map(node_address).collect();
+        let config = ReplicaConfig { own_index: n, replicas, timing: TIMING, seed: self.last_seed };
         let mut replica = Replica::new(config, self.now, stored);
         if self.defect == Defect::Quorum {
-            replica.break_quorum(1);
+            replica.override_quorum(1);
         }
         self.nodes[n] = Some(replica);
-        self.carry_out(n, usize::MAX);
+        self.run_actions(n, usize::MAX);
     }
 
     fn record_fault(&mut self, description: String) {
@@ -179,11 +179,11 @@
             self.disks[n] = replica.compact();
             replica.storage_recovered();
         }
-        self.carry_out(n, usize::MAX);
+        self.run_actions(n, usize::MAX);
     }
 
     /// Carries out that many actions, and crashes if more are left.
-    fn carry_out(&mut self, n: usize, max_actions: usize) {
+    fn run_actions(&mut self, n: usize, max_actions: usize) {
         let mut left = max_actions;
         while let Some(action) = self.next_action(n) {
             if left == 0 {
@@ -215,7 +215,7 @@
             Message::SnapshotPage { entries, .. } => {
                 entries.iter().for_each(|entry| self.record_chosen(n, entry));
             }
-            Message::ProposalResult { id, outcome } if to == author() => {
+            Message::ProposalResult { id, outcome } if to == author_address() => {
                 if let Outcome::Committed(number) = outcome
                     && self.chosen.get(number).is_none_or(|c| c.id != *id)
                 {
@@ -230,7 +230,7 @@
             }
             _ => {}
         }
-        let to = (0..=FOLLOWER).find(|n| at(*n) == to);
+        let to = (0..=FOLLOWER).find(|n| node_address(*n) == to);
         if let Some(to) = to.filter(|_| self.messages.len() < MAX_MESSAGES) {
             self.messages.push((n, to, message));
         }
@@ -245,7 +245,7 @@
     pub fn may_lose_disk(&self, n: usize) -> bool {
         let votes =
             |o: usize| self.disks[o].iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted));
-        (0..SIZE).filter(|o| *o != n).all(votes)
+        (0..REPLICA_COUNT).filter(|o| *o != n).all(votes)
     }
 
     pub fn events(&self) -> Vec<Event> {
@@ -258,7 +258,7 @@
             ]
         });
         let lost = (0..self.messages.len()).map(Event::Drop);
-        let processes = (0..SIZE).flat_map(|n| match self.nodes[n] {
+        let processes = (0..REPLICA_COUNT).flat_map(|n| match self.nodes[n] {
             Some(_) => {
                 let mut all = vec![Event::Crash(n), Event::Tick(n), Event::Propose(n)];
                 all.extend(self.may_lose_disk(n).then_some(Event::LoseDisk(n)));
@@ -280,14 +280,14 @@
             self.messages.remove(message_index);
         }
         if to == FOLLOWER {
-            self.follower.receive(self.now, at(from), message);
+            self.follower.receive(self.now, node_address(from), message);
             self.check_follower();
             return;
         }
         if let Some(replica) = self.nodes[to].as_mut() {
-            replica.receive(self.now, at(from), message);
+            replica.receive(self.now, node_address(from), message);
         }
-        self.carry_out(to, max_actions);
+        self.run_actions(to, max_actions);
     }
 
     /// Sends what the follower has to send, and checks that its state is one of the log.
@@ -321,8 +321,8 @@
             Event::Fail(n, reaches_disk) => self.failing[n] = Some(reaches_disk),
             Event::Recover(n) => self.recover(n),
             Event::RestartFollower => {
-                self.seeds += 1;
-                self.follower = follower(self.seeds, self.now, Some(&self.saved));
+                self.last_seed += 1;
+                self.follower = follower(self.last_seed, self.now, Some(&self.saved));
                 self.check_follower();
             }
             Event::Tick(FOLLOWER) => {
@@ -342,7 +342,7 @@
                         self.record_fault(format!("{n} has something due and does not do it"));
                     }
                 }
-                self.carry_out(n, usize::MAX);
+                self.run_actions(n, usize::MAX);
             }
             Event::Propose(n) => self.propose(n),
         }
@@ -351,19 +351,24 @@
     /// Two keys, so that authors compete; each has seen the state of its replica.
     fn propose(&mut self, n: usize) {
         let Some(replica) = self.nodes[n].as_mut() else { return };
-        self.ids += 1;
-        let key = ["a", "b"][self.ids as usize % 2];
+        self.last_change_id += 1;
+        let key = ["a", "b"][self.last_change_id as usize % 2];
         let replaces = replica.state().get(key).map_or(0, |(number, _)| number);
-        let change = Change { id: self.ids, key: key.into(), text: Some(self.ids.to_string()), replaces };
-        replica.receive(self.now, author(), Message::Propose { change });
-        self.carry_out(n, usize::MAX);
+        let change = Change {
+            id: self.last_change_id,
+            key: key.into(),
+            text: Some(self.last_change_id.to_string()),
+            replaces,
+        };
+        replica.receive(self.now, author_address(), Message::Propose { change });
+        self.run_actions(n, usize::MAX);
     }
 
     /// From here on messages are delivered at once and nobody crashes. Then all agree, the outcomes that authors received
     /// hold, and one more change is committed.
     pub fn heal(&mut self) -> Result<(), String> {
         self.messages.clear();
-        for n in 0..SIZE {
+        for n in 0..REPLICA_COUNT {
             match (&self.nodes[n], self.failing[n]) {
                 (None, _) => self.start_replica(n),
                 (_, Some(_)) => self.recover(n),
@@ -372,7 +377,7 @@
         }
         self.run_reliably(20.0);
         self.propose(0);
-        let id = self.ids;
+        let id = self.last_change_id;
         self.run_reliably(10.0);
         if let Some(fault) = self.fault.clone() {
             return Err(fault);
@@ -398,7 +403,7 @@
     }
 
     fn run_reliably(&mut self, seconds: f64) {
-        deliver_promptly(self, &[[true; SIZE + 1]; SIZE + 1], seconds);
+        deliver_promptly(self, &[[true; REPLICA_COUNT + 1]; REPLICA_COUNT + 1], seconds);
     }
 
     pub fn fingerprint(&self) -> u64 {
@@ -413,7 +418,11 @@
 }
 
 /// For a while messages are delivered at once on the links that are up, and each node ticks in time.
-pub fn deliver_promptly(model: &mut Model, link_is_up: &[[bool; SIZE + 1]; SIZE + 1], seconds: f64) {
+pub fn deliver_promptly(
+    model: &mut Model,
+    link_is_up: &[[bool; REPLICA_COUNT + 1]; REPLICA_COUNT + 1],
+    seconds: f64,
+) {
     let until = model.now + seconds;
     loop {
         if let Some((from, to, _)) = model.messages.first() {
--- a/crates/config-log/tests/state.rs
+++ b/crates/config-log/tests/state.rs
@@ -63,14 +63,14 @@
     #[test]
     fn the_compacted_log_equals_the_state_in_force(entries in history(), bytes in 200..2000usize) {
         let mut state = State::default();
-        let mut plain = BTreeMap::new();
+        let mut expected = BTreeMap::new();
         for entry in &entries {
             if state.apply(entry.clone()) {
-                plain.insert(entry.change.key.clone(), (entry.number, entry.change.clone()));
+                expected.insert(entry.change.key.clone(), (entry.number, entry.change.clone()));
             }
         }
-        let got: BTreeMap<_, _> = state.iter().map(|(n, c)| (c.key.clone(), (n, c.clone()))).collect();
-        prop_assert_eq!(&got, &plain);
+        let actual: BTreeMap<_, _> = state.iter().map(|(n, c)| (c.key.clone(), (n, c.clone()))).collect();
+        prop_assert_eq!(&actual, &expected);
         let (mut pages, mut after) = (Vec::new(), 0);
         loop {
             let page = state.after(after, bytes);
@@ -79,7 +79,7 @@
             pages.extend(page);
         }
         prop_assert!(pages.windows(2).all(|p| p[0].number < p[1].number));
-        prop_assert_eq!(pages.len(), plain.len());
+        prop_assert_eq!(pages.len(), expected.len());
         let sizes = pages.iter().map(|e| e.change.size()).sum::<usize>();
         prop_assert_eq!(sizes, state.total_bytes());
     }
@@ -87,17 +87,18 @@
     /// Another text, number or author gives another digest.
     #[test]
     fn different_states_have_different_digests(entries in history(), at in any::<prop::sample::Index>()) {
-        let digest = |entries: &[Entry]| {
+        let apply_all = |entries: &[Entry]| {
             let mut state = State::default();
             let effective = entries.iter().map(|e| state.apply(e.clone())).collect::<Vec<_>>();
             (effective, state)
         };
-        let (effective, state) = digest(&entries);
+        let (effective, state) = apply_all(&entries);
         let n = at.index(entries.len());
         let mut other = entries.clone();
         other[n].change.id += 1_000;
-        let (_, changed) = digest(&other);
-        let stands = effective[n] && state.get(&entries[n].change.key).map(|(n, _)| n) == Some(entries[n].number);
-        prop_assert_eq!(state.digest() != changed.digest(), stands);
+        let (_, changed) = apply_all(&other);
+        let is_current = effective[n]
+            && state.get(&entries[n].change.key).map(|(number, _)| number) == Some(entries[n].number);
+        prop_assert_eq!(state.digest() != changed.digest(), is_current);
     }
 }
--- a/crates/config-log/tests/storage.rs
+++ b/crates/config-log/tests/storage.rs
@@ -5,17 +5,17 @@
 #[path = "storage/cluster.rs"]
 mod cluster;
 
-use cluster::{Cluster, FAULTY, HISTORY_ENDS};
+use cluster::{Cluster, FAULTY, HISTORY_SECONDS};
 use milletpath_storage::testing::{Fault, Operation, PowerLoss};
 use nix::errno::Errno;
 
 const POWER_LOSS: PowerLoss = PowerLoss { keeps_names: false, keeps_bytes: 0 };
-const MERE_KILL: PowerLoss = PowerLoss { keeps_names: true, keeps_bytes: usize::MAX };
+const PROCESS_KILL: PowerLoss = PowerLoss { keeps_names: true, keeps_bytes: usize::MAX };
 
 /// The operations of the faulty machine's disk in the scripted history without a fault.
 fn operations() -> Vec<Operation> {
     let mut cluster = Cluster::new();
-    cluster.history();
+    cluster.run_history();
     cluster.check("no fault");
     let operations = cluster.operations();
     let operation_count = |kind| operations.iter().filter(|o| **o == kind).count();
@@ -38,8 +38,8 @@
         let faults = errors.flat_map(|e| [Fault::Fails(e), Fault::FailsAfter(e)]).chain([Fault::ShortWrite]);
         for (fault, length) in faults.flat_map(|fault| [1, 6].map(|length| (fault, length))) {
             let mut cluster = Cluster::new();
-            cluster.disk.fails(at..at + length, fault);
-            cluster.history();
+            cluster.faulty_disk.fails(at..at + length, fault);
+            cluster.run_history();
             cluster.check(&format!("{fault:?} at {at} ({operation:?}) for {length}"));
         }
     }
@@ -51,12 +51,14 @@
     for (at, operation) in operations().iter().enumerate() {
         let prefixes: &[usize] =
             if *operation == Operation::Write { &[0, 1, 15, 40, usize::MAX] } else { &[0] };
-        for (after, loss) in prefixes.iter().flat_map(|after| [(*after, POWER_LOSS), (*after, MERE_KILL)]) {
+        for (after, power_loss) in
+            prefixes.iter().flat_map(|after| [(*after, POWER_LOSS), (*after, PROCESS_KILL)])
+        {
             let mut cluster = Cluster::new();
-            cluster.loss = loss;
-            cluster.disk.fails(at..at + 1, Fault::Killed { after });
-            cluster.history();
-            cluster.check(&format!("killed at {at} ({operation:?}) after {after} bytes, {loss:?}"));
+            cluster.power_loss = power_loss;
+            cluster.faulty_disk.fails(at..at + 1, Fault::Killed { after });
+            cluster.run_history();
+            cluster.check(&format!("killed at {at} ({operation:?}) after {after} bytes, {power_loss:?}"));
         }
     }
 }
@@ -69,7 +71,7 @@
     cluster.run_for(1.0);
     cluster.commit(FAULTY);
     let at = cluster.operations().len();
-    cluster.disk.fails(at..usize::MAX, Fault::Fails(Errno::ENOSPC));
+    cluster.faulty_disk.fails(at..usize::MAX, Fault::Fails(Errno::ENOSPC));
     // It reports nothing that it can't store; the others commit it all the same, and it learns of it.
     let number = cluster.commit(0);
     cluster.run_for(1.0);
@@ -86,7 +88,7 @@
     // It is tried again ever more rarely: some 0.1 s, 0.2 s, 0.4 s ... 5 s, with two operations each time.
     let tried = cluster.operations().len() - at;
     assert!((8..30).contains(&tried), "{tried} operations");
-    cluster.disk.recovers();
+    cluster.faulty_disk.recovers();
     cluster.run_for(6.0);
     assert!(cluster.votes(FAULTY));
     assert!(cluster.head(0) > number, "with it operation_count is a majority again");
@@ -101,14 +103,14 @@
     cluster.commit(0);
     let before = cluster.operations();
     // Only the fresh file fails: its creation comes before its first byte.
-    cluster.disk.fails_at(Operation::Create, Fault::Fails(Errno::ENOSPC));
+    cluster.faulty_disk.fails_at(Operation::Create, Fault::Fails(Errno::ENOSPC));
     (0..12).for_each(|_| {
         cluster.commit(0);
     });
     assert!(cluster.votes(FAULTY));
     let tried = cluster.operations()[before.len()..].iter().filter(|o| **o == Operation::Create).count();
     assert!((1..8).contains(&tried), "{tried} attempts");
-    cluster.disk.recovers();
-    cluster.run_for(HISTORY_ENDS);
+    cluster.faulty_disk.recovers();
+    cluster.run_for(HISTORY_SECONDS);
     cluster.check("recovered");
 }
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -10,46 +10,46 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-const SIZE: usize = 3;
+const REPLICA_COUNT: usize = 3;
 
 /// The replica whose disk fails.
 pub const FAULTY: usize = 1;
 
 /// Seconds that the scripted history takes.
-pub const HISTORY_ENDS: f64 = 9.0;
+pub const HISTORY_SECONDS: f64 = 9.0;
 
-const LOG: &str = "control.log";
+const LOG_NAME: &str = "control.log";
 
 /// Small, so that the scripted history rewrites its logs.
-const POLICY: RewritePolicy = RewritePolicy { multiple: 2, above: 900 };
+const REWRITE_POLICY: RewritePolicy = RewritePolicy { multiple: 2, above: 900 };
 
 /// Seconds until a process that crashed, or cannot read its log, restarts.
-const RESTART: f64 = 0.3;
+const RESTART_DELAY: f64 = 0.3;
 
 type StoredReplica = DurableReplica<FaultyFolder>;
 
 pub struct Cluster {
     now: f64,
-    replicas: [Option<StoredReplica>; SIZE],
-    disks: [FaultyFolder; SIZE],
+    replicas: [Option<StoredReplica>; REPLICA_COUNT],
+    disks: [FaultyFolder; REPLICA_COUNT],
     /// The disk that fails.
-    pub disk: FaultyFolder,
+    pub faulty_disk: FaultyFolder,
     /// What a crash leaves of the disk.
-    pub loss: PowerLoss,
-    restart_at: [f64; SIZE],
-    stopped: [bool; SIZE],
+    pub power_loss: PowerLoss,
+    restart_at: [f64; REPLICA_COUNT],
+    stopped: [bool; REPLICA_COUNT],
     messages: VecDeque<(SocketAddr, SocketAddr, Message)>,
     /// Numbers that the author received, by change.
     committed: BTreeMap<u64, u64>,
-    ids: u64,
-    seeds: u64,
+    last_change_id: u64,
+    last_seed: u64,
 }
 
-fn at(n: usize) -> SocketAddr {
+fn replica_address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n as u8 + 1], 7500))
 }
 
-fn author() -> SocketAddr {
+fn author_address() -> SocketAddr {
     SocketAddr::from(([10, 2, 0, 1], 9000))
 }
 
@@ -61,7 +61,7 @@
 /// What is on a disk after a loss of power now.
 fn durable_records(disk: &FaultyFolder) -> Vec<Record> {
     let left = disk.after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
-    let (_, recovered) = RecordLog::open(left, LOG).unwrap_or_else(|e| panic!("{e}"));
+    let (_, recovered) = RecordLog::open(left, LOG_NAME).unwrap_or_else(|e| panic!("{e}"));
     recovered.records.iter().map(|bytes| minicbor::decode(bytes).expect("a record")).collect()
 }
 
@@ -84,24 +84,24 @@
 
 impl Cluster {
     pub fn new() -> Self {
-        let disks: [FaultyFolder; SIZE] = Default::default();
+        let disks: [FaultyFolder; REPLICA_COUNT] = Default::default();
         Self {
             now: 0.0,
             replicas: Default::default(),
-            disk: disks[FAULTY].clone(),
+            faulty_disk: disks[FAULTY].clone(),
             disks,
-            loss: PowerLoss { keeps_names: true, keeps_bytes: usize::MAX },
-            restart_at: [0.0; SIZE],
-            stopped: [false; SIZE],
+            power_loss: PowerLoss { keeps_names: true, keeps_bytes: usize::MAX },
+            restart_at: [0.0; REPLICA_COUNT],
+            stopped: [false; REPLICA_COUNT],
             messages: VecDeque::new(),
             committed: BTreeMap::new(),
-            ids: 0,
-            seeds: 0,
+            last_change_id: 0,
+            last_seed: 0,
         }
     }
 
     pub fn operations(&self) -> Vec<Operation> {
-        self.disk.operations()
+        self.faulty_disk.operations()
     }
 
     pub fn head(&self, n: usize) -> u64 {
@@ -122,29 +122,29 @@
     /// Starts the process of a replica from its disk; the first time with a new log.
     fn start(&mut self, n: usize) {
         let disk = self.disks[n].clone();
-        self.restart_at[n] = self.now + RESTART;
-        let Ok(mut stored) = StoredLog::load(disk.clone(), LOG) else { return };
+        self.restart_at[n] = self.now + RESTART_DELAY;
+        let Ok(mut stored) = StoredLog::load(disk.clone(), LOG_NAME) else { return };
         let new = stored.is_empty() && self.committed.is_empty();
         let _ = stored.renew(new);
         if disk.is_killed() {
             return;
         }
-        self.seeds += 1;
-        let (seed, now) = (self.seeds, self.now);
-        self.replicas[n] = Some(DurableReplica::new(stored, POLICY, now, |records| {
-            let replicas = (0..SIZE).map(at).collect();
+        self.last_seed += 1;
+        let (seed, now) = (self.last_seed, self.now);
+        self.replicas[n] = Some(DurableReplica::new(stored, REWRITE_POLICY, now, |records| {
+            let replicas = (0..REPLICA_COUNT).map(replica_address).collect();
             let config = ReplicaConfig { own_index: n, replicas, timing: Timing::default(), seed };
             Replica::new(config, now, records)
         }));
     }
 
-    fn restart_where_due(&mut self) {
-        for n in 0..SIZE {
+    fn restart_due_replicas(&mut self) {
+        for n in 0..REPLICA_COUNT {
             if self.replicas[n].is_some() || self.stopped[n] || self.now < self.restart_at[n] {
                 continue;
             }
             if self.disks[n].is_killed() {
-                self.disks[n] = self.disks[n].after(self.loss);
+                self.disks[n] = self.disks[n].after(self.power_loss);
             }
             self.start(n);
         }
@@ -157,18 +157,19 @@
         let out = durable.flush(now).messages;
         if self.disks[n].is_killed() {
             self.replicas[n] = None;
-            self.restart_at[n] = now + RESTART;
+            self.restart_at[n] = now + RESTART_DELAY;
             return;
         }
         if n == FAULTY {
-            self.binds(&out);
+            self.assert_durable(&out);
         }
-        self.messages.extend(out.into_iter().map(|outgoing| (at(n), outgoing.to, outgoing.message)));
+        self.messages
+            .extend(out.into_iter().map(|outgoing| (replica_address(n), outgoing.to, outgoing.message)));
     }
 
     /// What a replica sends must hold after a loss of power at this moment.
-    fn binds(&self, out: &[OutgoingMessage]) {
-        let binding = |message: &Message| {
+    fn assert_durable(&self, out: &[OutgoingMessage]) {
+        let requires_durability = |message: &Message| {
             matches!(
                 message,
                 Message::Promise { .. }
@@ -177,7 +178,7 @@
                     | Message::Accept { .. }
             )
         };
-        if !out.iter().any(|outgoing| binding(&outgoing.message)) {
+        if !out.iter().any(|outgoing| requires_durability(&outgoing.message)) {
             return;
         }
         let records = durable_records(&self.disks[FAULTY]);
@@ -198,12 +199,12 @@
     fn deliver(&mut self) {
         while let Some((from, to, message)) = self.messages.pop_front() {
             if let (Message::ProposalResult { id, outcome: Outcome::Committed(number) }, true) =
-                (&message, to == author())
+                (&message, to == author_address())
             {
                 let before = self.committed.insert(*id, *number);
                 assert!(before.is_none_or(|before| before == *number), "{id} at {number} and at {before:?}");
             }
-            let Some(n) = (0..SIZE).find(|n| at(*n) == to) else { continue };
+            let Some(n) = (0..REPLICA_COUNT).find(|n| replica_address(*n) == to) else { continue };
             if let Some(durable) = self.replicas[n].as_mut() {
                 durable.replica_mut().receive(self.now, from, message);
                 self.flush(n);
@@ -218,8 +219,8 @@
         let until = self.now + seconds;
         while self.now < until {
             self.now += STEP;
-            self.restart_where_due();
-            for n in 0..SIZE {
+            self.restart_due_replicas();
+            for n in 0..REPLICA_COUNT {
                 let now = self.now;
                 if let Some(durable) = self.replicas[n].as_mut().filter(|m| m.next_deadline() <= now) {
                     durable.replica_mut().tick(now);
@@ -231,17 +232,17 @@
     }
 
     fn next_change(&mut self) -> Change {
-        self.ids += 1;
-        let key = key(self.ids);
+        self.last_change_id += 1;
+        let key = key(self.last_change_id);
         let newest = self.replicas.iter().flatten().map(|m| m.replica().state()).max_by_key(|s| s.head());
         let replaces = newest.and_then(|state| state.get(key)).map_or(0, |(number, _)| number);
-        Change { id: self.ids, key: key.into(), text: Some("x".repeat(60)), replaces }
+        Change { id: self.last_change_id, key: key.into(), text: Some("x".repeat(60)), replaces }
     }
 
     /// An author proposes a change once.
     pub fn propose(&mut self, n: usize) {
         let change = self.next_change();
-        self.messages.push_back((author(), at(n), Message::Propose { change }));
+        self.messages.push_back((author_address(), replica_address(n), Message::Propose { change }));
         self.deliver();
     }
 
@@ -249,7 +250,11 @@
     pub fn commit(&mut self, n: usize) -> u64 {
         let change = self.next_change();
         for _ in 0..40 {
-            self.messages.push_back((author(), at(n), Message::Propose { change: change.clone() }));
+            self.messages.push_back((
+                author_address(),
+                replica_address(n),
+                Message::Propose { change: change.clone() },
+            ));
             self.deliver();
             self.run_for(0.2);
             if let Some(number) = self.committed.get(&change.id) {
@@ -260,14 +265,14 @@
     }
 
     /// The scripted history: changes at each replica, logs that are rewritten, and a loss of power where the disk fails.
-    pub fn history(&mut self) {
+    pub fn run_history(&mut self) {
         self.run_for(1.0);
         for n in [0, FAULTY, 2, 0, FAULTY, 2] {
             self.propose(n);
             self.run_for(0.3);
         }
         self.replicas[FAULTY] = None;
-        self.restart_at[FAULTY] = self.now + RESTART;
+        self.restart_at[FAULTY] = self.now + RESTART_DELAY;
         self.run_for(0.5);
         for n in [FAULTY, 0] {
             self.propose(n);
@@ -278,14 +283,14 @@
     /// Without further faults all replicas vote, a change at each is committed, all agree, and all acknowledged changes are
     /// there, also after a loss of power at all replicas at once.
     pub fn check(&mut self, what: &str) {
-        for n in 0..SIZE {
+        for n in 0..REPLICA_COUNT {
             self.disks[n].recovers();
             self.stopped[n] = false;
         }
         self.run_for(7.0);
-        (0..SIZE).for_each(|n| assert!(self.votes(n), "{what}: {n} does not vote"));
+        (0..REPLICA_COUNT).for_each(|n| assert!(self.votes(n), "{what}: {n} does not vote"));
         self.assert_agreement(what);
-        for n in 0..SIZE {
+        for n in 0..REPLICA_COUNT {
             self.replicas[n] = None;
             self.disks[n] = self.disks[n].after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
         }
@@ -298,7 +303,7 @@
         let last = self.commit(0);
         self.run_for(1.0);
         let states: Vec<_> = self.replicas.iter().flatten().map(|m| m.replica().state()).collect();
-        assert_eq!(states.len(), SIZE, "{what}: all run");
+        assert_eq!(states.len(), REPLICA_COUNT, "{what}: all run");
         assert!(states.iter().all(|state| *state == states[0]), "{what}: they do not agree");
         let highest = self.committed.values().copied().max().unwrap_or(0);
         assert_eq!(states[0].head(), highest.max(last), "{what}");
