--- a/crates/config-log/src/follower/agreement.rs
+++ b/crates/config-log/src/follower/agreement.rs
@@ -8,14 +8,14 @@
 
 /// Something that is known to be true of the log, and that reports are compared with.
 #[derive(Clone, Copy)]
-pub(super) enum Reported<'a> {
+pub(super) enum Confirmed<'a> {
     /// The entry at its number and the digest after it.
     Entry(&'a LoggedEntry),
     /// The digest at a number.
     Digest(Checkpoint),
 }
 
-impl Reported<'_> {
+impl Confirmed<'_> {
     fn is_contradicted_by(self, source: &Source) -> bool {
         let other_digest = |number: u64, digest: u64| {
             source.digests.get(&number).is_some_and(|reported| *reported != digest)
@@ -52,7 +52,7 @@
 
     /// Passes over, for a while, the replicas whose reports contradict what is known to be true. Their reports are
     /// discarded, so that each contradiction counts once.
-    pub fn distrust_contradicting(&mut self, now: f64, known: Reported) {
+    pub fn distrust_contradicting(&mut self, now: f64, known: Confirmed) {
         let contradicting = self.all.iter_mut().filter(|source| known.is_contradicted_by(source));
         contradicting.for_each(|source| source.distrust(now));
     }
--- a/crates/config-log/src/follower/applying.rs
+++ b/crates/config-log/src/follower/applying.rs
@@ -1,6 +1,6 @@
 //! Applies entries that enough replicas report alike, checks the state against theirs, and gives updates to the gateway.
 
-use super::agreement::Reported;
+use super::agreement::Confirmed;
 use super::state::Follower;
 use crate::entry::{Change, Entry};
 use crate::state::State;
@@ -18,7 +18,7 @@
                 return;
             }
             let number = logged.entry.number;
-            self.sources.distrust_contradicting(self.clock.now, Reported::Entry(&logged));
+            self.sources.distrust_contradicting(self.clock.now, Confirmed::Entry(&logged));
             self.state.apply(logged.entry);
             self.changed_at = self.clock.now;
             self.sources.discard_through(number);
@@ -30,7 +30,7 @@
         let checkpoint = self.state.checkpoint();
         match self.sources.confirmed_digest(checkpoint.head) {
             Some(digest) if digest == checkpoint.digest => {
-                self.sources.distrust_contradicting(self.clock.now, Reported::Digest(checkpoint));
+                self.sources.distrust_contradicting(self.clock.now, Confirmed::Digest(checkpoint));
             }
             Some(_) => self.start_rebuild(),
             None if self.sources.never_reached(checkpoint.head, self.changed_at + MAX_CLOCK_DRIFT) => {
@@ -63,7 +63,7 @@
             return None;
         }
         let mut updates = std::mem::take(&mut self.removals);
-        updates.extend(self.state.after(self.delivered, usize::MAX));
+        updates.extend(self.state.entries_after(self.delivered, usize::MAX));
         self.delivered = self.state.head();
         (!updates.is_empty()).then_some(updates)
     }
--- a/crates/config-log/src/replica/log.rs
+++ b/crates/config-log/src/replica/log.rs
@@ -66,15 +66,15 @@
     }
 
     /// The entries after `number`, as many as take at most `max_bytes` in a message; none if they are not kept.
-    pub fn after(&self, number: u64, max_bytes: usize) -> Vec<LoggedEntry> {
+    pub fn entries_after(&self, number: u64, max_bytes: usize) -> Vec<LoggedEntry> {
         if !self.reaches_back_to(number) {
             return Vec::new();
         }
-        let mut left = max_bytes;
+        let mut remaining = max_bytes;
         let fits = move |recent: &&RecentEntry| {
             let size = encoded_bytes(&recent.logged.entry.change);
-            let fits = size <= left;
-            left = left.saturating_sub(size);
+            let fits = size <= remaining;
+            remaining = remaining.saturating_sub(size);
             fits
         };
         self.recent_after(number).take_while(fits).map(|recent| recent.logged.clone()).collect()
--- a/crates/config-log/src/replica/serving.rs
+++ b/crates/config-log/src/replica/serving.rs
@@ -27,7 +27,8 @@
         }
         let head = self.head();
         let queried_digest = if queried_number == 0 { None } else { self.log.digest_at(queried_number) };
-        let entries = if number < head { self.log.after(number, MAX_ENTRIES_BYTES) } else { Vec::new() };
+        let entries =
+            if number < head { self.log.entries_after(number, MAX_ENTRIES_BYTES) } else { Vec::new() };
         let reply = Message::PollReply {
             request_id,
             head,
@@ -75,7 +76,7 @@
 
     /// The log entries after a number that fit into a message, and the last number among them.
     fn log_page(&self, after: u64) -> Option<(Message, u64)> {
-        let entries = self.log.after(after, MAX_ENTRIES_BYTES);
+        let entries = self.log.entries_after(after, MAX_ENTRIES_BYTES);
         let last = entries.last()?.entry.number;
         Some((Message::LogEntries { entries }, last))
     }
@@ -83,7 +84,7 @@
     /// The page of the snapshot after a number, and the number through which it goes.
     fn snapshot_page(&self, after: u64) -> Option<(Message, u64)> {
         let state = self.state();
-        let entries = state.after(after, MAX_ENTRIES_BYTES);
+        let entries = state.entries_after(after, MAX_ENTRIES_BYTES);
         let last = entries.last().map_or(after, |entry| entry.number);
         let through = if state.last_number() > last { last } else { state.head() };
         let (head, digest) = (state.head(), state.digest());
--- a/crates/config-log/src/replica/voting.rs
+++ b/crates/config-log/src/replica/voting.rs
@@ -88,7 +88,7 @@
 
     /// The proposer is behind: something was chosen at that number already.
     fn send_chosen_from(&mut self, to: usize, number: u64) {
-        let entries = self.log.after(number.saturating_sub(1), MAX_ENTRIES_BYTES);
+        let entries = self.log.entries_after(number.saturating_sub(1), MAX_ENTRIES_BYTES);
         if !entries.is_empty() {
             self.send_to(to, Message::LogEntries { entries });
         }
--- a/crates/config-log/src/state.rs
+++ b/crates/config-log/src/state.rs
@@ -156,12 +156,12 @@
 
     /// The entries in force with numbers above `number`, as many as take at most `max_bytes` in a message.
     #[must_use]
-    pub fn after(&self, number: u64, max_bytes: usize) -> Vec<Entry> {
-        let mut left = max_bytes;
+    pub fn entries_after(&self, number: u64, max_bytes: usize) -> Vec<Entry> {
+        let mut remaining = max_bytes;
         let fits = move |entry: &Entry| {
             let size = encoded_bytes(&entry.change);
-            let fits = size <= left;
-            left = left.saturating_sub(size);
+            let fits = size <= remaining;
+            remaining = remaining.saturating_sub(size);
             fits
         };
         let entries = self.iter_from(number.saturating_add(1));
--- a/crates/config-log/tests/search.rs
+++ b/crates/config-log/tests/search.rs
@@ -20,8 +20,8 @@
             continue;
         }
         states += 1;
-        if let Some(fault) = &next.fault {
-            return Err(format!("after {event:?}: {fault}"));
+        if let Some(violation) = &next.violation {
+            return Err(format!("after {event:?}: {violation}"));
         }
         if depth > 1 {
             states += search(&next, depth - 1, visited).map_err(|error| format!("{event:?}, {error}"))?;
@@ -100,8 +100,8 @@
         let mut model = Model::new(defect);
         for _ in 0..3 {
             random_walk(&mut model, 6, &mut rng);
-            if let Some(fault) = &model.fault {
-                return Err(format!("seed {seed} at {:.3} s: {fault}", model.now));
+            if let Some(violation) = &model.violation {
+                return Err(format!("seed {seed} at {:.3} s: {violation}", model.now));
             }
             if depth > 0 {
                 random_events(&mut model, 12, &mut rng);
@@ -133,9 +133,8 @@
 #[test]
 #[ignore = "takes minutes; depth and seeds are asked for by hand"]
 fn no_order_of_events_breaks_the_log_in_depth() {
-    let from_environment = |name: &str, default| {
-        std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
-    };
+    let from_environment =
+        |name: &str, default| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default);
     let (depth, seeds, walks) =
         (from_environment("DEPTH", 3), from_environment("SEEDS", 40), from_environment("WAYS", 20_000));
     let found = search_from_random_walks(0..seeds, depth as usize, Defect::None)
--- a/crates/config-log/tests/search/model.rs
+++ b/crates/config-log/tests/search/model.rs
@@ -79,7 +79,7 @@
     pub chosen: BTreeMap<u64, Change>,
     outcomes: BTreeMap<u64, Outcome>,
     last_change_id: u64,
-    pub fault: Option<String>,
+    pub violation: Option<String>,
 }
 
 fn node_address(n: usize) -> SocketAddr {
@@ -112,7 +112,7 @@
             chosen: BTreeMap::new(),
             outcomes: BTreeMap::new(),
             last_change_id: 0,
-            fault: None,
+            violation: None,
         };
         (0..REPLICA_COUNT).for_each(|n| model.start_replica(n));
         model
@@ -135,8 +135,8 @@
         self.run_actions(n, usize::MAX);
     }
 
-    fn record_fault(&mut self, description: String) {
-        self.fault.get_or_insert(description);
+    fn record_violation(&mut self, description: String) {
+        self.violation.get_or_insert(description);
     }
 
     /// An entry that one node reports as chosen must be so for all.
@@ -144,7 +144,7 @@
         let before = self.chosen.entry(entry.number).or_insert_with(|| entry.change.clone());
         if *before != entry.change {
             let description = format!("{n} has {:?} at {}, which was {before:?}", entry.change, entry.number);
-            self.record_fault(description);
+            self.record_violation(description);
         }
     }
 
@@ -184,13 +184,13 @@
 
     /// Carries out that many actions, and crashes if more are left.
     fn run_actions(&mut self, n: usize, max_actions: usize) {
-        let mut left = max_actions;
+        let mut remaining = max_actions;
         while let Some(action) = self.next_action(n) {
-            if left == 0 {
+            if remaining == 0 {
                 self.stop_replica(n);
                 return;
             }
-            left -= 1;
+            remaining -= 1;
             match action {
                 Action::Store(record) => {
                     if let Record::Chosen(entry) = &record {
@@ -219,12 +219,12 @@
                 if let Outcome::Committed(number) = outcome
                     && self.chosen.get(number).is_none_or(|c| c.id != *id)
                 {
-                    self.record_fault(format!("{id} is reported at {number}"));
+                    self.record_violation(format!("{id} is reported at {number}"));
                 }
                 if let (Some(Outcome::Superseded(_)), Outcome::Committed(_))
                 | (Some(Outcome::Committed(_)), Outcome::Superseded(_)) = (self.outcomes.get(id), outcome)
                 {
-                    self.record_fault(format!("{id} was committed and not"));
+                    self.record_violation(format!("{id} was committed and not"));
                 }
                 self.outcomes.insert(*id, *outcome);
             }
@@ -301,7 +301,7 @@
             state.apply(Entry { number: *number, change: change.clone() });
         }
         if state != *self.follower.state() {
-            self.record_fault(format!("at the gateway {head} is in force, which was not committed so"));
+            self.record_violation(format!("at the gateway {head} is in force, which was not committed so"));
         }
     }
 
@@ -339,7 +339,7 @@
                     self.now = self.now.max(replica.next_deadline());
                     replica.tick(self.now);
                     if replica.next_deadline() <= self.now {
-                        self.record_fault(format!("{n} has something due and does not do it"));
+                        self.record_violation(format!("{n} has something due and does not do it"));
                     }
                 }
                 self.run_actions(n, usize::MAX);
@@ -379,8 +379,8 @@
         self.propose(0);
         let id = self.last_change_id;
         self.run_reliably(10.0);
-        if let Some(fault) = self.fault.clone() {
-            return Err(fault);
+        if let Some(violation) = self.violation.clone() {
+            return Err(violation);
         }
         let states: Vec<_> = self.nodes.iter().flatten().map(Replica::state).collect();
         if states.iter().any(|s| *s != states[0]) {
--- a/crates/config-log/tests/state.rs
+++ b/crates/config-log/tests/state.rs
@@ -73,7 +73,7 @@
         prop_assert_eq!(&actual, &expected);
         let (mut pages, mut after) = (Vec::new(), 0);
         loop {
-            let page = state.after(after, bytes);
+            let page = state.entries_after(after, bytes);
             let Some(last) = page.last() else { break };
             after = last.number;
             pages.extend(page);
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -161,14 +161,14 @@
             return;
         }
         if n == FAULTY {
-            self.assert_durable(&out);
+            self.check_durable(&out);
         }
         self.messages
             .extend(out.into_iter().map(|outgoing| (replica_address(n), outgoing.to, outgoing.message)));
     }
 
     /// What a replica sends must hold after a loss of power at this moment.
-    fn assert_durable(&self, out: &[OutgoingMessage]) {
+    fn check_durable(&self, out: &[OutgoingMessage]) {
         let requires_durability = |message: &Message| {
             matches!(
                 message,
