--- a/crates/config-log/src/clock.rs
+++ b/crates/config-log/src/clock.rs
@@ -1,10 +1,11 @@
 //! A monotonic clock on top of a clock that may be stepped back.
 
+/// Clock that never decreases: each backward step of the caller's clock is absorbed into an offset.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     /// The current time, in seconds; never decreases.
     pub now: f64,
-    /// Seconds by which this clock is ahead of the caller's, which may have been stepped back.
+    /// Seconds by which this clock is ahead of the caller's; grows each time the caller's is stepped back.
     offset: f64,
 }
 
@@ -13,7 +14,7 @@
         Self { now, offset: 0.0 }
     }
 
-    /// Takes over a reading of the caller's clock; returns the seconds elapsed since the previous one.
+    /// Advances to a reading of the caller's clock; returns the seconds elapsed since the previous reading.
     pub fn advance_to(&mut self, caller_now: f64) -> f64 {
         let now = caller_now + self.offset;
         if now < self.now {
--- a/crates/config-log/src/durable.rs
+++ b/crates/config-log/src/durable.rs
@@ -1,4 +1,4 @@
-//! A replica combined with a log file that may fail.
+//! A replica combined with its log file.
 
 mod replica;
 mod stored_log;
--- a/crates/config-log/src/durable/replica.rs
+++ b/crates/config-log/src/durable/replica.rs
@@ -1,6 +1,6 @@
-//! A replica on a log file: a record is durable before any message goes out that depends on it. While the storage fails,
-//! the replica is suspended but goes on learning and relaying; a new file is tried at growing intervals, and once it holds
-//! all that is known the replica votes again.
+//! A replica with its log file: each record is made durable before any message that depends on it is sent. After a storage
+//! failure the replica is suspended: it still learns entries and forwards changes, but does not vote. A complete rewrite
+//! of the log is retried with exponential backoff, and when it succeeds the replica votes again.
 
 use super::stored_log::{StoredLog, encode};
 use crate::message::OutgoingMessage;
@@ -8,17 +8,17 @@
 use milletpath_storage::{AppendError, Backoff, Folder, RecordLog, ReplaceError};
 use thiserror::Error;
 
-/// The log is rewritten when it has grown to this multiple of its size after the last rewrite, and
+/// Default of [`RewritePolicy::multiple`].
 const REWRITE_MULTIPLE: u64 = 4;
-/// is larger than this many bytes, which are some thousand changes.
+/// Default of [`RewritePolicy::above`], in bytes: the records of some thousand changes.
 const REWRITE_MIN_BYTES: u64 = 1 << 20;
 
-/// When a log that has grown is rewritten.
+/// When the log is rewritten in compact form. Both conditions must hold.
 #[derive(Clone, Copy, Debug)]
 pub struct RewritePolicy {
-    /// It has grown to this multiple of its size after the last rewrite,
+    /// The log has grown to this multiple of its size after the last rewrite.
     pub multiple: u64,
-    /// and is larger than this many bytes.
+    /// The log is larger than this many bytes.
     pub above: u64,
 }
 
@@ -28,49 +28,49 @@
     }
 }
 
-/// Why records are not on the disk.
+/// Why records could not be made durable.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// The file does not take another record.
+    /// Records could not be appended to the log file.
     #[error("a record can't be appended: {0}")]
     Append(#[from] AppendError),
-    /// A new file cannot be written.
+    /// The log file could not be replaced by a rewritten one.
     #[error(transparent)]
     Replace(#[from] ReplaceError),
 }
 
-/// What happened to the storage, for logs and operators.
+/// A change in the condition of the storage, for the caller to log.
 #[derive(Debug)]
 pub enum StorageEvent {
     /// A write failed.
     Failed {
-        /// Why.
+        /// Cause of the failure.
         error: StorageError,
-        /// Failures in a row, this one included.
+        /// Consecutive failures, including this one.
         consecutive_failures: u32,
         /// Seconds until the next attempt.
         retry_in: f64,
     },
-    /// A new file holds all that is known; the replica votes again.
+    /// A rewritten log holds everything that the replica knows; the replica votes again.
     Recovered,
-    /// The log had grown and was rewritten.
+    /// The log was rewritten because it had grown.
     Rewritten {
-        /// Records of the new file.
+        /// Number of records in the new file.
         records: usize,
     },
 }
 
-/// What a flush leaves to its caller.
+/// Result of [`DurableReplica::flush`].
 #[must_use]
 #[derive(Debug, Default)]
 pub struct FlushOutput {
-    /// Messages that may be sent now, in order.
+    /// Messages that may be sent now, in order: the records they depend on are durable.
     pub messages: Vec<OutgoingMessage>,
-    /// What happened to the storage.
+    /// What happened to the storage since the last flush.
     pub events: Vec<StorageEvent>,
 }
 
-/// A failing operation that is tried again at growing intervals.
+/// Backoff of a failing operation and the time of its next attempt.
 #[derive(Debug)]
 struct Retry {
     backoff: Backoff,
@@ -94,15 +94,17 @@
     replica: Replica,
     log: RecordLog<F>,
     policy: RewritePolicy,
-    /// For appending, and for the new file after a failure. A new file that then takes no records counts as a failure.
+    /// For appends, and for the rewrite that recovers from a failure. The backoff is reset by a successful append, not by
+    /// the rewrite, so that a new file to which no record can be appended counts as another failure in a row.
     storage: Retry,
-    /// For rewriting a log that has grown and still takes records.
+    /// For rewrites of a grown log to which records can still be appended.
     rewrite: Retry,
     output: FlushOutput,
 }
 
 impl<F: Folder> DurableReplica<F> {
-    /// Starts a replica that `start` makes from the records of a log. If these could not be renewed yet, it is suspended.
+    /// Starts the replica that `start` creates from the records of the log. It is suspended at first if the log cannot be
+    /// appended to, because [`StoredLog::renew`] has not succeeded.
     #[must_use]
     pub fn new(
         stored: StoredLog<F>,
@@ -125,7 +127,7 @@
         &self.replica
     }
 
-    /// The replica, for received messages and timers. Call [`flush`](Self::flush) afterwards.
+    /// The replica, to pass received messages and timer events to. Call [`flush`](Self::flush) afterwards.
     #[must_use]
     pub fn replica_mut(&mut self) -> &mut Replica {
         &mut self.replica
@@ -137,15 +139,16 @@
         self.log.size()
     }
 
-    /// When [`Replica::tick`] and [`flush`](Self::flush) are due next, if no message is received: the replica has
-    /// something due, or the storage is to be tried again.
+    /// When to call [`Replica::tick`] and [`flush`](Self::flush) next if no message is received: at the replica's own
+    /// deadline, or when the storage is to be retried.
     #[must_use]
     pub fn next_deadline(&self) -> f64 {
         let deadline = self.replica.next_deadline();
         if self.replica.is_suspended() { deadline.min(self.storage.retry_at) } else { deadline }
     }
 
-    /// Stores what has to be stored.
+    /// Stores the records that the replica has yielded, retries a failed storage and rewrites a grown log if that is due,
+    /// and returns the messages that may be sent.
     pub fn flush(&mut self, now: f64) -> FlushOutput {
         self.run_actions(now);
         if self.replica.is_suspended() && now >= self.storage.retry_at {
@@ -160,7 +163,7 @@
         std::mem::take(&mut self.output)
     }
 
-    /// Carries out the replica's actions until there are none left.
+    /// Runs the replica's actions until none is left.
     fn run_actions(&mut self, now: f64) {
         loop {
             let (mut records, mut messages) = (Vec::new(), Vec::new());
@@ -173,7 +176,7 @@
             if records.is_empty() && messages.is_empty() {
                 return;
             }
-            // While the replica is suspended, no message depends on records that it yields.
+            // While the replica is suspended, none of its messages depends on a record.
             if !records.is_empty() && !self.replica.is_suspended() {
                 if let Err(error) = self.log.append(&encode(&records)) {
                     self.suspend(now, error.into());
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Writes a new file with all that the replica knows.
+    /// Rewrites the log with everything that the replica knows.
     fn recover(&mut self, now: f64) {
         match self.log.rewrite(&encode(&self.replica.compact())) {
             Ok(()) => {
@@ -204,7 +207,7 @@
                 self.rewrite.backoff.succeeded();
                 self.output.events.push(StorageEvent::Rewritten { records: records.len() });
             }
-            // With no room for a new file the old one may still take records.
+            // If the disk has no room for a second file, the old one may still be appended to.
             Err(error) if self.log.is_appendable() => {
                 let event = self.rewrite.failed(now, error.into());
                 self.output.events.push(event);
--- a/crates/config-log/src/durable/stored_log.rs
+++ b/crates/config-log/src/durable/stored_log.rs
@@ -1,34 +1,34 @@
-//! The log file of a replica, read and not yet written to.
+//! Reading the log file of a replica at the start of the process.
 
 use crate::replica::Record;
 use milletpath_storage::{Folder, OpenError, RecordLog, ReplaceError};
 use thiserror::Error;
 
-/// The log file of a replica, read and not yet written to.
+/// The log file of a replica, read but not yet written to.
 pub struct StoredLog<F: Folder> {
     pub(super) log: RecordLog<F>,
     pub(super) records: Vec<Record>,
-    /// Bytes of a last record that a crash or a failed write cut short; they are ignored.
+    /// Bytes of an incomplete last record, left by a crash or a failed write; they are ignored.
     pub torn_bytes: u64,
 }
 
 /// Why the log file of a replica cannot be used.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// The file cannot be read, or is damaged.
+    /// The file cannot be read, or is corrupt.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// A record, by its index from 0, is of an unknown kind.
+    /// The record at this index, from 0, cannot be decoded: a later release wrote it.
     #[error("record {0} is of a kind that this program does not know; run the program that wrote it")]
     UnknownRecord(usize),
 }
 
 impl<F: Folder> StoredLog<F> {
-    /// Reads the log file of that name; a missing file is an empty log.
+    /// Reads the log file `name`; a missing file is an empty log.
     ///
     /// # Errors
     ///
-    /// A [`LoadError`] if the file cannot be read, is damaged, or was written by a later release.
+    /// A [`LoadError`] if the file cannot be read, is corrupt, or was written by a later release.
     pub fn load(folder: F, name: &str) -> Result<Self, LoadError> {
         let (log, recovered) = RecordLog::open(folder, name)?;
         let decoded = |(index, bytes): (usize, &Vec<u8>)| {
@@ -38,14 +38,15 @@
         Ok(Self { log, records, torn_bytes: recovered.torn_bytes })
     }
 
-    /// Whether the log has no record.
+    /// Whether the log has no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Writes the records into a new file, with a first record in front if `initialize` is set and the log is new. It
-    /// cannot be known whether what was read ever reached the disk, so it must not bind the replica before that.
+    /// Writes the records to a new file, and [`Record::Initialized`] after them if `initialize` is set, which is only
+    /// correct for a new, empty log. The records that were read may never have reached the disk, only the page cache, so
+    /// the replica must not vote before they are written again.
     ///
     /// # Errors
     ///
--- a/crates/config-log/src/entry.rs
+++ b/crates/config-log/src/entry.rs
@@ -1,54 +1,54 @@
-//! Changes, their numbers in the log, and the bounds on their size.
+//! Configuration changes, log entries, and the bounds on their size.
 
 use minicbor::{Decode, Encode};
 
-/// Largest size of a key, in bytes: a kind and a function name of 64 bytes.
+/// Maximum size of a key, in bytes: room for a kind and a function name of 64 bytes.
 pub const MAX_KEY_BYTES: usize = 96;
 
-/// Largest size of a text, in bytes; an entry of this size fits into one datagram beside the other fields of a reply.
+/// Maximum size of a text, in bytes. An entry with such a text and the other fields of a reply fit into one datagram.
 pub const MAX_TEXT_BYTES: usize = 800;
 
-/// Largest number of keys, those included whose text was removed: a compacted log has one entry for each.
+/// Maximum number of keys. Keys whose text was removed count too, as the compacted log keeps an entry for each.
 pub const MAX_KEYS: usize = 131_072;
 
-/// Largest total size of keys and texts, in bytes. A follower that rebuilds its state holds two states for a while, each
-/// of this size plus about 264 bytes a key (the key once more, and two trees), and this size a third time while it is
-/// saved: 214 MiB by calculation, below the 256 MB that a gateway may use.
+/// Maximum total size of keys and texts, in bytes. A follower that rebuilds its state holds two states for a while, each
+/// of this size plus about 264 bytes per key (a second copy of the key, and the nodes of two trees), and one more copy of
+/// this size while the state is saved: 214 MiB by calculation, below the 256 MB that a gateway may use.
 pub const MAX_TOTAL_BYTES: usize = 48 << 20;
 
-/// A change of the configuration: sets the text under a key, or removes it.
+/// A change of the configuration: sets or removes the text of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(map)]
 pub struct Change {
-    /// Random id drawn by the author; 0 in the no-op.
+    /// Random id chosen by the author; 0 in the no-op.
     #[n(0)]
     pub id: u64,
-    /// What the change is about; empty in the no-op.
+    /// The key that the change sets or removes; empty in the no-op.
     #[n(1)]
     pub key: String,
-    /// The new text; `None` removes the present one.
+    /// The new text; `None` removes the current one.
     #[n(2)]
     pub text: Option<String>,
-    /// Number of the entry that the author saw under the key, 0 for none. The change takes effect only while that entry
-    /// is still in force (compare and set).
+    /// Number of the key's current entry as the author saw it, 0 for none. The change takes effect only if that is still
+    /// the current entry (compare-and-set).
     #[n(3)]
     pub replaces: u64,
 }
 
 impl Change {
-    /// The change without effect that fills a number at which nothing was chosen.
+    /// The change without effect that a new leader proposes at numbers for which it knows no other proposal.
     #[must_use]
     pub fn no_op() -> Self {
         Self { id: 0, key: String::new(), text: None, replaces: 0 }
     }
 
-    /// Whether this is the change without effect.
+    /// Whether this is the [no-op](Self::no_op).
     #[must_use]
     pub fn is_no_op(&self) -> bool {
         self.key.is_empty()
     }
 
-    /// Bytes of key and text, which count against [`MAX_TOTAL_BYTES`].
+    /// Size of key and text in bytes, as counted against [`MAX_TOTAL_BYTES`].
     #[must_use]
     pub fn size(&self) -> usize {
         self.key.len() + self.text.as_ref().map_or(0, String::len)
@@ -61,11 +61,11 @@
     }
 }
 
-/// A change at its number in the log: 1, 2, 3, ...
+/// A change at its position in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(map)]
 pub struct Entry {
-    /// Position in the log.
+    /// Position in the log; the first entry has number 1.
     #[n(0)]
     pub number: u64,
     /// The change chosen for that position.
@@ -73,14 +73,14 @@
     pub change: Change,
 }
 
-/// An entry and the digest of the state after it.
+/// An entry and the digest of the state after it is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(map)]
 pub struct LoggedEntry {
     /// The entry.
     #[n(0)]
     pub entry: Entry,
-    /// [`State::digest`](crate::State::digest) once the entry is applied.
+    /// [`State::digest`](crate::State::digest) after the entry is applied.
     #[n(1)]
     pub digest: u64,
 }
--- a/crates/config-log/src/follower.rs
+++ b/crates/config-log/src/follower.rs
@@ -1,8 +1,9 @@
-//! The side of a gateway as a state machine: it polls some replicas, and applies what enough of them report alike.
+//! The follower in a gateway as a state machine: it polls some replicas and applies the entries that enough of them report
+//! identically.
 //!
 //! `state` holds the data; `protocol` dispatches messages and timers, `applying` applies and checks entries,
-//! `snapshot_fetch` obtains what is far behind, and `saved_state` keeps the state across restarts. `sources` holds what
-//! each replica reported, `agreement` decides what enough of them report alike.
+//! `snapshot_fetch` catches up from a snapshot, and `saved_state` encodes the state that is kept across restarts.
+//! `sources` holds what each replica (`source`) reported, and `agreement` finds the reports that enough replicas share.
 
 mod agreement;
 mod applying;
--- a/crates/config-log/src/follower/applying.rs
+++ b/crates/config-log/src/follower/applying.rs
@@ -1,19 +1,19 @@
-//! Applies entries that enough replicas report alike, checks the state against theirs, and gives updates to the gateway.
+//! Applies confirmed entries, verifies the state against the digests of the replicas, and hands updates to the gateway.
 
 use super::agreement::Confirmed;
 use super::state::Follower;
 use crate::entry::{Change, Entry};
 use crate::state::State;
 
-/// Seconds by which clocks may drift apart while a replica counts how old its knowledge is.
+/// Seconds by which the follower's clock and a replica's may drift apart over the age that a replica reports.
 const MAX_CLOCK_DRIFT: f64 = 1.0;
 
 impl Follower {
-    /// Applies the next entries as far as enough replicas report them alike.
+    /// Applies the next entries as long as they are confirmed.
     pub(super) fn apply_confirmed(&mut self) {
         while let Some(logged) = self.sources.confirmed_entry(self.state.head() + 1) {
             if self.state.digest_after(&logged.entry) != logged.digest {
-                // The state is none of the log, or those replicas are all wrong; a rebuild shows which.
+                // Either this state is not one of the log, or all of those replicas are wrong; a rebuild finds out.
                 self.start_rebuild();
                 return;
             }
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Compares the state with what enough replicas report for its number.
+    /// Compares the digest of the state with the confirmed digest at its head.
     pub(super) fn check_digest(&mut self) {
         let checkpoint = self.state.checkpoint();
         match self.sources.confirmed_digest(checkpoint.head) {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Replaces the complete state. The gateway is given all entries again, and removals of keys that are not in the new
-    /// one.
+    /// Replaces the complete state. The next updates for the gateway are all entries of the new state, and removals of the
+    /// keys that it does not have.
     pub(super) fn replace_state(&mut self, state: State) {
         let disappeared =
             self.state.iter().filter(|(_, change)| state.get(&change.key).is_none() && change.text.is_some());
@@ -54,9 +54,9 @@
         self.state = state;
     }
 
-    /// The next batch of entries, which the gateway has to apply together and in order. It holds only entries in force: no
-    /// no-ops, no superseded changes, and of two entries under one key since the last batch the later. A removal with id 0
-    /// is of a key that should never have been in force.
+    /// The next batch of entries, which the gateway has to apply together and in order. It has only current entries: no
+    /// no-ops, no changes without effect, and at most one entry for each key. A removal with id 0 means that the key does
+    /// not exist in the log: it came from a saved state that turned out to be wrong.
     #[must_use]
     pub fn take_updates(&mut self) -> Option<Vec<Entry>> {
         if self.delivered == self.state.head() && self.removals.is_empty() {
--- a/crates/config-log/src/follower/protocol.rs
+++ b/crates/config-log/src/follower/protocol.rs
@@ -1,4 +1,4 @@
-//! Dispatch of received messages and timers, and polling.
+//! Handling of received messages and timers, and polling of replicas.
 
 use super::source::{PendingPoll, PollResult};
 use super::state::Follower;
@@ -7,7 +7,7 @@
 use crate::state::Checkpoint;
 use std::net::SocketAddr;
 
-/// Least number of seconds between two polls of a replica.
+/// Minimum number of seconds between two polls of a replica.
 const MIN_POLL_INTERVAL: f64 = 0.1;
 
 impl Follower {
@@ -45,7 +45,7 @@
         self.make_progress();
     }
 
-    /// Returns whether it answers a pending poll.
+    /// Handles the reply to a pending poll; returns whether there was such a poll.
     fn on_poll_reply(&mut self, replica: usize, request_id: u64, result: PollResult) -> bool {
         let head = self.state.head();
         let source = &mut self.sources.all[replica];
@@ -55,7 +55,7 @@
         true
     }
 
-    /// Does what is due by time.
+    /// Handles all timers that are due.
     pub fn tick(&mut self, now: f64) {
         self.advance_to(now);
         self.sources.mark_silent(self.clock.now, self.timing.silence_timeout);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// When [`tick`](Self::tick) is due next, on the caller's clock.
+    /// When to call [`tick`](Self::tick) next, on the caller's clock.
     #[must_use]
     pub fn next_deadline(&self) -> f64 {
         let poll = self.sources.next_poll(self.clock.now);
@@ -81,7 +81,7 @@
         let request_id = self.random.rand_u64();
         let complete = self.snapshot_fetch.as_ref().and_then(|fetch| fetch.assembly.complete);
         let queried_number = complete.map_or(0, |checkpoint| checkpoint.head);
-        // Jitter, so that a thousand followers don't poll at the same time.
+        // Jitter keeps a thousand followers from polling at the same time.
         let next_at = now + self.timing.poll_interval * (0.8 + 0.4 * self.random.rand_float());
         let pending = PendingPoll { request_id, sent_at: now, queried_number };
         self.sources.all[replica].record_poll(pending, next_at);
@@ -96,7 +96,7 @@
         self.send(replica, poll);
     }
 
-    /// Does what follows from the present knowledge; called after each event.
+    /// Applies, verifies and installs whatever the reports received so far allow; called after each event.
     fn make_progress(&mut self) {
         let head = self.state.head();
         self.apply_confirmed();
@@ -104,12 +104,13 @@
         self.install_snapshot();
         if self.state.head() != head {
             self.clear_obsolete_apply_error();
-            // An early poll acknowledges what was applied.
+            // Polling early tells the replicas what was applied.
             self.poll_soon();
         }
         self.catch_up();
     }
 
+    /// Drops the apply error if its entry is no longer current.
     fn clear_obsolete_apply_error(&mut self) {
         let state = &self.state;
         let is_in_force =
@@ -117,7 +118,7 @@
         self.apply_error.take_if(|error| !is_in_force(error.number));
     }
 
-    /// Polls as soon as the least interval allows.
+    /// Polls as soon as [`MIN_POLL_INTERVAL`] allows.
     pub(super) fn poll_soon(&mut self) {
         self.sources.poll_soon(self.clock.now, MIN_POLL_INTERVAL);
     }
--- a/crates/config-log/src/follower/saved_state.rs
+++ b/crates/config-log/src/follower/saved_state.rs
@@ -1,11 +1,11 @@
-//! The stored form of a state: a BLAKE3 hash of 32 bytes, and a CBOR map that it covers.
+//! Encoding of a saved state: a BLAKE3 hash of 32 bytes, followed by the CBOR map that it covers.
 
 use crate::entry::Entry;
 use crate::state::State;
 use minicbor::Decode;
 use minicbor::encode::{Encoder, Error, Write};
 
-/// Size of the hash before the map, in bytes.
+/// Size of the leading hash, in bytes.
 const HASH_BYTES: usize = 32;
 
 #[derive(Decode)]
@@ -19,7 +19,7 @@
     entries: Vec<Entry>,
 }
 
-/// Reads a saved state; `None` if it is corrupt.
+/// Decodes a saved state; `None` if it is corrupt.
 pub(super) fn decode(saved: &[u8]) -> Option<State> {
     let (hash, body) = saved.split_at_checked(HASH_BYTES)?;
     if blake3::hash(body).as_bytes() != hash {
@@ -33,7 +33,7 @@
 
 pub(super) fn encode(state: &State) -> Vec<u8> {
     let mut saved = vec![0; HASH_BYTES];
-    // Writing into memory can't fail; if it did, the hash would not match and the next start would ignore the file.
+    // Writing to memory cannot fail. If it did, the hash would not match, and the next start would ignore the saved state.
     if write(state, &mut Encoder::new(&mut saved)).is_ok() {
         let hash = blake3::hash(&saved[HASH_BYTES..]);
         saved[..HASH_BYTES].copy_from_slice(hash.as_bytes());
@@ -41,7 +41,7 @@
     saved
 }
 
-/// Writes the same as an encoded [`SavedState`], without a copy of the entries.
+/// Writes the encoding of a [`SavedState`] without copying the entries.
 fn write<W: Write>(state: &State, encoder: &mut Encoder<W>) -> Result<(), Error<W::Error>> {
     encoder.map(3)?.u8(0)?.u64(state.head())?.u8(1)?.u64(state.digest())?;
     encoder.u8(2)?.array(state.iter().count() as u64)?;
--- a/crates/config-log/src/follower/snapshot_fetch.rs
+++ b/crates/config-log/src/follower/snapshot_fetch.rs
@@ -1,4 +1,5 @@
-//! Fetches a snapshot if the log is too far ahead, no longer reaches back, or disagrees with the state.
+//! Fetching of snapshots: when the follower is far behind, when the replicas no longer keep the entries that it lacks, or
+//! when its state contradicts the log.
 
 use super::state::{Follower, SnapshotFetch};
 use crate::entry::Entry;
@@ -6,35 +7,35 @@
 use crate::snapshot::{SnapshotAssembly, SnapshotPage};
 use crate::state::{Checkpoint, State};
 
-/// Entries behind from which on a snapshot is fetched: polls bring only a few entries at a time.
+/// A snapshot is fetched if more entries than this are missing: a poll brings only a few entries.
 const SNAPSHOT_DISTANCE: u64 = 64;
 
-/// Pages asked for at a time.
+/// Pages requested at a time.
 const PAGES_PER_FETCH: u8 = 8;
 
-/// Seconds between two requests for pages: 22 KB/s at most.
+/// Seconds between two requests for pages; limits a fetch to 22 KB/s.
 const FETCH_INTERVAL: f64 = 0.5;
 
-/// Seconds between two requests once the snapshot is complete and waits to be confirmed.
+/// Seconds between two requests while a complete snapshot waits for its digest to be confirmed.
 const COMPLETE_FETCH_INTERVAL: f64 = 2.0;
 
-/// Seconds after a poll within which a missing entry may still be pushed.
+/// Seconds from the last poll to the poll for a missing entry: a push may still deliver it meanwhile.
 const MISSING_ENTRY_DELAY: f64 = 0.25;
 
-/// Seconds without a reply of the source after which another replica is asked.
+/// Seconds without a poll reply from the source after which the fetch from it fails.
 const SOURCE_TIMEOUT: f64 = 3.0;
 
-/// Seconds for a fetch from one replica, doubled with each failure in a row.
+/// Seconds within which a fetch must be completed; doubled with each consecutive failure.
 const SNAPSHOT_TIMEOUT: f64 = 60.0;
 
-/// Bound on the number of doublings of that time.
+/// Maximum number of doublings of [`SNAPSHOT_TIMEOUT`].
 const MAX_TIMEOUT_DOUBLINGS: usize = 6;
 
-/// Least number of seconds between two rebuilds.
+/// Minimum number of seconds between two rebuilds.
 const REBUILD_INTERVAL: f64 = 30.0;
 
 impl Follower {
-    /// The state is not one of the log: fetches a complete snapshot.
+    /// Fetches a complete snapshot, because the state contradicts the log.
     pub(super) fn start_rebuild(&mut self) {
         let is_rebuilding = self.snapshot_fetch.as_ref().is_some_and(|fetch| fetch.is_rebuild);
         if self.clock.now < self.rebuild_allowed_at || is_rebuilding {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Starts a fetch from one of the followed replicas; from another one after each failure.
+    /// Starts a fetch from one of the followed replicas; each failure moves on to the next one.
     fn start_snapshot_fetch(&mut self, is_rebuild: bool) {
         let now = self.clock.now;
         let known_head = self.sources.known_head();
@@ -77,7 +78,7 @@
         }
     }
 
-    /// If entries are missing, polls soon, and fetches a snapshot if they are many or no longer kept one by one.
+    /// If entries are missing, polls soon, and fetches a snapshot if there are many or the replicas no longer keep them.
     pub(super) fn catch_up(&mut self) {
         let (known_head, head) = (self.sources.known_head(), self.state.head());
         if known_head <= head {
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Asks for the next pages. Once the snapshot is complete it asks whether there is more by now: the other replicas may
-    /// have advanced, and no longer know the digest at its number.
+    /// Requests the next pages. Once the snapshot is complete, it requests newer entries: the other replicas may have
+    /// advanced and no longer know the digest at the head of the snapshot.
     pub(super) fn continue_snapshot_fetch(&mut self) {
         let now = self.clock.now;
         let Some(fetch) = self.snapshot_fetch.as_mut() else { return };
@@ -121,7 +122,7 @@
         self.send(source, Message::Fetch { after, pages: PAGES_PER_FETCH, snapshot: true });
     }
 
-    /// Installs the snapshot if it is complete, and if enough replicas report the same digest at its number.
+    /// Installs the snapshot if it is complete and its digest is confirmed.
     pub(super) fn install_snapshot(&mut self) {
         let Some(fetch) = self.snapshot_fetch.as_ref() else { return };
         let head = self.state.head();
@@ -130,7 +131,7 @@
             return;
         };
         if !fetch.is_rebuild && checkpoint.head <= head {
-            // The state has advanced further in the meantime.
+            // The state has caught up with the snapshot in the meantime.
             self.snapshot_fetch = None;
             return;
         }
@@ -149,13 +150,14 @@
         }
     }
 
-    /// The digest of the state once the snapshot is installed.
+    /// The digest that the state would have after the snapshot is installed.
     fn digest_with(&self, fetch: &SnapshotFetch) -> u64 {
         let entries = &fetch.assembly.entries;
         if fetch.is_rebuild { State::default().digest_with(entries) } else { self.state.digest_with(entries) }
     }
 
-    /// The entries don't lead to the confirmed digest. In a rebuild the source is wrong; otherwise the state may be.
+    /// Discards a snapshot that does not lead to the confirmed digest. In a rebuild its source is wrong; otherwise this
+    /// state may be wrong, so it is rebuilt.
     fn reject_snapshot(&mut self) {
         let Some(fetch) = self.snapshot_fetch.as_ref() else { return };
         if fetch.is_rebuild {
--- a/crates/config-log/src/follower/source.rs
+++ b/crates/config-log/src/follower/source.rs
@@ -1,32 +1,32 @@
-//! One replica as a follower knows it.
+//! What a follower knows about one replica.
 
 use crate::entry::LoggedEntry;
 use crate::state::Checkpoint;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Numbers above the follower's head at which reported entries are kept.
+/// Reported entries are kept up to this many numbers above the follower's head.
 const MAX_ENTRIES_AHEAD: u64 = 256;
 
-/// Digests kept of each replica.
+/// Maximum number of digests kept for each replica.
 const MAX_DIGESTS: usize = 512;
 
-/// Seconds for which a replica is passed over after it contradicted the others.
+/// Seconds for which a replica is distrusted after it contradicted the others.
 const DISTRUST_DURATION: f64 = 60.0;
 
-/// Polls whose replies count.
+/// Maximum number of pending polls for each replica; replies to older ones are ignored.
 const MAX_PENDING_POLLS: usize = 16;
 
-/// A poll that was sent and not answered yet.
+/// A poll that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingPoll {
     pub request_id: u64,
     pub sent_at: f64,
-    /// The number whose digest was asked for, 0 for none.
+    /// The number whose digest was requested, 0 for none.
     pub queried_number: u64,
 }
 
-/// What a replica answered to a poll.
+/// The content of a replica's reply to a poll.
 pub(super) struct PollResult {
     pub checkpoint: Checkpoint,
     pub confirmed_age_ms: Option<u64>,
@@ -34,18 +34,20 @@
     pub entries: Vec<LoggedEntry>,
 }
 
-/// A statement of a replica that at a time nothing beyond its head was committed.
+/// A replica's statement that at the time `at` nothing beyond `head` was committed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConfirmedHead {
     pub at: f64,
     pub head: u64,
 }
 
+/// A replica, what it reported and when to poll it.
 #[derive(Clone, Debug)]
 pub(super) struct Source {
     pub address: SocketAddr,
+    /// When its last poll reply was received.
     pub last_received_at: Option<f64>,
-    /// When the oldest poll was sent that is still unanswered.
+    /// When the oldest unanswered poll was sent, or when this process resumed from a pause after that.
     pub unanswered_since: Option<f64>,
     pub is_silent: bool,
     distrusted_until: f64,
@@ -54,13 +56,13 @@
     pending_polls: VecDeque<PendingPoll>,
     pub head: u64,
     pub confirmed: Option<ConfirmedHead>,
-    /// Whether it is ahead and its log does not reach back to the follower's head.
+    /// Whether it is ahead of the follower but no longer keeps the entry after the follower's head.
     pub has_gap: bool,
-    /// Entries above the follower's head that it reported.
+    /// Entries above the follower's head that it reported, by number.
     pub entries: BTreeMap<u64, LoggedEntry>,
     /// Digests that it reported, by number.
     pub digests: BTreeMap<u64, u64>,
-    /// Times that it contradicted what enough others reported.
+    /// How often it contradicted what was confirmed.
     pub conflicts: u64,
 }
 
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Records a poll that is sent now, and when the next one is due.
+    /// Records a poll that is being sent, and when the next one is due.
     pub fn record_poll(&mut self, poll: PendingPoll, next_at: f64) {
         if self.pending_polls.len() == MAX_PENDING_POLLS {
             self.pending_polls.pop_front();
@@ -95,13 +97,13 @@
         self.pending_polls.push_back(poll);
     }
 
-    /// The pending poll with that id. It, and all that were sent before it, are not pending any more.
+    /// Removes and returns the pending poll with this id. Polls that were sent before it are dropped too.
     pub fn take_pending_poll(&mut self, request_id: u64) -> Option<PendingPoll> {
         let index = self.pending_polls.iter().position(|poll| poll.request_id == request_id)?;
         self.pending_polls.drain(..=index).next_back()
     }
 
-    /// Records the reply to a poll, except for its entries.
+    /// Records a poll reply, except for its entries.
     pub fn record_reply(&mut self, now: f64, own_head: u64, poll: PendingPoll, reply: &PollResult) {
         let Checkpoint { head, digest } = reply.checkpoint;
         self.last_received_at = Some(now);
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Records a reported entry; those at or too far beyond the follower's head are ignored.
+    /// Records a reported entry unless it is already applied or too far ahead of the follower's head.
     pub fn record_entry(&mut self, own_head: u64, logged: LoggedEntry) {
         let number = logged.entry.number;
         if number <= own_head || number > own_head + MAX_ENTRIES_AHEAD {
@@ -128,7 +130,8 @@
         self.entries.insert(number, logged);
     }
 
-    /// Drops the lowest numbers beyond the bound, so a replica that reports many invented ones loses only its own.
+    /// Records a reported digest. Beyond [`MAX_DIGESTS`] the lowest number is dropped; a replica that reports many made-up
+    /// numbers only displaces its own digests.
     fn record_digest(&mut self, number: u64, digest: u64) {
         self.digests.insert(number, digest);
         if self.digests.len() > MAX_DIGESTS {
@@ -136,7 +139,8 @@
         }
     }
 
-    /// Forgets what it reported, and passes it over for a while.
+    /// Discards what the replica reported and distrusts it for [`DISTRUST_DURATION`]: it is followed only if there are not
+    /// enough others.
     pub fn distrust(&mut self, now: f64) {
         self.conflicts += 1;
         self.distrusted_until = now + DISTRUST_DURATION;
--- a/crates/config-log/src/follower/sources.rs
+++ b/crates/config-log/src/follower/sources.rs
@@ -1,32 +1,34 @@
-//! All replicas as a follower knows them: which it follows, and when it polls them.
+//! All replicas that a follower knows: which of them it follows, and when it polls them.
 
 use super::source::Source;
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Replicas that a follower follows: with one silent and one faulty, the third and the next one soon agree.
+/// Number of replicas that a follower follows. With one of them silent and one faulty, the silent one is soon replaced by
+/// the next in order of preference, which together with the third confirms what it reports.
 const FOLLOWED_REPLICAS: usize = 3;
 
-/// Replicas that must report the same; one, if there is only one.
+/// Number of replicas whose reports must be identical; one if there is only one replica.
 const REQUIRED_REPORTS: usize = 2;
 
-/// Seconds between two polls of a silent replica that is passed over.
+/// Seconds between two polls of a silent replica that is not followed, to notice when it is back.
 const SILENT_PROBE_INTERVAL: f64 = 5.0;
 
+/// All replicas, and the order in which this follower prefers them.
 #[derive(Clone, Debug)]
 pub(super) struct Sources {
     /// By index of the replica.
     pub all: Vec<Source>,
     /// Indexes of the replicas in this follower's order of preference.
     preference_order: Vec<usize>,
-    /// Number of replicas that must report the same.
+    /// Number of replicas whose reports must be identical.
     pub required_reports: usize,
 }
 
 impl Sources {
-    /// The order of preference is by rendezvous hashing: each follower has its own, so that the followers of a replica that
-    /// falls silent spread evenly over the others.
+    /// The order of preference comes from rendezvous hashing and differs between followers, so that when a replica falls
+    /// silent its followers spread evenly over the others.
     pub fn new(name: &str, replicas: Vec<SocketAddr>, now: f64) -> Self {
         let weight = |replica: &usize| xxh3_64(format!("{name} {}", replicas[*replica]).as_bytes());
         let mut preference_order: Vec<usize> = (0..replicas.len()).collect();
@@ -36,7 +38,8 @@
         Self { all, preference_order, required_reports }
     }
 
-    /// The replicas to follow: by preference, first those that are neither silent nor distrusted, then the silent ones.
+    /// The replicas to follow, by preference: first those that are neither silent nor distrusted, then silent ones, and
+    /// distrusted ones last.
     pub fn followed(&self, now: f64) -> Vec<usize> {
         let mut order = self.preference_order.clone();
         order.sort_by_key(|replica| {
@@ -51,20 +54,20 @@
         self.all.iter().position(|source| source.address == address)
     }
 
-    /// Marks replicas as silent that did not answer for `timeout` seconds.
+    /// Marks replicas as silent that have not answered for `timeout` seconds.
     pub fn mark_silent(&mut self, now: f64, timeout: f64) {
         for source in &mut self.all {
             source.is_silent |= source.unanswered_since.is_some_and(|since| now >= since + timeout);
         }
     }
 
-    /// The process was paused; that no reply was received meanwhile is no one's silence.
+    /// Restarts the silence timeouts after a pause of this process, during which no reply could be received.
     pub fn reset_after_pause(&mut self, now: f64) {
         let unanswered = self.all.iter_mut().filter(|source| source.unanswered_since.is_some());
         unanswered.for_each(|source| source.unanswered_since = Some(now));
     }
 
-    /// The replicas to poll now: followed ones, and from time to time silent ones.
+    /// The replicas to poll now: followed ones, and occasionally silent ones.
     pub fn due(&self, now: f64) -> Vec<usize> {
         let followed = self.followed(now);
         (0..self.all.len()).filter(|replica| self.poll_time(*replica, &followed) <= now).collect()
@@ -103,12 +106,12 @@
         }
     }
 
-    /// Forgets what a replica reported, and passes it over for a while.
+    /// Discards what a replica reported and distrusts it for a while.
     pub fn distrust(&mut self, replica: usize, now: f64) {
         self.all[replica].distrust(now);
     }
 
-    /// Drops reported entries up to `head`, which are in force.
+    /// Drops reported entries up to `head`, which are applied.
     pub fn discard_through(&mut self, head: u64) {
         for source in &mut self.all {
             source.entries = source.entries.split_off(&(head + 1));
--- a/crates/config-log/src/follower/state.rs
+++ b/crates/config-log/src/follower/state.rs
@@ -1,4 +1,4 @@
-//! The data of a follower, and its queue of messages.
+//! The data of a follower, its start, and its queue of outgoing messages.
 
 use super::saved_state;
 use super::sources::Sources;
@@ -13,37 +13,38 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Messages that may wait to be sent; more are dropped as if they were lost in the network.
+/// Maximum number of queued messages; further ones are dropped, as if they were lost in the network.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// What a follower is started with, beside its saved state.
+/// Configuration of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerConfig {
-    /// Name by which operators know the gateway; cut at [`MAX_FOLLOWER_NAME_BYTES`].
+    /// Name of the gateway as operators see it; truncated to [`MAX_FOLLOWER_NAME_BYTES`].
     pub name: String,
     /// Addresses of all replicas.
     pub replicas: Vec<SocketAddr>,
     /// Intervals and timeouts.
     pub timing: Timing,
-    /// Seed of the random numbers; another one at each start.
+    /// Seed of the random number generator; must differ at each start.
     pub seed: u64,
 }
 
 /// A snapshot that is being fetched from one replica.
 #[derive(Clone, Debug)]
 pub(super) struct SnapshotFetch {
+    /// Index of the replica.
     pub source: usize,
-    /// Whether it replaces the complete state; otherwise it extends it.
+    /// Whether the snapshot replaces the complete state; otherwise it extends the state.
     pub is_rebuild: bool,
     pub assembly: SnapshotAssembly,
-    /// When it is given up.
+    /// When the fetch is abandoned.
     pub expires_at: f64,
-    /// When the next pages are asked for.
+    /// When the next pages are requested.
     pub fetch_at: f64,
 }
 
-/// The side of a gateway. It is given each received message and the current time, and yields messages to send and entries
-/// to apply.
+/// A follower of the log, for use in a gateway. It takes each received message and the current time, and yields messages
+/// to send and entries for the gateway to apply.
 #[derive(Clone, Debug)]
 pub struct Follower {
     pub(super) name: String,
@@ -55,14 +56,14 @@
     pub(super) snapshot_fetch: Option<SnapshotFetch>,
     /// When the state last changed.
     pub(super) changed_at: f64,
-    /// Snapshot fetches that failed in a row.
+    /// Consecutive failed snapshot fetches.
     pub(super) failed_fetches: usize,
     /// Earliest time of the next rebuild.
     pub(super) rebuild_allowed_at: f64,
     pub(super) rebuilds: u64,
-    /// Number up to which the gateway was given the entries.
+    /// Number up to which entries were handed to the gateway.
     pub(super) delivered: u64,
-    /// Removals of keys that should never have been in force, for the next batch of updates.
+    /// Removals, for the next batch of updates, of keys that the replaced state had and the current one does not.
     pub(super) removals: Vec<Entry>,
     pub(super) apply_error: Option<ApplyError>,
     pub(super) outgoing: VecDeque<OutgoingMessage>,
@@ -70,8 +71,8 @@
 }
 
 impl Follower {
-    /// Starts a follower. `saved` is what [`save`](Self::save) returned; it is in force at once and is the first batch of
-    /// [`take_updates`](Self::take_updates). If it is corrupt, it is ignored.
+    /// Starts a follower. `saved` is a state that [`save`](Self::save) returned; it takes effect at once and is the first
+    /// batch of [`take_updates`](Self::take_updates). A corrupt one is ignored.
     #[must_use]
     pub fn new(config: FollowerConfig, now: f64, saved: Option<&[u8]>) -> Self {
         let FollowerConfig { name, replicas, timing, seed } = config;
@@ -96,20 +97,20 @@
         }
     }
 
-    /// The configuration in force at this gateway.
+    /// The current configuration at this gateway.
     #[must_use]
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// What is in force, for the next start. Needs as much memory again as keys and texts take.
+    /// Encodes the current state for the next start. The result takes about as much memory as all keys and texts.
     #[must_use]
     pub fn save(&self) -> Vec<u8> {
         saved_state::encode(&self.state)
     }
 
-    /// Reports that the gateway could not apply an entry; each poll reports it to the replicas. The latest report is kept
-    /// until another entry is in force under its key.
+    /// Records that the gateway could not apply an entry; each poll reports it to the replicas. Only the latest error is
+    /// kept, until its entry is no longer the current one of its key.
     pub fn report_apply_error(&mut self, number: u64, reason: String) {
         self.apply_error = Some(ApplyError { number, reason: truncated(reason, MAX_APPLY_ERROR_BYTES) });
     }
@@ -130,7 +131,7 @@
     }
 }
 
-/// The longest prefix that has at most `max_bytes`.
+/// Truncates a text to at most `max_bytes` at a character boundary.
 fn truncated(mut text: String, max_bytes: usize) -> String {
     while text.len() > max_bytes {
         text.pop();
--- a/crates/config-log/src/follower/status.rs
+++ b/crates/config-log/src/follower/status.rs
@@ -1,11 +1,11 @@
-//! The view of a follower for operators.
+//! The status of a follower for operators.
 
 use super::source::Source;
 use super::state::Follower;
 use crate::view::{FollowerView, ReplicaStatus};
 
 impl Follower {
-    /// What this follower knows.
+    /// The status of this follower.
     #[must_use]
     pub fn view(&self, now: f64) -> FollowerView {
         let mut clock = self.clock;
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -1,16 +1,16 @@
 //! Replicated log of configuration changes: a state machine without sockets, files, threads or clocks.
 //!
-//! One to seven control machines agree on the order of changes by Multi-Paxos (Lamport, "The Part-Time Parliament", ACM
-//! TOCS 1998; "Paxos Made Simple", ACM SIGACT News 2001), and every gateway follows some of them.
+//! One to seven replicas, each on a control machine, agree on the order of changes by Multi-Paxos (Lamport, "The Part-Time
+//! Parliament", ACM TOCS 1998; "Paxos Made Simple", ACM SIGACT News 2001). Every gateway follows some of the replicas.
 //!
-//! - A [`Replica`] is a control machine. It is given each received message and the current time, and yields the records
-//!   to store and the messages to send. [`DurableReplica`] combines it with a log file that may fail.
-//! - A [`Follower`] is the side of a gateway. It applies what at least two replicas report alike, in order, and knows how
-//!   old its knowledge is; one faulty replica can neither mislead nor delay it.
-//! - A [`message::Message`] is sealed with a key that all machines of the cluster share.
-//! - A [`State`] holds the configuration in force: the latest entry under each key.
+//! - A [`Replica`] takes each received message and the current time, and yields the records to store and the messages to
+//!   send. [`DurableReplica`] combines it with a log file and handles storage failures.
+//! - A [`Follower`] runs in a gateway. It applies entries in order once two replicas report the same entry (one, if there
+//!   is only one replica), and knows how old its state may be; a single faulty replica can neither mislead nor delay it.
+//! - A [`message::Message`] is sent as a datagram that is authenticated with a key shared by the whole cluster.
+//! - A [`State`] holds the current configuration: the latest entry for each key.
 //!
-//! All times are seconds of the caller's clock, as `f64`; it may start anywhere and may be stepped back.
+//! All times are seconds of the caller's clock, as `f64`. That clock may have any origin and may be stepped back.
 
 pub mod entry;
 pub mod message;
--- a/crates/config-log/src/message/ballot.rs
+++ b/crates/config-log/src/message/ballot.rs
@@ -7,7 +7,7 @@
 /// Low bits of a ballot that hold the index of its owner.
 const OWNER_BITS: u32 = 3;
 
-/// A ballot number. Its low three bits are the index of the replica that owns it, so no two replicas share one.
+/// A ballot number. Its low three bits are the index of the replica that owns it, so two replicas never share a ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct Ballot(#[n(0)] pub u64);
@@ -30,7 +30,7 @@
     }
 }
 
-/// A proposal that an acceptor accepted, or is asked to accept: a change at a number under a ballot.
+/// A proposal that an acceptor has accepted or is asked to accept: a change at a number, under a ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(map)]
 pub struct Vote {
--- a/crates/config-log/src/message/kinds.rs
+++ b/crates/config-log/src/message/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of messages. The numbers of kinds and fields are the wire form and never change their meaning.
+//! The kinds of messages. The numbers of kinds and fields are part of the wire format and never change their meaning.
 
 use super::ballot::{Ballot, Vote};
 use super::limits::{
@@ -14,7 +14,7 @@
 pub struct OutgoingMessage {
     /// Address of the receiver.
     pub to: SocketAddr,
-    /// What to send.
+    /// The message.
     pub message: Message,
 }
 
@@ -35,47 +35,47 @@
         /// Id of the change.
         #[n(0)]
         id: u64,
-        /// What became of it.
+        /// Its outcome.
         #[n(1)]
         outcome: Outcome,
     },
-    /// Asks for the entry in force under a key.
+    /// Requests the current entry of a key.
     #[n(3)]
     Get {
         /// The key.
         #[n(0)]
         key: String,
     },
-    /// Answer to [`Get`](Self::Get).
+    /// Reply to [`Get`](Self::Get).
     #[n(4)]
     GetReply {
-        /// The key that was asked for.
+        /// The requested key.
         #[n(0)]
         key: String,
-        /// Number of the entry in force under it; 0 if there never was one.
+        /// Number of its current entry; 0 if it never had one.
         #[n(1)]
         number: u64,
-        /// Its text; `None` if there is none now.
+        /// Its text; `None` if it has none.
         #[n(2)]
         text: Option<String>,
-        /// Head of the replica that answers.
+        /// Head of the replica that replies.
         #[n(3)]
         head: u64,
-        /// Milliseconds since a majority knew of nothing beyond `head`; `None` if that never was so.
+        /// Milliseconds since a majority confirmed that nothing beyond `head` was committed; `None` if it never did.
         #[n(4)]
         confirmed_age_ms: Option<u64>,
     },
-    /// An operator asks for a page of a replica's view. All pages of one query show the same moment.
+    /// An operator requests a page of a replica's status. All pages of one query come from the same report.
     #[n(5)]
     StatusRequest {
-        /// Id of the query, drawn by the operator's program.
+        /// Id of the query, chosen by the operator's program.
         #[n(0)]
         query_id: u64,
         /// Index of the page, from 0.
         #[n(1)]
         page: u32,
     },
-    /// A page of the view as JSON.
+    /// A page of the status report, which is JSON.
     #[n(6)]
     StatusPage {
         /// Id of the query.
@@ -87,17 +87,18 @@
         /// Number of pages.
         #[n(2)]
         page_count: u32,
-        /// The part of the JSON text that is on this page.
+        /// This page's part of the JSON text.
         #[cbor(n(3), with = "minicbor::bytes")]
         bytes: Vec<u8>,
     },
-    /// Phase 1a of Paxos: a replica wants to lead under this ballot.
+    /// Phase 1a of Paxos: a replica asks for promises to lead under this ballot.
     #[n(7)]
     Prepare {
         /// The ballot.
         #[n(0)]
         ballot: Ballot,
-        /// Random id that the answer returns, so that an answer to a former process under the same ballot is ignored.
+        /// Random id that the reply repeats, so that replies to an earlier process of the sender, which may have used the
+        /// same ballot, are ignored.
         #[n(1)]
         attempt: u64,
     },
@@ -107,19 +108,19 @@
         /// The promised ballot.
         #[n(0)]
         ballot: Ballot,
-        /// Id of the attempt, from [`Prepare`](Self::Prepare).
+        /// The id from [`Prepare`](Self::Prepare).
         #[n(1)]
         attempt: u64,
-        /// `false` if the sender lost its disk and therefore promises nothing.
+        /// `false` if the sender lost its disk and therefore cannot promise anything.
         #[n(2)]
         votes: bool,
         /// Head of the sender.
         #[n(3)]
         head: u64,
-        /// All numbers above its head at which the sender accepted a proposal.
+        /// All numbers above its head at which the sender has accepted a proposal.
         #[n(4)]
         slots: Vec<u64>,
-        /// The proposal accepted at one of these numbers; there is one message for each.
+        /// The proposal accepted at one of these numbers; one message is sent for each.
         #[n(5)]
         vote: Option<Vote>,
     },
@@ -130,7 +131,7 @@
         #[n(0)]
         vote: Vote,
     },
-    /// Phase 2b of Paxos: the sender accepted the proposal of that ballot at that number.
+    /// Phase 2b of Paxos: the sender accepted the proposal under this ballot at this number.
     #[n(10)]
     Accepted {
         /// The ballot of the proposal.
@@ -140,24 +141,24 @@
         #[n(1)]
         number: u64,
     },
-    /// Negative answer to a prepare or accept request: the sender promised this higher ballot.
+    /// Rejection of a prepare or accept request: the sender has promised this higher ballot.
     #[n(11)]
     Preempted {
         /// The higher ballot.
         #[n(0)]
         ballot: Ballot,
     },
-    /// A replica reports its progress and asks for that of the receiver.
+    /// A replica reports its progress and requests that of the receiver.
     #[n(12)]
     Heartbeat {
-        /// Id that the answer returns.
+        /// Id that the reply repeats.
         #[n(0)]
         request_id: u64,
         /// Progress of the sender.
         #[n(1)]
         progress: Progress,
     },
-    /// Answer to [`Heartbeat`](Self::Heartbeat).
+    /// Reply to [`Heartbeat`](Self::Heartbeat).
     #[n(13)]
     HeartbeatReply {
         /// Id of the heartbeat.
@@ -167,31 +168,31 @@
         #[n(1)]
         progress: Progress,
     },
-    /// Asks for what follows a number. The answer is [`LogEntries`](Self::LogEntries), or
+    /// Requests what follows a number. The reply is [`LogEntries`](Self::LogEntries), or
     /// [`SnapshotPage`](Self::SnapshotPage)s if the log does not reach back that far.
     #[n(14)]
     Fetch {
         /// The number after which entries are missing.
         #[n(0)]
         after: u64,
-        /// Largest number of messages in answer.
+        /// Maximum number of messages in reply.
         #[n(1)]
         pages: u8,
-        /// Whether pages of the snapshot are wanted in any case.
+        /// Whether to send snapshot pages even if the log reaches back that far.
         #[n(2)]
         snapshot: bool,
     },
     /// Consecutive entries of the log.
     #[n(15)]
     LogEntries {
-        /// The entries, each with the digest after it.
+        /// The entries, each with the digest of the state after it.
         #[n(0)]
         entries: Vec<LoggedEntry>,
     },
-    /// A page of the compacted log: all entries in force with numbers above `after` up to `through`.
+    /// A page of the compacted log: all current entries with numbers above `after` and up to `through`.
     #[n(16)]
     SnapshotPage {
-        /// The page follows this number.
+        /// The number that the page follows.
         #[n(0)]
         after: u64,
         /// Last number of the page; equal to `head` on the last page.
@@ -207,7 +208,7 @@
         #[n(4)]
         digest: u64,
     },
-    /// A follower reports its state and asks for news.
+    /// A follower reports its state and requests newer entries.
     #[n(17)]
     Poll {
         /// Name of the follower.
@@ -219,17 +220,17 @@
         /// Digest of its state.
         #[n(2)]
         digest: u64,
-        /// A number whose digest it wants to know; 0 for none.
+        /// A number whose digest it requests; 0 for none.
         #[n(3)]
         queried_number: u64,
-        /// Id that the answer returns.
+        /// Id that the reply repeats.
         #[n(4)]
         request_id: u64,
         /// The latest entry that its gateway could not apply.
         #[n(5)]
         apply_error: Option<ApplyError>,
     },
-    /// Answer to [`Poll`](Self::Poll).
+    /// Reply to [`Poll`](Self::Poll).
     #[n(18)]
     PollReply {
         /// Id of the poll.
@@ -241,13 +242,13 @@
         /// Digest of its state.
         #[n(2)]
         digest: u64,
-        /// Milliseconds since a majority knew of nothing beyond `head`; `None` if that never was so.
+        /// Milliseconds since a majority confirmed that nothing beyond `head` was committed; `None` if it never did.
         #[n(3)]
         confirmed_age_ms: Option<u64>,
         /// The digest at the queried number, if it is known.
         #[n(4)]
         queried_digest: Option<u64>,
-        /// The entries that follow the follower's head, as many as fit; none if the log does not reach back that far.
+        /// The entries after the follower's head, as many as fit; none if the log does not reach back that far.
         #[n(5)]
         entries: Vec<LoggedEntry>,
     },
@@ -258,25 +259,25 @@
         #[n(0)]
         logged: LoggedEntry,
     },
-    /// A control machine does not take an author's change because its configuration cannot hold it. Only authors read
-    /// this.
+    /// Rejection of an author's change by a control machine, because the change is invalid in the configuration. Sent to
+    /// authors only.
     #[n(20)]
     ChangeDenied {
         /// Id of the change.
         #[n(0)]
         id: u64,
-        /// Why, in plain text.
+        /// Reason of the rejection, in plain text.
         #[n(1)]
         reason: String,
     },
 }
 
-/// The highest number of a kind that this program knows.
+/// Highest number of a message kind that this release knows.
 pub(super) const LAST_KIND: u32 = 20;
 
 impl Message {
-    /// Whether all fields are within their bounds. The change of [`Propose`](Self::Propose) may exceed them: its author
-    /// gets [`Outcome::TooLarge`].
+    /// Whether all fields are within their bounds. The change in [`Propose`](Self::Propose) is not checked here: one that
+    /// is too large is answered with [`Outcome::TooLarge`].
     #[must_use]
     pub fn fits(&self) -> bool {
         match self {
--- a/crates/config-log/src/message/parts.rs
+++ b/crates/config-log/src/message/parts.rs
@@ -1,10 +1,10 @@
-//! Values that messages carry.
+//! Types of message fields.
 
 use super::ballot::Ballot;
 use minicbor::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// How far a replica has come.
+/// A replica's position in the log, as reported to the other replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(map)]
 pub struct Progress {
@@ -14,33 +14,34 @@
     /// Digest of the state at `head`.
     #[n(1)]
     pub digest: u64,
-    /// Highest number at which it accepted a proposal, or `head` if that is higher.
+    /// Highest number at which it has accepted a proposal, or `head` if that is higher.
     #[n(2)]
     pub highest_accepted: u64,
     /// Highest ballot that it knows of.
     #[n(3)]
     pub ballot: Ballot,
-    /// Whether it votes; a replica that lost its disk does not before it is readmitted.
+    /// Whether it votes. A replica that lost its disk does not until it is readmitted, nor does one whose storage fails.
     #[n(4)]
     pub votes: bool,
 }
 
-/// What became of a proposed change.
+/// The outcome of a proposed change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Outcome {
-    /// Chosen at that number, and in force from there on.
+    /// Chosen at this number, where it took effect.
     #[n(0)]
     Committed(#[n(0)] u64),
-    /// Another entry was in force under the key (its number, 0 for none), so the change has no effect and never will.
+    /// Another entry is the current one of the key (this is its number, 0 for none), so the change has no effect and never
+    /// will.
     #[n(1)]
     Superseded(#[n(0)] u64),
-    /// Not known in time: the change may yet be committed, or never. It can be proposed again with the same id.
+    /// Not known in time: the change may or may not be committed later. It can be proposed again with the same id.
     #[n(2)]
     Unknown,
-    /// Key or text exceeds its bound.
+    /// The key or the text exceeds its maximum size.
     #[n(3)]
     TooLarge,
-    /// There is no room for another key, or for that much text.
+    /// The configuration has no room for another key, or for the text.
     #[n(4)]
     Full,
     /// Too many changes are pending at this replica; the change was not proposed.
@@ -51,7 +52,7 @@
     EmptyKey,
 }
 
-/// The report of a follower that its gateway could not apply an entry. In JSON it is a pair of number and reason.
+/// A follower's report that its gateway could not apply an entry. In JSON it is an array of number and reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode, Serialize, Deserialize)]
 #[cbor(map)]
 #[serde(from = "(u64, String)", into = "(u64, String)")]
--- a/crates/config-log/src/message/sealing.rs
+++ b/crates/config-log/src/message/sealing.rs
@@ -1,4 +1,4 @@
-//! Messages as authenticated datagrams.
+//! Encoding of messages as authenticated datagrams, and decoding.
 
 use super::kinds::{LAST_KIND, Message};
 use milletpath_sealed_datagram as sealed_datagram;
@@ -6,28 +6,28 @@
 use std::convert::Infallible;
 use thiserror::Error;
 
-/// The protocol version that is written. All versions from 1 on are read.
+/// The protocol version that is written. Versions from 1 on are accepted.
 pub const VERSION: u8 = 1;
 
-/// Separates this protocol's keys from those of others that are derived from the same secret.
+/// Key derivation context; separates this protocol's key from others that are derived from the same secret.
 const KEY_CONTEXT: &str = "milletpath 2026-12 changes of configuration";
 
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OpenError {
-    /// Larger than [`MAX_DATAGRAM_BYTES`](super::MAX_DATAGRAM_BYTES), or too small for a tag.
+    /// Larger than [`MAX_DATAGRAM_BYTES`](super::MAX_DATAGRAM_BYTES), or too small to be a message.
     #[error("no message has this size")]
     InvalidSize,
-    /// A version that this program does not read.
+    /// The version is not supported.
     #[error("its version {0} is not read here")]
     UnsupportedVersion(u8),
-    /// Sealed with another key, or changed in transit. Give all programs of the cluster the same key.
+    /// Sealed with another key, or modified in transit. All programs of a cluster need the same key.
     #[error("its seal is of another key")]
     InvalidTag,
-    /// Authentic, but of a kind that this program does not know.
+    /// Authentic, but of a message kind that this release does not know.
     #[error("its kind {0} is not known here")]
     UnknownKind(u32),
-    /// Authentic, but malformed or out of bounds.
+    /// Authentic, but the body is malformed or a field is out of bounds.
     #[error("it can't be read")]
     InvalidBody,
 }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Key for authenticating messages, derived from a secret that control machines, gateways and authors share.
+/// Key for authenticating messages, derived from a secret shared by control machines, gateways and authors.
 #[derive(Clone, Debug)]
 pub struct Key(sealed_datagram::Key);
 
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 ///
-/// An [`OpenError`] if the datagram is not authentic, of an unknown version or kind, malformed or out of bounds.
+/// An [`OpenError`] if the datagram is not authentic, has an unsupported version or kind, or has an invalid body.
 pub fn open(key: &Key, datagram: &[u8]) -> Result<Message, OpenError> {
     let body = key.0.open(datagram)?;
     let mut decoder = Decoder::new(body);
