--- a/crates/config-log/src/message.rs
+++ b/crates/config-log/src/message.rs
@@ -1,9 +1,9 @@
 //! Messages between authors (the clients that propose changes), replicas and followers, and their encoding as
 //! authenticated datagrams.
 //!
-//! A datagram consists of a version byte, an authentication tag of 16 bytes (a keyed hash over version and body) and a CBOR
-//! body with numbered fields. Unknown fields are skipped, unknown kinds are rejected, and numbers are never reused for
-//! another meaning, so old and new releases can run side by side.
+//! A datagram consists of a version byte, an authentication tag of 16 bytes (a keyed hash over version and body) and a
+//! CBOR body with numbered fields. Unknown fields are skipped, unknown kinds are rejected, and numbers are never reused
+//! for another meaning, so old and new releases can run side by side.
 
 mod ballot;
 mod kinds;
--- a/crates/config-log/src/replica.rs
+++ b/crates/config-log/src/replica.rs
@@ -1,9 +1,10 @@
-//! A control machine as a state machine: a Multi-Paxos replica that is proposer, acceptor and learner at once.
+//! A Multi-Paxos replica, which is proposer, acceptor and learner at once, as a state machine.
 //!
-//! `state` holds the data; the other modules with `impl Replica` hold one task each: `protocol` dispatches messages and
-//! timers, `heartbeats` exchanges progress, `election` and `proposing` are the proposer, `voting` is the acceptor,
-//! `learning` and `catching_up` are the learner, `proposals` answers authors, `serving` answers followers, `status`
-//! answers operators, and `durability` handles what must be stored.
+//! `state` holds the data of a replica. Each other module with an `impl Replica` has one task: `protocol` dispatches
+//! messages and timers, `heartbeats` exchanges progress, `election` and `proposing` are the proposer, `voting` is the
+//! acceptor, `learning` and `catching_up` are the learner, `proposals` answers authors, `serving` answers followers,
+//! `status` answers operators, and `durability` handles records and storage failures. The remaining modules are the data
+//! structures that these use.
 
 mod acceptor;
 mod catch_up;
--- a/crates/config-log/src/replica/acceptor.rs
+++ b/crates/config-log/src/replica/acceptor.rs
@@ -1,37 +1,39 @@
-//! The acceptor's state. What it promises and accepts binds it forever, also after a restart, so every change of it is
+//! The acceptor's state. Promises and accepted proposals stay binding across restarts, so every change of this state is
 //! stored before any message that depends on it is sent.
 
 use crate::entry::Change;
 use crate::message::{Ballot, Vote};
 use std::collections::BTreeMap;
 
-/// Numbers above its head at which a replica accepts proposals; a leader has half as many open at a time.
+/// A replica accepts proposals up to this many numbers above its head; a leader has half as many in flight.
 pub(super) const ACCEPT_WINDOW: u64 = 64;
 
+/// The promise and the votes of an acceptor.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Acceptor {
-    /// Nothing below this ballot is accepted any more.
+    /// Proposals under lower ballots are rejected.
     pub promised: Ballot,
-    /// The attempt that was promised under that ballot; `None` after a restart, as it is not stored.
+    /// The attempt to which that ballot was promised; `None` after a restart, as it is not stored, and if the ballot was
+    /// raised by an accept request.
     attempt: Option<u64>,
-    /// Proposals accepted at numbers that are not known to be chosen.
+    /// Accepted proposals by number, for numbers that are not yet applied.
     pub votes: BTreeMap<u64, Vote>,
 }
 
-/// An acceptor's answer to a proposer.
+/// An acceptor's response to a proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptorResponse {
-    /// Agreed; the change of state must be stored.
+    /// Promised or accepted; the state changed and must be stored.
     New,
-    /// Agreed before.
+    /// Promised or accepted before; the state did not change.
     Repeated,
-    /// Refused because of a higher promise.
+    /// Rejected because of the current promise.
     Rejected,
 }
 
 impl Acceptor {
-    /// Phase 1. Of two attempts under one ballot only the first is promised: the second is of a process that forgot the
-    /// first.
+    /// Phase 1. Of two attempts under the same ballot only the first gets a promise: the second comes from a process that
+    /// restarted and no longer knows of the first.
     pub fn prepare(&mut self, ballot: Ballot, attempt: u64) -> AcceptorResponse {
         if ballot > self.promised {
             (self.promised, self.attempt) = (ballot, Some(attempt));
@@ -59,13 +61,13 @@
         AcceptorResponse::New
     }
 
-    /// The change accepted at `number` under `ballot` or a later one. If `ballot` was chosen there, all later ballots
-    /// propose the same change.
+    /// The change accepted at `number` under `ballot` or a later one. If the proposal under `ballot` was chosen, all later
+    /// ballots propose the same change.
     pub fn value_at(&self, number: u64, ballot: Ballot) -> Option<&Change> {
         self.votes.get(&number).filter(|vote| vote.ballot >= ballot).map(|vote| &vote.change)
     }
 
-    /// Drops votes up to `head`, where all is chosen.
+    /// Drops votes up to `head`, which are applied.
     pub fn discard_through(&mut self, head: u64) {
         self.votes = self.votes.split_off(&(head + 1));
     }
--- a/crates/config-log/src/replica/catching_up.rs
+++ b/crates/config-log/src/replica/catching_up.rs
@@ -1,4 +1,4 @@
-//! How a replica obtains from others what it missed: entries of the log, or a snapshot if the log does not reach back.
+//! Fetches missing entries from other replicas, or a snapshot if their logs no longer reach back far enough.
 
 use super::catch_up::SnapshotFetch;
 use super::record::Record;
@@ -8,13 +8,13 @@
 use crate::snapshot::{PageOutcome, SnapshotAssembly, SnapshotPage};
 use crate::state::Checkpoint;
 
-/// Pages that are asked for at a time.
+/// Messages requested at a time.
 const PAGES_PER_FETCH: u8 = 8;
 
-/// Least number of seconds between two fetches, however fast pages arrive.
+/// Minimum number of seconds between two fetches, however fast pages arrive.
 const MIN_FETCH_INTERVAL: f64 = 0.05;
 
-/// Seconds without a message after which a replica is not fetched from if another one can be.
+/// Seconds without a message after which a replica is fetched from only if no other can be.
 const SOURCE_TIMEOUT: f64 = 1.0;
 
 impl Replica {
@@ -23,14 +23,14 @@
         last.is_some_and(|at| self.clock.now - at < SOURCE_TIMEOUT)
     }
 
-    /// The replica with the highest head beyond the own one; one that sent something recently comes first.
+    /// The replica with the highest head, if that is beyond this replica's; one with recent contact is preferred.
     fn most_advanced_replica(&self) -> Option<usize> {
         let head_of = |replica: usize| self.peers[replica].progress.head;
         let advanced = (0..self.peers.len()).filter(|replica| head_of(*replica) > self.head());
         advanced.max_by_key(|replica| (self.has_recent_contact(*replica), head_of(*replica)))
     }
 
-    /// Asks for what is missing, if anything is and a fetch is due.
+    /// Requests missing entries or snapshot pages if a fetch is due.
     pub(super) fn fetch_missing(&mut self) {
         let Some(most_advanced) = self.most_advanced_replica() else {
             self.catch_up.snapshot = None;
@@ -59,8 +59,8 @@
         self.catch_up.fetch_at = self.catch_up.fetch_at.min(self.clock.now + MIN_FETCH_INTERVAL);
     }
 
-    /// Appends chosen entries that another replica sent. They are late, so they are not pushed to followers, which had
-    /// them from other replicas or poll for them.
+    /// Appends chosen entries that another replica sent. They are not pushed to followers, which by then have them from
+    /// other replicas or poll for them.
     pub(super) fn on_log_entries(&mut self, entries: Vec<LoggedEntry>) {
         for logged in entries {
             if logged.entry.number != self.head() + 1 {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Adds a page to the snapshot that is being fetched, and installs the snapshot once it is complete.
+    /// Adds a page to the snapshot, starting one if needed, and installs the snapshot once it is complete.
     pub(super) fn on_snapshot_page(&mut self, from: usize, page: SnapshotPage) {
         let head = self.head();
         if self.catch_up.snapshot.is_none() && page.after == head && page.checkpoint.head > head {
--- a/crates/config-log/src/replica/durability.rs
+++ b/crates/config-log/src/replica/durability.rs
@@ -1,4 +1,4 @@
-//! What must be durable, and what happens while it cannot be made so.
+//! Records to be stored, and suspension of the replica while its storage fails.
 
 use super::record::{Action, Record};
 use super::state::Replica;
@@ -10,14 +10,14 @@
         self.actions.push_back(Action::Store(record));
     }
 
-    /// Stores an own vote, which counts once it is durable.
+    /// Stores this replica's own vote, which is counted once it is durable.
     pub(super) fn store_vote(&mut self, vote: Vote) {
         self.unstored_votes.push((vote.ballot, vote.number));
         self.store(Record::Accepted(vote));
     }
 
-    /// Reports that all records yielded by [`next_action`](Self::next_action) are durable: own votes among them count
-    /// from now on. Further actions may follow.
+    /// Reports that all records yielded by [`next_action`](Self::next_action) are durable, so that this replica's own
+    /// votes among them are counted. Further actions may follow.
     pub fn confirm_stored(&mut self) {
         if self.suspended || self.unstored_votes.is_empty() {
             return;
@@ -28,10 +28,11 @@
         self.make_progress();
     }
 
-    /// Reports that a record yielded by [`next_action`](Self::next_action) could not be made durable. Actions yielded
-    /// after it must not be carried out, and those that are queued are dropped. Until
-    /// [`storage_recovered`](Self::storage_recovered) this replica learns, relays and serves, but neither promises nor
-    /// votes nor proposes; the records that it yields meanwhile need not be stored, as a new file will hold everything.
+    /// Reports that a record yielded by [`next_action`](Self::next_action) could not be made durable. The caller must not
+    /// run actions that were yielded after it; queued actions are dropped. Until
+    /// [`storage_recovered`](Self::storage_recovered) this replica learns entries, forwards changes and serves followers,
+    /// but does not promise, vote or propose. Records that it yields meanwhile need not be stored, as the rewritten log
+    /// will hold everything.
     pub fn storage_failed(&mut self) {
         self.suspended = true;
         self.actions.clear();
@@ -39,19 +40,20 @@
         self.step_down();
     }
 
-    /// Whether its storage failed and has not recovered.
+    /// Whether the storage has failed and not recovered yet.
     #[must_use]
     pub fn is_suspended(&self) -> bool {
         self.suspended
     }
 
-    /// Reports that a new file durably holds what [`compact`](Self::compact) returned since the last event.
+    /// Reports that a new file durably holds the records that [`compact`](Self::compact) returned. The replica must not
+    /// have handled any event between the two calls.
     pub fn storage_recovered(&mut self) {
         self.suspended = false;
         self.confirm_stored();
     }
 
-    /// Records equivalent to all that were stored, for a new file in place of one that has grown. Valid only while
+    /// The records for a rewritten log, equivalent to everything this replica has stored. Valid only while
     /// [`next_action`](Self::next_action) yields nothing.
     #[must_use]
     pub fn compact(&self) -> Vec<Record> {
--- a/crates/config-log/src/replica/election.rs
+++ b/crates/config-log/src/replica/election.rs
@@ -1,5 +1,5 @@
-//! Phase 1 of Multi-Paxos: how a replica comes to lead. A replica that lost its disk is readmitted as a voter in the same
-//! way, by a ballot that all others answered.
+//! Phase 1 of Multi-Paxos: leader election. A replica that lost its disk is readmitted as a voter in the same way, by a
+//! ballot that all other replicas have answered.
 
 use super::proposer::{Attempt, ReceivedPromise, Role};
 use super::record::Record;
@@ -8,7 +8,7 @@
 use crate::message::{Ballot, Message, Vote};
 use std::collections::BTreeMap;
 
-/// Bound on the exponent of the back-off after lost ballots.
+/// Maximum number of consecutive lost ballots that still double the backoff.
 const MAX_PREEMPTIONS: i32 = 4;
 
 /// The fields of [`Message::Promise`].
@@ -21,22 +21,23 @@
     pub vote: Option<Vote>,
 }
 
-/// An attempt that has the promises it needs.
+/// An attempt that has the promises that it needs.
 struct SuccessfulAttempt {
     ballot: Ballot,
     /// Whether a quorum promised, so that the replica may lead.
     has_quorum: bool,
-    /// What the voters accepted above their heads.
+    /// Proposals that the voters reported as accepted above their heads.
     votes: Vec<Vote>,
 }
 
 impl Replica {
-    /// Whether it leads: a quorum promised its ballot.
+    /// Whether this replica leads: a quorum promised its ballot.
     pub(super) fn leads(&self) -> bool {
         matches!(self.proposer.role, Role::Leading { .. })
     }
 
-    /// Another replica has a higher ballot: gives way for a random time that doubles with each loss in a row.
+    /// Handles a higher ballot of another replica: steps down and backs off for a random time that doubles with each
+    /// consecutive loss.
     pub(super) fn preempted_by(&mut self, ballot: Ballot) {
         self.observed_ballot = self.observed_ballot.max(ballot);
         if self.proposer.role.ballot().is_none_or(|own| own > ballot) {
@@ -50,14 +51,14 @@
         self.proposer.next_attempt_at = self.clock.now + back_off;
     }
 
-    /// Ends leadership or the present attempt. Changes of authors stay pending.
+    /// Gives up leadership or the current attempt. The changes of authors stay pending.
     pub(super) fn step_down(&mut self) {
         self.proposer.role = Role::Idle;
         self.proposer.in_flight.clear();
         self.proposer.pending.reset();
     }
 
-    /// Starts an attempt to lead, or to be readmitted.
+    /// Starts an attempt to lead or to be readmitted.
     pub(super) fn prepare(&mut self) {
         let ballot = self.highest_ballot().above(self.own_index);
         let id = self.random.rand_u64();
@@ -73,7 +74,7 @@
         self.send_to_others(&Message::Prepare { ballot, attempt: id });
     }
 
-    /// Sends the prepare request again to the replicas whose promise is not complete.
+    /// Retransmits the prepare request to the replicas whose promise is not complete.
     pub(super) fn retransmit_prepare(&mut self) {
         let now = self.clock.now;
         let Role::Preparing(attempt) = &mut self.proposer.role else { return };
@@ -91,7 +92,7 @@
         incomplete.into_iter().for_each(|replica| self.send_to(replica, prepare.clone()));
     }
 
-    /// Records a promise, or the part of it that one message carries.
+    /// Records the part of a promise that one message carries.
     pub(super) fn on_promise(&mut self, from: usize, message: PromiseMessage) {
         let progress = &mut self.peers[from].progress;
         progress.head = progress.head.max(message.head);
@@ -109,7 +110,7 @@
         promise.complete |= message.slots.iter().all(is_known);
     }
 
-    /// Leads, or votes again, if the present attempt has the promises that it needs.
+    /// Starts to lead, or is readmitted as a voter, if the current attempt has the promises that it needs.
     pub(super) fn complete_attempt(&mut self) {
         let Some(attempt) = self.successful_attempt() else { return };
         if !self.is_voter {
@@ -127,13 +128,13 @@
         let complete: Vec<_> = attempt.promises.values().filter(|promise| promise.complete).collect();
         let voters: Vec<_> = complete.iter().filter(|promise| promise.votes).collect();
         let has_quorum = voters.len() + 1 >= self.quorum;
-        // A replica that lost its promises and votes may vote again once all others have answered. Whatever its former
-        // votes chose, or may still choose, one of the others voted for too and still knows: that holds while fewer
-        // than a quorum have lost theirs.
+        // A replica that lost its promises and votes may vote again once all others have answered. For each proposal that
+        // was chosen, or may yet be chosen, with one of its lost votes, one of the others also voted and still knows it.
+        // That holds as long as fewer than a quorum have lost their votes.
         let disk_losses = complete.len() - voters.len() + 1;
         let may_be_readmitted = complete.len() + 1 == self.replicas.len() && disk_losses < self.quorum;
         let is_successful = if self.is_voter { has_quorum } else { may_be_readmitted };
-        // Entries up to the highest head of the voters have to be fetched first.
+        // The entries up to the highest head of these voters have to be fetched first.
         let highest_head = voters.iter().map(|promise| promise.head).max().unwrap_or(0);
         if !is_successful || highest_head > self.head() {
             return None;
@@ -142,7 +143,7 @@
         Some(SuccessfulAttempt { ballot: attempt.ballot, has_quorum, votes })
     }
 
-    /// Proposes again whatever may have been chosen above the head, and the no-op at numbers in between.
+    /// Proposes again whatever may have been chosen above the head, and the no-op at the numbers in between.
     fn start_leading(&mut self, ballot: Ballot, reported: &[Vote]) {
         let highest = self.highest_votes(reported);
         let last = highest.keys().next_back().copied().unwrap_or(0).max(self.head());
@@ -155,7 +156,7 @@
         }
     }
 
-    /// For each number above the head, the vote of the highest ballot among the own and the reported ones.
+    /// For each number above the head, the vote with the highest ballot among this replica's and the reported ones.
     fn highest_votes(&self, reported: &[Vote]) -> BTreeMap<u64, Vote> {
         let mut highest = self.acceptor.votes.clone();
         for vote in reported.iter().filter(|vote| vote.number > self.head()) {
@@ -166,7 +167,7 @@
         highest
     }
 
-    /// Becomes a voter again, bound by all that the others reported.
+    /// Makes this replica a voter again, bound by the promise and by all votes that the others reported.
     fn readmit(&mut self, ballot: Ballot, reported: &[Vote]) {
         self.acceptor.votes.clear();
         self.acceptor.votes = self.highest_votes(reported);
--- a/crates/config-log/src/replica/heartbeats.rs
+++ b/crates/config-log/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: how far the other replicas have come, and as of when a majority knew of nothing beyond the own head.
+//! Heartbeats: exchange of progress between replicas, and the age of this replica's state that follows from it.
 
 use super::peers::ConfirmedProgress;
 use super::state::Replica;
@@ -44,8 +44,9 @@
         }
     }
 
-    /// As of when a majority knew of nothing beyond the own head: all that was committed before that time is in force
-    /// here. A majority accepted each committed entry, so at least one of those asked afterwards knew of it.
+    /// The latest time at which a majority had accepted nothing beyond this replica's head. Everything committed before
+    /// that time is applied here: a majority accepted each committed entry, so at least one of the replicas asked
+    /// afterwards would have reported it.
     pub(super) fn confirmed_at(&self) -> Option<f64> {
         let head = self.head();
         let confirmed = self.peers.iter().filter_map(|peer| peer.confirmed);
--- a/crates/config-log/src/replica/learning.rs
+++ b/crates/config-log/src/replica/learning.rs
@@ -1,4 +1,4 @@
-//! The learner: counts votes and applies what is chosen, in order.
+//! The learner: counts votes and applies chosen entries in order.
 
 use super::acceptor::ACCEPT_WINDOW;
 use super::record::Record;
@@ -7,7 +7,7 @@
 use crate::message::Ballot;
 
 impl Replica {
-    /// Replica `from` accepted what the owner of `ballot` proposed at `number`.
+    /// Counts the vote of replica `from` for the proposal at `number` under `ballot`.
     pub(super) fn count_vote(&mut self, from: usize, ballot: Ballot, number: u64) {
         let head = self.head();
         if number > head && number <= head + 2 * ACCEPT_WINDOW {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Applies what is chosen, as far as the changes are known.
+    /// Applies chosen entries as far as their changes are known.
     pub(super) fn apply_chosen(&mut self) {
         loop {
             let number = self.head() + 1;
@@ -38,7 +38,7 @@
         Some(logged)
     }
 
-    /// Drops what concerns numbers up to `head`, which are applied.
+    /// Drops votes, counts and snapshots for numbers up to `head`, which are applied.
     pub(super) fn discard_through(&mut self, head: u64) {
         self.acceptor.discard_through(head);
         self.learner.discard_through(head);
--- a/crates/config-log/src/replica/log.rs
+++ b/crates/config-log/src/replica/log.rs
@@ -1,31 +1,34 @@
-//! The log as a replica keeps it: the state in force, and the latest entries one by one for those that are not far behind.
+//! A replica's copy of the log: the current state, and the latest entries for followers and replicas that are a little
+//! behind.
 
 use crate::entry::{Change, Entry, LoggedEntry};
 use crate::message::Outcome;
 use crate::state::{Effect, State, encoded_bytes};
 use std::collections::VecDeque;
 
-/// Entries kept one by one: more than a day of 2,900 changes.
+/// Number of latest entries kept: more than the 2,900 changes of a day.
 const MAX_RECENT_ENTRIES: usize = 4096;
 
+/// One of the latest entries.
 #[derive(Clone, Debug)]
 pub(super) struct RecentEntry {
     pub logged: LoggedEntry,
-    /// Whether it changed more than the head.
+    /// Whether it changed a key, and not only the head.
     pub took_effect: bool,
     /// When it was appended.
     pub appended_at: f64,
 }
 
+/// The current state and the latest entries.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Log {
     pub state: State,
-    /// Consecutive entries up to the head.
+    /// The latest entries, consecutive up to the head; empty after a snapshot was installed.
     pub recent: VecDeque<RecentEntry>,
 }
 
 impl Log {
-    /// Appends the next entry; `None` if the entry is not the next one.
+    /// Appends an entry; `None` if it is not the next one.
     pub fn append(&mut self, entry: Entry, now: f64) -> Option<LoggedEntry> {
         if entry.number != self.state.head() + 1 {
             return None;
@@ -39,13 +42,13 @@
         Some(logged)
     }
 
-    /// Installs entries of a snapshot taken at `head`.
+    /// Installs the entries of a snapshot taken at `head`.
     pub fn install(&mut self, entries: impl IntoIterator<Item = Entry>, head: u64) {
         self.state.install(entries, head);
         self.recent.clear();
     }
 
-    /// Whether all entries after `number` are kept one by one.
+    /// Whether all entries after `number` are kept.
     pub fn reaches_back_to(&self, number: u64) -> bool {
         let first = self.recent.front().map_or(self.state.head() + 1, |recent| recent.logged.entry.number);
         number + 1 >= first
@@ -56,7 +59,7 @@
         self.recent.iter().skip((number + 1).saturating_sub(first) as usize)
     }
 
-    /// The digest of the state at `number`, if it is known.
+    /// The digest of the state at `number`, if it is still known.
     pub fn digest_at(&self, number: u64) -> Option<u64> {
         if number == self.state.head() {
             return Some(self.state.digest());
@@ -65,7 +68,7 @@
         (recent.logged.entry.number == number).then_some(recent.logged.digest)
     }
 
-    /// The entries after `number`, as many as take at most `max_bytes` in a message; none if they are not kept.
+    /// The entries after `number`, as many as fit into `max_bytes` of a message; none if they are not kept.
     pub fn entries_after(&self, number: u64, max_bytes: usize) -> Vec<LoggedEntry> {
         if !self.reaches_back_to(number) {
             return Vec::new();
@@ -80,7 +83,7 @@
         self.recent_after(number).take_while(fits).map(|recent| recent.logged.clone()).collect()
     }
 
-    /// The outcome of a change by now; `None` if it can still take effect.
+    /// The outcome of a change so far; `None` if it can still take effect.
     pub fn outcome(&self, change: &Change) -> Option<Outcome> {
         let current = self.state.get(&change.key);
         if let Some((number, _)) = current.filter(|(_, c)| c.id == change.id) {
@@ -97,8 +100,8 @@
         if number == change.replaces || change.replaces > self.state.head() {
             return None;
         }
-        // It can only have been in force between the entry that it replaces and the present one. It was not if the present
-        // one replaced the same entry, nor if all entries since then are kept and it is not among them.
+        // The change can only have taken effect between the entry that it replaces and the current one. It did not if the
+        // current one replaced that same entry, or if all entries since are kept and it is not among them.
         let lost_to_current = current.is_some_and(|(_, c)| c.replaces == change.replaces);
         if lost_to_current || self.reaches_back_to(change.replaces) {
             Some(Outcome::Superseded(number))
@@ -107,7 +110,7 @@
         }
     }
 
-    /// The outcome of a change that was chosen at the head.
+    /// The outcome of a change that was chosen as the latest entry.
     pub fn outcome_at_head(&self, change: &Change) -> Outcome {
         self.outcome(change).unwrap_or(match self.state.effect_of(change) {
             Effect::Full => Outcome::Full,
--- a/crates/config-log/src/replica/peers.rs
+++ b/crates/config-log/src/replica/peers.rs
@@ -1,24 +1,24 @@
-//! The other replicas as they are known here, and the heartbeats sent to them.
+//! What a replica knows about the others, and the heartbeats that it sends to them.
 
 use crate::message::Progress;
 use std::collections::VecDeque;
 
-/// Heartbeats whose answers count: those of the last seconds.
+/// Maximum number of pending heartbeats, which are those of the last seconds; replies to older ones are ignored.
 const MAX_PENDING_HEARTBEATS: usize = 16;
 
-/// Another replica as it is known here.
+/// What a replica knows about another one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
     pub last_received_at: Option<f64>,
     pub progress: Progress,
-    /// From the latest heartbeat that it answered as a voter.
+    /// From its reply, as a voter, to the latest heartbeat that it answered.
     pub confirmed: Option<ConfirmedProgress>,
 }
 
-/// What a peer answered to a heartbeat.
+/// The part of a peer's heartbeat reply from which the age of the state is calculated.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConfirmedProgress {
-    /// When the heartbeat was sent, which is before the peer answered.
+    /// When the heartbeat was sent, which is before the peer replied.
     pub asked_at: f64,
     pub highest_accepted: u64,
 }
@@ -29,6 +29,7 @@
     sent_at: f64,
 }
 
+/// The schedule of heartbeats and those that are pending.
 #[derive(Clone, Debug)]
 pub(super) struct Heartbeats {
     pending: VecDeque<PendingHeartbeat>,
@@ -46,7 +47,7 @@
         self.next_at
     }
 
-    /// Records a new heartbeat and returns its id.
+    /// Registers a new heartbeat and returns its id.
     pub fn start(&mut self, now: f64, interval: f64) -> u64 {
         self.next_at = now + interval;
         self.last_request_id = self.last_request_id.wrapping_add(1);
@@ -57,7 +58,7 @@
         self.last_request_id
     }
 
-    /// When the heartbeat with that id was sent.
+    /// When the heartbeat with this id was sent, if it is still pending.
     pub fn sent_at(&self, request_id: u64) -> Option<f64> {
         self.pending.iter().find(|pending| pending.request_id == request_id).map(|pending| pending.sent_at)
     }
--- a/crates/config-log/src/replica/pending.rs
+++ b/crates/config-log/src/replica/pending.rs
@@ -1,15 +1,16 @@
-//! Changes of authors whose outcome is not known yet.
+//! Changes of authors whose outcome is not yet known.
 
 use crate::entry::Change;
 use std::net::SocketAddr;
 
-/// Changes that may be pending at a replica.
+/// Maximum number of pending changes at a replica.
 const MAX_PENDING_CHANGES: usize = 256;
 
+/// A change whose outcome is not yet known.
 #[derive(Clone, Debug)]
 pub(super) struct PendingChange {
     pub change: Change,
-    /// Who is sent the outcome; `None` if another replica forwarded the change.
+    /// The address to which the outcome is sent; `None` if another replica forwarded the change.
     pub author: Option<SocketAddr>,
     /// When it was received.
     pub received_at: f64,
@@ -19,6 +20,7 @@
     pub proposed_number: Option<u64>,
 }
 
+/// Pending changes in the order in which they were received.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingChanges {
     changes: Vec<PendingChange>,
@@ -52,14 +54,14 @@
         self.changes.extract_if(.., |pending| is_resolved(pending)).collect()
     }
 
-    /// Makes changes ready to be proposed again that were proposed at numbers for which `is_decided` holds.
+    /// Marks changes as not proposed if `is_decided` holds for their number, so that they are proposed again.
     pub fn clear_proposed_numbers(&mut self, is_decided: impl Fn(u64) -> bool) {
         let displaced =
             self.changes.iter_mut().filter(|pending| pending.proposed_number.is_some_and(&is_decided));
         displaced.for_each(|pending| pending.proposed_number = None);
     }
 
-    /// Forgets all proposals and forwards.
+    /// Marks all changes as neither proposed nor forwarded.
     pub fn reset(&mut self) {
         self.changes.iter_mut().for_each(|pending| (pending.proposed_number, pending.sent_at) = (None, None));
     }
--- a/crates/config-log/src/replica/proposals.rs
+++ b/crates/config-log/src/replica/proposals.rs
@@ -1,4 +1,4 @@
-//! Changes of authors: received, forwarded to the leader, and answered with their outcome.
+//! Receives the changes of authors, forwards them to the leader, and reports their outcomes.
 
 use super::pending::PendingChange;
 use super::state::Replica;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl Replica {
-    /// Takes a change from an author, or from the replica that forwarded it.
+    /// Handles a change from an author, or from a replica that forwards it.
     pub(super) fn on_propose(&mut self, from: SocketAddr, is_forwarded: bool, change: Change) {
         let id = change.id;
         if let Some(outcome) = self.invalid(&change) {
@@ -30,6 +30,7 @@
         self.proposer.pending.add(change, author, self.clock.now);
     }
 
+    /// The outcome of an invalid change.
     fn invalid(&self, change: &Change) -> Option<Outcome> {
         if change.is_no_op() || change.id == 0 {
             Some(Outcome::EmptyKey)
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The outcome of a change that need not, or cannot, be proposed.
+    /// The outcome of a change that is already decided or cannot be proposed.
     fn immediate_outcome(&self, change: &Change) -> Option<Outcome> {
         if let Some(outcome) = self.log.outcome(change) {
             Some(outcome)
@@ -53,14 +54,15 @@
         }
     }
 
-    /// The replica to which a change was forwarded knows its outcome already.
+    /// Handles the outcome of a change from the replica to which it was forwarded.
     pub(super) fn on_proposal_result(&mut self, id: u64, outcome: Outcome) {
         if !matches!(outcome, Outcome::Unknown | Outcome::Busy) {
             self.resolve(|pending| pending.change.id == id, outcome);
         }
     }
 
-    /// Ends pending changes and sends the outcome to their authors; returns how many they are.
+    /// Removes the pending changes for which `is_resolved` holds and sends the outcome to their authors; returns their
+    /// number.
     fn resolve(&mut self, is_resolved: impl Fn(&PendingChange) -> bool, outcome: Outcome) -> usize {
         let resolved = self.proposer.pending.take(is_resolved);
         for pending in &resolved {
@@ -71,7 +73,7 @@
         resolved.len()
     }
 
-    /// The change with that id was chosen and applied at `number`.
+    /// Resolves the pending change with this id, which was chosen and applied at `number`.
     pub(super) fn resolve_at(&mut self, number: u64, id: u64) {
         self.proposer.in_flight.remove(&number);
         self.proposer.preemptions = 0;
@@ -79,11 +81,11 @@
         if let Some(outcome) = chosen.map(|pending| self.log.outcome_at_head(&pending.change)) {
             self.resolve(|pending| pending.change.id == id, outcome);
         }
-        // If another change was chosen there, the own one has to be proposed again.
+        // If this replica proposed another change there, it has to propose that one again.
         self.proposer.pending.clear_proposed_numbers(|proposed_at| proposed_at == number);
     }
 
-    /// A snapshot was installed: many entries were applied at once.
+    /// Resolves pending changes after a snapshot was installed, which applies many entries at once.
     pub(super) fn resolve_through_head(&mut self) {
         let head = self.head();
         self.proposer.in_flight = self.proposer.in_flight.split_off(&(head + 1));
@@ -97,7 +99,7 @@
         self.proposer.pending.clear_proposed_numbers(|proposed_at| proposed_at <= head);
     }
 
-    /// Forwards pending changes to the leader, and again until they are resolved.
+    /// Forwards pending changes to the leader, repeatedly until they are resolved.
     pub(super) fn forward_pending(&mut self, leader: usize) {
         let (now, interval) = (self.clock.now, self.timing.retransmit_interval);
         let is_due = |pending: &&mut PendingChange| pending.sent_at.is_none_or(|at| now >= at + interval);
@@ -109,7 +111,7 @@
         changes.into_iter().for_each(|change| self.send_to(leader, Message::Propose { change }));
     }
 
-    /// Ends changes that were pending for too long; their authors learn that the outcome is unknown.
+    /// Removes changes that have been pending for too long; their authors are told that the outcome is unknown.
     pub(super) fn expire_pending(&mut self) {
         let (now, timeout) = (self.clock.now, self.timing.proposal_timeout);
         let expired = self.resolve(|pending| pending.received_at + timeout <= now, Outcome::Unknown);
--- a/crates/config-log/src/replica/proposer.rs
+++ b/crates/config-log/src/replica/proposer.rs
@@ -4,30 +4,31 @@
 use crate::message::{Ballot, Vote};
 use std::collections::BTreeMap;
 
-/// What a replica promised to an attempt, as far as its messages have arrived.
+/// A replica's promise to an attempt, as far as its messages have arrived.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReceivedPromise {
-    /// `false` if it lost its disk and promises nothing.
+    /// `false` if the replica lost its disk and promises nothing.
     pub votes: bool,
     pub head: u64,
-    /// What it accepted, by number.
+    /// Proposals that it has accepted, by number.
     pub accepted: BTreeMap<u64, Vote>,
-    /// Whether all that it accepted above its head has arrived.
+    /// Whether all proposals that it has accepted above its head have arrived.
     pub complete: bool,
 }
 
-/// An attempt to lead, or of a replica without a disk to be readmitted.
+/// An attempt to lead, or to be readmitted after the loss of the disk.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub ballot: Ballot,
-    /// Random id that distinguishes the answers to this attempt from those to a former process.
+    /// Random id that distinguishes the replies to this attempt from those to an earlier process.
     pub id: u64,
     /// By index of the replica.
     pub promises: BTreeMap<usize, ReceivedPromise>,
-    /// When the prepare request is sent again.
+    /// When the prepare request is retransmitted.
     pub retransmit_at: f64,
 }
 
+/// The phase that a proposer is in.
 #[derive(Clone, Debug)]
 pub(super) enum Role {
     Idle,
@@ -45,18 +46,19 @@
     }
 }
 
-/// The log does not advance although something beyond its head was accepted.
+/// A log that does not advance although this replica has accepted a proposal beyond its head.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Stall {
     pub head: u64,
     pub since: f64,
 }
 
+/// The state of a proposer.
 #[derive(Clone, Debug)]
 pub(super) struct Proposer {
     pub role: Role,
     pub pending: PendingChanges,
-    /// When the proposal at an open number is sent again.
+    /// When to retransmit each proposal that is in flight, by number.
     pub in_flight: BTreeMap<u64, f64>,
     /// Earliest time of the next attempt.
     pub next_attempt_at: f64,
--- a/crates/config-log/src/replica/proposing.rs
+++ b/crates/config-log/src/replica/proposing.rs
@@ -1,4 +1,4 @@
-//! Phase 2 of Multi-Paxos: the leader proposes pending changes, the others forward them to it.
+//! Phase 2 of Multi-Paxos: the leader proposes pending changes; the other replicas forward theirs to it.
 
 use super::acceptor::ACCEPT_WINDOW;
 use super::proposer::{Role, Stall};
@@ -6,18 +6,19 @@
 use crate::entry::Change;
 use crate::message::{Ballot, Message, Vote};
 
-/// Numbers that are open at a time: 20 changes a second take about 6 at a round trip of 0.3 s, and 14 if one is lost.
+/// Maximum number of proposals in flight. At 20 changes per second and a round trip of 0.3 s about 6 are in flight, and 14
+/// if a message is lost.
 const MAX_IN_FLIGHT_PROPOSALS: u64 = ACCEPT_WINDOW / 2;
 
-/// Seconds without a message after which a replica does not count as leader: there is a heartbeat every 0.3 s.
+/// Seconds without a message after which a replica is not considered as leader; heartbeats come every 0.3 s.
 const LEADER_TIMEOUT: f64 = 0.7;
 
-/// Seconds after which a replica itself completes a forwarded change or an open number: longer than the next replica in
-/// turn takes to notice a silent leader, to prepare and to propose.
+/// Seconds after which a replica itself proposes a change that it forwarded, or completes a stalled proposal. Longer than
+/// the next replica in line takes to notice that the leader is silent, to prepare and to propose.
 const TAKEOVER_DELAY: f64 = 2.0;
 
 impl Replica {
-    /// Does what is due for pending changes and open numbers; called after each event.
+    /// Proposes, forwards, retransmits or expires whatever is due; called after each event.
     pub(super) fn drive_proposer(&mut self) {
         self.expire_pending();
         self.update_stall();
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Notes since when the head has not advanced although a proposal beyond it was accepted.
     fn update_stall(&mut self) {
         let head = self.head();
         self.proposer.stall = match self.proposer.stall {
@@ -40,6 +42,7 @@
         };
     }
 
+    /// Takes the next step as leader, as candidate, or towards a new attempt.
     fn drive_role(&mut self) {
         match self.proposer.role {
             Role::Leading { .. } => self.lead(),
@@ -51,7 +54,7 @@
             Role::Idle if !self.is_voter => self.prepare(),
             Role::Idle if self.leader().is_none() && self.oldest_work_at().is_some() => {
                 self.prepare();
-                // A single replica needs no answer but its own.
+                // A cluster of one replica needs no other promise.
                 self.complete_attempt();
                 if self.leads() {
                     self.lead();
@@ -69,19 +72,20 @@
         pending.into_iter().chain(stalled).reduce(f64::min)
     }
 
-    /// Another replica that should propose: the owner of the highest ballot or, if that one is silent, the first replica
-    /// that votes and sent something lately, so that not all prepare at once.
+    /// The other replica that is expected to propose, if there is something to propose: the owner of the highest ballot
+    /// or, if that one cannot lead, the first replica that can, so that not all replicas prepare at once.
     fn leader(&self) -> Option<usize> {
         let since = self.oldest_work_at()?;
         let owner = Some(self.observed_ballot.owner())
             .filter(|owner| *owner < self.peers.len() && self.can_lead(*owner))
             .filter(|_| self.observed_ballot != Ballot::default());
         let leader = owner.or_else(|| (0..self.peers.len()).find(|replica| self.can_lead(*replica)))?;
-        // A replica whose storage failed can't take over.
+        // A replica whose storage failed cannot take over, so it keeps waiting for the leader.
         let waits = self.suspended || self.clock.now < since + TAKEOVER_DELAY;
         (leader != self.own_index && waits).then_some(leader)
     }
 
+    /// Whether a replica votes and has sent something recently.
     fn can_lead(&self, replica: usize) -> bool {
         if replica == self.own_index {
             return self.may_vote();
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Accepts an own proposal, and asks the others to accept it.
+    /// Makes a proposal: accepts it here and asks the other replicas to accept it.
     pub(super) fn propose_at(&mut self, number: u64, ballot: Ballot, change: Change) {
         let vote = Vote { number, ballot, change };
         self.acceptor.accept(&vote);
@@ -124,7 +128,7 @@
         self.send_to_others(&Message::Accept { vote });
     }
 
-    /// Sends proposals again to the replicas that have not accepted them in time.
+    /// Retransmits proposals to the replicas that have not accepted them in time.
     fn retransmit_in_flight(&mut self) {
         let Role::Leading { ballot, .. } = self.proposer.role else { return };
         let now = self.clock.now;
@@ -146,7 +150,7 @@
         }
     }
 
-    /// When something is due here.
+    /// When [`drive_proposer`](Self::drive_proposer) has something to do next.
     pub(super) fn proposer_deadline(&self) -> f64 {
         let proposer = &self.proposer;
         let expiry =
@@ -174,7 +178,7 @@
         }
     }
 
-    /// When a change has to be forwarded again, or that leader becomes silent.
+    /// When a change has to be forwarded again, or `leader` counts as silent.
     fn forward_deadline(&self, leader: usize) -> f64 {
         let silent_at = self.peers[leader].last_received_at.map_or(self.clock.now, |at| at + LEADER_TIMEOUT);
         let sent = self.proposer.pending.iter().filter_map(|pending| pending.sent_at);
--- a/crates/config-log/src/replica/protocol.rs
+++ b/crates/config-log/src/replica/protocol.rs
@@ -1,4 +1,4 @@
-//! Dispatch of received messages and timers.
+//! Handling of received messages and timers.
 
 use super::election::PromiseMessage;
 use super::serving::PollMessage;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Does what is due by time.
+    /// Handles all timers that are due.
     pub fn tick(&mut self, now: f64) {
         self.clock.advance_to(now);
         if self.clock.now >= self.heartbeats.deadline() {
@@ -69,7 +69,7 @@
         self.make_progress();
     }
 
-    /// Does what follows from the present knowledge; called after each event.
+    /// Applies, fetches and proposes whatever has become possible; called after each event.
     pub(super) fn make_progress(&mut self) {
         loop {
             self.apply_chosen();
@@ -83,7 +83,7 @@
         }
     }
 
-    /// When [`tick`](Self::tick) is due next, on the caller's clock.
+    /// When to call [`tick`](Self::tick) next, on the caller's clock.
     #[must_use]
     pub fn next_deadline(&self) -> f64 {
         let deadline = self.heartbeats.deadline().min(self.fetch_deadline()).min(self.proposer_deadline());
--- a/crates/config-log/src/replica/serving.rs
+++ b/crates/config-log/src/replica/serving.rs
@@ -1,4 +1,4 @@
-//! Answers to followers, to authors' tools, and to replicas that are behind.
+//! Replies to followers, to the programs of authors, and to replicas that are behind.
 
 use super::followers::KnownFollower;
 use super::state::Replica;
@@ -6,7 +6,7 @@
 use crate::message::{ApplyError, MAX_ENTRIES_BYTES, Message};
 use std::net::SocketAddr;
 
-/// Pages that are sent in answer to one fetch.
+/// Maximum number of pages sent in reply to one fetch.
 const MAX_PAGES_PER_FETCH: u8 = 16;
 
 /// The fields of [`Message::Poll`] that a replica uses.
@@ -40,7 +40,7 @@
         self.send(from, reply);
     }
 
-    /// Milliseconds since a majority knew of nothing beyond the head, rounded up.
+    /// Milliseconds since a majority confirmed that nothing beyond the head was committed, rounded up.
     fn confirmed_age_ms(&self) -> Option<u64> {
         self.confirmed_at().map(|at| ((self.clock.now - at) * 1e3).ceil() as u64)
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Sends what follows a number: log entries or, if the log does not reach back that far, pages of the snapshot.
+    /// Sends what follows the number `after`: log entries or, if the log does not reach back that far, snapshot pages.
     pub(super) fn on_fetch(&mut self, from: SocketAddr, after: u64, pages: u8, snapshot: bool) {
         let head = self.head();
         let mut cursor = after;
@@ -74,14 +74,14 @@
         }
     }
 
-    /// The log entries after a number that fit into a message, and the last number among them.
+    /// The log entries after a number, as many as fit into a message, and the number of the last one.
     fn log_page(&self, after: u64) -> Option<(Message, u64)> {
         let entries = self.log.entries_after(after, MAX_ENTRIES_BYTES);
         let last = entries.last()?.entry.number;
         Some((Message::LogEntries { entries }, last))
     }
 
-    /// The page of the snapshot after a number, and the number through which it goes.
+    /// The snapshot page after a number, and the last number that it covers.
     fn snapshot_page(&self, after: u64) -> Option<(Message, u64)> {
         let state = self.state();
         let entries = state.entries_after(after, MAX_ENTRIES_BYTES);
--- a/crates/config-log/src/replica/state.rs
+++ b/crates/config-log/src/replica/state.rs
@@ -18,27 +18,27 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Largest number of replicas: the low three bits of a ballot are the index of its owner.
+/// Maximum number of replicas. Their indexes fit into the low three bits of a ballot.
 pub const MAX_REPLICAS: usize = 7;
 
-/// Messages that may wait to be sent; more are dropped as if they were lost in the network. A burst of 32 entries to 500
-/// followers fits.
+/// Maximum number of queued messages; further ones are dropped, as if they were lost in the network. A burst of 32 entries
+/// to 500 followers fits.
 const MAX_QUEUED_SENDS: usize = 16_384;
 
-/// What a replica is started with, beside its stored records.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
     /// Index of this replica among `replicas`.
     pub own_index: usize,
-    /// Addresses of all replicas, in the same order at each; at most [`MAX_REPLICAS`].
+    /// Addresses of all replicas, in the same order at each of them; at most [`MAX_REPLICAS`].
     pub replicas: Vec<SocketAddr>,
     /// Intervals and timeouts.
     pub timing: Timing,
-    /// Seed of the random numbers; another one at each start.
+    /// Seed of the random number generator; must differ at each start.
     pub seed: u64,
 }
 
-/// A control machine. It is given each received message and the current time, and yields actions.
+/// A replica of the log. It takes each received message and the current time, and yields actions.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(super) own_index: usize,
@@ -47,12 +47,12 @@
     pub(super) timing: Timing,
     pub(super) clock: Clock,
     pub(super) random: Rand64,
-    /// Whether it is a voter; one that lost its disk is not before it is readmitted.
+    /// Whether this replica is a voter; one that lost its disk is not until it is readmitted.
     pub(super) is_voter: bool,
-    /// Whether its storage failed: until a new file holds all it knows, it neither promises nor votes nor proposes.
+    /// Whether the storage has failed. Until a new file holds everything, the replica does not promise, vote or propose.
     pub(super) suspended: bool,
-    /// Own votes that are not known to be durable: they count towards no quorum. Bounded by what the events between two
-    /// calls of [`confirm_stored`](Self::confirm_stored) add.
+    /// This replica's votes that are not known to be durable and so are not counted yet. Their number is bounded by the
+    /// events between two calls of [`confirm_stored`](Self::confirm_stored).
     pub(super) unstored_votes: Vec<(Ballot, u64)>,
     pub(super) acceptor: Acceptor,
     pub(super) learner: Learner,
@@ -61,24 +61,25 @@
     pub(super) proposer: Proposer,
     pub(super) followers: Followers,
     pub(super) status_reports: StatusReports,
-    /// All replicas by index, the own entry unused.
+    /// All replicas by index; this replica's own element is unused.
     pub(super) peers: Vec<Peer>,
-    /// Highest ballot that it knows of.
+    /// Highest ballot that this replica has seen or used.
     pub(super) observed_ballot: Ballot,
     pub(super) heartbeats: Heartbeats,
     pub(super) actions: VecDeque<Action>,
-    /// Messages among the actions.
+    /// Number of messages among the actions.
     pub(super) queued_sends: usize,
     pub(super) counters: Counters,
 }
 
 impl Replica {
-    /// Starts a replica from all records in its log file. Without any, it has lost its disk: it learns, and does not vote
-    /// before it is readmitted.
+    /// Starts a replica from all records in its log file. Without any records it has lost its disk: it learns entries, but
+    /// does not vote until it is readmitted.
     ///
     /// # Panics
     ///
-    /// If there is no replica of that index, or there are more than [`MAX_REPLICAS`]; check the configuration before.
+    /// If `own_index` is out of range, or there are more than [`MAX_REPLICAS`]. The caller must have validated the
+    /// configuration.
     #[must_use]
     pub fn new(config: ReplicaConfig, now: f64, stored: Vec<Record>) -> Self {
         let ReplicaConfig { own_index, replicas, timing, seed } = config;
@@ -141,7 +142,7 @@
         self.observed_ballot = self.acceptor.promised;
     }
 
-    /// The configuration in force at this replica.
+    /// The current configuration at this replica.
     #[must_use]
     pub fn state(&self) -> &State {
         &self.log.state
@@ -152,18 +153,18 @@
         self.log.state.head()
     }
 
-    /// Whether it may promise, vote and propose now.
+    /// Whether this replica may promise, vote and propose now.
     pub(super) fn may_vote(&self) -> bool {
         self.is_voter && !self.suspended
     }
 
-    /// Highest number at which it accepted a proposal, or its head if that is higher.
+    /// Highest number at which this replica has accepted a proposal, or its head if that is higher.
     pub(super) fn highest_accepted(&self) -> u64 {
         let accepted = self.acceptor.votes.last_key_value().map_or(0, |(number, _)| *number);
         accepted.max(self.head())
     }
 
-    /// Highest ballot that it knows of, own promises included.
+    /// Highest ballot that this replica has seen or promised.
     pub(super) fn highest_ballot(&self) -> Ballot {
         self.observed_ballot.max(self.acceptor.promised)
     }
@@ -174,7 +175,7 @@
         (0..self.replicas.len()).filter(move |replica| *replica != own_index)
     }
 
-    /// The next action to carry out.
+    /// The next action that the caller has to run.
     #[must_use]
     pub fn next_action(&mut self) -> Option<Action> {
         let action = self.actions.pop_front()?;
@@ -200,7 +201,7 @@
         self.other_replicas().for_each(|replica| self.send_to(replica, message.clone()));
     }
 
-    /// Lowers the quorum, so that a test can show that the search finds what that breaks.
+    /// Overrides the quorum size. For tests only: too small a quorum is a defect that the model search must find.
     #[doc(hidden)]
     pub fn override_quorum(&mut self, quorum: usize) {
         self.quorum = quorum;
--- a/crates/config-log/src/replica/status.rs
+++ b/crates/config-log/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! The view of a replica for operators, as a value and in pages that fit into one message each.
+//! The status of a replica for operators, as a value and as pages that each fit into a message.
 
 use super::state::Replica;
 use super::status_reports::StatusReport;
@@ -6,13 +6,14 @@
 use crate::view::ReplicaView;
 use std::net::SocketAddr;
 
-/// Size of a page, in bytes.
+/// Size of a full page, in bytes.
 const STATUS_PAGE_BYTES: usize = 1200;
 
-/// Seconds within which a replica counts as reachable.
+/// A replica counts as reachable for this many seconds after its last message, and the majority is reported as present for
+/// this many seconds after it last confirmed the head.
 const CONTACT_TIMEOUT: f64 = 2.0;
 
-/// Seconds over which committed entries are counted.
+/// Committed entries are counted over this many past seconds.
 const COMMIT_COUNT_WINDOW: f64 = 60.0;
 
 impl Replica {
@@ -29,7 +30,7 @@
         self.send(from, Message::StatusPage { query_id, page, page_count, bytes });
     }
 
-    /// What this replica knows; forgets followers that have been silent for ten minutes.
+    /// The status of this replica. Removes followers that have been silent for ten minutes.
     #[must_use]
     pub fn view(&mut self, now: f64) -> ReplicaView {
         self.clock.advance_to(now);
--- a/crates/config-log/src/replica/status_reports.rs
+++ b/crates/config-log/src/replica/status_reports.rs
@@ -1,13 +1,13 @@
-//! Reports that operators read page by page.
+//! Status reports that operators read page by page.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Reports that are kept until all their pages were asked for. With more readers at a time some get pages of different
-/// moments.
+/// Maximum number of reports kept for further page requests. With more concurrent requesters, some get pages of different
+/// reports.
 const MAX_STATUS_REPORTS: usize = 8;
 
-/// A report that an operator reads page by page.
+/// A status report, identified by its requester and query id.
 #[derive(Clone, Debug)]
 pub(super) struct StatusReport {
     pub requester: SocketAddr,
@@ -22,11 +22,13 @@
 }
 
 impl StatusReports {
+    /// The JSON of the report for that requester and query, if it is still kept.
     pub fn find(&self, requester: SocketAddr, query_id: u64) -> Option<&[u8]> {
         let report = self.reports.iter().find(|r| (r.requester, r.query_id) == (requester, query_id))?;
         Some(&report.json)
     }
 
+    /// Adds a report; drops the oldest one beyond [`MAX_STATUS_REPORTS`].
     pub fn add(&mut self, report: StatusReport) {
         self.reports.truncate(MAX_STATUS_REPORTS - 1);
         self.reports.push_front(report);
--- a/crates/config-log/src/replica/voting.rs
+++ b/crates/config-log/src/replica/voting.rs
@@ -1,4 +1,4 @@
-//! The acceptor: answers to prepare and accept requests.
+//! The acceptor: handles prepare and accept requests.
 
 use super::acceptor::{ACCEPT_WINDOW, AcceptorResponse};
 use super::record::Record;
@@ -6,11 +6,11 @@
 use crate::message::{Ballot, MAX_ENTRIES_BYTES, Message, Vote};
 
 impl Replica {
-    /// Phase 1 of Paxos: promises the ballot, and reports what was accepted under lower ones.
+    /// Phase 1 of Paxos: promises the ballot, and reports the proposals accepted under lower ones.
     pub(super) fn on_prepare(&mut self, from: usize, ballot: Ballot, attempt: u64) {
         self.observed_ballot = self.observed_ballot.max(ballot);
         if self.suspended {
-            // It can't promise, and has not forgotten what it promised: neither answer would be right.
+            // Neither reply would be right: it cannot promise, and it has not lost its earlier promises and votes.
             return;
         }
         if !self.is_voter {
@@ -32,7 +32,7 @@
         self.send_promises(from, ballot, attempt);
     }
 
-    /// One message for each accepted proposal, so that the longest entry fits into a datagram.
+    /// Sends the promise as one message for each accepted proposal, so that the longest entry fits into a datagram.
     fn send_promises(&mut self, to: usize, ballot: Ballot, attempt: u64) {
         let slots: Vec<u64> = self.acceptor.votes.keys().copied().collect();
         if slots.is_empty() {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Phase 2 of Paxos: accepts a proposal, and reports that to all replicas.
+    /// Phase 2 of Paxos: accepts a proposal, and reports the vote to all replicas.
     pub(super) fn on_accept(&mut self, from: usize, vote: Vote) {
         let (head, number, ballot) = (self.head(), vote.number, vote.ballot);
         self.observed_ballot = self.observed_ballot.max(ballot);
@@ -82,11 +82,11 @@
             }
             AcceptorResponse::Repeated => self.send_to(from, Message::Accepted { ballot, number }),
         }
-        // A proposer accepts its own proposal before it sends it.
+        // A proposer has accepted its own proposal before sending it.
         self.count_vote(from, ballot, number);
     }
 
-    /// The proposer is behind: something was chosen at that number already.
+    /// Sends chosen entries from `number` on to a proposer that is behind.
     fn send_chosen_from(&mut self, to: usize, number: u64) {
         let entries = self.log.entries_after(number.saturating_sub(1), MAX_ENTRIES_BYTES);
         if !entries.is_empty() {
--- a/crates/config-log/src/snapshot.rs
+++ b/crates/config-log/src/snapshot.rs
@@ -1,15 +1,15 @@
-//! Assembly of a snapshot (the compacted log) from pages. Nothing of it is in force before it is complete: entries of one
-//! page may be older than the state that the next page was taken from.
+//! Assembly of a snapshot (the compacted log) from pages. It can only be used once it is complete: the sender's state may
+//! advance between pages, so an entry of one page may be superseded by an entry of a later one.
 
 use crate::entry::{Change, Entry, MAX_KEYS, MAX_TOTAL_BYTES};
 use crate::state::Checkpoint;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Pages kept that arrived before one that precedes them: as many as are asked for at a time.
+/// Maximum number of early pages kept: as many as a replica sends in reply to one fetch.
 const MAX_EARLY_PAGES: usize = 16;
 
-/// The entries in force with numbers above `after` up to `through`, and the state of the sender at that time.
+/// The current entries with numbers above `after` and up to `through`, and the sender's head and digest at that time.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotPage {
     pub after: u64,
@@ -18,39 +18,40 @@
     pub checkpoint: Checkpoint,
 }
 
-/// A page that cannot belong to a compacted log.
+/// A page that cannot be part of a compacted log, or that exceeds the bounds of a state.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the page can't belong to a compacted log")]
+#[error("malformed snapshot page")]
 pub(crate) struct MalformedPage;
 
-/// What became of a page.
+/// Result of adding a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PageOutcome {
-    /// It was the next one; the assembly advanced.
+    /// The page was the next one, and the assembly advanced.
     Appended,
-    /// It is kept for later, or was appended before.
+    /// The page is early and kept for later, or it is ignored.
     NotNext,
 }
 
+/// A snapshot that is being assembled.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SnapshotAssembly {
-    /// Number up to which all entries are here.
+    /// Number up to which all entries have arrived.
     pub cursor: u64,
     pub entries: BTreeMap<u64, Change>,
     total_bytes: usize,
-    /// Pages that arrived before one that precedes them, by the number that they follow.
+    /// Pages that arrived before a page that precedes them, by the number that they follow.
     early_pages: BTreeMap<u64, SnapshotPage>,
-    /// The checkpoint of the last page, once all entries up to its head are here.
+    /// The checkpoint of the last page, once all entries up to its head have arrived.
     pub complete: Option<Checkpoint>,
 }
 
 impl SnapshotAssembly {
-    /// Starts an assembly of what follows `number`.
+    /// Starts the assembly of a snapshot of the entries after `number`.
     pub fn after(number: u64) -> Self {
         Self { cursor: number, ..Self::default() }
     }
 
-    /// Adds a page, and the early pages that follow it.
+    /// Adds a page, and then the early pages that follow it.
     pub fn add(&mut self, page: SnapshotPage) -> Result<PageOutcome, MalformedPage> {
         if page.after > self.cursor && self.early_pages.len() < MAX_EARLY_PAGES {
             self.early_pages.insert(page.after, page);
@@ -63,7 +64,7 @@
         while let Some(page) = self.early_pages.remove(&self.cursor) {
             self.append(page)?;
         }
-        // Early pages that the log has passed meanwhile are asked for again.
+        // Drops early pages that start before the cursor. The entries after the cursor are requested again.
         self.early_pages = self.early_pages.split_off(&self.cursor);
         Ok(PageOutcome::Appended)
     }
@@ -74,7 +75,7 @@
         }
         self.total_bytes += page.entries.iter().map(|entry| entry.change.size()).sum::<usize>();
         self.entries.extend(page.entries.into_iter().map(|entry| (entry.number, entry.change)));
-        // A key that changes during the assembly is in it twice for a while.
+        // A key that changes during the assembly may be in it twice.
         if self.entries.len() > 2 * MAX_KEYS || self.total_bytes > 2 * MAX_TOTAL_BYTES {
             return Err(MalformedPage);
         }
@@ -85,6 +86,7 @@
 }
 
 impl SnapshotPage {
+    /// Whether the entries are in ascending order within the bounds of the page, and none is a no-op.
     fn is_well_formed(&self) -> bool {
         let (after, through, head) = (self.after, self.through, self.checkpoint.head);
         let last = self.entries.last().map_or(after, |entry| entry.number);
--- a/crates/config-log/src/state.rs
+++ b/crates/config-log/src/state.rs
@@ -1,45 +1,45 @@
-//! The configuration in force: the latest entry under each key, the head of the log and a digest over both. Two replicas
-//! that applied the same entries have equal states, whether they applied them one by one or from a snapshot.
+//! The current configuration: the latest entry of each key, the head of the log and a digest of the entries. Replicas at
+//! the same head have equal states, whether they applied entries one by one or installed a snapshot.
 
 use crate::entry::{Change, Entry, MAX_KEYS, MAX_TOTAL_BYTES};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The head of a log and the digest of the state there.
+/// A head of the log and the digest of the state there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Checkpoint {
     pub head: u64,
     pub digest: u64,
 }
 
-/// The configuration in force at one number of the log.
+/// The configuration at one number of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     head: u64,
-    /// Wrapping sum of the hashes of all entries in force.
+    /// Wrapping sum of the hashes of all current entries.
     digest: u64,
-    /// Bytes of all keys and texts in force.
+    /// Total size of all current keys and texts, in bytes.
     total_bytes: usize,
-    /// Number of the entry in force under each key, keys included whose text was removed.
+    /// Number of each key's current entry. Keys whose text was removed are included.
     keys: BTreeMap<String, u64>,
-    /// The entries in force, by number.
+    /// The current entries, by number.
     latest: BTreeMap<u64, Change>,
 }
 
-/// What a change does if it is the next entry.
+/// The effect of a change as the next entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// It takes effect.
+    /// The change takes effect.
     Applies,
-    /// It is the no-op, or out of bounds.
+    /// The change is the no-op, or its key or text is too large.
     Nothing,
-    /// Another entry than the one it replaces is in force under its key.
+    /// The current entry of the key is not the one that the change replaces.
     Conflicts,
-    /// There is no room for its key or its text.
+    /// The state has no room for the key or the text.
     Full,
 }
 
-/// Upper bound on the encoded size of an entry beside its key and text, the digest included.
+/// Upper bound on the encoded size of a logged entry without its key and text.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 fn entry_hash(number: u64, change: &Change) -> u64 {
@@ -55,8 +55,7 @@
 }
 
 impl State {
-    /// Applies the next entry and returns whether it changed more than the head. An entry that is not the next one has no
-    /// effect.
+    /// Applies the next entry and returns whether its change took effect. An entry that is not the next one is ignored.
     pub fn apply(&mut self, entry: Entry) -> bool {
         if entry.number != self.head + 1 {
             return false;
@@ -69,7 +68,7 @@
         took_effect
     }
 
-    /// What a change would do as the next entry.
+    /// The effect that a change would have as the next entry.
     pub(crate) fn effect_of(&self, change: &Change) -> Effect {
         if change.is_no_op() || !change.fits() {
             return Effect::Nothing;
@@ -99,13 +98,13 @@
         self.latest.insert(number, change);
     }
 
-    /// Installs entries of a snapshot taken at `head`: they replace whatever is in force under their keys.
+    /// Installs the entries of a snapshot taken at `head`; they replace the current entries of their keys.
     pub(crate) fn install(&mut self, entries: impl IntoIterator<Item = Entry>, head: u64) {
         entries.into_iter().for_each(|entry| self.set(entry));
         self.head = head;
     }
 
-    /// The digest after these entries of a snapshot were installed.
+    /// The digest that the state would have after these entries of a snapshot are installed.
     pub(crate) fn digest_with(&self, entries: &BTreeMap<u64, Change>) -> u64 {
         let last: BTreeMap<&str, (u64, &Change)> =
             entries.iter().map(|(number, change)| (change.key.as_str(), (*number, change))).collect();
@@ -115,7 +114,7 @@
         })
     }
 
-    /// The digest after this entry, if it is the next one.
+    /// The digest that the state would have after `entry`, which must be the next one.
     pub(crate) fn digest_after(&self, entry: &Entry) -> u64 {
         match self.effect_of(&entry.change) {
             Effect::Applies => {
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Number of the last entry that was applied.
+    /// Number of the last applied entry.
     #[must_use]
     pub fn head(&self) -> u64 {
         self.head
@@ -136,25 +135,25 @@
         Checkpoint { head: self.head, digest: self.digest }
     }
 
-    /// A hash of all entries in force, XXH3 of each summed modulo 2^64. It does not protect against forgery.
+    /// A digest of all current entries: the sum of their XXH3 hashes modulo 2^64. It does not protect against forgery.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The entry in force under a key, as number and change; the text is `None` if it was removed.
+    /// The current entry of a key, as number and change; the change has no text if the key was removed.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<(u64, &Change)> {
         let number = *self.keys.get(key)?;
         Some((number, self.latest.get(&number)?))
     }
 
-    /// All entries in force in the order of their numbers, removals included.
+    /// All current entries in the order of their numbers, including removals.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &Change)> {
         self.latest.iter().map(|(number, change)| (*number, change))
     }
 
-    /// The entries in force with numbers above `number`, as many as take at most `max_bytes` in a message.
+    /// The current entries with numbers above `number`, as many as fit into `max_bytes` of a message.
     #[must_use]
     pub fn entries_after(&self, number: u64, max_bytes: usize) -> Vec<Entry> {
         let mut remaining = max_bytes;
@@ -168,24 +167,24 @@
         entries.map(|(number, change)| Entry { number, change: change.clone() }).take_while(fits).collect()
     }
 
-    /// The entries in force from `number` on.
+    /// The current entries from `number` on.
     pub(crate) fn iter_from(&self, number: u64) -> impl Iterator<Item = (u64, &Change)> {
         self.latest.range(number..).map(|(number, change)| (*number, change))
     }
 
-    /// The highest number of an entry in force, 0 for none.
+    /// The highest number of a current entry, 0 for none.
     pub(crate) fn last_number(&self) -> u64 {
         self.latest.last_key_value().map_or(0, |(number, _)| *number)
     }
 
-    /// Bytes of all keys and texts in force; at most [`MAX_TOTAL_BYTES`].
+    /// Total size of all current keys and texts, in bytes; at most [`MAX_TOTAL_BYTES`].
     #[must_use]
     pub fn total_bytes(&self) -> usize {
         self.total_bytes
     }
 }
 
-/// Upper bound on the encoded size of an entry in a message, in bytes.
+/// Upper bound on the encoded size of a logged entry in a message, in bytes.
 pub(crate) fn encoded_bytes(change: &Change) -> usize {
     change.size() + ENTRY_OVERHEAD_BYTES
 }
--- a/crates/config-log/src/timing.rs
+++ b/crates/config-log/src/timing.rs
@@ -1,17 +1,17 @@
-//! The intervals and timeouts of the protocol.
+//! Intervals and timeouts of the protocol.
 
 /// Intervals and timeouts in seconds. All programs of a cluster should use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Mean time between two polls of a follower to one replica.
+    /// Mean time between two polls that a follower sends to the same replica.
     pub poll_interval: f64,
     /// Time without a reply after which a follower considers a replica silent.
     pub silence_timeout: f64,
-    /// Time between two heartbeats of a replica to the others.
+    /// Time between two heartbeats that a replica sends to the others.
     pub heartbeat_interval: f64,
-    /// Time after which an unanswered message is sent again; longer than a round trip.
+    /// Time after which an unanswered message is retransmitted; longer than a round trip.
     pub retransmit_interval: f64,
-    /// Time after which an author learns that the outcome of its change is unknown.
+    /// Time after which an author is told that the outcome of its change is unknown.
     pub proposal_timeout: f64,
 }
 
