--- a/crates/config-log/src/message/sealing.rs
+++ b/crates/config-log/src/message/sealing.rs
@@ -16,19 +16,19 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum OpenError {
     /// Larger than [`MAX_DATAGRAM_BYTES`](super::MAX_DATAGRAM_BYTES), or too small to be a message.
-    #[error("no message has this size")]
+    #[error("invalid datagram size")]
     InvalidSize,
     /// The version is not supported.
-    #[error("its version {0} is not read here")]
+    #[error("protocol version {0} is not supported")]
     UnsupportedVersion(u8),
     /// Sealed with another key, or modified in transit. All programs of a cluster need the same key.
     #[error("its seal is of another key")]
     InvalidTag,
     /// Authentic, but of a message kind that this release does not know.
-    #[error("its kind {0} is not known here")]
+    #[error("message kind {0} is not known to this release")]
     UnknownKind(u32),
     /// Authentic, but the body is malformed or a field is out of bounds.
-    #[error("it can't be read")]
+    #[error("the message body is malformed")]
     InvalidBody,
 }
 
