--- a/crates/config-log/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -1,8 +1,9 @@
-//! What following costs and how soon a change is in force, by number of followers: in simulated time, with datagrams sealed
-//! as in service, seven replicas and 1% of the messages lost. During a burst one of ten zones is isolated: first one without
-//! a replica, then that of the leader.
-//! `cargo bench -p milletpath-config-log --bench fleet`; `-- quick` for the small sizes alone, `-- --json` for one line of
-//! JSON a size.
+//! Cost of following and propagation delay of changes, by number of followers: seven replicas in simulated time, with real
+//! sealing of datagrams and 1% message loss. During a burst of changes one of ten zones is isolated: first one without a
+//! replica, then that of the leader.
+//!
+//! `cargo bench -p milletpath-config-log --bench fleet`; `-- quick` for the smallest size only, `-- --json` for one line
+//! of JSON per size.
 
 #[path = "../tests/burst/mod.rs"]
 mod burst;
@@ -22,9 +23,9 @@
         .unwrap_or(f64::NAN)
 }
 
-/// Estimated size of a state of that many entries of the usual size: its keys twice, its texts, and the nodes of two trees.
+/// Estimated memory of a state with that many typical entries: the keys twice, the texts, and the nodes of two trees.
 fn estimated_state_bytes(entries: u64) -> usize {
-    /// An entry in both trees with the headers of its three strings, where trees are two thirds full.
+    /// Per entry: its slots in both trees, including the headers of its three strings, with tree nodes two thirds full.
     const TREE_OVERHEAD_BYTES: usize = (24 + 8 + 8 + 72) * 3 / 2;
     let mut state = State::default();
     for number in 1..=entries {
@@ -34,7 +35,7 @@
     state.total_bytes() + keys + state.iter().count() * TREE_OVERHEAD_BYTES
 }
 
-/// Seconds until in force, and how often that took more than 6 s.
+/// Seconds until a change was applied at a follower, and how often that took more than 6 s.
 struct Latencies {
     p50: f64,
     p99: f64,
@@ -42,7 +43,7 @@
     missed: usize,
 }
 
-/// A burst while that zone is isolated.
+/// Runs a burst while a zone is isolated.
 fn latencies(cluster: &mut SimulatedCluster, isolated_zone: usize) -> (Latencies, Burst) {
     cluster.isolated_zones = vec![isolated_zone];
     let mut burst = Burst::run(cluster, 20);
@@ -55,7 +56,7 @@
     (Latencies { p50, p99, worst: burst.worst(), missed }, burst)
 }
 
-/// A zone without a replica, and that of the leader.
+/// A zone without a replica, and the zone of the leader.
 const ISOLATED_ZONES: [usize; 2] = [9, 0];
 
 fn costs_json(costs: NodeCosts) -> serde_json::Value {
@@ -92,7 +93,11 @@
         assert_eq!(cluster.leaders(), [ISOLATED_ZONES[1]]);
         let (leader_zone_isolated, _) = latencies(&mut cluster, ISOLATED_ZONES[1]);
         if has_argument("--json") {
-            let latencies_json = |l: &Latencies| serde_json::json!({ "p50": l.p50, "p99": l.p99, "worst": l.worst, "missed": l.missed });
+            let latencies_json = |l: &Latencies| {
+                serde_json::json!({
+                    "p50": l.p50, "p99": l.p99, "worst": l.worst, "missed": l.missed
+                })
+            };
             let mut line = costs_json(idle_costs);
             line["size"] = size.into();
             line["burst"] = costs_json(burst.cost);
--- a/crates/config-log/tests/burst/mod.rs
+++ b/crates/config-log/tests/burst/mod.rs
@@ -1,5 +1,5 @@
-//! A burst of changes by authors that retry, and when each change was in force at each follower: for the test of a large
-//! cluster and for the benchmark.
+//! A burst of changes by authors that retry, and the delays until each follower applied them. Used by the fleet test and
+//! by the benchmark.
 
 #![allow(dead_code)]
 
@@ -7,13 +7,13 @@
 use milletpath_config_log::Outcome;
 use rand::Rng;
 
-/// Seconds simulated after the last change.
+/// Seconds simulated after the last change of a burst.
 pub const SETTLING_SECONDS: f64 = 6.0;
 
 /// Seconds after which an author sends its change to the next replica.
 const RETRY_DELAY: f64 = 0.4;
 
-/// What a node used, in all or a second.
+/// Resources used by a node, in total or per second.
 #[derive(Clone, Copy, Default)]
 pub struct Cost {
     pub cpu_seconds: f64,
@@ -34,7 +34,7 @@
         sum.map(|total| total / count)
     }
 
-    /// What was used a second between two measurements.
+    /// The use per second between two measurements.
     fn per_second_between(before: Self, after: Self, seconds: f64) -> Self {
         Self {
             cpu_seconds: after.cpu_seconds - before.cpu_seconds,
@@ -53,14 +53,14 @@
     }
 }
 
-/// What a follower and a replica use on average.
+/// Average cost of a follower and of a replica.
 #[derive(Clone, Copy, Default)]
 pub struct NodeCosts {
     pub follower: Cost,
     pub replica: Cost,
 }
 
-/// What a follower and a replica have used so far, on average over those that are not isolated.
+/// Average cost so far of the followers and of the replicas that are not isolated.
 pub fn cost_so_far(cluster: &SimulatedCluster) -> NodeCosts {
     let is_reachable = |node: NodeId| !cluster.isolated_zones.contains(&node.zone());
     let followers = cluster.followers.iter().enumerate().filter(|(n, _)| is_reachable(NodeId::Follower(*n)));
@@ -71,7 +71,7 @@
     }
 }
 
-/// What each used a second between two measurements.
+/// Cost per second between two measurements.
 pub fn cost_between(before: NodeCosts, after: NodeCosts, seconds: f64) -> NodeCosts {
     NodeCosts {
         follower: Cost::per_second_between(before.follower, after.follower, seconds),
@@ -83,31 +83,32 @@
 struct OpenChange {
     id: u64,
     author: usize,
-    /// When it was proposed first.
+    /// When it was first proposed.
     proposed_at: f64,
-    /// When it was proposed last, and to which replica.
+    /// When it was last proposed, and to which replica.
     last_proposed_at: f64,
     replica: usize,
 }
 
-/// A change whose author received that it was committed.
+/// A change whose author was told that it is committed.
 struct CommittedChange {
     number: u64,
     proposed_at: f64,
     acknowledged_at: f64,
 }
 
+/// Result of a burst.
 pub struct Burst {
-    /// Seconds from the proposal until in force, for each change and each follower that is not isolated.
+    /// Seconds from the proposal until the follower applied it, for each change and each follower that is not isolated.
     pub delays: Vec<f64>,
     /// Seconds from the proposal until the author received the outcome.
     pub acknowledgement_delays: Vec<f64>,
-    /// What a follower and a replica used during the second of the burst.
+    /// Cost per second during the burst.
     pub cost: NodeCosts,
 }
 
 impl Burst {
-    /// Proposes that many changes within a second, from authors in reachable zones to random replicas.
+    /// Proposes that many changes within one second, from authors in reachable zones to random replicas.
     pub fn run(cluster: &mut SimulatedCluster, changes: u64) -> Self {
         let started_at = cluster.now;
         let base = 1_000_000 + cluster.log.state.head() * 1_000;
@@ -147,7 +148,7 @@
                         }
                         open.push(pending);
                     }
-                    other => panic!("{other:?} of a change under a key of its own"),
+                    other => panic!("unexpected outcome of a change with a unique key: {other:?}"),
                 }
             }
         }
@@ -171,7 +172,7 @@
     }
 }
 
-/// A change of the usual size.
+/// A change of typical size.
 pub fn typical_change(id: u64) -> milletpath_config_log::Change {
     let text =
         "function \"resize-thumbnails\" {\n  lanes = 2\n  memory = 400\n  profile = \"interactive\"\n}\n";
--- a/crates/config-log/tests/cluster/inspection.rs
+++ b/crates/config-log/tests/cluster/inspection.rs
@@ -1,4 +1,4 @@
-//! Changes, and inspection of replicas, for all scenarios.
+//! Helpers for tests: changes, and inspection of replicas.
 
 use super::SimulatedCluster;
 use milletpath_config_log::{Action, Change, ReplicaView};
@@ -8,7 +8,7 @@
 }
 
 impl SimulatedCluster {
-    /// The next action of a replica; when there is none left, all before it counts as durable.
+    /// The next action of a replica. When none is left, all stored records are confirmed as durable, which may yield more.
     pub fn next_action(&mut self, n: usize) -> Option<Action> {
         let process = self.replicas[n].process.as_mut()?;
         process.next_action().or_else(|| {
@@ -17,7 +17,7 @@
         })
     }
 
-    /// All running replicas have the same state.
+    /// Asserts that all running replicas have the same state.
     pub fn assert_agreement(&self) {
         let up: Vec<_> = self.replicas.iter().filter_map(|node| node.process.as_ref()).collect();
         assert!(up.iter().all(|process| process.state() == up[0].state()), "heads {:?}", self.heads());
--- a/crates/config-log/tests/cluster/mod.rs
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Replicas and followers in simulated time from one seed: the state machines themselves, disks that keep what was made
-//! durable, clocks that drift apart, and a network that loses, delays, duplicates and partitions by a rule. After each
-//! event, what is committed and what is in force anywhere is compared with the reference log.
+//! Deterministic simulation of replicas and followers from a seed: the real state machines, disks that keep durable
+//! records, clocks that drift apart, and a network that loses, delays, duplicates and partitions messages by a rule. Each
+//! committed entry, and each state that a follower reaches, is compared with the reference log.
 
 #![allow(dead_code)]
 
@@ -29,25 +29,27 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// When a replica crashes while it carries out its actions.
+/// When a replica crashes while it runs its actions.
 #[derive(Clone, Copy, Debug)]
 pub enum CrashPoint {
-    /// Once it has made such a record durable, before it sends anything.
+    /// After the first record that matches is durable, before anything else is sent.
     AfterStore(fn(&Record) -> bool),
-    /// Once it has sent one such message.
+    /// After the first message that matches is sent.
     AfterSend(fn(&Message) -> bool),
 }
 
+/// The simulation: nodes, disks, network, and the reference log.
 pub struct SimulatedCluster {
     pub now: f64,
     pub timing: Timing,
     pub replicas: Vec<Node<Replica>>,
     pub disks: Vec<Vec<Record>>,
     pub followers: Vec<Node<Follower>>,
-    /// What each follower gave its gateway to apply, by key.
+    /// Entries that each follower delivered to its gateway: number and text by key.
     pub delivered: Vec<BTreeMap<String, (u64, Option<String>)>>,
-    /// When each follower reached which number.
+    /// Each follower's heads, and when it reached them.
     pub head_history: Vec<Vec<(u64, f64)>>,
+    /// The saved state from which each follower is started.
     pub saved: Vec<Option<Vec<u8>>>,
     /// Messages that authors received: time, author, message.
     pub author_inbox: Vec<(f64, usize, Message)>,
@@ -56,17 +58,17 @@
     pub rng: ChaCha8Rng,
     pub delivery_rule: DeliveryRule,
     pub tamper: Option<Tamper>,
-    /// Zones that are isolated from all others.
+    /// Zones whose nodes can neither send nor receive messages.
     pub isolated_zones: Vec<usize>,
-    /// The replica that crashes, and when; used once.
+    /// The replica that crashes, and when. Cleared by the crash.
     pub crash_point: Option<(usize, CrashPoint)>,
     key: Key,
-    /// Whether CPU time is measured, sealing and opening included.
+    /// Whether to measure CPU time, including that of sealing and opening datagrams.
     pub measures_cpu: bool,
 }
 
 impl SimulatedCluster {
-    /// Replicas of a new log, all started, and followers that are not started.
+    /// Creates a cluster with a new log. All replicas are started, the followers are not.
     pub fn new(replicas: usize, followers: usize, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut cluster = Self {
@@ -156,7 +158,7 @@
         self.follower(n).state().head()
     }
 
-    /// Rewrites a replica's disk with its compacted records.
+    /// Replaces the records on a replica's disk by compacted ones.
     pub fn compact(&mut self, n: usize) {
         self.disks[n] = self.replica(n).compact();
     }
@@ -175,7 +177,7 @@
         self.send(Author(author), ReplicaNode(replica).address(), Message::Propose { change });
     }
 
-    /// The last outcome that an author received for a change.
+    /// The latest outcome that an author received for a change.
     pub fn outcome(&self, author: usize, id: u64) -> Option<Outcome> {
         let messages = self.author_inbox.iter().rev().filter(|(_, receiver, _)| *receiver == author);
         messages
@@ -196,11 +198,11 @@
         }
         match self.outcome(0, id) {
             Some(Outcome::Committed(number)) => number,
-            other => panic!("{other:?} of {id}"),
+            other => panic!("change {id} is not committed: {other:?}"),
         }
     }
 
-    /// Commits that many changes, each under a key of its own with that prefix.
+    /// Commits that many changes, each with a unique key that starts with `keys`.
     pub fn commit_many(&mut self, replica: usize, keys: &str, count: u64) {
         for id in 0..count {
             let id = self.log.state.head() * 1_000 + id + 1;
@@ -209,13 +211,13 @@
         }
     }
 
-    /// Hands a message to the network.
+    /// Sends a message through the simulated network.
     pub fn send(&mut self, from: NodeId, to: SocketAddr, mut message: Message) {
         if let Some(tamper) = &mut self.tamper {
             tamper(from, &mut message);
         }
         let started_at = self.measures_cpu.then(Instant::now);
-        let datagram = message::seal(&self.key, &message).expect("no message is too large");
+        let datagram = message::seal(&self.key, &message).expect("the message fits into a datagram");
         let cpu_seconds = started_at.map_or(0.0, |started_at| started_at.elapsed().as_secs_f64());
         let bytes = datagram.len() as u64;
         let to = NodeId::from_address(to);
@@ -235,7 +237,7 @@
         }
         for delay in (self.delivery_rule)(self.now, from, to, &mut self.rng) {
             let started_at = self.measures_cpu.then(Instant::now);
-            let message = message::open(&self.key, &datagram).expect("it is as it was sealed");
+            let message = message::open(&self.key, &datagram).expect("the datagram opens with its own key");
             let cpu_seconds = started_at.map_or(0.0, |started_at| started_at.elapsed().as_secs_f64());
             match to {
                 ReplicaNode(n) => {
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Carries out what a node asks for, checks what it committed or applied, and schedules its next tick.
+    /// Runs the actions of a node, checks what it committed or applied, and schedules its next tick.
     fn run_actions(&mut self, node: NodeId) {
         match node {
             ReplicaNode(n) => self.run_replica_actions(n),
@@ -269,9 +271,16 @@
                         self.log.record_committed(self.now, entry);
                     }
                     if let Record::SnapshotHead { head, digest } = &record {
-                        assert_eq!(self.log.digest(*head), Some(*digest), "a state that never was at {head}");
+                        assert_eq!(
+                            self.log.digest(*head),
+                            Some(*digest),
+                            "the log had no such state at {head}"
+                        );
                     }
-                    let crashes = matches!(self.crash_point, Some((target, CrashPoint::AfterStore(is_trigger))) if target == n && is_trigger(&record));
+                    let crashes = matches!(
+                        self.crash_point,
+                        Some((target, CrashPoint::AfterStore(is_trigger))) if target == n && is_trigger(&record)
+                    );
                     self.disks[n].push(record);
                     if crashes {
                         self.crash_point = None;
@@ -279,7 +288,10 @@
                     }
                 }
                 Action::Send(OutgoingMessage { to, message }) => {
-                    let crashes = matches!(self.crash_point, Some((target, CrashPoint::AfterSend(is_trigger))) if target == n && is_trigger(&message));
+                    let crashes = matches!(
+                        self.crash_point,
+                        Some((target, CrashPoint::AfterSend(is_trigger))) if target == n && is_trigger(&message)
+                    );
                     self.send(ReplicaNode(n), to, message);
                     if crashes {
                         self.crash_point = None;
@@ -328,23 +340,24 @@
         }
     }
 
-    /// The state of a follower is that of the reference log at its number, and its gateway was given just that.
+    /// Asserts that a follower's state is that of the reference log at its head, and that it delivered exactly that state
+    /// to its gateway.
     pub fn check_follower(&self, n: usize) {
         let state = self.follower(n).state();
         let (head, digest) = (state.head(), state.digest());
-        assert_eq!(self.log.digest(head), Some(digest), "gateway {n}: a state that never was at {head}");
+        assert_eq!(self.log.digest(head), Some(digest), "follower {n}: the log had no such state at {head}");
         let is_current = |(key, (number, text)): (&String, &(u64, Option<String>))| {
             let own = state.get(key).map(|(number, change)| (number, change.text.clone()));
-            // Keys that were never in force anywhere are removed.
+            // A key that does not exist in the log, from a wrong saved state, must have been removed.
             own == Some((*number, text.clone())) || (own.is_none() && text.is_none())
         };
         assert!(
             self.delivered[n].iter().all(is_current),
-            "follower {n} delivered other than what is in force"
+            "follower {n} delivered an entry that is not in its state"
         );
         assert!(
             state.iter().all(|(_, c)| self.delivered[n].contains_key(&c.key)),
-            "follower {n} delivered too little"
+            "follower {n} did not deliver its whole state"
         );
     }
 
@@ -354,7 +367,7 @@
             .for_each(|n| self.check_follower(n));
     }
 
-    /// Runs until that time, and checks followers after each of their events.
+    /// Runs the simulation until a time, and checks each follower whenever its head has changed.
     pub fn run_until(&mut self, until: f64) {
         while let Some(ScheduledEvent { at, event: due, .. }) = self.schedule.next_until(until) {
             self.now = at;
@@ -429,7 +442,7 @@
         }
     }
 
-    /// Seconds from `since` until a number, or a later one, was in force at a follower.
+    /// Seconds from `since` until a follower reached `number` or a later one; `None` if it has not.
     pub fn propagation_delay(&self, n: usize, number: u64, since: f64) -> Option<f64> {
         self.head_history[n].iter().find(|(head, _)| *head >= number).map(|(_, at)| at - since)
     }
--- a/crates/config-log/tests/cluster/network.rs
+++ b/crates/config-log/tests/cluster/network.rs
@@ -1,4 +1,4 @@
-//! The nodes of the simulated network, where they are, and what happens to messages between them.
+//! The nodes of the simulated network, their zones and regions, and rules for the delivery of messages.
 
 #![allow(dead_code)]
 
@@ -9,7 +9,7 @@
 
 use NodeId::{Author, Follower, Replica};
 
-/// A sender or receiver.
+/// A node that sends and receives messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeId {
     Replica(usize),
@@ -17,10 +17,11 @@
     Author(usize),
 }
 
-/// What happens to a message: the delays after which it is delivered, none if it is lost.
+/// Decides the fate of a message from time, sender and receiver: returns the delays after which it is delivered, none if
+/// it is lost, several if it is duplicated.
 pub type DeliveryRule = Box<dyn FnMut(f64, NodeId, NodeId, &mut ChaCha8Rng) -> Vec<f64>>;
 
-/// Changes messages that a faulty node sends.
+/// Modifies the messages of a faulty sender.
 pub type Tamper = Box<dyn FnMut(NodeId, &mut Message)>;
 
 impl NodeId {
@@ -40,7 +41,7 @@
         [Replica(n), Follower(n), Author(n)][usize::from(subnet)]
     }
 
-    /// Ten zones in four regions; each replica has a zone of its own.
+    /// Nodes are spread over ten zones in four regions; no two replicas share a zone.
     pub fn zone(self) -> usize {
         match self {
             Replica(n) | Follower(n) | Author(n) => n % 10,
@@ -52,12 +53,12 @@
     }
 }
 
-/// Messages take half a millisecond to two, and none is lost.
+/// Messages take 0.5 to 2 ms, and none is lost.
 pub fn reliable() -> DeliveryRule {
     Box::new(|_, _, _, rng| vec![rng.random_range(0.0005..0.002)])
 }
 
-/// A fraction of the messages is lost.
+/// A fraction `loss` of the messages is lost.
 pub fn lossy(loss: f64) -> DeliveryRule {
     Box::new(
         move |_, _, _, rng| {
@@ -66,7 +67,7 @@
     )
 }
 
-/// A millisecond within a region, 30 to 150 ms between two by pair of regions, and a fraction is lost.
+/// Messages take 1 ms within a region and 30 to 150 ms between regions, depending on the pair; a fraction is lost.
 pub fn regions(loss: f64) -> DeliveryRule {
     Box::new(move |_, from, to, rng| {
         if rng.random_bool(loss) {
@@ -78,7 +79,7 @@
     })
 }
 
-/// A partition: nodes reach only those on the same side.
+/// A network partition: nodes only reach those on the same side.
 pub fn partitioned(side: impl Fn(NodeId) -> usize + 'static) -> DeliveryRule {
     Box::new(
         move |_, from, to, rng| {
--- a/crates/config-log/tests/cluster/node.rs
+++ b/crates/config-log/tests/cluster/node.rs
@@ -1,16 +1,16 @@
-//! A node of the simulation: a state machine, its clock and its costs.
+//! A node of the simulation: a state machine, its clock and its cost.
 
 use milletpath_config_log::Message;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
 
-/// A replica or follower; without a `core` while its process is down.
+/// A replica or follower; `process` is `None` while it is down.
 pub struct Node<T> {
     pub process: Option<T>,
     pub clock_rate: f64,
     pub clock_offset: f64,
-    /// Added to its clock from now on; may be negative.
+    /// Offset by which a test steps the clock; may be negative.
     pub clock_step: f64,
     pub paused_until: f64,
     pub next_tick_at: f64,
@@ -18,7 +18,7 @@
     pub inbox: Vec<(SocketAddr, Message)>,
     pub bytes_in: u64,
     pub bytes_out: u64,
-    /// CPU seconds used by this node, if they are measured.
+    /// CPU time used by this node, if it is measured.
     pub cpu_seconds: f64,
 }
 
@@ -39,12 +39,12 @@
         }
     }
 
-    /// What its clock shows.
+    /// The node's clock at a simulated time.
     pub fn clock(&self, now: f64) -> f64 {
         self.clock_offset + self.clock_step + now * self.clock_rate
     }
 
-    /// Converts a time of its clock to simulated time.
+    /// Converts a time of the node's clock to simulated time.
     pub fn to_simulated_time(&self, clock: f64) -> f64 {
         (clock - self.clock_offset - self.clock_step) / self.clock_rate
     }
--- a/crates/config-log/tests/cluster/reference_log.rs
+++ b/crates/config-log/tests/cluster/reference_log.rs
@@ -1,15 +1,16 @@
-//! The reference log, with which all that is committed or in force anywhere is compared.
+//! The reference log, with which everything that nodes commit or apply is compared.
 
 use milletpath_config_log::{Entry, State};
 use std::collections::BTreeMap;
 
-/// Entries as they are first seen committed anywhere.
+/// The entries as the first replica committed them.
 #[derive(Default)]
 pub struct ReferenceLog {
     pub entries: BTreeMap<u64, Entry>,
     pub state: State,
-    /// Digests by number, from 0 on.
+    /// Digests of the state by number, from 0 on.
     pub digests: Vec<u64>,
+    /// When each number was first committed.
     pub at: Vec<f64>,
 }
 
@@ -21,10 +22,10 @@
         }
         let number = entry.number;
         if let Some(before) = self.entries.get(&number) {
-            assert_eq!(before, entry, "two different entries are committed at {number}");
+            assert_eq!(before, entry, "two different entries were committed at {number}");
             return;
         }
-        assert_eq!(number, self.state.head() + 1, "committed out of order");
+        assert_eq!(number, self.state.head() + 1, "an entry was committed out of order");
         self.state.apply(entry.clone());
         self.entries.insert(number, entry.clone());
         self.digests.push(self.state.digest());
--- a/crates/config-log/tests/cluster/schedule.rs
+++ b/crates/config-log/tests/cluster/schedule.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation in the order of their times.
+//! The queue of simulation events, ordered by time.
 
 use super::network::NodeId;
 use milletpath_config_log::Message;
@@ -6,15 +6,15 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// Something that happens at a node.
+/// An event at a node.
 pub enum Event {
-    /// A timer runs out; void after a restart, which begins another incarnation.
+    /// A timer expires; ignored unless the node is still in this incarnation, which changes with each restart.
     Tick(NodeId, u64),
-    /// A message from an address is delivered.
+    /// A message from an address arrives.
     Deliver(NodeId, SocketAddr, Box<Message>),
 }
 
-/// An event at its time; events of the same time happen in the order in which they were scheduled.
+/// An event and its time. Events of the same time happen in the order in which they were scheduled.
 pub struct ScheduledEvent {
     pub at: f64,
     sequence: u64,
@@ -50,7 +50,7 @@
         self.queue.push(ScheduledEvent { at, sequence: self.count, event });
     }
 
-    /// Takes the next event, if it is not after that time.
+    /// Removes and returns the next event, unless it is later than `until`.
     pub fn next_until(&mut self, until: f64) -> Option<ScheduledEvent> {
         if self.queue.peek().is_some_and(|next| next.at <= until) { self.queue.pop() } else { None }
     }
--- a/crates/config-log/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -1,5 +1,5 @@
-//! Replicas and their disks: records that were stored before a crash, and disks that are outdated, compacted or lost. The
-//! simulated cluster checks each committed entry.
+//! Replicas and their disks: recovery from stored records after a crash, and disks that are outdated, compacted or lost.
+//! The simulated cluster checks each committed entry.
 
 mod cluster;
 
@@ -12,8 +12,8 @@
     matches!(record, Record::Accepted(vote) if vote.change.key == "late")
 }
 
-/// A replica crashes after it stored its vote and before it sends anything; the proposer crashes too. The next leader
-/// finds the vote on the disk.
+/// A replica crashes after storing its vote and before sending anything, and the proposer crashes too. The vote must be
+/// recovered from the disk, or a change that may have been chosen would be lost.
 #[test]
 fn a_vote_stored_but_not_sent_is_recovered_after_a_restart() {
     let mut cluster = SimulatedCluster::new(3, 0, 2);
@@ -24,7 +24,7 @@
     cluster.propose(0, 0, change(2, "late", "lanes = 2", 0));
     cluster.run_until(cluster.now + 1.0);
     assert!(cluster.replicas[1].process.is_none(), "the replica crashed");
-    assert_eq!(cluster.log.state.head(), 1, "one of three is not enough");
+    assert_eq!(cluster.log.state.head(), 1, "one vote of three is no quorum");
     cluster.stop_replica(0);
     cluster.start_replica(1);
     cluster.start_replica(2);
@@ -36,7 +36,7 @@
     cluster.assert_agreement();
 }
 
-/// A replica that was down for long restarts from an outdated disk.
+/// A replica that was down for a long time restarts from an outdated disk, catches up and is needed for the quorum.
 #[test]
 fn a_replica_with_an_outdated_disk_catches_up_and_votes() {
     let mut cluster = SimulatedCluster::new(3, 0, 6);
@@ -53,8 +53,9 @@
     cluster.assert_agreement();
 }
 
-/// A replica without a disk learns, but does not vote until both others answered. While one of these is down nothing is
-/// committed, as the remaining two could together have forgotten what was chosen.
+/// A replica that lost its disk learns entries, but does not vote until both others have answered. While one of them is
+/// down nothing is committed: the replica that lost its disk may have voted for an entry together with the one that is
+/// down, so it and the remaining one could choose another.
 #[test]
 fn a_replica_that_lost_its_disk_votes_only_after_all_others_answered() {
     let mut cluster = SimulatedCluster::new(3, 0, 7);
@@ -68,7 +69,7 @@
     cluster.run_until(cluster.now + 6.0);
     assert_eq!(cluster.outcome(0, 2), Some(Outcome::Unknown));
     assert!(!cluster.replica_view(2).votes);
-    assert_eq!(cluster.heads(), [1, 1], "it learns all the same");
+    assert_eq!(cluster.heads(), [1, 1], "it learns entries nevertheless");
     cluster.start_replica(1);
     cluster.run_until(cluster.now + 3.0);
     assert!(cluster.replica_view(2).votes);
@@ -79,8 +80,9 @@
     cluster.assert_agreement();
 }
 
-/// A replica voted for a change that was chosen and reported the outcome to its author, lost its disk, and crashes again
-/// right after its readmission: the votes that it learned then bind it, although it has sent nothing since.
+/// A replica votes for a change that is chosen, reports the outcome to the author, loses its disk, and crashes again right
+/// after its readmission. The votes that it learned at the readmission must be on its disk and bind it, although it has
+/// sent nothing since.
 #[test]
 fn votes_learned_at_readmission_bind_the_replica_after_another_crash() {
     let mut cluster = SimulatedCluster::new(3, 0, 17);
@@ -88,7 +90,7 @@
     cluster.commit(0, change(1, "early", "lanes = 1", 0));
     cluster.run_until(cluster.now + 1.0);
     cluster.stop_replica(2);
-    // No message of 1 reaches 0, which leads: 1 alone knows that the change is chosen.
+    // No message from 1 reaches 0, which leads: only 1 knows that the change is chosen.
     cluster.delivery_rule = Box::new(|_, from, to, _| match (from, to) {
         (NodeId::Replica(1), NodeId::Replica(0)) => vec![],
         _ => vec![0.001],
@@ -99,7 +101,7 @@
     assert_eq!((cluster.outcome(0, 2), cluster.head(0)), (Some(Outcome::Committed(2)), 1));
     cluster.stop_replica(1);
     cluster.disks[1].clear();
-    // 0 does not reach 2.
+    // No message from 0 reaches 2.
     cluster.delivery_rule = Box::new(|_, from, to, _| match (from, to) {
         (NodeId::Replica(0), NodeId::Replica(2)) => vec![],
         _ => vec![0.001],
@@ -119,8 +121,9 @@
     cluster.assert_agreement();
 }
 
-/// Five replicas crash, lose disks (two may lack one at a time) and are isolated in turn while changes are proposed: there
-/// are never two entries at a number, and in the end all are readmitted and agree.
+/// Five replicas crash, lose disks (at most two of them are without votes at a time) and are isolated at random while
+/// changes are proposed. Two entries must never be committed at the same number, and in the end all replicas are
+/// readmitted and agree.
 #[test]
 fn disks_lost_one_at_a_time_lose_no_committed_entry() {
     let (mut lost, mut committed) = (0, 0);
@@ -167,7 +170,8 @@
     assert!(lost > 60 && committed > 400, "{lost} disks lost, {committed} entries");
 }
 
-/// With a majority of disks lost, the log would be a new one.
+/// After the loss of a majority of disks, committed entries may be lost, so no replica may be readmitted: the log would
+/// silently start anew.
 #[test]
 fn no_replica_is_readmitted_after_a_majority_lost_its_disks() {
     let mut cluster = SimulatedCluster::new(3, 0, 8);
@@ -184,8 +188,8 @@
     assert!((1..3).all(|n| !cluster.replica_view(n).votes));
 }
 
-/// A replica restarts from compacted records as it was; one that is behind what the others keep one by one fetches a
-/// snapshot, and a part of it that was stored before a crash is ignored.
+/// A replica that restarts from compacted records has the same state as before. One that is behind the entries that the
+/// others keep fetches a snapshot; if it crashes while storing it, the stored part is ignored.
 #[test]
 fn a_compacted_disk_restores_the_state_and_a_lagging_replica_installs_a_snapshot() {
     let mut cluster = SimulatedCluster::new(3, 0, 14);
--- a/crates/config-log/tests/fleet.rs
+++ b/crates/config-log/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A cluster of the intended size: seven replicas in as many zones, a hundred followers in ten zones and four regions, 1% of
-//! the messages lost, one zone isolated. A change is in force everywhere within 3 s of its proposal, in simulated time.
+//! A large cluster: seven replicas in seven zones, a hundred followers in ten zones and four regions, 1% message loss, one
+//! zone isolated. Each change must be applied at all reachable followers within 3 s of its proposal, in simulated time.
 
 mod burst;
 mod cluster;
@@ -8,7 +8,7 @@
 use cluster::network::regions;
 use cluster::{NodeId, SimulatedCluster};
 
-/// A burst of 20 changes within a second while one zone is isolated; the followers there are not counted.
+/// Runs a burst of 20 changes within a second while a zone is isolated; the followers in that zone are not counted.
 fn burst(seed: u64, isolated_zone: Option<usize>, followers: usize) -> (Burst, SimulatedCluster) {
     let mut cluster = SimulatedCluster::new(7, followers, seed);
     cluster.delivery_rule = regions(0.01);
@@ -20,7 +20,7 @@
     (burst, cluster)
 }
 
-/// Zones 0 to 6 have a replica each; the one in zone 0 leads.
+/// Each of the zones 0 to 6 has a replica; the one in zone 0 leads.
 #[test]
 fn a_change_is_in_force_at_all_followers_within_three_seconds() {
     for seed in 0..6 {
@@ -38,8 +38,8 @@
     }
 }
 
-/// The leader's zone is isolated during a burst: the next leader completes it, all acknowledged changes are in force, and
-/// the followers of that zone catch up soon after it is back.
+/// The leader's zone is isolated during a burst. The next leader must complete it, and the followers of that zone must
+/// catch up soon after the zone is back.
 #[test]
 fn losing_the_zone_of_the_leader_during_a_burst_loses_no_committed_change() {
     for seed in 20..24 {
@@ -58,7 +58,7 @@
             cluster.run_until(cluster.now + 0.05);
         }
         cluster.run_until(cluster.now + 8.0);
-        // An author whose message was lost asks again.
+        // Authors retry, as messages may have been lost.
         for id in 2..22 {
             cluster.propose(1, 1, cluster::change(id, &format!("key {id}"), "lanes = 2", 0));
         }
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -1,6 +1,6 @@
 //! Followers under faults: Byzantine and silent replicas, message loss, pauses, outdated and corrupt saved states, and
-//! catching up while the log advances. After each event of a follower the simulated cluster checks that its state was ever
-//! committed, and that the gateway was given just that.
+//! catching up while the log advances. Whenever a follower's head changes, the simulated cluster checks that its state is
+//! one of the log and that it delivered exactly that state to its gateway.
 
 mod cluster;
 
@@ -14,7 +14,7 @@
     cluster.follower(n).view(cluster.followers[n].clock(cluster.now))
 }
 
-/// All followers have the committed state.
+/// Whether all followers have the latest committed state.
 fn all_at_head(cluster: &SimulatedCluster) -> bool {
     let head = cluster.log.state.head();
     (0..cluster.followers.len())
@@ -51,7 +51,7 @@
     for seed in 0..5 {
         let mut cluster = started_cluster(5, 20, seed);
         cluster.delivery_rule = lossy(lost);
-        // Authors ask again, each time another machine, until they get the outcome.
+        // Authors retry, each time at another replica, until they get the outcome.
         for again in 0..12 {
             for id in (1..=20).filter(|id| cluster.outcome(0, *id).is_none()).collect::<Vec<_>>() {
                 let key = format!("key {}", id % 9);
@@ -90,7 +90,7 @@
     }
 }
 
-/// Entries that nobody committed, far ahead, and claimed to be the latest.
+/// Reports uncommitted entries far ahead of the log and claims to be up to date.
 fn far_ahead(message: &mut Message) {
     if let Message::PollReply { head, confirmed_age_ms, entries, .. } = message {
         (*head, *confirmed_age_ms) = (*head + 1_000_000, Some(0));
@@ -98,7 +98,7 @@
     }
 }
 
-/// An old log, claimed to be the latest.
+/// Reports an old log and claims to be up to date.
 fn far_behind(message: &mut Message) {
     match message {
         Message::PollReply { head, digest, confirmed_age_ms, queried_digest, entries, .. } => {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Pages that never end.
+/// Sends snapshot pages that never end.
 fn endless(message: &mut Message) {
     other_digest(message);
     if let Message::SnapshotPage { through, head, .. } = message {
@@ -118,10 +118,11 @@
     }
 }
 
-/// One of seven replicas is Byzantine: it misleads and delays nobody, and followers that can detect it do.
+/// One of seven replicas is Byzantine. It must neither mislead nor delay any follower, and it is detected if its messages
+/// contradict those of the others.
 #[test_case(other_text, true; "another text")]
 #[test_case(other_digest, true; "another digest")]
-#[test_case(far_ahead, false; "entries that nobody committed")]
+#[test_case(far_ahead, false; "uncommitted entries")]
 #[test_case(far_behind, false; "an old log")]
 #[test_case(endless, true; "pages that never end")]
 fn a_byzantine_replica_neither_misleads_nor_delays_followers(tamper: fn(&mut Message), detectable: bool) {
@@ -139,7 +140,7 @@
             let number = cluster.commit(id as usize % 3, change(id, &format!("key {id}"), "lanes = 1", 0));
             cluster.run_until(since + 3.0);
             let late = (0..30).filter(|n| cluster.propagation_delay(*n, number, since).is_none()).count();
-            assert_eq!(late, 0, "seed {seed}: gateways without {number} after 3 s");
+            assert_eq!(late, 0, "seed {seed}: followers without entry {number} after 3 s");
         }
         assert!(all_at_head(&cluster));
         cluster.check_all_followers();
@@ -147,14 +148,14 @@
         let head = cluster.log.state.head();
         let is_correct = |v: &FollowerView| !v.behind && v.known == head && v.rebuilds == 0;
         assert!(views.iter().all(is_correct), "seed {seed}: {:?}", views.iter().find(|v| !is_correct(v)));
-        // Of the honest ones nobody is distrusted.
+        // No correct replica is distrusted.
         let distrusted: Vec<_> = views
             .iter()
             .flat_map(|v| v.replicas.iter().filter(|r| r.conflicts > 0).map(|r| r.replica))
             .collect();
         assert!(distrusted.iter().all(|n| *n == 3), "seed {seed}: {distrusted:?}");
-        assert!(!detectable || !distrusted.is_empty(), "seed {seed}: nobody detected it");
-        // Gateways that begin from nothing and gather pages, too.
+        assert!(!detectable || !distrusted.is_empty(), "seed {seed}: no follower detected it");
+        // Followers that start without a state and fetch a snapshot are not misled either.
         for n in 0..10 {
             cluster.stop_follower(n);
             cluster.start_follower(n);
@@ -164,7 +165,8 @@
     }
 }
 
-/// A follower is paused for a minute while more is committed than one poll brings: no entry is delivered twice.
+/// A follower is paused for a minute while more entries are committed than one poll brings. It must not mistake the pause
+/// for silence of the replicas, nor deliver an entry twice.
 #[test]
 fn a_follower_paused_for_a_minute_catches_up_within_a_second() {
     let mut cluster = started_cluster(3, 2, 3);
@@ -195,7 +197,7 @@
     assert!(view(&cluster, 0).confirmed_age.is_some_and(|age| (0.0..1.5).contains(&age)));
 }
 
-/// The saved state is in force before any message, also if none ever arrives.
+/// The saved state takes effect at the start, even if no message ever arrives.
 #[test]
 fn a_saved_state_is_in_force_at_once_without_any_replica() {
     let mut cluster = started_cluster(3, 2, 5);
@@ -210,7 +212,7 @@
     assert_eq!((cluster.follower_head(0), cluster.delivered[0].len()), (2, 2));
     cluster.run_until(cluster.now + 30.0);
     assert_eq!(cluster.follower_head(0), 2);
-    assert_eq!(view(&cluster, 0).confirmed_age, None, "it doesn't know how old that is");
+    assert_eq!(view(&cluster, 0).confirmed_age, None, "the age of a saved state is unknown");
     cluster.delivery_rule = reliable();
     cluster.run_until(cluster.now + 7.0);
     assert!(all_at_head(&cluster));
@@ -238,11 +240,11 @@
     }
 }
 
-/// The saved state is authentic, but of another log. It stays in force until the right one is complete; then keys that
-/// should never have been in force are removed.
-#[test_case(3; "as far as the right one")]
-#[test_case(2; "not so far")]
-#[test_case(9; "further")]
+/// The saved state is intact, but from another log. It stays in effect until a snapshot of the right log is complete; then
+/// the keys that this log does not have are removed.
+#[test_case(3; "with the same head")]
+#[test_case(2; "with a lower head")]
+#[test_case(9; "with a higher head")]
 fn a_saved_state_of_another_log_is_replaced_as_one(count: u64) {
     let mut other = started_cluster(3, 1, 7);
     other.commit_many(0, "wrong", count);
@@ -263,8 +265,8 @@
     assert_eq!((wrong.count(), view(&cluster, 0).rebuilds), (count as usize, 1));
 }
 
-/// From nothing, from an old state, and across a restart of all replicas after which they keep no single entries, while the
-/// log advances.
+/// Followers catch up without a state, from an old state, and after a restart of all replicas from compacted records,
+/// which leaves only snapshots to fetch, all while the log advances.
 #[test]
 fn catching_up_exposes_only_committed_states() {
     for seed in 0..3 {
@@ -279,7 +281,7 @@
         cluster.saved[2] = Some(cluster.follower(0).save());
         for id in 301..=400 {
             let key = format!("function {}", id - 300);
-            let replaces = cluster.log.state.get(&key).expect("an entry in force").0;
+            let replaces = cluster.log.state.get(&key).expect("the key has an entry").0;
             cluster.propose(0, 0, change(id, &key, &"y".repeat(200), replaces));
             if id % 20 == 0 {
                 cluster.run_until(cluster.now + 1.0);
@@ -294,7 +296,7 @@
         (1..4).for_each(|n| cluster.start_follower(n));
         for id in 401..=480 {
             let key = format!("function {}", id - 300);
-            let replaces = cluster.log.state.get(&key).expect("an entry in force").0;
+            let replaces = cluster.log.state.get(&key).expect("the key has an entry").0;
             cluster.propose(0, 0, change(id, &key, "z", replaces));
             cluster.run_until(cluster.now + 0.1);
         }
@@ -303,11 +305,11 @@
         assert!(all_at_head(&cluster), "seed {seed}");
         cluster.check_all_followers();
         let steps = cluster.head_history[1].len();
-        assert!(steps > 3, "seed {seed}: it went on in steps, {steps}");
+        assert!(steps > 3, "seed {seed}: the follower advanced in only {steps} steps");
     }
 }
 
-/// With two of five replicas isolated, the state stays in force, and a follower there knows since when it may be outdated.
+/// Followers on the side of two of five replicas keep their state and know since when it may be outdated.
 #[test]
 fn followers_of_a_minority_know_how_old_their_state_may_be() {
     let mut cluster = started_cluster(5, 8, 9);
@@ -323,7 +325,7 @@
     cluster.run_until(cluster.now + 10.0);
     for n in 0..8 {
         let view = view(&cluster, n);
-        let age = view.confirmed_age.expect("it was sure once");
+        let age = view.confirmed_age.expect("the state was confirmed before the partition");
         match n < 4 {
             true => assert!(view.number == 1 && age > 9.0, "{n}: {} as of {age}", view.number),
             false => assert!(view.number == 2 && age < 1.5, "{n}: {} as of {age}", view.number),
@@ -335,7 +337,7 @@
     assert!((0..8).all(|n| view(&cluster, n).confirmed_age.is_some_and(|age| age < 1.5)));
 }
 
-/// Two of the three followed replicas crash: the next ones replace them.
+/// Two of the three followed replicas crash. The next ones in order of preference replace them until they are back.
 #[test]
 fn silent_replicas_are_replaced_and_tried_again() {
     let mut cluster = started_cluster(7, 1, 10);
@@ -368,10 +370,10 @@
     assert!(reason.starts_with(&apply_error.reason) && apply_error.reason.len() == 200);
     cluster.commit(0, change(2, "a", "lanes = 1", number));
     cluster.run_until(cluster.now + 1.0);
-    assert_eq!(view(&cluster, 0).apply_error, None, "another one stands there");
+    assert_eq!(view(&cluster, 0).apply_error, None, "the entry has been replaced");
 }
 
-/// Whatever a faulty replica sends: nothing uncommitted is applied, and nothing panics.
+/// A faulty replica sends authentic but nonsensical messages: nothing uncommitted may be applied, and nothing may panic.
 #[test]
 fn authenticated_garbage_does_no_harm() {
     let mut cluster = started_cluster(3, 3, 12);
--- a/crates/config-log/tests/message.rs
+++ b/crates/config-log/tests/message.rs
@@ -1,4 +1,4 @@
-//! Sealing and opening: a sealed message opens unchanged, and nothing else opens.
+//! Sealing and opening of messages: only a sealed message opens, and it opens unchanged.
 
 use milletpath_config_log::message::{
     Key, MAX_DATAGRAM_BYTES, MAX_ENTRIES_BYTES, OpenError, VERSION, Vote, open, seal,
@@ -50,10 +50,10 @@
 }
 
 fn sealed(message: &Message) -> Vec<u8> {
-    seal(&key(), message).expect("it is small enough")
+    seal(&key(), message).expect("the message fits into a datagram")
 }
 
-/// Any body with a valid tag.
+/// A datagram with an arbitrary body and a valid tag.
 fn sealed_body(body: &[u8]) -> Vec<u8> {
     let key = blake3::derive_key(
         "milletpath 2026-12 changes of configuration",
@@ -82,9 +82,13 @@
         prop_assert!(open(&key(), &bytes).is_err());
     }
 
-    /// A program that has the key may be faulty, too.
+    /// A program that has the key may still be faulty.
     #[test]
-    fn any_authenticated_body_is_decoded_without_a_panic(message in message(), cut in any::<prop::sample::Index>(), with in any::<u8>()) {
+    fn any_authenticated_body_is_decoded_without_a_panic(
+        message in message(),
+        cut in any::<prop::sample::Index>(),
+        with in any::<u8>(),
+    ) {
         let mut body = sealed(&message)[17..].to_vec();
         let at = cut.index(body.len());
         body[at] = with;
@@ -108,11 +112,11 @@
     assert_eq!(open(&key(), &datagram), Err(OpenError::UnsupportedVersion(0)));
     assert_eq!(open(&key(), &datagram[..17]), Err(OpenError::InvalidSize));
     assert_eq!(open(&key(), &vec![1; MAX_DATAGRAM_BYTES + 1]), Err(OpenError::InvalidSize));
-    // [200, {}]: a kind of a later version.
+    // [200, {}]: a message kind of a later release.
     assert_eq!(open(&key(), &sealed_body(&[0x82, 0x18, 200, 0xa0])), Err(OpenError::UnknownKind(200)));
 }
 
-/// `Get` with a field 9 that this program doesn't know: [3, {0: "a", 9: 5}].
+/// `Get` with an unknown field 9: [3, {0: "a", 9: 5}].
 #[test]
 fn an_unknown_field_is_skipped() {
     let body = [0x82, 3, 0xa2, 0, 0x61, b'a', 9, 5];
@@ -138,7 +142,7 @@
     assert_eq!(open(&key(), &sealed(&high)), Err(OpenError::InvalidBody));
 }
 
-/// The largest of each kind that carries entries, with the largest numbers that occur.
+/// The largest promise and the largest poll reply, with the largest numbers that occur.
 #[test]
 fn the_largest_messages_fit_into_one_datagram() {
     let change = Change {
@@ -158,7 +162,7 @@
         vote: Some(vote),
     };
     assert!(seal(&key(), &promise).is_ok());
-    // As many small ones as a page has room for, each counted with what stands around it at most.
+    // As many small entries as the limit admits: each counts 65 bytes, one of key and 64 of overhead.
     let small = Change { id: u64::MAX, key: "k".into(), text: None, replaces: u64::MAX };
     let logged = LoggedEntry { entry: Entry { number: u64::MAX, change: small }, digest: u64::MAX };
     let entries = vec![logged; MAX_ENTRIES_BYTES / 65];
--- a/crates/config-log/tests/replicas.rs
+++ b/crates/config-log/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! Replicas under crashes between two actions, partitions, and concurrent authors and proposers; disks are in `disks.rs`.
-//! The simulated cluster checks each committed entry.
+//! Replicas under crashes between two actions, partitions, and concurrent authors and proposers. Tests of disks are in
+//! `disks.rs`. The simulated cluster checks each committed entry.
 
 mod cluster;
 
@@ -29,12 +29,12 @@
     assert_eq!(cluster.commit(size - 1, change(2, "function a", "lanes = 3", 1)), 2);
     cluster.run_until(cluster.now + 1.0);
     cluster.assert_agreement();
-    let (number, current) = cluster.replica(0).state().get("function a").expect("an entry in force");
+    let (number, current) = cluster.replica(0).state().get("function a").expect("the key has an entry");
     assert_eq!((number, current.text.as_deref()), (2, Some("lanes = 3")));
 }
 
-/// The proposer crashes after the first of its messages: the next leader completes the change, and the author, who retries
-/// elsewhere, receives the number.
+/// The proposer crashes after its first accept request. The next leader must complete the change, and the author, which
+/// retries at another replica, must receive the number.
 #[test]
 fn a_partly_accepted_change_is_completed_by_the_next_leader() {
     let mut cluster = SimulatedCluster::new(5, 0, 3);
@@ -50,11 +50,12 @@
     cluster.start_replica(0);
     cluster.run_until(cluster.now + 2.0);
     cluster.assert_agreement();
-    let current = cluster.log.state.get("late").expect("an entry in force");
+    let current = cluster.log.state.get("late").expect("the key has an entry");
     assert_eq!((current.0, current.1.id), (2, 2));
 }
 
-/// Nobody retries: an open number is completed by itself.
+/// The proposer crashes after its first accept request, and the author does not retry. The other replicas must complete
+/// the stalled proposal by themselves.
 #[test]
 fn a_partly_accepted_change_is_completed_without_its_author() {
     let mut cluster = SimulatedCluster::new(3, 0, 3);
@@ -67,8 +68,8 @@
     assert_eq!((cluster.numbers_of(2), cluster.heads()), (vec![2], vec![2, 2]));
 }
 
-/// The proposer crashes before any message: the change is not committed, not even after the restart, as another one took
-/// its number.
+/// The proposer crashes before it sends any message. The change is not committed, not even after the restart, because
+/// another change was committed at its number.
 #[test]
 fn a_change_that_no_other_replica_received_is_not_committed() {
     let mut cluster = SimulatedCluster::new(3, 0, 4);
@@ -83,12 +84,12 @@
     cluster.run_until(cluster.now + 5.0);
     cluster.assert_agreement();
     assert_eq!((cluster.numbers_of(2), cluster.heads()), (vec![], vec![2, 2, 2]));
-    // Its author learns just that when he asks again: it is as new.
+    // When its author retries, it is committed like a new change.
     assert_eq!(cluster.commit(0, change(2, "late", "lanes = 2", 0)), 3);
 }
 
-/// The side with the leader and one more of five replicas commits nothing and reports it, the majority goes on;
-/// afterwards all agree.
+/// A partition separates the leader and one more of five replicas. They commit nothing and report an unknown outcome; the
+/// majority goes on; after the partition all agree.
 #[test]
 fn a_minority_commits_nothing_and_reports_unknown_outcomes() {
     let mut cluster = SimulatedCluster::new(5, 0, 5);
@@ -105,7 +106,7 @@
     assert_eq!(cluster.heads(), [1, 1, 2, 2, 2]);
     assert!(
         cluster.replica_view(0).confirmed_age.is_none_or(|age| age > 5.0),
-        "it knows that it may be behind"
+        "a replica in the minority knows that it may be behind"
     );
     assert!(cluster.replica_view(2).confirmed_age.is_some_and(|age| age < 1.0));
     cluster.delivery_rule = reliable();
@@ -113,7 +114,7 @@
     cluster.assert_agreement();
     cluster.propose(0, 0, change(2, "a", "lanes = 2", 0));
     cluster.run_until(cluster.now + 3.0);
-    assert_eq!(cluster.outcome(0, 2), Some(Outcome::Superseded(2)), "its author learns that he was too late");
+    assert_eq!(cluster.outcome(0, 2), Some(Outcome::Superseded(2)), "the author is told of the conflict");
 }
 
 #[test]
@@ -125,7 +126,7 @@
     cluster.propose(2, 2, change(3, "a", "lanes = 3", number));
     cluster.run_until(cluster.now + 2.0);
     let outcomes = [cluster.outcome(1, 2), cluster.outcome(2, 3)];
-    let won = cluster.log.state.get("a").expect("an entry in force").0;
+    let won = cluster.log.state.get("a").expect("the key has an entry").0;
     assert!(
         outcomes == [Some(Outcome::Committed(won)), Some(Outcome::Superseded(won))]
             || outcomes == [Some(Outcome::Superseded(won)), Some(Outcome::Committed(won))],
@@ -146,12 +147,12 @@
     cluster.assert_agreement();
 }
 
-/// Nobody leads yet, and three replicas try to at the same time.
+/// There is no leader yet, and three replicas try to become it at the same time.
 #[test]
 fn concurrent_proposers_back_off_and_all_changes_are_committed() {
     for seed in 0..20 {
         let mut cluster = SimulatedCluster::new(3, 0, seed);
-        // Authors are near, and machines have not received anything from each other yet.
+        // Proposals arrive before the replicas have received anything from each other.
         cluster.delivery_rule = Box::new(|_, from, to, rng| match (from, to) {
             (NodeId::Replica(_), NodeId::Replica(_)) => vec![rng.random_range(0.03..0.15)],
             _ => vec![0.001],
@@ -166,12 +167,13 @@
             "seed {seed}: {outcomes:?}"
         );
         let prepares: u64 = (0..3).map(|n| cluster.replica_view(n).counters.prepares).sum();
-        assert!(prepares >= 2, "seed {seed}: they met");
+        assert!(prepares >= 2, "seed {seed}: the attempts were not concurrent");
         cluster.assert_agreement();
     }
 }
 
-/// A retry, also after the change was superseded, gets the outcome; if the log does not reach back that far, it is unknown.
+/// A retry gets the outcome, even after the change was replaced by later ones. If the log no longer reaches back that far,
+/// the outcome is unknown.
 #[test]
 fn a_change_proposed_again_is_not_applied_twice() {
     let mut cluster = SimulatedCluster::new(3, 0, 11);
@@ -182,7 +184,7 @@
     cluster.commit(2, change(2, "a", "lanes = 2", number));
     cluster.commit(2, change(3, "a", "lanes = 3", number + 1));
     cluster.run_until(cluster.now + 1.0);
-    assert_eq!(cluster.commit(1, first.clone()), number, "it was in force, and is no more");
+    assert_eq!(cluster.commit(1, first.clone()), number, "it took effect and was replaced later");
     (0..3).for_each(|n| cluster.compact(n));
     for n in 0..3 {
         cluster.stop_replica(n);
@@ -215,7 +217,7 @@
     assert_eq!(cpu_seconds, 390 - 256);
 }
 
-/// The longest change passes, in every message that carries it.
+/// A change of maximum size fits into every message that carries it.
 #[test]
 fn the_longest_change_is_committed() {
     let mut cluster = SimulatedCluster::new(3, 1, 13);
@@ -229,7 +231,7 @@
     assert_eq!(cluster.follower_head(0), 1);
 }
 
-/// Messages are duplicated, delayed by seconds and reordered, and a fifth is lost.
+/// Messages are duplicated, delayed by seconds, reordered, and a fifth of them are lost, while replicas restart.
 #[test]
 fn duplicated_and_late_messages_do_no_harm() {
     for seed in 0..6 {
@@ -261,7 +263,7 @@
     }
 }
 
-/// Authentic messages of no replica, or with a ballot of another one, have no effect.
+/// Authentic messages from an address that is no replica's, or under a ballot that another replica owns, have no effect.
 #[test]
 fn messages_of_non_members_and_forged_ballots_have_no_effect() {
     let mut cluster = SimulatedCluster::new(3, 0, 15);
@@ -285,7 +287,7 @@
     assert_eq!(cluster.replica_view(1).counters.unexpected, 5);
 }
 
-/// The entry under a key, and the view in pages.
+/// A `Get` returns the current entry of a key, and the status is readable page by page.
 #[test]
 fn get_and_status_requests_are_answered() {
     let mut cluster = SimulatedCluster::new(3, 40, 16);
@@ -313,7 +315,7 @@
         Message::StatusPage { page_count, .. } => Some(*page_count),
         _ => None,
     });
-    let page_count = page_count.expect("the first page");
+    let page_count = page_count.expect("the first page has arrived");
     assert!(page_count > 1, "{page_count}");
     (1..page_count)
         .for_each(|page| cluster.send(NodeId::Author(7), to, Message::StatusRequest { query_id: 5, page }));
--- a/crates/config-log/tests/search.rs
+++ b/crates/config-log/tests/search.rs
@@ -1,6 +1,6 @@
-//! Three replicas and a follower, and every order in which messages are delivered, duplicated or lost, changes are proposed,
-//! processes crash (also between storing and sending) and restart, a disk fails for a while or is lost, and timers run
-//! out: to a given depth, from many states along random walks.
+//! Model checking of three replicas and a follower: from many states along random walks, every sequence of events up to a
+//! given depth is explored. Events are the delivery, duplication and loss of messages, proposals of changes, crashes (also
+//! between storing and sending) and restarts of processes, temporary failure and loss of disks, and expiry of timers.
 
 #[path = "search/model.rs"]
 mod model;
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
 
-/// Explores all that can happen within that many events; returns the number of new states, or the first fault.
+/// Explores all sequences of up to `depth` events; returns the number of new states, or the first violation.
 fn search(model: &Model, depth: usize, visited: &mut HashSet<u64>) -> Result<usize, String> {
     let mut states = 0;
     for event in model.events() {
@@ -30,8 +30,9 @@
     Ok(states)
 }
 
-/// Some phases. Before each, a replica may crash, lose its disk, or restart; in each, one may be isolated or single links be
-/// down; changes are proposed, and for a moment messages are delivered in any order.
+/// Walks randomly for a number of phases. Before each phase a replica may crash, lose its disk, have its storage fail, or
+/// restart. In each phase a replica may be isolated or single links may be down, changes are proposed, messages are
+/// delivered promptly, and sometimes a few random events follow.
 fn random_walk(model: &mut Model, phases: usize, rng: &mut ChaCha8Rng) {
     for _ in 0..phases {
         let n = rng.random_range(0..REPLICA_COUNT);
@@ -73,7 +74,7 @@
     }
 }
 
-/// Random events, with messages in transit.
+/// Applies random events, including those of messages in transit.
 fn random_events(model: &mut Model, events: usize, rng: &mut ChaCha8Rng) {
     for _ in 0..events {
         let events = model.events();
@@ -88,7 +89,7 @@
     }
 }
 
-/// States and commits over all seeds, or the first fault.
+/// The number of explored states and of committed entries over all seeds, or the first violation.
 fn search_from_random_walks(
     seeds: std::ops::Range<u64>,
     depth: usize,
@@ -116,7 +117,7 @@
     Ok((states, commits))
 }
 
-/// Every order of events to depth two from 15 states, and 120 more random walks; deeper by hand:
+/// Explores to depth two from 15 states, and takes 120 more random walks. For a deeper search run
 /// `DEPTH=4 cargo test --release -p milletpath-config-log --test search -- --ignored`.
 #[test]
 fn no_order_of_events_breaks_the_log() {
@@ -131,7 +132,7 @@
 }
 
 #[test]
-#[ignore = "takes minutes; depth and seeds are asked for by hand"]
+#[ignore = "takes minutes; run by hand, with depth and seeds from the environment"]
 fn no_order_of_events_breaks_the_log_in_depth() {
     let from_environment =
         |name: &str, default| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default);
@@ -145,15 +146,17 @@
     println!("{walks} walks, {} commits", found.1);
 }
 
-/// The same walks find a protocol with a seeded defect.
-#[test_case::test_case(Defect::SendBeforeDurable; "sends before what was stored is durable")]
-#[test_case::test_case(Defect::Quorum; "one of three is enough")]
-#[test_case::test_case(Defect::LostDiskVotes; "a lost disk is passed over")]
-#[test_case::test_case(Defect::IgnoreStorageFailure; "what could not be stored is taken for stored")]
+/// The random walks find each defect that is deliberately put into the protocol.
+#[test_case::test_case(Defect::SendBeforeDurable; "sends messages before records are durable")]
+#[test_case::test_case(Defect::Quorum; "a quorum of one of three")]
+#[test_case::test_case(Defect::LostDiskVotes; "votes after the loss of its disk")]
+#[test_case::test_case(Defect::IgnoreStorageFailure; "ignores a storage failure")]
 fn each_seeded_defect_is_found(defect: Defect) {
     let found = search_from_random_walks(0..3_000, 0, defect);
     assert!(
-        found.as_ref().is_err_and(|error| error.contains("which was") || error.contains("is said")),
+        found
+            .as_ref()
+            .is_err_and(|error| error.contains("was chosen there") || error.contains("was never committed")),
         "{found:?}"
     );
 }
--- a/crates/config-log/tests/search/model.rs
+++ b/crates/config-log/tests/search/model.rs
@@ -1,4 +1,4 @@
-//! The model that is searched: three replicas with their disks, a follower, and the messages between them.
+//! The model that the search explores: three replicas with their disks, a follower, and the messages between them.
 
 use milletpath_config_log::{
     Action, Change, Entry, Follower, FollowerConfig, Message, Outcome, OutgoingMessage, Record, Replica,
@@ -21,64 +21,68 @@
     proposal_timeout: 5.0,
 };
 
-/// Messages in transit; more are lost.
+/// Maximum number of messages in transit; further ones are lost.
 const MAX_MESSAGES: usize = 12;
 
-/// A seeded defect, for the test that shows that the search finds it.
+/// A defect that is deliberately put into the protocol, to show that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
     None,
     /// Messages are sent before the records they depend on are durable.
     SendBeforeDurable,
-    /// A quorum of one of three.
+    /// A quorum is one replica of three.
     Quorum,
-    /// A replica that lost its disk votes as if it had never promised anything.
+    /// A replica that lost its disk votes at once, as if it had never promised or accepted anything.
     LostDiskVotes,
     /// Records that could not be stored count as stored.
     IgnoreStorageFailure,
 }
 
+/// An event of the model. The first field is the index of a message in transit or of a node.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A message is delivered, and may be delivered again.
+    /// A message is delivered; if the flag is set, it stays in transit and may be delivered again.
     Deliver(usize, bool),
     /// A message is delivered, and its receiver crashes after that many actions.
     DeliverThenCrash(usize, usize),
     Drop(usize),
     Crash(usize),
-    /// It crashes, and its disk is lost.
+    /// The replica crashes, and its disk is lost.
     LoseDisk(usize),
     Start(usize),
-    /// Its storage fails from now on; the first failing record may be on the disk nevertheless.
+    /// The replica's storage fails from now on; the flag tells whether the first failing record reaches the disk anyway.
     Fail(usize, bool),
-    /// Its storage takes a new file again.
+    /// The replica's storage works again, and its log is rewritten.
     Recover(usize),
-    /// Time advances to the next deadline of this one; the others may be late for theirs.
+    /// Time advances to the next deadline of this node; the others may miss theirs.
     Tick(usize),
-    /// The follower restarts from what it saved some time ago.
+    /// The follower restarts from its saved state, which may be outdated.
     RestartFollower,
-    /// An author proposes a change to it.
+    /// An author proposes a change to this replica.
     Propose(usize),
 }
 
+/// A state of the model, including what is needed to check it.
 #[derive(Clone)]
 pub struct Model {
     pub now: f64,
     defect: Defect,
     pub nodes: [Option<Replica>; REPLICA_COUNT],
     disks: [Vec<Record>; REPLICA_COUNT],
-    /// Whose storage fails, and whether the failing record is on the disk nevertheless.
+    /// `Some` while a replica's storage fails; the flag tells whether the first failing record reaches the disk anyway.
     pub failing: [Option<bool>; REPLICA_COUNT],
-    /// Records of each that a crash would lose, if durability is not awaited.
+    /// With [`Defect::SendBeforeDurable`], the records of each replica that a crash would lose.
     volatile: [Vec<Record>; REPLICA_COUNT],
     follower: Follower,
     saved: Vec<u8>,
     last_seed: u64,
     messages: Vec<(usize, usize, Message)>,
-    /// What any node reported as chosen, and the outcomes that authors received.
+    /// Changes that any node reported as chosen, by number.
     pub chosen: BTreeMap<u64, Change>,
+    /// The latest outcome that the author received for each change, by id.
     outcomes: BTreeMap<u64, Outcome>,
     last_change_id: u64,
+    /// The first violation of a safety property.
     pub violation: Option<String>,
 }
 
@@ -139,16 +143,19 @@
         self.violation.get_or_insert(description);
     }
 
-    /// An entry that one node reports as chosen must be so for all.
+    /// Records an entry that a node reports as chosen. All nodes must report the same change at a number.
     fn record_chosen(&mut self, n: usize, entry: &Entry) {
         let before = self.chosen.entry(entry.number).or_insert_with(|| entry.change.clone());
         if *before != entry.change {
-            let description = format!("{n} has {:?} at {}, which was {before:?}", entry.change, entry.number);
+            let description = format!(
+                "{n} reports {:?} at {}, but {before:?} was chosen there",
+                entry.change, entry.number
+            );
             self.record_violation(description);
         }
     }
 
-    /// The next action of a replica; when there is none left, all before it is stored.
+    /// The next action of a replica. When none is left, all stored records are confirmed as durable, which may yield more.
     fn next_action(&mut self, n: usize) -> Option<Action> {
         let replica = self.nodes[n].as_mut()?;
         replica.next_action().or_else(|| {
@@ -162,7 +169,7 @@
             (Defect::SendBeforeDurable, _) => self.volatile[n].push(record),
             (Defect::IgnoreStorageFailure, Some(_)) => {}
             (_, Some(reaches_disk)) => {
-                let replica = self.nodes[n].as_mut().expect("it stores");
+                let replica = self.nodes[n].as_mut().expect("a replica that stores is running");
                 if !replica.is_suspended() {
                     self.disks[n].extend(reaches_disk.then_some(record));
                     replica.storage_failed();
@@ -172,7 +179,7 @@
         }
     }
 
-    /// A new file holds all that a replica knows.
+    /// Repairs the storage of a replica and rewrites its log.
     fn recover(&mut self, n: usize) {
         self.failing[n] = None;
         if let Some(replica) = self.nodes[n].as_mut() {
@@ -182,7 +189,7 @@
         self.run_actions(n, usize::MAX);
     }
 
-    /// Carries out that many actions, and crashes if more are left.
+    /// Runs up to `max_actions` actions of a replica, which crashes if there are more.
     fn run_actions(&mut self, n: usize, max_actions: usize) {
         let mut remaining = max_actions;
         while let Some(action) = self.next_action(n) {
@@ -219,12 +226,16 @@
                 if let Outcome::Committed(number) = outcome
                     && self.chosen.get(number).is_none_or(|c| c.id != *id)
                 {
-                    self.record_violation(format!("{id} is reported at {number}"));
+                    self.record_violation(format!(
+                        "change {id} is reported as committed at {number}, but is not"
+                    ));
                 }
                 if let (Some(Outcome::Superseded(_)), Outcome::Committed(_))
                 | (Some(Outcome::Committed(_)), Outcome::Superseded(_)) = (self.outcomes.get(id), outcome)
                 {
-                    self.record_violation(format!("{id} was committed and not"));
+                    self.record_violation(format!(
+                        "change {id} is reported both as committed and as superseded"
+                    ));
                 }
                 self.outcomes.insert(*id, *outcome);
             }
@@ -241,13 +252,14 @@
         self.volatile[n].clear();
     }
 
-    /// Fewer than a quorum may have lost their disks at a time.
+    /// Whether replica `n` may lose its disk: fewer than a quorum may be without their votes at a time.
     pub fn may_lose_disk(&self, n: usize) -> bool {
         let votes =
             |o: usize| self.disks[o].iter().any(|r| matches!(r, Record::Initialized | Record::Readmitted));
         (0..REPLICA_COUNT).filter(|o| *o != n).all(votes)
     }
 
+    /// All events that are possible in this state.
     pub fn events(&self) -> Vec<Event> {
         let messages = (0..self.messages.len()).flat_map(|l| {
             [
@@ -290,7 +302,7 @@
         self.run_actions(to, max_actions);
     }
 
-    /// Sends what the follower has to send, and checks that its state is one of the log.
+    /// Sends the follower's messages, and checks that its state is one of the log.
     fn check_follower(&mut self) {
         while let Some(OutgoingMessage { to, message }) = self.follower.next_outgoing() {
             self.send(FOLLOWER, to, message);
@@ -301,7 +313,7 @@
             state.apply(Entry { number: *number, change: change.clone() });
         }
         if state != *self.follower.state() {
-            self.record_violation(format!("at the gateway {head} is in force, which was not committed so"));
+            self.record_violation(format!("the follower's state at {head} was never committed"));
         }
     }
 
@@ -332,14 +344,14 @@
                 self.check_follower();
             }
             Event::Tick(n) => {
-                // What nobody waited for is durable at last.
+                // Records whose durability was not awaited have reached the disk by now.
                 let mut stored = std::mem::take(&mut self.volatile[n]);
                 self.disks[n].append(&mut stored);
                 if let Some(replica) = self.nodes[n].as_mut() {
                     self.now = self.now.max(replica.next_deadline());
                     replica.tick(self.now);
                     if replica.next_deadline() <= self.now {
-                        self.record_violation(format!("{n} has something due and does not do it"));
+                        self.record_violation(format!("replica {n} is still due after its tick"));
                     }
                 }
                 self.run_actions(n, usize::MAX);
@@ -348,7 +360,8 @@
         }
     }
 
-    /// Two keys, so that authors compete; each has seen the state of its replica.
+    /// Proposes a change to a replica. There are only two keys, so that changes conflict; each replaces the entry that is
+    /// current at its replica.
     fn propose(&mut self, n: usize) {
         let Some(replica) = self.nodes[n].as_mut() else { return };
         self.last_change_id += 1;
@@ -364,8 +377,8 @@
         self.run_actions(n, usize::MAX);
     }
 
-    /// From here on messages are delivered at once and nobody crashes. Then all agree, the outcomes that authors received
-    /// hold, and one more change is committed.
+    /// Starts and repairs all replicas, and delivers messages promptly from then on. All nodes must then agree, no
+    /// committed entry may be lost, all replicas must vote, and one more change must get a final outcome.
     pub fn heal(&mut self) -> Result<(), String> {
         self.messages.clear();
         for n in 0..REPLICA_COUNT {
@@ -384,21 +397,21 @@
         }
         let states: Vec<_> = self.nodes.iter().flatten().map(Replica::state).collect();
         if states.iter().any(|s| *s != states[0]) {
-            return Err("they do not agree after all went well".into());
+            return Err("the replicas do not agree".into());
         }
         if self.chosen.last_key_value().is_some_and(|(number, _)| *number > states[0].head()) {
-            return Err("what was committed is lost".into());
+            return Err("a committed entry is lost".into());
         }
         if self.follower.state() != states[0] {
-            return Err("the gateway is behind after all went well".into());
+            return Err("the follower is behind".into());
         }
         let votes = self.nodes.iter_mut().flatten().all(|r| r.view(self.now).votes);
         if !votes {
-            return Err("one is never taken in".into());
+            return Err("a replica does not vote".into());
         }
         match self.outcomes.get(&id) {
             Some(Outcome::Committed(_) | Outcome::Superseded(_)) => Ok(()),
-            outcome => Err(format!("the last change: {outcome:?}")),
+            outcome => Err(format!("the last change has no final outcome: {outcome:?}")),
         }
     }
 
@@ -406,9 +419,10 @@
         deliver_promptly(self, &[[true; REPLICA_COUNT + 1]; REPLICA_COUNT + 1], seconds);
     }
 
+    /// A hash that identifies this state of the model.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        // A replica's state is what its debug output shows.
+        // The debug output of replicas and the follower shows their whole state.
         format!("{:?}{:?}{:?}", self.nodes, self.follower, self.messages).hash(&mut hasher);
         self.disks.hash(&mut hasher);
         self.failing.hash(&mut hasher);
@@ -417,7 +431,7 @@
     }
 }
 
-/// For a while messages are delivered at once on the links that are up, and each node ticks in time.
+/// Runs for `seconds`: messages are delivered at once on links that are up and lost on others, and nodes tick on time.
 pub fn deliver_promptly(
     model: &mut Model,
     link_is_up: &[[bool; REPLICA_COUNT + 1]; REPLICA_COUNT + 1],
@@ -434,7 +448,7 @@
             FOLLOWER => model.follower.next_deadline(),
             n => model.nodes[n].as_ref().map_or(f64::INFINITY, Replica::next_deadline),
         };
-        let first = (0..=FOLLOWER).min_by(|a, b| next(a).total_cmp(&next(b))).expect("four");
+        let first = (0..=FOLLOWER).min_by(|a, b| next(a).total_cmp(&next(b))).expect("there are nodes");
         if next(&first) > until {
             model.now = until;
             return;
--- a/crates/config-log/tests/state.rs
+++ b/crates/config-log/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state: equal one by one or from a snapshot, compare and set, and its bounds.
+//! The state: compare-and-set of changes, its bounds, its digest, and its compacted log.
 
 use milletpath_config_log::{Change, Entry, MAX_KEYS, MAX_TEXT_BYTES, MAX_TOTAL_BYTES, State};
 use proptest::prelude::*;
@@ -12,12 +12,12 @@
 fn a_change_applies_only_over_the_entry_that_its_author_saw() {
     let mut state = State::default();
     assert!(state.apply(entry(1, "a", Some("1"), 0)));
-    assert!(!state.apply(entry(2, "a", Some("2"), 0)), "another one stands there");
+    assert!(!state.apply(entry(2, "a", Some("2"), 0)), "the key has another entry");
     assert!(state.apply(entry(3, "a", None, 1)));
-    assert!(!state.apply(entry(4, "a", Some("4"), 0)), "a removed one stands there, too");
+    assert!(!state.apply(entry(4, "a", Some("4"), 0)), "a removal is an entry, too");
     assert!(state.apply(entry(5, "a", Some("5"), 3)));
     assert!(!state.apply(Entry { number: 6, change: Change::no_op() }));
-    assert!(!state.apply(entry(8, "b", Some("8"), 0)), "it is not the next");
+    assert!(!state.apply(entry(8, "b", Some("8"), 0)), "it is not the next entry");
     assert_eq!((state.head(), state.get("a").map(|(n, _)| n), state.get("b")), (6, Some(5), None));
 }
 
@@ -29,7 +29,7 @@
     }
     let next = MAX_KEYS as u64 + 1;
     assert!(!state.apply(entry(next, "one more", None, 0)));
-    assert!(state.apply(entry(next + 1, "1", Some("x"), 1)), "there is room under a key that stands");
+    assert!(state.apply(entry(next + 1, "1", Some("x"), 1)), "an existing key needs no more room");
 
     let (mut state, text) = (State::default(), "x".repeat(MAX_TEXT_BYTES));
     let mut number = 0;
@@ -41,7 +41,7 @@
 }
 
 prop_compose! {
-    /// Changes of few keys, most of which replace the entry in force.
+    /// Changes of a few keys, most of which replace the current entry.
     fn history()(
         changes in prop::collection::vec((0..8u8, prop::option::of("[a-z]{0,4}"), any::<bool>()), 1..60)
     ) -> Vec<Entry> {
@@ -59,7 +59,7 @@
 }
 
 proptest! {
-    /// The digest depends on the state alone; pages of the snapshot have all of it in order.
+    /// The state has the latest effective entry of each key, and the pages of its snapshot have all of them in order.
     #[test]
     fn the_compacted_log_equals_the_state_in_force(entries in history(), bytes in 200..2000usize) {
         let mut state = State::default();
@@ -84,7 +84,7 @@
         prop_assert_eq!(sizes, state.total_bytes());
     }
 
-    /// Another text, number or author gives another digest.
+    /// A different change id gives another digest, if the entry is a current one.
     #[test]
     fn different_states_have_different_digests(entries in history(), at in any::<prop::sample::Index>()) {
         let apply_all = |entries: &[Entry]| {
--- a/crates/config-log/tests/storage.rs
+++ b/crates/config-log/tests/storage.rs
@@ -1,6 +1,6 @@
-//! Three replicas on disks in memory, one of which fails: at each operation of a scripted history, with each error, for a
-//! while or for good, or with a crash there. Whatever that replica sends binds it after a loss of power at that moment, it
-//! goes on relaying, and no acknowledged change is lost.
+//! Three replicas on disks in memory, one of which fails: at each operation of a scripted history, with each kind of
+//! error, for one or several operations, or with a crash at that point. Promises and votes that this replica sends must
+//! survive a power loss at that moment, it must go on forwarding changes, and no acknowledged change may be lost.
 
 #[path = "storage/cluster.rs"]
 mod cluster;
@@ -12,7 +12,7 @@
 const POWER_LOSS: PowerLoss = PowerLoss { keeps_names: false, keeps_bytes: 0 };
 const PROCESS_KILL: PowerLoss = PowerLoss { keeps_names: true, keeps_bytes: usize::MAX };
 
-/// The operations of the faulty machine's disk in the scripted history without a fault.
+/// The operations on the faulty replica's disk during the scripted history without a fault.
 fn operations() -> Vec<Operation> {
     let mut cluster = Cluster::new();
     cluster.run_history();
@@ -63,8 +63,8 @@
     }
 }
 
-/// While its disk fails a replica forwards changes, reports what is in force, and does not vote; with another replica down
-/// nothing is committed. Once the disk takes a new file it votes again.
+/// While its disk fails, a replica forwards changes and learns entries, but does not vote; with another replica down
+/// nothing is committed. Once the disk works again, the replica votes again.
 #[test]
 fn a_replica_with_a_failing_disk_relays_and_does_not_vote() {
     let mut cluster = Cluster::new();
@@ -72,7 +72,7 @@
     cluster.commit(FAULTY);
     let at = cluster.operations().len();
     cluster.faulty_disk.fails(at..usize::MAX, Fault::Fails(Errno::ENOSPC));
-    // It reports nothing that it can't store; the others commit it all the same, and it learns of it.
+    // The others commit without its vote, and it learns the entry.
     let number = cluster.commit(0);
     cluster.run_for(1.0);
     assert!(!cluster.votes(FAULTY) && cluster.votes(0));
@@ -80,29 +80,29 @@
     let number = cluster.commit(FAULTY);
     cluster.run_for(1.0);
     assert_eq!(cluster.head(FAULTY), number);
-    // No majority can promise without it.
+    // Without it there is no quorum.
     cluster.stop(2);
     cluster.propose(0);
     cluster.run_for(4.0);
-    assert_eq!(cluster.head(0), number, "one of three is no majority");
-    // It is tried again ever more rarely: some 0.1 s, 0.2 s, 0.4 s ... 5 s, with two operations each time.
+    assert_eq!(cluster.head(0), number, "one replica of three is no majority");
+    // The disk is retried with backoff, after about 0.1 s, 0.2 s, 0.4 s ... 5 s, with two operations each time.
     let tried = cluster.operations().len() - at;
     assert!((8..30).contains(&tried), "{tried} operations");
     cluster.faulty_disk.recovers();
     cluster.run_for(6.0);
     assert!(cluster.votes(FAULTY));
-    assert!(cluster.head(0) > number, "with it operation_count is a majority again");
+    assert!(cluster.head(0) > number, "with it there is a majority again");
     cluster.check("recovered");
 }
 
-/// On a full disk a log that has grown cannot be rewritten, and takes records as long as there is room.
+/// When a grown log cannot be rewritten because no new file can be created, records must still be appended to it.
 #[test]
 fn a_log_that_cannot_be_rewritten_still_takes_records() {
     let mut cluster = Cluster::new();
     cluster.run_for(1.0);
     cluster.commit(0);
     let before = cluster.operations();
-    // Only the fresh file fails: its creation comes before its first byte.
+    // Only the creation of files fails, so the new file is never written to.
     cluster.faulty_disk.fails_at(Operation::Create, Fault::Fails(Errno::ENOSPC));
     (0..12).for_each(|_| {
         cluster.commit(0);
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -1,5 +1,5 @@
-//! Three replicas on disks in memory, with messages that are delivered at once and an author; each message of the replica
-//! whose disk fails is checked.
+//! Three replicas on disks in memory and an author, with messages that are delivered at once. Each message of the replica
+//! whose disk fails is checked against the records that are durable.
 
 use milletpath_config_log::{
     Ballot, Change, DurableReplica, Message, Outcome, OutgoingMessage, Record, Replica, ReplicaConfig,
@@ -15,31 +15,32 @@
 /// The replica whose disk fails.
 pub const FAULTY: usize = 1;
 
-/// Seconds that the scripted history takes.
+/// Upper bound on the duration of the scripted history, in seconds.
 pub const HISTORY_SECONDS: f64 = 9.0;
 
 const LOG_NAME: &str = "control.log";
 
-/// Small, so that the scripted history rewrites its logs.
+/// Low limits, so that logs are rewritten during the scripted history.
 const REWRITE_POLICY: RewritePolicy = RewritePolicy { multiple: 2, above: 900 };
 
-/// Seconds until a process that crashed, or cannot read its log, restarts.
+/// Seconds until a process restarts after it crashed or could not read its log.
 const RESTART_DELAY: f64 = 0.3;
 
 type StoredReplica = DurableReplica<FaultyFolder>;
 
+/// The cluster and what its author has been told.
 pub struct Cluster {
     now: f64,
     replicas: [Option<StoredReplica>; REPLICA_COUNT],
     disks: [FaultyFolder; REPLICA_COUNT],
     /// The disk that fails.
     pub faulty_disk: FaultyFolder,
-    /// What a crash leaves of the disk.
+    /// What a crash leaves on the disk.
     pub power_loss: PowerLoss,
     restart_at: [f64; REPLICA_COUNT],
     stopped: [bool; REPLICA_COUNT],
     messages: VecDeque<(SocketAddr, SocketAddr, Message)>,
-    /// Numbers that the author received, by change.
+    /// Numbers at which changes are committed according to the outcomes that the author received, by change id.
     committed: BTreeMap<u64, u64>,
     last_change_id: u64,
     last_seed: u64,
@@ -53,12 +54,12 @@
     SocketAddr::from(([10, 2, 0, 1], 9000))
 }
 
-/// Under which key the author proposes a change.
+/// The key of the change with this id.
 fn key(id: u64) -> &'static str {
     ["a", "b", "c"][id as usize % 3]
 }
 
-/// What is on a disk after a loss of power now.
+/// The records that would be on a disk after a power loss at this moment.
 fn durable_records(disk: &FaultyFolder) -> Vec<Record> {
     let left = disk.after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
     let (_, recovered) = RecordLog::open(left, LOG_NAME).unwrap_or_else(|e| panic!("{e}"));
@@ -105,7 +106,7 @@
     }
 
     pub fn head(&self, n: usize) -> u64 {
-        self.replicas[n].as_ref().expect("it runs").replica().state().head()
+        self.replicas[n].as_ref().expect("the replica is running").replica().state().head()
     }
 
     pub fn votes(&mut self, n: usize) -> bool {
@@ -119,7 +120,7 @@
         self.stopped[n] = true;
     }
 
-    /// Starts the process of a replica from its disk; the first time with a new log.
+    /// Starts the process of a replica from its disk, with a new log if there is none and nothing has been committed.
     fn start(&mut self, n: usize) {
         let disk = self.disks[n].clone();
         self.restart_at[n] = self.now + RESTART_DELAY;
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Stores and sends what a replica has.
+    /// Stores a replica's records and sends its messages.
     fn flush(&mut self, n: usize) {
         let now = self.now;
         let Some(durable) = self.replicas[n].as_mut() else { return };
@@ -167,7 +168,8 @@
             .extend(out.into_iter().map(|outgoing| (replica_address(n), outgoing.to, outgoing.message)));
     }
 
-    /// What a replica sends must hold after a loss of power at this moment.
+    /// Asserts that the promises and votes that the faulty replica is about to send would survive a power loss at this
+    /// moment.
     fn check_durable(&self, out: &[OutgoingMessage]) {
         let requires_durability = |message: &Message| {
             matches!(
@@ -192,7 +194,7 @@
                 Message::Accept { vote } => votes && has_accepted(&records, vote.ballot, vote.number),
                 _ => true,
             };
-            assert!(holds, "{message:?} goes out, and after a loss of power there is {records:?}");
+            assert!(holds, "{message:?} is sent while only these records are durable: {records:?}");
         }
     }
 
@@ -212,9 +214,9 @@
         }
     }
 
-    /// Runs for that many seconds.
+    /// Runs the simulation for that many seconds.
     pub fn run_for(&mut self, seconds: f64) {
-        /// Seconds of the simulation's clock at a time.
+        /// Time step of the simulation, in seconds.
         const STEP: f64 = 0.02;
         let until = self.now + seconds;
         while self.now < until {
@@ -239,14 +241,14 @@
         Change { id: self.last_change_id, key: key.into(), text: Some("x".repeat(60)), replaces }
     }
 
-    /// An author proposes a change once.
+    /// Proposes a change once.
     pub fn propose(&mut self, n: usize) {
         let change = self.next_change();
         self.messages.push_back((author_address(), replica_address(n), Message::Propose { change }));
         self.deliver();
     }
 
-    /// An author proposes a change until it is committed.
+    /// Proposes a change repeatedly until it is committed, and returns its number.
     pub fn commit(&mut self, n: usize) -> u64 {
         let change = self.next_change();
         for _ in 0..40 {
@@ -264,7 +266,8 @@
         panic!("{change:?} at {n} is not committed by {:.2} s", self.now);
     }
 
-    /// The scripted history: changes at each replica, logs that are rewritten, and a loss of power where the disk fails.
+    /// Runs the scripted history: changes at each replica, enough of them to rewrite the logs, and a restart of the faulty
+    /// replica.
     pub fn run_history(&mut self) {
         self.run_for(1.0);
         for n in [0, FAULTY, 2, 0, FAULTY, 2] {
@@ -280,40 +283,40 @@
         }
     }
 
-    /// Without further faults all replicas vote, a change at each is committed, all agree, and all acknowledged changes are
-    /// there, also after a loss of power at all replicas at once.
-    pub fn check(&mut self, what: &str) {
+    /// Asserts that without further faults all replicas vote, agree and have all acknowledged changes, also after a power
+    /// loss at all replicas at once.
+    pub fn check(&mut self, context: &str) {
         for n in 0..REPLICA_COUNT {
             self.disks[n].recovers();
             self.stopped[n] = false;
         }
         self.run_for(7.0);
-        (0..REPLICA_COUNT).for_each(|n| assert!(self.votes(n), "{what}: {n} does not vote"));
-        self.assert_agreement(what);
+        (0..REPLICA_COUNT).for_each(|n| assert!(self.votes(n), "{context}: {n} does not vote"));
+        self.assert_agreement(context);
         for n in 0..REPLICA_COUNT {
             self.replicas[n] = None;
             self.disks[n] = self.disks[n].after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
         }
         self.messages.clear();
         self.run_for(1.0);
-        self.assert_agreement(what);
+        self.assert_agreement(context);
     }
 
-    fn assert_agreement(&mut self, what: &str) {
+    fn assert_agreement(&mut self, context: &str) {
         let last = self.commit(0);
         self.run_for(1.0);
         let states: Vec<_> = self.replicas.iter().flatten().map(|m| m.replica().state()).collect();
-        assert_eq!(states.len(), REPLICA_COUNT, "{what}: all run");
-        assert!(states.iter().all(|state| *state == states[0]), "{what}: they do not agree");
+        assert_eq!(states.len(), REPLICA_COUNT, "{context}: not all replicas are running");
+        assert!(states.iter().all(|state| *state == states[0]), "{context}: the replicas do not agree");
         let highest = self.committed.values().copied().max().unwrap_or(0);
-        assert_eq!(states[0].head(), highest.max(last), "{what}");
+        assert_eq!(states[0].head(), highest.max(last), "{context}");
         for (id, number) in &self.committed {
-            // It stands under its key, or what does came after it there: each entry replaces the one before.
+            // The change is the current entry of its key, or a later one replaced it.
             let key = key(*id);
-            let (at, change) = states[0].get(key).unwrap_or_else(|| panic!("{what}: nothing is at {key}"));
-            let stands = (at, change.id) == (*number, *id);
-            let replaced = change.replaces >= *number;
-            assert!(stands || replaced, "{what}: {id} at {number} is lost");
+            let (at, change) = states[0].get(key).unwrap_or_else(|| panic!("{context}: {key} has no entry"));
+            let is_current = (at, change.id) == (*number, *id);
+            let is_replaced = change.replaces >= *number;
+            assert!(is_current || is_replaced, "{context}: change {id} at {number} is lost");
         }
     }
 }
--- a/crates/config-log/tests/wire_forms.rs
+++ b/crates/config-log/tests/wire_forms.rs
@@ -1,5 +1,6 @@
-//! What other programs read stays byte for byte as it was released: each message kind, each record of a stored log, the
-//! saved state of a follower and the JSON that operators read. The fixture was written by the release of 2026-12-02.
+//! Compatibility of formats that other programs and releases read: each message kind, each record of a stored log, a
+//! follower's saved state and the JSON for operators stay byte for byte as released. The fixture was written by the
+//! release of 2026-12-02.
 
 use milletpath_config_log::message::{ApplyError, Key, Progress, Vote, seal};
 use milletpath_config_log::{
@@ -121,7 +122,7 @@
     ]
 }
 
-/// The state that a follower of one replica saves after two entries.
+/// The saved state of a follower of one replica after two entries.
 fn saved_state() -> Vec<u8> {
     let replica = SocketAddr::from(([10, 0, 0, 1], 7500));
     let mut follower = Follower::new(
@@ -216,17 +217,18 @@
     let mut forms = String::new();
     let messages = [messages_of_authors(), messages_of_replicas(), messages_of_followers()].concat();
     for message in messages {
-        let datagram = seal(&key, &message).expect("a small message");
-        writeln!(forms, "message {}", hex(&datagram)).expect("a string");
+        let datagram = seal(&key, &message).expect("the message fits into a datagram");
+        writeln!(forms, "message {}", hex(&datagram)).expect("writing to a string cannot fail");
     }
     for record in records() {
-        let bytes = minicbor::to_vec(&record).expect("a vector takes all");
-        writeln!(forms, "record {}", hex(&bytes)).expect("a string");
+        let bytes = minicbor::to_vec(&record).expect("writing to a vector cannot fail");
+        writeln!(forms, "record {}", hex(&bytes)).expect("writing to a string cannot fail");
     }
-    writeln!(forms, "saved {}", hex(&saved_state())).expect("a string");
-    let replica_json = serde_json::to_string(&replica_view()).expect("plain figures");
-    let follower_json = serde_json::to_string(&follower_view()).expect("plain figures");
-    writeln!(forms, "replica {replica_json}\nfollower {follower_json}").expect("a string");
+    writeln!(forms, "saved {}", hex(&saved_state())).expect("writing to a string cannot fail");
+    let replica_json = serde_json::to_string(&replica_view()).expect("the view is serializable");
+    let follower_json = serde_json::to_string(&follower_view()).expect("the view is serializable");
+    writeln!(forms, "replica {replica_json}\nfollower {follower_json}")
+        .expect("writing to a string cannot fail");
     forms
 }
 
