--- a/crates/config-log/benches/fleet.rs
+++ b/crates/config-log/benches/fleet.rs
@@ -75,7 +75,7 @@
     let has_argument = |name: &str| std::env::args().any(|a| a == name);
     let sizes: &[usize] = if has_argument("quick") { &[100] } else { &[100, 300, 600, 1100] };
     if !has_argument("--json") {
-        println!("                a gateway, a second              a machine, a second");
+        println!("                per gateway, per second          per replica, per second");
         println!("size           cpu ms  bytes in  bytes out      cpu ms  bytes in  bytes out");
     }
     for &size in sizes {
@@ -106,7 +106,7 @@
             println!("{line}");
             continue;
         }
-        for (load, NodeCosts { follower, replica }) in [("at rest", idle_costs), ("20 changes", burst.cost)] {
+        for (load, NodeCosts { follower, replica }) in [("idle", idle_costs), ("20 changes", burst.cost)] {
             let Cost { cpu_seconds, bytes_in, bytes_out } = follower;
             print!("{size:>4} {load:<10} {:>6.3} {bytes_in:>9.0} {bytes_out:>10.0} ", cpu_seconds * 1e3);
             let Cost { cpu_seconds, bytes_in, bytes_out } = replica;
@@ -116,14 +116,14 @@
             [("a zone", follower_zone_isolated), ("the leader's zone", leader_zone_isolated)]
         {
             println!(
-                "     in force with {zone} isolated: p50 {:.2} s, p99 {:.2} s, worst {:.2} s; not after 6 s: {}",
+                "     applied with {zone} isolated: p50 {:.2} s, p99 {:.2} s, worst {:.2} s; not within 6 s: {}",
                 measured.p50, measured.p99, measured.worst, measured.missed
             );
         }
     }
     if !has_argument("--json") {
         for entries in [1_000, 100_000] {
-            println!("state of {entries} entries: {} bytes by estimate", estimated_state_bytes(entries));
+            println!("state of {entries} entries: about {} bytes", estimated_state_bytes(entries));
         }
     }
 }
--- a/crates/config-log/tests/cluster/inspection.rs
+++ b/crates/config-log/tests/cluster/inspection.rs
@@ -39,6 +39,6 @@
 
     pub fn replica_view(&mut self, n: usize) -> ReplicaView {
         let clock = self.replicas[n].clock(self.now);
-        self.replicas[n].process.as_mut().expect("a running node").view(clock)
+        self.replicas[n].process.as_mut().expect("the node is running").view(clock)
     }
 }
--- a/crates/config-log/tests/cluster/mod.rs
+++ b/crates/config-log/tests/cluster/mod.rs
@@ -143,11 +143,11 @@
     }
 
     pub fn replica(&self, n: usize) -> &Replica {
-        self.replicas[n].process.as_ref().expect("a running node")
+        self.replicas[n].process.as_ref().expect("the node is running")
     }
 
     pub fn follower(&self, n: usize) -> &Follower {
-        self.followers[n].process.as_ref().expect("a running node")
+        self.followers[n].process.as_ref().expect("the node is running")
     }
 
     pub fn head(&self, n: usize) -> u64 {
--- a/crates/config-log/tests/disks.rs
+++ b/crates/config-log/tests/disks.rs
@@ -171,7 +171,7 @@
 }
 
 /// After the loss of a majority of disks, committed entries may be lost, so no replica may be readmitted: the log would
-/// silently start anew.
+/// silently start over.
 #[test]
 fn no_replica_is_readmitted_after_a_majority_lost_its_disks() {
     let mut cluster = SimulatedCluster::new(3, 0, 8);
--- a/crates/config-log/tests/fleet.rs
+++ b/crates/config-log/tests/fleet.rs
@@ -22,7 +22,7 @@
 
 /// Each of the zones 0 to 6 has a replica; the one in zone 0 leads.
 #[test]
-fn a_change_is_in_force_at_all_followers_within_three_seconds() {
+fn a_change_is_applied_at_all_followers_within_three_seconds() {
     for seed in 0..6 {
         let isolated_zone = [None, Some(0), Some(1), Some(3), Some(6), Some(9)][seed as usize];
         let (burst, cluster) = burst(seed, isolated_zone, 100);
--- a/crates/config-log/tests/followers.rs
+++ b/crates/config-log/tests/followers.rs
@@ -199,7 +199,7 @@
 
 /// The saved state takes effect at the start, even if no message ever arrives.
 #[test]
-fn a_saved_state_is_in_force_at_once_without_any_replica() {
+fn a_saved_state_takes_effect_at_once_without_any_replica() {
     let mut cluster = started_cluster(3, 2, 5);
     cluster.commit(0, change(1, "a", "lanes = 1", 0));
     cluster.commit(0, change(2, "b", "lanes = 2", 0));
@@ -245,7 +245,7 @@
 #[test_case(3; "with the same head")]
 #[test_case(2; "with a lower head")]
 #[test_case(9; "with a higher head")]
-fn a_saved_state_of_another_log_is_replaced_as_one(count: u64) {
+fn a_saved_state_of_another_log_is_replaced_completely(count: u64) {
     let mut other = started_cluster(3, 1, 7);
     other.commit_many(0, "wrong", count);
     other.run_until(other.now + 1.0);
@@ -361,11 +361,15 @@
     let number = cluster.commit(0, change(1, "a", "lanes = -1", 0));
     cluster.run_until(cluster.now + 1.0);
     let reason = "no such figure ".repeat(40);
-    cluster.followers[0].process.as_mut().expect("a running node").report_apply_error(number, reason.clone());
+    cluster.followers[0]
+        .process
+        .as_mut()
+        .expect("the node is running")
+        .report_apply_error(number, reason.clone());
     cluster.run_until(cluster.now + 1.0);
     let clock = cluster.replicas[0].clock(cluster.now);
-    let followers = cluster.replicas[0].process.as_mut().expect("a running node").view(clock).followers;
-    let apply_error = followers[0].apply_error.clone().expect("a reported error");
+    let followers = cluster.replicas[0].process.as_mut().expect("the node is running").view(clock).followers;
+    let apply_error = followers[0].apply_error.clone().expect("the error has been reported");
     assert_eq!((followers[0].name.as_str(), apply_error.number), ("gateway-0", number));
     assert!(reason.starts_with(&apply_error.reason) && apply_error.reason.len() == 200);
     cluster.commit(0, change(2, "a", "lanes = 1", number));
--- a/crates/config-log/tests/replicas.rs
+++ b/crates/config-log/tests/replicas.rs
@@ -22,7 +22,7 @@
 #[test_case(3)]
 #[test_case(5)]
 #[test_case(7)]
-fn a_change_is_in_force_at_all_replicas(size: usize) {
+fn a_change_is_applied_at_all_replicas(size: usize) {
     let mut cluster = SimulatedCluster::new(size, 0, 1);
     cluster.run_until(1.0);
     assert_eq!(cluster.commit(0, change(1, "function a", "lanes = 2", 0)), 1);
@@ -147,7 +147,7 @@
     cluster.assert_agreement();
 }
 
-/// There is no leader yet, and three replicas try to become it at the same time.
+/// There is no leader yet, and three replicas try to lead at the same time.
 #[test]
 fn concurrent_proposers_back_off_and_all_changes_are_committed() {
     for seed in 0..20 {
--- a/crates/config-log/tests/search/model.rs
+++ b/crates/config-log/tests/search/model.rs
@@ -261,15 +261,15 @@
 
     /// All events that are possible in this state.
     pub fn events(&self) -> Vec<Event> {
-        let messages = (0..self.messages.len()).flat_map(|l| {
+        let deliveries = (0..self.messages.len()).flat_map(|index| {
             [
-                Event::Deliver(l, false),
-                Event::Deliver(l, true),
-                Event::DeliverThenCrash(l, 0),
-                Event::DeliverThenCrash(l, 1),
+                Event::Deliver(index, false),
+                Event::Deliver(index, true),
+                Event::DeliverThenCrash(index, 0),
+                Event::DeliverThenCrash(index, 1),
             ]
         });
-        let lost = (0..self.messages.len()).map(Event::Drop);
+        let losses = (0..self.messages.len()).map(Event::Drop);
         let processes = (0..REPLICA_COUNT).flat_map(|n| match self.nodes[n] {
             Some(_) => {
                 let mut all = vec![Event::Crash(n), Event::Tick(n), Event::Propose(n)];
@@ -283,7 +283,7 @@
             None => vec![Event::Start(n)],
         });
         let follower_events = [Event::Tick(FOLLOWER), Event::RestartFollower];
-        messages.chain(lost).chain(processes).chain(follower_events).collect()
+        deliveries.chain(losses).chain(processes).chain(follower_events).collect()
     }
 
     fn deliver(&mut self, message_index: usize, duplicate: bool, max_actions: usize) {
--- a/crates/config-log/tests/state.rs
+++ b/crates/config-log/tests/state.rs
@@ -61,7 +61,7 @@
 proptest! {
     /// The state has the latest effective entry of each key, and the pages of its snapshot have all of them in order.
     #[test]
-    fn the_compacted_log_equals_the_state_in_force(entries in history(), bytes in 200..2000usize) {
+    fn the_compacted_log_equals_the_current_state(entries in history(), bytes in 200..2000usize) {
         let mut state = State::default();
         let mut expected = BTreeMap::new();
         for entry in &entries {
--- a/crates/config-log/tests/storage/cluster.rs
+++ b/crates/config-log/tests/storage/cluster.rs
@@ -63,7 +63,7 @@
 fn durable_records(disk: &FaultyFolder) -> Vec<Record> {
     let left = disk.after(PowerLoss { keeps_names: false, keeps_bytes: 0 });
     let (_, recovered) = RecordLog::open(left, LOG_NAME).unwrap_or_else(|e| panic!("{e}"));
-    recovered.records.iter().map(|bytes| minicbor::decode(bytes).expect("a record")).collect()
+    recovered.records.iter().map(|bytes| minicbor::decode(bytes).expect("a valid record")).collect()
 }
 
 fn has_promised(records: &[Record], ballot: Ballot) -> bool {
