--- a/crates/config-log/tests/cluster/reference_log.rs
+++ b/crates/config-log/tests/cluster/reference_log.rs
@@ -11,14 +11,14 @@
     /// Digests of the state by number, from 0 on.
     pub digests: Vec<u64>,
     /// When each number was first committed.
-    pub at: Vec<f64>,
+    pub committed_at: Vec<f64>,
 }
 
 impl ReferenceLog {
     pub fn record_committed(&mut self, now: f64, entry: &Entry) {
         if self.digests.is_empty() {
             self.digests.push(0);
-            self.at.push(0.0);
+            self.committed_at.push(0.0);
         }
         let number = entry.number;
         if let Some(before) = self.entries.get(&number) {
@@ -29,7 +29,7 @@
         self.state.apply(entry.clone());
         self.entries.insert(number, entry.clone());
         self.digests.push(self.state.digest());
-        self.at.push(now);
+        self.committed_at.push(now);
     }
 
     pub fn digest(&self, number: u64) -> Option<u64> {
