--- a/crates/milletpath/tests/platform/calls.rs
+++ b/crates/milletpath/tests/platform/calls.rs
@@ -36,7 +36,7 @@
 }
 
 /// The head of the first answer claims a body of three gigabytes.
-fn claims_a_huge_first_answer(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
+fn declares_a_huge_body_in_the_first_answer(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     if earlier_attempts > 0 {
         return answers(earlier_attempts, id, connection);
     }
@@ -46,7 +46,7 @@
 }
 
 /// The connection of the first attempt is closed.
-fn closes_at_the_first_attempt(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
+fn closes_the_connection_at_the_first_attempt(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     if earlier_attempts > 0 {
         return answers(earlier_attempts, id, connection);
     }
@@ -63,8 +63,8 @@
 /// Whatever the first answer is, an idempotent call succeeds with what a worker truly answered, and its client receives
 /// one answer.
 #[test_case(corrupts_the_first_answer; "a checksum that does not match")]
-#[test_case(claims_a_huge_first_answer; "three gigabytes claimed")]
-#[test_case(closes_at_the_first_attempt; "a connection that breaks")]
+#[test_case(declares_a_huge_body_in_the_first_answer; "three gigabytes claimed")]
+#[test_case(closes_the_connection_at_the_first_attempt; "a connection that breaks")]
 #[test_case(answers_twice_and_an_unknown_id; "a second answer and an unknown id")]
 fn corrupt_answers_are_not_passed_on(behaviour: WorkerBehaviour) {
     let workers = [behaviour, behaviour, answers].map(Worker::start);
@@ -86,7 +86,7 @@
 #[test_case(&call_line(1, 5).replace("\"p\"", "\"q\""); "a profile that does not exist")]
 #[test_case(&"x".repeat(1 << 20); "a line that does not end")]
 fn invalid_lines_are_not_forwarded(text: &str) {
-    const VALID: u64 = 77;
+    const VALID_ID: u64 = 77;
     let worker = Worker::start(answers);
     let router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     let mut invalid = Client::connect(&router);
@@ -94,8 +94,8 @@
     let lines: Vec<_> =
         std::iter::from_fn(|| Some(invalid.receive()).filter(|line| !line.is_empty())).collect();
     assert!(lines.iter().all(|line| line.contains("\"error\"")), "{lines:?}");
-    assert!(Client::connect(&router).call(1, VALID).contains(DONE));
-    assert!(worker.received.attempts().iter().all(|id| *id == VALID));
+    assert!(Client::connect(&router).call(1, VALID_ID).contains(DONE));
+    assert!(worker.received.attempts().iter().all(|id| *id == VALID_ID));
 }
 
 /// Workers receive calls and answer none: each call has one answer all the same, which is a rejection.
@@ -115,7 +115,7 @@
 /// Many calls come at once, a byte at a time each: a client that sends a complete call between two bytes is served
 /// meanwhile, and so are they with their last.
 #[test]
-fn calls_that_come_a_byte_at_a_time() {
+fn calls_sent_a_byte_at_a_time_are_answered() {
     const SLOW_CALLS: u64 = 40;
     let worker = Worker::start(answers);
     let router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
@@ -127,14 +127,14 @@
             (stream, call_line(1, id))
         })
         .collect();
-    let mut usual = Client::connect(&router);
-    for at in 0..call_line(1, 1).len() - 1 {
+    let mut other_client = Client::connect(&router);
+    for position in 0..call_line(1, 1).len() - 1 {
         for (stream, line) in &mut slow {
-            stream.write_all(&line.as_bytes()[at..=at]).unwrap();
+            stream.write_all(&line.as_bytes()[position..=position]).unwrap();
         }
-        if at % 8 == 0 {
-            let number = at as u64 + 1;
-            assert!(usual.call(number, 1000 + number).contains(DONE));
+        if position % 8 == 0 {
+            let number = position as u64 + 1;
+            assert!(other_client.call(number, 1000 + number).contains(DONE));
         }
     }
     assert!(worker.received.attempts().iter().all(|id| *id > SLOW_CALLS), "none is complete yet");
@@ -151,7 +151,7 @@
 /// Nobody ever answers: each call has its final answer in its own client's time, the shorter one first, and no second
 /// one; both attempts are cancelled at the worker.
 #[test]
-fn calls_that_nobody_answers_fail_in_their_own_time() {
+fn unanswered_calls_fail_at_their_own_deadlines() {
     let worker = Worker::start(never_answers);
     let configuration =
         RouterConfiguration::non_idempotent(&[worker.address], Discovery::steady().address, 250_000);
--- a/crates/milletpath/tests/platform/discovery.rs
+++ b/crates/milletpath/tests/platform/discovery.rs
@@ -9,7 +9,7 @@
 
 /// The stream breaks amid an event, repeats old ones and skips one: each is asked for again and taken once.
 #[test]
-fn events_that_are_cut_repeated_or_skipped_are_each_taken_once() {
+fn truncated_repeated_or_skipped_events_are_each_applied_once() {
     let [old, new] = [(); 2].map(|()| Worker::start(answers));
     let left = endpoint_event(2, "w0", old.address, "left");
     let joined = endpoint_event(3, "w1", new.address, "active");
@@ -19,21 +19,21 @@
     let mut client = Client::connect(&router);
     assert!(becomes_true(|| discovery.requests().len() >= 3));
     let mut number = 0;
-    let moved = becomes_true(|| {
+    let new_worker_is_used = becomes_true(|| {
         number += 1;
         client.call(number, number).contains(DONE) && new.received.count() > 0
     });
-    assert!(moved);
+    assert!(new_worker_is_used);
     assert_eq!(discovery.requests()[..3], ["after 1", "after 1", "after 1"]);
     // Once it has left, nothing more goes to the old one.
-    let before = old.received.count();
+    let frames_before = old.received.count();
     assert!((100..110).all(|n| client.call(n, n).contains(DONE)));
-    assert_eq!(old.received.count(), before);
+    assert_eq!(old.received.count(), frames_before);
 }
 
 /// Discovery that falls silent is asked again, from its last event on.
 #[test]
-fn silent_discovery_is_asked_again_after_its_last_event() {
+fn silent_discovery_is_queried_again_from_its_last_event() {
     let worker = Worker::start(answers);
     let discovery = Discovery::start(vec![endpoint_event(2, "w1", worker.address, "active")]);
     let _router = Router::start(&[worker.address], discovery.address, MAX_SOCKETS);
@@ -44,15 +44,15 @@
 /// Discovery from which single bytes come but no line ever ends counts as silent: it is asked again. Bytes alone held
 /// that off for as long as they came.
 #[test]
-fn discovery_that_never_ends_a_line_is_asked_again() {
-    const BETWEEN_BYTES: Duration = Duration::from_millis(200);
+fn discovery_that_never_ends_a_line_is_queried_again() {
+    const BYTE_INTERVAL: Duration = Duration::from_millis(200);
     let discovery = DiscoveryStreams::start();
     let worker = Worker::start(answers);
     let _router = Router::start(&[worker.address], discovery.address, MAX_SOCKETS);
     let mut stream = discovery.next_stream();
-    let again = (0..60).find_map(|_| {
+    let second_stream = (0..60).find_map(|_| {
         let _ = stream.write_all(b" ");
-        discovery.streams.recv_timeout(BETWEEN_BYTES).ok()
+        discovery.streams.recv_timeout(BYTE_INTERVAL).ok()
     });
-    assert!(again.is_some());
+    assert!(second_stream.is_some());
 }
--- a/crates/milletpath/tests/platform/discovery_outage.rs
+++ b/crates/milletpath/tests/platform/discovery_outage.rs
@@ -23,11 +23,11 @@
 use test_case::test_case;
 
 /// When events of an outage count as known at the latest: 4 s after it began.
-const NOTICE: Duration = Duration::from_secs(4);
+const MAX_EVENT_DELAY: Duration = Duration::from_secs(4);
 /// The grace in the configuration of these routers.
-const GRACE: Duration = Duration::from_millis(500);
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// What a busy machine may take between a router's write and a worker's read. Sends would go on for seconds.
-const DELAY: Duration = Duration::from_secs(1);
+const DELIVERY_MARGIN: Duration = Duration::from_secs(1);
 
 /// Functions that are called.
 const FUNCTIONS: u64 = 16;
@@ -41,14 +41,14 @@
 
 impl CallCounts {
     /// Whether there were calls and hardly any went without an answer of a worker.
-    fn are_served(self) -> bool {
+    fn nearly_all_served(self) -> bool {
         self.made > 100 && self.served * 100 >= self.made * 95
     }
 }
 
 /// Calls one after the other until it is stopped, some 30 a second.
-fn call_until(router: &Router, client_number: u64, stop: &AtomicBool) -> CallCounts {
-    const BETWEEN_CALLS: Duration = Duration::from_millis(30);
+fn call_until_stopped(router: &Router, client_number: u64, stop: &AtomicBool) -> CallCounts {
+    const CALL_INTERVAL: Duration = Duration::from_millis(30);
     let mut client = Client::connect(router);
     let mut counts = CallCounts::default();
     while !stop.load(Ordering::Relaxed) {
@@ -57,7 +57,7 @@
         // Many functions have their home on many workers.
         client.send(&function_call_line(counts.made, id, id % FUNCTIONS));
         counts.served += u64::from(client.receive().contains(DONE));
-        std::thread::sleep(BETWEEN_CALLS);
+        std::thread::sleep(CALL_INTERVAL);
     }
     counts
 }
@@ -71,66 +71,68 @@
 
 /// How discovery comes to be out of reach.
 #[derive(Clone, Copy, Debug)]
-enum Beginning {
+enum OutageStart {
     /// It fails.
-    Failure(Outage),
+    DiscoveryFailure(Outage),
     /// The file names addresses at which nobody listens, one after the other; the old discovery says nothing more.
-    Reloads,
+    UnreachableReloads,
 }
 
 /// What is played.
 #[derive(Clone, Copy, Debug)]
-struct Plan {
-    beginning: Beginning,
+struct Scenario {
+    outage_start: OutageStart,
     /// Whether two workers drain at once and two after 5 s.
     drains: bool,
     /// Whether two other workers reject attempts as they are full.
-    full: bool,
+    others_full: bool,
     /// Whether the settings allow health checks.
     health_checks: bool,
     /// Routers that there are by the settings. One of several checks its workers' health for their load as well.
     routers: usize,
 }
 
-impl Plan {
-    const DRAINS: Self = Self {
-        beginning: Beginning::Failure(Outage::Refused),
+impl Scenario {
+    const WITH_DRAINS: Self = Self {
+        outage_start: OutageStart::DiscoveryFailure(Outage::Refused),
         drains: true,
-        full: false,
+        others_full: false,
         health_checks: true,
         routers: 3,
     };
 }
 
 /// The part of the rig that a play changes.
-struct Rig {
+struct TestSetup {
     workers: Vec<Worker>,
     discovery: LiveDiscovery,
     configuration: RouterConfiguration,
     router: Router,
 }
 
-impl Rig {
-    fn start(plan: Plan) -> Self {
+impl TestSetup {
+    fn start(scenario: Scenario) -> Self {
         let workers: Vec<_> = (0..8).map(|_| Worker::start(answers)).collect();
         let addresses: Vec<_> = workers.iter().map(|worker| worker.address).collect();
         let discovery = LiveDiscovery::start(workers.len() as u64);
         let configuration = RouterConfiguration::new(&addresses, discovery.address, MAX_SOCKETS)
-            .with("Balancers", plan.routers)
-            .with("Probing", plan.health_checks);
+            .with("Balancers", scenario.routers)
+            .with("Probing", scenario.health_checks);
         let router = Router::with_configuration(&configuration);
         Self { workers, discovery, configuration, router }
     }
 
-    fn begin(&self, beginning: Beginning) {
-        match beginning {
-            Beginning::Failure(outage) => self.discovery.fail(outage),
-            Beginning::Reloads => {
+    fn begin_outage(&self, outage_start: OutageStart) {
+        match outage_start {
+            OutageStart::DiscoveryFailure(outage) => self.discovery.fail(outage),
+            OutageStart::UnreachableReloads => {
                 for _ in 0..3 {
-                    let closed = TcpListener::bind("127.0.0.1:0").and_then(|port| port.local_addr());
-                    let address = closed.expect("a free port");
-                    let moved = self.configuration.clone().with("bulletin", format!("\"{address}\""));
-                    std::fs::write(&self.router.configuration_file, moved.text()).expect("a writable file");
+                    let unused_address = TcpListener::bind("127.0.0.1:0").and_then(|port| port.local_addr());
+                    let address = unused_address.expect("a free port");
+                    let new_configuration =
+                        self.configuration.clone().with("bulletin", format!("\"{address}\""));
+                    std::fs::write(&self.router.configuration_file, new_configuration.text())
+                        .expect("a writable file");
                     self.router.process.signal(Signal::SIGHUP);
                     std::thread::sleep(Duration::from_millis(100));
                 }
@@ -149,29 +151,31 @@
 }
 
 /// Plays an outage of 9 s, with calls throughout.
-fn play(plan: Plan) -> OutageResult {
-    let rig = Rig::start(plan);
+fn run_scenario(scenario: Scenario) -> OutageResult {
+    let setup = TestSetup::start(scenario);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let clients: Vec<_> = (1..=4)
             .map(|number| {
-                let (router, stop) = (&rig.router, &stop);
-                scope.spawn(move || call_until(router, number, stop))
+                let (router, stop) = (&setup.router, &stop);
+                scope.spawn(move || call_until_stopped(router, number, stop))
             })
             .collect();
         std::thread::sleep(Duration::from_millis(1500));
-        if plan.full {
-            (6..8).for_each(|worker| rig.workers[worker].set_condition(WorkerCondition::Full));
+        if scenario.others_full {
+            (6..8).for_each(|worker| setup.workers[worker].set_condition(WorkerCondition::Full));
         }
-        rig.begin(plan.beginning);
-        let began = Instant::now();
+        setup.begin_outage(scenario.outage_start);
+        let outage_started_at = Instant::now();
         let mut draining = Vec::new();
-        if plan.drains {
-            draining.extend([0, 1].map(|worker| (worker, rig.drain(worker).max(began + NOTICE))));
+        if scenario.drains {
+            draining.extend(
+                [0, 1].map(|worker| (worker, setup.drain(worker).max(outage_started_at + MAX_EVENT_DELAY))),
+            );
         }
         std::thread::sleep(Duration::from_secs(5));
-        if plan.drains {
-            draining.extend([2, 3].map(|worker| (worker, rig.drain(worker))));
+        if scenario.drains {
+            draining.extend([2, 3].map(|worker| (worker, setup.drain(worker))));
         }
         std::thread::sleep(Duration::from_secs(4));
         stop.store(true, Ordering::Relaxed);
@@ -183,25 +187,28 @@
         }
         let late_work = draining
             .iter()
-            .flat_map(|&(worker, known)| rig.workers[worker].received.new_work_after(known + GRACE + DELAY))
+            .flat_map(|&(worker, known_at)| {
+                setup.workers[worker].received.new_work_after(known_at + DRAIN_GRACE + DELIVERY_MARGIN)
+            })
             .collect();
         OutageResult { late_work, calls }
     })
 }
 
 #[test]
-fn draining_workers_get_nothing_new_while_discovery_is_out_of_reach() {
+fn draining_workers_get_no_new_work_while_discovery_is_unreachable() {
     let results: Vec<_> = std::thread::scope(|scope| {
         let start = |outage| {
-            let plan = Plan { beginning: Beginning::Failure(outage), ..Plan::DRAINS };
-            (outage, scope.spawn(move || play(plan)))
+            let scenario =
+                Scenario { outage_start: OutageStart::DiscoveryFailure(outage), ..Scenario::WITH_DRAINS };
+            (outage, scope.spawn(move || run_scenario(scenario)))
         };
-        let plays: Vec<_> = Outage::ALL.map(start).into_iter().collect();
-        plays.into_iter().map(|(outage, play)| (outage, play.join().expect("no play panicked"))).collect()
+        let runs: Vec<_> = Outage::ALL.map(start).into_iter().collect();
+        runs.into_iter().map(|(outage, run)| (outage, run.join().expect("no scenario panicked"))).collect()
     });
-    let faults: Vec<_> = results
+    let failures: Vec<_> = results
         .iter()
-        .filter(|(_, result)| !result.late_work.is_empty() || !result.calls.are_served())
+        .filter(|(_, result)| !result.late_work.is_empty() || !result.calls.nearly_all_served())
         .map(|(outage, OutageResult { late_work, calls })| {
             format!(
                 "{outage:?}: {} sends too late, the first {:?}; {calls:?}",
@@ -210,22 +217,22 @@
             )
         })
         .collect();
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 /// The neighbours of that outage: nothing new goes to draining workers, and calls are served all the same.
-#[test_case(Plan { beginning: Beginning::Reloads, ..Plan::DRAINS }; "new configurations in a row name addresses that are out of reach")]
-#[test_case(Plan { full: true, ..Plan::DRAINS }; "other workers are full")]
-#[test_case(Plan { health_checks: false, ..Plan::DRAINS }; "health checks are not allowed")]
-#[test_case(Plan { health_checks: false, drains: false, ..Plan::DRAINS }; "neither are drains played")]
-fn other_outages_are_served_and_keep_drains(plan: Plan) {
-    let OutageResult { late_work, calls } = play(plan);
+#[test_case(Scenario { outage_start: OutageStart::UnreachableReloads, ..Scenario::WITH_DRAINS }; "new configurations in a row name addresses that are out of reach")]
+#[test_case(Scenario { others_full: true, ..Scenario::WITH_DRAINS }; "other workers are full")]
+#[test_case(Scenario { health_checks: false, ..Scenario::WITH_DRAINS }; "health checks are not allowed")]
+#[test_case(Scenario { health_checks: false, drains: false, ..Scenario::WITH_DRAINS }; "neither are drains played")]
+fn calls_are_served_and_drains_respected_in_related_outages(scenario: Scenario) {
+    let OutageResult { late_work, calls } = run_scenario(scenario);
     assert!(late_work.is_empty(), "{} sends too late, the first {:?}", late_work.len(), late_work[0]);
-    assert!(calls.are_served(), "{calls:?}");
+    assert!(calls.nearly_all_served(), "{calls:?}");
 }
 
 /// Calls one after the other, each of another function; returns how many were served.
-fn serve_calls(router: &Router, calls: std::ops::Range<u64>) -> usize {
+fn count_served_calls(router: &Router, calls: std::ops::Range<u64>) -> usize {
     let mut client = Client::connect(router);
     calls
         .filter(|&id| {
@@ -238,42 +245,42 @@
 /// A router starts while discovery is out of reach, with a list from before: two of its workers drain by now, and one
 /// is gone. It is ready, serves, and sends the two nothing.
 #[test]
-fn a_router_that_starts_in_an_outage_serves_without_its_old_list() {
-    let rig = Rig::start(Plan::DRAINS);
-    rig.begin(Beginning::Failure(Outage::Refused));
+fn a_router_started_during_an_outage_avoids_outdated_endpoints() {
+    let setup = TestSetup::start(Scenario::WITH_DRAINS);
+    setup.begin_outage(OutageStart::DiscoveryFailure(Outage::Refused));
     for worker in [0, 1] {
-        rig.drain(worker);
+        setup.drain(worker);
     }
-    rig.workers[2].set_condition(WorkerCondition::Gone);
-    let restarted = Instant::now();
-    let router = Router::with_configuration(&rig.configuration);
+    setup.workers[2].set_condition(WorkerCondition::Gone);
+    let restarted_at = Instant::now();
+    let router = Router::with_configuration(&setup.configuration);
     assert!(Client::connect(&router).is_router_ready(1));
-    assert_eq!(serve_calls(&router, 1..60), 59);
+    assert_eq!(count_served_calls(&router, 1..60), 59);
     for worker in [0, 1] {
-        assert_eq!(rig.workers[worker].received.new_work_after(restarted).len(), 0);
+        assert_eq!(setup.workers[worker].received.new_work_after(restarted_at).len(), 0);
     }
 }
 
 /// A worker drains in an outage and takes it back, and another restarts: both get calls again before discovery is heard.
 #[test]
-fn workers_that_are_ready_again_are_used_in_an_outage() {
-    let rig = Rig::start(Plan::DRAINS);
-    rig.router.wait_for_current_list();
-    serve_calls(&rig.router, 1..60);
-    rig.begin(Beginning::Failure(Outage::Silent));
-    rig.drain(0);
-    rig.workers[1].set_condition(WorkerCondition::Gone);
-    assert!(becomes_true(|| !rig.router.logged("the endpoint list is stale").is_empty()));
-    assert_eq!(serve_calls(&rig.router, 100..160), 60);
+fn workers_that_become_ready_again_are_used_during_an_outage() {
+    let setup = TestSetup::start(Scenario::WITH_DRAINS);
+    setup.router.wait_for_current_list();
+    count_served_calls(&setup.router, 1..60);
+    setup.begin_outage(OutageStart::DiscoveryFailure(Outage::Silent));
+    setup.drain(0);
+    setup.workers[1].set_condition(WorkerCondition::Gone);
+    assert!(becomes_true(|| !setup.router.logged("the endpoint list is stale").is_empty()));
+    assert_eq!(count_served_calls(&setup.router, 100..160), 60);
     for worker in [0, 1] {
-        rig.workers[worker].set_condition(WorkerCondition::Ready);
+        setup.workers[worker].set_condition(WorkerCondition::Ready);
     }
-    let ready = Instant::now();
+    let ready_at = Instant::now();
     let mut calls = 200..;
     let are_used = becomes_true(|| {
         let first = calls.next().expect("a number") * 100;
-        serve_calls(&rig.router, first..first + 20);
-        [0, 1].iter().all(|worker| !rig.workers[*worker].received.new_work_after(ready).is_empty())
+        count_served_calls(&setup.router, first..first + 20);
+        [0, 1].iter().all(|worker| !setup.workers[*worker].received.new_work_after(ready_at).is_empty())
     });
     assert!(are_used);
 }
@@ -281,13 +288,13 @@
 /// A router is stopped for longer than the grace, and finds calls and an event at once when it goes on: the event is
 /// applied first. The calls went to draining workers, as the sockets of clients were looked at first.
 #[test]
-fn an_event_that_came_during_a_pause_is_applied_before_calls() {
-    let rig = Rig::start(Plan { routers: 1, ..Plan::DRAINS });
-    rig.router.wait_for_current_list();
-    assert_eq!(serve_calls(&rig.router, 1..60), 59);
-    let mut clients: Vec<_> = (0..8).map(|_| Client::connect(&rig.router)).collect();
+fn an_event_received_during_a_pause_is_applied_before_calls() {
+    let setup = TestSetup::start(Scenario { routers: 1, ..Scenario::WITH_DRAINS });
+    setup.router.wait_for_current_list();
+    assert_eq!(count_served_calls(&setup.router, 1..60), 59);
+    let mut clients: Vec<_> = (0..8).map(|_| Client::connect(&setup.router)).collect();
     assert!(clients.iter_mut().all(|client| client.is_router_ready(1)));
-    rig.router.process.while_paused(|| {
+    setup.router.process.while_paused(|| {
         // The sockets of clients are ready before that of discovery, and looked at first.
         for (client, n) in clients.iter_mut().zip(1_u64..) {
             for call in 0..4 {
@@ -296,16 +303,16 @@
             }
         }
         for worker in 0..4 {
-            rig.drain(worker);
+            setup.drain(worker);
         }
-        std::thread::sleep(GRACE + DELAY);
+        std::thread::sleep(DRAIN_GRACE + DELIVERY_MARGIN);
     });
-    let resumed = Instant::now();
+    let resumed_at = Instant::now();
     for client in &mut clients {
         assert!((0..4).all(|_| client.receive().contains(DONE)));
     }
     for worker in 0..4 {
-        let late = rig.workers[worker].received.new_work_after(resumed);
-        assert!(late.is_empty(), "worker {worker}: {late:?}");
+        let late_work = setup.workers[worker].received.new_work_after(resumed_at);
+        assert!(late_work.is_empty(), "worker {worker}: {late_work:?}");
     }
 }
--- a/crates/milletpath/tests/platform/endpoint_changes.rs
+++ b/crates/milletpath/tests/platform/endpoint_changes.rs
@@ -30,7 +30,7 @@
 fn the_configuration_is_replaced_while_a_worker_drains() {
     let [draining, joining] = [(); 2].map(|()| ScriptedWorker::start());
     let old = DiscoveryStreams::start();
-    let next = TcpListener::bind("127.0.0.1:0").unwrap();
+    let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut router =
         Router::with_configuration(&without_slow_start(&[draining.address], old.address, 250_000));
     let mut client = Client::connect(&router);
@@ -38,13 +38,14 @@
     let mut first = draining.accept();
     assert_eq!(first.next_frame(request::ATTEMPT).expect("its attempt").id, 1);
     let mut stream = old.next_stream();
-    let moved = without_slow_start(&[draining.address], next.local_addr().unwrap(), 250_000);
+    let new_configuration =
+        without_slow_start(&[draining.address], new_discovery.local_addr().unwrap(), 250_000);
     router.process.while_paused(|| {
         stream.write_all(endpoint_event(2, "w0", draining.address, "leaving").as_bytes()).unwrap();
-        std::fs::write(&router.configuration_file, moved.text()).unwrap();
+        std::fs::write(&router.configuration_file, new_configuration.text()).unwrap();
         router.process.signal(Signal::SIGHUP);
     });
-    let (mut stream, _) = next.accept().unwrap();
+    let (mut stream, _) = new_discovery.accept().unwrap();
     let mut request_line = String::new();
     BufReader::new(&stream).read_line(&mut request_line).unwrap();
     assert_eq!(request_line, "after 2\n");
@@ -65,18 +66,18 @@
 /// The state, in the complete list, of the worker that has an attempt in flight.
 #[derive(Clone, Copy)]
 enum CompleteList {
-    Without,
-    Draining,
+    WorkerMissing,
+    WorkerDraining,
     Empty,
 }
 
 /// The complete list comes past a gap of numbers, while a worker has an attempt in flight that is not on it, drains, or
 /// where nobody is on it: nothing more is sent there, its answer counts, and once it is listed again it is the same
 /// process.
-#[test_case(CompleteList::Without; "it is missing")]
-#[test_case(CompleteList::Draining; "it drains, and the other is new")]
+#[test_case(CompleteList::WorkerMissing; "it is missing")]
+#[test_case(CompleteList::WorkerDraining; "it drains, and the other is new")]
 #[test_case(CompleteList::Empty; "nobody is on it")]
-fn a_complete_list_comes_while_an_attempt_is_in_flight(list: CompleteList) {
+fn a_complete_list_arrives_while_an_attempt_is_in_flight(list: CompleteList) {
     let [first, other] = [(); 2].map(|()| ScriptedWorker::start());
     let discovery = DiscoveryStreams::start();
     let configuration = without_slow_start(&[first.address], discovery.address, 250_000);
@@ -86,10 +87,10 @@
     let mut connection = first.accept();
     assert_eq!(connection.next_frame(request::ATTEMPT).expect("its attempt").id, 1);
     let mut stream = discovery.next_stream();
-    let new = ("w1", other.address, "active");
+    let new_endpoint = ("w1", other.address, "active");
     let endpoints: &[_] = match list {
-        CompleteList::Without => &[new],
-        CompleteList::Draining => &[("w0", first.address, "leaving"), new],
+        CompleteList::WorkerMissing => &[new_endpoint],
+        CompleteList::WorkerDraining => &[("w0", first.address, "leaving"), new_endpoint],
         CompleteList::Empty => &[],
     };
     stream.write_all(complete_list_event(7, endpoints).as_bytes()).unwrap();
@@ -119,7 +120,7 @@
 /// A connection comes up late, and meanwhile the endpoint list names another process as the worker, at another
 /// address. The attempt that waited for the connection went to the process that was gone.
 #[test]
-fn a_worker_is_replaced_while_a_connection_to_it_comes_up() {
+fn a_worker_is_replaced_while_a_connection_to_it_is_being_opened() {
     let (old, filler) = ScriptedWorker::with_full_backlog();
     let new = ScriptedWorker::start();
     let discovery = DiscoveryStreams::start();
@@ -133,13 +134,13 @@
     stream.write_all(endpoint_event(2, "w0", new.address, "active").as_bytes()).unwrap();
     // It was read once what comes after it is known.
     stream.write_all(endpoint_event(3, "w9", new.address, "left").as_bytes()).unwrap();
-    let mut late = old.free_backlog(filler);
+    let mut late_connection = old.free_backlog(filler);
     let mut connection = new.accept();
     assert_eq!(connection.next_frame(request::ATTEMPT).expect("the attempt, elsewhere").id, 1);
     connection.respond(response::DONE, 1);
     assert!(client.receive().contains(DONE));
     drop(router);
-    assert_eq!(late.next_frame(request::ATTEMPT), None);
+    assert_eq!(late_connection.next_frame(request::ATTEMPT), None);
 }
 
 /// The complete list comes without a worker that has an attempt in flight, and another event at once lists it again: its
--- a/crates/milletpath/tests/platform/idle_router.rs
+++ b/crates/milletpath/tests/platform/idle_router.rs
@@ -7,22 +7,22 @@
 use std::time::{Duration, Instant};
 
 /// A process's work so far, by the system's tables.
-struct ProcessWork {
+struct ProcessUsage {
     /// How often it waited and was woken.
-    wakes: u64,
+    wakeups: u64,
     /// Its processor time, in hundredths of a second.
-    ticks: u64,
+    cpu_ticks: u64,
 }
 
-impl ProcessWork {
-    fn read(process: u32) -> Self {
-        let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap();
+impl ProcessUsage {
+    fn read(pid: u32) -> Self {
+        let read = |name: &str| std::fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap();
         let status = read("status");
-        let wakes = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:")).unwrap();
+        let wakeups = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:")).unwrap();
         let stat = read("stat");
-        let figures: Vec<_> = stat.rsplit(") ").next().unwrap().split_whitespace().collect();
-        let (user, system): (u64, u64) = (figures[11].parse().unwrap(), figures[12].parse().unwrap());
-        Self { wakes: wakes.trim().parse().unwrap(), ticks: user + system }
+        let fields: Vec<_> = stat.rsplit(") ").next().unwrap().split_whitespace().collect();
+        let (user, system): (u64, u64) = (fields[11].parse().unwrap(), fields[12].parse().unwrap());
+        Self { wakeups: wakeups.trim().parse().unwrap(), cpu_ticks: user + system }
     }
 }
 
@@ -30,7 +30,7 @@
 /// It looks at idle connections five times a second, and its workers receive nothing from it.
 #[test]
 fn an_idle_router_waits_and_sends_nothing() {
-    const MAX_WAKES_PER_SECOND: f64 = 40.0;
+    const MAX_WAKEUPS_PER_SECOND: f64 = 40.0;
     const MAX_CORE_FRACTION: f64 = 0.2;
     const TICKS_PER_SECOND: f64 = 100.0;
     let worker = Worker::start(answers);
@@ -43,19 +43,19 @@
     }
     let mut stream = discovery.next_stream();
     let started = Instant::now();
-    let before = ProcessWork::read(router.process.id());
+    let before = ProcessUsage::read(router.process.id());
     let frames = worker.received.count();
     for _ in 0..3 {
         stream.write_all(b"1\n").unwrap();
         std::thread::sleep(Duration::from_millis(400));
     }
-    let after = ProcessWork::read(router.process.id());
+    let after = ProcessUsage::read(router.process.id());
     let seconds = started.elapsed().as_secs_f64();
-    let wakes = (after.wakes - before.wakes) as f64 / seconds;
-    let busy = (after.ticks - before.ticks) as f64 / TICKS_PER_SECOND / seconds;
+    let wakeups = (after.wakeups - before.wakeups) as f64 / seconds;
+    let core_fraction = (after.cpu_ticks - before.cpu_ticks) as f64 / TICKS_PER_SECOND / seconds;
     assert!(
-        wakes < MAX_WAKES_PER_SECOND && busy < MAX_CORE_FRACTION,
-        "{wakes} wakes a second, {busy} of a core"
+        wakeups < MAX_WAKEUPS_PER_SECOND && core_fraction < MAX_CORE_FRACTION,
+        "{wakeups} wakeups per second, CPU use {core_fraction} of a core"
     );
     assert_eq!(worker.received.count(), frames);
     assert!(clients.iter().all(|client| !client.has_received()), "none was closed");
--- a/crates/milletpath/tests/platform/killed_processes.rs
+++ b/crates/milletpath/tests/platform/killed_processes.rs
@@ -24,7 +24,7 @@
 #[test_case("\"free\"", true; "idempotent")]
 #[test_case("\"guarded\",\"KeyScope\":\"all\",\"DedupWindow\":2500000", true; "idempotent with a key")]
 #[test_case("\"single_shot\"", false; "not idempotent")]
-fn a_worker_is_killed_after_it_has_accepted(effect: &str, is_retried: bool) {
+fn a_worker_is_killed_after_accepting_a_connection(effect: &str, is_retried: bool) {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
     let addresses = workers.each_ref().map(|worker| worker.address);
     let configuration = RouterConfiguration::non_idempotent(&addresses, Discovery::steady().address, 250_000);
@@ -33,11 +33,11 @@
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1).replace("\"t\":", "\"k\":\"mark-of-it\",\"t\":"));
     let (connection, other) = first_connection(&workers);
-    let unread_code = wait_for(|| {
+    let unread_frame_code = wait_for(|| {
         let mut head = [0; HEAD_BYTES];
         (connection.stream.peek(&mut head).unwrap() == HEAD_BYTES).then_some(head[1])
     });
-    assert_eq!(unread_code, Some(request::ATTEMPT));
+    assert_eq!(unread_frame_code, Some(request::ATTEMPT));
     drop(connection);
     if is_retried {
         let mut connection = other.accept();
@@ -62,7 +62,7 @@
 /// the end and no answer, and nothing went to a worker. The next process can bind the address at once, knows nothing of
 /// these calls, and accepts the client's retry under the same id.
 #[test]
-fn a_router_is_killed_after_it_has_accepted() {
+fn a_router_is_killed_after_accepting_a_connection() {
     // An address of its own: between the two processes no other test's connection may get its port.
     let worker = Worker::start(answers);
     let configuration = RouterConfiguration::new(&[worker.address], Discovery::steady().address, 256);
@@ -79,9 +79,9 @@
     assert!(router.process.exit_status().is_some_and(|status| !status.success()));
     assert_eq!((accepted.receive(), in_backlog.unwrap().receive()), (String::new(), String::new()));
     let same_address = format!("\"{}\"", router.address);
-    let next = Router::with_configuration(&configuration.with("listen", same_address));
-    assert_eq!(next.address, router.address);
-    let mut client = Client::connect(&next);
+    let next_router = Router::with_configuration(&configuration.with("listen", same_address));
+    assert_eq!(next_router.address, router.address);
+    let mut client = Client::connect(&next_router);
     client.send(&call_line(1, 2).replace("\"t\":", "\"r\":1,\"t\":"));
     assert!(client.receive().contains(DONE));
     let attempts = worker.received.attempts();
--- a/crates/milletpath/tests/platform/misbehaving_clients.rs
+++ b/crates/milletpath/tests/platform/misbehaving_clients.rs
@@ -12,11 +12,11 @@
 
 /// Time between two rounds of a client that misbehaves: some 600 connections a second come from all three, which a
 /// crowded machine still accepts as they come.
-const ROUND: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Clients that are rejected come again at once, with invalid lines; a client that calls properly is served.
 #[test]
-fn a_valid_client_is_served_beside_many_invalid_ones() {
+fn a_valid_client_is_served_alongside_many_invalid_ones() {
     let worker = Worker::start(answers);
     let router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     std::thread::scope(|scope| {
@@ -44,8 +44,8 @@
 }
 
 /// Sends invalid lines, reads nothing, keeps silent connections and holds calls open, until `stop` is set.
-fn misbehave(router: &Router, serial: u64, stop: &AtomicBool) {
-    let mut id = serial << 32;
+fn misbehave(router: &Router, client_number: u64, stop: &AtomicBool) {
+    let mut id = client_number << 32;
     while !stop.load(Ordering::Relaxed) {
         let silent: Vec<_> = (0..8).map(|_| TcpStream::connect(router.address)).collect();
         if let Ok(mut invalid) = TcpStream::connect(router.address) {
@@ -55,11 +55,11 @@
             let calls: String = (1..=32).map(|number| call_line(number, id + number)).collect();
             let _ = never_reads.write_all(calls.as_bytes());
             id += 32;
-            std::thread::sleep(ROUND);
+            std::thread::sleep(ROUND_INTERVAL);
         }
-        for mut one in silent.into_iter().flatten() {
-            let _ = one.set_nonblocking(true);
-            let _ = one.read(&mut [0; 64]);
+        for mut stream in silent.into_iter().flatten() {
+            let _ = stream.set_nonblocking(true);
+            let _ = stream.read(&mut [0; 64]);
         }
     }
 }
@@ -69,30 +69,30 @@
 /// and on a new one each.
 #[test_case(never_answers; "and a worker that never answers")]
 #[test_case(corrupts_every_other_answer; "and a worker that corrupts its answers")]
-fn a_client_that_behaves_well_beside_others(behaviour: WorkerBehaviour) {
+fn a_well_behaved_client_is_served_alongside_misbehaving_ones(behaviour: WorkerBehaviour) {
     /// The call's own 2.5 s, and half a second by which an answer may be late.
-    const IN_TIME: Duration = Duration::from_secs(3);
+    const MAX_LATENCY: Duration = Duration::from_secs(3);
     let workers = [behaviour, answers].map(Worker::start);
     let addresses = workers.map(|worker| worker.address);
     let router = Router::start(&addresses, Discovery::steady().address, 128);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        for serial in 1..=3 {
+        for client_number in 1..=3 {
             let (router, stop) = (&router, &stop);
-            scope.spawn(move || misbehave(router, serial, stop));
+            scope.spawn(move || misbehave(router, client_number, stop));
         }
         let mut unanswered = Vec::new();
-        let mut own = Client::connect(&router);
+        let mut long_lived = Client::connect(&router);
         for number in 1..=30 {
             let mut call = |client: &mut Client, number: u64, id: u64| {
-                let called = Instant::now();
+                let called_at = Instant::now();
                 let line = client.call(number, id);
-                if !line.contains(&format!("\"id\":{number},")) || called.elapsed() > IN_TIME {
-                    println!("call {id}: {line:?} after {:?}", called.elapsed());
-                    unanswered.push((id, line, called.elapsed()));
+                if !line.contains(&format!("\"id\":{number},")) || called_at.elapsed() > MAX_LATENCY {
+                    println!("call {id}: {line:?} after {:?}", called_at.elapsed());
+                    unanswered.push((id, line, called_at.elapsed()));
                 }
             };
-            call(&mut own, number, number);
+            call(&mut long_lived, number, number);
             call(&mut Client::connect(&router), 1, 1000 + number);
         }
         stop.store(true, Ordering::Relaxed);
--- a/crates/milletpath/tests/platform/pause.rs
+++ b/crates/milletpath/tests/platform/pause.rs
@@ -1,6 +1,6 @@
 //! A router that is paused by SIGSTOP and resumed: every call that was written meanwhile gets its answer.
 
-use crate::unread_call::Unread;
+use crate::unread_call::UnreadCall;
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, MAX_SOCKETS, Router, Worker, answers, answers_after, call_line,
     health_check_line,
@@ -11,23 +11,23 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-fn takes_400_ms(_: usize, id: u64, connection: &mut TcpStream) {
+fn answers_after_400_ms(_: usize, id: u64, connection: &mut TcpStream) {
     answers_after(Duration::from_millis(400), id, connection);
 }
 
 /// Ages in ms at which silent connections meet the pause: before, near and at the end of the time they are granted.
-const SILENT_FOR: [u64; 4] = [0, 900, 1700, 1850];
+const SILENT_AGES_MS: [u64; 4] = [0, 900, 1700, 1850];
 
-/// Connections that have sent nothing for the times of [`SILENT_FOR`].
+/// Connections that have sent nothing for the times of [`SILENT_AGES_MS`].
 fn silent_clients(router: &Router) -> Vec<Client> {
-    let oldest = SILENT_FOR[SILENT_FOR.len() - 1];
+    let oldest = SILENT_AGES_MS[SILENT_AGES_MS.len() - 1];
     let started = Instant::now();
     let connect = |age: &u64| {
-        let due = Duration::from_millis(oldest - age);
-        std::thread::sleep(due.saturating_sub(started.elapsed()));
+        let connect_at = Duration::from_millis(oldest - age);
+        std::thread::sleep(connect_at.saturating_sub(started.elapsed()));
         Client::connect(router)
     };
-    SILENT_FOR.iter().rev().map(connect).collect()
+    SILENT_AGES_MS.iter().rev().map(connect).collect()
 }
 
 /// The process is paused with a call at its worker, calls unread on known, silent and new connections, and half a call:
@@ -36,28 +36,28 @@
 #[test_case(2000; "for 2 s")]
 #[test_case(12_000; "for 12 s")]
 fn calls_around_a_pause_are_answered(paused_ms: u64) {
-    let worker = Worker::start(takes_400_ms);
+    let worker = Worker::start(answers_after_400_ms);
     let router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     let mut silent = silent_clients(&router);
-    let [mut at_its_worker, mut known, mut halved] = [(); 3].map(|()| Client::connect(&router));
-    assert!(known.is_router_ready(1));
+    let [mut in_flight, mut established, mut partial] = [(); 3].map(|()| Client::connect(&router));
+    assert!(established.is_router_ready(1));
     let line = call_line(1, 3);
     let (head, tail) = line.split_at(40);
-    halved.send(head);
-    at_its_worker.send(&call_line(1, 1));
+    partial.send(head);
+    in_flight.send(&call_line(1, 1));
     assert!(becomes_true(|| worker.received.has_attempt(1)));
-    let mut new = None;
+    let mut new_client = None;
     router.process.while_paused(|| {
-        known.send(&call_line(2, 2));
-        new.insert(Client::connect(&router)).send(&call_line(1, 4));
+        established.send(&call_line(2, 2));
+        new_client.insert(Client::connect(&router)).send(&call_line(1, 4));
         std::thread::sleep(Duration::from_millis(paused_ms));
-        halved.send(tail);
+        partial.send(tail);
         for (client, id) in silent.iter_mut().zip(10..) {
             client.send(&call_line(1, id));
         }
     });
-    let new = new.as_mut().expect("a client");
-    for (client, number) in [(&mut at_its_worker, 1), (&mut known, 2), (&mut halved, 1), (new, 1)] {
+    let new_client = new_client.as_mut().expect("a client");
+    for (client, number) in [(&mut in_flight, 1), (&mut established, 2), (&mut partial, 1), (new_client, 1)] {
         let line = client.receive();
         assert!(line.contains(&format!("\"id\":{number},")), "{line:?}");
     }
@@ -69,10 +69,10 @@
 
 /// A router that has received SIGTERM is paused past the time at which it may exit, and meanwhile a call comes: unread in
 /// a client's socket, with a connection that is not accepted yet, or half before and half after. It exited over it.
-#[test_case(Unread::InASocket; "in an open connection")]
-#[test_case(Unread::InTheBacklog; "with a connection that is not accepted")]
-#[test_case(Unread::HalfALine; "the second half of a line")]
-fn a_call_is_unread_when_the_router_may_exit(unread: Unread) {
+#[test_case(UnreadCall::OnAcceptedConnection; "in an open connection")]
+#[test_case(UnreadCall::InListenBacklog; "with a connection that is not accepted")]
+#[test_case(UnreadCall::PartialLine; "the second half of a line")]
+fn a_call_unread_when_the_router_may_exit_is_answered(unread: UnreadCall) {
     let worker = Worker::start(answers);
     let mut router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     let mut client = Client::connect(&router);
@@ -80,17 +80,17 @@
     assert!(client.call(1, 1).contains(DONE));
     unread.write_before_pause(&mut client, &line);
     router.process.signal(Signal::SIGTERM);
-    let is_closing = becomes_true(|| {
+    let is_shutting_down = becomes_true(|| {
         let mut other = Client::connect(&router);
         other.send(&health_check_line(1));
         other.receive().contains("\"fit\":false")
     });
-    assert!(is_closing);
-    let mut late = None;
+    assert!(is_shutting_down);
+    let mut other_client = None;
     router.process.while_paused(|| {
-        late = unread.write_during_pause(&mut client, &router, &line);
+        other_client = unread.write_during_pause(&mut client, &router, &line);
         std::thread::sleep(Duration::from_millis(900));
     });
-    assert!(late.as_mut().unwrap_or(&mut client).receive().contains(DONE));
+    assert!(other_client.as_mut().unwrap_or(&mut client).receive().contains(DONE));
     assert!(router.process.exit_status().is_some_and(|status| status.success()));
 }
--- a/crates/milletpath/tests/platform/persistent_client.rs
+++ b/crates/milletpath/tests/platform/persistent_client.rs
@@ -8,25 +8,25 @@
 use std::time::{Duration, Instant};
 
 /// Time between two calls of one client.
-const INTERVAL: Duration = Duration::from_millis(30);
+const CALL_INTERVAL: Duration = Duration::from_millis(30);
 /// Calls that a client may have open on one connection.
-const MAX_OPEN: usize = 32;
+const MAX_OPEN_CALLS: usize = 32;
 /// A call written this shortly before the end of its connection crosses it, and is sent again by its client.
-const CROSSING: Duration = Duration::from_millis(50);
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
 /// What became of the calls of all clients.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub struct CallTotals {
     pub written: usize,
     pub answered: usize,
     pub answered_twice: usize,
-    /// Calls without an answer that were written more than [`CROSSING`] before the end of their connection.
+    /// Calls without an answer that were written more than [`CLOSE_RACE_WINDOW`] before the end of their connection.
     pub lost: usize,
     /// By how long before the end of its connection the earliest lost call was written.
     pub longest_unanswered: Duration,
 }
 
-impl Outcome {
+impl CallTotals {
     /// Adds what became of another client's calls.
     pub fn add(&mut self, other: &Self) {
         self.written += other.written;
@@ -38,40 +38,40 @@
 }
 
 /// One connection of a client: sends a call at each interval and reads what comes between.
-struct Connection<'a> {
+struct ClientConnection<'a> {
     stream: TcpStream,
     /// When each call without an answer was written, by its number.
     open: BTreeMap<u64, Instant>,
     last_number: u64,
-    unread: Vec<u8>,
+    received: Vec<u8>,
     deadline_ms: u64,
-    outcome: &'a mut Outcome,
+    totals: &'a mut CallTotals,
 }
 
-impl<'a> Connection<'a> {
-    fn new(stream: TcpStream, deadline_ms: u64, outcome: &'a mut Outcome) -> Self {
+impl<'a> ClientConnection<'a> {
+    fn new(stream: TcpStream, deadline_ms: u64, totals: &'a mut CallTotals) -> Self {
         stream.set_nodelay(true).expect("a socket");
-        Self { stream, open: BTreeMap::new(), last_number: 0, unread: Vec::new(), deadline_ms, outcome }
+        Self { stream, open: BTreeMap::new(), last_number: 0, received: Vec::new(), deadline_ms, totals }
     }
 
     /// Sends until the connection ends, or until `stop` is set.
     fn run(mut self, ids: &AtomicU64, stop: &AtomicBool) {
         let mut next = Instant::now();
         while !stop.load(Ordering::Relaxed) {
-            if self.open.len() < MAX_OPEN && self.send(ids.fetch_add(1, Ordering::Relaxed)).is_err() {
+            if self.open.len() < MAX_OPEN_CALLS && self.send(ids.fetch_add(1, Ordering::Relaxed)).is_err() {
                 break;
             }
-            next += INTERVAL;
+            next += CALL_INTERVAL;
             if !self.read_until(next) {
                 break;
             }
         }
         let end = Instant::now();
         for written in self.open.values() {
-            let before = end - *written;
-            if before > CROSSING {
-                self.outcome.lost += 1;
-                self.outcome.longest_unanswered = self.outcome.longest_unanswered.max(before);
+            let open_for = end - *written;
+            if open_for > CLOSE_RACE_WINDOW {
+                self.totals.lost += 1;
+                self.totals.longest_unanswered = self.totals.longest_unanswered.max(open_for);
             }
         }
     }
@@ -82,19 +82,19 @@
         let line = call_line(self.last_number, id).replace("\"d\":2500", &deadline);
         self.stream.write_all(line.as_bytes())?;
         self.open.insert(self.last_number, Instant::now());
-        self.outcome.written += 1;
+        self.totals.written += 1;
         Ok(())
     }
 
     /// Reads answers until that time; false where the connection ended.
     fn read_until(&mut self, until: Instant) -> bool {
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            self.stream.set_read_timeout(Some(left.max(Duration::from_micros(1)))).expect("a socket");
+            let remaining = until.saturating_duration_since(Instant::now());
+            self.stream.set_read_timeout(Some(remaining.max(Duration::from_micros(1)))).expect("a socket");
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(0) => return false,
-                Ok(n) => self.unread.extend_from_slice(&bytes[..n]),
+                Ok(n) => self.received.extend_from_slice(&bytes[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return true,
                 Err(_) => return false,
             }
@@ -103,14 +103,14 @@
     }
 
     fn record_answers(&mut self) {
-        while let Some(end) = self.unread.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.unread.drain(..=end).collect();
+        while let Some(end) = self.received.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.received.drain(..=end).collect();
             let line = String::from_utf8(line).expect("text");
             let number = line.split("\"id\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
             let number = number.and_then(|n| n.trim().parse().ok()).unwrap_or_else(|| panic!("{line}"));
             match self.open.remove(&number) {
-                Some(_) => self.outcome.answered += 1,
-                None => self.outcome.answered_twice += 1,
+                Some(_) => self.totals.answered += 1,
+                None => self.totals.answered_twice += 1,
             }
         }
     }
@@ -122,13 +122,13 @@
     deadline_ms: u64,
     ids: &AtomicU64,
     stop: &AtomicBool,
-) -> Outcome {
-    let mut outcome = Outcome::default();
+) -> CallTotals {
+    let mut totals = CallTotals::default();
     while !stop.load(Ordering::Relaxed) {
         match TcpStream::connect(address) {
-            Ok(stream) => Connection::new(stream, deadline_ms, &mut outcome).run(ids, stop),
-            Err(_) => std::thread::sleep(INTERVAL),
+            Ok(stream) => ClientConnection::new(stream, deadline_ms, &mut totals).run(ids, stop),
+            Err(_) => std::thread::sleep(CALL_INTERVAL),
         }
     }
-    outcome
+    totals
 }
--- a/crates/milletpath/tests/platform/process_lifecycle.rs
+++ b/crates/milletpath/tests/platform/process_lifecycle.rs
@@ -27,7 +27,7 @@
 
 /// SIGHUP with the file half-written, then complete: the new discovery is asked for what comes next, and calls go on.
 #[test]
-fn the_configuration_is_replaced_under_calls() {
+fn the_configuration_is_replaced_while_calls_are_served() {
     let worker = Worker::start(answers);
     let next = Discovery::steady();
     let router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
@@ -41,7 +41,7 @@
     assert!(client.call(2, 2).contains(DONE));
 }
 
-fn answers_the_first_late(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
+fn answers_the_first_attempt_late(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     std::thread::sleep(Duration::from_millis(if earlier_attempts == 0 { 1500 } else { 1 }));
     answers(earlier_attempts, id, connection);
 }
@@ -49,7 +49,7 @@
 /// SIGTERM: calls in flight are answered, and those that still come, and then the process exits with success.
 #[test]
 fn a_router_that_receives_sigterm_answers_before_it_exits() {
-    let worker = Worker::start(answers_the_first_late);
+    let worker = Worker::start(answers_the_first_attempt_late);
     let mut router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     let [mut first, mut second] = [(); 2].map(|()| Client::connect(&router));
     first.send(&call_line(1, 1));
@@ -57,8 +57,8 @@
     router.process.signal(Signal::SIGTERM);
     second.send(&health_check_line(1));
     second.receive();
-    let late = Client::connect(&router).call(1, 2);
-    assert!(late.contains("\"id\":1,"), "{late}");
+    let late_answer = Client::connect(&router).call(1, 2);
+    assert!(late_answer.contains("\"id\":1,"), "{late_answer}");
     assert!(first.receive().contains(DONE));
     assert!(router.process.exit_status().is_some_and(|status| status.success()));
 }
@@ -69,7 +69,7 @@
 #[test_case(&[Signal::SIGHUP, Signal::SIGTERM], true; "with SIGHUP before it")]
 #[test_case(&[Signal::SIGTERM, Signal::SIGHUP], true; "with SIGHUP behind it")]
 #[test_case(&[Signal::SIGTERM], false; "before an endpoint list is known")]
-fn signals_that_come_together(signals: &[Signal], has_endpoints: bool) {
+fn signals_received_together_end_the_process_once(signals: &[Signal], has_endpoints: bool) {
     let worker = Worker::start(answers);
     let workers: &[_] = if has_endpoints { &[worker.address] } else { &[] };
     let unreachable = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
@@ -115,23 +115,24 @@
     let worker = Worker::start(answers);
     let mut router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     assert!(Client::connect(&router).call(1, 1).contains(DONE));
-    let of_this_test = socket_inodes("self");
-    let of_router = socket_inodes(&router.process.id().to_string());
-    let unix = std::fs::read_to_string("/proc/self/net/unix").unwrap();
-    let unix: Vec<_> = unix.lines().filter_map(|line| line.split_whitespace().nth(6)).collect();
-    assert!(of_router.len() >= 2, "a listener and a client at least: {of_router:?}");
-    let found: Vec<_> = of_router
+    let test_inodes = socket_inodes("self");
+    let router_inodes = socket_inodes(&router.process.id().to_string());
+    let unix_sockets = std::fs::read_to_string("/proc/self/net/unix").unwrap();
+    let unix_inodes: Vec<_> =
+        unix_sockets.lines().filter_map(|line| line.split_whitespace().nth(6)).collect();
+    assert!(router_inodes.len() >= 2, "at least a listener and a client: {router_inodes:?}");
+    let router_unix_sockets: Vec<_> = router_inodes
         .iter()
-        .filter(|inode| unix.contains(&inode.as_str()) && !of_this_test.contains(inode))
+        .filter(|inode| unix_inodes.contains(&inode.as_str()) && !test_inodes.contains(inode))
         .collect();
-    assert!(found.is_empty(), "{found:?}");
+    assert!(router_unix_sockets.is_empty(), "{router_unix_sockets:?}");
     router.process.signal(Signal::SIGTERM);
     assert!(router.process.exit_status().is_some_and(|status| status.success()));
 }
 
 /// Ten processes start at once on a machine whose cores are all busy: nine of them are ready within 10 s.
 #[test]
-fn nine_in_ten_are_ready_in_time_on_a_busy_machine() {
+fn nine_of_ten_routers_are_ready_in_time_on_a_busy_machine() {
     const READY_WITHIN: Duration = Duration::from_secs(10);
     let worker = Worker::start(answers);
     let configuration = RouterConfiguration::new(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
--- a/crates/milletpath/tests/platform/resource_limits.rs
+++ b/crates/milletpath/tests/platform/resource_limits.rs
@@ -9,12 +9,12 @@
 use std::io::Write;
 use std::net::TcpListener;
 
-/// Descriptors of a router that has enough for [`CLIENTS`].
-const DESCRIPTORS: usize = 64;
-/// Clients that a router with [`DESCRIPTORS`] holds.
-const CLIENTS: usize = 17;
+/// Descriptors of a router that has enough for [`CLIENT_LIMIT`].
+const DESCRIPTOR_LIMIT: usize = 64;
+/// Clients that a router with [`DESCRIPTOR_LIMIT`] holds.
+const CLIENT_LIMIT: usize = 17;
 /// More than the router accepts beside these at a time.
-const NEWCOMERS: usize = 40;
+const NEW_CLIENTS: usize = 40;
 
 /// A router that has no room for further clients, as each of those that it holds waits for an answer.
 struct FullRouter {
@@ -27,9 +27,9 @@
     fn start() -> Self {
         let worker = Worker::start(never_answers);
         let configuration =
-            RouterConfiguration::new(&[worker.address], Discovery::steady().address, DESCRIPTORS);
+            RouterConfiguration::new(&[worker.address], Discovery::steady().address, DESCRIPTOR_LIMIT);
         let router = Router::with_configuration(&configuration);
-        let mut waiting: Vec<_> = (0..CLIENTS).map(|_| Client::connect(&router)).collect();
+        let mut waiting: Vec<_> = (0..CLIENT_LIMIT).map(|_| Client::connect(&router)).collect();
         for (client, id) in waiting.iter_mut().zip(1..) {
             client.send(&call_line(1, id));
         }
@@ -40,17 +40,17 @@
 /// Calls of every client that the router has room for are in flight at a worker that never answers; then others connect
 /// and call at once: the router finds their calls together with their connections. They were closed unread.
 #[test]
-fn a_call_on_a_new_connection_is_answered_where_all_others_wait_for_answers() {
+fn a_call_on_a_new_connection_is_answered_when_all_others_wait_for_answers() {
     let FullRouter { router, worker, mut waiting } = FullRouter::start();
-    assert!(becomes_true(|| worker.received.attempts().len() == CLIENTS));
-    let mut newcomers = Vec::new();
+    assert!(becomes_true(|| worker.received.attempts().len() == CLIENT_LIMIT));
+    let mut new_clients = Vec::new();
     router.process.while_paused(|| {
-        newcomers = (0..NEWCOMERS).map(|_| Client::connect(&router)).collect();
-        for (client, id) in newcomers.iter_mut().zip(1000..) {
+        new_clients = (0..NEW_CLIENTS).map(|_| Client::connect(&router)).collect();
+        for (client, id) in new_clients.iter_mut().zip(1000..) {
             client.send(&call_line(1, id));
         }
     });
-    for client in &mut newcomers {
+    for client in &mut new_clients {
         let line = client.receive();
         assert!(line.contains(REJECTED) && line.contains("\"w\":1000"), "{line:?}");
         // Its connection ends with a close and not with a reset.
@@ -64,9 +64,9 @@
 
 /// Newcomers that send nothing don't keep one away that calls.
 #[test]
-fn silent_newcomers_make_room_for_a_call() {
+fn silent_new_connections_make_room_for_a_call() {
     let FullRouter { router, worker: _, waiting } = FullRouter::start();
-    let silent: Vec<_> = (0..NEWCOMERS).map(|_| Client::connect(&router)).collect();
+    let silent: Vec<_> = (0..NEW_CLIENTS).map(|_| Client::connect(&router)).collect();
     let line = Client::connect(&router).call(1, 1000);
     assert!(line.contains(REJECTED), "{line:?}");
     drop((waiting, silent));
@@ -85,7 +85,7 @@
 
 /// The bound on open calls is reached: the next call is rejected at once, with a retry delay. It had none.
 #[test]
-fn a_call_past_the_bound_on_open_calls_gets_a_retry_delay() {
+fn a_call_over_the_limit_on_open_calls_gets_a_retry_delay() {
     let worker = Worker::start(never_answers);
     let configuration = RouterConfiguration::new(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     let router = Router::with_configuration(&configuration.with("MaxAttempts", "4,\"OpenCap\":1"));
@@ -99,11 +99,11 @@
 /// stay: a call is accepted and answered, and once discovery is there the router reaches it. By the configuration's
 /// figure the router accepted clients until no descriptor was left for anything.
 #[test]
-fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
+fn idle_clients_leave_descriptors_for_calls_and_discovery() {
     let [old, new] = [(); 2].map(|()| Worker::start(answers));
-    let closed = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery = closed.local_addr().unwrap();
-    drop(closed);
+    let closed_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let discovery = closed_listener.local_addr().unwrap();
+    drop(closed_listener);
     let configuration = RouterConfiguration::new(&[old.address], discovery, 1024);
     let router = Router::with_descriptor_limit(64, &configuration);
     let mut idle: Vec<_> = (0..200).map(|_| Client::connect(&router)).collect();
@@ -121,18 +121,18 @@
         [endpoint_event(2, "w0", old.address, "left"), endpoint_event(3, "w1", new.address, "active")];
     stream.write_all(events.concat().as_bytes()).unwrap();
     let mut number = 20;
-    let moved = becomes_true(|| {
+    let new_worker_is_used = becomes_true(|| {
         number += 1;
         client.call(number, number).contains(DONE) && new.received.count() > 0
     });
-    assert!(moved);
+    assert!(new_worker_is_used);
     drop(idle);
 }
 
 /// Calls with large bodies to workers that never answer, more than half of the memory holds: those past it are rejected
 /// at once with a retry delay, and when some have ended there is room again. There was no bound on the sum.
 #[test]
-fn calls_that_fill_the_memory_are_rejected_until_others_end() {
+fn calls_over_the_memory_limit_are_rejected_until_others_end() {
     let worker = Worker::start(never_answers);
     let configuration = RouterConfiguration::new(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
     let router = Router::with_configuration(&configuration.with("memory_mb", 1));
@@ -148,15 +148,15 @@
     assert!(!client.has_received());
     drop((client, other));
     // It stays connected: the call of a client that leaves at once is never sent to a worker.
-    let mut next = Client::connect(&router);
+    let mut small_client = Client::connect(&router);
     let mut number = 1;
-    next.send(&call_line(number, 7));
+    small_client.send(&call_line(number, 7));
     let has_room = becomes_true(|| {
-        if next.has_received() {
-            let line = next.receive();
+        if small_client.has_received() {
+            let line = small_client.receive();
             assert!(line.contains(REJECTED), "{line}");
             number += 1;
-            next.send(&call_line(number, 7));
+            small_client.send(&call_line(number, 7));
         }
         worker.received.has_attempt(7)
     });
--- a/crates/milletpath/tests/platform/shutdown.rs
+++ b/crates/milletpath/tests/platform/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown under clients that never stop sending: every call that was written more than 50 ms before the end
 //! of its connection is answered, and the process exits by itself before the earliest SIGKILL.
 
-use crate::persistent_client::{Outcome, call_until_stopped};
+use crate::persistent_client::{CallTotals, call_until_stopped};
 use milletpath_test_support::platform_rig::{
     Client, Discovery, REJECTED, Router, RouterConfiguration, ScriptedWorker, Worker, WorkerBehaviour,
     answers_after, call_line, never_answers,
@@ -15,20 +15,20 @@
 use test_case::test_case;
 
 /// Time for which the clients send before SIGTERM.
-const LEAD: Duration = Duration::from_millis(300);
+const LOAD_BEFORE_SIGTERM: Duration = Duration::from_millis(300);
 /// Time for which a process is paused.
 const PAUSE: Duration = Duration::from_millis(500);
 
-fn takes_20_ms(_: usize, id: u64, connection: &mut TcpStream) {
+fn answers_after_20_ms(_: usize, id: u64, connection: &mut TcpStream) {
     answers_after(Duration::from_millis(20), id, connection);
 }
 
-fn takes_400_ms(_: usize, id: u64, connection: &mut TcpStream) {
+fn answers_after_400_ms(_: usize, id: u64, connection: &mut TcpStream) {
     answers_after(Duration::from_millis(400), id, connection);
 }
 
 /// SIGKILL may come this long after SIGTERM, and no sooner.
-fn earliest_kill(deadline_ms: u64) -> Duration {
+fn earliest_sigkill(deadline_ms: u64) -> Duration {
     Duration::from_millis(deadline_ms.min(3000) + 700)
 }
 
@@ -37,14 +37,14 @@
     /// How long after SIGTERM it exited by itself; none where it was killed.
     exited_after: Option<Duration>,
     /// By how much longer than planned the process was paused on a crowded machine. SIGKILL comes as much later.
-    paused_too_long: Duration,
+    excess_pause: Duration,
     /// What the system reports of a process that had to be killed: where its time went.
-    process_times: Option<String>,
-    outcome: Outcome,
+    process_statistics: Option<String>,
+    totals: CallTotals,
 }
 
 /// State, faults, times and waits of a process, as the system's tables write them.
-fn process_times(pid: u32) -> String {
+fn process_statistics(pid: u32) -> String {
     let read = |name: &str| std::fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
     let wait = read("wchan");
     format!("stat {}; schedstat {}; wchan {wait}", read("stat").trim(), read("schedstat").trim())
@@ -52,17 +52,17 @@
 
 impl std::fmt::Display for Shutdown {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { exited_after, paused_too_long, process_times, outcome } = self;
+        let Self { exited_after, excess_pause, process_statistics, totals } = self;
         write!(
             f,
-            "exited after {exited_after:?}, paused {paused_too_long:?} too long, {outcome:?}, {process_times:?}"
+            "exited after {exited_after:?}, pause exceeded by {excess_pause:?}, {totals:?}, {process_statistics:?}"
         )
     }
 }
 
 impl Shutdown {
     fn is_graceful(&self) -> bool {
-        self.exited_after.is_some() && self.outcome.lost == 0 && self.outcome.answered_twice == 0
+        self.exited_after.is_some() && self.totals.lost == 0 && self.totals.answered_twice == 0
     }
 }
 
@@ -89,27 +89,27 @@
         std::thread::scope(|scope| {
             let client = || call_until_stopped(address, self.deadline_ms, &ids, &stop);
             let clients: Vec<_> = (0..self.clients).map(|_| scope.spawn(client)).collect();
-            std::thread::sleep(LEAD);
-            let signalled = Instant::now();
-            let paused_too_long = self.terminate(&router.process);
-            let killed_at = signalled + earliest_kill(self.deadline_ms) + paused_too_long;
-            let exited_after = exit_before(&mut router.process, killed_at).map(|exited| exited - signalled);
-            let process_times = exited_after.is_none().then(|| process_times(router.process.id()));
+            std::thread::sleep(LOAD_BEFORE_SIGTERM);
+            let sigterm_at = Instant::now();
+            let excess_pause = self.terminate(&router.process);
+            let kill_at = sigterm_at + earliest_sigkill(self.deadline_ms) + excess_pause;
+            let exited_after = exit_before(&mut router.process, kill_at).map(|exited| exited - sigterm_at);
+            let process_statistics = exited_after.is_none().then(|| process_statistics(router.process.id()));
             router.process.kill();
             // Long enough for each client to see the end of its connection.
             std::thread::sleep(Duration::from_millis(100));
             stop.store(true, Ordering::Relaxed);
-            let mut outcome = Outcome::default();
+            let mut totals = CallTotals::default();
             for client in clients {
-                outcome.add(&client.join().expect("a client"));
+                totals.add(&client.join().expect("a client"));
             }
-            Shutdown { exited_after, paused_too_long, process_times, outcome }
+            Shutdown { exited_after, excess_pause, process_statistics, totals }
         })
     }
 
     /// Sends SIGTERM and pauses the process; returns by how much longer than planned it was paused.
     fn terminate(&self, process: &Process) -> Duration {
-        let signalled = Instant::now();
+        let sigterm_at = Instant::now();
         if self.pause_after_ms == Some(0) {
             process.signal(Signal::SIGSTOP);
         }
@@ -119,15 +119,15 @@
         process.signal(Signal::SIGSTOP);
         std::thread::sleep(PAUSE);
         process.signal(Signal::SIGCONT);
-        signalled.elapsed().saturating_sub(after + PAUSE)
+        sigterm_at.elapsed().saturating_sub(after + PAUSE)
     }
 }
 
 /// When a process exited, with success; `None` where it still runs at that time.
 fn exit_before(process: &mut Process, until: Instant) -> Option<Instant> {
-    const INTERVAL: Duration = Duration::from_millis(2);
+    const POLL_INTERVAL: Duration = Duration::from_millis(2);
     while Instant::now() < until {
-        std::thread::sleep(INTERVAL);
+        std::thread::sleep(POLL_INTERVAL);
         if let Some(status) = process.try_exit_status() {
             assert!(status.success(), "{status}");
             return Some(Instant::now());
@@ -137,16 +137,16 @@
 }
 
 /// Each deadline, each number of clients, each kind of worker, and a process that is paused amid it.
-#[test_case(300, 20, takes_20_ms, None; "deadline 300 ms with 20 clients")]
+#[test_case(300, 20, answers_after_20_ms, None; "deadline 300 ms with 20 clients")]
 #[test_case(300, 20, never_answers, Some(200); "deadline 300 ms with a worker that never answers and a pause")]
-#[test_case(500, 20, takes_20_ms, Some(0); "deadline 500 ms with a pause as SIGTERM comes")]
-#[test_case(500, 200, takes_400_ms, None; "deadline 500 ms with 200 clients and a slow worker")]
-#[test_case(1000, 1, takes_400_ms, None; "deadline 1 s with one client and a slow worker")]
-#[test_case(1000, 20, takes_20_ms, Some(600); "deadline 1 s with 20 clients and a pause")]
-#[test_case(3000, 200, takes_20_ms, None; "deadline 3 s with 200 clients")]
+#[test_case(500, 20, answers_after_20_ms, Some(0); "deadline 500 ms with a pause as SIGTERM comes")]
+#[test_case(500, 200, answers_after_400_ms, None; "deadline 500 ms with 200 clients and a slow worker")]
+#[test_case(1000, 1, answers_after_400_ms, None; "deadline 1 s with one client and a slow worker")]
+#[test_case(1000, 20, answers_after_20_ms, Some(600); "deadline 1 s with 20 clients and a pause")]
+#[test_case(3000, 200, answers_after_20_ms, None; "deadline 3 s with 200 clients")]
 #[test_case(3000, 20, never_answers, Some(600); "deadline 3 s with a worker that never answers and a pause")]
 #[test_case(10_000, 20, never_answers, None; "deadline 10 s with a worker that never answers")]
-fn every_call_is_answered_before_the_kill(
+fn every_call_is_answered_before_sigkill(
     deadline_ms: u64,
     clients: usize,
     behaviour: WorkerBehaviour,
@@ -154,7 +154,7 @@
 ) {
     let shutdown = Scenario { deadline_ms, clients, behaviour, pause_after_ms }.run();
     println!("{shutdown}");
-    assert!(shutdown.outcome.answered > 0, "{shutdown}");
+    assert!(shutdown.totals.answered > 0, "{shutdown}");
     assert!(
         shutdown.is_graceful(),
         "calls were lost, or it did not exit before the earliest SIGKILL: {shutdown}"
@@ -164,7 +164,7 @@
 /// Calls with time left past the earliest SIGKILL have their answer before it: one that its worker has received fails, as
 /// it may have run, and one that waits for a connection is rejected.
 #[test]
-fn what_is_in_flight_is_answered_by_what_is_known_of_it() {
+fn calls_in_flight_fail_or_are_rejected_before_sigkill() {
     const DEADLINE_MS: u64 = 10_000;
     let start = |worker| {
         let configuration =
@@ -172,14 +172,14 @@
         Router::with_configuration(&configuration.with("HardLimit", DEADLINE_MS * 1000))
     };
     let line = call_line(1, 1).replace("\"d\":2500", &format!("\"d\":{DEADLINE_MS}"));
-    let reached = ScriptedWorker::start();
-    let (unreached, _filler) = ScriptedWorker::with_full_backlog();
-    let mut routers = [reached.address, unreached.address].map(start);
+    let reachable = ScriptedWorker::start();
+    let (unreachable, _filler) = ScriptedWorker::with_full_backlog();
+    let mut routers = [reachable.address, unreachable.address].map(start);
     let mut clients = routers.each_ref().map(Client::connect);
     clients.iter_mut().for_each(|client| client.send(&line));
-    let mut connection = reached.accept();
+    let mut connection = reachable.accept();
     assert_eq!(connection.next_frame(request::ATTEMPT).expect("its attempt").id, 1);
-    let signalled = Instant::now();
+    let sigterm_at = Instant::now();
     routers.iter().for_each(|router| router.process.signal(Signal::SIGTERM));
     let [may_have_run, not_sent] = clients.each_mut().map(Client::receive);
     assert!(may_have_run.contains("\"error\"") && !may_have_run.contains(REJECTED), "{may_have_run}");
@@ -187,15 +187,15 @@
     assert!(clients.iter_mut().all(Client::is_closed_cleanly));
     let statuses = routers.each_mut().map(|router| router.process.exit_status());
     assert!(statuses.iter().all(|status| status.is_some_and(|status| status.success())), "{statuses:?}");
-    assert!(signalled.elapsed() < earliest_kill(DEADLINE_MS), "{:?}", signalled.elapsed());
+    assert!(sigterm_at.elapsed() < earliest_sigkill(DEADLINE_MS), "{:?}", sigterm_at.elapsed());
 }
 
 /// The complete matrix, some minutes long: by hand, with `--ignored`.
 #[test]
 #[ignore = "takes minutes; the cases above cover each value once"]
-fn every_call_is_answered_before_the_kill_in_the_complete_matrix() {
+fn every_call_is_answered_before_sigkill_in_the_full_matrix() {
     const BEHAVIOURS: [(&str, WorkerBehaviour); 3] =
-        [("20 ms", takes_20_ms), ("400 ms", takes_400_ms), ("never answers", never_answers)];
+        [("20 ms", answers_after_20_ms), ("400 ms", answers_after_400_ms), ("never answers", never_answers)];
     let mut failed = Vec::new();
     for deadline_ms in [300, 500, 1000, 3000, 10_000] {
         for clients in [1, 20, 200] {
--- a/crates/milletpath/tests/platform/unread_call.rs
+++ b/crates/milletpath/tests/platform/unread_call.rs
@@ -3,33 +3,33 @@
 use milletpath_test_support::platform_rig::{Client, Router};
 
 /// Bytes of a call's line that are written before the pause, where it comes in two halves.
-const HEAD_BYTES: usize = 40;
+const FIRST_PART_BYTES: usize = 40;
 
 /// Where the call is.
 #[derive(Clone, Copy)]
-pub enum Unread {
+pub enum UnreadCall {
     /// On a connection that the router has accepted.
-    InASocket,
+    OnAcceptedConnection,
     /// On a connection that the router has not accepted.
-    InTheBacklog,
+    InListenBacklog,
     /// All but its last part was read.
-    HalfALine,
+    PartialLine,
 }
 
-impl Unread {
+impl UnreadCall {
     /// Writes what the router reads before it is paused.
     pub fn write_before_pause(self, client: &mut Client, line: &str) {
-        if matches!(self, Self::HalfALine) {
-            client.send(&line[..HEAD_BYTES]);
+        if matches!(self, Self::PartialLine) {
+            client.send(&line[..FIRST_PART_BYTES]);
         }
     }
 
     /// Writes the rest while the router is paused; returns the connection, where it is another one.
     pub fn write_during_pause(self, client: &mut Client, router: &Router, line: &str) -> Option<Client> {
         match self {
-            Self::InASocket => client.send(line),
-            Self::HalfALine => client.send(&line[HEAD_BYTES..]),
-            Self::InTheBacklog => {
+            Self::OnAcceptedConnection => client.send(line),
+            Self::PartialLine => client.send(&line[FIRST_PART_BYTES..]),
+            Self::InListenBacklog => {
                 let mut other = Client::connect(router);
                 other.send(line);
                 return Some(other);
--- a/crates/milletpath/tests/platform/worker_connections.rs
+++ b/crates/milletpath/tests/platform/worker_connections.rs
@@ -13,7 +13,7 @@
 /// A call comes, and then the worker closes the idle connection on which its attempt would go. The call is read first;
 /// the attempt was written into the closed connection, counted as one that may have run, and its call failed.
 #[test]
-fn an_idle_connection_is_closed_as_the_next_attempt_is_about_to_go() {
+fn an_idle_connection_closes_before_the_next_attempt_is_sent() {
     let worker = ScriptedWorker::start();
     let configuration =
         RouterConfiguration::non_idempotent(&[worker.address], Discovery::steady().address, 250_000);
@@ -28,9 +28,9 @@
         client.send(&call_line(2, 2));
         drop(connection);
     });
-    let mut next = worker.accept();
-    assert_eq!(next.next_frame(request::ATTEMPT).expect("the second attempt").id, 2);
-    next.respond(response::DONE, 2);
+    let mut next_connection = worker.accept();
+    assert_eq!(next_connection.next_frame(request::ATTEMPT).expect("the second attempt").id, 2);
+    next_connection.respond(response::DONE, 2);
     assert!(client.receive().contains(DONE));
 }
 
@@ -44,10 +44,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let accepted = Arc::new(AtomicUsize::new(0));
-    let count = accepted.clone();
+    let counter = accepted.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            count.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
             // Closed without lingering, it is reset.
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         }
@@ -67,7 +67,10 @@
 /// checked when the attempt was decided.
 #[test_case(2_500_000, true; "while its key is remembered")]
 #[test_case(500_000, false; "no longer once it is forgotten")]
-fn a_retry_whose_connection_comes_up_late(deduplication_window: u64, is_remembered: bool) {
+fn a_retry_on_a_late_connection_respects_the_deduplication_window(
+    deduplication_window: u64,
+    is_remembered: bool,
+) {
     let first = ScriptedWorker::start();
     let (second, filler) = ScriptedWorker::with_full_backlog();
     let addresses = [first.address, second.address];
@@ -80,15 +83,15 @@
     let attempt = connection.next_frame(request::ATTEMPT).expect("the first attempt");
     assert!(attempt.fields.contains(",uniq=mark-of-it"), "{}", attempt.fields);
     drop(connection);
-    let mut late = second.free_backlog(filler);
+    let mut late_connection = second.free_backlog(filler);
     if is_remembered {
-        let retry = late.next_frame(request::ATTEMPT).expect("the retry");
+        let retry = late_connection.next_frame(request::ATTEMPT).expect("the retry");
         assert_eq!((retry.id, retry.fields.contains(",uniq=mark-of-it")), (1, true));
-        late.respond(response::DONE, 1);
+        late_connection.respond(response::DONE, 1);
         assert!(client.receive().contains(DONE));
     } else {
         assert!(client.receive().contains("\"error\""));
         drop(router);
-        assert_eq!(late.next_frame(request::ATTEMPT), None);
+        assert_eq!(late_connection.next_frame(request::ATTEMPT), None);
     }
 }
