--- a/crates/milletpath/tests/platform/attempt_deadlines.rs
+++ b/crates/milletpath/tests/platform/attempt_deadlines.rs
@@ -1,5 +1,5 @@
-//! The time limit that `milletpath platform` sends with an attempt: at the moment of its first byte at most what the
-//! client has left by the client's own clock, with 0.15 s of slack.
+//! The time limit that `milletpath platform` sends with an attempt: when the first byte is sent it may exceed the time
+//! that the client has left, by the client's own clock, by 0.15 s at most.
 
 use crate::unread_call::UnreadCall;
 use milletpath_test_support::platform_rig::{
@@ -10,14 +10,15 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// How long the client of [`call_line`] waits.
+/// How long the client of a [`call_line`] waits for its answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// By how much the time limit may exceed what the client has left.
+/// By how much the time limit may exceed the time that the client has left.
 const SLACK: Duration = Duration::from_millis(150);
-/// Time for which the process is paused.
+/// How long the router process is paused.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// Workers load an instance with the first attempt, and a call may wait for long.
+/// A configuration in which workers load an instance with the first attempt. The latency objective of 60 s lets calls
+/// wait for long.
 fn with_long_objective(workers: &[SocketAddr], connect_timeout_ms: u32) -> RouterConfiguration {
     RouterConfiguration::new(workers, Discovery::steady().address, MAX_SOCKETS)
         .with("Objective", 60_000_000)
@@ -25,13 +26,16 @@
         .with("ConnectTimeout", connect_timeout_ms * 1000)
 }
 
-/// The time limit that an attempt states.
+/// The time limit in the fields of an attempt.
 fn time_limit(attempt: &Frame) -> Duration {
     let time_limit = attempt.fields.split(',').find_map(|field| field.strip_prefix("budget="));
-    Duration::from_millis(time_limit.and_then(|time_limit| time_limit.parse().ok()).expect("a time limit"))
+    Duration::from_millis(
+        time_limit.and_then(|time_limit| time_limit.parse().ok()).expect("the attempt has a time limit"),
+    )
 }
 
-/// An attempt whose first byte went no sooner than `earliest`, of a call that was written by `sent`.
+/// Asserts that the time limit of an attempt is at most what its client has left. The call was written by `sent_at`,
+/// and the first byte of the attempt was sent at `earliest_start` or later.
 fn assert_within_time_left(attempt: &Frame, sent_at: Instant, earliest_start: Instant) {
     let remaining = CLIENT_TIMEOUT.saturating_sub(earliest_start - sent_at);
     let time_limit = time_limit(attempt);
@@ -41,7 +45,7 @@
     );
 }
 
-/// The first attempt fails late: the second states what is left then.
+/// The first attempt fails after 0.8 s: the time limit of the second is what remains by then.
 #[test]
 fn a_retry_states_the_remaining_time() {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
@@ -51,17 +55,21 @@
     client.send(&call_line(1, 1));
     let sent_at = Instant::now();
     let mut first = ScriptedWorker::accept_at_any(&workers);
-    assert_eq!(first.next_frame(request::ATTEMPT).expect("the first attempt").id, 1);
+    assert_eq!(first.next_frame(request::ATTEMPT).expect("the first attempt arrives").id, 1);
     std::thread::sleep(Duration::from_millis(800));
     let failed_at = Instant::now();
     first.respond(response::ERROR, 1);
     let mut other = ScriptedWorker::accept_at_any(&workers);
-    assert_within_time_left(&other.next_frame(request::ATTEMPT).expect("the retry"), sent_at, failed_at);
+    assert_within_time_left(
+        &other.next_frame(request::ATTEMPT).expect("the retry arrives"),
+        sent_at,
+        failed_at,
+    );
     other.respond(response::DONE, 1);
     assert!(client.receive().contains(DONE));
 }
 
-/// The attempt is decided at once, and its connection comes up a second later.
+/// The attempt is scheduled at once, but its connection is established only a second later.
 #[test]
 fn an_attempt_on_a_late_connection_states_the_remaining_time() {
     let (worker, filler) = ScriptedWorker::with_full_backlog();
@@ -73,7 +81,7 @@
     let backlog_freed_at = Instant::now();
     let mut connection = worker.free_backlog(filler);
     assert_within_time_left(
-        &connection.next_frame(request::ATTEMPT).expect("an attempt"),
+        &connection.next_frame(request::ATTEMPT).expect("an attempt arrives"),
         sent_at,
         backlog_freed_at,
     );
@@ -81,7 +89,7 @@
     assert!(client.receive().contains(DONE));
 }
 
-/// The first attempt fails while the process is paused for half a second.
+/// The first attempt fails while the router is paused for half a second.
 #[test]
 fn a_retry_after_a_pause_states_the_remaining_time() {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
@@ -91,7 +99,7 @@
     client.send(&call_line(1, 1));
     let sent_at = Instant::now();
     let mut first = ScriptedWorker::accept_at_any(&workers);
-    assert_eq!(first.next_frame(request::ATTEMPT).expect("the first attempt").id, 1);
+    assert_eq!(first.next_frame(request::ATTEMPT).expect("the first attempt arrives").id, 1);
     let mut resumed_at = sent_at;
     router.process.while_paused(|| {
         first.respond(response::ERROR, 1);
@@ -99,16 +107,20 @@
         resumed_at = Instant::now();
     });
     let mut other = ScriptedWorker::accept_at_any(&workers);
-    assert_within_time_left(&other.next_frame(request::ATTEMPT).expect("the retry"), sent_at, resumed_at);
+    assert_within_time_left(
+        &other.next_frame(request::ATTEMPT).expect("the retry arrives"),
+        sent_at,
+        resumed_at,
+    );
     other.respond(response::DONE, 1);
     assert!(client.receive().contains(DONE));
 }
 
-/// The process is paused for half a second with a call unread. The call's time counts from the beginning of the pause: it
-/// was counted from its end, and the worker's time limit was half a second too long.
-#[test_case(UnreadCall::OnAcceptedConnection; "in a socket")]
-#[test_case(UnreadCall::InListenBacklog; "in the backlog")]
-#[test_case(UnreadCall::PartialLine; "half of it in a socket")]
+/// The router is paused for half a second with a call unread. The call's time counts from the beginning of the pause.
+/// Guards against counting it from the end of the pause, which made the worker's time limit half a second too long.
+#[test_case(UnreadCall::OnAcceptedConnection; "on an accepted connection")]
+#[test_case(UnreadCall::InListenBacklog; "in the listen backlog")]
+#[test_case(UnreadCall::PartialLine; "a partial line")]
 fn a_call_unread_during_a_pause_states_the_remaining_time(unread: UnreadCall) {
     let worker = ScriptedWorker::start();
     let router = Router::with_configuration(&with_long_objective(&[worker.address], 250));
@@ -126,7 +138,7 @@
     });
     let mut connection = worker.accept();
     assert_within_time_left(
-        &connection.next_frame(request::ATTEMPT).expect("an attempt"),
+        &connection.next_frame(request::ATTEMPT).expect("an attempt arrives"),
         sent_at,
         resumed_at,
     );
@@ -134,7 +146,7 @@
     assert!(other_client.as_mut().unwrap_or(&mut client).receive().contains(DONE));
 }
 
-/// A call that comes once the process runs again has all of its time.
+/// A call that is sent after the router has resumed has its full time.
 #[test]
 fn a_call_after_a_pause_has_its_full_time() {
     let worker = ScriptedWorker::start();
@@ -142,10 +154,10 @@
     let mut client = Client::connect(&router);
     router.process.while_paused(|| std::thread::sleep(PAUSE));
     let resumed_at = Instant::now();
-    // Answered first, it shows the router that nothing is unread on this connection.
+    // Once this health check is answered, the router knows that nothing was unread on this connection.
     assert!(client.is_router_ready(9));
     client.send(&call_line(1, 1));
-    let attempt = worker.accept().next_frame(request::ATTEMPT).expect("an attempt");
+    let attempt = worker.accept().next_frame(request::ATTEMPT).expect("an attempt arrives");
     let (time_limit, since_resume) = (time_limit(&attempt), resumed_at.elapsed());
     assert!(
         time_limit + since_resume > CLIENT_TIMEOUT - SLACK,
--- a/crates/milletpath/tests/platform/calls.rs
+++ b/crates/milletpath/tests/platform/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and their answers: which are passed on, which are rejected, and what workers never receive.
+//! Calls and their answers: which are forwarded, which are rejected, and what never reaches a worker.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, MAX_SOCKETS, REJECTED, Router, RouterConfiguration, Worker, WorkerBehaviour,
@@ -25,17 +25,17 @@
     assert_eq!(worker.received.attempts(), CALLS.map(|number| FIRST_ID + number).collect::<Vec<_>>());
 }
 
-/// The first answer fails its checksum.
+/// Corrupts the first answer, so that its checksum does not match.
 fn corrupts_the_first_answer(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     if earlier_attempts > 0 {
         return answers(earlier_attempts, id, connection);
     }
-    let mut corrupt = frame(response::DONE, id, "", b"spoilt");
+    let mut corrupt = frame(response::DONE, id, "", b"corrupted");
     corrupt[HEAD_BYTES + 2] ^= 1;
     let _ = connection.write_all(&corrupt);
 }
 
-/// The head of the first answer claims a body of three gigabytes.
+/// Sends, as the first answer, a frame head that declares a body of three gigabytes.
 fn declares_a_huge_body_in_the_first_answer(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     if earlier_attempts > 0 {
         return answers(earlier_attempts, id, connection);
@@ -45,7 +45,7 @@
     let _ = connection.write_all(&head);
 }
 
-/// The connection of the first attempt is closed.
+/// Closes the connection on the first attempt.
 fn closes_the_connection_at_the_first_attempt(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     if earlier_attempts > 0 {
         return answers(earlier_attempts, id, connection);
@@ -53,19 +53,19 @@
     let _ = connection.shutdown(Shutdown::Both);
 }
 
-/// Answers an id that nobody asked about, and then each attempt twice.
+/// Answers each attempt twice, after an answer with an id of which there was no attempt.
 fn answers_twice_and_an_unknown_id(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
-    let _ = connection.write_all(&frame(response::DONE, !id, "", b"whose?"));
+    let _ = connection.write_all(&frame(response::DONE, !id, "", b"unknown id"));
     answers(earlier_attempts, id, connection);
     answers(earlier_attempts, id, connection);
 }
 
-/// Whatever the first answer is, an idempotent call succeeds with what a worker truly answered, and its client receives
-/// one answer.
-#[test_case(corrupts_the_first_answer; "a checksum that does not match")]
-#[test_case(declares_a_huge_body_in_the_first_answer; "three gigabytes claimed")]
-#[test_case(closes_the_connection_at_the_first_attempt; "a connection that breaks")]
-#[test_case(answers_twice_and_an_unknown_id; "a second answer and an unknown id")]
+/// Whatever the first answer is, an idempotent call succeeds with a valid answer of a worker, and its client receives
+/// exactly one.
+#[test_case(corrupts_the_first_answer; "checksum mismatch")]
+#[test_case(declares_a_huge_body_in_the_first_answer; "a body of three gigabytes declared")]
+#[test_case(closes_the_connection_at_the_first_attempt; "connection closed")]
+#[test_case(answers_twice_and_an_unknown_id; "duplicate answers and an unknown id")]
 fn corrupt_answers_are_not_passed_on(behaviour: WorkerBehaviour) {
     let workers = [behaviour, behaviour, answers].map(Worker::start);
     let addresses = workers.map(|worker| worker.address);
@@ -77,14 +77,15 @@
     }
 }
 
-/// Invalid lines lead to an error or a close, and nothing that came with them goes to a worker.
-#[test_case(&[call_line(1, 5), call_line(1, 6)].concat(); "two under one number")]
-#[test_case(&[call_line(1, 5), call_line(2, 5)].concat(); "two under one id")]
-#[test_case(&(1..=33).map(|n| call_line(n, n)).collect::<String>(); "one open call too many")]
-#[test_case(&[call_line(1, 5), "{\n".into()].concat(); "no json behind a call")]
-#[test_case(&call_line(1, 5).replace("acme", "else"); "a client group that does not exist")]
-#[test_case(&call_line(1, 5).replace("\"p\"", "\"q\""); "a profile that does not exist")]
-#[test_case(&"x".repeat(1 << 20); "a line that does not end")]
+/// Invalid lines are answered by an error or by closing the connection, and no call sent along with them reaches a
+/// worker.
+#[test_case(&[call_line(1, 5), call_line(1, 6)].concat(); "two calls with the same number")]
+#[test_case(&[call_line(1, 5), call_line(2, 5)].concat(); "two calls with the same id")]
+#[test_case(&(1..=33).map(|n| call_line(n, n)).collect::<String>(); "one more open call than allowed")]
+#[test_case(&[call_line(1, 5), "{\n".into()].concat(); "a call followed by invalid json")]
+#[test_case(&call_line(1, 5).replace("acme", "else"); "an unknown client group")]
+#[test_case(&call_line(1, 5).replace("\"p\"", "\"q\""); "an unknown profile")]
+#[test_case(&"x".repeat(1 << 20); "a line without an end")]
 fn invalid_lines_are_not_forwarded(text: &str) {
     const VALID_ID: u64 = 77;
     let worker = Worker::start(answers);
@@ -98,7 +99,7 @@
     assert!(worker.received.attempts().iter().all(|id| *id == VALID_ID));
 }
 
-/// Workers receive calls and answer none: each call has one answer all the same, which is a rejection.
+/// The worker answers no attempt; each call still has exactly one answer, a rejection.
 #[test]
 fn calls_to_workers_that_never_answer_are_rejected_once_each() {
     let worker = Worker::start(never_answers);
@@ -112,8 +113,8 @@
     }
 }
 
-/// Many calls come at once, a byte at a time each: a client that sends a complete call between two bytes is served
-/// meanwhile, and so are they with their last.
+/// Many clients send a call each, one byte at a time: a client that sends complete calls in between is served, and each
+/// slow call is served after its last byte.
 #[test]
 fn calls_sent_a_byte_at_a_time_are_answered() {
     const SLOW_CALLS: u64 = 40;
@@ -137,7 +138,10 @@
             assert!(other_client.call(number, 1000 + number).contains(DONE));
         }
     }
-    assert!(worker.received.attempts().iter().all(|id| *id > SLOW_CALLS), "none is complete yet");
+    assert!(
+        worker.received.attempts().iter().all(|id| *id > SLOW_CALLS),
+        "a call was forwarded before it was complete"
+    );
     for (stream, _) in &mut slow {
         stream.write_all(b"\n").unwrap();
     }
@@ -148,8 +152,8 @@
     }
 }
 
-/// Nobody ever answers: each call has its final answer in its own client's time, the shorter one first, and no second
-/// one; both attempts are cancelled at the worker.
+/// The worker never answers: each call fails exactly once and within its own deadline, the one with the shorter
+/// deadline first, and both attempts are cancelled at the worker.
 #[test]
 fn unanswered_calls_fail_at_their_own_deadlines() {
     let worker = Worker::start(never_answers);
--- a/crates/milletpath/tests/platform/departed_clients.rs
+++ b/crates/milletpath/tests/platform/departed_clients.rs
@@ -1,6 +1,6 @@
-//! Clients of `milletpath platform` that leave while their call waits: no attempt begins for them over 0.1 s later. Each
-//! test ends what the call waits for only when the client has left for longer than that, with the router running all the
-//! while, or paused so that it finds both at once.
+//! Clients of `milletpath platform` that leave while their call waits: no attempt may begin for them more than 0.1 s
+//! later. Each test lets the call proceed only after that time, with the router either running throughout or paused so
+//! that it finds both events at once.
 
 use Departure::{Cancel, Close, HalfClose, Reset};
 use ProcessState::{Paused, Running};
@@ -15,14 +15,15 @@
 use std::time::Duration;
 use test_case::{test_case, test_matrix};
 
-/// An attempt may begin for 0.1 s after its client has left; this is longer.
+/// Longer than the 0.1 s for which an attempt may still begin after its client has left.
 const DEPARTURE_WAIT: Duration = Duration::from_millis(150);
-/// Id of the call of the client that leaves.
+/// Id of the call whose client leaves.
 const DEPARTED_ID: u64 = 7;
-/// Id of the call of the client that stays.
+/// Id of the call whose client stays connected.
 const REMAINING_ID: u64 = 8;
 
-/// The client leaves, and `release` ends what its call waits for once it has long gone.
+/// Makes the client leave. `release` ends what its call waits for: with the router running, [`DEPARTURE_WAIT`] after
+/// the client has left; with the router paused, just before it leaves, and the router resumes [`DEPARTURE_WAIT`] later.
 fn depart(
     router: &Router,
     client: &mut Client,
@@ -44,42 +45,42 @@
     }
 }
 
-/// A configuration with which calls may wait for long.
+/// A configuration with a latency objective of 60 s, so that calls may wait for long.
 fn with_long_objective(workers: &[SocketAddr]) -> RouterConfiguration {
     RouterConfiguration::new(workers, Discovery::steady().address, MAX_SOCKETS).with("Objective", 60_000_000)
 }
 
-/// As [`with_long_objective`], where workers load an instance with the first attempt.
+/// Like [`with_long_objective`]; workers load an instance with the first attempt.
 fn with_load_on_first_attempt(workers: &[SocketAddr]) -> RouterConfiguration {
     with_long_objective(workers).with("PlacementCalls", false)
 }
 
-/// As [`with_long_objective`], where workers reject attempts until the router has sent a load request.
+/// Like [`with_long_objective`]; workers reject attempts until the router has sent a load request.
 fn with_load_requests(workers: &[SocketAddr]) -> RouterConfiguration {
     with_long_objective(workers).with("MissMode", "\"miss\"")
 }
 
-/// As [`with_load_on_first_attempt`], for two routers: they send a health check before an attempt.
+/// Like [`with_load_on_first_attempt`], for one of two routers: it sends a health check before an attempt.
 fn with_health_checks(workers: &[SocketAddr]) -> RouterConfiguration {
     with_load_on_first_attempt(workers).with("Balancers", 2)
 }
 
-/// A call of a function of which an instance executes one at a time.
+/// A call of a function whose instances execute one call at a time.
 fn sequential_call(number: u64, id: u64) -> String {
     call_line(number, id).replace("lanes:64", "lanes:1")
 }
 
 fn next_attempt(connection: &mut WorkerConnection) -> Frame {
-    connection.next_frame(request::ATTEMPT).expect("an attempt")
+    connection.next_frame(request::ATTEMPT).expect("an attempt arrives")
 }
 
-/// Ids of the attempts that came to a worker, once its router has ended.
+/// Ids of the attempts that are left to read on a worker's connection, once the router has ended.
 fn attempts(mut connection: WorkerConnection) -> Vec<u64> {
     std::iter::from_fn(|| connection.next_frame(request::ATTEMPT)).map(|frame| frame.id).collect()
 }
 
-/// The client calls and leaves before the router has read anything: the call was read, and its attempt sent, before the
-/// end of the connection was seen.
+/// The client calls and leaves before the router has read anything. Guards against reading the call and sending its
+/// attempt before the end of the connection is noticed.
 #[test_matrix([Close, HalfClose, Reset, Cancel])]
 fn no_attempt_for_a_client_that_left_before_its_call_was_read(departure: Departure) {
     let worker = ScriptedWorker::start();
@@ -100,7 +101,8 @@
     assert_eq!(attempts(connection), Vec::<u64>::new());
 }
 
-/// The same where what the client wrote in between is more than is read at a time: its end lies behind it.
+/// The same with more unread bytes than the router reads at a time, so that the first read does not reach the end of
+/// the connection.
 #[test_matrix([Close, HalfClose, Reset, Cancel])]
 fn no_attempt_for_a_client_that_left_with_many_bytes_unread(departure: Departure) {
     let worker = Worker::start(never_answers);
@@ -114,7 +116,7 @@
     let others = 102..107;
     router.process.while_paused(|| {
         departing.send(&call_line(1, DEPARTED_ID));
-        // These are not cancelled, where only one call is.
+        // `Cancel` cancels only the first call, not these.
         let other = |id| call_line(id - 100, id).replace("aGk=", &body);
         departing.send(&others.clone().map(other).collect::<String>());
         departing.depart(departure);
@@ -133,7 +135,7 @@
     );
 }
 
-/// Before the first attempt: the call waits for the answer to a health check.
+/// Before the first attempt, while the call waits for the answer to a health check.
 #[test_matrix([Close, HalfClose, Reset, Cancel], [Running, Paused])]
 fn no_first_attempt_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let worker = ScriptedWorker::start();
@@ -141,7 +143,7 @@
     let mut departing = Client::connect(&router);
     departing.send(&call_line(1, DEPARTED_ID));
     let mut connection = worker.accept();
-    let check = connection.next_frame(request::HEALTH_CHECK_WITH_LOAD).expect("a health check");
+    let check = connection.next_frame(request::HEALTH_CHECK_WITH_LOAD).expect("a health check arrives");
     depart(&router, &mut departing, departure, state, || connection.respond(response::HEALTHY, check.id));
     let mut remaining = Client::connect(&router);
     remaining.send(&call_line(1, REMAINING_ID));
@@ -150,7 +152,7 @@
     assert_eq!(attempts(connection), Vec::<u64>::new());
 }
 
-/// Between attempts: a worker answers with an error, and the retry would go to the other.
+/// Between attempts: a worker answers with an error, and the retry would go to the other worker.
 #[test_matrix([Close, HalfClose, Reset, Cancel], [Running, Paused])]
 fn no_retry_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
@@ -161,7 +163,7 @@
     let mut connection = ScriptedWorker::accept_at_any(&workers);
     assert_eq!(next_attempt(&mut connection).id, DEPARTED_ID);
     depart(&router, &mut departing, departure, state, || connection.respond(response::ERROR, DEPARTED_ID));
-    // A retry would have begun long before this one's time is up.
+    // A retry of the other call would have begun well before this call's deadline.
     let mut remaining = Client::connect(&router);
     remaining.send(&call_line(1, REMAINING_ID).replace("2500", "400"));
     assert!(remaining.receive().contains("\"error\""));
@@ -174,7 +176,7 @@
     );
 }
 
-/// A retry does begin there for a client that stays, or the test above shows nothing.
+/// Control for the test above: in the same situation a retry is sent for a client that stays.
 #[test]
 fn a_retry_is_sent_for_a_client_that_stays() {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
@@ -191,7 +193,8 @@
     assert!(remaining.receive().contains(DONE));
 }
 
-/// The call waits for a load: the worker had no instance, got a load request, and reports that it is loaded.
+/// While the call waits for a load: the worker had no instance, received a load request, and reports that the function
+/// is loaded.
 #[test_matrix([Close, HalfClose, Reset, Cancel], [Running, Paused])]
 fn no_attempt_after_a_load_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let worker = ScriptedWorker::start();
@@ -201,14 +204,15 @@
     let mut connection = worker.accept();
     assert_eq!(next_attempt(&mut connection).id, DEPARTED_ID);
     connection.respond(response::MISS, DEPARTED_ID);
-    let load = connection.next_frame(request::LOAD).expect("a load request");
+    let load = connection.next_frame(request::LOAD).expect("a load request arrives");
     let mut remaining = Client::connect(&router);
     remaining.send(&call_line(1, REMAINING_ID));
     depart(&router, &mut departing, departure, state, || connection.respond_loaded(load.id));
     assert_eq!(next_attempt(&mut connection).id, REMAINING_ID);
     connection.respond(response::DONE, REMAINING_ID);
     assert!(remaining.receive().contains(DONE));
-    // An attempt would have its own connection, as both bear the same id: that takes a moment.
+    // A second attempt of the departed client's call would need another connection, as it has the same id as the first.
+    // Opening one takes a moment.
     std::thread::sleep(DEPARTURE_WAIT);
     drop((router, departing));
     let later_attempts: Vec<u64> =
@@ -216,7 +220,7 @@
     assert_eq!(later_attempts, Vec::<u64>::new());
 }
 
-/// Where its client stays, the attempt does go out behind the load.
+/// Control for the test above: for a client that stays, the attempt is sent after the load.
 #[test]
 fn an_attempt_is_sent_after_a_load_for_a_client_that_stays() {
     let worker = ScriptedWorker::start();
@@ -226,17 +230,17 @@
     let mut connection = worker.accept();
     assert_eq!(next_attempt(&mut connection).id, REMAINING_ID);
     connection.respond(response::MISS, REMAINING_ID);
-    let load = connection.next_frame(request::LOAD).expect("a load request");
+    let load = connection.next_frame(request::LOAD).expect("a load request arrives");
     std::thread::sleep(DEPARTURE_WAIT);
     connection.respond_loaded(load.id);
-    // On a connection of its own, as both attempts bear the same id.
+    // On another connection, as both attempts have the same id.
     let mut connection = worker.accept();
     assert_eq!(next_attempt(&mut connection).id, REMAINING_ID);
     connection.respond(response::DONE, REMAINING_ID);
     assert!(remaining.receive().contains(DONE));
 }
 
-/// Behind a bounded queue: the worker's one instance executes one call at a time, and another's is there.
+/// In a queue: the worker's only instance executes one call at a time, and is busy with another client's.
 #[test_matrix([Close, HalfClose, Reset, Cancel], [Running, Paused])]
 fn no_queued_attempt_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let worker = ScriptedWorker::start();
@@ -261,18 +265,18 @@
     assert_eq!(attempts(connection), Vec::<u64>::new());
 }
 
-/// The call waits for the answer to a health check. While the router is paused that answer comes, and then its client
-/// leaves; the answer is read first, and the attempt was sent for a client that had left long before.
-#[test_case(Close; "its connection is closed")]
+/// The call waits for the answer to a health check. While the router is paused that answer arrives, and then the client
+/// leaves. Guards against sending the attempt because the answer is read first, though the client left long before.
+#[test_case(Close; "the connection is closed")]
 #[test_case(Cancel; "the call is cancelled")]
-#[test_case(HalfClose; "its sending end is closed")]
+#[test_case(HalfClose; "the sending side is closed")]
 fn no_attempt_when_the_client_left_after_the_health_check_was_answered(departure: Departure) {
     let worker = ScriptedWorker::start();
     let router = Router::with_configuration(&with_health_checks(&[worker.address]));
     let mut departing = Client::connect(&router);
     departing.send(&call_line(1, DEPARTED_ID));
     let mut connection = worker.accept();
-    let check = connection.next_frame(request::HEALTH_CHECK_WITH_LOAD).expect("a health check");
+    let check = connection.next_frame(request::HEALTH_CHECK_WITH_LOAD).expect("a health check arrives");
     router.process.while_paused(|| {
         connection.respond(response::HEALTHY, check.id);
         departing.depart(departure);
@@ -283,7 +287,7 @@
     assert_eq!(next_attempt(&mut connection).id, REMAINING_ID);
 }
 
-/// A connection to the worker is being made when the client leaves: the call never goes out on it. Held before.
+/// A connection to the worker is being opened when the client leaves: the call is never sent on it.
 #[test_case(Close; "closes")]
 #[test_case(HalfClose; "half closes")]
 #[test_case(Reset; "resets")]
--- a/crates/milletpath/tests/platform/discovery.rs
+++ b/crates/milletpath/tests/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that fails: events cut short, repeated or missing, and streams that fall silent.
+//! Discovery failures: events that are truncated, repeated or missing, and streams that fall silent.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, DiscoveryStreams, MAX_SOCKETS, Router, Worker, answers, endpoint_event,
@@ -7,7 +7,8 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// The stream breaks amid an event, repeats old ones and skips one: each is asked for again and taken once.
+/// The stream ends in the middle of an event, skips one, and repeats old ones: missing events are requested again, and
+/// each is applied once.
 #[test]
 fn truncated_repeated_or_skipped_events_are_each_applied_once() {
     let [old, new] = [(); 2].map(|()| Worker::start(answers));
@@ -25,13 +26,13 @@
     });
     assert!(new_worker_is_used);
     assert_eq!(discovery.requests()[..3], ["after 1", "after 1", "after 1"]);
-    // Once it has left, nothing more goes to the old one.
+    // Nothing more is sent to the old worker once it has left.
     let frames_before = old.received.count();
     assert!((100..110).all(|n| client.call(n, n).contains(DONE)));
     assert_eq!(old.received.count(), frames_before);
 }
 
-/// Discovery that falls silent is asked again, from its last event on.
+/// When discovery falls silent, the router subscribes again from the last event on.
 #[test]
 fn silent_discovery_is_queried_again_from_its_last_event() {
     let worker = Worker::start(answers);
@@ -41,8 +42,8 @@
     assert_eq!(discovery.requests()[1], "after 2");
 }
 
-/// Discovery from which single bytes come but no line ever ends counts as silent: it is asked again. Bytes alone held
-/// that off for as long as they came.
+/// Discovery that sends single bytes but never ends a line counts as silent, and the router subscribes again. Guards
+/// against a timeout that each byte restarts.
 #[test]
 fn discovery_that_never_ends_a_line_is_queried_again() {
     const BYTE_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/milletpath/tests/platform/discovery_outage.rs
+++ b/crates/milletpath/tests/platform/discovery_outage.rs
@@ -1,15 +1,13 @@
-//! Users saw: discovery was out of reach for longer than the times after which its events count as known; workers began
-//! to drain just after the outage began, and went on getting attempts and load requests from every router. Clients
-//! noticed nothing, as each rejected attempt was served elsewhere.
+//! Draining workers must get no new work while discovery is unreachable for longer than the times after which its
+//! events count as known: 2 s after a broken stream, 4 s after a silent one, and at once where the outage has lasted
+//! that long.
 //!
-//! Order of events: a router knows a list; discovery fails, in whatever way; a worker drains; the event counts as known
-//! 2 s after a broken stream, 4 s after a silent one, and at once where the outage has lasted that long; the grace
-//! passes; the router sends to the worker all the same, until discovery is back.
-//!
-//! Cause: the list had no age. A worker that was once listed as ready stayed so until an event said otherwise. The
-//! evidence: in each way of failing, attempts and load requests to draining workers go on for as long as the outage
-//! does, though no event was received and each is rejected. Health checks would have told: a draining worker does not
-//! pass one. But none was made for that, and what one told beside the load was dropped.
+//! Guards against an endpoint list without an age: a worker that was once listed as ready stayed so until an event said
+//! otherwise. A worker that began to drain just after the start of an outage went on getting attempts and load requests
+//! from every router, past the drain grace and until discovery was back, in each kind of outage. Clients noticed
+//! nothing, as each rejected attempt was served by another worker. Health checks would have revealed it, as a draining
+//! worker fails them, but none was made for that purpose, and the health that one reported along with the load was
+//! ignored.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, LiveDiscovery, MAX_SOCKETS, Outage, Router, RouterConfiguration, TimedFrame, Worker,
@@ -22,17 +20,18 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// When events of an outage count as known at the latest: 4 s after it began.
+/// Events during an outage count as known at the latest this long after it began.
 const MAX_EVENT_DELAY: Duration = Duration::from_secs(4);
-/// The grace in the configuration of these routers.
+/// The drain grace in the configuration of the routers (`DrainGrace`).
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// What a busy machine may take between a router's write and a worker's read. Sends would go on for seconds.
+/// Allowance for the time between a router's write and a worker's read on a busy machine. A router with the fault would
+/// go on sending for seconds.
 const DELIVERY_MARGIN: Duration = Duration::from_secs(1);
 
-/// Functions that are called.
+/// Number of different functions that are called.
 const FUNCTIONS: u64 = 16;
 
-/// How many calls of a client were made, and how many of them were served.
+/// Number of calls that a client made, and of those that were served.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallCounts {
     made: u64,
@@ -40,13 +39,13 @@
 }
 
 impl CallCounts {
-    /// Whether there were calls and hardly any went without an answer of a worker.
+    /// Whether there were more than 100 calls and workers answered at least 95% of them.
     fn nearly_all_served(self) -> bool {
         self.made > 100 && self.served * 100 >= self.made * 95
     }
 }
 
-/// Calls one after the other until it is stopped, some 30 a second.
+/// Makes one call after the other, about 30 per second, until `stop` is set.
 fn call_until_stopped(router: &Router, client_number: u64, stop: &AtomicBool) -> CallCounts {
     const CALL_INTERVAL: Duration = Duration::from_millis(30);
     let mut client = Client::connect(router);
@@ -54,7 +53,7 @@
     while !stop.load(Ordering::Relaxed) {
         counts.made += 1;
         let id = client_number << 32 | counts.made;
-        // Many functions have their home on many workers.
+        // Different functions are placed on different workers.
         client.send(&function_call_line(counts.made, id, id % FUNCTIONS));
         counts.served += u64::from(client.receive().contains(DONE));
         std::thread::sleep(CALL_INTERVAL);
@@ -62,33 +61,34 @@
     counts
 }
 
-/// What came of an outage.
+/// What happened during an outage.
 struct OutageResult {
-    /// New work that reached draining workers after it was due to stop.
+    /// New work that draining workers received after it should have stopped.
     late_work: Vec<TimedFrame>,
     calls: CallCounts,
 }
 
-/// How discovery comes to be out of reach.
+/// How discovery becomes unreachable.
 #[derive(Clone, Copy, Debug)]
 enum OutageStart {
-    /// It fails.
+    /// Discovery fails.
     DiscoveryFailure(Outage),
-    /// The file names addresses at which nobody listens, one after the other; the old discovery says nothing more.
+    /// The configuration is reloaded three times, each time with a discovery address at which nobody listens; the
+    /// previous discovery falls silent.
     UnreachableReloads,
 }
 
-/// What is played.
+/// An outage and its circumstances.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     outage_start: OutageStart,
-    /// Whether two workers drain at once and two after 5 s.
+    /// Whether two workers begin to drain at once and two after 5 s.
     drains: bool,
-    /// Whether two other workers reject attempts as they are full.
+    /// Whether two other workers are full and reject attempts.
     others_full: bool,
-    /// Whether the settings allow health checks.
+    /// Whether the settings permit health checks.
     health_checks: bool,
-    /// Routers that there are by the settings. One of several checks its workers' health for their load as well.
+    /// Number of routers according to the settings. With several, a router also sends health checks to learn the load.
     routers: usize,
 }
 
@@ -102,7 +102,7 @@
     };
 }
 
-/// The part of the rig that a play changes.
+/// The workers, discovery and router of a test.
 struct TestSetup {
     workers: Vec<Worker>,
     discovery: LiveDiscovery,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A worker drains; returns when.
+    /// Makes a worker drain and publishes the event; returns when.
     fn drain(&self, worker: usize) -> Instant {
         self.workers[worker].set_condition(WorkerCondition::Draining);
         let address = self.workers[worker].address;
@@ -150,7 +150,7 @@
     }
 }
 
-/// Plays an outage of 9 s, with calls throughout.
+/// Runs an outage of 9 s, with calls throughout.
 fn run_scenario(scenario: Scenario) -> OutageResult {
     let setup = TestSetup::start(scenario);
     let stop = AtomicBool::new(false);
@@ -211,7 +211,7 @@
         .filter(|(_, result)| !result.late_work.is_empty() || !result.calls.nearly_all_served())
         .map(|(outage, OutageResult { late_work, calls })| {
             format!(
-                "{outage:?}: {} sends too late, the first {:?}; {calls:?}",
+                "{outage:?}: {} frames too late, the first {:?}; {calls:?}",
                 late_work.len(),
                 late_work.first()
             )
@@ -220,18 +220,18 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// The neighbours of that outage: nothing new goes to draining workers, and calls are served all the same.
-#[test_case(Scenario { outage_start: OutageStart::UnreachableReloads, ..Scenario::WITH_DRAINS }; "new configurations in a row name addresses that are out of reach")]
+/// Outages under related circumstances: draining workers get no new work, and calls are still served.
+#[test_case(Scenario { outage_start: OutageStart::UnreachableReloads, ..Scenario::WITH_DRAINS }; "configurations in a row name unreachable addresses")]
 #[test_case(Scenario { others_full: true, ..Scenario::WITH_DRAINS }; "other workers are full")]
-#[test_case(Scenario { health_checks: false, ..Scenario::WITH_DRAINS }; "health checks are not allowed")]
-#[test_case(Scenario { health_checks: false, drains: false, ..Scenario::WITH_DRAINS }; "neither are drains played")]
+#[test_case(Scenario { health_checks: false, ..Scenario::WITH_DRAINS }; "health checks are not permitted")]
+#[test_case(Scenario { health_checks: false, drains: false, ..Scenario::WITH_DRAINS }; "no health checks and no draining worker")]
 fn calls_are_served_and_drains_respected_in_related_outages(scenario: Scenario) {
     let OutageResult { late_work, calls } = run_scenario(scenario);
-    assert!(late_work.is_empty(), "{} sends too late, the first {:?}", late_work.len(), late_work[0]);
+    assert!(late_work.is_empty(), "{} frames too late, the first {:?}", late_work.len(), late_work[0]);
     assert!(calls.nearly_all_served(), "{calls:?}");
 }
 
-/// Calls one after the other, each of another function; returns how many were served.
+/// Makes one call after the other, cycling through the functions; returns how many were served.
 fn count_served_calls(router: &Router, calls: std::ops::Range<u64>) -> usize {
     let mut client = Client::connect(router);
     calls
@@ -242,8 +242,8 @@
         .count()
 }
 
-/// A router starts while discovery is out of reach, with a list from before: two of its workers drain by now, and one
-/// is gone. It is ready, serves, and sends the two nothing.
+/// A router starts while discovery is unreachable, with an outdated list: two of its workers have begun to drain, and
+/// one has exited. The router is ready, serves calls, and sends the two draining workers no new work.
 #[test]
 fn a_router_started_during_an_outage_avoids_outdated_endpoints() {
     let setup = TestSetup::start(Scenario::WITH_DRAINS);
@@ -261,7 +261,8 @@
     }
 }
 
-/// A worker drains in an outage and takes it back, and another restarts: both get calls again before discovery is heard.
+/// During an outage one worker drains and becomes ready again, and another restarts: both get calls again before
+/// discovery is back.
 #[test]
 fn workers_that_become_ready_again_are_used_during_an_outage() {
     let setup = TestSetup::start(Scenario::WITH_DRAINS);
@@ -278,15 +279,15 @@
     let ready_at = Instant::now();
     let mut calls = 200..;
     let are_used = becomes_true(|| {
-        let first = calls.next().expect("a number") * 100;
+        let first = calls.next().expect("the range has no end") * 100;
         count_served_calls(&setup.router, first..first + 20);
         [0, 1].iter().all(|worker| !setup.workers[*worker].received.new_work_after(ready_at).is_empty())
     });
     assert!(are_used);
 }
 
-/// A router is stopped for longer than the grace, and finds calls and an event at once when it goes on: the event is
-/// applied first. The calls went to draining workers, as the sockets of clients were looked at first.
+/// A router is paused for longer than the drain grace, and finds calls and events at once when it resumes: the events
+/// are applied first. Guards against polling the clients' sockets first and sending their calls to draining workers.
 #[test]
 fn an_event_received_during_a_pause_is_applied_before_calls() {
     let setup = TestSetup::start(Scenario { routers: 1, ..Scenario::WITH_DRAINS });
@@ -295,7 +296,7 @@
     let mut clients: Vec<_> = (0..8).map(|_| Client::connect(&setup.router)).collect();
     assert!(clients.iter_mut().all(|client| client.is_router_ready(1)));
     setup.router.process.while_paused(|| {
-        // The sockets of clients are ready before that of discovery, and looked at first.
+        // The clients' sockets become ready before that of discovery, so they are polled first.
         for (client, n) in clients.iter_mut().zip(1_u64..) {
             for call in 0..4 {
                 let id = 1000 * n + call;
--- a/crates/milletpath/tests/platform/endpoint_changes.rs
+++ b/crates/milletpath/tests/platform/endpoint_changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the endpoint list while attempts are in flight, each forced by order: the router is paused, or a worker
-//! holds its step, until all that is to cross has been written.
+//! Changes of the endpoint list while attempts are in flight. The order of events is deterministic: the router is
+//! paused, or a worker withholds its answer, until everything that is to arrive concurrently has been written.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, DiscoveryStreams, REJECTED, Router, RouterConfiguration, ScriptedWorker, call_line,
@@ -12,7 +12,8 @@
 use std::net::{SocketAddr, TcpListener};
 use test_case::test_case;
 
-/// A configuration without slow start: where one worker alone is known there is no pace to go by.
+/// A configuration without slow start, whose limits derive from the measured throughput of warm workers: with a single
+/// known worker there is none to go by.
 fn without_slow_start(
     workers: &[SocketAddr],
     discovery: SocketAddr,
@@ -23,9 +24,9 @@
         .with("OverloadFor", 1000)
 }
 
-/// An attempt is in flight at a worker that drains by the old discovery's last event; the configuration is replaced,
-/// and the new discovery is asked from there on. Its events apply, the answer of the draining worker counts, and
-/// SIGTERM that comes with calls in flight lets them be answered.
+/// An attempt is in flight at a worker that drains according to the old discovery's last event. The configuration is
+/// replaced, and the router subscribes to the new discovery from that event on. The new events apply, the answer of the
+/// draining worker is forwarded, and calls in flight at SIGTERM are answered.
 #[test]
 fn the_configuration_is_replaced_while_a_worker_drains() {
     let [draining, joining] = [(); 2].map(|()| ScriptedWorker::start());
@@ -36,7 +37,7 @@
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
     let mut first = draining.accept();
-    assert_eq!(first.next_frame(request::ATTEMPT).expect("its attempt").id, 1);
+    assert_eq!(first.next_frame(request::ATTEMPT).expect("the attempt arrives").id, 1);
     let mut stream = old.next_stream();
     let new_configuration =
         without_slow_start(&[draining.address], new_discovery.local_addr().unwrap(), 250_000);
@@ -52,7 +53,10 @@
     stream.write_all(endpoint_event(3, "w1", joining.address, "active").as_bytes()).unwrap();
     client.send(&call_line(2, 2));
     let mut second = joining.accept();
-    assert_eq!(second.next_frame(request::ATTEMPT).expect("the second, elsewhere").id, 2);
+    assert_eq!(
+        second.next_frame(request::ATTEMPT).expect("the second attempt goes to the other worker").id,
+        2
+    );
     router.process.signal(Signal::SIGHUP);
     router.process.signal(Signal::SIGTERM);
     first.respond(response::DONE, 1);
@@ -63,7 +67,7 @@
     assert_eq!((first.next_frame(request::ATTEMPT), second.next_frame(request::ATTEMPT)), (None, None));
 }
 
-/// The state, in the complete list, of the worker that has an attempt in flight.
+/// What the complete list says of the worker that has an attempt in flight.
 #[derive(Clone, Copy)]
 enum CompleteList {
     WorkerMissing,
@@ -71,12 +75,12 @@
     Empty,
 }
 
-/// The complete list comes past a gap of numbers, while a worker has an attempt in flight that is not on it, drains, or
-/// where nobody is on it: nothing more is sent there, its answer counts, and once it is listed again it is the same
-/// process.
-#[test_case(CompleteList::WorkerMissing; "it is missing")]
-#[test_case(CompleteList::WorkerDraining; "it drains, and the other is new")]
-#[test_case(CompleteList::Empty; "nobody is on it")]
+/// A complete list arrives after a gap in the event numbers while a worker has an attempt in flight. The worker is
+/// missing from the list or draining, or the list is empty: nothing more is sent to it, its answer is forwarded, and
+/// once it is listed again it counts as the same process.
+#[test_case(CompleteList::WorkerMissing; "the worker is missing")]
+#[test_case(CompleteList::WorkerDraining; "the worker drains and the other is new")]
+#[test_case(CompleteList::Empty; "the list is empty")]
 fn a_complete_list_arrives_while_an_attempt_is_in_flight(list: CompleteList) {
     let [first, other] = [(); 2].map(|()| ScriptedWorker::start());
     let discovery = DiscoveryStreams::start();
@@ -85,7 +89,7 @@
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
     let mut connection = first.accept();
-    assert_eq!(connection.next_frame(request::ATTEMPT).expect("its attempt").id, 1);
+    assert_eq!(connection.next_frame(request::ATTEMPT).expect("the attempt arrives").id, 1);
     let mut stream = discovery.next_stream();
     let new_endpoint = ("w1", other.address, "active");
     let endpoints: &[_] = match list {
@@ -96,12 +100,15 @@
     stream.write_all(complete_list_event(7, endpoints).as_bytes()).unwrap();
     client.send(&call_line(2, 2));
     if endpoints.is_empty() {
-        // No worker could be asked: trying again does no harm.
+        // No worker was available, so no attempt was made: the call is rejected and may safely be retried.
         let line = client.receive();
         assert!(line.contains("\"id\":2,") && line.contains(REJECTED), "{line}");
     } else {
         let mut connection = other.accept();
-        assert_eq!(connection.next_frame(request::ATTEMPT).expect("the second, elsewhere").id, 2);
+        assert_eq!(
+            connection.next_frame(request::ATTEMPT).expect("the second attempt goes to the other worker").id,
+            2
+        );
         connection.respond(response::DONE, 2);
         assert!(client.receive().contains("\"id\":2,\"result\""));
     }
@@ -112,13 +119,13 @@
     stream.write_all(events.concat().as_bytes()).unwrap();
     client.send(&call_line(3, 3));
     let third = connection.next_frame(request::ATTEMPT);
-    assert_eq!(third.expect("the third, on the connection that stood").id, 3);
+    assert_eq!(third.expect("the third attempt uses the open connection").id, 3);
     connection.respond(response::DONE, 3);
     assert!(client.receive().contains("\"id\":3,\"result\""));
 }
 
-/// A connection comes up late, and meanwhile the endpoint list names another process as the worker, at another
-/// address. The attempt that waited for the connection went to the process that was gone.
+/// While a connection is being opened, the endpoint list replaces the worker by another process at another address.
+/// Guards against sending the attempt that waits for the connection to the old process.
 #[test]
 fn a_worker_is_replaced_while_a_connection_to_it_is_being_opened() {
     let (old, filler) = ScriptedWorker::with_full_backlog();
@@ -128,23 +135,23 @@
     let router = Router::with_configuration(&configuration);
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
-    // The call was read, and its connection is asked for, once a health check on the same connection is answered.
+    // Once a health check on the same connection is answered, the call was read and its connection requested.
     assert!(client.is_router_ready(2));
     let mut stream = discovery.next_stream();
     stream.write_all(endpoint_event(2, "w0", new.address, "active").as_bytes()).unwrap();
-    // It was read once what comes after it is known.
+    // An event for a worker that is not on the list: once the router knows it, it has read the one before.
     stream.write_all(endpoint_event(3, "w9", new.address, "left").as_bytes()).unwrap();
     let mut late_connection = old.free_backlog(filler);
     let mut connection = new.accept();
-    assert_eq!(connection.next_frame(request::ATTEMPT).expect("the attempt, elsewhere").id, 1);
+    assert_eq!(connection.next_frame(request::ATTEMPT).expect("the attempt goes to the new process").id, 1);
     connection.respond(response::DONE, 1);
     assert!(client.receive().contains(DONE));
     drop(router);
     assert_eq!(late_connection.next_frame(request::ATTEMPT), None);
 }
 
-/// The complete list comes without a worker that has an attempt in flight, and another event at once lists it again: its
-/// answer counts, and it is one process all along.
+/// A complete list without a worker that has an attempt in flight, and right behind it an event that lists the worker
+/// again: its answer is forwarded, and it counts as the same process throughout.
 #[test]
 fn a_worker_is_removed_from_the_list_and_listed_again_while_an_attempt_is_in_flight() {
     let worker = ScriptedWorker::start();
@@ -154,7 +161,7 @@
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
     let mut connection = worker.accept();
-    assert_eq!(connection.next_frame(request::ATTEMPT).expect("its attempt").id, 1);
+    assert_eq!(connection.next_frame(request::ATTEMPT).expect("the attempt arrives").id, 1);
     let events = [complete_list_event(2, &[]), endpoint_event(3, "w0", worker.address, "active")];
     discovery.next_stream().write_all(events.concat().as_bytes()).unwrap();
     connection.respond(response::DONE, 1);
--- a/crates/milletpath/tests/platform/idle_router.rs
+++ b/crates/milletpath/tests/platform/idle_router.rs
@@ -1,4 +1,4 @@
-//! What a router does that has nothing to do.
+//! Resource use of an idle router.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, DiscoveryStreams, Router, RouterConfiguration, Worker, answers,
@@ -6,11 +6,11 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// A process's work so far, by the system's tables.
+/// Resource use of a process so far, read from `/proc`.
 struct ProcessUsage {
-    /// How often it waited and was woken.
+    /// Voluntary context switches: how often the process blocked and was woken.
     wakeups: u64,
-    /// Its processor time, in hundredths of a second.
+    /// CPU time in hundredths of a second.
     cpu_ticks: u64,
 }
 
@@ -26,8 +26,9 @@
     }
 }
 
-/// A router that was called and is not any more, with clients that stay connected and discovery that writes: it waits.
-/// It looks at idle connections five times a second, and its workers receive nothing from it.
+/// A router that has served calls and receives no more, while its clients stay connected and discovery sends
+/// heartbeats, uses hardly any CPU: it wakes five times per second to check idle connections, and sends its workers
+/// nothing.
 #[test]
 fn an_idle_router_waits_and_sends_nothing() {
     const MAX_WAKEUPS_PER_SECOND: f64 = 40.0;
@@ -58,5 +59,5 @@
         "{wakeups} wakeups per second, CPU use {core_fraction} of a core"
     );
     assert_eq!(worker.received.count(), frames);
-    assert!(clients.iter().all(|client| !client.has_received()), "none was closed");
+    assert!(clients.iter().all(|client| !client.has_received()), "an idle client received data or a close");
 }
--- a/crates/milletpath/tests/platform/killed_processes.rs
+++ b/crates/milletpath/tests/platform/killed_processes.rs
@@ -1,4 +1,4 @@
-//! Workers and routers that are killed after they have accepted a connection, with a call unread in it.
+//! Workers and routers that are killed with an unread call on a connection that they have accepted.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, REJECTED, Router, RouterConfiguration, ScriptedWorker, Worker, WorkerConnection,
@@ -9,18 +9,19 @@
 use nix::sys::signal::Signal;
 use test_case::test_case;
 
-/// The first connection that one of two workers gets, and the other worker.
+/// The first connection that either worker receives, and the other worker.
 fn first_connection(workers: &[ScriptedWorker; 2]) -> (WorkerConnection, &ScriptedWorker) {
     let [one, other] = workers;
     let accept = || {
         let of_one = one.try_accept().map(|connection| (connection, other));
         of_one.or_else(|| other.try_accept().map(|connection| (connection, one)))
     };
-    wait_for(accept).expect("a connection")
+    wait_for(accept).expect("a worker receives a connection")
 }
 
-/// A worker accepts a connection and is killed before it reads the call that was written on it. It can't be distinguished
-/// from a worker that ran the call: what is idempotent goes to the other worker, the rest fails and is never sent again.
+/// A worker accepts a connection and is killed before it reads the call written on it. The router can't distinguish it
+/// from a worker that ran the call: an idempotent call is retried on the other worker, any other call fails and is
+/// never sent again.
 #[test_case("\"free\"", true; "idempotent")]
 #[test_case("\"guarded\",\"KeyScope\":\"all\",\"DedupWindow\":2500000", true; "idempotent with a key")]
 #[test_case("\"single_shot\"", false; "not idempotent")]
@@ -31,7 +32,7 @@
     let router = Router::with_configuration(&configuration.with("Effect", effect));
     router.wait_for_current_list();
     let mut client = Client::connect(&router);
-    client.send(&call_line(1, 1).replace("\"t\":", "\"k\":\"mark-of-it\",\"t\":"));
+    client.send(&call_line(1, 1).replace("\"t\":", "\"k\":\"key-1\",\"t\":"));
     let (connection, other) = first_connection(&workers);
     let unread_frame_code = wait_for(|| {
         let mut head = [0; HEAD_BYTES];
@@ -41,8 +42,8 @@
     drop(connection);
     if is_retried {
         let mut connection = other.accept();
-        let attempt = connection.next_frame(request::ATTEMPT).expect("the retry");
-        assert_eq!((attempt.id, attempt.fields.contains(",uniq=mark-of-it")), (1, true));
+        let attempt = connection.next_frame(request::ATTEMPT).expect("the retry arrives");
+        assert_eq!((attempt.id, attempt.fields.contains(",uniq=key-1")), (1, true));
         connection.respond(response::DONE, 1);
         assert!(client.receive().contains(DONE));
     } else {
@@ -58,12 +59,12 @@
     }
 }
 
-/// A router is killed with a call unread in a connection that it had accepted, and one in its backlog. Both clients see
-/// the end and no answer, and nothing went to a worker. The next process can bind the address at once, knows nothing of
-/// these calls, and accepts the client's retry under the same id.
+/// A router is killed with one call unread on an accepted connection and one in its listen backlog. Both clients see
+/// the connection end without an answer, and no worker receives the calls. The next process can bind the address at
+/// once, knows nothing of these calls, and accepts a retry with the same id.
 #[test]
 fn a_router_is_killed_after_accepting_a_connection() {
-    // An address of its own: between the two processes no other test's connection may get its port.
+    // A separate loopback address, so that no connection of another test takes the port between the two processes.
     let worker = Worker::start(answers);
     let configuration = RouterConfiguration::new(&[worker.address], Discovery::steady().address, 256);
     let configuration = configuration.with("listen", "\"127.0.0.77:0\"");
--- a/crates/milletpath/tests/platform/main.rs
+++ b/crates/milletpath/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The router on the platform as a process on loopback, between workers, discovery and clients of the tests' own.
+//! Tests of `milletpath platform` as a process on loopback; workers, discovery and clients are part of the tests.
 
 mod attempt_deadlines;
 mod calls;
--- a/crates/milletpath/tests/platform/misbehaving_clients.rs
+++ b/crates/milletpath/tests/platform/misbehaving_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that behave well beside others that do not.
+//! Well-behaved clients alongside misbehaving ones.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, MAX_SOCKETS, Router, Worker, WorkerBehaviour, answers, call_line, never_answers,
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Time between two rounds of a client that misbehaves: some 600 connections a second come from all three, which a
-/// crowded machine still accepts as they come.
+/// Time between two rounds of a misbehaving client. The three of them open about 600 connections per second, which a
+/// busy machine can still accept without delay.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Clients that are rejected come again at once, with invalid lines; a client that calls properly is served.
+/// Clients send invalid lines and reconnect as soon as they are rejected; a client with valid calls is served.
 #[test]
 fn a_valid_client_is_served_alongside_many_invalid_ones() {
     let worker = Worker::start(answers);
@@ -34,7 +34,7 @@
     });
 }
 
-/// Every other answer fails its checksum.
+/// Corrupts every other answer, so that its checksum does not match.
 fn corrupts_every_other_answer(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     let mut answer = frame(response::DONE, id, "use=q:0;x1:0;x0:0.1", b"done");
     if earlier_attempts.is_multiple_of(2) {
@@ -43,7 +43,7 @@
     let _ = connection.write_all(&answer);
 }
 
-/// Sends invalid lines, reads nothing, keeps silent connections and holds calls open, until `stop` is set.
+/// Opens silent connections, sends invalid lines, and sends calls without reading the answers, until `stop` is set.
 fn misbehave(router: &Router, client_number: u64, stop: &AtomicBool) {
     let mut id = client_number << 32;
     while !stop.load(Ordering::Relaxed) {
@@ -64,13 +64,13 @@
     }
 }
 
-/// Beside clients that send invalid lines, read nothing, flood or stay silent, and a worker that never answers or corrupts
-/// its answers, every call of a client that behaves well has its final answer in its time, on a connection of its own
-/// and on a new one each.
-#[test_case(never_answers; "and a worker that never answers")]
-#[test_case(corrupts_every_other_answer; "and a worker that corrupts its answers")]
+/// Other clients send invalid lines, never read, flood or stay silent, and a worker never answers or corrupts its
+/// answers. Each call of a well-behaved client still has its final answer in time, both on one long-lived connection
+/// and on a new connection per call.
+#[test_case(never_answers; "with a worker that never answers")]
+#[test_case(corrupts_every_other_answer; "with a worker that corrupts its answers")]
 fn a_well_behaved_client_is_served_alongside_misbehaving_ones(behaviour: WorkerBehaviour) {
-    /// The call's own 2.5 s, and half a second by which an answer may be late.
+    /// The call's deadline of 2.5 s, and half a second by which an answer may be late.
     const MAX_LATENCY: Duration = Duration::from_secs(3);
     let workers = [behaviour, answers].map(Worker::start);
     let addresses = workers.map(|worker| worker.address);
--- a/crates/milletpath/tests/platform/pause.rs
+++ b/crates/milletpath/tests/platform/pause.rs
@@ -1,4 +1,4 @@
-//! A router that is paused by SIGSTOP and resumed: every call that was written meanwhile gets its answer.
+//! A router that is paused by SIGSTOP and resumed: every call written in the meantime is answered.
 
 use crate::unread_call::UnreadCall;
 use milletpath_test_support::platform_rig::{
@@ -15,10 +15,11 @@
     answers_after(Duration::from_millis(400), id, connection);
 }
 
-/// Ages in ms at which silent connections meet the pause: before, near and at the end of the time they are granted.
+/// Ages in ms of the silent connections when the pause begins: well before, near and just before the end of the time
+/// for which a connection may stay silent.
 const SILENT_AGES_MS: [u64; 4] = [0, 900, 1700, 1850];
 
-/// Connections that have sent nothing for the times of [`SILENT_AGES_MS`].
+/// Connections that have been open for the times in [`SILENT_AGES_MS`] and have sent nothing.
 fn silent_clients(router: &Router) -> Vec<Client> {
     let oldest = SILENT_AGES_MS[SILENT_AGES_MS.len() - 1];
     let started = Instant::now();
@@ -30,8 +31,8 @@
     SILENT_AGES_MS.iter().rev().map(connect).collect()
 }
 
-/// The process is paused with a call at its worker, calls unread on known, silent and new connections, and half a call:
-/// each is answered once it resumes, though the time for silent connections is over by then.
+/// The router is paused with one call at its worker, unread calls on established, silent and new connections, and one
+/// call half sent: each is answered once the router resumes, though the time limit for silent connections has passed.
 #[test_case(500; "for half a second")]
 #[test_case(2000; "for 2 s")]
 #[test_case(12_000; "for 12 s")]
@@ -56,7 +57,7 @@
             client.send(&call_line(1, id));
         }
     });
-    let new_client = new_client.as_mut().expect("a client");
+    let new_client = new_client.as_mut().expect("the client connected during the pause");
     for (client, number) in [(&mut in_flight, 1), (&mut established, 2), (&mut partial, 1), (new_client, 1)] {
         let line = client.receive();
         assert!(line.contains(&format!("\"id\":{number},")), "{line:?}");
@@ -67,11 +68,12 @@
     }
 }
 
-/// A router that has received SIGTERM is paused past the time at which it may exit, and meanwhile a call comes: unread in
-/// a client's socket, with a connection that is not accepted yet, or half before and half after. It exited over it.
-#[test_case(UnreadCall::OnAcceptedConnection; "in an open connection")]
-#[test_case(UnreadCall::InListenBacklog; "with a connection that is not accepted")]
-#[test_case(UnreadCall::PartialLine; "the second half of a line")]
+/// A router that has received SIGTERM is paused past the time at which it may exit, and a call is sent meanwhile: on an
+/// accepted connection, on one that is not accepted yet, or half before and half during the pause. Guards against
+/// exiting without answering it.
+#[test_case(UnreadCall::OnAcceptedConnection; "on an accepted connection")]
+#[test_case(UnreadCall::InListenBacklog; "in the listen backlog")]
+#[test_case(UnreadCall::PartialLine; "a partial line")]
 fn a_call_unread_when_the_router_may_exit_is_answered(unread: UnreadCall) {
     let worker = Worker::start(answers);
     let mut router = Router::start(&[worker.address], Discovery::steady().address, MAX_SOCKETS);
--- a/crates/milletpath/tests/platform/persistent_client.rs
+++ b/crates/milletpath/tests/platform/persistent_client.rs
@@ -1,4 +1,4 @@
-//! A client that never stops calling, and what became of its calls.
+//! A client that calls continuously and counts what became of its calls.
 
 use milletpath_test_support::platform_rig::call_line;
 use std::collections::BTreeMap;
@@ -7,14 +7,15 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time between two calls of one client.
+/// Time between two calls of a client.
 const CALL_INTERVAL: Duration = Duration::from_millis(30);
-/// Calls that a client may have open on one connection.
+/// Limit on the open calls of a client on one connection.
 const MAX_OPEN_CALLS: usize = 32;
-/// A call written this shortly before the end of its connection crosses it, and is sent again by its client.
+/// A call written less than this before its connection ends may have crossed with the close, and does not count as
+/// lost: a client sends it again.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// What became of the calls of all clients.
+/// What became of the calls of one client, or of several.
 #[derive(Debug, Default)]
 pub struct CallTotals {
     pub written: usize,
@@ -22,12 +23,12 @@
     pub answered_twice: usize,
     /// Calls without an answer that were written more than [`CLOSE_RACE_WINDOW`] before the end of their connection.
     pub lost: usize,
-    /// By how long before the end of its connection the earliest lost call was written.
+    /// The longest time between the write of a lost call and the end of its connection.
     pub longest_unanswered: Duration,
 }
 
 impl CallTotals {
-    /// Adds what became of another client's calls.
+    /// Adds the totals of another client.
     pub fn add(&mut self, other: &Self) {
         self.written += other.written;
         self.answered += other.answered;
@@ -37,10 +38,10 @@
     }
 }
 
-/// One connection of a client: sends a call at each interval and reads what comes between.
+/// One connection of a client: sends a call at each interval and reads answers in between.
 struct ClientConnection<'a> {
     stream: TcpStream,
-    /// When each call without an answer was written, by its number.
+    /// When each unanswered call was written, by its number.
     open: BTreeMap<u64, Instant>,
     last_number: u64,
     received: Vec<u8>,
@@ -50,7 +51,7 @@
 
 impl<'a> ClientConnection<'a> {
     fn new(stream: TcpStream, deadline_ms: u64, totals: &'a mut CallTotals) -> Self {
-        stream.set_nodelay(true).expect("a socket");
+        stream.set_nodelay(true).expect("the socket is open");
         Self { stream, open: BTreeMap::new(), last_number: 0, received: Vec::new(), deadline_ms, totals }
     }
 
@@ -86,11 +87,13 @@
         Ok(())
     }
 
-    /// Reads answers until that time; false where the connection ended.
+    /// Reads answers until that time. Returns false if the connection ended.
     fn read_until(&mut self, until: Instant) -> bool {
         loop {
             let remaining = until.saturating_duration_since(Instant::now());
-            self.stream.set_read_timeout(Some(remaining.max(Duration::from_micros(1)))).expect("a socket");
+            self.stream
+                .set_read_timeout(Some(remaining.max(Duration::from_micros(1))))
+                .expect("the socket is open");
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(0) => return false,
@@ -105,9 +108,11 @@
     fn record_answers(&mut self) {
         while let Some(end) = self.received.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.received.drain(..=end).collect();
-            let line = String::from_utf8(line).expect("text");
+            let line = String::from_utf8(line).expect("answers are UTF-8");
             let number = line.split("\"id\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
-            let number = number.and_then(|n| n.trim().parse().ok()).unwrap_or_else(|| panic!("{line}"));
+            let number = number
+                .and_then(|n| n.trim().parse().ok())
+                .unwrap_or_else(|| panic!("an answer without a call number: {line}"));
             match self.open.remove(&number) {
                 Some(_) => self.totals.answered += 1,
                 None => self.totals.answered_twice += 1,
@@ -116,7 +121,7 @@
     }
 }
 
-/// Calls until `stop` is set: where its connection ends it opens the next.
+/// Calls until `stop` is set, and opens the next connection whenever one ends.
 pub fn call_until_stopped(
     address: SocketAddr,
     deadline_ms: u64,
--- a/crates/milletpath/tests/platform/process_lifecycle.rs
+++ b/crates/milletpath/tests/platform/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The process of a router: how it starts, reads its configuration again, ends, and which sockets it holds.
+//! The router process: how it starts, reloads its configuration and exits, and which sockets it holds.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, MAX_SOCKETS, REJECTED, Router, RouterConfiguration, Worker, answers, call_line,
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A start that is impossible ends with one line with the reason, and exit code 2.
-#[test_case(None, "LB_CONFIG is not set"; "no file named")]
-#[test_case(Some("/nowhere/told"), "/nowhere/told"; "a file that is not there")]
+/// When the router can't start, it writes one line with the reason to standard error and exits with code 2.
+#[test_case(None, "LB_CONFIG is not set"; "no configuration file named")]
+#[test_case(Some("/nonexistent/configuration"), "/nonexistent/configuration"; "a configuration file that does not exist")]
 fn a_failed_start_reports_the_reason(file: Option<&str>, reason: &str) {
     let mut command = program();
     command.arg("platform").env_remove("LB_CONFIG").env_remove("LB_LISTEN");
@@ -25,7 +25,8 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains(reason));
 }
 
-/// SIGHUP with the file half-written, then complete: the new discovery is asked for what comes next, and calls go on.
+/// SIGHUP comes while the file is half written; once it is complete, the router subscribes to the new discovery from
+/// its last event on. Calls are served throughout.
 #[test]
 fn the_configuration_is_replaced_while_calls_are_served() {
     let worker = Worker::start(answers);
@@ -46,7 +47,7 @@
     answers(earlier_attempts, id, connection);
 }
 
-/// SIGTERM: calls in flight are answered, and those that still come, and then the process exits with success.
+/// After SIGTERM, calls in flight and calls that still arrive are answered; then the process exits with success.
 #[test]
 fn a_router_that_receives_sigterm_answers_before_it_exits() {
     let worker = Worker::start(answers_the_first_attempt_late);
@@ -63,11 +64,11 @@
     assert!(router.process.exit_status().is_some_and(|status| status.success()));
 }
 
-/// SIGTERM that comes twice, together with SIGHUP, or before any endpoint list is known: the process exits once, with
-/// success.
+/// SIGTERM arrives twice, together with SIGHUP, or before any endpoint list is known: the process still answers a call
+/// and exits with success.
 #[test_case(&[Signal::SIGTERM, Signal::SIGTERM], true; "twice")]
-#[test_case(&[Signal::SIGHUP, Signal::SIGTERM], true; "with SIGHUP before it")]
-#[test_case(&[Signal::SIGTERM, Signal::SIGHUP], true; "with SIGHUP behind it")]
+#[test_case(&[Signal::SIGHUP, Signal::SIGTERM], true; "after SIGHUP")]
+#[test_case(&[Signal::SIGTERM, Signal::SIGHUP], true; "before SIGHUP")]
 #[test_case(&[Signal::SIGTERM], false; "before an endpoint list is known")]
 fn signals_received_together_end_the_process_once(signals: &[Signal], has_endpoints: bool) {
     let worker = Worker::start(answers);
@@ -80,8 +81,8 @@
     assert!(router.process.exit_status().is_some_and(|status| status.success()));
 }
 
-/// The process that is asked to end closes connections first, and its successor can bind the address at once all the
-/// same.
+/// A process that receives SIGTERM closes its connections before its clients do; its successor can still bind the
+/// address at once.
 #[test]
 fn the_next_process_binds_the_address_at_once() {
     let worker = Worker::start(answers);
@@ -99,7 +100,7 @@
     assert!(Client::connect(&next).call(1, 9).contains(DONE));
 }
 
-/// The inodes of the sockets that a process holds.
+/// The inodes of the sockets that a process has open.
 fn socket_inodes(process: &str) -> Vec<String> {
     let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().flatten();
     let links = descriptors.filter_map(|descriptor| std::fs::read_link(descriptor.path()).ok());
@@ -108,8 +109,8 @@
     links.filter_map(inode).collect()
 }
 
-/// Where the platform runs hundreds of routers there are TCP and UDP sockets and no others; signals came over a pair of
-/// Unix sockets.
+/// Where the platform runs hundreds of routers, only TCP and UDP sockets are available. Guards against receiving
+/// signals through a pair of Unix sockets.
 #[test]
 fn a_router_holds_no_unix_socket() {
     let worker = Worker::start(answers);
@@ -130,7 +131,7 @@
     assert!(router.process.exit_status().is_some_and(|status| status.success()));
 }
 
-/// Ten processes start at once on a machine whose cores are all busy: nine of them are ready within 10 s.
+/// Ten processes start at once on a machine whose cores are all busy: at least nine of them are ready within 10 s.
 #[test]
 fn nine_of_ten_routers_are_ready_in_time_on_a_busy_machine() {
     const READY_WITHIN: Duration = Duration::from_secs(10);
--- a/crates/milletpath/tests/platform/resource_limits.rs
+++ b/crates/milletpath/tests/platform/resource_limits.rs
@@ -1,5 +1,5 @@
-//! Limits of the router: descriptors, open calls and memory. Calls that come once a limit is reached are answered all the
-//! same.
+//! Limits of the router: descriptors, open calls and memory. Calls that arrive when a limit is reached are still
+//! answered.
 
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, MAX_SOCKETS, REJECTED, Router, RouterConfiguration, Worker, answers, call_line,
@@ -9,14 +9,14 @@
 use std::io::Write;
 use std::net::TcpListener;
 
-/// Descriptors of a router that has enough for [`CLIENT_LIMIT`].
+/// Descriptor limit of a router that has room for [`CLIENT_LIMIT`] clients.
 const DESCRIPTOR_LIMIT: usize = 64;
-/// Clients that a router with [`DESCRIPTOR_LIMIT`] holds.
+/// Clients that a router with [`DESCRIPTOR_LIMIT`] descriptors accepts.
 const CLIENT_LIMIT: usize = 17;
-/// More than the router accepts beside these at a time.
+/// More clients than the router accepts beyond [`CLIENT_LIMIT`] at a time.
 const NEW_CLIENTS: usize = 40;
 
-/// A router that has no room for further clients, as each of those that it holds waits for an answer.
+/// A router at its client limit, where each connected client waits for an answer.
 struct FullRouter {
     router: Router,
     worker: Worker,
@@ -37,8 +37,9 @@
     }
 }
 
-/// Calls of every client that the router has room for are in flight at a worker that never answers; then others connect
-/// and call at once: the router finds their calls together with their connections. They were closed unread.
+/// Each client that the router has room for has a call in flight at a worker that never answers. Then others connect
+/// and call while the router is paused, so that it finds their calls together with their connections. Guards against
+/// closing these connections with the call unread.
 #[test]
 fn a_call_on_a_new_connection_is_answered_when_all_others_wait_for_answers() {
     let FullRouter { router, worker, mut waiting } = FullRouter::start();
@@ -53,7 +54,7 @@
     for client in &mut new_clients {
         let line = client.receive();
         assert!(line.contains(REJECTED) && line.contains("\"w\":1000"), "{line:?}");
-        // Its connection ends with a close and not with a reset.
+        // The router closes the connection without a reset.
         assert!(client.is_closed_cleanly());
     }
     for client in &mut waiting {
@@ -62,7 +63,7 @@
     }
 }
 
-/// Newcomers that send nothing don't keep one away that calls.
+/// New connections that send nothing don't keep a client with a call from being answered.
 #[test]
 fn silent_new_connections_make_room_for_a_call() {
     let FullRouter { router, worker: _, waiting } = FullRouter::start();
@@ -72,7 +73,7 @@
     drop((waiting, silent));
 }
 
-/// More connections than there are descriptors: the idle ones are closed, and a client that calls is served.
+/// With more connections than descriptors, idle connections are closed and a client that calls is served.
 #[test]
 fn idle_connections_at_the_descriptor_limit_make_room_for_a_call() {
     let worker = Worker::start(answers);
@@ -83,7 +84,8 @@
     assert!(idle.into_iter().all(|mut client| client.receive().is_empty()));
 }
 
-/// The bound on open calls is reached: the next call is rejected at once, with a retry delay. It had none.
+/// Once the limit on open calls is reached, the next call is rejected at once. Guards against a rejection without a
+/// retry delay.
 #[test]
 fn a_call_over_the_limit_on_open_calls_gets_a_retry_delay() {
     let worker = Worker::start(never_answers);
@@ -95,9 +97,9 @@
     assert!(line.contains("\"id\":2,") && line.contains(REJECTED) && line.contains("\"w\":1000"), "{line}");
 }
 
-/// The system grants fewer descriptors than the configuration states, discovery is down, and many clients connect and
-/// stay: a call is accepted and answered, and once discovery is there the router reaches it. By the configuration's
-/// figure the router accepted clients until no descriptor was left for anything.
+/// The system grants fewer descriptors than the configuration states, discovery is down, and many clients stay
+/// connected: calls are still accepted and answered, and the router connects to discovery once it is up. Guards against
+/// taking the configured number as the limit and accepting clients until no descriptor is left.
 #[test]
 fn idle_clients_leave_descriptors_for_calls_and_discovery() {
     let [old, new] = [(); 2].map(|()| Worker::start(answers));
@@ -129,8 +131,9 @@
     drop(idle);
 }
 
-/// Calls with large bodies to workers that never answer, more than half of the memory holds: those past it are rejected
-/// at once with a retry delay, and when some have ended there is room again. There was no bound on the sum.
+/// Calls whose bodies exceed half of the memory in sum, to a worker that never answers: those past the limit are
+/// rejected at once with a retry delay, and once some have ended there is room again. Guards against unbounded memory
+/// for bodies.
 #[test]
 fn calls_over_the_memory_limit_are_rejected_until_others_end() {
     let worker = Worker::start(never_answers);
@@ -144,10 +147,10 @@
     other.send(&(33..=64).map(large_call).collect::<String>());
     let line = other.receive();
     assert!(line.contains(REJECTED) && line.contains("\"w\":1000"), "{line}");
-    // Those with less time have not ended yet: the call was not rejected for want of time.
+    // The calls with the shorter deadline have not ended, so the call was not rejected because its time was up.
     assert!(!client.has_received());
     drop((client, other));
-    // It stays connected: the call of a client that leaves at once is never sent to a worker.
+    // This client stays connected, as the call of a client that leaves at once is never sent to a worker.
     let mut small_client = Client::connect(&router);
     let mut number = 1;
     small_client.send(&call_line(number, 7));
--- a/crates/milletpath/tests/platform/shutdown.rs
+++ b/crates/milletpath/tests/platform/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown under clients that never stop sending: every call that was written more than 50 ms before the end
-//! of its connection is answered, and the process exits by itself before the earliest SIGKILL.
+//! Graceful shutdown under continuous load: every call written more than 50 ms before the end of its connection is
+//! answered, and the process exits by itself before the earliest time at which SIGKILL may come.
 
 use crate::persistent_client::{CallTotals, call_until_stopped};
 use milletpath_test_support::platform_rig::{
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Time for which the clients send before SIGTERM.
+/// How long the clients send calls before SIGTERM.
 const LOAD_BEFORE_SIGTERM: Duration = Duration::from_millis(300);
-/// Time for which a process is paused.
+/// How long a process is paused.
 const PAUSE: Duration = Duration::from_millis(500);
 
 fn answers_after_20_ms(_: usize, id: u64, connection: &mut TcpStream) {
@@ -27,23 +27,23 @@
     answers_after(Duration::from_millis(400), id, connection);
 }
 
-/// SIGKILL may come this long after SIGTERM, and no sooner.
+/// The shortest time after SIGTERM at which SIGKILL may come.
 fn earliest_sigkill(deadline_ms: u64) -> Duration {
     Duration::from_millis(deadline_ms.min(3000) + 700)
 }
 
-/// How a router ended that received SIGTERM.
+/// How a router ended after SIGTERM.
 struct Shutdown {
-    /// How long after SIGTERM it exited by itself; none where it was killed.
+    /// How long after SIGTERM it exited by itself; `None` if it was killed.
     exited_after: Option<Duration>,
-    /// By how much longer than planned the process was paused on a crowded machine. SIGKILL comes as much later.
+    /// By how much longer than planned the process was paused, on a busy machine. SIGKILL is delayed by as much.
     excess_pause: Duration,
-    /// What the system reports of a process that had to be killed: where its time went.
+    /// Scheduling statistics of a process that had to be killed, to show where its time went.
     process_statistics: Option<String>,
     totals: CallTotals,
 }
 
-/// State, faults, times and waits of a process, as the system's tables write them.
+/// State, page faults, CPU times and waits of a process, as `/proc` reports them.
 fn process_statistics(pid: u32) -> String {
     let read = |name: &str| std::fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
     let wait = read("wchan");
@@ -69,12 +69,12 @@
 /// A shutdown under load.
 #[derive(Clone, Copy)]
 struct Scenario {
-    /// How long a call may take.
+    /// Deadline of each call.
     deadline_ms: u64,
     clients: usize,
     behaviour: WorkerBehaviour,
-    /// Time after SIGTERM in ms at which the process is paused for [`PAUSE`]; with 0 it is paused already when SIGTERM
-    /// comes.
+    /// Time in ms after SIGTERM at which the process is paused for [`PAUSE`]; with 0 it is already paused when SIGTERM
+    /// arrives.
     pause_after_ms: Option<u64>,
 }
 
@@ -96,18 +96,19 @@
             let exited_after = exit_before(&mut router.process, kill_at).map(|exited| exited - sigterm_at);
             let process_statistics = exited_after.is_none().then(|| process_statistics(router.process.id()));
             router.process.kill();
-            // Long enough for each client to see the end of its connection.
+            // Gives each client time to see the end of its connection.
             std::thread::sleep(Duration::from_millis(100));
             stop.store(true, Ordering::Relaxed);
             let mut totals = CallTotals::default();
             for client in clients {
-                totals.add(&client.join().expect("a client"));
+                totals.add(&client.join().expect("no client panicked"));
             }
             Shutdown { exited_after, excess_pause, process_statistics, totals }
         })
     }
 
-    /// Sends SIGTERM and pauses the process; returns by how much longer than planned it was paused.
+    /// Sends SIGTERM and pauses the process if the scenario has a pause. Returns by how much the pause exceeded its
+    /// length.
     fn terminate(&self, process: &Process) -> Duration {
         let sigterm_at = Instant::now();
         if self.pause_after_ms == Some(0) {
@@ -123,7 +124,7 @@
     }
 }
 
-/// When a process exited, with success; `None` where it still runs at that time.
+/// Waits for a process to exit with success, and returns when; `None` if it still runs at `until`.
 fn exit_before(process: &mut Process, until: Instant) -> Option<Instant> {
     const POLL_INTERVAL: Duration = Duration::from_millis(2);
     while Instant::now() < until {
@@ -136,10 +137,10 @@
     None
 }
 
-/// Each deadline, each number of clients, each kind of worker, and a process that is paused amid it.
+/// Covers each deadline, each number of clients, each kind of worker, and pauses at different times.
 #[test_case(300, 20, answers_after_20_ms, None; "deadline 300 ms with 20 clients")]
 #[test_case(300, 20, never_answers, Some(200); "deadline 300 ms with a worker that never answers and a pause")]
-#[test_case(500, 20, answers_after_20_ms, Some(0); "deadline 500 ms with a pause as SIGTERM comes")]
+#[test_case(500, 20, answers_after_20_ms, Some(0); "deadline 500 ms with a pause as SIGTERM arrives")]
 #[test_case(500, 200, answers_after_400_ms, None; "deadline 500 ms with 200 clients and a slow worker")]
 #[test_case(1000, 1, answers_after_400_ms, None; "deadline 1 s with one client and a slow worker")]
 #[test_case(1000, 20, answers_after_20_ms, Some(600); "deadline 1 s with 20 clients and a pause")]
@@ -157,12 +158,12 @@
     assert!(shutdown.totals.answered > 0, "{shutdown}");
     assert!(
         shutdown.is_graceful(),
-        "calls were lost, or it did not exit before the earliest SIGKILL: {shutdown}"
+        "calls were lost or answered twice, or the process did not exit before the earliest SIGKILL: {shutdown}"
     );
 }
 
-/// Calls with time left past the earliest SIGKILL have their answer before it: one that its worker has received fails, as
-/// it may have run, and one that waits for a connection is rejected.
+/// Calls whose deadlines lie past the earliest SIGKILL are answered before it: one that its worker has received fails,
+/// as it may have run, and one that still waits for a connection is rejected.
 #[test]
 fn calls_in_flight_fail_or_are_rejected_before_sigkill() {
     const DEADLINE_MS: u64 = 10_000;
@@ -178,7 +179,7 @@
     let mut clients = routers.each_ref().map(Client::connect);
     clients.iter_mut().for_each(|client| client.send(&line));
     let mut connection = reachable.accept();
-    assert_eq!(connection.next_frame(request::ATTEMPT).expect("its attempt").id, 1);
+    assert_eq!(connection.next_frame(request::ATTEMPT).expect("the attempt arrives").id, 1);
     let sigterm_at = Instant::now();
     routers.iter().for_each(|router| router.process.signal(Signal::SIGTERM));
     let [may_have_run, not_sent] = clients.each_mut().map(Client::receive);
@@ -190,9 +191,9 @@
     assert!(sigterm_at.elapsed() < earliest_sigkill(DEADLINE_MS), "{:?}", sigterm_at.elapsed());
 }
 
-/// The complete matrix, some minutes long: by hand, with `--ignored`.
+/// The full matrix takes some minutes; run it by hand with `--ignored`.
 #[test]
-#[ignore = "takes minutes; the cases above cover each value once"]
+#[ignore = "takes minutes; the cases above cover each deadline, number of clients and worker"]
 fn every_call_is_answered_before_sigkill_in_the_full_matrix() {
     const BEHAVIOURS: [(&str, WorkerBehaviour); 3] =
         [("20 ms", answers_after_20_ms), ("400 ms", answers_after_400_ms), ("never answers", never_answers)];
