--- a/crates/milletpath/tests/platform/discovery_outage.rs
+++ b/crates/milletpath/tests/platform/discovery_outage.rs
@@ -73,7 +73,7 @@
 enum OutageStart {
     /// Discovery fails.
     DiscoveryFailure(Outage),
-    /// The configuration is reloaded three times, each time with a discovery address at which nobody listens; the
+    /// The configuration is reloaded three times, each time with a discovery address without a listener; the
     /// previous discovery falls silent.
     UnreachableReloads,
 }
--- a/crates/milletpath/tests/platform/endpoint_changes.rs
+++ b/crates/milletpath/tests/platform/endpoint_changes.rs
@@ -150,8 +150,8 @@
     assert_eq!(late_connection.next_frame(request::ATTEMPT), None);
 }
 
-/// A complete list without a worker that has an attempt in flight, and right behind it an event that lists the worker
-/// again: its answer is forwarded, and it counts as the same process throughout.
+/// A complete list omits a worker that has an attempt in flight, and the next event lists the worker again: its answer is
+/// forwarded, and it counts as the same process throughout.
 #[test]
 fn a_worker_is_removed_from_the_list_and_listed_again_while_an_attempt_is_in_flight() {
     let worker = ScriptedWorker::start();
