--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -2,9 +2,9 @@
 //! where that does no harm.
 
 mod connections;
-mod front_layer;
+mod load_balancer;
 
-pub use front_layer::{FrontLayer, gateway_weights};
+pub use load_balancer::{LoadBalancer, gateway_weights};
 
 use crate::context::EmulatorContext;
 use crate::scenario_file::Scenario;
@@ -29,7 +29,7 @@
     /// The scenario.
     pub scenario: Scenario,
     /// The gateways.
-    pub front: Arc<FrontLayer>,
+    pub load_balancer: Arc<LoadBalancer>,
     /// The seed of the choice of gateways.
     pub seed: u64,
     /// Seconds past its timeout for which a client still listens, so that a late response differs from none.
@@ -60,7 +60,12 @@
 pub async fn play(context: Rc<EmulatorContext>, options: ClientOptions, plan: Vec<PlannedRequest>) {
     let started = context.now();
     let clients = Rc::new(Clients {
-        connections: options.front.gateways.iter().map(|gateway| ConnectionPool::new(*gateway)).collect(),
+        connections: options
+            .load_balancer
+            .gateways
+            .iter()
+            .map(|gateway| ConnectionPool::new(*gateway))
+            .collect(),
         rng: RefCell::new(ChaCha8Rng::seed_from_u64(options.seed)),
         body: Bytes::from(vec![b'x'; options.scenario.traffic.body]),
         context,
@@ -119,7 +124,7 @@
 
     async fn attempt(&self, attempt: Attempt<'_>) -> AttemptOutcome {
         let Attempt { call, number, planned, timeout } = attempt;
-        let gateway = self.options.front.pick(&mut self.rng.borrow_mut());
+        let gateway = self.options.load_balancer.pick(&mut self.rng.borrow_mut());
         self.context.record(HistoryEvent::AttemptSent { call, attempt: number, gateway, timeout });
         let abandoned_after = planned.abandoned_after.filter(|_| number == 0);
         let wait = abandoned_after.unwrap_or(timeout + self.options.tolerance);
--- a/crates/emulator/src/clients/front_layer.rs
+++ b/crates/emulator/src/clients/load_balancer.rs
@@ -10,7 +10,7 @@
 const MAX_EXPONENT: f64 = 64.0;
 
 /// The gateways as the load balancer knows them.
-pub struct FrontLayer {
+pub struct LoadBalancer {
     /// Where each listens.
     pub gateways: Vec<SocketAddr>,
     /// Which it takes for alive.
@@ -19,7 +19,7 @@
     pub weights: Vec<f64>,
 }
 
-impl FrontLayer {
+impl LoadBalancer {
     /// Sets whether a gateway is taken for alive.
     pub fn set_alive(&self, gateway: usize, alive: bool) {
         self.alive[gateway].store(alive, Ordering::Relaxed);
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -58,7 +58,7 @@
     let started = Instant::now();
     let run = Rc::new(ScenarioRun::start(scenario, options, started).await?);
     sleep(SETTLING).await;
-    let clients = ClientThread::start(scenario, options, started, run.front.clone())?;
+    let clients = ClientThread::start(scenario, options, started, run.load_balancer.clone())?;
     let first_request = run.context.now();
     for fault in &scenario.faults {
         spawn_local(run.clone().inject(first_request, fault.clone()));
--- a/crates/emulator/src/scenario/client_thread.rs
+++ b/crates/emulator/src/scenario/client_thread.rs
@@ -1,7 +1,7 @@
 //! The clients in a thread of their own, so that a busy worker does not delay them.
 
 use super::{RunError, RunOptions};
-use crate::clients::{self, ClientOptions, FrontLayer};
+use crate::clients::{self, ClientOptions, LoadBalancer};
 use crate::context::{ContextOptions, EmulatorContext};
 use crate::scenario_file::Scenario;
 use crate::traffic::{self, PlannedRequest};
@@ -21,12 +21,12 @@
         scenario: &Scenario,
         options: &RunOptions<'_>,
         started: Instant,
-        front: Arc<FrontLayer>,
+        load_balancer: Arc<LoadBalancer>,
     ) -> io::Result<Self> {
         let plan = traffic::plan(scenario, options.seed);
         let context_options = ContextOptions::of_scenario(scenario, options.seed);
         let (seed, tolerance) = (options.seed, options.tolerance);
-        let client_options = ClientOptions { scenario: scenario.clone(), front, seed, tolerance };
+        let client_options = ClientOptions { scenario: scenario.clone(), load_balancer, seed, tolerance };
         let play = move || play(started, context_options, client_options, plan);
         std::thread::Builder::new().name("clients".into()).spawn(play).map(Self)
     }
--- a/crates/emulator/src/scenario/fleet.rs
+++ b/crates/emulator/src/scenario/fleet.rs
@@ -4,7 +4,7 @@
 use super::late_joiners::LateJoiners;
 use super::{GatewayConfigFile, KEY_FILE, worker_entry};
 use super::{RunError, RunOptions};
-use crate::clients::{FrontLayer, gateway_weights};
+use crate::clients::{LoadBalancer, gateway_weights};
 use crate::context::{ContextOptions, EmulatorContext, ReportedFields};
 use crate::registry::{ListedWorker, Registry};
 use crate::relay::Relay;
@@ -53,7 +53,7 @@
     /// The links between the gateways, where these are members of one cluster.
     pub(super) relay: Option<Relay>,
     pub(super) late_joiners: LateJoiners,
-    pub(super) front: Arc<FrontLayer>,
+    pub(super) load_balancer: Arc<LoadBalancer>,
     pub(super) launcher: Launcher,
     /// For the choice of what faults affect.
     pub(super) rng: RefCell<ChaCha8Rng>,
@@ -85,7 +85,7 @@
             launcher: &launcher,
         };
         let gateways = starter.start_all(&late_joiners).await?;
-        let front = Arc::new(FrontLayer {
+        let load_balancer = Arc::new(LoadBalancer {
             gateways: gateways.iter().map(|gateway| gateway.address).collect(),
             alive: gateways.iter().map(|gateway| AtomicBool::new(gateway.is_running())).collect(),
             weights: gateway_weights(scenario.gateways, scenario.uneven),
@@ -98,7 +98,7 @@
             gateways,
             relay,
             late_joiners,
-            front,
+            load_balancer,
             launcher,
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(options.seed ^ FAULT_SEED_MASK)),
         })
--- a/crates/emulator/src/scenario/gateway_faults.rs
+++ b/crates/emulator/src/scenario/gateway_faults.rs
@@ -47,7 +47,7 @@
         // The clients' load balancer goes on sending there until it notices.
         let notification_delay = self.scenario.rules.notification_delay.min(fault.duration);
         sleep(notification_delay).await;
-        affected.iter().for_each(|gateway| self.front.set_alive(*gateway, false));
+        affected.iter().for_each(|gateway| self.load_balancer.set_alive(*gateway, false));
         sleep(fault.duration - notification_delay).await;
         self.start_gateways(affected).await;
     }
@@ -81,7 +81,7 @@
         }
         gateway.set_process(process);
         self.context.record(HistoryEvent::GatewayRestarted { gateway: number });
-        self.front.set_alive(number, true);
+        self.load_balancer.set_alive(number, true);
         Ok(())
     }
 }
