--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -57,7 +57,7 @@
 }
 
 /// Sends all requests; returns when the last one has ended.
-pub async fn play(context: Rc<EmulatorContext>, options: ClientOptions, plan: Vec<PlannedRequest>) {
+pub async fn run(context: Rc<EmulatorContext>, options: ClientOptions, plan: Vec<PlannedRequest>) {
     let started = context.now();
     let clients = Rc::new(Clients {
         connections: options
--- a/crates/emulator/src/clients/load_balancer.rs
+++ b/crates/emulator/src/clients/load_balancer.rs
@@ -37,14 +37,14 @@
 /// Weights by which the busiest of the gateways gets so many times the mean. The others follow by rank, the n-th as a power of
 /// n, as cities do by size.
 #[must_use]
-pub fn gateway_weights(gateways: usize, busiest: f64) -> Vec<f64> {
+pub fn gateway_weights(gateways: usize, peak_to_mean: f64) -> Vec<f64> {
     let by_rank = |exponent: f64| (1..=gateways).map(move |rank| (rank as f64).powf(-exponent));
-    let busiest_of = |exponent: f64| gateways as f64 / by_rank(exponent).sum::<f64>();
-    let target = busiest.clamp(1.0, gateways as f64);
+    let peak_to_mean_at = |exponent: f64| gateways as f64 / by_rank(exponent).sum::<f64>();
+    let target = peak_to_mean.clamp(1.0, gateways as f64);
     let (mut low, mut high) = (0.0, MAX_EXPONENT);
     for _ in 0..SEARCH_STEPS {
         let middle = 0.5 * (low + high);
-        if busiest_of(middle) < target { low = middle } else { high = middle }
+        if peak_to_mean_at(middle) < target { low = middle } else { high = middle }
     }
     by_rank(0.5 * (low + high)).collect()
 }
--- a/crates/emulator/src/context.rs
+++ b/crates/emulator/src/context.rs
@@ -135,7 +135,7 @@
     }
 
     /// Counts a completed request by what it found.
-    pub fn count_completed(&self, instance_state: InstanceState) {
+    pub fn count_completed_request(&self, instance_state: InstanceState) {
         let mut warm_requests = self.warm_requests.get();
         warm_requests.record(instance_state);
         self.warm_requests.set(warm_requests);
@@ -161,7 +161,7 @@
 
     /// Whether an idempotency key is new to a group of workers; it is known from now on.
     #[must_use]
-    pub fn is_first_use(&self, group: u32, key: &str) -> bool {
+    pub fn register_key(&self, group: u32, key: &str) -> bool {
         let now = self.now();
         let key = IdempotencyKey { group, key: key.to_owned() };
         let mut executed_keys = self.executed_keys.borrow_mut();
@@ -174,7 +174,7 @@
 
     /// Whether something of this probability happens now.
     #[must_use]
-    pub fn happens(&self, probability: f64) -> bool {
+    pub fn random_bool(&self, probability: f64) -> bool {
         probability > 0.0 && self.rng.borrow_mut().random_bool(probability.min(1.0))
     }
 }
--- a/crates/emulator/src/registry.rs
+++ b/crates/emulator/src/registry.rs
@@ -140,7 +140,7 @@
         self.next_revision();
         for gateway in 0..self.subscriptions.len() {
             let update = self.update(gateway, None);
-            self.send_later(gateway, update);
+            self.schedule_send(gateway, update);
         }
     }
 
@@ -158,14 +158,14 @@
         }
         for gateway in 0..self.subscriptions.len() {
             let update = self.update(gateway, Some(numbers));
-            self.send_later(gateway, update);
+            self.schedule_send(gateway, update);
         }
     }
 
     /// The complete list for a gateway, or changes of some workers.
     fn update(&self, gateway: usize, only: Option<&[usize]>) -> Rc<Update> {
         let workers = self.workers.borrow();
-        let is_meant = |worker: &&ListedWorker| only.is_none_or(|only| only.contains(&worker.number));
+        let is_selected = |worker: &&ListedWorker| only.is_none_or(|only| only.contains(&worker.number));
         let emptied = self.emptied.get();
         let entry_for = |worker: &ListedWorker| EndpointEntry {
             address: worker.addresses[gateway],
@@ -173,7 +173,7 @@
         };
         let entries: Vec<EndpointEntry> = workers
             .values()
-            .filter(|worker| !emptied && is_meant(worker))
+            .filter(|worker| !emptied && is_selected(worker))
             .filter(|worker| only.is_some() || worker.entry.state != EndpointStatus::Gone)
             .map(entry_for)
             .collect();
@@ -181,13 +181,13 @@
             worker: worker.number,
             ready: !emptied && worker.entry.state == EndpointStatus::Ready,
         };
-        let endpoints = workers.values().filter(is_meant).map(announced).collect();
+        let endpoints = workers.values().filter(is_selected).map(announced).collect();
         let bytes = write(self.revision.get(), only.is_none(), &entries).into();
         Rc::new(Update { bytes, endpoints })
     }
 
     /// Sends an update as the present fault has it.
-    fn send_later(self: &Rc<Self>, gateway: usize, update: Rc<Update>) {
+    fn schedule_send(self: &Rc<Self>, gateway: usize, update: Rc<Update>) {
         let RegistryFault { delay, stalled, duplicates, .. } = self.fault.get();
         let registry = self.clone();
         spawn_local(async move {
--- a/crates/emulator/src/relay/faults.rs
+++ b/crates/emulator/src/relay/faults.rs
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 
 /// Seconds within which a duplicate follows.
-const DUPLICATE_WITHIN: f64 = 5.0;
+const MAX_DUPLICATE_DELAY: f64 = 5.0;
 
 /// Earlier datagrams that are kept for replays.
-const KEPT_DATAGRAMS: usize = 64;
+const REPLAY_CAPACITY: usize = 64;
 
 /// A directed link between two gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,7 +92,7 @@
                 break;
             }
         }
-        if self.earlier_datagrams.len() == KEPT_DATAGRAMS {
+        if self.earlier_datagrams.len() == REPLAY_CAPACITY {
             self.earlier_datagrams.pop_front();
         }
         self.earlier_datagrams.push_back(datagram);
@@ -123,7 +123,7 @@
             LinkFault::Duplication { links, fraction }
                 if links.contains(&link) && self.rng.random_bool(*fraction) =>
             {
-                let delay = self.rng.random_range(0.0..DUPLICATE_WITHIN);
+                let delay = self.rng.random_range(0.0..MAX_DUPLICATE_DELAY);
                 deliveries.push(Delivery { delay, bytes: datagram.to_vec() });
                 true
             }
--- a/crates/emulator/src/relay/forwarding.rs
+++ b/crates/emulator/src/relay/forwarding.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 
 /// How often the thread looks whether it is to stop.
-const STOP_CHECK: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Distinguishes the relay's random numbers from others of the same seed.
 const SEED_MASK: u64 = 0x11_4b5;
@@ -50,7 +50,7 @@
         spawn_local(forwarder.run());
     }
     while !stop.load(Ordering::Acquire) {
-        tokio::time::sleep(STOP_CHECK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
@@ -88,7 +88,7 @@
     ) -> Option<(usize, Vec<Delivery>)> {
         let mut state = lock(&self.state);
         let sender = state.gateway_at(source)?;
-        state.observations.read(at, sender, datagram);
+        state.observations.observe(at, sender, datagram);
         let link = Link { from: sender, to: self.receiver };
         Some((sender, self.injector.apply(state.faults.values(), link, datagram.to_vec())))
     }
--- a/crates/emulator/src/relay/observations.rs
+++ b/crates/emulator/src/relay/observations.rs
@@ -26,7 +26,7 @@
     }
 
     /// Adds a datagram of a gateway, and what it reports if that is news.
-    pub(super) fn read(&mut self, at: f64, gateway: usize, bytes: &[u8]) {
+    pub(super) fn observe(&mut self, at: f64, gateway: usize, bytes: &[u8]) {
         self.record(at, HistoryEvent::DatagramSent { gateway, bytes: bytes.len() });
         let Some(datagram) = datagram::decode_unverified(bytes) else { return };
         let incarnation = datagram.sender.instance_id;
--- a/crates/emulator/src/relay/tests.rs
+++ b/crates/emulator/src/relay/tests.rs
@@ -7,7 +7,7 @@
 const DATAGRAMS: usize = 4_000;
 
 /// FNV-1a.
-fn add(digest: &mut u64, bytes: &[u8]) {
+fn update_digest(digest: &mut u64, bytes: &[u8]) {
     for byte in bytes {
         *digest = (*digest ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
     }
@@ -40,8 +40,8 @@
         let mut datagram = vec![0; rng.random_range(1..200)];
         rng.fill(&mut datagram[..]);
         for Delivery { delay, bytes } in injector.apply(&faults, link, datagram) {
-            add(&mut digest, &((delay * 1e9).round() as u64).to_le_bytes());
-            add(&mut digest, &bytes);
+            update_digest(&mut digest, &((delay * 1e9).round() as u64).to_le_bytes());
+            update_digest(&mut digest, &bytes);
         }
     }
     assert_eq!(digest, 0x3abf_010d_5b5f_39c1, "{digest:#018x}");
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -37,13 +37,13 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// Seconds in which endpoint lists and connections settle before the first request.
-const SETTLING: f64 = 0.3;
+const SETTLE_SECONDS: f64 = 0.3;
 
 /// Seconds after the last response in which what is sent is still recorded.
-const RECORDED_AFTER: f64 = 0.3;
+const TRAILING_RECORD_SECONDS: f64 = 0.3;
 
 /// How often it is checked whether the clients have finished.
-const FINISH_CHECK: f64 = 0.02;
+const FINISH_POLL_INTERVAL: f64 = 0.02;
 
 /// Plays a scenario from its first request to its last response.
 ///
@@ -57,16 +57,16 @@
 async fn play_to_end(scenario: &Scenario, options: &RunOptions<'_>) -> Result<ScenarioReport, RunError> {
     let started = Instant::now();
     let run = Rc::new(ScenarioRun::start(scenario, options, started).await?);
-    sleep(SETTLING).await;
+    sleep(SETTLE_SECONDS).await;
     let clients = ClientThread::start(scenario, options, started, run.load_balancer.clone())?;
     let first_request = run.context.now();
     for fault in &scenario.faults {
         spawn_local(run.clone().inject(first_request, fault.clone()));
     }
     while !clients.is_finished() {
-        sleep(FINISH_CHECK).await;
+        sleep(FINISH_POLL_INTERVAL).await;
     }
-    sleep(RECORDED_AFTER + options.tolerance).await;
+    sleep(TRAILING_RECORD_SECONDS + options.tolerance).await;
     let mut history = clients.join()?;
     run.stop_gateways();
     history.extend(run.take_history());
@@ -107,14 +107,14 @@
             | FaultKind::Slowness
             | FaultKind::StoreSlowness
             | FaultKind::StoreRejections
-            | FaultKind::StoreOutage => self.carry_out_steps(&fault).await,
+            | FaultKind::StoreOutage => self.run_steps(&fault).await,
             FaultKind::FunctionRelease => self.release_functions(&fault),
             FaultKind::Unresponsiveness
             | FaultKind::LostResponses
             | FaultKind::FalseRejections
             | FaultKind::TruncatedResponses
             | FaultKind::GarbageResponses
-            | FaultKind::ConnectionResets => self.disturb_responses(&fault).await,
+            | FaultKind::ConnectionResets => self.inject_response_fault(&fault).await,
             FaultKind::GatewayPause => self.pause_gateways(&fault).await,
             FaultKind::GatewayCrash => self.crash_gateways(&fault).await,
             FaultKind::LateGatewayStart => self.start_late_joiners(&fault).await,
@@ -124,13 +124,13 @@
             | FaultKind::RegistryStall
             | FaultKind::RegistryLoss
             | FaultKind::RegistryDuplication
-            | FaultKind::RegistryEmptied => self.disturb_registry(&fault).await,
+            | FaultKind::RegistryEmptied => self.inject_registry_fault(&fault).await,
             FaultKind::LinkLoss
             | FaultKind::LinkPartition
             | FaultKind::LinkInboundLoss
             | FaultKind::LinkDelay
             | FaultKind::LinkDuplication
-            | FaultKind::LinkCorruption => self.disturb_links(&fault).await,
+            | FaultKind::LinkCorruption => self.inject_link_fault(&fault).await,
             // In the plan of the clients' requests.
             FaultKind::TrafficBurst
             | FaultKind::OneTimeFunctions
--- a/crates/emulator/src/scenario/client_thread.rs
+++ b/crates/emulator/src/scenario/client_thread.rs
@@ -27,8 +27,8 @@
         let context_options = ContextOptions::of_scenario(scenario, options.seed);
         let (seed, tolerance) = (options.seed, options.tolerance);
         let client_options = ClientOptions { scenario: scenario.clone(), load_balancer, seed, tolerance };
-        let play = move || play(started, context_options, client_options, plan);
-        std::thread::Builder::new().name("clients".into()).spawn(play).map(Self)
+        let run = move || run(started, context_options, client_options, plan);
+        std::thread::Builder::new().name("clients".into()).spawn(run).map(Self)
     }
 
     /// Whether the last call has ended.
@@ -42,7 +42,7 @@
     }
 }
 
-fn play(
+fn run(
     started: Instant,
     context_options: ContextOptions,
     client_options: ClientOptions,
@@ -50,7 +50,7 @@
 ) -> io::Result<Vec<HistoryRecord>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let context = EmulatorContext::new(started, context_options);
-    let play = clients::play(context.clone(), client_options, plan);
-    runtime.block_on(LocalSet::new().run_until(play));
+    let run = clients::run(context.clone(), client_options, plan);
+    runtime.block_on(LocalSet::new().run_until(run));
     Ok(context.take_history())
 }
--- a/crates/emulator/src/scenario/fleet.rs
+++ b/crates/emulator/src/scenario/fleet.rs
@@ -69,7 +69,7 @@
         let context = EmulatorContext::new(started, ContextOptions::of_scenario(scenario, options.seed));
         let registry = Registry::start(context.clone(), scenario.gateways).await?;
         let workers = start_workers(scenario, &context).await?;
-        registry.list(workers.iter().map(|worker| listed(worker, None)).collect());
+        registry.list(workers.iter().map(|worker| listed_worker(worker, None)).collect());
         let relay = start_relay(scenario, options, started)?;
         let launcher = Launcher {
             program: options.program.to_owned(),
@@ -129,7 +129,7 @@
 }
 
 /// What the registry lists of a worker; `started` is the Unix time of its start, if that is recent.
-pub(super) fn listed(worker: &Worker, started: Option<f64>) -> ListedWorker {
+pub(super) fn listed_worker(worker: &Worker, started: Option<f64>) -> ListedWorker {
     let entry = worker_entry(worker.number, started);
     ListedWorker { number: worker.number, entry, addresses: worker.addresses.clone() }
 }
--- a/crates/emulator/src/scenario/gateway_faults.rs
+++ b/crates/emulator/src/scenario/gateway_faults.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 
 /// Between two pauses gateways run so many times as long as they are paused.
-const RUN_BETWEEN_PAUSES: f64 = 2.0;
+const RUN_TO_PAUSE_RATIO: f64 = 2.0;
 
 impl ScenarioRun {
     /// Pauses some gateways again and again.
@@ -27,7 +27,7 @@
                 self.signal(gateway, Signal::SIGCONT);
                 self.context.record(HistoryEvent::GatewayResumed { gateway });
             }
-            sleep(RUN_BETWEEN_PAUSES * fault.magnitude).await;
+            sleep(RUN_TO_PAUSE_RATIO * fault.magnitude).await;
         }
     }
 
--- a/crates/emulator/src/scenario/link_faults.rs
+++ b/crates/emulator/src/scenario/link_faults.rs
@@ -7,7 +7,7 @@
 
 impl ScenarioRun {
     /// Some links fail while a fault lasts; nothing happens without membership.
-    pub(super) async fn disturb_links(&self, fault: &ScheduledFault) {
+    pub(super) async fn inject_link_fault(&self, fault: &ScheduledFault) {
         let Some(relay) = &self.relay else { return };
         let Some(link_fault) = self.link_fault(relay, fault) else { return };
         tracing::info!(fault = fault.name, ?link_fault, "link fault injected");
--- a/crates/emulator/src/scenario/registry_faults.rs
+++ b/crates/emulator/src/scenario/registry_faults.rs
@@ -7,7 +7,7 @@
 
 impl ScenarioRun {
     /// The registry sends late, wrongly or not at all while a fault lasts.
-    pub(super) async fn disturb_registry(&self, fault: &ScheduledFault) {
+    pub(super) async fn inject_registry_fault(&self, fault: &ScheduledFault) {
         if fault.kind == FaultKind::RegistryEmptied {
             self.registry.set_emptied(true);
             sleep(fault.duration).await;
--- a/crates/emulator/src/scenario/worker_faults.rs
+++ b/crates/emulator/src/scenario/worker_faults.rs
@@ -1,6 +1,6 @@
 //! Faults on workers and on the store.
 
-use super::fleet::{KEY_GROUP, ScenarioRun, listed};
+use super::fleet::{KEY_GROUP, ScenarioRun, listed_worker};
 use super::sleep;
 use super::{FaultStep, affects_workers, pick, worker_steps};
 use crate::corrupting_stream::Corruption;
@@ -41,17 +41,17 @@
     }
 
     /// Carries out a fault that the simulator has too, step by step.
-    pub(super) async fn carry_out_steps(&self, fault: &ScheduledFault) {
+    pub(super) async fn run_steps(&self, fault: &ScheduledFault) {
         let picked = if affects_workers(fault.kind) { self.pick_workers(fault.fraction) } else { Vec::new() };
         let numbers: Vec<_> = picked.iter().map(|worker| worker.number).collect();
         let affected = AffectedWorkers::new(picked);
         for timed in worker_steps(fault, self.context.now(), &numbers, &self.scenario.rules) {
             sleep(timed.at - self.context.now()).await;
-            self.carry_out(timed.step, &affected).await;
+            self.run_step(timed.step, &affected).await;
         }
     }
 
-    async fn carry_out(&self, step: FaultStep, affected: &AffectedWorkers) {
+    async fn run_step(&self, step: FaultStep, affected: &AffectedWorkers) {
         match step {
             FaultStep::Kill(numbers) => affected.for_each(&numbers, |worker| worker.kill()),
             FaultStep::SetStatus(numbers, status) => {
@@ -96,7 +96,7 @@
         let (spec, started) = (self.scenario.worker_spec, self.context.now());
         let options = WorkerOptions { number, key_group: KEY_GROUP, spec, started };
         let worker = Worker::start(self.context.clone(), options, self.scenario.gateways).await?;
-        self.registry.list(vec![listed(&worker, Some(unix_time_of_start()))]);
+        self.registry.list(vec![listed_worker(&worker, Some(unix_time_of_start()))]);
         self.workers.borrow_mut()[number] = worker;
         Ok(())
     }
@@ -112,7 +112,7 @@
     }
 
     /// Some workers respond wrongly, or not at all, while a fault lasts.
-    pub(super) async fn disturb_responses(&self, fault: &ScheduledFault) {
+    pub(super) async fn inject_response_fault(&self, fault: &ScheduledFault) {
         // A group is drawn before the workers: the meaning of a seed depends on the order.
         let false_rejection = (fault.kind == FaultKind::FalseRejections).then(|| FalseRejection {
             group: self.rng.borrow_mut().random_range(0..self.scenario.groups.len()),
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -29,7 +29,7 @@
     },
     /// The file builds on itself, by way of others.
     #[error("{}: builds on itself; write a day that ends at one without {key}", file.display())]
-    Circle {
+    Cycle {
         /// The file that is one too many.
         file: PathBuf,
         /// The key that names the next one, as the first file has it.
@@ -74,8 +74,8 @@
 }
 
 /// Reads a file on which `above` others build.
-fn open_layer(file: &Path, above: usize) -> Result<Scenario, InvalidScenario> {
-    let layers = read_layers(file, above)?;
+fn open_layer(file: &Path, depth: usize) -> Result<Scenario, InvalidScenario> {
+    let layers = read_layers(file, depth)?;
     let name = file.file_stem().map_or("day".into(), |name| name.to_string_lossy().into_owned());
     let document = Document::new(&layers[0].text);
     let bodies = layers.iter().map(|layer| &layer.body).collect();
@@ -85,19 +85,19 @@
 }
 
 /// The file, then those that it builds on, down to one that builds on none.
-fn read_layers(file: &Path, above: usize) -> Result<Vec<Layer>, InvalidScenario> {
+fn read_layers(file: &Path, depth: usize) -> Result<Vec<Layer>, InvalidScenario> {
     let mut layers = vec![read_layer(file)?];
     let mut file = file.to_owned();
-    while let Some(base) = base_of(&layers[layers.len() - 1].body) {
-        if layers.len() + above > MAX_LAYERS {
+    while let Some(base) = base_file(&layers[layers.len() - 1].body) {
+        if layers.len() + depth > MAX_LAYERS {
             let key =
                 attribute(&layers[0].body, "extends").map_or("extends", |attribute| attribute.key.as_str());
-            return Err(ScenarioFileError::Circle { file, key: key.to_owned() }.into());
+            return Err(ScenarioFileError::Cycle { file, key: key.to_owned() }.into());
         }
         file = file.parent().unwrap_or(Path::new("")).join(base);
         if layers.len() == 1 {
             // It must be valid by itself, so that errors reported below are all in the first file.
-            open_layer(&file, above + 1)?;
+            open_layer(&file, depth + 1)?;
         }
         layers.push(read_layer(&file)?);
     }
@@ -120,7 +120,7 @@
 }
 
 /// The file that a file builds on.
-fn base_of(body: &Body) -> Option<String> {
+fn base_file(body: &Body) -> Option<String> {
     attribute(body, "extends").and_then(|attribute| attribute.value.as_str()).map(str::to_owned)
 }
 
--- a/crates/emulator/src/scenario_file/blocks.rs
+++ b/crates/emulator/src/scenario_file/blocks.rs
@@ -1,6 +1,6 @@
 //! The blocks of a scenario file, with their bounds and defaults; a function for each block.
 
-use super::faults::{FAULT_WORDS, ScheduledFault, word_of};
+use super::faults::{FAULT_KEYWORDS, ScheduledFault, keyword_of};
 use super::model::{Group, Profile, RuleSettings, Scenario, Traffic};
 use crate::store::StoreSpec;
 use crate::worker_model::{FunctionModel, WorkerSpec};
@@ -209,18 +209,18 @@
 
 /// A fault from its block; `block_name` is what the file calls such blocks.
 fn fault(section: &Section<'_>, block_name: &str) -> Option<ScheduledFault> {
-    let Some(word) = word_of(&section.label) else {
-        let known: Vec<_> = FAULT_WORDS.iter().map(|known| known.word).collect();
+    let Some(keyword) = keyword_of(&section.label) else {
+        let known: Vec<_> = FAULT_KEYWORDS.iter().map(|known| known.keyword).collect();
         let remedy = format!("one of {}; `death-at-night` names a second death", known.join(", "));
         section.report(section.offset, format!("there is no {block_name} called {}", section.label), remedy);
         return None;
     };
     Some(ScheduledFault {
         name: section.label.clone(),
-        kind: word.kind,
+        kind: keyword.kind,
         at: section.number("at", "seconds", 0.0..=MAX_SECONDS).unwrap_or(0.0),
         duration: section.number("duration", "seconds", 0.0..=MAX_SECONDS).unwrap_or(5.0),
-        fraction: section.number("fraction", "of what it strikes", 0.0..=1.0).unwrap_or(word.fraction),
-        magnitude: section.number("magnitude", "", 0.0..=1e6).unwrap_or(word.magnitude),
+        fraction: section.number("fraction", "of what it strikes", 0.0..=1.0).unwrap_or(keyword.fraction),
+        magnitude: section.number("magnitude", "", 0.0..=1e6).unwrap_or(keyword.magnitude),
     })
 }
--- a/crates/emulator/src/scenario_file/faults.rs
+++ b/crates/emulator/src/scenario_file/faults.rs
@@ -105,9 +105,9 @@
 }
 
 /// A kind by its word in scenario files, with its defaults.
-pub(super) struct FaultWord {
+pub(super) struct FaultKeyword {
     /// The word.
-    pub(super) word: &'static str,
+    pub(super) keyword: &'static str,
     /// What it means.
     pub(super) kind: FaultKind,
     /// The default of [`ScheduledFault::fraction`].
@@ -116,56 +116,56 @@
     pub(super) magnitude: f64,
 }
 
-const fn word(word: &'static str, kind: FaultKind, fraction: f64, magnitude: f64) -> FaultWord {
-    FaultWord { word, kind, fraction, magnitude }
+const fn keyword(keyword: &'static str, kind: FaultKind, fraction: f64, magnitude: f64) -> FaultKeyword {
+    FaultKeyword { keyword, kind, fraction, magnitude }
 }
 
 /// All words, in the order in which messages list them.
-pub(super) const FAULT_WORDS: [FaultWord; 37] = [
-    word("death", FaultKind::WorkerCrash, 0.2, 1.0),
-    word("rolling", FaultKind::RollingReplacement, 0.5, 1.0),
-    word("drain", FaultKind::Drain, 0.2, 1.0),
-    word("failures", FaultKind::RequestFailures, 0.2, 0.6),
-    word("silence", FaultKind::Unresponsiveness, 0.15, 1.0),
-    word("lost-answers", FaultKind::LostResponses, 0.2, 0.5),
-    word("slowness", FaultKind::Slowness, 0.2, 5.0),
-    word("wrong-full", FaultKind::FalseRejections, 0.3, 0.9),
-    word("release", FaultKind::FunctionRelease, 0.8, 1.0),
-    word("burst", FaultKind::TrafficBurst, 1.0, 2.0),
-    word("one-offs", FaultKind::OneTimeFunctions, 0.1, 1.0),
-    word("hot", FaultKind::HotFunctions, 0.2, 3.0),
-    word("heavy", FaultKind::HeavyRequests, 0.01, 12.0),
-    word("impatience", FaultKind::ImpatientClients, 0.6, 0.4),
-    word("store-slow", FaultKind::StoreSlowness, 1.0, 4.0),
-    word("store-refuses", FaultKind::StoreRejections, 1.0, 1.0),
-    word("store-stops", FaultKind::StoreOutage, 1.0, 1.0),
-    word("half-answers", FaultKind::TruncatedResponses, 0.2, 0.3),
-    word("garbage", FaultKind::GarbageResponses, 0.2, 0.3),
-    word("resets", FaultKind::ConnectionResets, 0.2, 0.3),
-    word("gateway-stall", FaultKind::GatewayPause, 0.5, 0.5),
-    word("gateway-kill", FaultKind::GatewayCrash, 0.5, 1.0),
-    word("core-stall", FaultKind::CorePause, 1.0, 0.5),
-    word("core-panic", FaultKind::CorePanic, 1.0, 1.0),
-    word("desk-break", FaultKind::DispatcherPanic, 1.0, 1.0),
-    word("list-late", FaultKind::RegistryDelay, 1.0, 3.0),
-    word("list-stalled", FaultKind::RegistryStall, 1.0, 1.0),
-    word("list-lost", FaultKind::RegistryLoss, 1.0, 1.0),
-    word("list-repeated", FaultKind::RegistryDuplication, 1.0, 1.0),
-    word("list-emptied", FaultKind::RegistryEmptied, 1.0, 1.0),
-    word("link-lost", FaultKind::LinkLoss, 1.0, 0.2),
-    word("link-cut", FaultKind::LinkPartition, 0.4, 1.0),
-    word("link-deaf", FaultKind::LinkInboundLoss, 0.1, 1.0),
-    word("link-late", FaultKind::LinkDelay, 1.0, 0.5),
-    word("link-repeat", FaultKind::LinkDuplication, 1.0, 0.3),
-    word("link-garbage", FaultKind::LinkCorruption, 1.0, 0.3),
-    word("gateway-join", FaultKind::LateGatewayStart, 0.3, 1.0),
+pub(super) const FAULT_KEYWORDS: [FaultKeyword; 37] = [
+    keyword("death", FaultKind::WorkerCrash, 0.2, 1.0),
+    keyword("rolling", FaultKind::RollingReplacement, 0.5, 1.0),
+    keyword("drain", FaultKind::Drain, 0.2, 1.0),
+    keyword("failures", FaultKind::RequestFailures, 0.2, 0.6),
+    keyword("silence", FaultKind::Unresponsiveness, 0.15, 1.0),
+    keyword("lost-answers", FaultKind::LostResponses, 0.2, 0.5),
+    keyword("slowness", FaultKind::Slowness, 0.2, 5.0),
+    keyword("wrong-full", FaultKind::FalseRejections, 0.3, 0.9),
+    keyword("release", FaultKind::FunctionRelease, 0.8, 1.0),
+    keyword("burst", FaultKind::TrafficBurst, 1.0, 2.0),
+    keyword("one-offs", FaultKind::OneTimeFunctions, 0.1, 1.0),
+    keyword("hot", FaultKind::HotFunctions, 0.2, 3.0),
+    keyword("heavy", FaultKind::HeavyRequests, 0.01, 12.0),
+    keyword("impatience", FaultKind::ImpatientClients, 0.6, 0.4),
+    keyword("store-slow", FaultKind::StoreSlowness, 1.0, 4.0),
+    keyword("store-refuses", FaultKind::StoreRejections, 1.0, 1.0),
+    keyword("store-stops", FaultKind::StoreOutage, 1.0, 1.0),
+    keyword("half-answers", FaultKind::TruncatedResponses, 0.2, 0.3),
+    keyword("garbage", FaultKind::GarbageResponses, 0.2, 0.3),
+    keyword("resets", FaultKind::ConnectionResets, 0.2, 0.3),
+    keyword("gateway-stall", FaultKind::GatewayPause, 0.5, 0.5),
+    keyword("gateway-kill", FaultKind::GatewayCrash, 0.5, 1.0),
+    keyword("core-stall", FaultKind::CorePause, 1.0, 0.5),
+    keyword("core-panic", FaultKind::CorePanic, 1.0, 1.0),
+    keyword("desk-break", FaultKind::DispatcherPanic, 1.0, 1.0),
+    keyword("list-late", FaultKind::RegistryDelay, 1.0, 3.0),
+    keyword("list-stalled", FaultKind::RegistryStall, 1.0, 1.0),
+    keyword("list-lost", FaultKind::RegistryLoss, 1.0, 1.0),
+    keyword("list-repeated", FaultKind::RegistryDuplication, 1.0, 1.0),
+    keyword("list-emptied", FaultKind::RegistryEmptied, 1.0, 1.0),
+    keyword("link-lost", FaultKind::LinkLoss, 1.0, 0.2),
+    keyword("link-cut", FaultKind::LinkPartition, 0.4, 1.0),
+    keyword("link-deaf", FaultKind::LinkInboundLoss, 0.1, 1.0),
+    keyword("link-late", FaultKind::LinkDelay, 1.0, 0.5),
+    keyword("link-repeat", FaultKind::LinkDuplication, 1.0, 0.3),
+    keyword("link-garbage", FaultKind::LinkCorruption, 1.0, 0.3),
+    keyword("gateway-join", FaultKind::LateGatewayStart, 0.3, 1.0),
 ];
 
 /// The word that a label begins with: `death` is one, and `death-at-night` is another fault of the same kind.
-pub(super) fn word_of(label: &str) -> Option<&'static FaultWord> {
-    let names = |fault: &&FaultWord| {
-        let rest = label.strip_prefix(fault.word);
+pub(super) fn keyword_of(label: &str) -> Option<&'static FaultKeyword> {
+    let names = |fault: &&FaultKeyword| {
+        let rest = label.strip_prefix(fault.keyword);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with("-at-"))
     };
-    FAULT_WORDS.iter().find(names)
+    FAULT_KEYWORDS.iter().find(names)
 }
--- a/crates/emulator/src/small_fleet.rs
+++ b/crates/emulator/src/small_fleet.rs
@@ -31,7 +31,7 @@
     StoreSpec { unslowed_fetches: 16.0, max_fetches: 64, overload_rate: None, outage_seconds: 1.0 };
 
 /// Seconds for which an idempotency key is known.
-const KEY_LIFETIME: f64 = 60.0;
+const IDEMPOTENCY_WINDOW: f64 = 60.0;
 
 /// The group in which all of them share their idempotency keys.
 const KEY_GROUP: u32 = 0;
@@ -51,7 +51,7 @@
         store: STORE,
         function_model: FUNCTION,
         reported_fields: ReportedFields::ALL,
-        idempotency_window: KEY_LIFETIME,
+        idempotency_window: IDEMPOTENCY_WINDOW,
     };
     EmulatorContext::new(Instant::now(), options)
 }
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -7,11 +7,11 @@
 use rand_distr::{Distribution, Exp, Zipf};
 
 /// Below this, a rate or a mean counts as this much.
-const SMALLEST_AMOUNT: f64 = 1e-9;
-const SMALLEST_EXPONENT: f64 = 0.01;
+const MIN_DIVISOR: f64 = 1e-9;
+const MIN_EXPONENT: f64 = 0.01;
 
 /// A client that cancels does so before this fraction of its timeout.
-const ABANDONED_BEFORE: f64 = 0.5;
+const MAX_ABANDONMENT_FRACTION: f64 = 0.5;
 
 /// One call as its client plans it.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,13 +60,13 @@
 
 impl<'s> TrafficPlanner<'s> {
     fn new(scenario: &'s Scenario, rng: ChaCha8Rng) -> Option<Self> {
-        let exponent = scenario.zipf.max(SMALLEST_EXPONENT);
+        let exponent = scenario.zipf.max(MIN_EXPONENT);
         Some(Self {
             scenario,
             rng,
             popularity: Zipf::new(scenario.functions as f64, exponent).ok()?,
             gap: Exp::new(1.0).ok()?,
-            work: Exp::new(1.0 / scenario.traffic.work.max(SMALLEST_AMOUNT)).ok()?,
+            work: Exp::new(1.0 / scenario.traffic.work.max(MIN_DIVISOR)).ok()?,
             at: 0.0,
             one_time_functions: 0,
         })
@@ -81,7 +81,7 @@
     fn gap(&mut self) -> f64 {
         let bursts: f64 = self.active(FaultKind::TrafficBurst).map(|fault| fault.magnitude).product();
         let rate = self.scenario.traffic.rate * bursts;
-        self.gap.sample(&mut self.rng) / rate.max(SMALLEST_AMOUNT)
+        self.gap.sample(&mut self.rng) / rate.max(MIN_DIVISOR)
     }
 
     fn function(&mut self) -> String {
@@ -125,7 +125,7 @@
 
     fn abandoned_after(&mut self, timeout: f64) -> Option<f64> {
         let is_cancelled = self.rng.random_bool(self.scenario.traffic.abandonment);
-        is_cancelled.then(|| timeout * self.rng.random_range(0.0..ABANDONED_BEFORE))
+        is_cancelled.then(|| timeout * self.rng.random_range(0.0..MAX_ABANDONMENT_FRACTION))
     }
 
     /// The number of the fault in force that began last.
--- a/crates/emulator/src/weighted_choice.rs
+++ b/crates/emulator/src/weighted_choice.rs
@@ -3,11 +3,11 @@
 use rand::Rng;
 
 /// Below this, the sum of the weights counts as this much.
-const SMALLEST_SUM: f64 = 1e-9;
+const MIN_WEIGHT_SUM: f64 = 1e-9;
 
 /// The number of one of several, each with a probability in proportion to its weight. One random number is drawn.
 pub fn weighted_choice(rng: &mut impl Rng, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let sum = weights.clone().sum::<f64>().max(SMALLEST_SUM);
+    let sum = weights.clone().sum::<f64>().max(MIN_WEIGHT_SUM);
     let mut rest = rng.random_range(0.0..sum);
     let mut last = 0;
     for (number, weight) in weights.enumerate() {
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -30,7 +30,7 @@
 pub const FETCH_REJECTION_DELAY: f64 = 0.002;
 
 /// Seconds between two looks at a model that has no timer set.
-const IDLE_WAIT: f64 = 3600.0;
+const NO_DEADLINE_WAIT: f64 = 3600.0;
 
 /// What a worker is started with.
 #[derive(Clone, Copy, Debug)]
@@ -196,7 +196,7 @@
         match event {
             WorkerEvent::JobStarted { job } => self.job_started(job),
             WorkerEvent::JobCompleted { job, instance_state, concurrent_requests } => {
-                self.context.count_completed(instance_state);
+                self.context.count_completed_request(instance_state);
                 self.end_job(job, JobOutcome::Completed { instance_state, concurrent_requests });
             }
             WorkerEvent::JobRejected { job, reason, load_failed } => {
@@ -224,7 +224,7 @@
         let jobs = self.jobs.borrow();
         let Some(PendingJob { request, .. }) = jobs.get(&job) else { return };
         let key = request.idempotency_key.as_ref();
-        if key.is_none_or(|key| self.context.is_first_use(self.key_group, key)) {
+        if key.is_none_or(|key| self.context.register_key(self.key_group, key)) {
             self.context.record(HistoryEvent::RequestExecuted { call: request.call, worker: self.number });
         }
     }
@@ -248,7 +248,7 @@
     async fn run_timers(self: Rc<Self>) {
         loop {
             let deadline = self.model.borrow().next_deadline();
-            let wait = deadline.map_or(IDLE_WAIT, |deadline| (deadline - self.context.now()).max(0.0));
+            let wait = deadline.map_or(NO_DEADLINE_WAIT, |deadline| (deadline - self.context.now()).max(0.0));
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_secs_f64(wait)) => {}
                 () = self.model_changed.notified() => {}
--- a/crates/emulator/src/worker/headers.rs
+++ b/crates/emulator/src/worker/headers.rs
@@ -12,7 +12,7 @@
 /// The number of the client's group.
 pub static GROUP: HeaderName = HeaderName::from_static("standin-group");
 /// Bytes that the response has.
-pub static ANSWER: HeaderName = HeaderName::from_static("standin-answer");
+pub static RESPONSE_BYTES: HeaderName = HeaderName::from_static("standin-answer");
 
 /// A request's field as text.
 pub(super) fn text<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
--- a/crates/emulator/src/worker/http_service.rs
+++ b/crates/emulator/src/worker/http_service.rs
@@ -115,18 +115,18 @@
             return std::future::pending().await;
         };
         let response = self.response_to(outcome, headers, body.to_bytes());
-        self.send_despite_faults(response, corruption).await
+        self.apply_response_faults(response, corruption).await
     }
 
     /// The response of a worker that, by a fault, does not run the request.
     fn faulty_response(&self, headers: &HeaderMap) -> Option<WorkerResponse> {
         let fault = self.fault();
-        if self.context.happens(fault.failed_fraction) {
+        if self.context.random_bool(fault.failed_fraction) {
             return Some(responses::empty(StatusCode::INTERNAL_SERVER_ERROR));
         }
         let rejection = fault.false_rejection?;
         let group = headers::number(headers, &headers::GROUP).map(|group| group as usize);
-        if group != Some(rejection.group) || !self.context.happens(rejection.fraction) {
+        if group != Some(rejection.group) || !self.context.random_bool(rejection.fraction) {
             return None;
         }
         let mut response = responses::rejection(wire::Rejection::Full);
@@ -137,7 +137,7 @@
     fn response_to(&self, outcome: JobOutcome, headers: &HeaderMap, body: Bytes) -> WorkerResponse {
         match outcome {
             JobOutcome::Completed { instance_state, concurrent_requests } => {
-                let size = headers::number(headers, &headers::ANSWER);
+                let size = headers::number(headers, &headers::RESPONSE_BYTES);
                 let body = size.map_or(body, |bytes| vec![b'x'; bytes as usize].into());
                 let mut response = Response::new(Full::new(body));
                 if self.context.reported_fields.instance_state {
@@ -160,17 +160,17 @@
     }
 
     /// Adds the load report, unless a fault loses the response.
-    async fn send_despite_faults(
+    async fn apply_response_faults(
         &self,
         mut response: WorkerResponse,
         corruption: &Cell<Corruption>,
     ) -> WorkerResponse {
         let fault = self.fault();
-        if self.context.happens(fault.lost_response_fraction) {
+        if self.context.random_bool(fault.lost_response_fraction) {
             return std::future::pending().await;
         }
         if let Some(corrupted) = fault.corrupted_responses
-            && self.context.happens(corrupted.fraction)
+            && self.context.random_bool(corrupted.fraction)
         {
             corruption.set(corrupted.corruption);
         }
--- a/crates/emulator/src/worker/responses.rs
+++ b/crates/emulator/src/worker/responses.rs
@@ -19,9 +19,9 @@
 
 /// A rejection: nothing ran.
 pub(super) fn rejection(reason: wire::Rejection) -> WorkerResponse {
-    let is_missing = reason == wire::Rejection::NotLoaded;
+    let is_not_loaded = reason == wire::Rejection::NotLoaded;
     let mut response =
-        empty(if is_missing { StatusCode::NOT_FOUND } else { StatusCode::SERVICE_UNAVAILABLE });
+        empty(if is_not_loaded { StatusCode::NOT_FOUND } else { StatusCode::SERVICE_UNAVAILABLE });
     let word = HeaderValue::from_static(wire::rejection_word(reason));
     response.headers_mut().insert(&wire::REJECTION, word);
     response
--- a/crates/emulator/src/worker_model.rs
+++ b/crates/emulator/src/worker_model.rs
@@ -20,8 +20,8 @@
 use timers::{Timer, TimerQueue};
 
 /// Below this, speeds and spans that are divided by count as this much.
-const SMALLEST_RATE: f64 = 1e-6;
-const SMALLEST_AMOUNT: f64 = 1e-9;
+const MIN_RATE: f64 = 1e-6;
+const MIN_DIVISOR: f64 = 1e-9;
 
 struct RunningJob {
     job: Job,
@@ -115,7 +115,7 @@
 
     /// The fraction of its capacity that it has: it grows while the worker warms up.
     fn capacity_fraction(&self, now: f64) -> f64 {
-        let warm_up = self.spec.warm_up.max(SMALLEST_AMOUNT);
+        let warm_up = self.spec.warm_up.max(MIN_DIVISOR);
         let progress = ((now - self.started) / warm_up).clamp(0.0, 1.0);
         self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * progress
     }
@@ -203,11 +203,11 @@
     fn start_runnable_jobs(&mut self, now: f64) {
         while self.free_cores > 0 {
             let Some(id) = self.runnable.pop_front() else { break };
-            let slowness = self.slowness.max(SMALLEST_RATE);
+            let slowness = self.slowness.max(MIN_RATE);
             let rate = self.spec.speed * self.capacity_fraction(now) / slowness;
             let Some(running) = self.jobs.get_mut(&id) else { continue };
             running.has_core = true;
-            let seconds = running.job.work / rate.max(SMALLEST_RATE);
+            let seconds = running.job.work / rate.max(MIN_RATE);
             self.free_cores -= 1;
             self.events.push_back(WorkerEvent::JobStarted { job: id });
             self.set_timer(now + seconds, Timer::WorkDone { job: id });
@@ -377,7 +377,7 @@
             in_flight: self.jobs.len() as f64,
             queued: (self.jobs.len() - running) as f64,
             utilization: 1.0 - self.free_cores as f64 / self.spec.cores.max(1) as f64,
-            memory: (memory / self.spec.memory.max(SMALLEST_AMOUNT)).min(1.0),
+            memory: (memory / self.spec.memory.max(MIN_DIVISOR)).min(1.0),
             loading: self.loads.len() as f64,
         }
     }
--- a/crates/emulator/src/worker_model/timers.rs
+++ b/crates/emulator/src/worker_model/timers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-const MICROSECONDS: f64 = 1e6;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 /// What is due.
 #[derive(Clone, Copy)]
@@ -36,7 +36,7 @@
 pub(super) struct TimerQueue(BTreeMap<(u64, u64), Timer>);
 
 fn microseconds(seconds: f64) -> u64 {
-    (seconds.max(0.0) * MICROSECONDS) as u64
+    (seconds.max(0.0) * MICROSECONDS_PER_SECOND) as u64
 }
 
 impl TimerQueue {
@@ -47,7 +47,7 @@
 
     /// When the next one is due, rounded up so that it is due then.
     pub(super) fn next_deadline(&self) -> Option<f64> {
-        self.0.keys().next().map(|(at, _)| (*at as f64 + 1.0) / MICROSECONDS)
+        self.0.keys().next().map(|(at, _)| (*at as f64 + 1.0) / MICROSECONDS_PER_SECOND)
     }
 
     /// Takes the next one that is due.
--- a/crates/emulator/tests/fault_schedule.rs
+++ b/crates/emulator/tests/fault_schedule.rs
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn a_crash_is_noticed_later_and_mended_at_the_end() {
+fn a_crash_is_detected_late_and_workers_are_replaced_at_the_end() {
     let workers = vec![2, 0];
-    let expected = |noticed, replaced| {
+    let expected = |detected, replaced| {
         vec![
             (BEGAN, FaultStep::Kill(workers.clone())),
-            (noticed, FaultStep::SetStatus(workers.clone(), EndpointStatus::Gone)),
+            (detected, FaultStep::SetStatus(workers.clone(), EndpointStatus::Gone)),
             (replaced, FaultStep::Replace(workers.clone())),
         ]
     };
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_a_fault_changes_is_as_before_when_it_ends() {
+fn a_fault_is_reverted_when_it_ends() {
     let store = |kind| steps(kind, 5.0, &[]);
     let expected = [(100.0, FaultStep::SetStoreSlowness(4.0)), (105.0, FaultStep::SetStoreSlowness(1.0))];
     assert_eq!(store(FaultKind::StoreSlowness), expected);
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn faults_of_processes_and_links_have_no_steps_here() {
+fn gateway_link_and_traffic_faults_have_no_steps() {
     for kind in [FaultKind::GatewayCrash, FaultKind::LinkLoss, FaultKind::TrafficBurst] {
         assert!(!affects_workers(kind) && steps(kind, 5.0, &[]).is_empty(), "{kind:?}");
     }
 }
 
 #[test]
-fn a_fraction_is_picked_and_one_at_least() {
+fn pick_takes_a_fraction_and_at_least_one() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut picked = pick(&mut rng, 10, 0.4);
     picked.sort_unstable();
--- a/crates/emulator/tests/former_keys.rs
+++ b/crates/emulator/tests/former_keys.rs
@@ -20,7 +20,7 @@
 }
 
 /// The file with all keys, changed, beside a base with former keys.
-fn written(name: &str, text: &str) -> PathBuf {
+fn write_scenario(name: &str, text: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("former_keys").join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
     std::fs::copy(fixture("former_keys/town.hcl"), folder.join("town.hcl")).expect("a copy");
@@ -37,35 +37,35 @@
     found.unwrap_or_else(|| panic!("{key} is not in the file"))
 }
 
-fn with_line(number: usize, replacement: &str) -> String {
+fn replace_line(number: usize, replacement: &str) -> String {
     let mut lines: Vec<_> = ALL_KEYS.lines().collect();
     lines[number] = replacement;
     lines.join("\n")
 }
 
 #[test]
-fn scenarios_read_as_they_did_with_their_former_keys() {
+fn scenarios_with_standard_and_former_keys_are_equal() {
     let base = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
     assert_eq!(values(&base), values(&fixture("former_keys/town.hcl")));
     assert_eq!(values(&fixture("standard_keys/all-keys.hcl")), values(&fixture("former_keys/all-keys.hcl")));
 }
 
 #[test]
-fn each_key_reads_alike_under_both_names_over_a_base_with_former_ones() {
-    let expected = values(&written("standard", ALL_KEYS));
+fn each_key_reads_the_same_under_both_names_over_a_base_with_former_keys() {
+    let expected = values(&write_scenario("standard", ALL_KEYS));
     assert_eq!(expected, values(&fixture("former_keys/all-keys.hcl")));
     for alias in KEY_ALIASES.iter().filter(|alias| !CONFIG_KEYS.contains(&alias.standard)) {
         let (number, line) = line_of(alias.standard);
-        let former = with_line(number, &line.replacen(alias.standard, alias.former, 1));
-        let file = written(&format!("former-{}", alias.former), &former);
+        let former = replace_line(number, &line.replacen(alias.standard, alias.former, 1));
+        let file = write_scenario(&format!("former-{}", alias.former), &former);
         assert_eq!(values(&file), expected, "{}", alias.former);
     }
 }
 
 #[test]
-fn former_keys_build_on_a_base_with_standard_ones() {
+fn former_keys_extend_a_base_with_standard_keys() {
     let former = include_str!("fixtures/former_keys/all-keys.hcl");
-    let file = written("former-on-standard", former);
+    let file = write_scenario("former-on-standard", former);
     let base = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
     std::fs::copy(base, file.with_file_name("town.hcl")).expect("a copy");
     assert_eq!(values(&file), values(&fixture("former_keys/all-keys.hcl")));
@@ -79,8 +79,10 @@
         if line.ends_with('{') {
             former.push('}');
         }
-        let file =
-            written(&format!("both-{}", alias.former), &with_line(number, &format!("{former}\n{line}")));
+        let file = write_scenario(
+            &format!("both-{}", alias.former),
+            &replace_line(number, &format!("{former}\n{line}")),
+        );
         let message = open(&file).expect_err("an invalid scenario").to_string();
         assert_eq!(message.lines().count(), 1, "{message}");
         let column = line.len() - line.trim_start().len() + 1;
@@ -91,10 +93,12 @@
 }
 
 #[test]
-fn a_fault_is_named_as_the_file_names_it() {
+fn an_unknown_fault_is_reported_with_the_block_name_of_the_file() {
     for block in ["fault", "trouble"] {
-        let file =
-            written(&format!("unknown-{block}"), &format!("profile \"p\" {{}}\n{block} \"quake\" {{}}\n"));
+        let file = write_scenario(
+            &format!("unknown-{block}"),
+            &format!("profile \"p\" {{}}\n{block} \"quake\" {{}}\n"),
+        );
         let message = open(&file).expect_err("an invalid scenario").to_string();
         assert!(message.contains(&format!("there is no {block} called quake")), "{message}");
     }
--- a/crates/emulator/tests/recorded_values/digest.rs
+++ b/crates/emulator/tests/recorded_values/digest.rs
@@ -12,27 +12,27 @@
         self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     }
 
-    pub fn count(&mut self, count: u64) -> &mut Self {
-        count.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+    pub fn integer(&mut self, integer: u64) -> &mut Self {
+        integer.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
         self
     }
 
     /// A figure to nine decimal places, so that the last bit of a logarithm does not matter.
-    pub fn figure(&mut self, figure: f64) -> &mut Self {
+    pub fn float(&mut self, float: f64) -> &mut Self {
         /// Decimal places that count.
         const PLACES: f64 = 1e9;
-        self.count(((figure * PLACES).round() as i64).cast_unsigned())
+        self.integer(((float * PLACES).round() as i64).cast_unsigned())
     }
 
-    pub fn optional(&mut self, figure: Option<f64>) -> &mut Self {
-        match figure {
-            Some(figure) => self.count(1).figure(figure),
-            None => self.count(0),
+    pub fn optional_float(&mut self, float: Option<f64>) -> &mut Self {
+        match float {
+            Some(float) => self.integer(1).float(float),
+            None => self.integer(0),
         }
     }
 
     pub fn text(&mut self, text: &str) -> &mut Self {
-        self.count(text.len() as u64);
+        self.integer(text.len() as u64);
         text.bytes().for_each(|byte| self.byte(byte));
         self
     }
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -16,77 +16,77 @@
 
 fn values(scenario: &Scenario) -> u64 {
     let mut digest = Digest::new();
-    digest.text(&scenario.name).count(scenario.seed).figure(scenario.seconds);
-    digest.count(scenario.gateways as u64).count(scenario.cores.map_or(0, |cores| cores as u64));
-    digest.count(u64::from(scenario.sharing)).figure(scenario.uneven).count(scenario.workers as u64);
+    digest.text(&scenario.name).integer(scenario.seed).float(scenario.seconds);
+    digest.integer(scenario.gateways as u64).integer(scenario.cores.map_or(0, |cores| cores as u64));
+    digest.integer(u64::from(scenario.sharing)).float(scenario.uneven).integer(scenario.workers as u64);
     add_worker(&mut digest, scenario);
     add_functions_and_traffic(&mut digest, scenario);
     add_profiles_and_clients(&mut digest, scenario);
     add_rules(&mut digest, scenario);
     for fault in &scenario.faults {
-        digest.text(&fault.name).count(fault.kind as u64);
-        digest.figure(fault.at).figure(fault.duration).figure(fault.fraction).figure(fault.magnitude);
+        digest.text(&fault.name).integer(fault.kind as u64);
+        digest.float(fault.at).float(fault.duration).float(fault.fraction).float(fault.magnitude);
     }
     digest.value()
 }
 
 fn add_worker(digest: &mut Digest, scenario: &Scenario) {
     let spec = &scenario.worker_spec;
-    for count in [spec.cores, spec.concurrent_loads, spec.queue] {
-        digest.count(count as u64);
+    for integer in [spec.cores, spec.concurrent_loads, spec.queue] {
+        digest.integer(integer as u64);
     }
-    for figure in [spec.speed, spec.memory, spec.idle_timeout, spec.initial_capacity, spec.warm_up] {
-        digest.figure(figure);
+    for float in [spec.speed, spec.memory, spec.idle_timeout, spec.initial_capacity, spec.warm_up] {
+        digest.float(float);
     }
-    digest.figure(spec.overload_multiple).figure(spec.overload_window);
-    digest.count(u64::from(spec.rejects_unloaded)).count(u64::from(spec.loads_ahead));
+    digest.float(spec.overload_multiple).float(spec.overload_window);
+    digest.integer(u64::from(spec.rejects_unloaded)).integer(u64::from(spec.loads_ahead));
     let store = &scenario.store_spec;
     digest
-        .figure(store.unslowed_fetches)
-        .count(store.max_fetches as u64)
-        .optional(store.overload_rate)
-        .figure(store.outage_seconds);
+        .float(store.unslowed_fetches)
+        .integer(store.max_fetches as u64)
+        .optional_float(store.overload_rate)
+        .float(store.outage_seconds);
 }
 
 fn add_functions_and_traffic(digest: &mut Digest, scenario: &Scenario) {
-    digest.count(scenario.functions as u64).figure(scenario.zipf);
+    digest.integer(scenario.functions as u64).float(scenario.zipf);
     let function = &scenario.function_model;
-    digest.count(u64::from(function.concurrency)).figure(function.memory);
-    digest.figure(function.fetch).figure(function.start);
+    digest.integer(u64::from(function.concurrency)).float(function.memory);
+    digest.float(function.fetch).float(function.start);
     let traffic = &scenario.traffic;
-    digest.figure(traffic.rate).figure(traffic.work).figure(traffic.io).count(traffic.body as u64);
-    digest.figure(traffic.shortest_timeout).count(u64::from(traffic.retries));
-    digest.figure(traffic.backoff).figure(traffic.abandonment);
+    digest.float(traffic.rate).float(traffic.work).float(traffic.io).integer(traffic.body as u64);
+    digest.float(traffic.shortest_timeout).integer(u64::from(traffic.retries));
+    digest.float(traffic.backoff).float(traffic.abandonment);
 }
 
 fn add_profiles_and_clients(digest: &mut Digest, scenario: &Scenario) {
     for profile in &scenario.profiles {
         digest
             .text(&profile.name)
-            .figure(profile.share)
-            .figure(profile.latency_objective)
-            .figure(profile.deadline);
-        digest.count(profile.idempotency as u64).figure(profile.importance);
+            .float(profile.share)
+            .float(profile.latency_objective)
+            .float(profile.deadline);
+        digest.integer(profile.idempotency as u64).float(profile.importance);
     }
     for group in &scenario.groups {
-        digest.text(&group.name).figure(group.share).optional(group.quota).optional(group.ceiling);
+        digest.text(&group.name).float(group.share).optional_float(group.quota).optional_float(group.ceiling);
     }
 }
 
 fn add_rules(digest: &mut Digest, scenario: &Scenario) {
     let rules = &scenario.rules;
     for limit in [rules.load_rate_limit, rules.retries].into_iter().flatten() {
-        digest.figure(limit.window).figure(limit.free).figure(limit.per_request);
+        digest.float(limit.window).float(limit.free).float(limit.per_request);
     }
-    digest.figure(rules.drain_grace).optional(rules.in_flight).figure(rules.idempotency_window);
-    digest.figure(rules.late_weight).figure(rules.over_quota_weight).figure(rules.notification_delay);
+    digest.float(rules.drain_grace).optional_float(rules.in_flight).float(rules.idempotency_window);
+    digest.float(rules.late_weight).float(rules.over_quota_weight).float(rules.notification_delay);
     let checked = rule_parameters(scenario, 0.25);
-    digest.figure(checked.drain_grace).figure(checked.initial_capacity).figure(checked.warm_up);
-    digest.figure(checked.overload_multiple).figure(checked.overload_window).figure(checked.tolerance);
-    digest.count(u64::from(checked.load_rate_limit.is_some()));
+    digest.float(checked.drain_grace).float(checked.initial_capacity).float(checked.warm_up);
+    digest.float(checked.overload_multiple).float(checked.overload_window).float(checked.tolerance);
+    digest.integer(u64::from(checked.load_rate_limit.is_some()));
     let counted = service_weights(scenario);
-    digest.figure(counted.late).figure(counted.over_quota);
-    counted.quotas.iter().for_each(|quota| _ = digest.optional(*quota));
+    digest.float(counted.late).float(counted.over_quota);
+    counted.quotas.iter().for_each(|quota| _ = digest.optional_float(*quota));
 }
 
 /// The configurations of all gateways, with links and without.
@@ -107,14 +107,14 @@
 fn planned_traffic(scenario: &Scenario, seed: u64) -> u64 {
     let mut digest = Digest::new();
     for request in traffic::plan(scenario, seed) {
-        digest.figure(request.at).text(&request.function);
-        digest.count(request.profile as u64).count(request.group as u64);
+        digest.float(request.at).text(&request.function);
+        digest.integer(request.profile as u64).integer(request.group as u64);
         digest
-            .figure(request.work)
-            .figure(request.io)
-            .figure(request.timeout)
-            .optional(request.abandoned_after);
-        digest.optional(request.fault.map(|fault| fault as f64));
+            .float(request.work)
+            .float(request.io)
+            .float(request.timeout)
+            .optional_float(request.abandoned_after);
+        digest.optional_float(request.fault.map(|fault| fault as f64));
     }
     digest.value()
 }
@@ -145,7 +145,7 @@
     let faults = ["burst", "one-offs", "hot", "heavy", "impatience"];
     let faults = faults.map(|word| format!("trouble \"{word}\" {{\n  at = 2\n  part = 0.3\n}}\n")).concat();
     let text = format!("seconds = 10\ntraffic {{ leave = 0.1 }}\nprofile \"check\" {{ due = 1 }}\n{faults}");
-    let scenario = open(&written("faults", &text)).expect("a valid scenario");
+    let scenario = open(&write_scenario("faults", &text)).expect("a valid scenario");
     assert_eq!(
         planned_traffic(&scenario, 7),
         0xd82e_f997_9d00_d841,
@@ -163,13 +163,13 @@
                  list-emptied link-lost link-cut link-deaf link-late link-repeat link-garbage gateway-join";
     let faults = words.split_whitespace().map(|word| format!("trouble \"{word}\" {{}}\n"));
     let text = format!("profile \"check\" {{}}\n{}", faults.collect::<String>());
-    let scenario = open(&written("defaults", &text)).expect("a valid scenario");
+    let scenario = open(&write_scenario("defaults", &text)).expect("a valid scenario");
     assert_eq!(scenario.faults.len(), 37);
     assert_eq!(values(&scenario), 0x7c0e_59b8_dc6e_739a, "{:#018x}", values(&scenario));
 }
 
 /// A file in a folder of its own.
-fn written(name: &str, text: &str) -> PathBuf {
+fn write_scenario(name: &str, text: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("fixture").join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("day.hcl");
@@ -179,7 +179,7 @@
 
 /// The message lines about a file, with `FOLDER` for its folder.
 fn messages(name: &str, text: &str) -> Vec<String> {
-    let file = written(name, text);
+    let file = write_scenario(name, text);
     let folder = file.parent().expect("a folder").display().to_string();
     let text = open(&file).expect_err("an invalid scenario").to_string();
     text.lines().map(|line| line.replace(&folder, "FOLDER")).collect()
--- a/crates/emulator/tests/recorded_values/worker_model.rs
+++ b/crates/emulator/tests/recorded_values/worker_model.rs
@@ -37,7 +37,7 @@
 }
 
 /// A worker, the store's answers that are on their way to it, and a digest of all that it puts out.
-struct Play {
+struct RandomRun {
     worker: WorkerModel,
     rng: ChaCha8Rng,
     now: f64,
@@ -48,7 +48,7 @@
     outputs: [u32; 6],
 }
 
-impl Play {
+impl RandomRun {
     fn new(spec: WorkerSpec, started: f64, seed: u64) -> Self {
         Self {
             worker: WorkerModel::new(spec, started),
@@ -68,12 +68,12 @@
                 let work = self.rng.random_range(0.005..0.06);
                 let io = self.rng.random_range(0.0..0.03);
                 let id = self.worker.submit(self.now, Job { function, function_model: model, work, io });
-                self.digest.count(id);
+                self.digest.integer(id);
             }
             45..52 => {
                 let instances = self.rng.random_range(0..4);
                 let id = self.worker.request_load(self.now, function, model, instances);
-                self.digest.count(id);
+                self.digest.integer(id);
             }
             52..54 => self.worker.unload(function),
             54..56 => self.worker.release_version(function),
@@ -81,15 +81,15 @@
             57 => self.worker.draining = self.rng.random_bool(0.3),
             _ => {
                 let until = self.now + self.rng.random_range(0.0..0.08);
-                self.pass_time(until);
+                self.advance_to(until);
             }
         }
-        self.read_outputs();
+        self.drain_outputs();
     }
 
-    fn pass_time(&mut self, until: f64) {
+    fn advance_to(&mut self, until: f64) {
         loop {
-            self.read_outputs();
+            self.drain_outputs();
             let fetch = self.fetches.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0));
             let answered = fetch.map_or(f64::INFINITY, |fetch| fetch.0);
             let next_deadline = self.worker.next_deadline().unwrap_or(f64::INFINITY).min(answered);
@@ -106,9 +106,9 @@
         }
     }
 
-    fn read_outputs(&mut self) {
+    fn drain_outputs(&mut self) {
         while let Some(output) = self.worker.next_event() {
-            self.digest.figure(self.now);
+            self.digest.float(self.now);
             if let WorkerEvent::FetchStarted { load, seconds, .. } = output {
                 let succeeds = self.rng.random_range(0..FAILED_FETCHES) > 0;
                 self.fetches.push((self.now + seconds, load, succeeds));
@@ -116,8 +116,8 @@
             self.outputs[add_output(&mut self.digest, output)] += 1;
         }
         let load = self.worker.load_figures();
-        for figure in [load.in_flight, load.queued, load.utilization, load.memory, load.loading] {
-            self.digest.figure(figure);
+        for float in [load.in_flight, load.queued, load.utilization, load.memory, load.loading] {
+            self.digest.float(float);
         }
     }
 }
@@ -132,20 +132,20 @@
         WorkerEvent::LoadRequestCompleted { .. } => 4,
         WorkerEvent::Overloaded => 5,
     };
-    digest.count(kind as u64);
+    digest.integer(kind as u64);
     match output {
-        WorkerEvent::JobStarted { job } => digest.count(job),
+        WorkerEvent::JobStarted { job } => digest.integer(job),
         WorkerEvent::JobCompleted { job, instance_state, concurrent_requests } => {
-            digest.count(job).count(instance_state as u64).count(u64::from(concurrent_requests))
+            digest.integer(job).integer(instance_state as u64).integer(u64::from(concurrent_requests))
         }
         WorkerEvent::JobRejected { job, reason, load_failed } => {
-            digest.count(job).count(reason as u64).count(u64::from(load_failed))
+            digest.integer(job).integer(reason as u64).integer(u64::from(load_failed))
         }
         WorkerEvent::FetchStarted { load, function, seconds } => {
-            digest.count(load).count(u64::from(function)).figure(seconds)
+            digest.integer(load).integer(u64::from(function)).float(seconds)
         }
         WorkerEvent::LoadRequestCompleted { load_request, instances, failed } => {
-            digest.count(load_request).count(u64::from(instances)).count(u64::from(failed))
+            digest.integer(load_request).integer(u64::from(instances)).integer(u64::from(failed))
         }
         WorkerEvent::Overloaded => digest,
     };
@@ -158,10 +158,10 @@
 #[test_case(WorkerSpec { overload_multiple: 50.0, warm_up: 300.0, ..SPEC }, 0.0, 0x5026_0b77_f991_90b7, [5092, 5092, 3905, 2591, 1357, 0]; "warming up")]
 #[test_case(WorkerSpec { overload_multiple: 1.0, warm_up: 300.0, ..SPEC }, 0.0, 0xd81b_4870_79a8_9629, [150, 150, 65, 73, 1320, 1]; "overloaded while warming up")]
 fn outputs_are_as_recorded(spec: WorkerSpec, started: f64, recorded: u64, outputs: [u32; 6]) {
-    let mut play = Play::new(spec, started, 49);
-    (0..STEPS).for_each(|_| play.random_step());
-    let until = play.now + 10.0;
-    play.pass_time(until);
-    assert_eq!(play.outputs, outputs);
-    assert_eq!(play.digest.value(), recorded, "{:#018x}", play.digest.value());
+    let mut run = RandomRun::new(spec, started, 49);
+    (0..STEPS).for_each(|_| run.random_step());
+    let until = run.now + 10.0;
+    run.advance_to(until);
+    assert_eq!(run.outputs, outputs);
+    assert_eq!(run.digest.value(), recorded, "{:#018x}", run.digest.value());
 }
--- a/crates/emulator/tests/scenario_files.rs
+++ b/crates/emulator/tests/scenario_files.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_scenario_replaces_and_adds_to_what_it_builds_on() {
+fn a_scenario_overrides_and_extends_its_base() {
     let text = r#"
 upon    = "base.hcl"
 seconds = 20
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn errors_name_their_file_and_place() {
+fn errors_name_their_file_and_position() {
     let errors =
         messages(open_on_base("mistakes", "upon = \"base.hcl\"\n\nfleet { wrkers = 3 }\n").unwrap_err());
     assert!(
--- a/crates/emulator/tests/worker_model.rs
+++ b/crates/emulator/tests/worker_model.rs
@@ -32,7 +32,7 @@
 }
 
 /// A worker, the store's fetches, and what happened so far.
-struct Rig {
+struct Harness {
     worker: WorkerModel,
     fetches: Vec<Fetch>,
 }
@@ -40,7 +40,7 @@
 /// An event and when it was read.
 type TimedEvent = (f64, WorkerEvent);
 
-impl Rig {
+impl Harness {
     fn new(spec: WorkerSpec, started: f64) -> Self {
         Self { worker: WorkerModel::new(spec, started), fetches: Vec::new() }
     }
@@ -50,7 +50,7 @@
     }
 
     /// Lets time pass; what happened meanwhile.
-    fn pass(&mut self, from: f64, until: f64) -> Vec<TimedEvent> {
+    fn run_until(&mut self, from: f64, until: f64) -> Vec<TimedEvent> {
         let (mut events, mut now) = (Vec::new(), from);
         loop {
             self.read_events(now, &mut events);
@@ -80,7 +80,7 @@
 
     /// Lets time pass; the jobs that were completed, at milliseconds.
     fn completed(&mut self, from: f64, until: f64) -> Vec<(f64, InstanceState)> {
-        completed(&self.pass(from, until))
+        completed(&self.run_until(from, until))
     }
 }
 
@@ -94,54 +94,54 @@
 
 #[test]
 fn the_first_job_starts_a_load_the_next_awaits_it_and_later_ones_find_the_instance() {
-    let mut rig = Rig::warm();
-    rig.worker.submit(0.0, job(1));
-    rig.worker.submit(0.0, job(1));
+    let mut harness = Harness::warm();
+    harness.worker.submit(0.0, job(1));
+    harness.worker.submit(0.0, job(1));
     let expected = [(0.45, InstanceState::LoadStarted), (0.45, InstanceState::LoadAwaited)];
-    assert_eq!(rig.completed(0.0, 1.0), expected);
-    rig.worker.submit(1.0, job(1));
-    assert_eq!(rig.completed(1.0, 2.0), [(1.15, InstanceState::Loaded)]);
+    assert_eq!(harness.completed(0.0, 1.0), expected);
+    harness.worker.submit(1.0, job(1));
+    assert_eq!(harness.completed(1.0, 2.0), [(1.15, InstanceState::Loaded)]);
     // Idle for its time it is unloaded.
-    rig.pass(2.0, 8.0);
-    rig.worker.submit(8.0, job(1));
-    assert_eq!(rig.completed(8.0, 9.0), [(8.45, InstanceState::LoadStarted)]);
+    harness.run_until(2.0, 8.0);
+    harness.worker.submit(8.0, job(1));
+    assert_eq!(harness.completed(8.0, 9.0), [(8.45, InstanceState::LoadStarted)]);
 }
 
 #[test]
-fn a_worker_that_warms_up_is_slow_and_can_be_overloaded() {
-    let mut rig = Rig::new(SPEC, 0.0);
-    rig.worker.submit(0.0, job(1));
-    assert!(rig.completed(0.0, 1.0)[0].0 > 0.5);
+fn a_warming_worker_is_slow_and_can_be_overloaded() {
+    let mut harness = Harness::new(SPEC, 0.0);
+    harness.worker.submit(0.0, job(1));
+    assert!(harness.completed(0.0, 1.0)[0].0 > 0.5);
     for _ in 0..60 {
-        rig.worker.submit(1.0, job(1));
+        harness.worker.submit(1.0, job(1));
     }
-    assert!(rig.pass(1.0, 1.1).iter().any(|(_, event)| *event == WorkerEvent::Overloaded));
+    assert!(harness.run_until(1.0, 1.1).iter().any(|(_, event)| *event == WorkerEvent::Overloaded));
 }
 
 #[test]
 fn a_load_request_completes_with_its_instances_and_a_new_version_is_loaded_again() {
-    let mut rig = Rig::warm();
-    let load_request = rig.worker.request_load(0.0, 1, FUNCTION, 2);
+    let mut harness = Harness::warm();
+    let load_request = harness.worker.request_load(0.0, 1, FUNCTION, 2);
     let completed = WorkerEvent::LoadRequestCompleted { load_request, instances: 2, failed: false };
-    let events = rig.pass(0.0, 1.0);
+    let events = harness.run_until(0.0, 1.0);
     assert!(events.iter().any(|(at, event)| *event == completed && *at > 0.29));
-    rig.worker.release_version(1);
-    rig.worker.submit(1.0, job(1));
-    assert_eq!(rig.completed(1.0, 2.0)[0].1, InstanceState::LoadStarted);
+    harness.worker.release_version(1);
+    harness.worker.submit(1.0, job(1));
+    assert_eq!(harness.completed(1.0, 2.0)[0].1, InstanceState::LoadStarted);
 }
 
 #[test]
-fn memory_is_never_overfilled_and_idle_instances_make_room() {
-    let mut rig = Rig::warm();
+fn the_memory_limit_holds_and_idle_instances_are_evicted() {
+    let mut harness = Harness::warm();
     for (n, function) in [1, 2, 3].into_iter().enumerate() {
-        rig.worker.submit(n as f64, job(function));
-        assert_eq!(rig.completed(n as f64, n as f64 + 1.0)[0].1, InstanceState::LoadStarted);
+        harness.worker.submit(n as f64, job(function));
+        assert_eq!(harness.completed(n as f64, n as f64 + 1.0)[0].1, InstanceState::LoadStarted);
     }
     // The third replaced the first.
-    rig.worker.submit(3.0, job(2));
-    rig.worker.submit(3.0, job(1));
-    assert_eq!(rig.completed(3.0, 4.0)[0].1, InstanceState::Loaded);
-    assert!(rig.worker.load_figures().memory <= 1.0);
+    harness.worker.submit(3.0, job(2));
+    harness.worker.submit(3.0, job(1));
+    assert_eq!(harness.completed(3.0, 4.0)[0].1, InstanceState::Loaded);
+    assert!(harness.worker.load_figures().memory <= 1.0);
 }
 
 proptest! {
@@ -152,14 +152,14 @@
         rejects_unloaded: bool,
         loads_ahead: bool,
     ) {
-        let mut rig = Rig::new(WorkerSpec { rejects_unloaded, loads_ahead, ..SPEC }, -100.0);
+        let mut harness = Harness::new(WorkerSpec { rejects_unloaded, loads_ahead, ..SPEC }, -100.0);
         let (mut now, mut events, mut jobs) = (0.0, Vec::new(), Vec::new());
         for (gap, function) in arrivals {
-            jobs.push(rig.worker.submit(now, job(function)));
-            events.extend(rig.pass(now, now + gap));
+            jobs.push(harness.worker.submit(now, job(function)));
+            events.extend(harness.run_until(now, now + gap));
             now += gap;
         }
-        events.extend(rig.pass(now, now + 100.0));
+        events.extend(harness.run_until(now, now + 100.0));
         for id in jobs {
             let count = |is_of: fn(&WorkerEvent, u64) -> bool| {
                 events.iter().filter(|(_, event)| is_of(event, id)).count()
@@ -171,15 +171,15 @@
             let started = count(|event, id| matches!(event, WorkerEvent::JobStarted { job } if *job == id));
             prop_assert_eq!((completed + rejected, completed), (1, started));
         }
-        prop_assert_eq!(rig.worker.load_figures().in_flight, 0.0);
+        prop_assert_eq!(harness.worker.load_figures().in_flight, 0.0);
     }
 }
 
 #[test]
 fn a_draining_worker_rejects_new_jobs() {
-    let mut rig = Rig::warm();
-    rig.worker.draining = true;
-    let job = rig.worker.submit(0.0, job(1));
+    let mut harness = Harness::warm();
+    harness.worker.draining = true;
+    let job = harness.worker.submit(0.0, job(1));
     let rejected = WorkerEvent::JobRejected { job, reason: Rejection::Draining, load_failed: false };
-    assert_eq!(rig.worker.next_event(), Some(rejected));
+    assert_eq!(harness.worker.next_event(), Some(rejected));
 }
