--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: they send at the planned times, however slow the responses are, wait until their timeout, and retry
-//! where that does no harm.
+//! Open-loop clients: they send requests at the planned times regardless of how slow the responses are, stop waiting
+//! after their timeout, and retry where that is safe.
 
 mod connections;
 mod load_balancer;
@@ -24,22 +24,22 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// What clients need to know beside their plan.
+/// Options of the clients, apart from their plan.
 pub struct ClientOptions {
     /// The scenario.
     pub scenario: Scenario,
-    /// The gateways.
+    /// Chooses a gateway for each attempt.
     pub load_balancer: Arc<LoadBalancer>,
-    /// The seed of the choice of gateways.
+    /// Seed for the choice of gateways.
     pub seed: u64,
-    /// Seconds past its timeout for which a client still listens, so that a late response differs from none.
+    /// Seconds that a client keeps listening after its timeout, so that a late response can be told from a missing one.
     pub tolerance: f64,
 }
 
 struct Clients {
     context: Rc<EmulatorContext>,
     options: ClientOptions,
-    /// For each gateway.
+    /// One pool per gateway.
     connections: Vec<ConnectionPool>,
     rng: RefCell<ChaCha8Rng>,
     body: Bytes,
@@ -49,14 +49,14 @@
 #[derive(Clone, Copy)]
 struct Attempt<'p> {
     call: u64,
-    /// From 0.
+    /// Counted from 0.
     number: u32,
     planned: &'p PlannedRequest,
-    /// Seconds that the client states.
+    /// The timeout in seconds that the client sends with the request.
     timeout: f64,
 }
 
-/// Sends all requests; returns when the last one has ended.
+/// Sends all planned requests; returns when the last call has ended.
 pub async fn run(context: Rc<EmulatorContext>, options: ClientOptions, plan: Vec<PlannedRequest>) {
     let started = context.now();
     let clients = Rc::new(Clients {
@@ -83,7 +83,8 @@
     while calls.join_next().await.is_some() {}
 }
 
-/// Whether a client retries after such an outcome. Where the gateway may have run the call, only one that may run again.
+/// Whether the client retries after this outcome. If the gateway may have run the call, it is retried only if it may
+/// run more than once.
 fn may_retry(outcome: AttemptOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         AttemptOutcome::Succeeded | AttemptOutcome::Abandoned => false,
@@ -95,7 +96,7 @@
 }
 
 impl Clients {
-    /// One call with all its attempts.
+    /// Runs one call with all its attempts.
     async fn call(self: Rc<Self>, call: u64, planned: PlannedRequest) {
         let scenario = &self.options.scenario;
         let profile = &scenario.profiles[planned.profile];
--- a/crates/emulator/src/clients/connections.rs
+++ b/crates/emulator/src/clients/connections.rs
@@ -1,4 +1,4 @@
-//! The clients' connections to the gateways: idle ones are used again.
+//! Pooled client connections to the gateways; idle connections are reused.
 
 use bytes::Bytes;
 use http::{HeaderValue, Request, Response};
@@ -14,9 +14,9 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Why a request went out on no connection, or got no response on it.
+/// Why a request was not sent, or got no response.
 enum SendError {
-    /// An idle connection was closed before the request was written; another one can take it.
+    /// A reused connection was closed before the request was written; the request can be sent on another one.
     Unwritten(Box<Request<Full<Bytes>>>),
     /// The gateway can't be reached.
     Unreachable,
@@ -24,19 +24,19 @@
     ConnectionLost,
 }
 
-/// Connections to one gateway.
+/// Pool of connections to one gateway.
 pub(super) struct ConnectionPool {
     gateway: SocketAddr,
     idle: RefCell<Vec<Sender>>,
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub(super) fn new(gateway: SocketAddr) -> Self {
         Self { gateway, idle: RefCell::default() }
     }
 
-    /// Sends a request, and reads the response to its end.
+    /// Sends a request and reads the complete response.
     pub(super) async fn send(&self, mut request: Request<Full<Bytes>>) -> AttemptOutcome {
         loop {
             match self.try_send(request).await {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Uses an idle connection, or a new one if there is none.
+    /// Sends a request on an idle connection, or on a new one if none is idle.
     async fn try_send(
         &self,
         request: Request<Full<Bytes>>,
@@ -91,7 +91,7 @@
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     tokio::task::spawn_local(async move {
-        // The sender reports how the connection ended.
+        // Connection errors are reported by the request's sender.
         let _ = connection.await;
     });
     Some(sender)
--- a/crates/emulator/src/clients/load_balancer.rs
+++ b/crates/emulator/src/clients/load_balancer.rs
@@ -1,31 +1,32 @@
-//! The load balancer in front of the gateways, as clients see it: it picks one of the gateways that it takes for alive.
+//! The load balancer in front of the gateways, as clients see it: it chooses one of the gateways that it considers
+//! alive.
 
 use crate::weighted_choice::weighted_choice;
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Steps of the search for an exponent: enough for the precision of a double.
+/// Bisection steps in the search for the exponent: enough to reach the precision of an `f64`.
 const SEARCH_STEPS: usize = 60;
 const MAX_EXPONENT: f64 = 64.0;
 
-/// The gateways as the load balancer knows them.
+/// The load balancer's view of the gateways.
 pub struct LoadBalancer {
-    /// Where each listens.
+    /// The address on which each gateway listens for clients.
     pub gateways: Vec<SocketAddr>,
-    /// Which it takes for alive.
+    /// Whether each gateway is considered alive.
     pub alive: Vec<AtomicBool>,
-    /// The share of the clients' attempts that each gets, relative to the others.
+    /// The share of the clients' attempts that each gateway gets, relative to the others.
     pub weights: Vec<f64>,
 }
 
 impl LoadBalancer {
-    /// Sets whether a gateway is taken for alive.
+    /// Marks a gateway as alive or not.
     pub fn set_alive(&self, gateway: usize, alive: bool) {
         self.alive[gateway].store(alive, Ordering::Relaxed);
     }
 
-    /// The gateway for the next attempt, by weight; any if none seems alive.
+    /// Chooses a gateway for the next attempt by weight; if none is considered alive, chooses among all.
     pub(super) fn pick(&self, rng: &mut ChaCha8Rng) -> usize {
         let all = 0..self.alive.len();
         let alive: Vec<_> = all.clone().filter(|&g| self.alive[g].load(Ordering::Relaxed)).collect();
@@ -34,8 +35,8 @@
     }
 }
 
-/// Weights by which the busiest of the gateways gets so many times the mean. The others follow by rank, the n-th as a power of
-/// n, as cities do by size.
+/// Returns weights by which the first gateway, the busiest, gets `peak_to_mean` times the mean. The weights follow a
+/// power law of the gateways' ranks, as city sizes do.
 #[must_use]
 pub fn gateway_weights(gateways: usize, peak_to_mean: f64) -> Vec<f64> {
     let by_rank = |exponent: f64| (1..=gateways).map(move |rank| (rank as f64).powf(-exponent));
--- a/crates/emulator/src/context.rs
+++ b/crates/emulator/src/context.rs
@@ -1,5 +1,5 @@
-//! What all emulated parts of one place share: the clock, the history, the store, the functions, the idempotency keys and
-//! the random numbers.
+//! State that all emulated components of one thread share: clock, history, store, functions, idempotency keys and
+//! random numbers.
 
 use crate::store::{Store, StoreSpec};
 use crate::worker_model::FunctionModel;
@@ -12,38 +12,38 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Which optional fields workers report with a response.
+/// The optional fields that workers report with a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedFields {
-    /// Whether an instance was loaded.
+    /// The state of the instance: loaded already, or how its load went.
     pub instance_state: bool,
-    /// Requests of the same function at the same time.
+    /// The number of concurrent requests for the same function.
     pub concurrent_requests: bool,
-    /// A load report, beside those of health checks.
+    /// A load report, in addition to those of health checks.
     pub load: bool,
 }
 
 impl ReportedFields {
-    /// All of them.
+    /// All optional fields.
     pub const ALL: Self = Self { instance_state: true, concurrent_requests: true, load: true };
 }
 
-/// What a context begins with.
+/// Initial values of an [`EmulatorContext`].
 #[derive(Clone, Copy, Debug)]
 pub struct ContextOptions {
-    /// The seed of the random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
-    /// The store that all workers load from.
+    /// The store from which all workers load functions.
     pub store: StoreSpec,
-    /// The figures of every function.
+    /// The resource needs of every function.
     pub function_model: FunctionModel,
-    /// What workers report.
+    /// The optional fields that workers report.
     pub reported_fields: ReportedFields,
-    /// Seconds for which an idempotency key is known.
+    /// Seconds for which an idempotency key is remembered.
     pub idempotency_window: f64,
 }
 
-/// How many completed requests found an instance that was loaded already.
+/// Counts of completed requests, and of those among them that found a loaded instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WarmRequests {
     warm: u64,
@@ -57,49 +57,49 @@
         self.completed += 1;
     }
 
-    /// The fraction that found one, 0 if none was completed.
+    /// The fraction of the completed requests that found a loaded instance; 0 if none was completed.
     #[must_use]
     pub fn fraction(&self) -> f64 {
         self.warm as f64 / self.completed.max(1) as f64
     }
 }
 
-/// A function by its number.
+/// A function that a request has named.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownFunction {
-    /// The number by which worker models know it.
+    /// The number that identifies it in worker models.
     pub number: u32,
-    /// Its figures.
+    /// Its resource needs.
     pub model: FunctionModel,
 }
 
-/// An idempotency key, as a group of workers shares it.
+/// An idempotency key; a group of workers shares its keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdempotencyKey {
     group: u32,
     key: String,
 }
 
-/// Shared by the emulated workers and the registry of one thread.
+/// State shared by the emulated components of one thread, such as the workers and the registry.
 pub struct EmulatorContext {
     started: Instant,
     history: RefCell<Vec<HistoryRecord>>,
-    /// The store that all workers load from.
+    /// The store from which all workers load functions.
     pub store: RefCell<Store>,
-    /// Completed requests.
+    /// Counts of completed and of warm requests.
     pub warm_requests: Cell<WarmRequests>,
     functions: RefCell<BTreeMap<String, KnownFunction>>,
     function_model: FunctionModel,
-    /// What workers report.
+    /// The optional fields that workers report.
     pub reported_fields: ReportedFields,
-    /// When each key was used first.
+    /// When each idempotency key was first used.
     executed_keys: RefCell<BTreeMap<IdempotencyKey, f64>>,
     idempotency_window: f64,
     rng: RefCell<ChaCha8Rng>,
 }
 
 impl EmulatorContext {
-    /// A context whose clock is at 0 at `started`.
+    /// Creates a context whose clock reads 0 at `started`.
     #[must_use]
     pub fn new(started: Instant, options: ContextOptions) -> Rc<Self> {
         Rc::new(Self {
@@ -116,32 +116,32 @@
         })
     }
 
-    /// Seconds since the start.
+    /// Seconds on the context's clock.
     #[must_use]
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    /// Adds what happened just now to the history.
+    /// Appends an event to the history, at the current time.
     pub fn record(&self, event: HistoryEvent) {
         let at = self.now();
         self.history.borrow_mut().push(HistoryRecord { at, event });
     }
 
-    /// Takes the history so far.
+    /// Takes the history recorded so far.
     #[must_use]
     pub fn take_history(&self) -> Vec<HistoryRecord> {
         self.history.take()
     }
 
-    /// Counts a completed request by what it found.
+    /// Counts a completed request by the instance state that it found.
     pub fn count_completed_request(&self, instance_state: InstanceState) {
         let mut warm_requests = self.warm_requests.get();
         warm_requests.record(instance_state);
         self.warm_requests.set(warm_requests);
     }
 
-    /// A function by its name; a new name gets the next number.
+    /// Returns the function of this name; a new name is assigned the next number.
     #[must_use]
     pub fn function(&self, name: &str) -> KnownFunction {
         let mut functions = self.functions.borrow_mut();
@@ -153,13 +153,14 @@
         new
     }
 
-    /// Functions that were named so far.
+    /// The number of functions named so far.
     #[must_use]
     pub fn function_count(&self) -> usize {
         self.functions.borrow().len()
     }
 
-    /// Whether an idempotency key is new to a group of workers; it is known from now on.
+    /// Registers the use of an idempotency key by a group of workers. Returns false if the key was already used within
+    /// the idempotency window.
     #[must_use]
     pub fn register_key(&self, group: u32, key: &str) -> bool {
         let now = self.now();
@@ -172,7 +173,7 @@
         true
     }
 
-    /// Whether something of this probability happens now.
+    /// Returns true with the given probability. If that is 0, no random number is drawn.
     #[must_use]
     pub fn random_bool(&self, probability: f64) -> bool {
         probability > 0.0 && self.rng.borrow_mut().random_bool(probability.min(1.0))
--- a/crates/emulator/src/corrupting_stream.rs
+++ b/crates/emulator/src/corrupting_stream.rs
@@ -1,5 +1,4 @@
-//! A worker's connection on which a fault can corrupt what is written: half of a response, garbage, or a reset within the
-//! body.
+//! A worker's connection whose output a fault can corrupt: a truncated response, garbage, or a reset within the body.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -11,28 +10,28 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// What happens to the next bytes that are written.
+/// What is done to the next bytes that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Corruption {
-    /// They are written as they are.
+    /// They are written unchanged.
     #[default]
     None,
-    /// Half of them is written, then the connection is closed.
+    /// Half of them are written, then the connection is closed.
     Truncation,
-    /// Bytes that are no HTTP are written instead, and nothing after them.
+    /// Bytes that are not valid HTTP are written instead, and nothing after them.
     Garbage,
-    /// Half of them is written, then the connection is reset.
+    /// Half of them are written, then the connection is reset.
     Reset,
 }
 
-/// Bytes that are no HTTP.
+/// Bytes that are not valid HTTP.
 const GARBAGE: [u8; 8] = [0x13, 0x37, b'\r', b'\n', 0, 0xff, b' ', b'\n'];
 const GARBAGE_REPEATS: usize = 8;
 
-/// A stream that corrupts what is written on request.
+/// A stream that corrupts its output on request.
 pub struct CorruptingStream {
     stream: TokioIo<TcpStream>,
-    /// Set by whoever writes the response on this connection.
+    /// Set by the code that writes the response on this connection.
     corruption: Rc<Cell<Corruption>>,
     closed: bool,
 }
--- a/crates/emulator/src/gateway_process.rs
+++ b/crates/emulator/src/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process of its own, for scenarios and benches.
+//! Runs a gateway in a separate process, for scenarios and benchmarks.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -7,26 +7,26 @@
 /// Why a gateway did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// There is no process.
+    /// The process could not be spawned.
     #[error("the process can't be started: {0}")]
     Spawn(#[from] std::io::Error),
-    /// It ended or closed its standard output first.
+    /// The process ended or closed its standard output before it printed its address.
     #[error("it ended without printing the address that it listens on")]
     NoAddress,
 }
 
-/// A gateway that listens; it is killed when this is dropped.
+/// A gateway that is listening; its process is killed on drop.
 pub struct GatewayProcess {
-    /// The process.
+    /// The gateway's process.
     pub child: Child,
-    /// Where clients reach it.
+    /// The address on which it listens for clients.
     pub address: SocketAddr,
-    /// Where it receives datagrams of other gateways, if it does.
+    /// The address on which it receives datagrams from other gateways, if it takes part in a membership.
     pub membership_address: Option<SocketAddr>,
 }
 
 impl GatewayProcess {
-    /// Starts it, and waits on this thread until it prints the address that it listens on.
+    /// Starts the process, and blocks this thread until it prints the address on which it listens.
     ///
     /// # Errors
     /// The process can't be started, or ends without printing its address.
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,12 @@
-//! Emulates on loopback what a gateway works with: workers, the store that they load from, the registry, clients, and the
-//! links to other gateways; and injects faults into them.
+//! Emulates, on the loopback interface, everything that a gateway talks to: workers, the store from which they load
+//! functions, the registry, clients, and the links to other gateways. Faults can be injected into each of them.
 //!
-//! - [`worker_model`], [`store`] and [`traffic`] are models without I/O, which the simulator uses too.
-//! - [`worker`], [`registry`], [`clients`], [`relay`] and [`gateway_process`] put them on sockets, and record what passes
-//!   for the history checker.
-//! - [`scenario_file`] reads a scenario's file, and [`scenario`] plays it.
+//! - [`worker_model`], [`store`] and [`traffic`] are models without I/O; the simulator uses them too.
+//! - [`worker`], [`registry`], [`clients`], [`relay`] and [`gateway_process`] run on real sockets and processes; what
+//!   passes through them is recorded for the history checker.
+//! - [`scenario_file`] reads scenario files, and [`scenario`] runs them.
 //!
-//! All times are seconds, as `f64`, by the clock of a [`context::EmulatorContext`] or of the simulation.
+//! All times are in seconds, as `f64`, on the clock of a [`context::EmulatorContext`] or of the simulation.
 
 pub mod clients;
 pub mod context;
--- a/crates/emulator/src/registry.rs
+++ b/crates/emulator/src/registry.rs
@@ -1,5 +1,5 @@
-//! The emulated registry: it streams revisions of the endpoint list to each gateway, on a socket for each, and does so late,
-//! not at all, with losses or with duplicates while a fault is injected.
+//! The emulated registry: it streams revisions of the endpoint list to each gateway, on one socket per gateway.
+//! Injected faults delay, withhold, drop or duplicate the updates.
 
 mod update_stream;
 
@@ -22,12 +22,12 @@
 use tokio::task::spawn_local;
 use update_stream::{AnnouncedEndpoint, Update, UpdateStream};
 
-/// What is wrong with the registry at present.
+/// The fault currently injected into the registry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RegistryFault {
-    /// Seconds by which updates are late.
+    /// Seconds by which updates are delayed.
     pub delay: f64,
-    /// Whether nothing is sent; updates made meanwhile follow when the fault ends.
+    /// Whether nothing is sent; updates made in the meantime are sent when the fault ends.
     pub stalled: bool,
     /// Whether every other revision is lost.
     pub loses_revisions: bool,
@@ -40,13 +40,13 @@
 pub struct ListedWorker {
     /// The worker's number.
     pub number: usize,
-    /// Its entry; the address is that of the gateway to which it is sent.
+    /// Its entry in the endpoint list; the address is replaced by the one for the receiving gateway.
     pub entry: EndpointEntry,
-    /// The address for each gateway.
+    /// The worker's address for each gateway.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// One gateway's stream.
+/// The update stream of one gateway.
 struct Subscription {
     address: SocketAddr,
     sender: RefCell<Option<mpsc::UnboundedSender<Rc<Update>>>>,
@@ -63,15 +63,15 @@
     }
 }
 
-/// The registry.
+/// An emulated registry.
 pub struct Registry {
     context: Rc<EmulatorContext>,
-    /// One for each gateway.
+    /// One per gateway.
     subscriptions: Vec<Subscription>,
     workers: RefCell<BTreeMap<usize, ListedWorker>>,
     revision: Cell<u64>,
     fault: Cell<RegistryFault>,
-    /// Whether updates show no workers, by a fault.
+    /// Whether a fault makes the endpoint list appear empty.
     emptied: Cell<bool>,
 }
 
@@ -103,13 +103,13 @@
         Ok(registry)
     }
 
-    /// Where a gateway connects to it.
+    /// The address at which a gateway connects to the registry.
     #[must_use]
     pub fn address(&self, gateway: usize) -> SocketAddr {
         self.subscriptions[gateway].address
     }
 
-    /// Injects a fault in place of the one before; the default is none.
+    /// Replaces the injected fault; the default value is none.
     pub fn set_fault(&self, fault: RegistryFault) {
         self.fault.set(fault);
         if !fault.stalled {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Lists workers, or replaces what is listed of them, as one revision.
+    /// Adds or replaces the entries of workers, as one revision.
     pub fn list(self: &Rc<Self>, workers: Vec<ListedWorker>) {
         let numbers: Vec<_> = workers.iter().map(|worker| worker.number).collect();
         self.workers.borrow_mut().extend(workers.into_iter().map(|worker| (worker.number, worker)));
@@ -134,7 +134,7 @@
         self.publish(&[number]);
     }
 
-    /// Shows an empty list, or the true one again.
+    /// Publishes an empty list, or the true list again.
     pub fn set_emptied(self: &Rc<Self>, emptied: bool) {
         self.emptied.set(emptied);
         self.next_revision();
@@ -149,7 +149,7 @@
         self.revision.get()
     }
 
-    /// Sends changes of some workers to all gateways.
+    /// Sends the entries of some workers to all gateways, as a new revision.
     fn publish(self: &Rc<Self>, numbers: &[usize]) {
         let revision = self.next_revision();
         let is_lost = self.fault.get().loses_revisions && revision.is_multiple_of(2);
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The complete list for a gateway, or changes of some workers.
+    /// Builds an update for a gateway: the complete list, or only the entries of some workers.
     fn update(&self, gateway: usize, only: Option<&[usize]>) -> Rc<Update> {
         let workers = self.workers.borrow();
         let is_selected = |worker: &&ListedWorker| only.is_none_or(|only| only.contains(&worker.number));
@@ -186,7 +186,7 @@
         Rc::new(Update { bytes, endpoints })
     }
 
-    /// Sends an update as the present fault has it.
+    /// Sends an update to a gateway, subject to the injected fault.
     fn schedule_send(self: &Rc<Self>, gateway: usize, update: Rc<Update>) {
         let RegistryFault { delay, stalled, duplicates, .. } = self.fault.get();
         let registry = self.clone();
@@ -212,13 +212,13 @@
                     let updates = registry.subscribe(gateway);
                     async move { Ok::<_, Infallible>(Response::new(updates)) }
                 });
-                // How the connection ends is the gateway's affair.
+                // Connection errors are left to the gateway.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     }
 
-    /// A new stream to a gateway, in place of the one before; it begins with the complete list.
+    /// Opens a new stream to a gateway, in place of the previous one; it starts with the complete list.
     fn subscribe(&self, gateway: usize) -> UpdateStream {
         let (sender, updates) = mpsc::unbounded_channel();
         let _ = sender.send(self.update(gateway, None));
--- a/crates/emulator/src/registry/update_stream.rs
+++ b/crates/emulator/src/registry/update_stream.rs
@@ -1,4 +1,4 @@
-//! The updates to one gateway, as the body of a response that does not end.
+//! The updates to one gateway, as an open-ended response body.
 
 use crate::context::EmulatorContext;
 use bytes::Bytes;
@@ -10,23 +10,23 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// What an update announces of one endpoint.
+/// The state of one endpoint, as announced by an update.
 pub(super) struct AnnouncedEndpoint {
     /// The worker's number.
     pub(super) worker: usize,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub(super) ready: bool,
 }
 
-/// One update on its way.
+/// An update to be sent.
 pub(super) struct Update {
-    /// The line that is sent.
+    /// The encoded line.
     pub(super) bytes: Bytes,
-    /// What a gateway knows from it.
+    /// The endpoints that it announces.
     pub(super) endpoints: Vec<AnnouncedEndpoint>,
 }
 
-/// A stream of updates; what is read from it is added to the history.
+/// A stream of updates; each update that is read from it is recorded in the history.
 pub(super) struct UpdateStream {
     context: Rc<EmulatorContext>,
     gateway: usize,
@@ -34,7 +34,7 @@
 }
 
 impl UpdateStream {
-    /// The stream to one gateway.
+    /// Creates the stream to one gateway.
     pub(super) fn new(
         context: Rc<EmulatorContext>,
         gateway: usize,
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,7 +1,7 @@
-//! The links between gateways. Every datagram from one gateway to another passes through a socket of this relay that stands
-//! for the receiver, and is lost, delayed, duplicated or corrupted while a fault is injected.
+//! Emulates the links between gateways. Every datagram from one gateway to another passes through a socket of this
+//! relay that stands for the receiver; injected faults drop, delay, duplicate or corrupt it.
 //!
-//! The relay has a thread of its own, so that the delay that it adds does not depend on how busy the scenario is.
+//! The relay runs on a separate thread, so that the delay it adds does not depend on how busy the scenario is.
 
 mod faults;
 mod forwarding;
@@ -20,13 +20,13 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// A fault while it is injected.
+/// Identifies an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkFaultId(u64);
 
-/// What the relay's thread shares with its owner.
+/// State shared by the relay's thread and its owner.
 struct RelayState {
-    /// Where each gateway's process receives datagrams at present.
+    /// The address on which each gateway's process currently receives datagrams.
     addresses: Vec<Option<SocketAddr>>,
     faults: BTreeMap<LinkFaultId, LinkFault>,
     fault_count: u64,
@@ -43,20 +43,20 @@
         }
     }
 
-    /// The gateway whose process sends from there.
+    /// The gateway whose process sends from this address.
     fn gateway_at(&self, source: SocketAddr) -> Option<usize> {
         self.addresses.iter().position(|address| *address == Some(source))
     }
 }
 
-/// The state, also after a panic of another thread: each change of it is complete in itself.
+/// Locks the state, even if another thread panicked while holding the lock: each change leaves the state consistent.
 fn lock(state: &Mutex<RelayState>) -> MutexGuard<'_, RelayState> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The relay; its thread ends when this is dropped.
+/// A relay; its thread ends on drop.
 pub struct Relay {
-    /// The relay's address for each gateway.
+    /// The relay's address that stands for each gateway.
     addresses: Vec<SocketAddr>,
     started: Instant,
     state: Arc<Mutex<RelayState>>,
@@ -65,10 +65,11 @@
 }
 
 impl Relay {
-    /// Starts the thread. The history has seconds since `started`; `seed` is that of the random numbers.
+    /// Starts the relay's thread. Times in the history are seconds since `started`; `seed` is the seed for random
+    /// numbers.
     ///
     /// # Errors
-    /// No socket can be opened, or no thread started.
+    /// A socket can't be opened, or the thread can't be started.
     pub fn start(gateways: usize, started: Instant, seed: u64) -> io::Result<Self> {
         let sockets = (0..gateways).map(|_| open_socket()).collect::<io::Result<Vec<_>>>()?;
         let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
@@ -87,19 +88,19 @@
         Ok(Self { addresses, started, state, stop, thread })
     }
 
-    /// Where the others reach a gateway.
+    /// The address at which the other gateways reach a gateway.
     #[must_use]
     pub fn address(&self, gateway: usize) -> SocketAddr {
         self.addresses[gateway]
     }
 
-    /// Where the others reach each gateway.
+    /// The addresses at which the gateways reach each other, by gateway.
     #[must_use]
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// A gateway's process receives datagrams there from now on.
+    /// Sets the address on which a gateway's process receives datagrams from now on.
     pub fn set_address(&self, gateway: usize, address: SocketAddr) {
         lock(&self.state).addresses[gateway] = Some(address);
     }
@@ -114,7 +115,7 @@
         id
     }
 
-    /// Ends a fault.
+    /// Clears an injected fault.
     pub fn clear(&self, id: LinkFaultId) {
         let mut state = lock(&self.state);
         let separates = |fault| matches!(fault, LinkFault::Partition(_) | LinkFault::InboundLoss(_));
@@ -132,7 +133,7 @@
         gateways.clone().flat_map(from_one).collect()
     }
 
-    /// Takes what was observed so far.
+    /// Takes the history recorded so far.
     #[must_use]
     pub fn take_history(&self) -> Vec<HistoryRecord> {
         lock(&self.state).observations.take()
--- a/crates/emulator/src/relay/faults.rs
+++ b/crates/emulator/src/relay/faults.rs
@@ -1,84 +1,84 @@
-//! What faults do to a datagram.
+//! Applies link faults to datagrams.
 
 use milletpath_membership::datagram::{self, Key, MAX_DATAGRAM_BYTES};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// Seconds within which a duplicate follows.
+/// The maximum delay of a duplicate, in seconds.
 const MAX_DUPLICATE_DELAY: f64 = 5.0;
 
-/// Earlier datagrams that are kept for replays.
+/// The number of earlier datagrams that are kept for replays.
 const REPLAY_CAPACITY: usize = 64;
 
 /// A directed link between two gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Link {
-    /// The sender.
+    /// The sending gateway.
     pub from: usize,
-    /// The receiver.
+    /// The receiving gateway.
     pub to: usize,
 }
 
-/// What is wrong with links.
+/// A fault on links between gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkFault {
     /// A fraction of the datagrams is lost.
     Loss {
-        /// The links.
+        /// The affected links.
         links: Vec<Link>,
         /// From 0 to 1.
         fraction: f64,
     },
-    /// These gateways are cut off from the others, in both directions.
+    /// These gateways are partitioned from the others, in both directions.
     Partition(Vec<usize>),
     /// These gateways receive nothing.
     InboundLoss(Vec<usize>),
-    /// Datagrams are late, by none to twice the mean.
+    /// Datagrams are delayed by a uniformly distributed time between 0 and twice the mean.
     Delay {
-        /// The links.
+        /// The affected links.
         links: Vec<Link>,
-        /// Mean delay in seconds.
+        /// The mean delay in seconds.
         mean_seconds: f64,
     },
-    /// A fraction of the datagrams is sent again within some seconds.
+    /// A fraction of the datagrams is sent again within a few seconds.
     Duplication {
-        /// The links.
+        /// The affected links.
         links: Vec<Link>,
         /// From 0 to 1.
         fraction: f64,
     },
     /// A fraction of the datagrams is replaced by garbage.
     Corruption {
-        /// The links.
+        /// The affected links.
         links: Vec<Link>,
         /// From 0 to 1.
         fraction: f64,
     },
 }
 
-/// One datagram to be delivered.
+/// A datagram to be delivered.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Delivery {
-    /// Seconds by which it is late.
+    /// The delay in seconds.
     pub(super) delay: f64,
-    /// The datagram.
+    /// The content of the datagram.
     pub(super) bytes: Vec<u8>,
 }
 
-/// Applies faults to the datagrams to one gateway.
+/// Applies faults to the datagrams sent to one gateway.
 pub(super) struct FaultInjector {
     rng: ChaCha8Rng,
     earlier_datagrams: VecDeque<Vec<u8>>,
 }
 
 impl FaultInjector {
-    /// One with the given random numbers.
+    /// Creates an injector that uses the given random numbers.
     pub(super) fn new(rng: ChaCha8Rng) -> Self {
         Self { rng, earlier_datagrams: VecDeque::new() }
     }
 
-    /// What is delivered in place of a datagram.
+    /// Returns what is delivered in place of a datagram.
     pub(super) fn apply<'f>(
         &mut self,
         faults: impl IntoIterator<Item = &'f LinkFault>,
@@ -99,7 +99,7 @@
         deliveries
     }
 
-    /// Whether the link is still open after this fault.
+    /// Applies one fault to the deliveries; returns whether the link is still open.
     fn apply_one(
         &mut self,
         fault: &LinkFault,
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Bytes that are no valid datagram, or not this one.
+    /// Returns an invalid datagram or a replayed one: truncated, with a flipped bit, random, too long, forged, or an
+    /// earlier datagram.
     fn garbage(&mut self, datagram: &[u8]) -> Vec<u8> {
         let mut bytes = datagram.to_vec();
         let length = bytes.len().max(1);
@@ -164,7 +165,7 @@
     }
 }
 
-/// The same content sealed by someone who does not have the key.
+/// Seals the same content with a wrong key, as a sender without the cluster's key would.
 fn forge(datagram: &[u8]) -> Option<Vec<u8>> {
     let key = Key::new(b"another secret, of thirty-two bytes");
     datagram::seal(&key, &datagram::decode_unverified(datagram)?).ok()
--- a/crates/emulator/src/relay/forwarding.rs
+++ b/crates/emulator/src/relay/forwarding.rs
@@ -1,4 +1,4 @@
-//! The relay's thread: receives datagrams on behalf of the gateways and delivers what the faults leave of them.
+//! The relay's thread: receives datagrams on behalf of the gateways and forwards them, subject to the injected faults.
 
 use super::faults::{Delivery, FaultInjector, Link};
 use super::{RelayState, lock};
@@ -13,16 +13,16 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// How often the thread looks whether it is to stop.
+/// How often the thread checks whether it should stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Distinguishes the relay's random numbers from others of the same seed.
+/// Makes the relay's random numbers differ from others of the same seed.
 const SEED_MASK: u64 = 0x11_4b5;
 
-/// Bytes of a datagram that are read: more than a valid one has, so that one that is too long arrives as such.
+/// The size of the receive buffer: larger than a valid datagram, so that an oversized one is forwarded oversized.
 const BUFFER_BYTES: usize = 4 * MAX_DATAGRAM_BYTES;
 
-/// Sockets by the gateway that they stand for.
+/// Sockets by the number of the gateway for which they stand.
 type Sockets = Rc<Vec<UdpSocket>>;
 
 /// Forwards datagrams until `stop` is set.
@@ -54,7 +54,7 @@
     }
 }
 
-/// Forwards all datagrams to one gateway.
+/// Forwards all datagrams sent to one gateway.
 struct Forwarder {
     sockets: Sockets,
     state: Arc<Mutex<RelayState>>,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The sending gateway and what is delivered; none if it is no gateway's process.
+    /// Returns the sending gateway and the deliveries; `None` if the source is not a gateway's process.
     fn inject_faults(
         &mut self,
         at: f64,
@@ -93,14 +93,14 @@
         Some((sender, self.injector.apply(state.faults.values(), link, datagram.to_vec())))
     }
 
-    /// Delivers at once, or later in a task of its own.
+    /// Delivers immediately, or after a delay in a separate task.
     async fn deliver(&self, sender: usize, delivery: Delivery) {
         let Delivery { delay, bytes } = delivery;
         let (sockets, state, receiver) = (self.sockets.clone(), self.state.clone(), self.receiver);
         let send = async move {
             let address = lock(&state).addresses[receiver];
             if let Some(address) = address {
-                // A datagram that can't be sent is lost, as on any network.
+                // A datagram that can't be sent counts as lost, as on any network.
                 let _ = sockets[sender].send_to(&bytes, address).await;
             }
         };
--- a/crates/emulator/src/relay/observations.rs
+++ b/crates/emulator/src/relay/observations.rs
@@ -1,31 +1,33 @@
-//! What the datagrams that pass show of the gateways' processes and of what gateways report of each other.
+//! Records what the forwarded datagrams show: the incarnations of the gateways' processes, and the member states that
+//! gateways report about each other.
 
 use milletpath_history_checker::{HistoryEvent, HistoryRecord};
 use milletpath_membership::datagram;
 use std::collections::BTreeMap;
 
-/// The history of the links.
+/// The history of the links, and the last reported values, so that only changes are recorded.
 #[derive(Default)]
 pub(super) struct Observations {
     history: Vec<HistoryRecord>,
-    /// The gateway that each incarnation is a process of.
+    /// The gateway to which each incarnation belongs.
     incarnations: BTreeMap<u64, usize>,
-    /// What each gateway last reported of each incarnation.
+    /// The member state that each gateway last reported about each incarnation.
     reported_states: BTreeMap<(usize, u64), u8>,
 }
 
 impl Observations {
-    /// Adds an event.
+    /// Appends an event.
     pub(super) fn record(&mut self, at: f64, event: HistoryEvent) {
         self.history.push(HistoryRecord { at, event });
     }
 
-    /// Takes the history so far.
+    /// Takes the history recorded so far.
     pub(super) fn take(&mut self) -> Vec<HistoryRecord> {
         std::mem::take(&mut self.history)
     }
 
-    /// Adds a datagram of a gateway, and what it reports if that is news.
+    /// Records a datagram sent by a gateway, a new incarnation of the sender, and each reported member state that has
+    /// changed.
     pub(super) fn observe(&mut self, at: f64, gateway: usize, bytes: &[u8]) {
         self.record(at, HistoryEvent::DatagramSent { gateway, bytes: bytes.len() });
         let Some(datagram) = datagram::decode_unverified(bytes) else { return };
--- a/crates/emulator/src/relay/tests.rs
+++ b/crates/emulator/src/relay/tests.rs
@@ -6,7 +6,7 @@
 const GATEWAYS: usize = 4;
 const DATAGRAMS: usize = 4_000;
 
-/// FNV-1a.
+/// Updates an FNV-1a hash.
 fn update_digest(digest: &mut u64, bytes: &[u8]) {
     for byte in bytes {
         *digest = (*digest ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -26,7 +26,8 @@
     }
 }
 
-/// Random datagrams on random links under random faults come out as they did when this value was taken.
+/// Guards against changes in what a seed means: random datagrams over random links under random faults must give the
+/// recorded digest.
 #[test]
 fn faults_act_on_datagrams_as_recorded() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,5 +1,5 @@
-//! An emulated worker: a [`WorkerModel`] behind HTTP on loopback. It has an address for each gateway, so that the gateway
-//! of an attempt is known by the socket that it arrived on.
+//! An emulated worker: a [`WorkerModel`] served over HTTP on loopback. It has one address per gateway, so that the
+//! socket tells which gateway sent an attempt.
 
 mod fault;
 pub mod headers;
@@ -26,26 +26,26 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 
-/// Seconds after which a rejection by the store arrives, as over a network.
+/// Seconds after which a rejection by the store arrives, as if over a network.
 pub const FETCH_REJECTION_DELAY: f64 = 0.002;
 
-/// Seconds between two looks at a model that has no timer set.
+/// Seconds to wait while the model has no timer set.
 const NO_DEADLINE_WAIT: f64 = 3600.0;
 
-/// What a worker is started with.
+/// Start options of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerOptions {
     /// Its number, which is unique in the fleet.
     pub number: usize,
-    /// The group of workers that share their idempotency keys.
+    /// The group of workers with which it shares idempotency keys.
     pub key_group: u32,
-    /// Its resources.
+    /// Its resources and behaviour.
     pub spec: WorkerSpec,
-    /// When its process started, by the context's clock; at least its `warm_up` ago for a warm one.
+    /// When its process started, on the context's clock; a warm worker started at least `warm_up` seconds ago.
     pub started: f64,
 }
 
-/// What is needed of a request once its job runs.
+/// The properties of a request that are needed when its job runs.
 #[derive(Clone, Debug)]
 struct RequestInfo {
     call: u64,
@@ -69,7 +69,7 @@
     outcome: oneshot::Sender<JobOutcome>,
 }
 
-/// One worker's process.
+/// An emulated worker process.
 pub struct Worker {
     /// Its number.
     pub number: usize,
@@ -79,7 +79,7 @@
     fault: Cell<WorkerFault>,
     jobs: RefCell<BTreeMap<u64, PendingJob>>,
     load_requests: RefCell<BTreeMap<u64, oneshot::Sender<LoadOutcome>>>,
-    /// Wakes the timer's task after the model was changed.
+    /// Wakes the timer task after a change of the model.
     model_changed: Notify,
     /// Its address for each gateway.
     pub addresses: Vec<SocketAddr>,
@@ -87,7 +87,7 @@
 }
 
 impl Worker {
-    /// Starts a worker with a port for each gateway.
+    /// Starts a worker with one port per gateway.
     ///
     /// # Errors
     /// It can't listen on loopback.
@@ -103,10 +103,10 @@
         Self::serve(context, options, listeners)
     }
 
-    /// Starts a worker on these sockets, one for each gateway. It runs until [`kill`](Self::kill) is called.
+    /// Starts a worker on these sockets, one per gateway. It runs until [`kill`](Self::kill) is called.
     ///
     /// # Errors
-    /// A socket has no address.
+    /// The address of a socket can't be determined.
     pub fn serve(
         context: Rc<EmulatorContext>,
         options: WorkerOptions,
@@ -136,23 +136,23 @@
         Ok(worker)
     }
 
-    /// Ends the process at once, with its listeners, its connections and all its jobs.
+    /// Ends the process immediately, with its listeners, its connections and all its jobs.
     pub fn kill(&self) {
         self.tasks.take().iter().for_each(AbortHandle::abort);
     }
 
-    /// What is wrong with it at present.
+    /// The fault currently injected.
     #[must_use]
     pub fn fault(&self) -> WorkerFault {
         self.fault.get()
     }
 
-    /// Injects a fault in place of the one before.
+    /// Replaces the injected fault.
     pub fn set_fault(&self, fault: WorkerFault) {
         self.fault.set(fault);
     }
 
-    /// Calls the model with the present time, and carries out its events.
+    /// Calls the model with the current time, and processes its events.
     pub fn with_model<R>(self: &Rc<Self>, call: impl FnOnce(&mut WorkerModel, f64) -> R) -> R {
         let result = call(&mut self.model.borrow_mut(), self.context.now());
         self.process_events();
@@ -163,17 +163,17 @@
         self.model.borrow().load_figures()
     }
 
-    /// Runs a job; none if the worker is overloaded.
+    /// Submits a job and waits for its outcome; an overloaded worker gives none.
     async fn run(self: &Rc<Self>, job: Job, request: RequestInfo) -> Option<JobOutcome> {
         let (sender, outcome) = oneshot::channel();
-        // Its first events may come at once, so it is entered before they are processed.
+        // Its first events may already be queued, so the job is registered before they are processed.
         let id = self.model.borrow_mut().submit(self.context.now(), job);
         self.jobs.borrow_mut().insert(id, PendingJob { request, outcome: sender });
         self.process_events();
         outcome.await.ok()
     }
 
-    /// Requests instances, and waits until they are there or can't be had.
+    /// Requests instances, and waits until they are loaded or the load request has failed.
     async fn request_load(self: &Rc<Self>, function: &str, instances: u32) -> LoadOutcome {
         let known = self.context.function(function);
         let (sender, outcome) = oneshot::channel();
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Records that a call took effect, unless its idempotency key shows that it did before.
+    /// Records that a call was executed, unless its idempotency key was already used.
     fn job_started(&self, job: u64) {
         let jobs = self.jobs.borrow();
         let Some(PendingJob { request, .. }) = jobs.get(&job) else { return };
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Waits for a fetch of so many seconds, or for its rejection.
+    /// Waits for a fetch that takes this many seconds, or for its rejection if `fetch` is `None`.
     async fn await_fetch(self: Rc<Self>, load: u64, fetch: Option<f64>) {
         tokio::time::sleep(Duration::from_secs_f64(fetch.unwrap_or(FETCH_REJECTION_DELAY))).await;
         if fetch.is_some() {
@@ -261,7 +261,7 @@
     }
 
     async fn accept(self: Rc<Self>, gateway: usize, listener: TcpListener) {
-        // Dropped with this task, and every connection with it.
+        // Dropped together with this task, which closes all connections.
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             connections.spawn_local(self.clone().serve_connection(gateway, stream));
@@ -277,7 +277,7 @@
             let (worker, corruption) = (self.clone(), corruption.clone());
             async move { Ok::<_, Infallible>(worker.respond(gateway, request, &corruption).await) }
         });
-        // How the connection ends is the gateway's affair, or a fault's.
+        // Connection errors are left to the gateway, or are caused by a fault.
         let _ = http1::Builder::new().serve_connection(stream, service).await;
     }
 }
--- a/crates/emulator/src/worker/fault.rs
+++ b/crates/emulator/src/worker/fault.rs
@@ -1,36 +1,36 @@
-//! Faults of a worker.
+//! Faults in a worker.
 
 use crate::corrupting_stream::Corruption;
 
-/// Rejections of one client group as if the worker were full.
+/// Rejection of one client group's requests as if the worker were full.
 #[derive(Clone, Copy, Debug)]
 pub struct FalseRejection {
     /// The group's number.
     pub group: usize,
-    /// The fraction of its requests.
+    /// The fraction of its requests that is rejected.
     pub fraction: f64,
 }
 
-/// Responses that are corrupted on the wire after the work is done.
+/// Corruption of responses on the wire, after the work is done.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseCorruption {
-    /// The fraction of the responses.
+    /// The fraction of the responses that is corrupted.
     pub fraction: f64,
-    /// What happens to them.
+    /// How they are corrupted.
     pub corruption: Corruption,
 }
 
-/// What is wrong with a worker at present. The default is nothing.
+/// The faults currently injected into a worker. The default is none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkerFault {
-    /// The fraction of requests that fail at once and do not run.
+    /// The fraction of requests that fail immediately and do not run.
     pub failed_fraction: f64,
-    /// Whether it takes requests and responds to none; health checks are answered.
+    /// Whether it accepts requests but responds to none; health checks are still answered.
     pub unresponsive: bool,
     /// The fraction of responses that are lost after the work is done.
     pub lost_response_fraction: f64,
-    /// Responses that are corrupted.
+    /// Corruption of responses.
     pub corrupted_responses: Option<ResponseCorruption>,
-    /// Rejections although there is room.
+    /// Rejections despite free capacity.
     pub false_rejection: Option<FalseRejection>,
 }
--- a/crates/emulator/src/worker/http_service.rs
+++ b/crates/emulator/src/worker/http_service.rs
@@ -1,4 +1,4 @@
-//! The worker's side of HTTP: invocations, load requests, unloads and health checks.
+//! The worker's HTTP service: invocations, load requests, unloads and health checks.
 
 use super::responses::{self, WorkerResponse};
 use super::{JobOutcome, LoadOutcome, RequestInfo, Worker, headers};
@@ -15,10 +15,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes of a request's body that are read at most.
+/// The maximum size of a request body in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Records that an attempt is over however its handling ends, also when its connection is closed.
+/// Records on drop that an attempt has ended, however its handling ends, also when its connection is closed.
 struct AttemptGuard {
     context: Rc<EmulatorContext>,
     gateway: usize,
@@ -32,7 +32,7 @@
 }
 
 impl Worker {
-    /// Answers one request; `corruption` is what happens to the response on this connection.
+    /// Answers one request; `corruption` can be set to corrupt the response on this connection.
     pub(super) async fn respond(
         self: Rc<Self>,
         gateway: usize,
@@ -118,7 +118,7 @@
         self.apply_response_faults(response, corruption).await
     }
 
-    /// The response of a worker that, by a fault, does not run the request.
+    /// The response to a request that does not run because of a fault.
     fn faulty_response(&self, headers: &HeaderMap) -> Option<WorkerResponse> {
         let fault = self.fault();
         if self.context.random_bool(fault.failed_fraction) {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Adds the load report, unless a fault loses the response.
+    /// Applies the response faults and adds the load report; a lost response stays pending.
     async fn apply_response_faults(
         &self,
         mut response: WorkerResponse,
--- a/crates/emulator/src/worker/responses.rs
+++ b/crates/emulator/src/worker/responses.rs
@@ -1,4 +1,4 @@
-//! The responses of a worker.
+//! Builds the responses of a worker.
 
 use crate::worker_model::LoadFigures;
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use milletpath_protocol::orca;
 use milletpath_protocol::worker as wire;
 
-/// A response with its complete body.
+/// A response whose complete body is in memory.
 pub(super) type WorkerResponse = Response<Full<Bytes>>;
 
 /// A response without a body.
@@ -17,7 +17,7 @@
     response
 }
 
-/// A rejection: nothing ran.
+/// A rejection: the request did not run.
 pub(super) fn rejection(reason: wire::Rejection) -> WorkerResponse {
     let is_not_loaded = reason == wire::Rejection::NotLoaded;
     let mut response =
@@ -27,7 +27,7 @@
     response
 }
 
-/// Adds whether an instance was loaded.
+/// Adds the state of the instance.
 pub(super) fn add_instance_state(response: &mut WorkerResponse, state: wire::InstanceState) {
     let word = HeaderValue::from_static(wire::instance_state_word(state));
     response.headers_mut().insert(&wire::INSTANCE_STATE, word);
