--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,9 +1,9 @@
-//! Plays a scenario on sockets: gateways as processes of their own, workers, store and registry in this thread, clients and
-//! links in a thread each. All traffic stays on loopback and ends with the run.
+//! Runs a scenario on real sockets: gateways as separate processes; workers, store and registry on this thread; clients
+//! and links on one thread each. All traffic stays on loopback and ends with the run.
 //!
-//! What the simulator does the same is here for both: the steps of faults ([`worker_steps`]), the gateways' configuration
-//! ([`GatewayConfigFile`]), the registry's entries ([`worker_entry`]), and what a history is checked against
-//! ([`rule_parameters`], [`service_weights`]).
+//! What the simulator shares with this run is public: the steps of faults ([`worker_steps`]), the gateways'
+//! configuration ([`GatewayConfigFile`]), the registry's entries ([`worker_entry`]), and the parameters by which a
+//! history is checked ([`rule_parameters`], [`service_weights`]).
 
 mod client_thread;
 mod core_faults;
@@ -36,16 +36,16 @@
 use std::time::{Duration, Instant};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Seconds in which endpoint lists and connections settle before the first request.
+/// Seconds before the first request in which endpoint lists and connections settle.
 const SETTLE_SECONDS: f64 = 0.3;
 
-/// Seconds after the last response in which what is sent is still recorded.
+/// Seconds after the last response in which events are still recorded.
 const TRAILING_RECORD_SECONDS: f64 = 0.3;
 
-/// How often it is checked whether the clients have finished.
+/// Seconds between checks whether the clients have finished.
 const FINISH_POLL_INTERVAL: f64 = 0.02;
 
-/// Plays a scenario from its first request to its last response.
+/// Runs a scenario from its first request to its last response.
 ///
 /// # Errors
 /// The fleet can't be started, or the clients fail.
@@ -78,8 +78,8 @@
     tokio::time::sleep(Duration::from_secs_f64(seconds.max(0.0))).await;
 }
 
-/// What the registry lists of a worker that takes requests. Its address depends on the player; `started` is the Unix time of
-/// its process's start, none for a worker that started long ago.
+/// The registry's entry for a worker that accepts requests. The address is set by whoever runs the scenario; `started`
+/// is the Unix time at which its process started, `None` for a worker that started long ago.
 #[must_use]
 pub fn worker_entry(number: usize, started: Option<f64>) -> EndpointEntry {
     EndpointEntry {
@@ -95,7 +95,7 @@
 }
 
 impl ScenarioRun {
-    /// Waits until a fault is due, and injects it; returns when it has ended.
+    /// Waits until a fault is due and injects it; returns when the fault has ended.
     async fn inject(self: Rc<Self>, first_request: f64, fault: ScheduledFault) {
         sleep(first_request + fault.at - self.context.now()).await;
         tracing::info!(fault = fault.name, "fault begins");
@@ -131,7 +131,7 @@
             | FaultKind::LinkDelay
             | FaultKind::LinkDuplication
             | FaultKind::LinkCorruption => self.inject_link_fault(&fault).await,
-            // In the plan of the clients' requests.
+            // Applied by the plan of the clients' requests.
             FaultKind::TrafficBurst
             | FaultKind::OneTimeFunctions
             | FaultKind::HotFunctions
--- a/crates/emulator/src/scenario/client_thread.rs
+++ b/crates/emulator/src/scenario/client_thread.rs
@@ -1,4 +1,4 @@
-//! The clients in a thread of their own, so that a busy worker does not delay them.
+//! Runs the clients on a separate thread, so that a busy worker does not delay them.
 
 use super::{RunError, RunOptions};
 use crate::clients::{self, ClientOptions, LoadBalancer};
@@ -12,11 +12,11 @@
 use std::time::Instant;
 use tokio::task::LocalSet;
 
-/// The thread; it gives the history as the clients saw it.
+/// The clients' thread; it returns the history as the clients observed it.
 pub(super) struct ClientThread(JoinHandle<io::Result<Vec<HistoryRecord>>>);
 
 impl ClientThread {
-    /// Starts it; the clients' first moment is now, and their clock is at 0 at `started`.
+    /// Starts the thread. Planned times count from now; the clients' clock reads 0 at `started`.
     pub(super) fn start(
         scenario: &Scenario,
         options: &RunOptions<'_>,
@@ -36,7 +36,7 @@
         self.0.is_finished()
     }
 
-    /// Waits for the end.
+    /// Waits for the thread to end, and returns its history.
     pub(super) fn join(self) -> Result<Vec<HistoryRecord>, RunError> {
         Ok(self.0.join().map_err(|_| RunError::ClientsPanicked)??)
     }
--- a/crates/emulator/src/scenario/fault_schedule.rs
+++ b/crates/emulator/src/scenario/fault_schedule.rs
@@ -1,53 +1,53 @@
-//! The steps of the faults on workers and on the store, with their times. Both players of a scenario carry them out: the one
-//! on sockets ([`play`](super::play)) and the simulator, each in its own way.
+//! Timed steps of the faults on workers and on the store. Both ways to run a scenario, on sockets
+//! ([`play`](super::play)) and in the simulator, carry out the same steps.
 //!
-//! When a fault begins, a player picks what it affects with [`pick`] and asks [`worker_steps`] for its steps. The player on
-//! sockets sleeps until each; the simulator carries out those of the present moment at once and puts the others into its queue
-//! of events. The steps are in order of time.
+//! When a fault begins, the runner chooses its targets with [`pick`] and gets its steps from [`worker_steps`], in order
+//! of time. The run on sockets sleeps until each step is due; the simulator carries out the steps that are due
+//! immediately and puts the others into its event queue.
 
 use crate::scenario_file::{FaultKind, RuleSettings, ScheduledFault};
 use milletpath_protocol::registry::EndpointStatus;
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-/// Seconds between a worker's own draining and the end of its process.
+/// Seconds between the end of a worker's admission and the end of its process.
 const STOP_DELAY: f64 = 0.5;
 
 /// What a step does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultStep {
-    /// These workers' processes end at once.
+    /// The processes of these workers end immediately.
     Kill(Vec<usize>),
-    /// The registry lists these workers so from now on.
+    /// The registry lists these workers with this status.
     SetStatus(Vec<usize>, EndpointStatus),
-    /// This worker rejects new jobs from now on.
+    /// This worker rejects new jobs.
     StopAdmission(usize),
-    /// New processes take these workers' places; a process that still runs is killed.
+    /// New processes replace these workers; a process that is still running is killed.
     Replace(Vec<usize>),
-    /// These workers fail this fraction of their requests from now on.
+    /// These workers fail this fraction of their requests.
     FailRequests(Vec<usize>, f64),
-    /// Nothing is wrong any more with how these workers respond.
+    /// These workers respond normally again.
     ClearResponseFaults(Vec<usize>),
-    /// These workers take so many times longer from now on.
+    /// Work at these workers takes longer by this factor.
     SetSlowness(Vec<usize>, f64),
-    /// Fetches from the store take so many times longer from now on.
+    /// Fetches from the store take longer by this factor.
     SetStoreSlowness(f64),
-    /// Whether the store rejects all fetches from now on.
+    /// The store rejects all fetches, or accepts them again.
     SetStoreRejecting(bool),
-    /// The store has an outage of so many seconds.
+    /// The store has an outage of this many seconds.
     BeginStoreOutage(f64),
 }
 
-/// A step at its time.
+/// A step and the time at which it is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedStep {
-    /// When, by the clock of `began`.
+    /// When it is due, on the same clock as the argument `began` of [`worker_steps`].
     pub at: f64,
-    /// What.
+    /// The step.
     pub step: FaultStep,
 }
 
-/// Some of `count` things by number, in random order: a fraction of them, one at least.
+/// Chooses a fraction of `count` numbered items, at least one, in random order.
 #[must_use]
 pub fn pick(rng: &mut impl Rng, count: usize, fraction: f64) -> Vec<usize> {
     let mut numbers: Vec<_> = (0..count).collect();
@@ -56,7 +56,7 @@
     numbers
 }
 
-/// Whether a fault affects workers by number, so that [`worker_steps`] needs a [`pick`] of them.
+/// Whether a fault affects individual workers, so that [`worker_steps`] needs a [`pick`] of them.
 #[must_use]
 pub fn affects_workers(kind: FaultKind) -> bool {
     matches!(
@@ -69,7 +69,7 @@
     )
 }
 
-/// The steps of a fault that begins now, at `began`; none for faults that both players don't have.
+/// The steps of a fault that begins at `began`; none for faults that the simulator does not share.
 #[must_use]
 pub fn worker_steps(
     fault: &ScheduledFault,
@@ -111,7 +111,7 @@
     vec![TimedStep { at: began, step: begin }, TimedStep { at: began + fault.duration, step: end }]
 }
 
-/// Processes end; the registry notices it later, and new processes start when the fault ends.
+/// Processes end immediately, the registry notices it after a delay, and new processes start when the fault ends.
 fn crash(fault: &ScheduledFault, began: f64, workers: Vec<usize>, rules: &RuleSettings) -> Vec<TimedStep> {
     let detected = began + rules.notification_delay.min(fault.duration);
     vec![
@@ -121,7 +121,8 @@
     ]
 }
 
-/// One worker after the other is listed as draining, rejects new jobs once all gateways know, and is replaced.
+/// One worker after the other is listed as draining, rejects new jobs once all gateways have been notified, and is
+/// replaced.
 fn rolling_replacement(
     fault: &ScheduledFault,
     began: f64,
--- a/crates/emulator/src/scenario/fleet.rs
+++ b/crates/emulator/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts the fleet of a scenario and holds it.
+//! Starts and owns the fleet of a scenario.
 
 use super::gateway::{Gateway, Launcher};
 use super::late_joiners::LateJoiners;
@@ -21,17 +21,17 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Instant;
 
-/// Distinguishes the choice of what faults affect from other random numbers of the same seed.
+/// Makes the choice of fault targets differ from other random numbers of the same seed.
 const FAULT_SEED_MASK: u64 = 0x7011;
 
-/// Seconds by which the first workers are older than they need to be to be warm.
+/// Seconds by which the initial workers are older than they need to be to be warm.
 const WARM_MARGIN: f64 = 1.0;
 
 /// The group in which all workers of a scenario share their idempotency keys.
 pub(super) const KEY_GROUP: u32 = 0;
 
 impl ContextOptions {
-    /// The context of a scenario's workers.
+    /// The options for the context of a scenario.
     pub(super) fn of_scenario(scenario: &Scenario, seed: u64) -> Self {
         Self {
             seed,
@@ -43,19 +43,19 @@
     }
 }
 
-/// The fleet of a scenario that is being played.
+/// The fleet of a scenario that is running.
 pub(super) struct ScenarioRun {
     pub(super) scenario: Scenario,
     pub(super) context: Rc<EmulatorContext>,
     pub(super) registry: Rc<Registry>,
     pub(super) workers: RefCell<Vec<Rc<Worker>>>,
     pub(super) gateways: Vec<Gateway>,
-    /// The links between the gateways, where these are members of one cluster.
+    /// The links between the gateways; `None` unless the gateways form a cluster.
     pub(super) relay: Option<Relay>,
     pub(super) late_joiners: LateJoiners,
     pub(super) load_balancer: Arc<LoadBalancer>,
     pub(super) launcher: Launcher,
-    /// For the choice of what faults affect.
+    /// Used to choose the targets of faults.
     pub(super) rng: RefCell<ChaCha8Rng>,
 }
 
@@ -109,7 +109,7 @@
         self.gateways.iter().for_each(Gateway::kill);
     }
 
-    /// Takes what the workers, the registry and the links recorded.
+    /// Takes the history recorded by the workers, the registry and the links.
     pub(super) fn take_history(&self) -> Vec<HistoryRecord> {
         let mut history = self.context.take_history();
         history.extend(self.relay.iter().flat_map(Relay::take_history));
@@ -117,7 +117,7 @@
     }
 }
 
-/// Starts workers that are warm.
+/// Starts workers that are already warm.
 async fn start_workers(scenario: &Scenario, context: &Rc<EmulatorContext>) -> io::Result<Vec<Rc<Worker>>> {
     let mut workers = Vec::new();
     for number in 0..scenario.workers {
@@ -128,13 +128,13 @@
     Ok(workers)
 }
 
-/// What the registry lists of a worker; `started` is the Unix time of its start, if that is recent.
+/// A worker as the registry lists it; `started` is the Unix time of its start, if that is recent.
 pub(super) fn listed_worker(worker: &Worker, started: Option<f64>) -> ListedWorker {
     let entry = worker_entry(worker.number, started);
     ListedWorker { number: worker.number, entry, addresses: worker.addresses.clone() }
 }
 
-/// Starts the links, if the gateways are members of one cluster, and writes the key that they share.
+/// Starts the links and writes the cluster's shared key, if the gateways form a cluster.
 fn start_relay(scenario: &Scenario, options: &RunOptions<'_>, started: Instant) -> io::Result<Option<Relay>> {
     if !scenario.sharing {
         return Ok(None);
@@ -145,7 +145,7 @@
     Ok(Some(relay))
 }
 
-/// Starts the gateways of a fleet for the first time.
+/// Starts all gateways of a fleet at the beginning of a run.
 struct GatewayStarter<'f> {
     scenario: &'f Scenario,
     options: &'f RunOptions<'f>,
@@ -156,8 +156,8 @@
 }
 
 impl GatewayStarter<'_> {
-    /// Starts one after the other. Late joiners are killed once their address is known; no other gateway has received
-    /// anything from them by then.
+    /// Starts the gateways one after the other. Late joiners are killed once their address is known; by then, no other
+    /// gateway has received anything from them.
     async fn start_all(&self, late_joiners: &LateJoiners) -> Result<Vec<Gateway>, RunError> {
         let mut gateways = Vec::new();
         for number in 0..self.scenario.gateways {
@@ -173,8 +173,8 @@
         Ok(gateways)
     }
 
-    /// Starts a gateway on a free port, and writes that port into its configuration, so that it has the same one when it is
-    /// started again.
+    /// Starts a gateway on a free port, and writes that port into its configuration file, so that a restart uses the
+    /// same port.
     async fn start(&self, number: usize) -> Result<Gateway, RunError> {
         let config = GatewayConfigFile {
             scenario: self.scenario,
--- a/crates/emulator/src/scenario/gateway.rs
+++ b/crates/emulator/src/scenario/gateway.rs
@@ -1,4 +1,5 @@
-//! One gateway of a run: its configuration file, its process, and the input by which faults are injected into its cores.
+//! A gateway of a run: its configuration file, its process, and the input through which faults are injected into its
+//! cores.
 
 use crate::gateway_process::{GatewayProcess, StartError};
 use nix::sys::signal::{Signal, kill};
@@ -16,17 +17,17 @@
     /// Its log can't be opened.
     #[error("the log {} can't be opened: {source}", log.display())]
     Log {
-        /// The log.
+        /// The path of the log.
         log: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// Its process did not start.
     #[error("the gateway did not start: {source}; see {}", log.display())]
     Start {
-        /// Its log.
+        /// The path of its log.
         log: PathBuf,
-        /// Why.
+        /// The cause.
         source: StartError,
     },
     /// The thread that waited for its start panicked.
@@ -34,16 +35,16 @@
     Wait(#[from] tokio::task::JoinError),
 }
 
-/// Starts gateways' processes.
+/// Starts gateway processes.
 pub(super) struct Launcher {
-    /// The gateway's program.
+    /// The path of the gateway's executable.
     pub(super) program: PathBuf,
-    /// A fault that they are started with.
+    /// A fault with which every gateway is started.
     pub(super) injected_fault: Option<String>,
 }
 
 impl Launcher {
-    /// Starts a process; returns once it listens.
+    /// Starts a process; returns once it is listening.
     pub(super) async fn launch(&self, config: &Path) -> Result<GatewayProcess, LaunchError> {
         let log = config.with_extension("log");
         let file = OpenOptions::new().create(true).append(true).open(&log);
@@ -53,24 +54,25 @@
         if let Some(fault) = &self.injected_fault {
             command.arg("--plant").arg(fault);
         }
-        // On a thread of its own, because other gateways' workers and registry run on this one meanwhile.
+        // Runs on a separate thread, because the workers and the registry of other gateways use this one in the
+        // meantime.
         let started = tokio::task::spawn_blocking(|| GatewayProcess::start(command)).await?;
         started.map_err(|source| LaunchError::Start { log, source })
     }
 }
 
-/// A gateway, whether its process runs or not.
+/// A gateway, whether or not its process is running.
 pub(super) struct Gateway {
-    /// Its configuration file.
+    /// The path of its configuration file.
     pub(super) config: PathBuf,
-    /// Where clients reach it.
+    /// The address on which it listens for clients.
     pub(super) address: SocketAddr,
     process: RefCell<Option<GatewayProcess>>,
     fault_input: RefCell<Option<ChildStdin>>,
 }
 
 impl Gateway {
-    /// A gateway whose process was started for the first time.
+    /// Creates a gateway from its first process.
     pub(super) fn new(config: PathBuf, process: GatewayProcess) -> Self {
         let gateway = Self {
             config,
@@ -82,28 +84,28 @@
         gateway
     }
 
-    /// A new process runs from now on.
+    /// Sets a new process.
     pub(super) fn set_process(&self, mut process: GatewayProcess) {
         self.fault_input.replace(process.child.stdin.take());
         self.process.replace(Some(process));
     }
 
-    /// Whether a process runs.
+    /// Whether its process is running.
     pub(super) fn is_running(&self) -> bool {
         self.process.borrow().is_some()
     }
 
-    /// Where its process receives datagrams.
+    /// The address on which its process receives datagrams.
     pub(super) fn membership_address(&self) -> Option<SocketAddr> {
         self.process.borrow().as_ref().and_then(|process| process.membership_address)
     }
 
-    /// Kills its process, if one runs.
+    /// Kills its process, if it is running.
     pub(super) fn kill(&self) {
         self.process.take();
     }
 
-    /// Sends a signal to its process, if one runs.
+    /// Sends a signal to its process, if it is running.
     pub(super) fn signal(&self, signal: Signal) -> nix::Result<()> {
         let process = self.process.borrow();
         let Some(process) = process.as_ref() else { return Ok(()) };
@@ -114,7 +116,7 @@
     pub(super) fn inject(&self, core: usize, fault: &str) -> io::Result<()> {
         let mut input = self.fault_input.borrow_mut();
         let input = input.as_mut().ok_or(io::ErrorKind::NotConnected)?;
-        // A few bytes, which the pipe takes also if the process is paused.
+        // Does not block: the pipe has room for these few bytes even if the process is paused.
         input.write_all(format!("{core} {fault}\n").as_bytes())
     }
 }
--- a/crates/emulator/src/scenario/gateway_config.rs
+++ b/crates/emulator/src/scenario/gateway_config.rs
@@ -1,29 +1,29 @@
-//! The configuration file of a scenario's gateways.
+//! Generates the configuration files of a scenario's gateways.
 
 use crate::scenario_file::{Profile, Scenario};
 use milletpath_history_checker::{Idempotency, WindowLimit};
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
 
-/// The key file of the membership, beside the configuration files.
+/// The name of the file with the membership's shared key, beside the configuration files.
 pub const KEY_FILE: &str = "peers.key";
 
-/// One gateway in so many is a seed, by which others find the cluster; two at least.
+/// One in this many gateways, and at least `MIN_SEEDS`, is a seed through which others find the cluster.
 const GATEWAYS_PER_SEED: usize = 4;
 const MIN_SEEDS: usize = 2;
 
-/// A gateway's configuration. Its [`Display`] is the text of the file.
+/// A gateway's configuration. Its [`Display`] output is the text of the file.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayConfigFile<'s> {
     /// The scenario.
     pub scenario: &'s Scenario,
     /// The gateway's number.
     pub gateway: usize,
-    /// Where it listens for clients.
+    /// The address on which it listens for clients.
     pub listen: SocketAddr,
-    /// The registry that it follows.
+    /// The address of the registry to which it subscribes.
     pub registry: SocketAddr,
-    /// Where the others reach each gateway; none without membership.
+    /// The addresses at which gateways reach each other, by gateway; `None` without membership.
     pub links: Option<&'s [SocketAddr]>,
     /// The scenario's seed.
     pub seed: u64,
--- a/crates/emulator/src/scenario/gateway_faults.rs
+++ b/crates/emulator/src/scenario/gateway_faults.rs
@@ -1,4 +1,4 @@
-//! Faults on gateways' processes: they are paused, killed and started.
+//! Faults on gateway processes: pauses, crashes and late starts.
 
 use super::fleet::ScenarioRun;
 use super::gateway::LaunchError;
@@ -9,11 +9,11 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Between two pauses gateways run so many times as long as they are paused.
+/// The time for which gateways run between two pauses, as a multiple of the pause.
 const RUN_TO_PAUSE_RATIO: f64 = 2.0;
 
 impl ScenarioRun {
-    /// Pauses some gateways again and again.
+    /// Repeatedly pauses some gateways.
     pub(super) async fn pause_gateways(&self, fault: &ScheduledFault) {
         let affected = self.pick(self.gateways.len(), fault.fraction);
         let end = self.context.now() + fault.duration;
@@ -37,14 +37,14 @@
         }
     }
 
-    /// Kills some gateways, and starts them again when the fault ends.
+    /// Kills some gateways, and restarts them when the fault ends.
     pub(super) async fn crash_gateways(self: &Rc<Self>, fault: &ScheduledFault) {
         let affected = self.pick(self.gateways.len(), fault.fraction);
         for &gateway in &affected {
             self.context.record(HistoryEvent::GatewayKilled { gateway });
             self.gateways[gateway].kill();
         }
-        // The clients' load balancer goes on sending there until it notices.
+        // The clients' load balancer keeps sending to these gateways until it notices the crash.
         let notification_delay = self.scenario.rules.notification_delay.min(fault.duration);
         sleep(notification_delay).await;
         affected.iter().for_each(|gateway| self.load_balancer.set_alive(*gateway, false));
@@ -52,12 +52,12 @@
         self.start_gateways(affected).await;
     }
 
-    /// Starts the gateways that join in this fault.
+    /// Starts the gateways that join late in this fault.
     pub(super) async fn start_late_joiners(self: &Rc<Self>, fault: &ScheduledFault) {
         self.start_gateways(self.late_joiners.in_fault(&fault.name)).await;
     }
 
-    /// Starts several at the same time.
+    /// Starts several gateways concurrently.
     async fn start_gateways(self: &Rc<Self>, gateways: Vec<usize>) {
         let start = |gateway| {
             let run = self.clone();
--- a/crates/emulator/src/scenario/late_joiners.rs
+++ b/crates/emulator/src/scenario/late_joiners.rs
@@ -1,4 +1,4 @@
-//! Gateways that start in the course of the scenario.
+//! Gateways that start in the course of a scenario.
 
 use crate::scenario_file::{FaultKind, Scenario};
 use rand::SeedableRng;
@@ -6,14 +6,14 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Distinguishes the choice from other random numbers of the same seed.
+/// Makes the choice differ from other random numbers of the same seed.
 const SEED_MASK: u64 = 0x10_7a7e;
 
-/// Which gateways start late, by the name of the fault in which they do.
+/// The gateways that start late, by the name of the fault in which they start.
 pub(super) struct LateJoiners(BTreeMap<String, Vec<usize>>);
 
 impl LateJoiners {
-    /// Chooses them at random; one gateway at least is there from the beginning.
+    /// Chooses them at random; at least one gateway runs from the beginning.
     pub(super) fn choose(scenario: &Scenario, seed: u64) -> Self {
         let mut present: Vec<usize> = (0..scenario.gateways).collect();
         present.shuffle(&mut ChaCha8Rng::seed_from_u64(seed ^ SEED_MASK));
@@ -26,7 +26,7 @@
         Self(late)
     }
 
-    /// Those that start in a fault.
+    /// The gateways that start in a fault.
     pub(super) fn in_fault(&self, name: &str) -> Vec<usize> {
         self.0.get(name).cloned().unwrap_or_default()
     }
--- a/crates/emulator/src/scenario/late_joiners/tests.rs
+++ b/crates/emulator/src/scenario/late_joiners/tests.rs
@@ -2,7 +2,7 @@
 use crate::scenario_file::{ScheduledFault, open};
 use std::path::Path;
 
-/// Gateways that start late are chosen as they were when these values were taken.
+/// Guards against changes in what a seed means: the late joiners must be the recorded ones.
 #[test]
 fn late_joiners_are_as_recorded() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
--- a/crates/emulator/src/scenario/link_faults.rs
+++ b/crates/emulator/src/scenario/link_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the links between gateways.
+//! Faults on the links between gateways.
 
 use super::fleet::ScenarioRun;
 use super::sleep;
@@ -6,7 +6,7 @@
 use crate::scenario_file::{FaultKind, ScheduledFault};
 
 impl ScenarioRun {
-    /// Some links fail while a fault lasts; nothing happens without membership.
+    /// Injects a link fault for its duration; does nothing without membership.
     pub(super) async fn inject_link_fault(&self, fault: &ScheduledFault) {
         let Some(relay) = &self.relay else { return };
         let Some(link_fault) = self.link_fault(relay, fault) else { return };
--- a/crates/emulator/src/scenario/options.rs
+++ b/crates/emulator/src/scenario/options.rs
@@ -1,26 +1,26 @@
-//! How a scenario is played, and why it could not be.
+//! Options and errors of a scenario run.
 
 use super::gateway::LaunchError;
 use std::path::Path;
 
-/// How a scenario is played.
+/// Options of a scenario run.
 pub struct RunOptions<'o> {
-    /// The gateway's program.
+    /// The path of the gateway's executable.
     pub program: &'o Path,
-    /// A folder for configuration files and logs.
+    /// The folder for configuration files and logs.
     pub folder: &'o Path,
-    /// The seed of all random numbers.
+    /// Seed for all random numbers.
     pub seed: u64,
-    /// Seconds by which emulated parts may be late; more on a busy machine.
+    /// Seconds by which emulated components may be late; set it higher on a busy machine.
     pub tolerance: f64,
-    /// A fault that all gateways are started with.
+    /// A fault with which all gateways are started.
     pub injected_fault: Option<&'o str>,
 }
 
-/// Why a scenario could not be played.
+/// Why a scenario could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A socket, thread or file failed.
+    /// An operation on a socket, thread or file failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// A gateway did not start.
--- a/crates/emulator/src/scenario/registry_faults.rs
+++ b/crates/emulator/src/scenario/registry_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the registry.
+//! Faults in the registry.
 
 use super::fleet::ScenarioRun;
 use super::sleep;
@@ -6,7 +6,7 @@
 use crate::scenario_file::{FaultKind, ScheduledFault};
 
 impl ScenarioRun {
-    /// The registry sends late, wrongly or not at all while a fault lasts.
+    /// Injects a registry fault for its duration: updates are delayed, withheld, lost, duplicated or emptied.
     pub(super) async fn inject_registry_fault(&self, fault: &ScheduledFault) {
         if fault.kind == FaultKind::RegistryEmptied {
             self.registry.set_emptied(true);
--- a/crates/emulator/src/scenario/report.rs
+++ b/crates/emulator/src/scenario/report.rs
@@ -1,4 +1,4 @@
-//! What a run of a scenario gave.
+//! The results of a scenario run.
 
 use super::RunOptions;
 use super::{rule_parameters, service_weights, shared_budget_bounds};
@@ -9,25 +9,25 @@
 };
 use std::collections::BTreeMap;
 
-/// What a run of a scenario gave.
+/// The results of a scenario run.
 pub struct ScenarioReport {
-    /// All that was recorded, in order of time.
+    /// The recorded history, in order of time.
     pub records: Vec<HistoryRecord>,
-    /// Where rules were broken.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// The service of all calls.
+    /// Service counts of all calls.
     pub counts: ServiceCounts,
-    /// The service of the calls under each fault, by its number.
+    /// Service counts of the calls under each fault, by the fault's number.
     pub by_fault: BTreeMap<usize, ServiceCounts>,
-    /// Fetches from the store.
+    /// The number of fetches from the store.
     pub fetches: u64,
-    /// Fetches that the store rejected.
+    /// The number of fetches that the store rejected.
     pub rejected_fetches: u64,
-    /// The fraction of the completed requests that found an instance loaded.
+    /// The fraction of the completed requests that found a loaded instance.
     pub warm_fraction: f64,
-    /// The bounds on shared budgets by name; empty without membership.
+    /// The checked bounds on shared budgets, by name; empty without membership.
     pub bounds: BTreeMap<&'static str, BoundReport>,
-    /// How the membership did; none without membership.
+    /// Observations of the membership protocol; `None` without membership.
     pub membership: Option<MembershipObservations>,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether no rule and no bound was broken.
+    /// Whether no rule and no bound was violated.
     #[must_use]
     pub fn rules_kept(&self) -> bool {
         self.violations.is_empty() && self.bounds.values().all(|bound| bound.violations == 0)
--- a/crates/emulator/src/scenario/rules.rs
+++ b/crates/emulator/src/scenario/rules.rs
@@ -1,9 +1,9 @@
-//! What a scenario's history is checked against, and how its service is counted.
+//! Parameters for checking a scenario's history and for counting its service.
 
 use crate::scenario_file::Scenario;
 use milletpath_history_checker::{RuleParameters, ServiceWeights, SharedBudgetBounds};
 
-/// The parameters of the rules, where emulated parts may be late by so many seconds.
+/// The parameters of the rules; `tolerance` is the number of seconds by which emulated components may be late.
 #[must_use]
 pub fn rule_parameters(scenario: &Scenario, tolerance: f64) -> RuleParameters {
     let Scenario { rules, worker_spec: worker, .. } = scenario;
@@ -13,13 +13,13 @@
         warm_up: worker.warm_up,
         overload_multiple: worker.overload_multiple,
         overload_window: worker.overload_window,
-        // With membership, this limit is the fleet's and among the bounds.
+        // With membership, this limit applies to the whole fleet and is one of the shared budget bounds.
         load_rate_limit: rules.load_rate_limit.filter(|_| !scenario.sharing),
         tolerance,
     }
 }
 
-/// What calls count for service.
+/// The weights of calls in the service counts.
 #[must_use]
 pub fn service_weights(scenario: &Scenario) -> ServiceWeights {
     ServiceWeights {
--- a/crates/emulator/src/scenario/worker_faults.rs
+++ b/crates/emulator/src/scenario/worker_faults.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The processes that a fault affects, by worker: those that ran when it began.
+/// The worker processes that a fault affects, by the worker's number: those that were running when it began.
 struct AffectedWorkers(BTreeMap<usize, Rc<Worker>>);
 
 impl AffectedWorkers {
@@ -30,7 +30,7 @@
 }
 
 impl ScenarioRun {
-    /// Some of `count` things by number.
+    /// Chooses a fraction of `count` numbered items, at least one.
     pub(super) fn pick(&self, count: usize, fraction: f64) -> Vec<usize> {
         pick(&mut *self.rng.borrow_mut(), count, fraction)
     }
@@ -40,7 +40,7 @@
         self.pick(workers.len(), fraction).into_iter().map(|number| workers[number].clone()).collect()
     }
 
-    /// Carries out a fault that the simulator has too, step by step.
+    /// Carries out the steps of a fault that the simulator shares.
     pub(super) async fn run_steps(&self, fault: &ScheduledFault) {
         let picked = if affects_workers(fault.kind) { self.pick_workers(fault.fraction) } else { Vec::new() };
         let numbers: Vec<_> = picked.iter().map(|worker| worker.number).collect();
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A new process takes a worker's place: it warms up, has no instances, and is at another address.
+    /// Replaces a worker by a new process, which warms up, has no instances, and listens on another address.
     async fn replace_worker(&self, number: usize) {
         if let Err(error) = self.start_replacement(number).await {
             tracing::error!(worker = number, %error, "a worker's replacement can't be started");
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// New versions of some functions are released.
+    /// Releases new versions of some functions.
     pub(super) fn release_functions(&self, fault: &ScheduledFault) {
         let functions = self.pick(self.context.function_count(), fault.fraction);
         for worker in self.workers.borrow().iter() {
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Some workers respond wrongly, or not at all, while a fault lasts.
+    /// Makes some workers respond wrongly, or not at all, for the duration of a fault.
     pub(super) async fn inject_response_fault(&self, fault: &ScheduledFault) {
-        // A group is drawn before the workers: the meaning of a seed depends on the order.
+        // The group is drawn before the workers: another order would change what a seed means.
         let false_rejection = (fault.kind == FaultKind::FalseRejections).then(|| FalseRejection {
             group: self.rng.borrow_mut().random_range(0..self.scenario.groups.len()),
             fraction: fault.magnitude,
@@ -127,7 +127,7 @@
     }
 }
 
-/// A worker's faults with one more.
+/// Adds a response fault to a worker's present faults.
 fn with_response_fault(
     present: WorkerFault,
     fault: &ScheduledFault,
@@ -148,7 +148,7 @@
     }
 }
 
-/// The Unix time that a process which starts now states as that of its start, by the wall clock of its machine.
+/// The Unix time that a process started now reports as its start, on the wall clock of its machine.
 #[expect(clippy::disallowed_methods, reason = "plays a worker, whose timestamp is made by a wall clock")]
 fn unix_time_of_start() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -1,5 +1,5 @@
-//! Reads scenario files. They are in HCL, and read like a gateway's configuration, so that errors are reported the same way.
-//! A file may build on another (`extends`), whose values hold where it gives none.
+//! Reads scenario files. They are written in HCL and read like a gateway's configuration, so that errors are reported
+//! in the same way. A file may extend another one (`extends`), whose values apply where it gives none.
 
 mod blocks;
 mod faults;
@@ -13,43 +13,43 @@
 use milletpath_config::document::{ConfigError, Document, Section, attribute};
 use std::path::{Path, PathBuf};
 
-/// Files that build on each other, at most; more are taken for a circle.
+/// The maximum length of a chain of files that extend each other; a longer one counts as a cycle.
 const MAX_LAYERS: usize = 8;
 
-/// One thing that is wrong with a scenario file.
+/// An error in a scenario file.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioFileError {
-    /// The file, or one that it builds on, can't be read.
+    /// The file, or one that it extends, can't be read.
     #[error("{}: can't be read: {source}; name a day's file", file.display())]
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The file builds on itself, by way of others.
+    /// The file extends itself, possibly through others.
     #[error("{}: builds on itself; write a day that ends at one without {key}", file.display())]
     Cycle {
-        /// The file that is one too many.
+        /// The file that exceeds the maximum length of the chain.
         file: PathBuf,
-        /// The key that names the next one, as the first file has it.
+        /// The key that names the extended file, as spelled in the first file.
         key: String,
     },
-    /// Something in the file is invalid.
+    /// The content of the file is invalid.
     #[error("{}:{error}", file.display())]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// What and where, with the remedy.
+        /// The problem, its position and a remedy.
         error: ConfigError,
     },
 }
 
-/// Everything that is wrong with a scenario file, in its order. Its text has a line for each error.
+/// All errors in a scenario file, in the order of the file. Displayed with one line per error.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct InvalidScenario {
-    /// The errors; one at least.
+    /// The errors; at least one.
     pub errors: Vec<ScenarioFileError>,
 }
 
@@ -59,21 +59,21 @@
     }
 }
 
-/// A file's text, and its syntax tree.
+/// The text of a file, and its syntax tree.
 struct Layer {
     text: String,
     body: Body,
 }
 
-/// Reads a scenario's file and those that it builds on.
+/// Reads a scenario file and those that it extends.
 ///
 /// # Errors
-/// Everything that is wrong with the file, in its order, or what is wrong with the files that it builds on.
+/// All errors in the file, in its order, or the errors in a file that it extends.
 pub fn open(file: &Path) -> Result<Scenario, InvalidScenario> {
     open_layer(file, 0)
 }
 
-/// Reads a file on which `above` others build.
+/// Reads a file that a chain of `depth` others extends.
 fn open_layer(file: &Path, depth: usize) -> Result<Scenario, InvalidScenario> {
     let layers = read_layers(file, depth)?;
     let name = file.file_stem().map_or("day".into(), |name| name.to_string_lossy().into_owned());
@@ -84,7 +84,7 @@
     if errors.is_empty() { Ok(scenario) } else { Err(invalid(file, errors)) }
 }
 
-/// The file, then those that it builds on, down to one that builds on none.
+/// Reads the file and the chain of files that it extends.
 fn read_layers(file: &Path, depth: usize) -> Result<Vec<Layer>, InvalidScenario> {
     let mut layers = vec![read_layer(file)?];
     let mut file = file.to_owned();
@@ -96,7 +96,7 @@
         }
         file = file.parent().unwrap_or(Path::new("")).join(base);
         if layers.len() == 1 {
-            // It must be valid by itself, so that errors reported below are all in the first file.
+            // The extended file must be valid by itself, so that all errors reported below are in the first file.
             open_layer(&file, depth + 1)?;
         }
         layers.push(read_layer(&file)?);
@@ -119,7 +119,7 @@
     })
 }
 
-/// The file that a file builds on.
+/// The file that a file extends.
 fn base_file(body: &Body) -> Option<String> {
     attribute(body, "extends").and_then(|attribute| attribute.value.as_str()).map(str::to_owned)
 }
--- a/crates/emulator/src/scenario_file/blocks.rs
+++ b/crates/emulator/src/scenario_file/blocks.rs
@@ -1,4 +1,4 @@
-//! The blocks of a scenario file, with their bounds and defaults; a function for each block.
+//! The blocks of a scenario file, with their bounds and defaults; one function per block.
 
 use super::faults::{FAULT_KEYWORDS, ScheduledFault, keyword_of};
 use super::model::{Group, Profile, RuleSettings, Scenario, Traffic};
@@ -7,7 +7,7 @@
 use milletpath_config::document::Section;
 use milletpath_history_checker::{Idempotency, WindowLimit};
 
-/// The longest span, in seconds: a day.
+/// The maximum duration in seconds: one day.
 const MAX_SECONDS: f64 = 86_400.0;
 const MIN_SECONDS: f64 = 0.001;
 const MAX_COUNT: u32 = 1_000_000;
@@ -16,7 +16,7 @@
 const MAX_CLIENT_RETRIES: u32 = 10;
 const MAX_SEED: f64 = 9e15;
 
-/// A block that a file may leave out, so that all its values are the defaults.
+/// A block that a file may omit, in which case all its values are the defaults.
 #[derive(Clone, Copy)]
 struct OptionalBlock<'a, 'p>(Option<&'a Section<'p>>);
 
@@ -42,9 +42,9 @@
     }
 }
 
-/// A scenario from the top level of its file.
+/// Reads a scenario from the top level of its file.
 pub(super) fn scenario(name: &str, top: &Section<'_>) -> Scenario {
-    // Known here; it was read when the layers were.
+    // Marks `extends` as a known key; it was evaluated when the layers were read.
     let _ = top.text("extends");
     let fleet = top.block("fleet");
     let fleet = OptionalBlock(fleet.as_ref());
@@ -174,7 +174,7 @@
         ("idempotent_with_key", Idempotency::IdempotentWithKey),
         ("non_idempotent", Idempotency::NonIdempotent),
     ];
-    /// The deadline where none is given, as a multiple of the latency objective.
+    /// The default deadline, as a multiple of the latency objective.
     const DEADLINE_MULTIPLE: f64 = 3.0;
     let seconds = |key| section.number(key, "seconds", MIN_SECONDS..=MAX_SECONDS);
     let latency_objective = seconds("latency_objective").unwrap_or(1.0);
@@ -207,7 +207,7 @@
     top.blocks("fault", true).iter().filter_map(|section| fault(section, block_name)).collect()
 }
 
-/// A fault from its block; `block_name` is what the file calls such blocks.
+/// Reads a fault from its block; `block_name` is the name that the file uses for such blocks.
 fn fault(section: &Section<'_>, block_name: &str) -> Option<ScheduledFault> {
     let Some(keyword) = keyword_of(&section.label) else {
         let known: Vec<_> = FAULT_KEYWORDS.iter().map(|known| known.keyword).collect();
--- a/crates/emulator/src/scenario_file/faults.rs
+++ b/crates/emulator/src/scenario_file/faults.rs
@@ -1,56 +1,56 @@
-//! Faults as a scenario schedules them, and the words for them in scenario files.
+//! The faults that a scenario schedules, and their keywords in scenario files.
 
-/// A fault at its time.
+/// A fault with its schedule.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
-    /// Its label in the scenario.
+    /// Its label in the scenario file.
     pub name: String,
-    /// What happens.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Seconds after the scenario's first moment at which it begins.
+    /// When it begins, in seconds after the start of the scenario.
     pub at: f64,
-    /// Seconds until it ends.
+    /// Its duration in seconds.
     pub duration: f64,
     /// The fraction of the workers, functions, clients, gateways or links that it affects.
     pub fraction: f64,
-    /// How severe it is; the unit depends on the kind.
+    /// The severity; its unit depends on the kind.
     pub magnitude: f64,
 }
 
 impl ScheduledFault {
-    /// Whether it is in force at that second of the scenario.
+    /// Whether it is active at this time, in seconds after the start of the scenario.
     #[must_use]
     pub fn is_active(&self, at: f64) -> bool {
         (self.at..self.at + self.duration).contains(&at)
     }
 }
 
-/// What happens in a fault.
+/// The kinds of faults. `magnitude` refers to [`ScheduledFault::magnitude`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Workers' processes end at once; new ones follow, which warm up at another address.
+    /// Worker processes end immediately; new ones replace them, which warm up and listen on other addresses.
     WorkerCrash,
     /// Workers are drained, stopped and replaced one after the other.
     RollingReplacement,
     /// Workers are listed as draining, and as ready afterwards.
     Drain,
-    /// Workers quickly fail a fraction (magnitude) of their requests.
+    /// Workers immediately fail a fraction (magnitude) of their requests.
     RequestFailures,
-    /// Workers take requests and respond to none.
+    /// Workers accept requests and respond to none.
     Unresponsiveness,
     /// A fraction (magnitude) of the responses is lost after the work is done.
     LostResponses,
     /// Workers are slower by a factor (magnitude).
     Slowness,
-    /// Workers reject one client group, though they have room.
+    /// Workers reject requests of one client group, although they have free capacity.
     FalseRejections,
-    /// New versions of functions are released: their instances take no more requests.
+    /// New versions of functions are released: the existing instances take no more requests.
     FunctionRelease,
-    /// There are more requests by a factor (magnitude).
+    /// The request rate is higher by a factor (magnitude).
     TrafficBurst,
-    /// A fraction of the requests is for functions that are requested once.
+    /// A fraction of the requests is for functions that are requested only once.
     OneTimeFunctions,
-    /// A fraction of the requests is for a few functions (magnitude) not seen before.
+    /// A fraction of the requests is for a few new functions (magnitude).
     HotFunctions,
     /// A fraction of the requests takes more work by a factor (magnitude).
     HeavyRequests,
@@ -62,53 +62,53 @@
     StoreRejections,
     /// The store has an outage.
     StoreOutage,
-    /// A fraction (magnitude) of the responses is cut in half.
+    /// A fraction (magnitude) of the responses is truncated to half its length.
     TruncatedResponses,
-    /// A fraction (magnitude) of the responses is garbage.
+    /// A fraction (magnitude) of the responses is replaced by garbage.
     GarbageResponses,
     /// A fraction (magnitude) of the responses ends with a reset of the connection.
     ConnectionResets,
-    /// Gateways' processes are paused for some seconds (magnitude), again and again.
+    /// Gateway processes are repeatedly paused for some seconds (magnitude).
     GatewayPause,
-    /// Gateways' processes are killed and started again.
+    /// Gateway processes are killed and restarted.
     GatewayCrash,
-    /// A core of each gateway is paused for some seconds (magnitude), again and again.
+    /// A core of each gateway is repeatedly paused for some seconds (magnitude).
     CorePause,
     /// A core of each gateway panics.
     CorePanic,
-    /// The decisions of each gateway panic.
+    /// The dispatcher of a core of each gateway panics.
     DispatcherPanic,
-    /// Updates of the endpoint list are late by some seconds (magnitude).
+    /// Updates of the endpoint list are delayed by some seconds (magnitude).
     RegistryDelay,
-    /// No update of the endpoint list is sent; they follow afterwards.
+    /// Updates of the endpoint list are withheld until the fault ends.
     RegistryStall,
     /// Every other revision of the endpoint list is lost.
     RegistryLoss,
     /// Every update of the endpoint list is sent twice.
     RegistryDuplication,
-    /// The endpoint list is shown without endpoints.
+    /// The endpoint list appears empty.
     RegistryEmptied,
     /// A fraction (magnitude) of the datagrams between gateways is lost, on a fraction of the links.
     LinkLoss,
-    /// Some gateways are cut off from the others, in both directions.
+    /// Some gateways are partitioned from the others, in both directions.
     LinkPartition,
-    /// Some gateways receive no datagrams, and send them as ever.
+    /// Some gateways receive no datagrams, but still send them.
     LinkInboundLoss,
-    /// Datagrams are late by some seconds (magnitude) on average, and overtake each other.
+    /// Datagrams are delayed by some seconds (magnitude) on average, and may be reordered.
     LinkDelay,
     /// A fraction (magnitude) of the datagrams is sent again later.
     LinkDuplication,
-    /// A fraction (magnitude) of the datagrams is garbage: truncated, changed, forged, too long, or sent long ago.
+    /// A fraction (magnitude) of the datagrams is replaced: truncated, changed, random, forged, too long, or replayed.
     LinkCorruption,
-    /// Some gateways start only now.
+    /// Some gateways start only when this fault begins.
     LateGatewayStart,
 }
 
-/// A kind by its word in scenario files, with its defaults.
+/// A keyword in scenario files, with the kind of fault that it names and its defaults.
 pub(super) struct FaultKeyword {
-    /// The word.
+    /// The keyword.
     pub(super) keyword: &'static str,
-    /// What it means.
+    /// The kind of fault that it names.
     pub(super) kind: FaultKind,
     /// The default of [`ScheduledFault::fraction`].
     pub(super) fraction: f64,
@@ -120,7 +120,7 @@
     FaultKeyword { keyword, kind, fraction, magnitude }
 }
 
-/// All words, in the order in which messages list them.
+/// All keywords, in the order in which error messages list them.
 pub(super) const FAULT_KEYWORDS: [FaultKeyword; 37] = [
     keyword("death", FaultKind::WorkerCrash, 0.2, 1.0),
     keyword("rolling", FaultKind::RollingReplacement, 0.5, 1.0),
@@ -161,7 +161,7 @@
     keyword("gateway-join", FaultKind::LateGatewayStart, 0.3, 1.0),
 ];
 
-/// The word that a label begins with: `death` is one, and `death-at-night` is another fault of the same kind.
+/// The keyword with which a label begins: `death` is one, and `death-at-night` is another fault of the same kind.
 pub(super) fn keyword_of(label: &str) -> Option<&'static FaultKeyword> {
     let names = |fault: &&FaultKeyword| {
         let rest = label.strip_prefix(fault.keyword);
--- a/crates/emulator/src/scenario_file/model.rs
+++ b/crates/emulator/src/scenario_file/model.rs
@@ -8,58 +8,59 @@
 /// A fleet, its traffic, its rules, and the faults that are injected.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its file's name without the ending.
+    /// The name of its file without the extension.
     pub name: String,
-    /// The seed of all random numbers.
+    /// Seed for all random numbers.
     pub seed: u64,
-    /// Seconds for which there are requests.
+    /// Seconds for which clients send requests.
     pub seconds: f64,
-    /// Gateways of the fleet.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Cores of each gateway; none for as many as the machine has.
+    /// The number of cores of each gateway; `None` for all cores of the machine.
     pub cores: Option<usize>,
-    /// Whether the gateways are members of one cluster, over links on which faults can be injected, and share their budgets.
+    /// Whether the gateways form a cluster and share their budgets; link faults apply only then.
     pub sharing: bool,
-    /// The busiest gateway gets so many times the mean of the clients' attempts.
+    /// The share of the clients' attempts that the busiest gateway gets, as a multiple of the mean.
     pub uneven: f64,
-    /// Workers of the fleet.
+    /// The number of workers.
     pub workers: usize,
-    /// Each worker.
+    /// The resources and behaviour of each worker.
     pub worker_spec: WorkerSpec,
-    /// The store that they load from.
+    /// The store from which they load functions.
     pub store_spec: StoreSpec,
-    /// Functions that the usual traffic is for.
+    /// The number of functions in the regular traffic.
     pub functions: usize,
-    /// The exponent of Zipf's law for the popularity of these.
+    /// The Zipf exponent of the functions' popularity.
     pub zipf: f64,
-    /// Each function.
+    /// The resource needs of each function.
     pub function_model: FunctionModel,
-    /// The clients' requests.
+    /// Parameters of the clients' requests.
     pub traffic: Traffic,
-    /// What requests are like.
+    /// The request profiles.
     pub profiles: Vec<Profile>,
-    /// Who sends them.
+    /// The client groups.
     pub groups: Vec<Group>,
-    /// What is checked and how service is counted.
+    /// Settings of the checked rules and of the service counts.
     pub rules: RuleSettings,
     /// The faults, in the order of the file.
     pub faults: Vec<ScheduledFault>,
 }
 
-/// The clients' requests.
+/// Parameters of the clients' requests.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
     /// Mean seconds of work on a core of speed 1.
     pub work: f64,
-    /// Seconds of waiting on others after the work.
+    /// Seconds of waiting for I/O after the work.
     pub io: f64,
-    /// Bytes of a request's body.
+    /// The size of a request's body in bytes.
     pub body: usize,
-    /// The shortest timeout of an attempt, as a fraction of the profile's deadline; timeouts are spread evenly from there.
+    /// The shortest timeout of an attempt, as a fraction of the profile's deadline; timeouts are uniformly distributed
+    /// between it and the deadline.
     pub shortest_timeout: f64,
-    /// Retries by the client.
+    /// The maximum number of retries by the client.
     pub retries: u32,
     /// Seconds before each retry.
     pub backoff: f64,
@@ -67,7 +68,7 @@
     pub abandonment: f64,
 }
 
-/// What a kind of request is like.
+/// The properties of one kind of request.
 #[derive(Clone, Debug)]
 pub struct Profile {
     /// Its name in the gateways' configuration.
@@ -76,11 +77,11 @@
     pub share: f64,
     /// Seconds within which a response is on time.
     pub latency_objective: f64,
-    /// Seconds after which a response is of no use.
+    /// Seconds after which a response is useless.
     pub deadline: f64,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotency: Idempotency,
-    /// What a response on time counts.
+    /// The weight of a response on time.
     pub importance: f64,
 }
 
@@ -91,29 +92,29 @@
     pub name: String,
     /// Its share of the calls, relative to the others.
     pub share: f64,
-    /// Calls a second that it is entitled to.
+    /// Calls per second to which it is entitled.
     pub quota: Option<f64>,
-    /// Calls a second that it may have sent to workers at all, over all gateways.
+    /// The maximum number of its calls per second that are sent to workers, summed over all gateways.
     pub ceiling: Option<f64>,
 }
 
-/// What the rules and the count of service go by.
+/// Settings of the checked rules and of the service counts.
 #[derive(Clone, Debug)]
 pub struct RuleSettings {
-    /// Seconds that a draining worker still takes requests.
+    /// Seconds for which a draining worker still accepts requests.
     pub drain_grace: f64,
-    /// Load requests to one worker, over all gateways.
+    /// The limit on load requests to one worker, summed over all gateways.
     pub load_rate_limit: Option<WindowLimit>,
-    /// The gateways' retries, over all gateways.
+    /// The limit on the gateways' retries, summed over all gateways.
     pub retries: Option<WindowLimit>,
-    /// Attempts in flight at one worker, over all gateways.
+    /// The limit on attempts in flight at one worker, summed over all gateways.
     pub in_flight: Option<f64>,
-    /// Seconds for which an idempotency key is known.
+    /// Seconds for which an idempotency key is remembered.
     pub idempotency_window: f64,
-    /// What a late response counts, relative to one on time.
+    /// The weight of a late response, relative to one on time.
     pub late_weight: f64,
-    /// What calls beyond a quota count, relative to those within it.
+    /// The weight of calls beyond a quota, relative to those within it.
     pub over_quota_weight: f64,
-    /// Seconds until the registry and the clients notice that a process is gone.
+    /// Seconds until the registry and the clients' load balancer notice that a process has ended.
     pub notification_delay: f64,
 }
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -1,44 +1,45 @@
-//! The store that all workers load functions from, as a model without I/O: it slows down when crowded, rejects fetches
-//! past a limit, and has an outage when it is overloaded.
+//! A model, without I/O, of the store from which all workers load functions: it slows down under concurrent fetches,
+//! rejects fetches above a limit, and has an outage when it is overloaded.
 
 use std::collections::VecDeque;
 
-/// Seconds for which the rate of fetches must stay above the limit to overload the store.
+/// The window in seconds over which the rate of fetches is averaged to detect an overload.
 const OVERLOAD_WINDOW: f64 = 3.0;
 
-/// What the store can do.
+/// The capacity of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSpec {
-    /// Fetches that it serves at the same time without slowing down.
+    /// The number of concurrent fetches that it serves without slowing down.
     pub unslowed_fetches: f64,
-    /// Fetches at the same time past which it rejects more.
+    /// The maximum number of concurrent fetches; it rejects more.
     pub max_fetches: usize,
-    /// Fetches a second that overload it when kept up for three seconds; none if nothing does.
+    /// The fetches per second, averaged over three seconds, above which it is overloaded; `None` if it can't be
+    /// overloaded.
     pub overload_rate: Option<f64>,
-    /// Seconds of the outage after an overload.
+    /// The duration of the outage after an overload, in seconds.
     pub outage_seconds: f64,
 }
 
-/// The model of the store.
+/// A model of the store.
 pub struct Store {
     spec: StoreSpec,
-    /// Multiplies the time of fetches; 1 without a fault.
+    /// The factor on the duration of fetches; 1 without a fault.
     pub slowness: f64,
-    /// Whether it rejects all fetches, by a fault.
+    /// Whether a fault makes it reject all fetches.
     pub rejecting: bool,
     active_fetches: usize,
-    /// When fetches were requested of late.
+    /// When fetches were recently requested.
     recent_requests: VecDeque<f64>,
     /// When the last outage ends.
     outage_ends: f64,
-    /// Fetches that it began.
+    /// The number of fetches that it started.
     pub fetches: u64,
-    /// Fetches that it rejected.
+    /// The number of fetches that it rejected.
     pub rejected_fetches: u64,
 }
 
 impl Store {
-    /// An idle store.
+    /// Creates an idle store.
     #[must_use]
     pub fn new(spec: StoreSpec) -> Self {
         Self {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Requests a fetch that takes `seconds` on an idle store; gives how long it will take, none if it is rejected.
-    /// Call [`fetch_ended`](Self::fetch_ended) after that time.
+    /// Requests a fetch that takes `seconds` on an idle store. Returns how long it will take, or `None` if it is
+    /// rejected. Call [`fetch_ended`](Self::fetch_ended) after that time.
     pub fn begin_fetch(&mut self, now: f64, seconds: f64) -> Option<f64> {
         self.detect_overload(now);
         if now < self.outage_ends || self.rejecting || self.active_fetches >= self.spec.max_fetches {
@@ -68,7 +69,7 @@
     }
 
     fn detect_overload(&mut self, now: f64) {
-        // During an outage nothing prolongs it.
+        // Requests during an outage do not count, so that they do not prolong it.
         if now >= self.outage_ends {
             self.recent_requests.push_back(now);
         }
@@ -82,12 +83,12 @@
         }
     }
 
-    /// A fetch that was begun has ended.
+    /// Ends a fetch that was started.
     pub fn fetch_ended(&mut self) {
         self.active_fetches = self.active_fetches.saturating_sub(1);
     }
 
-    /// It rejects all fetches for so many seconds.
+    /// Rejects all fetches for this many seconds.
     pub fn begin_outage(&mut self, now: f64, seconds: f64) {
         self.outage_ends = self.outage_ends.max(now + seconds);
     }
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The clients' requests, planned ahead from the scenario and its seed: the same ones give the same requests.
+//! Plans the clients' requests in advance; the same scenario and seed give the same requests.
 
 use crate::scenario_file::{FaultKind, Scenario, ScheduledFault};
 use crate::weighted_choice::weighted_choice;
@@ -6,17 +6,17 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
 
-/// Below this, a rate or a mean counts as this much.
+/// The minimum of divisors, which are request rates and mean amounts of work.
 const MIN_DIVISOR: f64 = 1e-9;
 const MIN_EXPONENT: f64 = 0.01;
 
 /// A client that cancels does so before this fraction of its timeout.
 const MAX_ABANDONMENT_FRACTION: f64 = 0.5;
 
-/// One call as its client plans it.
+/// A call as its client plans it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
-    /// Seconds after the first moment of the scenario.
+    /// Seconds after the start of the scenario.
     pub at: f64,
     /// The function's name.
     pub function: String,
@@ -26,13 +26,13 @@
     pub group: usize,
     /// Seconds of work on a core of speed 1.
     pub work: f64,
-    /// Seconds of waiting on others after the work.
+    /// Seconds of waiting for I/O after the work.
     pub io: f64,
-    /// Seconds until the client gives up its first attempt.
+    /// The timeout of the first attempt in seconds.
     pub timeout: f64,
-    /// Seconds after which the client cancels, if it does.
+    /// Seconds after which the client cancels the call, if it does.
     pub abandoned_after: Option<f64>,
-    /// The number of the fault that it is counted under: the last that began.
+    /// The number of the fault under which it is counted: of the active ones, the last that began.
     pub fault: Option<usize>,
 }
 
@@ -40,21 +40,21 @@
 #[must_use]
 pub fn plan(scenario: &Scenario, seed: u64) -> Vec<PlannedRequest> {
     let rng = ChaCha8Rng::seed_from_u64(seed);
-    // The reader has checked the bounds; figures without sense give no requests.
+    // The reader has checked the bounds; parameters that are invalid for a distribution give no requests.
     TrafficPlanner::new(scenario, rng).map(Iterator::collect).unwrap_or_default()
 }
 
-/// Draws one request after the other.
+/// Generates one request after the other.
 struct TrafficPlanner<'s> {
     scenario: &'s Scenario,
     rng: ChaCha8Rng,
     popularity: Zipf<f64>,
-    /// The gap between two requests at a rate of one a second.
+    /// The time between two requests at a rate of one per second.
     gap: Exp<f64>,
     work: Exp<f64>,
-    /// When the request before was sent.
+    /// When the previous request was sent.
     at: f64,
-    /// Functions so far that are requested once.
+    /// The number of one-time functions so far.
     one_time_functions: u64,
 }
 
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Faults of a kind that are in force now.
+    /// The active faults of a kind.
     fn active(&self, kind: FaultKind) -> impl Iterator<Item = &'s ScheduledFault> + use<'s> {
         let at = self.at;
         self.scenario.faults.iter().filter(move |fault| fault.kind == kind && fault.is_active(at))
@@ -128,7 +128,7 @@
         is_cancelled.then(|| timeout * self.rng.random_range(0.0..MAX_ABANDONMENT_FRACTION))
     }
 
-    /// The number of the fault in force that began last.
+    /// The number of the active fault that began last.
     fn latest_fault(&self) -> Option<usize> {
         let faults = self.scenario.faults.iter().enumerate();
         let active = faults.filter(|(_, fault)| fault.is_active(self.at));
@@ -139,7 +139,7 @@
 impl Iterator for TrafficPlanner<'_> {
     type Item = PlannedRequest;
 
-    /// Draws in a fixed order, on which the meaning of a seed depends.
+    /// Draws random numbers in a fixed order; another order would change what a seed means.
     fn next(&mut self) -> Option<PlannedRequest> {
         self.at += self.gap();
         if self.at >= self.scenario.seconds {
--- a/crates/emulator/src/weighted_choice.rs
+++ b/crates/emulator/src/weighted_choice.rs
@@ -2,10 +2,10 @@
 
 use rand::Rng;
 
-/// Below this, the sum of the weights counts as this much.
+/// The minimum of the sum of the weights, so that the range from which a number is drawn is not empty.
 const MIN_WEIGHT_SUM: f64 = 1e-9;
 
-/// The number of one of several, each with a probability in proportion to its weight. One random number is drawn.
+/// Chooses an index with a probability in proportion to its weight. Draws exactly one random number.
 pub fn weighted_choice(rng: &mut impl Rng, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let sum = weights.clone().sum::<f64>().max(MIN_WEIGHT_SUM);
     let mut rest = rng.random_range(0.0..sum);
--- a/crates/emulator/src/worker_model.rs
+++ b/crates/emulator/src/worker_model.rs
@@ -1,8 +1,8 @@
-//! A worker without I/O: cores, instances of functions, memory, loads through the shared store, a queue, slow start and
-//! overload. It is given jobs, load requests, answers of the store and the time, and yields [`WorkerEvent`]s, which a
-//! server on sockets or a simulation carries out.
+//! A model of a worker without I/O: cores, instances of functions, memory, loads through the shared store, a queue,
+//! slow start and overload. It takes jobs, load requests, replies of the store and the current time, and yields
+//! [`WorkerEvent`]s, which a server on sockets or a simulation carries out.
 //!
-//! All times are seconds of the caller's clock.
+//! All times are in seconds on the caller's clock.
 
 mod instances;
 mod loads;
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use timers::{Timer, TimerQueue};
 
-/// Below this, speeds and spans that are divided by count as this much.
+/// The minimum of speeds and slowness factors that are divisors.
 const MIN_RATE: f64 = 1e-6;
 const MIN_DIVISOR: f64 = 1e-9;
 
@@ -27,32 +27,32 @@
     job: Job,
     instance_state: InstanceState,
     concurrent_requests: u32,
-    /// The instance that it has a slot of.
+    /// The instance on which it holds a slot.
     instance: Option<u64>,
     has_core: bool,
 }
 
-/// A request to have instances of a function.
+/// A pending request for a number of instances of a function.
 struct LoadRequest {
     id: u64,
     instances: u32,
 }
 
-/// What waits for instances of a function.
+/// The waiting jobs, the loads and the load requests of a function.
 #[derive(Default)]
 struct FunctionQueue {
-    /// Jobs that wait for a slot.
+    /// Jobs that are waiting for a slot.
     jobs: VecDeque<u64>,
-    /// Loads that proceed or wait.
+    /// Loads that are running or queued.
     loads: u32,
     load_requests: Vec<LoadRequest>,
 }
 
-/// The model of one worker.
+/// A model of one worker.
 pub struct WorkerModel {
     spec: WorkerSpec,
     started: f64,
-    /// Multiplies the time that work and starts of instances take; 1 for a healthy worker.
+    /// The factor on the duration of work and of instance starts; 1 for a healthy worker.
     pub slowness: f64,
     /// Whether it rejects new jobs.
     pub draining: bool,
@@ -61,7 +61,7 @@
     functions: BTreeMap<u32, FunctionQueue>,
     instances: InstanceTable,
     loads: LoadQueue,
-    /// Jobs that have a slot and wait for a core.
+    /// Jobs that have a slot and are waiting for a core.
     runnable: VecDeque<u64>,
     free_cores: usize,
     timers: TimerQueue,
@@ -70,7 +70,7 @@
 }
 
 impl WorkerModel {
-    /// A worker that started at `started`; a warm one started at least its `warm_up` ago.
+    /// Creates a worker that started at `started`; a warm worker started at least `warm_up` seconds ago.
     #[must_use]
     pub fn new(spec: WorkerSpec, started: f64) -> Self {
         Self {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// One sequence for jobs, load requests, instances, loads and timers.
+    /// Returns the next id of the one sequence for jobs, load requests, instances, idle periods, loads and timers.
     fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -102,7 +102,7 @@
         self.timers.set(at, id, timer);
     }
 
-    /// The next thing that happened.
+    /// Takes the next event.
     pub fn next_event(&mut self) -> Option<WorkerEvent> {
         self.events.pop_front()
     }
@@ -113,14 +113,14 @@
         self.timers.next_deadline()
     }
 
-    /// The fraction of its capacity that it has: it grows while the worker warms up.
+    /// The fraction of its capacity that is available; it grows while the worker warms up.
     fn capacity_fraction(&self, now: f64) -> f64 {
         let warm_up = self.spec.warm_up.max(MIN_DIVISOR);
         let progress = ((now - self.started) / warm_up).clamp(0.0, 1.0);
         self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * progress
     }
 
-    /// Takes a job; gives the id by which events name it.
+    /// Submits a job; returns the id by which events refer to it.
     pub fn submit(&mut self, now: f64, job: Job) -> u64 {
         let id = self.next_id();
         if self.is_overloaded_by(now, job.work) {
@@ -153,7 +153,7 @@
         self.overload.is_overloaded()
     }
 
-    /// Whether a new job may wait here, and what it finds.
+    /// Returns the instance state that a new job finds, or why the job is rejected.
     fn admit(&self, function: u32) -> Result<InstanceState, Rejection> {
         if self.draining {
             return Err(Rejection::Draining);
@@ -174,7 +174,7 @@
         self.events.push_back(WorkerEvent::JobRejected { job, reason, load_failed });
     }
 
-    /// Gives waiting jobs of a function free slots and cores, and begins a load if some still wait.
+    /// Assigns free slots and cores to the waiting jobs of a function, and starts a load if the remaining ones need it.
     fn place_waiting_jobs(&mut self, now: f64, function: u32, model: FunctionModel) {
         while let Some(&job) = self.functions.get(&function).and_then(|queue| queue.jobs.front()) {
             let Some(instance) = self.instances.acquire_slot(function) else { break };
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Whether jobs wait for an instance that nobody loads yet.
+    /// Whether jobs are waiting for an instance that is not being loaded yet.
     fn needs_load(&self, function: u32, model: FunctionModel) -> bool {
         let Some(queue) = self.functions.get(&function) else { return false };
         let waiting = queue.jobs.len() as u32;
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Begins the load of one instance, or lets it wait behind others.
+    /// Starts the load of one instance, or queues it behind others; fails if there is not enough memory.
     fn begin_load(&mut self, function: u32, model: FunctionModel) {
         if !self.instances.reserve_memory(model.memory) {
             self.load_failed(function, Rejection::Full, false);
@@ -232,7 +232,7 @@
         }
     }
 
-    /// The store has answered the fetch of a load.
+    /// Handles the store's reply to the fetch of a load.
     pub fn fetch_ended(&mut self, now: f64, load: u64, succeeded: bool) {
         let Some(Load { function, model }) = self.loads.get(load) else { return };
         if succeeded {
@@ -247,7 +247,8 @@
         self.start_fetches();
     }
 
-    /// Rejects the jobs and ends the load requests that waited for this load alone.
+    /// Fails the load requests of a function that has no other load, and rejects its waiting jobs if it has no
+    /// instance.
     fn load_failed(&mut self, function: u32, reason: Rejection, load_failed: bool) {
         let instances = self.instances.count(function);
         let Some(queue) = self.functions.get_mut(&function) else { return };
@@ -269,13 +270,13 @@
         self.events.push_back(WorkerEvent::LoadRequestCompleted { load_request, instances, failed });
     }
 
-    /// Requests that a function has so many instances; 0 only asks how many there are. Gives the id by which
-    /// [`WorkerEvent::LoadRequestCompleted`] names it.
+    /// Requests that a function has this many instances; 0 only queries how many exist. Returns the id by which
+    /// [`WorkerEvent::LoadRequestCompleted`] refers to the request.
     pub fn request_load(&mut self, now: f64, function: u32, model: FunctionModel, instances: u32) -> u64 {
         let id = self.next_id();
         let present = self.instances.count(function);
         if self.draining || self.overload.is_overloaded() || present >= instances {
-            // A request for what is there renews its idle time.
+            // A request for existing instances restarts their idle timeout.
             for instance in self.instances.ids(function) {
                 self.begin_idle_period(now, instance);
             }
@@ -295,12 +296,12 @@
         self.instances.unload_idle(function);
     }
 
-    /// A new version of a function is released: its instances take no more jobs.
+    /// Releases a new version of a function: its existing instances take no more jobs.
     pub fn release_version(&mut self, function: u32) {
         self.instances.invalidate(function);
     }
 
-    /// Begins an idle period of an instance on which nothing runs.
+    /// Starts an idle period of an instance, if no job runs on it.
     fn begin_idle_period(&mut self, now: f64, instance: u64) {
         let idle_period = self.next_id();
         if self.instances.begin_idle_period(instance, idle_period) {
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Processes the timers that are due.
     pub fn advance(&mut self, now: f64) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
@@ -354,7 +355,7 @@
         self.start_fetches();
     }
 
-    /// Completes the load requests that have their instances after a load, or for which no load is left.
+    /// Completes the load requests that are satisfied after a load, or all of them if no load is left.
     fn end_load_requests(&mut self, function: u32) {
         let present = self.instances.count(function);
         let queue = self.functions.entry(function).or_default();
@@ -368,7 +369,7 @@
         }
     }
 
-    /// The figures of a load report at present.
+    /// The current figures of a load report.
     #[must_use]
     pub fn load_figures(&self) -> LoadFigures {
         let running = self.jobs.values().filter(|running| running.has_core).count();
--- a/crates/emulator/src/worker_model/instances.rs
+++ b/crates/emulator/src/worker_model/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of a worker, and the memory that they and their loads take.
+//! The instances of a worker, and the memory that they and their loads use.
 
 use super::spec::FunctionModel;
 use std::collections::BTreeMap;
@@ -6,11 +6,11 @@
 struct Instance {
     function: u32,
     model: FunctionModel,
-    /// Jobs on it.
+    /// Jobs that hold one of its slots.
     active_jobs: u32,
-    /// The idle period that it is in; unique, so that a later one is not mistaken for it.
+    /// Its current idle period; the id is unique, so that the timer of an earlier period does not unload it.
     idle_period: Option<u64>,
-    /// Whether a new version of its function replaced it: it is gone as soon as nothing runs on it.
+    /// Whether a new version of its function has replaced it; it is removed as soon as no job runs on it.
     outdated: bool,
 }
 
@@ -20,21 +20,21 @@
     }
 }
 
-/// Instances by id.
+/// The instances by id.
 pub(super) struct InstanceTable {
     instances: BTreeMap<u64, Instance>,
     memory_limit: f64,
-    /// MB that instances and loads take.
+    /// MB that instances and loads use.
     memory_used: f64,
 }
 
 impl InstanceTable {
-    /// An empty table with room for so many MB.
+    /// Creates an empty table with a limit on memory, in MB.
     pub(super) fn new(memory_limit: f64) -> Self {
         Self { instances: BTreeMap::new(), memory_limit, memory_used: 0.0 }
     }
 
-    /// Instances that serve a function.
+    /// The number of instances that serve a function.
     pub(super) fn count(&self, function: u32) -> u32 {
         self.instances.values().filter(|instance| instance.serves(function)).count() as u32
     }
@@ -44,7 +44,8 @@
         self.instances.values().any(|instance| instance.serves(function))
     }
 
-    /// Takes memory for a load, for which idle instances are unloaded, the longest idle first; whether there is enough.
+    /// Reserves memory for a load, for which it unloads idle instances, the longest idle first. Returns whether there
+    /// is enough.
     pub(super) fn reserve_memory(&mut self, memory: f64) -> bool {
         while self.memory_used + memory > self.memory_limit {
             let idle = self.instances.iter().filter_map(|(&id, i)| i.idle_period.map(|period| (period, id)));
@@ -55,7 +56,7 @@
         true
     }
 
-    /// Gives back the memory of a load that failed.
+    /// Releases the memory of a failed load.
     pub(super) fn release_memory(&mut self, memory: f64) {
         self.memory_used -= memory;
     }
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Places a job on an instance with a free slot.
+    /// Takes a free slot for a job; returns the instance.
     pub(super) fn acquire_slot(&mut self, function: u32) -> Option<u64> {
         let has_slot = |i: &Instance| i.serves(function) && i.active_jobs < i.model.concurrency;
         let (&id, instance) = self.instances.iter_mut().find(|(_, instance)| has_slot(instance))?;
@@ -81,7 +82,7 @@
         Some(id)
     }
 
-    /// Ends a job on an instance.
+    /// Frees the slot of a job that has ended.
     pub(super) fn release_slot(&mut self, id: u64) {
         let Some(instance) = self.instances.get_mut(&id) else { return };
         instance.active_jobs -= 1;
@@ -90,26 +91,26 @@
         }
     }
 
-    /// Begins an idle period of an instance; whether it is there and nothing runs on it.
+    /// Starts an idle period of an instance. Returns false if the instance does not exist or a job runs on it.
     pub(super) fn begin_idle_period(&mut self, id: u64, period: u64) -> bool {
         let idle = self.instances.get_mut(&id).filter(|instance| instance.active_jobs == 0);
         idle.map(|instance| instance.idle_period = Some(period)).is_some()
     }
 
-    /// Unloads an instance if it is still in that idle period.
+    /// Unloads an instance if it is still in this idle period.
     pub(super) fn unload_if_idle_since(&mut self, id: u64, period: u64) {
         if self.instances.get(&id).is_some_and(|instance| instance.idle_period == Some(period)) {
             self.remove(id);
         }
     }
 
-    /// All instances of a function, outdated ones too.
+    /// The ids of all instances of a function, including outdated ones.
     pub(super) fn ids(&self, function: u32) -> Vec<u64> {
         let of_function = self.instances.iter().filter(|(_, instance)| instance.function == function);
         of_function.map(|(id, _)| *id).collect()
     }
 
-    /// Unloads the instances of a function on which nothing runs.
+    /// Unloads the instances of a function on which no job runs.
     pub(super) fn unload_idle(&mut self, function: u32) {
         let is_idle = |instance: &Instance| instance.function == function && instance.active_jobs == 0;
         let idle = self.instances.iter().filter(|(_, instance)| is_idle(instance));
@@ -117,14 +118,14 @@
         idle.into_iter().for_each(|id| self.remove(id));
     }
 
-    /// Marks the instances of a function as replaced by a new version; idle ones are unloaded at once.
+    /// Marks the instances of a function as outdated by a new version; idle ones are unloaded immediately.
     pub(super) fn invalidate(&mut self, function: u32) {
         self.unload_idle(function);
         let of_function = self.instances.values_mut().filter(|instance| instance.function == function);
         of_function.for_each(|instance| instance.outdated = true);
     }
 
-    /// MB of the instances on which something runs.
+    /// MB of the instances on which a job runs.
     pub(super) fn busy_memory(&self) -> f64 {
         let busy = self.instances.values().filter(|instance| instance.active_jobs > 0);
         busy.map(|instance| instance.model.memory).sum()
--- a/crates/emulator/src/worker_model/overload.rs
+++ b/crates/emulator/src/worker_model/overload.rs
@@ -1,18 +1,18 @@
-//! Overload of a worker that still warms up: work that arrives within a window, beyond a multiple of its capacity, makes
-//! it fail for good.
+//! Overload of a worker that is still warming up: it fails permanently when the work that arrives within a window
+//! exceeds a multiple of its capacity.
 
 use std::collections::VecDeque;
 
-/// Jobs of mean size that are allowed beyond the limit, so that chance alone does not overload a worker.
+/// The number of jobs of mean size that are allowed above the limit, so that chance alone does not overload a worker.
 const TOLERATED_JOBS: f64 = 4.0;
 
-/// One job that arrived.
+/// A job that arrived.
 struct Arrival {
     at: f64,
     work: f64,
 }
 
-/// Sums up the work that arrives.
+/// Sums the work that arrives within a window.
 pub(super) struct OverloadDetector {
     multiple: f64,
     window: f64,
@@ -21,17 +21,17 @@
 }
 
 impl OverloadDetector {
-    /// One that allows `multiple` of the capacity within `window` seconds.
+    /// Creates a detector that allows `multiple` times the capacity within `window` seconds.
     pub(super) fn new(multiple: f64, window: f64) -> Self {
         Self { multiple, window, arrivals: VecDeque::new(), overloaded: false }
     }
 
-    /// Whether the worker was overloaded at some time.
+    /// Whether the worker has been overloaded.
     pub(super) fn is_overloaded(&self) -> bool {
         self.overloaded
     }
 
-    /// Adds a job at a worker of the given capacity at present; whether this one overloads it.
+    /// Adds a job, given the worker's current capacity; returns whether the job overloads the worker.
     pub(super) fn add(&mut self, now: f64, work: f64, capacity: f64) -> bool {
         self.arrivals.push_back(Arrival { at: now, work });
         while self.arrivals.front().is_some_and(|first| now - first.at > self.window) {
--- a/crates/emulator/tests/fault_schedule.rs
+++ b/crates/emulator/tests/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! The steps of faults on workers and on the store.
+//! Tests the steps of faults on workers and on the store.
 
 use milletpath_emulator::scenario::{FaultStep, TimedStep, affects_workers, pick, worker_steps};
 use milletpath_emulator::scenario_file::{FaultKind, RuleSettings, ScheduledFault};
@@ -39,7 +39,7 @@
         ]
     };
     assert_eq!(steps(FaultKind::WorkerCrash, 6.0, &workers), expected(101.5, 106.0));
-    // Noticed at the end at the latest.
+    // The crash is detected when the fault ends, at the latest.
     assert_eq!(steps(FaultKind::WorkerCrash, 1.0, &workers), expected(101.0, 101.0));
 }
 
--- a/crates/emulator/tests/former_keys.rs
+++ b/crates/emulator/tests/former_keys.rs
@@ -1,5 +1,5 @@
-//! Keys and values of scenario files by their standard and their former names: both read to equal scenarios, also where
-//! a file with the one builds on a file with the other, and both at once are an error.
+//! Keys and values of scenario files have a standard and a former name. Both must give equal scenarios, also when a
+//! file with the one extends a file with the other, and both at once must be an error.
 
 use milletpath_config::document::KEY_ALIASES;
 use milletpath_emulator::scenario_file::{Scenario, open};
@@ -7,7 +7,7 @@
 
 const ALL_KEYS: &str = include_str!("fixtures/standard_keys/all-keys.hcl");
 
-/// Keys of configuration files alone; the tests of that crate read them.
+/// Keys that occur only in configuration files; the tests of the config package read them.
 const CONFIG_KEYS: [&str; 3] = ["health_checks", "health_check_timeout", "load_requests"];
 
 fn fixture(name: &str) -> PathBuf {
@@ -19,7 +19,7 @@
     format!("{scenario:#?}")
 }
 
-/// The file with all keys, changed, beside a base with former keys.
+/// Writes a variant of the file with all keys, beside a base with former keys.
 fn write_scenario(name: &str, text: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("former_keys").join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -30,7 +30,7 @@
     file
 }
 
-/// The line that states a key, with its number from 0; the first one for keys of several blocks.
+/// The first line that states a key, and its number counted from 0.
 fn line_of(key: &str) -> (usize, &'static str) {
     let states = |line: &str| line.split_whitespace().next() == Some(key);
     let found = ALL_KEYS.lines().enumerate().find(|(_, line)| states(line));
--- a/crates/emulator/tests/recorded_values/digest.rs
+++ b/crates/emulator/tests/recorded_values/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of values that does not depend on the names of types, so that it stays the same while code is renamed.
+//! A digest of values that does not depend on the names of types, so that it stays the same when code is renamed.
 
-/// FNV-1a over figures and texts in the order in which they are added.
+/// An FNV-1a hash of numbers and texts, in the order in which they are added.
 pub struct Digest(u64);
 
 impl Digest {
@@ -17,9 +17,9 @@
         self
     }
 
-    /// A figure to nine decimal places, so that the last bit of a logarithm does not matter.
+    /// Adds a number rounded to nine decimal places, so that the last bit of a logarithm does not matter.
     pub fn float(&mut self, float: f64) -> &mut Self {
-        /// Decimal places that count.
+        /// The factor that scales nine decimal places to an integer.
         const PLACES: f64 = 1e9;
         self.integer(((float * PLACES).round() as i64).cast_unsigned())
     }
--- a/crates/emulator/tests/recorded_values/main.rs
+++ b/crates/emulator/tests/recorded_values/main.rs
@@ -1,4 +1,5 @@
-//! Values that were recorded once, from seeds: models and readers give the same ones ever since.
+//! Guards against changes in what a seed or a file means: models and readers must give the values that were recorded
+//! once.
 
 mod digest;
 mod scenarios;
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -1,5 +1,5 @@
-//! Every file of `days/` is read to the same values, gives the same gateway configurations and the same traffic as it
-//! did when these values were taken; so do the messages about invalid files.
+//! Every file of `days/` must give the recorded scenario, gateway configurations and traffic, and invalid files the
+//! recorded messages.
 
 use crate::digest::Digest;
 use milletpath_emulator::scenario::{GatewayConfigFile, rule_parameters, service_weights};
@@ -89,7 +89,7 @@
     counted.quotas.iter().for_each(|quota| _ = digest.optional_float(*quota));
 }
 
-/// The configurations of all gateways, with links and without.
+/// A digest of the configurations of all gateways, with links and without.
 fn configurations(scenario: &Scenario) -> u64 {
     let address = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
     let links: Vec<_> = (0..scenario.gateways as u16).map(|gateway| address(3000 + gateway)).collect();
@@ -139,7 +139,7 @@
     assert_eq!(digests, recorded, "{name}: {digests:#018x?}");
 }
 
-/// Every kind of fault that changes traffic, all at once.
+/// Covers every kind of fault that changes traffic, all at once.
 #[test]
 fn traffic_under_faults_is_as_recorded() {
     let faults = ["burst", "one-offs", "hot", "heavy", "impatience"];
@@ -154,7 +154,7 @@
     );
 }
 
-/// Every word for a fault, with its defaults.
+/// Covers every keyword for a fault, with its defaults.
 #[test]
 fn the_defaults_of_each_fault_are_as_recorded() {
     let words = "death rolling drain failures silence lost-answers slowness wrong-full release burst one-offs hot heavy \
@@ -168,7 +168,7 @@
     assert_eq!(values(&scenario), 0x7c0e_59b8_dc6e_739a, "{:#018x}", values(&scenario));
 }
 
-/// A file in a folder of its own.
+/// Writes a file into a folder of its own.
 fn write_scenario(name: &str, text: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("fixture").join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -177,7 +177,7 @@
     file
 }
 
-/// The message lines about a file, with `FOLDER` for its folder.
+/// The lines of the messages about a file, with `FOLDER` for its folder.
 fn messages(name: &str, text: &str) -> Vec<String> {
     let file = write_scenario(name, text);
     let folder = file.parent().expect("a folder").display().to_string();
--- a/crates/emulator/tests/recorded_values/worker_model.rs
+++ b/crates/emulator/tests/recorded_values/worker_model.rs
@@ -1,4 +1,4 @@
-//! The worker's model gives the same outputs for the same inputs as it did when these values were taken.
+//! The worker model must give the recorded outputs for the same inputs.
 
 use crate::digest::Digest;
 use milletpath_emulator::worker_model::{FunctionModel, Job, WorkerEvent, WorkerModel, WorkerSpec};
@@ -8,7 +8,7 @@
 
 const FUNCTIONS: u32 = 6;
 const STEPS: usize = 20_000;
-/// One fetch in so many fails.
+/// One in this many fetches fails.
 const FAILED_FETCHES: u32 = 10;
 
 const SPEC: WorkerSpec = WorkerSpec {
@@ -26,7 +26,7 @@
     overload_window: 1.0,
 };
 
-/// A function's figures, by its number.
+/// The resource needs of a function, by its number.
 fn model_of(function: u32) -> FunctionModel {
     FunctionModel {
         concurrency: 1 + function % 3,
@@ -36,15 +36,15 @@
     }
 }
 
-/// A worker, the store's answers that are on their way to it, and a digest of all that it puts out.
+/// A worker that gets random inputs, the store's pending replies to it, and a digest of all its outputs.
 struct RandomRun {
     worker: WorkerModel,
     rng: ChaCha8Rng,
     now: f64,
-    /// When the store answers which load, and whether it succeeds.
+    /// The pending replies: the time, the load, and whether the fetch succeeds.
     fetches: Vec<(f64, u64, bool)>,
     digest: Digest,
-    /// Outputs of each kind, in the order of [`add_output`].
+    /// The number of outputs of each kind, in the order of [`add_output`].
     outputs: [u32; 6],
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// Adds an output; gives the number of its kind.
+/// Adds an output to the digest; returns the number of its kind.
 fn add_output(digest: &mut Digest, output: WorkerEvent) -> usize {
     let kind = match output {
         WorkerEvent::JobStarted { .. } => 0,
--- a/crates/emulator/tests/scenario_files.rs
+++ b/crates/emulator/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files, of which one may build on another.
+//! Tests scenario files that extend others.
 
 use milletpath_emulator::scenario_file::{InvalidScenario, Scenario, open};
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 trouble "death" { at = 1 }
 "#;
 
-/// Reads a scenario that builds on the base, each in a file of its own.
+/// Writes the base and a scenario that extends it to a file each, and reads the scenario.
 fn open_on_base(name: &str, text: &str) -> Result<Scenario, InvalidScenario> {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
--- a/crates/emulator/tests/store.rs
+++ b/crates/emulator/tests/store.rs
@@ -1,4 +1,4 @@
-//! The model of the store that all workers load from.
+//! Tests the model of the store from which all workers load functions.
 
 use milletpath_emulator::store::{Store, StoreSpec};
 
--- a/crates/emulator/tests/worker_model.rs
+++ b/crates/emulator/tests/worker_model.rs
@@ -1,4 +1,4 @@
-//! The model of a worker, whose store answers each fetch in its time.
+//! Tests the model of a worker, with a store that answers each fetch on time.
 
 use milletpath_emulator::worker_model::{FunctionModel, Job, WorkerEvent, WorkerModel, WorkerSpec};
 use milletpath_protocol::worker::{InstanceState, Rejection};
@@ -31,7 +31,7 @@
     load: u64,
 }
 
-/// A worker, the store's fetches, and what happened so far.
+/// A worker and the store's pending fetches.
 struct Harness {
     worker: WorkerModel,
     fetches: Vec<Fetch>,
@@ -49,7 +49,7 @@
         Self::new(SPEC, -100.0)
     }
 
-    /// Lets time pass; what happened meanwhile.
+    /// Lets time pass; returns the events until then.
     fn run_until(&mut self, from: f64, until: f64) -> Vec<TimedEvent> {
         let (mut events, mut now) = (Vec::new(), from);
         loop {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Lets time pass; the jobs that were completed, at milliseconds.
+    /// Lets time pass; returns the jobs that were completed, with times rounded to milliseconds.
     fn completed(&mut self, from: f64, until: f64) -> Vec<(f64, InstanceState)> {
         completed(&self.run_until(from, until))
     }
@@ -101,7 +101,7 @@
     assert_eq!(harness.completed(0.0, 1.0), expected);
     harness.worker.submit(1.0, job(1));
     assert_eq!(harness.completed(1.0, 2.0), [(1.15, InstanceState::Loaded)]);
-    // Idle for its time it is unloaded.
+    // The instance is unloaded after its idle timeout.
     harness.run_until(2.0, 8.0);
     harness.worker.submit(8.0, job(1));
     assert_eq!(harness.completed(8.0, 9.0), [(8.45, InstanceState::LoadStarted)]);
@@ -137,7 +137,7 @@
         harness.worker.submit(n as f64, job(function));
         assert_eq!(harness.completed(n as f64, n as f64 + 1.0)[0].1, InstanceState::LoadStarted);
     }
-    // The third replaced the first.
+    // The third instance replaced the first.
     harness.worker.submit(3.0, job(2));
     harness.worker.submit(3.0, job(1));
     assert_eq!(harness.completed(3.0, 4.0)[0].1, InstanceState::Loaded);
@@ -145,7 +145,7 @@
 }
 
 proptest! {
-    /// Every job ends once, as completed or rejected, and none takes effect that was rejected.
+    /// Every job ends exactly once, as completed or rejected, and no rejected job takes effect.
     #[test]
     fn every_job_ends_once(
         arrivals in proptest::collection::vec((0.0..0.2f64, 0..4u32), 1..60),
