--- a/crates/emulator/src/gateway_process.rs
+++ b/crates/emulator/src/gateway_process.rs
@@ -11,7 +11,7 @@
     #[error("the process can't be started: {0}")]
     Spawn(#[from] std::io::Error),
     /// The process ended or closed its standard output before it printed its address.
-    #[error("it ended without printing the address that it listens on")]
+    #[error("the process ended without printing the address on which it listens")]
     NoAddress,
 }
 
--- a/crates/emulator/src/scenario/options.rs
+++ b/crates/emulator/src/scenario/options.rs
@@ -27,6 +27,6 @@
     #[error(transparent)]
     Launch(#[from] LaunchError),
     /// The clients' thread panicked.
-    #[error("the clients panicked")]
+    #[error("the thread of the clients panicked")]
     ClientsPanicked,
 }
--- a/crates/emulator/src/scenario/worker_faults.rs
+++ b/crates/emulator/src/scenario/worker_faults.rs
@@ -149,7 +149,10 @@
 }
 
 /// The Unix time that a process started now reports as its start, on the wall clock of its machine.
-#[expect(clippy::disallowed_methods, reason = "plays a worker, whose timestamp is made by a wall clock")]
+#[expect(
+    clippy::disallowed_methods,
+    reason = "emulates a worker, which reads its start time from a wall clock"
+)]
 fn unix_time_of_start() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
 }
--- a/crates/emulator/src/scenario_file/blocks.rs
+++ b/crates/emulator/src/scenario_file/blocks.rs
@@ -59,14 +59,14 @@
         traffic: traffic(top),
         uneven: uneven(top),
         rules: rules(top),
-        seed: root.number("seed", "chance", MAX_SEED, 1.0) as u64,
+        seed: root.number("seed", "", MAX_SEED, 1.0) as u64,
         seconds: root.seconds("seconds", 30.0),
         gateways: root.count("gateways", 2),
         cores: top.count("cores", "cores", 1..=MAX_CORES),
         sharing: root.flag("sharing", false),
         workers: fleet.count("workers", 10),
         functions: functions.count("count", 40),
-        zipf: functions.number("zipf", "exponent", 10.0, 1.1),
+        zipf: functions.number("zipf", "", 10.0, 1.1),
         profiles: profiles(top),
         groups: groups(top),
         faults: faults(top),
@@ -76,14 +76,14 @@
 fn worker_spec(fleet: OptionalBlock<'_, '_>) -> WorkerSpec {
     WorkerSpec {
         cores: fleet.count("cores", 4),
-        speed: fleet.number("speed", "speed", 1000.0, 1.0),
+        speed: fleet.number("speed", "", 1000.0, 1.0),
         memory: fleet.number("memory", "MB", 1e9, 8192.0),
         concurrent_loads: fleet.count("loads_at_once", 4),
         queue: fleet.count("queue", 64),
         idle_timeout: fleet.seconds("idle_timeout", 12.0),
         rejects_unloaded: fleet.flag("rejects_unloaded", false),
         loads_ahead: fleet.flag("loads_ahead", true),
-        initial_capacity: fleet.number("initial_capacity", "capacity", 1.0, 0.2),
+        initial_capacity: fleet.number("initial_capacity", "", 1.0, 0.2),
         warm_up: fleet.seconds("warm_up", 8.0),
         overload_multiple: fleet.number("overload_multiple", "capacities", 1000.0, 2.5),
         overload_window: fleet.seconds("overload_window", 1.0),
@@ -115,22 +115,22 @@
     let section = section.as_ref();
     let block = OptionalBlock(section);
     let body = section.and_then(|section| section.count("body", "bytes", 0..=MAX_BODY_BYTES));
-    let retries = section.and_then(|section| section.count("retries", "tries", 0..=MAX_CLIENT_RETRIES));
+    let retries = section.and_then(|section| section.count("retries", "retries", 0..=MAX_CLIENT_RETRIES));
     Traffic {
         rate: block.number("rate", "calls a second", 1e6, 100.0),
         work: block.seconds("work", 0.04),
         io: block.seconds("io", 0.0),
         body: body.unwrap_or(200),
-        shortest_timeout: block.number("timeout", "of the deadline", 1.0, 0.5),
+        shortest_timeout: block.number("timeout", "deadlines", 1.0, 0.5),
         retries: retries.unwrap_or(2) as u32,
         backoff: block.seconds("backoff", 0.1),
-        abandonment: block.number("abandonment", "of the clients", 1.0, 0.002),
+        abandonment: block.number("abandonment", "", 1.0, 0.002),
     }
 }
 
 fn uneven(top: &Section<'_>) -> f64 {
     let block = top.block("front");
-    OptionalBlock(block.as_ref()).number("uneven", "times the mean", 1e6, 1.0)
+    OptionalBlock(block.as_ref()).number("uneven", "mean shares", 1e6, 1.0)
 }
 
 fn rules(top: &Section<'_>) -> RuleSettings {
@@ -141,10 +141,10 @@
         drain_grace: block.seconds("drain_grace", 1.0),
         load_rate_limit: window_limit(section, "load_rate_limit"),
         retries: window_limit(section, "retries"),
-        in_flight: block.optional_number("in_flight", "shots at one worker", 1.0, 1e9),
+        in_flight: block.optional_number("in_flight", "attempts at one worker", 1.0, 1e9),
         idempotency_window: block.seconds("idempotency_window", 30.0),
-        late_weight: block.number("late", "importance", 1.0, 0.1),
-        over_quota_weight: block.number("over_quota", "importance", 1.0, 0.05),
+        late_weight: block.number("late", "", 1.0, 0.1),
+        over_quota_weight: block.number("over_quota", "", 1.0, 0.05),
         notification_delay: block.seconds("notification_delay", 1.5),
     }
 }
@@ -154,8 +154,8 @@
     let block = OptionalBlock(Some(&section));
     Some(WindowLimit {
         window: block.seconds("window", 10.0),
-        free: block.number("free", "of them", 1e9, 10.0),
-        per_request: block.number("share", "of one an activation", 1e3, 0.1),
+        free: block.number("free", "", 1e9, 10.0),
+        per_request: block.number("share", "", 1e3, 0.1),
     })
 }
 
@@ -180,18 +180,18 @@
     let latency_objective = seconds("latency_objective").unwrap_or(1.0);
     Profile {
         name: section.label.clone(),
-        share: section.number("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
+        share: section.number("share", "", 0.0..=1e6).unwrap_or(1.0),
         latency_objective,
         deadline: seconds("deadline").unwrap_or(DEADLINE_MULTIPLE * latency_objective),
         idempotency: section.one_of("idempotency", &IDEMPOTENCIES).unwrap_or(Idempotency::Idempotent),
-        importance: section.number("importance", "importance", 0.0..=1e9).unwrap_or(1.0),
+        importance: section.number("importance", "", 0.0..=1e9).unwrap_or(1.0),
     }
 }
 
 fn groups(top: &Section<'_>) -> Vec<Group> {
     let group = |section: &Section<'_>| Group {
         name: section.label.clone(),
-        share: section.number("share", "of the calls", 0.0..=1e6).unwrap_or(1.0),
+        share: section.number("share", "", 0.0..=1e6).unwrap_or(1.0),
         quota: section.number("quota", "calls a second", 0.0..=1e9),
         ceiling: section.number("ceiling", "calls a second", 0.0..=1e9),
     };
@@ -220,7 +220,7 @@
         kind: keyword.kind,
         at: section.number("at", "seconds", 0.0..=MAX_SECONDS).unwrap_or(0.0),
         duration: section.number("duration", "seconds", 0.0..=MAX_SECONDS).unwrap_or(5.0),
-        fraction: section.number("fraction", "of what it strikes", 0.0..=1.0).unwrap_or(keyword.fraction),
+        fraction: section.number("fraction", "", 0.0..=1.0).unwrap_or(keyword.fraction),
         magnitude: section.number("magnitude", "", 0.0..=1e6).unwrap_or(keyword.magnitude),
     })
 }
