--- a/crates/emulator/src/worker_model.rs
+++ b/crates/emulator/src/worker_model.rs
@@ -21,7 +21,7 @@
 
 /// The minimum of speeds and slowness factors that are divisors.
 const MIN_RATE: f64 = 1e-6;
-/// The minimum of other divisors.
+/// The minimum of other divisors: the warm-up time and the memory.
 const MIN_DIVISOR: f64 = 1e-9;
 
 struct RunningJob {
--- a/crates/emulator/tests/recorded_values/scenarios.rs
+++ b/crates/emulator/tests/recorded_values/scenarios.rs
@@ -204,7 +204,7 @@
      link-repeat, link-garbage, gateway-join; `death-at-night` names a second death",
 ])]
 #[test_case("profiles", "", &["FOLDER/day.hcl:1:1: the day has no profile; add profile \"usual\" { latency_objective = 1.0 }"])]
-#[test_case("circle", "upon = \"day.hcl\"\n", &[
+#[test_case("cycle", "upon = \"day.hcl\"\n", &[
     "FOLDER/day.hcl: builds on itself; write a day that ends at one without upon",
 ])]
 fn messages_about_invalid_files_are_as_recorded(name: &str, text: &str, recorded: &[&str]) {
--- a/crates/emulator/tests/scenario_files.rs
+++ b/crates/emulator/tests/scenario_files.rs
@@ -66,6 +66,6 @@
     );
     let errors = messages(open_on_base("absent", "upon = \"nowhere.hcl\"\n").unwrap_err());
     assert!(errors[0].contains("nowhere.hcl: can't be read"), "{errors:?}");
-    let errors = messages(open_on_base("circle", "upon = \"day.hcl\"\n").unwrap_err());
+    let errors = messages(open_on_base("cycle", "upon = \"day.hcl\"\n").unwrap_err());
     assert!(errors[0].contains("builds on itself"), "{errors:?}");
 }
