--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,9 +1,9 @@
-//! Plays a scenario on sockets: gateways as processes of their own, workers, store and registry in this thread, clients and
-//! links in a thread each. All traffic stays on loopback and ends with the run.
+//! Runs a scenario on real sockets: gateways as separate processes; workers, store and registry on this thread; clients
+//! and links on one thread each. All traffic stays on loopback and ends with the run.
 //!
-//! What the simulator does the same is here for both: the steps of faults ([`worker_steps`]), the gateways' configuration
-//! ([`GatewayConfigFile`]), the registry's entries ([`worker_entry`]), and what a history is checked against
-//! ([`rule_parameters`], [`service_weights`]).
+//! What the simulator shares with this run is public: the steps of faults ([`worker_steps`]), the gateways'
+//! configuration ([`GatewayConfigFile`]), the registry's entries ([`worker_entry`]), and the parameters by which a
+//! history is checked ([`rule_parameters`], [`service_weights`]).
 
 mod client_thread;
 mod core_faults;
@@ -36,16 +36,16 @@
 use std::time::{Duration, Instant};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Seconds in which endpoint lists and connections settle before the first request.
-const SETTLING: f64 = 0.3;
+/// Seconds before the first request in which endpoint lists and connections settle.
+const SETTLE_SECONDS: f64 = 0.3;
 
-/// Seconds after the last response in which what is sent is still recorded.
-const RECORDED_AFTER: f64 = 0.3;
+/// Seconds after the last response in which events are still recorded.
+const TRAILING_RECORD_SECONDS: f64 = 0.3;
 
-/// How often it is checked whether the clients have finished.
-const FINISH_CHECK: f64 = 0.02;
+/// Seconds between checks whether the clients have finished.
+const FINISH_POLL_INTERVAL: f64 = 0.02;
 
-/// Plays a scenario from its first request to its last response.
+/// Runs a scenario from its first request to its last response.
 ///
 /// # Errors
 /// The fleet can't be started, or the clients fail.
@@ -57,16 +57,16 @@
 async fn play_to_end(scenario: &Scenario, options: &RunOptions<'_>) -> Result<ScenarioReport, RunError> {
     let started = Instant::now();
     let run = Rc::new(ScenarioRun::start(scenario, options, started).await?);
-    sleep(SETTLING).await;
-    let clients = ClientThread::start(scenario, options, started, run.front.clone())?;
+    sleep(SETTLE_SECONDS).await;
+    let clients = ClientThread::start(scenario, options, started, run.load_balancer.clone())?;
     let first_request = run.context.now();
     for fault in &scenario.faults {
         spawn_local(run.clone().inject(first_request, fault.clone()));
     }
     while !clients.is_finished() {
-        sleep(FINISH_CHECK).await;
+        sleep(FINISH_POLL_INTERVAL).await;
     }
-    sleep(RECORDED_AFTER + options.tolerance).await;
+    sleep(TRAILING_RECORD_SECONDS + options.tolerance).await;
     let mut history = clients.join()?;
     run.stop_gateways();
     history.extend(run.take_history());
@@ -78,8 +78,8 @@
     tokio::time::sleep(Duration::from_secs_f64(seconds.max(0.0))).await;
 }
 
-/// What the registry lists of a worker that takes requests. Its address depends on the player; `started` is the Unix time of
-/// its process's start, none for a worker that started long ago.
+/// The registry's entry for a worker that accepts requests. The address is set by whoever runs the scenario; `started`
+/// is the Unix time at which its process started, `None` for a worker that started long ago.
 #[must_use]
 pub fn worker_entry(number: usize, started: Option<f64>) -> EndpointEntry {
     EndpointEntry {
@@ -95,7 +95,7 @@
 }
 
 impl ScenarioRun {
-    /// Waits until a fault is due, and injects it; returns when it has ended.
+    /// Waits until a fault is due and injects it; returns when the fault has ended.
     async fn inject(self: Rc<Self>, first_request: f64, fault: ScheduledFault) {
         sleep(first_request + fault.at - self.context.now()).await;
         tracing::info!(fault = fault.name, "fault begins");
@@ -107,14 +107,14 @@
             | FaultKind::Slowness
             | FaultKind::StoreSlowness
             | FaultKind::StoreRejections
-            | FaultKind::StoreOutage => self.carry_out_steps(&fault).await,
+            | FaultKind::StoreOutage => self.run_steps(&fault).await,
             FaultKind::FunctionRelease => self.release_functions(&fault),
             FaultKind::Unresponsiveness
             | FaultKind::LostResponses
             | FaultKind::FalseRejections
             | FaultKind::TruncatedResponses
             | FaultKind::GarbageResponses
-            | FaultKind::ConnectionResets => self.disturb_responses(&fault).await,
+            | FaultKind::ConnectionResets => self.inject_response_fault(&fault).await,
             FaultKind::GatewayPause => self.pause_gateways(&fault).await,
             FaultKind::GatewayCrash => self.crash_gateways(&fault).await,
             FaultKind::LateGatewayStart => self.start_late_joiners(&fault).await,
@@ -124,14 +124,14 @@
             | FaultKind::RegistryStall
             | FaultKind::RegistryLoss
             | FaultKind::RegistryDuplication
-            | FaultKind::RegistryEmptied => self.disturb_registry(&fault).await,
+            | FaultKind::RegistryEmptied => self.inject_registry_fault(&fault).await,
             FaultKind::LinkLoss
             | FaultKind::LinkPartition
             | FaultKind::LinkInboundLoss
             | FaultKind::LinkDelay
             | FaultKind::LinkDuplication
-            | FaultKind::LinkCorruption => self.disturb_links(&fault).await,
-            // In the plan of the clients' requests.
+            | FaultKind::LinkCorruption => self.inject_link_fault(&fault).await,
+            // Applied by the plan of the clients' requests.
             FaultKind::TrafficBurst
             | FaultKind::OneTimeFunctions
             | FaultKind::HotFunctions
--- a/crates/emulator/tests/scenario_files.rs
+++ b/crates/emulator/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files, of which one may build on another.
+//! Tests scenario files that extend others.
 
 use milletpath_emulator::scenario_file::{InvalidScenario, Scenario, open};
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 trouble "death" { at = 1 }
 "#;
 
-/// Reads a scenario that builds on the base, each in a file of its own.
+/// Writes the base and a scenario that extends it to a file each, and reads the scenario.
 fn open_on_base(name: &str, text: &str) -> Result<Scenario, InvalidScenario> {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_scenario_replaces_and_adds_to_what_it_builds_on() {
+fn a_scenario_overrides_and_extends_its_base() {
     let text = r#"
 upon    = "base.hcl"
 seconds = 20
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn errors_name_their_file_and_place() {
+fn errors_name_their_file_and_position() {
     let errors =
         messages(open_on_base("mistakes", "upon = \"base.hcl\"\n\nfleet { wrkers = 3 }\n").unwrap_err());
     assert!(
@@ -66,6 +66,6 @@
     );
     let errors = messages(open_on_base("absent", "upon = \"nowhere.hcl\"\n").unwrap_err());
     assert!(errors[0].contains("nowhere.hcl: can't be read"), "{errors:?}");
-    let errors = messages(open_on_base("circle", "upon = \"day.hcl\"\n").unwrap_err());
+    let errors = messages(open_on_base("cycle", "upon = \"day.hcl\"\n").unwrap_err());
     assert!(errors[0].contains("builds on itself"), "{errors:?}");
 }
