--- a/crates/milletpath/benches/calls.rs
+++ b/crates/milletpath/benches/calls.rs
@@ -7,7 +7,7 @@
 mod load;
 mod relay;
 
-use load::gateway_process::{process_cpu, start, start_gateway, start_program};
+use load::gateway_process::{process_cpu, start_gateway, start_process, start_program};
 use load::instant_workers::start_workers;
 use load::request_loops::{closed_loop, open_loop};
 use load::statistics::{median, milliseconds, percentiles};
@@ -29,7 +29,7 @@
 const OPEN_LOOP_SECONDS: f64 = 8.0;
 
 /// What a program cost, a value a round.
-struct Measured {
+struct ProgramCosts {
     name: &'static str,
     process: GatewayProcess,
     /// Requests answered a second.
@@ -38,7 +38,7 @@
     costs: Vec<f64>,
 }
 
-impl Measured {
+impl ProgramCosts {
     fn new(name: &'static str, process: GatewayProcess) -> Self {
         Self { name, process, rates: Vec::new(), costs: Vec::new() }
     }
@@ -56,7 +56,7 @@
 fn start_relay(worker: SocketAddr) -> GatewayProcess {
     let mut command = Command::new(std::env::current_exe().expect("this program"));
     command.arg(relay::FLAG).arg(worker.to_string());
-    start(command)
+    start_process(command)
 }
 
 /// The median of the ratios of two values of each round.
@@ -64,7 +64,7 @@
     median(numerators.iter().zip(denominators).map(|(a, b)| a / b).collect())
 }
 
-fn compare_costs(gateway: &mut Measured, relay: &mut Measured) {
+fn compare_costs(gateway: &mut ProgramCosts, relay: &mut ProgramCosts) {
     for round in 0..ROUNDS {
         gateway.measure(round);
         relay.measure(round);
@@ -92,8 +92,8 @@
     }
     let workers = start_workers(4);
     // One core, as the relay.
-    let mut gateway = Measured::new("gateway", start_gateway(&workers, 1));
-    let mut relay = Measured::new("relay", start_relay(workers[0]));
+    let mut gateway = ProgramCosts::new("gateway", start_gateway(&workers, 1));
+    let mut relay = ProgramCosts::new("relay", start_relay(workers[0]));
     compare_costs(&mut gateway, &mut relay);
     let four_cores = start_gateway(&workers, 4);
     let mut targets = vec![
--- a/crates/milletpath/benches/cores.rs
+++ b/crates/milletpath/benches/cores.rs
@@ -26,7 +26,7 @@
 const WARM_UP_SECONDS: f64 = 1.0;
 
 /// Cores of the gateways.
-const CORES: [usize; 4] = [1, 2, 4, 8];
+const CORE_COUNTS: [usize; 4] = [1, 2, 4, 8];
 
 /// Threads that send requests.
 const CLIENT_THREADS: usize = 2;
@@ -44,7 +44,7 @@
     /// Microseconds of CPU a request.
     cost: f64,
     /// CPU of the busiest core over the mean of the cores.
-    busiest: f64,
+    busiest_over_mean: f64,
 }
 
 /// A gateway under load.
@@ -67,11 +67,11 @@
         let rate = load_from_threads(self.process.address);
         let cpu = process_cpu(&self.process) - cpu_before;
         let cores_after = core_cpus(&self.process);
-        let used: Vec<f64> =
+        let core_seconds: Vec<f64> =
             cores_after.iter().zip(cores_before).map(|(after, before)| after - before).collect();
-        let mean = used.iter().sum::<f64>() / used.len() as f64;
-        let busiest = used.iter().copied().fold(0.0, f64::max) / mean.max(1e-9);
-        self.rounds.push(Round { rate, cost: cpu * 1e6 / (rate * SECONDS), busiest });
+        let mean = core_seconds.iter().sum::<f64>() / core_seconds.len() as f64;
+        let busiest_over_mean = core_seconds.iter().copied().fold(0.0, f64::max) / mean.max(1e-9);
+        self.rounds.push(Round { rate, cost: cpu * 1e6 / (rate * SECONDS), busiest_over_mean });
     }
 
     fn median(&self, value: impl Fn(&Round) -> f64) -> f64 {
@@ -102,7 +102,7 @@
 /// The gateways, each started on the processors that it may use.
 fn start_targets(workers: &[SocketAddr], processors: usize) -> Vec<Target> {
     let mut targets = Vec::new();
-    for cores in CORES {
+    for cores in CORE_COUNTS {
         pin_to(0..if cores <= 2 { cores } else { processors });
         targets.push(Target::new(format!("{cores} cores"), start_gateway(workers, cores)));
     }
@@ -116,14 +116,14 @@
 fn print_rates(targets: &[Target]) {
     let connections = CLIENT_THREADS * CONNECTIONS;
     println!("closed loop of {connections} connections, median of {ROUNDS} rounds of {SECONDS} s");
-    let rate_of_one = targets[0].median(|round| round.rate);
+    let single_core_rate = targets[0].median(|round| round.rate);
     for target in targets {
         let (rate, cost) = (target.median(|round| round.rate), target.median(|round| round.cost));
-        let busiest = target.median(|round| round.busiest);
+        let busiest = target.median(|round| round.busiest_over_mean);
         println!(
             "{}: {rate:>7.0} requests/s ({:.2}), {cost:.1} us CPU a request, busiest core {busiest:.2} of the mean",
             target.name,
-            rate / rate_of_one
+            rate / single_core_rate
         );
     }
 }
--- a/crates/milletpath/benches/load/gateway_process.rs
+++ b/crates/milletpath/benches/load/gateway_process.rs
@@ -12,7 +12,7 @@
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
 /// Starts a process that prints where it listens.
-pub fn start(mut command: Command) -> GatewayProcess {
+pub fn start_process(mut command: Command) -> GatewayProcess {
     command.stderr(Stdio::null());
     GatewayProcess::start(command).expect("the process starts")
 }
@@ -28,14 +28,14 @@
     let name = format!("milletpath-bench-{}-{suffix}.hcl", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config_text(workers, keys, "")).expect("a configuration file");
-    serve(program, &path)
+    start_with_config(program, &path)
 }
 
 /// Starts a program by a configuration file.
-pub fn serve(program: &str, config_file: &Path) -> GatewayProcess {
+pub fn start_with_config(program: &str, config_file: &Path) -> GatewayProcess {
     let mut command = Command::new(program);
     command.arg("serve").arg("--charter").arg(config_file);
-    start(command)
+    start_process(command)
 }
 
 /// A configuration with these workers, keys and further sections.
--- a/crates/milletpath/benches/load/request_loops.rs
+++ b/crates/milletpath/benches/load/request_loops.rs
@@ -57,8 +57,8 @@
         let start = Instant::now();
         let mut requests = JoinSet::new();
         for n in 0..(OPEN_LOOP_RATE * seconds) as usize {
-            let due = start + Duration::from_secs_f64(n as f64 / OPEN_LOOP_RATE);
-            tokio::time::sleep_until(due.into()).await;
+            let scheduled_at = start + Duration::from_secs_f64(n as f64 / OPEN_LOOP_RATE);
+            tokio::time::sleep_until(scheduled_at.into()).await;
             requests.spawn_local(targets[n % targets.len()].clone().measure_request());
         }
         while requests.join_next().await.is_some() {}
--- a/crates/milletpath/benches/membership.rs
+++ b/crates/milletpath/benches/membership.rs
@@ -4,7 +4,7 @@
 
 mod load;
 
-use load::gateway_process::{config_text, serve, thread_cpus};
+use load::gateway_process::{config_text, start_with_config, thread_cpus};
 use load::instant_workers::start_workers;
 use load::request_loops::open_loop;
 use load::statistics::{geometric_mean, merge, milliseconds, percentiles};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Gateways of the fleet.
-const GATEWAYS: usize = 24;
+const GATEWAY_COUNT: usize = 24;
 
 const ROUNDS: usize = 24;
 
@@ -25,16 +25,16 @@
 const JOIN_TIME: Duration = Duration::from_secs(8);
 
 /// 97.5% of Student's t for 23 degrees of freedom.
-const STUDENT_T: f64 = 2.069;
+const STUDENT_T_975: f64 = 2.069;
 
 /// The name of the thread of a gateway's membership.
 const MEMBERSHIP_THREAD: &str = "peers";
 
 fn start_gateway(folder: &Path, name: &str, workers: &[SocketAddr], sections: &str) -> GatewayProcess {
     let path = folder.join(format!("{name}.hcl"));
-    let keys = format!("gateways = {GATEWAYS}\ncores = 1\n");
+    let keys = format!("gateways = {GATEWAY_COUNT}\ncores = 1\n");
     std::fs::write(&path, config_text(workers, &keys, sections)).expect("a configuration file");
-    serve(env!("CARGO_BIN_EXE_milletpath"), &path)
+    start_with_config(env!("CARGO_BIN_EXE_milletpath"), &path)
 }
 
 /// The gateways that are members of one fleet.
@@ -52,7 +52,8 @@
 
 /// Free ports, all bound at once so that they differ.
 fn free_addresses() -> Vec<SocketAddr> {
-    let sockets: Vec<_> = (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+    let sockets: Vec<_> =
+        (0..GATEWAY_COUNT).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
     sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect()
 }
 
@@ -64,7 +65,7 @@
 
 /// Loads both gateways in turn, and prints the latencies of each and the ratio of their p99.
 fn compare(member: &GatewayProcess, alone: &GatewayProcess) {
-    let (mut of_member, mut of_alone, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut member_latencies, mut alone_latencies, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         // The one that is loaded first finds the caches as the last round left them: each is first in half of the rounds.
         let member_is_first = round % 2 == 0;
@@ -79,12 +80,12 @@
         let [with, without] = [0, 1].map(|n| milliseconds(&latencies[n], 0.99));
         println!("round {round:>2}: p99 with membership {with:.3} ms, without {without:.3} ms");
         ratios.push(with / without);
-        of_alone.extend(latencies.pop());
-        of_member.extend(latencies.pop());
+        alone_latencies.extend(latencies.pop());
+        member_latencies.extend(latencies.pop());
     }
-    println!("with    {}", percentiles(&merge(&of_member)));
-    println!("without {}", percentiles(&merge(&of_alone)));
-    let ratio = geometric_mean(&ratios, STUDENT_T);
+    println!("with    {}", percentiles(&merge(&member_latencies)));
+    println!("without {}", percentiles(&merge(&alone_latencies)));
+    let ratio = geometric_mean(&ratios, STUDENT_T_975);
     println!(
         "p99 with / without: {:.3} ({:.3} to {:.3}, 95% of {ROUNDS} rounds)",
         ratio.mean, ratio.low, ratio.high
@@ -103,6 +104,6 @@
     compare(member, &alone);
     let cpu = membership_cpu(member) - before;
     let per_second = 1e3 * cpu / (ROUNDS as f64 * SECONDS);
-    println!("the membership thread among {GATEWAYS}: {per_second:.2} ms of CPU a second");
+    println!("the membership thread among {GATEWAY_COUNT}: {per_second:.2} ms of CPU a second");
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/milletpath/benches/memory.rs
+++ b/crates/milletpath/benches/memory.rs
@@ -13,13 +13,13 @@
 use std::time::Instant;
 
 /// Functions that are called once.
-const FUNCTIONS: usize = 1_000_000;
+const FUNCTION_COUNT: usize = 1_000_000;
 
 /// Steps after which memory is measured.
 const STEPS: usize = 10;
 
 /// Threads that call functions.
-const CLIENTS: usize = 8;
+const CLIENT_THREADS: usize = 8;
 
 /// Idle client connections, where the limit of open files allows them.
 const IDLE_CONNECTIONS: usize = 100_000;
@@ -102,13 +102,13 @@
 
 fn measure_functions(gateway: &GatewayProcess) {
     let (address, start) = (gateway.address, Instant::now());
-    let per_step = FUNCTIONS / STEPS;
-    let per_client = per_step / CLIENTS;
+    let per_step = FUNCTION_COUNT / STEPS;
+    let per_client = per_step / CLIENT_THREADS;
     for step in 0..STEPS {
         let first_of = |client| step * per_step + client * per_client;
         let call =
             |first: usize| std::thread::spawn(move || call_functions(address, first..first + per_client));
-        let clients: Vec<_> = (0..CLIENTS).map(|client| call(first_of(client))).collect();
+        let clients: Vec<_> = (0..CLIENT_THREADS).map(|client| call(first_of(client))).collect();
         let succeeded: usize = clients.into_iter().map(|client| client.join().unwrap_or(0)).sum();
         println!(
             "{} functions called once after {:.0} s ({succeeded} of the last succeeded): {:.1} MB",
--- a/crates/milletpath/src/built_in_fleet.rs
+++ b/crates/milletpath/src/built_in_fleet.rs
@@ -10,7 +10,7 @@
 const CONFIG_WITHOUT_WORKERS: &str = include_str!("built_in.hcl");
 
 /// Emulated workers.
-const WORKERS: usize = 3;
+const WORKER_COUNT: usize = 3;
 
 /// Seeds the random numbers of the emulated workers.
 const SEED: u64 = 1;
@@ -35,7 +35,7 @@
 pub async fn start() -> Result<GatewayConfig, BuiltInFleetError> {
     let context = context(SEED);
     let mut workers = String::new();
-    for number in 0..WORKERS {
+    for number in 0..WORKER_COUNT {
         let worker = Worker::start(context.clone(), worker_options(number), 1).await;
         let address = worker.map_err(BuiltInFleetError::Worker)?.addresses[0];
         let _ = writeln!(workers, "  worker \"inside-{number}\" {{ address = \"{address}\" }}");
--- a/crates/milletpath/src/change/commit.rs
+++ b/crates/milletpath/src/change/commit.rs
@@ -6,7 +6,7 @@
 use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
 
 /// Where a statement begins.
-const START: Position = Position { line: 1, column: 1 };
+const STATEMENT_START: Position = Position { line: 1, column: 1 };
 
 /// Why a change was not committed, or is not known to be.
 #[derive(Debug, thiserror::Error)]
@@ -53,7 +53,7 @@
     pub fn position(&self) -> Option<Position> {
         match self {
             Self::Denied { position, .. } => Some(*position),
-            Self::TooLarge => Some(START),
+            Self::TooLarge => Some(STATEMENT_START),
             _ => None,
         }
     }
@@ -79,27 +79,31 @@
         ProposalOutcome::Decided(Outcome::Full) => Err(CommitError::Full),
         ProposalOutcome::Decided(Outcome::Busy) => Err(CommitError::Busy),
         ProposalOutcome::Decided(Outcome::Unknown) => Err(CommitError::UnknownOutcome),
-        ProposalOutcome::Denied(reason) => Err(denied(&reason)),
+        ProposalOutcome::Denied(reason) => Err(parse_denial(&reason)),
         ProposalOutcome::Unanswered => Err(CommitError::Unanswered),
     }
 }
 
 /// The number of a change that is in force although its proposal was superseded: an earlier transmission of the same
 /// request may have committed it.
-fn number_if_in_force(client: &Client, proposed: &ProposedChange, by: u64) -> Result<u64, CommitError> {
+fn number_if_in_force(
+    client: &Client,
+    proposed: &ProposedChange,
+    successor: u64,
+) -> Result<u64, CommitError> {
     match client.get(&proposed.key) {
         Some(current) if current.text == proposed.text => Ok(current.number),
-        _ => Err(CommitError::Superseded(by)),
+        _ => Err(CommitError::Superseded(successor)),
     }
 }
 
 /// A denial by its reason, which begins with `LINE:COLUMN: ` where the statement is wrong at a certain place.
-fn denied(reason: &str) -> CommitError {
+fn parse_denial(reason: &str) -> CommitError {
     let mut parts = reason.splitn(3, ':');
     let mut number = || parts.next()?.parse::<usize>().ok().filter(|number| *number > 0);
     let (position, reason) = match (number(), number(), parts.next()) {
         (Some(line), Some(column), Some(rest)) => (Position { line, column }, rest.trim_start()),
-        _ => (START, reason),
+        _ => (STATEMENT_START, reason),
     };
     CommitError::Denied { position, reason: reason.to_owned() }
 }
--- a/crates/milletpath/src/change/rollout.rs
+++ b/crates/milletpath/src/change/rollout.rs
@@ -62,10 +62,10 @@
 
     /// The reachable gateways that could not apply the change.
     fn failing(&self) -> impl Iterator<Item = &GatewayStatus> {
-        let of_change = |gateway: &GatewayStatus| {
+        let failed_change = |gateway: &GatewayStatus| {
             gateway.apply_error.as_ref().is_some_and(|error| error.number == self.number)
         };
-        self.reachable().filter(move |gateway| of_change(gateway))
+        self.reachable().filter(move |gateway| failed_change(gateway))
     }
 
     /// The reachable gateways that do not have the change yet.
@@ -81,7 +81,7 @@
     }
 
     /// Whether every gateway that there can be has it, applied or not.
-    fn is_everywhere(&self) -> bool {
+    fn has_reached_all(&self) -> bool {
         self.reachable().count() > 0 && self.behind().count() == 0 && self.overview.is_complete()
     }
 
@@ -124,11 +124,11 @@
             println!("number {number}: in force at {in_force} of {reachable} gateways");
             printed = Some(progress);
         }
-        let is_everywhere = rollout.is_everywhere();
-        if is_everywhere && rollout.failing().next().is_none() {
+        let has_reached_all = rollout.has_reached_all();
+        if has_reached_all && rollout.failing().next().is_none() {
             return Ok(());
         }
-        if is_everywhere || Instant::now() >= end {
+        if has_reached_all || Instant::now() >= end {
             return Err(rollout.error());
         }
         std::thread::sleep(POLL_INTERVAL);
--- a/crates/milletpath/src/change/rollout/tests.rs
+++ b/crates/milletpath/src/change/rollout/tests.rs
@@ -38,7 +38,7 @@
     ];
     let rollout = rollout(gateways);
     assert!(rollout.progress() == Progress { in_force: 2, reachable: 4 });
-    assert!(!rollout.is_everywhere());
+    assert!(!rollout.has_reached_all());
     assert_eq!(
         rollout.error().to_string(),
         "refusing could not apply it: unknown profile\nbehind is at number 6\n\
@@ -49,6 +49,6 @@
 #[test]
 fn a_change_without_reachable_gateways_is_in_force_nowhere() {
     let rollout = rollout(vec![gateway("silent", NUMBER, GatewayState::Silent)]);
-    assert!(!rollout.is_everywhere());
+    assert!(!rollout.has_reached_all());
     assert_eq!(rollout.error().to_string(), "no gateway is reachable for the control machines that answer");
 }
--- a/crates/milletpath/src/changes/gateway_report.rs
+++ b/crates/milletpath/src/changes/gateway_report.rs
@@ -23,7 +23,7 @@
 ///
 /// The address has no port, or the gateway does not answer.
 pub fn print(client: &Client, listen: SocketAddr, json: bool) -> Result<(), GatewayReportError> {
-    let address = reachable_address(listen)?;
+    let address = query_address(listen)?;
     let text = client.status_texts(&[address]).into_iter().flatten().next();
     let text = text.ok_or(GatewayReportError::NoAnswer(address))?;
     let status: ConfigStatus =
@@ -39,7 +39,7 @@
 }
 
 /// Where a gateway that listens on this address can be asked from its own machine.
-fn reachable_address(mut listen: SocketAddr) -> Result<SocketAddr, GatewayReportError> {
+fn query_address(mut listen: SocketAddr) -> Result<SocketAddr, GatewayReportError> {
     if listen.port() == 0 {
         return Err(GatewayReportError::UnknownPort);
     }
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -148,14 +148,14 @@
 /// Runs a control machine in a thread of its own until the process is asked to end.
 fn run_until_stopped(machine: ControlMachine) -> Result<ExitStatus, ControlError> {
     let stop = Arc::new(AtomicBool::new(false));
-    let stop_of_thread = stop.clone();
+    let thread_stop = stop.clone();
     let thread = std::thread::Builder::new().name("control".into());
-    let thread = thread.spawn(move || machine.run(&stop_of_thread)).map_err(ControlError::Spawn)?;
+    let thread = thread.spawn(move || machine.run(&thread_stop)).map_err(ControlError::Spawn)?;
     let waited = async_runtime::block_on(async {
         tokio::select! {
             () = shutdown_requested() => {}
             // The thread ends by itself only if it panics.
-            () = finished(&thread) => {}
+            () = wait_for_exit(&thread) => {}
         }
     });
     stop.store(true, Ordering::Release);
@@ -165,7 +165,7 @@
 }
 
 /// Waits until a thread has ended.
-async fn finished(thread: &JoinHandle<()>) {
+async fn wait_for_exit(thread: &JoinHandle<()>) {
     while !thread.is_finished() {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
--- a/crates/milletpath/src/logging.rs
+++ b/crates/milletpath/src/logging.rs
@@ -20,7 +20,7 @@
 }
 
 /// Starts logging for the process, panics included.
-pub fn start(format: LogFormat) {
+pub fn init(format: LogFormat) {
     log_panics();
     let filter = EnvFilter::try_from_env(FILTER_VARIABLE);
     // A line that can't be written, as where the disk behind standard error is full, is lost. To report that on standard
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -34,7 +34,7 @@
 
 fn main() -> ExitCode {
     let CommandLine { log_format, command } = CommandLine::parse();
-    logging::start(log_format);
+    logging::init(log_format);
     match command {
         Command::Serve(options) => report(serve::run(&options)),
         Command::Check(options) => report(check::run(&options)),
--- a/crates/milletpath/src/scale_test.rs
+++ b/crates/milletpath/src/scale_test.rs
@@ -66,7 +66,8 @@
     let text = std::fs::read_to_string(path)
         .map_err(|source| ScaleTestError::Read { path: path.clone(), source })?;
     let plan = read_plan(path, &text, options)?;
-    let report = play(&plan, &text).map_err(|source| ScaleTestError::Run { path: path.clone(), source })?;
+    let report =
+        run_plan(&plan, &text).map_err(|source| ScaleTestError::Run { path: path.clone(), source })?;
     print!("{report}");
     if options.json {
         println!("{}", report.json());
@@ -84,7 +85,7 @@
 }
 
 /// Plays the plan to its end, or until a signal.
-fn play(plan: &Plan, text: &str) -> Result<milletpath_scale_test::report::Report, RunError> {
+fn run_plan(plan: &Plan, text: &str) -> Result<milletpath_scale_test::report::Report, RunError> {
     let stop = Arc::new(AtomicBool::new(false));
     stop_on_signals(stop.clone())?;
     let program = std::env::current_exe()?;
@@ -93,20 +94,20 @@
 
 /// From when this returns, SIGINT and SIGTERM end the run, and with it all processes that it started.
 fn stop_on_signals(stop: Arc<AtomicBool>) -> io::Result<()> {
-    let (registered, registration) = channel();
+    let (result_sender, result_receiver) = channel();
     thread::Builder::new()
         .name("signals".into())
-        .spawn(move || async_runtime::block_on(wait_for_signals(stop, registered)))?;
-    registration.recv().map_err(io::Error::other)?
+        .spawn(move || async_runtime::block_on(wait_for_signals(stop, result_sender)))?;
+    result_receiver.recv().map_err(io::Error::other)?
 }
 
 /// Reports whether signals can be received, and sets `stop` upon the first one.
-async fn wait_for_signals(stop: Arc<AtomicBool>, registered: Sender<io::Result<()>>) {
+async fn wait_for_signals(stop: Arc<AtomicBool>, result_sender: Sender<io::Result<()>>) {
     let mut signals = match ShutdownSignals::register() {
         Ok(signals) => signals,
-        Err(error) => return drop(registered.send(Err(error))),
+        Err(error) => return drop(result_sender.send(Err(error))),
     };
-    let _ = registered.send(Ok(()));
+    let _ = result_sender.send(Ok(()));
     signals.received().await;
     stop.store(true, Ordering::Release);
     // Another signal changes nothing: what was started is being ended.
--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -62,8 +62,8 @@
 ///
 /// The scenario can't be read or is wrong, or its processes can't be started.
 pub fn run(options: &Options) -> Result<ExitStatus, ScenarioError> {
-    let scenario = read(options)?;
-    let report = play_in_folder(&scenario, options)
+    let scenario = read_scenario(options)?;
+    let report = run_in_folder(&scenario, options)
         .map_err(|source| ScenarioError::Play { path: options.file.clone(), source })?;
     if options.json {
         println!("{}", json_report::to_json(&scenario, &report));
@@ -74,7 +74,7 @@
 }
 
 /// Reads the scenario, with what the command line sets instead.
-fn read(options: &Options) -> Result<Scenario, ScenarioError> {
+fn read_scenario(options: &Options) -> Result<Scenario, ScenarioError> {
     let mut scenario = scenario_file::open(&options.file)?;
     scenario.seed = options.seed.unwrap_or(scenario.seed);
     scenario.cores = options.cores.map(usize::from).or(scenario.cores);
@@ -82,7 +82,7 @@
 }
 
 /// Plays the scenario in a folder of its own, which is kept where a rule was broken.
-fn play_in_folder(scenario: &Scenario, options: &Options) -> Result<ScenarioReport, RunError> {
+fn run_in_folder(scenario: &Scenario, options: &Options) -> Result<ScenarioReport, RunError> {
     let folder = std::env::temp_dir().join(format!("milletpath-day-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let program = std::env::current_exe()?;
--- a/crates/milletpath/src/scenario/json_report.rs
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -93,31 +93,31 @@
 }
 
 /// The report of a scenario that was played.
-pub fn to_json(scenario: &Scenario, played: &ScenarioReport) -> Value {
-    let faults = played
+pub fn to_json(scenario: &Scenario, report: &ScenarioReport) -> Value {
+    let faults = report
         .by_fault
         .iter()
         .map(|(index, counts)| FaultReport { fault: &scenario.faults[*index].name, counts: counts.into() });
-    let violations = played.violations.iter().map(|violation| RuleViolation {
+    let violations = report.violations.iter().map(|violation| RuleViolation {
         rule: violation.rule,
         at: violation.at,
         what: &violation.what,
     });
     let fleet =
-        played.membership.as_ref().map(|membership| FleetReport { bounds: &played.bounds, membership });
-    let report = JsonReport {
+        report.membership.as_ref().map(|membership| FleetReport { bounds: &report.bounds, membership });
+    let json_report = JsonReport {
         scenario: &scenario.name,
         seed: scenario.seed,
-        total: (&played.counts).into(),
+        total: (&report.counts).into(),
         faults: faults.collect(),
-        fetches: played.fetches,
-        warm_fraction: played.warm_fraction,
-        rejected_fetches: played.rejected_fetches,
+        fetches: report.fetches,
+        warm_fraction: report.warm_fraction,
+        rejected_fetches: report.rejected_fetches,
         violations: violations.collect(),
-        latencies: milletpath_history_checker::latencies(&played.records, PERCENTILES),
+        latencies: milletpath_history_checker::latencies(&report.records, PERCENTILES),
         fleet,
     };
-    serde_json::json!(report)
+    serde_json::json!(json_report)
 }
 
 #[cfg(test)]
--- a/crates/milletpath/src/scenario/table.rs
+++ b/crates/milletpath/src/scenario/table.rs
@@ -90,13 +90,13 @@
         membership.datagrams_per_second, membership.bytes_per_second
     );
     println!("  false reports: {} suspects, {} dead", membership.false_suspicions, membership.false_deaths);
-    print_times("death", &membership.death);
-    print_times("join", &membership.join);
-    print_times("healing", &membership.healing);
+    print_detection_times("death", &membership.death);
+    print_detection_times("join", &membership.join);
+    print_detection_times("healing", &membership.healing);
 }
 
 /// Prints how soon an event was known, if there was one.
-fn print_times(event: &str, DetectionTimes { p50, p99, detected, missed }: &DetectionTimes) {
+fn print_detection_times(event: &str, DetectionTimes { p50, p99, detected, missed }: &DetectionTimes) {
     if let (Some(p50), Some(p99)) = (p50, p99) {
         println!("  {event} known after: p50 {p50:.2} s, p99 {p99:.2} s ({detected} times; {missed} not)");
     }
--- a/crates/milletpath/src/serve/fault_commands.rs
+++ b/crates/milletpath/src/serve/fault_commands.rs
@@ -39,10 +39,10 @@
 enum FaultCommandError {
     /// The first word is no number.
     #[error("the line does not begin with the number of a core")]
-    Core,
+    InvalidCore,
     /// The second word names no fault, or the third one no duration.
     #[error("unknown fault; write stall SECONDS (up to {MAX_STALL}), panic or break")]
-    Fault,
+    InvalidFault,
 }
 
 impl FromStr for FaultCommand {
@@ -50,13 +50,13 @@
 
     fn from_str(line: &str) -> Result<Self, FaultCommandError> {
         let mut words = line.split_whitespace();
-        let core = words.next().and_then(|word| word.parse().ok()).ok_or(FaultCommandError::Core)?;
+        let core = words.next().and_then(|word| word.parse().ok()).ok_or(FaultCommandError::InvalidCore)?;
         let (name, argument) = (words.next(), words.next());
         let fault = match name {
             Some("stall") => FaultInjection::Stall(parse_stall(argument)?),
             Some("panic") => FaultInjection::Panic,
             Some("break") => FaultInjection::DispatcherPanic,
-            _ => return Err(FaultCommandError::Fault),
+            _ => return Err(FaultCommandError::InvalidFault),
         };
         Ok(Self { core, fault })
     }
@@ -65,7 +65,7 @@
 /// The duration of a stall, in seconds.
 fn parse_stall(seconds: Option<&str>) -> Result<f64, FaultCommandError> {
     let seconds = seconds.and_then(|word| word.parse().ok());
-    seconds.filter(|seconds| (0.0..=MAX_STALL).contains(seconds)).ok_or(FaultCommandError::Fault)
+    seconds.filter(|seconds| (0.0..=MAX_STALL).contains(seconds)).ok_or(FaultCommandError::InvalidFault)
 }
 
 /// The faults that standard input asks for; none unless `reads_input`.
--- a/crates/milletpath/src/serve/fault_commands/tests.rs
+++ b/crates/milletpath/src/serve/fault_commands/tests.rs
@@ -11,13 +11,13 @@
     assert_eq!(line.parse(), Ok(FaultCommand { core, fault }));
 }
 
-#[test_case("", FaultCommandError::Core; "empty")]
-#[test_case("panic", FaultCommandError::Core; "no core")]
-#[test_case("-1 panic", FaultCommandError::Core; "a core below 0")]
-#[test_case("0 sleep", FaultCommandError::Fault; "an unknown fault")]
-#[test_case("0 stall", FaultCommandError::Fault; "a stall without seconds")]
-#[test_case("0 stall 60.1", FaultCommandError::Fault; "a stall that is too long")]
-#[test_case("0 stall NaN", FaultCommandError::Fault; "a stall of no length")]
+#[test_case("", FaultCommandError::InvalidCore; "empty")]
+#[test_case("panic", FaultCommandError::InvalidCore; "no core")]
+#[test_case("-1 panic", FaultCommandError::InvalidCore; "a core below 0")]
+#[test_case("0 sleep", FaultCommandError::InvalidFault; "an unknown fault")]
+#[test_case("0 stall", FaultCommandError::InvalidFault; "a stall without seconds")]
+#[test_case("0 stall 60.1", FaultCommandError::InvalidFault; "a stall that is too long")]
+#[test_case("0 stall NaN", FaultCommandError::InvalidFault; "a stall of no length")]
 fn a_malformed_line_is_an_error(line: &str, error: FaultCommandError) {
     assert_eq!(line.parse::<FaultCommand>(), Err(error));
 }
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -66,7 +66,7 @@
     async_runtime::block_on(async {
         let context = context(SEED);
         for (number, worker) in workers.iter().enumerate() {
-            start(&context, number, worker.address).await.map_err(|source| WorkersError::Listen {
+            start_worker(&context, number, worker.address).await.map_err(|source| WorkersError::Listen {
                 name: worker.name.clone(),
                 address: worker.address,
                 source,
@@ -79,7 +79,7 @@
 }
 
 /// Starts one worker.
-async fn start(context: &Rc<EmulatorContext>, number: usize, address: SocketAddr) -> io::Result<()> {
+async fn start_worker(context: &Rc<EmulatorContext>, number: usize, address: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     Worker::serve(context.clone(), worker_options(number), vec![listener])?;
     Ok(())
