--- a/crates/milletpath/benches/calls.rs
+++ b/crates/milletpath/benches/calls.rs
@@ -1,8 +1,10 @@
-//! What a request costs: the gateway as its users run it, a plain relay on the same stack that copies requests to one
-//! worker, and the worker asked directly. Processes of their own, workers that answer at once, interleaved in one run.
+//! Cost of a request through the gateway, through a plain relay on the same HTTP stack that forwards requests to one
+//! worker, and sent to the worker directly. Gateway and relay are separate processes, workers answer immediately, and
+//! the measurements are interleaved.
 //!
-//! `cargo bench -p milletpath --bench calls` prints requests a second, CPU a request, and what the gateway adds at 760
-//! requests a second, with one core and with four; `-- --earlier PROGRAM` adds an earlier build.
+//! `cargo bench -p milletpath --bench calls` prints requests per second, CPU time per request, and the latency that
+//! the gateway adds at 760 requests per second, with one core and with four. `-- --earlier PROGRAM` adds an earlier
+//! build to the comparison of latencies.
 
 mod load;
 mod relay;
@@ -16,25 +18,25 @@
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// Interleaved rounds.
+/// Number of interleaved rounds.
 const ROUNDS: usize = 5;
 
-/// Seconds of a round.
+/// Duration of a round, in seconds.
 const SECONDS: f64 = 3.0;
 
-/// Connections of the closed loop.
+/// Number of connections of the closed loop.
 const CONNECTIONS: usize = 32;
 
-/// Seconds of the open loop for each address.
+/// Duration of the open loop for each address, in seconds.
 const OPEN_LOOP_SECONDS: f64 = 8.0;
 
-/// What a program cost, a value a round.
+/// The measured costs of a program, with one value per round.
 struct ProgramCosts {
     name: &'static str,
     process: GatewayProcess,
-    /// Requests answered a second.
+    /// Answered requests per second.
     rates: Vec<f64>,
-    /// Microseconds of CPU a request.
+    /// CPU time per request, in microseconds.
     costs: Vec<f64>,
 }
 
@@ -59,7 +61,7 @@
     start_process(command)
 }
 
-/// The median of the ratios of two values of each round.
+/// Returns the median over all rounds of the ratio of two values.
 fn median_ratio(numerators: &[f64], denominators: &[f64]) -> f64 {
     median(numerators.iter().zip(denominators).map(|(a, b)| a / b).collect())
 }
@@ -75,7 +77,8 @@
     println!("CPU a request, relay / gateway: {:.2} (median of {ROUNDS})", 1.0 / costs);
 }
 
-/// The first of the named addresses is the worker itself, the second one the gateway.
+/// Prints the latencies of all targets, and the latency that the gateway adds. The first target must be the worker
+/// itself, the second one the gateway.
 fn compare_latencies(targets: &[(&str, SocketAddr)]) {
     let addresses: Vec<_> = targets.iter().map(|(_, address)| *address).collect();
     let latencies = open_loop(&addresses, OPEN_LOOP_SECONDS * addresses.len() as f64);
@@ -91,7 +94,7 @@
         return block_on(relay::run(worker.parse().expect("the worker's address")));
     }
     let workers = start_workers(4);
-    // One core, as the relay.
+    // One core, because the relay runs on one thread.
     let mut gateway = ProgramCosts::new("gateway", start_gateway(&workers, 1));
     let mut relay = ProgramCosts::new("relay", start_relay(workers[0]));
     compare_costs(&mut gateway, &mut relay);
--- a/crates/milletpath/benches/cores.rs
+++ b/crates/milletpath/benches/cores.rs
@@ -1,9 +1,11 @@
-//! What more cores bring: the gateway with 1, 2, 4 and 8 of them, workers that answer at once, interleaved in one run.
+//! Scaling of the gateway over cores: gateways with 1, 2, 4 and 8 cores and workers that answer immediately, in
+//! interleaved measurements.
 //!
-//! `cargo bench -p milletpath --bench cores` prints, for each: requests a second of a closed loop, CPU a request, how much
-//! the busiest core does over the mean; then latencies at 760 requests a second. With one and two cores the gateway has
-//! the first processors to itself and the load the last two; with more all share what there is. `-- --earlier PROGRAM`
-//! adds an earlier build, on the first processor.
+//! `cargo bench -p milletpath --bench cores` prints for each gateway: requests per second of a closed loop, CPU time
+//! per request, and the CPU time of the busiest core relative to the mean; then the latencies at 760 requests per
+//! second. The gateways with one and two cores run on the first processors and the load on the last two; those with
+//! more cores share all processors with the load. `-- --earlier PROGRAM` adds an earlier build, on the first
+//! processor.
 
 mod load;
 
@@ -19,35 +21,35 @@
 
 const ROUNDS: usize = 3;
 
-/// Seconds of a round.
+/// Duration of a round, in seconds.
 const SECONDS: f64 = 3.0;
 
-/// Seconds of a first round, in which instances are loaded and connections opened.
+/// Duration of the warm-up, in which instances are loaded and connections opened, in seconds.
 const WARM_UP_SECONDS: f64 = 1.0;
 
-/// Cores of the gateways.
+/// Number of cores of each gateway.
 const CORE_COUNTS: [usize; 4] = [1, 2, 4, 8];
 
-/// Threads that send requests.
+/// Number of threads that send requests.
 const CLIENT_THREADS: usize = 2;
 
-/// Connections of each of these threads.
+/// Number of connections of each client thread.
 const CONNECTIONS: usize = 32;
 
-/// Processors below which gateways and load get in each other's way.
+/// Minimum number of processors: two for the load, and two for the gateways with one and two cores.
 const MIN_PROCESSORS: usize = 4;
 
-/// What one round measured.
+/// The measurements of one round.
 struct Round {
-    /// Requests answered a second.
+    /// Answered requests per second.
     rate: f64,
-    /// Microseconds of CPU a request.
+    /// CPU time per request, in microseconds.
     cost: f64,
-    /// CPU of the busiest core over the mean of the cores.
+    /// CPU time of the busiest core relative to the mean of all cores.
     busiest_over_mean: f64,
 }
 
-/// A gateway under load.
+/// A gateway that is measured.
 struct Target {
     name: String,
     process: GatewayProcess,
@@ -79,27 +81,27 @@
     }
 }
 
-/// Pins this thread, and what it starts from here on, to some processors.
+/// Pins this thread, and the threads and processes that it starts from now on, to some processors.
 fn pin_to(processors: impl Iterator<Item = usize>) {
     let mut set = CpuSet::new();
     processors.for_each(|processor| set.set(processor).expect("a processor"));
     sched_setaffinity(Pid::from_raw(0), &set).expect("the thread is pinned");
 }
 
-/// Seconds of CPU that each core's thread used.
+/// Returns the CPU time of each core's thread so far, in seconds.
 fn core_cpus(process: &GatewayProcess) -> Vec<f64> {
     let cores = thread_cpus(process).into_iter().filter(|thread| thread.name.starts_with("core-"));
     cores.map(|core| core.seconds).collect()
 }
 
-/// Requests answered a second to all client threads together.
+/// Runs the closed loop on all client threads, and returns their total of answered requests per second.
 fn load_from_threads(address: SocketAddr) -> f64 {
     let client = || std::thread::spawn(move || closed_loop(address, CONNECTIONS, SECONDS));
     let clients: Vec<_> = (0..CLIENT_THREADS).map(|_| client()).collect();
     clients.into_iter().map(|client| client.join().expect("a client thread")).sum()
 }
 
-/// The gateways, each started on the processors that it may use.
+/// Starts the gateways, each pinned to the processors that it may use.
 fn start_targets(workers: &[SocketAddr], processors: usize) -> Vec<Target> {
     let mut targets = Vec::new();
     for cores in CORE_COUNTS {
@@ -128,7 +130,7 @@
     }
 }
 
-/// One gateway at a time at the full rate, in turn and in short pieces.
+/// Prints the latencies of each gateway. The gateways are loaded one at a time at the full rate, in rounds.
 fn print_latencies(targets: &[Target]) {
     let mut latencies = vec![Vec::new(); targets.len()];
     for _ in 0..ROUNDS {
--- a/crates/milletpath/benches/load/gateway_process.rs
+++ b/crates/milletpath/benches/load/gateway_process.rs
@@ -1,28 +1,28 @@
-//! The gateway as a process, and what it uses of the processors.
+//! Starts gateways as processes, and reads their CPU time.
 
 use milletpath_emulator::gateway_process::GatewayProcess;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// Clock ticks a second of the times in `/proc`.
+/// Clock ticks per second of the times in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The fields of user and system time in `/proc/PID/stat`, counted behind the name.
+/// Indexes of user and system time among the fields after the name in `/proc/PID/stat`.
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
-/// Starts a process that prints where it listens.
+/// Starts a process that prints the address on which it listens.
 pub fn start_process(mut command: Command) -> GatewayProcess {
     command.stderr(Stdio::null());
     GatewayProcess::start(command).expect("the process starts")
 }
 
-/// A gateway of this build with so many cores.
+/// Starts a gateway of this build with a number of cores.
 pub fn start_gateway(workers: &[SocketAddr], cores: usize) -> GatewayProcess {
     start_program(env!("CARGO_BIN_EXE_milletpath"), workers, &format!("cores = {cores}\n"))
 }
 
-/// A gateway of another build, whose configuration may know other keys.
+/// Starts a gateway of any build. `keys` are lines to add to its configuration; an earlier build may not know all keys.
 pub fn start_program(program: &str, workers: &[SocketAddr], keys: &str) -> GatewayProcess {
     let suffix = keys.trim().replace([' ', '='], "");
     let name = format!("milletpath-bench-{}-{suffix}.hcl", std::process::id());
@@ -31,14 +31,14 @@
     start_with_config(program, &path)
 }
 
-/// Starts a program by a configuration file.
+/// Starts a gateway with a configuration file. The flag has its former name, which earlier builds accept too.
 pub fn start_with_config(program: &str, config_file: &Path) -> GatewayProcess {
     let mut command = Command::new(program);
     command.arg("serve").arg("--charter").arg(config_file);
     start_process(command)
 }
 
-/// A configuration with these workers, keys and further sections.
+/// Returns a configuration with a list of workers, further keys and further sections.
 pub fn config_text(workers: &[SocketAddr], keys: &str, sections: &str) -> String {
     let worker =
         |(n, address): (usize, &SocketAddr)| format!("  worker \"w{n}\" {{ address = \"{address}\" }}\n");
@@ -49,26 +49,26 @@
     )
 }
 
-/// CPU time of a thread.
+/// CPU time of a process or thread.
 pub struct ThreadCpu {
     pub name: String,
     pub seconds: f64,
 }
 
-/// Seconds of CPU that a process used so far.
+/// Returns the CPU time of a process so far, in seconds; 0 if it cannot be read.
 pub fn process_cpu(process: &GatewayProcess) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.child.id()));
     stat.ok().and_then(|stat| parse_stat(&stat)).map_or(0.0, |cpu| cpu.seconds)
 }
 
-/// What each thread of a process used so far.
+/// Returns the CPU time of each thread of a process so far.
 pub fn thread_cpus(process: &GatewayProcess) -> Vec<ThreadCpu> {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", process.child.id())).expect("the process runs");
     let stats = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("stat")).ok());
     stats.filter_map(|stat| parse_stat(&stat)).collect()
 }
 
-/// Name and CPU time of a line of `/proc/PID/stat`.
+/// Parses name and CPU time from a line of `/proc/PID/stat`.
 fn parse_stat(stat: &str) -> Option<ThreadCpu> {
     let (name, rest) = stat.split_once('(')?.1.rsplit_once(')')?;
     let fields: Vec<_> = rest.split_whitespace().collect();
--- a/crates/milletpath/benches/load/http_message.rs
+++ b/crates/milletpath/benches/load/http_message.rs
@@ -1,22 +1,23 @@
-//! HTTP/1.1 messages as bytes.
+//! HTTP/1.1 messages as bytes: building requests and skipping over messages.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Ends the head of a message.
+/// The bytes that end the head of a message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Bytes of a request's body.
+/// Size of a request's body, in bytes.
 const BODY_BYTES: usize = 200;
 
-/// A request of one function, with a body.
+/// Returns a request that calls a function, with a body.
 pub fn request() -> Vec<u8> {
     let body = "x".repeat(BODY_BYTES);
     let head = "POST /v1/functions/greet/activations HTTP/1.1\r\nhost: g\r\nmilletpath-patience: 3\r\n";
     format!("{head}content-length: {BODY_BYTES}\r\n\r\n{body}").into_bytes()
 }
 
-/// Takes the next message off a connection, whose bytes so far are in `buffer`; false at the end of the stream.
+/// Reads and discards the next message of a connection. `buffer` holds the bytes that were already read. Returns
+/// false at the end of the stream or on an error.
 pub async fn skip_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     loop {
         if let Some(length) = message_length(buffer)
@@ -32,7 +33,7 @@
     }
 }
 
-/// The bytes of the message that begins a buffer; none until its head is complete.
+/// Returns the size of the message at the start of a buffer, or `None` if its head is incomplete.
 fn message_length(buffer: &[u8]) -> Option<usize> {
     let head_length = buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
     let head = String::from_utf8_lossy(&buffer[..head_length]).to_ascii_lowercase();
--- a/crates/milletpath/benches/load/instant_workers.rs
+++ b/crates/milletpath/benches/load/instant_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that answer at once.
+//! Workers that answer immediately.
 
 use super::block_on;
 use super::http_message::skip_message;
@@ -10,7 +10,7 @@
 
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
 
-/// Starts workers on one thread of their own; their addresses.
+/// Starts workers, all on one new thread, and returns their addresses.
 pub fn start_workers(count: usize) -> Vec<SocketAddr> {
     let (sender, addresses) = channel();
     std::thread::spawn(move || {
--- a/crates/milletpath/benches/load/request_loops.rs
+++ b/crates/milletpath/benches/load/request_loops.rs
@@ -1,5 +1,5 @@
-//! Loops of requests: closed, in which each connection sends its next request after a response, and open, in which requests
-//! begin at fixed times.
+//! Request loops. In a closed loop, each connection sends its next request after the response to the previous one; in
+//! an open loop, requests are sent at fixed times.
 
 use super::block_on;
 use super::http_message::{request, skip_message};
@@ -12,15 +12,15 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Requests a second of the open loop.
+/// Rate of the open loop, in requests per second.
 const OPEN_LOOP_RATE: f64 = 760.0;
 
-/// Bounds of the latencies, in microseconds, and their significant digits.
+/// Bounds of the recorded latencies, in microseconds, and their significant digits.
 const MIN_LATENCY: u64 = 1;
 const MAX_LATENCY: u64 = 10_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Requests that a closed loop got answered a second.
+/// Runs a closed loop, and returns the number of answered requests per second.
 pub fn closed_loop(address: SocketAddr, connections: usize, seconds: f64) -> f64 {
     block_on(async {
         let until = Instant::now() + Duration::from_secs_f64(seconds);
@@ -36,7 +36,7 @@
     })
 }
 
-/// Sends requests on one connection, one after the other; the number of those that were answered.
+/// Sends requests on one connection, one after the other, and returns the number of answered ones.
 async fn send_until(address: SocketAddr, until: Instant) -> u64 {
     let mut stream = TcpStream::connect(address).await.expect("the gateway listens");
     let _ = stream.set_nodelay(true);
@@ -50,7 +50,8 @@
     answered
 }
 
-/// Sends [`OPEN_LOOP_RATE`] requests a second, in turn to each address; the latencies of each, in microseconds.
+/// Sends [`OPEN_LOOP_RATE`] requests per second to the addresses in turn, and returns the latencies of each address in
+/// microseconds.
 pub fn open_loop(addresses: &[SocketAddr], seconds: f64) -> Vec<Histogram<u64>> {
     block_on(async {
         let targets: Vec<_> = addresses.iter().map(|address| Rc::new(Target::new(*address))).collect();
@@ -66,7 +67,7 @@
     })
 }
 
-/// An address with its idle connections and the latencies of its responses.
+/// An address under load, with its idle connections and measured latencies.
 struct Target {
     address: SocketAddr,
     idle: RefCell<Vec<TcpStream>>,
@@ -79,7 +80,7 @@
         Self { address, idle: RefCell::default(), latencies: RefCell::new(latencies.expect("valid bounds")) }
     }
 
-    /// Sends one request on an idle connection, or on a new one.
+    /// Sends one request on an idle connection, or on a new one, and records the latency of its response.
     async fn measure_request(self: Rc<Self>) {
         let idle = self.idle.borrow_mut().pop();
         let mut stream = match idle {
--- a/crates/milletpath/benches/membership.rs
+++ b/crates/milletpath/benches/membership.rs
@@ -1,6 +1,6 @@
-//! What membership costs a request: one gateway among 24 that are members of one fleet, and one by itself with the same
-//! configuration, loaded in turn in one run. `cargo bench -p milletpath --bench membership` prints the ratio of their p99
-//! with its interval over rounds, and the CPU of the membership thread.
+//! Cost of membership for requests: a gateway in a fleet of 24 and a gateway without membership, otherwise with the
+//! same configuration, are loaded in the same rounds. `cargo bench -p milletpath --bench membership` prints the ratio
+//! of their p99 latencies with its confidence interval over the rounds, and the CPU time of the membership thread.
 
 mod load;
 
@@ -13,21 +13,21 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Gateways of the fleet.
+/// Number of gateways in the fleet.
 const GATEWAY_COUNT: usize = 24;
 
 const ROUNDS: usize = 24;
 
-/// Seconds of a round.
+/// Duration of a round, in seconds.
 const SECONDS: f64 = 5.0;
 
-/// The time in which the gateways learn of each other.
+/// Time for the gateways to discover each other.
 const JOIN_TIME: Duration = Duration::from_secs(8);
 
-/// 97.5% of Student's t for 23 degrees of freedom.
+/// The 97.5% quantile of Student's t-distribution with 23 degrees of freedom, for 24 rounds.
 const STUDENT_T_975: f64 = 2.069;
 
-/// The name of the thread of a gateway's membership.
+/// Name of a gateway's membership thread.
 const MEMBERSHIP_THREAD: &str = "peers";
 
 fn start_gateway(folder: &Path, name: &str, workers: &[SocketAddr], sections: &str) -> GatewayProcess {
@@ -37,7 +37,7 @@
     start_with_config(env!("CARGO_BIN_EXE_milletpath"), &path)
 }
 
-/// The gateways that are members of one fleet.
+/// Starts the gateways of the fleet.
 fn start_fleet(folder: &Path, workers: &[SocketAddr]) -> Vec<GatewayProcess> {
     std::fs::write(folder.join("key"), "a secret of more than thirty-two bytes, for benches").expect("a key");
     let addresses = free_addresses();
@@ -50,24 +50,25 @@
     addresses.iter().enumerate().map(start).collect()
 }
 
-/// Free ports, all bound at once so that they differ.
+/// Returns free loopback addresses. All ports are bound at the same time, so that they differ.
 fn free_addresses() -> Vec<SocketAddr> {
     let sockets: Vec<_> =
         (0..GATEWAY_COUNT).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
     sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect()
 }
 
-/// Seconds of CPU of the membership thread.
+/// Returns the CPU time of the membership thread so far, in seconds.
 fn membership_cpu(process: &GatewayProcess) -> f64 {
     let threads = thread_cpus(process);
     threads.iter().find(|thread| thread.name == MEMBERSHIP_THREAD).map_or(f64::NAN, |thread| thread.seconds)
 }
 
-/// Loads both gateways in turn, and prints the latencies of each and the ratio of their p99.
+/// Loads both gateways, and prints the latencies of each and the ratio of their p99 latencies.
 fn compare(member: &GatewayProcess, alone: &GatewayProcess) {
     let (mut member_latencies, mut alone_latencies, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
     for round in 0..ROUNDS {
-        // The one that is loaded first finds the caches as the last round left them: each is first in half of the rounds.
+        // The gateway that is loaded first finds the caches as the previous round left them, so each is first in half
+        // of the rounds.
         let member_is_first = round % 2 == 0;
         let mut addresses = [member.address, alone.address];
         if !member_is_first {
--- a/crates/milletpath/benches/memory.rs
+++ b/crates/milletpath/benches/memory.rs
@@ -1,8 +1,8 @@
-//! What a gateway keeps in memory: after a million functions that were called once, and with 100,000 idle client
-//! connections. The gateway is a process of its own; its resident memory is read from /proc.
+//! Memory use of a gateway after one call to each of a million functions, and with 100,000 idle client connections. The
+//! gateway is a separate process, whose resident memory is read from /proc.
 //!
-//! `cargo bench -p milletpath --bench memory`; the limit of open files is raised where that is allowed, and the number of
-//! connections follows it.
+//! Run it with `cargo bench -p milletpath --bench memory`. It raises the limit of open files as far as permitted; a
+//! lower limit reduces the number of connections.
 
 use milletpath_emulator::gateway_process::GatewayProcess;
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
@@ -12,25 +12,25 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-/// Functions that are called once.
+/// Number of functions, each of which is called once.
 const FUNCTION_COUNT: usize = 1_000_000;
 
-/// Steps after which memory is measured.
+/// Number of steps into which the calls are divided; memory is measured after each.
 const STEPS: usize = 10;
 
-/// Threads that call functions.
+/// Number of threads that call functions.
 const CLIENT_THREADS: usize = 8;
 
-/// Idle client connections, where the limit of open files allows them.
+/// Number of idle client connections, if the limit of open files permits.
 const IDLE_CONNECTIONS: usize = 100_000;
 
-/// Open files that are not client connections.
+/// Number of open files reserved for purposes other than client connections.
 const OTHER_FILES: u64 = 500;
 
-/// Connections from one client address, as ports are few.
+/// Number of connections from one client address, limited by its number of ports.
 const CONNECTIONS_PER_ADDRESS: usize = 20_000;
 
-/// One worker that answers at once, with a thread for each connection.
+/// Starts a worker that answers immediately, with a thread for each connection.
 fn start_worker() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -42,7 +42,7 @@
     address
 }
 
-/// Answers the requests of one connection. They have no body: an empty line ends each.
+/// Answers the requests on one connection. They have no body, so an empty line ends each.
 fn answer(mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let reader = BufReader::new(stream.try_clone().expect("a handle"));
@@ -65,7 +65,7 @@
     GatewayProcess::start(command).expect("the gateway starts")
 }
 
-/// Resident memory in MB.
+/// Returns the resident memory of a process in MB.
 fn resident_memory(process: &Child) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.id())).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
@@ -73,18 +73,18 @@
     kilobytes.unwrap_or(0.0) / 1024.0
 }
 
-/// Raises the limit of open files as far as that is allowed; the limit then.
+/// Raises the limit of open files as far as permitted, and returns the resulting limit.
 fn raise_file_limit() -> u64 {
     let (_, hard) = getrlimit(Resource::RLIMIT_NOFILE).expect("a limit");
     let wanted = 2 * IDLE_CONNECTIONS as u64 + 1000;
-    // Root may raise the hard limit as well; otherwise what there is must do.
+    // Only a privileged process may raise the hard limit; otherwise the soft limit is raised up to it.
     let raised = setrlimit(Resource::RLIMIT_NOFILE, wanted, wanted.max(hard)).is_ok();
     let files = if raised { wanted } else { hard };
     let _ = setrlimit(Resource::RLIMIT_NOFILE, files, files.max(hard));
     files
 }
 
-/// Calls each of these functions once; the number of calls that succeeded.
+/// Calls each function in a range once, and returns the number of calls that succeeded.
 fn call_functions(gateway: SocketAddr, functions: Range<usize>) -> usize {
     let mut stream = TcpStream::connect(gateway).expect("the gateway listens");
     let _ = stream.set_nodelay(true);
@@ -119,7 +119,7 @@
     }
 }
 
-/// Opens a connection from one of several addresses, and uses it once.
+/// Opens a connection from one of several client addresses, and sends one request on it.
 fn open_connection(gateway: SocketAddr, number: usize) -> TcpStream {
     let host = (number / CONNECTIONS_PER_ADDRESS) as u8 + 1;
     let from = SocketAddr::from((Ipv4Addr::new(127, 0, 1, host), 0));
--- a/crates/milletpath/benches/relay/mod.rs
+++ b/crates/milletpath/benches/relay/mod.rs
@@ -1,5 +1,5 @@
-//! The baseline of the bench: a relay on the gateway's HTTP stack, which copies each request to one worker on idle
-//! connections and decides nothing.
+//! The baseline of the bench: a relay on the gateway's HTTP stack, which forwards each request to one worker over
+//! reused connections, without any routing decisions.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,13 +16,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The flag by which the bench starts itself as the relay, before the worker's address.
+/// The flag with which the bench starts itself as the relay, followed by the worker's address.
 pub const FLAG: &str = "--relay";
 
 /// Idle connections to the worker.
 type IdleConnections = Rc<RefCell<Vec<SendRequest<Full<Bytes>>>>>;
 
-/// Relays without end.
+/// Prints the relay's address, and forwards requests to the worker until the process is killed.
 pub async fn run(worker: SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     println!("listening on http://{}", listener.local_addr().expect("an address"));
--- a/crates/milletpath/src/built_in_fleet.rs
+++ b/crates/milletpath/src/built_in_fleet.rs
@@ -1,4 +1,4 @@
-//! The built-in configuration of `milletpath serve`, with emulated workers that run in this process.
+//! The built-in configuration of `milletpath serve`, with emulated workers that run in the gateway's process.
 
 use milletpath_config::{ConfigError, GatewayConfig};
 use milletpath_emulator::small_fleet::{context, worker_options};
@@ -6,32 +6,32 @@
 use std::fmt::Write;
 use std::io;
 
-/// The built-in configuration but for its workers, whose ports the system chooses.
+/// The built-in configuration without its list of workers, whose ports the operating system assigns.
 const CONFIG_WITHOUT_WORKERS: &str = include_str!("built_in.hcl");
 
-/// Emulated workers.
+/// Number of emulated workers.
 const WORKER_COUNT: usize = 3;
 
-/// Seeds the random numbers of the emulated workers.
+/// Seed of the emulated workers' random number generator.
 const SEED: u64 = 1;
 
-/// Why the built-in fleet can't start.
+/// Why the built-in fleet cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum BuiltInFleetError {
-    /// An emulated worker can't listen.
+    /// An emulated worker cannot listen on loopback.
     #[error("an emulated worker can't start: {0}")]
     Worker(#[source] io::Error),
-    /// The text of the configuration is wrong: a defect of this program.
+    /// The built-in configuration is invalid, which is a bug in this program.
     #[error("the built-in configuration is wrong: {0}")]
     Config(#[source] ConfigError),
 }
 
-/// Starts the emulated workers; the configuration that lists them. Must run within a `LocalSet`, and the workers run for
-/// as long as it does.
+/// Starts the emulated workers and returns the configuration that lists them. Must be called within a `LocalSet`; the
+/// workers run for as long as the `LocalSet` does.
 ///
 /// # Errors
 ///
-/// A worker can't listen on loopback.
+/// A worker cannot listen on loopback.
 pub async fn start() -> Result<GatewayConfig, BuiltInFleetError> {
     let context = context(SEED);
     let mut workers = String::new();
--- a/crates/milletpath/src/capacity.rs
+++ b/crates/milletpath/src/capacity.rs
@@ -1,4 +1,5 @@
-//! `milletpath capacity`: the tables of the capacity page from measured runs, printed or written into the page.
+//! `milletpath capacity`: computes the tables of the capacity page from measured runs, and prints them or writes them
+//! into the page.
 
 use crate::exit_status::{CommandError, ExitStatus};
 use clap::Args;
@@ -7,33 +8,33 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What `capacity` is started with.
+/// Command-line options of `capacity`.
 #[derive(Args)]
 pub struct Options {
-    /// The folder of the runs and the assumptions
+    /// The folder that holds the measured runs and the assumptions
     #[arg(long, value_name = "FOLDER", default_value = "docs/capacity")]
     runs: PathBuf,
-    /// The page to write the tables into, between its marks
+    /// The page to write the tables into, between its marker lines
     #[arg(long, value_name = "FILE")]
     page: Option<PathBuf>,
-    /// First write the slopes that scale test runs give into the folder of the runs
+    /// First derive the slopes from the scale test runs, and write them into the folder of runs
     #[arg(long)]
     derive: bool,
 }
 
-/// Why there are no tables.
+/// Why the tables cannot be computed or written.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// The runs or the assumptions can't be read, or don't suffice.
+    /// The runs or the assumptions cannot be read, or lack data that the model needs.
     #[error(transparent)]
     Runs(ModelError),
-    /// The page can't be read.
+    /// The page cannot be read.
     #[error("{}: can't be read: {source}; name a page", path.display())]
     ReadPage { path: PathBuf, source: io::Error },
-    /// The page has no marks between which the tables belong.
+    /// The page lacks the marker lines that enclose the tables.
     #[error("{}: {source}", path.display())]
     Page { path: PathBuf, source: ModelError },
-    /// The page can't be written.
+    /// The page cannot be written.
     #[error("{}: can't be written: {source}", path.display())]
     WritePage { path: PathBuf, source: io::Error },
 }
@@ -47,11 +48,11 @@
     }
 }
 
-/// Prints the tables, or writes them into the page.
+/// Prints the tables, or writes them into a page if one is given.
 ///
 /// # Errors
 ///
-/// The runs can't be read, or the page can't be read or written.
+/// The runs cannot be read, or the page cannot be read or written.
 pub fn run(options: &Options) -> Result<ExitStatus, CapacityError> {
     if options.derive {
         fleet_slopes::write_fleet_slopes(&options.runs).map_err(CapacityError::Runs)?;
@@ -64,7 +65,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Writes the tables between the marks of a page.
+/// Replaces the text between the marker lines of a page with the tables.
 fn write_into_page(path: &Path, tables: &str) -> Result<(), CapacityError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| CapacityError::ReadPage { path: path.to_owned(), source })?;
--- a/crates/milletpath/src/change.rs
+++ b/crates/milletpath/src/change.rs
@@ -1,7 +1,7 @@
-//! `milletpath change`: proposes configuration changes to the control machines one by one, and reports until they are in
-//! force at all gateways.
+//! `milletpath change`: proposes configuration changes to the control machines one by one, and prints the progress of
+//! their rollout until they are in force at all gateways.
 //!
-//! [`proposal`] reads what is to be changed, [`commit`] has one change committed, [`rollout`] waits for the gateways.
+//! [`proposal`] reads the changes, [`commit`] gets one change committed, [`rollout`] waits for the gateways.
 
 mod commit;
 mod proposal;
@@ -19,42 +19,42 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The longest wait for the gateways, in seconds.
+/// Upper bound of `--wait`, in seconds.
 const MAX_WAIT: f64 = 86_400.0;
 
-/// What `change` is started with.
+/// Command-line options of `change`.
 #[derive(Args)]
 pub struct Options {
-    /// The configuration file, which names the control machines
+    /// The configuration file, which lists the control machines
     #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
     /// A file of statements: function "name" { ... }, functions { ... }
     #[arg(value_name = "CHANGE")]
     file: Option<PathBuf>,
-    /// Remove what a change stated of this function; the configuration file's own holds again
+    /// Remove the changes made to this function; the settings of the configuration file apply again
     #[arg(long, value_name = "NAME")]
     remove: Vec<String>,
-    /// Seconds to wait until all reachable gateways have applied it
+    /// Seconds to wait for all reachable gateways to apply the changes
     #[arg(long, default_value = "10", value_parser = parse_wait)]
     wait: Duration,
 }
 
-/// Why changes are not in force at all gateways.
+/// Why the changes are not known to be in force at all gateways.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
-    /// The configuration file can't be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// What is to be changed is wrong; nothing was proposed.
+    /// The requested changes are invalid; nothing was proposed.
     #[error(transparent)]
     Proposal(#[from] ProposalError),
-    /// The control machines can't be asked.
+    /// The client of the control machines cannot be created.
     #[error("{}: {source}", path.display())]
     Client { path: PathBuf, source: ControlClientError },
-    /// A change was not committed; those before it were.
+    /// A change was not committed, or is not known to be; the changes before it were committed.
     #[error("{}{key}: {source}", location.as_ref().map(ToString::to_string).unwrap_or_default())]
     Commit { location: Option<StatementLocation>, key: String, source: CommitError },
-    /// The changes are committed, and not in force at every gateway.
+    /// The changes are committed, but not known to be in force at every gateway.
     #[error(transparent)]
     Rollout(#[from] RolloutError),
 }
@@ -70,12 +70,12 @@
     }
 }
 
-/// Where in a file of changes a statement is wrong, as it stands before an error.
+/// Location of an invalid statement in a file of changes, shown as the prefix of an error message.
 #[derive(Debug)]
 pub struct StatementLocation {
-    /// The file.
+    /// Path of the file.
     path: PathBuf,
-    /// Line and column in it.
+    /// Line and column in the file.
     position: Position,
 }
 
@@ -86,11 +86,11 @@
     }
 }
 
-/// Proposes the changes, and waits until they are in force.
+/// Proposes the changes, and waits until they are in force at the gateways.
 ///
 /// # Errors
 ///
-/// The input is wrong, a change was not committed, or a gateway has not applied it in time.
+/// The input is invalid, a change was not committed, or not all gateways applied the changes in time.
 pub fn run(options: &Options) -> Result<ExitStatus, ChangeError> {
     let ConfigWithLog { config, config_log } = config_file::read_with_log(&options.config_file)?;
     let proposals = proposal::read(&config, options.file.as_deref(), &options.remove)?;
@@ -107,7 +107,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// An error with its location in the file, if the statement is wrong.
+/// Adds the location in the file to an error, if the statement caused it and came from a file.
 fn commit_error(change: &ProposedChange, file: Option<&Path>, source: CommitError) -> ChangeError {
     let location = match (source.position(), change.position, file) {
         (Some(relative), Some(start), Some(path)) => {
@@ -118,7 +118,7 @@
     ChangeError::Commit { location, key: change.key.clone(), source }
 }
 
-/// Converts a position in a statement to one in the file, where the statement begins at `start`.
+/// Converts a position relative to a statement into a position in the file, where the statement begins at `start`.
 fn position_in_file(start: Position, relative: Position) -> Position {
     match relative {
         Position { line: 1, column } => Position { line: start.line, column: start.column + column - 1 },
@@ -126,12 +126,12 @@
     }
 }
 
-/// The wait is no number of seconds within its bounds.
+/// The value of `--wait` is not a number of seconds within its bounds.
 #[derive(Debug, thiserror::Error)]
 #[error("write a number of seconds, 0 to {MAX_WAIT}")]
 struct InvalidWaitError;
 
-/// Seconds as they are written on the command line.
+/// Parses a number of seconds given on the command line.
 fn parse_wait(text: &str) -> Result<Duration, InvalidWaitError> {
     let seconds = text.parse().ok().filter(|seconds| (0.0..=MAX_WAIT).contains(seconds));
     seconds.map(Duration::from_secs_f64).ok_or(InvalidWaitError)
--- a/crates/milletpath/src/change/commit.rs
+++ b/crates/milletpath/src/change/commit.rs
@@ -1,46 +1,47 @@
-//! Has one change committed by the control machines.
+//! Proposes one change to the control machines, and interprets the outcome.
 
 use super::proposal::ProposedChange;
 use milletpath_config::document::Position;
 use milletpath_config_log::{Change, Outcome};
 use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
 
-/// Where a statement begins.
+/// The beginning of a statement.
 const STATEMENT_START: Position = Position { line: 1, column: 1 };
 
-/// Why a change was not committed, or is not known to be.
+/// Why a change was not committed, or is not known to be committed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommitError {
-    /// The entry in force under the key can't be learned.
+    /// No control machine answered the query for the entry in force under the key.
     #[error("no control machine answers: nothing was proposed; are they running, with this key?")]
     NoControlMachine,
-    /// Another change of the same key was committed since this one's author read the key.
+    /// Another change of the same key was committed after this author read the key. Holds the number of the entry that
+    /// is in force instead, 0 for none.
     #[error("another author was first, with number {0}: this changed nothing; look and decide again")]
     Superseded(u64),
-    /// The control machines' configuration does not allow the statement.
+    /// The statement is invalid under the configuration of the control machine.
     #[error("the control machine refuses it: {reason}")]
     Denied {
-        /// Where in the statement.
+        /// Position of the error in the statement.
         position: Position,
-        /// What is wrong, and what to write instead.
+        /// The cause, and how to correct it.
         reason: String,
     },
-    /// Key or text exceeds its bound.
+    /// The key or the text exceeds its maximum size, or the key is empty.
     #[error("it is larger than a change may be")]
     TooLarge,
-    /// The log has no room for another key, or for that much text.
+    /// The log is at its limit of keys or of text.
     #[error("there is no room for more statements; remove some that are not needed")]
     Full,
-    /// Too many changes are pending.
+    /// The control machines have too many pending changes.
     #[error("too many changes are pending: it was not proposed; run this again")]
     Busy,
-    /// No quorum answered the control machine that proposed it.
+    /// The control machine that proposed the change got no answer from a quorum in time.
     #[error(
         "no majority of the control machines answered in time: it is not known whether it will come into force; see \
          milletpath changes, and run this again: it is never applied twice"
     )]
     UnknownOutcome,
-    /// The control machines received the proposal, or not, and did not answer.
+    /// No control machine answered the proposal, which may or may not have been received.
     #[error(
         "the control machines stopped answering: it is not known whether it will come into force; see milletpath \
          changes, and run this again: it is never applied twice"
@@ -49,7 +50,7 @@
 }
 
 impl CommitError {
-    /// Where in its statement a change is wrong; none where the statement is not the cause.
+    /// Returns the position of the error in the statement, or `None` if the statement did not cause the error.
     pub fn position(&self) -> Option<Position> {
         match self {
             Self::Denied { position, .. } => Some(*position),
@@ -59,11 +60,11 @@
     }
 }
 
-/// Has a change committed; its number in the log. Where it is in force already, it is not proposed again.
+/// Gets a change committed and returns its number in the log. A change that is already in force is not proposed again.
 ///
 /// # Errors
 ///
-/// The control machines deny the change or do not answer, or another change took its place.
+/// The control machines reject the change or do not answer, or another change of the same key was committed first.
 pub fn commit(client: &Client, proposed: &ProposedChange) -> Result<u64, CommitError> {
     let current = client.get(&proposed.key).ok_or(CommitError::NoControlMachine)?;
     if current.text == proposed.text {
@@ -84,8 +85,8 @@
     }
 }
 
-/// The number of a change that is in force although its proposal was superseded: an earlier transmission of the same
-/// request may have committed it.
+/// Returns the number of a change that is in force although its proposal was superseded: an earlier transmission of the
+/// same request may have committed it.
 fn number_if_in_force(
     client: &Client,
     proposed: &ProposedChange,
@@ -97,7 +98,7 @@
     }
 }
 
-/// A denial by its reason, which begins with `LINE:COLUMN: ` where the statement is wrong at a certain place.
+/// Parses the reason of a denial, which begins with `LINE:COLUMN: ` if the error has a position in the statement.
 fn parse_denial(reason: &str) -> CommitError {
     let mut parts = reason.splitn(3, ':');
     let mut number = || parts.next()?.parse::<usize>().ok().filter(|number| *number > 0);
--- a/crates/milletpath/src/change/proposal.rs
+++ b/crates/milletpath/src/change/proposal.rs
@@ -1,4 +1,4 @@
-//! Reads what is to be changed: a file of statements, and statements to remove.
+//! Reads the requested changes: a file of statements, and the statements to remove.
 
 use crate::config_file::lines_of_file;
 use milletpath_config::document::Position;
@@ -9,38 +9,39 @@
 
 /// A change to propose.
 pub struct ProposedChange {
-    /// What it is about.
+    /// Key of the statement in the configuration log.
     pub key: String,
-    /// The statement; none removes the one in force.
+    /// The statement; `None` removes the one in force.
     pub text: Option<String>,
-    /// Where the statement begins in the file, if it comes from one.
+    /// Where the statement begins in its file; `None` for a removal.
     pub position: Option<Position>,
 }
 
-/// Why there is nothing to propose.
+/// Why no changes can be proposed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProposalError {
-    /// The file of statements can't be read.
+    /// The file of statements cannot be read.
     #[error("{}: can't be read: {source}; name a file of statements", path.display())]
     Read { path: PathBuf, source: io::Error },
-    /// The file of statements is wrong; all its errors.
+    /// The file of statements is invalid; holds all its errors.
     #[error("{}", lines_of_file(path, errors))]
     Invalid { path: PathBuf, errors: Vec<ConfigError> },
-    /// There is no statement of that name to remove.
+    /// The name to remove cannot be the key of a statement.
     #[error(
         "--remove {0}: there is no such statement; write the function's name, or functions for what is stated of all"
     )]
     UnknownStatement(String),
-    /// Neither a file nor a statement to remove is named.
+    /// Neither a file nor a statement to remove was given, or the file has no statements.
     #[error("nothing to change; name a file of statements, or --remove NAME")]
     Empty,
 }
 
-/// The changes that set the statements of a file and remove those of these names, in this order.
+/// Returns the changes that set the statements of a file, followed by those that remove the named statements.
 ///
 /// # Errors
 ///
-/// The file can't be read, the configuration does not allow a statement, or there is nothing to change.
+/// The file cannot be read, a statement is invalid under the configuration, a name to remove is invalid, or there is
+/// nothing to change.
 pub fn read(
     config: &GatewayConfig,
     file: Option<&Path>,
@@ -56,7 +57,7 @@
     if proposals.is_empty() { Err(ProposalError::Empty) } else { Ok(proposals) }
 }
 
-/// A change for each statement of a file.
+/// Returns a change for each statement of a file.
 fn read_file(config: &GatewayConfig, path: &Path) -> Result<Vec<ProposedChange>, ProposalError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ProposalError::Read { path: path.to_owned(), source })?;
@@ -71,7 +72,7 @@
     Ok(proposals.collect())
 }
 
-/// The removal of the statement of a key, or of a function's name.
+/// Returns the change that removes a statement, which is named by its key or by the name of its function.
 fn removal(name: &str) -> Result<ProposedChange, ProposalError> {
     let subject = Subject::from_key(name).or_else(|| Subject::from_key(&format!("function {name}")));
     let key = subject.map(|subject| subject.to_string()).filter(|key| key.len() <= MAX_KEY_BYTES);
--- a/crates/milletpath/src/change/rollout.rs
+++ b/crates/milletpath/src/change/rollout.rs
@@ -1,31 +1,31 @@
-//! Waits until a committed change is in force at all gateways that the control machines reach.
+//! Waits until a committed change is in force at all gateways that the control machines can reach.
 
 use crate::control_overview::{ControlOverview, GatewayState, GatewayStatus};
 use milletpath_gateway::control_client::Client;
 use std::fmt::{self, Display, Formatter};
 use std::time::{Duration, Instant};
 
-/// Time between two queries of the control machines.
+/// Interval between queries of the control machines.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where a change is not in force: at least one gateway, or the reason why one may be missing.
+/// Where a change is not in force: at least one gateway, or the reason why the list of gateways may be incomplete.
 #[derive(Debug)]
 pub struct RolloutError {
-    /// The gateways that could not apply it.
+    /// The gateways that failed to apply the change.
     failing: Vec<GatewayStatus>,
-    /// The reachable gateways that do not have it yet.
+    /// The reachable gateways that have not received the change yet.
     behind: Vec<GatewayStatus>,
-    /// Why there may be gateways that are not known.
+    /// Why there may be further gateways, if so.
     unknown: Option<UnknownGateways>,
 }
 
-/// Why there may be gateways that are not known.
+/// Why the control machines that answer may not know all gateways.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum UnknownGateways {
-    /// No gateway polls the control machines.
+    /// None of the control machines that answer was polled by a gateway recently.
     #[error("no gateway is reachable for the control machines that answer")]
     NoneReachable,
-    /// A gateway may poll a control machine that does not answer here, or that has just started.
+    /// A gateway may be polling a control machine that did not answer, or that has just started.
     #[error("not all control machines answer, or some have just started: there may be more gateways")]
     MissingReports,
 }
@@ -46,21 +46,21 @@
     }
 }
 
-/// How far a change has come at one time.
+/// A snapshot of the rollout of a change.
 struct Rollout {
-    /// What the control machines report at that time.
+    /// The reports of the control machines.
     overview: ControlOverview,
-    /// The number of the change.
+    /// Number of the change.
     number: u64,
 }
 
 impl Rollout {
-    /// The gateways from which a control machine received something lately.
+    /// Returns the gateways that polled a control machine recently.
     fn reachable(&self) -> impl Iterator<Item = &GatewayStatus> {
         self.overview.gateways.iter().filter(|gateway| gateway.state != GatewayState::Silent)
     }
 
-    /// The reachable gateways that could not apply the change.
+    /// Returns the reachable gateways that failed to apply the change.
     fn failing(&self) -> impl Iterator<Item = &GatewayStatus> {
         let failed_change = |gateway: &GatewayStatus| {
             gateway.apply_error.as_ref().is_some_and(|error| error.number == self.number)
@@ -68,24 +68,24 @@
         self.reachable().filter(move |gateway| failed_change(gateway))
     }
 
-    /// The reachable gateways that do not have the change yet.
+    /// Returns the reachable gateways that have not received the change yet.
     fn behind(&self) -> impl Iterator<Item = &GatewayStatus> {
         self.reachable().filter(|gateway| gateway.number < self.number)
     }
 
-    /// The numbers that are printed.
+    /// Returns the counts to print.
     fn progress(&self) -> Progress {
         let reachable = self.reachable().count();
         let reached = reachable - self.behind().count();
         Progress { in_force: reached.saturating_sub(self.failing().count()), reachable }
     }
 
-    /// Whether every gateway that there can be has it, applied or not.
+    /// Whether the change has reached every gateway, applied or not, and the list of gateways is known to be complete.
     fn has_reached_all(&self) -> bool {
         self.reachable().count() > 0 && self.behind().count() == 0 && self.overview.is_complete()
     }
 
-    /// What is missing, where the wait ends without success.
+    /// Returns the error that describes where the change is not in force.
     fn error(&self) -> RolloutError {
         let unknown = if self.reachable().count() == 0 {
             Some(UnknownGateways::NoneReachable)
@@ -99,20 +99,20 @@
     }
 }
 
-/// What is printed of a rollout.
+/// Counts that are printed during a rollout.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Progress {
-    /// Reachable gateways that applied the change.
+    /// Number of reachable gateways that applied the change.
     in_force: usize,
-    /// Reachable gateways.
+    /// Number of reachable gateways.
     reachable: usize,
 }
 
-/// Prints at how many gateways a number is in force, until it is at all reachable ones.
+/// Waits until a change is in force at all reachable gateways, and prints the progress whenever it changes.
 ///
 /// # Errors
 ///
-/// It is not when `timeout` has passed, or a gateway could not apply it.
+/// The change is not in force everywhere when `timeout` expires, or a gateway failed to apply it.
 pub fn wait_until_applied(client: &Client, number: u64, timeout: Duration) -> Result<(), RolloutError> {
     let end = Instant::now() + timeout;
     let mut printed = None;
--- a/crates/milletpath/src/change/rollout/tests.rs
+++ b/crates/milletpath/src/change/rollout/tests.rs
@@ -1,9 +1,9 @@
-//! How far a change has come, by what the control machines report.
+//! Progress and errors of a rollout, derived from the reports of control machines.
 
 use super::*;
 use milletpath_config_log::message::ApplyError;
 
-/// The number of the change.
+/// Number of the change that is rolled out.
 const NUMBER: u64 = 7;
 
 fn gateway(name: &str, number: u64, state: GatewayState) -> GatewayStatus {
@@ -15,7 +15,7 @@
     GatewayStatus { apply_error, ..gateway(name, NUMBER, GatewayState::Refusing) }
 }
 
-/// As control machines report it that don't answer: gateways may be missing.
+/// A rollout as of an overview without any control machine that answers, so that gateways may be missing.
 fn rollout(gateways: Vec<GatewayStatus>) -> Rollout {
     let overview = ControlOverview {
         head: NUMBER,
--- a/crates/milletpath/src/change/tests.rs
+++ b/crates/milletpath/src/change/tests.rs
@@ -1,4 +1,4 @@
-//! Positions in statements, and waits as they are written.
+//! Conversion of positions in statements, and parsing of `--wait`.
 
 use super::*;
 use test_case::test_case;
--- a/crates/milletpath/src/changes.rs
+++ b/crates/milletpath/src/changes.rs
@@ -1,5 +1,5 @@
-//! `milletpath changes`: what the control machines know of the configuration in force and where it is not, or what one
-//! gateway reports itself.
+//! `milletpath changes`: reports which configuration is in force and which gateways lag behind, as known to the control
+//! machines, or the state of a single gateway as reported by itself.
 
 mod gateway_report;
 mod overview_table;
@@ -12,36 +12,36 @@
 use milletpath_gateway::control_client::{Client, ControlClientError};
 use std::path::PathBuf;
 
-/// What `changes` is started with.
+/// Command-line options of `changes`.
 #[derive(Args)]
 pub struct Options {
-    /// The configuration file, which names the control machines
+    /// The configuration file, which lists the control machines
     #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
-    /// Print JSON
+    /// Print the report as JSON
     #[arg(long)]
     json: bool,
-    /// Ask the gateway of this configuration file rather than the control machines
+    /// Query the gateway of this configuration file instead of the control machines
     #[arg(long)]
     here: bool,
 }
 
-/// Why there is no report.
+/// Why `changes` fails.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangesError {
-    /// The configuration file can't be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// Nobody can be asked.
+    /// The client for queries cannot be created.
     #[error("{}: {source}", path.display())]
     Client { path: PathBuf, source: ControlClientError },
-    /// The gateway of the configuration file does not report.
+    /// There is no report from the gateway of the configuration file.
     #[error("{}: {source}", path.display())]
     Gateway { path: PathBuf, source: GatewayReportError },
-    /// The report was printed, and nothing is known of the fleet.
+    /// No control machine answered. The report, which knows nothing of the fleet, was printed nevertheless.
     #[error("no control machine answers: are they running, with this key?")]
     NoControlMachine,
-    /// The report can't be written as JSON.
+    /// The report cannot be serialized to JSON.
     #[error("the report can't be written as JSON: {0}")]
     Json(#[from] serde_json::Error),
 }
@@ -56,11 +56,11 @@
     }
 }
 
-/// Prints the report of all control machines, or of one gateway.
+/// Prints the combined report of all control machines, or the report of one gateway.
 ///
 /// # Errors
 ///
-/// The configuration can't be used, or nobody answers.
+/// The configuration file or the client cannot be used, no queried process answers, or the report cannot be serialized.
 pub fn run(options: &Options) -> Result<ExitStatus, ChangesError> {
     let path = &options.config_file;
     let ConfigWithLog { config_log, .. } = config_file::read_with_log(path)?;
--- a/crates/milletpath/src/changes/gateway_report.rs
+++ b/crates/milletpath/src/changes/gateway_report.rs
@@ -1,4 +1,4 @@
-//! What the gateway of a configuration file reports of the configuration that it applied.
+//! Prints the report of a single gateway on the configuration that it applied.
 
 use milletpath_config_log::message::ApplyError;
 use milletpath_config_log::{FollowerView, ReplicaStatus};
@@ -6,22 +6,22 @@
 use milletpath_gateway::control_client::Client;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// Why there is no report.
+/// Why there is no report of the gateway.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayReportError {
-    /// The gateway took a port that the system chose.
+    /// The configuration has port 0: the operating system assigned the port, which is not known here.
     #[error("listen of changes has port 0: nobody can know where the gateway is; give it a port")]
     UnknownPort,
-    /// No gateway of this key answered in time.
+    /// No gateway with the same key answered in time, or its answer was not a valid report.
     #[error("the gateway does not answer on {0}: is it running, with this key?")]
     NoAnswer(SocketAddr),
 }
 
-/// Prints what the gateway that listens on this address reports: as it sent it for JSON, or as text.
+/// Queries the gateway that listens on `listen`, and prints its report as text, or unchanged as JSON.
 ///
 /// # Errors
 ///
-/// The address has no port, or the gateway does not answer.
+/// The port of the address is 0, or the gateway does not answer.
 pub fn print(client: &Client, listen: SocketAddr, json: bool) -> Result<(), GatewayReportError> {
     let address = query_address(listen)?;
     let text = client.status_texts(&[address]).into_iter().flatten().next();
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Where a gateway that listens on this address can be asked from its own machine.
+/// Returns the address at which a gateway on this machine can be queried: loopback if it listens on all interfaces.
 fn query_address(mut listen: SocketAddr) -> Result<SocketAddr, GatewayReportError> {
     if listen.port() == 0 {
         return Err(GatewayReportError::UnknownPort);
@@ -51,7 +51,7 @@
     Ok(listen)
 }
 
-/// Prints which configuration the gateway applied.
+/// Prints the configuration state of the gateway.
 fn print_state(view: &FollowerView) {
     let confirmation = match view.confirmed_age {
         Some(age) => format!("known to be the latest {age:.1} s ago"),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Prints a line for each control machine as the gateway knows it.
+/// Prints a line for each control machine, as seen by the gateway.
 fn print_replicas(view: &FollowerView) {
     println!("follows control machines {:?}", view.follows);
     println!("{:<8} {:>15} {:>9} {:>10}", "control", "last contact, s", "number", "conflicts");
@@ -76,7 +76,7 @@
     }
 }
 
-/// Prints counts since the start of the gateway.
+/// Prints the counters since the gateway's start.
 fn print_counters(status: &ConfigStatus) {
     println!(
         "rebuilt {} times; state saved {} times, not saved {}; datagrams rejected: {} of another key or altered, {} \
--- a/crates/milletpath/src/changes/overview_table.rs
+++ b/crates/milletpath/src/changes/overview_table.rs
@@ -1,8 +1,8 @@
-//! The report of all control machines as tables.
+//! Prints the combined report of the control machines as tables.
 
 use crate::control_overview::{ControlMachineStatus, ControlOverview, GatewayState, GatewayStatus};
 
-/// Largest number of gateways listed that are not current.
+/// Maximum number of listed gateways that are not current.
 const MAX_LISTED_GATEWAYS: usize = 100;
 
 /// Prints all tables.
@@ -12,7 +12,7 @@
     print_gateways(&overview.gateways);
 }
 
-/// Prints two lines on the log and on the fleet.
+/// Prints a line about the log, and one about the control machines and gateways.
 fn print_summary(overview: &ControlOverview) {
     let confirmation = match overview.confirmed_age {
         Some(age) => format!("confirmed {age:.1} s ago as the latest"),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Prints the gateways that are not current, as far as they fit.
+/// Prints the gateways that are not current, up to [`MAX_LISTED_GATEWAYS`].
 fn print_gateways(gateways: &[GatewayStatus]) {
     let not_current: Vec<_> = gateways.iter().filter(|g| g.state != GatewayState::Current).collect();
     if not_current.is_empty() {
--- a/crates/milletpath/src/check.rs
+++ b/crates/milletpath/src/check.rs
@@ -1,11 +1,11 @@
-//! `milletpath check`: reads a configuration file and reports every error in it.
+//! `milletpath check`: validates a configuration file and reports all its errors.
 
 use crate::config_file::{self, ConfigFileError};
 use crate::exit_status::ExitStatus;
 use clap::Args;
 use std::path::PathBuf;
 
-/// What `check` is started with.
+/// Command-line options of `check`.
 #[derive(Args)]
 pub struct Options {
     /// The configuration file
@@ -13,11 +13,11 @@
     config_file: PathBuf,
 }
 
-/// Prints that the file is valid.
+/// Validates the file, and prints that it is valid.
 ///
 /// # Errors
 ///
-/// The file can't be read or has errors, or a key file that it names can't be used.
+/// The file cannot be read, has errors, or names a key file that cannot be used.
 pub fn run(options: &Options) -> Result<ExitStatus, ConfigFileError> {
     config_file::read(&options.config_file)?;
     println!("{}: sound", options.config_file.display());
--- a/crates/milletpath/src/command_line.rs
+++ b/crates/milletpath/src/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line: one sub-command for each task, with the options that its module states. Help shows the standard names;
-//! an `alias` is a former name, which is accepted and hidden.
+//! The command line: its sub-commands, whose options are defined in their modules. Help shows the current names; an
+//! `alias` is a former name, which is still accepted but hidden.
 
 use crate::logging::LogFormat;
 use crate::{capacity, change, changes, check, control, members, scale_test, scenario, serve, workers};
@@ -12,7 +12,7 @@
     /// The format of the log on standard error
     #[arg(long = "log", value_name = "LOG", value_enum, default_value_t, global = true)]
     pub log_format: LogFormat,
-    /// What is to be done.
+    /// The sub-command to run.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -22,30 +22,30 @@
 pub enum Command {
     /// Run the gateway
     Serve(serve::Options),
-    /// Read a configuration file and report all errors in it
+    /// Validate a configuration file and report all its errors
     Check(check::Options),
-    /// Run a control machine, which takes part in deciding on changes of configuration
+    /// Run a control machine, a replica of the configuration log
     Control(control::Options),
-    /// Change settings of functions at all gateways while they run
+    /// Change the settings of functions on all running gateways
     Change(change::Options),
-    /// Report which changes are in force, and at which gateways they are not
+    /// Report the configuration in force, and the gateways that have not applied it
     Changes(changes::Options),
-    /// Run emulated workers alone, at the addresses that a configuration file lists
+    /// Run only emulated workers, on the addresses that a configuration file lists
     Workers(workers::Options),
     /// Print the tables of the capacity page from measured runs, or write them into the page
     Capacity(capacity::Options),
-    /// Run the router on the platform, by LB_NAME, LB_LISTEN and LB_CONFIG
+    /// Run the platform router, configured by LB_NAME, LB_LISTEN and LB_CONFIG
     Platform,
-    /// Report what the gateway of a configuration file knows of the other gateways
+    /// Report what a gateway knows about the other gateways
     #[command(alias = "peers")]
     Members(members::Options),
-    /// Play a plan of a large fleet, with hollow gateways beside real ones; prints what control costs and which bounds broke
+    /// Run a scale test of real and hollow gateways; prints the cost of the control plane and any exceeded bounds
     #[command(alias = "scale")]
     ScaleTest(scale_test::Options),
-    /// A process of hollow gateways, which a scale test starts
+    /// Run hollow gateways for a scale test, which starts this process
     #[command(alias = "scale-host", hide = true)]
     ScaleTestHost,
-    /// Play a scenario through real sockets; prints which rules were kept and how requests ended
+    /// Run a scenario over real sockets; prints which rules held and the outcomes of requests
     #[command(alias = "day")]
     Scenario(scenario::Options),
 }
--- a/crates/milletpath/src/config_file.rs
+++ b/crates/milletpath/src/config_file.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration file, and checks that the key files it names can be used.
+//! Reads a configuration file, and checks that the key files it names are usable.
 
 use crate::exit_status::{CommandError, ExitStatus};
 use milletpath_config::{ConfigError, ConfigLogConfig, GatewayConfig};
@@ -7,26 +7,26 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a configuration file can't be used.
+/// Why a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
-    /// The file is missing or not readable by this process.
+    /// The file does not exist, or this process cannot read it.
     #[error("{}: can't be read: {source}; name a configuration file", path.display())]
     Read { path: PathBuf, source: io::Error },
-    /// The text of the file is wrong; all its errors.
+    /// The file is not a valid configuration; holds all its errors.
     #[error("{}", lines_of_file(path, errors))]
     Invalid { path: PathBuf, errors: Vec<ConfigError> },
-    /// The key that the section `peers` names can't be used.
+    /// The key file named in section `peers` cannot be used.
     #[error("{}: key of peers: {source}; write random bytes to it, the same for all gateways", path.display())]
     FleetKey { path: PathBuf, source: KeyFileError },
-    /// The key that the section `changes` names can't be used.
+    /// The key file named in section `changes` cannot be used.
     #[error(
         "{}: key of changes: {source}; write random bytes to it, the same for all control machines, gateways and \
          authors of changes",
         path.display()
     )]
     ControlKey { path: PathBuf, source: KeyFileError },
-    /// The sub-command needs a section that the file does not have.
+    /// The file lacks a section that the sub-command needs.
     #[error("{}: has no {section}; add {section} {{ ... }} to the configuration", path.display())]
     MissingSection { path: PathBuf, section: &'static str },
 }
@@ -37,19 +37,19 @@
     }
 }
 
-/// A configuration with a section `changes`, and that section.
+/// A configuration that has a section `changes`, together with that section.
 pub struct ConfigWithLog {
     /// The complete configuration.
     pub config: GatewayConfig,
-    /// Its section on the configuration log.
+    /// Its section `changes`, the settings of the configuration log.
     pub config_log: ConfigLogConfig,
 }
 
-/// Reads a configuration file. Paths in it are relative to its folder, wherever the program was started.
+/// Reads a configuration file. Relative paths in it are resolved against its folder, not the working directory.
 ///
 /// # Errors
 ///
-/// The file can't be read, its text has errors, or a key file that it names can't be used.
+/// The file cannot be read, has errors, or names a key file that cannot be used.
 pub fn read(path: &Path) -> Result<GatewayConfig, ConfigFileError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigFileError::Read { path: path.to_owned(), source })?;
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 ///
-/// As [`read`], or the section is missing.
+/// Those of [`read`], or the section is missing.
 pub fn read_with_log(path: &Path) -> Result<ConfigWithLog, ConfigFileError> {
     let config = read(path)?;
     match config.config_log.clone() {
@@ -73,13 +73,13 @@
     }
 }
 
-/// The lines that report several errors of one file.
+/// Formats the errors of a file, each on a line that begins with the file's path.
 pub fn lines_of_file(path: &Path, errors: &[impl Display]) -> String {
     let lines: Vec<_> = errors.iter().map(|error| format!("{}:{error}", path.display())).collect();
     lines.join("\n")
 }
 
-/// Makes the paths that a file names relative to its folder.
+/// Resolves the relative paths in a configuration against the folder of its file.
 fn resolve_paths(config: &mut GatewayConfig, path: &Path) {
     let Some(folder) = path.parent() else { return };
     if let Some(membership) = &mut config.membership {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads the key files once, so that a wrong one is reported before anything runs.
+/// Reads the key files, so that an unusable one is reported at startup.
 fn check_keys(config: &GatewayConfig, path: &Path) -> Result<(), ConfigFileError> {
     if let Some(membership) = &config.membership {
         milletpath_gateway::read_fleet_key(&membership.key_file)
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -1,12 +1,12 @@
-//! `milletpath control`: a control machine, which takes part in the replicated log of configuration changes.
+//! `milletpath control`: runs a control machine, a replica of the log of configuration changes.
 //!
 //! - [`config_file`] reads the configuration, which lists the control machines.
-//! - [`log_file`] reads the records that this machine stored, and writes them into a new file.
-//! - [`machine`] runs a replica of `milletpath-config-log` in a thread of its own: it receives datagrams ([`receiver`]),
-//!   stores records, and sends no message that depends on a record before the record is on the disk. While the disk fails,
-//!   the machine forwards changes and does not vote.
+//! - [`log_file`] reads the stored records of this machine, and rewrites them into a new file.
+//! - [`machine`] runs a replica of `milletpath-config-log` in its own thread: it receives datagrams ([`receiver`]),
+//!   stores records, and sends a message only after the records that it depends on are on disk. While the disk fails,
+//!   the machine forwards changes but does not vote.
 //!
-//! SIGTERM and SIGINT end the thread after the batch of datagrams that it handles.
+//! SIGTERM and SIGINT stop the thread after its current batch of datagrams.
 
 mod log_file;
 mod machine;
@@ -30,48 +30,48 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time between two checks whether the process is to stop.
+/// Interval between checks whether the thread has ended or is to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What `control` is started with.
+/// Command-line options of `control`.
 #[derive(Args)]
 pub struct Options {
     /// The configuration file, which lists the control machines
     #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
-    /// Which of the configuration's control machines this is, from 0
+    /// Number of this machine in the configuration's list of control machines, from 0
     #[arg(long)]
     number: usize,
-    /// Begin a new log: once, at the first start of all control machines
+    /// Create a new log; use it once, at the first start of all control machines
     #[arg(long, alias = "found")]
     initialize: bool,
 }
 
-/// Why a control machine does not run.
+/// Why a control machine cannot start, or ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The configuration file can't be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// The configuration lists fewer control machines.
+    /// The configuration lists no control machine with this number.
     #[error("{}: has no control machine {number}; write --number 0 to {last}", path.display())]
     UnknownNumber { path: PathBuf, number: usize, last: usize },
-    /// The key that seals datagrams can't be used.
+    /// The key that authenticates datagrams cannot be used.
     #[error("key of changes: {0}")]
     Key(#[source] KeyFileError),
-    /// The address of this control machine is in use, or another machine's.
+    /// The address of this control machine is in use, or is not an address of this host.
     #[error("{address} can't be listened on: {source}; is this machine {number} here?")]
     Listen { address: SocketAddr, number: usize, source: io::Error },
-    /// The log file can't be used.
+    /// The log file cannot be used.
     #[error("{}: {source}", path.display())]
     LogFile { path: PathBuf, source: LogFileError },
-    /// The system has no room for another thread.
+    /// The operating system refused another thread.
     #[error("the thread of the control machine can't be started: {0}")]
     Spawn(#[source] io::Error),
-    /// The runtime that waits for signals can't start.
+    /// The runtime that waits for signals cannot start.
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
-    /// The thread ended by a panic, which is in the log.
+    /// The thread panicked; the panic was logged.
     #[error("the thread of the control machine panicked; start it again")]
     Panicked,
 }
@@ -87,11 +87,11 @@
     }
 }
 
-/// Runs a control machine until the process is asked to end.
+/// Runs a control machine until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// The configuration or the log file can't be used, or the socket can't be opened.
+/// The configuration or the log file cannot be used, the socket cannot be opened, or the thread cannot start or panics.
 pub fn run(options: &Options) -> Result<ExitStatus, ControlError> {
     let ConfigWithLog { config, config_log } = config_file::read_with_log(&options.config_file)?;
     let number = options.number;
@@ -100,7 +100,7 @@
         return Err(ControlError::UnknownNumber { path, number, last });
     };
     let key = milletpath_gateway::read_control_key(&config_log.key_file).map_err(ControlError::Key)?;
-    // Before the log file is touched, so that a second process with the same number ends here.
+    // Bind before opening the log file, so that a second process with the same number fails here without changing it.
     let socket =
         UdpSocket::bind(address).map_err(|source| ControlError::Listen { address, number, source })?;
     ignore_file_size_signal();
@@ -115,14 +115,14 @@
     ))
 }
 
-/// Makes a write beyond a limit on file sizes an error as of a full disk; by default it would end the process.
+/// Makes a write beyond the file size limit fail like one to a full disk, instead of ending the process by SIGXFSZ.
 fn ignore_file_size_signal() {
     if let Err(error) = survive_file_size_limit() {
         tracing::warn!(%error, "SIGXFSZ can't be ignored: a limit on file sizes will end this process");
     }
 }
 
-/// A replica with the records of its log file.
+/// Opens the log file, and starts a replica from its records.
 fn open_replica(
     log_path: &Path,
     options: &Options,
@@ -140,12 +140,12 @@
     Ok(DurableReplica::new(stored, RewritePolicy::default(), 0.0, replica))
 }
 
-/// Prints a line on standard output for the program that started this one, which waits for it.
+/// Prints the address on standard output for a parent process that waits until this one is ready.
 fn announce(number: usize, address: SocketAddr) {
     let _ = writeln!(io::stdout(), "control {number} on udp://{address}");
 }
 
-/// Runs a control machine in a thread of its own until the process is asked to end.
+/// Runs a control machine in its own thread until the process receives SIGTERM or SIGINT.
 fn run_until_stopped(machine: ControlMachine) -> Result<ExitStatus, ControlError> {
     let stop = Arc::new(AtomicBool::new(false));
     let thread_stop = stop.clone();
@@ -154,7 +154,7 @@
     let waited = async_runtime::block_on(async {
         tokio::select! {
             () = shutdown_requested() => {}
-            // The thread ends by itself only if it panics.
+            // Without `stop`, the thread ends only by a panic.
             () = wait_for_exit(&thread) => {}
         }
     });
@@ -164,7 +164,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Waits until a thread has ended.
+/// Waits until a thread has finished.
 async fn wait_for_exit(thread: &JoinHandle<()>) {
     while !thread.is_finished() {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
--- a/crates/milletpath/src/control/log_file.rs
+++ b/crates/milletpath/src/control/log_file.rs
@@ -1,33 +1,34 @@
-//! The log file of a control machine: read at the start, and written anew before the machine votes.
+//! Opens the log file of a control machine: it is read at startup, and rewritten before the machine votes.
 
 use milletpath_config_log::{LoadError, StoredLog};
 use milletpath_storage::{Backoff, DiskFolder, Folder, OpenError, ReplaceError, is_transient};
 use std::path::Path;
 use std::time::Duration;
 
-/// Why a log file can't be used.
+/// Why a log file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LogFileError {
     /// The path does not end in a file name.
     #[error("is no file name")]
     NoFileName,
-    /// The file can't be read, or is damaged.
+    /// The file cannot be read, is damaged, or was written by a later release.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// A new log was asked for where there is one.
+    /// A new log was requested, but the file already has records.
     #[error("holds a log already; start without --initialize")]
     AlreadyInitialized,
-    /// The records can't be written into a new file.
+    /// The records cannot be written into a new file.
     #[error("{0}; mend the disk or its permissions")]
     Renew(#[source] ReplaceError),
 }
 
-/// Reads a log file, and writes its records into a new one. While the disk fails, reading is tried again; writing the new
-/// file is left to the running machine. `initialize` begins a new log.
+/// Reads a log file, and rewrites its records into a new file. A read that fails for a transient reason is retried; a
+/// rewrite that does is left to the running machine, unless `initialize` is set. `initialize` creates a new log.
 ///
 /// # Errors
 ///
-/// The file can't be read or is damaged; with `initialize`, it has records, or can't be written.
+/// The file cannot be read or is damaged, the new file cannot be written for a reason that is not transient, or
+/// `initialize` is set and the file has records or cannot be written.
 pub fn open(path: &Path, initialize: bool) -> Result<StoredLog<DiskFolder>, LogFileError> {
     let file = path.display();
     let (folder, name) = DiskFolder::of_file(path).ok_or(LogFileError::NoFileName)?;
@@ -54,7 +55,7 @@
     Ok(stored)
 }
 
-/// Reads the log file, again while the disk fails; `sleep` waits between two attempts.
+/// Reads the log file, and retries transient errors with exponential backoff; `sleep` waits between attempts.
 fn load<F: Folder + Clone>(
     folder: &F,
     name: &str,
--- a/crates/milletpath/src/control/log_file/tests.rs
+++ b/crates/milletpath/src/control/log_file/tests.rs
@@ -1,4 +1,4 @@
-//! A log that can't be read for a while, and one that can't be read at all.
+//! Transient and permanent errors in reading a log file.
 
 use super::*;
 use milletpath_storage::testing::{Fault, FaultyFolder};
@@ -6,7 +6,7 @@
 
 const NAME: &str = "control-0.log";
 
-/// Loads a log of which so many reads fail so; gives the waits between two reads.
+/// Loads a log whose first reads fail with `errno`. Returns whether the log is empty, and the waits between attempts.
 fn load_with_failing_reads(failed_reads: usize, errno: Errno) -> (Result<bool, LoadError>, Vec<f64>) {
     let folder = FaultyFolder::default();
     StoredLog::load(folder.clone(), NAME).unwrap().renew(true).unwrap();
@@ -20,7 +20,7 @@
 #[test]
 fn a_transient_read_error_is_retried() {
     let (loaded, waits) = load_with_failing_reads(8, Errno::EIO);
-    assert!(!loaded.unwrap(), "it holds what it held");
+    assert!(!loaded.unwrap(), "the records are still there");
     assert_eq!(waits, [0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 5.0, 5.0]);
 }
 
--- a/crates/milletpath/src/control/machine.rs
+++ b/crates/milletpath/src/control/machine.rs
@@ -1,5 +1,5 @@
-//! The thread of a control machine: receives datagrams, stores records, and sends datagrams. A change that the machine's own
-//! configuration does not allow is denied here, before it is proposed.
+//! The thread of a control machine: it receives datagrams, stores records, and sends datagrams. A change that is
+//! invalid under the machine's own configuration is denied here, before it is proposed.
 
 use super::STOP_CHECK_INTERVAL;
 use super::receiver::{self, BatchEnd, Receiver};
@@ -14,55 +14,55 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Seconds between two checks whether the role has changed.
+/// Seconds between checks whether the role has changed.
 const ROLE_CHECK_INTERVAL: f64 = 1.0;
 
-/// The shortest wait for a datagram, in seconds.
+/// Minimum wait for a datagram, in seconds.
 const MIN_WAIT: f64 = 0.001;
 
-/// A replica with its log file on the disk.
+/// A replica whose log file is on disk.
 pub type StoredReplica = DurableReplica<DiskFolder>;
 
-/// What a control machine works with, beside its replica.
+/// The configuration and the socket of a control machine.
 pub struct MachineSettings {
-    /// Decides which changes are allowed.
+    /// The gateway configuration, against which proposed changes are validated.
     pub config: GatewayConfig,
-    /// The addresses of all control machines, in the order of their numbers.
+    /// Addresses of all control machines, in the order of their numbers.
     pub control: Vec<SocketAddr>,
-    /// The socket on which datagrams arrive.
+    /// Socket for receiving and sending datagrams.
     pub socket: Arc<UdpSocket>,
-    /// Seals datagrams.
+    /// Key that authenticates datagrams.
     pub key: Key,
 }
 
-/// What a control machine does for the cluster, as the log reports it.
+/// Role of a control machine in the cluster, as reported in the process log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Role {
     /// Whether it votes.
     votes: bool,
-    /// Whether a majority is reachable and votes.
+    /// Whether a majority of the control machines confirmed its state recently.
     has_majority: bool,
 }
 
-/// The state of the thread. Times are seconds since `started_at`.
+/// State of the thread of a control machine. Times are in seconds since `started_at`.
 pub struct ControlMachine {
-    /// What takes part in the cluster.
+    /// The replica of the configuration log.
     replica: StoredReplica,
     settings: MachineSettings,
     started_at: Instant,
     status_pages: StatusPages,
-    /// Datagrams that could not be opened.
+    /// Number of datagrams that could not be authenticated or decoded.
     rejected_datagrams: u64,
-    /// Why the log file can't be written at present.
+    /// Why the log file cannot be written at present, if so.
     log_error: Option<String>,
-    /// When the role is checked again.
+    /// Time of the next check of the role.
     next_role_check: f64,
     /// The role that was last logged.
     logged_role: Option<Role>,
 }
 
 impl ControlMachine {
-    /// A control machine whose clock starts now.
+    /// Creates a control machine whose clock starts now.
     pub fn new(replica: StoredReplica, settings: MachineSettings) -> Self {
         Self {
             replica,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Seconds since the start.
+    /// Returns the seconds since the start.
     fn now(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
@@ -87,7 +87,7 @@
         while !stop.load(Ordering::Acquire) {
             let wait = self.time_to_deadline();
             let end = receiver.receive(wait, |datagram, from| self.handle_datagram(datagram, from));
-            // All datagrams that arrived during a pause of this thread are handled before any timeout.
+            // Datagrams that arrived while this thread was paused are handled before any timeout fires.
             if end == BatchEnd::Drained {
                 let now = self.now();
                 self.replica.replica_mut().tick(now);
@@ -97,13 +97,13 @@
         }
     }
 
-    /// How long the thread may wait for a datagram.
+    /// Returns how long the thread may wait for a datagram.
     fn time_to_deadline(&self) -> Duration {
         let seconds = self.replica.next_deadline() - self.now();
         Duration::from_secs_f64(seconds.clamp(MIN_WAIT, STOP_CHECK_INTERVAL.as_secs_f64()))
     }
 
-    /// Handles one datagram: answers it here, or gives its message to the replica.
+    /// Handles one datagram: answers it here, or passes its message to the replica.
     fn handle_datagram(&mut self, datagram: &[u8], from: SocketAddr) {
         let message = match message::open(&self.settings.key, datagram) {
             Ok(message) => message,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Logs the first rejected datagram, the tenth, the hundredth and so on.
+    /// Counts a rejected datagram, and logs the 1st, 10th, 100th and so on.
     fn count_rejected_datagram(&mut self, from: SocketAddr, error: &message::OpenError) {
         self.rejected_datagrams += 1;
         if is_power_of_ten(self.rejected_datagrams) {
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Denies a change that the configuration does not allow, and reports whether it did.
+    /// Denies a change that is invalid under the configuration. Returns whether it was denied.
     fn denies(&self, change: &Change, from: SocketAddr) -> bool {
-        // The control machine that forwards a change has checked it.
+        // A change forwarded by another control machine was validated there.
         if self.settings.control.contains(&from) {
             return false;
         }
@@ -143,7 +143,7 @@
         true
     }
 
-    /// Sends a page of the status report to an operator.
+    /// Sends a page of the status report to the process that requested it.
     fn answer_status_request(&mut self, query_id: u64, page: u32, from: SocketAddr) {
         let now = self.now();
         let (log_bytes, log_error) = (self.replica.log_size(), self.log_error.clone());
@@ -163,21 +163,21 @@
         }
     }
 
-    /// Sends a message; one that can't be sealed or sent is dropped, as the network may drop it.
+    /// Sends a message. One that cannot be encoded or sent is dropped, just as the network may drop it.
     fn send(&self, to: SocketAddr, message: &Message) {
         if let Ok(datagram) = message::seal(&self.settings.key, message) {
             receiver::send(&self.settings.socket, &datagram, to);
         }
     }
 
-    /// Stores records, and sends the messages that may go out once they are on the disk.
+    /// Stores the new records, then sends the messages that depend on them.
     fn flush(&mut self) {
         let FlushOutput { messages, events } = self.replica.flush(self.now());
         messages.iter().for_each(|outgoing| self.send(outgoing.to, &outgoing.message));
         events.into_iter().for_each(|event| self.log_storage_event(event));
     }
 
-    /// Logs a failure of the disk, or its end, and keeps it for the status report.
+    /// Logs a storage failure, its end, or a rewrite of the log file, and updates the error in the status report.
     fn log_storage_event(&mut self, event: StorageEvent) {
         match event {
             StorageEvent::Failed { error, consecutive_failures, retry_in } => {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Logs when the machine begins or ceases to vote or to have a majority.
+    /// Logs a change of the machine's role, checked every [`ROLE_CHECK_INTERVAL`].
     fn log_role_change(&mut self) {
         let now = self.now();
         if now < self.next_role_check {
@@ -222,7 +222,7 @@
     }
 }
 
-/// A reason that fits into a denial, cut at a character.
+/// Truncates a reason to the maximum size of a denial, at a character boundary.
 fn denial_reason(mut reason: String) -> String {
     let end = (0..=MAX_DENIAL_BYTES.min(reason.len())).rev().find(|n| reason.is_char_boundary(*n));
     reason.truncate(end.unwrap_or(0));
--- a/crates/milletpath/src/control/receiver.rs
+++ b/crates/milletpath/src/control/receiver.rs
@@ -1,5 +1,5 @@
-//! Receives the datagrams of a control machine: all that are waiting, in batches of bounded length. An error of the socket
-//! costs a pause, and never ends the process.
+//! Receives the datagrams of a control machine in batches of bounded size. A socket error causes a pause at most, and
+//! never ends the process.
 
 use nix::errno::Errno;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
@@ -9,24 +9,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest number of datagrams in a batch; what follows from a batch is stored with one sync.
+/// Maximum number of datagrams in a batch. The records that result from a batch are stored with one sync.
 const MAX_DATAGRAMS_PER_BATCH: usize = 256;
 
-/// Pause after an error that does not concern one datagram.
+/// Pause after an error that is not limited to one datagram.
 const ERROR_PAUSE: Duration = Duration::from_millis(50);
 
-/// Milliseconds for which a datagram waits for space in the send buffer before it is dropped.
+/// Milliseconds to wait for space in the send buffer before a datagram is dropped.
 const SEND_WAIT_MS: u8 = 10;
 
-/// The operations of a socket, which tests replace by failing ones.
+/// Socket operations, which tests replace with failing ones.
 pub trait DatagramSocket {
-    /// Makes reads return at once where no datagram is available.
+    /// Puts the socket into nonblocking mode.
     fn set_nonblocking(&self) -> io::Result<()>;
 
     /// Waits until a datagram may be available, for at most `timeout`.
     fn wait(&self, timeout: Duration) -> io::Result<()>;
 
-    /// Reads the next datagram without waiting.
+    /// Reads the next datagram without blocking.
     fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)>;
 }
 
@@ -46,7 +46,8 @@
     }
 }
 
-/// Sends a datagram; one that can't be sent is dropped.
+/// Sends a datagram. If the send buffer is full, waits up to [`SEND_WAIT_MS`] and tries once more. A datagram that
+/// cannot be sent is dropped.
 pub fn send(socket: &UdpSocket, datagram: &[u8], to: SocketAddr) {
     let sent = socket.send_to(datagram, to);
     if sent.is_err_and(|error| error.kind() == ErrorKind::WouldBlock) {
@@ -58,9 +59,9 @@
 /// Why a batch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchEnd {
-    /// No datagram is waiting any more.
+    /// No more datagrams are available, or an error caused a pause.
     Drained,
-    /// It has as many datagrams as a batch may have; more may be waiting.
+    /// The batch reached [`MAX_DATAGRAMS_PER_BATCH`] reads; more datagrams may be available.
     Full,
 }
 
@@ -69,17 +70,17 @@
     socket: S,
     buffer: Vec<u8>,
     nonblocking: bool,
-    /// Errors of the socket that did not concern one datagram.
+    /// Number of socket errors that were not limited to one datagram.
     errors: u64,
 }
 
 impl<S: DatagramSocket> Receiver<S> {
-    /// A receiver of datagrams of at most `max_bytes`; a larger one is cut to one byte more.
+    /// Creates a receiver for datagrams of up to `max_bytes`. A larger datagram is truncated to `max_bytes + 1` bytes.
     pub fn new(socket: S, max_bytes: usize) -> Self {
         Self { socket, buffer: vec![0; max_bytes + 1], nonblocking: false, errors: 0 }
     }
 
-    /// Waits for datagrams for at most `timeout`, and passes all that are waiting to `handle`.
+    /// Waits up to `timeout` for datagrams, and passes those that are available to `handle`, up to the size of a batch.
     pub fn receive(&mut self, timeout: Duration, mut handle: impl FnMut(&[u8], SocketAddr)) -> BatchEnd {
         if !self.nonblocking {
             match self.socket.set_nonblocking() {
@@ -105,7 +106,7 @@
         BatchEnd::Full
     }
 
-    /// Counts and logs an error of the socket, and pauses, so that one that stays costs no processor.
+    /// Counts and logs a socket error, and pauses, so that a persistent error does not use up a processor.
     fn pause_after(&mut self, operation: &str, error: &io::Error) -> BatchEnd {
         self.errors += 1;
         if milletpath_gateway::is_power_of_ten(self.errors) {
@@ -117,7 +118,7 @@
     }
 }
 
-/// Whether an error means only that a datagram sent earlier did not arrive, or that a signal was handled.
+/// Whether an error means only that an earlier datagram was not delivered, or that a signal interrupted the call.
 fn concerns_one_datagram(error: &io::Error) -> bool {
     let unreachable = [Errno::ECONNREFUSED, Errno::EHOSTUNREACH, Errno::ENETUNREACH, Errno::EINTR];
     error.raw_os_error().is_some_and(|code| unreachable.contains(&Errno::from_raw(code)))
--- a/crates/milletpath/src/control/receiver/tests.rs
+++ b/crates/milletpath/src/control/receiver/tests.rs
@@ -1,4 +1,4 @@
-//! Each error of the socket, once and for a while: what comes is taken as soon as it can be, and nothing spins.
+//! Socket errors, once and several times in a row: the datagram is still received, and the receiver does not busy-loop.
 
 use super::*;
 use std::cell::{Cell, RefCell};
@@ -12,7 +12,7 @@
     Receive,
 }
 
-/// A socket on which one kind of call fails so many times, and on which one datagram waits.
+/// A socket with queued datagrams on which the first calls of one kind fail.
 struct FailingSocket {
     failing_call: Call,
     errno: Errno,
@@ -69,14 +69,14 @@
             assert_eq!(end, BatchEnd::Drained);
         }
         assert_eq!(received, [b"datagram"], "{errno} {times} times");
-        // Either a pause for each, or a call that fails and the next at once.
+        // Each error costs either a pause, or one more call without a pause.
         let (calls, pauses) = (receiver.socket.calls.get(), receiver.errors as u32);
         assert!(calls <= 3 * (times + 1) + 4, "{calls} calls");
         assert!(started_at.elapsed() >= ERROR_PAUSE * pauses, "{pauses} pauses");
     }
 }
 
-/// Errors without end end the turn, so that what is due is done.
+/// An error that persists ends the batch, so that timeouts are still handled.
 #[test]
 fn persistent_errors_end_the_batch() {
     let (failures_left, calls) = (Cell::new(usize::MAX), Cell::new(0));
--- a/crates/milletpath/src/control_overview.rs
+++ b/crates/milletpath/src/control_overview.rs
@@ -1,4 +1,4 @@
-//! What all control machines together know of the configuration log, and how far each gateway has come.
+//! The combined view of all control machines of the configuration log and of the progress of each gateway.
 
 use crate::control_status::ControlStatus;
 use milletpath_config_log::message::ApplyError;
@@ -8,25 +8,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Seconds after which a gateway counts as silent: several of its polls.
+/// Seconds without a poll after which a gateway counts as silent; several polls fit into this time.
 const SILENCE_TIMEOUT: f64 = 3.0;
 
-/// Seconds in which a gateway polls a control machine three times, of which two may be lost.
+/// Seconds of uptime after which a control machine knows all gateways that poll it. A gateway polls three times in this
+/// time, and two of the polls may be lost.
 const MIN_UPTIME: f64 = 2.0;
 
-/// What all control machines together know. The names in JSON are older than the fields' names.
+/// The combined reports of all control machines. Its JSON field names are kept for compatibility where they differ from
+/// the names of the fields here.
 #[derive(Serialize)]
 pub struct ControlOverview {
-    /// The highest number that one of them reports.
+    /// The highest entry number that any of them reports.
     pub head: u64,
-    /// Digest of the configuration there, in hexadecimal.
+    /// Digest of the configuration at `head`, in hexadecimal.
     pub digest: String,
-    /// Seconds since a majority knew of nothing beyond `head`; `None` if that never was so.
+    /// Seconds since a majority last confirmed `head` as the latest entry; `None` if it never did.
     #[serde(rename = "sure_as_of")]
     pub confirmed_age: Option<f64>,
-    /// All control machines, by number.
+    /// All control machines, in the order of their numbers.
     pub control: Vec<ControlMachineStatus>,
-    /// The gateways that poll any of them, by name.
+    /// All gateways known to any of them, in the order of their names.
     pub gateways: Vec<GatewayStatus>,
 }
 
@@ -43,39 +45,39 @@
     pub status: Option<ControlStatus>,
 }
 
-/// How far a gateway has come.
+/// State of a gateway relative to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GatewayState {
-    /// It has the latest configuration.
+    /// It applied the latest configuration.
     Current,
-    /// It has an older one.
+    /// It has an older configuration.
     Behind,
-    /// It has the latest, and could not apply an entry of it.
+    /// It has the latest configuration, but failed to apply an entry of it.
     Refusing,
-    /// No control machine has received anything from it for a while.
+    /// No control machine was polled by it for [`SILENCE_TIMEOUT`].
     Silent,
 }
 
-/// A gateway as the control machines know it.
+/// Status of a gateway, as known to the control machines.
 #[derive(Clone, Debug, Serialize)]
 pub struct GatewayStatus {
     /// Its name.
     pub name: String,
-    /// Number of the configuration in force there.
+    /// Number of the configuration that it has.
     pub number: u64,
     /// Seconds since its last poll of any control machine.
     #[serde(rename = "heard")]
     pub seconds_since_contact: f64,
-    /// How far it has come.
+    /// Its state relative to the log.
     pub state: GatewayState,
-    /// The latest entry that it could not apply.
+    /// The latest entry that it failed to apply, if any.
     #[serde(rename = "refused")]
     pub apply_error: Option<ApplyError>,
 }
 
 impl GatewayStatus {
-    /// A gateway as one control machine knows it, where the latest number of the log is `head`.
+    /// Returns the status of a gateway known to one control machine; `head` is the latest number of the log.
     fn new(follower: FollowerStatus, head: u64) -> Self {
         let FollowerStatus { name, number, seconds_since_contact, apply_error } = follower;
         let state = if seconds_since_contact > SILENCE_TIMEOUT {
@@ -92,7 +94,7 @@
 }
 
 impl ControlOverview {
-    /// Asks all control machines, and combines their reports.
+    /// Queries all control machines, and combines their reports.
     pub fn query(client: &Client) -> Self {
         Self::combine(&client.control, client.control_status())
     }
@@ -115,8 +117,8 @@
         Self { head, digest: format!("{digest:016x}"), confirmed_age, control, gateways }
     }
 
-    /// Whether no gateway can be missing: each control machine that another one can reach has answered, and has been up
-    /// long enough for all its followers to have polled it.
+    /// Whether the list of gateways is complete: every control machine that is reachable from one that answered has
+    /// answered too, and each has been up for [`MIN_UPTIME`], long enough for its followers to have polled it.
     pub fn is_complete(&self) -> bool {
         let statuses = || self.control.iter().filter_map(|machine| machine.status.as_ref());
         let answers = |number: &usize| self.control.get(*number).is_some_and(|m| m.status.is_some());
@@ -125,23 +127,23 @@
         self.answering() > 0 && statuses().all(is_settled)
     }
 
-    /// Number of control machines that answer.
+    /// Returns the number of control machines that answered.
     pub fn answering(&self) -> usize {
         self.control.iter().filter(|machine| machine.status.is_some()).count()
     }
 
-    /// Number of gateways in that state.
+    /// Returns the number of gateways in a state.
     pub fn count(&self, state: GatewayState) -> usize {
         self.gateways.iter().filter(|gateway| gateway.state == state).count()
     }
 }
 
-/// The gateways that any control machine knows, by name.
+/// Merges the followers known to each control machine into one list, in the order of their names.
 fn combine_followers(views: &[&ReplicaView], head: u64) -> Vec<GatewayStatus> {
     let mut followers: BTreeMap<&str, &FollowerStatus> = BTreeMap::new();
     for follower in views.iter().flat_map(|view| &view.followers) {
         let latest = followers.entry(&follower.name).or_insert(follower);
-        // The latest report counts: a gateway that restarted may be further behind than before.
+        // The most recent contact counts, not the highest number: after a restart, a gateway may be further behind.
         if follower.seconds_since_contact < latest.seconds_since_contact {
             *latest = follower;
         }
--- a/crates/milletpath/src/control_overview/tests.rs
+++ b/crates/milletpath/src/control_overview/tests.rs
@@ -1,4 +1,4 @@
-//! Reports of control machines that know different things.
+//! Combination of control machine reports that differ.
 
 use super::*;
 use milletpath_config_log::Counters;
--- a/crates/milletpath/src/exit_status.rs
+++ b/crates/milletpath/src/exit_status.rs
@@ -1,4 +1,4 @@
-//! Exit codes: 0 for success, 1 where what was asked for failed, 2 for wrong usage or wrong input.
+//! Exit codes: 0 for success, 1 for failure, 2 for wrong usage or invalid input.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -6,11 +6,11 @@
 /// How a sub-command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// It did what was asked.
+    /// It succeeded.
     Success,
-    /// It could not, or it found what it is to find: a rule that was broken, a gateway without a change.
+    /// It failed, or it detected a problem that it checks for, such as a broken rule or a gateway without a change.
     Failure,
-    /// The command line or a file is wrong: the same call would fail again.
+    /// The command line or an input file is invalid, so a retry would fail again.
     InvalidInput,
 }
 
@@ -24,13 +24,13 @@
     }
 }
 
-/// Why a sub-command ended early.
+/// An error that ends a sub-command.
 pub trait CommandError: Error {
-    /// The status with which the program exits.
+    /// Returns the status that the program exits with.
     fn exit_status(&self) -> ExitStatus;
 }
 
-/// Prints an error on standard error; the exit code of the program.
+/// Prints an error, if there is one, on standard error and returns the exit code of the program.
 pub fn report<E: CommandError>(result: Result<ExitStatus, E>) -> ExitCode {
     let status = result.unwrap_or_else(|error| {
         eprintln!("{error}");
--- a/crates/milletpath/src/logging.rs
+++ b/crates/milletpath/src/logging.rs
@@ -1,17 +1,17 @@
-//! The log on standard error: text for people, JSON for machines. The environment variable `MILLETPATH_LOG` filters it,
-//! as `info` or `milletpath_gateway=debug`.
+//! Logging to standard error, as text or JSON. The environment variable `MILLETPATH_LOG` sets the filter, for example
+//! `info` or `milletpath_gateway=debug`.
 
 use clap::ValueEnum;
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// Names the filter of log lines.
+/// Environment variable that holds the log filter.
 const FILTER_VARIABLE: &str = "MILLETPATH_LOG";
 
-/// The filter where none is set, or it can't be parsed.
+/// Filter used if none is set or it cannot be parsed.
 const DEFAULT_FILTER: &str = "info";
 
-/// How a log line is written.
+/// Format of log lines.
 #[derive(Clone, Copy, Default, ValueEnum)]
 pub enum LogFormat {
     #[default]
@@ -19,12 +19,12 @@
     Json,
 }
 
-/// Starts logging for the process, panics included.
+/// Initializes logging for the process, including the logging of panics.
 pub fn init(format: LogFormat) {
     log_panics();
     let filter = EnvFilter::try_from_env(FILTER_VARIABLE);
-    // A line that can't be written, as where the disk behind standard error is full, is lost. To report that on standard
-    // error would panic, and end the thread that logs.
+    // A line that cannot be written, for example to a full disk, is lost: reporting the failure on standard error would
+    // panic and end the thread that logs.
     let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter.unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER)))
         .with_writer(std::io::stderr)
@@ -35,7 +35,7 @@
     }
 }
 
-/// Logs each panic as an error: the process survives that of a core's thread.
+/// Logs each panic as an error, because the process survives a panic of a core's thread.
 fn log_panics() {
     std::panic::set_hook(Box::new(|panic| {
         let thread = std::thread::current().name().unwrap_or("unnamed").to_owned();
--- a/crates/milletpath/src/main.rs
+++ b/crates/milletpath/src/main.rs
@@ -1,9 +1,9 @@
-//! The milletpath program. `main` parses the command line (`command_line.rs`), starts the log (`logging.rs`) and runs one
-//! sub-command. Each sub-command is a module of its name: its options, what it calls of the packages, what it prints, and
-//! its errors, each with the exit code that it leads to (`exit_status.rs`).
+//! The `milletpath` program. `main` parses the command line (`command_line.rs`), initializes logging (`logging.rs`)
+//! and runs one sub-command. Each sub-command has a module of the same name with its options, its output and its
+//! errors, which map to exit codes (`exit_status.rs`).
 //!
-//! What sub-commands share: `config_file.rs` reads the configuration, `async_runtime.rs` runs futures,
-//! `shutdown_signal.rs` waits for SIGTERM, `control_overview.rs` and `control_status.rs` are what control machines report.
+//! Shared modules: `config_file.rs` reads the configuration, `async_runtime.rs` runs futures, `shutdown_signal.rs`
+//! waits for SIGTERM and SIGINT, `control_overview.rs` and `control_status.rs` define the reports of control machines.
 
 mod async_runtime;
 mod built_in_fleet;
--- a/crates/milletpath/src/members.rs
+++ b/crates/milletpath/src/members.rs
@@ -1,4 +1,4 @@
-//! `milletpath members`: what a gateway knows of the other gateways, and of the budgets that it shares with them.
+//! `milletpath members`: reports what a gateway knows about the other gateways and about the shared budgets.
 
 mod table;
 
@@ -8,27 +8,27 @@
 use milletpath_gateway::{MembershipQueryError, query_membership};
 use std::path::PathBuf;
 
-/// What `members` is started with.
+/// Command-line options of `members`.
 #[derive(Args)]
 pub struct Options {
-    /// The configuration file of the gateway to ask
+    /// The configuration file of the gateway to query
     #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: PathBuf,
-    /// Print JSON
+    /// Print the report as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Why there is no report.
+/// Why there is no report of the gateway.
 #[derive(Debug, thiserror::Error)]
 pub enum MembersError {
-    /// The configuration file can't be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// The gateway can't be asked, or does not answer.
+    /// The gateway cannot be queried, or does not answer.
     #[error("{}: {source}", path.display())]
     Query { path: PathBuf, source: MembershipQueryError },
-    /// The report can't be written as JSON.
+    /// The report cannot be serialized to JSON.
     #[error("the report can't be written as JSON: {0}")]
     Json(#[from] serde_json::Error),
 }
@@ -42,11 +42,12 @@
     }
 }
 
-/// Prints the report of the gateway.
+/// Queries the gateway, and prints its report.
 ///
 /// # Errors
 ///
-/// The configuration can't be used, or the gateway does not answer.
+/// The configuration file cannot be used or has no section `peers`, the gateway does not answer, or the report cannot
+/// be serialized.
 pub fn run(options: &Options) -> Result<ExitStatus, MembersError> {
     let path = &options.config_file;
     let config = config_file::read(path)?;
--- a/crates/milletpath/src/members/table.rs
+++ b/crates/milletpath/src/members/table.rs
@@ -1,4 +1,4 @@
-//! A gateway's report on the others as tables.
+//! Prints a gateway's report on the other gateways as tables.
 
 use milletpath_gateway::MembershipStatus;
 use milletpath_membership::{MembershipView, Reachability};
@@ -11,7 +11,7 @@
     print_counters(status);
 }
 
-/// Prints what the gateway knows of itself and of the fleet.
+/// Prints the gateway's own state, and its estimates of the number of gateways.
 fn print_own_state(view: &MembershipView) {
     let reachability = match view.reachability {
         Reachability::Majority => "reaches a majority",
@@ -63,7 +63,7 @@
     }
 }
 
-/// Prints counts since the start of the gateway.
+/// Prints the counters since the gateway's start.
 fn print_counters(status: &MembershipStatus) {
     let sharing = &status.sharing;
     println!(
--- a/crates/milletpath/src/platform.rs
+++ b/crates/milletpath/src/platform.rs
@@ -1,5 +1,5 @@
-//! `milletpath platform`: the router on the platform, in the foreground, by the environment variables that the platform
-//! sets: `LB_CONFIG`, `LB_LISTEN` and `LB_NAME`.
+//! `milletpath platform`: runs the platform router in the foreground, configured by the environment variables that the
+//! platform sets: `LB_CONFIG`, `LB_LISTEN` and `LB_NAME`.
 
 use crate::async_runtime::{self, RuntimeError};
 use crate::exit_status::{CommandError, ExitStatus};
@@ -7,19 +7,19 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the router does not run.
+/// Why the router cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// The platform's variables don't name a settings file.
+    /// `LB_CONFIG` is not set, so there is no settings file.
     #[error("LB_CONFIG is not set; it must name the file that the platform gives a router")]
     ConfigNotSet,
-    /// The address to listen on can't be parsed.
+    /// `LB_LISTEN` is not a valid address.
     #[error("LB_LISTEN is no address with a port, such as 10.0.0.4:8443")]
     InvalidListenAddress,
-    /// The runtime can't start.
+    /// The runtime cannot start.
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
-    /// The router can't start.
+    /// The router cannot start.
     #[error(transparent)]
     Start(#[from] StartError),
 }
@@ -34,18 +34,18 @@
     }
 }
 
-/// The values of the platform's variables.
+/// The values of the platform's environment variables.
 struct Settings {
-    /// The platform's settings file.
+    /// Path of the platform's settings file.
     file: PathBuf,
-    /// The address to listen on; by default, the file's.
+    /// The address to listen on; `None` for the one in the settings file.
     listen: Option<SocketAddr>,
-    /// The router's name.
+    /// Name of the router; empty if not set.
     name: String,
 }
 
 impl Settings {
-    /// Reads the variables.
+    /// Reads the environment variables.
     fn from_environment() -> Result<Self, PlatformError> {
         let file = std::env::var_os("LB_CONFIG").ok_or(PlatformError::ConfigNotSet)?;
         let listen = std::env::var("LB_LISTEN").ok().map(|address| address.parse()).transpose();
@@ -57,7 +57,7 @@
     }
 }
 
-/// Runs the router until it is asked to end. Errors go to the log, which the platform collects.
+/// Runs the router until it is stopped. An error is logged, because the platform collects the log.
 pub fn run() -> ExitStatus {
     run_router().map_or_else(
         |error| {
@@ -68,7 +68,7 @@
     )
 }
 
-/// Runs the router to its end.
+/// Runs the router until it is stopped.
 fn run_router() -> Result<(), PlatformError> {
     let Settings { file, listen, name } = Settings::from_environment()?;
     tracing::info!(name, file = %file.display(), "starting the router");
--- a/crates/milletpath/src/scale_test.rs
+++ b/crates/milletpath/src/scale_test.rs
@@ -1,5 +1,5 @@
-//! `milletpath scale-test`: plays a plan of a large fleet, in which most gateways are hollow: they have the control threads of a
-//! gateway, and serve no requests.
+//! `milletpath scale-test`: runs the plan of a large fleet in which most gateways are hollow: they have the control
+//! threads of a gateway, but serve no requests.
 
 use crate::async_runtime;
 use crate::config_file::lines_of_file;
@@ -16,33 +16,33 @@
 use std::sync::mpsc::{Sender, channel};
 use std::thread;
 
-/// What `scale-test` is started with.
+/// Command-line options of `scale-test`.
 #[derive(Args)]
 pub struct Options {
-    /// The plan
+    /// The plan file
     #[arg(value_name = "FILE")]
     file: PathBuf,
-    /// Another seed than the file's
+    /// Seed of the random numbers, in place of the plan's
     #[arg(long)]
     seed: Option<u64>,
-    /// Another number of gateways than the file's
+    /// Number of gateways, in place of the plan's
     #[arg(long, value_parser = clap::value_parser!(u32).range(2..=4000))]
     gateways: Option<u32>,
-    /// Print the report as JSON too, in the last line
+    /// Also print the report as JSON, in the last line
     #[arg(long)]
     json: bool,
 }
 
-/// Why there is no report.
+/// Why there is no report of the scale test.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleTestError {
-    /// The plan can't be read.
+    /// The plan file cannot be read.
     #[error("{}: can't be read: {source}; name a plan", path.display())]
     Read { path: PathBuf, source: io::Error },
-    /// The plan is wrong; all its errors.
+    /// The plan is invalid; holds all its errors.
     #[error("{}", lines_of_file(path, errors))]
     Invalid { path: PathBuf, errors: Vec<ConfigError> },
-    /// The run could not begin or go on.
+    /// The run could not start or continue.
     #[error("{}: can't be played: {source}", path.display())]
     Run { path: PathBuf, source: RunError },
 }
@@ -56,11 +56,11 @@
     }
 }
 
-/// Plays the plan and prints its report; fails where a bound was broken.
+/// Runs the plan and prints its report. The exit status is a failure if a bound was exceeded.
 ///
 /// # Errors
 ///
-/// The plan can't be read or is wrong, or the run can't go on.
+/// The plan cannot be read or is invalid, or the run cannot start or continue.
 pub fn run(options: &Options) -> Result<ExitStatus, ScaleTestError> {
     let path = &options.file;
     let text = std::fs::read_to_string(path)
@@ -75,7 +75,7 @@
     Ok(if report.broken.is_empty() { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
-/// Reads the plan, with what the command line sets instead.
+/// Reads the plan, and applies the overrides of the command line.
 fn read_plan(path: &Path, text: &str, options: &Options) -> Result<Plan, ScaleTestError> {
     let gateways = options.gateways.map(|gateways| gateways as usize);
     let mut plan = plan::read(text, gateways)
@@ -84,7 +84,7 @@
     Ok(plan)
 }
 
-/// Plays the plan to its end, or until a signal.
+/// Runs the plan until it is complete, or until SIGINT or SIGTERM.
 fn run_plan(plan: &Plan, text: &str) -> Result<milletpath_scale_test::report::Report, RunError> {
     let stop = Arc::new(AtomicBool::new(false));
     stop_on_signals(stop.clone())?;
@@ -92,7 +92,8 @@
     run::run(plan, RunOptions { plan_text: text, program, stop })
 }
 
-/// From when this returns, SIGINT and SIGTERM end the run, and with it all processes that it started.
+/// Registers handlers for SIGINT and SIGTERM. Once this has returned, either signal ends the run and all processes that
+/// it started.
 fn stop_on_signals(stop: Arc<AtomicBool>) -> io::Result<()> {
     let (result_sender, result_receiver) = channel();
     thread::Builder::new()
@@ -101,7 +102,7 @@
     result_receiver.recv().map_err(io::Error::other)?
 }
 
-/// Reports whether signals can be received, and sets `stop` upon the first one.
+/// Reports whether the signal handlers could be registered, and sets `stop` on the first signal.
 async fn wait_for_signals(stop: Arc<AtomicBool>, result_sender: Sender<io::Result<()>>) {
     let mut signals = match ShutdownSignals::register() {
         Ok(signals) => signals,
@@ -110,6 +111,6 @@
     let _ = result_sender.send(Ok(()));
     signals.received().await;
     stop.store(true, Ordering::Release);
-    // Another signal changes nothing: what was started is being ended.
+    // Further signals are ignored, because the run is already stopping.
     std::future::pending::<()>().await;
 }
--- a/crates/milletpath/src/scale_test_host.rs
+++ b/crates/milletpath/src/scale_test_host.rs
@@ -1,4 +1,5 @@
-//! `milletpath scale-test-host`: a process of hollow gateways, which a scale test starts and commands over its standard input.
+//! `milletpath scale-test-host`: a process that runs hollow gateways. A scale test starts it, and sends it commands
+//! over standard input.
 
 use crate::async_runtime;
 use crate::exit_status::ExitStatus;
@@ -6,7 +7,7 @@
 use milletpath_scale_test::host;
 use std::{io, thread};
 
-/// Runs the host until its input ends.
+/// Runs the host until its standard input ends.
 pub fn run() -> ExitStatus {
     if let Err(error) = ignore_interrupts() {
         tracing::warn!(%error, "SIGINT can't be ignored: Ctrl-C will end this host before its scale test");
@@ -20,7 +21,8 @@
     }
 }
 
-/// Ctrl-C reaches all processes of a terminal: the scale test receives it, and ends this host by ending its input.
+/// Ignores SIGINT. Ctrl-C sends it to all processes of a terminal, and the scale test stops this host by closing its
+/// standard input.
 fn ignore_interrupts() -> io::Result<()> {
     thread::Builder::new().name("signals".into()).spawn(|| {
         async_runtime::block_on(async {
--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `milletpath scenario`: plays a scenario through real sockets, and prints which rules were kept and how requests ended.
+//! `milletpath scenario`: runs a scenario over real sockets, and prints which rules held and the outcomes of requests.
 
 mod json_report;
 mod table;
@@ -10,39 +10,39 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What `scenario` is started with.
+/// Command-line options of `scenario`.
 #[derive(Args)]
 pub struct Options {
-    /// The scenario
+    /// The scenario file
     #[arg(value_name = "FILE")]
     file: PathBuf,
-    /// Another seed than the file's
+    /// Seed of the random numbers, in place of the scenario's
     #[arg(long)]
     seed: Option<u64>,
     /// Print the report as JSON
     #[arg(long)]
     json: bool,
-    /// Seconds by which this machine's emulated workers may lag behind what was written
+    /// Tolerated delay of emulated components, in seconds; a busy machine needs more
     #[arg(long, default_value_t = 0.05)]
     lag: f64,
-    /// Cores of each gateway, in place of the number that the scenario sets
+    /// Number of cores of each gateway, in place of the scenario's
     #[arg(long, value_parser = clap::value_parser!(u8).range(1..=63))]
     cores: Option<u8>,
-    /// A fault that all gateways are started with, so that tests see that it is found
+    /// A fault to inject into all gateways, so that tests can verify that it is detected
     #[arg(long = "inject-fault", alias = "plant", hide = true)]
     injected_fault: Option<String>,
-    /// Also write what passed on the sockets, one record a line
+    /// Also write the recorded events to a file, one JSON record per line
     #[arg(long, value_name = "FILE")]
     records: Option<PathBuf>,
 }
 
-/// Why there is no report.
+/// Why there is no report of the scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The scenario can't be read or is wrong; a line for each error.
+    /// The scenario cannot be read or is invalid; its message has a line for each error.
     #[error(transparent)]
     Invalid(#[from] InvalidScenario),
-    /// The scenario could not be played.
+    /// The scenario could not be run.
     #[error("{}: can't be played: {source}", path.display())]
     Play { path: PathBuf, source: RunError },
 }
@@ -56,11 +56,11 @@
     }
 }
 
-/// Plays the scenario and prints its report; fails where a rule was broken.
+/// Runs the scenario and prints its report. The exit status is a failure if a rule was broken.
 ///
 /// # Errors
 ///
-/// The scenario can't be read or is wrong, or its processes can't be started.
+/// The scenario cannot be read or is invalid, or cannot be run.
 pub fn run(options: &Options) -> Result<ExitStatus, ScenarioError> {
     let scenario = read_scenario(options)?;
     let report = run_in_folder(&scenario, options)
@@ -73,7 +73,7 @@
     Ok(if report.rules_kept() { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
-/// Reads the scenario, with what the command line sets instead.
+/// Reads the scenario, and applies the overrides of the command line.
 fn read_scenario(options: &Options) -> Result<Scenario, ScenarioError> {
     let mut scenario = scenario_file::open(&options.file)?;
     scenario.seed = options.seed.unwrap_or(scenario.seed);
@@ -81,7 +81,7 @@
     Ok(scenario)
 }
 
-/// Plays the scenario in a folder of its own, which is kept where a rule was broken.
+/// Runs the scenario in a temporary folder, which is kept if the run failed or a rule was broken.
 fn run_in_folder(scenario: &Scenario, options: &Options) -> Result<ScenarioReport, RunError> {
     let folder = std::env::temp_dir().join(format!("milletpath-day-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
@@ -104,7 +104,7 @@
     report
 }
 
-/// Writes a line of JSON for each record.
+/// Writes the records to a file, each as a line of JSON.
 fn write_records(report: &ScenarioReport, path: &Path) -> io::Result<()> {
     let lines: Vec<_> = report.records.iter().filter_map(|r| serde_json::to_string(r).ok()).collect();
     std::fs::write(path, lines.join("\n"))
--- a/crates/milletpath/src/scenario/json_report.rs
+++ b/crates/milletpath/src/scenario/json_report.rs
@@ -1,4 +1,5 @@
-//! The report of a scenario as JSON. Its field names are older than those of the types behind it, and stay.
+//! The report of a scenario as JSON. JSON field names are kept for compatibility where they differ from the names of
+//! the fields here.
 
 use milletpath_emulator::scenario::ScenarioReport;
 use milletpath_emulator::scenario_file::Scenario;
@@ -7,38 +8,38 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The percentiles of the latencies that are reported.
+/// The quantiles of the latencies that are reported.
 pub const PERCENTILES: [f64; 3] = [0.5, 0.99, 0.999];
 
-/// The report.
+/// The complete report.
 #[derive(Serialize)]
 struct JsonReport<'a> {
+    /// Name of the scenario.
     #[serde(rename = "day")]
-    /// Its name.
     scenario: &'a str,
     seed: u64,
-    /// Of all requests.
+    /// Outcomes of all requests.
     #[serde(rename = "whole")]
     total: RequestCounts,
     #[serde(rename = "troubles")]
     faults: Vec<FaultReport<'a>>,
-    /// Fetches from the store.
+    /// Number of fetches from the store.
     fetches: u64,
-    /// The fraction of requests that found an instance.
+    /// Fraction of requests that found a loaded instance.
     #[serde(rename = "warm")]
     warm_fraction: f64,
-    /// Fetches that the store rejected.
+    /// Number of fetches that the store rejected.
     #[serde(rename = "refusals")]
     rejected_fetches: u64,
     #[serde(rename = "broken")]
     violations: Vec<RuleViolation<'a>>,
-    /// Seconds of successful attempts, at [`PERCENTILES`].
+    /// Latencies of successful attempts at [`PERCENTILES`], in seconds.
     latencies: Option<[f64; PERCENTILES.len()]>,
     #[serde(flatten)]
     fleet: Option<FleetReport<'a>>,
 }
 
-/// What members of one fleet reported; absent where gateways run apart.
+/// Observations of gateways that are members of one fleet; absent if the gateways run without membership.
 #[derive(Serialize)]
 struct FleetReport<'a> {
     bounds: &'a BTreeMap<&'static str, BoundReport>,
@@ -46,7 +47,7 @@
     membership: &'a MembershipObservations,
 }
 
-/// How requests ended.
+/// Outcomes of requests.
 #[derive(Serialize)]
 struct RequestCounts {
     calls: u64,
@@ -61,7 +62,7 @@
     unanswered: u64,
 }
 
-/// How requests ended that were sent during a fault.
+/// Outcomes of the requests that were sent during a fault.
 #[derive(Serialize)]
 struct FaultReport<'a> {
     #[serde(rename = "trouble")]
@@ -69,7 +70,7 @@
     counts: RequestCounts,
 }
 
-/// A place where a rule was broken.
+/// A violation of one of the rules.
 #[derive(Serialize)]
 struct RuleViolation<'a> {
     rule: u8,
@@ -92,7 +93,7 @@
     }
 }
 
-/// The report of a scenario that was played.
+/// Returns the report of a scenario that was run.
 pub fn to_json(scenario: &Scenario, report: &ScenarioReport) -> Value {
     let faults = report
         .by_fault
--- a/crates/milletpath/src/scenario/json_report/tests.rs
+++ b/crates/milletpath/src/scenario/json_report/tests.rs
@@ -1,4 +1,4 @@
-//! Field names that a run without violations does not show.
+//! JSON fields that the report of a run without violations lacks.
 
 use super::*;
 use serde_json::json;
--- a/crates/milletpath/src/scenario/table.rs
+++ b/crates/milletpath/src/scenario/table.rs
@@ -1,4 +1,4 @@
-//! The report of a scenario as tables.
+//! Prints the report of a scenario as tables.
 
 use super::json_report::PERCENTILES;
 use milletpath_emulator::scenario::ScenarioReport;
@@ -7,7 +7,7 @@
     BoundReport, DetectionTimes, MembershipObservations, ServiceCounts, Violation,
 };
 
-/// Largest number of rule violations that are listed.
+/// Maximum number of rule violations that are listed.
 const MAX_LISTED_VIOLATIONS: usize = 20;
 
 /// Prints all tables.
@@ -23,7 +23,7 @@
     }
 }
 
-/// Prints how requests ended: all, and those sent during each fault.
+/// Prints the outcomes of all requests, of the requests sent during each fault, and the latency percentiles.
 fn print_requests(scenario: &Scenario, report: &ScenarioReport) {
     println!(
         "scenario {} with seed {}: {} requests, {} attempts",
@@ -42,7 +42,7 @@
     }
 }
 
-/// Prints a line of counts.
+/// Prints the outcomes of a group of requests in one line.
 fn print_counts(name: &str, counts: &ServiceCounts) {
     println!(
         "{name:<16} {:>8} {:>8.3} {:>9} {:>6} {:>8} {:>8} {:>10}",
@@ -56,7 +56,7 @@
     );
 }
 
-/// Prints what workers fetched from the store.
+/// Prints the counts of fetches from the store.
 fn print_store(report: &ScenarioReport) {
     println!(
         "fetches from the store: {}, rejected there: {}; requests that found an instance: {:.3}",
@@ -64,7 +64,7 @@
     );
 }
 
-/// Prints the rules that were broken.
+/// Prints the rule violations, up to [`MAX_LISTED_VIOLATIONS`].
 fn print_violations(violations: &[Violation]) {
     match violations.len() {
         0 => println!("rules: all five kept"),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Prints a bound that members of one fleet must keep together.
+/// Prints how far a bound that the members of a fleet share was used, and its violations.
 fn print_bound(name: &str, BoundReport { most, bound, violations, first_violations }: &BoundReport) {
     println!("bound {name}: {most:.1} where {bound:.1} is allowed, broken {violations} times");
     for violation in first_violations {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Prints what membership cost and how soon it noticed events.
+/// Prints the traffic of membership, its false reports and its detection times.
 fn print_membership(membership: &MembershipObservations) {
     println!(
         "membership: {:.1} datagrams and {:.0} bytes a second of each gateway",
@@ -95,7 +95,7 @@
     print_detection_times("healing", &membership.healing);
 }
 
-/// Prints how soon an event was known, if there was one.
+/// Prints the detection times of one kind of event, if there was such an event.
 fn print_detection_times(event: &str, DetectionTimes { p50, p99, detected, missed }: &DetectionTimes) {
     if let (Some(p50), Some(p99)) = (p50, p99) {
         println!("  {event} known after: p50 {p50:.2} s, p99 {p99:.2} s ({detected} times; {missed} not)");
--- a/crates/milletpath/src/serve.rs
+++ b/crates/milletpath/src/serve.rs
@@ -1,10 +1,11 @@
-//! `milletpath serve`: reads the configuration, opens the sockets, and runs a gateway until the process is asked to end.
+//! `milletpath serve`: reads the configuration, opens the sockets, and runs a gateway until SIGTERM or SIGINT.
 //!
-//! 1. [`config_file`] reads the configuration; without a file, [`built_in_fleet`] starts emulated workers and gives one.
-//! 2. [`sockets`] opens the sockets for clients, for other gateways and for changes of the configuration, and prints
-//!    their addresses.
-//! 3. [`milletpath_gateway::serve_with_faults`] serves. SIGTERM completes [`shutdown_requested`]; the gateway then finishes
-//!    its open requests and returns.
+//! 1. [`config_file`] reads the configuration. Without a file, [`built_in_fleet`] starts emulated workers and returns a
+//!    configuration that lists them.
+//! 2. [`sockets`] opens the sockets for clients, for other gateways and for configuration changes, and prints their
+//!    addresses.
+//! 3. [`milletpath_gateway::serve_with_faults`] handles requests. SIGTERM or SIGINT completes [`shutdown_requested`];
+//!    the gateway then finishes its open requests and returns.
 
 mod fault_commands;
 mod sockets;
@@ -21,36 +22,36 @@
 use sockets::{ConfigSource, SocketError};
 use std::path::PathBuf;
 
-/// What `serve` is started with.
+/// Command-line options of `serve`.
 #[derive(Args)]
 pub struct Options {
-    /// The configuration file; without it, a built-in configuration with emulated workers in this process
+    /// The configuration file; the default is a built-in configuration with emulated workers in the same process
     #[arg(long = "config", alias = "charter", value_name = "FILE")]
     config_file: Option<PathBuf>,
-    /// Threads that handle requests, in place of the number that the configuration sets
+    /// Number of threads that handle requests, in place of the configuration's
     #[arg(long, value_parser = clap::value_parser!(u8).range(1..=63))]
     cores: Option<u8>,
-    /// Read faults to inject into cores from standard input, one a line
+    /// Read faults to inject into cores from standard input, one per line
     #[arg(long = "inject-core-faults", alias = "stir", hide = true)]
     reads_faults: bool,
-    /// A fault to run with, so that tests see that it is found
+    /// A fault to inject, so that tests can verify that it is detected
     #[arg(long = "inject-fault", alias = "plant", hide = true, value_parser = parse_injected_fault)]
     injected_fault: Option<InjectedFault>,
 }
 
-/// Why a gateway does not serve.
+/// Why a gateway cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The configuration file can't be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// The emulated workers of the built-in configuration can't start.
+    /// The emulated workers of the built-in configuration cannot start.
     #[error(transparent)]
     BuiltInFleet(#[from] BuiltInFleetError),
-    /// The runtime of the accepting thread can't start.
+    /// The runtime of the accepting thread cannot start.
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
-    /// A socket can't be opened.
+    /// A socket cannot be opened.
     #[error(transparent)]
     Socket(#[from] SocketError),
 }
@@ -64,11 +65,11 @@
     }
 }
 
-/// Serves until the process is asked to end.
+/// Runs a gateway until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// The configuration can't be used, or a socket can't be opened.
+/// The configuration cannot be used, the built-in fleet or the runtime cannot start, or a socket cannot be opened.
 pub fn run(options: &Options) -> Result<ExitStatus, ServeError> {
     let config = options.config_file.as_deref().map(config_file::read).transpose()?;
     async_runtime::block_on(async {
@@ -79,7 +80,7 @@
     })?
 }
 
-/// Opens the sockets and serves until the process is asked to end.
+/// Opens the sockets, and handles requests until the process receives SIGTERM or SIGINT.
 async fn run_gateway(
     mut config: GatewayConfig,
     source: ConfigSource,
--- a/crates/milletpath/src/serve/fault_commands.rs
+++ b/crates/milletpath/src/serve/fault_commands.rs
@@ -1,23 +1,23 @@
-//! Faults that tests inject: one that lasts, given on the command line, and faults of single cores, which are read
+//! Fault injection for tests: a permanent fault given on the command line, and faults of single cores, which are read
 //! from standard input while the gateway runs.
 
 use milletpath_gateway::{FaultInjection, InjectedFault};
 use std::str::FromStr;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// The longest stall of a core, in seconds.
+/// Maximum stall of a core, in seconds.
 const MAX_STALL: f64 = 60.0;
 
-/// The command line names a fault that does not exist.
+/// The command line names an unknown fault.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown fault {0}; write likely-count")]
 pub struct UnknownFaultError(String);
 
-/// The fault of that name.
+/// Parses the name of a fault given on the command line.
 ///
 /// # Errors
 ///
-/// There is no such fault.
+/// There is no fault with this name.
 pub fn parse_injected_fault(name: &str) -> Result<InjectedFault, UnknownFaultError> {
     match name {
         "likely-count" => Ok(InjectedFault::LikelyCount),
@@ -25,22 +25,22 @@
     }
 }
 
-/// A line of standard input: `CORE stall SECONDS`, `CORE panic` or `CORE break`.
+/// A parsed line of standard input: `CORE stall SECONDS`, `CORE panic` or `CORE break`.
 #[derive(Debug, PartialEq)]
 struct FaultCommand {
-    /// The core, from 0; the number behind the last one is the supervisor.
+    /// Index of the core, from 0. The index after the last core stands for the supervisor.
     core: usize,
-    /// What is to happen to it.
+    /// The fault to inject into the core.
     fault: FaultInjection,
 }
 
-/// Why a line is no fault command.
+/// Why a line is not a valid fault command.
 #[derive(Debug, PartialEq, thiserror::Error)]
 enum FaultCommandError {
-    /// The first word is no number.
+    /// The first word is not a core index.
     #[error("the line does not begin with the number of a core")]
     InvalidCore,
-    /// The second word names no fault, or the third one no duration.
+    /// The second word is not the name of a fault, or the third is not a valid duration.
     #[error("unknown fault; write stall SECONDS (up to {MAX_STALL}), panic or break")]
     InvalidFault,
 }
@@ -62,13 +62,13 @@
     }
 }
 
-/// The duration of a stall, in seconds.
+/// Parses the duration of a stall, in seconds.
 fn parse_stall(seconds: Option<&str>) -> Result<f64, FaultCommandError> {
     let seconds = seconds.and_then(|word| word.parse().ok());
     seconds.filter(|seconds| (0.0..=MAX_STALL).contains(seconds)).ok_or(FaultCommandError::InvalidFault)
 }
 
-/// The faults that standard input asks for; none unless `reads_input`.
+/// Returns the receiver of the faults read from standard input. Nothing is read unless `reads_input` is set.
 pub fn receive(reads_input: bool) -> UnboundedReceiver<(usize, FaultInjection)> {
     let (sender, receiver) = unbounded_channel();
     if reads_input {
@@ -77,7 +77,7 @@
     receiver
 }
 
-/// Sends the faults of standard input to the gateway, until its end.
+/// Reads fault commands from standard input until its end, and sends the faults to the gateway.
 fn read_input(sender: &UnboundedSender<(usize, FaultInjection)>) {
     for line in std::io::stdin().lines().map_while(Result::ok) {
         match line.parse() {
--- a/crates/milletpath/src/serve/fault_commands/tests.rs
+++ b/crates/milletpath/src/serve/fault_commands/tests.rs
@@ -1,4 +1,4 @@
-//! Lines that inject a fault, and lines that are ignored.
+//! Parsing of valid and invalid fault commands.
 
 use super::*;
 use test_case::test_case;
@@ -17,7 +17,7 @@
 #[test_case("0 sleep", FaultCommandError::InvalidFault; "an unknown fault")]
 #[test_case("0 stall", FaultCommandError::InvalidFault; "a stall without seconds")]
 #[test_case("0 stall 60.1", FaultCommandError::InvalidFault; "a stall that is too long")]
-#[test_case("0 stall NaN", FaultCommandError::InvalidFault; "a stall of no length")]
+#[test_case("0 stall NaN", FaultCommandError::InvalidFault; "a stall that is not a number")]
 fn a_malformed_line_is_an_error(line: &str, error: FaultCommandError) {
     assert_eq!(line.parse::<FaultCommand>(), Err(error));
 }
--- a/crates/milletpath/src/serve/sockets.rs
+++ b/crates/milletpath/src/serve/sockets.rs
@@ -1,5 +1,5 @@
-//! The sockets of a gateway: for clients, for other gateways, and for changes of the configuration. The address of each is
-//! logged, and printed on standard output for the program that started this one.
+//! The sockets of a gateway: for clients, for other gateways, and for configuration changes. Their addresses are
+//! logged, and printed on standard output for a parent process.
 
 use milletpath_config::GatewayConfig;
 use milletpath_gateway::{ConfigFeed, ControlThreadError, InjectedFault, MembershipLink};
@@ -8,32 +8,33 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::TcpListener;
 
-/// Why a socket can't be opened.
+/// Why a socket cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketError {
-    /// The address for clients is in use, or not this machine's.
+    /// The address for clients is in use, or is not an address of this host.
     #[error("{address} can't be listened on: {source}; change listen in the configuration")]
     Listen { address: SocketAddr, source: io::Error },
-    /// The socket for membership and shared budgets can't be opened, or its key can't be used.
+    /// The socket for membership and shared budgets cannot be opened, or its key cannot be used.
     #[error("the socket for other gateways can't be opened: {0}; change section peers of the configuration")]
     MembershipLink(#[source] ControlThreadError),
-    /// The socket for changes of the configuration can't be opened, or its key can't be used.
+    /// The socket for configuration changes cannot be opened, or its key cannot be used.
     #[error(
         "the socket for configuration changes can't be opened: {0}; change section changes of the configuration"
     )]
     ConfigFeed(#[source] ControlThreadError),
 }
 
-/// Where the configuration came from.
+/// Origin of the configuration.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ConfigSource {
-    /// The file that the command line names.
+    /// A file named on the command line.
     File,
-    /// No file: the built-in configuration.
+    /// The built-in configuration, used without a file.
     BuiltIn,
 }
 
-/// Opens the socket for clients. The built-in configuration takes another port where its own is in use.
+/// Opens the socket for clients. With the built-in configuration, a port assigned by the operating system is used if
+/// the configured address is not available.
 pub fn open_listener(address: SocketAddr, source: ConfigSource) -> Result<TcpListener, SocketError> {
     let opened = match listen(address) {
         Err(_) if source == ConfigSource::BuiltIn => listen((Ipv4Addr::LOCALHOST, 0).into()),
@@ -56,7 +57,7 @@
     Ok(Some(link))
 }
 
-/// Opens the socket for changes of the configuration, if it has a section `changes`.
+/// Opens the socket for configuration changes, if the configuration has a section `changes`.
 pub fn open_config_feed(config: &GatewayConfig) -> Result<Option<ConfigFeed>, SocketError> {
     let Some(settings) = &config.config_log else { return Ok(None) };
     let feed = ConfigFeed::open(settings).map_err(SocketError::ConfigFeed)?;
@@ -67,7 +68,7 @@
     Ok(Some(feed))
 }
 
-/// Logs and prints where clients reach the gateway.
+/// Logs and prints the address for clients.
 pub fn announce_listener(listener: &TcpListener, source: ConfigSource) {
     let Ok(address) = listener.local_addr() else { return };
     tracing::info!(%address, "listening for clients");
@@ -77,8 +78,8 @@
     }
 }
 
-/// Prints a line on standard output for the program that started this one, which learns the addresses by it. The gateway
-/// serves also where nobody reads it.
+/// Prints a line on standard output, from which a parent process learns the addresses. A failed write is ignored,
+/// because the gateway must also serve when nobody reads its output.
 fn announce(line: &str) {
     let _ = writeln!(io::stdout(), "{line}");
 }
--- a/crates/milletpath/src/shutdown_signal.rs
+++ b/crates/milletpath/src/shutdown_signal.rs
@@ -1,22 +1,22 @@
-//! The signals that ask the process to end: SIGTERM, and SIGINT, which Ctrl-C sends.
+//! The signals that request a shutdown: SIGTERM, and SIGINT, which Ctrl-C sends.
 
 use milletpath_process_environment::signals::{SIGINT, SIGTERM, SignalReceiver};
 use std::io;
 
-/// Receives the signals that ask the process to end, which then no longer end it at once.
+/// Receives the shutdown signals. Once registered, they no longer terminate the process immediately.
 pub struct ShutdownSignals {
-    /// SIGTERM.
+    /// Receiver of SIGTERM.
     terminate: SignalReceiver,
-    /// SIGINT.
+    /// Receiver of SIGINT.
     interrupt: SignalReceiver,
 }
 
 impl ShutdownSignals {
-    /// Begins to receive the signals. Must run within a runtime.
+    /// Registers handlers for the signals. Must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// The system refuses a handler; the signals may still end the process at once.
+    /// A handler cannot be registered; the signals may then still terminate the process immediately.
     pub fn register() -> io::Result<Self> {
         Ok(Self { terminate: SignalReceiver::new(SIGTERM)?, interrupt: SignalReceiver::new(SIGINT)? })
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// Waits until the process is asked to end; without end where signals can't be received.
+/// Waits for a shutdown signal. If the handlers cannot be registered, logs the error and never completes.
 pub async fn shutdown_requested() {
     match ShutdownSignals::register() {
         Ok(mut signals) => signals.received().await,
--- a/crates/milletpath/src/workers.rs
+++ b/crates/milletpath/src/workers.rs
@@ -1,4 +1,4 @@
-//! `milletpath workers`: emulated workers alone, at the addresses that a configuration file lists.
+//! `milletpath workers`: runs only emulated workers, on the addresses that a configuration file lists.
 
 use crate::async_runtime::{self, RuntimeError};
 use crate::config_file::{self, ConfigFileError};
@@ -15,10 +15,10 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Seeds the random numbers of the emulated workers.
+/// Seed of the emulated workers' random number generator.
 const SEED: u64 = 1;
 
-/// What `workers` is started with.
+/// Command-line options of `workers`.
 #[derive(Args)]
 pub struct Options {
     /// The configuration file that lists the workers
@@ -26,19 +26,19 @@
     config_file: PathBuf,
 }
 
-/// Why the emulated workers don't run.
+/// Why the emulated workers cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkersError {
-    /// The configuration file can't be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
-    /// The configuration lists no workers, but names a registry.
+    /// The configuration names a registry instead of a list of workers.
     #[error("{}: names a registry; emulated workers need a list of workers", .0.display())]
     Registry(PathBuf),
-    /// The runtime can't start.
+    /// The runtime cannot start.
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
-    /// A worker's address is in use, or not this machine's.
+    /// A worker's address is in use, or is not an address of this host.
     #[error("worker {name} can't listen on {address}: {source}")]
     Listen { name: String, address: SocketAddr, source: io::Error },
 }
@@ -53,11 +53,11 @@
     }
 }
 
-/// Runs the workers until the process is asked to end.
+/// Runs the workers until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// The configuration can't be used, or a worker can't listen.
+/// The configuration file cannot be used or lists no workers, the runtime cannot start, or a worker cannot listen.
 pub fn run(options: &Options) -> Result<ExitStatus, WorkersError> {
     let config = config_file::read(&options.config_file)?;
     let WorkerSource::List(workers) = config.source else {
@@ -78,7 +78,7 @@
     })?
 }
 
-/// Starts one worker.
+/// Starts one emulated worker.
 async fn start_worker(context: &Rc<EmulatorContext>, number: usize, address: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     Worker::serve(context.clone(), worker_options(number), vec![listener])?;
