--- a/crates/milletpath/src/built_in_fleet.rs
+++ b/crates/milletpath/src/built_in_fleet.rs
@@ -22,7 +22,7 @@
     #[error("an emulated worker can't start: {0}")]
     Worker(#[source] io::Error),
     /// The built-in configuration is invalid, which is a bug in this program.
-    #[error("the built-in configuration is wrong: {0}")]
+    #[error("the built-in configuration is invalid: {0}")]
     Config(#[source] ConfigError),
 }
 
--- a/crates/milletpath/src/change/commit.rs
+++ b/crates/milletpath/src/change/commit.rs
@@ -16,7 +16,9 @@
     NoControlMachine,
     /// Another change of the same key was committed after this author read the key. Holds the number of the entry that
     /// is in force instead, 0 for none.
-    #[error("another author was first, with number {0}: this changed nothing; look and decide again")]
+    #[error(
+        "another author was first, with number {0}: nothing was changed; check the current state and try again"
+    )]
     Superseded(u64),
     /// The statement is invalid under the configuration of the control machine.
     #[error("the control machine refuses it: {reason}")]
@@ -27,24 +29,24 @@
         reason: String,
     },
     /// The key or the text exceeds its maximum size, or the key is empty.
-    #[error("it is larger than a change may be")]
+    #[error("the change exceeds the maximum size")]
     TooLarge,
     /// The log is at its limit of keys or of text.
-    #[error("there is no room for more statements; remove some that are not needed")]
+    #[error("the configuration log is full; remove statements that are not needed")]
     Full,
     /// The control machines have too many pending changes.
-    #[error("too many changes are pending: it was not proposed; run this again")]
+    #[error("too many changes are pending: this one was not proposed; run the command again")]
     Busy,
     /// The control machine that proposed the change got no answer from a quorum in time.
     #[error(
-        "no majority of the control machines answered in time: it is not known whether it will come into force; see \
-         milletpath changes, and run this again: it is never applied twice"
+        "no majority of the control machines answered in time: it is not known whether the change will come into \
+         force; check milletpath changes, and run the command again: a change is never applied twice"
     )]
     UnknownOutcome,
     /// No control machine answered the proposal, which may or may not have been received.
     #[error(
-        "the control machines stopped answering: it is not known whether it will come into force; see milletpath \
-         changes, and run this again: it is never applied twice"
+        "the control machines stopped answering: it is not known whether the change will come into force; check \
+         milletpath changes, and run the command again: a change is never applied twice"
     )]
     Unanswered,
 }
--- a/crates/milletpath/src/change/proposal.rs
+++ b/crates/milletpath/src/change/proposal.rs
@@ -28,7 +28,7 @@
     Invalid { path: PathBuf, errors: Vec<ConfigError> },
     /// The name to remove cannot be the key of a statement.
     #[error(
-        "--remove {0}: there is no such statement; write the function's name, or functions for what is stated of all"
+        "--remove {0}: there is no such statement; write a function's name, or functions for the settings of all"
     )]
     UnknownStatement(String),
     /// Neither a file nor a statement to remove was given, or the file has no statements.
--- a/crates/milletpath/src/change/rollout.rs
+++ b/crates/milletpath/src/change/rollout.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum UnknownGateways {
     /// None of the control machines that answer was polled by a gateway recently.
-    #[error("no gateway is reachable for the control machines that answer")]
+    #[error("no gateway is reachable from the control machines that answer")]
     NoneReachable,
     /// A gateway may be polling a control machine that did not answer, or that has just started.
     #[error("not all control machines answer, or some have just started: there may be more gateways")]
--- a/crates/milletpath/src/changes/gateway_report.rs
+++ b/crates/milletpath/src/changes/gateway_report.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayReportError {
     /// The configuration has port 0: the operating system assigned the port, which is not known here.
-    #[error("listen of changes has port 0: nobody can know where the gateway is; give it a port")]
+    #[error("listen of changes has port 0: the gateway's port is not known; set a fixed port")]
     UnknownPort,
     /// No gateway with the same key answered in time, or its answer was not a valid report.
     #[error("the gateway does not answer on {0}: is it running, with this key?")]
--- a/crates/milletpath/src/control.rs
+++ b/crates/milletpath/src/control.rs
@@ -60,7 +60,7 @@
     #[error("key of changes: {0}")]
     Key(#[source] KeyFileError),
     /// The address of this control machine is in use, or is not an address of this host.
-    #[error("{address} can't be listened on: {source}; is this machine {number} here?")]
+    #[error("{address} can't be listened on: {source}; is {number} the number of this machine?")]
     Listen { address: SocketAddr, number: usize, source: io::Error },
     /// The log file cannot be used.
     #[error("{}: {source}", path.display())]
@@ -72,7 +72,7 @@
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
     /// The thread panicked; the panic was logged.
-    #[error("the thread of the control machine panicked; start it again")]
+    #[error("the thread of the control machine panicked; restart this control machine")]
     Panicked,
 }
 
--- a/crates/milletpath/src/control/log_file.rs
+++ b/crates/milletpath/src/control/log_file.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LogFileError {
     /// The path does not end in a file name.
-    #[error("is no file name")]
+    #[error("is not a file name")]
     NoFileName,
     /// The file cannot be read, is damaged, or was written by a later release.
     #[error(transparent)]
--- a/crates/milletpath/src/platform.rs
+++ b/crates/milletpath/src/platform.rs
@@ -14,7 +14,7 @@
     #[error("LB_CONFIG is not set; it must name the file that the platform gives a router")]
     ConfigNotSet,
     /// `LB_LISTEN` is not a valid address.
-    #[error("LB_LISTEN is no address with a port, such as 10.0.0.4:8443")]
+    #[error("LB_LISTEN is not an address with a port, such as 10.0.0.4:8443")]
     InvalidListenAddress,
     /// The runtime cannot start.
     #[error(transparent)]
--- a/crates/milletpath/src/scenario.rs
+++ b/crates/milletpath/src/scenario.rs
@@ -43,7 +43,7 @@
     #[error(transparent)]
     Invalid(#[from] InvalidScenario),
     /// The scenario could not be run.
-    #[error("{}: can't be played: {source}", path.display())]
+    #[error("{}: the scenario can't be run: {source}", path.display())]
     Play { path: PathBuf, source: RunError },
 }
 
