--- a/crates/milletpath/src/control/log_file.rs
+++ b/crates/milletpath/src/control/log_file.rs
@@ -48,7 +48,10 @@
     match stored.renew(initialize) {
         Err(error) if initialize || !is_transient(error.io()) => return Err(LogFileError::Renew(error)),
         Err(error) => {
-            tracing::error!(%file, %error, "the log file can't be rewritten; this control machine does not vote until it is");
+            tracing::error!(
+                %file, %error,
+                "the log file can't be rewritten; this control machine does not vote until it is"
+            );
         }
         Ok(()) => {}
     }
