--- a/crates/milletpath/src/change/commit.rs
+++ b/crates/milletpath/src/change/commit.rs
@@ -39,14 +39,14 @@
     Busy,
     /// The control machine that proposed the change got no answer from a quorum in time.
     #[error(
-        "no majority of the control machines answered in time: it is not known whether the change will come into \
-         force; check milletpath changes, and run the command again: a change is never applied twice"
+        "no majority of the control machines answered in time: it is not known whether it will come into force; \
+         check milletpath changes, and run the command again: a change is never applied twice"
     )]
     UnknownOutcome,
     /// No control machine answered the proposal, which may or may not have been received.
     #[error(
-        "the control machines stopped answering: it is not known whether the change will come into force; check \
-         milletpath changes, and run the command again: a change is never applied twice"
+        "the control machines stopped answering: it is not known whether it will come into force; check milletpath \
+         changes, and run the command again: a change is never applied twice"
     )]
     Unanswered,
 }
--- a/crates/milletpath/src/control/receiver/tests.rs
+++ b/crates/milletpath/src/control/receiver/tests.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// An error that persists ends the batch, so that timeouts are still handled.
+/// An error that persists ends the batch, so that the control machine still stores records and notices a stop request.
 #[test]
 fn persistent_errors_end_the_batch() {
     let (failures_left, calls) = (Cell::new(usize::MAX), Cell::new(0));
