--- a/crates/milletpath/src/change/commit.rs
+++ b/crates/milletpath/src/change/commit.rs
@@ -1,69 +1,72 @@
-//! Has one change committed by the control machines.
+//! Proposes one change to the control machines, and interprets the outcome.
 
 use super::proposal::ProposedChange;
 use milletpath_config::document::Position;
 use milletpath_config_log::{Change, Outcome};
 use milletpath_gateway::control_client::{Client, ProposalOutcome, random_id};
 
-/// Where a statement begins.
-const START: Position = Position { line: 1, column: 1 };
+/// The beginning of a statement.
+const STATEMENT_START: Position = Position { line: 1, column: 1 };
 
-/// Why a change was not committed, or is not known to be.
+/// Why a change was not committed, or is not known to be committed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommitError {
-    /// The entry in force under the key can't be learned.
+    /// No control machine answered the query for the entry in force under the key.
     #[error("no control machine answers: nothing was proposed; are they running, with this key?")]
     NoControlMachine,
-    /// Another change of the same key was committed since this one's author read the key.
-    #[error("another author was first, with number {0}: this changed nothing; look and decide again")]
+    /// Another change of the same key was committed after this author read the key. Holds the number of the entry that
+    /// is in force instead, 0 for none.
+    #[error(
+        "another author was first, with number {0}: nothing was changed; check the current state and try again"
+    )]
     Superseded(u64),
-    /// The control machines' configuration does not allow the statement.
+    /// The statement is invalid under the configuration of the control machine.
     #[error("the control machine refuses it: {reason}")]
     Denied {
-        /// Where in the statement.
+        /// Position of the error in the statement.
         position: Position,
-        /// What is wrong, and what to write instead.
+        /// The cause, and how to correct it.
         reason: String,
     },
-    /// Key or text exceeds its bound.
-    #[error("it is larger than a change may be")]
+    /// The key or the text exceeds its maximum size, or the key is empty.
+    #[error("the change exceeds the maximum size")]
     TooLarge,
-    /// The log has no room for another key, or for that much text.
-    #[error("there is no room for more statements; remove some that are not needed")]
+    /// The log is at its limit of keys or of text.
+    #[error("the configuration log is full; remove statements that are not needed")]
     Full,
-    /// Too many changes are pending.
-    #[error("too many changes are pending: it was not proposed; run this again")]
+    /// The control machines have too many pending changes.
+    #[error("too many changes are pending: this one was not proposed; run the command again")]
     Busy,
-    /// No quorum answered the control machine that proposed it.
+    /// The control machine that proposed the change got no answer from a quorum in time.
     #[error(
-        "no majority of the control machines answered in time: it is not known whether it will come into force; see \
-         milletpath changes, and run this again: it is never applied twice"
+        "no majority of the control machines answered in time: it is not known whether it will come into force; \
+         check milletpath changes, and run the command again: a change is never applied twice"
     )]
     UnknownOutcome,
-    /// The control machines received the proposal, or not, and did not answer.
+    /// No control machine answered the proposal, which may or may not have been received.
     #[error(
-        "the control machines stopped answering: it is not known whether it will come into force; see milletpath \
-         changes, and run this again: it is never applied twice"
+        "the control machines stopped answering: it is not known whether it will come into force; check milletpath \
+         changes, and run the command again: a change is never applied twice"
     )]
     Unanswered,
 }
 
 impl CommitError {
-    /// Where in its statement a change is wrong; none where the statement is not the cause.
+    /// Returns the position of the error in the statement, or `None` if the statement did not cause the error.
     pub fn position(&self) -> Option<Position> {
         match self {
             Self::Denied { position, .. } => Some(*position),
-            Self::TooLarge => Some(START),
+            Self::TooLarge => Some(STATEMENT_START),
             _ => None,
         }
     }
 }
 
-/// Has a change committed; its number in the log. Where it is in force already, it is not proposed again.
+/// Gets a change committed and returns its number in the log. A change that is already in force is not proposed again.
 ///
 /// # Errors
 ///
-/// The control machines deny the change or do not answer, or another change took its place.
+/// The control machines reject the change or do not answer, or another change of the same key was committed first.
 pub fn commit(client: &Client, proposed: &ProposedChange) -> Result<u64, CommitError> {
     let current = client.get(&proposed.key).ok_or(CommitError::NoControlMachine)?;
     if current.text == proposed.text {
@@ -79,27 +82,31 @@
         ProposalOutcome::Decided(Outcome::Full) => Err(CommitError::Full),
         ProposalOutcome::Decided(Outcome::Busy) => Err(CommitError::Busy),
         ProposalOutcome::Decided(Outcome::Unknown) => Err(CommitError::UnknownOutcome),
-        ProposalOutcome::Denied(reason) => Err(denied(&reason)),
+        ProposalOutcome::Denied(reason) => Err(parse_denial(&reason)),
         ProposalOutcome::Unanswered => Err(CommitError::Unanswered),
     }
 }
 
-/// The number of a change that is in force although its proposal was superseded: an earlier transmission of the same
-/// request may have committed it.
-fn number_if_in_force(client: &Client, proposed: &ProposedChange, by: u64) -> Result<u64, CommitError> {
+/// Returns the number of a change that is in force although its proposal was superseded: an earlier transmission of the
+/// same request may have committed it.
+fn number_if_in_force(
+    client: &Client,
+    proposed: &ProposedChange,
+    successor: u64,
+) -> Result<u64, CommitError> {
     match client.get(&proposed.key) {
         Some(current) if current.text == proposed.text => Ok(current.number),
-        _ => Err(CommitError::Superseded(by)),
+        _ => Err(CommitError::Superseded(successor)),
     }
 }
 
-/// A denial by its reason, which begins with `LINE:COLUMN: ` where the statement is wrong at a certain place.
-fn denied(reason: &str) -> CommitError {
+/// Parses the reason of a denial, which begins with `LINE:COLUMN: ` if the error has a position in the statement.
+fn parse_denial(reason: &str) -> CommitError {
     let mut parts = reason.splitn(3, ':');
     let mut number = || parts.next()?.parse::<usize>().ok().filter(|number| *number > 0);
     let (position, reason) = match (number(), number(), parts.next()) {
         (Some(line), Some(column), Some(rest)) => (Position { line, column }, rest.trim_start()),
-        _ => (START, reason),
+        _ => (STATEMENT_START, reason),
     };
     CommitError::Denied { position, reason: reason.to_owned() }
 }
--- a/crates/milletpath/src/change/rollout/tests.rs
+++ b/crates/milletpath/src/change/rollout/tests.rs
@@ -1,9 +1,9 @@
-//! How far a change has come, by what the control machines report.
+//! Progress and errors of a rollout, derived from the reports of control machines.
 
 use super::*;
 use milletpath_config_log::message::ApplyError;
 
-/// The number of the change.
+/// Number of the change that is rolled out.
 const NUMBER: u64 = 7;
 
 fn gateway(name: &str, number: u64, state: GatewayState) -> GatewayStatus {
@@ -15,7 +15,7 @@
     GatewayStatus { apply_error, ..gateway(name, NUMBER, GatewayState::Refusing) }
 }
 
-/// As control machines report it that don't answer: gateways may be missing.
+/// A rollout as of an overview without any control machine that answers, so that gateways may be missing.
 fn rollout(gateways: Vec<GatewayStatus>) -> Rollout {
     let overview = ControlOverview {
         head: NUMBER,
@@ -38,7 +38,7 @@
     ];
     let rollout = rollout(gateways);
     assert!(rollout.progress() == Progress { in_force: 2, reachable: 4 });
-    assert!(!rollout.is_everywhere());
+    assert!(!rollout.has_reached_all());
     assert_eq!(
         rollout.error().to_string(),
         "refusing could not apply it: unknown profile\nbehind is at number 6\n\
@@ -49,6 +49,6 @@
 #[test]
 fn a_change_without_reachable_gateways_is_in_force_nowhere() {
     let rollout = rollout(vec![gateway("silent", NUMBER, GatewayState::Silent)]);
-    assert!(!rollout.is_everywhere());
-    assert_eq!(rollout.error().to_string(), "no gateway is reachable for the control machines that answer");
+    assert!(!rollout.has_reached_all());
+    assert_eq!(rollout.error().to_string(), "no gateway is reachable from the control machines that answer");
 }
