--- a/crates/platform-router/tests/slow_start.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -16,9 +16,12 @@
     (scenario.gateways, scenario.seconds) = (routers, 20.0);
     (scenario.faults[0].fraction, scenario.traffic.rate) = (0.9, 460.0);
     for seed in 1..=2 {
-        let SlowStartReport { of_bound, attempts, .. } =
+        let SlowStartReport { bound_fraction, attempts, .. } =
             slow_start_report(&scenario, &play(&scenario, seed).records);
         assert!(attempts > 100, "seed {seed}: {attempts} attempts at workers in slow start");
-        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a worker in slow start may be sent");
+        assert!(
+            bound_fraction <= 1.0,
+            "seed {seed}: {bound_fraction:.2} of what a worker in slow start may be sent"
+        );
     }
 }
--- a/crates/simulator/examples/slow_start.rs
+++ b/crates/simulator/examples/slow_start.rs
@@ -29,9 +29,9 @@
         service += report.counts.service();
         loads.push(slow_start_report(scenario, &report.records));
     }
-    let [budget_median, budget_p90, budget_most] = quantiles(loads.iter().map(|load| load.of_budget));
-    let [bound_median, bound_p90, bound_most] = quantiles(loads.iter().map(|load| load.of_bound));
-    let past_bound = loads.iter().filter(|load| load.of_bound > 1.0).count();
+    let [budget_median, budget_p90, budget_most] = quantiles(loads.iter().map(|load| load.budget_fraction));
+    let [bound_median, bound_p90, bound_most] = quantiles(loads.iter().map(|load| load.bound_fraction));
+    let past_bound = loads.iter().filter(|load| load.bound_fraction > 1.0).count();
     let (gateways, service) = (scenario.gateways, service / seeds as f64);
     println!(
         "{gateways:>8} {service:>8.4} {budget_median:>27.3} {budget_p90:>8.3} {budget_most:>5.3} \
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartReport {
     /// The most attempts of a window, as a part of the number N that the settings allow.
-    pub of_budget: f64,
+    pub budget_fraction: f64,
     /// The most attempts of a window, as a part of N + 2 √N + 2.
-    pub of_bound: f64,
+    pub bound_fraction: f64,
     /// Attempts that warming workers received.
     pub attempts: u64,
 }
@@ -27,8 +27,8 @@
             let budget = window.budget / scenario.traffic.work;
             let attempts = window.attempts as f64;
             load.attempts += 1;
-            load.of_budget = load.of_budget.max(attempts / budget);
-            load.of_bound = load.of_bound.max(attempts / (budget + 2.0 * budget.sqrt() + 2.0));
+            load.budget_fraction = load.budget_fraction.max(attempts / budget);
+            load.bound_fraction = load.bound_fraction.max(attempts / (budget + 2.0 * budget.sqrt() + 2.0));
         },
     );
     load
--- a/crates/simulator/tests/clocks.rs
+++ b/crates/simulator/tests/clocks.rs
@@ -45,12 +45,12 @@
     for seed in 1..=2 {
         let (without, load) = play(seed, None, true);
         assert_eq!(without.violations, vec![], "seed {seed}, without a step");
-        assert!(load.of_bound <= 1.0 && load.attempts > 100, "seed {seed}, without a step: {load:?}");
+        assert!(load.bound_fraction <= 1.0 && load.attempts > 100, "seed {seed}, without a step: {load:?}");
         let expected = without.counts.service();
         for machines in [Machines::Gateways, Machines::Workers, Machines::All] {
             let (stepped, load) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
             assert_eq!(stepped.violations, vec![], "seed {seed}, {machines:?}");
-            assert!(load.of_bound <= 1.0 && load.attempts > 100, "seed {seed}, {machines:?}: {load:?}");
+            assert!(load.bound_fraction <= 1.0 && load.attempts > 100, "seed {seed}, {machines:?}: {load:?}");
             let service = stepped.counts.service();
             assert!(
                 (service - expected).abs() <= RANDOM_VARIATION,
--- a/crates/simulator/tests/silent_registry.rs
+++ b/crates/simulator/tests/silent_registry.rs
@@ -78,8 +78,11 @@
     for seed in 1..=3 {
         let variation = Variation { same_address: true, ..Variation::default() };
         let report = play_varied(&scenario, seed, variation);
-        let SlowStartReport { of_bound, attempts, .. } = slow_start_report(&scenario, &report.records);
+        let SlowStartReport { bound_fraction, attempts, .. } = slow_start_report(&scenario, &report.records);
         assert!(attempts > 100, "seed {seed}: {attempts} attempts at warming workers");
-        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a warming worker may be sent");
+        assert!(
+            bound_fraction <= 1.0,
+            "seed {seed}: {bound_fraction:.2} of what a warming worker may be sent"
+        );
     }
 }
--- a/crates/simulator/tests/slow_start.rs
+++ b/crates/simulator/tests/slow_start.rs
@@ -15,10 +15,13 @@
 /// Plays a scenario with some seeds: in each run warming workers receive attempts, in no window more than the bound.
 fn assert_within_bound(scenario: &Scenario, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
-        let SlowStartReport { of_bound, attempts, .. } =
+        let SlowStartReport { bound_fraction, attempts, .. } =
             slow_start_report(scenario, &play(scenario, seed).records);
         assert!(attempts > 100, "seed {seed}: {attempts} attempts at warming workers");
-        assert!(of_bound <= 1.0, "seed {seed}: {of_bound:.2} of what a warming worker may be sent");
+        assert!(
+            bound_fraction <= 1.0,
+            "seed {seed}: {bound_fraction:.2} of what a warming worker may be sent"
+        );
     }
 }
 
