--- a/crates/history-checker/src/bounds.rs
+++ b/crates/history-checker/src/bounds.rs
@@ -50,8 +50,8 @@
     if let Some(limit) = budgets.retry_limit {
         bounds.insert("retries", retries::bound(records, budgets, limit));
     }
-    if let Some(most) = budgets.in_flight {
-        bounds.insert("in-flight", in_flight::bound(records, most, budgets.rules.tolerance));
+    if let Some(allowed) = budgets.in_flight {
+        bounds.insert("in-flight", in_flight::bound(records, allowed, budgets.rules.tolerance));
     }
     if budgets.rate_ceilings.iter().any(Option::is_some) {
         bounds.insert("ceiling", rate_ceiling::bound(records, budgets));
--- a/crates/history-checker/src/bounds/bound_report.rs
+++ b/crates/history-checker/src/bounds/bound_report.rs
@@ -31,14 +31,14 @@
     const MAX_FIRST_VIOLATIONS: usize = 5;
 
     /// Compares a value with the bound; `what` describes a violation.
-    pub(super) fn compare(&mut self, at: f64, value: f64, bound: f64, what: impl FnOnce() -> String) {
+    pub(super) fn compare(&mut self, at: f64, value: f64, bound: f64, describe: impl FnOnce() -> String) {
         if self.bound == 0.0 || value - bound > self.most - self.bound {
             (self.most, self.bound) = (value, bound);
         }
         if value > bound {
             self.violations += 1;
             if self.first_violations.len() < Self::MAX_FIRST_VIOLATIONS {
-                self.first_violations.push(BoundViolation { at, what: what() });
+                self.first_violations.push(BoundViolation { at, what: describe() });
             }
         }
     }
--- a/crates/history-checker/src/bounds/datagrams.rs
+++ b/crates/history-checker/src/bounds/datagrams.rs
@@ -19,7 +19,7 @@
         let HistoryEvent::DatagramSent { gateway, bytes } = *event else { continue };
         let window = sent.entry(gateway).or_default();
         window.add_weighted(*at, bytes as f64);
-        window.forget(*at, WINDOW);
+        window.expire(*at, WINDOW);
         let bytes_per_second = window.sum() / WINDOW;
         size.compare(*at, bytes as f64, MAX_DATAGRAM_BYTES, || {
             format!("gateway {gateway} sent a datagram of {bytes} bytes")
--- a/crates/history-checker/src/bounds/in_flight.rs
+++ b/crates/history-checker/src/bounds/in_flight.rs
@@ -14,7 +14,7 @@
 impl Change {
     /// The change that a record states. The end of an attempt counts earlier than it was observed: the gateway may have
     /// seen it before.
-    fn of(record: &HistoryRecord, tolerance: f64) -> Option<Self> {
+    fn from_record(record: &HistoryRecord, tolerance: f64) -> Option<Self> {
         match record.event {
             HistoryEvent::AttemptFinished { worker, .. } => {
                 Some(Self { at: record.at - 2.0 * tolerance, worker, is_start: false })
@@ -28,8 +28,9 @@
 }
 
 /// The bound by the attempts that may be in flight at one worker.
-pub(super) fn bound(records: &[HistoryRecord], most: f64, tolerance: f64) -> BoundReport {
-    let mut changes: Vec<_> = records.iter().filter_map(|record| Change::of(record, tolerance)).collect();
+pub(super) fn bound(records: &[HistoryRecord], allowed: f64, tolerance: f64) -> BoundReport {
+    let mut changes: Vec<_> =
+        records.iter().filter_map(|record| Change::from_record(record, tolerance)).collect();
     changes.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut bound = BoundReport::default();
     let mut in_flight: BTreeMap<usize, f64> = BTreeMap::new();
@@ -38,8 +39,8 @@
         *attempts += if is_start { 1.0 } else { -1.0 };
         let attempts = *attempts;
         if is_start {
-            bound.compare(at, attempts, most, || {
-                format!("{attempts} attempts in flight at worker {worker}, at most {most} allowed")
+            bound.compare(at, attempts, allowed, || {
+                format!("{attempts} attempts in flight at worker {worker}, at most {allowed} allowed")
             });
         }
     }
--- a/crates/history-checker/src/bounds/load_requests.rs
+++ b/crates/history-checker/src/bounds/load_requests.rs
@@ -17,13 +17,13 @@
     let mut bound = BoundReport::default();
     for HistoryRecord { at, event } in records {
         match event {
-            HistoryEvent::AttemptSent { .. } => shared.accepted(*at),
-            HistoryEvent::GatewayKilled { .. } => shared.killed(*at),
+            HistoryEvent::AttemptSent { .. } => shared.record_accepted(*at),
+            HistoryEvent::GatewayKilled { .. } => shared.record_killed(*at),
             HistoryEvent::LoadRequested { .. } => {
-                let WindowUse { count, most } = shared.used(*at);
-                bound.compare(*at, count, most, || {
+                let WindowUse { count, allowed } = shared.record_use(*at);
+                bound.compare(*at, count, allowed, || {
                     format!(
-                        "{count} load requests of all gateways within {window} s, at most {most:.1} allowed"
+                        "{count} load requests of all gateways within {window} s, at most {allowed:.1} allowed"
                     )
                 });
             }
--- a/crates/history-checker/src/bounds/rate_ceiling.rs
+++ b/crates/history-checker/src/bounds/rate_ceiling.rs
@@ -8,14 +8,14 @@
 const WINDOW: f64 = 10.0;
 
 /// Seconds of its rate that a gateway may use at once; one call where that is less.
-const BURST: f64 = 0.5;
+const BURST_SECONDS: f64 = 0.5;
 
 /// Seconds within which an admitted call is sent: half a second in the queue, and the time for a connection after it.
-const SENT_WITHIN: f64 = 0.75;
+const MAX_SEND_DELAY: f64 = 0.75;
 
 /// The bound by the ceilings of the client groups.
 pub(super) fn bound(records: &[HistoryRecord], budgets: &SharedBudgetBounds) -> BoundReport {
-    let seconds = WINDOW + BURST + SENT_WITHIN + 2.0 * budgets.rules.tolerance;
+    let seconds = WINDOW + BURST_SECONDS + MAX_SEND_DELAY + 2.0 * budgets.rules.tolerance;
     let mut bound = BoundReport::default();
     let mut groups: BTreeMap<u64, usize> = BTreeMap::new();
     let mut received = BTreeSet::new();
@@ -31,9 +31,9 @@
                 let window = calls_of_group.entry(group).or_default();
                 window.add(*at);
                 let calls = window.count_within(*at, WINDOW);
-                let most = ceiling * seconds + budgets.gateways as f64;
-                bound.compare(*at, calls, most, || {
-                    format!("{calls} calls of group {group} within {WINDOW} s, at most {most:.1} allowed")
+                let allowed = ceiling * seconds + budgets.gateways as f64;
+                bound.compare(*at, calls, allowed, || {
+                    format!("{calls} calls of group {group} within {WINDOW} s, at most {allowed:.1} allowed")
                 });
             }
             _ => {}
--- a/crates/history-checker/src/bounds/retries.rs
+++ b/crates/history-checker/src/bounds/retries.rs
@@ -20,12 +20,12 @@
     let mut bound = BoundReport::default();
     for HistoryRecord { at, event } in records {
         match *event {
-            HistoryEvent::AttemptSent { .. } => shared.accepted(*at),
-            HistoryEvent::GatewayKilled { .. } => shared.killed(*at),
+            HistoryEvent::AttemptSent { .. } => shared.record_accepted(*at),
+            HistoryEvent::GatewayKilled { .. } => shared.record_killed(*at),
             HistoryEvent::AttemptReceived { call, attempt, .. } if !received.insert((call, attempt)) => {
-                let WindowUse { count, most } = shared.used(*at);
-                bound.compare(*at, count, most, || {
-                    format!("{count} retries within {window} s, at most {most:.1} allowed")
+                let WindowUse { count, allowed } = shared.record_use(*at);
+                bound.compare(*at, count, allowed, || {
+                    format!("{count} retries within {window} s, at most {allowed:.1} allowed")
                 });
             }
             _ => {}
--- a/crates/history-checker/src/bounds/shared_window.rs
+++ b/crates/history-checker/src/bounds/shared_window.rs
@@ -4,7 +4,7 @@
 use crate::window_limit::WindowLimit;
 
 /// Seconds for which a lease on another gateway's part lasts at most.
-const LONGEST_LEASE: f64 = 2.1;
+const MAX_LEASE_SECONDS: f64 = 2.1;
 
 /// A limit within a window, over all gateways.
 ///
@@ -24,7 +24,7 @@
 /// How many there are within the window, and how many there may be.
 pub(super) struct WindowUse {
     pub count: f64,
-    pub most: f64,
+    pub allowed: f64,
 }
 
 impl SharedWindow {
@@ -35,24 +35,24 @@
     }
 
     /// A gateway accepted an attempt.
-    pub fn accepted(&mut self, at: f64) {
+    pub fn record_accepted(&mut self, at: f64) {
         self.accepted.add(at);
     }
 
     /// A gateway's process was killed.
-    pub fn killed(&mut self, at: f64) {
+    pub fn record_killed(&mut self, at: f64) {
         self.killed.add(at);
     }
 
     /// One more was done of what the limit binds.
-    pub fn used(&mut self, at: f64) -> WindowUse {
+    pub fn record_use(&mut self, at: f64) -> WindowUse {
         let WindowLimit { window, free, per_request } = self.limit;
         self.used.add(at);
         // A late observation may have been sent up to so much earlier, within another window.
         let count = self.used.count_within(at, window - self.tolerance);
         let earning_window = if per_request > 0.0 { 2.0 * window + self.tolerance } else { 0.0 };
         let earned = per_request * self.accepted.count_within(at, earning_window);
-        let killed = self.killed.count_within(at, window + LONGEST_LEASE + self.tolerance);
-        WindowUse { count, most: free + earned + self.process_quota * killed }
+        let killed = self.killed.count_within(at, window + MAX_LEASE_SECONDS + self.tolerance);
+        WindowUse { count, allowed: free + earned + self.process_quota * killed }
     }
 }
--- a/crates/history-checker/src/bounds/tests.rs
+++ b/crates/history-checker/src/bounds/tests.rs
@@ -41,7 +41,7 @@
 /// One may use what the other leaves; together they have no more than their sum, and one part more for each process
 /// that restarts.
 #[test]
-fn load_requests_count_for_the_fleet() {
+fn the_load_request_limit_binds_the_whole_fleet() {
     assert_eq!(violations("orders", load_requests(&[1.0, 2.0, 3.0, 4.0])), 0);
     assert_eq!(violations("orders", load_requests(&[1.0, 2.0, 3.0, 4.0, 10.5])), 1);
     assert_eq!(violations("orders", load_requests(&[1.0, 2.0, 3.0, 4.0, 11.5])), 0);
@@ -54,10 +54,10 @@
 fn call(call: u64, at: f64, attempts: usize) -> Vec<HistoryRecord> {
     let (importance, latency_objective) = (1.0, 1.0);
     let (idempotency, fault) = (Idempotency::Idempotent, None);
-    let began =
+    let issued =
         HistoryEvent::RequestIssued { call, group: 0, importance, latency_objective, idempotency, fault };
     let received = HistoryEvent::AttemptReceived { call, attempt: 0, gateway: 0, worker: 0, work: 0.01 };
-    let mut records = vec![record(at, began)];
+    let mut records = vec![record(at, issued)];
     records.resize(1 + attempts, record(at, received));
     records
 }
@@ -65,7 +65,7 @@
 #[test_case(5, 1, 0; "one attempt each")]
 #[test_case(3, 2, 0; "as many retries as there may be")]
 #[test_case(4, 2, 1; "one more")]
-fn retries_count_for_the_fleet(calls: u64, attempts: usize, expected: u64) {
+fn the_retry_limit_binds_the_whole_fleet(calls: u64, attempts: usize, expected: u64) {
     let records = (0..calls).flat_map(|n| call(n, n as f64, attempts)).collect();
     assert_eq!(violations("retries", records), expected);
 }
@@ -73,13 +73,13 @@
 /// Ten a second with half a second at once, and one call of each gateway.
 #[test_case(110, 0; "as many as there may be")]
 #[test_case(116, 2; "more")]
-fn calls_under_a_ceiling_count_for_the_fleet(calls: u64, expected: u64) {
+fn rate_ceilings_bind_the_whole_fleet(calls: u64, expected: u64) {
     let records = (0..calls).flat_map(|n| call(n, n as f64 / 20.0, 1)).collect();
     assert_eq!(violations("ceiling", records), expected);
 }
 
 #[test]
-fn attempts_at_a_worker_count_until_they_are_over() {
+fn attempts_are_in_flight_until_they_finish() {
     let mut records: Vec<_> = (0..4).flat_map(|n| call(n, n as f64, 1)).collect();
     assert_eq!(violations("in-flight", records.clone()), 1);
     records.push(record(2.5, HistoryEvent::AttemptFinished { gateway: 0, worker: 0 }));
@@ -89,7 +89,7 @@
 /// Many light calls at a worker in slow start: within its bound by work, and past the one by number.
 #[test_case(1; "of one gateway")]
 #[test_case(24; "of two dozen gateways")]
-fn light_calls_at_a_warming_worker_count(gateways: usize) {
+fn light_calls_to_a_warming_worker_are_bounded_by_number(gateways: usize) {
     let received = |n: usize, worker: usize, work: f64| {
         let gateway = n % gateways;
         HistoryEvent::AttemptReceived { call: n as u64, attempt: 0, gateway, worker, work }
--- a/crates/history-checker/src/event.rs
+++ b/crates/history-checker/src/event.rs
@@ -39,7 +39,7 @@
 
 impl AttemptOutcome {
     /// The word for the outcome in stored histories and in reports.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn recorded_name(self) -> &'static str {
         match self {
             Self::Succeeded => "Handled",
             Self::Rejected => "Bounced",
@@ -68,7 +68,7 @@
 
 impl Idempotency {
     /// The word for it in stored histories and in reports.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn recorded_name(self) -> &'static str {
         match self {
             Self::Idempotent => "Pure",
             Self::IdempotentWithKey => "Receipted",
--- a/crates/history-checker/src/membership.rs
+++ b/crates/history-checker/src/membership.rs
@@ -34,16 +34,16 @@
 
 /// What the gateways of a history knew of each other. Records are in the order of time.
 pub fn membership_observations(records: &[HistoryRecord], gateways: usize) -> MembershipObservations {
-    let timeline = Timeline::read(records);
+    let timeline = Timeline::from_records(records);
     let uptime = timeline.uptime().max(1e-9);
     MembershipObservations {
         datagrams_per_second: timeline.datagrams / uptime,
         bytes_per_second: timeline.bytes / uptime,
         false_suspicions: timeline.false_suspicions,
         false_deaths: timeline.false_deaths,
-        death: DetectionTimes::of(deaths(&timeline, gateways)),
-        join: DetectionTimes::of(joins(&timeline, gateways)),
-        healing: DetectionTimes::of(healings(&timeline, gateways)),
+        death: DetectionTimes::from_detections(deaths(&timeline, gateways)),
+        join: DetectionTimes::from_detections(joins(&timeline, gateways)),
+        healing: DetectionTimes::from_detections(healings(&timeline, gateways)),
     }
 }
 
@@ -75,8 +75,8 @@
     for &healed in &timeline.healed {
         for process in timeline.processes.iter().filter(|process| process.runs_at(healed)) {
             let incarnation = process.incarnation;
-            let lost_it = |other: &usize| timeline.last_stated_dead(*other, incarnation, healed);
-            let others = other_gateways(process.gateway, gateways).filter(lost_it);
+            let had_reported_dead = |other: &usize| timeline.last_reported_dead(*other, incarnation, healed);
+            let others = other_gateways(process.gateway, gateways).filter(had_reported_dead);
             detections.extend(
                 others.filter_map(|o| timeline.detection(o, incarnation, healed, |state| state == ALIVE)),
             );
--- a/crates/history-checker/src/membership/detection.rs
+++ b/crates/history-checker/src/membership/detection.rs
@@ -25,7 +25,7 @@
 }
 
 impl DetectionTimes {
-    pub(super) fn of(detections: Vec<Detection>) -> Self {
+    pub(super) fn from_detections(detections: Vec<Detection>) -> Self {
         let mut seconds: Vec<f64> = detections.iter().filter_map(Detection::seconds).collect();
         seconds.sort_by(f64::total_cmp);
         let quantile = |q: f64| {
--- a/crates/history-checker/src/membership/timeline.rs
+++ b/crates/history-checker/src/membership/timeline.rs
@@ -26,7 +26,7 @@
 }
 
 /// A gateway states a process to be in a state.
-struct Statement {
+struct StateReport {
     at: f64,
     state: u8,
 }
@@ -35,7 +35,7 @@
 pub(super) struct Timeline {
     pub processes: Vec<Process>,
     /// What each gateway stated of each incarnation, in the order of time.
-    statements: BTreeMap<(usize, u64), Vec<Statement>>,
+    reports: BTreeMap<(usize, u64), Vec<StateReport>>,
     /// When partitions healed.
     pub healed: Vec<f64>,
     paused: BTreeSet<usize>,
@@ -47,7 +47,7 @@
 }
 
 impl Timeline {
-    pub fn read(records: &[HistoryRecord]) -> Self {
+    pub fn from_records(records: &[HistoryRecord]) -> Self {
         let mut timeline = Self { end: records.last().map_or(0.0, |record| record.at), ..Self::default() };
         for HistoryRecord { at, event } in records {
             timeline.observe(*at, event);
@@ -77,7 +77,7 @@
                     self.false_suspicions += usize::from(state == SUSPECT);
                     self.false_deaths += usize::from(state == DEAD);
                 }
-                self.statements.entry((gateway, incarnation)).or_default().push(Statement { at, state });
+                self.reports.entry((gateway, incarnation)).or_default().push(StateReport { at, state });
             }
             _ => {}
         }
@@ -109,22 +109,22 @@
     ) -> Option<Detection> {
         let observer =
             self.processes.iter().find(|process| process.gateway == gateway && process.runs_at(from))?;
-        let mut stated = self.statements_of(gateway, incarnation);
-        let first = stated.find(|statement| statement.at >= from && is_state(statement.state));
-        match first.filter(|statement| statement.at <= observer.ended) {
-            Some(statement) => Some(Detection::After(statement.at - from)),
+        let mut reports = self.reports_of(gateway, incarnation);
+        let first = reports.find(|report| report.at >= from && is_state(report.state));
+        match first.filter(|report| report.at <= observer.ended) {
+            Some(report) => Some(Detection::After(report.at - from)),
             None if observer.ended.is_finite() => None,
             None => Some(Detection::Never),
         }
     }
 
     /// Whether a gateway's last statement of a process up to a time was that it is gone.
-    pub fn last_stated_dead(&self, gateway: usize, incarnation: u64, at: f64) -> bool {
-        let until = self.statements_of(gateway, incarnation).take_while(|statement| statement.at <= at);
-        until.last().is_some_and(|statement| statement.state >= DEAD)
+    pub fn last_reported_dead(&self, gateway: usize, incarnation: u64, at: f64) -> bool {
+        let until = self.reports_of(gateway, incarnation).take_while(|report| report.at <= at);
+        until.last().is_some_and(|report| report.state >= DEAD)
     }
 
-    fn statements_of(&self, gateway: usize, incarnation: u64) -> impl Iterator<Item = &Statement> {
-        self.statements.get(&(gateway, incarnation)).into_iter().flatten()
+    fn reports_of(&self, gateway: usize, incarnation: u64) -> impl Iterator<Item = &StateReport> {
+        self.reports.get(&(gateway, incarnation)).into_iter().flatten()
     }
 }
--- a/crates/history-checker/src/rules/answered_once.rs
+++ b/crates/history-checker/src/rules/answered_once.rs
@@ -10,7 +10,7 @@
 const RULE: u8 = 1;
 
 /// Seconds after a client has closed or timed out in which an attempt for it may still begin.
-const CLIENT_GONE: f64 = 0.1;
+const CLIENT_GONE_GRACE: f64 = 0.1;
 
 /// A call, and the number of a client's attempt within it.
 type AttemptKey = (u64, u32);
@@ -58,12 +58,12 @@
             HistoryEvent::GatewayResumed { gateway } => {
                 self.resumed_at.insert(gateway, at);
             }
-            HistoryEvent::AttemptSent { call, attempt, .. } => self.sent(at, (call, attempt)),
+            HistoryEvent::AttemptSent { call, attempt, .. } => self.on_sent(at, (call, attempt)),
             HistoryEvent::AttemptEnded { call, attempt, gateway, outcome } => {
-                self.ended((call, attempt), gateway, AttemptEnd { at, outcome }, parameters);
+                self.on_ended((call, attempt), gateway, AttemptEnd { at, outcome }, parameters);
             }
             HistoryEvent::AttemptReceived { call, attempt, gateway, worker, .. } => {
-                self.received(at, (call, attempt), gateway, worker, parameters);
+                self.on_received(at, (call, attempt), gateway, worker, parameters);
             }
             _ => {}
         }
@@ -73,27 +73,27 @@
         self.violations.push(Violation { rule: RULE, at, what });
     }
 
-    fn sent(&mut self, at: f64, key: AttemptKey) {
+    fn on_sent(&mut self, at: f64, key: AttemptKey) {
         let (call, attempt) = key;
         if self.attempts.insert(key, Attempt { sent_at: at, end: None }).is_some() {
             self.report(at, format!("call {call}.{attempt} asked twice"));
         }
     }
 
-    fn ended(&mut self, key: AttemptKey, gateway: usize, end: AttemptEnd, parameters: &RuleParameters) {
+    fn on_ended(&mut self, key: AttemptKey, gateway: usize, end: AttemptEnd, parameters: &RuleParameters) {
         let (call, attempt) = key;
         let AttemptEnd { at, outcome } = end;
-        let word = outcome.word();
-        let Some(known) = self.attempts.get_mut(&key) else {
+        let name = outcome.recorded_name();
+        let Some(attempt_state) = self.attempts.get_mut(&key) else {
             return self.report(at, format!("call {call}.{attempt} ended unasked"));
         };
-        let sent_at = known.sent_at;
-        if let Some(former) = known.end.replace(end) {
-            let former = former.outcome.word();
-            self.report(at, format!("call {call}.{attempt} ended as {former} and again as {word}"));
+        let sent_at = attempt_state.sent_at;
+        if let Some(previous) = attempt_state.end.replace(end) {
+            let previous = previous.outcome.recorded_name();
+            self.report(at, format!("call {call}.{attempt} ended as {previous} and again as {name}"));
         }
         if self.answer_is_missing(gateway, sent_at, end, parameters) {
-            self.report(at, format!("call {call}.{attempt} at gateway {gateway} got no answer: {word}"));
+            self.report(at, format!("call {call}.{attempt} at gateway {gateway} got no answer: {name}"));
         }
     }
 
@@ -116,7 +116,7 @@
         !was_killed && !was_paused
     }
 
-    fn received(
+    fn on_received(
         &mut self,
         at: f64,
         key: AttemptKey,
@@ -126,14 +126,16 @@
     ) {
         let Some(end) = self.attempts.get(&key).and_then(|attempt| attempt.end) else { return };
         let allowed = match end.outcome {
-            AttemptOutcome::Abandoned | AttemptOutcome::Unanswered => parameters.tolerance.min(CLIENT_GONE),
+            AttemptOutcome::Abandoned | AttemptOutcome::Unanswered => {
+                parameters.tolerance.min(CLIENT_GONE_GRACE)
+            }
             _ => parameters.tolerance,
         };
         let late = at - end.at;
         if late > allowed {
-            let ((call, attempt), word) = (key, end.outcome.word());
+            let ((call, attempt), name) = (key, end.outcome.recorded_name());
             let what = format!(
-                "call {call}.{attempt} was {word}, and {late:.3} s later gateway {gateway} sent it to worker {worker}"
+                "call {call}.{attempt} was {name}, and {late:.3} s later gateway {gateway} sent it to worker {worker}"
             );
             self.report(at, what);
         }
--- a/crates/history-checker/src/rules/drain_respected.rs
+++ b/crates/history-checker/src/rules/drain_respected.rs
@@ -39,17 +39,17 @@
                 self.notified_at.retain(|(other, _), _| *other != gateway);
             }
             HistoryEvent::AttemptReceived { gateway, worker, .. } => {
-                self.received(at, gateway, worker, "a shot", latest);
+                self.on_received(at, gateway, worker, "a shot", latest);
             }
             HistoryEvent::LoadRequested { gateway, worker } => {
-                self.received(at, gateway, worker, "an order", latest);
+                self.on_received(at, gateway, worker, "an order", latest);
             }
             _ => {}
         }
     }
 
     /// Checks what a worker received; `kind` is the report's word for it.
-    fn received(&mut self, at: f64, gateway: usize, worker: usize, kind: &str, latest: f64) {
+    fn on_received(&mut self, at: f64, gateway: usize, worker: usize, kind: &str, latest: f64) {
         let Some(notified_at) = self.notified_at.get(&(gateway, worker)) else { return };
         let late = at - notified_at;
         if late > latest {
--- a/crates/history-checker/src/rules/executed_once.rs
+++ b/crates/history-checker/src/rules/executed_once.rs
@@ -35,9 +35,9 @@
             HistoryEvent::AttemptSent { call, attempt, .. } => {
                 self.last_attempt.insert(call, attempt);
             }
-            HistoryEvent::RequestExecuted { call, worker } => self.executed(at, call, worker),
+            HistoryEvent::RequestExecuted { call, worker } => self.on_executed(at, call, worker),
             HistoryEvent::AttemptEnded { call, outcome: AttemptOutcome::Rejected, .. } => {
-                self.rejected(at, call);
+                self.on_rejected(at, call);
             }
             _ => {}
         }
@@ -47,14 +47,14 @@
         self.violations.push(Violation { rule: RULE, at, what });
     }
 
-    fn executed(&mut self, at: f64, call: u64, worker: usize) {
+    fn on_executed(&mut self, at: f64, call: u64, worker: usize) {
         let idempotency = self.idempotency.get(&call).copied().unwrap_or(Idempotency::NonIdempotent);
         let executions = self.executions.entry(call).or_default();
         *executions += 1;
         let times = *executions;
         if idempotency != Idempotency::Idempotent && times > 1 {
-            let word = idempotency.word();
-            self.report(at, format!("{word} call {call} ran for the {times}th time, on worker {worker}"));
+            let name = idempotency.recorded_name();
+            self.report(at, format!("{name} call {call} ran for the {times}th time, on worker {worker}"));
         }
         // A later attempt may be executed though the first was rejected.
         let is_first_attempt = self.last_attempt.get(&call) == Some(&0);
@@ -63,7 +63,7 @@
         }
     }
 
-    fn rejected(&mut self, at: f64, call: u64) {
+    fn on_rejected(&mut self, at: f64, call: u64) {
         self.rejected.insert(call);
         let non_idempotent = self.idempotency.get(&call) == Some(&Idempotency::NonIdempotent);
         if non_idempotent && self.executions.contains_key(&call) {
--- a/crates/history-checker/src/rules/load_requests_limited.rs
+++ b/crates/history-checker/src/rules/load_requests_limited.rs
@@ -32,7 +32,7 @@
             }
             HistoryEvent::LoadRequested { gateway, .. } => {
                 let state = gateways.entry(gateway).or_default();
-                let what = state.requested(*at, gateway, limit, parameters.tolerance);
+                let what = state.on_load_request(*at, gateway, limit, parameters.tolerance);
                 violations.extend(what.map(|what| Violation { rule: RULE, at: *at, what }));
             }
             _ => {}
@@ -43,14 +43,20 @@
 
 impl GatewayLoadRequests {
     /// Counts one more load request; gives the violation's text where it is beyond the limit.
-    fn requested(&mut self, at: f64, gateway: usize, limit: WindowLimit, tolerance: f64) -> Option<String> {
+    fn on_load_request(
+        &mut self,
+        at: f64,
+        gateway: usize,
+        limit: WindowLimit,
+        tolerance: f64,
+    ) -> Option<String> {
         let WindowLimit { window, free, per_request } = limit;
         self.load_requests.add(at);
         // A late observation may have been sent up to so much earlier, within another window.
         let count = self.load_requests.count_within(at, window - tolerance);
-        let most = free + per_request * self.accepted.count_within(at, window + tolerance);
-        (count > most).then(|| {
-            format!("gateway {gateway} gave {count} orders within {window} s, for {most:.1} at most")
+        let allowed = free + per_request * self.accepted.count_within(at, window + tolerance);
+        (count > allowed).then(|| {
+            format!("gateway {gateway} gave {count} orders within {window} s, for {allowed:.1} at most")
         })
     }
 }
--- a/crates/history-checker/src/rules/slow_start_respected.rs
+++ b/crates/history-checker/src/rules/slow_start_respected.rs
@@ -19,15 +19,15 @@
             return;
         }
         // A worker that has failed stays so until it restarts.
-        let former = overloaded_at.insert(window.worker, window.at);
-        if former.is_none_or(|former| window.at - former > parameters.warm_up) {
-            violations.push(Violation { rule: RULE, at: window.at, what: text(&window) });
+        let previous = overloaded_at.insert(window.worker, window.at);
+        if previous.is_none_or(|previous| window.at - previous > parameters.warm_up) {
+            violations.push(Violation { rule: RULE, at: window.at, what: description(&window) });
         }
     });
     violations
 }
 
-fn text(window: &SlowStartWindow) -> String {
+fn description(window: &SlowStartWindow) -> String {
     let SlowStartWindow { worker, attempts, work, max_work, max_attempts, .. } = window;
     format!(
         "worker {worker} was sent {work:.2} s of work while cold, for {max_work:.2}, in {attempts} calls, for \
--- a/crates/history-checker/src/sliding_window.rs
+++ b/crates/history-checker/src/sliding_window.rs
@@ -23,7 +23,7 @@
     }
 
     /// Forgets what happened longer than `seconds` before `now`.
-    pub fn forget(&mut self, now: f64, seconds: f64) {
+    pub fn expire(&mut self, now: f64, seconds: f64) {
         while self.items.front().is_some_and(|(at, _)| now - at > seconds) {
             self.sum -= self.items.pop_front().map_or(0.0, |(_, weight)| weight);
         }
@@ -31,7 +31,7 @@
 
     /// How many there are within the last `seconds`; older ones are forgotten.
     pub fn count_within(&mut self, now: f64, seconds: f64) -> f64 {
-        self.forget(now, seconds);
+        self.expire(now, seconds);
         self.len() as f64
     }
 
--- a/crates/history-checker/src/slow_start.rs
+++ b/crates/history-checker/src/slow_start.rs
@@ -10,8 +10,12 @@
 /// the mean: N + 2 √N + 2, under thirty N + 3 √N + 3. The margin is for the random arrival of requests.
 pub fn slow_start_limit(allowed: f64) -> f64 {
     /// Below this number the margin is wider.
-    const FEW: f64 = 30.0;
-    if allowed < FEW { allowed + 3.0 * allowed.sqrt() + 3.0 } else { allowed + 2.0 * allowed.sqrt() + 2.0 }
+    const SMALL_BUDGET: f64 = 30.0;
+    if allowed < SMALL_BUDGET {
+        allowed + 3.0 * allowed.sqrt() + 3.0
+    } else {
+        allowed + 2.0 * allowed.sqrt() + 2.0
+    }
 }
 
 /// What a warming worker was sent within the overload window up to an attempt, and what it may be sent.
@@ -52,8 +56,8 @@
     fn budget(&self, age: f64, parameters: &RuleParameters) -> f64 {
         let RuleParameters { initial_capacity, warm_up, overload_multiple, overload_window, .. } =
             *parameters;
-        let warmth = initial_capacity + (1.0 - initial_capacity) * age / warm_up.max(1e-9);
-        overload_multiple * self.capacity * warmth * overload_window
+        let capacity_fraction = initial_capacity + (1.0 - initial_capacity) * age / warm_up.max(1e-9);
+        overload_multiple * self.capacity * capacity_fraction * overload_window
     }
 }
 
@@ -116,8 +120,8 @@
     parameters: &RuleParameters,
 ) -> SlowStartWindow {
     /// Attempts of mean work beyond the budget that are allowed: of an attempt's work only the mean is known.
-    const MARGIN_ATTEMPTS: f64 = 3.0;
-    state.received.forget(at, parameters.overload_window);
+    const ATTEMPT_MARGIN: f64 = 3.0;
+    state.received.expire(at, parameters.overload_window);
     let budget = state.budget(at - state.started, parameters);
     SlowStartWindow {
         at,
@@ -125,7 +129,7 @@
         attempts: state.received.len(),
         work: state.received.sum(),
         budget,
-        max_work: budget + MARGIN_ATTEMPTS * mean_work,
+        max_work: budget + ATTEMPT_MARGIN * mean_work,
         max_attempts: slow_start_limit(budget / mean_work.max(1e-9)),
     }
 }
--- a/crates/history-checker/tests/correct_history/mod.rs
+++ b/crates/history-checker/tests/correct_history/mod.rs
@@ -28,7 +28,7 @@
     HistoryEvent::LoadRequested { gateway: 0, worker }
 }
 
-pub fn announced(worker: usize, ready: bool) -> HistoryEvent {
+pub fn endpoint_notified(worker: usize, ready: bool) -> HistoryEvent {
     HistoryEvent::EndpointNotified { gateway: 0, worker, ready }
 }
 
@@ -40,12 +40,12 @@
 pub fn correct_history() -> Vec<HistoryRecord> {
     let mut events = vec![
         (0.0, started(0, 2.0, true)),
-        (0.0, announced(0, true)),
+        (0.0, endpoint_notified(0, true)),
         (0.5, started(1, 2.0, false)),
-        (0.6, announced(1, true)),
+        (0.6, endpoint_notified(1, true)),
     ];
-    let kinds = [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
-    for (number, idempotency) in kinds.into_iter().enumerate() {
+    let idempotencies = [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent];
+    for (number, idempotency) in idempotencies.into_iter().enumerate() {
         let (number, at) = (number as u64, 1.0 + number as f64);
         events.extend([
             (at, call(number, idempotency)),
@@ -55,12 +55,12 @@
             (at + 0.2, ended(number, AttemptOutcome::Succeeded)),
         ]);
     }
-    events.extend([(4.0, load_requested(1)), (5.0, announced(1, false))]);
+    events.extend([(4.0, load_requested(1)), (5.0, endpoint_notified(1, false))]);
     events.into_iter().map(|(at, event)| record(at, event)).collect()
 }
 
 /// The correct history with more events, in the order of time.
-pub fn with(more: Vec<(f64, HistoryEvent)>) -> Vec<HistoryRecord> {
+pub fn correct_history_with(more: Vec<(f64, HistoryEvent)>) -> Vec<HistoryRecord> {
     let mut history = correct_history();
     history.extend(more.into_iter().map(|(at, event)| record(at, event)));
     history.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/history-checker/tests/rules.rs
+++ b/crates/history-checker/tests/rules.rs
@@ -5,7 +5,8 @@
 mod records;
 
 use correct_history::{
-    PARAMETERS, announced, correct_history, executed, load_requested, received, started, with,
+    PARAMETERS, correct_history, correct_history_with, endpoint_notified, executed, load_requested, received,
+    started,
 };
 use milletpath_history_checker::{
     AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency, RuleParameters, Violation, check,
@@ -35,7 +36,7 @@
 #[test_case(4, (0..40).map(|n| (0.7 + 0.001 * f64::from(n), received(90, 1))).collect(); "a burst at a warming worker")]
 #[test_case(5, vec![(4.1, load_requested(0)), (4.2, load_requested(0))]; "load requests beyond the limit")]
 fn each_rule_has_histories_that_violate_it(rule: u8, more: Vec<(f64, HistoryEvent)>) {
-    let violations = check(&with(more), &PARAMETERS);
+    let violations = check(&correct_history_with(more), &PARAMETERS);
     assert!(violations.iter().any(|violation| violation.rule == rule), "{violations:?}");
 }
 
@@ -50,7 +51,7 @@
     later: f64,
     found: bool,
 ) {
-    let history = with(vec![
+    let history = correct_history_with(vec![
         (6.0, call(9, Idempotency::Idempotent)),
         (6.0, sent(9, 0)),
         (6.5, ended(9, outcome)),
@@ -65,11 +66,11 @@
 #[test_case(vec![(6.0, sent(9, 0)), (6.0, call(9, Idempotency::Idempotent)), (7.0, HistoryEvent::GatewayKilled { gateway: 0 }), (7.1, ended(9, AttemptOutcome::ConnectionLost))]; "its gateway was killed")]
 #[test_case(vec![(6.0, call(9, Idempotency::Idempotent)), (6.0, sent(9, 0)), (8.0, HistoryEvent::GatewayPaused { gateway: 0 }), (9.0, ended(9, AttemptOutcome::Unanswered)), (9.5, HistoryEvent::GatewayResumed { gateway: 0 })]; "its gateway is paused")]
 #[test_case(vec![(5.9, received(2, 1))]; "an attempt within the grace, for a call that is over")]
-#[test_case(vec![(6.0, announced(1, true)), (7.2, load_requested(1))]; "the worker is ready again")]
+#[test_case(vec![(6.0, endpoint_notified(1, true)), (7.2, load_requested(1))]; "the worker is ready again")]
 #[test_case(vec![(1.15, executed(0, 0))]; "an idempotent call runs twice")]
 #[test_case((0..40).map(|n| (0.7 + 0.001 * f64::from(n), received(90, 0))).collect(); "a burst at a warm worker")]
-fn what_violates_no_other_rule(more: Vec<(f64, HistoryEvent)>) {
-    let violations = check(&with(more), &PARAMETERS);
+fn lookalikes_violate_no_rule_but_the_first(more: Vec<(f64, HistoryEvent)>) {
+    let violations = check(&correct_history_with(more), &PARAMETERS);
     assert!(violations.iter().all(|v| v.rule == 1 && v.what.contains("later gateway")), "{violations:?}");
 }
 
@@ -81,7 +82,7 @@
 #[test_case(300, 0.01, 83, true; "three hundred gateways, one light call more")]
 #[test_case(1, 0.1, 66, false; "one gateway, as many calls of mean work as there may be")]
 #[test_case(1, 0.1, 69, true; "one gateway, calls of mean work past chance")]
-fn a_warming_worker_s_requests_are_counted_however_few_gateways_there_are(
+fn overload_of_a_warming_worker_is_found_for_any_number_of_gateways(
     gateways: usize,
     work: f64,
     calls: usize,
@@ -113,6 +114,6 @@
 #[test_case(25.0, 43.0)]
 #[test_case(36.0, 50.0)]
 #[test_case(100.0, 122.0)]
-fn the_limit_of_a_slow_start(allowed: f64, limit: f64) {
+fn the_slow_start_limit_includes_its_margin(allowed: f64, limit: f64) {
     assert!((slow_start_limit(allowed) - limit).abs() < 1e-9);
 }
--- a/crates/history-checker/tests/same_verdicts.rs
+++ b/crates/history-checker/tests/same_verdicts.rs
@@ -49,7 +49,7 @@
 }
 
 /// The times of the first places of each bound; the reports print them, the JSON leaves them out.
-fn times_of_places(bounds: &BTreeMap<&'static str, BoundReport>) -> Value {
+fn violation_times(bounds: &BTreeMap<&'static str, BoundReport>) -> Value {
     let times =
         |bound: &BoundReport| bound.first_violations.iter().map(|violation| violation.at).collect::<Vec<_>>();
     json!(bounds.iter().map(|(name, bound)| (*name, times(bound))).collect::<BTreeMap<_, _>>())
@@ -71,13 +71,13 @@
         "counts_by_fault": by_fault,
         "latencies": latencies(history, [0.5, 0.99, 0.999]),
         "bounds": bounds,
-        "times_of_places": times_of_places(&bounds),
+        "times_of_places": violation_times(&bounds),
         "membership": membership_observations(history, GATEWAYS),
     })
 }
 
 #[test]
-fn a_faulty_history_gives_the_same_verdicts() {
+fn a_faulty_history_gives_the_recorded_verdicts() {
     let expected: Value = serde_json::from_str(EXPECTED).expect("the expected verdicts");
     let verdicts = verdicts(&history());
     assert_eq!(verdicts, expected, "{verdicts:#}");
@@ -85,7 +85,7 @@
 
 /// The fixture is worth something only if every rule and every bound is broken in it.
 #[test]
-fn the_faulty_history_breaks_every_rule_and_every_bound() {
+fn the_faulty_history_violates_every_rule_and_every_bound() {
     let history = history();
     let violations = check(&history, &rules());
     for rule in 1..=5 {
@@ -98,16 +98,16 @@
 
 /// Histories that users have stored stay readable, and are written as before.
 #[test]
-fn stored_records_are_read_and_written_alike() {
+fn stored_records_round_trip_unchanged() {
     for (line, record) in HISTORY.lines().zip(history()) {
         assert_eq!(serde_json::to_string(&record).expect("a line"), line);
     }
-    let kinds: std::collections::BTreeSet<_> = HISTORY.lines().filter_map(kind_of).collect();
-    assert_eq!(kinds.len(), 17, "{kinds:?}");
+    let event_names: std::collections::BTreeSet<_> = HISTORY.lines().filter_map(event_name).collect();
+    assert_eq!(event_names.len(), 17, "{event_names:?}");
 }
 
 /// The word by which a stored line names its kind of event.
-fn kind_of(line: &str) -> Option<&str> {
+fn event_name(line: &str) -> Option<&str> {
     let after = line.split_once("\"saw\":")?.1;
     after.trim_start_matches('{').split('"').nth(1)
 }
