--- a/crates/simulator/examples/fleet.rs
+++ b/crates/simulator/examples/fleet.rs
@@ -14,19 +14,19 @@
     println!("gateways  sharing  service  fetches  refusals  warm    bytes/s  rules broken");
     let sizes = if gateways.is_empty() { vec![scenario.gateways] } else { gateways };
     for gateways in sizes {
-        print_line(&Scenario { gateways, sharing: false, ..scenario.clone() }, seeds);
+        print_row(&Scenario { gateways, sharing: false, ..scenario.clone() }, seeds);
         if gateways > 1 {
-            print_line(&Scenario { gateways, sharing: true, ..scenario.clone() }, seeds);
+            print_row(&Scenario { gateways, sharing: true, ..scenario.clone() }, seeds);
         }
     }
     ExitCode::SUCCESS
 }
 
-fn print_line(scenario: &Scenario, seeds: u64) {
+fn print_row(scenario: &Scenario, seeds: u64) {
     /// Violations that are printed in full.
     const MAX_PRINTED: usize = 3;
     let reports: Vec<_> = (1..=seeds).map(|seed| play(scenario, seed)).collect();
-    let mean = |figure: fn(&SimulationReport) -> f64| reports.iter().map(figure).sum::<f64>() / seeds as f64;
+    let mean = |metric: fn(&SimulationReport) -> f64| reports.iter().map(metric).sum::<f64>() / seeds as f64;
     println!(
         "{:>8} {:>8} {:>8.4} {:>8.0} {:>9.0} {:>7.4} {:>8.0} {:>8}",
         scenario.gateways,
--- a/crates/simulator/examples/slow_start.rs
+++ b/crates/simulator/examples/slow_start.rs
@@ -16,26 +16,28 @@
     );
     for gateways in gateways {
         let scenario = Scenario { gateways, ..scenario.clone() };
-        print_line(&scenario, seeds);
+        print_row(&scenario, seeds);
     }
     ExitCode::SUCCESS
 }
 
-fn print_line(scenario: &Scenario, seeds: u64) {
+fn print_row(scenario: &Scenario, seeds: u64) {
     let mut service = 0.0;
-    let mut loads: Vec<SlowStartReport> = Vec::new();
+    let mut slow_starts: Vec<SlowStartReport> = Vec::new();
     for seed in 1..=seeds {
         let report = play(scenario, seed);
         service += report.counts.service();
-        loads.push(slow_start_report(scenario, &report.records));
+        slow_starts.push(slow_start_report(scenario, &report.records));
     }
-    let [budget_median, budget_p90, budget_most] = quantiles(loads.iter().map(|load| load.budget_fraction));
-    let [bound_median, bound_p90, bound_most] = quantiles(loads.iter().map(|load| load.bound_fraction));
-    let past_bound = loads.iter().filter(|load| load.bound_fraction > 1.0).count();
+    let [budget_median, budget_p90, budget_max] =
+        quantiles(slow_starts.iter().map(|slow_start| slow_start.budget_fraction));
+    let [bound_median, bound_p90, bound_max] =
+        quantiles(slow_starts.iter().map(|slow_start| slow_start.bound_fraction));
+    let past_bound = slow_starts.iter().filter(|slow_start| slow_start.bound_fraction > 1.0).count();
     let (gateways, service) = (scenario.gateways, service / seeds as f64);
     println!(
-        "{gateways:>8} {service:>8.4} {budget_median:>27.3} {budget_p90:>8.3} {budget_most:>5.3} \
-         {bound_median:>21.3} {bound_p90:>8.3} {bound_most:>5.3} {past_bound:>8}",
+        "{gateways:>8} {service:>8.4} {budget_median:>27.3} {budget_p90:>8.3} {budget_max:>5.3} \
+         {bound_median:>21.3} {bound_p90:>8.3} {bound_max:>5.3} {past_bound:>8}",
     );
 }
 
--- a/crates/simulator/src/budget_links.rs
+++ b/crates/simulator/src/budget_links.rs
@@ -11,14 +11,14 @@
 use milletpath_membership::QuotaFraction;
 
 /// One gateway's end.
-struct Link {
+struct BudgetLink {
     sharing: BudgetSharing,
     /// When its timer is due; infinite where none is set.
     timer: f64,
 }
 
 pub(crate) struct BudgetLinks {
-    links: Vec<Link>,
+    links: Vec<BudgetLink>,
     bytes_sent: f64,
 }
 
@@ -41,7 +41,7 @@
         }
         let link = |(gateway, config)| {
             let sharing = BudgetSharing::new(config, instance_id(gateway), LEASE, 0.0);
-            Link { sharing, timer: 0.0 }
+            BudgetLink { sharing, timer: 0.0 }
         };
         Self { links: configs.iter().enumerate().map(link).collect(), bytes_sent: 0.0 }
     }
@@ -60,7 +60,7 @@
         gateway: usize,
     ) {
         let count = self.links.len();
-        let Link { sharing, timer } = &mut self.links[gateway];
+        let BudgetLink { sharing, timer } = &mut self.links[gateway];
         if *timer > context.now {
             return;
         }
@@ -102,7 +102,7 @@
         /// Seconds between two ticks, at least and at most.
         const SHORTEST_INTERVAL: f64 = 0.001;
         const LONGEST_INTERVAL: f64 = 0.05;
-        let Link { sharing, timer } = &mut self.links[gateway];
+        let BudgetLink { sharing, timer } = &mut self.links[gateway];
         while let Some(message) = sharing.next_message() {
             self.bytes_sent += DATAGRAM_OVERHEAD + message.bytes.len() as f64;
             let input = GatewayInput::BudgetMessage { sender: instance_id(gateway), bytes: message.bytes };
--- a/crates/simulator/src/clocks.rs
+++ b/crates/simulator/src/clocks.rs
@@ -24,17 +24,17 @@
 
 /// What a simulation may have beside its scenario.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Variation {
+pub struct SimulationOptions {
     /// A step of wall clocks.
     pub clock_step: Option<ClockStep>,
     /// A worker's new process has the address of the former one.
-    pub same_address: bool,
+    pub reuse_worker_addresses: bool,
     /// Gateways believe the endpoint list however long the registry has been silent: they break the rules that a silence
     /// tests.
-    pub believes_silent_registry: bool,
+    pub endpoint_list_never_expires: bool,
 }
 
-impl Variation {
+impl SimulationOptions {
     /// The wall clock of a gateway at a time of the simulation, in seconds.
     pub(crate) fn gateway_time(&self, now: f64) -> f64 {
         self.unix_time(now, Machines::Workers)
--- a/crates/simulator/src/context.rs
+++ b/crates/simulator/src/context.rs
@@ -1,7 +1,7 @@
 //! What every module of the simulation needs: the scenario, the clock and the queue of events, the history, random
 //! numbers.
 
-use crate::clocks::Variation;
+use crate::clocks::SimulationOptions;
 use crate::event::Event;
 use crate::event_queue::EventQueue;
 use milletpath_emulator::scenario_file::Scenario;
@@ -14,7 +14,7 @@
 
 pub(crate) struct Context {
     pub scenario: Scenario,
-    pub variation: Variation,
+    pub options: SimulationOptions,
     /// Seconds since the scenario's start.
     pub now: f64,
     pub events: EventQueue,
@@ -23,15 +23,15 @@
 }
 
 impl Context {
-    pub fn new(scenario: &Scenario, seed: u64, variation: Variation) -> Self {
-        const STREAM: u64 = 0x7011;
+    pub fn new(scenario: &Scenario, seed: u64, options: SimulationOptions) -> Self {
+        const RNG_STREAM: u64 = 0x7011;
         Self {
             scenario: scenario.clone(),
-            variation,
+            options,
             now: 0.0,
             events: EventQueue::default(),
             records: Vec::new(),
-            rng: ChaCha8Rng::seed_from_u64(seed ^ STREAM),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ RNG_STREAM),
         }
     }
 
--- a/crates/simulator/src/endpoint_list.rs
+++ b/crates/simulator/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::event::{Event, WorkerProcess};
-use crate::registry_silence::RegistrySilence;
+use crate::registry_stall::RegistryStall;
 use milletpath_emulator::scenario;
 use milletpath_history_checker::HistoryEvent;
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
@@ -12,14 +12,14 @@
     /// By worker.
     entries: Vec<EndpointEntry>,
     /// The registry's silence.
-    pub silence: RegistrySilence,
+    pub stall: RegistryStall,
 }
 
 impl EndpointList {
     /// The endpoints of workers that started long ago.
     pub fn new(workers: usize) -> Self {
         let entry = |worker| entry(WorkerProcess { worker, number: 0 }, None);
-        Self { entries: (0..workers).map(entry).collect(), silence: RegistrySilence::NONE }
+        Self { entries: (0..workers).map(entry).collect(), stall: RegistryStall::NONE }
     }
 
     pub fn entries(&self) -> &[EndpointEntry] {
@@ -29,35 +29,35 @@
     /// Sets the state of some workers.
     pub fn set_status(&mut self, context: &mut Context, workers: &[usize], status: EndpointStatus) {
         workers.iter().for_each(|worker| self.entries[*worker].state = status);
-        self.announce(context, workers);
+        self.notify_gateways(context, workers);
     }
 
     /// A worker's new process registers: ready, and at an address of its own unless the variation keeps the former one.
     pub fn register(&mut self, context: &mut Context, process: WorkerProcess) {
-        let started = context.variation.worker_time(context.now);
-        let number = if context.variation.same_address { 0 } else { process.number };
+        let started = context.options.worker_time(context.now);
+        let number = if context.options.reuse_worker_addresses { 0 } else { process.number };
         self.entries[process.worker] = entry(WorkerProcess { number, ..process }, Some(started));
-        self.announce(context, &[process.worker]);
+        self.notify_gateways(context, &[process.worker]);
     }
 
     /// Notifies all gateways of the entries of some workers.
-    fn announce(&self, context: &mut Context, workers: &[usize]) {
+    fn notify_gateways(&self, context: &mut Context, workers: &[usize]) {
         let states: Vec<_> = workers
             .iter()
             .map(|&worker| (worker, self.entries[worker].state == EndpointStatus::Ready))
             .collect();
         let entries = workers.iter().map(|worker| self.entries[*worker].clone()).collect();
-        if !self.silence.holds(context.now) {
-            record_notified(context, &states);
+        if !self.stall.is_active(context.now) {
+            record_notifications(context, &states);
             return context.send(Event::EndpointsChanged(entries));
         }
-        context.schedule(self.silence.told_at(context.now), Event::EndpointsCountAsTold(states));
-        context.schedule(self.silence.heard_at(context.now), Event::EndpointsChanged(entries));
+        context.schedule(self.stall.deemed_notified_at(context.now), Event::EndpointsDeemedNotified(states));
+        context.schedule(self.stall.delivered_at(context.now), Event::EndpointsChanged(entries));
     }
 }
 
 /// Records that all gateways are notified of whether workers are ready.
-pub(crate) fn record_notified(context: &mut Context, states: &[(usize, bool)]) {
+pub(crate) fn record_notifications(context: &mut Context, states: &[(usize, bool)]) {
     for gateway in 0..context.scenario.gateways {
         for &(worker, ready) in states {
             context.record(HistoryEvent::EndpointNotified { gateway, worker, ready });
--- a/crates/simulator/src/event.rs
+++ b/crates/simulator/src/event.rs
@@ -52,7 +52,7 @@
     /// Changes of the endpoint list reach all gateways.
     EndpointsChanged(Vec<EndpointEntry>),
     /// What the registry would have told of some workers counts as told: whether each is ready.
-    EndpointsCountAsTold(Vec<(usize, bool)>),
+    EndpointsDeemedNotified(Vec<(usize, bool)>),
     /// The registry confirms to all gateways that the endpoint list is as it was.
     EndpointsConfirmed,
 }
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<ScheduledEvent>,
-    scheduled: u64,
+    schedule_count: u64,
 }
 
 pub(crate) struct ScheduledEvent {
@@ -18,8 +18,8 @@
 
 impl EventQueue {
     pub fn schedule(&mut self, at: f64, event: Event) {
-        self.scheduled += 1;
-        self.heap.push(ScheduledEvent { at, sequence: self.scheduled, event });
+        self.schedule_count += 1;
+        self.heap.push(ScheduledEvent { at, sequence: self.schedule_count, event });
     }
 
     /// Takes the next event.
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -5,7 +5,7 @@
 use crate::context::Context;
 use crate::endpoint_list::EndpointList;
 use crate::event::{Event, FaultEvent};
-use crate::registry_silence::RegistrySilence;
+use crate::registry_stall::RegistryStall;
 use crate::workers::Workers;
 use milletpath_emulator::scenario::{FaultStep, TimedStep, affects_workers, pick, worker_steps};
 use milletpath_emulator::scenario_file::FaultKind;
@@ -29,7 +29,7 @@
 ) {
     let fault = context.scenario.faults[number].clone();
     if fault.kind == FaultKind::RegistryStall {
-        endpoints.silence = RegistrySilence::begin(context.now, fault.duration);
+        endpoints.stall = RegistryStall::begin(context.now, fault.duration);
         return;
     }
     if fault.kind == FaultKind::FunctionRelease {
@@ -41,12 +41,12 @@
         Vec::new()
     };
     let steps = worker_steps(&fault, context.now, &affected, &context.scenario.rules);
-    carry_out_due(context, workers, endpoints, fault.kind, steps.into());
+    run_due_steps(context, workers, endpoints, fault.kind, steps.into());
 }
 
 /// Carries out the steps of a fault that are due, and schedules the others once the next is due. They are in the order of
 /// time.
-pub(crate) fn carry_out_due(
+pub(crate) fn run_due_steps(
     context: &mut Context,
     workers: &mut Workers,
     endpoints: &mut EndpointList,
@@ -58,13 +58,13 @@
             return context.schedule(at, Event::Fault(FaultEvent::Continues { kind, steps }));
         }
         if let Some(TimedStep { step, .. }) = steps.pop_front() {
-            carry_out(context, workers, endpoints, kind, step);
+            run_step(context, workers, endpoints, kind, step);
         }
     }
 }
 
 /// Carries out a step of a fault of that kind.
-fn carry_out(
+fn run_step(
     context: &mut Context,
     workers: &mut Workers,
     endpoints: &mut EndpointList,
@@ -75,7 +75,7 @@
         FaultStep::Kill(affected) => affected.iter().for_each(|worker| workers.kill(context, *worker)),
         FaultStep::SetStatus(affected, status) => {
             // Nobody hears of it: on the platform a draining worker takes nothing new from the start.
-            if status == EndpointStatus::Draining && endpoints.silence.holds(context.now) {
+            if status == EndpointStatus::Draining && endpoints.stall.is_active(context.now) {
                 affected.iter().for_each(|worker| workers.get_mut(*worker).model.draining = true);
             }
             endpoints.set_status(context, &affected, status);
@@ -88,8 +88,8 @@
             }
             affected.iter().for_each(|worker| restart(context, workers, endpoints, *worker));
         }
-        FaultStep::FailRequests(affected, fraction) => set_failing(workers, &affected, fraction),
-        FaultStep::ClearResponseFaults(affected) => set_failing(workers, &affected, 0.0),
+        FaultStep::FailRequests(affected, fraction) => set_failure_fraction(workers, &affected, fraction),
+        FaultStep::ClearResponseFaults(affected) => set_failure_fraction(workers, &affected, 0.0),
         FaultStep::SetSlowness(affected, slowness) => {
             affected.iter().for_each(|worker| workers.get_mut(*worker).model.slowness = slowness);
         }
@@ -99,8 +99,8 @@
     }
 }
 
-fn set_failing(workers: &mut Workers, affected: &[usize], fraction: f64) {
-    affected.iter().for_each(|worker| workers.get_mut(*worker).failing = fraction);
+fn set_failure_fraction(workers: &mut Workers, affected: &[usize], fraction: f64) {
+    affected.iter().for_each(|worker| workers.get_mut(*worker).failure_fraction = fraction);
 }
 
 /// New versions of some functions are released.
--- a/crates/simulator/src/gateways.rs
+++ b/crates/simulator/src/gateways.rs
@@ -61,7 +61,7 @@
         entries: &[EndpointEntry],
     ) {
         self.0[gateway].dispatcher.update_endpoints(0.0, true, entries);
-        self.carry_out(context, workers, gateway);
+        self.execute_actions(context, workers, gateway);
     }
 
     /// Gives a gateway's dispatcher an input, after all that is due there, and carries out what it decides.
@@ -78,7 +78,7 @@
             dispatcher.advance(now);
         }
         let result = input(dispatcher, now);
-        self.carry_out(context, workers, gateway);
+        self.execute_actions(context, workers, gateway);
         result
     }
 
@@ -171,7 +171,7 @@
         workers: &mut Workers,
         entries: &[EndpointEntry],
     ) {
-        let unix_time = context.variation.gateway_time(context.now);
+        let unix_time = context.options.gateway_time(context.now);
         for gateway in 0..self.count() {
             self.input(context, workers, gateway, |dispatcher, now| {
                 dispatcher.wall_clock_read(now, unix_time);
@@ -186,9 +186,9 @@
     }
 
     /// Carries out what a dispatcher has decided, and sets its timer.
-    fn carry_out(&mut self, context: &mut Context, workers: &mut Workers, gateway: usize) {
+    fn execute_actions(&mut self, context: &mut Context, workers: &mut Workers, gateway: usize) {
         while let Some(action) = self.0[gateway].dispatcher.next_action() {
-            self.carry_out_one(context, workers, gateway, action);
+            self.execute_action(context, workers, gateway, action);
         }
         let Gateway { dispatcher, timer, .. } = &mut self.0[gateway];
         if let Some(deadline) = dispatcher.next_deadline().filter(|deadline| *deadline < *timer) {
@@ -198,7 +198,7 @@
         }
     }
 
-    fn carry_out_one(
+    fn execute_action(
         &mut self,
         context: &mut Context,
         workers: &mut Workers,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -15,14 +15,14 @@
 mod event_queue;
 mod faults;
 mod gateways;
-mod registry_silence;
+mod registry_stall;
 mod report;
 mod simulation;
 mod slow_start;
 mod worker;
 mod workers;
 
-pub use clocks::{ClockStep, Machines, Variation};
+pub use clocks::{ClockStep, Machines, SimulationOptions};
 pub use report::SimulationReport;
-pub use simulation::{play, play_varied};
+pub use simulation::{play, play_with_options};
 pub use slow_start::{SlowStartReport, slow_start_report};
--- a/crates/simulator/src/registry_silence.rs
+++ b/crates/simulator/src/registry_stall.rs
@@ -5,12 +5,12 @@
 
 /// The silence that is, or was the last.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RegistrySilence {
+pub(crate) struct RegistryStall {
     from: f64,
     until: f64,
 }
 
-impl RegistrySilence {
+impl RegistryStall {
     pub const NONE: Self = Self { from: f64::NEG_INFINITY, until: f64::NEG_INFINITY };
 
     /// One that begins now.
@@ -19,17 +19,17 @@
     }
 
     /// Whether the registry is silent.
-    pub fn holds(&self, now: f64) -> bool {
+    pub fn is_active(&self, now: f64) -> bool {
         now < self.until
     }
 
     /// When a change of this moment counts as told.
-    pub fn told_at(&self, now: f64) -> f64 {
-        if self.holds(now) { now.max(self.from + NOTICE_AFTER_END).min(self.until) } else { now }
+    pub fn deemed_notified_at(&self, now: f64) -> f64 {
+        if self.is_active(now) { now.max(self.from + NOTICE_AFTER_END).min(self.until) } else { now }
     }
 
     /// When a change of this moment reaches the gateways.
-    pub fn heard_at(&self, now: f64) -> f64 {
+    pub fn delivered_at(&self, now: f64) -> f64 {
         now.max(self.until)
     }
 }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -2,9 +2,9 @@
 
 use crate::budget_links::BudgetLinks;
 use crate::clients::Clients;
-use crate::clocks::Variation;
+use crate::clocks::SimulationOptions;
 use crate::context::Context;
-use crate::endpoint_list::{EndpointList, record_notified};
+use crate::endpoint_list::{EndpointList, record_notifications};
 use crate::event::{ClientInput, Event, FaultEvent, GatewayInput, WorkerInput, WorkerProcess};
 use crate::event_queue::ScheduledEvent;
 use crate::faults;
@@ -24,7 +24,7 @@
 ///
 /// Where the gateways' configuration that follows from the scenario is not valid.
 pub fn play(scenario: &Scenario, seed: u64) -> SimulationReport {
-    play_varied(scenario, seed, Variation::default())
+    play_with_options(scenario, seed, SimulationOptions::default())
 }
 
 /// Plays a scenario with something that its file cannot state.
@@ -32,8 +32,8 @@
 /// # Panics
 ///
 /// As [`play`] does.
-pub fn play_varied(scenario: &Scenario, seed: u64, variation: Variation) -> SimulationReport {
-    Simulation::new(scenario, seed, variation).run()
+pub fn play_with_options(scenario: &Scenario, seed: u64, options: SimulationOptions) -> SimulationReport {
+    Simulation::new(scenario, seed, options).run()
 }
 
 struct Simulation {
@@ -47,10 +47,10 @@
 }
 
 impl Simulation {
-    fn new(scenario: &Scenario, seed: u64, variation: Variation) -> Self {
-        let mut context = Context::new(scenario, seed, variation);
+    fn new(scenario: &Scenario, seed: u64, options: SimulationOptions) -> Self {
+        let mut context = Context::new(scenario, seed, options);
         let mut configs = gateway_configs(scenario, seed);
-        if variation.believes_silent_registry {
+        if options.endpoint_list_never_expires {
             configs.iter_mut().for_each(|config| config.policy.list_valid_for = f64::INFINITY);
         }
         let mut workers = Workers::new(&mut context);
@@ -68,8 +68,8 @@
 
     fn run(mut self) -> SimulationReport {
         /// Seconds after the last call by which all attempts have ended.
-        const SETTLING_SECONDS: f64 = 5.0;
-        let end = self.context.scenario.seconds + SETTLING_SECONDS;
+        const SETTLING_TIME: f64 = 5.0;
+        let end = self.context.scenario.seconds + SETTLING_TIME;
         while let Some(ScheduledEvent { at, event, .. }) =
             self.context.events.pop().filter(|next| next.at <= end)
         {
@@ -90,9 +90,9 @@
             Event::EndpointsChanged(entries) => {
                 self.gateways.endpoints_changed(&mut self.context, &mut self.workers, &entries);
             }
-            Event::EndpointsCountAsTold(states) => record_notified(&mut self.context, &states),
+            Event::EndpointsDeemedNotified(states) => record_notifications(&mut self.context, &states),
             Event::EndpointsConfirmed => {
-                if !self.endpoints.silence.holds(self.context.now) {
+                if !self.endpoints.stall.is_active(self.context.now) {
                     self.gateways.endpoints_confirmed(self.context.now);
                 }
                 self.context.schedule_in(CONFIRMATION_INTERVAL, Event::EndpointsConfirmed);
@@ -105,7 +105,7 @@
         match event {
             FaultEvent::Begins(number) => faults::begin(context, workers, endpoints, number),
             FaultEvent::Continues { kind, steps } => {
-                faults::carry_out_due(context, workers, endpoints, kind, steps);
+                faults::run_due_steps(context, workers, endpoints, kind, steps);
             }
         }
     }
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -19,17 +19,18 @@
 
 /// The load of warming workers in the history of a scenario.
 pub fn slow_start_report(scenario: &Scenario, records: &[HistoryRecord]) -> SlowStartReport {
-    let mut load = SlowStartReport::default();
+    let mut report = SlowStartReport::default();
     history_checker::slow_start_windows(
         records,
         &scenario::rule_parameters(scenario, CHECKER_TOLERANCE),
         |window: SlowStartWindow| {
             let budget = window.budget / scenario.traffic.work;
             let attempts = window.attempts as f64;
-            load.attempts += 1;
-            load.budget_fraction = load.budget_fraction.max(attempts / budget);
-            load.bound_fraction = load.bound_fraction.max(attempts / (budget + 2.0 * budget.sqrt() + 2.0));
+            report.attempts += 1;
+            report.budget_fraction = report.budget_fraction.max(attempts / budget);
+            report.bound_fraction =
+                report.bound_fraction.max(attempts / (budget + 2.0 * budget.sqrt() + 2.0));
         },
     );
-    load
+    report
 }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -26,7 +26,7 @@
     /// By the model's number of the load request.
     pub load_requests: BTreeMap<u64, LoadRequest>,
     /// The fraction of its attempts that it fails at once.
-    pub failing: f64,
+    pub failure_fraction: f64,
     /// When its timer is due; infinite where none is set.
     pub timer: f64,
 }
@@ -40,7 +40,7 @@
             alive: true,
             jobs: BTreeMap::new(),
             load_requests: BTreeMap::new(),
-            failing: 0.0,
+            failure_fraction: 0.0,
             timer: f64::INFINITY,
         }
     }
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -102,8 +102,8 @@
             worker,
             work,
         });
-        let failing = self.workers[worker].failing;
-        if failing > 0.0 && context.rng.random_bool(failing) {
+        let failure_fraction = self.workers[worker].failure_fraction;
+        if failure_fraction > 0.0 && context.rng.random_bool(failure_fraction) {
             return send_result(context, attempt, AttemptResult::from_outcome(Outcome::Failed));
         }
         let function = self.function_id(&planned.function);
@@ -113,7 +113,7 @@
         let state = &mut self.workers[worker];
         let id = state.model.submit(context.now, job);
         state.jobs.insert(id, AcceptedAttempt { attempt, call, has_key });
-        self.carry_out(context, worker);
+        self.handle_model_events(context, worker);
     }
 
     /// A load request arrives; one for no instances only asks how many there are.
@@ -140,7 +140,7 @@
             u32::from(instances),
         );
         state.load_requests.insert(id, request);
-        self.carry_out(context, worker);
+        self.handle_model_events(context, worker);
     }
 
     /// A health check arrives.
@@ -193,13 +193,13 @@
             state.timer = f64::INFINITY;
         }
         input(&mut state.model, context.now);
-        self.carry_out(context, process.worker);
+        self.handle_model_events(context, process.worker);
     }
 
     /// Carries out what a worker's model has decided, and sets its timer.
-    fn carry_out(&mut self, context: &mut Context, worker: usize) {
+    fn handle_model_events(&mut self, context: &mut Context, worker: usize) {
         while let Some(event) = self.workers[worker].model.next_event() {
-            self.carry_out_one(context, worker, event);
+            self.handle_model_event(context, worker, event);
         }
         let process = self.process(worker);
         let state = &mut self.workers[worker];
@@ -210,7 +210,7 @@
         }
     }
 
-    fn carry_out_one(&mut self, context: &mut Context, worker: usize, event: WorkerEvent) {
+    fn handle_model_event(&mut self, context: &mut Context, worker: usize, event: WorkerEvent) {
         match event {
             WorkerEvent::JobStarted { job } => self.job_started(context, worker, job),
             WorkerEvent::JobCompleted { job, instance_state: found, concurrent_requests } => {
--- a/crates/simulator/tests/clocks.rs
+++ b/crates/simulator/tests/clocks.rs
@@ -3,7 +3,8 @@
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::{
-    ClockStep, Machines, SimulationReport, SlowStartReport, Variation, play_varied, slow_start_report,
+    ClockStep, Machines, SimulationOptions, SimulationReport, SlowStartReport, play_with_options,
+    slow_start_report,
 };
 use std::path::Path;
 use test_case::test_case;
@@ -28,11 +29,19 @@
     scenario
 }
 
-fn play(seed: u64, clock_step: Option<ClockStep>, same_address: bool) -> (SimulationReport, SlowStartReport) {
+fn play(
+    seed: u64,
+    clock_step: Option<ClockStep>,
+    reuse_worker_addresses: bool,
+) -> (SimulationReport, SlowStartReport) {
     let scenario = rolling_restart();
-    let report = play_varied(&scenario, seed, Variation { clock_step, same_address, ..Variation::default() });
-    let load = slow_start_report(&scenario, &report.records);
-    (report, load)
+    let report = play_with_options(
+        &scenario,
+        seed,
+        SimulationOptions { clock_step, reuse_worker_addresses, ..SimulationOptions::default() },
+    );
+    let slow_start = slow_start_report(&scenario, &report.records);
+    (report, slow_start)
 }
 
 #[test_case(3.0; "three seconds forward")]
@@ -43,14 +52,20 @@
     /// Service by which runs with other random numbers differ.
     const RANDOM_VARIATION: f64 = 0.02;
     for seed in 1..=2 {
-        let (without, load) = play(seed, None, true);
+        let (without, slow_start) = play(seed, None, true);
         assert_eq!(without.violations, vec![], "seed {seed}, without a step");
-        assert!(load.bound_fraction <= 1.0 && load.attempts > 100, "seed {seed}, without a step: {load:?}");
+        assert!(
+            slow_start.bound_fraction <= 1.0 && slow_start.attempts > 100,
+            "seed {seed}, without a step: {slow_start:?}"
+        );
         let expected = without.counts.service();
         for machines in [Machines::Gateways, Machines::Workers, Machines::All] {
-            let (stepped, load) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
+            let (stepped, slow_start) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
             assert_eq!(stepped.violations, vec![], "seed {seed}, {machines:?}");
-            assert!(load.bound_fraction <= 1.0 && load.attempts > 100, "seed {seed}, {machines:?}: {load:?}");
+            assert!(
+                slow_start.bound_fraction <= 1.0 && slow_start.attempts > 100,
+                "seed {seed}, {machines:?}: {slow_start:?}"
+            );
             let service = stepped.counts.service();
             assert!(
                 (service - expected).abs() <= RANDOM_VARIATION,
@@ -63,7 +78,7 @@
 /// A step forward of the gateways' own clocks leaves no trace at all.
 #[test_case(3.0; "three seconds")]
 #[test_case(3600.0; "an hour")]
-fn a_step_forward_of_gateways_leaves_no_trace(by: f64) {
+fn a_forward_step_of_gateway_clocks_leaves_the_history_unchanged(by: f64) {
     let step = ClockStep { at: STEP_AT, by, machines: Machines::Gateways };
     assert_eq!(play(1, None, false).0.records, play(1, Some(step), false).0.records);
 }
--- a/crates/simulator/tests/same_history.rs
+++ b/crates/simulator/tests/same_history.rs
@@ -8,7 +8,9 @@
 }
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
-use milletpath_simulator::{ClockStep, Machines, SimulationReport, Variation, play, play_varied};
+use milletpath_simulator::{
+    ClockStep, Machines, SimulationOptions, SimulationReport, play, play_with_options,
+};
 use same_history::digest::Digest;
 use same_history::encoding::{encode_event, encode_report};
 use std::path::Path;
@@ -21,7 +23,7 @@
 struct Fingerprint {
     events: usize,
     history: u64,
-    figures: u64,
+    report_digest: u64,
 }
 
 fn fingerprint(report: &SimulationReport) -> Fingerprint {
@@ -29,9 +31,13 @@
     for record in &report.records {
         encode_event(record, &mut history);
     }
-    let mut figures = Digest::new();
-    encode_report(report, &mut figures);
-    Fingerprint { events: report.records.len(), history: history.value(), figures: figures.value() }
+    let mut report_digest = Digest::new();
+    encode_report(report, &mut report_digest);
+    Fingerprint {
+        events: report.records.len(),
+        history: history.value(),
+        report_digest: report_digest.value(),
+    }
 }
 
 fn scenario(name: &str) -> Scenario {
@@ -69,14 +75,14 @@
 #[test_case("short-day", 8_691, 0x9e66_4273_242b_f496, 0x5724_007b_56b9_bc05; "short-day")]
 #[test_case("town", 25_645, 0xfc2b_185a_646a_30ff, 0x06d0_0fe0_0f1b_4f3c; "town")]
 #[test_case("village", 8_596, 0xc8bc_146c_e8e7_634e, 0x13ad_4ef9_bd4c_fcb6; "village")]
-fn a_scenario_gives_the_same_history(name: &str, events: usize, history: u64, figures: u64) {
+fn a_scenario_gives_the_same_history(name: &str, events: usize, history: u64, report_digest: u64) {
     let report = play(&shortened(name), SEED);
-    assert_eq!(fingerprint(&report), Fingerprint { events, history, figures }, "{name}");
+    assert_eq!(fingerprint(&report), Fingerprint { events, history, report_digest }, "{name}");
 }
 
 /// Every file of `days/` is among the cases above.
 #[test]
-fn every_scenario_is_played() {
+fn every_scenario_file_has_a_test_case() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
     let files = std::fs::read_dir(folder).expect("the folder of scenarios").count();
     let cases = include_str!("same_history.rs").lines().filter(|line| line.starts_with("#[test_case(\""));
@@ -111,17 +117,26 @@
     ];
     scenario.faults = kinds.into_iter().enumerate().map(fault).collect();
     let expected =
-        Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, figures: 0x4007_3653_f278_52cf };
+        Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, report_digest: 0x4007_3653_f278_52cf };
     assert_eq!(fingerprint(&play(&scenario, SEED)), expected);
 }
 
 /// A step of the workers' wall clocks amid a rolling restart, with addresses that stay and with new ones.
 #[test_case(true, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "same address")]
 #[test_case(false, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "new address")]
-fn a_clock_step_gives_the_same_history(same_address: bool, events: usize, history: u64, figures: u64) {
+fn a_clock_step_gives_the_same_history(
+    reuse_worker_addresses: bool,
+    events: usize,
+    history: u64,
+    report_digest: u64,
+) {
     let mut scenario = shortened("cold-fleet");
     (scenario.gateways, scenario.sharing) = (6, true);
     let clock_step = Some(ClockStep { at: 6.0, by: -3600.0, machines: Machines::Workers });
-    let report = play_varied(&scenario, SEED, Variation { clock_step, same_address, ..Variation::default() });
-    assert_eq!(fingerprint(&report), Fingerprint { events, history, figures });
+    let report = play_with_options(
+        &scenario,
+        SEED,
+        SimulationOptions { clock_step, reuse_worker_addresses, ..SimulationOptions::default() },
+    );
+    assert_eq!(fingerprint(&report), Fingerprint { events, history, report_digest });
 }
--- a/crates/simulator/tests/same_history/digest.rs
+++ b/crates/simulator/tests/same_history/digest.rs
@@ -17,8 +17,8 @@
     }
 
     /// The bits of a figure: two that print alike may differ.
-    pub fn figure(&mut self, figure: f64) {
-        self.number(figure.to_bits());
+    pub fn float(&mut self, float: f64) {
+        self.number(float.to_bits());
     }
 
     pub fn value(&self) -> u64 {
--- a/crates/simulator/tests/same_history/encoding.rs
+++ b/crates/simulator/tests/same_history/encoding.rs
@@ -32,23 +32,23 @@
 
 /// Adds one event to the digest.
 pub fn encode_event(record: &HistoryRecord, digest: &mut Digest) {
-    digest.figure(record.at);
+    digest.float(record.at);
     match record.event {
         HistoryEvent::AttemptSent { call, attempt, gateway, timeout } => {
             numbers(digest, [1, call, u64::from(attempt), gateway as u64]);
-            digest.figure(timeout);
+            digest.float(timeout);
         }
         HistoryEvent::RequestIssued { call, group, importance, latency_objective, idempotency, fault } => {
             numbers(digest, [2, call, group as u64, idempotency_number(idempotency), optional(fault)]);
-            digest.figure(importance);
-            digest.figure(latency_objective);
+            digest.float(importance);
+            digest.float(latency_objective);
         }
         HistoryEvent::AttemptEnded { call, attempt, gateway, outcome } => {
             numbers(digest, [3, call, u64::from(attempt), gateway as u64, outcome_number(outcome)]);
         }
         HistoryEvent::AttemptReceived { call, attempt, gateway, worker, work } => {
             numbers(digest, [4, call, u64::from(attempt), gateway as u64, worker as u64]);
-            digest.figure(work);
+            digest.float(work);
         }
         HistoryEvent::AttemptFinished { gateway, worker } => {
             numbers(digest, [5, gateway as u64, worker as u64]);
@@ -59,7 +59,7 @@
         }
         HistoryEvent::WorkerStarted { worker, capacity, warm } => {
             numbers(digest, [8, worker as u64, u64::from(warm)]);
-            digest.figure(capacity);
+            digest.float(capacity);
         }
         HistoryEvent::EndpointNotified { gateway, worker, ready } => {
             numbers(digest, [9, gateway as u64, worker as u64, u64::from(ready)]);
@@ -87,16 +87,16 @@
 pub fn encode_report(report: &SimulationReport, digest: &mut Digest) {
     for Violation { rule, at, what } in &report.violations {
         digest.number(u64::from(*rule));
-        digest.figure(*at);
+        digest.float(*at);
         what.bytes().for_each(|byte| digest.number(u64::from(byte)));
     }
     let counts = &report.counts;
     numbers(digest, [counts.calls, counts.succeeded, counts.late, counts.rejected, counts.failed]);
     numbers(digest, [counts.unanswered, counts.attempts]);
-    digest.figure(counts.importance);
-    digest.figure(counts.earned);
+    digest.float(counts.importance);
+    digest.float(counts.earned);
     numbers(digest, [report.fetches, report.rejected_fetches]);
-    digest.figure(report.warm_fraction);
+    digest.float(report.warm_fraction);
     numbers(digest, [report.counters.attempts, report.counters.load_requests, report.counters.health_checks]);
-    digest.figure(report.bytes_per_second);
+    digest.float(report.bytes_per_second);
 }
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -30,9 +30,9 @@
 #[test]
 fn the_same_seed_gives_the_same_history() {
     let scenario = small_cluster(4, overlapping_faults());
-    let [one, other, another] = [7, 7, 8].map(|seed| play(&scenario, seed));
-    assert_eq!(one.records, other.records);
-    assert!(one.records.len() > 5_000 && one.records != another.records);
+    let [first, repeated, other_seed] = [7, 7, 8].map(|seed| play(&scenario, seed));
+    assert_eq!(first.records, repeated.records);
+    assert!(first.records.len() > 5_000 && first.records != other_seed.records);
 }
 
 #[test_case(1; "one gateway")]
@@ -47,7 +47,7 @@
 
 /// Without shared budgets more gateways fetch more from the store.
 #[test]
-fn without_shared_budgets_more_gateways_fetch_more() {
+fn more_gateways_fetch_more_without_shared_budgets() {
     let fetches =
         |gateways| (1..=4).map(|seed| play(&small_cluster(gateways, vec![]), seed).fetches).sum::<u64>();
     assert!(fetches(8) as f64 > 1.2 * fetches(1) as f64, "{} {}", fetches(8), fetches(1));
--- a/crates/simulator/tests/silent_registry.rs
+++ b/crates/simulator/tests/silent_registry.rs
@@ -2,7 +2,7 @@
 //! find out by themselves. In simulated time, over many seeds.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
-use milletpath_simulator::{SlowStartReport, Variation, play, play_varied, slow_start_report};
+use milletpath_simulator::{SimulationOptions, SlowStartReport, play, play_with_options, slow_start_report};
 use std::path::Path;
 use test_case::test_case;
 
@@ -21,10 +21,10 @@
 }
 
 /// Half of the workers are replaced, one after the other, while the registry is silent.
-fn drains_in_silence(gateways: usize) -> Scenario {
-    let silence = fault(FaultKind::RegistryStall, 4.0, 9.0, 1.0);
+fn drains_during_stall(gateways: usize) -> Scenario {
+    let stall = fault(FaultKind::RegistryStall, 4.0, 9.0, 1.0);
     let replacement = fault(FaultKind::RollingReplacement, 4.5, 6.0, 0.5);
-    let mut scenario = scenario("village.hcl", gateways, vec![silence, replacement]);
+    let mut scenario = scenario("village.hcl", gateways, vec![stall, replacement]);
     scenario.seconds = 16.0;
     scenario
 }
@@ -32,9 +32,9 @@
 #[test_case(1, 100; "one gateway")]
 #[test_case(3, 100; "three gateways")]
 #[test_case(30, 10; "thirty gateways")]
-fn draining_workers_get_nothing_new_while_the_registry_is_silent(gateways: usize, seeds: u64) {
+fn draining_workers_get_no_new_work_during_a_registry_stall(gateways: usize, seeds: u64) {
     for seed in 1..=seeds {
-        let report = play(&drains_in_silence(gateways), seed);
+        let report = play(&drains_during_stall(gateways), seed);
         assert_eq!(report.violations, vec![], "seed {seed}");
         assert!(report.counts.calls > 500 && report.counts.service() > 0.8, "{seed}: {:?}", report.counts);
     }
@@ -42,42 +42,48 @@
 
 /// The same days with gateways that believe the list for good: the rule that they break is the one that is tested.
 #[test]
-fn gateways_that_believe_a_silent_registry_break_the_rule() {
-    let variation = Variation { believes_silent_registry: true, ..Variation::default() };
-    let breaks = |seed| {
-        let report = play_varied(&drains_in_silence(3), seed, variation);
+fn gateways_with_a_stale_endpoint_list_violate_the_drain_rule() {
+    let options = SimulationOptions { endpoint_list_never_expires: true, ..SimulationOptions::default() };
+    let drain_violations = |seed| {
+        let report = play_with_options(&drains_during_stall(3), seed, options);
         report.violations.iter().filter(|violation| violation.rule == DRAIN_RULE).count()
     };
-    assert!((1..=5).all(|seed| breaks(seed) > 0));
+    assert!((1..=5).all(|seed| drain_violations(seed) > 0));
 }
 
 /// Without drains a silence costs hardly any service.
 #[test_case(3; "three gateways")]
 #[test_case(30; "thirty gateways")]
-fn a_silent_registry_costs_hardly_any_service(gateways: usize) {
+fn a_registry_stall_costs_hardly_any_service(gateways: usize) {
     let mut scenario =
         scenario("village.hcl", gateways, vec![fault(FaultKind::RegistryStall, 4.0, 9.0, 1.0)]);
     scenario.seconds = 16.0;
-    let served = |variation| -> f64 {
-        (1..=10).map(|seed| play_varied(&scenario, seed, variation).counts.service()).sum()
+    let total_service = |options| -> f64 {
+        (1..=10).map(|seed| play_with_options(&scenario, seed, options).counts.service()).sum()
     };
-    let before = served(Variation { believes_silent_registry: true, ..Variation::default() });
-    let now = served(Variation::default());
-    assert!(now >= 0.95 * before, "{now:.3} of 10 where {before:.3} are served on the list alone");
+    let without_expiry = total_service(SimulationOptions {
+        endpoint_list_never_expires: true,
+        ..SimulationOptions::default()
+    });
+    let with_expiry = total_service(SimulationOptions::default());
+    assert!(
+        with_expiry >= 0.95 * without_expiry,
+        "total service {with_expiry:.3} of 10, but {without_expiry:.3} when the endpoint list never expires"
+    );
 }
 
 /// Six in ten workers restart while the registry is silent, at their addresses: they are cold, and no gateway was told.
 #[test_case(1, 1.0; "one gateway")]
 #[test_case(3, 3.0; "three gateways, uneven traffic")]
 #[test_case(24, 8.0; "two dozen gateways, uneven traffic")]
-fn slow_start_binds_for_workers_that_restart_in_silence(gateways: usize, uneven: f64) {
+fn slow_start_limits_hold_for_workers_that_restart_during_a_registry_stall(gateways: usize, uneven: f64) {
     let faults =
         vec![fault(FaultKind::RegistryStall, 8.0, 12.0, 1.0), fault(FaultKind::WorkerCrash, 10.0, 1.0, 0.6)];
     let mut scenario = scenario("cold-fleet.hcl", gateways, faults);
     (scenario.uneven, scenario.seconds, scenario.traffic.rate) = (uneven, 20.0, 400.0);
     for seed in 1..=3 {
-        let variation = Variation { same_address: true, ..Variation::default() };
-        let report = play_varied(&scenario, seed, variation);
+        let options = SimulationOptions { reuse_worker_addresses: true, ..SimulationOptions::default() };
+        let report = play_with_options(&scenario, seed, options);
         let SlowStartReport { bound_fraction, attempts, .. } = slow_start_report(&scenario, &report.records);
         assert!(attempts > 100, "seed {seed}: {attempts} attempts at warming workers");
         assert!(
--- a/crates/simulator/tests/slow_start.rs
+++ b/crates/simulator/tests/slow_start.rs
@@ -29,7 +29,7 @@
 /// them, to the few that remained: they took these for several times as fast, and warming ones got twice their budget.
 #[test_case(0.6, 360.0; "six in ten")]
 #[test_case(0.9, 460.0; "nine in ten at a full load")]
-fn slow_start_binds_when_most_workers_are_replaced(fraction: f64, rate: f64) {
+fn slow_start_limits_hold_when_most_workers_are_replaced(fraction: f64, rate: f64) {
     let mut scenario = cold_fleet();
     (scenario.faults[0].fraction, scenario.traffic.rate) = (fraction, rate);
     // Long enough for the replacements and what they are sent at first, when the sum is largest.
@@ -52,7 +52,7 @@
 #[test_case(24, 8.0; "two dozen routers, uneven traffic")]
 #[test_case(300, 1.0; "three hundred routers, even traffic")]
 #[test_case(300, 8.0; "three hundred routers, uneven traffic")]
-fn slow_start_binds_for_any_number_of_routers(routers: usize, uneven: f64) {
+fn slow_start_limits_hold_for_any_number_of_routers(routers: usize, uneven: f64) {
     let mut scenario = cold_fleet();
     (scenario.gateways, scenario.uneven, scenario.seconds) = (routers, uneven, 20.0);
     (scenario.faults[0].fraction, scenario.traffic.rate) = (0.9, 460.0);
@@ -65,7 +65,7 @@
 #[test_case(12, 1.0; "twelve routers")]
 #[test_case(24, 8.0; "two dozen routers, uneven traffic")]
 #[test_case(300, 8.0; "three hundred routers, uneven traffic")]
-fn slow_start_binds_for_workers_that_restart(routers: usize, uneven: f64) {
+fn slow_start_limits_hold_for_workers_that_restart(routers: usize, uneven: f64) {
     let mut scenario = cold_fleet();
     (scenario.gateways, scenario.uneven, scenario.seconds, scenario.traffic.rate) =
         (routers, uneven, 20.0, 400.0);
