--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -124,7 +124,7 @@
     }
 
     /// Whether the update reports a failed subscription or poll, and has no entries.
-    pub fn has_failed(&self) -> bool {
+    pub fn is_failure(&self) -> bool {
         matches!(self.mode(), Ok(ListMode::Failed))
     }
 
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -42,7 +42,7 @@
 
     /// Rejects a request; the client is asked to wait `retry_after` seconds, 0 for no such advice.
     pub fn reject(&mut self, instance: u16, request: u64, retry_after: f64) {
-        self.action(code::REJECT, instance, &[&request.to_le_bytes(), &span(retry_after)]);
+        self.action(code::REJECT, instance, &[&request.to_le_bytes(), &microseconds_u32(retry_after)]);
     }
 
     /// Fails a request.
@@ -68,7 +68,7 @@
 
     /// Sets a timer that fires after so many seconds.
     pub fn set_timer(&mut self, instance: u16, after: f64) {
-        self.action(code::SET_TIMER, instance, &[&span(after)]);
+        self.action(code::SET_TIMER, instance, &[&microseconds_u32(after)]);
     }
 
     /// Subscribes to changes of the worker list.
@@ -112,6 +112,6 @@
 }
 
 /// A time span as the wire has it; one that is too long becomes the longest possible.
-fn span(seconds: f64) -> [u8; 4] {
+fn microseconds_u32(seconds: f64) -> [u8; 4] {
     u32::try_from(microseconds(seconds)).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -21,7 +21,7 @@
     pub fn answer(&mut self, batch: &EventBatch) -> Result<Reply, WireError> {
         let mut reply = Reply::default();
         let mut events: Vec<Record<'_>> = batch.events().collect();
-        lists_first(&mut events);
+        move_lists_first(&mut events);
         for event in events {
             self.apply(batch, event, &mut reply)?;
         }
@@ -81,7 +81,7 @@
     ) -> Result<(), WireError> {
         let entries = match self.lists.get(&update.list) {
             Some(entries) => entries.as_slice(),
-            None if update.has_failed() => &[],
+            None if update.is_failure() => &[],
             None => return Err(WireError::UnknownList(update.list)),
         };
         match self.instances.get_mut(&instance) {
@@ -93,7 +93,7 @@
 
 /// Moves worker lists and their updates before the other events. All events of a batch happen at one time, so every decision
 /// of the batch uses the updated lists. Starts and stops keep their position.
-fn lists_first(events: &mut [Record<'_>]) {
+fn move_lists_first(events: &mut [Record<'_>]) {
     let is_boundary = |event: &Record<'_>| matches!(code_of(*event), code::START | code::STOP);
     let is_list = |event: &Record<'_>| matches!(code_of(*event), code::LIST_UPDATED | code::WORKER_LIST);
     for events in events.chunk_by_mut(|a, b| !is_boundary(a) && !is_boundary(b)) {
--- a/crates/simulator-adapter/tests/dialogue.rs
+++ b/crates/simulator-adapter/tests/dialogue.rs
@@ -5,7 +5,7 @@
 mod wire_rig;
 
 use std::collections::{BTreeMap, BTreeSet};
-use wire_rig::{Fields, Session, action, event, list_mode, worker_state};
+use wire_rig::{RecordBuilder, Session, action, event, list_mode, worker_state};
 
 const SETTINGS: &str = r#"{"Balancers":2,"Rank":0,"Tick":4000,"RegistryMode":"subscribe",
  "Classes":[{"Effect":"free","Objective":200000,"HardLimit":600000,"Gain":1.0},
@@ -33,9 +33,9 @@
 const RECORDED_BYTES: usize = 367_205;
 
 /// A generator of the same numbers everywhere: splitmix64.
-struct Random(u64);
+struct SplitMix64(u64);
 
-impl Random {
+impl SplitMix64 {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -58,8 +58,8 @@
 }
 
 /// The world that the adapter acts on: what it asked for is answered some ticks later.
-struct World {
-    random: Random,
+struct EmulatedPlatform {
+    rng: SplitMix64,
     tick: u64,
     next_request: u64,
     /// Events by the tick at which they are due.
@@ -73,10 +73,10 @@
     actions: BTreeMap<u8, usize>,
 }
 
-impl World {
+impl EmulatedPlatform {
     fn new() -> Self {
         Self {
-            random: Random(7),
+            rng: SplitMix64(7),
             tick: 0,
             next_request: 1,
             due: BTreeMap::new(),
@@ -91,18 +91,18 @@
         self.due.entry(self.tick + after).or_default().push(event);
     }
 
-    fn arrival(&mut self, instance: u16) -> Vec<u8> {
+    fn request_arrived(&mut self, instance: u16) -> Vec<u8> {
         let request = self.next_request;
         self.next_request += 1;
-        let function = 0xab00 + self.random.below(40) * self.random.below(3);
-        let flags = if self.random.one_in(8) { 2 } else { 0 };
-        let load_milliseconds = if self.random.one_in(2) { 250.0 } else { 0.0 };
-        Fields::new(event::REQUEST_ARRIVED, instance)
+        let function = 0xab00 + self.rng.below(40) * self.rng.below(3);
+        let flags = if self.rng.one_in(8) { 2 } else { 0 };
+        let load_milliseconds = if self.rng.one_in(2) { 250.0 } else { 0.0 };
+        RecordBuilder::new(event::REQUEST_ARRIVED, instance)
             .u64(request)
             .f32(300.0)
-            .u32(150_000 + self.random.below(600_000) as u32)
-            .u16(self.random.below(3) as u16)
-            .u32(self.random.below(2) as u32)
+            .u32(150_000 + self.rng.below(600_000) as u32)
+            .u16(self.rng.below(3) as u16)
+            .u32(self.rng.below(2) as u32)
             .f32(2.0)
             .u8(flags)
             .f32(load_milliseconds)
@@ -112,35 +112,35 @@
     }
 
     /// A load report of up to four values.
-    fn report(&mut self, fields: Fields) -> Fields {
-        let values = [0, 3, 4][self.random.below(3) as usize];
-        let fields = fields.u8(values);
+    fn add_load_report(&mut self, builder: RecordBuilder) -> RecordBuilder {
+        let values = [0, 3, 4][self.rng.below(3) as usize];
+        let builder = builder.u8(values);
         let scales = [12.0, 4.0, 1.0, 3.0];
-        scales.into_iter().fold(fields, |fields, scale: f32| {
+        scales.into_iter().fold(builder, |builder, scale: f32| {
             let value =
-                if self.random.one_in(50) { f32::NAN } else { scale * self.random.below(100) as f32 / 100.0 };
-            fields.f32(value)
+                if self.rng.one_in(50) { f32::NAN } else { scale * self.rng.below(100) as f32 / 100.0 };
+            builder.f32(value)
         })
     }
 
     fn attempt_ended(&mut self, instance: u16, request: u64, worker: u32, attempt: u16, outcome: u16) {
-        let latency = 2 + self.random.below(90);
+        let latency = 2 + self.rng.below(90);
         let note = match outcome {
-            200 => 1 + self.random.below(3) as u8 + 8 * self.random.below(20) as u8,
-            204 | 502 => 4 * self.random.below(2) as u8,
-            429 => 8 * self.random.below(20) as u8,
+            200 => 1 + self.rng.below(3) as u8 + 8 * self.rng.below(20) as u8,
+            204 | 502 => 4 * self.rng.below(2) as u8,
+            429 => 8 * self.rng.below(20) as u8,
             _ => 0,
         };
-        let settled = u8::from(outcome == 200 || self.finished.contains(&(instance, request)));
-        let fields = Fields::new(event::ATTEMPT_ENDED, instance)
+        let is_final = u8::from(outcome == 200 || self.finished.contains(&(instance, request)));
+        let builder = RecordBuilder::new(event::ATTEMPT_ENDED, instance)
             .u64(request)
             .u32(worker)
-            .u8(settled)
+            .u8(is_final)
             .u8(note)
             .u32((latency * TICK) as u32)
             .u16(outcome)
             .u16(attempt);
-        let event = self.report(fields).bytes();
+        let event = self.add_load_report(builder).bytes();
         if outcome == 200 {
             self.finished.insert((instance, request));
         }
@@ -148,45 +148,47 @@
     }
 
     fn stream_started(&mut self, instance: u16, request: u64, worker: u32, attempt: u16) {
-        let fields = Fields::new(event::STREAM_STARTED, instance).u64(request).u32(4_000);
-        self.schedule(1, fields.u32(worker).u16(attempt).bytes());
+        let builder = RecordBuilder::new(event::STREAM_STARTED, instance).u64(request).u32(4_000);
+        self.schedule(1, builder.u32(worker).u16(attempt).bytes());
     }
 
-    fn sent(&mut self, instance: u16, request: u64, worker: u32) {
+    fn on_attempt_sent(&mut self, instance: u16, request: u64, worker: u32) {
         let attempts = self.attempts.entry((instance, request)).or_insert(0);
         let attempt = *attempts;
         *attempts += 1;
-        if self.random.one_in(30) {
+        if self.rng.one_in(30) {
             self.stream_started(instance, request, worker, attempt);
         }
-        let outcome = OUTCOMES[self.random.below(OUTCOMES.len() as u64) as usize];
+        let outcome = OUTCOMES[self.rng.below(OUTCOMES.len() as u64) as usize];
         self.attempt_ended(instance, request, worker, attempt, outcome);
-        if self.random.one_in(40) {
-            self.schedule(1, Fields::new(event::CLIENT_GONE, instance).u64(request).bytes());
+        if self.rng.one_in(40) {
+            self.schedule(1, RecordBuilder::new(event::CLIENT_GONE, instance).u64(request).bytes());
         }
     }
 
-    fn cancelled(&mut self, instance: u16, request: u64, attempt: u16) {
+    fn on_attempt_cancelled(&mut self, instance: u16, request: u64, attempt: u16) {
         assert!(attempt < self.attempts[&(instance, request)], "only an attempt that was made is cancelled");
         if self.cancelled.insert((instance, request, attempt)) {
-            let fields = Fields::new(event::ATTEMPT_ENDED, instance).u64(request).u32(WORKERS[0]);
-            self.schedule(1, fields.u8(1).u8(0).u32(8_000).u16(444).u16(attempt).bytes());
+            let builder = RecordBuilder::new(event::ATTEMPT_ENDED, instance).u64(request).u32(WORKERS[0]);
+            self.schedule(1, builder.u8(1).u8(0).u32(8_000).u16(444).u16(attempt).bytes());
         }
     }
 
-    fn health_checked(&mut self, instance: u16, worker: u32) {
-        let outcome = if self.random.one_in(6) { 408 } else { 200 };
-        let fields = Fields::new(event::HEALTH_CHECK_ENDED, instance).u16(outcome).u32(worker).u32(900);
-        let event = self.report(fields).bytes();
+    fn on_health_check(&mut self, instance: u16, worker: u32) {
+        let outcome = if self.rng.one_in(6) { 408 } else { 200 };
+        let builder =
+            RecordBuilder::new(event::HEALTH_CHECK_ENDED, instance).u16(outcome).u32(worker).u32(900);
+        let event = self.add_load_report(builder).bytes();
         self.schedule(1, event);
     }
 
-    fn load_requested(&mut self, instance: u16, worker: u32, function: u64, instances: u8) {
-        let outcome = [200, 200, 200, 429, 502, 520, 521, 408][self.random.below(8) as usize];
+    fn on_load_requested(&mut self, instance: u16, worker: u32, function: u64, instances: u8) {
+        let outcome = [200, 200, 200, 429, 502, 520, 521, 408][self.rng.below(8) as usize];
         let loaded = if outcome == 200 { instances } else { 0 };
-        let fields = Fields::new(event::LOAD_REQUEST_ENDED, instance).u16(outcome).u32(worker).u32(640_000);
-        let after = 5 + self.random.below(80);
-        self.schedule(after, fields.u8(loaded).u64(function).bytes());
+        let builder =
+            RecordBuilder::new(event::LOAD_REQUEST_ENDED, instance).u16(outcome).u32(worker).u32(640_000);
+        let after = 5 + self.rng.below(80);
+        self.schedule(after, builder.u8(loaded).u64(function).bytes());
     }
 
     /// Answers one action.
@@ -197,19 +199,19 @@
         let instance = field(1, 2) as u16;
         *self.actions.entry(record[0]).or_insert(0) += 1;
         match record[0] {
-            action::SEND_ATTEMPT => self.sent(instance, field(3, 8), field(11, 4) as u32),
-            action::CANCEL_ATTEMPT => self.cancelled(instance, field(3, 8), field(11, 2) as u16),
+            action::SEND_ATTEMPT => self.on_attempt_sent(instance, field(3, 8), field(11, 4) as u32),
+            action::CANCEL_ATTEMPT => self.on_attempt_cancelled(instance, field(3, 8), field(11, 2) as u16),
             action::REJECT | action::FAIL => _ = self.finished.insert((instance, field(3, 8))),
-            action::HEALTH_CHECK => self.health_checked(instance, field(3, 4) as u32),
+            action::HEALTH_CHECK => self.on_health_check(instance, field(3, 4) as u32),
             action::REQUEST_LOAD => {
-                self.load_requested(instance, field(3, 4) as u32, field(7, 8), field(15, 1) as u8);
+                self.on_load_requested(instance, field(3, 4) as u32, field(7, 8), field(15, 1) as u8);
             }
             action::SET_TIMER => {
                 let after = field(3, 4).div_ceil(TICK).max(1);
-                self.schedule(after, Fields::new(event::TIMER_FIRED, instance).u64(0).bytes());
+                self.schedule(after, RecordBuilder::new(event::TIMER_FIRED, instance).u64(0).bytes());
             }
             action::WATCH_LIST => {
-                let mode = if self.random.one_in(3) { list_mode::FAILED } else { list_mode::DELTA };
+                let mode = if self.rng.one_in(3) { list_mode::FAILED } else { list_mode::DELTA };
                 self.schedule(3, wire_rig::list_updated(instance, mode, 1));
             }
             action::UNLOAD | action::FATAL => {}
@@ -220,30 +222,31 @@
     /// The events of this tick, and their tail.
     fn batch(&mut self) -> (Vec<Vec<u8>>, Vec<u8>) {
         if self.tick == 0 {
-            return opening();
+            return first_batch();
         }
         let mut events = self.due.remove(&self.tick).unwrap_or_default();
         let arrivals =
-            if (self.tick / 250).is_multiple_of(2) { self.random.below(3) } else { self.random.below(12) };
+            if (self.tick / 250).is_multiple_of(2) { self.rng.below(3) } else { self.rng.below(12) };
         for _ in 0..arrivals {
-            let instance = INSTANCES[self.random.below(2) as usize];
-            events.push(self.arrival(instance));
+            let instance = INSTANCES[self.rng.below(2) as usize];
+            events.push(self.request_arrived(instance));
         }
         let mut tail = Vec::new();
         if self.tick.is_multiple_of(200) {
-            let worker = WORKERS[self.random.below(4) as usize];
+            let worker = WORKERS[self.rng.below(4) as usize];
             let state =
                 [worker_state::READY, worker_state::READY, worker_state::DRAINING, worker_state::GONE]
-                    [self.random.below(4) as usize];
+                    [self.rng.below(4) as usize];
             tail = wire_rig::entry(worker, self.tick * TICK, state);
             events.push(wire_rig::worker_list(2, 0, 1));
             events.push(wire_rig::list_updated(INSTANCES[0], list_mode::DELTA, 2));
             events.push(wire_rig::list_updated(INSTANCES[1], list_mode::DELTA, 2));
         }
         if self.tick.is_multiple_of(701) {
-            events.push(Fields::new(event::PEER_MESSAGE, INSTANCES[0]).u32(1).span(0, 0).bytes());
+            events
+                .push(RecordBuilder::new(event::PEER_MESSAGE, INSTANCES[0]).u32(1).tail_range(0, 0).bytes());
             // Nobody is there under this number.
-            events.push(self.arrival(9));
+            events.push(self.request_arrived(9));
         }
         if self.tick == BATCHES / 2 {
             return restart(events);
@@ -253,19 +256,20 @@
 }
 
 /// Both instances start; all workers are ready, one of them just started. One more start has bad settings.
-fn opening() -> (Vec<Vec<u8>>, Vec<u8>) {
-    let bad = SETTINGS.replace("\"free\"", "\"dear\"");
-    let mut tail = [SETTINGS, &bad].concat().into_bytes();
+fn first_batch() -> (Vec<Vec<u8>>, Vec<u8>) {
+    let bad_settings = SETTINGS.replace("\"free\"", "\"dear\"");
+    let mut tail = [SETTINGS, &bad_settings].concat().into_bytes();
     let list = tail.len();
     for (index, worker) in WORKERS.into_iter().enumerate() {
         let started = if index == 3 { 4_000_000 } else { 0 };
         tail.extend(wire_rig::entry(worker, started, worker_state::READY));
     }
-    let bad = Fields::new(event::START, 7).u64(1).span(SETTINGS.len(), bad.len()).bytes();
+    let bad_start =
+        RecordBuilder::new(event::START, 7).u64(1).tail_range(SETTINGS.len(), bad_settings.len()).bytes();
     let events = vec![
         wire_rig::start(INSTANCES[0], 9, SETTINGS),
         wire_rig::start(INSTANCES[1], 10, SETTINGS),
-        bad,
+        bad_start,
         wire_rig::worker_list(0, list, WORKERS.len()),
         wire_rig::worker_list(1, list, 0),
         wire_rig::list_updated(INSTANCES[0], list_mode::CACHED, 0),
@@ -284,19 +288,19 @@
 
 #[test]
 fn the_replies_of_a_long_dialogue_are_those_recorded() {
-    let (mut session, mut world) = (Session::start(), World::new());
+    let (mut session, mut platform) = (Session::start(), EmulatedPlatform::new());
     let (mut digest, mut bytes) = (0xcbf2_9ce4_8422_2325, 0);
     for tick in 0..BATCHES {
-        world.tick = tick;
-        let (events, tail) = world.batch();
+        platform.tick = tick;
+        let (events, tail) = platform.batch();
         let reply = session.exchange(&wire_rig::frame(5_000_000 + tick * TICK, &events, &tail));
         (digest, bytes) = (hash(digest, &reply), bytes + reply.len());
-        wire_rig::actions(&reply).iter().for_each(|record| world.apply(record));
+        wire_rig::actions(&reply).iter().for_each(|record| platform.apply(record));
     }
     assert!(session.finish());
     // Of the actions that the adapter can encode only UNLOAD is missing: no decision asks for it.
     let all = [10, 20, 30, 50, 70, 80, 100, 120, 130];
-    let missing: Vec<u8> = all.into_iter().filter(|code| !world.actions.contains_key(code)).collect();
-    assert!(missing.is_empty(), "actions that never came: {missing:?} beside {:?}", world.actions);
-    assert_eq!((digest, bytes), (RECORDED_HASH, RECORDED_BYTES), "{:?}", world.actions);
+    let missing: Vec<u8> = all.into_iter().filter(|code| !platform.actions.contains_key(code)).collect();
+    assert!(missing.is_empty(), "actions that never came: {missing:?} beside {:?}", platform.actions);
+    assert_eq!((digest, bytes), (RECORDED_HASH, RECORDED_BYTES), "{:?}", platform.actions);
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -4,8 +4,8 @@
 
 use test_case::test_case;
 use wire_rig::{
-    Fields, SETTINGS, action, actions_of_replies, event, frame, list_mode, list_updated, run, start, stop,
-    worker_list, worker_state,
+    RecordBuilder, SETTINGS, action, actions_of_replies, event, frame, list_mode, list_updated, run, start,
+    stop, worker_list, worker_state,
 };
 
 const SEED: u64 = 9;
@@ -21,7 +21,7 @@
 }
 
 fn arrival(instance: u16, request: u64) -> Vec<u8> {
-    Fields::new(event::REQUEST_ARRIVED, instance)
+    RecordBuilder::new(event::REQUEST_ARRIVED, instance)
         .u64(request)
         .f32(300.0)
         .u32(2_000_000)
@@ -35,11 +35,11 @@
 }
 
 /// A frame that starts instance 3 with one worker, and further events.
-fn opening(further: Vec<Vec<u8>>) -> Vec<u8> {
+fn first_frame(more_events: Vec<Vec<u8>>) -> Vec<u8> {
     let tail = [SETTINGS.as_bytes(), &ready_worker()].concat();
     let first =
         vec![start(3, SEED, SETTINGS), list_behind_settings(0), list_updated(3, list_mode::CACHED, 0)];
-    frame(5_000, &[first, further].concat(), &tail)
+    frame(5_000, &[first, more_events].concat(), &tail)
 }
 
 #[test]
@@ -51,8 +51,9 @@
 
 #[test]
 fn a_request_is_sent_to_the_worker_and_a_miss_is_followed_by_a_load_request() {
-    let miss = Fields::new(event::ATTEMPT_ENDED, 3).u64(77).u32(WORKER).u8(0).u8(0).u32(0).u16(204).u16(0);
-    let input = [opening(vec![arrival(3, 77)]), frame(6_000, &[miss.bytes()], &[])].concat();
+    let miss =
+        RecordBuilder::new(event::ATTEMPT_ENDED, 3).u64(77).u32(WORKER).u8(0).u8(0).u32(0).u16(204).u16(0);
+    let input = [first_frame(vec![arrival(3, 77)]), frame(6_000, &[miss.bytes()], &[])].concat();
     let output = run(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = actions_of_replies(&output.stdout);
@@ -67,7 +68,7 @@
 fn a_list_applies_to_all_events_of_its_batch() {
     let draining = wire_rig::entry(WORKER, 0, worker_state::DRAINING);
     let events = vec![arrival(3, 78), worker_list(1, 0, 1), list_updated(3, list_mode::CACHED, 1)];
-    let output = run(&[opening(vec![]), frame(6_000, &events, &draining)].concat());
+    let output = run(&[first_frame(vec![]), frame(6_000, &events, &draining)].concat());
     let replies = actions_of_replies(&output.stdout);
     assert!(replies[1].iter().all(|a| a[0] != action::SEND_ATTEMPT));
 }
@@ -104,10 +105,10 @@
 #[test_case(vec![9, 0, 0]; "a header cut short")]
 #[test_case(frame(1, &[stop(3)], &[])[..40].to_vec(); "a record cut short")]
 #[test_case([[16u8, 0, 0, 0, 255, 255, 255, 255].as_slice(), &[0; 8]].concat(); "more records than bytes")]
-#[test_case(frame(1, &[Fields::new(33, 3).bytes()], &[]); "an unknown code")]
+#[test_case(frame(1, &[RecordBuilder::new(33, 3).bytes()], &[]); "an unknown code")]
 #[test_case(frame(1, &[start(3, SEED, SETTINGS)], &[]); "settings beyond the tail")]
 #[test_case(frame(1, &[worker_list(0, 0, 4_000_000_000)], &[]); "an impossible list")]
-#[test_case(opening(vec![list_updated(3, list_mode::CACHED, 7)]); "a list never given")]
+#[test_case(first_frame(vec![list_updated(3, list_mode::CACHED, 7)]); "a list never given")]
 fn malformed_input_ends_it_with_a_plain_message_and_no_reply(input: Vec<u8>) {
     let output = run(&input);
     assert!(!output.status.success());
--- a/crates/simulator-adapter/tests/wire_rig/mod.rs
+++ b/crates/simulator-adapter/tests/wire_rig/mod.rs
@@ -58,9 +58,9 @@
 
 /// A record under construction; fields follow the code without padding.
 #[derive(Clone)]
-pub struct Fields(Vec<u8>);
+pub struct RecordBuilder(Vec<u8>);
 
-impl Fields {
+impl RecordBuilder {
     /// An event of an instance.
     pub fn new(code: u8, instance: u16) -> Self {
         Self([&[code][..], &instance.to_le_bytes()].concat())
@@ -97,7 +97,7 @@
     }
 
     /// A part of the tail.
-    pub fn span(self, offset: usize, length: usize) -> Self {
+    pub fn tail_range(self, offset: usize, length: usize) -> Self {
         self.u32(offset as u32).u32(length as u32)
     }
 
@@ -120,25 +120,25 @@
 }
 
 pub fn start(instance: u16, seed: u64, settings: &str) -> Vec<u8> {
-    Fields::new(event::START, instance).u64(seed).span(0, settings.len()).bytes()
+    RecordBuilder::new(event::START, instance).u64(seed).tail_range(0, settings.len()).bytes()
 }
 
 pub fn stop(instance: u16) -> Vec<u8> {
-    Fields::new(event::STOP, instance).bytes()
+    RecordBuilder::new(event::STOP, instance).bytes()
 }
 
 /// A numbered worker list: so many entries from an offset of the tail.
 pub fn worker_list(number: u32, offset: usize, entries: usize) -> Vec<u8> {
-    Fields::of_process(event::WORKER_LIST).u32(number).span(offset, entries).bytes()
+    RecordBuilder::of_process(event::WORKER_LIST).u32(number).tail_range(offset, entries).bytes()
 }
 
 pub fn list_updated(instance: u16, mode: u8, number: u32) -> Vec<u8> {
-    Fields::new(event::LIST_UPDATED, instance).u8(mode).u64(0).u32(number).bytes()
+    RecordBuilder::new(event::LIST_UPDATED, instance).u8(mode).u64(0).u32(number).bytes()
 }
 
 /// An entry of a worker list, of size 1 and kind and zone 0.
 pub fn entry(worker: u32, started: u64, state: u8) -> Vec<u8> {
-    Fields(worker.to_le_bytes().to_vec()).u64(started).u16(0).f32(1.0).u8(0).u8(state).u8(0).bytes()
+    RecordBuilder(worker.to_le_bytes().to_vec()).u64(started).u16(0).f32(1.0).u8(0).u8(state).u8(0).bytes()
 }
 
 /// A frame's parsed answer: the action records, each 24 bytes with its code first.
