--- a/crates/history-checker/src/bounds.rs
+++ b/crates/history-checker/src/bounds.rs
@@ -1,5 +1,5 @@
-//! Bounds on what gateways that share budgets may do together. Each bound is the budget and a margin
-//! that follows from how gateways keep it (`docs/design/shared-budgets.md`).
+//! Bounds on what gateways with shared budgets may do together. Each bound is the budget plus a margin
+//! that follows from the way gateways enforce it (`docs/design/shared-budgets.md`).
 
 mod bound_report;
 mod datagrams;
@@ -20,21 +20,21 @@
 /// The budgets that the gateways of a history share.
 #[derive(Clone, Debug)]
 pub struct SharedBudgetBounds {
-    /// Gateways that there may be.
+    /// The maximum number of gateways.
     pub gateways: usize,
-    /// The limit on load requests of each gateway; that of the fleet is the sum. None where they are not limited.
+    /// Each gateway's limit on load requests; the fleet's limit is the sum. `None` means unlimited.
     pub load_rate_limit: Option<WindowLimit>,
-    /// The limit on retries of the fleet.
+    /// The fleet's limit on retries.
     pub retry_limit: Option<WindowLimit>,
-    /// The calls a second that each client group may have executed, over all gateways.
+    /// The maximum calls per second of each client group, over all gateways.
     pub rate_ceilings: Vec<Option<f64>>,
-    /// Attempts that may be in flight at one worker.
+    /// The maximum number of attempts in flight at one worker.
     pub in_flight: Option<f64>,
-    /// What a warming worker may be sent, and how late observations may be.
+    /// The load that a warming worker may be sent, and how late observations may be.
     pub rules: RuleParameters,
 }
 
-/// All bounds by the names that reports give them. Records are in the order of time.
+/// Computes all bounds, keyed by their names in reports. `records` must be in chronological order.
 pub fn bounds(
     records: &[HistoryRecord],
     budgets: &SharedBudgetBounds,
--- a/crates/history-checker/src/bounds/datagrams.rs
+++ b/crates/history-checker/src/bounds/datagrams.rs
@@ -1,4 +1,4 @@
-//! The size of each datagram between gateways, and the bytes a second that each gateway sends.
+//! The size of each datagram between gateways, and the bytes per second that each gateway sends.
 
 use super::BoundReport;
 use crate::event::{HistoryEvent, HistoryRecord};
@@ -8,10 +8,10 @@
 const MAX_DATAGRAM_BYTES: f64 = 1400.0;
 const MAX_BYTES_PER_SECOND: f64 = 20_000.0;
 
-/// Seconds over which the rate is taken.
+/// Seconds over which the rate is averaged.
 const WINDOW: f64 = 10.0;
 
-/// The bounds on the size of datagrams and on the rate of their bytes.
+/// Checks the size of each datagram and each gateway's byte rate.
 pub(super) fn bounds(records: &[HistoryRecord]) -> (BoundReport, BoundReport) {
     let (mut size, mut rate) = (BoundReport::default(), BoundReport::default());
     let mut sent: BTreeMap<usize, SlidingWindow> = BTreeMap::new();
--- a/crates/history-checker/src/bounds/in_flight.rs
+++ b/crates/history-checker/src/bounds/in_flight.rs
@@ -1,10 +1,10 @@
-//! Attempts in flight at each worker at a time.
+//! Concurrent attempts in flight at each worker.
 
 use super::BoundReport;
 use crate::event::{HistoryEvent, HistoryRecord};
 use std::collections::BTreeMap;
 
-/// A change of the attempts in flight at a worker.
+/// A change in the number of attempts in flight at a worker.
 struct Change {
     at: f64,
     worker: usize,
@@ -12,8 +12,8 @@
 }
 
 impl Change {
-    /// The change that a record states. The end of an attempt counts earlier than it was observed: the gateway may have
-    /// seen it before.
+    /// The change that a record describes, if any. The end of an attempt counts as earlier than observed, because the
+    /// gateway may have seen it before the checker did.
     fn from_record(record: &HistoryRecord, tolerance: f64) -> Option<Self> {
         match record.event {
             HistoryEvent::AttemptFinished { worker, .. } => {
@@ -27,7 +27,7 @@
     }
 }
 
-/// The bound by the attempts that may be in flight at one worker.
+/// Checks the number of attempts in flight at each worker.
 pub(super) fn bound(records: &[HistoryRecord], allowed: f64, tolerance: f64) -> BoundReport {
     let mut changes: Vec<_> =
         records.iter().filter_map(|record| Change::from_record(record, tolerance)).collect();
--- a/crates/history-checker/src/bounds/load_requests.rs
+++ b/crates/history-checker/src/bounds/load_requests.rs
@@ -1,11 +1,11 @@
-//! Load requests of all gateways together within any window.
+//! Load requests from all gateways together within any window.
 
 use super::shared_window::{SharedWindow, WindowUse};
 use super::{BoundReport, SharedBudgetBounds};
 use crate::event::{HistoryEvent, HistoryRecord};
 use crate::window_limit::WindowLimit;
 
-/// The bound by the limit of one gateway.
+/// Checks load requests against the fleet's limit, the sum of the gateways' limits; `limit` applies to one gateway.
 pub(super) fn bound(
     records: &[HistoryRecord],
     budgets: &SharedBudgetBounds,
--- a/crates/history-checker/src/bounds/rate_ceiling.rs
+++ b/crates/history-checker/src/bounds/rate_ceiling.rs
@@ -1,4 +1,4 @@
-//! Calls of each client group that reached a worker, within any ten seconds.
+//! Calls of each client group that reached a worker within any ten seconds.
 
 use super::{BoundReport, SharedBudgetBounds};
 use crate::event::{HistoryEvent, HistoryRecord};
@@ -7,13 +7,13 @@
 
 const WINDOW: f64 = 10.0;
 
-/// Seconds of its rate that a gateway may use at once; one call where that is less.
+/// The burst that a gateway may admit at once, in seconds of its rate, but at least one call.
 const BURST_SECONDS: f64 = 0.5;
 
-/// Seconds within which an admitted call is sent: half a second in the queue, and the time for a connection after it.
+/// Seconds within which an admitted call is sent: half a second in the queue plus the time to connect.
 const MAX_SEND_DELAY: f64 = 0.75;
 
-/// The bound by the ceilings of the client groups.
+/// Checks the calls of each client group against its rate ceiling.
 pub(super) fn bound(records: &[HistoryRecord], budgets: &SharedBudgetBounds) -> BoundReport {
     let seconds = WINDOW + BURST_SECONDS + MAX_SEND_DELAY + 2.0 * budgets.rules.tolerance;
     let mut bound = BoundReport::default();
--- a/crates/history-checker/src/bounds/retries.rs
+++ b/crates/history-checker/src/bounds/retries.rs
@@ -1,5 +1,5 @@
-//! Retries of all gateways together within any window: attempts that workers received beyond the first for each attempt of a
-//! client.
+//! Retries by all gateways together within any window: every attempt that workers received after the first for the same
+//! client attempt.
 
 use super::shared_window::{SharedWindow, WindowUse};
 use super::{BoundReport, SharedBudgetBounds};
@@ -7,7 +7,7 @@
 use crate::window_limit::WindowLimit;
 use std::collections::BTreeSet;
 
-/// The bound by the limit of the fleet.
+/// Checks retries against the fleet's limit.
 pub(super) fn bound(
     records: &[HistoryRecord],
     budgets: &SharedBudgetBounds,
--- a/crates/history-checker/src/bounds/shared_window.rs
+++ b/crates/history-checker/src/bounds/shared_window.rs
@@ -1,19 +1,20 @@
-//! A limit within a sliding window that all gateways share.
+//! A sliding-window limit shared by all gateways.
 
 use crate::sliding_window::SlidingWindow;
 use crate::window_limit::WindowLimit;
 
-/// Seconds for which a lease on another gateway's part lasts at most.
+/// The longest duration of a lease on another gateway's quota, in seconds.
 const MAX_LEASE_SECONDS: f64 = 2.1;
 
-/// A limit within a window, over all gateways.
+/// A limit within a sliding window, over all gateways.
 ///
-/// A gateway counts the requests that it accepted when it does something that the limit binds; at another moment as many of
-/// them may have left the window as are in the one before it. For each process that was killed there is once more the quota
-/// of the one that takes its place, whose count begins empty, until the leases of the former have ended as well.
+/// A gateway counts its accepted requests at the moment of the limited action. At another moment, up to as many requests as
+/// the preceding window holds may have left the window, so requests are counted over two windows. A killed process is
+/// replaced by one whose count starts at zero, so the bound is higher by one process's quota until the window has passed
+/// and the leases of the killed process have expired.
 pub(super) struct SharedWindow {
     limit: WindowLimit,
-    /// How many are free for one gateway's process.
+    /// The number of free actions of one gateway process.
     process_quota: f64,
     tolerance: f64,
     accepted: SlidingWindow,
@@ -21,34 +22,34 @@
     killed: SlidingWindow,
 }
 
-/// How many there are within the window, and how many there may be.
+/// The number of limited actions within the window and the maximum allowed.
 pub(super) struct WindowUse {
     pub count: f64,
     pub allowed: f64,
 }
 
 impl SharedWindow {
-    /// Starts with the limit of the fleet and the quota of one gateway.
+    /// Creates an empty window with the fleet's limit and the quota of one gateway process.
     pub fn new(limit: WindowLimit, process_quota: f64, tolerance: f64) -> Self {
         let [accepted, used, killed] = [(); 3].map(|()| SlidingWindow::default());
         Self { limit, process_quota, tolerance, accepted, used, killed }
     }
 
-    /// A gateway accepted an attempt.
+    /// Records that a gateway accepted an attempt.
     pub fn record_accepted(&mut self, at: f64) {
         self.accepted.add(at);
     }
 
-    /// A gateway's process was killed.
+    /// Records that a gateway's process was killed.
     pub fn record_killed(&mut self, at: f64) {
         self.killed.add(at);
     }
 
-    /// One more was done of what the limit binds.
+    /// Records a limited action and returns the use of the window.
     pub fn record_use(&mut self, at: f64) -> WindowUse {
         let WindowLimit { window, free, per_request } = self.limit;
         self.used.add(at);
-        // A late observation may have been sent up to so much earlier, within another window.
+        // An observation may be late by the tolerance, so the action may belong to an earlier window.
         let count = self.used.count_within(at, window - self.tolerance);
         let earning_window = if per_request > 0.0 { 2.0 * window + self.tolerance } else { 0.0 };
         let earned = per_request * self.accepted.count_within(at, earning_window);
--- a/crates/history-checker/src/bounds/slow_start.rs
+++ b/crates/history-checker/src/bounds/slow_start.rs
@@ -1,11 +1,11 @@
-//! What all gateways together send warming workers, by work and by number: rule 4, as figures.
+//! The load that all gateways together send to warming workers, by work and by number of attempts: rule 4 as bounds.
 
 use super::BoundReport;
 use crate::event::HistoryRecord;
 use crate::rule_parameters::RuleParameters;
 use crate::slow_start::slow_start_windows;
 
-/// The bounds on the work and on the number of attempts.
+/// Checks the work and the number of attempts sent to each warming worker.
 pub(super) fn bounds(records: &[HistoryRecord], parameters: &RuleParameters) -> (BoundReport, BoundReport) {
     let (mut by_work, mut by_number) = (BoundReport::default(), BoundReport::default());
     slow_start_windows(records, parameters, |window| {
--- a/crates/history-checker/src/bounds/tests.rs
+++ b/crates/history-checker/src/bounds/tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// How often the bound of a name is violated.
+/// How often the named bound is violated.
 fn violations(name: &str, mut records: Vec<HistoryRecord>) -> u64 {
     records.sort_by(|a, b| a.at.total_cmp(&b.at));
     bounds(&records, &budgets())[name].violations
@@ -38,8 +38,8 @@
     times.iter().map(|at| record(*at, HistoryEvent::LoadRequested { gateway: 0, worker: 0 })).collect()
 }
 
-/// One may use what the other leaves; together they have no more than their sum, and one part more for each process
-/// that restarts.
+/// A gateway may use what another leaves unused. Together they may use the sum of their quotas, plus one quota for each
+/// process that restarts.
 #[test]
 fn the_load_request_limit_binds_the_whole_fleet() {
     assert_eq!(violations("orders", load_requests(&[1.0, 2.0, 3.0, 4.0])), 0);
@@ -50,7 +50,7 @@
     assert_eq!(violations("orders", records), 1);
 }
 
-/// A call, and so many attempts at a worker for its first attempt.
+/// A call whose first client attempt causes `attempts` attempts at a worker.
 fn call(call: u64, at: f64, attempts: usize) -> Vec<HistoryRecord> {
     let (importance, latency_objective) = (1.0, 1.0);
     let (idempotency, fault) = (Idempotency::Idempotent, None);
@@ -63,16 +63,16 @@
 }
 
 #[test_case(5, 1, 0; "one attempt each")]
-#[test_case(3, 2, 0; "as many retries as there may be")]
-#[test_case(4, 2, 1; "one more")]
+#[test_case(3, 2, 0; "as many retries as allowed")]
+#[test_case(4, 2, 1; "one retry too many")]
 fn the_retry_limit_binds_the_whole_fleet(calls: u64, attempts: usize, expected: u64) {
     let records = (0..calls).flat_map(|n| call(n, n as f64, attempts)).collect();
     assert_eq!(violations("retries", records), expected);
 }
 
-/// Ten a second with half a second at once, and one call of each gateway.
-#[test_case(110, 0; "as many as there may be")]
-#[test_case(116, 2; "more")]
+/// The bound is ten calls per second, a burst of half a second, and one call per gateway.
+#[test_case(110, 0; "within the bound")]
+#[test_case(116, 2; "beyond the bound")]
 fn rate_ceilings_bind_the_whole_fleet(calls: u64, expected: u64) {
     let records = (0..calls).flat_map(|n| call(n, n as f64 / 20.0, 1)).collect();
     assert_eq!(violations("ceiling", records), expected);
@@ -86,9 +86,9 @@
     assert_eq!(violations("in-flight", records), 0);
 }
 
-/// Many light calls at a worker in slow start: within its bound by work, and past the one by number.
-#[test_case(1; "of one gateway")]
-#[test_case(24; "of two dozen gateways")]
+/// Many light calls to a worker in slow start stay within the bound by work and exceed the bound by number.
+#[test_case(1; "from one gateway")]
+#[test_case(24; "from 24 gateways")]
 fn light_calls_to_a_warming_worker_are_bounded_by_number(gateways: usize) {
     let received = |n: usize, worker: usize, work: f64| {
         let gateway = n % gateways;
@@ -96,7 +96,7 @@
     };
     let started = |worker: usize, warm: bool| HistoryEvent::WorkerStarted { worker, capacity: 16.0, warm };
     let mut records = vec![record(0.0, started(0, true)), record(1.0, started(1, false))];
-    // 0.2 of its capacity, two and a half times for a second: 8 s of work, or 80 calls of the mean; 99.9 with the bound.
+    // 0.2 of its capacity times 2.5 for one second is 8 s of work, or 80 calls of mean work; the bound is 99.9 calls.
     records.extend((0..100_000).map(|n| record(0.5, received(n, 0, 0.1))));
     records.extend((0..99).map(|n| record(1.0, received(n, 1, 0.01))));
     assert_eq!(violations("cold-calls", records.clone()), 0);
--- a/crates/history-checker/src/event.rs
+++ b/crates/history-checker/src/event.rs
@@ -1,44 +1,44 @@
-//! The records of a history. Their stored form is JSON, one record a line; its words are older than the names here.
+//! The records of a history. They are stored as JSON Lines, whose names differ from those in the code.
 
 use serde::{Deserialize, Serialize};
 
-/// An event and when it was observed.
+/// An event and the time at which it was observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryRecord {
-    /// Seconds of the history's clock.
+    /// Time in seconds of the history's clock.
     pub at: f64,
-    /// What was observed.
+    /// The observed event.
     #[serde(rename = "saw")]
     pub event: HistoryEvent,
 }
 
-/// How an attempt of a client ended.
+/// How a client's attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
     /// A worker answered.
     #[serde(rename = "Handled")]
     Succeeded,
-    /// The gateway answered that nothing was executed and the client may retry.
+    /// The gateway answered that nothing was executed, so the client may retry.
     #[serde(rename = "Bounced")]
     Rejected,
-    /// The gateway answered that the request failed; it may have been executed.
+    /// The gateway answered that the request failed, although it may have been executed.
     #[serde(rename = "Terminated")]
     Failed,
-    /// The gateway could not be reached: it accepted nothing.
+    /// The gateway could not be reached, so it accepted nothing.
     #[serde(rename = "Unreached")]
     Unreachable,
-    /// The connection broke before an answer.
+    /// The connection broke before an answer arrived.
     #[serde(rename = "Broken")]
     ConnectionLost,
-    /// The client's timeout passed without an answer.
+    /// The client's timeout expired without an answer.
     Unanswered,
-    /// The client closed the connection before its timeout.
+    /// The client closed the connection before its timeout expired.
     #[serde(rename = "Left")]
     Abandoned,
 }
 
 impl AttemptOutcome {
-    /// The word for the outcome in stored histories and in reports.
+    /// The name of the outcome in stored histories and in reports.
     pub(crate) fn recorded_name(self) -> &'static str {
         match self {
             Self::Succeeded => "Handled",
@@ -52,22 +52,22 @@
     }
 }
 
-/// What a second execution of a call does, as its client knows.
+/// The effect of executing a call more than once, as declared by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Nothing: it may be executed any number of times.
+    /// Repeated executions have no further effect.
     #[serde(rename = "Pure")]
     Idempotent,
-    /// Workers recognise it by its idempotency key and do not execute it again.
+    /// Workers recognise a repetition by its idempotency key and do not execute it again.
     #[serde(rename = "Receipted")]
     IdempotentWithKey,
-    /// It has its effect again, so it must not happen.
+    /// Each execution has its effect again, so a call must not be executed twice.
     #[serde(rename = "Effectful")]
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// The word for it in stored histories and in reports.
+    /// The name of this value in stored histories and in reports.
     pub(crate) fn recorded_name(self) -> &'static str {
         match self {
             Self::Idempotent => "Pure",
@@ -77,58 +77,58 @@
     }
 }
 
-/// What was observed. Clients, gateways and workers are numbered from 0; `call` is the same for all attempts of one call.
+/// An observed event. Client groups, gateways and workers are numbered from 0; all attempts of a call share its `call`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HistoryEvent {
     /// A client sent an attempt.
     #[serde(rename = "Asked")]
     AttemptSent {
-        /// The call that is attempted.
+        /// The call to which the attempt belongs.
         call: u64,
         /// Number of the attempt within its call, from 0.
         attempt: u32,
-        /// The gateway to which it was sent.
+        /// The gateway to which the attempt was sent.
         gateway: usize,
-        /// Seconds for which the client waits.
+        /// Seconds for which the client waits for an answer.
         #[serde(rename = "patience")]
         timeout: f64,
     },
-    /// A client began a call; recorded once for each call, with its first attempt.
+    /// A client issued a call; recorded once per call, with its first attempt.
     #[serde(rename = "Call")]
     RequestIssued {
         /// Number of the call.
         call: u64,
-        /// The client group that makes it.
+        /// The client group that issued it.
         group: usize,
-        /// What it earns when answered in time.
+        /// The service that it earns when answered in time.
         importance: f64,
-        /// Seconds within which it is to be answered.
+        /// Seconds within which it should be answered.
         #[serde(rename = "due")]
         latency_objective: f64,
-        /// Whether it may be executed again.
+        /// Whether it may be executed more than once.
         #[serde(rename = "effect")]
         idempotency: Idempotency,
-        /// The fault of the scenario during which it was made.
+        /// The scenario's fault during which it was issued, if any.
         #[serde(rename = "trouble")]
         fault: Option<usize>,
     },
-    /// An attempt ended at its client.
+    /// A client's attempt ended.
     #[serde(rename = "Ended")]
     AttemptEnded {
-        /// The call that was attempted.
+        /// The call to which the attempt belongs.
         call: u64,
         /// Number of the attempt within its call.
         attempt: u32,
-        /// The gateway to which it was sent.
+        /// The gateway to which the attempt was sent.
         gateway: usize,
-        /// How it ended.
+        /// How the attempt ended.
         #[serde(rename = "how")]
         outcome: AttemptOutcome,
     },
-    /// A worker read the head of a gateway's attempt.
+    /// A worker read the head of an attempt sent by a gateway.
     #[serde(rename = "Came")]
     AttemptReceived {
-        /// The call that is attempted.
+        /// The call to which the attempt belongs.
         call: u64,
         /// Number of the client's attempt within its call; the gateway may send it to several workers.
         attempt: u32,
@@ -136,10 +136,10 @@
         gateway: usize,
         /// The worker that read it.
         worker: usize,
-        /// Its work in seconds of one core of speed 1.
+        /// Its work, in seconds on one core of speed 1.
         work: f64,
     },
-    /// An attempt that a worker received is over there: it was answered, or its connection is closed.
+    /// An attempt ended at the worker that received it: it was answered, or its connection closed.
     #[serde(rename = "Over")]
     AttemptFinished {
         /// The gateway that sent it.
@@ -147,7 +147,7 @@
         /// The worker that received it.
         worker: usize,
     },
-    /// A worker executed a call, and did not recognise it as executed before.
+    /// A worker executed a call that it did not recognise as a repetition.
     #[serde(rename = "Ran")]
     RequestExecuted {
         /// The call.
@@ -168,19 +168,19 @@
     WorkerStarted {
         /// The worker.
         worker: usize,
-        /// Seconds of work that it does in a second when it is warm.
+        /// Seconds of work that it completes per second once it is warm.
         capacity: f64,
-        /// Whether it started long ago and is warm already.
+        /// Whether it started long ago and is already warm.
         warm: bool,
     },
-    /// An entry of the endpoint list was written to a gateway.
+    /// The registry wrote an entry of the endpoint list to a gateway.
     #[serde(rename = "Told")]
     EndpointNotified {
-        /// The gateway that is notified.
+        /// The gateway that was notified.
         gateway: usize,
-        /// The worker of the entry.
+        /// The worker that the entry describes.
         worker: usize,
-        /// Whether the worker takes requests; otherwise it is draining or gone.
+        /// Whether the worker accepts requests; if not, it is draining or gone.
         ready: bool,
     },
     /// A gateway's process was killed.
@@ -189,55 +189,55 @@
         /// The gateway.
         gateway: usize,
     },
-    /// A gateway's process runs again after it was killed.
+    /// A gateway's process was restarted after it had been killed.
     #[serde(rename = "Back")]
     GatewayRestarted {
         /// The gateway.
         gateway: usize,
     },
-    /// A gateway's process, or one of its cores, was paused.
+    /// A gateway's process or one of its cores was paused.
     #[serde(rename = "Still")]
     GatewayPaused {
         /// The gateway.
         gateway: usize,
     },
-    /// A paused gateway runs again.
+    /// A paused gateway resumed.
     #[serde(rename = "Moves")]
     GatewayResumed {
         /// The gateway.
         gateway: usize,
     },
-    /// A datagram of a gateway to another was read on its link.
+    /// A datagram from one gateway to another was read on their link.
     #[serde(rename = "Sent")]
     DatagramSent {
         /// The gateway that sent it.
         gateway: usize,
-        /// Its size.
+        /// Size of the datagram.
         bytes: usize,
     },
-    /// The first datagram of a gateway's process was read.
+    /// The first datagram from a gateway's process was read.
     #[serde(rename = "Lives")]
     IncarnationObserved {
         /// The gateway.
         gateway: usize,
-        /// The number by which others know this process.
+        /// The number that identifies this process to other gateways.
         #[serde(rename = "life")]
         incarnation: u64,
     },
-    /// A gateway stated in a datagram that another gateway's process is in a state in which it had not stated it to be.
+    /// A gateway's datagram reported a changed state of another gateway's process.
     #[serde(rename = "Says")]
     MemberStateReported {
         /// The gateway that sent the datagram.
         gateway: usize,
-        /// The gateway that it is about.
+        /// The gateway whose state is reported.
         about: usize,
         /// The process of that gateway.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// 0 alive, 1 suspect, 2 dead, 3 left.
+        /// 0: alive, 1: suspect, 2: dead, 3: left.
         state: u8,
     },
-    /// Links that were cut carry datagrams again.
+    /// Links that had been cut carry datagrams again.
     #[serde(rename = "Mended")]
     LinksHealed,
 }
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -1,13 +1,13 @@
-//! Checks a recorded history against the rules and counts service in it.
+//! Checks a recorded history against the rules and computes the service it shows.
 //!
-//! A history is a sequence of [`HistoryRecord`]s, taken where emulated clients, workers, the registry and the links between
-//! gateways read and wrote. Nothing in it is a gateway's own statement about itself. Times are in seconds of one clock, and
-//! records are in the order of time.
+//! A history is a sequence of [`HistoryRecord`]s, recorded at the sockets of the emulated clients, workers and registry and
+//! on the links between gateways. It contains nothing that a gateway reports about itself. Times are seconds of a single
+//! clock, and records are in chronological order.
 //!
-//! - [`check`] finds violations of the five rules, which bind all gateways together; each rule is a file of `rules/`.
-//! - [`bounds`] compares the fleet's use of shared budgets with what it may use; each is a file of `bounds/`.
-//! - [`membership_observations`] measures how soon gateways learn of each other's start and end.
-//! - [`count_service`] counts service: the importance of requests answered in time.
+//! - [`check`] finds violations of the five rules, which apply to all gateways together; each rule has a file in `rules/`.
+//! - [`bounds`] compares the fleet's use of shared budgets with its limits; each bound has a file in `bounds/`.
+//! - [`membership_observations`] measures how soon gateways detect each other's start and end.
+//! - [`count_service`] computes the service: the importance of requests answered in time.
 
 mod bounds;
 mod event;
--- a/crates/history-checker/src/membership.rs
+++ b/crates/history-checker/src/membership.rs
@@ -1,5 +1,5 @@
-//! What gateways knew of each other: how soon they noticed starts, ends and healed partitions, what they suspected wrongly,
-//! and how many datagrams that took.
+//! The membership that gateways observed of each other: detection times for starts, ends and healed partitions, false
+//! suspicions, and datagram traffic.
 
 mod detection;
 mod timeline;
@@ -11,28 +11,28 @@
 use serde::Serialize;
 use timeline::{ALIVE, DEAD, Process, Timeline};
 
-/// What membership cost in a history, and how soon gateways learnt of changes.
+/// The cost of membership in a history, and how soon gateways detected changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct MembershipObservations {
-    /// Datagrams a second of a gateway, on average while it was up.
+    /// Datagrams per second that a gateway sent, averaged over its uptime.
     #[serde(rename = "letters")]
     pub datagrams_per_second: f64,
-    /// Their bytes a second.
+    /// Bytes per second of those datagrams.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
-    /// Times that a gateway stated another to be suspect whose process ran.
+    /// How often a gateway reported another as suspect although its process was running.
     pub false_suspicions: usize,
-    /// Times that a gateway stated another to be dead whose process ran.
+    /// How often a gateway reported another as dead although its process was running.
     pub false_deaths: usize,
-    /// From a process's end until another gateway stated it to be dead.
+    /// Time from a process's end until another gateway reported it as dead.
     pub death: DetectionTimes,
-    /// From a process's start until another gateway stated it to be alive.
+    /// Time from a process's start until another gateway reported it as alive.
     pub join: DetectionTimes,
-    /// From the healing of a partition until a gateway stated one to be alive that it had taken for dead.
+    /// Time from the healing of a partition until a gateway reported as alive one that it had considered dead.
     pub healing: DetectionTimes,
 }
 
-/// What the gateways of a history knew of each other. Records are in the order of time.
+/// Measures the membership that the gateways observed. `records` must be in chronological order.
 pub fn membership_observations(records: &[HistoryRecord], gateways: usize) -> MembershipObservations {
     let timeline = Timeline::from_records(records);
     let uptime = timeline.uptime().max(1e-9);
--- a/crates/history-checker/src/membership/detection.rs
+++ b/crates/history-checker/src/membership/detection.rs
@@ -1,25 +1,25 @@
-//! How long gateways took to notice something.
+//! How long gateways took to detect a change.
 
 use serde::Serialize;
 
-/// Whether one gateway noticed something, and after how many seconds.
+/// Whether a gateway detected a change, and after how many seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Detection {
     After(f64),
     Never,
 }
 
-/// Seconds until something was noticed, over all gateways that it concerned.
+/// Seconds until a change was detected, over all gateways that should have detected it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct DetectionTimes {
-    /// The median; none where nobody noticed it.
+    /// The median; `None` if no gateway detected the change.
     pub p50: Option<f64>,
-    /// 99 in 100 noticed it by then.
+    /// The 99th percentile.
     pub p99: Option<f64>,
-    /// How many noticed it.
+    /// The number of gateways that detected the change.
     #[serde(rename = "learnt")]
     pub detected: usize,
-    /// How many ran until the history's end and had not noticed it.
+    /// The number of gateways that ran until the end of the history without detecting the change.
     #[serde(rename = "never")]
     pub missed: usize,
 }
--- a/crates/history-checker/src/membership/timeline.rs
+++ b/crates/history-checker/src/membership/timeline.rs
@@ -1,21 +1,21 @@
-//! When gateways' processes ran, and what each gateway stated of the others.
+//! When gateway processes ran, and the states that each gateway reported of the others.
 
 use super::detection::Detection;
 use crate::event::{HistoryEvent, HistoryRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state of a member as datagrams state it.
+/// Member states as encoded in datagrams.
 pub(super) const ALIVE: u8 = 0;
 const SUSPECT: u8 = 1;
-/// This one and those above it (3 is left) mean that the process is gone.
+/// This state and higher ones (3 is left) mean that the process is gone.
 pub(super) const DEAD: u8 = 2;
 
-/// One process of a gateway. Times are in seconds.
+/// A gateway process. Times are in seconds.
 pub(super) struct Process {
     pub incarnation: u64,
     pub gateway: usize,
     pub started: f64,
-    /// Infinite while it runs.
+    /// Infinity while the process is running.
     pub ended: f64,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// A gateway states a process to be in a state.
+/// A gateway's report of the state of a process.
 struct StateReport {
     at: f64,
     state: u8,
@@ -34,9 +34,9 @@
 #[derive(Default)]
 pub(super) struct Timeline {
     pub processes: Vec<Process>,
-    /// What each gateway stated of each incarnation, in the order of time.
+    /// Each gateway's reports of each incarnation, in chronological order.
     reports: BTreeMap<(usize, u64), Vec<StateReport>>,
-    /// When partitions healed.
+    /// Times at which partitions healed.
     pub healed: Vec<f64>,
     paused: BTreeSet<usize>,
     pub datagrams: f64,
@@ -88,18 +88,18 @@
         self.processes.iter_mut().filter(running).for_each(|process| process.ended = at);
     }
 
-    /// Whether a process runs at the point up to which the history was read.
+    /// Whether a process is running at the current position in the history.
     fn is_running(&self, incarnation: u64) -> bool {
         self.processes.iter().any(|process| process.incarnation == incarnation && process.ended.is_infinite())
     }
 
-    /// Seconds for which processes ran, all together.
+    /// Total uptime of all processes, in seconds.
     pub fn uptime(&self) -> f64 {
         self.processes.iter().map(|process| process.ended.min(self.end) - process.started).sum()
     }
 
-    /// When a gateway first stated a state of a process, counted from `from`. None where the gateway was not up then, or
-    /// was killed before it could.
+    /// Seconds from `from` until a gateway first reported a state of a process that matches `is_state`. `None` if the gateway
+    /// was not running at `from` or was killed before it reported such a state.
     pub fn detection(
         &self,
         gateway: usize,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Whether a gateway's last statement of a process up to a time was that it is gone.
+    /// Whether a gateway's last report of a process up to a time was that it is gone.
     pub fn last_reported_dead(&self, gateway: usize, incarnation: u64, at: f64) -> bool {
         let until = self.reports_of(gateway, incarnation).take_while(|report| report.at <= at);
         until.last().is_some_and(|report| report.state >= DEAD)
--- a/crates/history-checker/src/rules.rs
+++ b/crates/history-checker/src/rules.rs
@@ -1,5 +1,5 @@
-//! The five rules. Each is a file, named for what it guarantees; each walks the history once, with tables that hold no
-//! more than the history does.
+//! The five rules. Each has a file named after its guarantee, and each makes a single pass over the history with memory at
+//! most linear in its length.
 
 mod answered_once;
 mod drain_respected;
@@ -11,7 +11,7 @@
 use crate::rule_parameters::RuleParameters;
 use crate::violation::Violation;
 
-/// All violations of the rules, in the order of time. Records are in the order of time.
+/// Finds all violations of the rules, in chronological order. `records` must be in chronological order.
 pub fn check(records: &[HistoryRecord], parameters: &RuleParameters) -> Vec<Violation> {
     let mut violations = answered_once::violations(records, parameters);
     violations.extend(executed_once::violations(records));
--- a/crates/history-checker/src/rules/answered_once.rs
+++ b/crates/history-checker/src/rules/answered_once.rs
@@ -1,6 +1,7 @@
-//! Rule 1: every attempt that a gateway accepts gets one final answer within its client's timeout, and nothing is sent to
-//! a worker for it afterwards. Once the client has closed or timed out, an attempt may still begin for 0.1 s, however late
-//! observations are. An attempt whose gateway was killed in the meantime is its client's to retry.
+//! Rule 1: every attempt that a gateway accepts receives exactly one final answer within the client's timeout, and nothing
+//! is sent to a worker for it afterwards. After the client has closed its connection or timed out, an attempt at a worker
+//! may still start for 0.1 s, whatever the tolerance for late observations. If the gateway was killed in the meantime, no
+//! answer is required and the client has to retry.
 
 use crate::event::{AttemptOutcome, HistoryEvent, HistoryRecord};
 use crate::rule_parameters::RuleParameters;
@@ -9,10 +10,10 @@
 
 const RULE: u8 = 1;
 
-/// Seconds after a client has closed or timed out in which an attempt for it may still begin.
+/// Seconds for which an attempt at a worker may still start after the client has closed its connection or timed out.
 const CLIENT_GONE_GRACE: f64 = 0.1;
 
-/// A call, and the number of a client's attempt within it.
+/// The call, and the number of the client's attempt within it.
 type AttemptKey = (u64, u32);
 
 struct Attempt {
@@ -29,14 +30,14 @@
 #[derive(Default)]
 struct AnsweredOnce {
     attempts: BTreeMap<AttemptKey, Attempt>,
-    /// When each gateway was last killed.
+    /// Time at which each gateway was last killed.
     killed_at: BTreeMap<usize, f64>,
-    /// When each gateway last resumed after a pause; infinite while it is paused.
+    /// Time at which each gateway last resumed after a pause; infinity while it is paused.
     resumed_at: BTreeMap<usize, f64>,
     violations: Vec<Violation>,
 }
 
-/// All violations of the rule.
+/// Finds all violations of the rule.
 pub(super) fn violations(records: &[HistoryRecord], parameters: &RuleParameters) -> Vec<Violation> {
     let mut rule = AnsweredOnce::default();
     for HistoryRecord { at, event } in records {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Whether an attempt ended without an answer that its gateway could have given.
+    /// Whether an attempt ended unanswered although its gateway was able to answer.
     fn answer_is_missing(
         &self,
         gateway: usize,
@@ -110,7 +111,7 @@
         }
         let tolerance = parameters.tolerance;
         let was_killed = self.killed_at.get(&gateway).is_some_and(|killed| *killed >= sent_at - tolerance);
-        // A paused process cannot answer, and what has become due meanwhile is late as it resumes.
+        // A paused process cannot answer, and answers that became due during the pause are late when it resumes.
         let was_paused = end.outcome == AttemptOutcome::Unanswered
             && self.resumed_at.get(&gateway).is_some_and(|resumed| *resumed >= end.at - 2.0 * tolerance);
         !was_killed && !was_paused
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Reports the attempts that have no end when the history ends.
+    /// Reports the attempts that are still open at the end of the history.
     fn report_open_attempts(&mut self, at: f64) {
         let open = self.attempts.iter().filter(|(_, attempt)| attempt.end.is_none());
         let open: Vec<_> = open.map(|(key, attempt)| (*key, attempt.sent_at)).collect();
--- a/crates/history-checker/src/rules/drain_respected.rs
+++ b/crates/history-checker/src/rules/drain_respected.rs
@@ -1,5 +1,5 @@
-//! Rule 3: once a gateway was notified that a worker is draining or gone, it sends it no attempt and no load request later
-//! than the grace after that.
+//! Rule 3: after a gateway is notified that a worker is draining or gone, it sends the worker no attempt and no load request
+//! once the grace period has passed.
 
 use crate::event::{HistoryEvent, HistoryRecord};
 use crate::rule_parameters::RuleParameters;
@@ -10,12 +10,12 @@
 
 #[derive(Default)]
 struct DrainRespected {
-    /// When each gateway was notified that a worker is not ready, by gateway and worker.
+    /// Time at which each gateway was first notified that a worker is not ready, by gateway and worker.
     notified_at: BTreeMap<(usize, usize), f64>,
     violations: Vec<Violation>,
 }
 
-/// All violations of the rule.
+/// Finds all violations of the rule.
 pub(super) fn violations(records: &[HistoryRecord], parameters: &RuleParameters) -> Vec<Violation> {
     let mut rule = DrainRespected::default();
     let latest = parameters.drain_grace + parameters.tolerance;
@@ -34,7 +34,7 @@
             HistoryEvent::EndpointNotified { gateway, worker, ready: false } => {
                 self.notified_at.entry((gateway, worker)).or_insert(at);
             }
-            // A new process has not received the notifications of the former one.
+            // A new process has not received the notifications sent to its predecessor.
             HistoryEvent::GatewayKilled { gateway } => {
                 self.notified_at.retain(|(other, _), _| *other != gateway);
             }
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Checks what a worker received; `kind` is the report's word for it.
+    /// Checks a message that a worker received; `kind` is its name in the report.
     fn on_received(&mut self, at: f64, gateway: usize, worker: usize, kind: &str, latest: f64) {
         let Some(notified_at) = self.notified_at.get(&(gateway, worker)) else { return };
         let late = at - notified_at;
--- a/crates/history-checker/src/rules/executed_once.rs
+++ b/crates/history-checker/src/rules/executed_once.rs
@@ -1,4 +1,5 @@
-//! Rule 2: no call that is not idempotent by itself is executed twice, and a rejection means that nothing was executed.
+//! Rule 2: only calls that are idempotent without a key may be executed more than once, and a rejection means that nothing
+//! was executed.
 
 use crate::event::{AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency};
 use crate::violation::Violation;
@@ -9,15 +10,15 @@
 #[derive(Default)]
 struct ExecutedOnce {
     idempotency: BTreeMap<u64, Idempotency>,
-    /// How often each call was executed.
+    /// The number of executions of each call.
     executions: BTreeMap<u64, usize>,
     rejected: BTreeSet<u64>,
-    /// The last attempt of each call.
+    /// The number of the last attempt of each call.
     last_attempt: BTreeMap<u64, u32>,
     violations: Vec<Violation>,
 }
 
-/// All violations of the rule.
+/// Finds all violations of the rule.
 pub(super) fn violations(records: &[HistoryRecord]) -> Vec<Violation> {
     let mut rule = ExecutedOnce::default();
     for HistoryRecord { at, event } in records {
@@ -56,7 +57,7 @@
             let name = idempotency.recorded_name();
             self.report(at, format!("{name} call {call} ran for the {times}th time, on worker {worker}"));
         }
-        // A later attempt may be executed though the first was rejected.
+        // A later attempt may be executed although the first one was rejected.
         let is_first_attempt = self.last_attempt.get(&call) == Some(&0);
         if idempotency == Idempotency::NonIdempotent && self.rejected.contains(&call) && is_first_attempt {
             self.report(at, format!("effectful call {call} ran on worker {worker} after it was bounced"));
--- a/crates/history-checker/src/rules/load_requests_limited.rs
+++ b/crates/history-checker/src/rules/load_requests_limited.rs
@@ -1,5 +1,5 @@
-//! Rule 5: at each load request of a gateway, its load requests within the window are at most the free ones and those that
-//! the attempts it accepted have earned.
+//! Rule 5: whenever a gateway sends a load request, its load requests within the window do not exceed the free ones plus
+//! those earned by the attempts that it accepted.
 
 use crate::event::{HistoryEvent, HistoryRecord};
 use crate::rule_parameters::RuleParameters;
@@ -10,14 +10,14 @@
 
 const RULE: u8 = 5;
 
-/// What one gateway accepted and requested within the window.
+/// The attempts that a gateway accepted and the load requests that it sent, within the window.
 #[derive(Default)]
 struct GatewayLoadRequests {
     accepted: SlidingWindow,
     load_requests: SlidingWindow,
 }
 
-/// All violations of the rule; none where load requests are not limited.
+/// Finds all violations of the rule; none if load requests are not limited.
 pub(super) fn violations(records: &[HistoryRecord], parameters: &RuleParameters) -> Vec<Violation> {
     let Some(limit) = parameters.load_rate_limit else { return Vec::new() };
     let mut gateways: BTreeMap<usize, GatewayLoadRequests> = BTreeMap::new();
@@ -42,7 +42,7 @@
 }
 
 impl GatewayLoadRequests {
-    /// Counts one more load request; gives the violation's text where it is beyond the limit.
+    /// Counts a load request; returns a description of the violation if it exceeds the limit.
     fn on_load_request(
         &mut self,
         at: f64,
@@ -52,7 +52,7 @@
     ) -> Option<String> {
         let WindowLimit { window, free, per_request } = limit;
         self.load_requests.add(at);
-        // A late observation may have been sent up to so much earlier, within another window.
+        // An observation may be late by the tolerance, so the load request may belong to an earlier window.
         let count = self.load_requests.count_within(at, window - tolerance);
         let allowed = free + per_request * self.accepted.count_within(at, window + tolerance);
         (count > allowed).then(|| {
--- a/crates/history-checker/src/rules/slow_start_respected.rs
+++ b/crates/history-checker/src/rules/slow_start_respected.rs
@@ -1,6 +1,6 @@
-//! Rule 4: what all gateways together send a warming worker stays, over any window, within the multiple of its capacity at
-//! that moment, both by the work of the attempts and by their number. It binds however few or many gateways there are, and
-//! whether or not they had been notified of the start.
+//! Rule 4: over any window, the load that all gateways together send to a warming worker stays within a multiple of its
+//! current capacity, both by the work of the attempts and by their number. The rule applies to any number of gateways,
+//! whether or not they were notified of the worker's start.
 
 use crate::event::HistoryRecord;
 use crate::rule_parameters::RuleParameters;
@@ -10,7 +10,7 @@
 
 const RULE: u8 = 4;
 
-/// All violations of the rule: one for each time that a worker fails from overload.
+/// Finds all violations of the rule: one for each time that a worker fails from overload.
 pub(super) fn violations(records: &[HistoryRecord], parameters: &RuleParameters) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut overloaded_at: BTreeMap<usize, f64> = BTreeMap::new();
@@ -18,7 +18,7 @@
         if !window.is_overloaded() {
             return;
         }
-        // A worker that has failed stays so until it restarts.
+        // A worker that failed stays failed until it restarts.
         let previous = overloaded_at.insert(window.worker, window.at);
         if previous.is_none_or(|previous| window.at - previous > parameters.warm_up) {
             violations.push(Violation { rule: RULE, at: window.at, what: description(&window) });
--- a/crates/history-checker/src/service.rs
+++ b/crates/history-checker/src/service.rs
@@ -1,5 +1,5 @@
-//! Service: the importance of calls answered within their latency objective, over the importance of all calls. A client's
-//! retries count with its first attempt; late answers and calls beyond a group's quota earn a part.
+//! Service: the importance of the calls answered within their latency objective, divided by the importance of all calls. The
+//! latency of a call includes its retries. Late answers and calls beyond a group's quota count only in part.
 
 mod latency;
 
@@ -8,42 +8,42 @@
 use crate::event::{AttemptOutcome, HistoryEvent, HistoryRecord};
 use std::collections::BTreeMap;
 
-/// What calls earn that are late, or beyond their group's quota.
+/// The weights of calls that are answered late or exceed their group's quota.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceWeights {
-    /// The part of its importance that a call earns which is answered after its latency objective.
+    /// The fraction of its importance that a call earns when it is answered after its latency objective.
     pub late: f64,
-    /// The calls a second of each client group that count in full; none where all do.
+    /// The calls per second of each client group that count in full; `None` if all of them do.
     pub quotas: Vec<Option<f64>>,
-    /// The part of its importance with which a call beyond its group's quota counts.
+    /// The fraction of its importance with which a call beyond its group's quota counts.
     pub over_quota: f64,
 }
 
-/// What clients asked for and what came of it.
+/// The calls that clients issued, by their outcome.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceCounts {
     /// All calls.
     pub calls: u64,
     /// Calls answered within their latency objective.
     pub succeeded: u64,
-    /// Calls answered after it.
+    /// Calls answered after their latency objective.
     pub late: u64,
     /// Calls that were rejected.
     pub rejected: u64,
     /// Calls that failed.
     pub failed: u64,
-    /// Calls without an answer: their gateway was killed or not reached, or their client cancelled.
+    /// Calls without an answer: the gateway was killed or unreachable, or the client cancelled.
     pub unanswered: u64,
     /// Attempts of all calls.
     pub attempts: u64,
-    /// Importance of all calls.
+    /// Total importance of all calls.
     pub importance: f64,
-    /// Importance earned.
+    /// Total importance earned.
     pub earned: f64,
 }
 
 impl ServiceCounts {
-    /// Importance earned over the importance of all calls; 1 where there were none.
+    /// Importance earned divided by the importance of all calls; 1 if there were no calls.
     pub fn service(&self) -> f64 {
         if self.importance > 0.0 { self.earned / self.importance } else { 1.0 }
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// How the last attempt of a call ended; the first success counts.
+/// The end of a call's last attempt, or of the first one that succeeded.
 #[derive(Clone, Copy)]
 struct CallEnd {
     at: f64,
@@ -85,14 +85,14 @@
     end: Option<CallEnd>,
 }
 
-/// What a client group may still call within its quota: a token bucket of one second, and of one call at least.
+/// A client group's remaining quota: a token bucket that holds the calls of one second, but at least one.
 struct QuotaBucket {
     tokens: f64,
     filled_at: f64,
 }
 
 impl QuotaBucket {
-    /// Takes a token; gives whether there was none.
+    /// Takes a token if one is available; returns whether the quota is exceeded.
     fn is_exceeded(&mut self, at: f64, quota: f64) -> bool {
         self.tokens = (self.tokens + (at - self.filled_at) * quota).min(quota.max(1.0));
         self.filled_at = at;
@@ -102,16 +102,16 @@
     }
 }
 
-/// Service of a history.
+/// The service in a history.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
     /// All calls.
     pub all: ServiceCounts,
-    /// The calls made during each fault of the scenario, by its number.
+    /// The calls issued during each of the scenario's faults, by the fault's number.
     pub by_fault: BTreeMap<usize, ServiceCounts>,
 }
 
-/// Counts all calls of a history, and those that were made during each fault.
+/// Counts all calls of a history, and separately those issued during each fault.
 pub fn count_service(records: &[HistoryRecord], weights: &ServiceWeights) -> Service {
     let mut service = Service::default();
     for call in calls(records, weights).values() {
--- a/crates/history-checker/src/service/latency.rs
+++ b/crates/history-checker/src/service/latency.rs
@@ -1,9 +1,9 @@
-//! How long attempts took that were answered.
+//! Latencies of successful attempts.
 
 use crate::event::{AttemptOutcome, HistoryEvent, HistoryRecord};
 use std::collections::BTreeMap;
 
-/// Seconds from sending an attempt to its successful answer, at each of the quantiles (0.5 is the median); none where no
+/// Seconds from sending an attempt to its successful answer, at each of the given quantiles (0.5 is the median); `None` if no
 /// attempt succeeded.
 pub fn latencies<const N: usize>(records: &[HistoryRecord], quantiles: [f64; N]) -> Option<[f64; N]> {
     let mut sent_at = BTreeMap::new();
--- a/crates/history-checker/src/slow_start.rs
+++ b/crates/history-checker/src/slow_start.rs
@@ -1,15 +1,14 @@
-//! The load of warming workers within the window in which they fail from overload: what rule 4 and the fleet's bounds go
-//! by.
+//! The load of warming workers within the overload window, on which rule 4 and the fleet's slow-start bounds are based.
 
 use crate::event::{HistoryEvent, HistoryRecord};
 use crate::rule_parameters::RuleParameters;
 use crate::sliding_window::SlidingWindow;
 use std::collections::BTreeMap;
 
-/// Most requests of mean work within one window that a warming worker may be sent where the settings allow it `allowed` in
-/// the mean: N + 2 √N + 2, under thirty N + 3 √N + 3. The margin is for the random arrival of requests.
+/// The maximum number of requests of mean work that a warming worker may be sent within one window, if the settings allow
+/// N (`allowed`) on average: N + 2 √N + 2, or N + 3 √N + 3 below 30. The margin allows for the random arrival of requests.
 pub fn slow_start_limit(allowed: f64) -> f64 {
-    /// Below this number the margin is wider.
+    /// The margin is wider below this number.
     const SMALL_BUDGET: f64 = 30.0;
     if allowed < SMALL_BUDGET {
         allowed + 3.0 * allowed.sqrt() + 3.0
@@ -18,10 +17,10 @@
     }
 }
 
-/// What a warming worker was sent within the overload window up to an attempt, and what it may be sent.
+/// The load that a warming worker was sent within the overload window that ends with an attempt, and its limits.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartWindow {
-    /// When the attempt was received, in seconds: the end of the window.
+    /// End of the window: the time in seconds at which the attempt was received.
     pub at: f64,
     /// The worker.
     pub worker: usize,
@@ -29,22 +28,22 @@
     pub attempts: usize,
     /// Their work, in seconds of one core of speed 1.
     pub work: f64,
-    /// The work that the settings allow in the mean.
+    /// The work that the settings allow on average.
     pub budget: f64,
-    /// The most work that it may be sent.
+    /// The maximum work that the worker may be sent.
     pub max_work: f64,
-    /// The most attempts that it may be sent.
+    /// The maximum number of attempts that the worker may be sent.
     pub max_attempts: f64,
 }
 
 impl SlowStartWindow {
-    /// Whether the worker was sent more than it may be.
+    /// Whether the worker was sent more than allowed.
     pub fn is_overloaded(&self) -> bool {
         self.work > self.max_work || self.attempts as f64 > self.max_attempts
     }
 }
 
-/// A worker that has started and is not warm yet.
+/// A worker that has started and is not yet warm.
 struct WarmingWorker {
     started: f64,
     capacity: f64,
@@ -52,7 +51,7 @@
 }
 
 impl WarmingWorker {
-    /// The work that the settings allow it within the window, in the mean.
+    /// The work that the settings allow within the window on average.
     fn budget(&self, age: f64, parameters: &RuleParameters) -> f64 {
         let RuleParameters { initial_capacity, warm_up, overload_multiple, overload_window, .. } =
             *parameters;
@@ -61,7 +60,7 @@
     }
 }
 
-/// The mean work of an attempt, over all attempts so far.
+/// The mean work per attempt over all attempts so far.
 #[derive(Default)]
 struct MeanWork {
     work: f64,
@@ -79,7 +78,7 @@
     }
 }
 
-/// Gives `visit` the window of each attempt that a warming worker received.
+/// Calls `visit` with the window of each attempt that a warming worker received.
 pub fn slow_start_windows(
     records: &[HistoryRecord],
     parameters: &RuleParameters,
@@ -119,7 +118,7 @@
     mean_work: f64,
     parameters: &RuleParameters,
 ) -> SlowStartWindow {
-    /// Attempts of mean work beyond the budget that are allowed: of an attempt's work only the mean is known.
+    /// Attempts of mean work allowed beyond the budget, because gateways know only the mean work of an attempt.
     const ATTEMPT_MARGIN: f64 = 3.0;
     state.received.expire(at, parameters.overload_window);
     let budget = state.budget(at - state.started, parameters);
--- a/crates/history-checker/src/violation.rs
+++ b/crates/history-checker/src/violation.rs
@@ -1,12 +1,12 @@
-//! A violation of a rule, as reports print it.
+//! A violation of a rule, as shown in reports.
 
-/// One place of a history where a rule is violated.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// The number of the rule, from 1 to 5.
     pub rule: u8,
-    /// When, in seconds of the history's clock.
+    /// Time in seconds of the history's clock.
     pub at: f64,
-    /// What happened. The texts are part of the JSON report and stay as users know them.
+    /// Description of the violation. The texts are part of the JSON report and must stay stable for its users.
     pub what: String,
 }
--- a/crates/history-checker/src/window_limit.rs
+++ b/crates/history-checker/src/window_limit.rs
@@ -1,12 +1,13 @@
-//! A limit on how often something may be done within a sliding window.
+//! A rate limit over a sliding window.
 
-/// So many are free within the window, and each request that arrives in it earns a part of one more.
+/// A limit on the number of actions within a sliding window: a fixed number, plus a fraction for each request that arrives
+/// within the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowLimit {
     /// Length of the window in seconds.
     pub window: f64,
-    /// How many are free.
+    /// Actions allowed regardless of requests.
     pub free: f64,
-    /// How many a request earns.
+    /// Additional actions earned by each request.
     pub per_request: f64,
 }
--- a/crates/history-checker/tests/correct_history/mod.rs
+++ b/crates/history-checker/tests/correct_history/mod.rs
@@ -1,11 +1,11 @@
-//! A correct history to put faults into, and the events of workers and of the registry.
+//! A correct history into which tests inject faults, and builders for the events of workers and of the registry.
 
 use crate::records::{call, ended, record, sent};
 use milletpath_history_checker::{
     AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency, RuleParameters, WindowLimit,
 };
 
-/// The rules that the tests check by.
+/// The rule parameters that the tests use.
 pub const PARAMETERS: RuleParameters = RuleParameters {
     drain_grace: 1.0,
     initial_capacity: 0.2,
@@ -36,7 +36,7 @@
     HistoryEvent::WorkerStarted { worker, capacity, warm }
 }
 
-/// Two workers, the second started at 0.5 s and drained at 5 s; a call of each idempotency, all in order.
+/// Two workers, of which the second starts at 0.5 s and drains at 5 s, and one call of each idempotency without violations.
 pub fn correct_history() -> Vec<HistoryRecord> {
     let mut events = vec![
         (0.0, started(0, 2.0, true)),
@@ -59,7 +59,7 @@
     events.into_iter().map(|(at, event)| record(at, event)).collect()
 }
 
-/// The correct history with more events, in the order of time.
+/// The correct history with additional events, in chronological order.
 pub fn correct_history_with(more: Vec<(f64, HistoryEvent)>) -> Vec<HistoryRecord> {
     let mut history = correct_history();
     history.extend(more.into_iter().map(|(at, event)| record(at, event)));
--- a/crates/history-checker/tests/records/mod.rs
+++ b/crates/history-checker/tests/records/mod.rs
@@ -1,4 +1,4 @@
-//! Records of clients' calls at gateway 0.
+//! Builders for the records of client calls at gateway 0.
 
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency};
 
--- a/crates/history-checker/tests/rules.rs
+++ b/crates/history-checker/tests/rules.rs
@@ -1,5 +1,5 @@
-//! A correct history violates no rule, and for each rule there are histories that violate it: the correct one with a
-//! fault in one place.
+//! A correct history violates no rule. For each rule there are histories that violate it: the correct one with one injected
+//! fault.
 
 mod correct_history;
 mod records;
@@ -26,13 +26,13 @@
 #[test_case(1, vec![(6.0, call(9, Idempotency::Idempotent)), (6.0, sent(9, 0)), (6.5, HistoryEvent::GatewayPaused { gateway: 0 }), (7.0, HistoryEvent::GatewayResumed { gateway: 0 }), (9.0, ended(9, AttemptOutcome::Unanswered))]; "no answer long after a pause")]
 #[test_case(1, vec![(1.3, ended(0, AttemptOutcome::Rejected))]; "two answers")]
 #[test_case(1, vec![(1.5, received(0, 0))]; "an attempt after the answer")]
-#[test_case(1, vec![(6.0, ended(77, AttemptOutcome::Succeeded))]; "an answer to nothing")]
-#[test_case(2, vec![(2.15, executed(1, 0))]; "a call with an idempotency key runs twice")]
-#[test_case(2, vec![(3.15, executed(2, 0))]; "a call that is not idempotent runs twice")]
-#[test_case(2, vec![(6.0, call(9, Idempotency::NonIdempotent)), (6.0, sent(9, 0)), (6.1, executed(9, 0)), (6.2, ended(9, AttemptOutcome::Rejected))]; "a rejection of what has run")]
-#[test_case(2, vec![(6.0, call(9, Idempotency::NonIdempotent)), (6.0, sent(9, 0)), (6.1, ended(9, AttemptOutcome::Rejected)), (6.12, executed(9, 0))]; "a rejection of what runs later")]
-#[test_case(3, vec![(6.2, received(2, 1))]; "an attempt after the grace")]
-#[test_case(3, vec![(6.2, load_requested(1))]; "a load request after the grace")]
+#[test_case(1, vec![(6.0, ended(77, AttemptOutcome::Succeeded))]; "an answer without an attempt")]
+#[test_case(2, vec![(2.15, executed(1, 0))]; "a call with an idempotency key is executed twice")]
+#[test_case(2, vec![(3.15, executed(2, 0))]; "a call that is not idempotent is executed twice")]
+#[test_case(2, vec![(6.0, call(9, Idempotency::NonIdempotent)), (6.0, sent(9, 0)), (6.1, executed(9, 0)), (6.2, ended(9, AttemptOutcome::Rejected))]; "a rejection after the execution")]
+#[test_case(2, vec![(6.0, call(9, Idempotency::NonIdempotent)), (6.0, sent(9, 0)), (6.1, ended(9, AttemptOutcome::Rejected)), (6.12, executed(9, 0))]; "a rejection before the execution")]
+#[test_case(3, vec![(6.2, received(2, 1))]; "an attempt after the grace period")]
+#[test_case(3, vec![(6.2, load_requested(1))]; "a load request after the grace period")]
 #[test_case(4, (0..40).map(|n| (0.7 + 0.001 * f64::from(n), received(90, 1))).collect(); "a burst at a warming worker")]
 #[test_case(5, vec![(4.1, load_requested(0)), (4.2, load_requested(0))]; "load requests beyond the limit")]
 fn each_rule_has_histories_that_violate_it(rule: u8, more: Vec<(f64, HistoryEvent)>) {
@@ -40,11 +40,11 @@
     assert!(violations.iter().any(|violation| violation.rule == rule), "{violations:?}");
 }
 
-/// Where observations may be two seconds late: of a client that closed, an attempt over 0.1 s later is found all the same;
-/// of one that was answered it may have been on its way.
+/// With a tolerance of two seconds for late observations, an attempt sent more than 0.1 s after the client left is still
+/// detected. After an answer it is not reported, because the attempt may already have been under way.
 #[test_case(AttemptOutcome::Abandoned, 0.15, true; "the client closed")]
-#[test_case(AttemptOutcome::Unanswered, 0.15, true; "the client gave up")]
-#[test_case(AttemptOutcome::Abandoned, 0.05, false; "the client closed a moment ago")]
+#[test_case(AttemptOutcome::Unanswered, 0.15, true; "the client timed out")]
+#[test_case(AttemptOutcome::Abandoned, 0.05, false; "the client has only just closed")]
 #[test_case(AttemptOutcome::Succeeded, 0.15, false; "the client was answered")]
 fn an_attempt_for_a_client_that_has_gone_is_found_despite_tolerance(
     outcome: AttemptOutcome,
@@ -62,26 +62,27 @@
     assert_eq!(violations.iter().any(is_late), found, "{violations:?}");
 }
 
-/// What looks like a violation and is none.
+/// Events that resemble violations of rules 2 to 5 are not reported. Some of the cases send an attempt after its answer,
+/// which violates rule 1 only.
 #[test_case(vec![(6.0, sent(9, 0)), (6.0, call(9, Idempotency::Idempotent)), (7.0, HistoryEvent::GatewayKilled { gateway: 0 }), (7.1, ended(9, AttemptOutcome::ConnectionLost))]; "its gateway was killed")]
 #[test_case(vec![(6.0, call(9, Idempotency::Idempotent)), (6.0, sent(9, 0)), (8.0, HistoryEvent::GatewayPaused { gateway: 0 }), (9.0, ended(9, AttemptOutcome::Unanswered)), (9.5, HistoryEvent::GatewayResumed { gateway: 0 })]; "its gateway is paused")]
-#[test_case(vec![(5.9, received(2, 1))]; "an attempt within the grace, for a call that is over")]
+#[test_case(vec![(5.9, received(2, 1))]; "an attempt within the grace period, for a call that has ended")]
 #[test_case(vec![(6.0, endpoint_notified(1, true)), (7.2, load_requested(1))]; "the worker is ready again")]
-#[test_case(vec![(1.15, executed(0, 0))]; "an idempotent call runs twice")]
+#[test_case(vec![(1.15, executed(0, 0))]; "an idempotent call is executed twice")]
 #[test_case((0..40).map(|n| (0.7 + 0.001 * f64::from(n), received(90, 0))).collect(); "a burst at a warm worker")]
 fn lookalikes_violate_no_rule_but_the_first(more: Vec<(f64, HistoryEvent)>) {
     let violations = check(&correct_history_with(more), &PARAMETERS);
     assert!(violations.iter().all(|v| v.rule == 1 && v.what.contains("later gateway")), "{violations:?}");
 }
 
-/// A warming worker that may be sent 64 requests of mean work, by any number of gateways: one request over the bound is
-/// found, also where the requests that it is sent are light ones.
-#[test_case(1, 0.01, 82, false; "one gateway, as many light calls as there may be")]
-#[test_case(1, 0.01, 83, true; "one gateway, one light call more")]
-#[test_case(24, 0.01, 83, true; "two dozen gateways, one light call more")]
-#[test_case(300, 0.01, 83, true; "three hundred gateways, one light call more")]
-#[test_case(1, 0.1, 66, false; "one gateway, as many calls of mean work as there may be")]
-#[test_case(1, 0.1, 69, true; "one gateway, calls of mean work past chance")]
+/// A warming worker may be sent 64 requests of mean work by any number of gateways. One request beyond the bound is
+/// detected, even if the requests are light.
+#[test_case(1, 0.01, 82, false; "one gateway, as many light calls as allowed")]
+#[test_case(1, 0.01, 83, true; "one gateway, one light call too many")]
+#[test_case(24, 0.01, 83, true; "24 gateways, one light call too many")]
+#[test_case(300, 0.01, 83, true; "300 gateways, one light call too many")]
+#[test_case(1, 0.1, 66, false; "one gateway, as many calls of mean work as allowed")]
+#[test_case(1, 0.1, 69, true; "one gateway, too many calls of mean work")]
 fn overload_of_a_warming_worker_is_found_for_any_number_of_gateways(
     gateways: usize,
     work: f64,
@@ -94,10 +95,10 @@
     assert_eq!(violations.iter().any(|violation| violation.rule == 4), found, "{violations:?}");
 }
 
-/// Worker 1 starts at 1 s and is sent so many calls within a fraction of a second.
+/// Worker 1 starts at 1 s and is sent `calls` calls within a fraction of a second.
 fn warming_worker_history(gateways: usize, work: f64, calls: usize) -> Vec<HistoryRecord> {
     let mut history = vec![record(0.0, started(0, 1e3, true))];
-    // Thousands of calls elsewhere, so that the mean work is known to a hundredth: 0.1 s.
+    // Many calls to another worker keep the mean work within a hundredth of 0.1 s.
     history.extend((0..200_000).map(|call| record(0.1, received(call, 0))));
     history.push(record(1.0, started(1, 16.0, false)));
     let warming = |n: usize| {
@@ -108,7 +109,7 @@
     history
 }
 
-/// The limit of the standing test: N + 2 √N + 2, under thirty N + 3 √N + 3.
+/// The limit is N + 2 √N + 2, or N + 3 √N + 3 below 30.
 #[test_case(0.0, 3.0)]
 #[test_case(4.0, 13.0)]
 #[test_case(25.0, 43.0)]
--- a/crates/history-checker/tests/same_verdicts.rs
+++ b/crates/history-checker/tests/same_verdicts.rs
@@ -1,6 +1,6 @@
-//! A recorded history with faults of every kind gives the verdicts that it gave before: violations with their texts, counts
-//! of service, bounds and what the gateways knew of each other, all in the form in which `milletpath day --json` prints
-//! them. The history itself is in the stored form of `milletpath day --records`.
+//! A recorded history that contains faults of every kind yields the recorded verdicts: violations with their texts, service
+//! counts, bounds and membership observations, in the format of `milletpath day --json`. The history is stored in the format
+//! of `milletpath day --records`.
 
 use milletpath_history_checker::{
     BoundReport, HistoryRecord, RuleParameters, ServiceCounts, ServiceWeights, SharedBudgetBounds,
@@ -48,7 +48,7 @@
     })
 }
 
-/// The times of the first places of each bound; the reports print them, the JSON leaves them out.
+/// The times of the first violations of each bound, which printed reports contain and the JSON report omits.
 fn violation_times(bounds: &BTreeMap<&'static str, BoundReport>) -> Value {
     let times =
         |bound: &BoundReport| bound.first_violations.iter().map(|violation| violation.at).collect::<Vec<_>>();
@@ -83,7 +83,7 @@
     assert_eq!(verdicts, expected, "{verdicts:#}");
 }
 
-/// The fixture is worth something only if every rule and every bound is broken in it.
+/// The comparison with the recorded verdicts covers a rule or a bound only if the fixture violates it.
 #[test]
 fn the_faulty_history_violates_every_rule_and_every_bound() {
     let history = history();
@@ -96,7 +96,7 @@
     }
 }
 
-/// Histories that users have stored stay readable, and are written as before.
+/// Stored histories remain readable, and the format in which they are written does not change.
 #[test]
 fn stored_records_round_trip_unchanged() {
     for (line, record) in HISTORY.lines().zip(history()) {
@@ -106,7 +106,7 @@
     assert_eq!(event_names.len(), 17, "{event_names:?}");
 }
 
-/// The word by which a stored line names its kind of event.
+/// The name of the event in a stored line.
 fn event_name(line: &str) -> Option<&str> {
     let after = line.split_once("\"saw\":")?.1;
     after.trim_start_matches('{').split('"').nth(1)
--- a/crates/history-checker/tests/service.rs
+++ b/crates/history-checker/tests/service.rs
@@ -1,4 +1,4 @@
-//! How service and latencies are counted.
+//! How service and latencies are computed.
 
 mod records;
 
@@ -7,7 +7,7 @@
 };
 use records::{call, ended, record, sent};
 
-/// The first attempt of call 1 is rejected at 0.5 s; its second one is sent and succeeds at the given times.
+/// The first attempt of call 1 is rejected at 0.5 s; the second is sent and succeeds at the given times.
 fn retried_call(retried_at: f64, succeeded_at: f64) -> Vec<HistoryRecord> {
     let outcome = AttemptOutcome::Succeeded;
     vec![
@@ -19,7 +19,7 @@
     ]
 }
 
-/// A client's retry counts with its first attempt: the call has lasted since that one.
+/// The latency of a retried call is measured from its first attempt.
 #[test]
 fn service_counts_from_the_first_attempt() {
     let weights = ServiceWeights { late: 0.1, quotas: vec![], over_quota: 1.0 };
@@ -35,7 +35,7 @@
     assert_eq!((counts.importance, counts.unanswered), (4.0 + 6.0 * 0.5, 10));
 }
 
-/// Of a call that was attempted twice the attempt that succeeded counts, from when it was sent.
+/// For a call with two attempts, the latency is that of the successful attempt, from the time at which it was sent.
 #[test]
 fn latencies_are_of_attempts_that_succeeded() {
     let mut history = retried_call(1.0, 1.25);
