--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! Errors of the wire. Any of them ends the process, which has no way to recover its place in the stream.
+//! Errors of the wire protocol. Every error ends the process, because it cannot resynchronise with the stream.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the input cannot be answered.
+/// An error that prevents the process from answering its input.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// Standard input failed.
+    /// Reading standard input failed.
     #[error("the input cannot be read: {0}")]
     Read(io::Error),
-    /// Standard output failed.
+    /// Writing standard output failed.
     #[error("the output cannot be written: {0}")]
     Write(io::Error),
     /// The input ends before a frame's header is complete.
@@ -20,21 +20,21 @@
     TruncatedFrame {
         /// Bytes that were read.
         read: usize,
-        /// Length that the header states.
+        /// Frame length in the header.
         length: usize,
     },
-    /// A header states more records than its frame can hold.
+    /// A header announces more records than its frame can hold.
     #[error("a frame of {length} bytes cannot hold {count} records")]
     TooManyRecords {
-        /// Length that the header states.
+        /// Frame length in the header.
         length: usize,
-        /// Records that the header states.
+        /// Number of records in the header.
         count: usize,
     },
     /// A field refers to bytes beyond the tail of its frame.
     #[error("a field points beyond its frame's tail")]
     BeyondTail,
-    /// A worker list states more entries than can be addressed.
+    /// The byte length of a worker list overflows.
     #[error("a worker list of impossible length")]
     ListTooLong,
     /// An event refers to a worker list that was never sent.
@@ -52,7 +52,7 @@
     /// An unknown state of a worker.
     #[error("{0} is no state of a worker")]
     UnknownWorkerState(u8),
-    /// A load report with more values than the wire has room for.
+    /// A load report with more values than the wire format allows.
     #[error("a load report of {0} values")]
     ReportTooLong(usize),
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Decodes the events that concern one instance. Offsets are from the start of the record.
+//! Decodes event records and the entries of worker lists. Offsets are relative to the start of the record.
 
 use crate::error::WireError;
 use crate::record::Record;
@@ -7,10 +7,10 @@
     AttemptCompletion, EndpointState, EndpointUpdate, InstanceState, LoadReport, Outcome,
 };
 
-/// Bytes of an entry of a worker list.
+/// Size in bytes of an entry of a worker list.
 pub const ENTRY_BYTES: usize = 21;
 
-/// Codes of the events.
+/// Event codes.
 pub mod code {
     pub const START: u8 = 10;
     pub const LIST_UPDATED: u8 = 20;
@@ -26,10 +26,10 @@
     pub const WORKER_LIST: u8 = 120;
 }
 
-/// Values in a load report at most.
+/// Maximum number of values in a load report.
 const MAX_REPORT_VALUES: usize = 4;
 
-/// Bytes of a value in a load report.
+/// Size in bytes of a value in a load report.
 const REPORT_VALUE_BYTES: usize = 4;
 
 /// The code of an event.
@@ -37,12 +37,12 @@
     record.u8(0)
 }
 
-/// The instance that an event concerns. Worker lists concern none.
+/// The instance that an event belongs to. Worker lists belong to the whole process and have no such field.
 pub fn instance_of(record: Record<'_>) -> u16 {
     record.u16(1)
 }
 
-/// Whether a code is one of those that [`Event::decode`] knows.
+/// Whether a code denotes an event of a running instance, other than a list update.
 pub fn is_instance_event(code: u8) -> bool {
     matches!(
         code,
@@ -62,7 +62,7 @@
 pub struct Start {
     /// Seed of its random numbers.
     pub seed: u64,
-    /// Place of its settings in the tail.
+    /// Offset of its settings in the tail.
     pub settings_offset: u32,
     /// Length of its settings in bytes.
     pub settings_length: usize,
@@ -79,13 +79,13 @@
     }
 }
 
-/// A numbered worker list, which list updates refer to.
+/// A numbered worker list, to which list updates refer.
 pub struct WorkerList {
-    /// Number of the list. A new list replaces the one of the same number.
+    /// Number of the list. A new list replaces an earlier one with the same number.
     pub number: u32,
-    /// Place of its entries in the tail.
+    /// Offset of its entries in the tail.
     pub offset: u32,
-    /// Length of all entries in bytes.
+    /// Total length of its entries in bytes.
     pub length: usize,
 }
 
@@ -101,11 +101,11 @@
 /// What a list update contains, relative to the worker list of the instance.
 #[derive(Clone, Copy)]
 pub enum ListMode {
-    /// Changed entries only.
+    /// Only the changed entries.
     Delta,
-    /// The complete list, current or as last held.
+    /// The complete list, either current or cached.
     Full,
-    /// A subscription or a poll failed; the previous list stays in force.
+    /// A subscription or a poll failed; the previous list remains valid.
     Failed,
 }
 
@@ -113,22 +113,22 @@
 pub struct ListUpdated {
     /// Code of the mode; see [`ListUpdated::mode`].
     mode: u8,
-    /// Number of the worker list with the entries; void for [`ListMode::Failed`].
+    /// Number of the worker list with the entries; meaningless for [`ListMode::Failed`].
     pub list: u32,
 }
 
 impl ListUpdated {
-    /// Decodes the event but for its mode.
+    /// Decodes the event except for its mode.
     pub fn decode(record: Record<'_>) -> Self {
         Self { mode: record.u8(3), list: record.u32(12) }
     }
 
-    /// Whether the update reports a failed subscription or poll, and has no entries.
+    /// Whether the update reports a failed subscription or poll and has no entries.
     pub fn is_failure(&self) -> bool {
         matches!(self.mode(), Ok(ListMode::Failed))
     }
 
-    /// Decodes the mode, which matters only to an instance that runs.
+    /// Decodes the mode. It is validated only for a running instance.
     pub fn mode(&self) -> Result<ListMode, WireError> {
         match self.mode {
             0 => Ok(ListMode::Delta),
@@ -141,9 +141,9 @@
 
 /// A request arrives.
 pub struct RequestArrived {
-    /// Id of the request.
+    /// ID of the request.
     pub request: u64,
-    /// Id of the function.
+    /// ID of the function.
     pub function: u64,
     /// Index of its class.
     pub profile: usize,
@@ -151,13 +151,13 @@
     pub client: usize,
     /// Seconds until the client gives up.
     pub timeout: f64,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Requests that one instance of the function runs at a time.
+    /// Requests that one instance of the function executes concurrently.
     pub concurrency: f64,
     /// Memory of one instance of the function, in MB.
     pub memory: f64,
-    /// Usual load time of the function in seconds, if the site reports it.
+    /// Usual load time of the function in seconds, if reported.
     pub load_time: Option<f64>,
 }
 
@@ -181,58 +181,58 @@
     }
 }
 
-/// An event of an instance that runs.
+/// An event of a running instance.
 pub enum Event {
     /// A request arrives.
     RequestArrived(RequestArrived),
-    /// An attempt's response begins: the attempt now belongs to the client.
+    /// An attempt's response has started to stream to the client, so the router closes the request.
     StreamStarted {
-        /// Id of the request.
+        /// ID of the request.
         request: u64,
         /// Index of the attempt.
         attempt: usize,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Id of the request.
+        /// ID of the request.
         request: u64,
-        /// How it ended.
+        /// How the attempt ended.
         completion: AttemptCompletion,
     },
-    /// The client of a request left.
+    /// The client of a request has disconnected.
     ClientGone {
-        /// Id of the request.
+        /// ID of the request.
         request: u64,
     },
     /// A timer fired.
     TimerFired,
     /// A health check ended.
     HealthCheckEnded {
-        /// Id of the worker.
+        /// ID of the worker.
         worker: u32,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// The load report that came with it.
+        /// The load report in the response, if any.
         report: Option<LoadReport>,
     },
-    /// Another instance sent a message. No router here sends any.
+    /// Another instance sent a message. The adapter's routers send none, so it is ignored.
     PeerMessage,
     /// A load request ended.
     LoadRequestEnded {
-        /// Id of the worker.
+        /// ID of the worker.
         worker: u32,
-        /// Id of the function.
+        /// ID of the function.
         function: u64,
-        /// How it ended.
+        /// Outcome of the load request.
         outcome: Outcome,
-        /// Instances that are loaded now.
+        /// Number of instances now loaded.
         instances: u8,
     },
 }
 
 impl Event {
-    /// Decodes an event other than [`Start`], [`ListUpdated`] and a stop. `report_values` are the names of the values in
-    /// a load report.
+    /// Decodes an event other than [`Start`], [`ListUpdated`], [`WorkerList`] and a stop. `report_values` are the names of the
+    /// values in a load report.
     #[inline]
     pub fn decode(record: Record<'_>, report_values: &[String]) -> Result<Self, WireError> {
         Ok(match code_of(record) {
@@ -265,8 +265,8 @@
 
 #[inline]
 fn attempt_completion(record: Record<'_>, report_values: &[String]) -> Result<AttemptCompletion, WireError> {
-    /// The wire's `Note` holds the state of the instance in its low bits, and above them the requests of the same
-    /// function that the worker had in flight.
+    /// Width of the instance state in the low bits of the wire's `Note` field. The higher bits hold the number of requests of
+    /// the same function that the worker had in flight.
     const STATE_BITS: u32 = 3;
     let note = record.u8(16);
     Ok(AttemptCompletion {
@@ -301,7 +301,7 @@
     })
 }
 
-/// The load report at an offset; `None` if it holds no values.
+/// Decodes the load report at an offset; `None` if it has no values.
 fn load_report(
     record: Record<'_>,
     offset: usize,
@@ -321,9 +321,9 @@
 
 /// An entry of a worker list.
 pub struct Entry {
-    /// Id of the worker.
+    /// ID of the worker.
     pub worker: u32,
-    /// When its process started, in microseconds of the wire's clock; `None` means long ago.
+    /// When its process started, in microseconds of the wire's clock; `None` means that it has long been running.
     pub started: Option<u64>,
     cell: usize,
     size: f64,
@@ -351,7 +351,7 @@
         })
     }
 
-    /// The entry as the decisions have it: the worker under its index, its start in seconds of the router's clock.
+    /// Converts the entry to the policy's type, with the worker's index and its start in seconds of the router's clock.
     pub fn to_update(&self, worker: usize, started_at: Option<f64>) -> EndpointUpdate {
         EndpointUpdate {
             worker,
--- a/crates/simulator-adapter/src/event_batch.rs
+++ b/crates/simulator-adapter/src/event_batch.rs
@@ -1,4 +1,4 @@
-//! Reads frames of events: a header, records of fixed size, and one tail for what varies in length.
+//! Reads frames of events: a header, fixed-size records, and a tail for variable-length data.
 
 use crate::error::WireError;
 use crate::record::Record;
@@ -7,16 +7,16 @@
 const HEADER_BYTES: usize = 16;
 const EVENT_BYTES: usize = 48;
 
-/// Offsets in the header.
+/// Offsets of the fields in the header.
 const LENGTH: usize = 0;
 const COUNT: usize = 4;
 const CLOCK: usize = 8;
 
-/// One frame of events, all of which happen at one time.
+/// A frame of events, all of which have the same time.
 pub struct EventBatch {
     bytes: Vec<u8>,
     count: usize,
-    /// Time of all events, in microseconds from an arbitrary origin.
+    /// Time of all events, in microseconds since an arbitrary origin.
     pub clock: u64,
 }
 
@@ -45,7 +45,7 @@
         Ok(Some(Self { bytes, count, clock }))
     }
 
-    /// The events in the order of the frame.
+    /// The events, in the order of the frame.
     pub fn events(&self) -> impl Iterator<Item = Record<'_>> {
         self.bytes[HEADER_BYTES..].chunks_exact(EVENT_BYTES).take(self.count).map(Record)
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Appends up to `count` bytes of the input; fewer only where it ends.
+/// Appends up to `count` bytes of the input; fewer only if the input ends.
 fn read_up_to(input: &mut impl Read, bytes: &mut Vec<u8>, count: usize) -> Result<(), WireError> {
     input.take(count as u64).read_to_end(bytes).map(|_| ()).map_err(WireError::Read)
 }
--- a/crates/simulator-adapter/src/id_map.rs
+++ b/crates/simulator-adapter/src/id_map.rs
@@ -1,9 +1,9 @@
-//! Ids of the wire under the small indices by which the decisions go.
+//! Maps IDs of the wire protocol to the small indices that the routing decisions use.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Assigns indices to ids. An index is used again once it is released.
+/// Assigns indices to IDs. Released indices are reused.
 pub struct IdMap<T> {
     indices: HashMap<T, usize>,
     ids: Vec<T>,
@@ -11,22 +11,22 @@
 }
 
 impl<T: Copy + Eq + Hash> IdMap<T> {
-    /// An empty map.
+    /// Creates an empty map.
     pub fn new() -> Self {
         Self { indices: HashMap::new(), ids: Vec::new(), free: Vec::new() }
     }
 
-    /// The index of an id, if it has one.
+    /// The index of an ID, if it has one.
     pub fn index(&self, id: T) -> Option<usize> {
         self.indices.get(&id).copied()
     }
 
-    /// The id that was last assigned to an index.
+    /// The ID that was last assigned to an index.
     pub fn id(&self, index: usize) -> T {
         self.ids[index]
     }
 
-    /// The index of an id, assigned if it has none.
+    /// The index of an ID; assigns one if the ID has none.
     pub fn assign(&mut self, id: T) -> usize {
         if let Some(index) = self.index(id) {
             return index;
@@ -41,7 +41,7 @@
         index
     }
 
-    /// Releases an index for use by another id.
+    /// Releases an index for use by another ID.
     pub fn release(&mut self, index: usize) {
         if self.indices.remove(&self.ids[index]).is_some() {
             self.free.push(index);
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One router with the ids that it goes by on the wire. Instances share nothing.
+//! A router and the mapping between its indices and the IDs on the wire. Instances share no state.
 
 use crate::error::WireError;
 use crate::event::{ENTRY_BYTES, Entry, Event, ListMode, RequestArrived};
@@ -9,17 +9,17 @@
 use milletpath_platform_settings::SettingsError;
 use milletpath_policy::{Arrival, Effects, Router};
 
-/// A router that runs.
+/// A running router.
 pub struct Instance {
     router: Router,
     context: WireContext,
 }
 
-/// What translates between the router and the wire.
+/// State for translating between the router and the wire.
 struct WireContext {
     /// The instance's number on the wire.
     instance: u16,
-    /// The wire's clock at the start, in microseconds; the router's seconds count from here.
+    /// The wire's clock in microseconds when the router started; the router's clock starts here at zero.
     origin: u64,
     /// Names of the values in a load report.
     report_values: Vec<String>,
@@ -40,18 +40,18 @@
         }
     }
 
-    /// Seconds of the router's clock.
+    /// Converts the wire's clock to seconds of the router's clock.
     fn now(&self, clock: u64) -> f64 {
         clock.saturating_sub(self.origin) as f64 / MICROSECONDS
     }
 
-    /// When a worker started, in seconds of the router's clock: below zero if it did before the router.
+    /// Converts a worker's start to seconds of the router's clock; negative if the worker started before the router.
     fn started_at(&self, clock: u64) -> f64 {
         (clock as f64 - self.origin as f64) / MICROSECONDS
     }
 }
 
-/// Encodes the router's effects during one event as actions of a reply.
+/// Encodes the effects that the router requests while it handles an event as actions of a reply.
 struct ReplyEffects<'a> {
     context: &'a mut WireContext,
     reply: &'a mut Reply,
@@ -113,7 +113,7 @@
 }
 
 impl Instance {
-    /// Starts a router; the error names what is wrong with the settings.
+    /// Starts a router; fails if the settings are invalid.
     pub fn start(
         instance: u16,
         seed: u64,
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// Applies any other event.
+    /// Applies any other event. Events for unknown requests, workers or functions are ignored.
     pub fn apply(&mut self, clock: u64, record: Record<'_>, reply: &mut Reply) -> Result<(), WireError> {
         let event = Event::decode(record, &self.context.report_values)?;
         let now = self.context.now(clock);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Connects the routing decisions to the simulator: frames of events come on standard input, one reply of actions goes
-//! to standard output for each. It decodes, encodes and maps ids; every decision is made by `milletpath_policy`.
+//! Connects the routing decisions to a simulator: reads frames of events from standard input and writes a reply of actions to
+//! standard output for each frame. The adapter only decodes, encodes and maps IDs; all decisions are made by
+//! `milletpath_policy`.
 
 mod error;
 mod event;
@@ -26,7 +27,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Answers batches of events until the input ends.
 fn serve() -> Result<(), WireError> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -1,9 +1,9 @@
-//! Fields of a little-endian record, read by their offset.
+//! Access to the fields of a little-endian record by offset.
 
 /// Microseconds in a second.
 pub const MICROSECONDS: f64 = 1e6;
 
-/// The bytes of an event or of an entry of a worker list. The caller ensures that an offset lies within the record.
+/// The bytes of an event or of an entry of a worker list. Callers must ensure that offsets lie within the record.
 #[derive(Clone, Copy)]
 pub struct Record<'a>(pub &'a [u8]);
 
@@ -39,7 +39,7 @@
         f64::from(f32::from_le_bytes(self.bytes(offset)))
     }
 
-    /// The time span at an offset, in seconds; the wire has microseconds.
+    /// The duration at an offset, converted from the wire's microseconds to seconds.
     pub fn seconds(self, offset: usize) -> f64 {
         f64::from(self.u32(offset)) / MICROSECONDS
     }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,4 +1,4 @@
-//! Encodes the reply to a batch: records of actions and one tail for their texts.
+//! Encodes the reply to a batch: action records and a tail for their texts.
 
 use crate::record::MICROSECONDS;
 use std::io::{self, Write};
@@ -6,7 +6,7 @@
 const HEADER_BYTES: usize = 8;
 const ACTION_BYTES: usize = 24;
 
-/// Codes of the actions.
+/// Action codes.
 mod code {
     pub const CANCEL_ATTEMPT: u8 = 10;
     pub const REJECT: u8 = 20;
@@ -20,7 +20,7 @@
     pub const WATCH_LIST: u8 = 130;
 }
 
-/// The actions of one reply. Requests, functions and workers go by the ids of the wire.
+/// The actions of a reply. Requests, functions and workers are identified by their IDs on the wire.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -29,7 +29,7 @@
 }
 
 impl Reply {
-    /// Sends an attempt of a request, which is abandoned at `deadline` of the wire's clock in microseconds.
+    /// Sends an attempt of a request, to be abandoned at `deadline`, in microseconds of the wire's clock.
     pub fn send_attempt(&mut self, instance: u16, request: u64, worker: u32, deadline: u64) {
         let fields: [&[u8]; 3] = [&request.to_le_bytes(), &worker.to_le_bytes(), &deadline.to_le_bytes()];
         self.action(code::SEND_ATTEMPT, instance, &fields);
@@ -40,7 +40,7 @@
         self.action(code::CANCEL_ATTEMPT, instance, &[&request.to_le_bytes(), &attempt.to_le_bytes()]);
     }
 
-    /// Rejects a request; the client is asked to wait `retry_after` seconds, 0 for no such advice.
+    /// Rejects a request; asks the client to wait `retry_after` seconds, or gives no advice if it is 0.
     pub fn reject(&mut self, instance: u16, request: u64, retry_after: f64) {
         self.action(code::REJECT, instance, &[&request.to_le_bytes(), &microseconds_u32(retry_after)]);
     }
@@ -50,7 +50,7 @@
         self.action(code::FAIL, instance, &[&request.to_le_bytes()]);
     }
 
-    /// Requests that a worker hold at least so many instances of a function.
+    /// Requests a worker to hold at least `instances` instances of a function.
     pub fn request_load(&mut self, instance: u16, worker: u32, function: u64, instances: u8) {
         let fields: [&[u8]; 3] = [&worker.to_le_bytes(), &function.to_le_bytes(), &[instances]];
         self.action(code::REQUEST_LOAD, instance, &fields);
@@ -66,7 +66,7 @@
         self.action(code::HEALTH_CHECK, instance, &[&worker.to_le_bytes()]);
     }
 
-    /// Sets a timer that fires after so many seconds.
+    /// Sets a timer that fires after `after` seconds.
     pub fn set_timer(&mut self, instance: u16, after: f64) {
         self.action(code::SET_TIMER, instance, &[&microseconds_u32(after)]);
     }
@@ -84,7 +84,7 @@
         self.action(code::FATAL, instance, &[&offset.to_le_bytes(), &length.to_le_bytes()]);
     }
 
-    /// Adds an action with its fields in order.
+    /// Appends an action with its fields in order.
     fn action(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
@@ -106,12 +106,12 @@
     }
 }
 
-/// Whole microseconds of a time in seconds; nothing below zero.
+/// Converts seconds to microseconds, rounded and clamped to zero.
 pub fn microseconds(seconds: f64) -> u64 {
     (seconds * MICROSECONDS).round().max(0.0) as u64
 }
 
-/// A time span as the wire has it; one that is too long becomes the longest possible.
+/// Encodes a duration as 32-bit microseconds; a longer duration saturates.
 fn microseconds_u32(seconds: f64) -> [u8; 4] {
     u32::try_from(microseconds(seconds)).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! All instances of the process and the worker lists that they refer to.
+//! All instances of the process and their worker lists.
 
 use crate::error::WireError;
 use crate::event::{ListUpdated, Start, WorkerList, code, code_of, instance_of, is_instance_event};
@@ -17,7 +17,7 @@
 }
 
 impl Session {
-    /// Applies a batch; the reply holds the actions of all instances.
+    /// Applies a batch and returns the actions of all instances.
     pub fn answer(&mut self, batch: &EventBatch) -> Result<Reply, WireError> {
         let mut reply = Reply::default();
         let mut events: Vec<Record<'_>> = batch.events().collect();
@@ -45,7 +45,7 @@
             }
             code => match self.instances.get_mut(&instance) {
                 Some(instance) => instance.apply(batch.clock, event, reply),
-                // An event of an instance that is stopped or never started is skipped.
+                // Events of instances that were stopped or never started are ignored.
                 None if is_instance_event(code) => Ok(()),
                 None => Err(WireError::UnknownEvent(code)),
             },
@@ -91,8 +91,8 @@
     }
 }
 
-/// Moves worker lists and their updates before the other events. All events of a batch happen at one time, so every decision
-/// of the batch uses the updated lists. Starts and stops keep their position.
+/// Moves worker lists and their updates before the other events. All events of a batch have the same time, so every decision
+/// in the batch uses the updated lists. Starts and stops keep their positions.
 fn move_lists_first(events: &mut [Record<'_>]) {
     let is_boundary = |event: &Record<'_>| matches!(code_of(*event), code::START | code::STOP);
     let is_list = |event: &Record<'_>| matches!(code_of(*event), code::LIST_UPDATED | code::WORKER_LIST);
--- a/crates/simulator-adapter/tests/dialogue.rs
+++ b/crates/simulator-adapter/tests/dialogue.rs
@@ -1,6 +1,6 @@
-//! A long dialogue with every event, every outcome and every action that a decision asks for. The adapter's output is compared byte for byte with
-//! that of the first recording, by a hash: a change of the codec or of the decisions shows here. Whoever changes a
-//! decision on purpose records it anew and says so in the commit.
+//! A long dialogue that covers every event, every outcome and every action that the decisions produce. A hash compares the
+//! adapter's output byte for byte with the recorded one, so any change of the codec or of the decisions fails the test. A
+//! commit that changes a decision on purpose records the new values and states so.
 
 mod wire_rig;
 
@@ -25,14 +25,14 @@
 const INSTANCES: [u16; 2] = [3, 4];
 const WORKERS: [u32; 4] = [0x2c90_11f2, 0x0312_4a07, 0x1111_1111, 0x2222_2222];
 
-/// Outcomes, the most frequent ones several times.
+/// Outcomes of attempts, weighted by repetition.
 const OUTCOMES: [u16; 16] = [200, 200, 200, 200, 200, 200, 200, 200, 502, 429, 429, 408, 521, 520, 409, 204];
 
-/// What the recording gave.
+/// The hash and the length of the recorded output.
 const RECORDED_HASH: u64 = 4_571_347_363_945_651_556;
 const RECORDED_BYTES: usize = 367_205;
 
-/// A generator of the same numbers everywhere: splitmix64.
+/// The SplitMix64 generator, which yields the same numbers on every platform.
 struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -57,18 +57,18 @@
     bytes.iter().fold(state, |state, byte| (state ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// The world that the adapter acts on: what it asked for is answered some ticks later.
+/// The emulated platform that the adapter acts on; it answers each action some ticks later.
 struct EmulatedPlatform {
     rng: SplitMix64,
     tick: u64,
     next_request: u64,
-    /// Events by the tick at which they are due.
+    /// Scheduled events, by the tick at which they are due.
     due: BTreeMap<u64, Vec<Vec<u8>>>,
-    /// Attempts made of each request, by instance and id.
+    /// Number of attempts of each request, by instance and request ID.
     attempts: BTreeMap<(u16, u64), u16>,
-    /// Requests that have their final answer.
+    /// Requests that have received their final answer.
     finished: BTreeSet<(u16, u64)>,
-    /// Attempts that were cancelled.
+    /// Cancelled attempts.
     cancelled: BTreeSet<(u16, u64, u16)>,
     actions: BTreeMap<u8, usize>,
 }
@@ -111,7 +111,7 @@
             .bytes()
     }
 
-    /// A load report of up to four values.
+    /// Appends a load report of up to four values.
     fn add_load_report(&mut self, builder: RecordBuilder) -> RecordBuilder {
         let values = [0, 3, 4][self.rng.below(3) as usize];
         let builder = builder.u8(values);
@@ -167,7 +167,10 @@
     }
 
     fn on_attempt_cancelled(&mut self, instance: u16, request: u64, attempt: u16) {
-        assert!(attempt < self.attempts[&(instance, request)], "only an attempt that was made is cancelled");
+        assert!(
+            attempt < self.attempts[&(instance, request)],
+            "an attempt was cancelled that was never sent"
+        );
         if self.cancelled.insert((instance, request, attempt)) {
             let builder = RecordBuilder::new(event::ATTEMPT_ENDED, instance).u64(request).u32(WORKERS[0]);
             self.schedule(1, builder.u8(1).u8(0).u32(8_000).u16(444).u16(attempt).bytes());
@@ -191,7 +194,7 @@
         self.schedule(after, builder.u8(loaded).u64(function).bytes());
     }
 
-    /// Answers one action.
+    /// Counts an action and schedules its answer.
     fn apply(&mut self, record: &[u8]) {
         let field = |at: usize, bytes: usize| {
             record[at..at + bytes].iter().rev().fold(0u64, |value, byte| value << 8 | u64::from(*byte))
@@ -215,11 +218,11 @@
                 self.schedule(3, wire_rig::list_updated(instance, mode, 1));
             }
             action::UNLOAD | action::FATAL => {}
-            other => panic!("{other} is no action"),
+            other => panic!("unknown action code {other}"),
         }
     }
 
-    /// The events of this tick, and their tail.
+    /// The events of the current tick, and their tail.
     fn batch(&mut self) -> (Vec<Vec<u8>>, Vec<u8>) {
         if self.tick == 0 {
             return first_batch();
@@ -245,7 +248,7 @@
         if self.tick.is_multiple_of(701) {
             events
                 .push(RecordBuilder::new(event::PEER_MESSAGE, INSTANCES[0]).u32(1).tail_range(0, 0).bytes());
-            // Nobody is there under this number.
+            // No instance has this number.
             events.push(self.request_arrived(9));
         }
         if self.tick == BATCHES / 2 {
@@ -255,7 +258,7 @@
     }
 }
 
-/// Both instances start; all workers are ready, one of them just started. One more start has bad settings.
+/// Both instances start with four ready workers, one of which has just started. A third start has invalid settings.
 fn first_batch() -> (Vec<Vec<u8>>, Vec<u8>) {
     let bad_settings = SETTINGS.replace("\"free\"", "\"dear\"");
     let mut tail = [SETTINGS, &bad_settings].concat().into_bytes();
@@ -278,7 +281,7 @@
     (events, tail)
 }
 
-/// One instance is stopped and starts again in the same batch.
+/// Adds events that stop an instance and start it again in the same batch.
 fn restart(mut events: Vec<Vec<u8>>) -> (Vec<Vec<u8>>, Vec<u8>) {
     events.push(wire_rig::stop(INSTANCES[1]));
     events.push(wire_rig::start(INSTANCES[1], 11, SETTINGS));
@@ -298,9 +301,13 @@
         wire_rig::actions(&reply).iter().for_each(|record| platform.apply(record));
     }
     assert!(session.finish());
-    // Of the actions that the adapter can encode only UNLOAD is missing: no decision asks for it.
+    // Every action that the adapter can encode, except UNLOAD, which no decision produces.
     let all = [10, 20, 30, 50, 70, 80, 100, 120, 130];
     let missing: Vec<u8> = all.into_iter().filter(|code| !platform.actions.contains_key(code)).collect();
-    assert!(missing.is_empty(), "actions that never came: {missing:?} beside {:?}", platform.actions);
+    assert!(
+        missing.is_empty(),
+        "actions that never occurred: {missing:?}; counts of the others: {:?}",
+        platform.actions
+    );
     assert_eq!((digest, bytes), (RECORDED_HASH, RECORDED_BYTES), "{:?}", platform.actions);
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames written by hand, and what the adapter makes of them.
+//! Handwritten frames and the adapter's replies to them.
 
 mod wire_rig;
 
@@ -15,12 +15,12 @@
     wire_rig::entry(WORKER, 0, worker_state::READY)
 }
 
-/// A list of one ready worker, behind the settings in the tail.
+/// A list of one worker, whose entry follows the settings in the tail.
 fn list_behind_settings(number: u32) -> Vec<u8> {
     worker_list(number, SETTINGS.len(), 1)
 }
 
-fn arrival(instance: u16, request: u64) -> Vec<u8> {
+fn request_arrived(instance: u16, request: u64) -> Vec<u8> {
     RecordBuilder::new(event::REQUEST_ARRIVED, instance)
         .u64(request)
         .f32(300.0)
@@ -34,7 +34,7 @@
         .bytes()
 }
 
-/// A frame that starts instance 3 with one worker, and further events.
+/// A frame that starts instance 3 with one worker, followed by more events.
 fn first_frame(more_events: Vec<Vec<u8>>) -> Vec<u8> {
     let tail = [SETTINGS.as_bytes(), &ready_worker()].concat();
     let first =
@@ -50,16 +50,17 @@
 }
 
 #[test]
-fn a_request_is_sent_to_the_worker_and_a_miss_is_followed_by_a_load_request() {
-    let miss =
+fn a_request_is_sent_to_the_worker_and_a_not_loaded_outcome_causes_a_load_request() {
+    let not_loaded =
         RecordBuilder::new(event::ATTEMPT_ENDED, 3).u64(77).u32(WORKER).u8(0).u8(0).u32(0).u16(204).u16(0);
-    let input = [first_frame(vec![arrival(3, 77)]), frame(6_000, &[miss.bytes()], &[])].concat();
+    let input =
+        [first_frame(vec![request_arrived(3, 77)]), frame(6_000, &[not_loaded.bytes()], &[])].concat();
     let output = run(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = actions_of_replies(&output.stdout);
     let attempt = replies[0].iter().find(|a| a[0] == action::SEND_ATTEMPT).expect("an attempt");
     assert_eq!(attempt[1..15], [3, 0, 77, 0, 0, 0, 0, 0, 0, 0, 0xf2, 0x11, 0x90, 0x2c]);
-    assert!(replies[0].iter().any(|a| a[0] == action::WATCH_LIST), "it subscribes");
+    assert!(replies[0].iter().any(|a| a[0] == action::WATCH_LIST), "it subscribes to the worker list");
     let load = replies[1].iter().find(|a| a[0] == action::REQUEST_LOAD).expect("a load request");
     assert_eq!(load[3..16], [0xf2, 0x11, 0x90, 0x2c, 0xcd, 0xab, 0, 0, 0, 0, 0, 0, 1]);
 }
@@ -67,14 +68,14 @@
 #[test]
 fn a_list_applies_to_all_events_of_its_batch() {
     let draining = wire_rig::entry(WORKER, 0, worker_state::DRAINING);
-    let events = vec![arrival(3, 78), worker_list(1, 0, 1), list_updated(3, list_mode::CACHED, 1)];
+    let events = vec![request_arrived(3, 78), worker_list(1, 0, 1), list_updated(3, list_mode::CACHED, 1)];
     let output = run(&[first_frame(vec![]), frame(6_000, &events, &draining)].concat());
     let replies = actions_of_replies(&output.stdout);
     assert!(replies[1].iter().all(|a| a[0] != action::SEND_ATTEMPT));
 }
 
 #[test]
-fn instances_share_nothing_and_a_stopped_one_does_not_act() {
+fn instances_are_independent_and_a_stopped_one_does_not_act() {
     let tail = [SETTINGS.as_bytes(), &ready_worker()].concat();
     let events = [
         start(3, SEED, SETTINGS),
@@ -83,8 +84,8 @@
         list_updated(3, list_mode::CACHED, 0),
         list_updated(4, list_mode::CACHED, 0),
         stop(3),
-        arrival(3, 1),
-        arrival(4, 1),
+        request_arrived(3, 1),
+        request_arrived(4, 1),
     ];
     let replies = actions_of_replies(&run(&frame(9, &events, &tail)).stdout);
     let senders: Vec<_> = replies[0].iter().filter(|a| a[0] == action::SEND_ATTEMPT).map(|a| a[1]).collect();
@@ -92,24 +93,24 @@
 }
 
 #[test_case("\"StartCapacity\":0.2,", "", "Rules.StartCapacity"; "missing")]
-#[test_case("\"Balancers\":1", "\"Balancers\":-1", "Balancers"; "senseless")]
+#[test_case("\"Balancers\":1", "\"Balancers\":-1", "Balancers"; "out of range")]
 #[test_case("\"free\"", "\"dear\"", "Classes[0].Effect"; "unknown effect")]
-fn a_bad_setting_is_named_through_the_failure_action(from: &str, to: &str, named: &str) {
+fn an_invalid_setting_is_named_in_the_fatal_action(from: &str, to: &str, setting: &str) {
     let settings = SETTINGS.replace(from, to);
     let output = run(&frame(1, &[start(3, SEED, &settings)], settings.as_bytes()));
     assert!(output.status.success());
     assert_eq!(actions_of_replies(&output.stdout)[0][0][0], action::FATAL);
-    assert!(String::from_utf8_lossy(&output.stdout).contains(named));
+    assert!(String::from_utf8_lossy(&output.stdout).contains(setting));
 }
 
-#[test_case(vec![9, 0, 0]; "a header cut short")]
-#[test_case(frame(1, &[stop(3)], &[])[..40].to_vec(); "a record cut short")]
+#[test_case(vec![9, 0, 0]; "a truncated header")]
+#[test_case(frame(1, &[stop(3)], &[])[..40].to_vec(); "a truncated record")]
 #[test_case([[16u8, 0, 0, 0, 255, 255, 255, 255].as_slice(), &[0; 8]].concat(); "more records than bytes")]
-#[test_case(frame(1, &[RecordBuilder::new(33, 3).bytes()], &[]); "an unknown code")]
+#[test_case(frame(1, &[RecordBuilder::new(33, 3).bytes()], &[]); "an unknown event code")]
 #[test_case(frame(1, &[start(3, SEED, SETTINGS)], &[]); "settings beyond the tail")]
-#[test_case(frame(1, &[worker_list(0, 0, 4_000_000_000)], &[]); "an impossible list")]
-#[test_case(first_frame(vec![list_updated(3, list_mode::CACHED, 7)]); "a list never given")]
-fn malformed_input_ends_it_with_a_plain_message_and_no_reply(input: Vec<u8>) {
+#[test_case(frame(1, &[worker_list(0, 0, 4_000_000_000)], &[]); "a list of impossible length")]
+#[test_case(first_frame(vec![list_updated(3, list_mode::CACHED, 7)]); "a list that was never sent")]
+fn malformed_input_ends_the_adapter_with_a_one_line_message_and_no_reply(input: Vec<u8>) {
     let output = run(&input);
     assert!(!output.status.success());
     assert!(output.stdout.is_empty());
--- a/crates/simulator-adapter/tests/wire_rig/mod.rs
+++ b/crates/simulator-adapter/tests/wire_rig/mod.rs
@@ -1,6 +1,6 @@
-//! Builds frames of the simulator's wire and runs the adapter on them. Offsets and codes are written out here a second
-//! time, so that the tests do not share a mistake with the codec.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Builds frames of the simulator's wire protocol and runs the adapter on them. Offsets and codes are repeated here, so that
+//! the tests do not share a mistake with the codec.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::io::{Read, Write};
 use std::process::{Child, Command, Output, Stdio};
@@ -56,17 +56,17 @@
 const ACTION_BYTES: usize = 24;
 const REPLY_HEADER_BYTES: usize = 8;
 
-/// A record under construction; fields follow the code without padding.
+/// Builds a record; the fields follow the code without padding.
 #[derive(Clone)]
 pub struct RecordBuilder(Vec<u8>);
 
 impl RecordBuilder {
-    /// An event of an instance.
+    /// Starts an event of an instance.
     pub fn new(code: u8, instance: u16) -> Self {
         Self([&[code][..], &instance.to_le_bytes()].concat())
     }
 
-    /// An event of the whole process.
+    /// Starts an event of the whole process.
     pub fn of_process(code: u8) -> Self {
         Self(vec![code])
     }
@@ -96,7 +96,7 @@
         self
     }
 
-    /// A part of the tail.
+    /// Appends a reference to a part of the tail.
     pub fn tail_range(self, offset: usize, length: usize) -> Self {
         self.u32(offset as u32).u32(length as u32)
     }
@@ -127,7 +127,7 @@
     RecordBuilder::new(event::STOP, instance).bytes()
 }
 
-/// A numbered worker list: so many entries from an offset of the tail.
+/// A numbered worker list: `entries` entries at an offset in the tail.
 pub fn worker_list(number: u32, offset: usize, entries: usize) -> Vec<u8> {
     RecordBuilder::of_process(event::WORKER_LIST).u32(number).tail_range(offset, entries).bytes()
 }
@@ -136,17 +136,17 @@
     RecordBuilder::new(event::LIST_UPDATED, instance).u8(mode).u64(0).u32(number).bytes()
 }
 
-/// An entry of a worker list, of size 1 and kind and zone 0.
+/// An entry of a worker list with size 1, kind 0 and zone 0.
 pub fn entry(worker: u32, started: u64, state: u8) -> Vec<u8> {
     RecordBuilder(worker.to_le_bytes().to_vec()).u64(started).u16(0).f32(1.0).u8(0).u8(state).u8(0).bytes()
 }
 
-/// A frame's parsed answer: the action records, each 24 bytes with its code first.
+/// The action records of a reply, each 24 bytes long with its code first.
 pub fn actions(reply: &[u8]) -> Vec<Vec<u8>> {
     reply[REPLY_HEADER_BYTES..].chunks(ACTION_BYTES).take(number(reply, 0)).map(<[u8]>::to_vec).collect()
 }
 
-/// The actions of each reply in a row.
+/// The actions of each reply in a sequence of replies.
 pub fn actions_of_replies(mut output: &[u8]) -> Vec<Vec<Vec<u8>>> {
     let mut replies = Vec::new();
     while !output.is_empty() {
@@ -172,11 +172,16 @@
 /// Runs the adapter on a complete input.
 pub fn run(input: &[u8]) -> Output {
     let mut child = adapter();
-    child.stdin.take().expect("it was piped").write_all(input).expect("the adapter reads");
-    child.wait_with_output().expect("the adapter ends")
+    child
+        .stdin
+        .take()
+        .expect("standard input is piped")
+        .write_all(input)
+        .expect("the adapter reads its input");
+    child.wait_with_output().expect("the adapter exits")
 }
 
-/// An adapter that is asked frame by frame.
+/// A running adapter that is sent one frame at a time.
 pub struct Session(Child);
 
 impl Session {
@@ -186,9 +191,9 @@
 
     /// Sends a frame and reads its reply, header included.
     pub fn exchange(&mut self, frame: &[u8]) -> Vec<u8> {
-        let input = self.0.stdin.as_mut().expect("it was piped");
-        input.write_all(frame).and_then(|()| input.flush()).expect("the adapter reads");
-        let output = self.0.stdout.as_mut().expect("it was piped");
+        let input = self.0.stdin.as_mut().expect("standard input is piped");
+        input.write_all(frame).and_then(|()| input.flush()).expect("the adapter reads its input");
+        let output = self.0.stdout.as_mut().expect("standard output is piped");
         let mut reply = vec![0; REPLY_HEADER_BYTES];
         output.read_exact(&mut reply).expect("a reply");
         reply.resize(number(&reply, 4), 0);
@@ -196,9 +201,9 @@
         reply
     }
 
-    /// Ends the input; whether the adapter ended well.
+    /// Closes the input and returns whether the adapter exited successfully.
     pub fn finish(mut self) -> bool {
         drop(self.0.stdin.take());
-        self.0.wait().expect("the adapter ends").success()
+        self.0.wait().expect("the adapter exits").success()
     }
 }
--- a/crates/simulator/examples/fleet.rs
+++ b/crates/simulator/examples/fleet.rs
@@ -1,6 +1,7 @@
-//! Plays a scenario in simulated time with other numbers of gateways: service, fetches, and fetches that the store rejected,
-//! over the seeds. `cargo run --release -p milletpath-simulator --example fleet -- days/town.hcl 10 1 24`: a scenario, seeds,
-//! numbers of gateways. Each is played without shared budgets and, where there are several gateways, with them.
+//! Runs a scenario in simulated time with different numbers of gateways and prints means over the seeds: service, fetches
+//! from the store, and fetches that the store rejected, among others. The arguments are a scenario file, the number of seeds
+//! and numbers of gateways: `cargo run --release -p milletpath-simulator --example fleet -- days/town.hcl 10 1 24`. Each
+//! number of gateways is run without shared budgets and, if there are several gateways, also with them.
 
 mod options;
 
@@ -23,7 +24,7 @@
 }
 
 fn print_row(scenario: &Scenario, seeds: u64) {
-    /// Violations that are printed in full.
+    /// The number of violations that are printed in full.
     const MAX_PRINTED: usize = 3;
     let reports: Vec<_> = (1..=seeds).map(|seed| play(scenario, seed)).collect();
     let mean = |metric: fn(&SimulationReport) -> f64| reports.iter().map(metric).sum::<f64>() / seeds as f64;
--- a/crates/simulator/examples/slow_start.rs
+++ b/crates/simulator/examples/slow_start.rs
@@ -1,6 +1,6 @@
-//! What all gateways together send warming workers, against what those can take: the fullest window of each run, over the
-//! seeds. `cargo run --release -p milletpath-simulator --example slow_start -- days/cold-fleet.hcl 200 20 30`: a scenario,
-//! seeds, numbers of gateways.
+//! Compares the load that all gateways together send to warming workers with the workers' limits: the fullest window of each
+//! run, over the seeds. The arguments are a scenario file, the number of seeds and numbers of gateways:
+//! `cargo run --release -p milletpath-simulator --example slow_start -- days/cold-fleet.hcl 200 20 30`.
 
 mod options;
 
@@ -41,7 +41,7 @@
     );
 }
 
-/// The median, the value that nine in ten do not exceed, and the greatest.
+/// The median, the 90th percentile and the maximum.
 fn quantiles(values: impl Iterator<Item = f64>) -> [f64; 3] {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/simulator/src/budget_links.rs
+++ b/crates/simulator/src/budget_links.rs
@@ -1,6 +1,6 @@
-//! Shared budgets in simulated time: the gateways' own code around the dispatchers, and messages that arrive after the
-//! network's delay. All gateways know all others; membership that is not complete, and messages that are lost, are tested
-//! by `milletpath-membership`, by `milletpath-shared-budgets` and with processes.
+//! Shared budgets in simulated time: the gateways' own budget-sharing code on top of the dispatchers, with messages that
+//! arrive after the network delay. Every gateway knows all others. Incomplete membership and lost messages are tested by
+//! `milletpath-membership`, by `milletpath-shared-budgets` and with real processes.
 
 use crate::context::Context;
 use crate::event::{Event, GatewayInput};
@@ -10,10 +10,10 @@
 use milletpath_gateway::budget_sharing::BudgetSharing;
 use milletpath_membership::QuotaFraction;
 
-/// One gateway's end.
+/// One gateway's endpoint of the shared-budget links.
 struct BudgetLink {
     sharing: BudgetSharing,
-    /// When its timer is due; infinite where none is set.
+    /// Time at which its timer is due; infinity if none is set.
     timer: f64,
 }
 
@@ -22,7 +22,7 @@
     bytes_sent: f64,
 }
 
-/// The number by which others know a gateway's process; none restarts in simulated time.
+/// The ID by which other gateways know a gateway's process. It is fixed, because gateways do not restart in simulated time.
 fn instance_id(gateway: usize) -> u64 {
     gateway as u64 + 1
 }
@@ -34,7 +34,7 @@
 impl BudgetLinks {
     /// Opens the links and schedules their first ticks.
     pub fn new(context: &mut Context, configs: &[GatewayConfig]) -> Self {
-        /// Seconds of a lease, as the configuration has it by default.
+        /// Duration of a lease in seconds: the default of the configuration.
         const LEASE: f64 = 3.0;
         for gateway in 0..configs.len() {
             context.schedule(0.0, Event::Gateway { gateway, input: GatewayInput::BudgetTimer });
@@ -46,12 +46,12 @@
         Self { links: configs.iter().enumerate().map(link).collect(), bytes_sent: 0.0 }
     }
 
-    /// Bytes of all datagrams.
+    /// Total bytes of all datagrams.
     pub fn bytes_sent(&self) -> f64 {
         self.bytes_sent
     }
 
-    /// The timer of a gateway's shared budgets is due, unless it was set to another time since.
+    /// Handles the shared-budget timer of a gateway, unless the timer has been rescheduled in the meantime.
     pub fn timer_due(
         &mut self,
         context: &mut Context,
@@ -78,7 +78,7 @@
         self.send_messages(context, gateway);
     }
 
-    /// A message of another gateway's process arrives.
+    /// Handles a message from another gateway's process.
     pub fn message_arrives(
         &mut self,
         context: &mut Context,
@@ -95,11 +95,11 @@
         self.send_messages(context, gateway);
     }
 
-    /// Sends the messages that there are, and sets the timer as the thread of a gateway's link does.
+    /// Sends all pending messages and sets the timer, as the link thread of a real gateway does.
     fn send_messages(&mut self, context: &mut Context, gateway: usize) {
-        /// Bytes of a datagram around its message.
+        /// Bytes that a datagram adds to its message.
         const DATAGRAM_OVERHEAD: f64 = 120.0;
-        /// Seconds between two ticks, at least and at most.
+        /// Minimum and maximum seconds between two ticks.
         const SHORTEST_INTERVAL: f64 = 0.001;
         const LONGEST_INTERVAL: f64 = 0.05;
         let BudgetLink { sharing, timer } = &mut self.links[gateway];
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients in simulated time, which behave as those on sockets do: they do not wait for one call before the next, each
-//! attempt has a timeout, and they retry where a second execution does no harm.
+//! Clients in simulated time, with the behaviour of the emulator's clients on sockets: calls are issued without waiting for
+//! earlier ones, each attempt has a timeout, and an attempt is retried if a second execution would do no harm.
 
 use crate::context::Context;
 use crate::event::{ClientAttempt, ClientInput, Event, GatewayInput};
@@ -8,7 +8,7 @@
 use milletpath_emulator::weighted_choice::weighted_choice;
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, Idempotency};
 
-/// One call, and its attempt that is open.
+/// A call and its latest attempt.
 struct Call {
     planned: PlannedRequest,
     attempt: u32,
@@ -17,12 +17,12 @@
 
 pub(crate) struct Clients {
     calls: Vec<Call>,
-    /// How many attempts the front layer gives each gateway, relative to the others.
+    /// The relative number of attempts that the load balancer in front of the gateways sends to each gateway.
     gateway_weights: Vec<f64>,
 }
 
 impl Clients {
-    /// Plans all calls of the scenario and schedules their first attempts.
+    /// Plans all calls of the scenario and schedules the first attempt of each.
     pub fn new(context: &mut Context, seed: u64) -> Self {
         let planned = traffic::plan(&context.scenario, seed);
         for (call, planned) in planned.iter().enumerate() {
@@ -40,12 +40,12 @@
         &self.calls[call].planned
     }
 
-    /// Whether the current attempt of a call has not ended.
+    /// Whether the latest attempt of a call is still open.
     pub fn is_open(&self, call: usize) -> bool {
         !self.calls[call].ended
     }
 
-    /// Seconds that the client waits for an attempt that begins now.
+    /// Timeout in seconds of an attempt that starts now.
     pub fn timeout(&self, context: &Context, attempt: ClientAttempt) -> f64 {
         let planned = self.planned(attempt.call);
         if attempt.number == 0 {
@@ -55,7 +55,7 @@
         planned.timeout.min(deadline - (context.now - planned.at))
     }
 
-    /// Sends an attempt, unless no time is left for it.
+    /// Sends an attempt, unless the call's deadline has passed.
     pub fn send_attempt(&mut self, context: &mut Context, attempt: ClientAttempt) {
         let ClientAttempt { call, number } = attempt;
         if number == 0 {
@@ -88,14 +88,14 @@
         context.record(event);
     }
 
-    /// A gateway at random, by the front layer's weights.
+    /// Chooses a gateway at random, by the weights of the load balancer in front of the gateways.
     fn choose_gateway(&self, context: &mut Context) -> usize {
         weighted_choice(&mut context.rng, self.gateway_weights.iter().copied())
     }
 
-    /// Schedules the end of an attempt to which nobody answers: the client cancels it or gives up.
+    /// Schedules the end of an attempt that receives no answer: the client cancels it or gives up.
     fn schedule_end(&self, context: &mut Context, attempt: ClientAttempt, gateway: usize, timeout: f64) {
-        /// Seconds past its timeout after which a client gives up.
+        /// Seconds after the timeout at which a client gives up.
         const TIMEOUT_MARGIN: f64 = 0.05;
         match self.planned(attempt.call).abandoned_after.filter(|_| attempt.number == 0) {
             Some(after) => {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// An attempt ended; its first end counts.
+    /// Handles the end of an attempt; later ends of the same attempt are ignored.
     pub fn attempt_ended(
         &mut self,
         context: &mut Context,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Whether a client may send a call again after an attempt that ended so.
+/// Whether a client may retry a call after an attempt with the given outcome.
 fn may_retry(outcome: AttemptOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         AttemptOutcome::Succeeded | AttemptOutcome::Abandoned => false,
--- a/crates/simulator/src/clocks.rs
+++ b/crates/simulator/src/clocks.rs
@@ -1,51 +1,52 @@
-//! Wall clocks of the simulated machines: all are right until one step. The monotonic clock is the simulation's own.
+//! Wall clocks of the simulated machines: all are correct until a single step. The monotonic clock is that of the
+//! simulation.
 
-/// The machines whose wall clocks a step moves.
+/// The machines whose wall clocks are stepped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Machines {
-    /// Those of the gateways.
+    /// The machines of the gateways.
     Gateways,
-    /// Those of the workers.
+    /// The machines of the workers.
     Workers,
-    /// All, as on one machine.
+    /// All machines, as if gateways and workers shared one.
     All,
 }
 
-/// A step of wall clocks.
+/// A step of the wall clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockStep {
-    /// When, in seconds since the scenario's start.
+    /// Time of the step, in seconds since the scenario's start.
     pub at: f64,
-    /// Seconds by which the clocks move; below 0 they go back.
+    /// Seconds by which the clocks are stepped; negative values step them back.
     pub by: f64,
-    /// Whose clocks move.
+    /// The machines whose clocks are stepped.
     pub machines: Machines,
 }
 
-/// What a simulation may have beside its scenario.
+/// Options of a simulation that a scenario file cannot express.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SimulationOptions {
-    /// A step of wall clocks.
+    /// A step of the wall clocks.
     pub clock_step: Option<ClockStep>,
-    /// A worker's new process has the address of the former one.
+    /// Whether a worker's new process has the address of its predecessor.
     pub reuse_worker_addresses: bool,
-    /// Gateways believe the endpoint list however long the registry has been silent: they break the rules that a silence
-    /// tests.
+    /// Whether gateways rely on the endpoint list however long the registry has been stalled. This violates the drain rule
+    /// that tests of a registry stall check.
     pub endpoint_list_never_expires: bool,
 }
 
 impl SimulationOptions {
-    /// The wall clock of a gateway at a time of the simulation, in seconds.
+    /// The wall clock of the gateways at a simulated time, in seconds.
     pub(crate) fn gateway_time(&self, now: f64) -> f64 {
         self.unix_time(now, Machines::Workers)
     }
 
-    /// The wall clock of a worker at a time of the simulation, in seconds.
+    /// The wall clock of the workers at a simulated time, in seconds.
     pub(crate) fn worker_time(&self, now: f64) -> f64 {
         self.unix_time(now, Machines::Gateways)
     }
 
-    /// A wall clock that a step of `others` alone leaves as it is.
+    /// A wall clock that is not affected by a step of the machines `others`.
     fn unix_time(&self, now: f64, others: Machines) -> f64 {
         let step = self.clock_step.filter(|step| step.machines != others && now >= step.at);
         now + step.map_or(0.0, |step| step.by)
--- a/crates/simulator/src/context.rs
+++ b/crates/simulator/src/context.rs
@@ -1,5 +1,5 @@
-//! What every module of the simulation needs: the scenario, the clock and the queue of events, the history, random
-//! numbers.
+//! State shared by all modules of the simulation: the scenario, the clock, the event queue, the history and the random
+//! number generator.
 
 use crate::clocks::SimulationOptions;
 use crate::event::Event;
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Seconds that a message takes from one process to another: what loopback and a busy machine add.
+/// Seconds that a message takes from one process to another: the latency of loopback on a busy machine.
 const NETWORK_DELAY: f64 = 0.0003;
 
 pub(crate) struct Context {
@@ -47,7 +47,7 @@
         self.schedule(self.now + seconds, event);
     }
 
-    /// Sends a message from one process to another: the event that it is there comes after the network's delay.
+    /// Sends a message from one process to another: schedules the event of its arrival after the network delay.
     pub fn send(&mut self, event: Event) {
         self.schedule_in(NETWORK_DELAY, event);
     }
--- a/crates/simulator/src/endpoint_list.rs
+++ b/crates/simulator/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The registry's endpoint list: its entries, and the changes of which it notifies all gateways.
+//! The registry's endpoint list: its entries, and the notification of all gateways about changes.
 
 use crate::context::Context;
 use crate::event::{Event, WorkerProcess};
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 
 pub(crate) struct EndpointList {
-    /// By worker.
+    /// Entries by worker.
     entries: Vec<EndpointEntry>,
-    /// The registry's silence.
+    /// The current or the last stall of the registry.
     pub stall: RegistryStall,
 }
 
 impl EndpointList {
-    /// The endpoints of workers that started long ago.
+    /// Creates the list for workers that are already warm.
     pub fn new(workers: usize) -> Self {
         let entry = |worker| entry(WorkerProcess { worker, number: 0 }, None);
         Self { entries: (0..workers).map(entry).collect(), stall: RegistryStall::NONE }
@@ -26,13 +26,13 @@
         &self.entries
     }
 
-    /// Sets the state of some workers.
+    /// Sets the status of the given workers.
     pub fn set_status(&mut self, context: &mut Context, workers: &[usize], status: EndpointStatus) {
         workers.iter().for_each(|worker| self.entries[*worker].state = status);
         self.notify_gateways(context, workers);
     }
 
-    /// A worker's new process registers: ready, and at an address of its own unless the variation keeps the former one.
+    /// Registers a worker's new process as ready, at a new address unless the options reuse worker addresses.
     pub fn register(&mut self, context: &mut Context, process: WorkerProcess) {
         let started = context.options.worker_time(context.now);
         let number = if context.options.reuse_worker_addresses { 0 } else { process.number };
@@ -40,7 +40,8 @@
         self.notify_gateways(context, &[process.worker]);
     }
 
-    /// Notifies all gateways of the entries of some workers.
+    /// Notifies all gateways of the entries of the given workers. During a stall the history records the notification when it
+    /// is deemed to have happened, and the entries arrive at the end of the stall.
     fn notify_gateways(&self, context: &mut Context, workers: &[usize]) {
         let states: Vec<_> = workers
             .iter()
@@ -56,7 +57,7 @@
     }
 }
 
-/// Records that all gateways are notified of whether workers are ready.
+/// Records that all gateways have been notified of whether the given workers are ready.
 pub(crate) fn record_notifications(context: &mut Context, states: &[(usize, bool)]) {
     for gateway in 0..context.scenario.gateways {
         for &(worker, ready) in states {
@@ -69,7 +70,7 @@
     EndpointEntry { address: address(process), ..scenario::worker_entry(process.worker, started) }
 }
 
-/// The address of a worker's process: another process has another one.
+/// The address of a worker's process, which differs between processes.
 fn address(WorkerProcess { worker, number }: WorkerProcess) -> SocketAddr {
     SocketAddr::from(([10, (number % 250) as u8, (worker / 250) as u8, (worker % 250) as u8], 80))
 }
--- a/crates/simulator/src/event.rs
+++ b/crates/simulator/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a time, by the module that handles it.
+//! Scheduled events, grouped by the module that handles them.
 
 use milletpath_dispatcher::dispatcher::{AttemptResult, RequestId};
 use milletpath_emulator::scenario::TimedStep;
@@ -8,14 +8,14 @@
 use milletpath_protocol::registry::EndpointEntry;
 use std::collections::VecDeque;
 
-/// An attempt of a client: its call, and its number within the call, from 0.
+/// A client's attempt: its call, and its number within the call, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientAttempt {
     pub call: usize,
     pub number: u32,
 }
 
-/// An attempt of a gateway at a worker: the gateway's request, and the number of the attempt within it.
+/// A gateway's attempt at a worker: the gateway's request, and the number of the attempt within it.
 #[derive(Clone, Copy)]
 pub(crate) struct GatewayAttempt {
     pub gateway: usize,
@@ -23,18 +23,18 @@
     pub number: usize,
 }
 
-/// A load request of a gateway.
+/// A load request sent by a gateway.
 #[derive(Clone, Copy)]
 pub(crate) struct LoadRequest {
     pub gateway: usize,
     pub id: RequestId,
 }
 
-/// A process of a worker. What was sent to a former process reaches nobody.
+/// A process of a worker. Messages sent to an earlier process are not delivered to its successor.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct WorkerProcess {
     pub worker: usize,
-    /// Counts the worker's processes from 0.
+    /// Number of the process among those of the worker, from 0.
     pub number: u64,
 }
 
@@ -49,17 +49,17 @@
         input: WorkerInput,
     },
     Fault(FaultEvent),
-    /// Changes of the endpoint list reach all gateways.
+    /// Changes of the endpoint list arrive at all gateways.
     EndpointsChanged(Vec<EndpointEntry>),
-    /// What the registry would have told of some workers counts as told: whether each is ready.
+    /// Notifications that a stalled registry has held back are deemed delivered: the workers, and whether each is ready.
     EndpointsDeemedNotified(Vec<(usize, bool)>),
-    /// The registry confirms to all gateways that the endpoint list is as it was.
+    /// The registry confirms to all gateways that the endpoint list is unchanged.
     EndpointsConfirmed,
 }
 
 pub(crate) enum ClientInput {
     SendAttempt(ClientAttempt),
-    /// An answer arrives, or the timeout passes.
+    /// An answer arrives, or the timeout expires.
     AttemptEnded {
         attempt: ClientAttempt,
         gateway: usize,
@@ -74,7 +74,7 @@
 
 pub(crate) enum GatewayInput {
     RequestArrives(ClientAttempt),
-    /// A timer of the dispatcher is due.
+    /// The dispatcher's timer is due.
     Timer,
     AttemptEnded {
         attempt: GatewayAttempt,
@@ -91,9 +91,9 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     },
-    /// A timer of the budgets that gateways share is due.
+    /// The shared-budget timer is due.
     BudgetTimer,
-    /// A message about shared budgets arrives from the process of another gateway.
+    /// A message about shared budgets arrives from another gateway's process.
     BudgetMessage {
         sender: u64,
         bytes: Vec<u8>,
@@ -101,9 +101,9 @@
 }
 
 pub(crate) enum WorkerInput {
-    /// A timer of the worker's model is due.
+    /// The timer of the worker model is due.
     Timer,
-    /// The store has answered a fetch.
+    /// The store answered a fetch.
     FetchEnded {
         load: u64,
         succeeded: bool,
@@ -121,8 +121,8 @@
 }
 
 pub(crate) enum FaultEvent {
-    /// The fault of this number in the scenario begins.
+    /// The fault with this number in the scenario begins.
     Begins(usize),
-    /// The next step of a fault that has begun is due: the first of those that are left.
+    /// The next step of an active fault is due; `steps` are the remaining ones.
     Continues { kind: FaultKind, steps: VecDeque<TimedStep> },
 }
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events by time, and at the same time in the order in which they were scheduled.
+//! A queue of events ordered by time; events with the same time keep the order in which they were scheduled.
 
 use crate::event::Event;
 use std::cmp::Ordering;
@@ -22,7 +22,7 @@
         self.heap.push(ScheduledEvent { at, sequence: self.schedule_count, event });
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn pop(&mut self) -> Option<ScheduledEvent> {
         self.heap.pop()
     }
@@ -43,7 +43,7 @@
 }
 
 impl Ord for ScheduledEvent {
-    /// The earliest is the greatest, as the heap gives the greatest first.
+    /// Orders the earliest event as the greatest, because the heap is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,6 +1,6 @@
-//! The scenario's faults of workers and of the store, by the steps that the emulator's player has too. Faults of traffic are
-//! in the plan of the clients' calls; those of gateways' processes, of links and of the endpoint list's delivery are played
-//! on sockets only, but for a registry that falls silent.
+//! Injects the scenario's faults of workers and of the store, in the same steps as the emulator. Traffic faults are part of
+//! the planned calls. Faults of gateway processes, of links and of the delivery of the endpoint list are injected on sockets
+//! only, except for a registry stall.
 
 use crate::context::Context;
 use crate::endpoint_list::EndpointList;
@@ -20,7 +20,7 @@
     }
 }
 
-/// A fault of the scenario begins: its first steps are carried out, the others scheduled.
+/// Begins a fault of the scenario: runs the steps that are due and schedules the rest.
 pub(crate) fn begin(
     context: &mut Context,
     workers: &mut Workers,
@@ -44,8 +44,8 @@
     run_due_steps(context, workers, endpoints, fault.kind, steps.into());
 }
 
-/// Carries out the steps of a fault that are due, and schedules the others once the next is due. They are in the order of
-/// time.
+/// Runs the steps of a fault that are due, and schedules the rest for the time of the next step. `steps` are in chronological
+/// order.
 pub(crate) fn run_due_steps(
     context: &mut Context,
     workers: &mut Workers,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Carries out a step of a fault of that kind.
+/// Runs one step of a fault of the given kind.
 fn run_step(
     context: &mut Context,
     workers: &mut Workers,
@@ -74,7 +74,7 @@
     match step {
         FaultStep::Kill(affected) => affected.iter().for_each(|worker| workers.kill(context, *worker)),
         FaultStep::SetStatus(affected, status) => {
-            // Nobody hears of it: on the platform a draining worker takes nothing new from the start.
+            // Gateways are not notified of the drain. On the platform, a draining worker rejects new work immediately.
             if status == EndpointStatus::Draining && endpoints.stall.is_active(context.now) {
                 affected.iter().for_each(|worker| workers.get_mut(*worker).model.draining = true);
             }
@@ -82,7 +82,7 @@
         }
         FaultStep::StopAdmission(worker) => workers.get_mut(worker).model.draining = true,
         FaultStep::Replace(affected) => {
-            // The processes of a crash have ended when it began.
+            // In a crash, the processes were already killed when the fault began.
             if kind == FaultKind::RollingReplacement {
                 affected.iter().for_each(|worker| workers.kill(context, *worker));
             }
@@ -103,7 +103,7 @@
     affected.iter().for_each(|worker| workers.get_mut(*worker).failure_fraction = fraction);
 }
 
-/// New versions of some functions are released.
+/// Releases new versions of a random fraction of the functions.
 fn release_functions(context: &mut Context, workers: &mut Workers, fraction: f64) {
     let functions = pick(&mut context.rng, workers.function_count().max(1), fraction);
     for worker in workers.iter_mut() {
@@ -111,7 +111,7 @@
     }
 }
 
-/// A new process takes a worker's place and registers.
+/// Replaces a worker's process by a new one, which registers.
 fn restart(context: &mut Context, workers: &mut Workers, endpoints: &mut EndpointList, worker: usize) {
     workers.restart(context, worker);
     endpoints.register(context, workers.process(worker));
--- a/crates/simulator/src/gateways.rs
+++ b/crates/simulator/src/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways in simulated time: a dispatcher each, whose actions become messages.
+//! Gateways in simulated time: one dispatcher each, whose actions become messages.
 
 use crate::clients::Clients;
 use crate::context::Context;
@@ -14,14 +14,14 @@
 use milletpath_protocol::registry::EndpointEntry;
 use std::collections::BTreeMap;
 
-/// A dispatcher that knows each request by its client's attempt.
+/// A dispatcher that identifies each request by its client's attempt.
 pub(crate) type SimulatedDispatcher = Dispatcher<ClientAttempt>;
 
 struct Gateway {
     dispatcher: SimulatedDispatcher,
-    /// The number of the process of each worker that it last sent to, and since when it is connected to that one.
+    /// For each worker, the number of the process to which the gateway last sent, and when it connected to that process.
     connections: BTreeMap<usize, (u64, f64)>,
-    /// When its timer is due; infinite where none is set.
+    /// Time at which its timer is due; infinity if none is set.
     timer: f64,
 }
 
@@ -41,7 +41,7 @@
         self.0.len()
     }
 
-    /// Attempts, load requests and health checks of all gateways.
+    /// Total attempts, load requests and health checks of all gateways.
     pub fn counters(&self) -> Counters {
         let mut sum = Counters::default();
         for counters in self.0.iter().map(|gateway| gateway.dispatcher.counters()) {
@@ -52,7 +52,7 @@
         sum
     }
 
-    /// Gives a gateway the complete endpoint list as it starts.
+    /// Starts a gateway with the complete endpoint list.
     pub fn start(
         &mut self,
         context: &mut Context,
@@ -64,7 +64,7 @@
         self.execute_actions(context, workers, gateway);
     }
 
-    /// Gives a gateway's dispatcher an input, after all that is due there, and carries out what it decides.
+    /// Passes an input to a gateway's dispatcher, after its due timers, and executes the resulting actions.
     pub fn input<R>(
         &mut self,
         context: &mut Context,
@@ -82,12 +82,12 @@
         result
     }
 
-    /// The client's attempt that a request stands for, as long as it is open.
+    /// The client attempt of a request, as long as the request is open.
     pub fn client_attempt(&mut self, gateway: usize, request: RequestId) -> Option<ClientAttempt> {
         self.0[gateway].dispatcher.context(request).copied()
     }
 
-    /// The timer of a gateway's dispatcher is due, unless it was set to another time since.
+    /// Handles the timer of a gateway's dispatcher, unless the timer has been rescheduled in the meantime.
     pub fn timer_due(&mut self, context: &mut Context, workers: &mut Workers, gateway: usize) {
         if self.0[gateway].timer <= context.now {
             self.0[gateway].timer = f64::INFINITY;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A client's attempt arrives.
+    /// Handles the arrival of a client's attempt.
     pub fn request_arrives(
         &mut self,
         context: &mut Context,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// A client has closed the connection of its attempt.
+    /// Handles a client closing the connection of its attempt.
     pub fn client_gone(
         &mut self,
         context: &mut Context,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// An attempt at a worker has ended; its answer goes to the client where the request is open.
+    /// Handles the end of an attempt at a worker; a final answer is sent to the client if the request is still open.
     pub fn attempt_ended(
         &mut self,
         context: &mut Context,
@@ -151,12 +151,12 @@
         }
     }
 
-    /// Since when a gateway is connected to a worker's process.
+    /// Time at which a gateway connected to a worker's process; infinity if it never did.
     pub fn connected_at(&self, gateway: usize, worker: usize) -> f64 {
         self.0[gateway].connections.get(&worker).map_or(f64::INFINITY, |(_, at)| *at)
     }
 
-    /// A gateway sends something to a worker: on a new connection where its process is another than before.
+    /// Records the connection on which a gateway sends to a worker; a changed process needs a new connection.
     fn connect(&mut self, now: f64, gateway: usize, process: WorkerProcess) {
         let connection = self.0[gateway].connections.entry(process.worker).or_insert((process.number, now));
         if connection.0 != process.number {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Changes of the endpoint list reach all gateways.
+    /// Applies changes of the endpoint list at all gateways.
     pub fn endpoints_changed(
         &mut self,
         context: &mut Context,
@@ -180,12 +180,12 @@
         }
     }
 
-    /// The registry confirms the endpoint list to all gateways.
+    /// Handles the registry's confirmation of the endpoint list at all gateways.
     pub fn endpoints_confirmed(&mut self, now: f64) {
         self.0.iter_mut().for_each(|gateway| gateway.dispatcher.endpoint_list_confirmed(now, now));
     }
 
-    /// Carries out what a dispatcher has decided, and sets its timer.
+    /// Executes the pending actions of a dispatcher and sets its timer.
     fn execute_actions(&mut self, context: &mut Context, workers: &mut Workers, gateway: usize) {
         while let Some(action) = self.0[gateway].dispatcher.next_action() {
             self.execute_action(context, workers, gateway, action);
@@ -233,12 +233,13 @@
                 let input = WorkerInput::HealthCheckArrives { gateway, serial };
                 context.send(Event::Worker { process: workers.process(worker), input });
             }
-            // Workers unload by themselves, a cancelled attempt runs to its end, and the endpoint list is sent unasked.
+            // Not simulated: workers unload on their own, a cancelled attempt runs to completion, and the endpoint list is
+            // sent without a subscription.
             Action::UnloadFunction { .. } | Action::CancelAttempt { .. } | Action::WatchEndpoints => {}
         }
     }
 
-    /// Sends a client the gateway's own answer.
+    /// Sends the gateway's own answer to the client of a request.
     fn answer_request(
         &mut self,
         context: &mut Context,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Plays scenarios in simulated time: the dispatchers of gateways as they are, the emulator's models of workers and of the
-//! store, and clients, under one clock and from one seed. There are no sockets: what takes a minute with processes takes a
-//! second here, and the same seed gives the same history.
+//! Runs scenarios in simulated time: the unmodified dispatchers of the gateways, the emulator's models of workers and of the
+//! store, and clients, under a single clock and with a single seed. There are no sockets: a minute with processes takes a
+//! second here, and the same seed always produces the same history.
 //!
-//! [`play`] is the entry point. `simulation.rs` takes the next event from the queue and gives it to the module that
-//! handles it: `clients.rs`, `gateways.rs` with `budget_links.rs`, `workers.rs`, `endpoint_list.rs` or `faults.rs`. Each module
-//! owns its state; what all of them need (clock, queue, history, random numbers) is in `context.rs`.
+//! [`play`] is the entry point. `simulation.rs` takes the next event from the queue and passes it to the module that
+//! handles it: `clients.rs`, `gateways.rs` with `budget_links.rs`, `workers.rs`, `endpoint_list.rs` or `faults.rs`. Each
+//! module owns its state; shared state (clock, event queue, history, random numbers) is in `context.rs`.
 
 mod budget_links;
 mod clients;
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a scenario in simulated time.
+//! The report of a simulated scenario.
 
 use crate::budget_links::BudgetLinks;
 use crate::context::Context;
@@ -8,31 +8,31 @@
 use milletpath_emulator::scenario;
 use milletpath_history_checker::{self as history_checker, HistoryRecord, ServiceCounts, Violation};
 
-/// Seconds by which the rules take an observation to be late: longer than any message is on its way.
+/// Tolerance of the rules for late observations, in seconds; it exceeds the network delay of any message.
 pub(crate) const CHECKER_TOLERANCE: f64 = 0.01;
 
-/// The history of a scenario in simulated time, what the checker found in it, and what it cost.
+/// The history of a simulated scenario, the checker's findings, and the resources used.
 pub struct SimulationReport {
-    /// The history, in the order of time.
+    /// The history, in chronological order.
     pub records: Vec<HistoryRecord>,
     /// Violations of the rules.
     pub violations: Vec<Violation>,
     /// Service of all calls.
     pub counts: ServiceCounts,
-    /// Fetches that the store accepted,
+    /// Fetches that the store accepted.
     pub fetches: u64,
-    /// and those that it rejected.
+    /// Fetches that the store rejected.
     pub rejected_fetches: u64,
-    /// The fraction of the completed jobs that found an instance loaded.
+    /// The fraction of completed jobs that found an instance loaded.
     pub warm_fraction: f64,
     /// Attempts, load requests and health checks of all gateways.
     pub counters: Counters,
-    /// Bytes a second that a gateway sent to others about shared budgets.
+    /// Mean bytes per second that a gateway sent to others about shared budgets.
     pub bytes_per_second: f64,
 }
 
 impl SimulationReport {
-    /// Checks the history of a simulation that lasted for so many seconds.
+    /// Checks the history of a simulation that lasted for `seconds`, and builds the report.
     pub(crate) fn new(
         context: Context,
         gateways: &Gateways,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: takes event after event from the queue and gives each to the module that handles it.
+//! The event loop: takes events from the queue and passes each to the module that handles it.
 
 use crate::budget_links::BudgetLinks;
 use crate::clients::Clients;
@@ -18,20 +18,20 @@
 use milletpath_policy::Outcome;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Plays a scenario.
+/// Runs a scenario.
 ///
 /// # Panics
 ///
-/// Where the gateways' configuration that follows from the scenario is not valid.
+/// If the gateway configuration derived from the scenario is invalid.
 pub fn play(scenario: &Scenario, seed: u64) -> SimulationReport {
     play_with_options(scenario, seed, SimulationOptions::default())
 }
 
-/// Plays a scenario with something that its file cannot state.
+/// Runs a scenario with options that a scenario file cannot express.
 ///
 /// # Panics
 ///
-/// As [`play`] does.
+/// Like [`play`].
 pub fn play_with_options(scenario: &Scenario, seed: u64, options: SimulationOptions) -> SimulationReport {
     Simulation::new(scenario, seed, options).run()
 }
@@ -40,7 +40,7 @@
     context: Context,
     clients: Clients,
     gateways: Gateways,
-    /// Where gateways share budgets.
+    /// Present if the gateways share budgets.
     budget_links: Option<BudgetLinks>,
     workers: Workers,
     endpoints: EndpointList,
@@ -67,7 +67,7 @@
     }
 
     fn run(mut self) -> SimulationReport {
-        /// Seconds after the last call by which all attempts have ended.
+        /// Seconds after the end of the scenario within which all attempts end.
         const SETTLING_TIME: f64 = 5.0;
         let end = self.context.scenario.seconds + SETTLING_TIME;
         while let Some(ScheduledEvent { at, event, .. }) =
@@ -171,7 +171,7 @@
                 workers.fetch_ended(context, process, load, succeeded);
             }
             WorkerInput::AttemptArrives(attempt) => {
-                // An attempt whose request is over meanwhile was closed on its way.
+                // If its request has ended in the meantime, the attempt was closed before it arrived.
                 if let Some(client_attempt) = gateways.client_attempt(attempt.gateway, attempt.request) {
                     let planned = clients.planned(client_attempt.call);
                     workers.attempt_arrives(context, process, attempt, client_attempt, planned);
@@ -187,16 +187,15 @@
     }
 }
 
-/// The configurations that the gateways of a scenario on sockets have, for addresses at which nobody listens.
+/// The configurations that the gateways would have on sockets, with placeholder addresses.
 fn gateway_configs(scenario: &Scenario, seed: u64) -> Vec<GatewayConfig> {
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let registry = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let config = |gateway| {
         let file = GatewayConfigFile { scenario, gateway, listen, registry, links: None, seed };
         let text = file.to_string();
-        milletpath_config::read(&text).unwrap_or_else(|errors| {
-            panic!("the configuration of gateway {gateway} is not valid: {errors:?}")
-        })
+        milletpath_config::read(&text)
+            .unwrap_or_else(|errors| panic!("the configuration of gateway {gateway} is invalid: {errors:?}"))
     };
     (0..scenario.gateways).map(config).collect()
 }
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -1,23 +1,23 @@
-//! What all gateways together send warming workers, read from a history: the attempts in any window of the stated length,
-//! against what the worker may be sent in it.
+//! The load that all gateways together send to warming workers in a history: the attempts within any overload window,
+//! relative to the worker's limits.
 
 use crate::report::CHECKER_TOLERANCE;
 use milletpath_emulator::scenario;
 use milletpath_emulator::scenario_file::Scenario;
 use milletpath_history_checker::{self as history_checker, HistoryRecord, SlowStartWindow};
 
-/// The fullest windows of a history.
+/// The fullest slow-start windows of a history.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartReport {
-    /// The most attempts of a window, as a part of the number N that the settings allow.
+    /// The most attempts of a window, as a fraction of the number N that the settings allow.
     pub budget_fraction: f64,
-    /// The most attempts of a window, as a part of N + 2 √N + 2.
+    /// The most attempts of a window, as a fraction of N + 2 √N + 2.
     pub bound_fraction: f64,
     /// Attempts that warming workers received.
     pub attempts: u64,
 }
 
-/// The load of warming workers in the history of a scenario.
+/// Measures the load of warming workers in the history of a scenario.
 pub fn slow_start_report(scenario: &Scenario, records: &[HistoryRecord]) -> SlowStartReport {
     let mut report = SlowStartReport::default();
     history_checker::slow_start_windows(
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker's process: the emulator's model of it, and what gateways wait for there.
+//! A worker process: the emulator's model, and the attempts and load requests that await an answer.
 
 use crate::event::{GatewayAttempt, LoadRequest};
 use milletpath_emulator::worker_model::{LoadFigures, WorkerModel, WorkerSpec};
@@ -15,24 +15,24 @@
     pub has_key: bool,
 }
 
-/// The process of a worker that runs, or that ran last.
+/// The current process of a worker, or the last one if none is running.
 pub(crate) struct Worker {
     pub model: WorkerModel,
-    /// Counts the worker's processes from 0.
+    /// Number of the process among those of the worker, from 0.
     pub process: u64,
     pub alive: bool,
-    /// By the model's number of the job.
+    /// Accepted attempts, by the model's job ID.
     pub jobs: BTreeMap<u64, AcceptedAttempt>,
-    /// By the model's number of the load request.
+    /// Pending load requests, by the model's load request ID.
     pub load_requests: BTreeMap<u64, LoadRequest>,
-    /// The fraction of its attempts that it fails at once.
+    /// The fraction of attempts that the worker fails immediately.
     pub failure_fraction: f64,
-    /// When its timer is due; infinite where none is set.
+    /// Time at which its timer is due; infinity if none is set.
     pub timer: f64,
 }
 
 impl Worker {
-    /// A process that starts at a time, in seconds.
+    /// Creates a process that starts at the given time, in seconds.
     pub fn new(spec: WorkerSpec, started: f64, process: u64) -> Self {
         Self {
             model: WorkerModel::new(spec, started),
@@ -58,7 +58,7 @@
     }
 }
 
-/// The state in which a request found its function, as the decisions know it.
+/// Converts the state in which a request found its function from the protocol's type to the policy's.
 pub(crate) fn instance_state(found: WireInstanceState) -> InstanceState {
     match found {
         WireInstanceState::Loaded => InstanceState::Loaded,
--- a/crates/simulator/src/workers.rs
+++ b/crates/simulator/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers in simulated time: the emulator's models of a worker and of the store that all workers share.
+//! Workers in simulated time: the emulator's models of the workers and of the store that they share.
 
 use crate::context::Context;
 use crate::event::{
@@ -19,15 +19,15 @@
 pub(crate) struct Workers {
     workers: Vec<Worker>,
     pub store: Store,
-    /// The models' numbers of functions, in the order in which functions were first seen.
+    /// The models' function IDs, assigned in the order in which functions first occur.
     functions: BTreeMap<String, u32>,
-    /// Calls with an idempotency key that were executed: all workers recognise a repetition.
+    /// Executed calls with an idempotency key; every worker recognises their repetitions.
     executed_with_key: BTreeSet<usize>,
     warm_requests: WarmRequests,
 }
 
 impl Workers {
-    /// Workers that started long ago.
+    /// Creates workers that are already warm.
     pub fn new(context: &mut Context) -> Self {
         let (spec, count) = (context.scenario.worker_spec, context.scenario.workers);
         let long_ago = -spec.warm_up - 1.0;
@@ -55,23 +55,23 @@
         self.workers.iter_mut()
     }
 
-    /// Functions that were seen.
+    /// Number of functions that have occurred so far.
     pub fn function_count(&self) -> usize {
         self.functions.len()
     }
 
-    /// The models' number of a function.
+    /// The models' ID of a function, assigned if it has none.
     pub fn function_id(&mut self, name: &str) -> u32 {
         let next = self.functions.len() as u32;
         *self.functions.entry(name.to_owned()).or_insert(next)
     }
 
-    /// The process that runs at a worker, or that ran there last.
+    /// The current process of a worker, or the last one if none is running.
     pub fn process(&self, worker: usize) -> WorkerProcess {
         WorkerProcess { worker, number: self.workers[worker].process }
     }
 
-    /// The fraction of the completed jobs that found an instance loaded.
+    /// The fraction of completed jobs that found an instance loaded.
     pub fn warm_fraction(&self) -> f64 {
         self.warm_requests.fraction()
     }
@@ -80,7 +80,7 @@
         self.workers[process.worker].alive && self.process(process.worker) == process
     }
 
-    /// An attempt of a gateway arrives, for a call as its client planned it.
+    /// Handles the arrival of a gateway's attempt; `planned` is the call that its client planned.
     pub fn attempt_arrives(
         &mut self,
         context: &mut Context,
@@ -116,7 +116,7 @@
         self.handle_model_events(context, worker);
     }
 
-    /// A load request arrives; one for no instances only asks how many there are.
+    /// Handles the arrival of a load request; a request for zero instances only queries how many are loaded.
     pub fn load_request_arrives(
         &mut self,
         context: &mut Context,
@@ -143,7 +143,7 @@
         self.handle_model_events(context, worker);
     }
 
-    /// A health check arrives.
+    /// Handles the arrival of a health check.
     pub fn health_check_arrives(
         &self,
         context: &mut Context,
@@ -163,14 +163,14 @@
         context.send(Event::Gateway { gateway, input });
     }
 
-    /// The timer of a worker's model is due, unless it was set to another time since.
+    /// Handles the timer of a worker's model, unless the timer has been rescheduled in the meantime.
     pub fn timer_due(&mut self, context: &mut Context, process: WorkerProcess) {
         if self.workers[process.worker].timer <= context.now {
             self.advance(context, process, WorkerModel::advance);
         }
     }
 
-    /// The store has answered a fetch.
+    /// Handles the store's answer to a fetch.
     pub fn fetch_ended(&mut self, context: &mut Context, process: WorkerProcess, load: u64, succeeded: bool) {
         if succeeded {
             self.store.fetch_ended();
@@ -178,7 +178,7 @@
         self.advance(context, process, |model, now| model.fetch_ended(now, load, succeeded));
     }
 
-    /// Gives the model of a process an input, where that process still runs.
+    /// Passes an input to the model of a process, if that process is still running.
     fn advance(
         &mut self,
         context: &mut Context,
@@ -196,7 +196,7 @@
         self.handle_model_events(context, process.worker);
     }
 
-    /// Carries out what a worker's model has decided, and sets its timer.
+    /// Handles the pending events of a worker's model and sets its timer.
     fn handle_model_events(&mut self, context: &mut Context, worker: usize) {
         while let Some(event) = self.workers[worker].model.next_event() {
             self.handle_model_event(context, worker, event);
@@ -242,7 +242,7 @@
         }
     }
 
-    /// A job begins to execute; a repetition that its idempotency key shows has no effect.
+    /// Records the execution of a job, unless its idempotency key identifies it as a repetition.
     fn job_started(&mut self, context: &mut Context, worker: usize, job: u64) {
         let Some(&AcceptedAttempt { call, has_key, .. }) = self.workers[worker].jobs.get(&job) else {
             return;
@@ -263,7 +263,7 @@
 
     /// Fetches a function from the store.
     fn fetch(&mut self, context: &mut Context, worker: usize, load: u64, seconds: f64) {
-        /// Seconds in which the store rejects a fetch, as over a network.
+        /// Seconds after which a rejection by the store arrives: the latency of a network.
         const REJECTION_SECONDS: f64 = 0.002;
         let takes = self.store.begin_fetch(context.now, seconds);
         let input = WorkerInput::FetchEnded { load, succeeded: takes.is_some() };
@@ -271,7 +271,7 @@
         context.schedule_in(takes.unwrap_or(REJECTION_SECONDS), Event::Worker { process, input });
     }
 
-    /// A worker's process ends at once: the connections of all that wait for it break.
+    /// Kills a worker's process; the connections of all pending attempts and load requests break.
     pub fn kill(&mut self, context: &mut Context, worker: usize) {
         let state = &mut self.workers[worker];
         state.alive = false;
@@ -285,7 +285,7 @@
         }
     }
 
-    /// A new process takes a worker's place: warming up, and without instances.
+    /// Replaces a worker's process by a new one that is warming up and has no instances.
     pub fn restart(&mut self, context: &mut Context, worker: usize) {
         let spec = context.scenario.worker_spec;
         let process = self.workers[worker].process + 1;
--- a/crates/simulator/tests/clocks.rs
+++ b/crates/simulator/tests/clocks.rs
@@ -1,5 +1,5 @@
-//! Wall clocks are stepped while calls, retries, drains and slow starts are under way and gateways hold leases on shared
-//! budgets: the scenario goes as it does without the step.
+//! A step of the wall clocks during calls, retries, drains and slow starts, while gateways hold leases on shared budgets, has
+//! no effect on the scenario.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::{
@@ -9,10 +9,10 @@
 use std::path::Path;
 use test_case::test_case;
 
-/// During the rolling restart of workers, which begins at 10 s and lasts for 7 s.
+/// Time of the step: during the rolling restart of workers, which begins at 10 s and lasts for 7 s.
 const STEP_AT: f64 = 13.0;
 
-/// Workers are drained and replaced one by one under a full load, while some fail attempts, which are retried.
+/// Workers are drained and replaced one by one under full load, while some of them fail attempts, which are retried.
 fn rolling_restart() -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
     let mut scenario = scenario_file::open(&file).expect("a valid scenario");
@@ -49,7 +49,7 @@
 #[test_case(3600.0; "an hour forward")]
 #[test_case(-3600.0; "an hour back")]
 fn a_step_of_wall_clocks_changes_nothing(by: f64) {
-    /// Service by which runs with other random numbers differ.
+    /// The difference in service between runs with different random numbers.
     const RANDOM_VARIATION: f64 = 0.02;
     for seed in 1..=2 {
         let (without, slow_start) = play(seed, None, true);
@@ -75,7 +75,7 @@
     }
 }
 
-/// A step forward of the gateways' own clocks leaves no trace at all.
+/// A forward step of the gateways' own clocks does not change a single event.
 #[test_case(3.0; "three seconds")]
 #[test_case(3600.0; "an hour")]
 fn a_forward_step_of_gateway_clocks_leaves_the_history_unchanged(by: f64) {
--- a/crates/simulator/tests/same_history.rs
+++ b/crates/simulator/tests/same_history.rs
@@ -1,6 +1,5 @@
-//! Every scenario of `days/` in simulated time gives the history that it gave before: a change of structure or of names
-//! leaves each event, its order and its figures as they are. A change of behaviour changes the values, and its commit
-//! explains why.
+//! Every scenario in `days/` yields its recorded history in simulated time, so refactoring and renaming must preserve every
+//! event, its order and its values. A change of behaviour changes the expected values, and its commit has to explain why.
 
 mod same_history {
     pub mod digest;
@@ -18,7 +17,7 @@
 
 const SEED: u64 = 7;
 
-/// What is compared: how many events there were, the digest of all of them, and the digest of the report's figures.
+/// The compared values: the number of events, the digest of all events, and the digest of the report's values.
 #[derive(Debug, PartialEq)]
 struct Fingerprint {
     events: usize,
@@ -45,8 +44,8 @@
     scenario_file::open(&file).expect("a valid scenario")
 }
 
-/// A scenario short enough for a debug build: its faults come in the same order, as much earlier as it is shorter, and
-/// its traffic is cut to a rate that a debug build plays within a second or two.
+/// A scenario short enough for a debug build. Its duration and the times of its faults are scaled down alike, and its traffic
+/// is limited to a rate that a debug build simulates within a second or two.
 fn shortened(name: &str) -> Scenario {
     const LONGEST_SECONDS: f64 = 14.0;
     const HIGHEST_RATE: f64 = 360.0;
@@ -80,7 +79,7 @@
     assert_eq!(fingerprint(&report), Fingerprint { events, history, report_digest }, "{name}");
 }
 
-/// Every file of `days/` is among the cases above.
+/// Every file in `days/` is covered by a case above.
 #[test]
 fn every_scenario_file_has_a_test_case() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
@@ -89,8 +88,8 @@
     assert_eq!(cases.count(), files);
 }
 
-/// Faults of workers and of the store that no scenario file has before its end, one after the other, in a cluster that
-/// shares its budgets.
+/// Faults of workers and of the store that no shortened scenario file reaches before its end, in succession, in a cluster
+/// with shared budgets.
 #[test]
 fn faults_in_a_sharing_cluster_give_the_same_history() {
     let mut scenario = scenario("village");
@@ -121,7 +120,7 @@
     assert_eq!(fingerprint(&play(&scenario, SEED)), expected);
 }
 
-/// A step of the workers' wall clocks amid a rolling restart, with addresses that stay and with new ones.
+/// A step of the workers' wall clocks during a rolling restart, with reused and with new worker addresses.
 #[test_case(true, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "same address")]
 #[test_case(false, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "new address")]
 fn a_clock_step_gives_the_same_history(
--- a/crates/simulator/tests/same_history/digest.rs
+++ b/crates/simulator/tests/same_history/digest.rs
@@ -1,4 +1,4 @@
-//! FNV-1a with 64 bits: a digest that depends on nothing but the numbers that it is given.
+//! 64-bit FNV-1a: a digest that depends only on the numbers added to it, not on the Rust version or the platform.
 
 /// The digest of a sequence of 64-bit numbers.
 pub struct Digest(u64);
@@ -16,7 +16,7 @@
         }
     }
 
-    /// The bits of a figure: two that print alike may differ.
+    /// Adds the bits of a float, because two floats that print alike may differ.
     pub fn float(&mut self, float: f64) {
         self.number(float.to_bits());
     }
--- a/crates/simulator/tests/same_history/encoding.rs
+++ b/crates/simulator/tests/same_history/encoding.rs
@@ -1,5 +1,5 @@
-//! The canonical encoding of a history: a number for each kind of event, then its figures. The numbers are written out
-//! here, so that names of variants and fields may change and the order of their declaration too.
+//! The canonical encoding of a history: a number for each kind of event, then its fields. The numbers are written out here,
+//! so that variants and fields can be renamed and reordered without changing the digest.
 
 use super::digest::Digest;
 use milletpath_history_checker::{AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency, Violation};
@@ -25,12 +25,12 @@
     }
 }
 
-/// A number that may be missing: 0 where it is, else the number and one more.
+/// Encodes an optional number: 0 for `None`, otherwise the number plus one.
 fn optional(number: Option<usize>) -> u64 {
     number.map_or(0, |number| number as u64 + 1)
 }
 
-/// Adds one event to the digest.
+/// Adds an event to the digest.
 pub fn encode_event(record: &HistoryRecord, digest: &mut Digest) {
     digest.float(record.at);
     match record.event {
@@ -83,7 +83,7 @@
     numbers.into_iter().for_each(|number| digest.number(number));
 }
 
-/// Adds the figures of a report, without its history.
+/// Adds the values of a report to the digest, without its history.
 pub fn encode_report(report: &SimulationReport, digest: &mut Digest) {
     for Violation { rule, at, what } in &report.violations {
         digest.number(u64::from(*rule));
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios in simulated time: the same seed gives the same history, and the rules hold in it as they do on sockets.
+//! Scenarios in simulated time: the same seed produces the same history, and the rules hold as they do on sockets.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::play;
@@ -12,7 +12,7 @@
     scenario
 }
 
-/// A fault of two seconds.
+/// A fault that lasts for two seconds.
 fn fault(kind: FaultKind, at: f64, fraction: f64, magnitude: f64) -> ScheduledFault {
     ScheduledFault { name: format!("{kind:?}"), kind, at, duration: 2.0, fraction, magnitude }
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Without shared budgets more gateways fetch more from the store.
+/// Without shared budgets, a larger number of gateways causes more fetches from the store.
 #[test]
 fn more_gateways_fetch_more_without_shared_budgets() {
     let fetches =
--- a/crates/simulator/tests/silent_registry.rs
+++ b/crates/simulator/tests/silent_registry.rs
@@ -1,12 +1,12 @@
-//! The registry falls silent while workers drain and restart: what it would have told counts as told, and gateways have to
-//! find out by themselves. In simulated time, over many seeds.
+//! The registry stalls while workers drain and restart. The rules deem its notifications delivered all the same, so gateways
+//! have to detect the changes on their own. The tests run in simulated time over many seeds.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::{SimulationOptions, SlowStartReport, play, play_with_options, slow_start_report};
 use std::path::Path;
 use test_case::test_case;
 
-/// The rule on draining workers.
+/// The number of the rule on draining workers.
 const DRAIN_RULE: u8 = 3;
 
 fn scenario(day: &str, gateways: usize, faults: Vec<ScheduledFault>) -> Scenario {
@@ -20,7 +20,7 @@
     ScheduledFault { name: format!("{kind:?}"), kind, at, duration, fraction, magnitude: 1.0 }
 }
 
-/// Half of the workers are replaced, one after the other, while the registry is silent.
+/// Half of the workers are replaced one by one while the registry is stalled.
 fn drains_during_stall(gateways: usize) -> Scenario {
     let stall = fault(FaultKind::RegistryStall, 4.0, 9.0, 1.0);
     let replacement = fault(FaultKind::RollingReplacement, 4.5, 6.0, 0.5);
@@ -40,7 +40,7 @@
     }
 }
 
-/// The same days with gateways that believe the list for good: the rule that they break is the one that is tested.
+/// Gateways whose endpoint list never expires violate the drain rule in the same scenarios, so the test above is able to fail.
 #[test]
 fn gateways_with_a_stale_endpoint_list_violate_the_drain_rule() {
     let options = SimulationOptions { endpoint_list_never_expires: true, ..SimulationOptions::default() };
@@ -51,7 +51,7 @@
     assert!((1..=5).all(|seed| drain_violations(seed) > 0));
 }
 
-/// Without drains a silence costs hardly any service.
+/// Without drains, a registry stall costs hardly any service.
 #[test_case(3; "three gateways")]
 #[test_case(30; "thirty gateways")]
 fn a_registry_stall_costs_hardly_any_service(gateways: usize) {
@@ -72,10 +72,11 @@
     );
 }
 
-/// Six in ten workers restart while the registry is silent, at their addresses: they are cold, and no gateway was told.
+/// During a registry stall, 60 % of the workers restart at the same addresses: they are warming up, and no gateway has been
+/// notified.
 #[test_case(1, 1.0; "one gateway")]
 #[test_case(3, 3.0; "three gateways, uneven traffic")]
-#[test_case(24, 8.0; "two dozen gateways, uneven traffic")]
+#[test_case(24, 8.0; "24 gateways, uneven traffic")]
 fn slow_start_limits_hold_for_workers_that_restart_during_a_registry_stall(gateways: usize, uneven: f64) {
     let faults =
         vec![fault(FaultKind::RegistryStall, 8.0, 12.0, 1.0), fault(FaultKind::WorkerCrash, 10.0, 1.0, 0.6)];
@@ -86,9 +87,6 @@
         let report = play_with_options(&scenario, seed, options);
         let SlowStartReport { bound_fraction, attempts, .. } = slow_start_report(&scenario, &report.records);
         assert!(attempts > 100, "seed {seed}: {attempts} attempts at warming workers");
-        assert!(
-            bound_fraction <= 1.0,
-            "seed {seed}: {bound_fraction:.2} of what a warming worker may be sent"
-        );
+        assert!(bound_fraction <= 1.0, "seed {seed}: {bound_fraction:.2} of the limit of a warming worker");
     }
 }
--- a/crates/simulator/tests/slow_start.rs
+++ b/crates/simulator/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start with any number of gateways: what all of them together send a warming worker stays under N + 2 √N + 2 requests
-//! of mean work in any window, N being what the settings allow it then. The distribution over 200 seeds: `docs/design.md`,
-//! example `slow_start`.
+//! Slow start with any number of gateways: in any window, all gateways together send a warming worker at most N + 2 √N + 2
+//! requests of mean work, where N is the number that the settings allow at that time. The example `slow_start` computes the
+//! distribution over many seeds; `docs/design.md` has it for 200 seeds.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::{SlowStartReport, play, slow_start_report};
@@ -12,37 +12,35 @@
     scenario_file::open(&file).expect("a valid scenario")
 }
 
-/// Plays a scenario with some seeds: in each run warming workers receive attempts, in no window more than the bound.
+/// Asserts for each seed that warming workers receive attempts and that no window exceeds the bound.
 fn assert_within_bound(scenario: &Scenario, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
         let SlowStartReport { bound_fraction, attempts, .. } =
             slow_start_report(scenario, &play(scenario, seed).records);
         assert!(attempts > 100, "seed {seed}: {attempts} attempts at warming workers");
-        assert!(
-            bound_fraction <= 1.0,
-            "seed {seed}: {bound_fraction:.2} of what a warming worker may be sent"
-        );
+        assert!(bound_fraction <= 1.0, "seed {seed}: {bound_fraction:.2} of the limit of a warming worker");
     }
 }
 
-/// Most workers are replaced at once. Gateways once attributed the throughput of all workers, those that had left among
-/// them, to the few that remained: they took these for several times as fast, and warming ones got twice their budget.
-#[test_case(0.6, 360.0; "six in ten")]
-#[test_case(0.9, 460.0; "nine in ten at a full load")]
+/// Most workers are replaced at once. Guards against attributing the throughput of all workers, including those that have
+/// left, to the few that remain: gateways then overestimated their speed several times, and warming workers received twice
+/// their budget.
+#[test_case(0.6, 360.0; "60 percent")]
+#[test_case(0.9, 460.0; "90 percent at full load")]
 fn slow_start_limits_hold_when_most_workers_are_replaced(fraction: f64, rate: f64) {
     let mut scenario = cold_fleet();
     (scenario.faults[0].fraction, scenario.traffic.rate) = (fraction, rate);
-    // Long enough for the replacements and what they are sent at first, when the sum is largest.
+    // Long enough for the replacements and for their initial load, when the total is largest.
     scenario.seconds = 20.0;
     assert_within_bound(&scenario, 1..=4);
 }
 
-/// Seeds that are played: one where hundreds of routers make a run long.
+/// The number of seeds: only one with hundreds of routers, because such a run takes long.
 fn seeds(routers: usize) -> u64 {
     if routers < 100 { 2 } else { 1 }
 }
 
-/// However few or many routers there are, and however unevenly the traffic falls on them.
+/// The limits hold for any number of routers and any distribution of the traffic among them.
 #[test_case(1, 1.0; "one router")]
 #[test_case(3, 1.0; "three routers, even traffic")]
 #[test_case(3, 3.0; "three routers, uneven traffic")]
@@ -59,7 +57,7 @@
     assert_within_bound(&scenario, 1..=seeds(routers));
 }
 
-/// Six in ten workers die and restart under the same names, and again while those that restarted first are warming up.
+/// 60 % of the workers crash and restart under the same names, and again while the first to restart are still warming up.
 #[test_case(1, 1.0; "one router")]
 #[test_case(3, 3.0; "three routers, uneven traffic")]
 #[test_case(12, 1.0; "twelve routers")]
