--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -35,24 +35,24 @@
     #[error("a field points beyond its frame's tail")]
     BeyondTail,
     /// The byte length of a worker list overflows.
-    #[error("a worker list of impossible length")]
+    #[error("the length of a worker list overflows")]
     ListTooLong,
     /// An event refers to a worker list that was never sent.
-    #[error("worker list {0} was never given")]
+    #[error("worker list {0} was never sent")]
     UnknownList(u32),
     /// An unknown event code.
-    #[error("{0} is no event")]
+    #[error("unknown event code {0}")]
     UnknownEvent(u8),
     /// An unknown outcome code.
-    #[error("{0} is no outcome")]
+    #[error("unknown outcome code {0}")]
     UnknownOutcome(u16),
     /// An unknown mode of a list update.
-    #[error("{0} is no kind of worker list")]
+    #[error("unknown list update mode {0}")]
     UnknownListMode(u8),
     /// An unknown state of a worker.
-    #[error("{0} is no state of a worker")]
+    #[error("unknown worker state {0}")]
     UnknownWorkerState(u8),
     /// A load report with more values than the wire format allows.
-    #[error("a load report of {0} values")]
+    #[error("a load report has too many values: {0}")]
     ReportTooLong(usize),
 }
