--- a/crates/history-checker/src/slow_start.rs
+++ b/crates/history-checker/src/slow_start.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// The maximum number of requests of mean work that a warming worker may be sent within one window, if the settings allow
-/// N (`allowed`) on average: N + 2 √N + 2, or N + 3 √N + 3 below 30. The margin allows for the random arrival of requests.
+/// N (`allowed`) on average: N + 2 √N + 2, or N + 3 √N + 3 if N is below 30. The margin covers random arrivals of requests.
 pub fn slow_start_limit(allowed: f64) -> f64 {
     /// The margin is wider below this number.
     const SMALL_BUDGET: f64 = 30.0;
@@ -26,7 +26,7 @@
     pub worker: usize,
     /// Attempts received within the window.
     pub attempts: usize,
-    /// Their work, in seconds of one core of speed 1.
+    /// Their work, in seconds on one core of speed 1.
     pub work: f64,
     /// The work that the settings allow on average.
     pub budget: f64,
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -231,8 +231,8 @@
 }
 
 impl Event {
-    /// Decodes an event other than [`Start`], [`ListUpdated`], [`WorkerList`] and a stop. `report_values` are the names of the
-    /// values in a load report.
+    /// Decodes an event other than [`Start`], [`ListUpdated`], [`WorkerList`] and a stop. `report_values` contains the names
+    /// of the values in a load report.
     #[inline]
     pub fn decode(record: Record<'_>, report_values: &[String]) -> Result<Self, WireError> {
         Ok(match code_of(record) {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -8,7 +8,7 @@
 use crate::reply::Reply;
 use std::collections::HashMap;
 
-/// The state of the process between batches.
+/// The state that the process keeps between batches.
 #[derive(Default)]
 pub struct Session {
     instances: HashMap<u16, Instance>,
--- a/crates/simulator-adapter/tests/dialogue.rs
+++ b/crates/simulator-adapter/tests/dialogue.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// FNV-1a.
+/// Continues a 64-bit FNV-1a hash with more bytes.
 fn hash(state: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(state, |state, byte| (state ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/simulator/examples/fleet.rs
+++ b/crates/simulator/examples/fleet.rs
@@ -12,7 +12,7 @@
 
 fn main() -> ExitCode {
     let Some(Options { scenario, seeds, gateways }) = options::read() else { return ExitCode::from(2) };
-    println!("gateways  sharing  service  fetches  refusals  warm    bytes/s  rules broken");
+    println!("gateways  sharing  service  fetches  refusals    warm  bytes/s  violations");
     let sizes = if gateways.is_empty() { vec![scenario.gateways] } else { gateways };
     for gateways in sizes {
         print_row(&Scenario { gateways, sharing: false, ..scenario.clone() }, seeds);
--- a/crates/simulator/examples/slow_start.rs
+++ b/crates/simulator/examples/slow_start.rs
@@ -12,7 +12,7 @@
 fn main() -> ExitCode {
     let Some(Options { scenario, seeds, gateways }) = options::read() else { return ExitCode::from(2) };
     println!(
-        "gateways  service  part of the budget: median  9 in 10  most  of the bound: median  9 in 10  most  past it"
+        "gateways  service  fraction of budget: median      p90   max      of bound: median      p90   max exceeded"
     );
     for gateways in gateways {
         let scenario = Scenario { gateways, ..scenario.clone() };
--- a/crates/simulator/tests/silent_registry.rs
+++ b/crates/simulator/tests/silent_registry.rs
@@ -40,7 +40,8 @@
     }
 }
 
-/// Gateways whose endpoint list never expires violate the drain rule in the same scenarios, so the test above is able to fail.
+/// Gateways whose endpoint list never expires violate the drain rule in the same scenarios, which shows that the scenarios
+/// test the rule.
 #[test]
 fn gateways_with_a_stale_endpoint_list_violate_the_drain_rule() {
     let options = SimulationOptions { endpoint_list_never_expires: true, ..SimulationOptions::default() };
