--- a/crates/simulator/tests/silent_registry.rs
+++ b/crates/simulator/tests/silent_registry.rs
@@ -9,8 +9,8 @@
 /// The number of the rule on draining workers.
 const DRAIN_RULE: u8 = 3;
 
-fn scenario(day: &str, gateways: usize, faults: Vec<ScheduledFault>) -> Scenario {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(day);
+fn scenario(file_name: &str, gateways: usize, faults: Vec<ScheduledFault>) -> Scenario {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(file_name);
     let mut scenario = scenario_file::open(&file).expect("a valid scenario");
     (scenario.gateways, scenario.faults) = (gateways, faults);
     scenario
