--- a/crates/history-checker/src/bounds/load_requests.rs
+++ b/crates/history-checker/src/bounds/load_requests.rs
@@ -1,11 +1,11 @@
-//! Load requests of all gateways together within any window.
+//! Load requests from all gateways together within any window.
 
 use super::shared_window::{SharedWindow, WindowUse};
 use super::{BoundReport, SharedBudgetBounds};
 use crate::event::{HistoryEvent, HistoryRecord};
 use crate::window_limit::WindowLimit;
 
-/// The bound by the limit of one gateway.
+/// Checks load requests against the fleet's limit, the sum of the gateways' limits; `limit` applies to one gateway.
 pub(super) fn bound(
     records: &[HistoryRecord],
     budgets: &SharedBudgetBounds,
@@ -17,13 +17,13 @@
     let mut bound = BoundReport::default();
     for HistoryRecord { at, event } in records {
         match event {
-            HistoryEvent::AttemptSent { .. } => shared.accepted(*at),
-            HistoryEvent::GatewayKilled { .. } => shared.killed(*at),
+            HistoryEvent::AttemptSent { .. } => shared.record_accepted(*at),
+            HistoryEvent::GatewayKilled { .. } => shared.record_killed(*at),
             HistoryEvent::LoadRequested { .. } => {
-                let WindowUse { count, most } = shared.used(*at);
-                bound.compare(*at, count, most, || {
+                let WindowUse { count, allowed } = shared.record_use(*at);
+                bound.compare(*at, count, allowed, || {
                     format!(
-                        "{count} load requests of all gateways within {window} s, at most {most:.1} allowed"
+                        "{count} load requests of all gateways within {window} s, at most {allowed:.1} allowed"
                     )
                 });
             }
--- a/crates/history-checker/src/bounds/retries.rs
+++ b/crates/history-checker/src/bounds/retries.rs
@@ -1,5 +1,5 @@
-//! Retries of all gateways together within any window: attempts that workers received beyond the first for each attempt of a
-//! client.
+//! Retries by all gateways together within any window: every attempt that workers received after the first for the same
+//! client attempt.
 
 use super::shared_window::{SharedWindow, WindowUse};
 use super::{BoundReport, SharedBudgetBounds};
@@ -7,7 +7,7 @@
 use crate::window_limit::WindowLimit;
 use std::collections::BTreeSet;
 
-/// The bound by the limit of the fleet.
+/// Checks retries against the fleet's limit.
 pub(super) fn bound(
     records: &[HistoryRecord],
     budgets: &SharedBudgetBounds,
@@ -20,12 +20,12 @@
     let mut bound = BoundReport::default();
     for HistoryRecord { at, event } in records {
         match *event {
-            HistoryEvent::AttemptSent { .. } => shared.accepted(*at),
-            HistoryEvent::GatewayKilled { .. } => shared.killed(*at),
+            HistoryEvent::AttemptSent { .. } => shared.record_accepted(*at),
+            HistoryEvent::GatewayKilled { .. } => shared.record_killed(*at),
             HistoryEvent::AttemptReceived { call, attempt, .. } if !received.insert((call, attempt)) => {
-                let WindowUse { count, most } = shared.used(*at);
-                bound.compare(*at, count, most, || {
-                    format!("{count} retries within {window} s, at most {most:.1} allowed")
+                let WindowUse { count, allowed } = shared.record_use(*at);
+                bound.compare(*at, count, allowed, || {
+                    format!("{count} retries within {window} s, at most {allowed:.1} allowed")
                 });
             }
             _ => {}
--- a/crates/history-checker/src/membership/timeline.rs
+++ b/crates/history-checker/src/membership/timeline.rs
@@ -1,21 +1,21 @@
-//! When gateways' processes ran, and what each gateway stated of the others.
+//! When gateway processes ran, and the states that each gateway reported of the others.
 
 use super::detection::Detection;
 use crate::event::{HistoryEvent, HistoryRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state of a member as datagrams state it.
+/// Member states as encoded in datagrams.
 pub(super) const ALIVE: u8 = 0;
 const SUSPECT: u8 = 1;
-/// This one and those above it (3 is left) mean that the process is gone.
+/// This state and higher ones (3 is left) mean that the process is gone.
 pub(super) const DEAD: u8 = 2;
 
-/// One process of a gateway. Times are in seconds.
+/// A gateway process. Times are in seconds.
 pub(super) struct Process {
     pub incarnation: u64,
     pub gateway: usize,
     pub started: f64,
-    /// Infinite while it runs.
+    /// Infinity while the process is running.
     pub ended: f64,
 }
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// A gateway states a process to be in a state.
-struct Statement {
+/// A gateway's report of the state of a process.
+struct StateReport {
     at: f64,
     state: u8,
 }
@@ -34,9 +34,9 @@
 #[derive(Default)]
 pub(super) struct Timeline {
     pub processes: Vec<Process>,
-    /// What each gateway stated of each incarnation, in the order of time.
-    statements: BTreeMap<(usize, u64), Vec<Statement>>,
-    /// When partitions healed.
+    /// Each gateway's reports of each incarnation, in chronological order.
+    reports: BTreeMap<(usize, u64), Vec<StateReport>>,
+    /// Times at which partitions healed.
     pub healed: Vec<f64>,
     paused: BTreeSet<usize>,
     pub datagrams: f64,
@@ -47,7 +47,7 @@
 }
 
 impl Timeline {
-    pub fn read(records: &[HistoryRecord]) -> Self {
+    pub fn from_records(records: &[HistoryRecord]) -> Self {
         let mut timeline = Self { end: records.last().map_or(0.0, |record| record.at), ..Self::default() };
         for HistoryRecord { at, event } in records {
             timeline.observe(*at, event);
@@ -77,7 +77,7 @@
                     self.false_suspicions += usize::from(state == SUSPECT);
                     self.false_deaths += usize::from(state == DEAD);
                 }
-                self.statements.entry((gateway, incarnation)).or_default().push(Statement { at, state });
+                self.reports.entry((gateway, incarnation)).or_default().push(StateReport { at, state });
             }
             _ => {}
         }
@@ -88,18 +88,18 @@
         self.processes.iter_mut().filter(running).for_each(|process| process.ended = at);
     }
 
-    /// Whether a process runs at the point up to which the history was read.
+    /// Whether a process is running at the current position in the history.
     fn is_running(&self, incarnation: u64) -> bool {
         self.processes.iter().any(|process| process.incarnation == incarnation && process.ended.is_infinite())
     }
 
-    /// Seconds for which processes ran, all together.
+    /// Total uptime of all processes, in seconds.
     pub fn uptime(&self) -> f64 {
         self.processes.iter().map(|process| process.ended.min(self.end) - process.started).sum()
     }
 
-    /// When a gateway first stated a state of a process, counted from `from`. None where the gateway was not up then, or
-    /// was killed before it could.
+    /// Seconds from `from` until a gateway first reported a state of a process that matches `is_state`. `None` if the gateway
+    /// was not running at `from` or was killed before it reported such a state.
     pub fn detection(
         &self,
         gateway: usize,
@@ -109,22 +109,22 @@
     ) -> Option<Detection> {
         let observer =
             self.processes.iter().find(|process| process.gateway == gateway && process.runs_at(from))?;
-        let mut stated = self.statements_of(gateway, incarnation);
-        let first = stated.find(|statement| statement.at >= from && is_state(statement.state));
-        match first.filter(|statement| statement.at <= observer.ended) {
-            Some(statement) => Some(Detection::After(statement.at - from)),
+        let mut reports = self.reports_of(gateway, incarnation);
+        let first = reports.find(|report| report.at >= from && is_state(report.state));
+        match first.filter(|report| report.at <= observer.ended) {
+            Some(report) => Some(Detection::After(report.at - from)),
             None if observer.ended.is_finite() => None,
             None => Some(Detection::Never),
         }
     }
 
-    /// Whether a gateway's last statement of a process up to a time was that it is gone.
-    pub fn last_stated_dead(&self, gateway: usize, incarnation: u64, at: f64) -> bool {
-        let until = self.statements_of(gateway, incarnation).take_while(|statement| statement.at <= at);
-        until.last().is_some_and(|statement| statement.state >= DEAD)
+    /// Whether a gateway's last report of a process up to a time was that it is gone.
+    pub fn last_reported_dead(&self, gateway: usize, incarnation: u64, at: f64) -> bool {
+        let until = self.reports_of(gateway, incarnation).take_while(|report| report.at <= at);
+        until.last().is_some_and(|report| report.state >= DEAD)
     }
 
-    fn statements_of(&self, gateway: usize, incarnation: u64) -> impl Iterator<Item = &Statement> {
-        self.statements.get(&(gateway, incarnation)).into_iter().flatten()
+    fn reports_of(&self, gateway: usize, incarnation: u64) -> impl Iterator<Item = &StateReport> {
+        self.reports.get(&(gateway, incarnation)).into_iter().flatten()
     }
 }
--- a/crates/history-checker/src/rules/answered_once.rs
+++ b/crates/history-checker/src/rules/answered_once.rs
@@ -1,6 +1,7 @@
-//! Rule 1: every attempt that a gateway accepts gets one final answer within its client's timeout, and nothing is sent to
-//! a worker for it afterwards. Once the client has closed or timed out, an attempt may still begin for 0.1 s, however late
-//! observations are. An attempt whose gateway was killed in the meantime is its client's to retry.
+//! Rule 1: every attempt that a gateway accepts receives exactly one final answer within the client's timeout, and nothing
+//! is sent to a worker for it afterwards. After the client has closed its connection or timed out, an attempt at a worker
+//! may still start for 0.1 s, whatever the tolerance for late observations. If the gateway was killed in the meantime, no
+//! answer is required and the client has to retry.
 
 use crate::event::{AttemptOutcome, HistoryEvent, HistoryRecord};
 use crate::rule_parameters::RuleParameters;
@@ -9,10 +10,10 @@
 
 const RULE: u8 = 1;
 
-/// Seconds after a client has closed or timed out in which an attempt for it may still begin.
-const CLIENT_GONE: f64 = 0.1;
+/// Seconds for which an attempt at a worker may still start after the client has closed its connection or timed out.
+const CLIENT_GONE_GRACE: f64 = 0.1;
 
-/// A call, and the number of a client's attempt within it.
+/// The call, and the number of the client's attempt within it.
 type AttemptKey = (u64, u32);
 
 struct Attempt {
@@ -29,14 +30,14 @@
 #[derive(Default)]
 struct AnsweredOnce {
     attempts: BTreeMap<AttemptKey, Attempt>,
-    /// When each gateway was last killed.
+    /// Time at which each gateway was last killed.
     killed_at: BTreeMap<usize, f64>,
-    /// When each gateway last resumed after a pause; infinite while it is paused.
+    /// Time at which each gateway last resumed after a pause; infinity while it is paused.
     resumed_at: BTreeMap<usize, f64>,
     violations: Vec<Violation>,
 }
 
-/// All violations of the rule.
+/// Finds all violations of the rule.
 pub(super) fn violations(records: &[HistoryRecord], parameters: &RuleParameters) -> Vec<Violation> {
     let mut rule = AnsweredOnce::default();
     for HistoryRecord { at, event } in records {
@@ -58,12 +59,12 @@
             HistoryEvent::GatewayResumed { gateway } => {
                 self.resumed_at.insert(gateway, at);
             }
-            HistoryEvent::AttemptSent { call, attempt, .. } => self.sent(at, (call, attempt)),
+            HistoryEvent::AttemptSent { call, attempt, .. } => self.on_sent(at, (call, attempt)),
             HistoryEvent::AttemptEnded { call, attempt, gateway, outcome } => {
-                self.ended((call, attempt), gateway, AttemptEnd { at, outcome }, parameters);
+                self.on_ended((call, attempt), gateway, AttemptEnd { at, outcome }, parameters);
             }
             HistoryEvent::AttemptReceived { call, attempt, gateway, worker, .. } => {
-                self.received(at, (call, attempt), gateway, worker, parameters);
+                self.on_received(at, (call, attempt), gateway, worker, parameters);
             }
             _ => {}
         }
@@ -73,31 +74,31 @@
         self.violations.push(Violation { rule: RULE, at, what });
     }
 
-    fn sent(&mut self, at: f64, key: AttemptKey) {
+    fn on_sent(&mut self, at: f64, key: AttemptKey) {
         let (call, attempt) = key;
         if self.attempts.insert(key, Attempt { sent_at: at, end: None }).is_some() {
             self.report(at, format!("call {call}.{attempt} asked twice"));
         }
     }
 
-    fn ended(&mut self, key: AttemptKey, gateway: usize, end: AttemptEnd, parameters: &RuleParameters) {
+    fn on_ended(&mut self, key: AttemptKey, gateway: usize, end: AttemptEnd, parameters: &RuleParameters) {
         let (call, attempt) = key;
         let AttemptEnd { at, outcome } = end;
-        let word = outcome.word();
-        let Some(known) = self.attempts.get_mut(&key) else {
+        let name = outcome.recorded_name();
+        let Some(attempt_state) = self.attempts.get_mut(&key) else {
             return self.report(at, format!("call {call}.{attempt} ended unasked"));
         };
-        let sent_at = known.sent_at;
-        if let Some(former) = known.end.replace(end) {
-            let former = former.outcome.word();
-            self.report(at, format!("call {call}.{attempt} ended as {former} and again as {word}"));
+        let sent_at = attempt_state.sent_at;
+        if let Some(previous) = attempt_state.end.replace(end) {
+            let previous = previous.outcome.recorded_name();
+            self.report(at, format!("call {call}.{attempt} ended as {previous} and again as {name}"));
         }
         if self.answer_is_missing(gateway, sent_at, end, parameters) {
-            self.report(at, format!("call {call}.{attempt} at gateway {gateway} got no answer: {word}"));
+            self.report(at, format!("call {call}.{attempt} at gateway {gateway} got no answer: {name}"));
         }
     }
 
-    /// Whether an attempt ended without an answer that its gateway could have given.
+    /// Whether an attempt ended unanswered although its gateway was able to answer.
     fn answer_is_missing(
         &self,
         gateway: usize,
@@ -110,13 +111,13 @@
         }
         let tolerance = parameters.tolerance;
         let was_killed = self.killed_at.get(&gateway).is_some_and(|killed| *killed >= sent_at - tolerance);
-        // A paused process cannot answer, and what has become due meanwhile is late as it resumes.
+        // A paused process cannot answer, and answers that became due during the pause are late when it resumes.
         let was_paused = end.outcome == AttemptOutcome::Unanswered
             && self.resumed_at.get(&gateway).is_some_and(|resumed| *resumed >= end.at - 2.0 * tolerance);
         !was_killed && !was_paused
     }
 
-    fn received(
+    fn on_received(
         &mut self,
         at: f64,
         key: AttemptKey,
@@ -126,20 +127,22 @@
     ) {
         let Some(end) = self.attempts.get(&key).and_then(|attempt| attempt.end) else { return };
         let allowed = match end.outcome {
-            AttemptOutcome::Abandoned | AttemptOutcome::Unanswered => parameters.tolerance.min(CLIENT_GONE),
+            AttemptOutcome::Abandoned | AttemptOutcome::Unanswered => {
+                parameters.tolerance.min(CLIENT_GONE_GRACE)
+            }
             _ => parameters.tolerance,
         };
         let late = at - end.at;
         if late > allowed {
-            let ((call, attempt), word) = (key, end.outcome.word());
+            let ((call, attempt), name) = (key, end.outcome.recorded_name());
             let what = format!(
-                "call {call}.{attempt} was {word}, and {late:.3} s later gateway {gateway} sent it to worker {worker}"
+                "call {call}.{attempt} was {name}, and {late:.3} s later gateway {gateway} sent it to worker {worker}"
             );
             self.report(at, what);
         }
     }
 
-    /// Reports the attempts that have no end when the history ends.
+    /// Reports the attempts that are still open at the end of the history.
     fn report_open_attempts(&mut self, at: f64) {
         let open = self.attempts.iter().filter(|(_, attempt)| attempt.end.is_none());
         let open: Vec<_> = open.map(|(key, attempt)| (*key, attempt.sent_at)).collect();
--- a/crates/history-checker/src/rules/executed_once.rs
+++ b/crates/history-checker/src/rules/executed_once.rs
@@ -1,4 +1,5 @@
-//! Rule 2: no call that is not idempotent by itself is executed twice, and a rejection means that nothing was executed.
+//! Rule 2: only calls that are idempotent without a key may be executed more than once, and a rejection means that nothing
+//! was executed.
 
 use crate::event::{AttemptOutcome, HistoryEvent, HistoryRecord, Idempotency};
 use crate::violation::Violation;
@@ -9,15 +10,15 @@
 #[derive(Default)]
 struct ExecutedOnce {
     idempotency: BTreeMap<u64, Idempotency>,
-    /// How often each call was executed.
+    /// The number of executions of each call.
     executions: BTreeMap<u64, usize>,
     rejected: BTreeSet<u64>,
-    /// The last attempt of each call.
+    /// The number of the last attempt of each call.
     last_attempt: BTreeMap<u64, u32>,
     violations: Vec<Violation>,
 }
 
-/// All violations of the rule.
+/// Finds all violations of the rule.
 pub(super) fn violations(records: &[HistoryRecord]) -> Vec<Violation> {
     let mut rule = ExecutedOnce::default();
     for HistoryRecord { at, event } in records {
@@ -35,9 +36,9 @@
             HistoryEvent::AttemptSent { call, attempt, .. } => {
                 self.last_attempt.insert(call, attempt);
             }
-            HistoryEvent::RequestExecuted { call, worker } => self.executed(at, call, worker),
+            HistoryEvent::RequestExecuted { call, worker } => self.on_executed(at, call, worker),
             HistoryEvent::AttemptEnded { call, outcome: AttemptOutcome::Rejected, .. } => {
-                self.rejected(at, call);
+                self.on_rejected(at, call);
             }
             _ => {}
         }
@@ -47,23 +48,23 @@
         self.violations.push(Violation { rule: RULE, at, what });
     }
 
-    fn executed(&mut self, at: f64, call: u64, worker: usize) {
+    fn on_executed(&mut self, at: f64, call: u64, worker: usize) {
         let idempotency = self.idempotency.get(&call).copied().unwrap_or(Idempotency::NonIdempotent);
         let executions = self.executions.entry(call).or_default();
         *executions += 1;
         let times = *executions;
         if idempotency != Idempotency::Idempotent && times > 1 {
-            let word = idempotency.word();
-            self.report(at, format!("{word} call {call} ran for the {times}th time, on worker {worker}"));
+            let name = idempotency.recorded_name();
+            self.report(at, format!("{name} call {call} ran for the {times}th time, on worker {worker}"));
         }
-        // A later attempt may be executed though the first was rejected.
+        // A later attempt may be executed although the first one was rejected.
         let is_first_attempt = self.last_attempt.get(&call) == Some(&0);
         if idempotency == Idempotency::NonIdempotent && self.rejected.contains(&call) && is_first_attempt {
             self.report(at, format!("effectful call {call} ran on worker {worker} after it was bounced"));
         }
     }
 
-    fn rejected(&mut self, at: f64, call: u64) {
+    fn on_rejected(&mut self, at: f64, call: u64) {
         self.rejected.insert(call);
         let non_idempotent = self.idempotency.get(&call) == Some(&Idempotency::NonIdempotent);
         if non_idempotent && self.executions.contains_key(&call) {
--- a/crates/platform-router/tests/slow_start.rs
+++ b/crates/platform-router/tests/slow_start.rs
@@ -16,9 +16,12 @@
     (scenario.gateways, scenario.seconds) = (routers, 20.0);
     (scenario.faults[0].fraction, scenario.traffic.rate) = (0.9, 460.0);
     for seed in 1..=2 {
-        let SlowStartReport { of_bound, attempts, .. } =
+        let SlowStartReport { bound_fraction, attempts, .. } =
             slow_start_report(&scenario, &play(&scenario, seed).records);
         assert!(attempts > 100, "seed {seed}: only {attempts} attempts to workers in slow start");
-        assert!(of_bound <= 1.0, "seed {seed}: a worker in slow start got {of_bound:.2} times its limit");
+        assert!(
+            bound_fraction <= 1.0,
+            "seed {seed}: a worker in slow start got {bound_fraction:.2} times its limit"
+        );
     }
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! Errors of the wire. Any of them ends the process, which has no way to recover its place in the stream.
+//! Errors of the wire protocol. Every error ends the process, because it cannot resynchronise with the stream.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the input cannot be answered.
+/// An error that prevents the process from answering its input.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// Standard input failed.
+    /// Reading standard input failed.
     #[error("the input cannot be read: {0}")]
     Read(io::Error),
-    /// Standard output failed.
+    /// Writing standard output failed.
     #[error("the output cannot be written: {0}")]
     Write(io::Error),
     /// The input ends before a frame's header is complete.
@@ -20,39 +20,39 @@
     TruncatedFrame {
         /// Bytes that were read.
         read: usize,
-        /// Length that the header states.
+        /// Frame length in the header.
         length: usize,
     },
-    /// A header states more records than its frame can hold.
+    /// A header announces more records than its frame can hold.
     #[error("a frame of {length} bytes cannot hold {count} records")]
     TooManyRecords {
-        /// Length that the header states.
+        /// Frame length in the header.
         length: usize,
-        /// Records that the header states.
+        /// Number of records in the header.
         count: usize,
     },
     /// A field refers to bytes beyond the tail of its frame.
     #[error("a field points beyond its frame's tail")]
     BeyondTail,
-    /// A worker list states more entries than can be addressed.
-    #[error("a worker list of impossible length")]
+    /// The byte length of a worker list overflows.
+    #[error("the length of a worker list overflows")]
     ListTooLong,
     /// An event refers to a worker list that was never sent.
-    #[error("worker list {0} was never given")]
+    #[error("worker list {0} was never sent")]
     UnknownList(u32),
     /// An unknown event code.
-    #[error("{0} is no event")]
+    #[error("unknown event code {0}")]
     UnknownEvent(u8),
     /// An unknown outcome code.
-    #[error("{0} is no outcome")]
+    #[error("unknown outcome code {0}")]
     UnknownOutcome(u16),
     /// An unknown mode of a list update.
-    #[error("{0} is no kind of worker list")]
+    #[error("unknown list update mode {0}")]
     UnknownListMode(u8),
     /// An unknown state of a worker.
-    #[error("{0} is no state of a worker")]
+    #[error("unknown worker state {0}")]
     UnknownWorkerState(u8),
-    /// A load report with more values than the wire has room for.
-    #[error("a load report of {0} values")]
+    /// A load report with more values than the wire format allows.
+    #[error("a load report has too many values: {0}")]
     ReportTooLong(usize),
 }
--- a/crates/simulator/examples/fleet.rs
+++ b/crates/simulator/examples/fleet.rs
@@ -1,6 +1,7 @@
-//! Plays a scenario in simulated time with other numbers of gateways: service, fetches, and fetches that the store rejected,
-//! over the seeds. `cargo run --release -p milletpath-simulator --example fleet -- days/town.hcl 10 1 24`: a scenario, seeds,
-//! numbers of gateways. Each is played without shared budgets and, where there are several gateways, with them.
+//! Runs a scenario in simulated time with different numbers of gateways and prints means over the seeds: service, fetches
+//! from the store, and fetches that the store rejected, among others. The arguments are a scenario file, the number of seeds
+//! and numbers of gateways: `cargo run --release -p milletpath-simulator --example fleet -- days/town.hcl 10 1 24`. Each
+//! number of gateways is run without shared budgets and, if there are several gateways, also with them.
 
 mod options;
 
@@ -11,22 +12,22 @@
 
 fn main() -> ExitCode {
     let Some(Options { scenario, seeds, gateways }) = options::read() else { return ExitCode::from(2) };
-    println!("gateways  sharing  service  fetches  refusals  warm    bytes/s  rules broken");
+    println!("gateways  sharing  service  fetches  refusals    warm  bytes/s  violations");
     let sizes = if gateways.is_empty() { vec![scenario.gateways] } else { gateways };
     for gateways in sizes {
-        print_line(&Scenario { gateways, sharing: false, ..scenario.clone() }, seeds);
+        print_row(&Scenario { gateways, sharing: false, ..scenario.clone() }, seeds);
         if gateways > 1 {
-            print_line(&Scenario { gateways, sharing: true, ..scenario.clone() }, seeds);
+            print_row(&Scenario { gateways, sharing: true, ..scenario.clone() }, seeds);
         }
     }
     ExitCode::SUCCESS
 }
 
-fn print_line(scenario: &Scenario, seeds: u64) {
-    /// Violations that are printed in full.
+fn print_row(scenario: &Scenario, seeds: u64) {
+    /// The number of violations that are printed in full.
     const MAX_PRINTED: usize = 3;
     let reports: Vec<_> = (1..=seeds).map(|seed| play(scenario, seed)).collect();
-    let mean = |figure: fn(&SimulationReport) -> f64| reports.iter().map(figure).sum::<f64>() / seeds as f64;
+    let mean = |metric: fn(&SimulationReport) -> f64| reports.iter().map(metric).sum::<f64>() / seeds as f64;
     println!(
         "{:>8} {:>8} {:>8.4} {:>8.0} {:>9.0} {:>7.4} {:>8.0} {:>8}",
         scenario.gateways,
--- a/crates/simulator/src/context.rs
+++ b/crates/simulator/src/context.rs
@@ -1,7 +1,7 @@
-//! What every module of the simulation needs: the scenario, the clock and the queue of events, the history, random
-//! numbers.
+//! State shared by all modules of the simulation: the scenario, the clock, the event queue, the history and the random
+//! number generator.
 
-use crate::clocks::Variation;
+use crate::clocks::SimulationOptions;
 use crate::event::Event;
 use crate::event_queue::EventQueue;
 use milletpath_emulator::scenario_file::Scenario;
@@ -9,12 +9,12 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Seconds that a message takes from one process to another: what loopback and a busy machine add.
+/// Seconds that a message takes from one process to another: the latency of loopback on a busy machine.
 const NETWORK_DELAY: f64 = 0.0003;
 
 pub(crate) struct Context {
     pub scenario: Scenario,
-    pub variation: Variation,
+    pub options: SimulationOptions,
     /// Seconds since the scenario's start.
     pub now: f64,
     pub events: EventQueue,
@@ -23,15 +23,15 @@
 }
 
 impl Context {
-    pub fn new(scenario: &Scenario, seed: u64, variation: Variation) -> Self {
-        const STREAM: u64 = 0x7011;
+    pub fn new(scenario: &Scenario, seed: u64, options: SimulationOptions) -> Self {
+        const RNG_STREAM: u64 = 0x7011;
         Self {
             scenario: scenario.clone(),
-            variation,
+            options,
             now: 0.0,
             events: EventQueue::default(),
             records: Vec::new(),
-            rng: ChaCha8Rng::seed_from_u64(seed ^ STREAM),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ RNG_STREAM),
         }
     }
 
@@ -47,7 +47,7 @@
         self.schedule(self.now + seconds, event);
     }
 
-    /// Sends a message from one process to another: the event that it is there comes after the network's delay.
+    /// Sends a message from one process to another: schedules the event of its arrival after the network delay.
     pub fn send(&mut self, event: Event) {
         self.schedule_in(NETWORK_DELAY, event);
     }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,10 +1,10 @@
-//! Plays a scenario: takes event after event from the queue and gives each to the module that handles it.
+//! The event loop: takes events from the queue and passes each to the module that handles it.
 
 use crate::budget_links::BudgetLinks;
 use crate::clients::Clients;
-use crate::clocks::Variation;
+use crate::clocks::SimulationOptions;
 use crate::context::Context;
-use crate::endpoint_list::{EndpointList, record_notified};
+use crate::endpoint_list::{EndpointList, record_notifications};
 use crate::event::{ClientInput, Event, FaultEvent, GatewayInput, WorkerInput, WorkerProcess};
 use crate::event_queue::ScheduledEvent;
 use crate::faults;
@@ -18,39 +18,39 @@
 use milletpath_policy::Outcome;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Plays a scenario.
+/// Runs a scenario.
 ///
 /// # Panics
 ///
-/// Where the gateways' configuration that follows from the scenario is not valid.
+/// If the gateway configuration derived from the scenario is invalid.
 pub fn play(scenario: &Scenario, seed: u64) -> SimulationReport {
-    play_varied(scenario, seed, Variation::default())
+    play_with_options(scenario, seed, SimulationOptions::default())
 }
 
-/// Plays a scenario with something that its file cannot state.
+/// Runs a scenario with options that a scenario file cannot express.
 ///
 /// # Panics
 ///
-/// As [`play`] does.
-pub fn play_varied(scenario: &Scenario, seed: u64, variation: Variation) -> SimulationReport {
-    Simulation::new(scenario, seed, variation).run()
+/// Like [`play`].
+pub fn play_with_options(scenario: &Scenario, seed: u64, options: SimulationOptions) -> SimulationReport {
+    Simulation::new(scenario, seed, options).run()
 }
 
 struct Simulation {
     context: Context,
     clients: Clients,
     gateways: Gateways,
-    /// Where gateways share budgets.
+    /// Present if the gateways share budgets.
     budget_links: Option<BudgetLinks>,
     workers: Workers,
     endpoints: EndpointList,
 }
 
 impl Simulation {
-    fn new(scenario: &Scenario, seed: u64, variation: Variation) -> Self {
-        let mut context = Context::new(scenario, seed, variation);
+    fn new(scenario: &Scenario, seed: u64, options: SimulationOptions) -> Self {
+        let mut context = Context::new(scenario, seed, options);
         let mut configs = gateway_configs(scenario, seed);
-        if variation.believes_silent_registry {
+        if options.endpoint_list_never_expires {
             configs.iter_mut().for_each(|config| config.policy.list_valid_for = f64::INFINITY);
         }
         let mut workers = Workers::new(&mut context);
@@ -67,9 +67,9 @@
     }
 
     fn run(mut self) -> SimulationReport {
-        /// Seconds after the last call by which all attempts have ended.
-        const SETTLING_SECONDS: f64 = 5.0;
-        let end = self.context.scenario.seconds + SETTLING_SECONDS;
+        /// Seconds after the end of the scenario within which all attempts end.
+        const SETTLING_TIME: f64 = 5.0;
+        let end = self.context.scenario.seconds + SETTLING_TIME;
         while let Some(ScheduledEvent { at, event, .. }) =
             self.context.events.pop().filter(|next| next.at <= end)
         {
@@ -90,9 +90,9 @@
             Event::EndpointsChanged(entries) => {
                 self.gateways.endpoints_changed(&mut self.context, &mut self.workers, &entries);
             }
-            Event::EndpointsCountAsTold(states) => record_notified(&mut self.context, &states),
+            Event::EndpointsDeemedNotified(states) => record_notifications(&mut self.context, &states),
             Event::EndpointsConfirmed => {
-                if !self.endpoints.silence.holds(self.context.now) {
+                if !self.endpoints.stall.is_active(self.context.now) {
                     self.gateways.endpoints_confirmed(self.context.now);
                 }
                 self.context.schedule_in(CONFIRMATION_INTERVAL, Event::EndpointsConfirmed);
@@ -105,7 +105,7 @@
         match event {
             FaultEvent::Begins(number) => faults::begin(context, workers, endpoints, number),
             FaultEvent::Continues { kind, steps } => {
-                faults::carry_out_due(context, workers, endpoints, kind, steps);
+                faults::run_due_steps(context, workers, endpoints, kind, steps);
             }
         }
     }
@@ -171,7 +171,7 @@
                 workers.fetch_ended(context, process, load, succeeded);
             }
             WorkerInput::AttemptArrives(attempt) => {
-                // An attempt whose request is over meanwhile was closed on its way.
+                // If its request has ended in the meantime, the attempt was closed before it arrived.
                 if let Some(client_attempt) = gateways.client_attempt(attempt.gateway, attempt.request) {
                     let planned = clients.planned(client_attempt.call);
                     workers.attempt_arrives(context, process, attempt, client_attempt, planned);
@@ -187,16 +187,15 @@
     }
 }
 
-/// The configurations that the gateways of a scenario on sockets have, for addresses at which nobody listens.
+/// The configurations that the gateways would have on sockets, with placeholder addresses.
 fn gateway_configs(scenario: &Scenario, seed: u64) -> Vec<GatewayConfig> {
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let registry = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let config = |gateway| {
         let file = GatewayConfigFile { scenario, gateway, listen, registry, links: None, seed };
         let text = file.to_string();
-        milletpath_config::read(&text).unwrap_or_else(|errors| {
-            panic!("the configuration of gateway {gateway} is not valid: {errors:?}")
-        })
+        milletpath_config::read(&text)
+            .unwrap_or_else(|errors| panic!("the configuration of gateway {gateway} is invalid: {errors:?}"))
     };
     (0..scenario.gateways).map(config).collect()
 }
--- a/crates/simulator/tests/clocks.rs
+++ b/crates/simulator/tests/clocks.rs
@@ -1,17 +1,18 @@
-//! Wall clocks are stepped while calls, retries, drains and slow starts are under way and gateways hold leases on shared
-//! budgets: the scenario goes as it does without the step.
+//! A step of the wall clocks during calls, retries, drains and slow starts, while gateways hold leases on shared budgets, has
+//! no effect on the scenario.
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
 use milletpath_simulator::{
-    ClockStep, Machines, SimulationReport, SlowStartReport, Variation, play_varied, slow_start_report,
+    ClockStep, Machines, SimulationOptions, SimulationReport, SlowStartReport, play_with_options,
+    slow_start_report,
 };
 use std::path::Path;
 use test_case::test_case;
 
-/// During the rolling restart of workers, which begins at 10 s and lasts for 7 s.
+/// Time of the step: during the rolling restart of workers, which begins at 10 s and lasts for 7 s.
 const STEP_AT: f64 = 13.0;
 
-/// Workers are drained and replaced one by one under a full load, while some fail attempts, which are retried.
+/// Workers are drained and replaced one by one under full load, while some of them fail attempts, which are retried.
 fn rolling_restart() -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/cold-fleet.hcl");
     let mut scenario = scenario_file::open(&file).expect("a valid scenario");
@@ -28,11 +29,19 @@
     scenario
 }
 
-fn play(seed: u64, clock_step: Option<ClockStep>, same_address: bool) -> (SimulationReport, SlowStartReport) {
+fn play(
+    seed: u64,
+    clock_step: Option<ClockStep>,
+    reuse_worker_addresses: bool,
+) -> (SimulationReport, SlowStartReport) {
     let scenario = rolling_restart();
-    let report = play_varied(&scenario, seed, Variation { clock_step, same_address, ..Variation::default() });
-    let load = slow_start_report(&scenario, &report.records);
-    (report, load)
+    let report = play_with_options(
+        &scenario,
+        seed,
+        SimulationOptions { clock_step, reuse_worker_addresses, ..SimulationOptions::default() },
+    );
+    let slow_start = slow_start_report(&scenario, &report.records);
+    (report, slow_start)
 }
 
 #[test_case(3.0; "three seconds forward")]
@@ -40,17 +49,23 @@
 #[test_case(3600.0; "an hour forward")]
 #[test_case(-3600.0; "an hour back")]
 fn a_step_of_wall_clocks_changes_nothing(by: f64) {
-    /// Service by which runs with other random numbers differ.
+    /// The difference in service between runs with different random numbers.
     const RANDOM_VARIATION: f64 = 0.02;
     for seed in 1..=2 {
-        let (without, load) = play(seed, None, true);
+        let (without, slow_start) = play(seed, None, true);
         assert_eq!(without.violations, vec![], "seed {seed}, without a step");
-        assert!(load.of_bound <= 1.0 && load.attempts > 100, "seed {seed}, without a step: {load:?}");
+        assert!(
+            slow_start.bound_fraction <= 1.0 && slow_start.attempts > 100,
+            "seed {seed}, without a step: {slow_start:?}"
+        );
         let expected = without.counts.service();
         for machines in [Machines::Gateways, Machines::Workers, Machines::All] {
-            let (stepped, load) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
+            let (stepped, slow_start) = play(seed, Some(ClockStep { at: STEP_AT, by, machines }), true);
             assert_eq!(stepped.violations, vec![], "seed {seed}, {machines:?}");
-            assert!(load.of_bound <= 1.0 && load.attempts > 100, "seed {seed}, {machines:?}: {load:?}");
+            assert!(
+                slow_start.bound_fraction <= 1.0 && slow_start.attempts > 100,
+                "seed {seed}, {machines:?}: {slow_start:?}"
+            );
             let service = stepped.counts.service();
             assert!(
                 (service - expected).abs() <= RANDOM_VARIATION,
@@ -60,10 +75,10 @@
     }
 }
 
-/// A step forward of the gateways' own clocks leaves no trace at all.
+/// A forward step of the gateways' own clocks does not change a single event.
 #[test_case(3.0; "three seconds")]
 #[test_case(3600.0; "an hour")]
-fn a_step_forward_of_gateways_leaves_no_trace(by: f64) {
+fn a_forward_step_of_gateway_clocks_leaves_the_history_unchanged(by: f64) {
     let step = ClockStep { at: STEP_AT, by, machines: Machines::Gateways };
     assert_eq!(play(1, None, false).0.records, play(1, Some(step), false).0.records);
 }
--- a/crates/simulator/tests/same_history.rs
+++ b/crates/simulator/tests/same_history.rs
@@ -1,6 +1,5 @@
-//! Every scenario of `days/` in simulated time gives the history that it gave before: a change of structure or of names
-//! leaves each event, its order and its figures as they are. A change of behaviour changes the values, and its commit
-//! explains why.
+//! Every scenario in `days/` yields its recorded history in simulated time, so refactoring and renaming must preserve every
+//! event, its order and its values. A change of behaviour changes the expected values, and its commit has to explain why.
 
 mod same_history {
     pub mod digest;
@@ -8,7 +7,9 @@
 }
 
 use milletpath_emulator::scenario_file::{self, FaultKind, Scenario, ScheduledFault};
-use milletpath_simulator::{ClockStep, Machines, SimulationReport, Variation, play, play_varied};
+use milletpath_simulator::{
+    ClockStep, Machines, SimulationOptions, SimulationReport, play, play_with_options,
+};
 use same_history::digest::Digest;
 use same_history::encoding::{encode_event, encode_report};
 use std::path::Path;
@@ -16,12 +17,12 @@
 
 const SEED: u64 = 7;
 
-/// What is compared: how many events there were, the digest of all of them, and the digest of the report's figures.
+/// The compared values: the number of events, the digest of all events, and the digest of the report's values.
 #[derive(Debug, PartialEq)]
 struct Fingerprint {
     events: usize,
     history: u64,
-    figures: u64,
+    report_digest: u64,
 }
 
 fn fingerprint(report: &SimulationReport) -> Fingerprint {
@@ -29,9 +30,13 @@
     for record in &report.records {
         encode_event(record, &mut history);
     }
-    let mut figures = Digest::new();
-    encode_report(report, &mut figures);
-    Fingerprint { events: report.records.len(), history: history.value(), figures: figures.value() }
+    let mut report_digest = Digest::new();
+    encode_report(report, &mut report_digest);
+    Fingerprint {
+        events: report.records.len(),
+        history: history.value(),
+        report_digest: report_digest.value(),
+    }
 }
 
 fn scenario(name: &str) -> Scenario {
@@ -39,8 +44,8 @@
     scenario_file::open(&file).expect("a valid scenario")
 }
 
-/// A scenario short enough for a debug build: its faults come in the same order, as much earlier as it is shorter, and
-/// its traffic is cut to a rate that a debug build plays within a second or two.
+/// A scenario short enough for a debug build. Its duration and the times of its faults are scaled down alike, and its traffic
+/// is limited to a rate that a debug build simulates within a second or two.
 fn shortened(name: &str) -> Scenario {
     const LONGEST_SECONDS: f64 = 14.0;
     const HIGHEST_RATE: f64 = 360.0;
@@ -69,22 +74,22 @@
 #[test_case("short-day", 8_691, 0x9e66_4273_242b_f496, 0x5724_007b_56b9_bc05; "short-day")]
 #[test_case("town", 25_645, 0xfc2b_185a_646a_30ff, 0x06d0_0fe0_0f1b_4f3c; "town")]
 #[test_case("village", 8_596, 0xc8bc_146c_e8e7_634e, 0x13ad_4ef9_bd4c_fcb6; "village")]
-fn a_scenario_gives_the_same_history(name: &str, events: usize, history: u64, figures: u64) {
+fn a_scenario_gives_the_same_history(name: &str, events: usize, history: u64, report_digest: u64) {
     let report = play(&shortened(name), SEED);
-    assert_eq!(fingerprint(&report), Fingerprint { events, history, figures }, "{name}");
+    assert_eq!(fingerprint(&report), Fingerprint { events, history, report_digest }, "{name}");
 }
 
-/// Every file of `days/` is among the cases above.
+/// Every file in `days/` is covered by a case above.
 #[test]
-fn every_scenario_is_played() {
+fn every_scenario_file_has_a_test_case() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
     let files = std::fs::read_dir(folder).expect("the folder of scenarios").count();
     let cases = include_str!("same_history.rs").lines().filter(|line| line.starts_with("#[test_case(\""));
     assert_eq!(cases.count(), files);
 }
 
-/// Faults of workers and of the store that no scenario file has before its end, one after the other, in a cluster that
-/// shares its budgets.
+/// Faults of workers and of the store that no shortened scenario file reaches before its end, in succession, in a cluster
+/// with shared budgets.
 #[test]
 fn faults_in_a_sharing_cluster_give_the_same_history() {
     let mut scenario = scenario("village");
@@ -111,17 +116,26 @@
     ];
     scenario.faults = kinds.into_iter().enumerate().map(fault).collect();
     let expected =
-        Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, figures: 0x4007_3653_f278_52cf };
+        Fingerprint { events: 7_537, history: 0x7fbb_122d_20d4_cb56, report_digest: 0x4007_3653_f278_52cf };
     assert_eq!(fingerprint(&play(&scenario, SEED)), expected);
 }
 
-/// A step of the workers' wall clocks amid a rolling restart, with addresses that stay and with new ones.
+/// A step of the workers' wall clocks during a rolling restart, with reused and with new worker addresses.
 #[test_case(true, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "same address")]
 #[test_case(false, 26_738, 0x63f7_3875_3084_998a, 0x814f_1678_2364_d43b; "new address")]
-fn a_clock_step_gives_the_same_history(same_address: bool, events: usize, history: u64, figures: u64) {
+fn a_clock_step_gives_the_same_history(
+    reuse_worker_addresses: bool,
+    events: usize,
+    history: u64,
+    report_digest: u64,
+) {
     let mut scenario = shortened("cold-fleet");
     (scenario.gateways, scenario.sharing) = (6, true);
     let clock_step = Some(ClockStep { at: 6.0, by: -3600.0, machines: Machines::Workers });
-    let report = play_varied(&scenario, SEED, Variation { clock_step, same_address, ..Variation::default() });
-    assert_eq!(fingerprint(&report), Fingerprint { events, history, figures });
+    let report = play_with_options(
+        &scenario,
+        SEED,
+        SimulationOptions { clock_step, reuse_worker_addresses, ..SimulationOptions::default() },
+    );
+    assert_eq!(fingerprint(&report), Fingerprint { events, history, report_digest });
 }
