--- a/crates/milletpath/tests/platform/calls.rs
+++ b/crates/milletpath/tests/platform/calls.rs
@@ -5,7 +5,7 @@
     answers, call_line, never_answers,
 };
 use milletpath_test_support::wait::{TIMEOUT, becomes_true};
-use milletpath_test_support::worker_frames::{HEAD_BYTES, frame, request, response};
+use milletpath_test_support::worker_frames::{HEADER_BYTES, frame, request, response};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, TcpStream};
 use test_case::test_case;
@@ -31,7 +31,7 @@
         return answers(earlier_attempts, id, connection);
     }
     let mut corrupt = frame(response::DONE, id, "", b"spoilt");
-    corrupt[HEAD_BYTES + 2] ^= 1;
+    corrupt[HEADER_BYTES + 2] ^= 1;
     let _ = connection.write_all(&corrupt);
 }
 
@@ -40,7 +40,7 @@
     if earlier_attempts > 0 {
         return answers(earlier_attempts, id, connection);
     }
-    let mut head = frame(response::DONE, id, "", b"")[..HEAD_BYTES].to_vec();
+    let mut head = frame(response::DONE, id, "", b"")[..HEADER_BYTES].to_vec();
     head[4..8].copy_from_slice(&3_000_000_000_u32.to_be_bytes());
     let _ = connection.write_all(&head);
 }
--- a/crates/milletpath/tests/platform/killed_processes.rs
+++ b/crates/milletpath/tests/platform/killed_processes.rs
@@ -5,7 +5,7 @@
     answers, call_line,
 };
 use milletpath_test_support::wait::wait_for;
-use milletpath_test_support::worker_frames::{HEAD_BYTES, request, response};
+use milletpath_test_support::worker_frames::{HEADER_BYTES, request, response};
 use nix::sys::signal::Signal;
 use test_case::test_case;
 
@@ -34,8 +34,8 @@
     client.send(&call_line(1, 1).replace("\"t\":", "\"k\":\"mark-of-it\",\"t\":"));
     let (connection, other) = first_connection(&workers);
     let unread_code = wait_for(|| {
-        let mut head = [0; HEAD_BYTES];
-        (connection.stream.peek(&mut head).unwrap() == HEAD_BYTES).then_some(head[1])
+        let mut head = [0; HEADER_BYTES];
+        (connection.stream.peek(&mut head).unwrap() == HEADER_BYTES).then_some(head[1])
     });
     assert_eq!(unread_code, Some(request::ATTEMPT));
     drop(connection);
--- a/crates/milletpath/tests/platform/misbehaving_clients.rs
+++ b/crates/milletpath/tests/platform/misbehaving_clients.rs
@@ -3,7 +3,7 @@
 use milletpath_test_support::platform_rig::{
     Client, DONE, Discovery, MAX_SOCKETS, Router, Worker, WorkerBehaviour, answers, call_line, never_answers,
 };
-use milletpath_test_support::worker_frames::{HEAD_BYTES, frame, response};
+use milletpath_test_support::worker_frames::{HEADER_BYTES, frame, response};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -38,7 +38,7 @@
 fn corrupts_every_other_answer(earlier_attempts: usize, id: u64, connection: &mut TcpStream) {
     let mut answer = frame(response::DONE, id, "use=q:0;x1:0;x0:0.1", b"done");
     if earlier_attempts.is_multiple_of(2) {
-        answer[HEAD_BYTES + 2] ^= 1;
+        answer[HEADER_BYTES + 2] ^= 1;
     }
     let _ = connection.write_all(&answer);
 }
--- a/crates/platform-router/src/sockets/tests.rs
+++ b/crates/platform-router/src/sockets/tests.rs
@@ -6,7 +6,7 @@
 use crate::platform_router::tests::{router_with_effect, run_local, submit_request};
 use crate::socket_errors::Operation;
 use milletpath_dispatcher::dispatcher::Counters;
-use milletpath_test_support::worker_frames::{FrameHead, HEAD_BYTES, frame, request, response};
+use milletpath_test_support::worker_frames::{FrameHeader, HEADER_BYTES, frame, request, response};
 use nix::errno::Errno;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -107,9 +107,9 @@
 
 async fn serve(mut stream: TcpStream, received_ids: ReceivedIds) -> io::Result<()> {
     loop {
-        let mut head = [0; HEAD_BYTES];
+        let mut head = [0; HEADER_BYTES];
         stream.read_exact(&mut head).await?;
-        let head = FrameHead::parse(&head);
+        let head = FrameHeader::parse(&head);
         stream.read_exact(&mut vec![0; head.remaining_bytes()]).await?;
         let answer = match head.code {
             request::ATTEMPT => {
--- a/crates/test-support/src/worker_frames.rs
+++ b/crates/test-support/src/worker_frames.rs
@@ -4,7 +4,7 @@
 use std::io::Read;
 
 /// Bytes of a frame before its fields.
-pub const HEAD_BYTES: usize = 16;
+pub const HEADER_BYTES: usize = 16;
 
 /// Bytes of the checksum behind a frame's body.
 const CHECKSUM_BYTES: usize = 4;
@@ -55,7 +55,7 @@
 
 /// The head of a frame.
 #[derive(Clone, Copy, Debug)]
-pub struct FrameHead {
+pub struct FrameHeader {
     /// One of the codes in [`request`].
     pub code: u8,
     /// Id of the call, or of what else is asked.
@@ -64,9 +64,9 @@
     body_bytes: usize,
 }
 
-impl FrameHead {
+impl FrameHeader {
     /// Reads the first bytes of a frame.
-    pub fn parse(head: &[u8; HEAD_BYTES]) -> Self {
+    pub fn parse(head: &[u8; HEADER_BYTES]) -> Self {
         let number = |bytes: &[u8]| bytes.iter().fold(0, |number, &byte| number << 8 | u64::from(byte));
         Self {
             code: head[1],
@@ -84,9 +84,9 @@
 
 /// Reads the next frame; `None` where the connection ends, or nothing comes before its read timeout.
 pub fn read_frame(from: &mut impl Read) -> Option<Frame> {
-    let mut head = [0; HEAD_BYTES];
+    let mut head = [0; HEADER_BYTES];
     from.read_exact(&mut head).ok()?;
-    let head = FrameHead::parse(&head);
+    let head = FrameHeader::parse(&head);
     let mut rest = vec![0; head.remaining_bytes()];
     from.read_exact(&mut rest).ok()?;
     rest.truncate(head.field_bytes);
