--- a/crates/milletpath/tests/changes/storage.rs
+++ b/crates/milletpath/tests/changes/storage.rs
@@ -1,10 +1,12 @@
 //! Control machines and gateways as processes whose disk is full: a limit on the size of their files.
 
-use milletpath_test_support::control_rig::{FileLimit, Installation, propose_changes, propose_changes_at};
+use milletpath_test_support::control_rig::{
+    FileSizeLimit, Installation, propose_changes, propose_changes_at,
+};
 use nix::sys::signal::Signal;
 
 /// Three control machines, of which number 1 has such a limit, and a gateway.
-fn with_limit(limit: FileLimit) -> Installation {
+fn with_limit(limit: FileSizeLimit) -> Installation {
     let mut installation = Installation::new(3, 1);
     [0, 2].into_iter().for_each(|n| installation.start_control(n, &["--initialize"]));
     installation.start_limited_control(1, limit, &["--initialize"]);
@@ -17,7 +19,7 @@
 /// counts for a majority, and nothing is lost after a kill.
 #[test]
 fn a_log_that_can_not_grow_is_compacted() {
-    let mut installation = with_limit(FileLimit(64));
+    let mut installation = with_limit(FileSizeLimit(64));
     let number = propose_changes(&installation, 60);
     assert!(installation.is_control_running(1), "its process goes on");
     installation.wait_until("it has all, and votes", |i| {
@@ -39,7 +41,7 @@
 /// space.
 #[test]
 fn a_control_machine_with_a_full_disk_forwards_and_does_not_vote() {
-    let mut installation = with_limit(FileLimit(1));
+    let mut installation = with_limit(FileSizeLimit(1));
     let number = propose_changes(&installation, 3);
     installation.wait_until("it has all", |i| i.control_status(1)["number"] == number);
     assert_eq!(installation.control_status(1)["votes"], false);
@@ -47,7 +49,7 @@
     assert!(installation.is_control_running(1), "its process goes on");
     assert!(installation.control_status(1)["log_error"].is_string(), "{:#}", installation.control_status(1));
     assert_eq!(installation.control_status(1)["votes"], false);
-    installation.lift_limit(1);
+    installation.lift_file_size_limit(1);
     installation.wait_until("it votes again", |i| i.control_status(1)["votes"] == true);
     installation.kill_control(0);
     assert_eq!(
@@ -61,12 +63,12 @@
     });
     // Started on a full disk it has what it had, and does not vote before that is in a fresh file.
     installation.kill_control(1);
-    installation.start_limited_control(1, FileLimit(1), &[]);
+    installation.start_limited_control(1, FileSizeLimit(1), &[]);
     assert_eq!(
         (&installation.control_status(1)["number"], &installation.control_status(1)["votes"]),
         (&(number + 1).into(), &false.into())
     );
-    installation.lift_limit(1);
+    installation.lift_file_size_limit(1);
     installation.wait_until("it votes once more", |i| i.control_status(1)["votes"] == true);
 }
 
@@ -76,7 +78,7 @@
     let mut installation = Installation::new(1, 1);
     installation.start_control(0, &["--initialize"]);
     propose_changes(&installation, 1);
-    installation.start_limited_gateway(0, FileLimit(1));
+    installation.start_limited_gateway(0, FileSizeLimit(1));
     installation
         .wait_until("the state can't be stored", |i| i.gateway_status(0)["not_kept"].as_u64() > Some(0));
     assert_eq!(installation.call(0, "check"), 200);
--- a/crates/test-support/src/control_rig/installation.rs
+++ b/crates/test-support/src/control_rig/installation.rs
@@ -1,6 +1,6 @@
 //! The installation: its files, its processes, and what its commands print.
 
-use super::processes::{FileLimit, ReadyProcess, start};
+use super::processes::{FileSizeLimit, ReadyProcess, start};
 use super::{KEY, OTHER_KEY};
 use crate::process::Process;
 use crate::program::{program, scratch_path};
@@ -132,7 +132,7 @@
     }
 
     /// As [`start_control`](Self::start_control), with a limit on the size of each file that it writes: a full disk.
-    pub fn start_limited_control(&mut self, n: usize, limit: FileLimit, arguments: &[&str]) {
+    pub fn start_limited_control(&mut self, n: usize, limit: FileSizeLimit, arguments: &[&str]) {
         self.start_control_by(n, limit.apply(&self.control_command(n, arguments)));
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Removes the limit on the files of a control machine.
-    pub fn lift_limit(&self, n: usize) {
+    pub fn lift_file_size_limit(&self, n: usize) {
         let pid = self.control(n).id().to_string();
         let lifted = Command::new("prlimit").args(["--pid", &pid, "--fsize=unlimited:unlimited"]).status();
         assert!(lifted.expect("prlimit runs").success());
@@ -177,7 +177,7 @@
     }
 
     /// As [`start_gateway`](Self::start_gateway), with a limit on the size of each file that it writes.
-    pub fn start_limited_gateway(&mut self, n: usize, limit: FileLimit) {
+    pub fn start_limited_gateway(&mut self, n: usize, limit: FileSizeLimit) {
         self.start_gateway_by(n, limit.apply(&self.gateway_command(n)));
     }
 
--- a/crates/test-support/src/control_rig/mod.rs
+++ b/crates/test-support/src/control_rig/mod.rs
@@ -9,7 +9,7 @@
 
 pub use authors::{HeldProposal, hold_back_first_proposal, propose_changes, propose_changes_at};
 pub use installation::{ConfigDifference, Installation};
-pub use processes::FileLimit;
+pub use processes::FileSizeLimit;
 
 /// The key that the processes of an installation share.
 pub const KEY: &str = "a secret of more than thirty-two bytes, for tests alone";
--- a/crates/test-support/src/control_rig/processes.rs
+++ b/crates/test-support/src/control_rig/processes.rs
@@ -8,9 +8,9 @@
 
 /// Largest size of a file, in blocks of 512 bytes: what `ulimit -f` counts in.
 #[derive(Clone, Copy, Debug)]
-pub struct FileLimit(pub u32);
+pub struct FileSizeLimit(pub u32);
 
-impl FileLimit {
+impl FileSizeLimit {
     /// The same command, started by a shell that sets the limit first.
     pub(super) fn apply(self, command: &Command) -> Command {
         let mut shell = Command::new("sh");
