--- a/crates/milletpath/tests/changes/agreement.rs
+++ b/crates/milletpath/tests/changes/agreement.rs
@@ -36,7 +36,7 @@
     // Proposed again it is in force already, and costs no entry of the log.
     let again = installation.change(ORDER, &[]);
     assert!(String::from_utf8_lossy(&again.stdout).contains("already in force"), "{again:?}");
-    assert_eq!(installation.change_applied("", &["--remove", "packs"]), 2);
+    assert_eq!(installation.apply_change("", &["--remove", "packs"]), 2);
     for n in 0..5 {
         assert_eq!(installation.call_as_order_and_check(n), (400, 200), "{n}");
     }
@@ -46,7 +46,7 @@
 #[test]
 fn a_leader_is_killed_before_its_change_is_accepted() {
     let mut installation = Installation::running(3, 2);
-    installation.change_applied(&lanes(2), &[]);
+    installation.apply_change(&lanes(2), &[]);
     let leader = installation.leader().expect("there is a leader");
     let others: Vec<_> = (0..3).filter(|n| *n != leader).collect();
     let proposals = |i: &Installation| i.control_status(leader)["tally"]["proposals"].as_u64();
@@ -64,7 +64,7 @@
     // In force once, at all gateways; and the log goes on.
     let number = installation.status()["head"].as_u64().unwrap();
     assert_eq!(installation.count_gateways(|g| g["number"] == number && g["state"] == "current"), 2);
-    assert!(installation.change_applied(&lanes(8), &[]) > number);
+    assert!(installation.apply_change(&lanes(8), &[]) > number);
 }
 
 /// One after the other is killed, each while a change is being agreed on, and started again: every change is applied, and
@@ -100,10 +100,10 @@
 #[test]
 fn four_of_seven_control_machines_are_a_majority() {
     let mut installation = Installation::running(7, 3);
-    installation.change_applied(&lanes(2), &[]);
+    installation.apply_change(&lanes(2), &[]);
     let leader = installation.leader().expect("there is a leader");
     (0..3).for_each(|n| installation.kill_control((leader + n) % 7));
-    let number = installation.change_applied(ORDER, &["--wait", "30"]);
+    let number = installation.apply_change(ORDER, &["--wait", "30"]);
     assert_eq!(installation.count_gateways(|g| g["state"] == "current" && g["number"] == number), 3);
     for n in 0..3 {
         assert_eq!(installation.call_as_order_and_check(n), (200, 400), "{n}");
@@ -114,7 +114,7 @@
 #[test]
 fn without_a_majority_nothing_is_known_of_a_change_and_gateways_go_on() {
     let mut installation = Installation::running(3, 2);
-    installation.change_applied(ORDER, &[]);
+    installation.apply_change(ORDER, &[]);
     installation.kill_control(0);
     installation.kill_control(1);
     let output = installation.change("function \"packs\" { profile = \"check\" }", &["--wait", "0"]);
@@ -134,7 +134,7 @@
     assert_eq!(output.status.code(), Some(1));
     assert!(stderr(&output).contains("no control machine answers: are they running"), "{output:?}");
     (0..3).for_each(|n| installation.start_control(n, &[]));
-    installation.change_applied("function \"packs\" { profile = \"check\" }", &["--wait", "30"]);
+    installation.apply_change("function \"packs\" { profile = \"check\" }", &["--wait", "30"]);
     for n in 0..2 {
         assert_eq!(installation.call_as_order_and_check(n), (400, 200), "{n}");
     }
@@ -145,13 +145,13 @@
 #[test]
 fn processes_that_were_paused_longer_than_every_lease_catch_up() {
     let installation = Installation::running(3, 3);
-    installation.change_applied(&lanes(2), &[]);
+    installation.apply_change(&lanes(2), &[]);
     installation.gateway(0).signal(Signal::SIGSTOP);
     installation.control(0).signal(Signal::SIGSTOP);
     installation.wait_until("the gateway counts as silent", |i| {
         i.count_gateways(|g| g["state"] == "silent" && g["heard"].as_f64() > Some(6.5)) == 1
     });
-    let number = installation.change_applied(ORDER, &[]);
+    let number = installation.apply_change(ORDER, &[]);
     assert_eq!((installation.call(1, "order"), installation.call(2, "order")), (200, 200));
     installation.gateway(0).signal(Signal::SIGCONT);
     installation.control(0).signal(Signal::SIGCONT);
@@ -162,5 +162,5 @@
     assert_eq!(installation.call(0, "order"), 200);
     let gateway = installation.gateway_status(0);
     assert_eq!((gateway["anew"].as_u64(), gateway["conflicts"].as_u64()), (Some(0), Some(0)));
-    assert!(installation.change_applied(&lanes(5), &[]) > number);
+    assert!(installation.apply_change(&lanes(5), &[]) > number);
 }
--- a/crates/milletpath/tests/changes/authors.rs
+++ b/crates/milletpath/tests/changes/authors.rs
@@ -18,13 +18,13 @@
     proposal.held.recv_timeout(Duration::from_secs(30)).expect("a proposal");
     let control = installation.control_addresses();
     installation.configure_author(ConfigDifference::default(), &control, "");
-    assert_eq!(installation.change_applied(&lanes(2), &[]), 1);
+    assert_eq!(installation.apply_change(&lanes(2), &[]), 1);
     proposal.release.send(()).unwrap();
     let output = late.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     assert!(stderr(&output).contains("another author was first, with number 1"), "{output:?}");
     // Having read again it may.
-    let number = installation.change_applied(&lanes(9), &[]);
+    let number = installation.apply_change(&lanes(9), &[]);
     assert_eq!(installation.count_gateways(|g| g["number"] == number), 2);
 }
 
@@ -75,7 +75,7 @@
     installation.start_control(0, &["--initialize"]);
     assert_failed(&run(&installation, 0, &[]), 1, "can't be listened on");
     installation.start_gateway(0);
-    installation.change_applied(ORDER, &[]);
+    installation.apply_change(ORDER, &[]);
     installation.kill_control(0);
     assert_failed(&run(&installation, 0, &["--initialize"]), 2, "holds a log already");
     std::fs::remove_file(installation.file("changes.key")).unwrap();
@@ -87,7 +87,7 @@
     let mut installation = Installation::new(1, 1);
     installation.start_control(0, &["--initialize"]);
     installation.start_gateway(0);
-    installation.change_applied(ORDER, &[]);
+    installation.apply_change(ORDER, &[]);
     installation.kill_control(0);
     assert_failed(&installation.change("", &[]), 2, "nothing to change");
     assert_failed(&installation.change("", &["--remove", "no name"]), 2, "there is no such statement");
--- a/crates/milletpath/tests/changes/gateways.rs
+++ b/crates/milletpath/tests/changes/gateways.rs
@@ -11,7 +11,7 @@
 #[test_case(Signal::SIGKILL; "killed")]
 fn a_gateway_restarts_from_its_last_known_state(signal: Signal) {
     let mut installation = Installation::running(3, 2);
-    installation.change_applied(ORDER, &[]);
+    installation.apply_change(ORDER, &[]);
     if signal == Signal::SIGKILL {
         installation.wait_until("the state is stored", |i| i.gateway_status(0)["kept"] == 1);
     }
@@ -31,7 +31,7 @@
 #[test]
 fn a_corrupt_state_file_is_ignored() {
     let mut installation = Installation::running(3, 1);
-    installation.change_applied(ORDER, &[]);
+    installation.apply_change(ORDER, &[]);
     installation.end_gateway(0, Signal::SIGTERM);
     let state = installation.file("gateway-0.state");
     let complete = std::fs::read(&state).unwrap();
@@ -77,7 +77,7 @@
     assert_eq!(installation.count_gateways(refusing), 1, "{:#}", installation.status());
     assert_eq!(installation.count_log_lines("gateway-1", "can't be applied here"), 1);
     // What it can apply is in force there, and it refuses nothing any more.
-    let number = installation.change_applied("function \"packs\" { lanes = 3 }", &[]);
+    let number = installation.apply_change("function \"packs\" { lanes = 3 }", &[]);
     assert_eq!((installation.call(1, "check"), installation.call(0, "check")), (200, 200));
     installation.wait_until("all are current", |i| {
         i.count_gateways(|g| g["state"] == "current" && g["number"] == number) == 3
@@ -95,7 +95,7 @@
     installation.wait_until("its predecessor counts as silent", |i| {
         i.count_gateways(|g| g["state"] == "silent") == 1
     });
-    installation.change_applied(ORDER, &[]);
+    installation.apply_change(ORDER, &[]);
     assert_eq!((installation.call(0, "order"), installation.call_as_order_and_check(1)), (200, (400, 200)));
     let refused: usize = (0..3)
         .map(|n| installation.count_log_lines(&format!("control-{n}"), "its seal is of another key"))
--- a/crates/milletpath/tests/changes/storage.rs
+++ b/crates/milletpath/tests/changes/storage.rs
@@ -31,7 +31,7 @@
     installation.start_control(1, &[]);
     installation.kill_control(0);
     assert_eq!(
-        installation.change_applied("function \"packs\" {\n  lanes = 2\n}\n", &["--wait", "30"]),
+        installation.apply_change("function \"packs\" {\n  lanes = 2\n}\n", &["--wait", "30"]),
         number + 1
     );
     assert_eq!(installation.control_status(1)["digest"], installation.control_status(2)["digest"]);
@@ -53,7 +53,7 @@
     installation.wait_until("it votes again", |i| i.control_status(1)["votes"] == true);
     installation.kill_control(0);
     assert_eq!(
-        installation.change_applied("function \"packs\" {\n  lanes = 3\n}\n", &["--wait", "30"]),
+        installation.apply_change("function \"packs\" {\n  lanes = 3\n}\n", &["--wait", "30"]),
         number + 1
     );
     installation.kill_control(1);
--- a/crates/milletpath/tests/changes/stored_files.rs
+++ b/crates/milletpath/tests/changes/stored_files.rs
@@ -44,6 +44,6 @@
         );
     }
     installation.start_gateway(0);
-    assert!(installation.change_applied("", &["--remove", "packs"]) > HEAD);
+    assert!(installation.apply_change("", &["--remove", "packs"]) > HEAD);
     assert_eq!(installation.call_as_order_and_check(0), (400, 200));
 }
--- a/crates/test-support/src/control_rig/installation.rs
+++ b/crates/test-support/src/control_rig/installation.rs
@@ -233,7 +233,7 @@
     }
 
     /// Makes a change that must come into force at all gateways; returns its number.
-    pub fn change_applied(&self, text: &str, arguments: &[&str]) -> u64 {
+    pub fn apply_change(&self, text: &str, arguments: &[&str]) -> u64 {
         let output = self.change(text, arguments);
         let printed = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(output.status.success(), "{output:?}");
