--- a/crates/milletpath/tests/serve_deadlines.rs
+++ b/crates/milletpath/tests/serve_deadlines.rs
@@ -2,7 +2,7 @@
 //! left, whatever the attempt waited for.
 
 use milletpath_test_support::serve_rig::{
-    Client, Gateway, GatewayOptions, Message, OK, UnacceptingWorker, call_request,
+    Client, FullBacklogWorker, Gateway, GatewayOptions, Message, OK, call_request,
 };
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -34,7 +34,7 @@
 /// The worker's system accepts the connection a second late, so the attempt begins a second after its decision.
 #[test]
 fn an_attempt_whose_connection_comes_up_late_states_what_is_left() {
-    let worker = UnacceptingWorker::start();
+    let worker = FullBacklogWorker::start();
     let options = GatewayOptions { workers: "connect = 2.2", ..GatewayOptions::default() };
     let gateway = Gateway::with_options(worker.address, &options);
     let mut client = Client::connect(gateway.address).expect("it listens");
--- a/crates/milletpath/tests/serve_departed_clients/main.rs
+++ b/crates/milletpath/tests/serve_departed_clients/main.rs
@@ -3,7 +3,7 @@
 mod during_load;
 
 use milletpath_test_support::serve_rig::{
-    Arrivals, Client, Departure, FULL, Gateway, GatewayOptions, OK, UnacceptingWorker, Worker, call_request,
+    Arrivals, Client, Departure, FULL, FullBacklogWorker, Gateway, GatewayOptions, OK, Worker, call_request,
     serve_connection,
 };
 use std::net::SocketAddr;
@@ -127,7 +127,7 @@
 /// While a connection to the worker is being made: its system accepts none until they have left.
 #[test]
 fn clients_that_disconnect_while_a_connection_is_made() {
-    let worker = UnacceptingWorker::start();
+    let worker = FullBacklogWorker::start();
     let options = GatewayOptions { workers: "connect = 2.5", ..GatewayOptions::default() };
     let gateway = Gateway::with_options(worker.address, &options);
     let callers = callers(gateway.address);
--- a/crates/test-support/src/serve_rig/mod.rs
+++ b/crates/test-support/src/serve_rig/mod.rs
@@ -8,4 +8,4 @@
 pub use client::{Client, Departure, call_request};
 pub use gateway::{Gateway, GatewayOptions};
 pub use message::Message;
-pub use worker::{Arrival, Arrivals, FULL, OK, UnacceptingWorker, Worker, serve_connection};
+pub use worker::{Arrival, Arrivals, FULL, FullBacklogWorker, OK, Worker, serve_connection};
--- a/crates/test-support/src/serve_rig/worker.rs
+++ b/crates/test-support/src/serve_rig/worker.rs
@@ -72,14 +72,14 @@
 }
 
 /// A worker whose backlog is full, so that its system accepts no connection.
-pub struct UnacceptingWorker {
+pub struct FullBacklogWorker {
     listener: TcpListener,
     /// Where it listens.
     pub address: SocketAddr,
-    _fills_the_backlog: TcpStream,
+    backlog_filler: TcpStream,
 }
 
-impl UnacceptingWorker {
+impl FullBacklogWorker {
     /// Starts one.
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -88,13 +88,13 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("a bound socket");
         let filler = TcpStream::connect(address).expect("the backlog has room for one");
-        Self { listener, address, _fills_the_backlog: filler }
+        Self { listener, address, backlog_filler: filler }
     }
 
     /// Accepts from now on, and serves each connection so; who connected before comes up when the system repeats its
     /// SYN, a second after the first.
     pub fn accept(self, serve: impl Fn(TcpStream) + Clone + Send + 'static) -> TcpStream {
         accept_all(self.listener, serve);
-        self._fills_the_backlog
+        self.backlog_filler
     }
 }
