--- a/crates/milletpath/tests/serve_departed_clients/during_load.rs
+++ b/crates/milletpath/tests/serve_departed_clients/during_load.rs
@@ -66,7 +66,7 @@
     fn serve(&self, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         while let Some(message) = Message::read(&mut stream) {
-            let answer = if message.start.contains("/load ") {
+            let answer = if message.start_line.contains("/load ") {
                 self.record_request();
                 self.await_load(Load::Done);
                 LOADED
--- a/crates/milletpath/tests/serve_http_heads.rs
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -66,7 +66,10 @@
     fn wait_for_head(&self, text: &str) -> String {
         let find = || {
             let received = self.received.lock().expect("no test thread panicked");
-            received.iter().find(|message| message.start.contains(text)).map(|message| masked(&message.head))
+            received
+                .iter()
+                .find(|message| message.start_line.contains(text))
+                .map(|message| masked(&message.head))
         };
         wait_for(find).unwrap_or_else(|| panic!("no {text} in {:?}", self.received))
     }
@@ -76,7 +79,7 @@
     let mut stream = BufReader::new(stream);
     let mut is_loaded = false;
     while let Some(message) = Message::read(&mut stream) {
-        let is_load = message.start.contains("/load ");
+        let is_load = message.start_line.contains("/load ");
         is_loaded |= is_load;
         let answer = match message.body.as_slice() {
             _ if is_load => LOADED,
--- a/crates/milletpath/tests/serve_registry_outage.rs
+++ b/crates/milletpath/tests/serve_registry_outage.rs
@@ -69,7 +69,7 @@
     fn serve(&self, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         while let Some(message) = Message::read(&mut stream) {
-            let is_check = message.start.contains("/v2/health/ready");
+            let is_check = message.start_line.contains("/v2/health/ready");
             if !is_check {
                 self.arrivals.lock().expect("no test thread panicked").push(Instant::now());
             }
--- a/crates/milletpath/tests/serve_shutdown.rs
+++ b/crates/milletpath/tests/serve_shutdown.rs
@@ -58,10 +58,10 @@
                 calls.lost += usize::from(written.elapsed() > CROSSING);
                 break;
             };
-            let closes = answer.has("connection: close");
+            let closes = answer.has_field("connection: close");
             match answer.status() {
                 200 => calls.succeeded += 1,
-                503 if answer.has("retry-after: ") && (closes || !closing) => calls.rejected += 1,
+                503 if answer.has_field("retry-after: ") && (closes || !closing) => calls.rejected += 1,
                 _ => calls.malformed.push(format!("{answer:?}")),
             }
             if closes {
@@ -132,7 +132,7 @@
     partial.iter_mut().for_each(|client| client.write(rest).expect("it reads"));
     let answered = |clients: Vec<Client>| {
         let answers = clients.into_iter().filter_map(|mut client| client.response());
-        answers.filter(|a| a.status() == 200 || a.status() == 503 && a.has("connection: close")).count()
+        answers.filter(|a| a.status() == 200 || a.status() == 503 && a.has_field("connection: close")).count()
     };
     let answers = [answered(idle), answered(unaccepted), answered(partial)];
     assert_eq!(answers, [EACH; 3], "of the idle, the unaccepted and the partial");
@@ -155,7 +155,9 @@
     std::thread::sleep(CROSSING);
     assert!(large.write(body).is_ok(), "it reads to the end");
     let answer = large.response().expect("an answer");
-    assert!(answer.status() == 503 && answer.has("retry-after: ") && answer.has("connection: close"));
+    assert!(
+        answer.status() == 503 && answer.has_field("retry-after: ") && answer.has_field("connection: close")
+    );
     assert_eq!(first.response().expect("an answer").status(), 200);
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
 }
--- a/crates/test-support/src/serve_rig/message.rs
+++ b/crates/test-support/src/serve_rig/message.rs
@@ -8,7 +8,7 @@
     /// The head to its empty line, byte for byte.
     pub head: String,
     /// The request line or the status line.
-    pub start: String,
+    pub start_line: String,
     /// The header fields, in lower case.
     pub fields: Vec<String>,
     /// The body.
@@ -20,22 +20,22 @@
     pub fn read(from: &mut impl BufRead) -> Option<Self> {
         let head = read_head(from)?;
         let mut lines = head.lines();
-        let start = lines.next()?.to_owned();
+        let start_line = lines.next()?.to_owned();
         let fields: Vec<_> =
             lines.filter(|line| !line.is_empty()).map(|line| line.trim_end().to_ascii_lowercase()).collect();
         let length = fields.iter().find_map(|field| field.strip_prefix("content-length: ")?.parse().ok());
         let mut body = vec![0; length.unwrap_or(0)];
         from.read_exact(&mut body).ok()?;
-        Some(Self { head, start, fields, body })
+        Some(Self { head, start_line, fields, body })
     }
 
     /// The status of a response; 0 where there is none.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
     /// Whether a field begins so; in lower case.
-    pub fn has(&self, field: &str) -> bool {
+    pub fn has_field(&self, field: &str) -> bool {
         self.fields.iter().any(|line| line.starts_with(field))
     }
 }
