--- a/crates/milletpath/tests/serve_deadlines.rs
+++ b/crates/milletpath/tests/serve_deadlines.rs
@@ -35,7 +35,7 @@
 #[test]
 fn an_attempt_whose_connection_comes_up_late_states_what_is_left() {
     let worker = FullBacklogWorker::start();
-    let options = GatewayOptions { workers: "connect = 2.2", ..GatewayOptions::default() };
+    let options = GatewayOptions { workers_settings: "connect = 2.2", ..GatewayOptions::default() };
     let gateway = Gateway::with_options(worker.address, &options);
     let mut client = Client::connect(gateway.address).expect("it listens");
     let sent = Instant::now();
--- a/crates/milletpath/tests/serve_departed_clients/during_load.rs
+++ b/crates/milletpath/tests/serve_departed_clients/during_load.rs
@@ -106,8 +106,11 @@
 
 /// A gateway that sends load requests to this worker.
 fn start_gateway(worker: &LoadingWorker) -> Gateway {
-    let options =
-        GatewayOptions { workers: "misses = true", load_requests: true, ..GatewayOptions::default() };
+    let options = GatewayOptions {
+        workers_settings: "misses = true",
+        load_requests: true,
+        ..GatewayOptions::default()
+    };
     Gateway::with_options(worker.address, &options)
 }
 
--- a/crates/milletpath/tests/serve_departed_clients/main.rs
+++ b/crates/milletpath/tests/serve_departed_clients/main.rs
@@ -128,7 +128,7 @@
 #[test]
 fn clients_that_disconnect_while_a_connection_is_made() {
     let worker = FullBacklogWorker::start();
-    let options = GatewayOptions { workers: "connect = 2.5", ..GatewayOptions::default() };
+    let options = GatewayOptions { workers_settings: "connect = 2.5", ..GatewayOptions::default() };
     let gateway = Gateway::with_options(worker.address, &options);
     let callers = callers(gateway.address);
     std::thread::sleep(2 * MOMENT);
--- a/crates/milletpath/tests/serve_descriptors.rs
+++ b/crates/milletpath/tests/serve_descriptors.rs
@@ -12,8 +12,8 @@
     let gateway = Gateway::with_options(
         worker.address,
         &GatewayOptions {
-            top: "cores = 1\nfunctions { lanes = 1000 }\n",
-            workers: "idle = 0.1",
+            top_level_settings: "cores = 1\nfunctions { lanes = 1000 }\n",
+            workers_settings: "idle = 0.1",
             descriptors: GRANTED,
             ..GatewayOptions::default()
         },
--- a/crates/milletpath/tests/serve_http_heads.rs
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -230,8 +230,8 @@
     let worker = RecordingWorker::start();
     let options = GatewayOptions {
         // Among several gateways a worker's load is asked for before an attempt.
-        top: "gateways = 2",
-        workers: "misses = true",
+        top_level_settings: "gateways = 2",
+        workers_settings: "misses = true",
         load_requests: true,
         health_checks: true,
         ..GatewayOptions::default()
--- a/crates/milletpath/tests/serve_shutdown.rs
+++ b/crates/milletpath/tests/serve_shutdown.rs
@@ -167,7 +167,11 @@
 #[test]
 fn nothing_keeps_the_process_from_its_exit() {
     let worker = Worker::start(OK, Duration::from_secs(60));
-    let options = GatewayOptions { top: "limits { head = 30 }\n", deadline: 1, ..GatewayOptions::default() };
+    let options = GatewayOptions {
+        top_level_settings: "limits { head = 30 }\n",
+        deadline: 1,
+        ..GatewayOptions::default()
+    };
     let mut gateway = Gateway::with_options(worker.address, &options);
     let connect = || Client::connect(gateway.address).expect("it listens");
     let [mut waiting, mut without_body, mut without_head, _idle] = [(); 4].map(|()| connect());
--- a/crates/test-support/src/serve_rig/gateway.rs
+++ b/crates/test-support/src/serve_rig/gateway.rs
@@ -13,9 +13,9 @@
 /// What differs from the usual configuration and limits.
 pub struct GatewayOptions {
     /// Text at the top of the configuration.
-    pub top: &'static str,
+    pub top_level_settings: &'static str,
     /// Text in its section on workers.
-    pub workers: &'static str,
+    pub workers_settings: &'static str,
     /// Whether the gateway sends load requests.
     pub load_requests: bool,
     /// Whether the gateway sends health checks.
@@ -29,8 +29,8 @@
 impl Default for GatewayOptions {
     fn default() -> Self {
         Self {
-            top: "",
-            workers: "",
+            top_level_settings: "",
+            workers_settings: "",
             load_requests: false,
             health_checks: false,
             deadline: 3,
@@ -50,8 +50,8 @@
 
 impl Gateway {
     /// Starts one on a port of its own, with this text at the top of its configuration.
-    pub fn start(worker: SocketAddr, top: &'static str) -> Self {
-        Self::with_options(worker, &GatewayOptions { top, ..GatewayOptions::default() })
+    pub fn start(worker: SocketAddr, top_level_settings: &'static str) -> Self {
+        Self::with_options(worker, &GatewayOptions { top_level_settings, ..GatewayOptions::default() })
     }
 
     /// Starts one on a port of its own.
@@ -84,11 +84,18 @@
 }
 
 fn configuration(worker: SocketAddr, options: &GatewayOptions) -> String {
-    let GatewayOptions { top, workers, load_requests, health_checks, deadline, descriptors: _ } = options;
+    let GatewayOptions {
+        top_level_settings,
+        workers_settings,
+        load_requests,
+        health_checks,
+        deadline,
+        descriptors: _,
+    } = options;
     format!(
-        "seed = 3\nlisten = \"127.0.0.1:0\"\n{top}\n\
+        "seed = 3\nlisten = \"127.0.0.1:0\"\n{top_level_settings}\n\
          profile \"pure\" {{\ndue = 1\ncut_off = {deadline}\neffect = \"pure\"\n}}\n\
-         workers {{\norders = {load_requests}\nprobes = {health_checks}\n{workers}\n\
+         workers {{\norders = {load_requests}\nprobes = {health_checks}\n{workers_settings}\n\
          worker \"w\" {{ address = \"{worker}\" }}\n}}\n"
     )
 }
