--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -63,7 +63,7 @@
         for (n, node) in network.nodes.iter().enumerate() {
             let others = (0..network.nodes.len()).filter(|other| *other != n);
             let ids = others.map(|other| network.instance_id(other));
-            self.assertion_ages.extend(ids.filter_map(|id| node.running().assertion_age(id)));
+            self.assertion_ages.extend(ids.filter_map(|id| node.running_membership().assertion_age(id)));
         }
     }
 
--- a/crates/membership/tests/cluster_membership.rs
+++ b/crates/membership/tests/cluster_membership.rs
@@ -14,7 +14,7 @@
 fn gateways_discover_each_other_from_seeds(size: usize) {
     let network = converged_network(size, 1);
     for node in &network.nodes {
-        assert_eq!(node.running().reachability(), Reachability::Majority);
+        assert_eq!(node.running_membership().reachability(), Reachability::Majority);
     }
     // Nothing is left unused, and nobody has more than its share.
     assert_used(&network, 1.0);
@@ -51,7 +51,7 @@
     network.run_until(from + 10.0);
     assert!(network.all_agree());
     for n in others() {
-        let state = network.nodes[n].running().state(predecessor);
+        let state = network.nodes[n].running_membership().state(predecessor);
         assert!(!state.is_some_and(MemberState::is_present));
     }
     network.run_until(from + 20.0);
@@ -109,7 +109,7 @@
     let mut network = converged_network(12, 10);
     (1..12).for_each(|n| network.kill(n));
     network.run_until(network.now + 30.0);
-    let last = network.nodes[0].running();
+    let last = network.nodes[0].running_membership();
     assert_eq!((last.reachability(), last.likely_gateways()), (Reachability::Nobody, 12.0));
     assert!((1..12).all(|n| network.state_of(0, n) == Some(MemberState::Dead)));
     (1..12).for_each(|n| network.start(n));
--- a/crates/membership/tests/network_faults.rs
+++ b/crates/membership/tests/network_faults.rs
@@ -35,7 +35,7 @@
             crosses && (from..until).contains(&transmission.sent_at)
         });
         network.run_until(until);
-        let reachability = |n: usize| network.nodes[n].running().reachability();
+        let reachability = |n: usize| network.nodes[n].running_membership().reachability();
         let of_minority = if minority == 1 { Reachability::Nobody } else { Reachability::Minority };
         assert_eq!(reachability(0), of_minority);
         let of_rest = if 2 * minority < size { Reachability::Majority } else { Reachability::Minority };
@@ -56,7 +56,7 @@
     network.delivery_rule =
         cut_where(move |transmission| transmission.to == 0 && transmission.sent_at < from + 10.0);
     network.run_until(from + 10.0);
-    let deaf = network.nodes[0].running();
+    let deaf = network.nodes[0].running_membership();
     assert_eq!(deaf.reachability(), Reachability::Nobody);
     assert_eq!(deaf.likely_gateways(), 12.0);
     let quota = network.nodes[0].quota.expect("it was read");
--- a/crates/test-support/src/simulated_network/mod.rs
+++ b/crates/test-support/src/simulated_network/mod.rs
@@ -78,7 +78,7 @@
     }
 
     /// The process of a node that is known to run.
-    pub fn running(&self) -> &Membership {
+    pub fn running_membership(&self) -> &Membership {
         self.membership.as_ref().expect("the node runs")
     }
 
@@ -227,17 +227,17 @@
     }
 
     /// Indices of the gateways that run.
-    pub fn running(&self) -> Vec<usize> {
+    pub fn running_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.nodes[*n].membership.is_some()).collect()
     }
 
     /// Whether all running gateways take each other for alive, and nobody else for present.
     pub fn all_agree(&self) -> bool {
-        let running = self.running();
+        let running = self.running_nodes();
         running.iter().all(|n| {
             let others = running.iter().filter(|other| *other != n);
             let sees_all = others.into_iter().all(|o| self.state_of(*n, *o) == Some(MemberState::Alive));
-            sees_all && self.nodes[*n].running().likely_gateways() == running.len() as f64
+            sees_all && self.nodes[*n].running_membership().likely_gateways() == running.len() as f64
         })
     }
 
@@ -352,6 +352,6 @@
             let (at, _) = events.find(|(at, event)| *at >= since && matches(event))?;
             Some((n, at - since))
         };
-        self.running().into_iter().filter_map(first).collect()
+        self.running_nodes().into_iter().filter_map(first).collect()
     }
 }
