--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -135,7 +135,7 @@
     network.start(1);
     network.depart(2);
     network.run_until(24.0);
-    assert_eq!(format!("{:016x}", network.transcript), fixture("transcript"));
+    assert_eq!(format!("{:016x}", network.transcript_hash), fixture("transcript"));
 }
 
 #[test]
--- a/crates/test-support/src/simulated_network/mod.rs
+++ b/crates/test-support/src/simulated_network/mod.rs
@@ -134,7 +134,7 @@
     /// Bytes that were sent, by the kind of datagram.
     pub bytes_by_kind: BTreeMap<u8, u64>,
     /// A hash over all datagrams that were sent, in their order.
-    pub transcript: u64,
+    pub transcript_hash: u64,
 }
 
 impl SimulatedNetwork {
@@ -155,7 +155,7 @@
             check_quota_sum: false,
             seeds,
             bytes_by_kind: BTreeMap::new(),
-            transcript: FNV_OFFSET_BASIS,
+            transcript_hash: FNV_OFFSET_BASIS,
         }
     }
 
@@ -316,7 +316,7 @@
 
     fn transmit(&mut self, from: usize, sent: OutgoingDatagram) {
         let sealed = datagram::seal(&self.key, &sent.datagram).expect("no datagram is too large");
-        self.transcript = sealed.iter().fold(self.transcript, fnv1a);
+        self.transcript_hash = sealed.iter().fold(self.transcript_hash, fnv1a);
         self.nodes[from].bytes += sealed.len() as u64;
         self.nodes[from].datagrams += 1;
         *self.bytes_by_kind.entry(sent.datagram.kind).or_default() += sealed.len() as u64;
