--- a/crates/capacity-model/benches/slopes/membership.rs
+++ b/crates/capacity-model/benches/slopes/membership.rs
@@ -43,8 +43,8 @@
 
 fn traffic(network: &SimulatedNetwork) -> Traffic {
     Traffic {
-        bytes: network.nodes.iter().map(|node| node.bytes).sum(),
-        datagrams: network.nodes.iter().map(|node| node.datagrams).sum(),
+        bytes: network.nodes.iter().map(|node| node.bytes_sent).sum(),
+        datagrams: network.nodes.iter().map(|node| node.datagrams_sent).sum(),
     }
 }
 
--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -55,11 +55,11 @@
         let sum = |network: &SimulatedNetwork, count: fn(&Node) -> u64| {
             network.nodes.iter().map(count).sum::<u64>()
         };
-        let (bytes, datagrams) = (sum(network, |n| n.bytes), sum(network, |n| n.datagrams));
+        let (bytes, datagrams) = (sum(network, |n| n.bytes_sent), sum(network, |n| n.datagrams_sent));
         network.run_until(network.now + SECONDS);
         self.gateway_seconds += SECONDS * network.nodes.len() as f64;
-        self.bytes += sum(network, |n| n.bytes) - bytes;
-        self.datagrams += sum(network, |n| n.datagrams) - datagrams;
+        self.bytes += sum(network, |n| n.bytes_sent) - bytes;
+        self.datagrams += sum(network, |n| n.datagrams_sent) - datagrams;
         for (n, node) in network.nodes.iter().enumerate() {
             let others = (0..network.nodes.len()).filter(|other| *other != n);
             let ids = others.map(|other| network.instance_id(other));
--- a/crates/test-support/src/simulated_network/mod.rs
+++ b/crates/test-support/src/simulated_network/mod.rs
@@ -47,9 +47,9 @@
     pub quota: Option<QuotaFraction>,
     quota_read_at: f64,
     /// Bytes that it has sent.
-    pub bytes: u64,
+    pub bytes_sent: u64,
     /// Datagrams that it has sent.
-    pub datagrams: u64,
+    pub datagrams_sent: u64,
     /// Events and when they happened.
     pub events: Vec<(f64, MembershipEvent)>,
 }
@@ -67,8 +67,8 @@
             next_tick_at: f64::INFINITY,
             quota: None,
             quota_read_at: -1.0,
-            bytes: 0,
-            datagrams: 0,
+            bytes_sent: 0,
+            datagrams_sent: 0,
             events: Vec::new(),
         }
     }
@@ -132,7 +132,7 @@
     /// Number of nodes that are seeds.
     seeds: usize,
     /// Bytes that were sent, by the kind of datagram.
-    pub bytes_by_kind: BTreeMap<u8, u64>,
+    pub bytes_sent_by_kind: BTreeMap<u8, u64>,
     /// A hash over all datagrams that were sent, in their order.
     pub transcript_hash: u64,
 }
@@ -154,7 +154,7 @@
             worst_excess: Excess { amount: 0.0, at: 0.0 },
             check_quota_sum: false,
             seeds,
-            bytes_by_kind: BTreeMap::new(),
+            bytes_sent_by_kind: BTreeMap::new(),
             transcript_hash: FNV_OFFSET_BASIS,
         }
     }
@@ -317,9 +317,9 @@
     fn transmit(&mut self, from: usize, sent: OutgoingDatagram) {
         let sealed = datagram::seal(&self.key, &sent.datagram).expect("no datagram is too large");
         self.transcript_hash = sealed.iter().fold(self.transcript_hash, fnv1a);
-        self.nodes[from].bytes += sealed.len() as u64;
-        self.nodes[from].datagrams += 1;
-        *self.bytes_by_kind.entry(sent.datagram.kind).or_default() += sealed.len() as u64;
+        self.nodes[from].bytes_sent += sealed.len() as u64;
+        self.nodes[from].datagrams_sent += 1;
+        *self.bytes_sent_by_kind.entry(sent.datagram.kind).or_default() += sealed.len() as u64;
         let Some(to) = self.nodes.iter().position(|node| node.address == sent.to) else { return };
         let transmission = Transmission { sent_at: self.now, from, to };
         for delay in (self.delivery_rule)(transmission, &mut self.rng) {
