--- a/crates/milletpath/tests/platform/discovery_outage.rs
+++ b/crates/milletpath/tests/platform/discovery_outage.rs
@@ -263,7 +263,7 @@
     rig.begin(Beginning::Failure(Outage::Silent));
     rig.drain(0);
     rig.workers[1].set_condition(WorkerCondition::Gone);
-    assert!(becomes_true(|| !rig.router.logged("the endpoint list is stale").is_empty()));
+    assert!(becomes_true(|| !rig.router.log_lines_containing("the endpoint list is stale").is_empty()));
     assert_eq!(serve_calls(&rig.router, 100..160), 60);
     for worker in [0, 1] {
         rig.workers[worker].set_condition(WorkerCondition::Ready);
--- a/crates/test-support/src/platform_rig/router.rs
+++ b/crates/test-support/src/platform_rig/router.rs
@@ -68,14 +68,14 @@
     }
 
     /// The lines with this text that it has logged since it listens.
-    pub fn logged(&self, text: &str) -> Vec<String> {
+    pub fn log_lines_containing(&self, text: &str) -> Vec<String> {
         let lines = self.log.lock().expect("no test thread panicked");
         lines.iter().filter(|line| line.contains(text)).cloned().collect()
     }
 
     /// Waits until discovery has vouched for its list: from then on a worker's first frame is a call's.
     pub fn wait_for_current_list(&self) {
-        let is_current = || !self.logged("the endpoint list is current").is_empty();
+        let is_current = || !self.log_lines_containing("the endpoint list is current").is_empty();
         assert!(becomes_true(is_current), "discovery does not vouch for the list");
     }
 }
