--- a/crates/test-support/src/simulated_network/delivery.rs
+++ b/crates/test-support/src/simulated_network/delivery.rs
@@ -1,16 +1,16 @@
-//! Rules for the delivery of datagrams in the simulated network.
+//! Rules that decide how the simulated network delivers datagrams.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::ops::Range;
 
-/// Delays of an undisturbed local network, in seconds.
-const USUAL_DELAY: Range<f64> = 0.0005..0.002;
+/// Delays of an undisturbed local network in seconds.
+const LOCAL_NETWORK_DELAY: Range<f64> = 0.0005..0.002;
 
-/// One datagram on its way.
+/// One datagram in transit.
 #[derive(Clone, Copy, Debug)]
 pub struct Transmission {
-    /// When it is sent, in seconds of simulated time.
+    /// Simulated time at which it is sent, in seconds.
     pub sent_at: f64,
     /// Index of the sending node.
     pub from: usize,
@@ -18,30 +18,31 @@
     pub to: usize,
 }
 
-/// Decides about one datagram: the delays, in seconds, after which a copy arrives; none where it is lost.
+/// Returns the delays in seconds after which copies of a datagram arrive. An empty list loses the datagram, and several
+/// delays duplicate it.
 pub type DeliveryRule = Box<dyn FnMut(Transmission, &mut ChaCha8Rng) -> Vec<f64>>;
 
-/// A single arrival after a usual delay.
-pub fn arrives(rng: &mut ChaCha8Rng) -> Vec<f64> {
-    vec![rng.random_range(USUAL_DELAY)]
+/// Returns the delay of a single copy on an undisturbed local network.
+pub fn arrives_once(rng: &mut ChaCha8Rng) -> Vec<f64> {
+    vec![rng.random_range(LOCAL_NETWORK_DELAY)]
 }
 
-/// Every datagram arrives once, after a usual delay.
+/// Delivers every datagram once after the delay of a local network.
 pub fn reliable() -> DeliveryRule {
-    Box::new(|_, rng| arrives(rng))
+    Box::new(|_, rng| arrives_once(rng))
 }
 
-/// Datagrams are lost with this probability.
+/// Loses datagrams with the given probability and delivers the others like [`reliable`].
 pub fn lossy(probability: f64) -> DeliveryRule {
-    Box::new(move |_, rng| if rng.random_bool(probability) { vec![] } else { arrives(rng) })
+    Box::new(move |_, rng| if rng.random_bool(probability) { vec![] } else { arrives_once(rng) })
 }
 
-/// Datagrams are lost where `cuts` is true.
-pub fn cut_where(cuts: impl Fn(Transmission) -> bool + 'static) -> DeliveryRule {
-    Box::new(move |transmission, rng| if cuts(transmission) { vec![] } else { arrives(rng) })
+/// Loses the datagrams for which `is_cut` returns true and delivers the others like [`reliable`].
+pub fn cut_where(is_cut: impl Fn(Transmission) -> bool + 'static) -> DeliveryRule {
+    Box::new(move |transmission, rng| if is_cut(transmission) { vec![] } else { arrives_once(rng) })
 }
 
-/// Every datagram arrives once, after a delay from this range, in seconds.
+/// Delivers every datagram once after a random delay from the given range in seconds.
 pub fn delayed(delay: Range<f64>) -> DeliveryRule {
     Box::new(move |_, rng| vec![rng.random_range(delay.clone())])
 }
--- a/crates/test-support/src/simulated_network/mod.rs
+++ b/crates/test-support/src/simulated_network/mod.rs
@@ -1,56 +1,58 @@
-//! A cluster in simulated time, reproducible from a seed: the real membership state machines, clocks that drift, and a
-//! network that loses, delays, duplicates and cuts by a delivery rule.
+//! A deterministic simulation of a cluster, reproducible from a seed. It runs the real membership state machines with
+//! drifting clocks, on a network that loses, delays and duplicates datagrams according to a delivery rule.
 
 pub mod delivery;
+mod event_queue;
 pub mod scenario;
-mod schedule;
 
 use delivery::{DeliveryRule, Transmission, reliable};
+use event_queue::{EventQueue, SimulationEvent};
 use milletpath_membership::datagram::{self, Datagram, Identity, Key};
 use milletpath_membership::{
     MemberState, Membership, MembershipConfig, MembershipEvent, OutgoingDatagram, QuotaFraction,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use schedule::{Schedule, Work};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Seconds between two readings of the quota where it is not read after every event.
+/// Minimum interval in seconds at which a node's quota is read, unless it is read after every event.
 const QUOTA_INTERVAL: f64 = 0.1;
 
-/// Start value of the 64-bit FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 
-/// One step of the 64-bit FNV-1a hash.
+/// Adds one byte to a 64-bit FNV-1a hash.
 fn fnv1a(hash: u64, byte: &u8) -> u64 {
     (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
 }
 
-/// A gateway, running or not.
+/// A gateway of the cluster, running or not.
 pub struct Node {
-    /// The process; `None` where it is not running.
+    /// State machine of the running process; `None` if the gateway is not running.
     pub membership: Option<Membership>,
-    /// Where it receives datagrams.
+    /// Address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Random id of the last process.
+    /// Random id of the most recent process.
     pub instance_id: u64,
-    /// The node's clock shows `clock_offset + clock_rate * now`.
+    /// At the simulated time `now` the node's clock shows `clock_offset + clock_rate * now`.
     clock_rate: f64,
     clock_offset: f64,
-    /// Until when the process is paused.
+    /// End of the pause of the process in simulated time.
     paused_until: f64,
     /// Datagrams that arrived during the pause.
-    delayed_inbox: Vec<Datagram>,
+    paused_inbox: Vec<Datagram>,
+    /// Time of the next scheduled tick, infinite if there is none.
     next_tick_at: f64,
-    /// The quota that the process last read.
+    /// The most recently read quota of the process.
     pub quota: Option<QuotaFraction>,
+    /// When the quota was last read.
     quota_read_at: f64,
-    /// Bytes that it has sent.
+    /// Number of bytes that it has sent.
     pub bytes_sent: u64,
-    /// Datagrams that it has sent.
+    /// Number of datagrams that it has sent.
     pub datagrams_sent: u64,
-    /// Events and when they happened.
+    /// Membership events and the times at which they occurred.
     pub events: Vec<(f64, MembershipEvent)>,
 }
 
@@ -63,7 +65,7 @@
             clock_rate: rng.random_range(0.99..1.01),
             clock_offset: rng.random_range(0.0..1e5),
             paused_until: 0.0,
-            delayed_inbox: Vec::new(),
+            paused_inbox: Vec::new(),
             next_tick_at: f64::INFINITY,
             quota: None,
             quota_read_at: -1.0,
@@ -73,72 +75,75 @@
         }
     }
 
+    /// Converts simulated time to the time on the node's clock.
     fn clock(&self, now: f64) -> f64 {
         self.clock_offset + now * self.clock_rate
     }
 
-    /// The process of a node that is known to run.
+    /// Returns the state machine of a running node; panics if the node is not running.
     pub fn running_membership(&self) -> &Membership {
-        self.membership.as_ref().expect("the node runs")
+        self.membership.as_ref().expect("the node is running")
     }
 
-    /// Fraction of the budgets that it may use by its own clock, as a multiple of the even quota.
+    /// Returns the quota that the node may use now by its own clock, as a multiple of an even share of the budgets.
     fn used_fraction(&self, now: f64) -> Option<f64> {
         let quota = self.quota?;
         Some(if self.clock(now) < quota.valid_until { quota.fraction } else { quota.floor_fraction })
     }
 
-    /// Whether the work was meant for a former process, or replaced by an earlier tick.
-    fn is_outdated(&self, at: f64, work: &Work) -> bool {
-        match work {
-            Work::Tick { instance_id, .. } => *instance_id != self.instance_id || at != self.next_tick_at,
-            Work::Deliver { .. } => false,
+    /// Whether the event is a tick of a previous process, or one that was replaced by an earlier tick.
+    fn is_stale(&self, at: f64, event: &SimulationEvent) -> bool {
+        match event {
+            SimulationEvent::Tick { instance_id, .. } => {
+                *instance_id != self.instance_id || at != self.next_tick_at
+            }
+            SimulationEvent::Deliver { .. } => false,
         }
     }
 
-    /// Number of events of one kind since a time.
+    /// Counts the matching events since the given time.
     pub fn count_events(&self, since: f64, matches: impl Fn(&MembershipEvent) -> bool) -> usize {
         self.events.iter().filter(|(at, event)| *at >= since && matches(event)).count()
     }
 }
 
-/// The most by which all gateways together exceeded the budgets.
+/// The largest amount by which the gateways together exceeded the budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct Excess {
-    /// Fraction of all budgets.
+    /// Excess as a fraction of the budgets.
     pub amount: f64,
-    /// When it was, in seconds of simulated time.
+    /// Simulated time at which it occurred, in seconds.
     pub at: f64,
 }
 
-/// The gateways of a cluster, and the network between them.
+/// The gateways of a cluster and the network between them.
 pub struct SimulatedNetwork {
-    /// Seconds of simulated time.
+    /// Current simulated time in seconds.
     pub now: f64,
     /// The gateways, by index.
     pub nodes: Vec<Node>,
-    /// The configuration of all.
+    /// The configuration of all gateways.
     pub config: MembershipConfig,
-    schedule: Schedule,
-    /// The generator of all random numbers, seeded.
+    event_queue: EventQueue,
+    /// Seeded generator of all random numbers.
     pub rng: ChaCha8Rng,
-    /// What becomes of each datagram.
+    /// Decides whether and when each datagram arrives.
     pub delivery_rule: DeliveryRule,
     key: Key,
-    /// The most by which the budgets were exceeded, where it is checked.
+    /// The largest excess over the budgets, recorded while `check_quota_sum` is set.
     pub worst_excess: Excess,
     /// Whether the sum of all quota fractions is checked after every event.
     pub check_quota_sum: bool,
-    /// Number of nodes that are seeds.
+    /// Number of nodes that are seeds; they come first.
     seeds: usize,
-    /// Bytes that were sent, by the kind of datagram.
+    /// Number of bytes sent, by kind of datagram.
     pub bytes_sent_by_kind: BTreeMap<u8, u64>,
-    /// A hash over all datagrams that were sent, in their order.
+    /// FNV-1a hash of all sent datagrams in their order.
     pub transcript_hash: u64,
 }
 
 impl SimulatedNetwork {
-    /// A cluster in which nothing runs yet; the first `seeds` nodes are the seeds of all.
+    /// Creates a cluster without a running gateway. The first `seeds` nodes are the seeds of all gateways.
     pub fn new(size: usize, seeds: usize, config: MembershipConfig, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let address = |n: usize| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7000));
@@ -147,7 +152,7 @@
             now: 0.0,
             nodes,
             config,
-            schedule: Schedule::default(),
+            event_queue: EventQueue::default(),
             rng,
             delivery_rule: reliable(),
             key: Key::new(b"a fleet"),
@@ -159,13 +164,13 @@
         }
     }
 
-    /// Starts or restarts a gateway, without memory of a former process.
+    /// Starts or restarts a gateway without state from a previous process.
     pub fn start(&mut self, n: usize) {
         let max_gateways = self.nodes.len() as u32;
         self.start_as(n, &format!("gateway-{n}"), max_gateways);
     }
 
-    /// Starts or restarts a gateway under this name, with a limit on how many gateways it knows.
+    /// Starts or restarts a gateway with the given name and maximum number of gateways.
     pub fn start_as(&mut self, n: usize, name: &str, max_gateways: u32) {
         let instance_id = self.rng.random();
         let seeds = self.nodes[..self.seeds].iter().map(|node| node.address).collect();
@@ -176,7 +181,7 @@
         node.membership = Some(Membership::new(identity, self.config, seeds, instance_id, clock));
         node.instance_id = instance_id;
         node.paused_until = 0.0;
-        node.delayed_inbox.clear();
+        node.paused_inbox.clear();
         node.next_tick_at = f64::INFINITY;
         node.quota = None;
         node.quota_read_at = -1.0;
@@ -195,13 +200,13 @@
         missing.into_iter().for_each(|n| self.start(n));
     }
 
-    /// Ends a process without notice.
+    /// Stops a process without notifying the other gateways.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].membership = None;
         self.nodes[n].quota = None;
     }
 
-    /// Shuts a gateway down in order.
+    /// Shuts a gateway down gracefully: it announces its departure first.
     pub fn depart(&mut self, n: usize) {
         let clock = self.nodes[n].clock(self.now);
         if let Some(membership) = self.nodes[n].membership.as_mut() {
@@ -211,27 +216,27 @@
         self.kill(n);
     }
 
-    /// Pauses a process for some seconds.
+    /// Pauses a process for the given number of seconds.
     pub fn pause(&mut self, n: usize, seconds: f64) {
         self.nodes[n].paused_until = self.now + seconds;
     }
 
-    /// Random id of a gateway's last process.
+    /// Returns the instance id of a gateway's most recent process.
     pub fn instance_id(&self, n: usize) -> u64 {
         self.nodes[n].instance_id
     }
 
-    /// The state that `other`'s last process has in the eyes of `observer`.
+    /// Returns the state of `other`'s most recent process as seen by `observer`.
     pub fn state_of(&self, observer: usize, other: usize) -> Option<MemberState> {
         self.nodes[observer].membership.as_ref()?.state(self.nodes[other].instance_id)
     }
 
-    /// Indices of the gateways that run.
+    /// Returns the indices of the running gateways.
     pub fn running_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.nodes[*n].membership.is_some()).collect()
     }
 
-    /// Whether all running gateways take each other for alive, and nobody else for present.
+    /// Whether all running gateways see each other as alive and count no other gateway as present.
     pub fn all_agree(&self) -> bool {
         let running = self.running_nodes();
         running.iter().all(|n| {
@@ -241,47 +246,48 @@
         })
     }
 
-    /// Runs until a time, in seconds.
+    /// Runs the simulation until the given time in seconds.
     pub fn run_until(&mut self, until: f64) {
-        while let Some((at, work)) = self.schedule.next_until(until) {
+        while let Some((at, event)) = self.event_queue.pop_until(until) {
             self.now = at;
-            if self.nodes[work.node()].paused_until > at {
-                self.postpone(work);
+            if self.nodes[event.node()].paused_until > at {
+                self.postpone_event(event);
             } else {
-                self.perform(work);
+                self.process_event(event);
             }
         }
         self.now = until;
     }
 
-    /// Keeps work for the end of a node's pause.
-    fn postpone(&mut self, work: Work) {
-        let node = &mut self.nodes[work.node()];
-        match work {
-            Work::Deliver { datagram, .. } => node.delayed_inbox.push(*datagram),
-            Work::Tick { .. } => {
+    /// Defers an event until the end of a node's pause.
+    fn postpone_event(&mut self, event: SimulationEvent) {
+        let node = &mut self.nodes[event.node()];
+        match event {
+            SimulationEvent::Deliver { datagram, .. } => node.paused_inbox.push(*datagram),
+            SimulationEvent::Tick { .. } => {
                 node.next_tick_at = node.paused_until;
-                self.schedule.add(node.paused_until, work);
+                self.event_queue.push(node.paused_until, event);
             }
         }
     }
 
-    fn perform(&mut self, work: Work) {
-        let n = work.node();
+    /// Processes an event, after the datagrams that arrived during a pause, unless the event is stale.
+    fn process_event(&mut self, event: SimulationEvent) {
+        let n = event.node();
         let node = &mut self.nodes[n];
         let clock = node.clock(self.now);
-        if node.is_outdated(self.now, &work) {
+        if node.is_stale(self.now, &event) {
             return;
         }
         let Some(membership) = node.membership.as_mut() else { return };
-        let delayed = std::mem::take(&mut node.delayed_inbox);
+        let delayed = std::mem::take(&mut node.paused_inbox);
         delayed.into_iter().for_each(|datagram| membership.receive(clock, datagram));
-        match work {
-            Work::Tick { .. } => {
+        match event {
+            SimulationEvent::Tick { .. } => {
                 node.next_tick_at = f64::INFINITY;
                 membership.tick(clock);
             }
-            Work::Deliver { datagram, .. } => membership.receive(clock, *datagram),
+            SimulationEvent::Deliver { datagram, .. } => membership.receive(clock, *datagram),
         }
         self.flush(n);
         if self.check_quota_sum {
@@ -289,7 +295,7 @@
         }
     }
 
-    /// Takes all that a process has to give: its quota, events and datagrams, and the time of its next tick.
+    /// Collects the output of a process: its quota if due, its events and datagrams, and the time of its next tick.
     fn flush(&mut self, n: usize) {
         let now = self.now;
         let node = &mut self.nodes[n];
@@ -306,14 +312,16 @@
         self.schedule_tick(n, deadline.max(now + 1e-6));
     }
 
+    /// Schedules a tick unless one is already scheduled for that time or earlier.
     fn schedule_tick(&mut self, n: usize, at: f64) {
         let node = &mut self.nodes[n];
         if at < node.next_tick_at {
             node.next_tick_at = at;
-            self.schedule.add(at, Work::Tick { node: n, instance_id: node.instance_id });
+            self.event_queue.push(at, SimulationEvent::Tick { node: n, instance_id: node.instance_id });
         }
     }
 
+    /// Counts a datagram and schedules its delivery according to the delivery rule.
     fn transmit(&mut self, from: usize, sent: OutgoingDatagram) {
         let sealed = datagram::seal(&self.key, &sent.datagram).expect("no datagram is too large");
         self.transcript_hash = sealed.iter().fold(self.transcript_hash, fnv1a);
@@ -324,16 +332,17 @@
         let transmission = Transmission { sent_at: self.now, from, to };
         for delay in (self.delivery_rule)(transmission, &mut self.rng) {
             let datagram = Box::new(sent.datagram.clone());
-            self.schedule.add(self.now + delay, Work::Deliver { node: to, datagram });
+            self.event_queue.push(self.now + delay, SimulationEvent::Deliver { node: to, datagram });
         }
     }
 
-    /// Fraction of the shared budgets that all gateways together may use, each by its own clock.
+    /// Returns the fraction of the shared budgets that the gateways together may use, each by its own clock.
     pub fn used_fraction(&self) -> f64 {
         let fractions = self.nodes.iter().filter_map(|node| node.used_fraction(self.now));
         fractions.map(|fraction| fraction / self.nodes.len() as f64).sum()
     }
 
+    /// Updates the largest excess over the budgets.
     fn record_excess(&mut self) {
         let amount = self.used_fraction() - 1.0;
         if amount > self.worst_excess.amount {
@@ -341,7 +350,7 @@
         }
     }
 
-    /// Seconds from `since` to the first matching event of each running gateway that has one.
+    /// Returns, for each running gateway with a matching event since `since`, the seconds from then to the first one.
     pub fn first_event_times(
         &self,
         since: f64,
