--- a/crates/test-support/src/platform_rig/configuration.rs
+++ b/crates/test-support/src/platform_rig/configuration.rs
@@ -1,20 +1,20 @@
-//! The configuration file of a router.
+//! A router's configuration file.
 
 use super::discovery::endpoint_event;
 use std::fmt::Display;
 use std::net::SocketAddr;
 
-/// Sockets that a router may have where the test does not care.
+/// Limit on a router's sockets for tests in which it does not matter.
 pub const MAX_SOCKETS: usize = 256;
 
-/// The text of a router's configuration file, in which a test sets what it needs.
+/// The text of a router's configuration file, in which a test can replace settings.
 #[derive(Clone, Debug)]
 pub struct RouterConfiguration {
     text: String,
 }
 
 impl RouterConfiguration {
-    /// One that lists these workers as active and allows so many sockets; calls are idempotent.
+    /// Creates a configuration with the given active workers and socket limit. Calls are idempotent.
     pub fn new(workers: &[SocketAddr], discovery: SocketAddr, max_sockets: usize) -> Self {
         let events: Vec<_> = (0..)
             .zip(workers)
@@ -36,8 +36,8 @@
         Self { text }
     }
 
-    /// One with which a call that may have run must not be sent again, and workers load an instance with the first
-    /// attempt; a connection to a worker may take so many microseconds.
+    /// Creates a configuration in which a call that may have run must not be sent again, and workers load an instance
+    /// on the first attempt. `connect_timeout` is that of connections to workers, in microseconds.
     pub fn non_idempotent(workers: &[SocketAddr], discovery: SocketAddr, connect_timeout: u64) -> Self {
         Self::new(workers, discovery, MAX_SOCKETS)
             .with("Effect", "\"single_shot\"")
@@ -45,23 +45,28 @@
             .with("ConnectTimeout", connect_timeout)
     }
 
-    /// The same with another value, as JSON, of a setting that is there once.
+    /// Replaces the value of a setting that occurs exactly once. `value` is written as JSON.
     pub fn with(mut self, setting: &str, value: impl Display) -> Self {
         let name = format!("\"{setting}\":");
-        assert_eq!(self.text.matches(&name).count(), 1, "{setting} is not there once in {}", self.text);
-        let start = self.text.find(&name).expect("it is there") + name.len();
-        let length = self.text[start..].find([',', '}']).expect("a setting ends");
+        assert_eq!(
+            self.text.matches(&name).count(),
+            1,
+            "{setting} does not occur exactly once in {}",
+            self.text
+        );
+        let start = self.text.find(&name).expect("the setting occurs once") + name.len();
+        let length = self.text[start..].find([',', '}']).expect("a comma or a brace follows the value");
         self.text.replace_range(start..start + length, &value.to_string());
         self
     }
 
-    /// The same where calls are idempotent with a key that workers remember for so many microseconds.
+    /// Makes calls idempotent by a key that workers remember for `deduplication_window` microseconds.
     pub fn with_idempotency_keys(self, deduplication_window: u64) -> Self {
         let effect = format!("\"guarded\",\"KeyScope\":\"all\",\"DedupWindow\":{deduplication_window}");
         self.with("Effect", effect)
     }
 
-    /// The text of the file.
+    /// Returns the text of the file.
     pub fn text(&self) -> &str {
         &self.text
     }
--- a/crates/test-support/src/platform_rig/discovery.rs
+++ b/crates/test-support/src/platform_rig/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery, as the platform offers it: a server that is asked for events after a number, and writes them as lines.
+//! Test servers for the platform's discovery service. A client requests the events after a number and receives them as
+//! lines.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,63 +7,63 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Discovery that answers by a script.
+/// A discovery server with scripted responses.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Discovery {
-    /// Starts discovery of which nothing changes: it writes a heartbeat at once and then one a second, on each stream.
+    /// Starts a server that publishes no events. It writes a heartbeat to each stream at once and then every second.
     pub fn steady() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("a bound socket");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the socket is bound");
         let requests = Arc::<Mutex<Vec<String>>>::default();
-        let all = requests.clone();
+        let shared_requests = requests.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let all = all.clone();
-                std::thread::spawn(move || write_heartbeats(stream, &all));
+                let requests = shared_requests.clone();
+                std::thread::spawn(move || write_heartbeats(stream, &requests));
             }
         });
         Self { address, requests }
     }
 
-    /// Starts discovery that writes each text to the connection of one request, and nothing to those that come after.
-    /// It closes the connection behind a text that does not end with an end of line, and leaves others open.
+    /// Starts a server that writes the n-th response to the n-th request, and nothing to requests after the last
+    /// response. It closes a connection after a response that does not end with a newline, and leaves the others open.
     pub fn start(responses: Vec<String>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("a bound socket");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the socket is bound");
         let requests = Arc::<Mutex<Vec<String>>>::default();
-        let all = requests.clone();
+        let shared_requests = requests.clone();
         std::thread::spawn(move || {
-            let mut open = Vec::new();
+            let mut open_streams = Vec::new();
             for mut stream in listener.incoming().map_while(Result::ok) {
                 let mut request = String::new();
                 let _ = BufReader::new(&stream).read_line(&mut request);
-                let number = {
-                    let mut requests = all.lock().expect("no test thread panicked");
+                let index = {
+                    let mut requests = shared_requests.lock().expect("no test thread panicked");
                     requests.push(request.trim().to_owned());
                     requests.len() - 1
                 };
-                let response = responses.get(number).map_or("", String::as_str);
+                let response = responses.get(index).map_or("", String::as_str);
                 let _ = stream.write_all(response.as_bytes());
                 if response.is_empty() || response.ends_with('\n') {
-                    open.push(stream);
+                    open_streams.push(stream);
                 }
             }
         });
         Self { address, requests }
     }
 
-    /// The requests that came so far.
+    /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().expect("no test thread panicked").clone()
     }
 }
 
-/// Answers a request with a heartbeat of the number that it names, and another each second.
+/// Responds to a request with a heartbeat of the event number that it names, and repeats the heartbeat every second.
 fn write_heartbeats(mut stream: TcpStream, requests: &Mutex<Vec<String>>) -> Option<()> {
     let line = heartbeat_after(&stream)?;
     requests.lock().expect("no test thread panicked").push(format!("after {}", line.trim()));
@@ -72,26 +73,28 @@
     }
 }
 
-/// The heartbeat that answers the request on a stream: nothing has changed since the event that it names.
+/// Reads the request on a stream and returns a heartbeat of the event number that it names, which reports no newer
+/// event.
 fn heartbeat_after(stream: &TcpStream) -> Option<String> {
     let mut request = String::new();
     BufReader::new(stream).read_line(&mut request).ok()?;
     request.strip_prefix("after ").map(str::to_owned)
 }
 
-/// Discovery whose streams the test gets, to write on them when it wants. Each begins with a heartbeat.
+/// A discovery server that hands its streams to the test, which writes events to them. It writes only a first heartbeat
+/// to each stream.
 pub struct DiscoveryStreams {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Each stream, once its request was read.
+    /// Receives each stream once its request has been read.
     pub streams: Receiver<TcpStream>,
 }
 
 impl DiscoveryStreams {
-    /// Starts it.
+    /// Starts the server.
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("a bound socket");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the socket is bound");
         let (sender, streams) = channel();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
@@ -104,18 +107,18 @@
         Self { address, streams }
     }
 
-    /// The next stream; panics where no request comes in time.
+    /// Returns the next stream; panics if no request arrives in time.
     pub fn next_stream(&self) -> TcpStream {
-        self.streams.recv_timeout(crate::wait::TIMEOUT).expect("discovery is asked")
+        self.streams.recv_timeout(crate::wait::TIMEOUT).expect("the router requests events in time")
     }
 }
 
-/// An event that changes the state of one worker, as a line.
+/// Returns the line of an event that sets the state of one worker.
 pub fn endpoint_event(number: u64, name: &str, address: SocketAddr, state: &str) -> String {
     event(number, false, &endpoint(name, address, state))
 }
 
-/// An event with the complete list of workers: name, address and state of each.
+/// Returns the line of an event with the complete list of workers, each given by name, address and state.
 pub fn complete_list_event(number: u64, workers: &[(&str, SocketAddr, &str)]) -> String {
     let endpoints: Vec<_> =
         workers.iter().map(|(name, address, state)| endpoint(name, *address, state)).collect();
--- a/crates/test-support/src/platform_rig/live_discovery.rs
+++ b/crates/test-support/src/platform_rig/live_discovery.rs
@@ -1,91 +1,93 @@
-//! Discovery as the platform runs it, with events and a heartbeat a second, and outages when the test wants them.
+//! A discovery server that publishes events and a heartbeat every second, and simulates outages.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time between two heartbeats of a stream.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+/// Interval of the heartbeats on a stream.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two looks at what is to be done: short against the times that tests tell apart.
-const POLL: Duration = Duration::from_millis(2);
+/// Polling interval of the server's threads; short compared with the durations that tests distinguish.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How discovery is out of reach.
+/// A way in which the discovery server is unavailable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outage {
     /// Streams end, and connections are refused.
     Refused,
-    /// Streams stay open and silent, and new ones as well.
+    /// Open and new streams stay open and silent.
     Silent,
     /// Streams end, and connections are accepted and closed.
     Closed,
-    /// Streams end amid a line, new ones as well.
+    /// Open and new streams end in the middle of a line.
     CutLine,
-    /// Streams stay open and bring bytes, but no end of a line.
+    /// Streams stay open and receive bytes, but never the end of a line.
     EndlessLine,
 }
 
 impl Outage {
-    /// All ways to be out of reach.
+    /// All kinds of outages.
     pub const ALL: [Self; 5] = [Self::Refused, Self::Silent, Self::Closed, Self::CutLine, Self::EndlessLine];
 }
 
+/// State that the server's threads share with the test.
 struct State {
-    /// The number of the last event that routers know from their configuration.
-    first: u64,
-    /// Events after it, as lines.
+    /// Number of the last event that the routers' configuration includes.
+    base_number: u64,
+    /// Later events, as lines.
     events: Vec<String>,
     outage: Option<Outage>,
-    /// Number of outages so far: a stream that lived through one brings nothing any more.
+    /// Number of outages so far. A stream that was open during an outage receives no more events.
     outages: u64,
     stopped: bool,
 }
 
-/// Discovery on loopback; it stops when it is dropped.
+/// A discovery server on loopback, which is stopped on drop.
 pub struct LiveDiscovery {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl LiveDiscovery {
-    /// Starts it for routers whose configuration holds events up to this number.
-    pub fn start(first: u64) -> Self {
-        Self::with_events(first, Vec::new())
+    /// Starts a server for routers whose configuration includes the events up to `base_number`.
+    pub fn start(base_number: u64) -> Self {
+        Self::with_events(base_number, Vec::new())
     }
 
-    /// Starts it with events after that number, as lines, that no configuration holds.
-    pub fn with_events(first: u64, events: Vec<String>) -> Self {
-        let listener = listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
-        let address = listener.local_addr().expect("a bound socket");
-        let state = Arc::new(Mutex::new(State { first, events, outage: None, outages: 0, stopped: false }));
+    /// Like [`start`](Self::start), with events after `base_number` that are already published, as lines.
+    pub fn with_events(base_number: u64, events: Vec<String>) -> Self {
+        let listener = listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a loopback port is free");
+        let address = listener.local_addr().expect("the socket is bound");
+        let state =
+            Arc::new(Mutex::new(State { base_number, events, outage: None, outages: 0, stopped: false }));
         let shared = state.clone();
         std::thread::spawn(move || accept_streams(listener, address, &shared));
         Self { address, state }
     }
 
-    /// Adds an event, which `line` gives for its number.
+    /// Publishes an event. `line` returns its line for a given event number.
     pub fn publish(&self, line: impl FnOnce(u64) -> String) {
         let mut state = self.state.lock().expect("no test thread panicked");
-        let number = state.first + state.events.len() as u64 + 1;
+        let number = state.base_number + state.events.len() as u64 + 1;
         let line = line(number);
         state.events.push(line);
     }
 
-    /// The events so far, as lines.
+    /// Returns the events published so far, as lines.
     pub fn events(&self) -> Vec<String> {
         self.state.lock().expect("no test thread panicked").events.clone()
     }
 
-    /// Is out of reach from now on.
+    /// Begins an outage.
     pub fn fail(&self, outage: Outage) {
         let mut state = self.state.lock().expect("no test thread panicked");
         state.outage = Some(outage);
         state.outages += 1;
     }
 
-    /// Is back: new streams get all events, those of before stay as the outage left them.
+    /// Ends the outage. New streams receive all events; streams from before stay as the outage left them.
     pub fn recover(&self) {
         self.state.lock().expect("no test thread panicked").outage = None;
     }
@@ -105,7 +107,7 @@
     Ok(listener)
 }
 
-/// Accepts streams until discovery stops; while connections are refused there is no listener.
+/// Accepts streams until the server is stopped. While connections are refused, there is no listener.
 fn accept_streams(listener: TcpListener, address: SocketAddr, state: &Arc<Mutex<State>>) {
     let mut listener = Some(listener);
     loop {
@@ -125,11 +127,11 @@
             let state = state.clone();
             std::thread::spawn(move || serve_stream(stream, &state));
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// What a stream does next.
+/// The next action on a stream.
 enum Step {
     Write(String),
     Wait,
@@ -137,10 +139,12 @@
     WriteAndEnd(String),
 }
 
-/// The progress of one stream.
+/// The state of one stream.
 struct StreamProgress {
-    sent: u64,
+    /// Number of the last event that the client has.
+    last_sent: u64,
     last_line_at: Instant,
+    /// Number of outages before the stream was opened.
     outages_before: u64,
 }
 
@@ -149,8 +153,8 @@
         if state.stopped {
             return Step::End;
         }
-        let last = state.first + state.events.len() as u64;
-        let is_due = self.last_line_at.elapsed() >= HEARTBEAT;
+        let last = state.base_number + state.events.len() as u64;
+        let is_due = self.last_line_at.elapsed() >= HEARTBEAT_INTERVAL;
         if state.outages > self.outages_before || state.outage.is_some() {
             return match state.outage {
                 Some(Outage::Refused | Outage::Closed) => Step::End,
@@ -162,11 +166,11 @@
                 _ => Step::Wait,
             };
         }
-        if self.sent < last {
-            let next = self.sent.max(state.first);
-            self.sent = last;
+        if self.last_sent < last {
+            let after = self.last_sent.max(state.base_number);
+            self.last_sent = last;
             self.last_line_at = Instant::now();
-            return Step::Write(state.events[(next - state.first) as usize..].concat());
+            return Step::Write(state.events[(after - state.base_number) as usize..].concat());
         }
         if is_due {
             self.last_line_at = Instant::now();
@@ -176,7 +180,7 @@
     }
 }
 
-/// Serves one stream: the events after the number that it asks for, then each as it comes.
+/// Serves one stream: sends the events after the requested number, then each new event when it is published.
 fn serve_stream(mut stream: TcpStream, state: &Mutex<State>) -> Option<()> {
     stream.set_nonblocking(false).ok()?;
     let outages_before = state.lock().expect("no test thread panicked").outages;
@@ -185,13 +189,13 @@
     }
     let mut request = String::new();
     BufReader::new(&stream).read_line(&mut request).ok()?;
-    let sent = request.trim().strip_prefix("after ")?.parse().ok()?;
-    let mut progress = StreamProgress { sent, last_line_at: Instant::now(), outages_before };
+    let last_sent = request.trim().strip_prefix("after ")?.parse().ok()?;
+    let mut progress = StreamProgress { last_sent, last_line_at: Instant::now(), outages_before };
     loop {
         let step = progress.next_step(&state.lock().expect("no test thread panicked"));
         match step {
             Step::Write(text) => stream.write_all(text.as_bytes()).ok()?,
-            Step::Wait => std::thread::sleep(POLL),
+            Step::Wait => std::thread::sleep(POLL_INTERVAL),
             Step::WriteAndEnd(text) => {
                 stream.write_all(text.as_bytes()).ok()?;
                 break;
--- a/crates/test-support/src/platform_rig/mod.rs
+++ b/crates/test-support/src/platform_rig/mod.rs
@@ -1,5 +1,5 @@
-//! A small platform on loopback for `milletpath platform`: workers, discovery and clients that speak its protocol, each on
-//! threads that end with their sockets, and the router as a process between them.
+//! A small platform on loopback: the router, `milletpath platform`, as a process, and workers, discovery servers and
+//! clients that speak the platform's protocol with it. A thread that serves a connection ends with it.
 
 mod client;
 mod configuration;
--- a/crates/test-support/src/platform_rig/router.rs
+++ b/crates/test-support/src/platform_rig/router.rs
@@ -1,4 +1,4 @@
-//! A router as a process.
+//! A router process.
 
 use super::configuration::RouterConfiguration;
 use crate::process::Process;
@@ -10,27 +10,27 @@
 use std::process::{Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// Lines of a router's log that are kept.
+/// Maximum number of lines that are kept of a router's log.
 const MAX_LOG_LINES: usize = 10_000;
 
-/// `milletpath platform`; it is killed, and its file removed, when it is dropped.
+/// A `milletpath platform` process. On drop the process is killed and its configuration file removed.
 pub struct Router {
-    /// Its process.
+    /// The process.
     pub process: Process,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Its configuration file.
+    /// Path of its configuration file.
     pub configuration_file: PathBuf,
-    log: Arc<Mutex<Vec<String>>>,
+    log_lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Router {
-    /// Starts one with the usual configuration.
+    /// Starts a router with the default configuration for these workers.
     pub fn start(workers: &[SocketAddr], discovery: SocketAddr, max_sockets: usize) -> Self {
         Self::with_configuration(&RouterConfiguration::new(workers, discovery, max_sockets))
     }
 
-    /// Starts one with this configuration.
+    /// Starts a router with the given configuration.
     pub fn with_configuration(configuration: &RouterConfiguration) -> Self {
         let file = write_configuration(configuration);
         let mut command = program();
@@ -38,7 +38,8 @@
         Self::run(&mut command, file)
     }
 
-    /// Starts one to which the system grants fewer descriptors than its configuration states.
+    /// Starts a router with an operating-system limit on open file descriptors that is lower than its configuration
+    /// assumes.
     pub fn with_descriptor_limit(descriptors: usize, configuration: &RouterConfiguration) -> Self {
         let file = write_configuration(configuration);
         let mut shell = Command::new("sh");
@@ -50,33 +51,34 @@
     fn run(command: &mut Command, configuration_file: PathBuf) -> Self {
         command.env("LB_CONFIG", &configuration_file).env_remove("LB_LISTEN").stderr(Stdio::piped());
         let mut child = command.spawn().expect("the router starts");
-        let mut log = BufReader::new(child.stderr.take().expect("a piped stream"));
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is piped"));
         let process = Process::new(child);
         let address = read_address(&mut log);
-        let lines = Arc::<Mutex<Vec<String>>>::default();
-        let kept = lines.clone();
-        // Read to its end, so that the router never waits for room in the pipe.
+        let log_lines = Arc::<Mutex<Vec<String>>>::default();
+        let shared_lines = log_lines.clone();
+        // Read the log until it ends, even when no more lines are kept: a full pipe would block the router.
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                let mut kept = kept.lock().expect("no test thread panicked");
-                if kept.len() < MAX_LOG_LINES {
-                    kept.push(line);
+                let mut kept_lines = shared_lines.lock().expect("no test thread panicked");
+                if kept_lines.len() < MAX_LOG_LINES {
+                    kept_lines.push(line);
                 }
             }
         });
-        Self { process, address, configuration_file, log: lines }
+        Self { process, address, configuration_file, log_lines }
     }
 
-    /// The lines with this text that it has logged since it listens.
+    /// Returns the log lines that contain `text`. Lines logged before the router began to listen are not included.
     pub fn log_lines_containing(&self, text: &str) -> Vec<String> {
-        let lines = self.log.lock().expect("no test thread panicked");
+        let lines = self.log_lines.lock().expect("no test thread panicked");
         lines.iter().filter(|line| line.contains(text)).cloned().collect()
     }
 
-    /// Waits until discovery has vouched for its list: from then on a worker's first frame is a call's.
+    /// Waits until discovery has confirmed the router's endpoint list. From then on the first frame that a worker
+    /// receives belongs to a call.
     pub fn wait_for_current_list(&self) {
         let is_current = || !self.log_lines_containing("the endpoint list is current").is_empty();
-        assert!(becomes_true(is_current), "discovery does not vouch for the list");
+        assert!(becomes_true(is_current), "discovery did not confirm the endpoint list");
     }
 }
 
@@ -88,15 +90,15 @@
 
 fn write_configuration(configuration: &RouterConfiguration) -> PathBuf {
     let path = scratch_path("router", ".json");
-    std::fs::write(&path, configuration.text()).expect("a writable file");
+    std::fs::write(&path, configuration.text()).expect("the file is writable");
     path
 }
 
-/// The address in the first line of the log that names one.
+/// Reads the log up to the first line that contains an address, and returns the address.
 fn read_address(log: &mut impl BufRead) -> SocketAddr {
     loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).expect("a readable log") > 0, "the router exited");
+        assert!(log.read_line(&mut line).expect("the log is readable") > 0, "the router exited");
         let address = line.split("address=").nth(1).and_then(|rest| rest.split_whitespace().next());
         if let Some(address) = address.and_then(|address| address.parse().ok()) {
             return address;
--- a/crates/test-support/src/platform_rig/worker.rs
+++ b/crates/test-support/src/platform_rig/worker.rs
@@ -1,4 +1,4 @@
-//! Workers that treat every attempt alike.
+//! Workers that handle every attempt by the same function.
 
 use crate::worker_frames::{Frame, frame, read_frame, request, response};
 use nix::poll::{PollFd, PollFlags};
@@ -10,61 +10,61 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The load report that workers of tests add to their answers.
+/// Load report that workers include in their responses.
 pub(super) const LOAD_REPORT: &str = "use=q:0;x1:0;x0:0.1";
 
-/// What a worker does with an attempt: gets the number of attempts that it received before, the id of the call, and the
-/// connection to answer on.
+/// Handles an attempt, given the number of attempts that the worker received before, the id of the call and the
+/// connection for the response.
 pub type WorkerBehaviour = fn(earlier_attempts: usize, id: u64, connection: &mut TcpStream);
 
-/// Answers each attempt at once.
+/// Responds to each attempt immediately.
 pub fn answers(_: usize, id: u64, connection: &mut TcpStream) {
     let _ = connection.write_all(&frame(response::DONE, id, LOAD_REPORT, b"done"));
 }
 
-/// Receives attempts and answers none.
+/// Never responds to an attempt.
 pub fn never_answers(_: usize, _: u64, _: &mut TcpStream) {}
 
-/// Answers one attempt after a delay, and receives others meanwhile.
+/// Responds to an attempt after a delay, without blocking the connection.
 pub fn answers_after(delay: Duration, id: u64, connection: &TcpStream) {
-    let mut connection = connection.try_clone().expect("a descriptor");
+    let mut connection = connection.try_clone().expect("a file descriptor is available");
     std::thread::spawn(move || {
         std::thread::sleep(delay);
         answers(0, id, &mut connection);
     });
 }
 
-/// Whether a worker takes new work.
+/// Whether a worker accepts new work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum WorkerCondition {
-    /// It does.
+    /// It accepts new work.
     #[default]
     Ready,
-    /// It finishes what it has, rejects what is new, and states so when its health is checked.
+    /// It finishes the work it has, rejects new work and responds to health checks that it is unhealthy.
     Draining,
-    /// It rejects attempts for want of room, and is healthy.
+    /// It is healthy, but rejects attempts because it is at capacity.
     Full,
-    /// It reads, and answers nothing.
+    /// It reads frames but never responds.
     Hung,
-    /// Its process is gone: its connections are reset, and new ones refused.
+    /// It behaves as if its process had died: open connections are reset and new ones refused.
     Gone,
 }
 
-/// A frame and when it was read.
+/// A received frame and the circumstances of its receipt.
 #[derive(Clone, Debug)]
 pub struct TimedFrame {
-    /// When it had been read whole.
+    /// When the frame had been read completely.
     pub at: Instant,
-    /// Which of the worker's addresses it came to, by its position.
+    /// Index of the worker's address at which the frame arrived.
     pub listener: usize,
-    /// Whether the worker took new work then.
+    /// The worker's condition at that time.
     pub condition: WorkerCondition,
     /// The frame.
     pub frame: Frame,
 }
 
 impl TimedFrame {
-    /// Whether it brings the worker new work: an attempt, or a request to load instances.
+    /// Whether the frame is new work for the worker: an attempt, or a request to load instances.
     pub fn is_new_work(&self) -> bool {
         match self.frame.code {
             request::ATTEMPT => true,
@@ -74,12 +74,12 @@
     }
 }
 
-/// The frames that a worker has received on all its connections.
+/// The frames that a worker has received over all of its connections.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedFrames(Arc<Mutex<Vec<TimedFrame>>>);
 
 impl ReceivedFrames {
-    /// Takes in a frame; returns how many attempts came before it.
+    /// Records a frame and returns the number of attempts received before it.
     fn push(&self, frame: Frame, listener: usize, condition: WorkerCondition) -> usize {
         let mut frames = self.0.lock().expect("no test thread panicked");
         let earlier = frames.iter().filter(|received| received.frame.code == request::ATTEMPT).count();
@@ -87,45 +87,45 @@
         earlier
     }
 
-    /// All frames, in the order in which they came.
+    /// Returns all frames in the order in which they arrived.
     pub fn all(&self) -> Vec<TimedFrame> {
         self.0.lock().expect("no test thread panicked").clone()
     }
 
-    /// The frames after a time that brought new work.
+    /// Returns the frames with new work that arrived after the given time.
     pub fn new_work_after(&self, time: Instant) -> Vec<TimedFrame> {
         self.all().into_iter().filter(|received| received.at > time && received.is_new_work()).collect()
     }
 
-    /// Number of frames of all kinds.
+    /// Returns the number of frames of all kinds.
     pub fn count(&self) -> usize {
         self.0.lock().expect("no test thread panicked").len()
     }
 
-    /// Ids of the frames with this code, in the order in which they came.
+    /// Returns the ids of the frames with the given code in the order in which they arrived.
     pub fn ids(&self, code: u8) -> Vec<u64> {
         let frames = self.0.lock().expect("no test thread panicked");
         let frames = frames.iter().map(|received| &received.frame);
         frames.filter(|frame| frame.code == code).map(|frame| frame.id).collect()
     }
 
-    /// Ids of the attempts, in the order in which they came.
+    /// Returns the ids of the attempts in the order in which they arrived.
     pub fn attempts(&self) -> Vec<u64> {
         self.ids(request::ATTEMPT)
     }
 
-    /// Whether an attempt of the call with this id came.
+    /// Whether an attempt of the call with the given id has arrived.
     pub fn has_attempt(&self, id: u64) -> bool {
         self.attempts().contains(&id)
     }
 }
 
-/// What the threads of a worker share.
+/// State that the threads of a worker share.
 #[derive(Debug, Default)]
 struct SharedState {
     is_stopped: AtomicBool,
     condition: Mutex<WorkerCondition>,
-    /// Its open connections, to reset them. Bounded by those that the test's routers open.
+    /// Connections to reset when the worker is gone. Bounded by the number that the test's routers open.
     connections: Mutex<Vec<TcpStream>>,
 }
 
@@ -135,24 +135,24 @@
     }
 }
 
-/// A worker on loopback, on threads of its own.
+/// A worker on loopback that runs in its own threads.
 pub struct Worker {
-    /// Where it listens; the first of its addresses.
+    /// The first of its addresses.
     pub address: SocketAddr,
-    /// All its addresses, so that each router can be given one of its own.
+    /// All addresses at which it listens, so that each router can use a different one.
     pub addresses: Vec<SocketAddr>,
-    /// What it has received.
+    /// The frames that it has received.
     pub received: ReceivedFrames,
     state: Arc<SharedState>,
 }
 
 impl Worker {
-    /// Starts a worker that treats every attempt so.
+    /// Starts a worker that handles every attempt by `behaviour`.
     pub fn start(behaviour: WorkerBehaviour) -> Self {
         Self::with_addresses(behaviour, 1)
     }
 
-    /// Starts one with so many addresses.
+    /// Like [`start`](Self::start), with the given number of addresses.
     pub fn with_addresses(behaviour: WorkerBehaviour, addresses: usize) -> Self {
         let mut ports: Vec<_> = (0..addresses).map(|_| Port::open()).collect();
         let addresses: Vec<_> = ports.iter().map(|port| port.address).collect();
@@ -167,7 +167,7 @@
         Self { address: addresses[0], addresses, received, state }
     }
 
-    /// Changes whether it takes new work.
+    /// Sets the condition. [`WorkerCondition::Gone`] also resets all connections.
     pub fn set_condition(&self, condition: WorkerCondition) {
         *self.state.condition.lock().expect("no test thread panicked") = condition;
         if condition == WorkerCondition::Gone {
@@ -175,13 +175,13 @@
         }
     }
 
-    /// Ends it for good. A worker that is only dropped goes on until its process ends.
+    /// Stops the worker for good. Dropping it without this call leaves it running until the test process exits.
     pub fn stop(&self) {
         self.set_condition(WorkerCondition::Gone);
         self.state.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Resets all its connections, as a process does that dies.
+    /// Resets all connections, as when a process dies.
     pub fn reset_connections(&self) {
         let mut connections = self.state.connections.lock().expect("no test thread panicked");
         for connection in connections.drain(..) {
@@ -191,24 +191,24 @@
     }
 }
 
-/// A port of a worker. It stays bound while nobody listens there, so that nobody else gets it.
+/// A port of a worker. It stays bound while the worker does not listen, so that no other process can take it.
 struct Port {
     address: SocketAddr,
-    /// Present while the worker's process is there.
+    /// The listening socket, while connections are accepted.
     listener: Option<TcpListener>,
-    /// Holds the port otherwise.
+    /// A bound socket that reserves the port while connections are refused.
     reservation: Option<Socket>,
 }
 
 impl Port {
     fn open() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        listener.set_nonblocking(true).expect("a socket");
-        let address = listener.local_addr().expect("a bound socket");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        listener.set_nonblocking(true).expect("the socket is open");
+        let address = listener.local_addr().expect("the socket is bound");
         Self { address, listener: Some(listener), reservation: None }
     }
 
-    /// Refuses connections or accepts them.
+    /// Accepts connections or refuses them.
     fn set_listening(&mut self, listens: bool) {
         if listens == self.listener.is_some() {
             return;
@@ -227,9 +227,10 @@
     }
 }
 
-/// Connections that may wait to be accepted.
+/// Maximum number of pending connections per port.
 const BACKLOG: i32 = 128;
 
+/// Binds a socket to an address without listening.
 fn reserve(address: SocketAddr) -> std::io::Result<Socket> {
     let socket = Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -237,17 +238,17 @@
     Ok(socket)
 }
 
-/// Waits a moment for connections, and starts a thread for each.
+/// Waits a short time for connections and starts a thread for each. The ports follow the worker's condition.
 fn accept_connections(
     ports: &mut [Port],
     behaviour: WorkerBehaviour,
     received: &ReceivedFrames,
     state: &Arc<SharedState>,
 ) {
-    /// Milliseconds after which the worker's condition is looked at again.
+    /// Milliseconds after which the worker's condition is checked again.
     const WAIT_MS: u8 = 20;
-    let is_there = state.condition() != WorkerCondition::Gone;
-    ports.iter_mut().for_each(|port| port.set_listening(is_there));
+    let is_listening = state.condition() != WorkerCondition::Gone;
+    ports.iter_mut().for_each(|port| port.set_listening(is_listening));
     let listeners: Vec<_> = ports.iter().filter_map(|port| port.listener.as_ref()).collect();
     let mut polled: Vec<_> =
         listeners.iter().map(|listener| PollFd::new(listener.as_fd(), PollFlags::POLLIN)).collect();
@@ -270,7 +271,7 @@
     }
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it ends or the worker is gone.
 fn serve(
     mut stream: TcpStream,
     listener: usize,
@@ -279,12 +280,12 @@
     state: &SharedState,
 ) -> Option<()> {
     loop {
-        let frame_in = read_frame(&mut stream)?;
-        let (code, id) = (frame_in.code, frame_in.id);
-        let only_asks = frame_in.fields.ends_with("n=0");
+        let received_frame = read_frame(&mut stream)?;
+        let (code, id) = (received_frame.code, received_frame.id);
+        let is_instance_query = received_frame.fields.ends_with("n=0");
         let condition = state.condition();
-        let earlier_attempts = received.push(frame_in, listener, condition);
-        let answer = match (code, condition) {
+        let earlier_attempts = received.push(received_frame, listener, condition);
+        let response = match (code, condition) {
             (_, WorkerCondition::Hung) => continue,
             (_, WorkerCondition::Gone) => return None,
             (request::ATTEMPT, WorkerCondition::Ready) => {
@@ -298,12 +299,12 @@
             (request::HEALTH_CHECK | request::HEALTH_CHECK_WITH_LOAD, _) => {
                 frame(response::HEALTHY, id, LOAD_REPORT, b"")
             }
-            (request::LOAD, WorkerCondition::Draining) if !only_asks => {
+            (request::LOAD, WorkerCondition::Draining) if !is_instance_query => {
                 frame(response::REJECTED, id, "n=0", b"")
             }
             (request::LOAD, _) => frame(response::DONE, id, "n=1", b""),
             _ => continue,
         };
-        stream.write_all(&answer).ok()?;
+        stream.write_all(&response).ok()?;
     }
 }
