--- a/crates/test-support/src/serve_rig/client.rs
+++ b/crates/test-support/src/serve_rig/client.rs
@@ -1,4 +1,4 @@
-//! A client of the gateway that sees each byte.
+//! An HTTP client of the gateway that gives tests access to the raw bytes of a connection.
 
 use super::message::Message;
 use crate::wait::TIMEOUT;
@@ -7,7 +7,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The bytes of a call of the function `greet`; `fields` are complete lines.
+/// Returns the request for a call of the function `greet`. `fields` are header lines, each ending with CRLF.
 pub fn call_request(fields: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -15,18 +15,18 @@
     )
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 pub enum Departure {
-    /// It closes its connection.
+    /// The client closes its connection.
     Close,
-    /// It closes its sending end alone, and keeps the socket.
+    /// The client shuts down only its sending direction and keeps the socket.
     HalfClose,
-    /// Its connection is reset.
+    /// The client resets its connection.
     Reset,
 }
 
-/// One connection of a client; it waits for an answer for [`TIMEOUT`] at most.
+/// A client with one connection. Reads time out after [`TIMEOUT`].
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
@@ -38,20 +38,21 @@
         Ok(Self(BufReader::new(stream)))
     }
 
-    /// The socket.
+    /// Returns the underlying socket.
     pub fn stream(&self) -> &TcpStream {
         self.0.get_ref()
     }
 
-    /// Whether the gateway has closed the connection, as far as this side knows.
+    /// Whether a read would not block. If no response is pending, this means that the gateway has closed the
+    /// connection.
     pub fn is_closed(&self) -> bool {
-        self.stream().set_nonblocking(true).expect("a socket");
+        self.stream().set_nonblocking(true).expect("the socket is open");
         let peeked = self.stream().peek(&mut [0]);
-        self.stream().set_nonblocking(false).expect("a socket");
+        self.stream().set_nonblocking(false).expect("the socket is open");
         !matches!(peeked, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Leaves; one that only closes its sending end keeps its socket.
+    /// Disconnects in the given way. [`Departure::HalfClose`] returns the client, which can still read.
     pub fn depart(self, how: Departure) -> Option<Self> {
         match how {
             Departure::Close => {}
@@ -59,52 +60,52 @@
                 self.stream().shutdown(Shutdown::Write).expect("the connection is open");
                 return Some(self);
             }
-            // Closed without lingering, it is reset.
+            // With a linger time of zero, closing the socket sends a reset.
             Departure::Reset => {
-                SockRef::from(self.stream()).set_linger(Some(Duration::ZERO)).expect("a socket");
+                SockRef::from(self.stream()).set_linger(Some(Duration::ZERO)).expect("the socket is open");
             }
         }
         None
     }
 
-    /// Writes text as it is.
+    /// Writes text to the connection unchanged.
     pub fn write(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
-    /// The next response; `None` where the connection ends before it does, or nothing comes in time.
+    /// Reads the next response; `None` if the connection ends before the response is complete or the read times out.
     pub fn response(&mut self) -> Option<Message> {
         Message::read(&mut self.0)
     }
 
-    /// Waits for the first byte of a response, and leaves it unread.
+    /// Waits until the first byte of a response has arrived, without reading it.
     pub fn await_response(&self) {
-        self.stream().peek(&mut [0]).expect("a response");
+        self.stream().peek(&mut [0]).expect("a response arrives in time");
     }
 
-    /// Reads so many bytes, or fewer where no more come for 100 ms.
+    /// Reads up to the given number of bytes, or fewer if no more arrive within 100 ms.
     pub fn read_some(&mut self, bytes: usize) -> Vec<u8> {
-        const QUIET: Duration = Duration::from_millis(100);
+        const READ_TIMEOUT: Duration = Duration::from_millis(100);
         let mut buffer = vec![0; bytes];
         let mut filled = 0;
-        self.stream().set_read_timeout(Some(QUIET)).expect("a socket");
+        self.stream().set_read_timeout(Some(READ_TIMEOUT)).expect("the socket is open");
         while let Ok(read @ 1..) = self.0.read(&mut buffer[filled..]) {
             filled += read;
         }
-        self.stream().set_read_timeout(Some(TIMEOUT)).expect("a socket");
+        self.stream().set_read_timeout(Some(TIMEOUT)).expect("the socket is open");
         buffer.truncate(filled);
         buffer
     }
 
-    /// A response whose first bytes were read before.
+    /// Reads the rest of a response whose first bytes have already been read, and returns the whole response.
     pub fn response_after(&mut self, first_bytes: &[u8]) -> Option<Message> {
         Message::read(&mut BufReader::new(first_bytes.chain(&mut self.0)))
     }
 
-    /// All that the gateway writes until it closes the connection.
+    /// Reads everything that the gateway sends until it closes the connection.
     pub fn read_to_end(&mut self) -> String {
         let mut text = String::new();
-        self.0.read_to_string(&mut text).expect("text until the connection is closed");
+        self.0.read_to_string(&mut text).expect("the gateway sends text and closes the connection");
         text
     }
 }
--- a/crates/test-support/src/serve_rig/gateway.rs
+++ b/crates/test-support/src/serve_rig/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process.
+//! A gateway process.
 
 use crate::process::Process;
 use crate::program::{program_path, scratch_path};
@@ -7,22 +7,22 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// What the gateway prints in front of its address.
-const LISTENING: &str = "listening on http://";
+/// Prefix of the line in which the gateway prints its address.
+const LISTENING_PREFIX: &str = "listening on http://";
 
-/// What differs from the usual configuration and limits.
+/// Settings and limits in which a gateway can differ from the default.
 pub struct GatewayOptions {
-    /// Text at the top of the configuration.
+    /// Text at the top level of the configuration.
     pub top_level_settings: &'static str,
-    /// Text in its section on workers.
+    /// Text in the configuration's `workers` block.
     pub workers_settings: &'static str,
     /// Whether the gateway sends load requests.
     pub load_requests: bool,
     /// Whether the gateway sends health checks.
     pub health_checks: bool,
-    /// Seconds that a call may take.
+    /// Deadline of a call in seconds.
     pub deadline: u32,
-    /// Descriptors that the system grants.
+    /// Limit on open file descriptors.
     pub descriptors: usize,
 }
 
@@ -39,40 +39,42 @@
     }
 }
 
-/// `milletpath serve` in front of one worker; it is killed, and its file removed, when it is dropped.
+/// A `milletpath serve` process in front of one worker. On drop the process is killed and its configuration file
+/// removed.
 pub struct Gateway {
-    /// Its process.
+    /// The process.
     pub process: Process,
-    /// Where it listens for clients.
+    /// Address at which it listens for clients.
     pub address: SocketAddr,
     configuration_file: PathBuf,
 }
 
 impl Gateway {
-    /// Starts one on a port of its own, with this text at the top of its configuration.
+    /// Starts a gateway on a free port, with the given text at the top level of its configuration.
     pub fn start(worker: SocketAddr, top_level_settings: &'static str) -> Self {
         Self::with_options(worker, &GatewayOptions { top_level_settings, ..GatewayOptions::default() })
     }
 
-    /// Starts one on a port of its own.
+    /// Starts a gateway on a free port.
     pub fn with_options(worker: SocketAddr, options: &GatewayOptions) -> Self {
         Self::with_configuration(&configuration(worker, options), options.descriptors)
     }
 
-    /// Starts one with the text of its configuration, to which the system grants so many descriptors.
+    /// Starts a gateway with the given configuration text and limit on open file descriptors.
     pub fn with_configuration(text: &str, descriptors: usize) -> Self {
         let configuration_file = scratch_path("gateway", ".hcl");
-        std::fs::write(&configuration_file, text).expect("a writable file");
+        std::fs::write(&configuration_file, text).expect("the file is writable");
         let script = format!("ulimit -n {descriptors}; exec \"$0\" serve --config \"$1\"");
         let mut shell = Command::new("sh");
         shell.arg("-c").arg(script).arg(program_path()).arg(&configuration_file);
-        let mut child = shell.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().expect("it starts");
-        let mut lines = BufReader::new(child.stdout.take().expect("a piped stream")).lines();
+        let mut child =
+            shell.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().expect("the gateway starts");
+        let mut lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
         let process = Process::new(child);
         let address = lines
             .by_ref()
             .map_while(Result::ok)
-            .find_map(|line| line.strip_prefix(LISTENING).and_then(|address| address.parse().ok()));
+            .find_map(|line| line.strip_prefix(LISTENING_PREFIX).and_then(|address| address.parse().ok()));
         Self { process, address: address.expect("the gateway listens"), configuration_file }
     }
 }
--- a/crates/test-support/src/serve_rig/message.rs
+++ b/crates/test-support/src/serve_rig/message.rs
@@ -1,22 +1,22 @@
-//! HTTP/1.1 messages as they are written.
+//! HTTP/1.1 messages as sent on the connection.
 
 use std::io::BufRead;
 
 /// An HTTP/1.1 message with a `Content-Length`, or without a body.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The head to its empty line, byte for byte.
+    /// The start line and the header fields up to the empty line, byte for byte.
     pub head: String,
     /// The request line or the status line.
     pub start_line: String,
-    /// The header fields, in lower case.
+    /// The lines of the header fields in lower case.
     pub fields: Vec<String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads the next message; `None` where the connection ends before the message does.
+    /// Reads the next message; `None` if the connection ends before the message is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Self> {
         let head = read_head(from)?;
         let mut lines = head.lines();
@@ -29,18 +29,18 @@
         Some(Self { head, start_line, fields, body })
     }
 
-    /// The status of a response; 0 where there is none.
+    /// Returns the status code of a response; 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether a field begins so; in lower case.
-    pub fn has_field(&self, field: &str) -> bool {
-        self.fields.iter().any(|line| line.starts_with(field))
+    /// Whether the line of a header field begins with `prefix`, which must be in lower case.
+    pub fn has_field(&self, prefix: &str) -> bool {
+        self.fields.iter().any(|line| line.starts_with(prefix))
     }
 }
 
-/// Reads lines to the first empty one.
+/// Reads up to and including the first empty line.
 fn read_head(from: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     loop {
--- a/crates/test-support/src/serve_rig/mod.rs
+++ b/crates/test-support/src/serve_rig/mod.rs
@@ -1,4 +1,4 @@
-//! A `milletpath serve` process on loopback, workers on threads of the test, and clients that see each byte.
+//! A `milletpath serve` process on loopback, workers on threads of the test, and clients with access to the raw bytes.
 
 mod client;
 mod gateway;
