--- a/crates/test-support/src/control_rig/mod.rs
+++ b/crates/test-support/src/control_rig/mod.rs
@@ -1,7 +1,7 @@
 //! A small installation as processes: control machines, gateways that follow their log, and one worker.
 //!
-//! Where each process listens is fixed, as configurations name it, and belongs to this test process alone: a loopback
-//! address derived from the process's id, and a port for each installation.
+//! Listen addresses are fixed because the configurations refer to them. To avoid collisions with other test processes
+//! and installations, the loopback address is derived from the process id, and each installation has its own port.
 
 mod authors;
 mod installation;
@@ -11,13 +11,13 @@
 pub use installation::{ConfigDifference, Installation};
 pub use processes::FileSizeLimit;
 
-/// The key that the processes of an installation share.
+/// Shared key of the processes of an installation.
 pub const KEY: &str = "a secret of more than thirty-two bytes, for tests alone";
 
-/// Another key than [`KEY`].
+/// A key that differs from [`KEY`].
 const OTHER_KEY: &str = "another secret of more than thirty-two bytes, for tests";
 
-/// The key of an installation, for a test that writes datagrams itself.
+/// Returns [`KEY`] in the form in which datagrams are sealed and opened.
 fn key() -> milletpath_config_log::message::Key {
     milletpath_config_log::message::Key::new(KEY.as_bytes())
 }
--- a/crates/test-support/src/control_rig/processes.rs
+++ b/crates/test-support/src/control_rig/processes.rs
@@ -6,12 +6,12 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// Largest size of a file, in blocks of 512 bytes: what `ulimit -f` counts in.
+/// Limit on the size of each file that a process writes, in blocks of 512 bytes, the unit of `ulimit -f`.
 #[derive(Clone, Copy, Debug)]
 pub struct FileSizeLimit(pub u32);
 
 impl FileSizeLimit {
-    /// The same command, started by a shell that sets the limit first.
+    /// Wraps a command in a shell that sets the limit before it executes the command.
     pub(super) fn apply(self, command: &Command) -> Command {
         let mut shell = Command::new("sh");
         shell.arg("-c").arg(format!("ulimit -S -f {} && exec \"$@\"", self.0)).arg("sh");
@@ -20,22 +20,23 @@
     }
 }
 
-/// A process that is ready, and the line by which it reports that.
+/// A process that is ready, and the line on standard output that reported it.
 pub(super) struct ReadyProcess {
     pub process: Process,
-    pub line: String,
+    pub ready_line: String,
 }
 
-/// Starts a process whose log is appended to this file, and waits for a line on its standard output that begins so.
-pub(super) fn start(mut command: Command, log: &Path, ready: &str) -> ReadyProcess {
-    let log_file = OpenOptions::new().create(true).append(true).open(log).expect("a log");
+/// Starts a process that appends its log to the file `log`, and waits for a line on its standard output that begins
+/// with `ready_prefix`.
+pub(super) fn start(mut command: Command, log: &Path, ready_prefix: &str) -> ReadyProcess {
+    let log_file = OpenOptions::new().create(true).append(true).open(log).expect("the log file is writable");
     let mut child = command.stdout(Stdio::piped()).stderr(log_file).spawn().expect("the process starts");
-    let lines = BufReader::new(child.stdout.take().expect("a piped stream")).lines();
+    let lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
     let process = Process::new(child);
-    let line = lines.map_while(Result::ok).find(|line| line.starts_with(ready));
-    let line = line.unwrap_or_else(|| {
+    let ready_line = lines.map_while(Result::ok).find(|line| line.starts_with(ready_prefix));
+    let ready_line = ready_line.unwrap_or_else(|| {
         let log = std::fs::read_to_string(log).unwrap_or_default();
-        panic!("the process exited without \"{ready}\": {log}")
+        panic!("the process exited without printing \"{ready_prefix}\": {log}")
     });
-    ReadyProcess { process, line }
+    ReadyProcess { process, ready_line }
 }
--- a/crates/test-support/src/fleet_rig.rs
+++ b/crates/test-support/src/fleet_rig.rs
@@ -1,5 +1,5 @@
-//! Gateways with membership as processes, over links which a test can break. No calls: what a gateway knows is read
-//! as an operator would, by `milletpath members`.
+//! Gateways with membership as processes, connected through a relay on which a test injects link faults. The rig makes
+//! no calls. It reads what a gateway knows with `milletpath members`, as an operator does.
 
 use crate::process::Process;
 use crate::program::{program, scratch_path};
@@ -13,30 +13,30 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-/// The key that the gateways of a fleet share.
+/// Shared key of the gateways in a fleet.
 pub const KEY: &str = "a secret of more than thirty-two bytes, for tests alone";
 
-/// What the gateway prints in front of the address at which it receives datagrams.
-const MEMBERSHIP_ADDRESS: &str = "peers on udp://";
+/// Prefix of the line in which a gateway prints the address at which it receives datagrams.
+const MEMBERSHIP_ADDRESS_PREFIX: &str = "peers on udp://";
 
 /// The configuration of one gateway.
 #[derive(Clone)]
 pub struct GatewaySpec {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// The number of gateways in the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: usize,
-    /// The shared key.
+    /// Shared key.
     pub key: String,
-    /// Indices of the gateways that are its seeds.
+    /// Indices of the gateways that it uses as seeds.
     pub seeds: Vec<usize>,
 }
 
-/// A fleet of gateways; they are killed when it is dropped.
+/// A fleet of gateway processes, which are killed on drop.
 pub struct Fleet {
-    /// The links between the gateways, on which a test puts faults.
+    /// Relay that carries the datagrams between the gateways, on which a test injects faults.
     pub relay: Relay,
-    /// The configuration of each gateway, read when it is started.
+    /// The configuration of each gateway, applied when the gateway is started.
     pub specs: Vec<GatewaySpec>,
     folder: PathBuf,
     processes: Vec<Option<Process>>,
@@ -44,14 +44,14 @@
 }
 
 impl Fleet {
-    /// A fleet of which no process runs yet; the first gateway is the seed.
+    /// Creates a fleet without starting a process. The first gateway is the seed of all.
     pub fn new(size: usize) -> Self {
         let folder = scratch_path("fleet", "");
-        std::fs::create_dir_all(&folder).expect("a writable folder");
+        std::fs::create_dir_all(&folder).expect("the folder is writable");
         let spec =
             |n| GatewaySpec { name: format!("gateway-{n}"), gateways: size, key: KEY.into(), seeds: vec![0] };
         Self {
-            relay: Relay::start(size, Instant::now(), 1).expect("links"),
+            relay: Relay::start(size, Instant::now(), 1).expect("the relay starts"),
             specs: (0..size).map(spec).collect(),
             folder,
             processes: (0..size).map(|_| None).collect(),
@@ -59,12 +59,12 @@
         }
     }
 
-    /// A fleet in which all gateways run, take each other for alive and have a quorum.
+    /// Creates a fleet in which all gateways run, see each other as alive and have a quorum.
     pub fn converged(size: usize) -> Self {
         let mut fleet = Self::new(size);
         (0..size).for_each(|n| fleet.start(n));
         let all: Vec<_> = (0..size).collect();
-        fleet.wait_until("all see each other and have a quorum", |fleet| {
+        fleet.wait_until("all gateways see each other as alive and have a quorum", |fleet| {
             all.iter().all(|n| {
                 fleet.sees_alive(*n, &all) && fleet.view(*n).is_some_and(|view| view.quorum_seconds > 0.0)
             })
@@ -72,59 +72,63 @@
         fleet
     }
 
-    /// Number of its gateways, running or not.
+    /// Number of gateways in the fleet, running or not.
     pub fn size(&self) -> usize {
         self.specs.len()
     }
 
-    /// Starts a gateway, or starts it again.
+    /// Starts or restarts a gateway.
     pub fn start(&mut self, n: usize) {
         self.write_configuration(n, (Ipv4Addr::LOCALHOST, 0).into());
-        let log = OpenOptions::new().create(true).append(true).open(self.log_file(n)).expect("a log");
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log_file(n))
+            .expect("the log file is writable");
         let mut command = program();
         command.arg("serve").arg("--config").arg(self.configuration_file(n));
         let mut child = command.stdout(Stdio::piped()).stderr(log).spawn().expect("the gateway starts");
-        let lines = BufReader::new(child.stdout.take().expect("a piped stream")).lines();
+        let lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
         let process = Process::new(child);
         let address = lines
             .map_while(Result::ok)
             .take_while(|line| !line.starts_with("listening"))
-            .find_map(|line| line.strip_prefix(MEMBERSHIP_ADDRESS)?.parse::<SocketAddr>().ok())
-            .expect("it prints where it receives datagrams");
-        // From here on `milletpath members` finds the gateway by its configuration.
+            .find_map(|line| line.strip_prefix(MEMBERSHIP_ADDRESS_PREFIX)?.parse::<SocketAddr>().ok())
+            .expect("the gateway prints the address at which it receives datagrams");
+        // With the actual address in the configuration, `milletpath members` reaches the gateway.
         self.write_configuration(n, address);
         self.relay.set_address(n, address);
         self.datagram_addresses[n] = Some(address);
         self.processes[n] = Some(process);
     }
 
-    /// Kills a gateway, if it runs.
+    /// Kills a gateway if it runs.
     pub fn kill(&mut self, n: usize) {
         self.processes[n] = None;
     }
 
-    /// The process of a gateway that runs.
+    /// Returns the process of a running gateway.
     pub fn process(&self, n: usize) -> &Process {
         self.processes[n].as_ref().expect("the gateway runs")
     }
 
-    /// Sends bytes to a gateway's own address, past its link.
+    /// Sends a datagram directly to a gateway, bypassing the relay.
     pub fn send_datagram(&self, socket: &UdpSocket, n: usize, bytes: &[u8]) {
         let _ = socket.send_to(bytes, self.datagram_addresses[n].expect("the gateway was started"));
     }
 
-    /// Number of lines in a gateway's log that contain this text.
+    /// Counts the lines of a gateway's log that contain `text`.
     pub fn count_log_lines(&self, n: usize, text: &str) -> usize {
-        let log = std::fs::read_to_string(self.log_file(n)).expect("a log");
+        let log = std::fs::read_to_string(self.log_file(n)).expect("the log file is readable");
         log.lines().filter(|line| line.contains(text)).count()
     }
 
-    /// What a gateway knows, by `milletpath members`; `None` where it does not answer.
+    /// Returns a gateway's view of the fleet from `milletpath members`; `None` if the gateway does not answer.
     pub fn view(&self, n: usize) -> Option<MembershipView> {
         serde_json::from_slice(&self.members_output(n)?).ok()
     }
 
-    /// The same as it is printed.
+    /// Returns the output of `milletpath members` as untyped JSON.
     pub fn members_json(&self, n: usize) -> Option<serde_json::Value> {
         serde_json::from_slice(&self.members_output(n)?).ok()
     }
@@ -135,7 +139,7 @@
         Some(command.output().ok()?.stdout)
     }
 
-    /// Whether a gateway takes exactly these, beside itself, for alive.
+    /// Whether a gateway sees exactly these gateways, besides itself, as alive.
     pub fn sees_alive(&self, n: usize, gateways: &[usize]) -> bool {
         let Some(view) = self.view(n) else { return false };
         let alive = view.members.iter().filter(|member| member.state == "alive");
@@ -147,19 +151,19 @@
         alive == expected
     }
 
-    /// Whether all gateways run and take each other for alive.
+    /// Whether all gateways run and see each other as alive.
     pub fn all_see_all(&self) -> bool {
         let all: Vec<_> = (0..self.size()).collect();
         all.iter().all(|n| self.sees_alive(*n, &all))
     }
 
-    /// Waits until the condition holds; panics, with what each gateway knows, where it does not within a minute.
+    /// Waits until the condition holds. After a minute it panics and prints the view of each gateway.
     pub fn wait_until(&self, condition: &str, holds: impl Fn(&Self) -> bool) {
-        const LIMIT: Duration = Duration::from_secs(60);
-        const INTERVAL: Duration = Duration::from_millis(100);
-        if wait_at_most(LIMIT, INTERVAL, || holds(self).then_some(())).is_none() {
+        const TIMEOUT: Duration = Duration::from_secs(60);
+        const POLL_INTERVAL: Duration = Duration::from_millis(100);
+        if wait_at_most(TIMEOUT, POLL_INTERVAL, || holds(self).then_some(())).is_none() {
             let views: Vec<_> = (0..self.size()).map(|n| self.view(n)).collect();
-            panic!("{condition}: not within {LIMIT:?}; {views:#?}");
+            panic!("timed out after {TIMEOUT:?} waiting until {condition}; views: {views:#?}");
         }
     }
 
@@ -173,7 +177,7 @@
 
     fn write_configuration(&self, n: usize, listen: SocketAddr) {
         let GatewaySpec { name, gateways, key, seeds } = &self.specs[n];
-        std::fs::write(self.folder.join(format!("{n}.key")), key).expect("a writable file");
+        std::fs::write(self.folder.join(format!("{n}.key")), key).expect("the file is writable");
         let seeds: Vec<_> = seeds.iter().map(|seed| format!("\"{}\"", self.relay.address(*seed))).collect();
         let text = format!(
             r#"
@@ -201,7 +205,7 @@
             self.relay.address(n),
             seeds.join(", "),
         );
-        std::fs::write(self.configuration_file(n), text).expect("a writable file");
+        std::fs::write(self.configuration_file(n), text).expect("the file is writable");
     }
 }
 
