--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the tests and benches of several packages share. Nothing here is part of the program.
+//! Support code that the tests and benches of several packages share. It is not part of the program.
 //!
-//! [`worker_frames`] and [`simulated_network`] need no processes. With the feature `process-rigs` there are rigs that
-//! run the program as processes on loopback: `platform_rig` for `milletpath platform`, `serve_rig` for
-//! `milletpath serve` in front of one worker, `fleet_rig` for gateways with membership, `control_rig` for
-//! control machines and the gateways that follow them.
+//! [`worker_frames`], [`simulated_network`] and [`wait`] start no processes. The feature `process-rigs` adds test rigs
+//! that run the program as processes on loopback: `platform_rig` for `milletpath platform`, `serve_rig` for
+//! `milletpath serve` in front of one worker, `fleet_rig` for gateways with membership, and `control_rig` for control
+//! machines and the gateways that follow them.
 
 #[cfg(feature = "process-rigs")]
 pub mod control_rig;
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process that does not outlive its test.
+//! A child process that is killed when its handle is dropped.
 
 use crate::wait::{TIMEOUT, wait_at_most, wait_for};
 use nix::sys::signal::{Signal, kill};
@@ -6,82 +6,83 @@
 use std::process::{Child, ExitStatus};
 use std::time::Duration;
 
-/// Time between two looks at a process that is about to stop: short, as tests go on at once.
-const STOP_INTERVAL: Duration = Duration::from_millis(1);
+/// Polling interval of [`Process::pause`]. It is short because tests continue as soon as the process has stopped.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What a process does while something happens around it.
+/// Whether a process runs or is paused while a test changes something around it.
 #[derive(Clone, Copy, Debug)]
 pub enum ProcessState {
-    /// It runs.
+    /// The process runs.
     Running,
-    /// It is stopped by SIGSTOP, and finds all at once when it resumes.
+    /// The process is stopped by SIGSTOP, and handles everything that happened meanwhile at once when it resumes.
     Paused,
 }
 
-/// A child process; it is killed when it is dropped.
+/// A child process that is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Takes a process that was started.
+    /// Takes ownership of a child process.
     pub fn new(child: Child) -> Self {
         Self { child }
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.child.id() as i32), signal).expect("the process runs");
     }
 
-    /// Sends SIGSTOP and returns once the process is stopped.
+    /// Sends SIGSTOP and waits until the process is stopped.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
-        let stopped = || self.state().is_some_and(|state| state == 'T').then_some(());
-        wait_at_most(TIMEOUT, STOP_INTERVAL, stopped).expect("the process is stopped by SIGSTOP");
+        let is_stopped = || self.state().is_some_and(|state| state == 'T').then_some(());
+        wait_at_most(TIMEOUT, PAUSE_POLL_INTERVAL, is_stopped).expect("the process stops on SIGSTOP");
     }
 
-    /// Sends SIGCONT.
+    /// Resumes a paused process by SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Acts while the process is stopped: what is sent to it meanwhile waits there in the order in which it was sent.
-    pub fn while_paused(&self, act: impl FnOnce()) {
+    /// Runs `action` while the process is stopped. Whatever is sent to the process meanwhile is queued in the order in
+    /// which it was sent.
+    pub fn while_paused(&self, action: impl FnOnce()) {
         self.pause();
-        act();
+        action();
         self.resume();
     }
 
-    /// The code of its state in the system's table, as `T` for stopped.
+    /// Returns the state code from `/proc/PID/stat`, for example `T` for a stopped process.
     fn state(&self) -> Option<char> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).ok()?;
         stat.rsplit(") ").next()?.chars().next()
     }
 
-    /// How it exited, if it has.
+    /// Returns the exit status; `None` while the process runs.
     pub fn try_exit_status(&mut self) -> Option<ExitStatus> {
-        self.child.try_wait().expect("a child process")
+        self.child.try_wait().expect("the process is a child of this one")
     }
 
-    /// Waits until it exits; `None` where it still runs after [`TIMEOUT`].
+    /// Waits for the process to exit; `None` if it still runs after [`TIMEOUT`].
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         wait_for(|| self.try_exit_status())
     }
 
-    /// Sends a signal and waits, for as long as it takes, until the process has exited.
+    /// Sends a signal and waits, without a timeout, until the process has exited.
     pub fn end(mut self, signal: Signal) {
         self.signal(signal);
-        self.child.wait().expect("a child process");
+        self.child.wait().expect("the process is a child of this one");
     }
 
-    /// Kills it and waits until it has exited.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -1,19 +1,19 @@
-//! Waiting for a condition that another thread or process brings about.
+//! Polling for a condition that another thread or process brings about.
 
 use std::time::{Duration, Instant};
 
-/// How long a test waits for anything that should happen soon.
+/// Default timeout for anything that a test expects to happen soon.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between two looks of [`wait_for`].
-const INTERVAL: Duration = Duration::from_millis(5);
+/// Polling interval of [`wait_for`].
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Polls until there is a value; `None` after [`TIMEOUT`].
+/// Calls `poll` until it returns a value; `None` after [`TIMEOUT`].
 pub fn wait_for<T>(poll: impl FnMut() -> Option<T>) -> Option<T> {
-    wait_at_most(TIMEOUT, INTERVAL, poll)
+    wait_at_most(TIMEOUT, POLL_INTERVAL, poll)
 }
 
-/// Polls at this interval until there is a value; `None` after the timeout. It polls once at least.
+/// Calls `poll`, at least once, at the given interval until it returns a value; `None` after the timeout.
 pub fn wait_at_most<T>(
     timeout: Duration,
     interval: Duration,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Whether a condition comes to hold within [`TIMEOUT`].
+/// Whether the condition becomes true within [`TIMEOUT`].
 pub fn becomes_true(mut condition: impl FnMut() -> bool) -> bool {
     wait_for(|| condition().then_some(())).is_some()
 }
