--- a/crates/milletpath/tests/platform/discovery_outage.rs
+++ b/crates/milletpath/tests/platform/discovery_outage.rs
@@ -271,7 +271,7 @@
     setup.begin_outage(OutageStart::DiscoveryFailure(Outage::Silent));
     setup.drain(0);
     setup.workers[1].set_condition(WorkerCondition::Gone);
-    assert!(becomes_true(|| !setup.router.logged("the endpoint list is stale").is_empty()));
+    assert!(becomes_true(|| !setup.router.log_lines_containing("the endpoint list is stale").is_empty()));
     assert_eq!(count_served_calls(&setup.router, 100..160), 60);
     for worker in [0, 1] {
         setup.workers[worker].set_condition(WorkerCondition::Ready);
--- a/crates/milletpath/tests/platform/killed_processes.rs
+++ b/crates/milletpath/tests/platform/killed_processes.rs
@@ -5,7 +5,7 @@
     answers, call_line,
 };
 use milletpath_test_support::wait::wait_for;
-use milletpath_test_support::worker_frames::{HEAD_BYTES, request, response};
+use milletpath_test_support::worker_frames::{HEADER_BYTES, request, response};
 use nix::sys::signal::Signal;
 use test_case::test_case;
 
@@ -35,8 +35,8 @@
     client.send(&call_line(1, 1).replace("\"t\":", "\"k\":\"key-1\",\"t\":"));
     let (connection, other) = first_connection(&workers);
     let unread_frame_code = wait_for(|| {
-        let mut head = [0; HEAD_BYTES];
-        (connection.stream.peek(&mut head).unwrap() == HEAD_BYTES).then_some(head[1])
+        let mut head = [0; HEADER_BYTES];
+        (connection.stream.peek(&mut head).unwrap() == HEADER_BYTES).then_some(head[1])
     });
     assert_eq!(unread_frame_code, Some(request::ATTEMPT));
     drop(connection);
--- a/crates/milletpath/tests/serve_departed_clients/during_load.rs
+++ b/crates/milletpath/tests/serve_departed_clients/during_load.rs
@@ -66,7 +66,7 @@
     fn serve(&self, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         while let Some(message) = Message::read(&mut stream) {
-            let answer = if message.start.contains("/load ") {
+            let answer = if message.start_line.contains("/load ") {
                 self.record_request();
                 self.await_load(Load::Done);
                 LOADED
@@ -106,8 +106,11 @@
 
 /// A gateway that sends load requests to this worker.
 fn start_gateway(worker: &LoadingWorker) -> Gateway {
-    let options =
-        GatewayOptions { workers: "misses = true", load_requests: true, ..GatewayOptions::default() };
+    let options = GatewayOptions {
+        workers_settings: "misses = true",
+        load_requests: true,
+        ..GatewayOptions::default()
+    };
     Gateway::with_options(worker.address, &options)
 }
 
--- a/crates/test-support/src/serve_rig/mod.rs
+++ b/crates/test-support/src/serve_rig/mod.rs
@@ -1,4 +1,4 @@
-//! A `milletpath serve` process on loopback, workers on threads of the test, and clients that see each byte.
+//! A `milletpath serve` process on loopback, workers on threads of the test, and clients with access to the raw bytes.
 
 mod client;
 mod gateway;
@@ -8,4 +8,4 @@
 pub use client::{Client, Departure, call_request};
 pub use gateway::{Gateway, GatewayOptions};
 pub use message::Message;
-pub use worker::{Arrival, Arrivals, FULL, OK, UnacceptingWorker, Worker, serve_connection};
+pub use worker::{Arrival, Arrivals, FULL, FullBacklogWorker, OK, Worker, serve_connection};
