--- a/crates/milletpath/tests/architecture.rs
+++ b/crates/milletpath/tests/architecture.rs
@@ -20,7 +20,7 @@
 const BINARY: &str = "milletpath";
 
 /// Packages whose modules still depend on each other in a circle; issue *Readers, the rest* ends that.
-const CIRCULAR: [&str; 0] = [];
+const KNOWN_CIRCULAR: [&str; 0] = [];
 
 type Graph = BTreeMap<String, BTreeSet<String>>;
 
@@ -73,11 +73,11 @@
     let mut texts: BTreeMap<String, String> = BTreeMap::new();
     read_modules(&crates_folder().join(package).join("src"), None, &mut texts);
     let names: Vec<_> = texts.keys().cloned().collect();
-    let named_by = |module: &String, text: &String| {
-        let others = names.iter().filter(|other| *other != module && names_module(text, other));
+    let references_of = |module: &String, text: &String| {
+        let others = names.iter().filter(|other| *other != module && references_module(text, other));
         others.cloned().collect()
     };
-    texts.iter().map(|(module, text)| (module.clone(), named_by(module, text))).collect()
+    texts.iter().map(|(module, text)| (module.clone(), references_of(module, text))).collect()
 }
 
 fn read_modules(folder: &Path, module: Option<&str>, texts: &mut BTreeMap<String, String>) {
@@ -95,56 +95,62 @@
 }
 
 /// Whether a text names `crate::module`, alone or in a list.
-fn names_module(text: &str, module: &str) -> bool {
-    let ends = |rest: &str| !rest.starts_with(|c: char| c.is_alphanumeric() || c == '_');
+fn references_module(text: &str, module: &str) -> bool {
+    let is_at_word_end = |rest: &str| !rest.starts_with(|c: char| c.is_alphanumeric() || c == '_');
     let code: Vec<_> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
     let code = code.join("\n");
-    let alone = code.split("crate::").skip(1).any(|rest| rest.strip_prefix(module).is_some_and(ends));
+    let alone =
+        code.split("crate::").skip(1).any(|rest| rest.strip_prefix(module).is_some_and(is_at_word_end));
     let lists = code.split("use crate::{").skip(1).filter_map(|rest| rest.split(';').next());
     let listed = |list: &str| {
-        list.split(['{', ',', '}']).any(|item| item.trim().strip_prefix(module).is_some_and(ends))
+        list.split(['{', ',', '}']).any(|item| item.trim().strip_prefix(module).is_some_and(is_at_word_end))
     };
     alone || lists.into_iter().any(listed)
 }
 
 /// What is left of a graph when modules that depend on nothing left are taken away, until none is.
-fn circular(mut graph: Graph) -> Graph {
+fn circular_modules(mut graph: Graph) -> Graph {
     loop {
-        let free: BTreeSet<_> =
-            graph.iter().filter(|(_, on)| on.is_empty()).map(|(m, _)| m.clone()).collect();
+        let free: BTreeSet<_> = graph
+            .iter()
+            .filter(|(_, dependencies)| dependencies.is_empty())
+            .map(|(m, _)| m.clone())
+            .collect();
         if free.is_empty() {
             return graph;
         }
         graph.retain(|module, _| !free.contains(module));
-        graph.values_mut().for_each(|on| on.retain(|other| !free.contains(other)));
+        graph.values_mut().for_each(|dependencies| dependencies.retain(|other| !free.contains(other)));
     }
 }
 
 #[test]
-fn no_module_depends_on_itself_by_way_of_others() {
-    let mut circles = BTreeMap::new();
+fn no_module_has_a_circular_dependency() {
+    let mut cycles = BTreeMap::new();
     for package in packages() {
-        let circle = circular(modules(&package));
-        if !circle.is_empty() {
-            circles.insert(package, circle);
+        let cycle = circular_modules(modules(&package));
+        if !cycle.is_empty() {
+            cycles.insert(package, cycle);
         }
     }
-    let unexpected: Vec<_> = circles.iter().filter(|(p, _)| !CIRCULAR.contains(&p.as_str())).collect();
+    let unexpected: Vec<_> = cycles.iter().filter(|(p, _)| !KNOWN_CIRCULAR.contains(&p.as_str())).collect();
     assert!(unexpected.is_empty(), "circles: {unexpected:#?}");
-    let mended: Vec<_> = CIRCULAR.iter().filter(|package| !circles.contains_key(**package)).collect();
-    assert!(mended.is_empty(), "no circle any more, strike them from CIRCULAR: {mended:?}");
+    let resolved: Vec<_> = KNOWN_CIRCULAR.iter().filter(|package| !cycles.contains_key(**package)).collect();
+    assert!(resolved.is_empty(), "no circle any more, strike them from CIRCULAR: {resolved:?}");
 }
 
 #[test]
-fn the_reader_of_modules_sees_uses_alone_and_in_lists() {
+fn module_references_are_found_in_paths_and_use_lists() {
     let gateway = modules("gateway");
-    assert!(gateway.values().any(|on| !on.is_empty()), "{gateway:?}");
-    assert!(names_module("use crate::{a::B, c};", "c") && names_module("use crate::{a::B, c};", "a"));
-    assert!(names_module("crate::a::b()", "a") && !names_module("crate::ab::c()", "a"));
-    assert!(!names_module("// crate::a", "a"));
-    let circle = BTreeMap::from([
+    assert!(gateway.values().any(|dependencies| !dependencies.is_empty()), "{gateway:?}");
+    assert!(
+        references_module("use crate::{a::B, c};", "c") && references_module("use crate::{a::B, c};", "a")
+    );
+    assert!(references_module("crate::a::b()", "a") && !references_module("crate::ab::c()", "a"));
+    assert!(!references_module("// crate::a", "a"));
+    let cycle = BTreeMap::from([
         ("a".to_owned(), BTreeSet::from(["b".to_owned()])),
         ("b".to_owned(), BTreeSet::from(["a".to_owned()])),
     ]);
-    assert_eq!(circular(circle).len(), 2);
+    assert_eq!(circular_modules(cycle).len(), 2);
 }
--- a/crates/milletpath/tests/changes/agreement.rs
+++ b/crates/milletpath/tests/changes/agreement.rs
@@ -1,6 +1,6 @@
 //! Agreement on changes while control machines and gateways are killed or paused.
 
-use crate::{ORDER, lanes, stderr};
+use crate::{SET_ORDER_PROFILE, set_lanes, stderr};
 use milletpath_test_support::control_rig::Installation;
 use nix::sys::signal::Signal;
 use serde_json::Value;
@@ -13,7 +13,7 @@
     for n in 0..5 {
         assert_eq!(installation.call_as_order_and_check(n), (400, 200), "{n}");
     }
-    let output = installation.change(ORDER, &[]);
+    let output = installation.change(SET_ORDER_PROFILE, &[]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{output:?}");
     assert!(text.starts_with("function packs: number 1\n"), "{text}");
@@ -34,7 +34,7 @@
         assert!(is_positive("up") && is_positive("cpu") && is_positive("log"), "{machine:#}");
     }
     // Proposed again it is in force already, and costs no entry of the log.
-    let again = installation.change(ORDER, &[]);
+    let again = installation.change(SET_ORDER_PROFILE, &[]);
     assert!(String::from_utf8_lossy(&again.stdout).contains("already in force"), "{again:?}");
     assert_eq!(installation.change_applied("", &["--remove", "packs"]), 2);
     for n in 0..5 {
@@ -46,13 +46,13 @@
 #[test]
 fn a_leader_is_killed_before_its_change_is_accepted() {
     let mut installation = Installation::running(3, 2);
-    installation.change_applied(&lanes(2), &[]);
+    installation.change_applied(&set_lanes(2), &[]);
     let leader = installation.leader().expect("there is a leader");
     let others: Vec<_> = (0..3).filter(|n| *n != leader).collect();
     let proposals = |i: &Installation| i.control_status(leader)["tally"]["proposals"].as_u64();
     let before = proposals(&installation).expect("it answers");
     others.iter().for_each(|n| installation.control(*n).signal(Signal::SIGSTOP));
-    let mut command = installation.change_command(&lanes(7), &["--wait", "30"]);
+    let mut command = installation.change_command(&set_lanes(7), &["--wait", "30"]);
     let author = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
     installation
         .wait_until("the leader has received the proposal", |i| proposals(i).is_some_and(|n| n > before));
@@ -64,7 +64,7 @@
     // In force once, at all gateways; and the log goes on.
     let number = installation.status()["head"].as_u64().unwrap();
     assert_eq!(installation.count_gateways(|g| g["number"] == number && g["state"] == "current"), 2);
-    assert!(installation.change_applied(&lanes(8), &[]) > number);
+    assert!(installation.change_applied(&set_lanes(8), &[]) > number);
 }
 
 /// One after the other is killed, each while a change is being agreed on, and started again: every change is applied, and
@@ -74,7 +74,7 @@
     let mut installation = Installation::running(3, 2);
     let mut last = 0;
     for round in 0..6 {
-        let mut command = installation.change_command(&lanes(round + 1), &["--wait", "30"]);
+        let mut command = installation.change_command(&set_lanes(round + 1), &["--wait", "30"]);
         let author = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
         let n = round as usize % 3;
         installation.kill_control(n);
@@ -87,8 +87,10 @@
     }
     installation.wait_until("all have the same log", |i| {
         let statuses: Vec<_> = (0..3).map(|n| i.control_status(n)).collect();
-        let same = |status: &Value| status["number"] == last && status["digest"] == statuses[0]["digest"];
-        statuses.iter().all(same) && i.count_gateways(|g| g["state"] == "current" && g["number"] == last) == 2
+        let has_latest =
+            |status: &Value| status["number"] == last && status["digest"] == statuses[0]["digest"];
+        statuses.iter().all(has_latest)
+            && i.count_gateways(|g| g["state"] == "current" && g["number"] == last) == 2
     });
     assert_eq!(
         (0..2).map(|n| installation.gateway_status(n)["digest"].clone()).collect::<Vec<_>>(),
@@ -100,10 +102,10 @@
 #[test]
 fn four_of_seven_control_machines_are_a_majority() {
     let mut installation = Installation::running(7, 3);
-    installation.change_applied(&lanes(2), &[]);
+    installation.change_applied(&set_lanes(2), &[]);
     let leader = installation.leader().expect("there is a leader");
     (0..3).for_each(|n| installation.kill_control((leader + n) % 7));
-    let number = installation.change_applied(ORDER, &["--wait", "30"]);
+    let number = installation.change_applied(SET_ORDER_PROFILE, &["--wait", "30"]);
     assert_eq!(installation.count_gateways(|g| g["state"] == "current" && g["number"] == number), 3);
     for n in 0..3 {
         assert_eq!(installation.call_as_order_and_check(n), (200, 400), "{n}");
@@ -114,7 +116,7 @@
 #[test]
 fn without_a_majority_nothing_is_known_of_a_change_and_gateways_go_on() {
     let mut installation = Installation::running(3, 2);
-    installation.change_applied(ORDER, &[]);
+    installation.change_applied(SET_ORDER_PROFILE, &[]);
     installation.kill_control(0);
     installation.kill_control(1);
     let output = installation.change("function \"packs\" { profile = \"check\" }", &["--wait", "0"]);
@@ -145,13 +147,13 @@
 #[test]
 fn processes_that_were_paused_longer_than_every_lease_catch_up() {
     let installation = Installation::running(3, 3);
-    installation.change_applied(&lanes(2), &[]);
+    installation.change_applied(&set_lanes(2), &[]);
     installation.gateway(0).signal(Signal::SIGSTOP);
     installation.control(0).signal(Signal::SIGSTOP);
     installation.wait_until("the gateway counts as silent", |i| {
         i.count_gateways(|g| g["state"] == "silent" && g["heard"].as_f64() > Some(6.5)) == 1
     });
-    let number = installation.change_applied(ORDER, &[]);
+    let number = installation.change_applied(SET_ORDER_PROFILE, &[]);
     assert_eq!((installation.call(1, "order"), installation.call(2, "order")), (200, 200));
     installation.gateway(0).signal(Signal::SIGCONT);
     installation.control(0).signal(Signal::SIGCONT);
@@ -162,5 +164,5 @@
     assert_eq!(installation.call(0, "order"), 200);
     let gateway = installation.gateway_status(0);
     assert_eq!((gateway["anew"].as_u64(), gateway["conflicts"].as_u64()), (Some(0), Some(0)));
-    assert!(installation.change_applied(&lanes(5), &[]) > number);
+    assert!(installation.change_applied(&set_lanes(5), &[]) > number);
 }
--- a/crates/milletpath/tests/changes/authors.rs
+++ b/crates/milletpath/tests/changes/authors.rs
@@ -1,6 +1,6 @@
 //! Authors of changes: two at once, changes that are rejected, and wrong use of the commands.
 
-use crate::{ORDER, lanes, stderr};
+use crate::{SET_ORDER_PROFILE, set_lanes, stderr};
 use milletpath_test_support::control_rig::{ConfigDifference, Installation, hold_back_first_proposal};
 use nix::sys::signal::Signal;
 use std::process::{Output, Stdio};
@@ -13,18 +13,18 @@
     let installation = Installation::running(3, 2);
     let proposal = hold_back_first_proposal(&installation.control_address(0));
     installation.configure_author(ConfigDifference::default(), &[proposal.address.to_string()], "");
-    let mut command = installation.change_command(&lanes(9), &[]);
+    let mut command = installation.change_command(&set_lanes(9), &[]);
     let late = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
     proposal.held.recv_timeout(Duration::from_secs(30)).expect("a proposal");
     let control = installation.control_addresses();
     installation.configure_author(ConfigDifference::default(), &control, "");
-    assert_eq!(installation.change_applied(&lanes(2), &[]), 1);
+    assert_eq!(installation.change_applied(&set_lanes(2), &[]), 1);
     proposal.release.send(()).unwrap();
     let output = late.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     assert!(stderr(&output).contains("another author was first, with number 1"), "{output:?}");
     // Having read again it may.
-    let number = installation.change_applied(&lanes(9), &[]);
+    let number = installation.change_applied(&set_lanes(9), &[]);
     assert_eq!(installation.count_gateways(|g| g["number"] == number), 2);
 }
 
@@ -32,7 +32,7 @@
 #[test_case("function \"packs\" {\n  profile = \"late\"\n}\n", ":2:3: ", "\"check\" or \"order\""; "an unknown profile")]
 #[test_case("function \"a\" {}\nfunction \"b\" {\n  lanes = 0\n}\n", ":3:3: ", "write lanes = NUMBER"; "a figure out of bounds")]
 #[test_case("client \"c\" { quota = 5 }\n", ":1:1: ", "can't set client"; "a quota")]
-fn a_change_that_the_author_s_configuration_rejects(text: &str, place: &str, remedy: &str) {
+fn a_change_that_the_author_configuration_rejects_is_not_proposed(text: &str, place: &str, remedy: &str) {
     let mut installation = Installation::new(1, 0);
     installation.start_control(0, &["--initialize"]);
     let output = installation.change(text, &[]);
@@ -43,7 +43,7 @@
 
 /// The author's configuration has a profile that the control machines' lacks: they reject it.
 #[test]
-fn a_change_that_the_control_machines_configuration_rejects() {
+fn a_change_that_the_control_machine_configuration_rejects_is_not_made() {
     let mut installation = Installation::new(3, 0);
     (0..3).for_each(|n| installation.start_control(n, &["--initialize"]));
     let control = installation.control_addresses();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn wrong_use_of_a_control_machine() {
+fn invalid_uses_of_control_are_rejected() {
     let mut installation = Installation::new(1, 1);
     let run = |installation: &Installation, n: usize, arguments: &[&str]| {
         installation.control_command(n, arguments).output().unwrap()
@@ -75,7 +75,7 @@
     installation.start_control(0, &["--initialize"]);
     assert_failed(&run(&installation, 0, &[]), 1, "can't be listened on");
     installation.start_gateway(0);
-    installation.change_applied(ORDER, &[]);
+    installation.change_applied(SET_ORDER_PROFILE, &[]);
     installation.kill_control(0);
     assert_failed(&run(&installation, 0, &["--initialize"]), 2, "holds a log already");
     std::fs::remove_file(installation.file("changes.key")).unwrap();
@@ -83,11 +83,11 @@
 }
 
 #[test]
-fn wrong_use_of_change() {
+fn invalid_uses_of_change_are_rejected() {
     let mut installation = Installation::new(1, 1);
     installation.start_control(0, &["--initialize"]);
     installation.start_gateway(0);
-    installation.change_applied(ORDER, &[]);
+    installation.change_applied(SET_ORDER_PROFILE, &[]);
     installation.kill_control(0);
     assert_failed(&installation.change("", &[]), 2, "nothing to change");
     assert_failed(&installation.change("", &["--remove", "no name"]), 2, "there is no such statement");
@@ -95,7 +95,7 @@
 
 /// A gateway whose address is not known can't be asked; one that doesn't run doesn't answer.
 #[test]
-fn wrong_use_of_changes() {
+fn invalid_uses_of_changes_are_rejected() {
     let mut installation = Installation::new(1, 1);
     installation.start_control(0, &["--initialize"]);
     installation.start_gateway(0);
--- a/crates/milletpath/tests/changes/gateways.rs
+++ b/crates/milletpath/tests/changes/gateways.rs
@@ -1,6 +1,6 @@
 //! Gateways that follow the log: restarts, corrupt state, changes that one can't apply, and another key.
 
-use crate::{ORDER, lanes, stderr};
+use crate::{SET_ORDER_PROFILE, set_lanes, stderr};
 use milletpath_test_support::control_rig::{ConfigDifference, Installation};
 use nix::sys::signal::Signal;
 use serde_json::Value;
@@ -11,7 +11,7 @@
 #[test_case(Signal::SIGKILL; "killed")]
 fn a_gateway_restarts_from_its_last_known_state(signal: Signal) {
     let mut installation = Installation::running(3, 2);
-    installation.change_applied(ORDER, &[]);
+    installation.change_applied(SET_ORDER_PROFILE, &[]);
     if signal == Signal::SIGKILL {
         installation.wait_until("the state is stored", |i| i.gateway_status(0)["kept"] == 1);
     }
@@ -31,7 +31,7 @@
 #[test]
 fn a_corrupt_state_file_is_ignored() {
     let mut installation = Installation::running(3, 1);
-    installation.change_applied(ORDER, &[]);
+    installation.change_applied(SET_ORDER_PROFILE, &[]);
     installation.end_gateway(0, Signal::SIGTERM);
     let state = installation.file("gateway-0.state");
     let complete = std::fs::read(&state).unwrap();
@@ -63,7 +63,7 @@
         .configure_gateway(1, ConfigDifference { lacks_profile: true, ..ConfigDifference::default() });
     installation.start_gateway(1);
     installation.wait_until("it is current", |i| i.count_gateways(|g| g["state"] == "current") == 3);
-    let output = installation.change(ORDER, &[]);
+    let output = installation.change(SET_ORDER_PROFILE, &[]);
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     let message = stderr(&output);
     assert!(
@@ -73,8 +73,9 @@
     let statuses =
         [(0, "order"), (1, "check"), (2, "order")].map(|(n, profile)| installation.call(n, profile));
     assert_eq!(statuses, [200, 200, 200]);
-    let refusing = |g: &Value| g["name"] == "gateway-1" && g["state"] == "refusing" && g["refused"][0] == 1;
-    assert_eq!(installation.count_gateways(refusing), 1, "{:#}", installation.status());
+    let is_refusing =
+        |g: &Value| g["name"] == "gateway-1" && g["state"] == "refusing" && g["refused"][0] == 1;
+    assert_eq!(installation.count_gateways(is_refusing), 1, "{:#}", installation.status());
     assert_eq!(installation.count_log_lines("gateway-1", "can't be applied here"), 1);
     // What it can apply is in force there, and it refuses nothing any more.
     let number = installation.change_applied("function \"packs\" { lanes = 3 }", &[]);
@@ -95,16 +96,16 @@
     installation.wait_until("its predecessor counts as silent", |i| {
         i.count_gateways(|g| g["state"] == "silent") == 1
     });
-    installation.change_applied(ORDER, &[]);
+    installation.change_applied(SET_ORDER_PROFILE, &[]);
     assert_eq!((installation.call(0, "order"), installation.call_as_order_and_check(1)), (200, (400, 200)));
-    let refused: usize = (0..3)
+    let rejected: usize = (0..3)
         .map(|n| installation.count_log_lines(&format!("control-{n}"), "its seal is of another key"))
         .sum();
-    assert!(refused > 0);
+    assert!(rejected > 0);
     let control = installation.control_addresses();
     let other_key = ConfigDifference { other_key: true, ..ConfigDifference::default() };
     installation.configure_author(other_key, &control, "");
-    let output = installation.change(&lanes(2), &[]);
+    let output = installation.change(&set_lanes(2), &[]);
     assert_eq!(output.status.code(), Some(1));
     assert!(stderr(&output).contains("no control machine answers"), "{output:?}");
 }
--- a/crates/milletpath/tests/changes/logs.rs
+++ b/crates/milletpath/tests/changes/logs.rs
@@ -1,21 +1,21 @@
 //! The logs of control machines: restarts, older copies, corruption and compaction.
 
-use crate::{ORDER, lanes, stderr};
+use crate::{SET_ORDER_PROFILE, set_lanes, stderr};
 use milletpath_test_support::control_rig::{Installation, propose_changes};
 
 /// Started again it has its log, and counts: with it and one other there is a majority.
 #[test]
 fn a_control_machine_restarts_from_its_log() {
     let mut installation = Installation::running(3, 2);
-    installation.change_applied(&lanes(2), &[]);
+    installation.change_applied(&set_lanes(2), &[]);
     installation.kill_control(2);
-    let number = installation.change_applied(&lanes(3), &[]);
+    let number = installation.change_applied(&set_lanes(3), &[]);
     installation.start_control(2, &[]);
     installation.wait_until("it has what it missed", |i| {
         i.control_status(2)["number"] == number && i.control_status(2)["votes"] == true
     });
     installation.kill_control(0);
-    assert!(installation.change_applied(&lanes(4), &[]) > number);
+    assert!(installation.change_applied(&set_lanes(4), &[]) > number);
     assert_eq!(installation.count_log_lines("control-2", "without a log"), 0);
 }
 
@@ -23,12 +23,12 @@
 #[test]
 fn a_control_machine_with_an_older_copy_of_its_log_catches_up() {
     let mut installation = Installation::running(3, 3);
-    installation.change_applied(&lanes(2), &[]);
+    installation.change_applied(&set_lanes(2), &[]);
     installation.wait_until("it has the change", |i| i.control_status(1)["number"] == 1);
     let log = installation.file("control-1.log");
     let older = std::fs::read(&log).unwrap();
     (3..7).for_each(|n| {
-        installation.change_applied(&lanes(n), &[]);
+        installation.change_applied(&set_lanes(n), &[]);
     });
     installation.kill_control(1);
     std::fs::write(&log, older).unwrap();
@@ -44,15 +44,15 @@
             (&5.into(), &digest, &0.into())
         );
     }
-    assert_eq!(installation.change_applied(ORDER, &[]), 6);
+    assert_eq!(installation.change_applied(SET_ORDER_PROFILE, &[]), 6);
 }
 
 /// The log of a control machine is corrupt: it does not start, names the remedy, and by that remedy votes again.
 #[test]
 fn a_corrupt_log_is_rejected_with_the_remedy() {
     let mut installation = Installation::running(3, 1);
-    installation.change_applied(&lanes(2), &[]);
-    let number = installation.change_applied(&lanes(3), &[]);
+    installation.change_applied(&set_lanes(2), &[]);
+    let number = installation.change_applied(&set_lanes(3), &[]);
     installation.kill_control(1);
     let log = installation.file("control-1.log");
     let mut bytes = std::fs::read(&log).unwrap();
@@ -68,14 +68,14 @@
         i.control_status(1)["votes"] == true && i.control_status(1)["number"] == number
     });
     installation.kill_control(0);
-    assert!(installation.change_applied(&lanes(4), &["--wait", "30"]) > number);
+    assert!(installation.change_applied(&set_lanes(4), &["--wait", "30"]) > number);
 }
 
 /// A record that a crash cut short is removed from the end of the log.
 #[test]
 fn a_record_that_was_cut_short_is_removed() {
     let mut installation = Installation::running(3, 1);
-    let number = installation.change_applied(&lanes(2), &[]);
+    let number = installation.change_applied(&set_lanes(2), &[]);
     installation.kill_control(1);
     let log = installation.file("control-1.log");
     let mut bytes = std::fs::read(&log).unwrap();
@@ -84,7 +84,7 @@
     installation.start_control(1, &[]);
     assert_eq!(installation.count_log_lines("control-1", "cut short is taken off"), 1);
     installation.kill_control(0);
-    assert!(installation.change_applied(&lanes(4), &["--wait", "30"]) > number);
+    assert!(installation.change_applied(&set_lanes(4), &["--wait", "30"]) > number);
 }
 
 /// A log that has grown is compacted and holds all entries: all are killed and restart from what is left.
@@ -108,6 +108,6 @@
     installation.wait_until("all have it again", |i| {
         (0..3).all(|n| i.control_status(n)["number"] == number && i.control_status(n)["digest"] == digest)
     });
-    assert!(installation.change_applied(ORDER, &[]) > number);
+    assert!(installation.change_applied(SET_ORDER_PROFILE, &[]) > number);
     assert_eq!(installation.call(0, "order"), 200);
 }
--- a/crates/milletpath/tests/changes/main.rs
+++ b/crates/milletpath/tests/changes/main.rs
@@ -12,10 +12,10 @@
 use std::process::Output;
 
 /// "packs" is called under "order" from then on; the configuration file names "check".
-const ORDER: &str = "function \"packs\" {\n  profile = \"order\"\n}\n";
+const SET_ORDER_PROFILE: &str = "function \"packs\" {\n  profile = \"order\"\n}\n";
 
 /// As [`ORDER`], with a number of lanes.
-fn lanes(lanes: u32) -> String {
+fn set_lanes(lanes: u32) -> String {
     format!("function \"packs\" {{\n  profile = \"order\"\n  lanes   = {lanes}\n}}\n")
 }
 
--- a/crates/milletpath/tests/command_line.rs
+++ b/crates/milletpath/tests/command_line.rs
@@ -25,52 +25,52 @@
 }
 
 /// Runs all uses at the same time: some of them wait for control machines that do not answer.
-fn run_all(uses: &[Vec<&str>]) -> Vec<Output> {
+fn run_all(invocations: &[Vec<&str>]) -> Vec<Output> {
     std::thread::scope(|scope| {
-        let runs: Vec<_> = uses.iter().map(|arguments| scope.spawn(|| run(arguments))).collect();
+        let runs: Vec<_> = invocations.iter().map(|arguments| scope.spawn(|| run(arguments))).collect();
         runs.into_iter().map(|run| run.join().expect("a run")).collect()
     })
 }
 
 /// A use of the program, and the exit code that it had.
-struct LandedUse {
+struct RecordedInvocation {
     exit_code: i32,
     arguments: Vec<String>,
 }
 
-impl LandedUse {
+impl RecordedInvocation {
     fn arguments(&self) -> Vec<&str> {
         self.arguments.iter().map(String::as_str).collect()
     }
 }
 
-fn landed_uses() -> Vec<LandedUse> {
+fn recorded_invocations() -> Vec<RecordedInvocation> {
     let parse = |line: &str| {
         let mut words = line.split_whitespace();
         let exit_code = words.next().expect("an exit code").parse().expect("a number");
-        LandedUse { exit_code, arguments: words.map(str::to_owned).collect() }
+        RecordedInvocation { exit_code, arguments: words.map(str::to_owned).collect() }
     };
     fixture("exit-codes-as-landed.txt").lines().map(parse).collect()
 }
 
 #[test]
-fn each_use_exits_as_it_did() {
-    let landed = landed_uses();
-    let outputs = run_all(&landed.iter().map(LandedUse::arguments).collect::<Vec<_>>());
-    for (LandedUse { exit_code, arguments }, output) in landed.iter().zip(outputs) {
+fn each_recorded_invocation_has_the_same_exit_code() {
+    let recorded = recorded_invocations();
+    let outputs = run_all(&recorded.iter().map(RecordedInvocation::arguments).collect::<Vec<_>>());
+    for (RecordedInvocation { exit_code, arguments }, output) in recorded.iter().zip(outputs) {
         assert_eq!(output.status.code(), Some(*exit_code), "{arguments:?}: {output:?}");
     }
 }
 
 /// A flag that a sub-command had in its help, with a value where it takes one.
-struct LandedFlag {
+struct RecordedFlag {
     sub_command: String,
     flag: String,
     value: Option<&'static str>,
 }
 
 /// The flags by the sections of the help, each of which begins with `### SUB-COMMAND`.
-fn landed_flags() -> Vec<LandedFlag> {
+fn recorded_flags() -> Vec<RecordedFlag> {
     let (mut flags, mut sub_command) = (Vec::new(), String::new());
     for line in fixture("help-as-landed.txt").lines() {
         if let Some(name) = line.strip_prefix("###") {
@@ -86,7 +86,7 @@
             Some(value) if value.starts_with('<') => Some("2"),
             _ => None,
         };
-        flags.push(LandedFlag { sub_command: sub_command.clone(), flag: (*flag).to_owned(), value });
+        flags.push(RecordedFlag { sub_command: sub_command.clone(), flag: (*flag).to_owned(), value });
     }
     flags
 }
@@ -94,9 +94,9 @@
 /// `--help` comes last, so that an argument that is not accepted is an error before it.
 #[test]
 fn each_flag_is_still_accepted() {
-    let flags = landed_flags();
+    let flags = recorded_flags();
     assert_eq!(flags.len(), 38, "the fixture is read to its end");
-    for LandedFlag { sub_command, flag, value } in &flags {
+    for RecordedFlag { sub_command, flag, value } in &flags {
         let sub_command = Some(sub_command.as_str()).filter(|name| !name.is_empty());
         let arguments = sub_command.into_iter().chain([flag.as_str()]).chain(*value).chain(["--help"]);
         let arguments: Vec<_> = arguments.collect();
@@ -122,7 +122,7 @@
 }
 
 /// Former names with the standard ones, which help shows.
-const RENAMED: [(&str, &str); 8] = [
+const FORMER_NAMES: [(&str, &str); 8] = [
     ("--charter", "--config"),
     ("--found", "--initialize"),
     ("--plant", "--inject-fault"),
@@ -136,7 +136,7 @@
 /// Arguments with the standard names in place of the former ones.
 fn current_names<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
     let current = |argument: &&'a str| {
-        let renamed = RENAMED.iter().find(|(former, _)| former == argument);
+        let renamed = FORMER_NAMES.iter().find(|(former, _)| former == argument);
         renamed.map_or(*argument, |(_, current)| current)
     };
     arguments.iter().map(current).collect()
@@ -144,8 +144,8 @@
 
 #[test]
 fn a_former_name_does_the_same_as_the_standard_one() {
-    let landed = landed_uses();
-    let former: Vec<_> = landed.iter().map(LandedUse::arguments).collect();
+    let recorded = recorded_invocations();
+    let former: Vec<_> = recorded.iter().map(RecordedInvocation::arguments).collect();
     let renamed: Vec<_> =
         former.into_iter().filter(|arguments| *arguments != current_names(arguments)).collect();
     assert_eq!(renamed.len(), 37, "each use with a former name");
@@ -194,9 +194,9 @@
 #[test_case("scenario"; "standard name")]
 #[test_case("day"; "former name")]
 fn the_json_report_of_a_scenario_has_the_fields_that_it_had(sub_command: &str) {
-    let landed: Value = serde_json::from_str(&fixture("scenario-report-as-landed.json")).expect("JSON");
+    let recorded: Value = serde_json::from_str(&fixture("scenario-report-as-landed.json")).expect("JSON");
     let output = run(&[sub_command, "scenario.hcl", "--json", "--lag", "2"]);
     let report: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {output:?}"));
-    assert_eq!(field_paths(&report), field_paths(&landed));
+    assert_eq!(field_paths(&report), field_paths(&recorded));
     assert_eq!(output.status.code(), Some(0), "{report:#}");
 }
--- a/crates/milletpath/tests/documentation.rs
+++ b/crates/milletpath/tests/documentation.rs
@@ -51,28 +51,28 @@
         format!("{}:{}: {}", self.page.display(), self.line, self.target)
     }
 
-    fn leads_to_a_file(&self) -> bool {
+    fn target_exists(&self) -> bool {
         let file = self.target.split('#').next().unwrap_or_default();
         self.page.parent().is_some_and(|folder| folder.join(file).exists())
     }
 }
 
 #[test]
-fn each_link_leads_to_a_file() {
+fn each_link_target_exists() {
     let pages = PAGES.iter().flat_map(|path| pages(&repository_file(path)));
     let links: Vec<_> = pages.flat_map(|page| links(&page)).collect();
     assert!(links.len() > 100, "only {} links were found", links.len());
-    let dead = links.iter().filter(|link| !link.leads_to_a_file());
-    let dead: Vec<_> = dead.map(Link::description).collect();
-    assert!(dead.is_empty(), "links to files that do not exist: {dead:#?}");
+    let broken = links.iter().filter(|link| !link.target_exists());
+    let broken: Vec<_> = broken.map(Link::description).collect();
+    assert!(broken.is_empty(), "links to files that do not exist: {broken:#?}");
 }
 
 #[test]
-fn a_dead_link_is_found() {
+fn a_broken_link_is_found() {
     let page = repository_file("README.md");
     let link = |target: &str| Link { page: page.clone(), line: 1, target: target.to_owned() };
-    assert!(link("docs/ARCHITECTURE.md#threads").leads_to_a_file());
-    assert!(!link("docs/no-such-page.md").leads_to_a_file());
+    assert!(link("docs/ARCHITECTURE.md#threads").target_exists());
+    assert!(!link("docs/no-such-page.md").target_exists());
     assert_eq!(targets("[a](b.md) and [c](d/e.md#f)").collect::<Vec<_>>(), ["b.md", "d/e.md#f"]);
 }
 
--- a/crates/milletpath/tests/membership.rs
+++ b/crates/milletpath/tests/membership.rs
@@ -36,7 +36,7 @@
 /// Two of five are partitioned from three, and the partition heals: the minority falls back to its floor, the majority
 /// goes on, and all see each other again.
 #[test]
-fn a_partition_leaves_the_minority_its_floor_and_heals() {
+fn a_partitioned_minority_falls_back_to_its_floor_until_the_partition_heals() {
     let fleet = Fleet::converged(5);
     let cut = fleet.relay.inject(LinkFault::Partition(vec![0, 1]));
     fleet.wait_until("each side takes the other for dead", |f| {
@@ -58,7 +58,7 @@
 
 /// A gateway receives nothing while all receive from it: it shares nothing any more, and the others are not affected.
 #[test]
-fn a_gateway_that_receives_nothing_falls_to_its_floor() {
+fn a_gateway_that_receives_nothing_falls_back_to_its_floor() {
     let fleet = Fleet::converged(5);
     let receives_nothing = fleet.relay.inject(LinkFault::InboundLoss(vec![2]));
     fleet.wait_until("it knows that it receives nothing", |f| {
@@ -155,11 +155,13 @@
     fleet.wait_until("all log it", |f| {
         (0..4).all(|n| f.count_log_lines(n, "two gateways have the same name") > 0)
     });
-    let twice = |n: usize| {
+    let count_duplicates = |n: usize| {
         let members = fleet.view(n).map(|v| v.members).unwrap_or_default();
         members.iter().filter(|m| m.duplicate_name && m.state == "alive").count()
     };
-    fleet.wait_until("and list both", |_| twice(0) == 2 && twice(1) == 2 && twice(2) == 1);
+    fleet.wait_until("and list both", |_| {
+        count_duplicates(0) == 2 && count_duplicates(1) == 2 && count_duplicates(2) == 1
+    });
 }
 
 /// Configurations with different numbers of gateways: all log it, and the larger holds for all.
--- a/crates/milletpath/tests/outage_soak/client.rs
+++ b/crates/milletpath/tests/outage_soak/client.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// How long a client waits for its answer.
-pub const PATIENCE: Duration = Duration::from_millis(2500);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long after that an answer is still read, to tell a late one from none: a router may have been paused meanwhile.
-const READ_ON: Duration = Duration::from_millis(2500);
+const LATE_ANSWER_WINDOW: Duration = Duration::from_millis(2500);
 /// Functions that are called.
 const FUNCTIONS: u64 = 24;
 
@@ -52,9 +52,9 @@
     /// Time between two calls.
     pub pause: Duration,
     /// Every so many calls it leaves before the answer; never where that is 0.
-    pub leaves_every: u64,
+    pub disconnects_every: u64,
     /// Calls that it makes at most.
-    pub most_calls: usize,
+    pub max_calls: usize,
 }
 
 /// The router that a call went to, by its id.
@@ -65,9 +65,9 @@
 /// Calls until it is stopped, on connections that it keeps for as long as the router does.
 pub fn run_client(plan: &ClientPlan, stop: &AtomicBool) -> Vec<CallRecord> {
     let mut records = Vec::new();
-    while !stop.load(Ordering::Relaxed) && records.len() < plan.most_calls {
+    while !stop.load(Ordering::Relaxed) && records.len() < plan.max_calls {
         match TcpStream::connect(plan.address) {
-            Ok(stream) => call_on(stream, plan, stop, &mut records),
+            Ok(stream) => call_on_connection(stream, plan, stop, &mut records),
             // The router is not there.
             Err(_) => std::thread::sleep(Duration::from_millis(20)),
         }
@@ -76,12 +76,17 @@
 }
 
 /// Calls on one connection until it ends.
-fn call_on(stream: TcpStream, plan: &ClientPlan, stop: &AtomicBool, records: &mut Vec<CallRecord>) {
+fn call_on_connection(
+    stream: TcpStream,
+    plan: &ClientPlan,
+    stop: &AtomicBool,
+    records: &mut Vec<CallRecord>,
+) {
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_read_timeout(Some(PATIENCE + READ_ON));
+    let _ = stream.set_read_timeout(Some(CALL_TIMEOUT + LATE_ANSWER_WINDOW));
     let mut stream = BufReader::new(stream);
     for number in 1_u64.. {
-        if stop.load(Ordering::Relaxed) || records.len() >= plan.most_calls {
+        if stop.load(Ordering::Relaxed) || records.len() >= plan.max_calls {
             return;
         }
         let made = records.len() as u64 + 1;
@@ -92,8 +97,8 @@
         if stream.get_mut().write_all(line.as_bytes()).is_err() {
             return;
         }
-        let leaves = plan.leaves_every > 0 && made.is_multiple_of(plan.leaves_every);
-        let end = if leaves { leave(&stream) } else { receive(&mut stream, number) };
+        let disconnects = plan.disconnects_every > 0 && made.is_multiple_of(plan.disconnects_every);
+        let end = if disconnects { disconnect(&stream) } else { receive(&mut stream, number) };
         records.push(CallRecord { id, router: plan.router, sent_at, ended_at: Instant::now(), end });
         if !matches!(end, CallEnd::Served | CallEnd::Rejected | CallEnd::Failed) {
             return;
@@ -103,7 +108,7 @@
 }
 
 /// Leaves a moment after the call was written.
-fn leave(stream: &BufReader<TcpStream>) -> CallEnd {
+fn disconnect(stream: &BufReader<TcpStream>) -> CallEnd {
     std::thread::sleep(Duration::from_millis(5));
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Both);
     CallEnd::GivenUp
--- a/crates/milletpath/tests/outage_soak/day.rs
+++ b/crates/milletpath/tests/outage_soak/day.rs
@@ -68,7 +68,7 @@
 ];
 
 /// When the outage begins: routers have served for a while.
-const OUTAGE_AT: f64 = 2.0;
+const OUTAGE_START: f64 = 2.0;
 
 impl Day {
     /// A day of a few routers, as CI plays it.
@@ -113,7 +113,7 @@
         let [first, second] = [draw(), draw()];
         match random.random_range(0..4) {
             0 => {
-                let mut at = OUTAGE_AT;
+                let mut at = OUTAGE_START;
                 for outage in [first, second, first] {
                     let seconds = random.random_range(0.5..2.5);
                     self.add(at, Fault::Outage { outage, seconds, divisor: 1, remainder: 0 });
@@ -122,16 +122,16 @@
             }
             1 => {
                 let seconds = random.random_range(5.0..9.0);
-                self.add(OUTAGE_AT, Fault::Outage { outage: first, seconds, divisor: 2, remainder: 0 });
+                self.add(OUTAGE_START, Fault::Outage { outage: first, seconds, divisor: 2, remainder: 0 });
                 let seconds = random.random_range(5.0..8.0);
                 self.add(
-                    OUTAGE_AT + 1.0,
+                    OUTAGE_START + 1.0,
                     Fault::Outage { outage: second, seconds, divisor: 2, remainder: 1 },
                 );
             }
             _ => {
                 let seconds = random.random_range(6.0..10.0);
-                self.add(OUTAGE_AT, Fault::Outage { outage: first, seconds, divisor: 1, remainder: 0 });
+                self.add(OUTAGE_START, Fault::Outage { outage: first, seconds, divisor: 1, remainder: 0 });
             }
         }
     }
--- a/crates/milletpath/tests/outage_soak/fleet.rs
+++ b/crates/milletpath/tests/outage_soak/fleet.rs
@@ -2,8 +2,8 @@
 
 use crate::client::{CallRecord, ClientPlan, run_client};
 use crate::day::{Day, Fault};
-use crate::judge::{Notice, Observations, Pause, Verdict, WorkerChange, judge};
-use crate::lateness::record_lateness;
+use crate::rules::{DeliveryDelay, Observations, Pause, SoakResult, WorkerChange, check_rules};
+use crate::scheduling_delay::record_scheduling_delays;
 use milletpath_test_support::platform_rig::{
     LiveDiscovery, MAX_SOCKETS, Outage, Router, RouterConfiguration, Worker, WorkerCondition, answers_after,
     endpoint_event,
@@ -20,7 +20,7 @@
 const RESTART_AFTER: Duration = Duration::from_millis(300);
 
 /// Each attempt takes a moment.
-fn works(_: usize, id: u64, connection: &mut TcpStream) {
+fn answer_with_delay(_: usize, id: u64, connection: &mut TcpStream) {
     answers_after(Duration::from_millis(15), id, connection);
 }
 
@@ -32,7 +32,7 @@
 }
 
 /// One router, over all its processes.
-struct RouterPlace {
+struct RouterSlot {
     process: Option<Router>,
     address: SocketAddr,
     configuration: RouterConfiguration,
@@ -41,7 +41,7 @@
 }
 
 /// What is due later.
-enum Step {
+enum Action {
     Begin(Fault),
     EndOutage { router: usize },
     SetCondition { worker: usize, condition: WorkerCondition, event: Option<&'static str>, cold: bool },
@@ -53,68 +53,69 @@
 struct Fleet {
     began: Instant,
     workers: Vec<Worker>,
-    routers: Vec<RouterPlace>,
-    steps: Vec<(Instant, Step)>,
+    routers: Vec<RouterSlot>,
+    actions: Vec<(Instant, Action)>,
     observations: Observations,
     /// Clients that are to be started.
-    crowds: Vec<ClientPlan>,
+    pending_clients: Vec<ClientPlan>,
     /// Clients that came later than the first second.
-    crowd_size: u64,
+    added_clients: u64,
 }
 
 /// Plays a day and judges it.
-pub fn play(day: &Day) -> Verdict {
-    let workers: Vec<_> = (0..day.workers).map(|_| Worker::with_addresses(works, day.routers)).collect();
-    let routers: Vec<_> = (0..day.routers).map(|router| RouterPlace::start(day, router, &workers)).collect();
+pub fn run_day(day: &Day) -> SoakResult {
+    let workers: Vec<_> =
+        (0..day.workers).map(|_| Worker::with_addresses(answer_with_delay, day.routers)).collect();
+    let routers: Vec<_> = (0..day.routers).map(|router| RouterSlot::start(day, router, &workers)).collect();
     let stop = Arc::new(AtomicBool::new(false));
     let records = Arc::new(Mutex::new(Vec::new()));
-    let lateness = {
+    let scheduling_delays = {
         let stop = stop.clone();
-        std::thread::spawn(move || record_lateness(&stop))
+        std::thread::spawn(move || record_scheduling_delays(&stop))
     };
     let mut clients = Vec::new();
     let pause = Duration::from_secs_f64((day.routers * day.clients) as f64 / day.calls);
-    for (router, place) in routers.iter().enumerate() {
+    for (router, slot) in routers.iter().enumerate() {
         for number in 0..day.clients as u64 {
-            let leaves_every = if number == 1 { 13 } else { 0 };
+            let disconnects_every = if number == 1 { 13 } else { 0 };
             let plan = ClientPlan {
                 router,
-                address: place.address,
+                address: slot.address,
                 number: number + 1,
                 pause,
-                leaves_every,
-                most_calls: usize::MAX,
+                disconnects_every,
+                max_calls: usize::MAX,
             };
             clients.push(start_client(plan, &stop, &records));
         }
     }
     let began = Instant::now();
-    let steps =
-        day.faults.iter().map(|timed| (began + seconds(timed.at), Step::Begin(timed.fault))).collect();
+    let actions =
+        day.faults.iter().map(|timed| (began + seconds(timed.at), Action::Begin(timed.fault))).collect();
     let mut fleet = Fleet {
         began,
         workers,
         routers,
-        steps,
+        actions,
         observations: Observations::default(),
-        crowds: Vec::new(),
-        crowd_size: 0,
+        pending_clients: Vec::new(),
+        added_clients: 0,
     };
     let end = began + seconds(day.seconds);
     while Instant::now() < end {
-        fleet.do_what_is_due();
-        for plan in std::mem::take(&mut fleet.crowds) {
+        fleet.run_due_actions();
+        for plan in std::mem::take(&mut fleet.pending_clients) {
             clients.push(start_client(plan, &stop, &records));
         }
         std::thread::sleep(Duration::from_millis(5));
     }
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().expect("no client panicked"));
-    fleet.observations.lateness = lateness.join().expect("no thread panicked");
+    fleet.observations.scheduling_delays = scheduling_delays.join().expect("no thread panicked");
     fleet.observations.calls = std::mem::take(&mut records.lock().expect("no thread panicked"));
     fleet.observations.frames = fleet.workers.iter().map(|worker| worker.received.all()).collect();
     fleet.workers.iter().for_each(Worker::stop);
-    judge(day, fleet.began, &fleet.observations)
+    check_rules(day, fleet.began, &fleet.observations)
 }
 
 fn seconds(seconds: f64) -> Duration {
@@ -133,7 +134,7 @@
     })
 }
 
-impl RouterPlace {
+impl RouterSlot {
     fn start(day: &Day, router: usize, workers: &[Worker]) -> Self {
         let discovery = LiveDiscovery::start(workers.len() as u64);
         let addresses: Vec<_> = workers.iter().map(|worker| worker.addresses[router]).collect();
@@ -154,38 +155,38 @@
 }
 
 impl Fleet {
-    fn do_what_is_due(&mut self) {
+    fn run_due_actions(&mut self) {
         let now = Instant::now();
-        let steps = std::mem::take(&mut self.steps);
-        let (due, later): (Vec<_>, Vec<_>) = steps.into_iter().partition(|(at, _)| *at <= now);
-        self.steps = later;
-        due.into_iter().for_each(|(_, step)| self.do_step(step));
+        let actions = std::mem::take(&mut self.actions);
+        let (due, later): (Vec<_>, Vec<_>) = actions.into_iter().partition(|(at, _)| *at <= now);
+        self.actions = later;
+        due.into_iter().for_each(|(_, action)| self.run_action(action));
     }
 
-    fn later(&mut self, after: Duration, step: Step) {
-        self.steps.push((Instant::now() + after, step));
+    fn schedule(&mut self, after: Duration, action: Action) {
+        self.actions.push((Instant::now() + after, action));
     }
 
-    fn do_step(&mut self, step: Step) {
-        match step {
-            Step::Begin(fault) => self.begin(fault),
-            Step::EndOutage { router } => self.end_outage(router),
-            Step::SetCondition { worker, condition, event, cold } => {
+    fn run_action(&mut self, action: Action) {
+        match action {
+            Action::Begin(fault) => self.begin(fault),
+            Action::EndOutage { router } => self.end_outage(router),
+            Action::SetCondition { worker, condition, event, cold } => {
                 self.change_worker(worker, condition, event, cold);
             }
-            Step::Kill { router } => {
+            Action::Kill { router } => {
                 if let Some(mut process) = self.routers[router].process.take() {
                     process.process.kill();
                 }
-                self.later(RESTART_AFTER, Step::Start { router });
+                self.schedule(RESTART_AFTER, Action::Start { router });
             }
-            Step::Start { router } => {
-                let place = &mut self.routers[router];
-                if place.process.is_none() {
-                    place.process = Some(Router::with_configuration(&place.configuration));
+            Action::Start { router } => {
+                let slot = &mut self.routers[router];
+                if slot.process.is_none() {
+                    slot.process = Some(Router::with_configuration(&slot.configuration));
                 }
             }
-            Step::Resume { router } => {
+            Action::Resume { router } => {
                 if let Some(process) = &self.routers[router].process {
                     process.process.resume();
                 }
@@ -204,54 +205,62 @@
                 self.change_worker(worker, WorkerCondition::Draining, Some("leaving"), false);
                 if let Some(after) = returns {
                     let condition = WorkerCondition::Ready;
-                    let step = Step::SetCondition { worker, condition, event: Some("active"), cold: false };
-                    self.later(seconds(after), step);
+                    let action =
+                        Action::SetCondition { worker, condition, event: Some("active"), cold: false };
+                    self.schedule(seconds(after), action);
                 }
             }
             Fault::Restart { worker, seconds: length } => {
                 self.change_worker(worker, WorkerCondition::Gone, Some("left"), false);
                 let condition = WorkerCondition::Ready;
-                let step = Step::SetCondition { worker, condition, event: Some("active"), cold: true };
-                self.later(seconds(length), step);
+                let action = Action::SetCondition { worker, condition, event: Some("active"), cold: true };
+                self.schedule(seconds(length), action);
             }
             Fault::Condition { worker, condition, seconds: length } => {
                 self.change_worker(worker, condition, None, false);
                 let condition = WorkerCondition::Ready;
-                self.later(
+                self.schedule(
                     seconds(length),
-                    Step::SetCondition { worker, condition, event: None, cold: false },
+                    Action::SetCondition { worker, condition, event: None, cold: false },
                 );
             }
             Fault::Reset { worker } => self.workers[worker].reset_connections(),
             Fault::Reload { router, out_for } => self.reload(router, out_for),
             Fault::Terminate { router } => {
                 self.signal(router, Signal::SIGTERM);
-                self.later(KILL_AFTER, Step::Kill { router });
+                self.schedule(KILL_AFTER, Action::Kill { router });
             }
             Fault::Kill { router } => {
                 self.observations.kills.push((router, Instant::now()));
-                self.do_step(Step::Kill { router });
+                self.run_action(Action::Kill { router });
             }
             Fault::Pause { router, seconds: length } => {
                 self.signal(router, Signal::SIGSTOP);
                 let from = Instant::now();
                 self.observations.pauses.push(Pause { router, from, until: from + seconds(length) });
                 // Clients that leave while nobody reads.
-                self.add_crowd(router, 5, 1, 3);
-                self.later(seconds(length), Step::Resume { router });
+                self.add_clients(router, 5, 1, 3);
+                self.schedule(seconds(length), Action::Resume { router });
             }
-            Fault::Crowd { router, clients } => self.add_crowd(router, clients, 0, usize::MAX),
+            Fault::Crowd { router, clients } => self.add_clients(router, clients, 0, usize::MAX),
         }
     }
 
     /// More clients of a router, who call seldom.
-    fn add_crowd(&mut self, router: usize, clients: usize, leaves_every: u64, most_calls: usize) {
+    fn add_clients(&mut self, router: usize, clients: usize, disconnects_every: u64, max_calls: usize) {
         let address = self.routers[router].address;
         let pause = Duration::from_millis(300);
         for _ in 0..clients {
-            self.crowd_size += 1;
-            let number = 100 + self.crowd_size;
-            self.crowds.push(ClientPlan { router, address, number, pause, leaves_every, most_calls });
+            self.added_clients += 1;
+            let number = 100 + self.added_clients;
+            self.pending_clients.push(ClientPlan {
+                router,
+                address,
+                number,
+                pause,
+                disconnects_every,
+                max_calls,
+            });
         }
     }
 
@@ -265,39 +274,47 @@
         let now = Instant::now();
         self.routers[router].discovery.current.fail(outage);
         self.routers[router].outage_until = Some(now + seconds(length));
-        self.observations.notices.push(Notice { router, from: now, until: now + notice_of(outage) });
-        self.later(seconds(length), Step::EndOutage { router });
+        self.observations.delivery_delays.push(DeliveryDelay {
+            router,
+            from: now,
+            until: now + delivery_delay(outage),
+        });
+        self.schedule(seconds(length), Action::EndOutage { router });
     }
 
     fn end_outage(&mut self, router: usize) {
-        let place = &mut self.routers[router];
-        if place.outage_until.is_some_and(|until| until <= Instant::now()) {
-            place.discovery.current.recover();
-            place.outage_until = None;
+        let slot = &mut self.routers[router];
+        if slot.outage_until.is_some_and(|until| until <= Instant::now()) {
+            slot.discovery.current.recover();
+            slot.outage_until = None;
         }
     }
 
     /// The file names another discovery, which has the same events, and SIGHUP says so.
     fn reload(&mut self, router: usize, out_for: f64) {
         let workers = self.workers.len() as u64;
-        let place = &mut self.routers[router];
-        let next = LiveDiscovery::with_events(workers, place.discovery.current.events());
+        let slot = &mut self.routers[router];
+        let next = LiveDiscovery::with_events(workers, slot.discovery.current.events());
         if out_for > 0.0 {
             next.fail(Outage::Refused);
-            place.outage_until = Some(Instant::now() + seconds(out_for));
+            slot.outage_until = Some(Instant::now() + seconds(out_for));
         }
-        place.configuration = place.configuration.clone().with("bulletin", format!("\"{}\"", next.address));
-        let former = std::mem::replace(&mut place.discovery.current, next);
+        slot.configuration = slot.configuration.clone().with("bulletin", format!("\"{}\"", next.address));
+        let former = std::mem::replace(&mut slot.discovery.current, next);
         // It tells nothing more.
         former.fail(Outage::Silent);
-        place.discovery.former.push(former);
-        if let Some(process) = &place.process {
-            std::fs::write(&process.configuration_file, place.configuration.text()).expect("a writable file");
+        slot.discovery.former.push(former);
+        if let Some(process) = &slot.process {
+            std::fs::write(&process.configuration_file, slot.configuration.text()).expect("a writable file");
             process.process.signal(Signal::SIGHUP);
         }
         let now = Instant::now();
-        self.observations.notices.push(Notice { router, from: now, until: now + Notice::LONGEST });
-        self.later(seconds(out_for), Step::EndOutage { router });
+        self.observations.delivery_delays.push(DeliveryDelay {
+            router,
+            from: now,
+            until: now + DeliveryDelay::MAX,
+        });
+        self.schedule(seconds(out_for), Action::EndOutage { router });
     }
 
     /// Changes a worker's condition, and tells discovery where there is an event for it.
@@ -311,9 +328,9 @@
         self.workers[worker].set_condition(condition);
         let Some(phase) = event else { return };
         let started_ms = if cold { unix_milliseconds() } else { 0 };
-        for (router, place) in self.routers.iter().enumerate() {
+        for (router, slot) in self.routers.iter().enumerate() {
             let address = self.workers[worker].addresses[router];
-            place.publish(|number| {
+            slot.publish(|number| {
                 endpoint_event(number, &format!("w{worker}"), address, phase)
                     .replace("\"up_since_ms\":0", &format!("\"up_since_ms\":{started_ms}"))
             });
@@ -324,10 +341,10 @@
 }
 
 /// The time from the beginning of an outage until what discovery would have told counts as told.
-fn notice_of(outage: Outage) -> Duration {
+fn delivery_delay(outage: Outage) -> Duration {
     match outage {
         Outage::Refused | Outage::Closed | Outage::CutLine => Duration::from_secs(2),
-        Outage::Silent | Outage::EndlessLine => Notice::LONGEST,
+        Outage::Silent | Outage::EndlessLine => DeliveryDelay::MAX,
     }
 }
 
--- a/crates/milletpath/tests/outage_soak/main.rs
+++ b/crates/milletpath/tests/outage_soak/main.rs
@@ -14,18 +14,18 @@
 mod client;
 mod day;
 mod fleet;
-mod judge;
-mod lateness;
+mod rules;
+mod scheduling_delay;
 
 use day::Day;
-use fleet::play;
-use judge::Verdict;
+use fleet::run_day;
+use rules::SoakResult;
 
 /// Seeds of the days that CI plays: small ones, in which every kind of fault occurs.
 const CI_SEEDS: [u64; 4] = [1, 2, 3, 4];
 
 /// Seeds of the form `1..50`, both ends included, or of a single number.
-fn seeds_to_play() -> Vec<u64> {
+fn seeds_from_environment() -> Vec<u64> {
     let text = std::env::var("OUTAGE_SOAK_SEEDS").unwrap_or_else(|_| "1..3".to_owned());
     let (first, last) = text.split_once("..").unwrap_or((&text, &text));
     let number =
@@ -39,55 +39,55 @@
     for index in (0..day.faults.len()).rev() {
         let mut smaller = smallest.clone();
         smaller.faults.remove(index);
-        if !play(&smaller).breaks.is_empty() {
+        if !run_day(&smaller).violations.is_empty() {
             smallest = smaller;
         }
     }
     smallest
 }
 
-fn report(day: &Day, verdict: &Verdict) {
-    println!("seed {}: {verdict}", day.seed);
-    for broken in &verdict.breaks {
-        println!("  broken: {broken}");
+fn print_result(day: &Day, result: &SoakResult) {
+    println!("seed {}: {result}", day.seed);
+    for violation in &result.violations {
+        println!("  broken: {violation}");
     }
-    if !verdict.breaks.is_empty() {
+    if !result.violations.is_empty() {
         println!("  day: {day:?}");
     }
 }
 
 #[test]
 fn short_days_keep_the_rules() {
-    let broken: Vec<_> = CI_SEEDS
+    let failing: Vec<_> = CI_SEEDS
         .iter()
         .filter_map(|&seed| {
             let day = Day::small(seed);
-            let verdict = play(&day);
-            report(&day, &verdict);
-            (!verdict.breaks.is_empty()).then(|| format!("{day:?}\n{verdict}\n{:#?}", verdict.breaks))
+            let result = run_day(&day);
+            print_result(&day, &result);
+            (!result.violations.is_empty()).then(|| format!("{day:?}\n{result}\n{:#?}", result.violations))
         })
         .collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(failing.is_empty(), "{}", failing.join("\n"));
 }
 
 /// By hand: minutes to hours.
 #[test]
 #[ignore = "by hand, with OUTAGE_SOAK_SEEDS"]
 fn many_days_keep_the_rules() {
-    let mut broken = Vec::new();
-    for seed in seeds_to_play() {
+    let mut failing = Vec::new();
+    for seed in seeds_from_environment() {
         let day = Day::drawn(seed);
-        let verdict = play(&day);
-        report(&day, &verdict);
-        if !verdict.breaks.is_empty() {
+        let result = run_day(&day);
+        print_result(&day, &result);
+        if !result.violations.is_empty() {
             if std::env::var_os("OUTAGE_SOAK_SHRINK").is_some() {
                 println!("  needs {:?}", shrink(&day).faults);
             }
             println!(
                 "  again: OUTAGE_SOAK_SEEDS={seed} cargo test -p milletpath --test outage_soak -- --ignored --nocapture"
             );
-            broken.push(seed);
+            failing.push(seed);
         }
     }
-    assert!(broken.is_empty(), "days that broke a rule: {broken:?}");
+    assert!(failing.is_empty(), "days that broke a rule: {failing:?}");
 }
--- a/crates/milletpath/tests/outage_soak/judge.rs
+++ b/crates/milletpath/tests/outage_soak/rules.rs
@@ -1,8 +1,8 @@
 //! Judges a day by what was seen on the sockets of clients and workers.
 
-use crate::client::{CallEnd, CallRecord, PATIENCE, router_of};
+use crate::client::{CALL_TIMEOUT, CallEnd, CallRecord, router_of};
 use crate::day::Day;
-use crate::lateness::{Lateness, latest_near};
+use crate::scheduling_delay::{SchedulingDelay, max_delay_near};
 use milletpath_test_support::platform_rig::{TimedFrame, WorkerCondition};
 use milletpath_test_support::worker_frames::request;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,27 +10,27 @@
 use std::time::{Duration, Instant};
 
 /// The grace for draining workers in the rig's settings.
-const GRACE: Duration = Duration::from_millis(500);
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// Slack of every time limit.
 const SLACK: Duration = Duration::from_millis(50);
 /// How long after its time an answer still counts.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 /// How long after its client left an attempt may begin.
-const GONE_SLACK: Duration = Duration::from_millis(100);
+const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
 /// A request that crosses the end of its connection within this is sent once more.
-const CROSSING: Duration = Duration::from_millis(50);
+const CROSSING_WINDOW: Duration = Duration::from_millis(50);
 
 /// A time in which events count as told to a router only at its end.
 #[derive(Clone, Copy, Debug)]
-pub struct Notice {
+pub struct DeliveryDelay {
     pub router: usize,
     pub from: Instant,
     pub until: Instant,
 }
 
-impl Notice {
+impl DeliveryDelay {
     /// After a silence, and after a change of discovery's address.
-    pub const LONGEST: Duration = Duration::from_secs(4);
+    pub const MAX: Duration = Duration::from_secs(4);
 }
 
 /// A change of a worker that discovery has an event for.
@@ -56,23 +56,23 @@
     /// The frames that each worker received.
     pub frames: Vec<Vec<TimedFrame>>,
     pub changes: Vec<WorkerChange>,
-    pub notices: Vec<Notice>,
+    pub delivery_delays: Vec<DeliveryDelay>,
     /// Times in which a router was stopped by SIGSTOP.
     pub pauses: Vec<Pause>,
     /// Routers that were killed outright, without SIGTERM.
     pub kills: Vec<(usize, Instant)>,
-    pub lateness: Vec<Lateness>,
+    pub scheduling_delays: Vec<SchedulingDelay>,
 }
 
 /// A rule that was broken.
 #[derive(Debug)]
-pub struct Break {
+pub struct Violation {
     rule: &'static str,
     second: f64,
     what: String,
 }
 
-impl fmt::Display for Break {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} at {:.3} s: {}", self.rule, self.second, self.what)
     }
@@ -80,10 +80,10 @@
 
 /// What a day came to.
 #[derive(Debug)]
-pub struct Verdict {
-    pub breaks: Vec<Break>,
+pub struct SoakResult {
+    pub violations: Vec<Violation>,
     /// Breaks that the machine's lateness explains.
-    excused: usize,
+    attributed_to_delay: usize,
     calls: usize,
     served: usize,
     rejected: usize,
@@ -91,77 +91,77 @@
     restarts: usize,
     routers: usize,
     health_checks: usize,
-    latest: Duration,
+    max_delay: Duration,
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for SoakResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { calls, served, rejected, drains, restarts, routers, health_checks, .. } = self;
         write!(
             f,
             "{routers} routers, {calls} calls, {served} served, {rejected} rejected, {drains} drains, {restarts} restarts, \
              {health_checks} health checks, {} breaks, {} by a late machine ({} ms at most)",
-            self.breaks.len(),
-            self.excused,
-            self.latest.as_millis()
+            self.violations.len(),
+            self.attributed_to_delay,
+            self.max_delay.as_millis()
         )
     }
 }
 
-struct Judge<'o> {
+struct RuleChecker<'o> {
     began: Instant,
     seen: &'o Observations,
-    breaks: Vec<Break>,
-    excused: usize,
+    violations: Vec<Violation>,
+    attributed_to_delay: usize,
 }
 
 /// Judges a day that began then.
-pub fn judge(day: &Day, began: Instant, seen: &Observations) -> Verdict {
-    let mut judge = Judge { began, seen, breaks: Vec::new(), excused: 0 };
-    judge.every_call_is_answered();
-    judge.drains_are_kept();
-    judge.nothing_begins_for_clients_that_left();
-    judge.deadlines_sent_on_are_what_is_left();
+pub fn check_rules(day: &Day, began: Instant, seen: &Observations) -> SoakResult {
+    let mut checker = RuleChecker { began, seen, violations: Vec::new(), attributed_to_delay: 0 };
+    checker.check_answers();
+    checker.check_drains();
+    checker.check_departed_clients();
+    checker.check_forwarded_deadlines();
     if !day.effect.is_repeatable {
-        judge.nothing_runs_twice();
+        checker.check_single_runs();
     }
     let count = |end| seen.calls.iter().filter(|call| call.end == end).count();
     let changes = |condition| seen.changes.iter().filter(|change| change.condition == condition).count();
-    let is_check = |frame: &&TimedFrame| {
+    let is_health_check = |frame: &&TimedFrame| {
         matches!(frame.frame.code, request::HEALTH_CHECK | request::HEALTH_CHECK_WITH_LOAD)
     };
-    Verdict {
-        breaks: judge.breaks,
-        excused: judge.excused,
+    SoakResult {
+        violations: checker.violations,
+        attributed_to_delay: checker.attributed_to_delay,
         calls: seen.calls.len(),
         served: count(CallEnd::Served),
         rejected: count(CallEnd::Rejected),
         drains: changes(WorkerCondition::Draining),
         restarts: changes(WorkerCondition::Gone),
         routers: day.routers,
-        health_checks: seen.frames.iter().flatten().filter(is_check).count(),
-        latest: latest_near_any(&seen.lateness),
+        health_checks: seen.frames.iter().flatten().filter(is_health_check).count(),
+        max_delay: max_delay(&seen.scheduling_delays),
     }
 }
 
-fn latest_near_any(records: &[Lateness]) -> Duration {
-    records.iter().map(|record| record.late()).max().unwrap_or_default()
+fn max_delay(records: &[SchedulingDelay]) -> Duration {
+    records.iter().map(|record| record.delay()).max().unwrap_or_default()
 }
 
-impl Judge<'_> {
+impl RuleChecker<'_> {
     /// Records something that happened at `at`, by `excess` past its limit. The machine explains it where it was late by
     /// more than that around then.
-    fn broken(&mut self, rule: &'static str, at: Instant, excess: Duration, what: String) {
-        if excess <= latest_near(&self.seen.lateness, at) {
-            self.excused += 1;
+    fn record_violation(&mut self, rule: &'static str, at: Instant, excess: Duration, what: String) {
+        if excess <= max_delay_near(&self.seen.scheduling_delays, at) {
+            self.attributed_to_delay += 1;
             return;
         }
         let second = (at.max(self.began) - self.began).as_secs_f64();
-        self.breaks.push(Break { rule, second, what });
+        self.violations.push(Violation { rule, second, what });
     }
 
     /// Each call has one final answer, in its time.
-    fn every_call_is_answered(&mut self) {
+    fn check_answers(&mut self) {
         for call in &self.seen.calls {
             let age = call.ended_at - call.sent_at;
             match call.end {
@@ -169,20 +169,20 @@
                     let limit = self.answer_limit(call);
                     if call.ended_at > limit {
                         let excess = call.ended_at - limit;
-                        self.broken("answered in time", call.ended_at, excess, format!("{call:?}"));
+                        self.record_violation("answered in time", call.ended_at, excess, format!("{call:?}"));
                     }
                 }
                 CallEnd::GivenUp => {}
-                CallEnd::ConnectionEnded if age <= CROSSING || self.was_killed(call) => {}
+                CallEnd::ConnectionEnded if age <= CROSSING_WINDOW || self.was_killed(call) => {}
                 CallEnd::ConnectionEnded => {
-                    let excess = age - CROSSING;
-                    self.broken("answered", call.ended_at, excess, format!("{call:?}"));
+                    let excess = age - CROSSING_WINDOW;
+                    self.record_violation("answered", call.ended_at, excess, format!("{call:?}"));
                 }
                 CallEnd::Nothing | CallEnd::WrongAnswer => {
                     if !self.was_killed(call) {
                         let second = (call.ended_at - self.began).as_secs_f64();
                         let what = format!("{call:?}");
-                        self.breaks.push(Break { rule: "answered", second, what });
+                        self.violations.push(Violation { rule: "answered", second, what });
                     }
                 }
             }
@@ -191,7 +191,7 @@
 
     /// When its answer has to have come. A router that was stopped at that time answers once it goes on.
     fn answer_limit(&self, call: &CallRecord) -> Instant {
-        let limit = call.sent_at + PATIENCE + ANSWER_SLACK + SLACK;
+        let limit = call.sent_at + CALL_TIMEOUT + ANSWER_SLACK + SLACK;
         let of_router = self.seen.pauses.iter().filter(|pause| pause.router == call.router);
         let spanning = of_router.filter(|pause| pause.from <= limit && pause.until >= call.sent_at);
         spanning.map(|pause| pause.until + ANSWER_SLACK + SLACK).fold(limit, Instant::max)
@@ -206,14 +206,14 @@
     }
 
     /// When a change counts as told to a router.
-    fn told_at(&self, router: usize, at: Instant) -> Instant {
-        let of_router = self.seen.notices.iter().filter(|notice| notice.router == router);
-        let applies = of_router.filter(|notice| notice.from <= at + SLACK && at <= notice.until);
-        applies.map(|notice| notice.until).fold(at, Instant::max)
+    fn delivered_at(&self, router: usize, at: Instant) -> Instant {
+        let of_router = self.seen.delivery_delays.iter().filter(|delay| delay.router == router);
+        let applies = of_router.filter(|delay| delay.from <= at + SLACK && at <= delay.until);
+        applies.map(|delay| delay.until).fold(at, Instant::max)
     }
 
     /// No new work goes to a worker that drains or is gone, from a grace after that counts as told.
-    fn drains_are_kept(&mut self) {
+    fn check_drains(&mut self) {
         for (worker, frames) in self.seen.frames.iter().enumerate() {
             let changes: Vec<_> = self.seen.changes.iter().filter(|change| change.worker == worker).collect();
             for (index, change) in changes.iter().enumerate() {
@@ -225,17 +225,17 @@
                     frame.at > change.at && ends.is_none_or(|end| frame.at < end) && frame.is_new_work()
                 };
                 for frame in frames.iter().filter(is_within) {
-                    let told = self.told_at(frame.listener, change.at);
-                    let limit = told + GRACE + SLACK;
+                    let delivered = self.delivered_at(frame.listener, change.at);
+                    let limit = delivered + DRAIN_GRACE + SLACK;
                     if frame.at > limit {
                         let what = format!(
                             "worker {worker} {:?} got {:?} of router {}, told {:.3} s before",
                             change.condition,
                             frame.frame,
                             frame.listener,
-                            (frame.at - told).as_secs_f64()
+                            (frame.at - delivered).as_secs_f64()
                         );
-                        self.broken("drain", frame.at, frame.at - limit, what);
+                        self.record_violation("drain", frame.at, frame.at - limit, what);
                     }
                 }
             }
@@ -243,7 +243,7 @@
     }
 
     /// No attempt begins for a client that has left.
-    fn nothing_begins_for_clients_that_left(&mut self) {
+    fn check_departed_clients(&mut self) {
         let left: BTreeMap<u64, Instant> = self
             .seen
             .calls
@@ -253,15 +253,20 @@
             .collect();
         for frame in self.seen.frames.iter().flatten().filter(|frame| frame.frame.code == request::ATTEMPT) {
             let Some(&left_at) = left.get(&frame.frame.id) else { continue };
-            let limit = left_at + GONE_SLACK + SLACK;
+            let limit = left_at + DEPARTURE_SLACK + SLACK;
             if frame.at > limit {
-                self.broken("client left", frame.at, frame.at - limit, format!("{:?}", frame.frame));
+                self.record_violation(
+                    "client left",
+                    frame.at,
+                    frame.at - limit,
+                    format!("{:?}", frame.frame),
+                );
             }
         }
     }
 
     /// The time that is sent on to a worker is at most what its client has left.
-    fn deadlines_sent_on_are_what_is_left(&mut self) {
+    fn check_forwarded_deadlines(&mut self) {
         let sent: BTreeMap<u64, Instant> =
             self.seen.calls.iter().map(|call| (call.id, call.sent_at)).collect();
         for frame in self.seen.frames.iter().flatten().filter(|frame| frame.frame.code == request::ATTEMPT) {
@@ -273,15 +278,20 @@
             };
             let ends = frame.at + budget;
             // The router counts from when it read the call; a pause of up to a quarter of a second is not seen.
-            let limit = sent_at + PATIENCE + SLACK + Duration::from_millis(150);
+            let limit = sent_at + CALL_TIMEOUT + SLACK + Duration::from_millis(150);
             if ends > limit {
-                self.broken("deadline sent on", frame.at, ends - limit, format!("{:?}", frame.frame));
+                self.record_violation(
+                    "deadline sent on",
+                    frame.at,
+                    ends - limit,
+                    format!("{:?}", frame.frame),
+                );
             }
         }
     }
 
     /// A call that must not be repeated runs once: a worker that was ready has it, or one that hung may have.
-    fn nothing_runs_twice(&mut self) {
+    fn check_single_runs(&mut self) {
         let mut run = BTreeSet::new();
         let attempts = self.seen.frames.iter().flatten().filter(|frame| frame.frame.code == request::ATTEMPT);
         let may_run =
@@ -290,7 +300,7 @@
             if !run.insert(frame.frame.id) {
                 let second = (frame.at - self.began).as_secs_f64();
                 let what = format!("{:?} by router {}", frame.frame, router_of(frame.frame.id));
-                self.breaks.push(Break { rule: "runs once", second, what });
+                self.violations.push(Violation { rule: "runs once", second, what });
             }
         }
     }
--- a/crates/milletpath/tests/outage_soak/lateness.rs
+++ b/crates/milletpath/tests/outage_soak/scheduling_delay.rs
@@ -4,43 +4,43 @@
 use std::time::{Duration, Instant};
 
 /// Oversleeping of less than this is not recorded.
-const LEAST: Duration = Duration::from_millis(10);
+const MIN_RECORDED: Duration = Duration::from_millis(10);
 
 /// A time at which the machine was late, and by how much.
 #[derive(Clone, Copy, Debug)]
-pub struct Lateness {
+pub struct SchedulingDelay {
     at: Instant,
-    late: Duration,
+    delay: Duration,
 }
 
 /// Records until it is stopped.
-pub fn record_lateness(stop: &AtomicBool) -> Vec<Lateness> {
+pub fn record_scheduling_delays(stop: &AtomicBool) -> Vec<SchedulingDelay> {
     const SLEEP: Duration = Duration::from_millis(5);
     let mut records = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let began = Instant::now();
         std::thread::sleep(SLEEP);
-        let late = began.elapsed().saturating_sub(SLEEP);
-        if late > LEAST {
-            records.push(Lateness { at: Instant::now(), late });
+        let delay = began.elapsed().saturating_sub(SLEEP);
+        if delay > MIN_RECORDED {
+            records.push(SchedulingDelay { at: Instant::now(), delay });
         }
     }
     records
 }
 
 /// The most by which the machine was late within a second of a time.
-pub fn latest_near(records: &[Lateness], time: Instant) -> Duration {
+pub fn max_delay_near(records: &[SchedulingDelay], time: Instant) -> Duration {
     const NEAR: Duration = Duration::from_secs(1);
-    let is_near = |record: &&Lateness| {
+    let is_near = |record: &&SchedulingDelay| {
         let distance = record.at.max(time) - record.at.min(time);
-        distance < NEAR + record.late
+        distance < NEAR + record.delay
     };
-    records.iter().filter(is_near).map(|record| record.late).max().unwrap_or_default()
+    records.iter().filter(is_near).map(|record| record.delay).max().unwrap_or_default()
 }
 
-impl Lateness {
+impl SchedulingDelay {
     /// By how much.
-    pub fn late(&self) -> Duration {
-        self.late
+    pub fn delay(&self) -> Duration {
+        self.delay
     }
 }
--- a/crates/milletpath/tests/program.rs
+++ b/crates/milletpath/tests/program.rs
@@ -13,12 +13,12 @@
 
 /// Held while a scenario is played. Scenarios keep to real time: several at once take the processor from each other's
 /// emulated workers and clients, and their rules would be judged by how crowded the machine is.
-static PLAYING: Mutex<()> = Mutex::new(());
+static SCENARIO_LOCK: Mutex<()> = Mutex::new(());
 
 /// Plays a scenario while no other test of this file plays one.
-fn play_alone(command: &mut Command) -> Output {
+fn run_scenario_alone(command: &mut Command) -> Output {
     // A test that panicked has ended its scenario.
-    let _playing = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = SCENARIO_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     command.output().unwrap()
 }
 
@@ -34,8 +34,9 @@
 #[test_case("days/lists-day.hcl", 2300, None; "endpoint lists late, lost, stalled and emptied")]
 #[test_case("days/cut-day.hcl", 1300, None; "six gateways with membership, over links that fail")]
 fn a_scenario_keeps_the_rules(scenario: &str, min_calls: u64, earlier_report: Option<&str>) {
-    let output =
-        play_alone(program().arg("scenario").arg(repository_file(scenario)).args(["--json", "--lag", "2"]));
+    let output = run_scenario_alone(
+        program().arg("scenario").arg(repository_file(scenario)).args(["--json", "--lag", "2"]),
+    );
     let text = String::from_utf8_lossy(&output.stdout);
     let report: serde_json::Value = serde_json::from_str(&text).unwrap_or_else(|e| panic!("{e}: {output:?}"));
     assert_eq!(report["broken"], serde_json::json!([]), "{report:#}");
@@ -57,7 +58,7 @@
     let scenario = repository_file("days/cut-day.hcl");
     let mut command = program();
     command.arg("scenario").arg(scenario).args(["--json", "--lag", "0.5", "--inject-fault", "likely-count"]);
-    let output = play_alone(&mut command);
+    let output = run_scenario_alone(&mut command);
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert!(report["bounds"]["orders"]["broken"].as_u64().unwrap() > 0, "{report:#}");
     assert_eq!(output.status.code(), Some(1));
--- a/crates/milletpath/tests/runbook.rs
+++ b/crates/milletpath/tests/runbook.rs
@@ -53,7 +53,7 @@
 }
 
 /// The code of a file without comment lines.
-fn code(text: &str) -> String {
+fn without_comments(text: &str) -> String {
     let lines: Vec<_> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
     lines.join("\n")
 }
@@ -68,10 +68,10 @@
             continue;
         }
         for file in sources(&package.join("src")) {
-            let text = code(&std::fs::read_to_string(&file).expect("a source"));
+            let text = without_comments(&std::fs::read_to_string(&file).expect("a source"));
             for (macro_name, level) in LEVELS {
                 for message in messages(&text, macro_name) {
-                    let line = lines.entry(identified(message, &file_name(&file))).or_default();
+                    let line = lines.entry(unambiguous_message(message, &file_name(&file))).or_default();
                     line.levels.insert(level);
                     line.files.insert(file.display().to_string());
                 }
@@ -86,7 +86,7 @@
 }
 
 /// The text, with the file's name where it has no word of its own.
-fn identified(text: String, file_name: &str) -> Message {
+fn unambiguous_message(text: String, file_name: &str) -> Message {
     if text.contains(char::is_alphabetic) { text } else { format!("{text} in {file_name}") }
 }
 
@@ -169,8 +169,8 @@
             text.unwrap_or_else(|| panic!("{heading}: an entry's heading is a log line in backquotes"));
         let body: Vec<_> = lines.take_while(|line| !line.starts_with('#')).map(str::to_owned).collect();
         for message in messages_of_entry(&with_empty_placeholders(text), &body) {
-            let former = entries.insert(message, Entry { heading: heading.clone(), body: body.clone() });
-            assert!(former.is_none(), "{heading}: two entries");
+            let duplicate = entries.insert(message, Entry { heading: heading.clone(), body: body.clone() });
+            assert!(duplicate.is_none(), "{heading}: two entries");
         }
     }
     entries
@@ -183,7 +183,7 @@
     }
     let quoted = body.iter().flat_map(|line| line.split('`'));
     let files = quoted.filter(|word| word.ends_with(".rs") && !word.contains('/'));
-    let messages: Vec<_> = files.map(|file| identified(text.to_owned(), file)).collect();
+    let messages: Vec<_> = files.map(|file| unambiguous_message(text.to_owned(), file)).collect();
     assert!(
         !messages.is_empty(),
         "{text}: an entry for a text of values alone names the files that write it"
@@ -192,7 +192,7 @@
 }
 
 /// Log lines without an entry, each with the files that write it.
-fn missing<'l>(
+fn lines_without_entry<'l>(
     lines: &'l BTreeMap<Message, LogLine>,
     entries: &BTreeMap<Message, Entry>,
 ) -> Vec<(&'l Message, &'l LogLine)> {
@@ -202,17 +202,20 @@
 #[test]
 fn each_line_of_level_warn_or_error_has_an_entry() {
     let lines = log_lines();
-    let missing = missing(&lines, &entries(&runbook()));
-    assert!(missing.is_empty(), "docs/oncall.md has no entry for these log lines: {missing:#?}");
+    let lines_without_entry = lines_without_entry(&lines, &entries(&runbook()));
+    assert!(
+        lines_without_entry.is_empty(),
+        "docs/oncall.md has no entry for these log lines: {lines_without_entry:#?}"
+    );
 }
 
 #[test]
-fn each_entry_is_a_line_that_a_program_writes() {
+fn each_entry_matches_a_log_line_in_the_sources() {
     let lines = log_lines();
-    let dead: Vec<_> =
+    let unused: Vec<_> =
         entries(&runbook()).into_iter().filter(|(message, _)| !lines.contains_key(message)).collect();
-    let headings: Vec<_> = dead.iter().map(|(_, entry)| &entry.heading).collect();
-    assert!(dead.is_empty(), "docs/oncall.md has entries for lines that nobody writes: {headings:#?}");
+    let headings: Vec<_> = unused.iter().map(|(_, entry)| &entry.heading).collect();
+    assert!(unused.is_empty(), "docs/oncall.md has entries for lines that nobody writes: {headings:#?}");
 }
 
 #[test]
@@ -233,22 +236,23 @@
 }
 
 #[test]
-fn a_line_whose_entry_is_removed_is_found_missing() {
+fn a_log_line_whose_entry_is_removed_is_reported() {
     let (lines, mut entries) = (log_lines(), entries(&runbook()));
     let removed = lines.keys().next().expect("a log line");
     entries.remove(removed);
-    let missing: Vec<_> = missing(&lines, &entries).into_iter().map(|(message, _)| message).collect();
-    assert_eq!(missing, [removed]);
+    let lines_without_entry: Vec<_> =
+        lines_without_entry(&lines, &entries).into_iter().map(|(message, _)| message).collect();
+    assert_eq!(lines_without_entry, [removed]);
 }
 
 #[test]
-fn the_reader_of_sources_finds_texts_among_fields_and_over_several_lines() {
+fn messages_are_found_among_fields_and_over_several_lines() {
     let source =
         "tracing::warn!(\n    a = list.join(\", \"),\n    ?b,\n    \"one {b}, \\\n     two: {c:?}\"\n);";
     assert_eq!(messages(source, "warn!("), ["one {}, two: {}"]);
     assert_eq!(messages("return warn!(%e, \"a \\\"quoted\\\" word\")", "warn!("), ["a \"quoted\" word"]);
     assert!(messages("my_warn!(\"no log line\")", "warn!(").is_empty());
-    assert_eq!(code("// warn!(\"in a comment\")\nwarn!(\"b\")"), "warn!(\"b\")");
+    assert_eq!(without_comments("// warn!(\"in a comment\")\nwarn!(\"b\")"), "warn!(\"b\")");
 }
 
 /// The levels above are written by their macros alone, so that this test sees every line.
@@ -260,7 +264,7 @@
             continue;
         }
         for file in sources(&folder) {
-            let text = code(&std::fs::read_to_string(&file).expect("a source"));
+            let text = without_comments(&std::fs::read_to_string(&file).expect("a source"));
             let name = file.display();
             assert!(!text.contains("Level::WARN") && !text.contains("Level::ERROR"), "{name}");
             assert!(!text.contains("event!("), "{name}: use warn! or error!");
--- a/crates/milletpath/tests/scale_test.rs
+++ b/crates/milletpath/tests/scale_test.rs
@@ -20,7 +20,7 @@
 const INTERVAL: Duration = Duration::from_millis(20);
 
 /// A plan of eight gateways, one of them real; each test adds to it.
-const TINY: &str = r#"name = "tiny"
+const TINY_PLAN: &str = r#"name = "tiny"
 gateways = 8
 real = 1
 processes = 2
@@ -39,7 +39,7 @@
 "#;
 
 /// `milletpath scale-test`, not started.
-fn scale(plan: &Path) -> Command {
+fn scale_test_command(plan: &Path) -> Command {
     let mut command = program();
     command.arg("scale-test").arg(plan).arg("--json");
     command
@@ -53,7 +53,7 @@
 
 /// The tiny plan with more text, as a file.
 fn tiny_plan(more: &str) -> PathBuf {
-    write_plan(&format!("{TINY}{more}"))
+    write_plan(&format!("{TINY_PLAN}{more}"))
 }
 
 /// What a run prints: the JSON object of the last line, and the table before it, for people.
@@ -65,7 +65,7 @@
 
 /// Runs a plan to its end.
 fn run(plan: &Path) -> (Output, Value, String) {
-    let output = scale(plan).output().expect("it runs");
+    let output = scale_test_command(plan).output().expect("it runs");
     let (report, table) = read_report(&output);
     (output, report, table)
 }
@@ -139,8 +139,8 @@
 /// The tiny plan with changes and the endpoint list alone, and three control machines.
 fn changes_plan(more: &str) -> PathBuf {
     const RUNS: &str = "runs = [\"membership\", \"budgets\", \"list\"] }";
-    assert!(TINY.contains(RUNS));
-    let text = TINY.replace(RUNS, "runs = [\"changes\", \"list\"] }\nchanges { control = 3 }");
+    assert!(TINY_PLAN.contains(RUNS));
+    let text = TINY_PLAN.replace(RUNS, "runs = [\"changes\", \"list\"] }\nchanges { control = 3 }");
     write_plan(&format!("{text}{more}"))
 }
 
@@ -202,7 +202,7 @@
 
 /// A bound that no gateway can keep: reported with the figure and the place.
 #[test]
-fn a_bound_that_is_too_small_is_named() {
+fn a_violated_bound_is_reported_with_figure_and_place() {
     let plays = "grant { bytes = 1 }\nlinks { within = 1 }\n\
                  play \"begin\" {\n  does = \"start\"\n  over = 1\n  settle = 100\n}\n\
                  play \"quiet\" {\n  does = \"settled\"\n  seconds = 3\n}\n";
@@ -251,15 +251,15 @@
 #[test_case("play \"x\" { does = \"fly\" }\n", ":17:12: does of play \"x\" has the invalid value \"fly\""; "no such play")]
 fn an_invalid_plan_is_reported_with_place_and_remedy(more: &str, error: &str) {
     let plan = tiny_plan(more);
-    let output = scale(&plan).output().expect("it runs");
+    let output = scale_test_command(&plan).output().expect("it runs");
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(message.contains(error) && message.contains(&format!("{}:", plan.display())), "{message}");
     assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0));
 }
 
 #[test]
-fn a_plan_that_is_not_there_is_wrong_use() {
-    let output = scale(Path::new("/nowhere/plan.hcl")).output().expect("it runs");
+fn a_missing_plan_exits_with_2() {
+    let output = scale_test_command(Path::new("/nowhere/plan.hcl")).output().expect("it runs");
     assert_eq!(output.status.code(), Some(2));
 }
 
@@ -267,12 +267,12 @@
 fn children(parent: u32) -> BTreeSet<i32> {
     let processes = std::fs::read_dir("/proc").expect("processes").flatten();
     let numbers = processes.filter_map(|p| p.file_name().to_str()?.parse::<i32>().ok());
-    let mine = |process: &i32| {
+    let is_child = |process: &i32| {
         let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
         let rest = stat.rsplit(") ").next().unwrap_or("");
         rest.split(' ').nth(1) == Some(&parent.to_string())
     };
-    numbers.filter(mine).collect()
+    numbers.filter(is_child).collect()
 }
 
 /// A run that was started, and the processes that it has started itself.
@@ -284,7 +284,8 @@
 impl StartedRun {
     /// Starts a plan and waits until it has so many processes.
     fn start(plan: &Path, processes: usize) -> Self {
-        let child = scale(plan).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
+        let child =
+            scale_test_command(plan).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
         let process = Process::new(child);
         let all = || Some(children(process.id())).filter(|children| children.len() >= processes);
         let children = wait_at_most(TIMEOUT, INTERVAL, all).expect("its processes start");
@@ -311,7 +312,7 @@
 #[test_case(Signal::SIGINT, false, Some(1); "by Ctrl-C alone")]
 #[test_case(Signal::SIGINT, true, Some(1); "by Ctrl-C on a terminal")]
 #[test_case(Signal::SIGTERM, false, Some(1); "by SIGTERM")]
-fn a_run_that_is_stopped_leaves_nothing_behind(signal: Signal, is_sent_to_all: bool, code: Option<i32>) {
+fn an_interrupted_run_leaves_no_process_behind(signal: Signal, is_sent_to_all: bool, code: Option<i32>) {
     let plays = "links { within = 1 }\nplay \"begin\" {\n  does = \"start\"\n  over = 0\n  settle = 100\n}\n\
                  play \"quiet\" {\n  does = \"settled\"\n  seconds = 100\n}\n";
     let mut run = StartedRun::start(&tiny_plan(plays), PROCESSES);
--- a/crates/milletpath/tests/serve_deadlines.rs
+++ b/crates/milletpath/tests/serve_deadlines.rs
@@ -15,7 +15,7 @@
 const SLACK: f64 = 0.15;
 
 /// Time for which the worker's system accepts no connection.
-const BEFORE_ACCEPT: Duration = Duration::from_millis(600);
+const ACCEPT_DELAY: Duration = Duration::from_millis(600);
 
 /// The seconds that each attempt stated.
 type StatedTimes = Arc<Mutex<Vec<f64>>>;
@@ -33,20 +33,20 @@
 
 /// The worker's system accepts the connection a second late, so the attempt begins a second after its decision.
 #[test]
-fn an_attempt_whose_connection_comes_up_late_states_what_is_left() {
+fn an_attempt_on_a_late_connection_states_the_remaining_time() {
     let worker = UnacceptingWorker::start();
     let options = GatewayOptions { workers: "connect = 2.2", ..GatewayOptions::default() };
     let gateway = Gateway::with_options(worker.address, &options);
     let mut client = Client::connect(gateway.address).expect("it listens");
     let sent = Instant::now();
-    let patience = format!("milletpath-patience: {CLIENT_TIMEOUT}\r\n");
-    client.write(&call_request(&patience, "hi")).expect("it reads");
-    std::thread::sleep(BEFORE_ACCEPT);
+    let timeout_field = format!("milletpath-patience: {CLIENT_TIMEOUT}\r\n");
+    client.write(&call_request(&timeout_field, "hi")).expect("it reads");
+    std::thread::sleep(ACCEPT_DELAY);
     // No connection can be made before this moment, so no attempt's first byte went earlier.
     let accepts_from = Instant::now();
     let stated = StatedTimes::default();
-    let all = stated.clone();
-    let _filler = worker.accept(move |stream| answer_requests(stream, &all));
+    let recorded = stated.clone();
+    let _filler = worker.accept(move |stream| answer_requests(stream, &recorded));
     assert_eq!(client.response().map(|response| response.status()), Some(200));
     let stated = stated.lock().expect("no test thread panicked");
     let seconds = *stated.first().expect("an attempt");
--- a/crates/milletpath/tests/serve_departed_clients/during_load.rs
+++ b/crates/milletpath/tests/serve_departed_clients/during_load.rs
@@ -14,19 +14,19 @@
 use test_case::test_matrix;
 
 /// An attempt may begin for 0.1 s after its client has left; this is longer.
-const LONG_GONE: Duration = Duration::from_millis(150);
+const LONGER_THAN_GRACE: Duration = Duration::from_millis(150);
 /// The answer of a worker that has no instance.
 const MISSING: &str = "HTTP/1.1 404 Missing\r\nmilletpath-refused: missing\r\ncontent-length: 0\r\n\r\n";
 /// The answer to a load request once there is an instance.
 const LOADED: &str = "HTTP/1.1 200 OK\r\nmilletpath-copies: 1\r\ncontent-length: 0\r\n\r\n";
 /// Body of the call of the client that leaves.
-const GONE: &str = "gone";
+const LEAVING: &str = "gone";
 /// Body of the call of the client that stays.
-const STAYS: &str = "stays";
+const STAYING: &str = "stays";
 
 /// How far the load of the function is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Load {
+enum LoadState {
     NotRequested,
     Requested,
     Done,
@@ -39,7 +39,7 @@
 }
 
 struct WorkerState {
-    load: Mutex<Load>,
+    load: Mutex<LoadState>,
     changed: Condvar,
     /// Bodies of the attempts that came.
     attempts: Mutex<Vec<String>>,
@@ -48,12 +48,12 @@
 impl LoadingWorker {
     fn start() -> Self {
         let state = Arc::new(WorkerState {
-            load: Mutex::new(Load::NotRequested),
+            load: Mutex::new(LoadState::NotRequested),
             changed: Condvar::new(),
             attempts: Mutex::default(),
         });
-        let all = state.clone();
-        let address = Worker::serve_with(move |stream| all.serve(stream));
+        let shared = state.clone();
+        let address = Worker::serve_with(move |stream| shared.serve(stream));
         Self { address, state }
     }
 
@@ -68,12 +68,12 @@
         while let Some(message) = Message::read(&mut stream) {
             let answer = if message.start.contains("/load ") {
                 self.record_request();
-                self.await_load(Load::Done);
+                self.await_load(LoadState::Done);
                 LOADED
             } else {
                 let body = String::from_utf8_lossy(&message.body).into_owned();
                 self.attempts.lock().expect("no test thread panicked").push(body);
-                let loaded = *self.load.lock().expect("no test thread panicked") == Load::Done;
+                let loaded = *self.load.lock().expect("no test thread panicked") == LoadState::Done;
                 if loaded { OK } else { MISSING }
             };
             let _ = stream.get_mut().write_all(answer.as_bytes());
@@ -82,19 +82,19 @@
 
     fn record_request(&self) {
         let mut load = self.load.lock().expect("no test thread panicked");
-        if *load == Load::NotRequested {
-            *load = Load::Requested;
+        if *load == LoadState::NotRequested {
+            *load = LoadState::Requested;
             self.changed.notify_all();
         }
     }
 
     fn finish_load(&self) {
-        *self.load.lock().expect("no test thread panicked") = Load::Done;
+        *self.load.lock().expect("no test thread panicked") = LoadState::Done;
         self.changed.notify_all();
     }
 
     /// Waits until the load is that far.
-    fn await_load(&self, until: Load) {
+    fn await_load(&self, until: LoadState) {
         let load = self.load.lock().expect("no test thread panicked");
         let (load, _) = self
             .changed
@@ -112,7 +112,7 @@
 }
 
 /// A client that has written a call.
-fn call(gateway: &Gateway, body: &str) -> Client {
+fn send_call(gateway: &Gateway, body: &str) -> Client {
     let mut client = Client::connect(gateway.address).expect("it listens");
     client.write(&call_request("milletpath-patience: 3\r\n", body)).expect("it reads");
     client
@@ -121,44 +121,44 @@
 /// The worker has no instance and is requested to load one. The client leaves, and once it has long gone the load is
 /// over, or both is found by a gateway that was paused: the call of the client that stays goes out, and no other.
 #[test_matrix([Close, HalfClose, Reset], [Running, Paused])]
-fn no_attempt_behind_a_load_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
+fn no_attempt_after_a_load_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let worker = LoadingWorker::start();
     let gateway = start_gateway(&worker);
-    let leaver = call(&gateway, GONE);
-    worker.state.await_load(Load::Requested);
-    let mut stays = call(&gateway, STAYS);
+    let leaving = send_call(&gateway, LEAVING);
+    worker.state.await_load(LoadState::Requested);
+    let mut staying = send_call(&gateway, STAYING);
     let before = worker.attempts();
     let _half_closed = match state {
         Running => {
-            let half_closed = leaver.depart(departure);
-            std::thread::sleep(LONG_GONE);
+            let half_closed = leaving.depart(departure);
+            std::thread::sleep(LONGER_THAN_GRACE);
             worker.state.finish_load();
             half_closed
         }
         Paused => {
             gateway.process.pause();
             worker.state.finish_load();
-            let half_closed = leaver.depart(departure);
-            std::thread::sleep(LONG_GONE);
+            let half_closed = leaving.depart(departure);
+            std::thread::sleep(LONGER_THAN_GRACE);
             gateway.process.resume();
             half_closed
         }
     };
-    assert_eq!(stays.response().expect("an answer").status(), 200);
-    std::thread::sleep(LONG_GONE);
+    assert_eq!(staying.response().expect("an answer").status(), 200);
+    std::thread::sleep(LONGER_THAN_GRACE);
     let after = worker.attempts();
-    assert!(after[before.len()..].iter().all(|body| body == STAYS), "{before:?}, then {after:?}");
+    assert!(after[before.len()..].iter().all(|body| body == STAYING), "{before:?}, then {after:?}");
 }
 
 /// Where its client stays, the attempt does go out behind the load.
 #[test]
-fn an_attempt_behind_a_load_for_a_client_that_stays() {
+fn an_attempt_after_a_load_for_a_client_that_stays() {
     let worker = LoadingWorker::start();
     let gateway = start_gateway(&worker);
-    let mut stays = call(&gateway, STAYS);
-    worker.state.await_load(Load::Requested);
-    std::thread::sleep(LONG_GONE);
+    let mut staying = send_call(&gateway, STAYING);
+    worker.state.await_load(LoadState::Requested);
+    std::thread::sleep(LONGER_THAN_GRACE);
     worker.state.finish_load();
-    assert_eq!(stays.response().expect("an answer").status(), 200);
+    assert_eq!(staying.response().expect("an answer").status(), 200);
     assert_eq!(worker.attempts().len(), 2, "one that was rejected, and one behind the load");
 }
--- a/crates/milletpath/tests/serve_departed_clients/main.rs
+++ b/crates/milletpath/tests/serve_departed_clients/main.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// An attempt may begin so long after its client has left.
-const MOMENT: Duration = Duration::from_millis(100);
+const DEPARTURE_GRACE: Duration = Duration::from_millis(100);
 
 /// A client that has written a call, and as the case may be another behind it.
 struct Caller {
@@ -19,7 +19,7 @@
 }
 
 /// One for each way to leave, with one call and with two.
-fn callers(gateway: SocketAddr) -> Vec<Caller> {
+fn connect_callers(gateway: SocketAddr) -> Vec<Caller> {
     let mut callers = Vec::new();
     for departure in [Departure::Close, Departure::HalfClose, Departure::Reset] {
         for calls in [1, 2] {
@@ -49,7 +49,7 @@
 /// Bodies of the attempts that reached workers later than a moment after the callers left.
 fn late_attempts(arrivals: &Arrivals, departed: &Departed) -> Vec<String> {
     let arrivals = arrivals.lock().expect("no test thread panicked");
-    let late = arrivals.iter().filter(|arrival| arrival.at > departed.at + MOMENT);
+    let late = arrivals.iter().filter(|arrival| arrival.at > departed.at + DEPARTURE_GRACE);
     late.map(|arrival| arrival.body.clone()).collect()
 }
 
@@ -59,10 +59,10 @@
     let worker = Worker::start(OK, Duration::ZERO);
     let gateway = Gateway::start(worker.address, "");
     gateway.process.pause();
-    let departed = depart(callers(gateway.address));
-    std::thread::sleep(2 * MOMENT);
+    let departed = depart(connect_callers(gateway.address));
+    std::thread::sleep(2 * DEPARTURE_GRACE);
     gateway.process.resume();
-    std::thread::sleep(5 * MOMENT);
+    std::thread::sleep(5 * DEPARTURE_GRACE);
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
@@ -71,10 +71,10 @@
 fn clients_that_disconnect_between_attempts() {
     let worker = Worker::start(FULL, Duration::from_millis(30));
     let gateway = Gateway::start(worker.address, "functions { lanes = 1000 }\n");
-    let callers = callers(gateway.address);
-    std::thread::sleep(2 * MOMENT);
+    let callers = connect_callers(gateway.address);
+    std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
-    std::thread::sleep(10 * MOMENT);
+    std::thread::sleep(10 * DEPARTURE_GRACE);
     assert!(!worker.arrivals.lock().expect("no test thread panicked").is_empty(), "the test needs attempts");
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
@@ -84,26 +84,26 @@
 fn clients_that_disconnect_from_a_paused_gateway() {
     let worker = Worker::start(FULL, Duration::from_millis(5));
     let gateway = Gateway::start(worker.address, "functions { lanes = 1000 }\n");
-    let callers = callers(gateway.address);
-    std::thread::sleep(2 * MOMENT);
+    let callers = connect_callers(gateway.address);
+    std::thread::sleep(2 * DEPARTURE_GRACE);
     gateway.process.pause();
     let departed = depart(callers);
-    std::thread::sleep(4 * MOMENT);
+    std::thread::sleep(4 * DEPARTURE_GRACE);
     gateway.process.resume();
-    std::thread::sleep(10 * MOMENT);
+    std::thread::sleep(10 * DEPARTURE_GRACE);
     assert!(!worker.arrivals.lock().expect("no test thread panicked").is_empty(), "the test needs attempts");
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
 /// Amid an attempt that is rejected later on.
 #[test]
-fn clients_that_disconnect_amid_an_attempt() {
+fn clients_that_disconnect_during_an_attempt() {
     let worker = Worker::start(FULL, Duration::from_millis(400));
     let gateway = Gateway::start(worker.address, "functions { lanes = 1000 }\n");
-    let callers = callers(gateway.address);
-    std::thread::sleep(2 * MOMENT);
+    let callers = connect_callers(gateway.address);
+    std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
-    std::thread::sleep(8 * MOMENT);
+    std::thread::sleep(8 * DEPARTURE_GRACE);
     assert!(!worker.arrivals.lock().expect("no test thread panicked").is_empty(), "the test needs attempts");
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
@@ -115,12 +115,12 @@
     let gateway = Gateway::start(worker.address, "limits { per_worker = 1 }\n");
     let mut first = Client::connect(gateway.address).expect("it listens");
     first.write(&call_request("milletpath-patience: 3\r\n", "first")).expect("it reads");
-    std::thread::sleep(MOMENT);
-    let callers = callers(gateway.address);
-    std::thread::sleep(2 * MOMENT);
+    std::thread::sleep(DEPARTURE_GRACE);
+    let callers = connect_callers(gateway.address);
+    std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
     assert_eq!(first.response().expect("an answer").status(), 200);
-    std::thread::sleep(10 * MOMENT);
+    std::thread::sleep(10 * DEPARTURE_GRACE);
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
@@ -130,12 +130,12 @@
     let worker = UnacceptingWorker::start();
     let options = GatewayOptions { workers: "connect = 2.5", ..GatewayOptions::default() };
     let gateway = Gateway::with_options(worker.address, &options);
-    let callers = callers(gateway.address);
-    std::thread::sleep(2 * MOMENT);
+    let callers = connect_callers(gateway.address);
+    std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
     let arrivals = Arrivals::default();
     let all = arrivals.clone();
     let _filler = worker.accept(move |stream| serve_connection(stream, OK, Duration::ZERO, &all));
-    std::thread::sleep(15 * MOMENT);
+    std::thread::sleep(15 * DEPARTURE_GRACE);
     assert_eq!(late_attempts(&arrivals, &departed), Vec::<String>::new());
 }
--- a/crates/milletpath/tests/serve_http_heads.rs
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -35,7 +35,7 @@
 const SLOW: Duration = Duration::from_millis(700);
 
 /// A profile whose calls are not idempotent, so that they are not retried, and small limits.
-const TOP: &str = "profile \"once\" {\ndue = 1\ncut_off = 2\neffect = \"effectful\"\n}\n\
+const CONFIGURATION: &str = "profile \"once\" {\ndue = 1\ncut_off = 2\neffect = \"effectful\"\n}\n\
     limits {\nbody = 100\nanswer = 50\nstall = 0.3\n}\nfunction \"greet\" { profile = \"pure\" }\n\
     function \"pay\" { profile = \"once\" }\n";
 
@@ -109,7 +109,7 @@
 }
 
 /// A response as the fixture has it.
-fn written(response: &Message) -> String {
+fn formatted_response(response: &Message) -> String {
     format!("{}{}\n", masked(&response.head), response.body.escape_ascii())
 }
 
@@ -131,10 +131,10 @@
         if let Some(head) = worker.take_heads().first() {
             self.add(case, "to the worker", head);
         }
-        self.add(case, "to the client", &written(&response));
+        self.add(case, "to the client", &formatted_response(&response));
     }
 
-    fn assert_is(&self, fixture: &str) {
+    fn assert_matches(&self, fixture: &str) {
         if self.0 != fixture {
             let path = scratch_path("http-heads", ".txt");
             std::fs::write(&path, &self.0).expect("a writable file");
@@ -205,25 +205,25 @@
     std::thread::sleep(SLOW / 4);
     partial.write(rest).expect("it reads");
     let rejected = partial.response().expect("a response");
-    transcript.add("a call that is complete after SIGTERM", "to the client", &written(&rejected));
+    transcript.add("a call that is complete after SIGTERM", "to the client", &formatted_response(&rejected));
     let last = in_flight.response().expect("a response");
-    transcript.add("a call in flight at SIGTERM", "to the client", &written(&last));
+    transcript.add("a call in flight at SIGTERM", "to the client", &formatted_response(&last));
 }
 
 #[test]
-fn heads_to_worker_and_client_are_as_before() {
+fn heads_to_worker_and_client_match_the_fixture() {
     let mut transcript = Transcript::default();
     let worker = RecordingWorker::start();
-    let gateway = Gateway::start(worker.address, TOP);
+    let gateway = Gateway::start(worker.address, CONFIGURATION);
     answered_calls(&mut transcript, &gateway, &worker);
     rejected_requests(&mut transcript, &gateway, &worker);
     call_while_closing(&mut transcript, &gateway);
-    transcript.assert_is(FIXTURE);
+    transcript.assert_matches(FIXTURE);
 }
 
 /// What a gateway asks of a worker beside calls: an instance, and whether it is healthy.
 #[test]
-fn heads_of_load_requests_and_health_checks_are_as_before() {
+fn heads_of_load_requests_and_health_checks_match_the_fixture() {
     let worker = RecordingWorker::start();
     let options = GatewayOptions {
         // Among several gateways a worker's load is asked for before an attempt.
@@ -240,5 +240,5 @@
     transcript.add("a load request", "to the worker", &worker.wait_for_head("/load "));
     client.response().expect("a response");
     transcript.add("a health check", "to the worker", &worker.wait_for_head("/v2/health/ready"));
-    transcript.assert_is(include_str!("fixtures/http/worker-requests.txt"));
+    transcript.assert_matches(include_str!("fixtures/http/worker-requests.txt"));
 }
--- a/crates/milletpath/tests/serve_registry_outage.rs
+++ b/crates/milletpath/tests/serve_registry_outage.rs
@@ -11,22 +11,22 @@
 use test_case::test_case;
 
 /// Until what a registry would have told counts as told, and the grace.
-const NOTICE_AND_GRACE: Duration = Duration::from_millis(2500);
+const STALENESS_AND_GRACE: Duration = Duration::from_millis(2500);
 /// What a busy machine may take between the gateway's write and the worker's read.
 const DELAY: Duration = Duration::from_secs(1);
 
 /// A registry that lists two workers to all who ask, until it is gone.
 struct Registry {
     address: SocketAddr,
-    is_gone: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl Registry {
     fn start(workers: [SocketAddr; 2]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("a bound socket");
-        let is_gone = Arc::<AtomicBool>::default();
-        let gone = is_gone.clone();
+        let is_stopped = Arc::<AtomicBool>::default();
+        let stopped = is_stopped.clone();
         let entry = |(n, address): (usize, &SocketAddr)| {
             format!(r#"{{"name":"w{n}","address":"{address}","state":"ready"}}"#)
         };
@@ -35,7 +35,7 @@
         std::thread::spawn(move || {
             listener.set_nonblocking(true).expect("a socket");
             let mut streams: Vec<TcpStream> = Vec::new();
-            while !gone.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 if let Ok((mut stream, _)) = listener.accept() {
                     stream.set_nonblocking(false).expect("a socket");
                     let _ = Message::read(&mut BufReader::new(&stream));
@@ -46,16 +46,16 @@
             }
             streams.iter().for_each(|stream| stream.shutdown(Shutdown::Both).expect("an open stream"));
         });
-        Self { address, is_gone }
+        Self { address, is_stopped }
     }
 }
 
 /// A worker that drains when it is told to: it does not pass a health check then.
 #[derive(Clone, Default)]
 struct DrainingWorker {
-    drains: Arc<AtomicBool>,
+    is_draining: Arc<AtomicBool>,
     /// Whether it serves what is new all the same.
-    serves_on: bool,
+    still_serves: bool,
     /// When requests of functions came.
     arrivals: Arc<Mutex<Vec<Instant>>>,
 }
@@ -73,9 +73,9 @@
             if !is_check {
                 self.arrivals.lock().expect("no test thread panicked").push(Instant::now());
             }
-            let answer = match (self.drains.load(Ordering::Relaxed), is_check) {
+            let answer = match (self.is_draining.load(Ordering::Relaxed), is_check) {
                 (false, _) => OK,
-                (true, false) if self.serves_on => OK,
+                (true, false) if self.still_serves => OK,
                 (true, true) => "HTTP/1.1 503 Draining\r\ncontent-length: 0\r\n\r\n",
                 (true, false) => {
                     "HTTP/1.1 503 Draining\r\nmilletpath-refused: full\r\ncontent-length: 0\r\n\r\n"
@@ -92,7 +92,7 @@
 }
 
 /// One call of each of a number of functions; returns how many were served.
-fn serve_calls(client: &mut Client) -> usize {
+fn count_served_calls(client: &mut Client) -> usize {
     const FUNCTIONS: usize = 16;
     (0..FUNCTIONS)
         .filter(|n| {
@@ -105,8 +105,8 @@
 
 #[test_case(false; "it rejects what is new")]
 #[test_case(true; "it serves what is new all the same")]
-fn a_draining_worker_gets_nothing_new_while_the_registry_is_gone(serves_on: bool) {
-    let [draining, other] = [(); 2].map(|()| DrainingWorker { serves_on, ..DrainingWorker::default() });
+fn a_draining_worker_gets_no_new_requests_during_a_registry_outage(still_serves: bool) {
+    let [draining, other] = [(); 2].map(|()| DrainingWorker { still_serves, ..DrainingWorker::default() });
     let registry = Registry::start([draining.start(), other.start()]);
     let configuration = format!(
         "seed = 3\nlisten = \"127.0.0.1:0\"\n\
@@ -116,21 +116,21 @@
     );
     let gateway = Gateway::with_configuration(&configuration, 1024);
     let mut client = Client::connect(gateway.address).expect("it listens");
-    assert!(becomes_true(|| serve_calls(&mut client) > 0));
+    assert!(becomes_true(|| count_served_calls(&mut client) > 0));
     assert!(becomes_true(|| {
-        serve_calls(&mut client);
+        count_served_calls(&mut client);
         draining.arrivals_after(Instant::now() - DELAY) > 0
     }));
-    registry.is_gone.store(true, Ordering::Relaxed);
+    registry.is_stopped.store(true, Ordering::Relaxed);
     let began = Instant::now();
-    draining.drains.store(true, Ordering::Relaxed);
-    let due = began + NOTICE_AND_GRACE + DELAY;
+    draining.is_draining.store(true, Ordering::Relaxed);
+    let deadline = began + STALENESS_AND_GRACE + DELAY;
     let (mut rounds, mut served) = (0, 0);
-    while Instant::now() < due + Duration::from_secs(2) {
+    while Instant::now() < deadline + Duration::from_secs(2) {
         rounds += 1;
-        served += serve_calls(&mut client);
+        served += count_served_calls(&mut client);
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(draining.arrivals_after(due), 0, "requests of a draining worker");
+    assert_eq!(draining.arrivals_after(deadline), 0, "requests of a draining worker");
     assert!(rounds > 3 && served * 100 >= rounds * 16 * 95, "{served} served in {rounds} rounds of 16");
 }
--- a/crates/milletpath/tests/serve_shutdown.rs
+++ b/crates/milletpath/tests/serve_shutdown.rs
@@ -13,14 +13,14 @@
 use test_case::test_case;
 
 /// SIGKILL comes as early as the longest deadline and this time after SIGTERM.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// A call that was written so shortly before its connection ended may have crossed with the end.
-const CROSSING: Duration = Duration::from_millis(50);
+const CROSSING_WINDOW: Duration = Duration::from_millis(50);
 
 /// What became of a client's calls.
 #[derive(Default)]
-struct Calls {
+struct CallCounts {
     succeeded: usize,
     rejected: usize,
     /// Without an answer, and written more than a moment before their connection ended.
@@ -35,16 +35,16 @@
 }
 
 /// Whether each client has had a success, and a later call of it has reached the worker.
-fn each_has_called_again(arrivals: &Arrivals, clients: usize) -> bool {
+fn each_client_has_called_again(arrivals: &Arrivals, clients: usize) -> bool {
     let arrivals = arrivals.lock().expect("no test thread panicked");
     let bodies: HashSet<_> = arrivals.iter().map(|arrival| arrival.body.as_str()).collect();
     (0..clients).all(|client| bodies.contains(call_body(client, 1).as_str()))
 }
 
 /// Calls over and over on its connection, and on a new one where that ends, until the gateway listens no more.
-fn call_until_closed(gateway: SocketAddr, client_number: usize, is_closing: &AtomicBool) -> Calls {
+fn call_until_closed(gateway: SocketAddr, client_number: usize, is_closing: &AtomicBool) -> CallCounts {
     const PAUSE: Duration = Duration::from_millis(30);
-    let mut calls = Calls::default();
+    let mut calls = CallCounts::default();
     while let Ok(mut client) = Client::connect(gateway) {
         loop {
             // Read before the call is written.
@@ -55,7 +55,7 @@
                 break;
             }
             let Some(answer) = client.response() else {
-                calls.lost += usize::from(written.elapsed() > CROSSING);
+                calls.lost += usize::from(written.elapsed() > CROSSING_WINDOW);
                 break;
             };
             let closes = answer.has("connection: close");
@@ -77,7 +77,7 @@
 #[test_case(20, 400; "twenty clients, a worker of 400 ms")]
 #[test_case(200, 20; "two hundred clients, a worker of 20 ms")]
 #[test_case(200, 400; "two hundred clients, a worker of 400 ms")]
-fn clients_that_go_on_are_all_answered(clients: usize, milliseconds: u64) {
+fn clients_that_keep_calling_are_all_answered(clients: usize, milliseconds: u64) {
     let worker = Worker::start(OK, Duration::from_millis(milliseconds));
     let mut gateway = Gateway::start(worker.address, "cores = 2\nfunctions { lanes = 1000 }\n");
     let is_closing = Arc::new(AtomicBool::new(false));
@@ -86,15 +86,15 @@
         std::thread::spawn(move || call_until_closed(gateway, client, &is_closing))
     };
     let threads: Vec<_> = (0..clients).map(begin).collect();
-    assert!(becomes_true(|| each_has_called_again(&worker.arrivals, clients)));
+    assert!(becomes_true(|| each_client_has_called_again(&worker.arrivals, clients)));
     gateway.process.signal(Signal::SIGTERM);
     let signalled = Instant::now();
     // The signal takes a moment to arrive; calls that come first are accepted as ever.
-    std::thread::sleep(CROSSING);
+    std::thread::sleep(CROSSING_WINDOW);
     is_closing.store(true, Ordering::Release);
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
     let exited_after = signalled.elapsed();
-    assert!(exited_after < Duration::from_secs(3) + KILLED_AFTER, "exited {exited_after:?} after SIGTERM");
+    assert!(exited_after < Duration::from_secs(3) + KILL_MARGIN, "exited {exited_after:?} after SIGTERM");
     let all: Vec<_> = threads.into_iter().map(|thread| thread.join().expect("a client")).collect();
     let lost: usize = all.iter().map(|calls| calls.lost).sum();
     let succeeded: usize = all.iter().map(|calls| calls.succeeded).sum();
@@ -108,12 +108,12 @@
 /// of which one comes later: each is answered, with the announcement that the connection closes.
 #[test]
 fn calls_that_are_unread_at_the_signal_are_answered() {
-    const EACH: usize = 20;
+    const CLIENTS_PER_KIND: usize = 20;
     let worker = Worker::start(OK, Duration::ZERO);
     let mut gateway = Gateway::start(worker.address, "cores = 2\n");
     let connect = || Client::connect(gateway.address).expect("it listens");
-    let mut idle: Vec<_> = (0..EACH).map(|_| connect()).collect();
-    let mut partial: Vec<_> = (0..EACH).map(|_| connect()).collect();
+    let mut idle: Vec<_> = (0..CLIENTS_PER_KIND).map(|_| connect()).collect();
+    let mut partial: Vec<_> = (0..CLIENTS_PER_KIND).map(|_| connect()).collect();
     for client in idle.iter_mut().chain(&mut partial) {
         client.write(&call_request("", "")).expect("it reads");
         assert_eq!(client.response().expect("an answer").status(), 200);
@@ -121,27 +121,27 @@
     let call = call_request("", "hello");
     let (first, rest) = call.split_at(30);
     partial.iter_mut().for_each(|client| client.write(first).expect("it reads"));
-    std::thread::sleep(CROSSING);
+    std::thread::sleep(CROSSING_WINDOW);
     gateway.process.pause();
-    let mut unaccepted: Vec<_> = (0..EACH).map(|_| connect()).collect();
+    let mut unaccepted: Vec<_> = (0..CLIENTS_PER_KIND).map(|_| connect()).collect();
     idle.iter_mut().chain(&mut unaccepted).for_each(|c| c.write(&call).expect("the kernel takes it"));
-    std::thread::sleep(2 * CROSSING);
+    std::thread::sleep(2 * CROSSING_WINDOW);
     gateway.process.signal(Signal::SIGTERM);
     gateway.process.resume();
-    std::thread::sleep(4 * CROSSING);
+    std::thread::sleep(4 * CROSSING_WINDOW);
     partial.iter_mut().for_each(|client| client.write(rest).expect("it reads"));
     let answered = |clients: Vec<Client>| {
         let answers = clients.into_iter().filter_map(|mut client| client.response());
         answers.filter(|a| a.status() == 200 || a.status() == 503 && a.has("connection: close")).count()
     };
     let answers = [answered(idle), answered(unaccepted), answered(partial)];
-    assert_eq!(answers, [EACH; 3], "of the idle, the unaccepted and the partial");
+    assert_eq!(answers, [CLIENTS_PER_KIND; 3], "of the idle, the unaccepted and the partial");
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
 }
 
 /// A client still writes a large call when its answer comes: the connection is not reset, which would discard the answer.
 #[test]
-fn an_answer_outlives_what_its_client_still_sends() {
+fn an_answer_is_not_lost_while_its_client_is_still_sending() {
     let worker = Worker::start(OK, Duration::from_millis(300));
     let mut gateway = Gateway::start(worker.address, "limits { body = 33554432 }\n");
     let mut first = Client::connect(gateway.address).expect("it listens");
@@ -150,9 +150,9 @@
     let call = call_request("", &"x".repeat(32 << 20));
     let (head, body) = call.split_at(40);
     large.write(head).expect("it reads");
-    std::thread::sleep(CROSSING);
+    std::thread::sleep(CROSSING_WINDOW);
     gateway.process.signal(Signal::SIGTERM);
-    std::thread::sleep(CROSSING);
+    std::thread::sleep(CROSSING_WINDOW);
     assert!(large.write(body).is_ok(), "it reads to the end");
     let answer = large.response().expect("an answer");
     assert!(answer.status() == 503 && answer.has("retry-after: ") && answer.has("connection: close"));
@@ -163,7 +163,7 @@
 /// A worker that never answers and clients that never complete their calls: the process exits before it would be killed,
 /// and the complete call has its answer.
 #[test]
-fn nothing_keeps_the_process_from_its_exit() {
+fn unanswered_and_incomplete_calls_do_not_delay_the_exit() {
     let worker = Worker::start(OK, Duration::from_secs(60));
     let options = GatewayOptions { top: "limits { head = 30 }\n", deadline: 1, ..GatewayOptions::default() };
     let mut gateway = Gateway::with_options(worker.address, &options);
@@ -176,12 +176,12 @@
     }
     let call = call_request("", "hello");
     without_body.write(&call[..call.len() - 1]).expect("it reads");
-    std::thread::sleep(CROSSING);
+    std::thread::sleep(CROSSING_WINDOW);
     gateway.process.signal(Signal::SIGTERM);
     let signalled = Instant::now();
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
     let exited_after = signalled.elapsed();
-    assert!(exited_after < Duration::from_secs(1) + KILLED_AFTER, "exited {exited_after:?} after SIGTERM");
+    assert!(exited_after < Duration::from_secs(1) + KILL_MARGIN, "exited {exited_after:?} after SIGTERM");
     // The function is idempotent: that it may have run is no reason not to try again.
     assert_eq!(waiting.response().expect("an answer").status(), 503);
 }
