--- a/crates/milletpath/tests/changes/agreement.rs
+++ b/crates/milletpath/tests/changes/agreement.rs
@@ -1,4 +1,4 @@
-//! Agreement on changes while control machines and gateways are killed or paused.
+//! Consensus on configuration changes while control machines and gateways are killed or paused.
 
 use crate::{SET_ORDER_PROFILE, set_lanes, stderr};
 use milletpath_test_support::control_rig::Installation;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::process::Stdio;
 
-/// A change comes into force at five gateways while they run, is seen by its effect, and is removed again.
+/// A change is applied at five running gateways, takes effect on their calls, and is reverted by removing it.
 #[test]
 fn a_change_is_in_force_at_all_gateways_without_a_restart() {
     let installation = Installation::running(3, 5);
@@ -33,7 +33,7 @@
         let is_positive = |key: &str| machine[key].as_f64().is_some_and(|figure| figure > 0.0);
         assert!(is_positive("up") && is_positive("cpu") && is_positive("log"), "{machine:#}");
     }
-    // Proposed again it is in force already, and costs no entry of the log.
+    // Proposing the same change again adds no entry to the log: the removal below gets the next number.
     let again = installation.change(SET_ORDER_PROFILE, &[]);
     assert!(String::from_utf8_lossy(&again.stdout).contains("already in force"), "{again:?}");
     assert_eq!(installation.change_applied("", &["--remove", "packs"]), 2);
@@ -42,33 +42,34 @@
     }
 }
 
-/// The leader has received a change and can't have it accepted, as the others are paused; it is killed, and they go on.
+/// The leader has received a proposal that it cannot commit because the other control machines are paused. It is
+/// killed, and the others resume and commit the change.
 #[test]
 fn a_leader_is_killed_before_its_change_is_accepted() {
     let mut installation = Installation::running(3, 2);
     installation.change_applied(&set_lanes(2), &[]);
-    let leader = installation.leader().expect("there is a leader");
+    let leader = installation.leader().expect("the control machines have a leader");
     let others: Vec<_> = (0..3).filter(|n| *n != leader).collect();
     let proposals = |i: &Installation| i.control_status(leader)["tally"]["proposals"].as_u64();
-    let before = proposals(&installation).expect("it answers");
+    let before = proposals(&installation).expect("the leader reports its proposals");
     others.iter().for_each(|n| installation.control(*n).signal(Signal::SIGSTOP));
     let mut command = installation.change_command(&set_lanes(7), &["--wait", "30"]);
     let author = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
     installation
         .wait_until("the leader has received the proposal", |i| proposals(i).is_some_and(|n| n > before));
-    assert_eq!(installation.status()["head"], 1, "nothing is committed");
+    assert_eq!(installation.status()["head"], 1, "no change is committed without a majority");
     installation.kill_control(leader);
     others.iter().for_each(|n| installation.control(*n).signal(Signal::SIGCONT));
     let output = author.wait_with_output().unwrap();
     assert!(output.status.success(), "{output:?}");
-    // In force once, at all gateways; and the log goes on.
+    // The change is in force at all gateways, and the log accepts further changes.
     let number = installation.status()["head"].as_u64().unwrap();
     assert_eq!(installation.count_gateways(|g| g["number"] == number && g["state"] == "current"), 2);
     assert!(installation.change_applied(&set_lanes(8), &[]) > number);
 }
 
-/// One after the other is killed, each while a change is being agreed on, and started again: every change is applied, and
-/// all have the same log.
+/// The control machines are killed and restarted in turn, each while a change is being committed: every change is
+/// applied, and all control machines end up with the same log.
 #[test]
 fn control_machines_are_killed_in_turn_while_changes_are_proposed() {
     let mut installation = Installation::running(3, 2);
@@ -85,7 +86,7 @@
         assert!(number > last, "round {round}: {number} after {last}");
         last = number;
     }
-    installation.wait_until("all have the same log", |i| {
+    installation.wait_until("all control machines have the same log", |i| {
         let statuses: Vec<_> = (0..3).map(|n| i.control_status(n)).collect();
         let has_latest =
             |status: &Value| status["number"] == last && status["digest"] == statuses[0]["digest"];
@@ -98,12 +99,12 @@
     );
 }
 
-/// Three of seven are killed, the leader among them: the other four go on.
+/// Three of seven control machines are killed, the leader among them: the remaining four still commit changes.
 #[test]
 fn four_of_seven_control_machines_are_a_majority() {
     let mut installation = Installation::running(7, 3);
     installation.change_applied(&set_lanes(2), &[]);
-    let leader = installation.leader().expect("there is a leader");
+    let leader = installation.leader().expect("the control machines have a leader");
     (0..3).for_each(|n| installation.kill_control((leader + n) % 7));
     let number = installation.change_applied(SET_ORDER_PROFILE, &["--wait", "30"]);
     assert_eq!(installation.count_gateways(|g| g["state"] == "current" && g["number"] == number), 3);
@@ -112,7 +113,8 @@
     }
 }
 
-/// Two of three are killed: the author learns that nothing is known of the change, and gateways serve by what is in force.
+/// Two of three control machines are killed: the author is told that the outcome of its change is unknown, and gateways
+/// keep serving with the configuration in force.
 #[test]
 fn without_a_majority_nothing_is_known_of_a_change_and_gateways_go_on() {
     let mut installation = Installation::running(3, 2);
@@ -142,22 +144,22 @@
     }
 }
 
-/// A gateway and a control machine are paused for longer than any lease and resume: they catch up, and the others go on
-/// all the while.
+/// A gateway and a control machine are paused for longer than every lease: the others continue meanwhile, and the
+/// paused processes catch up when they resume.
 #[test]
 fn processes_that_were_paused_longer_than_every_lease_catch_up() {
     let installation = Installation::running(3, 3);
     installation.change_applied(&set_lanes(2), &[]);
     installation.gateway(0).signal(Signal::SIGSTOP);
     installation.control(0).signal(Signal::SIGSTOP);
-    installation.wait_until("the gateway counts as silent", |i| {
+    installation.wait_until("the paused gateway is reported as silent", |i| {
         i.count_gateways(|g| g["state"] == "silent" && g["heard"].as_f64() > Some(6.5)) == 1
     });
     let number = installation.change_applied(SET_ORDER_PROFILE, &[]);
     assert_eq!((installation.call(1, "order"), installation.call(2, "order")), (200, 200));
     installation.gateway(0).signal(Signal::SIGCONT);
     installation.control(0).signal(Signal::SIGCONT);
-    installation.wait_until("all have the change", |i| {
+    installation.wait_until("all processes have the change", |i| {
         i.count_gateways(|g| g["state"] == "current" && g["number"] == number) == 3
             && i.control_status(0)["number"] == number
     });
--- a/crates/milletpath/tests/changes/authors.rs
+++ b/crates/milletpath/tests/changes/authors.rs
@@ -1,4 +1,4 @@
-//! Authors of changes: two at once, changes that are rejected, and wrong use of the commands.
+//! Authors of changes: concurrent authors, rejected changes, and invalid use of the commands.
 
 use crate::{SET_ORDER_PROFILE, set_lanes, stderr};
 use milletpath_test_support::control_rig::{ConfigDifference, Installation, hold_back_first_proposal};
@@ -7,7 +7,8 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Both have read that nothing is set; one is first, and the other learns that it was too late.
+/// Both authors have read that the function has no change yet. The change of one is committed first, and the proposal
+/// of the other, which is based on an outdated state, is rejected.
 #[test]
 fn the_later_of_two_concurrent_authors_is_rejected() {
     let installation = Installation::running(3, 2);
@@ -15,7 +16,7 @@
     installation.configure_author(ConfigDifference::default(), &[proposal.address.to_string()], "");
     let mut command = installation.change_command(&set_lanes(9), &[]);
     let late = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    proposal.held.recv_timeout(Duration::from_secs(30)).expect("a proposal");
+    proposal.held.recv_timeout(Duration::from_secs(30)).expect("the proposal is held back");
     let control = installation.control_addresses();
     installation.configure_author(ConfigDifference::default(), &control, "");
     assert_eq!(installation.change_applied(&set_lanes(2), &[]), 1);
@@ -23,14 +24,14 @@
     let output = late.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     assert!(stderr(&output).contains("another author was first, with number 1"), "{output:?}");
-    // Having read again it may.
+    // A new run of the command reads the current state, so the same change is accepted.
     let number = installation.change_applied(&set_lanes(9), &[]);
     assert_eq!(installation.count_gateways(|g| g["number"] == number), 2);
 }
 
-/// Rejected before anything is proposed, with file, line, column and remedy.
+/// The change is rejected before anything is proposed, with the file, line, column and remedy.
 #[test_case("function \"packs\" {\n  profile = \"late\"\n}\n", ":2:3: ", "\"check\" or \"order\""; "an unknown profile")]
-#[test_case("function \"a\" {}\nfunction \"b\" {\n  lanes = 0\n}\n", ":3:3: ", "write lanes = NUMBER"; "a figure out of bounds")]
+#[test_case("function \"a\" {}\nfunction \"b\" {\n  lanes = 0\n}\n", ":3:3: ", "write lanes = NUMBER"; "a value out of bounds")]
 #[test_case("client \"c\" { quota = 5 }\n", ":1:1: ", "can't set client"; "a quota")]
 fn a_change_that_the_author_configuration_rejects_is_not_proposed(text: &str, place: &str, remedy: &str) {
     let mut installation = Installation::new(1, 0);
@@ -41,7 +42,7 @@
     assert_eq!(installation.status()["head"], 0);
 }
 
-/// The author's configuration has a profile that the control machines' lacks: they reject it.
+/// The change names a profile that only the author's configuration has: the control machines reject it.
 #[test]
 fn a_change_that_the_control_machine_configuration_rejects_is_not_made() {
     let mut installation = Installation::new(3, 0);
@@ -60,7 +61,7 @@
     assert_eq!(installation.status()["head"], 0);
 }
 
-/// The program ended with this exit code, and with this text on standard error.
+/// Asserts that the program exited with this code and that its standard error contains this text.
 fn assert_failed(output: &Output, code: i32, text: &str) {
     assert!(output.status.code() == Some(code) && stderr(output).contains(text), "{output:?}");
 }
@@ -93,7 +94,8 @@
     assert_failed(&installation.change("", &["--remove", "no name"]), 2, "there is no such statement");
 }
 
-/// A gateway whose address is not known can't be asked; one that doesn't run doesn't answer.
+/// `changes --here` fails when the gateway's port is not fixed in its configuration or the gateway does not run, and
+/// `changes` fails when the configuration has no `changes` section.
 #[test]
 fn invalid_uses_of_changes_are_rejected() {
     let mut installation = Installation::new(1, 1);
--- a/crates/milletpath/tests/changes/logs.rs
+++ b/crates/milletpath/tests/changes/logs.rs
@@ -1,9 +1,9 @@
-//! The logs of control machines: restarts, older copies, corruption and compaction.
+//! The log files of control machines: restarts, restored older copies, corruption and compaction.
 
 use crate::{SET_ORDER_PROFILE, set_lanes, stderr};
 use milletpath_test_support::control_rig::{Installation, propose_changes};
 
-/// Started again it has its log, and counts: with it and one other there is a majority.
+/// A restarted control machine reads its log and votes again: together with one other it forms a majority.
 #[test]
 fn a_control_machine_restarts_from_its_log() {
     let mut installation = Installation::running(3, 2);
@@ -11,7 +11,7 @@
     installation.kill_control(2);
     let number = installation.change_applied(&set_lanes(3), &[]);
     installation.start_control(2, &[]);
-    installation.wait_until("it has what it missed", |i| {
+    installation.wait_until("it has caught up and votes", |i| {
         i.control_status(2)["number"] == number && i.control_status(2)["votes"] == true
     });
     installation.kill_control(0);
@@ -19,12 +19,12 @@
     assert_eq!(installation.count_log_lines("control-2", "without a log"), 0);
 }
 
-/// With an older copy of its log it misleads nobody: it catches up, and no gateway goes back.
+/// A control machine that starts with an older copy of its log catches up, and no gateway reverts to an earlier change.
 #[test]
 fn a_control_machine_with_an_older_copy_of_its_log_catches_up() {
     let mut installation = Installation::running(3, 3);
     installation.change_applied(&set_lanes(2), &[]);
-    installation.wait_until("it has the change", |i| i.control_status(1)["number"] == 1);
+    installation.wait_until("control machine 1 has the change", |i| i.control_status(1)["number"] == 1);
     let log = installation.file("control-1.log");
     let older = std::fs::read(&log).unwrap();
     (3..7).for_each(|n| {
@@ -47,7 +47,8 @@
     assert_eq!(installation.change_applied(SET_ORDER_PROFILE, &[]), 6);
 }
 
-/// The log of a control machine is corrupt: it does not start, names the remedy, and by that remedy votes again.
+/// A control machine with a corrupt log does not start and prints the remedy: move the log away. Without the log it
+/// starts and votes again.
 #[test]
 fn a_corrupt_log_is_rejected_with_the_remedy() {
     let mut installation = Installation::running(3, 1);
@@ -71,7 +72,7 @@
     assert!(installation.change_applied(&set_lanes(4), &["--wait", "30"]) > number);
 }
 
-/// A record that a crash cut short is removed from the end of the log.
+/// An incomplete record at the end of the log, as a crash leaves it, is removed.
 #[test]
 fn a_record_that_was_cut_short_is_removed() {
     let mut installation = Installation::running(3, 1);
@@ -87,12 +88,13 @@
     assert!(installation.change_applied(&set_lanes(4), &["--wait", "30"]) > number);
 }
 
-/// A log that has grown is compacted and holds all entries: all are killed and restart from what is left.
+/// A log that has grown is compacted without losing entries: all control machines are killed and restart from the
+/// compacted logs.
 #[test]
 fn a_log_that_has_grown_is_compacted() {
     let mut installation = Installation::running(3, 1);
     let number = propose_changes(&installation, 1000);
-    installation.wait_until("all have it, and have compacted their logs", |i| {
+    installation.wait_until("all have the changes and have compacted their logs", |i| {
         (0..3).all(|n| {
             i.control_status(n)["number"] == number
                 && i.count_log_lines(&format!("control-{n}"), "written anew") > 0
@@ -105,7 +107,7 @@
         assert!(size <= (1 << 20) + 10_000, "{n}: {size}");
     }
     (0..3).for_each(|n| installation.start_control(n, &[]));
-    installation.wait_until("all have it again", |i| {
+    installation.wait_until("all have the changes after the restart", |i| {
         (0..3).all(|n| i.control_status(n)["number"] == number && i.control_status(n)["digest"] == digest)
     });
     assert!(installation.change_applied(SET_ORDER_PROFILE, &[]) > number);
--- a/crates/milletpath/tests/changes/main.rs
+++ b/crates/milletpath/tests/changes/main.rs
@@ -1,5 +1,5 @@
-//! Changes of configuration among processes: control machines, gateways and authors. What a gateway goes by is seen from
-//! outside: a call under a profile other than its function's is rejected.
+//! Configuration changes with control machines, gateways and authors as separate processes. The configuration that a
+//! gateway applies is observed from outside: it rejects a call whose profile is not the one of the called function.
 
 mod agreement;
 mod authors;
@@ -11,10 +11,10 @@
 
 use std::process::Output;
 
-/// "packs" is called under "order" from then on; the configuration file names "check".
+/// Changes the profile of function "packs" to "order"; the gateways' configuration file sets "check".
 const SET_ORDER_PROFILE: &str = "function \"packs\" {\n  profile = \"order\"\n}\n";
 
-/// As [`ORDER`], with a number of lanes.
+/// As [`SET_ORDER_PROFILE`], and sets the number of lanes as well.
 fn set_lanes(lanes: u32) -> String {
     format!("function \"packs\" {{\n  profile = \"order\"\n  lanes   = {lanes}\n}}\n")
 }
--- a/crates/milletpath/tests/changes/storage.rs
+++ b/crates/milletpath/tests/changes/storage.rs
@@ -1,9 +1,9 @@
-//! Control machines and gateways as processes whose disk is full: a limit on the size of their files.
+//! Control machines and gateways on a full disk, which a limit on the size of their files simulates.
 
 use milletpath_test_support::control_rig::{FileLimit, Installation, propose_changes, propose_changes_at};
 use nix::sys::signal::Signal;
 
-/// Three control machines, of which number 1 has such a limit, and a gateway.
+/// Starts three control machines, number 1 of them with a file size limit, and a gateway.
 fn with_limit(limit: FileLimit) -> Installation {
     let mut installation = Installation::new(3, 1);
     [0, 2].into_iter().for_each(|n| installation.start_control(n, &["--initialize"]));
@@ -13,14 +13,14 @@
     installation
 }
 
-/// Its log reaches the limit again and again: each time it votes again once a fresh file, which is small, holds all. It
-/// counts for a majority, and nothing is lost after a kill.
+/// The log of control machine 1 reaches the limit repeatedly: each time it stops voting until the log is rewritten to a
+/// smaller file. It still counts for a majority, and no entry is lost when it is killed.
 #[test]
 fn a_log_that_can_not_grow_is_compacted() {
     let mut installation = with_limit(FileLimit(64));
     let number = propose_changes(&installation, 60);
-    assert!(installation.is_control_running(1), "its process goes on");
-    installation.wait_until("it has all, and votes", |i| {
+    assert!(installation.is_control_running(1), "the process still runs");
+    installation.wait_until("it has all changes and votes", |i| {
         i.control_status(1)["number"] == number && i.control_status(1)["votes"] == true
     });
     assert!(installation.count_log_lines("control-1", "can't be written") > 0);
@@ -35,16 +35,16 @@
     assert_eq!(installation.control_status(1)["digest"], installation.control_status(2)["digest"]);
 }
 
-/// There is no space for a fresh file either: it forwards changes and follows the log, and does not vote until there is
-/// space.
+/// There is no space for a rewritten log either: the control machine forwards changes and follows the log, but does not
+/// vote until there is space.
 #[test]
 fn a_control_machine_with_a_full_disk_forwards_and_does_not_vote() {
     let mut installation = with_limit(FileLimit(1));
     let number = propose_changes(&installation, 3);
-    installation.wait_until("it has all", |i| i.control_status(1)["number"] == number);
+    installation.wait_until("it has all changes", |i| i.control_status(1)["number"] == number);
     assert_eq!(installation.control_status(1)["votes"], false);
     let number = propose_changes_at(&installation, 1, 4..=5, number);
-    assert!(installation.is_control_running(1), "its process goes on");
+    assert!(installation.is_control_running(1), "the process still runs");
     assert!(installation.control_status(1)["log_error"].is_string(), "{:#}", installation.control_status(1));
     assert_eq!(installation.control_status(1)["votes"], false);
     installation.lift_limit(1);
@@ -56,10 +56,10 @@
     );
     installation.kill_control(1);
     installation.start_control(1, &[]);
-    installation.wait_until("it has all again", |i| {
+    installation.wait_until("it has all changes after a restart", |i| {
         i.control_status(1)["number"] == number + 1 && i.control_status(1)["votes"] == true
     });
-    // Started on a full disk it has what it had, and does not vote before that is in a fresh file.
+    // Started on a full disk, it still has its entries, but does not vote until they are in a rewritten log file.
     installation.kill_control(1);
     installation.start_limited_control(1, FileLimit(1), &[]);
     assert_eq!(
@@ -67,10 +67,11 @@
         (&(number + 1).into(), &false.into())
     );
     installation.lift_limit(1);
-    installation.wait_until("it votes once more", |i| i.control_status(1)["votes"] == true);
+    installation
+        .wait_until("it votes again after a start on a full disk", |i| i.control_status(1)["votes"] == true);
 }
 
-/// A gateway that can't store its last known state serves on, with what is in force.
+/// A gateway that cannot write its state file keeps serving with the configuration in force.
 #[test]
 fn a_gateway_that_can_not_store_its_state_serves_on() {
     let mut installation = Installation::new(1, 1);
@@ -78,11 +79,11 @@
     propose_changes(&installation, 1);
     installation.start_limited_gateway(0, FileLimit(1));
     installation
-        .wait_until("the state can't be stored", |i| i.gateway_status(0)["not_kept"].as_u64() > Some(0));
+        .wait_until("writing the state fails", |i| i.gateway_status(0)["not_kept"].as_u64() > Some(0));
     assert_eq!(installation.call(0, "check"), 200);
     assert_eq!(installation.gateway_status(0)["number"], 1);
     assert_eq!(installation.gateway_status(0)["kept"], 0);
     installation.end_gateway(0, Signal::SIGTERM);
     installation.start_gateway(0);
-    installation.wait_until("with space it is stored", |i| i.gateway_status(0)["kept"] == 1);
+    installation.wait_until("the state is stored once there is space", |i| i.gateway_status(0)["kept"] == 1);
 }
--- a/crates/milletpath/tests/changes/stored_files.rs
+++ b/crates/milletpath/tests/changes/stored_files.rs
@@ -1,19 +1,20 @@
-//! Files that the release of 2026-12-02 stored (`tests/fixtures/config-log`) stay readable: three control machines'
-//! logs and one gateway's last known state, after two changes of "packs" and one of "plates" that was removed again.
+//! Files that the release of 2026-12-02 wrote (`tests/fixtures/config-log`) stay readable: the logs of three control
+//! machines and the stored state of one gateway, after two changes of "packs" and one of "plates" that was removed
+//! again.
 
 use milletpath_test_support::control_rig::Installation;
 use milletpath_test_support::program::repository_file;
 
-/// What that release's control machines and its gateway had agreed on.
+/// Number of the last change in the stored files, and the digest of the state after it.
 const HEAD: u64 = 4;
 const DIGEST: u64 = 0x726a_cf44_c20d_e6ad;
 
-/// An installation whose processes have not started, with the stored files in place.
+/// An installation with the stored files in place, whose processes are not started.
 fn with_stored_files() -> Installation {
     let installation = Installation::new(3, 1);
     let stored = repository_file("crates/milletpath/tests/fixtures/config-log");
     for name in ["control-0.log", "control-1.log", "control-2.log", "gateway-0.state"] {
-        std::fs::copy(stored.join(name), installation.file(name)).expect("a fixture");
+        std::fs::copy(stored.join(name), installation.file(name)).expect("the fixture can be copied");
     }
     installation
 }
--- a/crates/milletpath/tests/documentation.rs
+++ b/crates/milletpath/tests/documentation.rs
@@ -1,5 +1,5 @@
-//! The pages hold together: each link to a file of the repository leads to one, and each package is in the readme's table
-//! and in the drawing of the architecture.
+//! The pages hold together: each link to a file of the repository leads to one, and each package is in the readme's
+//! table and in the drawing of the architecture.
 
 use milletpath_test_support::program::repository_file;
 use std::collections::BTreeSet;
--- a/crates/milletpath/tests/membership.rs
+++ b/crates/milletpath/tests/membership.rs
@@ -155,13 +155,11 @@
     fleet.wait_until("all log it", |f| {
         (0..4).all(|n| f.count_log_lines(n, "two gateways have the same name") > 0)
     });
-    let count_duplicates = |n: usize| {
+    let duplicates = |n: usize| {
         let members = fleet.view(n).map(|v| v.members).unwrap_or_default();
         members.iter().filter(|m| m.duplicate_name && m.state == "alive").count()
     };
-    fleet.wait_until("and list both", |_| {
-        count_duplicates(0) == 2 && count_duplicates(1) == 2 && count_duplicates(2) == 1
-    });
+    fleet.wait_until("and list both", |_| duplicates(0) == 2 && duplicates(1) == 2 && duplicates(2) == 1);
 }
 
 /// Configurations with different numbers of gateways: all log it, and the larger holds for all.
--- a/crates/milletpath/tests/outage_soak/main.rs
+++ b/crates/milletpath/tests/outage_soak/main.rs
@@ -1,7 +1,7 @@
-//! Days of routers as processes on loopback, each drawn from a seed: discovery fails in every way and for every time, and
-//! meanwhile workers drain, restart, fill up, hang and reset connections, routers are paused, reloaded, restarted and
-//! killed, and clients cancel, leave, come as a crowd and use their connections until the kill. What clients and workers
-//! saw on their sockets is judged by the rules; how late this machine was is recorded beside it.
+//! Days of routers as processes on loopback, each drawn from a seed: discovery fails in every way and for every time,
+//! and meanwhile workers drain, restart, fill up, hang and reset connections, routers are paused, reloaded, restarted
+//! and killed, and clients cancel, leave, come as a crowd and use their connections until the kill. What clients and
+//! workers saw on their sockets is judged by the rules; how late this machine was is recorded beside it.
 //!
 //! In CI a few short days. By hand many, with the figures of each:
 //!
@@ -33,7 +33,8 @@
     (number(first)..=number(last)).collect()
 }
 
-/// The faults without which the day keeps the rules: each is left out in turn, and stays out if the day still breaks one.
+/// The faults without which the day keeps the rules: each is left out in turn, and stays out if the day still breaks
+/// one.
 fn shrink(day: &Day) -> Day {
     let mut smallest = day.clone();
     for index in (0..day.faults.len()).rev() {
--- a/crates/milletpath/tests/outage_soak/rules.rs
+++ b/crates/milletpath/tests/outage_soak/rules.rs
@@ -149,8 +149,8 @@
 }
 
 impl RuleChecker<'_> {
-    /// Records something that happened at `at`, by `excess` past its limit. The machine explains it where it was late by
-    /// more than that around then.
+    /// Records something that happened at `at`, by `excess` past its limit. The machine explains it where it was late
+    /// by more than that around then.
     fn record_violation(&mut self, rule: &'static str, at: Instant, excess: Duration, what: String) {
         if excess <= max_delay_near(&self.seen.scheduling_delays, at) {
             self.attributed_to_delay += 1;
--- a/crates/milletpath/tests/runbook.rs
+++ b/crates/milletpath/tests/runbook.rs
@@ -1,5 +1,5 @@
-//! The runbook has an entry for each log line of level warn and error that a program in service writes, and no entry for
-//! a line that nobody writes. Both sides are read from the text of the sources and of the page.
+//! The runbook has an entry for each log line of level warn and error that a program in service writes, and no entry
+//! for a line that nobody writes. Both sides are read from the text of the sources and of the page.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
--- a/crates/milletpath/tests/scale_test.rs
+++ b/crates/milletpath/tests/scale_test.rs
@@ -1,5 +1,5 @@
-//! `milletpath scale-test` as its users run it: its report, its exit codes, and that no process of it is left. How fast anything
-//! is depends on the machine, so no assertion here does.
+//! `milletpath scale-test` as its users run it: its report, its exit codes, and that no process of it is left. How fast
+//! anything is depends on the machine, so no assertion here does.
 
 use milletpath_test_support::json_fields::field_paths;
 use milletpath_test_support::process::Process;
--- a/crates/milletpath/tests/serve_deadlines.rs
+++ b/crates/milletpath/tests/serve_deadlines.rs
@@ -1,5 +1,5 @@
-//! The time left that `milletpath serve` states to a worker: at an attempt's first byte it is at most what the client has
-//! left, whatever the attempt waited for.
+//! The time left that `milletpath serve` states to a worker: at an attempt's first byte it is at most what the client
+//! has left, whatever the attempt waited for.
 
 use milletpath_test_support::serve_rig::{
     Client, Gateway, GatewayOptions, Message, OK, UnacceptingWorker, call_request,
--- a/crates/milletpath/tests/serve_http_heads.rs
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -1,4 +1,5 @@
-//! The HTTP heads that `milletpath serve` writes to a worker, and the responses that it writes to a client, byte for byte.
+//! The HTTP heads that `milletpath serve` writes to a worker, and the responses that it writes to a client, byte for
+//! byte.
 //!
 //! The fixture was written by the release of 2026-12-02: this test was run on it, while the rig still used its flags.
 //! Values that differ from run to run are masked by the name of their field.
--- a/crates/milletpath/tests/serve_pause.rs
+++ b/crates/milletpath/tests/serve_pause.rs
@@ -46,8 +46,8 @@
     assert_eq!(lost, 0, "of {calls} calls without an answer");
 }
 
-/// The process is paused amid a large answer, for longer than a client may read nothing; the client reads all that there
-/// is meanwhile, and the rest afterwards.
+/// The process is paused amid a large answer, for longer than a client may read nothing; the client reads all that
+/// there is meanwhile, and the rest afterwards.
 #[test]
 fn an_answer_is_written_to_its_end_after_a_pause() {
     const BYTES: usize = 24 << 20;
--- a/crates/milletpath/tests/serve_registry_outage.rs
+++ b/crates/milletpath/tests/serve_registry_outage.rs
@@ -1,5 +1,5 @@
-//! `milletpath serve` whose registry is gone. A worker drains that was listed as ready, and the gateway sent it requests
-//! until the registry was back: its list had no age, as that of the router on the platform had none.
+//! `milletpath serve` whose registry is gone. A worker drains that was listed as ready, and the gateway sent it
+//! requests until the registry was back: its list had no age, as that of the router on the platform had none.
 
 use milletpath_test_support::serve_rig::{Client, Gateway, Message, OK, Worker, call_request};
 use milletpath_test_support::wait::becomes_true;
--- a/crates/milletpath/tests/serve_shutdown.rs
+++ b/crates/milletpath/tests/serve_shutdown.rs
@@ -139,7 +139,8 @@
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
 }
 
-/// A client still writes a large call when its answer comes: the connection is not reset, which would discard the answer.
+/// A client still writes a large call when its answer comes: the connection is not reset, which would discard the
+/// answer.
 #[test]
 fn an_answer_is_not_lost_while_its_client_is_still_sending() {
     let worker = Worker::start(OK, Duration::from_millis(300));
@@ -160,8 +161,8 @@
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
 }
 
-/// A worker that never answers and clients that never complete their calls: the process exits before it would be killed,
-/// and the complete call has its answer.
+/// A worker that never answers and clients that never complete their calls: the process exits before it would be
+/// killed, and the complete call has its answer.
 #[test]
 fn unanswered_and_incomplete_calls_do_not_delay_the_exit() {
     let worker = Worker::start(OK, Duration::from_secs(60));
