--- a/crates/milletpath/tests/command_line.rs
+++ b/crates/milletpath/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line as users hold it: which sub-commands and flags are accepted, and which exit code each use has. The
-//! fixtures `*-as-landed.txt` were written by the program before its sub-commands were split into modules.
+//! Compatibility of the command line: the accepted sub-commands and flags, and the exit code of each invocation. The
+//! fixtures `*-as-landed.txt` were recorded before the program's sub-commands were split into modules.
 
 use milletpath_test_support::json_fields::field_paths;
 use milletpath_test_support::program::{program, repository_file};
@@ -13,10 +13,10 @@
 }
 
 fn fixture(name: &str) -> String {
-    std::fs::read_to_string(fixtures().join(name)).expect("a fixture")
+    std::fs::read_to_string(fixtures().join(name)).expect("the fixture is readable")
 }
 
-/// Runs the program in the folder of the fixtures, without standard input and without the platform's variables.
+/// Runs the program in the fixtures folder, without standard input and without the platform's environment variables.
 fn run(arguments: &[&str]) -> Output {
     let mut command = program();
     command.args(arguments).current_dir(fixtures()).stdin(Stdio::null());
@@ -24,15 +24,15 @@
     command.output().expect("the program runs")
 }
 
-/// Runs all uses at the same time: some of them wait for control machines that do not answer.
+/// Runs all invocations concurrently, since some of them wait for control machines that do not answer.
 fn run_all(invocations: &[Vec<&str>]) -> Vec<Output> {
     std::thread::scope(|scope| {
-        let runs: Vec<_> = invocations.iter().map(|arguments| scope.spawn(|| run(arguments))).collect();
-        runs.into_iter().map(|run| run.join().expect("a run")).collect()
+        let threads: Vec<_> = invocations.iter().map(|arguments| scope.spawn(|| run(arguments))).collect();
+        threads.into_iter().map(|thread| thread.join().expect("the program ran")).collect()
     })
 }
 
-/// A use of the program, and the exit code that it had.
+/// An invocation of the program, and the exit code that was recorded for it.
 struct RecordedInvocation {
     exit_code: i32,
     arguments: Vec<String>,
@@ -47,7 +47,8 @@
 fn recorded_invocations() -> Vec<RecordedInvocation> {
     let parse = |line: &str| {
         let mut words = line.split_whitespace();
-        let exit_code = words.next().expect("an exit code").parse().expect("a number");
+        let exit_code =
+            words.next().expect("a line has an exit code").parse().expect("the exit code is a number");
         RecordedInvocation { exit_code, arguments: words.map(str::to_owned).collect() }
     };
     fixture("exit-codes-as-landed.txt").lines().map(parse).collect()
@@ -62,14 +63,14 @@
     }
 }
 
-/// A flag that a sub-command had in its help, with a value where it takes one.
+/// A flag in the recorded help of a sub-command, with an example value if it takes one.
 struct RecordedFlag {
     sub_command: String,
     flag: String,
     value: Option<&'static str>,
 }
 
-/// The flags by the sections of the help, each of which begins with `### SUB-COMMAND`.
+/// The flags in the recorded help, whose sections begin with `### SUB-COMMAND`.
 fn recorded_flags() -> Vec<RecordedFlag> {
     let (mut flags, mut sub_command) = (Vec::new(), String::new());
     for line in fixture("help-as-landed.txt").lines() {
@@ -91,11 +92,12 @@
     flags
 }
 
-/// `--help` comes last, so that an argument that is not accepted is an error before it.
+/// Ends each invocation with `--help`, so that the program exits with success unless it rejects an argument before
+/// that.
 #[test]
 fn each_flag_is_still_accepted() {
     let flags = recorded_flags();
-    assert_eq!(flags.len(), 38, "the fixture is read to its end");
+    assert_eq!(flags.len(), 38, "number of flags in the fixture");
     for RecordedFlag { sub_command, flag, value } in &flags {
         let sub_command = Some(sub_command.as_str()).filter(|name| !name.is_empty());
         let arguments = sub_command.into_iter().chain([flag.as_str()]).chain(*value).chain(["--help"]);
@@ -106,7 +108,8 @@
     assert_eq!(run(&["serve", "--no-such-flag", "--help"]).status.code(), Some(2));
 }
 
-/// Flags of tests and of other programs of the project, which help does not show.
+/// Flags and sub-commands for tests and for other programs of the project, which the help does not show. Their former
+/// names are accepted and print the same help as the current ones.
 #[test]
 fn hidden_flags_and_sub_commands_are_still_accepted() {
     for arguments in [
@@ -121,7 +124,7 @@
     }
 }
 
-/// Former names with the standard ones, which help shows.
+/// Former names of flags and sub-commands, each with the current name that the help shows.
 const FORMER_NAMES: [(&str, &str); 8] = [
     ("--charter", "--config"),
     ("--found", "--initialize"),
@@ -133,22 +136,22 @@
     ("scale-host", "scale-test-host"),
 ];
 
-/// Arguments with the standard names in place of the former ones.
+/// The arguments with former names replaced by current ones.
 fn current_names<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
     let current = |argument: &&'a str| {
-        let renamed = FORMER_NAMES.iter().find(|(former, _)| former == argument);
-        renamed.map_or(*argument, |(_, current)| current)
+        let entry = FORMER_NAMES.iter().find(|(former, _)| former == argument);
+        entry.map_or(*argument, |(_, current)| current)
     };
     arguments.iter().map(current).collect()
 }
 
 #[test]
-fn a_former_name_does_the_same_as_the_standard_one() {
+fn former_names_behave_like_current_names() {
     let recorded = recorded_invocations();
     let former: Vec<_> = recorded.iter().map(RecordedInvocation::arguments).collect();
     let renamed: Vec<_> =
         former.into_iter().filter(|arguments| *arguments != current_names(arguments)).collect();
-    assert_eq!(renamed.len(), 37, "each use with a former name");
+    assert_eq!(renamed.len(), 37, "number of recorded invocations with a former name");
     let current: Vec<_> = renamed.iter().map(|arguments| current_names(arguments)).collect();
     for ((former, current), arguments) in run_all(&renamed).iter().zip(run_all(&current)).zip(&renamed) {
         assert_eq!(*former, current, "{arguments:?}");
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn help_shows_the_standard_names_alone() {
+fn help_shows_only_the_current_names() {
     let sub_commands =
         ["", "serve", "control", "change", "changes", "workers", "members", "scale-test", "scenario"];
     let mut help = String::new();
@@ -190,11 +193,12 @@
     }
 }
 
-/// Its field names are held by users; the values depend on the machine.
-#[test_case("scenario"; "standard name")]
+/// Users depend on the field names of the report. Its values depend on the machine and are not compared.
+#[test_case("scenario"; "current name")]
 #[test_case("day"; "former name")]
-fn the_json_report_of_a_scenario_has_the_fields_that_it_had(sub_command: &str) {
-    let recorded: Value = serde_json::from_str(&fixture("scenario-report-as-landed.json")).expect("JSON");
+fn the_json_report_of_a_scenario_keeps_its_fields(sub_command: &str) {
+    let recorded: Value =
+        serde_json::from_str(&fixture("scenario-report-as-landed.json")).expect("the fixture is valid JSON");
     let output = run(&[sub_command, "scenario.hcl", "--json", "--lag", "2"]);
     let report: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {output:?}"));
     assert_eq!(field_paths(&report), field_paths(&recorded));
--- a/crates/milletpath/tests/documentation.rs
+++ b/crates/milletpath/tests/documentation.rs
@@ -1,37 +1,37 @@
-//! The pages hold together: each link to a file of the repository leads to one, and each package is in the readme's
-//! table and in the drawing of the architecture.
+//! Consistency of the documentation: each relative link points to an existing file, and each package is listed in the
+//! readme's table and shown in the architecture diagram.
 
 use milletpath_test_support::program::repository_file;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Folders with pages, and pages at the root.
+/// Folders that contain Markdown pages, and pages at the root of the repository.
 const PAGES: [&str; 5] = ["docs", "deploy", "README.md", "CONTRIBUTING.md", "CHANGELOG.md"];
 
-/// A link of a page to a file.
+/// A link from a page to a file of the repository.
 struct Link {
     page: PathBuf,
     line: usize,
     target: String,
 }
 
-/// All pages below a path.
+/// All Markdown files at or below a path.
 fn pages(path: &Path) -> Vec<PathBuf> {
     if path.is_file() {
         return if path.extension().is_some_and(|e| e == "md") { vec![path.to_owned()] } else { Vec::new() };
     }
-    let entries = std::fs::read_dir(path).expect("a folder of pages");
-    entries.flat_map(|entry| pages(&entry.expect("a page").path())).collect()
+    let entries = std::fs::read_dir(path).expect("the folder is readable");
+    entries.flat_map(|entry| pages(&entry.expect("a readable entry").path())).collect()
 }
 
-/// The links of one line: `[text](target)`.
+/// The targets of the links in one line, which have the form `[text](target)`.
 fn targets(line: &str) -> impl Iterator<Item = &str> {
     line.split("](").skip(1).filter_map(|rest| rest.split(')').next())
 }
 
-/// The links of a page to files; those within the page itself and to other hosts are left out.
+/// The links of a page to files. Links within the page, links to other hosts and fenced code blocks are left out.
 fn links(page: &Path) -> Vec<Link> {
-    let text = std::fs::read_to_string(page).expect("a page");
+    let text = std::fs::read_to_string(page).expect("the page is readable");
     let mut links = Vec::new();
     let mut is_fenced = false;
     for (index, line) in text.lines().enumerate() {
@@ -46,11 +46,12 @@
 }
 
 impl Link {
-    /// Where it is, and where it leads.
+    /// The location of the link and its target.
     fn description(&self) -> String {
         format!("{}:{}: {}", self.page.display(), self.line, self.target)
     }
 
+    /// Whether the linked file exists. A fragment after `#` is not checked.
     fn target_exists(&self) -> bool {
         let file = self.target.split('#').next().unwrap_or_default();
         self.page.parent().is_some_and(|folder| folder.join(file).exists())
@@ -77,18 +78,19 @@
 }
 
 fn packages() -> BTreeSet<String> {
-    let folders = std::fs::read_dir(repository_file("crates")).expect("the folder of packages");
-    let folders = folders.map(|folder| folder.expect("a folder").path());
+    let folders = std::fs::read_dir(repository_file("crates")).expect("the crates folder is readable");
+    let folders = folders.map(|folder| folder.expect("a readable entry").path());
     let packages = folders.filter(|folder| folder.join("Cargo.toml").is_file());
     packages.filter_map(|folder| Some(folder.file_name()?.to_string_lossy().into_owned())).collect()
 }
 
 #[test]
-fn each_package_is_in_the_table_and_in_the_drawing() {
-    let readme = std::fs::read_to_string(repository_file("README.md")).expect("the readme");
-    let drawing = std::fs::read_to_string(repository_file("docs/architecture.svg")).expect("the drawing");
+fn each_package_is_in_the_readme_table_and_in_the_diagram() {
+    let readme = std::fs::read_to_string(repository_file("README.md")).expect("the readme is readable");
+    let diagram =
+        std::fs::read_to_string(repository_file("docs/architecture.svg")).expect("the diagram is readable");
     for package in packages() {
         assert!(readme.contains(&format!("| `crates/{package}` |")), "README.md has no row for {package}");
-        assert!(drawing.contains(&format!(">{package}<")), "docs/architecture.svg lacks {package}");
+        assert!(diagram.contains(&format!(">{package}<")), "docs/architecture.svg does not show {package}");
     }
 }
--- a/crates/milletpath/tests/program.rs
+++ b/crates/milletpath/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as its users run it: processes, signals, exit codes, and scenarios that the history checker judges.
+//! The program as users run it: processes, signals, exit codes, and scenarios that the history checker evaluates.
 
 use milletpath_test_support::json_fields::field_paths;
 use milletpath_test_support::process::Process;
@@ -11,13 +11,13 @@
 use std::sync::{Mutex, PoisonError};
 use test_case::test_case;
 
-/// Held while a scenario is played. Scenarios keep to real time: several at once take the processor from each other's
-/// emulated workers and clients, and their rules would be judged by how crowded the machine is.
+/// Held while a scenario runs. Scenarios run in real time: concurrent ones would compete for the processor, and their
+/// rules would be checked against the delays of an overloaded machine.
 static SCENARIO_LOCK: Mutex<()> = Mutex::new(());
 
-/// Plays a scenario while no other test of this file plays one.
+/// Runs a scenario while no other test of this file runs one.
 fn run_scenario_alone(command: &mut Command) -> Output {
-    // A test that panicked has ended its scenario.
+    // The lock is poisoned when another test panicked, but the scenario of that test has ended.
     let _guard = SCENARIO_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     command.output().unwrap()
 }
@@ -26,14 +26,14 @@
     program().args(args).output().unwrap()
 }
 
-/// Rules, counts and the fields of the report only: how well a scenario goes depends on the machine, whether rules hold
-/// does not. The fixture is the report of an earlier program.
+/// Checks the rules, the counts and the fields of the report only: the performance in a scenario depends on the
+/// machine, the rules do not. The fixture is the report of an earlier version.
 #[test_case("days/short-day.hcl", 1300, Some(include_str!("fixtures/reports/day.json")); "eight faults, two gateways")]
 #[test_case("days/cores-day.hcl", 1300, None; "cores that stall, panic and break")]
 #[test_case("days/cold-worker.hcl", 2000, None; "four gateways and workers without instances")]
-#[test_case("days/lists-day.hcl", 2300, None; "endpoint lists late, lost, stalled and emptied")]
-#[test_case("days/cut-day.hcl", 1300, None; "six gateways with membership, over links that fail")]
-fn a_scenario_keeps_the_rules(scenario: &str, min_calls: u64, earlier_report: Option<&str>) {
+#[test_case("days/lists-day.hcl", 2300, None; "endpoint lists that are late, lost, stalled and emptied")]
+#[test_case("days/cut-day.hcl", 1300, None; "six gateways with membership, over failing links")]
+fn a_scenario_violates_no_rule(scenario: &str, min_calls: u64, earlier_report: Option<&str>) {
     let output = run_scenario_alone(
         program().arg("scenario").arg(repository_file(scenario)).args(["--json", "--lag", "2"]),
     );
@@ -48,11 +48,12 @@
     let outcomes = ["handled", "late", "bounced", "terminated", "unanswered"].map(count);
     assert!(count("calls") >= min_calls);
     assert_eq!(outcomes.iter().sum::<u64>(), count("calls"));
-    // Not a scenario in which nothing worked.
+    // Guards against a scenario that violates no rule because nothing succeeded.
     assert!(count("handled") * 2 > count("calls"), "{report:#}");
 }
 
-/// Gateways whose budgets go by the likeliest number of gateways: partitioned, each half spends what there is for all.
+/// The injected fault divides the budgets by the most likely number of gateways. In a partition each side then spends
+/// the whole budget, which the report must show as a violation.
 #[test]
 fn an_injected_fault_in_the_budgets_is_detected() {
     let scenario = repository_file("days/cut-day.hcl");
@@ -64,10 +65,10 @@
     assert_eq!(output.status.code(), Some(1));
 }
 
-/// A gateway without a configuration file.
+/// A gateway that runs without a configuration file, on the built-in configuration.
 struct BuiltInGateway {
     process: Process,
-    /// The address in the `curl` line that it prints.
+    /// The address in the `curl` command that the gateway prints.
     address: SocketAddr,
 }
 
@@ -111,20 +112,21 @@
 #[test_case(&["serve", "--config", "/nowhere/config.hcl"]; "no such configuration file")]
 #[test_case(&["scenario", "/nowhere/scenario.hcl"]; "no such scenario")]
 #[test_case(&["fly"]; "no such command")]
-fn wrong_use_exits_with_2(args: &[&str]) {
+fn invalid_arguments_exit_with_2(args: &[&str]) {
     assert_eq!(run(args).status.code(), Some(2));
 }
 
-/// The example of the operators' page is valid.
+/// The example configuration of the operators' documentation is valid.
 #[test]
 fn the_example_configuration_is_valid() {
     let output = program().arg("check").arg(repository_file("docs/operators/example.hcl")).output().unwrap();
     assert!(output.status.success(), "{output:?}");
 }
 
-/// The page of the repository was written by an earlier program.
+/// The tables that `milletpath capacity` prints from the stored runs are those of the capacity page, which was written
+/// with an earlier version.
 #[test]
-fn capacity_prints_the_tables_of_the_page() {
+fn capacity_prints_the_tables_of_the_capacity_page() {
     let runs = repository_file("docs/capacity");
     let output = program().arg("capacity").arg("--runs").arg(runs).output().unwrap();
     assert!(output.status.success(), "{output:?}");
@@ -135,7 +137,7 @@
 
 #[test_case(&["capacity", "--runs", "/nowhere"]; "no such folder of runs")]
 #[test_case(&["capacity", "--page", "/nowhere/page.md"]; "no such page")]
-fn wrong_use_of_capacity_exits_with_2(args: &[&str]) {
+fn invalid_capacity_arguments_exit_with_2(args: &[&str]) {
     let output = program().args(args).current_dir(repository_file("")).output().unwrap();
     assert_eq!(output.status.code(), Some(2), "{output:?}");
 }
--- a/crates/milletpath/tests/runbook.rs
+++ b/crates/milletpath/tests/runbook.rs
@@ -1,23 +1,23 @@
-//! The runbook has an entry for each log line of level warn and error that a program in service writes, and no entry
-//! for a line that nobody writes. Both sides are read from the text of the sources and of the page.
+//! The runbook (`docs/oncall.md`) has an entry for each log line of level WARN and ERROR that a program in production
+//! writes, and no entries for other lines. Both sets are read from the text of the sources and of the page.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Packages whose lines only scenarios and scale tests write.
+/// Packages whose log lines are written only in scenarios and scale tests.
 const TEST_TOOLS: [&str; 4] = ["emulator", "history-checker", "scale-test", "simulator"];
 
-/// What each entry answers, in this order.
+/// The questions that each entry answers, in this order.
 const QUESTIONS: [&str; 5] = ["Means", "By itself", "Look at", "Do", "Can wait"];
 
-/// The levels of which every line needs an entry: the macro's name, and how the page writes it.
+/// The levels whose lines need an entry: the start of the macro call, and the level as the page states it.
 const LEVELS: [(&str, &str); 2] = [("warn!(", "WARN"), ("error!(", "ERROR")];
 
-/// A log line: its text, with `{}` for each value. A text of values alone could stand for any line, so the name of the
-/// file that writes it is added.
+/// The text of a log line, with `{}` for each value. A text that consists of values only would match any line, so the
+/// name of the source file is appended to it.
 type Message = String;
 
-/// Levels at which a line is written, and the files that write it.
+/// The levels at which a log line is written, and the source files that write it.
 #[derive(Debug, Default)]
 struct LogLine {
     levels: BTreeSet<&'static str>,
@@ -36,11 +36,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All Rust files below a folder, without test modules.
+/// All Rust files below a folder, except the test modules `tests.rs`.
 fn sources(folder: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("a file").path();
+    for entry in std::fs::read_dir(folder).expect("the source folder is readable") {
+        let path = entry.expect("a readable entry").path();
         if path.is_dir() {
             found.extend(sources(&path));
         } else if path.extension().is_some_and(|e| e == "rs")
@@ -52,23 +52,24 @@
     found
 }
 
-/// The code of a file without comment lines.
+/// The text of a source file without comment lines.
 fn without_comments(text: &str) -> String {
     let lines: Vec<_> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
     lines.join("\n")
 }
 
-/// The lines that the programs in service write at the levels above.
+/// The lines that programs in production write at one of the [`LEVELS`].
 fn log_lines() -> BTreeMap<Message, LogLine> {
     let mut lines: BTreeMap<Message, LogLine> = BTreeMap::new();
-    for package in std::fs::read_dir(workspace().join("crates")).expect("the folder of packages") {
-        let package = package.expect("a folder").path();
+    for package in std::fs::read_dir(workspace().join("crates")).expect("the crates folder is readable") {
+        let package = package.expect("a readable entry").path();
         let name = file_name(&package);
         if TEST_TOOLS.contains(&name.as_str()) || !package.join("Cargo.toml").is_file() {
             continue;
         }
         for file in sources(&package.join("src")) {
-            let text = without_comments(&std::fs::read_to_string(&file).expect("a source"));
+            let text =
+                without_comments(&std::fs::read_to_string(&file).expect("the source file is readable"));
             for (macro_name, level) in LEVELS {
                 for message in messages(&text, macro_name) {
                     let line = lines.entry(unambiguous_message(message, &file_name(&file))).or_default();
@@ -82,22 +83,22 @@
 }
 
 fn file_name(path: &Path) -> String {
-    path.file_name().expect("a name").to_string_lossy().into_owned()
+    path.file_name().expect("a file name").to_string_lossy().into_owned()
 }
 
-/// The text, with the file's name where it has no word of its own.
+/// The text of a log line, with the name of the source file if the text contains no word.
 fn unambiguous_message(text: String, file_name: &str) -> Message {
     if text.contains(char::is_alphabetic) { text } else { format!("{text} in {file_name}") }
 }
 
-/// The texts of all calls of a macro in a source.
+/// The messages of all calls of a macro in a source text.
 fn messages(text: &str, macro_name: &str) -> Vec<Message> {
     let is_other_macro = |before: &str| before.ends_with(|c: char| c.is_alphanumeric() || c == '_');
     let calls = text.match_indices(macro_name).filter(|(at, _)| !is_other_macro(&text[..*at]));
     calls.map(|(at, _)| message_of_call(&text[at + macro_name.len()..])).collect()
 }
 
-/// The text of one call: the last string literal among its arguments, nested calls left out.
+/// The message of one macro call: the last string literal among its arguments, except those in nested brackets.
 fn message_of_call(arguments: &str) -> Message {
     let mut characters = arguments.chars();
     let (mut depth, mut message) = (0_u32, None);
@@ -113,18 +114,18 @@
             _ => {}
         }
     }
-    let message = message.unwrap_or_else(|| panic!("a log line without a text: {:.200}", arguments));
+    let message = message.unwrap_or_else(|| panic!("a log macro call without a message: {:.200}", arguments));
     with_empty_placeholders(&message)
 }
 
-/// Reads a string literal whose opening quote was just read.
+/// Reads the rest of a string literal after its opening quote.
 fn string_literal(characters: &mut std::str::Chars<'_>) -> String {
     let mut literal = String::new();
     while let Some(character) = characters.next() {
         match character {
             '"' => break,
             '\\' => match characters.next() {
-                // The literal goes on after the next line's indent.
+                // A backslash at the end of a line skips the line break and the indentation of the next line.
                 Some('\n') => {
                     let rest = characters.as_str().trim_start();
                     *characters = rest.chars();
@@ -138,7 +139,7 @@
     literal
 }
 
-/// The text with `{}` in the place of `{name}` and `{name:?}`.
+/// The text with each placeholder, such as `{name}` or `{name:?}`, replaced by `{}`.
 fn with_empty_placeholders(text: &str) -> String {
     let mut result = String::new();
     let mut inside = false;
@@ -155,28 +156,29 @@
 }
 
 fn runbook() -> String {
-    std::fs::read_to_string(workspace().join("docs/oncall.md")).expect("the runbook")
+    std::fs::read_to_string(workspace().join("docs/oncall.md")).expect("the runbook is readable")
 }
 
-/// The entries of a runbook: its headings of the third level, each of which is a log line in backquotes.
+/// The entries of a runbook. Each begins with a third-level heading, which is the text of a log line in backquotes.
 fn entries(page: &str) -> BTreeMap<Message, Entry> {
     let mut entries = BTreeMap::new();
     for section in page.split("\n### ").skip(1) {
         let mut lines = section.lines();
-        let heading = lines.next().expect("a heading").to_owned();
+        let heading = lines.next().expect("a section has a heading").to_owned();
         let text = heading.strip_prefix('`').and_then(|heading| heading.strip_suffix('`'));
-        let text =
-            text.unwrap_or_else(|| panic!("{heading}: an entry's heading is a log line in backquotes"));
+        let text = text
+            .unwrap_or_else(|| panic!("{heading}: the heading of an entry must be a log line in backquotes"));
         let body: Vec<_> = lines.take_while(|line| !line.starts_with('#')).map(str::to_owned).collect();
         for message in messages_of_entry(&with_empty_placeholders(text), &body) {
             let duplicate = entries.insert(message, Entry { heading: heading.clone(), body: body.clone() });
-            assert!(duplicate.is_none(), "{heading}: two entries");
+            assert!(duplicate.is_none(), "{heading}: the runbook has two entries for this log line");
         }
     }
     entries
 }
 
-/// The lines that an entry stands for: one, or for a text of values alone one in each file that the entry names.
+/// The log lines that an entry describes: one, or if its text consists of values only, one for each source file that
+/// the entry names.
 fn messages_of_entry(text: &str, body: &[String]) -> Vec<Message> {
     if text.contains(char::is_alphabetic) {
         return vec![text.to_owned()];
@@ -186,12 +188,12 @@
     let messages: Vec<_> = files.map(|file| unambiguous_message(text.to_owned(), file)).collect();
     assert!(
         !messages.is_empty(),
-        "{text}: an entry for a text of values alone names the files that write it"
+        "{text}: an entry whose text consists of values only must name the source files that write it"
     );
     messages
 }
 
-/// Log lines without an entry, each with the files that write it.
+/// The log lines without an entry in the runbook.
 fn lines_without_entry<'l>(
     lines: &'l BTreeMap<Message, LogLine>,
     entries: &BTreeMap<Message, Entry>,
@@ -215,7 +217,7 @@
     let unused: Vec<_> =
         entries(&runbook()).into_iter().filter(|(message, _)| !lines.contains_key(message)).collect();
     let headings: Vec<_> = unused.iter().map(|(_, entry)| &entry.heading).collect();
-    assert!(unused.is_empty(), "docs/oncall.md has entries for lines that nobody writes: {headings:#?}");
+    assert!(unused.is_empty(), "docs/oncall.md has entries for log lines that do not exist: {headings:#?}");
 }
 
 #[test]
@@ -226,7 +228,10 @@
         let levels: Vec<_> = lines.get(&message).map(|line| line.levels.iter().collect()).unwrap_or_default();
         let first = entry.body.first().map(String::as_str).unwrap_or_default();
         for level in levels {
-            assert!(first.starts_with(*level), "{heading}: the line below must begin with {level}");
+            assert!(
+                first.starts_with(*level),
+                "{heading}: the first line of the entry must begin with {level}"
+            );
         }
         let answers = entry.body.iter().filter_map(|line| line.strip_prefix("- **")?.split_once("**: "));
         let (questions, answers): (Vec<_>, Vec<_>) = answers.unzip();
@@ -255,16 +260,17 @@
     assert_eq!(without_comments("// warn!(\"in a comment\")\nwarn!(\"b\")"), "warn!(\"b\")");
 }
 
-/// The levels above are written by their macros alone, so that this test sees every line.
+/// No source writes at one of the [`LEVELS`] by other means than their macros, so that this test finds every line.
 #[test]
-fn no_line_is_written_by_another_macro() {
-    for package in std::fs::read_dir(workspace().join("crates")).expect("the folder of packages") {
-        let folder = package.expect("a folder").path().join("src");
+fn no_warning_or_error_is_logged_by_another_macro() {
+    for package in std::fs::read_dir(workspace().join("crates")).expect("the crates folder is readable") {
+        let folder = package.expect("a readable entry").path().join("src");
         if !folder.is_dir() {
             continue;
         }
         for file in sources(&folder) {
-            let text = without_comments(&std::fs::read_to_string(&file).expect("a source"));
+            let text =
+                without_comments(&std::fs::read_to_string(&file).expect("the source file is readable"));
             let name = file.display();
             assert!(!text.contains("Level::WARN") && !text.contains("Level::ERROR"), "{name}");
             assert!(!text.contains("event!("), "{name}: use warn! or error!");
