--- a/crates/milletpath/tests/outage_soak/client.rs
+++ b/crates/milletpath/tests/outage_soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each calls on one connection until it ends, and records what came of every call.
+//! Clients of the soak test. Each makes calls on one connection at a time and records the outcome of every call.
 
 use milletpath_test_support::platform_rig::{DONE, REJECTED, function_call_line};
 use std::io::{BufRead, BufReader, Write};
@@ -6,33 +6,33 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long a client waits for its answer.
+/// How long a client waits for the answer to a call.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long after that an answer is still read, to tell a late one from none: a router may have been paused meanwhile.
+/// How long after the timeout a client still reads, to distinguish a late answer, as of a paused router, from none.
 const LATE_ANSWER_WINDOW: Duration = Duration::from_millis(2500);
-/// Functions that are called.
+/// Number of functions that are called.
 const FUNCTIONS: u64 = 24;
 
-/// How a call ended for its client.
+/// The outcome of a call for its client.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallEnd {
-    /// A worker's answer came.
+    /// The answer of a worker was received.
     Served,
-    /// It was rejected: it did not run.
+    /// The call was rejected and did not run.
     Rejected,
-    /// It failed.
+    /// The call failed.
     Failed,
-    /// The connection ended without an answer.
+    /// The connection was closed without an answer.
     ConnectionEnded,
-    /// Nothing came, and the connection stood.
+    /// No answer was received, and the connection stayed open.
     Nothing,
-    /// The client gave it up and closed the connection.
+    /// The client abandoned the call and closed the connection.
     GivenUp,
-    /// An answer came under another call's number.
+    /// An answer to another call was received.
     WrongAnswer,
 }
 
-/// One call.
+/// A call and its outcome.
 #[derive(Clone, Copy, Debug)]
 pub struct CallRecord {
     pub id: u64,
@@ -42,40 +42,40 @@
     pub end: CallEnd,
 }
 
-/// Who calls.
+/// What a client does.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPlan {
     pub router: usize,
     pub address: SocketAddr,
-    /// Distinguishes its calls from those of all others.
+    /// Number of the client at its router, which makes the ids of its calls unique.
     pub number: u64,
-    /// Time between two calls.
+    /// Time between an answer and the next call.
     pub pause: Duration,
-    /// Every so many calls it leaves before the answer; never where that is 0.
+    /// The client abandons every n-th call and disconnects; 0 for never.
     pub disconnects_every: u64,
-    /// Calls that it makes at most.
+    /// Maximum number of calls.
     pub max_calls: usize,
 }
 
-/// The router that a call went to, by its id.
+/// The router to which a call was sent, which is part of its id.
 pub fn router_of(id: u64) -> usize {
     (id >> 48) as usize
 }
 
-/// Calls until it is stopped, on connections that it keeps for as long as the router does.
+/// Makes calls until the test stops the client or it has made all its calls, and reconnects when a connection ends.
 pub fn run_client(plan: &ClientPlan, stop: &AtomicBool) -> Vec<CallRecord> {
     let mut records = Vec::new();
     while !stop.load(Ordering::Relaxed) && records.len() < plan.max_calls {
         match TcpStream::connect(plan.address) {
             Ok(stream) => call_on_connection(stream, plan, stop, &mut records),
-            // The router is not there.
+            // The router is not running.
             Err(_) => std::thread::sleep(Duration::from_millis(20)),
         }
     }
     records
 }
 
-/// Calls on one connection until it ends.
+/// Makes calls on one connection until it ends.
 fn call_on_connection(
     stream: TcpStream,
     plan: &ClientPlan,
@@ -107,13 +107,14 @@
     }
 }
 
-/// Leaves a moment after the call was written.
+/// Closes the connection shortly after the call was written.
 fn disconnect(stream: &BufReader<TcpStream>) -> CallEnd {
     std::thread::sleep(Duration::from_millis(5));
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Both);
     CallEnd::GivenUp
 }
 
+/// Reads the answer to the call with this number.
 fn receive(stream: &mut BufReader<TcpStream>, number: u64) -> CallEnd {
     let mut line = String::new();
     match stream.read_line(&mut line) {
--- a/crates/milletpath/tests/outage_soak/day.rs
+++ b/crates/milletpath/tests/outage_soak/day.rs
@@ -1,61 +1,62 @@
-//! A day, drawn from a seed: its size, its traffic, and what goes wrong when.
+//! Scenarios of the soak test, called days: the size of the fleet, the traffic and the timed faults, all derived from a
+//! seed.
 
 use milletpath_test_support::platform_rig::{Outage, WorkerCondition};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The effect of the calls of a day, as the settings write it, and whether a call may run twice.
+/// The effect class of the calls of a day.
 #[derive(Clone, Copy, Debug)]
 pub struct Effect {
-    /// What the settings say.
+    /// Its value in the platform's settings.
     pub setting: &'static str,
-    /// Whether a second run does no harm.
+    /// Whether a call may run twice without harm.
     pub is_repeatable: bool,
 }
 
-/// What goes wrong. Routers and workers are given by their position.
+/// A fault. Routers and workers are identified by their index.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// Discovery is out of reach of the routers at positions that leave `remainder` when divided by `divisor`.
+    /// Discovery is unavailable to the routers whose index modulo `divisor` is `remainder`.
     Outage { outage: Outage, seconds: f64, divisor: usize, remainder: usize },
-    /// A worker drains, and where `returns` is ready again after so many seconds.
+    /// A worker drains and, if `returns` is set, is ready again after that many seconds.
     Drain { worker: usize, returns: Option<f64> },
-    /// A worker's process is gone for so many seconds, and back cold.
+    /// A worker's process is down for a number of seconds, then starts again without instances.
     Restart { worker: usize, seconds: f64 },
-    /// A worker is in some other condition for so many seconds.
+    /// A worker is in another condition for a number of seconds.
     Condition { worker: usize, condition: WorkerCondition, seconds: f64 },
     /// A worker resets its connections.
     Reset { worker: usize },
-    /// A router's file names another discovery, whether or not that is out of reach for so many seconds.
+    /// A router's configuration file changes to another discovery service, which is unavailable for `out_for` seconds.
     Reload { router: usize, out_for: f64 },
-    /// A router receives SIGTERM, and SIGKILL at the earliest; it starts again.
+    /// A router receives SIGTERM and, at the earliest permitted time, SIGKILL; then it is restarted.
     Terminate { router: usize },
-    /// A router is killed, and starts again.
+    /// A router is killed and restarted.
     Kill { router: usize },
-    /// A router is stopped for so many seconds.
+    /// A router is paused by SIGSTOP for a number of seconds.
     Pause { router: usize, seconds: f64 },
-    /// So many clients connect to a router at once, call, and stay.
+    /// A number of clients connect to a router at once and keep calling.
     Crowd { router: usize, clients: usize },
 }
 
-/// A fault and the second of the day at which it begins.
+/// A fault and its start, in seconds from the beginning of the day.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedFault {
     pub at: f64,
     pub fault: Fault,
 }
 
-/// What is drawn from a seed.
+/// A scenario derived from a seed, with its duration in seconds.
 #[derive(Clone, Debug)]
 pub struct Day {
     pub seed: u64,
     pub seconds: f64,
     pub routers: usize,
     pub workers: usize,
-    /// Clients of each router that call from the first second on.
+    /// Number of clients at each router that call from the beginning.
     pub clients: usize,
-    /// Calls a second of all of them.
+    /// Call rate of all these clients together, in calls per second.
     pub calls: f64,
     pub effect: Effect,
     pub faults: Vec<TimedFault>,
@@ -67,11 +68,11 @@
     Effect { setting: "\"single_shot\"", is_repeatable: false },
 ];
 
-/// When the outage begins: routers have served for a while.
+/// Second at which the first outage begins, when the routers have been serving for some time.
 const OUTAGE_START: f64 = 2.0;
 
 impl Day {
-    /// A day of a few routers, as CI plays it.
+    /// A day with few routers, for CI.
     pub fn small(seed: u64) -> Self {
         Self::with_size(seed, &[3, 4], &[6, 8])
     }
@@ -83,8 +84,8 @@
 
     fn with_size(seed: u64, routers: &[usize], workers: &[usize]) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let routers = *routers.choose(&mut random).expect("a size");
-        let workers = *workers.choose(&mut random).expect("a size");
+        let routers = *routers.choose(&mut random).expect("there are sizes");
+        let workers = *workers.choose(&mut random).expect("there are sizes");
         let seconds = 13.0;
         let mut day = Self {
             seed,
@@ -93,7 +94,7 @@
             workers,
             clients: if routers > 20 { 1 } else { 2 },
             calls: random.random_range(100.0..300.0),
-            effect: *EFFECTS.choose(&mut random).expect("an effect"),
+            effect: *EFFECTS.choose(&mut random).expect("there are effects"),
             faults: Vec::new(),
         };
         day.draw_outages(&mut random);
@@ -103,13 +104,14 @@
         day
     }
 
+    /// Adds a fault that begins at second `at`.
     fn add(&mut self, at: f64, fault: Fault) {
         self.faults.push(TimedFault { at, fault });
     }
 
-    /// One long outage, a flapping one, or one that some routers have.
+    /// Draws one long outage, a series of short ones, or separate outages for routers with even and odd index.
     fn draw_outages(&mut self, random: &mut ChaCha8Rng) {
-        let mut draw = || *Outage::ALL.choose(random).expect("a way to fail");
+        let mut draw = || *Outage::ALL.choose(random).expect("there are outages");
         let [first, second] = [draw(), draw()];
         match random.random_range(0..4) {
             0 => {
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Up to half of the workers drain or restart, at any time; others are full, hung, or reset connections.
+    /// Draws drains and restarts of half of the workers, and two other workers that are full, hang or reset
+    /// connections.
     fn draw_worker_faults(&mut self, random: &mut ChaCha8Rng) {
         let mut workers: Vec<_> = (0..self.workers).collect();
         for _ in 0..self.workers / 2 {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Signals in series at some of the routers, some of them with a crowd.
+    /// Draws faults of about half of the routers, up to eight: reloads, signals, pauses and crowds of clients.
     fn draw_router_faults(&mut self, random: &mut ChaCha8Rng) {
         let mut routers: Vec<_> = (0..self.routers).collect();
         for _ in 0..(self.routers / 2).clamp(2, 8) {
--- a/crates/milletpath/tests/outage_soak/fleet.rs
+++ b/crates/milletpath/tests/outage_soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Plays a day: starts workers, discovery, routers and clients, and carries out the faults at their times.
+//! Runs a day: starts workers, discovery services, routers and clients, and injects the faults at their times.
 
 use crate::client::{CallRecord, ClientPlan, run_client};
 use crate::day::{Day, Fault};
@@ -14,24 +14,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time from SIGTERM to the earliest SIGKILL: the longest deadline, and 0.7 s.
+/// Time from SIGTERM to the earliest permitted SIGKILL: the longest deadline of 3 s plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
-/// Time until a router that has ended is started again.
+/// Time after which a killed router is restarted.
 const RESTART_AFTER: Duration = Duration::from_millis(300);
 
-/// Each attempt takes a moment.
+/// Answers an attempt after 15 ms.
 fn answer_with_delay(_: usize, id: u64, connection: &mut TcpStream) {
     answers_after(Duration::from_millis(15), id, connection);
 }
 
-/// Discovery as one router reaches it: a reload moves it.
+/// The discovery services of one router: a reload replaces the current one.
 struct RouterDiscovery {
     current: LiveDiscovery,
-    /// Those that it had before, which say nothing more.
+    /// Services that the router used before; they stay up, but are silent.
     former: Vec<LiveDiscovery>,
 }
 
-/// One router, over all its processes.
+/// One router, whose process may be restarted.
 struct RouterSlot {
     process: Option<Router>,
     address: SocketAddr,
@@ -40,7 +40,7 @@
     outage_until: Option<Instant>,
 }
 
-/// What is due later.
+/// A scheduled step of the run.
 enum Action {
     Begin(Fault),
     EndOutage { router: usize },
@@ -56,13 +56,13 @@
     routers: Vec<RouterSlot>,
     actions: Vec<(Instant, Action)>,
     observations: Observations,
-    /// Clients that are to be started.
+    /// Clients still to be started.
     pending_clients: Vec<ClientPlan>,
-    /// Clients that came later than the first second.
+    /// Number of clients added after the beginning of the day.
     added_clients: u64,
 }
 
-/// Plays a day and judges it.
+/// Runs a day and checks the rules.
 pub fn run_day(day: &Day) -> SoakResult {
     let workers: Vec<_> =
         (0..day.workers).map(|_| Worker::with_addresses(answer_with_delay, day.routers)).collect();
@@ -155,6 +155,7 @@
 }
 
 impl Fleet {
+    /// Runs the actions whose time has come.
     fn run_due_actions(&mut self) {
         let now = Instant::now();
         let actions = std::mem::take(&mut self.actions);
@@ -238,7 +239,7 @@
                 self.signal(router, Signal::SIGSTOP);
                 let from = Instant::now();
                 self.observations.pauses.push(Pause { router, from, until: from + seconds(length) });
-                // Clients that leave while nobody reads.
+                // Clients that disconnect while the router is paused and reads nothing.
                 self.add_clients(router, 5, 1, 3);
                 self.schedule(seconds(length), Action::Resume { router });
             }
@@ -246,7 +247,7 @@
         }
     }
 
-    /// More clients of a router, who call seldom.
+    /// Schedules more clients of a router, which call at a low rate.
     fn add_clients(&mut self, router: usize, clients: usize, disconnects_every: u64, max_calls: usize) {
         let address = self.routers[router].address;
         let pause = Duration::from_millis(300);
@@ -290,7 +291,7 @@
         }
     }
 
-    /// The file names another discovery, which has the same events, and SIGHUP says so.
+    /// Changes the router's configuration file to a new discovery service with the same events, and sends SIGHUP.
     fn reload(&mut self, router: usize, out_for: f64) {
         let workers = self.workers.len() as u64;
         let slot = &mut self.routers[router];
@@ -301,11 +302,12 @@
         }
         slot.configuration = slot.configuration.clone().with("bulletin", format!("\"{}\"", next.address));
         let former = std::mem::replace(&mut slot.discovery.current, next);
-        // It tells nothing more.
+        // The former service sends nothing more.
         former.fail(Outage::Silent);
         slot.discovery.former.push(former);
         if let Some(process) = &slot.process {
-            std::fs::write(&process.configuration_file, slot.configuration.text()).expect("a writable file");
+            std::fs::write(&process.configuration_file, slot.configuration.text())
+                .expect("the configuration can be written");
             process.process.signal(Signal::SIGHUP);
         }
         let now = Instant::now();
@@ -317,7 +319,7 @@
         self.schedule(seconds(out_for), Action::EndOutage { router });
     }
 
-    /// Changes a worker's condition, and tells discovery where there is an event for it.
+    /// Changes a worker's condition and publishes the event for it, if any, at the discovery services.
     fn change_worker(
         &mut self,
         worker: usize,
@@ -335,12 +337,12 @@
                     .replace("\"up_since_ms\":0", &format!("\"up_since_ms\":{started_ms}"))
             });
         }
-        // What is sent after this is known by the event or by its time.
+        // Recorded after the event is published: new work that a worker receives later is checked against this change.
         self.observations.changes.push(WorkerChange { worker, condition, at: Instant::now() });
     }
 }
 
-/// The time from the beginning of an outage until what discovery would have told counts as told.
+/// Time from the beginning of an outage until the events that discovery did not deliver count as delivered.
 fn delivery_delay(outage: Outage) -> Duration {
     match outage {
         Outage::Refused | Outage::Closed | Outage::CutLine => Duration::from_secs(2),
--- a/crates/milletpath/tests/outage_soak/main.rs
+++ b/crates/milletpath/tests/outage_soak/main.rs
@@ -1,15 +1,18 @@
-//! Days of routers as processes on loopback, each drawn from a seed: discovery fails in every way and for every time,
-//! and meanwhile workers drain, restart, fill up, hang and reset connections, routers are paused, reloaded, restarted
-//! and killed, and clients cancel, leave, come as a crowd and use their connections until the kill. What clients and
-//! workers saw on their sockets is judged by the rules; how late this machine was is recorded beside it.
+//! Soak test of the platform's router during outages of discovery, with all processes on loopback. Each run, called a
+//! day, is derived from a seed: discovery fails in different ways and for different times, while workers drain,
+//! restart, fill up, hang and reset connections, routers are paused, reloaded, restarted and killed, and clients
+//! abandon calls, disconnect, arrive in crowds and use their connections until the router is killed. The rules are
+//! checked against what clients and workers observe on their sockets. Scheduling delays of this machine are recorded to
+//! explain late events.
 //!
-//! In CI a few short days. By hand many, with the figures of each:
+//! CI runs a few short days. To run many by hand and print the figures of each:
 //!
 //! ```text
 //! OUTAGE_SOAK_SEEDS=1..50 cargo test -p milletpath --test outage_soak -- --ignored --nocapture
 //! ```
 //!
-//! A day that breaks a rule is played again with less and less in it, and its command is printed.
+//! For a day that violates a rule, the command that runs it again is printed. With `OUTAGE_SOAK_SHRINK` set, its faults
+//! are also reduced to those that are needed to violate a rule.
 
 mod client;
 mod day;
@@ -21,10 +24,10 @@
 use fleet::run_day;
 use rules::SoakResult;
 
-/// Seeds of the days that CI plays: small ones, in which every kind of fault occurs.
+/// Seeds of the small days that CI runs. Together they have every kind of fault.
 const CI_SEEDS: [u64; 4] = [1, 2, 3, 4];
 
-/// Seeds of the form `1..50`, both ends included, or of a single number.
+/// The seeds in `OUTAGE_SOAK_SEEDS`: a range such as `1..50`, both ends included, or a single number.
 fn seeds_from_environment() -> Vec<u64> {
     let text = std::env::var("OUTAGE_SOAK_SEEDS").unwrap_or_else(|_| "1..3".to_owned());
     let (first, last) = text.split_once("..").unwrap_or((&text, &text));
@@ -33,8 +36,7 @@
     (number(first)..=number(last)).collect()
 }
 
-/// The faults without which the day keeps the rules: each is left out in turn, and stays out if the day still breaks
-/// one.
+/// Reduces the faults of a day: each is removed in turn, and stays removed if the day still violates a rule.
 fn shrink(day: &Day) -> Day {
     let mut smallest = day.clone();
     for index in (0..day.faults.len()).rev() {
@@ -50,7 +52,7 @@
 fn print_result(day: &Day, result: &SoakResult) {
     println!("seed {}: {result}", day.seed);
     for violation in &result.violations {
-        println!("  broken: {violation}");
+        println!("  violation: {violation}");
     }
     if !result.violations.is_empty() {
         println!("  day: {day:?}");
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn short_days_keep_the_rules() {
+fn short_days_violate_no_rule() {
     let failing: Vec<_> = CI_SEEDS
         .iter()
         .filter_map(|&seed| {
@@ -71,10 +73,10 @@
     assert!(failing.is_empty(), "{}", failing.join("\n"));
 }
 
-/// By hand: minutes to hours.
+/// Takes minutes to hours.
 #[test]
-#[ignore = "by hand, with OUTAGE_SOAK_SEEDS"]
-fn many_days_keep_the_rules() {
+#[ignore = "takes minutes to hours; run by hand with OUTAGE_SOAK_SEEDS"]
+fn many_days_violate_no_rule() {
     let mut failing = Vec::new();
     for seed in seeds_from_environment() {
         let day = Day::drawn(seed);
@@ -82,13 +84,13 @@
         print_result(&day, &result);
         if !result.violations.is_empty() {
             if std::env::var_os("OUTAGE_SOAK_SHRINK").is_some() {
-                println!("  needs {:?}", shrink(&day).faults);
+                println!("  required faults: {:?}", shrink(&day).faults);
             }
             println!(
-                "  again: OUTAGE_SOAK_SEEDS={seed} cargo test -p milletpath --test outage_soak -- --ignored --nocapture"
+                "  run again: OUTAGE_SOAK_SEEDS={seed} cargo test -p milletpath --test outage_soak -- --ignored --nocapture"
             );
             failing.push(seed);
         }
     }
-    assert!(failing.is_empty(), "days that broke a rule: {failing:?}");
+    assert!(failing.is_empty(), "seeds of days that violated a rule: {failing:?}");
 }
--- a/crates/milletpath/tests/outage_soak/rules.rs
+++ b/crates/milletpath/tests/outage_soak/rules.rs
@@ -1,4 +1,4 @@
-//! Judges a day by what was seen on the sockets of clients and workers.
+//! Checks the rules of a day against what was observed on the sockets of clients and workers.
 
 use crate::client::{CALL_TIMEOUT, CallEnd, CallRecord, router_of};
 use crate::day::Day;
@@ -9,18 +9,19 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The grace for draining workers in the rig's settings.
+/// The drain grace in the test rig's settings: how long a draining worker may still get new work.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// Slack of every time limit.
+/// Tolerance that is added to every time limit.
 const SLACK: Duration = Duration::from_millis(50);
-/// How long after its time an answer still counts.
+/// How long after the client's timeout an answer still counts as in time.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// How long after its client left an attempt may begin.
+/// How long after its client has left an attempt may still begin.
 const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
-/// A request that crosses the end of its connection within this is sent once more.
+/// A call written at most this long before its connection is closed may stay unanswered: the two cross, and a client
+/// sends it again.
 const CROSSING_WINDOW: Duration = Duration::from_millis(50);
 
-/// A time in which events count as told to a router only at its end.
+/// A period in which a router may not receive events from discovery: they count as delivered at its end.
 #[derive(Clone, Copy, Debug)]
 pub struct DeliveryDelay {
     pub router: usize,
@@ -29,11 +30,11 @@
 }
 
 impl DeliveryDelay {
-    /// After a silence, and after a change of discovery's address.
+    /// The longest period, after silence of discovery or a change of its address.
     pub const MAX: Duration = Duration::from_secs(4);
 }
 
-/// A change of a worker that discovery has an event for.
+/// A change of a worker's condition that was published as a discovery event.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerChange {
     pub worker: usize,
@@ -41,7 +42,7 @@
     pub at: Instant,
 }
 
-/// A time in which a router was stopped by SIGSTOP.
+/// A period in which a router was paused by SIGSTOP.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
     pub router: usize,
@@ -49,7 +50,7 @@
     pub until: Instant,
 }
 
-/// What was seen.
+/// Everything that was observed during a day.
 #[derive(Debug, Default)]
 pub struct Observations {
     pub calls: Vec<CallRecord>,
@@ -57,14 +58,14 @@
     pub frames: Vec<Vec<TimedFrame>>,
     pub changes: Vec<WorkerChange>,
     pub delivery_delays: Vec<DeliveryDelay>,
-    /// Times in which a router was stopped by SIGSTOP.
+    /// Periods in which routers were paused by SIGSTOP.
     pub pauses: Vec<Pause>,
-    /// Routers that were killed outright, without SIGTERM.
+    /// Routers that were killed without SIGTERM before, and when.
     pub kills: Vec<(usize, Instant)>,
     pub scheduling_delays: Vec<SchedulingDelay>,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug)]
 pub struct Violation {
     rule: &'static str,
@@ -78,11 +79,11 @@
     }
 }
 
-/// What a day came to.
+/// The result of a day.
 #[derive(Debug)]
 pub struct SoakResult {
     pub violations: Vec<Violation>,
-    /// Breaks that the machine's lateness explains.
+    /// Number of violations that scheduling delays of this machine explain.
     attributed_to_delay: usize,
     calls: usize,
     served: usize,
@@ -100,7 +101,7 @@
         write!(
             f,
             "{routers} routers, {calls} calls, {served} served, {rejected} rejected, {drains} drains, {restarts} restarts, \
-             {health_checks} health checks, {} breaks, {} by a late machine ({} ms at most)",
+             {health_checks} health checks, {} violations, {} explained by scheduling delays ({} ms at most)",
             self.violations.len(),
             self.attributed_to_delay,
             self.max_delay.as_millis()
@@ -108,6 +109,7 @@
     }
 }
 
+/// Collects the violations of a day.
 struct RuleChecker<'o> {
     began: Instant,
     seen: &'o Observations,
@@ -115,7 +117,7 @@
     attributed_to_delay: usize,
 }
 
-/// Judges a day that began then.
+/// Checks the observations of a day that began at `began` against all rules.
 pub fn check_rules(day: &Day, began: Instant, seen: &Observations) -> SoakResult {
     let mut checker = RuleChecker { began, seen, violations: Vec::new(), attributed_to_delay: 0 };
     checker.check_answers();
@@ -149,8 +151,8 @@
 }
 
 impl RuleChecker<'_> {
-    /// Records something that happened at `at`, by `excess` past its limit. The machine explains it where it was late
-    /// by more than that around then.
+    /// Records an event at `at` that exceeded its limit by `excess`. It does not count as a violation if this machine
+    /// had a scheduling delay of at least that length around that time.
     fn record_violation(&mut self, rule: &'static str, at: Instant, excess: Duration, what: String) {
         if excess <= max_delay_near(&self.seen.scheduling_delays, at) {
             self.attributed_to_delay += 1;
@@ -160,7 +162,7 @@
         self.violations.push(Violation { rule, second, what });
     }
 
-    /// Each call has one final answer, in its time.
+    /// Rule: each call gets one final answer in time.
     fn check_answers(&mut self) {
         for call in &self.seen.calls {
             let age = call.ended_at - call.sent_at;
@@ -189,7 +191,7 @@
         }
     }
 
-    /// When its answer has to have come. A router that was stopped at that time answers once it goes on.
+    /// The time until which a call must be answered. A router that is paused meanwhile may answer after it resumes.
     fn answer_limit(&self, call: &CallRecord) -> Instant {
         let limit = call.sent_at + CALL_TIMEOUT + ANSWER_SLACK + SLACK;
         let of_router = self.seen.pauses.iter().filter(|pause| pause.router == call.router);
@@ -197,7 +199,7 @@
         spanning.map(|pause| pause.until + ANSWER_SLACK + SLACK).fold(limit, Instant::max)
     }
 
-    /// Whether the call was open when its router was killed outright.
+    /// Whether the router was killed without SIGTERM while the call was open.
     fn was_killed(&self, call: &CallRecord) -> bool {
         let is_its_kill = |&(router, at): &(usize, Instant)| {
             router == call.router && at >= call.sent_at && at <= call.ended_at
@@ -205,14 +207,15 @@
         self.seen.kills.iter().any(is_its_kill)
     }
 
-    /// When a change counts as told to a router.
+    /// The time at which a change counts as delivered to a router.
     fn delivered_at(&self, router: usize, at: Instant) -> Instant {
         let of_router = self.seen.delivery_delays.iter().filter(|delay| delay.router == router);
         let applies = of_router.filter(|delay| delay.from <= at + SLACK && at <= delay.until);
         applies.map(|delay| delay.until).fold(at, Instant::max)
     }
 
-    /// No new work goes to a worker that drains or is gone, from a grace after that counts as told.
+    /// Rule: a worker that is draining or gone gets no new work once the drain grace has passed after the delivery of
+    /// the change.
     fn check_drains(&mut self) {
         for (worker, frames) in self.seen.frames.iter().enumerate() {
             let changes: Vec<_> = self.seen.changes.iter().filter(|change| change.worker == worker).collect();
@@ -229,7 +232,7 @@
                     let limit = delivered + DRAIN_GRACE + SLACK;
                     if frame.at > limit {
                         let what = format!(
-                            "worker {worker} {:?} got {:?} of router {}, told {:.3} s before",
+                            "worker {worker} {:?} received {:?} from router {}, {:.3} s after the change was delivered",
                             change.condition,
                             frame.frame,
                             frame.listener,
@@ -242,7 +245,7 @@
         }
     }
 
-    /// No attempt begins for a client that has left.
+    /// Rule: no attempt begins for a client that has left.
     fn check_departed_clients(&mut self) {
         let left: BTreeMap<u64, Instant> = self
             .seen
@@ -265,7 +268,7 @@
         }
     }
 
-    /// The time that is sent on to a worker is at most what its client has left.
+    /// Rule: the remaining time forwarded to a worker is at most what the client has left.
     fn check_forwarded_deadlines(&mut self) {
         let sent: BTreeMap<u64, Instant> =
             self.seen.calls.iter().map(|call| (call.id, call.sent_at)).collect();
@@ -277,7 +280,7 @@
                 continue;
             };
             let ends = frame.at + budget;
-            // The router counts from when it read the call; a pause of up to a quarter of a second is not seen.
+            // The router measures from the time at which it read the call, and does not detect a pause of up to 0.25 s.
             let limit = sent_at + CALL_TIMEOUT + SLACK + Duration::from_millis(150);
             if ends > limit {
                 self.record_violation(
@@ -290,7 +293,8 @@
         }
     }
 
-    /// A call that must not be repeated runs once: a worker that was ready has it, or one that hung may have.
+    /// Rule: a non-idempotent call runs at most once. Ready workers run the attempts that they receive, and hung ones
+    /// may.
     fn check_single_runs(&mut self) {
         let mut run = BTreeSet::new();
         let attempts = self.seen.frames.iter().flatten().filter(|frame| frame.frame.code == request::ATTEMPT);
--- a/crates/milletpath/tests/outage_soak/scheduling_delay.rs
+++ b/crates/milletpath/tests/outage_soak/scheduling_delay.rs
@@ -1,19 +1,19 @@
-//! How late this machine was: a thread that sleeps for a moment, again and again, and records by how much it overslept.
+//! Measures scheduling delays of this machine: a thread sleeps for short periods and records by how much it overslept.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Oversleeping of less than this is not recorded.
+/// Shorter delays are not recorded.
 const MIN_RECORDED: Duration = Duration::from_millis(10);
 
-/// A time at which the machine was late, and by how much.
+/// A scheduling delay: when it ended, and its length.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulingDelay {
     at: Instant,
     delay: Duration,
 }
 
-/// Records until it is stopped.
+/// Records scheduling delays until it is stopped.
 pub fn record_scheduling_delays(stop: &AtomicBool) -> Vec<SchedulingDelay> {
     const SLEEP: Duration = Duration::from_millis(5);
     let mut records = Vec::new();
@@ -28,7 +28,7 @@
     records
 }
 
-/// The most by which the machine was late within a second of a time.
+/// The longest scheduling delay that overlaps the second before or after a time; zero if there is none.
 pub fn max_delay_near(records: &[SchedulingDelay], time: Instant) -> Duration {
     const NEAR: Duration = Duration::from_secs(1);
     let is_near = |record: &&SchedulingDelay| {
@@ -39,7 +39,7 @@
 }
 
 impl SchedulingDelay {
-    /// By how much.
+    /// The length of the delay.
     pub fn delay(&self) -> Duration {
         self.delay
     }
--- a/crates/milletpath/tests/serve_departed_clients/during_load.rs
+++ b/crates/milletpath/tests/serve_departed_clients/during_load.rs
@@ -1,4 +1,5 @@
-//! Clients that leave while their call waits for a load: no attempt begins for them over 0.1 s later.
+//! Clients that leave while their call waits for an instance to be loaded: no attempt begins for them more than 0.1 s
+//! after they left.
 
 use Departure::{Close, HalfClose, Reset};
 use ProcessState::{Paused, Running};
@@ -13,18 +14,18 @@
 use std::time::Duration;
 use test_case::test_matrix;
 
-/// An attempt may begin for 0.1 s after its client has left; this is longer.
+/// Longer than the 0.1 s for which an attempt may still begin after its client has left.
 const LONGER_THAN_GRACE: Duration = Duration::from_millis(150);
-/// The answer of a worker that has no instance.
+/// The response of a worker that has no instance of the function.
 const MISSING: &str = "HTTP/1.1 404 Missing\r\nmilletpath-refused: missing\r\ncontent-length: 0\r\n\r\n";
-/// The answer to a load request once there is an instance.
+/// The response to a load request after the instance is loaded.
 const LOADED: &str = "HTTP/1.1 200 OK\r\nmilletpath-copies: 1\r\ncontent-length: 0\r\n\r\n";
-/// Body of the call of the client that leaves.
+/// Body of the call whose client leaves.
 const LEAVING: &str = "gone";
-/// Body of the call of the client that stays.
+/// Body of the call whose client stays.
 const STAYING: &str = "stays";
 
-/// How far the load of the function is.
+/// The progress of loading the function.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LoadState {
     NotRequested,
@@ -32,7 +33,7 @@
     Done,
 }
 
-/// A worker without an instance: it rejects calls until it has loaded one, as it is requested to.
+/// A worker without an instance, which rejects calls until a load request has been completed.
 struct LoadingWorker {
     address: SocketAddr,
     state: Arc<WorkerState>,
@@ -41,7 +42,7 @@
 struct WorkerState {
     load: Mutex<LoadState>,
     changed: Condvar,
-    /// Bodies of the attempts that came.
+    /// Bodies of the attempts received.
     attempts: Mutex<Vec<String>>,
 }
 
@@ -80,6 +81,7 @@
         }
     }
 
+    /// Records the first load request.
     fn record_request(&self) {
         let mut load = self.load.lock().expect("no test thread panicked");
         if *load == LoadState::NotRequested {
@@ -88,12 +90,13 @@
         }
     }
 
+    /// Completes the load and so answers the load requests.
     fn finish_load(&self) {
         *self.load.lock().expect("no test thread panicked") = LoadState::Done;
         self.changed.notify_all();
     }
 
-    /// Waits until the load is that far.
+    /// Waits until the load has reached this state.
     fn await_load(&self, until: LoadState) {
         let load = self.load.lock().expect("no test thread panicked");
         let (load, _) = self
@@ -104,22 +107,23 @@
     }
 }
 
-/// A gateway that sends load requests to this worker.
+/// Starts a gateway that sends load requests to this worker.
 fn start_gateway(worker: &LoadingWorker) -> Gateway {
     let options =
         GatewayOptions { workers: "misses = true", load_requests: true, ..GatewayOptions::default() };
     Gateway::with_options(worker.address, &options)
 }
 
-/// A client that has written a call.
+/// Connects a client and writes a call.
 fn send_call(gateway: &Gateway, body: &str) -> Client {
-    let mut client = Client::connect(gateway.address).expect("it listens");
-    client.write(&call_request("milletpath-patience: 3\r\n", body)).expect("it reads");
+    let mut client = Client::connect(gateway.address).expect("the gateway listens");
+    client.write(&call_request("milletpath-patience: 3\r\n", body)).expect("the gateway reads");
     client
 }
 
-/// The worker has no instance and is requested to load one. The client leaves, and once it has long gone the load is
-/// over, or both is found by a gateway that was paused: the call of the client that stays goes out, and no other.
+/// One client leaves and another stays while both wait for the worker to load an instance. Either the load completes
+/// some time after the client left, or a paused gateway finds both events when it resumes. Only the call of the client
+/// that stayed may then be sent to the worker.
 #[test_matrix([Close, HalfClose, Reset], [Running, Paused])]
 fn no_attempt_after_a_load_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let worker = LoadingWorker::start();
@@ -144,13 +148,13 @@
             half_closed
         }
     };
-    assert_eq!(staying.response().expect("an answer").status(), 200);
+    assert_eq!(staying.response().expect("the call is answered").status(), 200);
     std::thread::sleep(LONGER_THAN_GRACE);
     let after = worker.attempts();
     assert!(after[before.len()..].iter().all(|body| body == STAYING), "{before:?}, then {after:?}");
 }
 
-/// Where its client stays, the attempt does go out behind the load.
+/// If the client stays, an attempt is sent after the load.
 #[test]
 fn an_attempt_after_a_load_for_a_client_that_stays() {
     let worker = LoadingWorker::start();
@@ -159,6 +163,6 @@
     worker.state.await_load(LoadState::Requested);
     std::thread::sleep(LONGER_THAN_GRACE);
     worker.state.finish_load();
-    assert_eq!(staying.response().expect("an answer").status(), 200);
-    assert_eq!(worker.attempts().len(), 2, "one that was rejected, and one behind the load");
+    assert_eq!(staying.response().expect("the call is answered").status(), 200);
+    assert_eq!(worker.attempts().len(), 2, "one rejected attempt, and one after the load");
 }
--- a/crates/milletpath/tests/serve_departed_clients/main.rs
+++ b/crates/milletpath/tests/serve_departed_clients/main.rs
@@ -1,4 +1,5 @@
-//! Clients of `milletpath serve` that leave: a moment later no attempt begins for them any more.
+//! Clients of `milletpath serve` that leave before their call is answered: once [`DEPARTURE_GRACE`] has passed, no
+//! attempt begins for them.
 
 mod during_load;
 
@@ -9,24 +10,24 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An attempt may begin so long after its client has left.
+/// Time after a client's departure in which an attempt may still begin.
 const DEPARTURE_GRACE: Duration = Duration::from_millis(100);
 
-/// A client that has written a call, and as the case may be another behind it.
+/// A client that has written one call, or two in a row.
 struct Caller {
     departure: Departure,
     client: Client,
 }
 
-/// One for each way to leave, with one call and with two.
+/// Connects callers that write one and two calls, for each way to leave.
 fn connect_callers(gateway: SocketAddr) -> Vec<Caller> {
     let mut callers = Vec::new();
     for departure in [Departure::Close, Departure::HalfClose, Departure::Reset] {
         for calls in [1, 2] {
-            let mut client = Client::connect(gateway).expect("it listens");
+            let mut client = Client::connect(gateway).expect("the gateway listens");
             for call in 1..=calls {
                 let body = format!("call {call} of {calls}, {departure:?}");
-                client.write(&call_request("milletpath-patience: 3\r\n", &body)).expect("it reads");
+                client.write(&call_request("milletpath-patience: 3\r\n", &body)).expect("the gateway reads");
             }
             callers.push(Caller { departure, client });
         }
@@ -34,26 +35,27 @@
     callers
 }
 
-/// Callers that have left.
+/// Callers that have left, and when.
 struct Departed {
     at: Instant,
-    /// Those that have only closed their sending end keep their sockets.
+    /// Sockets of the callers that have closed only their sending side, which must stay open.
     _half_closed: Vec<Client>,
 }
 
+/// Disconnects all callers.
 fn depart(callers: Vec<Caller>) -> Departed {
     let depart = |caller: Caller| caller.client.depart(caller.departure);
     Departed { _half_closed: callers.into_iter().filter_map(depart).collect(), at: Instant::now() }
 }
 
-/// Bodies of the attempts that reached workers later than a moment after the callers left.
+/// Bodies of the attempts that reached the worker more than [`DEPARTURE_GRACE`] after the callers left.
 fn late_attempts(arrivals: &Arrivals, departed: &Departed) -> Vec<String> {
     let arrivals = arrivals.lock().expect("no test thread panicked");
     let late = arrivals.iter().filter(|arrival| arrival.at > departed.at + DEPARTURE_GRACE);
     late.map(|arrival| arrival.body.clone()).collect()
 }
 
-/// Before the first attempt: they come and leave while the gateway is paused.
+/// The clients connect, call and leave while the gateway is paused.
 #[test]
 fn clients_that_disconnect_before_the_first_attempt() {
     let worker = Worker::start(OK, Duration::ZERO);
@@ -66,7 +68,7 @@
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
-/// Between attempts: each is rejected by a worker that has no capacity left.
+/// The clients leave between attempts, each of which a worker without capacity rejects.
 #[test]
 fn clients_that_disconnect_between_attempts() {
     let worker = Worker::start(FULL, Duration::from_millis(30));
@@ -75,11 +77,15 @@
     std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
     std::thread::sleep(10 * DEPARTURE_GRACE);
-    assert!(!worker.arrivals.lock().expect("no test thread panicked").is_empty(), "the test needs attempts");
+    assert!(
+        !worker.arrivals.lock().expect("no test thread panicked").is_empty(),
+        "the worker received no attempt"
+    );
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
-/// Between attempts, and the gateway is paused as they leave: it reads that before it goes on.
+/// The clients leave between attempts while the gateway is paused. When it resumes, it must detect that before it
+/// begins another attempt.
 #[test]
 fn clients_that_disconnect_from_a_paused_gateway() {
     let worker = Worker::start(FULL, Duration::from_millis(5));
@@ -91,11 +97,14 @@
     std::thread::sleep(4 * DEPARTURE_GRACE);
     gateway.process.resume();
     std::thread::sleep(10 * DEPARTURE_GRACE);
-    assert!(!worker.arrivals.lock().expect("no test thread panicked").is_empty(), "the test needs attempts");
+    assert!(
+        !worker.arrivals.lock().expect("no test thread panicked").is_empty(),
+        "the worker received no attempt"
+    );
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
-/// Amid an attempt that is rejected later on.
+/// The clients leave during an attempt that is rejected later.
 #[test]
 fn clients_that_disconnect_during_an_attempt() {
     let worker = Worker::start(FULL, Duration::from_millis(400));
@@ -104,29 +113,33 @@
     std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
     std::thread::sleep(8 * DEPARTURE_GRACE);
-    assert!(!worker.arrivals.lock().expect("no test thread panicked").is_empty(), "the test needs attempts");
+    assert!(
+        !worker.arrivals.lock().expect("no test thread panicked").is_empty(),
+        "the worker received no attempt"
+    );
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
-/// The only connection that the worker may have is in use when they come, and free after they have left.
+/// Only one connection to the worker is allowed. It is in use when the clients call and becomes free after they have
+/// left.
 #[test]
 fn clients_that_disconnect_while_the_connection_is_in_use() {
     let worker = Worker::start(OK, Duration::from_millis(600));
     let gateway = Gateway::start(worker.address, "limits { per_worker = 1 }\n");
-    let mut first = Client::connect(gateway.address).expect("it listens");
-    first.write(&call_request("milletpath-patience: 3\r\n", "first")).expect("it reads");
+    let mut first = Client::connect(gateway.address).expect("the gateway listens");
+    first.write(&call_request("milletpath-patience: 3\r\n", "first")).expect("the gateway reads");
     std::thread::sleep(DEPARTURE_GRACE);
     let callers = connect_callers(gateway.address);
     std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
-    assert_eq!(first.response().expect("an answer").status(), 200);
+    assert_eq!(first.response().expect("the call is answered").status(), 200);
     std::thread::sleep(10 * DEPARTURE_GRACE);
     assert_eq!(late_attempts(&worker.arrivals, &departed), Vec::<String>::new());
 }
 
-/// While a connection to the worker is being made: its system accepts none until they have left.
+/// The clients leave while the gateway connects to the worker, whose host accepts connections only after that.
 #[test]
-fn clients_that_disconnect_while_a_connection_is_made() {
+fn clients_that_disconnect_while_the_gateway_connects() {
     let worker = UnacceptingWorker::start();
     let options = GatewayOptions { workers: "connect = 2.5", ..GatewayOptions::default() };
     let gateway = Gateway::with_options(worker.address, &options);
@@ -134,8 +147,8 @@
     std::thread::sleep(2 * DEPARTURE_GRACE);
     let departed = depart(callers);
     let arrivals = Arrivals::default();
-    let all = arrivals.clone();
-    let _filler = worker.accept(move |stream| serve_connection(stream, OK, Duration::ZERO, &all));
+    let recorded = arrivals.clone();
+    let _filler = worker.accept(move |stream| serve_connection(stream, OK, Duration::ZERO, &recorded));
     std::thread::sleep(15 * DEPARTURE_GRACE);
     assert_eq!(late_attempts(&arrivals, &departed), Vec::<String>::new());
 }
--- a/crates/milletpath/tests/serve_http_heads.rs
+++ b/crates/milletpath/tests/serve_http_heads.rs
@@ -1,8 +1,8 @@
-//! The HTTP heads that `milletpath serve` writes to a worker, and the responses that it writes to a client, byte for
-//! byte.
+//! Compares the HTTP heads that `milletpath serve` sends to a worker, and the responses that it sends to a client, with
+//! a fixture, byte for byte.
 //!
-//! The fixture was written by the release of 2026-12-02: this test was run on it, while the rig still used its flags.
-//! Values that differ from run to run are masked by the name of their field.
+//! The fixture was recorded by running this test against the release of 2026-12-02, when the rig still used the flags
+//! of that release. Values of fields that differ from run to run are masked.
 
 use milletpath_test_support::program::scratch_path;
 use milletpath_test_support::serve_rig::{
@@ -18,10 +18,10 @@
 
 const FIXTURE: &str = include_str!("fixtures/http/heads.txt");
 
-/// Fields whose values differ from run to run.
+/// Header fields whose values differ from run to run.
 const MASKED: [&str; 4] = ["date", "host", "milletpath-activation", "milletpath-left"];
 
-/// Answers of the worker, by the body of the call.
+// Responses of the worker. The body of a call selects one of them.
 const WITH_FIELDS: &str = "HTTP/1.1 200 OK\r\nX-Model: seven\r\nMilletpath-Found: loaded\r\n\
     Milletpath-Company: 2\r\nEndpoint-Load-Metrics: TEXT cpu_utilization=0.3\r\nContent-Type: text/plain\r\n\
     Connection: keep-alive\r\nContent-Length: 4\r\n\r\ndone";
@@ -32,18 +32,18 @@
 const MISSING: &str = "HTTP/1.1 404 Missing\r\nmilletpath-refused: missing\r\ncontent-length: 0\r\n\r\n";
 const LOADED: &str = "HTTP/1.1 200 OK\r\nmilletpath-copies: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// How long the worker takes for a call with the body "slow".
+/// Time that the worker takes for a call with the body "slow".
 const SLOW: Duration = Duration::from_millis(700);
 
-/// A profile whose calls are not idempotent, so that they are not retried, and small limits.
+/// Configuration with small limits, and a profile whose calls are not idempotent, so that they are not retried.
 const CONFIGURATION: &str = "profile \"once\" {\ndue = 1\ncut_off = 2\neffect = \"effectful\"\n}\n\
     limits {\nbody = 100\nanswer = 50\nstall = 0.3\n}\nfunction \"greet\" { profile = \"pure\" }\n\
     function \"pay\" { profile = \"once\" }\n";
 
-/// The requests that a worker has received.
+/// The requests that the worker has received.
 type Received = Arc<Mutex<Vec<Message>>>;
 
-/// A worker that answers each call by its body.
+/// A worker that records its requests and chooses its response by the body of the call.
 struct RecordingWorker {
     address: SocketAddr,
     received: Received,
@@ -52,18 +52,18 @@
 impl RecordingWorker {
     fn start() -> Self {
         let received = Received::default();
-        let all = received.clone();
-        let address = Worker::serve_with(move |stream| serve(stream, &all));
+        let shared = received.clone();
+        let address = Worker::serve_with(move |stream| serve(stream, &shared));
         Self { address, received }
     }
 
-    /// The heads that came since the last look, masked.
+    /// Takes the masked heads of the requests received since the last call of this function.
     fn take_heads(&self) -> Vec<String> {
         let received = std::mem::take(&mut *self.received.lock().expect("no test thread panicked"));
         received.iter().map(|message| masked(&message.head)).collect()
     }
 
-    /// The first request whose first line contains this text, masked.
+    /// Waits for a request whose first line contains this text, and returns its masked head.
     fn wait_for_head(&self, text: &str) -> String {
         let find = || {
             let received = self.received.lock().expect("no test thread panicked");
@@ -73,6 +73,7 @@
     }
 }
 
+/// Serves one connection until it is closed.
 fn serve(stream: TcpStream, received: &Received) {
     let mut stream = BufReader::new(stream);
     let mut is_loaded = false;
@@ -98,7 +99,7 @@
     }
 }
 
-/// A head with its line ends visible, and the values that differ from run to run masked.
+/// Formats a head for the fixture: line ends are escaped, and values that differ from run to run are masked.
 fn masked(head: &str) -> String {
     let mask = |line: &str| {
         let name = line.split(':').next().unwrap_or_default();
@@ -109,26 +110,26 @@
     head.split_inclusive('\n').map(mask).collect()
 }
 
-/// A response as the fixture has it.
+/// Formats a response for the fixture.
 fn formatted_response(response: &Message) -> String {
     format!("{}{}\n", masked(&response.head), response.body.escape_ascii())
 }
 
-/// The heads of one exchange after the other, as the fixture has them.
+/// The heads of successive exchanges, in the format of the fixture.
 #[derive(Default)]
 struct Transcript(String);
 
 impl Transcript {
     fn add(&mut self, case: &str, direction: &str, head: &str) {
-        writeln!(self.0, "== {case}, {direction}\n{head}").expect("a string takes all");
+        writeln!(self.0, "== {case}, {direction}\n{head}").expect("writing to a string succeeds");
     }
 
-    /// Plays one exchange on a connection of its own.
+    /// Sends a request on its own connection and adds the heads of the exchange.
     fn exchange(&mut self, case: &str, gateway: &Gateway, worker: &RecordingWorker, request: &str) {
-        let mut client = Client::connect(gateway.address).expect("it listens");
-        client.write(request).expect("it reads");
+        let mut client = Client::connect(gateway.address).expect("the gateway listens");
+        client.write(request).expect("the gateway reads");
         let response = client.response().unwrap_or_else(|| panic!("{case}: no response"));
-        // A call that is retried has as many attempts as there is time for.
+        // Only the first attempt is compared: the number of retries depends on the time that is left.
         if let Some(head) = worker.take_heads().first() {
             self.add(case, "to the worker", head);
         }
@@ -138,7 +139,7 @@
     fn assert_matches(&self, fixture: &str) {
         if self.0 != fixture {
             let path = scratch_path("http-heads", ".txt");
-            std::fs::write(&path, &self.0).expect("a writable file");
+            std::fs::write(&path, &self.0).expect("the file can be written");
             panic!("heads differ from the fixture: compare it with {}\n{}", path.display(), self.0);
         }
     }
@@ -148,7 +149,7 @@
     call_request(&format!("milletpath-patience: 0.5\r\n{fields}"), body)
 }
 
-/// Exchanges in which a worker answers.
+/// Exchanges in which the gateway sends the call to the worker.
 fn answered_calls(transcript: &mut Transcript, gateway: &Gateway, worker: &RecordingWorker) {
     const FIELDS: &str = "X-Trace: 0af7\r\nIdempotency-Key: mark-1\r\nMilletpath-Repeat: 1\r\n\
         Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nAccept: text/plain\r\n\
@@ -171,7 +172,7 @@
     }
 }
 
-/// Exchanges that reach no worker.
+/// Exchanges that the gateway answers without a worker.
 fn rejected_requests(transcript: &mut Transcript, gateway: &Gateway, worker: &RecordingWorker) {
     let post = |path: &str| format!("POST {path} HTTP/1.1\r\nhost: g\r\ncontent-length: 0\r\n\r\n");
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: g\r\n\r\n");
@@ -193,21 +194,21 @@
     }
 }
 
-/// Calls of which the gateway had a part, and all, when it received SIGTERM.
+/// SIGTERM arrives while one call is in flight and another is partly received.
 fn call_while_closing(transcript: &mut Transcript, gateway: &Gateway) {
-    let connect = || Client::connect(gateway.address).expect("it listens");
+    let connect = || Client::connect(gateway.address).expect("the gateway listens");
     let (mut in_flight, mut partial) = (connect(), connect());
     let call = call_request("", "hello");
     let (first_part, rest) = call.split_at(40);
-    in_flight.write(&call_request("", "slow")).expect("it reads");
-    partial.write(first_part).expect("it reads");
+    in_flight.write(&call_request("", "slow")).expect("the gateway reads");
+    partial.write(first_part).expect("the gateway reads");
     std::thread::sleep(SLOW / 4);
     gateway.process.signal(Signal::SIGTERM);
     std::thread::sleep(SLOW / 4);
-    partial.write(rest).expect("it reads");
-    let rejected = partial.response().expect("a response");
+    partial.write(rest).expect("the gateway reads");
+    let rejected = partial.response().expect("the gateway responds");
     transcript.add("a call that is complete after SIGTERM", "to the client", &formatted_response(&rejected));
-    let last = in_flight.response().expect("a response");
+    let last = in_flight.response().expect("the gateway responds");
     transcript.add("a call in flight at SIGTERM", "to the client", &formatted_response(&last));
 }
 
@@ -222,12 +223,12 @@
     transcript.assert_matches(FIXTURE);
 }
 
-/// What a gateway asks of a worker beside calls: an instance, and whether it is healthy.
+/// The requests that a gateway sends to a worker besides calls: load requests and health checks.
 #[test]
 fn heads_of_load_requests_and_health_checks_match_the_fixture() {
     let worker = RecordingWorker::start();
     let options = GatewayOptions {
-        // Among several gateways a worker's load is asked for before an attempt.
+        // With several gateways, a gateway asks for the worker's load before an attempt.
         top: "gateways = 2",
         workers: "misses = true",
         load_requests: true,
@@ -236,10 +237,10 @@
     };
     let gateway = Gateway::with_options(worker.address, &options);
     let mut transcript = Transcript::default();
-    let mut client = Client::connect(gateway.address).expect("it listens");
-    client.write(&call_request("", "load")).expect("it reads");
+    let mut client = Client::connect(gateway.address).expect("the gateway listens");
+    client.write(&call_request("", "load")).expect("the gateway reads");
     transcript.add("a load request", "to the worker", &worker.wait_for_head("/load "));
-    client.response().expect("a response");
+    client.response().expect("the gateway responds");
     transcript.add("a health check", "to the worker", &worker.wait_for_head("/v2/health/ready"));
     transcript.assert_matches(include_str!("fixtures/http/worker-requests.txt"));
 }
--- a/crates/milletpath/tests/serve_registry_outage.rs
+++ b/crates/milletpath/tests/serve_registry_outage.rs
@@ -1,5 +1,6 @@
-//! `milletpath serve` whose registry is gone. A worker drains that was listed as ready, and the gateway sent it
-//! requests until the registry was back: its list had no age, as that of the router on the platform had none.
+//! `milletpath serve` during an outage of its registry. Guards against a gateway that keeps sending requests to a
+//! worker that drains during the outage: the endpoint list still shows it as ready, and the gateway once took a list as
+//! valid however old it was, as the router on the platform did.
 
 use milletpath_test_support::serve_rig::{Client, Gateway, Message, OK, Worker, call_request};
 use milletpath_test_support::wait::becomes_true;
@@ -10,12 +11,12 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Until what a registry would have told counts as told, and the grace.
-const STALENESS_AND_GRACE: Duration = Duration::from_millis(2500);
-/// What a busy machine may take between the gateway's write and the worker's read.
+/// How long the endpoint list stays valid after the registry has failed: 2 s, and the drain grace of 0.5 s.
+const LIST_VALIDITY: Duration = Duration::from_millis(2500);
+/// Time that may pass on a busy machine between the gateway's write and the worker's read.
 const DELAY: Duration = Duration::from_secs(1);
 
-/// A registry that lists two workers to all who ask, until it is gone.
+/// A registry that sends a list of two workers to each subscriber until it is stopped.
 struct Registry {
     address: SocketAddr,
     is_stopped: Arc<AtomicBool>,
@@ -50,13 +51,13 @@
     }
 }
 
-/// A worker that drains when it is told to: it does not pass a health check then.
+/// A worker that a test can set to draining. It then fails health checks.
 #[derive(Clone, Default)]
 struct DrainingWorker {
     is_draining: Arc<AtomicBool>,
-    /// Whether it serves what is new all the same.
+    /// Whether it still serves calls while it drains.
     still_serves: bool,
-    /// When requests of functions came.
+    /// When it received requests other than health checks.
     arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
@@ -69,11 +70,11 @@
     fn serve(&self, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         while let Some(message) = Message::read(&mut stream) {
-            let is_check = message.start.contains("/v2/health/ready");
-            if !is_check {
+            let is_health_check = message.start.contains("/v2/health/ready");
+            if !is_health_check {
                 self.arrivals.lock().expect("no test thread panicked").push(Instant::now());
             }
-            let answer = match (self.is_draining.load(Ordering::Relaxed), is_check) {
+            let answer = match (self.is_draining.load(Ordering::Relaxed), is_health_check) {
                 (false, _) => OK,
                 (true, false) if self.still_serves => OK,
                 (true, true) => "HTTP/1.1 503 Draining\r\ncontent-length: 0\r\n\r\n",
@@ -91,20 +92,20 @@
     }
 }
 
-/// One call of each of a number of functions; returns how many were served.
+/// Makes one call of each of 16 functions and returns how many were served.
 fn count_served_calls(client: &mut Client) -> usize {
     const FUNCTIONS: usize = 16;
     (0..FUNCTIONS)
         .filter(|n| {
             let call = call_request("", "").replace("greet", &format!("greet-{n}"));
             client.write(&call).expect("the gateway reads");
-            client.response().expect("an answer").status() == 200
+            client.response().expect("the call is answered").status() == 200
         })
         .count()
 }
 
-#[test_case(false; "it rejects what is new")]
-#[test_case(true; "it serves what is new all the same")]
+#[test_case(false; "it rejects new calls")]
+#[test_case(true; "it still serves new calls")]
 fn a_draining_worker_gets_no_new_requests_during_a_registry_outage(still_serves: bool) {
     let [draining, other] = [(); 2].map(|()| DrainingWorker { still_serves, ..DrainingWorker::default() });
     let registry = Registry::start([draining.start(), other.start()]);
@@ -115,7 +116,7 @@
         registry.address
     );
     let gateway = Gateway::with_configuration(&configuration, 1024);
-    let mut client = Client::connect(gateway.address).expect("it listens");
+    let mut client = Client::connect(gateway.address).expect("the gateway listens");
     assert!(becomes_true(|| count_served_calls(&mut client) > 0));
     assert!(becomes_true(|| {
         count_served_calls(&mut client);
@@ -124,13 +125,13 @@
     registry.is_stopped.store(true, Ordering::Relaxed);
     let began = Instant::now();
     draining.is_draining.store(true, Ordering::Relaxed);
-    let deadline = began + STALENESS_AND_GRACE + DELAY;
+    let deadline = began + LIST_VALIDITY + DELAY;
     let (mut rounds, mut served) = (0, 0);
     while Instant::now() < deadline + Duration::from_secs(2) {
         rounds += 1;
         served += count_served_calls(&mut client);
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(draining.arrivals_after(deadline), 0, "requests of a draining worker");
+    assert_eq!(draining.arrivals_after(deadline), 0, "requests to a draining worker after the list expired");
     assert!(rounds > 3 && served * 100 >= rounds * 16 * 95, "{served} served in {rounds} rounds of 16");
 }
--- a/crates/milletpath/tests/serve_shutdown.rs
+++ b/crates/milletpath/tests/serve_shutdown.rs
@@ -1,4 +1,4 @@
-//! `milletpath serve` that receives SIGTERM while clients go on: it exits by itself, and each call has its answer.
+//! `milletpath serve` receives SIGTERM while clients keep calling: it exits by itself and answers every call.
 
 use milletpath_test_support::serve_rig::{
     Arrivals, Client, Gateway, GatewayOptions, OK, Worker, call_request,
@@ -12,42 +12,45 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// SIGKILL comes as early as the longest deadline and this time after SIGTERM.
+/// The earliest SIGKILL follows SIGTERM after the longest deadline plus this time.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// A call that was written so shortly before its connection ended may have crossed with the end.
+/// A call written at most this long before its connection is closed may be lost: the call and the closing cross.
 const CROSSING_WINDOW: Duration = Duration::from_millis(50);
 
-/// What became of a client's calls.
+/// The outcomes of a client's calls.
 #[derive(Default)]
 struct CallCounts {
     succeeded: usize,
     rejected: usize,
-    /// Without an answer, and written more than a moment before their connection ended.
+    /// Unanswered calls written more than [`CROSSING_WINDOW`] before their connection was closed.
     lost: usize,
-    /// Answers that lack what they must have once the gateway is closing.
+    /// Unexpected responses, such as rejections that do not announce the end of the connection although the gateway is
+    /// closing.
     malformed: Vec<String>,
 }
 
-/// The body of a client's call, by which the worker's arrivals tell after how many successes it was written.
+/// The body of a client's call. It states the number of successful calls before it, which the worker's arrivals then
+/// show.
 fn call_body(client: usize, succeeded_before: usize) -> String {
     format!("client {client} after {succeeded_before}")
 }
 
-/// Whether each client has had a success, and a later call of it has reached the worker.
+/// Whether the worker has received a call from each client that the client made after its first success.
 fn each_client_has_called_again(arrivals: &Arrivals, clients: usize) -> bool {
     let arrivals = arrivals.lock().expect("no test thread panicked");
     let bodies: HashSet<_> = arrivals.iter().map(|arrival| arrival.body.as_str()).collect();
     (0..clients).all(|client| bodies.contains(call_body(client, 1).as_str()))
 }
 
-/// Calls over and over on its connection, and on a new one where that ends, until the gateway listens no more.
+/// Calls repeatedly, on a new connection whenever the former is closed, until the gateway accepts no connections.
 fn call_until_closed(gateway: SocketAddr, client_number: usize, is_closing: &AtomicBool) -> CallCounts {
     const PAUSE: Duration = Duration::from_millis(30);
     let mut calls = CallCounts::default();
     while let Ok(mut client) = Client::connect(gateway) {
         loop {
-            // Read before the call is written.
+            // Read before the call is written: a call that may have come before the signal may be rejected without
+            // `connection: close`.
             let closing = is_closing.load(Ordering::Acquire);
             let written = Instant::now();
             let body = call_body(client_number, calls.succeeded);
@@ -89,100 +92,101 @@
     assert!(becomes_true(|| each_client_has_called_again(&worker.arrivals, clients)));
     gateway.process.signal(Signal::SIGTERM);
     let signalled = Instant::now();
-    // The signal takes a moment to arrive; calls that come first are accepted as ever.
+    // Calls that the gateway reads before it handles the signal are still accepted normally.
     std::thread::sleep(CROSSING_WINDOW);
     is_closing.store(true, Ordering::Release);
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
     let exited_after = signalled.elapsed();
     assert!(exited_after < Duration::from_secs(3) + KILL_MARGIN, "exited {exited_after:?} after SIGTERM");
-    let all: Vec<_> = threads.into_iter().map(|thread| thread.join().expect("a client")).collect();
+    let all: Vec<_> = threads.into_iter().map(|thread| thread.join().expect("no client panicked")).collect();
     let lost: usize = all.iter().map(|calls| calls.lost).sum();
     let succeeded: usize = all.iter().map(|calls| calls.succeeded).sum();
-    assert_eq!(lost, 0, "without an answer; {succeeded} succeeded");
-    assert!(succeeded >= clients, "{succeeded} succeeded");
+    assert_eq!(lost, 0, "unanswered calls; {succeeded} succeeded");
+    assert!(succeeded >= clients, "only {succeeded} calls of {clients} clients succeeded");
     let malformed: Vec<_> = all.iter().flat_map(|calls| &calls.malformed).collect();
     assert!(malformed.is_empty(), "{malformed:?}");
 }
 
-/// Calls that are unread when the signal comes, on idle connections, on such as are not accepted yet, and in two pieces
-/// of which one comes later: each is answered, with the announcement that the connection closes.
+/// Calls that the gateway has not read when SIGTERM arrives, on idle connections, on connections that are not accepted
+/// yet, and in two parts of which the second arrives later: each is answered, and each rejection announces that the
+/// connection is closed.
 #[test]
 fn calls_that_are_unread_at_the_signal_are_answered() {
     const CLIENTS_PER_KIND: usize = 20;
     let worker = Worker::start(OK, Duration::ZERO);
     let mut gateway = Gateway::start(worker.address, "cores = 2\n");
-    let connect = || Client::connect(gateway.address).expect("it listens");
+    let connect = || Client::connect(gateway.address).expect("the gateway listens");
     let mut idle: Vec<_> = (0..CLIENTS_PER_KIND).map(|_| connect()).collect();
     let mut partial: Vec<_> = (0..CLIENTS_PER_KIND).map(|_| connect()).collect();
     for client in idle.iter_mut().chain(&mut partial) {
-        client.write(&call_request("", "")).expect("it reads");
-        assert_eq!(client.response().expect("an answer").status(), 200);
+        client.write(&call_request("", "")).expect("the gateway reads");
+        assert_eq!(client.response().expect("the call is answered").status(), 200);
     }
     let call = call_request("", "hello");
     let (first, rest) = call.split_at(30);
-    partial.iter_mut().for_each(|client| client.write(first).expect("it reads"));
+    partial.iter_mut().for_each(|client| client.write(first).expect("the gateway reads"));
     std::thread::sleep(CROSSING_WINDOW);
     gateway.process.pause();
     let mut unaccepted: Vec<_> = (0..CLIENTS_PER_KIND).map(|_| connect()).collect();
-    idle.iter_mut().chain(&mut unaccepted).for_each(|c| c.write(&call).expect("the kernel takes it"));
+    idle.iter_mut().chain(&mut unaccepted).for_each(|c| c.write(&call).expect("the kernel buffers it"));
     std::thread::sleep(2 * CROSSING_WINDOW);
     gateway.process.signal(Signal::SIGTERM);
     gateway.process.resume();
     std::thread::sleep(4 * CROSSING_WINDOW);
-    partial.iter_mut().for_each(|client| client.write(rest).expect("it reads"));
+    partial.iter_mut().for_each(|client| client.write(rest).expect("the gateway reads"));
     let answered = |clients: Vec<Client>| {
         let answers = clients.into_iter().filter_map(|mut client| client.response());
         answers.filter(|a| a.status() == 200 || a.status() == 503 && a.has("connection: close")).count()
     };
     let answers = [answered(idle), answered(unaccepted), answered(partial)];
-    assert_eq!(answers, [CLIENTS_PER_KIND; 3], "of the idle, the unaccepted and the partial");
+    assert_eq!(answers, [CLIENTS_PER_KIND; 3], "answered calls on idle, unaccepted and partial connections");
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
 }
 
-/// A client still writes a large call when its answer comes: the connection is not reset, which would discard the
-/// answer.
+/// A call is rejected while its client is still sending a large body. The gateway must read the body to its end:
+/// closing the connection earlier would reset it and discard the answer.
 #[test]
 fn an_answer_is_not_lost_while_its_client_is_still_sending() {
     let worker = Worker::start(OK, Duration::from_millis(300));
     let mut gateway = Gateway::start(worker.address, "limits { body = 33554432 }\n");
-    let mut first = Client::connect(gateway.address).expect("it listens");
-    let mut large = Client::connect(gateway.address).expect("it listens");
-    first.write(&call_request("", "")).expect("it reads");
+    let mut first = Client::connect(gateway.address).expect("the gateway listens");
+    let mut large = Client::connect(gateway.address).expect("the gateway listens");
+    first.write(&call_request("", "")).expect("the gateway reads");
     let call = call_request("", &"x".repeat(32 << 20));
     let (head, body) = call.split_at(40);
-    large.write(head).expect("it reads");
+    large.write(head).expect("the gateway reads");
     std::thread::sleep(CROSSING_WINDOW);
     gateway.process.signal(Signal::SIGTERM);
     std::thread::sleep(CROSSING_WINDOW);
-    assert!(large.write(body).is_ok(), "it reads to the end");
-    let answer = large.response().expect("an answer");
+    assert!(large.write(body).is_ok(), "the gateway reads the body to its end");
+    let answer = large.response().expect("the call is answered");
     assert!(answer.status() == 503 && answer.has("retry-after: ") && answer.has("connection: close"));
-    assert_eq!(first.response().expect("an answer").status(), 200);
+    assert_eq!(first.response().expect("the call is answered").status(), 200);
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
 }
 
-/// A worker that never answers and clients that never complete their calls: the process exits before it would be
-/// killed, and the complete call has its answer.
+/// The worker never answers, and clients never complete their calls: the process still exits before the earliest
+/// SIGKILL and answers the complete call.
 #[test]
 fn unanswered_and_incomplete_calls_do_not_delay_the_exit() {
     let worker = Worker::start(OK, Duration::from_secs(60));
     let options = GatewayOptions { top: "limits { head = 30 }\n", deadline: 1, ..GatewayOptions::default() };
     let mut gateway = Gateway::with_options(worker.address, &options);
-    let connect = || Client::connect(gateway.address).expect("it listens");
+    let connect = || Client::connect(gateway.address).expect("the gateway listens");
     let [mut waiting, mut without_body, mut without_head, _idle] = [(); 4].map(|()| connect());
-    waiting.write(&call_request("milletpath-patience: 3\r\n", "")).expect("it reads");
-    without_head.write("POST /v1/func").expect("it reads");
+    waiting.write(&call_request("milletpath-patience: 3\r\n", "")).expect("the gateway reads");
+    without_head.write("POST /v1/func").expect("the gateway reads");
     while worker.arrivals.lock().expect("no test thread panicked").is_empty() {
         std::thread::sleep(Duration::from_millis(5));
     }
     let call = call_request("", "hello");
-    without_body.write(&call[..call.len() - 1]).expect("it reads");
+    without_body.write(&call[..call.len() - 1]).expect("the gateway reads");
     std::thread::sleep(CROSSING_WINDOW);
     gateway.process.signal(Signal::SIGTERM);
     let signalled = Instant::now();
     assert_eq!(gateway.process.exit_status().and_then(|status| status.code()), Some(0));
     let exited_after = signalled.elapsed();
     assert!(exited_after < Duration::from_secs(1) + KILL_MARGIN, "exited {exited_after:?} after SIGTERM");
-    // The function is idempotent: that it may have run is no reason not to try again.
-    assert_eq!(waiting.response().expect("an answer").status(), 503);
+    // 503 allows a retry even though the call may have run, as the function is idempotent.
+    assert_eq!(waiting.response().expect("the call is answered").status(), 503);
 }
