--- a/crates/milletpath/tests/scale_test.rs
+++ b/crates/milletpath/tests/scale_test.rs
@@ -86,7 +86,7 @@
     let (output, report, table) = run(&repository_file("plans/size-small.hcl"));
     assert_eq!(
         field_paths(&report),
-        field_paths(&serde_json::from_str(fixture).expect("the fixture is valid JSON")),
+        field_paths(&serde_json::from_str(fixture).expect("valid JSON")),
         "{table}"
     );
     assert_eq!(report["broken"], serde_json::json!([]), "{table}");
@@ -103,15 +103,10 @@
     assert!(report["known"]["join"]["learnt"].as_u64().is_some_and(|n| n >= 60 * 59), "{table}");
     // All changes proposed in the four plays with changes are in force at all running gateways, which have the same
     // state.
-    let changes: Vec<_> = report["plays"]
-        .as_array()
-        .expect("the report lists the plays")
-        .iter()
-        .filter_map(|p| p.get("changes"))
-        .collect();
-    let figures = |of: &str| {
-        changes.iter().map(|play| play[of].as_u64().expect("the figure is a number")).collect::<Vec<_>>()
-    };
+    let changes: Vec<_> =
+        report["plays"].as_array().expect("plays").iter().filter_map(|p| p.get("changes")).collect();
+    let figures =
+        |of: &str| changes.iter().map(|play| play[of].as_u64().expect("a number")).collect::<Vec<_>>();
     assert_eq!(
         (figures("proposed"), figures("made")),
         (vec![20, 10, 10, 10], vec![20, 10, 10, 10]),
@@ -130,19 +125,14 @@
     }
     for budget in ["share", "quota all", "orders"] {
         let worst = &report["budgets"][budget];
-        let [sum, bound] = ["sum", "bound"].map(|f| worst[f].as_f64().expect("the figure is a number"));
+        let [sum, bound] = ["sum", "bound"].map(|f| worst[f].as_f64().expect("a number"));
         assert!(sum > 0.0 && sum <= bound * 1.000_001, "{budget}: {worst}");
     }
-    let played: Vec<_> =
-        report["plays"].as_array().expect("the report lists the plays").iter().map(|p| &p["does"]).collect();
+    let played: Vec<_> = report["plays"].as_array().expect("plays").iter().map(|p| &p["does"]).collect();
     let all = ["start", "settled", "changes", "restarts", "rack", "zone", "cut", "list", "control"];
     assert_eq!(played, all);
     let settled = |p: &&Value| p["settled"]["after"].as_f64().is_some();
-    assert_eq!(
-        report["plays"].as_array().expect("the report lists the plays").iter().filter(settled).count(),
-        5,
-        "{table}"
-    );
+    assert_eq!(report["plays"].as_array().expect("plays").iter().filter(settled).count(), 5, "{table}");
     assert_eq!(report["not_played"], serde_json::json!([]), "{report:#}");
     assert_eq!(report["runs"], serde_json::json!(["membership", "budgets", "list", "changes"]));
     assert!(report["calls"]["handled"].as_u64().is_some_and(|n| n > 0), "{table}");
