--- a/crates/milletpath/tests/outage_soak/judge.rs
+++ b/crates/milletpath/tests/outage_soak/rules.rs
@@ -1,39 +1,40 @@
-//! Judges a day by what was seen on the sockets of clients and workers.
+//! Checks the rules of a day against what was observed on the sockets of clients and workers.
 
-use crate::client::{CallEnd, CallRecord, PATIENCE, router_of};
+use crate::client::{CALL_TIMEOUT, CallEnd, CallRecord, router_of};
 use crate::day::Day;
-use crate::lateness::{Lateness, latest_near};
+use crate::scheduling_delay::{SchedulingDelay, max_delay_near};
 use milletpath_test_support::platform_rig::{TimedFrame, WorkerCondition};
 use milletpath_test_support::worker_frames::request;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The grace for draining workers in the rig's settings.
-const GRACE: Duration = Duration::from_millis(500);
-/// Slack of every time limit.
+/// The drain grace in the test rig's settings: how long a draining worker may still get new work.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// Tolerance that is added to every time limit.
 const SLACK: Duration = Duration::from_millis(50);
-/// How long after its time an answer still counts.
+/// How long after the client's timeout an answer still counts as in time.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// How long after its client left an attempt may begin.
-const GONE_SLACK: Duration = Duration::from_millis(100);
-/// A request that crosses the end of its connection within this is sent once more.
-const CROSSING: Duration = Duration::from_millis(50);
+/// How long after its client has left an attempt may still begin.
+const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
+/// A call written at most this long before its connection is closed may stay unanswered: the two cross, and a client
+/// sends it again.
+const CROSSING_WINDOW: Duration = Duration::from_millis(50);
 
-/// A time in which events count as told to a router only at its end.
+/// A period in which a router may not receive events from discovery: they count as delivered at its end.
 #[derive(Clone, Copy, Debug)]
-pub struct Notice {
+pub struct DeliveryDelay {
     pub router: usize,
     pub from: Instant,
     pub until: Instant,
 }
 
-impl Notice {
-    /// After a silence, and after a change of discovery's address.
-    pub const LONGEST: Duration = Duration::from_secs(4);
+impl DeliveryDelay {
+    /// The longest period, after silence of discovery or a change of its address.
+    pub const MAX: Duration = Duration::from_secs(4);
 }
 
-/// A change of a worker that discovery has an event for.
+/// A change of a worker's condition that was published as a discovery event.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerChange {
     pub worker: usize,
@@ -41,7 +42,7 @@
     pub at: Instant,
 }
 
-/// A time in which a router was stopped by SIGSTOP.
+/// A period in which a router was paused by SIGSTOP.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
     pub router: usize,
@@ -49,41 +50,41 @@
     pub until: Instant,
 }
 
-/// What was seen.
+/// Everything that was observed during a day.
 #[derive(Debug, Default)]
 pub struct Observations {
     pub calls: Vec<CallRecord>,
     /// The frames that each worker received.
     pub frames: Vec<Vec<TimedFrame>>,
     pub changes: Vec<WorkerChange>,
-    pub notices: Vec<Notice>,
-    /// Times in which a router was stopped by SIGSTOP.
+    pub delivery_delays: Vec<DeliveryDelay>,
+    /// Periods in which routers were paused by SIGSTOP.
     pub pauses: Vec<Pause>,
-    /// Routers that were killed outright, without SIGTERM.
+    /// Routers that were killed without SIGTERM before, and when.
     pub kills: Vec<(usize, Instant)>,
-    pub lateness: Vec<Lateness>,
+    pub scheduling_delays: Vec<SchedulingDelay>,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug)]
-pub struct Break {
+pub struct Violation {
     rule: &'static str,
     second: f64,
     what: String,
 }
 
-impl fmt::Display for Break {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} at {:.3} s: {}", self.rule, self.second, self.what)
     }
 }
 
-/// What a day came to.
+/// The result of a day.
 #[derive(Debug)]
-pub struct Verdict {
-    pub breaks: Vec<Break>,
-    /// Breaks that the machine's lateness explains.
-    excused: usize,
+pub struct SoakResult {
+    pub violations: Vec<Violation>,
+    /// Number of violations that scheduling delays of this machine explain.
+    attributed_to_delay: usize,
     calls: usize,
     served: usize,
     rejected: usize,
@@ -91,77 +92,78 @@
     restarts: usize,
     routers: usize,
     health_checks: usize,
-    latest: Duration,
+    max_delay: Duration,
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for SoakResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { calls, served, rejected, drains, restarts, routers, health_checks, .. } = self;
         write!(
             f,
             "{routers} routers, {calls} calls, {served} served, {rejected} rejected, {drains} drains, {restarts} restarts, \
-             {health_checks} health checks, {} breaks, {} by a late machine ({} ms at most)",
-            self.breaks.len(),
-            self.excused,
-            self.latest.as_millis()
+             {health_checks} health checks, {} violations, {} explained by scheduling delays ({} ms at most)",
+            self.violations.len(),
+            self.attributed_to_delay,
+            self.max_delay.as_millis()
         )
     }
 }
 
-struct Judge<'o> {
+/// Collects the violations of a day.
+struct RuleChecker<'o> {
     began: Instant,
     seen: &'o Observations,
-    breaks: Vec<Break>,
-    excused: usize,
+    violations: Vec<Violation>,
+    attributed_to_delay: usize,
 }
 
-/// Judges a day that began then.
-pub fn judge(day: &Day, began: Instant, seen: &Observations) -> Verdict {
-    let mut judge = Judge { began, seen, breaks: Vec::new(), excused: 0 };
-    judge.every_call_is_answered();
-    judge.drains_are_kept();
-    judge.nothing_begins_for_clients_that_left();
-    judge.deadlines_sent_on_are_what_is_left();
+/// Checks the observations of a day that began at `began` against all rules.
+pub fn check_rules(day: &Day, began: Instant, seen: &Observations) -> SoakResult {
+    let mut checker = RuleChecker { began, seen, violations: Vec::new(), attributed_to_delay: 0 };
+    checker.check_answers();
+    checker.check_drains();
+    checker.check_departed_clients();
+    checker.check_forwarded_deadlines();
     if !day.effect.is_repeatable {
-        judge.nothing_runs_twice();
+        checker.check_single_runs();
     }
     let count = |end| seen.calls.iter().filter(|call| call.end == end).count();
     let changes = |condition| seen.changes.iter().filter(|change| change.condition == condition).count();
-    let is_check = |frame: &&TimedFrame| {
+    let is_health_check = |frame: &&TimedFrame| {
         matches!(frame.frame.code, request::HEALTH_CHECK | request::HEALTH_CHECK_WITH_LOAD)
     };
-    Verdict {
-        breaks: judge.breaks,
-        excused: judge.excused,
+    SoakResult {
+        violations: checker.violations,
+        attributed_to_delay: checker.attributed_to_delay,
         calls: seen.calls.len(),
         served: count(CallEnd::Served),
         rejected: count(CallEnd::Rejected),
         drains: changes(WorkerCondition::Draining),
         restarts: changes(WorkerCondition::Gone),
         routers: day.routers,
-        health_checks: seen.frames.iter().flatten().filter(is_check).count(),
-        latest: latest_near_any(&seen.lateness),
+        health_checks: seen.frames.iter().flatten().filter(is_health_check).count(),
+        max_delay: max_delay(&seen.scheduling_delays),
     }
 }
 
-fn latest_near_any(records: &[Lateness]) -> Duration {
-    records.iter().map(|record| record.late()).max().unwrap_or_default()
+fn max_delay(records: &[SchedulingDelay]) -> Duration {
+    records.iter().map(|record| record.delay()).max().unwrap_or_default()
 }
 
-impl Judge<'_> {
-    /// Records something that happened at `at`, by `excess` past its limit. The machine explains it where it was late by
-    /// more than that around then.
-    fn broken(&mut self, rule: &'static str, at: Instant, excess: Duration, what: String) {
-        if excess <= latest_near(&self.seen.lateness, at) {
-            self.excused += 1;
+impl RuleChecker<'_> {
+    /// Records an event at `at` that exceeded its limit by `excess`. It does not count as a violation if this machine
+    /// had a scheduling delay of at least that length around that time.
+    fn record_violation(&mut self, rule: &'static str, at: Instant, excess: Duration, what: String) {
+        if excess <= max_delay_near(&self.seen.scheduling_delays, at) {
+            self.attributed_to_delay += 1;
             return;
         }
         let second = (at.max(self.began) - self.began).as_secs_f64();
-        self.breaks.push(Break { rule, second, what });
+        self.violations.push(Violation { rule, second, what });
     }
 
-    /// Each call has one final answer, in its time.
-    fn every_call_is_answered(&mut self) {
+    /// Rule: each call gets one final answer in time.
+    fn check_answers(&mut self) {
         for call in &self.seen.calls {
             let age = call.ended_at - call.sent_at;
             match call.end {
@@ -169,35 +171,35 @@
                     let limit = self.answer_limit(call);
                     if call.ended_at > limit {
                         let excess = call.ended_at - limit;
-                        self.broken("answered in time", call.ended_at, excess, format!("{call:?}"));
+                        self.record_violation("answered in time", call.ended_at, excess, format!("{call:?}"));
                     }
                 }
                 CallEnd::GivenUp => {}
-                CallEnd::ConnectionEnded if age <= CROSSING || self.was_killed(call) => {}
+                CallEnd::ConnectionEnded if age <= CROSSING_WINDOW || self.was_killed(call) => {}
                 CallEnd::ConnectionEnded => {
-                    let excess = age - CROSSING;
-                    self.broken("answered", call.ended_at, excess, format!("{call:?}"));
+                    let excess = age - CROSSING_WINDOW;
+                    self.record_violation("answered", call.ended_at, excess, format!("{call:?}"));
                 }
                 CallEnd::Nothing | CallEnd::WrongAnswer => {
                     if !self.was_killed(call) {
                         let second = (call.ended_at - self.began).as_secs_f64();
                         let what = format!("{call:?}");
-                        self.breaks.push(Break { rule: "answered", second, what });
+                        self.violations.push(Violation { rule: "answered", second, what });
                     }
                 }
             }
         }
     }
 
-    /// When its answer has to have come. A router that was stopped at that time answers once it goes on.
+    /// The time until which a call must be answered. A router that is paused meanwhile may answer after it resumes.
     fn answer_limit(&self, call: &CallRecord) -> Instant {
-        let limit = call.sent_at + PATIENCE + ANSWER_SLACK + SLACK;
+        let limit = call.sent_at + CALL_TIMEOUT + ANSWER_SLACK + SLACK;
         let of_router = self.seen.pauses.iter().filter(|pause| pause.router == call.router);
         let spanning = of_router.filter(|pause| pause.from <= limit && pause.until >= call.sent_at);
         spanning.map(|pause| pause.until + ANSWER_SLACK + SLACK).fold(limit, Instant::max)
     }
 
-    /// Whether the call was open when its router was killed outright.
+    /// Whether the router was killed without SIGTERM while the call was open.
     fn was_killed(&self, call: &CallRecord) -> bool {
         let is_its_kill = |&(router, at): &(usize, Instant)| {
             router == call.router && at >= call.sent_at && at <= call.ended_at
@@ -205,15 +207,16 @@
         self.seen.kills.iter().any(is_its_kill)
     }
 
-    /// When a change counts as told to a router.
-    fn told_at(&self, router: usize, at: Instant) -> Instant {
-        let of_router = self.seen.notices.iter().filter(|notice| notice.router == router);
-        let applies = of_router.filter(|notice| notice.from <= at + SLACK && at <= notice.until);
-        applies.map(|notice| notice.until).fold(at, Instant::max)
+    /// The time at which a change counts as delivered to a router.
+    fn delivered_at(&self, router: usize, at: Instant) -> Instant {
+        let of_router = self.seen.delivery_delays.iter().filter(|delay| delay.router == router);
+        let applies = of_router.filter(|delay| delay.from <= at + SLACK && at <= delay.until);
+        applies.map(|delay| delay.until).fold(at, Instant::max)
     }
 
-    /// No new work goes to a worker that drains or is gone, from a grace after that counts as told.
-    fn drains_are_kept(&mut self) {
+    /// Rule: a worker that is draining or gone gets no new work once the drain grace has passed after the delivery of
+    /// the change.
+    fn check_drains(&mut self) {
         for (worker, frames) in self.seen.frames.iter().enumerate() {
             let changes: Vec<_> = self.seen.changes.iter().filter(|change| change.worker == worker).collect();
             for (index, change) in changes.iter().enumerate() {
@@ -225,25 +228,25 @@
                     frame.at > change.at && ends.is_none_or(|end| frame.at < end) && frame.is_new_work()
                 };
                 for frame in frames.iter().filter(is_within) {
-                    let told = self.told_at(frame.listener, change.at);
-                    let limit = told + GRACE + SLACK;
+                    let delivered = self.delivered_at(frame.listener, change.at);
+                    let limit = delivered + DRAIN_GRACE + SLACK;
                     if frame.at > limit {
                         let what = format!(
-                            "worker {worker} {:?} got {:?} of router {}, told {:.3} s before",
+                            "worker {worker} {:?} received {:?} from router {}, {:.3} s after the change was delivered",
                             change.condition,
                             frame.frame,
                             frame.listener,
-                            (frame.at - told).as_secs_f64()
+                            (frame.at - delivered).as_secs_f64()
                         );
-                        self.broken("drain", frame.at, frame.at - limit, what);
+                        self.record_violation("drain", frame.at, frame.at - limit, what);
                     }
                 }
             }
         }
     }
 
-    /// No attempt begins for a client that has left.
-    fn nothing_begins_for_clients_that_left(&mut self) {
+    /// Rule: no attempt begins for a client that has left.
+    fn check_departed_clients(&mut self) {
         let left: BTreeMap<u64, Instant> = self
             .seen
             .calls
@@ -253,15 +256,20 @@
             .collect();
         for frame in self.seen.frames.iter().flatten().filter(|frame| frame.frame.code == request::ATTEMPT) {
             let Some(&left_at) = left.get(&frame.frame.id) else { continue };
-            let limit = left_at + GONE_SLACK + SLACK;
+            let limit = left_at + DEPARTURE_SLACK + SLACK;
             if frame.at > limit {
-                self.broken("client left", frame.at, frame.at - limit, format!("{:?}", frame.frame));
+                self.record_violation(
+                    "client left",
+                    frame.at,
+                    frame.at - limit,
+                    format!("{:?}", frame.frame),
+                );
             }
         }
     }
 
-    /// The time that is sent on to a worker is at most what its client has left.
-    fn deadlines_sent_on_are_what_is_left(&mut self) {
+    /// Rule: the remaining time forwarded to a worker is at most what the client has left.
+    fn check_forwarded_deadlines(&mut self) {
         let sent: BTreeMap<u64, Instant> =
             self.seen.calls.iter().map(|call| (call.id, call.sent_at)).collect();
         for frame in self.seen.frames.iter().flatten().filter(|frame| frame.frame.code == request::ATTEMPT) {
@@ -272,16 +280,22 @@
                 continue;
             };
             let ends = frame.at + budget;
-            // The router counts from when it read the call; a pause of up to a quarter of a second is not seen.
-            let limit = sent_at + PATIENCE + SLACK + Duration::from_millis(150);
+            // The router measures from the time at which it read the call, and does not detect a pause of up to 0.25 s.
+            let limit = sent_at + CALL_TIMEOUT + SLACK + Duration::from_millis(150);
             if ends > limit {
-                self.broken("deadline sent on", frame.at, ends - limit, format!("{:?}", frame.frame));
+                self.record_violation(
+                    "deadline sent on",
+                    frame.at,
+                    ends - limit,
+                    format!("{:?}", frame.frame),
+                );
             }
         }
     }
 
-    /// A call that must not be repeated runs once: a worker that was ready has it, or one that hung may have.
-    fn nothing_runs_twice(&mut self) {
+    /// Rule: a non-idempotent call runs at most once. Ready workers run the attempts that they receive, and hung ones
+    /// may.
+    fn check_single_runs(&mut self) {
         let mut run = BTreeSet::new();
         let attempts = self.seen.frames.iter().flatten().filter(|frame| frame.frame.code == request::ATTEMPT);
         let may_run =
@@ -290,7 +304,7 @@
             if !run.insert(frame.frame.id) {
                 let second = (frame.at - self.began).as_secs_f64();
                 let what = format!("{:?} by router {}", frame.frame, router_of(frame.frame.id));
-                self.breaks.push(Break { rule: "runs once", second, what });
+                self.violations.push(Violation { rule: "runs once", second, what });
             }
         }
     }
