--- a/crates/scale-test/src/budgets.rs
+++ b/crates/scale-test/src/budgets.rs
@@ -7,13 +7,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The name under which the fractions by the number of gateways alone are added up, as a budget of their own.
-const SHARE: &str = "share";
+const FRACTION_BUDGET: &str = "share";
 
 /// Relative rounding error that the sum of many levels may have.
 const TOLERANCE: f64 = 1e-6;
 
 /// Seconds for which levels of a past second may still arrive.
-const LATE_SECONDS: u64 = 20;
+const LATE_ARRIVAL_SECONDS: u64 = 20;
 
 /// The worst total of one budget.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -45,11 +45,11 @@
 }
 
 impl CountRange {
-    fn only(count: usize) -> Self {
+    fn single(count: usize) -> Self {
         Self { fewest: count, most: count }
     }
 
-    fn including(self, count: usize) -> Self {
+    fn extended_to(self, count: usize) -> Self {
         Self { fewest: self.fewest.min(count), most: self.most.max(count) }
     }
 }
@@ -62,12 +62,12 @@
 
 /// What was added up of one budget in one second.
 #[derive(Clone, Copy, Default)]
-struct Total {
+struct SecondTotal {
     sum: f64,
     bound: f64,
 }
 
-impl Total {
+impl SecondTotal {
     fn is_over_bound(self) -> bool {
         self.sum > self.bound * (1.0 + TOLERANCE)
     }
@@ -75,9 +75,9 @@
 
 /// One second that is still open.
 #[derive(Default)]
-struct Second {
+struct OpenSecond {
     gateways: BTreeSet<usize>,
-    totals: BTreeMap<String, Total>,
+    totals: BTreeMap<String, SecondTotal>,
 }
 
 /// A play, by the second in which it began.
@@ -89,7 +89,7 @@
 /// Adds up the budget levels of all gateways, second by second.
 pub struct BudgetTotals {
     max_gateways: f64,
-    open_seconds: BTreeMap<u64, Second>,
+    open_seconds: BTreeMap<u64, OpenSecond>,
     /// The latest second that is closed.
     closed_until: u64,
     worst: BTreeMap<String, WorstTotal>,
@@ -130,19 +130,19 @@
             total.bound = total.bound.max(quota * self.max_gateways);
         };
         minimum.budgets.iter().for_each(|(budget, level)| add(budget, level.quota, level.allowed));
-        add(SHARE, 1.0, minimum.fraction);
+        add(FRACTION_BUDGET, 1.0, minimum.fraction);
     }
 
     /// Closes the seconds for which no more levels arrive.
     pub fn close_seconds(&mut self, now: f64) {
-        let end = (now as u64).saturating_sub(LATE_SECONDS);
+        let end = (now as u64).saturating_sub(LATE_ARRIVAL_SECONDS);
         while let Some(entry) = self.open_seconds.first_entry().filter(|entry| *entry.key() < end) {
             let (at, second) = entry.remove_entry();
             self.close(at, second);
         }
     }
 
-    fn close(&mut self, at: u64, second: Second) {
+    fn close(&mut self, at: u64, second: OpenSecond) {
         self.closed_until = at;
         let gateways = second.gateways.len();
         for (budget, total) in second.totals {
@@ -150,7 +150,7 @@
                 sum: total.sum,
                 bound: total.bound,
                 seconds: 0,
-                gateways: CountRange::only(gateways),
+                gateways: CountRange::single(gateways),
                 broken_seconds: 0,
                 first_broken_in: None,
             });
@@ -158,7 +158,7 @@
                 (worst.sum, worst.bound) = (total.sum, total.bound);
             }
             worst.seconds += 1;
-            worst.gateways = worst.gateways.including(gateways);
+            worst.gateways = worst.gateways.extended_to(gateways);
             if total.is_over_bound() {
                 worst.broken_seconds += 1;
                 if worst.first_broken_in.is_none() {
--- a/crates/scale-test/src/change_propagation.rs
+++ b/crates/scale-test/src/change_propagation.rs
@@ -47,7 +47,7 @@
     /// Seconds from a proposal until it was applied, for each pair of a change and a gateway that ran all the while.
     pub propagation_times: ConvergenceSamples,
     /// Gateways that never applied one of the changes, though they ran.
-    pub gateways_without: usize,
+    pub gateways_missing_changes: usize,
     /// Seconds from the start of a gateway until it had applied all that was committed before.
     pub catch_up_times: ConvergenceSamples,
 }
@@ -61,7 +61,7 @@
 
 /// A gateway applied all changes up to a number.
 #[derive(Clone, Copy, Debug)]
-struct Application {
+struct AppliedPosition {
     number: u64,
     at: f64,
 }
@@ -72,17 +72,17 @@
     /// When its process started, if it runs.
     started_at: Option<f64>,
     /// What it has applied; numbers and times rise.
-    applied: Vec<Application>,
+    applied: Vec<AppliedPosition>,
 }
 
 impl GatewayProgress {
     fn applied_number(&self) -> u64 {
-        self.applied.last().map_or(0, |application| application.number)
+        self.applied.last().map_or(0, |position| position.number)
     }
 
     /// When it had first applied all changes up to a number.
     fn applied_at(&self, number: u64) -> Option<f64> {
-        self.applied.iter().find(|application| application.number >= number).map(|application| application.at)
+        self.applied.iter().find(|position| position.number >= number).map(|position| position.at)
     }
 }
 
@@ -128,10 +128,10 @@
     pub fn record_applied(&mut self, gateway: usize, number: u64, at: f64) {
         let Some(progress) = self.gateways.get_mut(gateway) else { return };
         // A report of an earlier process of this gateway may arrive late.
-        let is_of_this_process = progress.started_at.is_some_and(|started_at| at >= started_at);
-        let is_news = progress.applied.last().is_none_or(|last| last.number < number);
-        if is_of_this_process && is_news {
-            progress.applied.push(Application { number, at });
+        let is_current_process = progress.started_at.is_some_and(|started_at| at >= started_at);
+        let is_newer = progress.applied.last().is_none_or(|last| last.number < number);
+        if is_current_process && is_newer {
+            progress.applied.push(AppliedPosition { number, at });
         }
     }
 
@@ -217,12 +217,12 @@
         }
         self.committed_before.extend(committed);
         self.play_started_at = now;
-        self.forget_superseded_applications();
+        self.drop_superseded_positions();
         outcomes
     }
 
     /// Of each gateway the latest application is enough once the play's times are taken.
-    fn forget_superseded_applications(&mut self) {
+    fn drop_superseded_positions(&mut self) {
         for gateway in &mut self.gateways {
             let superseded = gateway.applied.len().saturating_sub(1);
             gateway.applied.drain(..superseded);
@@ -237,17 +237,17 @@
     started_at: f64,
     committed: &[CommittedChange],
 ) {
-    let mut lacks_one = false;
+    let mut misses_any = false;
     for change in committed.iter().filter(|change| change.proposed_at >= started_at) {
         match gateway.applied_at(change.number) {
             Some(at) => outcomes.propagation_times.seconds.push((at - change.proposed_at) as f32),
             None => {
                 outcomes.propagation_times.never += 1;
-                lacks_one = true;
+                misses_any = true;
             }
         }
     }
-    outcomes.gateways_without += usize::from(lacks_one);
+    outcomes.gateways_missing_changes += usize::from(misses_any);
 }
 
 /// Adds how long a gateway took from its start until it had applied all changes that were proposed before.
--- a/crates/scale-test/src/child_message.rs
+++ b/crates/scale-test/src/child_message.rs
@@ -16,7 +16,7 @@
         host: usize,
     },
     /// The view that a real gateway has of another changed.
-    Observed {
+    MembershipChanged {
         /// The real gateway.
         gateway: usize,
         /// Distinguishes its process from earlier ones under its number.
@@ -29,7 +29,7 @@
         at: f64,
     },
     /// A real gateway applied all configuration changes up to a number.
-    Applied {
+    ChangesApplied {
         /// The real gateway.
         gateway: usize,
         /// Distinguishes its process from earlier ones under its number.
--- a/crates/scale-test/src/child_process.rs
+++ b/crates/scale-test/src/child_process.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a process that was asked to end may take.
-const END_TIMEOUT: Duration = Duration::from_secs(3);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How often it is checked whether a process has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -44,7 +44,7 @@
     /// Waits until it ends, and kills it when that takes longer than 3 s.
     pub fn wait_or_kill(&mut self) {
         let began = Instant::now();
-        while began.elapsed() < END_TIMEOUT {
+        while began.elapsed() < EXIT_TIMEOUT {
             if !self.is_running() {
                 return;
             }
--- a/crates/scale-test/src/children/gateway_process.rs
+++ b/crates/scale-test/src/children/gateway_process.rs
@@ -67,7 +67,7 @@
             std::thread::Builder::new().name("log".into()).spawn(read)?;
         }
         let listening = output.and_then(read_addresses);
-        let Listening { addresses, config_log_address } =
+        let ListenAddresses { addresses, config_log_address } =
             listening.ok_or(GatewayProcessError::NoAddress { gateway })?;
         Ok(Self { process, gateway, incarnation, addresses, config_log_address, started_at })
     }
@@ -98,21 +98,22 @@
         // Once the run is over nobody receives; the log is still read, so that the gateway can go on writing.
         if let Some(LoggedObservation { subject, state }) = membership_observation(&line) {
             let at = clock();
-            let _ = messages.send(ChildMessage::Observed { gateway, incarnation, subject, state, at });
+            let _ =
+                messages.send(ChildMessage::MembershipChanged { gateway, incarnation, subject, state, at });
         } else if let Some(number) = applied_number(&line) {
-            let _ = messages.send(ChildMessage::Applied { gateway, incarnation, number, at: clock() });
+            let _ = messages.send(ChildMessage::ChangesApplied { gateway, incarnation, number, at: clock() });
         }
     }
 }
 
 /// All addresses that a gateway prints when it starts.
-struct Listening {
+struct ListenAddresses {
     addresses: GatewayAddresses,
     config_log_address: Option<SocketAddr>,
 }
 
 /// Reads the lines that a gateway prints when it starts, up to its address for clients, which is the last.
-fn read_addresses(output: impl Read) -> Option<Listening> {
+fn read_addresses(output: impl Read) -> Option<ListenAddresses> {
     let (mut membership, mut config_log_address) = (None, None);
     for line in BufReader::new(output).lines().map_while(Result::ok) {
         if let Some(address) = line.strip_prefix("peers on udp://") {
@@ -123,7 +124,10 @@
         }
         let http = line.strip_prefix("listening on http://").and_then(|address| address.trim().parse().ok());
         if let Some(http) = http {
-            return Some(Listening { addresses: GatewayAddresses { http, membership }, config_log_address });
+            return Some(ListenAddresses {
+                addresses: GatewayAddresses { http, membership },
+                config_log_address,
+            });
         }
     }
     None
--- a/crates/scale-test/src/children/host_process.rs
+++ b/crates/scale-test/src/children/host_process.rs
@@ -36,13 +36,13 @@
         }
         let mut child = command.stderr(log).spawn()?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
-        let (commands, to_write) = channel();
+        let (commands, command_queue) = channel();
         // From here on an error ends the process, as the handle is dropped.
         let host = Self { process: ChildProcess::new(child), commands: Some(commands) };
         let (Some(input), Some(output)) = (input, output) else {
             return Err(io::Error::other("a host has no pipes"));
         };
-        let write = move || write_commands(input, &to_write);
+        let write = move || write_commands(input, &command_queue);
         std::thread::Builder::new().name("commands".into()).spawn(write)?;
         let read = move || read_messages(number, output, &messages);
         std::thread::Builder::new().name("host".into()).spawn(read)?;
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -6,7 +6,7 @@
 mod machine_process;
 mod queries;
 
-pub use author::{AUTHORS, Author, LOOKUP_SECONDS, MAX_PROPOSAL_SECONDS};
+pub use author::{AUTHOR_COUNT, Author, LOOKUP_LEAD_SECONDS, MAX_PROPOSAL_SECONDS};
 pub use machine_process::{ControlMachine, LogState};
 pub use queries::{control_machine_views, gateway_states};
 
@@ -27,7 +27,7 @@
     Config(#[from] InvalidConfig),
     /// The configuration has no section `changes`.
     #[error("the configuration has no section changes")]
-    NoChanges,
+    MissingChangesSection,
     /// The client can't be opened.
     #[error(transparent)]
     Client(#[from] ControlClientError),
@@ -42,6 +42,6 @@
 /// A client of the control machines at these addresses.
 fn client(addresses: &AddressMap, control_machines: &[SocketAddr]) -> Result<Client, ControlError> {
     let config = gateway_config::parse(&gateway_config::control_text(control_machines, addresses))?;
-    let settings = config.config_log.ok_or(ControlError::NoChanges)?;
+    let settings = config.config_log.ok_or(ControlError::MissingChangesSection)?;
     Ok(Client::new(&settings)?)
 }
--- a/crates/scale-test/src/control/author.rs
+++ b/crates/scale-test/src/control/author.rs
@@ -13,16 +13,16 @@
 use std::time::Duration;
 
 /// Authors that propose at the same time. Each of them waits for the outcome of one change before it proposes the next.
-pub const AUTHORS: usize = 24;
+pub const AUTHOR_COUNT: usize = 24;
 
 /// How long before it proposes a change an author looks up the current value of its key, in seconds.
-pub const LOOKUP_SECONDS: f64 = 0.8;
+pub const LOOKUP_LEAD_SECONDS: f64 = 0.8;
 
 /// The longest that an author takes for one change, in seconds.
 pub const MAX_PROPOSAL_SECONDS: f64 = 20.0;
 
 /// Functions whose settings are changed in turn.
-const FUNCTIONS: usize = 256;
+const FUNCTION_COUNT: usize = 256;
 
 /// An author with a socket of its own.
 pub struct Author {
@@ -56,7 +56,7 @@
     pub fn start(self, changes: Vec<ScheduledChange>, messages: SyncSender<ChildMessage>) -> io::Result<()> {
         std::thread::Builder::new().name("author".into()).spawn(move || {
             for scheduled in changes {
-                sleep_until(scheduled.due_at - LOOKUP_SECONDS);
+                sleep_until(scheduled.due_at - LOOKUP_LEAD_SECONDS);
                 // Once the run is over nobody receives.
                 let _ = messages.send(self.propose(scheduled));
             }
@@ -70,7 +70,7 @@
             let (change, finished_at) = (number, clock());
             ChildMessage::ProposalFinished { change, proposed_at, finished_at, outcome }
         };
-        let (key, text) = statement(number);
+        let (key, text) = change_text(number);
         let Some(current) = self.client.get(&key) else {
             return finished(clock(), Err(ProposalError::NoAnswer));
         };
@@ -98,8 +98,8 @@
 }
 
 /// The key and the text of a change. All texts of one key differ, so that each change has an effect.
-fn statement(change: usize) -> (String, String) {
-    let function = change % FUNCTIONS;
+fn change_text(change: usize) -> (String, String) {
+    let function = change % FUNCTION_COUNT;
     let (lanes, memory) = (1 + change % 4, 64 + change % 1_000);
     let key = format!("function scale-{function}");
     (key, format!("function \"scale-{function}\" {{\n  lanes = {lanes}\n  memory = {memory}\n}}"))
--- a/crates/scale-test/src/control/queries.rs
+++ b/crates/scale-test/src/control/queries.rs
@@ -35,10 +35,10 @@
     if targets.is_empty() {
         return Ok(Vec::new());
     }
-    let texts = client(addresses, &addresses.control_machines)?.status_texts(targets);
+    let to_strings = client(addresses, &addresses.control_machines)?.status_texts(targets);
     let parse = |text: Option<Vec<u8>>| {
         let status: ConfigStatus = serde_json::from_slice(&text?).ok()?;
         Some(AppliedState { number: status.view.number, digest: status.view.digest })
     };
-    Ok(texts.into_iter().map(parse).collect())
+    Ok(to_strings.into_iter().map(parse).collect())
 }
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -45,7 +45,7 @@
 use transitions::Transitions;
 
 /// Messages that wait to be received; who sends more waits.
-const MESSAGE_QUEUE: usize = 4096;
+const MESSAGE_QUEUE_CAPACITY: usize = 4096;
 
 /// Why a fleet can't be started.
 #[derive(Debug, thiserror::Error)]
@@ -103,7 +103,7 @@
         for (number, address) in control_machines.running() {
             links.connect_control_machine(number, address);
         }
-        let (sender, messages) = sync_channel(MESSAGE_QUEUE);
+        let (sender, messages) = sync_channel(MESSAGE_QUEUE_CAPACITY);
         let now = clock();
         let hosts = Hosts::start(plan, plan_text, &files, &addresses, now, &sender)?;
         Ok(Self {
@@ -235,7 +235,7 @@
     }
 
     /// Whether all gateways that were asked to start or to stop have done so.
-    pub fn is_steady(&self) -> bool {
+    pub fn are_transitions_complete(&self) -> bool {
         self.transitions.is_empty()
     }
 
@@ -244,7 +244,7 @@
     pub fn is_converged(&self) -> bool {
         match self.plan.runs(Component::Membership) {
             true => self.trackers.is_membership_converged(),
-            false => self.is_steady() && self.trackers.changes.is_converged(),
+            false => self.are_transitions_complete() && self.trackers.changes.is_converged(),
         }
     }
 }
--- a/crates/scale-test/src/fleet/budget_poller.rs
+++ b/crates/scale-test/src/fleet/budget_poller.rs
@@ -16,14 +16,14 @@
 pub fn start(
     gateway: usize,
     config: GatewayConfig,
-    is_there: impl Fn() -> bool + Send + 'static,
+    should_poll: impl Fn() -> bool + Send + 'static,
     messages: SyncSender<ChildMessage>,
 ) -> io::Result<()> {
     let poll = move || {
         let mut tracker = MinimumTracker::default();
         loop {
             std::thread::sleep(QUERY_INTERVAL);
-            if !is_there() {
+            if !should_poll() {
                 return;
             }
             if let Some(minimum) = query(&config, &mut tracker) {
--- a/crates/scale-test/src/fleet/hosts.rs
+++ b/crates/scale-test/src/fleet/hosts.rs
@@ -66,12 +66,12 @@
 
     /// Asks the hosts of hollow gateways to stop them, each host all of its own at once.
     pub fn stop_gateways(&self, gateways: &[usize], killed: bool) {
-        for (host, gateways) in self.by_host(gateways) {
+        for (host, gateways) in self.group_by_host(gateways) {
             self.processes[host].send(HostCommand::StopGateways { gateways, killed });
         }
     }
 
-    fn by_host(&self, gateways: &[usize]) -> BTreeMap<usize, Vec<usize>> {
+    fn group_by_host(&self, gateways: &[usize]) -> BTreeMap<usize, Vec<usize>> {
         let mut by_host: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for gateway in gateways {
             by_host.entry(self.host_of(*gateway)).or_default().push(*gateway);
@@ -104,9 +104,9 @@
     }
 
     /// Resident memory of these hollow gateways in MB: each has an equal part of its host's.
-    pub fn memory(&self, gateways: &[usize]) -> BTreeMap<usize, f64> {
+    pub fn memory_mb(&self, gateways: &[usize]) -> BTreeMap<usize, f64> {
         let mut memory = BTreeMap::new();
-        for (host, gateways) in self.by_host(gateways) {
+        for (host, gateways) in self.group_by_host(gateways) {
             if let Some(total) = machine_load::process_memory_mb(self.processes[host].process_id()) {
                 let each = total / gateways.len() as f64;
                 memory.extend(gateways.into_iter().map(|gateway| (gateway, each)));
@@ -131,19 +131,19 @@
     latest: BTreeMap<usize, GatewayReading>,
     request_id: u64,
     /// Hosts that have not answered the latest request.
-    awaited_hosts: usize,
+    pending_hosts: usize,
     /// When readings were requested last, or the time until which no request is sent by itself.
     pub requested_at: f64,
 }
 
 impl Readings {
     fn new(now: f64) -> Self {
-        Self { latest: BTreeMap::new(), request_id: 0, awaited_hosts: 0, requested_at: now }
+        Self { latest: BTreeMap::new(), request_id: 0, pending_hosts: 0, requested_at: now }
     }
 
     fn begin_request(&mut self, hosts: usize) -> u64 {
         self.request_id += 1;
-        self.awaited_hosts = hosts;
+        self.pending_hosts = hosts;
         self.request_id
     }
 
@@ -151,7 +151,7 @@
     pub fn receive(&mut self, request_id: u64, readings: Vec<GatewayReading>) {
         self.latest.extend(readings.into_iter().map(|reading| (reading.gateway, reading)));
         if request_id == self.request_id {
-            self.awaited_hosts = self.awaited_hosts.saturating_sub(1);
+            self.pending_hosts = self.pending_hosts.saturating_sub(1);
         }
     }
 
@@ -162,7 +162,7 @@
 
     /// Whether all hosts answered the latest request.
     pub fn is_complete(&self) -> bool {
-        self.awaited_hosts == 0
+        self.pending_hosts == 0
     }
 
     /// The latest reading of each hollow gateway that runs.
--- a/crates/scale-test/src/fleet/link_index.rs
+++ b/crates/scale-test/src/fleet/link_index.rs
@@ -1,6 +1,6 @@
 //! Which link of the relay belongs to whom.
 
-use crate::control::AUTHORS;
+use crate::control::AUTHOR_COUNT;
 use crate::plan::Plan;
 
 /// The order of the relay's links: the gateways' membership links, the control machines, the gateways' configuration
@@ -45,7 +45,7 @@
         }
         let machines = 0..self.control_machines;
         let machines = machines.map(|machine| plan.zones[plan.zone_of_control_machine(machine)].region);
-        let authors = (0..AUTHORS).map(|author| author % plan.regions.len());
+        let authors = (0..AUTHOR_COUNT).map(|author| author % plan.regions.len());
         gateways.clone().chain(machines).chain(gateways).chain(authors).collect()
     }
 }
--- a/crates/scale-test/src/fleet/link_index/tests.rs
+++ b/crates/scale-test/src/fleet/link_index/tests.rs
@@ -1,7 +1,7 @@
 //! Whose link is which.
 
 use super::LinkIndex;
-use crate::control::AUTHORS;
+use crate::control::AUTHOR_COUNT;
 use crate::plan::{Plan, read};
 
 fn plan(changes: bool) -> Plan {
@@ -31,7 +31,7 @@
     let mut indices: Vec<usize> = (0..4).map(|gateway| index.membership(gateway)).collect();
     indices.extend((0..3).map(|machine| index.control_machine(machine)));
     indices.extend((0..4).filter_map(|gateway| index.follower(gateway)));
-    indices.extend((0..AUTHORS).map(|author| index.author(author)));
+    indices.extend((0..AUTHOR_COUNT).map(|author| index.author(author)));
     let all: Vec<usize> = (0..index.regions(&plan).len()).collect();
     assert_eq!(indices, all);
 }
--- a/crates/scale-test/src/fleet/links.rs
+++ b/crates/scale-test/src/fleet/links.rs
@@ -85,18 +85,18 @@
     }
 
     /// Lets nothing pass between two regions.
-    pub fn cut_regions(&self, regions: RegionPair) {
+    pub fn partition_regions(&self, regions: RegionPair) {
         self.relay.set_partitioned(regions, true);
     }
 
     /// Lets datagrams pass between two regions again.
-    pub fn reconnect_regions(&self, regions: RegionPair) {
+    pub fn heal_partition(&self, regions: RegionPair) {
         self.relay.set_partitioned(regions, false);
     }
 
     /// What passed each link since the start.
     pub fn traffic(&self) -> Traffic {
-        Traffic { passed: self.relay.traffic(), index: self.index }
+        Traffic { per_link: self.relay.traffic(), index: self.index }
     }
 
     /// Datagrams that did not arrive since the start.
@@ -119,23 +119,23 @@
 
 /// Datagrams and bytes that passed each link since the start.
 pub struct Traffic {
-    passed: Vec<LinkTraffic>,
+    per_link: Vec<LinkTraffic>,
     index: LinkIndex,
 }
 
 impl Traffic {
     /// Of a gateway's membership link.
     pub fn membership(&self, gateway: usize) -> LinkTraffic {
-        self.passed[self.index.membership(gateway)]
+        self.per_link[self.index.membership(gateway)]
     }
 
     /// Of a gateway's configuration follower, if it has one.
     pub fn follower(&self, gateway: usize) -> Option<LinkTraffic> {
-        Some(self.passed[self.index.follower(gateway)?])
+        Some(self.per_link[self.index.follower(gateway)?])
     }
 
     /// Of a control machine.
     pub fn control_machine(&self, number: usize) -> LinkTraffic {
-        self.passed[self.index.control_machine(number)]
+        self.per_link[self.index.control_machine(number)]
     }
 }
--- a/crates/scale-test/src/fleet/load_monitor.rs
+++ b/crates/scale-test/src/fleet/load_monitor.rs
@@ -12,9 +12,9 @@
     /// Utilization of all cores in the latest second, from 0 to 1.
     pub latest_utilization: Option<f64>,
     /// The highest utilization of a second.
-    pub highest_utilization: Option<f64>,
+    pub peak_utilization: Option<f64>,
     /// The highest resident memory of all processes of the run together, in GB.
-    pub highest_memory_gb: f64,
+    pub peak_memory_gb: f64,
 }
 
 impl LoadMonitor {
@@ -24,8 +24,8 @@
             sampled_at: now,
             cores: CpuTime::read(),
             latest_utilization: None,
-            highest_utilization: None,
-            highest_memory_gb: 0.0,
+            peak_utilization: None,
+            peak_memory_gb: 0.0,
         }
     }
 
@@ -41,13 +41,13 @@
         if let (Some(cores), Some(before)) = (cores, self.cores) {
             let utilization = cores.utilization_since(before);
             self.latest_utilization = Some(utilization);
-            self.highest_utilization =
-                Some(self.highest_utilization.map_or(utilization, |highest| highest.max(utilization)));
+            self.peak_utilization =
+                Some(self.peak_utilization.map_or(utilization, |highest| highest.max(utilization)));
         }
         self.cores = cores;
         let megabytes: f64 = processes.iter().copied().filter_map(machine_load::process_memory_mb).sum();
         let gigabytes = megabytes / 1e3;
-        self.highest_memory_gb = self.highest_memory_gb.max(gigabytes);
+        self.peak_memory_gb = self.peak_memory_gb.max(gigabytes);
         gigabytes
     }
 }
--- a/crates/scale-test/src/fleet/messages.rs
+++ b/crates/scale-test/src/fleet/messages.rs
@@ -14,7 +14,7 @@
 const READING_TIMEOUT: f64 = 15.0;
 
 /// How often it is checked whether all hosts reported, in seconds.
-const READING_CHECK: f64 = 0.02;
+const READING_CHECK_INTERVAL: f64 = 0.02;
 
 impl Fleet {
     /// Receives messages until a time, in seconds on the machine's monotonic clock.
@@ -62,12 +62,12 @@
                 return Err(StopReason::Stopped);
             }
             ChildMessage::HostEnded { host } => return Err(ProcessFailure::HostEnded { host }.into()),
-            ChildMessage::Observed { gateway, incarnation, subject, state, at } => {
+            ChildMessage::MembershipChanged { gateway, incarnation, subject, state, at } => {
                 if self.real_gateways.is_current(gateway, incarnation) {
                     self.trackers.membership.record_report(gateway, subject, state, at);
                 }
             }
-            ChildMessage::Applied { gateway, incarnation, number, at } => {
+            ChildMessage::ChangesApplied { gateway, incarnation, number, at } => {
                 if self.real_gateways.is_current(gateway, incarnation) {
                     self.trackers.changes.record_applied(gateway, number, at);
                 }
@@ -133,7 +133,7 @@
         // No other request is sent meanwhile.
         self.hosts.readings.requested_at = until;
         while !self.hosts.readings.is_complete() && clock() < until {
-            self.process_messages(clock() + READING_CHECK)?;
+            self.process_messages(clock() + READING_CHECK_INTERVAL)?;
         }
         self.hosts.readings.requested_at = clock();
         Ok(())
--- a/crates/scale-test/src/fleet/proposals.rs
+++ b/crates/scale-test/src/fleet/proposals.rs
@@ -1,6 +1,6 @@
 //! Which author proposes which change, and when.
 
-use crate::control::AUTHORS;
+use crate::control::AUTHOR_COUNT;
 use crate::proposal::ScheduledChange;
 
 /// The changes that one author is to propose.
@@ -22,10 +22,11 @@
     /// Schedules changes evenly over `duration` seconds from `start` on. Gives the schedule of each author that has
     /// some.
     pub fn schedule(&mut self, changes: usize, start: f64, duration: f64) -> Vec<AuthorSchedule> {
-        let mut by_author: Vec<Vec<ScheduledChange>> = vec![Vec::new(); AUTHORS];
+        let mut by_author: Vec<Vec<ScheduledChange>> = vec![Vec::new(); AUTHOR_COUNT];
         for number in 0..changes {
             let due_at = start + duration * number as f64 / changes as f64;
-            by_author[number % AUTHORS].push(ScheduledChange { change: self.next_change + number, due_at });
+            by_author[number % AUTHOR_COUNT]
+                .push(ScheduledChange { change: self.next_change + number, due_at });
         }
         self.next_change += changes;
         let schedules = by_author.into_iter().enumerate();
--- a/crates/scale-test/src/fleet/proposals/tests.rs
+++ b/crates/scale-test/src/fleet/proposals/tests.rs
@@ -1,7 +1,7 @@
 //! Which author proposes which change, and when.
 
 use super::ProposalSchedule;
-use crate::control::AUTHORS;
+use crate::control::AUTHOR_COUNT;
 
 #[test]
 fn changes_are_dealt_out_to_authors_in_turn_and_spread_evenly() {
@@ -16,10 +16,10 @@
 
 #[test]
 fn an_author_has_several_changes_where_there_are_more_than_authors() {
-    let by_author = ProposalSchedule::default().schedule(AUTHORS + 1, 0.0, 0.0);
-    assert_eq!(by_author.len(), AUTHORS);
+    let by_author = ProposalSchedule::default().schedule(AUTHOR_COUNT + 1, 0.0, 0.0);
+    assert_eq!(by_author.len(), AUTHOR_COUNT);
     let numbers: Vec<usize> = by_author[0].changes.iter().map(|scheduled| scheduled.change).collect();
-    assert_eq!(numbers, [0, AUTHORS]);
+    assert_eq!(numbers, [0, AUTHOR_COUNT]);
 }
 
 #[test]
--- a/crates/scale-test/src/fleet/real_gateways.rs
+++ b/crates/scale-test/src/fleet/real_gateways.rs
@@ -76,9 +76,9 @@
         }
         let (polling, reachable, messages) =
             (self.polling.clone(), self.reachable.clone(), self.messages.clone());
-        let is_there =
+        let should_poll =
             move || polling.load(Ordering::Acquire) && reachable.has_membership_address(gateway, address);
-        budget_poller::start(gateway, config, is_there, messages)?;
+        budget_poller::start(gateway, config, should_poll, messages)?;
         Ok(())
     }
 
@@ -110,12 +110,12 @@
     }
 
     /// Resident memory of each, in MB.
-    pub fn memory(&self) -> BTreeMap<usize, f64> {
+    pub fn memory_mb(&self) -> BTreeMap<usize, f64> {
         self.map_processes(|process| machine_load::process_memory_mb(process.process_id()))
     }
 
     /// Processor time of each one's thread of that name, in seconds.
-    pub fn thread_cpu(&self, thread: &str) -> BTreeMap<usize, f64> {
+    pub fn thread_cpu_seconds(&self, thread: &str) -> BTreeMap<usize, f64> {
         self.map_processes(|process| machine_load::thread_cpu_seconds(process.process_id(), thread))
     }
 
--- a/crates/scale-test/src/fleet/resource_usage.rs
+++ b/crates/scale-test/src/fleet/resource_usage.rs
@@ -12,9 +12,9 @@
     }
 
     /// Resident memory of each gateway that runs, in MB: a real one's process, a hollow one's part of its host.
-    pub fn gateway_memory(&self) -> BTreeMap<usize, f64> {
-        let mut memory = self.hosts.memory(&self.running_hollow_gateways());
-        memory.extend(self.real_gateways.memory());
+    pub fn gateway_memory_mb(&self) -> BTreeMap<usize, f64> {
+        let mut memory = self.hosts.memory_mb(&self.running_hollow_gateways());
+        memory.extend(self.real_gateways.memory_mb());
         memory
     }
 }
--- a/crates/scale-test/src/gateway_config.rs
+++ b/crates/scale-test/src/gateway_config.rs
@@ -17,7 +17,7 @@
 const SEED_BOUND: u64 = 9_000_000_000_000_000;
 
 /// An address where nobody listens, for configurations that need a worker and use none.
-const UNUSED_WORKER: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
+const UNUSED_WORKER_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
 /// A configuration text that this package wrote was not accepted, with every error in it.
 #[derive(Debug)]
@@ -81,7 +81,7 @@
     gateway: usize,
     addresses: &AddressMap,
 ) -> Result<GatewayConfig, InvalidConfig> {
-    let text = gateway_text(plan, gateway, addresses, &[SocketAddr::from(UNUSED_WORKER)]);
+    let text = gateway_text(plan, gateway, addresses, &[SocketAddr::from(UNUSED_WORKER_ADDRESS)]);
     let mut config = parse(&text)?;
     config.source = WorkerSource::List(Vec::new());
     Ok(config)
@@ -89,7 +89,7 @@
 
 /// The configuration text of a control machine, or of a client of the control machines at these addresses.
 pub fn control_text(control_machines: &[SocketAddr], addresses: &AddressMap) -> String {
-    let common = common_sections(&[SocketAddr::from(UNUSED_WORKER)]);
+    let common = common_sections(&[SocketAddr::from(UNUSED_WORKER_ADDRESS)]);
     let changes = changes_section_start(control_machines, addresses);
     format!("listen = \"127.0.0.1:0\"\n{common}{changes}  name = \"control\"\n}}\n")
 }
@@ -127,21 +127,21 @@
          key = \"{}\"\n  period = {period}\n  lease = {lease}\n  floor = {floor}\n}}\n",
         addresses.gateways[gateway],
         gateway_name(gateway),
-        quoted(seeds),
+        quoted_list(seeds),
         peers_key(addresses).display(),
     )
 }
 
 /// The section `changes` without its end.
 fn changes_section_start(control_machines: &[SocketAddr], addresses: &AddressMap) -> String {
-    let control = quoted(control_machines.iter().copied());
+    let control = quoted_list(control_machines.iter().copied());
     let key = changes_key(addresses);
     format!("changes {{\n  control = [{control}]\n  key = \"{}\"\n", key.display())
 }
 
-fn quoted(addresses: impl Iterator<Item = SocketAddr>) -> String {
-    let quoted: Vec<String> = addresses.map(|address| format!("\"{address}\"")).collect();
-    quoted.join(", ")
+fn quoted_list(addresses: impl Iterator<Item = SocketAddr>) -> String {
+    let quoted_list: Vec<String> = addresses.map(|address| format!("\"{address}\"")).collect();
+    quoted_list.join(", ")
 }
 
 /// Writes the keys of the membership links and of the control machines.
--- a/crates/scale-test/src/host/status_output.rs
+++ b/crates/scale-test/src/host/status_output.rs
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub struct StatusOutput {
     observations: ObservationBuffer,
-    turn: Mutex<()>,
+    write_lock: Mutex<()>,
 }
 
 impl StatusOutput {
@@ -51,14 +51,14 @@
 
     /// Waits until nobody else writes.
     pub fn lock(&self) -> StatusWriter<'_> {
-        StatusWriter { observations: &self.observations, _turn: lock(&self.turn) }
+        StatusWriter { observations: &self.observations, _write_lock: lock(&self.write_lock) }
     }
 }
 
 /// The right to write; others wait until it is dropped.
 pub struct StatusWriter<'a> {
     observations: &'a ObservationBuffer,
-    _turn: MutexGuard<'a, ()>,
+    _write_lock: MutexGuard<'a, ()>,
 }
 
 impl StatusWriter<'_> {
--- a/crates/scale-test/src/membership_tracker.rs
+++ b/crates/scale-test/src/membership_tracker.rs
@@ -140,11 +140,11 @@
                 self.pending_death[pair] = since;
             }
         }
-        self.forget_observer(gateway);
+        self.clear_observer(gateway);
     }
 
     /// Clears all that a gateway observed and has to learn.
-    fn forget_observer(&mut self, observer: usize) {
+    fn clear_observer(&mut self, observer: usize) {
         self.believed_alive.fill_row(observer, 0);
         for pending in [&mut self.pending_death, &mut self.pending_join, &mut self.pending_healing] {
             pending.fill_row(observer, NOTHING_PENDING);
@@ -194,15 +194,15 @@
     fn record_alive(&mut self, pair: Pair, at: f32) {
         self.reported_alive_at[pair] = at;
         self.believed_alive[pair] = self.believed_alive[pair].saturating_add(1);
-        if !learn(&mut self.pending_join[pair], at, &mut self.times.join) {
-            learn(&mut self.pending_healing[pair], at, &mut self.times.healing);
+        if !resolve_pending(&mut self.pending_join[pair], at, &mut self.times.join) {
+            resolve_pending(&mut self.pending_healing[pair], at, &mut self.times.healing);
         }
     }
 
     fn record_dead(&mut self, pair: Pair, at: f32) {
         self.reported_dead_at[pair] = at;
         self.believed_alive[pair] = self.believed_alive[pair].saturating_sub(1);
-        let was_expected = learn(&mut self.pending_death[pair], at, &mut self.times.death);
+        let was_expected = resolve_pending(&mut self.pending_death[pair], at, &mut self.times.death);
         let is_reachable = self.is_running(pair.subject) && !self.is_partitioned(pair);
         if !was_expected && is_reachable && self.believed_alive[pair] == 0 {
             self.times.false_deaths += 1;
@@ -228,7 +228,7 @@
 
     /// Of how many gateways that run all others know that they do.
     #[must_use]
-    pub fn agreed_gateways(&self) -> usize {
+    pub fn gateways_known_to_all(&self) -> usize {
         let is_known_by_all = |subject: usize| {
             let observers = (0..self.size).filter(|other| *other != subject && self.is_running(*other));
             observers.into_iter().all(|observer| self.believed_alive[Pair { observer, subject }] > 0)
@@ -239,26 +239,26 @@
     /// Ends a play, and gives what was learnt in it. What is still to be learnt counts as never.
     pub fn take_times(&mut self) -> ConvergenceTimes {
         let mut times = std::mem::take(&mut self.times);
-        times.death.never = give_up(&mut self.pending_death);
-        times.join.never = give_up(&mut self.pending_join);
-        times.healing.never = give_up(&mut self.pending_healing);
+        times.death.never = clear_pending(&mut self.pending_death);
+        times.join.never = clear_pending(&mut self.pending_join);
+        times.healing.never = clear_pending(&mut self.pending_healing);
         times
     }
 }
 
 /// An observer reports something: whether that was to be learnt by then, in which case the time that it took is added.
-fn learn(pending: &mut PendingSince, at: f32, samples: &mut ConvergenceSamples) -> bool {
+fn resolve_pending(pending: &mut PendingSince, at: f32, samples: &mut ConvergenceSamples) -> bool {
     let since = *pending;
-    let is_learnt = since <= at;
-    if is_learnt {
+    let is_resolved = since <= at;
+    if is_resolved {
         *pending = NOTHING_PENDING;
         samples.seconds.push(at - since);
     }
-    is_learnt
+    is_resolved
 }
 
 /// Forgets what is still to be learnt, and gives how much that was.
-fn give_up(pending: &mut PairMatrix<PendingSince>) -> usize {
+fn clear_pending(pending: &mut PairMatrix<PendingSince>) -> usize {
     let count = pending.iter().filter(|since| **since != NOTHING_PENDING).count();
     pending.fill(NOTHING_PENDING);
     count
--- a/crates/scale-test/src/plan/reader.rs
+++ b/crates/scale-test/src/plan/reader.rs
@@ -108,17 +108,17 @@
 }
 
 /// Calls to the real gateways.
-struct Calls {
+struct CallSettings {
     per_second: f64,
     functions: usize,
 }
 
-fn read_calls(root: &Section<'_>) -> Calls {
+fn read_calls(root: &Section<'_>) -> CallSettings {
     let section = root.block("functions");
     let section = section.as_ref();
     let per_second = section.and_then(|calls| calls.number("calls", "calls a second", 0.0..=1_000.0));
     let functions = section.and_then(|calls| calls.count("names", "functions", 1..=1_000_000));
-    Calls { per_second: per_second.unwrap_or(0.0), functions: functions.unwrap_or(1) }
+    CallSettings { per_second: per_second.unwrap_or(0.0), functions: functions.unwrap_or(1) }
 }
 
 fn read_limits(root: &Section<'_>) -> ResourceLimits {
--- a/crates/scale-test/src/plan/region.rs
+++ b/crates/scale-test/src/plan/region.rs
@@ -21,7 +21,7 @@
 impl RegionPair {
     /// Whether a link between these two regions is one between this pair, in either direction.
     #[must_use]
-    pub fn joins(self, from: usize, to: usize) -> bool {
+    pub fn connects(self, from: usize, to: usize) -> bool {
         (from, to) == (self.first, self.second) || (from, to) == (self.second, self.first)
     }
 }
--- a/crates/scale-test/src/relay.rs
+++ b/crates/scale-test/src/relay.rs
@@ -9,7 +9,7 @@
 
 use crate::plan::RegionPair;
 use forwarder::Forwarder;
-use shared::Shared;
+use shared::SharedState;
 use std::collections::BTreeSet;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -43,7 +43,7 @@
 
 /// The relay. Its threads end when it is dropped.
 pub struct Relay {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -56,7 +56,7 @@
     /// The system has no more sockets or threads.
     pub fn start(delays: LinkDelays, threads: usize, seed: u64) -> io::Result<Self> {
         let threads = threads.max(1);
-        let shared = Arc::new(Shared::open(delays)?);
+        let shared = Arc::new(SharedState::open(delays)?);
         // If a thread can't be started, dropping this ends those that run.
         let mut relay = Self { shared, threads: Vec::new() };
         for number in 0..threads {
--- a/crates/scale-test/src/relay/forwarder.rs
+++ b/crates/scale-test/src/relay/forwarder.rs
@@ -1,7 +1,7 @@
 //! One thread of the relay: receives datagrams for its links, and delivers each when it is due.
 
-use super::in_flight::{InFlight, InFlightQueue};
-use super::shared::Shared;
+use super::in_flight::{InFlightDatagram, InFlightQueue};
+use super::shared::SharedState;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use oorandom::Rand64;
 use std::io::{self, ErrorKind};
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 /// Bytes of a datagram that is received completely; those of gateways are far smaller.
-const MAX_DATAGRAM: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
 /// Datagrams that are received at one link in a row, so that a flood at one does not delay the others.
-const MAX_IN_A_ROW: usize = 32;
+const MAX_RECEIVE_BATCH: usize = 32;
 
 /// Links that are reported ready at a time.
 const MAX_EVENTS: usize = 64;
@@ -22,11 +22,11 @@
 /// The longest time for which a thread waits before it checks whether it is to stop.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 
-type Buffer = [u8; MAX_DATAGRAM];
+type Buffer = [u8; MAX_DATAGRAM_BYTES];
 
 /// One thread of the relay.
 pub struct Forwarder {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     epoll: Epoll,
     started_at: Instant,
     in_flight: InFlightQueue,
@@ -39,7 +39,7 @@
     /// # Errors
     ///
     /// The system can't poll the sockets.
-    pub fn new(shared: Arc<Shared>, links: impl Iterator<Item = usize>, seed: u64) -> io::Result<Self> {
+    pub fn new(shared: Arc<SharedState>, links: impl Iterator<Item = usize>, seed: u64) -> io::Result<Self> {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
         for link in links {
             let event = EpollEvent::new(EpollFlags::EPOLLIN, link as u64);
@@ -57,7 +57,7 @@
     /// Forwards datagrams until the relay is dropped.
     pub fn run(&mut self) {
         let mut events = [EpollEvent::empty(); MAX_EVENTS];
-        let mut buffer: Buffer = [0; MAX_DATAGRAM];
+        let mut buffer: Buffer = [0; MAX_DATAGRAM_BYTES];
         while !self.shared.stop.load(Ordering::Acquire) {
             let ready = match self.epoll.wait(&mut events, EpollTimeout::from(self.wait_millis())) {
                 Ok(ready) => ready,
@@ -81,7 +81,7 @@
     /// Receives what was sent to the owner of a link.
     fn receive(&mut self, to: usize, buffer: &mut Buffer) {
         let shared = self.shared.clone();
-        for _ in 0..MAX_IN_A_ROW {
+        for _ in 0..MAX_RECEIVE_BATCH {
             match shared.links[to].socket.recv_from(buffer) {
                 Ok((size, source)) => {
                     if let Some(from) = shared.link_at(source.port()) {
@@ -111,7 +111,7 @@
     /// Delivers the datagrams that are due.
     fn deliver_due(&mut self) {
         let now = self.started_at.elapsed();
-        while let Some(InFlight { from, to, bytes, .. }) = self.in_flight.pop_due(now) {
+        while let Some(InFlightDatagram { from, to, bytes, .. }) = self.in_flight.pop_due(now) {
             let Some(port) = self.shared.links[to].owner_port() else { continue };
             // The receiver sees the address of the sender's link, to which it can answer.
             let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
--- a/crates/scale-test/src/relay/in_flight.rs
+++ b/crates/scale-test/src/relay/in_flight.rs
@@ -9,7 +9,7 @@
 const CAPACITY: usize = 1 << 18;
 
 /// A datagram in flight.
-pub struct InFlight {
+pub struct InFlightDatagram {
     /// When it is due, since its thread started.
     pub due: Duration,
     /// Distinguishes datagrams that are due at the same time; the earlier one has the lower number.
@@ -22,31 +22,31 @@
     pub bytes: Box<[u8]>,
 }
 
-impl Ord for InFlight {
+impl Ord for InFlightDatagram {
     /// The datagram that is due first is the greatest, so that a `BinaryHeap` gives it first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.due, other.sequence).cmp(&(self.due, self.sequence))
     }
 }
 
-impl PartialOrd for InFlight {
+impl PartialOrd for InFlightDatagram {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for InFlight {
+impl PartialEq for InFlightDatagram {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for InFlight {}
+impl Eq for InFlightDatagram {}
 
 /// A queue of datagrams by when they are due.
 #[derive(Default)]
 pub struct InFlightQueue {
-    heap: BinaryHeap<InFlight>,
+    heap: BinaryHeap<InFlightDatagram>,
     next_sequence: u64,
 }
 
@@ -60,7 +60,7 @@
     pub fn push(&mut self, due: Duration, from: usize, to: usize, bytes: Box<[u8]>) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.heap.push(InFlight { due, sequence, from, to, bytes });
+        self.heap.push(InFlightDatagram { due, sequence, from, to, bytes });
     }
 
     /// When the next datagram is due, if there is one.
@@ -69,7 +69,7 @@
     }
 
     /// Removes the next datagram that is due by now.
-    pub fn pop_due(&mut self, now: Duration) -> Option<InFlight> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<InFlightDatagram> {
         if self.next_due()? > now {
             return None;
         }
--- a/crates/scale-test/src/relay/shared.rs
+++ b/crates/scale-test/src/relay/shared.rs
@@ -14,12 +14,12 @@
 
 /// Datagrams and bytes in one direction.
 #[derive(Default)]
-pub struct Counter {
+pub struct TrafficCounter {
     datagrams: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Counter {
+impl TrafficCounter {
     /// Counts a datagram of that size.
     pub fn add(&self, bytes: usize) {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
@@ -32,9 +32,9 @@
     /// The socket at which the others reach the owner.
     pub socket: UdpSocket,
     /// What the owner received.
-    pub received: Counter,
+    pub received: TrafficCounter,
     /// What the owner sent.
-    pub sent: Counter,
+    pub sent: TrafficCounter,
     owner_port: AtomicU16,
 }
 
@@ -42,7 +42,7 @@
     fn open() -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.set_nonblocking(true)?;
-        let (received, sent) = (Counter::default(), Counter::default());
+        let (received, sent) = (TrafficCounter::default(), TrafficCounter::default());
         Ok(Self { socket, received, sent, owner_port: AtomicU16::new(NO_PORT) })
     }
 
@@ -63,7 +63,7 @@
 }
 
 /// What the relay and its threads share.
-pub struct Shared {
+pub struct SharedState {
     /// All links, by their numbers.
     pub links: Vec<Link>,
     /// Latency and loss between them.
@@ -80,7 +80,7 @@
     pub stop: AtomicBool,
 }
 
-impl Shared {
+impl SharedState {
     /// Opens a socket for each link.
     ///
     /// # Errors
@@ -108,8 +108,8 @@
     /// The owner of a link listens at this port from now on; an earlier owner of the port does not any more.
     pub fn attach(&self, link: usize, port: u16) {
         self.detach(link);
-        let former = self.link_at_port[usize::from(port)].swap(entry_of(link), Ordering::AcqRel);
-        if let Some(former) = link_of(former) {
+        let former = self.link_at_port[usize::from(port)].swap(entry_for_link(link), Ordering::AcqRel);
+        if let Some(former) = link_for_entry(former) {
             let former = &self.links[former].owner_port;
             // If it listens elsewhere by now, it stays there.
             let _ = former.compare_exchange(port, NO_PORT, Ordering::AcqRel, Ordering::Acquire);
@@ -122,12 +122,12 @@
         let port = self.links[link].owner_port.swap(NO_PORT, Ordering::AcqRel);
         let entry = &self.link_at_port[usize::from(port)];
         // If another link has the port by now, it keeps it.
-        let _ = entry.compare_exchange(entry_of(link), NO_LINK, Ordering::AcqRel, Ordering::Acquire);
+        let _ = entry.compare_exchange(entry_for_link(link), NO_LINK, Ordering::AcqRel, Ordering::Acquire);
     }
 
     /// The link whose owner listens at a port. None for a process that has just stopped, or is not of this fleet.
     pub fn link_at(&self, port: u16) -> Option<usize> {
-        link_of(self.link_at_port[usize::from(port)].load(Ordering::Acquire))
+        link_for_entry(self.link_at_port[usize::from(port)].load(Ordering::Acquire))
     }
 
     /// Cuts two regions off from each other, or ends that.
@@ -154,11 +154,11 @@
 }
 
 /// The entry of a link in the table of ports.
-fn entry_of(link: usize) -> u16 {
+fn entry_for_link(link: usize) -> u16 {
     link as u16 + 1
 }
 
 /// The link of an entry in the table of ports.
-fn link_of(entry: u16) -> Option<usize> {
+fn link_for_entry(entry: u16) -> Option<usize> {
     usize::from(entry).checked_sub(1)
 }
--- a/crates/scale-test/src/report/bounds.rs
+++ b/crates/scale-test/src/report/bounds.rs
@@ -12,14 +12,14 @@
 
 /// The bounds that a run broke, in the order of the report.
 pub(super) fn broken_bounds(report: &Report, plan: &Plan) -> Vec<BrokenBound> {
-    let stopped = report.stop_reason.iter().map(|reason| of_stop_reason(reason, plan));
-    let plays = report.plays.iter().flat_map(|play| of_play(play, &plan.limits));
+    let stopped = report.stop_reason.iter().map(|reason| stop_reason_bound(reason, plan));
+    let plays = report.plays.iter().flat_map(|play| play_bounds(play, &plan.limits));
     let state = report.state.as_ref().and_then(FinalState::broken_bound);
-    let budgets = report.budgets.iter().filter_map(|(name, worst)| of_budget(name, worst));
+    let budgets = report.budgets.iter().filter_map(|(name, worst)| budget_bound(name, worst));
     stopped.chain(plays).chain(state).chain(budgets).collect()
 }
 
-fn of_stop_reason(reason: &StopReason, plan: &Plan) -> BrokenBound {
+fn stop_reason_bound(reason: &StopReason, plan: &Plan) -> BrokenBound {
     match reason {
         StopReason::Stopped => BrokenBound::Stopped,
         StopReason::TimeLimit => BrokenBound::TimeLimit { limit: plan.time_limit },
@@ -30,20 +30,20 @@
     }
 }
 
-fn of_play(play: &PlayResult, limits: &ResourceLimits) -> Vec<BrokenBound> {
-    let convergence = play.convergence.and_then(|convergence| of_convergence(&play.label, convergence));
+fn play_bounds(play: &PlayResult, limits: &ResourceLimits) -> Vec<BrokenBound> {
+    let convergence = play.convergence.and_then(|convergence| convergence_bound(&play.label, convergence));
     let changes =
-        play.changes.iter().flat_map(|changes| of_changes(&play.label, changes, limits.change_seconds));
-    let cost = play.control_cost.iter().flat_map(|cost| of_control_cost(&play.label, cost, limits));
+        play.changes.iter().flat_map(|changes| change_bounds(&play.label, changes, limits.change_seconds));
+    let cost = play.control_cost.iter().flat_map(|cost| control_cost_bounds(&play.label, cost, limits));
     convergence.into_iter().chain(changes).chain(cost).collect()
 }
 
-fn of_convergence(play: &str, convergence: Convergence) -> Option<BrokenBound> {
-    let Convergence { after: None, waited, agreed, of } = convergence else { return None };
-    Some(BrokenBound::NotConverged { play: play.to_owned(), agreed, of, waited })
+fn convergence_bound(play: &str, convergence: Convergence) -> Option<BrokenBound> {
+    let Convergence { after: None, waited, known_to_all, total } = convergence else { return None };
+    Some(BrokenBound::NotConverged { play: play.to_owned(), known_to_all, total, waited })
 }
 
-fn of_changes(play: &str, changes: &ChangeOutcomes, limit: Option<f64>) -> Vec<BrokenBound> {
+fn change_bounds(play: &str, changes: &ChangeOutcomes, limit: Option<f64>) -> Vec<BrokenBound> {
     let play = play.to_owned();
     let uncommitted = changes.uncommitted.first().map(|first| BrokenBound::Uncommitted {
         play: play.clone(),
@@ -55,15 +55,15 @@
     let never_applied = (never > 0).then(|| BrokenBound::NeverApplied {
         play: play.clone(),
         never,
-        gateways: changes.gateways_without,
+        gateways: changes.gateways_missing_changes,
     });
     let gateways = changes.catch_up_times.never;
     let never_caught_up = (gateways > 0).then(|| BrokenBound::NeverCaughtUp { play: play.clone(), gateways });
-    let too_late = limit.and_then(|limit| of_propagation(&play, changes, limit));
+    let too_late = limit.and_then(|limit| propagation_bound(&play, changes, limit));
     [uncommitted, never_applied, never_caught_up, too_late].into_iter().flatten().collect()
 }
 
-fn of_propagation(play: &str, changes: &ChangeOutcomes, limit: f64) -> Option<BrokenBound> {
+fn propagation_bound(play: &str, changes: &ChangeOutcomes, limit: f64) -> Option<BrokenBound> {
     let seconds = &changes.propagation_times.seconds;
     let worst = changes.propagation_times.summary()?.distribution?.worst;
     (worst > limit).then(|| BrokenBound::AppliedTooLate {
@@ -71,7 +71,7 @@
         worst,
         limit,
         late: seconds.iter().filter(|taken| f64::from(**taken) > limit).count(),
-        of: seconds.len(),
+        total: seconds.len(),
     })
 }
 
@@ -83,7 +83,7 @@
     limit: Option<f64>,
 }
 
-fn of_control_cost(play: &str, cost: &ControlCost, limits: &ResourceLimits) -> Vec<BrokenBound> {
+fn control_cost_bounds(play: &str, cost: &ControlCost, limits: &ResourceLimits) -> Vec<BrokenBound> {
     let limited = |resource, unit, figures, limit| LimitedFigure { resource, unit, figures, limit };
     let all = [
         limited("cpu", "of a core", &cost.cpu, limits.cpu_cores),
@@ -91,10 +91,10 @@
         limited("bytes_in", "bytes a second", &cost.bytes_in, limits.bytes_per_second),
         limited("bytes_out", "bytes a second", &cost.bytes_out, limits.bytes_per_second),
     ];
-    all.iter().filter_map(|figure| of_limited_figure(play, figure)).collect()
+    all.iter().filter_map(|figure| limited_figure_bound(play, figure)).collect()
 }
 
-fn of_limited_figure(play: &str, limited: &LimitedFigure<'_>) -> Option<BrokenBound> {
+fn limited_figure_bound(play: &str, limited: &LimitedFigure<'_>) -> Option<BrokenBound> {
     let limit = limited.limit?;
     let over = || limited.figures.iter().filter(|figure| figure.value > limit);
     let worst = over().max_by(|a, b| a.value.total_cmp(&b.value))?;
@@ -106,11 +106,11 @@
         worst: worst.value,
         limit,
         over: over().count(),
-        of: limited.figures.len(),
+        total: limited.figures.len(),
     })
 }
 
-fn of_budget(name: &str, worst: &WorstTotal) -> Option<BrokenBound> {
+fn budget_bound(name: &str, worst: &WorstTotal) -> Option<BrokenBound> {
     (worst.broken_seconds > 0).then(|| BrokenBound::Budget {
         budget: name.to_owned(),
         sum: worst.sum,
--- a/crates/scale-test/src/report/broken_bound.rs
+++ b/crates/scale-test/src/report/broken_bound.rs
@@ -1,6 +1,6 @@
 //! Bounds that a run can break, and the texts by which reports name them.
 
-use super::figures::short;
+use super::figures::format_figure;
 use super::final_state::Agreement;
 
 /// A bound that a run broke: which, by how much, where. Its text is part of the report's JSON.
@@ -30,14 +30,14 @@
         reason: String,
     },
     /// The fleet did not converge in time.
-    #[error("never settled in {play}: {agreed} of {of} believed by all after {waited:.1} s")]
+    #[error("never settled in {play}: {known_to_all} of {total} believed by all after {waited:.1} s")]
     NotConverged {
         /// The play's label.
         play: String,
         /// Gateways of which all others had the correct view.
-        agreed: usize,
+        known_to_all: usize,
         /// Gateways that ran.
-        of: usize,
+        total: usize,
         /// Seconds for which convergence was waited for.
         waited: f64,
     },
@@ -75,8 +75,8 @@
     },
     /// A change was applied too late somewhere.
     #[error(
-        "known.change in {play}: {} s where {} are granted, later at {late} of {of} changes and gateways",
-        short(*worst), short(*limit)
+        "known.change in {play}: {} s where {} are granted, later at {late} of {total} changes and gateways",
+        format_figure(*worst), format_figure(*limit)
     )]
     AppliedTooLate {
         /// The play's label.
@@ -88,12 +88,12 @@
         /// Pairs of a change and a gateway that took longer.
         late: usize,
         /// All such pairs.
-        of: usize,
+        total: usize,
     },
     /// Control used more of a resource than it may.
     #[error(
-        "control.{resource} in {play}: {} {unit} at gateway-{gateway} where {} are granted, over it at {over} of {of}",
-        short(*worst), short(*limit)
+        "control.{resource} in {play}: {} {unit} at gateway-{gateway} where {} are granted, over it at {over} of {total}",
+        format_figure(*worst), format_figure(*limit)
     )]
     ControlCost {
         /// The resource, by its name in JSON.
@@ -111,12 +111,12 @@
         /// Gateways that used more than they may.
         over: usize,
         /// All gateways that were measured.
-        of: usize,
+        total: usize,
     },
     /// Gateways or control machines have applied different changes at the end.
     #[error(
         "state: {} of {} gateways and {} of {} control machines are at number {number} with digest {digest:016x}",
-        gateways.equal, gateways.of, control_machines.equal, control_machines.of
+        gateways.agreeing, gateways.total, control_machines.agreeing, control_machines.total
     )]
     StateDiffers {
         /// Gateways that are at the most common state.
@@ -139,7 +139,7 @@
     /// All gateways together may have used more than a shared budget has.
     #[error(
         "budget {budget}: all together might use {} where there is {}, in {broken} of {seconds} seconds, first in {play}",
-        short(*sum), short(*bound)
+        format_figure(*sum), format_figure(*bound)
     )]
     Budget {
         /// The budget's name.
--- a/crates/scale-test/src/report/figures.rs
+++ b/crates/scale-test/src/report/figures.rs
@@ -101,7 +101,7 @@
 }
 
 /// A figure with as many digits as mean something.
-pub(super) fn short(figure: f64) -> String {
+pub(super) fn format_figure(figure: f64) -> String {
     match figure.abs() {
         x if x >= 100.0 => format!("{figure:.0}"),
         x if x >= 1.0 => format!("{figure:.2}"),
--- a/crates/scale-test/src/report/final_state.rs
+++ b/crates/scale-test/src/report/final_state.rs
@@ -8,14 +8,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Agreement {
     /// Those that have it.
-    pub equal: usize,
+    pub agreeing: usize,
     /// All.
-    pub of: usize,
+    pub total: usize,
 }
 
 impl Agreement {
     fn is_complete(self) -> bool {
-        self.equal == self.of
+        self.agreeing == self.total
     }
 }
 
@@ -44,8 +44,8 @@
     ) -> Self {
         let most_common = most_common_state(gateways);
         let agreement = |states: &[Option<AppliedState>]| Agreement {
-            equal: states.iter().filter(|state| **state == Some(most_common)).count(),
-            of: states.len(),
+            agreeing: states.iter().filter(|state| **state == Some(most_common)).count(),
+            total: states.len(),
         };
         Self {
             latest_committed,
--- a/crates/scale-test/src/report/json.rs
+++ b/crates/scale-test/src/report/json.rs
@@ -25,8 +25,8 @@
             "real": self.real_gateways,
             "seed": self.seed,
             "seconds": self.seconds,
-            "broken": texts(&self.broken),
-            "not_played": texts(&self.not_played),
+            "broken": to_strings(&self.broken),
+            "not_played": to_strings(&self.not_played),
             "plays": self.plays.iter().map(play_json).collect::<Vec<_>>(),
             "machine": machine_json(&self.machine),
         });
@@ -34,24 +34,24 @@
             insert_measured(&mut report, "control", distributions_json(&cost.distributions()));
             insert_breakdowns(&mut report, cost);
         }
-        insert(&mut report, "per_change", self.cost_per_change());
-        insert(&mut report, "state", self.state.as_ref().map(state_json));
+        insert_some(&mut report, "per_change", self.cost_per_change());
+        insert_some(&mut report, "state", self.state.as_ref().map(state_json));
         insert_measured(&mut report, "known", summaries_json(&self.plays));
         if !self.budgets.is_empty() {
             report["budgets"] = json!(self.budgets);
         }
-        insert(&mut report, "calls", self.calls.map(calls_json));
+        insert_some(&mut report, "calls", self.calls.map(calls_json));
         report
     }
 }
 
 /// Texts of bounds and plays.
-fn texts(all: &[impl ToString]) -> Vec<String> {
+fn to_strings(all: &[impl ToString]) -> Vec<String> {
     all.iter().map(ToString::to_string).collect()
 }
 
 /// Sets a field where there is a value for it.
-fn insert(object: &mut Value, key: &str, value: Option<impl Serialize>) {
+fn insert_some(object: &mut Value, key: &str, value: Option<impl Serialize>) {
     if let Some(value) = value {
         object[key] = json!(value);
     }
@@ -84,8 +84,8 @@
         "seconds": result.seconds,
         "false_deaths": result.membership_times.false_deaths,
     });
-    insert(&mut play, "settled", result.convergence.map(convergence_json));
-    insert(&mut play, "gone_known", result.failure_known.map(failure_json));
+    insert_some(&mut play, "settled", result.convergence.map(convergence_json));
+    insert_some(&mut play, "gone_known", result.failure_detection.map(failure_json));
     insert_measured(&mut play, "known", summaries_json(std::slice::from_ref(result)));
     if let Some(cost) = &result.control_cost {
         play["control"] = Value::Object(distributions_json(&cost.distributions()));
@@ -93,21 +93,21 @@
         insert_breakdowns(&mut play, cost);
     }
     let proposed = result.changes.as_ref().filter(|changes| changes.proposed > 0);
-    insert(&mut play, "changes", proposed.map(changes_json));
-    insert(&mut play, "killed_control", result.killed_control_machine);
-    insert(&mut play, "list", result.endpoint_updates.as_ref().map(endpoint_updates_json));
+    insert_some(&mut play, "changes", proposed.map(changes_json));
+    insert_some(&mut play, "killed_control", result.killed_control_machine);
+    insert_some(&mut play, "list", result.endpoint_updates.as_ref().map(endpoint_updates_json));
     play
 }
 
-fn convergence_json(Convergence { after, waited, agreed, of }: Convergence) -> Value {
+fn convergence_json(Convergence { after, waited, known_to_all, total }: Convergence) -> Value {
     match after {
-        Some(after) => json!({"after": after, "believed_by_all": agreed, "of": of}),
-        None => json!({"waited": waited, "believed_by_all": agreed, "of": of}),
+        Some(after) => json!({"after": after, "believed_by_all": known_to_all, "of": total}),
+        None => json!({"waited": waited, "believed_by_all": known_to_all, "of": total}),
     }
 }
 
-fn failure_json(FailureDetection { detected_by, of }: FailureDetection) -> Value {
-    json!({"by": detected_by, "of": of})
+fn failure_json(FailureDetection { detected_by, total }: FailureDetection) -> Value {
+    json!({"by": detected_by, "of": total})
 }
 
 fn measurement_json(cost: &ControlCost) -> Value {
@@ -116,8 +116,8 @@
         "fleet_settled": cost.converged,
         "unread": cost.unread_gateways,
     });
-    insert(&mut measured, "busy", cost.utilization);
-    insert(&mut measured, "saturated", cost.utilization.map(|used| used > SATURATION_THRESHOLD));
+    insert_some(&mut measured, "busy", cost.utilization);
+    insert_some(&mut measured, "saturated", cost.utilization.map(|used| used > SATURATION_THRESHOLD));
     measured
 }
 
@@ -125,10 +125,10 @@
     let mut changes = json!({
         "proposed": outcomes.proposed,
         "made": outcomes.committed_count,
-        "unmade": texts(&outcomes.uncommitted),
-        "gateways_without": outcomes.gateways_without,
+        "unmade": to_strings(&outcomes.uncommitted),
+        "gateways_without": outcomes.gateways_missing_changes,
     });
-    insert(&mut changes, "committed", outcomes.commit_times.summary());
+    insert_some(&mut changes, "committed", outcomes.commit_times.summary());
     changes
 }
 
@@ -140,7 +140,7 @@
         "slowest_gone": updates.slowest_removal,
         "slowest": updates.slowest_addition,
     });
-    insert(&mut list, "desk", updates.dispatcher_cpu);
+    insert_some(&mut list, "desk", updates.dispatcher_cpu);
     list
 }
 
@@ -148,10 +148,10 @@
     json!({
         "number": state.number,
         "digest": format!("{:016x}", state.digest),
-        "equal": state.gateways.equal,
-        "gateways": state.gateways.of,
-        "control_equal": state.control_machines.equal,
-        "control": state.control_machines.of,
+        "equal": state.gateways.agreeing,
+        "gateways": state.gateways.total,
+        "control_equal": state.control_machines.agreeing,
+        "control": state.control_machines.total,
     })
 }
 
@@ -169,8 +169,8 @@
         "letters_crowded": usage.overflowed_datagrams,
         "letters_lost_by_plan": usage.lost_datagrams,
     });
-    insert(&mut machine, "busy", usage.utilization);
-    insert(&mut machine, "busy_measuring", usage.utilization_while_measuring);
-    insert(&mut machine, "busy_highest", usage.highest_utilization);
+    insert_some(&mut machine, "busy", usage.utilization);
+    insert_some(&mut machine, "busy_measuring", usage.utilization_while_measuring);
+    insert_some(&mut machine, "busy_highest", usage.peak_utilization);
     machine
 }
--- a/crates/scale-test/src/report/machine_usage.rs
+++ b/crates/scale-test/src/report/machine_usage.rs
@@ -12,7 +12,7 @@
     /// While the cost of control was measured, at the worst.
     pub utilization_while_measuring: Option<f64>,
     /// In the worst second.
-    pub highest_utilization: Option<f64>,
+    pub peak_utilization: Option<f64>,
     /// By the processes of the run.
     pub own_utilization: f64,
     /// Resident memory of all processes of the run at its highest, in GB.
--- a/crates/scale-test/src/report/play_result.rs
+++ b/crates/scale-test/src/report/play_result.rs
@@ -21,7 +21,7 @@
     /// Whether the fleet converged, where that was waited for.
     pub convergence: Option<Convergence>,
     /// How many had detected a failure when those that were killed restarted.
-    pub failure_known: Option<FailureDetection>,
+    pub failure_detection: Option<FailureDetection>,
     /// How long deaths, joins and healing took to be known.
     pub membership_times: ConvergenceTimes,
     /// The cost of control, where it was measured.
@@ -44,7 +44,7 @@
             started_at,
             seconds: 0.0,
             convergence: None,
-            failure_known: None,
+            failure_detection: None,
             membership_times: ConvergenceTimes::default(),
             control_cost: None,
             endpoint_updates: None,
@@ -62,9 +62,9 @@
     /// Seconds for which it was waited for.
     pub waited: f64,
     /// Gateways of which all others had the correct view.
-    pub agreed: usize,
+    pub known_to_all: usize,
     /// Gateways that ran.
-    pub of: usize,
+    pub total: usize,
 }
 
 /// How many gateways had detected a failure.
@@ -73,7 +73,7 @@
     /// Gateways that had detected it.
     pub detected_by: usize,
     /// Gateways that ran.
-    pub of: usize,
+    pub total: usize,
 }
 
 /// What updates of the endpoint list cost hollow gateways.
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -2,7 +2,7 @@
 
 use super::control_cost::ControlCost;
 use super::convergence_summaries::{NamedSummary, convergence_summaries};
-use super::figures::{NamedDistribution, short};
+use super::figures::{NamedDistribution, format_figure};
 use super::machine_usage::MachineUsage;
 use super::play_result::{Convergence, FailureDetection, PlayResult};
 use super::{CallCounts, FinalState, Report};
@@ -54,7 +54,7 @@
 
 fn write_distributions(f: &mut Formatter<'_>, rows: &[NamedDistribution]) -> fmt::Result {
     rows.iter().try_for_each(|NamedDistribution { label, distribution, .. }| {
-        write_row(f, label, [distribution.p50, distribution.p99, distribution.worst].map(short))
+        write_row(f, label, [distribution.p50, distribution.p99, distribution.worst].map(format_figure))
     })
 }
 
@@ -71,8 +71,8 @@
     if let Some(convergence) = play.convergence {
         write_convergence(f, convergence)?;
     }
-    if let Some(FailureDetection { detected_by, of }) = play.failure_known {
-        write!(f, "; {detected_by} of {of} knew who was gone")?;
+    if let Some(FailureDetection { detected_by, total }) = play.failure_detection {
+        write!(f, "; {detected_by} of {total} knew who was gone")?;
     }
     if let Some(changes) = play.changes.as_ref().filter(|changes| changes.proposed > 0) {
         write_changes(f, changes)?;
@@ -90,9 +90,9 @@
 
 fn write_convergence(f: &mut Formatter<'_>, convergence: Convergence) -> fmt::Result {
     match convergence {
-        Convergence { after: Some(after), of, .. } => write!(f, "; all {of} agree after {after:.1} s"),
-        Convergence { after: None, waited, agreed, of } => {
-            write!(f, "; NEVER SETTLED, {agreed} of {of} believed by all after {waited:.1} s")
+        Convergence { after: Some(after), total, .. } => write!(f, "; all {total} agree after {after:.1} s"),
+        Convergence { after: None, waited, known_to_all, total } => {
+            write!(f, "; NEVER SETTLED, {known_to_all} of {total} believed by all after {waited:.1} s")
         }
     }
 }
@@ -120,12 +120,12 @@
 fn write_state(f: &mut Formatter<'_>, state: &FinalState) -> fmt::Result {
     let FinalState { number, digest, gateways, control_machines, .. } = state;
     write!(f, "in force: number {number}, digest {digest:016x}, ")?;
-    write!(f, "at {} of {} gateways ", gateways.equal, gateways.of)?;
-    writeln!(f, "and {} of {} control machines", control_machines.equal, control_machines.of)
+    write!(f, "at {} of {} gateways ", gateways.agreeing, gateways.total)?;
+    writeln!(f, "and {} of {} control machines", control_machines.agreeing, control_machines.total)
 }
 
 fn write_budget(f: &mut Formatter<'_>, name: &str, worst: &WorstTotal) -> fmt::Result {
-    let (sum, bound) = (short(worst.sum), short(worst.bound));
+    let (sum, bound) = (format_figure(worst.sum), format_figure(worst.bound));
     let (seconds, gateways) = (worst.seconds, worst.gateways);
     write!(f, "budget {name}: {sum} of {bound} at worst, ")?;
     writeln!(f, "in {seconds} seconds of {} to {} gateways", gateways.fewest, gateways.most)
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -5,12 +5,12 @@
 mod endpoint_updates;
 mod failures;
 mod machine_usage;
-mod player;
+mod plan_runner;
 mod progress_line;
 mod rolling;
 
 use crate::client_calls::CallGenerator;
-use crate::control::AUTHORS;
+use crate::control::AUTHOR_COUNT;
 use crate::descriptor_limit::{DescriptorLimitError, raise_descriptor_limit};
 use crate::emulated_workers::{EmulatedWorkers, EmulatedWorkersError};
 use crate::fleet::{Fleet, StartFleetError};
@@ -19,7 +19,7 @@
 use crate::run_files::RunFiles;
 use machine_usage::UsageBaseline;
 use milletpath_gateway::hollow_gateway::clock;
-use player::Player;
+use plan_runner::PlanRunner;
 use std::io;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -71,13 +71,13 @@
 /// Files and sockets that the process of a run opens.
 fn needed_descriptors(plan: &Plan) -> u64 {
     /// Pipes, files, workers and clients.
-    const OTHERS: usize = 256;
-    const FOR_EACH_REAL_GATEWAY: usize = 4;
+    const OTHER_DESCRIPTORS: usize = 256;
+    const DESCRIPTORS_PER_REAL_GATEWAY: usize = 4;
     let links = match plan.runs(Component::ConfigChanges) {
-        true => 2 * plan.gateways + plan.control_machines + 2 * AUTHORS,
+        true => 2 * plan.gateways + plan.control_machines + 2 * AUTHOR_COUNT,
         false => plan.gateways,
     };
-    (links + FOR_EACH_REAL_GATEWAY * plan.real_gateways + OTHERS) as u64
+    (links + DESCRIPTORS_PER_REAL_GATEWAY * plan.real_gateways + OTHER_DESCRIPTORS) as u64
 }
 
 fn run_with_files(
@@ -90,13 +90,13 @@
     let baseline = UsageBaseline::read();
     let fleet = Fleet::start(plan, plan_text, files, workers.addresses.clone(), stop)?;
     let calls = CallGenerator::start(plan, fleet.real_gateways.reachable())?;
-    let mut player = Player::new(fleet);
-    let stop_reason = player.play_all().err();
-    player.clear_progress();
-    let seconds = clock() - player.fleet().started_at();
-    let machine = baseline.usage(player.fleet(), seconds);
+    let mut plan_runner = PlanRunner::new(fleet);
+    let stop_reason = plan_runner.run_all_plays().err();
+    plan_runner.clear_progress();
+    let seconds = clock() - plan_runner.fleet().started_at();
+    let machine = baseline.usage(plan_runner.fleet(), seconds);
     let calls = calls.finish();
     // After this no process of the run is left.
-    let findings = player.into_findings(machine, calls);
+    let findings = plan_runner.into_findings(machine, calls);
     Ok(Report::new(plan, findings, stop_reason, seconds))
 }
--- a/crates/scale-test/src/run/config_changes.rs
+++ b/crates/scale-test/src/run/config_changes.rs
@@ -1,8 +1,8 @@
 //! Configuration changes in a run: when authors propose them, when they are applied, and what is applied at the end.
 
-use super::player::Player;
+use super::plan_runner::PlanRunner;
 use crate::applied_state::AppliedState;
-use crate::control::{LOOKUP_SECONDS, MAX_PROPOSAL_SECONDS};
+use crate::control::{LOOKUP_LEAD_SECONDS, MAX_PROPOSAL_SECONDS};
 use crate::fleet::Fleet;
 use crate::plan::{Action, Component, Play};
 use crate::report::FinalState;
@@ -19,7 +19,7 @@
 /// Between two queries of the final state, in seconds.
 const FINAL_STATE_INTERVAL: f64 = 0.5;
 
-impl Player {
+impl PlanRunner {
     /// Has authors propose the changes of a play.
     pub(super) fn propose_changes(&mut self, play: &Play) -> Result<(), StopReason> {
         if play.changes == 0 {
@@ -27,10 +27,10 @@
         }
         let period = match play.action {
             // All changes fall into the time that is measured, and so do their outcomes.
-            Action::SteadyState { .. } => (play.proposal_period - 2.0 * LOOKUP_SECONDS).max(0.0),
+            Action::SteadyState { .. } => (play.proposal_period - 2.0 * LOOKUP_LEAD_SECONDS).max(0.0),
             _ => play.proposal_period,
         };
-        self.fleet.propose_changes(play.changes, clock() + LOOKUP_SECONDS, period)
+        self.fleet.propose_changes(play.changes, clock() + LOOKUP_LEAD_SECONDS, period)
     }
 
     /// Waits until all gateways that run have applied all changes: first for the authors, as long as they may take, then as
--- a/crates/scale-test/src/run/control_cost.rs
+++ b/crates/scale-test/src/run/control_cost.rs
@@ -1,6 +1,6 @@
 //! What control costs each gateway, from samples before and after a time in which nothing happens.
 
-use super::player::Player;
+use super::plan_runner::PlanRunner;
 use crate::fleet::{ControlMachineUsage, Fleet, Traffic};
 use crate::host_protocol::{ConfigLogReading, GatewayReading};
 use crate::machine_load::CpuTime;
@@ -17,20 +17,20 @@
 /// Readings of one gateway must lie apart by at least this fraction of the measured time.
 const MIN_READING_FRACTION: f64 = 0.5;
 
-impl Player {
+impl PlanRunner {
     /// Measures what control costs within `duration` seconds.
     pub(super) fn measure_control_cost(
         &mut self,
         duration: f64,
         result: &mut PlayResult,
     ) -> Result<(), StopReason> {
-        let before = Sample::take(&mut self.fleet)?;
+        let before = FleetSample::take(&mut self.fleet)?;
         let (began, cores_before) = (clock(), CpuTime::read());
         self.wait_until(began + duration)?;
-        let after = Sample::take(&mut self.fleet)?;
+        let after = FleetSample::take(&mut self.fleet)?;
         let mut cost = Measurement { seconds: after.at - before.at, before, after }.cost(&self.fleet);
         cost.follower.state_bytes = self.fleet.state_file_bytes().into_iter().collect();
-        cost.memory_mb = self.fleet.gateway_memory().into_iter().collect();
+        cost.memory_mb = self.fleet.gateway_memory_mb().into_iter().collect();
         cost.converged = self.fleet.is_converged();
         cost.utilization = cores_before.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
         result.control_cost = Some(cost);
@@ -39,7 +39,7 @@
 }
 
 /// What is read of a fleet at one time.
-struct Sample {
+struct FleetSample {
     at: f64,
     readings: BTreeMap<usize, GatewayReading>,
     traffic: Traffic,
@@ -51,15 +51,15 @@
     incarnations: BTreeMap<usize, u64>,
 }
 
-impl Sample {
+impl FleetSample {
     fn take(fleet: &mut Fleet) -> Result<Self, StopReason> {
         fleet.refresh_readings()?;
         Ok(Self {
             at: clock(),
             readings: fleet.hosts.readings.latest().clone(),
             traffic: fleet.links.traffic(),
-            membership_cpu: fleet.real_gateways.thread_cpu(MEMBERSHIP_THREAD),
-            follower_cpu: fleet.real_gateways.thread_cpu(FOLLOWER_THREAD),
+            membership_cpu: fleet.real_gateways.thread_cpu_seconds(MEMBERSHIP_THREAD),
+            follower_cpu: fleet.real_gateways.thread_cpu_seconds(FOLLOWER_THREAD),
             control_machines: fleet.control_machines.usage(),
             incarnations: fleet.real_gateways.incarnations(),
         })
@@ -68,8 +68,8 @@
 
 /// Two samples and the time between them.
 struct Measurement {
-    before: Sample,
-    after: Sample,
+    before: FleetSample,
+    after: FleetSample,
     seconds: f64,
 }
 
--- a/crates/scale-test/src/run/endpoint_updates.rs
+++ b/crates/scale-test/src/run/endpoint_updates.rs
@@ -1,6 +1,6 @@
 //! The play in which all hollow workers of a zone are replaced, and what that costs the gateways' dispatchers.
 
-use super::player::Player;
+use super::plan_runner::PlanRunner;
 use crate::distribution::Distribution;
 use crate::fleet::Fleet;
 use crate::hollow_workers;
@@ -10,7 +10,7 @@
 use milletpath_gateway::hollow_gateway::clock;
 use std::collections::BTreeMap;
 
-impl Player {
+impl PlanRunner {
     /// Removes all hollow workers of a zone with one update of the endpoint list, and adds them again as new processes with
     /// several updates, spread evenly over `duration` seconds.
     pub(super) fn replace_workers(
--- a/crates/scale-test/src/run/failures.rs
+++ b/crates/scale-test/src/run/failures.rs
@@ -1,14 +1,14 @@
 //! Plays in which gateways and control machines are killed and started again, or regions are cut from each other.
 
-use super::player::Player;
-use crate::control::LOOKUP_SECONDS;
+use super::plan_runner::PlanRunner;
+use crate::control::LOOKUP_LEAD_SECONDS;
 use crate::fleet::Fleet;
 use crate::plan::{Component, Play, RegionPair};
 use crate::report::{FailureDetection, PlayResult};
 use crate::stop_reason::{ProcessFailure, StopReason};
 use milletpath_gateway::hollow_gateway::clock;
 
-impl Player {
+impl PlanRunner {
     /// Kills that many neighbours of a zone chosen at random, all at once.
     pub(super) fn fail_rack(
         &mut self,
@@ -20,7 +20,7 @@
         let zones = self.fleet.plan.zones.len() as u64;
         let zone = self.rng.rand_range(0..zones) as usize;
         let gateways: Vec<usize> = self.fleet.plan.gateways_in_zone(zone).take(count).collect();
-        self.fail(&gateways, &[], downtime, play, result)
+        self.fail_and_restart(&gateways, &[], downtime, play, result)
     }
 
     /// Kills all gateways and control machines of a zone at once.
@@ -36,12 +36,12 @@
         let machines = 0..plan.control_machines;
         let machines: Vec<usize> =
             machines.filter(|machine| plan.zone_of_control_machine(*machine) == zone).collect();
-        self.fail(&gateways, &machines, downtime, play, result)
+        self.fail_and_restart(&gateways, &machines, downtime, play, result)
     }
 
     /// Kills gateways and control machines at once, and starts them again when all others know of it and have applied what
     /// was changed meanwhile, or after `downtime` seconds.
-    fn fail(
+    fn fail_and_restart(
         &mut self,
         gateways: &[usize],
         control_machines: &[usize],
@@ -52,7 +52,7 @@
         let began = clock();
         self.fleet.kill_control_machines(control_machines);
         self.fleet.kill_gateways(gateways)?;
-        self.await_completion(Fleet::is_steady)?;
+        self.await_completion(Fleet::are_transitions_complete)?;
         self.propose_changes(play)?;
         let has_membership = self.fleet.plan.runs(Component::Membership);
         let has_changes = play.changes > 0;
@@ -63,13 +63,13 @@
         })?;
         if has_membership {
             let membership = &self.fleet.trackers.membership;
-            result.failure_known = Some(FailureDetection {
+            result.failure_detection = Some(FailureDetection {
                 detected_by: membership.converged_observers(),
-                of: membership.running_count(),
+                total: membership.running_count(),
             });
         }
         self.fleet.restart_control_machines()?;
-        self.for_each(gateways, 0.0, Fleet::start_gateway)
+        self.for_each_gateway(gateways, 0.0, Fleet::start_gateway)
     }
 
     /// Cuts two regions from each other for `duration` seconds.
@@ -82,10 +82,13 @@
         let plan = &self.fleet.plan;
         let region_of: Vec<usize> = (0..plan.gateways).map(|gateway| plan.region_of(gateway)).collect();
         let began = clock();
-        self.fleet.links.cut_regions(regions);
-        self.fleet.trackers.membership.begin_partition(move |a, b| regions.joins(region_of[a], region_of[b]));
+        self.fleet.links.partition_regions(regions);
+        self.fleet
+            .trackers
+            .membership
+            .begin_partition(move |a, b| regions.connects(region_of[a], region_of[b]));
         let outcome = self.propose_changes(play).and_then(|()| self.wait_until(began + duration));
-        self.fleet.links.reconnect_regions(regions);
+        self.fleet.links.heal_partition(regions);
         self.fleet.trackers.membership.end_partition(clock());
         outcome
     }
@@ -99,12 +102,12 @@
         result: &mut PlayResult,
     ) -> Result<(), StopReason> {
         self.propose_changes(play)?;
-        let half = clock() + LOOKUP_SECONDS + 0.5 * play.proposal_period;
-        self.wait_until(half)?;
+        let halfway = clock() + LOOKUP_LEAD_SECONDS + 0.5 * play.proposal_period;
+        self.wait_until(halfway)?;
         let leader = self.fleet.leader()?.ok_or(ProcessFailure::NoLeader)?;
         self.fleet.kill_control_machines(&[leader]);
         result.killed_control_machine = Some(leader);
-        self.wait_until(half + downtime)?;
+        self.wait_until(halfway + downtime)?;
         self.fleet.restart_control_machines()
     }
 }
--- a/crates/scale-test/src/run/player.rs
+++ b/crates/scale-test/src/run/plan_runner.rs
@@ -16,10 +16,10 @@
 const CHECK_INTERVAL: f64 = 0.2;
 
 /// How often it is checked whether all processes have carried out their commands, in seconds.
-const COMPLETION_CHECK: f64 = 0.05;
+const COMPLETION_CHECK_INTERVAL: f64 = 0.05;
 
 /// A run in progress.
-pub struct Player {
+pub struct PlanRunner {
     pub(super) fleet: Fleet,
     pub(super) rng: Rand64,
     /// Distinguishes processes of hollow workers that use one name.
@@ -29,7 +29,7 @@
     progress: ProgressLine,
 }
 
-impl Player {
+impl PlanRunner {
     /// A player of the fleet's plan, at its beginning.
     pub fn new(fleet: Fleet) -> Self {
         Self {
@@ -52,19 +52,19 @@
     /// # Errors
     ///
     /// Why the run ends early. Results up to there are kept.
-    pub fn play_all(&mut self) -> Result<(), StopReason> {
+    pub fn run_all_plays(&mut self) -> Result<(), StopReason> {
         for play in self.fleet.plan.plays.clone() {
-            self.play(&play)?;
+            self.run_play(&play)?;
         }
         self.record_final_state()
     }
 
-    fn play(&mut self, play: &Play) -> Result<(), StopReason> {
+    fn run_play(&mut self, play: &Play) -> Result<(), StopReason> {
         let started_at = clock();
         self.fleet.trackers.budgets.begin_play(started_at, &play.label);
         let mut result = PlayResult::new(play, started_at - self.fleet.started_at());
         let outcome = self
-            .perform(play, &mut result)
+            .perform_action(play, &mut result)
             .and_then(|()| self.await_convergence(play, &mut result))
             .and_then(|()| self.await_changes_applied(play));
         result.seconds = clock() - started_at;
@@ -79,14 +79,14 @@
         outcome
     }
 
-    fn perform(&mut self, play: &Play, result: &mut PlayResult) -> Result<(), StopReason> {
+    fn perform_action(&mut self, play: &Play, result: &mut PlayResult) -> Result<(), StopReason> {
         if proposes_from_the_start(&play.action) {
             self.propose_changes(play)?;
         }
         match play.action {
             Action::Start { duration } => self.start_all(duration),
             Action::SteadyState { duration } => self.measure_control_cost(duration, result),
-            Action::RollingRestart { gateways, duration } => self.restart_some(gateways, duration),
+            Action::RollingRestart { gateways, duration } => self.restart_random(gateways, duration),
             Action::RackFailure { gateways, downtime } => self.fail_rack(gateways, downtime, play, result),
             Action::ZoneFailure { zone, downtime } => self.fail_zone(zone, downtime, play, result),
             Action::Partition { regions, duration } => self.partition(regions, duration, play),
@@ -116,8 +116,8 @@
             result.convergence = Some(Convergence {
                 after: is_converged.then_some(waited),
                 waited,
-                agreed: membership.agreed_gateways(),
-                of: membership.running_count(),
+                known_to_all: membership.gateways_known_to_all(),
+                total: membership.running_count(),
             });
         }
         outcome
@@ -147,7 +147,7 @@
     /// Waits without a limit of its own until something is so.
     pub(super) fn await_completion(&mut self, is_done: impl Fn(&Fleet) -> bool) -> Result<(), StopReason> {
         while !is_done(&self.fleet) {
-            self.fleet.process_messages(clock() + COMPLETION_CHECK)?;
+            self.fleet.process_messages(clock() + COMPLETION_CHECK_INTERVAL)?;
         }
         Ok(())
     }
--- a/crates/scale-test/src/run/rolling.rs
+++ b/crates/scale-test/src/run/rolling.rs
@@ -1,6 +1,6 @@
 //! Plays that start or restart gateways one after the other.
 
-use super::player::Player;
+use super::plan_runner::PlanRunner;
 use crate::fleet::Fleet;
 use crate::stop_reason::StopReason;
 use milletpath_gateway::hollow_gateway::clock;
@@ -8,18 +8,18 @@
 /// Gateways between two updates of the progress line.
 const PROGRESS_STEP: usize = 16;
 
-impl Player {
+impl PlanRunner {
     /// Starts all gateways in random order, spread evenly over `duration` seconds.
     pub(super) fn start_all(&mut self, duration: f64) -> Result<(), StopReason> {
         let gateways = self.shuffled_gateways();
-        self.for_each(&gateways, duration, Fleet::start_gateway)
+        self.for_each_gateway(&gateways, duration, Fleet::start_gateway)
     }
 
     /// Restarts that many gateways, chosen at random, spread evenly over `duration` seconds.
-    pub(super) fn restart_some(&mut self, count: usize, duration: f64) -> Result<(), StopReason> {
+    pub(super) fn restart_random(&mut self, count: usize, duration: f64) -> Result<(), StopReason> {
         let mut gateways = self.shuffled_gateways();
         gateways.truncate(count);
-        self.for_each(&gateways, duration, Fleet::restart_gateway)
+        self.for_each_gateway(&gateways, duration, Fleet::restart_gateway)
     }
 
     fn shuffled_gateways(&mut self) -> Vec<usize> {
@@ -32,7 +32,7 @@
 
     /// Does something to each gateway, spread evenly over `duration` seconds, and waits until all of them have started or
     /// stopped accordingly.
-    pub(super) fn for_each(
+    pub(super) fn for_each_gateway(
         &mut self,
         gateways: &[usize],
         duration: f64,
@@ -46,6 +46,6 @@
                 self.show_progress(&format!("{number} of {}", gateways.len()));
             }
         }
-        self.await_completion(Fleet::is_steady)
+        self.await_completion(Fleet::are_transitions_complete)
     }
 }
--- a/crates/scale-test/tests/change_propagation.rs
+++ b/crates/scale-test/tests/change_propagation.rs
@@ -50,7 +50,7 @@
             outcomes.proposed,
             outcomes.committed_count,
             outcomes.propagation_times.never,
-            outcomes.gateways_without
+            outcomes.gateways_missing_changes
         ),
         (1, 1, 0, 0)
     );
@@ -70,7 +70,7 @@
         (
             outcomes.propagation_times.seconds.len(),
             outcomes.propagation_times.never,
-            outcomes.gateways_without
+            outcomes.gateways_missing_changes
         ),
         (3, 3, 2)
     );
--- a/crates/scale-test/tests/membership_tracker.rs
+++ b/crates/scale-test/tests/membership_tracker.rs
@@ -22,17 +22,17 @@
     let mut tracker = MembershipTracker::new(3, 0.0);
     (0..3).for_each(|gateway| tracker.record_start(gateway, 1.0));
     assert_eq!(
-        (tracker.converged_observers(), tracker.agreed_gateways(), tracker.running_count()),
+        (tracker.converged_observers(), tracker.gateways_known_to_all(), tracker.running_count()),
         (0, 0, 3)
     );
     for (observer, subject) in [(0, 1), (0, 2), (1, 2), (2, 1)] {
         tracker.record_report(observer, subject, ALIVE, 2.5);
     }
     // The first knows all others; the second and the third are known by all.
-    assert_eq!((tracker.converged_observers(), tracker.agreed_gateways()), (1, 2));
+    assert_eq!((tracker.converged_observers(), tracker.gateways_known_to_all()), (1, 2));
     tracker.record_report(1, 0, ALIVE, 3.0);
     tracker.record_report(2, 0, ALIVE, 4.0);
-    assert_eq!((tracker.converged_observers(), tracker.agreed_gateways()), (3, 3));
+    assert_eq!((tracker.converged_observers(), tracker.gateways_known_to_all()), (3, 3));
     let mut seconds = tracker.take_times().join.seconds;
     seconds.sort_by(f32::total_cmp);
     assert_eq!(seconds, [1.5, 1.5, 1.5, 1.5, 2.0, 3.0]);
--- a/crates/scale-test/tests/output_fixtures/reports.rs
+++ b/crates/scale-test/tests/output_fixtures/reports.rs
@@ -122,7 +122,8 @@
     let mut results: Vec<PlayResult> = (plan.plays.iter().enumerate())
         .map(|(n, play)| result_of(play, 10.125 * n as f64, 10.0 + n as f64 / 8.0))
         .collect();
-    results[0].convergence = Some(Convergence { after: Some(4.25), waited: 4.25, agreed: 12, of: 12 });
+    results[0].convergence =
+        Some(Convergence { after: Some(4.25), waited: 4.25, known_to_all: 12, total: 12 });
     results[0].membership_times.join = times(&[0.5, 1.25, 3.0, 2.75], 0);
     results[1].control_cost = Some(cost(1.0));
     results[2].control_cost = Some(cost(2.0));
@@ -135,13 +136,13 @@
         ],
         commit_times: times(&[0.25, 0.5], 2),
         propagation_times: times(&[0.5, 0.625, 1.5, 0.875], 3),
-        gateways_without: 2,
+        gateways_missing_changes: 2,
         catch_up_times: times(&[], 0),
     });
-    results[3].convergence = Some(Convergence { after: None, waited: 30.5, agreed: 11, of: 12 });
+    results[3].convergence = Some(Convergence { after: None, waited: 30.5, known_to_all: 11, total: 12 });
     results[3].changes =
         Some(ChangeOutcomes { catch_up_times: times(&[0.125, 2.5], 1), ..ChangeOutcomes::default() });
-    results[4].failure_known = Some(FailureDetection { detected_by: 9, of: 10 });
+    results[4].failure_detection = Some(FailureDetection { detected_by: 9, total: 10 });
     results[4].membership_times = ConvergenceTimes {
         death: times(&[4.5, 3.25], 2),
         join: times(&[1.0], 0),
@@ -175,8 +176,8 @@
         latest_committed,
         number,
         digest,
-        gateways: Agreement { equal: agreeing_gateways, of: 12 },
-        control_machines: Agreement { equal: 5, of: 5 },
+        gateways: Agreement { agreeing: agreeing_gateways, total: 12 },
+        control_machines: Agreement { agreeing: 5, total: 5 },
     }
 }
 
@@ -193,7 +194,7 @@
             cores: 8,
             utilization: Some(0.625),
             utilization_while_measuring: None,
-            highest_utilization: Some(0.97),
+            peak_utilization: Some(0.97),
             own_utilization: 0.5,
             memory_gb: 1.75,
             dropped_datagrams: 3,
@@ -259,7 +260,7 @@
 #[test_case("report-limit", StopReason::TimeLimit, 4)]
 #[test_case("report-memory", StopReason::MemoryLimit { gigabytes: 3.25 }, 0)]
 #[test_case("report-failed", StopReason::Failed(control_thread_ended()), 2)]
-fn a_report_of_a_run_that_ended_early(name: &str, over: StopReason, plays: usize) {
+fn a_report_of_a_run_that_ended_early(name: &str, reason: StopReason, plays: usize) {
     let plan = limited_plan();
-    assert_report_matches(name, &Report::new(&plan, bare_findings(&plan, plays), Some(over), 12.5));
+    assert_report_matches(name, &Report::new(&plan, bare_findings(&plan, plays), Some(reason), 12.5));
 }
--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -42,7 +42,7 @@
     let plan = valid(&file(name), None);
     assert_eq!((plan.gateways, plan.regions.len(), plan.zones.len()), (gateways, regions, zones));
     let all = [Component::Membership, Component::Budgets, Component::EndpointList, Component::ConfigChanges];
-    assert!(all.into_iter().all(|core| plan.runs(core)), "{:?}", plan.components);
+    assert!(all.into_iter().all(|component| plan.runs(component)), "{:?}", plan.components);
     let keywords: Vec<_> = plan.plays.iter().map(|p| p.action.kind().keyword()).collect();
     assert_eq!(
         keywords,
--- a/crates/scale-test/tests/relay.rs
+++ b/crates/scale-test/tests/relay.rs
@@ -28,8 +28,8 @@
         Self { relay, links, gateways }
     }
 
-    fn send(&self, from: usize, to: usize, what: &[u8]) {
-        self.gateways[from].send_to(what, self.links[to]).expect("sent");
+    fn send(&self, from: usize, to: usize, payload: &[u8]) {
+        self.gateways[from].send_to(payload, self.links[to]).expect("sent");
     }
 
     /// The next datagram at a gateway, and the link that it came from.
@@ -40,10 +40,10 @@
         (buffer[..size].to_vec(), from)
     }
 
-    fn wait_until(&self, what: &str, condition: impl Fn(&Relay) -> bool) {
+    fn wait_until(&self, description: &str, condition: impl Fn(&Relay) -> bool) {
         let started_at = Instant::now();
         while !condition(&self.relay) {
-            assert!(started_at.elapsed() < TIMEOUT, "{what}");
+            assert!(started_at.elapsed() < TIMEOUT, "{description}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
