--- a/crates/scale-test/src/applied_state.rs
+++ b/crates/scale-test/src/applied_state.rs
@@ -1,10 +1,10 @@
-//! How far the configuration changes are applied at a gateway or a control machine.
+//! The position in the configuration log that a gateway or control machine has reached.
 
-/// How far the configuration changes are applied somewhere.
+/// A position in the configuration log and the state at that position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedState {
-    /// The number up to which all changes are applied.
+    /// All changes up to and including this number are applied.
     pub number: u64,
-    /// The digest of the state at that number.
+    /// Digest of the configuration state at that number.
     pub digest: u64,
 }
--- a/crates/scale-test/src/budgets.rs
+++ b/crates/scale-test/src/budgets.rs
@@ -1,46 +1,47 @@
-//! What all gateways together may use of a shared budget at one moment, against what there is of it. For each second the
-//! lowest level of each gateway is added up: at some moment of that second all of them had at least this. A sum over the
-//! bound is therefore a broken bound, and a sum under it proves nothing about moments shorter than a second.
+//! Checks that all gateways together stay within each shared budget. For each second the lowest level of each gateway
+//! is summed: at some moment of that second every gateway was allowed at least that much. A sum over the bound is
+//! therefore a real violation, while a sum under it proves nothing about moments shorter than a second.
 
 use crate::host_protocol::Minimum;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The name under which the fractions by the number of gateways alone are added up, as a budget of their own.
+/// Name of the pseudo-budget that sums the gateways' fractions, which follow from the number of gateways without
+/// leases.
 const FRACTION_BUDGET: &str = "share";
 
-/// Relative rounding error that the sum of many levels may have.
+/// Relative rounding error allowed in the sum of many levels.
 const TOLERANCE: f64 = 1e-6;
 
-/// Seconds for which levels of a past second may still arrive.
+/// How long a second stays open for levels that arrive late.
 const LATE_ARRIVAL_SECONDS: u64 = 20;
 
-/// The worst total of one budget.
+/// The second in which the total of a budget came closest to its bound or exceeded it most.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WorstTotal {
-    /// What all gateways together might use, in the second in which that was most relative to the bound.
+    /// What all gateways together were allowed, in the second with the highest ratio of sum to bound.
     pub sum: f64,
-    /// What there was in that second.
+    /// The bound in that second.
     pub bound: f64,
-    /// Seconds that were added up.
+    /// Number of seconds that were checked.
     pub seconds: u64,
-    /// How many gateways were added up in a second.
+    /// Fewest and most gateways that reported in a second.
     pub gateways: CountRange,
-    /// Seconds in which the sum was over the bound.
+    /// Number of seconds in which the sum exceeded the bound.
     #[serde(rename = "broken")]
     pub broken_seconds: u64,
-    /// The play in the first of these seconds.
+    /// Label of the play during the first of these seconds.
     #[serde(rename = "during", skip_serializing_if = "Option::is_none")]
     pub first_broken_in: Option<String>,
 }
 
-/// The fewest and the most of several counts. In JSON it is an array of both.
+/// The lowest and the highest of several counts, as a two-element array in JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "[usize; 2]")]
 pub struct CountRange {
-    /// The lowest count.
+    /// Lowest count.
     pub fewest: usize,
-    /// The highest count.
+    /// Highest count.
     pub most: usize,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// What was added up of one budget in one second.
+/// Sum and bound of one budget in one second.
 #[derive(Clone, Copy, Default)]
 struct SecondTotal {
     sum: f64,
@@ -73,31 +74,31 @@
     }
 }
 
-/// One second that is still open.
+/// Levels of a second for which more may still arrive.
 #[derive(Default)]
 struct OpenSecond {
     gateways: BTreeSet<usize>,
     totals: BTreeMap<String, SecondTotal>,
 }
 
-/// A play, by the second in which it began.
+/// The second in which a play began, and its label.
 struct PlayStart {
     second: u64,
     label: String,
 }
 
-/// Adds up the budget levels of all gateways, second by second.
+/// Sums the budget levels of all gateways for each second.
 pub struct BudgetTotals {
     max_gateways: f64,
     open_seconds: BTreeMap<u64, OpenSecond>,
-    /// The latest second that is closed.
+    /// Latest second that is closed.
     closed_until: u64,
     worst: BTreeMap<String, WorstTotal>,
     plays: Vec<PlayStart>,
 }
 
 impl BudgetTotals {
-    /// No levels yet, of at most this many gateways.
+    /// Creates an empty tracker for at most `max_gateways` gateways.
     #[must_use]
     pub fn new(max_gateways: usize) -> Self {
         Self {
@@ -109,18 +110,18 @@
         }
     }
 
-    /// A play begins, at a time in seconds.
+    /// Records that a play begins at `now`, in seconds on the machine's monotonic clock.
     pub fn begin_play(&mut self, now: f64, label: &str) {
         self.plays.push(PlayStart { second: now as u64, label: label.to_owned() });
     }
 
-    /// Adds the lowest level of a gateway in a second. One of a closed second is ignored.
+    /// Adds the lowest level of a gateway in a second. Levels of seconds that are already closed are ignored.
     pub fn record_minimum(&mut self, gateway: usize, minimum: &Minimum) {
         if minimum.second <= self.closed_until {
             return;
         }
         let second = self.open_seconds.entry(minimum.second).or_default();
-        // Of two processes of one gateway in one second the first alone counts: they did not run at the same time.
+        // If a gateway restarts within a second, only the first process counts: the two did not run at the same time.
         if !second.gateways.insert(gateway) {
             return;
         }
@@ -133,7 +134,7 @@
         add(FRACTION_BUDGET, 1.0, minimum.fraction);
     }
 
-    /// Closes the seconds for which no more levels arrive.
+    /// Closes the seconds for which no more levels are expected.
     pub fn close_seconds(&mut self, now: f64) {
         let end = (now as u64).saturating_sub(LATE_ARRIVAL_SECONDS);
         while let Some(entry) = self.open_seconds.first_entry().filter(|entry| *entry.key() < end) {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Closes all seconds, and gives the worst total of each budget by its name.
+    /// Closes all seconds and returns the worst total of each budget, keyed by name.
     #[must_use]
     pub fn finish(mut self) -> BTreeMap<String, WorstTotal> {
         for (at, second) in std::mem::take(&mut self.open_seconds) {
--- a/crates/scale-test/src/change_propagation.rs
+++ b/crates/scale-test/src/change_propagation.rs
@@ -1,25 +1,25 @@
-//! Which configuration changes were committed, and since when each gateway has applied them. It is notified of proposals,
-//! of their outcomes and of what gateways report, and measures how long each change took. It does no I/O; times are
-//! seconds on one clock.
+//! Tracks which configuration changes were committed and when each gateway applied them. The caller reports proposals,
+//! their outcomes and the applied numbers; the tracker measures how long each change took to propagate. It does no I/O;
+//! times are seconds on one clock.
 
 use crate::distribution::ConvergenceSamples;
 use crate::proposal::ProposalError;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A change, or several, that are not known to be committed. Its text is part of the report's JSON.
+/// One or more changes that are not known to be committed. The text is part of the JSON report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Uncommitted {
-    /// One change, and why.
+    /// A proposal that failed or whose outcome is unknown.
     Change {
-        /// Its number among all changes of the run.
+        /// Number of the change within the run.
         change: usize,
-        /// Why it is not.
+        /// Why the change is not known to be committed.
         error: ProposalError,
     },
-    /// Changes whose authors had no answer when the play ended.
+    /// Proposals without an outcome when the play ended.
     Open {
-        /// How many there are.
+        /// Number of these proposals.
         changes: usize,
     },
 }
@@ -33,22 +33,22 @@
     }
 }
 
-/// What came of the changes of a play.
+/// Outcomes and latencies of the changes of one play.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangeOutcomes {
-    /// Changes that were proposed.
+    /// Number of proposed changes.
     pub proposed: usize,
-    /// Changes that are known to be committed.
+    /// Number of changes known to be committed.
     pub committed_count: usize,
     /// Changes that are not known to be committed.
     pub uncommitted: Vec<Uncommitted>,
-    /// Seconds from a proposal until its author knew that it is committed.
+    /// Seconds from each proposal until its author learned that it was committed.
     pub commit_times: ConvergenceSamples,
-    /// Seconds from a proposal until it was applied, for each pair of a change and a gateway that ran all the while.
+    /// Seconds from proposal to application, for each pair of a change and a gateway that ran throughout.
     pub propagation_times: ConvergenceSamples,
-    /// Gateways that never applied one of the changes, though they ran.
+    /// Gateways that ran throughout and never applied some change.
     pub gateways_missing_changes: usize,
-    /// Seconds from the start of a gateway until it had applied all that was committed before.
+    /// Seconds from the start of a gateway until it had applied all changes proposed before its start.
     pub catch_up_times: ConvergenceSamples,
 }
 
@@ -59,19 +59,19 @@
     number: u64,
 }
 
-/// A gateway applied all changes up to a number.
+/// The time at which a gateway had applied all changes up to a number.
 #[derive(Clone, Copy, Debug)]
 struct AppliedPosition {
     number: u64,
     at: f64,
 }
 
-/// What is known of one gateway.
+/// Progress of one gateway.
 #[derive(Clone, Debug, Default)]
 struct GatewayProgress {
-    /// When its process started, if it runs.
+    /// When its process started; `None` if it is not running.
     started_at: Option<f64>,
-    /// What it has applied; numbers and times rise.
+    /// Applied numbers in order; both numbers and times increase.
     applied: Vec<AppliedPosition>,
 }
 
@@ -80,28 +80,28 @@
         self.applied.last().map_or(0, |position| position.number)
     }
 
-    /// When it had first applied all changes up to a number.
+    /// When it had first applied all changes up to `number`.
     fn applied_at(&self, number: u64) -> Option<f64> {
         self.applied.iter().find(|position| position.number >= number).map(|position| position.at)
     }
 }
 
-/// Follows the configuration changes of one run.
+/// Tracks the configuration changes of one run.
 pub struct ChangePropagation {
     gateways: Vec<GatewayProgress>,
-    /// Changes of this play that are committed, by their numbers among all of the run.
+    /// Committed changes of the current play, keyed by their number within the run.
     committed: BTreeMap<usize, CommittedChange>,
-    /// Proposals of this play whose outcome is not known.
+    /// Proposals of the current play without a known outcome.
     open_proposals: usize,
-    /// Changes of the plays before.
+    /// Committed changes of earlier plays.
     committed_before: Vec<CommittedChange>,
-    /// When this play began.
+    /// When the current play began.
     play_started_at: f64,
     outcomes: ChangeOutcomes,
 }
 
 impl ChangePropagation {
-    /// A fleet of that size of which no gateway runs.
+    /// Creates a tracker for a fleet of this size in which no gateway runs yet.
     #[must_use]
     pub fn new(gateways: usize, now: f64) -> Self {
         Self {
@@ -114,20 +114,20 @@
         }
     }
 
-    /// A gateway started.
+    /// Records the start of a gateway.
     pub fn record_start(&mut self, gateway: usize, at: f64) {
         self.gateways[gateway] = GatewayProgress { started_at: Some(at), applied: Vec::new() };
     }
 
-    /// A gateway stopped.
+    /// Records the stop of a gateway.
     pub fn record_stop(&mut self, gateway: usize) {
         self.gateways[gateway] = GatewayProgress::default();
     }
 
-    /// A gateway's dispatcher has applied all changes up to a number.
+    /// Records that a gateway has applied all changes up to `number`.
     pub fn record_applied(&mut self, gateway: usize, number: u64, at: f64) {
         let Some(progress) = self.gateways.get_mut(gateway) else { return };
-        // A report of an earlier process of this gateway may arrive late.
+        // A report from an earlier process of this gateway may arrive late.
         let is_current_process = progress.started_at.is_some_and(|started_at| at >= started_at);
         let is_newer = progress.applied.last().is_none_or(|last| last.number < number);
         if is_current_process && is_newer {
@@ -135,13 +135,13 @@
         }
     }
 
-    /// More changes are going to be proposed.
+    /// Announces proposals, whose outcomes are then awaited.
     pub fn expect_proposals(&mut self, changes: usize) {
         self.open_proposals += changes;
         self.outcomes.proposed += changes;
     }
 
-    /// The author of a change knows its outcome: its number in the log, or why it has none that is known.
+    /// Records the outcome of a proposal: its number in the log, or why it is not known to be committed.
     pub fn record_outcome(
         &mut self,
         change: usize,
@@ -163,26 +163,26 @@
         }
     }
 
-    /// Proposals whose outcome is not known yet.
+    /// Number of proposals without a known outcome.
     #[must_use]
     pub fn open_proposals(&self) -> usize {
         self.open_proposals
     }
 
-    /// The highest number that is known to be committed; 0 where there is none.
+    /// Highest number known to be committed, or 0.
     #[must_use]
     pub fn latest_committed(&self) -> u64 {
         let all = self.committed_before.iter().chain(self.committed.values());
         all.map(|change| change.number).max().unwrap_or(0)
     }
 
-    /// Gateways that run.
+    /// Number of running gateways.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.gateways.iter().filter(|gateway| gateway.started_at.is_some()).count()
     }
 
-    /// Gateways that run and have applied all that is known to be committed.
+    /// Number of running gateways that have applied all changes known to be committed.
     #[must_use]
     pub fn up_to_date_count(&self) -> usize {
         let latest = self.latest_committed();
@@ -191,16 +191,16 @@
         self.gateways.iter().filter(is_up_to_date).count()
     }
 
-    /// Whether all outcomes are known, and all that run have applied all changes.
+    /// Whether all outcomes are known and all running gateways have applied all changes.
     #[must_use]
     pub fn is_converged(&self) -> bool {
         self.open_proposals == 0 && self.up_to_date_count() == self.running_count()
     }
 
-    /// Ends a play, and gives what came of its changes.
+    /// Ends the current play and returns the outcomes of its changes.
     pub fn take_outcomes(&mut self, now: f64) -> ChangeOutcomes {
         let mut outcomes = std::mem::take(&mut self.outcomes);
-        // An author without an answer by the end is as one that does not know.
+        // A proposal without an answer at the end of the play counts as not known to be committed.
         let open = std::mem::take(&mut self.open_proposals);
         if open > 0 {
             outcomes.uncommitted.push(Uncommitted::Open { changes: open });
@@ -221,7 +221,7 @@
         outcomes
     }
 
-    /// Of each gateway the latest application is enough once the play's times are taken.
+    /// Keeps only the latest applied number of each gateway, which suffices once the times of the play are computed.
     fn drop_superseded_positions(&mut self) {
         for gateway in &mut self.gateways {
             let superseded = gateway.applied.len().saturating_sub(1);
@@ -230,7 +230,7 @@
     }
 }
 
-/// Adds how long each change took that was proposed while a gateway ran.
+/// Adds the propagation time of each change that was proposed while the gateway was running.
 fn add_propagation(
     outcomes: &mut ChangeOutcomes,
     gateway: &GatewayProgress,
@@ -250,7 +250,7 @@
     outcomes.gateways_missing_changes += usize::from(misses_any);
 }
 
-/// Adds how long a gateway took from its start until it had applied all changes that were proposed before.
+/// Adds the time that a gateway needed after its start to apply all changes proposed before its start.
 fn add_catch_up<'a>(
     times: &mut ConvergenceSamples,
     gateway: &GatewayProgress,
--- a/crates/scale-test/src/child_message.rs
+++ b/crates/scale-test/src/child_message.rs
@@ -1,67 +1,67 @@
-//! What a run receives from the processes that it started, and from the threads that watch them.
+//! Messages that a run receives from its child processes and from the threads that monitor them.
 
 use crate::host_protocol::{Minimum, StatusMessage};
 use crate::membership_tracker::ReportedState;
 use crate::proposal::ProposalError;
 
-/// What a run receives from its processes and from the threads that watch them. Times are seconds on the machine's
-/// monotonic clock.
+/// A message from a child process or from a thread that monitors one. Times are seconds on the machine's monotonic
+/// clock.
 #[derive(Debug)]
 pub enum ChildMessage {
-    /// A host reports.
+    /// A status message of a host.
     Host(StatusMessage),
     /// The output of a host ended.
     HostEnded {
-        /// Its number.
+        /// Number of the host.
         host: usize,
     },
-    /// The view that a real gateway has of another changed.
+    /// A real gateway changed its view of another gateway.
     MembershipChanged {
-        /// The real gateway.
+        /// The real gateway, which is the observer.
         gateway: usize,
-        /// Distinguishes its process from earlier ones under its number.
+        /// Distinguishes its process from earlier processes of the same gateway.
         incarnation: u64,
-        /// The gateway that it is about.
+        /// The observed gateway.
         subject: usize,
-        /// What the gateway takes the subject for from then on.
+        /// The new state of the subject in the observer's view.
         state: ReportedState,
-        /// When its log reported it.
+        /// When the log line was read.
         at: f64,
     },
     /// A real gateway applied all configuration changes up to a number.
     ChangesApplied {
-        /// The real gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// Distinguishes its process from earlier ones under its number.
+        /// Distinguishes its process from earlier processes of the same gateway.
         incarnation: u64,
-        /// The number in the configuration log.
+        /// Number in the configuration log.
         number: u64,
-        /// When its log reported it.
+        /// When the log line was read.
         at: f64,
     },
-    /// A real gateway stopped, as it was asked to.
+    /// A real gateway exited after a requested shutdown.
     GatewayStopped {
-        /// The real gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// When it was asked to.
+        /// When the shutdown was requested.
         at: f64,
     },
-    /// The least that a real gateway was allowed to use in a second.
+    /// The lowest budget levels of a real gateway in one second.
     BudgetMinimum {
-        /// The real gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// The minimum.
+        /// The levels.
         minimum: Minimum,
     },
-    /// An author knows what became of a configuration change.
+    /// The outcome of a proposed configuration change.
     ProposalFinished {
-        /// The change, by its number among all of the run.
+        /// Number of the change within the run.
         change: usize,
-        /// When it was proposed.
+        /// When the change was proposed.
         proposed_at: f64,
-        /// When its outcome was known.
+        /// When the outcome was known.
         finished_at: f64,
-        /// Its number in the configuration log, or why it has none.
+        /// Its number in the configuration log, or why it is not known to be committed.
         outcome: Result<u64, ProposalError>,
     },
 }
--- a/crates/scale-test/src/child_process.rs
+++ b/crates/scale-test/src/child_process.rs
@@ -1,4 +1,4 @@
-//! A child process that does not outlive its handle.
+//! A child process that is killed when its handle is dropped.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -6,32 +6,32 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-/// How long a process that was asked to end may take.
+/// How long a process may take to exit once it was asked to.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often it is checked whether a process has ended.
+/// Interval at which the exit of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A child process. Dropped, it is killed if it still runs, and reaped.
+/// A child process. On drop it is killed if it is still running, and reaped.
 pub struct ChildProcess(Child);
 
 impl ChildProcess {
-    /// Takes a process over.
+    /// Takes ownership of a spawned child.
     pub fn new(child: Child) -> Self {
         Self(child)
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 
-    /// Whether it still runs.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.0.try_wait(), Ok(None))
     }
 
-    /// Asks it to end, by SIGTERM.
+    /// Asks the process to exit with SIGTERM.
     ///
     /// # Errors
     ///
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Waits until it ends, and kills it when that takes longer than 3 s.
+    /// Waits until the process exits, and kills it after 3 s.
     pub fn wait_or_kill(&mut self) {
         let began = Instant::now();
         while began.elapsed() < EXIT_TIMEOUT {
@@ -54,7 +54,7 @@
     }
 
     fn kill(&mut self) {
-        // An error means that it has ended and was reaped.
+        // An error means that the process has already exited and was reaped.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/scale-test/src/children.rs
+++ b/crates/scale-test/src/children.rs
@@ -1,5 +1,5 @@
-//! The processes of gateways: hosts of hollow ones, and real ones. What they report arrives on one channel as
-//! messages (`ChildMessage`). A process ends when its handle is dropped, however the run went.
+//! Child processes: hosts of hollow gateways, and real gateways. All of them report over one channel of `ChildMessage`.
+//! A process ends when its handle is dropped, whatever the result of the run.
 
 mod gateway_log;
 mod gateway_process;
--- a/crates/scale-test/src/children/gateway_log.rs
+++ b/crates/scale-test/src/children/gateway_log.rs
@@ -1,12 +1,12 @@
-//! Reads what a real gateway knows of others, and which configuration changes it applied, from the lines of its log.
+//! Extracts membership observations and applied configuration changes from the JSON log of a real gateway.
 
 use crate::gateway_config;
 use crate::membership_tracker::ReportedState;
 use serde_json::Value;
 
-/// The number up to which all configuration changes are applied, if a line of the log reports one.
+/// Returns the number up to which all configuration changes are applied, if the line reports one.
 pub fn applied_number(line: &str) -> Option<u64> {
-    // Most lines are about something else, and are not worth parsing.
+    // Most lines are unrelated; this check avoids parsing them.
     if !line.contains("\"configuration changes are applied\"") {
         return None;
     }
@@ -14,16 +14,16 @@
     line["fields"]["number"].as_u64()
 }
 
-/// What a line of a gateway's log reports of another gateway.
+/// A change in a gateway's view of another gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoggedObservation {
-    /// The number of the other gateway.
+    /// Number of the observed gateway.
     pub subject: usize,
-    /// What it is taken for from then on.
+    /// New state of the observed gateway.
     pub state: ReportedState,
 }
 
-/// What a line of the log reports of another gateway of the fleet, if it does.
+/// Returns the membership observation of a log line; `None` for other lines and for gateways outside the fleet.
 pub fn membership_observation(line: &str) -> Option<LoggedObservation> {
     if !line.contains("\"a gateway ") {
         return None;
--- a/crates/scale-test/src/children/gateway_process.rs
+++ b/crates/scale-test/src/children/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A real gateway: a process of `milletpath serve`, whose log reports what it knows of the others.
+//! A real gateway: a `milletpath serve` process whose log reports its view of the other gateways.
 
 use super::gateway_log::{LoggedObservation, applied_number, membership_observation};
 use crate::child_message::ChildMessage;
@@ -14,38 +14,38 @@
 /// Why a real gateway can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayProcessError {
-    /// The system does not start the program, or has no room for another thread.
+    /// The program can't be spawned, or the system can't create another thread.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The process ended, or printed no address for clients.
+    /// The process exited, or closed its output without printing an address for clients.
     #[error("gateway {gateway} does not tell where it listens")]
     NoAddress {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
     },
 }
 
-/// A real gateway's process. Dropped, it is killed.
+/// The process of a real gateway, which is killed on drop.
 pub struct GatewayProcess {
     process: ChildProcess,
     gateway: usize,
-    /// Distinguishes it from other processes under its number.
+    /// Distinguishes this process from others of the same gateway.
     pub incarnation: u64,
-    /// Where clients and other gateways reach it.
+    /// Addresses for clients and for other gateways.
     pub addresses: GatewayAddresses,
-    /// Where it receives configuration changes, if it follows them.
+    /// Address at which it receives configuration changes, if it follows them.
     pub config_log_address: Option<SocketAddr>,
-    /// When it was started, in seconds on the machine's monotonic clock.
+    /// When the process was started, in seconds on the machine's monotonic clock.
     pub started_at: f64,
 }
 
 impl GatewayProcess {
-    /// Starts a gateway and waits until it reports where it listens. What its log reports of other gateways and of
-    /// configuration changes goes to `messages`.
+    /// Starts a gateway and waits until it prints its addresses. Membership observations and applied changes found in
+    /// its log are sent to `messages`.
     ///
     /// # Errors
     ///
-    /// The program can't be started, or ends before it listens.
+    /// The program can't be spawned, or exits before it listens.
     pub fn start(
         program: &Path,
         config: &Path,
@@ -56,11 +56,11 @@
         let started_at = clock();
         let mut command = Command::new(program);
         command.arg("--log").arg("json").arg("serve").arg("--charter").arg(config);
-        // What it observes of the others is logged at this level.
+        // Membership observations are logged at this level.
         command.env("MILLETPATH_LOG", "info").stdin(Stdio::null());
         let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
         let (output, log) = (child.stdout.take(), child.stderr.take());
-        // From here on an error kills the process, as the handle is dropped.
+        // If anything below fails, dropping the handle kills the process.
         let process = ChildProcess::new(child);
         if let Some(log) = log {
             let read = move || read_log(log, gateway, incarnation, &messages);
@@ -72,16 +72,16 @@
         Ok(Self { process, gateway, incarnation, addresses, config_log_address, started_at })
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn process_id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Asks it to shut down gracefully. Its end is reported to `messages`.
+    /// Requests a graceful shutdown. The exit is reported to `messages`.
     ///
     /// # Errors
     ///
-    /// The signal can't be sent, or the system has no room for another thread.
+    /// The signal can't be sent, or the system can't create another thread.
     pub fn shut_down(mut self, messages: SyncSender<ChildMessage>) -> io::Result<()> {
         let at = clock();
         self.process.terminate()?;
@@ -95,7 +95,8 @@
 
 fn read_log(log: impl Read, gateway: usize, incarnation: u64, messages: &SyncSender<ChildMessage>) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
-        // Once the run is over nobody receives; the log is still read, so that the gateway can go on writing.
+        // After the run has ended nobody receives. The log must still be drained, or the gateway would block on a full
+        // pipe.
         if let Some(LoggedObservation { subject, state }) = membership_observation(&line) {
             let at = clock();
             let _ =
@@ -106,13 +107,13 @@
     }
 }
 
-/// All addresses that a gateway prints when it starts.
+/// The addresses that a gateway prints at startup.
 struct ListenAddresses {
     addresses: GatewayAddresses,
     config_log_address: Option<SocketAddr>,
 }
 
-/// Reads the lines that a gateway prints when it starts, up to its address for clients, which is the last.
+/// Reads the startup output of a gateway up to the address for clients, which is printed last.
 fn read_addresses(output: impl Read) -> Option<ListenAddresses> {
     let (mut membership, mut config_log_address) = (None, None);
     for line in BufReader::new(output).lines().map_while(Result::ok) {
--- a/crates/scale-test/src/children/gateway_process/tests.rs
+++ b/crates/scale-test/src/children/gateway_process/tests.rs
@@ -1,4 +1,4 @@
-//! What a gateway prints when it starts.
+//! Parsing of the addresses that a gateway prints at startup.
 
 use super::read_addresses;
 use std::net::SocketAddr;
--- a/crates/scale-test/src/children/host_process.rs
+++ b/crates/scale-test/src/children/host_process.rs
@@ -1,4 +1,4 @@
-//! A host of hollow gateways, as the run sees it: a process that takes commands and reports.
+//! Client side of a host process of hollow gateways: sends commands and receives status messages.
 
 use crate::child_message::ChildMessage;
 use crate::child_process::ChildProcess;
@@ -9,19 +9,19 @@
 use std::process::{ChildStdin, ChildStdout, Command, Stdio};
 use std::sync::mpsc::{Receiver, Sender, SyncSender, channel};
 
-/// A host process. Dropped, it has 3 s to end by itself, and is killed then.
+/// A host process. On drop its input is closed, and it is killed if it does not exit within 3 s.
 pub struct HostProcess {
     process: ChildProcess,
-    /// None once its input is closed.
+    /// `None` once the input is closed.
     commands: Option<Sender<HostCommand>>,
 }
 
 impl HostProcess {
-    /// Starts a host. Its log goes to a file, and what it reports to `messages`.
+    /// Starts a host. Its log is written to `log`, and its status messages are sent to `messages`.
     ///
     /// # Errors
     ///
-    /// The program can't be started, or the system has no room for another thread.
+    /// The program can't be spawned, or the system can't create another thread.
     pub fn start(
         program: &Path,
         number: usize,
@@ -30,14 +30,14 @@
     ) -> io::Result<Self> {
         let mut command = Command::new(program);
         command.arg("--log").arg("json").arg("scale-host").stdin(Stdio::piped()).stdout(Stdio::piped());
-        // Of hundreds of gateways only errors are worth a line.
+        // With hundreds of gateways in one process, only errors are logged by default.
         if std::env::var_os("MILLETPATH_LOG").is_none() {
             command.env("MILLETPATH_LOG", "error");
         }
         let mut child = command.stderr(log).spawn()?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let (commands, command_queue) = channel();
-        // From here on an error ends the process, as the handle is dropped.
+        // If anything below fails, dropping the handle ends the process.
         let host = Self { process: ChildProcess::new(child), commands: Some(commands) };
         let (Some(input), Some(output)) = (input, output) else {
             return Err(io::Error::other("a host has no pipes"));
@@ -49,20 +49,20 @@
         Ok(host)
     }
 
-    /// Sends a command, without waiting for the host.
+    /// Queues a command without waiting for the host.
     pub fn send(&self, command: HostCommand) {
         if let Some(commands) = &self.commands {
-            // The end of the host is noticed by the end of its output.
+            // A host that has exited is detected by the end of its output.
             let _ = commands.send(command);
         }
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn process_id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Closes its input, by which it ends.
+    /// Closes the input, which makes the host exit.
     pub fn close_input(&mut self) {
         self.commands = None;
     }
@@ -88,7 +88,7 @@
     for line in BufReader::new(output).lines().map_while(Result::ok) {
         match serde_json::from_str(&line) {
             Ok(status) => {
-                // Once the run is over nobody receives.
+                // After the run has ended nobody receives.
                 let _ = messages.send(ChildMessage::Host(status));
             }
             Err(e) => tracing::error!(host, "a status message of a host can't be read: {e}"),
--- a/crates/scale-test/src/client_calls.rs
+++ b/crates/scale-test/src/client_calls.rs
@@ -1,4 +1,4 @@
-//! A few calls a second to the real gateways, so that budgets which all gateways share are in demand at some.
+//! Generates a low rate of calls to the real gateways, so that there is demand for the shared budgets at some gateways.
 
 use crate::plan::Plan;
 use crate::reachable_gateways::ReachableGateways;
@@ -9,10 +9,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a connection attempt or a read may take.
+/// Timeout of a connection attempt and of each read.
 const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How many calls were sent, and how many succeeded.
+/// Counts of sent and successful calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CallCounts {
     /// Calls that were sent.
@@ -21,18 +21,19 @@
     pub succeeded: u64,
 }
 
-/// Sends calls to the real gateways in turn, from a thread of its own. Dropped, it stops after the call that it is at.
+/// Sends calls to the real gateways in round-robin order from its own thread. On drop it stops after the current call.
 pub struct CallGenerator {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<CallCounts>>,
 }
 
 impl CallGenerator {
-    /// Starts with the rate and the functions of a plan. Without a rate or real gateways it sends nothing.
+    /// Starts with the call rate and functions of the plan. Sends nothing if the rate is zero or there are no real
+    /// gateways.
     ///
     /// # Errors
     ///
-    /// The system has no room for another thread.
+    /// The system can't create another thread.
     pub fn start(plan: &Plan, gateways: ReachableGateways) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         if plan.calls_per_second <= 0.0 || plan.real_gateways == 0 {
@@ -43,7 +44,7 @@
         Ok(Self { stop, thread: Some(std::thread::Builder::new().name("calls".into()).spawn(run)?) })
     }
 
-    /// Stops and gives the counts; none where it sent nothing.
+    /// Stops and returns the counts; `None` if no calls were sent at all.
     pub fn finish(mut self) -> Option<CallCounts> {
         self.stop.store(true, Ordering::Release);
         self.thread.take()?.join().ok()
@@ -64,7 +65,8 @@
 ) -> CallCounts {
     let (began, mut counts) = (Instant::now(), CallCounts::default());
     while !stopped.load(Ordering::Acquire) {
-        // Calls that fall due while one takes long are left out: the rate is kept, and not made up for.
+        // Calls that fall due while a slow one is in progress are skipped, so that the rate is never exceeded to catch
+        // up.
         let now = began.elapsed().as_secs_f64();
         let due_at = (now / interval).ceil() * interval;
         std::thread::sleep(Duration::from_secs_f64((due_at - began.elapsed().as_secs_f64()).max(0.0)));
@@ -77,7 +79,7 @@
     counts
 }
 
-/// Sends one call on a connection of its own. Gives whether it succeeded.
+/// Sends one call on a new connection. Returns whether it succeeded.
 fn call(gateway: SocketAddr, function: usize) -> io::Result<bool> {
     let mut stream = TcpStream::connect_timeout(&gateway, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -1,6 +1,6 @@
-//! The control machines of a run, each a process of `milletpath control`; queries of what they and the gateways have
-//! applied; and authors, who propose configuration changes as `milletpath change` does. The datagrams of machines and
-//! authors pass the relay, as those of gateways do; the queries do not.
+//! The control machines of a run, each a `milletpath control` process; queries of the state that they and the gateways
+//! have applied; and authors, which propose configuration changes as `milletpath change` does. Datagrams of control
+//! machines and authors pass through the relay like those of gateways; the queries do not.
 
 mod author;
 mod machine_process;
@@ -19,7 +19,7 @@
 /// Why a control machine or a client of the control machines can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The system does not start the program, or gives no file, socket or thread.
+    /// The program can't be spawned, or the system can't provide a file, socket or thread.
     #[error(transparent)]
     System(#[from] io::Error),
     /// The configuration is not valid.
@@ -31,15 +31,15 @@
     /// The client can't be opened.
     #[error(transparent)]
     Client(#[from] ControlClientError),
-    /// The process of a control machine ended, or does not report that it listens.
+    /// The process exited, or closed its output without printing that it listens.
     #[error("control machine {machine} does not begin")]
     NotListening {
-        /// Its number.
+        /// Number of the control machine.
         machine: usize,
     },
 }
 
-/// A client of the control machines at these addresses.
+/// Opens a client of the control machines at these addresses.
 fn client(addresses: &AddressMap, control_machines: &[SocketAddr]) -> Result<Client, ControlError> {
     let config = gateway_config::parse(&gateway_config::control_text(control_machines, addresses))?;
     let settings = config.config_log.ok_or(ControlError::MissingChangesSection)?;
--- a/crates/scale-test/src/control/author.rs
+++ b/crates/scale-test/src/control/author.rs
@@ -1,4 +1,4 @@
-//! An author of configuration changes, who proposes them as `milletpath change` does.
+//! A client that proposes configuration changes as `milletpath change` does.
 
 use super::{ControlError, client};
 use crate::child_message::ChildMessage;
@@ -12,25 +12,25 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-/// Authors that propose at the same time. Each of them waits for the outcome of one change before it proposes the next.
+/// Number of concurrent authors. Each waits for the outcome of a change before it proposes the next.
 pub const AUTHOR_COUNT: usize = 24;
 
-/// How long before it proposes a change an author looks up the current value of its key, in seconds.
+/// How long before a proposal is due an author looks up the current value of its key, in seconds.
 pub const LOOKUP_LEAD_SECONDS: f64 = 0.8;
 
-/// The longest that an author takes for one change, in seconds.
+/// Upper bound on the time that an author spends on one change, in seconds.
 pub const MAX_PROPOSAL_SECONDS: f64 = 20.0;
 
-/// Functions whose settings are changed in turn.
+/// Number of functions whose settings are changed in turn.
 const FUNCTION_COUNT: usize = 256;
 
-/// An author with a socket of its own.
+/// An author with its own socket.
 pub struct Author {
     client: Client,
 }
 
 impl Author {
-    /// Opens an author's socket.
+    /// Opens the socket of an author.
     ///
     /// # Errors
     ///
@@ -39,32 +39,32 @@
         Ok(Self { client: client(addresses, &addresses.control_machines)? })
     }
 
-    /// The address of its socket.
+    /// Address of the author's socket.
     ///
     /// # Errors
     ///
-    /// The system does not give the address.
+    /// The system doesn't return the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.client.address()
     }
 
-    /// Proposes changes one after the other, from a thread of its own. The outcome of each goes to `messages`.
+    /// Proposes changes one after another from a new thread. Each outcome is sent to `messages`.
     ///
     /// # Errors
     ///
-    /// The system has no room for another thread.
+    /// The system can't create another thread.
     pub fn start(self, changes: Vec<ScheduledChange>, messages: SyncSender<ChildMessage>) -> io::Result<()> {
         std::thread::Builder::new().name("author".into()).spawn(move || {
             for scheduled in changes {
                 sleep_until(scheduled.due_at - LOOKUP_LEAD_SECONDS);
-                // Once the run is over nobody receives.
+                // After the run has ended nobody receives.
                 let _ = messages.send(self.propose(scheduled));
             }
         })?;
         Ok(())
     }
 
-    /// Proposes one change when it is due, and gives what became of it.
+    /// Proposes one change when it is due and returns its outcome.
     fn propose(&self, ScheduledChange { change: number, due_at }: ScheduledChange) -> ChildMessage {
         let finished = |proposed_at, outcome| {
             let (change, finished_at) = (number, clock());
@@ -81,11 +81,11 @@
         finished(proposed_at, self.committed_number(&change, outcome))
     }
 
-    /// The number in the log under which a change was committed.
+    /// Returns the number in the log under which a change was committed.
     fn committed_number(&self, change: &Change, outcome: ProposalOutcome) -> Result<u64, ProposalError> {
         match outcome {
             ProposalOutcome::Decided(Outcome::Committed(number)) => Ok(number),
-            // Of two transmissions of one proposal, the later can find that the earlier was committed.
+            // If a proposal was sent twice, the second transmission may find that the first one was committed.
             ProposalOutcome::Decided(Outcome::Superseded(by)) => match self.client.get(&change.key) {
                 Some(current) if current.text == change.text => Ok(current.number),
                 _ => Err(ProposalError::Superseded { by }),
@@ -97,7 +97,7 @@
     }
 }
 
-/// The key and the text of a change. All texts of one key differ, so that each change has an effect.
+/// Returns the key and the new text of a change. All texts for one key differ, so that each change has an effect.
 fn change_text(change: usize) -> (String, String) {
     let function = change % FUNCTION_COUNT;
     let (lanes, memory) = (1 + change % 4, 64 + change % 1_000);
--- a/crates/scale-test/src/control/machine_process.rs
+++ b/crates/scale-test/src/control/machine_process.rs
@@ -9,22 +9,22 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::process::{Command, Stdio};
 
-/// Ports that are tried in turn: another process may bind a free one first.
+/// Number of ports to try: another process may bind a free port before the control machine does.
 const PORT_ATTEMPTS: usize = 4;
 
-/// Whether a control machine starts with the log of an earlier process.
+/// Whether a control machine starts with a new log or with the log of an earlier process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogState {
-    /// It initializes a new log.
+    /// Initializes a new log.
     New,
-    /// It goes on with its log.
+    /// Continues its existing log.
     Existing,
 }
 
-/// A control machine's process. Dropped, it is killed.
+/// The process of a control machine, which is killed on drop.
 pub struct ControlMachine {
     process: ChildProcess,
-    /// Where it listens itself; others reach it by the relay.
+    /// The address it listens on. Others reach it through the relay.
     pub address: SocketAddr,
 }
 
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// The program can't be started, or ends before it listens, with each of several ports.
+    /// The program can't be spawned, or exits before it listens, on every port that was tried.
     pub fn start(
         files: &RunFiles,
         addresses: &AddressMap,
@@ -57,7 +57,7 @@
         log: LogState,
         address: SocketAddr,
     ) -> Result<Self, ControlError> {
-        // The others are reached by the relay; its own address is the one that it listens on.
+        // The other control machines are reached through the relay; its own entry is the address that it binds.
         let mut control_machines = addresses.control_machines.clone();
         control_machines[number] = address;
         let config = files.control_config(number);
@@ -68,7 +68,7 @@
         command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(files.open_control_log(number)?);
         let mut child = command.spawn()?;
         let output = child.stdout.take();
-        // From here on an error kills the process, as the handle is dropped.
+        // If anything below fails, dropping the handle kills the process.
         let machine = Self { process: ChildProcess::new(child), address };
         let output = output.ok_or(ControlError::NotListening { machine: number })?;
         let mut lines = BufReader::new(output).lines().map_while(Result::ok);
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn process_id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Whether its process still runs.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         self.process.is_running()
     }
--- a/crates/scale-test/src/control/queries.rs
+++ b/crates/scale-test/src/control/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of what control machines and real gateways have applied. They are sent directly, not by the relay.
+//! Queries the state of control machines and real gateways. The queries bypass the relay.
 
 use super::{ControlError, client};
 use crate::applied_state::AppliedState;
@@ -7,7 +7,7 @@
 use milletpath_gateway::ConfigStatus;
 use std::net::SocketAddr;
 
-/// What the control machines at these addresses report, in their order; none for one that does not answer.
+/// Returns the status of each control machine in the order of `targets`; `None` for one that does not answer.
 ///
 /// # Errors
 ///
@@ -22,8 +22,7 @@
     Ok(client(addresses, targets)?.control_status())
 }
 
-/// What the real gateways that follow changes at these addresses have applied, in their order; none for one that does not
-/// answer.
+/// Returns the applied state of each real gateway in the order of `targets`; `None` for one that does not answer.
 ///
 /// # Errors
 ///
--- a/crates/scale-test/src/descriptor_limit.rs
+++ b/crates/scale-test/src/descriptor_limit.rs
@@ -1,4 +1,4 @@
-//! The number of files and sockets that this process may have open.
+//! The limit on open file descriptors of this process.
 
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
 
@@ -8,21 +8,21 @@
     /// The hard limit is too low.
     #[error("{needed} open files are needed and the system allows {allowed}: have fewer gateways")]
     TooLow {
-        /// Descriptors that the run needs.
+        /// Number of descriptors that the run needs.
         needed: u64,
         /// The hard limit.
         allowed: u64,
     },
-    /// The system refuses to read or to set the limit.
+    /// The limit can't be read or set.
     #[error("the limit of open files can't be read or raised: {0}")]
     System(#[from] nix::Error),
 }
 
-/// Raises the limit to `needed`, where it is lower.
+/// Raises the soft limit to `needed` if it is lower.
 ///
 /// # Errors
 ///
-/// The hard limit is lower than `needed`, or the system refuses.
+/// The hard limit is lower than `needed`, or the system refuses to read or set the limit.
 pub fn raise_descriptor_limit(needed: u64) -> Result<(), DescriptorLimitError> {
     let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE)?;
     if soft < needed && soft < hard {
--- a/crates/scale-test/src/distribution.rs
+++ b/crates/scale-test/src/distribution.rs
@@ -1,21 +1,21 @@
-//! How figures of many gateways are distributed: their median, their 99th percentile and the worst. Where nothing was
-//! measured there is no distribution.
+//! Distribution of a value over many gateways: median, 99th percentile and maximum. Without measurements there is no
+//! distribution.
 
 use serde::Serialize;
 
-/// Three quantiles of many figures.
+/// Quantiles of a set of values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Distribution {
-    /// The median.
+    /// Median.
     pub p50: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99: f64,
-    /// The highest figure.
+    /// Maximum.
     pub worst: f64,
 }
 
 impl Distribution {
-    /// Quantiles by the nearest rank; none where there are no figures.
+    /// Computes quantiles by the nearest-rank method; `None` without values.
     #[must_use]
     pub fn of(mut figures: Vec<f64>) -> Option<Self> {
         figures.sort_by(f64::total_cmp);
@@ -27,30 +27,30 @@
     }
 }
 
-/// How long something took to be known, at each of those that should learn it.
+/// How long an event took to become known, one sample for each observer that should learn of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConvergenceSamples {
-    /// Seconds, of each that learnt it.
+    /// Seconds until each observer learned of it.
     pub seconds: Vec<f32>,
-    /// How many never learnt it.
+    /// Number of observers that never learned of it.
     pub never: usize,
 }
 
-/// A summary of such times for reports.
+/// Summary of convergence samples for reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ConvergenceSummary {
-    /// Seconds, of those that learnt it; none where nobody did.
+    /// Distribution over the observers that learned of it; `None` if none did.
     #[serde(flatten)]
     pub distribution: Option<Distribution>,
-    /// How many learnt it.
+    /// Number of observers that learned of it.
     #[serde(rename = "learnt")]
     pub converged: usize,
-    /// How many never learnt it.
+    /// Number of observers that never learned of it.
     pub never: usize,
 }
 
 impl ConvergenceSamples {
-    /// The samples of several in one.
+    /// Merges several sets of samples into one.
     #[must_use]
     pub fn merged<'a>(all: impl Iterator<Item = &'a Self>) -> Self {
         let mut merged = Self::default();
@@ -61,7 +61,7 @@
         merged
     }
 
-    /// None where nobody had anything to learn.
+    /// Summarizes the samples; `None` if there are none.
     #[must_use]
     pub fn summary(&self) -> Option<ConvergenceSummary> {
         let distribution = Distribution::of(self.seconds.iter().copied().map(f64::from).collect());
--- a/crates/scale-test/src/emulated_workers.rs
+++ b/crates/scale-test/src/emulated_workers.rs
@@ -1,4 +1,4 @@
-//! The workers of the real gateways: emulated ones on loopback.
+//! Emulated workers on loopback for the real gateways.
 
 use milletpath_emulator::small_fleet::{context, worker_options};
 use milletpath_emulator::worker::Worker;
@@ -10,34 +10,34 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How often the thread checks whether it is to stop.
+/// Interval at which the thread checks whether it should stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why emulated workers can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatedWorkersError {
-    /// The system gives no thread, runtime or socket.
+    /// The system can't provide a thread, runtime or socket.
     #[error("emulated workers can't start: {0}")]
     System(#[from] io::Error),
-    /// Their thread ended without an answer.
+    /// The thread exited before reporting whether the workers started.
     #[error("emulated workers can't start: their thread ended")]
     ThreadEnded,
 }
 
-/// Emulated workers in a thread of their own. Dropped, they stop and the thread is joined.
+/// Emulated workers that run in their own thread. On drop they are stopped and the thread is joined.
 pub struct EmulatedWorkers {
-    /// Where they listen.
+    /// Addresses that the workers listen on.
     pub addresses: Vec<SocketAddr>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl EmulatedWorkers {
-    /// Starts that many workers, and waits until all listen.
+    /// Starts this number of workers and waits until all of them listen.
     ///
     /// # Errors
     ///
-    /// The system gives no thread, runtime or socket.
+    /// The system can't provide a thread, runtime or socket.
     pub fn start(workers: usize, seed: u64) -> Result<Self, EmulatedWorkersError> {
         let stop = Arc::new(AtomicBool::new(false));
         let (started, addresses) = channel();
@@ -53,7 +53,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread was reported on standard error.
+            // A panic of the thread was already printed to standard error.
             let _ = thread.join();
         }
     }
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The fleet of a run: hosts of hollow gateways, real gateways and control machines, the links between them, and what is
-//! observed of them. Each part owns its state; the fleet starts and stops gateways through them, passes them what
-//! arrives, and ends the run when one of its limits is reached.
+//! The fleet of a run: hosts of hollow gateways, real gateways, control machines, the links between them, and the
+//! trackers of their state. Each part owns its state; the fleet starts and stops gateways, dispatches incoming messages
+//! to the parts, and ends the run when a limit is exceeded.
 
 mod budget_poller;
 mod config_changes;
@@ -44,13 +44,13 @@
 use trackers::Trackers;
 use transitions::Transitions;
 
-/// Messages that wait to be received; who sends more waits.
+/// Capacity of the message queue. Senders block while it is full.
 const MESSAGE_QUEUE_CAPACITY: usize = 4096;
 
 /// Why a fleet can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartFleetError {
-    /// The system gives no sockets, files, threads or processes.
+    /// The system can't provide a socket, file, thread or process.
     #[error(transparent)]
     System(#[from] io::Error),
     /// A control machine can't be started.
@@ -58,13 +58,13 @@
     ControlMachine(#[from] ControlError),
 }
 
-/// A fleet whose gateways are started and stopped by the plays of a run. Dropped, all its processes end.
+/// A fleet whose gateways are started and stopped by the plays of a run. On drop all of its processes end.
 pub struct Fleet {
     /// The plan of the run.
     pub plan: Plan,
-    /// The links between all.
+    /// The links between all participants.
     pub links: Links,
-    /// What is observed of gateways.
+    /// Trackers of the observed state.
     pub trackers: Trackers,
     /// The hosts of hollow gateways.
     pub hosts: Hosts,
@@ -72,14 +72,14 @@
     pub real_gateways: RealGateways,
     /// The control machines.
     pub control_machines: ControlMachines,
-    /// The load of the machine.
+    /// Load of the machine.
     pub load: LoadMonitor,
     stop_conditions: StopConditions,
     transitions: Transitions,
     proposals: ProposalSchedule,
     addresses: AddressMap,
     messages: Receiver<ChildMessage>,
-    /// Given to the threads that send messages.
+    /// Cloned for each thread that sends messages.
     sender: SyncSender<ChildMessage>,
 }
 
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// The system gives no sockets, files, threads or processes, or a control machine does not listen.
+    /// The system can't provide a socket, file, thread or process, or a control machine does not listen.
     pub fn start(
         plan: &Plan,
         plan_text: &str,
@@ -136,7 +136,7 @@
         self.trackers.membership.is_running(gateway)
     }
 
-    /// The gateways that run, in the order of their numbers.
+    /// Numbers of the running gateways in ascending order.
     pub fn running_gateways(&self) -> Vec<usize> {
         (0..self.plan.gateways).filter(|gateway| self.is_running(*gateway)).collect()
     }
@@ -145,7 +145,7 @@
         (self.plan.real_gateways..self.plan.gateways).filter(|gateway| self.is_running(*gateway)).collect()
     }
 
-    /// Starts a gateway. A hollow one reports later that it runs.
+    /// Starts a gateway. A hollow gateway reports later that it has started.
     ///
     /// # Errors
     ///
@@ -178,11 +178,11 @@
         self.transitions.started(gateway);
     }
 
-    /// Asks a gateway that runs to shut down gracefully. It is started again once it has.
+    /// Gracefully shuts down a running gateway, which is started again once it has stopped.
     ///
     /// # Errors
     ///
-    /// The process of a real gateway can't be asked.
+    /// The process of a real gateway can't be signalled.
     pub fn restart_gateway(&mut self, gateway: usize) -> Result<(), StopReason> {
         if !self.is_running(gateway) {
             return Ok(());
@@ -191,7 +191,7 @@
         if !self.is_real(gateway) {
             self.hosts.stop_gateways(&[gateway], false);
         } else if let Some(process) = self.real_gateways.remove(gateway) {
-            // If there is none, it is being stopped already.
+            // A missing process is already stopping.
             self.real_gateways
                 .shut_down(process)
                 .map_err(|source| ProcessFailure::StopGateway { gateway, source })?;
@@ -199,11 +199,11 @@
         Ok(())
     }
 
-    /// Kills those of these gateways that run, all at once.
+    /// Kills the running ones of these gateways at once.
     ///
     /// # Errors
     ///
-    /// A gateway that was to be started again can't be.
+    /// A gateway that was due to restart can't be started.
     pub fn kill_gateways(&mut self, gateways: &[usize]) -> Result<(), StopReason> {
         let running = gateways.iter().copied().filter(|gateway| self.is_running(*gateway));
         let (real, hollow): (Vec<usize>, Vec<usize>) = running.partition(|gateway| self.is_real(*gateway));
@@ -212,7 +212,7 @@
             self.transitions.begin(*gateway);
         }
         for gateway in real {
-            // If there is none, it is being stopped already.
+            // A missing process is already stopping.
             if let Some(process) = self.real_gateways.remove(gateway) {
                 let at = clock();
                 drop(process);
@@ -229,18 +229,18 @@
         if self.transitions.stopped(gateway) { self.start_gateway(gateway) } else { Ok(()) }
     }
 
-    /// Gives the budget totals of the run so far, and begins them anew.
+    /// Takes the budget totals of the run so far and resets them.
     pub fn take_budget_totals(&mut self) -> BudgetTotals {
         std::mem::replace(&mut self.trackers.budgets, BudgetTotals::new(self.plan.gateways))
     }
 
-    /// Whether all gateways that were asked to start or to stop have done so.
+    /// Whether all requested starts and stops of gateways are complete.
     pub fn are_transitions_complete(&self) -> bool {
         self.transitions.is_empty()
     }
 
-    /// Whether all gateways that run know which others do, if the plan has membership; else whether all have started and
-    /// applied all changes.
+    /// Whether every running gateway has the correct view of all others if the plan runs membership; otherwise whether
+    /// all gateways have started and applied all changes.
     pub fn is_converged(&self) -> bool {
         match self.plan.runs(Component::Membership) {
             true => self.trackers.is_membership_converged(),
@@ -251,9 +251,9 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Threads that wait for room in the queue get an error.
+        // Unblocks threads that wait for space in the queue: their send fails.
         self.messages = sync_channel(0).1;
-        // All hosts are let go before the first is waited for.
+        // All hosts are told to exit before the first one is waited for.
         self.hosts.close_inputs();
         self.real_gateways.kill_all();
         self.control_machines.kill_all();
--- a/crates/scale-test/src/fleet/budget_poller.rs
+++ b/crates/scale-test/src/fleet/budget_poller.rs
@@ -1,4 +1,4 @@
-//! Queries a real gateway for its budgets as an operator does, and reports the minimum of each second.
+//! Polls the budgets of a real gateway as an operator would, and reports the minimum of each second.
 
 use crate::child_message::ChildMessage;
 use crate::host_protocol::Minimum;
@@ -9,10 +9,10 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-/// Between two queries: several fall into each second, of which the lowest answer counts.
+/// Polling interval. Several polls fall into each second, of which the lowest answer counts.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Starts a thread that queries the gateway with this configuration until `is_there` is false.
+/// Starts a thread that polls the gateway with this configuration until `should_poll` returns false.
 pub fn start(
     gateway: usize,
     config: GatewayConfig,
@@ -27,7 +27,7 @@
                 return;
             }
             if let Some(minimum) = query(&config, &mut tracker) {
-                // Once the run is over nobody receives.
+                // After the run has ended nobody receives.
                 let _ = messages.send(ChildMessage::BudgetMinimum { gateway, minimum });
             }
         }
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// Queries once. Gives the minimum of a second that is complete by that.
+/// Polls once. Returns the minimum of the previous second if this poll completes it.
 fn query(config: &GatewayConfig, tracker: &mut MinimumTracker) -> Option<Minimum> {
     let status = query_membership(config).ok()?;
     let budgets = status.budgets.into_iter();
--- a/crates/scale-test/src/fleet/config_changes.rs
+++ b/crates/scale-test/src/fleet/config_changes.rs
@@ -1,5 +1,5 @@
-//! Configuration changes in a fleet: authors propose them, control machines are killed and started again, and it is asked
-//! what is applied where.
+//! Configuration changes in a fleet: starts authors, kills and restarts control machines, and queries the applied
+//! state.
 
 use super::Fleet;
 use crate::applied_state::AppliedState;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 impl Fleet {
-    /// Has authors propose changes, spread evenly over `duration` seconds from `start` on.
+    /// Starts authors that propose changes spread evenly over `duration` seconds, beginning at `start`.
     ///
     /// # Errors
     ///
@@ -27,7 +27,7 @@
         Ok(())
     }
 
-    /// Kills control machines.
+    /// Kills these control machines.
     pub fn kill_control_machines(&mut self, numbers: &[usize]) {
         for number in numbers {
             self.links.disconnect_control_machine(*number);
@@ -35,11 +35,11 @@
         }
     }
 
-    /// Starts the control machines again that were killed, with their logs.
+    /// Restarts the control machines that were killed, with their existing logs.
     ///
     /// # Errors
     ///
-    /// One can't be started.
+    /// A control machine can't be started.
     pub fn restart_control_machines(&mut self) -> Result<(), StopReason> {
         for (number, address) in self.control_machines.restart_killed(&self.addresses)? {
             self.links.connect_control_machine(number, address);
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    /// The control machine that leads, if one does.
+    /// Returns the leader of the control machines, if there is one.
     ///
     /// # Errors
     ///
@@ -56,7 +56,7 @@
         Ok(self.control_machines.leader(&self.addresses)?)
     }
 
-    /// What the control machines that run report; none for one that does not answer.
+    /// Returns the status of each running control machine; `None` for one that does not answer.
     ///
     /// # Errors
     ///
@@ -65,11 +65,11 @@
         Ok(self.control_machines.views(&self.addresses)?)
     }
 
-    /// What each gateway that runs has applied; none for one that does not answer.
+    /// Returns the applied state of each running gateway; `None` for one that does not answer.
     ///
     /// # Errors
     ///
-    /// The gateways can't be queried, or the run is to end.
+    /// The gateways can't be queried, or a stop condition of the run is met.
     pub fn gateway_states(&mut self) -> Result<BTreeMap<usize, Option<AppliedState>>, StopReason> {
         self.refresh_readings()?;
         let mut states = BTreeMap::new();
@@ -86,7 +86,7 @@
         Ok(states)
     }
 
-    /// The size of each running gateway's state file in bytes, where changes are followed.
+    /// Size of the state file of each running gateway in bytes; empty if the plan has no control machines.
     pub fn state_file_bytes(&self) -> BTreeMap<usize, f64> {
         if self.plan.control_machines == 0 {
             return BTreeMap::new();
--- a/crates/scale-test/src/fleet/control_machines.rs
+++ b/crates/scale-test/src/fleet/control_machines.rs
@@ -1,4 +1,4 @@
-//! The control machines of a run: started, killed and started again, and queried.
+//! Starts, kills, restarts and queries the control machines of a run.
 
 use crate::control::{ControlError, ControlMachine, LogState, control_machine_views};
 use crate::host_protocol::AddressMap;
@@ -10,44 +10,44 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The control machines by their numbers.
+/// The control machines of a run, indexed by number.
 pub struct ControlMachines {
     files: RunFiles,
-    /// None for one that was killed.
+    /// `None` for a machine that was killed.
     machines: Vec<Option<ControlMachine>>,
 }
 
-/// What a control machine uses.
+/// Resource usage of a control machine.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlMachineUsage {
-    /// Its process, by which two samples are known to be of one.
+    /// Process id, which tells whether two samples belong to the same process.
     pub process_id: u32,
-    /// Its processor time, in seconds.
+    /// Processor time in seconds.
     pub cpu_seconds: f64,
-    /// Its resident memory in MB, if the system reports it.
+    /// Resident memory in MB, if the system reports it.
     pub memory_mb: Option<f64>,
 }
 
 impl ControlMachines {
-    /// Starts all, each with a new log.
+    /// Starts all control machines, each with a new log.
     pub fn start(plan: &Plan, files: RunFiles, addresses: &AddressMap) -> Result<Self, ControlError> {
         let start = |number| ControlMachine::start(&files, addresses, number, LogState::New).map(Some);
         let machines = (0..plan.control_machines).map(start).collect::<Result<_, _>>()?;
         Ok(Self { files, machines })
     }
 
-    /// The addresses of those that run.
+    /// Addresses of the running control machines.
     pub fn running(&self) -> BTreeMap<usize, SocketAddr> {
         let machines = self.machines.iter().enumerate();
         machines.filter_map(|(number, machine)| Some((number, machine.as_ref()?.address))).collect()
     }
 
-    /// Kills one.
+    /// Kills a control machine.
     pub fn kill(&mut self, number: usize) {
         self.machines[number] = None;
     }
 
-    /// Starts those again that were killed, with their logs. Gives their numbers and addresses.
+    /// Restarts the control machines that were killed, with their existing logs. Returns their numbers and addresses.
     pub fn restart_killed(
         &mut self,
         addresses: &AddressMap,
@@ -62,7 +62,7 @@
         Ok(restarted)
     }
 
-    /// Checks that none ended by itself.
+    /// Checks that no control machine has exited on its own.
     pub fn check_running(&mut self) -> Result<(), ProcessFailure> {
         for (number, machine) in self.machines.iter_mut().enumerate() {
             if machine.as_mut().is_some_and(|machine| !machine.is_running()) {
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// What those that run report; none for one that does not answer.
+    /// Returns the status of each running control machine; `None` for one that does not answer.
     pub fn views(
         &self,
         addresses: &AddressMap,
@@ -84,7 +84,7 @@
         Ok(running.into_keys().zip(views).collect())
     }
 
-    /// The one that leads: of those that report to lead, the one with the highest ballot.
+    /// Returns the leader. If several control machines claim to lead, the one with the highest ballot counts.
     pub fn leader(&self, addresses: &AddressMap) -> Result<Option<usize>, ProcessFailure> {
         let views = self.views(addresses)?.into_iter();
         let leading = views.filter_map(|(number, view)| {
@@ -94,7 +94,7 @@
         Ok(leading.max().map(|(_, number)| number))
     }
 
-    /// What each one that runs uses.
+    /// Resource usage of each running control machine.
     pub fn usage(&self) -> BTreeMap<usize, ControlMachineUsage> {
         let usage = |machine: &ControlMachine| {
             let process_id = machine.process_id();
@@ -106,12 +106,12 @@
         machines.filter_map(|(number, machine)| Some((number, usage(machine.as_ref()?)))).collect()
     }
 
-    /// The process ids of those that run.
+    /// Process ids of the running control machines.
     pub fn process_ids(&self) -> impl Iterator<Item = u32> + '_ {
         self.machines.iter().flatten().map(ControlMachine::process_id)
     }
 
-    /// Kills all.
+    /// Kills all control machines.
     pub fn kill_all(&mut self) {
         self.machines.clear();
     }
--- a/crates/scale-test/src/fleet/hosts.rs
+++ b/crates/scale-test/src/fleet/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts of hollow gateways, and what they report of them.
+//! The hosts of hollow gateways and the data that they report.
 
 use crate::child_message::ChildMessage;
 use crate::children::HostProcess;
@@ -10,17 +10,17 @@
 use std::io;
 use std::sync::mpsc::SyncSender;
 
-/// Seconds between two readings of all hollow gateways.
+/// Interval between two readings of all hollow gateways, in seconds.
 const READING_INTERVAL: f64 = 2.0;
 
 /// The host processes of a run.
 pub struct Hosts {
     processes: Vec<HostProcess>,
-    /// The number of the first hollow gateway.
+    /// Number of the first hollow gateway.
     first_hollow: usize,
-    /// Readings and updates of the endpoint list that were requested and reported.
+    /// Readings that the hosts reported.
     pub readings: Readings,
-    /// Updates of the endpoint list that were sent.
+    /// Updates of the endpoint list that were sent to the hosts.
     pub endpoint_updates: EndpointUpdates,
 }
 
@@ -54,17 +54,17 @@
         })
     }
 
-    /// The host of a hollow gateway. They are dealt out in turn.
+    /// Returns the host of a hollow gateway. Gateways are assigned to hosts in round-robin order.
     fn host_of(&self, gateway: usize) -> usize {
         (gateway - self.first_hollow) % self.processes.len()
     }
 
-    /// Asks the host of a hollow gateway to start it.
+    /// Tells its host to start a hollow gateway.
     pub fn start_gateway(&self, gateway: usize) {
         self.processes[self.host_of(gateway)].send(HostCommand::StartGateway { gateway });
     }
 
-    /// Asks the hosts of hollow gateways to stop them, each host all of its own at once.
+    /// Tells the hosts to stop these hollow gateways. Each host stops all of its own at once.
     pub fn stop_gateways(&self, gateways: &[usize], killed: bool) {
         for (host, gateways) in self.group_by_host(gateways) {
             self.processes[host].send(HostCommand::StopGateways { gateways, killed });
@@ -79,7 +79,7 @@
         by_host
     }
 
-    /// Passes an update of the endpoint list to all hollow gateways.
+    /// Sends an update of the endpoint list to all hollow gateways.
     pub fn update_endpoints(&mut self, workers: &[usize], generation: u32, present: bool) {
         for host in &self.processes {
             host.send(HostCommand::UpdateEndpoints { workers: workers.to_vec(), generation, present });
@@ -87,7 +87,7 @@
         self.endpoint_updates.pending += self.processes.len();
     }
 
-    /// Asks all hosts for readings.
+    /// Requests readings from all hosts.
     pub fn request_readings(&mut self) {
         let request_id = self.readings.begin_request(self.processes.len());
         for host in &self.processes {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Asks all hosts for readings if the latest request is some time ago.
+    /// Requests readings from all hosts if the reading interval has elapsed since the last request.
     pub fn request_readings_if_due(&mut self, now: f64) {
         if now >= self.readings.requested_at + READING_INTERVAL {
             self.readings.requested_at = now;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Resident memory of these hollow gateways in MB: each has an equal part of its host's.
+    /// Resident memory of these hollow gateways in MB: the memory of each host, divided equally among its gateways.
     pub fn memory_mb(&self, gateways: &[usize]) -> BTreeMap<usize, f64> {
         let mut memory = BTreeMap::new();
         for (host, gateways) in self.group_by_host(gateways) {
@@ -115,24 +115,24 @@
         memory
     }
 
-    /// The process ids of all hosts.
+    /// Process ids of all hosts.
     pub fn process_ids(&self) -> impl Iterator<Item = u32> + '_ {
         self.processes.iter().map(HostProcess::process_id)
     }
 
-    /// Closes the inputs of all, so that they end at the same time.
+    /// Closes the inputs of all hosts, so that they exit concurrently.
     pub fn close_inputs(&mut self) {
         self.processes.iter_mut().for_each(HostProcess::close_input);
     }
 }
 
-/// The readings of hollow gateways.
+/// Readings of hollow gateways.
 pub struct Readings {
     latest: BTreeMap<usize, GatewayReading>,
     request_id: u64,
-    /// Hosts that have not answered the latest request.
+    /// Number of hosts that have not answered the latest request.
     pending_hosts: usize,
-    /// When readings were requested last, or the time until which no request is sent by itself.
+    /// Time of the last request, or a future time that postpones the next periodic request.
     pub requested_at: f64,
 }
 
@@ -147,7 +147,7 @@
         self.request_id
     }
 
-    /// A host answered a request.
+    /// Records the answer of a host to a request.
     pub fn receive(&mut self, request_id: u64, readings: Vec<GatewayReading>) {
         self.latest.extend(readings.into_iter().map(|reading| (reading.gateway, reading)));
         if request_id == self.request_id {
@@ -155,49 +155,49 @@
         }
     }
 
-    /// Forgets a gateway, which has stopped.
+    /// Discards the reading of a gateway that has stopped.
     pub fn remove(&mut self, gateway: usize) {
         self.latest.remove(&gateway);
     }
 
-    /// Whether all hosts answered the latest request.
+    /// Whether all hosts have answered the latest request.
     pub fn is_complete(&self) -> bool {
         self.pending_hosts == 0
     }
 
-    /// The latest reading of each hollow gateway that runs.
+    /// Latest reading of each running hollow gateway.
     pub fn latest(&self) -> &BTreeMap<usize, GatewayReading> {
         &self.latest
     }
 }
 
-/// Updates of the endpoint list on their way to the hosts.
+/// Updates of the endpoint list that are being applied by the hosts.
 #[derive(Debug, Default)]
 pub struct EndpointUpdates {
-    /// Updates times hosts that have not reported them as taken.
+    /// Number of outstanding acknowledgements, one for each update and host.
     pending: usize,
-    /// The longest processor time that a gateway took for one update, in seconds.
+    /// Maximum processor time that a gateway needed for one update, in seconds.
     max_cpu_seconds: f64,
 }
 
 impl EndpointUpdates {
-    /// A host reported that its gateways took an update, the slowest in that processor time.
+    /// Records that a host has applied an update, and the processor time of its slowest gateway.
     pub fn receive(&mut self, max_cpu_seconds: f64) {
         self.pending = self.pending.saturating_sub(1);
         self.max_cpu_seconds = self.max_cpu_seconds.max(max_cpu_seconds);
     }
 
-    /// Whether all hosts took all updates.
+    /// Whether all hosts have applied all updates.
     pub fn is_complete(&self) -> bool {
         self.pending == 0
     }
 
-    /// The longest processor time of one update at one gateway since the last reset, in seconds.
+    /// Maximum processor time of one update at one gateway since the last reset, in seconds.
     pub fn max_cpu_seconds(&self) -> f64 {
         self.max_cpu_seconds
     }
 
-    /// Measures the longest processor time anew.
+    /// Resets the maximum processor time.
     pub fn reset_max_cpu(&mut self) {
         self.max_cpu_seconds = 0.0;
     }
--- a/crates/scale-test/src/fleet/link_index.rs
+++ b/crates/scale-test/src/fleet/link_index.rs
@@ -1,10 +1,10 @@
-//! Which link of the relay belongs to whom.
+//! Assignment of relay links to gateways, control machines, followers and authors.
 
 use crate::control::AUTHOR_COUNT;
 use crate::plan::Plan;
 
-/// The order of the relay's links: the gateways' membership links, the control machines, the gateways' configuration
-/// followers, the authors. The latter three are there only if the plan has control machines.
+/// The order of the relay's links: membership links of the gateways, control machines, configuration followers of the
+/// gateways, authors. The last three groups exist only if the plan has control machines.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkIndex {
     gateways: usize,
@@ -12,32 +12,32 @@
 }
 
 impl LinkIndex {
-    /// The links that the plan needs.
+    /// Creates the index of the links that the plan needs.
     pub fn new(plan: &Plan) -> Self {
         Self { gateways: plan.gateways, control_machines: plan.control_machines }
     }
 
-    /// The membership link of a gateway.
+    /// Membership link of a gateway.
     pub fn membership(self, gateway: usize) -> usize {
         gateway
     }
 
-    /// The link of a control machine.
+    /// Link of a control machine.
     pub fn control_machine(self, number: usize) -> usize {
         self.gateways + number
     }
 
-    /// The link by which a gateway receives configuration changes.
+    /// Link on which a gateway receives configuration changes, if the plan has control machines.
     pub fn follower(self, gateway: usize) -> Option<usize> {
         (self.control_machines > 0).then_some(self.gateways + self.control_machines + gateway)
     }
 
-    /// The link of an author.
+    /// Link of an author.
     pub fn author(self, number: usize) -> usize {
         2 * self.gateways + self.control_machines + number
     }
 
-    /// The region of each link.
+    /// Region of each link, in the order of the links.
     pub fn regions(self, plan: &Plan) -> Vec<usize> {
         let gateways = (0..plan.gateways).map(|gateway| plan.region_of(gateway));
         if self.control_machines == 0 {
--- a/crates/scale-test/src/fleet/link_index/tests.rs
+++ b/crates/scale-test/src/fleet/link_index/tests.rs
@@ -1,4 +1,4 @@
-//! Whose link is which.
+//! Assignment of relay links to gateways, control machines, followers and authors.
 
 use super::LinkIndex;
 use crate::control::AUTHOR_COUNT;
--- a/crates/scale-test/src/fleet/links.rs
+++ b/crates/scale-test/src/fleet/links.rs
@@ -1,5 +1,5 @@
-//! The links between gateways, control machines and authors: all their datagrams pass one relay, which knows the region
-//! of each.
+//! The links between gateways, control machines and authors. All of their datagrams pass through one relay, which knows
+//! the region of each link.
 
 use super::link_index::LinkIndex;
 use crate::host_protocol::AddressMap;
@@ -10,26 +10,27 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Threads of the relay: the datagrams of a full fleet keep two busy, and a third serves peaks.
+/// Number of relay threads: the datagrams of a full fleet keep two busy, and the third handles peaks.
 const RELAY_THREADS: usize = 3;
 
-/// The relay, and whose link is which.
+/// The relay and the assignment of its links.
 pub struct Links {
     relay: Relay,
     index: LinkIndex,
 }
 
-/// Datagrams that did not arrive.
+/// Counts of datagrams that did not arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct LostDatagrams {
-    /// Dropped by the relay, as its queues were full.
+    /// Dropped by the relay because its queues were full.
     pub overflowed: u64,
-    /// Lost by the plan: at random, or between regions that are cut from each other.
+    /// Lost as the plan demands: at random, or between partitioned regions.
     pub by_plan: u64,
 }
 
 impl Links {
-    /// Opens a link for each gateway, and for control machines, followers and authors where there are some.
+    /// Opens a link for each gateway and, if the plan has control machines, for each control machine, follower and
+    /// author.
     pub fn start(plan: &Plan) -> io::Result<Self> {
         let index = LinkIndex::new(plan);
         let delays =
@@ -37,7 +38,7 @@
         Ok(Self { relay: Relay::start(delays, RELAY_THREADS, plan.seed)?, index })
     }
 
-    /// Where the others reach gateways and control machines.
+    /// Addresses at which gateways and control machines are reached through the relay.
     pub fn addresses(&self, plan: &Plan, folder: PathBuf) -> io::Result<AddressMap> {
         let all = self.relay.addresses()?;
         let gateways = (0..plan.gateways).map(|gateway| all[self.index.membership(gateway)]).collect();
@@ -46,7 +47,7 @@
         Ok(AddressMap { gateways, control_machines, folder })
     }
 
-    /// A gateway listens at these addresses from now on.
+    /// Attaches the sockets of a gateway to its links.
     pub fn connect_gateway(
         &self,
         gateway: usize,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A gateway listens no more, and nothing that it sent is passed on.
+    /// Detaches a gateway from its links. Nothing that it sent is forwarded any more.
     pub fn disconnect_gateway(&self, gateway: usize) {
         self.relay.detach(self.index.membership(gateway));
         if let Some(follower) = self.index.follower(gateway) {
@@ -69,32 +70,32 @@
         }
     }
 
-    /// A control machine listens at this address from now on.
+    /// Attaches the socket of a control machine to its link.
     pub fn connect_control_machine(&self, number: usize, address: SocketAddr) {
         self.relay.attach(self.index.control_machine(number), address);
     }
 
-    /// A control machine listens no more, and nothing that it sent is passed on.
+    /// Detaches a control machine from its link. Nothing that it sent is forwarded any more.
     pub fn disconnect_control_machine(&self, number: usize) {
         self.relay.detach(self.index.control_machine(number));
     }
 
-    /// An author listens at this address from now on.
+    /// Attaches the socket of an author to its link.
     pub fn connect_author(&self, number: usize, address: SocketAddr) {
         self.relay.attach(self.index.author(number), address);
     }
 
-    /// Lets nothing pass between two regions.
+    /// Drops all datagrams between two regions.
     pub fn partition_regions(&self, regions: RegionPair) {
         self.relay.set_partitioned(regions, true);
     }
 
-    /// Lets datagrams pass between two regions again.
+    /// Ends the partition between two regions.
     pub fn heal_partition(&self, regions: RegionPair) {
         self.relay.set_partitioned(regions, false);
     }
 
-    /// What passed each link since the start.
+    /// Traffic of each link since the start.
     pub fn traffic(&self) -> Traffic {
         Traffic { per_link: self.relay.traffic(), index: self.index }
     }
@@ -104,37 +105,37 @@
         LostDatagrams { overflowed: self.relay.overflowed(), by_plan: self.relay.lost() }
     }
 
-    /// The ports of all sockets of the relay, and of those that use it.
+    /// Ports of all sockets of the relay and of the sockets attached to its links.
     pub fn ports(&self) -> BTreeSet<u16> {
         self.relay.ports()
     }
 }
 
-/// Seconds from region to region.
+/// One-way latency in seconds, by source and destination region.
 fn latencies(plan: &Plan) -> Vec<Vec<f64>> {
     let regions = 0..plan.regions.len();
     let from = |from| regions.clone().map(|to| plan.latency_between_regions(from, to)).collect();
     regions.clone().map(from).collect()
 }
 
-/// Datagrams and bytes that passed each link since the start.
+/// Datagrams and bytes of each link since the start.
 pub struct Traffic {
     per_link: Vec<LinkTraffic>,
     index: LinkIndex,
 }
 
 impl Traffic {
-    /// Of a gateway's membership link.
+    /// Traffic of the membership link of a gateway.
     pub fn membership(&self, gateway: usize) -> LinkTraffic {
         self.per_link[self.index.membership(gateway)]
     }
 
-    /// Of a gateway's configuration follower, if it has one.
+    /// Traffic of the configuration follower of a gateway, if it has one.
     pub fn follower(&self, gateway: usize) -> Option<LinkTraffic> {
         Some(self.per_link[self.index.follower(gateway)?])
     }
 
-    /// Of a control machine.
+    /// Traffic of a control machine.
     pub fn control_machine(&self, number: usize) -> LinkTraffic {
         self.per_link[self.index.control_machine(number)]
     }
--- a/crates/scale-test/src/fleet/load_monitor.rs
+++ b/crates/scale-test/src/fleet/load_monitor.rs
@@ -1,24 +1,24 @@
-//! How busy the machine is, and how much memory the run uses, second by second.
+//! Samples processor utilization of the machine and memory usage of the run once a second.
 
 use crate::machine_load::{self, CpuTime};
 
-/// Seconds between two samples.
+/// Interval between two samples, in seconds.
 const SAMPLE_INTERVAL: f64 = 1.0;
 
-/// Samples of the machine's load.
+/// Latest and peak load of the machine.
 pub struct LoadMonitor {
     sampled_at: f64,
     cores: Option<CpuTime>,
     /// Utilization of all cores in the latest second, from 0 to 1.
     pub latest_utilization: Option<f64>,
-    /// The highest utilization of a second.
+    /// Highest utilization in any second.
     pub peak_utilization: Option<f64>,
-    /// The highest resident memory of all processes of the run together, in GB.
+    /// Highest total resident memory of the run's processes, in GB.
     pub peak_memory_gb: f64,
 }
 
 impl LoadMonitor {
-    /// A monitor that samples from now on.
+    /// Creates a monitor with a first sample of the processor time at `now`.
     pub fn new(now: f64) -> Self {
         Self {
             sampled_at: now,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Whether it is time for the next sample.
+    /// Whether the next sample is due.
     pub fn is_due(&self, now: f64) -> bool {
         now >= self.sampled_at + SAMPLE_INTERVAL
     }
 
-    /// Takes a sample. Gives the resident memory of these processes, in GB.
+    /// Takes a sample. Returns the total resident memory of these processes in GB.
     pub fn sample(&mut self, now: f64, processes: &[u32]) -> f64 {
         self.sampled_at = now;
         let cores = CpuTime::read();
--- a/crates/scale-test/src/fleet/messages.rs
+++ b/crates/scale-test/src/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! How a fleet receives what its processes report, and checks the run's limits meanwhile.
+//! Processes messages of child processes and checks the limits of the run in between.
 
 use super::Fleet;
 use crate::child_message::ChildMessage;
@@ -7,21 +7,21 @@
 use milletpath_gateway::hollow_gateway::clock;
 use std::time::Duration;
 
-/// The longest wait for a message before the limits are checked again, in seconds.
+/// Longest wait for a message before the limits are checked again, in seconds.
 const MAX_WAIT: f64 = 0.05;
 
-/// How long all hosts may take to report their readings, in seconds.
+/// How long the hosts may take to report their readings, in seconds.
 const READING_TIMEOUT: f64 = 15.0;
 
-/// How often it is checked whether all hosts reported, in seconds.
+/// Interval at which the answers of the hosts are checked, in seconds.
 const READING_CHECK_INTERVAL: f64 = 0.02;
 
 impl Fleet {
-    /// Receives messages until a time, in seconds on the machine's monotonic clock.
+    /// Processes messages until `until`, in seconds on the machine's monotonic clock.
     ///
     /// # Errors
     ///
-    /// A limit of the run is reached, a process failed, or the run is to stop.
+    /// A limit of the run is exceeded, a process failed, or the run was stopped.
     pub fn process_messages(&mut self, until: f64) -> Result<(), StopReason> {
         loop {
             let now = clock();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Checks whether the run may go on; requests readings and samples the machine's load when they are due.
+    /// Checks the limits of the run. Requests readings and samples the machine's load when they are due.
     fn check_limits(&mut self, now: f64) -> Result<(), StopReason> {
         self.stop_conditions.check_time(now)?;
         self.hosts.request_readings_if_due(now);
@@ -57,7 +57,7 @@
     fn receive(&mut self, message: ChildMessage) -> Result<(), StopReason> {
         match message {
             ChildMessage::Host(status) => return self.receive_status(status),
-            // The signal that stops a run may reach its hosts first.
+            // The signal that stops the run may reach its hosts first.
             ChildMessage::HostEnded { .. } if self.stop_conditions.is_stopping() => {
                 return Err(StopReason::Stopped);
             }
@@ -122,15 +122,15 @@
         Ok(())
     }
 
-    /// Takes readings of all hollow gateways now. Hosts that are too slow are left out.
+    /// Takes readings of all hollow gateways now. Hosts that do not answer in time are left out.
     ///
     /// # Errors
     ///
-    /// A limit of the run is reached, a process failed, or the run is to stop.
+    /// A limit of the run is exceeded, a process failed, or the run was stopped.
     pub fn refresh_readings(&mut self) -> Result<(), StopReason> {
         self.hosts.request_readings();
         let until = clock() + READING_TIMEOUT;
-        // No other request is sent meanwhile.
+        // Suppresses periodic requests during this one.
         self.hosts.readings.requested_at = until;
         while !self.hosts.readings.is_complete() && clock() < until {
             self.process_messages(clock() + READING_CHECK_INTERVAL)?;
--- a/crates/scale-test/src/fleet/proposals.rs
+++ b/crates/scale-test/src/fleet/proposals.rs
@@ -1,26 +1,26 @@
-//! Which author proposes which change, and when.
+//! Distributes the proposals of configuration changes over authors and time.
 
 use crate::control::AUTHOR_COUNT;
 use crate::proposal::ScheduledChange;
 
-/// The changes that one author is to propose.
+/// The changes that one author proposes.
 #[derive(Debug)]
 pub struct AuthorSchedule {
-    /// The author's number.
+    /// Number of the author.
     pub author: usize,
-    /// Its changes, in the order in which they are due.
+    /// Its changes, ordered by due time.
     pub changes: Vec<ScheduledChange>,
 }
 
-/// Numbers the changes of a run and deals them out to authors.
+/// Numbers the changes of a run and assigns them to authors in round-robin order.
 #[derive(Debug, Default)]
 pub struct ProposalSchedule {
     next_change: usize,
 }
 
 impl ProposalSchedule {
-    /// Schedules changes evenly over `duration` seconds from `start` on. Gives the schedule of each author that has
-    /// some.
+    /// Schedules changes evenly over `duration` seconds, beginning at `start`. Returns the schedule of each author that
+    /// has any.
     pub fn schedule(&mut self, changes: usize, start: f64, duration: f64) -> Vec<AuthorSchedule> {
         let mut by_author: Vec<Vec<ScheduledChange>> = vec![Vec::new(); AUTHOR_COUNT];
         for number in 0..changes {
--- a/crates/scale-test/src/fleet/proposals/tests.rs
+++ b/crates/scale-test/src/fleet/proposals/tests.rs
@@ -1,10 +1,10 @@
-//! Which author proposes which change, and when.
+//! Distribution of changes over authors and time.
 
 use super::ProposalSchedule;
 use crate::control::AUTHOR_COUNT;
 
 #[test]
-fn changes_are_dealt_out_to_authors_in_turn_and_spread_evenly() {
+fn changes_are_assigned_to_authors_in_turn_and_spread_evenly() {
     let mut schedule = ProposalSchedule::default();
     let by_author = schedule.schedule(4, 10.0, 2.0);
     let scheduled: Vec<_> = by_author
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_author_has_several_changes_where_there_are_more_than_authors() {
+fn an_author_has_several_changes_if_there_are_more_changes_than_authors() {
     let by_author = ProposalSchedule::default().schedule(AUTHOR_COUNT + 1, 0.0, 0.0);
     assert_eq!(by_author.len(), AUTHOR_COUNT);
     let numbers: Vec<usize> = by_author[0].changes.iter().map(|scheduled| scheduled.change).collect();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn numbers_go_on_in_the_next_play() {
+fn change_numbers_continue_in_the_next_play() {
     let mut schedule = ProposalSchedule::default();
     schedule.schedule(3, 0.0, 1.0);
     let by_author = schedule.schedule(1, 5.0, 1.0);
--- a/crates/scale-test/src/fleet/real_gateways.rs
+++ b/crates/scale-test/src/fleet/real_gateways.rs
@@ -1,4 +1,4 @@
-//! The real gateways of a run: their processes, and the threads that query them.
+//! The processes of the real gateways and the threads that poll them.
 
 use super::budget_poller;
 use crate::child_message::ChildMessage;
@@ -17,14 +17,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::SyncSender;
 
-/// The largest fleet whose real gateways are queried for their budgets. The answer grows with the fleet, and beyond this
-/// the queries would be a load of their own.
+/// Largest fleet whose real gateways are polled for their budgets. The response grows with the fleet, and in a larger
+/// one the polling would itself be a significant load.
 const MAX_POLLED_FLEET: usize = 200;
 
 /// The processes of real gateways.
 pub struct RealGateways {
     files: RunFiles,
-    /// Where their emulated workers listen.
+    /// Addresses of their emulated workers.
     workers: Vec<SocketAddr>,
     processes: BTreeMap<usize, GatewayProcess>,
     reachable: ReachableGateways,
@@ -34,7 +34,7 @@
 }
 
 impl RealGateways {
-    /// None yet.
+    /// Creates the set without any running gateway.
     pub fn new(files: RunFiles, workers: Vec<SocketAddr>, messages: SyncSender<ChildMessage>) -> Self {
         Self {
             files,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Starts one and waits until it listens.
+    /// Starts a gateway and waits until it listens.
     pub fn start(
         &mut self,
         plan: &Plan,
@@ -82,60 +82,60 @@
         Ok(())
     }
 
-    /// Takes a gateway out, to be stopped; none if it is being stopped already.
+    /// Removes a gateway in order to stop it; `None` if it is already stopping.
     pub fn remove(&mut self, gateway: usize) -> Option<GatewayProcess> {
         let process = self.processes.remove(&gateway)?;
         self.reachable.remove(gateway);
         Some(process)
     }
 
-    /// Asks a gateway that was taken out to shut down gracefully; its end is reported as a message.
+    /// Requests a graceful shutdown of a removed gateway. Its exit is reported as a message.
     pub fn shut_down(&self, process: GatewayProcess) -> io::Result<()> {
         process.shut_down(self.messages.clone())
     }
 
-    /// Whether this process of the gateway is the one that runs.
+    /// Whether this incarnation of the gateway is the running one.
     pub fn is_current(&self, gateway: usize, incarnation: u64) -> bool {
         self.processes.get(&gateway).is_some_and(|process| process.incarnation == incarnation)
     }
 
-    /// A handle on the gateways that run.
+    /// Returns a handle to the running gateways.
     pub fn reachable(&self) -> ReachableGateways {
         self.reachable.clone()
     }
 
-    /// The gateways that follow configuration changes, and where they receive them.
+    /// Addresses at which the gateways that follow configuration changes receive them.
     pub fn config_log_addresses(&self) -> BTreeMap<usize, SocketAddr> {
         self.map_processes(|process| process.config_log_address)
     }
 
-    /// Resident memory of each, in MB.
+    /// Resident memory of each gateway in MB.
     pub fn memory_mb(&self) -> BTreeMap<usize, f64> {
         self.map_processes(|process| machine_load::process_memory_mb(process.process_id()))
     }
 
-    /// Processor time of each one's thread of that name, in seconds.
+    /// Processor time of the thread with this name in each gateway, in seconds.
     pub fn thread_cpu_seconds(&self, thread: &str) -> BTreeMap<usize, f64> {
         self.map_processes(|process| machine_load::thread_cpu_seconds(process.process_id(), thread))
     }
 
-    /// The incarnation of each, by which two samples are known to be of one process.
+    /// Incarnation of each gateway, which tells whether two samples belong to the same process.
     pub fn incarnations(&self) -> BTreeMap<usize, u64> {
         self.map_processes(|process| Some(process.incarnation))
     }
 
-    /// A value of each process that has one.
+    /// Collects a value from each process that has one.
     fn map_processes<T>(&self, value: impl Fn(&GatewayProcess) -> Option<T>) -> BTreeMap<usize, T> {
         let processes = self.processes.iter();
         processes.filter_map(|(gateway, process)| Some((*gateway, value(process)?))).collect()
     }
 
-    /// The process ids of all.
+    /// Process ids of all real gateways.
     pub fn process_ids(&self) -> impl Iterator<Item = u32> + '_ {
         self.processes.values().map(GatewayProcess::process_id)
     }
 
-    /// Kills all, and ends the threads that query them.
+    /// Kills all real gateways and stops the polling threads.
     pub fn kill_all(&mut self) {
         self.polling.store(false, Ordering::Release);
         self.processes.clear();
--- a/crates/scale-test/src/fleet/stop_conditions.rs
+++ b/crates/scale-test/src/fleet/stop_conditions.rs
@@ -1,11 +1,11 @@
-//! What ends a run before its plan does.
+//! Conditions that end a run before its plan is complete.
 
 use crate::plan::Plan;
 use crate::stop_reason::StopReason;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The limits of a run, and the flag by which it is stopped from elsewhere.
+/// The limits of a run and the flag that stops it from another thread.
 pub struct StopConditions {
     stop: Arc<AtomicBool>,
     /// When the run started, in seconds on the machine's monotonic clock.
@@ -15,18 +15,18 @@
 }
 
 impl StopConditions {
-    /// The limits of a plan.
+    /// Creates the conditions with the limits of the plan.
     pub fn new(plan: &Plan, stop: Arc<AtomicBool>, now: f64) -> Self {
         let (time_limit_seconds, memory_limit_gb) = (plan.time_limit, plan.memory_limit_gb);
         Self { stop, started_at: now, time_limit_seconds, memory_limit_gb }
     }
 
-    /// Whether the run is being stopped from elsewhere.
+    /// Whether the stop flag is set.
     pub fn is_stopping(&self) -> bool {
         self.stop.load(Ordering::Acquire)
     }
 
-    /// Checks whether the run was stopped or its time is over.
+    /// Checks the stop flag and the time limit.
     pub fn check_time(&self, now: f64) -> Result<(), StopReason> {
         if self.is_stopping() {
             return Err(StopReason::Stopped);
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Checks the resident memory of all processes.
+    /// Checks the total resident memory of all processes against the limit.
     pub fn check_memory(&self, gigabytes: f64) -> Result<(), StopReason> {
         if gigabytes > self.memory_limit_gb { Err(StopReason::MemoryLimit { gigabytes }) } else { Ok(()) }
     }
--- a/crates/scale-test/src/fleet/stop_conditions/tests.rs
+++ b/crates/scale-test/src/fleet/stop_conditions/tests.rs
@@ -1,4 +1,4 @@
-//! What ends a run early.
+//! Conditions that end a run early.
 
 use super::StopConditions;
 use crate::stop_reason::StopReason;
--- a/crates/scale-test/src/fleet/trackers.rs
+++ b/crates/scale-test/src/fleet/trackers.rs
@@ -1,5 +1,4 @@
-//! What is observed of a fleet: who takes whom for alive, which configuration changes are applied where, and what budgets
-//! allow.
+//! Trackers of a fleet's observed state: membership views, propagation of configuration changes, and budget totals.
 
 use crate::budgets::BudgetTotals;
 use crate::change_propagation::ChangePropagation;
@@ -7,16 +6,16 @@
 
 /// The trackers of a run.
 pub struct Trackers {
-    /// Who runs, and who takes whom for alive.
+    /// Running gateways and their views of each other.
     pub membership: MembershipTracker,
-    /// Which configuration changes each gateway applied.
+    /// Configuration changes applied by each gateway.
     pub changes: ChangePropagation,
-    /// What budgets allow all gateways together.
+    /// Totals of the shared budgets over all gateways.
     pub budgets: BudgetTotals,
 }
 
 impl Trackers {
-    /// Trackers of that many gateways, none of which runs.
+    /// Creates trackers for a fleet of this size in which no gateway runs yet.
     pub fn new(gateways: usize, now: f64) -> Self {
         Self {
             membership: MembershipTracker::new(gateways, now),
@@ -25,19 +24,19 @@
         }
     }
 
-    /// A gateway started.
+    /// Records the start of a gateway.
     pub fn gateway_started(&mut self, gateway: usize, at: f64) {
         self.membership.record_start(gateway, at);
         self.changes.record_start(gateway, at);
     }
 
-    /// A gateway stopped.
+    /// Records the stop of a gateway.
     pub fn gateway_stopped(&mut self, gateway: usize, at: f64) {
         self.membership.record_stop(gateway, at);
         self.changes.record_stop(gateway);
     }
 
-    /// Whether all gateways that run know which others do.
+    /// Whether every running gateway has the correct view of all others.
     pub fn is_membership_converged(&self) -> bool {
         self.membership.converged_observers() == self.membership.running_count()
     }
--- a/crates/scale-test/src/gateway_config/tests.rs
+++ b/crates/scale-test/src/gateway_config/tests.rs
@@ -1,4 +1,4 @@
-//! The configuration texts that gateways and control machines of a run are started with.
+//! Configuration texts of gateways and control machines.
 
 use super::{control_text, gateway_name, gateway_number, gateway_text, hollow_gateway_config, parse};
 use crate::host_protocol::AddressMap;
--- a/crates/scale-test/src/hollow_workers.rs
+++ b/crates/scale-test/src/hollow_workers.rs
@@ -4,14 +4,15 @@
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The zone of a hollow worker. They are spread over the zones as gateways are.
+/// Zone of a hollow worker. Workers are spread over the zones in the same way as gateways.
 pub fn zone_of(plan: &Plan, worker: usize) -> usize {
     worker % plan.zones.len()
 }
 
-/// A hollow worker as an entry of the endpoint list. Its generation distinguishes processes that use one name.
+/// Endpoint list entry of a hollow worker. The generation distinguishes processes that use the same name.
 pub fn endpoint(plan: &Plan, worker: usize, generation: u32, status: EndpointStatus) -> EndpointEntry {
-    // In a network for benchmarks (RFC 2544), where nobody answers; hollow gateways have no connections to workers.
+    // Addresses are in the benchmarking network (RFC 2544), where nothing answers; hollow gateways never connect to
+    // workers.
     let [_, a, b, c] = (worker as u32).to_be_bytes();
     let address = SocketAddr::from((Ipv4Addr::new(198, 18 + a, b, c), 9000));
     EndpointEntry {
@@ -26,19 +27,19 @@
     }
 }
 
-/// The hollow workers that are there.
+/// The hollow workers that are present.
 pub struct HollowWorkers {
-    /// The generation of each; none where it is gone.
+    /// Generation of each worker; `None` if it is gone.
     generations: Vec<Option<u32>>,
 }
 
 impl HollowWorkers {
-    /// That many workers, all there in their first generation.
+    /// Creates this number of workers, all present in their first generation.
     pub fn new(count: usize) -> Self {
         Self { generations: vec![Some(0); count] }
     }
 
-    /// The complete endpoint list.
+    /// Returns the complete endpoint list.
     pub fn endpoints(&self, plan: &Plan) -> Vec<EndpointEntry> {
         let present = self.generations.iter().enumerate();
         present
@@ -48,7 +49,7 @@
             .collect()
     }
 
-    /// Applies an update, and gives the entries that it changes. Workers beyond the number of all are ignored.
+    /// Applies an update and returns the changed entries. Unknown workers are ignored.
     pub fn update(
         &mut self,
         plan: &Plan,
--- a/crates/scale-test/src/hollow_workers/tests.rs
+++ b/crates/scale-test/src/hollow_workers/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn all_workers_are_there_at_first_and_spread_over_the_zones() {
+fn all_workers_are_present_at_first_and_spread_over_the_zones() {
     let endpoints = HollowWorkers::new(4).endpoints(&plan());
     let zones: Vec<&str> = endpoints.iter().map(|endpoint| endpoint.zone.as_str()).collect();
     assert_eq!(zones, ["a1", "a2", "a1", "a2"]);
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -1,5 +1,5 @@
-//! The host process: holds many hollow gateways, carries out the commands that it reads, and reports what the gateways
-//! observe. `milletpath scale` starts several hosts.
+//! The host process: runs many hollow gateways, executes the commands that it reads, and reports what the gateways
+//! observe. `milletpath scale-test` starts several hosts.
 
 mod error;
 mod gateway_factory;
@@ -17,10 +17,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often the gateways' dispatchers are advanced, as the supervisor of `serve` does.
+/// Interval at which the dispatchers of the gateways are ticked, the same as that of the supervisor in `serve`.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the command loop and the timer thread share.
+/// State shared by the command loop and the timer thread.
 #[derive(Default)]
 struct HostState {
     gateways: Mutex<BTreeMap<usize, HollowGateway>>,
@@ -28,16 +28,16 @@
     stopping: AtomicBool,
 }
 
-/// Locks a mutex. One that a panic poisoned is used as it is.
+/// Locks a mutex, ignoring poisoning.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Carries out commands until the input ends, then stops all gateways. Reports go to standard output.
+/// Executes commands until the input ends, then stops all gateways. Status messages are written to standard output.
 ///
 /// # Errors
 ///
-/// A command can't be read, the plan is not valid, or a report can't be written.
+/// A command can't be read, the plan is not valid, or a status message can't be written.
 pub fn run(input: impl BufRead) -> Result<(), HostError> {
     let state = Arc::new(HostState::default());
     let timer_state = state.clone();
@@ -48,17 +48,17 @@
     let gateways = std::mem::take(&mut *lock(&state.gateways));
     gateways.values().for_each(|gateway| gateway.stop(true));
     drop(gateways);
-    // A panic of the thread was reported on standard error.
+    // A panic of the thread was already printed to standard error.
     let _ = timer.join();
     result
 }
 
-/// Advances the dispatchers and writes what was observed, again and again.
+/// Periodically ticks the dispatchers and writes the buffered observations.
 fn tick_until_stopped(state: &HostState) {
     while !state.stopping.load(Ordering::Acquire) {
         std::thread::sleep(TICK_INTERVAL);
         lock(&state.gateways).values().for_each(HollowGateway::tick);
-        // An error means that the run is gone; the input ends then too.
+        // An error means that the run has ended; the input ends as well then.
         let _ = state.output.lock().write_observations();
     }
 }
@@ -91,7 +91,7 @@
 }
 
 fn start_gateway(state: &HostState, factory: &GatewayFactory, gateway: usize) -> io::Result<()> {
-    // Nothing that it observes is written before the report that it started.
+    // Holding the lock keeps observations of this gateway behind the message that it started.
     let mut writer = state.output.lock();
     let at = clock();
     let report = match factory.start(gateway, &state.output) {
@@ -111,7 +111,7 @@
         let mut running = lock(&state.gateways);
         stopping.extend(gateways.iter().filter_map(|gateway| Some((*gateway, running.remove(gateway)?))));
     }
-    // All are asked to stop before the first is waited for.
+    // All gateways are told to stop before the first one is waited for.
     let at = clock();
     stopping.iter().for_each(|(_, hollow)| hollow.stop(killed));
     for (gateway, hollow) in stopping {
--- a/crates/scale-test/src/host/gateway_factory.rs
+++ b/crates/scale-test/src/host/gateway_factory.rs
@@ -1,4 +1,4 @@
-//! Starts the hollow gateways of a host, by its plan and the current endpoint list.
+//! Creates the hollow gateways of a host from the plan and the current endpoint list.
 
 use super::HostError;
 use super::status_output::StatusOutput;
@@ -14,15 +14,15 @@
 /// Why a hollow gateway can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartHollowError {
-    /// Its configuration is not valid.
+    /// The configuration is not valid.
     #[error(transparent)]
     Config(#[from] InvalidConfig),
-    /// A control thread can't start.
+    /// A control thread can't be started.
     #[error(transparent)]
     ControlThread(#[from] milletpath_gateway::ControlThreadError),
 }
 
-/// What all gateways of a host have in common.
+/// Settings shared by all gateways of a host.
 pub struct GatewayFactory {
     plan: Plan,
     addresses: AddressMap,
@@ -30,7 +30,7 @@
 }
 
 impl GatewayFactory {
-    /// Reads the plan, for another number of gateways and another seed than it states.
+    /// Parses the plan with the number of gateways and the seed of the run, which override those in the plan.
     ///
     /// # Errors
     ///
@@ -43,17 +43,17 @@
     ) -> Result<Self, HostError> {
         let mut plan = plan::read(plan_text, Some(gateways)).map_err(HostError::InvalidPlan)?;
         plan.seed = seed;
-        // Where the endpoint list is not part of the test, one worker is enough.
+        // If the endpoint list is not part of the test, one worker is enough.
         let workers =
             HollowWorkers::new(if plan.runs(Component::EndpointList) { plan.workers.hollow } else { 1 });
         Ok(Self { plan, addresses, workers })
     }
 
-    /// Starts a gateway with the current endpoint list. What it observes goes to `output`.
+    /// Starts a gateway with the current endpoint list. Its observations are written to `output`.
     ///
     /// # Errors
     ///
-    /// Its configuration is not valid, or a control thread can't start.
+    /// The configuration is not valid, or a control thread can't be started.
     pub fn start(&self, gateway: usize, output: &StatusOutput) -> Result<HollowGateway, StartHollowError> {
         let config = gateway_config::hollow_gateway_config(&self.plan, gateway, &self.addresses)?;
         let endpoints = self.workers.endpoints(&self.plan);
@@ -62,7 +62,7 @@
         Ok(HollowGateway::start(config, &endpoints, on_membership, on_applied)?)
     }
 
-    /// Applies an update of the endpoint list, and gives the entries that it changes.
+    /// Applies an update of the endpoint list and returns the changed entries.
     pub fn update_workers(
         &mut self,
         workers: &[usize],
--- a/crates/scale-test/src/host/status_output.rs
+++ b/crates/scale-test/src/host/status_output.rs
@@ -1,16 +1,16 @@
-//! What a host reports on its standard output. What gateways observe is buffered by their threads, and written before any
-//! later message about the same gateway.
+//! Status messages that a host writes to its standard output. Observations of gateways are buffered by their threads
+//! and written before any later message about the same gateway.
 
 use super::lock;
 use crate::host_protocol::{AppliedChange, MembershipObservation, StatusMessage};
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Observations of each kind that are buffered at most: more than two rounds in which all gateways of a full run observe
-/// something of all others. Further ones are dropped.
+/// Capacity of each buffer: enough for more than two rounds in which every gateway of a full run observes all others.
+/// Further observations are dropped.
 const MAX_BUFFERED: usize = 4_000_000;
 
-/// What gateways observed and was not written yet. Clones share one buffer.
+/// Observations that are not written yet. Clones share the buffers.
 #[derive(Clone, Default)]
 pub struct ObservationBuffer {
     membership: Arc<Mutex<Vec<MembershipObservation>>>,
@@ -18,12 +18,12 @@
 }
 
 impl ObservationBuffer {
-    /// Adds what a gateway observed of another. `observe` is called under the lock, so that its time is in order.
+    /// Adds a membership observation. `observe` is called under the lock, so that timestamps are in order.
     pub fn push_membership(&self, observe: impl FnOnce() -> MembershipObservation) {
         push_bounded(&self.membership, observe);
     }
 
-    /// Adds a change that a gateway applied. `observe` is called under the lock, so that its time is in order.
+    /// Adds a change applied by a gateway. `observe` is called under the lock, so that timestamps are in order.
     pub fn push_applied(&self, observe: impl FnOnce() -> AppliedChange) {
         push_bounded(&self.applied, observe);
     }
@@ -36,7 +36,7 @@
     }
 }
 
-/// The standard output of a host, for one writer at a time.
+/// Standard output of a host, for one writer at a time.
 #[derive(Default)]
 pub struct StatusOutput {
     observations: ObservationBuffer,
@@ -44,18 +44,18 @@
 }
 
 impl StatusOutput {
-    /// The buffer of what gateways observe.
+    /// Returns a handle to the observation buffer.
     pub fn observations(&self) -> ObservationBuffer {
         self.observations.clone()
     }
 
-    /// Waits until nobody else writes.
+    /// Waits for exclusive access to the output.
     pub fn lock(&self) -> StatusWriter<'_> {
         StatusWriter { observations: &self.observations, _write_lock: lock(&self.write_lock) }
     }
 }
 
-/// The right to write; others wait until it is dropped.
+/// Exclusive access to the output, released on drop.
 pub struct StatusWriter<'a> {
     observations: &'a ObservationBuffer,
     _write_lock: MutexGuard<'a, ()>,
@@ -70,7 +70,7 @@
         output.flush()
     }
 
-    /// Writes what is buffered.
+    /// Writes the buffered observations.
     pub fn write_observations(&mut self) -> io::Result<()> {
         let membership = std::mem::take(&mut *lock(&self.observations.membership));
         if !membership.is_empty() {
--- a/crates/scale-test/src/host_protocol.rs
+++ b/crates/scale-test/src/host_protocol.rs
@@ -1,8 +1,9 @@
-//! Messages between a run and its host processes: one JSON object a line. The run writes [`HostCommand`]s to the host's
-//! standard input, and the host writes [`StatusMessage`]s to its standard output. A host ends when its input does.
+//! Messages between a run and its host processes, one JSON object per line. The run writes [`HostCommand`]s to the
+//! standard input of a host, and the host writes [`StatusMessage`]s to its standard output. A host exits when its input
+//! ends.
 //!
-//! Gateways, hollow workers and control machines are identified by their numbers, from 0. Times (`at`) are seconds on the
-//! machine's monotonic clock, which all processes of a run share.
+//! Gateways, hollow workers and control machines are identified by their numbers, counted from 0. Times (`at`) are
+//! seconds on the machine's monotonic clock, which all processes of a run share.
 
 use crate::membership_tracker::ReportedState;
 use milletpath_gateway::hollow_gateway;
@@ -11,136 +12,136 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a host is to do.
+/// A command to a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HostCommand {
-    /// The first command, sent once.
+    /// Sets the plan. The first command, sent once.
     Plan {
-        /// The text of the plan.
+        /// Text of the plan.
         text: String,
-        /// Gateways of the fleet, which need not be as many as the plan states.
+        /// Number of gateways in the fleet, which overrides that of the plan.
         gateways: usize,
-        /// The seed of the run, which need not be the plan's.
+        /// Seed of the run, which overrides that of the plan.
         seed: u64,
-        /// Where gateways and control machines are reached.
+        /// Addresses of gateways and control machines.
         #[serde(rename = "places")]
         addresses: AddressMap,
     },
-    /// Start a gateway.
+    /// Starts a gateway.
     #[serde(rename = "Begin")]
     StartGateway {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
     },
-    /// Stop gateways.
+    /// Stops gateways.
     #[serde(rename = "End")]
     StopGateways {
-        /// Their numbers.
+        /// Numbers of the gateways.
         gateways: Vec<usize>,
-        /// Whether they stop without notifying the others, as a process that is killed does.
+        /// Whether they stop without notifying the others, like a killed process.
         killed: bool,
     },
-    /// Pass one update of the endpoint list to all gateways of the host.
+    /// Applies an update of the endpoint list to all gateways of the host.
     #[serde(rename = "List")]
     UpdateEndpoints {
-        /// The hollow workers concerned.
+        /// Hollow workers in the update.
         workers: Vec<usize>,
-        /// Distinguishes processes that use one worker's name.
+        /// Distinguishes processes that use the same worker name.
         generation: u32,
-        /// Whether these workers are there; if not, they are gone.
+        /// Whether these workers are present or gone.
         #[serde(rename = "there")]
         present: bool,
     },
-    /// Report the readings of all gateways.
+    /// Requests readings of all gateways.
     #[serde(rename = "Read")]
     ReadGateways {
-        /// Repeated in the answer.
+        /// Repeated in the response.
         #[serde(rename = "number")]
         request_id: u64,
     },
 }
 
-/// Where the gateways and the control machines of a run are reached, and where its files are.
+/// Addresses of the gateways and control machines of a run, and the folder of its files.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AddressMap {
-    /// The address at which other gateways reach each gateway.
+    /// Address at which the other gateways reach each gateway.
     #[serde(rename = "links")]
     pub gateways: Vec<SocketAddr>,
-    /// The address at which all reach each control machine.
+    /// Address at which each control machine is reached.
     #[serde(rename = "control")]
     pub control_machines: Vec<SocketAddr>,
-    /// The folder of keys and state files.
+    /// Folder of the key and state files.
     pub folder: PathBuf,
 }
 
-/// What a host reports.
+/// A message from a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StatusMessage {
     /// A gateway started.
     #[serde(rename = "Began")]
     GatewayStarted {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
-        /// The address of its membership link, if it has one.
+        /// Address of its membership link, if it has one.
         #[serde(rename = "link")]
         membership_address: Option<SocketAddr>,
-        /// The address of its configuration follower, if it has one.
+        /// Address of its configuration follower, if it has one.
         #[serde(rename = "feed")]
         config_log_address: Option<SocketAddr>,
-        /// When it was asked to start.
+        /// When the start was requested.
         at: f64,
     },
-    /// A gateway could not start, or its control thread ended by itself.
+    /// A gateway could not start, or its control thread exited on its own.
     #[serde(rename = "Failed")]
     GatewayFailed {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
-        /// What went wrong.
+        /// Description of the error.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A gateway stopped, as it was asked to.
+    /// A gateway stopped as requested.
     #[serde(rename = "Ended")]
     GatewayStopped {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
-        /// When it was asked to stop.
+        /// When the stop was requested.
         at: f64,
     },
-    /// What gateways observed of each other, in order.
+    /// Membership observations of gateways, in order.
     #[serde(rename = "Events")]
     MembershipObservations(Vec<MembershipObservation>),
-    /// Configuration changes that gateways applied, in order.
+    /// Configuration changes applied by gateways, in order.
     #[serde(rename = "Changed")]
     AppliedChanges(Vec<AppliedChange>),
-    /// All gateways of the host took an update of the endpoint list.
+    /// All gateways of the host applied an update of the endpoint list.
     #[serde(rename = "Listed")]
     EndpointsUpdated {
-        /// Workers in the update.
+        /// Number of workers in the update.
         workers: usize,
-        /// Processor time that the slowest gateway took, in seconds.
+        /// Processor time of the slowest gateway, in seconds.
         #[serde(rename = "slowest")]
         max_cpu_seconds: f64,
     },
     /// Readings of all gateways of the host.
     Readings {
-        /// The id of the request that is answered.
+        /// Id of the answered request.
         #[serde(rename = "number")]
         request_id: u64,
-        /// One reading for each gateway that runs.
+        /// One reading for each running gateway.
         readings: Vec<GatewayReading>,
     },
 }
 
-/// One gateway's view of another changed.
+/// A change in one gateway's view of another.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, ReportedState, f64)", into = "(u32, u32, ReportedState, f64)")]
 pub struct MembershipObservation {
     /// The gateway whose view changed.
     pub observer: u32,
-    /// The gateway that it is about.
+    /// The observed gateway.
     pub subject: u32,
-    /// What the observer takes the subject for from then on.
+    /// New state of the subject in the observer's view.
     pub state: ReportedState,
     /// When the view changed.
     pub at: f64,
@@ -158,15 +159,15 @@
     }
 }
 
-/// A gateway has applied all configuration changes up to a number.
+/// A gateway applied all configuration changes up to a number.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, f64)", into = "(u32, u64, f64)")]
 pub struct AppliedChange {
-    /// The gateway.
+    /// Number of the gateway.
     pub gateway: u32,
-    /// The number in the configuration log.
+    /// Number in the configuration log.
     pub number: u64,
-    /// When it was applied.
+    /// When the change was applied.
     pub at: f64,
 }
 
@@ -182,23 +183,23 @@
     }
 }
 
-/// What one hollow gateway used and knew. Times and counts are since it started.
+/// Resource usage and state of one hollow gateway. Times and counts are cumulative since its start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GatewayReading {
-    /// Its number.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// When its membership thread was read.
+    /// When its membership thread was sampled.
     pub at: f64,
     /// Processor time of its membership thread, in seconds.
     #[serde(rename = "control")]
     pub membership_cpu: f64,
-    /// Processor time of its dispatcher's timers and endpoint updates, in seconds.
+    /// Processor time that its dispatcher spent on timers and endpoint updates, in seconds.
     #[serde(rename = "desk")]
     pub dispatcher_cpu: f64,
-    /// Gateways that it expects to be alive, itself included.
+    /// Number of gateways that it expects to be alive, including itself.
     #[serde(rename = "likely")]
     pub likely_gateways: f64,
-    /// Budget minimums of the seconds that were completed since the previous reading.
+    /// Lowest budget levels of each second completed since the previous reading.
     #[serde(rename = "lows")]
     pub minimums: Vec<Minimum>,
     /// Its configuration follower, if it has one.
@@ -206,39 +207,39 @@
     pub config_log: Option<ConfigLogReading>,
 }
 
-/// What the configuration follower of a hollow gateway used and applied.
+/// Resource usage and state of the configuration follower of a hollow gateway.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ConfigLogReading {
-    /// When its thread was read.
+    /// When its thread was sampled.
     pub at: f64,
     /// Processor time of its thread, in seconds.
     #[serde(rename = "cpu")]
     pub cpu_seconds: f64,
-    /// The number up to which all changes are applied.
+    /// All changes up to and including this number are applied.
     pub number: u64,
-    /// The digest of the state at that number.
+    /// Digest of the configuration state at that number.
     pub digest: u64,
 }
 
-/// The least that a gateway was allowed to use at any moment of a second.
+/// Lowest budget levels of a gateway during one second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Minimum {
     /// The second, on the machine's monotonic clock.
     pub second: u64,
-    /// Its fraction of what all gateways share by their number alone.
+    /// The gateway's fraction of shared resources, which follows from the number of gateways without leases.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// What it was allowed of each budget, by the budget's name.
+    /// Level of each budget, keyed by the budget's name.
     pub budgets: BTreeMap<String, BudgetLevel>,
 }
 
-/// What a gateway may use of one budget.
+/// A gateway's level of one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct BudgetLevel {
-    /// Its part by the number of gateways alone.
+    /// Its quota without leases, which follows from the number of gateways.
     pub quota: f64,
-    /// What it is allowed with the leases that it granted and holds.
+    /// What it may use, including leases held and excluding leases granted.
     pub allowed: f64,
 }
 
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,9 +1,9 @@
-//! The scale test: hollow gateways, which run the real control code in many threads of a few processes, beside some real
-//! `milletpath serve` processes that can't distinguish them; regions and zones with delays between them; plays in order;
-//! and a report of what was measured at the sockets and by the threads' own clocks.
+//! Scale test: hollow gateways, which run the real control code in many threads of a few processes, together with some
+//! real `milletpath serve` processes that can't tell them apart. Regions and zones have latency between them. The run
+//! executes a plan of plays in order and reports what was measured at the sockets and from the clocks of the threads.
 //!
-//! [`plan`] reads what is to be played, [`run`] plays it, [`report`] is the result. [`host`] is the process that
-//! hollow gateways share, [`relay`] passes the datagrams between all.
+//! [`plan`] parses the plan, [`run`] executes it, and [`report`] holds the result. [`host`] is the process that hollow
+//! gateways share, and [`relay`] forwards the datagrams between all participants.
 
 pub mod applied_state;
 pub mod budgets;
--- a/crates/scale-test/src/machine_load.rs
+++ b/crates/scale-test/src/machine_load.rs
@@ -1,26 +1,26 @@
-//! What the machine and the processes of a run use, by `/proc`: whether the run had the processors that it needed, or
-//! what it measured is also the effect of other load.
+//! Resource usage of the machine and of processes, read from `/proc`. It shows whether the run had enough processors or
+//! whether its measurements are distorted by load.
 
 use std::collections::BTreeSet;
 use std::fs;
 
-/// Clock ticks of a second in `/proc`, the same on every Linux that this runs on.
+/// Clock ticks per second in `/proc` (`USER_HZ`), the same on all supported Linux systems.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Fraction of all cores in use above which measurements of a run also show the lack of processors.
+/// Utilization of all cores above which measurements are also affected by a lack of processors.
 pub const SATURATION_THRESHOLD: f64 = 0.9;
 
-/// Processor time of all cores together since the machine started, in seconds.
+/// Processor time of all cores together since boot, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CpuTime {
-    /// In use.
+    /// Busy time.
     pub busy_seconds: f64,
-    /// In use or idle.
+    /// Busy and idle time.
     pub total_seconds: f64,
 }
 
 impl CpuTime {
-    /// The processor time so far; none where `/proc/stat` can't be read.
+    /// Reads the current values; `None` if `/proc/stat` can't be read.
     #[must_use]
     pub fn read() -> Option<Self> {
         Self::parse(&fs::read_to_string("/proc/stat").ok()?)
@@ -31,7 +31,8 @@
     pub fn parse(text: &str) -> Option<Self> {
         let line = text.lines().find_map(|line| line.strip_prefix("cpu "))?;
         let ticks: Vec<f64> = line.split_whitespace().filter_map(|field| field.parse().ok()).collect();
-        // user nice system idle iowait irq softirq steal; the fields of virtual machines after them are in user already.
+        // Fields: user nice system idle iowait irq softirq steal. The guest fields after them are already included in
+        // user.
         let total: f64 = ticks.get(..8)?.iter().sum();
         let idle = ticks[3] + ticks[4];
         Some(Self {
@@ -48,10 +49,10 @@
     }
 }
 
-/// Seconds of processor time that a process has used; 0 for one that is not there.
+/// Processor time of a process in seconds; 0 if there is no such process.
 #[must_use]
 pub fn process_cpu_seconds(process: u32) -> f64 {
-    // Fields after the process's name, which is in brackets and may hold anything.
+    // Indices of the fields after the process name, which is in parentheses and may contain any character.
     const USER_TIME: usize = 11;
     const SYSTEM_TIME: usize = 12;
     let text = fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
@@ -63,7 +64,7 @@
     (ticks(USER_TIME) + ticks(SYSTEM_TIME)) / TICKS_PER_SECOND
 }
 
-/// Resident memory of a process in MB; none for one that is not there.
+/// Resident memory of a process in MB; `None` if there is no such process.
 #[must_use]
 pub fn process_memory_mb(process: u32) -> Option<f64> {
     let text = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
@@ -72,7 +73,7 @@
     Some(kibibytes * 1024.0 / 1e6)
 }
 
-/// Seconds of processor time that a process's thread of that name has used; none where there is no such thread.
+/// Processor time of the thread with this name in a process, in seconds; `None` if there is no such thread.
 #[must_use]
 pub fn thread_cpu_seconds(process: u32, name: &str) -> Option<f64> {
     let tasks = fs::read_dir(format!("/proc/{process}/task")).ok()?;
@@ -85,7 +86,7 @@
     Some(nanoseconds / 1e9)
 }
 
-/// Datagrams that the system dropped at UDP sockets with these ports, because their buffers were full.
+/// Number of datagrams that the kernel dropped at UDP sockets on these ports because the receive buffers were full.
 #[must_use]
 pub fn dropped_datagrams(ports: &BTreeSet<u16>) -> u64 {
     let text = fs::read_to_string("/proc/net/udp").unwrap_or_default();
@@ -93,7 +94,7 @@
     sockets.filter(|socket| ports.contains(&socket.port)).map(|socket| socket.drops).sum()
 }
 
-/// A UDP socket of the system.
+/// Port and drop count of a UDP socket.
 struct UdpSocketDrops {
     port: u16,
     drops: u64,
--- a/crates/scale-test/src/membership_tracker.rs
+++ b/crates/scale-test/src/membership_tracker.rs
@@ -1,6 +1,6 @@
-//! Which gateways run, and which of them each gateway takes for alive. It is notified of starts, stops and of what
-//! gateways report of each other, and measures how long each took to learn it. It does no I/O; times are seconds on one
-//! clock.
+//! Tracks which gateways are running and which of them each gateway considers alive. The caller reports starts, stops
+//! and the observations of gateways; the tracker measures how long each observer took to learn of a change. It does no
+//! I/O; times are seconds on one clock.
 
 mod pair_matrix;
 
@@ -8,67 +8,67 @@
 use pair_matrix::{Pair, PairMatrix};
 use serde::{Deserialize, Serialize};
 
-/// What a gateway reports of another.
+/// State of a gateway as reported by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReportedState {
-    /// It joined, or returned.
+    /// It joined or returned.
     #[serde(rename = "Here")]
     Alive,
-    /// It is suspected: it is there, even where it was dead before.
+    /// It is suspected of having failed. It still counts as alive, even if it was considered dead before.
     #[serde(rename = "Doubted")]
     Suspected,
-    /// It is dead, or left.
+    /// It was declared dead or left.
     #[serde(rename = "Gone")]
     Dead,
 }
 
-/// How long changes of the membership took to be known, and what was reported wrongly.
+/// Convergence times of membership changes, and the number of incorrect reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConvergenceTimes {
-    /// That a gateway stopped.
+    /// Detection of stopped gateways.
     pub death: ConvergenceSamples,
-    /// That a gateway started.
+    /// Detection of started gateways.
     pub join: ConvergenceSamples,
-    /// After a partition, that gateways that were taken for dead are alive.
+    /// Rediscovery of gateways that were considered dead during a partition.
     pub healing: ConvergenceSamples,
-    /// Reports that a gateway is dead which ran and was not partitioned from the observer.
+    /// Reports of a death although the gateway was running and not partitioned from the observer.
     pub false_deaths: usize,
 }
 
-/// Whether datagrams between two gateways are cut off.
+/// Whether two gateways are on different sides of the partition.
 type IsPartitioned = Box<dyn Fn(usize, usize) -> bool + Send>;
 
-/// When an observer should have learnt something, in seconds since the tracker began; infinite where there is nothing to
-/// learn. In f32 to keep a full fleet's matrix small.
+/// Time since which an observer should know of a change, in seconds since the tracker's origin; infinite if nothing is
+/// pending. `f32` keeps the matrix of a full fleet small.
 type PendingSince = f32;
 
 const NOTHING_PENDING: PendingSince = f32::INFINITY;
 
 const NEVER_REPORTED: f32 = f32::NEG_INFINITY;
 
-/// Compares what gateways report of each other with what is so.
+/// Compares the reports of gateways with the actual state of the fleet.
 pub struct MembershipTracker {
     size: usize,
-    /// When each gateway's process started, if it runs.
+    /// When the process of each gateway started; `None` if it is not running.
     started_at: Vec<Option<f64>>,
-    /// How many processes of the subject's name the observer takes for alive.
+    /// Number of processes with the subject's name that the observer considers alive.
     believed_alive: PairMatrix<u8>,
     pending_death: PairMatrix<PendingSince>,
     pending_join: PairMatrix<PendingSince>,
     pending_healing: PairMatrix<PendingSince>,
-    /// When the observer last reported the subject alive, and dead. A report may arrive before the notice of what it is
-    /// about, as they come by different ways.
+    /// When the observer last reported the subject alive, and when dead. A report may arrive before the notice of the
+    /// event that it is about, as they arrive on different channels.
     reported_alive_at: PairMatrix<f32>,
     reported_dead_at: PairMatrix<f32>,
-    /// The partition, while there is one.
+    /// The current partition, if there is one.
     partition: Option<IsPartitioned>,
-    /// The time on the clock that counts as 0, so that times fit in f32.
+    /// Clock time of the tracker's zero, so that times fit into `f32`.
     origin: f64,
     times: ConvergenceTimes,
 }
 
 impl MembershipTracker {
-    /// A fleet of that size of which no gateway runs.
+    /// Creates a tracker for a fleet of this size in which no gateway runs yet.
     #[must_use]
     pub fn new(size: usize, now: f64) -> Self {
         Self {
@@ -86,19 +86,19 @@
         }
     }
 
-    /// Whether a gateway runs.
+    /// Whether a gateway is running.
     #[must_use]
     pub fn is_running(&self, gateway: usize) -> bool {
         self.started_at[gateway].is_some()
     }
 
-    /// Gateways that run.
+    /// Number of running gateways.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.started_at.iter().flatten().count()
     }
 
-    /// The gateways that run, but for one.
+    /// All running gateways except one.
     fn running_others(&self, gateway: usize) -> Vec<usize> {
         (0..self.size).filter(|other| *other != gateway && self.is_running(*other)).collect()
     }
@@ -107,7 +107,7 @@
         (at - self.origin) as f32
     }
 
-    /// A gateway's process started. The others have to learn that it joined, and it has to learn of the others.
+    /// Records that a gateway's process started. The others must learn that it joined, and it must learn of the others.
     pub fn record_start(&mut self, gateway: usize, at: f64) {
         let since = self.since_origin(at);
         for other in self.running_others(gateway) {
@@ -123,7 +123,8 @@
         self.started_at[gateway] = Some(at);
     }
 
-    /// A gateway's process stopped. Whoever took it for alive has to learn that; it has nothing to learn any more.
+    /// Records that a gateway's process stopped. Gateways that consider it alive must learn that; nothing is pending
+    /// for it any more.
     pub fn record_stop(&mut self, gateway: usize, at: f64) {
         let since = self.since_origin(at);
         self.started_at[gateway] = None;
@@ -133,7 +134,7 @@
             self.pending_healing[pair] = NOTHING_PENDING;
             let reported = self.reported_dead_at[pair];
             if reported >= since {
-                // The report arrived before this notice, and was counted as a false one.
+                // The report arrived before this notice and was counted as a false death.
                 self.times.false_deaths = self.times.false_deaths.saturating_sub(1);
                 self.times.death.seconds.push(reported - since);
             } else if self.believed_alive[pair] > 0 {
@@ -143,7 +144,7 @@
         self.clear_observer(gateway);
     }
 
-    /// Clears all that a gateway observed and has to learn.
+    /// Clears the view of an observer and everything pending for it.
     fn clear_observer(&mut self, observer: usize) {
         self.believed_alive.fill_row(observer, 0);
         for pending in [&mut self.pending_death, &mut self.pending_join, &mut self.pending_healing] {
@@ -153,12 +154,12 @@
         self.reported_dead_at.fill_row(observer, NEVER_REPORTED);
     }
 
-    /// From now on no datagrams pass between the pairs of gateways for which this is true.
+    /// Begins a partition between the pairs of gateways for which the predicate is true.
     pub fn begin_partition(&mut self, is_partitioned: impl Fn(usize, usize) -> bool + Send + 'static) {
         self.partition = Some(Box::new(is_partitioned));
     }
 
-    /// The partition is over: gateways that were taken for dead because of it are to be taken for alive again.
+    /// Ends the partition. Running gateways that were considered dead across it must be considered alive again.
     pub fn end_partition(&mut self, at: f64) {
         let Some(is_partitioned) = self.partition.take() else { return };
         let since = self.since_origin(at);
@@ -173,12 +174,12 @@
         }
     }
 
-    /// A gateway reports something of another. Reports of gateways that are not of this fleet are ignored.
+    /// Records that a gateway reports the state of another. Reports by or about gateways outside the fleet are ignored.
     pub fn record_report(&mut self, observer: usize, subject: usize, state: ReportedState, at: f64) {
         if observer >= self.size || subject >= self.size || observer == subject {
             return;
         }
-        // A report of an earlier process of the observer may arrive late.
+        // A report from an earlier process of the observer may arrive late.
         if self.started_at[observer].is_none_or(|started_at| at < started_at) {
             return;
         }
@@ -213,7 +214,7 @@
         self.partition.as_ref().is_some_and(|is_partitioned| is_partitioned(pair.observer, pair.subject))
     }
 
-    /// How many of the gateways that run have the correct view of all others, and take no earlier process for alive.
+    /// Number of running gateways that have the correct view of all others and consider no earlier process alive.
     #[must_use]
     pub fn converged_observers(&self) -> usize {
         let has_correct_view = |observer: usize| {
@@ -226,7 +227,7 @@
         (0..self.size).filter(|gateway| self.is_running(*gateway) && has_correct_view(*gateway)).count()
     }
 
-    /// Of how many gateways that run all others know that they do.
+    /// Number of running gateways that all other running gateways consider alive.
     #[must_use]
     pub fn gateways_known_to_all(&self) -> usize {
         let is_known_by_all = |subject: usize| {
@@ -236,7 +237,7 @@
         (0..self.size).filter(|gateway| self.is_running(*gateway) && is_known_by_all(*gateway)).count()
     }
 
-    /// Ends a play, and gives what was learnt in it. What is still to be learnt counts as never.
+    /// Ends a play and returns its convergence times. Everything still pending counts as never learned.
     pub fn take_times(&mut self) -> ConvergenceTimes {
         let mut times = std::mem::take(&mut self.times);
         times.death.never = clear_pending(&mut self.pending_death);
@@ -246,7 +247,8 @@
     }
 }
 
-/// An observer reports something: whether that was to be learnt by then, in which case the time that it took is added.
+/// Resolves a pending change if the report at `at` is not older than it, and adds the elapsed time. Returns whether it
+/// did.
 fn resolve_pending(pending: &mut PendingSince, at: f32, samples: &mut ConvergenceSamples) -> bool {
     let since = *pending;
     let is_resolved = since <= at;
@@ -257,7 +259,7 @@
     is_resolved
 }
 
-/// Forgets what is still to be learnt, and gives how much that was.
+/// Clears all pending changes and returns their number.
 fn clear_pending(pending: &mut PairMatrix<PendingSince>) -> usize {
     let count = pending.iter().filter(|since| **since != NOTHING_PENDING).count();
     pending.fill(NOTHING_PENDING);
--- a/crates/scale-test/src/membership_tracker/pair_matrix.rs
+++ b/crates/scale-test/src/membership_tracker/pair_matrix.rs
@@ -1,8 +1,8 @@
-//! A value for each ordered pair of gateways.
+//! A matrix with a value for each ordered pair of gateways.
 
 use std::ops::{Index, IndexMut};
 
-/// A gateway that observes, and the one that it observes.
+/// An observing gateway and the gateway that it observes.
 #[derive(Clone, Copy)]
 pub struct Pair {
     /// The gateway that observes.
@@ -12,35 +12,35 @@
 }
 
 impl Pair {
-    /// The same two gateways with their roles exchanged.
+    /// Swaps the roles of the two gateways.
     pub fn reversed(self) -> Self {
         Self { observer: self.subject, subject: self.observer }
     }
 }
 
-/// A value for each ordered pair, in one row an observer.
+/// A value for each ordered pair, with one row per observer.
 pub struct PairMatrix<T> {
     size: usize,
     values: Vec<T>,
 }
 
 impl<T: Clone> PairMatrix<T> {
-    /// The same value for all pairs of a fleet of that size.
+    /// Creates a matrix for a fleet of this size, filled with one value.
     pub fn new(size: usize, value: T) -> Self {
         Self { size, values: vec![value; size * size] }
     }
 
-    /// Sets the value of all pairs of one observer.
+    /// Sets all values of one observer.
     pub fn fill_row(&mut self, observer: usize, value: T) {
         self.values[observer * self.size..(observer + 1) * self.size].fill(value);
     }
 
-    /// Sets the value of all pairs.
+    /// Sets all values.
     pub fn fill(&mut self, value: T) {
         self.values.fill(value);
     }
 
-    /// The values of all pairs.
+    /// Iterates over all values.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.values.iter()
     }
--- a/crates/scale-test/src/plan.rs
+++ b/crates/scale-test/src/plan.rs
@@ -1,7 +1,7 @@
-//! Plans of scale runs, in HCL: how many gateways in which regions, the limits that their control has to keep, and
-//! what happens to them in which order. Each key, its unit and its bounds are in `docs/operators/scale-test.md`.
+//! Plans of scale tests in HCL: the number of gateways in each region, limits on the control-plane cost, and the plays
+//! to execute. The keys, their units and bounds are documented in `docs/operators/scale-test.md`.
 //!
-//! [`read`] turns the text into a [`Plan`], and reports every error in it.
+//! [`read`] parses the text into a [`Plan`] and reports all errors in it.
 
 mod action;
 mod checks;
--- a/crates/scale-test/src/plan/action.rs
+++ b/crates/scale-test/src/plan/action.rs
@@ -1,68 +1,69 @@
-//! What can happen to the fleet in a play.
+//! Actions on the fleet that a play can perform.
 
 use super::region::RegionPair;
 
-/// What happens in a play. All times are in seconds.
+/// The action of a play. All times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// All gateways start, in an order by the seed.
+    /// Starts all gateways in a random order that depends on the seed.
     Start {
-        /// Seconds over which the starts are spread evenly.
+        /// Time over which the starts are spread evenly.
         duration: f64,
     },
-    /// Nothing happens; the cost of control is measured.
+    /// Leaves the fleet alone while the control-plane cost is measured.
     SteadyState {
-        /// Seconds of the measurement.
+        /// Duration of the measurement.
         duration: f64,
     },
-    /// Gateways shut down gracefully and restart under their names.
+    /// Gracefully shuts down gateways and restarts them under the same names.
     RollingRestart {
-        /// How many gateways restart.
+        /// Number of gateways to restart.
         gateways: usize,
-        /// Seconds over which the restarts are spread evenly.
+        /// Time over which the restarts are spread evenly.
         duration: f64,
     },
-    /// Gateways of one zone are killed at once, and restart when all others have detected it.
+    /// Kills gateways of one zone at once, and restarts them when all others have detected the failure.
     RackFailure {
-        /// How many gateways are killed.
+        /// Number of gateways to kill.
         gateways: usize,
-        /// Seconds after which they restart at the latest.
+        /// Maximum time until they are restarted.
         downtime: f64,
     },
-    /// All gateways and control machines of a zone are killed at once, and restart when all others have detected it.
+    /// Kills all gateways and control machines of a zone at once, and restarts them when all others have detected the
+    /// failure.
     ZoneFailure {
         /// Index of the zone.
         zone: usize,
-        /// Seconds after which they restart at the latest.
+        /// Maximum time until they are restarted.
         downtime: f64,
     },
-    /// No datagram passes between two regions.
+    /// Drops all datagrams between two regions.
     Partition {
         /// The two regions.
         regions: RegionPair,
-        /// Seconds until the partition heals.
+        /// Time until the partition heals.
         duration: f64,
     },
-    /// The workers of a zone are removed from the endpoint list in one revision, and added again in several.
+    /// Removes the workers of a zone from the endpoint list in one revision and adds them again in several.
     EndpointUpdates {
         /// Index of the zone.
         zone: usize,
-        /// Revisions in which the workers are added.
+        /// Number of revisions in which the workers are added.
         revisions: usize,
-        /// Seconds over which these revisions are spread evenly.
+        /// Time over which these revisions are spread evenly.
         duration: f64,
     },
-    /// Only the configuration changes of the play.
+    /// Proposes the configuration changes of the play and does nothing else.
     ConfigChanges,
-    /// The leader of the control machines is killed when half of the play's changes are proposed.
+    /// Kills the leader of the control machines when half of the play's changes are proposed.
     LeaderFailure {
-        /// Seconds until it restarts with its log.
+        /// Time until it is restarted with its log.
         downtime: f64,
     },
 }
 
 impl Action {
-    /// The kind of this action.
+    /// Kind of this action.
     #[must_use]
     pub fn kind(&self) -> ActionKind {
         match self {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Seconds over which changes are proposed during it, where the plan states no others.
+    /// Default time over which changes are proposed during this action.
     pub(super) fn default_proposal_period(&self) -> f64 {
         match self {
             Self::SteadyState { duration }
@@ -94,7 +95,7 @@
     }
 }
 
-/// What can happen in a play, without its parameters.
+/// The kind of an action, without its parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ActionKind {
     /// See [`Action::Start`].
@@ -118,7 +119,7 @@
 }
 
 impl ActionKind {
-    /// All kinds. A report names those that a plan does not have.
+    /// All kinds. A report lists those that the plan does not include.
     pub const ALL: [Self; 9] = [
         Self::Start,
         Self::SteadyState,
@@ -131,7 +132,7 @@
         Self::LeaderFailure,
     ];
 
-    /// The word for it in plans and reports.
+    /// Keyword in plans and reports.
     #[must_use]
     pub fn keyword(self) -> &'static str {
         match self {
--- a/crates/scale-test/src/plan/checks.rs
+++ b/crates/scale-test/src/plan/checks.rs
@@ -1,17 +1,17 @@
-//! What must hold between the figures of a plan. Each check reports its error at the key that should change.
+//! Consistency checks across the values of a plan. Each check reports its error at the key that should change.
 
 use super::action::Action;
 use super::model::{Component, MembershipParameters, Play};
 use super::region::Zone;
 use milletpath_config::document::Section;
 
-/// Control machines that one zone may have: the loss of a zone then takes less than half of them.
+/// Maximum number of control machines per zone, so that the loss of a zone takes less than half of them.
 const CONTROL_MACHINES_PER_ZONE: usize = 2;
 
-/// Periods that a lease must last at least.
+/// Minimum duration of a lease in health check periods.
 const PERIODS_PER_LEASE: f64 = 4.0;
 
-/// Some gateway must be hollow.
+/// At least one gateway must be hollow.
 pub fn leaves_hollow_gateways(root: &Section<'_>, real_gateways: usize, gateways: usize) {
     if real_gateways >= gateways {
         let problem = format!("real of {real_gateways} leaves no hollow gateway among {gateways}");
@@ -19,7 +19,7 @@
     }
 }
 
-/// No zone may be without gateways.
+/// Each zone must have a gateway.
 pub fn has_gateway_for_each_zone(root: &Section<'_>, zones: usize, gateways: usize) {
     if zones > gateways {
         let problem = format!("{zones} zones need as many gateways, and there are {gateways}");
@@ -27,7 +27,7 @@
     }
 }
 
-/// Names of zones must differ over all regions.
+/// Zone names must be unique over all regions.
 pub fn is_new_zone(region: &Section<'_>, name: &str, zones: &[Zone]) {
     if zones.iter().any(|zone| zone.name == name) {
         let problem = format!("zone {name} is stated more than once");
@@ -35,7 +35,7 @@
     }
 }
 
-/// Something must run, and budgets are shared among the gateways that membership knows.
+/// At least one component must run. Budgets need membership, as they are shared among its members.
 pub fn has_components(control: &Section<'_>, components: &[Component], example: &str) {
     let offset = control.offset_of("runs");
     if components.is_empty() {
@@ -47,7 +47,7 @@
     }
 }
 
-/// A lease must outlast several rounds of health checks.
+/// A lease must outlast several health check periods.
 pub fn lease_is_long_enough(peers: &Section<'_>, parameters: &MembershipParameters) {
     let shortest = PERIODS_PER_LEASE * parameters.period;
     if parameters.lease < shortest {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Nothing can happen to a fleet that is not started.
+/// The first play must start the fleet, as other actions need running gateways.
 pub fn first_play_starts_the_fleet(section: &Section<'_>, play: &Play) {
     if !matches!(play.action, Action::Start { .. }) {
         let problem = format!("{} comes before the gateways are started", section.title);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Changes can only be proposed where the gateways follow them.
+/// Changes can be proposed only if the gateways follow them.
 pub fn changes_are_followed(section: &Section<'_>, changes: usize, components: &[Component]) {
     if changes > 0 && !components.contains(&Component::ConfigChanges) {
         let problem = format!("{} proposes changes, which no gateway follows", section.title);
--- a/crates/scale-test/src/plan/model.rs
+++ b/crates/scale-test/src/plan/model.rs
@@ -1,26 +1,26 @@
-//! What a plan holds. All times are in seconds.
+//! The data model of a plan. All times are in seconds.
 
 use super::action::Action;
 use super::region::Zone;
 
-/// A plan of a scale run.
+/// A plan of a scale test.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The plan's name, which the report repeats.
+    /// Name of the plan, repeated in the report.
     pub name: String,
     /// Seed of all random numbers of the run.
     pub seed: u64,
     /// Number of gateways, hollow and real.
     pub gateways: usize,
-    /// How many of the gateways are processes of `milletpath serve`; they have the lowest numbers.
+    /// Number of gateways that are `milletpath serve` processes; they have the lowest numbers.
     pub real_gateways: usize,
     /// Number of host processes that share the hollow gateways.
     pub host_processes: usize,
     /// Parameters of the membership protocol.
     pub membership: MembershipParameters,
-    /// Budgets that all gateways share.
+    /// Budgets shared by all gateways.
     pub budgets: BudgetParameters,
-    /// Number of control machines; none where no configuration changes are followed.
+    /// Number of control machines; 0 if the gateways don't follow configuration changes.
     pub control_machines: usize,
     /// Zones of all regions, in the order of the plan.
     pub zones: Vec<Zone>,
@@ -28,76 +28,76 @@
     pub regions: Vec<String>,
     /// Latency and loss of the links.
     pub links: LinkParameters,
-    /// Hollow and real workers.
+    /// Numbers of hollow and real workers.
     pub workers: WorkerCounts,
-    /// Calls a second that all real gateways receive together.
+    /// Total rate of calls to the real gateways, in calls per second.
     pub calls_per_second: f64,
     /// Number of functions that are called in turn.
     pub functions: usize,
-    /// The components that gateways run.
+    /// Components that the gateways run.
     pub components: Vec<Component>,
-    /// What the control of one gateway may use.
+    /// Limits on the control-plane cost of one gateway.
     pub limits: ResourceLimits,
-    /// The plays, in their order.
+    /// Plays in order of execution.
     pub plays: Vec<Play>,
-    /// Seconds that the run may take; plays that do not end within them are reported as not played.
+    /// Time limit of the run; plays that do not end within it are reported as not played.
     pub time_limit: f64,
-    /// Resident memory that all processes of the run may have together, in GB.
+    /// Limit on the total resident memory of the run's processes, in GB.
     pub memory_limit_gb: f64,
 }
 
 /// Parameters of the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipParameters {
-    /// Seconds between two health checks of a gateway.
+    /// Health check period.
     pub period: f64,
-    /// Seconds for which a quorum proof is valid.
+    /// How long a quorum proof is valid.
     pub lease: f64,
     /// Fraction of its share that a gateway keeps without a valid quorum proof.
     pub floor: f64,
 }
 
-/// Budgets that all gateways share.
+/// Budgets shared by all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetParameters {
-    /// Quota of the one client group in calls a second, over all gateways.
+    /// Quota of the only client group in calls per second, over all gateways.
     pub quota: f64,
-    /// Window of the load rate limit in seconds.
+    /// Window of the load rate limit.
     pub load_window: f64,
-    /// Load requests of each gateway within a window.
+    /// Load requests allowed to each gateway within a window.
     pub load_requests: f64,
 }
 
-/// Latency and loss of the links between gateways.
+/// Latency and loss of the links.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkParameters {
-    /// Seconds one way within a region.
+    /// One-way latency within a region.
     pub within_region: f64,
-    /// Seconds one way between regions, by the indices of both.
+    /// One-way latency between regions, indexed by both regions.
     pub between_regions: Vec<Vec<f64>>,
     /// Fraction of datagrams that are lost.
     pub loss: f64,
 }
 
-/// How many workers there are.
+/// Numbers of workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerCounts {
-    /// Entries of the endpoint list that hollow gateways follow; nothing listens at their addresses.
+    /// Entries in the endpoint list of the hollow gateways; nothing listens at their addresses.
     pub hollow: usize,
     /// Emulated workers of the real gateways.
     pub real: usize,
 }
 
-/// A part of a gateway's control that a run can include.
+/// A component of the gateways' control plane that a run can include.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Component {
-    /// The membership protocol.
+    /// Membership protocol.
     Membership,
-    /// Budgets that all gateways share.
+    /// Budgets shared by all gateways.
     Budgets,
-    /// The endpoint list of workers.
+    /// Endpoint list of workers.
     EndpointList,
-    /// The replicated log of configuration changes.
+    /// Replicated log of configuration changes.
     ConfigChanges,
 }
 
@@ -105,7 +105,7 @@
     /// All components, in the order of the documentation.
     pub const ALL: [Self; 4] = [Self::Membership, Self::Budgets, Self::EndpointList, Self::ConfigChanges];
 
-    /// The word for it in plans and reports.
+    /// Keyword in plans and reports.
     #[must_use]
     pub fn keyword(self) -> &'static str {
         match self {
@@ -116,36 +116,36 @@
         }
     }
 
-    /// The component of that word.
+    /// Returns the component with this keyword.
     pub(super) fn from_keyword(keyword: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|component| component.keyword() == keyword)
     }
 }
 
-/// What the control of one gateway may use; nothing is checked where there is no limit.
+/// Limits on the control-plane cost of one gateway; `None` disables a check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceLimits {
     /// Processor time as a fraction of one core.
     pub cpu_cores: Option<f64>,
     /// Resident memory in MB.
     pub memory_mb: Option<f64>,
-    /// Bytes a second, in each direction.
+    /// Bytes per second, in each direction.
     pub bytes_per_second: Option<f64>,
-    /// Seconds from the proposal of a configuration change until it is applied at the last gateway.
+    /// Time from the proposal of a configuration change until the last gateway has applied it.
     pub change_seconds: Option<f64>,
 }
 
-/// One step of a run: something that happens to the fleet, and what is waited for and measured after it.
+/// One step of a run: an action on the fleet, with what to wait for and to measure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Play {
-    /// The label by which reports name it.
+    /// Label in reports.
     pub label: String,
-    /// What happens.
+    /// Action to perform.
     pub action: Action,
-    /// Seconds that the fleet has until it converges; none where that is not waited for.
+    /// How long to wait for the fleet to converge; `None` to not wait.
     pub settle_timeout: Option<f64>,
-    /// Number of configuration changes that are proposed meanwhile.
+    /// Number of configuration changes to propose during the play.
     pub changes: usize,
-    /// Seconds over which the changes are proposed.
+    /// Time over which the changes are proposed.
     pub proposal_period: f64,
 }
--- a/crates/scale-test/src/plan/reader.rs
+++ b/crates/scale-test/src/plan/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a plan, one function a block.
+//! Reads a plan, with one function per block.
 
 mod components;
 mod plays;
@@ -13,23 +13,23 @@
 use plays::{PlayContext, read_plays};
 use regions::{Regions, read_links, read_regions};
 
-/// Gateways that a run may have: more have no room in one machine's ports and memory.
+/// Maximum number of gateways: the ports and memory of one machine do not suffice for more.
 pub(super) const MAX_GATEWAYS: u32 = 4_000;
 
-/// Real gateways that a run may have, and emulated workers of theirs.
+/// Maximum number of real gateways, and of their emulated workers.
 const MAX_REAL: u32 = 64;
 
-/// The longest time that a plan may state, in seconds.
+/// Maximum duration in a plan, in seconds.
 pub(super) const MAX_SECONDS: f64 = 86_400.0;
 
-/// The size of a plan whose number of gateways cannot be read; its other errors are still reported.
+/// Number of gateways assumed if it can't be read, so that other errors are still reported.
 const FALLBACK_GATEWAYS: usize = 2;
 
-/// Reads a plan, for another number of gateways where one is given.
+/// Reads a plan. `gateways`, if given, overrides the number of gateways.
 ///
 /// # Errors
 ///
-/// All errors of the text, in their order.
+/// All errors in the text, in order.
 pub fn read(text: &str, gateways: Option<usize>) -> Result<Plan, Vec<ConfigError>> {
     let document = Document::new(text);
     let body = parse_body(text).map_err(|error| vec![syntax_error(&error)])?;
@@ -107,7 +107,7 @@
     WorkerCounts { hollow: count("hollow", 60_000, 600), real: count("real", MAX_REAL, 3) }
 }
 
-/// Calls to the real gateways.
+/// Settings of the calls to the real gateways.
 struct CallSettings {
     per_second: f64,
     functions: usize,
@@ -132,7 +132,7 @@
     }
 }
 
-/// A block that must be there; that it is not is reported with what to write.
+/// Returns a required block. A missing block is reported together with an example.
 fn required_block<'p>(root: &Section<'p>, key: &'static str, example: &str) -> Option<Section<'p>> {
     let block = root.block(key);
     if block.is_none() {
--- a/crates/scale-test/src/plan/reader/components.rs
+++ b/crates/scale-test/src/plan/reader/components.rs
@@ -1,17 +1,17 @@
-//! The components of a plan, and the blocks that configure them.
+//! Reads the components of a plan and the blocks that configure them.
 
 use super::required_block;
 use crate::plan::checks;
 use crate::plan::model::{BudgetParameters, Component, MembershipParameters};
 use milletpath_config::document::Section;
 
-/// Control machines that gateways can follow.
+/// Maximum number of control machines.
 const MAX_CONTROL_MACHINES: u32 = 7;
 
-/// What `runs` of a plan may be, as errors show it.
+/// Example of `runs` for error messages.
 pub const COMPONENTS_EXAMPLE: &str = "[\"membership\", \"budgets\", \"list\"]";
 
-/// Reads which components gateways run.
+/// Reads the components that the gateways run.
 pub fn read_components(root: &Section<'_>) -> Vec<Component> {
     let block_example = format!("runs = {COMPONENTS_EXAMPLE}");
     let Some(section) = required_block(root, "control", &block_example) else { return Vec::new() };
@@ -20,7 +20,7 @@
     components
 }
 
-/// Reads the membership protocol's parameters; without that component the block may be missing.
+/// Reads the parameters of the membership protocol. The block is required only if the component runs.
 pub fn read_membership(root: &Section<'_>, components: &[Component]) -> MembershipParameters {
     let required = components.contains(&Component::Membership);
     let section = component_block(root, required, "peers", "period = 0.4, lease = 12");
@@ -39,7 +39,7 @@
     parameters
 }
 
-/// Reads the shared budgets; without that component the block may be missing.
+/// Reads the shared budgets. The block is required only if the component runs.
 pub fn read_budgets(root: &Section<'_>, components: &[Component]) -> BudgetParameters {
     let required = components.contains(&Component::Budgets);
     let section = component_block(root, required, "budgets", "quota = 100");
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads how many control machines there are; none where no configuration changes are followed.
+/// Reads the number of control machines; 0 if the gateways don't follow configuration changes.
 pub fn read_control_machines(root: &Section<'_>, zones: usize, components: &[Component]) -> usize {
     let required = components.contains(&Component::ConfigChanges);
     let Some(section) = root.block("changes") else {
@@ -72,7 +72,7 @@
     if required { machines } else { 0 }
 }
 
-/// A block that must be there where its component runs.
+/// Returns the block of a component, and reports a missing one if it is required.
 fn component_block<'p>(
     root: &Section<'p>,
     required: bool,
--- a/crates/scale-test/src/plan/reader/plays.rs
+++ b/crates/scale-test/src/plan/reader/plays.rs
@@ -1,4 +1,4 @@
-//! The plays of a plan.
+//! Reads the plays of a plan.
 
 use super::regions::read_region_pair;
 use super::{MAX_GATEWAYS, MAX_SECONDS};
@@ -8,31 +8,31 @@
 use crate::plan::region::{RegionPair, Zone};
 use milletpath_config::document::Section;
 
-/// Configuration changes that one play may have.
+/// Maximum number of configuration changes in a play.
 const MAX_CHANGES: u32 = 1_000;
 
-/// Revisions of the endpoint list that one play may have.
+/// Maximum number of endpoint list revisions in a play.
 const MAX_REVISIONS: u32 = 100_000;
 
-/// Seconds of an action, where the plan states none.
+/// Default duration of an action in seconds.
 const DEFAULT_SECONDS: f64 = 10.0;
 
-/// Changes of a play that is about them, where the plan states none.
+/// Default number of changes in a play whose action is about changes.
 const DEFAULT_CHANGES: usize = 20;
 
-/// What plays refer to.
+/// Parts of the plan that plays refer to.
 pub struct PlayContext<'a> {
     /// Number of gateways.
     pub gateways: usize,
-    /// All zones.
+    /// Zones of all regions.
     pub zones: &'a [Zone],
     /// Names of all regions.
     pub regions: &'a [String],
-    /// Components that gateways run.
+    /// Components that the gateways run.
     pub components: &'a [Component],
 }
 
-/// Reads all plays; one whose action is not known is reported and left out.
+/// Reads all plays. A play with an unknown action is reported and skipped.
 pub fn read_plays(root: &Section<'_>, context: &PlayContext<'_>) -> Vec<Play> {
     let mut plays = Vec::new();
     for section in root.blocks("play", true) {
@@ -87,7 +87,7 @@
             Action::ZoneFailure { zone: read_zone(section, context.zones), downtime: seconds("away") }
         }
         ActionKind::Partition => {
-            // An invalid pair is reported, and the plan refused.
+            // An invalid pair was reported, so the plan is rejected; the value is never used.
             let regions = read_region_pair(section, context.regions);
             let regions = regions.unwrap_or(RegionPair { first: 0, second: 0 });
             Action::Partition { regions, duration: seconds("seconds") }
@@ -106,7 +106,7 @@
     section.number(key, "seconds", 0.0..=MAX_SECONDS).unwrap_or(default)
 }
 
-/// Reads how many gateways a play affects. At least one gateway is left, so that a smaller fleet has smaller plays.
+/// Reads how many gateways a play affects. At least one gateway stays up, so the count is reduced in a smaller fleet.
 fn read_gateways(section: &Section<'_>, default: usize, context: &PlayContext<'_>) -> usize {
     let most = (context.gateways - 1).max(1);
     section.count("gateways", "gateways", 1..=MAX_GATEWAYS).unwrap_or(default).min(most)
--- a/crates/scale-test/src/plan/reader/regions.rs
+++ b/crates/scale-test/src/plan/reader/regions.rs
@@ -1,4 +1,4 @@
-//! Regions with their zones, and the links between them.
+//! Reads regions, their zones, and the links between regions.
 
 use super::required_block;
 use crate::plan::checks;
@@ -10,12 +10,12 @@
 const ZONES_EXAMPLE: &str = "[\"north-1\", \"north-2\"]";
 const REGIONS_EXAMPLE: &str = "[\"north\", \"south\"]";
 
-/// Milliseconds one way that a link may take.
+/// Maximum one-way latency of a link in milliseconds.
 const MAX_LATENCY_MS: f64 = 10_000.0;
 
 const MS_PER_SECOND: f64 = 1e3;
 
-/// Regions and the zones of all of them.
+/// Regions and their zones.
 #[derive(Default)]
 pub struct Regions {
     /// Names of the regions.
@@ -25,7 +25,7 @@
 }
 
 impl Regions {
-    /// One region with one zone: for a plan without any, whose other errors are still reported.
+    /// A region with one zone, used for a plan without regions so that its other errors are still reported.
     fn fallback() -> Self {
         Self { names: vec!["all".into()], zones: vec![Zone { name: "all".into(), region: 0 }] }
     }
@@ -45,7 +45,7 @@
     regions
 }
 
-/// Adds the zones of one region to those of the regions before it.
+/// Appends the zones of one region to those of the earlier regions.
 fn read_zones(section: &Section<'_>, region: usize, zones: &mut Vec<Zone>) {
     let parse_name = |text: &str| is_name(text).then(|| text.to_owned());
     let names = section.list("zones", ZONES_EXAMPLE, parse_name).unwrap_or_default();
@@ -76,7 +76,7 @@
     LinkParameters { within_region, between_regions, loss }
 }
 
-/// Reads the latency between one pair of regions, which is the same in both directions.
+/// Reads the latency between a pair of regions, which applies in both directions.
 fn read_pair(section: &Section<'_>, regions: &[String], between_regions: &mut [Vec<f64>]) {
     let latency_ms = section.number("ms", "milliseconds", 0.0..=MAX_LATENCY_MS);
     if !section.has("ms") {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reads two different regions by their names.
+/// Reads a pair of different regions by name.
 pub fn read_region_pair(section: &Section<'_>, regions: &[String]) -> Option<RegionPair> {
     let index_of = |name: &str| regions.iter().position(|region| region == name);
     let indices = section.list("regions", REGIONS_EXAMPLE, index_of);
--- a/crates/scale-test/src/plan/region.rs
+++ b/crates/scale-test/src/plan/region.rs
@@ -1,25 +1,25 @@
-//! Zones, and pairs of regions.
+//! Zones and pairs of regions.
 
 /// A zone of a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// The zone's name.
+    /// Name of the zone.
     pub name: String,
     /// Index of its region in [`Plan::regions`](super::Plan::regions).
     pub region: usize,
 }
 
-/// Two regions, by their indices in [`Plan::regions`](super::Plan::regions).
+/// Two regions, as indices into [`Plan::regions`](super::Plan::regions).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegionPair {
-    /// The region that is named first.
+    /// Region named first.
     pub first: usize,
-    /// The region that is named second.
+    /// Region named second.
     pub second: usize,
 }
 
 impl RegionPair {
-    /// Whether a link between these two regions is one between this pair, in either direction.
+    /// Whether a link between these regions connects the two regions of the pair, in either direction.
     #[must_use]
     pub fn connects(self, from: usize, to: usize) -> bool {
         (from, to) == (self.first, self.second) || (from, to) == (self.second, self.first)
--- a/crates/scale-test/src/plan/topology.rs
+++ b/crates/scale-test/src/plan/topology.rs
@@ -1,28 +1,28 @@
-//! Where gateways and control machines are, and how far they are from each other.
+//! Placement of gateways and control machines, and the latency between them.
 
 use super::model::{Component, Plan};
 
 impl Plan {
-    /// The zone of a gateway. Gateways are assigned to all zones in turn, so neighbours by number are in different
-    /// zones.
+    /// Zone of a gateway. Gateways are assigned to all zones in round-robin order, so consecutive numbers are in
+    /// different zones.
     #[must_use]
     pub fn zone_of(&self, gateway: usize) -> usize {
         gateway % self.zones.len()
     }
 
-    /// The region of a gateway.
+    /// Region of a gateway.
     #[must_use]
     pub fn region_of(&self, gateway: usize) -> usize {
         self.zones[self.zone_of(gateway)].region
     }
 
-    /// The gateways of a zone.
+    /// Gateways of a zone.
     pub fn gateways_in_zone(&self, zone: usize) -> impl Iterator<Item = usize> + '_ {
         (0..self.gateways).filter(move |gateway| self.zone_of(*gateway) == zone)
     }
 
-    /// The zone of a control machine. Machines are assigned to regions in turn, and within each region to its zones in
-    /// turn: no region has more than its share of them, and no zone has more than two.
+    /// Zone of a control machine. Machines are assigned to regions in round-robin order, and within each region to its
+    /// zones in round-robin order: no region has more than its share of them, and no zone has more than two.
     #[must_use]
     pub fn zone_of_control_machine(&self, machine: usize) -> usize {
         let zones_by_turn = self.zones_by_turn();
@@ -38,13 +38,13 @@
             .collect()
     }
 
-    /// Seconds that a datagram takes from one gateway to another.
+    /// One-way latency between two gateways in seconds.
     #[must_use]
     pub fn latency(&self, from: usize, to: usize) -> f64 {
         self.latency_between_regions(self.region_of(from), self.region_of(to))
     }
 
-    /// Seconds that a datagram takes from one region to another.
+    /// One-way latency between two regions in seconds.
     #[must_use]
     pub fn latency_between_regions(&self, from: usize, to: usize) -> f64 {
         if from == to { self.links.within_region } else { self.links.between_regions[from][to] }
--- a/crates/scale-test/src/reachable_gateways.rs
+++ b/crates/scale-test/src/reachable_gateways.rs
@@ -1,19 +1,19 @@
-//! The real gateways that can be reached at present, for the threads that send them calls and queries.
+//! The running real gateways, for the threads that send them calls and queries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Where one real gateway listens.
+/// Addresses that one real gateway listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayAddresses {
-    /// For clients.
+    /// Address for clients.
     pub http: SocketAddr,
-    /// For other gateways, if it has a membership link.
+    /// Address for other gateways, if it has a membership link.
     pub membership: Option<SocketAddr>,
 }
 
-/// A handle on the real gateways that run. Clones share one table.
+/// A handle to the running real gateways. Clones share one table.
 #[derive(Clone, Default)]
 pub struct ReachableGateways(Arc<Mutex<BTreeMap<usize, GatewayAddresses>>>);
 
@@ -22,22 +22,22 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A gateway started.
+    /// Adds a gateway that has started.
     pub fn insert(&self, gateway: usize, addresses: GatewayAddresses) {
         self.lock().insert(gateway, addresses);
     }
 
-    /// A gateway stops.
+    /// Removes a gateway that is stopping.
     pub fn remove(&self, gateway: usize) {
         self.lock().remove(&gateway);
     }
 
-    /// Where clients reach the gateways, in the order of their numbers.
+    /// Addresses for clients, ordered by gateway number.
     pub fn http_addresses(&self) -> Vec<SocketAddr> {
         self.lock().values().map(|addresses| addresses.http).collect()
     }
 
-    /// Whether the gateway still runs in the process that has this membership address.
+    /// Whether the gateway is still running as the process with this membership address.
     pub fn has_membership_address(&self, gateway: usize, address: SocketAddr) -> bool {
         self.lock().get(&gateway).is_some_and(|addresses| addresses.membership == Some(address))
     }
--- a/crates/scale-test/src/relay/forwarder.rs
+++ b/crates/scale-test/src/relay/forwarder.rs
@@ -1,4 +1,4 @@
-//! One thread of the relay: receives datagrams for its links, and delivers each when it is due.
+//! One relay thread: receives datagrams for its links and delivers each when it is due.
 
 use super::in_flight::{InFlightDatagram, InFlightQueue};
 use super::shared::SharedState;
@@ -10,21 +10,21 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Bytes of a datagram that is received completely; those of gateways are far smaller.
+/// Size of the receive buffer in bytes; datagrams of gateways are far smaller.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Datagrams that are received at one link in a row, so that a flood at one does not delay the others.
+/// Maximum number of datagrams received from one link at a time, so that a flooded link does not delay the others.
 const MAX_RECEIVE_BATCH: usize = 32;
 
-/// Links that are reported ready at a time.
+/// Maximum number of ready links per poll.
 const MAX_EVENTS: usize = 64;
 
-/// The longest time for which a thread waits before it checks whether it is to stop.
+/// Longest wait before the thread checks whether it should stop.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 
 type Buffer = [u8; MAX_DATAGRAM_BYTES];
 
-/// One thread of the relay.
+/// State of one relay thread.
 pub struct Forwarder {
     shared: Arc<SharedState>,
     epoll: Epoll,
@@ -34,11 +34,11 @@
 }
 
 impl Forwarder {
-    /// A thread for these links.
+    /// Creates the forwarder of these links.
     ///
     /// # Errors
     ///
-    /// The system can't poll the sockets.
+    /// The sockets can't be registered with epoll.
     pub fn new(shared: Arc<SharedState>, links: impl Iterator<Item = usize>, seed: u64) -> io::Result<Self> {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
         for link in links {
@@ -78,7 +78,7 @@
         wait.as_micros().div_ceil(1000) as u16
     }
 
-    /// Receives what was sent to the owner of a link.
+    /// Receives datagrams that were sent to the owner of a link.
     fn receive(&mut self, to: usize, buffer: &mut Buffer) {
         let shared = self.shared.clone();
         for _ in 0..MAX_RECEIVE_BATCH {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes a datagram on its way, unless it is lost or there is no room for it.
+    /// Queues a datagram for delivery, unless it is lost or the queue is full.
     fn accept(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let shared = &self.shared;
         shared.links[from].sent.add(bytes.len());
@@ -113,7 +113,7 @@
         let now = self.started_at.elapsed();
         while let Some(InFlightDatagram { from, to, bytes, .. }) = self.in_flight.pop_due(now) {
             let Some(port) = self.shared.links[to].owner_port() else { continue };
-            // The receiver sees the address of the sender's link, to which it can answer.
+            // The receiver sees the address of the sender's link as the source, and can reply to it.
             let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
             if self.shared.links[from].socket.send_to(&bytes, address).is_ok() {
                 self.shared.links[to].received.add(bytes.len());
@@ -122,7 +122,7 @@
     }
 }
 
-/// Whether the next datagram may be there in spite of an error: an earlier one could not be delivered, or a signal came.
+/// Whether receiving may continue after an error: an earlier datagram could not be delivered, or a signal arrived.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted)
 }
--- a/crates/scale-test/src/relay/in_flight.rs
+++ b/crates/scale-test/src/relay/in_flight.rs
@@ -1,29 +1,29 @@
-//! Datagrams in flight, in the order in which they are due.
+//! A queue of the datagrams in flight, ordered by due time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Datagrams that one thread may have in flight: a second of what all gateways of a full run send while they all start.
-/// More are dropped.
+/// Maximum number of datagrams in flight per thread: one second of what all gateways of a full run send while they all
+/// start. Further datagrams are dropped.
 const CAPACITY: usize = 1 << 18;
 
 /// A datagram in flight.
 pub struct InFlightDatagram {
-    /// When it is due, since its thread started.
+    /// Due time, relative to the start of the thread.
     pub due: Duration,
-    /// Distinguishes datagrams that are due at the same time; the earlier one has the lower number.
+    /// Orders datagrams with the same due time by arrival.
     sequence: u64,
-    /// The link of the sender.
+    /// Link of the sender.
     pub from: usize,
-    /// The link of the receiver.
+    /// Link of the receiver.
     pub to: usize,
-    /// The payload.
+    /// Payload.
     pub bytes: Box<[u8]>,
 }
 
 impl Ord for InFlightDatagram {
-    /// The datagram that is due first is the greatest, so that a `BinaryHeap` gives it first.
+    /// Reversed, so that a `BinaryHeap` yields the datagram that is due first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.due, other.sequence).cmp(&(self.due, self.sequence))
     }
@@ -43,7 +43,7 @@
 
 impl Eq for InFlightDatagram {}
 
-/// A queue of datagrams by when they are due.
+/// A queue of datagrams ordered by due time.
 #[derive(Default)]
 pub struct InFlightQueue {
     heap: BinaryHeap<InFlightDatagram>,
@@ -51,7 +51,7 @@
 }
 
 impl InFlightQueue {
-    /// Whether there is no room for another datagram.
+    /// Whether the queue is full.
     pub fn is_full(&self) -> bool {
         self.heap.len() >= CAPACITY
     }
@@ -63,12 +63,12 @@
         self.heap.push(InFlightDatagram { due, sequence, from, to, bytes });
     }
 
-    /// When the next datagram is due, if there is one.
+    /// Due time of the next datagram, if there is one.
     pub fn next_due(&self) -> Option<Duration> {
         self.heap.peek().map(|datagram| datagram.due)
     }
 
-    /// Removes the next datagram that is due by now.
+    /// Removes and returns the next datagram if it is due at `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<InFlightDatagram> {
         if self.next_due()? > now {
             return None;
--- a/crates/scale-test/src/relay/in_flight/tests.rs
+++ b/crates/scale-test/src/relay/in_flight/tests.rs
@@ -1,4 +1,4 @@
-//! The order of datagrams in flight.
+//! Delivery order and capacity of the queue of datagrams in flight.
 
 use super::{CAPACITY, InFlightQueue};
 use std::time::Duration;
@@ -11,7 +11,7 @@
     queue
 }
 
-/// The senders of all datagrams that are due by then, in the order in which they are delivered.
+/// Senders of the datagrams that are due by this time, in delivery order.
 fn senders_due(queue: &mut InFlightQueue, millis: u64) -> Vec<usize> {
     std::iter::from_fn(|| queue.pop_due(Duration::from_millis(millis)))
         .map(|datagram| datagram.from)
--- a/crates/scale-test/src/relay/shared.rs
+++ b/crates/scale-test/src/relay/shared.rs
@@ -1,4 +1,4 @@
-//! What the relay and its threads share: the links, who owns them, partitions and counters.
+//! State shared by the relay and its threads: links, their owners, partitions and counters.
 
 use super::{LinkDelays, LinkTraffic};
 use crate::plan::RegionPair;
@@ -6,13 +6,13 @@
 use std::net::{Ipv4Addr, UdpSocket};
 use std::sync::atomic::{AtomicBool, AtomicU16, AtomicU64, Ordering};
 
-/// The port of an owner that listens nowhere.
+/// Port of an owner that is not attached.
 const NO_PORT: u16 = 0;
 
-/// The entry of a port that nobody listens at. Other entries are one more than the link's number.
+/// Table entry of a port without an owner. Other entries are the link number plus one.
 const NO_LINK: u16 = 0;
 
-/// Datagrams and bytes in one direction.
+/// Counts datagrams and bytes in one direction.
 #[derive(Default)]
 pub struct TrafficCounter {
     datagrams: AtomicU64,
@@ -20,20 +20,20 @@
 }
 
 impl TrafficCounter {
-    /// Counts a datagram of that size.
+    /// Counts a datagram of this size.
     pub fn add(&self, bytes: usize) {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-/// One link: the socket that stands for its owner.
+/// One link: the socket that represents its owner to the others.
 pub struct Link {
-    /// The socket at which the others reach the owner.
+    /// Socket at which the others reach the owner.
     pub socket: UdpSocket,
-    /// What the owner received.
+    /// Traffic received by the owner.
     pub received: TrafficCounter,
-    /// What the owner sent.
+    /// Traffic sent by the owner.
     pub sent: TrafficCounter,
     owner_port: AtomicU16,
 }
@@ -46,12 +46,12 @@
         Ok(Self { socket, received, sent, owner_port: AtomicU16::new(NO_PORT) })
     }
 
-    /// The port that the owner listens at, if it does.
+    /// Port that the owner listens on, if it is attached.
     pub fn owner_port(&self) -> Option<u16> {
         Some(self.owner_port.load(Ordering::Acquire)).filter(|port| *port != NO_PORT)
     }
 
-    /// What passed so far.
+    /// Traffic so far.
     pub fn traffic(&self) -> LinkTraffic {
         LinkTraffic {
             datagrams_in: self.received.datagrams.load(Ordering::Relaxed),
@@ -62,21 +62,21 @@
     }
 }
 
-/// What the relay and its threads share.
+/// State shared by the relay and its threads.
 pub struct SharedState {
-    /// All links, by their numbers.
+    /// All links, indexed by number.
     pub links: Vec<Link>,
-    /// Latency and loss between them.
+    /// Latency and loss between the links.
     pub delays: LinkDelays,
-    /// Which link's owner listens at each port.
+    /// Owner of each port, as a table entry.
     link_at_port: Vec<AtomicU16>,
-    /// Whether two regions are cut off from each other, by the numbers of both.
+    /// Whether two regions are partitioned, indexed by both regions.
     partitioned: Vec<AtomicBool>,
-    /// Datagrams that there was no room for.
+    /// Datagrams dropped because a queue was full.
     pub overflowed: AtomicU64,
-    /// Datagrams that were lost at random or to a partition.
+    /// Datagrams lost at random or to a partition.
     pub lost: AtomicU64,
-    /// Ends the threads.
+    /// Tells the threads to exit.
     pub stop: AtomicBool,
 }
 
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// The system has no more sockets.
+    /// The system can't open more sockets.
     pub fn open(delays: LinkDelays) -> io::Result<Self> {
         let (links, regions) = (delays.regions.len(), delays.latency.len());
         let open = |_| {
@@ -105,39 +105,39 @@
         })
     }
 
-    /// The owner of a link listens at this port from now on; an earlier owner of the port does not any more.
+    /// Sets the port of a link's owner. An earlier owner of the port is detached.
     pub fn attach(&self, link: usize, port: u16) {
         self.detach(link);
         let former = self.link_at_port[usize::from(port)].swap(entry_for_link(link), Ordering::AcqRel);
         if let Some(former) = link_for_entry(former) {
             let former = &self.links[former].owner_port;
-            // If it listens elsewhere by now, it stays there.
+            // The former owner keeps its port if it listens on another one by now.
             let _ = former.compare_exchange(port, NO_PORT, Ordering::AcqRel, Ordering::Acquire);
         }
         self.links[link].owner_port.store(port, Ordering::Release);
     }
 
-    /// The owner of a link listens nowhere from now on.
+    /// Detaches the owner of a link.
     pub fn detach(&self, link: usize) {
         let port = self.links[link].owner_port.swap(NO_PORT, Ordering::AcqRel);
         let entry = &self.link_at_port[usize::from(port)];
-        // If another link has the port by now, it keeps it.
+        // The entry stays if the port belongs to another link by now.
         let _ = entry.compare_exchange(entry_for_link(link), NO_LINK, Ordering::AcqRel, Ordering::Acquire);
     }
 
-    /// The link whose owner listens at a port. None for a process that has just stopped, or is not of this fleet.
+    /// Link whose owner listens on a port. `None` for a process that has just stopped or is not part of this fleet.
     pub fn link_at(&self, port: u16) -> Option<usize> {
         link_for_entry(self.link_at_port[usize::from(port)].load(Ordering::Acquire))
     }
 
-    /// Cuts two regions off from each other, or ends that.
+    /// Begins or ends a partition between two regions.
     pub fn set_partitioned(&self, RegionPair { first, second }: RegionPair, is_partitioned: bool) {
         for (from, to) in [(first, second), (second, first)] {
             self.partitioned[self.region_index(from, to)].store(is_partitioned, Ordering::Release);
         }
     }
 
-    /// Whether nothing passes between two links because their regions are cut off from each other.
+    /// Whether two links are in regions that are partitioned from each other.
     pub fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let index = self.region_index(self.delays.regions[from], self.delays.regions[to]);
         self.partitioned[index].load(Ordering::Acquire)
@@ -147,18 +147,18 @@
         from * self.delays.latency.len() + to
     }
 
-    /// Seconds that a datagram takes from one link to another.
+    /// One-way latency between two links in seconds.
     pub fn latency(&self, from: usize, to: usize) -> f64 {
         self.delays.latency[self.delays.regions[from]][self.delays.regions[to]]
     }
 }
 
-/// The entry of a link in the table of ports.
+/// Entry of a link in the port table.
 fn entry_for_link(link: usize) -> u16 {
     link as u16 + 1
 }
 
-/// The link of an entry in the table of ports.
+/// Link of an entry in the port table.
 fn link_for_entry(entry: u16) -> Option<usize> {
     usize::from(entry).checked_sub(1)
 }
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,6 +1,5 @@
-//! What a run found: figures, bounds that were broken, and what was not played. It is printed as a table for people
-//! ([`Report`] implements `Display`) and written as one JSON object ([`Report::json`]). What was not measured is in
-//! neither.
+//! The report of a run: measurements, violated bounds, and what was not played. It is printed as a table ([`Report`]
+//! implements `Display`) and written as a JSON object ([`Report::json`]). Both leave out what was not measured.
 
 mod bounds;
 mod broken_bound;
@@ -27,54 +26,54 @@
 use crate::plan::{ActionKind, Component, Plan};
 use std::collections::BTreeMap;
 
-/// All that a run found.
+/// The measurements of a run.
 pub struct Findings {
-    /// Results of the plays that began, in their order; the last one may have been broken off.
+    /// Results of the plays that began, in order; the last one may be incomplete.
     pub plays: Vec<PlayResult>,
-    /// The worst total of each shared budget, by its name.
+    /// Worst total of each shared budget, keyed by name.
     pub budgets: BTreeMap<String, WorstTotal>,
-    /// Use of the machine.
+    /// Utilization of the machine.
     pub machine: MachineUsage,
     /// Calls to the real gateways, if there were any.
     pub calls: Option<CallCounts>,
-    /// Which configuration changes were applied at the end, where they are followed.
+    /// Configuration state at the end, if the gateways follow configuration changes.
     pub state: Option<FinalState>,
 }
 
 /// The report of a run.
 pub struct Report {
-    /// The plan's name.
+    /// Name of the plan.
     pub name: String,
     /// Number of gateways, hollow and real.
     pub gateways: usize,
-    /// How many of them were real.
+    /// Number of real gateways.
     pub real_gateways: usize,
     /// Components that the gateways ran.
     pub components: Vec<Component>,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// Seconds that the run took.
+    /// Duration of the run in seconds.
     pub seconds: f64,
-    /// Bounds that were broken: which, by how much, where.
+    /// Violated bounds, with the measured values and where they were measured.
     pub broken: Vec<BrokenBound>,
     /// Results of the plays that began.
     pub plays: Vec<PlayResult>,
     /// What was not played, or not to its end.
     pub not_played: Vec<NotPlayed>,
-    /// The worst total of each shared budget, by its name.
+    /// Worst total of each shared budget, keyed by name.
     pub budgets: BTreeMap<String, WorstTotal>,
-    /// Use of the machine.
+    /// Utilization of the machine.
     pub machine: MachineUsage,
     /// Calls to the real gateways, if there were any.
     pub calls: Option<CallCounts>,
-    /// Which configuration changes were applied at the end, where they are followed.
+    /// Configuration state at the end, if the gateways follow configuration changes.
     pub state: Option<FinalState>,
-    /// Why the run ended before its plan did, if it did.
+    /// Why the run ended early, if it did.
     pub stop_reason: Option<StopReason>,
 }
 
 impl Report {
-    /// The report of a run that took some seconds; `stop_reason` is why it ended before its plan did, if it did.
+    /// Creates the report of a run that took `seconds`. `stop_reason` is why the run ended early, if it did.
     #[must_use]
     pub fn new(plan: &Plan, findings: Findings, stop_reason: Option<StopReason>, seconds: f64) -> Self {
         let Findings { plays, budgets, machine, calls, state } = findings;
@@ -102,14 +101,14 @@
         report
     }
 
-    /// The cost of control that counts: that of the last play that measured it.
+    /// The control-plane cost of the last play that measured it.
     fn control_cost(&self) -> Option<&ControlCost> {
         self.plays.iter().rev().find_map(|play| play.control_cost.as_ref())
     }
 }
 
-/// The plays that the run did not come to or did not end, and the actions that the plan does not have. Of `begun` plays
-/// the last was broken off where the run was `stopped`.
+/// Plays that did not begin or did not end, and actions that no play of the plan has. If the run was `stopped`, the
+/// last of the `begun` plays is incomplete.
 fn not_played(plan: &Plan, begun: usize, stopped: bool) -> Vec<NotPlayed> {
     let complete = if stopped { begun.saturating_sub(1) } else { begun };
     let unfinished = plan.plays[complete..]
