--- a/crates/scale-test/src/report/bounds.rs
+++ b/crates/scale-test/src/report/bounds.rs
@@ -1,4 +1,4 @@
-//! Which bounds a run broke.
+//! Checks which bounds a run violated.
 
 use super::broken_bound::BrokenBound;
 use super::control_cost::ControlCost;
@@ -10,7 +10,7 @@
 use crate::change_propagation::ChangeOutcomes;
 use crate::plan::{Plan, ResourceLimits};
 
-/// The bounds that a run broke, in the order of the report.
+/// The bounds that a run violated, in the order of the report.
 pub(super) fn broken_bounds(report: &Report, plan: &Plan) -> Vec<BrokenBound> {
     let stopped = report.stop_reason.iter().map(|reason| stop_reason_bound(reason, plan));
     let plays = report.plays.iter().flat_map(|play| play_bounds(play, &plan.limits));
@@ -75,7 +75,7 @@
     })
 }
 
-/// A figure of the cost of control that has a limit.
+/// A metric of the control-plane cost and its limit.
 struct LimitedFigure<'a> {
     resource: &'static str,
     unit: &'static str,
--- a/crates/scale-test/src/report/broken_bound.rs
+++ b/crates/scale-test/src/report/broken_bound.rs
@@ -1,56 +1,56 @@
-//! Bounds that a run can break, and the texts by which reports name them.
+//! Bounds that a run can violate, and their texts in reports.
 
 use super::figures::format_figure;
 use super::final_state::Agreement;
 
-/// A bound that a run broke: which, by how much, where. Its text is part of the report's JSON.
+/// A bound that a run violated, with the measured value and where it was measured. The text is part of the JSON report.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum BrokenBound {
     /// The run was stopped from outside.
     #[error("the run was stopped")]
     Stopped,
-    /// The run took longer than it may.
+    /// The run exceeded its time limit.
     #[error("the run was not over after its limit of {limit} s")]
     TimeLimit {
-        /// Seconds that the run may take.
+        /// The limit in seconds.
         limit: f64,
     },
-    /// The processes of the run had more memory than they may.
+    /// The processes of the run exceeded the memory limit.
     #[error("memory of the run: {gigabytes:.1} GB where {limit_gb} GB are its most")]
     MemoryLimit {
-        /// What they had, in GB.
+        /// Total resident memory in GB.
         gigabytes: f64,
-        /// What they may have, in GB.
+        /// The limit in GB.
         limit_gb: f64,
     },
     /// A process of the run failed.
     #[error("a process failed: {reason}")]
     ProcessFailed {
-        /// Which, and how.
+        /// Which process failed and how.
         reason: String,
     },
     /// The fleet did not converge in time.
     #[error("never settled in {play}: {known_to_all} of {total} believed by all after {waited:.1} s")]
     NotConverged {
-        /// The play's label.
+        /// Label of the play.
         play: String,
-        /// Gateways of which all others had the correct view.
+        /// Number of running gateways that all others considered alive.
         known_to_all: usize,
-        /// Gateways that ran.
+        /// Number of running gateways.
         total: usize,
-        /// Seconds for which convergence was waited for.
+        /// Seconds spent waiting for convergence.
         waited: f64,
     },
     /// Some changes are not known to be committed.
     #[error("changes in {play}: {committed} of {proposed} are known to be made; {first}")]
     Uncommitted {
-        /// The play's label.
+        /// Label of the play.
         play: String,
-        /// Changes that are known to be committed.
+        /// Number of changes known to be committed.
         committed: usize,
-        /// Changes that were proposed.
+        /// Number of proposed changes.
         proposed: usize,
-        /// The first that is not known to be committed, and why.
+        /// The first change that is not known to be committed, and why.
         first: String,
     },
     /// Some gateways never applied a change that was committed while they ran.
@@ -58,59 +58,59 @@
         "changes in {play}: never in force, {never} times of a change and a gateway, at {gateways} gateways"
     )]
     NeverApplied {
-        /// The play's label.
+        /// Label of the play.
         play: String,
-        /// Pairs of a change and a gateway.
+        /// Number of pairs of a change and a gateway.
         never: usize,
-        /// Gateways.
+        /// Number of gateways.
         gateways: usize,
     },
     /// Some gateways never caught up after a restart.
     #[error("changes in {play}: {gateways} that began anew never had all that was made before")]
     NeverCaughtUp {
-        /// The play's label.
+        /// Label of the play.
         play: String,
-        /// Gateways that did not.
+        /// Number of these gateways.
         gateways: usize,
     },
-    /// A change was applied too late somewhere.
+    /// Some gateway applied a change later than the limit allows.
     #[error(
         "known.change in {play}: {} s where {} are granted, later at {late} of {total} changes and gateways",
         format_figure(*worst), format_figure(*limit)
     )]
     AppliedTooLate {
-        /// The play's label.
+        /// Label of the play.
         play: String,
-        /// Seconds of the slowest.
+        /// Longest time in seconds.
         worst: f64,
-        /// Seconds that it may take.
+        /// The limit in seconds.
         limit: f64,
-        /// Pairs of a change and a gateway that took longer.
+        /// Number of pairs of a change and a gateway that exceeded the limit.
         late: usize,
-        /// All such pairs.
+        /// Number of all such pairs that were measured.
         total: usize,
     },
-    /// Control used more of a resource than it may.
+    /// The control plane of some gateway exceeded a resource limit.
     #[error(
         "control.{resource} in {play}: {} {unit} at gateway-{gateway} where {} are granted, over it at {over} of {total}",
         format_figure(*worst), format_figure(*limit)
     )]
     ControlCost {
-        /// The resource, by its name in JSON.
+        /// Name of the resource in JSON.
         resource: &'static str,
-        /// The unit of the figures.
+        /// Unit of the values.
         unit: &'static str,
-        /// The play's label.
+        /// Label of the play.
         play: String,
-        /// The gateway that used most.
+        /// The gateway with the highest usage.
         gateway: usize,
-        /// What it used.
+        /// Its usage.
         worst: f64,
-        /// What it may use.
+        /// The limit.
         limit: f64,
-        /// Gateways that used more than they may.
+        /// Number of gateways that exceeded the limit.
         over: usize,
-        /// All gateways that were measured.
+        /// Number of gateways that were measured.
         total: usize,
     },
     /// Gateways or control machines have applied different changes at the end.
@@ -119,40 +119,40 @@
         gateways.agreeing, gateways.total, control_machines.agreeing, control_machines.total
     )]
     StateDiffers {
-        /// Gateways that are at the most common state.
+        /// Gateways in the most common state.
         gateways: Agreement,
-        /// Control machines that are at it.
+        /// Control machines in the most common state.
         control_machines: Agreement,
-        /// Its number.
+        /// Number of the most common state.
         number: u64,
-        /// Its digest.
+        /// Digest of the most common state.
         digest: u64,
     },
-    /// All lack a change that was committed.
+    /// All gateways and control machines lack a change that was committed.
     #[error("state: all are at number {number}, and {committed} was made")]
     StateBehind {
-        /// The number that all are at.
+        /// Number up to which all have applied changes.
         number: u64,
-        /// The highest number that was committed.
+        /// Highest committed number.
         committed: u64,
     },
-    /// All gateways together may have used more than a shared budget has.
+    /// All gateways together were allowed to use more than a shared budget provides.
     #[error(
         "budget {budget}: all together might use {} where there is {}, in {broken} of {seconds} seconds, first in {play}",
         format_figure(*sum), format_figure(*bound)
     )]
     Budget {
-        /// The budget's name.
+        /// Name of the budget.
         budget: String,
-        /// What all together might use in the worst second.
+        /// What all gateways together were allowed in the worst second.
         sum: f64,
-        /// What there is.
+        /// The bound in that second.
         bound: f64,
-        /// Seconds in which the sum was over the bound.
+        /// Number of seconds in which the sum exceeded the bound.
         broken: u64,
-        /// Seconds that were added up.
+        /// Number of seconds that were checked.
         seconds: u64,
-        /// The play in which it was first broken.
+        /// Label of the play in which the bound was first exceeded.
         play: String,
     },
 }
--- a/crates/scale-test/src/report/control_cost.rs
+++ b/crates/scale-test/src/report/control_cost.rs
@@ -1,61 +1,61 @@
-//! What control costs gateways and control machines.
+//! Control-plane cost of gateways and control machines.
 
 use super::figures::{Column, MemberFigures, NamedDistribution, measured_columns};
 
-/// What control cost each gateway while nothing happened. Rates are per second.
+/// Control-plane cost of each gateway in steady state. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlCost {
-    /// Seconds over which it was measured.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// Whether the fleet had converged at the end of it.
+    /// Whether the fleet had converged at the end of the measurement.
     pub converged: bool,
-    /// Fraction of all cores that was in use, by all processes of the machine.
+    /// Utilization of all cores by all processes of the machine, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Hollow gateways whose control thread was not read in time.
+    /// Number of hollow gateways whose two readings were not timely or not of one process.
     pub unread_gateways: usize,
     /// Processor time as a fraction of one core.
     pub cpu: MemberFigures,
-    /// The part of the processor time that the dispatcher took for the endpoint list and its timers.
+    /// The part of `cpu` that the dispatcher spent on the endpoint list and its timers.
     pub dispatcher_cpu: MemberFigures,
     /// Resident memory in MB.
     pub memory_mb: MemberFigures,
-    /// Bytes received a second.
+    /// Bytes received per second.
     pub bytes_in: MemberFigures,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_out: MemberFigures,
-    /// Datagrams received a second.
+    /// Datagrams received per second.
     pub datagrams_in: MemberFigures,
-    /// Datagrams sent a second.
+    /// Datagrams sent per second.
     pub datagrams_out: MemberFigures,
-    /// The part of it that following configuration changes took.
+    /// The part of the cost caused by following configuration changes.
     pub follower: FollowerCost,
-    /// What the control machines used meanwhile.
+    /// Cost of the control machines during the measurement.
     pub control_machines: ControlMachineCost,
 }
 
-/// What following configuration changes costs each gateway. Rates are per second.
+/// Cost of following configuration changes for each gateway. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FollowerCost {
     /// Processor time as a fraction of one core.
     pub cpu: MemberFigures,
-    /// Bytes received a second.
+    /// Bytes received per second.
     pub bytes_in: MemberFigures,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_out: MemberFigures,
-    /// Bytes of the state file.
+    /// Size of the state file in bytes.
     pub state_bytes: MemberFigures,
 }
 
-/// What the control machines used. Rates are per second.
+/// Resource usage of the control machines. Rates are per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlMachineCost {
     /// Processor time as a fraction of one core.
     pub cpu: MemberFigures,
     /// Resident memory in MB.
     pub memory_mb: MemberFigures,
-    /// Bytes received a second.
+    /// Bytes received per second.
     pub bytes_in: MemberFigures,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_out: MemberFigures,
 }
 
@@ -70,12 +70,12 @@
         Column { key: "letters_out", label: "letters out a second", figures: |cost| &cost.datagrams_out },
     ];
 
-    /// The figures of gateways that were measured.
+    /// Distributions of the metrics that were measured.
     pub(super) fn distributions(&self) -> Vec<NamedDistribution> {
         measured_columns(&Self::COLUMNS, self)
     }
 
-    /// The parts of the cost that are listed apart, without those of which nothing was measured.
+    /// The parts of the cost that are listed separately, without those that were not measured.
     pub(super) fn breakdowns(&self) -> Vec<CostBreakdown> {
         let all = [
             CostBreakdown {
@@ -93,13 +93,13 @@
     }
 }
 
-/// A part of the cost of control that is listed apart.
+/// A part of the control-plane cost that is listed separately.
 pub(super) struct CostBreakdown {
-    /// Its name in JSON.
+    /// Name in JSON.
     pub key: &'static str,
-    /// Its title in the table.
+    /// Title in the table.
     pub title: &'static str,
-    /// Its figures.
+    /// Distributions of its metrics.
     pub distributions: Vec<NamedDistribution>,
 }
 
--- a/crates/scale-test/src/report/convergence_summaries.rs
+++ b/crates/scale-test/src/report/convergence_summaries.rs
@@ -1,13 +1,13 @@
-//! How long things took to be known, over some plays.
+//! Summaries of convergence times over several plays.
 
 use super::play_result::PlayResult;
 use crate::distribution::{ConvergenceSamples, ConvergenceSummary};
 
-/// Something whose convergence is measured.
+/// A kind of event whose convergence is measured.
 struct Measure {
-    /// Its name in reports.
+    /// Name in reports.
     name: &'static str,
-    /// Its samples in the result of a play, where there are any.
+    /// Its samples in the result of a play, if there are any.
     samples: fn(&PlayResult) -> Option<&ConvergenceSamples>,
 }
 
@@ -19,15 +19,15 @@
     Measure { name: "catch_up", samples: |play| Some(&play.changes.as_ref()?.catch_up_times) },
 ];
 
-/// How long one thing took to be known.
+/// Summary of the convergence times of one kind of event.
 pub(super) struct NamedSummary {
-    /// Its name in reports.
+    /// Name in reports.
     pub name: &'static str,
-    /// The summary of its samples.
+    /// Summary of its samples.
     pub summary: ConvergenceSummary,
 }
 
-/// The summaries of all that anyone had to learn in these plays.
+/// Summarizes the convergence times over these plays. Kinds of events that did not occur are left out.
 pub(super) fn convergence_summaries(plays: &[PlayResult]) -> Vec<NamedSummary> {
     let summarize = |Measure { name, samples }: &Measure| {
         let summary = ConvergenceSamples::merged(plays.iter().filter_map(samples)).summary()?;
--- a/crates/scale-test/src/report/figures.rs
+++ b/crates/scale-test/src/report/figures.rs
@@ -1,51 +1,51 @@
-//! Figures of many gateways or control machines, and how they are printed.
+//! Metrics with one value for each gateway or control machine, and their formatting.
 
 use crate::distribution::Distribution;
 use serde_json::{Map, Value, json};
 
-/// One figure of each gateway, or of each control machine.
+/// The values of one metric, one for each gateway or control machine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberFigures(Vec<MemberFigure>);
 
-/// A figure of one gateway or control machine.
+/// The value of a metric for one gateway or control machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberFigure {
-    /// The number of the gateway or control machine.
+    /// Number of the gateway or control machine.
     pub member: usize,
-    /// Its figure.
+    /// Its value.
     pub value: f64,
 }
 
 impl MemberFigures {
-    /// Adds the figure of one member.
+    /// Adds the value of one member.
     pub fn record(&mut self, member: usize, value: f64) {
         self.0.push(MemberFigure { member, value });
     }
 
-    /// All figures, in the order in which they were added.
+    /// All values, in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = &MemberFigure> {
         self.0.iter()
     }
 
-    /// How many members have a figure.
+    /// Number of members with a value.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether no member has a figure.
+    /// Whether no member has a value.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How the figures are distributed over the members; none where there are none.
+    /// Distribution of the values over the members; `None` if there are no values.
     #[must_use]
     pub fn distribution(&self) -> Option<Distribution> {
         Distribution::of(self.iter().map(|figure| figure.value).collect())
     }
 
-    /// The figure of the median member.
+    /// Median value.
     #[must_use]
     pub fn median(&self) -> Option<f64> {
         self.distribution().map(|distribution| distribution.p50)
@@ -66,27 +66,27 @@
     }
 }
 
-/// A column of a report: one figure of a cost, with its names.
+/// A column of a report: one metric of a cost and its names.
 pub(super) struct Column<C> {
-    /// Its name in JSON.
+    /// Name in JSON.
     pub key: &'static str,
-    /// Its name in the table.
+    /// Name in the table.
     pub label: &'static str,
-    /// Where the figure is in the cost.
+    /// Accessor of the metric.
     pub figures: fn(&C) -> &MemberFigures,
 }
 
-/// How one figure is distributed over gateways or control machines.
+/// Distribution of a metric over gateways or control machines.
 pub(super) struct NamedDistribution {
-    /// Its name in JSON.
+    /// Name in JSON.
     pub key: &'static str,
-    /// Its name in the table.
+    /// Name in the table.
     pub label: &'static str,
     /// The distribution.
     pub distribution: Distribution,
 }
 
-/// The columns of a cost that were measured.
+/// Returns the columns of a cost that were measured.
 pub(super) fn measured_columns<C>(columns: &[Column<C>], cost: &C) -> Vec<NamedDistribution> {
     let measured = |column: &Column<C>| {
         let distribution = (column.figures)(cost).distribution()?;
@@ -95,12 +95,12 @@
     columns.iter().filter_map(measured).collect()
 }
 
-/// Distributions as a JSON object, by their names.
+/// Converts distributions to a JSON object, keyed by name.
 pub(super) fn distributions_json(distributions: &[NamedDistribution]) -> Map<String, Value> {
     distributions.iter().map(|named| (named.key.to_owned(), json!(named.distribution))).collect()
 }
 
-/// A figure with as many digits as mean something.
+/// Formats a value with a sensible number of digits.
 pub(super) fn format_figure(figure: f64) -> String {
     match figure.abs() {
         x if x >= 100.0 => format!("{figure:.0}"),
--- a/crates/scale-test/src/report/final_state.rs
+++ b/crates/scale-test/src/report/final_state.rs
@@ -1,15 +1,15 @@
-//! Which configuration changes were applied at the end of a run.
+//! The configuration state at the end of a run.
 
 use super::broken_bound::BrokenBound;
 use crate::applied_state::AppliedState;
 use std::collections::BTreeMap;
 
-/// How many of several have the state that most have.
+/// How many members of a group are in the most common state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Agreement {
-    /// Those that have it.
+    /// Number of members in that state.
     pub agreeing: usize,
-    /// All.
+    /// Number of all members.
     pub total: usize,
 }
 
@@ -19,23 +19,24 @@
     }
 }
 
-/// Which configuration changes were applied at the end of a run.
+/// The configuration state at the end of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FinalState {
-    /// The highest number that was committed.
+    /// Highest committed number.
     pub latest_committed: u64,
-    /// The number up to which changes are applied where most agree.
+    /// Number of the most common state.
     pub number: u64,
-    /// The digest of the state where most agree.
+    /// Digest of the most common state.
     pub digest: u64,
-    /// How many gateways agree.
+    /// Agreement among gateways.
     pub gateways: Agreement,
-    /// How many control machines agree.
+    /// Agreement among control machines.
     pub control_machines: Agreement,
 }
 
 impl FinalState {
-    /// From the state of each gateway and each control machine; none for one that does not answer.
+    /// Computes the final state from the states of gateways and control machines; `None` stands for one that did not
+    /// answer.
     #[must_use]
     pub fn of(
         gateways: &[Option<AppliedState>],
@@ -56,7 +57,7 @@
         }
     }
 
-    /// What is not as it should be: some have another state, or all lack a change that was committed.
+    /// The violated bound, if members are in different states or all lack a committed change.
     #[must_use]
     pub fn broken_bound(&self) -> Option<BrokenBound> {
         if !self.gateways.is_complete() || !self.control_machines.is_complete() {
@@ -73,7 +74,7 @@
     }
 }
 
-/// The state that most have; of several as common, that with the highest number and digest.
+/// The most common state. Among equally common ones, the one with the highest number and digest is chosen.
 fn most_common_state(states: &[Option<AppliedState>]) -> AppliedState {
     let mut counts: BTreeMap<(u64, u64), usize> = BTreeMap::new();
     for state in states.iter().flatten() {
--- a/crates/scale-test/src/report/json.rs
+++ b/crates/scale-test/src/report/json.rs
@@ -1,4 +1,4 @@
-//! A report as one JSON object. Its fields are described in `docs/operators/scale-test.md`.
+//! The JSON form of a report. The fields are documented in `docs/operators/scale-test.md`.
 
 use super::control_cost::ControlCost;
 use super::convergence_summaries::convergence_summaries;
@@ -14,7 +14,7 @@
 use serde_json::{Map, Value, json};
 
 impl Report {
-    /// The report as one JSON object.
+    /// Converts the report to a JSON object.
     #[must_use]
     pub fn json(&self) -> Value {
         let components: Vec<_> = self.components.iter().copied().map(Component::keyword).collect();
@@ -45,19 +45,19 @@
     }
 }
 
-/// Texts of bounds and plays.
+/// Formats each item as a string.
 fn to_strings(all: &[impl ToString]) -> Vec<String> {
     all.iter().map(ToString::to_string).collect()
 }
 
-/// Sets a field where there is a value for it.
+/// Sets a field if there is a value for it.
 fn insert_some(object: &mut Value, key: &str, value: Option<impl Serialize>) {
     if let Some(value) = value {
         object[key] = json!(value);
     }
 }
 
-/// Sets a field where anything of it was measured.
+/// Sets a field if anything was measured for it.
 fn insert_measured(object: &mut Value, key: &str, measured: Map<String, Value>) {
     if !measured.is_empty() {
         object[key] = Value::Object(measured);
@@ -70,7 +70,7 @@
     }
 }
 
-/// How long things took to be known in some plays, by name.
+/// Summaries of the convergence times in these plays, keyed by name.
 fn summaries_json(plays: &[PlayResult]) -> Map<String, Value> {
     let summaries = convergence_summaries(plays).into_iter();
     summaries.map(|named| (named.name.to_owned(), json!(named.summary))).collect()
--- a/crates/scale-test/src/report/machine_usage.rs
+++ b/crates/scale-test/src/report/machine_usage.rs
@@ -1,33 +1,33 @@
-//! How much of the machine was in use.
+//! Utilization of the machine.
 
 use crate::machine_load::SATURATION_THRESHOLD;
 
-/// How much of the machine was in use. Utilizations are fractions of all cores.
+/// Utilization of the machine. Utilizations are fractions of all cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MachineUsage {
-    /// Cores of the machine.
+    /// Number of cores.
     pub cores: usize,
-    /// Over the entire run, by all processes of the machine.
+    /// Utilization by all processes of the machine over the entire run.
     pub utilization: Option<f64>,
-    /// While the cost of control was measured, at the worst.
+    /// Highest utilization during a measurement of the control-plane cost.
     pub utilization_while_measuring: Option<f64>,
-    /// In the worst second.
+    /// Highest utilization in any second.
     pub peak_utilization: Option<f64>,
-    /// By the processes of the run.
+    /// Utilization by the processes of the run.
     pub own_utilization: f64,
-    /// Resident memory of all processes of the run at its highest, in GB.
+    /// Highest total resident memory of the run's processes, in GB.
     pub memory_gb: f64,
-    /// Datagrams that the system dropped at the relay's sockets.
+    /// Datagrams that the kernel dropped at the sockets of the relay and of the owners of its links.
     pub dropped_datagrams: u64,
-    /// Datagrams that the relay had no room for.
+    /// Datagrams that the relay dropped because its queues were full.
     pub overflowed_datagrams: u64,
-    /// Datagrams that were lost at random or to a partition, as planned.
+    /// Datagrams lost at random or to a partition, as planned.
     pub lost_datagrams: u64,
 }
 
 impl MachineUsage {
-    /// Whether the machine had no processors to spare, in the entire run or while the cost of control was measured. Times
-    /// and costs that were measured are then also those of the load.
+    /// Whether the machine was saturated during the entire run or during a measurement of the control-plane cost.
+    /// Measured times and costs then also include the effects of the load.
     #[must_use]
     pub fn is_saturated(&self) -> bool {
         let utilizations = [self.utilization, self.utilization_while_measuring];
--- a/crates/scale-test/src/report/per_change.rs
+++ b/crates/scale-test/src/report/per_change.rs
@@ -1,4 +1,4 @@
-//! What one configuration change costs a gateway.
+//! Cost of one configuration change for a gateway.
 
 use super::Report;
 use super::control_cost::{ControlCost, FollowerCost};
@@ -6,10 +6,10 @@
 use super::play_result::PlayResult;
 use serde::Serialize;
 
-/// What one configuration change costs the median gateway.
+/// Cost of one configuration change for the median gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct CostPerChange {
-    /// Seconds of processor time.
+    /// Processor time in seconds.
     cpu: f64,
     /// Bytes received.
     bytes_in: f64,
@@ -17,7 +17,7 @@
     bytes_out: f64,
 }
 
-/// A play in which the cost of control was measured.
+/// A play in which the control-plane cost was measured.
 struct MeasuredPlay<'a> {
     cost: &'a ControlCost,
     committed_changes: usize,
@@ -31,8 +31,8 @@
 }
 
 impl Report {
-    /// The slope from the last measurement without changes to the last one with some, by the median gateway. None where
-    /// one of the two was not taken.
+    /// Slope of the median gateway's cost between the last measurement without changes and the last one with changes.
+    /// `None` if either is missing.
     pub(super) fn cost_per_change(&self) -> Option<CostPerChange> {
         let last = |with_changes: bool| {
             let mut measured = self.plays.iter().rev().filter_map(MeasuredPlay::of);
--- a/crates/scale-test/src/report/play_result.rs
+++ b/crates/scale-test/src/report/play_result.rs
@@ -1,4 +1,4 @@
-//! What came of one play.
+//! The result of a play.
 
 use super::control_cost::ControlCost;
 use crate::change_propagation::ChangeOutcomes;
@@ -7,35 +7,35 @@
 use crate::plan::{ActionKind, Play};
 use std::fmt;
 
-/// What came of one play.
+/// The result of a play.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlayResult {
-    /// The play's label.
+    /// Label of the play.
     pub label: String,
-    /// What happened in it.
+    /// Kind of its action.
     pub action: ActionKind,
-    /// Seconds from the start of the run to that of the play.
+    /// Seconds from the start of the run to the start of the play.
     pub started_at: f64,
-    /// Seconds that it took.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Whether the fleet converged, where that was waited for.
+    /// Whether the fleet converged, if that was awaited.
     pub convergence: Option<Convergence>,
-    /// How many had detected a failure when those that were killed restarted.
+    /// How many gateways had detected the failure when the killed ones were restarted.
     pub failure_detection: Option<FailureDetection>,
-    /// How long deaths, joins and healing took to be known.
+    /// Convergence times of deaths, joins and healing.
     pub membership_times: ConvergenceTimes,
-    /// The cost of control, where it was measured.
+    /// Control-plane cost, if it was measured.
     pub control_cost: Option<ControlCost>,
-    /// Updates of the endpoint list, where there were any.
+    /// Cost of endpoint list updates, if there were any.
     pub endpoint_updates: Option<EndpointUpdateCost>,
-    /// Configuration changes, where any were proposed or caught up with.
+    /// Configuration changes, if any were proposed or caught up with.
     pub changes: Option<ChangeOutcomes>,
-    /// The control machine that was killed.
+    /// The control machine that was killed as the leader.
     pub killed_control_machine: Option<usize>,
 }
 
 impl PlayResult {
-    /// The result of a play that has just begun, some seconds after the run.
+    /// Creates the result of a play that begins now, `started_at` seconds after the start of the run.
     #[must_use]
     pub fn new(play: &Play, started_at: f64) -> Self {
         Self {
@@ -57,55 +57,55 @@
 /// Whether and when the views of all gateways became correct.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Convergence {
-    /// Seconds until they were; none where they were not in time.
+    /// Seconds until convergence; `None` if the fleet did not converge in time.
     pub after: Option<f64>,
-    /// Seconds for which it was waited for.
+    /// Seconds spent waiting.
     pub waited: f64,
-    /// Gateways of which all others had the correct view.
+    /// Number of running gateways that all others considered alive.
     pub known_to_all: usize,
-    /// Gateways that ran.
+    /// Number of running gateways.
     pub total: usize,
 }
 
 /// How many gateways had detected a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureDetection {
-    /// Gateways that had detected it.
+    /// Number of gateways that had detected it.
     pub detected_by: usize,
-    /// Gateways that ran.
+    /// Number of running gateways.
     pub total: usize,
 }
 
-/// What updates of the endpoint list cost hollow gateways.
+/// Cost of endpoint list updates for hollow gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdateCost {
-    /// Workers that were removed and added again.
+    /// Number of workers that were removed and added again.
     pub workers: usize,
-    /// Revisions in which they were added.
+    /// Number of revisions in which they were added.
     pub revisions: usize,
-    /// Seconds until all dispatchers had all revisions.
+    /// Seconds until all dispatchers had applied all revisions that added workers.
     pub seconds: f64,
-    /// Seconds of processor time that the slowest dispatcher took for the revision that removed all.
+    /// Processor time in seconds of the slowest dispatcher for the revision that removed all workers.
     pub slowest_removal: f64,
-    /// Seconds of processor time that the slowest dispatcher took for one of the revisions that added them.
+    /// Highest processor time in seconds of any dispatcher for one of the revisions that added workers.
     pub slowest_addition: f64,
-    /// Seconds of processor time of each dispatcher, over all revisions.
+    /// Distribution over dispatchers of the processor time in seconds for all revisions.
     pub dispatcher_cpu: Option<Distribution>,
 }
 
-/// Something that a report names because it was not played.
+/// A play or action that the report lists as not played.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotPlayed {
-    /// A play of the plan that did not end, or did not begin.
+    /// A play that did not begin or did not end.
     Unfinished {
-        /// The play's label.
+        /// Label of the play.
         label: String,
-        /// What should have happened in it.
+        /// Kind of its action.
         action: ActionKind,
     },
     /// An action that no play of the plan has.
     NotInPlan {
-        /// The action.
+        /// The kind of action.
         action: ActionKind,
     },
 }
--- a/crates/scale-test/src/report/table.rs
+++ b/crates/scale-test/src/report/table.rs
@@ -1,4 +1,4 @@
-//! A report as a table for people.
+//! The report as a human-readable table.
 
 use super::control_cost::ControlCost;
 use super::convergence_summaries::{NamedSummary, convergence_summaries};
@@ -58,13 +58,13 @@
     })
 }
 
-/// One row of the table of costs: a label and three figures.
+/// Writes one row of the cost table: a label and three values.
 fn write_row(f: &mut Formatter<'_>, label: &str, cells: [impl Display; 3]) -> fmt::Result {
     let [p50, p99, worst] = cells;
     writeln!(f, "  {label:<22} {p50:>12} {p99:>12} {worst:>12}")
 }
 
-/// One line of a play: its times, then what came of it.
+/// Writes one line for a play: its times, then its results.
 fn write_play(f: &mut Formatter<'_>, play: &PlayResult) -> fmt::Result {
     let (label, action) = (&play.label, play.action.keyword());
     write!(f, "  {label:<12} {action:<9} from {:>6.1} s, {:>6.1} s", play.started_at, play.seconds)?;
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan and reports what came of it.
+//! Executes a plan and creates the report.
 
 mod config_changes;
 mod control_cost;
@@ -25,23 +25,23 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// How a plan is to be played.
+/// Options for executing a plan.
 pub struct RunOptions<'a> {
-    /// The plan's text, which hosts read themselves.
+    /// Text of the plan, which the hosts parse themselves.
     pub plan_text: &'a str,
-    /// The program that hosts, real gateways and control machines are started from.
+    /// The program from which hosts, real gateways and control machines are started.
     pub program: PathBuf,
-    /// Set from elsewhere, it ends the run.
+    /// Ends the run when set from another thread.
     pub stop: Arc<AtomicBool>,
 }
 
-/// Why a plan can't be played at all.
+/// Why a plan can't be executed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Too few files may be open.
+    /// The limit on open files is too low.
     #[error(transparent)]
     DescriptorLimit(#[from] DescriptorLimitError),
-    /// The system gives no folder or thread.
+    /// The system can't provide a folder or thread.
     #[error(transparent)]
     System(#[from] io::Error),
     /// The workers of the real gateways can't be started.
@@ -52,7 +52,7 @@
     Fleet(#[from] StartFleetError),
 }
 
-/// Plays a plan. A run that ends early, or breaks a bound, gives a report of that; its files are kept then.
+/// Executes a plan. A run that ends early or violates a bound still returns a report, and its files are kept.
 ///
 /// # Errors
 ///
@@ -68,7 +68,7 @@
     report
 }
 
-/// Files and sockets that the process of a run opens.
+/// Number of files and sockets that this process opens.
 fn needed_descriptors(plan: &Plan) -> u64 {
     /// Pipes, files, workers and clients.
     const OTHER_DESCRIPTORS: usize = 256;
@@ -96,7 +96,7 @@
     let seconds = clock() - plan_runner.fleet().started_at();
     let machine = baseline.usage(plan_runner.fleet(), seconds);
     let calls = calls.finish();
-    // After this no process of the run is left.
+    // When this returns, all processes of the run have ended.
     let findings = plan_runner.into_findings(machine, calls);
     Ok(Report::new(plan, findings, stop_reason, seconds))
 }
--- a/crates/scale-test/src/run/config_changes.rs
+++ b/crates/scale-test/src/run/config_changes.rs
@@ -1,4 +1,4 @@
-//! Configuration changes in a run: when authors propose them, when they are applied, and what is applied at the end.
+//! Configuration changes during a run: proposes them, waits until they are applied, and records the final state.
 
 use super::plan_runner::PlanRunner;
 use crate::applied_state::AppliedState;
@@ -10,31 +10,31 @@
 use milletpath_config_log::ReplicaView;
 use milletpath_gateway::hollow_gateway::clock;
 
-/// How long changes may take until all have applied them where a play states no time, in seconds.
+/// Seconds to wait until all gateways have applied the changes of a play that states no time.
 const DEFAULT_APPLY_TIMEOUT: f64 = 10.0;
 
-/// How long gateways that started lately may take to catch up at the end of a run, in seconds.
+/// Seconds that recently started gateways may take to catch up at the end of a run.
 const FINAL_STATE_TIMEOUT: f64 = 10.0;
 
-/// Between two queries of the final state, in seconds.
+/// Seconds between two queries of the final state.
 const FINAL_STATE_INTERVAL: f64 = 0.5;
 
 impl PlanRunner {
-    /// Has authors propose the changes of a play.
+    /// Starts authors that propose the changes of a play.
     pub(super) fn propose_changes(&mut self, play: &Play) -> Result<(), StopReason> {
         if play.changes == 0 {
             return Ok(());
         }
         let period = match play.action {
-            // All changes fall into the time that is measured, and so do their outcomes.
+            // All proposals and their outcomes must fall into the measured time.
             Action::SteadyState { .. } => (play.proposal_period - 2.0 * LOOKUP_LEAD_SECONDS).max(0.0),
             _ => play.proposal_period,
         };
         self.fleet.propose_changes(play.changes, clock() + LOOKUP_LEAD_SECONDS, period)
     }
 
-    /// Waits until all gateways that run have applied all changes: first for the authors, as long as they may take, then as
-    /// long as the play allows.
+    /// Waits until all running gateways have applied all changes. First waits for the authors for as long as they may
+    /// take, then for the time that the play allows.
     pub(super) fn await_changes_applied(&mut self, play: &Play) -> Result<(), StopReason> {
         if play.changes == 0 {
             return Ok(());
@@ -44,7 +44,7 @@
         self.wait_for(clock() + timeout, |fleet| fleet.trackers.changes.is_converged())
     }
 
-    /// Asks gateways and control machines what is applied, until all agree or time is over.
+    /// Queries the state of gateways and control machines until all agree or the timeout expires.
     pub(super) fn record_final_state(&mut self) -> Result<(), StopReason> {
         if !self.fleet.plan.runs(Component::ConfigChanges) {
             return Ok(());
--- a/crates/scale-test/src/run/control_cost.rs
+++ b/crates/scale-test/src/run/control_cost.rs
@@ -1,4 +1,4 @@
-//! What control costs each gateway, from samples before and after a time in which nothing happens.
+//! Measures the control-plane cost of each gateway from samples before and after a period without other activity.
 
 use super::plan_runner::PlanRunner;
 use crate::fleet::{ControlMachineUsage, Fleet, Traffic};
@@ -10,15 +10,15 @@
 use milletpath_gateway::hollow_gateway::clock;
 use std::collections::BTreeMap;
 
-/// The names of the threads of a real gateway whose processor time is the cost of control.
+/// Threads of a real gateway whose processor time counts as control-plane cost.
 const MEMBERSHIP_THREAD: &str = "peers";
 const FOLLOWER_THREAD: &str = "changes";
 
-/// Readings of one gateway must lie apart by at least this fraction of the measured time.
+/// Minimum time between two readings of a gateway, as a fraction of the measured time.
 const MIN_READING_FRACTION: f64 = 0.5;
 
 impl PlanRunner {
-    /// Measures what control costs within `duration` seconds.
+    /// Measures the control-plane cost over `duration` seconds.
     pub(super) fn measure_control_cost(
         &mut self,
         duration: f64,
@@ -38,16 +38,16 @@
     }
 }
 
-/// What is read of a fleet at one time.
+/// A sample of the fleet at one time.
 struct FleetSample {
     at: f64,
     readings: BTreeMap<usize, GatewayReading>,
     traffic: Traffic,
-    /// Processor time of the real gateways' threads, in seconds.
+    /// Processor time of the threads of real gateways, in seconds.
     membership_cpu: BTreeMap<usize, f64>,
     follower_cpu: BTreeMap<usize, f64>,
     control_machines: BTreeMap<usize, ControlMachineUsage>,
-    /// By these it is known whether two samples are of one process of a real gateway.
+    /// Incarnations of real gateways, which tell whether two samples belong to the same process.
     incarnations: BTreeMap<usize, u64>,
 }
 
@@ -83,7 +83,7 @@
         cost
     }
 
-    /// Processor time of hollow gateways, of those that were read lately both times.
+    /// Adds the processor time of hollow gateways that have timely readings in both samples.
     fn add_hollow_gateways(&self, cost: &mut ControlCost) {
         for (gateway, now) in &self.after.readings {
             let Some(then) = self.before.readings.get(gateway) else { continue };
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Processor time of real gateways, of those whose process is the same as before.
+    /// Adds the processor time of real gateways whose process is the same in both samples.
     fn add_real_gateways(&self, cost: &mut ControlCost) {
         let incarnations = self.after.incarnations.iter();
         let same = incarnations.filter(|(gateway, now)| self.before.incarnations.get(gateway) == Some(now));
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Processor time that a gateway used a second.
+    /// Processor time of a gateway in seconds per second.
     fn rate_of(
         &self,
         gateway: usize,
@@ -121,7 +121,7 @@
         Some((after.get(&gateway)? - before.get(&gateway)?) / self.seconds)
     }
 
-    /// What passed the links of gateways.
+    /// Adds the traffic on the links of these gateways.
     fn add_traffic(&self, gateways: &[usize], cost: &mut ControlCost) {
         let (before, after) = (&self.before.traffic, &self.after.traffic);
         for gateway in gateways.iter().copied() {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// What control machines used, of those whose process is the same as before.
+    /// Adds the usage of control machines whose process is the same in both samples.
     fn add_control_machines(&self, cost: &mut ControlCost) {
         for (number, now) in &self.after.control_machines {
             let then = self.before.control_machines.get(number);
@@ -157,16 +157,16 @@
     }
 }
 
-/// Processor time that a hollow gateway used, in seconds a second.
+/// Processor time of a hollow gateway, in seconds per second.
 struct HollowCpu {
     membership: f64,
     dispatcher: f64,
-    /// None if it has no follower.
+    /// `None` if it has no follower.
     follower: Option<f64>,
 }
 
 impl HollowCpu {
-    /// None if a thread was not read lately both times, or is another than before.
+    /// Returns `None` if a thread lacks timely readings, or if the process is not the same in both.
     fn between(then: &GatewayReading, now: &GatewayReading, seconds: f64) -> Option<Self> {
         let elapsed = now.at - then.at;
         if elapsed < MIN_READING_FRACTION * seconds || now.membership_cpu < then.membership_cpu {
@@ -184,7 +184,7 @@
     }
 }
 
-/// None if the thread was not read lately both times.
+/// Returns `None` if the thread lacks timely readings.
 fn follower_cpu(then: &ConfigLogReading, now: &ConfigLogReading, seconds: f64) -> Option<f64> {
     let elapsed = now.at - then.at;
     if elapsed < MIN_READING_FRACTION * seconds {
@@ -193,7 +193,7 @@
     Some((now.cpu_seconds - then.cpu_seconds) / elapsed)
 }
 
-/// What passed one link a second.
+/// Traffic of a link per second.
 #[derive(Clone, Copy)]
 struct Rates {
     bytes_in: f64,
--- a/crates/scale-test/src/run/control_cost/tests.rs
+++ b/crates/scale-test/src/run/control_cost/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as the cost of control between two readings.
+//! Control-plane cost computed from two readings.
 
 use super::{HollowCpu, Rates};
 use crate::host_protocol::{ConfigLogReading, GatewayReading};
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn processor_time_is_counted_a_second() {
+fn processor_time_is_a_rate_per_second() {
     let cpu = HollowCpu::between(&reading(10.0, 1.0, 2.0), &reading(18.0, 3.0, 4.0), 10.0).expect("read");
     assert_eq!((cpu.membership, cpu.dispatcher, cpu.follower), (0.25, 0.2, None));
 }
 
 #[test]
-fn a_follower_is_counted_by_its_own_readings() {
+fn the_follower_rate_is_based_on_its_own_readings() {
     let then = with_follower(reading(10.0, 1.0, 2.0), 10.0, 1.0);
     let now = with_follower(reading(20.0, 3.0, 4.0), 18.0, 5.0);
     let cpu = HollowCpu::between(&then, &now, 10.0).expect("read");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn traffic_is_counted_a_second() {
+fn traffic_is_a_rate_per_second() {
     let then = LinkTraffic { datagrams_in: 1, bytes_in: 100, datagrams_out: 2, bytes_out: 200 };
     let now = LinkTraffic { datagrams_in: 5, bytes_in: 500, datagrams_out: 12, bytes_out: 1_200 };
     let rates = Rates::between(then, now, 4.0);
--- a/crates/scale-test/src/run/endpoint_updates.rs
+++ b/crates/scale-test/src/run/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The play in which all hollow workers of a zone are replaced, and what that costs the gateways' dispatchers.
+//! Replaces all hollow workers of a zone and measures the cost for the dispatchers of the gateways.
 
 use super::plan_runner::PlanRunner;
 use crate::distribution::Distribution;
@@ -11,8 +11,8 @@
 use std::collections::BTreeMap;
 
 impl PlanRunner {
-    /// Removes all hollow workers of a zone with one update of the endpoint list, and adds them again as new processes with
-    /// several updates, spread evenly over `duration` seconds.
+    /// Removes all hollow workers of a zone with one update of the endpoint list, and adds them again as new processes
+    /// with several updates that are spread evenly over `duration` seconds.
     pub(super) fn replace_workers(
         &mut self,
         zone: usize,
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Removes workers with one update. Gives the processor time of the slowest gateway, in seconds.
+    /// Removes workers with one update. Returns the processor time of the slowest gateway in seconds.
     fn remove_workers(&mut self, workers: &[usize]) -> Result<f64, StopReason> {
         self.fleet.hosts.endpoint_updates.reset_max_cpu();
         self.fleet.hosts.update_endpoints(workers, self.endpoint_generation, false);
@@ -53,7 +53,7 @@
         Ok(self.fleet.hosts.endpoint_updates.max_cpu_seconds())
     }
 
-    /// Adds workers with several updates. Gives the seconds until all gateways had taken them.
+    /// Adds workers with several updates. Returns the seconds until all gateways had applied them.
     fn add_workers(&mut self, workers: &[usize], revisions: usize, duration: f64) -> Result<f64, StopReason> {
         let began = clock();
         let chunk = workers.len().div_ceil(revisions.max(1)).max(1);
@@ -65,7 +65,7 @@
         Ok(clock() - began)
     }
 
-    /// Processor time of each hollow gateway's dispatcher, in seconds.
+    /// Processor time of the dispatcher of each hollow gateway, in seconds.
     fn read_dispatcher_cpu(&mut self) -> Result<BTreeMap<usize, f64>, StopReason> {
         self.fleet.refresh_readings()?;
         let readings = self.fleet.hosts.readings.latest().iter();
--- a/crates/scale-test/src/run/failures.rs
+++ b/crates/scale-test/src/run/failures.rs
@@ -1,4 +1,4 @@
-//! Plays in which gateways and control machines are killed and started again, or regions are cut from each other.
+//! Failure injection: kills and restarts gateways and control machines, and partitions regions.
 
 use super::plan_runner::PlanRunner;
 use crate::control::LOOKUP_LEAD_SECONDS;
@@ -9,7 +9,7 @@
 use milletpath_gateway::hollow_gateway::clock;
 
 impl PlanRunner {
-    /// Kills that many neighbours of a zone chosen at random, all at once.
+    /// Kills `count` gateways of a random zone at once and restarts them.
     pub(super) fn fail_rack(
         &mut self,
         count: usize,
@@ -23,7 +23,7 @@
         self.fail_and_restart(&gateways, &[], downtime, play, result)
     }
 
-    /// Kills all gateways and control machines of a zone at once.
+    /// Kills all gateways and control machines of a zone at once and restarts them.
     pub(super) fn fail_zone(
         &mut self,
         zone: usize,
@@ -39,8 +39,8 @@
         self.fail_and_restart(&gateways, &machines, downtime, play, result)
     }
 
-    /// Kills gateways and control machines at once, and starts them again when all others know of it and have applied what
-    /// was changed meanwhile, or after `downtime` seconds.
+    /// Kills gateways and control machines at once. Restarts them when all others have detected the failure and applied
+    /// the changes proposed meanwhile, or after `downtime` seconds.
     fn fail_and_restart(
         &mut self,
         gateways: &[usize],
@@ -72,7 +72,7 @@
         self.for_each_gateway(gateways, 0.0, Fleet::start_gateway)
     }
 
-    /// Cuts two regions from each other for `duration` seconds.
+    /// Partitions two regions from each other for `duration` seconds.
     pub(super) fn partition(
         &mut self,
         regions: RegionPair,
@@ -93,8 +93,8 @@
         outcome
     }
 
-    /// Kills the control machine that leads when half of the play's changes are proposed, and starts it again `downtime`
-    /// seconds later.
+    /// Kills the leader of the control machines when half of the play's changes are proposed, and restarts it
+    /// `downtime` seconds later.
     pub(super) fn fail_leader(
         &mut self,
         downtime: f64,
--- a/crates/scale-test/src/run/machine_usage.rs
+++ b/crates/scale-test/src/run/machine_usage.rs
@@ -1,10 +1,10 @@
-//! What a run used of the machine, from two samples.
+//! Computes the utilization of the machine during a run from two samples.
 
 use crate::fleet::Fleet;
 use crate::machine_load::{self, CpuTime};
 use crate::report::MachineUsage;
 
-/// A sample from before the fleet is started.
+/// A sample from before the fleet was started.
 pub struct UsageBaseline {
     cores: Option<CpuTime>,
     /// Processor time of this process, in seconds.
@@ -18,7 +18,7 @@
         Self { cores: CpuTime::read(), own_cpu_seconds }
     }
 
-    /// What was used since then, by all processes of the fleet and by others, within `seconds`.
+    /// Utilization since the sample, by the fleet and by all processes. `seconds` is the duration of the run.
     pub fn usage(&self, fleet: &Fleet, seconds: f64) -> MachineUsage {
         let processes = fleet.process_ids().into_iter();
         let cpu_seconds =
--- a/crates/scale-test/src/run/plan_runner.rs
+++ b/crates/scale-test/src/run/plan_runner.rs
@@ -1,4 +1,4 @@
-//! Plays the plays of a plan in their order, and keeps the result of each.
+//! Executes the plays of a plan in order and collects their results.
 
 use super::progress_line::ProgressLine;
 use crate::client_calls::CallCounts;
@@ -9,20 +9,20 @@
 use milletpath_gateway::hollow_gateway::clock;
 use oorandom::Rand64;
 
-/// Distinguishes the player's random numbers from others that are drawn with the plan's seed.
+/// Separates these random numbers from others that are generated from the seed of the plan.
 const SEED_SALT: u128 = 0x5ca1e;
 
-/// How often it is checked whether what is waited for is so, in seconds.
+/// Interval at which a condition is checked while waiting for it, in seconds.
 const CHECK_INTERVAL: f64 = 0.2;
 
-/// How often it is checked whether all processes have carried out their commands, in seconds.
+/// Interval at which the completion of commands is checked, in seconds.
 const COMPLETION_CHECK_INTERVAL: f64 = 0.05;
 
 /// A run in progress.
 pub struct PlanRunner {
     pub(super) fleet: Fleet,
     pub(super) rng: Rand64,
-    /// Distinguishes processes of hollow workers that use one name.
+    /// Distinguishes processes of hollow workers that use the same name.
     pub(super) endpoint_generation: u32,
     pub(super) final_state: Option<FinalState>,
     results: Vec<PlayResult>,
@@ -30,7 +30,7 @@
 }
 
 impl PlanRunner {
-    /// A player of the fleet's plan, at its beginning.
+    /// Creates a runner for the plan of the fleet.
     pub fn new(fleet: Fleet) -> Self {
         Self {
             rng: Rand64::new(u128::from(fleet.plan.seed) ^ SEED_SALT),
@@ -47,11 +47,11 @@
         &self.fleet
     }
 
-    /// Plays all plays, then asks what configuration changes are applied at the end.
+    /// Executes all plays, then records the final configuration state.
     ///
     /// # Errors
     ///
-    /// Why the run ends early. Results up to there are kept.
+    /// Why the run ends early. Results up to that point are kept.
     pub fn run_all_plays(&mut self) -> Result<(), StopReason> {
         for play in self.fleet.plan.plays.clone() {
             self.run_play(&play)?;
@@ -74,7 +74,7 @@
         }
         let changes = self.fleet.trackers.changes.take_outcomes(clock());
         result.changes = (changes != Default::default()).then_some(changes);
-        // What was measured is kept also when the play ended early.
+        // The measurements are kept even if the play ended early.
         self.results.push(result);
         outcome
     }
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Waits until all gateways that run know which others do, as long as the play allows.
+    /// Waits until every running gateway has the correct view of all others, or the timeout of the play expires.
     fn await_convergence(&mut self, play: &Play, result: &mut PlayResult) -> Result<(), StopReason> {
         let Some(timeout) = play.settle_timeout else { return Ok(()) };
-        // In these plays it is waited for changes to be applied instead.
+        // In plays about changes, the run waits for their application instead.
         let is_about_changes = matches!(play.action, Action::ConfigChanges | Action::LeaderFailure { .. });
         if !self.fleet.plan.runs(Component::Membership) || is_about_changes {
             return Ok(());
@@ -110,7 +110,7 @@
         let outcome = self.wait_for(began + timeout, Fleet::is_converged);
         let is_converged = self.fleet.is_converged();
         let waited = clock() - began;
-        // Had the wait not been broken off, it might still have settled.
+        // If the wait was interrupted, the fleet might still have converged in time, so failure is not recorded.
         if outcome.is_ok() || is_converged {
             let membership = &self.fleet.trackers.membership;
             result.convergence = Some(Convergence {
@@ -128,7 +128,7 @@
         self.wait_for(until, |_| false)
     }
 
-    /// Waits until something is so, or until a time.
+    /// Waits until a condition holds or until a time.
     pub(super) fn wait_for(
         &mut self,
         until: f64,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Waits without a limit of its own until something is so.
+    /// Waits until a condition holds, without a timeout other than the time limit of the run.
     pub(super) fn await_completion(&mut self, is_done: impl Fn(&Fleet) -> bool) -> Result<(), StopReason> {
         while !is_done(&self.fleet) {
             self.fleet.process_messages(clock() + COMPLETION_CHECK_INTERVAL)?;
@@ -152,18 +152,18 @@
         Ok(())
     }
 
-    /// Writes how far the play is, if a terminal shows it.
+    /// Updates the progress line, if standard error is a terminal.
     pub(super) fn show_progress(&self, detail: &str) {
         let play = self.fleet.plan.plays.get(self.results.len());
         self.progress.show(&self.fleet, play.map_or("", |play| play.label.as_str()), detail);
     }
 
-    /// Removes the line that shows the progress.
+    /// Clears the progress line.
     pub fn clear_progress(&self) {
         self.progress.clear();
     }
 
-    /// Ends all processes of the fleet and gives what was found.
+    /// Ends all processes of the fleet and returns the measurements.
     pub fn into_findings(mut self, machine: MachineUsage, calls: Option<CallCounts>) -> Findings {
         let budgets = self.fleet.take_budget_totals();
         drop(self.fleet);
@@ -172,7 +172,7 @@
     }
 }
 
-/// Whether changes are proposed while the action goes on; with others they are proposed at a point of their own.
+/// Whether changes are proposed from the start of the action. Other actions propose them at a later point.
 fn proposes_from_the_start(action: &Action) -> bool {
     matches!(action, Action::SteadyState { .. } | Action::RollingRestart { .. } | Action::ConfigChanges)
 }
--- a/crates/scale-test/src/run/rolling.rs
+++ b/crates/scale-test/src/run/rolling.rs
@@ -1,11 +1,11 @@
-//! Plays that start or restart gateways one after the other.
+//! Starts or restarts gateways one after another.
 
 use super::plan_runner::PlanRunner;
 use crate::fleet::Fleet;
 use crate::stop_reason::StopReason;
 use milletpath_gateway::hollow_gateway::clock;
 
-/// Gateways between two updates of the progress line.
+/// Number of gateways between two updates of the progress line.
 const PROGRESS_STEP: usize = 16;
 
 impl PlanRunner {
@@ -15,7 +15,7 @@
         self.for_each_gateway(&gateways, duration, Fleet::start_gateway)
     }
 
-    /// Restarts that many gateways, chosen at random, spread evenly over `duration` seconds.
+    /// Restarts `count` random gateways, spread evenly over `duration` seconds.
     pub(super) fn restart_random(&mut self, count: usize, duration: f64) -> Result<(), StopReason> {
         let mut gateways = self.shuffled_gateways();
         gateways.truncate(count);
@@ -30,8 +30,8 @@
         gateways
     }
 
-    /// Does something to each gateway, spread evenly over `duration` seconds, and waits until all of them have started or
-    /// stopped accordingly.
+    /// Applies an action to each gateway, spread evenly over `duration` seconds, and waits until all resulting starts
+    /// and stops are complete.
     pub(super) fn for_each_gateway(
         &mut self,
         gateways: &[usize],
--- a/crates/scale-test/src/run_files.rs
+++ b/crates/scale-test/src/run_files.rs
@@ -1,5 +1,5 @@
-//! The program that a run starts its processes from, and the folder of its files: configuration files, keys, state files
-//! and logs.
+//! The program from which a run starts its processes, and the folder of its configuration files, keys, state files and
+//! logs.
 
 use std::fs::File;
 use std::io;
@@ -8,14 +8,14 @@
 /// The program and the folder of a run.
 #[derive(Clone, Debug)]
 pub struct RunFiles {
-    /// The program that gateways, hosts and control machines are started from.
+    /// The program from which gateways, hosts and control machines are started.
     pub program: PathBuf,
-    /// The folder of the run's files, which no other run uses.
+    /// Folder of the run's files, not shared with other runs.
     pub folder: PathBuf,
 }
 
 impl RunFiles {
-    /// Creates a folder for this process's run.
+    /// Creates a folder for the run of this process.
     ///
     /// # Errors
     ///
@@ -26,12 +26,12 @@
         Ok(Self { program, folder })
     }
 
-    /// The configuration file of a real gateway.
+    /// Configuration file of a real gateway.
     pub fn gateway_config(&self, gateway: usize) -> PathBuf {
         self.folder.join(format!("gateway-{gateway}.hcl"))
     }
 
-    /// The configuration file of a control machine.
+    /// Configuration file of a control machine.
     pub fn control_config(&self, machine: usize) -> PathBuf {
         self.folder.join(format!("control-{machine}.hcl"))
     }
@@ -45,7 +45,7 @@
         File::create(self.folder.join(format!("host-{host}.log")))
     }
 
-    /// Opens the log file of a control machine. A machine that is started again appends to it.
+    /// Opens the log file of a control machine for appending, so that restarts keep earlier output.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         File::options().create(true).append(true).open(path)
     }
 
-    /// Removes the folder. What can't be removed stays.
+    /// Removes the folder. Files that can't be removed are left behind.
     pub fn remove(&self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/crates/scale-test/src/stop_reason.rs
+++ b/crates/scale-test/src/stop_reason.rs
@@ -1,4 +1,4 @@
-//! Why a run ends before its plan does.
+//! Reasons for a run to end before its plan is complete.
 
 use crate::children::GatewayProcessError;
 use crate::control::ControlError;
@@ -8,16 +8,16 @@
 /// Why a run ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum StopReason {
-    /// A signal asked for it.
+    /// The stop flag was set, usually by a signal.
     #[error("the run was stopped")]
     Stopped,
-    /// The plan's time limit is over.
+    /// The time limit of the plan expired.
     #[error("the run took longer than its time limit")]
     TimeLimit,
-    /// The processes of the run use more memory than the plan allows.
+    /// The processes of the run exceeded the memory limit of the plan.
     #[error("the run uses {gigabytes:.1} GB of memory, which is more than its limit")]
     MemoryLimit {
-        /// Their resident memory in GB.
+        /// Their total resident memory in GB.
         gigabytes: f64,
     },
     /// A process of the run failed.
@@ -25,51 +25,51 @@
     Failed(#[from] ProcessFailure),
 }
 
-/// A process of the run that failed, and how.
+/// A failed process of the run and its error.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessFailure {
     /// A real gateway can't be started.
     #[error("gateway {gateway} can't begin: {source}")]
     StartGateway {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
-        /// What went wrong.
+        /// The error.
         source: StartGatewayError,
     },
-    /// A real gateway can't be asked to stop.
+    /// A real gateway can't be signalled to stop.
     #[error("gateway {gateway} can't be told to stop: {source}")]
     StopGateway {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A hollow gateway could not start, or ended by itself.
+    /// A hollow gateway could not start, or ended on its own.
     #[error("gateway {gateway}: {reason}")]
     HollowGateway {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
-        /// What its host reported.
+        /// The reason reported by its host.
         reason: String,
     },
-    /// A host ended by itself.
+    /// A host exited on its own.
     #[error("host {host} ended; its log is host-{host}.log")]
     HostEnded {
-        /// Its number.
+        /// Number of the host.
         host: usize,
     },
-    /// A control machine ended by itself.
+    /// A control machine exited on its own.
     #[error("control machine {machine} ended by itself; its log is control-{machine}.told")]
     ControlMachineEnded {
-        /// Its number.
+        /// Number of the control machine.
         machine: usize,
     },
-    /// A control machine can't be started again.
+    /// A control machine can't be restarted.
     #[error("control machine {machine} can't begin: {source}")]
     StartControlMachine {
-        /// Its number.
+        /// Number of the control machine.
         machine: usize,
-        /// What went wrong.
+        /// The error.
         source: ControlError,
     },
     /// The status of the control machines can't be queried.
@@ -81,7 +81,7 @@
     /// An author of changes can't be started.
     #[error("an author can't begin: {0}")]
     StartAuthor(#[source] ControlError),
-    /// No control machine leads when the leader is to be killed.
+    /// No control machine is the leader at the time when the leader should be killed.
     #[error("no control machine leads in mid-change")]
     NoLeader,
 }
@@ -89,13 +89,13 @@
 /// Why a real gateway can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartGatewayError {
-    /// Its configuration file can't be written, or the thread that queries it can't be started.
+    /// The configuration file can't be written, or the polling thread can't be started.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// Its configuration is not valid.
+    /// The configuration is not valid.
     #[error(transparent)]
     Config(#[from] InvalidConfig),
-    /// Its process does not start.
+    /// The process can't be started.
     #[error(transparent)]
     Process(#[from] GatewayProcessError),
 }
--- a/crates/scale-test/tests/budgets.rs
+++ b/crates/scale-test/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Totals of shared budgets: what counts as used at the same time, and when that is over the bound.
+//! Totals of shared budgets: which levels count as simultaneous, and when their sum exceeds the bound.
 
 use milletpath_gateway::hollow_gateway::{BudgetLevel, MinimumTracker};
 use milletpath_scale_test::budgets::{BudgetTotals, CountRange};
@@ -14,7 +14,7 @@
 fn leases_move_quota_between_gateways_without_breaking_the_bound() {
     let mut totals = BudgetTotals::new(3);
     totals.begin_play(100.0, "quiet");
-    // One holds leases on what the two others do not use.
+    // One gateway holds leases on quota that the two others do not use.
     for (gateway, allowed) in [(0, 4.0), (1, 1.0), (2, 1.0)] {
         totals.record_minimum(gateway, &minimum(101, 1.0, allowed));
     }
@@ -33,7 +33,7 @@
     totals.begin_play(100.0, "quiet");
     totals.begin_play(200.0, "apart");
     (0..3).for_each(|gateway| totals.record_minimum(gateway, &minimum(150, 1.0, 2.0)));
-    // Each half of a partitioned fleet uses more than its fraction.
+    // Each side of a partitioned fleet uses more than its fraction.
     (0..3).for_each(|gateway| totals.record_minimum(gateway, &minimum(205, 1.5, 2.0)));
     totals.close_seconds(400.0);
     let worst = totals.finish();
@@ -78,7 +78,7 @@
     );
 }
 
-/// The level may have been lower between two readings that are too far apart.
+/// Guards against a minimum that is too high: between two readings far apart, the level may have been lower.
 #[test]
 fn a_second_with_gaps_has_no_minimum() {
     let mut tracker = MinimumTracker::default();
@@ -86,7 +86,7 @@
         tracker.record(at, 1.0, budgets(20.0));
     }
     assert_eq!(tracker.record(6.1, 1.0, budgets(20.0)), None);
-    // Nor has the next one, in which there is a single reading.
+    // The next second has no minimum either, as it has a single reading.
     assert_eq!(tracker.record(7.1, 1.0, budgets(20.0)), None);
 }
 
--- a/crates/scale-test/tests/change_propagation.rs
+++ b/crates/scale-test/tests/change_propagation.rs
@@ -1,4 +1,4 @@
-//! Configuration changes: how long each took to be applied at each gateway, and which gateways never applied it.
+//! Propagation of configuration changes: the time until each gateway applied them, and gateways that never did.
 
 use milletpath_config_log::Outcome;
 use milletpath_scale_test::applied_state::AppliedState;
@@ -9,14 +9,14 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-/// Three gateways that run since 1 s.
+/// Three gateways that have been running since 1 s.
 fn three_gateways() -> ChangePropagation {
     let mut propagation = ChangePropagation::new(3, 0.0);
     (0..3).for_each(|gateway| propagation.record_start(gateway, 1.0));
     propagation
 }
 
-/// One change that is proposed at 10 s and committed with that number.
+/// Records one change that was proposed at 10 s and committed with this number.
 fn commit_one(propagation: &mut ChangePropagation, number: u64) {
     propagation.expect_proposals(1);
     propagation.record_outcome(number as usize, 10.0, 10.2, Ok(number));
@@ -31,7 +31,7 @@
 #[test]
 fn a_change_is_timed_from_its_proposal_at_each_gateway() {
     let mut propagation = three_gateways();
-    // A gateway may apply a change before its author knows that it is committed.
+    // A gateway may apply a change before its author learns that it was committed.
     propagation.record_applied(0, 1, 10.125);
     assert!(propagation.is_converged(), "nothing is known to be committed");
     commit_one(&mut propagation, 1);
@@ -40,7 +40,7 @@
         (1, 1, false)
     );
     propagation.record_applied(1, 1, 10.25);
-    // A later number includes the earlier ones.
+    // A higher number includes the earlier changes.
     propagation.record_applied(2, 3, 10.5);
     assert_eq!((propagation.up_to_date_count(), propagation.is_converged()), (3, true));
     let outcomes = propagation.take_outcomes(20.0);
@@ -83,7 +83,7 @@
     propagation.record_applied(0, 1, 10.5);
     propagation.record_stop(1);
     propagation.record_stop(2);
-    // A late report of its earlier process, then one of its own.
+    // A late report of the earlier process, followed by one of the current process.
     propagation.record_start(2, 12.0);
     propagation.record_applied(2, 1, 11.9);
     assert_eq!((propagation.running_count(), propagation.up_to_date_count()), (2, 1));
@@ -107,7 +107,7 @@
     assert!(!propagation.is_converged());
     let outcomes = propagation.take_outcomes(30.0);
     assert_eq!((outcomes.catch_up_times.never, outcomes.propagation_times.never), (1, 0));
-    // In the next play it is no longer one that has just started.
+    // In the next play it no longer counts as recently started.
     propagation.record_applied(0, 1, 31.0);
     assert!(propagation.is_converged());
     assert_eq!(propagation.take_outcomes(40.0).catch_up_times, ConvergenceSamples::default());
@@ -156,8 +156,8 @@
 }
 
 proptest! {
-    /// Whatever is reported in whatever order: each committed change is, at each gateway that ran all the while, either
-    /// timed or counted as never applied.
+    /// Regardless of the reports and their order, each committed change is either timed or counted as never applied,
+    /// once for each gateway that ran throughout.
     #[test]
     fn every_change_is_counted_once_at_every_gateway(
         reports in proptest::collection::vec((0usize..5, 0u64..12, 10.0..20.0f64), 0..60),
--- a/crates/scale-test/tests/distribution.rs
+++ b/crates/scale-test/tests/distribution.rs
@@ -1,4 +1,4 @@
-//! Distributions of figures, and summaries of convergence times.
+//! Quantiles of values and summaries of convergence times.
 
 use milletpath_scale_test::distribution::{ConvergenceSamples, Distribution};
 
--- a/crates/scale-test/tests/gateway_log.rs
+++ b/crates/scale-test/tests/gateway_log.rs
@@ -1,4 +1,4 @@
-//! What is read from the log of a real gateway.
+//! Parsing of the log lines of a real gateway.
 
 use milletpath_scale_test::children::{LoggedObservation, applied_number, membership_observation};
 use milletpath_scale_test::membership_tracker::ReportedState;
--- a/crates/scale-test/tests/host_protocol.rs
+++ b/crates/scale-test/tests/host_protocol.rs
@@ -1,5 +1,5 @@
-//! The lines on the pipes between a run and its host processes, byte for byte: a new version must read and write the form
-//! of the earlier ones.
+//! The JSON lines exchanged between a run and its host processes, compared byte for byte: a new version must read and
+//! write the format of earlier ones.
 
 use milletpath_scale_test::host_protocol::{
     AddressMap, AppliedChange, BudgetLevel, ConfigLogReading, GatewayReading, HostCommand,
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Checks that a message is written as this line, and that the line is read as the same message.
+/// Checks that the message is serialized as this line and that the line is parsed back to the same message.
 fn assert_line<T: Serialize + DeserializeOwned>(message: &T, line: &str) {
     assert_eq!(serde_json::to_string(message).expect("the message is written"), line);
     let read: T = serde_json::from_str(line).expect("the line is read");
--- a/crates/scale-test/tests/machine_load.rs
+++ b/crates/scale-test/tests/machine_load.rs
@@ -1,4 +1,4 @@
-//! Load of the machine and of processes, from the texts of `/proc`.
+//! Parsing of machine and process load from `/proc`.
 
 use milletpath_scale_test::machine_load::{CpuTime, process_cpu_seconds, process_memory_mb};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_process_that_is_not_there_has_no_memory_and_no_processor_time() {
+fn a_missing_process_has_no_memory_and_no_processor_time() {
     assert!(process_memory_mb(std::process::id()).is_some_and(|mb| mb > 0.1));
     assert_eq!(process_memory_mb(u32::MAX), None);
     assert_eq!(process_cpu_seconds(u32::MAX), 0.0);
--- a/crates/scale-test/tests/membership_tracker.rs
+++ b/crates/scale-test/tests/membership_tracker.rs
@@ -1,11 +1,11 @@
-//! Who takes whom for alive, and how long it took: sequences of starts, stops and reports.
+//! Views that gateways have of each other, and their convergence times, for sequences of starts, stops and reports.
 
 use milletpath_scale_test::membership_tracker::{MembershipTracker, ReportedState};
 
 const ALIVE: ReportedState = ReportedState::Alive;
 const DEAD: ReportedState = ReportedState::Dead;
 
-/// A fleet that runs since 1 s and has converged at 2 s.
+/// A fleet that has been running since 1 s and converged at 2 s.
 fn converged_fleet(size: usize) -> MembershipTracker {
     let mut tracker = MembershipTracker::new(size, 0.0);
     (0..size).for_each(|gateway| tracker.record_start(gateway, 1.0));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_fleet_has_converged_when_all_take_all_for_alive() {
+fn a_fleet_has_converged_when_all_consider_all_alive() {
     let mut tracker = MembershipTracker::new(3, 0.0);
     (0..3).for_each(|gateway| tracker.record_start(gateway, 1.0));
     assert_eq!(
@@ -28,7 +28,7 @@
     for (observer, subject) in [(0, 1), (0, 2), (1, 2), (2, 1)] {
         tracker.record_report(observer, subject, ALIVE, 2.5);
     }
-    // The first knows all others; the second and the third are known by all.
+    // Gateway 0 knows all others; gateways 1 and 2 are known to all others.
     assert_eq!((tracker.converged_observers(), tracker.gateways_known_to_all()), (1, 2));
     tracker.record_report(1, 0, ALIVE, 3.0);
     tracker.record_report(2, 0, ALIVE, 4.0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_death_is_learnt_by_each_that_took_the_gateway_for_alive() {
+fn each_gateway_that_considered_another_alive_learns_of_its_death() {
     let mut tracker = converged_fleet(4);
     tracker.take_times();
     tracker.record_stop(3, 10.0);
@@ -49,11 +49,11 @@
     assert_eq!(tracker.converged_observers(), 2);
     let times = tracker.take_times();
     assert_eq!((times.death.seconds, times.death.never, times.false_deaths), (vec![4.0, 5.0], 1, 0));
-    // What was not learnt in one play is not counted in the next.
+    // What was not learned in one play is not counted in the next.
     assert_eq!(tracker.take_times().death.never, 0);
 }
 
-/// The new process may be known before the earlier one is known to be dead.
+/// The new process may become known before the earlier one is declared dead.
 #[test]
 fn a_restart_is_a_death_and_a_join_in_any_order() {
     let mut tracker = converged_fleet(3);
@@ -65,7 +65,7 @@
     tracker.record_report(2, 0, DEAD, 11.5);
     tracker.record_report(2, 0, ALIVE, 12.5);
     tracker.record_report(1, 0, ALIVE, 11.0);
-    assert_eq!(tracker.converged_observers(), 2, "one takes the earlier process for alive");
+    assert_eq!(tracker.converged_observers(), 2, "one considers the earlier process alive");
     tracker.record_report(1, 0, DEAD, 12.0);
     assert_eq!(tracker.converged_observers(), 3);
     let times = tracker.take_times();
@@ -74,7 +74,7 @@
     assert_eq!(times.join.seconds, [0.5, 0.5, 2.0, 0.5]);
 }
 
-/// Reports and notices of starts and stops arrive by different ways.
+/// Reports and notices of starts and stops arrive on different channels, in any order.
 #[test]
 fn a_report_may_arrive_before_the_notice_of_what_it_is_about() {
     let mut tracker = converged_fleet(3);
@@ -101,7 +101,7 @@
     tracker.record_stop(0, 10.0);
     tracker.record_stop(1, 10.0);
     tracker.record_start(0, 20.0);
-    // Reported before the stop, received after it.
+    // Reported before the stop and received after it.
     tracker.record_report(0, 2, ALIVE, 9.0);
     tracker.record_report(2, 0, DEAD, 21.0);
     tracker.record_report(2, 1, DEAD, 21.0);
@@ -120,7 +120,7 @@
     assert_eq!(tracker.converged_observers(), 3);
 }
 
-/// A suspicion of a gateway that was taken for dead, which arrives by way of others, means that it is alive.
+/// A gateway that was considered dead and is reported as suspected by others counts as alive.
 #[test]
 fn a_suspected_gateway_is_alive() {
     let mut tracker = converged_fleet(3);
@@ -130,7 +130,7 @@
     assert_eq!(tracker.converged_observers(), 2);
     tracker.record_report(0, 1, ReportedState::Suspected, 6.0);
     assert_eq!(tracker.converged_observers(), 3);
-    // It still is when the suspicion ends, which is not reported.
+    // It stays alive when the suspicion ends, which is not reported.
     tracker.record_report(0, 1, ReportedState::Suspected, 8.0);
     tracker.record_report(0, 1, DEAD, 9.0);
     assert_eq!((tracker.converged_observers(), tracker.take_times().false_deaths), (2, 2));
@@ -148,7 +148,7 @@
     tracker.record_report(0, 3, ALIVE, 12.0);
     tracker.record_report(0, 1, ALIVE, 12.0);
     let times = tracker.take_times();
-    // Only the report about the same side was false, and only the other gateway was healed.
+    // Only the report about the same side was false, and only the view across the partition was healed.
     assert_eq!((times.false_deaths, times.healing.seconds, times.healing.never), (1, vec![2.0], 0));
     assert_eq!(tracker.converged_observers(), 4);
 }
--- a/crates/scale-test/tests/output_fixtures/fixture.rs
+++ b/crates/scale-test/tests/output_fixtures/fixture.rs
@@ -1,8 +1,8 @@
-//! Files that an output is compared with.
+//! Comparison of output with fixture files.
 
 use std::path::PathBuf;
 
-/// Compares a text with the fixture of that name byte for byte.
+/// Checks that a text is equal to the fixture with this name, byte for byte.
 pub fn assert_matches_fixture(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
--- a/crates/scale-test/tests/output_fixtures/main.rs
+++ b/crates/scale-test/tests/output_fixtures/main.rs
@@ -1,7 +1,7 @@
-//! What users hold of a scale test stays as it is: the JSON object and the printed table of reports that are built from
-//! fixed findings, and the figures to which the plans of the repository are read. The files in `tests/fixtures` were
-//! written by these tests on commit d9936fb; `UPDATE_FIXTURES=1` writes them anew, which is right only where the output is
-//! meant to change.
+//! Guards the user-visible output of a scale test against changes: the JSON and the table of reports built from fixed
+//! findings, and the values parsed from the plans in the repository. The files in `tests/fixtures` were written by
+//! these tests on commit d9936fb. `UPDATE_FIXTURES=1` rewrites them, which is right only if the output is meant to
+//! change.
 
 mod fixture;
 mod plans;
--- a/crates/scale-test/tests/output_fixtures/plans.rs
+++ b/crates/scale-test/tests/output_fixtures/plans.rs
@@ -1,4 +1,4 @@
-//! Figures of the repository's plans, and the places of errors in invalid ones.
+//! Values parsed from the plans in the repository, and positions of errors in invalid plans.
 
 use crate::fixture::assert_matches_fixture;
 use milletpath_scale_test::plan::{Action, Component, Plan, RegionPair, read};
@@ -38,8 +38,8 @@
     }
 }
 
-/// All figures of a plan by the names of the file's keys.
-fn figures_of(plan: &Plan) -> String {
+/// All values of a plan, labelled with their keys in the file.
+fn values_of(plan: &Plan) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: &dyn Debug| write_line(&mut text, name, value);
     line("name", &plan.name);
@@ -87,13 +87,13 @@
 #[test_case("size", Some(30); "size with 30 gateways")]
 #[test_case("size-small", None)]
 #[test_case("size-changes", None)]
-fn a_plan_of_the_repository_reads_to_the_same_figures(name: &str, gateways: Option<usize>) {
+fn a_plan_of_the_repository_is_parsed_to_the_same_values(name: &str, gateways: Option<usize>) {
     let plan = read(&plan_text(&format!("{name}.hcl")), gateways).unwrap_or_else(|e| panic!("{e:?}"));
     let size = gateways.map(|n| format!("-{n}")).unwrap_or_default();
-    assert_matches_fixture(&format!("plan-{name}{size}.txt"), &figures_of(&plan));
+    assert_matches_fixture(&format!("plan-{name}{size}.txt"), &values_of(&plan));
 }
 
-/// A plan in which nearly everything is wrong.
+/// A plan with an error in nearly every key.
 const BROKEN_PLAN: &str = r#"name = "not a name"
 gateways = 3
 real = 3
@@ -138,8 +138,8 @@
 }
 "#;
 
-/// The places of all errors of a plan. Their texts are for people and may be reworded.
-fn places_of_errors(text: &str) -> String {
+/// Positions of all errors in a plan. Their texts are for people and may be reworded.
+fn positions_of_errors(text: &str) -> String {
     let errors = read(text, None).expect_err("errors");
     errors.iter().map(|error| format!("{}:{}\n", error.line, error.column)).collect()
 }
@@ -149,6 +149,6 @@
 #[test_case("plan-errors-syntax.txt", "name = \"a\"\ngateways = 4 +\n"; "no HCL")]
 #[test_case("plan-errors-no-changes.txt", "name = \"a\"\ncontrol { runs = [\"changes\"] }\nchanges { control = 9 }\n";
     "a plan with little in it")]
-fn an_invalid_plan_is_refused_with_errors_at_the_same_places(fixture: &str, text: &str) {
-    assert_matches_fixture(fixture, &places_of_errors(text));
+fn an_invalid_plan_is_rejected_with_errors_at_the_same_positions(fixture: &str, text: &str) {
+    assert_matches_fixture(fixture, &positions_of_errors(text));
 }
--- a/crates/scale-test/tests/output_fixtures/reports.rs
+++ b/crates/scale-test/tests/output_fixtures/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of fixed findings, as JSON and as the printed table.
+//! Reports of fixed findings, as JSON and as a table.
 
 use crate::fixture::assert_matches_fixture;
 use milletpath_config_log::Outcome;
@@ -17,7 +17,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-/// A plan in which every resource is limited, with one play of each kind but one.
+/// A plan with limits on all resources and a play of each kind but `changes`; `settled` occurs twice.
 const LIMITED_PLAN: &str = r#"name = "limited"
 seed = 7
 gateways = 12
@@ -72,7 +72,7 @@
     ConvergenceSamples { seconds: seconds.to_vec(), never }
 }
 
-/// A figure of each gateway from 0 on.
+/// One value for each gateway, starting with gateway 0.
 fn of_gateways(figures: &[f64]) -> MemberFigures {
     figures.iter().copied().enumerate().collect()
 }
@@ -81,7 +81,7 @@
     PlayResult { seconds, ..PlayResult::new(play, started_at) }
 }
 
-/// A cost of control of three gateways and two control machines, larger by a factor.
+/// Control-plane cost of three gateways and two control machines, scaled by `factor`.
 fn cost(factor: f64) -> ControlCost {
     let figures = |values: [f64; 3]| of_gateways(&values.map(|value| factor * value));
     ControlCost {
@@ -117,7 +117,7 @@
     WorstTotal { sum, bound, seconds: 77, gateways, broken_seconds, first_broken_in }
 }
 
-/// Results of all plays of the limited plan, with every figure that a play can have in one of them.
+/// Results of all plays of the limited plan, in which every optional value is set at least once.
 fn results_with_everything(plan: &Plan) -> Vec<PlayResult> {
     let mut results: Vec<PlayResult> = (plan.plays.iter().enumerate())
         .map(|(n, play)| result_of(play, 10.125 * n as f64, 10.0 + n as f64 / 8.0))
@@ -170,7 +170,7 @@
     results
 }
 
-/// A state on which all five control machines agree, and some of twelve gateways.
+/// A state that all five control machines and `agreeing_gateways` of twelve gateways have reached.
 fn final_state(latest_committed: u64, number: u64, digest: u64, agreeing_gateways: usize) -> FinalState {
     FinalState {
         latest_committed,
@@ -206,7 +206,7 @@
     }
 }
 
-/// Findings of a run in which nothing could be measured, with results of the first plays only.
+/// Findings of a run that measured nothing, with results of the first plays only.
 fn bare_findings(plan: &Plan, plays: usize) -> Findings {
     let results = plan.plays.iter().take(plays).map(|play| result_of(play, 0.5, 2.0)).collect();
     let machine = MachineUsage { cores: 4, ..MachineUsage::default() };
--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans as people write them: what a valid one is read to, and which errors an invalid one gives.
+//! Parsing of plans: the model of a valid plan, and the errors of an invalid one.
 
 use milletpath_scale_test::plan::{Action, Component, Plan, RegionPair, read};
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
 play "begin" { does = "start" }
 "#;
 
-/// The errors of the small plan with one line replaced.
+/// Errors of the small plan after one line is replaced.
 fn errors(line: &str, replacement: &str) -> Vec<String> {
     assert!(SMALL.contains(line), "{line}");
     let text = SMALL.replace(line, replacement);
@@ -74,8 +74,7 @@
 #[test]
 fn links_have_the_stated_latency_in_both_directions() {
     let plan = valid(&file("size.hcl"), None);
-    // Neighbours by number are in different zones: 0 in north-1, 3 in south-1, 6 in east-1, 10 in north-1
-    // again.
+    // Consecutive numbers are in different zones: 0 in north-1, 3 in south-1, 6 in east-1, 10 in north-1 again.
     assert_eq!(plan.latency(0, 10), 0.001);
     assert_eq!((plan.latency(0, 3), plan.latency(3, 0)), (0.03, 0.03));
     assert_eq!((plan.latency(0, 6), plan.latency(3, 6)), (0.07, 0.1));
@@ -86,7 +85,7 @@
 fn a_plan_can_be_read_for_another_number_of_gateways() {
     let plan = valid(&file("size.hcl"), Some(30));
     assert_eq!(plan.gateways, 30);
-    // Not more than all but one can be restarted.
+    // At most all gateways but one can be restarted.
     let restarts =
         plan.plays.iter().find(|p| p.action.kind().keyword() == "restarts").map(|p| p.action.clone());
     assert_eq!(restarts, Some(Action::RollingRestart { gateways: 29, duration: 10.0 }));
@@ -136,7 +135,7 @@
 )]
 #[test_case("workers { hollow = 10 }", "", "the plan has no workers; add workers { hollow = 600, real = 3 }")]
 #[test_case("across = 50", "across = 50 +", "invalid HCL")]
-fn an_error_has_its_place_and_a_remedy(line: &str, replacement: &str, expected: &str) {
+fn an_error_has_its_position_and_a_remedy(line: &str, replacement: &str, expected: &str) {
     let errors = errors(line, replacement);
     assert!(errors.iter().any(|error| error.contains(expected)), "{errors:#?}");
 }
@@ -156,7 +155,7 @@
 }
 
 proptest! {
-    /// Any text is either read or refused with an error.
+    /// Any text is either parsed or rejected with at least one error.
     #[test]
     fn no_text_panics_the_reader(
         at in 0..SMALL.len(),
--- a/crates/scale-test/tests/relay.rs
+++ b/crates/scale-test/tests/relay.rs
@@ -1,18 +1,18 @@
-//! The relay on real sockets: what is delivered to whom, what is counted, and what a partition drops.
+//! The relay on real sockets: delivery, traffic counts and partitions.
 
 use milletpath_scale_test::plan::RegionPair;
 use milletpath_scale_test::relay::{LinkDelays, LinkTraffic, Relay};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Three gateways in two regions, the first two in one.
+/// A relay with three gateways in two regions, the first two in the same one.
 struct RelayRig {
     relay: Relay,
     links: Vec<SocketAddr>,
     gateways: Vec<UdpSocket>,
 }
 
-/// Far longer than anything here takes.
+/// Far longer than any step of these tests takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 impl RelayRig {
@@ -32,7 +32,7 @@
         self.gateways[from].send_to(payload, self.links[to]).expect("sent");
     }
 
-    /// The next datagram at a gateway, and the link that it came from.
+    /// Receives the next datagram of a gateway. Returns it with the link of its sender.
     fn receive(&self, to: usize) -> (Vec<u8>, usize) {
         let mut buffer = [0; 2000];
         let (size, from) = self.gateways[to].recv_from(&mut buffer).expect("a datagram");
@@ -56,7 +56,7 @@
     rig.send(1, 0, b"hi");
     assert_eq!(rig.receive(2), (b"hello".to_vec(), 0));
     assert_eq!(rig.receive(0), (b"hi".to_vec(), 1));
-    rig.wait_until("all is counted", |relay| {
+    rig.wait_until("both datagrams are counted", |relay| {
         relay.traffic()[0].datagrams_in == 1 && relay.traffic()[2].datagrams_in == 1
     });
     let passed = rig.relay.traffic();
@@ -64,12 +64,12 @@
     assert_eq!(passed[2], LinkTraffic { datagrams_in: 1, bytes_in: 5, ..LinkTraffic::default() });
 }
 
-/// A datagram that is sent first over a slow link arrives after one that is sent later over a fast one.
+/// A datagram sent first over a slow link arrives after one sent later over a fast link.
 #[test]
 fn a_datagram_takes_the_latency_between_its_regions() {
     let rig = RelayRig::new(5.0, 0.0);
     rig.send(2, 1, b"from afar");
-    rig.wait_until("it is in flight", |relay| relay.traffic()[2].datagrams_out == 1);
+    rig.wait_until("the datagram is in flight", |relay| relay.traffic()[2].datagrams_out == 1);
     rig.send(0, 1, b"from here");
     assert_eq!(rig.receive(1), (b"from here".to_vec(), 0));
     assert_eq!(rig.receive(1), (b"from afar".to_vec(), 2));
@@ -95,9 +95,9 @@
     let rig = RelayRig::new(0.001, 0.5);
     for n in 0..SENT {
         rig.send(0, 1, &n.to_le_bytes());
-        rig.wait_until("one at a time", |relay| relay.traffic()[0].datagrams_out == n + 1);
+        rig.wait_until("the datagram is counted as sent", |relay| relay.traffic()[0].datagrams_out == n + 1);
     }
-    rig.wait_until("each is one or the other", |relay| {
+    rig.wait_until("every datagram is lost or delivered", |relay| {
         relay.lost() + relay.traffic()[1].datagrams_in == SENT
     });
     assert!((100..300).contains(&rig.relay.lost()), "{}", rig.relay.lost());
@@ -107,21 +107,21 @@
 fn a_detached_gateway_neither_sends_nor_receives() {
     let rig = RelayRig::new(0.001, 0.0);
     rig.relay.detach(0);
-    rig.send(0, 1, b"of a dead one");
-    rig.send(1, 0, b"to a dead one");
-    rig.send(2, 1, b"of another");
-    assert_eq!(rig.receive(1), (b"of another".to_vec(), 2));
-    rig.wait_until("it was taken", |relay| relay.traffic()[1].datagrams_out == 1);
+    rig.send(0, 1, b"from the detached gateway");
+    rig.send(1, 0, b"to the detached gateway");
+    rig.send(2, 1, b"from another gateway");
+    assert_eq!(rig.receive(1), (b"from another gateway".to_vec(), 2));
+    rig.wait_until("the datagram of gateway 1 is counted", |relay| relay.traffic()[1].datagrams_out == 1);
     assert_eq!(rig.relay.traffic()[0], LinkTraffic::default());
 }
 
-/// A process that starts may get the port of one that stopped.
+/// A new process may get the port of one that has stopped.
 #[test]
 fn a_port_belongs_to_its_latest_owner() {
     let rig = RelayRig::new(0.001, 0.0);
     let port = rig.gateways[0].local_addr().expect("an address");
     rig.relay.attach(2, port);
     rig.relay.detach(0);
-    rig.send(0, 1, b"who am I");
-    assert_eq!(rig.receive(1), (b"who am I".to_vec(), 2));
+    rig.send(0, 1, b"hello");
+    assert_eq!(rig.receive(1), (b"hello".to_vec(), 2));
 }
