--- a/crates/scale-test/src/children/host_process.rs
+++ b/crates/scale-test/src/children/host_process.rs
@@ -40,7 +40,7 @@
         // If anything below fails, dropping the handle ends the process.
         let host = Self { process: ChildProcess::new(child), commands: Some(commands) };
         let (Some(input), Some(output)) = (input, output) else {
-            return Err(io::Error::other("a host has no pipes"));
+            return Err(io::Error::other("the standard input and output of a host are not piped"));
         };
         let write = move || write_commands(input, &command_queue);
         std::thread::Builder::new().name("commands".into()).spawn(write)?;
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -26,7 +26,7 @@
     #[error(transparent)]
     Config(#[from] InvalidConfig),
     /// The configuration has no section `changes`.
-    #[error("the configuration has no section changes")]
+    #[error("the configuration has no section `changes`")]
     MissingChangesSection,
     /// The client can't be opened.
     #[error(transparent)]
--- a/crates/scale-test/src/descriptor_limit.rs
+++ b/crates/scale-test/src/descriptor_limit.rs
@@ -6,7 +6,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DescriptorLimitError {
     /// The hard limit is too low.
-    #[error("{needed} open files are needed and the system allows {allowed}: have fewer gateways")]
+    #[error(
+        "the run needs {needed} open files and the hard limit is {allowed}; raise the limit or use fewer gateways"
+    )]
     TooLow {
         /// Number of descriptors that the run needs.
         needed: u64,
@@ -14,7 +16,7 @@
         allowed: u64,
     },
     /// The limit can't be read or set.
-    #[error("the limit of open files can't be read or raised: {0}")]
+    #[error("the limit on open files can't be read or raised: {0}")]
     System(#[from] nix::Error),
 }
 
--- a/crates/scale-test/src/plan/checks.rs
+++ b/crates/scale-test/src/plan/checks.rs
@@ -22,7 +22,7 @@
 /// Each zone must have a gateway.
 pub fn has_gateway_for_each_zone(root: &Section<'_>, zones: usize, gateways: usize) {
     if zones > gateways {
-        let problem = format!("{zones} zones need as many gateways, and there are {gateways}");
+        let problem = format!("{zones} zones need at least {zones} gateways, but the plan has {gateways}");
         root.report(root.offset_of("gateways"), problem, "state more gateways or fewer zones");
     }
 }
@@ -70,7 +70,7 @@
 pub fn first_play_starts_the_fleet(section: &Section<'_>, play: &Play) {
     if !matches!(play.action, Action::Start { .. }) {
         let problem = format!("{} comes before the gateways are started", section.title);
-        section.report(section.offset, problem, "let the first play be one that does = \"start\"");
+        section.report(section.offset, problem, "make the first play one with does = \"start\"");
     }
 }
 
--- a/crates/scale-test/src/plan/reader.rs
+++ b/crates/scale-test/src/plan/reader.rs
@@ -43,7 +43,7 @@
         line: error.location().line(),
         column: error.location().column(),
         problem: format!("invalid HCL: {}", error.message()),
-        remedy: "correct the line and start again".into(),
+        remedy: "correct the syntax of this line".into(),
     }
 }
 
--- a/crates/scale-test/src/plan/reader/regions.rs
+++ b/crates/scale-test/src/plan/reader/regions.rs
@@ -99,7 +99,7 @@
     match indices?[..] {
         [first, second] if first != second => Some(RegionPair { first, second }),
         _ => {
-            let problem = format!("regions of {} are not two", section.title);
+            let problem = format!("regions of {} must be two different regions", section.title);
             section.report(section.offset_of("regions"), problem, "name two regions of the plan");
             None
         }
--- a/crates/scale-test/src/relay/shared.rs
+++ b/crates/scale-test/src/relay/shared.rs
@@ -90,7 +90,7 @@
         let (links, regions) = (delays.regions.len(), delays.latency.len());
         let open = |_| {
             let needed = |error: io::Error| {
-                io::Error::new(error.kind(), format!("{links} sockets for links: {error}"))
+                io::Error::new(error.kind(), format!("can't open {links} sockets for links: {error}"))
             };
             Link::open().map_err(needed)
         };
--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -151,7 +151,7 @@
         Ok(Action::Partition { regions: RegionPair { first: 0, second: 1 }, duration: 10.0 })
     );
     let error = read_partition("[\"a\", \"a\"]").unwrap_err();
-    assert!(error.starts_with("17:3: regions of play \"cut\" are not two"), "{error}");
+    assert!(error.starts_with("17:3: regions of play \"cut\" must be two different regions"), "{error}");
 }
 
 proptest! {
