--- a/crates/scale-test/src/children/gateway_process.rs
+++ b/crates/scale-test/src/children/gateway_process.rs
@@ -18,7 +18,7 @@
     #[error(transparent)]
     System(#[from] io::Error),
     /// The process exited, or closed its output without printing an address for clients.
-    #[error("gateway {gateway} does not tell where it listens")]
+    #[error("gateway {gateway} exited or printed no address for clients")]
     NoAddress {
         /// Number of the gateway.
         gateway: usize,
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -32,7 +32,7 @@
     #[error(transparent)]
     Client(#[from] ControlClientError),
     /// The process exited, or closed its output without printing that it listens.
-    #[error("control machine {machine} does not begin")]
+    #[error("control machine {machine} exited or did not report that it listens")]
     NotListening {
         /// Number of the control machine.
         machine: usize,
--- a/crates/scale-test/src/proposal.rs
+++ b/crates/scale-test/src/proposal.rs
@@ -33,6 +33,6 @@
         reason: String,
     },
     /// No control machine answered the proposal. It may still be committed.
-    #[error("the control machines fell silent")]
+    #[error("no control machine answered the proposal")]
     Unanswered,
 }
--- a/crates/scale-test/src/stop_reason.rs
+++ b/crates/scale-test/src/stop_reason.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessFailure {
     /// A real gateway can't be started.
-    #[error("gateway {gateway} can't begin: {source}")]
+    #[error("gateway {gateway} can't be started: {source}")]
     StartGateway {
         /// Number of the gateway.
         gateway: usize,
@@ -37,7 +37,7 @@
         source: StartGatewayError,
     },
     /// A real gateway can't be signalled to stop.
-    #[error("gateway {gateway} can't be told to stop: {source}")]
+    #[error("gateway {gateway} can't be signalled to stop: {source}")]
     StopGateway {
         /// Number of the gateway.
         gateway: usize,
@@ -53,19 +53,19 @@
         reason: String,
     },
     /// A host exited on its own.
-    #[error("host {host} ended; its log is host-{host}.log")]
+    #[error("host {host} exited; see its log host-{host}.log")]
     HostEnded {
         /// Number of the host.
         host: usize,
     },
     /// A control machine exited on its own.
-    #[error("control machine {machine} ended by itself; its log is control-{machine}.told")]
+    #[error("control machine {machine} exited; see its log control-{machine}.told")]
     ControlMachineEnded {
         /// Number of the control machine.
         machine: usize,
     },
     /// A control machine can't be restarted.
-    #[error("control machine {machine} can't begin: {source}")]
+    #[error("control machine {machine} can't be restarted: {source}")]
     StartControlMachine {
         /// Number of the control machine.
         machine: usize,
@@ -73,16 +73,16 @@
         source: ControlError,
     },
     /// The status of the control machines can't be queried.
-    #[error("control machines can't be asked: {0}")]
+    #[error("the control machines can't be queried: {0}")]
     QueryControlMachines(#[source] ControlError),
     /// The status of real gateways can't be queried.
-    #[error("gateways can't be asked: {0}")]
+    #[error("the gateways can't be queried: {0}")]
     QueryGateways(#[source] ControlError),
     /// An author of changes can't be started.
-    #[error("an author can't begin: {0}")]
+    #[error("an author of configuration changes can't be started: {0}")]
     StartAuthor(#[source] ControlError),
     /// No control machine is the leader at the time when the leader should be killed.
-    #[error("no control machine leads in mid-change")]
+    #[error("no control machine is the leader while changes are proposed")]
     NoLeader,
 }
 
