--- a/crates/scale-test/src/child_process.rs
+++ b/crates/scale-test/src/child_process.rs
@@ -43,8 +43,8 @@
 
     /// Waits until the process exits, and kills it after 3 s.
     pub fn wait_or_kill(&mut self) {
-        let began = Instant::now();
-        while began.elapsed() < EXIT_TIMEOUT {
+        let started_at = Instant::now();
+        while started_at.elapsed() < EXIT_TIMEOUT {
             if !self.is_running() {
                 return;
             }
--- a/crates/scale-test/src/client_calls.rs
+++ b/crates/scale-test/src/client_calls.rs
@@ -63,13 +63,13 @@
     gateways: &ReachableGateways,
     stopped: &AtomicBool,
 ) -> CallCounts {
-    let (began, mut counts) = (Instant::now(), CallCounts::default());
+    let (started_at, mut counts) = (Instant::now(), CallCounts::default());
     while !stopped.load(Ordering::Acquire) {
         // Calls that fall due while a slow one is in progress are skipped, so that the rate is never exceeded to catch
         // up.
-        let now = began.elapsed().as_secs_f64();
+        let now = started_at.elapsed().as_secs_f64();
         let due_at = (now / interval).ceil() * interval;
-        std::thread::sleep(Duration::from_secs_f64((due_at - began.elapsed().as_secs_f64()).max(0.0)));
+        std::thread::sleep(Duration::from_secs_f64((due_at - started_at.elapsed().as_secs_f64()).max(0.0)));
         let addresses = gateways.http_addresses();
         let Some(address) = addresses.get(counts.sent as usize % addresses.len().max(1)) else { continue };
         let function = counts.sent as usize / addresses.len() % functions;
--- a/crates/scale-test/src/fleet.rs
+++ b/crates/scale-test/src/fleet.rs
@@ -73,7 +73,7 @@
     /// The control machines.
     pub control_machines: ControlMachines,
     /// Load of the machine.
-    pub load: LoadMonitor,
+    pub load_monitor: LoadMonitor,
     stop_conditions: StopConditions,
     transitions: Transitions,
     proposals: ProposalSchedule,
@@ -112,7 +112,7 @@
             hosts,
             real_gateways: RealGateways::new(files, workers, sender.clone()),
             control_machines,
-            load: LoadMonitor::new(now),
+            load_monitor: LoadMonitor::new(now),
             stop_conditions: StopConditions::new(plan, stop, now),
             transitions: Transitions::default(),
             proposals: ProposalSchedule::default(),
@@ -253,7 +253,7 @@
     fn drop(&mut self) {
         // Unblocks threads that wait for space in the queue: their send fails.
         self.messages = sync_channel(0).1;
-        // All hosts are told to exit before the first one is waited for.
+        // The inputs of all hosts are closed before the first host is waited for.
         self.hosts.close_inputs();
         self.real_gateways.kill_all();
         self.control_machines.kill_all();
--- a/crates/scale-test/src/fleet/control_machines.rs
+++ b/crates/scale-test/src/fleet/control_machines.rs
@@ -20,7 +20,7 @@
 /// Resource usage of a control machine.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlMachineUsage {
-    /// Process id, which tells whether two samples belong to the same process.
+    /// Process id, which identifies samples of the same process.
     pub process_id: u32,
     /// Processor time in seconds.
     pub cpu_seconds: f64,
--- a/crates/scale-test/src/fleet/hosts.rs
+++ b/crates/scale-test/src/fleet/hosts.rs
@@ -59,12 +59,12 @@
         (gateway - self.first_hollow) % self.processes.len()
     }
 
-    /// Tells its host to start a hollow gateway.
+    /// Sends the command to start a hollow gateway to its host.
     pub fn start_gateway(&self, gateway: usize) {
         self.processes[self.host_of(gateway)].send(HostCommand::StartGateway { gateway });
     }
 
-    /// Tells the hosts to stop these hollow gateways. Each host stops all of its own at once.
+    /// Sends the command to stop these hollow gateways to their hosts. Each host stops all of its own at once.
     pub fn stop_gateways(&self, gateways: &[usize], killed: bool) {
         for (host, gateways) in self.group_by_host(gateways) {
             self.processes[host].send(HostCommand::StopGateways { gateways, killed });
--- a/crates/scale-test/src/fleet/messages.rs
+++ b/crates/scale-test/src/fleet/messages.rs
@@ -44,13 +44,13 @@
     fn check_limits(&mut self, now: f64) -> Result<(), StopReason> {
         self.stop_conditions.check_time(now)?;
         self.hosts.request_readings_if_due(now);
-        if !self.load.is_due(now) {
+        if !self.load_monitor.is_due(now) {
             return Ok(());
         }
         self.control_machines.check_running()?;
         self.trackers.budgets.close_seconds(now);
         let processes = self.process_ids();
-        let memory_gb = self.load.sample(now, &processes);
+        let memory_gb = self.load_monitor.sample(now, &processes);
         self.stop_conditions.check_memory(memory_gb)
     }
 
--- a/crates/scale-test/src/fleet/real_gateways.rs
+++ b/crates/scale-test/src/fleet/real_gateways.rs
@@ -119,7 +119,7 @@
         self.map_processes(|process| machine_load::thread_cpu_seconds(process.process_id(), thread))
     }
 
-    /// Incarnation of each gateway, which tells whether two samples belong to the same process.
+    /// Incarnation of each gateway, which identifies samples of the same process.
     pub fn incarnations(&self) -> BTreeMap<usize, u64> {
         self.map_processes(|process| Some(process.incarnation))
     }
--- a/crates/scale-test/src/fleet/transitions.rs
+++ b/crates/scale-test/src/fleet/transitions.rs
@@ -1,4 +1,4 @@
-//! Tracks gateways that were told to start or stop and have not yet reported that they did.
+//! Tracks gateways whose requested start or stop is not yet reported as complete.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,12 @@
 }
 
 impl Transitions {
-    /// Records that a gateway was told to start or to stop.
+    /// Records that the start or stop of a gateway was requested.
     pub fn begin(&mut self, gateway: usize) {
         self.pending.insert(gateway);
     }
 
-    /// Records that a gateway was told to stop and restarts afterwards.
+    /// Records that the stop of a gateway was requested, and that it is restarted afterwards.
     pub fn begin_restart(&mut self, gateway: usize) {
         self.pending.insert(gateway);
         self.to_restart.insert(gateway);
--- a/crates/scale-test/src/hollow_workers/tests.rs
+++ b/crates/scale-test/src/hollow_workers/tests.rs
@@ -1,4 +1,4 @@
-//! Updates of the list of hollow workers.
+//! Updates of the hollow workers in the endpoint list.
 
 use super::HollowWorkers;
 use crate::plan::{Plan, read};
--- a/crates/scale-test/src/host.rs
+++ b/crates/scale-test/src/host.rs
@@ -111,7 +111,7 @@
         let mut running = lock(&state.gateways);
         stopping.extend(gateways.iter().filter_map(|gateway| Some((*gateway, running.remove(gateway)?))));
     }
-    // All gateways are told to stop before the first one is waited for.
+    // All gateways begin to stop before the first one is waited for.
     let at = clock();
     stopping.iter().for_each(|(_, hollow)| hollow.stop(killed));
     for (gateway, hollow) in stopping {
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,5 +1,5 @@
 //! Scale test: hollow gateways, which run the real control code in many threads of a few processes, together with some
-//! real `milletpath serve` processes that can't tell them apart. Regions and zones have latency between them. The run
+//! real `milletpath serve` processes that can't distinguish them. Regions and zones have latency between them. The run
 //! executes a plan of plays in order and reports what was measured at the sockets and from the clocks of the threads.
 //!
 //! [`plan`] parses the plan, [`run`] executes it, and [`report`] holds the result. [`host`] is the process that hollow
--- a/crates/scale-test/src/plan/checks.rs
+++ b/crates/scale-test/src/plan/checks.rs
@@ -58,11 +58,11 @@
 
 /// No zone may have so many control machines that its loss takes half of them.
 pub fn zones_have_room_for_control_machines(changes: &Section<'_>, machines: usize, zones: usize) {
-    let most = CONTROL_MACHINES_PER_ZONE * zones;
-    if machines > most {
+    let max_machines = CONTROL_MACHINES_PER_ZONE * zones;
+    if machines > max_machines {
         let problem =
             format!("control machines of changes are more than {CONTROL_MACHINES_PER_ZONE} for each zone");
-        changes.report(changes.offset_of("control"), problem, format!("write {most} or less"));
+        changes.report(changes.offset_of("control"), problem, format!("write {max_machines} or less"));
     }
 }
 
--- a/crates/scale-test/src/plan/reader/plays.rs
+++ b/crates/scale-test/src/plan/reader/plays.rs
@@ -108,8 +108,8 @@
 
 /// Reads how many gateways a play affects. At least one gateway stays up, so the count is reduced in a smaller fleet.
 fn read_gateways(section: &Section<'_>, default: usize, context: &PlayContext<'_>) -> usize {
-    let most = (context.gateways - 1).max(1);
-    section.count("gateways", "gateways", 1..=MAX_GATEWAYS).unwrap_or(default).min(most)
+    let max_gateways = (context.gateways - 1).max(1);
+    section.count("gateways", "gateways", 1..=MAX_GATEWAYS).unwrap_or(default).min(max_gateways)
 }
 
 fn read_zone(section: &Section<'_>, zones: &[Zone]) -> usize {
--- a/crates/scale-test/src/relay/shared.rs
+++ b/crates/scale-test/src/relay/shared.rs
@@ -76,7 +76,7 @@
     pub overflowed: AtomicU64,
     /// Datagrams lost at random or to a partition.
     pub lost: AtomicU64,
-    /// Tells the threads to exit.
+    /// Set to make the threads exit.
     pub stop: AtomicBool,
 }
 
--- a/crates/scale-test/src/run/control_cost.rs
+++ b/crates/scale-test/src/run/control_cost.rs
@@ -25,14 +25,15 @@
         result: &mut PlayResult,
     ) -> Result<(), StopReason> {
         let before = FleetSample::take(&mut self.fleet)?;
-        let (began, cores_before) = (clock(), CpuTime::read());
-        self.wait_until(began + duration)?;
+        let (started_at, cores_before) = (clock(), CpuTime::read());
+        self.wait_until(started_at + duration)?;
         let after = FleetSample::take(&mut self.fleet)?;
         let mut cost = Measurement { seconds: after.at - before.at, before, after }.cost(&self.fleet);
         cost.follower.state_bytes = self.fleet.state_file_bytes().into_iter().collect();
         cost.memory_mb = self.fleet.gateway_memory_mb().into_iter().collect();
         cost.converged = self.fleet.is_converged();
-        cost.utilization = cores_before.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
+        cost.utilization =
+            cores_before.zip(CpuTime::read()).map(|(earlier, later)| later.utilization_since(earlier));
         result.control_cost = Some(cost);
         Ok(())
     }
@@ -47,7 +48,7 @@
     membership_cpu: BTreeMap<usize, f64>,
     follower_cpu: BTreeMap<usize, f64>,
     control_machines: BTreeMap<usize, ControlMachineUsage>,
-    /// Incarnations of real gateways, which tell whether two samples belong to the same process.
+    /// Incarnations of real gateways, which identify samples of the same process.
     incarnations: BTreeMap<usize, u64>,
 }
 
@@ -85,9 +86,9 @@
 
     /// Adds the processor time of hollow gateways that have timely readings in both samples.
     fn add_hollow_gateways(&self, cost: &mut ControlCost) {
-        for (gateway, now) in &self.after.readings {
-            let Some(then) = self.before.readings.get(gateway) else { continue };
-            let Some(cpu) = HollowCpu::between(then, now, self.seconds) else {
+        for (gateway, later) in &self.after.readings {
+            let Some(earlier) = self.before.readings.get(gateway) else { continue };
+            let Some(cpu) = HollowCpu::between(earlier, later, self.seconds) else {
                 cost.unread_gateways += 1;
                 continue;
             };
@@ -100,7 +101,8 @@
     /// Adds the processor time of real gateways whose process is the same in both samples.
     fn add_real_gateways(&self, cost: &mut ControlCost) {
         let incarnations = self.after.incarnations.iter();
-        let same = incarnations.filter(|(gateway, now)| self.before.incarnations.get(gateway) == Some(now));
+        let same =
+            incarnations.filter(|(gateway, later)| self.before.incarnations.get(gateway) == Some(later));
         for (gateway, _) in same {
             let membership = self.rate_of(*gateway, &self.before.membership_cpu, &self.after.membership_cpu);
             let follower = self.rate_of(*gateway, &self.before.follower_cpu, &self.after.follower_cpu);
@@ -127,8 +129,8 @@
         for gateway in gateways.iter().copied() {
             let mut total =
                 Rates::between(before.membership(gateway), after.membership(gateway), self.seconds);
-            if let Some((then, now)) = before.follower(gateway).zip(after.follower(gateway)) {
-                let follower = Rates::between(then, now, self.seconds);
+            if let Some((earlier, later)) = before.follower(gateway).zip(after.follower(gateway)) {
+                let follower = Rates::between(earlier, later, self.seconds);
                 cost.follower.bytes_in.record(gateway, follower.bytes_in);
                 cost.follower.bytes_out.record(gateway, follower.bytes_out);
                 total = total.plus(follower);
@@ -142,15 +144,17 @@
 
     /// Adds the usage of control machines whose process is the same in both samples.
     fn add_control_machines(&self, cost: &mut ControlCost) {
-        for (number, now) in &self.after.control_machines {
-            let then = self.before.control_machines.get(number);
-            let Some(then) = then.filter(|then| then.process_id == now.process_id) else { continue };
+        for (number, later) in &self.after.control_machines {
+            let earlier = self.before.control_machines.get(number);
+            let Some(earlier) = earlier.filter(|earlier| earlier.process_id == later.process_id) else {
+                continue;
+            };
             let (before, after) = (&self.before.traffic, &self.after.traffic);
             let rates =
                 Rates::between(before.control_machine(*number), after.control_machine(*number), self.seconds);
             let machines = &mut cost.control_machines;
-            machines.cpu.record(*number, (now.cpu_seconds - then.cpu_seconds) / self.seconds);
-            machines.memory_mb.extend(now.memory_mb.map(|memory| (*number, memory)));
+            machines.cpu.record(*number, (later.cpu_seconds - earlier.cpu_seconds) / self.seconds);
+            machines.memory_mb.extend(later.memory_mb.map(|memory| (*number, memory)));
             machines.bytes_in.record(*number, rates.bytes_in);
             machines.bytes_out.record(*number, rates.bytes_out);
         }
@@ -167,30 +171,30 @@
 
 impl HollowCpu {
     /// Returns `None` if a thread lacks timely readings, or if the process is not the same in both.
-    fn between(then: &GatewayReading, now: &GatewayReading, seconds: f64) -> Option<Self> {
-        let elapsed = now.at - then.at;
-        if elapsed < MIN_READING_FRACTION * seconds || now.membership_cpu < then.membership_cpu {
+    fn between(earlier: &GatewayReading, later: &GatewayReading, seconds: f64) -> Option<Self> {
+        let elapsed = later.at - earlier.at;
+        if elapsed < MIN_READING_FRACTION * seconds || later.membership_cpu < earlier.membership_cpu {
             return None;
         }
-        let follower = match (&then.config_log, &now.config_log) {
-            (Some(then), Some(now)) => Some(follower_cpu(then, now, seconds)?),
+        let follower = match (&earlier.config_log, &later.config_log) {
+            (Some(earlier), Some(later)) => Some(follower_cpu(earlier, later, seconds)?),
             _ => None,
         };
         Some(Self {
-            membership: (now.membership_cpu - then.membership_cpu) / elapsed,
-            dispatcher: (now.dispatcher_cpu - then.dispatcher_cpu) / seconds,
+            membership: (later.membership_cpu - earlier.membership_cpu) / elapsed,
+            dispatcher: (later.dispatcher_cpu - earlier.dispatcher_cpu) / seconds,
             follower,
         })
     }
 }
 
 /// Returns `None` if the thread lacks timely readings.
-fn follower_cpu(then: &ConfigLogReading, now: &ConfigLogReading, seconds: f64) -> Option<f64> {
-    let elapsed = now.at - then.at;
+fn follower_cpu(earlier: &ConfigLogReading, later: &ConfigLogReading, seconds: f64) -> Option<f64> {
+    let elapsed = later.at - earlier.at;
     if elapsed < MIN_READING_FRACTION * seconds {
         return None;
     }
-    Some((now.cpu_seconds - then.cpu_seconds) / elapsed)
+    Some((later.cpu_seconds - earlier.cpu_seconds) / elapsed)
 }
 
 /// Traffic of a link per second.
@@ -203,13 +207,13 @@
 }
 
 impl Rates {
-    fn between(then: LinkTraffic, now: LinkTraffic, seconds: f64) -> Self {
-        let rate = |then: u64, now: u64| (now - then) as f64 / seconds;
+    fn between(earlier: LinkTraffic, later: LinkTraffic, seconds: f64) -> Self {
+        let rate = |earlier: u64, later: u64| (later - earlier) as f64 / seconds;
         Self {
-            bytes_in: rate(then.bytes_in, now.bytes_in),
-            bytes_out: rate(then.bytes_out, now.bytes_out),
-            datagrams_in: rate(then.datagrams_in, now.datagrams_in),
-            datagrams_out: rate(then.datagrams_out, now.datagrams_out),
+            bytes_in: rate(earlier.bytes_in, later.bytes_in),
+            bytes_out: rate(earlier.bytes_out, later.bytes_out),
+            datagrams_in: rate(earlier.datagrams_in, later.datagrams_in),
+            datagrams_out: rate(earlier.datagrams_out, later.datagrams_out),
         }
     }
 
--- a/crates/scale-test/src/run/endpoint_updates.rs
+++ b/crates/scale-test/src/run/endpoint_updates.rs
@@ -55,14 +55,14 @@
 
     /// Adds workers with several updates. Returns the seconds until all gateways had applied them.
     fn add_workers(&mut self, workers: &[usize], revisions: usize, duration: f64) -> Result<f64, StopReason> {
-        let began = clock();
+        let started_at = clock();
         let chunk = workers.len().div_ceil(revisions.max(1)).max(1);
         for (number, added) in workers.chunks(chunk).enumerate() {
-            self.fleet.process_messages(began + duration * number as f64 / revisions as f64)?;
+            self.fleet.process_messages(started_at + duration * number as f64 / revisions as f64)?;
             self.fleet.hosts.update_endpoints(added, self.endpoint_generation, true);
         }
         self.await_completion(is_list_updated)?;
-        Ok(clock() - began)
+        Ok(clock() - started_at)
     }
 
     /// Processor time of the dispatcher of each hollow gateway, in seconds.
--- a/crates/scale-test/src/run/failures.rs
+++ b/crates/scale-test/src/run/failures.rs
@@ -49,14 +49,14 @@
         play: &Play,
         result: &mut PlayResult,
     ) -> Result<(), StopReason> {
-        let began = clock();
+        let started_at = clock();
         self.fleet.kill_control_machines(control_machines);
         self.fleet.kill_gateways(gateways)?;
         self.await_completion(Fleet::are_transitions_complete)?;
         self.propose_changes(play)?;
         let has_membership = self.fleet.plan.runs(Component::Membership);
         let has_changes = play.changes > 0;
-        self.wait_for(began + downtime, |fleet| {
+        self.wait_for(started_at + downtime, |fleet| {
             let is_known =
                 if has_membership { fleet.trackers.is_membership_converged() } else { has_changes };
             is_known && fleet.trackers.changes.is_converged()
@@ -81,13 +81,13 @@
     ) -> Result<(), StopReason> {
         let plan = &self.fleet.plan;
         let region_of: Vec<usize> = (0..plan.gateways).map(|gateway| plan.region_of(gateway)).collect();
-        let began = clock();
+        let started_at = clock();
         self.fleet.links.partition_regions(regions);
         self.fleet
             .trackers
             .membership
             .begin_partition(move |a, b| regions.connects(region_of[a], region_of[b]));
-        let outcome = self.propose_changes(play).and_then(|()| self.wait_until(began + duration));
+        let outcome = self.propose_changes(play).and_then(|()| self.wait_until(started_at + duration));
         self.fleet.links.heal_partition(regions);
         self.fleet.trackers.membership.end_partition(clock());
         outcome
--- a/crates/scale-test/src/run/machine_usage.rs
+++ b/crates/scale-test/src/run/machine_usage.rs
@@ -23,16 +23,17 @@
         let processes = fleet.process_ids().into_iter();
         let cpu_seconds =
             processes.map(machine_load::process_cpu_seconds).sum::<f64>() - self.own_cpu_seconds;
-        let utilization = self.cores.zip(CpuTime::read()).map(|(then, now)| now.utilization_since(then));
+        let utilization =
+            self.cores.zip(CpuTime::read()).map(|(earlier, later)| later.utilization_since(earlier));
         let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
         let lost = fleet.links.lost_datagrams();
         MachineUsage {
             cores,
             utilization,
             utilization_while_measuring: None,
-            peak_utilization: fleet.load.peak_utilization,
+            peak_utilization: fleet.load_monitor.peak_utilization,
             own_utilization: cpu_seconds / seconds.max(1e-9) / cores as f64,
-            memory_gb: fleet.load.peak_memory_gb,
+            memory_gb: fleet.load_monitor.peak_memory_gb,
             dropped_datagrams: machine_load::dropped_datagrams(&fleet.links.ports()),
             overflowed_datagrams: lost.overflowed,
             lost_datagrams: lost.by_plan,
--- a/crates/scale-test/src/run/plan_runner.rs
+++ b/crates/scale-test/src/run/plan_runner.rs
@@ -106,10 +106,10 @@
         if !self.fleet.plan.runs(Component::Membership) || is_about_changes {
             return Ok(());
         }
-        let began = clock();
-        let outcome = self.wait_for(began + timeout, Fleet::is_converged);
+        let started_at = clock();
+        let outcome = self.wait_for(started_at + timeout, Fleet::is_converged);
         let is_converged = self.fleet.is_converged();
-        let waited = clock() - began;
+        let waited = clock() - started_at;
         // If the wait was interrupted, the fleet might still have converged in time, so failure is not recorded.
         if outcome.is_ok() || is_converged {
             let membership = &self.fleet.trackers.membership;
--- a/crates/scale-test/src/run/progress_line.rs
+++ b/crates/scale-test/src/run/progress_line.rs
@@ -23,7 +23,7 @@
         let membership = &fleet.trackers.membership;
         let (running, settled) = (membership.running_count(), membership.converged_observers());
         let seconds = clock() - fleet.started_at();
-        let busy = 100.0 * fleet.load.latest_utilization.unwrap_or(0.0);
+        let busy = 100.0 * fleet.load_monitor.latest_utilization.unwrap_or(0.0);
         // A failed write to the terminal must not end the run.
         let _ = write!(
             io::stderr(),
--- a/crates/scale-test/src/run/rolling.rs
+++ b/crates/scale-test/src/run/rolling.rs
@@ -38,9 +38,9 @@
         duration: f64,
         mut action: impl FnMut(&mut Fleet, usize) -> Result<(), StopReason>,
     ) -> Result<(), StopReason> {
-        let began = clock();
+        let started_at = clock();
         for (number, gateway) in gateways.iter().enumerate() {
-            self.fleet.process_messages(began + duration * number as f64 / gateways.len() as f64)?;
+            self.fleet.process_messages(started_at + duration * number as f64 / gateways.len() as f64)?;
             action(&mut self.fleet, *gateway)?;
             if number % PROGRESS_STEP == 0 {
                 self.show_progress(&format!("{number} of {}", gateways.len()));
--- a/crates/scale-test/tests/plan.rs
+++ b/crates/scale-test/tests/plan.rs
@@ -4,12 +4,12 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-fn file(name: &str) -> String {
+fn plan_text(name: &str) -> String {
     let path = std::path::PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../plans").join(name);
     std::fs::read_to_string(path).expect("a plan")
 }
 
-const SMALL: &str = r#"name = "tiny"
+const SMALL_PLAN: &str = r#"name = "tiny"
 gateways = 6
 real = 1
 region "a" { zones = ["a1", "a2"] }
@@ -27,8 +27,8 @@
 
 /// Errors of the small plan after one line is replaced.
 fn errors(line: &str, replacement: &str) -> Vec<String> {
-    assert!(SMALL.contains(line), "{line}");
-    let text = SMALL.replace(line, replacement);
+    assert!(SMALL_PLAN.contains(line), "{line}");
+    let text = SMALL_PLAN.replace(line, replacement);
     read(&text, None).expect_err("an error").iter().map(ToString::to_string).collect()
 }
 
@@ -39,7 +39,7 @@
 #[test_case("size.hcl", 1100, 4, 10)]
 #[test_case("size-small.hcl", 60, 3, 6)]
 fn the_plans_of_the_repository_are_valid(name: &str, gateways: usize, regions: usize, zones: usize) {
-    let plan = valid(&file(name), None);
+    let plan = valid(&plan_text(name), None);
     assert_eq!((plan.gateways, plan.regions.len(), plan.zones.len()), (gateways, regions, zones));
     let all = [Component::Membership, Component::Budgets, Component::EndpointList, Component::ConfigChanges];
     assert!(all.into_iter().all(|component| plan.runs(component)), "{:?}", plan.components);
@@ -52,7 +52,7 @@
 
 #[test]
 fn changes_alone_are_played_at_full_size() {
-    let plan = valid(&file("size-changes.hcl"), None);
+    let plan = valid(&plan_text("size-changes.hcl"), None);
     assert_eq!(
         (plan.gateways, plan.components.clone()),
         (1100, vec![Component::ConfigChanges, Component::EndpointList])
@@ -65,7 +65,7 @@
 
 #[test]
 fn control_machines_are_in_all_regions_and_no_two_in_a_zone_while_there_are_others() {
-    let plan = valid(&file("size-changes.hcl"), None);
+    let plan = valid(&plan_text("size-changes.hcl"), None);
     let zones: Vec<usize> = (0..plan.control_machines).map(|m| plan.zone_of_control_machine(m)).collect();
     let names: Vec<&str> = zones.iter().map(|z| plan.zones[*z].name.as_str()).collect();
     assert_eq!(names, ["north-1", "south-1", "east-1", "west-1", "north-2", "south-2", "east-2"]);
@@ -73,7 +73,7 @@
 
 #[test]
 fn links_have_the_stated_latency_in_both_directions() {
-    let plan = valid(&file("size.hcl"), None);
+    let plan = valid(&plan_text("size.hcl"), None);
     // Consecutive numbers are in different zones: 0 in north-1, 3 in south-1, 6 in east-1, 10 in north-1 again.
     assert_eq!(plan.latency(0, 10), 0.001);
     assert_eq!((plan.latency(0, 3), plan.latency(3, 0)), (0.03, 0.03));
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_plan_can_be_read_for_another_number_of_gateways() {
-    let plan = valid(&file("size.hcl"), Some(30));
+    let plan = valid(&plan_text("size.hcl"), Some(30));
     assert_eq!(plan.gateways, 30);
     // At most all gateways but one can be restarted.
     let restarts =
@@ -143,7 +143,7 @@
 #[test]
 fn a_partition_is_between_two_regions() {
     let read_partition = |regions: &str| {
-        let text = format!("{SMALL}play \"cut\" {{\n  does = \"cut\"\n  regions = {regions}\n}}\n");
+        let text = format!("{SMALL_PLAN}play \"cut\" {{\n  does = \"cut\"\n  regions = {regions}\n}}\n");
         read(&text, None).map(|p| p.plays[1].action.clone()).map_err(|errors| errors[0].to_string())
     };
     assert_eq!(
@@ -158,11 +158,11 @@
     /// Any text is either parsed or rejected with at least one error.
     #[test]
     fn no_text_panics_the_reader(
-        at in 0..SMALL.len(),
+        at in 0..SMALL_PLAN.len(),
         text in "[ -~\n]{0,20}",
         gateways in proptest::option::of(2usize..50),
     ) {
-        let broken = format!("{}{text}{}", &SMALL[..at], &SMALL[at..]);
+        let broken = format!("{}{text}{}", &SMALL_PLAN[..at], &SMALL_PLAN[at..]);
         if let Err(errors) = read(&broken, gateways) {
             prop_assert!(!errors.is_empty());
         }
